--- a/bitternsill/benches/catalogue.rs
+++ b/bitternsill/benches/catalogue.rs
@@ -1,4 +1,5 @@
-//! Measurements of the catalogue front on loopback, over the stand-in index hosts that the stories use.
+//! Measurements of the catalogue front on loopback, over the stand-in index hosts that the stories
+//! use.
 //!
 //! cargo bench -p bitternsill --bench catalogue -- floor|pages|sessions|copies|memory
 //!
@@ -24,13 +25,20 @@
 
 /// Hosts that hold every slice, with so many titles in each.
 fn hosts(titles: usize) -> Vec<Arc<Script>> {
-    let own =
-        |slice: usize| (0..titles).map(|n| format!("{:05} {slice}", n * 7919 % 99_991)).collect::<Vec<_>>();
+    let own = |slice: usize| {
+        (0..titles)
+            .map(|n| format!("{:05} {slice}", n * 7919 % 99_991))
+            .collect::<Vec<_>>()
+    };
     let all: Vec<Vec<String>> = (0..SLICES).map(own).collect();
     let host = |_| {
-        let titles: Vec<(usize, Vec<&str>)> =
-            all.iter().enumerate().map(|(n, t)| (n, t.iter().map(String::as_str).collect())).collect();
-        let borrowed: Vec<(usize, &[&str])> = titles.iter().map(|(n, t)| (*n, t.as_slice())).collect();
+        let titles: Vec<(usize, Vec<&str>)> = all
+            .iter()
+            .enumerate()
+            .map(|(n, t)| (n, t.iter().map(String::as_str).collect()))
+            .collect();
+        let borrowed: Vec<(usize, &[&str])> =
+            titles.iter().map(|(n, t)| (*n, t.as_slice())).collect();
         let script = Script::with(&borrowed);
         // The version that every build speaks.
         *script.version.lock().unwrap() = "1.1";
@@ -50,16 +58,27 @@
 
 /// Seconds of processor time that the program has used.
 fn cpu(catalogue: &Catalogue) -> f64 {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", catalogue.program.child.id())).unwrap();
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
+    let stat =
+        std::fs::read_to_string(format!("/proc/{}/stat", catalogue.program.child.id())).unwrap();
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap()
+        .split_whitespace()
+        .collect();
     // utime and stime, in hundredths of a second.
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
 }
 
 /// The program's memory, in kB.
 fn memory(catalogue: &Catalogue) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", catalogue.program.child.id())).unwrap();
-    let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap().to_owned();
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", catalogue.program.child.id())).unwrap();
+    let line = status
+        .lines()
+        .find(|l| l.starts_with("VmRSS"))
+        .unwrap()
+        .to_owned();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
@@ -82,7 +101,9 @@
     }
 
     fn ask(&mut self, target: &str) -> String {
-        self.0.write_all(format!("GET {target} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes()).unwrap();
+        self.0
+            .write_all(format!("GET {target} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes())
+            .unwrap();
         read_response(&mut self.0)
     }
 }
@@ -92,7 +113,8 @@
     println!("speaks  tick   p50 ms  p99 ms   busy: searches/s  cpu ms/search");
     for speak in ["sru", "z3950"] {
         for tick in [Some(TICK), None] {
-            let catalogue = Catalogue::start_with(speak, hosts(20), settings(tick, 4000), json!({}));
+            let catalogue =
+                Catalogue::start_with(speak, hosts(20), settings(tick, 4000), json!({}));
             let mut client = Client::open(&catalogue);
             let mut times = histogram();
             for n in 0..600 {
@@ -103,7 +125,10 @@
                     times.record(start.elapsed().as_micros() as u64).unwrap();
                 }
             }
-            let (stop, served) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+            let (stop, served) = (
+                Arc::new(AtomicBool::new(false)),
+                Arc::new(AtomicUsize::new(0)),
+            );
             let clients: Vec<Client> = (0..48).map(|_| Client::open(&catalogue)).collect();
             let (began, used) = (Instant::now(), cpu(&catalogue));
             let threads: Vec<_> = clients
@@ -141,14 +166,22 @@
     println!("order     page  delivered  fetched  fetched/delivered");
     for (order, keys) in [("slices", ""), ("by title", "&sortKeys=title")] {
         let hosts = hosts(200);
-        let catalogue = Catalogue::start_with("z3950", hosts, settings(Some(TICK), 4000), json!({}));
-        let given = || catalogue.scripts.iter().map(|s| count(&s.given)).sum::<usize>();
+        let catalogue =
+            Catalogue::start_with("z3950", hosts, settings(Some(TICK), 4000), json!({}));
+        let given = || {
+            catalogue
+                .scripts
+                .iter()
+                .map(|s| count(&s.given))
+                .sum::<usize>()
+        };
         // Read one after the other, and then by a jump.
         for page in [1, 2, 3, 4, 5, 50, 51] {
             let before = given();
             let start = 10 * (page - 1) + 1;
-            let target =
-                format!("/comics?version=1.1&operation=searchRetrieve&query=moon&startRecord={start}{keys}");
+            let target = format!(
+                "/comics?version=1.1&operation=searchRetrieve&query=moon&startRecord={start}{keys}"
+            );
             let answer = catalogue.sru(&target);
             let delivered = titles(&answer).len();
             let fetched = given() - before;
@@ -161,17 +194,25 @@
     }
 }
 
-/// Many sessions, a tenth of them active: memory, and how long a search with its page takes, calm and with a third of
-/// the hosts standing still half a second every two.
+/// Many sessions, a tenth of them active: memory, and how long a search with its page takes, calm
+/// and with a third of the hosts standing still half a second every two.
 fn sessions() {
     const OPEN: usize = 2000;
     const ACTIVE: usize = 200;
-    println!("hosts     sessions  kB/session  p50 ms  p99 ms  max ms  asked  answered  refused  failed");
+    println!(
+        "hosts     sessions  kB/session  p50 ms  p99 ms  max ms  asked  answered  refused  failed"
+    );
     for troubled in [false, true] {
         let hosts = hosts(50);
-        hosts.iter().for_each(|h| h.delay.store(2, Ordering::SeqCst));
-        let catalogue =
-            Arc::new(Catalogue::start_with("z3950", hosts, settings(None, 20_000), json!({"sockets": 8192})));
+        hosts
+            .iter()
+            .for_each(|h| h.delay.store(2, Ordering::SeqCst));
+        let catalogue = Arc::new(Catalogue::start_with(
+            "z3950",
+            hosts,
+            settings(None, 20_000),
+            json!({"sockets": 8192}),
+        ));
         let before = memory(&catalogue);
         let mut readers: Vec<Reader> = (0..OPEN).map(|_| Reader::open(catalogue.z3950)).collect();
         for reader in &mut readers {
@@ -200,10 +241,12 @@
             .map(|(number, mut reader)| {
                 let (times, ends) = (times.clone(), ends.clone());
                 thread::spawn(move || {
-                    // Open loop: each asks once a second at times fixed beforehand, however long answers take.
+                    // Open loop: each asks once a second at times fixed beforehand, however long
+                    // answers take.
                     for turn in 0..12u32 {
-                        let due =
-                            begin + Duration::from_secs(1) * turn + Duration::from_millis(5 * number as u64);
+                        let due = begin
+                            + Duration::from_secs(1) * turn
+                            + Duration::from_millis(5 * number as u64);
                         if let Some(wait) = due.checked_duration_since(Instant::now()) {
                             thread::sleep(wait);
                         }
@@ -215,7 +258,11 @@
                                 reader.present(11, 10)
                             };
                             let end = match () {
-                                () if said.contains("success true") || said.contains("present status 0") => 1,
+                                () if said.contains("success true")
+                                    || said.contains("present status 0") =>
+                                {
+                                    1
+                                }
                                 () if said.ends_with("diagnostic 2") => 2,
                                 () => 3,
                             };
@@ -225,9 +272,15 @@
                         times.lock().unwrap().record(took).unwrap();
                     }
                     // Nothing more may come: each request has had its one answer.
-                    reader.socket.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
+                    reader
+                        .socket
+                        .set_read_timeout(Some(Duration::from_millis(50)))
+                        .unwrap();
                     let mut byte = [0; 1];
-                    assert!(std::io::Read::read(&mut reader.socket, &mut byte).is_err(), "a second answer");
+                    assert!(
+                        std::io::Read::read(&mut reader.socket, &mut byte).is_err(),
+                        "a second answer"
+                    );
                 })
             })
             .collect();
@@ -252,14 +305,28 @@
     }
 }
 
-/// Connections to hosts made for 1,000 searches while one answer in fifty is slow and copies go out.
+/// Connections to hosts made for 1,000 searches while one answer in fifty is slow and copies go
+/// out.
 fn copies() {
     println!("speaks  searches  answered  connections before  made meanwhile");
     for speak in ["sru", "z3950"] {
         let hosts = hosts(20);
-        hosts.iter().for_each(|h| *h.hiccup.lock().unwrap() = (50, 120));
-        let catalogue = Arc::new(Catalogue::start_with(speak, hosts, settings(Some(TICK), 4000), json!({})));
-        let made = || catalogue.scripts.iter().map(|s| count(&s.connections)).sum::<usize>();
+        hosts
+            .iter()
+            .for_each(|h| *h.hiccup.lock().unwrap() = (50, 120));
+        let catalogue = Arc::new(Catalogue::start_with(
+            speak,
+            hosts,
+            settings(Some(TICK), 4000),
+            json!({}),
+        ));
+        let made = || {
+            catalogue
+                .scripts
+                .iter()
+                .map(|s| count(&s.connections))
+                .sum::<usize>()
+        };
         let run = |searches: usize| {
             let answered = Arc::new(AtomicUsize::new(0));
             let threads: Vec<_> = (0..8)
@@ -281,7 +348,11 @@
         run(400);
         let before = made();
         let answered = run(1000);
-        println!("{speak:6}  {:8}  {answered:8}  {before:18}  {:14}", 1000, made() - before);
+        println!(
+            "{speak:6}  {:8}  {answered:8}  {before:18}  {:14}",
+            1000,
+            made() - before
+        );
     }
 }
 
@@ -289,15 +360,23 @@
 fn idle() {
     let host = FrameHost::start(|_| Say::Good(1, "x".to_owned()));
     let platform = Platform::start(common::settings(), vec![host]);
-    let status = std::fs::read_to_string(format!("/proc/{}/status", platform.program.child.id())).unwrap();
-    for line in status.lines().filter(|l| l.starts_with("VmRSS") || l.starts_with("VmHWM")) {
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", platform.program.child.id())).unwrap();
+    for line in status
+        .lines()
+        .filter(|l| l.starts_with("VmRSS") || l.starts_with("VmHWM"))
+    {
         println!("{line}");
     }
 }
 
 fn main() {
     // Cargo adds a flag of its own.
-    match std::env::args().skip(1).find(|a| !a.starts_with("--")).as_deref() {
+    match std::env::args()
+        .skip(1)
+        .find(|a| !a.starts_with("--"))
+        .as_deref()
+    {
         Some("floor") => floor(),
         Some("pages") => pages(),
         Some("sessions") => sessions(),
--- a/bitternsill/benches/learned.rs
+++ b/bitternsill/benches/learned.rs
@@ -30,10 +30,14 @@
 const AFTER: u64 = 10;
 
 fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64
 }
 
-/// Hosts in a ring. Two of ten are slow; one is cold for five seconds after each start of the gatherer.
+/// Hosts in a ring. Two of ten are slow; one is cold for five seconds after each start of the
+/// gatherer.
 struct FleetOfHosts {
     addresses: Vec<std::net::SocketAddr>,
     parts: Arc<AtomicUsize>,
@@ -60,7 +64,12 @@
         })
         .address
     };
-    FleetOfHosts { addresses: (0..HOSTS).map(host).collect(), parts, cold_until, cold }
+    FleetOfHosts {
+        addresses: (0..HOSTS).map(host).collect(),
+        parts,
+        cold_until,
+        cold,
+    }
 }
 
 fn fleet_settings() -> Value {
@@ -75,19 +84,28 @@
     settings
 }
 
-/// What came in the first 2, 5 and 10 seconds: queries later than their aim or not served, and parts beyond the first.
+/// What came in the first 2, 5 and 10 seconds: queries later than their aim or not served, and
+/// parts beyond the first.
 type Seen = [(usize, usize); 3];
 
 fn play(hosts: &FleetOfHosts, folder: Option<&Path>, seconds: u64, seed: u64) -> Seen {
     let start = now_ms();
     hosts.cold_until.store(start + 5_000, Ordering::Relaxed);
-    let mut targets: Vec<Value> =
-        hosts.addresses.iter().enumerate().map(|(n, a)| target(n, *a, "active")).collect();
+    let mut targets: Vec<Value> = hosts
+        .addresses
+        .iter()
+        .enumerate()
+        .map(|(n, a)| target(n, *a, "active"))
+        .collect();
     targets[hosts.cold]["boot_ms"] = json!(start);
     let mut more = Vec::new();
     if let Some(folder) = folder {
         let file = folder.with_extension("json");
-        std::fs::write(&file, json!({"learning": {"folder": folder, "period_ms": 200}}).to_string()).unwrap();
+        std::fs::write(
+            &file,
+            json!({"learning": {"folder": folder, "period_ms": 200}}).to_string(),
+        )
+        .unwrap();
         more = vec!["--operator".to_owned(), file.display().to_string()];
     }
     let platform = Arc::new(Platform::start_in(
@@ -116,7 +134,8 @@
                     if let Some(wait) = due.checked_sub(begin.elapsed()) {
                         thread::sleep(wait);
                     }
-                    let shard = ((n.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ seed) >> 33) as u32 % HOSTS as u32;
+                    let shard = ((n.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ seed) >> 33) as u32
+                        % HOSTS as u32;
                     let shards = [shard, (shard + 1) % HOSTS as u32];
                     let answer = platform.ask(&format!("{:016x}", n + 1), "page", &shards);
                     let took = begin.elapsed() - due;
@@ -139,8 +158,16 @@
     let mut platform = Arc::into_inner(platform).expect("all threads have ended");
     platform.program.child.wait().unwrap();
     let (late, marks) = (late.lock().unwrap(), marks.lock().unwrap());
-    let count = |at: u64| late.iter().filter(|due| **due < Duration::from_secs(at)).count();
-    [(count(2), marks[0]), (count(5), marks[1]), (count(10), marks[2])]
+    let count = |at: u64| {
+        late.iter()
+            .filter(|due| **due < Duration::from_secs(at))
+            .count()
+    };
+    [
+        (count(2), marks[0]),
+        (count(5), marks[1]),
+        (count(10), marks[2]),
+    ]
 }
 
 fn new_folder(name: &str) -> PathBuf {
@@ -152,7 +179,8 @@
 
 /// A folder with one picture, changed.
 fn changed(from: &Path, name: &str, change: impl FnOnce(&mut Picture)) -> PathBuf {
-    // Programs of other seeds that start at this moment hold every descriptor of this process for an instant.
+    // Programs of other seeds that start at this moment hold every descriptor of this process for
+    // an instant.
     let folder = loop {
         match Folder::open(from) {
             Ok(folder) => break folder,
@@ -175,7 +203,13 @@
         let days = 3 * 86_400_000;
         p.taken -= days;
         let older = |(uid, host): (&Arc<str>, &HostMemory)| {
-            (uid.clone(), HostMemory { judged: host.judged - days, ..host.clone() })
+            (
+                uid.clone(),
+                HostMemory {
+                    judged: host.judged - days,
+                    ..host.clone()
+                },
+            )
         };
         p.hosts = p.hosts.iter().map(older).collect();
     });
@@ -184,7 +218,13 @@
         let memories: Vec<HostMemory> = p.hosts.values().cloned().collect();
         let count = memories.len();
         let other = |(n, (uid, host)): (usize, (&Arc<str>, &HostMemory))| {
-            (uid.clone(), HostMemory { born: host.born, ..memories[(n + 3) % count].clone() })
+            (
+                uid.clone(),
+                HostMemory {
+                    born: host.born,
+                    ..memories[(n + 3) % count].clone()
+                },
+            )
         };
         p.hosts = p.hosts.iter().enumerate().map(other).collect();
     });
@@ -217,14 +257,28 @@
         threads.into_iter().for_each(|t| t.join().unwrap());
     }
     let results = results.lock().unwrap();
-    println!("{} seeds, {RATE} queries a second of two parts, {HOSTS} hosts, aim {AIM_MS} ms", results.len());
+    println!(
+        "{} seeds, {RATE} queries a second of two parts, {HOSTS} hosts, aim {AIM_MS} ms",
+        results.len()
+    );
     println!(
         "memory          late in 2 s    in 5 s         in 10 s        further parts in 2 s  in 5 s         in 10 s"
     );
-    for (n, name) in ["none", "of before", "three days old", "shuffled"].into_iter().enumerate() {
+    for (n, name) in ["none", "of before", "three days old", "shuffled"]
+        .into_iter()
+        .enumerate()
+    {
         let of = |at: usize, late: bool| {
-            let values: Vec<f64> =
-                results.iter().map(|r| if late { r[n][at].0 as f64 } else { r[n][at].1 as f64 }).collect();
+            let values: Vec<f64> = results
+                .iter()
+                .map(|r| {
+                    if late {
+                        r[n][at].0 as f64
+                    } else {
+                        r[n][at].1 as f64
+                    }
+                })
+                .collect();
             interval(&values)
         };
         println!(
@@ -249,11 +303,28 @@
 fn scale() {
     const MANY: u32 = 10_000;
     const CLASSES: usize = 8;
-    let class = Class { aim: 1_000_000_000, ..Class::default() };
-    let settings = Settings { classes: vec![class; CLASSES], cells: 100, reach: 2, ..Settings::default() };
-    let entry = |n: u32| Entry { server: ServerId(n), cell: n % 100, ..Entry::default() };
-    let list = Event::List { kind: ListKind::Complete, entries: (0..MANY).map(entry).collect() };
-    println!("turns with learning  p50 us  p99 us  of which learning p50  p99   handing over p50  p99");
+    let class = Class {
+        aim: 1_000_000_000,
+        ..Class::default()
+    };
+    let settings = Settings {
+        classes: vec![class; CLASSES],
+        cells: 100,
+        reach: 2,
+        ..Settings::default()
+    };
+    let entry = |n: u32| Entry {
+        server: ServerId(n),
+        cell: n % 100,
+        ..Entry::default()
+    };
+    let list = Event::List {
+        kind: ListKind::Complete,
+        entries: (0..MANY).map(entry).collect(),
+    };
+    println!(
+        "turns with learning  p50 us  p99 us  of which learning p50  p99   handing over p50  p99"
+    );
     for keeps in [false, true, false, true] {
         let mut aggregator = Aggregator::new(settings.clone(), 7);
         let mut actions: Vec<Action> = Vec::new();
@@ -262,7 +333,11 @@
         if keeps {
             aggregator.learned(0);
         }
-        let fleet = Fleet { classes: vec!["c".into(); CLASSES], cells: 100, reach: 2 };
+        let fleet = Fleet {
+            classes: vec!["c".into(); CLASSES],
+            cells: 100,
+            reach: 2,
+        };
         let mut picture = Picture::new(fleet);
         let queue: ArrayQueue<Picture> = ArrayQueue::new(2);
         let (mut turns, mut learns, mut hands) = (Vec::new(), Vec::new(), Vec::new());
@@ -293,7 +368,12 @@
                 });
                 for part in 1..=2 {
                     let shard = (number * 37 + part) as u32 % 100;
-                    events.push(Event::Part { id: PartId(number + part), number, shard, weight: 0.5 });
+                    events.push(Event::Part {
+                        id: PartId(number + part),
+                        number,
+                        shard,
+                        weight: 0.5,
+                    });
                 }
                 next += 3;
             }
@@ -313,7 +393,9 @@
                         weight: memory.answers as f32,
                         judged: now / 1_000_000,
                     };
-                    picture.hosts.insert(Arc::from(format!("host-{}", id.0)), host);
+                    picture
+                        .hosts
+                        .insert(Arc::from(format!("host-{}", id.0)), host);
                 }
                 learns.push(begin.elapsed());
                 if turn % 40 == 0 {
@@ -332,22 +414,42 @@
             }
         }
         let (p50, p99) = micros(&mut turns);
-        let (l50, l99) = if learns.is_empty() { (0.0, 0.0) } else { micros(&mut learns) };
-        let (h50, h99) = if hands.is_empty() { (0.0, 0.0) } else { micros(&mut hands) };
+        let (l50, l99) = if learns.is_empty() {
+            (0.0, 0.0)
+        } else {
+            micros(&mut learns)
+        };
+        let (h50, h99) = if hands.is_empty() {
+            (0.0, 0.0)
+        } else {
+            micros(&mut hands)
+        };
         println!("{keeps:19}  {p50:6.0}  {p99:6.0}  {l50:21.1}  {l99:4.1}  {h50:16.2}  {h99:4.2}");
     }
-    let fleet = Fleet { classes: vec!["c".into(); CLASSES], cells: 100, reach: 2 };
+    let fleet = Fleet {
+        classes: vec!["c".into(); CLASSES],
+        cells: 100,
+        reach: 2,
+    };
     let host = |n: u32| HostMemory {
         born: 0,
-        slowness: (0..CLASSES).map(|c| 1.0 + (n as f32 * 0.37 + c as f32) % 7.0).collect(),
+        slowness: (0..CLASSES)
+            .map(|c| 1.0 + (n as f32 * 0.37 + c as f32) % 7.0)
+            .collect(),
         delay: 0.1,
         limit: 3.0,
         errors: 0.01,
         weight: 16.0,
         judged: now_ms(),
     };
-    let hosts = (0..MANY).map(|n| (Arc::from(format!("host-{n:05}")), host(n))).collect();
-    let picture = Picture { taken: now_ms(), hosts, ..Picture::new(fleet) };
+    let hosts = (0..MANY)
+        .map(|n| (Arc::from(format!("host-{n:05}")), host(n)))
+        .collect();
+    let picture = Picture {
+        taken: now_ms(),
+        hosts,
+        ..Picture::new(fleet)
+    };
     let path = new_folder("scale");
     let folder = Folder::open(&path).unwrap();
     println!("hosts  classes  bytes    encode ms  write and sync ms  load ms");
@@ -359,7 +461,10 @@
         folder.write(&bytes, |_| {}).unwrap();
         let written = start.elapsed();
         let start = Instant::now();
-        assert_eq!(folder.load().picture.map(|(p, ..)| p.hosts.len()), Some(MANY as usize));
+        assert_eq!(
+            folder.load().picture.map(|(p, ..)| p.hosts.len()),
+            Some(MANY as usize)
+        );
         println!(
             "{MANY}  {CLASSES:7}  {}  {:9.1}  {:17.1}  {:7.1}",
             bytes.len(),
@@ -373,7 +478,11 @@
 
 fn main() {
     // Cargo adds a flag of its own.
-    match std::env::args().skip(1).find(|a| !a.starts_with("--")).as_deref() {
+    match std::env::args()
+        .skip(1)
+        .find(|a| !a.starts_with("--"))
+        .as_deref()
+    {
         Some("restart") => restart(),
         Some("scale") => scale(),
         _ => eprintln!("which measurement? restart or scale"),
--- a/bitternsill/src/admin/calls.rs
+++ b/bitternsill/src/admin/calls.rs
@@ -56,7 +56,13 @@
         path: "/api/ready",
         operation: Operation::Ready,
         summary: "Tells whether this process takes clients",
-        answers: &[(200, "It does"), (503, "Not yet, or it has been told to send them away or to end")],
+        answers: &[
+            (200, "It does"),
+            (
+                503,
+                "Not yet, or it has been told to send them away or to end",
+            ),
+        ],
     },
     Route {
         method: "POST",
@@ -77,14 +83,20 @@
         path: "/api/evacuate",
         operation: Operation::Evacuate,
         summary: "Sends clients away; the process goes on running",
-        answers: &[(200, "Begun, or under way already"), (503, "The process is ending")],
+        answers: &[
+            (200, "Begun, or under way already"),
+            (503, "The process is ending"),
+        ],
     },
     Route {
         method: "POST",
         path: "/api/rejoin",
         operation: Operation::Rejoin,
         summary: "Takes clients again",
-        answers: &[(200, "Done, or it never sent them away"), (503, "The process is ending")],
+        answers: &[
+            (200, "Done, or it never sent them away"),
+            (503, "The process is ending"),
+        ],
     },
 ];
 
@@ -100,7 +112,11 @@
 impl fmt::Display for Call {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?}", self.operation)?;
-        if self.member.is_empty() { Ok(()) } else { write!(f, " {}", self.member) }
+        if self.member.is_empty() {
+            Ok(())
+        } else {
+            write!(f, " {}", self.member)
+        }
     }
 }
 
@@ -110,11 +126,22 @@
     let path = target.split('?').next().unwrap_or_default();
     let wanted = if method == "HEAD" { "GET" } else { method };
     let Some(route) = ROUTES.iter().find(|r| r.path == path && r.method == wanted) else {
-        let allowed: Vec<&str> = ROUTES.iter().filter(|r| r.path == path).map(|r| r.method).collect();
+        let allowed: Vec<&str> = ROUTES
+            .iter()
+            .filter(|r| r.path == path)
+            .map(|r| r.method)
+            .collect();
         return Err(Response::no_route(&allowed));
     };
-    let member = if route.names_host() { member(body, name_bytes)? } else { String::new() };
-    Ok(Call { operation: route.operation, member })
+    let member = if route.names_host() {
+        member(body, name_bytes)?
+    } else {
+        String::new()
+    };
+    Ok(Call {
+        operation: route.operation,
+        member,
+    })
 }
 
 fn member(body: &[u8], name_bytes: usize) -> Result<String, Response> {
@@ -126,7 +153,9 @@
     match json.get("member") {
         None => Err(bad("`member` is missing")),
         Some(Json::String(id)) if id.is_empty() => Err(bad("`member` is empty")),
-        Some(Json::String(id)) if id.len() > name_bytes => Err(bad("`member` is longer than any id")),
+        Some(Json::String(id)) if id.len() > name_bytes => {
+            Err(bad("`member` is longer than any id"))
+        }
         Some(Json::String(id)) => Ok(id.clone()),
         Some(_) => Err(bad("`member` is not a string")),
     }
--- a/bitternsill/src/admin/cli.rs
+++ b/bitternsill/src/admin/cli.rs
@@ -62,9 +62,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AdminError::NoAddress => f.write_str("no address: use --at, or set ROUTER_ADMIN"),
-            AdminError::Unreachable(at, problem) if is_late(problem) => write!(f, "{at}: no answer in time"),
+            AdminError::Unreachable(at, problem) if is_late(problem) => {
+                write!(f, "{at}: no answer in time")
+            }
             AdminError::Unreachable(at, problem) => write!(f, "{at}: {problem}"),
-            AdminError::Garbled(at) => write!(f, "{at}: the answer cannot be read; is it a gatherer's door?"),
+            AdminError::Garbled(at) => write!(
+                f,
+                "{at}: the answer cannot be read; is it a gatherer's door?"
+            ),
             AdminError::No(words) => write!(f, "no: {words}"),
         }
     }
@@ -73,7 +78,10 @@
 impl std::error::Error for AdminError {}
 
 fn is_late(problem: &io::Error) -> bool {
-    matches!(problem.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
+    matches!(
+        problem.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+    )
 }
 
 /// Makes the call; the words of a yes, or why there is none.
@@ -85,12 +93,22 @@
         Admin::Evacuate(at) => (Operation::Evacuate, None, at),
         Admin::Rejoin(at) => (Operation::Rejoin, None, at),
     };
-    let told = || std::env::var("ROUTER_ADMIN").ok().and_then(|at| at.parse().ok());
+    let told = || {
+        std::env::var("ROUTER_ADMIN")
+            .ok()
+            .and_then(|at| at.parse().ok())
+    };
     let to = at.at.or_else(told).ok_or(AdminError::NoAddress)?;
-    let body = host.map(|member| json!({"member": member}).to_string()).unwrap_or_default();
+    let body = host
+        .map(|member| json!({"member": member}).to_string())
+        .unwrap_or_default();
     let until = Instant::now() + Duration::from_millis(at.patience);
     let (status, words) = ask(to, operation, &body, until)?;
-    if (200..300).contains(&status) { Ok(words) } else { Err(AdminError::No(words)) }
+    if (200..300).contains(&status) {
+        Ok(words)
+    } else {
+        Err(AdminError::No(words))
+    }
 }
 
 fn ask(
@@ -102,22 +120,33 @@
     let unreachable = |problem| AdminError::Unreachable(to, problem);
     let left = || {
         let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() { Err(io::Error::from(io::ErrorKind::TimedOut)) } else { Ok(left) }
+        if left.is_zero() {
+            Err(io::Error::from(io::ErrorKind::TimedOut))
+        } else {
+            Ok(left)
+        }
     };
-    let route = ROUTES.iter().find(|r| r.operation == operation).ok_or(AdminError::Garbled(to))?;
+    let route = ROUTES
+        .iter()
+        .find(|r| r.operation == operation)
+        .ok_or(AdminError::Garbled(to))?;
     let request = format!(
         "{} {} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
         route.method,
         route.path,
         body.len()
     );
-    let mut stream = left().and_then(|left| TcpStream::connect_timeout(&to, left)).map_err(unreachable)?;
+    let mut stream = left()
+        .and_then(|left| TcpStream::connect_timeout(&to, left))
+        .map_err(unreachable)?;
     let limits = Limits::default();
     let mut reader = Reader::responses(limits.head_bytes, limits.body_bytes);
     let (mut input, mut chunk) = (Vec::new(), [0; 4096]);
     stream.write_all(request.as_bytes()).map_err(unreachable)?;
     loop {
-        left().and_then(|left| stream.set_read_timeout(Some(left))).map_err(unreachable)?;
+        left()
+            .and_then(|left| stream.set_read_timeout(Some(left)))
+            .map_err(unreachable)?;
         let n = stream.read(&mut chunk).map_err(unreachable)?;
         input.extend_from_slice(&chunk[..n]);
         match reader.read(&mut input) {
--- a/bitternsill/src/admin/door.rs
+++ b/bitternsill/src/admin/door.rs
@@ -1,4 +1,5 @@
-//! The operators' door on sockets: few callers, one call each, served however many clients there are.
+//! The operators' door on sockets: few callers, one call each, served however many clients there
+//! are.
 
 use super::calls::{self, Call, Operation};
 use super::drain::Steps;
@@ -26,7 +27,11 @@
 impl Door {
     /// A door on this socket.
     pub fn new(socket: TcpListener, limits: &Limits) -> Self {
-        let mut door = Door { socket, callers: VecDeque::new(), spares: Vec::new() };
+        let mut door = Door {
+            socket,
+            callers: VecDeque::new(),
+            spares: Vec::new(),
+        };
         door.keep_back(limits);
         door
     }
@@ -40,7 +45,8 @@
         }
     }
 
-    /// Callers that say nothing must not keep out the next: the one there longest gives way, and its descriptor with it.
+    /// Callers that say nothing must not keep out the next: the one there longest gives way, and
+    /// its descriptor with it.
     fn make_room(&mut self, cx: &mut Cx<'_>) {
         if let Some(oldest) = self.callers.pop_front() {
             cx.net.post(oldest, Message::MakeRoom);
@@ -52,18 +58,28 @@
             drop(self.spares.pop());
             match self.socket.accept() {
                 Ok((socket, peer)) => {
-                    if socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true)).is_err() {
+                    if socket
+                        .set_nonblocking(true)
+                        .and_then(|()| socket.set_nodelay(true))
+                        .is_err()
+                    {
                         continue;
                     }
                     if self.callers.len() >= cx.world.limits.door_callers {
                         self.make_room(cx);
                     }
-                    let service = Box::new(Caller { door: cx.token, peer });
+                    let service = Box::new(Caller {
+                        door: cx.token,
+                        peer,
+                    });
                     let connection = HttpConnection::accept(service, Stream::new(socket), cx.world);
                     self.callers.push_back(cx.net.open_first(connection));
                 }
                 Err(problem) => {
-                    if !matches!(problem.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) {
+                    if !matches!(
+                        problem.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+                    ) {
                         tracing::warn!(%problem, "an operator's call cannot be accepted");
                         self.make_room(cx);
                         let _ = cx.net.rearm(&self.socket, cx.token, Ready::default());
@@ -151,21 +167,41 @@
         // What is turned away is told too: a gatherer may be ready and yet serve nobody.
         Operation::Ready => match cx.world.waits(cx.now) {
             None => Response::text(200, format!("ready{}", cx.world.turned)),
-            Some(wait) => Response::text(503, format!("not taking clients: {wait}{}", cx.world.turned)),
+            Some(wait) => Response::text(
+                503,
+                format!("not taking clients: {wait}{}", cx.world.turned),
+            ),
         },
         Operation::Exclude => stand(cx, &call.member, true),
         Operation::Include => stand(cx, &call.member, false),
-        Operation::Evacuate | Operation::Rejoin if !serving => Response::text(503, "this process is ending"),
+        Operation::Evacuate | Operation::Rejoin if !serving => {
+            Response::text(503, "this process is ending")
+        }
         Operation::Evacuate => {
-            let begins = cx.world.orders.drain.begin(cx.now, Steps::of(&cx.world.limits));
+            let begins = cx
+                .world
+                .orders
+                .drain
+                .begin(cx.now, Steps::of(&cx.world.limits));
             Response::text(
                 200,
-                if begins { "clients are sent away" } else { "clients are being sent away already" },
+                if begins {
+                    "clients are sent away"
+                } else {
+                    "clients are being sent away already"
+                },
             )
         }
         Operation::Rejoin => {
             let ended = cx.world.orders.drain.end();
-            Response::text(200, if ended { "clients are taken again" } else { "clients were not sent away" })
+            Response::text(
+                200,
+                if ended {
+                    "clients are taken again"
+                } else {
+                    "clients were not sent away"
+                },
+            )
         }
     }
 }
@@ -177,7 +213,10 @@
         return Response::text(404, format!("no index host `{}`", uid.escape_default()));
     }
     if world.orders.set(uid, out, cx.now).is_err() {
-        return Response::text(507, "as many hosts are out as are kept: take one back first");
+        return Response::text(
+            507,
+            "as many hosts are out as are kept: take one back first",
+        );
     }
     world.hold_hosts(cx.net, cx.now);
     Response::text(200, if out { "out" } else { "in" })
--- a/bitternsill/src/admin/drain.rs
+++ b/bitternsill/src/admin/drain.rs
@@ -1,4 +1,5 @@
-//! Sending clients away: a schedule in time. It has no sockets; whoever holds these asks it what to do now.
+//! Sending clients away: a schedule in time. It has no sockets; whoever holds these asks it what to
+//! do now.
 
 use crate::limits::Limits;
 use bramblestair::interface::Time;
@@ -6,7 +7,8 @@
 /// The moments of a drain, counted from the call.
 #[derive(Debug, Clone, Copy)]
 pub struct Steps {
-    /// From here on the front has heard of it and its last connections have come: answers close theirs.
+    /// From here on the front has heard of it and its last connections have come: answers close
+    /// theirs.
     pub farewell: Time,
     /// From here on what is idle is closed.
     pub clear: Time,
@@ -19,12 +21,19 @@
 }
 
 impl Steps {
-    /// The steps as the limits have them. A front asks for health every 0.1 s and sends new connections for 0.2 s after
-    /// the first no; 2 s after the call nothing may be left that could still take a request.
+    /// The steps as the limits have them. A front asks for health every 0.1 s and sends new
+    /// connections for 0.2 s after the first no; 2 s after the call nothing may be left that could
+    /// still take a request.
     pub fn of(limits: &Limits) -> Steps {
         let (farewell, clear, cut) = limits.drain_times;
         let (sweep, grace) = limits.drain_sweep;
-        Steps { farewell, clear, cut, sweep, grace }
+        Steps {
+            farewell,
+            clear,
+            cut,
+            sweep,
+            grace,
+        }
     }
 }
 
@@ -66,7 +75,8 @@
 
     /// Whether an answer is to close its connection.
     pub fn says_farewell(&self, now: Time) -> bool {
-        self.under_way.is_some_and(|(began, _, steps)| now >= began + steps.farewell)
+        self.under_way
+            .is_some_and(|(began, _, steps)| now >= began + steps.farewell)
     }
 
     /// When [`Drain::sweep`] has something to say.
@@ -76,9 +86,15 @@
 
     /// What to close now, if that is due.
     pub fn sweep(&mut self, now: Time) -> Option<Sweep> {
-        let (began, next, steps) = self.under_way.as_mut().filter(|(_, next, _)| *next <= now)?;
+        let (began, next, steps) = self
+            .under_way
+            .as_mut()
+            .filter(|(_, next, _)| *next <= now)?;
         *next = now + steps.sweep;
-        Some(Sweep { idle_since: now.saturating_sub(steps.grace), partial: now >= *began + steps.cut })
+        Some(Sweep {
+            idle_since: now.saturating_sub(steps.grace),
+            partial: now >= *began + steps.cut,
+        })
     }
 }
 
@@ -94,17 +110,23 @@
         assert!(drain.sweep(1_000).is_none() && !drain.says_farewell(1_000));
         // Connections come until 0.2 s after the first no, which is asked for every 0.1 s.
         assert!(!drain.says_farewell(1_000 + 300_000_000));
-        // What comes at the last moment, and is then idle, is closed well before 2 s are over: from then on a request
-        // would be one of the last 2 s when the drain is looked at.
+        // What comes at the last moment, and is then idle, is closed well before 2 s are over: from
+        // then on a request would be one of the last 2 s when the drain is looked at.
         let (mut at, mut closed) = (1_000, None);
         let last = 1_000 + 300_000_000;
         while let Some(due) = drain.due().filter(|due| *due < 3_000_000_000) {
             at = due;
-            if drain.sweep(at).is_some_and(|s| s.idle_since >= last && s.partial) {
+            if drain
+                .sweep(at)
+                .is_some_and(|s| s.idle_since >= last && s.partial)
+            {
                 closed.get_or_insert(at);
             }
         }
-        assert!(closed.is_some_and(|at| at <= 1_000 + 2_000_000_000), "closed at {closed:?}, last look {at}");
+        assert!(
+            closed.is_some_and(|at| at <= 1_000 + 2_000_000_000),
+            "closed at {closed:?}, last look {at}"
+        );
         assert!(drain.end() && !drain.is_under_way() && !drain.end());
         assert!(drain.due().is_none() && !drain.says_farewell(Time::MAX));
     }
--- a/bitternsill/src/admin/hand.rs
+++ b/bitternsill/src/admin/hand.rs
@@ -1,5 +1,6 @@
-//! Which index hosts are out by hand: a map whose entries are stamped, so that two processes that both change it agree on
-//! the later change of each host, in whatever order they hear of it. No I/O.
+//! Which index hosts are out by hand: a map whose entries are stamped, so that two processes that
+//! both change it agree on the later change of each host, in whatever order they hear of it. No
+//! I/O.
 
 use bramblestair::interface::Time;
 use serde_json::{Value as Json, json};
@@ -53,7 +54,10 @@
 impl Hand {
     /// Nobody is out; at most so many hosts will be remembered.
     pub fn new(most: usize) -> Self {
-        Hand { marks: BTreeMap::new(), most }
+        Hand {
+            marks: BTreeMap::new(),
+            most,
+        }
     }
 
     /// Whether a host is out.
@@ -63,15 +67,23 @@
 
     /// The hosts that are out.
     pub fn out(&self) -> impl Iterator<Item = &str> {
-        self.marks.iter().filter(|(_, mark)| mark.out).map(|(uid, _)| uid.as_str())
+        self.marks
+            .iter()
+            .filter(|(_, mark)| mark.out)
+            .map(|(uid, _)| uid.as_str())
     }
 
-    /// Takes a host out or back. Its stamp is later than any that this host has had, whatever the clock says.
+    /// Takes a host out or back. Its stamp is later than any that this host has had, whatever the
+    /// clock says.
     pub fn set(&mut self, uid: &str, out: bool, now: Time) -> Result<(), TooMany> {
         let known = self.marks.get(uid).map(|mark| mark.stamp);
         if known.is_none() && self.marks.len() >= self.most {
             // Hosts that are back are remembered for the other process alone.
-            let oldest = self.marks.iter().filter(|(_, m)| !m.out).min_by_key(|(_, m)| m.stamp);
+            let oldest = self
+                .marks
+                .iter()
+                .filter(|(_, m)| !m.out)
+                .min_by_key(|(_, m)| m.stamp);
             let oldest = oldest.map(|(uid, _)| uid.clone()).ok_or(TooMany)?;
             self.marks.remove(&oldest);
         }
@@ -96,13 +108,17 @@
 
     /// Drops hosts that have been back for so long that every process has heard of it.
     pub fn forget(&mut self, now: Time, after: Time) {
-        self.marks.retain(|_, mark| mark.out || mark.stamp.saturating_add(after) > now);
+        self.marks
+            .retain(|_, mark| mark.out || mark.stamp.saturating_add(after) > now);
     }
 
     /// The text that keeps the map for a gatherer: a line that sums up the next, and that.
     pub fn encode(&self, name: &str) -> String {
-        let marks: Vec<Json> =
-            self.marks.iter().map(|(uid, m)| json!({"uid": uid, "out": m.out, "stamp": m.stamp})).collect();
+        let marks: Vec<Json> = self
+            .marks
+            .iter()
+            .map(|(uid, m)| json!({"uid": uid, "out": m.out, "stamp": m.stamp}))
+            .collect();
         let body = json!({"version": VERSION, "gatherer": name, "hosts": marks}).to_string();
         format!("{:08x}\n{body}\n", crc32fast::hash(body.as_bytes()))
     }
@@ -127,7 +143,11 @@
         }
         let mut hand = Hand::new(most);
         for host in json["hosts"].as_array().ok_or(Unreadable::Damaged)? {
-            let (uid, out, stamp) = (host["uid"].as_str(), host["out"].as_bool(), host["stamp"].as_u64());
+            let (uid, out, stamp) = (
+                host["uid"].as_str(),
+                host["out"].as_bool(),
+                host["stamp"].as_u64(),
+            );
             let (Some(uid), Some(out), Some(stamp)) = (uid, out, stamp) else {
                 return Err(Unreadable::Damaged);
             };
@@ -146,7 +166,12 @@
     #[test]
     fn changes_of_two_processes_meet_in_any_order() {
         // Every order in which four changes of two processes can be heard gives the same map.
-        let changes = [("a", true, 5), ("b", true, 6), ("a", false, 7), ("b", false, 6)];
+        let changes = [
+            ("a", true, 5),
+            ("b", true, 6),
+            ("a", false, 7),
+            ("b", false, 6),
+        ];
         let mut seen = Vec::new();
         for mut order in 0..24usize {
             let mut left: Vec<_> = changes.to_vec();
@@ -189,12 +214,23 @@
         let text = hand.encode("n1").into_bytes();
         assert_eq!(Hand::decode(&text, "n1", 8), Ok(hand));
         for at in 0..text.len() {
-            assert_eq!(Hand::decode(&text[..at], "n1", 8), Err(Unreadable::Damaged), "cut at {at}");
+            assert_eq!(
+                Hand::decode(&text[..at], "n1", 8),
+                Err(Unreadable::Damaged),
+                "cut at {at}"
+            );
             let mut changed = text.clone();
             changed[at] ^= 1;
-            assert_eq!(Hand::decode(&changed, "n1", 8), Err(Unreadable::Damaged), "changed at {at}");
+            assert_eq!(
+                Hand::decode(&changed, "n1", 8),
+                Err(Unreadable::Damaged),
+                "changed at {at}"
+            );
         }
-        assert_eq!(Hand::decode(&text, "n2", 8), Err(Unreadable::Foreign("n1".into())));
+        assert_eq!(
+            Hand::decode(&text, "n2", 8),
+            Err(Unreadable::Foreign("n1".into()))
+        );
     }
 
     #[test]
--- a/bitternsill/src/admin/handover.rs
+++ b/bitternsill/src/admin/handover.rs
@@ -1,8 +1,9 @@
-//! What two processes of one gatherer share while one takes over from the other: a file that says who is out by hand, and a
-//! locked file each that says that its process lives.
+//! What two processes of one gatherer share while one takes over from the other: a file that says
+//! who is out by hand, and a locked file each that says that its process lives.
 //!
-//! The folder is `$TMPDIR`, which is memory: a write takes microseconds and is not synced, as nothing there outlives the
-//! machine. So it is done on the loop's thread, before the call is answered.
+//! The folder is `$TMPDIR`, which is memory: a write takes microseconds and is not synced, as
+//! nothing there outlives the machine. So it is done on the loop's thread, before the call is
+//! answered.
 
 use super::hand::Hand;
 use crate::limits::Limits;
@@ -39,7 +40,13 @@
     /// What is shared in a folder under a gatherer's name.
     pub fn new(folder: &Path, name: &str, now: Time, limits: &Limits) -> Handover {
         // The name comes from the configuration and must not lead out of the folder.
-        let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' || c == '_' { c } else { '_' };
+        let plain = |c: char| {
+            if c.is_ascii_alphanumeric() || c == '-' || c == '_' {
+                c
+            } else {
+                '_'
+            }
+        };
         let file_name: String = name.chars().take(64).map(plain).collect();
         Handover {
             stem: folder.join(format!("bitternsill-{file_name}")),
@@ -90,13 +97,17 @@
         self.followed
     }
 
-    /// What the file says; nothing where there is none, or none that can be used: that never stops a start.
+    /// What the file says; nothing where there is none, or none that can be used: that never stops
+    /// a start.
     pub fn read(&mut self) -> Option<Hand> {
         let path = self.path("hand");
         self.seen = seen(&path);
         self.seen?;
         let mut text = Vec::new();
-        let file = OpenOptions::new().read(true).custom_flags(NO_FOLLOW).open(&path);
+        let file = OpenOptions::new()
+            .read(true)
+            .custom_flags(NO_FOLLOW)
+            .open(&path);
         let read = file.and_then(|file| file.take(self.bytes + 1).read_to_end(&mut text));
         let problem = match read {
             Ok(n) if n as u64 > self.bytes => "it is too large".to_owned(),
@@ -124,8 +135,9 @@
 
     fn try_write(&mut self, hand: &mut Hand) -> io::Result<()> {
         let guard = create(&self.path("lock"))?;
-        // The other holds it for some microseconds. One that was stopped with it must not stop this one: a change that is
-        // lost by writing all the same is seen by the next look, and written again.
+        // The other holds it for some microseconds. One that was stopped with it must not stop this
+        // one: a change that is lost by writing all the same is seen by the next look, and written
+        // again.
         let _locked = (0..LOCK_TRIES).any(|_| {
             let locked = lock(&guard);
             if !locked {
@@ -181,7 +193,13 @@
 const LOCK_TRIES: usize = 1_000;
 
 fn create(path: &Path) -> io::Result<File> {
-    OpenOptions::new().create(true).write(true).truncate(false).mode(0o600).custom_flags(NO_FOLLOW).open(path)
+    OpenOptions::new()
+        .create(true)
+        .write(true)
+        .truncate(false)
+        .mode(0o600)
+        .custom_flags(NO_FOLLOW)
+        .open(path)
 }
 
 fn lock(file: &File) -> bool {
@@ -205,8 +223,10 @@
         fn new() -> Folder {
             static SERIAL: AtomicU32 = AtomicU32::new(0);
             let serial = SERIAL.fetch_add(1, Ordering::Relaxed);
-            let path =
-                std::env::temp_dir().join(format!("bitternsill-handover-{}-{serial}", std::process::id()));
+            let path = std::env::temp_dir().join(format!(
+                "bitternsill-handover-{}-{serial}",
+                std::process::id()
+            ));
             std::fs::create_dir(&path).unwrap();
             Folder(path)
         }
@@ -231,7 +251,10 @@
         let folder = Folder::new();
         let change = |mark: &'static str, mut process: (Handover, Hand)| {
             for n in 0..100u64 {
-                process.1.set(&format!("{mark}-{}", n % 50), n < 50, n).unwrap();
+                process
+                    .1
+                    .set(&format!("{mark}-{}", n % 50), n < 50, n)
+                    .unwrap();
                 process.0.write(&mut process.1);
                 process.0.look(&mut process.1, u64::MAX / 2 + n);
             }
@@ -243,14 +266,20 @@
             let two = scope.spawn(|| change("b", two));
             [one.join().unwrap(), two.join().unwrap()]
         });
-        // Where one wrote without the lock, which the other held while it stood still, the next look mends it.
+        // Where one wrote without the lock, which the other held while it stood still, the next
+        // look mends it.
         for later in [2, 1] {
             for (handover, hand) in &mut both {
                 handover.look(hand, u64::MAX - 1_000_000_000 * later);
             }
         }
         let (_, third) = folder.process("n1");
-        for (name, out) in [("a-0", false), ("b-0", false), ("a-49", false), ("b-49", false)] {
+        for (name, out) in [
+            ("a-0", false),
+            ("b-0", false),
+            ("a-49", false),
+            ("b-49", false),
+        ] {
             assert_eq!(third.is_out(name), out, "{name}");
         }
         assert!(both.iter().all(|(_, hand)| *hand == third));
@@ -263,7 +292,10 @@
         let text = foreign.encode("n1");
         let other_version = "{\"version\":2}";
         let noise: Vec<u8> = (0..4000u32).map(|n| (n * 31 % 251) as u8).collect();
-        let versioned = format!("{:08x}\n{other_version}\n", crc32fast::hash(other_version.as_bytes()));
+        let versioned = format!(
+            "{:08x}\n{other_version}\n",
+            crc32fast::hash(other_version.as_bytes())
+        );
         let cases = [
             noise,
             foreign.encode("n2").into_bytes(),
@@ -286,7 +318,8 @@
         // A link is not followed out of the folder, and a name does not lead there.
         let (folder, outside) = (Folder::new(), Folder::new());
         std::fs::write(outside.0.join("file"), &text).unwrap();
-        std::os::unix::fs::symlink(outside.0.join("file"), folder.0.join("bitternsill-n1.hand")).unwrap();
+        std::os::unix::fs::symlink(outside.0.join("file"), folder.0.join("bitternsill-n1.hand"))
+            .unwrap();
         assert_eq!(folder.process("n1").1.out().count(), 0);
         let (mut handover, mut hand) = folder.process("../../n1");
         hand.set("s-3", true, 5).unwrap();
@@ -304,7 +337,10 @@
         let folder = Folder::new();
         let ((mut one, _), (mut two, _)) = (folder.process("n1"), folder.process("n1"));
         assert!(one.look_at_others(1) && two.look_at_others(1));
-        assert!(!folder.process("n2").0.look_at_others(1), "another gatherer is no process of this one");
+        assert!(
+            !folder.process("n2").0.look_at_others(1),
+            "another gatherer is no process of this one"
+        );
         one.withdraw();
         assert!(!two.look_at_others(2) && one.look_at_others(2));
         // One that is killed gives its lock back with its descriptors.
--- a/bitternsill/src/admin/mod.rs
+++ b/bitternsill/src/admin/mod.rs
@@ -1,6 +1,8 @@
-//! Daily operations: the operators' door, hosts out by hand, drains, and the hand-over between two processes.
+//! Daily operations: the operators' door, hosts out by hand, drains, and the hand-over between two
+//! processes.
 //!
-//! [`calls`], [`hand`] and [`drain`] decide and do no I/O; [`door`] and [`handover`] carry out; [`Orders`] is where they meet.
+//! [`calls`], [`hand`] and [`drain`] decide and do no I/O; [`door`] and [`handover`] carry out;
+//! [`Orders`] is where they meet.
 
 pub mod calls;
 pub mod cli;
@@ -28,7 +30,12 @@
 
 impl Orders {
     /// Orders that begin with what an earlier process of this name has left in the folder.
-    pub fn open(name: &str, folder: Option<&std::path::Path>, now: Time, limits: &Limits) -> Orders {
+    pub fn open(
+        name: &str,
+        folder: Option<&std::path::Path>,
+        now: Time,
+        limits: &Limits,
+    ) -> Orders {
         let mut shared = folder.map(|folder| Handover::new(folder, name, now, limits));
         let found = shared.as_mut().and_then(Handover::read);
         let mut hand = found.unwrap_or_else(|| Hand::new(limits.hosts));
@@ -37,7 +44,11 @@
         if out > 0 {
             tracing::info!(out, "hosts out by hand were taken over");
         }
-        Orders { hand, drain: Drain::default(), shared }
+        Orders {
+            hand,
+            drain: Drain::default(),
+            shared,
+        }
     }
 
     /// This process takes clients from here on.
@@ -47,7 +58,9 @@
 
     /// This process is to end; says whether another is there to take its clients.
     pub fn withdraw(&mut self, now: Time) -> bool {
-        let Some(shared) = &mut self.shared else { return false };
+        let Some(shared) = &mut self.shared else {
+            return false;
+        };
         shared.withdraw();
         shared.look_at_others(now)
     }
@@ -63,7 +76,9 @@
 
     /// Looks at what the other process has noted; true where that changes who is out.
     pub fn look(&mut self, now: Time) -> bool {
-        let Some(shared) = &mut self.shared else { return false };
+        let Some(shared) = &mut self.shared else {
+            return false;
+        };
         shared.look(&mut self.hand, now)
     }
 
@@ -74,6 +89,9 @@
 
     /// When something here is due.
     pub fn due(&self) -> Option<Time> {
-        [self.drain.due(), self.shared.as_ref().map(Handover::due)].into_iter().flatten().min()
+        [self.drain.due(), self.shared.as_ref().map(Handover::due)]
+            .into_iter()
+            .flatten()
+            .min()
     }
 }
--- a/bitternsill/src/cli.rs
+++ b/bitternsill/src/cli.rs
@@ -22,12 +22,17 @@
 /// Exit status of a call that cannot be understood.
 const BAD_USAGE: u8 = 2;
 
-/// A gatherer: it takes queries from clients, sends one part per slice to the index hosts that hold it, and gives each
-/// client one answer before its time is over.
+/// A gatherer: it takes queries from clients, sends one part per slice to the index hosts that hold
+/// it, and gives each client one answer before its time is over.
 ///
 /// The log goes to standard error; BITTERNSILL_LOG is error, warn, info (default), debug or trace.
 #[derive(Debug, Parser)]
-#[command(name = "bitternsill", version, disable_help_subcommand = false, arg_required_else_help = false)]
+#[command(
+    name = "bitternsill",
+    version,
+    disable_help_subcommand = false,
+    arg_required_else_help = false
+)]
 struct Call {
     #[command(subcommand)]
     command: Command,
@@ -141,13 +146,18 @@
     };
     match call.command {
         Command::Version => print(format_args!("bitternsill {}", env!("CARGO_PKG_VERSION"))),
-        Command::Describe { what: Description::OpenApi } => {
-            print(format_args!("{:#}", describe::openapi::describe(&Limits::default())))
-        }
-        Command::Describe { what: Description::AsyncApi } => {
-            print(format_args!("{:#}", describe::asyncapi::describe()))
-        }
-        Command::Describe { what: Description::Settings } => print(format_args!("{:#}", schema::settings())),
+        Command::Describe {
+            what: Description::OpenApi,
+        } => print(format_args!(
+            "{:#}",
+            describe::openapi::describe(&Limits::default())
+        )),
+        Command::Describe {
+            what: Description::AsyncApi,
+        } => print(format_args!("{:#}", describe::asyncapi::describe())),
+        Command::Describe {
+            what: Description::Settings,
+        } => print(format_args!("{:#}", schema::settings())),
         Command::Check { file } => {
             let problems = check(&file);
             if !problems.is_empty() {
@@ -158,9 +168,24 @@
             }
             print(format_args!("{}: fits", file.display()))
         }
-        Command::Conform { protocol, address, database, term, patience, format } => {
+        Command::Conform {
+            protocol,
+            address,
+            database,
+            term,
+            patience,
+            format,
+        } => {
             let patience = Duration::from_millis(patience);
-            let judged = conform::play(protocol, &Target { address, database, term, patience });
+            let judged = conform::play(
+                protocol,
+                &Target {
+                    address,
+                    database,
+                    term,
+                    patience,
+                },
+            );
             match conform::report(&judged, format, &mut io::stdout()) {
                 Ok(true) => ExitCode::SUCCESS,
                 Ok(false) => ExitCode::FAILURE,
@@ -168,27 +193,42 @@
                 Err(_) => ExitCode::FAILURE,
             }
         }
-        Command::Serve(Serve { catalogue: Some(file), .. }) => {
+        Command::Serve(Serve {
+            catalogue: Some(file),
+            ..
+        }) => {
             start_log();
-            served(setup::load(&file).map_err(Into::into).and_then(serve::catalogue))
+            served(
+                setup::load(&file)
+                    .map_err(Into::into)
+                    .and_then(serve::catalogue),
+            )
         }
-        Command::Serve(Serve { config, operator, .. }) => {
+        Command::Serve(Serve {
+            config, operator, ..
+        }) => {
             start_log();
             served(operator_file(operator).and_then(|beside| {
                 let config = config::load(config)?;
                 serve::platform(config, beside)
             }))
         }
-        Command::Router { settings, check: true, .. } => match router::cli::check(settings) {
+        Command::Router {
+            settings,
+            check: true,
+            ..
+        } => match router::cli::check(settings) {
             Ok(words) => print(format_args!("{words}")),
             Err(problem) => failed(&problem),
         },
-        Command::Router { settings, metrics_port, check: false } => {
-            match router::cli::run(settings, metrics_port) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(problem) => failed(&problem),
-            }
-        }
+        Command::Router {
+            settings,
+            metrics_port,
+            check: false,
+        } => match router::cli::run(settings, metrics_port) {
+            Ok(()) => ExitCode::SUCCESS,
+            Err(problem) => failed(&problem),
+        },
         Command::System(call) => match router::cli::ask(&call) {
             Ok(words) => print(format_args!("{words}")),
             Err(problem) => failed(&problem),
@@ -225,7 +265,9 @@
 }
 
 fn operator_file(path: Option<PathBuf>) -> Result<Beside, serve::ServeError> {
-    let Some(path) = path else { return Ok(Beside::default()) };
+    let Some(path) = path else {
+        return Ok(Beside::default());
+    };
     Ok(setup::read_operator(&setup::load_json(&path)?)?)
 }
 
@@ -236,10 +278,13 @@
         Err(problem) => return vec![problem.to_string()],
     };
     describe::fit::check(&json, &Limits::default()).unwrap_or_else(|| {
-        // The platform's configuration names one address; a set-up says for each front where to listen.
+        // The platform's configuration names one address; a set-up says for each front where to
+        // listen.
         if json["listen"].is_string() {
             let config = config::load(Some(file.to_owned())).map_err(|problem| problem.to_string());
-            let read = |c: config::Config| settings::read(&c.settings).map_err(|problem| problem.to_string());
+            let read = |c: config::Config| {
+                settings::read(&c.settings).map_err(|problem| problem.to_string())
+            };
             return config.and_then(read).err().into_iter().collect();
         }
         // A set-up says where to listen; what goes beside the platform's configuration does not.
@@ -267,7 +312,9 @@
 }
 
 fn start_log() {
-    let level = std::env::var("BITTERNSILL_LOG").ok().and_then(|level| level.parse().ok());
+    let level = std::env::var("BITTERNSILL_LOG")
+        .ok()
+        .and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
         .with_max_level(level.unwrap_or(tracing::Level::INFO))
         .with_writer(std::io::stderr)
--- a/bitternsill/src/conform/mod.rs
+++ b/bitternsill/src/conform/mod.rs
@@ -1,7 +1,7 @@
 //! The conformance suite: clauses of the standards as cases, played by a client against any server.
 //!
-//! Requests are put together from the standards' own words and tags, and not by the codecs that the front answers with:
-//! a mistake that both sides of one codec share would never show.
+//! Requests are put together from the standards' own words and tags, and not by the codecs that the
+//! front answers with: a mistake that both sides of one codec share would never show.
 
 mod sru;
 mod z3950;
@@ -61,11 +61,18 @@
 
 /// Judges one thing that was seen.
 fn see(holds: bool, seen: impl fmt::Display) -> Played {
-    if holds { Ok(()) } else { Err(Stop::Miss(seen.to_string())) }
+    if holds {
+        Ok(())
+    } else {
+        Err(Stop::Miss(seen.to_string()))
+    }
 }
 
 fn same<T: PartialEq + fmt::Debug>(what: &str, seen: T, wanted: T) -> Played {
-    see(seen == wanted, format_args!("{what}: {seen:?}, wanted {wanted:?}"))
+    see(
+        seen == wanted,
+        format_args!("{what}: {seen:?}, wanted {wanted:?}"),
+    )
 }
 
 fn miss<T>(seen: impl fmt::Display) -> Result<T, Stop> {
@@ -140,11 +147,16 @@
                 json!({"case": j.name, "clause": j.clause, "verdict": verdict, "seen": seen})
             };
             let cases: Vec<Json> = judged.iter().map(case).collect();
-            let all = json!({"passed": passed, "failed": failed, "skipped": skipped, "cases": cases});
+            let all =
+                json!({"passed": passed, "failed": failed, "skipped": skipped, "cases": cases});
             writeln!(out, "{all:#}")?;
         }
         Format::Text => {
-            let width = judged.iter().map(|j| j.name.chars().count()).max().unwrap_or(0);
+            let width = judged
+                .iter()
+                .map(|j| j.name.chars().count())
+                .max()
+                .unwrap_or(0);
             for j in judged {
                 let (word, seen) = match &j.verdict {
                     Verdict::Pass => ("pass", ""),
--- a/bitternsill/src/conform/sru.rs
+++ b/bitternsill/src/conform/sru.rs
@@ -1,4 +1,5 @@
-//! Cases for SRU: 1.1 and 1.2 as the Library of Congress published them, 2.0 as OASIS did, and CQL 1.2.
+//! Cases for SRU: 1.1 and 1.2 as the Library of Congress published them, 2.0 as OASIS did, and CQL
+//! 1.2.
 
 use super::{Case, Played, Stop, Target, miss, same, see};
 use crate::front::http::{Head, Progress, Reader};
@@ -41,10 +42,19 @@
 }
 
 fn parse((head, body): (Head, Vec<u8>)) -> Result<Reply, Stop> {
-    let body = String::from_utf8(body).map_err(|_| Stop::Miss("a response that is no UTF-8".to_owned()))?;
-    let root = tree::read(&body).map_err(|p| Stop::Miss(format!("{p} (status {})", head.start.1)))?;
-    let namespace = tree::root(&body).map(|(_, namespace)| namespace).unwrap_or_default();
-    Ok(Reply { head, body, root, namespace })
+    let body = String::from_utf8(body)
+        .map_err(|_| Stop::Miss("a response that is no UTF-8".to_owned()))?;
+    let root =
+        tree::read(&body).map_err(|p| Stop::Miss(format!("{p} (status {})", head.start.1)))?;
+    let namespace = tree::root(&body)
+        .map(|(_, namespace)| namespace)
+        .unwrap_or_default();
+    Ok(Reply {
+        head,
+        body,
+        root,
+        namespace,
+    })
 }
 
 fn get_with(target: &Target, query: &str, header: &str) -> Result<Reply, Stop> {
@@ -70,7 +80,10 @@
     let query = percent(query);
     match version {
         "2.0" => get(target, &format!("query={query}{more}")),
-        _ => get(target, &format!("operation=searchRetrieve&version={version}&query={query}{more}")),
+        _ => get(
+            target,
+            &format!("operation=searchRetrieve&version={version}&query={query}{more}"),
+        ),
     }
 }
 
@@ -87,7 +100,10 @@
     }
 
     fn records(&self) -> Vec<&Element> {
-        self.root.all("records").flat_map(|r| r.all("record")).collect()
+        self.root
+            .all("records")
+            .flat_map(|r| r.all("record"))
+            .collect()
     }
 
     fn positions(&self) -> Vec<u64> {
@@ -97,18 +113,34 @@
 
     /// What each record says, prefixes and spaces apart.
     fn texts(&self) -> Vec<String> {
-        let data = |r: &&Element| r.all("recordData").next().map(Element::full_text).unwrap_or_default();
+        let data = |r: &&Element| {
+            r.all("recordData")
+                .next()
+                .map(Element::full_text)
+                .unwrap_or_default()
+        };
         let words = |text: String| text.split_whitespace().collect::<Vec<_>>().join(" ");
         self.records().iter().map(data).map(words).collect()
     }
 
     fn diagnostics(&self) -> Vec<(u16, String)> {
         let one = |d: &Element| {
-            let text = |name: &str| d.all(name).next().map(|e| e.text.trim().to_owned()).unwrap_or_default();
-            let number = text("uri").strip_prefix("info:srw/diagnostic/1/").and_then(|n| n.parse().ok());
+            let text = |name: &str| {
+                d.all(name)
+                    .next()
+                    .map(|e| e.text.trim().to_owned())
+                    .unwrap_or_default()
+            };
+            let number = text("uri")
+                .strip_prefix("info:srw/diagnostic/1/")
+                .and_then(|n| n.parse().ok());
             (number.unwrap_or(0), text("details"))
         };
-        self.root.all("diagnostics").flat_map(|d| d.all("diagnostic")).map(one).collect()
+        self.root
+            .all("diagnostics")
+            .flat_map(|d| d.all("diagnostic"))
+            .map(one)
+            .collect()
     }
 
     /// The response says this diagnostic, and maybe others.
@@ -121,7 +153,10 @@
     }
 
     fn is_sound(&self) -> Played {
-        see(self.diagnostics().is_empty(), format_args!("diagnostics {:?}", self.diagnostics()))
+        see(
+            self.diagnostics().is_empty(),
+            format_args!("diagnostics {:?}", self.diagnostics()),
+        )
     }
 }
 
@@ -145,20 +180,38 @@
 
 fn in_order(target: &Target, version: &str, up: &str, down: &str) -> Played {
     let up = sorted_titles(&find(target, version, &format!("{}{up}", target.term), "")?)?;
-    let down = sorted_titles(&find(target, version, &format!("{}{down}", target.term), "")?)?;
+    let down = sorted_titles(&find(
+        target,
+        version,
+        &format!("{}{down}", target.term),
+        "",
+    )?)?;
     let mut wanted = up.clone();
     wanted.sort();
     same("ascending titles", &up, &wanted)?;
     wanted.reverse();
     // Ties may stand either way round; the titles are in order all the same.
-    see(down.windows(2).all(|w| w[0] >= w[1]), format_args!("descending titles: {down:?}"))
+    see(
+        down.windows(2).all(|w| w[0] >= w[1]),
+        format_args!("descending titles: {down:?}"),
+    )
 }
 
 fn sorted_by_keys(target: &Target) -> Played {
     let up = sorted_titles(&search(target, "1.1", "&sortKeys=title&maximumRecords=20")?)?;
-    see(up.windows(2).all(|w| w[0] <= w[1]), format_args!("ascending titles: {up:?}"))?;
-    let down = sorted_titles(&search(target, "1.1", "&sortKeys=title,,0&maximumRecords=20")?)?;
-    see(down.windows(2).all(|w| w[0] >= w[1]), format_args!("descending titles: {down:?}"))
+    see(
+        up.windows(2).all(|w| w[0] <= w[1]),
+        format_args!("ascending titles: {up:?}"),
+    )?;
+    let down = sorted_titles(&search(
+        target,
+        "1.1",
+        "&sortKeys=title,,0&maximumRecords=20",
+    )?)?;
+    see(
+        down.windows(2).all(|w| w[0] >= w[1]),
+        format_args!("descending titles: {down:?}"),
+    )
 }
 
 fn envelope(inner: &str) -> String {
@@ -178,12 +231,17 @@
 }
 
 fn scan(target: &Target, more: &str) -> Result<Reply, Stop> {
-    get(target, &format!("operation=scan&version=1.2&scanClause=dc.title%3D%22%22{more}"))
+    get(
+        target,
+        &format!("operation=scan&version=1.2&scanClause=dc.title%3D%22%22{more}"),
+    )
 }
 
 fn terms(reply: &Reply) -> Vec<String> {
     let all = reply.root.all("terms").flat_map(|t| t.all("term"));
-    all.filter_map(|t| t.all("value").next()).map(|v| v.text.trim().to_lowercase()).collect()
+    all.filter_map(|t| t.all("value").next())
+        .map(|v| v.text.trim().to_lowercase())
+        .collect()
 }
 
 macro_rules! cases {
--- a/bitternsill/src/conform/z3950/mod.rs
+++ b/bitternsill/src/conform/z3950/mod.rs
@@ -1,4 +1,5 @@
-//! Cases for Z39.50-2003 (ISO 23950). Data units are put together in [`peer`] from the tags of the standard's appendix.
+//! Cases for Z39.50-2003 (ISO 23950). Data units are put together in [`peer`] from the tags of the
+//! standard's appendix.
 
 mod peer;
 
@@ -123,7 +124,8 @@
     "an unknown completeness is refused", "Bib-1 122", |t| attribute_says(t, &[(1, 4), (6, 999)], &[122]);
     "what clients commonly send is understood", "Bib-1 attributes; Bath profile, level 0", |t| {
         let mut peer = Peer::open(t)?;
-        // Author, title and subject keyword and exact, and any field, as the profile's level 0 has them.
+        // Author, title and subject keyword and exact, and any field, as the profile's level 0 has
+        // them.
         for (use_attribute, structure, truncation) in
             [(1003, 2, 100), (4, 2, 100), (21, 2, 100), (1016, 2, 100), (4, 1, 1), (1003, 101, 100), (31, 4, 100)]
         {
--- a/bitternsill/src/conform/z3950/peer.rs
+++ b/bitternsill/src/conform/z3950/peer.rs
@@ -11,7 +11,8 @@
 pub(super) const SUTRS: &str = "1.2.840.10003.5.101";
 pub(super) const GRS1: &str = "1.2.840.10003.5.105";
 
-/// Options that are proposed: search, present, delSet, scan, sort, concurrentOperations, namedResultSets.
+/// Options that are proposed: search, present, delSet, scan, sort, concurrentOperations,
+/// namedResultSets.
 pub(super) const USUAL: &[usize] = &[0, 1, 2, 7, 8, 13, 14];
 
 pub(super) struct Peer {
@@ -26,8 +27,16 @@
         let socket = TcpStream::connect(target.address)?;
         socket.set_nodelay(true)?;
         socket.set_read_timeout(Some(target.patience))?;
-        let nothing = Item { class: Class::Other, tag: 0, content: ber::Content::Constructed(Vec::new()) };
-        Ok(Peer { socket, input: Vec::new(), welcome: nothing })
+        let nothing = Item {
+            class: Class::Other,
+            tag: 0,
+            content: ber::Content::Constructed(Vec::new()),
+        };
+        Ok(Peer {
+            socket,
+            input: Vec::new(),
+            welcome: nothing,
+        })
     }
 
     /// A session with these versions and options; `None` where the server does not take it.
@@ -56,7 +65,11 @@
     }
 
     pub(super) fn needs(&self, option: usize, what: &str) -> Played {
-        if self.has(option) { Ok(()) } else { Err(Stop::NotOffered(format!("{what} was not agreed on"))) }
+        if self.has(option) {
+            Ok(())
+        } else {
+            Err(Stop::NotOffered(format!("{what} was not agreed on")))
+        }
     }
 
     pub(super) fn say(&mut self, bytes: &[u8]) -> Played {
@@ -95,13 +108,23 @@
             None => Ok(()),
             Some(unit) => {
                 same("the unit", unit.tag, 48)?;
-                same("closeReason", unit.get(211).and_then(Item::integer), Some(reason))
+                same(
+                    "closeReason",
+                    unit.get(211).and_then(Item::integer),
+                    Some(reason),
+                )
             }
         }
     }
 
     pub(super) fn search(&mut self, target: &Target, set: &str) -> Result<Item, Stop> {
-        let unit = search_request(&Search { set, ..Search::usual(target) }, None);
+        let unit = search_request(
+            &Search {
+                set,
+                ..Search::usual(target)
+            },
+            None,
+        );
         self.ask(&unit)
     }
 }
@@ -244,9 +267,16 @@
     })
 }
 
-pub(super) fn sort_request(input: &str, output: &str, relation: i64, use_attribute: i64) -> Vec<u8> {
+pub(super) fn sort_request(
+    input: &str,
+    output: &str,
+    relation: i64,
+    use_attribute: i64,
+) -> Vec<u8> {
     unit(43, Some(b"sort"), |w| {
-        w.inside(3, |sets| sets.universal(universal::GENERAL, input.as_bytes()));
+        w.inside(3, |sets| {
+            sets.universal(universal::GENERAL, input.as_bytes())
+        });
         w.bytes(4, output.as_bytes());
         w.inside(5, |specs| {
             specs.inside_universal(universal::SEQUENCE, |spec| {
@@ -269,7 +299,9 @@
         w.integer(32, function);
         if !names.is_empty() {
             w.inside_universal(universal::SEQUENCE, |list| {
-                names.iter().for_each(|name| list.bytes(31, name.as_bytes()));
+                names
+                    .iter()
+                    .for_each(|name| list.bytes(31, name.as_bytes()));
             });
         }
     })
@@ -281,7 +313,11 @@
 
 pub(super) fn hits(unit: &Item) -> Result<i64, Stop> {
     same("the unit", unit.tag, 23)?;
-    same("searchStatus", unit.get(22).and_then(Item::boolean), Some(true))?;
+    same(
+        "searchStatus",
+        unit.get(22).and_then(Item::boolean),
+        Some(true),
+    )?;
     match number(unit, 23) {
         Some(count) if count >= 0 => Ok(count),
         other => miss(format!("resultCount {other:?}")),
@@ -309,7 +345,11 @@
     let mut peer = Peer::open(target)?;
     let reply = peer.ask(&search_request(search, Some(b"bad")))?;
     same("the unit", reply.tag, 23)?;
-    same("searchStatus", reply.get(22).and_then(Item::boolean), Some(false))?;
+    same(
+        "searchStatus",
+        reply.get(22).and_then(Item::boolean),
+        Some(false),
+    )?;
     same("resultCount", number(&reply, 23), Some(0))?;
     says(&reply, wanted)?;
     // The session is none the worse for it.
@@ -317,7 +357,14 @@
 }
 
 pub(super) fn attribute_says(target: &Target, attributes: &[(i64, i64)], wanted: &[i64]) -> Played {
-    search_says(target, &Search { attributes, ..Search::usual(target) }, wanted)
+    search_says(
+        target,
+        &Search {
+            attributes,
+            ..Search::usual(target)
+        },
+        wanted,
+    )
 }
 
 /// The records of a response or segment: syntax and bytes.
@@ -326,7 +373,10 @@
     let record = |named: &Item| {
         let external = named.get(1)?.get(1)?.items().first()?;
         let syntax = external.items().first()?.oid()?;
-        let bytes = external.get(1).or_else(|| external.get(0)).map(Item::bytes)?;
+        let bytes = external
+            .get(1)
+            .or_else(|| external.get(0))
+            .map(Item::bytes)?;
         Some((syntax, bytes))
     };
     list.iter().filter_map(record).collect()
@@ -339,7 +389,10 @@
         let root = catalogue::record::tree::read(&String::from_utf8_lossy(&bytes)).ok()?;
         Some(root.find("title")?.full_text().to_lowercase())
     };
-    Ok(records(&reply, 28).into_iter().filter_map(|(_, bytes)| title(bytes)).collect())
+    Ok(records(&reply, 28)
+        .into_iter()
+        .filter_map(|(_, bytes)| title(bytes))
+        .collect())
 }
 
 pub(super) fn syntax(target: &Target, oid: &str, sound: fn(&[u8]) -> bool) -> Played {
@@ -350,13 +403,22 @@
         return Err(Stop::NotOffered("this syntax".to_owned()));
     }
     let records = records(&reply, 28);
-    let Some((given, bytes)) = records.first() else { return miss("no record") };
+    let Some((given, bytes)) = records.first() else {
+        return miss("no record");
+    };
     same("the syntax", given.as_str(), oid)?;
-    see(sound(bytes), format_args!("{:?}", String::from_utf8_lossy(bytes)))
+    see(
+        sound(bytes),
+        format_args!("{:?}", String::from_utf8_lossy(bytes)),
+    )
 }
 
 pub(super) fn terms(unit: &Item) -> Vec<(String, Option<i64>)> {
-    let entries = unit.get(7).and_then(|l| l.get(1)).map(Item::items).unwrap_or_default();
+    let entries = unit
+        .get(7)
+        .and_then(|l| l.get(1))
+        .map(Item::items)
+        .unwrap_or_default();
     let term = |entry: &Item| Some((entry.get(45)?.text()?, entry.get(2).and_then(Item::integer)));
     entries.iter().filter_map(term).collect()
 }
@@ -368,7 +430,11 @@
     let reply = peer.ask(&sort_request("default", "sorted", relation, 4))?;
     same("the unit", reply.tag, 44)?;
     same("sortStatus", number(&reply, 3), Some(0))?;
-    same("the reference", reply.get(2).map(Item::bytes), Some(b"sort".to_vec()))?;
+    same(
+        "the reference",
+        reply.get(2).map(Item::bytes),
+        Some(b"sort".to_vec()),
+    )?;
     titles(&mut peer, "sorted", count)
 }
 
@@ -376,15 +442,26 @@
 pub(super) fn in_form(target: &Target, indefinite: bool) -> Result<Vec<u8>, Stop> {
     let bytes = search_request(&Search::usual(target), None);
     // Its tag is one byte; then comes its length.
-    let skip = if bytes[1] < 0x80 { 2 } else { 2 + usize::from(bytes[1] & 0x7f) };
+    let skip = if bytes[1] < 0x80 {
+        2
+    } else {
+        2 + usize::from(bytes[1] & 0x7f)
+    };
     let body = &bytes[skip..];
     Ok(match indefinite {
         true => [&bytes[..1], &[0x80], body, &[0, 0]].concat(),
-        false => [&bytes[..1], &[0x84], &(body.len() as u32).to_be_bytes(), body].concat(),
+        false => [
+            &bytes[..1],
+            &[0x84],
+            &(body.len() as u32).to_be_bytes(),
+            body,
+        ]
+        .concat(),
     })
 }
 
-/// Fetches six records with a small message size; the sizes of messages, records in all, and the response.
+/// Fetches six records with a small message size; the sizes of messages, records in all, and the
+/// response.
 pub(super) fn fetch_small(
     target: &Target,
     options: &[usize],
@@ -394,7 +471,9 @@
     peer.say(&present_request("default", 1, count, Some(XML), None))?;
     let (mut sizes, mut all) = (Vec::new(), 0);
     loop {
-        let Some(unit) = peer.hear()? else { return miss("the connection ended") };
+        let Some(unit) = peer.hear()? else {
+            return miss("the connection ended");
+        };
         let last = unit.tag == 25;
         let mut w = Writer::default();
         w.item(&unit);
--- a/bitternsill/src/core/mod.rs
+++ b/bitternsill/src/core/mod.rs
@@ -1,8 +1,9 @@
-//! Queries, parts and attempts between the wires and the decision module. Knows no wire and no socket.
+//! Queries, parts and attempts between the wires and the decision module. Knows no wire and no
+//! socket.
 //!
-//! What happens is turned into the module's events, once a tick; its actions are carried out through the
-//! traits in [`ports`]. The rules that do not depend on a decision (one final answer, in time, from parts that
-//! are in) are enforced here whatever the module says.
+//! What happens is turned into the module's events, once a tick; its actions are carried out
+//! through the traits in [`ports`]. The rules that do not depend on a decision (one final answer,
+//! in time, from parts that are in) are enforced here whatever the module says.
 
 pub mod classes;
 mod permitted;
@@ -12,11 +13,14 @@
 
 use crate::limits::{Limits, MS};
 use bramblestair::interface::{
-    Action, Entry, Event, Learned, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId, Settings, Time,
+    Action, Entry, Event, Learned, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId,
+    Settings, Time,
 };
 use bramblestair::{Aggregator, interface::Effect};
 use classes::{Classes, TooMany};
-use ports::{Answer, Ask, AttemptId, Caller, Clients, Directory, Hosts, Outgoing, Reason, Refusal, Value};
+use ports::{
+    Answer, Ask, AttemptId, Caller, Clients, Directory, Hosts, Outgoing, Reason, Refusal, Value,
+};
 use settings::Deployment;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
@@ -41,7 +45,8 @@
     text: Rc<str>,
     deadline: Time,
     parts: Vec<u64>,
-    /// Shards in at the end of the first step, and whether that was whole; set once there is a second.
+    /// Shards in at the end of the first step, and whether that was whole; set once there is a
+    /// second.
     first: Option<(Rc<str>, bool)>,
     /// The host that is told first that the second step has begun, and when.
     opened: Option<(ServerId, Time)>,
@@ -145,7 +150,8 @@
         }
     }
 
-    /// Takes other settings, or leaves all as it was. What is open keeps its class; the module wants the whole list next.
+    /// Takes other settings, or leaves all as it was. What is open keeps its class; the module
+    /// wants the whole list next.
     pub fn reconfigure(
         &mut self,
         mut settings: Settings,
@@ -156,14 +162,25 @@
         let held: BTreeSet<usize> = self.queries.values().map(|query| query.class).collect();
         let (fading, most) = (now + limits.settings_overlap, limits.classes);
         let held = |slot| held.contains(&slot);
-        let from = self.classes.lay(&deployment.classes, &settings.classes, held, now, fading, most)?;
+        let from = self.classes.lay(
+            &deployment.classes,
+            &settings.classes,
+            held,
+            now,
+            fading,
+            most,
+        )?;
         settings.classes = self.classes.table();
         (self.settings, self.deployment, self.limits) = (settings.clone(), deployment, limits);
-        self.events.push(Event::Settings { settings: Arc::new(settings), from: from.into() });
+        self.events.push(Event::Settings {
+            settings: Arc::new(settings),
+            from: from.into(),
+        });
         Ok(())
     }
 
-    /// The class that a client means by a name, and by carrying a key or not, and whether that class wants one.
+    /// The class that a client means by a name, and by carrying a key or not, and whether that
+    /// class wants one.
     pub fn class(&self, name: &str, key: bool, now: Time) -> Option<(usize, bool)> {
         let class = self.classes.find(name, key, now)?;
         Some((class, self.settings.classes[class].effect == Effect::Keyed))
@@ -199,22 +216,30 @@
         self.queries.len()
     }
 
-    /// Takes a query. It gets its one answer through [`Clients::answer`], unless it is turned away here.
+    /// Takes a query. It gets its one answer through [`Clients::answer`], unless it is turned away
+    /// here.
     pub fn take(&mut self, ask: Ask, now: Time) -> Result<(), Refusal> {
         // Sent twice on one connection it would have two answers there.
         if self.callers.contains_key(&ask.caller) {
             return Err(Refusal::Busy);
         }
-        // Two queries of one name could not be told apart on a link: one would be given the other's values.
+        // Two queries of one name could not be told apart on a link: one would be given the other's
+        // values.
         if self.names.contains(&ask.name) {
             return Err(Refusal::NameTaken);
         }
-        // The settings' bound on what is held: the simulator turns such a query away unseen, so its refusal is due.
+        // The settings' bound on what is held: the simulator turns such a query away unseen, so its
+        // refusal is due.
         if self.queries.len() + self.parts.len() >= self.settings.max_open as usize {
-            return Err(Refusal::TableFull { hold_off: self.settings.max_hold_off });
+            return Err(Refusal::TableFull {
+                hold_off: self.settings.max_hold_off,
+            });
         }
         let margin = self.limits.answer_margin;
-        let deadline = ask.arrived.saturating_add(ask.budget).saturating_sub(margin.min(ask.budget / 4));
+        let deadline = ask
+            .arrived
+            .saturating_add(ask.budget)
+            .saturating_sub(margin.min(ask.budget / 4));
         let number = self.fresh_id();
         let patience = ask.budget.saturating_sub(now.saturating_sub(ask.arrived));
         self.events.push(Event::Query {
@@ -254,32 +279,55 @@
     pub fn client_left(&mut self, caller: Caller) {
         if let Some(number) = self.callers.get(&caller).copied() {
             self.close(number);
-            self.events.push(Event::ClientLeft { id: QueryId(number) });
+            self.events.push(Event::ClientLeft {
+                id: QueryId(number),
+            });
         }
     }
 
     /// News of the list of index hosts.
     pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        self.events.push(Event::List { kind, entries: entries.into() });
+        self.events.push(Event::List {
+            kind,
+            entries: entries.into(),
+        });
     }
 
-    /// What the module has learned: of at most so many of the hosts judged since they were last told of, and of classes.
+    /// What the module has learned: of at most so many of the hosts judged since they were last
+    /// told of, and of classes.
     pub fn learned(&mut self, most: usize) -> Learned {
         // Told by class in the order of the settings: slots are the business of this run alone.
         let (order, mut learned) = (self.classes.order(), self.aggregator.learned(most));
-        let parts = order.iter().filter_map(|slot| learned.parts.get(*slot).cloned()).collect();
-        let tries = order.iter().filter_map(|slot| learned.tries.get(*slot).cloned()).collect();
+        let parts = order
+            .iter()
+            .filter_map(|slot| learned.parts.get(*slot).cloned())
+            .collect();
+        let tries = order
+            .iter()
+            .filter_map(|slot| learned.tries.get(*slot).cloned())
+            .collect();
         (learned.parts, learned.tries) = (parts, tries);
         for (_, memory) in &mut learned.servers {
-            memory.slowness = order.iter().filter_map(|slot| memory.slowness.get(*slot).copied()).collect();
+            memory.slowness = order
+                .iter()
+                .filter_map(|slot| memory.slowness.get(*slot).copied())
+                .collect();
         }
         learned
     }
 
     /// What an earlier run had learned, as far as it still counts; after the list that it is about.
     pub fn recall(&mut self, learned: Learned) {
-        if self.classes.order().iter().enumerate().any(|(place, slot)| place != *slot) {
-            tracing::warn!("what was learned is not taken: the settings have changed since the start");
+        if self
+            .classes
+            .order()
+            .iter()
+            .enumerate()
+            .any(|(place, slot)| place != *slot)
+        {
+            tracing::warn!(
+                "what was learned is not taken: the settings have changed since the start"
+            );
             return;
         }
         self.events.push(Event::Recall(Arc::new(learned)));
@@ -309,9 +357,17 @@
 
     /// An attempt ended; a second end of one attempt is dropped, so the module sees exactly one.
     pub fn ended(&mut self, id: AttemptId, outcome: Outcome, now: Time) {
-        let Some(attempt) = self.attempts.remove(&id) else { return };
+        let Some(attempt) = self.attempts.remove(&id) else {
+            return;
+        };
         self.timeouts.remove(&(attempt.until, id));
-        tracing::debug!(part = id.part, leg = id.leg, host = attempt.host.0, ?outcome, "ended");
+        tracing::debug!(
+            part = id.part,
+            leg = id.leg,
+            host = attempt.host.0,
+            ?outcome,
+            "ended"
+        );
         self.events.push(Event::Ended {
             part: PartId(id.part),
             attempt: id.leg,
@@ -327,22 +383,37 @@
         self.cut_off(attempt, Outcome::Reset, now);
     }
 
-    /// The same with the outcome for what may have run, where more is known than that the connection ended.
+    /// The same with the outcome for what may have run, where more is known than that the
+    /// connection ended.
     pub fn cut_off(&mut self, attempt: AttemptId, outcome: Outcome, now: Time) {
         let written = self.attempts.get(&attempt).is_some_and(|a| a.written);
-        self.ended(attempt, if written { outcome } else { Outcome::ConnectFailed }, now);
+        self.ended(
+            attempt,
+            if written {
+                outcome
+            } else {
+                Outcome::ConnectFailed
+            },
+            now,
+        );
     }
 
     /// A probe ended.
     pub fn probed(&mut self, host: ServerId, outcome: Outcome, now: Time) {
         if let Some(sent) = self.probes.remove(&host) {
             let took = now.saturating_sub(sent);
-            self.events.push(Event::Probed { server: host, outcome, took, load: LoadReport::default() });
+            self.events.push(Event::Probed {
+                server: host,
+                outcome,
+                took,
+                load: LoadReport::default(),
+            });
         }
     }
 
-    /// The least time between two turns. Where the settings leave it open, a turn comes as soon as there is something
-    /// to decide, and later the more queries are open: a busy gatherer decides for many of them at once.
+    /// The least time between two turns. Where the settings leave it open, a turn comes as soon as
+    /// there is something to decide, and later the more queries are open: a busy gatherer decides
+    /// for many of them at once.
     fn gap(&self) -> Time {
         if !self.deployment.open_tick {
             return self.settings.tick;
@@ -397,12 +468,14 @@
             ports.answer(caller, answer);
         }
         for (host, mut parts) in calls {
-            // Called off in the turn that sent it: its query has its final answer, or its part another's.
+            // Called off in the turn that sent it: its query has its final answer, or its part
+            // another's.
             parts.retain(|part| self.attempts.contains_key(&part.id));
             while !parts.is_empty() {
                 // One frame must not grow with what a client's text holds.
                 let fits = (self.limits.call_bytes / parts[0].text.len().max(1)).max(1);
-                let rest = parts.split_off(fits.min(self.settings.call_parts as usize).min(parts.len()));
+                let rest =
+                    parts.split_off(fits.min(self.settings.call_parts as usize).min(parts.len()));
                 ports.call(host, std::mem::replace(&mut parts, rest));
             }
         }
@@ -413,13 +486,23 @@
             && at <= now
         {
             self.timeouts.pop_first();
-            let Some(attempt) = self.attempts.get(&id) else { continue };
-            let outcome = if attempt.written { Outcome::TimedOut } else { Outcome::ConnectFailed };
+            let Some(attempt) = self.attempts.get(&id) else {
+                continue;
+            };
+            let outcome = if attempt.written {
+                Outcome::TimedOut
+            } else {
+                Outcome::ConnectFailed
+            };
             ports.give_up(attempt.host, id);
             self.ended(id, outcome, now);
         }
-        let late: Vec<ServerId> =
-            self.probes.iter().filter(|p| *p.1 + self.limits.probe <= now).map(|p| *p.0).collect();
+        let late: Vec<ServerId> = self
+            .probes
+            .iter()
+            .filter(|p| *p.1 + self.limits.probe <= now)
+            .map(|p| *p.0)
+            .collect();
         for host in late {
             self.probed(host, Outcome::TimedOut, now);
         }
@@ -430,7 +513,9 @@
             self.deadlines.pop_first();
             if let Some(query) = self.finish(number, Answer::Failed(Reason::TimeUp), now) {
                 tracing::warn!(query = &*query.name, "no decision in time");
-                self.events.push(Event::ClientLeft { id: QueryId(number) });
+                self.events.push(Event::ClientLeft {
+                    id: QueryId(number),
+                });
             }
         }
     }
@@ -443,11 +528,22 @@
         ports: &mut (impl Hosts + Directory),
     ) {
         match action {
-            Action::Send { part, server, until } => self.send(part.0, server, until, now, calls),
+            Action::Send {
+                part,
+                server,
+                until,
+            } => self.send(part.0, server, until, now, calls),
             Action::Cancel { part, attempt } => {
-                let id = AttemptId { part: part.0, leg: attempt };
+                let id = AttemptId {
+                    part: part.0,
+                    leg: attempt,
+                };
                 if let Some(attempt) = self.attempts.get(&id) {
-                    let outcome = if attempt.written { Outcome::Cancelled } else { Outcome::Skipped };
+                    let outcome = if attempt.written {
+                        Outcome::Cancelled
+                    } else {
+                        Outcome::Skipped
+                    };
                     ports.give_up(attempt.host, id);
                     self.ended(id, outcome, now);
                 }
@@ -456,10 +552,17 @@
             Action::Refuse { query, hold_off } => {
                 if let Some(query) = self.finish(query.0, Answer::Refused { hold_off }, now) {
                     let held = now.saturating_sub(query.taken) / MS;
-                    tracing::debug!(query = &*query.name, held, attempts = query.attempts, "refused");
+                    tracing::debug!(
+                        query = &*query.name,
+                        held,
+                        attempts = query.attempts,
+                        "refused"
+                    );
                 }
             }
-            Action::Fail { query } => drop(self.finish(query.0, Answer::Failed(Reason::GivenUp), now)),
+            Action::Fail { query } => {
+                drop(self.finish(query.0, Answer::Failed(Reason::GivenUp), now))
+            }
             Action::WakeAt(at) => {
                 self.wakes.insert(at);
             }
@@ -483,12 +586,31 @@
         now: Time,
         calls: &mut Vec<(ServerId, Vec<Outgoing>)>,
     ) {
-        let Some(part) = self.parts.get_mut(&number) else { return };
-        let Some(query) = self.queries.get_mut(&part.query) else { return };
-        let id = AttemptId { part: number, leg: part.attempts };
+        let Some(part) = self.parts.get_mut(&number) else {
+            return;
+        };
+        let Some(query) = self.queries.get_mut(&part.query) else {
+            return;
+        };
+        let id = AttemptId {
+            part: number,
+            leg: part.attempts,
+        };
         part.attempts += 1;
-        let until = if until == 0 { query.deadline } else { until.min(query.deadline) };
-        self.attempts.insert(id, Attempt { host, sent: now, until, written: false });
+        let until = if until == 0 {
+            query.deadline
+        } else {
+            until.min(query.deadline)
+        };
+        self.attempts.insert(
+            id,
+            Attempt {
+                host,
+                sent: now,
+                until,
+                written: false,
+            },
+        );
         let class = &self.settings.classes[query.class];
         // Written later than this, a repeat would no longer be dropped by the index host.
         let first_sent = *part.first_sent.get_or_insert(now);
@@ -506,7 +628,12 @@
         let second = query.first.as_ref();
         let outgoing = Outgoing {
             id,
-            name: format!("{}.{}{}", query.name, part.shard, if second.is_some() { ".r" } else { "" }),
+            name: format!(
+                "{}.{}{}",
+                query.name,
+                part.shard,
+                if second.is_some() { ".r" } else { "" }
+            ),
             shard: part.shard,
             until,
             not_after: repeatable,
@@ -515,8 +642,8 @@
             text: query.text.clone(),
             first_whole: second.map(|(_, whole)| *whole),
         };
-        // The first step ends when the first part of the second arrives, and whoever has not heard of that by then
-        // turns the others down: they follow when the first has had a turn's time.
+        // The first step ends when the first part of the second arrives, and whoever has not heard
+        // of that by then turns the others down: they follow when the first has had a turn's time.
         if query.first.is_some() {
             let (first, at) = *query.opened.get_or_insert((host, now));
             if at == now && first != host {
@@ -528,21 +655,36 @@
     }
 
     fn answer(&mut self, number: u64, whole: bool, now: Time) {
-        let Some(query) = self.queries.get(&number) else { return };
+        let Some(query) = self.queries.get(&number) else {
+            return;
+        };
         let class = &self.settings.classes[query.class];
         let (floor, need, second_step) = (class.floor, class.need, class.second_step as usize);
         let parts = query.parts.iter().filter_map(|id| self.parts.get(id));
-        let mut within: Vec<(u32, Value)> =
-            parts.clone().filter_map(|p| Some((p.shard, p.value.clone()?))).collect();
+        let mut within: Vec<(u32, Value)> = parts
+            .clone()
+            .filter_map(|p| Some((p.shard, p.value.clone()?)))
+            .collect();
         let weight: f64 = parts.filter(|p| p.value.is_some()).map(|p| p.weight).sum();
         let all = within.len() == query.parts.len();
-        let enough = if query.first.is_some() { all } else { weight + ROUNDING >= need };
+        let enough = if query.first.is_some() {
+            all
+        } else {
+            weight + ROUNDING >= need
+        };
         let honest = whole && enough && query.first.as_ref().is_none_or(|first| first.1);
         if within.is_empty() || weight + ROUNDING < floor {
-            // An answer from less than the class's least share must never go out, whoever asked for it.
-            tracing::error!(query = &*query.name, weight, "an answer from too few parts was held back");
+            // An answer from less than the class's least share must never go out, whoever asked for
+            // it.
+            tracing::error!(
+                query = &*query.name,
+                weight,
+                "an answer from too few parts was held back"
+            );
             self.finish(number, Answer::Failed(Reason::GivenUp), now);
-            self.events.push(Event::ClientLeft { id: QueryId(number) });
+            self.events.push(Event::ClientLeft {
+                id: QueryId(number),
+            });
             return;
         }
         if second_step > 0 && query.first.is_none() {
@@ -550,7 +692,14 @@
             return;
         }
         within.sort_by_key(|(shard, _)| *shard);
-        if let Some(query) = self.finish(number, Answer::Served { whole: honest, values: within }, now) {
+        if let Some(query) = self.finish(
+            number,
+            Answer::Served {
+                whole: honest,
+                values: within,
+            },
+            now,
+        ) {
             tracing::debug!(
                 query = &*query.name,
                 took = now.saturating_sub(query.taken) / MS,
@@ -561,14 +710,24 @@
         }
     }
 
-    /// Begins the second step: parts at the shards in with the highest scores, told to the module next turn.
-    fn second_step(&mut self, number: u64, mut within: Vec<(u32, Value)>, whole: bool, most: usize) {
+    /// Begins the second step: parts at the shards in with the highest scores, told to the module
+    /// next turn.
+    fn second_step(
+        &mut self,
+        number: u64,
+        mut within: Vec<(u32, Value)>,
+        whole: bool,
+        most: usize,
+    ) {
         within.sort_by_key(|(shard, _)| *shard);
         let from: Vec<String> = within.iter().map(|(shard, _)| shard.to_string()).collect();
         within.sort_by(|a, b| b.1.score.total_cmp(&a.1.score).then(a.0.cmp(&b.0)));
         within.truncate(most);
         let weight = 1.0 / within.len() as f64;
-        let parts: Vec<u64> = within.iter().map(|(shard, _)| self.add_part(number, *shard, weight)).collect();
+        let parts: Vec<u64> = within
+            .iter()
+            .map(|(shard, _)| self.add_part(number, *shard, weight))
+            .collect();
         if let Some(query) = self.queries.get_mut(&number) {
             query.first = Some((from.join("+").into(), whole));
             for old in std::mem::replace(&mut query.parts, parts) {
@@ -579,8 +738,23 @@
 
     fn add_part(&mut self, query: u64, shard: u32, weight: f64) -> u64 {
         let id = self.fresh_id();
-        self.parts.insert(id, Part { query, shard, weight, attempts: 0, first_sent: None, value: None });
-        self.events.push(Event::Part { id: PartId(id), number: query, shard, weight });
+        self.parts.insert(
+            id,
+            Part {
+                query,
+                shard,
+                weight,
+                attempts: 0,
+                first_sent: None,
+                value: None,
+            },
+        );
+        self.events.push(Event::Part {
+            id: PartId(id),
+            number: query,
+            shard,
+            weight,
+        });
         id
     }
 
@@ -599,10 +773,22 @@
                 Answer::Refused { .. } => "refused",
                 Answer::Failed(_) => "failed",
             };
-            let Query { taken, class, version, .. } = query;
+            let Query {
+                taken,
+                class,
+                version,
+                ..
+            } = query;
             let aim = self.settings.classes[class].aim.max(1);
             let spent = now.saturating_sub(taken) as f64 / aim as f64;
-            ends.push(Ended { taken, spent, whole: outcome == "whole", class, outcome, version });
+            ends.push(Ended {
+                taken,
+                spent,
+                whole: outcome == "whole",
+                class,
+                outcome,
+                version,
+            });
         }
         self.answers.push((query.caller, answer));
         Some(query)
@@ -624,7 +810,8 @@
         self.next_id
     }
 
-    /// Fails whatever is still open: the program is about to end. What waits to be written is not written any more.
+    /// Fails whatever is still open: the program is about to end. What waits to be written is not
+    /// written any more.
     pub fn fail_all(&mut self, ports: &mut (impl Clients + Hosts)) {
         for (id, attempt) in self.attempts.drain() {
             ports.give_up(attempt.host, id);
--- a/bitternsill/src/core/permitted.rs
+++ b/bitternsill/src/core/permitted.rs
@@ -1,5 +1,6 @@
-//! What each setting may be. Read by this table before anything is taken, so that a wrong value is told by its path
-//! whichever deployment it comes from; what is absent takes the default of whoever reads it.
+//! What each setting may be. Read by this table before anything is taken, so that a wrong value is
+//! told by its path whichever deployment it comes from; what is absent takes the default of whoever
+//! reads it.
 
 use super::settings::SettingsError;
 use serde_json::Value;
@@ -101,7 +102,11 @@
     ("name", Name, true),
     ("target", From(1.0, f64::INFINITY), true),
     ("deadline", From(1.0, f64::INFINITY), true),
-    ("effect", Word(&["read_like", "idempotency_key", "non_idempotent"]), true),
+    (
+        "effect",
+        Word(&["read_like", "idempotency_key", "non_idempotent"]),
+        true,
+    ),
     ("key_ttl", AMOUNT, false),
     ("credit", AMOUNT, false),
     ("late_share", From(0.0, 1.0), false),
@@ -119,16 +124,22 @@
             Flag => value.is_boolean(),
             Word(words) => value.as_str().is_some_and(|word| words.contains(&word)),
             Name => value.as_str().is_some_and(|text| !text.is_empty()),
-            Names => value.as_array().is_some_and(|list| list.iter().all(|text| Name.fits(text))),
+            Names => value
+                .as_array()
+                .is_some_and(|list| list.iter().all(|text| Name.fits(text))),
         }
     }
 
     fn check(self, value: &Value, path: &str, needed: bool) -> Result<(), SettingsError> {
         match value {
-            Value::Null if needed => Err(SettingsError(format!("`{path}` is missing; allowed are {self}"))),
+            Value::Null if needed => Err(SettingsError(format!(
+                "`{path}` is missing; allowed are {self}"
+            ))),
             Value::Null => Ok(()),
             value if self.fits(value) => Ok(()),
-            value => Err(SettingsError(format!("`{path}` is {value}; allowed are {self}"))),
+            value => Err(SettingsError(format!(
+                "`{path}` is {value}; allowed are {self}"
+            ))),
         }
     }
 }
@@ -152,16 +163,29 @@
 /// Checks every setting that is read anywhere; what nobody reads may be anything.
 pub fn check(settings: &Value) -> Result<(), SettingsError> {
     for (group, keys) in ONCE {
-        let values = if group.is_empty() { settings } else { &settings[*group] };
+        let values = if group.is_empty() {
+            settings
+        } else {
+            &settings[*group]
+        };
         if !(group.is_empty() || values.is_null() || values.is_object()) {
-            return Err(SettingsError(format!("`{group}` is {values}; allowed is an object")));
+            return Err(SettingsError(format!(
+                "`{group}` is {values}; allowed is an object"
+            )));
         }
         for (key, allowed) in *keys {
-            let path = if group.is_empty() { (*key).to_owned() } else { format!("{group}.{key}") };
+            let path = if group.is_empty() {
+                (*key).to_owned()
+            } else {
+                format!("{group}.{key}")
+            };
             allowed.check(&values[*key], &path, false)?;
         }
     }
-    let classes = settings["request_classes"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let classes = settings["request_classes"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     if classes.is_empty() {
         return Err(SettingsError(
             "`request_classes` is missing or empty; allowed is a list of classes".to_owned(),
@@ -169,7 +193,11 @@
     }
     for (at, class) in classes.iter().enumerate() {
         for (key, allowed, needed) in CLASS {
-            allowed.check(&class[*key], &format!("request_classes[{at}].{key}"), *needed)?;
+            allowed.check(
+                &class[*key],
+                &format!("request_classes[{at}].{key}"),
+                *needed,
+            )?;
         }
     }
     for (key, allowed) in BY_CLASS {
@@ -178,10 +206,13 @@
             Value::Null => continue,
             Value::Array(list) if list.len() == classes.len() => list,
             other => {
-                let told =
-                    other.as_array().map_or_else(|| other.to_string(), |l| format!("{} values", l.len()));
-                let problem =
-                    format!("`{path}` is {told}; allowed is a list of {} values, one a class", classes.len());
+                let told = other
+                    .as_array()
+                    .map_or_else(|| other.to_string(), |l| format!("{} values", l.len()));
+                let problem = format!(
+                    "`{path}` is {told}; allowed is a list of {} values, one a class",
+                    classes.len()
+                );
                 return Err(SettingsError(problem));
             }
         };
@@ -209,19 +240,32 @@
         })
     }
 
-    /// Each setting of the tables, put to a value that it may not have, is told by its own path; without it all is well.
+    /// Each setting of the tables, put to a value that it may not have, is told by its own path;
+    /// without it all is well.
     #[test]
     fn every_setting_that_is_read_is_told_by_its_path_when_wrong_and_may_be_absent() {
         assert_eq!(check(&good()), Ok(()));
         let mut cases: Vec<(String, String, bool)> = Vec::new();
         for (group, keys) in ONCE {
             for (key, _) in *keys {
-                let dot = if group.is_empty() { String::new() } else { format!("{group}.") };
-                cases.push((format!("/{}{key}", dot.replace('.', "/")), format!("`{dot}{key}`"), false));
+                let dot = if group.is_empty() {
+                    String::new()
+                } else {
+                    format!("{group}.")
+                };
+                cases.push((
+                    format!("/{}{key}", dot.replace('.', "/")),
+                    format!("`{dot}{key}`"),
+                    false,
+                ));
             }
         }
         for (key, _, needed) in CLASS {
-            cases.push((format!("/request_classes/1/{key}"), format!("`request_classes[1].{key}`"), *needed));
+            cases.push((
+                format!("/request_classes/1/{key}"),
+                format!("`request_classes[1].{key}`"),
+                *needed,
+            ));
         }
         for (key, _) in BY_CLASS {
             cases.push((format!("/extra/{key}"), format!("`extra.{key}`"), false));
@@ -233,7 +277,11 @@
                 if settings.pointer(above).is_none() {
                     settings[&above[1..]] = json!({});
                 }
-                let group = settings.pointer_mut(above).unwrap().as_object_mut().unwrap();
+                let group = settings
+                    .pointer_mut(above)
+                    .unwrap()
+                    .as_object_mut()
+                    .unwrap();
                 match value {
                     Some(value) => group.insert(key.to_owned(), value),
                     None => group.remove(key),
@@ -255,6 +303,9 @@
         let mut settings = good();
         settings["extra"]["floor_by_class"][1] = json!(1.2);
         let said = check(&settings).unwrap_err().to_string();
-        assert_eq!(said, "settings: `extra.floor_by_class[1]` is 1.2; allowed are numbers above 0 up to 1");
+        assert_eq!(
+            said,
+            "settings: `extra.floor_by_class[1]` is 1.2; allowed are numbers above 0 up to 1"
+        );
     }
 }
--- a/bitternsill/src/core/ports.rs
+++ b/bitternsill/src/core/ports.rs
@@ -15,7 +15,10 @@
 impl Caller {
     /// The one that a connection with one operation at a time stands for.
     pub fn only(connection: u64) -> Caller {
-        Caller { connection, operation: 0 }
+        Caller {
+            connection,
+            operation: 0,
+        }
     }
 }
 
@@ -86,7 +89,12 @@
 impl Score {
     /// Reads a score, if it is a number.
     pub fn parse(text: &str) -> Option<Self> {
-        let real = || text.parse().ok().filter(|real: &f64| real.is_finite()).map(Score::Real);
+        let real = || {
+            text.parse()
+                .ok()
+                .filter(|real: &f64| real.is_finite())
+                .map(Score::Real)
+        };
         text.parse().ok().map(Score::Whole).or_else(real)
     }
 
--- a/bitternsill/src/core/settings.rs
+++ b/bitternsill/src/core/settings.rs
@@ -57,7 +57,10 @@
     }
     let words = |list: &Value| -> Vec<String> {
         let items = list.as_array().map(Vec::as_slice).unwrap_or_default();
-        items.iter().map(|item| item.as_str().unwrap_or_default().to_owned()).collect()
+        items
+            .iter()
+            .map(|item| item.as_str().unwrap_or_default().to_owned())
+            .collect()
     };
     let number = |group: &str, key: &str| value[group][key].as_f64().filter(|n| *n >= 0.0);
     let names: Vec<String> = value["request_classes"]
@@ -67,17 +70,29 @@
         .iter()
         .map(|class| class["name"].as_str().unwrap_or_default().to_owned())
         .collect();
-    if let Some(twice) = names.iter().enumerate().find(|(at, name)| names[..*at].contains(name)) {
-        return Err(SettingsError(format!("the class `{}` stands twice in `request_classes`", twice.1)));
+    if let Some(twice) = names
+        .iter()
+        .enumerate()
+        .find(|(at, name)| names[..*at].contains(name))
+    {
+        return Err(SettingsError(format!(
+            "the class `{}` stands twice in `request_classes`",
+            twice.1
+        )));
     }
     let deployment = Deployment {
         classes: names,
-        keyed: settings.classes.iter().map(|c| c.effect == Effect::Keyed).collect(),
+        keyed: settings
+            .classes
+            .iter()
+            .map(|c| c.effect == Effect::Keyed)
+            .collect(),
         open_tick,
         shards: number("extra", "ranges").map_or(settings.cells, |n| n as u32),
         zones: words(&value["zones"]),
         kinds: words(&value["kinds"]),
-        parts_per_connection: number("limits", "streams_per_conn").map_or(1, |n| n.max(1.0) as usize),
+        parts_per_connection: number("limits", "streams_per_conn")
+            .map_or(1, |n| n.max(1.0) as usize),
         host_idle: number("limits", "conn_idle").map(|n| n as Time),
         connect: number("limits", "connect_timeout").map(|n| n as Time),
         drain_grace: number("guarantees", "drain_grace").map(|n| n as Time),
--- a/bitternsill/src/describe/asyncapi.rs
+++ b/bitternsill/src/describe/asyncapi.rs
@@ -38,9 +38,15 @@
                 "term": {"type": "integer"}, "sequence": {"type": "integer"}
             }),
         );
-        packets.insert((*kind).to_owned(), json!({"summary": about, "payload": payload}));
+        packets.insert(
+            (*kind).to_owned(),
+            json!({"summary": about, "payload": payload}),
+        );
     }
-    let change = object(&["key", "value"], json!({"key": {"type": "string"}, "value": {"type": "string"}}));
+    let change = object(
+        &["key", "value"],
+        json!({"key": {"type": "string"}, "value": {"type": "string"}}),
+    );
     let message = |summary: &str, payload: Json| json!({"summary": summary, "payload": payload});
     json!({
         "asyncapi": "3.0.0",
--- a/bitternsill/src/describe/fit.rs
+++ b/bitternsill/src/describe/fit.rs
@@ -25,7 +25,11 @@
     }
 }
 
-fn object<'a>(json: &'a Json, what: &str, problems: &mut Vec<String>) -> Option<&'a Map<String, Json>> {
+fn object<'a>(
+    json: &'a Json,
+    what: &str,
+    problems: &mut Vec<String>,
+) -> Option<&'a Map<String, Json>> {
     let object = json.as_object();
     if object.is_none() {
         problems.push(format!("{what}: missing, or no object"));
@@ -34,15 +38,24 @@
 }
 
 fn paths(theirs: &Json, ours: &Json, problems: &mut Vec<String>) {
-    const METHODS: &[&str] = &["get", "put", "post", "delete", "options", "head", "patch", "trace"];
-    let Some(paths) = object(&theirs["paths"], "paths", problems) else { return };
+    const METHODS: &[&str] = &[
+        "get", "put", "post", "delete", "options", "head", "patch", "trace",
+    ];
+    let Some(paths) = object(&theirs["paths"], "paths", problems) else {
+        return;
+    };
     for (path, item) in paths {
         let Some(offered) = ours["paths"].get(path) else {
             problems.push(format!("{path}: not offered"));
             continue;
         };
-        let Some(item) = object(item, path, problems) else { continue };
-        for (method, operation) in item.iter().filter(|(name, _)| METHODS.contains(&name.as_str())) {
+        let Some(item) = object(item, path, problems) else {
+            continue;
+        };
+        for (method, operation) in item
+            .iter()
+            .filter(|(name, _)| METHODS.contains(&name.as_str()))
+        {
             let place = format!("{} {path}", method.to_uppercase());
             match offered.get(method) {
                 Some(ours) => operation_fits(&place, operation, ours, problems),
@@ -61,50 +74,80 @@
     let (theirs_list, ours_list) = (list(theirs), list(ours));
     for parameter in &theirs_list {
         match ours_list.iter().find(|p| same(p, parameter)) {
-            None => problems.push(format!("{place}: parameter {} is not known", parameter["name"])),
+            None => problems.push(format!(
+                "{place}: parameter {} is not known",
+                parameter["name"]
+            )),
             Some(p) if p["schema"]["type"] != parameter["schema"]["type"] => {
-                problems.push(format!("{place}: parameter {} is of type {}", p["name"], p["schema"]["type"]));
+                problems.push(format!(
+                    "{place}: parameter {} is of type {}",
+                    p["name"], p["schema"]["type"]
+                ));
             }
             Some(_) => {}
         }
     }
     for parameter in ours_list.iter().filter(|p| p["required"] == true) {
-        if !theirs_list.iter().any(|p| same(p, parameter) && p["required"] == true) {
-            problems.push(format!("{place}: parameter {} is required", parameter["name"]));
+        if !theirs_list
+            .iter()
+            .any(|p| same(p, parameter) && p["required"] == true)
+        {
+            problems.push(format!(
+                "{place}: parameter {} is required",
+                parameter["name"]
+            ));
         }
     }
     if ours.get("requestBody").is_some() != theirs.get("requestBody").is_some() {
-        let is = if ours.get("requestBody").is_some() { "has" } else { "has no" };
+        let is = if ours.get("requestBody").is_some() {
+            "has"
+        } else {
+            "has no"
+        };
         problems.push(format!("{place}: the request {is} body"));
     }
-    let Some(responses) = object(&theirs["responses"], place, problems) else { return };
+    let Some(responses) = object(&theirs["responses"], place, problems) else {
+        return;
+    };
     for status in responses.keys().filter(|s| *s != "default") {
         if ours["responses"].get(status).is_none() {
             problems.push(format!("{place}: never answers {status}"));
         }
     }
     if !responses.contains_key("default") {
-        let offered = ours["responses"].as_object().into_iter().flat_map(Map::keys);
+        let offered = ours["responses"]
+            .as_object()
+            .into_iter()
+            .flat_map(Map::keys);
         for status in offered.filter(|s| !responses.contains_key(*s)) {
-            problems.push(format!("{place}: may answer {status}, which is not described"));
+            problems.push(format!(
+                "{place}: may answer {status}, which is not described"
+            ));
         }
     }
 }
 
 fn channels(theirs: &Json, ours: &Json, problems: &mut Vec<String>) {
-    let Some(channels) = object(&theirs["channels"], "channels", problems) else { return };
+    let Some(channels) = object(&theirs["channels"], "channels", problems) else {
+        return;
+    };
     for (name, channel) in channels {
         let Some(offered) = ours["channels"].get(name) else {
             problems.push(format!("{name}: no such channel"));
             continue;
         };
-        let Some(messages) = object(&channel["messages"], name, problems) else { continue };
+        let Some(messages) = object(&channel["messages"], name, problems) else {
+            continue;
+        };
         for (message, said) in messages {
             let Some(known) = offered["messages"].get(message) else {
                 problems.push(format!("{name}: no message {message}"));
                 continue;
             };
-            let wanted = said["payload"]["required"].as_array().cloned().unwrap_or_default();
+            let wanted = said["payload"]["required"]
+                .as_array()
+                .cloned()
+                .unwrap_or_default();
             for field in wanted.iter().filter_map(Json::as_str) {
                 if known["payload"]["properties"].get(field).is_none() {
                     problems.push(format!("{name}: message {message} has no {field}"));
@@ -139,7 +182,8 @@
         let mut other = streams;
         other["channels"]["store"]["messages"]["erase"] = json!({});
         other["channels"]["orders"] = json!({});
-        other["channels"]["members"]["messages"]["list"]["payload"]["required"] = json!(["rev", "colour"]);
+        other["channels"]["members"]["messages"]["list"]["payload"]["required"] =
+            json!(["rev", "colour"]);
         said.extend(check(&other, &limits).unwrap());
         insta::assert_snapshot!(said.join("\n"));
     }
--- a/bitternsill/src/describe/openapi.rs
+++ b/bitternsill/src/describe/openapi.rs
@@ -14,11 +14,36 @@
     }
     let header = |name: &str, required: bool, schema: Json, about: &str| json!({"name": name, "in": "header", "required": required, "schema": schema, "description": about});
     json!([
-        header(CALL_ID, true, json!({"type": "string"}), "Differs with every request, a retry included"),
-        header(CALL_CLASS, true, json!({"type": "string"}), "The query's class"),
-        header(BUDGET, true, json!({"type": "number", "minimum": 0}), "Seconds that the client waits"),
-        header(AGAIN, false, json!({"type": "string", "enum": ["1"]}), "Marks a retry"),
-        header(KEY, false, json!({"type": "string"}), "Required in a keyed class"),
+        header(
+            CALL_ID,
+            true,
+            json!({"type": "string"}),
+            "Differs with every request, a retry included"
+        ),
+        header(
+            CALL_CLASS,
+            true,
+            json!({"type": "string"}),
+            "The query's class"
+        ),
+        header(
+            BUDGET,
+            true,
+            json!({"type": "number", "minimum": 0}),
+            "Seconds that the client waits"
+        ),
+        header(
+            AGAIN,
+            false,
+            json!({"type": "string", "enum": ["1"]}),
+            "Marks a retry"
+        ),
+        header(
+            KEY,
+            false,
+            json!({"type": "string"}),
+            "Required in a keyed class"
+        ),
     ])
 }
 
@@ -41,7 +66,10 @@
             "predicate": {"type": "string", "description": "What every part carries"}
         }
     });
-    let about = format!("At most {} bytes, with a length or in chunks", limits.body_bytes);
+    let about = format!(
+        "At most {} bytes, with a length or in chunks",
+        limits.body_bytes
+    );
     json!({"required": true, "description": about, "content": {"application/json": {"schema": schema}}})
 }
 
@@ -143,10 +171,14 @@
         let path = paths.entry(route.path).or_insert_with(|| json!({}));
         path[route.method.to_lowercase()] = operation(route, limits);
         if route.subject {
-            let path = paths.entry(format!("{}/{{subject}}", route.path)).or_insert_with(|| json!({}));
+            let path = paths
+                .entry(format!("{}/{{subject}}", route.path))
+                .or_insert_with(|| json!({}));
             let mut operation = operation(route, limits);
             operation["operationId"] = json!(format!("{:?}About", route.operation).to_lowercase());
-            let parameters = operation["parameters"].as_array_mut().expect("a list, as made above");
+            let parameters = operation["parameters"]
+                .as_array_mut()
+                .expect("a list, as made above");
             parameters.push(json!({
                 "name": "subject", "in": "path", "required": true, "schema": {"type": "string", "minLength": 1},
                 "description": "What the request concerns, where requests carry such a key"
@@ -155,7 +187,10 @@
         }
     }
     for route in calls::ROUTES {
-        paths.insert(route.path.to_owned(), json!({route.method.to_lowercase(): call(route)}));
+        paths.insert(
+            route.path.to_owned(),
+            json!({route.method.to_lowercase(): call(route)}),
+        );
     }
     paths.insert("/{database}".to_owned(), json!({"get": catalogue()}));
     json!({
--- a/bitternsill/src/fleet.rs
+++ b/bitternsill/src/fleet.rs
@@ -8,13 +8,14 @@
 /// Ask a fleet.
 #[derive(Debug, Subcommand)]
 pub enum FleetCall {
-    /// Tell how far each gatherer has come after its start, and what it waits for. Exits with 0 if all have answered.
+    /// Tell how far each gatherer has come after its start, and what it waits for. Exits with 0 if
+    /// all have answered.
     Phase(Phase),
     /// Versions of the configuration.
     #[command(flatten)]
     Versions(VersionsCall),
-    /// Collect the gatherers' trails and tell who acted on which version, and what was done that must not have been. Exits
-    /// with 0 if nothing was and all is known.
+    /// Collect the gatherers' trails and tell who acted on which version, and what was done that
+    /// must not have been. Exits with 0 if nothing was and all is known.
     Audit(Audit),
 }
 
--- a/bitternsill/src/front/arrivals.rs
+++ b/bitternsill/src/front/arrivals.rs
@@ -1,9 +1,11 @@
-//! When the bytes came that wait to be understood: a request behind another one has been waited for all along.
+//! When the bytes came that wait to be understood: a request behind another one has been waited for
+//! all along.
 
 use bramblestair::interface::Time;
 use std::collections::VecDeque;
 
-/// Bytes that come within so short a time of each other are held to have come with the first of them.
+/// Bytes that come within so short a time of each other are held to have come with the first of
+/// them.
 const TOGETHER: Time = 5_000_000;
 
 /// The times at which one connection's bytes were read.
@@ -40,7 +42,11 @@
     /// So many more have been understood; when the last of these came, if any is known.
     pub fn parsed(&mut self, bytes: usize) -> Option<Time> {
         self.parsed += bytes as u64;
-        while self.marks.front().is_some_and(|(end, _)| *end < self.parsed) {
+        while self
+            .marks
+            .front()
+            .is_some_and(|(end, _)| *end < self.parsed)
+        {
             self.marks.pop_front();
         }
         self.marks.front().map(|(_, at)| *at)
--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -1,4 +1,5 @@
-//! One connection to an index host that takes one part at a time: an SRU connection or a Z39.50 session.
+//! One connection to an index host that takes one part at a time: an SRU connection or a Z39.50
+//! session.
 
 use crate::core::ports::{AttemptId, Outgoing, Score, Value};
 use crate::front::hosts::{Choice, Connector};
@@ -80,7 +81,12 @@
             hosts: limits.hosts,
         });
         let pool = Rc::new(RefCell::new(pool));
-        SerialConnector { limits, dialect, slice_database: slice_database.into(), pool }
+        SerialConnector {
+            limits,
+            dialect,
+            slice_database: slice_database.into(),
+            pool,
+        }
     }
 }
 
@@ -124,7 +130,14 @@
         1
     }
 
-    fn choose(&self, host: ServerId, _call: usize, calls: &[usize], _most: usize, now: Time) -> Choice {
+    fn choose(
+        &self,
+        host: ServerId,
+        _call: usize,
+        calls: &[usize],
+        _most: usize,
+        now: Time,
+    ) -> Choice {
         match self.pool.borrow_mut().choose(host.0, calls, now) {
             pool::Choice::Use(at) | pool::Choice::Wait(at) => Choice::Use(at),
             pool::Choice::Open => Choice::Open,
@@ -199,7 +212,9 @@
     /// Starts the next part, if none is under way, and writes.
     fn write(&mut self, cx: &mut Cx<'_>) {
         while self.welcome && self.current.is_none() {
-            let Some(part) = self.queue.pop_front() else { break };
+            let Some(part) = self.queue.pop_front() else {
+                break;
+            };
             if part.not_after <= cx.now {
                 self.end(cx, part.id, Outcome::Skipped);
                 continue;
@@ -209,14 +224,21 @@
                 self.end(cx, part.id, Outcome::Error);
                 continue;
             };
-            let database = self.slice_database.replace("{slice}", &part.shard.to_string());
+            let database = self
+                .slice_database
+                .replace("{slice}", &part.shard.to_string());
             let next = {
                 let mut pool = self.pool.borrow_mut();
                 let learned = pool.learned(self.host.0, cx.now);
-                self.dialect.begin(&work, part.shard, &database, learned, cx.now)
+                self.dialect
+                    .begin(&work, part.shard, &database, learned, cx.now)
             };
             self.used = cx.now;
-            self.current = Some(Current::Wanted { part, asked: cx.now, written: false });
+            self.current = Some(Current::Wanted {
+                part,
+                asked: cx.now,
+                written: false,
+            });
             self.next(cx, next);
         }
         if let Err(problem) = self.stream.flush() {
@@ -262,7 +284,8 @@
                 cx.close();
             }
             Heard::Bye => {
-                // It says that it ends the session: that is no death, neither of the host nor by the part.
+                // It says that it ends the session: that is no death, neither of the host nor by
+                // the part.
                 if let Some(Current::Wanted { part, .. }) = self.current.take() {
                     cx.world.core.cut_off(part.id, Outcome::Error, cx.now);
                     self.part_ended(cx, part.id);
@@ -281,22 +304,38 @@
             self.pool.borrow_mut().outlived(self.host.0, cx.now);
             return self.count_down(cx);
         }
-        let Some(Current::Wanted { part, asked, written }) = self.current.take() else { return cx.close() };
+        let Some(Current::Wanted {
+            part,
+            asked,
+            written,
+        }) = self.current.take()
+        else {
+            return cx.close();
+        };
         match next {
             Next::Say(bytes) => {
-                // A host that leaves, or that closes behind its reply, is asked nothing more for this part either.
-                let late = self.retiring.is_some_and(|at| cx.now >= at + cx.world.limits.drain_grace / 2);
+                // A host that leaves, or that closes behind its reply, is asked nothing more for
+                // this part either.
+                let late = self
+                    .retiring
+                    .is_some_and(|at| cx.now >= at + cx.world.limits.drain_grace / 2);
                 if late || self.dialect.is_closing() {
                     cx.world.core.cut_off(part.id, Outcome::Reset, cx.now);
                     self.part_ended(cx, part.id);
                     return cx.close();
                 }
                 self.stream.push(&bytes);
-                self.current = Some(Current::Wanted { part, asked, written });
+                self.current = Some(Current::Wanted {
+                    part,
+                    asked,
+                    written,
+                });
                 return;
             }
             Next::Done(given) => {
-                self.pool.borrow_mut().answered(self.host.0, cx.now.saturating_sub(asked), cx.now);
+                self.pool
+                    .borrow_mut()
+                    .answered(self.host.0, cx.now.saturating_sub(asked), cx.now);
                 cx.world.core.served(part.id, self.value(given), cx.now);
                 self.part_ended(cx, part.id);
             }
@@ -325,7 +364,10 @@
             }
             Given::Refused(_) => 0,
         };
-        Value { score: Score::Whole(score.into()), body: given.encode().into() }
+        Value {
+            score: Score::Whole(score.into()),
+            body: given.encode().into(),
+        }
     }
 
     /// Takes this connection out of the table.
@@ -353,12 +395,19 @@
             self.part_ended(cx, attempt);
             return self.schedule(cx);
         }
-        let Some(Current::Wanted { part, asked, written }) = &self.current else { return };
+        let Some(Current::Wanted {
+            part,
+            asked,
+            written,
+        }) = &self.current
+        else {
+            return;
+        };
         if part.id != attempt {
             return;
         }
-        // Neither protocol has a word that every host knows to take a search back. Its session reads the late answer
-        // and goes on, or ends with it, whichever is cheaper.
+        // Neither protocol has a word that every host knows to take a search back. Its session
+        // reads the late answer and goes on, or ends with it, whichever is cheaper.
         let fate = match written {
             true => self.pool.borrow_mut().abandon(self.host.0, *asked, cx.now),
             false => Fate::End,
@@ -386,7 +435,9 @@
     }
 
     fn read(&mut self, cx: &mut Cx<'_>) {
-        let end = self.stream.read(&mut self.input, cx.world.limits.read_burst);
+        let end = self
+            .stream
+            .read(&mut self.input, cx.world.limits.read_burst);
         loop {
             if cx.is_closing() {
                 return;
@@ -486,12 +537,17 @@
             }
             // Neither protocol has a probe; what a connection shows is all there is to know.
             Message::Probe => {
-                let outcome = if self.up { Outcome::Ok } else { Outcome::ConnectFailed };
+                let outcome = if self.up {
+                    Outcome::Ok
+                } else {
+                    Outcome::ConnectFailed
+                };
                 cx.world.core.probed(self.host, outcome, cx.now);
             }
             Message::CloseIdle if self.current.is_none() && self.queue.is_empty() => cx.close(),
             Message::CloseIdle | Message::HostLeaves => {
-                // A session that is still open to a leaving host finishes its part and takes no other.
+                // A session that is still open to a leaving host finishes its part and takes no
+                // other.
                 self.retire(cx);
                 self.drop_unsent(cx);
                 self.schedule(cx);
--- a/bitternsill/src/front/catalogue/mod.rs
+++ b/bitternsill/src/front/catalogue/mod.rs
@@ -1,8 +1,9 @@
 //! The catalogue front: SRU and Z39.50, with readers' clients and with index hosts.
 //!
-//! Off on the platform; an operator's file sets it up. What is decided is decided in the package `catalogue`; here are
-//! the sockets, the timers and the way to the core. Each round of an operation is a query of the core's: one part for
-//! each slice that it asks, one final answer, and what is partial says so.
+//! Off on the platform; an operator's file sets it up. What is decided is decided in the package
+//! `catalogue`; here are the sockets, the timers and the way to the core. Each round of an
+//! operation is a query of the core's: one part for each slice that it asks, one final answer, and
+//! what is partial says so.
 
 pub mod link;
 pub mod session;
@@ -69,7 +70,12 @@
         seed: u64,
     ) -> Catalogue {
         let (sets, bytes) = limits.all_sets;
-        let bounds = SetBounds { sets, bytes, ttl: session.ttl, gone: limits.sets_gone };
+        let bounds = SetBounds {
+            sets,
+            bytes,
+            ttl: session.ttl,
+            gone: limits.sets_gone,
+        };
         Catalogue {
             database,
             title,
@@ -86,8 +92,8 @@
         self.sets.borrow_mut()
     }
 
-    /// Hands a round to the core: one part for each of its slices, all of the same weight. The client's time runs on from
-    /// when its request came, whichever round this is.
+    /// Hands a round to the core: one part for each of its slices, all of the same weight. The
+    /// client's time runs on from when its request came, whichever round this is.
     pub fn ask(
         &self,
         world: &mut Gatherer,
@@ -106,7 +112,9 @@
         if let Some(returning) = world.returning.as_mut().filter(|_| begins)
             && let Turn::Later(wait) = returning.admit(class, arrived)
         {
-            return Err(Refusal::TableFull { hold_off: wait.min(world.core.longest_hold_off()) });
+            return Err(Refusal::TableFull {
+                hold_off: wait.min(world.core.longest_hold_off()),
+            });
         }
         let weight = 1.0 / plan.slices.len().max(1) as f64;
         let ask = Ask {
@@ -136,11 +144,14 @@
 pub fn ended(answer: &Answer) -> Round {
     match answer {
         Answer::Served { values, .. } => {
-            let given =
-                values.iter().filter_map(|(slice, value)| Some((*slice, Given::decode(&value.body)?)));
+            let given = values
+                .iter()
+                .filter_map(|(slice, value)| Some((*slice, Given::decode(&value.body)?)));
             Round::Served(given.collect())
         }
-        Answer::Refused { hold_off } => Round::Refused { hold_off: *hold_off },
+        Answer::Refused { hold_off } => Round::Refused {
+            hold_off: *hold_off,
+        },
         Answer::Failed(Reason::TimeUp) => Round::Failed(Why::TimeUp),
         Answer::Failed(Reason::GivenUp | Reason::Ending) => Round::Failed(Why::GivenUp),
     }
--- a/bitternsill/src/front/catalogue/session.rs
+++ b/bitternsill/src/front/catalogue/session.rs
@@ -19,7 +19,8 @@
     stream: Stream,
     input: Vec<u8>,
     session: Option<Session>,
-    /// When the data unit that is not whole yet began to come, or the session, where there was none.
+    /// When the data unit that is not whole yet began to come, or the session, where there was
+    /// none.
     begun: Option<Time>,
     /// When each operation's request came.
     asked: BTreeMap<u32, Time>,
@@ -50,12 +51,22 @@
     /// Lets the session do something and carries out what comes of it, until nothing more does.
     fn step(&mut self, cx: &mut Cx<'_>, first: impl FnOnce(&mut Session, &mut Around<'_>)) {
         let catalogue = self.catalogue.clone();
-        let Some(session) = &mut self.session else { return };
+        let Some(session) = &mut self.session else {
+            return;
+        };
         let mut acts = Vec::new();
         {
             let mut sets = catalogue.sets();
             let unwritten = self.stream.unwritten();
-            first(session, &mut Around { sets: &mut sets, unwritten, now: cx.now, acts: &mut acts });
+            first(
+                session,
+                &mut Around {
+                    sets: &mut sets,
+                    unwritten,
+                    now: cx.now,
+                    acts: &mut acts,
+                },
+            );
         }
         let mut at = 0;
         while let Some(act) = acts.get(at).cloned() {
@@ -64,16 +75,27 @@
                 Act::Say(bytes) => self.stream.push(&bytes),
                 Act::Ask { operation, plan } => {
                     let arrived = *self.asked.entry(operation).or_insert(cx.since);
-                    let caller = Caller { connection: cx.token.bits(), operation };
+                    let caller = Caller {
+                        connection: cx.token.bits(),
+                        operation,
+                    };
                     if let Err(refusal) = catalogue.ask(cx.world, caller, &plan, arrived, cx.now) {
                         let mut sets = catalogue.sets();
                         let unwritten = self.stream.unwritten();
-                        let mut around = Around { sets: &mut sets, unwritten, now: cx.now, acts: &mut acts };
+                        let mut around = Around {
+                            sets: &mut sets,
+                            unwritten,
+                            now: cx.now,
+                            acts: &mut acts,
+                        };
                         session.answered(operation, not_taken(refusal), &mut around);
                     }
                 }
                 Act::Withdraw { operation } => {
-                    let caller = Caller { connection: cx.token.bits(), operation };
+                    let caller = Caller {
+                        connection: cx.token.bits(),
+                        operation,
+                    };
                     cx.world.core.client_left(caller);
                     self.asked.remove(&operation);
                 }
@@ -81,13 +103,22 @@
             }
         }
         let running: Vec<u32> = session.operations().collect();
-        self.asked.retain(|operation, _| running.contains(operation));
+        self.asked
+            .retain(|operation, _| running.contains(operation));
     }
 
     /// Reads data units and acts on them, for as long as the session takes further ones.
     fn read_units(&mut self, cx: &mut Cx<'_>) {
-        while self.session.as_ref().is_some_and(|s| s.may_read(self.stream.unwritten())) {
-            match ber::read(&mut self.input, cx.world.limits.body_bytes, cx.world.limits.ber_depth) {
+        while self
+            .session
+            .as_ref()
+            .is_some_and(|s| s.may_read(self.stream.unwritten()))
+        {
+            match ber::read(
+                &mut self.input,
+                cx.world.limits.body_bytes,
+                cx.world.limits.ber_depth,
+            ) {
                 Ok(Some(unit)) => {
                     self.used = cx.now;
                     self.step(cx, |session, around| session.unit(&unit, around));
@@ -103,15 +134,17 @@
     }
 
     fn close_session(&mut self, cx: &mut Cx<'_>, reason: CloseReason, words: &str) {
-        self.step(cx, |session, around| session.close(reason, words, around.acts));
+        self.step(cx, |session, around| {
+            session.close(reason, words, around.acts)
+        });
     }
 
     fn is_busy(&self) -> bool {
         self.session.as_ref().is_some_and(Session::is_busy)
     }
 
-    /// Between requests: may be closed for room, and is closed after long disuse, or when it leaves a data unit half
-    /// said or its answers unread.
+    /// Between requests: may be closed for room, and is closed after long disuse, or when it leaves
+    /// a data unit half said or its answers unread.
     fn rest(&mut self, cx: &mut Cx<'_>) {
         let limits = cx.world.limits.clone();
         let mut due: Vec<Time> = self.ending.into_iter().collect();
@@ -124,7 +157,8 @@
                 cx.world.clients.set_busy(cx.token);
             } else if self.input.is_empty() && self.used > 0 {
                 self.begun = None;
-                // A session holds result sets, so it is worth more than a connection that asked once.
+                // A session holds result sets, so it is worth more than a connection that asked
+                // once.
                 cx.world.clients.set_idle(cx.token, self.used, u32::MAX);
                 due.push(self.used + limits.session_idle);
             } else if self.stream.unwritten() == 0 {
@@ -149,7 +183,11 @@
     fn flush(&mut self, cx: &mut Cx<'_>) {
         // Bytes past what may be taken wait in the socket, so that they cannot pile up here.
         let before = self.stream.unwritten();
-        let ready = if self.is_paused(cx) { Ready::END } else { Ready::READ };
+        let ready = if self.is_paused(cx) {
+            Ready::END
+        } else {
+            Ready::READ
+        };
         match self.stream.flush_and_arm(cx.net, cx.token, ready) {
             Ok(false) => {
                 self.unread = None;
@@ -159,7 +197,9 @@
             }
             Ok(true) => {
                 let left = self.stream.unwritten();
-                let same = self.unread.is_some_and(|(_, had)| left == had && before == had);
+                let same = self
+                    .unread
+                    .is_some_and(|(_, had)| left == had && before == had);
                 if !same {
                     self.unread = Some((cx.now, left));
                 }
@@ -172,7 +212,10 @@
 
 impl Connection<Gatherer> for SessionConnection {
     fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
-        self.session = Some(Session::new(self.catalogue.session.clone(), cx.token.bits()));
+        self.session = Some(Session::new(
+            self.catalogue.session.clone(),
+            cx.token.bits(),
+        ));
         self.begun = Some(cx.now);
         cx.set_timer(cx.now + cx.world.limits.request_read);
         self.stream.arm(cx.net, cx.token, Ready::READ)
@@ -183,7 +226,10 @@
             return cx.close();
         }
         if ready.readable {
-            let ended = match self.stream.read(&mut self.input, cx.world.limits.read_burst) {
+            let ended = match self
+                .stream
+                .read(&mut self.input, cx.world.limits.read_burst)
+            {
                 Ok(Input::Open) => false,
                 Ok(Input::Ended) | Err(_) => true,
             };
@@ -208,7 +254,9 @@
                 let after = matches!(answer, Answer::Served { .. });
                 let round = ended(&answer);
                 self.used = if after { cx.now } else { self.used };
-                self.step(cx, |session, around| session.answered(operation, round, around));
+                self.step(cx, |session, around| {
+                    session.answered(operation, round, around)
+                });
                 self.read_units(cx);
             }
             Message::MakeRoom | Message::Retire if !self.is_busy() => {
@@ -223,7 +271,9 @@
     }
 
     fn timer(&mut self, cx: &mut Cx<'_>) {
-        let stalled = self.unread.is_some_and(|(since, _)| since + cx.world.limits.stalled_reader <= cx.now);
+        let stalled = self
+            .unread
+            .is_some_and(|(since, _)| since + cx.world.limits.stalled_reader <= cx.now);
         if stalled || self.ending.is_some_and(|at| at <= cx.now) {
             return cx.close();
         }
@@ -236,7 +286,10 @@
     fn closed(&mut self, cx: &mut Cx<'_>) {
         if let Some(session) = &self.session {
             for operation in session.operations() {
-                cx.world.core.client_left(Caller { connection: cx.token.bits(), operation });
+                cx.world.core.client_left(Caller {
+                    connection: cx.token.bits(),
+                    operation,
+                });
             }
         }
         self.catalogue.sets().remove_all(cx.token.bits());
--- a/bitternsill/src/front/catalogue/setup.rs
+++ b/bitternsill/src/front/catalogue/setup.rs
@@ -41,10 +41,18 @@
         match self {
             SetupError::File(problem) => write!(f, "cannot be read: {problem}"),
             SetupError::Json(problem) => write!(f, "is not JSON: {problem}"),
-            SetupError::Value { path, found, problem } if found.is_empty() => {
+            SetupError::Value {
+                path,
+                found,
+                problem,
+            } if found.is_empty() => {
                 write!(f, "`{path}`: {problem}")
             }
-            SetupError::Value { path, found, problem } => write!(f, "`{path}`: {found}: {problem}"),
+            SetupError::Value {
+                path,
+                found,
+                problem,
+            } => write!(f, "`{path}`: {found}: {problem}"),
         }
     }
 }
@@ -81,9 +89,13 @@
 
 impl<'de> Deserialize<'de> for Address {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let parsed = Json::deserialize(from)?.as_str().and_then(|text| text.parse().ok());
+        let parsed = Json::deserialize(from)?
+            .as_str()
+            .and_then(|text| text.parse().ok());
         let allowed = "an IP address and a port are allowed, as in \"127.0.0.1:7090\"";
-        parsed.map(Address).ok_or_else(|| de::Error::custom(allowed))
+        parsed
+            .map(Address)
+            .ok_or_else(|| de::Error::custom(allowed))
     }
 }
 
@@ -255,7 +267,10 @@
 
 /// Reads the file at a path.
 pub fn load(path: &Path) -> Result<Setup, SetupError> {
-    Ok(Setup { path: path.to_owned(), ..read(&load_json(path)?)? })
+    Ok(Setup {
+        path: path.to_owned(),
+        ..read(&load_json(path)?)?
+    })
 }
 
 /// Reads the JSON at a path.
@@ -290,12 +305,24 @@
 pub fn read_operator(json: &Json) -> Result<Beside, SetupError> {
     let file: Operator = serde_path_to_error::deserialize(json).map_err(|problem| {
         let path = problem.path().to_string();
-        bad(json, if path == "." { "file" } else { &path }, problem.inner().to_string())
+        bad(
+            json,
+            if path == "." { "file" } else { &path },
+            problem.inner().to_string(),
+        )
     })?;
-    let store = file.store.map(|store| read_store(json, store)).transpose()?;
+    let store = file
+        .store
+        .map(|store| read_store(json, store))
+        .transpose()?;
     let recovery = read_recovery(json, file.recovery, store.as_ref())?;
     let versions = read_versions(json, file.versions, store.as_ref())?;
-    Ok(Beside { learning: file.learning, store, recovery, versions })
+    Ok(Beside {
+        learning: file.learning,
+        store,
+        recovery,
+        versions,
+    })
 }
 
 fn read_versions(
@@ -304,12 +331,16 @@
     store: Option<&StoreSetup>,
 ) -> Result<Option<VersionsSetup>, SetupError> {
     match &versions {
-        Some(_) if store.is_none() => {
-            Err(bad(json, "versions", "a `store` is wanted beside it: it has them"))
-        }
-        Some(setup) if !(1_000..=3_600_000).contains(&setup.validity_ms) => {
-            Err(bad(json, "versions.validity_ms", "allowed is 1000 to 3600000"))
-        }
+        Some(_) if store.is_none() => Err(bad(
+            json,
+            "versions",
+            "a `store` is wanted beside it: it has them",
+        )),
+        Some(setup) if !(1_000..=3_600_000).contains(&setup.validity_ms) => Err(bad(
+            json,
+            "versions.validity_ms",
+            "allowed is 1000 to 3600000",
+        )),
         Some(setup) if !(100..=600_000).contains(&setup.note_ms) => {
             Err(bad(json, "versions.note_ms", "allowed is 100 to 600000"))
         }
@@ -323,9 +354,11 @@
     store: Option<&StoreSetup>,
 ) -> Result<Option<RecoverySetup>, SetupError> {
     match recovery {
-        Some(_) if store.is_none() => {
-            Err(bad(json, "recovery", "a `store` is wanted beside it: its other members are asked"))
-        }
+        Some(_) if store.is_none() => Err(bad(
+            json,
+            "recovery",
+            "a `store` is wanted beside it: its other members are asked",
+        )),
         recovery => Ok(recovery),
     }
 }
@@ -340,7 +373,11 @@
     }
     Ok(StoreSetup {
         member: store.member,
-        members: store.members.into_iter().map(|(id, address)| (id, address.0)).collect(),
+        members: store
+            .members
+            .into_iter()
+            .map(|(id, address)| (id, address.0))
+            .collect(),
         begins: store.begins,
         file: store.file,
         test_sync: Duration::from_millis(store.test_sync_ms),
@@ -358,7 +395,9 @@
         Json::Array(items) => items.get(key.trim_matches(['[', ']']).parse::<usize>().ok()?),
         json => json.get(key),
     });
-    let Some(found) = found.filter(|f| !f.is_object()) else { return String::new() };
+    let Some(found) = found.filter(|f| !f.is_object()) else {
+        return String::new();
+    };
     let text = found.to_string();
     match text.char_indices().nth(60) {
         Some((end, _)) => format!("{}…", &text[..end]),
@@ -367,7 +406,11 @@
 }
 
 fn bad(json: &Json, path: &str, problem: impl Into<String>) -> SetupError {
-    SetupError::Value { path: path.to_owned(), found: at(json, path), problem: problem.into() }
+    SetupError::Value {
+        path: path.to_owned(),
+        found: at(json, path),
+        problem: problem.into(),
+    }
 }
 
 /// Reads the file's content.
@@ -390,21 +433,34 @@
         read_list(&hosts.members, &mut Names::default())
             .map_err(|problem| bad(json, "index_hosts.members", problem.to_string()))?;
     } else if discovery.is_none() {
-        return Err(bad(json, "index_hosts", "`members`, `discovery` or both are wanted"));
+        return Err(bad(
+            json,
+            "index_hosts",
+            "`members`, `discovery` or both are wanted",
+        ));
     }
     let slice_database = hosts.database.map_or("{slice}".to_owned(), |d| d.0);
     if !slice_database.contains("{slice}") {
-        return Err(bad(json, "index_hosts.database", "a text with `{slice}` in it is allowed"));
+        return Err(bad(
+            json,
+            "index_hosts.database",
+            "a text with `{slice}` in it is allowed",
+        ));
     }
-    let mut settings =
-        settings::read(&file.settings).map_err(|problem| bad(json, "settings", problem.to_string()))?;
+    let mut settings = settings::read(&file.settings)
+        .map_err(|problem| bad(json, "settings", problem.to_string()))?;
     // Neither protocol carries several parts in one message: each is a call of its own.
     settings.0.call_parts = 1;
     let class = |name: &str, key: &str| {
         let place = settings.1.classes.iter().position(|c| *c == name);
         let names = settings.1.classes.join(", ");
-        let place =
-            place.ok_or_else(|| bad(json, key, format!("a class of the settings is allowed: {names}")))?;
+        let place = place.ok_or_else(|| {
+            bad(
+                json,
+                key,
+                format!("a class of the settings is allowed: {names}"),
+            )
+        })?;
         if settings.0.classes[place].second_step > 0 {
             return Err(bad(
                 json,
@@ -413,12 +469,17 @@
             ));
         }
         if settings.1.keyed[place] {
-            return Err(bad(json, key, "a class that is safe to repeat is allowed (`effect` read_like)"));
+            return Err(bad(
+                json,
+                key,
+                "a class that is safe to repeat is allowed (`effect` read_like)",
+            ));
         }
         Ok(place)
     };
     let search = class(&file.class.0, "class")?;
-    let other = |name: &Option<Word>, key: &str| name.as_ref().map_or(Ok(search), |n| class(&n.0, key));
+    let other =
+        |name: &Option<Word>, key: &str| name.as_ref().map_or(Ok(search), |n| class(&n.0, key));
     let classes = Classes {
         search,
         page: other(&file.page_class, "page_class")?,
@@ -434,15 +495,23 @@
                     "they are asked by Z39.50 alone, and `listen.z3950` is not there",
                 ));
             }
-            let list =
-                readers.passwords.into_iter().map(|(name, password)| Reader { name, password: password.0 });
+            let list = readers
+                .passwords
+                .into_iter()
+                .map(|(name, password)| Reader {
+                    name,
+                    password: password.0,
+                });
             match readers.ask {
                 When::Init => Access::AtInit(list.collect()),
                 When::Challenge => Access::Challenge(list.collect()),
             }
         }
     };
-    let store = file.store.map(|store| read_store(json, store)).transpose()?;
+    let store = file
+        .store
+        .map(|store| read_store(json, store))
+        .transpose()?;
     let recovery = read_recovery(json, file.recovery, store.as_ref())?;
     Ok(Setup {
         path: PathBuf::new(),
@@ -479,7 +548,11 @@
     use serde_json::json;
 
     fn sample() -> Json {
-        let text = std::fs::read(concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/catalogue.json")).unwrap();
+        let text = std::fs::read(concat!(
+            env!("CARGO_MANIFEST_DIR"),
+            "/../deploy/catalogue.json"
+        ))
+        .unwrap();
         serde_json::from_slice(&text).unwrap()
     }
 
@@ -511,8 +584,14 @@
             ("index_hosts.members", json!({"rev": 1})),
             ("index_hosts.members", json!(null)),
             ("settings", json!({})),
-            ("store", json!({"member": 4, "file": "x", "members": {"1": "127.0.0.1:1"}})),
-            ("store", json!({"member": 1, "file": "x", "members": {"1": "nowhere"}})),
+            (
+                "store",
+                json!({"member": 4, "file": "x", "members": {"1": "127.0.0.1:1"}}),
+            ),
+            (
+                "store",
+                json!({"member": 1, "file": "x", "members": {"1": "nowhere"}}),
+            ),
             ("learning", json!({"folder": 7})),
             ("learning", json!({"folder": "x", "period_ms": 5})),
             ("learning", json!({"folder": "x", "often": true})),
@@ -526,10 +605,16 @@
             let mut json = sample();
             let mut place = &mut json;
             for key in path.split('.') {
-                place = place.as_object_mut().unwrap().entry(key).or_insert(Json::Null);
+                place = place
+                    .as_object_mut()
+                    .unwrap()
+                    .entry(key)
+                    .or_insert(Json::Null);
             }
             *place = value.clone();
-            let problem = read(&json).err().unwrap_or_else(|| panic!("{path} {value} was taken"));
+            let problem = read(&json)
+                .err()
+                .unwrap_or_else(|| panic!("{path} {value} was taken"));
             said.push(format!("{path} = {value}\n  {problem}"));
         }
         insta::assert_snapshot!(said.join("\n"));
--- a/bitternsill/src/front/catalogue/sru.rs
+++ b/bitternsill/src/front/catalogue/sru.rs
@@ -35,12 +35,24 @@
 impl Sru {
     /// The service of one connection.
     pub fn new(catalogue: Shared) -> Self {
-        Sru { catalogue, running: None }
+        Sru {
+            catalogue,
+            running: None,
+        }
     }
 
     fn respond(&self, form: &Form, status: u16, body: String) -> Response {
-        let content_type = if form.sru_xml && !form.soap { SRU_XML } else { XML };
-        Response { status, headers: Vec::new(), content_type, body: body.into_bytes() }
+        let content_type = if form.sru_xml && !form.soap {
+            SRU_XML
+        } else {
+            XML
+        };
+        Response {
+            status,
+            headers: Vec::new(),
+            content_type,
+            body: body.into_bytes(),
+        }
     }
 
     /// Follows an operation's steps until the core has a round of it, or it is done.
@@ -52,14 +64,20 @@
                 }
                 Step::Ask(plan) => {
                     let caller = Caller::only(cx.token.bits());
-                    match self.catalogue.ask(cx.world, caller, &plan, running.arrived, cx.now) {
+                    match self
+                        .catalogue
+                        .ask(cx.world, caller, &plan, running.arrived, cx.now)
+                    {
                         Ok(()) => {
                             self.running = Some(running);
                             return Handled::Waiting;
                         }
                         Err(refusal) => {
                             let mut sets = self.catalogue.sets();
-                            step = running.operation.answered(not_taken(refusal), &mut sets, cx.now);
+                            step =
+                                running
+                                    .operation
+                                    .answered(not_taken(refusal), &mut sets, cx.now);
                         }
                     }
                 }
@@ -72,7 +90,9 @@
             let fault = Kind::BUSY.of("ask again later");
             let mut response = self.respond(form, 503, response::refused(form, &fault));
             if hold_off > 0 {
-                response.headers.push(format!("Retry-After: {}", seconds(hold_off)));
+                response
+                    .headers
+                    .push(format!("Retry-After: {}", seconds(hold_off)));
             }
             response
         };
@@ -81,15 +101,21 @@
                 Why::TimeUp => (504, "no answer in time"),
                 Why::GivenUp => (500, "given up"),
             };
-            self.respond(form, status, response::refused(form, &Kind::GENERAL.of(words)))
+            self.respond(
+                form,
+                status,
+                response::refused(form, &Kind::GENERAL.of(words)),
+            )
         };
         match outcome {
             Outcome::Page(page) => match page.short {
                 Some(Short::Refused { hold_off }) if page.records.is_empty() => refused(hold_off),
                 Some(Short::Failed(why)) if page.records.is_empty() => failed(why),
-                _ => {
-                    self.respond(form, 200, response::page(form, &page, seconds(self.catalogue.session.ttl)))
-                }
+                _ => self.respond(
+                    form,
+                    200,
+                    response::page(form, &page, seconds(self.catalogue.session.ttl)),
+                ),
             },
             Outcome::Scan(scanned) => self.respond(form, 200, response::scan(form, &scanned)),
             Outcome::Refused { hold_off } => refused(hold_off),
@@ -98,8 +124,8 @@
         }
     }
 
-    /// The search that a query stands for: sets in it are what they were made of, and slices that one of them lacks are
-    /// left out.
+    /// The search that a query stands for: sets in it are what they were made of, and slices that
+    /// one of them lacks are left out.
     fn resolve(&self, query: Node, now: Time) -> Result<(Node, Vec<u32>), Fault> {
         let mut sets = self.catalogue.sets();
         let mut left_out = BTreeSet::new();
@@ -119,12 +145,29 @@
         if let (Node::Set(name), true) = (&asked.query.root, asked.query.sort.is_empty()) {
             let mut sets = self.catalogue.sets();
             let id = sets.by_token(name, now)?;
-            return Ok(Operation::page(id, range, form.schema, None, bounds, &mut sets, now));
+            return Ok(Operation::page(
+                id,
+                range,
+                form.schema,
+                None,
+                bounds,
+                &mut sets,
+                now,
+            ));
         }
         let (query, left_out) = self.resolve(asked.query.root, now)?;
-        let known = self.catalogue.sets().by_search(&query, &asked.query.sort, now);
-        let slices =
-            self.catalogue.session.slices.iter().copied().filter(|s| !left_out.contains(s)).collect();
+        let known = self
+            .catalogue
+            .sets()
+            .by_search(&query, &asked.query.sort, now);
+        let slices = self
+            .catalogue
+            .session
+            .slices
+            .iter()
+            .copied()
+            .filter(|s| !left_out.contains(s))
+            .collect();
         let search = Search {
             query,
             sort: asked.query.sort,
@@ -141,7 +184,15 @@
         match known.filter(|_| asked.start > 1 && search.facets.is_empty()) {
             Some(id) => {
                 let mut sets = self.catalogue.sets();
-                Ok(Operation::page(id, range, form.schema, Some(search), bounds, &mut sets, now))
+                Ok(Operation::page(
+                    id,
+                    range,
+                    form.schema,
+                    Some(search),
+                    bounds,
+                    &mut sets,
+                    now,
+                ))
             }
             None => Ok(Operation::search(search, bounds)),
         }
@@ -149,7 +200,13 @@
 
     fn scan(&self, asked: &ScanRequest) -> Begun {
         let config = &self.catalogue.session;
-        Ok(Operation::scan(&asked.clause, asked.number, asked.position, config.slices.clone(), config.bounds))
+        Ok(Operation::scan(
+            &asked.clause,
+            asked.number,
+            asked.position,
+            config.slices.clone(),
+            config.bounds,
+        ))
     }
 
     fn explain(&self, form: &Form, host: &str, page: usize) -> Response {
@@ -164,7 +221,11 @@
             page: page as u64,
             idle: seconds(catalogue.session.ttl),
         };
-        self.respond(form, 200, response::explain(form, &explain::record(form.version, &about)))
+        self.respond(
+            form,
+            200,
+            response::explain(form, &explain::record(form.version, &about)),
+        )
     }
 }
 
@@ -219,8 +280,16 @@
         let request = match read {
             Ok((_, request)) => request,
             Err(refused) => {
-                let Refused { form, fault, status } = *refused;
-                return Handled::Done(self.respond(&form, status, response::refused(&form, &fault)));
+                let Refused {
+                    form,
+                    fault,
+                    status,
+                } = *refused;
+                return Handled::Done(self.respond(
+                    &form,
+                    status,
+                    response::refused(&form, &fault),
+                ));
             }
         };
         let begun = match request {
@@ -233,7 +302,11 @@
         };
         match begun {
             Ok((operation, step)) => {
-                let running = Running { form, operation, arrived: cx.since };
+                let running = Running {
+                    form,
+                    operation,
+                    arrived: cx.since,
+                };
                 self.follow(cx, running, step)
             }
             Err(fault) => Handled::Done(self.respond(&form, 200, response::refused(&form, &fault))),
@@ -244,7 +317,9 @@
         let Some(mut running) = self.running.take() else {
             return Handled::Done(Response::text(500, "no search is under way"));
         };
-        let step = running.operation.answered(ended(answer), &mut self.catalogue.sets(), cx.now);
+        let step = running
+            .operation
+            .answered(ended(answer), &mut self.catalogue.sets(), cx.now);
         self.follow(cx, running, step)
     }
 }
--- a/bitternsill/src/front/catalogue/sru_host.rs
+++ b/bitternsill/src/front/catalogue/sru_host.rs
@@ -23,7 +23,13 @@
 impl SruHost {
     /// A connection to this address.
     pub fn dialect(to: SocketAddr, bounds: HostBounds) -> Box<dyn Dialect> {
-        Box::new(SruHost { to, bounds, reader: None, job: None, closing: false })
+        Box::new(SruHost {
+            to,
+            bounds,
+            reader: None,
+            job: None,
+            closing: false,
+        })
     }
 
     fn say(&self, learned: &Learned) -> Next<Vec<u8>> {
@@ -87,8 +93,9 @@
         if input.is_empty() {
             return Ok(None);
         }
-        let reader =
-            self.reader.get_or_insert_with(|| Reader::responses(limits.head_bytes, limits.host_message));
+        let reader = self
+            .reader
+            .get_or_insert_with(|| Reader::responses(limits.head_bytes, limits.host_message));
         match reader.read(input) {
             Ok(Progress::More) => Ok(None),
             Ok(Progress::Whole) => {
--- a/bitternsill/src/front/catalogue/z3950_host.rs
+++ b/bitternsill/src/front/catalogue/z3950_host.rs
@@ -19,7 +19,10 @@
 impl Z3950Host {
     /// A session with this address.
     pub fn dialect(_to: SocketAddr, bounds: HostBounds) -> Box<dyn Dialect> {
-        Box::new(Z3950Host { session: Session::default(), bounds })
+        Box::new(Z3950Host {
+            session: Session::default(),
+            bounds,
+        })
     }
 }
 
@@ -36,7 +39,8 @@
         learned: &mut Learned,
         now: Time,
     ) -> Next<Vec<u8>> {
-        self.session.begin(work, slice, database, &self.bounds, learned, now)
+        self.session
+            .begin(work, slice, database, &self.bounds, learned, now)
     }
 
     fn read(
@@ -47,9 +51,11 @@
         now: Time,
     ) -> Result<Option<Heard>, Nonsense> {
         match ber::read(input, limits.host_message, limits.ber_depth) {
-            Ok(Some(unit)) => {
-                self.session.heard(&unit, &self.bounds, learned, now).map(Some).map_err(Nonsense)
-            }
+            Ok(Some(unit)) => self
+                .session
+                .heard(&unit, &self.bounds, learned, now)
+                .map(Some)
+                .map_err(Nonsense),
             Ok(None) => Ok(None),
             Err(problem) => Err(Nonsense(problem.to_string())),
         }
--- a/bitternsill/src/front/clients.rs
+++ b/bitternsill/src/front/clients.rs
@@ -1,4 +1,5 @@
-//! The table of client connections, whatever they speak: how many there are and which one to close for room.
+//! The table of client connections, whatever they speak: how many there are and which one to close
+//! for room.
 
 use super::{Gatherer, Message};
 use crate::admin::drain::Sweep;
@@ -70,7 +71,9 @@
     }
 
     fn set_rest(&mut self, token: Token, rest: Option<(Rest, Time)>) {
-        let Some(slot) = self.open.get_mut(&token) else { return };
+        let Some(slot) = self.open.get_mut(&token) else {
+            return;
+        };
         if let Some((kind, at)) = std::mem::replace(slot, rest) {
             self.resting.remove(&(kind, at, token));
             self.counts[kind as usize] -= 1;
@@ -78,7 +81,8 @@
         if let Some((kind, _)) = rest {
             self.counts[kind as usize] += 1;
         }
-        self.resting.extend(rest.map(|(kind, at)| (kind, at, token)));
+        self.resting
+            .extend(rest.map(|(kind, at)| (kind, at, token)));
     }
 
     /// How many there are.
@@ -96,13 +100,20 @@
         self.open.keys().copied().collect()
     }
 
-    /// Asks the connections that have been at rest since then to close; those half through a request only where that is
-    /// wanted.
+    /// Asks the connections that have been at rest since then to close; those half through a
+    /// request only where that is wanted.
     pub fn sweep(&self, net: &mut Net<Gatherer>, sweep: Sweep) {
         for &(rest, since, token) in &self.resting {
             let partial = rest == Rest::Partial;
             if since <= sweep.idle_since && (sweep.partial || !partial) {
-                net.post(token, if partial { Message::MakeRoom } else { Message::Retire });
+                net.post(
+                    token,
+                    if partial {
+                        Message::MakeRoom
+                    } else {
+                        Message::Retire
+                    },
+                );
             }
         }
     }
@@ -110,16 +121,21 @@
     /// The connection that has been doing this longest, and since when.
     fn longest(&self, rest: Rest) -> Option<(Time, Token)> {
         let first = self.resting.range((rest, 0, Token::from_bits(0))..).next();
-        first.filter(|entry| entry.0 == rest).map(|&(_, at, token)| (at, token))
+        first
+            .filter(|entry| entry.0 == rest)
+            .map(|&(_, at, token)| (at, token))
     }
 
-    /// Asks some connections to close where too many have asked once and stayed: clients may have only so many
-    /// connections, and these would take them all long before the table is full.
+    /// Asks some connections to close where too many have asked once and stayed: clients may have
+    /// only so many connections, and these would take them all long before the table is full.
     pub fn thin(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) {
         // Two at most, for each that comes.
         for _ in 0..2 {
-            let oldest = self.longest(Rest::Once).filter(|(at, _)| at + limits.partial_grace <= now);
-            let Some((_, token)) = oldest.filter(|_| self.counts[Rest::Once as usize] > limits.once_kept)
+            let oldest = self
+                .longest(Rest::Once)
+                .filter(|(at, _)| at + limits.partial_grace <= now);
+            let Some((_, token)) =
+                oldest.filter(|_| self.counts[Rest::Once as usize] > limits.once_kept)
             else {
                 return;
             };
@@ -128,9 +144,9 @@
         }
     }
 
-    /// Asks a connection to close: of the first kind above the one that has been so longest. One that only just
-    /// came to be so is left alone, as it may say more at once; where there are many of them they will soon make
-    /// room, and spare the kinds below.
+    /// Asks a connection to close: of the first kind above the one that has been so longest. One
+    /// that only just came to be so is left alone, as it may say more at once; where there are many
+    /// of them they will soon make room, and spare the kinds below.
     pub fn make_room(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) -> Room {
         let kinds = [
             (Rest::Silent, limits.silent_grace),
@@ -139,7 +155,9 @@
             (Rest::Idle, 0),
         ];
         for (rest, grace) in kinds {
-            let Some((at, token)) = self.longest(rest) else { continue };
+            let Some((at, token)) = self.longest(rest) else {
+                continue;
+            };
             if at + grace <= now {
                 self.set_rest(token, None);
                 net.post(token, Message::MakeRoom);
@@ -149,6 +167,10 @@
                 return Room::Soon;
             }
         }
-        if self.resting.is_empty() { Room::None } else { Room::Soon }
+        if self.resting.is_empty() {
+            Room::None
+        } else {
+            Room::Soon
+        }
     }
 }
--- a/bitternsill/src/front/hosts.rs
+++ b/bitternsill/src/front/hosts.rs
@@ -1,4 +1,5 @@
-//! The table of index hosts: where they are, what discovery says of them, and the connections to each.
+//! The table of index hosts: where they are, what discovery says of them, and the connections to
+//! each.
 
 use super::{Gatherer, Message};
 use crate::core::ports::{AttemptId, Outgoing};
@@ -15,8 +16,12 @@
 /// Opens connections in the protocol that an index host speaks.
 pub trait Connector {
     /// Begins to connect; the connection object tells the table and the core of its fate.
-    fn connect(&self, host: ServerId, to: SocketAddr, now: Time)
-    -> io::Result<Box<dyn Connection<Gatherer>>>;
+    fn connect(
+        &self,
+        host: ServerId,
+        to: SocketAddr,
+        now: Time,
+    ) -> io::Result<Box<dyn Connection<Gatherer>>>;
 
     /// How much one connection carries at once.
     fn room_of_connection(&self) -> usize;
@@ -26,11 +31,20 @@
         1
     }
 
-    /// Which connection takes the next call, by how much of its room it needs and how much of each is taken: one with
-    /// room, else a new one, else the least busy.
-    fn choose(&self, _host: ServerId, call: usize, taken: &[usize], most: usize, _now: Time) -> Choice {
+    /// Which connection takes the next call, by how much of its room it needs and how much of each
+    /// is taken: one with room, else a new one, else the least busy.
+    fn choose(
+        &self,
+        _host: ServerId,
+        call: usize,
+        taken: &[usize],
+        most: usize,
+        _now: Time,
+    ) -> Choice {
         match taken.iter().enumerate().min_by_key(|(_, n)| **n) {
-            Some((at, n)) if *n == 0 || *n + call <= self.room_of_connection() || taken.len() >= most => {
+            Some((at, n))
+                if *n == 0 || *n + call <= self.room_of_connection() || taken.len() >= most =>
+            {
                 Choice::Use(at)
             }
             _ => Choice::Open,
@@ -109,7 +123,10 @@
 
     /// The whole list, as the module is told it.
     pub fn entries(&self) -> Vec<Entry> {
-        let present = self.hosts.values().filter(|h| h.entry.standing != Standing::Gone);
+        let present = self
+            .hosts
+            .values()
+            .filter(|h| h.entry.standing != Standing::Gone);
         present.map(|h| h.entry.clone()).collect()
     }
 
@@ -120,14 +137,24 @@
 
     /// How many take work.
     pub fn active(&self) -> usize {
-        self.hosts.values().filter(|h| h.entry.standing == Standing::Ready).count()
+        self.hosts
+            .values()
+            .filter(|h| h.entry.standing == Standing::Ready)
+            .count()
     }
 
     /// The hosts that have not left, as the store keeps them.
     pub fn known(&self) -> Json {
         let host = |(uid, id): (&String, &ServerId)| {
-            let host = self.hosts.get(id).filter(|h| h.entry.standing != Standing::Gone)?;
-            let state = if host.entry.standing == Standing::Ready { "active" } else { "leaving" };
+            let host = self
+                .hosts
+                .get(id)
+                .filter(|h| h.entry.standing != Standing::Gone)?;
+            let state = if host.entry.standing == Standing::Ready {
+                "active"
+            } else {
+                "leaving"
+            };
             let endpoint = host.endpoint.map(|e| e.to_string());
             Some(json!({"uid": uid, "endpoint": endpoint, "state": state}))
         };
@@ -136,7 +163,10 @@
 
     /// The hosts that have not left: their names, numbers and starts.
     pub fn listed(&self) -> impl Iterator<Item = (&str, ServerId, Time)> {
-        let present = self.hosts.iter().filter(|(_, h)| h.entry.standing != Standing::Gone);
+        let present = self
+            .hosts
+            .iter()
+            .filter(|(_, h)| h.entry.standing != Standing::Gone);
         present.map(|(id, host)| (&*host.uid, *id, host.entry.born))
     }
 
@@ -170,7 +200,10 @@
             member.entry.out = self.out.contains(&member.uid);
             let new = Host {
                 uid: Arc::from(member.uid.as_str()),
-                entry: Entry { standing: Standing::Gone, ..Entry::default() },
+                entry: Entry {
+                    standing: Standing::Gone,
+                    ..Entry::default()
+                },
                 endpoint: None,
                 leaving_since: None,
                 links: Vec::new(),
@@ -201,8 +234,14 @@
         entries
     }
 
-    /// Has exactly these hosts out by hand, and gives the module's entries of those for which that is news.
-    pub fn hold(&mut self, out: BTreeSet<String>, net: &mut Net<Gatherer>, now: Time) -> Vec<Entry> {
+    /// Has exactly these hosts out by hand, and gives the module's entries of those for which that
+    /// is news.
+    pub fn hold(
+        &mut self,
+        out: BTreeSet<String>,
+        net: &mut Net<Gatherer>,
+        now: Time,
+    ) -> Vec<Entry> {
         self.out = out;
         let mut entries = Vec::new();
         for host in self.hosts.values_mut() {
@@ -228,10 +267,12 @@
         Some(id)
     }
 
-    /// Drops hosts that have left and hold nothing: hosts are replaced under new ids for as long as this runs.
+    /// Drops hosts that have left and hold nothing: hosts are replaced under new ids for as long as
+    /// this runs.
     fn forget_gone(&mut self) {
-        let kept =
-            |h: &Host| h.entry.standing != Standing::Gone || !h.links.is_empty() || !h.attempts.is_empty();
+        let kept = |h: &Host| {
+            h.entry.standing != Standing::Gone || !h.links.is_empty() || !h.attempts.is_empty()
+        };
         self.hosts.retain(|_, host| kept(host));
         self.ids.retain(|_, id| self.hosts.contains_key(id));
     }
@@ -251,7 +292,9 @@
         }
         let room = self.connector.room_of_call(parts.len());
         let most = self.most_links(id, net);
-        let Some(host) = self.hosts.get_mut(&id) else { return Err(parts) };
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return Err(parts);
+        };
         let Some(token) = host.link(id, room, self.connector.as_ref(), most, net, now) else {
             return Err(parts);
         };
@@ -267,24 +310,34 @@
 
     /// Tells the connection that carries an attempt to give it up.
     pub fn give_up(&mut self, id: ServerId, attempt: AttemptId, net: &mut Net<Gatherer>) {
-        if let Some(token) = self.hosts.get_mut(&id).and_then(|h| h.attempts.remove(&attempt)) {
+        if let Some(token) = self
+            .hosts
+            .get_mut(&id)
+            .and_then(|h| h.attempts.remove(&attempt))
+        {
             net.post(token, Message::GiveUp(attempt));
         }
     }
 
     /// Sends a probe; false where no connection can be had.
     pub fn probe(&mut self, id: ServerId, net: &mut Net<Gatherer>, now: Time) -> bool {
-        if self.hosts.get(&id).is_none_or(|host| host.leaving_since.is_some()) {
+        if self
+            .hosts
+            .get(&id)
+            .is_none_or(|host| host.leaving_since.is_some())
+        {
             return false;
         }
         let most = self.most_links(id, net);
-        let Some(host) = self.hosts.get_mut(&id) else { return false };
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return false;
+        };
         let token = host.link(id, 1, self.connector.as_ref(), most, net, now);
         token.map(|token| net.post(token, Message::Probe)).is_some()
     }
 
-    /// How many connections a host may have now. Where all that hosts may have in sum are there, no more than it has; one that
-    /// has none takes the place of one elsewhere that carries nothing.
+    /// How many connections a host may have now. Where all that hosts may have in sum are there, no
+    /// more than it has; one that has none takes the place of one elsewhere that carries nothing.
     fn most_links(&mut self, id: ServerId, net: &mut Net<Gatherer>) -> usize {
         let held: usize = self.hosts.values().map(|host| host.links.len()).sum();
         if held < self.limits.host_links {
@@ -293,7 +346,10 @@
         let own = self.hosts.get(&id).map_or(0, |host| host.links.len());
         let idle = |host: &Host| host.links.iter().position(|link| link.taken == 0);
         if own == 0
-            && let Some((at, host)) = self.hosts.values_mut().find_map(|host| Some((idle(host)?, host)))
+            && let Some((at, host)) = self
+                .hosts
+                .values_mut()
+                .find_map(|host| Some((idle(host)?, host)))
         {
             net.post(host.links.remove(at).token, Message::CloseIdle);
         }
@@ -302,7 +358,9 @@
 
     /// Closes the connections to a host that carry nothing.
     pub fn close_idle(&mut self, id: ServerId, net: &mut Net<Gatherer>) {
-        let Some(host) = self.hosts.get_mut(&id) else { return };
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return;
+        };
         // They are out of the table at once, so that the call that follows opens a new one.
         host.links.retain(|link| {
             let idle = link.taken == 0;
@@ -335,8 +393,8 @@
         }
     }
 
-    /// How long a connection to a host may be mute. Where its connections fall mute one after the other it is the
-    /// host that is silent, and each is given twice the time of the one before.
+    /// How long a connection to a host may be mute. Where its connections fall mute one after the
+    /// other it is the host that is silent, and each is given twice the time of the one before.
     pub fn mute_after(&self, id: ServerId) -> Time {
         self.limits.link_mute << self.hosts.get(&id).map_or(0, |h| h.mute.min(4))
     }
--- a/bitternsill/src/front/http.rs
+++ b/bitternsill/src/front/http.rs
@@ -57,18 +57,29 @@
 impl Head {
     /// The value of a header, if it stands there once; names are compared without case.
     pub fn get(&self, name: &str) -> Option<&str> {
-        let mut all = self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
-        all.next().filter(|_| all.next().is_none()).map(|(_, value)| value.as_str())
+        let mut all = self
+            .headers
+            .iter()
+            .filter(|(n, _)| n.eq_ignore_ascii_case(name));
+        all.next()
+            .filter(|_| all.next().is_none())
+            .map(|(_, value)| value.as_str())
     }
 
     fn has_word(&self, name: &str, word: &str) -> bool {
-        let lines = self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
-        lines.flat_map(|(_, v)| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+        let lines = self
+            .headers
+            .iter()
+            .filter(|(n, _)| n.eq_ignore_ascii_case(name));
+        lines
+            .flat_map(|(_, v)| v.split(','))
+            .any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 
     /// Whether the connection is to be kept after this message.
     pub fn keeps_alive(&self) -> bool {
-        !self.has_word("Connection", "close") && (!self.old || self.has_word("Connection", "keep-alive"))
+        !self.has_word("Connection", "close")
+            && (!self.old || self.has_word("Connection", "keep-alive"))
     }
 
     /// Whether the sender waits to be told to go on before it sends the body.
@@ -130,12 +141,18 @@
 
     /// A reader of responses.
     pub fn responses(head_limit: usize, body_limit: usize) -> Self {
-        Reader { response: true, ..Reader::requests(head_limit, body_limit) }
+        Reader {
+            response: true,
+            ..Reader::requests(head_limit, body_limit)
+        }
     }
 
     /// Takes the message that was read; the next one begins.
     pub fn take(&mut self) -> (Head, Vec<u8>) {
-        let next = Reader { response: self.response, ..Reader::requests(self.head_limit, self.body_limit) };
+        let next = Reader {
+            response: self.response,
+            ..Reader::requests(self.head_limit, self.body_limit)
+        };
         let done = std::mem::replace(self, next);
         (done.head.unwrap_or_default(), done.body)
     }
@@ -163,7 +180,9 @@
             let rest = &input[*at..];
             match self.state {
                 State::Head => {
-                    let Some(length) = self.head_length(rest)? else { return Ok(Progress::More) };
+                    let Some(length) = self.head_length(rest)? else {
+                        return Ok(Progress::More);
+                    };
                     let head = parse_head(&rest[..length], self.response)?;
                     *at += length;
                     self.scanned = 0;
@@ -192,11 +211,21 @@
                     return Ok(Progress::More);
                 }
                 State::ChunkSize => {
-                    let Some(line) = line(rest, 256)? else { return Ok(Progress::More) };
+                    let Some(line) = line(rest, 256)? else {
+                        return Ok(Progress::More);
+                    };
                     *at += line.len() + 2;
-                    let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
+                    let digits = line
+                        .split(|b| *b == b';')
+                        .next()
+                        .unwrap_or_default()
+                        .trim_ascii();
                     let size = hex(digits).ok_or(HttpError::Malformed("chunk size"))?;
-                    self.state = if size == 0 { State::Trailers } else { State::Chunk(size) };
+                    self.state = if size == 0 {
+                        State::Trailers
+                    } else {
+                        State::Chunk(size)
+                    };
                 }
                 State::Chunk(left) => {
                     let n = left.min(rest.len());
@@ -205,7 +234,11 @@
                     }
                     self.add(&rest[..n])?;
                     *at += n;
-                    self.state = if n == left { State::ChunkEnd } else { State::Chunk(left - n) };
+                    self.state = if n == left {
+                        State::ChunkEnd
+                    } else {
+                        State::Chunk(left - n)
+                    };
                 }
                 State::ChunkEnd => match rest {
                     [b'\r', b'\n', ..] => {
@@ -216,7 +249,9 @@
                     _ => return Err(HttpError::Malformed("chunk end")),
                 },
                 State::Trailers => {
-                    let Some(line) = line(rest, self.head_limit)? else { return Ok(Progress::More) };
+                    let Some(line) = line(rest, self.head_limit)? else {
+                        return Ok(Progress::More);
+                    };
                     *at += line.len() + 2;
                     self.spent += line.len() + 2;
                     if self.spent > self.head_limit {
@@ -230,21 +265,34 @@
         }
     }
 
-    /// The head's length with its empty line, once that has come; blank lines before it are skipped with it.
+    /// The head's length with its empty line, once that has come; blank lines before it are skipped
+    /// with it.
     fn head_length(&mut self, rest: &[u8]) -> Result<Option<usize>, HttpError> {
         let from = self.scanned.saturating_sub(3);
-        let lead = rest.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-        let end = rest[from.max(lead).min(rest.len())..].windows(4).position(|w| w == b"\r\n\r\n");
+        let lead = rest
+            .iter()
+            .take_while(|b| matches!(b, b'\r' | b'\n'))
+            .count();
+        let end = rest[from.max(lead).min(rest.len())..]
+            .windows(4)
+            .position(|w| w == b"\r\n\r\n");
         self.scanned = rest.len();
         match end {
-            Some(end) if from.max(lead) + end + 4 <= self.head_limit => Ok(Some(from.max(lead) + end + 4)),
+            Some(end) if from.max(lead) + end + 4 <= self.head_limit => {
+                Ok(Some(from.max(lead) + end + 4))
+            }
             None if rest.len() <= self.head_limit => Ok(None),
             _ => Err(HttpError::HeadTooLarge),
         }
     }
 
     fn framing(&self, head: &Head) -> Result<State, HttpError> {
-        let named = |name: &str| head.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).count();
+        let named = |name: &str| {
+            head.headers
+                .iter()
+                .filter(|(n, _)| n.eq_ignore_ascii_case(name))
+                .count()
+        };
         if self.response && matches!(head.start.1.as_str(), "204" | "304") {
             return Ok(State::Length(0));
         }
@@ -301,7 +349,8 @@
 }
 
 fn parse_head(bytes: &[u8], response: bool) -> Result<Head, HttpError> {
-    let text = std::str::from_utf8(bytes).map_err(|_| HttpError::Malformed("bytes that are no text"))?;
+    let text =
+        std::str::from_utf8(bytes).map_err(|_| HttpError::Malformed("bytes that are no text"))?;
     let mut lines = text.trim_start_matches(['\r', '\n']).split("\r\n");
     let first = lines.next().unwrap_or_default();
     let mut words = first.splitn(3, ' ');
@@ -325,12 +374,19 @@
     let mut headers = Vec::new();
     for line in lines.filter(|line| !line.is_empty()) {
         let (name, value) = line.split_once(':').ok_or(HttpError::Malformed("header"))?;
-        if name.is_empty() || !name.bytes().all(is_token) || value.bytes().any(|b| b < b' ' && b != b'\t') {
+        if name.is_empty()
+            || !name.bytes().all(is_token)
+            || value.bytes().any(|b| b < b' ' && b != b'\t')
+        {
             return Err(HttpError::Malformed("header"));
         }
         headers.push((name.to_owned(), value.trim_matches([' ', '\t']).to_owned()));
     }
-    Ok(Head { start: (a.to_owned(), b.to_owned()), old, headers })
+    Ok(Head {
+        start: (a.to_owned(), b.to_owned()),
+        old,
+        headers,
+    })
 }
 
 fn is_token(byte: u8) -> bool {
@@ -354,7 +410,12 @@
     /// A response of plain text.
     pub fn text(status: u16, body: impl Into<String>) -> Self {
         let body: String = body.into();
-        Response { status, headers: Vec::new(), content_type: "text/plain", body: (body + "\n").into_bytes() }
+        Response {
+            status,
+            headers: Vec::new(),
+            content_type: "text/plain",
+            body: (body + "\n").into_bytes(),
+        }
     }
 
     /// The answer to a path that is not there, or not with that method.
@@ -363,7 +424,9 @@
             return Response::text(404, "no such path");
         }
         let mut response = Response::text(405, "no such method here");
-        response.headers.push(format!("Allow: {}", allowed.join(", ")));
+        response
+            .headers
+            .push(format!("Allow: {}", allowed.join(", ")));
         response
     }
 
@@ -380,7 +443,11 @@
             out.push_str(header);
             out.push_str("\r\n");
         }
-        out.push_str(if close { "Connection: close\r\n\r\n" } else { "\r\n" });
+        out.push_str(if close {
+            "Connection: close\r\n\r\n"
+        } else {
+            "\r\n"
+        });
         let mut out = out.into_bytes();
         if with_body {
             out.extend_from_slice(&self.body);
@@ -413,7 +480,11 @@
 mod tests {
     use super::*;
 
-    fn read_split(bytes: &[u8], at: usize, body_limit: usize) -> Result<Option<(Head, Vec<u8>)>, HttpError> {
+    fn read_split(
+        bytes: &[u8],
+        at: usize,
+        body_limit: usize,
+    ) -> Result<Option<(Head, Vec<u8>)>, HttpError> {
         let mut reader = Reader::requests(1024, body_limit);
         let mut input = Vec::new();
         for piece in [&bytes[..at], &bytes[at..]] {
@@ -431,7 +502,11 @@
             3\r\nabc\r\n0a;x=y\r\n0123456789\r\n0\r\nT: u\r\n\r\n";
         for at in 0..whole.len() {
             let (head, body) = read_split(whole, at, 64).unwrap().expect("a whole message");
-            assert_eq!((head.start.1.as_str(), body.as_slice()), ("/api", &b"abc0123456789"[..]), "{at}");
+            assert_eq!(
+                (head.start.1.as_str(), body.as_slice()),
+                ("/api", &b"abc0123456789"[..]),
+                "{at}"
+            );
         }
     }
 
@@ -439,11 +514,23 @@
     fn what_breaks_the_grammar_or_a_bound_is_named() {
         let cases: [(&str, u16); 9] = [
             ("POST /api HTTP/1.1\r\nContent-Length: 99\r\n\r\n", 413),
-            ("POST /api HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400),
-            ("POST /api HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+            (
+                "POST /api HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+                400,
+            ),
+            (
+                "POST /api HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+                400,
+            ),
             ("POST /api HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", 501),
-            ("POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n50\r\n", 413),
-            ("POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n", 400),
+            (
+                "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n50\r\n",
+                413,
+            ),
+            (
+                "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n",
+                400,
+            ),
             ("POST /api HTTP/2.0\r\n\r\n", 505),
             ("POST\r\n\r\n", 400),
             ("GET / HTTP/1.1\r\nno colon\r\n\r\n", 400),
@@ -451,7 +538,11 @@
         for (text, status) in cases {
             let bytes = [text.as_bytes(), &[b'x'; 90]].concat();
             let result = read_split(&bytes, 10, 64);
-            assert_eq!(result.map(|_| ()).map_err(HttpError::status), Err(status), "{text:?}");
+            assert_eq!(
+                result.map(|_| ()).map_err(HttpError::status),
+                Err(status),
+                "{text:?}"
+            );
         }
         let long = vec![b'a'; 2000];
         assert_eq!(read_split(&long, 1000, 64), Err(HttpError::HeadTooLarge));
