--- a/bitternsill/src/front/listener.rs
+++ b/bitternsill/src/front/listener.rs
@@ -22,12 +22,21 @@
 impl Listener {
     /// A listener whose connections are made by `accept`.
     pub fn new(socket: TcpListener, accept: Accept) -> Self {
-        Listener { socket, accept, retiring: false }
+        Listener {
+            socket,
+            accept,
+            retiring: false,
+        }
     }
 
     fn listen(&mut self, cx: &mut Cx<'_>, on: bool) {
-        // A rest that cannot be set would spin; the timer below takes the loop out of it all the same.
-        let _ = cx.net.rearm(&self.socket, cx.token, if on { Ready::READ } else { Ready::default() });
+        // A rest that cannot be set would spin; the timer below takes the loop out of it all the
+        // same.
+        let _ = cx.net.rearm(
+            &self.socket,
+            cx.token,
+            if on { Ready::READ } else { Ready::default() },
+        );
     }
 
     /// Closes some connections that have been idle longest, and goes on when they are gone.
@@ -42,8 +51,9 @@
         cx.set_timer(cx.now + cx.world.limits.accept_rest);
     }
 
-    /// Takes whoever is in the backlog, however many these are, as the close that follows would reset them; goes on a little
-    /// later where no descriptor is left, as the idle connections that end now give theirs back.
+    /// Takes whoever is in the backlog, however many these are, as the close that follows would
+    /// reset them; goes on a little later where no descriptor is left, as the idle connections that
+    /// end now give theirs back.
     fn accept_all(&mut self, cx: &mut Cx<'_>) {
         loop {
             match self.socket.accept() {
@@ -59,7 +69,10 @@
     }
 
     fn take(&mut self, cx: &mut Cx<'_>, socket: TcpStream) {
-        if let Err(problem) = socket.set_nonblocking(true).and_then(|()| socket.set_nodelay(true)) {
+        if let Err(problem) = socket
+            .set_nonblocking(true)
+            .and_then(|()| socket.set_nodelay(true))
+        {
             tracing::warn!(%problem, "an accepted socket could not be set up");
             return;
         }
@@ -79,7 +92,8 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if is_passing(&e) => {}
                 Err(problem) => {
-                    // Out of descriptors: without a rest the loop would spin on a listener that stays ready.
+                    // Out of descriptors: without a rest the loop would spin on a listener that
+                    // stays ready.
                     tracing::warn!(%problem, "cannot accept");
                     return self.make_room(cx);
                 }
@@ -90,7 +104,10 @@
 
 /// Whether an accept failed for a reason that concerns one connection, or none.
 fn is_passing(problem: &io::Error) -> bool {
-    matches!(problem.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted)
+    matches!(
+        problem.kind(),
+        io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted
+    )
 }
 
 impl Connection<Gatherer> for Listener {
--- a/bitternsill/src/front/mod.rs
+++ b/bitternsill/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The fronts: what speaks with clients, index hosts and discovery on one side and with the core on the other.
+//! The fronts: what speaks with clients, index hosts and discovery on one side and with the core on
+//! the other.
 
 pub mod arrivals;
 pub mod catalogue;
@@ -37,7 +38,8 @@
 /// What connections are told.
 #[derive(Debug)]
 pub enum Message {
-    /// The final answer to the query that this connection waits on, and which of its operations that is for.
+    /// The final answer to the query that this connection waits on, and which of its operations
+    /// that is for.
     Answer(u32, Answer),
     /// Send these parts as one call.
     Call(Vec<Outgoing>),
@@ -65,7 +67,8 @@
     WakeAt(Time),
     /// What came of something that was asked of the store.
     Replied(Reply),
-    /// Keys of the store that this object is to be told of have changed: every committed change of them, in order.
+    /// Keys of the store that this object is to be told of have changed: every committed change of
+    /// them, in order.
     StoreChanged(Vec<Change>),
     /// A connection wants this gatherer's trail: which segment, and from which byte on.
     TrailWanted(Token, u64, u64),
@@ -116,7 +119,9 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Wait::Returning(phase) => return write!(f, "the gatherer returns, and is {phase}"),
-            Wait::Version(Standing::ShutOut) => "the version that it runs is not known to be active",
+            Wait::Version(Standing::ShutOut) => {
+                "the version that it runs is not known to be active"
+            }
             Wait::Version(_) => "an operator has it held back",
             Wait::Ending => "the program has been told to end",
             Wait::SentAway => "clients are sent away by an operator",
@@ -176,11 +181,18 @@
             Some(Wait::Ending)
         } else if self.orders.drain.is_under_way() {
             Some(Wait::SentAway)
-        } else if let Some(state) =
-            self.returning.as_ref().map(Return::state).filter(|state| !state.is_ready())
+        } else if let Some(state) = self
+            .returning
+            .as_ref()
+            .map(Return::state)
+            .filter(|state| !state.is_ready())
         {
             Some(Wait::Returning(state.phase()))
-        } else if let Some(versions) = self.versions.as_ref().filter(|versions| !versions.may_act(now)) {
+        } else if let Some(versions) = self
+            .versions
+            .as_ref()
+            .filter(|versions| !versions.may_act(now))
+        {
             Some(Wait::Version(versions.standing()))
         } else if self.ready_by.is_some_and(|by| by > now) {
             Some(Wait::FirstList)
@@ -226,17 +238,32 @@
         }
     }
 
-    /// How many connections clients may have: both processes of an upgrade stand under one limit of descriptors.
+    /// How many connections clients may have: both processes of an upgrade stand under one limit of
+    /// descriptors.
     pub fn client_places(&self) -> usize {
-        if self.orders.is_followed() { self.limits.clients / 2 } else { self.limits.clients }
+        if self.orders.is_followed() {
+            self.limits.clients / 2
+        } else {
+            self.limits.clients
+        }
     }
 
     /// Takes other settings, or leaves all as it was.
     pub fn reconfigure(&mut self, fresh: Fresh, now: Time) -> Result<(), String> {
-        let Fresh { settings, deployment, limits, connector } = fresh;
-        let fleet =
-            Fleet { classes: deployment.classes.clone(), cells: settings.cells, reach: settings.reach };
-        let taken = self.core.reconfigure(settings, deployment, limits.clone(), now);
+        let Fresh {
+            settings,
+            deployment,
+            limits,
+            connector,
+        } = fresh;
+        let fleet = Fleet {
+            classes: deployment.classes.clone(),
+            cells: settings.cells,
+            reach: settings.reach,
+        };
+        let taken = self
+            .core
+            .reconfigure(settings, deployment, limits.clone(), now);
         taken.map_err(|_| format!("more classes at once than {}", limits.classes))?;
         self.core.list(ListKind::Complete, self.hosts.entries());
         self.hosts.retune(connector, limits.clone());
@@ -249,18 +276,26 @@
 
     /// Has index hosts stand as operators want them now.
     pub fn hold_hosts(&mut self, net: &mut Net<Self>, now: Time) {
-        let entries = self.hosts.hold(self.orders.hand.out().map(str::to_owned).collect(), net, now);
+        let entries = self.hosts.hold(
+            self.orders.hand.out().map(str::to_owned).collect(),
+            net,
+            now,
+        );
         if !entries.is_empty() {
             self.core.list(ListKind::Partial, entries);
         }
     }
 
-    /// Begins the end; what is asked is still served for a while. Where another process serves the address it gets
-    /// every new connection from now on.
+    /// Begins the end; what is asked is still served for a while. Where another process serves the
+    /// address it gets every new connection from now on.
     pub fn leave(&mut self, net: &mut Net<Self>, now: Time) {
         if self.phase == Phase::Serving {
             self.followed = self.orders.withdraw(now);
-            tracing::info!(open = self.core.open_queries(), followed = self.followed, "told to end");
+            tracing::info!(
+                open = self.core.open_queries(),
+                followed = self.followed,
+                "told to end"
+            );
             self.phase = Phase::Leaving(now + self.limits.keep_serving);
             if self.followed {
                 self.close_listeners(net);
@@ -283,7 +318,11 @@
 
     /// Takes a list that discovery has told: the whole of it, or what has changed.
     pub fn take_list(&mut self, whole: bool, members: Vec<Member>, net: &mut Net<Self>, now: Time) {
-        let kind = if whole { ListKind::Complete } else { ListKind::Partial };
+        let kind = if whole {
+            ListKind::Complete
+        } else {
+            ListKind::Partial
+        };
         let entries = self.hosts.update(kind, members, net, now);
         self.core.list(kind, entries);
         self.record_members(net);
@@ -304,7 +343,11 @@
     fn advance(&mut self, net: &mut Net<Self>, now: Time) {
         match self.phase {
             Phase::Leaving(until) if until <= now => {
-                let last = now + self.limits.last_call.saturating_sub(self.limits.keep_serving);
+                let last = now
+                    + self
+                        .limits
+                        .last_call
+                        .saturating_sub(self.limits.keep_serving);
                 self.phase = Phase::Finishing(last);
                 self.close_listeners(net);
                 for token in self.clients.tokens() {
@@ -317,11 +360,17 @@
                     self.core.fail_all(&mut desk);
                 }
                 if self.core.open_queries() == 0 {
-                    self.phase = Phase::Done { until: now + self.limits.linger, last: until };
+                    self.phase = Phase::Done {
+                        until: now + self.limits.linger,
+                        last: until,
+                    };
                 }
             }
-            // Who was accepted at the last moment asks only now, and is owed an answer like all others.
-            Phase::Done { last, .. } if self.core.open_queries() > 0 => self.phase = Phase::Finishing(last),
+            // Who was accepted at the last moment asks only now, and is owed an answer like all
+            // others.
+            Phase::Done { last, .. } if self.core.open_queries() > 0 => {
+                self.phase = Phase::Finishing(last)
+            }
             _ => {}
         }
     }
@@ -339,12 +388,23 @@
         };
         let keeper = self.keeper.as_ref().map(Keeper::due);
         let waits = self.ready_by.filter(|_| self.said == Some(Wait::FirstList));
-        let returning = self.returning.as_ref().and_then(|returning| returning.state().due());
+        let returning = self
+            .returning
+            .as_ref()
+            .and_then(|returning| returning.state().due());
         let noted = self.versions.as_ref().and_then(Versions::due);
-        [self.core.due(), phase, keeper, self.orders.due(), waits, returning, noted]
-            .into_iter()
-            .flatten()
-            .min()
+        [
+            self.core.due(),
+            phase,
+            keeper,
+            self.orders.due(),
+            waits,
+            returning,
+            noted,
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     fn turn(&mut self, net: &mut Net<Self>, now: Time) {
@@ -406,13 +466,23 @@
         directory: Option<Token>,
         now: Time,
     ) -> Self {
-        Desk { hosts, net, directory, now, unsent: Vec::new(), unprobed: Vec::new() }
+        Desk {
+            hosts,
+            net,
+            directory,
+            now,
+            unsent: Vec::new(),
+            unprobed: Vec::new(),
+        }
     }
 }
 
 impl Clients for Desk<'_> {
     fn answer(&mut self, caller: Caller, answer: Answer) {
-        self.net.post(Token::from_bits(caller.connection), Message::Answer(caller.operation, answer));
+        self.net.post(
+            Token::from_bits(caller.connection),
+            Message::Answer(caller.operation, answer),
+        );
     }
 }
 
--- a/bitternsill/src/front/overflow.rs
+++ b/bitternsill/src/front/overflow.rs
@@ -1,9 +1,11 @@
-//! What a client sends behind more than is kept for it while a request of its waits. It is read all the same, as the client's
-//! end stands behind it, and a client that has gone must not have anything sent for it.
+//! What a client sends behind more than is kept for it while a request of its waits. It is read all
+//! the same, as the client's end stands behind it, and a client that has gone must not have
+//! anything sent for it.
 
 use super::http::{HttpError, Progress, Reader};
 
-/// The requests of one connection that were read and not kept. Each is owed a refusal, once those before it are answered.
+/// The requests of one connection that were read and not kept. Each is owed a refusal, once those
+/// before it are answered.
 pub struct Overflow {
     reader: Reader,
     /// The begin of the next request, as far as the reader has not taken it.
@@ -14,7 +16,8 @@
 }
 
 impl Overflow {
-    /// Begins behind the whole requests in `input`, which stay there; what follows them is taken out.
+    /// Begins behind the whole requests in `input`, which stay there; what follows them is taken
+    /// out.
     pub fn begin(input: &mut Vec<u8>, mut reader: Reader) -> Self {
         let (mut rest, mut kept) = (input.clone(), 0);
         let problem = loop {
@@ -28,7 +31,12 @@
             }
         };
         input.truncate(kept);
-        Overflow { reader, input: rest, owed: 0, problem }
+        Overflow {
+            reader,
+            input: rest,
+            owed: 0,
+            problem,
+        }
     }
 
     /// Reads on, and drops what it has read; the bytes are taken out of `input`.
@@ -59,7 +67,8 @@
         self.owed > 0 || self.problem.is_some() || !self.input.is_empty() || !self.reader.is_fresh()
     }
 
-    /// What follows the last of the refusals: the begin of the next request, or what is wrong with it.
+    /// What follows the last of the refusals: the begin of the next request, or what is wrong with
+    /// it.
     pub fn end(self) -> Result<(Reader, Vec<u8>), HttpError> {
         self.problem.map_or(Ok((self.reader, self.input)), Err)
     }
--- a/bitternsill/src/front/platform/client.rs
+++ b/bitternsill/src/front/platform/client.rs
@@ -61,10 +61,15 @@
 ];
 
 impl Route {
-    /// Whether a path is this route's. What may follow it is one segment that is not empty: it names a user or an object.
+    /// Whether a path is this route's. What may follow it is one segment that is not empty: it
+    /// names a user or an object.
     fn fits(&self, path: &str) -> bool {
-        let Some(rest) = path.strip_prefix(self.path) else { return false };
-        let subject = rest.strip_prefix('/').is_some_and(|s| !s.is_empty() && !s.contains('/'));
+        let Some(rest) = path.strip_prefix(self.path) else {
+            return false;
+        };
+        let subject = rest
+            .strip_prefix('/')
+            .is_some_and(|s| !s.is_empty() && !s.contains('/'));
         rest.is_empty() || self.subject && subject
     }
 }
@@ -78,9 +83,18 @@
         let path = target.split('?').next().unwrap_or_default();
         let wanted = if method == "HEAD" { "GET" } else { method };
         let Some(route) = ROUTES.iter().find(|r| r.fits(path) && r.method == wanted) else {
-            let allowed: Vec<&str> = ROUTES.iter().filter(|r| r.fits(path)).map(|r| r.method).collect();
-            let why = if allowed.is_empty() { "no such path" } else { "no such method on this path" };
-            cx.world.turn_away(why, &format!("{method} {target}"), cx.now);
+            let allowed: Vec<&str> = ROUTES
+                .iter()
+                .filter(|r| r.fits(path))
+                .map(|r| r.method)
+                .collect();
+            let why = if allowed.is_empty() {
+                "no such path"
+            } else {
+                "no such method on this path"
+            };
+            cx.world
+                .turn_away(why, &format!("{method} {target}"), cx.now);
             return Handled::Done(Response::no_route(&allowed));
         };
         match route.operation {
@@ -91,8 +105,17 @@
             Operation::Query => {
                 let caller = Caller::only(cx.token.bits());
                 let world = &mut *cx.world;
-                let ask = query::parse(head, body, caller, cx.since, &world.core, cx.now, &world.limits);
-                // Asked with a clock read now: the process may have stood still since this round began.
+                let ask = query::parse(
+                    head,
+                    body,
+                    caller,
+                    cx.since,
+                    &world.core,
+                    cx.now,
+                    &world.limits,
+                );
+                // Asked with a clock read now: the process may have stood still since this round
+                // began.
                 if let (Ok(_), Some(versions)) = (&ask, &world.versions)
                     && !versions.may_act(cx.net.now())
                 {
@@ -111,12 +134,18 @@
                     Ok(Err(Refusal::TableFull { hold_off })) => {
                         Handled::Done(query::respond(&Answer::Refused { hold_off }))
                     }
-                    Ok(Err(Refusal::Busy)) => Handled::Done(Response::text(400, "a query is under way here")),
+                    Ok(Err(Refusal::Busy)) => {
+                        Handled::Done(Response::text(400, "a query is under way here"))
+                    }
                     Ok(Err(Refusal::NameTaken)) => {
                         Handled::Done(Response::text(409, "a query of this id is open"))
                     }
                     Err(problem) => {
-                        cx.world.turn_away(&problem.to_string(), &format!("{method} {target}"), cx.now);
+                        cx.world.turn_away(
+                            &problem.to_string(),
+                            &format!("{method} {target}"),
+                            cx.now,
+                        );
                         Handled::Done(Response::text(400, problem.to_string()))
                     }
                 }
--- a/bitternsill/src/front/platform/discovery.rs
+++ b/bitternsill/src/front/platform/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the snapshot, the watch, and what to do when either is lost.
 //!
-//! The module decides when to ask and how long to wait after a failure; this connection object carries that out,
-//! notices silence, and keeps the last list in force meanwhile.
+//! The module decides when to ask and how long to wait after a failure; this connection object
+//! carries that out, notices silence, and keeps the last list in force meanwhile.
 
 use crate::front::hosts::Member;
 use crate::front::http::{Progress, Reader};
@@ -19,8 +19,11 @@
 pub const MEMBERS: &str = "/catalog/members";
 
 /// The states by their names: the list is read by it, and it is what `describe asyncapi` prints.
-pub const STATES: &[(&str, Standing)] =
-    &[("active", Standing::Ready), ("leaving", Standing::Draining), ("left", Standing::Gone)];
+pub const STATES: &[(&str, Standing)] = &[
+    ("active", Standing::Ready),
+    ("leaving", Standing::Draining),
+    ("left", Standing::Gone),
+];
 
 /// A list that cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -59,26 +62,40 @@
 pub fn read_list(json: &Json, names: &mut Names) -> Result<(u64, bool, Vec<Member>), ListError> {
     let version = json["rev"].as_u64().ok_or(ListError("no `rev`"))?;
     let whole = json["all"].as_bool().unwrap_or(false);
-    let targets = json["targets"].as_array().ok_or(ListError("no `targets`"))?;
+    let targets = json["targets"]
+        .as_array()
+        .ok_or(ListError("no `targets`"))?;
     let mut members = Vec::with_capacity(targets.len());
     for target in targets {
-        let standing = STATES.iter().find(|(name, _)| target["state"] == *name).map(|(_, s)| *s);
+        let standing = STATES
+            .iter()
+            .find(|(name, _)| target["state"] == *name)
+            .map(|(_, s)| *s);
         let standing = standing.ok_or(ListError("unknown `state`"))?;
         let endpoint = target["endpoint"].as_str().and_then(|e| e.parse().ok());
         if standing == Standing::Ready && endpoint.is_none() {
             return Err(ListError("an active target without `endpoint`"));
         }
         members.push(Member {
-            uid: target["uid"].as_str().ok_or(ListError("no `uid`"))?.to_owned(),
+            uid: target["uid"]
+                .as_str()
+                .ok_or(ListError("no `uid`"))?
+                .to_owned(),
             endpoint,
             entry: Entry {
                 server: ServerId(0),
                 zone: place(&mut names.zones, target["az"].as_str().unwrap_or_default()),
-                kind: place(&mut names.kinds, target["model"].as_str().unwrap_or_default()),
+                kind: place(
+                    &mut names.kinds,
+                    target["model"].as_str().unwrap_or_default(),
+                ),
                 cell: target["pod_group"].as_u64().unwrap_or(0) as u32,
                 standing,
                 heft: target["capacity_hint"].as_f64().unwrap_or(1.0),
-                born: target["boot_ms"].as_u64().unwrap_or(0).saturating_mul(1_000_000),
+                born: target["boot_ms"]
+                    .as_u64()
+                    .unwrap_or(0)
+                    .saturating_mul(1_000_000),
                 out: false,
             },
         });
@@ -86,8 +103,8 @@
     Ok((version, whole, members))
 }
 
-/// The JSON objects that stand whole in `text`, and how much of it they and the space around them take. An object may be
-/// indented, and so stand on many lines.
+/// The JSON objects that stand whole in `text`, and how much of it they and the space around them
+/// take. An object may be indented, and so stand on many lines.
 pub fn read_objects(text: &[u8]) -> Result<(Vec<Json>, usize), ListError> {
     let mut objects = serde_json::Deserializer::from_slice(text).into_iter::<Json>();
     let (mut told, mut used) = (Vec::new(), 0);
@@ -127,7 +144,8 @@
     open: Option<Open>,
     /// A call that waits until the one under way has ended.
     next: Option<Call>,
-    /// The object that speaks with the former address, until this one has heard from the present one.
+    /// The object that speaks with the former address, until this one has heard from the present
+    /// one.
     former: Option<Token>,
     /// Discovery has moved: hears its watch out and calls no more.
     retiring: bool,
@@ -145,7 +163,8 @@
 }
 
 impl Discovery {
-    /// Speaks with discovery at this address; `version` is that of the list held from before, if any.
+    /// Speaks with discovery at this address; `version` is that of the list held from before, if
+    /// any.
     pub fn new(to: SocketAddr, names: Names, version: Option<u64>) -> Self {
         Discovery {
             to,
@@ -159,16 +178,21 @@
         }
     }
 
-    /// Discovery listens elsewhere: a new object calls there, and this one keeps its watch until that has
-    /// answered, so that no change is missed in between.
+    /// Discovery listens elsewhere: a new object calls there, and this one keeps its watch until
+    /// that has answered, so that no change is missed in between.
     fn moved(&mut self, cx: &mut Cx<'_>, to: SocketAddr) {
         if to == self.to || self.retiring {
             return;
         }
         tracing::info!(from = %self.to, %to, "discovery has moved");
         let mut next = Discovery::new(to, self.names.clone(), self.version);
-        // Where this one has no watch of its own, the one before it is still the only one that hears of changes.
-        next.former = if self.open.is_some() { Some(cx.token) } else { self.former.take() };
+        // Where this one has no watch of its own, the one before it is still the only one that
+        // hears of changes.
+        next.former = if self.open.is_some() {
+            Some(cx.token)
+        } else {
+            self.former.take()
+        };
         let token = cx.net.open(Box::new(next));
         cx.net.post(token, Message::Watch(true));
         cx.world.directory = Some(token);
@@ -191,7 +215,11 @@
             (Call::Watch, Some(version)) => format!("{MEMBERS}?stream=1&index={version}"),
             (Call::Watch, None) => format!("{MEMBERS}?stream=1"),
         };
-        let close = if call == Call::Snapshot { "Connection: close\r\n" } else { "" };
+        let close = if call == Call::Snapshot {
+            "Connection: close\r\n"
+        } else {
+            ""
+        };
         let request = format!("GET {target} HTTP/1.1\r\nHost: {}\r\n{close}\r\n", self.to);
         let opened = net::connect(self.to).and_then(|mut stream| {
             stream.push(request.as_bytes());
@@ -200,7 +228,8 @@
         });
         match opened {
             Ok(stream) => {
-                let reader = Reader::responses(cx.world.limits.head_bytes, cx.world.limits.watch_line_bytes);
+                let reader =
+                    Reader::responses(cx.world.limits.head_bytes, cx.world.limits.watch_line_bytes);
                 self.open = Some(Open {
                     stream,
                     call,
@@ -212,7 +241,11 @@
                 });
                 let limits = &cx.world.limits;
                 let refused = self.last == Failure::Refused;
-                let patience = if refused { limits.discovery_answer } else { limits.discovery_call };
+                let patience = if refused {
+                    limits.discovery_answer
+                } else {
+                    limits.discovery_call
+                };
                 cx.set_timer(cx.now + patience);
             }
             Err(problem) => {
@@ -252,7 +285,9 @@
 
     /// Takes what the body has brought: the lines of a watch at once, a snapshot when it is whole.
     fn body(&mut self, cx: &mut Cx<'_>, whole: bool) -> Result<(), ListError> {
-        let Some(open) = &mut self.open else { return Ok(()) };
+        let Some(open) = &mut self.open else {
+            return Ok(());
+        };
         if open.call == Call::Snapshot {
             if !whole {
                 return Ok(());
@@ -262,7 +297,9 @@
             return self.take(cx, &json);
         }
         // Up to the last line end: what follows it has come in part.
-        let Some(end) = open.reader.body.iter().rposition(|b| *b == b'\n') else { return Ok(()) };
+        let Some(end) = open.reader.body.iter().rposition(|b| *b == b'\n') else {
+            return Ok(());
+        };
         let (told, used) = read_objects(&open.reader.body[..=end])?;
         if used == 0 {
             return Ok(());
@@ -279,7 +316,9 @@
 
     fn read(&mut self, cx: &mut Cx<'_>) {
         let Some(open) = &mut self.open else { return };
-        let input = open.stream.read(&mut open.input, cx.world.limits.read_burst);
+        let input = open
+            .stream
+            .read(&mut open.input, cx.world.limits.read_burst);
         let progress = open.reader.read(&mut open.input);
         if let Some(head) = &open.reader.head
             && head.start.1 != "200"
@@ -290,15 +329,24 @@
         let whole = match progress {
             Ok(Progress::Whole) => true,
             // A reset is no end: an answer without a length may have been cut off anywhere.
-            Ok(Progress::More) => matches!(input, Ok(Input::Ended)) && open.reader.ends_with_connection(),
+            Ok(Progress::More) => {
+                matches!(input, Ok(Input::Ended)) && open.reader.ends_with_connection()
+            }
             Err(_) => return self.end(cx, Some(Failure::Untold), "not understood"),
         };
         let call = open.call;
-        if call == Call::Watch && open.reader.head.is_some() && !std::mem::replace(&mut open.begun, true) {
+        if call == Call::Watch
+            && open.reader.head.is_some()
+            && !std::mem::replace(&mut open.begun, true)
+        {
             cx.set_timer(cx.now + cx.world.limits.watch_silence);
         }
         // A watch that ends instead of telling has been there all the same.
-        let failure = if open.begun && !open.answered { Failure::Untold } else { Failure::Refused };
+        let failure = if open.begun && !open.answered {
+            Failure::Untold
+        } else {
+            Failure::Refused
+        };
         if let Err(problem) = self.body(cx, whole) {
             tracing::warn!(%problem, "discovery");
             return self.end(cx, Some(Failure::Untold), "not understood");
@@ -324,7 +372,11 @@
                 Attempt::Failed(_) => return self.end(cx, Some(Failure::Refused), "no connection"),
             }
         }
-        if open.stream.flush_and_arm(cx.net, cx.token, Ready::READ).is_err() {
+        if open
+            .stream
+            .flush_and_arm(cx.net, cx.token, Ready::READ)
+            .is_err()
+        {
             return self.end(cx, Some(Failure::Refused), "broken");
         }
         if ready.readable {
@@ -338,12 +390,14 @@
             (Message::Watch(false), Some(Call::Watch)) => self.end(cx, None, "unwatched"),
             (Message::Moved(to), _) => self.moved(cx, to),
             (Message::CloseIdle, _) if self.retiring => cx.close(),
-            // A retry that was due before discovery moved; the present watch must not be called for twice.
+            // A retry that was due before discovery moved; the present watch must not be called for
+            // twice.
             (Message::Watch(true), Some(Call::Watch)) => {}
             (Message::Watch(true), Some(_)) => self.next = Some(Call::Watch),
             (Message::Watch(true), None) => self.begin(cx, Call::Watch),
             (Message::Fetch, None) => self.begin(cx, Call::Snapshot),
-            // A watch brings the whole list where much was missed; one beside a snapshot is asked for after it.
+            // A watch brings the whole list where much was missed; one beside a snapshot is asked
+            // for after it.
             (Message::Fetch, Some(Call::Watch)) => {
                 self.next = Some(Call::Watch);
                 self.open = None;
--- a/bitternsill/src/front/platform/frames.rs
+++ b/bitternsill/src/front/platform/frames.rs
@@ -32,7 +32,8 @@
     Bad,
     /// Turned away; it never ran.
     Later,
-    /// Answered, but not so that anything could be passed on; it has run, and nothing behind it can be read.
+    /// Answered, but not so that anything could be passed on; it has run, and nothing behind it can
+    /// be read.
     Spoilt,
 }
 
@@ -51,7 +52,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FrameError::Length(n) => write!(f, "a frame of {n} bytes"),
-            FrameError::Letter(letter) => write!(f, "a frame with the letter {:?}", char::from(*letter)),
+            FrameError::Letter(letter) => {
+                write!(f, "a frame with the letter {:?}", char::from(*letter))
+            }
             FrameError::Line => f.write_str("a frame whose line is malformed"),
         }
     }
@@ -59,14 +62,19 @@
 
 impl std::error::Error for FrameError {}
 
-/// Reads the next whole frame and takes it out of `input`; any split of the bytes gives the same frames.
+/// Reads the next whole frame and takes it out of `input`; any split of the bytes gives the same
+/// frames.
 pub fn read(input: &mut Vec<u8>, most: usize) -> Result<Option<Frame>, FrameError> {
-    let Some((length, rest)) = input.split_first_chunk::<4>() else { return Ok(None) };
+    let Some((length, rest)) = input.split_first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_le_bytes(*length) as usize;
     if length == 0 || length > most {
         return Err(FrameError::Length(length));
     }
-    let Some(body) = rest.get(..length) else { return Ok(None) };
+    let Some(body) = rest.get(..length) else {
+        return Ok(None);
+    };
     let frame = parse(body)?;
     input.drain(..4 + length);
     Ok(Some(frame))
@@ -76,32 +84,47 @@
     let (letter, rest) = body.split_first().ok_or(FrameError::Length(0))?;
     match letter {
         b'q' => {
-            let end = rest.iter().position(|b| *b == b'\n').ok_or(FrameError::Line)?;
-            let mut words = rest[..end].split(|b| *b == b' ').map(|word| std::str::from_utf8(word).ok());
+            let end = rest
+                .iter()
+                .position(|b| *b == b'\n')
+                .ok_or(FrameError::Line)?;
+            let mut words = rest[..end]
+                .split(|b| *b == b' ')
+                .map(|word| std::str::from_utf8(word).ok());
             // The report, behind the score, may be unreadable: nothing here rests on it.
-            let (Some(Some(name)), end_word, score) = (words.next(), words.next(), words.next()) else {
+            let (Some(Some(name)), end_word, score) = (words.next(), words.next(), words.next())
+            else {
                 return Err(FrameError::Line);
             };
             let score = score.flatten().and_then(Score::parse);
             let end = match (end_word.flatten(), score, value(&rest[end + 1..])) {
-                (Some("good"), Some(score), Some(body)) => End::Good(Value { score, body: body.into() }),
+                (Some("good"), Some(score), Some(body)) => End::Good(Value {
+                    score,
+                    body: body.into(),
+                }),
                 (Some("bad"), ..) => End::Bad,
                 (Some("later"), ..) => End::Later,
                 _ => End::Spoilt,
             };
-            Ok(Frame::Ended { name: name.to_owned(), end })
+            Ok(Frame::Ended {
+                name: name.to_owned(),
+                end,
+            })
         }
-        b'o' if rest == b"good" || rest == b"bad" => Ok(Frame::Probed { good: rest == b"good" }),
+        b'o' if rest == b"good" || rest == b"bad" => Ok(Frame::Probed {
+            good: rest == b"good",
+        }),
         b'r' => Ok(Frame::Unusable(String::from_utf8_lossy(rest).into_owned())),
         other => Err(FrameError::Letter(*other)),
     }
 }
 
-/// A value, if it can be one: a length that does not fit takes in the next frame, whose own length shows as
-/// control characters.
+/// A value, if it can be one: a length that does not fit takes in the next frame, whose own length
+/// shows as control characters.
 fn value(bytes: &[u8]) -> Option<&str> {
     let text = std::str::from_utf8(bytes).ok()?;
-    (!text.is_empty() && !text.chars().any(|c| c.is_control() && !c.is_whitespace())).then_some(text)
+    (!text.is_empty() && !text.chars().any(|c| c.is_control() && !c.is_whitespace()))
+        .then_some(text)
 }
 
 fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
@@ -123,7 +146,10 @@
             list += &format!(",k={key}");
         }
         if let Some(from) = &part.from {
-            list += &format!(",from={from},whole={}", u8::from(part.first_whole == Some(true)));
+            list += &format!(
+                ",from={from},whole={}",
+                u8::from(part.first_whole == Some(true))
+            );
         }
         let line = format!("{} {} {list} {}\n", part.name, part.shard, part.text.len());
         rest.extend_from_slice(line.as_bytes());
@@ -160,7 +186,17 @@
             first_whole: Some(false),
             text: "c41e77d0".into(),
         };
-        let bytes = call(&[part.clone(), Outgoing { from: None, name: "9b1f.3".to_owned(), ..part }], 0);
+        let bytes = call(
+            &[
+                part.clone(),
+                Outgoing {
+                    from: None,
+                    name: "9b1f.3".to_owned(),
+                    ..part
+                },
+            ],
+            0,
+        );
         assert_eq!(bytes[..4], (bytes.len() as u32 - 4).to_le_bytes());
         let text = String::from_utf8_lossy(&bytes[4..]);
         insta::assert_snapshot!(text, @r"
@@ -177,14 +213,27 @@
             let mut input = whole[..at].to_vec();
             assert_eq!(read(&mut input, 100), Ok(None));
             input.extend_from_slice(&whole[at..]);
-            let value = Value { score: Score::Whole(18402777190000000001), body: "va\nlue".into() };
-            let wanted = Frame::Ended { name: "a.3".to_owned(), end: End::Good(value) };
+            let value = Value {
+                score: Score::Whole(18402777190000000001),
+                body: "va\nlue".into(),
+            };
+            let wanted = Frame::Ended {
+                name: "a.3".to_owned(),
+                end: End::Good(value),
+            };
             assert_eq!(read(&mut input, 100), Ok(Some(wanted)));
             assert!(input.is_empty());
         }
         let spoilt = |bytes: &[u8]| {
-            let wanted = Frame::Ended { name: "a.3".to_owned(), end: End::Spoilt };
-            assert_eq!(read(&mut frame(b'q', bytes), 100), Ok(Some(wanted)), "{bytes:?}");
+            let wanted = Frame::Ended {
+                name: "a.3".to_owned(),
+                end: End::Spoilt,
+            };
+            assert_eq!(
+                read(&mut frame(b'q', bytes), 100),
+                Ok(Some(wanted)),
+                "{bytes:?}"
+            );
         };
         spoilt(b"a.3 odd 1 -\n");
         spoilt(b"a.3 good\nvalue");
@@ -192,9 +241,27 @@
         spoilt(b"a.3 good 1 -\nval\xff");
         spoilt(b"a.3 good 1 -\nvalue\x1c\0\0\0qa.4 good 2 -\nvalue");
         let odd_report = read(&mut frame(b'q', b"a.3 good 1 \xff\xfe\nvalue"), 100);
-        assert!(matches!(odd_report, Ok(Some(Frame::Ended { end: End::Good(_), .. }))), "{odd_report:?}");
-        assert_eq!(read(&mut frame(b'q', b"a.3 good 1 -"), 100), Err(FrameError::Line));
-        assert_eq!(read(&mut frame(b'z', b""), 100), Err(FrameError::Letter(b'z')));
-        assert_eq!(read(&mut vec![255, 255, 255, 255], 100), Err(FrameError::Length(u32::MAX as usize)));
+        assert!(
+            matches!(
+                odd_report,
+                Ok(Some(Frame::Ended {
+                    end: End::Good(_),
+                    ..
+                }))
+            ),
+            "{odd_report:?}"
+        );
+        assert_eq!(
+            read(&mut frame(b'q', b"a.3 good 1 -"), 100),
+            Err(FrameError::Line)
+        );
+        assert_eq!(
+            read(&mut frame(b'z', b""), 100),
+            Err(FrameError::Letter(b'z'))
+        );
+        assert_eq!(
+            read(&mut vec![255, 255, 255, 255], 100),
+            Err(FrameError::Length(u32::MAX as usize))
+        );
     }
 }
--- a/bitternsill/src/front/platform/link.rs
+++ b/bitternsill/src/front/platform/link.rs
@@ -97,7 +97,8 @@
         cx.world.hosts.room_freed(self.host, cx.token, 1);
     }
 
-    /// Hands queued calls to the socket, one frame at a time so that no byte of the next is written early.
+    /// Hands queued calls to the socket, one frame at a time so that no byte of the next is written
+    /// early.
     fn write(&mut self, cx: &mut Cx<'_>) {
         loop {
             if let Err(problem) = self.stream.flush() {
@@ -112,9 +113,13 @@
             for part in self.writing.take().unwrap_or_default() {
                 cx.world.core.written(part.id);
             }
-            let Some(parts) = self.queue.pop_front() else { break };
-            // The host no longer drops a repeat that reaches it too late, so that must not be written.
-            let (fresh, late): (Vec<_>, Vec<_>) = parts.into_iter().partition(|p| p.not_after > cx.now);
+            let Some(parts) = self.queue.pop_front() else {
+                break;
+            };
+            // The host no longer drops a repeat that reaches it too late, so that must not be
+            // written.
+            let (fresh, late): (Vec<_>, Vec<_>) =
+                parts.into_iter().partition(|p| p.not_after > cx.now);
             for part in late {
                 self.unsent(cx, &part, Outcome::Skipped);
             }
@@ -126,7 +131,8 @@
             self.mute_since.get_or_insert(cx.now);
             self.writing = Some(fresh);
         }
-        // Only armed here: a flush that finished the frame unseen would leave its parts counted as never run.
+        // Only armed here: a flush that finished the frame unseen would leave its parts counted as
+        // never run.
         let ready = Ready::READ.and_room(self.stream.unwritten() > 0);
         if self.stream.arm(cx.net, cx.token, ready).is_err() {
             cx.close();
@@ -145,7 +151,10 @@
         let mut taken = Vec::with_capacity(parts.len());
         for part in parts {
             // Two attempts of one part on one connection could not be told apart.
-            if self.retiring || waiting >= cx.world.limits.queued_parts || self.out.contains_key(&part.name) {
+            if self.retiring
+                || waiting >= cx.world.limits.queued_parts
+                || self.out.contains_key(&part.name)
+            {
                 self.unsent_new(cx, &part);
                 continue;
             }
@@ -170,7 +179,9 @@
 
     fn give_up(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
         let held = self.out.iter().find(|(_, id)| **id == attempt);
-        let Some(name) = held.map(|(name, _)| name.clone()) else { return };
+        let Some(name) = held.map(|(name, _)| name.clone()) else {
+            return;
+        };
         self.out.remove(&name);
         self.end_part(cx);
         for queued in &mut self.queue {
@@ -200,12 +211,20 @@
         }
     }
 
-    /// Nothing more can be read here: what is out ends with the connection, and may have run. The host lives, so
-    /// a lone part has had its answer, a bad one, and of several each is called off rather than reset: resets
-    /// would speak of a host that died.
+    /// Nothing more can be read here: what is out ends with the connection, and may have run. The
+    /// host lives, so a lone part has had its answer, a bad one, and of several each is called off
+    /// rather than reset: resets would speak of a host that died.
     fn spoilt(&mut self, cx: &mut Cx<'_>, problem: &dyn fmt::Display) {
         self.input.clear();
-        self.cut_off(cx, problem, if self.out.len() == 1 { Outcome::Error } else { Outcome::Cancelled });
+        self.cut_off(
+            cx,
+            problem,
+            if self.out.len() == 1 {
+                Outcome::Error
+            } else {
+                Outcome::Cancelled
+            },
+        );
     }
 
     fn cut_off(&mut self, cx: &mut Cx<'_>, problem: &dyn fmt::Display, outcome: Outcome) {
@@ -220,10 +239,12 @@
     fn frame(&mut self, cx: &mut Cx<'_>, frame: Frame) {
         match frame {
             Frame::Ended { name, end } => {
-                // An id given up here may be out again: only a value can be told to belong to either.
+                // An id given up here may be out again: only a value can be told to belong to
+                // either.
                 let doubled = self.past.get(&name) == Some(&Past::GivenUp);
                 let Some(attempt) = self.out.remove(&name) else {
-                    // A second copy, or late; but an id that was never here is somebody's answer, spoilt.
+                    // A second copy, or late; but an id that was never here is somebody's answer,
+                    // spoilt.
                     if !self.past.contains_key(&name) || end == End::Spoilt {
                         self.spoilt(cx, &"an unknown id");
                     }
@@ -254,7 +275,11 @@
                 }
             }
             Frame::Unusable(words) => {
-                tracing::warn!(host = self.host.0, words, "an index host could not use a frame");
+                tracing::warn!(
+                    host = self.host.0,
+                    words,
+                    "an index host could not use a frame"
+                );
                 cx.close();
             }
         }
@@ -262,7 +287,9 @@
 
     /// Reads what the host has said and acts on each whole frame.
     fn take_in(&mut self, cx: &mut Cx<'_>) -> io::Result<Input> {
-        let end = self.stream.read(&mut self.input, cx.world.limits.read_burst);
+        let end = self
+            .stream
+            .read(&mut self.input, cx.world.limits.read_burst);
         if !self.input.is_empty() {
             (self.mute_since, self.mute) = (Some(cx.now), None);
             cx.world.hosts.set_mute(self.host, false);
@@ -287,7 +314,10 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.out.is_empty() && self.queue.is_empty() && self.writing.is_none() && self.probes.is_empty()
+        self.out.is_empty()
+            && self.queue.is_empty()
+            && self.writing.is_none()
+            && self.probes.is_empty()
     }
 
     /// Sets the timer: to come up in time, or to close before the host does for want of use.
@@ -306,14 +336,18 @@
             cx.set_timer(self.used + cx.world.limits.host_idle);
         } else if let Some(since) = self.mute_since {
             let mute = || since + cx.world.hosts.mute_after(self.host);
-            cx.set_timer(self.mute.map_or_else(mute, |at| at + 2 * cx.world.limits.link_mute));
+            cx.set_timer(
+                self.mute
+                    .map_or_else(mute, |at| at + 2 * cx.world.limits.link_mute),
+            );
         } else {
             cx.clear_timer();
         }
     }
 
-    /// A connection can fall silent while its host lives on, as when a machine on the way forgets it: nothing tells
-    /// so but the silence. New work takes another connection at once; what is out is called off a little later.
+    /// A connection can fall silent while its host lives on, as when a machine on the way forgets
+    /// it: nothing tells so but the silence. New work takes another connection at once; what is out
+    /// is called off a little later.
     fn fall_mute(&mut self, cx: &mut Cx<'_>) {
         tracing::info!(host = self.host.0, out = self.out.len(), "a link is mute");
         self.mute = Some(cx.now);
@@ -375,7 +409,10 @@
             Message::GiveUp(attempt) => self.give_up(cx, attempt),
             Message::Probe => {
                 if self.retiring || self.probes.len() >= cx.world.limits.queued_probes {
-                    return cx.world.core.probed(self.host, Outcome::ConnectFailed, cx.now);
+                    return cx
+                        .world
+                        .core
+                        .probed(self.host, Outcome::ConnectFailed, cx.now);
                 }
                 self.probes.push_back(cx.now);
                 // Bytes pushed while connecting are written as soon as the connection is up.
@@ -410,7 +447,11 @@
             cx.world.core.broken(attempt, cx.now);
         }
         if !self.probes.is_empty() {
-            let outcome = if self.up { Outcome::Reset } else { Outcome::ConnectFailed };
+            let outcome = if self.up {
+                Outcome::Reset
+            } else {
+                Outcome::ConnectFailed
+            };
             cx.world.core.probed(self.host, outcome, cx.now);
         }
     }
--- a/bitternsill/src/front/platform/query.rs
+++ b/bitternsill/src/front/platform/query.rs
@@ -53,19 +53,30 @@
     now: Time,
     limits: &Limits,
 ) -> Result<Ask, QueryError> {
-    // Ids and keys travel on in the frames' lines, where a space, a comma or a line end would mean something.
+    // Ids and keys travel on in the frames' lines, where a space, a comma or a line end would mean
+    // something.
     let plain = |name: &'static str| {
         let fits = |v: &&str| {
             (1..=limits.name_bytes).contains(&v.len())
-                && v.bytes().all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
+                && v.bytes()
+                    .all(|b| b.is_ascii_graphic() && b != b',' && b != b'=')
         };
         head.get(name).filter(fits).ok_or(QueryError::Header(name))
     };
     let name = plain(CALL_ID)?;
-    let class = head.get(CALL_CLASS).and_then(|class| core.class(class, head.get(KEY).is_some(), now));
+    let class = head
+        .get(CALL_CLASS)
+        .and_then(|class| core.class(class, head.get(KEY).is_some(), now));
     let (class, keyed) = class.ok_or(QueryError::Header(CALL_CLASS))?;
-    let budget = head.get(BUDGET).and_then(seconds).ok_or(QueryError::Header(BUDGET))?;
-    let key = if keyed { Some(plain(KEY)?.into()) } else { None };
+    let budget = head
+        .get(BUDGET)
+        .and_then(seconds)
+        .ok_or(QueryError::Header(BUDGET))?;
+    let key = if keyed {
+        Some(plain(KEY)?.into())
+    } else {
+        None
+    };
     let (text, parts) = parse_body(body, core.deployment().shards)?;
     Ok(Ask {
         caller,
@@ -89,14 +100,22 @@
 
 fn parse_body(body: &[u8], shards: u32) -> Result<(String, Vec<(u32, f64)>), QueryError> {
     let json: Json = serde_json::from_slice(body).map_err(|_| QueryError::Body("not JSON"))?;
-    let text = json["predicate"].as_str().ok_or(QueryError::Body("`predicate` is not text"))?;
-    let ranges = json["ranges"].as_array().ok_or(QueryError::Body("`ranges` is not a list"))?;
+    let text = json["predicate"]
+        .as_str()
+        .ok_or(QueryError::Body("`predicate` is not text"))?;
+    let ranges = json["ranges"]
+        .as_array()
+        .ok_or(QueryError::Body("`ranges` is not a list"))?;
     let mut seen = BTreeSet::new();
     let mut parts = Vec::with_capacity(ranges.len());
     for range in ranges {
         let shard = range["range"].as_u64().and_then(|n| u32::try_from(n).ok());
-        let shard = shard.filter(|n| *n < shards).ok_or(QueryError::Body("`range` names no shard"))?;
-        let weight = range["portion"].as_f64().filter(|w| *w > 0.0 && *w <= 1.0 + OFF);
+        let shard = shard
+            .filter(|n| *n < shards)
+            .ok_or(QueryError::Body("`range` names no shard"))?;
+        let weight = range["portion"]
+            .as_f64()
+            .filter(|w| *w > 0.0 && *w <= 1.0 + OFF);
         let weight = weight.ok_or(QueryError::Body("`portion` is no share"))?;
         // Two parts at one shard would have the same id on the wire.
         if !seen.insert(shard) {
@@ -122,13 +141,22 @@
                 .iter()
                 .map(|(shard, value)| serde_json::json!({"range": shard, "blob": &*value.body}))
                 .collect();
-            let body = serde_json::json!({"total": whole, "answers": answers}).to_string().into_bytes();
-            Response { status: 200, headers: Vec::new(), content_type: "application/json", body }
+            let body = serde_json::json!({"total": whole, "answers": answers})
+                .to_string()
+                .into_bytes();
+            Response {
+                status: 200,
+                headers: Vec::new(),
+                content_type: "application/json",
+                body,
+            }
         }
         Answer::Refused { hold_off } => {
             let mut response = Response::text(503, "refused: ask again later");
             if *hold_off > 0 {
-                response.headers.push(format!("Retry-After: {:.3}", *hold_off as f64 / 1e9));
+                response
+                    .headers
+                    .push(format!("Retry-After: {:.3}", *hold_off as f64 / 1e9));
             }
             response
         }
--- a/bitternsill/src/front/server.rs
+++ b/bitternsill/src/front/server.rs
@@ -1,4 +1,5 @@
-//! The server's side of HTTP/1.1, whatever is served on it: one request at a time, one answer to each.
+//! The server's side of HTTP/1.1, whatever is served on it: one request at a time, one answer to
+//! each.
 
 use super::arrivals::Arrivals;
 use super::http::{Head, HttpError, Progress, Reader, Response};
@@ -69,7 +70,8 @@
     arrivals: Arrivals,
     /// What came behind more than is kept while a request waits.
     overflow: Option<Overflow>,
-    /// Since when nothing has been read, as the client does not read its answers and enough of what it sent waits here.
+    /// Since when nothing has been read, as the client does not read its answers and enough of what
+    /// it sent waits here.
     paused: Option<Time>,
     /// The client has sent its last byte, and is still told what had been asked before.
     said_all: bool,
@@ -99,7 +101,8 @@
         })
     }
 
-    /// Reads what is there, and notes when it came: what a pause has kept waiting may have been there since its begin.
+    /// Reads what is there, and notes when it came: what a pause has kept waiting may have been
+    /// there since its begin.
     fn take_in(&mut self, cx: &Cx<'_>) -> io::Result<Input> {
         if let Some(overflow) = &mut self.overflow {
             let mut more = Vec::new();
@@ -108,11 +111,21 @@
             return end;
         }
         let (before, limits) = (self.input.len(), &cx.world.limits);
-        // What waits behind a request has room for one more of any size, and no more than that is kept.
+        // What waits behind a request has room for one more of any size, and no more than that is
+        // kept.
         let waits = matches!(self.state, State::Waiting { .. });
-        let most = if waits { limits.body_bytes.saturating_sub(before) } else { usize::MAX };
-        let end = self.stream.read(&mut self.input, limits.read_burst.min(most));
-        self.arrivals.read(self.input.len() - before, self.paused.take().unwrap_or(cx.since));
+        let most = if waits {
+            limits.body_bytes.saturating_sub(before)
+        } else {
+            usize::MAX
+        };
+        let end = self
+            .stream
+            .read(&mut self.input, limits.read_burst.min(most));
+        self.arrivals.read(
+            self.input.len() - before,
+            self.paused.take().unwrap_or(cx.since),
+        );
         end
     }
 
@@ -127,18 +140,29 @@
         }
     }
 
-    /// Refuses what was not kept, once all before it is answered, and goes on with what follows that; says whether it did.
+    /// Refuses what was not kept, once all before it is answered, and goes on with what follows
+    /// that; says whether it did.
     fn refuse_overflow(&mut self, cx: &mut Cx<'_>) -> bool {
         if !self.input.is_empty() || !self.reader.is_fresh() {
             return false;
         }
-        let Some(mut overflow) = self.overflow.take() else { return false };
+        let Some(mut overflow) = self.overflow.take() else {
+            return false;
+        };
         if overflow.refuse_one() {
             self.overflow = Some(overflow);
-            cx.world.turn_away("too much behind a request that waits", "a request behind others", cx.now);
+            cx.world.turn_away(
+                "too much behind a request that waits",
+                "a request behind others",
+                cx.now,
+            );
             self.respond(
                 cx,
-                &Response { status: 503, content_type: "text/plain", ..Response::default() },
+                &Response {
+                    status: 503,
+                    content_type: "text/plain",
+                    ..Response::default()
+                },
                 true,
                 false,
             );
@@ -169,7 +193,8 @@
                 Ok(Progress::Whole) => {
                     let (head, body) = self.reader.take();
                     self.continued = false;
-                    // Its client has waited since its last byte, however long others were answered before it.
+                    // Its client has waited since its last byte, however long others were answered
+                    // before it.
                     let since = cx.since;
                     cx.since = came.unwrap_or(since);
                     self.request(cx, &head, &body);
@@ -183,7 +208,11 @@
                             cx.set_timer(cx.now + cx.world.limits.request_read);
                         }
                     }
-                    let waits = self.reader.head.as_ref().is_some_and(Head::expects_continue);
+                    let waits = self
+                        .reader
+                        .head
+                        .as_ref()
+                        .is_some_and(Head::expects_continue);
                     if waits && !std::mem::replace(&mut self.continued, true) {
                         self.stream.push(b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
@@ -198,8 +227,17 @@
     }
 
     fn refuse(&mut self, cx: &mut Cx<'_>, problem: HttpError) {
-        cx.world.turn_away(&problem.to_string(), "something that is no HTTP request", cx.now);
-        self.respond(cx, &Response::text(problem.status(), problem.to_string()), false, true);
+        cx.world.turn_away(
+            &problem.to_string(),
+            "something that is no HTTP request",
+            cx.now,
+        );
+        self.respond(
+            cx,
+            &Response::text(problem.status(), problem.to_string()),
+            false,
+            true,
+        );
     }
 
     fn request(&mut self, cx: &mut Cx<'_>, head: &Head, body: &[u8]) {
@@ -207,7 +245,8 @@
         let with_body = head.start.0 != "HEAD";
         self.requests = self.requests.saturating_add(1);
         match self.service.request(cx, head, body) {
-            // What follows a request that makes no sense may make none either: its length may have been wrong.
+            // What follows a request that makes no sense may make none either: its length may have
+            // been wrong.
             Handled::Done(response) => {
                 let keep = keep && !(400..500).contains(&response.status);
                 self.respond(cx, &response, keep, with_body);
@@ -221,8 +260,10 @@
     }
 
     fn respond(&mut self, cx: &mut Cx<'_>, response: &Response, keep: bool, with_body: bool) {
-        // What came behind a request was taken with it: the last of the answers closes the connection.
-        let keep = keep && self.service.keeps() && (!cx.world.is_leaving(cx.now) || self.has_more(cx));
+        // What came behind a request was taken with it: the last of the answers closes the
+        // connection.
+        let keep =
+            keep && self.service.keeps() && (!cx.world.is_leaving(cx.now) || self.has_more(cx));
         self.stream.push(&response.encode(!keep, with_body));
         if keep {
             self.state = State::Reading;
@@ -238,9 +279,9 @@
         !self.input.is_empty() || self.overflow.as_ref().is_some_and(Overflow::holds_any)
     }
 
-    /// The one way in which this side ends a connection: what is to be said is written, then the output is ended, and what
-    /// still comes is read and dropped for a while, as a close over unread bytes would take the answers with it. Nothing
-    /// that is read from here on is acted on.
+    /// The one way in which this side ends a connection: what is to be said is written, then the
+    /// output is ended, and what still comes is read and dropped for a while, as a close over
+    /// unread bytes would take the answers with it. Nothing that is read from here on is acted on.
     fn end_with(&mut self, cx: &mut Cx<'_>, patience: Time) {
         cx.world.clients.set_busy(cx.token);
         self.state = State::Ending;
@@ -248,8 +289,9 @@
         cx.set_timer(cx.now + patience);
     }
 
-    /// The client has closed its connection, and so has gone: nothing more is done for it. What was answered before, or could
-    /// be at once, is still written, as it may have ended its output alone.
+    /// The client has closed its connection, and so has gone: nothing more is done for it. What was
+    /// answered before, or could be at once, is still written, as it may have ended its output
+    /// alone.
     fn client_ended(&mut self, cx: &mut Cx<'_>) {
         self.read_requests(cx);
         if matches!(self.state, State::Waiting { .. }) || self.stream.flush().is_err() {
@@ -265,8 +307,17 @@
 
     fn too_slow(&mut self, cx: &mut Cx<'_>) {
         // Where clients are sent away another gatherer may still take it.
-        let status = if cx.world.orders.drain.is_under_way() { 503 } else { 408 };
-        self.respond(cx, &Response::text(status, "the request did not come in time"), false, true);
+        let status = if cx.world.orders.drain.is_under_way() {
+            503
+        } else {
+            408
+        };
+        self.respond(
+            cx,
+            &Response::text(status, "the request did not come in time"),
+            false,
+            true,
+        );
         self.flush(cx);
     }
 
@@ -275,14 +326,19 @@
         cx.world.clients.set_idle(cx.token, cx.now, self.requests);
         cx.world.clients.thin(cx.net, cx.now, &cx.world.limits);
         // Clients that ask once and stay would in time hold every place that clients may have.
-        let idle = if self.requests > 1 { cx.world.limits.client_idle } else { cx.world.limits.once_idle };
+        let idle = if self.requests > 1 {
+            cx.world.limits.client_idle
+        } else {
+            cx.world.limits.once_idle
+        };
         cx.set_timer(cx.now + idle);
     }
 
     /// Writes what is there and sets what the socket is watched for.
     fn flush(&mut self, cx: &mut Cx<'_>) {
         self.keep_little(cx);
-        // What a client sends that reads no answers waits in the socket, so that it cannot pile up here.
+        // What a client sends that reads no answers waits in the socket, so that it cannot pile up
+        // here.
         let stalled = self.stream.unwritten() >= cx.world.limits.output;
         let reading = matches!(self.state, State::Reading);
         let paused = stalled && reading && self.input.len() >= cx.world.limits.head_bytes;
@@ -310,8 +366,8 @@
 }
 
 impl HttpConnection {
-    /// Ends a connection between two requests, or half through one where its place is wanted. What is here already is served:
-    /// closing on it would lose it.
+    /// Ends a connection between two requests, or half through one where its place is wanted. What
+    /// is here already is served: closing on it would lose it.
     fn leave_idle(&mut self, cx: &mut Cx<'_>, for_room: bool) {
         match self.take_in(cx) {
             Ok(Input::Open) => self.read_requests(cx),
@@ -330,7 +386,8 @@
         self.flush(cx);
     }
 
-    /// After the last answer: what still comes is dropped, so that a reset does not take the answer with it.
+    /// After the last answer: what still comes is dropped, so that a reset does not take the answer
+    /// with it.
     fn drain(&mut self, cx: &mut Cx<'_>, ready: Ready) {
         self.input = Vec::new();
         if ready.readable {
@@ -376,7 +433,8 @@
             }
         }
         self.flush(cx);
-        if ready.writable && (!self.input.is_empty() || self.overflow.is_some()) && !cx.is_closing() {
+        if ready.writable && (!self.input.is_empty() || self.overflow.is_some()) && !cx.is_closing()
+        {
             // What waited for the client to read.
             self.read_requests(cx);
             self.flush(cx);
--- a/bitternsill/src/front/signals.rs
+++ b/bitternsill/src/front/signals.rs
@@ -1,4 +1,5 @@
-//! Signals as descriptors of the loop: SIGTERM and SIGINT end the program, SIGHUP has it read its file again.
+//! Signals as descriptors of the loop: SIGTERM and SIGINT end the program, SIGHUP has it read its
+//! file again.
 
 use super::hosts::Connector;
 use super::platform::discovery::{Names, read_list};
@@ -68,7 +69,8 @@
     fn timer(&mut self, _cx: &mut Cx<'_>) {}
 }
 
-/// What the file that the program was started with says now, as far as it takes effect without a restart.
+/// What the file that the program was started with says now, as far as it takes effect without a
+/// restart.
 pub struct Reread {
     /// Where discovery listens.
     pub discovery: Option<SocketAddr>,
@@ -103,11 +105,19 @@
 impl Reload {
     /// Installs the handler.
     pub fn install(read: ReadAgain, names: Names) -> io::Result<Self> {
-        Ok(Reload { signals: Signals::install(&[SIGHUP])?, read, names })
+        Ok(Reload {
+            signals: Signals::install(&[SIGHUP])?,
+            read,
+            names,
+        })
     }
 
     fn reload(&mut self, cx: &mut Cx<'_>) -> Result<(), Box<dyn Error>> {
-        let Reread { discovery, members, settings } = (self.read)()?;
+        let Reread {
+            discovery,
+            members,
+            settings,
+        } = (self.read)()?;
         let mut names = self.names.clone();
         let members = match (discovery, cx.world.directory) {
             (Some(_), Some(_)) => Vec::new(),
@@ -117,8 +127,16 @@
         // All that could fail has been read by now: the file is taken whole, or not at all.
         match settings {
             // What the store has made active goes before the file of one gatherer.
-            Some(_) if cx.world.versions.as_ref().is_some_and(|versions| versions.runs() != 0) => {
-                tracing::warn!("the file's settings are not taken: the store's version is in force");
+            Some(_)
+                if cx
+                    .world
+                    .versions
+                    .as_ref()
+                    .is_some_and(|versions| versions.runs() != 0) =>
+            {
+                tracing::warn!(
+                    "the file's settings are not taken: the store's version is in force"
+                );
             }
             Some(fresh) => cx.world.reconfigure(fresh, cx.now)?,
             None => {}
@@ -127,7 +145,10 @@
         match (discovery, cx.world.directory) {
             (Some(to), Some(directory)) => cx.net.post(directory, Message::Moved(to)),
             _ => {
-                let entries = cx.world.hosts.update(ListKind::Complete, members, cx.net, cx.now);
+                let entries = cx
+                    .world
+                    .hosts
+                    .update(ListKind::Complete, members, cx.net, cx.now);
                 cx.world.core.list(ListKind::Complete, entries);
                 cx.world.record_members(cx.net);
             }
--- a/bitternsill/src/front/turned.rs
+++ b/bitternsill/src/front/turned.rs
@@ -1,7 +1,8 @@
-//! What is turned away before it becomes a query, counted by reason and told in the log without flooding it.
+//! What is turned away before it becomes a query, counted by reason and told in the log without
+//! flooding it.
 //!
-//! A gatherer that is spoken to in a way it does not understand serves nobody and looks idle. Whoever starts it on a new
-//! deployment has to see that from the log and from `ready`.
+//! A gatherer that is spoken to in a way it does not understand serves nobody and looks idle.
+//! Whoever starts it on a new deployment has to see that from the log and from `ready`.
 
 use crate::limits::Limits;
 use bramblestair::interface::Time;
@@ -28,8 +29,8 @@
     pub example: String,
 }
 
-/// Every reason seen, up to a bound; what comes past that is counted as one more reason. In memory only: after a restart
-/// the counts begin at 0.
+/// Every reason seen, up to a bound; what comes past that is counted as one more reason. In memory
+/// only: after a restart the counts begin at 0.
 #[derive(Debug, Default)]
 pub struct Turned {
     kinds: BTreeMap<String, Kind>,
@@ -39,13 +40,21 @@
 const OTHERS: &str = "other reasons";
 
 impl Turned {
-    /// Notes a request; gives what the log is to say, at once for a new reason and seldom after that.
+    /// Notes a request; gives what the log is to say, at once for a new reason and seldom after
+    /// that.
     pub fn note(&mut self, why: &str, asked: &str, now: Time, limits: &Limits) -> Option<Report> {
         let known = self.kinds.contains_key(why) || self.kinds.len() < limits.turned_reasons;
         let why = if known { why } else { OTHERS };
-        let example: String =
-            asked.chars().take(limits.turned_example).flat_map(char::escape_default).collect();
-        let new = || Kind { count: 0, told: (0, 0), example: String::new() };
+        let example: String = asked
+            .chars()
+            .take(limits.turned_example)
+            .flat_map(char::escape_default)
+            .collect();
+        let new = || Kind {
+            count: 0,
+            told: (0, 0),
+            example: String::new(),
+        };
         let kind = self.kinds.entry(why.to_owned()).or_insert_with(new);
         kind.count += 1;
         kind.example = example;
@@ -54,7 +63,11 @@
         }
         let new = kind.count - kind.told.0;
         kind.told = (kind.count, now);
-        Some(Report { why: why.to_owned(), new, example: kind.example.clone() })
+        Some(Report {
+            why: why.to_owned(),
+            new,
+            example: kind.example.clone(),
+        })
     }
 }
 
@@ -64,7 +77,11 @@
         let mut kinds: Vec<_> = self.kinds.iter().collect();
         kinds.sort_by_key(|(_, kind)| std::cmp::Reverse(kind.count));
         for (why, kind) in kinds {
-            write!(f, "\nturned away: {} ({why}), the latest asked for {}", kind.count, kind.example)?;
+            write!(
+                f,
+                "\nturned away: {} ({why}), the latest asked for {}",
+                kind.count, kind.example
+            )?;
         }
         Ok(())
     }
@@ -76,9 +93,18 @@
 
     #[test]
     fn each_reason_is_told_at_once_then_seldom_with_its_count_and_reasons_are_bounded() {
-        let limits = Limits { turned_reasons: 2, turned_repeat: 100, turned_example: 4, ..Limits::default() };
+        let limits = Limits {
+            turned_reasons: 2,
+            turned_repeat: 100,
+            turned_example: 4,
+            ..Limits::default()
+        };
         let mut turned = Turned::default();
-        let mut note = |why: &str, now| turned.note(why, "GET\n/long", now, &limits).map(|r| (r.why, r.new));
+        let mut note = |why: &str, now| {
+            turned
+                .note(why, "GET\n/long", now, &limits)
+                .map(|r| (r.why, r.new))
+        };
         assert_eq!(note("no path", 1), Some(("no path".to_owned(), 1)));
         assert_eq!([note("no path", 50), note("no path", 100)], [None, None]);
         assert_eq!(note("no path", 101), Some(("no path".to_owned(), 3)));
--- a/bitternsill/src/learned/cli.rs
+++ b/bitternsill/src/learned/cli.rs
@@ -75,7 +75,9 @@
 }
 
 fn now() -> Wall {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as Wall)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |t| t.as_millis() as Wall)
 }
 
 fn class_json(class: &ClassMemory) -> Json {
@@ -95,7 +97,11 @@
 
 fn host_line(uid: &str, host: &HostMemory) -> String {
     let slowness: Vec<String> = host.slowness.iter().map(|s| format!("{s:.2}")).collect();
-    let limit = if host.limit < 1e6 { format!("{:.1}", host.limit) } else { "-".to_owned() };
+    let limit = if host.limit < 1e6 {
+        format!("{:.1}", host.limit)
+    } else {
+        "-".to_owned()
+    };
     format!(
         "{uid}  slowness {}  limit {limit}  errors {:.2}  answers {:.1}",
         slowness.join(" "),
@@ -106,7 +112,11 @@
 
 fn show(picture: &Picture, version: u16, format: Format) -> String {
     if format == Format::Json {
-        let hosts: Vec<Json> = picture.hosts.iter().map(|(uid, host)| host_json(uid, host)).collect();
+        let hosts: Vec<Json> = picture
+            .hosts
+            .iter()
+            .map(|(uid, host)| host_json(uid, host))
+            .collect();
         let all = json!({
             "version": version, "taken_ms": picture.taken,
             "fleet": {"classes": picture.fleet.classes, "cells": picture.fleet.cells, "reach": picture.fleet.reach},
@@ -116,7 +126,9 @@
     }
     let age = now()
         .checked_sub(picture.taken)
-        .map_or("from the future".to_owned(), |ms| format!("{} s old", ms / 1000));
+        .map_or("from the future".to_owned(), |ms| {
+            format!("{} s old", ms / 1000)
+        });
     let mut lines = vec![format!(
         "version {version}, {age}, {} classes, {} hosts, {} cells with each shard on {}",
         picture.classes.len(),
@@ -139,18 +151,44 @@
 
 fn aged(picture: &Picture, at: Wall, format: Format) -> Result<String, String> {
     // Held against its own list: what a gatherer would take whose hosts are all still there.
-    let listed: BTreeMap<String, Wall> =
-        picture.hosts.iter().map(|(uid, h)| (uid.to_string(), h.born)).collect();
-    let fresh: Vec<ClassMemory> =
-        picture.classes.iter().map(|c| ClassMemory { weight: 0.0, ..c.clone() }).collect();
-    let aged = age::age(picture, &picture.fleet, &fresh, &listed, at, &Rules::default())
-        .map_err(|e| e.to_string())?;
+    let listed: BTreeMap<String, Wall> = picture
+        .hosts
+        .iter()
+        .map(|(uid, h)| (uid.to_string(), h.born))
+        .collect();
+    let fresh: Vec<ClassMemory> = picture
+        .classes
+        .iter()
+        .map(|c| ClassMemory {
+            weight: 0.0,
+            ..c.clone()
+        })
+        .collect();
+    let aged = age::age(
+        picture,
+        &picture.fleet,
+        &fresh,
+        &listed,
+        at,
+        &Rules::default(),
+    )
+    .map_err(|e| e.to_string())?;
     if format == Format::Json {
-        let hosts: Vec<Json> = aged.hosts.iter().map(|(uid, host)| host_json(uid, host)).collect();
-        let dropped: Vec<Json> =
-            aged.dropped.iter().map(|(uid, why)| json!({"host": uid, "why": why})).collect();
-        let classes: Vec<Json> =
-            aged.classes.iter().map(|c| json!({"class": c.name, "answers": c.weight})).collect();
+        let hosts: Vec<Json> = aged
+            .hosts
+            .iter()
+            .map(|(uid, host)| host_json(uid, host))
+            .collect();
+        let dropped: Vec<Json> = aged
+            .dropped
+            .iter()
+            .map(|(uid, why)| json!({"host": uid, "why": why}))
+            .collect();
+        let classes: Vec<Json> = aged
+            .classes
+            .iter()
+            .map(|c| json!({"class": c.name, "answers": c.weight}))
+            .collect();
         return Ok(format!(
             "{:#}",
             json!({"age_ms": aged.age, "classes": classes, "hosts": hosts, "dropped": dropped})
@@ -162,9 +200,17 @@
         aged.hosts.len(),
         aged.dropped.len()
     )];
-    lines.extend(aged.classes.iter().map(|c| format!("{}  counts as {:.1} answers", c.name, c.weight)));
+    lines.extend(
+        aged.classes
+            .iter()
+            .map(|c| format!("{}  counts as {:.1} answers", c.name, c.weight)),
+    );
     lines.extend(aged.hosts.iter().map(|(uid, host)| host_line(uid, host)));
-    lines.extend(aged.dropped.iter().map(|(uid, why)| format!("{uid}  dropped: {why}")));
+    lines.extend(
+        aged.dropped
+            .iter()
+            .map(|(uid, why)| format!("{uid}  dropped: {why}")),
+    );
     Ok(lines.join("\n"))
 }
 
@@ -185,25 +231,39 @@
             Some(_) => {}
         }
     }
-    let new = other.hosts.keys().filter(|uid| !one.hosts.contains_key(*uid));
+    let new = other
+        .hosts
+        .keys()
+        .filter(|uid| !one.hosts.contains_key(*uid));
     entries.extend(new.map(|uid| (format!("host {uid}"), "only in the second")));
     let text = match format {
         Format::Json => {
-            let list: Vec<Json> =
-                entries.iter().map(|(what, how)| json!({"what": what, "how": how})).collect();
-            format!("{:#}", json!({"same": list.is_empty(), "differences": list}))
+            let list: Vec<Json> = entries
+                .iter()
+                .map(|(what, how)| json!({"what": what, "how": how}))
+                .collect();
+            format!(
+                "{:#}",
+                json!({"same": list.is_empty(), "differences": list})
+            )
         }
         Format::Text if entries.is_empty() => "no difference".to_owned(),
-        Format::Text => {
-            entries.iter().map(|(what, how)| format!("{what}: {how}")).collect::<Vec<_>>().join("\n")
-        }
+        Format::Text => entries
+            .iter()
+            .map(|(what, how)| format!("{what}: {how}"))
+            .collect::<Vec<_>>()
+            .join("\n"),
     };
     (entries.is_empty(), text)
 }
 
 fn convert(file: &Path, to: &Path, version: u16) -> Result<String, String> {
     let (picture, from) = load(file)?;
-    let bytes = if version == 1 { file::encode_v1(&picture) } else { file::encode(&picture) };
+    let bytes = if version == 1 {
+        file::encode_v1(&picture)
+    } else {
+        file::encode(&picture)
+    };
     let bytes = bytes.map_err(|problem| problem.to_string())?;
     let mut out = std::fs::OpenOptions::new()
         .write(true)
@@ -213,7 +273,11 @@
     out.write_all(&bytes)
         .and_then(|()| out.sync_all())
         .map_err(|problem| format!("{}: {problem}", to.display()))?;
-    Ok(format!("{}: version {from} written as {version}, {} bytes", to.display(), bytes.len()))
+    Ok(format!(
+        "{}: version {from} written as {version}, {} bytes",
+        to.display(),
+        bytes.len()
+    ))
 }
 
 /// Carries a call out; the text, and whether it is good news.
@@ -224,15 +288,34 @@
         }
         Learned::Verify { file } => {
             let (picture, version) = load(&file)?;
-            Ok((true, format!("{}: sound, version {version}, {} hosts", file.display(), picture.hosts.len())))
+            Ok((
+                true,
+                format!(
+                    "{}: sound, version {version}, {} hosts",
+                    file.display(),
+                    picture.hosts.len()
+                ),
+            ))
+        }
+        Learned::Convert { file, to, version } => {
+            convert(&file, &to, version).map(|text| (true, text))
         }
-        Learned::Convert { file, to, version } => convert(&file, &to, version).map(|text| (true, text)),
-        Learned::Age { file, after, format } => {
+        Learned::Age {
+            file,
+            after,
+            format,
+        } => {
             let (picture, _) = load(&file)?;
-            let at = after.map_or_else(now, |s| picture.taken.saturating_add(s.saturating_mul(1000)));
+            let at = after.map_or_else(now, |s| {
+                picture.taken.saturating_add(s.saturating_mul(1000))
+            });
             aged(&picture, at, format).map(|text| (true, text))
         }
-        Learned::Diff { file, other, format } => {
+        Learned::Diff {
+            file,
+            other,
+            format,
+        } => {
             let ((one, _), (other, _)) = (load(&file)?, load(&other)?);
             Ok(diff(&one, &other, format))
         }
--- a/bitternsill/src/learned/folder.rs
+++ b/bitternsill/src/learned/folder.rs
@@ -1,4 +1,5 @@
-//! The folder: generations of pictures, each written beside, synced and renamed; and a lock on all of it.
+//! The folder: generations of pictures, each written beside, synced and renamed; and a lock on all
+//! of it.
 
 use learning::file::{self, HEADER, LONGEST};
 use learning::picture::Picture;
@@ -86,10 +87,15 @@
     open.read_exact(&mut bytes).map_err(|e| e.to_string())?;
     let wanted = file::length(&bytes).map_err(|e| e.to_string())?;
     if wanted != found.len() {
-        let error = file::FileError::Length { wanted, found: found.len() };
+        let error = file::FileError::Length {
+            wanted,
+            found: found.len(),
+        };
         return Err(error.to_string());
     }
-    open.take(LONGEST as u64).read_to_end(&mut bytes).map_err(|e| e.to_string())?;
+    open.take(LONGEST as u64)
+        .read_to_end(&mut bytes)
+        .map_err(|e| e.to_string())?;
     file::decode(&bytes).map_err(|e| e.to_string())
 }
 
@@ -97,7 +103,9 @@
     /// Opens and locks a folder.
     pub fn open(path: &Path) -> Result<Folder, FolderError> {
         match fs::metadata(path) {
-            Err(problem) if problem.kind() == io::ErrorKind::NotFound => return Err(FolderError::Missing),
+            Err(problem) if problem.kind() == io::ErrorKind::NotFound => {
+                return Err(FolderError::Missing);
+            }
             Ok(found) if !found.is_dir() => return Err(FolderError::NotAFolder),
             _ => {}
         }
@@ -108,7 +116,10 @@
             .open(path.join(LOCK))
             .map_err(FolderError::Lock)?;
         match flock(&lock, FlockOperation::NonBlockingLockExclusive) {
-            Ok(()) => Ok(Folder { path: path.to_owned(), _lock: lock }),
+            Ok(()) => Ok(Folder {
+                path: path.to_owned(),
+                _lock: lock,
+            }),
             Err(rustix::io::Errno::WOULDBLOCK) => Err(FolderError::Locked),
             Err(problem) => Err(FolderError::Lock(problem.into())),
         }
@@ -145,10 +156,13 @@
         found
     }
 
-    /// Writes a file as the next generation. `before` is told of each step before it is carried out, and of a write
-    /// in its middle too.
+    /// Writes a file as the next generation. `before` is told of each step before it is carried
+    /// out, and of a write in its middle too.
     pub fn write(&self, bytes: &[u8], mut before: impl FnMut(&Step)) -> Result<u64, WriteError> {
-        let fail = |step: &Step, problem: io::Error| WriteError { step: step.clone(), problem };
+        let fail = |step: &Step, problem: io::Error| WriteError {
+            step: step.clone(),
+            problem,
+        };
         let present = self.generations().map_err(|p| fail(&Step::Create, p))?;
         let (generation, steps) = steps::plan(&present);
         let beside = self.path.join(BESIDE);
@@ -165,7 +179,8 @@
                     .map(|open| file = Some(open)),
                 Step::Write => {
                     let (first, rest) = bytes.split_at(bytes.len() / 2);
-                    let mut write = |part: &[u8]| file.as_mut().map_or(Ok(()), |f| f.write_all(part));
+                    let mut write =
+                        |part: &[u8]| file.as_mut().map_or(Ok(()), |f| f.write_all(part));
                     write(first).and_then(|()| {
                         before(step);
                         write(rest)
--- a/bitternsill/src/learned/mod.rs
+++ b/bitternsill/src/learned/mod.rs
@@ -1,4 +1,5 @@
-//! What is learned, kept in a folder across restarts: off the request path, and off unless an operator's file names one.
+//! What is learned, kept in a folder across restarts: off the request path, and off unless an
+//! operator's file names one.
 
 pub mod cli;
 pub mod folder;
@@ -40,7 +41,9 @@
     fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         match serde_json::Value::deserialize(from)?.as_u64() {
             Some(ms) if (100..=3_600_000).contains(&ms) => Ok(Period(ms)),
-            _ => Err(serde::de::Error::custom("a whole number from 100 to 3600000 is allowed")),
+            _ => Err(serde::de::Error::custom(
+                "a whole number from 100 to 3600000 is allowed",
+            )),
         }
     }
 }
@@ -67,8 +70,8 @@
 const COLLECT: Time = 20 * MS;
 
 impl Keeper {
-    /// Opens the folder, loads what is in it and starts the writer. A folder that cannot be used is told and done
-    /// without: serving comes first.
+    /// Opens the folder, loads what is in it and starts the writer. A folder that cannot be used is
+    /// told and done without: serving comes first.
     pub fn open(setup: &LearningSetup, fleet: Fleet, now: Time) -> Option<Keeper> {
         let folder = match Folder::open(&setup.folder) {
             Ok(folder) => folder,
@@ -79,7 +82,11 @@
         };
         let found = folder.load();
         for (generation, problem) in &found.unsound {
-            tracing::warn!(generation, problem, "a generation of what was learned is passed over");
+            tracing::warn!(
+                generation,
+                problem,
+                "a generation of what was learned is passed over"
+            );
         }
         match &found.picture {
             Some((picture, version, generation)) => tracing::info!(
@@ -117,8 +124,10 @@
         self.picture.hosts = hosts
             .into_iter()
             .map(|(uid, mut host)| {
-                let slow =
-                    |at: &Option<usize>| at.and_then(|at| host.slowness.get(at).copied()).unwrap_or(1.0);
+                let slow = |at: &Option<usize>| {
+                    at.and_then(|at| host.slowness.get(at).copied())
+                        .unwrap_or(1.0)
+                };
                 host.slowness = places.iter().map(slow).collect();
                 (uid, host)
             })
@@ -130,11 +139,22 @@
         if self.loaded.is_none() || !hosts.any_active() {
             return;
         }
-        let Some(loaded) = self.loaded.take() else { return };
-        let listed: BTreeMap<String, Wall> =
-            hosts.listed().map(|(uid, _, born)| (uid.to_owned(), wall(born))).collect();
+        let Some(loaded) = self.loaded.take() else {
+            return;
+        };
+        let listed: BTreeMap<String, Wall> = hosts
+            .listed()
+            .map(|(uid, _, born)| (uid.to_owned(), wall(born)))
+            .collect();
         let fresh = classes(&self.picture.fleet, &core.learned(0));
-        match age::age(&loaded, &self.picture.fleet, &fresh, &listed, wall(now), &self.rules) {
+        match age::age(
+            &loaded,
+            &self.picture.fleet,
+            &fresh,
+            &listed,
+            wall(now),
+            &self.rules,
+        ) {
             Ok(aged) => {
                 report(&aged);
                 core.recall(self.learned(&aged, hosts));
@@ -160,7 +180,12 @@
         let pace = |of: fn(&ClassMemory) -> (f64, f64)| {
             let one = |c: &ClassMemory| {
                 let (median, p95) = of(c);
-                PaceMemory { median, p95, least: c.least, answers: c.weight.ceil() as usize }
+                PaceMemory {
+                    median,
+                    p95,
+                    least: c.least,
+                    answers: c.weight.ceil() as usize,
+                }
             };
             aged.classes.iter().map(one).collect()
         };
@@ -171,14 +196,16 @@
         }
     }
 
-    /// After a turn: takes what was judged into the picture, and hands that over when it is time. Neither waits for the
-    /// disk, and neither grows with the number of hosts.
+    /// After a turn: takes what was judged into the picture, and hands that over when it is time.
+    /// Neither waits for the disk, and neither grows with the number of hosts.
     pub fn turn(&mut self, core: &mut Core, hosts: &HostTable, now: Time) {
         if now >= self.next_collect {
             self.next_collect = now + COLLECT;
             let learned = core.learned(AT_ONCE);
             for (id, memory) in &learned.servers {
-                let Some((uid, born)) = hosts.name_of(*id) else { continue };
+                let Some((uid, born)) = hosts.name_of(*id) else {
+                    continue;
+                };
                 let host = HostMemory {
                     born: wall(born),
                     slowness: memory.slowness.iter().map(|s| *s as f32).collect(),
@@ -200,8 +227,13 @@
 
     /// Forgets hosts that are no longer on the list.
     pub fn listed(&mut self, hosts: &HostTable) {
-        let gone: Vec<Arc<str>> =
-            self.picture.hosts.keys().filter(|uid| hosts.id_of(uid).is_none()).cloned().collect();
+        let gone: Vec<Arc<str>> = self
+            .picture
+            .hosts
+            .keys()
+            .filter(|uid| hosts.id_of(uid).is_none())
+            .cloned()
+            .collect();
         for uid in gone {
             self.picture.hosts.remove(&uid);
         }
@@ -213,7 +245,13 @@
     }
 
     /// The last picture; waits for it to be written, as long as there is time.
-    pub fn finish(mut self, core: &mut Core, hosts: &HostTable, now: Time, patience: std::time::Duration) {
+    pub fn finish(
+        mut self,
+        core: &mut Core,
+        hosts: &HostTable,
+        now: Time,
+        patience: std::time::Duration,
+    ) {
         self.next_collect = 0;
         self.next_picture = Time::MAX;
         self.turn(core, hosts, now);
@@ -231,7 +269,13 @@
         tries: (attempt.median, attempt.p95),
         weight: part.answers as f64,
     };
-    fleet.classes.iter().zip(&learned.parts).zip(&learned.tries).map(class).collect()
+    fleet
+        .classes
+        .iter()
+        .zip(&learned.parts)
+        .zip(&learned.tries)
+        .map(class)
+        .collect()
 }
 
 fn report(aged: &Aged) {
--- a/bitternsill/src/learned/writer.rs
+++ b/bitternsill/src/learned/writer.rs
@@ -33,11 +33,17 @@
         let queue = Arc::new(ArrayQueue::new(WAITING));
         let counts = Arc::new(Counts::default());
         let (theirs, tally) = (queue.clone(), counts.clone());
-        let thread =
-            thread::Builder::new().name("learned".to_owned()).spawn(move || work(&folder, &theirs, &tally));
-        let thread =
-            thread.map_err(|problem| tracing::error!(%problem, "what is learned is not written")).ok();
-        Writer { queue, counts, thread }
+        let thread = thread::Builder::new()
+            .name("learned".to_owned())
+            .spawn(move || work(&folder, &theirs, &tally));
+        let thread = thread
+            .map_err(|problem| tracing::error!(%problem, "what is learned is not written"))
+            .ok();
+        Writer {
+            queue,
+            counts,
+            thread,
+        }
     }
 
     /// Hands a picture over. Where two wait already the disk is too slow, and this one is dropped.
@@ -46,7 +52,10 @@
             let dropped = 1 + self.counts.dropped.fetch_add(1, Ordering::Relaxed);
             // One slow disk is one line, and then one for each doubling.
             if dropped.is_power_of_two() {
-                tracing::warn!(dropped, "the disk is slow: pictures of what is learned are dropped");
+                tracing::warn!(
+                    dropped,
+                    "the disk is slow: pictures of what is learned are dropped"
+                );
             }
         }
         if let Some(thread) = &self.thread {
@@ -64,8 +73,11 @@
             thread::sleep(Duration::from_millis(1));
         }
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        let (written, failed, dropped) =
-            (count(&self.counts.written), count(&self.counts.failed), count(&self.counts.dropped));
+        let (written, failed, dropped) = (
+            count(&self.counts.written),
+            count(&self.counts.failed),
+            count(&self.counts.dropped),
+        );
         if thread.is_finished() {
             tracing::info!(written, failed, dropped, "what was learned is kept");
         } else {
@@ -98,7 +110,11 @@
 fn write(folder: &Folder, picture: &Picture, counts: &Counts) {
     let result = file::encode(picture)
         .map_err(|problem| problem.to_string())
-        .and_then(|bytes| folder.write(&bytes, |_| {}).map_err(|problem| problem.to_string()));
+        .and_then(|bytes| {
+            folder
+                .write(&bytes, |_| {})
+                .map_err(|problem| problem.to_string())
+        });
     match result {
         Ok(_) => {
             counts.written.fetch_add(1, Ordering::Relaxed);
--- a/bitternsill/src/lib.rs
+++ b/bitternsill/src/lib.rs
@@ -1,4 +1,5 @@
-//! bitternsill: one gatherer on sockets. `main.rs` starts it; everything else is here, so that tests reach it.
+//! bitternsill: one gatherer on sockets. `main.rs` starts it; everything else is here, so that
+//! tests reach it.
 #![forbid(unsafe_code)]
 
 pub mod admin;
--- a/bitternsill/src/limits.rs
+++ b/bitternsill/src/limits.rs
@@ -1,6 +1,7 @@
 //! Every size, count and time that bounds the program, in one place.
 //!
-//! Filled once at start, from the defaults here and from what the settings say, and handed down by reference.
+//! Filled once at start, from the defaults here and from what the settings say, and handed down by
+//! reference.
 
 use bramblestair::interface::Time;
 
@@ -116,7 +117,8 @@
     pub once_kept: usize,
     /// Client connections held at once where catalogue sessions are served.
     pub sessions: usize,
-    /// Connections to all index hosts: what clients may not have, less what the program itself needs.
+    /// Connections to all index hosts: what clients may not have, less what the program itself
+    /// needs.
     pub host_links: usize,
     /// Connections to one index host.
     pub connections_per_host: usize,
@@ -130,7 +132,8 @@
     pub past_parts: usize,
     /// Probes that wait for their answer on one connection.
     pub queued_probes: usize,
-    /// Index hosts held in the table, those that have left included: twice the largest fleet, while it is replaced, and more.
+    /// Index hosts held in the table, those that have left included: twice the largest fleet, while
+    /// it is replaced, and more.
     pub hosts: usize,
     /// Idle connections closed at once to make room.
     pub room_burst: usize,
@@ -140,13 +143,15 @@
     pub connect: Time,
     /// A connection to an index host idle for this long is closed, before the host does it.
     pub host_idle: Time,
-    /// A connection on which parts are out and nothing has come for this long takes no more of them.
+    /// A connection on which parts are out and nothing has come for this long takes no more of
+    /// them.
     pub link_mute: Time,
     /// How long a frame of an index host may be there in part.
     pub frame_read: Time,
     /// How long a probe is awaited.
     pub probe: Time,
-    /// How long a client may take over one request's bytes; over its first, counted from when it connected.
+    /// How long a client may take over one request's bytes; over its first, counted from when it
+    /// connected.
     pub request_read: Time,
     /// How long a connection may stay without a request after its last one.
     pub client_idle: Time,
@@ -154,9 +159,11 @@
     pub once_idle: Time,
     /// The same for a catalogue session, whose result sets go with it.
     pub session_idle: Time,
-    /// A connection that has said nothing for this long gives way to others before those that have asked.
+    /// A connection that has said nothing for this long gives way to others before those that have
+    /// asked.
     pub silent_grace: Time,
-    /// The same for one that has been half-way through a request, or idle after its only one, this long.
+    /// The same for one that has been half-way through a request, or idle after its only one, this
+    /// long.
     pub partial_grace: Time,
     /// How long a closed connection's next bytes are waited for.
     pub linger: Time,
@@ -164,12 +171,14 @@
     pub drain: Time,
     /// How long accepting rests after descriptors ran out.
     pub accept_rest: Time,
-    /// How long a discovery call may take to be answered. What changes counts as told 6 s after discovery had it: a silent
-    /// watch, the wait for the next call, that call given up and the wait behind it have to fit in.
-    /// With less patience a large fleet that all calls at once is answered seldom: its calls are worked on and thrown away.
+    /// How long a discovery call may take to be answered. What changes counts as told 6 s after
+    /// discovery had it: a silent watch, the wait for the next call, that call given up and the
+    /// wait behind it have to fit in. With less patience a large fleet that all calls at once is
+    /// answered seldom: its calls are worked on and thrown away.
     pub discovery_call: Time,
-    /// The same behind a call that was refused, as nothing has been missed until then. A discovery that has too many callers
-    /// says so after some 2 s; given up before, a call has been worked on for nothing.
+    /// The same behind a call that was refused, as nothing has been missed until then. A discovery
+    /// that has too many callers says so after some 2 s; given up before, a call has been worked on
+    /// for nothing.
     pub discovery_answer: Time,
     /// A watch silent for this long is broken; an empty line comes every 2 s.
     pub watch_silence: Time,
@@ -189,7 +198,8 @@
     pub last_picture: Time,
     /// How long a start waits for discovery before it reports ready with the list it was given.
     pub first_list: Time,
-    /// How long after new settings the former names and meanings of classes hold beside the new ones.
+    /// How long after new settings the former names and meanings of classes hold beside the new
+    /// ones.
     pub settings_overlap: Time,
     /// Classes held at once, those that only open queries are of included.
     pub classes: usize,
@@ -197,9 +207,11 @@
     pub door_callers: usize,
     /// How long an operator's call may take to come.
     pub door_read: Time,
-    /// A drain: from when on answers close connections, idle ones are closed, and half requests ended.
+    /// A drain: from when on answers close connections, idle ones are closed, and half requests
+    /// ended.
     pub drain_times: (Time, Time, Time),
-    /// Between two looks for connections that have become idle in a drain, and how long a connection is left alone.
+    /// Between two looks for connections that have become idle in a drain, and how long a
+    /// connection is left alone.
     pub drain_sweep: (Time, Time),
     /// How long it is remembered that a host is back, for the other process.
     pub hand_kept: Time,
@@ -328,14 +340,19 @@
         count.saturating_mul(MS)
     }
 
-    /// Shares out the descriptors: some for the program itself, some for index hosts, the rest for clients.
+    /// Shares out the descriptors: some for the program itself, some for index hosts, the rest for
+    /// clients.
     pub fn with_descriptors(mut self, descriptors: usize) -> Self {
         self.descriptors = descriptors;
         let own = 16 + descriptors / 8;
         self.clients = descriptors.saturating_sub(own).clamp(4, 4096) * 3 / 4;
-        // Discovery's two connections, the operators' callers, listeners, signals and files come out of what is left.
-        self.host_links = descriptors.saturating_sub(self.clients + 24 + self.door_callers).max(4);
-        // Clients hold a third of the descriptors at most; a quarter of that may be idle after one request.
+        // Discovery's two connections, the operators' callers, listeners, signals and files come
+        // out of what is left.
+        self.host_links = descriptors
+            .saturating_sub(self.clients + 24 + self.door_callers)
+            .max(4);
+        // Clients hold a third of the descriptors at most; a quarter of that may be idle after one
+        // request.
         self.once_kept = (descriptors / 12).max(4);
         self
     }
@@ -343,7 +360,8 @@
     /// Sizes what peers can make the program hold by the memory that there is, in MB.
     pub fn with_memory(mut self, memory_mb: usize) -> Self {
         let bytes = memory_mb << 20;
-        // Half of the memory for what clients have sent in part, an eighth for what index hosts have.
+        // Half of the memory for what clients have sent in part, an eighth for what index hosts
+        // have.
         self.read_burst = (bytes >> 11).clamp(8 << 10, self.read_burst);
         self.clients = self.clients.min((bytes / 2 / self.body_bytes).max(4));
         self.frame_bytes = (bytes >> 9).clamp(32 << 10, self.frame_bytes);
@@ -351,15 +369,16 @@
         self
     }
 
-    /// Shares out the time between SIGTERM and SIGKILL, which comes 0.7 s after the longest deadline or later. Clients
-    /// may have nowhere else to go until another gatherer is back, so they are served for as long as what they
-    /// ask at the end is still answered: the module ends each query at its class's aim.
+    /// Shares out the time between SIGTERM and SIGKILL, which comes 0.7 s after the longest
+    /// deadline or later. Clients may have nowhere else to go until another gatherer is back, so
+    /// they are served for as long as what they ask at the end is still answered: the module ends
+    /// each query at its class's aim.
     pub fn with_end(mut self, deadline: Time, aim: Time) -> Self {
         let kill = deadline.min(3_000 * MS) + 700 * MS;
         self.last_call = kill.saturating_sub(100 * MS);
         self.keep_serving = self.keep_serving.max(kill.saturating_sub(aim + 400 * MS));
-        // Where deadlines are short, what is asked last has to be answered before the kill all the same; new connections come
-        // for 0.4 s at the most.
+        // Where deadlines are short, what is asked last has to be answered before the kill all the
+        // same; new connections come for 0.4 s at the most.
         let latest = self.last_call.saturating_sub(aim + 50 * MS).max(450 * MS);
         self.keep_serving = self.keep_serving.min(latest);
         self
@@ -371,7 +390,8 @@
         self
     }
 
-    /// Closing idle connections at three quarters of the host's own limit leaves a request time to cross.
+    /// Closing idle connections at three quarters of the host's own limit leaves a request time to
+    /// cross.
     pub fn with_host_idle(mut self, host_limit: Time) -> Self {
         self.host_idle = host_limit / 4 * 3;
         self
--- a/bitternsill/src/net/mod.rs
+++ b/bitternsill/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The event loop: epoll, connections as objects with callbacks, timers and buffers. One thread, no runtime.
+//! The event loop: epoll, connections as objects with callbacks, timers and buffers. One thread, no
+//! runtime.
 
 mod reactor;
 mod stream;
@@ -9,7 +10,8 @@
 use bramblestair::interface::Time;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that only moves forward and starts at Unix time, so that a host's start can be set against it.
+/// A clock that only moves forward and starts at Unix time, so that a host's start can be set
+/// against it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     base: Time,
@@ -19,8 +21,13 @@
 impl Clock {
     /// Reads the system's clock once; from then on only the steady one counts.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { base: unix.as_nanos() as Time, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            base: unix.as_nanos() as Time,
+            start: Instant::now(),
+        }
     }
 
     /// The present moment.
--- a/bitternsill/src/net/reactor.rs
+++ b/bitternsill/src/net/reactor.rs
@@ -1,4 +1,5 @@
-//! The reactor: it owns every connection object and calls it back when something is ready, due or posted.
+//! The reactor: it owns every connection object and calls it back when something is ready, due or
+//! posted.
 
 use super::Clock;
 use bramblestair::interface::Time;
@@ -12,8 +13,9 @@
 const LONGEST_WAIT: Time = 50_000_000;
 /// A round that took longer than this began with a stall.
 const STALL: Time = 100_000_000;
-/// Rounds behind that one in which what came meanwhile may first be read: the one before whose events the program stood still
-/// may not have had the listener's, the next one accepts, and the one behind that reads.
+/// Rounds behind that one in which what came meanwhile may first be read: the one before whose
+/// events the program stood still may not have had the listener's, the next one accepts, and the
+/// one behind that reads.
 const ROUNDS: u8 = 2;
 
 /// Since when what a round reads may have come.
@@ -49,7 +51,10 @@
 
     /// The token that a number stands for.
     pub fn from_bits(bits: u64) -> Self {
-        Token { index: (bits >> 32) as u32, generation: bits as u32 }
+        Token {
+            index: (bits >> 32) as u32,
+            generation: bits as u32,
+        }
     }
 }
 
@@ -60,37 +65,56 @@
     pub readable: bool,
     /// Bytes can be written, or a connection attempt has ended.
     pub writable: bool,
-    /// The other side has sent its last byte, or the connection broke, whether or not bytes before that are still unread.
+    /// The other side has sent its last byte, or the connection broke, whether or not bytes before
+    /// that are still unread.
     pub ended: bool,
 }
 
 impl Ready {
     /// For bytes and their end.
-    pub const READ: Ready = Ready { readable: true, writable: false, ended: true };
+    pub const READ: Ready = Ready {
+        readable: true,
+        writable: false,
+        ended: true,
+    };
     /// For room, or for the end of a connection attempt.
-    pub const WRITE: Ready = Ready { readable: false, writable: true, ended: false };
-    /// For the end alone: bytes that nobody reads for now must not hide that the other side has gone.
-    pub const END: Ready = Ready { readable: false, writable: false, ended: true };
+    pub const WRITE: Ready = Ready {
+        readable: false,
+        writable: true,
+        ended: false,
+    };
+    /// For the end alone: bytes that nobody reads for now must not hide that the other side has
+    /// gone.
+    pub const END: Ready = Ready {
+        readable: false,
+        writable: false,
+        ended: true,
+    };
 
     /// The same, and for room where that is wanted.
     pub fn and_room(self, wanted: bool) -> Ready {
-        Ready { writable: self.writable || wanted, ..self }
+        Ready {
+            writable: self.writable || wanted,
+            ..self
+        }
     }
 
     fn told(flags: epoll::EventFlags) -> Ready {
         let ended = flags.intersects(ENDED);
         Ready {
             readable: ended || flags.contains(epoll::EventFlags::IN),
-            writable: flags
-                .intersects(epoll::EventFlags::OUT | epoll::EventFlags::ERR | epoll::EventFlags::HUP),
+            writable: flags.intersects(
+                epoll::EventFlags::OUT | epoll::EventFlags::ERR | epoll::EventFlags::HUP,
+            ),
             ended,
         }
     }
 }
 
 /// How the end of the other side's bytes, or of the connection, shows.
-const ENDED: epoll::EventFlags =
-    epoll::EventFlags::RDHUP.union(epoll::EventFlags::ERR).union(epoll::EventFlags::HUP);
+const ENDED: epoll::EventFlags = epoll::EventFlags::RDHUP
+    .union(epoll::EventFlags::ERR)
+    .union(epoll::EventFlags::HUP);
 
 /// What all connections share, and what happens between them.
 pub trait World: Sized {
@@ -138,7 +162,8 @@
     pub token: Token,
     /// The time of this round.
     pub now: Time,
-    /// When what is read in this round may have come at the earliest: before `now` only after a stall.
+    /// When what is read in this round may have come at the earliest: before `now` only after a
+    /// stall.
     pub since: Time,
     closing: bool,
 }
@@ -193,7 +218,10 @@
             self.due.push(None);
             (self.generations.len() - 1) as u32
         });
-        let token = Token { index, generation: self.generations[index as usize] };
+        let token = Token {
+            index,
+            generation: self.generations[index as usize],
+        };
         self.opened.push_back((token, connection));
         token
     }
@@ -212,12 +240,22 @@
 
     /// Starts to watch a descriptor.
     pub fn register(&self, fd: impl AsFd, token: Token, ready: Ready) -> io::Result<()> {
-        Ok(epoll::add(&self.epoll, fd, epoll::EventData::new_u64(token.bits()), flags(ready))?)
+        Ok(epoll::add(
+            &self.epoll,
+            fd,
+            epoll::EventData::new_u64(token.bits()),
+            flags(ready),
+        )?)
     }
 
     /// Changes what a descriptor is watched for.
     pub fn rearm(&self, fd: impl AsFd, token: Token, ready: Ready) -> io::Result<()> {
-        Ok(epoll::modify(&self.epoll, fd, epoll::EventData::new_u64(token.bits()), flags(ready))?)
+        Ok(epoll::modify(
+            &self.epoll,
+            fd,
+            epoll::EventData::new_u64(token.bits()),
+            flags(ready),
+        )?)
     }
 
     fn set_timer(&mut self, token: Token, at: Option<Time>) {
@@ -282,7 +320,11 @@
             first: BTreeSet::new(),
             posted: VecDeque::new(),
         };
-        Ok(Reactor { net, slots: Vec::new(), world })
+        Ok(Reactor {
+            net,
+            slots: Vec::new(),
+            world,
+        })
     }
 
     /// The loop's outer side, to open the first connections.
@@ -302,11 +344,22 @@
             }
             let due = [self.net.timers.first().map(|t| t.0), self.world.due(now)];
             // Waits are short, so that a long one shows that the whole program stood still.
-            let left = due.into_iter().flatten().min().map_or(LONGEST_WAIT, |at| at.saturating_sub(now));
-            let wait = Timespec { tv_sec: 0, tv_nsec: left.min(LONGEST_WAIT) as _ };
-            // A wait that a signal cut short, as it does when the program is made to go on, counts with the next.
-            // So does a round that took long, or in which the program was stopped: nobody looked meanwhile.
-            let asleep = interrupted.take().unwrap_or(if now - looked > STALL { looked } else { now });
+            let left = due
+                .into_iter()
+                .flatten()
+                .min()
+                .map_or(LONGEST_WAIT, |at| at.saturating_sub(now));
+            let wait = Timespec {
+                tv_sec: 0,
+                tv_nsec: left.min(LONGEST_WAIT) as _,
+            };
+            // A wait that a signal cut short, as it does when the program is made to go on, counts
+            // with the next. So does a round that took long, or in which the program was stopped:
+            // nobody looked meanwhile.
+            let asleep =
+                interrupted
+                    .take()
+                    .unwrap_or(if now - looked > STALL { looked } else { now });
             events.clear();
             match epoll::wait(&self.net.epoll, spare_capacity(&mut events), Some(&wait)) {
                 Ok(_) => {}
@@ -318,17 +371,24 @@
             }
             let now = self.net.now();
             looked = now;
-            // What is read after a stall may have come at its beginning, and its client has waited since.
+            // What is read after a stall may have come at its beginning, and its client has waited
+            // since.
             self.net.since = stalls.since(asleep, now);
-            // What has ended goes first: a client that came back by another connection must find its former request gone.
+            // What has ended goes first: a client that came back by another connection must find
+            // its former request gone.
             let first = &self.net.first;
             events.sort_by_key(|event| {
                 let flags = event.flags;
-                (!first.contains(&Token::from_bits(event.data.u64())), !flags.intersects(ENDED))
+                (
+                    !first.contains(&Token::from_bits(event.data.u64())),
+                    !flags.intersects(ENDED),
+                )
             });
             for event in &events {
                 let ready = Ready::told(event.flags);
-                self.with(Token::from_bits(event.data.u64()), now, |c, cx| c.ready(cx, ready));
+                self.with(Token::from_bits(event.data.u64()), now, |c, cx| {
+                    c.ready(cx, ready)
+                });
             }
             while let Some(&(at, token)) = self.net.timers.first()
                 && at <= now
@@ -375,10 +435,12 @@
     /// Whether a token names a connection that is there.
     fn holds(&self, token: Token) -> bool {
         let slot = self.slots.get(token.index as usize);
-        slot.and_then(Option::as_ref).is_some_and(|(present, _)| *present == token)
+        slot.and_then(Option::as_ref)
+            .is_some_and(|(present, _)| *present == token)
     }
 
-    /// Calls a connection back, if the token still names it: an event of one that is gone is dropped.
+    /// Calls a connection back, if the token still names it: an event of one that is gone is
+    /// dropped.
     fn with(
         &mut self,
         token: Token,
@@ -388,10 +450,18 @@
         if !self.holds(token) {
             return;
         }
-        let Some((_, mut connection)) = self.slots[token.index as usize].take() else { return };
+        let Some((_, mut connection)) = self.slots[token.index as usize].take() else {
+            return;
+        };
         let since = self.net.since.min(now);
-        let mut cx =
-            Context { world: &mut self.world, net: &mut self.net, token, now, since, closing: false };
+        let mut cx = Context {
+            world: &mut self.world,
+            net: &mut self.net,
+            token,
+            now,
+            since,
+            closing: false,
+        };
         call(connection.as_mut(), &mut cx);
         if cx.closing {
             connection.closed(&mut cx);
--- a/bitternsill/src/net/reactor/tests.rs
+++ b/bitternsill/src/net/reactor/tests.rs
@@ -37,7 +37,9 @@
     fn ready(&mut self, _cx: &mut Context<'_, Turns>, _ready: Ready) {}
 
     fn deliver(&mut self, cx: &mut Context<'_, Turns>, message: &'static str) {
-        self.0.borrow_mut().push(format!("{} hears {message}", self.1));
+        self.0
+            .borrow_mut()
+            .push(format!("{} hears {message}", self.1));
         if message == "close" {
             cx.set_timer(cx.now + 1);
             cx.close();
@@ -50,28 +52,51 @@
 }
 
 #[test]
-fn a_stall_speaks_of_the_round_it_is_seen_in_and_of_the_two_in_which_what_came_is_accepted_and_read() {
+fn a_stall_speaks_of_the_round_it_is_seen_in_and_of_the_two_in_which_what_came_is_accepted_and_read()
+ {
     let (mut stalls, stall) = (Stalls::default(), 12 * STALL);
     let mut round = |asleep, now| stalls.since(asleep, now);
     assert_eq!(round(0, 5), 5, "no stall");
-    // Seen in a round of other events; the listener's come in the next, the bytes in the one behind that.
+    // Seen in a round of other events; the listener's come in the next, the bytes in the one behind
+    // that.
     let times = [stall + 5, stall + 6, stall + 7, stall + 8];
-    let seen = [(5, times[0]), (times[0], times[1]), (times[1], times[2]), (times[2], times[3])];
-    assert_eq!(seen.map(|(asleep, now)| round(asleep, now)), [5, 5, 5, times[3]]);
+    let seen = [
+        (5, times[0]),
+        (times[0], times[1]),
+        (times[1], times[2]),
+        (times[2], times[3]),
+    ];
+    assert_eq!(
+        seen.map(|(asleep, now)| round(asleep, now)),
+        [5, 5, 5, times[3]]
+    );
 }
 
 #[test]
 fn what_is_meant_for_a_connection_that_is_gone_does_not_reach_the_next_in_its_slot() {
     let heard = Rc::new(RefCell::new(Vec::new()));
     let mut reactor = Reactor::new(Turns(3, heard.clone()), Clock::start()).unwrap();
-    let first = reactor.parts().0.open(Box::new(Ear(heard.clone(), "first")));
+    let first = reactor
+        .parts()
+        .0
+        .open(Box::new(Ear(heard.clone(), "first")));
     reactor.parts().0.post(first, "close");
     reactor.run().unwrap();
     reactor.parts().1.0 = 3;
-    let second = reactor.parts().0.open(Box::new(Ear(heard.clone(), "second")));
-    assert_eq!((first.index, second.index), (0, 0), "the slot is used again");
+    let second = reactor
+        .parts()
+        .0
+        .open(Box::new(Ear(heard.clone(), "second")));
+    assert_eq!(
+        (first.index, second.index),
+        (0, 0),
+        "the slot is used again"
+    );
     reactor.parts().0.post(first, "late");
     reactor.parts().0.post(second, "now");
     reactor.run().unwrap();
-    assert_eq!(*heard.borrow(), ["first hears close", "nobody hears late", "second hears now"]);
+    assert_eq!(
+        *heard.borrow(),
+        ["first hears close", "nobody hears late", "second hears now"]
+    );
 }
--- a/bitternsill/src/net/stream.rs
+++ b/bitternsill/src/net/stream.rs
@@ -36,7 +36,12 @@
 impl Stream {
     /// Wraps a socket that does not block.
     pub fn new(socket: TcpStream) -> Self {
-        Stream { socket, outgoing: Vec::new(), written: 0, armed: None }
+        Stream {
+            socket,
+            outgoing: Vec::new(),
+            written: 0,
+            armed: None,
+        }
     }
 
     /// Reads what is there, up to `most` bytes.
@@ -113,8 +118,14 @@
         Ok(())
     }
 
-    /// Writes what the socket takes and watches it for this, and for room for what is left; says whether anything is.
-    pub fn flush_and_arm<W: World>(&mut self, net: &Net<W>, token: Token, ready: Ready) -> io::Result<bool> {
+    /// Writes what the socket takes and watches it for this, and for room for what is left; says
+    /// whether anything is.
+    pub fn flush_and_arm<W: World>(
+        &mut self,
+        net: &Net<W>,
+        token: Token,
+        ready: Ready,
+    ) -> io::Result<bool> {
         self.flush()?;
         let pending = self.unwritten() > 0;
         self.arm(net, token, ready.and_room(pending))?;
@@ -139,7 +150,11 @@
 
 /// Begins to connect; the socket becomes writable when that has ended.
 pub fn connect(to: SocketAddr) -> io::Result<Stream> {
-    let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if to.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
     sockopt::set_tcp_nodelay(&socket, true)?;
@@ -150,7 +165,11 @@
 }
 
 fn bind_shared(on: SocketAddr) -> io::Result<TcpListener> {
-    let family = if on.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if on.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let socket = rustix::net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
     sockopt::set_socket_reuseport(&socket, true)?;
@@ -158,11 +177,15 @@
     Ok(TcpListener::from(socket))
 }
 
-/// A listening socket that does not block. One that is shared can be bound again by another process of this user, and
-/// the system deals connections out among them.
+/// A listening socket that does not block. One that is shared can be bound again by another process
+/// of this user, and the system deals connections out among them.
 pub fn listen(on: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     // The standard library sets SO_REUSEADDR, so a restart finds its address free.
-    let listener = if shared { bind_shared(on)? } else { TcpListener::bind(on)? };
+    let listener = if shared {
+        bind_shared(on)?
+    } else {
+        TcpListener::bind(on)?
+    };
     // A request in the backlog counts as taken, but a short backlog turns clients away in a burst.
     rustix::net::listen(&listener, 4096)?;
     listener.set_nonblocking(true)?;
--- a/bitternsill/src/recovery/cli.rs
+++ b/bitternsill/src/recovery/cli.rs
@@ -44,7 +44,14 @@
         .collect();
     let answers: Vec<(SocketAddr, Result<Json, String>)> = asked
         .into_iter()
-        .map(|(at, thread)| (at, thread.join().unwrap_or_else(|_| Err("could not be asked".to_owned()))))
+        .map(|(at, thread)| {
+            (
+                at,
+                thread
+                    .join()
+                    .unwrap_or_else(|_| Err("could not be asked".to_owned())),
+            )
+        })
         .collect();
     let all = answers.iter().all(|(_, answer)| answer.is_ok());
     let text = match call.format {
@@ -66,13 +73,20 @@
         Err(problem) => return format!("{at}: {problem}"),
     };
     let text = |value: &Json| value.as_str().map(str::to_owned);
-    let why = answer["why"].as_array().map(Vec::as_slice).unwrap_or_default();
+    let why = answer["why"]
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
     let why: Vec<&str> = why.iter().filter_map(Json::as_str).collect();
     let mut line = format!(
         "{at}: {}, running for {} s, {}, {} index hosts",
         text(&answer["phase"]).unwrap_or_else(|| "no recovery set up".to_owned()),
         answer["running_ms"].as_u64().unwrap_or(0) / 1_000,
-        if answer["ready"] == true { "takes clients" } else { "takes no clients" },
+        if answer["ready"] == true {
+            "takes clients"
+        } else {
+            "takes no clients"
+        },
         answer["index_hosts"]
     );
     if !why.is_empty() {
@@ -82,7 +96,10 @@
         line += &format!("; waits: {waits}");
     }
     if let Some(standing) = text(&answer["store"]["standing"]) {
-        line += &format!("; store {}: {standing}", text(&answer["store"]["id"]).unwrap_or_default());
+        line += &format!(
+            "; store {}: {standing}",
+            text(&answer["store"]["id"]).unwrap_or_default()
+        );
         if let Some(waits) = text(&answer["store"]["waits_for"]) {
             line += &format!(", {waits}");
         }
--- a/bitternsill/src/recovery/mod.rs
+++ b/bitternsill/src/recovery/mod.rs
@@ -1,5 +1,5 @@
-//! The gatherer's return on the loop: peers are asked over the store's addresses, and what they say goes to the package
-//! `recovery`, which decides. Only where an operator's file asks for it.
+//! The gatherer's return on the loop: peers are asked over the store's addresses, and what they say
+//! goes to the package `recovery`, which decides. Only where an operator's file asks for it.
 
 pub mod cli;
 pub mod questions;
@@ -57,20 +57,40 @@
         net: &mut Net<Gatherer>,
     ) -> Return {
         let worth: Vec<f64> = settings.classes.iter().map(|class| class.worth).collect();
-        let most =
-            settings.classes.iter().map(|class| class.aim).max().unwrap_or(0).max(settings.max_hold_off);
+        let most = settings
+            .classes
+            .iter()
+            .map(|class| class.aim)
+            .max()
+            .unwrap_or(0)
+            .max(settings.max_hold_off);
         // Without stated times index hosts are taken to bear everything at once.
         let ramp = Ramp::new(settings.start_capacity, settings.ramp, most, &worth);
         let ms = Limits::ms;
         let (ask_for, together) = (ms(setup.ask_ms), ms(setup.together_s.saturating_mul(1_000)));
-        let ends_within = settings.classes.iter().map(|class| class.aim).max().unwrap_or(0);
-        let plan = Plan { ask_for, list_for, together, ramp, ends_within };
+        let ends_within = settings
+            .classes
+            .iter()
+            .map(|class| class.aim)
+            .max()
+            .unwrap_or(0);
+        let plan = Plan {
+            ask_for,
+            list_for,
+            together,
+            ramp,
+            ends_within,
+        };
         for (peer, address) in peers {
             net.open(Box::new(questions::Question::new(*peer, *address)));
         }
         let mut recovery = Recovery::new(plan, peers.keys().copied(), net.now());
         recovery.listed(!kept.is_empty(), false, net.now());
-        Return { recovery, rng: fastrand::Rng::with_seed(seed), kept }
+        Return {
+            recovery,
+            rng: fastrand::Rng::with_seed(seed),
+            kept,
+        }
     }
 
     /// The decision's state.
@@ -101,7 +121,8 @@
         }
         let mut kept = std::mem::take(&mut self.kept);
         if self.recovery.distrusts_hosts() {
-            // They may have lost their power too: until discovery says when each started, each has a cold host's share.
+            // They may have lost their power too: until discovery says when each started, each has
+            // a cold host's share.
             kept.iter_mut().for_each(|member| member.entry.born = now);
         }
         Some(kept)
@@ -111,8 +132,17 @@
 impl Gatherer {
     /// The return goes on, where there is one.
     pub fn go_on_returning(&mut self, net: &mut Net<Self>, now: Time) {
-        let Some(kept) = self.returning.as_mut().and_then(|returning| returning.turn(now)) else { return };
-        let told = self.returning.as_ref().is_some_and(|returning| returning.recovery.is_confirmed());
+        let Some(kept) = self
+            .returning
+            .as_mut()
+            .and_then(|returning| returning.turn(now))
+        else {
+            return;
+        };
+        let told = self
+            .returning
+            .as_ref()
+            .is_some_and(|returning| returning.recovery.is_confirmed());
         // What discovery has told meanwhile is newer.
         if !told {
             let entries = self.hosts.update(ListKind::Persisted, kept, net, now);
@@ -136,7 +166,13 @@
     /// What this gatherer says to one that asks for its phase.
     pub fn phase_line(&self, now: Time) -> String {
         let state = self.returning.as_ref().map(Return::state);
-        let why = |state: &Recovery| state.reasons().iter().map(ToString::to_string).collect::<Vec<_>>();
+        let why = |state: &Recovery| {
+            state
+                .reasons()
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+        };
         let store = self.shelf.as_ref().map(|shelf| {
             let (standing, waits) = shelf.standing();
             json!({"standing": format!("{standing:?}").to_lowercase(), "waits_for": waits, "id": format!("{:016x}", shelf.id())})
@@ -158,5 +194,8 @@
 pub fn read_line(line: &[u8]) -> Option<::recovery::phase::Peer> {
     let json: Json = serde_json::from_slice(line).ok()?;
     let running = json["running_ms"].as_u64()?.saturating_mul(1_000_000);
-    Some(::recovery::phase::Peer { running, phase: json["phase"].as_str().and_then(Phase::named) })
+    Some(::recovery::phase::Peer {
+        running,
+        phase: json["phase"].as_str().and_then(Phase::named),
+    })
 }
--- a/bitternsill/src/recovery/questions.rs
+++ b/bitternsill/src/recovery/questions.rs
@@ -1,4 +1,5 @@
-//! A peer is asked for its phase: again and again until it answers, or its answer is waited for no more.
+//! A peer is asked for its phase: again and again until it answers, or its answer is waited for no
+//! more.
 
 use crate::front::{Gatherer, Message};
 use crate::net::{self, Attempt, Connection, Context, Input, Ready, Stream};
@@ -19,7 +20,13 @@
 impl Question {
     /// Asks a peer at its address.
     pub fn new(peer: u64, to: SocketAddr) -> Question {
-        Question { peer, to, stream: None, up: false, input: Vec::new() }
+        Question {
+            peer,
+            to,
+            stream: None,
+            up: false,
+            input: Vec::new(),
+        }
     }
 
     fn is_wanted(&self, cx: &Cx<'_>) -> bool {
@@ -51,7 +58,9 @@
     }
 
     fn ready(&mut self, cx: &mut Cx<'_>, ready: Ready) {
-        let Some(stream) = &mut self.stream else { return };
+        let Some(stream) = &mut self.stream else {
+            return;
+        };
         if !self.up {
             match stream.attempt() {
                 Attempt::Pending => return,
@@ -66,9 +75,10 @@
         if ready.readable {
             let end = stream.read(&mut self.input, cx.world.limits.read_burst);
             if let Some(at) = self.input.iter().position(|byte| *byte == b'\n') {
-                if let (Some(answer), Some(returning)) =
-                    (super::read_line(&self.input[..at]), cx.world.returning.as_mut())
-                {
+                if let (Some(answer), Some(returning)) = (
+                    super::read_line(&self.input[..at]),
+                    cx.world.returning.as_mut(),
+                ) {
                     returning.tell().answered(self.peer, answer, cx.now);
                 }
                 return cx.close();
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -66,7 +66,12 @@
 
 fn limits((settings, deployment): &(Settings, Deployment), sockets: usize) -> Limits {
     let aims = || settings.classes.iter().map(|class| class.aim);
-    let deadline = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+    let deadline = settings
+        .classes
+        .iter()
+        .map(|class| class.deadline)
+        .max()
+        .unwrap_or(0);
     let mut limits = Limits::default()
         .with_descriptors(sockets)
         .with_aim(aims().min().unwrap_or(Time::MAX))
@@ -80,32 +85,51 @@
     }
 }
 
-/// How many descriptors the system lets this process have: whatever it was told, clients must leave some of these.
+/// How many descriptors the system lets this process have: whatever it was told, clients must leave
+/// some of these.
 fn descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    limit.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX))
+    limit.map_or(usize::MAX, |most| {
+        usize::try_from(most).unwrap_or(usize::MAX)
+    })
 }
 
-/// Serves the platform until SIGTERM; `beside` is what an installation has that the platform has no place for.
+/// Serves the platform until SIGTERM; `beside` is what an installation has that the platform has no
+/// place for.
 pub fn platform(config: Config, beside: Beside) -> Result<(), ServeError> {
     let settings = settings::read(&config.settings).map_err(ConfigError::Settings)?;
-    let (sockets, memory_mb, shape) = (config.sockets.min(descriptors()), config.memory_mb, config.shape);
-    let bounds =
-        move |settings: &(Settings, Deployment)| Rc::new(limits(settings, sockets).with_memory(memory_mb));
+    let (sockets, memory_mb, shape) = (
+        config.sockets.min(descriptors()),
+        config.memory_mb,
+        config.shape,
+    );
+    let bounds = move |settings: &(Settings, Deployment)| {
+        Rc::new(limits(settings, sockets).with_memory(memory_mb))
+    };
     let limits = bounds(&settings);
-    let accept: Accept = Box::new(|stream, world| HttpConnection::accept(Box::new(Platform), stream, world));
+    let accept: Accept =
+        Box::new(|stream, world| HttpConnection::accept(Box::new(Platform), stream, world));
     let fresh = move |json: &Json| -> Result<Fresh, ConfigError> {
         let settings = settings::read(json).map_err(ConfigError::Settings)?;
         let limits = bounds(&settings);
-        let connector = Box::new(FrameConnector { limits: limits.clone() });
+        let connector = Box::new(FrameConnector {
+            limits: limits.clone(),
+        });
         let (settings, deployment) = settings;
-        Ok(Fresh { settings, deployment, limits, connector })
+        Ok(Fresh {
+            settings,
+            deployment,
+            limits,
+            connector,
+        })
     };
     let prepare: Prepare = Box::new(move |json| fresh(json).map_err(|problem| problem.to_string()));
     run(Plan {
         name: config.name,
         settings,
-        connector: Box::new(FrameConnector { limits: limits.clone() }),
+        connector: Box::new(FrameConnector {
+            limits: limits.clone(),
+        }),
         limits,
         seed: config.seed,
         discovery: Some(config.discovery),
@@ -116,7 +140,11 @@
             let (fresh, made) = (config::load(Some(config.path.clone()))?, fresh);
             fresh.shape.fits(&shape).map_err(ConfigError::Lacks)?;
             let settings = Some(made(&fresh.settings)?);
-            Ok(Reread { discovery: Some(fresh.discovery), members: Json::Null, settings })
+            Ok(Reread {
+                discovery: Some(fresh.discovery),
+                members: Json::Null,
+                settings,
+            })
         }),
         store: beside.store,
         learning: beside.learning,
@@ -167,8 +195,15 @@
         ttl: limits.set_ttl,
     };
     let names = (setup.database, setup.title);
-    let shared: Shared =
-        Rc::new(Catalogue::new(names, setup.classes, setup.budget, setup.sru, session, &limits, seed));
+    let shared: Shared = Rc::new(Catalogue::new(
+        names,
+        setup.classes,
+        setup.budget,
+        setup.sru,
+        session,
+        &limits,
+        seed,
+    ));
     let mut listeners: Vec<(SocketAddr, Accept)> = Vec::new();
     if let Some(address) = setup.sru {
         let shared = shared.clone();
@@ -178,13 +213,18 @@
         listeners.push((address, accept));
     }
     if let Some(address) = setup.z3950 {
-        let accept: Accept = Box::new(move |stream, _| SessionConnection::accept(shared.clone(), stream));
+        let accept: Accept =
+            Box::new(move |stream, _| SessionConnection::accept(shared.clone(), stream));
         listeners.push((address, accept));
     }
     run(Plan {
         name: setup.name,
         settings: setup.settings,
-        connector: Box::new(SerialConnector::new(limits.clone(), dialect, &setup.slice_database)),
+        connector: Box::new(SerialConnector::new(
+            limits.clone(),
+            dialect,
+            &setup.slice_database,
+        )),
         limits,
         seed,
         discovery: setup.discovery,
@@ -193,7 +233,11 @@
         listeners,
         reread: Box::new(move || {
             let fresh = setup::load(&setup.path)?;
-            Ok(Reread { discovery: fresh.discovery, members: fresh.members, settings: None })
+            Ok(Reread {
+                discovery: fresh.discovery,
+                members: fresh.members,
+                settings: None,
+            })
         }),
         store: setup.store,
         learning: setup.learning,
@@ -203,7 +247,8 @@
     })
 }
 
-/// A seed where the file tells none: names of result sets are made from it, and must not be guessed.
+/// A seed where the file tells none: names of result sets are made from it, and must not be
+/// guessed.
 pub(crate) fn random_seed() -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
     // The standard library keys its hash tables from the system's random numbers.
@@ -220,7 +265,10 @@
     seed: u64,
     now: Time,
 ) -> Result<Member, ServeError> {
-    let pace = Pace { heartbeat: limits.store_heartbeat, election: limits.store_election };
+    let pace = Pace {
+        heartbeat: limits.store_heartbeat,
+        election: limits.store_election,
+    };
     let bounds = Bounds {
         log: limits.store_log,
         keys: limits.store_keys,
@@ -231,16 +279,41 @@
         history: limits.store_history,
     };
     let Some(setup) = setup else {
-        let lone = Membership { id: 0, members: BTreeSet::from([0]), begins: true, era: 0 };
-        return Ok((Store::start(&lone, pace, bounds, seed, None, now), BTreeMap::new(), None));
+        let lone = Membership {
+            id: 0,
+            members: BTreeSet::from([0]),
+            begins: true,
+            era: 0,
+        };
+        return Ok((
+            Store::start(&lone, pace, bounds, seed, None, now),
+            BTreeMap::new(),
+            None,
+        ));
     };
     let members = setup.members.keys().copied().collect();
     let era = now / 1_000_000_000;
-    let membership = Membership { id: setup.member, members, begins: setup.begins, era };
+    let membership = Membership {
+        id: setup.member,
+        members,
+        begins: setup.begins,
+        era,
+    };
     let full_rest = std::time::Duration::from_nanos(limits.store_full_rest);
-    let behaviour = Behaviour { sync: setup.test_sync, full_while: setup.test_full_while.clone(), full_rest };
+    let behaviour = Behaviour {
+        sync: setup.test_sync,
+        full_while: setup.test_full_while.clone(),
+        full_rest,
+    };
     let (disk, kept) = Disk::open(&setup.file, limits.store_log, behaviour)?;
-    let store = Store::start(&membership, pace, bounds, seed ^ setup.member, Some(kept), now);
+    let store = Store::start(
+        &membership,
+        pace,
+        bounds,
+        seed ^ setup.member,
+        Some(kept),
+        now,
+    );
     tracing::info!(member = setup.member, start = store.starts(), store = %format_args!("{:016x}", store.cluster()), "store");
     let mut peers = setup.members.clone();
     peers.remove(&setup.member);
@@ -252,10 +325,23 @@
     let limits = plan.limits;
     let clock = Clock::start();
     let now = clock.now();
-    let mut names = Names { zones: deployment.zones.clone(), kinds: deployment.kinds.clone() };
-    let fleet = Fleet { classes: deployment.classes.clone(), cells: settings.cells, reach: settings.reach };
-    let keeper = plan.learning.as_ref().and_then(|setup| Keeper::open(setup, fleet, now));
-    let folder = plan.admin.and_then(|_| std::env::var_os("TMPDIR")).map(PathBuf::from);
+    let mut names = Names {
+        zones: deployment.zones.clone(),
+        kinds: deployment.kinds.clone(),
+    };
+    let fleet = Fleet {
+        classes: deployment.classes.clone(),
+        cells: settings.cells,
+        reach: settings.reach,
+    };
+    let keeper = plan
+        .learning
+        .as_ref()
+        .and_then(|setup| Keeper::open(setup, fleet, now));
+    let folder = plan
+        .admin
+        .and_then(|_| std::env::var_os("TMPDIR"))
+        .map(PathBuf::from);
     let gatherer = Gatherer {
         core: Core::new(settings, deployment, limits.clone(), plan.seed),
         hosts: HostTable::new(plan.connector, limits.clone()),
@@ -276,18 +362,31 @@
         // Before the first turn nobody is served.
         said: Some(Wait::FirstList),
     };
-    let (end, reload) = (End::install()?, Reload::install(plan.reread, names.clone())?);
+    let (end, reload) = (
+        End::install()?,
+        Reload::install(plan.reread, names.clone())?,
+    );
     let mut reactor = Reactor::new(gatherer, clock)?;
     let (net, gatherer) = reactor.parts();
     net.open(Box::new(end));
     net.open(Box::new(reload));
     let (store, peers, disk) = open_store(plan.store.as_ref(), &limits, plan.seed, now)?;
     let asked = peers.clone();
-    gatherer.shelf = Some(Shelf::new(store, plan.name.clone(), &peers, disk, limits.store_told, net));
+    gatherer.shelf = Some(Shelf::new(
+        store,
+        plan.name.clone(),
+        &peers,
+        disk,
+        limits.store_told,
+        net,
+    ));
     let own = plan.store.as_ref().and_then(|s| s.members.get(&s.member));
     let store_listener = own.map(|address| (*address, Box::new(Incoming::accept) as Accept));
     for (address, accept) in plan.listeners.into_iter().chain(store_listener) {
-        let token = net.open(Box::new(Listener::new(net::listen(address, plan.admin.is_some())?, accept)));
+        let token = net.open(Box::new(Listener::new(
+            net::listen(address, plan.admin.is_some())?,
+            accept,
+        )));
         gatherer.listeners.push(token);
         tracing::info!(name = plan.name, listen = %address, "serving");
     }
@@ -297,7 +396,8 @@
     }
     gatherer.hold_hosts(net, now);
     gatherer.orders.announce();
-    // The list from before the start may be old, or absent: then the module starts from an empty one.
+    // The list from before the start may be old, or absent: then the module starts from an empty
+    // one.
     let (version, members) = match read_list(&plan.known, &mut names) {
         Ok((version, _, members)) => (Some(version), members),
         Err(_) => (None, Vec::new()),
@@ -306,13 +406,22 @@
         // What that list is worth is known once the peers have been asked.
         Some(setup) => {
             let settings = gatherer.core.settings();
-            gatherer.returning =
-                Some(Return::begin(setup, settings, &asked, members, limits.first_list, plan.seed, net));
+            gatherer.returning = Some(Return::begin(
+                setup,
+                settings,
+                &asked,
+                members,
+                limits.first_list,
+                plan.seed,
+                net,
+            ));
             // The module has its first turn, and asks discovery, whether or not a client comes.
             gatherer.core.list(ListKind::Persisted, Vec::new());
         }
         None => {
-            let entries = gatherer.hosts.update(ListKind::Persisted, members, net, now);
+            let entries = gatherer
+                .hosts
+                .update(ListKind::Persisted, members, net, now);
             gatherer.core.list(ListKind::Persisted, entries);
         }
     }
@@ -322,7 +431,13 @@
     }
     if let Some((setup, prepare)) = plan.versions {
         let life = random_seed();
-        gatherer.versions = Some(Versions::begin(setup, plan.name.clone(), life, prepare, net));
+        gatherer.versions = Some(Versions::begin(
+            setup,
+            plan.name.clone(),
+            life,
+            prepare,
+            net,
+        ));
         versions::connect(gatherer, net);
     }
     gatherer.record("setup", &plan.setup.to_string(), net);
@@ -338,7 +453,10 @@
     }
     gatherer.note_ends(net, net.now());
     if let Some(versions) = gatherer.versions.take() {
-        versions.finish(net.now(), std::time::Duration::from_nanos(limits.last_picture));
+        versions.finish(
+            net.now(),
+            std::time::Duration::from_nanos(limits.last_picture),
+        );
     }
     tracing::info!("ended");
     Ok(())
--- a/bitternsill/src/store/asks.rs
+++ b/bitternsill/src/store/asks.rs
@@ -1,5 +1,5 @@
-//! What is asked of the store from outside the member: by this gatherer's own parts, and in lines of JSON by operators'
-//! commands and other gatherers.
+//! What is asked of the store from outside the member: by this gatherer's own parts, and in lines
+//! of JSON by operators' commands and other gatherers.
 
 use super::links::Shelf;
 use crate::front::{Gatherer, Message};
@@ -14,7 +14,8 @@
 /// Who waits for an answer.
 #[derive(Debug, Clone)]
 pub enum Asker {
-    /// A connection that asked in a line: the number that it gave, and for a read which keys it wants.
+    /// A connection that asked in a line: the number that it gave, and for a read which keys it
+    /// wants.
     Line {
         /// The connection.
         token: Token,
@@ -51,7 +52,11 @@
 pub fn read(json: &Json, token: Token) -> Option<Result<Line, &'static str>> {
     let ask = json.get("ask")?;
     let prefix = json["prefix"].as_str().unwrap_or_default().to_owned();
-    let asker = Asker::Line { token, id: json["id"].clone(), prefix };
+    let asker = Asker::Line {
+        token,
+        id: json["id"].clone(),
+        prefix,
+    };
     Some(match ask.as_str() {
         Some("open") => Ok(Line::Call(Call::Open, asker)),
         Some("txn") => match Txn::read(&json["txn"]) {
@@ -66,7 +71,11 @@
         },
         Some("trail") => {
             let number = |key: &str| json[key].as_u64().unwrap_or(0);
-            Ok(Line::Trail { token, segment: number("segment"), from: number("from") })
+            Ok(Line::Trail {
+                token,
+                segment: number("segment"),
+                from: number("from"),
+            })
         }
         _ => Err("`ask` is open, txn, read, watch or trail"),
     })
@@ -86,11 +95,15 @@
 
 /// The answer to a read that may be old, and says so.
 pub fn stale(id: &Json, prefix: &str, revision: u64, state: &State) -> String {
-    json!({"id": id, "stale": true, "revision": revision, "keys": keys(state, prefix)}).to_string() + "\n"
+    json!({"id": id, "stale": true, "revision": revision, "keys": keys(state, prefix)}).to_string()
+        + "\n"
 }
 
 fn keys(state: &State, prefix: &str) -> Json {
-    state.under(prefix).map(|(key, held)| json!([key, held.value, held.revision])).collect()
+    state
+        .under(prefix)
+        .map(|(key, held)| json!([key, held.value, held.revision]))
+        .collect()
 }
 
 /// One line of a watch that began at a revision.
--- a/bitternsill/src/store/cli.rs
+++ b/bitternsill/src/store/cli.rs
@@ -18,8 +18,8 @@
         /// The file.
         file: PathBuf,
     },
-    /// Begin a new store from this file, where more than half of the members have lost theirs. Says what that loses, and does
-    /// it only when told to.
+    /// Begin a new store from this file, where more than half of the members have lost theirs. Says
+    /// what that loses, and does it only when told to.
     Recover {
         /// The best file that is left: the one with the highest last entry.
         file: PathBuf,
@@ -41,13 +41,19 @@
         0 => String::new(),
         torn => format!("; {torn} bytes behind them are of a record that was never finished"),
     };
-    let sound =
-        format!("{}: {} sound records, {} bytes{torn}", file.display(), read.records.len(), read.whole);
+    let sound = format!(
+        "{}: {} sound records, {} bytes{torn}",
+        file.display(),
+        read.records.len(),
+        read.whole
+    );
     if !shows {
         return Ok(sound);
     }
     let kept = Kept::of(read.records).summary();
-    Ok(kept.into_iter().fold(sound, |text, (what, value)| format!("{text}\n{what}: {value}")))
+    Ok(kept.into_iter().fold(sound, |text, (what, value)| {
+        format!("{text}\n{what}: {value}")
+    }))
 }
 
 fn read(file: &Path) -> Result<store::record::Read, String> {
@@ -63,10 +69,16 @@
     let kept = Kept::of(read(file)?.records);
     let members = kept.members();
     if members.is_empty() {
-        return Err(format!("{}: this file names no members: it has never held a store", file.display()));
+        return Err(format!(
+            "{}: this file names no members: it has never held a store",
+            file.display()
+        ));
     }
-    let own: String =
-        kept.summary().into_iter().map(|(what, value)| format!("  {what}: {value}\n")).collect();
+    let own: String = kept
+        .summary()
+        .into_iter()
+        .map(|(what, value)| format!("  {what}: {value}\n"))
+        .collect();
     let told = format!(
         "{}: a new store of the members {members:?} begins with all that this file holds:\n{own}Lost is whatever other members \
          had acknowledged and this file does not hold; nobody can tell how much. Compare `store show` of every file that is \
@@ -75,7 +87,9 @@
         file.display()
     );
     if !accepted {
-        return Err(format!("{told}. Nothing is changed. To do it, stop every member and add --accept-loss"));
+        return Err(format!(
+            "{told}. Nothing is changed. To do it, stop every member and add --accept-loss"
+        ));
     }
     let store = crate::serve::random_seed().max(1);
     let clock = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
--- a/bitternsill/src/store/client.rs
+++ b/bitternsill/src/store/client.rs
@@ -22,8 +22,12 @@
 impl Seen {
     /// What a member itself holds at a revision.
     pub fn of(state: &State, revision: u64) -> Seen {
-        let key = |(key, held): (&str, &Held)| (key.to_owned(), (held.value.clone(), held.revision));
-        Seen { revision, keys: state.keys().map(key).collect() }
+        let key =
+            |(key, held): (&str, &Held)| (key.to_owned(), (held.value.clone(), held.revision));
+        Seen {
+            revision,
+            keys: state.keys().map(key).collect(),
+        }
     }
 
     /// A key's value as JSON, with its revision.
@@ -34,13 +38,21 @@
 
     /// What has to be so for nothing to have changed of a key since.
     pub fn unchanged(&self, key: &str) -> Check {
-        let expects = self.keys.get(key).map_or(Expects::Absent, |(_, revision)| Expects::At(*revision));
-        Check { key: key.to_owned(), expects }
+        let expects = self
+            .keys
+            .get(key)
+            .map_or(Expects::Absent, |(_, revision)| Expects::At(*revision));
+        Check {
+            key: key.to_owned(),
+            expects,
+        }
     }
 
     /// The names behind a prefix.
     pub fn names<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a str> {
-        self.keys.keys().filter_map(move |key| key.strip_prefix(prefix))
+        self.keys
+            .keys()
+            .filter_map(move |key| key.strip_prefix(prefix))
     }
 }
 
@@ -67,15 +79,20 @@
 /// One line to an address, and one line back.
 pub fn line(at: SocketAddr, asked: &str, patience: Duration) -> Result<Json, String> {
     let late = |problem: std::io::Error| match problem.kind() {
-        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => "no answer in time".to_owned(),
+        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => {
+            "no answer in time".to_owned()
+        }
         _ => problem.to_string(),
     };
     let mut socket = TcpStream::connect_timeout(&at, patience).map_err(late)?;
     socket.set_read_timeout(Some(patience)).map_err(late)?;
-    socket.write_all(format!("{asked}\n").as_bytes()).map_err(late)?;
+    socket
+        .write_all(format!("{asked}\n").as_bytes())
+        .map_err(late)?;
     let mut line = String::new();
     BufReader::new(socket).read_line(&mut line).map_err(late)?;
-    serde_json::from_str(&line).map_err(|_| "the answer cannot be read; is it a gatherer's store?".to_owned())
+    serde_json::from_str(&line)
+        .map_err(|_| "the answer cannot be read; is it a gatherer's store?".to_owned())
 }
 
 impl Client {
@@ -112,8 +129,15 @@
     /// Makes a change, at most once, whatever is lost on the way.
     pub fn change(&self, checks: Vec<Check>, sets: Vec<Change>) -> Result<Changed, String> {
         let opened = self.ask(&json!({"ask": "open"}))?;
-        let session = opened["opened"].as_u64().ok_or_else(|| format!("no session: {opened}"))?;
-        let txn = Txn { session, request: 1, checks, sets };
+        let session = opened["opened"]
+            .as_u64()
+            .ok_or_else(|| format!("no session: {opened}"))?;
+        let txn = Txn {
+            session,
+            request: 1,
+            checks,
+            sets,
+        };
         match self.ask(&json!({"ask": "txn", "txn": txn.json()})) {
             Ok(answer) => match Outcome::read(&answer["made"]) {
                 Some(Outcome::Applied(revision)) => Ok(Changed::Applied(revision)),
@@ -131,6 +155,13 @@
         let value = (key[1].as_str()?.to_owned(), key[2].as_u64()?);
         Some((key[0].as_str()?.to_owned(), value))
     };
-    let keys = answer["keys"].as_array()?.iter().map(key).collect::<Option<_>>()?;
-    Some(Seen { revision: answer["revision"].as_u64()?, keys })
+    let keys = answer["keys"]
+        .as_array()?
+        .iter()
+        .map(key)
+        .collect::<Option<_>>()?;
+    Some(Seen {
+        revision: answer["revision"].as_u64()?,
+        keys,
+    })
 }
--- a/bitternsill/src/store/disk.rs
+++ b/bitternsill/src/store/disk.rs
@@ -1,5 +1,5 @@
-//! The file of a store's member: opened and judged at the start, then written and synced by a thread of its own, so that a
-//! slow disk holds up the store and nothing else.
+//! The file of a store's member: opened and judged at the start, then written and synced by a
+//! thread of its own, so that a slow disk holds up the store and nothing else.
 
 use rustix::fs::{FlockOperation, flock};
 use std::fmt;
@@ -30,7 +30,11 @@
         match self {
             OpenError::Io(path, problem) => write!(f, "{}: {problem}", path.display()),
             OpenError::Held(path) => {
-                write!(f, "{}: another process writes this member's file", path.display())
+                write!(
+                    f,
+                    "{}: another process writes this member's file",
+                    path.display()
+                )
             }
             OpenError::Damaged(path, damage) => write!(
                 f,
@@ -54,14 +58,19 @@
         Err(problem) if problem.kind() == io::ErrorKind::NotFound => Vec::new(),
         Err(problem) => return Err(OpenError::Io(path.to_owned(), problem)),
     };
-    let read = if bytes.starts_with(b"{") { record::read_lines(&bytes) } else { record::read(&bytes) };
+    let read = if bytes.starts_with(b"{") {
+        record::read_lines(&bytes)
+    } else {
+        record::read(&bytes)
+    };
     read.map_err(|damage| OpenError::Damaged(path.to_owned(), damage))
 }
 
 /// How the disk is treated, and how tests have it behave.
 #[derive(Debug, Clone, Default)]
 pub struct Behaviour {
-    /// Each sync takes so much longer, and until then nothing reaches the file: what a loss of power finds unsynced is gone.
+    /// Each sync takes so much longer, and until then nothing reaches the file: what a loss of
+    /// power finds unsynced is gone.
     pub sync: Duration,
     /// While this is there the disk is full.
     pub full_while: Option<PathBuf>,
@@ -69,7 +78,8 @@
     pub full_rest: Duration,
 }
 
-/// Where a member keeps of which store it is, apart from its data: with the one file gone, the other says that there was one.
+/// Where a member keeps of which store it is, apart from its data: with the one file gone, the
+/// other says that there was one.
 pub fn identity_path(path: &Path) -> PathBuf {
     path.with_extension("id")
 }
@@ -82,9 +92,15 @@
         Err(problem) if problem.kind() == io::ErrorKind::NotFound => return Ok(None),
         Err(problem) => return Err(OpenError::Io(beside, problem)),
     };
-    let id = u64::from_str_radix(text.trim(), 16).ok().filter(|id| *id != 0);
-    let found = || Damage { offset: 0, found: "this is no store's id".to_owned() };
-    id.map(Some).ok_or_else(|| OpenError::Damaged(beside, found()))
+    let id = u64::from_str_radix(text.trim(), 16)
+        .ok()
+        .filter(|id| *id != 0);
+    let found = || Damage {
+        offset: 0,
+        found: "this is no store's id".to_owned(),
+    };
+    id.map(Some)
+        .ok_or_else(|| OpenError::Damaged(beside, found()))
 }
 
 /// A file that nobody sees before it is whole and on the disk.
@@ -95,7 +111,9 @@
     file.sync_all()?;
     std::fs::rename(&beside, path)?;
     // The new name itself has to last.
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
@@ -112,17 +130,21 @@
 fn lock(path: &Path) -> Result<File, OpenError> {
     let failed = |problem| OpenError::Io(path.to_owned(), problem);
     let lock = File::create(path.with_extension("lock")).map_err(failed)?;
-    flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(|_| OpenError::Held(path.to_owned()))?;
+    flock(&lock, FlockOperation::NonBlockingLockExclusive)
+        .map_err(|_| OpenError::Held(path.to_owned()))?;
     Ok(lock)
 }
 
-/// Puts other records in a member's file, which no process may have; what stood there stays beside it under this name.
+/// Puts other records in a member's file, which no process may have; what stood there stays beside
+/// it under this name.
 pub fn replace(path: &Path, records: &[record::Record]) -> Result<PathBuf, OpenError> {
     let failed = |problem| OpenError::Io(path.to_owned(), problem);
     let _lock = lock(path)?;
     let former = path.with_extension("former");
     std::fs::copy(path, &former).map_err(failed)?;
-    File::open(&former).and_then(|file| file.sync_all()).map_err(failed)?;
+    File::open(&former)
+        .and_then(|file| file.sync_all())
+        .map_err(failed)?;
     put_in_place(path, &whole_file(records)).map_err(failed)?;
     match std::fs::remove_file(identity_path(path)) {
         Err(problem) if problem.kind() != io::ErrorKind::NotFound => Err(failed(problem)),
@@ -139,7 +161,11 @@
 
 impl Disk {
     /// Opens a member's file, cuts off what a crash left of its last record, and starts the thread.
-    pub fn open(path: &Path, waiting: usize, behaviour: Behaviour) -> Result<(Disk, Kept), OpenError> {
+    pub fn open(
+        path: &Path,
+        waiting: usize,
+        behaviour: Behaviour,
+    ) -> Result<(Disk, Kept), OpenError> {
         let failed = |problem| OpenError::Io(path.to_owned(), problem);
         let lock = lock(path)?;
         let read = read(path)?;
@@ -148,9 +174,15 @@
             tracing::warn!(file = %path.display(), at, bytes, "a record that was never finished is cut off");
         }
         let kept = Kept::of(read.records.clone());
-        // A file that is there says more than the one beside it, and is not held up by that one's damage.
-        let named =
-            identity(path).or_else(|problem| if kept.has_voted() { Ok(None) } else { Err(problem) })?;
+        // A file that is there says more than the one beside it, and is not held up by that one's
+        // damage.
+        let named = identity(path).or_else(|problem| {
+            if kept.has_voted() {
+                Ok(None)
+            } else {
+                Err(problem)
+            }
+        })?;
         let kept = match named {
             Some(store) if read.records.is_empty() => {
                 tracing::warn!(file = %path.display(), store = %format_args!("{store:016x}"),
@@ -160,12 +192,20 @@
             _ => kept,
         };
         let (cluster, voted) = (kept.cluster, kept.has_voted());
-        let mut book =
-            Book { path: path.to_owned(), file: None, place: 0, behaviour, cluster, named, _lock: lock };
+        let mut book = Book {
+            path: path.to_owned(),
+            file: None,
+            place: 0,
+            behaviour,
+            cluster,
+            named,
+            _lock: lock,
+        };
         if voted {
             book.name(cluster).map_err(failed)?;
         }
-        let former = std::fs::read(path).is_ok_and(|bytes| !bytes.starts_with(MAGIC)) && read.whole > 0;
+        let former =
+            std::fs::read(path).is_ok_and(|bytes| !bytes.starts_with(MAGIC)) && read.whole > 0;
         if former || read.whole < MAGIC.len() {
             if former {
                 tracing::info!(file = %path.display(), records = read.records.len(), "brought to the present format");
@@ -180,9 +220,15 @@
         let (tell, done) = sync_channel(waiting);
         let (woken, wake) = UnixStream::pair().map_err(failed)?;
         let quiet = [&woken, &wake].map(|end| end.set_nonblocking(true));
-        quiet.into_iter().collect::<io::Result<()>>().map_err(failed)?;
+        quiet
+            .into_iter()
+            .collect::<io::Result<()>>()
+            .map_err(failed)?;
         let work = move || book.work(&todo, &tell, wake);
-        thread::Builder::new().name("store".to_owned()).spawn(work).map_err(failed)?;
+        thread::Builder::new()
+            .name("store".to_owned())
+            .spawn(work)
+            .map_err(failed)?;
         Ok((Disk { jobs, done, woken }, kept))
     }
 
@@ -195,10 +241,13 @@
         })
     }
 
-    /// The number of the last write that is on the disk, if one has come to be since this was last asked.
+    /// The number of the last write that is on the disk, if one has come to be since this was last
+    /// asked.
     pub fn done(&mut self) -> io::Result<Option<u64>> {
         let _ = self.woken.read(&mut [0; 64]);
-        self.done.try_iter().try_fold(None, |_, result| result.map(Some))
+        self.done
+            .try_iter()
+            .try_fold(None, |_, result| result.map(Some))
     }
 
     /// What becomes readable when a write is done.
@@ -222,7 +271,12 @@
 }
 
 impl Book {
-    fn work(mut self, todo: &Receiver<Write>, tell: &SyncSender<io::Result<u64>>, mut wake: UnixStream) {
+    fn work(
+        mut self,
+        todo: &Receiver<Write>,
+        tell: &SyncSender<io::Result<u64>>,
+        mut wake: UnixStream,
+    ) {
         while let Ok(first) = todo.recv() {
             // What waits shares one sync.
             let mut batch = vec![first];
@@ -238,9 +292,13 @@
         }
     }
 
-    /// Until there is room nothing is acknowledged, and so no change is taken; what was committed is told as before.
+    /// Until there is room nothing is acknowledged, and so no change is taken; what was committed
+    /// is told as before.
     fn write_once_there_is_room(&mut self, batch: &[Write]) -> io::Result<()> {
-        let (place, length) = (self.place, self.file.as_ref().map(File::metadata).transpose()?);
+        let (place, length) = (
+            self.place,
+            self.file.as_ref().map(File::metadata).transpose()?,
+        );
         let mut told = false;
         loop {
             match self.write(batch) {
@@ -249,7 +307,8 @@
                         tracing::error!(file = %self.path.display(),
                             "the disk is full: this member takes no change until there is room, and tells what it has");
                     }
-                    // What came of the records is cut off, as they are written again; a replacement begins anew by itself.
+                    // What came of the records is cut off, as they are written again; a replacement
+                    // begins anew by itself.
                     if let (Some(file), Some(length)) = (&self.file, &length)
                         && !batch.iter().any(|write| write.replaces)
                     {
@@ -271,14 +330,22 @@
     /// Writes beside the data of which store it is, before anything is promised there.
     fn name(&mut self, cluster: u64) -> io::Result<()> {
         if cluster != 0 && self.named != Some(cluster) {
-            put_in_place(&identity_path(&self.path), format!("{cluster:016x}\n").as_bytes())?;
+            put_in_place(
+                &identity_path(&self.path),
+                format!("{cluster:016x}\n").as_bytes(),
+            )?;
             self.named = Some(cluster);
         }
         Ok(())
     }
 
     fn write(&mut self, batch: &[Write]) -> io::Result<()> {
-        if self.behaviour.full_while.as_ref().is_some_and(|path| path.exists()) {
+        if self
+            .behaviour
+            .full_while
+            .as_ref()
+            .is_some_and(|path| path.exists())
+        {
             return Err(io::ErrorKind::StorageFull.into());
         }
         for record in batch.iter().flat_map(|write| &write.records) {
@@ -303,9 +370,13 @@
             return Ok(());
         }
         thread::sleep(self.behaviour.sync);
-        let file = self.file.as_mut().ok_or_else(|| io::Error::other("the file is not open"))?;
+        let file = self
+            .file
+            .as_mut()
+            .ok_or_else(|| io::Error::other("the file is not open"))?;
         file.write_all(&bytes)?;
-        // A sync that has failed may have dropped what it failed on: a second one says nothing, whatever the cause.
+        // A sync that has failed may have dropped what it failed on: a second one says nothing,
+        // whatever the cause.
         file.sync_data().map_err(io::Error::other)
     }
 
--- a/bitternsill/src/store/links.rs
+++ b/bitternsill/src/store/links.rs
@@ -39,7 +39,8 @@
 }
 
 impl Shelf {
-    /// Puts a store on the loop; a lone member needs neither a timer nor sockets, and one in memory no file.
+    /// Puts a store on the loop; a lone member needs neither a timer nor sockets, and one in memory
+    /// no file.
     pub fn new(
         store: Store,
         name: String,
@@ -49,9 +50,15 @@
         net: &mut Net<Gatherer>,
     ) -> Shelf {
         let clock = (!peers.is_empty() || disk.is_some()).then(|| net.open(Box::new(Clock)));
-        let open = |(id, address): (&u64, &SocketAddr)| (*id, net.open(Box::new(Peer::new(*address))));
+        let open =
+            |(id, address): (&u64, &SocketAddr)| (*id, net.open(Box::new(Peer::new(*address))));
         let peers = peers.iter().map(open).collect();
-        let pages = disk.map(|disk| net.open(Box::new(Pages { disk, waiting: VecDeque::new() })));
+        let pages = disk.map(|disk| {
+            net.open(Box::new(Pages {
+                disk,
+                waiting: VecDeque::new(),
+            }))
+        });
         let mut shelf = Shelf {
             store,
             name,
@@ -126,13 +133,31 @@
         if self.clock.is_none() || !(news || waits.is_some() && now >= self.told.1) {
             return;
         }
-        let (store, generation) = (format!("{:016x}", self.store.cluster()), self.store.generation());
+        let (store, generation) = (
+            format!("{:016x}", self.store.cluster()),
+            self.store.generation(),
+        );
         match waits {
             Some(waits) if news && standing != Standing::Lost => {
-                tracing::info!(?standing, store, waits, "the store's member takes no part yet");
+                tracing::info!(
+                    ?standing,
+                    store,
+                    waits,
+                    "the store's member takes no part yet"
+                );
             }
-            Some(waits) => tracing::warn!(?standing, store, waits, "the store's member takes no part yet"),
-            None => tracing::info!(?standing, store, generation, "the store's member takes part"),
+            Some(waits) => tracing::warn!(
+                ?standing,
+                store,
+                waits,
+                "the store's member takes no part yet"
+            ),
+            None => tracing::info!(
+                ?standing,
+                store,
+                generation,
+                "the store's member takes part"
+            ),
         }
         self.told = (Some(standing), now + self.told_again);
     }
@@ -159,7 +184,10 @@
             for token in &self.followers {
                 net.post(*token, Message::Line(asks::watch_line(revision, &change)));
             }
-            let told = self.told_of.as_ref().map_or(&[][..], |(_, prefixes)| prefixes);
+            let told = self
+                .told_of
+                .as_ref()
+                .map_or(&[][..], |(_, prefixes)| prefixes);
             if told.iter().any(|prefix| change.key.starts_with(prefix)) {
                 changed.push(change);
             }
@@ -202,8 +230,8 @@
 }
 
 impl Pages {
-    /// Hands over what the thread has room for. A member whose disk does not keep up with so much ends: it could not
-    /// promise anything in time.
+    /// Hands over what the thread has room for. A member whose disk does not keep up with so much
+    /// ends: it could not promise anything in time.
     fn hand(&mut self, cx: &mut Cx<'_>) {
         while let Some(write) = self.waiting.pop_front() {
             if let Err(write) = self.disk.hand(write) {
@@ -279,7 +307,12 @@
 
 impl Peer {
     fn new(to: SocketAddr) -> Peer {
-        Peer { to, stream: None, up: false, retry_at: 0 }
+        Peer {
+            to,
+            stream: None,
+            up: false,
+            retry_at: 0,
+        }
     }
 
     fn drop_stream(&mut self, cx: &mut Cx<'_>) {
@@ -290,10 +323,19 @@
     }
 
     fn write(&mut self, cx: &mut Cx<'_>) {
-        let Some(stream) = &mut self.stream else { return };
+        let Some(stream) = &mut self.stream else {
+            return;
+        };
         let flushed = if self.up { stream.flush() } else { Ok(()) };
-        let ready = if self.up { Ready::READ.and_room(stream.unwritten() > 0) } else { Ready::WRITE };
-        if flushed.and_then(|()| stream.arm(cx.net, cx.token, ready)).is_err() {
+        let ready = if self.up {
+            Ready::READ.and_room(stream.unwritten() > 0)
+        } else {
+            Ready::WRITE
+        };
+        if flushed
+            .and_then(|()| stream.arm(cx.net, cx.token, ready))
+            .is_err()
+        {
             self.drop_stream(cx);
         }
     }
@@ -305,7 +347,9 @@
     }
 
     fn ready(&mut self, cx: &mut Cx<'_>, ready: Ready) {
-        let Some(stream) = &mut self.stream else { return };
+        let Some(stream) = &mut self.stream else {
+            return;
+        };
         if !self.up {
             match stream.attempt() {
                 Attempt::Pending => return,
@@ -316,7 +360,10 @@
         } else if ready.readable {
             // Members answer on connections of their own; here only the end can come.
             let mut nothing = Vec::new();
-            if !matches!(stream.read(&mut nothing, cx.world.limits.read_burst), Ok(Input::Open)) {
+            if !matches!(
+                stream.read(&mut nothing, cx.world.limits.read_burst),
+                Ok(Input::Open)
+            ) {
                 return self.drop_stream(cx);
             }
         }
@@ -331,7 +378,11 @@
             cx.set_timer(cx.now + cx.world.limits.connect);
         }
         let limit = cx.world.limits.frame_bytes * 2;
-        if let Some(stream) = self.stream.as_mut().filter(|s| s.unwritten() + line.len() <= limit) {
+        if let Some(stream) = self
+            .stream
+            .as_mut()
+            .filter(|s| s.unwritten() + line.len() <= limit)
+        {
             stream.push(line.as_bytes());
         }
         self.write(cx);
@@ -352,7 +403,11 @@
 impl Incoming {
     /// The connection object of an accepted socket.
     pub fn accept(stream: Stream, _world: &Gatherer) -> Box<dyn Connection<Gatherer>> {
-        Box::new(Incoming { stream, input: Vec::new(), watches: false })
+        Box::new(Incoming {
+            stream,
+            input: Vec::new(),
+            watches: false,
+        })
     }
 
     fn line(&mut self, cx: &mut Cx<'_>, line: &[u8]) -> Result<(), packet::NoPacket> {
@@ -362,7 +417,10 @@
             {
                 shelf.watchers.push(cx.token);
                 for (key, held) in shelf.store.state().keys() {
-                    let change = Change { key: key.to_owned(), value: Some(held.value.clone()) };
+                    let change = Change {
+                        key: key.to_owned(),
+                        value: Some(held.value.clone()),
+                    };
                     self.stream.push(watch_line(&change).as_bytes());
                 }
             }
@@ -372,11 +430,18 @@
             self.stream.push(cx.world.phase_line(cx.now).as_bytes());
             return Ok(());
         }
-        if let Some(asked) = serde_json::from_slice(line).ok().and_then(|json| asks::read(&json, cx.token)) {
+        if let Some(asked) = serde_json::from_slice(line)
+            .ok()
+            .and_then(|json| asks::read(&json, cx.token))
+        {
             return self.asked(cx, asked.map_err(packet::NoPacket)?);
         }
         let packet = Packet::read(line)?;
-        let known = cx.world.shelf.as_ref().is_some_and(|shelf| shelf.peers.contains_key(&packet.from));
+        let known = cx
+            .world
+            .shelf
+            .as_ref()
+            .is_some_and(|shelf| shelf.peers.contains_key(&packet.from));
         if !known {
             return Err(packet::NoPacket("from no member"));
         }
@@ -391,14 +456,28 @@
     /// Answers what a line asks, or has it answered.
     fn asked(&mut self, cx: &mut Cx<'_>, line: Line) -> Result<(), packet::NoPacket> {
         let patience = cx.world.limits.store_patience;
-        if let Line::Trail { token, segment, from } = line {
-            match cx.world.versions.as_ref().and_then(|versions| versions.trail()) {
-                Some(trail) => cx.net.post(trail, Message::TrailWanted(token, segment, from)),
+        if let Line::Trail {
+            token,
+            segment,
+            from,
+        } = line
+        {
+            match cx
+                .world
+                .versions
+                .as_ref()
+                .and_then(|versions| versions.trail())
+            {
+                Some(trail) => cx
+                    .net
+                    .post(trail, Message::TrailWanted(token, segment, from)),
                 None => self.stream.push(b"{\"trail\":null}\n"),
             }
             return Ok(());
         }
-        let Some(shelf) = &mut cx.world.shelf else { return Err(packet::NoPacket("no store")) };
+        let Some(shelf) = &mut cx.world.shelf else {
+            return Err(packet::NoPacket("no store"));
+        };
         match line {
             Line::Call(call, asker) => shelf.ask(call, asker, patience, cx.net),
             Line::Stale(Asker::Line { id, prefix, .. }) => {
@@ -409,7 +488,8 @@
                 shelf.followers.push(cx.token);
                 match shelf.store.since(from) {
                     Ok(changes) => {
-                        let lines = changes.map(|(revision, change)| asks::watch_line(*revision, change));
+                        let lines =
+                            changes.map(|(revision, change)| asks::watch_line(*revision, change));
                         lines.for_each(|line| self.stream.push(line.as_bytes()));
                     }
                     // What is missing cannot be told: everything is, as it is now.
@@ -418,8 +498,12 @@
                         self.stream.push(format!("{line}\n").as_bytes());
                         for (key, held) in shelf.store.state().keys() {
                             let value = Some(held.value.clone());
-                            let change = Change { key: key.to_owned(), value };
-                            self.stream.push(asks::watch_line(held.revision, &change).as_bytes());
+                            let change = Change {
+                                key: key.to_owned(),
+                                value,
+                            };
+                            self.stream
+                                .push(asks::watch_line(held.revision, &change).as_bytes());
                         }
                     }
                 }
@@ -432,7 +516,12 @@
     fn write(&mut self, cx: &mut Cx<'_>) {
         // A watcher that does not read must not fill the memory.
         let over = self.stream.unwritten() > cx.world.limits.frame_bytes * 4;
-        if over || self.stream.flush_and_arm(cx.net, cx.token, Ready::READ).is_err() {
+        if over
+            || self
+                .stream
+                .flush_and_arm(cx.net, cx.token, Ready::READ)
+                .is_err()
+        {
             cx.close();
         }
     }
@@ -447,7 +536,9 @@
 
     fn ready(&mut self, cx: &mut Cx<'_>, ready: Ready) {
         if ready.readable {
-            let end = self.stream.read(&mut self.input, cx.world.limits.read_burst);
+            let end = self
+                .stream
+                .read(&mut self.input, cx.world.limits.read_burst);
             while let Some(end) = self.input.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = self.input.drain(..=end).collect();
                 if let Err(problem) = self.line(cx, &line) {
@@ -455,7 +546,8 @@
                     return cx.close();
                 }
             }
-            if self.input.len() > cx.world.limits.frame_bytes * 2 || !matches!(end, Ok(Input::Open)) {
+            if self.input.len() > cx.world.limits.frame_bytes * 2 || !matches!(end, Ok(Input::Open))
+            {
                 return cx.close();
             }
         }
--- a/bitternsill/src/store/mod.rs
+++ b/bitternsill/src/store/mod.rs
@@ -1,5 +1,6 @@
-//! The store on the loop: its links to other members and to those who watch it, and its file. What a member decides is in
-//! the package `store`, which does no I/O. It stands off the request path and is no input to the decision module.
+//! The store on the loop: its links to other members and to those who watch it, and its file. What
+//! a member decides is in the package `store`, which does no I/O. It stands off the request path
+//! and is no input to the decision module.
 
 pub mod asks;
 pub mod cli;
--- a/bitternsill/src/versions/audit.rs
+++ b/bitternsill/src/versions/audit.rs
@@ -1,4 +1,5 @@
-//! `bitternsill fleet audit`: trails are fetched from each gatherer and judged by the package `versions`.
+//! `bitternsill fleet audit`: trails are fetched from each gatherer and judged by the package
+//! `versions`.
 
 use super::cli::Where;
 use super::collect::Trails;
@@ -21,8 +22,8 @@
     /// Also write one page of HTML, with a line of time for each gatherer.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
-    /// Keep what is fetched in this folder, and fetch only what it does not have yet: a trail that was collected once is
-    /// known whatever becomes of its gatherer's disk.
+    /// Keep what is fetched in this folder, and fetch only what it does not have yet: a trail that
+    /// was collected once is known whatever becomes of its gatherer's disk.
     #[arg(long, value_name = "FOLDER")]
     keep: Option<PathBuf>,
 }
@@ -34,8 +35,14 @@
         Err(problem) => return (problem, false),
     };
     let (reports, problems) = collect(call, &seen);
-    let sound = reports.values().all(|r| r.findings.iter().all(|f| f.is_wrong() == Some(false)));
-    let mut text = if call.place.json { as_json(&seen, &reports) } else { as_text(&seen, &reports) };
+    let sound = reports
+        .values()
+        .all(|r| r.findings.iter().all(|f| f.is_wrong() == Some(false)));
+    let mut text = if call.place.json {
+        as_json(&seen, &reports)
+    } else {
+        as_text(&seen, &reports)
+    };
     for problem in problems.iter().filter(|_| !call.place.json) {
         let _ = write!(text, "\nnot asked: {problem}");
     }
@@ -54,13 +61,21 @@
 /// Every version that the store ever made active, with its proposal.
 fn versions(seen: &Seen) -> BTreeMap<Version, String> {
     let was = seen.names(WAS);
-    was.filter_map(|proposal| Some((seen.keys.get(&format!("{WAS}{proposal}"))?.1, proposal.to_owned())))
-        .collect()
+    was.filter_map(|proposal| {
+        Some((
+            seen.keys.get(&format!("{WAS}{proposal}"))?.1,
+            proposal.to_owned(),
+        ))
+    })
+    .collect()
 }
 
 /// What is known of each gatherer that the store knows, and why one could not be asked.
 fn collect(call: &Audit, seen: &Seen) -> (BTreeMap<String, Report>, Vec<String>) {
-    let (keep, patience) = (call.keep.as_deref(), Duration::from_millis(call.place.patience));
+    let (keep, patience) = (
+        call.keep.as_deref(),
+        Duration::from_millis(call.place.patience),
+    );
     let mut problems = Vec::new();
     let mut trails = match keep.map(Trails::kept) {
         Some(Err(problem)) => {
@@ -84,7 +99,14 @@
             let (digest, _) = seen.json(&format!("{prefix}{trail}"))?;
             let (segment, length) = (digest["segment"].as_u64()?, digest["length"].as_u64()?);
             let hash = digest["hash"].as_str()?.to_owned();
-            Some((trail.parse().ok()?, Digest { segment, length, hash }))
+            Some((
+                trail.parse().ok()?,
+                Digest {
+                    segment,
+                    length,
+                    hash,
+                },
+            ))
         };
         let told: BTreeMap<u64, Digest> = seen.names(&prefix).filter_map(digest).collect();
         let (trails, fetched) = trails.of(name);
@@ -105,19 +127,26 @@
             .map(|finding| json!({"what": finding.to_string(), "wrong": finding.is_wrong(), "word": finding.word()}))
             .collect();
         let spans: Vec<Json> = report.spans.iter().map(span).collect();
-        let call =
-            |c: &versions::audit::Called| json!({"at_ms": c.wall_ms, "version": c.version, "call": c.call});
+        let call = |c: &versions::audit::Called| json!({"at_ms": c.wall_ms, "version": c.version, "call": c.call});
         let calls: Vec<Json> = report.calls.iter().map(call).collect();
-        (name.clone(), json!({"acted": spans, "calls": calls, "findings": findings}))
+        (
+            name.clone(),
+            json!({"acted": spans, "calls": calls, "findings": findings}),
+        )
     };
     let gatherers: serde_json::Map<String, Json> = reports.iter().map(report).collect();
     let overlaps: Vec<Json> = overlaps(reports)
         .into_iter()
         .map(|((one, other), ms)| json!({"versions": [one, other], "ms": ms}))
         .collect();
-    let active: Vec<Json> =
-        versions(seen).into_iter().map(|(v, p)| json!({"version": v, "proposal": p})).collect();
-    format!("{:#}", json!({"versions": active, "gatherers": gatherers, "overlaps": overlaps}))
+    let active: Vec<Json> = versions(seen)
+        .into_iter()
+        .map(|(v, p)| json!({"version": v, "proposal": p}))
+        .collect();
+    format!(
+        "{:#}",
+        json!({"versions": active, "gatherers": gatherers, "overlaps": overlaps})
+    )
 }
 
 fn wall(begin: i64, at: u64) -> i64 {
@@ -126,30 +155,50 @@
 
 fn as_text(seen: &Seen, reports: &BTreeMap<String, Report>) -> String {
     let mut text = String::new();
-    let active: Vec<String> =
-        versions(seen).into_iter().map(|(v, proposal)| format!("{v} (proposal {proposal})")).collect();
+    let active: Vec<String> = versions(seen)
+        .into_iter()
+        .map(|(v, proposal)| format!("{v} (proposal {proposal})"))
+        .collect();
     let _ = write!(
         text,
         "versions that were ever active: {}",
-        if active.is_empty() { "none".to_owned() } else { active.join(", ") }
+        if active.is_empty() {
+            "none".to_owned()
+        } else {
+            active.join(", ")
+        }
     );
     for (name, report) in reports {
         let _ = write!(text, "\n{name}");
         for span in &report.spans {
-            let (from, to) =
-                (clock(wall(span.wall_ms, span.taken.0)), clock(wall(span.wall_ms, span.taken.1)));
-            let _ = write!(text, "\n  version {} from {from} to {to}: {} queries", span.version, span.count);
+            let (from, to) = (
+                clock(wall(span.wall_ms, span.taken.0)),
+                clock(wall(span.wall_ms, span.taken.1)),
+            );
+            let _ = write!(
+                text,
+                "\n  version {} from {from} to {to}: {} queries",
+                span.version, span.count
+            );
         }
         for call in &report.calls {
-            let _ =
-                write!(text, "\n  at {} under version {}: {}", clock(call.wall_ms), call.version, call.call);
+            let _ = write!(
+                text,
+                "\n  at {} under version {}: {}",
+                clock(call.wall_ms),
+                call.version,
+                call.call
+            );
         }
         for finding in &report.findings {
             let _ = write!(text, "\n  {}: {finding}", finding.word());
         }
     }
     for ((one, other), ms) in overlaps(reports) {
-        let _ = write!(text, "\nversions {one} and {other} were acted on at one time for {ms} ms");
+        let _ = write!(
+            text,
+            "\nversions {one} and {other} were acted on at one time for {ms} ms"
+        );
     }
     text
 }
@@ -157,7 +206,13 @@
 /// A wall clock's time of day, in UTC.
 fn clock(ms: i64) -> String {
     let ms = ms.rem_euclid(86_400_000);
-    format!("{:02}:{:02}:{:02}.{:03}", ms / 3_600_000, ms / 60_000 % 60, ms / 1_000 % 60, ms % 1_000)
+    format!(
+        "{:02}:{:02}:{:02}.{:03}",
+        ms / 3_600_000,
+        ms / 60_000 % 60,
+        ms / 1_000 % 60,
+        ms % 1_000
+    )
 }
 
 const PAGE: &str = include_str!("audit.html");
@@ -165,14 +220,33 @@
 /// One page with a line of time for each gatherer.
 fn page(seen: &Seen, reports: &BTreeMap<String, Report>) -> Result<String, String> {
     let all = reports.values().flat_map(|report| &report.spans);
-    let ends = all.map(|span| (wall(span.wall_ms, span.taken.0), wall(span.wall_ms, span.taken.1)));
-    let called = reports.values().flat_map(|report| &report.calls).map(|call| (call.wall_ms, call.wall_ms));
+    let ends = all.map(|span| {
+        (
+            wall(span.wall_ms, span.taken.0),
+            wall(span.wall_ms, span.taken.1),
+        )
+    });
+    let called = reports
+        .values()
+        .flat_map(|report| &report.calls)
+        .map(|call| (call.wall_ms, call.wall_ms));
     let ends = ends.chain(called);
-    let (first, last) = ends.fold((i64::MAX, i64::MIN), |all, one| (all.0.min(one.0), all.1.max(one.1)));
-    let (first, last) = if first > last { (0, 1) } else { (first, last.max(first + 1)) };
+    let (first, last) = ends.fold((i64::MAX, i64::MIN), |all, one| {
+        (all.0.min(one.0), all.1.max(one.1))
+    });
+    let (first, last) = if first > last {
+        (0, 1)
+    } else {
+        (first, last.max(first + 1))
+    };
     let known: Vec<Version> = versions(seen).into_keys().collect();
     // Greys that stay apart in print, told again by a pattern of the version's number in the bar.
-    let shade = |version: Version| known.iter().position(|of| *of == version).map_or(0, |at| 1 + at % 6);
+    let shade = |version: Version| {
+        known
+            .iter()
+            .position(|of| *of == version)
+            .map_or(0, |at| 1 + at % 6)
+    };
     let x = |ms: i64| (ms - first) as f64 / (last - first) as f64 * 1000.0;
     let line = |(name, report): (&String, &Report)| {
         let bars: Vec<Json> = report
@@ -190,14 +264,20 @@
             .map(|finding| json!({"what": finding.to_string(), "wrong": finding.is_wrong(), "word": finding.word()}))
             .collect();
         let call = |call: &versions::audit::Called| {
-            let title = format!("{} at {}, under version {}", call.call, clock(call.wall_ms), call.version);
+            let title = format!(
+                "{} at {}, under version {}",
+                call.call,
+                clock(call.wall_ms),
+                call.version
+            );
             json!({"x": x(call.wall_ms), "title": title})
         };
         let calls: Vec<Json> = report.calls.iter().map(call).collect();
         json!({"name": name, "bars": bars, "calls": calls, "findings": findings})
     };
-    let ticks: Vec<Json> =
-        (0..=5).map(|at| json!({"x": at * 200, "text": clock(first + (last - first) * at / 5)})).collect();
+    let ticks: Vec<Json> = (0..=5)
+        .map(|at| json!({"x": at * 200, "text": clock(first + (last - first) * at / 5)}))
+        .collect();
     let overlaps: Vec<Json> = overlaps(reports)
         .into_iter()
         .map(|((one, other), ms)| json!({"one": one, "other": other, "ms": ms}))
@@ -208,8 +288,12 @@
         .map(|(version, proposal)| json!({"version": version, "proposal": proposal, "shade": shade(version)}))
         .collect();
     let mut pages = minijinja::Environment::new();
-    pages.add_template("audit.html", PAGE).map_err(|problem| problem.to_string())?;
-    let page = pages.get_template("audit.html").map_err(|problem| problem.to_string())?;
+    pages
+        .add_template("audit.html", PAGE)
+        .map_err(|problem| problem.to_string())?;
+    let page = pages
+        .get_template("audit.html")
+        .map_err(|problem| problem.to_string())?;
     let context = json!({"lines": lines, "ticks": ticks, "overlaps": overlaps, "shades": shades,
                          "height": 24 * reports.len(), "revision": seen.revision});
     page.render(context).map_err(|problem| problem.to_string())
@@ -223,9 +307,13 @@
     /// `VERSIONS_PAGE=FILE` keeps the page, to be looked at.
     #[test]
     fn a_page_of_sixty_gatherers_has_a_line_for_each_and_needs_nothing_else() {
-        let mut seen = Seen { revision: 90, ..Seen::default() };
+        let mut seen = Seen {
+            revision: 90,
+            ..Seen::default()
+        };
         for (proposal, version) in [(10, 12), (40, 44), (70, 75)] {
-            seen.keys.insert(format!("{WAS}{proposal}"), ("{}".to_owned(), version));
+            seen.keys
+                .insert(format!("{WAS}{proposal}"), ("{}".to_owned(), version));
         }
         let span = |version, from: u64, to: u64| Span {
             life: 1,
@@ -235,14 +323,28 @@
             count: 1_000,
         };
         let report = |at: u64| {
-            let spans =
-                vec![span(12, 0, 60 + at % 3), span(44, 61 + at % 3, 200), span(75, 201 + at % 5, 300)];
+            let spans = vec![
+                span(12, 0, 60 + at % 3),
+                span(44, 61 + at % 3, 200),
+                span(75, 201 + at % 5, 300),
+            ];
             let findings = match at {
                 7 => vec![Finding::NoTrail],
-                9 => vec![Finding::Kept { version: 44, by: 5_000_000_000, count: 12 }],
+                9 => vec![Finding::Kept {
+                    version: 44,
+                    by: 5_000_000_000,
+                    count: 12,
+                }],
                 _ => Vec::new(),
             };
-            (format!("gatherer-{at:02}"), Report { spans, findings, ..Report::default() })
+            (
+                format!("gatherer-{at:02}"),
+                Report {
+                    spans,
+                    findings,
+                    ..Report::default()
+                },
+            )
         };
         let reports: BTreeMap<String, Report> = (0..60).map(report).collect();
         let page = page(&seen, &reports).unwrap();
@@ -250,7 +352,8 @@
         assert!(reports.keys().all(|name| page.contains(name.as_str())));
         assert!(!page.contains("http"), "one file, and nothing fetched");
         assert!(
-            page.contains("10:00:00.000") && page.contains("Versions 12 and 44 were acted on at one time")
+            page.contains("10:00:00.000")
+                && page.contains("Versions 12 and 44 were acted on at one time")
         );
         if let Some(path) = std::env::var_os("VERSIONS_PAGE") {
             std::fs::write(path, page).unwrap();
