--- a/bitternsill/src/versions/cli.rs
+++ b/bitternsill/src/versions/cli.rs
@@ -1,4 +1,5 @@
-//! `bitternsill fleet configure|activate|versions|diff|hold|release|leave-out|take-in`: versions by an operator's hand.
+//! `bitternsill fleet configure|activate|versions|diff|hold|release|leave-out|take-in`: versions by
+//! an operator's hand.
 
 use super::activation::{self, Blocked, fleet};
 use super::{ACTIVE, FORMAT, GATHERERS, HELD, NEXT, OUT, PAST};
@@ -18,9 +19,11 @@
 /// Versions of the configuration.
 #[derive(Debug, Subcommand)]
 pub enum VersionsCall {
-    /// Propose settings to the fleet: each gatherer says whether it can use them. Nothing changes yet.
+    /// Propose settings to the fleet: each gatherer says whether it can use them. Nothing changes
+    /// yet.
     Configure(Configure),
-    /// Have all gatherers switch to what is proposed, at one revision, or none: whoever is in the way is named.
+    /// Have all gatherers switch to what is proposed, at one revision, or none: whoever is in the
+    /// way is named.
     Activate(Activate),
     /// Tell what is active and proposed, and what each gatherer runs and says.
     Versions(Where),
@@ -53,7 +56,10 @@
 impl Where {
     /// The store there.
     pub fn client(&self) -> Client {
-        Client { at: self.at.clone(), patience: Duration::from_millis(self.patience) }
+        Client {
+            at: self.at.clone(),
+            patience: Duration::from_millis(self.patience),
+        }
     }
 }
 
@@ -66,7 +72,8 @@
     /// Propose again what was active as this proposal.
     #[arg(long, value_name = "PROPOSAL", conflicts_with = "file")]
     back_to: Option<u64>,
-    /// The share of gatherers that stays in service without a store, whatever it costs in tidiness: 0 to 1.
+    /// The share of gatherers that stays in service without a store, whatever it costs in tidiness:
+    /// 0 to 1.
     #[arg(long, default_value_t = 0.5)]
     least: f64,
     #[command(flatten)]
@@ -121,32 +128,46 @@
 }
 
 fn set(key: impl Into<String>, value: Option<String>) -> Change {
-    Change { key: key.into(), value }
+    Change {
+        key: key.into(),
+        value,
+    }
 }
 
 fn configure(call: &Configure) -> Result<String, String> {
     if !(0.0..=1.0).contains(&call.least) {
-        return Err(format!("--least is a share from 0 to 1, not {}", call.least));
+        return Err(format!(
+            "--least is a share from 0 to 1, not {}",
+            call.least
+        ));
     }
     let client = call.place.client();
     let seen = client.read("")?;
     let settings = match (&call.file, call.back_to) {
         (Some(file), _) => {
-            let text = std::fs::read(file).map_err(|problem| format!("{}: {problem}", file.display()))?;
-            let json: Json =
-                serde_json::from_slice(&text).map_err(|problem| format!("{}: {problem}", file.display()))?;
-            let settings = if json["settings"].is_object() { json["settings"].clone() } else { json };
-            settings::read(&settings).map_err(|problem| format!("{}: {problem}", file.display()))?;
+            let text =
+                std::fs::read(file).map_err(|problem| format!("{}: {problem}", file.display()))?;
+            let json: Json = serde_json::from_slice(&text)
+                .map_err(|problem| format!("{}: {problem}", file.display()))?;
+            let settings = if json["settings"].is_object() {
+                json["settings"].clone()
+            } else {
+                json
+            };
+            settings::read(&settings)
+                .map_err(|problem| format!("{}: {problem}", file.display()))?;
             settings
         }
         (None, Some(proposal)) => {
             let past = seen.json(&format!("{PAST}{proposal}"));
-            let (past, _) = past.ok_or_else(|| format!("proposal {proposal} was not active of late"))?;
+            let (past, _) =
+                past.ok_or_else(|| format!("proposal {proposal} was not active of late"))?;
             past["settings"].clone()
         }
         (None, None) => return Err("a file, or --back-to".to_owned()),
     };
-    // What some could not read is not even proposed; those of before the first format number read that one.
+    // What some could not read is not even proposed; those of before the first format number read
+    // that one.
     let older: Vec<&str> = seen
         .names(GATHERERS)
         .filter(|name| {
@@ -155,7 +176,10 @@
         })
         .collect();
     if !older.is_empty() {
-        return Err(format!("not proposed: format {FORMAT} is not read by {}", older.join(", ")));
+        return Err(format!(
+            "not proposed: format {FORMAT} is not read by {}",
+            older.join(", ")
+        ));
     }
     let document = json!({"format": FORMAT, "settings": settings, "least": call.least});
     // Another proposal that came meanwhile is not replaced unseen.
@@ -164,10 +188,14 @@
         Changed::Applied(proposal) => Ok(if call.place.json {
             json!({"proposal": proposal}).to_string()
         } else {
-            format!("proposed as {proposal}; `fleet activate` has all switch once each has said that it can")
+            format!(
+                "proposed as {proposal}; `fleet activate` has all switch once each has said that it can"
+            )
         }),
         Changed::Refused(why) => Err(format!("not proposed: {why}")),
-        Changed::Unknown => Err("not known whether it was proposed: look with `fleet versions`".to_owned()),
+        Changed::Unknown => {
+            Err("not known whether it was proposed: look with `fleet versions`".to_owned())
+        }
     }
 }
 
@@ -184,14 +212,28 @@
             Ok(plan) => plan,
             Err(Blocked::Nothing(why)) => return Err(why),
             Err(Blocked::InTheWay { missing, longest }) => {
-                let only_time = missing.values().all(|why| matches!(why, Missing::LeftOutTooLately(_)));
-                let longest = if only_time { Duration::from_nanos(longest) } else { Duration::ZERO };
-                // Where it cannot be done, all who are in the way are named: whoever may yet have a say is waited for.
-                let never = missing.values().any(|why| matches!(why, Missing::Cannot(_) | Missing::Keeper));
+                let only_time = missing
+                    .values()
+                    .all(|why| matches!(why, Missing::LeftOutTooLately(_)));
+                let longest = if only_time {
+                    Duration::from_nanos(longest)
+                } else {
+                    Duration::ZERO
+                };
+                // Where it cannot be done, all who are in the way are named: whoever may yet have a
+                // say is waited for.
+                let never = missing
+                    .values()
+                    .any(|why| matches!(why, Missing::Cannot(_) | Missing::Keeper));
                 let silent = missing.values().any(|why| *why == Missing::Silent);
                 if begun.elapsed() > wait + longest || never && !silent {
-                    let names = missing.iter().map(|(name, why)| format!("\n  {name} {why}"));
-                    return Err(format!("not activated; in the way are:{}", names.collect::<String>()));
+                    let names = missing
+                        .iter()
+                        .map(|(name, why)| format!("\n  {name} {why}"));
+                    return Err(format!(
+                        "not activated; in the way are:{}",
+                        names.collect::<String>()
+                    ));
                 }
                 thread::sleep(Duration::from_millis(50));
                 continue;
@@ -200,7 +242,10 @@
         let (proposal, with, keepers) = (plan.proposal, plan.with, plan.keepers);
         match client.change(plan.checks, plan.sets)? {
             Changed::Applied(version) if call.place.json => {
-                return Ok(json!({"version": version, "proposal": proposal, "keepers": keepers}).to_string());
+                return Ok(
+                    json!({"version": version, "proposal": proposal, "keepers": keepers})
+                        .to_string(),
+                );
             }
             Changed::Applied(version) => {
                 let keepers = keepers.join(", ");
@@ -211,10 +256,14 @@
             // Somebody had another word, or started anew, since it was read: it is read again.
             Changed::Refused(_) if begun.elapsed() <= wait => {}
             Changed::Refused(why) => {
-                return Err(format!("not activated, something has changed meanwhile: {why}"));
+                return Err(format!(
+                    "not activated, something has changed meanwhile: {why}"
+                ));
             }
             Changed::Unknown => {
-                return Err("not known whether it was activated: look with `fleet versions`".to_owned());
+                return Err(
+                    "not known whether it was activated: look with `fleet versions`".to_owned(),
+                );
             }
         }
     }
@@ -226,14 +275,19 @@
     let name = &named.name;
     if !seen.keys.contains_key(&format!("{GATHERERS}{name}")) {
         let known: Vec<&str> = seen.names(GATHERERS).collect();
-        return Err(format!("no gatherer is called {name}; known are {}", known.join(", ")));
+        return Err(format!(
+            "no gatherer is called {name}; known are {}",
+            known.join(", ")
+        ));
     }
     let key = format!("{prefix}{name}");
     let word = if put { Some("{}".to_owned()) } else { None };
     match client.change(vec![seen.unchanged(&key)], vec![set(key, word)])? {
         Changed::Applied(revision) => Ok(format!("done at revision {revision}")),
         Changed::Refused(why) => Err(format!("not done: {why}")),
-        Changed::Unknown => Err("not known whether it was done: look with `fleet versions`".to_owned()),
+        Changed::Unknown => {
+            Err("not known whether it was done: look with `fleet versions`".to_owned())
+        }
     }
 }
 
@@ -241,23 +295,34 @@
     let seen = place.client().read("")?;
     let active = seen.json(ACTIVE);
     let next = seen.json(NEXT);
-    let fleet = fleet(&seen, &seen.names(OUT).map(|name| (name.to_owned(), 0)).collect());
+    let fleet = fleet(
+        &seen,
+        &seen.names(OUT).map(|name| (name.to_owned(), 0)).collect(),
+    );
     let held: BTreeSet<&str> = seen.names(HELD).collect();
     if place.json {
         let line = |(name, member): (&String, &Member)| {
-            let word = member.word.as_ref().map(|(to, cannot)| json!({"to": to, "cannot": cannot}));
+            let word = member
+                .word
+                .as_ref()
+                .map(|(to, cannot)| json!({"to": to, "cannot": cannot}));
             json!({"name": name, "runs": member.runs, "word": word, "held": held.contains(name.as_str()),
                    "left_out": member.left_out.is_some()})
         };
         let gatherers: Vec<Json> = fleet.iter().map(line).collect();
         let version = active.as_ref().map(|(_, version)| *version);
         let keepers = active.as_ref().map(|(active, _)| active["keepers"].clone());
-        return Ok(json!({"revision": seen.revision, "version": version, "keepers": keepers,
+        return Ok(
+            json!({"revision": seen.revision, "version": version, "keepers": keepers,
                          "proposal": next.map(|(_, proposal)| proposal), "gatherers": gatherers})
-        .to_string());
+            .to_string(),
+        );
     }
     let mut text = match &active {
-        Some((active, version)) => format!("version {version} is active (proposal {})", active["proposal"]),
+        Some((active, version)) => format!(
+            "version {version} is active (proposal {})",
+            active["proposal"]
+        ),
         None => "no version is active: each gatherer goes by its own file".to_owned(),
     };
     if let Some((_, proposal)) = &next {
@@ -270,24 +335,38 @@
             Some((to, Some(why))) => drop(write!(text, ", cannot use {to}: {why}")),
             None => text.push_str(", has said nothing"),
         }
-        text.push_str(if held.contains(name.as_str()) { ", held back" } else { "" });
-        text.push_str(if member.left_out.is_some() { ", left out" } else { "" });
+        text.push_str(if held.contains(name.as_str()) {
+            ", held back"
+        } else {
+            ""
+        });
+        text.push_str(if member.left_out.is_some() {
+            ", left out"
+        } else {
+            ""
+        });
     }
     Ok(text)
 }
 
 fn diff(call: &Diff) -> Result<String, String> {
     let seen = call.place.client().read("config/")?;
-    let active = seen.json(ACTIVE).map_or(Json::Null, |(active, _)| active["settings"].clone());
+    let active = seen
+        .json(ACTIVE)
+        .map_or(Json::Null, |(active, _)| active["settings"].clone());
     let other = match call.with {
-        Some(proposal) => {
-            seen.json(&format!("{PAST}{proposal}")).ok_or("that proposal was not active of late")?
-        }
+        Some(proposal) => seen
+            .json(&format!("{PAST}{proposal}"))
+            .ok_or("that proposal was not active of late")?,
         None => seen.json(NEXT).ok_or("nothing is proposed")?,
     };
     let mut lines = Vec::new();
     compare(&active, &other.0["settings"], "settings", &mut lines);
-    Ok(if lines.is_empty() { "no difference".to_owned() } else { lines.join("\n") })
+    Ok(if lines.is_empty() {
+        "no difference".to_owned()
+    } else {
+        lines.join("\n")
+    })
 }
 
 /// Every place at which two documents differ, with what stands there.
@@ -296,7 +375,10 @@
         (Json::Object(one), Json::Object(other)) => {
             let keys: BTreeSet<&String> = one.keys().chain(other.keys()).collect();
             for key in keys {
-                let (a, b) = (one.get(key).unwrap_or(&Json::Null), other.get(key).unwrap_or(&Json::Null));
+                let (a, b) = (
+                    one.get(key).unwrap_or(&Json::Null),
+                    other.get(key).unwrap_or(&Json::Null),
+                );
                 compare(a, b, &format!("{path}.{key}"), lines);
             }
         }
--- a/bitternsill/src/versions/collect.rs
+++ b/bitternsill/src/versions/collect.rs
@@ -1,5 +1,6 @@
-//! Trails as they are collected: fetched from each gatherer in pieces, and kept in a folder if one is named, so that the next
-//! collection, or one that was broken off, goes on from what is there, and a trail outlives its gatherer's disk.
+//! Trails as they are collected: fetched from each gatherer in pieces, and kept in a folder if one
+//! is named, so that the next collection, or one that was broken off, goes on from what is there,
+//! and a trail outlives its gatherer's disk.
 
 use crate::store::client::line;
 use serde_json::json;
@@ -22,7 +23,10 @@
 impl Trails {
     /// Every trail of a gatherer, and the number of the one that was fetched just now.
     pub fn of(&self, name: &str) -> (Vec<BTreeMap<u64, String>>, Option<u64>) {
-        let trails = self.all.get(name).map(|trails| trails.values().cloned().collect());
+        let trails = self
+            .all
+            .get(name)
+            .map(|trails| trails.values().cloned().collect());
         (trails.unwrap_or_default(), self.fetched.get(name).copied())
     }
 
@@ -31,7 +35,9 @@
         let mut trails = Trails::default();
         for entry in fs::read_dir(folder)? {
             let path = entry?.path();
-            let Some((name, trail, segment)) = path.file_name().and_then(|name| parts(name.to_str()?)) else {
+            let Some((name, trail, segment)) =
+                path.file_name().and_then(|name| parts(name.to_str()?))
+            else {
                 continue;
             };
             // What was cut in the middle of a letter is asked for again.
@@ -42,24 +48,40 @@
     }
 
     fn segments(&mut self, name: &str, trail: u64) -> &mut BTreeMap<u64, String> {
-        self.all.entry(name.to_owned()).or_default().entry(trail).or_default()
+        self.all
+            .entry(name.to_owned())
+            .or_default()
+            .entry(trail)
+            .or_default()
     }
 
-    /// Fetches what one gatherer has beyond what is here, a piece at a time; each is kept before the next is asked for. Errors:
-    /// a piece could not be had, also when it was asked for again, or not be kept; what came before stays.
-    pub fn fetch(&mut self, at: SocketAddr, folder: Option<&Path>, patience: Duration) -> Result<(), String> {
+    /// Fetches what one gatherer has beyond what is here, a piece at a time; each is kept before
+    /// the next is asked for. Errors: a piece could not be had, also when it was asked for again,
+    /// or not be kept; what came before stays.
+    pub fn fetch(
+        &mut self,
+        at: SocketAddr,
+        folder: Option<&Path>,
+        patience: Duration,
+    ) -> Result<(), String> {
         let ask = |segment: u64, from: u64| {
             let asked = json!({"ask": "trail", "segment": segment, "from": from}).to_string();
             line(at, &asked, patience).or_else(|_| line(at, &asked, patience))
         };
         // Which trail it has now, before anything is taken for a part of one.
         let first = ask(u64::MAX, 0)?;
-        let (name, trail) = (first["trail"]["name"].as_str(), first["trail"]["trail"].as_u64());
-        let (Some(name), Some(trail)) = (name, trail) else { return Err("it has no trail".to_owned()) };
+        let (name, trail) = (
+            first["trail"]["name"].as_str(),
+            first["trail"]["trail"].as_u64(),
+        );
+        let (Some(name), Some(trail)) = (name, trail) else {
+            return Err("it has no trail".to_owned());
+        };
         self.fetched.insert(name.to_owned(), trail);
         let held = self.segments(name, trail);
-        let (mut segment, mut from) =
-            held.last_key_value().map_or((0, 0), |(at, text)| (*at, text.len() as u64));
+        let (mut segment, mut from) = held
+            .last_key_value()
+            .map_or((0, 0), |(at, text)| (*at, text.len() as u64));
         loop {
             let told = ask(segment, from)?;
             let told = &told["trail"];
@@ -101,7 +123,8 @@
     })
 }
 
-/// A file's name: the gatherer's, in which only plain letters stand as they are, the trail's number and the segment's.
+/// A file's name: the gatherer's, in which only plain letters stand as they are, the trail's number
+/// and the segment's.
 fn file_name(name: &str, trail: u64, segment: u64) -> PathBuf {
     let plain = name.bytes().fold(String::new(), |mut plain, byte| {
         if byte.is_ascii_alphanumeric() || byte == b'-' {
@@ -141,7 +164,10 @@
             let file = file_name(name, 0xfeed_0000_0000_0007, 12);
             let file = file.to_str().unwrap();
             assert!(!file.contains('/') && !file.starts_with(".."), "{file}");
-            assert_eq!(parts(file), Some((name.to_owned(), 0xfeed_0000_0000_0007, 12)));
+            assert_eq!(
+                parts(file),
+                Some((name.to_owned(), 0xfeed_0000_0000_0007, 12))
+            );
         }
         assert_eq!(parts("g1.000000.trail"), None);
         assert_eq!(whole_letters("aü".as_bytes()[..2].to_vec()), "a");
--- a/bitternsill/src/versions/scribe.rs
+++ b/bitternsill/src/versions/scribe.rs
@@ -1,4 +1,5 @@
-//! Keeps a gatherer's trail in files, on a thread of its own, and reads them for those who collect trails.
+//! Keeps a gatherer's trail in files, on a thread of its own, and reads them for those who collect
+//! trails.
 
 use crate::front::{Gatherer, Message};
 use crate::net::{Connection, Context, Ready, Token};
@@ -15,7 +16,8 @@
 use std::time::Duration;
 use versions::trail::{self, Chain, Entry, Mark};
 
-/// Bytes of a segment before the next one begins, segments that are kept, and bytes that are told at once.
+/// Bytes of a segment before the next one begins, segments that are kept, and bytes that are told
+/// at once.
 const SEGMENT: u64 = 1 << 20;
 const KEPT: u64 = 64;
 const TOLD: u64 = 32 << 10;
@@ -31,7 +33,8 @@
 }
 
 enum Done {
-    /// What the store is to be told of the trail: its number, the segment, and so many lines up to this hash.
+    /// What the store is to be told of the trail: its number, the segment, and so many lines up to
+    /// this hash.
     Digest(u64, u64, u64, String),
     /// A line for a connection.
     Line(Token, String),
@@ -46,7 +49,8 @@
     behind: VecDeque<Vec<Entry>>,
     dropped: u64,
     name: String,
-    /// When the store may next be told how far the trail goes: notes must not become so many changes of the store.
+    /// When the store may next be told how far the trail goes: notes must not become so many
+    /// changes of the store.
     tell_at: Time,
 }
 
@@ -57,15 +61,22 @@
     /// Waits so long at the most.
     pub fn say(&self, entries: Vec<Entry>, patience: Duration) {
         let (tell, told) = sync_channel(1);
-        if self.0.try_send(Job::Last(entries, tell)).is_err() || told.recv_timeout(patience).is_err() {
+        if self.0.try_send(Job::Last(entries, tell)).is_err()
+            || told.recv_timeout(patience).is_err()
+        {
             tracing::warn!("the last entries of the trail may be lost: the disk does not keep up");
         }
     }
 }
 
 impl Scribe {
-    /// Opens the folder of a gatherer's trail; what stands there stays, and a new segment follows from it.
-    pub fn open(folder: &Path, name: &str, full_while: Option<PathBuf>) -> io::Result<(Scribe, LastWord)> {
+    /// Opens the folder of a gatherer's trail; what stands there stays, and a new segment follows
+    /// from it.
+    pub fn open(
+        folder: &Path,
+        name: &str,
+        full_while: Option<PathBuf>,
+    ) -> io::Result<(Scribe, LastWord)> {
         std::fs::create_dir_all(folder)?;
         let book = Book::open(folder, name, full_while)?;
         let (jobs, todo) = sync_channel(WAITING);
@@ -73,10 +84,23 @@
         let (woken, wake) = UnixStream::pair()?;
         woken.set_nonblocking(true)?;
         wake.set_nonblocking(true)?;
-        thread::Builder::new().name("trail".to_owned()).spawn(move || book.work(&todo, &tell, wake))?;
+        thread::Builder::new()
+            .name("trail".to_owned())
+            .spawn(move || book.work(&todo, &tell, wake))?;
         let last = LastWord(jobs.clone());
         let (behind, dropped, name, tell_at) = (VecDeque::new(), 0, name.to_owned(), 0);
-        Ok((Scribe { jobs, done, woken, behind, dropped, name, tell_at }, last))
+        Ok((
+            Scribe {
+                jobs,
+                done,
+                woken,
+                behind,
+                dropped,
+                name,
+                tell_at,
+            },
+            last,
+        ))
     }
 
     fn hand(&mut self) {
@@ -90,8 +114,12 @@
             self.dropped = 0;
         }
         while self.behind.len() > WAITING {
-            // The oldest goes: a disk that does not keep up costs evidence, and no query. The trail will say how much.
-            self.dropped += self.behind.pop_front().map_or(0, |entries| entries.len() as u64);
+            // The oldest goes: a disk that does not keep up costs evidence, and no query. The trail
+            // will say how much.
+            self.dropped += self
+                .behind
+                .pop_front()
+                .map_or(0, |entries| entries.len() as u64);
             tracing::warn!("entries of the trail are lost: the disk does not keep up");
         }
     }
@@ -132,7 +160,8 @@
             Message::TrailWanted(token, segment, from)
                 if self.jobs.try_send(Job::Tell(token, segment, from)).is_err() =>
             {
-                cx.net.post(token, Message::Line("{\"busy\":true}\n".to_owned()));
+                cx.net
+                    .post(token, Message::Line("{\"busy\":true}\n".to_owned()));
             }
             _ => {}
         }
@@ -175,7 +204,11 @@
             Some(last) => {
                 let (entries, chain, _) =
                     trail::read(&std::fs::read_to_string(book.path(last)).unwrap_or_default());
-                if let Some(Entry { mark: Mark::Follows { trail, .. }, .. }) = entries.first() {
+                if let Some(Entry {
+                    mark: Mark::Follows { trail, .. },
+                    ..
+                }) = entries.first()
+                {
                     book.trail = *trail;
                 }
                 chain.hash
@@ -187,7 +220,8 @@
     }
 
     fn path(&self, segment: u64) -> PathBuf {
-        self.folder.join(format!("{}.{segment:06}.trail", self.name))
+        self.folder
+            .join(format!("{}.{segment:06}.trail", self.name))
     }
 
     /// The segments that are there.
@@ -206,22 +240,43 @@
     }
 
     fn begin(&mut self, segment: u64, hash: String) -> io::Result<()> {
-        let file = OpenOptions::new().create_new(true).append(true).open(self.path(segment))?;
-        (self.segment, self.file, self.chain, self.bytes) = (segment, Some(file), Chain::default(), 0);
-        for old in self.segments()?.into_iter().filter(|old| old + KEPT <= segment) {
+        let file = OpenOptions::new()
+            .create_new(true)
+            .append(true)
+            .open(self.path(segment))?;
+        (self.segment, self.file, self.chain, self.bytes) =
+            (segment, Some(file), Chain::default(), 0);
+        for old in self
+            .segments()?
+            .into_iter()
+            .filter(|old| old + KEPT <= segment)
+        {
             std::fs::remove_file(self.path(old))?;
         }
-        self.write(&[Entry { at: 0, mark: Mark::Follows { trail: self.trail, segment, hash } }])
+        self.write(&[Entry {
+            at: 0,
+            mark: Mark::Follows {
+                trail: self.trail,
+                segment,
+                hash,
+            },
+        }])
     }
 
     fn write(&mut self, entries: &[Entry]) -> io::Result<()> {
         let mut chain = self.chain.clone();
-        let text = entries.iter().fold(String::new(), |text, entry| text + &chain.line(entry) + "\n");
-        let Some(file) = &mut self.file else { return Err(io::Error::other("the trail is not open")) };
+        let text = entries.iter().fold(String::new(), |text, entry| {
+            text + &chain.line(entry) + "\n"
+        });
+        let Some(file) = &mut self.file else {
+            return Err(io::Error::other("the trail is not open"));
+        };
         if self.full_while.as_ref().is_some_and(|path| path.exists()) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let written = file.write_all(text.as_bytes()).and_then(|()| file.sync_data());
+        let written = file
+            .write_all(text.as_bytes())
+            .and_then(|()| file.sync_data());
         if written.is_err() {
             // What came of it would break the chain.
             file.set_len(self.bytes)?;
@@ -234,11 +289,15 @@
     /// Writes entries, behind one that says how many before them could not be written.
     fn note(&mut self, mut entries: Vec<Entry>) -> io::Result<()> {
         if let Some(first) = entries.first().filter(|_| self.lost > 0) {
-            let lost = Entry { at: first.at, mark: Mark::Lost { count: self.lost } };
+            let lost = Entry {
+                at: first.at,
+                mark: Mark::Lost { count: self.lost },
+            };
             entries.insert(0, lost);
         }
         let written = if self.bytes >= SEGMENT {
-            self.begin(self.segment + 1, self.chain.hash.clone()).and_then(|()| self.write(&entries))
+            self.begin(self.segment + 1, self.chain.hash.clone())
+                .and_then(|()| self.write(&entries))
         } else {
             self.write(&entries)
         };
@@ -286,7 +345,12 @@
                 Job::Note(entries, dropped) => match self.after(dropped).note(entries) {
                     Ok(()) => {
                         failed = false;
-                        Done::Digest(self.trail, self.segment, self.chain.length, self.chain.hash.clone())
+                        Done::Digest(
+                            self.trail,
+                            self.segment,
+                            self.chain.length,
+                            self.chain.hash.clone(),
+                        )
                     }
                     Err(problem) => {
                         if !std::mem::replace(&mut failed, true) {
@@ -297,7 +361,10 @@
                 },
                 Job::Tell(token, segment, from) => {
                     let line = self.told(segment, from);
-                    Done::Line(token, line.unwrap_or_else(|_| "{\"trail\":null}\n".to_owned()))
+                    Done::Line(
+                        token,
+                        line.unwrap_or_else(|_| "{\"trail\":null}\n".to_owned()),
+                    )
                 }
             };
             // A loop that does not read has other troubles than a digest.
--- a/bitternsill/tests/catalogue.rs
+++ b/bitternsill/tests/catalogue.rs
@@ -1,4 +1,5 @@
-//! Stories on the catalogue front: what SRU and Z39.50 clients use, over stand-in index hosts of both protocols.
+//! Stories on the catalogue front: what SRU and Z39.50 clients use, over stand-in index hosts of
+//! both protocols.
 
 mod common;
 
@@ -35,11 +36,17 @@
         "/elsewhere?query=a",
         "/comics",
     ];
-    let said: Vec<String> = targets.iter().map(|t| format!("{t}\n{}", catalogue.body(t))).collect();
+    let said: Vec<String> = targets
+        .iter()
+        .map(|t| format!("{t}\n{}", catalogue.body(t)))
+        .collect();
     let port = catalogue.sru.port().to_string();
     insta::assert_snapshot!(said.join("\n\n").replace(&port, "PORT"));
     let seen = catalogue.scripts[1].seen.lock().unwrap().clone();
-    assert!(seen.contains(&"comics-1: dc.title = \"moon\"".to_owned()), "{seen:?}");
+    assert!(
+        seen.contains(&"comics-1: dc.title = \"moon\"".to_owned()),
+        "{seen:?}"
+    );
 }
 
 /// A browser, a form and SOAP: the same search in each.
@@ -52,7 +59,10 @@
             body.len()
         ))
     };
-    let form = post("application/x-www-form-urlencoded", "query=moon&maximumRecords=2");
+    let form = post(
+        "application/x-www-form-urlencoded",
+        "query=moon&maximumRecords=2",
+    );
     assert_eq!(titles(&form), ["0.0", "1.0"]);
     let envelope = |inner: &str| {
         format!(
@@ -66,13 +76,24 @@
              <query>moon</query><maximumRecords>2</maximumRecords></searchRetrieveRequest>",
         ),
     );
-    assert!(soap.contains("<SOAP:Body><searchRetrieveResponse"), "{soap}");
+    assert!(
+        soap.contains("<SOAP:Body><searchRetrieveResponse"),
+        "{soap}"
+    );
     assert_eq!(titles(&soap), ["0.0", "1.0"]);
-    let diagnostic =
-        post("text/xml", &envelope("<searchRetrieveRequest><version>1.1</version></searchRetrieveRequest>"));
-    assert!(diagnostic.contains("<SOAP:Body>") && diagnostic.contains("diagnostic/1/7"), "{diagnostic}");
+    let diagnostic = post(
+        "text/xml",
+        &envelope("<searchRetrieveRequest><version>1.1</version></searchRetrieveRequest>"),
+    );
+    assert!(
+        diagnostic.contains("<SOAP:Body>") && diagnostic.contains("diagnostic/1/7"),
+        "{diagnostic}"
+    );
     let fault = post("text/xml", "<not-soap/>");
-    assert!(fault.starts_with("HTTP/1.1 500") && fault.contains("<faultcode>SOAP:Client"), "{fault}");
+    assert!(
+        fault.starts_with("HTTP/1.1 500") && fault.contains("<faultcode>SOAP:Client"),
+        "{fault}"
+    );
     let own = catalogue.http(
         "GET /comics?query=moon HTTP/1.1\r\nHost: a\r\nAccept: application/sru+xml\r\nConnection: close\r\n\r\n",
     );
@@ -89,13 +110,20 @@
     on(&catalogue.scripts[2].silent, true);
     let start = Instant::now();
     let old = catalogue.body("/comics?version=1.2&operation=searchRetrieve&query=moon");
-    assert!(start.elapsed() < Duration::from_secs(4), "inside the client's time");
+    assert!(
+        start.elapsed() < Duration::from_secs(4),
+        "inside the client's time"
+    );
     let new = catalogue.body("/comics?query=moon&maximumRecords=0");
     insta::assert_snapshot!(format!("{old}\n{new}"));
-    // Without another slice too little is in: that is no answer, and it is said at once that it is none.
+    // Without another slice too little is in: that is no answer, and it is said at once that it is
+    // none.
     on(&catalogue.scripts[1].silent, true);
     let refused = catalogue.sru("/comics?query=moon");
-    assert!(refused.starts_with("HTTP/1.1 503") && refused.contains("info:srw/diagnostic/1/2"), "{refused}");
+    assert!(
+        refused.starts_with("HTTP/1.1 503") && refused.contains("info:srw/diagnostic/1/2"),
+        "{refused}"
+    );
 }
 
 #[test]
@@ -112,7 +140,15 @@
         // The set of a search that failed before it began is kept: the client has not replaced it.
         reader.present(1, 1),
     ];
-    let set = |name: &str| search_unit(Some(b"n"), name, "comics", "cql.resultSetId = default and sun", 0);
+    let set = |name: &str| {
+        search_unit(
+            Some(b"n"),
+            name,
+            "comics",
+            "cql.resultSetId = default and sun",
+            0,
+        )
+    };
     said.push(say(&reader.ask(set("A"))));
     said.push(format!(
         "unknown operand: {}",
@@ -150,7 +186,12 @@
             w.integer(7, position);
         })
     };
-    for unit in [scan(3, 2, 4), scan(3, 5, 4), scan(3, 1, 62), scan(5000, 1, 4)] {
+    for unit in [
+        scan(3, 2, 4),
+        scan(3, 5, 4),
+        scan(3, 1, 62),
+        scan(5000, 1, 4),
+    ] {
         let reply = reader.ask(unit);
         let terms: Vec<String> = reply
             .get(7)
@@ -161,17 +202,27 @@
             .filter_map(|e| Some(format!("{}:{}", e.get(45)?.text()?, e.get(2)?.integer()?)))
             .collect();
         let status = reply.get(4).and_then(Item::integer);
-        said.push(format!("scan {status:?} {} {:?}", terms.join(" "), condition(&reply)));
+        said.push(format!(
+            "scan {status:?} {} {:?}",
+            terms.join(" "),
+            condition(&reply)
+        ));
     }
     let delete = |all: bool, names: &[&str]| {
         z3950::unit(tag::DELETE_REQUEST, None, |w| {
             w.integer(32, i64::from(all));
             w.inside_universal(universal::SEQUENCE, |list| {
-                names.iter().for_each(|n| list.bytes(tag::SET_ID, n.as_bytes()));
+                names
+                    .iter()
+                    .for_each(|n| list.bytes(tag::SET_ID, n.as_bytes()));
             });
         })
     };
-    for unit in [delete(false, &["A"]), delete(false, &["A", "S"]), delete(true, &[])] {
+    for unit in [
+        delete(false, &["A"]),
+        delete(false, &["A", "S"]),
+        delete(true, &[]),
+    ] {
         let reply = reader.ask(unit);
         said.push(format!(
             "delete {:?} undone {:?}",
@@ -180,10 +231,18 @@
         ));
     }
     said.push(format!("after delete: {}", reader.present(1, 1)));
-    said.push(say(&reader.ask(z3950::unit(tag::EXTENDED_REQUEST, Some(b"x"), |w| w.integer(3, 1)))));
+    said.push(say(&reader.ask(z3950::unit(
+        tag::EXTENDED_REQUEST,
+        Some(b"x"),
+        |w| w.integer(3, 1),
+    ))));
     on(&catalogue.scripts[2].silent, true);
     said.push(format!("partial: {}", reader.search("comics", "moon", 0)));
-    said.push(say(&reader.ask(z3950::close(None, z3950::CloseReason::Finished, ""))));
+    said.push(say(&reader.ask(z3950::close(
+        None,
+        z3950::CloseReason::Finished,
+        "",
+    ))));
     assert_eq!(reader.hear(), None, "nothing follows the close");
     insta::assert_snapshot!(said.join("\n"));
 }
@@ -213,26 +272,33 @@
         ("1.2.840.10003.5.105", None),
     ] {
         let reply = ask(oid, elements);
-        let record = z3950::records::read(&reply, tag::RECORDS).unwrap().remove(0).unwrap();
+        let record = z3950::records::read(&reply, tag::RECORDS)
+            .unwrap()
+            .remove(0)
+            .unwrap();
         assert_eq!(record.value("dc.title").as_deref(), Some("1.0"), "{oid}");
     }
     assert_eq!(condition(&ask("1.2.840.10003.5.1", None)), Some(239));
     assert_eq!(condition(&ask("1.2.840.10003.5.10", Some("Q"))), Some(25));
 }
 
-/// With the second level a record longer than a message travels in pieces; with the first one whole records do, in
-/// several messages; without either the client gets what fits and asks for the rest.
+/// With the second level a record longer than a message travels in pieces; with the first one whole
+/// records do, in several messages; without either the client gets what fits and asks for the rest.
 #[test]
 fn long_answers_are_divided_as_was_agreed_at_init() {
     let long: Vec<String> = (0..6).map(|n| format!("{n}{}", "x".repeat(1500))).collect();
     let titles: Vec<&str> = long.iter().map(String::as_str).collect();
-    let scripts = (0..3).map(|n| Script::with(&[(n, &titles[2 * n..2 * n + 2])])).collect();
+    let scripts = (0..3)
+        .map(|n| Script::with(&[(n, &titles[2 * n..2 * n + 2])]))
+        .collect();
     let catalogue = Catalogue::start_with("sru", scripts, catalogue_settings(1), json!({}));
     let plain = [Ability::Search, Ability::Present];
     let mut said = Vec::new();
-    for (size, more) in
-        [(2200, None), (2200, Some(Ability::Level1Segmentation)), (1024, Some(Ability::Level2Segmentation))]
-    {
+    for (size, more) in [
+        (2200, None),
+        (2200, Some(Ability::Level1Segmentation)),
+        (1024, Some(Ability::Level2Segmentation)),
+    ] {
         let abilities: Vec<Ability> = plain.iter().copied().chain(more).collect();
         let (mut reader, _) = Reader::init(catalogue.z3950, &abilities, size, |_| {});
         reader.search("comics", "moon", 0);
@@ -240,8 +306,17 @@
         let (mut segments, mut pieces) = (0, Vec::new());
         let last = loop {
             let unit = reader.hear().expect("a segment or the response");
-            let list = unit.get(if unit.tag == tag::SEGMENT { 0 } else { tag::RECORDS });
-            pieces.extend(list.map(Item::items).unwrap_or_default().iter().map(whole_or_piece));
+            let list = unit.get(if unit.tag == tag::SEGMENT {
+                0
+            } else {
+                tag::RECORDS
+            });
+            pieces.extend(
+                list.map(Item::items)
+                    .unwrap_or_default()
+                    .iter()
+                    .map(whole_or_piece),
+            );
             if unit.tag != tag::SEGMENT {
                 break unit;
             }
@@ -250,7 +325,12 @@
         let sent: Vec<String> = common::standins::titles(&pieces.concat());
         assert_eq!(sent, titles[..sent.len()], "every byte in its place");
         let number = |tag| last.get(tag).and_then(Item::integer).unwrap_or(-1);
-        said.push((segments, number(tag::RETURNED), number(tag::NEXT_POSITION), number(tag::PRESENT_STATUS)));
+        said.push((
+            segments,
+            number(tag::RETURNED),
+            number(tag::NEXT_POSITION),
+            number(tag::PRESENT_STATUS),
+        ));
     }
     assert_eq!(said, [(0, 1, 2, 2), (5, 6, 0, 0), (11, 6, 0, 0)]);
 }
@@ -277,11 +357,16 @@
     let taken = |welcome: &Item| welcome.get(tag::RESULT).and_then(Item::boolean).unwrap();
     let plain = [Ability::Search, Ability::Present];
     let catalogue = start("init");
-    let (mut ann, welcome) = Reader::init(catalogue.z3950, &plain, 1 << 16, identify("ann", "moon"));
+    let (mut ann, welcome) =
+        Reader::init(catalogue.z3950, &plain, 1 << 16, identify("ann", "moon"));
     assert!(taken(&welcome) && ann.search("comics", "moon", 0).contains("success true"));
     for (name, password) in [("ann", "sun"), ("bob", "moon"), ("", "")] {
-        let (mut refused, welcome) = Reader::init(catalogue.z3950, &plain, 1 << 16, identify(name, password));
-        assert!(!taken(&welcome) && condition(&welcome) == Some(1011), "{name}");
+        let (mut refused, welcome) =
+            Reader::init(catalogue.z3950, &plain, 1 << 16, identify(name, password));
+        assert!(
+            !taken(&welcome) && condition(&welcome) == Some(1011),
+            "{name}"
+        );
         assert_eq!(refused.hear(), None, "and is let go");
     }
     let (_, nobody) = Reader::init(catalogue.z3950, &plain, 1 << 16, |_| {});
@@ -292,13 +377,23 @@
     let (mut reader, welcome) = Reader::init(catalogue.z3950, &asked, 1 << 16, |_| {});
     assert!(taken(&welcome));
     let answer = |words: &'static [u8]| {
-        z3950::unit(tag::ACCESS_RESPONSE, None, |w| w.bytes(tag::SIMPLE_RESPONSE, words))
+        z3950::unit(tag::ACCESS_RESPONSE, None, |w| {
+            w.bytes(tag::SIMPLE_RESPONSE, words)
+        })
     };
     let challenge = reader.ask(search_unit(None, "default", "comics", "moon", 0));
     assert_eq!(challenge.tag, tag::ACCESS_REQUEST);
     assert_eq!(condition(&reader.ask(answer(b"ann/sun"))), Some(1011));
-    assert_eq!(reader.ask(search_unit(None, "default", "comics", "moon", 0)).tag, tag::ACCESS_REQUEST);
-    assert!(say(&reader.ask(answer(b"ann/moon"))).contains("success true"), "the search goes on");
+    assert_eq!(
+        reader
+            .ask(search_unit(None, "default", "comics", "moon", 0))
+            .tag,
+        tag::ACCESS_REQUEST
+    );
+    assert!(
+        say(&reader.ask(answer(b"ann/moon"))).contains("success true"),
+        "the search goes on"
+    );
     assert!(reader.present(1, 1).contains("0.0"));
 }
 
@@ -309,7 +404,8 @@
     let mut early = TcpStream::connect(catalogue.z3950).unwrap();
     let mut strange = Writer::default();
     strange.inside_universal(universal::SEQUENCE, |w| w.integer(1, 1));
-    // A bomb of nested values, a length that would fill the memory, a tag that never ends, no data unit at all.
+    // A bomb of nested values, a length that would fill the memory, a tag that never ends, no data
+    // unit at all.
     let hostile = [
         [0xb6, 0x80].repeat(200),
         vec![0xb4, 0x84, 0x7f, 0xff, 0xff, 0xff],
@@ -322,21 +418,33 @@
         let closed = read_unit(&mut socket, &mut Vec::new()).expect("a close");
         assert_eq!(say(&closed).split(", ").next(), Some("unit 48"));
     }
-    early.write_all(&present_unit(None, "default", 1, 1)).unwrap();
+    early
+        .write_all(&present_unit(None, "default", 1, 1))
+        .unwrap();
     let closed = read_unit(&mut early, &mut Vec::new()).expect("a close");
     assert_eq!(say(&closed), "unit 48, reason 6");
-    // Indefinite lengths are sound, and a query of more clauses than are taken is refused and nothing else.
+    // Indefinite lengths are sound, and a query of more clauses than are taken is refused and
+    // nothing else.
     let mut indefinite = search_unit(None, "default", "comics", "moon", 0);
     assert_eq!(indefinite[..1], [0xb6]);
-    let body =
-        indefinite.split_off(if indefinite[1] < 0x80 { 2 } else { 2 + usize::from(indefinite[1] & 0x7f) });
+    let body = indefinite.split_off(if indefinite[1] < 0x80 {
+        2
+    } else {
+        2 + usize::from(indefinite[1] & 0x7f)
+    });
     let unit = [&[0xb6, 0x80], body.as_slice(), &[0, 0]].concat();
     assert!(say(&sound.ask(unit)).contains("success true"));
     let many = (0..70).map(|n| format!("t{n}")).collect::<Vec<_>>();
-    let many: Vec<Vec<&str>> = many.chunks(35).map(|c| c.iter().map(String::as_str).collect()).collect();
+    let many: Vec<Vec<&str>> = many
+        .chunks(35)
+        .map(|c| c.iter().map(String::as_str).collect())
+        .collect();
     let query = format!("({}) or ({})", many[0].join(" or "), many[1].join(" or "));
     let refused = sound.search("comics", &query, 0);
-    assert!(refused.contains("success false") && refused.ends_with("diagnostic 5"), "{refused}");
+    assert!(
+        refused.contains("success false") && refused.ends_with("diagnostic 5"),
+        "{refused}"
+    );
     assert!(sound.search("comics", "moon", 0).contains("success true"));
 }
 
@@ -345,7 +453,9 @@
     let catalogue = Catalogue::start("sru");
     let mut socket = TcpStream::connect(catalogue.sru).unwrap();
     for _ in 0..2 {
-        socket.write_all(b"GET /comics?query=moon&maximumRecords=0 HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
+        socket
+            .write_all(b"GET /comics?query=moon&maximumRecords=0 HTTP/1.1\r\nHost: a\r\n\r\n")
+            .unwrap();
         assert!(read_response(&mut socket).starts_with("HTTP/1.1 200"));
     }
 }
--- a/bitternsill/tests/catalogue_faults.rs
+++ b/bitternsill/tests/catalogue_faults.rs
@@ -1,5 +1,5 @@
-//! Stories on the catalogue front under failure: hosts that drain, die, change, lack something or are slow, and clients
-//! that ask too much at once, leave in the middle or do not read.
+//! Stories on the catalogue front under failure: hosts that drain, die, change, lack something or
+//! are slow, and clients that ask too much at once, leave in the middle or do not read.
 
 mod common;
 
@@ -23,11 +23,14 @@
 }
 
 fn reference(unit: &Item) -> String {
-    unit.get(tag::REFERENCE).and_then(Item::text).unwrap_or_default()
+    unit.get(tag::REFERENCE)
+        .and_then(Item::text)
+        .unwrap_or_default()
 }
 
-/// Hard case 1. The host of an open session begins to leave while a page is being fetched from it and another waits:
-/// nothing new goes there after 2 s, and both pages come from the other holder, with the same records.
+/// Hard case 1. The host of an open session begins to leave while a page is being fetched from it
+/// and another waits: nothing new goes there after 2 s, and both pages come from the other holder,
+/// with the same records.
 #[test]
 fn a_host_that_leaves_in_the_middle_of_a_page_changes_nothing_for_the_reader() {
     let catalogue = replicated("z3950");
@@ -43,11 +46,17 @@
     reader.say(&present_unit(Some(b"two"), "default", 2, 5));
     eventually("a page is being fetched from the host", || work() > idle);
     let told = Instant::now();
-    catalogue.discovery.tell(2, vec![target(0, catalogue.hosts[0], "leaving")]);
+    catalogue
+        .discovery
+        .tell(2, vec![target(0, catalogue.hosts[0], "leaving")]);
     let mut heard = BTreeSet::new();
     for _ in 0..2 {
         let page = reader.hear().expect("a page");
-        let wanted = if reference(&page) == "one" { &EVERYTHING[..] } else { &EVERYTHING[1..] };
+        let wanted = if reference(&page) == "one" {
+            &EVERYTHING[..]
+        } else {
+            &EVERYTHING[1..]
+        };
         assert_eq!(say(&page).split(", ").skip(4).collect::<Vec<_>>(), wanted);
         heard.insert(reference(&page));
     }
@@ -72,7 +81,9 @@
         catalogue.titles("/comics?query=moon");
         count(&leaving.open) > 0
     });
-    catalogue.discovery.tell(2, vec![target(0, catalogue.hosts[0], "leaving")]);
+    catalogue
+        .discovery
+        .tell(2, vec![target(0, catalogue.hosts[0], "leaving")]);
     eventually("it is closed", || count(&leaving.open) == 0);
     let before = count(&leaving.connections);
     for _ in 0..10 {
@@ -81,45 +92,58 @@
     assert_eq!(count(&leaving.connections), before);
 }
 
-/// Hard case 2. A slice that was late on page one stays out of the set: page two goes on where page one ended.
+/// Hard case 2. A slice that was late on page one stays out of the set: page two goes on where page
+/// one ended.
 #[test]
 fn a_slice_that_was_late_on_page_one_moves_nothing_on_page_two() {
     let catalogue = Catalogue::start("sru");
     on(&catalogue.scripts[2].silent, true);
-    let first = catalogue.sru("/comics?version=1.2&operation=searchRetrieve&query=moon&maximumRecords=2");
+    let first =
+        catalogue.sru("/comics?version=1.2&operation=searchRetrieve&query=moon&maximumRecords=2");
     assert_eq!(titles(&first), ["0.0", "1.0"]);
     on(&catalogue.scripts[2].silent, false);
     let id = between(&first, "<resultSetId>", "<").unwrap();
     for target in [
         "/comics?version=1.2&operation=searchRetrieve&query=moon&startRecord=3".to_owned(),
-        format!("/comics?version=1.2&operation=searchRetrieve&query=cql.resultSetId%3D{id}&startRecord=3"),
+        format!(
+            "/comics?version=1.2&operation=searchRetrieve&query=cql.resultSetId%3D{id}&startRecord=3"
+        ),
     ] {
         let second = catalogue.sru(&target);
         assert_eq!(titles(&second), ["1.1"], "{second}");
-        assert!(second.contains(&id) && second.contains("<numberOfRecords>3<"), "{second}");
+        assert!(
+            second.contains(&id) && second.contains("<numberOfRecords>3<"),
+            "{second}"
+        );
     }
     // A first page is a new search, and has it all.
     assert_eq!(catalogue.titles("/comics?query=moon"), EVERYTHING);
 }
 
-/// Hard case 3. A slice with one record more, and one whose host gives another order: the set is replaced, which is
-/// said, or gone, which is said too.
+/// Hard case 3. A slice with one record more, and one whose host gives another order: the set is
+/// replaced, which is said, or gone, which is said too.
 #[test]
 fn a_set_that_has_changed_is_replaced_or_gone_and_says_so() {
     let catalogue = Catalogue::start("sru");
     let change = |titles: &[&str]| {
         let titles = titles.iter().map(|t| (*t).to_owned()).collect();
-        catalogue.scripts[1].titles.lock().unwrap().insert(1, titles);
+        catalogue.scripts[1]
+            .titles
+            .lock()
+            .unwrap()
+            .insert(1, titles);
     };
     for after in [&["1.new", "1.0", "1.1"][..], &["1.1", "1.0"]] {
         change(&["1.0", "1.1"]);
         let mut reader = Reader::open(catalogue.z3950);
         reader.search("comics", "moon", 0);
         assert!(reader.present(1, 2).ends_with("0.0, 1.0"));
-        let first = catalogue.sru("/comics?version=1.1&operation=searchRetrieve&query=moon&maximumRecords=2");
+        let first = catalogue
+            .sru("/comics?version=1.1&operation=searchRetrieve&query=moon&maximumRecords=2");
         let id = between(&first, "<resultSetId>", "<").unwrap();
         change(after);
-        let second = catalogue.sru("/comics?version=1.1&operation=searchRetrieve&query=moon&startRecord=3");
+        let second =
+            catalogue.sru("/comics?version=1.1&operation=searchRetrieve&query=moon&startRecord=3");
         assert!(
             second.contains("diagnostic/1/51") && !second.contains(&format!("<resultSetId>{id}<")),
             "{second}"
@@ -129,18 +153,26 @@
         now.extend(&EVERYTHING[3..]);
         assert_eq!(titles(&second), now[2..], "the new set's own page");
         let gone = catalogue.sru(&format!("/comics?query=cql.resultSetId%3D{id}"));
-        assert!(gone.contains("diagnostic/1/51") && titles(&gone).is_empty(), "{gone}");
         assert!(
-            reader.present(3, 2).ends_with("present status 5, diagnostic 27"),
+            gone.contains("diagnostic/1/51") && titles(&gone).is_empty(),
+            "{gone}"
+        );
+        assert!(
+            reader
+                .present(3, 2)
+                .ends_with("present status 5, diagnostic 27"),
             "and no record of another place"
         );
-        assert!(reader.present(1, 1).ends_with("diagnostic 27"), "it stays gone");
+        assert!(
+            reader.present(1, 1).ends_with("diagnostic 27"),
+            "it stays gone"
+        );
         assert!(reader.search("comics", "moon", 0).contains("success true"));
     }
 }
 
-/// Hard case 4. The host that was searched has forgotten its set, and then it dies: the page is searched again, there
-/// or elsewhere.
+/// Hard case 4. The host that was searched has forgotten its set, and then it dies: the page is
+/// searched again, there or elsewhere.
 #[test]
 fn a_set_outlives_the_host_that_made_it() {
     let catalogue = replicated("z3950");
@@ -155,8 +187,9 @@
         let mut reader = Reader::open(catalogue.z3950);
         reader.search("comics", "moon", 0);
         on(&catalogue.scripts[dead].dead, true);
-        // A query of which nothing was answered when its host died may be what killed it, so the module refuses it once:
-        // asking again is harmless, and served by the other holder. No page is ever a wrong one.
+        // A query of which nothing was answered when its host died may be what killed it, so the
+        // module refuses it once: asking again is harmless, and served by the other holder. No page
+        // is ever a wrong one.
         for (start, count, wanted) in [(4, 3, &EVERYTHING[3..]), (1, 6, &EVERYTHING[..])] {
             let mut refusals = 0;
             loop {
@@ -164,7 +197,10 @@
                 if page.ends_with(&wanted.join(", ")) {
                     break;
                 }
-                assert!(page.ends_with("diagnostic 2"), "without host {dead}: {page}");
+                assert!(
+                    page.ends_with("diagnostic 2"),
+                    "without host {dead}: {page}"
+                );
                 refusals += 1;
                 assert!(refusals < 3, "without host {dead}: {page}");
             }
@@ -198,8 +234,8 @@
     })
 }
 
-/// Hard case 5. A slice that does not answer, or answers with a diagnostic, is missing from scans and sorts, and every
-/// version says so.
+/// Hard case 5. A slice that does not answer, or answers with a diagnostic, is missing from scans
+/// and sorts, and every version says so.
 #[test]
 fn scans_and_sorts_without_a_slice_are_partial_and_say_so() {
     let catalogue = Catalogue::start("sru");
@@ -212,15 +248,23 @@
             catalogue.sru("/comics?version=2.0&operation=scan&scanClause=title%3D0"),
         );
         for said in [&old, &new] {
-            assert!(said.contains("diagnostic/1/59") && said.matches("<value>").count() == 3, "{said}");
+            assert!(
+                said.contains("diagnostic/1/59") && said.matches("<value>").count() == 3,
+                "{said}"
+            );
         }
         let mut reader = Reader::open(catalogue.z3950);
         let scanned = reader.ask(scan_unit());
-        assert_eq!((status(&scanned, 4), condition(&scanned)), (Some(4), Some(33)), "partial-4");
+        assert_eq!(
+            (status(&scanned, 4), condition(&scanned)),
+            (Some(4), Some(33)),
+            "partial-4"
+        );
     }
     let sorted = |version: &str| {
-        catalogue
-            .sru(&format!("/comics?version={version}&operation=searchRetrieve&query=moon&sortKeys=title,,0"))
+        catalogue.sru(&format!(
+            "/comics?version={version}&operation=searchRetrieve&query=moon&sortKeys=title,,0"
+        ))
     };
     let old = sorted("1.2");
     assert!(old.contains("diagnostic/1/59"), "{old}");
@@ -229,7 +273,11 @@
     let mut reader = Reader::open(catalogue.z3950);
     reader.search("comics", "moon", 0);
     let reply = reader.ask(sort_unit());
-    assert_eq!((status(&reply, 3), status(&reply, 5)), (Some(1), Some(1)), "partial-1, and a subset");
+    assert_eq!(
+        (status(&reply, 3), status(&reply, 5)),
+        (Some(1), Some(1)),
+        "partial-1, and a subset"
+    );
     assert!(reader.present(1, 3).ends_with("1.1, 1.0, 0.0"));
 }
 
@@ -240,22 +288,29 @@
     settings
 }
 
-/// Hard case 6. Many operations on one session, whose answers come as they are ready: each gets one.
+/// Hard case 6. Many operations on one session, whose answers come as they are ready: each gets
+/// one.
 #[test]
 fn sixty_four_operations_of_one_session_get_one_answer_each_in_any_order() {
     let scripts: Vec<Arc<Script>> = (0..3).map(|_| Arc::default()).collect();
     let catalogue = Catalogue::start_with("z3950", scripts, roomy(1, 600), json!({}));
     let mut reader = Reader::open(catalogue.z3950);
     reader.search("comics", "moon", 0);
-    // Pages of the first slice are quick, those of the last one slow: the answers overtake one another.
-    catalogue.scripts[2].delay.store(15, std::sync::atomic::Ordering::SeqCst);
-    let asked: Vec<String> =
-        (0..64).map(|n| format!("{}-{n}", if n % 2 == 0 { "slow" } else { "quick" })).collect();
+    // Pages of the first slice are quick, those of the last one slow: the answers overtake one
+    // another.
+    catalogue.scripts[2]
+        .delay
+        .store(15, std::sync::atomic::Ordering::SeqCst);
+    let asked: Vec<String> = (0..64)
+        .map(|n| format!("{}-{n}", if n % 2 == 0 { "slow" } else { "quick" }))
+        .collect();
     for (n, name) in asked.iter().enumerate() {
         let start = if n % 2 == 0 { 6 } else { 1 };
         reader.say(&present_unit(Some(name.as_bytes()), "default", start, 1));
     }
-    let heard: Vec<String> = (0..64).map(|_| reference(&reader.hear().expect("an answer"))).collect();
+    let heard: Vec<String> = (0..64)
+        .map(|_| reference(&reader.hear().expect("an answer")))
+        .collect();
     let alike: BTreeSet<&String> = heard.iter().collect();
     assert_eq!((alike.len(), alike), (64, asked.iter().collect()));
     assert_ne!(heard, asked, "out of order");
@@ -266,13 +321,13 @@
     assert_eq!(say(&reader.hear().expect("a close")), "unit 48, reason 6");
 }
 
-/// Hard case 6. Clients that leave in the middle, in each way: what they asked for is called off, so that others find
-/// room at once.
+/// Hard case 6. Clients that leave in the middle, in each way: what they asked for is called off,
+/// so that others find room at once.
 #[test]
 fn what_a_client_left_behind_is_called_off_at_once() {
     let scripts: Vec<Arc<Script>> = (0..3).map(|_| Arc::default()).collect();
-    // Room for three operations with a part each, which one client asks for: whoever else comes is turned away for as
-    // long as they are held.
+    // Room for three operations with a part each, which one client asks for: whoever else comes is
+    // turned away for as long as they are held.
     let catalogue = Catalogue::start_with("z3950", scripts, roomy(1, 6), json!({}));
     let ways: [&dyn Fn(&mut Reader); 4] = [
         &|reader| {
@@ -287,11 +342,18 @@
         &|reader| {
             for n in 0..3 {
                 let name = format!("{n}");
-                reader.say(&z3950::unit(tag::TRIGGER_RESOURCE, Some(name.as_bytes()), |w| {
-                    w.integer(tag::REQUESTED_ACTION, 3);
-                }));
+                reader.say(&z3950::unit(
+                    tag::TRIGGER_RESOURCE,
+                    Some(name.as_bytes()),
+                    |w| {
+                        w.integer(tag::REQUESTED_ACTION, 3);
+                    },
+                ));
                 let end = reader.hear().expect("the operation's end");
-                assert_eq!((reference(&end), say(&end).contains("present status 3")), (name, true));
+                assert_eq!(
+                    (reference(&end), say(&end).contains("present status 3")),
+                    (name, true)
+                );
             }
         },
     ];
@@ -303,11 +365,19 @@
         on(&catalogue.scripts[0].holds, true);
         on(&catalogue.scripts[0].deaf, true);
         for n in 0..3 {
-            reader.say(&present_unit(Some(format!("{n}").as_bytes()), "default", 1, 1));
+            reader.say(&present_unit(
+                Some(format!("{n}").as_bytes()),
+                "default",
+                1,
+                1,
+            ));
         }
         eventually("they are under way", || work() > idle);
         let mut other = Reader::open(catalogue.z3950);
-        assert!(other.search("comics", "moon", 0).ends_with("diagnostic 2"), "there is no room");
+        assert!(
+            other.search("comics", "moon", 0).ends_with("diagnostic 2"),
+            "there is no room"
+        );
         leave(&mut reader);
         // At once, and not when what was left behind has had its time.
         let start = Instant::now();
@@ -321,20 +391,39 @@
     }
 }
 
-/// Hard case 6. A reader that asks for a lot and reads nothing holds a bounded amount and is let go.
+/// Hard case 6. A reader that asks for a lot and reads nothing holds a bounded amount and is let
+/// go.
 #[test]
 fn a_reader_that_stalls_in_the_middle_of_segments_is_let_go_and_holds_little() {
-    let long: Vec<String> = (0..150).map(|n| format!("{n:03}{}", "x".repeat(6000))).collect();
+    let long: Vec<String> = (0..150)
+        .map(|n| format!("{n:03}{}", "x".repeat(6000)))
+        .collect();
     let titles: Vec<&str> = long.iter().map(String::as_str).collect();
-    let scripts = (0..3).map(|n| Script::with(&[(n, &titles[50 * n..50 * n + 50])])).collect();
+    let scripts = (0..3)
+        .map(|n| Script::with(&[(n, &titles[50 * n..50 * n + 50])]))
+        .collect();
     let catalogue = Catalogue::start_with("sru", scripts, roomy(1, 600), json!({}));
     let memory = || {
         let status =
-            std::fs::read_to_string(format!("/proc/{}/status", catalogue.program.child.id())).unwrap();
-        let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap().to_owned();
-        line.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap()
+            std::fs::read_to_string(format!("/proc/{}/status", catalogue.program.child.id()))
+                .unwrap();
+        let line = status
+            .lines()
+            .find(|l| l.starts_with("VmRSS"))
+            .unwrap()
+            .to_owned();
+        line.split_whitespace()
+            .nth(1)
+            .unwrap()
+            .parse::<usize>()
+            .unwrap()
     };
-    let all = [Ability::Search, Ability::Present, Ability::ConcurrentOperations, Ability::Level1Segmentation];
+    let all = [
+        Ability::Search,
+        Ability::Present,
+        Ability::ConcurrentOperations,
+        Ability::Level1Segmentation,
+    ];
     let (mut reader, _) = Reader::init(catalogue.z3950, &all, 1 << 16, |_| {});
     reader.search("comics", "moon", 0);
     // What the system holds for it is no matter of the program's: that is to be full soon.
@@ -352,46 +441,77 @@
     while ask(&mut reader) {
         assert!(start.elapsed() < Duration::from_secs(20), "never let go");
         let answer = catalogue.sru("/comics?query=moon&maximumRecords=0");
-        assert!(answer.contains("<numberOfRecords>150<") || answer.starts_with("HTTP/1.1 503"), "{answer}");
+        assert!(
+            answer.contains("<numberOfRecords>150<") || answer.starts_with("HTTP/1.1 503"),
+            "{answer}"
+        );
     }
     let grown = memory().saturating_sub(before);
     assert!(grown < 24 << 10, "{grown} kB more");
-    eventually("others are served", || catalogue.sru("/comics?query=moon").starts_with("HTTP/1.1 200"));
+    eventually("others are served", || {
+        catalogue
+            .sru("/comics?query=moon")
+            .starts_with("HTTP/1.1 200")
+    });
 }
 
-/// Hard case 7. Hosts of one version only, and hosts without named sets, sorting or scanning: the same answers, or a
-/// diagnostic where there is no way round.
+/// Hard case 7. Hosts of one version only, and hosts without named sets, sorting or scanning: the
+/// same answers, or a diagnostic where there is no way round.
 #[test]
 fn hosts_that_lack_something_are_answered_round_it_or_it_is_said() {
     let sorted = "/comics?version=1.2&operation=searchRetrieve&query=moon&sortKeys=title,,0&maximumRecords=4";
     for version in ["1.1", "2.0"] {
         let scripts: Vec<Arc<Script>> = (0..3).map(|_| Arc::default()).collect();
-        scripts
-            .iter()
-            .for_each(|s| *s.version.lock().unwrap() = if version == "1.1" { "1.1" } else { "2.0" });
+        scripts.iter().for_each(|s| {
+            *s.version.lock().unwrap() = if version == "1.1" { "1.1" } else { "2.0" }
+        });
         let catalogue = Catalogue::start_with("sru", scripts, catalogue_settings(1), json!({}));
-        assert_eq!(catalogue.titles("/comics?query=moon"), EVERYTHING, "{version}");
-        assert_eq!(catalogue.titles(sorted), ["2.2", "2.1", "2.0", "1.1"], "{version}");
+        assert_eq!(
+            catalogue.titles("/comics?query=moon"),
+            EVERYTHING,
+            "{version}"
+        );
+        assert_eq!(
+            catalogue.titles(sorted),
+            ["2.2", "2.1", "2.0", "1.1"],
+            "{version}"
+        );
         // Each session learned it from the first answer: no further search is refused.
         let before: usize = catalogue.scripts.iter().map(|s| count(&s.searches)).sum();
         catalogue.titles("/comics?query=moon&maximumRecords=0");
-        assert_eq!(catalogue.scripts.iter().map(|s| count(&s.searches)).sum::<usize>(), before + 3);
+        assert_eq!(
+            catalogue
+                .scripts
+                .iter()
+                .map(|s| count(&s.searches))
+                .sum::<usize>(),
+            before + 3
+        );
     }
     let scripts: Vec<Arc<Script>> = (0..3).map(|_| Arc::default()).collect();
-    scripts.iter().for_each(|s| *s.abilities.lock().unwrap() = vec![Ability::Search, Ability::Present]);
+    scripts
+        .iter()
+        .for_each(|s| *s.abilities.lock().unwrap() = vec![Ability::Search, Ability::Present]);
     let catalogue = Catalogue::start_with("z3950", scripts, catalogue_settings(1), json!({}));
     let mut reader = Reader::open(catalogue.z3950);
     reader.search("comics", "moon", 0);
     reader.ask(search_unit(None, "B", "comics", "sun", 0));
-    assert!(reader.present(1, 6).ends_with(&EVERYTHING.join(", ")), "though the host has forgotten that set");
+    assert!(
+        reader.present(1, 6).ends_with(&EVERYTHING.join(", ")),
+        "though the host has forgotten that set"
+    );
     let reply = reader.ask(sort_unit());
     assert_eq!(reply.get(3).and_then(Item::integer), Some(0));
     assert!(reader.present(1, 2).ends_with("2.2, 2.1"));
     let scanned = reader.ask(scan_unit());
-    assert_eq!((scanned.get(4).and_then(Item::integer), condition(&scanned)), (Some(6), Some(232)));
+    assert_eq!(
+        (scanned.get(4).and_then(Item::integer), condition(&scanned)),
+        (Some(6), Some(232))
+    );
 }
 
-/// A copy that wins leaves its twin's session open: the late answer is read and dropped, and nobody connects again.
+/// A copy that wins leaves its twin's session open: the late answer is read and dropped, and nobody
+/// connects again.
 #[test]
 fn a_search_that_lost_to_its_copy_does_not_cost_its_session() {
     let catalogue = replicated("z3950");
@@ -399,8 +519,16 @@
         catalogue.titles("/comics?query=moon&maximumRecords=0");
     }
     // Slow enough for copies, quick enough to be outlived.
-    catalogue.scripts[1].delay.store(120, std::sync::atomic::Ordering::SeqCst);
-    let connections = || catalogue.scripts.iter().map(|s| count(&s.connections)).sum::<usize>();
+    catalogue.scripts[1]
+        .delay
+        .store(120, std::sync::atomic::Ordering::SeqCst);
+    let connections = || {
+        catalogue
+            .scripts
+            .iter()
+            .map(|s| count(&s.connections))
+            .sum::<usize>()
+    };
     let searches = |n: usize| count(&catalogue.scripts[n].searches);
     let (before, slow) = (connections(), searches(1));
     for _ in 0..40 {
@@ -408,9 +536,16 @@
     }
     eventually("the slow host has answered", || searches(1) > slow);
     let more = connections() - before;
-    // Sessions are opened while others outlive a search, up to the pool's bound, and none is opened in place of another.
+    // Sessions are opened while others outlive a search, up to the pool's bound, and none is opened
+    // in place of another.
     assert!(more <= 16, "{more} connections for 40 searches");
-    assert!(catalogue.scripts.iter().all(|s| count(&s.open) == count(&s.connections)), "none has ended");
+    assert!(
+        catalogue
+            .scripts
+            .iter()
+            .all(|s| count(&s.open) == count(&s.connections)),
+        "none has ended"
+    );
 }
 
 /// A request that is cut off in the middle, and one that asks while a search is under way, in SRU.
@@ -422,11 +557,19 @@
     let mut sockets = Vec::new();
     for _ in 0..7 {
         let mut socket = std::net::TcpStream::connect(catalogue.sru).unwrap();
-        socket.write_all(b"GET /comics?query=moon HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
+        socket
+            .write_all(b"GET /comics?query=moon HTTP/1.1\r\nHost: a\r\n\r\n")
+            .unwrap();
         sockets.push(socket);
     }
-    eventually("the searches are under way", || count(&catalogue.scripts[0].searches) > 0);
+    eventually("the searches are under way", || {
+        count(&catalogue.scripts[0].searches) > 0
+    });
     drop(sockets);
     on(&catalogue.scripts[0].deaf, false);
-    eventually("others are served", || catalogue.sru("/comics?query=moon").starts_with("HTTP/1.1 200"));
+    eventually("others are served", || {
+        catalogue
+            .sru("/comics?query=moon")
+            .starts_with("HTTP/1.1 200")
+    });
 }
--- a/bitternsill/tests/cli.rs
+++ b/bitternsill/tests/cli.rs
@@ -4,23 +4,43 @@
 
 fn run(args: &[&str]) -> (Option<i32>, String, String) {
     let program = env!("CARGO_BIN_EXE_bitternsill");
-    let output = Command::new(program).args(args).env_remove("ROUTER_CONFIG").output().unwrap();
+    let output = Command::new(program)
+        .args(args)
+        .env_remove("ROUTER_CONFIG")
+        .output()
+        .unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    (output.status.code(), text(output.stdout), text(output.stderr))
+    (
+        output.status.code(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
 #[test]
 fn bad_usage_ends_with_2_and_says_what_is_wrong() {
-    for args in [&[][..], &["fly"], &["serve", "--bogus"], &["describe"], &["describe", "all"], &["check"]] {
+    for args in [
+        &[][..],
+        &["fly"],
+        &["serve", "--bogus"],
+        &["describe"],
+        &["describe", "all"],
+        &["check"],
+    ] {
         let (code, out, err) = run(args);
         assert_eq!((code, out.as_str()), (Some(2), ""), "{args:?}");
         assert!(
-            err.starts_with("bitternsill: ") && (err.contains("Usage:") || err.contains("possible values")),
+            err.starts_with("bitternsill: ")
+                && (err.contains("Usage:") || err.contains("possible values")),
             "{err}"
         );
     }
     assert_eq!(run(&["help"]).0, Some(0));
-    assert_eq!(run(&["serve"]).0, Some(1), "no configuration is a failure, not bad usage");
+    assert_eq!(
+        run(&["serve"]).0,
+        Some(1),
+        "no configuration is a failure, not bad usage"
+    );
 }
 
 #[test]
@@ -49,7 +69,10 @@
         std::fs::write(&file, setup.replacen(old, new, 1)).unwrap();
         let (code, _, err) = run(&["check", file.to_str().unwrap()]);
         assert_eq!(code, Some(1), "{new}");
-        assert!(err.lines().count() == 1 && err.contains(": `") || err.contains("settings"), "{err}");
+        assert!(
+            err.lines().count() == 1 && err.contains(": `") || err.contains("settings"),
+            "{err}"
+        );
     }
     std::fs::remove_dir_all(&directory).unwrap();
 }
@@ -79,7 +102,8 @@
             "limits": {"max_attempts": 4}
         }
     });
-    let file = std::env::temp_dir().join(format!("bitternsill-configuration-{}", std::process::id()));
+    let file =
+        std::env::temp_dir().join(format!("bitternsill-configuration-{}", std::process::id()));
     let check = |config: &serde_json::Value| {
         std::fs::write(&file, config.to_string()).unwrap();
         let (status, out, problems) = run(&["check", file.to_str().unwrap()]);
@@ -87,13 +111,21 @@
     };
     assert_eq!(check(&good).0, Some(0));
     for (path, value, told) in [
-        ("/admin", serde_json::json!("door"), "`admin` is missing or malformed; allowed is IP:PORT"),
+        (
+            "/admin",
+            serde_json::json!("door"),
+            "`admin` is missing or malformed; allowed is IP:PORT",
+        ),
         (
             "/settings/request_classes/0/deadline",
             serde_json::json!(0),
             "`request_classes[0].deadline` is 0; allowed",
         ),
-        ("/settings/limits/max_attempts", serde_json::json!(0), "`limits.max_attempts` is 0; allowed"),
+        (
+            "/settings/limits/max_attempts",
+            serde_json::json!(0),
+            "`limits.max_attempts` is 0; allowed",
+        ),
         (
             "/settings/request_classes/0/effect",
             serde_json::json!("odd"),
--- a/bitternsill/tests/cold_fleet.rs
+++ b/bitternsill/tests/cold_fleet.rs
@@ -17,7 +17,8 @@
 const MULTIPLE: f64 = 4.0;
 const RAMP: Duration = Duration::from_secs(60);
 
-/// Each has a share of a sixth of a part. Rounded up in each it would be 24 at once, where 11 to 12 may be chance.
+/// Each has a share of a sixth of a part. Rounded up in each it would be 24 at once, where 11 to 12
+/// may be chance.
 #[test]
 fn two_dozen_processes_send_a_cold_host_no_more_than_its_budget_and_chance() {
     let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
@@ -59,7 +60,9 @@
     for (_, address) in &gatherers {
         eventually("ready", || {
             TcpStream::connect(address).is_ok_and(|mut socket| {
-                socket.write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").is_ok()
+                socket
+                    .write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+                    .is_ok()
                     && read_response(&mut socket).starts_with("HTTP/1.1 200")
             })
         });
@@ -75,24 +78,40 @@
                 while asked.elapsed() < Duration::from_secs(4) {
                     let mut socket = TcpStream::connect(address).unwrap();
                     let id = format!("q{}", answers.len());
-                    socket.write_all(query(&id, "page", &[0], "Connection: close\r\n").as_bytes()).unwrap();
+                    socket
+                        .write_all(query(&id, "page", &[0], "Connection: close\r\n").as_bytes())
+                        .unwrap();
                     answers.push(read_response(&mut socket));
                 }
                 answers
             })
         })
         .collect();
-    let answers: Vec<String> = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
+    let answers: Vec<String> = clients
+        .into_iter()
+        .flat_map(|client| client.join().unwrap())
+        .collect();
     let is_answer = |a: &String| a.starts_with("HTTP/1.1 200") || a.starts_with("HTTP/1.1 503");
-    assert!(answers.iter().all(is_answer), "{:?}", answers.iter().find(|a| !is_answer(a)));
+    assert!(
+        answers.iter().all(is_answer),
+        "{:?}",
+        answers.iter().find(|a| !is_answer(a))
+    );
     let arrivals = arrivals.lock().unwrap().clone();
     for (at, first) in arrivals.iter().enumerate() {
         let second = Duration::from_secs(1);
-        let within = arrivals[at..].iter().take_while(|t| **t < *first + second).count() as f64;
+        let within = arrivals[at..]
+            .iter()
+            .take_while(|t| **t < *first + second)
+            .count() as f64;
         let age = (*first + second - begin).as_secs_f64() / RAMP.as_secs_f64();
         let budget = MULTIPLE * (START + (1.0 - START) * age) / WORK.as_secs_f64();
         let limit = budget + 2.0 * budget.sqrt() + 2.0;
         assert!(within <= limit, "{within} where {limit:.1} may be chance");
     }
-    assert!(arrivals.len() >= 4, "{} parts in 4 s: it is left idle", arrivals.len());
+    assert!(
+        arrivals.len() >= 4,
+        "{} parts in 4 s: it is left idle",
+        arrivals.len()
+    );
 }
--- a/bitternsill/tests/common/fleet.rs
+++ b/bitternsill/tests/common/fleet.rs
@@ -1,5 +1,5 @@
-//! The rig for stories of whole fleets: programs, links between them that a test can fail one way, index hosts and discovery,
-//! clients and observers.
+//! The rig for stories of whole fleets: programs, links between them that a test can fail one way,
+//! index hosts and discovery, clients and observers.
 
 use super::*;
 use lab::history::{History, Look};
@@ -10,7 +10,8 @@
 use std::thread::JoinHandle;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Discovery that tells whoever watches the whole list, whenever it has changed. One entry of it is counted up.
+/// Discovery that tells whoever watches the whole list, whenever it has changed. One entry of it is
+/// counted up.
 pub struct Counter {
     pub address: SocketAddr,
     pub count: Arc<AtomicU64>,
@@ -29,7 +30,9 @@
         let (counted, silent, booted) = (count.clone(), mute.clone(), boot_ms.clone());
         let address = accept(move |mut socket| {
             let mut line = String::new();
-            BufReader::new(socket.try_clone().unwrap()).read_line(&mut line).unwrap();
+            BufReader::new(socket.try_clone().unwrap())
+                .read_line(&mut line)
+                .unwrap();
             let mut told = 0;
             while silent.load(Ordering::SeqCst) {
                 thread::sleep(Duration::from_millis(10));
@@ -58,15 +61,28 @@
                 text = format!("{:x}\r\n{list}\r\n", list.len());
             }
         });
-        Counter { address, count, boot_ms, mute }
+        Counter {
+            address,
+            count,
+            boot_ms,
+            mute,
+        }
     }
 }
 
 /// How far a list that the store keeps had counted.
 pub fn counted(value: &str) -> Option<u64> {
     let list: Value = serde_json::from_str(value).ok()?;
-    let entry = list.as_array()?.iter().find(|entry| entry["uid"] == "counted")?;
-    let port: u64 = entry["endpoint"].as_str()?.rsplit(':').next()?.parse().ok()?;
+    let entry = list
+        .as_array()?
+        .iter()
+        .find(|entry| entry["uid"] == "counted")?;
+    let port: u64 = entry["endpoint"]
+        .as_str()?
+        .rsplit(':')
+        .next()?
+        .parse()
+        .ok()?;
     port.checked_sub(10_000)
 }
 
@@ -92,7 +108,8 @@
     pub learning: bool,
     /// Whether discovery says nothing, from the begin.
     pub mute: bool,
-    /// What stands under `versions`, where anything does: then each keeps its name and its trail over its lives.
+    /// What stands under `versions`, where anything does: then each keeps its name and its trail
+    /// over its lives.
     pub versions: Option<Value>,
     /// Whether operators have a door.
     pub doors: bool,
@@ -104,14 +121,25 @@
     fn default() -> Set {
         let (settings, known, learning, mute, doors) = (settings(), false, false, false, false);
         let (recovery, warmth, versions, named_as) = (None, None, None, BTreeMap::new());
-        Set { settings, recovery, known, warmth, learning, mute, versions, doors, named_as }
+        Set {
+            settings,
+            recovery,
+            known,
+            warmth,
+            learning,
+            mute,
+            versions,
+            doors,
+            named_as,
+        }
     }
 }
 
 /// What a part costs a warm index host, which does one at a time.
 pub const WORK: Duration = Duration::from_millis(4);
 
-/// When index hosts were started last, where they have been: what they can do then grows from a fifth over 10 s.
+/// When index hosts were started last, where they have been: what they can do then grows from a
+/// fifth over 10 s.
 #[derive(Debug, Default)]
 pub struct Warmth {
     since: Mutex<Option<Instant>>,
@@ -134,20 +162,25 @@
     }
 }
 
-/// An index host that warms up as the settings say, and that falls as they say: given twice what it bears for a second it
-/// turns everything away for two, and is cold again.
+/// An index host that warms up as the settings say, and that falls as they say: given twice what it
+/// bears for a second it turns everything away for two, and is cold again.
 pub fn warming_host(warmth: Arc<Warmth>) -> FrameHost {
     let desk = Mutex::new(());
     let state = Mutex::new((warmth.since(), VecDeque::<Instant>::new()));
     let speed = |since: Option<Instant>| {
-        since.map_or(1.0, |since| (0.2 + 0.8 * since.elapsed().as_secs_f64() / 10.0).min(1.0))
+        since.map_or(1.0, |since| {
+            (0.2 + 0.8 * since.elapsed().as_secs_f64() / 10.0).min(1.0)
+        })
     };
     FrameHost::start(move |id| {
         let since = {
             let (since, met) = &mut *state.lock().unwrap();
             *since = (*since).max(warmth.since());
             met.push_back(Instant::now());
-            while met.front().is_some_and(|at| at.elapsed() > Duration::from_secs(1)) {
+            while met
+                .front()
+                .is_some_and(|at| at.elapsed() > Duration::from_secs(1))
+            {
                 met.pop_front();
             }
             let up = since.is_none_or(|since| since <= Instant::now());
@@ -166,7 +199,8 @@
     })
 }
 
-/// Some gatherers of the platform, each a member of the store, with a link for each that speaks to each.
+/// Some gatherers of the platform, each a member of the store, with a link for each that speaks to
+/// each.
 pub struct Fleet {
     pub name: String,
     pub stores: Vec<SocketAddr>,
@@ -197,12 +231,19 @@
         };
         let hosts: Vec<FrameHost> = (0..3).map(host).collect();
         let stores: Vec<SocketAddr> = (0..count).map(|_| free_address()).collect();
-        let pairs = (0..count).flat_map(|a| (0..count).filter(move |b| a != *b).map(move |b| (a, b)));
-        let file =
-            |i| std::env::temp_dir().join(format!("bitternsill-{name}-{}-{i}.store", std::process::id()));
+        let pairs =
+            (0..count).flat_map(|a| (0..count).filter(move |b| a != *b).map(move |b| (a, b)));
+        let file = |i| {
+            std::env::temp_dir().join(format!(
+                "bitternsill-{name}-{}-{i}.store",
+                std::process::id()
+            ))
+        };
         let mut fleet = Fleet {
             name: name.to_owned(),
-            links: pairs.map(|(a, b)| ((a, b), Link::to(stores[b]).unwrap())).collect(),
+            links: pairs
+                .map(|(a, b)| ((a, b), Link::to(stores[b]).unwrap()))
+                .collect(),
             fronts: (0..count).map(|_| free_address()).collect(),
             doors: (0..count).map(|_| free_address()).collect(),
             stores,
@@ -242,7 +283,8 @@
         }
     }
 
-    /// Each life of a gatherer writes under a name of its own: what it wrote is written by nobody again.
+    /// Each life of a gatherer writes under a name of its own: what it wrote is written by nobody
+    /// again.
     pub fn key(&self, at: usize) -> String {
         format!("members/{}", self.gatherer(at))
     }
@@ -250,7 +292,11 @@
     /// A gatherer's name.
     pub fn gatherer(&self, at: usize) -> String {
         let name = self.set.named_as.get(&at).unwrap_or(&at);
-        if self.set.versions.is_some() { format!("g{name}") } else { format!("g{name}-{}", self.lives[at]) }
+        if self.set.versions.is_some() {
+            format!("g{name}")
+        } else {
+            format!("g{name}-{}", self.lives[at])
+        }
     }
 
     /// Where a gatherer keeps its trail.
@@ -258,7 +304,8 @@
         self.files[at].with_extension("trail")
     }
 
-    /// Calls `bitternsill fleet` with these words at these gatherers; what it prints and whether it exits with 0.
+    /// Calls `bitternsill fleet` with these words at these gatherers; what it prints and whether it
+    /// exits with 0.
     pub fn call(&self, words: &[&str], at: &[usize]) -> (String, bool) {
         let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
             .arg("fleet")
@@ -267,7 +314,13 @@
             .args(at.iter().map(|at| self.stores[*at].to_string()))
             .output()
             .unwrap();
-        (String::from_utf8(output.stdout).unwrap().trim_end().to_owned(), output.status.success())
+        (
+            String::from_utf8(output.stdout)
+                .unwrap()
+                .trim_end()
+                .to_owned(),
+            output.status.success(),
+        )
     }
 
     pub fn power_on(&mut self, at: usize) {
@@ -276,7 +329,10 @@
         self.history.lock().unwrap().writes(&self.key(at), count);
         let members: serde_json::Map<String, Value> = (0..self.stores.len())
             .map(|to| {
-                let address = self.links.get(&(at, to)).map_or(self.stores[at], |link| link.address);
+                let address = self
+                    .links
+                    .get(&(at, to))
+                    .map_or(self.stores[at], |link| link.address);
                 (to.to_string(), json!(address.to_string()))
             })
             .collect();
@@ -298,9 +354,16 @@
         std::fs::write(&beside, installed.to_string()).unwrap();
         let entry = |(cell, host): (usize, &FrameHost)| target(cell, host.address, "active");
         let targets: Vec<Value> = self.hosts.iter().enumerate().map(entry).collect();
-        let known =
-            if self.set.known { json!({"rev": 1, "all": true, "targets": targets}) } else { Value::Null };
-        let door = if self.set.doors { json!(self.doors[at].to_string()) } else { Value::Null };
+        let known = if self.set.known {
+            json!({"rev": 1, "all": true, "targets": targets})
+        } else {
+            Value::Null
+        };
+        let door = if self.set.doors {
+            json!(self.doors[at].to_string())
+        } else {
+            Value::Null
+        };
         let config = json!({
             "name": self.gatherer(at), "listen": self.fronts[at].to_string(), "admin": door,
             "discovery": self.counter.address.to_string(), "seed": "8c1f30d27a5be964",
@@ -314,12 +377,22 @@
 
     /// Kills these at one moment, as far as signals are one.
     pub fn power_off(&mut self, group: &BTreeSet<usize>) {
-        let off: Vec<Program> = group.iter().filter_map(|at| self.programs[*at].take()).collect();
+        let off: Vec<Program> = group
+            .iter()
+            .filter_map(|at| self.programs[*at].take())
+            .collect();
         if off.is_empty() {
             return;
         }
         let pids = off.iter().map(|program| program.child.id().to_string());
-        assert!(Command::new("kill").arg("-KILL").args(pids).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .arg("-KILL")
+                .args(pids)
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Notes what a member tells a watcher, for as long as the day goes on.
@@ -341,7 +414,8 @@
         }));
     }
 
-    /// Asks a gatherer one query after the other: each has one answer in its time, or its connection ends.
+    /// Asks a gatherer one query after the other: each has one answer in its time, or its
+    /// connection ends.
     pub fn ask(&mut self, at: usize) {
         let (address, over, asked) = (self.fronts[at], self.over.clone(), self.asked.clone());
         self.helpers.push(thread::spawn(move || {
@@ -353,7 +427,12 @@
                 let answer = (|| {
                     let mut socket = TcpStream::connect(address)?;
                     socket.set_read_timeout(Some(Duration::from_secs(30)))?;
-                    let text = query(&format!("q{at}-{number}"), "page", &[0, 1, 2], "Connection: close\r\n");
+                    let text = query(
+                        &format!("q{at}-{number}"),
+                        "page",
+                        &[0, 1, 2],
+                        "Connection: close\r\n",
+                    );
                     socket.write_all(text.as_bytes())?;
                     let mut answer = String::new();
                     socket.read_to_string(&mut answer)?;
@@ -389,7 +468,8 @@
     /// All gatherers that run are told one more.
     pub fn count_up(&self) {
         let next = self.counter.count.load(Ordering::SeqCst) + 1;
-        (0..self.lives.len()).for_each(|at| self.history.lock().unwrap().writes(&self.key(at), next));
+        (0..self.lives.len())
+            .for_each(|at| self.history.lock().unwrap().writes(&self.key(at), next));
         self.counter.count.store(next, Ordering::SeqCst);
     }
 
@@ -397,11 +477,15 @@
         &self.links[&(from, to)]
     }
 
-    /// Power is lost to everything, gatherers and index hosts, and has returned; discovery knows, where it says anything.
+    /// Power is lost to everything, gatherers and index hosts, and has returned; discovery knows,
+    /// where it says anything.
     pub fn blackout(&mut self) {
         let all: BTreeSet<usize> = (0..self.stores.len()).collect();
         self.power_off(&all);
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_millis() as u64;
         self.counter.boot_ms.store(now, Ordering::SeqCst);
         self.count_up();
         if let Some(warmth) = &self.set.warmth {
@@ -412,7 +496,9 @@
 
     /// All links are whole again.
     pub fn heal(&self) {
-        self.links.values().for_each(|link| link.set(Way::Open, Way::Open));
+        self.links
+            .values()
+            .for_each(|link| link.set(Way::Open, Way::Open));
     }
 
     pub fn befall(&mut self, fault: &Fault) {
@@ -423,7 +509,8 @@
             Fault::Continue(at) => self.programs[*at].as_ref().unwrap().signal("CONT"),
             Fault::Cut(from, to) => self.link(*from, *to).set(Way::Stalled, Way::Open),
             Fault::Slow(from, to, by) => {
-                self.link(*from, *to).set(Way::Late(Duration::from_millis(*by)), Way::Open);
+                self.link(*from, *to)
+                    .set(Way::Late(Duration::from_millis(*by)), Way::Open);
             }
             Fault::Reset(one, other) => {
                 self.link(*one, *other).reset();
@@ -449,7 +536,9 @@
         let shown = self.history.lock().unwrap().shown().clone();
         let held: Vec<_> = (0..self.stores.len()).map(|at| self.held(at)).collect();
         let enough = |held: &BTreeMap<String, u64>| {
-            shown.iter().all(|(key, value)| held.get(key).is_some_and(|held| held >= value))
+            shown
+                .iter()
+                .all(|(key, value)| held.get(key).is_some_and(|held| held >= value))
         };
         held.iter().all(enough) && held.iter().all(|other| *other == held[0])
     }
@@ -462,7 +551,8 @@
         loop {
             let all = |at: usize| {
                 let held = self.held(at);
-                (0..self.lives.len()).all(|of| held.get(&self.key(of)).is_some_and(|held| *held >= now))
+                (0..self.lives.len())
+                    .all(|of| held.get(&self.key(of)).is_some_and(|held| *held >= now))
             };
             if (0..self.lives.len()).all(all) && self.is_one() {
                 return Ok(());
@@ -470,7 +560,9 @@
             if Instant::now() > until {
                 let held: Vec<_> = (0..self.lives.len()).map(|at| self.held(at)).collect();
                 let shown = self.history.lock().unwrap().shown().clone();
-                return Err(format!("30 s after the last fault {held:?}; shown was {shown:?}; now {now}"));
+                return Err(format!(
+                    "30 s after the last fault {held:?}; shown was {shown:?}; now {now}"
+                ));
             }
         }
     }
@@ -479,9 +571,13 @@
     pub fn judge(mut self) -> Result<Asked, String> {
         let settled = self.settle();
         self.over.store(true, Ordering::SeqCst);
-        let held = (0..self.stores.len()).map(|at| (at, self.held(at))).collect();
+        let held = (0..self.stores.len())
+            .map(|at| (at, self.held(at)))
+            .collect();
         for helper in self.helpers.drain(..) {
-            helper.join().map_err(|_| "a client or an observer saw what it must not".to_owned())?;
+            helper
+                .join()
+                .map_err(|_| "a client or an observer saw what it must not".to_owned())?;
         }
         let history = std::mem::take(&mut *self.history.lock().unwrap());
         let shown = history.shown().len();
@@ -509,17 +605,24 @@
     }
 }
 
-/// Hears a watcher's lines until the connection ends, nothing more comes for so long, or enough was heard.
+/// Hears a watcher's lines until the connection ends, nothing more comes for so long, or enough was
+/// heard.
 pub fn watch(address: SocketAddr, quiet: Duration, mut hear: impl FnMut(&str, &str) -> bool) {
-    let Ok(mut socket) = TcpStream::connect(address) else { return };
+    let Ok(mut socket) = TcpStream::connect(address) else {
+        return;
+    };
     socket.set_read_timeout(Some(quiet)).unwrap();
     if socket.write_all(b"watch\n").is_err() {
         return;
     }
     for line in BufReader::new(socket).lines().map_while(Result::ok) {
-        let Ok(line) = serde_json::from_str::<Value>(&line) else { return };
+        let Ok(line) = serde_json::from_str::<Value>(&line) else {
+            return;
+        };
         // A key that is gone has no value.
-        let (Some(key), Some(value)) = (line["key"].as_str(), line["value"].as_str()) else { continue };
+        let (Some(key), Some(value)) = (line["key"].as_str(), line["value"].as_str()) else {
+            continue;
+        };
         if !hear(key, value) {
             return;
         }
--- a/bitternsill/tests/common/mod.rs
+++ b/bitternsill/tests/common/mod.rs
@@ -18,17 +18,30 @@
 
 static SERIAL: AtomicU32 = AtomicU32::new(0);
 
-/// A free address of this machine: a loopback address that no other test has, so that its port stays free. The socket that
-/// finds the port never listens: a program that another test starts just then has a copy of it for a moment, and a copy
-/// that listened would take connections and reset them.
+/// A free address of this machine: a loopback address that no other test has, so that its port
+/// stays free. The socket that finds the port never listens: a program that another test starts
+/// just then has a copy of it for a moment, and a copy that listened would take connections and
+/// reset them.
 pub fn free_address() -> SocketAddr {
     let (pid, serial) = (std::process::id(), SERIAL.fetch_add(1, Ordering::Relaxed));
-    let address = format!("127.{}.{}.{}:0", 64 + serial % 128, pid >> 8 & 255, 1 + pid % 254);
-    let (family, kind, flags) = (AddressFamily::INET, SocketType::STREAM, SocketFlags::CLOEXEC);
+    let address = format!(
+        "127.{}.{}.{}:0",
+        64 + serial % 128,
+        pid >> 8 & 255,
+        1 + pid % 254
+    );
+    let (family, kind, flags) = (
+        AddressFamily::INET,
+        SocketType::STREAM,
+        SocketFlags::CLOEXEC,
+    );
     let socket = rustix::net::socket_with(family, kind, flags, None).unwrap();
     sockopt::set_socket_reuseaddr(&socket, true).unwrap();
     rustix::net::bind(&socket, &address.parse::<SocketAddr>().unwrap()).unwrap();
-    rustix::net::getsockname(&socket).unwrap().try_into().unwrap()
+    rustix::net::getsockname(&socket)
+        .unwrap()
+        .try_into()
+        .unwrap()
 }
 
 /// Accepts for as long as the test runs, each connection on a thread of its own.
@@ -74,17 +87,27 @@
 
     /// The same after some words of shell, and with further arguments.
     pub fn start_in(shell: &str, option: &str, content: &Value, more: &[String]) -> Program {
-        let name = format!("bitternsill-{}-{}", std::process::id(), SERIAL.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "bitternsill-{}-{}",
+            std::process::id(),
+            SERIAL.fetch_add(1, Ordering::Relaxed)
+        );
         let path: PathBuf = std::env::temp_dir().join(name);
         std::fs::write(&path, content.to_string()).unwrap();
         let child = Command::new("sh")
             .args(["-c", &format!("{shell}; exec \"$0\" serve \"$@\"")])
             // A measurement may play an earlier build.
-            .arg(std::env::var("BITTERNSILL_PROGRAM").unwrap_or(env!("CARGO_BIN_EXE_bitternsill").into()))
+            .arg(
+                std::env::var("BITTERNSILL_PROGRAM")
+                    .unwrap_or(env!("CARGO_BIN_EXE_bitternsill").into()),
+            )
             .arg(option)
             .arg(&path)
             .args(more)
-            .env("BITTERNSILL_LOG", std::env::var("BITTERNSILL_LOG").unwrap_or("warn".into()))
+            .env(
+                "BITTERNSILL_LOG",
+                std::env::var("BITTERNSILL_LOG").unwrap_or("warn".into()),
+            )
             .stdin(Stdio::null())
             .spawn()
             .unwrap();
@@ -94,7 +117,13 @@
     /// Sends a signal.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([&format!("-{name}"), &pid]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([&format!("-{name}"), &pid])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 }
 
@@ -152,13 +181,17 @@
         let first = json!({"rev": 1, "all": true, "targets": targets}).to_string();
         let address = accept(move |mut socket| {
             let mut line = String::new();
-            BufReader::new(socket.try_clone().unwrap()).read_line(&mut line).unwrap();
+            BufReader::new(socket.try_clone().unwrap())
+                .read_line(&mut line)
+                .unwrap();
             assert!(line.starts_with("GET /catalog/members?stream=1"), "{line}");
             count.fetch_add(1, Ordering::SeqCst);
             let (tell, told) = mpsc::channel();
             tell.send(first.clone()).unwrap();
             shared.lock().unwrap().push(tell);
-            socket.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+            socket
+                .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                .unwrap();
             loop {
                 let text = match told.recv_timeout(beat) {
                     Ok(text) => text + "\n",
@@ -174,13 +207,20 @@
                 }
             }
         });
-        Discovery { address, watchers, asked }
+        Discovery {
+            address,
+            watchers,
+            asked,
+        }
     }
 
     /// Tells every watcher of a change.
     pub fn tell(&self, version: u64, targets: Vec<Value>) {
         let text = json!({"rev": version, "all": false, "targets": targets}).to_string();
-        self.watchers.lock().unwrap().retain(|watcher| watcher.send(text.clone()).is_ok());
+        self.watchers
+            .lock()
+            .unwrap()
+            .retain(|watcher| watcher.send(text.clone()).is_ok());
     }
 
     /// Ends every watch.
@@ -224,7 +264,9 @@
     }
 
     /// The same where it matters on which connection, counted from 0, a part comes.
-    pub fn start_by_connection(say: impl Fn(u32, &str) -> Say + Send + Sync + 'static) -> FrameHost {
+    pub fn start_by_connection(
+        say: impl Fn(u32, &str) -> Say + Send + Sync + 'static,
+    ) -> FrameHost {
         let seen: Arc<Mutex<Vec<String>>> = Arc::default();
         let log = seen.clone();
         let longest: Arc<AtomicU32> = Arc::default();
@@ -235,16 +277,22 @@
             while let Some((letter, rest)) = read_frame(&mut socket) {
                 measured.fetch_max(rest.len() as u32, Ordering::SeqCst);
                 if letter == b'n' {
-                    log.lock().unwrap().push(format!("given up {}", String::from_utf8_lossy(&rest)));
+                    log.lock()
+                        .unwrap()
+                        .push(format!("given up {}", String::from_utf8_lossy(&rest)));
                     continue;
                 }
                 let mut rest = rest.as_slice();
                 while let Some(end) = rest.iter().position(|b| *b == b'\n') {
                     let line = String::from_utf8(rest[..end].to_vec()).unwrap();
                     let words: Vec<&str> = line.split(' ').collect();
-                    let list: Vec<&str> = words[2].split(',').filter(|w| !w.starts_with("d=")).collect();
+                    let list: Vec<&str> = words[2]
+                        .split(',')
+                        .filter(|w| !w.starts_with("d="))
+                        .collect();
                     let length: usize = words[3].parse().unwrap();
-                    let text = String::from_utf8_lossy(&rest[end + 1..end + 1 + length]).into_owned();
+                    let text =
+                        String::from_utf8_lossy(&rest[end + 1..end + 1 + length]).into_owned();
                     rest = &rest[end + 1 + length..];
                     log.lock().unwrap().push(format!(
                         "{} {} [{}] {text}",
@@ -267,7 +315,11 @@
                 }
             }
         });
-        FrameHost { address, seen, longest }
+        FrameHost {
+            address,
+            seen,
+            longest,
+        }
     }
 
     pub fn seen(&self) -> Vec<String> {
@@ -313,7 +365,11 @@
 
     /// Starts with so many descriptors told by the configuration, and so many there.
     pub fn start_with(settings: Value, hosts: Vec<FrameHost>, told: u32, there: u32) -> Platform {
-        let targets = hosts.iter().enumerate().map(|(i, h)| target(i, h.address, "active")).collect();
+        let targets = hosts
+            .iter()
+            .enumerate()
+            .map(|(i, h)| target(i, h.address, "active"))
+            .collect();
         Self::start_at(settings, hosts, Discovery::start(targets), told, there)
     }
 
@@ -330,7 +386,14 @@
         told: u32,
         there: u32,
     ) -> Platform {
-        Self::start_in(&format!("ulimit -n {there}"), settings, hosts, discovery, told, &[])
+        Self::start_in(
+            &format!("ulimit -n {there}"),
+            settings,
+            hosts,
+            discovery,
+            told,
+            &[],
+        )
     }
 
     /// Starts after some words of shell, and with further arguments.
@@ -349,7 +412,13 @@
             "known": null, "settings": settings
         });
         let program = Program::start_in(shell, "--config", &config, more);
-        let platform = Platform { program, address, discovery, hosts, config };
+        let platform = Platform {
+            program,
+            address,
+            discovery,
+            hosts,
+            config,
+        };
         eventually("ready", || {
             TcpStream::connect(address).is_ok()
                 && platform
@@ -368,7 +437,9 @@
     /// A connection on which a test says what it likes.
     pub fn connect(&self) -> TcpStream {
         let socket = TcpStream::connect(self.address).unwrap();
-        socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        socket
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
         socket
     }
 
@@ -388,7 +459,10 @@
 /// The bytes of a query.
 pub fn query(id: &str, class: &str, shards: &[u32], more: &str) -> String {
     let portion = 1.0 / shards.len() as f64;
-    let ranges: Vec<Value> = shards.iter().map(|s| json!({"range": s, "portion": portion})).collect();
+    let ranges: Vec<Value> = shards
+        .iter()
+        .map(|s| json!({"range": s, "portion": portion}))
+        .collect();
     let body = json!({"ranges": ranges, "predicate": "c41e77d0"}).to_string();
     format!(
         "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\n\
@@ -424,8 +498,8 @@
     text + &String::from_utf8(body).unwrap()
 }
 
-/// Closes a connection at once. Dropped alone, it would stay open for as long as a program that another test is starting has a
-/// copy of it.
+/// Closes a connection at once. Dropped alone, it would stay open for as long as a program that
+/// another test is starting has a copy of it.
 pub fn close(socket: TcpStream) {
     // Fails only where the connection is gone already.
     let _ = socket.shutdown(Shutdown::Both);
--- a/bitternsill/tests/common/standins.rs
+++ b/bitternsill/tests/common/standins.rs
@@ -1,4 +1,5 @@
-//! Index hosts that speak SRU or Z39.50, and readers' clients of both, for stories on the catalogue front.
+//! Index hosts that speak SRU or Z39.50, and readers' clients of both, for stories on the catalogue
+//! front.
 
 use super::*;
 use catalogue::ber::{self, Item, Writer};
@@ -37,7 +38,8 @@
     pub abilities: Mutex<Vec<Ability>>,
     /// The version of SRU that it speaks.
     pub version: Mutex<&'static str>,
-    /// Its answers over HTTP have no length and end with their connection: in order, or (`true`) by a reset.
+    /// Its answers over HTTP have no length and end with their connection: in order, or (`true`) by
+    /// a reset.
     pub lengthless: Mutex<Option<bool>>,
     /// It answers scans with a diagnostic.
     pub no_scan: AtomicBool,
@@ -93,7 +95,11 @@
 }
 
 fn slice_of(database: &str) -> usize {
-    database.rsplit('-').next().and_then(|n| n.parse().ok()).expect("a slice")
+    database
+        .rsplit('-')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .expect("a slice")
 }
 
 fn xml(title: &str) -> String {
@@ -116,13 +122,22 @@
 impl Script {
     /// A host with these titles in every slice that is named.
     pub fn with(titles: &[(usize, &[&str])]) -> Arc<Script> {
-        let own =
-            |(slice, titles): &(usize, &[&str])| (*slice, titles.iter().map(|t| (*t).to_owned()).collect());
-        Arc::new(Script { titles: Mutex::new(titles.iter().map(own).collect()), ..Script::default() })
+        let own = |(slice, titles): &(usize, &[&str])| {
+            (*slice, titles.iter().map(|t| (*t).to_owned()).collect())
+        };
+        Arc::new(Script {
+            titles: Mutex::new(titles.iter().map(own).collect()),
+            ..Script::default()
+        })
     }
 
     fn titles(&self, database: &str) -> Vec<String> {
-        self.titles.lock().unwrap().get(&slice_of(database)).cloned().unwrap_or_default()
+        self.titles
+            .lock()
+            .unwrap()
+            .get(&slice_of(database))
+            .cloned()
+            .unwrap_or_default()
     }
 
     fn note(&self, what: String) {
@@ -132,10 +147,19 @@
     fn terms(&self, database: &str, seed: &str, number: usize, position: usize) -> Vec<Term> {
         let mut titles = self.titles(database);
         titles.sort();
-        let at = titles.iter().position(|t| t.as_str() >= seed).unwrap_or(titles.len());
+        let at = titles
+            .iter()
+            .position(|t| t.as_str() >= seed)
+            .unwrap_or(titles.len());
         let from = at.saturating_sub(position.saturating_sub(1));
-        let to = (at + number + 1).saturating_sub(position.max(1)).min(titles.len());
-        let term = |t: &String| Term { text: t.clone(), display: None, count: 1 };
+        let to = (at + number + 1)
+            .saturating_sub(position.max(1))
+            .min(titles.len());
+        let term = |t: &String| Term {
+            text: t.clone(),
+            display: None,
+            count: 1,
+        };
         titles[from.min(to)..to].iter().map(term).collect()
     }
 
@@ -146,7 +170,11 @@
             thread::sleep(left);
         }
         let (every, more) = *self.hiccup.lock().unwrap();
-        let hiccup = if every > 0 && count(&self.searches) % every == every - 1 { more } else { 0 };
+        let hiccup = if every > 0 && count(&self.searches) % every == every - 1 {
+            more
+        } else {
+            0
+        };
         let wait = count(&self.delay) as u64 + hiccup;
         if wait > 0 {
             thread::sleep(Duration::from_millis(wait));
@@ -165,7 +193,9 @@
                     break;
                 }
                 script.take_time();
-                let Some(reply) = script.z3950_reply(&unit, &mut sets) else { continue };
+                let Some(reply) = script.z3950_reply(&unit, &mut sets) else {
+                    continue;
+                };
                 if socket.write_all(&reply).is_err() {
                     break;
                 }
@@ -183,7 +213,11 @@
         let number = |tag| unit.get(tag).and_then(Item::integer).unwrap_or(0) as usize;
         let given = |w: &mut Writer, database: &str, titles: &[String]| {
             self.given.fetch_add(titles.len(), Ordering::SeqCst);
-            let record = |t: &String| Record::new(xml(t)).to_bytes(Syntax::Xml, Schema::Dc, false).unwrap();
+            let record = |t: &String| {
+                Record::new(xml(t))
+                    .to_bytes(Syntax::Xml, Schema::Dc, false)
+                    .unwrap()
+            };
             let records: Vec<Vec<u8>> = titles.iter().map(record).collect();
             records::write_all(w, database, Syntax::Xml, &records);
         };
@@ -205,8 +239,15 @@
                     return None;
                 }
                 let name = text(tag::SET_NAME);
-                let named = self.abilities.lock().unwrap().contains(&Ability::NamedResultSets);
-                assert!(named || name == "default", "a host without named sets was given {name}");
+                let named = self
+                    .abilities
+                    .lock()
+                    .unwrap()
+                    .contains(&Ability::NamedResultSets);
+                assert!(
+                    named || name == "default",
+                    "a host without named sets was given {name}"
+                );
                 let titles = self.titles(&database);
                 let along = number(tag::MEDIUM_SET).min(titles.len());
                 sets.insert(name, (database.clone(), titles.clone()));
@@ -243,7 +284,9 @@
                         let to = (from + number(tag::REQUESTED)).min(titles.len());
                         given(w, database, &titles[from..to]);
                     }
-                    None => w.inside(tag::DIAGNOSTIC, |d| z3950::write_fault(d, &Kind::NO_SET.of(""))),
+                    None => w.inside(tag::DIAGNOSTIC, |d| {
+                        z3950::write_fault(d, &Kind::NO_SET.of(""))
+                    }),
                 })
             }
             tag::SCAN_REQUEST => {
@@ -254,7 +297,9 @@
                 let fault = self.no_scan.load(Ordering::SeqCst).then_some(&refused);
                 z3950::unit(tag::SCAN_RESPONSE, None, |w| match fault {
                     Some(_) => scan::write_response(w, scan::ScanStatus::Failure, &[], 0, fault),
-                    None => scan::write_response(w, scan::ScanStatus::Success, &terms, p as u64, None),
+                    None => {
+                        scan::write_response(w, scan::ScanStatus::Success, &terms, p as u64, None)
+                    }
                 })
             }
             other => panic!("a data unit {other}"),
@@ -279,12 +324,16 @@
                 {
                     let lengthless = *script.lengthless.lock().unwrap();
                     if let Some(reset) = lengthless {
-                        let _ = socket.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{body}").as_bytes());
+                        let _ =
+                            socket.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{body}").as_bytes());
                         let linger = reset.then_some(Duration::ZERO);
                         rustix::net::sockopt::set_socket_linger(&socket, linger).unwrap();
                         break;
                     }
-                    let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                    let reply = format!(
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                        body.len()
+                    );
                     if socket.write_all(reply.as_bytes()).is_err() {
                         break;
                     }
@@ -320,7 +369,9 @@
                         .to_owned(),
                 );
             }
-            let cql::Node::Clause(clause) = cql::parse(clause, 4).unwrap().root else { panic!("{clause}") };
+            let cql::Node::Clause(clause) = cql::parse(clause, 4).unwrap().root else {
+                panic!("{clause}")
+            };
             let terms = self.terms(
                 database,
                 &clause.term,
@@ -336,7 +387,9 @@
                     )
                 })
                 .collect();
-            return Some(format!("<scanResponse><terms>{terms}</terms></scanResponse>"));
+            return Some(format!(
+                "<scanResponse><terms>{terms}</terms></scanResponse>"
+            ));
         }
         self.searches.fetch_add(1, Ordering::SeqCst);
         self.note(format!("{database}: {}", given["query"]));
@@ -348,8 +401,8 @@
         if sorted {
             titles.sort();
         }
-        let down =
-            given.get("sortKeys").is_some_and(|k| k.contains(",,0")) || given["query"].contains("descending");
+        let down = given.get("sortKeys").is_some_and(|k| k.contains(",,0"))
+            || given["query"].contains("descending");
         if sorted && down {
             titles.reverse();
         }
@@ -359,7 +412,12 @@
         self.given.fetch_add(kept.len(), Ordering::SeqCst);
         let records: String = kept
             .iter()
-            .map(|t| format!("<s:record><s:recordData>{}</s:recordData></s:record>", xml(t)))
+            .map(|t| {
+                format!(
+                    "<s:record><s:recordData>{}</s:recordData></s:record>",
+                    xml(t)
+                )
+            })
             .collect();
         Some(format!(
             "<?xml version=\"1.0\"?><s:searchRetrieveResponse xmlns:s=\"http://www.loc.gov/zing/srw/\">\
@@ -405,10 +463,21 @@
     }
 
     /// One host in each cell, with further keys of the file.
-    pub fn start_with(speak: &str, scripts: Vec<Arc<Script>>, settings: Value, more: Value) -> Catalogue {
-        let hosts: Vec<SocketAddr> =
-            scripts.iter().map(|s| if speak == "sru" { s.sru() } else { s.z3950() }).collect();
-        let targets = hosts.iter().enumerate().map(|(i, a)| target(i, *a, "active")).collect();
+    pub fn start_with(
+        speak: &str,
+        scripts: Vec<Arc<Script>>,
+        settings: Value,
+        more: Value,
+    ) -> Catalogue {
+        let hosts: Vec<SocketAddr> = scripts
+            .iter()
+            .map(|s| if speak == "sru" { s.sru() } else { s.z3950() })
+            .collect();
+        let targets = hosts
+            .iter()
+            .enumerate()
+            .map(|(i, a)| target(i, *a, "active"))
+            .collect();
         let discovery = Discovery::start(targets);
         let (sru, z3950) = (free_address(), free_address());
         let mut setup = json!({
@@ -423,28 +492,47 @@
         }
         let descriptors = setup["sockets"].as_u64().unwrap_or(1024) as u32;
         let program = Program::start_with("--catalogue", &setup, descriptors);
-        let catalogue = Catalogue { program, sru, z3950, discovery, scripts, hosts };
+        let catalogue = Catalogue {
+            program,
+            sru,
+            z3950,
+            discovery,
+            scripts,
+            hosts,
+        };
         eventually("listening", || {
             TcpStream::connect(sru).is_ok()
                 && TcpStream::connect(z3950).is_ok()
                 && catalogue.discovery.watches() == 1
         });
-        eventually("serving", || catalogue.sru("/comics?query=moon").starts_with("HTTP/1.1 200"));
+        eventually("serving", || {
+            catalogue
+                .sru("/comics?query=moon")
+                .starts_with("HTTP/1.1 200")
+        });
         catalogue
     }
 
     /// One SRU request; everything that comes back until the end of the connection.
     pub fn sru(&self, target: &str) -> String {
-        self.http(&format!("GET {target} HTTP/1.1\r\nHost: localhost\r\nConnection: close\r\n\r\n"))
+        self.http(&format!(
+            "GET {target} HTTP/1.1\r\nHost: localhost\r\nConnection: close\r\n\r\n"
+        ))
     }
 
     pub fn http(&self, request: &str) -> String {
         let mut socket = TcpStream::connect(self.sru).unwrap();
-        socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        socket
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
         socket.write_all(request.as_bytes()).unwrap();
         let mut answer = String::new();
         socket.read_to_string(&mut answer).unwrap();
-        assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "one final answer: {answer}");
+        assert_eq!(
+            answer.matches("HTTP/1.1 ").count(),
+            1,
+            "one final answer: {answer}"
+        );
         answer.replace('\r', "")
     }
 
@@ -464,7 +552,11 @@
 }
 
 pub fn titles(text: &str) -> Vec<String> {
-    text.split("<title>").skip(1).filter_map(|t| t.split('<').next()).map(str::to_owned).collect()
+    text.split("<title>")
+        .skip(1)
+        .filter_map(|t| t.split('<').next())
+        .map(str::to_owned)
+        .collect()
 }
 
 pub fn between(text: &str, start: &str, end: &str) -> Option<String> {
@@ -487,7 +579,10 @@
             .collect();
         let (reader, welcome) = Self::init(address, &all, 1 << 16, |_| {});
         assert_eq!(welcome.get(tag::RESULT).and_then(Item::boolean), Some(true));
-        assert_eq!(welcome.get(tag::REFERENCE).map(Item::bytes), Some(b"ref".to_vec()));
+        assert_eq!(
+            welcome.get(tag::REFERENCE).map(Item::bytes),
+            Some(b"ref".to_vec())
+        );
         reader
     }
 
@@ -497,9 +592,15 @@
         size: usize,
         more: impl FnOnce(&mut Writer),
     ) -> (Reader, Item) {
-        let mut reader = Reader { socket: TcpStream::connect(address).unwrap(), input: Vec::new() };
+        let mut reader = Reader {
+            socket: TcpStream::connect(address).unwrap(),
+            input: Vec::new(),
+        };
         reader.socket.set_nodelay(true).unwrap();
-        reader.socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        reader
+            .socket
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
         let welcome = reader.ask(z3950::unit(tag::INIT_REQUEST, Some(b"ref"), |w| {
             init::introduce(w, true, Abilities::of(abilities), size, size);
             more(w);
@@ -532,7 +633,13 @@
     }
 }
 
-pub fn search_unit(reference: Option<&[u8]>, set: &str, database: &str, query: &str, small: i64) -> Vec<u8> {
+pub fn search_unit(
+    reference: Option<&[u8]>,
+    set: &str,
+    database: &str,
+    query: &str,
+    small: i64,
+) -> Vec<u8> {
     let node = cql::parse(query, 64).unwrap().root;
     z3950::unit(tag::SEARCH_REQUEST, reference, |w| {
         w.integer(tag::SMALL_SET, small);
@@ -540,7 +647,9 @@
         w.integer(tag::MEDIUM_SET, 0);
         w.boolean(tag::REPLACE, true);
         w.bytes(tag::SET_NAME, set.as_bytes());
-        w.inside(tag::DATABASES, |names| names.bytes(tag::DATABASE, database.as_bytes()));
+        w.inside(tag::DATABASES, |names| {
+            names.bytes(tag::DATABASE, database.as_bytes())
+        });
         w.inside(tag::QUERY, |q| rpn::write(&node, q).unwrap());
     })
 }
@@ -556,7 +665,11 @@
 /// A diagnostic's condition, wherever it stands.
 pub fn condition(unit: &Item) -> Option<i64> {
     let is_integer = unit.class == ber::Class::Universal && unit.tag == ber::universal::INTEGER;
-    if is_integer { unit.integer() } else { unit.items().iter().find_map(condition) }
+    if is_integer {
+        unit.integer()
+    } else {
+        unit.items().iter().find_map(condition)
+    }
 }
 
 /// What a response says, in words.
@@ -571,14 +684,22 @@
         ("present status", tag::PRESENT_STATUS),
         ("reason", tag::CLOSE_REASON),
     ];
-    words.extend(named.iter().filter_map(|(name, tag)| Some(format!("{name} {}", number(*tag)?))));
+    words.extend(
+        named
+            .iter()
+            .filter_map(|(name, tag)| Some(format!("{name} {}", number(*tag)?))),
+    );
     if let Some(success) = unit.get(tag::SEARCH_STATUS).and_then(Item::boolean) {
         words.push(format!("success {success}"));
     }
     if unit.tag == tag::SORT_RESPONSE {
         words.push(format!("sort status {}", number(3).unwrap_or(-1)));
     }
-    let records = if unit.tag == tag::SEGMENT { 0 } else { tag::RECORDS };
+    let records = if unit.tag == tag::SEGMENT {
+        0
+    } else {
+        tag::RECORDS
+    };
     for given in records::read(unit, records).unwrap_or_default() {
         words.push(match given {
             Ok(record) => titles(&record.xml).join(""),
--- a/bitternsill/tests/common/versions.rs
+++ b/bitternsill/tests/common/versions.rs
@@ -12,7 +12,9 @@
 pub fn set() -> Set {
     Set {
         known: true,
-        versions: Some(json!({"validity_ms": VALIDITY.as_millis() as u64, "steady_ms": 500, "note_ms": 200})),
+        versions: Some(
+            json!({"validity_ms": VALIDITY.as_millis() as u64, "steady_ms": 500, "note_ms": 200}),
+        ),
         ..Set::default()
     }
 }
@@ -22,7 +24,10 @@
     let mut settings = settings();
     let mut class = settings["request_classes"][1].clone();
     class["name"] = json!(name);
-    settings["request_classes"].as_array_mut().unwrap().push(class);
+    settings["request_classes"]
+        .as_array_mut()
+        .unwrap()
+        .push(class);
     for (key, value) in [
         ("class_fetch", json!(0)),
         ("class_need", json!(1.0)),
@@ -36,8 +41,11 @@
 
 /// Settings in a file.
 pub fn file(fleet: &Fleet, name: &str, settings: &Value) -> PathBuf {
-    let path =
-        std::env::temp_dir().join(format!("bitternsill-{}-{}-{name}.json", fleet.name, std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "bitternsill-{}-{}-{name}.json",
+        fleet.name,
+        std::process::id()
+    ));
     std::fs::write(&path, settings.to_string()).unwrap();
     path
 }
@@ -45,7 +53,16 @@
 /// Proposes settings with a class of this name, at some members.
 pub fn configure(fleet: &Fleet, class: &str, at: &[usize]) -> u64 {
     let path = file(fleet, class, &with_class(class));
-    let (text, done) = fleet.call(&["configure", path.to_str().unwrap(), "--json", "--least", "0.34"], at);
+    let (text, done) = fleet.call(
+        &[
+            "configure",
+            path.to_str().unwrap(),
+            "--json",
+            "--least",
+            "0.34",
+        ],
+        at,
+    );
     assert!(done, "{text}");
     let said: Value = serde_json::from_str(&text).unwrap_or_else(|_| panic!("{text}"));
     said["proposal"].as_u64().unwrap()
@@ -56,16 +73,27 @@
     let (text, done) = fleet.call(&["activate", "--json", "--wait", "3000"], at);
     let said: Value = serde_json::from_str(&text).map_err(|_| text.clone())?;
     assert!(done);
-    let keepers = said["keepers"].as_array().unwrap().iter().map(|one| one.as_str().unwrap().to_owned());
+    let keepers = said["keepers"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|one| one.as_str().unwrap().to_owned());
     Ok((said["version"].as_u64().unwrap(), keepers.collect()))
 }
 
 /// What a gatherer answers a query of a class with: a status.
 pub fn ask(fleet: &Fleet, at: usize, class: &str) -> Option<String> {
     let mut socket = TcpStream::connect(fleet.fronts[at]).ok()?;
-    socket.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
-    let id = format!("v{}-{at}", Instant::now().elapsed().as_nanos() as u64 ^ fastrand::u64(..));
-    socket.write_all(query(&id, class, &[0], "Connection: close\r\n").as_bytes()).ok()?;
+    socket
+        .set_read_timeout(Some(Duration::from_secs(8)))
+        .unwrap();
+    let id = format!(
+        "v{}-{at}",
+        Instant::now().elapsed().as_nanos() as u64 ^ fastrand::u64(..)
+    );
+    socket
+        .write_all(query(&id, class, &[0], "Connection: close\r\n").as_bytes())
+        .ok()?;
     read_response(&mut socket).get(9..12).map(str::to_owned)
 }
 
@@ -113,7 +141,11 @@
     eventually("all are current", || current(&fleet));
     configure(&fleet, "first", &[0]);
     let (_, keepers) = activate(&fleet, &[0]).unwrap();
-    let other = (0..3).find(|at| !keepers.contains(&format!("g{at}"))).expect("one is no keeper");
-    eventually("all serve the first", || (0..3).all(|at| serves(&fleet, at, "first")));
+    let other = (0..3)
+        .find(|at| !keepers.contains(&format!("g{at}")))
+        .expect("one is no keeper");
+    eventually("all serve the first", || {
+        (0..3).all(|at| serves(&fleet, at, "first"))
+    });
     (fleet, keepers, other)
 }
--- a/bitternsill/tests/conform.rs
+++ b/bitternsill/tests/conform.rs
@@ -1,4 +1,5 @@
-//! The conformance suite against the program, over index hosts of the other protocol, and against servers that fail it.
+//! The conformance suite against the program, over index hosts of the other protocol, and against
+//! servers that fail it.
 
 mod common;
 
@@ -8,24 +9,47 @@
 use std::process::Command;
 use std::sync::Arc;
 
-fn conform(protocol: &str, address: SocketAddr, database: &str, patience: u32) -> (Option<i32>, Value) {
+fn conform(
+    protocol: &str,
+    address: SocketAddr,
+    database: &str,
+    patience: u32,
+) -> (Option<i32>, Value) {
     let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
-        .args(["conform", protocol, &address.to_string(), "--database", database, "--format", "json"])
+        .args([
+            "conform",
+            protocol,
+            &address.to_string(),
+            "--database",
+            database,
+            "--format",
+            "json",
+        ])
         .args(["--patience", &patience.to_string()])
         .output()
         .unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
-    (output.status.code(), serde_json::from_str(&text).expect(&text))
+    (
+        output.status.code(),
+        serde_json::from_str(&text).expect(&text),
+    )
 }
 
 fn failed(report: &Value) -> Vec<String> {
     let cases = report["cases"].as_array().unwrap().iter();
-    cases.filter(|c| c["verdict"] == "fail").map(|c| format!("{}: {}", c["case"], c["seen"])).collect()
+    cases
+        .filter(|c| c["verdict"] == "fail")
+        .map(|c| format!("{}: {}", c["case"], c["seen"]))
+        .collect()
 }
 
 /// Three slices with four titles each, so that pages cross from one to the next.
 fn shelves() -> Vec<Arc<Script>> {
-    let titles = [["ant", "dog", "gnu", "jay"], ["bee", "elk", "hen", "kid"], ["cat", "fox", "ibex", "lynx"]];
+    let titles = [
+        ["ant", "dog", "gnu", "jay"],
+        ["bee", "elk", "hen", "kid"],
+        ["cat", "fox", "ibex", "lynx"],
+    ];
     (0..3).map(|n| Script::with(&[(n, &titles[n])])).collect()
 }
 
@@ -34,7 +58,9 @@
 fn the_program_conforms_over_hosts_of_either_protocol() {
     for speak in ["sru", "z3950"] {
         let catalogue = Catalogue::start_with(speak, shelves(), catalogue_settings(1), json!({}));
-        for (protocol, address, least) in [("sru", catalogue.sru, 65), ("z3950", catalogue.z3950, 63)] {
+        for (protocol, address, least) in
+            [("sru", catalogue.sru, 65), ("z3950", catalogue.z3950, 63)]
+        {
             let (code, report) = conform(protocol, address, "comics", 10_000);
             assert_eq!(failed(&report), [""; 0], "{protocol} over {speak}");
             assert_eq!(
--- a/bitternsill/tests/contract.rs
+++ b/bitternsill/tests/contract.rs
@@ -1,5 +1,6 @@
-//! The protocol page field by field: what stands in each message that the program sends, and what it makes of each that it
-//! is sent, seen from the other end of a loopback socket. Stories about faults stand in `platform_clients.rs`, `platform_hosts.rs` and `platform_discovery.rs`.
+//! The protocol page field by field: what stands in each message that the program sends, and what
+//! it makes of each that it is sent, seen from the other end of a loopback socket. Stories about
+//! faults stand in `platform_clients.rs`, `platform_hosts.rs` and `platform_discovery.rs`.
 
 mod common;
 
@@ -15,7 +16,8 @@
 /// A frame as it came: the connection that it came on, counted from 0, its letter and its rest.
 type Frame = (u32, u8, Vec<u8>);
 
-/// An index host that keeps each frame as it came. What a test makes of one is said in bytes; `None` hangs up.
+/// An index host that keeps each frame as it came. What a test makes of one is said in bytes;
+/// `None` hangs up.
 struct Host {
     address: SocketAddr,
     seen: Arc<Mutex<Vec<Frame>>>,
@@ -36,16 +38,23 @@
 fn parts(mut rest: &[u8]) -> Vec<Part> {
     let mut parts = Vec::new();
     while !rest.is_empty() {
-        let end = rest.iter().position(|b| *b == b'\n').expect("a line that ends in LF");
+        let end = rest
+            .iter()
+            .position(|b| *b == b'\n')
+            .expect("a line that ends in LF");
         let line = std::str::from_utf8(&rest[..end]).unwrap();
         let words: Vec<&str> = line.split(' ').collect();
         assert_eq!(words.len(), 4, "ID SHARD LIST LENGTH, and not {line}");
-        let list = words[2].split(',').map(|item| item.split_once('=').expect("a name and a value"));
+        let list = words[2]
+            .split(',')
+            .map(|item| item.split_once('=').expect("a name and a value"));
         let length: usize = words[3].parse().unwrap();
         parts.push(Part {
             id: words[0].to_owned(),
             shard: words[1].parse().unwrap(),
-            list: list.map(|(name, value)| (name.to_owned(), value.to_owned())).collect(),
+            list: list
+                .map(|(name, value)| (name.to_owned(), value.to_owned()))
+                .collect(),
             text: rest[end + 1..end + 1 + length].to_vec(),
         });
         rest = &rest[end + 1 + length..];
@@ -73,37 +82,66 @@
             }
             ends.lock().unwrap().push(Instant::now());
         });
-        Host { address, seen, ended }
+        Host {
+            address,
+            seen,
+            ended,
+        }
     }
 
-    /// Answers each part of a call with an end, and what is given up or asked otherwise with nothing.
+    /// Answers each part of a call with an end, and what is given up or asked otherwise with
+    /// nothing.
     fn ending(end: &'static str) -> Host {
-        Host::start(move |letter, rest| Some(if letter == b'm' { answers(rest, end) } else { Vec::new() }))
+        Host::start(move |letter, rest| {
+            Some(if letter == b'm' {
+                answers(rest, end)
+            } else {
+                Vec::new()
+            })
+        })
     }
 
     fn frames(&self, wanted: u8) -> Vec<Vec<u8>> {
         let seen = self.seen.lock().unwrap();
-        seen.iter().filter(|(_, letter, _)| *letter == wanted).map(|(.., rest)| rest.clone()).collect()
+        seen.iter()
+            .filter(|(_, letter, _)| *letter == wanted)
+            .map(|(.., rest)| rest.clone())
+            .collect()
     }
 
     fn parts(&self) -> Vec<Part> {
-        self.frames(b'm').iter().flat_map(|rest| parts(rest)).collect()
+        self.frames(b'm')
+            .iter()
+            .flat_map(|rest| parts(rest))
+            .collect()
     }
 }
 
 /// Frames that answer the parts of a call, the last first.
 fn answers(call: &[u8], end: &str) -> Vec<u8> {
     let line = |part: &Part| {
-        let value = if end == "good" { format!("é\"{}\"\n", part.id) } else { String::new() };
-        frame(b'q', format!("{} {end} 7 inflight=7,util=0.61\n{value}", part.id).as_bytes())
+        let value = if end == "good" {
+            format!("é\"{}\"\n", part.id)
+        } else {
+            String::new()
+        };
+        frame(
+            b'q',
+            format!("{} {end} 7 inflight=7,util=0.61\n{value}", part.id).as_bytes(),
+        )
     };
     parts(call).iter().rev().flat_map(line).collect()
 }
 
-/// One set, no overlap, ten shards; three classes: partial, keyed, and one whose parts may run once only.
+/// One set, no overlap, ten shards; three classes: partial, keyed, and one whose parts may run once
+/// only.
 fn small() -> Value {
     let mut settings = settings();
-    let classes = [("rank", "read_like"), ("entry", "idempotency_key"), ("stamp", "non_idempotent")];
+    let classes = [
+        ("rank", "read_like"),
+        ("entry", "idempotency_key"),
+        ("stamp", "non_idempotent"),
+    ];
     for (at, (name, effect)) in classes.into_iter().enumerate() {
         settings["request_classes"][at] = json!({
             "name": name, "target": 1_500_000_000u64, "deadline": 3_000_000_000u64,
@@ -133,16 +171,24 @@
         let program = Program::start("--config", &config);
         eventually("ready", || {
             TcpStream::connect(address).is_ok_and(|mut socket| {
-                socket.write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
+                socket
+                    .write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+                    .unwrap();
                 read_response(&mut socket).starts_with("HTTP/1.1 200")
             })
         });
-        Deployment { _program: program, address }
+        Deployment {
+            _program: program,
+            address,
+        }
     }
 
     fn before(settings: &Value, hosts: &[&Host]) -> Deployment {
         let entry = |(at, host): (usize, &&Host)| entry(&format!("s-{at}"), host.address, "active");
-        Self::start(settings, Discovery::start(hosts.iter().enumerate().map(entry).collect()).address)
+        Self::start(
+            settings,
+            Discovery::start(hosts.iter().enumerate().map(entry).collect()).address,
+        )
     }
 
     /// Sends a query with these headers for these shards of equal portions.
@@ -154,7 +200,9 @@
             .collect();
         let body = json!({"ranges": ranges, "predicate": TEXT}).to_string();
         let mut socket = TcpStream::connect(self.address).unwrap();
-        socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        socket
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
         write!(
             socket,
             "POST /api/7f3a9c21 HTTP/1.1\r\nHost: origin.svc\r\nConnection: close\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -179,7 +227,13 @@
 
 /// `d` of the first part with an id that begins so, in milliseconds.
 fn allowed(host: &Host, id: &str) -> u64 {
-    host.parts().iter().find(|part| part.id.starts_with(id)).expect("it was sent").list["d"].parse().unwrap()
+    host.parts()
+        .iter()
+        .find(|part| part.id.starts_with(id))
+        .expect("it was sent")
+        .list["d"]
+        .parse()
+        .unwrap()
 }
 
 #[test]
@@ -187,38 +241,68 @@
     let host = Host::ending("good");
     let deployment = Deployment::before(&small(), &[&host]);
     let shards: Vec<u32> = (0..10).collect();
-    let answer = deployment.ask(&headers("9b1f03aa", "entry", "Idempotency-Key: 5c0f6e1a\r\n"), &shards);
+    let answer = deployment.ask(
+        &headers("9b1f03aa", "entry", "Idempotency-Key: 5c0f6e1a\r\n"),
+        &shards,
+    );
     let calls = host.frames(b'm');
     // Parts of one frame make one call up to the number in the settings.
-    assert!(calls.iter().all(|call| parts(call).len() <= 8) && calls.len() >= 2, "{}", calls.len());
+    assert!(
+        calls.iter().all(|call| parts(call).len() <= 8) && calls.len() >= 2,
+        "{}",
+        calls.len()
+    );
     let mut seen = host.parts();
     seen.sort_by_key(|part| part.shard);
-    assert_eq!(seen.iter().map(|part| part.shard).collect::<Vec<_>>(), shards, "each part once");
+    assert_eq!(
+        seen.iter().map(|part| part.shard).collect::<Vec<_>>(),
+        shards,
+        "each part once"
+    );
     for part in &seen {
         assert_eq!(part.id, format!("9b1f03aa.{}", part.shard));
         assert_eq!(part.text, TEXT.as_bytes(), "the query's text unchanged");
         assert_eq!(part.list.keys().collect::<Vec<_>>(), ["d", "k"]);
         assert_eq!(part.list["k"], "5c0f6e1a");
         let until: u64 = part.list["d"].parse().unwrap();
-        assert!((1..=1500).contains(&until), "no longer than the client waits: {until}");
+        assert!(
+            (1..=1500).contains(&until),
+            "no longer than the client waits: {until}"
+        );
     }
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let body: Value = serde_json::from_str(answer.split_once("\n\n").unwrap().1).unwrap();
     let values = body["answers"].as_array().unwrap();
     assert!(body["total"] == true && values.len() == 10, "{body}");
-    for (shard, value) in shards.iter().map(|shard| (shard, values.iter().find(|v| v["range"] == *shard))) {
-        assert_eq!(value.unwrap()["blob"], format!("é\"9b1f03aa.{shard}\"\n"), "as the index host gave it");
+    for (shard, value) in shards
+        .iter()
+        .map(|shard| (shard, values.iter().find(|v| v["range"] == *shard)))
+    {
+        assert_eq!(
+            value.unwrap()["blob"],
+            format!("é\"9b1f03aa.{shard}\"\n"),
+            "as the index host gave it"
+        );
     }
     // A class without a key carries none.
-    assert!(deployment.ask(&headers("plain", "rank", ""), &[3]).starts_with("HTTP/1.1 200"));
+    assert!(
+        deployment
+            .ask(&headers("plain", "rank", ""), &[3])
+            .starts_with("HTTP/1.1 200")
+    );
     let last = host.parts().pop().unwrap();
-    assert_eq!((last.id.as_str(), last.list.keys().collect::<Vec<_>>()), ("plain.3", vec![&"d".to_owned()]));
+    assert_eq!(
+        (last.id.as_str(), last.list.keys().collect::<Vec<_>>()),
+        ("plain.3", vec![&"d".to_owned()])
+    );
 }
 
-/// Found on reading: a request that had waited behind another on its connection was given its whole time anew.
+/// Found on reading: a request that had waited behind another on its connection was given its whole
+/// time anew.
 #[test]
 fn a_request_behind_another_one_tells_its_index_host_only_what_its_client_has_left() {
-    // The first is never answered, and its client's time runs out; what it waits for is one of two sends at most.
+    // The first is never answered, and its client's time runs out; what it waits for is one of two
+    // sends at most.
     let say = |letter: u8, rest: &[u8]| match letter {
         b'm' if rest.starts_with(b"held") => Some(Vec::new()),
         b'm' => Some(answers(rest, "good")),
@@ -228,7 +312,9 @@
     let deployment = Deployment::before(&small(), &[&host]);
     let request = |id: &str, budget: &str| query(id, "rank", &[0], "").replace("3.0", budget);
     let mut socket = TcpStream::connect(deployment.address).unwrap();
-    socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    socket
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
     let both = request("held", "0.700") + &request("behind", "1.200");
     let start = Instant::now();
     socket.write_all(both.as_bytes()).unwrap();
@@ -236,7 +322,10 @@
     let waited = start.elapsed().as_millis() as u64;
     assert!(read_response(&mut socket).starts_with("HTTP/1.1 200"));
     let told = allowed(&host, "behind");
-    assert!(waited >= 400 && told + waited <= 1250, "{told} ms told after {waited} of 1200");
+    assert!(
+        waited >= 400 && told + waited <= 1250,
+        "{told} ms told after {waited} of 1200"
+    );
 }
 
 #[test]
@@ -255,13 +344,24 @@
         let hosts: Vec<Host> = (0..4).map(|_| Host::start(say)).collect();
         let deployment = Deployment::before(&settings, &hosts.iter().collect::<Vec<_>>());
         let attempts = |id: &str| -> Vec<Part> {
-            hosts.iter().flat_map(Host::parts).filter(|part| part.id == id).collect()
+            hosts
+                .iter()
+                .flat_map(Host::parts)
+                .filter(|part| part.id == id)
+                .collect()
         };
         let keyed = deployment.ask(&headers("keyed", "entry", "Idempotency-Key: k7\r\n"), &[1]);
         assert!(keyed.starts_with("HTTP/1.1 503"), "{end}: {keyed}");
         let sent = attempts("keyed.1");
-        assert!((1..=2).contains(&sent.len()), "{end}: {} attempts", sent.len());
-        assert!(sent.iter().all(|part| part.list["k"] == "k7"), "{end}: a repeat keeps its key");
+        assert!(
+            (1..=2).contains(&sent.len()),
+            "{end}: {} attempts",
+            sent.len()
+        );
+        assert!(
+            sent.iter().all(|part| part.list["k"] == "k7"),
+            "{end}: a repeat keeps its key"
+        );
         let once = deployment.ask(&headers("once", "stamp", ""), &[1]);
         let sent = attempts("once.1").len();
         if may_have_run {
@@ -271,7 +371,10 @@
                 "{end}: {once}"
             );
         } else {
-            assert!((1..=2).contains(&sent) && once.starts_with("HTTP/1.1 503"), "{end}: {sent}, {once}");
+            assert!(
+                (1..=2).contains(&sent) && once.starts_with("HTTP/1.1 503"),
+                "{end}: {sent}, {once}"
+            );
         }
     }
 }
@@ -298,18 +401,27 @@
     deployment.ask(&headers("again", "rank", "X-Again: 1\r\n"), &[0]);
     let (first, again) = (allowed(&host, "first"), allowed(&host, "again"));
     assert!(again + 200 < first, "{first} ms, then {again} ms");
-    // A cancelled part is told of only where the settings have that; the connection stays either way.
+    // A cancelled part is told of only where the settings have that; the connection stays either
+    // way.
     for cancels in [true, false] {
         let mut settings = small();
         settings["limits"]["cancel"] = cancels.into();
         let host = Host::start(|_, _| Some(Vec::new()));
         let deployment = Deployment::before(&settings, &[&host]);
         let mut socket = TcpStream::connect(deployment.address).unwrap();
-        socket.write_all(query("gone", "rank", &[0], "").replace("3.0", "1.0").as_bytes()).unwrap();
+        socket
+            .write_all(
+                query("gone", "rank", &[0], "")
+                    .replace("3.0", "1.0")
+                    .as_bytes(),
+            )
+            .unwrap();
         eventually("it is sent", || !host.frames(b'm').is_empty());
         drop(socket);
         assert!(
-            deployment.ask(&headers("next", "rank", "").replace("1.500", "0.600"), &[0]).contains(" 503")
+            deployment
+                .ask(&headers("next", "rank", "").replace("1.500", "0.600"), &[0])
+                .contains(" 503")
         );
         let given_up = host.frames(b'n').iter().any(|rest| rest == b"gone.0");
         assert_eq!(given_up, cancels, "{:?}", host.seen.lock().unwrap());
@@ -325,22 +437,42 @@
     let met = AtomicUsize::new(0);
     let host = Host::start(move |letter, rest| {
         let first = letter == b'm' && met.fetch_add(1, Ordering::SeqCst) == 0;
-        Some(if first { answers(rest, "good") } else { Vec::new() })
+        Some(if first {
+            answers(rest, "good")
+        } else {
+            Vec::new()
+        })
     });
     let deployment = Deployment::before(&settings, &[&host]);
     let answer = deployment.ask(&headers("wide", "rank", ""), &(0..10).collect::<Vec<u32>>());
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     let mut by_connection: BTreeMap<u32, usize> = BTreeMap::new();
     for (connection, letter, rest) in host.seen.lock().unwrap().iter() {
-        *by_connection.entry(*connection).or_default() += if *letter == b'm' { parts(rest).len() } else { 0 };
+        *by_connection.entry(*connection).or_default() += if *letter == b'm' {
+            parts(rest).len()
+        } else {
+            0
+        };
     }
     // Eight that are open at once, and the one that was answered before.
-    assert!(by_connection.values().all(|parts| *parts <= 9), "parts by connection: {by_connection:?}");
-    assert!(by_connection.values().sum::<usize>() > 8, "more than the first was sent: {by_connection:?}");
+    assert!(
+        by_connection.values().all(|parts| *parts <= 9),
+        "parts by connection: {by_connection:?}"
+    );
+    assert!(
+        by_connection.values().sum::<usize>() > 8,
+        "more than the first was sent: {by_connection:?}"
+    );
     // Written to after the host's own limit, a connection would end as a reset.
     let last = Instant::now();
-    eventually("the idle ones are closed", || host.ended.lock().unwrap().len() == by_connection.len());
-    assert!(last.elapsed() < Duration::from_secs(2), "{:?}", last.elapsed());
+    eventually("the idle ones are closed", || {
+        host.ended.lock().unwrap().len() == by_connection.len()
+    });
+    assert!(
+        last.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        last.elapsed()
+    );
 }
 
 #[test]
@@ -349,17 +481,29 @@
     let calls: Arc<Mutex<Vec<String>>> = Arc::default();
     let lines: Arc<Mutex<Vec<(u64, String)>>> = Arc::default();
     let change = |rev: u64, all: bool, targets: Vec<Value>| {
-        (rev, json!({"rev": rev, "all": all, "targets": targets}).to_string())
+        (
+            rev,
+            json!({"rev": rev, "all": all, "targets": targets}).to_string(),
+        )
     };
-    *lines.lock().unwrap() = vec![change(41, true, vec![entry("s-0", hosts[0].address, "active")])];
+    *lines.lock().unwrap() = vec![change(
+        41,
+        true,
+        vec![entry("s-0", hosts[0].address, "active")],
+    )];
     let (asked, told) = (calls.clone(), lines.clone());
     let discovery = accept(move |socket| {
         let mut line = String::new();
-        BufReader::new(socket.try_clone().unwrap()).read_line(&mut line).unwrap();
+        BufReader::new(socket.try_clone().unwrap())
+            .read_line(&mut line)
+            .unwrap();
         asked.lock().unwrap().push(line);
         let mut socket = socket;
-        socket.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
-        // What is to be told, each once, and between two of them an empty line; one that says so ends the watch.
+        socket
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .unwrap();
+        // What is to be told, each once, and between two of them an empty line; one that says so
+        // ends the watch.
         let mut at = 0;
         loop {
             let next = told.lock().unwrap().get(at).cloned();
@@ -382,7 +526,10 @@
         let before: Vec<usize> = hosts.iter().map(|host| host.parts().len()).collect();
         let id = format!("q{}", number.fetch_add(1, Ordering::SeqCst));
         let answer = deployment.ask(&headers(&id, "rank", "").replace("1.500", "0.300"), &[4]);
-        let at = hosts.iter().zip(&before).position(|(host, before)| host.parts().len() > *before);
+        let at = hosts
+            .iter()
+            .zip(&before)
+            .position(|(host, before)| host.parts().len() > *before);
         (answer.starts_with("HTTP/1.1 200"), at)
     };
     let tell = |rev, targets| lines.lock().unwrap().push(change(rev, false, targets));
@@ -391,16 +538,30 @@
     tell(43, vec![entry("s-0", hosts[1].address, "active")]);
     eventually("its new address is known", || reached() == (true, Some(1)));
     // One that is not known is said to have left, which is nothing; another comes.
-    tell(44, vec![entry("s-9", hosts[0].address, "left"), entry("s-2", hosts[2].address, "active")]);
+    tell(
+        44,
+        vec![
+            entry("s-9", hosts[0].address, "left"),
+            entry("s-2", hosts[2].address, "active"),
+        ],
+    );
     eventually("the other is known", || reached() == (true, Some(2)));
     tell(45, vec![entry("s-0", hosts[1].address, "left")]);
     let none_to_it = || (0..6).all(|_| reached() == (true, Some(2)));
     eventually("the one that left gets nothing", none_to_it);
     tell(46, vec![entry("s-2", hosts[2].address, "leaving")]);
-    eventually("one that leaves takes nothing new", || reached() == (false, None));
+    eventually("one that leaves takes nothing new", || {
+        reached() == (false, None)
+    });
     lines.lock().unwrap().push((0, "end".to_owned()));
     eventually("a second watch", || calls.lock().unwrap().len() == 2);
     let calls = calls.lock().unwrap();
-    assert!(calls[0].starts_with("GET /catalog/members?stream=1"), "{calls:?}");
-    assert!(calls[1].starts_with("GET /catalog/members?stream=1&index=46 "), "{calls:?}");
+    assert!(
+        calls[0].starts_with("GET /catalog/members?stream=1"),
+        "{calls:?}"
+    );
+    assert!(
+        calls[1].starts_with("GET /catalog/members?stream=1&index=46 "),
+        "{calls:?}"
+    );
 }
--- a/bitternsill/tests/core.rs
+++ b/bitternsill/tests/core.rs
@@ -28,7 +28,10 @@
 
 impl Hosts for Ports {
     fn call(&mut self, host: ServerId, parts: Vec<Outgoing>) {
-        self.0.push(Did::Called(host, parts.into_iter().map(|part| (part.name, part.id)).collect()));
+        self.0.push(Did::Called(
+            host,
+            parts.into_iter().map(|part| (part.name, part.id)).collect(),
+        ));
     }
     fn give_up(&mut self, _host: ServerId, attempt: AttemptId) {
         self.0.push(Did::GaveUp(attempt));
@@ -42,9 +45,15 @@
     fn fetch(&mut self) {}
 }
 
-/// One set of six hosts that hold three shards; one class that needs every part, with two attempts for each.
+/// One set of six hosts that hold three shards; one class that needs every part, with two attempts
+/// for each.
 fn core() -> Core {
-    let class = Class { aim: 1_000 * MS, deadline: 2_000 * MS, max_attempts: 2, ..Class::default() };
+    let class = Class {
+        aim: 1_000 * MS,
+        deadline: 2_000 * MS,
+        max_attempts: 2,
+        ..Class::default()
+    };
     let settings = Settings {
         aggregators: 1,
         tick: 5 * MS,
@@ -57,7 +66,11 @@
         second_copies: true,
         ..Settings::default()
     };
-    let deployment = Deployment { classes: vec!["page".to_owned()], shards: 3, ..Deployment::default() };
+    let deployment = Deployment {
+        classes: vec!["page".to_owned()],
+        shards: 3,
+        ..Deployment::default()
+    };
     let mut core = Core::new(settings, deployment, Rc::new(Limits::default()), 7);
     let entry = |server| Entry {
         server: ServerId(server),
@@ -83,7 +96,10 @@
         budget: 1_000 * MS,
         arrived: now,
         text: "t".into(),
-        parts: shards.iter().map(|shard| (*shard, 1.0 / shards.len() as f64)).collect(),
+        parts: shards
+            .iter()
+            .map(|shard| (*shard, 1.0 / shards.len() as f64))
+            .collect(),
     };
     core.take(ask, now).unwrap();
 }
@@ -96,12 +112,18 @@
 
 /// Every attempt that calls carry.
 fn sent(did: &[Did]) -> Vec<AttemptId> {
-    let parts = did.iter().filter_map(|did| if let Did::Called(_, parts) = did { Some(parts) } else { None });
+    let parts = did.iter().filter_map(|did| {
+        if let Did::Called(_, parts) = did {
+            Some(parts)
+        } else {
+            None
+        }
+    });
     parts.flatten().map(|(_, id)| *id).collect()
 }
 
-/// On a day of a bench a part was written after its query's refusal: one part of a query was sent again in the turn in which
-/// another part of it, without attempts left, ended the query.
+/// On a day of a bench a part was written after its query's refusal: one part of a query was sent
+/// again in the turn in which another part of it, without attempts left, ended the query.
 #[test]
 fn what_a_turn_sends_and_calls_off_is_not_sent_after_the_final_answer() {
     let (mut core, mut now) = (core(), 10_000 * MS);
@@ -110,10 +132,18 @@
     let ahead = sent(&turn(&mut core, now));
     assert_eq!(ahead.len(), 1);
     now += 6 * MS;
-    core.served(ahead[0], Value { score: Score::Whole(1), body: "v".into() }, now);
+    core.served(
+        ahead[0],
+        Value {
+            score: Score::Whole(1),
+            body: "v".into(),
+        },
+        now,
+    );
     let both = sent(&turn(&mut core, now));
     assert_eq!(both.len(), 2);
-    // One of them is turned away and sent again, its last time; then both are turned away in one turn.
+    // One of them is turned away and sent again, its last time; then both are turned away in one
+    // turn.
     now += 6 * MS;
     core.ended(both[0], Outcome::ConnectFailed, now);
     let again = sent(&turn(&mut core, now));
@@ -122,9 +152,14 @@
     core.ended(again[0], Outcome::ConnectFailed, now);
     core.ended(both[1], Outcome::ConnectFailed, now);
     let did = turn(&mut core, now);
-    // A link writes what is queued whenever it is given something to do: it is told what is given up first.
+    // A link writes what is queued whenever it is given something to do: it is told what is given
+    // up first.
     let given_up = Did::GaveUp(AttemptId { leg: 1, ..both[1] });
-    assert_eq!(did, [given_up, Did::Answered(1, Answer::Refused { hold_off: 0 })], "and nothing is sent");
+    assert_eq!(
+        did,
+        [given_up, Did::Answered(1, Answer::Refused { hold_off: 0 })],
+        "and nothing is sent"
+    );
 }
 
 /// Before, what was queued for a host at the end of the program was written behind the answer.
@@ -137,6 +172,10 @@
     let mut ports = Ports::default();
     core.fail_all(&mut ports);
     assert_eq!(ports.0[0], Did::GaveUp(out[0]));
-    assert!(matches!(ports.0[1], Did::Answered(1, Answer::Failed(_))), "{:?}", ports.0);
+    assert!(
+        matches!(ports.0[1], Did::Answered(1, Answer::Failed(_))),
+        "{:?}",
+        ports.0
+    );
     assert_eq!(turn(&mut core, now + 2_000 * MS), []);
 }
--- a/bitternsill/tests/endings_clients.rs
+++ b/bitternsill/tests/endings_clients.rs
@@ -1,5 +1,5 @@
-//! What is still owed when a client's connection, or the program, ends: each crossing forced by the order of bytes on loopback
-//! sockets. `docs/design/endings.md` has the table.
+//! What is still owed when a client's connection, or the program, ends: each crossing forced by the
+//! order of bytes on loopback sockets. `docs/design/endings.md` has the table.
 
 mod common;
 
@@ -22,7 +22,10 @@
 
     fn pass(&self) {
         let (open, told) = &*self.0;
-        drop(told.wait_while(open.lock().unwrap(), |open| !*open).unwrap());
+        drop(
+            told.wait_while(open.lock().unwrap(), |open| !*open)
+                .unwrap(),
+        );
     }
 }
 
@@ -49,7 +52,9 @@
 }
 
 fn is_out(platform: &Platform, id: &str) -> bool {
-    seen(platform).iter().any(|line| line.starts_with(&format!("{id}.")))
+    seen(platform)
+        .iter()
+        .any(|line| line.starts_with(&format!("{id}.")))
 }
 
 fn say(socket: &mut TcpStream, text: &str) {
@@ -58,7 +63,9 @@
 
 /// Until the program takes no connections any more, as it does once it has closed its listener.
 fn until_it_accepts_nobody(platform: &Platform) {
-    eventually("it takes no more connections", || TcpStream::connect(platform.address).is_err());
+    eventually("it takes no more connections", || {
+        TcpStream::connect(platform.address).is_err()
+    });
 }
 
 #[test]
@@ -72,17 +79,29 @@
             platform.program.signal("TERM");
         }
         // Ended by the program, which is told to end or finds it idle for long.
-        assert_eq!(kept.read(&mut [0; 64]).unwrap(), 0, "its end, and nothing before it");
-        // This is what a client does that had begun to ask before it saw the end. On a socket that was closed it makes a reset.
+        assert_eq!(
+            kept.read(&mut [0; 64]).unwrap(),
+            0,
+            "its end, and nothing before it"
+        );
+        // This is what a client does that had begun to ask before it saw the end. On a socket that
+        // was closed it makes a reset.
         say(&mut kept, &query("behind", "page", &[0], ""));
         assert_eq!(kept.read(&mut [0; 64]).unwrap(), 0, "no reset");
         if by_signal {
             // It does not wait for this client's own end for long.
             assert!(platform.program.child.wait().unwrap().success());
         } else {
-            assert!(platform.ask("other", "page", &[0]).starts_with("HTTP/1.1 200"));
+            assert!(
+                platform
+                    .ask("other", "page", &[0])
+                    .starts_with("HTTP/1.1 200")
+            );
         }
-        assert!(!is_out(&platform, "behind"), "what is read after the end is not sent on");
+        assert!(
+            !is_out(&platform, "behind"),
+            "what is read after the end is not sent on"
+        );
     }
 }
 
@@ -91,7 +110,9 @@
     let gate = Gate::default();
     let mut platform = Platform::start(settings(), held_by(&gate));
     let mut socket = platform.connect();
-    let all: String = ["held", "b", "c"].map(|id| query(id, "page", &[0], "")).concat();
+    let all: String = ["held", "b", "c"]
+        .map(|id| query(id, "page", &[0], ""))
+        .concat();
     say(&mut socket, &all);
     eventually("the first is out", || is_out(&platform, "held"));
     platform.program.signal("TERM");
@@ -100,10 +121,17 @@
     gate.open();
     let answers = [(); 3].map(|()| read_response(&mut socket));
     for (answer, id) in answers.iter().zip(["held", "b", "c"]) {
-        assert!(answer.contains(&format!("value of {id}.0")), "{id}: {answer}");
+        assert!(
+            answer.contains(&format!("value of {id}.0")),
+            "{id}: {answer}"
+        );
     }
     let closes = answers.map(|answer| answer.contains("Connection: close"));
-    assert_eq!(closes, [false, false, true], "the last of them says that nothing follows");
+    assert_eq!(
+        closes,
+        [false, false, true],
+        "the last of them says that nothing follows"
+    );
     assert_eq!(socket.read(&mut [0; 1]).unwrap(), 0);
     assert!(platform.program.child.wait().unwrap().success());
 }
@@ -119,9 +147,13 @@
     // By now nothing is held, and the program only waits for its last connections.
     until_it_accepts_nobody(&platform);
     say(&mut socket, rest);
-    // No index host answers, so its time has to be waited out, which is longer than the wait for connections.
+    // No index host answers, so its time has to be waited out, which is longer than the wait for
+    // connections.
     let answer = read_response(&mut socket);
-    assert!(answer.starts_with("HTTP/1.1 5"), "its one answer: {answer:?}");
+    assert!(
+        answer.starts_with("HTTP/1.1 5"),
+        "its one answer: {answer:?}"
+    );
     assert!(is_out(&platform, "late"));
     assert!(platform.program.child.wait().unwrap().success());
 }
@@ -132,21 +164,39 @@
     let mut socket = platform.connect();
     say(&mut socket, &query("gone", "search", &[0, 1], ""));
     // More than is read while a query is held.
-    let more: String = (0..240).map(|n| query(&format!("p{n}"), "page", &[0], "")).collect();
+    let more: String = (0..240)
+        .map(|n| query(&format!("p{n}"), "page", &[0], ""))
+        .collect();
     assert!(more.len() > 32 << 10, "{} bytes", more.len());
     say(&mut socket, &more);
     eventually("it is out", || is_out(&platform, "gone"));
     // Whoever asks behind that is answered once it has been read as far as it is.
-    assert!(platform.say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").starts_with("HTTP/1.1 200"));
+    assert!(
+        platform
+            .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .starts_with("HTTP/1.1 200")
+    );
     let start = Instant::now();
     close(socket);
-    eventually("it is given up", || seen(&platform).iter().any(|line| line.starts_with("given up gone.")));
+    eventually("it is given up", || {
+        seen(&platform)
+            .iter()
+            .any(|line| line.starts_with("given up gone."))
+    });
     // Its own time would end it after 2.5 s.
-    assert!(start.elapsed() < Duration::from_millis(600), "{:?}", start.elapsed());
-    assert!(!seen(&platform).iter().any(|line| line.starts_with('p')), "nothing behind it is sent on");
+    assert!(
+        start.elapsed() < Duration::from_millis(600),
+        "{:?}",
+        start.elapsed()
+    );
+    assert!(
+        !seen(&platform).iter().any(|line| line.starts_with('p')),
+        "nothing behind it is sent on"
+    );
 }
 
-/// More than the system's buffers hold, so that the client's end comes only where all of it is read.
+/// More than the system's buffers hold, so that the client's end comes only where all of it is
+/// read.
 #[test]
 fn a_client_that_sends_without_end_behind_its_request_and_goes_has_its_parts_given_up_at_once() {
     let platform = Platform::start(settings(), silent());
@@ -154,27 +204,51 @@
     let start = Instant::now();
     say(&mut socket, &query("gone", "search", &[0, 1], ""));
     let body = "x".repeat(60_000);
-    let one = format!("POST /api HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let one = format!(
+        "POST /api HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     (0..400).for_each(|_| say(&mut socket, &one));
     close(socket);
     // Its own time would end it after 2.5 s, and then all would be read.
-    assert!(start.elapsed() < Duration::from_secs(2), "written after {:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(2),
+        "written after {:?}",
+        start.elapsed()
+    );
     let start = Instant::now();
-    eventually("it is given up", || seen(&platform).iter().any(|line| line.starts_with("given up gone.")));
-    assert!(start.elapsed() < Duration::from_millis(600), "{:?}", start.elapsed());
+    eventually("it is given up", || {
+        seen(&platform)
+            .iter()
+            .any(|line| line.starts_with("given up gone."))
+    });
+    assert!(
+        start.elapsed() < Duration::from_millis(600),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
-/// What is asked on a connection that is not read, as its client does not read its answers, is not sent on once that client has
-/// ended its output: it would be asked for one that has gone, as soon as there is room for answers again.
+/// What is asked on a connection that is not read, as its client does not read its answers, is not
+/// sent on once that client has ended its output: it would be asked for one that has gone, as soon
+/// as there is room for answers again.
 #[test]
 fn a_client_that_reads_no_answers_and_ends_has_nothing_more_sent_on_however_much_it_reads_then() {
-    // Values so large that the answers do not fit what the system buffers for a client that reads nothing.
+    // Values so large that the answers do not fit what the system buffers for a client that reads
+    // nothing.
     let large = |_| FrameHost::start(|_| Say::Good(1, "x".repeat(60_000)));
     let platform = Platform::start(settings(), (0..3).map(large).collect());
     let mut socket = platform.connect();
-    let all: String = (0..6000).map(|n| query(&format!("p{n}"), "search", &[0, 1, 2], "")).collect();
+    let all: String = (0..6000)
+        .map(|n| query(&format!("p{n}"), "search", &[0, 1, 2], ""))
+        .collect();
     say(&mut socket, &all);
-    let asked = || seen(&platform).iter().filter(|line| line.starts_with('p')).count();
+    let asked = || {
+        seen(&platform)
+            .iter()
+            .filter(|line| line.starts_with('p'))
+            .count()
+    };
     let mut last = (0, Instant::now());
     eventually("no more is asked", || {
         if asked() > last.0 {
@@ -188,32 +262,48 @@
     let mut answers = Vec::new();
     let _ = socket.read_to_end(&mut answers);
     assert!(answers.len() > 1 << 20, "{} bytes", answers.len());
-    assert!(platform.say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").starts_with("HTTP/1.1 200"));
+    assert!(
+        platform
+            .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .starts_with("HTTP/1.1 200")
+    );
     assert_eq!(asked(), last.0, "sent on for a client that has gone");
 }
 
-/// The client closes its connection while the program stands still, and the answer that it waits for comes in the same moment.
+/// The client closes its connection while the program stands still, and the answer that it waits
+/// for comes in the same moment.
 #[test]
 fn a_client_that_goes_as_its_answer_comes_has_nothing_behind_it_sent_on() {
     for _ in 0..8 {
         let gate = Gate::default();
         let platform = Platform::start(settings(), held_by(&gate));
         let mut socket = platform.connect();
-        say(&mut socket, &[query("held", "page", &[0], ""), query("behind", "page", &[1], "")].concat());
+        say(
+            &mut socket,
+            &[
+                query("held", "page", &[0], ""),
+                query("behind", "page", &[1], ""),
+            ]
+            .concat(),
+        );
         eventually("it is out", || is_out(&platform, "held"));
         platform.program.signal("STOP");
         close(socket);
         gate.open();
-        // The host writes its answer while the signal is on its way; either order of the two must end the same.
+        // The host writes its answer while the signal is on its way; either order of the two must
+        // end the same.
         platform.program.signal("CONT");
         let beside = platform.ask("beside", "page", &[0, 1, 2]);
         assert!(beside.starts_with("HTTP/1.1 200"), "{beside}");
-        assert!(!is_out(&platform, "behind"), "sent on for a client that has gone");
+        assert!(
+            !is_out(&platform, "behind"),
+            "sent on for a client that has gone"
+        );
     }
 }
 
-/// A second small answer behind a first that the client has not acknowledged yet is written at once: held back it comes with the
-/// acknowledgement, 40 ms later each time.
+/// A second small answer behind a first that the client has not acknowledged yet is written at
+/// once: held back it comes with the acknowledgement, 40 ms later each time.
 #[test]
 fn a_small_answer_behind_another_is_not_held_back() {
     let platform = Platform::start(settings(), held_by(&Gate::default()));
@@ -228,7 +318,8 @@
         assert!(read_next_response(&mut reader).starts_with("HTTP/1.1 200"));
         late += u32::from(first.elapsed() > Duration::from_millis(35));
     }
-    // A busy machine delays some of them, the system's clock for acknowledgements all but the first few.
+    // A busy machine delays some of them, the system's clock for acknowledgements all but the first
+    // few.
     assert!(late < 20, "{late} of 30");
 }
 
@@ -239,14 +330,18 @@
     let mut socket = platform.connect();
     say(&mut socket, &query("held", "page", &[0], ""));
     let pad = format!("X-Pad: {}\r\n", "p".repeat(1_000));
-    let all: Vec<String> = (0..200).map(|n| query(&format!("p{n}"), "page", &[0], &pad)).collect();
+    let all: Vec<String> = (0..200)
+        .map(|n| query(&format!("p{n}"), "page", &[0], &pad))
+        .collect();
     let (last, rest) = all[199].split_at(50);
     say(&mut socket, &(all[..199].concat() + last));
     eventually("it is out", || is_out(&platform, "held"));
     // Whoever asks behind that is answered once it has been read.
     for _ in 0..20 {
         assert!(
-            platform.say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").starts_with("HTTP/1.1 200")
+            platform
+                .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+                .starts_with("HTTP/1.1 200")
         );
     }
     gate.open();
@@ -261,16 +356,25 @@
             refused += 1;
             continue;
         }
-        assert_eq!(refused, 0, "{n} is served behind one that is refused: {answer}");
+        assert_eq!(
+            refused, 0,
+            "{n} is served behind one that is refused: {answer}"
+        );
         assert!(
             answer.contains(&format!("value of p{n}.0")) || answer.starts_with("HTTP/1.1 503"),
             "{answer}"
         );
         kept += 1;
     }
-    assert!(kept > 20 && refused > 20, "{kept} are kept, {refused} refused");
+    assert!(
+        kept > 20 && refused > 20,
+        "{kept} are kept, {refused} refused"
+    );
     say(&mut socket, rest);
-    assert!(next().contains("value of p199.0"), "the last one, which was only begun");
+    assert!(
+        next().contains("value of p199.0"),
+        "the last one, which was only begun"
+    );
 }
 
 /// One alone is kept whatever its size.
@@ -279,7 +383,8 @@
     let gate = Gate::default();
     let platform = Platform::start(settings(), held_by(&gate));
     let mut socket = platform.connect();
-    let body = json!({"ranges": [{"range": 0, "portion": 1.0}], "predicate": "p".repeat(50_000)}).to_string();
+    let body = json!({"ranges": [{"range": 0, "portion": 1.0}], "predicate": "p".repeat(50_000)})
+        .to_string();
     let large = format!(
         "POST /api HTTP/1.1\r\nX-Call-Id: large\r\nX-Call-Class: page\r\nX-Budget: 3.0\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -288,7 +393,11 @@
     say(&mut socket, &(query("held", "page", &[0], "") + begin));
     eventually("the first is out", || is_out(&platform, "held"));
     // Whoever asks behind that is answered once it has been read.
-    assert!(platform.say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").starts_with("HTTP/1.1 200"));
+    assert!(
+        platform
+            .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .starts_with("HTTP/1.1 200")
+    );
     say(&mut socket, rest);
     gate.open();
     let mut answers = BufReader::new(socket);
@@ -304,15 +413,23 @@
     let platform = Platform::start(settings(), held_by(&gate));
     let mut socket = platform.connect();
     let pad = format!("X-Pad: {}\r\n", "p".repeat(1_000));
-    let all: String = (0..200).map(|n| query(&format!("p{n}"), "page", &[0], &pad)).collect();
-    say(&mut socket, &(query("held", "page", &[0], "") + &all + "no request\r\n\r\n" + &"z".repeat(100_000)));
+    let all: String = (0..200)
+        .map(|n| query(&format!("p{n}"), "page", &[0], &pad))
+        .collect();
+    say(
+        &mut socket,
+        &(query("held", "page", &[0], "") + &all + "no request\r\n\r\n" + &"z".repeat(100_000)),
+    );
     eventually("it is out", || is_out(&platform, "held"));
     gate.open();
     let mut answers = BufReader::new(socket);
     assert!(read_next_response(&mut answers).contains("value of held.0"));
     for _ in 0..200 {
         let answer = read_next_response(&mut answers);
-        assert!(answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 503"), "{answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 503"),
+            "{answer}"
+        );
     }
     assert!(read_next_response(&mut answers).starts_with("HTTP/1.1 400"));
     assert_eq!(answers.read(&mut [0; 1]).unwrap(), 0);
@@ -342,7 +459,11 @@
     socket.shutdown(Shutdown::Write).unwrap();
     platform.program.signal("CONT");
     assert_eq!(socket.read(&mut [0; 64]).unwrap(), 0);
-    assert!(platform.ask("next", "page", &[0]).starts_with("HTTP/1.1 200"));
+    assert!(
+        platform
+            .ask("next", "page", &[0])
+            .starts_with("HTTP/1.1 200")
+    );
     assert!(!is_out(&platform, "left"));
 }
 
@@ -353,7 +474,8 @@
     let (mut first, mut second) = (platform.connect(), platform.connect());
     say(&mut first, &query("held", "page", &[0], ""));
     eventually("it is out", || is_out(&platform, "held"));
-    // The program finds both in one round, and the second connection's bytes before the end of the first.
+    // The program finds both in one round, and the second connection's bytes before the end of the
+    // first.
     let text = query("held", "page", &[1], "");
     let (begin, rest) = text.split_at(30);
     platform.program.signal("STOP");
@@ -387,17 +509,28 @@
 
 #[test]
 fn a_client_that_goes_between_two_steps_has_the_second_given_up_at_once() {
-    let say =
-        |id: &str| if id.ends_with(".r") { Say::Nothing } else { Say::Good(1, format!("value of {id}")) };
+    let say = |id: &str| {
+        if id.ends_with(".r") {
+            Say::Nothing
+        } else {
+            Say::Good(1, format!("value of {id}"))
+        }
+    };
     let platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(say)).collect());
     let mut socket = platform.connect();
     say_all(&mut socket, "steps");
-    eventually("the second step is out", || seen(&platform).iter().any(|line| line.contains(".r ")));
+    eventually("the second step is out", || {
+        seen(&platform).iter().any(|line| line.contains(".r "))
+    });
     let start = Instant::now();
     close(socket);
     let given_up = |line: &String| line.starts_with("given up steps.") && line.ends_with(".r");
     eventually("it is given up", || seen(&platform).iter().any(given_up));
-    assert!(start.elapsed() < Duration::from_millis(600), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(600),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 /// A search for all three shards.
@@ -413,8 +546,11 @@
     assert!(read_response(&mut kept).starts_with("HTTP/1.1 200"));
     platform.reload(&platform.config.to_string());
     platform.program.signal("TERM");
-    platform.discovery.tell(2, vec![target(0, platform.hosts[0].address, "leaving")]);
-    // It is still served, and what it says comes behind the news once it has been asked whether it is ready.
+    platform
+        .discovery
+        .tell(2, vec![target(0, platform.hosts[0].address, "leaving")]);
+    // It is still served, and what it says comes behind the news once it has been asked whether it
+    // is ready.
     eventually("it says that it ends", || {
         say(&mut kept, "GET /_health HTTP/1.1\r\n\r\n");
         read_response(&mut kept).contains("told to end")
@@ -433,7 +569,8 @@
     assert!(platform.program.child.wait().unwrap().success());
 }
 
-/// While the program ends, more wait in the backlog than it has descriptors for: they are taken as others are answered.
+/// While the program ends, more wait in the backlog than it has descriptors for: they are taken as
+/// others are answered.
 #[test]
 fn whoever_waits_in_the_backlog_without_a_descriptor_left_is_answered_before_the_end() {
     let gate = Gate::default();
@@ -447,12 +584,19 @@
         say(socket, &query(&format!("held{n}"), "page", &[0], ""));
     }
     eventually("some are out", || is_out(&platform, "held0"));
-    assert!(descriptors() <= 100, "{} descriptors: the others wait in the backlog", descriptors());
+    assert!(
+        descriptors() <= 100,
+        "{} descriptors: the others wait in the backlog",
+        descriptors()
+    );
     platform.program.signal("TERM");
     eventually("it has none left", || descriptors() >= 119);
     gate.open();
     let answers: Vec<String> = sockets.iter_mut().map(read_response).collect();
-    let lost = answers.iter().filter(|answer| !answer.starts_with("HTTP/1.1 ")).count();
+    let lost = answers
+        .iter()
+        .filter(|answer| !answer.starts_with("HTTP/1.1 "))
+        .count();
     assert_eq!(lost, 0, "of 180 that had connected");
     assert!(platform.program.child.wait().unwrap().success());
 }
--- a/bitternsill/tests/endings_discovery.rs
+++ b/bitternsill/tests/endings_discovery.rs
@@ -1,4 +1,5 @@
-//! What is still owed when discovery's answers and watches end or fall silent, and what may not keep a dead one alive.
+//! What is still owed when discovery's answers and watches end or fall silent, and what may not
+//! keep a dead one alive.
 
 mod common;
 
@@ -11,7 +12,8 @@
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A discovery whose calls a test answers byte by byte: each comes with the line that asks and its socket.
+/// A discovery whose calls a test answers byte by byte: each comes with the line that asks and its
+/// socket.
 struct Scripted {
     address: SocketAddr,
     calls: Receiver<(String, TcpStream)>,
@@ -25,7 +27,9 @@
         std::thread::spawn(move || {
             for socket in listener.incoming().flatten() {
                 let mut line = String::new();
-                BufReader::new(socket.try_clone().unwrap()).read_line(&mut line).unwrap_or(0);
+                BufReader::new(socket.try_clone().unwrap())
+                    .read_line(&mut line)
+                    .unwrap_or(0);
                 if tell.send((line, socket)).is_err() {
                     return;
                 }
@@ -36,7 +40,9 @@
 
     /// The next call.
     fn call(&self) -> (String, TcpStream) {
-        self.calls.recv_timeout(Duration::from_secs(20)).expect("a call")
+        self.calls
+            .recv_timeout(Duration::from_secs(20))
+            .expect("a call")
     }
 }
 
@@ -64,7 +70,11 @@
     /// The same with so many descriptors.
     fn start_with(discovery: SocketAddr, descriptors: u32) -> Scene {
         let say = |id: &str| {
-            if id.starts_with("held") { Say::Nothing } else { Say::Good(1, format!("value of {id}")) }
+            if id.starts_with("held") {
+                Say::Nothing
+            } else {
+                Say::Good(1, format!("value of {id}"))
+            }
         };
         let hosts: Vec<FrameHost> = (0..3).map(|_| FrameHost::start(say)).collect();
         let address = free_address();
@@ -80,11 +90,21 @@
         let program = Program::start_with("--config", &config, descriptors);
         eventually("it listens", || TcpStream::connect(address).is_ok());
         let file = program.file.clone();
-        Scene { program, address, hosts, config, file }
+        Scene {
+            program,
+            address,
+            hosts,
+            config,
+            file,
+        }
     }
 
     fn targets(&self) -> Vec<Value> {
-        self.hosts.iter().enumerate().map(|(cell, host)| target(cell, host.address, "active")).collect()
+        self.hosts
+            .iter()
+            .enumerate()
+            .map(|(cell, host)| target(cell, host.address, "active"))
+            .collect()
     }
 
     fn leaving(&self, cell: usize) -> Value {
@@ -93,15 +113,21 @@
 
     fn ask(&self, id: &str, shard: u32) -> String {
         let mut socket = TcpStream::connect(self.address).unwrap();
-        socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-        socket.write_all(query(id, "page", &[shard], "Connection: close\r\n").as_bytes()).unwrap();
+        socket
+            .set_read_timeout(Some(Duration::from_secs(10)))
+            .unwrap();
+        socket
+            .write_all(query(id, "page", &[shard], "Connection: close\r\n").as_bytes())
+            .unwrap();
         read_response(&mut socket)
     }
 
     /// Whether it takes clients. By the time of the answer it has read what it was told before.
     fn is_ready(&self) -> bool {
         let mut socket = TcpStream::connect(self.address).unwrap();
-        socket.write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
+        socket
+            .write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .unwrap();
         read_response(&mut socket).starts_with("HTTP/1.1 200")
     }
 
@@ -109,7 +135,8 @@
         eventually("ready", || self.is_ready());
     }
 
-    /// Until of six queries in a row none goes to this host, which holds shard `cell` with the next one; all are served.
+    /// Until of six queries in a row none goes to this host, which holds shard `cell` with the next
+    /// one; all are served.
     fn until_spared(&self, cell: usize) {
         let mut round = 0;
         eventually("nothing goes to that host", || {
@@ -143,12 +170,17 @@
     assert!(line.contains("index=1"), "{line}");
     let (_, mut next) = discovery.call();
     let took = silent.elapsed();
-    // What the silent watch has missed counts as told 6 s after it fell silent, and the answer takes its time too.
+    // What the silent watch has missed counts as told 6 s after it fell silent, and the answer
+    // takes its time too.
     assert!(took < Duration::from_millis(5_400), "{took:?}");
     next.write_all(HEAD).unwrap();
     chunk(&mut next, &(list(2, false, &[scene.leaving(0)]) + "\n"));
     scene.until_spared(0);
-    assert!(silent.elapsed() < Duration::from_millis(6_500), "{:?}", silent.elapsed());
+    assert!(
+        silent.elapsed() < Duration::from_millis(6_500),
+        "{:?}",
+        silent.elapsed()
+    );
 }
 
 #[test]
@@ -161,10 +193,17 @@
         let _ = watch.write_all(b"1\r\n{\r\n");
         match discovery.calls.recv_timeout(Duration::from_millis(100)) {
             Ok(next) => break next,
-            Err(_) => assert!(start.elapsed() < Duration::from_secs(10), "the watch is kept"),
+            Err(_) => assert!(
+                start.elapsed() < Duration::from_secs(10),
+                "the watch is kept"
+            ),
         }
     };
-    assert!(start.elapsed() < Duration::from_millis(3_500), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(3_500),
+        "{:?}",
+        start.elapsed()
+    );
     drop(next);
 }
 
@@ -184,8 +223,9 @@
     chunk(&mut watch, "\n");
     scene.until_ready();
     assert!(scene.ask("a", 0).starts_with("HTTP/1.1 200"));
-    let change =
-        serde_json::to_string_pretty(&json!({"rev": 3, "all": false, "targets": [scene.leaving(0)]}));
+    let change = serde_json::to_string_pretty(
+        &json!({"rev": 3, "all": false, "targets": [scene.leaving(0)]}),
+    );
     let changes = list(2, false, &[scene.leaving(1)]) + " " + &change.unwrap() + "\n";
     let (begin, rest) = changes.split_at(changes.len() - 30);
     chunk(&mut watch, begin);
@@ -195,7 +235,8 @@
     eventually("both are known to leave", || {
         let before = [0, 1].map(|cell| scene.hosts[cell].seen().len());
         let answer = scene.ask("b", 0);
-        answer.starts_with("HTTP/1.1 503") && before == [0, 1].map(|cell| scene.hosts[cell].seen().len())
+        answer.starts_with("HTTP/1.1 503")
+            && before == [0, 1].map(|cell| scene.hosts[cell].seen().len())
     });
     assert!(discovery.calls.try_recv().is_err(), "the watch goes on");
 }
@@ -219,7 +260,11 @@
     for at in 0..12 {
         assert!(scene.ask(&format!("b{at}"), 0).starts_with("HTTP/1.1 200"));
     }
-    assert_eq!(scene.hosts[0].seen().len(), before, "nothing goes there once the list is known");
+    assert_eq!(
+        scene.hosts[0].seen().len(),
+        before,
+        "nothing goes there once the list is known"
+    );
     // It comes back under its old address and another name, and serves again.
     let mut back = scene.targets()[0].clone();
     back["uid"] = json!("s-new");
@@ -238,7 +283,8 @@
 fn the_watch_that_is_there_is_kept_until_a_discovery_that_has_moved_twice_answers() {
     let (_discovery, scene, mut watch) = watched();
     scene.until_ready();
-    // To an address at which nobody listens, and from there to one that takes calls and answers none.
+    // To an address at which nobody listens, and from there to one that takes calls and answers
+    // none.
     let nobody = free_address();
     let mute = Scripted::start();
     for to in [nobody, mute.address] {
@@ -246,7 +292,8 @@
         config["discovery"] = to.to_string().into();
         std::fs::write(&scene.file, config.to_string()).unwrap();
         scene.program.signal("HUP");
-        // A query is answered behind the signal: the file has been read by then, and the call there refused.
+        // A query is answered behind the signal: the file has been read by then, and the call there
+        // refused.
         assert!(scene.ask("h", 1).starts_with("HTTP/1.1 200"));
     }
     let (line, _held) = mute.call();
@@ -259,11 +306,17 @@
     there.write_all(HEAD).unwrap();
     chunk(&mut there, "\n");
     chunk(&mut there, &(list(3, true, &scene.targets()) + "\n"));
-    watch.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    watch
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
     let (mut rest, start) = (Vec::new(), Instant::now());
     watch.read_to_end(&mut rest).unwrap();
     // Its silence alone would end it later.
-    assert!(start.elapsed() < Duration::from_millis(1_500), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(1_500),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 /// Found on reading: after an outage a watch without news left the waits as long as they had grown.
@@ -272,7 +325,8 @@
     let (discovery, scene, watch) = watched();
     scene.until_ready();
     close(watch);
-    // Four calls are dropped, each after a longer wait; the fifth is answered by an empty line alone.
+    // Four calls are dropped, each after a longer wait; the fifth is answered by an empty line
+    // alone.
     (0..4).for_each(|_| drop(discovery.call()));
     let (_, mut watch) = discovery.call();
     watch.write_all(HEAD).unwrap();
@@ -289,11 +343,15 @@
     let start = Instant::now();
     // The wait under way goes on; those behind it begin anew.
     (0..3).for_each(|_| drop(discovery.call()));
-    assert!(start.elapsed() < Duration::from_millis(4_500), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(4_500),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
-/// Discovery goes while clients take every place there is, each with a query that nobody answers, and comes back with a host that
-/// was not there before.
+/// Discovery goes while clients take every place there is, each with a query that nobody answers,
+/// and comes back with a host that was not there before.
 #[test]
 fn clients_that_take_every_place_keep_neither_discovery_nor_a_new_host_out() {
     let discovery = Scripted::start();
@@ -302,20 +360,39 @@
     watch.write_all(HEAD).unwrap();
     chunk(&mut watch, &(list(1, true, &scene.targets()[1..]) + "\n"));
     scene.until_ready();
-    let mut crowd: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(scene.address).unwrap()).collect();
+    let mut crowd: Vec<TcpStream> = (0..200)
+        .map(|_| TcpStream::connect(scene.address).unwrap())
+        .collect();
     for (at, socket) in crowd.iter_mut().enumerate() {
-        socket.write_all(query(&format!("held{at}"), "page", &[0], "").as_bytes()).unwrap();
+        socket
+            .write_all(query(&format!("held{at}"), "page", &[0], "").as_bytes())
+            .unwrap();
     }
     let folder = format!("/proc/{}/fd", scene.program.child.id());
-    eventually("the crowd has its places", || std::fs::read_dir(&folder).unwrap().count() > 70);
+    eventually("the crowd has its places", || {
+        std::fs::read_dir(&folder).unwrap().count() > 70
+    });
     let start = Instant::now();
     close(watch);
     let (_, mut watch) = discovery.call();
     // The first of them have their answers, and are idle, after 1.5 s.
-    assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        start.elapsed()
+    );
     watch.write_all(HEAD).unwrap();
-    chunk(&mut watch, &(list(2, false, &[scene.targets()[0].clone()]) + "\n"));
-    eventually("the new host is reached", || !scene.hosts[0].seen().is_empty());
-    assert!(start.elapsed() < Duration::from_millis(1_300), "{:?}", start.elapsed());
+    chunk(
+        &mut watch,
+        &(list(2, false, &[scene.targets()[0].clone()]) + "\n"),
+    );
+    eventually("the new host is reached", || {
+        !scene.hosts[0].seen().is_empty()
+    });
+    assert!(
+        start.elapsed() < Duration::from_millis(1_300),
+        "{:?}",
+        start.elapsed()
+    );
     drop(crowd);
 }
--- a/bitternsill/tests/endings_hosts.rs
+++ b/bitternsill/tests/endings_hosts.rs
@@ -14,8 +14,9 @@
 
 #[test]
 fn more_index_hosts_than_descriptors_for_them_are_all_reached() {
-    let hosts: Vec<FrameHost> =
-        (0..48).map(|_| FrameHost::start(|id| Say::Good(1, format!("value of {id}")))).collect();
+    let hosts: Vec<FrameHost> = (0..48)
+        .map(|_| FrameHost::start(|id| Say::Good(1, format!("value of {id}"))))
+        .collect();
     let mut settings = settings();
     (settings["extra"]["sets"], settings["extra"]["ranges"]) = (json!(48), json!(48));
     let platform = Platform::start_with(settings, hosts, 100, 1024);
@@ -29,12 +30,17 @@
         }
     }
     // Of 100 descriptors 54 are the clients' and 14 the index hosts'.
-    assert!(most <= 14 + 26, "{most} descriptors for index hosts and the program itself");
+    assert!(
+        most <= 14 + 26,
+        "{most} descriptors for index hosts and the program itself"
+    );
 }
 
-/// An index host that takes a part on each connection, says all but the last bytes of its answer, and then does this with the
-/// connection; it tells which parts it took.
-fn host_that_says_half(mut then: impl FnMut(TcpStream) + Send + 'static) -> (SocketAddr, Receiver<String>) {
+/// An index host that takes a part on each connection, says all but the last bytes of its answer,
+/// and then does this with the connection; it tells which parts it took.
+fn host_that_says_half(
+    mut then: impl FnMut(TcpStream) + Send + 'static,
+) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (tell, taken) = mpsc::channel();
@@ -46,7 +52,11 @@
             }
             let mut body = vec![0; u32::from_le_bytes(length) as usize];
             socket.read_exact(&mut body).unwrap();
-            let name = String::from_utf8_lossy(&body[1..]).split(' ').next().unwrap().to_owned();
+            let name = String::from_utf8_lossy(&body[1..])
+                .split(' ')
+                .next()
+                .unwrap()
+                .to_owned();
             let answer = frame(b'q', format!("{name} good 1 -\nvalue of {name}").as_bytes());
             socket.write_all(&answer[..answer.len() - 3]).unwrap();
             tell.send(name).unwrap();
@@ -56,7 +66,8 @@
     (address, taken)
 }
 
-/// A host takes a part, says half of its answer and resets; the part may have run, and is sent elsewhere where that may be.
+/// A host takes a part, says half of its answer and resets; the part may have run, and is sent
+/// elsewhere where that may be.
 #[test]
 fn half_an_answer_that_is_reset_is_none() {
     // Closed over bytes that nobody reads: the probe or part that may follow makes it a reset.
@@ -64,8 +75,9 @@
         rustix::net::sockopt::set_socket_linger(&socket, Some(Duration::ZERO)).unwrap();
     };
     let (address, taken) = host_that_says_half(reset);
-    let mut hosts: Vec<FrameHost> =
-        (0..3).map(|_| FrameHost::start(|id| Say::Good(1, format!("value of {id}")))).collect();
+    let mut hosts: Vec<FrameHost> = (0..3)
+        .map(|_| FrameHost::start(|id| Say::Good(1, format!("value of {id}"))))
+        .collect();
     hosts[0].address = address;
     let platform = Platform::start(settings(), hosts);
     let mut met = Vec::new();
@@ -73,20 +85,27 @@
         let (id, start) = (format!("q{at}"), Instant::now());
         let answer = platform.ask(&id, "page", &[0]);
         met.extend(taken.try_iter());
-        let whole = answer.starts_with("HTTP/1.1 200") && answer.contains(&format!("\"value of {id}.0\""));
+        let whole =
+            answer.starts_with("HTTP/1.1 200") && answer.contains(&format!("\"value of {id}.0\""));
         assert!(whole || answer.starts_with("HTTP/1.1 503"), "{answer}");
-        assert!(start.elapsed() < Duration::from_millis(1800), "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_millis(1800),
+            "{:?}",
+            start.elapsed()
+        );
     }
     assert!(!met.is_empty(), "the host was met");
 }
 
-/// A host says half a line and nothing more, on a connection that stays: the attempt has failed, and soon.
+/// A host says half a line and nothing more, on a connection that stays: the attempt has failed,
+/// and soon.
 #[test]
 fn half_an_answer_that_stays_is_a_failed_attempt_long_before_its_link_is_mute() {
     let mut kept = Vec::new();
     let (address, taken) = host_that_says_half(move |socket| kept.push(socket));
-    let mut hosts: Vec<FrameHost> =
-        (0..3).map(|_| FrameHost::start(|id| Say::Good(1, format!("value of {id}")))).collect();
+    let mut hosts: Vec<FrameHost> = (0..3)
+        .map(|_| FrameHost::start(|id| Say::Good(1, format!("value of {id}"))))
+        .collect();
     hosts[0].address = address;
     let mut settings = settings();
     settings["limits"]["second_copies"] = json!(false);
@@ -94,24 +113,35 @@
     let mut met = false;
     for at in 0..8 {
         let (id, start) = (format!("q{at}"), Instant::now());
-        let text = query(&id, "shelf", &[0], "Idempotency-Key: k\r\nConnection: close\r\n");
+        let text = query(
+            &id,
+            "shelf",
+            &[0],
+            "Idempotency-Key: k\r\nConnection: close\r\n",
+        );
         let answer = platform.say(&text);
         assert!(answer.contains(&format!("\"value of {id}.0\"")), "{answer}");
         met |= taken.try_iter().any(|name| name.starts_with(&id));
-        assert!(start.elapsed() < Duration::from_millis(900), "{:?}", start.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_millis(900),
+            "{:?}",
+            start.elapsed()
+        );
     }
     assert!(met, "the host was met");
 }
 
-/// Connections come up so late that the host is taken from the list before: what waited for one goes elsewhere.
+/// Connections come up so late that the host is taken from the list before: what waited for one
+/// goes elsewhere.
 #[test]
 fn what_waits_for_a_connection_to_a_host_that_leaves_goes_elsewhere_at_once() {
     // A listener whose backlog is full answers no further connection.
     let deaf = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&deaf, 0).unwrap();
     let address = deaf.local_addr().unwrap();
-    let fill: Vec<_> =
-        (0..4).map(|_| std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100))).collect();
+    let fill: Vec<_> = (0..4)
+        .map(|_| std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100)))
+        .collect();
     assert!(fill.last().unwrap().is_err(), "the listener is full");
     let served = Arc::new(AtomicU32::new(0));
     let host = |_| {
@@ -131,25 +161,35 @@
     let mut sockets: Vec<_> = (0..6).map(|_| platform.connect()).collect();
     for (at, socket) in sockets.iter_mut().enumerate() {
         let more = "Idempotency-Key: k\r\n";
-        socket.write_all(query(&format!("q{at}"), "shelf", &[0], more).as_bytes()).unwrap();
+        socket
+            .write_all(query(&format!("q{at}"), "shelf", &[0], more).as_bytes())
+            .unwrap();
     }
     // Some were sent to host 1, which answers; the others wait for a connection to host 0.
     eventually("some are answered", || served.load(Ordering::SeqCst) > 0);
     let start = Instant::now();
-    platform.discovery.tell(2, vec![target(0, address, "leaving")]);
+    platform
+        .discovery
+        .tell(2, vec![target(0, address, "leaving")]);
     for socket in &mut sockets {
         let answer = read_response(socket);
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
-    assert!(start.elapsed() < Duration::from_millis(900), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(900),
+        "{:?}",
+        start.elapsed()
+    );
     drop(fill);
 }
 
-/// An answer without a length is whole where its connection ends in order. A reset is no end, however much came before it.
+/// An answer without a length is whole where its connection ends in order. A reset is no end,
+/// however much came before it.
 #[test]
 fn an_answer_without_length_that_is_reset_is_none() {
     let catalogue = Catalogue::start("sru");
-    let page = "/comics?operation=searchRetrieve&version=1.2&query=dc.title%3Dmoon&maximumRecords=10";
+    let page =
+        "/comics?operation=searchRetrieve&version=1.2&query=dc.title%3Dmoon&maximumRecords=10";
     let whole = catalogue.titles(page);
     assert!(whole.contains(&"0.0".to_owned()), "{whole:?}");
     *catalogue.scripts[0].lengthless.lock().unwrap() = Some(false);
@@ -170,10 +210,15 @@
     let mut settings = settings();
     (settings["extra"]["sets"], settings["extra"]["ranges"]) = (json!(400), json!(400));
     settings["extra"]["in_a_row"] = json!(1);
-    let targets: Vec<_> = (0..400).map(|cell| target(cell, host.address, "active")).collect();
+    let targets: Vec<_> = (0..400)
+        .map(|cell| target(cell, host.address, "active"))
+        .collect();
     let platform = Platform::start_silent(settings, host, targets);
     for shard in [0, 255, 256, 399] {
         let answer = platform.ask(&format!("q{shard}"), "page", &[shard]);
-        assert!(answer.contains(&format!("value of q{shard}.{shard}")), "{shard}: {answer}");
+        assert!(
+            answer.contains(&format!("value of q{shard}.{shard}")),
+            "{shard}: {answer}"
+        );
     }
 }
