--- a/bitternsill/tests/fleet_audit.rs
+++ b/bitternsill/tests/fleet_audit.rs
@@ -1,5 +1,5 @@
-//! Evidence under faults: trails whose disk is full, that outlive their gatherer's disk, collectors that are killed, names taken
-//! twice, documents of a later format. Several programs each.
+//! Evidence under faults: trails whose disk is full, that outlive their gatherer's disk, collectors
+//! that are killed, names taken twice, documents of a later format. Several programs each.
 
 mod common;
 
@@ -25,11 +25,14 @@
 }
 
 fn bytes_in(folder: &Path) -> u64 {
-    let files = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().metadata().unwrap().len());
+    let files = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().metadata().unwrap().len());
     files.sum()
 }
 
-/// A trail that cannot be written costs no query; what it does not have is told as not known once it can be written again.
+/// A trail that cannot be written costs no query; what it does not have is told as not known once
+/// it can be written again.
 #[test]
 fn a_full_disk_costs_no_query_and_what_could_not_be_noted_is_told_as_not_known() {
     let full = folder("full").join("full");
@@ -40,8 +43,12 @@
     std::fs::write(&full, "").unwrap();
     *fleet.asked.lock().unwrap() = Asked::default();
     let log = |at: usize| std::fs::read_to_string(fleet.files[at].with_extension("log")).unwrap();
-    eventually("each has said so", || (0..3).all(|at| log(at).contains("the trail cannot be written")));
-    eventually("queries are answered all the while", || fleet.asked.lock().unwrap().whole > 100);
+    eventually("each has said so", || {
+        (0..3).all(|at| log(at).contains("the trail cannot be written"))
+    });
+    eventually("queries are answered all the while", || {
+        fleet.asked.lock().unwrap().whole > 100
+    });
     let asked = *fleet.asked.lock().unwrap();
     assert_eq!((asked.refused, asked.closed), (0, 0), "{asked:?}");
     std::fs::remove_file(&full).unwrap();
@@ -51,8 +58,8 @@
     });
 }
 
-/// A collector is killed in the middle of a trail; the next one goes on from there. Later the gatherer's disk is lost: what was
-/// collected is known still, and what came after is not.
+/// A collector is killed in the middle of a trail; the next one goes on from there. Later the
+/// gatherer's disk is lost: what was collected is known still, and what came after is not.
 #[test]
 fn a_collector_that_is_killed_is_carried_on_and_what_it_kept_outlives_the_gatherers_disk() {
     let mut set = set();
@@ -60,7 +67,10 @@
     let mut fleet = Fleet::with("collect", 3, set);
     eventually("all are current", || current(&fleet));
     eventually("a long trail", || {
-        std::fs::metadata(fleet.trail(1).join("g1.000000.trail")).unwrap().len() > 50_000
+        std::fs::metadata(fleet.trail(1).join("g1.000000.trail"))
+            .unwrap()
+            .len()
+            > 50_000
     });
     let kept = folder("kept");
     // What the gatherer says takes its time, so that the collector is killed between two pieces.
@@ -79,7 +89,13 @@
     let before = bytes_in(&kept);
     assert!(before < 50_000, "it was killed in the middle: {before}");
     assert!(serves(&fleet, 1, "page"));
-    let words = ["audit", "--patience", "4000", "--keep", kept.to_str().unwrap()];
+    let words = [
+        "audit",
+        "--patience",
+        "4000",
+        "--keep",
+        kept.to_str().unwrap(),
+    ];
     let (text, sound) = fleet.call(&words, &[0, 1, 2]);
     assert!(sound, "{text}");
     assert!(bytes_in(&kept) > 50_000);
@@ -90,20 +106,38 @@
     fleet.befall(&Fault::PowerOn(one));
     eventually("all are current", || current(&fleet));
     eventually("it serves", || serves(&fleet, 1, "page"));
-    // What it has just answered it notes a moment later: the audit is asked once that has been written down.
+    // What it has just answered it notes a moment later: the audit is asked once that has been
+    // written down.
     eventually("its second life has noted a query", || {
-        std::fs::read_to_string(fleet.trail(1).join("g1.000000.trail")).unwrap().contains("\"acts\":")
+        std::fs::read_to_string(fleet.trail(1).join("g1.000000.trail"))
+            .unwrap()
+            .contains("\"acts\":")
     });
     let (text, _) = fleet.call(&words, &[0, 1, 2]);
-    let own = text.split("\ng1").nth(1).and_then(|rest| rest.split("\ng2").next()).unwrap();
-    // What it noted after that was told to the store, or not yet; what it did last it had not noted.
-    assert!(own.contains("NOT KNOWN") || own.contains("gap: life"), "{text}");
-    assert!(own.matches("version 0 from").count() >= 2, "both lives: {text}");
+    let own = text
+        .split("\ng1")
+        .nth(1)
+        .and_then(|rest| rest.split("\ng2").next())
+        .unwrap();
+    // What it noted after that was told to the store, or not yet; what it did last it had not
+    // noted.
+    assert!(
+        own.contains("NOT KNOWN") || own.contains("gap: life"),
+        "{text}"
+    );
+    assert!(
+        own.matches("version 0 from").count() >= 2,
+        "both lives: {text}"
+    );
     let (text, _) = fleet.call(&words[..3], &[0, 1, 2]);
-    assert!(text.contains("an earlier trail that the store was told of is gone"), "{text}");
+    assert!(
+        text.contains("an earlier trail that the store was told of is gone"),
+        "{text}"
+    );
 }
 
-/// A second process comes up under a name that is taken: the one before takes no clients any more, and says why.
+/// A second process comes up under a name that is taken: the one before takes no clients any more,
+/// and says why.
 #[test]
 fn of_two_gatherers_of_one_name_the_earlier_takes_no_clients() {
     let mut set = set();
@@ -122,23 +156,42 @@
     let one = BTreeSet::from([out]);
     fleet.befall(&Fault::PowerOff(one.clone()));
     fleet.befall(&Fault::PowerOn(one));
-    eventually("they have changed places", || serves(&fleet, out, "page") && !serves(&fleet, on, "page"));
+    eventually("they have changed places", || {
+        serves(&fleet, out, "page") && !serves(&fleet, on, "page")
+    });
 }
 
-/// A document of a later format, from an operator with a newer program: each gatherer says that it cannot read it.
+/// A document of a later format, from an operator with a newer program: each gatherer says that it
+/// cannot read it.
 #[test]
 fn a_document_of_a_later_format_is_named_by_all_who_cannot_read_it_and_changes_nothing() {
     let (fleet, ..) = with_a_version("later");
-    let client = Client { at: fleet.stores.clone(), patience: Duration::from_secs(10) };
+    let client = Client {
+        at: fleet.stores.clone(),
+        patience: Duration::from_secs(10),
+    };
     let document = json!({"format": 2, "settings": with_class("later"), "least": 0.5}).to_string();
-    let change = Change { key: "config/next".to_owned(), value: Some(document) };
-    assert!(matches!(client.change(vec![], vec![change]), Ok(Changed::Applied(_))));
+    let change = Change {
+        key: "config/next".to_owned(),
+        value: Some(document),
+    };
+    assert!(matches!(
+        client.change(vec![], vec![change]),
+        Ok(Changed::Applied(_))
+    ));
     let refused = activate(&fleet, &[0]).unwrap_err();
-    assert_eq!(refused.matches("it is of format 2, and this program reads up to 1").count(), 3, "{refused}");
+    assert_eq!(
+        refused
+            .matches("it is of format 2, and this program reads up to 1")
+            .count(),
+        3,
+        "{refused}"
+    );
     assert!((0..3).all(|at| serves(&fleet, at, "first") && !serves(&fleet, at, "later")));
 }
 
-/// What an operator has one gatherer do by hand stands in its trail, with the version under which it was done.
+/// What an operator has one gatherer do by hand stands in its trail, with the version under which
+/// it was done.
 #[test]
 fn calls_by_hand_are_told_with_their_version_and_an_orderly_end_leaves_no_gap() {
     let mut set = set();
@@ -160,6 +213,12 @@
     eventually("all are current", || current(&fleet));
     let (text, sound) = audit(&fleet);
     let own: Vec<&str> = text.split("\ng").collect();
-    assert!(sound && own[2].contains("under version 0: Exclude s-0"), "{text}");
-    assert!(own[1].contains("gap: life") && !own[3].contains("gap"), "{text}");
+    assert!(
+        sound && own[2].contains("under version 0: Exclude s-0"),
+        "{text}"
+    );
+    assert!(
+        own[1].contains("gap: life") && !own[3].contains("gap"),
+        "{text}"
+    );
 }
--- a/bitternsill/tests/fleet_recovery.rs
+++ b/bitternsill/tests/fleet_recovery.rs
@@ -1,6 +1,7 @@
-//! The whole fleet through losses of power: several programs, links between them that are cut one way, slowed or reset,
-//! processes that stand still and wake, files that are lost. Days are drawn by a seed; `FLEET_SEEDS=200 cargo test --release
-//! -p bitternsill --test fleet_recovery days -- --nocapture` plays as many.
+//! The whole fleet through losses of power: several programs, links between them that are cut one
+//! way, slowed or reset, processes that stand still and wake, files that are lost. Days are drawn
+//! by a seed; `FLEET_SEEDS=200 cargo test --release -p bitternsill --test fleet_recovery days --
+//! --nocapture` plays as many.
 
 mod common;
 
@@ -20,7 +21,9 @@
 fn play(seed: u64) -> Result<Asked, String> {
     let count = [3, 3, 5][seed as usize % 3];
     let mut fleet = Fleet::start(&format!("day{seed}"), count);
-    fleet.settle().map_err(|problem| format!("before the first fault: {problem}"))?;
+    fleet
+        .settle()
+        .map_err(|problem| format!("before the first fault: {problem}"))?;
     let begun = Instant::now();
     for (at, fault) in timeline::draw(seed, count, 4000) {
         while begun.elapsed() < Duration::from_millis(at) {
@@ -32,12 +35,19 @@
     fleet.judge()
 }
 
-/// Power lost to all, to a group or to one, in the middle of commits and under load; links cut one way, slowed and reset;
-/// processes that stand still and wake; files lost. What anyone was shown is there in the end, everywhere the same.
+/// Power lost to all, to a group or to one, in the middle of commits and under load; links cut one
+/// way, slowed and reset; processes that stand still and wake; files lost. What anyone was shown is
+/// there in the end, everywhere the same.
 #[test]
 fn days_of_faults_lose_nothing_that_was_shown_and_give_each_query_one_answer_or_an_end() {
-    let seeds = std::env::var("FLEET_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(3);
-    let first = std::env::var("FLEET_FIRST").ok().and_then(|n| n.parse().ok()).unwrap_or(0);
+    let seeds = std::env::var("FLEET_SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(3);
+    let first = std::env::var("FLEET_FIRST")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0);
     let mut total = Asked::default();
     for seed in first..first + seeds {
         let asked = play(seed).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
@@ -50,7 +60,8 @@
     assert!(total.whole > 0);
 }
 
-/// Power is lost elsewhere while a process stands still; it wakes among those that have come back, with what it had then.
+/// Power is lost elsewhere while a process stands still; it wakes among those that have come back,
+/// with what it had then.
 #[test]
 fn a_process_that_slept_through_the_loss_of_power_wakes_among_the_recovered_and_breaks_nothing() {
     let mut fleet = Fleet::start("slept", 3);
@@ -65,7 +76,12 @@
         fleet.count_up();
         let now = fleet.counter.count.load(Ordering::SeqCst);
         eventually("two commit", || {
-            (0..2).all(|at| fleet.held(at).get(&fleet.key(0)).is_some_and(|held| *held >= now))
+            (0..2).all(|at| {
+                fleet
+                    .held(at)
+                    .get(&fleet.key(0))
+                    .is_some_and(|held| *held >= now)
+            })
         });
     };
     commits(&fleet);
@@ -75,24 +91,41 @@
     fleet.judge().unwrap();
 }
 
-/// Power returns with links cut one way: a member is heard and does not hear, or hears and is not heard.
+/// Power returns with links cut one way: a member is heard and does not hear, or hears and is not
+/// heard.
 #[test]
-fn with_links_cut_one_way_after_power_returned_the_others_go_on_and_all_are_one_once_they_are_whole() {
+fn with_links_cut_one_way_after_power_returned_the_others_go_on_and_all_are_one_once_they_are_whole()
+ {
     for deaf in [true, false] {
         let mut fleet = Fleet::start(if deaf { "deaf" } else { "mute" }, 3);
         fleet.settle().unwrap();
         let all = BTreeSet::from([0, 1, 2]);
         fleet.befall(&Fault::PowerOff(all.clone()));
         for other in [1, 2] {
-            fleet.befall(&if deaf { Fault::Cut(other, 0) } else { Fault::Cut(0, other) });
+            fleet.befall(&if deaf {
+                Fault::Cut(other, 0)
+            } else {
+                Fault::Cut(0, other)
+            });
         }
         fleet.befall(&Fault::PowerOn(all));
         fleet.count_up();
         let now = fleet.counter.count.load(Ordering::SeqCst);
         eventually("the other two commit", || {
-            (1..3).all(|at| fleet.held(at).get(&fleet.key(1)).is_some_and(|held| *held >= now))
+            (1..3).all(|at| {
+                fleet
+                    .held(at)
+                    .get(&fleet.key(1))
+                    .is_some_and(|held| *held >= now)
+            })
         });
-        assert!(fleet.held(0).get(&fleet.key(0)).is_none_or(|held| *held < now), "nothing passes it by");
+        assert!(
+            fleet
+                .held(0)
+                .get(&fleet.key(0))
+                .is_none_or(|held| *held < now),
+            "nothing passes it by"
+        );
         fleet.befall(&Fault::Heal);
         fleet.judge().unwrap();
     }
@@ -108,7 +141,11 @@
     for (class, credit) in [(0, 1.0), (1, 9.0), (2, 3.0)] {
         settings["request_classes"][class]["credit"] = json!(credit);
     }
-    Set { settings, recovery: recovery.then(|| json!({"ask_ms": 1500, "together_s": 2})), ..Set::default() }
+    Set {
+        settings,
+        recovery: recovery.then(|| json!({"ask_ms": 1500, "together_s": 2})),
+        ..Set::default()
+    }
 }
 
 /// What `bitternsill fleet phase` says of each gatherer.
@@ -122,40 +159,56 @@
 }
 
 fn are_in(fleet: &Fleet, wanted: &str) -> bool {
-    phases(fleet).iter().all(|said| said["answer"]["phase"] == wanted)
+    phases(fleet)
+        .iter()
+        .all(|said| said["answer"]["phase"] == wanted)
 }
 
-/// Before, each took every client at once and knew nothing; one that had been away alone is not held up by the rule.
+/// Before, each took every client at once and knew nothing; one that had been away alone is not
+/// held up by the rule.
 #[test]
 fn all_that_return_together_ramp_up_by_worth_and_one_that_was_away_alone_serves_at_once() {
     let mut fleet = Fleet::with("returns", 3, warming(true));
     eventually("all return", || are_in(&fleet, "returning"));
     let why = phases(&fleet)[0]["answer"]["why"].to_string();
     assert!(why.contains("started with this gatherer"), "{why}");
-    // At a fifth of what the hosts bear warm, three fifths of the dearest class of three, and none of the least.
+    // At a fifth of what the hosts bear warm, three fifths of the dearest class of three, and none
+    // of the least.
     let socket = || TcpStream::connect(fleet.fronts[0]).unwrap();
     let ask = |class: &str| {
         let mut socket = socket();
-        socket.write_all(query("x", class, &[0], "Connection: close\r\n").as_bytes()).unwrap();
+        socket
+            .write_all(query("x", class, &[0], "Connection: close\r\n").as_bytes())
+            .unwrap();
         read_response(&mut socket)
     };
     let least = ask("search");
-    assert!(least.starts_with("HTTP/1.1 503") && least.contains("Retry-After: "), "{least}");
-    eventually("some of the dearest are taken", || ask("page").starts_with("HTTP/1.1 200"));
+    assert!(
+        least.starts_with("HTTP/1.1 503") && least.contains("Retry-After: "),
+        "{least}"
+    );
+    eventually("some of the dearest are taken", || {
+        ask("page").starts_with("HTTP/1.1 200")
+    });
     eventually("full service", || are_in(&fleet, "full"));
     assert!(ask("search").starts_with("HTTP/1.1 200"));
     fleet.settle().unwrap();
     let one = BTreeSet::from([2]);
     fleet.befall(&Fault::PowerOff(one.clone()));
     fleet.befall(&Fault::PowerOn(one));
-    eventually("it is back", || phases(&fleet)[2]["answer"]["ready"] == true);
+    eventually("it is back", || {
+        phases(&fleet)[2]["answer"]["ready"] == true
+    });
     let said = &phases(&fleet)[2]["answer"];
-    assert!(said["phase"] == "full" && said["why"].to_string().contains("alone was away"), "{said}");
+    assert!(
+        said["phase"] == "full" && said["why"].to_string().contains("alone was away"),
+        "{said}"
+    );
     fleet.judge().unwrap();
 }
 
-/// Power is lost again while all ask, while they have no list, and while they ramp up; half of them come back late, and one
-/// never: the others wait for nobody longer than they say.
+/// Power is lost again while all ask, while they have no list, and while they ramp up; half of them
+/// come back late, and one never: the others wait for nobody longer than they say.
 #[test]
 fn power_lost_again_in_each_phase_and_one_that_never_returns_keep_nobody_waiting() {
     let mut fleet = Fleet::with("again", 5, warming(true));
@@ -163,8 +216,13 @@
     let all = BTreeSet::from([0, 1, 2, 3, 4]);
     for phase in ["asking", "returning"] {
         fleet.befall(&Fault::PowerOff(all.clone()));
-        // Asking lasts until all have answered: one that is away keeps the others at it until its time is over.
-        let back = if phase == "asking" { BTreeSet::from([0, 1, 2, 3]) } else { all.clone() };
+        // Asking lasts until all have answered: one that is away keeps the others at it until its
+        // time is over.
+        let back = if phase == "asking" {
+            BTreeSet::from([0, 1, 2, 3])
+        } else {
+            all.clone()
+        };
         fleet.befall(&Fault::PowerOn(back.clone()));
         eventually(phase, || phases(&fleet)[0]["answer"]["phase"] == phase);
         fleet.befall(&Fault::PowerOff(back));
@@ -172,15 +230,17 @@
     fleet.befall(&Fault::PowerOn(BTreeSet::from([1, 2])));
     fleet.befall(&Fault::PowerOn(BTreeSet::from([3])));
     let three = |wanted: &str| (1..4).all(|at| phases(&fleet)[at]["answer"]["phase"] == wanted);
-    eventually("three of five return", || three("returning") || three("full"));
+    eventually("three of five return", || {
+        three("returning") || three("full")
+    });
     let log = std::fs::read_to_string(fleet.files[1].with_extension("log")).unwrap();
     assert!(log.contains("peers did not answer in time"), "{log}");
     fleet.befall(&Fault::PowerOn(BTreeSet::from([0, 4])));
     fleet.judge().unwrap();
 }
 
-/// Discovery is dead as power returns, and each gatherer has only the list from before. Before, all index hosts of that list
-/// were held to be warm, and met everything at once.
+/// Discovery is dead as power returns, and each gatherer has only the list from before. Before, all
+/// index hosts of that list were held to be warm, and met everything at once.
 #[test]
 fn with_discovery_dead_hosts_of_the_list_from_before_get_a_cold_hosts_share() {
     let sent = [true, false].map(|recovery| {
@@ -188,16 +248,24 @@
         // Warm for good as far as the list from before says.
         set.known = true;
         set.settings["guarantees"]["ramp_time"] = json!(30_000_000_000u64);
-        // The dearest of three classes is taken whole; what bounds it is what a cold host is told to bear.
+        // The dearest of three classes is taken whole; what bounds it is what a cold host is told
+        // to bear.
         set.settings["guarantees"]["start_capacity"] = json!(0.4);
-        // So little that a machine on which queries follow each other slowly asks for many times as much.
+        // So little that a machine on which queries follow each other slowly asks for many times as
+        // much.
         set.settings["guarantees"]["tip_multiple"] = json!(0.05);
         set.settings["request_classes"][1]["target"] = json!(400_000_000u64);
         let mut fleet = Fleet::with(if recovery { "cold" } else { "warm" }, 3, set);
         fleet.counter.mute.store(true, Ordering::SeqCst);
         let all = BTreeSet::from([0, 1, 2]);
         fleet.befall(&Fault::PowerOff(all.clone()));
-        let seen = |fleet: &Fleet| fleet.hosts.iter().map(|host| host.seen().len()).sum::<usize>();
+        let seen = |fleet: &Fleet| {
+            fleet
+                .hosts
+                .iter()
+                .map(|host| host.seen().len())
+                .sum::<usize>()
+        };
         let before = seen(&fleet);
         *fleet.asked.lock().unwrap() = Asked::default();
         fleet.befall(&Fault::PowerOn(all));
@@ -217,19 +285,26 @@
 /// For how long a client waits in all, its repeats included.
 const PATIENCE: Duration = Duration::from_secs(3);
 
-/// One query with its repeats, as a client sends it: each says how long the client waits still. When it began and, if it was,
-/// when it was answered whole.
+/// One query with its repeats, as a client sends it: each says how long the client waits still.
+/// When it began and, if it was, when it was answered whole.
 fn try_three_times(fronts: &[SocketAddr], number: usize, class: &str) -> Option<Duration> {
     let begun = Instant::now();
     for again in 0..3 {
-        let left = PATIENCE.checked_sub(begun.elapsed()).filter(|left| *left > Duration::from_millis(10))?;
+        let left = PATIENCE
+            .checked_sub(begun.elapsed())
+            .filter(|left| *left > Duration::from_millis(10))?;
         let front = fronts[(number + again) % fronts.len()];
         let answer = (|| {
             let mut socket = TcpStream::connect_timeout(&front, Duration::from_millis(300))?;
             socket.set_read_timeout(Some(left))?;
             let more = if again == 0 { "" } else { "X-Again: 1\r\n" };
             let more = format!("{more}Connection: close\r\n");
-            let text = query(&format!("m{number}-{again}"), class, &[number as u32 % 3], &more);
+            let text = query(
+                &format!("m{number}-{again}"),
+                class,
+                &[number as u32 % 3],
+                &more,
+            );
             let budget = format!("X-Budget: {:.3}", left.as_secs_f64());
             socket.write_all(text.replace("X-Budget: 3.0", &budget).as_bytes())?;
             let mut answer = String::new();
@@ -240,7 +315,9 @@
         if answer.starts_with("HTTP/1.1 200") {
             return Some(begun.elapsed());
         }
-        let told = answer.lines().find_map(|line| line.strip_prefix("Retry-After: ")?.parse::<f64>().ok());
+        let told = answer
+            .lines()
+            .find_map(|line| line.strip_prefix("Retry-After: ")?.parse::<f64>().ok());
         thread::sleep(Duration::from_secs_f64(told.unwrap_or(0.1).min(3.0)));
     }
     None
@@ -258,7 +335,10 @@
 
 /// Queries at six tenths of what three warm hosts can do, for so long; what came of them.
 fn load(fronts: &[SocketAddr], seed: u64, length: Duration) -> Vec<Played> {
-    let (mut rng, rate) = (fastrand::Rng::with_seed(seed), 0.6 * 3.0 / WORK.as_secs_f64());
+    let (mut rng, rate) = (
+        fastrand::Rng::with_seed(seed),
+        0.6 * 3.0 / WORK.as_secs_f64(),
+    );
     let (begun, mut at, mut number, mut clients) = (Instant::now(), 0.0, 0, Vec::new());
     while at < length.as_secs_f64() {
         at += -(1.0 - rng.f64()).ln() / rate;
@@ -271,7 +351,10 @@
             (class, since, try_three_times(&fronts, number, class))
         }));
     }
-    clients.into_iter().map(|client| client.join().unwrap()).collect()
+    clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .collect()
 }
 
 /// A fleet that has served warm hosts for a while, and loses power with all of them.
@@ -289,21 +372,34 @@
     (set.known, set.warmth, set.learning) = (true, Some(warmth.clone()), rule);
     set.recovery = rule.then(|| json!({"ask_ms": 1000, "together_s": 30}));
     let mut fleet = Fleet::with(&format!("measure{seed}"), count, set);
-    eventually("all serve", || fleet.fronts.iter().all(|front| TcpStream::connect(front).is_ok()));
+    eventually("all serve", || {
+        fleet
+            .fronts
+            .iter()
+            .all(|front| TcpStream::connect(front).is_ok())
+    });
     load(&fleet.fronts, seed, Duration::from_secs(6));
     fleet.counter.mute.store(mute, Ordering::SeqCst);
     fleet.blackout();
     let length = Duration::from_secs(30);
     let results = load(&fleet.fronts, seed + 1000, length);
-    let whole = |took: &Option<Duration>| took.is_some_and(|took| took <= Duration::from_millis(1_500));
+    let whole =
+        |took: &Option<Duration>| took.is_some_and(|took| took <= Duration::from_millis(1_500));
     let share = |of: &dyn Fn(&&Played) -> bool| {
         let of: Vec<_> = results.iter().filter(of).collect();
         of.iter().filter(|(.., took)| whole(took)).count() as f64 / of.len().max(1) as f64
     };
-    let late = results.iter().filter(|(.., took)| took.is_some() && !whole(took)).count();
+    let late = results
+        .iter()
+        .filter(|(.., took)| took.is_some() && !whole(took))
+        .count();
     fleet.clear();
     Figures {
-        first: results.iter().filter_map(|(_, at, took)| Some(*at + (*took)?)).min().unwrap_or(length),
+        first: results
+            .iter()
+            .filter_map(|(_, at, took)| Some(*at + (*took)?))
+            .min()
+            .unwrap_or(length),
         ninety: (0..length.as_secs()).find(|n| share(&|result| result.1.as_secs() == *n) >= 0.9),
         late: late as f64 / results.len() as f64,
         share: share(&|_| true),
@@ -320,13 +416,15 @@
     (mean, t.unwrap_or(&2.0) * spread / n.sqrt())
 }
 
-/// Measures the first 30 s after power returned to gatherers and index hosts, with the return by rule and what was learned
-/// before, and without both: `FLEET_MEASURE=3x10 cargo test --release -p bitternsill --test fleet_recovery measure -- --nocapture`
-/// plays three gatherers with ten seeds; with `FLEET_MUTE=1` discovery says nothing from then on. Without the first it does
-/// nothing.
+/// Measures the first 30 s after power returned to gatherers and index hosts, with the return by
+/// rule and what was learned before, and without both: `FLEET_MEASURE=3x10 cargo test --release -p
+/// bitternsill --test fleet_recovery measure -- --nocapture` plays three gatherers with ten seeds;
+/// with `FLEET_MUTE=1` discovery says nothing from then on. Without the first it does nothing.
 #[test]
 fn measure_the_return_of_a_fleet() {
-    let Some(wanted) = std::env::var("FLEET_MEASURE").ok() else { return };
+    let Some(wanted) = std::env::var("FLEET_MEASURE").ok() else {
+        return;
+    };
     let (count, seeds) = wanted.split_once('x').expect("COUNTxSEEDS");
     let (count, seeds): (usize, u64) = (count.parse().unwrap(), seeds.parse().unwrap());
     let mute = std::env::var_os("FLEET_MUTE").is_some();
--- a/bitternsill/tests/fleet_versions.rs
+++ b/bitternsill/tests/fleet_versions.rs
@@ -1,6 +1,7 @@
-//! Versions of the configuration over a fleet of several programs, with links cut, processes that stand still, power and trails
-//! lost: who acted on which version, and how a straggler is brought up or stops by itself. `VERSIONS_SEEDS=200 cargo test
-//! --release -p bitternsill --test fleet_versions days -- --nocapture` plays as many days.
+//! Versions of the configuration over a fleet of several programs, with links cut, processes that
+//! stand still, power and trails lost: who acted on which version, and how a straggler is brought
+//! up or stops by itself. `VERSIONS_SEEDS=200 cargo test --release -p bitternsill --test
+//! fleet_versions days -- --nocapture` plays as many days.
 
 mod common;
 
@@ -22,39 +23,63 @@
     *fleet.asked.lock().unwrap() = Asked::default();
     configure(&fleet, "extra", &[1]);
     let (version, keepers) = activate(&fleet, &[2]).unwrap();
-    assert_eq!(keepers.len(), 2, "a third of three, and no less than a share says");
-    eventually("all serve the new class", || (0..3).all(|at| serves(&fleet, at, "extra")));
+    assert_eq!(
+        keepers.len(),
+        2,
+        "a third of three, and no less than a share says"
+    );
+    eventually("all serve the new class", || {
+        (0..3).all(|at| serves(&fleet, at, "extra"))
+    });
     // One that cannot be used is named by everybody, and nothing changes.
     let mut wrong = with_class("other");
     wrong["limits"]["max_attempts"] = json!(2.5);
-    let (text, done) = fleet.call(&["configure", file(&fleet, "wrong", &wrong).to_str().unwrap()], &[0]);
+    let (text, done) = fleet.call(
+        &["configure", file(&fleet, "wrong", &wrong).to_str().unwrap()],
+        &[0],
+    );
     assert!(!done, "{text}");
     let second = configure(&fleet, "second", &[0]);
     let (differs, _) = fleet.call(&["diff"], &[1]);
     assert!(differs.contains("becomes"), "{differs}");
     activate(&fleet, &[0]).unwrap();
-    eventually("all serve the second", || (0..3).all(|at| serves(&fleet, at, "second")));
+    eventually("all serve the second", || {
+        (0..3).all(|at| serves(&fleet, at, "second"))
+    });
     eventually("the first is over", || !serves(&fleet, 0, "extra"));
     // Back to the first, as a version of its own.
     let first = fleet.call(&["versions", "--json"], &[0]).0;
     assert!(first.contains(&second.to_string()), "{first}");
     let (text, done) = fleet.call(&["hold", "g1"], &[0]);
     assert!(done, "{text}");
-    eventually("one is held back", || ask(&fleet, 1, "page").as_deref() == Some("503"));
+    eventually("one is held back", || {
+        ask(&fleet, 1, "page").as_deref() == Some("503")
+    });
     assert!(fleet.call(&["release", "g1"], &[2]).1);
     eventually("and released", || serves(&fleet, 1, "page"));
     let (text, sound) = audit(&fleet);
-    assert!(sound && text.contains(&format!("version {version} from")), "{text}");
+    assert!(
+        sound && text.contains(&format!("version {version} from")),
+        "{text}"
+    );
     let page = std::env::temp_dir().join(format!("bitternsill-audit-{}.html", std::process::id()));
-    assert!(fleet.call(&["audit", "--html", page.to_str().unwrap()], &[0, 1, 2]).1);
+    assert!(
+        fleet
+            .call(&["audit", "--html", page.to_str().unwrap()], &[0, 1, 2])
+            .1
+    );
     let text = std::fs::read_to_string(&page).unwrap();
-    assert!(text.contains("<svg") && (0..3).all(|at| text.contains(&format!(">g{at}</text>"))), "{text}");
+    assert!(
+        text.contains("<svg") && (0..3).all(|at| text.contains(&format!(">g{at}</text>"))),
+        "{text}"
+    );
     let asked = *fleet.asked.lock().unwrap();
     assert!(asked.closed == 0 && asked.whole > 100, "{asked:?}");
 }
 
-/// One is cut off before it could prepare: the activation names it, and can leave it out only once it has stopped by itself.
-/// Cut one way it is no better off: it hears and is not heard, or is heard and hears nothing.
+/// One is cut off before it could prepare: the activation names it, and can leave it out only once
+/// it has stopped by itself. Cut one way it is no better off: it hears and is not heard, or is
+/// heard and hears nothing.
 #[test]
 fn a_gatherer_that_is_cut_off_is_named_and_has_stopped_by_itself_before_it_can_be_left_out() {
     for (name, ways) in [
@@ -71,27 +96,38 @@
         // It has stopped meanwhile, or does so by its own clock.
         assert!(fleet.call(&["leave-out", &format!("g{out}")], &rest).1);
         let (_, keepers) = activate(&fleet, &rest).unwrap();
-        assert!(!serves(&fleet, out, "first"), "{name}: it serves under what has ended");
+        assert!(
+            !serves(&fleet, out, "first"),
+            "{name}: it serves under what has ended"
+        );
         assert!(stands(&fleet, out, "shut out"));
         assert!(!keepers.contains(&format!("g{out}")));
-        eventually("the others serve the second", || rest.iter().all(|at| serves(&fleet, *at, "second")));
+        eventually("the others serve the second", || {
+            rest.iter().all(|at| serves(&fleet, *at, "second"))
+        });
         fleet.heal();
-        eventually("it is brought up", || stands(&fleet, out, "current") && serves(&fleet, out, "second"));
+        eventually("it is brought up", || {
+            stands(&fleet, out, "current") && serves(&fleet, out, "second")
+        });
         let (text, sound) = audit(&fleet);
         assert!(sound, "{text}");
     }
 }
 
-/// A process that stands still over a switch takes nothing under the former version from its first turn on, though a query
-/// has waited for it all the while.
+/// A process that stands still over a switch takes nothing under the former version from its first
+/// turn on, though a query has waited for it all the while.
 #[test]
 fn a_process_that_slept_over_a_switch_takes_nothing_under_what_has_ended() {
     let (mut fleet, _, out) = with_a_version("slept-over");
     let rest: Vec<usize> = (0..3).filter(|at| *at != out).collect();
     fleet.befall(&Fault::Stop(out));
     let mut waits = TcpStream::connect(fleet.fronts[out]).unwrap();
-    waits.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    waits.write_all(query("asleep", "first", &[0], "Connection: close\r\n").as_bytes()).unwrap();
+    waits
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
+    waits
+        .write_all(query("asleep", "first", &[0], "Connection: close\r\n").as_bytes())
+        .unwrap();
     configure(&fleet, "second", &rest);
     assert!(fleet.call(&["leave-out", &format!("g{out}")], &rest).1);
     activate(&fleet, &rest).unwrap();
@@ -103,11 +139,14 @@
     assert!(sound, "{text}");
 }
 
-/// The store has no majority: whoever was to go on without does, another stops by itself, and all are current again after.
+/// The store has no majority: whoever was to go on without does, another stops by itself, and all
+/// are current again after.
 #[test]
 fn without_a_store_the_least_share_stays_in_service_and_says_so() {
     let (mut fleet, keepers, other) = with_a_version("storeless");
-    let keeper = (0..3).find(|at| keepers.contains(&format!("g{at}"))).unwrap();
+    let keeper = (0..3)
+        .find(|at| keepers.contains(&format!("g{at}")))
+        .unwrap();
     for (alone, wanted) in [(keeper, "kept"), (other, "shut out")] {
         let off: BTreeSet<usize> = (0..3).filter(|at| *at != alone).collect();
         fleet.befall(&Fault::PowerOff(off.clone()));
@@ -117,10 +156,14 @@
         fleet.befall(&Fault::PowerOff(BTreeSet::from([alone])));
         fleet.befall(&Fault::PowerOn(BTreeSet::from([alone])));
         if wanted == "kept" {
-            eventually("it goes on by its own file", || serves(&fleet, alone, "first"));
+            eventually("it goes on by its own file", || {
+                serves(&fleet, alone, "first")
+            });
         }
         fleet.befall(&Fault::PowerOn(off));
-        eventually("all are current", || current(&fleet) && (0..3).all(|at| serves(&fleet, at, "first")));
+        eventually("all are current", || {
+            current(&fleet) && (0..3).all(|at| serves(&fleet, at, "first"))
+        });
     }
     let (text, sound) = audit(&fleet);
     assert!(sound && text.contains("kept in service"), "{text}");
@@ -143,11 +186,14 @@
     eventually("all are current", || current(&fleet));
     let (text, sound) = audit(&fleet);
     assert!(!sound && text.matches("NOT KNOWN").count() == 2, "{text}");
-    assert!(text.contains("does not follow from those before it"), "{text}");
+    assert!(
+        text.contains("does not follow from those before it"),
+        "{text}"
+    );
 }
 
-/// One day: rollouts one after the other while power, links and processes fail. In the end all run one version, and nothing
-/// was done under one that had ended.
+/// One day: rollouts one after the other while power, links and processes fail. In the end all run
+/// one version, and nothing was done under one that had ended.
 fn play(seed: u64) -> Result<u32, String> {
     let count = 3;
     let mut fleet = Fleet::with(&format!("versions{seed}"), count, set());
@@ -164,15 +210,30 @@
         }
         if number % 3 == 0 {
             let path = file(&fleet, "day", &with_class(&format!("class{number}")));
-            let words = ["configure", path.to_str().unwrap(), "--least", "0.34", "--patience", "600"];
+            let words = [
+                "configure",
+                path.to_str().unwrap(),
+                "--least",
+                "0.34",
+                "--patience",
+                "600",
+            ];
             fleet.call(&words, &all);
-        } else if number % 3 == 1 && fleet.call(&["activate", "--wait", "300", "--patience", "600"], &all).1 {
+        } else if number % 3 == 1
+            && fleet
+                .call(&["activate", "--wait", "300", "--patience", "600"], &all)
+                .1
+        {
             made += 1;
         }
     }
     let until = Instant::now() + Duration::from_secs(30);
     // An activation whose caller gave up may yet be made: all have to be one after that.
-    let runs = || all.iter().map(|at| version(&fleet, *at)["runs"].as_u64()).collect::<BTreeSet<_>>();
+    let runs = || {
+        all.iter()
+            .map(|at| version(&fleet, *at)["runs"].as_u64())
+            .collect::<BTreeSet<_>>()
+    };
     while !(current(&fleet) && runs().len() == 1) {
         if Instant::now() > until {
             let said: Vec<Value> = all.iter().map(|at| version(&fleet, *at)).collect();
@@ -180,13 +241,23 @@
         }
     }
     let (text, _) = audit(&fleet);
-    if text.contains("WRONG") || text.contains("no trail") { Err(text) } else { Ok(made) }
+    if text.contains("WRONG") || text.contains("no trail") {
+        Err(text)
+    } else {
+        Ok(made)
+    }
 }
 
 #[test]
 fn days_of_rollouts_under_faults_end_with_one_version_and_no_act_under_an_ended_one() {
-    let seeds = std::env::var("VERSIONS_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(2);
-    let first = std::env::var("VERSIONS_FIRST").ok().and_then(|n| n.parse().ok()).unwrap_or(0);
+    let seeds = std::env::var("VERSIONS_SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(2);
+    let first = std::env::var("VERSIONS_FIRST")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0);
     let mut made = 0;
     for seed in first..first + seeds {
         made += play(seed).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
@@ -198,28 +269,46 @@
 fn processor_time(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let behind = stat.rsplit(") ").next().unwrap();
-    let ticks: Vec<u64> = behind.split(' ').skip(11).take(2).map(|n| n.parse().unwrap()).collect();
+    let ticks: Vec<u64> = behind
+        .split(' ')
+        .skip(11)
+        .take(2)
+        .map(|n| n.parse().unwrap())
+        .collect();
     (ticks[0] + ticks[1]) as f64 / 100.0
 }
 
-/// Measures what versions and trail cost queries, on against off in turn: `VERSIONS_COST=3 cargo test --release -p bitternsill
-/// --test fleet_versions measure -- --nocapture` plays three rounds of each. Without that it does nothing.
+/// Measures what versions and trail cost queries, on against off in turn: `VERSIONS_COST=3 cargo
+/// test --release -p bitternsill --test fleet_versions measure -- --nocapture` plays three rounds
+/// of each. Without that it does nothing.
 #[test]
 fn measure_what_versions_and_trail_cost() {
-    let Some(rounds) = std::env::var("VERSIONS_COST").ok().and_then(|n| n.parse::<u32>().ok()) else {
+    let Some(rounds) = std::env::var("VERSIONS_COST")
+        .ok()
+        .and_then(|n| n.parse::<u32>().ok())
+    else {
         return;
     };
-    println!("versions: queries, p50 and p99 in us, processor time a query in us, bytes of trail an hour");
+    println!(
+        "versions: queries, p50 and p99 in us, processor time a query in us, bytes of trail an hour"
+    );
     for round in 0..2 * rounds {
         let on = (round / 2 + round) % 2 == 0;
         let mut set = set();
-        set.versions = if on { Some(json!({"validity_ms": 10_000})) } else { None };
+        set.versions = if on {
+            Some(json!({"validity_ms": 10_000}))
+        } else {
+            None
+        };
         let fleet = Fleet::with(&format!("cost{round}"), 3, set);
         eventually("it serves", || serves(&fleet, 0, "page"));
         // The rig's own clients are not measured, and load all alike.
         let pid = fleet.programs[0].as_ref().unwrap().child.id();
-        let (mut took, begun, before) =
-            (hdrhistogram::Histogram::<u64>::new(3).unwrap(), Instant::now(), processor_time(pid));
+        let (mut took, begun, before) = (
+            hdrhistogram::Histogram::<u64>::new(3).unwrap(),
+            Instant::now(),
+            processor_time(pid),
+        );
         let answered = fleet.asked.lock().unwrap().whole;
         while begun.elapsed() < Duration::from_secs(8) {
             let at = Instant::now();
@@ -229,9 +318,13 @@
         // A third of the rig's clients ask this gatherer.
         let queries = took.len() + u64::from(fleet.asked.lock().unwrap().whole - answered) / 3;
         let used = (processor_time(pid) - before) / queries as f64 * 1e6;
-        let trail = std::fs::metadata(fleet.trail(0).join("g0.000000.trail")).map_or(0, |file| file.len());
+        let trail =
+            std::fs::metadata(fleet.trail(0).join("g0.000000.trail")).map_or(0, |file| file.len());
         let hour = trail as f64 / begun.elapsed().as_secs_f64() * 3600.0;
         let (p50, p99) = (took.value_at_quantile(0.5), took.value_at_quantile(0.99));
-        println!("{}: {queries}, {p50}, {p99}, {used:.0}, {hour:.0}", if on { "on " } else { "off" });
+        println!(
+            "{}: {queries}, {p50}, {p99}, {used:.0}, {hour:.0}",
+            if on { "on " } else { "off" }
+        );
     }
 }
--- a/bitternsill/tests/learned.rs
+++ b/bitternsill/tests/learned.rs
@@ -1,5 +1,5 @@
-//! Stories on what is learned and kept: restarts, kills at each step and at any moment, spoilt folders, slow and full
-//! disks, wrong memories.
+//! Stories on what is learned and kept: restarts, kills at each step and at any moment, spoilt
+//! folders, slow and full disks, wrong memories.
 
 mod common;
 
@@ -23,7 +23,11 @@
 
 impl Temporary {
     fn new() -> Temporary {
-        let name = format!("learned-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "learned-{}-{}",
+            std::process::id(),
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path).unwrap();
         Temporary(path)
@@ -37,22 +41,34 @@
 }
 
 fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64
 }
 
 fn picture(number: u64) -> Picture {
-    let fleet = Fleet { classes: vec!["search".into()], cells: 3, reach: 2 };
-    Picture { taken: number, ..Picture::new(fleet) }
+    let fleet = Fleet {
+        classes: vec!["search".into()],
+        cells: 3,
+        reach: 2,
+    };
+    Picture {
+        taken: number,
+        ..Picture::new(fleet)
+    }
 }
 
-/// Opens a folder. The lock of a process that was killed may take a moment to go, and other stories' children hold
-/// every descriptor of this process for a moment when they start.
+/// Opens a folder. The lock of a process that was killed may take a moment to go, and other
+/// stories' children hold every descriptor of this process for a moment when they start.
 fn open(folder: &Path) -> Folder {
     let start = Instant::now();
     loop {
         match Folder::open(folder) {
             Ok(folder) => return folder,
-            Err(FolderError::Locked) if start.elapsed() < Duration::from_secs(5) => std::thread::yield_now(),
+            Err(FolderError::Locked) if start.elapsed() < Duration::from_secs(5) => {
+                std::thread::yield_now()
+            }
             Err(problem) => panic!("{problem}"),
         }
     }
@@ -65,10 +81,15 @@
 /// Not a story: the process that is killed in the middle of a write, started by the one below.
 #[test]
 fn child_that_writes_and_dies() {
-    let Ok(folder) = std::env::var("LEARNED_CHILD") else { return };
+    let Ok(folder) = std::env::var("LEARNED_CHILD") else {
+        return;
+    };
     let die_at: usize = std::env::var("LEARNED_DIE_AT").unwrap().parse().unwrap();
     let folder = open(Path::new(&folder));
-    let next = folder.load().picture.map_or(1, |(picture, ..)| picture.taken + 1);
+    let next = folder
+        .load()
+        .picture
+        .map_or(1, |(picture, ..)| picture.taken + 1);
     let mut seen = 0;
     folder
         .write(&file::encode(&picture(next)).unwrap(), |_| {
@@ -81,8 +102,9 @@
         .unwrap();
 }
 
-/// Hard case 1. Killed before each system call of a write, and in the middle of one, over folders with 0 to 4
-/// generations: what is read is the last whole picture, or the new one, and never anything else.
+/// Hard case 1. Killed before each system call of a write, and in the middle of one, over folders
+/// with 0 to 4 generations: what is read is the last whole picture, or the new one, and never
+/// anything else.
 #[test]
 fn a_write_that_is_killed_at_any_step_leaves_the_last_picture_or_the_new_one() {
     for written in 0..5u64 {
@@ -91,10 +113,16 @@
             let folder = Temporary::new();
             for number in 1..=written {
                 let open = open(&folder.0);
-                open.write(&file::encode(&picture(number)).unwrap(), |_| {}).unwrap();
+                open.write(&file::encode(&picture(number)).unwrap(), |_| {})
+                    .unwrap();
             }
             let status = Command::new(std::env::current_exe().unwrap())
-                .args(["--exact", "child_that_writes_and_dies", "--test-threads", "1"])
+                .args([
+                    "--exact",
+                    "child_that_writes_and_dies",
+                    "--test-threads",
+                    "1",
+                ])
                 .env("LEARNED_CHILD", &folder.0)
                 .env("LEARNED_DIE_AT", die_at.to_string())
                 .stdout(std::process::Stdio::null())
@@ -108,7 +136,8 @@
             );
             // The next process writes on, over whatever was left beside.
             let open = open(&folder.0);
-            open.write(&file::encode(&picture(99)).unwrap(), |_| {}).unwrap();
+            open.write(&file::encode(&picture(99)).unwrap(), |_| {})
+                .unwrap();
             assert_eq!(open.load().picture.map(|(p, ..)| p.taken), Some(99));
             assert!(open.generations().unwrap().len() <= steps::KEPT + 1);
             if status.success() {
@@ -120,7 +149,8 @@
     }
 }
 
-/// Three cells in a ring; the hosts answer after so many milliseconds, and count what comes to them.
+/// Three cells in a ring; the hosts answer after so many milliseconds, and count what comes to
+/// them.
 fn hosts(delays: [u64; 3]) -> (Vec<FrameHost>, Vec<Arc<AtomicUsize>>) {
     let counts: Vec<Arc<AtomicUsize>> = (0..3).map(|_| Arc::default()).collect();
     let host = |(delay, count): (u64, &Arc<AtomicUsize>)| {
@@ -137,10 +167,25 @@
 
 fn start(shell: &str, hosts: Vec<FrameHost>, folder: &Path) -> Platform {
     let file = folder.with_extension("json");
-    std::fs::write(&file, json!({"learning": {"folder": folder, "period_ms": 100}}).to_string()).unwrap();
-    let targets = hosts.iter().enumerate().map(|(i, h)| target(i, h.address, "active")).collect();
+    std::fs::write(
+        &file,
+        json!({"learning": {"folder": folder, "period_ms": 100}}).to_string(),
+    )
+    .unwrap();
+    let targets = hosts
+        .iter()
+        .enumerate()
+        .map(|(i, h)| target(i, h.address, "active"))
+        .collect();
     let more = ["--operator".to_owned(), file.display().to_string()];
-    Platform::start_in(shell, settings(), hosts, Discovery::start(targets), 256, &more)
+    Platform::start_in(
+        shell,
+        settings(),
+        hosts,
+        Discovery::start(targets),
+        256,
+        &more,
+    )
 }
 
 /// Asks for slice 0, which the first two hosts hold, one query after the other.
@@ -176,7 +221,8 @@
     let folder = Temporary::new();
     let (slow, _) = hosts([120, 1, 1]);
     let platform = start("true", slow, &folder.0);
-    // Over two seconds, as the module lets a host that was slow a moment ago rest before it is tried again.
+    // Over two seconds, as the module lets a host that was slow a moment ago rest before it is
+    // tried again.
     for n in 0..130 {
         ask(&platform, n, 1);
         std::thread::sleep(Duration::from_millis(15));
@@ -185,9 +231,14 @@
     let kept = show(&folder.0);
     let slowness = |uid: &str| {
         let all = kept["hosts"].as_array().unwrap();
-        all.iter().find(|h| h["host"] == uid).and_then(|h| h["slowness"][1].as_f64())
+        all.iter()
+            .find(|h| h["host"] == uid)
+            .and_then(|h| h["slowness"][1].as_f64())
     };
-    assert!(slowness("s-0") > Some(2.0) && slowness("s-1") < Some(2.0), "{kept:#}");
+    assert!(
+        slowness("s-0") > Some(2.0) && slowness("s-1") < Some(2.0),
+        "{kept:#}"
+    );
     assert_eq!(kept["classes"][1]["class"], "page");
     let (slow, counts) = hosts([120, 1, 1]);
     let platform = start("true", slow, &folder.0);
@@ -226,13 +277,29 @@
         tries: (2e6, 5e6),
         weight: 96.0,
     };
-    let fleet = Fleet { classes: classes.map(str::to_owned).to_vec(), cells: 3, reach: 2 };
-    let hosts = (0..3).map(|n| (Arc::from(format!("s-{n}").as_str()), memory(slowness[n], taken))).collect();
-    Picture { fleet, taken, classes: classes.iter().map(class).collect(), hosts }
+    let fleet = Fleet {
+        classes: classes.map(str::to_owned).to_vec(),
+        cells: 3,
+        reach: 2,
+    };
+    let hosts = (0..3)
+        .map(|n| {
+            (
+                Arc::from(format!("s-{n}").as_str()),
+                memory(slowness[n], taken),
+            )
+        })
+        .collect();
+    Picture {
+        fleet,
+        taken,
+        classes: classes.iter().map(class).collect(),
+        hosts,
+    }
 }
 
-/// Hard case 3. A memory that says the contrary of what answers say, fresh or three days old: within twenty queries the
-/// answers have won.
+/// Hard case 3. A memory that says the contrary of what answers say, fresh or three days old:
+/// within twenty queries the answers have won.
 #[test]
 fn answers_win_against_a_wrong_memory() {
     for age in [0, 3 * 86_400_000] {
@@ -256,19 +323,26 @@
     }
 }
 
-/// Hard case 1. Killed at any moment under load: what is read is sound, and never older than two periods.
+/// Hard case 1. Killed at any moment under load: what is read is sound, and never older than two
+/// periods.
 #[test]
 fn a_program_that_is_killed_at_any_moment_leaves_a_picture_of_its_last_two_periods() {
     let folder = Temporary::new();
     let mut seed = 7u64;
-    // More by hand: LEARNED_ROUNDS=300 cargo test -p bitternsill --test learned killed_at_any_moment
-    let rounds = std::env::var("LEARNED_ROUNDS").ok().and_then(|n| n.parse().ok()).unwrap_or(12);
+    // More by hand: LEARNED_ROUNDS=300 cargo test -p bitternsill --test learned
+    // killed_at_any_moment
+    let rounds = std::env::var("LEARNED_ROUNDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(12);
     for round in 0..rounds {
         let (quick, _) = hosts([1, 1, 1]);
         let mut platform = start("true", quick, &folder.0);
         ask(&platform, 100 * round, 1);
         // Long enough for a first picture, and then any time within two periods.
-        seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        seed = seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         let until = Instant::now() + Duration::from_millis(230 + (seed >> 33) % 200);
         let mut n = 100 * round + 1;
         while Instant::now() < until {
@@ -285,7 +359,8 @@
     }
 }
 
-/// Hard case 2. A folder that is missing, is none, is in use or cannot be written: queries are served all the same.
+/// Hard case 2. A folder that is missing, is none, is in use or cannot be written: queries are
+/// served all the same.
 #[test]
 fn a_folder_that_cannot_be_used_keeps_nobody_from_being_served() {
     let folder = Temporary::new();
@@ -295,7 +370,10 @@
     assert!(matches!(Folder::open(&missing), Err(FolderError::Missing)));
     assert!(matches!(Folder::open(&file), Err(FolderError::NotAFolder)));
     // Nothing can be created there by anybody.
-    assert!(matches!(Folder::open(Path::new("/proc/self")), Err(FolderError::Lock(_))));
+    assert!(matches!(
+        Folder::open(Path::new("/proc/self")),
+        Err(FolderError::Lock(_))
+    ));
     let held = open(&folder.0);
     assert!(matches!(Folder::open(&folder.0), Err(FolderError::Locked)));
     for path in [&missing, &file, &folder.0] {
@@ -308,8 +386,9 @@
     assert_eq!(open(&folder.0).generations().unwrap(), [0u64; 0]);
 }
 
-/// Hard case 2. Links, zeros, truncations and other fleets' files among the generations: each is passed over with its
-/// reason, and the newest sound one is taken. What a link points to is never written.
+/// Hard case 2. Links, zeros, truncations and other fleets' files among the generations: each is
+/// passed over with its reason, and the newest sound one is taken. What a link points to is never
+/// written.
 #[test]
 fn unsound_generations_are_passed_over() {
     let folder = Temporary::new();
@@ -318,14 +397,26 @@
     std::fs::write(at(1), &sound).unwrap();
     std::fs::write(at(2), &sound[..sound.len() - 3]).unwrap();
     // As large as a disk may give, without a byte of it on the disk.
-    std::fs::File::create(at(3)).unwrap().set_len(100 << 20).unwrap();
+    std::fs::File::create(at(3))
+        .unwrap()
+        .set_len(100 << 20)
+        .unwrap();
     symlink(at(1), at(4)).unwrap();
     std::fs::create_dir(at(5)).unwrap();
     std::fs::write(at(6), b"").unwrap();
     let open = open(&folder.0);
     let found = open.load();
-    assert_eq!(found.picture.map(|(p, _, generation)| (p.taken, generation)), Some((7, 1)));
-    let reasons: Vec<u64> = found.unsound.iter().map(|(generation, _)| *generation).collect();
+    assert_eq!(
+        found
+            .picture
+            .map(|(p, _, generation)| (p.taken, generation)),
+        Some((7, 1))
+    );
+    let reasons: Vec<u64> = found
+        .unsound
+        .iter()
+        .map(|(generation, _)| *generation)
+        .collect();
     assert_eq!(reasons, [6, 5, 4, 3, 2]);
     let victim = folder.0.join("victim");
     std::fs::write(&victim, "precious").unwrap();
@@ -334,8 +425,8 @@
     assert_eq!(std::fs::read_to_string(&victim).unwrap(), "precious");
 }
 
-/// Hard case 2. A disk on which nothing more fits, and one that never answers: queries are served as before, and the
-/// program ends in its time.
+/// Hard case 2. A disk on which nothing more fits, and one that never answers: queries are served
+/// as before, and the program ends in its time.
 #[test]
 fn a_full_or_stuck_disk_holds_up_no_query_and_no_end() {
     // A file may have no byte more than none: each write fails as on a full disk.
@@ -347,51 +438,88 @@
     assert_eq!(newest(&full.0), None);
     // A pipe that nobody reads from: whoever opens it to write waits for ever.
     let stuck = Temporary::new();
-    assert!(Command::new("mkfifo").arg(stuck.0.join(steps::BESIDE)).status().unwrap().success());
+    assert!(
+        Command::new("mkfifo")
+            .arg(stuck.0.join(steps::BESIDE))
+            .status()
+            .unwrap()
+            .success()
+    );
     let (quick, _) = hosts([1, 1, 1]);
     let platform = start("true", quick, &stuck.0);
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_millis(600) {
         let asked = Instant::now();
         ask(&platform, 1000 + begin.elapsed().as_micros() as usize, 1);
-        assert!(asked.elapsed() < Duration::from_millis(400), "a query waited for the disk");
+        assert!(
+            asked.elapsed() < Duration::from_millis(400),
+            "a query waited for the disk"
+        );
     }
-    assert!(end(platform) < Duration::from_millis(4_500), "the end waited for the disk");
+    assert!(
+        end(platform) < Duration::from_millis(4_500),
+        "the end waited for the disk"
+    );
 }
 
-/// Starts a gatherer that remembers its first host as slow, and counts what of its first queries goes there.
+/// Starts a gatherer that remembers its first host as slow, and counts what of its first queries
+/// goes there.
 fn queries_to_the_remembered_host(count: usize, was_replaced: bool, delays: [u64; 3]) -> usize {
     let folder = Temporary::new();
     let open = open(&folder.0);
     let taken = now_ms();
-    open.write(&file::encode(&remembered(taken, [8.0, 1.0, 1.0])).unwrap(), |_| {}).unwrap();
+    open.write(
+        &file::encode(&remembered(taken, [8.0, 1.0, 1.0])).unwrap(),
+        |_| {},
+    )
+    .unwrap();
     drop(open);
     let (hosts, counts) = hosts(delays);
     let file = folder.0.with_extension("json");
     std::fs::write(&file, json!({"learning": {"folder": folder.0}}).to_string()).unwrap();
-    let mut targets: Vec<Value> =
-        hosts.iter().enumerate().map(|(i, h)| target(i, h.address, "active")).collect();
+    let mut targets: Vec<Value> = hosts
+        .iter()
+        .enumerate()
+        .map(|(i, h)| target(i, h.address, "active"))
+        .collect();
     if was_replaced {
         // The first host has started since.
         targets[0]["boot_ms"] = json!(taken - 60_000);
         targets[2]["uid"] = json!("s-new");
     }
     let more = ["--operator".to_owned(), file.display().to_string()];
-    let platform = Platform::start_in("true", settings(), hosts, Discovery::start(targets), 256, &more);
+    let platform = Platform::start_in(
+        "true",
+        settings(),
+        hosts,
+        Discovery::start(targets),
+        256,
+        &more,
+    );
     ask(&platform, 0, count);
     counts[0].load(Ordering::SeqCst)
 }
 
-/// Hard case 4. A deploy that replaces the gatherer and the hosts at once: new hosts are not held to be what the old ones
-/// were, by their names or by their starts.
+/// Hard case 4. A deploy that replaces the gatherer and the hosts at once: new hosts are not held
+/// to be what the old ones were, by their names or by their starts.
 #[test]
 fn hosts_that_were_replaced_with_the_gatherer_begin_anew() {
     let equal = [1, 1, 1];
-    assert_eq!(queries_to_the_remembered_host(5, false, equal), 0, "a host that is the same is spared");
-    assert!(queries_to_the_remembered_host(5, true, equal) > 0, "one that began anew is tried at once");
+    assert_eq!(
+        queries_to_the_remembered_host(5, false, equal),
+        0,
+        "a host that is the same is spared"
+    );
+    assert!(
+        queries_to_the_remembered_host(5, true, equal) > 0,
+        "one that began anew is tried at once"
+    );
     let other_is_slow = [1, 30, 1];
     let used = queries_to_the_remembered_host(20, true, other_is_slow);
-    assert!(used > 10, "and used like any other: {used} of 20 queries where it is the quicker one");
+    assert!(
+        used > 10,
+        "and used like any other: {used} of 20 queries where it is the quicker one"
+    );
 }
 
 /// The commands, on sound files and on others.
@@ -407,27 +535,55 @@
             .output()
             .unwrap();
         let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-        (output.status.code(), text(output.stdout) + &text(output.stderr))
+        (
+            output.status.code(),
+            text(output.stdout) + &text(output.stderr),
+        )
     };
-    std::fs::write(at("new"), file::encode(&remembered(now_ms(), [8.0, 1.0, 1.0])).unwrap()).unwrap();
+    std::fs::write(
+        at("new"),
+        file::encode(&remembered(now_ms(), [8.0, 1.0, 1.0])).unwrap(),
+    )
+    .unwrap();
     std::fs::write(at("spoilt"), &std::fs::read(at("new")).unwrap()[..90]).unwrap();
     let (code, text) = run(&["show", "new"]);
-    assert!(code == Some(0) && text.contains("version 2") && text.contains("s-0  slowness 8.00"), "{text}");
+    assert!(
+        code == Some(0) && text.contains("version 2") && text.contains("s-0  slowness 8.00"),
+        "{text}"
+    );
     let (code, text) = run(&["verify", "spoilt"]);
-    assert!(code == Some(1) && text.starts_with("bitternsill: spoilt: 90 bytes where "), "{text}");
+    assert!(
+        code == Some(1) && text.starts_with("bitternsill: spoilt: 90 bytes where "),
+        "{text}"
+    );
     assert_eq!(run(&["convert", "new", "old", "--version", "1"]).0, Some(0));
-    assert!(run(&["verify", "old"]).1.contains("sound, version 1, 3 hosts"));
+    assert!(
+        run(&["verify", "old"])
+            .1
+            .contains("sound, version 1, 3 hosts")
+    );
     let (code, text) = run(&["convert", "new", "old"]);
-    assert!(code == Some(1) && text.contains("old"), "what is there is not written over: {text}");
+    assert!(
+        code == Some(1) && text.contains("old"),
+        "what is there is not written over: {text}"
+    );
     let (code, text) = run(&["diff", "new", "old"]);
-    assert!(code == Some(1) && text.contains("class search: differs"), "{text}");
-    assert_eq!(run(&["diff", "new", "new"]), (Some(0), "no difference\n".to_owned()));
+    assert!(
+        code == Some(1) && text.contains("class search: differs"),
+        "{text}"
+    );
+    assert_eq!(
+        run(&["diff", "new", "new"]),
+        (Some(0), "no difference\n".to_owned())
+    );
     let aged = run(&["age", "new", "--after", "60"]).1;
     assert!(
-        aged.contains("s-0  slowness 4.50") && aged.contains("s-1  dropped: nothing out of the ordinary"),
+        aged.contains("s-0  slowness 4.50")
+            && aged.contains("s-1  dropped: nothing out of the ordinary"),
         "{aged}"
     );
     let late: Value =
-        serde_json::from_str(&run(&["age", "new", "--after", "259200", "--format", "json"]).1).unwrap();
+        serde_json::from_str(&run(&["age", "new", "--after", "259200", "--format", "json"]).1)
+            .unwrap();
     assert_eq!(late["hosts"].as_array().map(Vec::len), Some(0));
 }
--- a/bitternsill/tests/limits.rs
+++ b/bitternsill/tests/limits.rs
@@ -4,7 +4,8 @@
 use bramblestair::Aggregator;
 use bramblestair::interface::{Action, Entry, Event, ListKind, ServerId, Settings, Time};
 
-/// Found on reading: with deadlines under half a second what was asked last had 0.1 s, and was failed at the end.
+/// Found on reading: with deadlines under half a second what was asked last had 0.1 s, and was
+/// failed at the end.
 #[test]
 fn what_is_asked_last_before_the_end_has_its_time_before_the_kill() {
     for deadline in [300, 400, 600, 1000, 1400, 2500, 5000] {
@@ -12,10 +13,22 @@
             let limits = Limits::default().with_end(deadline * MS, aim * MS);
             let kill = deadline.min(3000) * MS + 700 * MS;
             let (keep, last) = (limits.keep_serving, limits.last_call);
-            assert!(last < kill, "{deadline}, {aim}: all is answered before the kill");
-            assert!(keep >= 450 * MS, "{deadline}, {aim}: connections come for 0.4 s");
+            assert!(
+                last < kill,
+                "{deadline}, {aim}: all is answered before the kill"
+            );
+            assert!(
+                keep >= 450 * MS,
+                "{deadline}, {aim}: connections come for 0.4 s"
+            );
             let fits = keep + aim * MS <= last || keep == 450 * MS;
-            assert!(fits, "{deadline}, {aim}: {} and {} of {}", keep / MS, aim, last / MS);
+            assert!(
+                fits,
+                "{deadline}, {aim}: {} and {} of {}",
+                keep / MS,
+                aim,
+                last / MS
+            );
         }
     }
 }
@@ -23,15 +36,24 @@
 #[test]
 fn clients_and_index_hosts_together_leave_descriptors_for_the_program_itself() {
     for descriptors in [120, 256, 512, 1024, 4096] {
-        let limits = Limits::default().with_descriptors(descriptors).with_memory(192);
+        let limits = Limits::default()
+            .with_descriptors(descriptors)
+            .with_memory(192);
         let own = descriptors - limits.clients - limits.host_links;
-        assert!(own >= 24 + limits.door_callers, "{descriptors}: {own} are left");
-        assert!(limits.host_links >= descriptors / 10, "{descriptors}: {}", limits.host_links);
+        assert!(
+            own >= 24 + limits.door_callers,
+            "{descriptors}: {own} are left"
+        );
+        assert!(
+            limits.host_links >= descriptors / 10,
+            "{descriptors}: {}",
+            limits.host_links
+        );
     }
 }
 
-/// How long an aggregator that has a list waits before it calls again, after each of these failures in a row; true for one
-/// that was refused.
+/// How long an aggregator that has a list waits before it calls again, after each of these failures
+/// in a row; true for one that was refused.
 fn waits(aggregators: u32, refused: &[bool], seed: u64) -> Vec<Time> {
     let settings = Settings {
         aggregators,
@@ -42,8 +64,19 @@
         ..Settings::default()
     };
     let (mut module, mut now, mut out) = (Aggregator::new(settings, seed), 1000 * MS, Vec::new());
-    let entries = [Entry { server: ServerId(7), ..Entry::default() }].into();
-    module.turn(now, &[Event::List { kind: ListKind::Complete, entries }], &mut out);
+    let entries = [Entry {
+        server: ServerId(7),
+        ..Entry::default()
+    }]
+    .into();
+    module.turn(
+        now,
+        &[Event::List {
+            kind: ListKind::Complete,
+            entries,
+        }],
+        &mut out,
+    );
     let mut wait = |refused: &bool| {
         out.clear();
         module.turn(now, &[Event::ListFailed { refused: *refused }], &mut out);
@@ -60,12 +93,17 @@
     refused.iter().map(&mut wait).collect()
 }
 
-/// What changes counts as told 6 s after discovery had it and could be reached, whatever failed. Found on reading: in a fleet of
-/// a hundred a silent watch and the next call given up took 8.9 s, and a call given up behind refused ones 10 s.
+/// What changes counts as told 6 s after discovery had it and could be reached, whatever failed.
+/// Found on reading: in a fleet of a hundred a silent watch and the next call given up took 8.9 s,
+/// and a call given up behind refused ones 10 s.
 #[test]
 fn a_watchs_silence_a_calls_wait_and_the_waits_between_fit_in_six_seconds_in_fleets_of_any_size() {
     let limits = Limits::default();
-    let (silent, call, answer) = (limits.watch_silence, limits.discovery_call, limits.discovery_answer);
+    let (silent, call, answer) = (
+        limits.watch_silence,
+        limits.discovery_call,
+        limits.discovery_answer,
+    );
     // What is left for the last call to be answered.
     let told = 6_000 * MS - 200 * MS;
     for aggregators in [1, 3, 10, 30, 60, 100, 300, 1000] {
@@ -74,15 +112,19 @@
             let after = waits(aggregators, &[false, false], seed);
             let took = silent + after[0] + call + after[1];
             assert!(took <= told, "{aggregators}: {} ms", took / MS);
-            // Discovery comes back just behind a call that it refused: the next one is given up, or its watch is silent from the
-            // start, or it ends instead of telling.
+            // Discovery comes back just behind a call that it refused: the next one is given up, or
+            // its watch is silent from the start, or it ends instead of telling.
             for refusals in 1..12 {
                 let failures: Vec<bool> = (0..=refusals).map(|at| at < refusals).collect();
                 let after = waits(aggregators, &failures, seed);
                 let (back, again) = (after[refusals - 1], after[refusals]);
                 for lost in [answer, silent] {
                     let took = back + lost + again;
-                    assert!(took <= told, "{aggregators}, {refusals} refusals: {} ms", took / MS);
+                    assert!(
+                        took <= told,
+                        "{aggregators}, {refusals} refusals: {} ms",
+                        took / MS
+                    );
                 }
             }
         }
--- a/bitternsill/tests/operations.rs
+++ b/bitternsill/tests/operations.rs
@@ -26,11 +26,17 @@
 }
 
 fn hosts() -> Vec<FrameHost> {
-    (1..=3).map(|score| FrameHost::start(move |id| Say::Good(score, format!("value of {id}")))).collect()
+    (1..=3)
+        .map(|score| FrameHost::start(move |id| Say::Good(score, format!("value of {id}"))))
+        .collect()
 }
 
 fn start(settings: Value, hosts: Vec<FrameHost>, descriptors: u32) -> Served {
-    let targets = hosts.iter().enumerate().map(|(i, h)| target(i, h.address, "active")).collect();
+    let targets = hosts
+        .iter()
+        .enumerate()
+        .map(|(i, h)| target(i, h.address, "active"))
+        .collect();
     let (address, door, discovery) = (free_address(), free_address(), Discovery::start(targets));
     let folder = std::env::temp_dir().join(format!("bitternsill-shared-{}", address.ip()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -40,13 +46,28 @@
         "admin": door.to_string(), "known": null, "settings": settings
     });
     let program = run(&config, &folder, descriptors);
-    let served = Served { platform: Platform { program, address, discovery, hosts, config }, door, folder };
-    eventually("ready", || call(door, "GET", "ready", "").starts_with("HTTP/1.1 200"));
+    let served = Served {
+        platform: Platform {
+            program,
+            address,
+            discovery,
+            hosts,
+            config,
+        },
+        door,
+        folder,
+    };
+    eventually("ready", || {
+        call(door, "GET", "ready", "").starts_with("HTTP/1.1 200")
+    });
     served
 }
 
 fn run(config: &Value, folder: &std::path::Path, descriptors: u32) -> Program {
-    let shell = format!("export TMPDIR={}; ulimit -n {descriptors}", folder.display());
+    let shell = format!(
+        "export TMPDIR={}; ulimit -n {descriptors}",
+        folder.display()
+    );
     Program::start_in(&shell, "--config", config, &[])
 }
 
@@ -57,7 +78,9 @@
         let door = free_address();
         config["admin"] = json!(door.to_string());
         let program = run(&config, &self.folder, 256);
-        eventually("the next is ready", || call(door, "GET", "ready", "").starts_with("HTTP/1.1 200"));
+        eventually("the next is ready", || {
+            call(door, "GET", "ready", "").starts_with("HTTP/1.1 200")
+        });
         (program, door)
     }
 
@@ -67,14 +90,23 @@
 }
 
 fn text(method: &str, path: &str, body: &str) -> String {
-    format!("{method} /api/{path} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "{method} /api/{path} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// Makes a call; the answer, or nothing where there is no door.
 fn call(door: SocketAddr, method: &str, path: &str, body: &str) -> String {
-    let Ok(mut socket) = TcpStream::connect(door) else { return String::new() };
-    socket.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    socket.write_all(text(method, path, body).as_bytes()).unwrap();
+    let Ok(mut socket) = TcpStream::connect(door) else {
+        return String::new();
+    };
+    socket
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
+    socket
+        .write_all(text(method, path, body).as_bytes())
+        .unwrap();
     read_response(&mut socket)
 }
 
@@ -87,8 +119,13 @@
     let served = start(settings(), hosts(), 256);
     let pid = served.platform.program.child.id();
     let crowd: Vec<TcpStream> = (0..30).map(|_| served.platform.connect()).collect();
-    // The calls that asked whether it was ready are gone by then, and leave no descriptor to be had.
-    let count = || std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().count();
+    // The calls that asked whether it was ready are gone by then, and leave no descriptor to be
+    // had.
+    let count = || {
+        std::fs::read_dir(format!("/proc/{pid}/fd"))
+            .unwrap()
+            .count()
+    };
     let mut still = (0, Instant::now());
     eventually("nothing closes any more", || {
         if count() != still.0 {
@@ -98,20 +135,36 @@
     });
     // From here on it gets no descriptor that it does not hold already.
     let held = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap();
-    let held: Vec<u32> = held.filter_map(|fd| fd.ok()?.file_name().to_str()?.parse().ok()).collect();
+    let held: Vec<u32> = held
+        .filter_map(|fd| fd.ok()?.file_name().to_str()?.parse().ok())
+        .collect();
     let limit = format!("--nofile={}", (0..).find(|fd| !held.contains(fd)).unwrap());
-    let lowered = Command::new("prlimit").args([&format!("--pid={pid}"), &limit]).status();
+    let lowered = Command::new("prlimit")
+        .args([&format!("--pid={pid}"), &limit])
+        .status();
     assert!(lowered.unwrap().success());
-    let mute: Vec<TcpStream> = (0..20).map(|_| TcpStream::connect(served.door).unwrap()).collect();
+    let mute: Vec<TcpStream> = (0..20)
+        .map(|_| TcpStream::connect(served.door).unwrap())
+        .collect();
     for round in 0..20 {
         let start = Instant::now();
         let answer = call(served.door, "GET", "ready", "");
-        assert!(answer.starts_with("HTTP/1.1 200"), "round {round}: {answer}");
-        assert!(start.elapsed() < Duration::from_secs(1), "round {round}: {:?}", start.elapsed());
+        assert!(
+            answer.starts_with("HTTP/1.1 200"),
+            "round {round}: {answer}"
+        );
+        assert!(
+            start.elapsed() < Duration::from_secs(1),
+            "round {round}: {:?}",
+            start.elapsed()
+        );
     }
     drop((crowd, mute));
     eventually("clients are served again", || {
-        served.platform.say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n").starts_with("HTTP/1.1 200")
+        served
+            .platform
+            .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .starts_with("HTTP/1.1 200")
     });
 }
 
@@ -121,7 +174,9 @@
     let whole = text("POST", "exclude", r#"{"member":"s-1"}"#);
     for at in 1..whole.len() {
         let mut socket = TcpStream::connect(served.door).unwrap();
-        socket.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        socket
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
         socket.write_all(&whole.as_bytes()[..at]).unwrap();
         // The gatherer has read the first piece once it answers another call.
         assert!(call(served.door, "GET", "ready", "").starts_with("HTTP/1.1 200"));
@@ -148,23 +203,46 @@
     let said = calls.map(|(method, path, body)| {
         let answer = call(served.door, method, path, body);
         let line = answer.lines().next().unwrap_or_default().to_owned();
-        let allow = answer.lines().find(|l| l.starts_with("Allow")).unwrap_or_default().to_owned();
-        let words = answer.split("\n\n").nth(1).unwrap_or_default().trim().to_owned();
+        let allow = answer
+            .lines()
+            .find(|l| l.starts_with("Allow"))
+            .unwrap_or_default()
+            .to_owned();
+        let words = answer
+            .split("\n\n")
+            .nth(1)
+            .unwrap_or_default()
+            .trim()
+            .to_owned();
         format!("{method} {path} {body}: {line} {allow} {words}")
     });
     insta::assert_snapshot!(said.join("\n"));
-    let huge = call(served.door, "POST", "exclude", &format!("{{\"member\":\"{}\"}}", "x".repeat(100_000)));
+    let huge = call(
+        served.door,
+        "POST",
+        "exclude",
+        &format!("{{\"member\":\"{}\"}}", "x".repeat(100_000)),
+    );
     assert!(huge.starts_with("HTTP/1.1 413"), "{huge}");
     // A refused length is answered before the rest comes; one without a length has no body.
     let program = env!("CARGO_BIN_EXE_bitternsill");
     let cli = |args: &[&str]| {
-        let run = Command::new(program).arg("admin").args(args).output().unwrap();
-        let words = String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).trim().to_owned();
+        let run = Command::new(program)
+            .arg("admin")
+            .args(args)
+            .output()
+            .unwrap();
+        let words = String::from_utf8_lossy(&[run.stdout, run.stderr].concat())
+            .trim()
+            .to_owned();
         (run.status.success(), words)
     };
     let at = format!("--at={}", served.door);
     assert_eq!(cli(&["exclude", "s-2", &at]), (true, "out".to_owned()));
-    assert_eq!(cli(&["exclude", "s-7", &at]), (false, "bitternsill: no: no index host `s-7`".to_owned()));
+    assert_eq!(
+        cli(&["exclude", "s-7", &at]),
+        (false, "bitternsill: no: no index host `s-7`".to_owned())
+    );
     let (ok, words) = cli(&["ready", "--at=127.0.0.1:1"]);
     assert!(!ok && words.contains("refused"), "{words}");
 }
@@ -178,7 +256,10 @@
     }
     assert!(served.seen(1) > 0);
     assert!(post(served.door, "exclude", "s-1").starts_with("HTTP/1.1 200"));
-    assert!(post(served.door, "exclude", "s-1").starts_with("HTTP/1.1 200"), "the call may come twice");
+    assert!(
+        post(served.door, "exclude", "s-1").starts_with("HTTP/1.1 200"),
+        "the call may come twice"
+    );
     let before = served.seen(1);
     for i in 0..12 {
         assert!(ask(&format!("b{i}"), i % 3).starts_with("HTTP/1.1 200"));
@@ -189,10 +270,16 @@
         line["boot_ms"] = json!(boot);
         line
     };
-    for (version, state, boot) in
-        [(2, "left", 0), (3, "active", 1_700_000_000_000), (4, "leaving", 0), (5, "active", 0)]
-    {
-        served.platform.discovery.tell(version, vec![line(state, boot)]);
+    for (version, state, boot) in [
+        (2, "left", 0),
+        (3, "active", 1_700_000_000_000),
+        (4, "leaving", 0),
+        (5, "active", 0),
+    ] {
+        served
+            .platform
+            .discovery
+            .tell(version, vec![line(state, boot)]);
         for i in 0..6 {
             assert!(ask(&format!("c{version}{i}"), i % 3).starts_with("HTTP/1.1 200"));
         }
@@ -202,8 +289,16 @@
     for i in 0..24 {
         assert!(ask(&format!("d{i}"), i % 3).starts_with("HTTP/1.1 200"));
     }
-    assert_eq!(served.seen(1), before, "{:?}", served.platform.hosts[1].seen());
-    assert!(post(door, "include", "s-1").starts_with("HTTP/1.1 200"), "one call undoes both");
+    assert_eq!(
+        served.seen(1),
+        before,
+        "{:?}",
+        served.platform.hosts[1].seen()
+    );
+    assert!(
+        post(door, "include", "s-1").starts_with("HTTP/1.1 200"),
+        "one call undoes both"
+    );
     let start = Instant::now();
     while served.seen(1) == before {
         assert!(start.elapsed() < Duration::from_secs(5), "not used again");
@@ -214,14 +309,18 @@
     let before = served.seen(1);
     let start = Instant::now();
     while served.seen(1) == before {
-        assert!(start.elapsed() < Duration::from_secs(5), "not used again by the first");
+        assert!(
+            start.elapsed() < Duration::from_secs(5),
+            "not used again by the first"
+        );
         ask(&format!("f{:?}", start.elapsed()), 0);
     }
 }
 
 #[test]
 fn work_that_waits_for_a_connection_does_not_reach_a_host_taken_out_meanwhile() {
-    // The host of cell 0 answers nothing at first, so that copies and further attempts are due; then it is taken out.
+    // The host of cell 0 answers nothing at first, so that copies and further attempts are due;
+    // then it is taken out.
     let mut all = hosts();
     all[0] = FrameHost::start(|_| Say::Nothing);
     let served = start(settings(), all, 256);
@@ -230,43 +329,72 @@
         let tell = answers.0.clone();
         thread::spawn(move || {
             let mut socket = TcpStream::connect(address).unwrap();
-            socket.write_all(query(&format!("q{i}"), "page", &[0, 2], "").as_bytes()).unwrap();
+            socket
+                .write_all(query(&format!("q{i}"), "page", &[0, 2], "").as_bytes())
+                .unwrap();
             let _ = tell.send(read_response(&mut socket));
         });
     }
     eventually("parts are out", || served.seen(0) > 0);
     assert!(post(served.door, "exclude", "s-0").starts_with("HTTP/1.1 200"));
-    let parts = |seen: Vec<String>| seen.iter().filter(|line| !line.starts_with("given up")).count();
+    let parts = |seen: Vec<String>| {
+        seen.iter()
+            .filter(|line| !line.starts_with("given up"))
+            .count()
+    };
     let before = parts(served.platform.hosts[0].seen());
     for _ in 0..8 {
         let answer = answers.1.recv_timeout(Duration::from_secs(5)).unwrap();
-        assert!(answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 503"), "{answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200") || answer.starts_with("HTTP/1.1 503"),
+            "{answer}"
+        );
     }
-    assert_eq!(parts(served.platform.hosts[0].seen()), before, "{:?}", served.platform.hosts[0].seen());
+    assert_eq!(
+        parts(served.platform.hosts[0].seen()),
+        before,
+        "{:?}",
+        served.platform.hosts[0].seen()
+    );
 }
 
 #[test]
 fn a_drain_lets_every_request_end_holds_no_client_and_is_undone() {
     let served = start(settings(), hosts(), 256);
-    let health = || served.platform.say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n");
+    let health = || {
+        served
+            .platform
+            .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+    };
     let mut kept = served.platform.connect();
     let mut served_once = served.platform.connect();
     let mut half = served.platform.connect();
     let mute = served.platform.connect();
-    kept.write_all(query("k1", "page", &[0], "").as_bytes()).unwrap();
+    kept.write_all(query("k1", "page", &[0], "").as_bytes())
+        .unwrap();
     assert!(!read_response(&mut kept).contains("Connection: close"));
-    served_once.write_all(query("o1", "page", &[0], "").as_bytes()).unwrap();
+    served_once
+        .write_all(query("o1", "page", &[0], "").as_bytes())
+        .unwrap();
     read_response(&mut served_once);
     half.write_all(b"POST /api HTTP/1.1\r\nX-Call").unwrap();
     assert!(call(served.door, "POST", "evacuate", "").starts_with("HTTP/1.1 200"));
     let began = Instant::now();
-    assert!(health().starts_with("HTTP/1.1 503"), "health says no at once");
-    assert!(call(served.door, "POST", "evacuate", "").starts_with("HTTP/1.1 200"), "twice is once");
-    // A client that asks on and on is served until its connection is closed with an answer, and never without one.
+    assert!(
+        health().starts_with("HTTP/1.1 503"),
+        "health says no at once"
+    );
+    assert!(
+        call(served.door, "POST", "evacuate", "").starts_with("HTTP/1.1 200"),
+        "twice is once"
+    );
+    // A client that asks on and on is served until its connection is closed with an answer, and
+    // never without one.
     let mut asked = 0;
     loop {
         asked += 1;
-        kept.write_all(query(&format!("l{asked}"), "page", &[0], "").as_bytes()).unwrap();
+        kept.write_all(query(&format!("l{asked}"), "page", &[0], "").as_bytes())
+            .unwrap();
         let answer = read_response(&mut kept);
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
         if answer.contains("Connection: close") {
@@ -283,18 +411,33 @@
     assert_eq!(closed(served_once).unwrap(), "", "an idle one is closed");
     assert_eq!(closed(mute).unwrap(), "");
     let told = closed(half).unwrap();
-    assert!(told.starts_with("HTTP/1.1 503"), "half a request may be sent elsewhere: {told}");
-    assert!(began.elapsed() < Duration::from_secs(2), "held for {:?}", began.elapsed());
+    assert!(
+        told.starts_with("HTTP/1.1 503"),
+        "half a request may be sent elsewhere: {told}"
+    );
+    assert!(
+        began.elapsed() < Duration::from_secs(2),
+        "held for {:?}",
+        began.elapsed()
+    );
     assert!(call(served.door, "GET", "ready", "").starts_with("HTTP/1.1 503"));
     assert!(call(served.door, "POST", "rejoin", "").starts_with("HTTP/1.1 200"));
-    assert!(health().starts_with("HTTP/1.1 200"), "health says yes at once");
+    assert!(
+        health().starts_with("HTTP/1.1 200"),
+        "health says yes at once"
+    );
     let mut again = served.platform.connect();
-    again.write_all(query("again", "page", &[0], "").as_bytes()).unwrap();
-    assert!(!read_response(&mut again).contains("Connection: close"), "connections are kept again");
+    again
+        .write_all(query("again", "page", &[0], "").as_bytes())
+        .unwrap();
+    assert!(
+        !read_response(&mut again).contains("Connection: close"),
+        "connections are kept again"
+    );
 }
 
-/// Asks on new connections, one after the other, until told to stop; how many were served, and how many met a connection
-/// that was refused, reset or closed without an answer.
+/// Asks on new connections, one after the other, until told to stop; how many were served, and how
+/// many met a connection that was refused, reset or closed without an answer.
 fn knock(address: SocketAddr, name: String, stop: &AtomicBool, all: &AtomicU32) -> Vec<String> {
     let (mut served, mut met) = (0, Vec::new());
     while !stop.load(Ordering::SeqCst) {
@@ -302,7 +445,11 @@
             socket.set_read_timeout(Some(Duration::from_secs(5)))?;
             socket.write_all(query(&format!("{name}-{served}"), "page", &[0], "").as_bytes())?;
             let answer = read_response(&mut socket);
-            if answer.starts_with("HTTP/1.1 ") { Ok(()) } else { Err(ErrorKind::UnexpectedEof.into()) }
+            if answer.starts_with("HTTP/1.1 ") {
+                Ok(())
+            } else {
+                Err(ErrorKind::UnexpectedEof.into())
+            }
         });
         match asked {
             Ok(()) => {
@@ -318,7 +465,11 @@
 #[test]
 fn upgrades_under_load_leave_no_connection_behind() {
     let served = start(settings(), hosts(), 256);
-    let (address, stop, all) = (served.platform.address, AtomicBool::new(false), AtomicU32::new(0));
+    let (address, stop, all) = (
+        served.platform.address,
+        AtomicBool::new(false),
+        AtomicU32::new(0),
+    );
     let (mut met, mut upgrades) = (Vec::new(), 0);
     thread::scope(|scope| {
         let (stop, all) = (&stop, &all);
@@ -326,7 +477,9 @@
         let knocking: Vec<_> = (0..16).map(knock).collect();
         let some_more = || {
             let before = all.load(Ordering::SeqCst);
-            eventually("more are served", || all.load(Ordering::SeqCst) > before + 100);
+            eventually("more are served", || {
+                all.load(Ordering::SeqCst) > before + 100
+            });
         };
         some_more();
         let mut running = vec![served.upgrade().0];
@@ -341,10 +494,18 @@
         }
         some_more();
         stop.store(true, Ordering::SeqCst);
-        met.extend(knocking.into_iter().flat_map(|knocker| knocker.join().unwrap()));
+        met.extend(
+            knocking
+                .into_iter()
+                .flat_map(|knocker| knocker.join().unwrap()),
+        );
     });
     let all = all.into_inner();
-    assert!(met.len() <= 1, "{upgrades} upgrades, {all} served, {} met a closed door: {met:?}", met.len());
+    assert!(
+        met.len() <= 1,
+        "{upgrades} upgrades, {all} served, {} met a closed door: {met:?}",
+        met.len()
+    );
 }
 
 #[test]
@@ -352,16 +513,22 @@
     let served = start(settings(), hosts(), 512);
     let old = &served.platform.program;
     let (next, _) = served.upgrade();
-    // While it stands still a good half of two hundred connections gathers in its queue: more than one round accepts.
+    // While it stands still a good half of two hundred connections gathers in its queue: more than
+    // one round accepts.
     old.signal("STOP");
     let mut waiting: Vec<TcpStream> = (0..200).map(|_| served.platform.connect()).collect();
     for (n, socket) in waiting.iter_mut().enumerate() {
-        socket.write_all(query(&format!("w{n}"), "page", &[0], "").as_bytes()).unwrap();
+        socket
+            .write_all(query(&format!("w{n}"), "page", &[0], "").as_bytes())
+            .unwrap();
     }
     old.signal("TERM");
     old.signal("CONT");
     let answers: Vec<String> = waiting.iter_mut().map(read_response).collect();
-    let unread = answers.iter().filter(|answer| !answer.starts_with("HTTP/1.1 ")).count();
+    let unread = answers
+        .iter()
+        .filter(|answer| !answer.starts_with("HTTP/1.1 "))
+        .count();
     assert_eq!(unread, 0, "of 200 that had connected");
     drop(next);
 }
@@ -373,7 +540,9 @@
     let host = |score| {
         let open = gate.clone();
         FrameHost::start(move |id| {
-            eventually("the gate opens", || !id.starts_with("w.") || open.load(Ordering::SeqCst));
+            eventually("the gate opens", || {
+                !id.starts_with("w.") || open.load(Ordering::SeqCst)
+            });
             Say::Good(score, format!("value of {id}"))
         })
     };
@@ -383,12 +552,21 @@
     let status = |answer: String| answer.split(' ').nth(1).unwrap_or_default().to_owned();
     let ask = |id: &str, class: &str| status(platform.ask(id, class, &[0]));
     let keyed = |id: &str, class: &str| {
-        status(platform.say(&query(id, class, &[0], "Idempotency-Key: k\r\nConnection: close\r\n")))
+        status(platform.say(&query(
+            id,
+            class,
+            &[0],
+            "Idempotency-Key: k\r\nConnection: close\r\n",
+        )))
     };
-    // What is broken is not taken, discovery included: nobody listens where these files send the program.
+    // What is broken is not taken, discovery included: nobody listens where these files send the
+    // program.
     let good = platform.config.clone();
-    let mut broken =
-        vec![String::new(), "{".to_owned(), good.to_string()[..good.to_string().len() / 2].to_owned()];
+    let mut broken = vec![
+        String::new(),
+        "{".to_owned(),
+        good.to_string()[..good.to_string().len() / 2].to_owned(),
+    ];
     let mut spoil = |change: &dyn Fn(&mut Value)| {
         let mut file = good.clone();
         file["discovery"] = json!("127.0.0.1:1");
@@ -397,18 +575,36 @@
         broken.push(file.to_string());
     };
     let remove = |group: &'static str, key: &'static str| {
-        move |f: &mut Value| f["settings"][group].as_object_mut().unwrap().remove(key).map(drop).unwrap()
+        move |f: &mut Value| {
+            f["settings"][group]
+                .as_object_mut()
+                .unwrap()
+                .remove(key)
+                .map(drop)
+                .unwrap()
+        }
     };
     spoil(&remove("limits", "max_attempts"));
     spoil(&remove("extra", "ranges"));
     spoil(&|f| {
-        f["settings"]["request_classes"][2].as_object_mut().unwrap().remove("effect").map(drop).unwrap()
+        f["settings"]["request_classes"][2]
+            .as_object_mut()
+            .unwrap()
+            .remove("effect")
+            .map(drop)
+            .unwrap()
     });
     spoil(&|f| f["settings"]["request_classes"][1]["deadline"] = json!(0));
     spoil(&|f| f["settings"]["request_classes"][1]["deadline"] = json!("soon"));
     spoil(&|f| f["settings"]["limits"]["max_attempts"] = json!(-1));
     spoil(&|f| f["settings"]["extra"]["class_need"] = json!([1.0, 1.0]));
-    spoil(&|f| f.as_object_mut().unwrap().remove("listen").map(drop).unwrap());
+    spoil(&|f| {
+        f.as_object_mut()
+            .unwrap()
+            .remove("listen")
+            .map(drop)
+            .unwrap()
+    });
     let watches = platform.discovery.asked();
     for (n, file) in broken.iter().enumerate() {
         platform.reload(file);
@@ -416,10 +612,15 @@
         assert_eq!(ask(&format!("b{n}"), "leaf"), "400", "{file}");
         assert_eq!(ask(&format!("c{n}"), "page"), "200", "{file}");
     }
-    assert_eq!((platform.discovery.watches(), platform.discovery.asked()), (1, watches));
+    assert_eq!(
+        (platform.discovery.watches(), platform.discovery.asked()),
+        (1, watches)
+    );
     // A query is open while its class goes, and another changes its meaning.
     let mut waiting = platform.connect();
-    waiting.write_all(query("w", "page", &[1], "").as_bytes()).unwrap();
+    waiting
+        .write_all(query("w", "page", &[1], "").as_bytes())
+        .unwrap();
     let out = |host: &FrameHost| host.seen().iter().any(|line| line.starts_with("w."));
     eventually("its part is out", || platform.hosts.iter().any(out));
     let mut fresh = good.clone();
@@ -429,24 +630,46 @@
     classes.push(json!({"name": "note", "target": 1_500_000_000u64, "deadline": 4_000_000_000u64, "effect": "non_idempotent"}));
     for list in ["class_fetch", "class_need", "floor_by_class", "short_worth"] {
         let one = json!(if list == "class_fetch" { 0.0 } else { 1.0 });
-        fresh["settings"]["extra"][list].as_array_mut().unwrap().push(one);
+        fresh["settings"]["extra"][list]
+            .as_array_mut()
+            .unwrap()
+            .push(one);
     }
     platform.reload(&fresh.to_string());
     let began = Instant::now();
-    eventually("the new class is served", || ask(&format!("n{:?}", began.elapsed()), "leaf") == "200");
+    eventually("the new class is served", || {
+        ask(&format!("n{:?}", began.elapsed()), "leaf") == "200"
+    });
     assert_eq!(
         (ask("o1", "page"), ask("n1", "note")),
         ("200".into(), "200".into()),
         "both namings hold for a while"
     );
-    assert_eq!((keyed("k1", "shelf"), ask("k2", "shelf")), ("200".into(), "200".into()), "and both meanings");
+    assert_eq!(
+        (keyed("k1", "shelf"), ask("k2", "shelf")),
+        ("200".into(), "200".into()),
+        "and both meanings"
+    );
     gate.store(true, Ordering::SeqCst);
     let answer = read_response(&mut waiting);
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("value of w.1"), "{answer}");
-    eventually("the former naming ends", || ask(&format!("e{:?}", began.elapsed()), "page") == "400");
-    assert!(began.elapsed() >= Duration::from_millis(1_200), "too soon: {:?}", began.elapsed());
-    assert_eq!((ask("k3", "shelf"), ask("n2", "leaf")), ("200".into(), "200".into()));
-    // Changed to and fro, it neither grows nor forgets: 64 classes may be held, and each change brings some.
+    assert!(
+        answer.starts_with("HTTP/1.1 200") && answer.contains("value of w.1"),
+        "{answer}"
+    );
+    eventually("the former naming ends", || {
+        ask(&format!("e{:?}", began.elapsed()), "page") == "400"
+    });
+    assert!(
+        began.elapsed() >= Duration::from_millis(1_200),
+        "too soon: {:?}",
+        began.elapsed()
+    );
+    assert_eq!(
+        (ask("k3", "shelf"), ask("n2", "leaf")),
+        ("200".into(), "200".into())
+    );
+    // Changed to and fro, it neither grows nor forgets: 64 classes may be held, and each change
+    // brings some.
     for n in 0..60 {
         platform.reload(&if n % 2 == 0 { &good } else { &fresh }.to_string());
         ask(&format!("f{n}"), "search");
@@ -459,7 +682,8 @@
 
 #[test]
 fn a_client_that_never_reads_does_not_hold_a_drain_and_sigterm_ends_it_in_order() {
-    // Values so large that an answer does not fit what the system buffers for a client that reads nothing.
+    // Values so large that an answer does not fit what the system buffers for a client that reads
+    // nothing.
     let large = |score| FrameHost::start(move |_| Say::Good(score, "x".repeat(60_000)));
     let mut served = start(settings(), (1..=3).map(large).collect(), 256);
     let folder = format!("/proc/{}/fd", served.platform.program.child.id());
@@ -469,7 +693,9 @@
     for (n, socket) in deaf.iter_mut().enumerate() {
         for m in 0..200 {
             let asked = query(&format!("d{n}-{m}"), "page", &[0, 1, 2], "");
-            socket.set_write_timeout(Some(Duration::from_millis(50))).unwrap();
+            socket
+                .set_write_timeout(Some(Duration::from_millis(50)))
+                .unwrap();
             if socket.write_all(asked.as_bytes()).is_err() {
                 break;
             }
@@ -487,10 +713,20 @@
     assert!(last.0 < 2 * 200 * 3 / 2, "{} parts asked", last.0);
     let began = Instant::now();
     assert!(call(served.door, "POST", "evacuate", "").starts_with("HTTP/1.1 200"));
-    assert!(served.platform.ask("beside", "page", &[0]).starts_with("HTTP/1.1 200"));
-    // With links to its hosts it may hold a few descriptors more than at its start, but not one for each of the deaf.
+    assert!(
+        served
+            .platform
+            .ask("beside", "page", &[0])
+            .starts_with("HTTP/1.1 200")
+    );
+    // With links to its hosts it may hold a few descriptors more than at its start, but not one for
+    // each of the deaf.
     eventually("the deaf are let go", || open() <= idle + 3);
-    assert!(began.elapsed() < Duration::from_secs(4), "held for {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(4),
+        "held for {:?}",
+        began.elapsed()
+    );
     served.platform.program.signal("TERM");
     assert!(served.platform.program.child.wait().unwrap().success());
 }
--- a/bitternsill/tests/platform_clients.rs
+++ b/bitternsill/tests/platform_clients.rs
@@ -31,8 +31,16 @@
     let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
     let second: Vec<&String> = seen.iter().filter(|line| line.contains(".r ")).collect();
     assert_eq!(second.len(), 2, "{seen:?}");
-    assert!(second.iter().all(|line| line.contains("[from=0+1+2,whole=1] q")), "{second:?}");
-    assert!(search.starts_with("HTTP/1.1 200") && search.contains("\"total\":true"), "{search}");
+    assert!(
+        second
+            .iter()
+            .all(|line| line.contains("[from=0+1+2,whole=1] q")),
+        "{second:?}"
+    );
+    assert!(
+        search.starts_with("HTTP/1.1 200") && search.contains("\"total\":true"),
+        "{search}"
+    );
     assert_eq!(search.matches("value of two.").count(), 2, "{search}");
     insta::assert_snapshot!(page);
 }
@@ -62,12 +70,21 @@
         .iter()
         .map(|case| {
             let answer = platform.say(case);
-            let body = answer.split("\n\n").nth(1).unwrap_or_default().trim().to_owned();
+            let body = answer
+                .split("\n\n")
+                .nth(1)
+                .unwrap_or_default()
+                .trim()
+                .to_owned();
             format!("{} {body}", answer.lines().next().unwrap_or_default())
         })
         .collect();
     insta::assert_snapshot!(said.join("\n"));
-    assert!(platform.ask("after", "page", &[0]).starts_with("HTTP/1.1 200"));
+    assert!(
+        platform
+            .ask("after", "page", &[0])
+            .starts_with("HTTP/1.1 200")
+    );
 }
 
 #[test]
@@ -78,30 +95,55 @@
         }
         Say::Good(1, "late".to_owned())
     };
-    let mut platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(slow)).collect());
+    let mut platform =
+        Platform::start(settings(), (0..3).map(|_| FrameHost::start(slow)).collect());
     let mut held = platform.connect();
-    held.write_all(query("slow", "page", &[0], "").as_bytes()).unwrap();
+    held.write_all(query("slow", "page", &[0], "").as_bytes())
+        .unwrap();
     let mut kept = platform.connect();
-    kept.write_all(query("k1", "page", &[0], "").as_bytes()).unwrap();
+    kept.write_all(query("k1", "page", &[0], "").as_bytes())
+        .unwrap();
     assert!(!read_response(&mut kept).contains("Connection: close"));
     let start = Instant::now();
     platform.program.signal("TERM");
     platform.program.signal("HUP");
     std::thread::sleep(Duration::from_millis(100));
-    kept.write_all(query("k2", "page", &[1], "").as_bytes()).unwrap();
-    assert!(!read_response(&mut kept).contains("Connection: close"), "it may have nowhere else to go");
+    kept.write_all(query("k2", "page", &[1], "").as_bytes())
+        .unwrap();
+    assert!(
+        !read_response(&mut kept).contains("Connection: close"),
+        "it may have nowhere else to go"
+    );
     std::thread::sleep(Duration::from_millis(500));
     // New connections and kept ones are still served, and told to close.
-    assert!(platform.ask("new", "page", &[1]).starts_with("HTTP/1.1 200"));
-    kept.write_all(query("k3", "page", &[1], "").as_bytes()).unwrap();
+    assert!(
+        platform
+            .ask("new", "page", &[1])
+            .starts_with("HTTP/1.1 200")
+    );
+    kept.write_all(query("k3", "page", &[1], "").as_bytes())
+        .unwrap();
     let answer = read_response(&mut kept);
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 200") && answer.contains("Connection: close"),
+        "{answer}"
+    );
     let answer = read_response(&mut held);
-    assert!(answer.contains("late") && answer.contains("Connection: close"), "{answer}");
-    assert_eq!(held.read(&mut [0; 1]).unwrap(), 0, "nothing follows the one answer");
+    assert!(
+        answer.contains("late") && answer.contains("Connection: close"),
+        "{answer}"
+    );
+    assert_eq!(
+        held.read(&mut [0; 1]).unwrap(),
+        0,
+        "nothing follows the one answer"
+    );
     let status = platform.program.child.wait().unwrap();
     assert!(status.success(), "{status}");
-    assert!(start.elapsed() > Duration::from_millis(700), "it served on for a while");
+    assert!(
+        start.elapsed() > Duration::from_millis(700),
+        "it served on for a while"
+    );
 }
 
 #[test]
@@ -109,14 +151,30 @@
     let hosts = (0..3).map(|_| FrameHost::start(|_| Say::Nothing)).collect();
     let platform = Platform::start(settings(), hosts);
     let mut socket = platform.connect();
-    socket.write_all(query("gone", "page", &[0], "").as_bytes()).unwrap();
-    let seen = || platform.hosts.iter().flat_map(FrameHost::seen).collect::<Vec<_>>();
-    eventually("the part is out", || seen().iter().any(|line| line.starts_with("gone.0")));
+    socket
+        .write_all(query("gone", "page", &[0], "").as_bytes())
+        .unwrap();
+    let seen = || {
+        platform
+            .hosts
+            .iter()
+            .flat_map(FrameHost::seen)
+            .collect::<Vec<_>>()
+    };
+    eventually("the part is out", || {
+        seen().iter().any(|line| line.starts_with("gone.0"))
+    });
     let start = Instant::now();
     close(socket);
-    eventually("the part is given up", || seen().contains(&"given up gone.0".to_owned()));
+    eventually("the part is given up", || {
+        seen().contains(&"given up gone.0".to_owned())
+    });
     // Its own time would end it after 1.5 s.
-    assert!(start.elapsed() < Duration::from_millis(600), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(600),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 #[test]
@@ -128,7 +186,9 @@
         let mut idle = Vec::new();
         for i in 0..300 {
             let mut socket = platform.connect();
-            socket.write_all(query(&format!("q{i}"), "page", &[i % 3], "").as_bytes()).unwrap();
+            socket
+                .write_all(query(&format!("q{i}"), "page", &[i % 3], "").as_bytes())
+                .unwrap();
             let answer = read_response(&mut socket);
             assert!(answer.starts_with("HTTP/1.1 200"), "{told}, {i}: {answer}");
             idle.push(socket);
@@ -142,7 +202,8 @@
     let platform = Platform::start(settings(), hosts);
     let text = query("q", "page", &[0], "").replace("X-Budget: 3.0", "X-Budget: 2.0");
     platform.program.signal("STOP");
-    // Its connection too comes while the program stands still, and is accepted before anything on it is read.
+    // Its connection too comes while the program stands still, and is accepted before anything on
+    // it is read.
     let mut socket = platform.connect();
     let start = Instant::now();
     socket.write_all(text.as_bytes()).unwrap();
@@ -151,7 +212,10 @@
     let answer = read_response(&mut socket);
     assert!(answer.starts_with("HTTP/1.1 5"), "{answer}");
     let took = start.elapsed();
-    assert!(took < Duration::from_millis(2400), "answered after {took:?}");
+    assert!(
+        took < Duration::from_millis(2400),
+        "answered after {took:?}"
+    );
 }
 
 #[test]
@@ -161,13 +225,21 @@
     let hosts = (0..3).map(|_| FrameHost::start(|_| Say::Nothing)).collect();
     let platform = Platform::start(settings, hosts);
     let mut held = platform.connect();
-    held.write_all(query("held", "page", &[0], "").as_bytes()).unwrap();
+    held.write_all(query("held", "page", &[0], "").as_bytes())
+        .unwrap();
     let out = || platform.hosts.iter().any(|h| !h.seen().is_empty());
     eventually("the first is out", out);
     let start = Instant::now();
     let answer = platform.ask("more", "page", &[0]);
-    assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: 2.000"), "{answer}");
-    assert!(start.elapsed() < Duration::from_millis(1000), "at once: {:?}", start.elapsed());
+    assert!(
+        answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: 2.000"),
+        "{answer}"
+    );
+    assert!(
+        start.elapsed() < Duration::from_millis(1000),
+        "at once: {:?}",
+        start.elapsed()
+    );
 }
 
 /// What a client that says this hears until the connection ends, and how long that takes.
@@ -177,14 +249,21 @@
     let _ = socket.write_all(said);
     let mut heard = Vec::new();
     let _ = socket.read_to_end(&mut heard);
-    (String::from_utf8_lossy(&heard).into_owned(), start.elapsed())
+    (
+        String::from_utf8_lossy(&heard).into_owned(),
+        start.elapsed(),
+    )
 }
 
 #[test]
 fn clients_that_never_finish_or_send_too_much_are_told_so_or_closed_in_time() {
     let platform = Platform::start(settings(), three());
     let whole = query("half", "page", &[0], "");
-    let huge = [&b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"[..], &chunks(20 << 20)].concat();
+    let huge = [
+        &b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"[..],
+        &chunks(20 << 20),
+    ]
+    .concat();
     let cases: [(&str, &[u8]); 6] = [
         ("", b""),
         ("HTTP/1.1 408", b"POST /api HTTP/1.1\r\nX-Call"),
@@ -192,7 +271,10 @@
         ("HTTP/1.1 431", &[b'x'; 40_000]),
         // All of it is read, or a reset would take the answer with it.
         ("HTTP/1.1 413", &huge),
-        ("HTTP/1.1 400", b"POST /api HTTP/1.1\r\nContent-Length: -5\r\n\r\nhello"),
+        (
+            "HTTP/1.1 400",
+            b"POST /api HTTP/1.1\r\nContent-Length: -5\r\n\r\nhello",
+        ),
     ];
     let platform = &platform;
     std::thread::scope(|scope| {
@@ -218,11 +300,15 @@
 fn nothing_behind_a_request_that_makes_no_sense_is_read() {
     let platform = Platform::start(settings(), three());
     let hidden = query("hidden", "page", &[0], "");
-    let both = "POST /api HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
+    let both =
+        "POST /api HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     let short = query("short", "page", &[0], "").replace("Content-Length: ", "Content-Length: 0");
     for cover in [both, &short[..short.len() - 40]] {
         let (heard, _) = hear(&platform, format!("{cover}{hidden}").as_bytes());
-        assert!(heard.starts_with("HTTP/1.1 400") && heard.matches("HTTP/1.1").count() == 1, "{heard}");
+        assert!(
+            heard.starts_with("HTTP/1.1 400") && heard.matches("HTTP/1.1").count() == 1,
+            "{heard}"
+        );
     }
     assert!(platform.hosts.iter().all(|h| h.seen().is_empty()));
 }
@@ -235,24 +321,36 @@
     };
     let platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(slow)).collect());
     let mut first = platform.connect();
-    first.write_all(query("same", "page", &[0], "").as_bytes()).unwrap();
+    first
+        .write_all(query("same", "page", &[0], "").as_bytes())
+        .unwrap();
     let out = || platform.hosts.iter().any(|h| !h.seen().is_empty());
     eventually("the first is out", out);
-    assert!(platform.ask("same", "page", &[1]).starts_with("HTTP/1.1 409"));
+    assert!(
+        platform
+            .ask("same", "page", &[1])
+            .starts_with("HTTP/1.1 409")
+    );
     assert!(read_response(&mut first).contains("value of same.0"));
-    assert!(platform.ask("same", "page", &[1]).contains("value of same.1"));
+    assert!(
+        platform
+            .ask("same", "page", &[1])
+            .contains("value of same.1")
+    );
 }
 
 #[test]
 fn a_crowd_of_silent_connections_does_not_cost_a_client_its_idle_one() {
     let platform = Platform::start(settings(), three());
     let mut kept = platform.connect();
-    kept.write_all(query("a", "page", &[0], "").as_bytes()).unwrap();
+    kept.write_all(query("a", "page", &[0], "").as_bytes())
+        .unwrap();
     assert!(read_response(&mut kept).starts_with("HTTP/1.1 200"));
     let crowd: Vec<TcpStream> = (0..600).map(|_| platform.connect()).collect();
     // Whoever comes behind the crowd is served, and so is the connection that was there before it.
     assert!(platform.ask("b", "page", &[0]).starts_with("HTTP/1.1 200"));
-    kept.write_all(query("c", "page", &[1], "").as_bytes()).unwrap();
+    kept.write_all(query("c", "page", &[1], "").as_bytes())
+        .unwrap();
     assert!(read_response(&mut kept).starts_with("HTTP/1.1 200"));
     drop(crowd);
 }
@@ -262,8 +360,12 @@
     let platform = Platform::start(settings(), three());
     let mut kept = platform.connect();
     let mut ask = |id: &str| {
-        kept.write_all(query(id, "page", &[0], "").as_bytes()).unwrap();
-        assert!(read_response(&mut kept).starts_with("HTTP/1.1 200"), "the connection that asks often stays");
+        kept.write_all(query(id, "page", &[0], "").as_bytes())
+            .unwrap();
+        assert!(
+            read_response(&mut kept).starts_with("HTTP/1.1 200"),
+            "the connection that asks often stays"
+        );
     };
     ask("a");
     ask("b");
@@ -275,21 +377,32 @@
         };
         (0..400).map(say).collect()
     };
-    let crowds = [crowd("POST /api HTTP/1.1\r\nX-Ca"), crowd("GET /_health HTTP/1.1\r\n\r\n"), crowd("")];
+    let crowds = [
+        crowd("POST /api HTTP/1.1\r\nX-Ca"),
+        crowd("GET /_health HTTP/1.1\r\n\r\n"),
+        crowd(""),
+    ];
     let start = Instant::now();
     assert!(platform.ask("c", "page", &[0]).starts_with("HTTP/1.1 200"));
-    assert!(start.elapsed() < Duration::from_millis(2500), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(2500),
+        "{:?}",
+        start.elapsed()
+    );
     ask("d");
     drop(crowds);
 }
 
 #[test]
 fn clients_that_ask_once_and_stay_do_not_take_every_place_that_clients_may_have() {
-    // A client may have a third of the 256 descriptors; of those a quarter may be idle after one request.
+    // A client may have a third of the 256 descriptors; of those a quarter may be idle after one
+    // request.
     let platform = Platform::start(settings(), three());
     let mut kept = platform.connect();
     let ask = |socket: &mut TcpStream, id: &str| {
-        socket.write_all(query(id, "page", &[0], "").as_bytes()).unwrap();
+        socket
+            .write_all(query(id, "page", &[0], "").as_bytes())
+            .unwrap();
         assert!(read_response(socket).starts_with("HTTP/1.1 200"), "{id}");
     };
     ask(&mut kept, "a");
@@ -315,23 +428,44 @@
 fn a_path_that_names_what_a_query_concerns_is_served_and_what_is_turned_away_is_told_in_the_log() {
     let log = std::env::temp_dir().join(format!("bitternsill-turned-{}", std::process::id()));
     let hosts = three();
-    let targets = hosts.iter().enumerate().map(|(i, h)| target(i, h.address, "active")).collect();
+    let targets = hosts
+        .iter()
+        .enumerate()
+        .map(|(i, h)| target(i, h.address, "active"))
+        .collect();
     let shell = format!("exec 2>{}", log.display());
-    let platform = Platform::start_in(&shell, settings(), hosts, Discovery::start(targets), 256, &[]);
+    let platform = Platform::start_in(
+        &shell,
+        settings(),
+        hosts,
+        Discovery::start(targets),
+        256,
+        &[],
+    );
     let about = |path: &str, id: &str| {
         let query = query(id, "page", &[0, 1], "Connection: close\r\n");
         platform.say(&query.replace("POST /api ", &format!("POST {path} ")))
     };
     let answer = about("/api/7f3a9c21e0b4d655", "one");
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("value of one.1"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 200") && answer.contains("value of one.1"),
+        "{answer}"
+    );
     assert!(about("/api/7f3a?x=1", "two").starts_with("HTTP/1.1 200"));
     for path in ["/api/", "/api/a/b", "/apis/7f3a", "/search/7f3a"] {
         assert!(about(path, "odd").starts_with("HTTP/1.1 404"), "{path}");
     }
-    assert!(platform.say("GET /api/7f3a HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 405"));
+    assert!(
+        platform
+            .say("GET /api/7f3a HTTP/1.1\r\n\r\n")
+            .starts_with("HTTP/1.1 405")
+    );
     // Of four requests of one kind the log tells once, with what the first asked for.
     let said = std::fs::read_to_string(&log).unwrap();
     assert_eq!(said.matches("no such path").count(), 1, "{said}");
-    assert!(said.contains("requests turned away") && said.contains("POST /api/"), "{said}");
+    assert!(
+        said.contains("requests turned away") && said.contains("POST /api/"),
+        "{said}"
+    );
     std::fs::remove_file(&log).unwrap();
 }
--- a/bitternsill/tests/platform_discovery.rs
+++ b/bitternsill/tests/platform_discovery.rs
@@ -12,7 +12,9 @@
 #[test]
 fn nothing_new_goes_to_a_leaving_host_and_the_list_outlives_its_watch() {
     let platform = Platform::start(settings(), three());
-    platform.discovery.tell(2, vec![target(0, platform.hosts[0].address, "leaving")]);
+    platform
+        .discovery
+        .tell(2, vec![target(0, platform.hosts[0].address, "leaving")]);
     // The change takes a moment to arrive; from then on shard 0 is served by cell 1 alone.
     eventually("the change is known", || {
         let before = platform.hosts[0].seen().len();
@@ -25,7 +27,10 @@
     platform.discovery.hang_up();
     for i in 0..10 {
         let answer = platform.ask(&format!("b{i}"), "page", &[0]);
-        assert!(answer.starts_with("HTTP/1.1 200"), "the last list stays in force: {answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200"),
+            "the last list stays in force: {answer}"
+        );
     }
     assert_eq!((platform.hosts[0].seen().len(), watches), (before, 1));
     eventually("a new watch", || platform.discovery.watches() == 1);
@@ -41,7 +46,11 @@
     let platform = Platform::start_silent(settings, host, targets);
     let start = Instant::now();
     eventually("a second watch", || platform.discovery.asked() == 2);
-    assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(6),
+        "{:?}",
+        start.elapsed()
+    );
     assert!(platform.ask("q", "page", &[0]).starts_with("HTTP/1.1 200"));
 }
 
@@ -55,11 +64,15 @@
     };
     let platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(slow)).collect());
     let mut held = platform.connect();
-    held.write_all(query("slow", "page", &[0], "").as_bytes()).unwrap();
+    held.write_all(query("slow", "page", &[0], "").as_bytes())
+        .unwrap();
     // What cannot be read changes nothing: the present watch goes on.
     platform.reload("{\"name\": ");
     assert!(platform.ask("a", "page", &[1]).starts_with("HTTP/1.1 200"));
-    assert_eq!((platform.discovery.asked(), platform.discovery.watches()), (1, 1));
+    assert_eq!(
+        (platform.discovery.asked(), platform.discovery.watches()),
+        (1, 1)
+    );
     let there = Discovery::start(vec![
         target(0, platform.hosts[0].address, "leaving"),
         target(1, platform.hosts[1].address, "active"),
@@ -73,20 +86,32 @@
     eventually("the new list is known", || {
         let before = platform.hosts[0].seen().len();
         for i in 0..6 {
-            assert!(platform.ask(&format!("b{i}"), "page", &[0]).starts_with("HTTP/1.1 200"));
+            assert!(
+                platform
+                    .ask(&format!("b{i}"), "page", &[0])
+                    .starts_with("HTTP/1.1 200")
+            );
         }
         platform.hosts[0].seen().len() == before
     });
     // The connection that was there before is still served.
-    held.write_all(query("c", "page", &[1], "").as_bytes()).unwrap();
+    held.write_all(query("c", "page", &[1], "").as_bytes())
+        .unwrap();
     assert!(read_response(&mut held).starts_with("HTTP/1.1 200"));
     assert_eq!(platform.discovery.asked(), 1);
 }
 
 #[test]
 fn with_a_list_from_before_the_start_is_not_held_up_by_discovery() {
-    let (silent, hosts) = (accept(|_| std::thread::sleep(Duration::from_secs(9))), three());
-    let targets: Vec<_> = hosts.iter().enumerate().map(|(i, h)| target(i, h.address, "active")).collect();
+    let (silent, hosts) = (
+        accept(|_| std::thread::sleep(Duration::from_secs(9))),
+        three(),
+    );
+    let targets: Vec<_> = hosts
+        .iter()
+        .enumerate()
+        .map(|(i, h)| target(i, h.address, "active"))
+        .collect();
     let address = free_address();
     let config = serde_json::json!({
         "name": "n0", "listen": address.to_string(), "discovery": silent.to_string(), "seed": "1",
@@ -97,11 +122,14 @@
     let mut socket = TcpStream::connect(address).unwrap();
     socket.write_all(b"GET /_health HTTP/1.1\r\n\r\n").unwrap();
     assert!(read_response(&mut socket).starts_with("HTTP/1.1 200"));
-    socket.write_all(query("q", "page", &[0], "").as_bytes()).unwrap();
+    socket
+        .write_all(query("q", "page", &[0], "").as_bytes())
+        .unwrap();
     assert!(read_response(&mut socket).contains("value of q.0"));
 }
 
-/// Found with 100 gatherers: discovery that turns calls down was called without rest, and answered nobody any more.
+/// Found with 100 gatherers: discovery that turns calls down was called without rest, and answered
+/// nobody any more.
 #[test]
 fn discovery_that_turns_calls_down_or_resets_them_is_called_ever_less_while_queries_go_on() {
     let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
@@ -111,10 +139,15 @@
         calls.push(Instant::now());
         // Every other call is dropped without a word.
         if calls.len() % 2 == 1 {
-            let _ = socket.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            let _ =
+                socket.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         }
     });
-    let targets: Vec<_> = hosts.iter().enumerate().map(|(i, h)| target(i, h.address, "active")).collect();
+    let targets: Vec<_> = hosts
+        .iter()
+        .enumerate()
+        .map(|(i, h)| target(i, h.address, "active"))
+        .collect();
     let address = free_address();
     let mut settings = settings();
     settings["group_size"] = 100.into();
@@ -124,20 +157,33 @@
     });
     let _program = Program::start("--config", &config);
     eventually("it listens", || TcpStream::connect(address).is_ok());
-    // Waits of 0.8 to 1.6 s at first in a fleet of a hundred, as what changes must be heard in time, then twice, four times as long.
+    // Waits of 0.8 to 1.6 s at first in a fleet of a hundred, as what changes must be heard in
+    // time, then twice, four times as long.
     eventually("four calls", || calls.lock().unwrap().len() >= 4);
     let mut socket = TcpStream::connect(address).unwrap();
-    socket.write_all(query("q", "page", &[0], "").as_bytes()).unwrap();
-    assert!(read_response(&mut socket).contains("value of q.0"), "the last list stays in force");
+    socket
+        .write_all(query("q", "page", &[0], "").as_bytes())
+        .unwrap();
+    assert!(
+        read_response(&mut socket).contains("value of q.0"),
+        "the last list stays in force"
+    );
     let calls = calls.lock().unwrap();
     let waits: Vec<Duration> = calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!(waits[2] >= Duration::from_millis(500), "the third wait is four times the first: {waits:?}");
-    assert!(waits.iter().all(|wait| *wait < Duration::from_secs(4)), "a change is heard in time: {waits:?}");
+    assert!(
+        waits[2] >= Duration::from_millis(500),
+        "the third wait is four times the first: {waits:?}"
+    );
+    assert!(
+        waits.iter().all(|wait| *wait < Duration::from_secs(4)),
+        "a change is heard in time: {waits:?}"
+    );
 }
 
 #[test]
 fn reports_and_list_entries_of_other_fields_more_or_fewer_change_nothing() {
-    // As the protocol page has it, as the second deployment has it, more, fewer, none, and no report at all.
+    // As the protocol page has it, as the second deployment has it, more, fewer, none, and no
+    // report at all.
     let reports = [
         "inflight=7,util=0.61",
         "qps=4.2,util=0.61,queue=2",
@@ -153,21 +199,37 @@
         let told = told.clone();
         FrameHost::start(move |id| {
             let report = reports[told.fetch_add(1, Ordering::SeqCst) as usize % reports.len()];
-            Say::Raw(frame(b'q', format!("{id} good 1 {report}\nvalue of {id}").as_bytes()))
+            Say::Raw(frame(
+                b'q',
+                format!("{id} good 1 {report}\nvalue of {id}").as_bytes(),
+            ))
         })
     };
     let hosts: Vec<FrameHost> = (0..3).map(host).collect();
-    let mut targets: Vec<_> = hosts.iter().enumerate().map(|(i, h)| target(i, h.address, "active")).collect();
+    let mut targets: Vec<_> = hosts
+        .iter()
+        .enumerate()
+        .map(|(i, h)| target(i, h.address, "active"))
+        .collect();
     for key in ["az", "model", "capacity_hint", "boot_ms"] {
         targets[0].as_object_mut().unwrap().remove(key);
     }
     targets[1]["rack"] = serde_json::json!({"row": 3});
     targets[1]["model"] = serde_json::json!("a kind that no setting names");
-    let platform =
-        Platform::start_in("ulimit -n 1024", settings(), hosts, Discovery::start(targets), 256, &[]);
+    let platform = Platform::start_in(
+        "ulimit -n 1024",
+        settings(),
+        hosts,
+        Discovery::start(targets),
+        256,
+        &[],
+    );
     for i in 0..14 {
         let answer = platform.ask(&format!("q{i}"), "page", &[0, 1, 2]);
-        assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("\"total\":true"), "{answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200") && answer.contains("\"total\":true"),
+            "{answer}"
+        );
     }
     assert!(told.load(Ordering::SeqCst) >= 42, "every report was met");
 }
--- a/bitternsill/tests/platform_hosts.rs
+++ b/bitternsill/tests/platform_hosts.rs
@@ -11,18 +11,27 @@
 
 #[test]
 fn a_part_that_never_ran_is_sent_elsewhere_and_a_keyed_one_keeps_its_key() {
-    // Shard 1 is on the hosts of cells 1 and 2: the one turns everything away, the other accepts no connection.
+    // Shard 1 is on the hosts of cells 1 and 2: the one turns everything away, the other accepts no
+    // connection.
     let mut hosts = three();
     hosts[1] = FrameHost::start(|_| Say::Later);
     let platform = Platform::start(settings(), hosts);
     for i in 0..6 {
         let id = format!("q{i}");
-        let answer = platform.say(&query(&id, "shelf", &[1], "Idempotency-Key: k1\r\nConnection: close\r\n"));
+        let answer = platform.say(&query(
+            &id,
+            "shelf",
+            &[1],
+            "Idempotency-Key: k1\r\nConnection: close\r\n",
+        ));
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
     let served = platform.hosts[2].seen();
     assert_eq!(served.len(), 6);
-    assert!(served.iter().all(|line| line.contains("[k=k1]")), "{served:?}");
+    assert!(
+        served.iter().all(|line| line.contains("[k=k1]")),
+        "{served:?}"
+    );
 }
 
 #[test]
@@ -34,12 +43,17 @@
     for i in 0..12 {
         // The part may have run: the module serves it elsewhere or refuses, and nothing else.
         let answer = platform.ask(&format!("q{i}"), "page", &[0]);
-        let whole = answer.starts_with("HTTP/1.1 200") && answer.contains(&format!("value of q{i}.0"));
+        let whole =
+            answer.starts_with("HTTP/1.1 200") && answer.contains(&format!("value of q{i}.0"));
         assert!(whole || answer.starts_with("HTTP/1.1 503"), "{answer}");
         served += u32::from(whole);
     }
     assert!(served >= 6, "{served} of 12 served");
-    assert!(platform.hosts[0].seen().len() <= 6, "{:?}", platform.hosts[0].seen());
+    assert!(
+        platform.hosts[0].seen().len() <= 6,
+        "{:?}",
+        platform.hosts[0].seen()
+    );
 }
 
 #[test]
@@ -48,8 +62,9 @@
     let deaf = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&deaf, 0).unwrap();
     let address = deaf.local_addr().unwrap();
-    let fill: Vec<_> =
-        (0..4).map(|_| TcpStream::connect_timeout(&address, Duration::from_millis(100))).collect();
+    let fill: Vec<_> = (0..4)
+        .map(|_| TcpStream::connect_timeout(&address, Duration::from_millis(100)))
+        .collect();
     assert!(fill.last().unwrap().is_err(), "the listener is full");
     let mut hosts = three();
     hosts[0].address = address;
@@ -57,9 +72,21 @@
     for i in 0..6 {
         let id = format!("q{i}");
         let start = Instant::now();
-        let answer = platform.say(&query(&id, "shelf", &[0], "Idempotency-Key: k\r\nConnection: close\r\n"));
-        assert!(answer.starts_with("HTTP/1.1 200"), "it never ran, so it is sent elsewhere: {answer}");
-        assert!(start.elapsed() < Duration::from_millis(1200), "{:?}", start.elapsed());
+        let answer = platform.say(&query(
+            &id,
+            "shelf",
+            &[0],
+            "Idempotency-Key: k\r\nConnection: close\r\n",
+        ));
+        assert!(
+            answer.starts_with("HTTP/1.1 200"),
+            "it never ran, so it is sent elsewhere: {answer}"
+        );
+        assert!(
+            start.elapsed() < Duration::from_millis(1200),
+            "{:?}",
+            start.elapsed()
+        );
     }
 }
 
@@ -68,27 +95,50 @@
     // Shard 1 is on the hosts of cells 1 and 2, which take parts of it and answer none.
     let say = |id: &str| {
         let lost = id.ends_with(".1") || id.ends_with(".1.r");
-        if lost { Say::Nothing } else { Say::Good(7, format!("value of {id}")) }
+        if lost {
+            Say::Nothing
+        } else {
+            Say::Good(7, format!("value of {id}"))
+        }
     };
     let platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(say)).collect());
     let answer = platform.ask("s", "search", &[0, 1, 2]);
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("\"total\":false"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 200") && answer.contains("\"total\":false"),
+        "{answer}"
+    );
     let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
-    let mut second: Vec<&str> = seen.iter().filter(|line| line.contains(".r ")).map(String::as_str).collect();
+    let mut second: Vec<&str> = seen
+        .iter()
+        .filter(|line| line.contains(".r "))
+        .map(String::as_str)
+        .collect();
     second.sort_unstable();
     second.dedup();
-    assert_eq!(second, ["s.0.r 0 [from=0+2,whole=0] c41e77d0", "s.2.r 2 [from=0+2,whole=0] c41e77d0"]);
-    // A page needs every part: without one there is no answer, and that is said in the client's time.
+    assert_eq!(
+        second,
+        [
+            "s.0.r 0 [from=0+2,whole=0] c41e77d0",
+            "s.2.r 2 [from=0+2,whole=0] c41e77d0"
+        ]
+    );
+    // A page needs every part: without one there is no answer, and that is said in the client's
+    // time.
     let start = Instant::now();
     let answer = platform.ask("p", "page", &[0, 1]);
-    assert!(answer.starts_with("HTTP/1.1 503") && start.elapsed() < Duration::from_secs(3), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 503") && start.elapsed() < Duration::from_secs(3),
+        "{answer}"
+    );
 }
 
 #[test]
 fn a_spoilt_answer_is_one_failed_attempt_and_what_is_good_is_passed_on_whatever_lies_behind_it() {
     // Each way to spoil an answer, by the first letter of the query's id.
     let spoilt = |id: &str| -> Vec<u8> {
-        let answer = |name: &str, end: &str| frame(b'q', format!("{name} {end}\nvalue of {name}").as_bytes());
+        let answer = |name: &str, end: &str| {
+            frame(b'q', format!("{name} {end}\nvalue of {name}").as_bytes())
+        };
         match &id[..1] {
             "0" => answer("nobody.0", "good 7 -"),
             "1" => answer(id, "well 7 -"),
@@ -112,10 +162,14 @@
         for i in 0.. {
             let (id, start) = (format!("{way}f{i}"), Instant::now());
             let answer = platform.ask(&id, "page", &[0]);
-            let whole =
-                answer.starts_with("HTTP/1.1 200") && answer.contains(&format!("\"value of {id}.0\""));
+            let whole = answer.starts_with("HTTP/1.1 200")
+                && answer.contains(&format!("\"value of {id}.0\""));
             assert!(whole, "{answer}");
-            assert!(start.elapsed() < Duration::from_millis(1300), "{id}: {:?}", start.elapsed());
+            assert!(
+                start.elapsed() < Duration::from_millis(1300),
+                "{id}: {:?}",
+                start.elapsed()
+            );
             if !platform.hosts[0].seen().is_empty() {
                 break;
             }
@@ -127,14 +181,20 @@
         Say::Raw(match &id[..1] {
             "0" => good.repeat(2),
             "1" => [good, b"\xff\xff\xff\xffnoise".to_vec()].concat(),
-            _ => frame(b'q', &[id.as_bytes(), b" good 7 \xc3\x28\nvalue of ", id.as_bytes()].concat()),
+            _ => frame(
+                b'q',
+                &[id.as_bytes(), b" good 7 \xc3\x28\nvalue of ", id.as_bytes()].concat(),
+            ),
         })
     };
     let platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(say)).collect());
     for i in 0..9 {
         let id = format!("{}q{i}", i % 3);
         let answer = platform.ask(&id, "page", &[i % 2]);
-        assert!(answer.contains(&format!("value of {id}.{}", i % 2)), "{answer}");
+        assert!(
+            answer.contains(&format!("value of {id}.{}", i % 2)),
+            "{answer}"
+        );
     }
     let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
     assert_eq!(seen.len(), 9, "each was sent once: {seen:?}");
@@ -142,12 +202,17 @@
 
 #[test]
 fn a_connection_that_falls_silent_takes_no_more_work_while_its_host_lives_on() {
-    // The first connection to each host goes silent after its first answer, as one that a machine forgot.
+    // The first connection to each host goes silent after its first answer, as one that a machine
+    // forgot.
     let hosts = (0..3).map(|_| {
         let first = Arc::new(AtomicU32::new(0));
         FrameHost::start_by_connection(move |number, id| {
             let answered = number == 0 && first.fetch_add(1, Ordering::SeqCst) > 0;
-            if answered { Say::Nothing } else { Say::Good(1, format!("value of {id}")) }
+            if answered {
+                Say::Nothing
+            } else {
+                Say::Good(1, format!("value of {id}"))
+            }
         })
     });
     let platform = Platform::start(settings(), hosts.collect());
@@ -168,7 +233,9 @@
         FrameHost::start(move |id| {
             if let Some((query, _)) = id.strip_suffix(".r").and_then(|id| id.split_once('.')) {
                 let mut begun = begun.lock().unwrap();
-                let (first, at) = *begun.entry(query.to_owned()).or_insert((host, Instant::now()));
+                let (first, at) = *begun
+                    .entry(query.to_owned())
+                    .or_insert((host, Instant::now()));
                 if first != host && at.elapsed() < Duration::from_millis(2) {
                     return Say::Bad;
                 }
@@ -182,7 +249,8 @@
         assert!(answer.contains("\"total\":true"), "{answer}");
     }
     let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
-    // Told at once, nearly each of 12 would be turned down once; a host's own thread may be late now and then.
+    // Told at once, nearly each of 12 would be turned down once; a host's own thread may be late
+    // now and then.
     let sent = seen.iter().filter(|line| line.contains(".r ")).count();
     assert!((24..=29).contains(&sent), "{sent} parts for 24: {seen:?}");
 }
@@ -191,7 +259,8 @@
 fn a_long_text_is_passed_on_in_frames_of_a_bounded_size() {
     let platform = Platform::start(settings(), three());
     let text = "x".repeat(40_000);
-    let ranges = r#"[{"range":0,"portion":0.4},{"range":1,"portion":0.3},{"range":2,"portion":0.3}]"#;
+    let ranges =
+        r#"[{"range":0,"portion":0.4},{"range":1,"portion":0.3},{"range":2,"portion":0.3}]"#;
     let body = format!(r#"{{"ranges":{ranges},"predicate":"{text}"}}"#);
     for i in 0..8 {
         let answer = platform.say(&format!(
@@ -201,8 +270,15 @@
         ));
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
-    let longest = platform.hosts.iter().map(|h| h.longest.load(Ordering::SeqCst)).max();
-    assert!(longest.is_some_and(|bytes| bytes < 65_000), "a frame of {longest:?} bytes");
+    let longest = platform
+        .hosts
+        .iter()
+        .map(|h| h.longest.load(Ordering::SeqCst))
+        .max();
+    assert!(
+        longest.is_some_and(|bytes| bytes < 65_000),
+        "a frame of {longest:?} bytes"
+    );
 }
 
 #[test]
@@ -211,7 +287,15 @@
     settings["extra"]["class_fetch"] = serde_json::json!([0, 0, 0]);
     settings["extra"]["floor_by_class"] = serde_json::json!([0.7, 1.0, 1.0]);
     // Shard 2 is on the hosts of cells 2 and 0, and only there a part of it is left unanswered.
-    let hosts = |_| FrameHost::start(|id: &str| if id.ends_with(".2") { Say::Nothing } else { good(1)(id) });
+    let hosts = |_| {
+        FrameHost::start(|id: &str| {
+            if id.ends_with(".2") {
+                Say::Nothing
+            } else {
+                good(1)(id)
+            }
+        })
+    };
     let platform = Platform::start(settings, (0..3).map(hosts).collect());
     let ask = |id: &str, portions: [f64; 2]| {
         let body = format!(
@@ -225,8 +309,14 @@
         ))
     };
     let enough = ask("enough", [0.7, 0.3]);
-    assert!(enough.starts_with("HTTP/1.1 200") && enough.contains("\"total\":false"), "{enough}");
-    assert!(enough.contains("value of enough.1") && !enough.contains("\"range\":2"), "{enough}");
+    assert!(
+        enough.starts_with("HTTP/1.1 200") && enough.contains("\"total\":false"),
+        "{enough}"
+    );
+    assert!(
+        enough.contains("value of enough.1") && !enough.contains("\"range\":2"),
+        "{enough}"
+    );
     let short = ask("short", [0.69, 0.31]);
     assert!(short.starts_with("HTTP/1.1 503"), "{short}");
 }
--- a/bitternsill/tests/router_signals.rs
+++ b/bitternsill/tests/router_signals.rs
@@ -1,8 +1,9 @@
 //! Signals that reach a router while it is still starting.
 //!
-//! Story: a router was restarted and told in the same moment that its settings had changed. It ended at once, as if killed; told to end
-//! instead, it did so without finishing anything. Evidence: soak runs in which signals come in series, seeds 1 and 3. Cause: the
-//! signals were taken last, after the disk had been read and every interface was up.
+//! Story: a router was restarted and told in the same moment that its settings had changed. It
+//! ended at once, as if killed; told to end instead, it did so without finishing anything.
+//! Evidence: soak runs in which signals come in series, seeds 1 and 3. Cause: the signals were
+//! taken last, after the disk had been read and every interface was up.
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::json;
@@ -31,8 +32,9 @@
     }
 }
 
-/// Starts a router, and comes back as soon as it has begun to use its disk, which is long before it serves. It has an address of its
-/// own: a port that was found free at an address that others use may be taken again before the router listens there.
+/// Starts a router, and comes back as soon as it has begun to use its disk, which is long before it
+/// serves. It has an address of its own: a port that was found free at an address that others use
+/// may be taken again before the router listens there.
 fn start(name: &str, address: Ipv4Addr) -> Started {
     let folder = std::env::temp_dir().join(format!("router-signals-{}-{name}", std::process::id()));
     fs::create_dir_all(folder.join("data")).unwrap();
@@ -65,7 +67,12 @@
     while !is_so(&started.folder) {
         assert!(begun.elapsed() < PATIENCE, "it does not come about");
         let ended = started.child.try_wait().unwrap();
-        assert_eq!(ended, None, "the process has ended: {}", log(&started.folder));
+        assert_eq!(
+            ended,
+            None,
+            "the process has ended: {}",
+            log(&started.folder)
+        );
         std::thread::yield_now();
     }
 }
@@ -84,7 +91,11 @@
         if let Some(status) = started.child.try_wait().unwrap() {
             return status;
         }
-        assert!(begun.elapsed() < PATIENCE, "it does not end: {}", log(&started.folder));
+        assert!(
+            begun.elapsed() < PATIENCE,
+            "it does not end: {}",
+            log(&started.folder)
+        );
         std::thread::yield_now();
     }
 }
@@ -96,7 +107,9 @@
         let address = |place: usize| network.addresses.router(2 * number + place);
         let mut told_of_settings = start(&format!("hangup-{number}"), address(0));
         signal(&told_of_settings, Signal::HUP);
-        until(&mut told_of_settings, |folder| log(folder).contains("SIGHUP"));
+        until(&mut told_of_settings, |folder| {
+            log(folder).contains("SIGHUP")
+        });
 
         let mut told_to_end = start(&format!("terminate-{number}"), address(1));
         signal(&told_to_end, Signal::TERM);
--- a/bitternsill/tests/soak.rs
+++ b/bitternsill/tests/soak.rs
@@ -1,5 +1,6 @@
-//! A short soak by seed: real router processes under signals, restarts and changes in series that overlap, while clients keep using their
-//! connections until the process behind them is gone. The long one is started by hand: see `soak/src/main.rs`.
+//! A short soak by seed: real router processes under signals, restarts and changes in series that
+//! overlap, while clients keep using their connections until the process behind them is gone. The
+//! long one is started by hand: see `soak/src/main.rs`.
 
 use soak::run::{Plan, Report, run};
 use soak::settings::Size;
@@ -25,11 +26,18 @@
     Plan {
         program: PathBuf::from(env!("CARGO_BIN_EXE_bitternsill")),
         seed,
-        size: Size { routers: 5, replicas: 3 },
+        size: Size {
+            routers: 5,
+            replicas: 3,
+        },
         backends: 4,
         clients: 16,
         pause: Duration::from_millis(400),
-        trouble_ms: if series == Series::Primary { 20_000 } else { 10_000 },
+        trouble_ms: if series == Series::Primary {
+            20_000
+        } else {
+            10_000
+        },
         strikes_primary: series == Series::Primary,
         cuts_ways: series == Series::Ways,
         folder: std::env::temp_dir().join(format!("soak-test-{}-{seed}", std::process::id())),
@@ -40,21 +48,38 @@
 async fn broken(seed: u64, series: Series) -> Vec<String> {
     let plan = plan(seed, series);
     let folder = plan.folder.clone();
-    let Report { violations, history } = run(plan).await.expect("a run");
-    assert!(history.requests.len() > 500, "only {} requests were made", history.requests.len());
+    let Report {
+        violations,
+        history,
+    } = run(plan).await.expect("a run");
+    assert!(
+        history.requests.len() > 500,
+        "only {} requests were made",
+        history.requests.len()
+    );
     if violations.is_empty() {
         // What is left there harms nobody.
         let _ = std::fs::remove_dir_all(folder);
     }
-    violations.iter().map(|violation| format!("seed {seed}: {violation}")).collect()
+    violations
+        .iter()
+        .map(|violation| format!("seed {seed}: {violation}"))
+        .collect()
 }
 
 #[test]
 fn a_short_soak_keeps_every_rule() {
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let mut found = Vec::new();
     let series = [(PRIMARY_SEEDS, Series::Primary), (WAY_SEEDS, Series::Ways)];
-    for ([first, second], series) in SEEDS.map(|seeds| (seeds, Series::None)).into_iter().chain(series) {
+    for ([first, second], series) in SEEDS
+        .map(|seeds| (seeds, Series::None))
+        .into_iter()
+        .chain(series)
+    {
         let both = async { tokio::join!(broken(first, series), broken(second, series)) };
         let (first, second) = runtime.block_on(both);
         found.extend(first.into_iter().chain(second));
--- a/bitternsill/tests/store.rs
+++ b/bitternsill/tests/store.rs
@@ -20,8 +20,12 @@
 impl Members {
     fn new(name: &str) -> Members {
         let host = FrameHost::start(|_| Say::Nothing);
-        let file =
-            |i| std::env::temp_dir().join(format!("bitternsill-{name}-{}-{i}.store", std::process::id()));
+        let file = |i| {
+            std::env::temp_dir().join(format!(
+                "bitternsill-{name}-{}-{i}.store",
+                std::process::id()
+            ))
+        };
         let members = Members {
             stores: (0..3).map(|_| free_address()).collect(),
             discovery: Discovery::start(vec![target(0, host.address, "active")]),
@@ -49,7 +53,12 @@
     /// Starts a member whose disk takes so much longer over each sync; the log goes to a file.
     fn start_with(&self, member: usize, sync_ms: u64, log: &Path, name: &str) -> Program {
         let content = self.content(member, sync_ms, name, free_address());
-        Program::start_in(&format!("exec 2>{}", log.display()), "--catalogue", &content, &[])
+        Program::start_in(
+            &format!("exec 2>{}", log.display()),
+            "--catalogue",
+            &content,
+            &[],
+        )
     }
 
     /// What a member is started with.
@@ -73,18 +82,28 @@
 
     /// Every member's address, by its number.
     fn addresses(&self) -> serde_json::Map<String, Value> {
-        self.stores.iter().enumerate().map(|(i, a)| (i.to_string(), json!(a.to_string()))).collect()
+        self.stores
+            .iter()
+            .enumerate()
+            .map(|(i, a)| (i.to_string(), json!(a.to_string())))
+            .collect()
     }
 
     /// Whether a watcher of a member is told that a key has a value with this in it.
     fn told(&self, member: usize, key: &str, has: &str) -> bool {
-        let Ok(mut socket) = TcpStream::connect(self.stores[member]) else { return false };
-        socket.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
+        let Ok(mut socket) = TcpStream::connect(self.stores[member]) else {
+            return false;
+        };
+        socket
+            .set_read_timeout(Some(Duration::from_millis(300)))
+            .unwrap();
         socket.write_all(b"watch\n").unwrap();
         let lines = BufReader::new(socket).lines().map_while(Result::ok);
         lines
             .filter_map(|line| serde_json::from_str::<Value>(&line).ok())
-            .any(|line| line["key"] == key && line["value"].as_str().is_some_and(|v| v.contains(has)))
+            .any(|line| {
+                line["key"] == key && line["value"].as_str().is_some_and(|v| v.contains(has))
+            })
     }
 }
 
@@ -94,15 +113,21 @@
     let mut programs: Vec<Program> = (0..3).map(|i| members.start(i)).collect();
     eventually("every set-up is everywhere", || members.agree_on_set_ups());
     drop(programs.pop());
-    members.discovery.tell(2, vec![target(0, members.host.address, "leaving")]);
-    eventually("two of three commit", || members.told(1, "members/m0", "leaving"));
+    members
+        .discovery
+        .tell(2, vec![target(0, members.host.address, "leaving")]);
+    eventually("two of three commit", || {
+        members.told(1, "members/m0", "leaving")
+    });
     programs.push(members.start(2));
-    eventually("the third catches up", || members.told(2, "members/m0", "leaving"));
+    eventually("the third catches up", || {
+        members.told(2, "members/m0", "leaving")
+    });
     members.clear();
 }
 
-/// Power lost to all three at one moment, as soon as any watcher was told of a change, four times: it stays told, by all.
-/// The disks take 20 ms over a sync, and what is not synced by then is lost.
+/// Power lost to all three at one moment, as soon as any watcher was told of a change, four times:
+/// it stays told, by all. The disks take 20 ms over a sync, and what is not synced by then is lost.
 #[test]
 fn what_was_shown_as_committed_outlives_a_loss_of_power_to_all_members() {
     let members = Members::new("power");
@@ -110,14 +135,17 @@
     // Each life of a member has a name of its own, so that nobody writes its key again.
     let key = |round: usize| format!("setup/m1-{round}");
     for round in 0..4 {
-        let programs: Vec<Program> =
-            (0..3).map(|i| members.start_with(i, 20, &log, &format!("m{i}-{round}"))).collect();
+        let programs: Vec<Program> = (0..3)
+            .map(|i| members.start_with(i, 20, &log, &format!("m{i}-{round}")))
+            .collect();
         for before in 0..round {
             eventually("all tell what one had told before", || {
                 (0..3).all(|at| members.told(at, &key(before), "catalogue"))
             });
         }
-        eventually("one tells it", || (0..3).any(|at| members.told(at, &key(round), "catalogue")));
+        eventually("one tells it", || {
+            (0..3).any(|at| members.told(at, &key(round), "catalogue"))
+        });
         programs.iter().for_each(|program| program.signal("KILL"));
         drop(programs);
         for file in &members.files {
@@ -138,7 +166,10 @@
     drop(programs);
     let file = &members.files[2];
     let sound = std::fs::read(file).unwrap();
-    let at = sound.windows(9).position(|w| w == b"catalogue").expect("the text of a set-up");
+    let at = sound
+        .windows(9)
+        .position(|w| w == b"catalogue")
+        .expect("the text of a set-up");
     let mut changed = sound.clone();
     changed[at] = b'k';
     std::fs::write(file, &changed).unwrap();
@@ -153,31 +184,55 @@
     });
     assert!(!ended.unwrap().success(), "it does not serve");
     let said = std::fs::read_to_string(&log).unwrap();
-    for words in ["at byte", "its content does not have its checksum", "put the file back", "store recover"] {
+    for words in [
+        "at byte",
+        "its content does not have its checksum",
+        "put the file back",
+        "store recover",
+    ] {
         assert!(said.contains(words), "`{words}` in {said}");
     }
     assert!(!store_says(&["verify", file.to_str().unwrap()]).0);
     // The others go on, and the file put back lets the third go on too.
-    eventually("two of three are one", || (0..2).all(|at| members.told(at, "setup/m2", "catalogue")));
+    eventually("two of three are one", || {
+        (0..2).all(|at| members.told(at, "setup/m2", "catalogue"))
+    });
     std::fs::write(file, &sound).unwrap();
     let whole = store_says(&["show", file.to_str().unwrap()]);
-    assert!(whole.0 && whole.1.contains("starts: 1") && whole.1.contains("setup/m2"), "{}", whole.1);
+    assert!(
+        whole.0 && whole.1.contains("starts: 1") && whole.1.contains("setup/m2"),
+        "{}",
+        whole.1
+    );
     let third = members.start(2);
-    eventually("the third is back", || members.told(2, "setup/m0", "catalogue"));
+    eventually("the third is back", || {
+        members.told(2, "setup/m0", "catalogue")
+    });
     drop((others, third));
-    // A last record cut short is what a loss of power leaves: it is cut off and told, and nothing else is.
+    // A last record cut short is what a loss of power leaves: it is cut off and told, and nothing
+    // else is.
     let length = std::fs::metadata(file).unwrap().len();
-    std::fs::OpenOptions::new().write(true).open(file).unwrap().set_len(length - 3).unwrap();
+    std::fs::OpenOptions::new()
+        .write(true)
+        .open(file)
+        .unwrap()
+        .set_len(length - 3)
+        .unwrap();
     let said = store_says(&["verify", file.to_str().unwrap()]);
-    assert!(said.0 && said.1.contains("of a record that was never finished"), "{}", said.1);
+    assert!(
+        said.0 && said.1.contains("of a record that was never finished"),
+        "{}",
+        said.1
+    );
     members.clear();
     std::fs::remove_file(log).unwrap();
 }
 
 /// Starts all, and waits until each tells what each wrote under this life's name.
 fn all_agree(members: &Members, life: &str, logs: &[PathBuf; 3]) -> Vec<Program> {
-    let programs: Vec<Program> =
-        (0..3).map(|i| members.start_with(i, 0, &logs[i], &format!("m{i}-{life}"))).collect();
+    let programs: Vec<Program> = (0..3)
+        .map(|i| members.start_with(i, 0, &logs[i], &format!("m{i}-{life}")))
+        .collect();
     let key = |of: usize| format!("setup/m{of}-{life}");
     eventually("all tell what all wrote", || {
         (0..3).all(|at| (0..3).all(|of| members.told(at, &key(of), "catalogue")))
@@ -186,7 +241,9 @@
 }
 
 fn logs(name: &str) -> [PathBuf; 3] {
-    [0, 1, 2].map(|i| std::env::temp_dir().join(format!("bitternsill-{name}-{}-{i}.log", std::process::id())))
+    [0, 1, 2].map(|i| {
+        std::env::temp_dir().join(format!("bitternsill-{name}-{}-{i}.log", std::process::id()))
+    })
 }
 
 fn said(log: &Path) -> String {
@@ -201,19 +258,24 @@
 }
 
 fn forget(logs: &[PathBuf; 3]) {
-    logs.iter().for_each(|log| std::fs::remove_file(log).unwrap());
+    logs.iter()
+        .for_each(|log| std::fs::remove_file(log).unwrap());
 }
 
-/// Before, such a member began the store again where its set-up says that it begins, or voted as if it never had.
+/// Before, such a member began the store again where its set-up says that it begins, or voted as if
+/// it never had.
 #[test]
 fn a_member_whose_file_is_gone_takes_no_part_until_it_has_caught_up_with_more_than_half() {
     let (members, logs) = (Members::new("gone"), logs("gone"));
     drop(all_agree(&members, "a", &logs));
-    // The member that began the store, and only one other that is sound: nobody can tell what was promised.
+    // The member that began the store, and only one other that is sound: nobody can tell what was
+    // promised.
     std::fs::remove_file(&members.files[0]).unwrap();
     let first = members.start_with(0, 0, &logs[0], "m0-b");
     let second = members.start_with(1, 0, &logs[1], "m1-b");
-    eventually("it says so", || said(&logs[0]).contains("what it had promised there is lost"));
+    eventually("it says so", || {
+        said(&logs[0]).contains("what it had promised there is lost")
+    });
     let until = Instant::now() + Duration::from_millis(2500);
     while Instant::now() < until {
         // Four times as long as an election takes at the least.
@@ -224,18 +286,26 @@
     }
     let third = members.start_with(2, 0, &logs[2], "m2-b");
     eventually("all are one again", || {
-        let both = |at: usize| members.told(at, "setup/m0-b", "") && members.told(at, "setup/m2-a", "");
+        let both =
+            |at: usize| members.told(at, "setup/m0-b", "") && members.told(at, "setup/m2-a", "");
         (0..3).all(both)
     });
     drop((first, second, third));
-    assert!(shown(&members, 0).contains("files lost before: 1"), "{}", shown(&members, 0));
+    assert!(
+        shown(&members, 0).contains("files lost before: 1"),
+        "{}",
+        shown(&members, 0)
+    );
     // The same for one of which nothing at all is left, not even that it was of a store.
     for gone in [&members.files[2], &members.files[2].with_extension("id")] {
         std::fs::remove_file(gone).unwrap();
     }
     drop(all_agree(&members, "c", &logs));
     let shown = shown(&members, 2);
-    assert!(shown.contains("files lost before: 1") && shown.contains("m0-a"), "{shown}");
+    assert!(
+        shown.contains("files lost before: 1") && shown.contains("m0-a"),
+        "{shown}"
+    );
     members.clear();
     forget(&logs);
 }
@@ -249,13 +319,22 @@
     drop(all_agree(&members, "b", &logs));
     std::fs::write(&members.files[2], old).unwrap();
     drop(all_agree(&members, "c", &logs));
-    assert!(said(&logs[2]).contains("standing=Lost"), "{}", said(&logs[2]));
-    assert!(shown(&members, 2).contains("files lost before: 1"), "{}", shown(&members, 2));
+    assert!(
+        said(&logs[2]).contains("standing=Lost"),
+        "{}",
+        said(&logs[2])
+    );
+    assert!(
+        shown(&members, 2).contains("files lost before: 1"),
+        "{}",
+        shown(&members, 2)
+    );
     members.clear();
     forget(&logs);
 }
 
-/// Before, the members without files began an empty store, which the one with a file was refused by.
+/// Before, the members without files began an empty store, which the one with a file was refused
+/// by.
 #[test]
 fn a_majority_without_files_begins_nothing_until_an_operator_says_from_which_file() {
     let (members, logs) = (Members::new("majority"), logs("majority"));
@@ -263,11 +342,15 @@
     for gone in [0, 2] {
         std::fs::remove_file(&members.files[gone]).unwrap();
     }
-    let programs: Vec<Program> =
-        (0..3).map(|i| members.start_with(i, 0, &logs[i], &format!("m{i}-b"))).collect();
+    let programs: Vec<Program> = (0..3)
+        .map(|i| members.start_with(i, 0, &logs[i], &format!("m{i}-b")))
+        .collect();
     let until = Instant::now() + Duration::from_millis(2500);
     while Instant::now() < until {
-        assert!(!(0..3).any(|at| members.told(at, "setup/m0-b", "")), "nothing is committed");
+        assert!(
+            !(0..3).any(|at| members.told(at, "setup/m0-b", "")),
+            "nothing is committed"
+        );
     }
     drop(programs);
     let file = members.files[1].to_str().unwrap();
@@ -281,14 +364,24 @@
     assert_eq!(std::fs::read(file).unwrap(), before, "nothing is changed");
     let done = store_says(&["recover", file, "--accept-loss"]);
     assert!(done.0 && done.1.contains("move away"), "{}", done.1);
-    assert_eq!(std::fs::read(members.files[1].with_extension("former")).unwrap(), before);
+    assert_eq!(
+        std::fs::read(members.files[1].with_extension("former")).unwrap(),
+        before
+    );
     for other in [0, 2] {
-        for gone in [&members.files[other], &members.files[other].with_extension("id")] {
+        for gone in [
+            &members.files[other],
+            &members.files[other].with_extension("id"),
+        ] {
             let _ = std::fs::remove_file(gone);
         }
     }
     let programs = all_agree(&members, "c", &logs);
-    assert!((0..3).all(|at| (0..3).all(|of| members.told(at, &format!("setup/m{of}-a"), "catalogue"))));
+    assert!((0..3).all(|at| (0..3).all(|of| members.told(
+        at,
+        &format!("setup/m{of}-a"),
+        "catalogue"
+    ))));
     drop(programs);
     members.clear();
     forget(&logs);
@@ -300,19 +393,37 @@
     let (members, logs) = (Members::new("full"), logs("full"));
     let programs = all_agree(&members, "a", &logs);
     let marks = [0, 1, 2].map(|i| members.files[i].with_extension("full"));
-    marks.iter().for_each(|mark| std::fs::write(mark, "").unwrap());
-    members.discovery.tell(2, vec![target(0, members.host.address, "leaving")]);
-    eventually("the leader says so", || logs.iter().any(|log| said(log).contains("the disk is full")));
+    marks
+        .iter()
+        .for_each(|mark| std::fs::write(mark, "").unwrap());
+    members
+        .discovery
+        .tell(2, vec![target(0, members.host.address, "leaving")]);
+    eventually("the leader says so", || {
+        logs.iter()
+            .any(|log| said(log).contains("the disk is full"))
+    });
     for at in 0..3 {
-        assert!(members.told(at, "setup/m0-a", "catalogue"), "what was committed is told");
-        assert!(!members.told(at, "members/m0-a", "leaving"), "what is not on the disks is not");
+        assert!(
+            members.told(at, "setup/m0-a", "catalogue"),
+            "what was committed is told"
+        );
+        assert!(
+            !members.told(at, "members/m0-a", "leaving"),
+            "what is not on the disks is not"
+        );
     }
-    marks.iter().for_each(|mark| std::fs::remove_file(mark).unwrap());
+    marks
+        .iter()
+        .for_each(|mark| std::fs::remove_file(mark).unwrap());
     eventually("with room again the change is taken", || {
         (0..3).all(|at| members.told(at, "members/m0-a", "leaving"))
     });
     drop(programs);
-    members.files.iter().for_each(|file| assert!(store_says(&["verify", file.to_str().unwrap()]).0));
+    members
+        .files
+        .iter()
+        .for_each(|file| assert!(store_says(&["verify", file.to_str().unwrap()]).0));
     members.clear();
     forget(&logs);
 }
@@ -323,9 +434,13 @@
     let members = Members::new("slow");
     let log = std::env::temp_dir().join(format!("bitternsill-slow-{}", std::process::id()));
     let _program = members.start_with(0, 2000, &log, "m0");
-    eventually("it serves", || TcpStream::connect(members.stores[0]).is_ok());
+    eventually("it serves", || {
+        TcpStream::connect(members.stores[0]).is_ok()
+    });
     for state in ["leaving", "active", "leaving"] {
-        members.discovery.tell(2, vec![target(0, members.host.address, state)]);
+        members
+            .discovery
+            .tell(2, vec![target(0, members.host.address, state)]);
         for _ in 0..10 {
             let start = Instant::now();
             let mut socket = TcpStream::connect(members.stores[0]).unwrap();
@@ -349,36 +464,70 @@
     let members = Members::new("platform");
     let _catalogues = [members.start(0), members.start(1)];
     let beside = std::env::temp_dir().join(format!("bitternsill-beside-{}", std::process::id()));
-    let store = json!({"store": {"member": 2, "members": members.addresses(), "file": members.files[2]}});
+    let store =
+        json!({"store": {"member": 2, "members": members.addresses(), "file": members.files[2]}});
     std::fs::write(&beside, store.to_string()).unwrap();
-    let check = Command::new(env!("CARGO_BIN_EXE_bitternsill")).arg("check").arg(&beside).output().unwrap();
-    assert!(check.status.success(), "{}", String::from_utf8_lossy(&check.stderr));
+    let check = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
+        .arg("check")
+        .arg(&beside)
+        .output()
+        .unwrap();
+    assert!(
+        check.status.success(),
+        "{}",
+        String::from_utf8_lossy(&check.stderr)
+    );
     let start = || {
-        let hosts: Vec<FrameHost> =
-            (0..3).map(|_| FrameHost::start(|_| Say::Good(1, "v".to_owned()))).collect();
-        let targets = hosts.iter().enumerate().map(|(i, h)| target(i, h.address, "active")).collect();
+        let hosts: Vec<FrameHost> = (0..3)
+            .map(|_| FrameHost::start(|_| Say::Good(1, "v".to_owned())))
+            .collect();
+        let targets = hosts
+            .iter()
+            .enumerate()
+            .map(|(i, h)| target(i, h.address, "active"))
+            .collect();
         let more = ["--operator".to_owned(), beside.display().to_string()];
-        Platform::start_in("ulimit -n 1024", settings(), hosts, Discovery::start(targets), 256, &more)
+        Platform::start_in(
+            "ulimit -n 1024",
+            settings(),
+            hosts,
+            Discovery::start(targets),
+            256,
+            &more,
+        )
     };
     let platform = start();
-    eventually("all know its set-up", || (0..3).all(|at| members.told(at, "setup/n0", "platform")));
-    assert!(platform.ask("q", "page", &[0, 1]).starts_with("HTTP/1.1 200"), "it serves beside that");
+    eventually("all know its set-up", || {
+        (0..3).all(|at| members.told(at, "setup/n0", "platform"))
+    });
+    assert!(
+        platform
+            .ask("q", "page", &[0, 1])
+            .starts_with("HTTP/1.1 200"),
+        "it serves beside that"
+    );
     drop(platform);
     let _again = start();
-    eventually("it goes on from its file", || members.told(2, "setup/m0", "catalogue"));
+    eventually("it goes on from its file", || {
+        members.told(2, "setup/m0", "catalogue")
+    });
     members.clear();
     std::fs::remove_file(beside).unwrap();
 }
 
 /// What `bitternsill store` says of a file, and whether it is well.
 fn store_says(args: &[&str]) -> (bool, String) {
-    let output = Command::new(env!("CARGO_BIN_EXE_bitternsill")).arg("store").args(args).output().unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
+        .arg("store")
+        .args(args)
+        .output()
+        .unwrap();
     let text = String::from_utf8_lossy(&output.stdout) + String::from_utf8_lossy(&output.stderr);
     (output.status.success(), text.into_owned())
 }
 
-/// Three catalogues that start together take searches by what they are worth while their hosts warm up: before, the phases were
-/// told, and every search was taken.
+/// Three catalogues that start together take searches by what they are worth while their hosts warm
+/// up: before, the phases were told, and every search was taken.
 #[test]
 fn a_catalogue_that_returns_with_all_refuses_what_is_worth_least_until_it_is_in_full_service() {
     let members = Members::new("catalogues");
@@ -396,10 +545,14 @@
         })
         .collect();
     let search = || {
-        let Ok(mut socket) = TcpStream::connect(fronts[0]) else { return String::new() };
+        let Ok(mut socket) = TcpStream::connect(fronts[0]) else {
+            return String::new();
+        };
         let target = "/comics?operation=searchRetrieve&version=1.2&query=moon";
         let asked = format!("GET {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-        socket.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
+        socket
+            .set_read_timeout(Some(Duration::from_secs(8)))
+            .unwrap();
         let _ = socket.write_all(asked.as_bytes());
         read_response(&mut socket)
     };
@@ -412,17 +565,27 @@
         serde_json::from_str::<Value>(&line).map_or(Value::Null, |json| json["phase"].clone())
     };
     eventually("it returns", || phase() == "returning");
-    // The host answers nothing: a search that is taken is refused when its time is over, and one that is not, at once.
+    // The host answers nothing: a search that is taken is refused when its time is over, and one
+    // that is not, at once.
     let timed = || {
         let begun = Instant::now();
         (search(), begun.elapsed())
     };
     let (answer, took) = timed();
-    assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: "), "{answer}");
-    assert!(took < Duration::from_millis(700), "refused only after {took:?}");
+    assert!(
+        answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: "),
+        "{answer}"
+    );
+    assert!(
+        took < Duration::from_millis(700),
+        "refused only after {took:?}"
+    );
     eventually("full service", || phase() == "full");
     let (answer, took) = timed();
-    assert!(took > Duration::from_millis(700), "it is tried now: {took:?}, {answer}");
+    assert!(
+        took > Duration::from_millis(700),
+        "it is tried now: {took:?}, {answer}"
+    );
     drop(programs);
     members.clear();
 }
--- a/catalogue/src/ber.rs
+++ b/catalogue/src/ber.rs
@@ -81,7 +81,9 @@
 impl Item {
     /// The first value inside with this context tag.
     pub fn get(&self, tag: u32) -> Option<&Item> {
-        self.items().iter().find(|item| item.class == Class::Context && item.tag == tag)
+        self.items()
+            .iter()
+            .find(|item| item.class == Class::Context && item.tag == tag)
     }
 
     /// The values inside; none in a primitive.
@@ -107,7 +109,9 @@
 
     /// The number, if it fits.
     pub fn integer(&self) -> Option<i64> {
-        let Content::Primitive(bytes) = &self.content else { return None };
+        let Content::Primitive(bytes) = &self.content else {
+            return None;
+        };
         if bytes.is_empty() || bytes.len() > 8 {
             return None;
         }
@@ -125,7 +129,9 @@
 
     /// The object identifier, in dots.
     pub fn oid(&self) -> Option<String> {
-        let Content::Primitive(bytes) = &self.content else { return None };
+        let Content::Primitive(bytes) = &self.content else {
+            return None;
+        };
         let mut arcs: Vec<u64> = Vec::new();
         let mut arc = 0u64;
         for byte in bytes {
@@ -146,12 +152,17 @@
 
     /// Whether a bit of a BIT STRING is set.
     pub fn bit(&self, number: usize) -> bool {
-        let Content::Primitive(bytes) = &self.content else { return false };
-        bytes.get(1 + number / 8).is_some_and(|byte| byte & (0x80 >> (number % 8)) != 0)
+        let Content::Primitive(bytes) = &self.content else {
+            return false;
+        };
+        bytes
+            .get(1 + number / 8)
+            .is_some_and(|byte| byte & (0x80 >> (number % 8)) != 0)
     }
 }
 
-/// Reads the next whole value and takes it out of `input`; any split of the bytes gives the same values.
+/// Reads the next whole value and takes it out of `input`; any split of the bytes gives the same
+/// values.
 pub fn read(input: &mut Vec<u8>, most: usize, depth: usize) -> Result<Option<Item>, BerError> {
     let mut at = 0;
     match decode(input, &mut at, depth) {
@@ -165,7 +176,8 @@
     }
 }
 
-/// Why a value was not read: more bytes are wanted (so many in all, as far as is known), or it is wrong.
+/// Why a value was not read: more bytes are wanted (so many in all, as far as is known), or it is
+/// wrong.
 enum Short {
     More(usize),
     Wrong(BerError),
@@ -227,14 +239,26 @@
             items.push(decode(bytes, at, depth - 1)?);
         }
         *at += 2;
-        return Ok(Item { class, tag, content: Content::Constructed(items) });
+        return Ok(Item {
+            class,
+            tag,
+            content: Content::Constructed(items),
+        });
+    };
+    let end = at
+        .checked_add(length)
+        .ok_or(Short::Wrong(BerError::TooLong))?;
+    let Some(body) = bytes.get(..end) else {
+        return Err(Short::More(end));
     };
-    let end = at.checked_add(length).ok_or(Short::Wrong(BerError::TooLong))?;
-    let Some(body) = bytes.get(..end) else { return Err(Short::More(end)) };
     if !constructed {
         let content = Content::Primitive(body[*at..].to_vec());
         *at = end;
-        return Ok(Item { class, tag, content });
+        return Ok(Item {
+            class,
+            tag,
+            content,
+        });
     }
     let mut items = Vec::new();
     while *at < end {
@@ -244,7 +268,11 @@
             wrong => wrong,
         })?);
     }
-    Ok(Item { class, tag, content: Content::Constructed(items) })
+    Ok(Item {
+        class,
+        tag,
+        content: Content::Constructed(items),
+    })
 }
 
 /// Writes values; every length is definite.
@@ -294,7 +322,8 @@
         } else {
             self.out.push(first | 0x1f);
             let groups = (1..5).rev().filter(|n| tag >> (7 * n) != 0);
-            self.out.extend(groups.map(|n| 0x80 | (tag >> (7 * n)) as u8));
+            self.out
+                .extend(groups.map(|n| 0x80 | (tag >> (7 * n)) as u8));
             self.out.push((tag & 0x7f) as u8);
         }
         if length < 0x80 {
@@ -382,8 +411,13 @@
 
 /// An object identifier's bytes.
 pub fn oid(dotted: &str) -> Vec<u8> {
-    let arcs: Vec<u64> = dotted.split('.').filter_map(|arc| arc.parse().ok()).collect();
-    let [first, second, rest @ ..] = arcs.as_slice() else { return Vec::new() };
+    let arcs: Vec<u64> = dotted
+        .split('.')
+        .filter_map(|arc| arc.parse().ok())
+        .collect();
+    let [first, second, rest @ ..] = arcs.as_slice() else {
+        return Vec::new();
+    };
     let mut out = Vec::new();
     for arc in std::iter::once(first * 40 + second).chain(rest.iter().copied()) {
         let groups = (1..10).rev().filter(|n| arc >> (7 * n) != 0);
@@ -416,19 +450,33 @@
             assert_eq!((item.tag, input.len()), (212, 0));
             let number = |tag| item.get(tag).and_then(Item::integer);
             assert_eq!((number(23), number(24)), (Some(-129), Some(70_000)));
-            assert_eq!(item.items()[3].oid().as_deref(), Some("1.2.840.10003.5.109.10"));
+            assert_eq!(
+                item.items()[3].oid().as_deref(),
+                Some("1.2.840.10003.5.109.10")
+            );
             assert_eq!(item.get(45).map(Item::bytes), Some(vec![7; 300]));
         }
     }
 
     #[test]
     fn length_and_depth_are_bounded_and_nonsense_is_named() {
-        assert_eq!(read(&mut vec![0xa0, 0x84, 0xff, 0xff, 0xff, 0xff], 1000, 4), Err(BerError::TooLong));
+        assert_eq!(
+            read(&mut vec![0xa0, 0x84, 0xff, 0xff, 0xff, 0xff], 1000, 4),
+            Err(BerError::TooLong)
+        );
         assert_eq!(read(&mut vec![0xa0; 40], 1000, 4), Err(BerError::TooLong));
-        assert_eq!(read(&mut [0xa0, 0x80].repeat(9), 1000, 4), Err(BerError::TooDeep));
-        assert_eq!(read(&mut vec![0x80, 0x80], 1000, 4), Err(BerError::Malformed));
+        assert_eq!(
+            read(&mut [0xa0, 0x80].repeat(9), 1000, 4),
+            Err(BerError::TooDeep)
+        );
+        assert_eq!(
+            read(&mut vec![0x80, 0x80], 1000, 4),
+            Err(BerError::Malformed)
+        );
         let indefinite = vec![0xa0, 0x80, 0x82, 1, 9, 0, 0];
-        let item = read(&mut indefinite.clone(), 1000, 4).unwrap().expect("a whole value");
+        let item = read(&mut indefinite.clone(), 1000, 4)
+            .unwrap()
+            .expect("a whole value");
         assert_eq!(item.get(2).and_then(Item::integer), Some(9));
     }
 }
--- a/catalogue/src/cql/mod.rs
+++ b/catalogue/src/cql/mod.rs
@@ -57,16 +57,23 @@
     fn named(name: &str) -> Option<Relation> {
         let name = name.to_ascii_lowercase();
         let name = name.strip_prefix("cql.").unwrap_or(&name);
-        Self::NAMES.iter().find(|(known, _)| *known == name).map(|(_, relation)| *relation)
+        Self::NAMES
+            .iter()
+            .find(|(known, _)| *known == name)
+            .map(|(_, relation)| *relation)
     }
 
     /// Its name in CQL.
     pub fn name(self) -> &'static str {
-        Self::NAMES.iter().find(|(_, r)| *r == self).map_or("=", |(name, _)| name)
+        Self::NAMES
+            .iter()
+            .find(|(_, r)| *r == self)
+            .map_or("=", |(name, _)| name)
     }
 }
 
-/// How a term is understood (CQL context set 1.2, "Relation modifiers"): those that change what is found.
+/// How a term is understood (CQL context set 1.2, "Relation modifiers"): those that change what is
+/// found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Modifier {
     /// Words of the same stem.
@@ -123,12 +130,18 @@
 impl Modifier {
     fn named(name: &str) -> Option<Modifier> {
         let name = name.strip_prefix("cql.").unwrap_or(name);
-        MODIFIERS.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, m)| *m)
+        MODIFIERS
+            .iter()
+            .find(|(known, _)| known.eq_ignore_ascii_case(name))
+            .map(|(_, m)| *m)
     }
 
     /// Its name in CQL.
     pub fn name(self) -> &'static str {
-        MODIFIERS.iter().find(|(_, m)| *m == self).map_or("masked", |(name, _)| name)
+        MODIFIERS
+            .iter()
+            .find(|(_, m)| *m == self)
+            .map_or("masked", |(name, _)| name)
     }
 }
 
@@ -167,21 +180,33 @@
     ];
 
     fn named(name: &str) -> Option<Unit> {
-        Self::NAMES.iter().find(|(known, ..)| known.eq_ignore_ascii_case(name)).map(|(_, unit, _)| *unit)
+        Self::NAMES
+            .iter()
+            .find(|(known, ..)| known.eq_ignore_ascii_case(name))
+            .map(|(_, unit, _)| *unit)
     }
 
     fn name(self) -> &'static str {
-        Self::NAMES.iter().find(|(_, u, _)| *u == self).map_or("word", |(name, ..)| name)
+        Self::NAMES
+            .iter()
+            .find(|(_, u, _)| *u == self)
+            .map_or("word", |(name, ..)| name)
     }
 
     /// Its known unit code in a type-1 query.
     pub fn code(self) -> i64 {
-        Self::NAMES.iter().find(|(_, u, _)| *u == self).map_or(2, |(.., code)| *code)
+        Self::NAMES
+            .iter()
+            .find(|(_, u, _)| *u == self)
+            .map_or(2, |(.., code)| *code)
     }
 
     /// The unit of such a code.
     pub fn of_code(code: i64) -> Option<Unit> {
-        Self::NAMES.iter().find(|(.., c)| *c == code).map(|(_, unit, _)| *unit)
+        Self::NAMES
+            .iter()
+            .find(|(.., c)| *c == code)
+            .map(|(_, unit, _)| *unit)
     }
 }
 
@@ -200,8 +225,12 @@
 
 impl Proximity {
     /// What `prox` alone means.
-    pub const NEXT: Proximity =
-        Proximity { relation: Relation::LessOrEqual, distance: 1, unit: Unit::Word, ordered: false };
+    pub const NEXT: Proximity = Proximity {
+        relation: Relation::LessOrEqual,
+        distance: 1,
+        unit: Unit::Word,
+        ordered: false,
+    };
 }
 
 /// How two searches are joined.
@@ -249,7 +278,11 @@
     pub fn resolve<E>(self, set: &mut impl FnMut(&str) -> Result<Node, E>) -> Result<Node, E> {
         Ok(match self {
             Node::Set(name) => set(&name)?,
-            Node::Joined { boolean, left, right } => Node::Joined {
+            Node::Joined {
+                boolean,
+                left,
+                right,
+            } => Node::Joined {
                 boolean,
                 left: Box::new(left.resolve(set)?),
                 right: Box::new(right.resolve(set)?),
@@ -277,7 +310,8 @@
 }
 
 fn quote(term: &str) -> String {
-    // A quotation mark is the only character that quoting itself has to guard; escapes of masks stay as they are.
+    // A quotation mark is the only character that quoting itself has to guard; escapes of masks
+    // stay as they are.
     let mut out = String::with_capacity(term.len() + 2);
     out.push('"');
     for c in term.chars() {
@@ -305,7 +339,11 @@
                 write!(f, " {}", quote(&clause.term))
             }
             Node::Set(name) => write!(f, "cql.resultSetId = {}", quote(&term::literal(name))),
-            Node::Joined { boolean, left, right } => {
+            Node::Joined {
+                boolean,
+                left,
+                right,
+            } => {
                 let word = match boolean {
                     Boolean::And => "and".to_owned(),
                     Boolean::Or => "or".to_owned(),
@@ -318,7 +356,8 @@
                         if p.ordered { "ordered" } else { "unordered" }
                     ),
                 };
-                // Booleans are read from the left, so only what stands on the right needs parentheses.
+                // Booleans are read from the left, so only what stands on the right needs
+                // parentheses.
                 match **right {
                     Node::Joined { .. } => write!(f, "{left} {word} ({right})"),
                     _ => write!(f, "{left} {word} {right}"),
@@ -334,8 +373,16 @@
     for key in keys {
         out.push_str(if out.is_empty() { "sortBy " } else { " " });
         out.push_str(&key.index);
-        out.push_str(if key.ascending { "/sort.ascending" } else { "/sort.descending" });
-        out.push_str(if key.case { "/sort.respectCase" } else { "/sort.ignoreCase" });
+        out.push_str(if key.ascending {
+            "/sort.ascending"
+        } else {
+            "/sort.descending"
+        });
+        out.push_str(if key.case {
+            "/sort.respectCase"
+        } else {
+            "/sort.ignoreCase"
+        });
         out.push_str(&match &key.missing {
             Missing::Fail => "/sort.missingFail".to_owned(),
             Missing::Low => "/sort.missingLow".to_owned(),
@@ -349,6 +396,10 @@
 impl fmt::Display for Query {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.root.fmt(f)?;
-        if self.sort.is_empty() { Ok(()) } else { write!(f, " {}", write_sort(&self.sort)) }
+        if self.sort.is_empty() {
+            Ok(())
+        } else {
+            write!(f, " {}", write_sort(&self.sort))
+        }
     }
 }
--- a/catalogue/src/cql/parse.rs
+++ b/catalogue/src/cql/parse.rs
@@ -26,7 +26,9 @@
     let mut rest = text;
     loop {
         rest = rest.trim_start();
-        let Some(first) = rest.chars().next() else { return Ok(found) };
+        let Some(first) = rest.chars().next() else {
+            return Ok(found);
+        };
         if first == '"' {
             let (term, after) = quoted(&rest[1..])?;
             found.push(Token::Quoted(term));
@@ -63,7 +65,8 @@
 
 struct Parser {
     tokens: std::iter::Peekable<std::vec::IntoIter<Token>>,
-    /// Context sets by the prefixes that the query assigns; the empty one is what bare names are in.
+    /// Context sets by the prefixes that the query assigns; the empty one is what bare names are
+    /// in.
     prefixes: BTreeMap<String, &'static str>,
     depth: usize,
     most: usize,
@@ -73,9 +76,19 @@
 /// Parses a query nested no deeper than `most`, with at most four times as many clauses.
 pub fn parse(text: &str, most: usize) -> Result<Query, Fault> {
     let tokens = tokens(text)?.into_iter().peekable();
-    let mut parser = Parser { tokens, prefixes: BTreeMap::new(), depth: 0, most, clauses: 0 };
+    let mut parser = Parser {
+        tokens,
+        prefixes: BTreeMap::new(),
+        depth: 0,
+        most,
+        clauses: 0,
+    };
     let root = parser.query()?;
-    let sort = if parser.word_is("sortby") { parser.sort_by()? } else { Vec::new() };
+    let sort = if parser.word_is("sortby") {
+        parser.sort_by()?
+    } else {
+        Vec::new()
+    };
     match parser.tokens.next() {
         None => Ok(Query { root, sort }),
         Some(_) => Err(syntax("something follows the query's end")),
@@ -88,7 +101,9 @@
     }
 
     fn symbol(&mut self, wanted: &'static str) -> bool {
-        self.tokens.next_if(|token| *token == Token::Symbol(wanted)).is_some()
+        self.tokens
+            .next_if(|token| *token == Token::Symbol(wanted))
+            .is_some()
     }
 
     fn text(&mut self, what: &str) -> Result<String, Fault> {
@@ -121,7 +136,11 @@
                 self.boolean_modifier(&mut boolean)?;
             }
             let right = self.clause()?;
-            left = Node::Joined { boolean, left: Box::new(left), right: Box::new(right) };
+            left = Node::Joined {
+                boolean,
+                left: Box::new(left),
+                right: Box::new(right),
+            };
         }
         // A prefix holds for the query that it stands before, and no further.
         self.prefixes = outer;
@@ -137,7 +156,8 @@
         } else {
             (String::new(), first)
         };
-        let set = index::context_set(&identifier).ok_or_else(|| Kind::SET_OF_NAMES.of(identifier))?;
+        let set =
+            index::context_set(&identifier).ok_or_else(|| Kind::SET_OF_NAMES.of(identifier))?;
         if self.prefixes.len() >= 32 {
             return Err(Kind::TOO_COMPLEX.of("prefixes"));
         }
@@ -147,8 +167,13 @@
 
     fn boolean_modifier(&mut self, boolean: &mut Boolean) -> Result<(), Fault> {
         let name = self.text("a modifier")?;
-        let Boolean::Prox(near) = boolean else { return Err(Kind::BOOLEAN_MODIFIER.of(name)) };
-        let plain = name.strip_prefix("cql.").unwrap_or(&name).to_ascii_lowercase();
+        let Boolean::Prox(near) = boolean else {
+            return Err(Kind::BOOLEAN_MODIFIER.of(name));
+        };
+        let plain = name
+            .strip_prefix("cql.")
+            .unwrap_or(&name)
+            .to_ascii_lowercase();
         match plain.as_str() {
             "ordered" => near.ordered = true,
             "unordered" => near.ordered = false,
@@ -161,7 +186,9 @@
             }
             "distance" => {
                 let relation = match self.tokens.next() {
-                    Some(Token::Symbol(symbol)) if symbol != "(" && symbol != ")" && symbol != "/" => {
+                    Some(Token::Symbol(symbol))
+                        if symbol != "(" && symbol != ")" && symbol != "/" =>
+                    {
                         Relation::named(symbol).filter(|r| *r != Relation::Exact)
                     }
                     _ => None,
@@ -184,7 +211,11 @@
         match self.tokens.next() {
             Some(Token::Symbol("(")) => {
                 let node = self.query()?;
-                if self.symbol(")") { Ok(node) } else { Err(syntax("a parenthesis is not closed")) }
+                if self.symbol(")") {
+                    Ok(node)
+                } else {
+                    Err(syntax("a parenthesis is not closed"))
+                }
             }
             Some(Token::Quoted(term)) => self.after_operand(term, true),
             Some(Token::Word(word)) => self.after_operand(word, false),
@@ -196,7 +227,9 @@
     /// A first word is an index where a relation follows it, else the term itself.
     fn after_operand(&mut self, first: String, quoted: bool) -> Result<Node, Fault> {
         let named = match self.tokens.peek() {
-            Some(Token::Symbol(symbol)) if !matches!(*symbol, "(" | ")" | "/") => Some((*symbol).to_owned()),
+            Some(Token::Symbol(symbol)) if !matches!(*symbol, "(" | ")" | "/") => {
+                Some((*symbol).to_owned())
+            }
             Some(Token::Word(word)) => (Relation::named(word).is_some()
                 // A relation of another context set has a dot, which no boolean has.
                 || word.contains('.') && !quoted)
@@ -205,9 +238,14 @@
         };
         let Some(named) = named else {
             if !quoted
-                && matches!(first.to_ascii_lowercase().as_str(), "and" | "or" | "not" | "prox" | "sortby")
+                && matches!(
+                    first.to_ascii_lowercase().as_str(),
+                    "and" | "or" | "not" | "prox" | "sortby"
+                )
             {
-                return Err(syntax(format!("{first} stands where a search term is wanted")));
+                return Err(syntax(format!(
+                    "{first} stands where a search term is wanted"
+                )));
             }
             return Ok(Node::Clause(Clause {
                 index: ANY,
@@ -231,15 +269,21 @@
             return Ok(Node::Set(super::term::parts(&term).plain()));
         }
         let index = self.index(&first)?;
-        Ok(Node::Clause(Clause { index, relation, modifiers, term }))
+        Ok(Node::Clause(Clause {
+            index,
+            relation,
+            modifiers,
+            term,
+        }))
     }
 
     fn index(&self, name: &str) -> Result<index::Index, Fault> {
         let full = match name.split_once('.') {
             None => self.prefixes.get("").map(|set| format!("{set}.{name}")),
-            Some((prefix, rest)) => {
-                self.prefixes.get(&prefix.to_ascii_lowercase()).map(|set| format!("{set}.{rest}"))
-            }
+            Some((prefix, rest)) => self
+                .prefixes
+                .get(&prefix.to_ascii_lowercase())
+                .map(|set| format!("{set}.{rest}")),
         };
         index::by_name(full.as_deref().unwrap_or(name)).ok_or_else(|| Kind::INDEX.of(name))
     }
@@ -257,7 +301,10 @@
             let mut key = SortKey::by(&index.ok_or_else(|| Kind::SORT_KEY.of(name))?);
             while self.symbol("/") {
                 let name = self.text("a modifier")?;
-                let plain = name.strip_prefix("sort.").unwrap_or(&name).to_ascii_lowercase();
+                let plain = name
+                    .strip_prefix("sort.")
+                    .unwrap_or(&name)
+                    .to_ascii_lowercase();
                 match plain.as_str() {
                     "ascending" => key.ascending = true,
                     "descending" => key.ascending = false,
@@ -278,7 +325,11 @@
             }
             keys.push(key);
         }
-        if keys.is_empty() { Err(syntax("a sort key is missing")) } else { Ok(keys) }
+        if keys.is_empty() {
+            Err(syntax("a sort key is missing"))
+        } else {
+            Ok(keys)
+        }
     }
 }
 
@@ -327,7 +378,10 @@
             "date within \"1990 2000\"",
             "((((((((((a))))))))))",
         ];
-        let said: Vec<String> = cases.iter().map(|case| format!("{case} -> {}", say(case))).collect();
+        let said: Vec<String> = cases
+            .iter()
+            .map(|case| format!("{case} -> {}", say(case)))
+            .collect();
         insta::assert_snapshot!(said.join("\n"));
     }
 
@@ -337,7 +391,9 @@
         for text in [
             "(".repeat(100_000),
             "a and ".repeat(50_000) + "a",
-            (0..10_000).map(|n| format!("> x{n} = \"info:srw/cql-context-set/1/dc-v1.1\" ")).collect(),
+            (0..10_000)
+                .map(|n| format!("> x{n} = \"info:srw/cql-context-set/1/dc-v1.1\" "))
+                .collect(),
             "a =/stem".to_owned() + &"/stem".repeat(50_000),
             "\"".repeat(99_999),
             "a sortBy".to_owned() + &" title".repeat(20_000),
--- a/catalogue/src/cql/term.rs
+++ b/catalogue/src/cql/term.rs
@@ -65,7 +65,11 @@
         }
     }
     flush(&mut text, &mut pieces);
-    Parts { pieces, first, last }
+    Parts {
+        pieces,
+        first,
+        last,
+    }
 }
 
 impl Parts {
@@ -133,11 +137,18 @@
         }
         assert_eq!(parts(r"what\? mo?n*").z3958(), "what? mo#n?");
         let anchored = parts("^the moon^");
-        assert_eq!((anchored.first, anchored.last, anchored.plain()), (true, true, "the moon".to_owned()));
+        assert_eq!(
+            (anchored.first, anchored.last, anchored.plain()),
+            (true, true, "the moon".to_owned())
+        );
         for text in ["a*b", "^x", r"back\slash", "what?"] {
             assert_eq!(
                 parts(&literal(text)),
-                Parts { pieces: vec![Piece::Text(text.into())], first: false, last: false }
+                Parts {
+                    pieces: vec![Piece::Text(text.into())],
+                    first: false,
+                    last: false
+                }
             );
         }
     }
--- a/catalogue/src/fault.rs
+++ b/catalogue/src/fault.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A diagnostic: its number in Bib-1 (Z39.50, appendix DIAG) and in SRU's set (`info:srw/diagnostic/1`), and what it
-/// is about.
+/// A diagnostic: its number in Bib-1 (Z39.50, appendix DIAG) and in SRU's set
+/// (`info:srw/diagnostic/1`), and what it is about.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
     /// What is wrong.
@@ -27,7 +27,8 @@
         impl Kind {
             $($(#[$doc])* pub const $name: Kind = Kind { bib1: $bib1, sru: $sru };)*
         }
-        /// Every kind that is used, with SRU's words for it; the first of a number is what it is read as.
+        /// Every kind that is used, with SRU's words for it; the first of a number is what it is
+        /// read as.
         const KINDS: &[(Kind, &str)] = &[$((Kind::$name, $words)),*];
     };
 }
@@ -155,29 +156,49 @@
     /// SRU's words for it.
     pub fn words(self) -> &'static str {
         let exact = KINDS.iter().find(|(kind, _)| *kind == self);
-        exact.or_else(|| KINDS.iter().find(|(kind, _)| kind.sru == self.sru)).map_or("", |(_, words)| words)
+        exact
+            .or_else(|| KINDS.iter().find(|(kind, _)| kind.sru == self.sru))
+            .map_or("", |(_, words)| words)
     }
 
-    /// What a Bib-1 number stands for; an unknown one keeps its number and is a general error in SRU.
+    /// What a Bib-1 number stands for; an unknown one keeps its number and is a general error in
+    /// SRU.
     pub fn from_bib1(number: u16) -> Kind {
         let known = KINDS.iter().find(|(kind, _)| kind.bib1 == number);
-        known.map_or(Kind { bib1: number, sru: 1 }, |(kind, _)| *kind)
+        known.map_or(
+            Kind {
+                bib1: number,
+                sru: 1,
+            },
+            |(kind, _)| *kind,
+        )
     }
 
-    /// What a number of SRU's set stands for; an unknown one keeps its number and is a general error in Bib-1.
+    /// What a number of SRU's set stands for; an unknown one keeps its number and is a general
+    /// error in Bib-1.
     pub fn from_sru(number: u16) -> Kind {
         let known = KINDS.iter().find(|(kind, _)| kind.sru == number);
-        known.map_or(Kind { bib1: 1, sru: number }, |(kind, _)| *kind)
+        known.map_or(
+            Kind {
+                bib1: 1,
+                sru: number,
+            },
+            |(kind, _)| *kind,
+        )
     }
 
-    /// Whether another host, or the same one later, may well answer: it speaks of the server, not of the request.
+    /// Whether another host, or the same one later, may well answer: it speaks of the server, not
+    /// of the request.
     pub fn is_of_the_server(self) -> bool {
         matches!(self.bib1, 1 | 2 | 31) && matches!(self.sru, 1 | 2)
     }
 
     /// As the fault of something.
     pub fn of(self, about: impl Into<String>) -> Fault {
-        Fault { kind: self, about: about.into() }
+        Fault {
+            kind: self,
+            about: about.into(),
+        }
     }
 }
 
@@ -197,7 +218,8 @@
 mod tests {
     use super::*;
 
-    /// A number read from one protocol must come out as that number again where it is passed on in the same one.
+    /// A number read from one protocol must come out as that number again where it is passed on in
+    /// the same one.
     #[test]
     fn numbers_survive_the_way_through() {
         for number in 1..300 {
@@ -208,6 +230,9 @@
         assert_eq!(Kind::from_bib1(114), Kind::INDEX);
         assert!(KINDS.iter().all(|(_, words)| !words.is_empty()));
         assert!(Kind::from_bib1(2).is_of_the_server() && !Kind::INDEX.is_of_the_server());
-        assert!(!Kind::from_bib1(999).is_of_the_server(), "what is not understood is no reason to ask again");
+        assert!(
+            !Kind::from_bib1(999).is_of_the_server(),
+            "what is not understood is no reason to ask again"
+        );
     }
 }
--- a/catalogue/src/host/mod.rs
+++ b/catalogue/src/host/mod.rs
@@ -63,16 +63,25 @@
 
 /// Sorts a host's records here and cuts the range out: for a host that does not sort itself.
 fn sorted_here(keys: &[SortKey], records: Vec<Record>, range: Range) -> Result<Vec<Record>, Fault> {
-    let rows = records.into_iter().map(|record| Row::new(record, keys)).collect::<Option<Vec<_>>>();
+    let rows = records
+        .into_iter()
+        .map(|record| Row::new(record, keys))
+        .collect::<Option<Vec<_>>>();
     let mut rows = rows.ok_or_else(|| Kind::SORT_MISSING.of(""))?;
     // Stable, so that equal ones keep the host's order on every page.
     rows.sort_by(|a, b| sort::compare(keys, &a.values, &b.values));
-    let cut = rows.into_iter().skip(range.offset as usize).take(range.count as usize);
+    let cut = rows
+        .into_iter()
+        .skip(range.offset as usize)
+        .take(range.count as usize);
     Ok(cut.map(|row| row.record).collect())
 }
 
 fn too_many_to_sort(hits: u64, bounds: &HostBounds) -> Fault {
-    Kind::SORT_TOO_MANY.of(format!("the host does not sort, and {hits} are more than {}", bounds.local_sort))
+    Kind::SORT_TOO_MANY.of(format!(
+        "the host does not sort, and {hits} are more than {}",
+        bounds.local_sort
+    ))
 }
 
 /// Records as they come, until as many as were asked for are here.
@@ -88,7 +97,11 @@
 impl Gathering {
     fn of(range: Range, hits: u64) -> Gathering {
         let want = u64::from(range.count).min(hits.saturating_sub(range.offset));
-        Gathering { records: Vec::new(), from: range.offset, want }
+        Gathering {
+            records: Vec::new(),
+            from: range.offset,
+            want,
+        }
     }
 
     /// What is still to be asked for: the place of the first, from 0, and how many.
@@ -103,5 +116,11 @@
 }
 
 fn found(hits: u64, exact: bool, records: Vec<Record>) -> Found {
-    Found { hits, exact, records, facets: None, host: 0 }
+    Found {
+        hits,
+        exact,
+        records,
+        facets: None,
+        host: 0,
+    }
 }
