--- a/catalogue/src/host/sru.rs
+++ b/catalogue/src/host/sru.rs
@@ -1,4 +1,5 @@
-//! SRU with an index host: its version is learned, and what it refuses is asked for otherwise or said so.
+//! SRU with an index host: its version is learned, and what it refuses is asked for otherwise or
+//! said so.
 
 use super::{Gathering, HostBounds, Next, found, refused, sorted_here, too_many_to_sort};
 use crate::cql::{self, write_sort};
@@ -33,7 +34,16 @@
     pub fn new(work: Work, slice: u32, learned: &Learned) -> Job {
         let version = learned.version.unwrap_or(TRIED[0]);
         let local = learned.no_sort && matches!(&work, Work::Page(page) if !page.sort.is_empty());
-        Job { work, slice, version, tried: vec![version], local, gathering: None, first: None, exchanges: 0 }
+        Job {
+            work,
+            slice,
+            version,
+            tried: vec![version],
+            local,
+            gathering: None,
+            first: None,
+            exchanges: 0,
+        }
     }
 
     /// The query of the URL to ask for.
@@ -52,8 +62,10 @@
                 pairs.push(("maximumTerms", scan.number.to_string()));
             }
         }
-        let words: Vec<String> =
-            pairs.iter().map(|(name, value)| format!("{name}={}", percent(value))).collect();
+        let words: Vec<String> = pairs
+            .iter()
+            .map(|(name, value)| format!("{name}={}", percent(value)))
+            .collect();
         words.join("&")
     }
 
@@ -76,16 +88,23 @@
         pairs.push(("query", query));
         let (from, count) = match &self.gathering {
             Some(gathering) => gathering.rest(),
-            None if self.local && page.range(self.slice).count > 0 => (0, u64::from(bounds.local_sort)),
+            None if self.local && page.range(self.slice).count > 0 => {
+                (0, u64::from(bounds.local_sort))
+            }
             None => {
                 let range = page.range(self.slice);
                 (range.offset, u64::from(range.count))
             }
         };
         // A place that is not asked for must not be out of range.
-        pairs.push(("startRecord", if count == 0 { 1 } else { from + 1 }.to_string()));
+        pairs.push((
+            "startRecord",
+            if count == 0 { 1 } else { from + 1 }.to_string(),
+        ));
         pairs.push(("maximumRecords", count.to_string()));
-        let schema = [page.schema, Schema::Dc].into_iter().find(|s| !learned.no_schema.contains(s));
+        let schema = [page.schema, Schema::Dc]
+            .into_iter()
+            .find(|s| !learned.no_schema.contains(s));
         if let Some(schema) = schema {
             pairs.push(("recordSchema", schema.names().short.to_owned()));
         }
@@ -94,7 +113,11 @@
             pairs.push(("sortKeys", write_sort_keys(&page.sort)));
         }
         if !old && !page.facets.is_empty() && !learned.no_facets {
-            let words: Vec<String> = page.facets.iter().map(|f| format!("{}:{}", f.limit, f.index)).collect();
+            let words: Vec<String> = page
+                .facets
+                .iter()
+                .map(|f| format!("{}:{}", f.limit, f.index))
+                .collect();
             pairs.push(("facetLimit", words.join(",")));
         }
     }
@@ -136,10 +159,14 @@
 
     /// Whether the fault is one that another way of asking gets round; the way is taken.
     fn round(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
-        let Work::Page(page) = &self.work else { return self.other_version(fault, learned) };
+        let Work::Page(page) = &self.work else {
+            return self.other_version(fault, learned);
+        };
         match fault.kind.sru {
             66 | 67 => {
-                let next = [page.schema, Schema::Dc].into_iter().find(|s| !learned.no_schema.contains(s));
+                let next = [page.schema, Schema::Dc]
+                    .into_iter()
+                    .find(|s| !learned.no_schema.contains(s));
                 next.map(|schema| learned.no_schema.push(schema)).is_some()
             }
             8 if fault.about.contains("facet") && !learned.no_facets => {
@@ -163,8 +190,14 @@
     fn other_version(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
         let about = fault.kind.sru == 5
             || fault.kind.sru == 8
-                && ["version", "operation", "recordPacking"].iter().any(|p| fault.about.contains(p));
-        let Some(next) = TRIED.into_iter().find(|v| !self.tried.contains(v)).filter(|_| about) else {
+                && ["version", "operation", "recordPacking"]
+                    .iter()
+                    .any(|p| fault.about.contains(p));
+        let Some(next) = TRIED
+            .into_iter()
+            .find(|v| !self.tried.contains(v))
+            .filter(|_| about)
+        else {
             return false;
         };
         learned.version = None;
@@ -187,35 +220,57 @@
         learned: &mut Learned,
     ) -> Next<()> {
         let partial = |f: &&Fault| matches!(f.kind.sru, 58 | 59);
-        let fatal = response.faults.iter().find(|f| !partial(f) && f.kind.sru != 61);
+        let fatal = response
+            .faults
+            .iter()
+            .find(|f| !partial(f) && f.kind.sru != 61);
         if let Some(fault) = fatal.filter(|_| response.hits.unwrap_or(0) == 0) {
-            return if self.round(fault, learned) { Next::Say(()) } else { refused(fault.clone()) };
+            return if self.round(fault, learned) {
+                Next::Say(())
+            } else {
+                refused(fault.clone())
+            };
         }
-        let Some(hits) = response.hits else { return Next::Failed("no numberOfRecords".to_owned()) };
+        let Some(hits) = response.hits else {
+            return Next::Failed("no numberOfRecords".to_owned());
+        };
         self.learn(&response, learned);
-        let exact = response.exact && !response.faults.iter().any(|f| matches!(f.kind.sru, 58 | 59));
+        let exact = response.exact
+            && !response
+                .faults
+                .iter()
+                .any(|f| matches!(f.kind.sru, 58 | 59));
         let range = page.range(self.slice);
         if self.gathering.is_none() {
             if self.local && range.count > 0 && hits > u64::from(bounds.local_sort) {
                 return Next::Done(Given::Refused(too_many_to_sort(hits, bounds)));
             }
             let wanted = if self.local && range.count > 0 {
-                crate::work::Range { slice: self.slice, offset: 0, count: bounds.local_sort }
+                crate::work::Range {
+                    slice: self.slice,
+                    offset: 0,
+                    count: bounds.local_sort,
+                }
             } else {
                 range
             };
             self.gathering = Some(Gathering::of(wanted, hits));
             self.first = Some((hits, exact, response.facets));
         }
-        let Some(gathering) = &mut self.gathering else { return Next::Failed(String::new()) };
+        let Some(gathering) = &mut self.gathering else {
+            return Next::Failed(String::new());
+        };
         let before = gathering.records.len();
         let room = gathering.rest().1 as usize;
-        gathering.records.extend(response.records.into_iter().take(room));
+        gathering
+            .records
+            .extend(response.records.into_iter().take(room));
         if !gathering.is_done() && gathering.records.len() > before {
             // The host gives fewer at once than it was asked for.
             return Next::Say(());
         }
-        // Fewer than there should be: the set has changed under the page, which its counts will show.
+        // Fewer than there should be: the set has changed under the page, which its counts will
+        // show.
         let records = std::mem::take(&mut gathering.records);
         let (hits, exact, facets) = self.first.take().unwrap_or((hits, exact, None));
         let records = if self.local && range.count > 0 {
@@ -227,12 +282,23 @@
             records
         };
         let facets = facets.filter(|_| !page.facets.is_empty());
-        Next::Done(Given::Found(Found { facets, ..found(hits, exact, records) }))
+        Next::Done(Given::Found(Found {
+            facets,
+            ..found(hits, exact, records)
+        }))
     }
 
     fn scan(&mut self, scan: &ScanWork, response: ReadResponse, learned: &mut Learned) -> Next<()> {
-        if let Some(fault) = response.faults.first().filter(|_| response.terms.is_empty()) {
-            return if self.round(fault, learned) { Next::Say(()) } else { refused(fault.clone()) };
+        if let Some(fault) = response
+            .faults
+            .first()
+            .filter(|_| response.terms.is_empty())
+        {
+            return if self.round(fault, learned) {
+                Next::Say(())
+            } else {
+                refused(fault.clone())
+            };
         }
         if !response.root.starts_with("scan") {
             return Next::Failed("no scan response".to_owned());
@@ -244,14 +310,17 @@
     }
 }
 
-/// A query that travels in CQL must be in the host's version of it: 1.1 has no sortBy and no prefixes, which are
-/// never written into it. What is left is checked here, so that a fault in it is this program's and not the host's.
+/// A query that travels in CQL must be in the host's version of it: 1.1 has no sortBy and no
+/// prefixes, which are never written into it. What is left is checked here, so that a fault in it
+/// is this program's and not the host's.
 pub fn check(work: &Work) -> Result<(), Fault> {
     let text = match work {
         Work::Page(page) => &page.query,
         Work::Scan(scan) => &scan.clause,
     };
-    cql::parse(text, 256).map(|_| ()).map_err(|fault| Kind::SYNTAX.of(fault.to_string()))
+    cql::parse(text, 256)
+        .map(|_| ())
+        .map_err(|fault| Kind::SYNTAX.of(fault.to_string()))
 }
 
 #[cfg(test)]
@@ -260,16 +329,29 @@
     use crate::sort::SortKey;
     use crate::work::Range;
 
-    const BOUNDS: HostBounds =
-        HostBounds { local_sort: 4, message: 1 << 16, named_sets: 4, set_age: 100, exchanges: 6 };
+    const BOUNDS: HostBounds = HostBounds {
+        local_sort: 4,
+        message: 1 << 16,
+        named_sets: 4,
+        set_age: 100,
+        exchanges: 6,
+    };
 
     fn job(learned: &Learned, sort: bool, offset: u64, count: u32) -> Job {
         let work = Work::Page(PageWork {
             query: "cql.serverChoice = \"moon\"".into(),
-            sort: if sort { vec![SortKey::named("title").unwrap()] } else { Vec::new() },
+            sort: if sort {
+                vec![SortKey::named("title").unwrap()]
+            } else {
+                Vec::new()
+            },
             schema: Schema::Mods,
             fresh: true,
-            ranges: vec![Range { slice: 3, offset, count }],
+            ranges: vec![Range {
+                slice: 3,
+                offset,
+                count,
+            }],
             facets: Vec::new(),
         });
         Job::new(work, 3, learned)
@@ -285,16 +367,20 @@
     fn records(hits: u64, titles: &[&str]) -> String {
         let records: String = titles
             .iter()
-            .map(|t| format!("<record><recordData><dc><title>{t}</title></dc></recordData></record>"))
+            .map(|t| {
+                format!("<record><recordData><dc><title>{t}</title></dc></recordData></record>")
+            })
             .collect();
         format!("<r><numberOfRecords>{hits}</numberOfRecords><records>{records}</records></r>")
     }
 
     fn titles(next: Next<()>) -> Vec<String> {
         match next {
-            Next::Done(Given::Found(found)) => {
-                found.records.iter().filter_map(|r| r.value("dc.title")).collect()
-            }
+            Next::Done(Given::Found(found)) => found
+                .records
+                .iter()
+                .filter_map(|r| r.value("dc.title"))
+                .collect(),
             other => panic!("{other:?}"),
         }
     }
@@ -311,19 +397,41 @@
             if !ask.contains("version=") {
                 break;
             }
-            assert_eq!(one.answered(200, &refusal(5, ""), &BOUNDS, &mut learned), Next::Say(()));
+            assert_eq!(
+                one.answered(200, &refusal(5, ""), &BOUNDS, &mut learned),
+                Next::Say(())
+            );
         }
-        assert_eq!(asked, ["version=1.2", "version=1.1", "query=cql.serverChoice%20%3D%20%22moon%22"]);
-        assert_eq!(titles(one.answered(200, &records(1, &["a"]), &BOUNDS, &mut learned)), ["a"]);
-        assert!(!job(&learned, false, 0, 1).ask(&BOUNDS, &learned).contains("version="));
+        assert_eq!(
+            asked,
+            [
+                "version=1.2",
+                "version=1.1",
+                "query=cql.serverChoice%20%3D%20%22moon%22"
+            ]
+        );
+        assert_eq!(
+            titles(one.answered(200, &records(1, &["a"]), &BOUNDS, &mut learned)),
+            ["a"]
+        );
+        assert!(
+            !job(&learned, false, 0, 1)
+                .ask(&BOUNDS, &learned)
+                .contains("version=")
+        );
         // One that speaks none ends after each was tried once.
         let mut learned = Learned::default();
         let mut none = job(&learned, false, 0, 1);
-        let ends = (0..4).find_map(|_| match none.answered(200, &refusal(5, "x"), &BOUNDS, &mut learned) {
-            Next::Say(()) => None,
-            other => Some(other),
+        let ends = (0..4).find_map(|_| {
+            match none.answered(200, &refusal(5, "x"), &BOUNDS, &mut learned) {
+                Next::Say(()) => None,
+                other => Some(other),
+            }
         });
-        assert_eq!(ends, Some(Next::Done(Given::Refused(Kind::VERSION.of("x")))));
+        assert_eq!(
+            ends,
+            Some(Next::Done(Given::Refused(Kind::VERSION.of("x"))))
+        );
     }
 
     #[test]
@@ -331,20 +439,46 @@
         let mut learned = Learned::default();
         let mut one = job(&learned, true, 1, 2);
         let ask = one.ask(&BOUNDS, &learned);
-        assert!(ask.contains("recordSchema=mods") && ask.contains("sortKeys=title"), "{ask}");
-        assert_eq!(one.answered(200, &refusal(66, "mods"), &BOUNDS, &mut learned), Next::Say(()));
+        assert!(
+            ask.contains("recordSchema=mods") && ask.contains("sortKeys=title"),
+            "{ask}"
+        );
+        assert_eq!(
+            one.answered(200, &refusal(66, "mods"), &BOUNDS, &mut learned),
+            Next::Say(())
+        );
         assert!(one.ask(&BOUNDS, &learned).contains("recordSchema=dc"));
-        assert_eq!(one.answered(200, &refusal(80, ""), &BOUNDS, &mut learned), Next::Say(()));
+        assert_eq!(
+            one.answered(200, &refusal(80, ""), &BOUNDS, &mut learned),
+            Next::Say(())
+        );
         let ask = one.ask(&BOUNDS, &learned);
-        assert!(!ask.contains("sortKeys") && ask.contains("startRecord=1&maximumRecords=4"), "{ask}");
+        assert!(
+            !ask.contains("sortKeys") && ask.contains("startRecord=1&maximumRecords=4"),
+            "{ask}"
+        );
         // It gives two at once; they are gathered, sorted here, and the range is cut out.
-        assert_eq!(one.answered(200, &records(3, &["c", "a"]), &BOUNDS, &mut learned), Next::Say(()));
-        assert!(one.ask(&BOUNDS, &learned).contains("startRecord=3&maximumRecords=1"));
-        assert_eq!(titles(one.answered(200, &records(3, &["b"]), &BOUNDS, &mut learned)), ["b", "c"]);
+        assert_eq!(
+            one.answered(200, &records(3, &["c", "a"]), &BOUNDS, &mut learned),
+            Next::Say(())
+        );
+        assert!(
+            one.ask(&BOUNDS, &learned)
+                .contains("startRecord=3&maximumRecords=1")
+        );
+        assert_eq!(
+            titles(one.answered(200, &records(3, &["b"]), &BOUNDS, &mut learned)),
+            ["b", "c"]
+        );
         // The next part knows, and says so where there are too many.
         let mut next = job(&learned, true, 0, 1);
         assert!(!next.ask(&BOUNDS, &learned).contains("sortKeys"));
-        match next.answered(200, &records(5, &["a", "b", "c", "d"]), &BOUNDS, &mut learned) {
+        match next.answered(
+            200,
+            &records(5, &["a", "b", "c", "d"]),
+            &BOUNDS,
+            &mut learned,
+        ) {
             Next::Done(Given::Refused(fault)) => assert_eq!(fault.kind, Kind::SORT_TOO_MANY),
             other => panic!("{other:?}"),
         }
@@ -361,8 +495,14 @@
         assert!(matches!(say(200, &refusal(1, "")), Next::Failed(_)));
         assert!(matches!(say(500, "oops"), Next::Failed(_)));
         assert!(matches!(say(500, &records(1, &["a"])), Next::Failed(_)));
-        assert_eq!(say(200, &refusal(16, "x")), Next::Done(Given::Refused(Kind::INDEX.of("x"))));
-        assert_eq!(say(400, &refusal(10, "x")), Next::Done(Given::Refused(Kind::SYNTAX.of("x"))));
+        assert_eq!(
+            say(200, &refusal(16, "x")),
+            Next::Done(Given::Refused(Kind::INDEX.of("x")))
+        );
+        assert_eq!(
+            say(400, &refusal(10, "x")),
+            Next::Done(Given::Refused(Kind::SYNTAX.of("x")))
+        );
         let partial = records(2, &["a"]).replace(
             "</r>",
             "<diagnostics><diagnostic><uri>info:srw/diagnostic/1/59</uri></diagnostic></diagnostics></r>",
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -1,4 +1,5 @@
-//! Z39.50 with an index host: one session, one part at a time, with the sets that the host still has for it.
+//! Z39.50 with an index host: one session, one part at a time, with the sets that the host still
+//! has for it.
 
 use super::{Gathering, Heard, HostBounds, Next, found, refused, sorted_here, too_many_to_sort};
 use crate::ber::{Class, Item};
@@ -62,7 +63,13 @@
 /// The first thing that is said.
 pub fn hello(bounds: &HostBounds) -> Vec<u8> {
     z3950::unit(tag::INIT_REQUEST, None, |w| {
-        init::introduce(w, true, Abilities::of(WANTED), bounds.message, bounds.message);
+        init::introduce(
+            w,
+            true,
+            Abilities::of(WANTED),
+            bounds.message,
+            bounds.message,
+        );
         init::name_self(w);
     })
 }
@@ -118,7 +125,12 @@
         };
         let key = key_of(&job);
         let fit = |set: &&HostSet| set.key == key && set.made.saturating_add(bounds.set_age) > now;
-        let known = self.sets.iter().find(fit).filter(|_| !page.fresh && job.range.count > 0).cloned();
+        let known = self
+            .sets
+            .iter()
+            .find(fit)
+            .filter(|_| !page.fresh && job.range.count > 0)
+            .cloned();
         self.job = Some(job);
         match known {
             Some(set) => {
@@ -139,7 +151,11 @@
         }
         let clause = match cql::parse(&work.clause, 4).map(|q| q.root) {
             Ok(Node::Clause(clause)) => clause,
-            Ok(_) => return Next::Done(Given::Refused(Kind::SYNTAX.of("a scan of more than one clause"))),
+            Ok(_) => {
+                return Next::Done(Given::Refused(
+                    Kind::SYNTAX.of("a scan of more than one clause"),
+                ));
+            }
             Err(fault) => return Next::Done(Given::Refused(fault)),
         };
         let mut written = Ok(());
@@ -159,7 +175,11 @@
                 facets: Vec::new(),
             },
             query: None,
-            range: Range { slice, offset: 0, count: 0 },
+            range: Range {
+                slice,
+                offset: 0,
+                count: 0,
+            },
             database: database.to_owned(),
             doing: Doing::Scanning,
             set: None,
@@ -185,21 +205,31 @@
         match unit.tag {
             tag::INIT_RESPONSE if self.job.is_none() => {
                 if unit.get(tag::RESULT).and_then(Item::boolean) != Some(true) {
-                    return Ok(Heard::Unwelcome("the host does not take the session".to_owned()));
+                    return Ok(Heard::Unwelcome(
+                        "the host does not take the session".to_owned(),
+                    ));
                 }
-                let told = unit.get(tag::OPTIONS).map_or_else(Abilities::default, Abilities::read);
+                let told = unit
+                    .get(tag::OPTIONS)
+                    .map_or_else(Abilities::default, Abilities::read);
                 self.abilities = told.both(Abilities::of(WANTED));
                 Ok(Heard::Welcome)
             }
             tag::CLOSE => Ok(Heard::Bye),
             _ => {
-                let Some(job) = &mut self.job else { return Err("a response to nothing".to_owned()) };
+                let Some(job) = &mut self.job else {
+                    return Err("a response to nothing".to_owned());
+                };
                 job.exchanges += 1;
                 let too_many = job.exchanges > bounds.exchanges;
                 let next = match (&job.doing, unit.tag) {
-                    (Doing::Searching, tag::SEARCH_RESPONSE) => self.searched(unit, bounds, learned, now),
+                    (Doing::Searching, tag::SEARCH_RESPONSE) => {
+                        self.searched(unit, bounds, learned, now)
+                    }
                     (Doing::Sorting, tag::SORT_RESPONSE) => self.sorted(unit, bounds, learned),
-                    (Doing::Presenting, tag::PRESENT_RESPONSE) => self.presented(unit, bounds, learned, now),
+                    (Doing::Presenting, tag::PRESENT_RESPONSE) => {
+                        self.presented(unit, bounds, learned, now)
+                    }
                     (Doing::Scanning, tag::SCAN_RESPONSE) => Ok(match scan::read_response(unit) {
                         Ok(terms) => Next::Done(Given::Scanned(terms)),
                         Err(fault) => refused(fault),
@@ -230,28 +260,51 @@
             "default".to_owned()
         };
         self.sets.retain(|set| set.name != name);
-        let Some(job) = &mut self.job else { return Next::Failed(String::new()) };
+        let Some(job) = &mut self.job else {
+            return Next::Failed(String::new());
+        };
         job.doing = Doing::Searching;
         let key = key_of(job);
-        job.set = Some(HostSet { key, name: name.clone(), hits: 0, exact: true, made: now });
+        job.set = Some(HostSet {
+            key,
+            name: name.clone(),
+            hits: 0,
+            exact: true,
+            made: now,
+        });
         // The first records come with the response, where nothing has to be sorted before.
-        let along = if job.page.sort.is_empty() && job.range.offset == 0 { job.range.count } else { 0 };
-        let Some(query) = &job.query else { return Next::Failed(String::new()) };
+        let along = if job.page.sort.is_empty() && job.range.offset == 0 {
+            job.range.count
+        } else {
+            0
+        };
+        let Some(query) = &job.query else {
+            return Next::Failed(String::new());
+        };
         let mut written = Ok(());
         let (syntax, schema) = (syntax(learned), schema(&job.page, learned));
         let unit = z3950::unit(tag::SEARCH_REQUEST, None, |w| {
             // Every result is of medium size, so that the first records come along.
             w.integer(tag::SMALL_SET, 0);
-            w.integer(tag::LARGE_SET, if along > 0 { i64::from(i32::MAX) } else { 1 });
+            w.integer(
+                tag::LARGE_SET,
+                if along > 0 { i64::from(i32::MAX) } else { 1 },
+            );
             w.integer(tag::MEDIUM_SET, i64::from(along));
             w.boolean(tag::REPLACE, true);
             w.bytes(tag::SET_NAME, name.as_bytes());
-            w.inside(tag::DATABASES, |names| names.bytes(tag::DATABASE, job.database.as_bytes()));
+            w.inside(tag::DATABASES, |names| {
+                names.bytes(tag::DATABASE, job.database.as_bytes())
+            });
             if let (Syntax::Xml, Some(schema)) = (syntax, schema) {
-                w.inside(tag::MEDIUM_ELEMENTS, |e| e.bytes(0, schema.names().short.as_bytes()));
+                w.inside(tag::MEDIUM_ELEMENTS, |e| {
+                    e.bytes(0, schema.names().short.as_bytes())
+                });
             }
             w.oid_as(tag::SYNTAX, syntax.oid());
-            w.inside(tag::QUERY, |query_tag| written = rpn::write(query, query_tag));
+            w.inside(tag::QUERY, |query_tag| {
+                written = rpn::write(query, query_tag)
+            });
         });
         match written {
             Ok(()) => Next::Say(unit),
@@ -273,16 +326,26 @@
             .get(tag::SEARCH_STATUS)
             .and_then(Item::boolean)
             .ok_or("a search response without its status")?;
-        let hits = unit.get(tag::RESULT_COUNT).and_then(Item::integer).and_then(|n| u64::try_from(n).ok());
+        let hits = unit
+            .get(tag::RESULT_COUNT)
+            .and_then(Item::integer)
+            .and_then(|n| u64::try_from(n).ok());
         let hits = hits.ok_or("a search response without its count")?;
-        let subset = unit.get(tag::SET_STATUS).and_then(Item::integer) == Some(SetStatus::Subset as i64);
+        let subset =
+            unit.get(tag::SET_STATUS).and_then(Item::integer) == Some(SetStatus::Subset as i64);
         let fault = z3950::response_fault(unit);
         if !ok && !subset {
-            return Ok(refused(fault.unwrap_or_else(|| Kind::GENERAL.of("the search failed"))));
+            return Ok(refused(
+                fault.unwrap_or_else(|| Kind::GENERAL.of("the search failed")),
+            ));
         }
         let given = records::read(unit, tag::RECORDS).map_err(|problem| problem.to_string())?;
-        let Some(job) = &mut self.job else { return Err(String::new()) };
-        let Some(set) = &mut job.set else { return Err(String::new()) };
+        let Some(job) = &mut self.job else {
+            return Err(String::new());
+        };
+        let Some(set) = &mut job.set else {
+            return Err(String::new());
+        };
         (set.hits, set.exact, set.made) = (hits, ok, now);
         let kept = set.clone();
         self.sets.push_back(kept);
@@ -293,7 +356,9 @@
             Ok(gathering) => gathering,
             Err(fault) => return Ok(Next::Done(Given::Refused(fault))),
         };
-        let Some(job) = &mut self.job else { return Err(String::new()) };
+        let Some(job) = &mut self.job else {
+            return Err(String::new());
+        };
         job.gathering = gathering;
         job.take(given);
         if job.gathering.is_done() {
@@ -313,22 +378,34 @@
 
     /// What is to be gathered of so many hits.
     fn wanted(&self, hits: u64, bounds: &HostBounds) -> Result<Gathering, Fault> {
-        let Some(job) = &self.job else { return Ok(Gathering::default()) };
+        let Some(job) = &self.job else {
+            return Ok(Gathering::default());
+        };
         if !job.local || job.range.count == 0 {
             return Ok(Gathering::of(job.range, hits));
         }
         if hits > u64::from(bounds.local_sort) {
             return Err(too_many_to_sort(hits, bounds));
         }
-        Ok(Gathering::of(Range { offset: 0, count: bounds.local_sort, ..job.range }, hits))
+        Ok(Gathering::of(
+            Range {
+                offset: 0,
+                count: bounds.local_sort,
+                ..job.range
+            },
+            hits,
+        ))
     }
 
     fn sort(&mut self, learned: &mut Learned) -> Next<Vec<u8>> {
-        let Some(job) = &mut self.job else { return Next::Failed(String::new()) };
+        let Some(job) = &mut self.job else {
+            return Next::Failed(String::new());
+        };
         let name = job.set.as_ref().map_or("default", |s| s.name.as_str());
         let mut written = Ok(());
-        let unit =
-            z3950::unit(tag::SORT_REQUEST, None, |w| written = sort::write_request(w, name, &job.page.sort));
+        let unit = z3950::unit(tag::SORT_REQUEST, None, |w| {
+            written = sort::write_request(w, name, &job.page.sort)
+        });
         match written {
             Ok(()) => {
                 job.doing = Doing::Sorting;
@@ -351,7 +428,9 @@
         if sort::read_response(unit).is_err() {
             // Whatever it says: its records are sorted here, if there are not too many.
             learned.no_sort = true;
-            let Some(job) = &mut self.job else { return Err(String::new()) };
+            let Some(job) = &mut self.job else {
+                return Err(String::new());
+            };
             job.local = true;
             let hits = job.set.as_ref().map_or(0, |s| s.hits);
             match self.wanted(hits, bounds) {
@@ -368,7 +447,9 @@
 
     /// Asks for the records that are not here yet.
     fn present(&mut self, learned: &Learned) -> Next<Vec<u8>> {
-        let Some(job) = &mut self.job else { return Next::Failed(String::new()) };
+        let Some(job) = &mut self.job else {
+            return Next::Failed(String::new());
+        };
         let (from, count) = job.gathering.rest();
         if count == 0 {
             return self.finish();
@@ -381,7 +462,9 @@
             w.integer(tag::START, from as i64 + 1);
             w.integer(tag::REQUESTED, count as i64);
             if let (Syntax::Xml, Some(schema)) = (syntax, schema) {
-                w.inside(tag::ELEMENT_SET, |simple| simple.bytes(0, schema.names().short.as_bytes()));
+                w.inside(tag::ELEMENT_SET, |simple| {
+                    simple.bytes(0, schema.names().short.as_bytes())
+                });
             }
             w.oid_as(tag::SYNTAX, syntax.oid());
         }))
@@ -395,7 +478,9 @@
         now: Time,
     ) -> Result<Next<Vec<u8>>, String> {
         let given = records::read(unit, tag::RECORDS).map_err(|problem| problem.to_string())?;
-        let Some(job) = &mut self.job else { return Err(String::new()) };
+        let Some(job) = &mut self.job else {
+            return Err(String::new());
+        };
         let some = !given.is_empty();
         job.take(given);
         if job.gathering.is_done() {
@@ -404,7 +489,9 @@
         match z3950::response_fault(unit) {
             // The host gives fewer at once than it was asked for.
             None if some => Ok(self.present(learned)),
-            None => Ok(Next::Failed("a present response without records".to_owned())),
+            None => Ok(Next::Failed(
+                "a present response without records".to_owned(),
+            )),
             Some(fault) if other_form(&fault, &job.page, learned) => Ok(self.present(learned)),
             // The set has fewer than it said: what is here is all, which its counts will show.
             Some(fault) if fault.kind.bib1 == 13 => Ok(self.finish()),
@@ -418,7 +505,9 @@
     }
 
     fn finish(&mut self) -> Next<Vec<u8>> {
-        let Some(job) = self.job.take() else { return Next::Failed(String::new()) };
+        let Some(job) = self.job.take() else {
+            return Next::Failed(String::new());
+        };
         let (hits, exact) = job.set.as_ref().map_or((0, true), |s| (s.hits, s.exact));
         let records = if job.local && job.range.count > 0 {
             match sorted_here(&job.page.sort, job.gathering.records, job.range) {
@@ -436,18 +525,27 @@
     fn take(&mut self, given: Vec<records::Given>) {
         let room = self.gathering.rest().1 as usize;
         let record = |given: records::Given| given.unwrap_or_else(crate::record::Record::refused);
-        self.gathering.records.extend(given.into_iter().take(room).map(record));
+        self.gathering
+            .records
+            .extend(given.into_iter().take(room).map(record));
     }
 }
 
 fn key_of(job: &Job) -> String {
     // A set that was sorted is another one than the same unsorted.
-    let sort = if job.local { String::new() } else { cql::write_sort(&job.page.sort) };
+    let sort = if job.local {
+        String::new()
+    } else {
+        cql::write_sort(&job.page.sort)
+    };
     format!("{} {} {sort}", job.database, job.page.query)
 }
 
 fn syntax(learned: &Learned) -> Syntax {
-    SYNTAXES.into_iter().find(|s| !learned.no_syntax.contains(s)).unwrap_or(Syntax::Xml)
+    SYNTAXES
+        .into_iter()
+        .find(|s| !learned.no_syntax.contains(s))
+        .unwrap_or(Syntax::Xml)
 }
 
 /// The element set that names the schema; Dublin Core is what hosts give unasked.
@@ -455,7 +553,8 @@
     Some(page.schema).filter(|s| *s != Schema::Dc && !learned.no_schema.contains(s))
 }
 
-/// Whether the fault is about the form of records and another form is left to ask for; the one refused is noted.
+/// Whether the fault is about the form of records and another form is left to ask for; the one
+/// refused is noted.
 fn other_form(fault: &Fault, page: &PageWork, learned: &mut Learned) -> bool {
     match fault.kind.bib1 {
         25 if schema(page, learned).is_some() => learned.no_schema.push(page.schema),
@@ -475,8 +574,13 @@
     use crate::record::Record;
     use crate::sort::SortKey;
 
-    const BOUNDS: HostBounds =
-        HostBounds { local_sort: 6, message: 1 << 16, named_sets: 2, set_age: 100, exchanges: 12 };
+    const BOUNDS: HostBounds = HostBounds {
+        local_sort: 6,
+        message: 1 << 16,
+        named_sets: 2,
+        set_age: 100,
+        exchanges: 12,
+    };
 
     /// A modelled host: its titles, and what it can do.
     struct Host {
@@ -513,7 +617,9 @@
 
         fn answer(&mut self, unit: &Item) -> Vec<u8> {
             self.said.push(unit.tag);
-            let wrong = unit.get(tag::SYNTAX).is_some_and(|s| s.oid().as_deref() != Some(self.syntax.oid()));
+            let wrong = unit
+                .get(tag::SYNTAX)
+                .is_some_and(|s| s.oid().as_deref() != Some(self.syntax.oid()));
             let diagnostic = |w: &mut ber::Writer, kind: Kind| {
                 w.inside(tag::DIAGNOSTIC, |d| z3950::write_fault(d, &kind.of("")));
             };
@@ -531,7 +637,9 @@
                         "{name}"
                     );
                     self.sets.insert(name, self.titles.clone());
-                    let along = number(tag::MEDIUM_SET).min(self.titles.len()).min(self.most);
+                    let along = number(tag::MEDIUM_SET)
+                        .min(self.titles.len())
+                        .min(self.most);
                     z3950::unit(tag::SEARCH_RESPONSE, None, |w| {
                         w.integer(tag::RESULT_COUNT, self.titles.len() as i64);
                         w.boolean(tag::SEARCH_STATUS, true);
@@ -547,15 +655,23 @@
                     if self.sorts {
                         set.sort_unstable();
                     }
-                    let status =
-                        if self.sorts { sort::SortStatus::Success } else { sort::SortStatus::Failure };
-                    z3950::unit(tag::SORT_RESPONSE, None, |w| sort::write_response(w, status, None))
+                    let status = if self.sorts {
+                        sort::SortStatus::Success
+                    } else {
+                        sort::SortStatus::Failure
+                    };
+                    z3950::unit(tag::SORT_RESPONSE, None, |w| {
+                        sort::write_response(w, status, None)
+                    })
                 }
                 tag::PRESENT_REQUEST => z3950::unit(tag::PRESENT_RESPONSE, None, |w| {
                     let Some(set) = self.sets.get(&text(tag::SET_ID)) else {
                         return diagnostic(w, Kind::NO_SET);
                     };
-                    let (from, count) = (number(tag::START) - 1, number(tag::REQUESTED).min(self.most));
+                    let (from, count) = (
+                        number(tag::START) - 1,
+                        number(tag::REQUESTED).min(self.most),
+                    );
                     match set.get(from..(from + count).min(set.len())) {
                         _ if wrong => diagnostic(w, Kind::RECORD_SYNTAX),
                         Some(titles) => self.records(w, titles),
@@ -575,9 +691,17 @@
 
     impl Play {
         fn open(host: &mut Host) -> Play {
-            let mut play = Play { session: Session::default(), learned: Learned::default(), now: 0 };
-            let hello = ber::read(&mut hello(&BOUNDS), 1 << 16, 32).unwrap().expect("a unit");
-            let welcome = ber::read(&mut host.answer(&hello), 1 << 16, 32).unwrap().expect("a unit");
+            let mut play = Play {
+                session: Session::default(),
+                learned: Learned::default(),
+                now: 0,
+            };
+            let hello = ber::read(&mut hello(&BOUNDS), 1 << 16, 32)
+                .unwrap()
+                .expect("a unit");
+            let welcome = ber::read(&mut host.answer(&hello), 1 << 16, 32)
+                .unwrap()
+                .expect("a unit");
             let heard = play.session.heard(&welcome, &BOUNDS, &mut play.learned, 0);
             assert_eq!(heard, Ok(Heard::Welcome));
             host.said.clear();
@@ -594,17 +718,34 @@
         ) -> Next<Vec<u8>> {
             let work = Work::Page(PageWork {
                 query: "cql.serverChoice = \"moon\"".into(),
-                sort: if sort { vec![SortKey::named("title").unwrap()] } else { Vec::new() },
+                sort: if sort {
+                    vec![SortKey::named("title").unwrap()]
+                } else {
+                    Vec::new()
+                },
                 schema: Schema::Dc,
                 fresh,
-                ranges: vec![Range { slice: 0, offset, count }],
+                ranges: vec![Range {
+                    slice: 0,
+                    offset,
+                    count,
+                }],
                 facets: Vec::new(),
             });
-            let mut next = self.session.begin(&work, 0, "d", &BOUNDS, &self.learned, self.now);
+            let mut next = self
+                .session
+                .begin(&work, 0, "d", &BOUNDS, &self.learned, self.now);
             while let Next::Say(bytes) = next {
-                let unit = ber::read(&mut bytes.clone(), 1 << 16, 32).unwrap().expect("a unit");
-                let reply = ber::read(&mut host.answer(&unit), 1 << 16, 32).unwrap().expect("a unit");
-                next = match self.session.heard(&reply, &BOUNDS, &mut self.learned, self.now) {
+                let unit = ber::read(&mut bytes.clone(), 1 << 16, 32)
+                    .unwrap()
+                    .expect("a unit");
+                let reply = ber::read(&mut host.answer(&unit), 1 << 16, 32)
+                    .unwrap()
+                    .expect("a unit");
+                next = match self
+                    .session
+                    .heard(&reply, &BOUNDS, &mut self.learned, self.now)
+                {
                     Ok(Heard::Next(next)) => next,
                     other => panic!("{other:?}"),
                 };
@@ -622,7 +763,11 @@
         ) -> (u64, String) {
             match self.page(host, sort, fresh, offset, count) {
                 Next::Done(Given::Found(f)) => {
-                    let titles: Vec<String> = f.records.iter().filter_map(|r| r.value("dc.title")).collect();
+                    let titles: Vec<String> = f
+                        .records
+                        .iter()
+                        .filter_map(|r| r.value("dc.title"))
+                        .collect();
                     (f.hits, titles.join(""))
                 }
                 other => panic!("{other:?}"),
@@ -630,7 +775,12 @@
         }
     }
 
-    const ALL: &[Ability] = &[Ability::Search, Ability::Present, Ability::Sort, Ability::NamedResultSets];
+    const ALL: &[Ability] = &[
+        Ability::Search,
+        Ability::Present,
+        Ability::Sort,
+        Ability::NamedResultSets,
+    ];
 
     #[test]
     fn a_page_costs_one_exchange_where_it_can_and_a_set_is_used_again() {
@@ -639,7 +789,11 @@
         assert_eq!(play.titles(&mut host, false, true, 0, 2), (5, "ca".into()));
         assert_eq!(play.titles(&mut host, false, false, 2, 2), (5, "be".into()));
         assert_eq!(play.titles(&mut host, true, true, 1, 3), (5, "bcd".into()));
-        assert_eq!(play.titles(&mut host, false, false, 4, 9), (5, "d".into()), "both sets are there");
+        assert_eq!(
+            play.titles(&mut host, false, false, 4, 9),
+            (5, "d".into()),
+            "both sets are there"
+        );
         let (s, p, o) = (tag::SEARCH_REQUEST, tag::PRESENT_REQUEST, tag::SORT_REQUEST);
         assert_eq!(host.said, [s, p, s, o, p, p]);
         play.now = 100;
@@ -649,7 +803,10 @@
 
     #[test]
     fn hosts_without_named_sets_sorting_xml_or_patience_are_asked_round_it() {
-        let mut host = Host::new(&["c", "a", "b", "e", "d"], &[Ability::Search, Ability::Present]);
+        let mut host = Host::new(
+            &["c", "a", "b", "e", "d"],
+            &[Ability::Search, Ability::Present],
+        );
         host.syntax = Syntax::Usmarc;
         host.most = 2;
         let mut play = Play::open(&mut host);
@@ -662,7 +819,10 @@
         let mut play = Play::open(&mut host);
         assert_eq!(play.titles(&mut host, true, true, 0, 3), (3, "abc".into()));
         assert!(play.learned.no_sort);
-        let mut many = Host::new(&["g", "f", "e", "d", "c", "b", "a"], &[Ability::Search, Ability::Present]);
+        let mut many = Host::new(
+            &["g", "f", "e", "d", "c", "b", "a"],
+            &[Ability::Search, Ability::Present],
+        );
         let mut play = Play::open(&mut many);
         match play.page(&mut many, true, true, 0, 3) {
             Next::Done(Given::Refused(fault)) => assert_eq!(fault.kind, Kind::SORT_TOO_MANY),
--- a/catalogue/src/index.rs
+++ b/catalogue/src/index.rs
@@ -1,4 +1,5 @@
-//! The indexes, in both protocols' terms. Queries are read by this table, and explain is made from it.
+//! The indexes, in both protocols' terms. Queries are read by this table, and explain is made from
+//! it.
 
 /// What is searched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -15,14 +16,27 @@
     pub sort: bool,
 }
 
-const fn index(name: &'static str, title: &'static str, use_attribute: i64, scan: bool, sort: bool) -> Index {
-    Index { name, title, use_attribute, scan, sort }
+const fn index(
+    name: &'static str,
+    title: &'static str,
+    use_attribute: i64,
+    scan: bool,
+    sort: bool,
+) -> Index {
+    Index {
+        name,
+        title,
+        use_attribute,
+        scan,
+        sort,
+    }
 }
 
 /// Any field: what a bare term searches.
 pub const ANY: Index = index("cql.serverChoice", "Any field", 1016, true, false);
 
-/// Every index; one that shares a use attribute with an earlier one is read as that one from Z39.50.
+/// Every index; one that shares a use attribute with an earlier one is read as that one from
+/// Z39.50.
 pub const INDEXES: &[Index] = &[
     ANY,
     index("dc.title", "Title", 4, true, true),
@@ -35,7 +49,13 @@
     index("dc.identifier", "Identifier", 1007, true, true),
     index("bath.isbn", "ISBN", 7, true, false),
     index("bath.issn", "ISSN", 8, true, false),
-    index("bath.lccn", "Library of Congress card number", 9, true, false),
+    index(
+        "bath.lccn",
+        "Library of Congress card number",
+        9,
+        true,
+        false,
+    ),
     index("bath.name", "Name", 1002, true, false),
     index("bath.seriesTitle", "Series title", 5, true, false),
     index("bath.uniformTitle", "Uniform title", 6, true, false),
@@ -51,20 +71,27 @@
     ("sort", "info:srw/cql-context-set/1/sort-v1.0"),
 ];
 
-/// The short name of a context set that is named by its identifier; the version at its end may differ.
+/// The short name of a context set that is named by its identifier; the version at its end may
+/// differ.
 pub fn context_set(identifier: &str) -> Option<&'static str> {
     let stem = |full: &str| {
-        full.trim_end_matches(|c: char| c.is_ascii_digit() || matches!(c, '.' | '-' | 'v')).to_owned()
+        full.trim_end_matches(|c: char| c.is_ascii_digit() || matches!(c, '.' | '-' | 'v'))
+            .to_owned()
     };
     let wanted = stem(identifier);
-    CONTEXT_SETS.iter().find(|(_, known)| stem(known) == wanted).map(|(short, _)| *short)
+    CONTEXT_SETS
+        .iter()
+        .find(|(_, known)| stem(known) == wanted)
+        .map(|(short, _)| *short)
 }
 
 /// The index of a name, with or without its context set; names are compared without case.
 pub fn by_name(name: &str) -> Option<Index> {
     let plain = |full: &'static str| full.rsplit('.').next().unwrap_or_default();
     let name = name.to_ascii_lowercase();
-    let known = |i: &&Index| i.name.eq_ignore_ascii_case(&name) || plain(i.name).eq_ignore_ascii_case(&name);
+    let known = |i: &&Index| {
+        i.name.eq_ignore_ascii_case(&name) || plain(i.name).eq_ignore_ascii_case(&name)
+    };
     match name.as_str() {
         "cql.anywhere" | "cql.anyindexes" | "anywhere" | "cql.keywords" | "keywords" => Some(ANY),
         "author" | "dc.author" => by_use(1003),
@@ -73,7 +100,8 @@
     }
 }
 
-/// The index of a Bib-1 use attribute. Some that mean nearly the same as one that is kept are read as that one.
+/// The index of a Bib-1 use attribute. Some that mean nearly the same as one that is kept are read
+/// as that one.
 pub fn by_use(value: i64) -> Option<Index> {
     let value = match value {
         1 | 1004 | 1005 | 1006 => 1003,
@@ -99,7 +127,10 @@
         }
         assert_eq!(by_name("AUTHOR"), by_use(1));
         assert_eq!((by_name("dc.shoesize"), by_use(999_999)), (None, None));
-        assert_eq!(context_set("info:srw/cql-context-set/1/dc-v1.0"), Some("dc"));
+        assert_eq!(
+            context_set("info:srw/cql-context-set/1/dc-v1.0"),
+            Some("dc")
+        );
         assert_eq!(context_set("info:srw/cql-context-set/1/dcx-v1.0"), None);
     }
 }
--- a/catalogue/src/lib.rs
+++ b/catalogue/src/lib.rs
@@ -1,7 +1,8 @@
-//! SRU and Z39.50 without sockets: codecs, queries, records, result sets, merging, and the choice of sessions.
+//! SRU and Z39.50 without sockets: codecs, queries, records, result sets, merging, and the choice
+//! of sessions.
 //!
-//! Nothing here opens, waits, or asks what time it is: bytes, events and times come in, and what to say or do
-//! goes out. The program's catalogue front puts it on sockets.
+//! Nothing here opens, waits, or asks what time it is: bytes, events and times come in, and what to
+//! say or do goes out. The program's catalogue front puts it on sockets.
 #![forbid(unsafe_code)]
 
 pub mod ber;
--- a/catalogue/src/merge.rs
+++ b/catalogue/src/merge.rs
@@ -27,11 +27,25 @@
 
 /// Adds up the slices that are in; `missing` says whether others are not.
 pub fn count(slices: impl IntoIterator<Item = (u64, bool)>, missing: bool) -> Count {
-    let first = if missing { Precision::Partial } else { Precision::Exact };
-    slices.into_iter().fold(Count { hits: 0, precision: first }, |sum, (hits, exact)| Count {
-        hits: sum.hits.saturating_add(hits),
-        precision: sum.precision.max(if exact { Precision::Exact } else { Precision::AtLeast }),
-    })
+    let first = if missing {
+        Precision::Partial
+    } else {
+        Precision::Exact
+    };
+    slices.into_iter().fold(
+        Count {
+            hits: 0,
+            precision: first,
+        },
+        |sum, (hits, exact)| Count {
+            hits: sum.hits.saturating_add(hits),
+            precision: sum.precision.max(if exact {
+                Precision::Exact
+            } else {
+                Precision::AtLeast
+            }),
+        },
+    )
 }
 
 /// A record with what it is ordered by.
@@ -68,12 +82,16 @@
 impl Source {
     /// A slice with so many hits, of which none is here.
     pub fn new(hits: u64) -> Source {
-        Source { hits, ..Source::default() }
+        Source {
+            hits,
+            ..Source::default()
+        }
     }
 
     /// How many are not here.
     pub fn behind(&self) -> u64 {
-        self.hits.saturating_sub(self.placed + self.ahead.len() as u64)
+        self.hits
+            .saturating_sub(self.placed + self.ahead.len() as u64)
     }
 
     /// The place of the next one that is not here, counted from 0.
@@ -85,7 +103,8 @@
 /// The next record of all.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Pull {
-    /// It is this one, of the slice at this place; and whether it stands behind one that it should precede.
+    /// It is this one, of the slice at this place; and whether it stands behind one that it should
+    /// precede.
     Row(usize, Row, bool),
     /// That cannot be said before more of these slices' records are here.
     Dry(Vec<usize>),
@@ -93,21 +112,33 @@
     End,
 }
 
-/// Takes the next record of all. Equal ones come by slice, so that the same slices always give the same order.
+/// Takes the next record of all. Equal ones come by slice, so that the same slices always give the
+/// same order.
 pub fn pull(keys: &[SortKey], sources: &mut [Source]) -> Pull {
-    let dry: Vec<usize> =
-        (0..sources.len()).filter(|at| sources[*at].ahead.is_empty() && sources[*at].behind() > 0).collect();
+    let dry: Vec<usize> = (0..sources.len())
+        .filter(|at| sources[*at].ahead.is_empty() && sources[*at].behind() > 0)
+        .collect();
     if !dry.is_empty() {
         return Pull::Dry(dry);
     }
-    let heads = sources.iter().enumerate().filter_map(|(at, s)| Some((at, s.ahead.front()?)));
+    let heads = sources
+        .iter()
+        .enumerate()
+        .filter_map(|(at, s)| Some((at, s.ahead.front()?)));
     // `min_by` keeps the first of equals.
-    let least = heads.min_by(|a, b| sort::compare(keys, &a.1.values, &b.1.values)).map(|(at, _)| at);
+    let least = heads
+        .min_by(|a, b| sort::compare(keys, &a.1.values, &b.1.values))
+        .map(|(at, _)| at);
     let Some(at) = least else { return Pull::End };
     let source = &mut sources[at];
-    let Some(row) = source.ahead.pop_front() else { return Pull::End };
+    let Some(row) = source.ahead.pop_front() else {
+        return Pull::End;
+    };
     source.placed += 1;
-    let disorder = source.last.as_ref().is_some_and(|last| sort::compare(keys, last, &row.values).is_gt());
+    let disorder = source
+        .last
+        .as_ref()
+        .is_some_and(|last| sort::compare(keys, last, &row.values).is_gt());
     source.last = Some(row.values.clone());
     Pull::Row(at, row, disorder)
 }
@@ -133,25 +164,34 @@
     pub host: u32,
 }
 
-/// Merges slices' lists around a starting point: `number` terms, of which that point, or the first behind it, stands
-/// at `position` (from 1; 0 for just before the list, `number + 1` for just behind it). Gives them and where the point
-/// came to stand.
+/// Merges slices' lists around a starting point: `number` terms, of which that point, or the first
+/// behind it, stands at `position` (from 1; 0 for just before the list, `number + 1` for just
+/// behind it). Gives them and where the point came to stand.
 ///
-/// Each slice was asked for the same: a term among the first so many of all is among the first so many of each
-/// slice that has it, so its count is right for the slices that are in.
+/// Each slice was asked for the same: a term among the first so many of all is among the first so
+/// many of each slice that has it, so its count is right for the slices that are in.
 pub fn scan(lists: &[Terms], seed: &str, number: usize, position: usize) -> (Vec<Term>, usize) {
     let seed = sort::fold(seed, false);
     let mut all: BTreeMap<String, Term> = BTreeMap::new();
     for term in lists.iter().flat_map(|list| &list.terms) {
         let entry = all.entry(sort::fold(&term.text, false));
-        entry.and_modify(|t| t.count = t.count.saturating_add(term.count)).or_insert_with(|| term.clone());
+        entry
+            .and_modify(|t| t.count = t.count.saturating_add(term.count))
+            .or_insert_with(|| term.clone());
     }
     let behind: Vec<Term> = all.split_off(&seed).into_values().collect();
     let before: Vec<Term> = all.into_values().collect();
     let wanted_before = position.saturating_sub(1).min(number);
-    let wanted_behind = if position == 0 { number } else { number - wanted_before };
+    let wanted_behind = if position == 0 {
+        number
+    } else {
+        number - wanted_before
+    };
     // The point itself stands outside the list where its place is 0.
-    let behind = behind.into_iter().skip(usize::from(position == 0)).take(wanted_behind);
+    let behind = behind
+        .into_iter()
+        .skip(usize::from(position == 0))
+        .take(wanted_behind);
     let kept = before.len().saturating_sub(wanted_before);
     let kept_before = before.len() - kept;
     let terms: Vec<Term> = before.into_iter().skip(kept).chain(behind).collect();
@@ -204,10 +244,18 @@
     // A list that was cut may hide up to its last count of any value that it does not show.
     let sure = |facet: &Facet| {
         facet.values.len() < asked
-            || values.iter().all(|(v, _)| facet.values.iter().any(|(known, _)| known == v))
+            || values
+                .iter()
+                .all(|(v, _)| facet.values.iter().any(|(known, _)| known == v))
     };
     let exact = lists.iter().all(|list| list.is_some_and(sure));
-    MergedFacet { facet: Facet { index: ask.index.clone(), values }, exact }
+    MergedFacet {
+        facet: Facet {
+            index: ask.index.clone(),
+            values,
+        },
+        exact,
+    }
 }
 
 #[cfg(test)]
@@ -215,20 +263,32 @@
     use super::*;
 
     fn terms(list: &[(&str, u64)]) -> Terms {
-        let term =
-            |(text, count): &(&str, u64)| Term { text: (*text).to_owned(), display: None, count: *count };
-        Terms { terms: list.iter().map(term).collect(), host: 0 }
+        let term = |(text, count): &(&str, u64)| Term {
+            text: (*text).to_owned(),
+            display: None,
+            count: *count,
+        };
+        Terms {
+            terms: list.iter().map(term).collect(),
+            host: 0,
+        }
     }
 
     fn said(merged: &(Vec<Term>, usize)) -> String {
-        let words: Vec<String> = merged.0.iter().map(|t| format!("{}:{}", t.text, t.count)).collect();
+        let words: Vec<String> = merged
+            .0
+            .iter()
+            .map(|t| format!("{}:{}", t.text, t.count))
+            .collect();
         format!("{} @{}", words.join(" "), merged.1)
     }
 
     #[test]
     fn lists_of_terms_add_up_and_stand_around_their_starting_point() {
-        let lists =
-            [terms(&[("ant", 1), ("bee", 2), ("cat", 1)]), terms(&[("bee", 3), ("Cat", 4), ("dog", 9)])];
+        let lists = [
+            terms(&[("ant", 1), ("bee", 2), ("cat", 1)]),
+            terms(&[("bee", 3), ("Cat", 4), ("dog", 9)]),
+        ];
         assert_eq!(said(&scan(&lists, "bee", 2, 1)), "bee:5 cat:5 @1");
         assert_eq!(said(&scan(&lists, "bee", 3, 2)), "ant:1 bee:5 cat:5 @2");
         assert_eq!(said(&scan(&lists, "bea", 2, 1)), "bee:5 cat:5 @1");
@@ -242,25 +302,50 @@
     #[test]
     fn counts_say_what_they_are_worth() {
         let say = |slices: &[(u64, bool)], missing| count(slices.iter().copied(), missing);
-        assert_eq!(say(&[(3, true), (4, true)], false), Count { hits: 7, precision: Precision::Exact });
-        assert_eq!(say(&[(3, true), (4, false)], false).precision, Precision::AtLeast);
-        assert_eq!(say(&[(3, true), (4, false)], true).precision, Precision::Partial);
-        assert_eq!(say(&[(u64::MAX, true), (4, true)], false).hits, u64::MAX, "no wrap");
+        assert_eq!(
+            say(&[(3, true), (4, true)], false),
+            Count {
+                hits: 7,
+                precision: Precision::Exact
+            }
+        );
+        assert_eq!(
+            say(&[(3, true), (4, false)], false).precision,
+            Precision::AtLeast
+        );
+        assert_eq!(
+            say(&[(3, true), (4, false)], true).precision,
+            Precision::Partial
+        );
+        assert_eq!(
+            say(&[(u64::MAX, true), (4, true)], false).hits,
+            u64::MAX,
+            "no wrap"
+        );
     }
 
     #[test]
     fn a_cut_list_of_facets_makes_the_counts_inexact_only_where_it_may_hide_one() {
-        let ask = FacetAsk { index: "dc.subject".into(), limit: 1 };
+        let ask = FacetAsk {
+            index: "dc.subject".into(),
+            limit: 1,
+        };
         let list = |values: &[(&str, u64)]| Facet {
             index: "dc.subject".into(),
             values: values.iter().map(|(v, n)| ((*v).to_owned(), *n)).collect(),
         };
         let (a, b) = (list(&[("moon", 5), ("sun", 4)]), list(&[("sun", 3)]));
         let merged = facets(&ask, &[Some(&a), Some(&b)]);
-        assert_eq!((merged.facet.values, merged.exact), (vec![("sun".to_owned(), 7)], true));
+        assert_eq!(
+            (merged.facet.values, merged.exact),
+            (vec![("sun".to_owned(), 7)], true)
+        );
         let names: Vec<String> = (0..12).map(|n| format!("v{n:02}")).collect();
         let full: Vec<(&str, u64)> = names.iter().map(|n| (n.as_str(), 1)).collect();
-        assert!(!facets(&ask, &[Some(&a), Some(&list(&full))]).exact, "moon may be in the rest of it");
+        assert!(
+            !facets(&ask, &[Some(&a), Some(&list(&full))]).exact,
+            "moon may be in the rest of it"
+        );
         assert!(!facets(&ask, &[Some(&a), None]).exact);
     }
 }
--- a/catalogue/src/operation/filling.rs
+++ b/catalogue/src/operation/filling.rs
@@ -34,8 +34,8 @@
     Fault(Fault),
 }
 
-/// What is asked first. An unsorted set's first page mostly lies in its first slice, so the others are asked for
-/// their share only.
+/// What is asked first. An unsorted set's first page mostly lies in its first slice, so the others
+/// are asked for their share only.
 pub(super) fn first_round(search: &Search, bounds: &Bounds) -> Plan {
     let slices = search.slices.len().max(1) as u64;
     let want = search.want.most().min(bounds.page);
@@ -48,17 +48,33 @@
         (true, _) => 0,
         (false, start) => chunk(start - 1 + want, slices, per_part),
     };
-    let range = |(at, slice): (usize, &u32)| Range { slice: *slice, offset: 0, count: count(at == 0) as u32 };
-    let facet = |ask: &FacetAsk| FacetAsk { index: ask.index.clone(), limit: merge::facet_ask(ask.limit) };
+    let range = |(at, slice): (usize, &u32)| Range {
+        slice: *slice,
+        offset: 0,
+        count: count(at == 0) as u32,
+    };
+    let facet = |ask: &FacetAsk| FacetAsk {
+        index: ask.index.clone(),
+        limit: merge::facet_ask(ask.limit),
+    };
     let work = PageWork {
         query: search.query.to_string(),
         sort: search.sort.clone(),
         schema: search.schema,
         fresh: true,
-        ranges: search.slices.iter().enumerate().map(range).filter(|r| r.count > 0).collect(),
+        ranges: search
+            .slices
+            .iter()
+            .enumerate()
+            .map(range)
+            .filter(|r| r.count > 0)
+            .collect(),
         facets: search.facets.iter().map(facet).collect(),
     };
-    Plan { work: Work::Page(work), slices: search.slices.clone() }
+    Plan {
+        work: Work::Page(work),
+        slices: search.slices.clone(),
+    }
 }
 
 /// How many records each slice is asked for so that so many more can be merged.
@@ -73,9 +89,14 @@
     bounds: &Bounds,
 ) -> Result<Option<Vec<Range>>, Fault> {
     let end = page.start - 1 + page.rows.len() as u64;
-    let Some(merged) = &mut set.merged else { return Ok(None) };
+    let Some(merged) = &mut set.merged else {
+        return Ok(None);
+    };
     if end > bounds.reach {
-        return Err(Kind::SORT_TOO_MANY.of(format!("sorted sets are read up to position {}", bounds.reach)));
+        return Err(Kind::SORT_TOO_MANY.of(format!(
+            "sorted sets are read up to position {}",
+            bounds.reach
+        )));
     }
     let slices = merged.sources.iter().filter(|s| s.hits > 0).count().max(1) as u64;
     while (merged.order.len() as u64) < end {
@@ -102,7 +123,11 @@
                 };
                 page.asked = dry.into_iter().map(place).collect();
                 page.extends = true;
-                let range = |p: &Place| Range { slice: p.slice, offset: p.offset, count: p.count as u32 };
+                let range = |p: &Place| Range {
+                    slice: p.slice,
+                    offset: p.offset,
+                    count: p.count as u32,
+                };
                 return Ok(Some(page.asked.iter().map(range).collect()));
             }
         }
@@ -111,10 +136,15 @@
 }
 
 /// Asks for the rows that are not here, where it is known where they stand.
-pub(super) fn missing_rows(page: &mut Filling, set: &ResultSet, bounds: &Bounds) -> Option<Vec<Range>> {
+pub(super) fn missing_rows(
+    page: &mut Filling,
+    set: &ResultSet,
+    bounds: &Bounds,
+) -> Option<Vec<Range>> {
     page.extends = false;
     page.asked.clear();
-    // Rows that are here stand before those that are not within a slice, or behind them: one range covers the gap.
+    // Rows that are here stand before those that are not within a slice, or behind them: one range
+    // covers the gap.
     for (position, place) in set.locate(page.start, page.rows.len() as u64) {
         if page.rows[(position - page.start) as usize].is_some() {
             continue;
@@ -149,7 +179,9 @@
         if slice.exact && found.exact && slice.hits != found.hits || found.records.is_empty() {
             return Err(changed);
         }
-        let Some(merged) = &mut set.merged else { return Ok(()) };
+        let Some(merged) = &mut set.merged else {
+            return Ok(());
+        };
         let source = &mut merged.sources[place.at];
         // Another operation on the set may have fetched the same meanwhile.
         let have = source.next_offset().saturating_sub(place.offset) as usize;
@@ -158,7 +190,8 @@
             if at == have && last == Some(record.fingerprint()) {
                 return Err(changed);
             }
-            let row = Row::new(record, &set.sort).ok_or_else(|| Trouble::Fault(Kind::SORT_MISSING.of("")))?;
+            let row = Row::new(record, &set.sort)
+                .ok_or_else(|| Trouble::Fault(Kind::SORT_MISSING.of("")))?;
             source.ahead.push_back(row);
         }
         return Ok(());
--- a/catalogue/src/operation/mod.rs
+++ b/catalogue/src/operation/mod.rs
@@ -1,7 +1,7 @@
 //! A client's operation as rounds of parts: which slices are asked for what, and when it is done.
 //!
-//! Each round is one query to the core, with parts, a class and one final answer of its own. An operation ends in
-//! exactly one [`Outcome`], after at most [`Bounds::rounds`] rounds.
+//! Each round is one query to the core, with parts, a class and one final answer of its own. An
+//! operation ends in exactly one [`Outcome`], after at most [`Bounds::rounds`] rounds.
 
 mod filling;
 
@@ -174,7 +174,11 @@
     fn most(self) -> u64 {
         match self {
             Want::Count(n) => n,
-            Want::Sized { small, large, medium } => small.max(if large > 1 { medium } else { 0 }),
+            Want::Sized {
+                small,
+                large,
+                medium,
+            } => small.max(if large > 1 { medium } else { 0 }),
         }
     }
 
@@ -216,9 +220,17 @@
 
 #[derive(Debug, Clone, PartialEq)]
 enum State {
-    Searching { search: Search, replaced: bool },
+    Searching {
+        search: Search,
+        replaced: bool,
+    },
     Filling(Filling),
-    Scanning { number: u32, position: u32, seed: String, slices: Vec<u32> },
+    Scanning {
+        number: u32,
+        position: u32,
+        seed: String,
+        slices: Vec<u32>,
+    },
 }
 
 /// An operation under way.
@@ -233,11 +245,21 @@
     /// Begins a search.
     pub fn search(search: Search, bounds: Bounds) -> (Operation, Step) {
         let step = Step::Ask(first_round(&search, &bounds));
-        (Operation { bounds, rounds: 1, state: State::Searching { search, replaced: false } }, step)
+        (
+            Operation {
+                bounds,
+                rounds: 1,
+                state: State::Searching {
+                    search,
+                    replaced: false,
+                },
+            },
+            step,
+        )
     }
 
-    /// Begins to fetch records of a set. Where the set has changed, `again` is searched anew; without one the
-    /// operation ends with the diagnostic that the set is gone.
+    /// Begins to fetch records of a set. Where the set has changed, `again` is searched anew;
+    /// without one the operation ends with the diagnostic that the set is gone.
     pub fn page(
         set: SetId,
         (start, count): (u64, u64),
@@ -265,7 +287,11 @@
             facets: Vec::new(),
             again,
         };
-        let mut operation = Operation { bounds, rounds: 0, state: State::Filling(filling) };
+        let mut operation = Operation {
+            bounds,
+            rounds: 0,
+            state: State::Filling(filling),
+        };
         let step = operation.fill(sets, now);
         (operation, step)
     }
@@ -278,11 +304,29 @@
         slices: Vec<u32>,
         bounds: Bounds,
     ) -> (Operation, Step) {
-        let work =
-            Work::Scan(ScanWork { clause: Node::Clause(clause.clone()).to_string(), number, position });
-        let step = Step::Ask(Plan { work, slices: slices.clone() });
+        let work = Work::Scan(ScanWork {
+            clause: Node::Clause(clause.clone()).to_string(),
+            number,
+            position,
+        });
+        let step = Step::Ask(Plan {
+            work,
+            slices: slices.clone(),
+        });
         let seed = crate::cql::term::parts(&clause.term).plain();
-        (Operation { bounds, rounds: 1, state: State::Scanning { number, position, seed, slices } }, step)
+        (
+            Operation {
+                bounds,
+                rounds: 1,
+                state: State::Scanning {
+                    number,
+                    position,
+                    seed,
+                    slices,
+                },
+            },
+            step,
+        )
     }
 
     /// A round has ended.
@@ -295,7 +339,9 @@
     }
 
     fn searched(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
-        let State::Searching { search, replaced } = &self.state else { return gave_up() };
+        let State::Searching { search, replaced } = &self.state else {
+            return gave_up();
+        };
         let (search, replaced) = (search.clone(), *replaced);
         let values = match round {
             Round::Served(values) => values,
@@ -314,17 +360,33 @@
         if let Some(step) = too_few(found.len(), search.slices.len(), &faults, self.bounds.floor) {
             return step;
         }
-        let asked: Vec<u32> = search.slices.iter().chain(&search.left_out).copied().collect();
-        let mut set = ResultSet::new(search.query.clone(), search.sort.clone(), &asked, &found, now);
+        let asked: Vec<u32> = search
+            .slices
+            .iter()
+            .chain(&search.left_out)
+            .copied()
+            .collect();
+        let mut set = ResultSet::new(
+            search.query.clone(),
+            search.sort.clone(),
+            &asked,
+            &found,
+            now,
+        );
         let mut notes = notes_of(&set.missing, faults);
         let lists: Vec<_> = found.iter().map(|(_, f)| f.facets.clone()).collect();
         let facets = merged_facets(&search.facets, &lists, !set.missing.is_empty(), &mut notes);
         let hits = set.count().hits;
-        let wanted = search.want.of(hits).min((hits + 1).saturating_sub(search.start));
+        let wanted = search
+            .want
+            .of(hits)
+            .min((hits + 1).saturating_sub(search.start));
         let mut rows: Vec<Option<Record>> = vec![None; wanted.min(self.bounds.page) as usize];
         // What came with the search: the slices' first records.
         for (slice, one) in found {
-            let Some(at) = set.slices.iter().position(|s| s.slice == slice) else { continue };
+            let Some(at) = set.slices.iter().position(|s| s.slice == slice) else {
+                continue;
+            };
             if let Some(merged) = &mut set.merged {
                 for record in one.records {
                     match Row::new(record, &search.sort) {
@@ -336,7 +398,9 @@
                 let before: u64 = set.slices[..at].iter().map(|s| s.hits).sum();
                 let mut last = None;
                 for (offset, record) in (0u64..).zip(one.records) {
-                    let slot = (before + offset + 1).checked_sub(search.start).map(|s| s as usize);
+                    let slot = (before + offset + 1)
+                        .checked_sub(search.start)
+                        .map(|s| s as usize);
                     if let Some(row) = slot.and_then(|s| rows.get_mut(s)) {
                         last = Some(offset);
                         *row = Some(record);
@@ -344,7 +408,8 @@
                 }
                 // Only the last one counts, and telling it from others takes reading it.
                 if let Some(offset) = last
-                    && let Some(Some(record)) = rows.get((before + offset + 1 - search.start) as usize)
+                    && let Some(Some(record)) =
+                        rows.get((before + offset + 1 - search.start) as usize)
                 {
                     set.delivered(at, offset, record);
                 }
@@ -371,7 +436,9 @@
 
     /// Asks for what the page lacks, or ends.
     fn fill(&mut self, sets: &mut SetTable, now: Time) -> Step {
-        let State::Filling(page) = &mut self.state else { return gave_up() };
+        let State::Filling(page) = &mut self.state else {
+            return gave_up();
+        };
         let Some(set) = sets.get(page.set, now) else {
             return Step::Done(Outcome::Fault(Kind::SET_GONE.of("it gave way to others")));
         };
@@ -393,13 +460,24 @@
                 self.rounds += 1;
                 let slices = ranges.iter().map(|r| r.slice).collect();
                 let facets = Vec::new();
-                let work = PageWork { query, sort, schema: page.schema, fresh: false, ranges, facets };
-                return Step::Ask(Plan { work: Work::Page(work), slices });
+                let work = PageWork {
+                    query,
+                    sort,
+                    schema: page.schema,
+                    fresh: false,
+                    ranges,
+                    facets,
+                };
+                return Step::Ask(Plan {
+                    work: Work::Page(work),
+                    slices,
+                });
             }
             page.short = Some(Short::Reach);
         }
         if let Some(slice) = disorder {
-            page.notes.push(Kind::SORT.of(format!("the host of slice {slice} gives another order")));
+            page.notes
+                .push(Kind::SORT.of(format!("the host of slice {slice} gives another order")));
         }
         let mut records = Vec::new();
         for row in std::mem::take(&mut page.rows) {
@@ -426,7 +504,9 @@
     }
 
     fn filled(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
-        let State::Filling(page) = &mut self.state else { return gave_up() };
+        let State::Filling(page) = &mut self.state else {
+            return gave_up();
+        };
         let values = match round {
             Round::Served(values) => values,
             // What is there already is still good.
@@ -448,7 +528,11 @@
             let taken = match at.map(|at| given.swap_remove(at).1) {
                 Some(Given::Found(found)) => take(page, set, &place, found),
                 Some(Given::Refused(fault)) => {
-                    page.notes.push(fault.kind.of(format!("slice {}: {}", place.slice, fault.about)));
+                    page.notes.push(
+                        fault
+                            .kind
+                            .of(format!("slice {}: {}", place.slice, fault.about)),
+                    );
                     page.lost.push(place.slice);
                     Ok(())
                 }
@@ -471,21 +555,36 @@
 
     /// The set is not what it was: its positions mean nothing any more.
     fn changed(&mut self, slice: u32, sets: &mut SetTable) -> Step {
-        let State::Filling(page) = &mut self.state else { return gave_up() };
+        let State::Filling(page) = &mut self.state else {
+            return gave_up();
+        };
         sets.remove(page.set);
         match page.again.take() {
             Some(search) if self.rounds < self.bounds.rounds => {
                 self.rounds += 1;
                 let step = Step::Ask(first_round(&search, &self.bounds));
-                self.state = State::Searching { search, replaced: true };
+                self.state = State::Searching {
+                    search,
+                    replaced: true,
+                };
                 step
             }
-            _ => Step::Done(Outcome::Fault(Kind::SET_GONE.of(format!("slice {slice} has changed")))),
+            _ => Step::Done(Outcome::Fault(
+                Kind::SET_GONE.of(format!("slice {slice} has changed")),
+            )),
         }
     }
 
     fn scanned(&mut self, round: Round) -> Step {
-        let State::Scanning { number, position, seed, slices } = &self.state else { return gave_up() };
+        let State::Scanning {
+            number,
+            position,
+            seed,
+            slices,
+        } = &self.state
+        else {
+            return gave_up();
+        };
         let values = match round {
             Round::Served(values) => values,
             Round::Refused { hold_off } => return Step::Done(Outcome::Refused { hold_off }),
@@ -520,7 +619,8 @@
     Step::Done(Outcome::Failed(Why::GivenUp))
 }
 
-/// An answer from less than the class's floor is never given: what the core counted as in may have been a refusal.
+/// An answer from less than the class's floor is never given: what the core counted as in may have
+/// been a refusal.
 fn too_few(have: usize, asked: usize, faults: &[(u32, Fault)], floor: f64) -> Option<Step> {
     if have > 0 && have as f64 / asked.max(1) as f64 + ROUNDING >= floor {
         return None;
@@ -535,10 +635,18 @@
     let mut notes = Vec::new();
     if !missing.is_empty() {
         let words: Vec<String> = missing.iter().map(u32::to_string).collect();
-        let plural = if missing.len() == 1 { "slice" } else { "slices" };
+        let plural = if missing.len() == 1 {
+            "slice"
+        } else {
+            "slices"
+        };
         notes.push(Kind::PARTIAL.of(format!("without {plural} {}", words.join(", "))));
     }
-    notes.extend(faults.into_iter().map(|(slice, f)| f.kind.of(format!("slice {slice}: {}", f.about))));
+    notes.extend(
+        faults
+            .into_iter()
+            .map(|(slice, f)| f.kind.of(format!("slice {slice}: {}", f.about))),
+    );
     notes
 }
 
@@ -550,10 +658,13 @@
 ) -> Vec<MergedFacet> {
     let one = |ask: &FacetAsk| {
         let of = |list: &'_ Option<Vec<merge::Facet>>| {
-            list.as_ref().and_then(|facets| facets.iter().position(|f| f.index == ask.index))
+            list.as_ref()
+                .and_then(|facets| facets.iter().position(|f| f.index == ask.index))
         };
-        let own: Vec<Option<&merge::Facet>> =
-            lists.iter().map(|l| of(l).and_then(|at| l.as_ref().map(|facets| &facets[at]))).collect();
+        let own: Vec<Option<&merge::Facet>> = lists
+            .iter()
+            .map(|l| of(l).and_then(|at| l.as_ref().map(|facets| &facets[at])))
+            .collect();
         let mut merged = merge::facets(ask, &own);
         merged.exact &= !missing;
         merged
--- a/catalogue/src/pool.rs
+++ b/catalogue/src/pool.rs
@@ -1,5 +1,6 @@
-//! Sessions to index hosts: which one takes the next part, when one more is opened, when a host is left in peace, what
-//! becomes of a search that nobody waits for any more, and what a host is held able to do.
+//! Sessions to index hosts: which one takes the next part, when one more is opened, when a host is
+//! left in peace, what becomes of a search that nobody waits for any more, and what a host is held
+//! able to do.
 
 use crate::record::{Schema, Syntax};
 use crate::sru::Version;
@@ -87,14 +88,21 @@
 impl Pool {
     /// A pool that knows no host.
     pub fn new(bounds: PoolBounds) -> Pool {
-        Pool { bounds, hosts: BTreeMap::new() }
+        Pool {
+            bounds,
+            hosts: BTreeMap::new(),
+        }
     }
 
     fn host(&mut self, host: u32, now: Time) -> &mut Host {
         // Hosts come and go under new numbers for as long as this runs.
         if !self.hosts.contains_key(&host)
             && self.hosts.len() >= self.bounds.hosts
-            && let Some(oldest) = self.hosts.iter().min_by_key(|(_, h)| h.used).map(|(id, _)| *id)
+            && let Some(oldest) = self
+                .hosts
+                .iter()
+                .min_by_key(|(_, h)| h.used)
+                .map(|(id, _)| *id)
         {
             self.hosts.remove(&oldest);
         }
@@ -103,14 +111,19 @@
         entry
     }
 
-    /// Which of a host's sessions takes the next part; `carried` says how many each has, an abandoned one included.
+    /// Which of a host's sessions takes the next part; `carried` says how many each has, an
+    /// abandoned one included.
     pub fn choose(&mut self, host: u32, carried: &[usize], now: Time) -> Choice {
         let most = self.bounds.sessions;
         let known = self.host(host, now);
         if let Some(idle) = carried.iter().position(|n| *n == 0) {
             return Choice::Use(idle);
         }
-        let least = carried.iter().enumerate().min_by_key(|(_, n)| **n).map(|(at, _)| at);
+        let least = carried
+            .iter()
+            .enumerate()
+            .min_by_key(|(_, n)| **n)
+            .map(|(at, _)| at);
         match least {
             // A host that turned connections away is not asked for more of them while one works.
             Some(at) if carried.len() >= most || known.rest_until > now => Choice::Wait(at),
@@ -132,7 +145,8 @@
         let host = self.host(host, now);
         // Several that were begun together count as one failure.
         if host.rest_until <= now {
-            host.rest_until = now.saturating_add(least.saturating_mul(1 << host.failures.min(20)).min(most));
+            host.rest_until =
+                now.saturating_add(least.saturating_mul(1 << host.failures.min(20)).min(most));
             host.failures += 1;
         }
     }
@@ -140,16 +154,22 @@
     /// An answer came, so long after it was asked for.
     pub fn answered(&mut self, host: u32, took: Time, now: Time) {
         let host = self.host(host, now);
-        host.usual = if host.usual == 0 { took } else { host.usual - host.usual / 8 + took / 8 };
+        host.usual = if host.usual == 0 {
+            took
+        } else {
+            host.usual - host.usual / 8 + took / 8
+        };
     }
 
     /// Nobody waits any more for what a session was asked at `asked`.
     pub fn abandon(&mut self, host: u32, asked: Time, now: Time) -> Fate {
         let bounds = self.bounds;
         let known = self.host(host, now);
-        let patience = (known.usual.saturating_mul(8)).clamp(bounds.outlive_least, bounds.outlive_most);
+        let patience =
+            (known.usual.saturating_mul(8)).clamp(bounds.outlive_least, bounds.outlive_most);
         let until = asked.saturating_add(patience);
-        // Half of the sessions at most wait for nothing: the others are needed for what somebody waits for.
+        // Half of the sessions at most wait for nothing: the others are needed for what somebody
+        // waits for.
         if until <= now || known.outliving + 1 > bounds.sessions.div_ceil(2) {
             return Fate::End;
         }
@@ -167,7 +187,10 @@
     pub fn learned(&mut self, host: u32, now: Time) -> &mut Learned {
         let lasts = self.bounds.learn_for;
         let host = self.host(host, now);
-        if host.learned_at.is_none_or(|at| at.saturating_add(lasts) <= now) {
+        if host
+            .learned_at
+            .is_none_or(|at| at.saturating_add(lasts) <= now)
+        {
             host.learned = Learned::default();
             host.learned_at = Some(now);
         }
@@ -206,31 +229,59 @@
             pool.failed(1, now);
             pool.failed(1, now);
             assert_eq!(pool.choose(1, &[], now + rest - 1), Choice::Rest);
-            assert_eq!(pool.choose(1, &[2], now + rest - 1), Choice::Wait(0), "what is up still works");
+            assert_eq!(
+                pool.choose(1, &[2], now + rest - 1),
+                Choice::Wait(0),
+                "what is up still works"
+            );
             now += rest;
             assert_eq!(pool.choose(1, &[], now), Choice::Open);
         }
         pool.connected(1, now);
         pool.failed(1, now);
-        assert_eq!(pool.choose(1, &[], now + 100), Choice::Open, "after a success it begins anew");
-        assert_eq!(pool.choose(2, &[], now), Choice::Open, "another host has no part in it");
+        assert_eq!(
+            pool.choose(1, &[], now + 100),
+            Choice::Open,
+            "after a success it begins anew"
+        );
+        assert_eq!(
+            pool.choose(2, &[], now),
+            Choice::Open,
+            "another host has no part in it"
+        );
     }
 
     #[test]
     fn an_abandoned_search_is_outlived_as_long_as_that_is_cheaper() {
         let mut pool = Pool::new(BOUNDS);
         pool.answered(1, 100, 0);
-        assert_eq!(pool.abandon(1, 1000, 1200), Fate::Outlive(1800), "eight times what it usually takes");
-        assert_eq!(pool.abandon(1, 1000, 1800), Fate::End, "it has had its time");
+        assert_eq!(
+            pool.abandon(1, 1000, 1200),
+            Fate::Outlive(1800),
+            "eight times what it usually takes"
+        );
+        assert_eq!(
+            pool.abandon(1, 1000, 1800),
+            Fate::End,
+            "it has had its time"
+        );
         assert_eq!(pool.abandon(1, 1000, 1200), Fate::Outlive(1800));
-        assert_eq!(pool.abandon(1, 1000, 1200), Fate::End, "half of the sessions wait for nothing");
+        assert_eq!(
+            pool.abandon(1, 1000, 1200),
+            Fate::End,
+            "half of the sessions wait for nothing"
+        );
         pool.outlived(1, 1300);
         assert_eq!(pool.abandon(1, 1000, 1300), Fate::Outlive(1800));
         for _ in 0..50 {
             pool.answered(1, 100_000, 2000);
         }
         pool.outlived(1, 2000);
-        assert_eq!(pool.abandon(1, 2000, 2000), Fate::Outlive(4000), "never longer than the bound");
+        assert_eq!(
+            pool.abandon(1, 2000, 2000),
+            Fate::Outlive(4000),
+            "never longer than the bound"
+        );
     }
 
     #[test]
--- a/catalogue/src/record/grs1.rs
+++ b/catalogue/src/record/grs1.rs
@@ -1,4 +1,5 @@
-//! GRS-1 (appendix 5, RecordSyntax-generic), with the elements of tag set G (type 2) and names (type 3).
+//! GRS-1 (appendix 5, RecordSyntax-generic), with the elements of tag set G (type 2) and names
+//! (type 3).
 
 use super::{FIELDS, Field, Fields, RecordError};
 use crate::ber::{self, Class, Content, Item, Writer, universal};
@@ -11,12 +12,17 @@
     let mut writer = Writer::default();
     writer.inside_universal(universal::SEQUENCE, |elements| {
         for (field, text) in &fields.0 {
-            let tag = FIELDS.iter().find(|(f, ..)| f == field).map_or(0, |(.., tag)| *tag);
+            let tag = FIELDS
+                .iter()
+                .find(|(f, ..)| f == field)
+                .map_or(0, |(.., tag)| *tag);
             elements.inside_universal(universal::SEQUENCE, |tagged| {
                 tagged.integer(1, TAG_SET_G);
                 // StringOrNumeric, as a number.
                 tagged.inside(2, |value| value.integer(2, tag));
-                tagged.inside(4, |content| content.universal(universal::GENERAL, text.as_bytes()));
+                tagged.inside(4, |content| {
+                    content.universal(universal::GENERAL, text.as_bytes())
+                });
             });
         }
     });
@@ -26,18 +32,27 @@
 /// Reads such elements; those that no field stands for are passed over.
 pub fn read(bytes: &[u8]) -> Result<Fields, RecordError> {
     let most = bytes.len();
-    let item = ber::read(&mut bytes.to_vec(), most.max(1), 32).ok().flatten();
+    let item = ber::read(&mut bytes.to_vec(), most.max(1), 32)
+        .ok()
+        .flatten();
     let item = item.ok_or(RecordError::Malformed("no GRS-1"))?;
     let mut fields = Fields::default();
     for element in item.items() {
-        let Some(value) = element.get(2) else { continue };
+        let Some(value) = element.get(2) else {
+            continue;
+        };
         let choice = value.items().first();
         let field = match choice {
             Some(number) if number.tag == 2 => {
                 let wanted = number.integer().unwrap_or(0);
-                FIELDS.iter().find(|(.., tag)| *tag == wanted).map(|(f, ..)| *f)
+                FIELDS
+                    .iter()
+                    .find(|(.., tag)| *tag == wanted)
+                    .map(|(f, ..)| *f)
             }
-            Some(name) => name.text().and_then(|n| Field::named(&n.to_ascii_lowercase())),
+            Some(name) => name
+                .text()
+                .and_then(|n| Field::named(&n.to_ascii_lowercase())),
             None => None,
         };
         let content = element.get(4).and_then(|c| c.items().first());
@@ -51,9 +66,9 @@
 /// The text of an element, whichever type it has.
 fn words(content: &Item) -> String {
     match (&content.content, content.class, content.tag) {
-        (Content::Primitive(_), Class::Universal, universal::INTEGER) => {
-            content.integer().map_or_else(String::new, |n| n.to_string())
-        }
+        (Content::Primitive(_), Class::Universal, universal::INTEGER) => content
+            .integer()
+            .map_or_else(String::new, |n| n.to_string()),
         _ => content.text().unwrap_or_default(),
     }
 }
--- a/catalogue/src/record/marc.rs
+++ b/catalogue/src/record/marc.rs
@@ -38,33 +38,51 @@
 }
 
 fn number(bytes: &[u8]) -> Result<usize, RecordError> {
-    let text = std::str::from_utf8(bytes).ok().filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
-    text.and_then(|t| t.parse().ok()).ok_or(malformed("a length that is no number"))
+    let text = std::str::from_utf8(bytes)
+        .ok()
+        .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
+    text.and_then(|t| t.parse().ok())
+        .ok_or(malformed("a length that is no number"))
 }
 
 impl Marc {
     pub(super) fn add(&mut self, tag: &str, indicators: &str, code: char, text: &str) {
         let subfields = vec![(code, text.to_owned())];
-        self.data.push(Data { tag: tag.to_owned(), indicators: indicators.to_owned(), subfields });
+        self.data.push(Data {
+            tag: tag.to_owned(),
+            indicators: indicators.to_owned(),
+            subfields,
+        });
     }
 
     /// Reads the exchange format. Lengths are held against what is there.
     pub fn from_bytes(bytes: &[u8]) -> Result<Marc, RecordError> {
-        let leader = bytes.get(..LEADER).ok_or(malformed("shorter than a leader"))?;
+        let leader = bytes
+            .get(..LEADER)
+            .ok_or(malformed("shorter than a leader"))?;
         let (length, base) = (number(&leader[..5])?, number(&leader[12..17])?);
         if length != bytes.len() || base < LEADER + 1 || base > length {
             return Err(malformed("its length is not its own"));
         }
-        let directory = bytes.get(LEADER..base - 1).ok_or(malformed("a directory"))?;
+        let directory = bytes
+            .get(LEADER..base - 1)
+            .ok_or(malformed("a directory"))?;
         if directory.len() % ENTRY != 0 || bytes[base - 1] != END_OF_FIELD {
             return Err(malformed("a directory"));
         }
-        let mut marc = Marc { leader: text(leader), ..Marc::default() };
+        let mut marc = Marc {
+            leader: text(leader),
+            ..Marc::default()
+        };
         for entry in directory.chunks(ENTRY) {
             let tag = text(&entry[..3]);
             let (length, start) = (number(&entry[3..7])?, base + number(&entry[7..12])?);
-            let field = bytes.get(start..start + length).ok_or(malformed("a field outside the record"))?;
-            let field = field.strip_suffix(&[END_OF_FIELD]).ok_or(malformed("a field without its end"))?;
+            let field = bytes
+                .get(start..start + length)
+                .ok_or(malformed("a field outside the record"))?;
+            let field = field
+                .strip_suffix(&[END_OF_FIELD])
+                .ok_or(malformed("a field without its end"))?;
             if tag.starts_with("00") {
                 marc.control.push((tag, text(field)));
                 continue;
@@ -76,7 +94,11 @@
                 let mut chars = piece.chars();
                 chars.next().map(|code| (code, chars.as_str().to_owned()))
             };
-            marc.data.push(Data { tag, indicators, subfields: pieces.filter_map(subfield).collect() });
+            marc.data.push(Data {
+                tag,
+                indicators,
+                subfields: pieces.filter_map(subfield).collect(),
+            });
         }
         Ok(marc)
     }
@@ -113,11 +135,20 @@
         if length > 99_999 {
             return Err(RecordError::TooLong);
         }
-        // What the leader says of the record itself stays; its lengths and its coding (UTF-8) are this one's.
+        // What the leader says of the record itself stays; its lengths and its coding (UTF-8) are
+        // this one's.
         let given = |range: std::ops::Range<usize>, usual: &str| {
-            self.leader.get(range.clone()).filter(|t| t.len() == range.len()).unwrap_or(usual).to_owned()
+            self.leader
+                .get(range.clone())
+                .filter(|t| t.len() == range.len())
+                .unwrap_or(usual)
+                .to_owned()
         };
-        let leader = format!("{length:05}{}a22{base:05}{}4500", given(5..9, "nam "), given(17..20, " a "));
+        let leader = format!(
+            "{length:05}{}a22{base:05}{}4500",
+            given(5..9, "nam "),
+            given(17..20, " a ")
+        );
         let mut out = leader.into_bytes();
         out.extend(directory.bytes());
         out.push(END_OF_FIELD);
@@ -135,9 +166,14 @@
                 "leader" => marc.leader = child.text.clone(),
                 "controlfield" if tag.len() == 3 => marc.control.push((tag, child.text.clone())),
                 "datafield" if tag.len() == 3 => {
-                    let indicator =
-                        |name| child.attribute(name).and_then(|i| i.chars().next()).unwrap_or(' ');
-                    let subfield = |s: &Element| Some((s.attribute("code")?.chars().next()?, s.text.clone()));
+                    let indicator = |name| {
+                        child
+                            .attribute(name)
+                            .and_then(|i| i.chars().next())
+                            .unwrap_or(' ')
+                    };
+                    let subfield =
+                        |s: &Element| Some((s.attribute("code")?.chars().next()?, s.text.clone()));
                     marc.data.push(Data {
                         tag,
                         indicators: [indicator("ind1"), indicator("ind2")].iter().collect(),
@@ -153,10 +189,18 @@
     /// Writes MARCXML.
     pub fn to_xml(&self) -> String {
         let mut out = "<record xmlns=\"http://www.loc.gov/MARC21/slim\">".to_owned();
-        let leader = if self.leader.is_empty() { "00000nam a2200000 a 4500" } else { &self.leader };
+        let leader = if self.leader.is_empty() {
+            "00000nam a2200000 a 4500"
+        } else {
+            &self.leader
+        };
         out.push_str(&format!("<leader>{}</leader>", escape(leader)));
         for (tag, text) in &self.control {
-            out.push_str(&format!("<controlfield tag=\"{}\">{}</controlfield>", escape(tag), escape(text)));
+            out.push_str(&format!(
+                "<controlfield tag=\"{}\">{}</controlfield>",
+                escape(tag),
+                escape(text)
+            ));
         }
         for data in &self.data {
             let mut indicators = data.indicators.chars();
@@ -168,7 +212,10 @@
             ));
             for (code, text) in &data.subfields {
                 let code = escape(&code.to_string());
-                out.push_str(&format!("<subfield code=\"{code}\">{}</subfield>", escape(text)));
+                out.push_str(&format!(
+                    "<subfield code=\"{code}\">{}</subfield>",
+                    escape(text)
+                ));
             }
             out.push_str("</datafield>");
         }
@@ -182,7 +229,9 @@
 
 /// Without the format's own separators: a text that holds one would end its field.
 fn clean(text: &str) -> String {
-    text.chars().filter(|c| !matches!(*c, '\u{1d}'..='\u{1f}')).collect()
+    text.chars()
+        .filter(|c| !matches!(*c, '\u{1d}'..='\u{1f}'))
+        .collect()
 }
 
 #[cfg(test)]
@@ -204,14 +253,19 @@
         let marc = sample();
         let bytes = marc.to_bytes().unwrap();
         let mut back = Marc::from_bytes(&bytes).unwrap();
-        assert_eq!(back.to_bytes().unwrap(), bytes, "what was read is written alike");
+        assert_eq!(
+            back.to_bytes().unwrap(),
+            bytes,
+            "what was read is written alike"
+        );
         back.leader.clear();
         assert_eq!(back, marc);
         let xml = Marc::from_xml(&tree::read(&marc.to_xml()).unwrap()).unwrap();
         assert_eq!((xml.control, xml.data), (marc.control, marc.data));
     }
 
-    /// Every truncation and every changed byte is refused or read, and never read past the record's end.
+    /// Every truncation and every changed byte is refused or read, and never read past the record's
+    /// end.
     #[test]
     fn spoilt_bytes_are_refused_or_read_within_their_bounds() {
         let bytes = sample().to_bytes().unwrap();
--- a/catalogue/src/record/mod.rs
+++ b/catalogue/src/record/mod.rs
@@ -1,7 +1,7 @@
 //! Records: what index hosts give, in the schemas and syntaxes that clients ask for.
 //!
-//! A record travels as XML in the schema its host gave it in. It is converted only when it is delivered, and only
-//! where another schema or syntax is asked for.
+//! A record travels as XML in the schema its host gave it in. It is converted only when it is
+//! delivered, and only where another schema or syntax is asked for.
 
 pub mod grs1;
 pub mod marc;
@@ -70,13 +70,17 @@
 impl Schema {
     /// The schema of a short name or an identifier.
     pub fn named(name: &str) -> Option<Schema> {
-        let known = |s: &&SchemaNames| s.short == name || s.identifier == name || s.others.contains(&name);
+        let known =
+            |s: &&SchemaNames| s.short == name || s.identifier == name || s.others.contains(&name);
         SCHEMAS.iter().find(known).map(|s| s.schema)
     }
 
     /// What it is called.
     pub fn names(self) -> &'static SchemaNames {
-        SCHEMAS.iter().find(|s| s.schema == self).unwrap_or(&SCHEMAS[0])
+        SCHEMAS
+            .iter()
+            .find(|s| s.schema == self)
+            .unwrap_or(&SCHEMAS[0])
     }
 }
 
@@ -105,13 +109,23 @@
     /// The syntax of an identifier.
     pub fn of_oid(oid: &str) -> Option<Syntax> {
         // Some clients ask for text/xml by its place in the tree of MIME types.
-        let oid = if oid == "1.2.840.10003.5.109.11" { SYNTAXES[0].1 } else { oid };
-        SYNTAXES.iter().find(|(_, known)| *known == oid).map(|(syntax, _)| *syntax)
+        let oid = if oid == "1.2.840.10003.5.109.11" {
+            SYNTAXES[0].1
+        } else {
+            oid
+        };
+        SYNTAXES
+            .iter()
+            .find(|(_, known)| *known == oid)
+            .map(|(syntax, _)| *syntax)
     }
 
     /// Its identifier.
     pub fn oid(self) -> &'static str {
-        SYNTAXES.iter().find(|(s, _)| *s == self).map_or(SYNTAXES[0].1, |(_, oid)| oid)
+        SYNTAXES
+            .iter()
+            .find(|(s, _)| *s == self)
+            .map_or(SYNTAXES[0].1, |(_, oid)| oid)
     }
 }
 
@@ -188,11 +202,17 @@
 impl Field {
     /// Its name.
     pub fn name(self) -> &'static str {
-        FIELDS.iter().find(|(f, ..)| *f == self).map_or("", |(_, name, _)| name)
+        FIELDS
+            .iter()
+            .find(|(f, ..)| *f == self)
+            .map_or("", |(_, name, _)| name)
     }
 
     fn named(name: &str) -> Option<Field> {
-        FIELDS.iter().find(|(_, known, _)| *known == name).map(|(field, ..)| *field)
+        FIELDS
+            .iter()
+            .find(|(_, known, _)| *known == name)
+            .map(|(field, ..)| *field)
     }
 }
 
@@ -203,11 +223,17 @@
 impl Fields {
     /// The first text of a field.
     pub fn first(&self, field: Field) -> Option<&str> {
-        self.0.iter().find(|(f, _)| *f == field).map(|(_, text)| text.as_str())
+        self.0
+            .iter()
+            .find(|(f, _)| *f == field)
+            .map(|(_, text)| text.as_str())
     }
 
     fn all(&self, field: Field) -> impl Iterator<Item = &str> {
-        self.0.iter().filter(move |(f, _)| *f == field).map(|(_, text)| text.as_str())
+        self.0
+            .iter()
+            .filter(move |(f, _)| *f == field)
+            .map(|(_, text)| text.as_str())
     }
 
     fn add(&mut self, field: Field, text: &str) {
@@ -220,20 +246,35 @@
     /// What a brief record keeps (element set name B).
     fn brief(&self) -> Fields {
         let kept = [Field::Title, Field::Creator, Field::Date, Field::Identifier];
-        Fields(self.0.iter().filter(|(field, _)| kept.contains(field)).cloned().collect())
+        Fields(
+            self.0
+                .iter()
+                .filter(|(field, _)| kept.contains(field))
+                .cloned()
+                .collect(),
+        )
     }
 }
 
 impl Record {
     /// A record from its XML; its schema is told by its root.
     pub fn new(xml: String) -> Record {
-        let schema = tree::root(&xml).and_then(|(name, namespace)| schemas::of_root(&name, &namespace));
-        Record { schema, xml, fault: None }
+        let schema =
+            tree::root(&xml).and_then(|(name, namespace)| schemas::of_root(&name, &namespace));
+        Record {
+            schema,
+            xml,
+            fault: None,
+        }
     }
 
     /// A diagnostic in a record's place.
     pub fn refused(fault: crate::fault::Fault) -> Record {
-        Record { schema: None, xml: String::new(), fault: Some(fault) }
+        Record {
+            schema: None,
+            xml: String::new(),
+            fault: Some(fault),
+        }
     }
 
     /// Its fields.
@@ -270,11 +311,18 @@
     }
 
     /// In a syntax of Z39.50: the bytes of the record; GRS-1 is written by [`grs1::write`].
-    pub fn to_bytes(&self, syntax: Syntax, schema: Schema, brief: bool) -> Result<Vec<u8>, RecordError> {
+    pub fn to_bytes(
+        &self,
+        syntax: Syntax,
+        schema: Schema,
+        brief: bool,
+    ) -> Result<Vec<u8>, RecordError> {
         match syntax {
             Syntax::Xml => self.to_xml(schema, brief).map(String::into_bytes),
             Syntax::Usmarc => match (self.schema, brief) {
-                (Some(Schema::MarcXml), false) => marc::Marc::from_xml(&tree::read(&self.xml)?)?.to_bytes(),
+                (Some(Schema::MarcXml), false) => {
+                    marc::Marc::from_xml(&tree::read(&self.xml)?)?.to_bytes()
+                }
                 _ => schemas::to_marc(&self.wanted_fields(brief)?).to_bytes(),
             },
             Syntax::Sutrs => Ok(sutrs(&self.wanted_fields(brief)?).into_bytes()),
@@ -291,8 +339,10 @@
     pub fn from_bytes(syntax: Syntax, bytes: &[u8]) -> Result<Record, RecordError> {
         match syntax {
             Syntax::Xml => {
-                let xml = std::str::from_utf8(bytes).map_err(|_| RecordError::Malformed("no UTF-8"))?;
-                // A declaration may stand only at a document's beginning, which a record is not any more.
+                let xml =
+                    std::str::from_utf8(bytes).map_err(|_| RecordError::Malformed("no UTF-8"))?;
+                // A declaration may stand only at a document's beginning, which a record is not any
+                // more.
                 let xml = match xml.trim_start().strip_prefix("<?xml") {
                     Some(rest) => rest.split_once("?>").map_or("", |(_, xml)| xml),
                     None => xml,
@@ -301,7 +351,11 @@
             }
             Syntax::Usmarc => {
                 let xml = marc::Marc::from_bytes(bytes)?.to_xml();
-                Ok(Record { schema: Some(Schema::MarcXml), xml, fault: None })
+                Ok(Record {
+                    schema: Some(Schema::MarcXml),
+                    xml,
+                    fault: None,
+                })
             }
             Syntax::Sutrs => {
                 let mut fields = Fields::default();
@@ -310,16 +364,25 @@
                     let field = Field::named(&name.trim().to_ascii_lowercase());
                     fields.add(field.unwrap_or(Field::Description), text);
                 }
-                Ok(Record { schema: Some(Schema::Dc), xml: schemas::to_dc(&fields), fault: None })
+                Ok(Record {
+                    schema: Some(Schema::Dc),
+                    xml: schemas::to_dc(&fields),
+                    fault: None,
+                })
             }
             Syntax::Grs1 => {
                 let fields = grs1::read(bytes)?;
-                Ok(Record { schema: Some(Schema::Dc), xml: schemas::to_dc(&fields), fault: None })
+                Ok(Record {
+                    schema: Some(Schema::Dc),
+                    xml: schemas::to_dc(&fields),
+                    fault: None,
+                })
             }
         }
     }
 
-    /// What tells it from others, whatever prefixes and white space its host writes: a hash of its text.
+    /// What tells it from others, whatever prefixes and white space its host writes: a hash of its
+    /// text.
     pub fn fingerprint(&self) -> u64 {
         let text = tree::read(&self.xml).map_or_else(|_| self.xml.clone(), |root| root.full_text());
         // FNV-1a: the same on every machine, and no secret depends on it.
@@ -333,7 +396,11 @@
 
 /// One line a field.
 fn sutrs(fields: &Fields) -> String {
-    fields.0.iter().map(|(field, text)| format!("{}: {text}\n", field.name())).collect()
+    fields
+        .0
+        .iter()
+        .map(|(field, text)| format!("{}: {text}\n", field.name()))
+        .collect()
 }
 
 fn element(out: &mut String, name: &str, text: &str) {
@@ -366,8 +433,16 @@
         for (syntax, _) in SYNTAXES {
             let bytes = record.to_bytes(*syntax, Schema::Dc, false).unwrap();
             let back = Record::from_bytes(*syntax, &bytes).unwrap();
-            assert_eq!(back.value("dc.title").as_deref(), Some("The Moon & I"), "{syntax:?}");
-            assert_eq!(back.value("dc.identifier").as_deref(), Some("c-17"), "{syntax:?}");
+            assert_eq!(
+                back.value("dc.title").as_deref(),
+                Some("The Moon & I"),
+                "{syntax:?}"
+            );
+            assert_eq!(
+                back.value("dc.identifier").as_deref(),
+                Some("c-17"),
+                "{syntax:?}"
+            );
         }
     }
 
@@ -375,19 +450,34 @@
     fn a_brief_record_is_shorter_and_an_unknown_schema_passes_only_as_it_is() {
         let record = Record::new(DC.to_owned());
         let brief = record.to_xml(Schema::Dc, true).unwrap();
-        assert!(brief.contains("Rabbit") && !brief.contains("subject"), "{brief}");
+        assert!(
+            brief.contains("Rabbit") && !brief.contains("subject"),
+            "{brief}"
+        );
         let odd = Record::new("<odd><title>x</title></odd>".to_owned());
-        assert_eq!((odd.schema, odd.to_xml(Schema::Mods, false)), (None, Err(RecordError::UnknownSchema)));
+        assert_eq!(
+            (odd.schema, odd.to_xml(Schema::Mods, false)),
+            (None, Err(RecordError::UnknownSchema))
+        );
         // Dublin Core without any namespace, as small servers give it.
-        assert_eq!(Record::new("<dc><title>x</title></dc>".to_owned()).schema, Some(Schema::Dc));
+        assert_eq!(
+            Record::new("<dc><title>x</title></dc>".to_owned()).schema,
+            Some(Schema::Dc)
+        );
     }
 
     #[test]
     fn a_fingerprint_sees_text_and_nothing_else() {
         let same = Record::new(DC.replace("dc:", "x:"));
         let record = Record::new(DC.to_owned());
-        assert_eq!(Record::new(DC.replace("><", ">\n <")).fingerprint(), record.fingerprint());
+        assert_eq!(
+            Record::new(DC.replace("><", ">\n <")).fingerprint(),
+            record.fingerprint()
+        );
         assert_eq!(same.fingerprint(), record.fingerprint());
-        assert_ne!(Record::new(DC.replace("c-17", "c-18")).fingerprint(), record.fingerprint());
+        assert_ne!(
+            Record::new(DC.replace("c-17", "c-18")).fingerprint(),
+            record.fingerprint()
+        );
     }
 }
--- a/catalogue/src/record/schemas.rs
+++ b/catalogue/src/record/schemas.rs
@@ -1,4 +1,5 @@
-//! The schemas' ways to say the common fields (crosswalks of the Library of Congress, as far as those fields go).
+//! The schemas' ways to say the common fields (crosswalks of the Library of Congress, as far as
+//! those fields go).
 
 use super::marc::Marc;
 use super::tree::Element;
@@ -10,7 +11,9 @@
     match (name, namespace) {
         // The wrappers of SRU and OAI, or none at all.
         ("dc" | "srw_dc" | "oai_dc", _) => Some(Schema::Dc),
-        ("mods", "" | "http://www.loc.gov/mods/v3" | "http://www.loc.gov/mods/") => Some(Schema::Mods),
+        ("mods", "" | "http://www.loc.gov/mods/v3" | "http://www.loc.gov/mods/") => {
+            Some(Schema::Mods)
+        }
         ("record", "http://www.loc.gov/MARC21/slim") => Some(Schema::MarcXml),
         _ => None,
     }
@@ -43,13 +46,28 @@
         match child.name.as_str() {
             "titleInfo" => {
                 let (title, sub) = (text("title"), text("subTitle"));
-                fields.add(Field::Title, &if sub.is_empty() { title } else { format!("{title} : {sub}") });
+                fields.add(
+                    Field::Title,
+                    &if sub.is_empty() {
+                        title
+                    } else {
+                        format!("{title} : {sub}")
+                    },
+                );
             }
             "name" => {
                 let parts: Vec<String> = child.all("namePart").map(Element::full_text).collect();
                 let role = text("roleTerm");
-                let main = role.is_empty() || matches!(role.as_str(), "creator" | "author" | "cre" | "aut");
-                fields.add(if main { Field::Creator } else { Field::Contributor }, &parts.join(", "));
+                let main = role.is_empty()
+                    || matches!(role.as_str(), "creator" | "author" | "cre" | "aut");
+                fields.add(
+                    if main {
+                        Field::Creator
+                    } else {
+                        Field::Contributor
+                    },
+                    &parts.join(", "),
+                );
             }
             "subject" => {
                 let parts: Vec<String> = child.children.iter().map(Element::full_text).collect();
@@ -60,7 +78,9 @@
                 fields.add(Field::Publisher, &text("publisher"));
                 fields.add(
                     Field::Date,
-                    &child.find("dateIssued").map_or_else(|| text("dateCreated"), Element::full_text),
+                    &child
+                        .find("dateIssued")
+                        .map_or_else(|| text("dateCreated"), Element::full_text),
                 );
             }
             "typeOfResource" | "genre" => fields.add(Field::Type, &child.full_text()),
@@ -93,7 +113,9 @@
             Field::Publisher => format!("<originInfo><publisher>{safe}</publisher></originInfo>"),
             Field::Date => format!("<originInfo><dateIssued>{safe}</dateIssued></originInfo>"),
             Field::Type => format!("<genre>{safe}</genre>"),
-            Field::Format => format!("<physicalDescription><form>{safe}</form></physicalDescription>"),
+            Field::Format => {
+                format!("<physicalDescription><form>{safe}</form></physicalDescription>")
+            }
             Field::Identifier => format!("<identifier>{safe}</identifier>"),
             Field::Language => format!("<language><languageTerm>{safe}</languageTerm></language>"),
             Field::Rights => format!("<accessCondition>{safe}</accessCondition>"),
@@ -144,7 +166,11 @@
                 .map(|(_, text)| text.trim_end_matches([' ', '/', ':', ',', ';']))
                 .collect();
             identified |= *field == Field::Identifier;
-            let joint = if *field == Field::Subject { " -- " } else { " : " };
+            let joint = if *field == Field::Subject {
+                " -- "
+            } else {
+                " : "
+            };
             fields.add(*field, &texts.join(joint));
         }
     }
--- a/catalogue/src/record/tree.rs
+++ b/catalogue/src/record/tree.rs
@@ -25,7 +25,10 @@
 impl Element {
     /// The value of an attribute.
     pub fn attribute(&self, name: &str) -> Option<&str> {
-        self.attributes.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.attributes
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// The elements in it of this name.
@@ -63,7 +66,11 @@
             .map_err(|_| RecordError::Malformed("an attribute"))?;
         attributes.push((key, value.into_owned()));
     }
-    Ok(Element { name, attributes, ..Element::default() })
+    Ok(Element {
+        name,
+        attributes,
+        ..Element::default()
+    })
 }
 
 /// Reads a document.
@@ -72,12 +79,16 @@
     let mut stack: Vec<Element> = Vec::new();
     let mut count = 0;
     loop {
-        let event = reader.read_event().map_err(|_| RecordError::Malformed("no XML"))?;
+        let event = reader
+            .read_event()
+            .map_err(|_| RecordError::Malformed("no XML"))?;
         let done = match event {
             Event::Start(start) => {
                 count += 1;
                 if stack.len() >= DEPTH || count > ELEMENTS {
-                    return Err(RecordError::Malformed("nested too deep, or too many elements"));
+                    return Err(RecordError::Malformed(
+                        "nested too deep, or too many elements",
+                    ));
                 }
                 stack.push(open(&start)?);
                 continue;
@@ -89,7 +100,9 @@
                 }
                 open(&start)?
             }
-            Event::End(_) => stack.pop().ok_or(RecordError::Malformed("an end without its beginning"))?,
+            Event::End(_) => stack
+                .pop()
+                .ok_or(RecordError::Malformed("an end without its beginning"))?,
             Event::Text(text) => {
                 let text = text.decode().map_err(|_| RecordError::Malformed("text"))?;
                 if let Some(top) = stack.last_mut() {
@@ -108,9 +121,13 @@
                 let resolved = match reference.resolve_char_ref() {
                     Ok(Some(c)) => c.to_string(),
                     Ok(None) => {
-                        let name = reference.decode().map_err(|_| RecordError::Malformed("a reference"))?;
+                        let name = reference
+                            .decode()
+                            .map_err(|_| RecordError::Malformed("a reference"))?;
                         let known = quick_xml::escape::resolve_predefined_entity(&name);
-                        known.ok_or(RecordError::Malformed("an entity that is not known"))?.to_owned()
+                        known
+                            .ok_or(RecordError::Malformed("an entity that is not known"))?
+                            .to_owned()
                     }
                     Err(_) => return Err(RecordError::Malformed("a reference")),
                 };
@@ -136,11 +153,19 @@
         match reader.read_event().ok()? {
             Event::Start(start) | Event::Empty(start) => {
                 let name = String::from_utf8_lossy(start.local_name().as_ref()).into_owned();
-                let prefix = start.name().prefix().map(|p| String::from_utf8_lossy(p.as_ref()).into_owned());
+                let prefix = start
+                    .name()
+                    .prefix()
+                    .map(|p| String::from_utf8_lossy(p.as_ref()).into_owned());
                 let key = prefix.map_or("xmlns".to_owned(), |p| format!("xmlns:{p}"));
-                let declared = start.attributes().flatten().find(|a| a.key.as_ref() == key.as_bytes());
+                let declared = start
+                    .attributes()
+                    .flatten()
+                    .find(|a| a.key.as_ref() == key.as_bytes());
                 let namespace = declared.and_then(|a| {
-                    a.normalized_value(quick_xml::XmlVersion::Implicit1_0).ok().map(|v| v.into_owned())
+                    a.normalized_value(quick_xml::XmlVersion::Implicit1_0)
+                        .ok()
+                        .map(|v| v.into_owned())
                 });
                 return Some((name, namespace.unwrap_or_default()));
             }
--- a/catalogue/src/rpn.rs
+++ b/catalogue/src/rpn.rs
@@ -1,5 +1,5 @@
-//! Z39.50's type-1 and type-101 queries (appendix 3, RPNQuery) and the Bib-1 attributes, read into the tree of CQL
-//! and written from it.
+//! Z39.50's type-1 and type-101 queries (appendix 3, RPNQuery) and the Bib-1 attributes, read into
+//! the tree of CQL and written from it.
 
 use crate::ber::{Class, Item, Writer, universal};
 use crate::cql::term::{self, Mask};
@@ -36,14 +36,17 @@
     Kind::SYNTAX.of("a malformed type-1 query")
 }
 
-/// Reads the query of a search request: the value inside its tag. The search has at most `most` clauses.
+/// Reads the query of a search request: the value inside its tag. The search has at most `most`
+/// clauses.
 pub fn read(query: &Item, most: usize) -> Result<Node, Fault> {
     let rpn = match query.items().first() {
         Some(item) if item.class == Class::Context && matches!(item.tag, 1 | 101) => item,
         Some(item) => return Err(Kind::QUERY_TYPE.of(format!("type-{}", item.tag))),
         None => return Err(malformed()),
     };
-    let [set, structure] = rpn.items() else { return Err(malformed()) };
+    let [set, structure] = rpn.items() else {
+        return Err(malformed());
+    };
     bib1(set)?;
     let mut left = most;
     structure_of(structure, &mut left)
@@ -65,11 +68,15 @@
 fn structure_of(item: &Item, left: &mut usize) -> Result<Node, Fault> {
     match item.tag {
         0 => {
-            *left = left.checked_sub(1).ok_or_else(|| Kind::TOO_COMPLEX.of(""))?;
+            *left = left
+                .checked_sub(1)
+                .ok_or_else(|| Kind::TOO_COMPLEX.of(""))?;
             operand(item.items().first().ok_or_else(malformed)?)
         }
         1 => {
-            let [one, other, operator] = item.items() else { return Err(malformed()) };
+            let [one, other, operator] = item.items() else {
+                return Err(malformed());
+            };
             let operator = operator.items().first().ok_or_else(malformed)?;
             let boolean = match operator.tag {
                 0 => Boolean::And,
@@ -79,7 +86,11 @@
                 other => return Err(Kind::BOOLEAN.of(other.to_string())),
             };
             let (one, other) = (structure_of(one, left)?, structure_of(other, left)?);
-            Ok(Node::Joined { boolean, left: Box::new(one), right: Box::new(other) })
+            Ok(Node::Joined {
+                boolean,
+                left: Box::new(one),
+                right: Box::new(other),
+            })
         }
         _ => Err(malformed()),
     }
@@ -99,12 +110,23 @@
         Some(6) => Relation::NotEqual,
         other => return Err(Kind::PROXIMITY.of(format!("relation {}", other.unwrap_or(0)))),
     };
-    let distance = number(2).and_then(|n| u32::try_from(n).ok()).ok_or_else(malformed)?;
-    let code = item.get(5).and_then(|choice| choice.get(1)).and_then(Item::integer);
-    let unit =
-        code.and_then(Unit::of_code).ok_or_else(|| Kind::PROXIMITY_UNIT.of(code.unwrap_or(0).to_string()))?;
+    let distance = number(2)
+        .and_then(|n| u32::try_from(n).ok())
+        .ok_or_else(malformed)?;
+    let code = item
+        .get(5)
+        .and_then(|choice| choice.get(1))
+        .and_then(Item::integer);
+    let unit = code
+        .and_then(Unit::of_code)
+        .ok_or_else(|| Kind::PROXIMITY_UNIT.of(code.unwrap_or(0).to_string()))?;
     let ordered = item.get(3).and_then(Item::boolean).ok_or_else(malformed)?;
-    Ok(Proximity { relation, distance, unit, ordered })
+    Ok(Proximity {
+        relation,
+        distance,
+        unit,
+        ordered,
+    })
 }
 
 fn operand(item: &Item) -> Result<Node, Fault> {
@@ -133,7 +155,11 @@
 impl Attributes {
     fn read(item: &Item) -> Result<Attributes, Fault> {
         let mut all = Attributes::default();
-        for attribute in item.get(tag::ATTRIBUTES).map(Item::items).unwrap_or_default() {
+        for attribute in item
+            .get(tag::ATTRIBUTES)
+            .map(Item::items)
+            .unwrap_or_default()
+        {
             let number = |tag| attribute.get(tag).and_then(Item::integer);
             if let Some(set) = attribute.get(1) {
                 bib1(set)?;
@@ -214,23 +240,38 @@
 
 fn clause(item: &Item) -> Result<Clause, Fault> {
     let attributes = Attributes::read(item)?;
-    let given = item.items().iter().find(|i| matches!(i.tag, tag::TERM | tag::TERM_NUMBER | tag::TERM_TEXT));
+    let given = item
+        .items()
+        .iter()
+        .find(|i| matches!(i.tag, tag::TERM | tag::TERM_NUMBER | tag::TERM_TEXT));
     let text = match given.ok_or_else(|| Kind::TERM_TYPE.of(""))? {
         number if number.tag == tag::TERM_NUMBER => number.integer().map(|n| n.to_string()),
         text => text.text(),
     };
     let text = text.ok_or_else(|| Kind::TERM.of("no text in UTF-8"))?;
-    let relation = attributes.relation.unwrap_or(match (attributes.complete, attributes.words) {
-        (true, _) => Relation::Exact,
-        (_, true) => Relation::All,
-        _ => Relation::Equal,
-    });
+    let relation = attributes
+        .relation
+        .unwrap_or(match (attributes.complete, attributes.words) {
+            (true, _) => Relation::Exact,
+            (_, true) => Relation::All,
+            _ => Relation::Equal,
+        });
     // Always matches: whatever has this field.
-    let term = if attributes.always { "*".to_owned() } else { attributes.term(&text) };
-    Ok(Clause { index: attributes.index.unwrap_or(ANY), relation, modifiers: attributes.modifiers, term })
+    let term = if attributes.always {
+        "*".to_owned()
+    } else {
+        attributes.term(&text)
+    };
+    Ok(Clause {
+        index: attributes.index.unwrap_or(ANY),
+        relation,
+        modifiers: attributes.modifiers,
+        term,
+    })
 }
 
-/// Writes a type-1 query inside the tag of a search request's query; a fault where Bib-1 has no words for it.
+/// Writes a type-1 query inside the tag of a search request's query; a fault where Bib-1 has no
+/// words for it.
 pub fn write(node: &Node, out: &mut Writer) -> Result<(), Fault> {
     // Into a writer of its own: a fault in the middle must leave nothing behind.
     let mut rpn = Writer::default();
@@ -245,7 +286,9 @@
 /// Writes attributes and a term inside the tag that a scan has for them.
 pub fn write_clause(clause: &Clause, out: &mut Writer) -> Result<(), Fault> {
     let (attributes, term) = attributes_of(clause)?;
-    out.inside(tag::OPERAND, |operand| write_operand(&attributes, &term, operand));
+    out.inside(tag::OPERAND, |operand| {
+        write_operand(&attributes, &term, operand)
+    });
     Ok(())
 }
 
@@ -268,10 +311,16 @@
                 return write_structure(&wider, out);
             }
             let (attributes, term) = attributes_of(clause)?;
-            out.inside(0, |operand| operand.inside(tag::OPERAND, |o| write_operand(&attributes, &term, o)));
+            out.inside(0, |operand| {
+                operand.inside(tag::OPERAND, |o| write_operand(&attributes, &term, o))
+            });
         }
         Node::Set(name) => out.inside(0, |operand| operand.bytes(tag::SET, name.as_bytes())),
-        Node::Joined { boolean, left, right } => {
+        Node::Joined {
+            boolean,
+            left,
+            right,
+        } => {
             let mut inner = Writer::default();
             write_structure(left, &mut inner)?;
             write_structure(right, &mut inner)?;
@@ -312,8 +361,13 @@
 /// Relations that Bib-1 has no attribute for, as joined searches that mean the same.
 fn expand(clause: &Clause) -> Option<Node> {
     let words: Vec<&str> = clause.term.split_whitespace().collect();
-    let with =
-        |relation, term: &str| Node::Clause(Clause { relation, term: term.to_owned(), ..clause.clone() });
+    let with = |relation, term: &str| {
+        Node::Clause(Clause {
+            relation,
+            term: term.to_owned(),
+            ..clause.clone()
+        })
+    };
     match (clause.relation, words.as_slice()) {
         (Relation::Any, [first, rest @ ..]) => {
             let join = |left, word: &&str| Node::Joined {
@@ -359,7 +413,8 @@
             Modifier::Uri => structure = 104,
             Modifier::Unmasked => unmasked = true,
             Modifier::Masked => {}
-            // Bib-1 says nothing of these; left out, the host would find something else than was asked for.
+            // Bib-1 says nothing of these; left out, the host would find something else than was
+            // asked for.
             other => return Err(Kind::MODIFIER.of(other.name())),
         }
     }
@@ -408,7 +463,9 @@
         let mut inner = Writer::default();
         write(&node, &mut inner)?;
         writer.inside(21, |w| w.append(inner));
-        let item = ber::read(&mut writer.finish(), 10_000, 16).unwrap().expect("a whole value");
+        let item = ber::read(&mut writer.finish(), 10_000, 16)
+            .unwrap()
+            .expect("a whole value");
         read(&item, 16)
     }
 
@@ -422,13 +479,18 @@
             "title =/stem moons and date >=/isoDate 2001-01-01 and title <> sun",
             "cql.resultSetId = \"A\" and moon",
         ] {
-            assert_eq!(through(text), Ok(cql::parse(text, 8).unwrap().root), "{text}");
+            assert_eq!(
+                through(text),
+                Ok(cql::parse(text, 8).unwrap().root),
+                "{text}"
+            );
         }
     }
 
     #[test]
     fn what_bib1_has_no_attribute_for_is_said_otherwise_or_refused() {
-        let same = |a: &str, b: &str| assert_eq!(through(a), Ok(cql::parse(b, 8).unwrap().root), "{a}");
+        let same =
+            |a: &str, b: &str| assert_eq!(through(a), Ok(cql::parse(b, 8).unwrap().root), "{a}");
         same("title any \"a b c\"", "title = a or title = b or title = c");
         same("date within \"1990 2000\"", "date >= 1990 and date <= 2000");
         for (text, kind) in [
@@ -457,11 +519,19 @@
             writer.inside(21, |w| {
                 w.inside(1, |rpn| {
                     rpn.oid(BIB1);
-                    rpn.inside(0, |o| o.inside(tag::OPERAND, |o| write_operand(&[(kind, value)], "x", o)));
+                    rpn.inside(0, |o| {
+                        o.inside(tag::OPERAND, |o| write_operand(&[(kind, value)], "x", o))
+                    });
                 })
             });
-            let item = ber::read(&mut writer.finish(), 10_000, 16).unwrap().expect("a whole value");
-            assert_eq!(read(&item, 9).map_err(|f| f.kind.bib1), Err(condition), "{kind}={value}");
+            let item = ber::read(&mut writer.finish(), 10_000, 16)
+                .unwrap()
+                .expect("a whole value");
+            assert_eq!(
+                read(&item, 9).map_err(|f| f.kind.bib1),
+                Err(condition),
+                "{kind}={value}"
+            );
         }
     }
 }
--- a/catalogue/src/session/answers.rs
+++ b/catalogue/src/session/answers.rs
@@ -37,7 +37,9 @@
         _ => z3950::unit(tag::EXTENDED_RESPONSE, reference, |w| {
             w.integer(3, 3);
             w.inside(4, |all| {
-                all.inside_universal(crate::ber::universal::SEQUENCE, |d| z3950::write_fault(d, fault));
+                all.inside_universal(crate::ber::universal::SEQUENCE, |d| {
+                    z3950::write_fault(d, fault)
+                });
             });
         }),
     }
@@ -54,7 +56,11 @@
     })
 }
 
-fn present_failed(reference: Option<&[u8]>, status: PresentStatus, fault: Option<&Fault>) -> Vec<u8> {
+fn present_failed(
+    reference: Option<&[u8]>,
+    status: PresentStatus,
+    fault: Option<&Fault>,
+) -> Vec<u8> {
     z3950::unit(tag::PRESENT_RESPONSE, reference, |w| {
         w.integer(tag::RETURNED, 0);
         w.integer(tag::NEXT_POSITION, 0);
@@ -96,7 +102,13 @@
 }
 
 /// What an operation ends with: segments, if there are any, and the response.
-pub fn answer(running: &Running, outcome: Outcome, database: &str, room: Room, left: usize) -> Vec<Vec<u8>> {
+pub fn answer(
+    running: &Running,
+    outcome: Outcome,
+    database: &str,
+    room: Room,
+    left: usize,
+) -> Vec<Vec<u8>> {
     let reference = running.reference.as_deref();
     let failed = |fault: &Fault| vec![failure(service(&running.purpose), reference, fault)];
     let page = match outcome {
@@ -108,9 +120,15 @@
         Outcome::Page(page) => page,
     };
     match &running.purpose {
-        Purpose::Search { form, formless, .. } => {
-            searched(reference, &page, *form, formless.as_ref(), database, room, left)
-        }
+        Purpose::Search { form, formless, .. } => searched(
+            reference,
+            &page,
+            *form,
+            formless.as_ref(),
+            database,
+            room,
+            left,
+        ),
         Purpose::Present { form, clipped } => {
             presented(reference, &page, *form, *clipped, database, room, left)
         }
@@ -126,13 +144,23 @@
         (true, false) => ScanStatus::Success,
     };
     z3950::unit(tag::SCAN_RESPONSE, reference, |w| {
-        scan::write_response(w, status, &scanned.terms, scanned.position, scanned.notes.first());
+        scan::write_response(
+            w,
+            status,
+            &scanned.terms,
+            scanned.position,
+            scanned.notes.first(),
+        );
     })
 }
 
 fn sort_done(reference: Option<&[u8]>, page: &Page) -> Vec<u8> {
     let disorder = page.notes.iter().find(|f| f.kind == Kind::SORT);
-    let status = if page.whole && disorder.is_none() { SortStatus::Success } else { SortStatus::Partial };
+    let status = if page.whole && disorder.is_none() {
+        SortStatus::Success
+    } else {
+        SortStatus::Partial
+    };
     z3950::unit(tag::SORT_RESPONSE, reference, |w| {
         sort::write_response(w, status, disorder.or_else(|| page.notes.first()));
     })
@@ -145,7 +173,11 @@
     match record.to_bytes(form.syntax, form.schema, form.brief) {
         Ok(bytes) => Ok(bytes),
         // A schema that is not known here passes as it is, where that is what XML was asked for.
-        Err(_) if record.schema.is_none() && form.syntax == Syntax::Xml && form.schema == Schema::Dc => {
+        Err(_)
+            if record.schema.is_none()
+                && form.syntax == Syntax::Xml
+                && form.schema == Schema::Dc =>
+        {
             Ok(record.xml.clone().into_bytes())
         }
         Err(problem) => Err(Kind::NOT_IN_SCHEMA.of(problem.to_string())),
@@ -153,7 +185,11 @@
 }
 
 fn divided(page: &Page, form: Form, database: &str, room: Room, left: usize) -> Divided {
-    let records = page.records.iter().map(|record| ready(record, form)).collect();
+    let records = page
+        .records
+        .iter()
+        .map(|record| ready(record, form))
+        .collect();
     records::divide(database, form.syntax, records, room, left)
 }
 
@@ -168,11 +204,19 @@
 
 fn next_position(page: &Page, delivered: usize) -> i64 {
     let next = page.start + delivered as u64;
-    if next > page.count.hits { 0 } else { i64::try_from(next).unwrap_or(0) }
+    if next > page.count.hits {
+        0
+    } else {
+        i64::try_from(next).unwrap_or(0)
+    }
 }
 
 fn segments(reference: Option<&[u8]>, divided: &Divided) -> Vec<Vec<u8>> {
-    divided.segments.iter().map(|(count, bytes)| records::segment(reference, *count, bytes)).collect()
+    divided
+        .segments
+        .iter()
+        .map(|(count, bytes)| records::segment(reference, *count, bytes))
+        .collect()
 }
 
 fn presented(
@@ -192,7 +236,9 @@
         w.integer(tag::NEXT_POSITION, next_position(page, divided.delivered));
         w.integer(tag::PRESENT_STATUS, status as i64);
         if status == PresentStatus::Failure {
-            let fault = page.short.map_or_else(|| Kind::BUSY.of("too much waits to be read"), why);
+            let fault = page
+                .short
+                .map_or_else(|| Kind::BUSY.of("too much waits to be read"), why);
             w.inside(tag::DIAGNOSTIC, |d| z3950::write_fault(d, &fault));
         } else {
             records::write(w, &divided.last.1);
@@ -211,11 +257,23 @@
     left: usize,
 ) -> Vec<Vec<u8>> {
     // A search response has no segments: what does not fit is presented later.
-    let divided = divided(page, form, database, Room { segmentation: 0, ..room }, left);
+    let divided = divided(
+        page,
+        form,
+        database,
+        Room {
+            segmentation: 0,
+            ..room
+        },
+        left,
+    );
     let status = status_of(page, &divided, false);
     let shown = page.wanted > 0 || formless.is_some();
     vec![z3950::unit(tag::SEARCH_RESPONSE, reference, |w| {
-        w.integer(tag::RESULT_COUNT, i64::try_from(page.count.hits).unwrap_or(i64::MAX));
+        w.integer(
+            tag::RESULT_COUNT,
+            i64::try_from(page.count.hits).unwrap_or(i64::MAX),
+        );
         w.integer(tag::RETURNED, divided.delivered as i64);
         w.integer(tag::NEXT_POSITION, next_position(page, divided.delivered));
         // A search in which slices are missing did not succeed; its set is a valid subset.
@@ -224,7 +282,11 @@
             w.integer(tag::SET_STATUS, set as i64);
         }
         if shown {
-            let status = if formless.is_some() { PresentStatus::Failure } else { status };
+            let status = if formless.is_some() {
+                PresentStatus::Failure
+            } else {
+                status
+            };
             w.integer(tag::PRESENT_STATUS, status as i64);
         }
         let partial = page.notes.iter().find(|f| f.kind == Kind::PARTIAL);
--- a/catalogue/src/session/mod.rs
+++ b/catalogue/src/session/mod.rs
@@ -1,4 +1,5 @@
-//! A Z39.50 session with a client: data units and rounds' ends come in, data units and rounds go out.
+//! A Z39.50 session with a client: data units and rounds' ends come in, data units and rounds go
+//! out.
 
 mod answers;
 mod requests;
@@ -41,21 +42,37 @@
 impl std::fmt::Debug for Reader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         // Passwords must not reach a log by way of a debug print.
-        f.debug_struct("Reader").field("name", &self.name).finish_non_exhaustive()
+        f.debug_struct("Reader")
+            .field("name", &self.name)
+            .finish_non_exhaustive()
     }
 }
 
 impl Access {
     fn admits(&self, identity: &Identity) -> Result<(), Fault> {
-        let (Access::AtInit(readers) | Access::Challenge(readers)) = self else { return Ok(()) };
-        let Identity::User { name, password } = identity else { return Err(Kind::AUTHENTICATION.of("")) };
-        // Every reader is compared in full, so that the time taken tells neither names nor passwords.
+        let (Access::AtInit(readers) | Access::Challenge(readers)) = self else {
+            return Ok(());
+        };
+        let Identity::User { name, password } = identity else {
+            return Err(Kind::AUTHENTICATION.of(""));
+        };
+        // Every reader is compared in full, so that the time taken tells neither names nor
+        // passwords.
         let same = |a: &str, b: &str| {
-            a.len() == b.len() && a.bytes().zip(b.bytes()).fold(0, |all, (a, b)| all | (a ^ b)) == 0
+            a.len() == b.len()
+                && a.bytes()
+                    .zip(b.bytes())
+                    .fold(0, |all, (a, b)| all | (a ^ b))
+                    == 0
         };
-        let known =
-            readers.iter().fold(false, |any, r| any | (same(&r.name, name) & same(&r.password, password)));
-        if known { Ok(()) } else { Err(Kind::PASSWORD.of("")) }
+        let known = readers.iter().fold(false, |any, r| {
+            any | (same(&r.name, name) & same(&r.password, password))
+        });
+        if known {
+            Ok(())
+        } else {
+            Err(Kind::PASSWORD.of(""))
+        }
     }
 }
 
@@ -129,10 +146,19 @@
 
 #[derive(Debug, Clone, PartialEq)]
 enum Purpose {
-    Search { set: String, form: Form, formless: Option<Fault> },
-    Present { form: Form, clipped: bool },
+    Search {
+        set: String,
+        form: Form,
+        formless: Option<Fault>,
+    },
+    Present {
+        form: Form,
+        clipped: bool,
+    },
     Scan,
-    Sort { set: String },
+    Sort {
+        set: String,
+    },
 }
 
 #[derive(Debug)]
@@ -180,7 +206,11 @@
             owner,
             state: State::Fresh,
             abilities: Abilities::default(),
-            room: Room { preferred: 1 << 10, exceptional: 1 << 10, segmentation: 0 },
+            room: Room {
+                preferred: 1 << 10,
+                exceptional: 1 << 10,
+                segmentation: 0,
+            },
             admitted: false,
             failed_challenges: 0,
             held: Vec::new(),
@@ -190,11 +220,17 @@
         }
     }
 
-    /// Whether the next data unit may be taken: operations run side by side only where that was agreed on, and a client
-    /// that does not read its answers gets no further ones.
+    /// Whether the next data unit may be taken: operations run side by side only where that was
+    /// agreed on, and a client that does not read its answers gets no further ones.
     pub fn may_read(&self, unwritten: usize) -> bool {
-        let most = if self.abilities.has(Ability::ConcurrentOperations) { self.config.operations } else { 1 };
-        self.state != State::Closing && self.running.len() < most && unwritten < self.config.output / 2
+        let most = if self.abilities.has(Ability::ConcurrentOperations) {
+            self.config.operations
+        } else {
+            1
+        };
+        self.state != State::Closing
+            && self.running.len() < most
+            && unwritten < self.config.output / 2
     }
 
     /// Whether operations are under way.
@@ -232,17 +268,32 @@
             return;
         }
         let reference = unit.get(tag::REFERENCE).map(Item::bytes);
-        if reference.as_ref().is_some_and(|r| r.len() > self.config.name_bytes) {
-            return self.close(CloseReason::ProtocolError, "a reference that is too long", around.acts);
+        if reference
+            .as_ref()
+            .is_some_and(|r| r.len() > self.config.name_bytes)
+        {
+            return self.close(
+                CloseReason::ProtocolError,
+                "a reference that is too long",
+                around.acts,
+            );
         }
         let service = z3950::service(unit);
         match (service, self.state) {
             (Some(Service::Close), _) => self.close(CloseReason::ResponseToPeer, "", around.acts),
-            (Some(Service::Init), State::Fresh) => self.init(unit, reference.as_deref(), around.acts),
+            (Some(Service::Init), State::Fresh) => {
+                self.init(unit, reference.as_deref(), around.acts)
+            }
             (Some(Service::Init), _) | (None, _) | (_, State::Fresh) => {
-                self.close(CloseReason::ProtocolError, "no such service, or out of order", around.acts);
+                self.close(
+                    CloseReason::ProtocolError,
+                    "no such service, or out of order",
+                    around.acts,
+                );
+            }
+            (Some(Service::TriggerResourceControl), _) => {
+                self.trigger(unit, reference.as_deref(), around)
             }
-            (Some(Service::TriggerResourceControl), _) => self.trigger(unit, reference.as_deref(), around),
             (Some(Service::AccessControl), _) => self.challenged(unit, around),
             (Some(service), _) => self.operate(service, unit, reference, around),
         }
@@ -250,7 +301,9 @@
 
     fn init(&mut self, unit: &Item, reference: Option<&[u8]>, acts: &mut Vec<Act>) {
         let [_, two, three] = init::versions(unit);
-        let wanted = unit.get(tag::OPTIONS).map_or_else(Abilities::default, Abilities::read);
+        let wanted = unit
+            .get(tag::OPTIONS)
+            .map_or_else(Abilities::default, Abilities::read);
         let mut abilities = wanted.both(Abilities::of(OFFERED));
         let identity = init::read_identity(unit);
         let admitted = self.config.access.admits(&identity);
@@ -259,11 +312,17 @@
             abilities = abilities.without(Ability::AccessControl);
         }
         // A wrong password is no better than none, but it is not challenged either: it was wrong.
-        let later = challenge && abilities.has(Ability::AccessControl) && identity == Identity::Anonymous;
+        let later =
+            challenge && abilities.has(Ability::AccessControl) && identity == Identity::Anonymous;
         let fault = admitted.as_ref().err().filter(|_| !later).cloned();
         // Versions 2 and 3 are spoken; a client that has neither is told so and let go.
         let known = two || three;
-        let size = |tag| unit.get(tag).and_then(Item::integer).unwrap_or(64 << 10).max(0) as usize;
+        let size = |tag| {
+            unit.get(tag)
+                .and_then(Item::integer)
+                .unwrap_or(64 << 10)
+                .max(0) as usize
+        };
         let preferred = size(tag::PREFERRED_SIZE).clamp(1 << 10, self.config.message);
         let exceptional = size(tag::EXCEPTIONAL_SIZE).clamp(preferred, self.config.message);
         let segmentation = match () {
@@ -271,7 +330,11 @@
             () if abilities.has(Ability::Level1Segmentation) => 1,
             () => 0,
         };
-        self.room = Room { preferred, exceptional, segmentation };
+        self.room = Room {
+            preferred,
+            exceptional,
+            segmentation,
+        };
         self.abilities = abilities;
         self.admitted = admitted.is_ok();
         let taken = known && fault.is_none();
@@ -301,9 +364,17 @@
     ) {
         let same = |r: &Running| r.reference == reference;
         if self.running.values().any(same) {
-            return self.close(CloseReason::ProtocolError, "the reference is in use", around.acts);
+            return self.close(
+                CloseReason::ProtocolError,
+                "the reference is in use",
+                around.acts,
+            );
         }
-        if !self.admitted && !matches!(service, Service::Delete | Service::ResourceReport | Service::Extended)
+        if !self.admitted
+            && !matches!(
+                service,
+                Service::Delete | Service::ResourceReport | Service::Extended
+            )
         {
             return self.challenge(unit, reference.as_deref(), around.acts);
         }
@@ -330,7 +401,14 @@
             Ok((purpose, operation, step)) => {
                 self.next = self.next.wrapping_add(1);
                 let number = self.next;
-                self.running.insert(number, Running { reference, purpose, operation });
+                self.running.insert(
+                    number,
+                    Running {
+                        reference,
+                        purpose,
+                        operation,
+                    },
+                );
                 self.follow(number, step, around);
             }
             Err(fault) => {
@@ -342,14 +420,19 @@
 
     /// A round of an operation has ended.
     pub fn answered(&mut self, operation: u32, round: Round, around: &mut Around<'_>) {
-        let Some(running) = self.running.get_mut(&operation) else { return };
+        let Some(running) = self.running.get_mut(&operation) else {
+            return;
+        };
         let step = running.operation.answered(round, around.sets, around.now);
         self.follow(operation, step, around);
     }
 
     fn follow(&mut self, number: u32, step: Step, around: &mut Around<'_>) {
         match step {
-            Step::Ask(plan) => around.acts.push(Act::Ask { operation: number, plan }),
+            Step::Ask(plan) => around.acts.push(Act::Ask {
+                operation: number,
+                plan,
+            }),
             Step::Done(outcome) => {
                 if let Some(running) = self.running.remove(&number) {
                     self.finish(running, outcome, around);
@@ -377,8 +460,13 @@
         if unit.get(tag::REQUESTED_ACTION).and_then(Item::integer) != Some(CANCEL) {
             return;
         }
-        let found = self.running.iter().find(|(_, r)| r.reference.as_deref() == reference);
-        let Some(number) = found.map(|(number, _)| *number) else { return };
+        let found = self
+            .running
+            .iter()
+            .find(|(_, r)| r.reference.as_deref() == reference);
+        let Some(number) = found.map(|(number, _)| *number) else {
+            return;
+        };
         if let Some(running) = self.running.remove(&number) {
             around.acts.push(Act::Withdraw { operation: number });
             around.acts.push(Act::Say(answers::cancelled(&running)));
@@ -404,19 +492,30 @@
 
     fn challenged(&mut self, unit: &Item, around: &mut Around<'_>) {
         if self.admitted || self.held.is_empty() {
-            return self.close(CloseReason::ProtocolError, "nobody was challenged", around.acts);
+            return self.close(
+                CloseReason::ProtocolError,
+                "nobody was challenged",
+                around.acts,
+            );
         }
-        let given = unit.get(tag::SIMPLE_RESPONSE).and_then(Item::text).unwrap_or_default();
+        let given = unit
+            .get(tag::SIMPLE_RESPONSE)
+            .and_then(Item::text)
+            .unwrap_or_default();
         let result = self.config.access.admits(&init::read_open(&given));
         self.admitted = result.is_ok();
         for held in std::mem::take(&mut self.held) {
             let reference = held.get(tag::REFERENCE).map(Item::bytes);
-            let Some(service) = z3950::service(&held) else { continue };
+            let Some(service) = z3950::service(&held) else {
+                continue;
+            };
             match &result {
                 Ok(()) => self.operate(service, &held, reference, around),
-                Err(fault) => {
-                    around.acts.push(Act::Say(answers::failure(service, reference.as_deref(), fault)))
-                }
+                Err(fault) => around.acts.push(Act::Say(answers::failure(
+                    service,
+                    reference.as_deref(),
+                    fault,
+                ))),
             }
         }
         if result.is_err() {
@@ -434,8 +533,16 @@
         const UNKNOWN: i64 = 1;
         const NOT_ALL: i64 = 9;
         let all = unit.get(32).and_then(Item::integer) == Some(ALL);
-        let list = unit.items().iter().find(|i| i.class == crate::ber::Class::Universal).map(Item::items);
-        let names: Vec<String> = list.unwrap_or_default().iter().filter_map(Item::text).collect();
+        let list = unit
+            .items()
+            .iter()
+            .find(|i| i.class == crate::ber::Class::Universal)
+            .map(Item::items);
+        let names: Vec<String> = list
+            .unwrap_or_default()
+            .iter()
+            .filter_map(Item::text)
+            .collect();
         let mut statuses: Vec<(String, i64)> = Vec::new();
         if all {
             for id in std::mem::take(&mut self.sets).into_values() {
@@ -452,7 +559,10 @@
             };
             statuses.push((name, status));
         }
-        let failed = statuses.iter().filter(|(_, status)| *status != SUCCESS).count();
+        let failed = statuses
+            .iter()
+            .filter(|(_, status)| *status != SUCCESS)
+            .count();
         let whole = match (failed, statuses.len()) {
             (0, _) => SUCCESS,
             (1, 1) => UNKNOWN,
--- a/catalogue/src/session/requests.rs
+++ b/catalogue/src/session/requests.rs
@@ -16,11 +16,15 @@
 type Begun = Result<(Purpose, Operation, Step), Fault>;
 
 fn number(unit: &Item, tag: u32, what: &str) -> Result<u64, Fault> {
-    let given = unit.get(tag).and_then(Item::integer).and_then(|n| u64::try_from(n).ok());
+    let given = unit
+        .get(tag)
+        .and_then(Item::integer)
+        .and_then(|n| u64::try_from(n).ok());
     given.ok_or_else(|| Kind::SYNTAX.of(format!("{what} is missing")))
 }
 
-/// The schema and brevity that an element set name asks for; the first of `tags` that is there counts.
+/// The schema and brevity that an element set name asks for; the first of `tags` that is there
+/// counts.
 fn elements(unit: &Item, tags: &[u32]) -> Result<(Schema, bool), Fault> {
     let given = tags.iter().find_map(|tag| unit.get(*tag));
     let name = match given {
@@ -35,7 +39,9 @@
 }
 
 fn syntax(unit: &Item) -> Result<Syntax, Fault> {
-    let Some(oid) = unit.get(tag::SYNTAX).and_then(Item::oid) else { return Ok(Syntax::Xml) };
+    let Some(oid) = unit.get(tag::SYNTAX).and_then(Item::oid) else {
+        return Ok(Syntax::Xml);
+    };
     Syntax::of_oid(&oid).ok_or_else(|| Kind::RECORD_SYNTAX.of(oid))
 }
 
@@ -44,7 +50,8 @@
         match names {
             [name] if name.eq_ignore_ascii_case(&self.config.database) => Ok(()),
             [name] if name == "IR-Explain-1" => {
-                Err(Kind::DATABASE_CLOSED.of("Explain is not kept here; SRU explain tells the same"))
+                Err(Kind::DATABASE_CLOSED
+                    .of("Explain is not kept here; SRU explain tells the same"))
             }
             [name] => Err(Kind::DATABASE.of(name.as_str())),
             _ => Err(Kind::DATABASES.of("one at a time")),
@@ -67,7 +74,11 @@
             return Err(Kind { bib1: 28, sru: 52 }.of(name));
         }
         if self.sets.contains_key(name) {
-            return if replace { Ok(()) } else { Err(Kind::SET_EXISTS.of(name)) };
+            return if replace {
+                Ok(())
+            } else {
+                Err(Kind::SET_EXISTS.of(name))
+            };
         }
         if self.sets.len() >= self.config.sets {
             return Err(Kind::TOO_MANY_SETS.of(self.config.sets.to_string()));
@@ -75,13 +86,16 @@
         Ok(())
     }
 
-    /// The search that a query stands for: sets in it are what they were made of, and slices that one of them lacks are
-    /// left out.
+    /// The search that a query stands for: sets in it are what they were made of, and slices that
+    /// one of them lacks are left out.
     fn resolve(&self, query: Node, around: &mut Around<'_>) -> Result<(Node, Vec<u32>), Fault> {
         let mut left_out: BTreeSet<u32> = BTreeSet::new();
         let query = query.resolve(&mut |name| {
             let id = self.sets.get(name).ok_or_else(|| Kind::NO_SET.of(name))?;
-            let set = around.sets.get(*id, around.now).ok_or_else(|| Kind::SET_GONE.of(name))?;
+            let set = around
+                .sets
+                .get(*id, around.now)
+                .ok_or_else(|| Kind::SET_GONE.of(name))?;
             left_out.extend(&set.missing);
             Ok(set.query.clone())
         })?;
@@ -99,7 +113,13 @@
         schema: Schema,
         want: Want,
     ) -> Search {
-        let slices = self.config.slices.iter().copied().filter(|s| !left_out.contains(s)).collect();
+        let slices = self
+            .config
+            .slices
+            .iter()
+            .copied()
+            .filter(|s| !left_out.contains(s))
+            .collect();
         Search {
             query,
             sort,
@@ -118,33 +138,80 @@
         let small = number(unit, tag::SMALL_SET, "small-set-upper-bound")?;
         let large = number(unit, tag::LARGE_SET, "large-set-lower-bound")?;
         let medium = number(unit, tag::MEDIUM_SET, "medium-set-present-number")?;
-        let set = unit.get(tag::SET_NAME).and_then(Item::text).ok_or_else(|| Kind::SET_NAME.of(""))?;
+        let set = unit
+            .get(tag::SET_NAME)
+            .and_then(Item::text)
+            .ok_or_else(|| Kind::SET_NAME.of(""))?;
         let replace = unit.get(tag::REPLACE).and_then(Item::boolean);
-        self.check_set(&set, replace.ok_or_else(|| Kind::SYNTAX.of("replace-indicator is missing"))?)?;
-        let names = unit.get(tag::DATABASES).map(Item::items).unwrap_or_default();
+        self.check_set(
+            &set,
+            replace.ok_or_else(|| Kind::SYNTAX.of("replace-indicator is missing"))?,
+        )?;
+        let names = unit
+            .get(tag::DATABASES)
+            .map(Item::items)
+            .unwrap_or_default();
         self.check_databases(&names.iter().filter_map(Item::text).collect::<Vec<_>>())?;
-        let query = unit.get(tag::QUERY).ok_or_else(|| Kind::SYNTAX.of("the query is missing"))?;
+        let query = unit
+            .get(tag::QUERY)
+            .ok_or_else(|| Kind::SYNTAX.of("the query is missing"))?;
         let (query, left_out) = self.resolve(rpn::read(query, self.config.clauses)?, around)?;
         // Records in a form that is not given do not keep the search from being done.
-        let form = elements(unit, &[tag::SMALL_ELEMENTS, tag::MEDIUM_ELEMENTS])
-            .and_then(|(schema, brief)| Ok(Form { syntax: syntax(unit)?, schema, brief }));
+        let form = elements(unit, &[tag::SMALL_ELEMENTS, tag::MEDIUM_ELEMENTS]).and_then(
+            |(schema, brief)| {
+                Ok(Form {
+                    syntax: syntax(unit)?,
+                    schema,
+                    brief,
+                })
+            },
+        );
         let (form, formless) = match form {
             Ok(form) => (form, None),
-            Err(fault) => (Form { syntax: Syntax::Xml, schema: Schema::Dc, brief: false }, Some(fault)),
+            Err(fault) => (
+                Form {
+                    syntax: Syntax::Xml,
+                    schema: Schema::Dc,
+                    brief: false,
+                },
+                Some(fault),
+            ),
+        };
+        let want = if formless.is_some() {
+            Want::Count(0)
+        } else {
+            Want::Sized {
+                small,
+                large,
+                medium,
+            }
         };
-        let want = if formless.is_some() { Want::Count(0) } else { Want::Sized { small, large, medium } };
         // A set that is replaced is gone, whatever becomes of the new one (section 3.2.2.1.3).
         if let Some(old) = self.sets.remove(&set) {
             around.sets.remove(old);
         }
         let search = self.asks(query, left_out, Vec::new(), form.schema, want);
         let (operation, step) = Operation::search(search, self.config.bounds);
-        Ok((Purpose::Search { set, form, formless }, operation, step))
+        Ok((
+            Purpose::Search {
+                set,
+                form,
+                formless,
+            },
+            operation,
+            step,
+        ))
     }
 
     pub(super) fn present(&mut self, unit: &Item, around: &mut Around<'_>) -> Begun {
-        let name = unit.get(tag::SET_ID).and_then(Item::text).unwrap_or_default();
-        let id = *self.sets.get(&name).ok_or_else(|| Kind::NO_SET.of(name.as_str()))?;
+        let name = unit
+            .get(tag::SET_ID)
+            .and_then(Item::text)
+            .unwrap_or_default();
+        let id = *self
+            .sets
+            .get(&name)
+            .ok_or_else(|| Kind::NO_SET.of(name.as_str()))?;
         let Some(set) = around.sets.get(id, around.now) else {
             // It stays known by name, so that the client is told what became of it, each time.
             return Err(Kind::SET_GONE.of(name));
@@ -159,7 +226,11 @@
             return Err(Kind { bib1: 244, sru: 6 }.of("a composition specification"));
         }
         let (schema, brief) = elements(unit, &[tag::ELEMENT_SET])?;
-        let form = Form { syntax: syntax(unit)?, schema, brief };
+        let form = Form {
+            syntax: syntax(unit)?,
+            schema,
+            brief,
+        };
         if start == 0 || count == 0 || start.saturating_add(count) - 1 > hits {
             return Err(Kind::RANGE.of(format!("{start}+{count} of {hits}")));
         }
@@ -173,7 +244,14 @@
             around.sets,
             around.now,
         );
-        Ok((Purpose::Present { form, clipped: count > most }, operation, step))
+        Ok((
+            Purpose::Present {
+                form,
+                clipped: count > most,
+            },
+            operation,
+            step,
+        ))
     }
 
     pub(super) fn scan(&mut self, unit: &Item) -> Begun {
@@ -193,8 +271,13 @@
         }
         let (number, position) = (request.number as u32, request.position as u32);
         let slices = self.config.slices.clone();
-        let (operation, step) =
-            Operation::scan(&request.clause, number, position, slices, self.config.bounds);
+        let (operation, step) = Operation::scan(
+            &request.clause,
+            number,
+            position,
+            slices,
+            self.config.bounds,
+        );
         Ok((Purpose::Scan, operation, step))
     }
 
@@ -208,6 +291,12 @@
         // One record of each slice shows whether its host can sort.
         let search = self.asks(query, left_out, request.keys, Schema::Dc, Want::Count(1));
         let (operation, step) = Operation::search(search, self.config.bounds);
-        Ok((Purpose::Sort { set: request.output }, operation, step))
+        Ok((
+            Purpose::Sort {
+                set: request.output,
+            },
+            operation,
+            step,
+        ))
     }
 }
--- a/catalogue/src/sets.rs
+++ b/catalogue/src/sets.rs
@@ -120,7 +120,11 @@
         };
         let mut slices: Vec<SliceSet> = found.iter().map(slice).collect();
         slices.sort_by_key(|s| s.slice);
-        let missing = asked.iter().copied().filter(|s| !slices.iter().any(|have| have.slice == *s)).collect();
+        let missing = asked
+            .iter()
+            .copied()
+            .filter(|s| !slices.iter().any(|have| have.slice == *s))
+            .collect();
         let merged = (!sort.is_empty()).then(|| Merged {
             order: Vec::new(),
             sources: slices.iter().map(|s| Source::new(s.hits)).collect(),
@@ -143,14 +147,20 @@
 
     /// How many hits it has.
     pub fn count(&self) -> Count {
-        merge::count(self.slices.iter().map(|s| (s.hits, s.exact)), !self.missing.is_empty())
+        merge::count(
+            self.slices.iter().map(|s| (s.hits, s.exact)),
+            !self.missing.is_empty(),
+        )
     }
 
-    /// Where positions `start` (from 1) and on stand: the place of the slice among the set's, and the place in the
-    /// slice. The slices follow one another by number, or as they were merged; of a sorted set only the known
-    /// positions can be told.
+    /// Where positions `start` (from 1) and on stand: the place of the slice among the set's, and
+    /// the place in the slice. The slices follow one another by number, or as they were merged; of
+    /// a sorted set only the known positions can be told.
     pub fn locate(&self, start: u64, count: u64) -> Vec<(u64, (usize, u64))> {
-        let (first, end) = (start.saturating_sub(1), start.saturating_sub(1).saturating_add(count));
+        let (first, end) = (
+            start.saturating_sub(1),
+            start.saturating_sub(1).saturating_add(count),
+        );
         let mut located = Vec::new();
         if let Some(merged) = &self.merged {
             let mut offsets = vec![0u64; self.slices.len()];
@@ -165,22 +175,32 @@
         }
         let mut before = 0u64;
         for (at, slice) in self.slices.iter().enumerate() {
-            let (from, to) = (first.max(before), end.min(before.saturating_add(slice.hits)));
+            let (from, to) = (
+                first.max(before),
+                end.min(before.saturating_add(slice.hits)),
+            );
             located.extend((from..to).map(|position| (position + 1, (at, position - before))));
             before = before.saturating_add(slice.hits);
         }
         located
     }
 
-    /// What is asked of a slice for a place in it: the records, and the one before them where that was delivered, so
-    /// that a change is seen.
+    /// What is asked of a slice for a place in it: the records, and the one before them where that
+    /// was delivered, so that a change is seen.
     pub fn ask(&self, place: &Place) -> Range {
-        let anchored = self.slices[place.at].anchor.is_some_and(|a| a.offset + 1 == place.offset);
+        let anchored = self.slices[place.at]
+            .anchor
+            .is_some_and(|a| a.offset + 1 == place.offset);
         let back = u64::from(anchored);
-        Range { slice: place.slice, offset: place.offset - back, count: (place.count + back) as u32 }
+        Range {
+            slice: place.slice,
+            offset: place.offset - back,
+            count: (place.count + back) as u32,
+        }
     }
 
-    /// Holds what a slice gave for such a range against what it gave before; takes the checking record off.
+    /// Holds what a slice gave for such a range against what it gave before; takes the checking
+    /// record off.
     pub fn check(&self, place: &Place, found: &mut Found) -> Result<(), Changed> {
         let slice = &self.slices[place.at];
         let changed = Err(Changed { slice: slice.slice });
@@ -207,7 +227,11 @@
 
     /// A record was delivered: the next page of this slice is checked against it.
     pub fn delivered(&mut self, at: usize, offset: u64, record: &crate::record::Record) {
-        let anchor = Anchor { offset, fingerprint: record.fingerprint(), schema: record.schema };
+        let anchor = Anchor {
+            offset,
+            fingerprint: record.fingerprint(),
+            schema: record.schema,
+        };
         self.slices[at].anchor = Some(anchor);
     }
 
@@ -215,7 +239,12 @@
     fn measure(&self) -> usize {
         let rows = |row: &Row| row.record.xml.len() + 96;
         let merged = self.merged.as_ref().map_or(0, |m| {
-            2 * m.order.len() + m.sources.iter().flat_map(|s| &s.ahead).map(rows).sum::<usize>()
+            2 * m.order.len()
+                + m.sources
+                    .iter()
+                    .flat_map(|s| &s.ahead)
+                    .map(rows)
+                    .sum::<usize>()
         });
         256 + self.key.len() * 3 + self.slices.len() * 112 + merged
     }
@@ -228,7 +257,8 @@
     pub sets: usize,
     /// Bytes of all of them.
     pub bytes: usize,
-    /// How long a set is kept that is not used, at the most; also what a client gets that asks for none.
+    /// How long a set is kept that is not used, at the most; also what a client gets that asks for
+    /// none.
     pub ttl: Time,
     /// Names of sets that are gone, kept to tell them from those that never were.
     pub gone: usize,
@@ -275,9 +305,15 @@
         (self.sets.len(), self.bytes)
     }
 
-    /// Keeps a set. A shared one of the same search and order takes the place of the former as the one that pages
-    /// without a set's name continue; whoever knows the former by name still has it.
-    pub fn insert(&mut self, mut set: ResultSet, owner: Owner, ttl: Option<Time>, now: Time) -> SetId {
+    /// Keeps a set. A shared one of the same search and order takes the place of the former as the
+    /// one that pages without a set's name continue; whoever knows the former by name still has it.
+    pub fn insert(
+        &mut self,
+        mut set: ResultSet,
+        owner: Owner,
+        ttl: Option<Time>,
+        now: Time,
+    ) -> SetId {
         let id = SetId(self.next);
         self.next += 1;
         set.owner = owner;
@@ -299,7 +335,8 @@
         }
         self.sets.insert(id, set);
         self.expire(now);
-        // The least recently used give way; the new one itself never does, or a large one could not be made at all.
+        // The least recently used give way; the new one itself never does, or a large one could not
+        // be made at all.
         while (self.sets.len() > self.bounds.sets || self.bytes > self.bounds.bytes)
             && let Some((_, oldest)) = self.ends.iter().find(|(_, other)| *other != id).copied()
         {
@@ -346,7 +383,9 @@
 
     /// Ends a set.
     pub fn remove(&mut self, id: SetId) {
-        let Some(set) = self.sets.remove(&id) else { return };
+        let Some(set) = self.sets.remove(&id) else {
+            return;
+        };
         self.bytes -= set.bytes;
         self.ends.remove(&(set.used.saturating_add(set.ttl), id));
         match set.owner {
@@ -404,16 +443,36 @@
     use crate::cql;
     use crate::record::Record;
 
-    const BOUNDS: SetBounds = SetBounds { sets: 4, bytes: 1 << 20, ttl: 100, gone: 8 };
+    const BOUNDS: SetBounds = SetBounds {
+        sets: 4,
+        bytes: 1 << 20,
+        ttl: 100,
+        gone: 8,
+    };
 
     fn set(text: &str, hits: &[u64]) -> ResultSet {
         let found: Vec<(u32, Found)> = hits
             .iter()
             .zip(0..)
-            .map(|(hits, slice)| (slice, Found { hits: *hits, exact: true, ..Found::default() }))
+            .map(|(hits, slice)| {
+                (
+                    slice,
+                    Found {
+                        hits: *hits,
+                        exact: true,
+                        ..Found::default()
+                    },
+                )
+            })
             .collect();
         let asked: Vec<u32> = (0..hits.len() as u32 + 1).collect();
-        ResultSet::new(cql::parse(text, 8).unwrap().root, Vec::new(), &asked, &found, 0)
+        ResultSet::new(
+            cql::parse(text, 8).unwrap().root,
+            Vec::new(),
+            &asked,
+            &found,
+            0,
+        )
     }
 
     #[test]
@@ -435,7 +494,10 @@
         assert_eq!(say(17, 10), [(2, 11, 1), (3, 0, 3)]);
         assert_eq!(say(21, 1), []);
         assert_eq!(say(1, 1 << 40).iter().map(|p| p.2).sum::<u64>(), 20);
-        assert_eq!((set.missing.as_slice(), set.count().precision), (&[4][..], merge::Precision::Partial));
+        assert_eq!(
+            (set.missing.as_slice(), set.count().precision),
+            (&[4][..], merge::Precision::Partial)
+        );
     }
 
     #[test]
@@ -449,16 +511,54 @@
             ..Found::default()
         };
         set.delivered(0, 1, &record(1));
-        let place = Place { at: 0, slice: 0, offset: 2, count: 2 };
-        assert_eq!(set.ask(&place), Range { slice: 0, offset: 1, count: 3 });
+        let place = Place {
+            at: 0,
+            slice: 0,
+            offset: 2,
+            count: 2,
+        };
+        assert_eq!(
+            set.ask(&place),
+            Range {
+                slice: 0,
+                offset: 1,
+                count: 3
+            }
+        );
         let mut good = page(5, &[1, 2, 3]);
         assert_eq!(set.check(&place, &mut good), Ok(()));
-        assert_eq!(good.records, [record(2), record(3)], "the record before is taken off");
-        assert!(set.check(&place, &mut page(6, &[1, 2, 3])).is_err(), "one more");
-        assert!(set.check(&place, &mut page(5, &[0, 1, 2])).is_err(), "another order");
-        assert!(set.check(&place, &mut page(5, &[1, 2])).is_err(), "one too few");
-        let elsewhere = Place { at: 0, slice: 0, offset: 4, count: 1 };
-        assert_eq!(set.ask(&elsewhere), Range { slice: 0, offset: 4, count: 1 }, "nothing to check against");
+        assert_eq!(
+            good.records,
+            [record(2), record(3)],
+            "the record before is taken off"
+        );
+        assert!(
+            set.check(&place, &mut page(6, &[1, 2, 3])).is_err(),
+            "one more"
+        );
+        assert!(
+            set.check(&place, &mut page(5, &[0, 1, 2])).is_err(),
+            "another order"
+        );
+        assert!(
+            set.check(&place, &mut page(5, &[1, 2])).is_err(),
+            "one too few"
+        );
+        let elsewhere = Place {
+            at: 0,
+            slice: 0,
+            offset: 4,
+            count: 1,
+        };
+        assert_eq!(
+            set.ask(&elsewhere),
+            Range {
+                slice: 0,
+                offset: 4,
+                count: 1
+            },
+            "nothing to check against"
+        );
     }
 
     #[test]
@@ -468,11 +568,21 @@
         let token = table.get(first, 0).unwrap().token.clone();
         assert_eq!(table.by_token(&token, 50), Ok(first));
         assert!(table.get(first, 90).is_some(), "use keeps it");
-        assert!(table.get(first, 189).is_some() && table.get(first, 289).is_none(), "and disuse ends it");
-        assert_eq!(table.by_token(&token, 300).map_err(|f| f.kind), Err(Kind::SET_GONE));
-        assert_eq!(table.by_token("0000", 300).map_err(|f| f.kind), Err(Kind::NO_SET));
-        let ids: Vec<SetId> =
-            (0..6).map(|n| table.insert(set("b", &[n]), Owner::Session(9), Some(1000), 300 + n)).collect();
+        assert!(
+            table.get(first, 189).is_some() && table.get(first, 289).is_none(),
+            "and disuse ends it"
+        );
+        assert_eq!(
+            table.by_token(&token, 300).map_err(|f| f.kind),
+            Err(Kind::SET_GONE)
+        );
+        assert_eq!(
+            table.by_token("0000", 300).map_err(|f| f.kind),
+            Err(Kind::NO_SET)
+        );
+        let ids: Vec<SetId> = (0..6)
+            .map(|n| table.insert(set("b", &[n]), Owner::Session(9), Some(1000), 300 + n))
+            .collect();
         assert_eq!((table.size().0, table.evicted), (4, 2));
         assert!(table.get(ids[0], 310).is_none() && table.get(ids[5], 310).is_some());
         table.remove_all(9);
@@ -481,7 +591,14 @@
 
     #[test]
     fn the_memory_of_all_sets_is_bounded_and_a_search_is_continued_by_its_last_set() {
-        let mut table = SetTable::new(SetBounds { bytes: 20_000, sets: 1000, ..BOUNDS }, 7);
+        let mut table = SetTable::new(
+            SetBounds {
+                bytes: 20_000,
+                sets: 1000,
+                ..BOUNDS
+            },
+            7,
+        );
         let old = table.insert(set("a", &[1]), Owner::Shared, None, 0);
         let new = table.insert(set("a", &[1]), Owner::Shared, None, 1);
         let query = cql::parse("a", 8).unwrap().root;
--- a/catalogue/src/sort.rs
+++ b/catalogue/src/sort.rs
@@ -34,12 +34,19 @@
 impl SortKey {
     /// A key by this index: ascending, without case, and what lacks it last.
     pub fn by(index: &Index) -> SortKey {
-        SortKey { index: index.name.to_owned(), ascending: true, case: false, missing: Missing::High }
+        SortKey {
+            index: index.name.to_owned(),
+            ascending: true,
+            case: false,
+            missing: Missing::High,
+        }
     }
 
     /// A key by the name of its index.
     pub fn named(name: &str) -> Result<SortKey, Fault> {
-        let index = index::by_name(name).filter(|i| i.sort).ok_or_else(|| Kind::SORT_KEY.of(name))?;
+        let index = index::by_name(name)
+            .filter(|i| i.sort)
+            .ok_or_else(|| Kind::SORT_KEY.of(name))?;
         Ok(SortKey::by(&index))
     }
 }
@@ -61,7 +68,8 @@
     if case { spaced } else { spaced.to_lowercase() }
 }
 
-/// The value of a record whose first text for the key is this; `None` where it lacks one and none may.
+/// The value of a record whose first text for the key is this; `None` where it lacks one and none
+/// may.
 pub fn value(key: &SortKey, text: Option<&str>) -> Option<Value> {
     match (text.map(str::trim).filter(|t| !t.is_empty()), &key.missing) {
         (Some(text), _) => Some(Value::Is(fold(text, key.case))),
@@ -83,7 +91,8 @@
     Ordering::Equal
 }
 
-/// Reads SRU's `sortKeys` (1.1, "Sort Parameters"): `path,schema,ascending,caseSensitive,missingValue`, by spaces.
+/// Reads SRU's `sortKeys` (1.1, "Sort Parameters"):
+/// `path,schema,ascending,caseSensitive,missingValue`, by spaces.
 pub fn read_sort_keys(text: &str, most: usize) -> Result<Vec<SortKey>, Fault> {
     let mut keys = Vec::new();
     for word in text.split_whitespace() {
@@ -107,7 +116,11 @@
         };
         keys.push(key);
     }
-    if keys.len() > most { Err(Kind::SORT_KEYS.of(most.to_string())) } else { Ok(keys) }
+    if keys.len() > most {
+        Err(Kind::SORT_KEYS.of(most.to_string()))
+    } else {
+        Ok(keys)
+    }
 }
 
 /// Writes SRU's `sortKeys`.
@@ -120,7 +133,11 @@
             Missing::Constant(text) => format!("\"{text}\""),
         };
         let name = key.index.rsplit('.').next().unwrap_or_default();
-        format!("{name},,{},{},{missing}", u8::from(key.ascending), u8::from(key.case))
+        format!(
+            "{name},,{},{},{missing}",
+            u8::from(key.ascending),
+            u8::from(key.case)
+        )
     };
     keys.iter().map(word).collect::<Vec<_>>().join(" ")
 }
@@ -133,7 +150,10 @@
     fn keys_are_read_written_and_refused() {
         let keys = read_sort_keys("title,,0,1,lowValue date dc.creator,dc,1,,\"x\"", 3).unwrap();
         assert_eq!(read_sort_keys(&write_sort_keys(&keys), 3), Ok(keys.clone()));
-        assert_eq!((keys[0].ascending, keys[0].case, &keys[0].missing), (false, true, &Missing::Low));
+        assert_eq!(
+            (keys[0].ascending, keys[0].case, &keys[0].missing),
+            (false, true, &Missing::Low)
+        );
         assert_eq!(keys[2].missing, Missing::Constant("x".into()));
         for (text, kind) in [
             ("shoesize", Kind::SORT_KEY),
@@ -142,7 +162,11 @@
             ("title,,1,0,omit", Kind::SORT_MISSING_ACTION),
             ("title date creator subject", Kind::SORT_KEYS),
         ] {
-            assert_eq!(read_sort_keys(text, 3).map_err(|f| f.kind), Err(kind), "{text}");
+            assert_eq!(
+                read_sort_keys(text, 3).map_err(|f| f.kind),
+                Err(kind),
+                "{text}"
+            );
         }
     }
 
@@ -156,8 +180,15 @@
         key.missing = Missing::Fail;
         assert_eq!(at(&key, None), None);
         // Descending turns the missing ones round with the rest: high stands first.
-        let down = SortKey { ascending: false, missing: Missing::High, ..key };
-        let (a, b) = ([at(&down, None).unwrap()], [at(&down, Some("M  oon")).unwrap()]);
+        let down = SortKey {
+            ascending: false,
+            missing: Missing::High,
+            ..key
+        };
+        let (a, b) = (
+            [at(&down, None).unwrap()],
+            [at(&down, Some("M  oon")).unwrap()],
+        );
         assert_eq!(compare(&[down], &a, &b), Ordering::Less);
         assert_eq!(b[0], Value::Is("m oon".into()));
     }
--- a/catalogue/src/sru/explain.rs
+++ b/catalogue/src/sru/explain.rs
@@ -64,16 +64,32 @@
          <setting type=\"maximumRecords\">{}</setting><setting type=\"resultSetTTL\">{}</setting>",
         SCHEMAS[0].short, about.page, about.idle
     );
-    for relation in ["=", "==", "<>", "<", "<=", ">", ">=", "any", "all", "adj", "within", "encloses"] {
-        let _ = write!(out, "<supports type=\"relation\">{}</supports>", escape(relation));
+    for relation in [
+        "=", "==", "<>", "<", "<=", ">", ">=", "any", "all", "adj", "within", "encloses",
+    ] {
+        let _ = write!(
+            out,
+            "<supports type=\"relation\">{}</supports>",
+            escape(relation)
+        );
     }
     for (name, _) in MODIFIERS {
         let _ = write!(out, "<supports type=\"relationModifier\">{name}</supports>");
     }
     for boolean in ["and", "or", "not", "prox"] {
-        let _ = write!(out, "<supports type=\"booleanOperator\">{boolean}</supports>");
+        let _ = write!(
+            out,
+            "<supports type=\"booleanOperator\">{boolean}</supports>"
+        );
     }
-    for feature in ["proximity", "resultSets", "sort", "scan", "maskingCharacter", "anchoring"] {
+    for feature in [
+        "proximity",
+        "resultSets",
+        "sort",
+        "scan",
+        "maskingCharacter",
+        "anchoring",
+    ] {
         let _ = write!(out, "<supports type=\"{feature}\"/>");
     }
     out + "</configInfo></explain>"
--- a/catalogue/src/sru/mod.rs
+++ b/catalogue/src/sru/mod.rs
@@ -1,4 +1,5 @@
-//! SRU: versions, requests and responses (Library of Congress 1.1 and 1.2, OASIS searchRetrieve 2.0), without HTTP.
+//! SRU: versions, requests and responses (Library of Congress 1.1 and 1.2, OASIS searchRetrieve
+//! 2.0), without HTTP.
 
 pub mod explain;
 pub mod request;
@@ -65,7 +66,11 @@
 
     /// What it calls the form of records.
     pub fn packing(self) -> &'static str {
-        if self == Version::V20 { "recordXMLEscaping" } else { "recordPacking" }
+        if self == Version::V20 {
+            "recordXMLEscaping"
+        } else {
+            "recordPacking"
+        }
     }
 }
 
@@ -91,7 +96,8 @@
     }
 }
 
-/// The operations by their names: requests are routed by it, and it is what `describe openapi` prints.
+/// The operations by their names: requests are routed by it, and it is what `describe openapi`
+/// prints.
 pub const OPERATIONS: &[(&str, Operation)] = &[
     ("searchRetrieve", Operation::SearchRetrieve),
     ("scan", Operation::Scan),
@@ -100,7 +106,10 @@
 
 /// Each status that a response may have, and what that means.
 pub const STATUSES: &[(u16, &str)] = &[
-    (200, "The response; what is wrong with the request stands in its diagnostics"),
+    (
+        200,
+        "The response; what is wrong with the request stands in its diagnostics",
+    ),
     (404, "No such database"),
     (406, "No form of response that the client takes"),
     (500, "The search was given up"),
--- a/catalogue/src/sru/request.rs
+++ b/catalogue/src/sru/request.rs
@@ -9,32 +9,88 @@
 use crate::sort::{self, SortKey};
 use std::collections::BTreeMap;
 
-/// The parameters that are understood, the versions that have each (1.1, 1.2, 2.0), and what each is for: requests are
-/// checked by it, and it is what `describe openapi` prints.
+/// The parameters that are understood, the versions that have each (1.1, 1.2, 2.0), and what each
+/// is for: requests are checked by it, and it is what `describe openapi` prints.
 pub const PARAMETERS: &[(&str, [bool; 3], &str)] = &[
-    ("operation", [true, true, true], "searchRetrieve, scan or explain"),
+    (
+        "operation",
+        [true, true, true],
+        "searchRetrieve, scan or explain",
+    ),
     ("version", [true, true, true], "1.1, 1.2 or 2.0"),
     ("query", [true, true, true], "The search, in CQL"),
     ("queryType", [false, false, true], "cql"),
-    ("startRecord", [true, true, true], "Position of the first record, from 1"),
-    ("maximumRecords", [true, true, true], "The most records that are wanted"),
-    ("recordSchema", [true, true, true], "dc, mods or marcxml, by short name or identifier"),
-    ("recordPacking", [true, true, true], "xml or string; in 2.0 packed or unpacked"),
+    (
+        "startRecord",
+        [true, true, true],
+        "Position of the first record, from 1",
+    ),
+    (
+        "maximumRecords",
+        [true, true, true],
+        "The most records that are wanted",
+    ),
+    (
+        "recordSchema",
+        [true, true, true],
+        "dc, mods or marcxml, by short name or identifier",
+    ),
+    (
+        "recordPacking",
+        [true, true, true],
+        "xml or string; in 2.0 packed or unpacked",
+    ),
     ("recordXMLEscaping", [false, false, true], "xml or string"),
-    ("resultSetTTL", [true, true, true], "Seconds that the result set is wanted for"),
-    ("sortKeys", [true, true, true], "path,schema,ascending,caseSensitive,missingValue, by spaces"),
-    ("stylesheet", [true, true, true], "A style sheet for the response"),
+    (
+        "resultSetTTL",
+        [true, true, true],
+        "Seconds that the result set is wanted for",
+    ),
+    (
+        "sortKeys",
+        [true, true, true],
+        "path,schema,ascending,caseSensitive,missingValue, by spaces",
+    ),
+    (
+        "stylesheet",
+        [true, true, true],
+        "A style sheet for the response",
+    ),
     ("renderedBy", [false, false, true], "client"),
-    ("httpAccept", [false, false, true], "application/sru+xml or text/xml"),
+    (
+        "httpAccept",
+        [false, false, true],
+        "application/sru+xml or text/xml",
+    ),
     ("responseType", [false, false, true], "As httpAccept"),
     ("responseFormat", [false, false, true], "As httpAccept"),
-    ("facetLimit", [false, false, true], "Values of facets: number:index, by commas"),
+    (
+        "facetLimit",
+        [false, false, true],
+        "Values of facets: number:index, by commas",
+    ),
     ("facetSort", [false, false, true], "recordCount"),
     ("facetStart", [false, false, true], "1"),
-    ("facetCount", [false, false, true], "Whether counts are wanted"),
-    ("scanClause", [true, true, true], "The index and the starting point of a scan, in CQL"),
-    ("responsePosition", [true, true, true], "Where the starting point stands in a scan's list"),
-    ("maximumTerms", [true, true, true], "The most terms that are wanted"),
+    (
+        "facetCount",
+        [false, false, true],
+        "Whether counts are wanted",
+    ),
+    (
+        "scanClause",
+        [true, true, true],
+        "The index and the starting point of a scan, in CQL",
+    ),
+    (
+        "responsePosition",
+        [true, true, true],
+        "Where the starting point stands in a scan's list",
+    ),
+    (
+        "maximumTerms",
+        [true, true, true],
+        "The most terms that are wanted",
+    ),
     ("extraRequestData", [true, true, true], "Passed over"),
     ("recordXPath", [true, true, false], "Refused"),
 ];
@@ -128,7 +184,9 @@
     let mut given = BTreeMap::new();
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        given.entry(unescape(name)).or_insert_with(|| unescape(value));
+        given
+            .entry(unescape(name))
+            .or_insert_with(|| unescape(value));
     }
     given
 }
@@ -184,9 +242,12 @@
 
     fn number(&self, name: &str, least: u64, absent: u64) -> Result<u64, Fault> {
         match self.get(name) {
-            Some(text) => {
-                text.trim().parse().ok().filter(|n| *n >= least).ok_or_else(|| Kind::VALUE.of(name))
-            }
+            Some(text) => text
+                .trim()
+                .parse()
+                .ok()
+                .filter(|n| *n >= least)
+                .ok_or_else(|| Kind::VALUE.of(name)),
             None => Ok(absent),
         }
     }
@@ -230,7 +291,8 @@
         };
         for name in ["httpAccept", "responseType", "responseFormat"] {
             if let Some(wanted) = self.get(name) {
-                form.sru_xml |= accepts(wanted).ok_or_else(|| Kind::VALUE.of(format!("{name}: {wanted}")))?;
+                form.sru_xml |=
+                    accepts(wanted).ok_or_else(|| Kind::VALUE.of(format!("{name}: {wanted}")))?;
             }
         }
         if let Some(sheet) = self.get("stylesheet").filter(|s| !s.is_empty()) {
@@ -247,7 +309,9 @@
     fn sort(&self, query: &Query) -> Result<Vec<SortKey>, Fault> {
         match self.get("sortKeys").filter(|k| !k.trim().is_empty()) {
             // Of the two ways to say it the query's own counts (1.2, "sortKeys").
-            Some(keys) if query.sort.is_empty() => sort::read_sort_keys(keys, self.bounds.sort_keys),
+            Some(keys) if query.sort.is_empty() => {
+                sort::read_sort_keys(keys, self.bounds.sort_keys)
+            }
             _ => Ok(query.sort.clone()),
         }
     }
@@ -260,7 +324,10 @@
         if sort.len() > self.bounds.sort_keys {
             return Err(Kind::SORT_KEYS.of(self.bounds.sort_keys.to_string()));
         }
-        let ttl = self.get("resultSetTTL").map(|_| self.number("resultSetTTL", 0, 0)).transpose()?;
+        let ttl = self
+            .get("resultSetTTL")
+            .map(|_| self.number("resultSetTTL", 0, 0))
+            .transpose()?;
         Ok(SearchRequest {
             query: Query { sort, ..query },
             start: self.number("startRecord", 1, 1)?,
@@ -270,10 +337,12 @@
         })
     }
 
-    /// `facetLimit` (2.0, "Facet Parameters"): `10:dc.subject,5:dc.date`; a bare number is for every facet, and there
-    /// are none by default.
+    /// `facetLimit` (2.0, "Facet Parameters"): `10:dc.subject,5:dc.date`; a bare number is for
+    /// every facet, and there are none by default.
     fn facets(&self) -> Result<Vec<FacetAsk>, Fault> {
-        let Some(limits) = self.get("facetLimit") else { return Ok(Vec::new()) };
+        let Some(limits) = self.get("facetLimit") else {
+            return Ok(Vec::new());
+        };
         self.one_of("facetSort", &["recordCount"])?;
         self.one_of("facetStart", &["1"])?;
         let mut asks = Vec::new();
@@ -282,16 +351,23 @@
             let (limit, name) = part.split_once(':').ok_or_else(bad)?;
             let limit: u32 = limit.trim().parse().map_err(|_| bad())?;
             let index = index::by_name(name.trim()).ok_or_else(|| Kind::INDEX.of(name.trim()))?;
-            asks.push(FacetAsk { index: index.name.to_owned(), limit: limit.min(self.bounds.facet_values) });
+            asks.push(FacetAsk {
+                index: index.name.to_owned(),
+                limit: limit.min(self.bounds.facet_values),
+            });
         }
         if asks.len() > self.bounds.facets {
-            return Err(Kind::VALUE.of(format!("facetLimit: {} facets at most", self.bounds.facets)));
+            return Err(
+                Kind::VALUE.of(format!("facetLimit: {} facets at most", self.bounds.facets))
+            );
         }
         Ok(asks)
     }
 
     fn scan(&self) -> Result<ScanRequest, Fault> {
-        let text = self.get("scanClause").ok_or_else(|| Kind::MISSING.of("scanClause"))?;
+        let text = self
+            .get("scanClause")
+            .ok_or_else(|| Kind::MISSING.of("scanClause"))?;
         let query = cql::parse(text, 2)?;
         let Node::Clause(clause) = query.root else {
             return Err(Kind::SYNTAX.of("scanClause is one index and one term"));
@@ -303,26 +379,44 @@
             return Err(Kind::RELATION.of(clause.relation.name()));
         }
         let number = self.number("maximumTerms", 1, 20)?;
-        let number = u32::try_from(number).unwrap_or(u32::MAX).min(self.bounds.terms);
+        let number = u32::try_from(number)
+            .unwrap_or(u32::MAX)
+            .min(self.bounds.terms);
         let position = self.number("responsePosition", 0, 1)?;
         if position > u64::from(number) + 1 {
             return Err(Kind::SCAN_POSITION.of(position.to_string()));
         }
-        Ok(ScanRequest { clause, position: position as u32, number })
+        Ok(ScanRequest {
+            clause,
+            position: position as u32,
+            number,
+        })
     }
 }
 
 /// Whether one of the media types can be given, and whether it is SRU's own.
 fn accepts(list: &str) -> Option<bool> {
-    let types = || list.split(',').map(|t| t.split(';').next().unwrap_or_default().trim());
+    let types = || {
+        list.split(',')
+            .map(|t| t.split(';').next().unwrap_or_default().trim())
+    };
     if types().any(|t| t == "application/sru+xml") {
         return Some(true);
     }
-    let plain = ["*/*", "text/*", "text/xml", "application/xml", "application/*", "text/html", ""];
+    let plain = [
+        "*/*",
+        "text/*",
+        "text/xml",
+        "application/xml",
+        "application/*",
+        "text/html",
+        "",
+    ];
     types().any(|t| plain.contains(&t)).then_some(false)
 }
 
-/// Reads a request. `named` is an operation that its place tells, as SOAP does; `accept` the client's header.
+/// Reads a request. `named` is an operation that its place tells, as SOAP does; `accept` the
+/// client's header.
 pub fn read(
     given: &BTreeMap<String, String>,
     named: Option<Operation>,
@@ -332,7 +426,10 @@
     let word = given.get("operation").map(String::as_str);
     let guess = match (named, word) {
         (Some(operation), _) => Some(operation),
-        (None, Some(word)) => OPERATIONS.iter().find(|(known, _)| *known == word).map(|(_, o)| *o),
+        (None, Some(word)) => OPERATIONS
+            .iter()
+            .find(|(known, _)| *known == word)
+            .map(|(_, o)| *o),
         (None, None) if given.contains_key("query") => Some(Operation::SearchRetrieve),
         (None, None) if given.contains_key("scanClause") => Some(Operation::Scan),
         (None, None) => Some(Operation::Explain),
@@ -353,15 +450,32 @@
         soap: named.is_some(),
         sru_xml: false,
     };
-    let refuse = |form: &Form, fault: Fault, status| Box::new(Refused { form: form.clone(), fault, status });
+    let refuse = |form: &Form, fault: Fault, status| {
+        Box::new(Refused {
+            form: form.clone(),
+            fault,
+            status,
+        })
+    };
     let Some(version) = version else {
-        let fault = Kind::VERSION.of(format!("{}; the highest here is 2.0", asked.unwrap_or_default()));
+        let fault = Kind::VERSION.of(format!(
+            "{}; the highest here is 2.0",
+            asked.unwrap_or_default()
+        ));
         return Err(refuse(&form, fault, 200));
     };
     let Some(operation) = guess else {
-        return Err(refuse(&form, Kind::OPERATION.of(word.unwrap_or_default()), 200));
+        return Err(refuse(
+            &form,
+            Kind::OPERATION.of(word.unwrap_or_default()),
+            200,
+        ));
+    };
+    let reader = Reader {
+        given,
+        bounds,
+        version,
     };
-    let reader = Reader { given, bounds, version };
     // Only 2.0 lets the header choose; browsers send it to older ones without meaning it.
     if version == Version::V20 && !given.contains_key("httpAccept") {
         match accept.map(accepts) {
@@ -370,11 +484,14 @@
             None => {}
         }
     }
-    let read = reader.check_names().and_then(|()| reader.form(&mut form)).and_then(|()| match operation {
-        Operation::SearchRetrieve => reader.search().map(Request::Search),
-        Operation::Scan => reader.scan().map(Request::Scan),
-        Operation::Explain => Ok(Request::Explain),
-    });
+    let read = reader
+        .check_names()
+        .and_then(|()| reader.form(&mut form))
+        .and_then(|()| match operation {
+            Operation::SearchRetrieve => reader.search().map(Request::Search),
+            Operation::Scan => reader.scan().map(Request::Scan),
+            Operation::Explain => Ok(Request::Explain),
+        });
     match read {
         Ok(request) => Ok((form, request)),
         Err(fault) => Err(refuse(&form, fault, 200)),
@@ -385,8 +502,14 @@
 mod tests {
     use super::*;
 
-    const BOUNDS: RequestBounds =
-        RequestBounds { depth: 8, page: 50, terms: 100, sort_keys: 4, facet_values: 50, facets: 4 };
+    const BOUNDS: RequestBounds = RequestBounds {
+        depth: 8,
+        page: 50,
+        terms: 100,
+        sort_keys: 4,
+        facet_values: 50,
+        facets: 4,
+    };
 
     fn say(query: &str) -> String {
         match read(&parameters(query), None, None, &BOUNDS) {
@@ -412,7 +535,12 @@
             }
             Ok((form, Request::Explain)) => format!("{} explain", form.version.name()),
             Err(refused) => {
-                format!("{} {}: {}", refused.form.version.name(), refused.fault.kind.sru, refused.fault)
+                format!(
+                    "{} {}: {}",
+                    refused.form.version.name(),
+                    refused.fault.kind.sru,
+                    refused.fault
+                )
             }
         }
     }
@@ -448,14 +576,22 @@
             "query=a&stylesheet=%3F%3E",
             "version=1.1&operation=searchRetrieve&query=a&recordXPath=/a",
         ];
-        let said: Vec<String> = cases.iter().map(|case| format!("{case}\n  {}", say(case))).collect();
+        let said: Vec<String> = cases
+            .iter()
+            .map(|case| format!("{case}\n  {}", say(case)))
+            .collect();
         insta::assert_snapshot!(said.join("\n"));
     }
 
     #[test]
     fn a_header_that_takes_nothing_here_is_refused_in_the_version_that_has_it() {
         let given = parameters("query=a");
-        assert_eq!(read(&given, None, Some("image/png"), &BOUNDS).map_err(|r| r.status).err(), Some(406));
+        assert_eq!(
+            read(&given, None, Some("image/png"), &BOUNDS)
+                .map_err(|r| r.status)
+                .err(),
+            Some(406)
+        );
         let (form, _) = read(&given, None, Some("application/sru+xml, */*"), &BOUNDS).unwrap();
         assert!(form.sru_xml);
         assert!(
@@ -472,7 +608,10 @@
     #[test]
     fn text_comes_back_from_a_url_as_it_was() {
         for text in ["a b", "ü=&+%", "\"x\" and y"] {
-            assert_eq!(parameters(&format!("query={}", percent(text)))["query"], text);
+            assert_eq!(
+                parameters(&format!("query={}", percent(text)))["query"],
+                text
+            );
         }
         assert_eq!(unescape("%zz%4"), "%zz%4", "what is no escape stays");
     }
--- a/catalogue/src/sru/response.rs
+++ b/catalogue/src/sru/response.rs
@@ -30,7 +30,11 @@
     if !form.soap {
         out.push_str("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n");
         if let Some(sheet) = &form.stylesheet {
-            let _ = writeln!(out, "<?xml-stylesheet type=\"text/xsl\" href=\"{}\"?>", escape(sheet));
+            let _ = writeln!(
+                out,
+                "<?xml-stylesheet type=\"text/xsl\" href=\"{}\"?>",
+                escape(sheet)
+            );
         }
     }
     let namespace = match form.operation {
@@ -47,7 +51,11 @@
 
 fn end(form: &Form, mut out: String) -> String {
     let _ = write!(out, "</{}>", form.operation.response());
-    if form.soap { super::soap::wrap(&out) } else { out }
+    if form.soap {
+        super::soap::wrap(&out)
+    } else {
+        out
+    }
 }
 
 fn diagnostics(form: &Form, faults: &[Fault], out: &mut String) {
@@ -74,7 +82,10 @@
 fn page_faults(form: &Form, page: &Page) -> Vec<Fault> {
     let mut faults = Vec::new();
     if page.replaced {
-        faults.push(Kind::SET_GONE.of(format!("the former set has changed; this is {}", page.token)));
+        faults.push(Kind::SET_GONE.of(format!(
+            "the former set has changed; this is {}",
+            page.token
+        )));
     }
     // In 2.0 the count's precision says that slices are missing.
     let said = |fault: &&Fault| fault.kind != Kind::PARTIAL || form.version != Version::V20;
@@ -83,12 +94,10 @@
         faults.push(Kind::RANGE.of(page.start.to_string()));
     }
     if page.short.is_some() && !page.records.is_empty() {
-        faults.push(
-            Kind::BUSY.of(format!(
-                "the records from {} on are not here now",
-                page.start + page.records.len() as u64
-            )),
-        );
+        faults.push(Kind::BUSY.of(format!(
+            "the records from {} on are not here now",
+            page.start + page.records.len() as u64
+        )));
     }
     faults
 }
@@ -102,7 +111,9 @@
             (form.schema.names().identifier, record.xml.clone())
         }
         (fault, _) => {
-            let fault = fault.clone().unwrap_or_else(|| Kind::NOT_IN_SCHEMA.of(form.schema.names().short));
+            let fault = fault
+                .clone()
+                .unwrap_or_else(|| Kind::NOT_IN_SCHEMA.of(form.schema.names().short));
             let mut xml = String::new();
             diagnostic(form.version, &fault, &mut xml);
             (DIAGNOSTICS_SCHEMA, xml)
@@ -121,12 +132,21 @@
     if page.facets.is_empty() {
         return;
     }
-    out.push_str("<facetedResults xmlns=\"http://docs.oasis-open.org/ns/search-ws/facetedResults\"><facets>");
+    out.push_str(
+        "<facetedResults xmlns=\"http://docs.oasis-open.org/ns/search-ws/facetedResults\"><facets>",
+    );
     for merged in &page.facets {
         let index = escape(&merged.facet.index);
-        let _ = write!(out, "<facet><index>{index}</index><relation>=</relation><terms>");
+        let _ = write!(
+            out,
+            "<facet><index>{index}</index><relation>=</relation><terms>"
+        );
         for (value, count) in &merged.facet.values {
-            let query = format!("{} = \"{}\"", merged.facet.index, value.replace('"', "\\\""));
+            let query = format!(
+                "{} = \"{}\"",
+                merged.facet.index,
+                value.replace('"', "\\\"")
+            );
             let _ = write!(
                 out,
                 "<term><actualTerm>{}</actualTerm><query>{}</query><count>{count}</count></term>",
@@ -142,9 +162,21 @@
 /// A search's response. `idle` is how long the set is kept when it is not used, in seconds.
 pub fn page(form: &Form, page: &Page, idle: u64) -> String {
     let mut out = begin(form);
-    let _ = write!(out, "<numberOfRecords>{}</numberOfRecords>", page.count.hits);
-    let idle_name = if form.version == Version::V20 { "resultSetTTL" } else { "resultSetIdleTime" };
-    let _ = write!(out, "<resultSetId>{}</resultSetId><{idle_name}>{idle}</{idle_name}>", page.token);
+    let _ = write!(
+        out,
+        "<numberOfRecords>{}</numberOfRecords>",
+        page.count.hits
+    );
+    let idle_name = if form.version == Version::V20 {
+        "resultSetTTL"
+    } else {
+        "resultSetIdleTime"
+    };
+    let _ = write!(
+        out,
+        "<resultSetId>{}</resultSetId><{idle_name}>{idle}</{idle_name}>",
+        page.token
+    );
     if !page.records.is_empty() {
         out.push_str("<records>");
         for (one, position) in page.records.iter().zip(page.start..) {
@@ -152,13 +184,18 @@
         }
         out.push_str("</records>");
     }
-    // Behind an empty page the next position is the one that was asked for: it could not be had, or was not wanted.
+    // Behind an empty page the next position is the one that was asked for: it could not be had, or
+    // was not wanted.
     if let Some(next) = page.next().filter(|_| !page.records.is_empty()) {
         let _ = write!(out, "<nextRecordPosition>{next}</nextRecordPosition>");
     }
     diagnostics(form, &page_faults(form, page), &mut out);
     if form.version == Version::V20 {
-        let precision = if page.count.precision == Precision::Exact { "exact" } else { "minimum" };
+        let precision = if page.count.precision == Precision::Exact {
+            "exact"
+        } else {
+            "minimum"
+        };
         let _ = write!(
             out,
             "<resultCountPrecision>info:srw/vocabulary/resultCountPrecision/1/{precision}\
@@ -196,7 +233,11 @@
 pub fn explain(form: &Form, record: &str) -> String {
     let mut out = begin(form);
     let packing = form.version.packing();
-    let data = if form.as_text { escape(record) } else { record.to_owned() };
+    let data = if form.as_text {
+        escape(record)
+    } else {
+        record.to_owned()
+    };
     let escaping = if form.as_text { "string" } else { "xml" };
     let _ = write!(
         out,
