--- a/catalogue/src/sru/soap.rs
+++ b/catalogue/src/sru/soap.rs
@@ -32,11 +32,18 @@
         return Err("no envelope of SOAP 1.1".to_owned());
     }
     // A header that must be understood is not.
-    let must = |e: &Element| e.attribute("mustUnderstand").is_some_and(|v| v == "1" || v == "true");
+    let must = |e: &Element| {
+        e.attribute("mustUnderstand")
+            .is_some_and(|v| v == "1" || v == "true")
+    };
     if root.all("Header").flat_map(|h| &h.children).any(must) {
         return Err("a header that must be understood".to_owned());
     }
-    let request = root.all("Body").next().and_then(|b| b.children.first()).ok_or("an empty body")?;
+    let request = root
+        .all("Body")
+        .next()
+        .and_then(|b| b.children.first())
+        .ok_or("an empty body")?;
     let operation = match request.name.as_str() {
         "searchRetrieveRequest" => Operation::SearchRetrieve,
         "scanRequest" => Operation::Scan,
@@ -45,7 +52,9 @@
     };
     let mut given = BTreeMap::new();
     for parameter in &request.children {
-        given.entry(parameter.name.clone()).or_insert_with(|| parameter.text.clone());
+        given
+            .entry(parameter.name.clone())
+            .or_insert_with(|| parameter.text.clone());
     }
     Ok((operation, given))
 }
@@ -59,10 +68,12 @@
         let envelope = |namespace: &str, inner: &str| {
             format!("<s:Envelope xmlns:s=\"{namespace}\"><s:Body>{inner}</s:Body></s:Envelope>")
         };
-        let inner =
-            "<z:searchRetrieveRequest xmlns:z=\"x\"><z:query>a &amp; b</z:query></z:searchRetrieveRequest>";
+        let inner = "<z:searchRetrieveRequest xmlns:z=\"x\"><z:query>a &amp; b</z:query></z:searchRetrieveRequest>";
         let (operation, given) = read(&envelope(NAMESPACE, inner)).unwrap();
-        assert_eq!((operation, given["query"].as_str()), (Operation::SearchRetrieve, "a & b"));
+        assert_eq!(
+            (operation, given["query"].as_str()),
+            (Operation::SearchRetrieve, "a & b")
+        );
         for bad in [
             envelope("http://www.w3.org/2003/05/soap-envelope", inner),
             envelope(NAMESPACE, ""),
--- a/catalogue/src/sru/xml.rs
+++ b/catalogue/src/sru/xml.rs
@@ -99,9 +99,18 @@
         match name {
             "diagnostic" => self.fault = Some(Default::default()),
             "term" if self.facet.is_none() => {
-                self.term = Some(Term { text: String::new(), display: None, count: 0 })
+                self.term = Some(Term {
+                    text: String::new(),
+                    display: None,
+                    count: 0,
+                })
+            }
+            "facet" => {
+                self.facet = Some(Facet {
+                    index: String::new(),
+                    values: Vec::new(),
+                })
             }
-            "facet" => self.facet = Some(Facet { index: String::new(), values: Vec::new() }),
             "facetedResults" => {
                 self.response.facets.get_or_insert_default();
             }
@@ -111,7 +120,10 @@
 
     fn close(&mut self, name: &str, text: &str) -> Result<(), String> {
         let parent = self.path.last().map_or("", String::as_str);
-        let number = |text: &str| text.parse::<u64>().map_err(|_| format!("{name} is no number"));
+        let number = |text: &str| {
+            text.parse::<u64>()
+                .map_err(|_| format!("{name} is no number"))
+        };
         match (name, parent) {
             ("uri", "diagnostic") => {
                 if let Some(fault) = &mut self.fault {
@@ -173,7 +185,9 @@
 
 /// A diagnostic by its identifier; one of another set is a general fault.
 fn fault(uri: &str, details: &str) -> Fault {
-    let number = uri.strip_prefix("info:srw/diagnostic/1/").and_then(|n| n.parse().ok());
+    let number = uri
+        .strip_prefix("info:srw/diagnostic/1/")
+        .and_then(|n| n.parse().ok());
     match number {
         Some(number) => Kind::from_sru(number).of(details),
         None => Kind::GENERAL.of(format!("{uri} {details}")),
@@ -188,7 +202,10 @@
     let declared = |a: quick_xml::events::attributes::Attribute<'_>| {
         let key = String::from_utf8_lossy(a.key.as_ref()).into_owned();
         let prefix = key.strip_prefix("xmlns:")?.to_owned();
-        let value = a.normalized_value(quick_xml::XmlVersion::Implicit1_0).ok()?.into_owned();
+        let value = a
+            .normalized_value(quick_xml::XmlVersion::Implicit1_0)
+            .ok()?
+            .into_owned();
         Some((prefix, value))
     };
     start.attributes().flatten().filter_map(declared).collect()
@@ -200,7 +217,9 @@
     }
     let name = reference.decode().map_err(|e| e.to_string())?;
     let known = quick_xml::escape::resolve_predefined_entity(&name);
-    known.map(str::to_owned).ok_or_else(|| format!("the entity {name} is not known"))
+    known
+        .map(str::to_owned)
+        .ok_or_else(|| format!("the entity {name} is not known"))
 }
 
 /// The record inside `recordData`: XML as it stands, or text that is XML.
@@ -228,7 +247,10 @@
             elements += 1;
             // Prefixes that were declared outside go with the record.
             if depth == 0 {
-                let own: Vec<String> = declarations(e).into_iter().map(|(prefix, _)| prefix).collect();
+                let own: Vec<String> = declarations(e)
+                    .into_iter()
+                    .map(|(prefix, _)| prefix)
+                    .collect();
                 let mut seen = own;
                 for (prefix, uri) in declared.iter().rev().flatten() {
                     if !seen.contains(prefix) {
@@ -256,7 +278,10 @@
         && let Ok(root) = crate::record::tree::read(&xml)
     {
         let of = |name: &str| root.find(name).map(|e| e.text.clone()).unwrap_or_default();
-        return Ok(Record { fault: Some(fault(&of("uri"), &of("details"))), ..Record::new(xml) });
+        return Ok(Record {
+            fault: Some(fault(&of("uri"), &of("details"))),
+            ..Record::new(xml)
+        });
     }
     Ok(Record::new(xml))
 }
@@ -267,7 +292,11 @@
     for (prefix, uri) in declared.iter().flatten() {
         let used = out.contains(&format!("<{prefix}:")) || out.contains(&format!(" {prefix}:"));
         if !used {
-            out = out.replacen(&format!(" xmlns:{prefix}=\"{}\"", crate::escape(uri)), "", 1);
+            out = out.replacen(
+                &format!(" xmlns:{prefix}=\"{}\"", crate::escape(uri)),
+                "",
+                1,
+            );
         }
     }
     out
@@ -291,8 +320,12 @@
              </z:searchRetrieveResponse>",
         )
         .unwrap();
-        assert_eq!((said.hits, said.exact, said.version.as_deref()), (Some(7), true, Some("1.1")));
-        let titles: Vec<Option<String>> = said.records.iter().map(|r| r.value("dc.title")).collect();
+        assert_eq!(
+            (said.hits, said.exact, said.version.as_deref()),
+            (Some(7), true, Some("1.1"))
+        );
+        let titles: Vec<Option<String>> =
+            said.records.iter().map(|r| r.value("dc.title")).collect();
         assert_eq!(titles, [Some("A & B".into()), Some("C".into()), None]);
         assert!(
             said.records[0].xml.contains("xmlns:dc=") && !said.records[0].xml.contains("xmlns:z"),
@@ -307,7 +340,14 @@
              <displayTerm>Moon</displayTerm></term></terms></scanResponse>",
         )
         .unwrap();
-        assert_eq!(said.terms, [Term { text: "moon".into(), display: Some("Moon".into()), count: 3 }]);
+        assert_eq!(
+            said.terms,
+            [Term {
+                text: "moon".into(),
+                display: Some("Moon".into()),
+                count: 3
+            }]
+        );
 
         let said = read_response(
             "<searchRetrieveResponse><numberOfRecords>2</numberOfRecords><resultCountPrecision>\
@@ -316,7 +356,10 @@
              </facet></facets></facetedResults></searchRetrieveResponse>",
         )
         .unwrap();
-        let facet = Facet { index: "dc.subject".into(), values: vec![("moon".into(), 2)] };
+        let facet = Facet {
+            index: "dc.subject".into(),
+            values: vec![("moon".into(), 2)],
+        };
         assert_eq!((said.exact, said.facets), (false, Some(vec![facet])));
     }
 
--- a/catalogue/src/work.rs
+++ b/catalogue/src/work.rs
@@ -6,7 +6,8 @@
 use crate::sort::SortKey;
 use serde::{Deserialize, Serialize};
 
-/// What one slice is asked for. All parts of a query carry the same text; each takes its own range from it.
+/// What one slice is asked for. All parts of a query carry the same text; each takes its own range
+/// from it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Work {
     /// Hits, and records of them.
@@ -47,7 +48,11 @@
     /// The range of one slice.
     pub fn range(&self, slice: u32) -> Range {
         let own = self.ranges.iter().find(|r| r.slice == slice);
-        own.copied().unwrap_or(Range { slice, offset: 0, count: 0 })
+        own.copied().unwrap_or(Range {
+            slice,
+            offset: 0,
+            count: 0,
+        })
     }
 }
 
--- a/catalogue/src/z3950/init.rs
+++ b/catalogue/src/z3950/init.rs
@@ -39,8 +39,13 @@
 ];
 
 /// What is asked of index hosts.
-pub const WANTED: &[Ability] =
-    &[Ability::Search, Ability::Present, Ability::Scan, Ability::Sort, Ability::NamedResultSets];
+pub const WANTED: &[Ability] = &[
+    Ability::Search,
+    Ability::Present,
+    Ability::Scan,
+    Ability::Sort,
+    Ability::NamedResultSets,
+];
 
 /// Abilities, as a set.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -54,7 +59,11 @@
 
     /// Those of an options field.
     pub fn read(options: &Item) -> Self {
-        Abilities((0..32).filter(|bit| options.bit(*bit)).fold(0, |bits, bit| bits | 1 << bit))
+        Abilities(
+            (0..32)
+                .filter(|bit| options.bit(*bit))
+                .fold(0, |bits, bit| bits | 1 << bit),
+        )
     }
 
     /// Whether this one is there.
@@ -91,15 +100,22 @@
     },
 }
 
-/// Reads idAuthentication: `open` (`user/password` or `group/user/password`), `idPass` or `anonymous`.
+/// Reads idAuthentication: `open` (`user/password` or `group/user/password`), `idPass` or
+/// `anonymous`.
 pub fn read_identity(request: &Item) -> Identity {
-    let Some(choice) = request.get(tag::AUTHENTICATION).and_then(|a| a.items().first()) else {
+    let Some(choice) = request
+        .get(tag::AUTHENTICATION)
+        .and_then(|a| a.items().first())
+    else {
         return Identity::Anonymous;
     };
     let text = |tag| choice.get(tag).and_then(Item::text);
     match choice.tag {
         universal::SEQUENCE => match (text(1), text(2)) {
-            (Some(name), password) => Identity::User { name, password: password.unwrap_or_default() },
+            (Some(name), password) => Identity::User {
+                name,
+                password: password.unwrap_or_default(),
+            },
             _ => Identity::Anonymous,
         },
         universal::VISIBLE => read_open(&choice.text().unwrap_or_default()),
@@ -111,10 +127,14 @@
 pub fn read_open(text: &str) -> Identity {
     let words: Vec<&str> = text.split('/').collect();
     match words.as_slice() {
-        [name, password] | [_, name, password] => {
-            Identity::User { name: (*name).to_owned(), password: (*password).to_owned() }
-        }
-        [name] if !name.is_empty() => Identity::User { name: (*name).to_owned(), password: String::new() },
+        [name, password] | [_, name, password] => Identity::User {
+            name: (*name).to_owned(),
+            password: (*password).to_owned(),
+        },
+        [name] if !name.is_empty() => Identity::User {
+            name: (*name).to_owned(),
+            password: String::new(),
+        },
         _ => Identity::Anonymous,
     }
 }
@@ -136,7 +156,13 @@
 }
 
 /// What a side says of itself in Init.
-pub fn introduce(w: &mut Writer, version3: bool, abilities: Abilities, preferred: usize, exceptional: usize) {
+pub fn introduce(
+    w: &mut Writer,
+    version3: bool,
+    abilities: Abilities,
+    preferred: usize,
+    exceptional: usize,
+) {
     w.bits(tag::VERSION, if version3 { 0..3 } else { 0..2 });
     w.bits(tag::OPTIONS, abilities.bits());
     w.integer(tag::PREFERRED_SIZE, preferred as i64);
@@ -147,16 +173,22 @@
 pub fn name_self(w: &mut Writer) {
     w.bytes(tag::IMPLEMENTATION_ID, b"bitternsill");
     w.bytes(tag::IMPLEMENTATION_NAME, b"bitternsill");
-    w.bytes(tag::IMPLEMENTATION_VERSION, env!("CARGO_PKG_VERSION").as_bytes());
+    w.bytes(
+        tag::IMPLEMENTATION_VERSION,
+        env!("CARGO_PKG_VERSION").as_bytes(),
+    );
 }
 
-/// Why a session is refused: the init diagnostic format in the user information (1.2.840.10003.10.1000.1 is a
-/// private form; the default diagnostic under userInformationField is what clients print).
+/// Why a session is refused: the init diagnostic format in the user information
+/// (1.2.840.10003.10.1000.1 is a private form; the default diagnostic under userInformationField is
+/// what clients print).
 pub fn write_refusal(w: &mut Writer, fault: &Fault) {
     w.inside(tag::USER_INFORMATION, |external| {
         external.inside_universal(universal::EXTERNAL, |e| {
             e.oid(super::DIAGNOSTICS);
-            e.inside(0, |any| any.inside_universal(universal::SEQUENCE, |d| super::write_fault(d, fault)));
+            e.inside(0, |any| {
+                any.inside_universal(universal::SEQUENCE, |d| super::write_fault(d, fault))
+            });
         });
     });
 }
--- a/catalogue/src/z3950/mod.rs
+++ b/catalogue/src/z3950/mod.rs
@@ -55,7 +55,9 @@
 
 /// The service that a data unit asks for.
 pub fn service(unit: &Item) -> Option<Service> {
-    let known = SERVICES.iter().find(|(tag, _)| unit.class == Class::Context && *tag == unit.tag);
+    let known = SERVICES
+        .iter()
+        .find(|(tag, _)| unit.class == Class::Context && *tag == unit.tag);
     known.map(|(_, service)| *service)
 }
 
@@ -182,7 +184,10 @@
 /// A diagnostic's parts, in the default form (DefaultDiagFormat).
 pub fn write_fault(w: &mut Writer, fault: &Fault) {
     w.oid(DIAGNOSTICS);
-    w.universal(universal::INTEGER, &crate::ber::integer(i64::from(fault.kind.bib1)));
+    w.universal(
+        universal::INTEGER,
+        &crate::ber::integer(i64::from(fault.kind.bib1)),
+    );
     w.universal(universal::VISIBLE, fault.about.as_bytes());
 }
 
@@ -207,7 +212,11 @@
     response.get(205).map(|many| {
         let first = many.items().first();
         first.map_or(Kind::GENERAL.of(""), |f| {
-            if f.class == Class::Universal { read_fault(f) } else { Kind::GENERAL.of("") }
+            if f.class == Class::Universal {
+                read_fault(f)
+            } else {
+                Kind::GENERAL.of("")
+            }
         })
     })
 }
--- a/catalogue/src/z3950/records.rs
+++ b/catalogue/src/z3950/records.rs
@@ -13,7 +13,9 @@
         match syntax {
             // Types of ASN.1 stand as they are, everything else as bytes.
             Syntax::Grs1 => external.inside(0, |single| single.raw(bytes)),
-            Syntax::Sutrs => external.inside(0, |single| single.universal(universal::GENERAL, bytes)),
+            Syntax::Sutrs => {
+                external.inside(0, |single| single.universal(universal::GENERAL, bytes))
+            }
             _ => external.bytes(1, bytes),
         }
     });
@@ -33,7 +35,9 @@
     w.inside_universal(universal::SEQUENCE, |named| {
         named.bytes(0, database.as_bytes());
         named.inside(1, |choice| match (record, piece) {
-            (Ok(bytes), Piece::Whole) => choice.inside(1, |retrieval| external(retrieval, syntax, bytes)),
+            (Ok(bytes), Piece::Whole) => {
+                choice.inside(1, |retrieval| external(retrieval, syntax, bytes))
+            }
             // A fragment is bytes and no record: notExternallyTagged.
             (Ok(bytes), piece) => choice.inside(piece as u32, |f| f.bytes(0, bytes)),
             (Err(fault), _) => choice.inside(2, |surrogate| {
@@ -69,7 +73,13 @@
 }
 
 /// Divides records into messages; `most` bytes are sent in all.
-pub fn divide(database: &str, syntax: Syntax, records: Vec<Ready>, room: Room, most: usize) -> Divided {
+pub fn divide(
+    database: &str,
+    syntax: Syntax,
+    records: Vec<Ready>,
+    room: Room,
+    most: usize,
+) -> Divided {
     use crate::fault::Kind;
     let mut out = Divided::default();
     let (mut open, mut spent): ((usize, Vec<u8>), usize) = ((0, Vec::new()), 0);
@@ -146,8 +156,10 @@
 
 /// Records of a database in one piece, as a server without limits writes them.
 pub fn write_all(w: &mut Writer, database: &str, syntax: Syntax, records: &[Vec<u8>]) {
-    let all: Vec<u8> =
-        records.iter().flat_map(|r| entry(database, Piece::Whole, syntax, &Ok(r.clone()))).collect();
+    let all: Vec<u8> = records
+        .iter()
+        .flat_map(|r| entry(database, Piece::Whole, syntax, &Ok(r.clone())))
+        .collect();
     write(w, &all);
 }
 
@@ -156,26 +168,44 @@
 
 /// The records of a response or segment. An error for one that makes no sense at all.
 pub fn read(response: &Item, list_tag: u32) -> Result<Vec<Given>, RecordError> {
-    let Some(list) = response.get(list_tag) else { return Ok(Vec::new()) };
+    let Some(list) = response.get(list_tag) else {
+        return Ok(Vec::new());
+    };
     list.items().iter().map(read_entry).collect()
 }
 
 fn read_entry(named: &Item) -> Result<Given, RecordError> {
     let choice = named.get(1).ok_or(RecordError::Malformed("no record"))?;
     if let Some(surrogate) = choice.get(2) {
-        let fault = surrogate.items().first().ok_or(RecordError::Malformed("no diagnostic"))?;
+        let fault = surrogate
+            .items()
+            .first()
+            .ok_or(RecordError::Malformed("no diagnostic"))?;
         return Ok(Err(super::read_fault(fault)));
     }
-    let external =
-        choice.get(1).and_then(|r| r.items().first()).ok_or(RecordError::Malformed("no record"))?;
-    let oid = external.items().first().and_then(Item::oid).unwrap_or_default();
+    let external = choice
+        .get(1)
+        .and_then(|r| r.items().first())
+        .ok_or(RecordError::Malformed("no record"))?;
+    let oid = external
+        .items()
+        .first()
+        .and_then(Item::oid)
+        .unwrap_or_default();
     let syntax = Syntax::of_oid(&oid).ok_or(RecordError::Malformed("an unknown syntax"))?;
     // Some servers wrap bytes as a single type all the same.
     let bytes = match (external.get(1), external.get(0)) {
         (Some(octets), _) => octets.bytes(),
         (None, Some(single)) => {
-            let inner = single.items().first().ok_or(RecordError::Malformed("an empty record"))?;
-            if syntax == Syntax::Grs1 { encode(inner) } else { inner.bytes() }
+            let inner = single
+                .items()
+                .first()
+                .ok_or(RecordError::Malformed("an empty record"))?;
+            if syntax == Syntax::Grs1 {
+                encode(inner)
+            } else {
+                inner.bytes()
+            }
         }
         _ => return Err(RecordError::Malformed("no record")),
     };
@@ -189,7 +219,8 @@
     w.finish()
 }
 
-/// The schema that an element set name asks for, and whether records are to be brief (section 3.6.2).
+/// The schema that an element set name asks for, and whether records are to be brief (section
+/// 3.6.2).
 pub fn element_set(name: &str) -> Option<(Schema, bool)> {
     match name {
         "F" | "f" => Some((Schema::Dc, false)),
@@ -210,13 +241,18 @@
     use crate::ber;
 
     fn records(sizes: &[usize]) -> Vec<Ready> {
-        sizes.iter().map(|n| Ok(format!("<dc><title>{}</title></dc>", "x".repeat(*n)).into_bytes())).collect()
+        sizes
+            .iter()
+            .map(|n| Ok(format!("<dc><title>{}</title></dc>", "x".repeat(*n)).into_bytes()))
+            .collect()
     }
 
     fn read_back(divided: &Divided) -> Vec<Given> {
         let mut all = Vec::new();
         for (count, bytes) in divided.segments.iter().chain([&divided.last]) {
-            let item = ber::read(&mut segment(None, *count, bytes), 1 << 24, 16).unwrap().expect("a segment");
+            let item = ber::read(&mut segment(None, *count, bytes), 1 << 24, 16)
+                .unwrap()
+                .expect("a segment");
             assert_eq!(item.get(0).map_or(0, |l| l.items().len()), *count);
             if let Ok(part) = read(&item, 0) {
                 all.extend(part);
@@ -227,33 +263,87 @@
 
     #[test]
     fn without_segmentation_only_what_fits_is_sent_and_at_least_one() {
-        let room = Room { preferred: 1000, exceptional: 3000, segmentation: 0 };
-        let divided = divide("d", Syntax::Xml, records(&[300, 300, 300, 300]), room, 1 << 20);
-        assert_eq!((divided.delivered, divided.short, divided.segments.len()), (2, true, 0));
+        let room = Room {
+            preferred: 1000,
+            exceptional: 3000,
+            segmentation: 0,
+        };
+        let divided = divide(
+            "d",
+            Syntax::Xml,
+            records(&[300, 300, 300, 300]),
+            room,
+            1 << 20,
+        );
+        assert_eq!(
+            (divided.delivered, divided.short, divided.segments.len()),
+            (2, true, 0)
+        );
         // The first may be exceptional, a longer one is said to be too long in its place.
         let divided = divide("d", Syntax::Xml, records(&[2000, 300]), room, 1 << 20);
         assert_eq!((divided.delivered, divided.short), (1, true));
         let divided = divide("d", Syntax::Xml, records(&[4000, 300]), room, 1 << 20);
         let given = read_back(&divided);
-        assert_eq!((given.len(), given[0].as_ref().map_err(|f| f.kind.bib1).err()), (2, Some(17)));
+        assert_eq!(
+            (
+                given.len(),
+                given[0].as_ref().map_err(|f| f.kind.bib1).err()
+            ),
+            (2, Some(17))
+        );
         let divided = divide("d", Syntax::Xml, records(&[10, 2000, 10]), room, 1 << 20);
-        assert_eq!(read_back(&divided)[1].as_ref().map_err(|f| f.kind.bib1).err(), Some(16));
+        assert_eq!(
+            read_back(&divided)[1]
+                .as_ref()
+                .map_err(|f| f.kind.bib1)
+                .err(),
+            Some(16)
+        );
     }
 
     #[test]
     fn level_1_sends_all_whole_records_and_level_2_parts_too() {
-        let room = Room { preferred: 1000, exceptional: 3000, segmentation: 1 };
-        let divided = divide("d", Syntax::Xml, records(&[300, 300, 2000, 300, 300, 300]), room, 1 << 20);
-        assert_eq!((divided.delivered, divided.short, read_back(&divided).len()), (6, false, 6));
-        assert!(divided.segments.iter().all(|(_, bytes)| bytes.len() <= 2200));
-        let room = Room { segmentation: 2, ..room };
+        let room = Room {
+            preferred: 1000,
+            exceptional: 3000,
+            segmentation: 1,
+        };
+        let divided = divide(
+            "d",
+            Syntax::Xml,
+            records(&[300, 300, 2000, 300, 300, 300]),
+            room,
+            1 << 20,
+        );
+        assert_eq!(
+            (divided.delivered, divided.short, read_back(&divided).len()),
+            (6, false, 6)
+        );
+        assert!(
+            divided
+                .segments
+                .iter()
+                .all(|(_, bytes)| bytes.len() <= 2200)
+        );
+        let room = Room {
+            segmentation: 2,
+            ..room
+        };
         let divided = divide("d", Syntax::Xml, records(&[300, 9000, 300]), room, 1 << 20);
         assert_eq!((divided.delivered, divided.short), (3, false));
         assert!(
-            divided.segments.iter().all(|(_, bytes)| bytes.len() <= 1000),
+            divided
+                .segments
+                .iter()
+                .all(|(_, bytes)| bytes.len() <= 1000),
             "each within the preferred size"
         );
-        let parts = divided.segments.iter().chain([&divided.last]).filter(|(n, _)| *n == 1).count();
+        let parts = divided
+            .segments
+            .iter()
+            .chain([&divided.last])
+            .filter(|(n, _)| *n == 1)
+            .count();
         assert!(parts >= 10);
         // Whatever is asked for, no more than the bound is held for one client.
         let divided = divide("d", Syntax::Xml, records(&[500; 100]), room, 5000);
--- a/catalogue/src/z3950/scan.rs
+++ b/catalogue/src/z3950/scan.rs
@@ -35,14 +35,28 @@
 
 /// Reads a scan request.
 pub fn read_request(unit: &Item) -> Result<ScanRequest, Fault> {
-    let number = |tag| unit.get(tag).and_then(Item::integer).and_then(|n| u64::try_from(n).ok());
+    let number = |tag| {
+        unit.get(tag)
+            .and_then(Item::integer)
+            .and_then(|n| u64::try_from(n).ok())
+    };
     if number(5).is_some_and(|step| step != 0) {
         return Err(Kind::SCAN_STEP.of("only step size 0"));
     }
-    let databases = unit.get(3).map(Item::items).unwrap_or_default().iter().filter_map(Item::text).collect();
-    let set =
-        unit.items().iter().find(|i| i.tag == universal::OID && i.class == crate::ber::Class::Universal);
-    let operand = unit.get(rpn::tag::OPERAND).ok_or_else(|| Kind::SYNTAX.of("no starting point"))?;
+    let databases = unit
+        .get(3)
+        .map(Item::items)
+        .unwrap_or_default()
+        .iter()
+        .filter_map(Item::text)
+        .collect();
+    let set = unit
+        .items()
+        .iter()
+        .find(|i| i.tag == universal::OID && i.class == crate::ber::Class::Universal);
+    let operand = unit
+        .get(rpn::tag::OPERAND)
+        .ok_or_else(|| Kind::SYNTAX.of("no starting point"))?;
     Ok(ScanRequest {
         databases,
         clause: rpn::read_clause(set, operand)?,
@@ -95,28 +109,52 @@
             });
         }
         if let Some(fault) = fault {
-            list.inside(2, |all| all.inside_universal(universal::SEQUENCE, |d| write_fault(d, fault)));
+            list.inside(2, |all| {
+                all.inside_universal(universal::SEQUENCE, |d| write_fault(d, fault))
+            });
         }
     });
 }
 
 /// Reads a scan response.
 pub fn read_response(unit: &Item) -> Result<Terms, Fault> {
-    let status = unit.get(4).and_then(Item::integer).ok_or_else(|| Kind::GENERAL.of("no scan status"))?;
+    let status = unit
+        .get(4)
+        .and_then(Item::integer)
+        .ok_or_else(|| Kind::GENERAL.of("no scan status"))?;
     let entries = unit.get(7);
     if status == ScanStatus::Failure as i64 {
-        let fault = entries.and_then(|e| e.get(2)).and_then(|all| all.items().first());
+        let fault = entries
+            .and_then(|e| e.get(2))
+            .and_then(|all| all.items().first());
         return Err(fault.map_or(Kind::SCAN.of("failure"), read_fault));
     }
-    let list = entries.and_then(|e| e.get(1)).map(Item::items).unwrap_or_default();
+    let list = entries
+        .and_then(|e| e.get(1))
+        .map(Item::items)
+        .unwrap_or_default();
     let term = |entry: &Item| {
         // An entry may be a diagnostic in place of a term.
         if entry.tag != 1 {
             return None;
         }
-        let text = entry.items().iter().find(|i| matches!(i.tag, 45 | 216)).and_then(Item::text)?;
-        let count = entry.get(2).and_then(Item::integer).and_then(|n| u64::try_from(n).ok());
-        Some(Term { text, display: entry.get(0).and_then(Item::text), count: count.unwrap_or(0) })
+        let text = entry
+            .items()
+            .iter()
+            .find(|i| matches!(i.tag, 45 | 216))
+            .and_then(Item::text)?;
+        let count = entry
+            .get(2)
+            .and_then(Item::integer)
+            .and_then(|n| u64::try_from(n).ok());
+        Some(Term {
+            text,
+            display: entry.get(0).and_then(Item::text),
+            count: count.unwrap_or(0),
+        })
     };
-    Ok(Terms { terms: list.iter().filter_map(term).collect(), host: 0 })
+    Ok(Terms {
+        terms: list.iter().filter_map(term).collect(),
+        host: 0,
+    })
 }
--- a/catalogue/src/z3950/sort.rs
+++ b/catalogue/src/z3950/sort.rs
@@ -35,10 +35,17 @@
 
 /// Reads a sort request with at most so many keys.
 pub fn read_request(unit: &Item, most: usize) -> Result<SortRequest, Fault> {
-    let input: Option<Vec<String>> =
-        unit.get(3).map(Item::items).unwrap_or_default().iter().map(Item::text).collect();
-    let output =
-        unit.get(4).and_then(Item::text).ok_or_else(|| malformed("no set for the sorted records"))?;
+    let input: Option<Vec<String>> = unit
+        .get(3)
+        .map(Item::items)
+        .unwrap_or_default()
+        .iter()
+        .map(Item::text)
+        .collect();
+    let output = unit
+        .get(4)
+        .and_then(Item::text)
+        .ok_or_else(|| malformed("no set for the sorted records"))?;
     let specs = unit.get(5).map(Item::items).unwrap_or_default();
     if specs.len() > most {
         return Err(Kind::SORT_KEYS.of(most.to_string()));
@@ -47,28 +54,41 @@
     if keys.is_empty() {
         return Err(malformed("no sort key"));
     }
-    Ok(SortRequest { input: input.ok_or_else(|| malformed("a set's name"))?, output, keys })
+    Ok(SortRequest {
+        input: input.ok_or_else(|| malformed("a set's name"))?,
+        output,
+        keys,
+    })
 }
 
 fn read_key(spec: &Item) -> Result<SortKey, Fault> {
-    // SortKeySpec: the element, and behind it the relation, the case and what becomes of missing values. The element's
-    // own tag is the relation's too, so that only their order tells them apart.
-    let [element, rest @ ..] = spec.items() else { return Err(malformed("a sort key without its element")) };
+    // SortKeySpec: the element, and behind it the relation, the case and what becomes of missing
+    // values. The element's own tag is the relation's too, so that only their order tells them
+    // apart.
+    let [element, rest @ ..] = spec.items() else {
+        return Err(malformed("a sort key without its element"));
+    };
     // SortElement: generic [1], or for each database [2].
-    let generic =
-        Some(element).filter(|e| e.tag == 1).ok_or_else(|| Kind::SORT_KEY.of("a key for each database"))?;
-    let choice = generic.items().first().ok_or_else(|| malformed("an empty sort element"))?;
+    let generic = Some(element)
+        .filter(|e| e.tag == 1)
+        .ok_or_else(|| Kind::SORT_KEY.of("a key for each database"))?;
+    let choice = generic
+        .items()
+        .first()
+        .ok_or_else(|| malformed("an empty sort element"))?;
     let mut key = match choice.tag {
         // A field by its name.
         0 => SortKey::named(&choice.text().unwrap_or_default())?,
         2 => {
-            let list = choice
-                .items()
-                .iter()
-                .find(|i| matches!(i.tag, 44) || i.tag == universal::SEQUENCE && i.class == Class::Universal);
+            let list = choice.items().iter().find(|i| {
+                matches!(i.tag, 44) || i.tag == universal::SEQUENCE && i.class == Class::Universal
+            });
             let list = list.ok_or_else(|| malformed("no sort attributes"))?;
             let number = |i: &Item, tag| i.get(tag).and_then(Item::integer);
-            let wanted = list.items().iter().find(|a| number(a, rpn::tag::TYPE) == Some(1));
+            let wanted = list
+                .items()
+                .iter()
+                .find(|a| number(a, rpn::tag::TYPE) == Some(1));
             let value = wanted
                 .and_then(|a| number(a, rpn::tag::VALUE))
                 .ok_or_else(|| Kind::SORT_KEY.of("no use attribute"))?;
@@ -79,7 +99,10 @@
         }
         other => return Err(Kind::SORT_KEY.of(format!("element specification {other}"))),
     };
-    let part = |tag| rest.iter().find(|i| i.class == Class::Context && i.tag == tag);
+    let part = |tag| {
+        rest.iter()
+            .find(|i| i.class == Class::Context && i.tag == tag)
+    };
     let number = |tag| part(tag).and_then(Item::integer);
     key.ascending = match number(1) {
         Some(0) | None => true,
@@ -99,7 +122,8 @@
     Ok(key)
 }
 
-/// Writes a sort request's parts: one set, sorted in its place. A fault where the service has no words for a key.
+/// Writes a sort request's parts: one set, sorted in its place. A fault where the service has no
+/// words for a key.
 pub fn write_request(w: &mut Writer, set: &str, keys: &[SortKey]) -> Result<(), Fault> {
     for key in keys {
         // What the service calls null is neither least nor greatest by any rule that it states.
@@ -146,7 +170,9 @@
         SortStatus::Failure => w.integer(5, SetStatus::None as i64),
     }
     if let Some(fault) = fault {
-        w.inside(4, |all| all.inside_universal(universal::SEQUENCE, |d| super::write_fault(d, fault)));
+        w.inside(4, |all| {
+            all.inside_universal(universal::SEQUENCE, |d| super::write_fault(d, fault))
+        });
     }
 }
 
@@ -168,16 +194,28 @@
 
     #[test]
     fn keys_come_back_as_they_were_written() {
-        let mut keys = vec![SortKey::named("title").unwrap(), SortKey::named("date").unwrap()];
+        let mut keys = vec![
+            SortKey::named("title").unwrap(),
+            SortKey::named("date").unwrap(),
+        ];
         keys[0].ascending = false;
         keys[1].case = true;
         keys[1].missing = Missing::Constant("1900".into());
         let bytes = crate::z3950::unit(crate::z3950::tag::SORT_REQUEST, None, |w| {
             write_request(w, "A", &keys).unwrap();
         });
-        let item = ber::read(&mut bytes.clone(), 1000, 16).unwrap().expect("a unit");
-        let wanted = SortRequest { input: vec!["A".into()], output: "A".into(), keys };
+        let item = ber::read(&mut bytes.clone(), 1000, 16)
+            .unwrap()
+            .expect("a unit");
+        let wanted = SortRequest {
+            input: vec!["A".into()],
+            output: "A".into(),
+            keys,
+        };
         assert_eq!(read_request(&item, 2), Ok(wanted));
-        assert_eq!(read_request(&item, 1).map_err(|f| f.kind), Err(Kind::SORT_KEYS));
+        assert_eq!(
+            read_request(&item, 1).map_err(|f| f.kind),
+            Err(Kind::SORT_KEYS)
+        );
     }
 }
--- a/catalogue/tests/operation.rs
+++ b/catalogue/tests/operation.rs
@@ -1,8 +1,11 @@
-//! Operations over modelled slices: what pages add up to, whatever is missing, late or changed, and what they cost.
+//! Operations over modelled slices: what pages add up to, whatever is missing, late or changed, and
+//! what they cost.
 
 use catalogue::cql;
 use catalogue::fault::Kind;
-use catalogue::operation::{Bounds, Operation, Outcome, Page, Plan, Round, Search, Step, Want, Why};
+use catalogue::operation::{
+    Bounds, Operation, Outcome, Page, Plan, Round, Search, Step, Want, Why,
+};
 use catalogue::record::{Record, Schema};
 use catalogue::sets::{Owner, SetBounds, SetId, SetTable};
 use catalogue::sort::SortKey;
@@ -10,7 +13,13 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-const BOUNDS: Bounds = Bounds { floor: 0.4, per_part: 50, page: 100, reach: 1000, rounds: 12 };
+const BOUNDS: Bounds = Bounds {
+    floor: 0.4,
+    per_part: 50,
+    page: 100,
+    reach: 1000,
+    rounds: 12,
+};
 
 /// Slices as their hosts hold them: titles, each in its slice's order.
 #[derive(Debug, Clone)]
@@ -27,15 +36,22 @@
 impl World {
     fn new(slices: &[Vec<u16>], sorted: bool) -> World {
         let titles = |(at, slice): (usize, &Vec<u16>)| {
-            let mut titles: Vec<String> =
-                slice.iter().enumerate().map(|(n, key)| format!("{key:05} {at}-{n:03}")).collect();
+            let mut titles: Vec<String> = slice
+                .iter()
+                .enumerate()
+                .map(|(n, key)| format!("{key:05} {at}-{n:03}"))
+                .collect();
             if sorted {
                 titles.sort();
             }
             titles
         };
         let slices = slices.iter().enumerate().map(titles).collect();
-        World { slices, missing: BTreeSet::new(), fetched: 0 }
+        World {
+            slices,
+            missing: BTreeSet::new(),
+            fetched: 0,
+        }
     }
 
     fn numbers(&self) -> Vec<u32> {
@@ -43,7 +59,9 @@
     }
 
     fn answer(&mut self, plan: &Plan) -> Round {
-        let Work::Page(page) = &plan.work else { panic!("no page") };
+        let Work::Page(page) = &plan.work else {
+            panic!("no page")
+        };
         let mut values = Vec::new();
         for slice in &plan.slices {
             if self.missing.contains(slice) {
@@ -58,7 +76,12 @@
                 .map(|title| record(title))
                 .collect();
             self.fetched += records.len() as u64;
-            let found = Found { hits: titles.len() as u64, exact: true, records, ..Found::default() };
+            let found = Found {
+                hits: titles.len() as u64,
+                exact: true,
+                records,
+                ..Found::default()
+            };
             values.push((*slice, Given::Found(found)));
         }
         // The core gives no answer under the class's floor.
@@ -68,7 +91,11 @@
         Round::Served(values)
     }
 
-    fn run(&mut self, (mut operation, mut step): (Operation, Step), sets: &mut SetTable) -> Outcome {
+    fn run(
+        &mut self,
+        (mut operation, mut step): (Operation, Step),
+        sets: &mut SetTable,
+    ) -> Outcome {
         let mut rounds = 0;
         loop {
             match step {
@@ -87,7 +114,11 @@
     fn search(&self, sorted: bool, start: u64, count: u64) -> Search {
         Search {
             query: cql::parse("moon", 8).unwrap().root,
-            sort: if sorted { vec![SortKey::named("title").unwrap()] } else { Vec::new() },
+            sort: if sorted {
+                vec![SortKey::named("title").unwrap()]
+            } else {
+                Vec::new()
+            },
             schema: Schema::Dc,
             start,
             want: Want::Count(count),
@@ -111,7 +142,10 @@
 
     /// What a set without the missing slices holds, in order.
     fn expected(&self, sorted: bool) -> Vec<String> {
-        let kept = self.numbers().into_iter().filter(|s| !self.missing.contains(s));
+        let kept = self
+            .numbers()
+            .into_iter()
+            .filter(|s| !self.missing.contains(s));
         let mut all: Vec<String> = kept.flat_map(|s| self.slices[s as usize].clone()).collect();
         if sorted {
             all.sort();
@@ -121,11 +155,22 @@
 }
 
 fn table() -> SetTable {
-    SetTable::new(SetBounds { sets: 16, bytes: 1 << 22, ttl: 1000, gone: 16 }, 1)
+    SetTable::new(
+        SetBounds {
+            sets: 16,
+            bytes: 1 << 22,
+            ttl: 1000,
+            gone: 16,
+        },
+        1,
+    )
 }
 
 fn titles(page: &Page) -> Vec<String> {
-    page.records.iter().map(|r| r.value("dc.title").unwrap()).collect()
+    page.records
+        .iter()
+        .map(|r| r.value("dc.title").unwrap())
+        .collect()
 }
 
 fn served(outcome: Outcome) -> Box<Page> {
@@ -138,8 +183,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Pages read one behind the other are the whole set: none twice, none left out, in the merged order; and behind
-    /// page one hardly a record is fetched that is not delivered.
+    /// Pages read one behind the other are the whole set: none twice, none left out, in the merged
+    /// order; and behind page one hardly a record is fetched that is not delivered.
     #[test]
     fn pages_add_up_to_the_set_and_cost_little_more_than_they_deliver(
         slices in prop::collection::vec(prop::collection::vec(0u16..300, 0..60), 1..7),
@@ -177,7 +222,8 @@
         prop_assert!(fetched <= delivered + delivered.div_ceil(count) + slack + 1, "{fetched} for {delivered}");
     }
 
-    /// Whatever slices are lost while a page is fetched: it ends before the gap, and asking again goes on there.
+    /// Whatever slices are lost while a page is fetched: it ends before the gap, and asking again
+    /// goes on there.
     #[test]
     fn a_lost_slice_leaves_no_gap(
         slices in prop::collection::vec(prop::collection::vec(0u16..300, 0..40), 2..6),
@@ -200,7 +246,8 @@
         prop_assert_eq!(&read, &expected);
     }
 
-    /// A record that comes, goes or moves between two pages: the set says that it is gone, or the page is right.
+    /// A record that comes, goes or moves between two pages: the set says that it is gone, or the
+    /// page is right.
     #[test]
     fn a_change_between_pages_is_never_passed_over(
         slices in prop::collection::vec(prop::collection::vec(0u16..300, 3..20), 1..5),
@@ -225,7 +272,8 @@
         match world.page(page.set, start, count, &mut sets) {
             Outcome::Fault(fault) => prop_assert_eq!(fault.kind, Kind::SET_GONE),
             Outcome::Page(more) => {
-                // It read slices that have not changed, or (moved, unseen before) ones never delivered from.
+                // It read slices that have not changed, or (moved, unseen before) ones never
+                // delivered from.
                 let wanted: Vec<String> = before.iter().skip(start as usize - 1).take(count as usize).cloned().collect();
                 let same = titles(&more) == wanted;
                 let untouched = !titles(&page).iter().any(|t| t.contains(&format!(" {slice}-")));
@@ -243,7 +291,15 @@
     let page = served(world.first(false, 2, &mut sets));
     world.slices[0].remove(0);
     let again = world.search(false, 3, 2);
-    let begun = Operation::page(page.set, (3, 2), Schema::Dc, Some(again), BOUNDS, &mut sets, 0);
+    let begun = Operation::page(
+        page.set,
+        (3, 2),
+        Schema::Dc,
+        Some(again),
+        BOUNDS,
+        &mut sets,
+        0,
+    );
     let more = served(world.run(begun, &mut sets));
     assert!(more.replaced && more.set != page.set && more.token != page.token);
     assert_eq!((titles(&more).len(), more.count.hits), (2, 6));
@@ -255,7 +311,9 @@
     world.slices[0].reverse();
     let page = served(world.first(true, 5, &mut table()));
     assert!(
-        page.notes.iter().any(|f| f.kind == Kind::SORT && f.about.contains("slice 0")),
+        page.notes
+            .iter()
+            .any(|f| f.kind == Kind::SORT && f.about.contains("slice 0")),
         "{:?}",
         page.notes
     );
@@ -266,28 +324,44 @@
 fn too_few_slices_are_no_answer_even_if_the_core_took_refusals_for_answers() {
     let world = World::new(&[vec![1], vec![2], vec![3]], false);
     let mut sets = table();
-    let bounds = Bounds { floor: 0.6, ..BOUNDS };
+    let bounds = Bounds {
+        floor: 0.6,
+        ..BOUNDS
+    };
     let (mut operation, _) = Operation::search(world.search(false, 1, 1), bounds);
     let refused = || Given::Refused(Kind::INDEX.of("title"));
-    let found = Given::Found(Found { hits: 1, exact: true, ..Found::default() });
+    let found = Given::Found(Found {
+        hits: 1,
+        exact: true,
+        ..Found::default()
+    });
     let round = Round::Served(vec![(0, found.clone()), (1, refused()), (2, refused())]);
-    assert_eq!(operation.answered(round, &mut sets, 0), Step::Done(Outcome::Fault(Kind::INDEX.of("title"))));
+    assert_eq!(
+        operation.answered(round, &mut sets, 0),
+        Step::Done(Outcome::Fault(Kind::INDEX.of("title")))
+    );
     assert_eq!(sets.size().0, 0);
     // With the floor kept, the refusal is told beside the partial result.
     let (mut operation, _) = Operation::search(world.search(false, 1, 0), bounds);
     let round = Round::Served(vec![(0, found.clone()), (1, found), (2, refused())]);
-    let Step::Done(outcome) = operation.answered(round, &mut sets, 0) else { panic!("one round") };
+    let Step::Done(outcome) = operation.answered(round, &mut sets, 0) else {
+        panic!("one round")
+    };
     let page = served(outcome);
     let kinds: Vec<Kind> = page.notes.iter().map(|f| f.kind).collect();
-    assert_eq!((page.whole, kinds), (false, vec![Kind::PARTIAL, Kind::INDEX]));
+    assert_eq!(
+        (page.whole, kinds),
+        (false, vec![Kind::PARTIAL, Kind::INDEX])
+    );
 }
 
 /// What a page costs at positions 1, 41 and 491 of six slices; the operators' page quotes it.
 #[test]
 fn a_far_page_costs_what_it_delivers() {
     for (sorted, least) in [(false, [20, 11, 10]), (true, [27, 100, 500])] {
-        let slices: Vec<Vec<u16>> =
-            (0..6u16).map(|s| (0..200u16).map(|n| n * 7 % 211 * 6 + s).collect()).collect();
+        let slices: Vec<Vec<u16>> = (0..6u16)
+            .map(|s| (0..200u16).map(|n| n * 7 % 211 * 6 + s).collect())
+            .collect();
         let mut world = World::new(&slices, sorted);
         let mut sets = table();
         let page = served(world.first(sorted, 10, &mut sets));
--- a/control/src/changes.rs
+++ b/control/src/changes.rs
@@ -23,7 +23,8 @@
         /// The version.
         version: u64,
     },
-    /// From now on this replica gives orders to backends. The primary asks for it before its first order.
+    /// From now on this replica gives orders to backends. The primary asks for it before its first
+    /// order.
     OrderHolder {
         /// The replica.
         replica: ReplicaId,
@@ -67,8 +68,8 @@
 /// What came of a question for the newest configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reading {
-    /// The newest configuration; none where there is none yet. At a moment after the question came, a majority of the
-    /// witnesses confirmed that no other replica leads.
+    /// The newest configuration; none where there is none yet. At a moment after the question came,
+    /// a majority of the witnesses confirmed that no other replica leads.
     Newest(Option<StoredConfiguration>),
     /// Nobody can tell here at present: ask again, or elsewhere.
     Unknown,
--- a/control/src/configuration.rs
+++ b/control/src/configuration.rs
@@ -40,7 +40,9 @@
         second: CompactString,
     },
     /// A route can't be sent anywhere.
-    #[error("the weights of routes[{route}].trafficSplit add up to 0: give at least one of them weight")]
+    #[error(
+        "the weights of routes[{route}].trafficSplit add up to 0: give at least one of them weight"
+    )]
     NoWeight {
         /// The route's name.
         route: CompactString,
@@ -264,7 +266,9 @@
             isolated: flag(value, "isolated"),
         };
         for key in list(value, "apiKeys")? {
-            let key = key.as_str().ok_or_else(|| field(&format!("{path}.apiKeys"), "a list of texts"))?;
+            let key = key
+                .as_str()
+                .ok_or_else(|| field(&format!("{path}.apiKeys"), "a list of texts"))?;
             if let Some(other) = self.keys.insert(key.to_owned(), self.tenants.len())
                 && other != self.tenants.len()
             {
@@ -279,16 +283,23 @@
     fn check(&self) -> Result<(), Problem> {
         let mut places: HashMap<(&str, &str), &Route> = HashMap::new();
         for route in &self.routes {
-            let unknown = route.split.iter().find(|(service, _)| !self.services.contains_key(service));
+            let unknown = route
+                .split
+                .iter()
+                .find(|(service, _)| !self.services.contains_key(service));
             if let Some((service, _)) = unknown {
                 let (route, service) = (route.name.clone(), service.clone());
                 return Err(Problem::UnknownService { route, service });
             }
             if route.split.iter().map(|(_, weight)| weight).sum::<u64>() == 0 {
-                return Err(Problem::NoWeight { route: route.name.clone() });
+                return Err(Problem::NoWeight {
+                    route: route.name.clone(),
+                });
             }
             if route.timeout_ms == 0 {
-                return Err(Problem::NoTimeout { route: route.name.clone() });
+                return Err(Problem::NoTimeout {
+                    route: route.name.clone(),
+                });
             }
             if let Some(other) = places.insert((&route.host, &route.path_prefix), route) {
                 let (first, second) = (other.name.clone(), route.name.clone());
@@ -317,7 +328,9 @@
 
     /// Who sends a request with this key on this route.
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access<'_> {
-        let tenant = key.and_then(|key| self.keys.get(key)).map(|at| &self.tenants[*at]);
+        let tenant = key
+            .and_then(|key| self.keys.get(key))
+            .map(|at| &self.tenants[*at]);
         match tenant {
             Some(tenant) => Access::Tenant(tenant),
             None if route.public || self.tenants.is_empty() => Access::Open,
@@ -327,12 +340,17 @@
 }
 
 fn field(path: &str, wanted: &'static str) -> Problem {
-    Problem::Field { path: path.to_owned(), wanted }
+    Problem::Field {
+        path: path.to_owned(),
+        wanted,
+    }
 }
 
 fn number(value: &OwnedValue, key: &str) -> Option<u64> {
     let value = value.get(key)?;
-    let whole = value.as_f64().filter(|float| float.fract() == 0.0 && *float >= 0.0);
+    let whole = value
+        .as_f64()
+        .filter(|float| float.fract() == 0.0 && *float >= 0.0);
     value.as_u64().or(whole.map(|float| float as u64))
 }
 
@@ -345,12 +363,16 @@
 }
 
 fn flag(value: &OwnedValue, key: &str) -> bool {
-    value.get(key).and_then(|value| value.as_bool()).unwrap_or(false)
+    value
+        .get(key)
+        .and_then(|value| value.as_bool())
+        .unwrap_or(false)
 }
 
 fn list<'a>(value: &'a OwnedValue, key: &str) -> Result<&'a [OwnedValue], Problem> {
     let list = value.get(key).and_then(|value| value.as_array());
-    list.map(|list| &list[..]).ok_or_else(|| field(key, "a list"))
+    list.map(|list| &list[..])
+        .ok_or_else(|| field(key, "a list"))
 }
 
 fn read_limits(value: Option<&OwnedValue>) -> Limits {
@@ -365,7 +387,8 @@
 }
 
 fn read_service(value: &OwnedValue, at: usize) -> Result<(CompactString, Service), Problem> {
-    let name = text(value, "name").ok_or_else(|| field(&format!("services[{at}].name"), "a text"))?;
+    let name =
+        text(value, "name").ok_or_else(|| field(&format!("services[{at}].name"), "a text"))?;
     let engine = value.get("engine").map(|engine| Engine {
         slots: number(engine, "slots").unwrap_or(1).max(1) as u32,
         kv_capacity: number(engine, "kvCapacity").unwrap_or(0),
@@ -375,16 +398,25 @@
         models: engine
             .get("models")
             .and_then(|models| models.as_array())
-            .map(|models| models.iter().filter_map(|model| text(model, "name")).collect())
+            .map(|models| {
+                models
+                    .iter()
+                    .filter_map(|model| text(model, "name"))
+                    .collect()
+            })
             .unwrap_or_default(),
     });
-    let address = value.get("kvStoreAddress").and_then(|address| address.as_str());
-    let kv_store = address.and_then(|address| address.parse().ok()).map(|address| KvStore {
-        address,
-        zone: text(value, "zone").unwrap_or_default(),
-        kv_capacity: number(value, "kvCapacity").unwrap_or(0),
-        max_concurrent: number(value, "maxConcurrent").unwrap_or(1) as u32,
-    });
+    let address = value
+        .get("kvStoreAddress")
+        .and_then(|address| address.as_str());
+    let kv_store = address
+        .and_then(|address| address.parse().ok())
+        .map(|address| KvStore {
+            address,
+            zone: text(value, "zone").unwrap_or_default(),
+            kv_capacity: number(value, "kvCapacity").unwrap_or(0),
+            max_concurrent: number(value, "maxConcurrent").unwrap_or(1) as u32,
+        });
     let service = Service {
         health_path: text(value, "healthPath").unwrap_or_default(),
         connection_limit: number(value, "connectionLimit").unwrap_or(u64::from(u32::MAX)) as u32,
@@ -414,7 +446,8 @@
             .collect::<Result<Vec<_>, Problem>>()?,
         None => vec![(wanted("service")?, 1)],
     };
-    let timeout = number(value, "timeoutMs").ok_or_else(|| field(&path("timeoutMs"), "a whole number"))?;
+    let timeout =
+        number(value, "timeoutMs").ok_or_else(|| field(&path("timeoutMs"), "a whole number"))?;
     Ok(Route {
         name: text(value, "name").unwrap_or_default(),
         host: wanted("host")?,
--- a/control/src/delta.rs
+++ b/control/src/delta.rs
@@ -22,7 +22,10 @@
     let mut start = 0;
     std::iter::from_fn(move || {
         let rest = text.get(start..).filter(|rest| !rest.is_empty())?;
-        let length = rest[1..].iter().position(|byte| *byte == b'{').map_or(rest.len(), |at| at + 1);
+        let length = rest[1..]
+            .iter()
+            .position(|byte| *byte == b'{')
+            .map_or(rest.len(), |at| at + 1);
         let piece = (start, &rest[..length]);
         start += length;
         Some(piece)
@@ -35,10 +38,15 @@
     let mut result: Vec<Piece> = Vec::new();
     for (_, piece) in pieces(text) {
         match (known.get(piece), result.last_mut()) {
-            (Some(at), Some(Piece::Copy { start, length })) if *at == (*start + *length) as usize => {
+            (Some(at), Some(Piece::Copy { start, length }))
+                if *at == (*start + *length) as usize =>
+            {
                 *length += piece.len() as u32;
             }
-            (Some(at), _) => result.push(Piece::Copy { start: *at as u32, length: piece.len() as u32 }),
+            (Some(at), _) => result.push(Piece::Copy {
+                start: *at as u32,
+                length: piece.len() as u32,
+            }),
             (None, Some(Piece::New(bytes))) => bytes.extend(piece),
             (None, _) => result.push(Piece::New(piece.to_vec())),
         }
--- a/control/src/digest.rs
+++ b/control/src/digest.rs
@@ -1,5 +1,5 @@
-//! Range digests: two holders of the same records find the few that differ by comparing digests of halves of the key
-//! space, as in a Merkle tree.
+//! Range digests: two holders of the same records find the few that differ by comparing digests of
+//! halves of the key space, as in a Merkle tree.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -27,7 +27,16 @@
     fn halves(self) -> [Range; 2] {
         let bits = self.bits + 1;
         let half = 1_u64 << (64 - u32::from(bits));
-        [Range { prefix: self.prefix, bits }, Range { prefix: self.prefix | half, bits }]
+        [
+            Range {
+                prefix: self.prefix,
+                bits,
+            },
+            Range {
+                prefix: self.prefix | half,
+                bits,
+            },
+        ]
     }
 }
 
@@ -49,35 +58,53 @@
 impl Digests {
     /// Digests of records given as hashes of key and content.
     pub fn new(entries: impl IntoIterator<Item = (u64, u64)>) -> Self {
-        Digests { entries: entries.into_iter().collect() }
+        Digests {
+            entries: entries.into_iter().collect(),
+        }
     }
 
     fn within(&self, range: Range) -> impl Iterator<Item = (u64, u64)> + '_ {
-        let entries = self.entries.range(range.prefix..).map(|(key, content)| (*key, *content));
+        let entries = self
+            .entries
+            .range(range.prefix..)
+            .map(|(key, content)| (*key, *content));
         entries.take_while(move |(key, _)| range.holds(*key))
     }
 
     /// The digest of a range: the same for the same records.
     pub fn digest(&self, range: Range) -> u64 {
-        let mix = |value: u64| (value ^ (value >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(27);
-        self.within(range).fold(0, |sum, (key, content)| mix(sum ^ mix(key) ^ content.rotate_left(7)))
+        let mix = |value: u64| {
+            (value ^ (value >> 31))
+                .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+                .rotate_left(27)
+        };
+        self.within(range).fold(0, |sum, (key, content)| {
+            mix(sum ^ mix(key) ^ content.rotate_left(7))
+        })
     }
 
     /// What this holder says of a range.
     pub fn summary(&self, range: Range) -> Summary {
         let few = self.within(range).nth(LISTED).is_none();
-        if few { Summary::Listed(self.within(range).collect()) } else { Summary::Digest(self.digest(range)) }
+        if few {
+            Summary::Listed(self.within(range).collect())
+        } else {
+            Summary::Digest(self.digest(range))
+        }
     }
 
-    /// Compares what another holder says of a range: the ranges to go on with, and keys whose records differ or are
-    /// missing here.
+    /// Compares what another holder says of a range: the ranges to go on with, and keys whose
+    /// records differ or are missing here.
     pub fn compare(&self, range: Range, told: &Summary) -> (Vec<Range>, Vec<u64>) {
         match told {
             Summary::Digest(digest) if *digest == self.digest(range) => (Vec::new(), Vec::new()),
             Summary::Digest(_) => (range.halves().to_vec(), Vec::new()),
             Summary::Listed(listed) => {
                 let differs = |(key, content): &&(u64, u64)| self.entries.get(key) != Some(content);
-                (Vec::new(), listed.iter().filter(differs).map(|(key, _)| *key).collect())
+                (
+                    Vec::new(),
+                    listed.iter().filter(differs).map(|(key, _)| *key).collect(),
+                )
             }
         }
     }
--- a/control/src/directory/mod.rs
+++ b/control/src/directory/mod.rs
@@ -1,14 +1,14 @@
 //! Soft state that spreads by version vectors: backends, members, and orders under way.
 //!
-//! Each life of a node is an origin that numbers its records. A holder tells how far it knows each origin, and gets
-//! the records that are newer. Which of two records of one thing holds is decided by their rank, not by their order
-//! of arrival, so that holders converge whatever the paths.
+//! Each life of a node is an origin that numbers its records. A holder tells how far it knows each
+//! origin, and gets the records that are newer. Which of two records of one thing holds is decided
+//! by their rank, not by their order of arrival, so that holders converge whatever the paths.
 
 mod records;
 
 pub use records::{
-    Backend, BackendPhase, Key, Member, MemberStatus, Order, OrderPhase, Origin, Record, Stamp, Suspicion,
-    Value, VersionVector,
+    Backend, BackendPhase, Key, Member, MemberStatus, Order, OrderPhase, Origin, Record, Stamp,
+    Suspicion, Value, VersionVector,
 };
 
 use compact_str::CompactString;
@@ -27,7 +27,12 @@
 impl Directory {
     /// An empty directory of a node's new life.
     pub fn new(own: Origin) -> Self {
-        Directory { own, vector: VersionVector::new(), records: BTreeMap::new(), by_stamp: BTreeMap::new() }
+        Directory {
+            own,
+            vector: VersionVector::new(),
+            records: BTreeMap::new(),
+            by_stamp: BTreeMap::new(),
+        }
     }
 
     /// How far each origin is known.
@@ -57,18 +62,22 @@
 
     /// Every backend with its id.
     pub fn backends(&self) -> impl Iterator<Item = (&CompactString, &Backend)> {
-        self.records.iter().filter_map(|(key, (_, value))| match (key, value) {
-            (Key::Backend(id), Value::Backend(backend)) => Some((id, backend)),
-            _ => None,
-        })
+        self.records
+            .iter()
+            .filter_map(|(key, (_, value))| match (key, value) {
+                (Key::Backend(id), Value::Backend(backend)) => Some((id, backend)),
+                _ => None,
+            })
     }
 
     /// Every member with its name.
     pub fn members(&self) -> impl Iterator<Item = (&CompactString, &Member)> {
-        self.records.iter().filter_map(|(key, (_, value))| match (key, value) {
-            (Key::Member(name), Value::Member(member)) => Some((name, member)),
-            _ => None,
-        })
+        self.records
+            .iter()
+            .filter_map(|(key, (_, value))| match (key, value) {
+                (Key::Member(name), Value::Member(member)) => Some((name, member)),
+                _ => None,
+            })
     }
 
     /// The last order to a backend.
@@ -96,7 +105,10 @@
         }
         let counter = self.vector.entry(self.own).or_default();
         *counter += 1;
-        let stamp = Stamp { origin: self.own, counter: *counter };
+        let stamp = Stamp {
+            origin: self.own,
+            counter: *counter,
+        };
         self.hold(key, stamp, value);
         true
     }
@@ -117,7 +129,9 @@
 
     /// Whether there is anything that the holder of `vector` lacks.
     pub fn has_news_for(&self, vector: &VersionVector) -> bool {
-        self.vector.iter().any(|(origin, counter)| vector.get(origin).copied().unwrap_or(0) < *counter)
+        self.vector
+            .iter()
+            .any(|(origin, counter)| vector.get(origin).copied().unwrap_or(0) < *counter)
     }
 
     /// Everything that the holder of `vector` lacks.
@@ -128,17 +142,28 @@
             if known >= *newest {
                 continue;
             }
-            for ((origin, counter), key) in self.by_stamp.range((*origin, known + 1)..=(*origin, *newest)) {
+            for ((origin, counter), key) in self
+                .by_stamp
+                .range((*origin, known + 1)..=(*origin, *newest))
+            {
                 if let Some((_, value)) = self.records.get(key) {
-                    let stamp = Stamp { origin: *origin, counter: *counter };
-                    news.push(Record { key: key.clone(), stamp, value: value.clone() });
+                    let stamp = Stamp {
+                        origin: *origin,
+                        counter: *counter,
+                    };
+                    news.push(Record {
+                        key: key.clone(),
+                        stamp,
+                        value: value.clone(),
+                    });
                 }
             }
         }
         news
     }
 
-    /// Takes everything that a holder had beyond this directory's vector. Returns what has changed here.
+    /// Takes everything that a holder had beyond this directory's vector. Returns what has changed
+    /// here.
     pub fn merge(&mut self, news: Vec<Record>, vector: &VersionVector) -> BTreeSet<Key> {
         let mut changed = BTreeSet::new();
         for record in news {
@@ -155,37 +180,52 @@
         changed
     }
 
-    /// Keys of what has ended: backends that are gone with their orders and suspicions, and members that are not there.
+    /// Keys of what has ended: backends that are gone with their orders and suspicions, and members
+    /// that are not there.
     pub fn ended(&self) -> BTreeSet<Key> {
         let is_gone = |id: &CompactString| {
             let backend = self.get(&Key::Backend(id.clone()));
-            backend.is_none_or(|value| matches!(value, Value::Backend(b) if b.phase == BackendPhase::Gone))
+            backend.is_none_or(
+                |value| matches!(value, Value::Backend(b) if b.phase == BackendPhase::Gone),
+            )
         };
         let has_ended = |key: &Key, value: &Value| match (key, value) {
             (Key::Backend(id) | Key::Order(id) | Key::Suspicion(id), _) => is_gone(id),
             (_, Value::Member(member)) => member.status != MemberStatus::Up,
             _ => false,
         };
-        let ended = self.records.iter().filter(|(key, (_, value))| has_ended(key, value));
+        let ended = self
+            .records
+            .iter()
+            .filter(|(key, (_, value))| has_ended(key, value));
         ended.map(|(key, _)| key.clone()).collect()
     }
 
     /// Backends and members, to be kept on disk.
     pub fn lasting(&self) -> Vec<(Key, Value)> {
-        let lasting =
-            self.records.iter().filter(|(key, _)| !matches!(key, Key::Order(_) | Key::Suspicion(_)));
-        lasting.map(|(key, (_, value))| (key.clone(), value.clone())).collect()
+        let lasting = self
+            .records
+            .iter()
+            .filter(|(key, _)| !matches!(key, Key::Order(_) | Key::Suspicion(_)));
+        lasting
+            .map(|(key, (_, value))| (key.clone(), value.clone()))
+            .collect()
     }
 
     /// Hashes of keys and contents, for comparing with another holder.
     pub fn hashes(&self) -> Vec<(u64, u64)> {
         let entries = self.records.iter();
-        entries.map(|(key, (_, value))| (hash_of(key), hash_of(value))).collect()
+        entries
+            .map(|(key, (_, value))| (hash_of(key), hash_of(value)))
+            .collect()
     }
 
     /// The records whose key hashes are named, with their stamps.
     pub fn by_hash(&self, wanted: &BTreeSet<u64>) -> Vec<Record> {
-        let chosen = self.records.iter().filter(|(key, _)| wanted.contains(&hash_of(key)));
+        let chosen = self
+            .records
+            .iter()
+            .filter(|(key, _)| wanted.contains(&hash_of(key)));
         let record = |(key, (stamp, value)): (&Key, &(Stamp, Value))| Record {
             key: key.clone(),
             stamp: *stamp,
--- a/control/src/directory/records.rs
+++ b/control/src/directory/records.rs
@@ -125,7 +125,8 @@
     pub phase: OrderPhase,
 }
 
-/// Several routers saw a backend fail requests: it is to be avoided for a while, counted from when this becomes known.
+/// Several routers saw a backend fail requests: it is to be avoided for a while, counted from when
+/// this becomes known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Suspicion {
     /// Rises with each suspicion of this backend.
@@ -148,8 +149,9 @@
 }
 
 impl Value {
-    /// Whether this holds where another record of the same thing is held. All holders decide alike, whatever they heard first: two of equal
-    /// rank, as of one heartbeat that two nodes have taken, are told apart by what they say.
+    /// Whether this holds where another record of the same thing is held. All holders decide alike,
+    /// whatever they heard first: two of equal rank, as of one heartbeat that two nodes have taken,
+    /// are told apart by what they say.
     pub(super) fn outranks(&self, other: &Value) -> bool {
         (self.rank(), self) > (other.rank(), other)
     }
--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -1,7 +1,9 @@
-//! The texts of a configuration one after the other: differences that are made once and sent to every holder that lags.
+//! The texts of a configuration one after the other: differences that are made once and sent to
+//! every holder that lags.
 //!
-//! Each step names the version that it starts from and the checksum of what it leads to, so that a holder whose text has
-//! moved on since it asked takes from an answer just the steps that follow its own text.
+//! Each step names the version that it starts from and the checksum of what it leads to, so that a
+//! holder whose text has moved on since it asked takes from an answer just the steps that follow
+//! its own text.
 
 use crate::delta::{Piece, difference, restore};
 use serde::{Deserialize, Serialize};
@@ -23,7 +25,12 @@
 impl Step {
     fn between(base: (u64, &[u8]), version: u64, text: &[u8]) -> Self {
         let pieces = difference(base.1, text);
-        Step { base: base.0, version, pieces, checksum: crc32fast::hash(text) }
+        Step {
+            base: base.0,
+            version,
+            pieces,
+            checksum: crc32fast::hash(text),
+        }
     }
 
     /// How many bytes it takes to send, about.
@@ -112,12 +119,16 @@
         }
     }
 
-    /// What the holder of version `base` lacks: steps where these are fewer bytes than the text, else the text.
+    /// What the holder of version `base` lacks: steps where these are fewer bytes than the text,
+    /// else the text.
     pub fn news_for(&self, base: u64) -> Option<News> {
         if self.version == 0 || base == self.version {
             return None;
         }
-        let whole = || News::Whole { version: self.version, text: self.text.clone() };
+        let whole = || News::Whole {
+            version: self.version,
+            text: self.text.clone(),
+        };
         let Some(first) = self.steps.iter().position(|step| step.base == base) else {
             return Some(whole());
         };
@@ -151,8 +162,11 @@
 fn follow(text: &[u8], steps: &[Step]) -> Result<Vec<u8>, Misfit> {
     let mut text = text.to_vec();
     for step in steps {
-        let next = restore(&text, &step.pieces).filter(|next| crc32fast::hash(next) == step.checksum);
-        text = next.ok_or(Misfit::Checksum { version: step.version })?;
+        let next =
+            restore(&text, &step.pieces).filter(|next| crc32fast::hash(next) == step.checksum);
+        text = next.ok_or(Misfit::Checksum {
+            version: step.version,
+        })?;
     }
     Ok(text)
 }
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,8 +1,9 @@
 //! Control state of a router fleet, without I/O, clocks or randomness.
 //!
-//! The program feeds these types with messages, times and finished disk writes, and carries out the effects they
-//! return. Durable state (configuration, weight versions) is replicated from a primary to its backups; witnesses
-//! store only epochs and decide failover. Soft state (backends, members) spreads by version vectors.
+//! The program feeds these types with messages, times and finished disk writes, and carries out the
+//! effects they return. Durable state (configuration, weight versions) is replicated from a primary
+//! to its backups; witnesses store only epochs and decide failover. Soft state (backends, members)
+//! spreads by version vectors.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/control/src/message.rs
+++ b/control/src/message.rs
@@ -15,7 +15,8 @@
     pub life: Life,
     /// Who it is for; a replica that lost its disk doesn't take what was sent to the former one.
     pub to: ReplicaId,
-    /// Where it is an answer: in which life the receiver asked. An answer to a former process is dropped.
+    /// Where it is an answer: in which life the receiver asked. An answer to a former process is
+    /// dropped.
     pub answers: Option<Life>,
     /// What it says.
     pub message: Message,
@@ -39,7 +40,8 @@
         epoch: Epoch,
         /// Rises with each round of heartbeats of a life, to come back with the reply.
         round: u64,
-        /// The last change that is committed; none where the primary does not know that it is the newest.
+        /// The last change that is committed; none where the primary does not know that it is the
+        /// newest.
         committed: Option<Position>,
         /// When the receiver sent the last reply that the primary has got.
         echo: Option<Echo>,
@@ -52,7 +54,8 @@
         round: u64,
         /// Whether the lease is granted.
         granted: bool,
-        /// The newest view that the replier knows to be decided, where it is another one than the heartbeat's.
+        /// The newest view that the replier knows to be decided, where it is another one than the
+        /// heartbeat's.
         other_view: Option<View>,
         /// Whether the replier does not know the heartbeat's view.
         wants_view: bool,
@@ -138,7 +141,8 @@
         /// The last change that it knows to be committed.
         committed: Position,
     },
-    /// A replica whose process is about to end asks to be taken out, so that no change waits for it.
+    /// A replica whose process is about to end asks to be taken out, so that no change waits for
+    /// it.
     Leave {
         /// The epoch.
         epoch: Epoch,
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -1,10 +1,11 @@
 //! One replica of the control state: primary or backup, and witness.
 //!
-//! The primary orders one change at a time. A change is acknowledged once every in-sync replica has stored it; a
-//! replica that falls silent is taken out of the in-sync set by a new view, and taken in again once it has caught
-//! up. Only an in-sync replica may become primary, so every acknowledged change outlives a failover. The lease that
-//! a majority of witnesses grants makes singleton work exclusive; whatever else is answered without a change being stored
-//! is confirmed by a majority after the call came.
+//! The primary orders one change at a time. A change is acknowledged once every in-sync replica has
+//! stored it; a replica that falls silent is taken out of the in-sync set by a new view, and taken
+//! in again once it has caught up. Only an in-sync replica may become primary, so every
+//! acknowledged change outlives a failover. The lease that a majority of witnesses grants makes
+//! singleton work exclusive; whatever else is answered without a change being stored is confirmed
+//! by a majority after the call came.
 
 mod backlog;
 mod calls;
@@ -142,8 +143,15 @@
         let view = recovered.votes.decided.as_ref();
         // The primary on file asks for its role back at once; others wait for it.
         let own = view.is_some_and(|view| view.primary == identity.id);
-        let role = if view.is_some() { Role::Backup } else { Role::Outside };
-        let last = recovered.tail.as_ref().map_or(recovered.state.position, |tail| tail.position);
+        let role = if view.is_some() {
+            Role::Backup
+        } else {
+            Role::Outside
+        };
+        let last = recovered
+            .tail
+            .as_ref()
+            .map_or(recovered.state.position, |tail| tail.position);
         let mut node = ControlNode {
             witness: Witness::new(recovered.votes, identity.may_found, timing.lease, now),
             role,
@@ -217,8 +225,8 @@
         }
     }
 
-    /// Whether this replica is the primary, is in step with its backups and holds the lease at `now`; then singleton work
-    /// may be done under the epoch as fencing token.
+    /// Whether this replica is the primary, is in step with its backups and holds the lease at
+    /// `now`; then singleton work may be done under the epoch as fencing token.
     pub fn leads(&self, now: Millis) -> Option<Epoch> {
         self.lease(now).map(|(epoch, _)| epoch)
     }
@@ -236,12 +244,18 @@
 
     fn lease_until(&self, primary: &Primary) -> Millis {
         let lasts = self.timing.lease - self.timing.lease_margin;
-        self.view().map_or(0, |view| primary.lease.until(view, lasts))
+        self.view()
+            .map_or(0, |view| primary.lease.until(view, lasts))
     }
 
-    /// When the committed state here was the newest for certain: this replica led, or its primary did and knew it then.
+    /// When the committed state here was the newest for certain: this replica led, or its primary
+    /// did and knew it then.
     pub fn current_at(&self, now: Millis) -> Option<Millis> {
-        if self.leads(now).is_some() { Some(now) } else { self.current_at }
+        if self.leads(now).is_some() {
+            Some(now)
+        } else {
+            self.current_at
+        }
     }
 
     /// Other replicas that are known to exist, of which one may be asked to be taken in.
@@ -257,7 +271,10 @@
     /// A change that a caller asks for; the outcome comes as an effect.
     pub fn submit(&mut self, ticket: Ticket, change: Change, now: Millis) {
         if !matches!(self.role, Role::Primary(_)) {
-            self.effects.push(Effect::Reply { ticket, outcome: Outcome::Unknown });
+            self.effects.push(Effect::Reply {
+                ticket,
+                outcome: Outcome::Unknown,
+            });
             return;
         }
         self.calls.submit(ticket, change, now);
@@ -268,7 +285,10 @@
     /// A caller asks for the newest configuration; the answer comes as an effect.
     pub fn read(&mut self, ticket: Ticket, now: Millis) {
         if !matches!(self.role, Role::Primary(_)) {
-            self.effects.push(Effect::Read { ticket, reading: Reading::Unknown });
+            self.effects.push(Effect::Read {
+                ticket,
+                reading: Reading::Unknown,
+            });
             return;
         }
         self.calls.read(ticket, now);
@@ -286,7 +306,9 @@
 
     /// A message from another replica.
     pub fn receive(&mut self, envelope: Envelope, now: Millis) {
-        let is_late = envelope.answers.is_some_and(|life| life != self.identity.life);
+        let is_late = envelope
+            .answers
+            .is_some_and(|life| life != self.identity.life);
         if envelope.to == self.identity.id && !is_late {
             self.inbox.push_back(envelope);
             self.work(now);
@@ -306,7 +328,8 @@
         self.work(now);
     }
 
-    // ---- state changes -------------------------------------------------------------------------------------
+    // ---- state changes
+    // -------------------------------------------------------------------------------------
 
     /// The one place where the role changes.
     fn enter(&mut self, role: Role, cause: &'static str) {
@@ -316,12 +339,19 @@
         if was_primary && !matches!(self.role, Role::Primary(_)) {
             // Whoever waits can't be told what will become of its call.
             self.tail_ticket.take().into_iter().for_each(|ticket| {
-                self.effects.push(Effect::Reply { ticket, outcome: Outcome::Unknown });
+                self.effects.push(Effect::Reply {
+                    ticket,
+                    outcome: Outcome::Unknown,
+                });
             });
             self.effects.extend(self.calls.give_up());
         }
         if self.role() != before {
-            self.effects.push(Effect::Entered { role: self.role(), epoch: self.epoch(), cause });
+            self.effects.push(Effect::Entered {
+                role: self.role(),
+                epoch: self.epoch(),
+                cause,
+            });
         }
     }
 
@@ -331,11 +361,16 @@
             primary.stage = stage;
         }
         if self.role() != before {
-            self.effects.push(Effect::Entered { role: self.role(), epoch: self.epoch(), cause });
+            self.effects.push(Effect::Entered {
+                role: self.role(),
+                epoch: self.epoch(),
+                cause,
+            });
         }
     }
 
-    // ---- messages ------------------------------------------------------------------------------------------
+    // ---- messages
+    // ------------------------------------------------------------------------------------------
 
     /// Handles what this replica has said to itself, and what came from others.
     fn work(&mut self, now: Millis) {
@@ -348,29 +383,68 @@
     }
 
     fn handle(&mut self, envelope: Envelope, now: Millis) {
-        let Envelope { from, life, message, .. } = envelope;
-        let asker = Asker { replica: from.clone(), life };
+        let Envelope {
+            from,
+            life,
+            message,
+            ..
+        } = envelope;
+        let asker = Asker {
+            replica: from.clone(),
+            life,
+        };
         match message {
-            Message::Heartbeat { epoch, round, committed, echo } => {
+            Message::Heartbeat {
+                epoch,
+                round,
+                committed,
+                echo,
+            } => {
                 self.on_heartbeat(asker, epoch, round, committed, echo, now);
             }
-            Message::HeartbeatReply { epoch, round, granted, other_view, wants_view, sent_at } => {
-                let reply = views::HeartbeatAnswer { round, granted, other_view, wants_view, sent_at, life };
+            Message::HeartbeatReply {
+                epoch,
+                round,
+                granted,
+                other_view,
+                wants_view,
+                sent_at,
+            } => {
+                let reply = views::HeartbeatAnswer {
+                    round,
+                    granted,
+                    other_view,
+                    wants_view,
+                    sent_at,
+                    life,
+                };
                 self.on_heartbeat_reply(from, epoch, reply, now);
             }
             Message::Prepare { current, ballot } => self.on_prepare(asker, current, ballot, now),
             Message::PrepareReply { ballot, vote } => self.on_vote(&from, &ballot, vote, now),
             Message::Accept { current, proposal } => self.on_accept(asker, current, proposal, now),
-            Message::AcceptReply { ballot, answer } => self.on_accept_reply(&from, &ballot, answer, now),
+            Message::AcceptReply { ballot, answer } => {
+                self.on_accept_reply(&from, &ballot, answer, now)
+            }
             Message::Decided { view } => self.learn(view, now),
             Message::Synchronize { epoch } => self.on_synchronize(asker, epoch),
-            Message::Holds { epoch, last, committed } => {
+            Message::Holds {
+                epoch,
+                last,
+                committed,
+            } => {
                 if epoch == self.epoch() {
                     self.on_holds(from, last, committed, now);
                 }
             }
-            Message::Install { epoch, state, tail } => self.on_install(asker, epoch, state, tail, now),
-            Message::Replicate { epoch, previous, updates } => {
+            Message::Install { epoch, state, tail } => {
+                self.on_install(asker, epoch, state, tail, now)
+            }
+            Message::Replicate {
+                epoch,
+                previous,
+                updates,
+            } => {
                 self.on_replicate(asker, epoch, previous, updates, now);
             }
             Message::Committed { epoch, position } => {
@@ -386,12 +460,21 @@
 
     fn others(&self) -> Vec<ReplicaId> {
         let participants = self.view().map(View::participants).unwrap_or_default();
-        participants.into_iter().filter(|replica| *replica != self.identity.id).collect()
+        participants
+            .into_iter()
+            .filter(|replica| *replica != self.identity.id)
+            .collect()
     }
 
     fn envelope(&self, to: ReplicaId, answers: Option<Life>, message: Message) -> Envelope {
         let Identity { id, life, .. } = &self.identity;
-        Envelope { from: id.clone(), life: *life, to, answers, message }
+        Envelope {
+            from: id.clone(),
+            life: *life,
+            to,
+            answers,
+            message,
+        }
     }
 
     /// Sends a message that answers nothing.
@@ -421,7 +504,11 @@
     }
 
     fn release(&mut self) {
-        while self.held.front().is_some_and(|(after, _)| *after <= self.durable) {
+        while self
+            .held
+            .front()
+            .is_some_and(|(after, _)| *after <= self.durable)
+        {
             if let Some((_, envelope)) = self.held.pop_front() {
                 self.dispatch(envelope);
             }
@@ -433,7 +520,10 @@
             self.waiting_since = now;
         }
         self.made += 1;
-        self.effects.push(Effect::Store { sequence: self.made, records });
+        self.effects.push(Effect::Store {
+            sequence: self.made,
+            records,
+        });
     }
 
     fn store_votes(&mut self, now: Millis) {
@@ -446,11 +536,14 @@
     }
 
     fn last(&self) -> Position {
-        self.tail.as_ref().map_or(self.state.position, |tail| tail.position)
+        self.tail
+            .as_ref()
+            .map_or(self.state.position, |tail| tail.position)
     }
 
     fn is_primary_of(&self, replica: &ReplicaId, epoch: Epoch) -> bool {
-        self.view().is_some_and(|view| view.epoch == epoch && view.primary == *replica)
+        self.view()
+            .is_some_and(|view| view.epoch == epoch && view.primary == *replica)
     }
 }
 
--- a/control/src/node/backlog.rs
+++ b/control/src/node/backlog.rs
@@ -32,18 +32,27 @@
 impl Backlog {
     /// Nothing is known of the changes up to `last`.
     pub(super) fn new(last: Position) -> Self {
-        Backlog { last, steps: VecDeque::new(), bytes: 0 }
+        Backlog {
+            last,
+            steps: VecDeque::new(),
+            bytes: 0,
+        }
     }
 
     /// Takes the next change.
     pub(super) fn push(&mut self, update: &Update) {
-        let step = Step { previous: self.last, update: update.clone() };
+        let step = Step {
+            previous: self.last,
+            update: update.clone(),
+        };
         self.last = update.position;
         self.bytes += step.bytes();
         self.steps.push_back(step);
         // The newest one stays whatever its size, as it is still being stored elsewhere.
         while self.steps.len() > 1 && (self.steps.len() > MOST_UPDATES || self.bytes > MOST_BYTES) {
-            let Some(oldest) = self.steps.pop_front() else { return };
+            let Some(oldest) = self.steps.pop_front() else {
+                return;
+            };
             self.bytes -= oldest.bytes();
         }
     }
@@ -53,7 +62,9 @@
         let first = if position == self.last {
             self.steps.len()
         } else {
-            self.steps.iter().position(|step| step.previous == position)?
+            self.steps
+                .iter()
+                .position(|step| step.previous == position)?
         };
         Some(self.steps.range(first..))
     }
--- a/control/src/node/calls.rs
+++ b/control/src/node/calls.rs
@@ -1,8 +1,9 @@
 //! Callers that wait: changes that are not ordered yet, and answers that a majority has to confirm.
 //!
-//! A change that is stored proves by itself that this replica is the primary: every in-sync replica has taken it. An answer
-//! without one (a refusal, a change made before, the newest configuration) proves nothing, so it waits for a round of
-//! heartbeats that began after the call came, and that a majority of the witnesses granted.
+//! A change that is stored proves by itself that this replica is the primary: every in-sync replica
+//! has taken it. An answer without one (a refusal, a change made before, the newest configuration)
+//! proves nothing, so it waits for a round of heartbeats that began after the call came, and that a
+//! majority of the witnesses granted.
 
 use super::primary::Stage;
 use super::{ControlNode, Effect, Role, Ticket};
@@ -28,8 +29,14 @@
 impl Answer {
     fn unknown(ticket: Ticket, answer: &Answer) -> Effect {
         match answer {
-            Answer::Outcome(_) => Effect::Reply { ticket, outcome: Outcome::Unknown },
-            Answer::Reading => Effect::Read { ticket, reading: Reading::Unknown },
+            Answer::Outcome(_) => Effect::Reply {
+                ticket,
+                outcome: Outcome::Unknown,
+            },
+            Answer::Reading => Effect::Read {
+                ticket,
+                reading: Reading::Unknown,
+            },
         }
     }
 }
@@ -53,18 +60,32 @@
 
 impl Calls {
     pub(super) fn submit(&mut self, ticket: Ticket, change: Change, now: Millis) {
-        self.changes.push_back(Waiting { ticket, change, since: now });
+        self.changes.push_back(Waiting {
+            ticket,
+            change,
+            since: now,
+        });
     }
 
     pub(super) fn read(&mut self, ticket: Ticket, now: Millis) {
-        self.unconfirmed.push(Unconfirmed { ticket, answer: Answer::Reading, since: now, round: None });
+        self.unconfirmed.push(Unconfirmed {
+            ticket,
+            answer: Answer::Reading,
+            since: now,
+            round: None,
+        });
     }
 
     /// A change was judged without being made.
     pub(super) fn judged(&mut self, waiting: Waiting, outcome: Outcome) {
         let Waiting { ticket, since, .. } = waiting;
         let answer = Answer::Outcome(outcome);
-        self.unconfirmed.push(Unconfirmed { ticket, answer, since, round: None });
+        self.unconfirmed.push(Unconfirmed {
+            ticket,
+            answer,
+            since,
+            round: None,
+        });
     }
 
     pub(super) fn next_change(&mut self) -> Option<Waiting> {
@@ -94,14 +115,27 @@
     /// Takes out those that have waited too long, and says what they are told.
     fn expire(&mut self, now: Millis, patience: Millis) -> Vec<Effect> {
         let is_late = |since: Millis| now >= since.saturating_add(patience);
-        let late = self.changes.iter().take_while(|waiting| is_late(waiting.since)).count();
+        let late = self
+            .changes
+            .iter()
+            .take_while(|waiting| is_late(waiting.since))
+            .count();
         let late = self.changes.drain(..late);
-        let mut told: Vec<Effect> =
-            late.map(|waiting| Effect::Reply { ticket: waiting.ticket, outcome: Outcome::Unknown }).collect();
+        let mut told: Vec<Effect> = late
+            .map(|waiting| Effect::Reply {
+                ticket: waiting.ticket,
+                outcome: Outcome::Unknown,
+            })
+            .collect();
         let unconfirmed = std::mem::take(&mut self.unconfirmed);
-        let (late, left): (Vec<_>, Vec<_>) = unconfirmed.into_iter().partition(|call| is_late(call.since));
+        let (late, left): (Vec<_>, Vec<_>) = unconfirmed
+            .into_iter()
+            .partition(|call| is_late(call.since));
         self.unconfirmed = left;
-        told.extend(late.into_iter().map(|call| Answer::unknown(call.ticket, &call.answer)));
+        told.extend(
+            late.into_iter()
+                .map(|call| Answer::unknown(call.ticket, &call.answer)),
+        );
         told
     }
 
@@ -114,7 +148,8 @@
 impl ControlNode {
     /// Has a majority confirm what is to be answered, and answers what is confirmed.
     pub(super) fn confirm_calls(&mut self, now: Millis) {
-        // Until this replica is in step with its backups it does not know what an earlier primary has acknowledged.
+        // Until this replica is in step with its backups it does not know what an earlier primary
+        // has acknowledged.
         if !self.knows_what_is_committed() {
             return;
         }
@@ -122,8 +157,12 @@
             let round = self.send_heartbeats(now);
             self.calls.wait_for(round);
         }
-        let Role::Primary(primary) = &self.role else { return };
-        let Some(confirmed) = self.view().and_then(|view| primary.lease.confirmed(view)) else { return };
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
+        let Some(confirmed) = self.view().and_then(|view| primary.lease.confirmed(view)) else {
+            return;
+        };
         for call in self.calls.confirmed_by(confirmed) {
             let ticket = call.ticket;
             let effect = match call.answer {
--- a/control/src/node/lease.rs
+++ b/control/src/node/lease.rs
@@ -1,8 +1,8 @@
 //! What a primary knows of its lease: which witness granted which of its heartbeats.
 //!
-//! A grant binds its witness for the time of a lease from when it answered, so it counts from when the heartbeat was sent.
-//! Grants are kept through later views of the same primary, as they bind the witness and not the view; a view counts those of
-//! its own witnesses only.
+//! A grant binds its witness for the time of a lease from when it answered, so it counts from when
+//! the heartbeat was sent. Grants are kept through later views of the same primary, as they bind
+//! the witness and not the view; a view counts those of its own witnesses only.
 
 use crate::Millis;
 use crate::view::{ReplicaId, View};
@@ -36,11 +36,13 @@
         *newest = round.max(*newest);
     }
 
-    /// The newest round that a majority of a view's witnesses has granted, this or a later one each.
+    /// The newest round that a majority of a view's witnesses has granted, this or a later one
+    /// each.
     pub(super) fn confirmed(&self, view: &View) -> Option<u64> {
         let witnesses = view.witnesses.iter();
-        let mut rounds: Vec<u64> =
-            witnesses.filter_map(|witness| self.granted.get(witness).copied()).collect();
+        let mut rounds: Vec<u64> = witnesses
+            .filter_map(|witness| self.granted.get(witness).copied())
+            .collect();
         rounds.sort_unstable_by(|one, other| other.cmp(one));
         rounds.get(view.majority() - 1).copied()
     }
--- a/control/src/node/membership.rs
+++ b/control/src/node/membership.rs
@@ -1,7 +1,7 @@
 //! Changes of members: founding, joining, leaving, and taking out who has fallen silent.
 //!
-//! The in-sync set never gets smaller than the number of copies that a change needs: a member goes only where as many copies
-//! stand without it. One joiner is taken in at a time.
+//! The in-sync set never gets smaller than the number of copies that a change needs: a member goes
+//! only where as many copies stand without it. One joiner is taken in at a time.
 
 use super::primary::with_joiner;
 use super::{ControlNode, Role};
@@ -13,21 +13,36 @@
 use std::collections::BTreeSet;
 
 impl ControlNode {
-    /// Has the first view decided by a majority of the electorate: the replicas at the addresses that every node of a new
-    /// system was told. Several of them may do this; one view is decided.
-    pub fn found(&mut self, electorate: BTreeSet<ReplicaId>, replicas: BTreeSet<ReplicaId>, now: Millis) {
-        let Some(current) = View::founding(electorate) else { return };
-        let Some(primary) = replicas.first().cloned() else { return };
+    /// Has the first view decided by a majority of the electorate: the replicas at the addresses
+    /// that every node of a new system was told. Several of them may do this; one view is decided.
+    pub fn found(
+        &mut self,
+        electorate: BTreeSet<ReplicaId>,
+        replicas: BTreeSet<ReplicaId>,
+        now: Millis,
+    ) {
+        let Some(current) = View::founding(electorate) else {
+            return;
+        };
+        let Some(primary) = replicas.first().cloned() else {
+            return;
+        };
         if !self.identity.may_found || self.view().is_some() || self.attempt.is_some() {
             return;
         }
         let epoch = FOUNDING_EPOCH + 1;
-        let wanted = View { epoch, primary, in_sync: replicas.clone(), witnesses: replicas };
+        let wanted = View {
+            epoch,
+            primary,
+            in_sync: replicas.clone(),
+            witnesses: replicas,
+        };
         self.attempt_view(current, wanted, Intent::Change, now);
         self.work(now);
     }
 
-    /// The process is about to end: a primary hands its role over, and the others are asked to go on without this replica.
+    /// The process is about to end: a primary hands its role over, and the others are asked to go
+    /// on without this replica.
     pub fn leave(&mut self, now: Millis) {
         self.leaving = true;
         self.resign("the process is about to end", now);
@@ -38,19 +53,27 @@
 
     /// Whether the process may end without a change waiting for it, or a copy being the last one.
     pub fn may_end(&self) -> bool {
-        self.view().is_none_or(|view| !view.in_sync.contains(self.id()))
+        self.view()
+            .is_none_or(|view| !view.in_sync.contains(self.id()))
     }
 
-    /// A replica that does not store every change asks the primary, or whoever is known, to be taken in; one whose process is
-    /// about to end asks to be taken out.
+    /// A replica that does not store every change asks the primary, or whoever is known, to be
+    /// taken in; one whose process is about to end asks to be taken out.
     pub(super) fn tick_member(&mut self, now: Millis) {
         if now < self.join_at || self.storage_is_stuck(now) {
             return;
         }
-        let is_in_sync = self.view().is_some_and(|view| view.in_sync.contains(self.id()));
+        let is_in_sync = self
+            .view()
+            .is_some_and(|view| view.in_sync.contains(self.id()));
         let message = match (self.leaving, is_in_sync) {
-            (true, true) => Message::Leave { epoch: self.epoch() },
-            (false, false) => Message::Join { last: self.last(), committed: self.state.position },
+            (true, true) => Message::Leave {
+                epoch: self.epoch(),
+            },
+            (false, false) => Message::Join {
+                last: self.last(),
+                committed: self.state.position,
+            },
             _ => return,
         };
         self.join_at = now + self.timing.join_interval;
@@ -62,9 +85,23 @@
         }
     }
 
-    pub(super) fn on_join(&mut self, from: ReplicaId, last: Position, committed: Position, now: Millis) {
-        let Some(view) = self.view().filter(|view| !view.in_sync.contains(&from)).cloned() else { return };
-        let Role::Primary(primary) = &mut self.role else { return };
+    pub(super) fn on_join(
+        &mut self,
+        from: ReplicaId,
+        last: Position,
+        committed: Position,
+        now: Millis,
+    ) {
+        let Some(view) = self
+            .view()
+            .filter(|view| !view.in_sync.contains(&from))
+            .cloned()
+        else {
+            return;
+        };
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         primary.joiners.insert(from.clone(), now);
         primary.leaving.remove(&from);
         self.send(from.clone(), Message::Decided { view });
@@ -81,14 +118,18 @@
         }
     }
 
-    /// Asks for another view where replicas have fallen silent or are leaving, or another one has caught up.
+    /// Asks for another view where replicas have fallen silent or are leaving, or another one has
+    /// caught up.
     pub(super) fn reconsider_view(&mut self, now: Millis) {
         if self.attempt.is_some() || now < self.retry_at {
             return;
         }
-        let Some(view) = self.view().cloned() else { return };
+        let Some(view) = self.view().cloned() else {
+            return;
+        };
         let wanted = self.wanted_view(&view, now);
-        // A proposal that was given up may still be decided by others: the next view, even the same one, ends that.
+        // A proposal that was given up may still be decided by others: the next view, even the same
+        // one, ends that.
         let has_open_proposal = !self.required_copies().is_subset(&view.in_sync);
         if wanted != view || has_open_proposal {
             self.attempt_view(view, wanted, Intent::Change, now);
@@ -98,15 +139,21 @@
     /// The view that this primary would work in.
     fn wanted_view(&self, view: &View, now: Millis) -> View {
         let mut wanted = view.clone();
-        let Role::Primary(primary) = &self.role else { return wanted };
-        let (own, silence, witness_silence) = (self.id(), self.timing.silence, self.timing.witness_silence);
+        let Role::Primary(primary) = &self.role else {
+            return wanted;
+        };
+        let (own, silence, witness_silence) =
+            (self.id(), self.timing.silence, self.timing.witness_silence);
         let silent = primary.unresponsive(view, own, silence, now);
         let idle = |wanted: &View| primary.silent_witness(wanted, own, witness_silence, now);
         let joiner = primary.caught_up(self.last(), self.state.position, silence, now);
         if let Some(joiner) = &joiner {
             wanted.in_sync.insert(joiner.clone());
         }
-        let leaving = primary.leaving.iter().filter(|member| !silent.contains(*member));
+        let leaving = primary
+            .leaving
+            .iter()
+            .filter(|member| !silent.contains(*member));
         for member in silent.iter().chain(leaving) {
             if wanted.in_sync.len() > self.needed_copies() {
                 wanted.in_sync.remove(member);
--- a/control/src/node/primary.rs
+++ b/control/src/node/primary.rs
@@ -11,11 +11,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Stage {
     /// Bringing its backups to its own state.
-    Starting { since: Millis, synced: BTreeSet<ReplicaId> },
+    Starting {
+        since: Millis,
+        synced: BTreeSet<ReplicaId>,
+    },
     /// Nothing is under way.
     Ready,
     /// A change is being stored everywhere.
-    Replicating { since: Millis, stored: BTreeSet<ReplicaId> },
+    Replicating {
+        since: Millis,
+        stored: BTreeSet<ReplicaId>,
+    },
 }
 
 /// What a replica stores, and what it was sent to store more.
@@ -49,8 +55,9 @@
     pub(super) transfers: BTreeMap<ReplicaId, Transfer>,
     /// Replicas outside the in-sync set that ask to be taken in, with when they last did.
     pub(super) joiners: BTreeMap<ReplicaId, Millis>,
-    /// The in-sync set of the newest view that this primary proposed in the present epoch. As the proposal may be decided
-    /// by whoever finds it, also after it was given up here, nothing is acknowledged without these.
+    /// The in-sync set of the newest view that this primary proposed in the present epoch. As the
+    /// proposal may be decided by whoever finds it, also after it was given up here, nothing is
+    /// acknowledged without these.
     pub(super) proposed: BTreeSet<ReplicaId>,
     /// Replicas whose processes are about to end.
     pub(super) leaving: BTreeSet<ReplicaId>,
@@ -62,7 +69,10 @@
 impl Primary {
     pub(super) fn new(lease: Lease, heard: BTreeMap<ReplicaId, Heard>, now: Millis) -> Self {
         Primary {
-            stage: Stage::Starting { since: now, synced: BTreeSet::new() },
+            stage: Stage::Starting {
+                since: now,
+                synced: BTreeSet::new(),
+            },
             since: now,
             lease,
             heard,
@@ -76,14 +86,21 @@
     }
 
     pub(super) fn hear(&mut self, from: &ReplicaId, now: Millis) {
-        self.heard.entry(from.clone()).or_insert(Heard { at: now, echo: None }).at = now;
+        self.heard
+            .entry(from.clone())
+            .or_insert(Heard {
+                at: now,
+                echo: None,
+            })
+            .at = now;
     }
 
     pub(super) fn last_heard(&self, replica: &ReplicaId) -> Millis {
         self.heard.get(replica).map_or(self.since, |heard| heard.at)
     }
 
-    /// In-sync replicas that were not heard, or have not stored what they were sent, for longer than `patience`.
+    /// In-sync replicas that were not heard, or have not stored what they were sent, for longer
+    /// than `patience`.
     pub(super) fn unresponsive(
         &self,
         view: &View,
@@ -92,17 +109,25 @@
         now: Millis,
     ) -> BTreeSet<ReplicaId> {
         let is_late = |replica: &ReplicaId| match &self.stage {
-            Stage::Starting { since, synced } => now >= since + patience && !synced.contains(replica),
-            Stage::Replicating { since, stored } => now >= since + patience && !stored.contains(replica),
+            Stage::Starting { since, synced } => {
+                now >= since + patience && !synced.contains(replica)
+            }
+            Stage::Replicating { since, stored } => {
+                now >= since + patience && !stored.contains(replica)
+            }
             Stage::Ready => false,
         };
         let others = view.in_sync.iter().filter(|replica| *replica != own);
-        others.filter(|r| now >= self.last_heard(r) + patience || is_late(r)).cloned().collect()
+        others
+            .filter(|r| now >= self.last_heard(r) + patience || is_late(r))
+            .cloned()
+            .collect()
     }
 
-    /// A replica that asks to be taken in, was heard lately, and stores everything that may have been acknowledged. While this
-    /// primary starts, that is its last change, which an earlier primary may have acknowledged; later the last committed one,
-    /// as what is under way was sent to the joiner too.
+    /// A replica that asks to be taken in, was heard lately, and stores everything that may have
+    /// been acknowledged. While this primary starts, that is its last change, which an earlier
+    /// primary may have acknowledged; later the last committed one, as what is under way was sent
+    /// to the joiner too.
     pub(super) fn caught_up(
         &self,
         last: Position,
@@ -113,11 +138,19 @@
         let is_here = |at: Millis| now < at + patience;
         let is_starting = matches!(self.stage, Stage::Starting { .. });
         let is_in_step = |replica: &ReplicaId| {
-            let holds = self.transfers.get(replica).and_then(|transfer| transfer.holds);
+            let holds = self
+                .transfers
+                .get(replica)
+                .and_then(|transfer| transfer.holds);
             holds.is_some_and(|holds| holds == last || !is_starting && holds == committed)
         };
-        let mut joiners = self.joiners.iter().filter(|(replica, at)| is_here(**at) && is_in_step(replica));
-        joiners.find(|(replica, _)| !self.leaving.contains(*replica)).map(|(replica, _)| replica.clone())
+        let mut joiners = self
+            .joiners
+            .iter()
+            .filter(|(replica, at)| is_here(**at) && is_in_step(replica));
+        joiners
+            .find(|(replica, _)| !self.leaving.contains(*replica))
+            .map(|(replica, _)| replica.clone())
     }
 
     /// A witness outside the in-sync set that was not heard for so long, or is about to end.
@@ -128,17 +161,25 @@
         silence: Millis,
         now: Millis,
     ) -> Option<ReplicaId> {
-        let mut idle = wanted.witnesses.difference(&wanted.in_sync).filter(|witness| *witness != own);
-        idle.find(|witness| now >= self.last_heard(witness) + silence).cloned()
+        let mut idle = wanted
+            .witnesses
+            .difference(&wanted.in_sync)
+            .filter(|witness| *witness != own);
+        idle.find(|witness| now >= self.last_heard(witness) + silence)
+            .cloned()
     }
 }
 
-/// A view with one more in-sync replica. It takes the place of a former disk of the same machine; a new machine takes that of
-/// a witness that has fallen silent, so that the next loss does not meet a majority that counts the dead.
+/// A view with one more in-sync replica. It takes the place of a former disk of the same machine; a
+/// new machine takes that of a witness that has fallen silent, so that the next loss does not meet
+/// a majority that counts the dead.
 pub(super) fn with_joiner(mut view: View, replica: &ReplicaId, silent: Option<ReplicaId>) -> View {
     // Two processes can't have one address, so the former one has ended and its disk is gone.
     let is_former = |other: &ReplicaId| other.address == replica.address && other != replica;
-    let has_place = view.witnesses.iter().any(|other| other == replica || is_former(other));
+    let has_place = view
+        .witnesses
+        .iter()
+        .any(|other| other == replica || is_former(other));
     view.in_sync.retain(|other| !is_former(other));
     view.witnesses.retain(|other| !is_former(other));
     if let Some(silent) = silent.filter(|_| !has_place) {
--- a/control/src/node/replication.rs
+++ b/control/src/node/replication.rs
@@ -23,25 +23,34 @@
 }
 
 impl ControlNode {
-    // ---- as primary ----------------------------------------------------------------------------------------
+    // ---- as primary
+    // ----------------------------------------------------------------------------------------
 
     /// Sends again what backups have not answered.
     pub(super) fn resend(&mut self, now: Millis) {
         let epoch = self.epoch();
         let Some(view) = self.view() else { return };
-        let Role::Primary(primary) = &self.role else { return };
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
         let is_pending = |done: &BTreeSet<ReplicaId>, replica: &&ReplicaId| {
             *replica != self.id() && !done.contains(*replica)
         };
         match &primary.stage {
             Stage::Starting { synced, .. } => {
-                let pending = view.in_sync.iter().filter(|replica| is_pending(synced, replica));
+                let pending = view
+                    .in_sync
+                    .iter()
+                    .filter(|replica| is_pending(synced, replica));
                 for replica in pending.cloned().collect::<Vec<_>>() {
                     self.send(replica, Message::Synchronize { epoch });
                 }
             }
             Stage::Replicating { stored, .. } => {
-                let pending = view.in_sync.iter().filter(|replica| is_pending(stored, replica));
+                let pending = view
+                    .in_sync
+                    .iter()
+                    .filter(|replica| is_pending(stored, replica));
                 for replica in pending.cloned().collect::<Vec<_>>() {
                     let before = self.before_tail();
                     self.bring_up(&replica, before, now);
@@ -53,23 +62,35 @@
 
     /// This replica counts among those in step once what it holds is on its own disk.
     pub(super) fn synchronize_own(&mut self) {
-        let own = Asker { replica: self.id().clone(), life: self.identity.life };
+        let own = Asker {
+            replica: self.id().clone(),
+            life: self.identity.life,
+        };
         self.tell_what_is_held(own);
     }
 
     /// What another replica stores, as it says.
-    pub(super) fn on_holds(&mut self, from: ReplicaId, last: Position, committed: Position, now: Millis) {
+    pub(super) fn on_holds(
+        &mut self,
+        from: ReplicaId,
+        last: Position,
+        committed: Position,
+        now: Millis,
+    ) {
         if !matches!(self.role, Role::Primary(_)) {
             return;
         }
-        // What one replica knows to be committed is committed: every replica that may lead stores it.
+        // What one replica knows to be committed is committed: every replica that may lead stores
+        // it.
         if self.commit_up_to(committed, now) {
             self.tell_committed();
         }
         self.note_holds(&from, last, now);
         let own_last = self.last();
         let is_in_sync = self.view().is_some_and(|view| view.in_sync.contains(&from));
-        let Role::Primary(primary) = &mut self.role else { return };
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         match &mut primary.stage {
             Stage::Starting { synced, .. } if last == own_last => {
                 synced.insert(from);
@@ -90,7 +111,9 @@
 
     fn note_holds(&mut self, replica: &ReplicaId, holds: Position, now: Millis) {
         let own_last = self.last();
-        let Role::Primary(primary) = &mut self.role else { return };
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         let transfer = primary.transfers.entry(replica.clone()).or_default();
         if transfer.holds != Some(holds) {
             transfer.holds = Some(holds);
@@ -107,7 +130,9 @@
         if *replica == *self.id() {
             return;
         }
-        let Role::Primary(primary) = &self.role else { return };
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
         let transfer = primary.transfers.get(replica).cloned().unwrap_or_default();
         let is_under_way =
             transfer.sent.is_some_and(|sent| sent != holds) && now < transfer.went_on_at + resend;
@@ -120,7 +145,14 @@
                 let sent = steps.last().map(|step| step.update.position);
                 let previous = steps.first().map_or(holds, |step| step.previous);
                 let updates = steps.into_iter().map(|step| step.update).collect();
-                self.send(replica.clone(), Message::Replicate { epoch, previous, updates });
+                self.send(
+                    replica.clone(),
+                    Message::Replicate {
+                        epoch,
+                        previous,
+                        updates,
+                    },
+                );
                 sent
             }
             Missing::Everything => {
@@ -131,14 +163,18 @@
             }
         };
         let is_whole = self.backlog.after(holds).is_none();
-        let Role::Primary(primary) = &mut self.role else { return };
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         let transfer = primary.transfers.entry(replica.clone()).or_default();
         (transfer.sent, transfer.went_on_at) = (sent, now);
         transfer.installs += u32::from(is_whole);
     }
 
     fn missing(&self, holds: Position) -> Missing {
-        let Some(steps) = self.backlog.after(holds) else { return Missing::Everything };
+        let Some(steps) = self.backlog.after(holds) else {
+            return Missing::Everything;
+        };
         let mut left = WINDOW_BYTES;
         let fits = |step: &&Step| {
             let is_first = left == WINDOW_BYTES;
@@ -148,10 +184,15 @@
             fits
         };
         let steps: Vec<Step> = steps.take_while(fits).cloned().collect();
-        if steps.is_empty() { Missing::Nothing } else { Missing::Steps(steps) }
+        if steps.is_empty() {
+            Missing::Nothing
+        } else {
+            Missing::Steps(steps)
+        }
     }
 
-    /// Holds changes back for a while where a replica that was sent everything once lacks everything again.
+    /// Holds changes back for a while where a replica that was sent everything once lacks
+    /// everything again.
     fn pause_for(&mut self, transfer: &Transfer, now: Millis) {
         /// So many whole states are sent without a pause.
         const FREE_INSTALLS: u32 = 1;
@@ -167,8 +208,12 @@
     /// Ends the start once every in-sync replica, this one too, has the same state on its disk.
     pub(super) fn finish_start(&mut self, now: Millis) {
         let Some(view) = self.view() else { return };
-        let Role::Primary(primary) = &self.role else { return };
-        let Stage::Starting { synced, .. } = &primary.stage else { return };
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
+        let Stage::Starting { synced, .. } = &primary.stage else {
+            return;
+        };
         if !self.required_copies().is_subset(synced) {
             return;
         }
@@ -182,10 +227,13 @@
         self.order_next(now);
     }
 
-    /// The replicas that have to store a change before it is acknowledged: those of the present view, and those of any view
-    /// that may come to follow it by this primary's doing.
+    /// The replicas that have to store a change before it is acknowledged: those of the present
+    /// view, and those of any view that may come to follow it by this primary's doing.
     pub(super) fn required_copies(&self) -> BTreeSet<ReplicaId> {
-        let mut required = self.view().map(|view| view.in_sync.clone()).unwrap_or_default();
+        let mut required = self
+            .view()
+            .map(|view| view.in_sync.clone())
+            .unwrap_or_default();
         if let Role::Primary(primary) = &self.role {
             required.extend(primary.proposed.iter().cloned());
         }
@@ -201,7 +249,8 @@
         self.finish_replication(now);
     }
 
-    /// How many replicas have to store a change. A system with fewer replicas than that works with what it has.
+    /// How many replicas have to store a change. A system with fewer replicas than that works with
+    /// what it has.
     pub(super) fn needed_copies(&self) -> usize {
         let possible = self.view().map_or(1, |view| view.witnesses.len());
         self.timing.copies.min(possible)
@@ -210,11 +259,15 @@
     /// Orders the next waiting change, if nothing else is under way.
     pub(super) fn order_next(&mut self, now: Millis) {
         while self.leads(now).is_some() && self.attempt.is_none() && !self.storage_is_stuck(now) {
-            let Role::Primary(primary) = &self.role else { return };
+            let Role::Primary(primary) = &self.role else {
+                return;
+            };
             if primary.stage != Stage::Ready || now < primary.paused_until {
                 return;
             }
-            let Some(waiting) = self.calls.next_change() else { return };
+            let Some(waiting) = self.calls.next_change() else {
+                return;
+            };
             match self.state.judge(&waiting.change) {
                 Some(outcome) => {
                     self.calls.judged(waiting, outcome);
@@ -227,16 +280,27 @@
 
     fn replicate(&mut self, waiting: Waiting, now: Millis) {
         let previous = self.last();
-        let position = Position { index: self.state.position.index + 1, epoch: self.epoch() };
-        let update = Update { position, change: waiting.change };
+        let position = Position {
+            index: self.state.position.index + 1,
+            epoch: self.epoch(),
+        };
+        let update = Update {
+            position,
+            change: waiting.change,
+        };
         self.tail_ticket = Some(waiting.ticket);
         self.keep(update, now);
         self.set_stage(
-            Stage::Replicating { since: now, stored: BTreeSet::new() },
+            Stage::Replicating {
+                since: now,
+                stored: BTreeSet::new(),
+            },
             "a change is being stored",
         );
         let mut receivers = self.required_copies();
-        let Role::Primary(primary) = &self.role else { return };
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
         receivers.extend(primary.joiners.keys().cloned());
         for replica in receivers {
             self.stream(&replica, previous);
@@ -247,10 +311,15 @@
     /// Sends the newest change to a replica that has, or has been sent, all before it.
     fn stream(&mut self, replica: &ReplicaId, previous: Position) {
         let (last, own) = (self.last(), self.id().clone());
-        let is_in_sync = self.view().is_some_and(|view| view.in_sync.contains(replica));
-        let Role::Primary(primary) = &mut self.role else { return };
+        let is_in_sync = self
+            .view()
+            .is_some_and(|view| view.in_sync.contains(replica));
+        let Role::Primary(primary) = &mut self.role else {
+            return;
+        };
         let transfer = primary.transfers.entry(replica.clone()).or_default();
-        let has_all = is_in_sync || transfer.holds == Some(previous) || transfer.sent == Some(previous);
+        let has_all =
+            is_in_sync || transfer.holds == Some(previous) || transfer.sent == Some(previous);
         if !has_all || *replica == own {
             return;
         }
@@ -258,7 +327,14 @@
         let epoch = self.epoch();
         if let Some(update) = self.tail.clone() {
             let updates = vec![update];
-            self.send(replica.clone(), Message::Replicate { epoch, previous, updates });
+            self.send(
+                replica.clone(),
+                Message::Replicate {
+                    epoch,
+                    previous,
+                    updates,
+                },
+            );
         }
     }
 
@@ -268,8 +344,12 @@
     }
 
     fn finish_replication(&mut self, now: Millis) {
-        let Role::Primary(primary) = &self.role else { return };
-        let Stage::Replicating { stored, .. } = &primary.stage else { return };
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
+        let Stage::Replicating { stored, .. } = &primary.stage else {
+            return;
+        };
         if self.required_copies().is_subset(stored) {
             self.set_stage(Stage::Ready, "the change is stored everywhere");
             self.commit_tail(now);
@@ -283,7 +363,10 @@
         let position = self.last();
         self.commit_up_to(position, now);
         if let Some(ticket) = self.tail_ticket.take() {
-            self.effects.push(Effect::Reply { ticket, outcome: Outcome::Done });
+            self.effects.push(Effect::Reply {
+                ticket,
+                outcome: Outcome::Done,
+            });
         }
         self.tell_committed();
     }
@@ -295,11 +378,14 @@
         }
     }
 
-    // ---- as any replica ------------------------------------------------------------------------------------
+    // ---- as any replica
+    // ------------------------------------------------------------------------------------
 
     /// Notes that the changes up to a position are committed. True where that is news.
     pub(super) fn commit_up_to(&mut self, position: Position, now: Millis) -> bool {
-        let Some(tail) = self.tail.take_if(|tail| tail.position == position) else { return false };
+        let Some(tail) = self.tail.take_if(|tail| tail.position == position) else {
+            return false;
+        };
         self.state.apply(&tail);
         self.note_order_holder(now);
         self.effects.push(Effect::Committed);
@@ -316,7 +402,14 @@
     /// Tells the primary what is stored here, once it is on disk.
     fn tell_what_is_held(&mut self, asker: Asker) {
         let (epoch, last, committed) = (self.epoch(), self.last(), self.state.position);
-        self.answer_stored(asker, Message::Holds { epoch, last, committed });
+        self.answer_stored(
+            asker,
+            Message::Holds {
+                epoch,
+                last,
+                committed,
+            },
+        );
     }
 
     pub(super) fn on_synchronize(&mut self, from: Asker, epoch: Epoch) {
@@ -341,7 +434,10 @@
         (self.state, self.tail) = (state, tail);
         self.note_order_holder(now);
         self.backlog = Backlog::new(self.last());
-        let record = Record::Install { state: self.state.clone(), tail: self.tail.clone() };
+        let record = Record::Install {
+            state: self.state.clone(),
+            tail: self.tail.clone(),
+        };
         self.store(vec![record], now);
         self.tell_what_is_held(from);
         if is_newer {
--- a/control/src/node/timing.rs
+++ b/control/src/node/timing.rs
@@ -32,8 +32,8 @@
 }
 
 impl Timing {
-    /// The usual times, for a system that bears the loss of `faults` replicas. There are two copies at least, as one alone
-    /// would be lost with its disk.
+    /// The usual times, for a system that bears the loss of `faults` replicas. There are two copies
+    /// at least, as one alone would be lost with its disk.
     pub fn tolerating(faults: usize) -> Self {
         Timing {
             lease: 1_000,
@@ -51,7 +51,8 @@
         }
     }
 
-    /// The fewest witnesses that are left when a silent one is taken out: so many that a majority outlives the faults.
+    /// The fewest witnesses that are left when a silent one is taken out: so many that a majority
+    /// outlives the faults.
     pub fn fewest_witnesses(&self) -> usize {
         2 * self.copies - 1
     }
--- a/control/src/node/views.rs
+++ b/control/src/node/views.rs
@@ -21,7 +21,8 @@
 }
 
 impl ControlNode {
-    // ---- heartbeats and the lease --------------------------------------------------------------------------
+    // ---- heartbeats and the lease
+    // --------------------------------------------------------------------------
 
     /// Asks all others for the lease. The number of the round comes back with their answers.
     pub(super) fn send_heartbeats(&mut self, now: Millis) -> u64 {
@@ -29,7 +30,9 @@
         let committed = self.leads(now).map(|_| self.state.position);
         let own = self.witness.grant(&id, epoch, now);
         let others = self.others();
-        let Role::Primary(primary) = &mut self.role else { return 0 };
+        let Role::Primary(primary) = &mut self.role else {
+            return 0;
+        };
         primary.heartbeat_at = now + self.timing.heartbeat;
         let round = primary.lease.begin_round(now);
         if own {
@@ -38,7 +41,15 @@
         let echo = |other: &ReplicaId| primary.heard.get(other).and_then(|heard| heard.echo);
         let echoes: Vec<Option<Echo>> = others.iter().map(echo).collect();
         for (other, echo) in others.into_iter().zip(echoes) {
-            self.send(other, Message::Heartbeat { epoch, round, committed, echo });
+            self.send(
+                other,
+                Message::Heartbeat {
+                    epoch,
+                    round,
+                    committed,
+                    echo,
+                },
+            );
         }
         round
     }
@@ -63,13 +74,22 @@
         let granted = is_current && self.witness.grant(&from.replica, epoch, now);
         let other_view = self.view().filter(|view| view.epoch > epoch).cloned();
         let wants_view = self.epoch() < epoch;
-        let reply = Message::HeartbeatReply { epoch, round, granted, other_view, wants_view, sent_at: now };
+        let reply = Message::HeartbeatReply {
+            epoch,
+            round,
+            granted,
+            other_view,
+            wants_view,
+            sent_at: now,
+        };
         self.answer(from, reply);
     }
 
-    /// The primary knew its state to be the newest after it had heard what this replica said at the moment of the echo.
+    /// The primary knew its state to be the newest after it had heard what this replica said at the
+    /// moment of the echo.
     fn note_age(&mut self, committed: Position, echo: Option<Echo>) {
-        let own = echo.filter(|echo| echo.life == self.identity.life && self.state.position >= committed);
+        let own =
+            echo.filter(|echo| echo.life == self.identity.life && self.state.position >= committed);
         self.current_at = self.current_at.max(own.map(|echo| echo.at));
     }
 
@@ -84,8 +104,13 @@
             return self.learn(view, now);
         }
         let view = self.view().filter(|view| view.epoch == epoch).cloned();
-        let (Some(view), Role::Primary(primary)) = (view, &mut self.role) else { return };
-        let echo = Some(Echo { life: answer.life, at: answer.sent_at });
+        let (Some(view), Role::Primary(primary)) = (view, &mut self.role) else {
+            return;
+        };
+        let echo = Some(Echo {
+            life: answer.life,
+            at: answer.sent_at,
+        });
         primary.heard.insert(from.clone(), Heard { at: now, echo });
         if answer.granted {
             primary.lease.granted(from.clone(), answer.round);
@@ -101,7 +126,9 @@
         if self.storage_is_stuck(now) {
             return self.resign("the disk does not answer", now);
         }
-        let Role::Primary(primary) = &self.role else { return };
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
         let is_settled = now >= primary.since + self.timing.lease;
         let without_lease = is_settled && now >= self.lease_until(primary);
         if now >= primary.heartbeat_at {
@@ -144,7 +171,8 @@
         self.heard_primary = now.saturating_sub(self.timing.lease);
     }
 
-    // ---- votes ---------------------------------------------------------------------------------------------
+    // ---- votes
+    // ---------------------------------------------------------------------------------------------
 
     pub(super) fn on_prepare(&mut self, from: Asker, current: View, ballot: Ballot, now: Millis) {
         if !current.is_founding() {
@@ -157,7 +185,13 @@
         self.answer_stored(from, Message::PrepareReply { ballot, vote });
     }
 
-    pub(super) fn on_accept(&mut self, from: Asker, current: View, proposal: Proposal, now: Millis) {
+    pub(super) fn on_accept(
+        &mut self,
+        from: Asker,
+        current: View,
+        proposal: Proposal,
+        now: Millis,
+    ) {
         if !current.is_founding() {
             self.learn(current.clone(), now);
         }
@@ -170,7 +204,11 @@
     }
 
     pub(super) fn on_vote(&mut self, from: &ReplicaId, ballot: &Ballot, vote: Vote, now: Millis) {
-        if let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.ballot == *ballot) {
+        if let Some(attempt) = self
+            .attempt
+            .as_mut()
+            .filter(|attempt| attempt.ballot == *ballot)
+        {
             let progress = attempt.voted(from, vote);
             self.proceed(progress, now);
         }
@@ -183,13 +221,18 @@
         answer: Result<(), u64>,
         now: Millis,
     ) {
-        if let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.ballot == *ballot) {
+        if let Some(attempt) = self
+            .attempt
+            .as_mut()
+            .filter(|attempt| attempt.ballot == *ballot)
+        {
             let progress = attempt.accepted(from, answer);
             self.proceed(progress, now);
         }
     }
 
-    // ---- attempts ------------------------------------------------------------------------------------------
+    // ---- attempts
+    // ------------------------------------------------------------------------------------------
 
     /// An in-sync backup takes over once the primary has been silent for longer than its lease.
     pub(super) fn tick_backup(&mut self, now: Millis) {
@@ -200,9 +243,17 @@
         let is_before = |other: &&ReplicaId| **other != view.primary && *other < self.id();
         let before = view.in_sync.iter().filter(is_before).count() as u64;
         let own = view.primary == *self.id();
-        let wait = if own { 0 } else { self.timing.lease + before * self.timing.stagger };
+        let wait = if own {
+            0
+        } else {
+            self.timing.lease + before * self.timing.stagger
+        };
         // A process that is about to end is primary again only where nobody else is.
-        let wait = if self.leaving { wait + 2 * self.timing.lease } else { wait };
+        let wait = if self.leaving {
+            wait + 2 * self.timing.lease
+        } else {
+            wait
+        };
         if now < self.heard_primary + wait || self.storage_is_stuck(now) {
             return;
         }
@@ -217,10 +268,20 @@
     }
 
     /// Begins an attempt to have a view decided that follows `current`.
-    pub(super) fn attempt_view(&mut self, current: View, mut wanted: View, intent: Intent, now: Millis) {
+    pub(super) fn attempt_view(
+        &mut self,
+        current: View,
+        mut wanted: View,
+        intent: Intent,
+        now: Millis,
+    ) {
         wanted.epoch = current.epoch + 1;
         self.round += 1;
-        let ballot = Ballot { round: self.round, proposer: self.id().clone(), life: self.identity.life };
+        let ballot = Ballot {
+            round: self.round,
+            proposer: self.id().clone(),
+            life: self.identity.life,
+        };
         self.attempt = Some(Attempt::new(ballot, current, wanted, intent, now));
         self.send_attempt(now);
     }
@@ -241,7 +302,11 @@
 
     pub(super) fn tick_attempt(&mut self, now: Millis) {
         let Some(attempt) = &self.attempt else { return };
-        let patience = if attempt.is_outbid() { self.timing.heartbeat } else { self.timing.silence };
+        let patience = if attempt.is_outbid() {
+            self.timing.heartbeat
+        } else {
+            self.timing.silence
+        };
         if now >= attempt.begun + patience {
             self.round = self.round.max(attempt.highest_round());
             self.abandon_attempt(now);
@@ -253,7 +318,9 @@
     pub(super) fn abandon_attempt(&mut self, now: Millis) {
         self.attempt = None;
         let is_before = |other: &&ReplicaId| *other < self.id();
-        let place = self.view().map_or(0, |view| view.in_sync.iter().filter(is_before).count());
+        let place = self
+            .view()
+            .map_or(0, |view| view.in_sync.iter().filter(is_before).count());
         self.retry_at = now + 50 + place as u64 * self.timing.stagger / 2;
     }
 
@@ -262,13 +329,16 @@
             Progress::Waiting => {}
             Progress::Accept(proposal) => {
                 if let Role::Primary(primary) = &mut self.role {
-                    // What was proposed before can't be decided any more, unless it is this very view.
+                    // What was proposed before can't be decided any more, unless it is this very
+                    // view.
                     primary.proposed = proposal.view.in_sync;
                 }
                 self.send_attempt(now);
             }
             Progress::Decided(view) => {
-                let Some(attempt) = self.attempt.take() else { return };
+                let Some(attempt) = self.attempt.take() else {
+                    return;
+                };
                 let mut informed = attempt.current.participants();
                 informed.extend(view.participants());
                 informed.remove(self.id());
@@ -296,7 +366,11 @@
         }
         self.store_votes(now);
         self.note_order_holder(now);
-        if self.attempt.as_ref().is_some_and(|attempt| attempt.epoch() <= view.epoch) {
+        if self
+            .attempt
+            .as_ref()
+            .is_some_and(|attempt| attempt.epoch() <= view.epoch)
+        {
             self.attempt = None;
         }
         self.heard_primary = now;
@@ -309,7 +383,8 @@
         }
     }
 
-    /// Begins to work as primary of the present view: tells everyone of it, and brings the backups into step.
+    /// Begins to work as primary of the present view: tells everyone of it, and brings the backups
+    /// into step.
     fn lead(&mut self, now: Millis) {
         let former = match &mut self.role {
             Role::Primary(primary) => Some((
@@ -322,11 +397,17 @@
         let (lease, mut heard, leaving) = former.unwrap_or_default();
         // Silence counts from here on, also through later views of the same primary.
         for replica in self.others() {
-            heard.entry(replica).or_insert(Heard { at: now, echo: None });
+            heard.entry(replica).or_insert(Heard {
+                at: now,
+                echo: None,
+            });
         }
         let mut primary = Primary::new(lease, heard, now);
         primary.leaving = leaving;
-        self.enter(Role::Primary(Box::new(primary)), "a view with this primary was decided");
+        self.enter(
+            Role::Primary(Box::new(primary)),
+            "a view with this primary was decided",
+        );
         if let Some(view) = self.view().cloned() {
             for other in self.others() {
                 self.send(other, Message::Decided { view: view.clone() });
--- a/control/src/proposer.rs
+++ b/control/src/proposer.rs
@@ -1,4 +1,5 @@
-//! Deciding the next view: one attempt of a replica to have it accepted by majorities of the old and the new witnesses.
+//! Deciding the next view: one attempt of a replica to have it accepted by majorities of the old
+//! and the new witnesses.
 
 use crate::Millis;
 use crate::view::{Ballot, Epoch, Proposal, ReplicaId, View};
@@ -9,7 +10,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Phase {
     /// Waiting for promises of the present witnesses.
-    Preparing { promises: BTreeSet<ReplicaId>, found: Option<Box<Proposal>> },
+    Preparing {
+        promises: BTreeSet<ReplicaId>,
+        found: Option<Box<Proposal>>,
+    },
     /// Waiting for the view to be accepted.
     Accepting { accepts: BTreeSet<ReplicaId> },
 }
@@ -19,8 +23,9 @@
 pub enum Intent {
     /// Those of the wanted view, as it stands.
     Change,
-    /// The proposer takes over: in-sync replicas that vote for it stay in sync, and silent ones as long as there would be
-    /// fewer than `copies`. Each of these holds every acknowledged change, whether it answers at present or not.
+    /// The proposer takes over: in-sync replicas that vote for it stay in sync, and silent ones as
+    /// long as there would be fewer than `copies`. Each of these holds every acknowledged change,
+    /// whether it answers at present or not.
     TakeOver {
         /// How many copies of each change there have to be.
         copies: usize,
@@ -63,8 +68,19 @@
 impl Attempt {
     /// Begins to have `wanted` follow `current`.
     pub fn new(ballot: Ballot, current: View, wanted: View, intent: Intent, now: Millis) -> Self {
-        let phase = Phase::Preparing { promises: BTreeSet::new(), found: None };
-        Attempt { ballot, current, begun: now, wanted, intent, phase, refusals: BTreeMap::new() }
+        let phase = Phase::Preparing {
+            promises: BTreeSet::new(),
+            found: None,
+        };
+        Attempt {
+            ballot,
+            current,
+            begun: now,
+            wanted,
+            intent,
+            phase,
+            refusals: BTreeMap::new(),
+        }
     }
 
     /// The epoch that is being decided.
@@ -81,9 +97,12 @@
     pub fn audience(&self) -> BTreeSet<ReplicaId> {
         match self.phase {
             Phase::Preparing { .. } => self.current.witnesses.clone(),
-            Phase::Accepting { .. } => {
-                self.current.witnesses.union(&self.wanted.witnesses).cloned().collect()
-            }
+            Phase::Accepting { .. } => self
+                .current
+                .witnesses
+                .union(&self.wanted.witnesses)
+                .cloned()
+                .collect(),
         }
     }
 
@@ -95,18 +114,25 @@
         };
         let has_answered =
             |replica: &ReplicaId| answered.contains(replica) || self.refusals.contains_key(replica);
-        self.audience().into_iter().filter(|replica| !has_answered(replica)).collect()
+        self.audience()
+            .into_iter()
+            .filter(|replica| !has_answered(replica))
+            .collect()
     }
 
     /// The proposal of the second phase; none in the first.
     pub fn proposal(&self) -> Option<Proposal> {
-        matches!(self.phase, Phase::Accepting { .. })
-            .then(|| Proposal { ballot: self.ballot.clone(), view: self.wanted.clone() })
+        matches!(self.phase, Phase::Accepting { .. }).then(|| Proposal {
+            ballot: self.ballot.clone(),
+            view: self.wanted.clone(),
+        })
     }
 
     /// Takes a witness's answer to the first phase.
     pub fn voted(&mut self, from: &ReplicaId, vote: Vote) -> Progress {
-        let Phase::Preparing { promises, found } = &mut self.phase else { return Progress::Waiting };
+        let Phase::Preparing { promises, found } = &mut self.phase else {
+            return Progress::Waiting;
+        };
         match vote {
             Vote::Promised { accepted } => {
                 promises.insert(from.clone());
@@ -127,7 +153,9 @@
         }
         let (promises, found) = (std::mem::take(promises), found.take());
         self.settle(&promises, found.map(|found| found.view));
-        self.phase = Phase::Accepting { accepts: BTreeSet::new() };
+        self.phase = Phase::Accepting {
+            accepts: BTreeSet::new(),
+        };
         self.refusals.clear();
         self.proposal().map_or(Progress::Waiting, Progress::Accept)
     }
@@ -138,20 +166,28 @@
             self.wanted = view;
         } else if let Intent::TakeOver { copies } = self.intent {
             let in_sync = &self.current.in_sync;
-            self.wanted.in_sync.extend(in_sync.intersection(promises).cloned());
+            self.wanted
+                .in_sync
+                .extend(in_sync.intersection(promises).cloned());
             let missing = copies.saturating_sub(self.wanted.in_sync.len());
-            let silent: Vec<ReplicaId> =
-                in_sync.difference(&self.wanted.in_sync).take(missing).cloned().collect();
+            let silent: Vec<ReplicaId> = in_sync
+                .difference(&self.wanted.in_sync)
+                .take(missing)
+                .cloned()
+                .collect();
             self.wanted.in_sync.extend(silent);
         }
     }
 
-    /// Takes a witness's answer to the second phase; a refusal names the round that it has promised to.
+    /// Takes a witness's answer to the second phase; a refusal names the round that it has promised
+    /// to.
     pub fn accepted(&mut self, from: &ReplicaId, answer: Result<(), u64>) -> Progress {
         if let Err(round) = answer {
             return self.refused(from, round);
         }
-        let Phase::Accepting { accepts } = &mut self.phase else { return Progress::Waiting };
+        let Phase::Accepting { accepts } = &mut self.phase else {
+            return Progress::Waiting;
+        };
         accepts.insert(from.clone());
         if self.current.has_majority(accepts) && self.wanted.has_majority(accepts) {
             return Progress::Decided(self.wanted.clone());
@@ -167,15 +203,23 @@
         if left >= self.current.majority() {
             return Progress::Waiting;
         }
-        Progress::Failed { round: self.highest_round() }
+        Progress::Failed {
+            round: self.highest_round(),
+        }
     }
 
     /// The highest round that is known of.
     pub fn highest_round(&self) -> u64 {
-        self.refusals.values().copied().max().unwrap_or_default().max(self.ballot.round)
+        self.refusals
+            .values()
+            .copied()
+            .max()
+            .unwrap_or_default()
+            .max(self.ballot.round)
     }
 
-    /// Whether a witness has promised to a higher attempt, so that a later one of this proposer may go through sooner.
+    /// Whether a witness has promised to a higher attempt, so that a later one of this proposer may
+    /// go through sooner.
     pub fn is_outbid(&self) -> bool {
         self.highest_round() > self.ballot.round
     }
--- a/control/src/ring.rs
+++ b/control/src/ring.rs
@@ -1,4 +1,5 @@
-//! Who monitors whom: members stand on a ring, and each sends its heartbeats to the few members that follow it.
+//! Who monitors whom: members stand on a ring, and each sends its heartbeats to the few members
+//! that follow it.
 
 use compact_str::CompactString;
 use std::collections::BTreeSet;
@@ -23,18 +24,29 @@
         })
         .collect();
     placed.sort_unstable();
-    placed.into_iter().map(|(_, (_, name))| name.into()).collect()
+    placed
+        .into_iter()
+        .map(|(_, (_, name))| name.into())
+        .collect()
 }
 
 /// The `count` members that follow `name` on the ring.
-pub fn successors(members: &BTreeSet<CompactString>, name: &str, count: usize) -> Vec<CompactString> {
+pub fn successors(
+    members: &BTreeSet<CompactString>,
+    name: &str,
+    count: usize,
+) -> Vec<CompactString> {
     let mut around = around(members, name);
     around.truncate(count);
     around
 }
 
 /// The members whose heartbeats `name` receives: those that it follows on the ring.
-pub fn monitored_by(members: &BTreeSet<CompactString>, name: &str, count: usize) -> Vec<CompactString> {
+pub fn monitored_by(
+    members: &BTreeSet<CompactString>,
+    name: &str,
+    count: usize,
+) -> Vec<CompactString> {
     let around = around(members, name);
     let first = around.len().saturating_sub(count);
     around[first..].to_vec()
--- a/control/src/rollout/conditional.rs
+++ b/control/src/rollout/conditional.rs
@@ -1,8 +1,9 @@
 //! Orders that hold only for the state of the backend on which they were decided.
 //!
-//! An order that got no answer may be on its way still, and may arrive when a newer one is done. The fencing token does not tell these
-//! apart, as both were given under one lease. A backend counts the orders that it has taken and tells the count in its reports, so each
-//! order names the count that it was decided on, and is refused once another one has been taken.
+//! An order that got no answer may be on its way still, and may arrive when a newer one is done.
+//! The fencing token does not tell these apart, as both were given under one lease. A backend
+//! counts the orders that it has taken and tells the count in its reports, so each order names the
+//! count that it was decided on, and is refused once another one has been taken.
 
 /// What a backend reports of one model's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,7 +57,10 @@
         } else if self.version >= version {
             Need::Nothing
         } else {
-            Need::Order(ConditionalOrder { version, if_taken_orders: self.taken_orders })
+            Need::Order(ConditionalOrder {
+                version,
+                if_taken_orders: self.taken_orders,
+            })
         }
     }
 }
--- a/control/src/rollout/confirmations.rs
+++ b/control/src/rollout/confirmations.rs
@@ -1,8 +1,9 @@
 //! Whether backends bear out by their heartbeats that their orders are done.
 //!
-//! That an order is done is a fact of the past: at that moment the backend had the version. What it has now is told by its heartbeats,
-//! a little later. Normally the next one confirms the order. Where several pass without that, or a backend that had confirmed its order
-//! tells an older version again, it is in doubt whether it still has the version.
+//! That an order is done is a fact of the past: at that moment the backend had the version. What it
+//! has now is told by its heartbeats, a little later. Normally the next one confirms the order.
+//! Where several pass without that, or a backend that had confirmed its order tells an older
+//! version again, it is in doubt whether it still has the version.
 
 use crate::Millis;
 use crate::directory::{Backend, Directory, Order, OrderPhase};
@@ -50,13 +51,21 @@
 impl Confirmations {
     /// Heartbeats have so long to confirm an order.
     pub fn new(patience: Millis) -> Self {
-        Confirmations { patience, followed: BTreeMap::new() }
+        Confirmations {
+            patience,
+            followed: BTreeMap::new(),
+        }
     }
 
     /// Takes what is known now. Returns what has come into doubt by it.
     pub fn look(&mut self, directory: &Directory, now: Millis) -> Vec<Doubt> {
-        let done = |id: &str| directory.order(id).filter(|order| order.phase == OrderPhase::Done);
-        self.followed.retain(|id, followed| done(id) == Some(&followed.order));
+        let done = |id: &str| {
+            directory
+                .order(id)
+                .filter(|order| order.phase == OrderPhase::Done)
+        };
+        self.followed
+            .retain(|id, followed| done(id) == Some(&followed.order));
         let mut doubts = Vec::new();
         for (id, backend) in directory.backends() {
             let Some(order) = done(id) else { continue };
@@ -65,8 +74,13 @@
                 order: order.clone(),
                 standing: Standing::Awaited { since: now },
             });
-            if followed.enter(told >= order.version, now, self.patience) == Some(Standing::Doubted) {
-                doubts.push(Doubt { backend: id.clone(), order: order.clone(), told });
+            if followed.enter(told >= order.version, now, self.patience) == Some(Standing::Doubted)
+            {
+                doubts.push(Doubt {
+                    backend: id.clone(),
+                    order: order.clone(),
+                    told,
+                });
             }
         }
         doubts
@@ -74,7 +88,9 @@
 
     /// Whether it is in doubt that a backend still has the version of its last order.
     pub fn is_doubted(&self, backend: &str) -> bool {
-        self.followed.get(backend).is_some_and(|followed| followed.standing == Standing::Doubted)
+        self.followed
+            .get(backend)
+            .is_some_and(|followed| followed.standing == Standing::Doubted)
     }
 }
 
@@ -93,6 +109,9 @@
 
 /// The version of the order's model that the last heartbeat told; 0 where it told none.
 pub(super) fn told_version(backend: &Backend, order: &Order) -> u64 {
-    let told = backend.models.iter().find(|(model, _)| *model == order.model);
+    let told = backend
+        .models
+        .iter()
+        .find(|(model, _)| *model == order.model);
     told.map_or(0, |(_, version)| *version)
 }
--- a/control/src/rollout/mod.rs
+++ b/control/src/rollout/mod.rs
@@ -1,5 +1,5 @@
-//! Bringing new weights to backends: which ones lack a version, what keeps them from an order, how many may load at a time, and
-//! when the holder of the lease may give orders.
+//! Bringing new weights to backends: which ones lack a version, what keeps them from an order, how
+//! many may load at a time, and when the holder of the lease may give orders.
 
 mod conditional;
 mod confirmations;
@@ -65,8 +65,13 @@
 
 impl HeldBack {
     /// Every cause.
-    pub const ALL: [HeldBack; 5] =
-        [HeldBack::Due, HeldBack::UnderWay, HeldBack::Silent, HeldBack::Draining, HeldBack::Contradicted];
+    pub const ALL: [HeldBack; 5] = [
+        HeldBack::Due,
+        HeldBack::UnderWay,
+        HeldBack::Silent,
+        HeldBack::Draining,
+        HeldBack::Contradicted,
+    ];
 
     /// The word that operators are told.
     pub fn name(self) -> &'static str {
@@ -115,15 +120,18 @@
     counts
 }
 
-/// Whether a backend that takes orders tells an older version than its order, which is done, should have brought.
+/// Whether a backend that takes orders tells an older version than its order, which is done, should
+/// have brought.
 pub fn is_contradicted(backend: &Backend, order: &Order) -> bool {
     let is_there = backend.phase == BackendPhase::Ready && !backend.silent;
-    is_there && order.phase == OrderPhase::Done && confirmations::told_version(backend, order) < order.version
+    is_there
+        && order.phase == OrderPhase::Done
+        && confirmations::told_version(backend, order) < order.version
 }
 
 impl Rollout {
-    /// What is to be done for these versions. Backends that drain or have no models are left alone. An order that is done
-    /// counts for what heartbeats tell only until they contradict it.
+    /// What is to be done for these versions. Backends that drain or have no models are left alone.
+    /// An order that is done counts for what heartbeats tell only until they contradict it.
     pub fn of(
         directory: &Directory,
         targets: &BTreeMap<CompactString, WeightsTarget>,
@@ -131,12 +139,19 @@
     ) -> Self {
         let takes_orders =
             |backend: &Backend| backend.phase == BackendPhase::Ready && !backend.models.is_empty();
-        let backends = directory.backends().filter(|(_, backend)| takes_orders(backend));
+        let backends = directory
+            .backends()
+            .filter(|(_, backend)| takes_orders(backend));
         let backends: Vec<(&CompactString, &Backend)> = backends.collect();
-        let heard = backends.iter().filter(|(_, backend)| !backend.silent).count();
+        let heard = backends
+            .iter()
+            .filter(|(_, backend)| !backend.silent)
+            .count();
         let most_at_once = heard.div_ceil(LOADING_SHARE).max(1);
         let lacking = backends.iter().flat_map(|(id, backend)| {
-            let believed = directory.order(id).filter(|_| !confirmations.is_doubted(id));
+            let believed = directory
+                .order(id)
+                .filter(|_| !confirmations.is_doubted(id));
             lacking(id, backend, done_version(believed), targets)
         });
         Rollout {
--- a/control/src/rollout/queue.rs
+++ b/control/src/rollout/queue.rs
@@ -9,8 +9,9 @@
 /// A backend whose heartbeats have stopped is asked again after this.
 const SILENT_PAUSE: Millis = 2_000;
 
-/// Whom to give the next order: those whose heartbeats come first, then those whose last orders were answered, and of these the one that
-/// has waited for longest. So neither backends that do not answer nor ever newer versions keep an order from others.
+/// Whom to give the next order: those whose heartbeats come first, then those whose last orders
+/// were answered, and of these the one that has waited for longest. So neither backends that do not
+/// answer nor ever newer versions keep an order from others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OrderQueue {
     orders: u64,
@@ -50,7 +51,11 @@
     /// Whether a backend's order came to its end.
     pub fn ended(&mut self, backend: &CompactString, was_answered: bool) {
         let tried = self.tried.entry(backend.clone()).or_default();
-        tried.unanswered = if was_answered { 0 } else { tried.unanswered.saturating_add(1) };
+        tried.unanswered = if was_answered {
+            0
+        } else {
+            tried.unanswered.saturating_add(1)
+        };
     }
 
     /// Forgets backends that are not there any more.
@@ -70,7 +75,8 @@
         *highest = fence.max(*highest);
     }
 
-    /// Whether a backend may be given an order under this token: none that it has refused, nor a lower one.
+    /// Whether a backend may be given an order under this token: none that it has refused, nor a
+    /// lower one.
     pub fn allow(&self, backend: &str, fence: Epoch) -> bool {
         self.0.get(backend).is_none_or(|refused| fence > *refused)
     }
--- a/control/src/rollout/turn.rs
+++ b/control/src/rollout/turn.rs
@@ -1,16 +1,17 @@
 //! When the holder of the lease may give orders.
 //!
-//! Orders of two nodes must lie further apart than the time of a lease. Before its first order a node therefore has the control
-//! state say that it is the one that gives orders, so every later holder knows who did. Whoever is named there goes on at once
-//! when it holds the lease again, and anybody else waits from when the named one held it no more: a holder in between that never
-//! came to give an order does not make its successor wait, and neither does a moment without the lease.
+//! Orders of two nodes must lie further apart than the time of a lease. Before its first order a
+//! node therefore has the control state say that it is the one that gives orders, so every later
+//! holder knows who did. Whoever is named there goes on at once when it holds the lease again, and
+//! anybody else waits from when the named one held it no more: a holder in between that never came
+//! to give an order does not make its successor wait, and neither does a moment without the lease.
 
 use crate::Millis;
 use crate::view::{Epoch, ReplicaId, View};
 use std::fmt;
 
-/// Beyond the time of a lease, so long passes between the last moment at which a former holder may have given an order and the
-/// first order of the next.
+/// Beyond the time of a lease, so long passes between the last moment at which a former holder may
+/// have given an order and the first order of the next.
 const TAKEOVER_MARGIN: Millis = 100;
 
 /// Whether a node may give orders.
@@ -19,7 +20,8 @@
     /// It does not hold the lease.
     #[default]
     NotLeading,
-    /// It holds the lease. Another node gave orders last, and has not held the lease from some moment on.
+    /// It holds the lease. Another node gave orders last, and has not held the lease from some
+    /// moment on.
     After {
         /// That moment, or a later one.
         former_ended: Millis,
@@ -45,17 +47,21 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             OrderTurn::NotLeading => "this node does not hold the lease",
-            OrderTurn::After { .. } => "this node holds the lease, and another one gave orders last",
+            OrderTurn::After { .. } => {
+                "this node holds the lease, and another one gave orders last"
+            }
             OrderTurn::First => "this node holds the lease, and nobody has given orders yet",
             OrderTurn::Held => "this node gives orders",
         })
     }
 }
 
-/// Since when the node that gave orders last does not hold the lease, as far as one replica can tell.
+/// Since when the node that gave orders last does not hold the lease, as far as one replica can
+/// tell.
 ///
-/// A view is decided only once the lease of another primary is over, so the moment of learning such a view is late enough.
-/// Between two views that follow each other nobody else can have led; where a view was missed, the time begins anew.
+/// A view is decided only once the lease of another primary is over, so the moment of learning such
+/// a view is late enough. Between two views that follow each other nobody else can have led; where
+/// a view was missed, the time begins anew.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FormerHolder(Option<Ended>);
 
@@ -69,14 +75,23 @@
 impl FormerHolder {
     /// Takes the newest view, and who gave orders last.
     pub fn note(&mut self, view: Option<&View>, holder: Option<&ReplicaId>, now: Millis) {
-        let Some((view, holder)) = view.zip(holder).filter(|(view, holder)| view.primary != **holder) else {
+        let Some((view, holder)) = view
+            .zip(holder)
+            .filter(|(view, holder)| view.primary != **holder)
+        else {
             self.0 = None;
             return;
         };
         let goes_on = |ended: &&mut Ended| ended.holder == *holder && view.epoch <= ended.epoch + 1;
         match self.0.as_mut().filter(goes_on) {
             Some(ended) => ended.epoch = view.epoch,
-            None => self.0 = Some(Ended { holder: holder.clone(), epoch: view.epoch, since: now }),
+            None => {
+                self.0 = Some(Ended {
+                    holder: holder.clone(),
+                    epoch: view.epoch,
+                    since: now,
+                })
+            }
         }
     }
 
--- a/control/src/silence.rs
+++ b/control/src/silence.rs
@@ -17,7 +17,11 @@
 impl<K: Ord + Clone> Silence<K> {
     /// Nothing was heard yet.
     pub fn new(now: Millis) -> Self {
-        Silence { counted: 0, now, heard: BTreeMap::new() }
+        Silence {
+            counted: 0,
+            now,
+            heard: BTreeMap::new(),
+        }
     }
 
     /// The observer's clock goes on; to be called several times within each patience.
@@ -48,7 +52,10 @@
 
     /// What was not heard for so long.
     pub fn silent_for(&self, patience: Millis) -> Vec<K> {
-        let silent = self.heard.iter().filter(|(_, at)| self.counted >= **at + patience);
+        let silent = self
+            .heard
+            .iter()
+            .filter(|(_, at)| self.counted >= **at + patience);
         silent.map(|(key, _)| key.clone()).collect()
     }
 }
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -1,4 +1,5 @@
-//! The durable control state: the configuration in force, the versions of weights, who gives orders, and what was acknowledged.
+//! The durable control state: the configuration in force, the versions of weights, who gives
+//! orders, and what was acknowledged.
 
 use crate::changes::{Change, Outcome, Refusal};
 use crate::configuration::{self, Configuration};
@@ -9,12 +10,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How many accepted configurations are remembered, so that one sent again is known. At a thousand a day these are four days;
-/// what is sent again later gets no clear answer.
+/// How many accepted configurations are remembered, so that one sent again is known. At a thousand
+/// a day these are four days; what is sent again later gets no clear answer.
 pub const REMEMBERED: usize = 4096;
 
 /// The position of a change: who ordered it, and its number.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Position {
     /// The number of the change, from 1.
     pub index: u64,
@@ -38,7 +41,10 @@
 impl Fingerprint {
     /// The fingerprint of a body sent on top of a version.
     pub fn of(base: u64, body: &[u8]) -> Self {
-        let digest = Sha256::new().chain_update(base.to_be_bytes()).chain_update(body).finalize();
+        let digest = Sha256::new()
+            .chain_update(base.to_be_bytes())
+            .chain_update(body)
+            .finalize();
         let mut short = [0; 16];
         short.copy_from_slice(&digest[..16]);
         Fingerprint(short)
@@ -80,15 +86,21 @@
 impl ControlState {
     /// The version of the configuration in force; 0 where there is none.
     pub fn version(&self) -> u64 {
-        self.configuration.as_ref().map_or(0, |configuration| configuration.version)
+        self.configuration
+            .as_ref()
+            .map_or(0, |configuration| configuration.version)
     }
 
     /// Whether this very configuration was taken before.
     fn was_taken(&self, fingerprint: Fingerprint) -> bool {
-        self.accepted.iter().rev().any(|(_, known)| *known == fingerprint)
+        self.accepted
+            .iter()
+            .rev()
+            .any(|(_, known)| *known == fingerprint)
     }
 
-    /// Whether a configuration that builds on this version may have been taken so long ago that it is not remembered.
+    /// Whether a configuration that builds on this version may have been taken so long ago that it
+    /// is not remembered.
     fn may_have_been_forgotten(&self, base: u64) -> bool {
         let oldest = self.accepted.first().map_or(0, |(version, _)| *version);
         self.accepted.len() >= REMEMBERED && base < oldest
@@ -99,7 +111,10 @@
         match change {
             Change::Configuration { base, body } => self.judge_configuration(*base, body),
             Change::Weights { model, version } => {
-                let known = self.weights.get(model).is_some_and(|target| target.version >= *version);
+                let known = self
+                    .weights
+                    .get(model)
+                    .is_some_and(|target| target.version >= *version);
                 known.then_some(Outcome::Done)
             }
             Change::OrderHolder { replica } => {
@@ -116,12 +131,17 @@
             return Some(Outcome::Unknown);
         }
         if base != self.version() {
-            return Some(Outcome::Refused(Refusal::OtherVersion { current: self.version() }));
+            return Some(Outcome::Refused(Refusal::OtherVersion {
+                current: self.version(),
+            }));
         }
         match Configuration::parse(body) {
             Err(problem) => Some(Outcome::Refused(Refusal::Invalid(problem.to_string()))),
             Ok(parsed) if parsed.version <= base => {
-                let problem = configuration::Problem::OldVersion { found: parsed.version, current: base };
+                let problem = configuration::Problem::OldVersion {
+                    found: parsed.version,
+                    current: base,
+                };
                 Some(Outcome::Refused(Refusal::Invalid(problem.to_string())))
             }
             Ok(_) => None,
@@ -133,16 +153,24 @@
         self.position = update.position;
         match &update.change {
             Change::Configuration { base, body } => {
-                let Ok(parsed) = Configuration::parse(body) else { return };
-                self.accepted.push((parsed.version, Fingerprint::of(*base, body)));
+                let Ok(parsed) = Configuration::parse(body) else {
+                    return;
+                };
+                self.accepted
+                    .push((parsed.version, Fingerprint::of(*base, body)));
                 if self.accepted.len() > REMEMBERED {
                     self.accepted.remove(0);
                 }
-                self.configuration =
-                    Some(StoredConfiguration { version: parsed.version, body: body.clone() });
+                self.configuration = Some(StoredConfiguration {
+                    version: parsed.version,
+                    body: body.clone(),
+                });
             }
             Change::Weights { model, version } => {
-                let target = WeightsTarget { version: *version, index: update.position.index };
+                let target = WeightsTarget {
+                    version: *version,
+                    index: update.position.index,
+                };
                 self.weights.insert(model.clone(), target);
             }
             Change::OrderHolder { replica } => self.order_holder = Some(replica.clone()),
--- a/control/src/storage.rs
+++ b/control/src/storage.rs
@@ -1,7 +1,8 @@
 //! What is kept on disk: records in checksummed frames, in segments with a snapshot beside them.
 //!
-//! A segment is a sequence of frames `length, checksum, record`. A frame that is cut off at the end of the last
-//! segment was never acknowledged and is dropped; any other damage is an error that names the place and the remedy.
+//! A segment is a sequence of frames `length, checksum, record`. A frame that is cut off at the end
+//! of the last segment was never acknowledged and is dropped; any other damage is an error that
+//! names the place and the remedy.
 
 mod format1;
 mod format2;
@@ -96,9 +97,16 @@
 /// Reads a snapshot, which was written and synced as a whole; its last record is the state.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<Vec<Record>, Damage> {
     let (records, sound) = decode(bytes)?;
-    let holds_state = matches!(records.last(), Some(Record::Install { .. } | Record::InstallV2 { .. }));
+    let holds_state = matches!(
+        records.last(),
+        Some(Record::Install { .. } | Record::InstallV2 { .. })
+    );
     let is_whole = sound == bytes.len() && holds_state;
-    if is_whole { Ok(records) } else { Err(Damage::CutOff { sound }) }
+    if is_whole {
+        Ok(records)
+    } else {
+        Err(Damage::CutOff { sound })
+    }
 }
 
 /// Reads the frames of a file; the second value is the length of its sound part.
@@ -124,7 +132,11 @@
     };
     let next = offset + HEADER + length;
     let Some(body) = bytes.get(offset + HEADER..next) else {
-        return if length > LONGEST { torn_or_damaged(bytes, offset) } else { Ok(None) };
+        return if length > LONGEST {
+            torn_or_damaged(bytes, offset)
+        } else {
+            Ok(None)
+        };
     };
     if crc32fast::hash(body) as usize != checksum || length == 0 {
         return torn_or_damaged(bytes, offset);
@@ -145,7 +157,11 @@
     };
     let sound_behind =
         (offset + 1..bytes.len().saturating_sub(HEADER)).any(|at| sound_frame_at(at).is_some());
-    if sound_behind { Err(Damage::Record { offset }) } else { Ok(None) }
+    if sound_behind {
+        Err(Damage::Record { offset })
+    } else {
+        Ok(None)
+    }
 }
 
 /// What a disk holds.
@@ -168,12 +184,18 @@
         for record in records {
             recovered.take(record)?;
         }
-        if recovered.disk == 0 { Err(Damage::NoDisk) } else { Ok(recovered) }
+        if recovered.disk == 0 {
+            Err(Damage::NoDisk)
+        } else {
+            Ok(recovered)
+        }
     }
 
     fn take(&mut self, record: Record) -> Result<(), Damage> {
         match record {
-            Record::Disk { format, .. } if format > FORMAT => return Err(Damage::Format { found: format }),
+            Record::Disk { format, .. } if format > FORMAT => {
+                return Err(Damage::Format { found: format });
+            }
             Record::Disk { disk, .. } => self.disk = disk,
             Record::VotesV1(votes) => self.votes = votes.into(),
             Record::Votes(votes) => self.votes = votes,
@@ -181,7 +203,10 @@
             Record::Install { state, tail } => (self.state, self.tail) = (state, tail),
             Record::Update(update) => {
                 // A change is only ordered once the one before it is committed.
-                let committed = self.tail.take().filter(|tail| tail.position.index < update.position.index);
+                let committed = self
+                    .tail
+                    .take()
+                    .filter(|tail| tail.position.index < update.position.index);
                 if let Some(committed) = committed {
                     self.state.apply(&committed);
                 }
@@ -194,9 +219,15 @@
     /// The records that a snapshot of this consists of.
     pub fn records(&self) -> Vec<Record> {
         vec![
-            Record::Disk { format: FORMAT, disk: self.disk },
+            Record::Disk {
+                format: FORMAT,
+                disk: self.disk,
+            },
             Record::Votes(self.votes.clone()),
-            Record::Install { state: self.state.clone(), tail: self.tail.clone() },
+            Record::Install {
+                state: self.state.clone(),
+                tail: self.tail.clone(),
+            },
         ]
     }
 }
--- a/control/src/storage/format1.rs
+++ b/control/src/storage/format1.rs
@@ -38,7 +38,11 @@
 
 impl From<BallotV1> for Ballot {
     fn from(ballot: BallotV1) -> Self {
-        Ballot { round: ballot.round, proposer: ballot.proposer, life: UNKNOWN_LIFE }
+        Ballot {
+            round: ballot.round,
+            proposer: ballot.proposer,
+            life: UNKNOWN_LIFE,
+        }
     }
 }
 
@@ -46,15 +50,37 @@
     fn from(votes: VotesV1) -> Self {
         let (decided, accepted) = match votes.accepted {
             None => (None, None),
-            Some(AcceptedV1 { view, previous: None, .. }) => (Some(view), None),
-            Some(AcceptedV1 { ballot, view, previous }) => {
-                (previous, Some(Proposal { ballot: ballot.into(), view }))
-            }
+            Some(AcceptedV1 {
+                view,
+                previous: None,
+                ..
+            }) => (Some(view), None),
+            Some(AcceptedV1 {
+                ballot,
+                view,
+                previous,
+            }) => (
+                previous,
+                Some(Proposal {
+                    ballot: ballot.into(),
+                    view,
+                }),
+            ),
+        };
+        let mut converted = Votes {
+            decided,
+            promised: None,
+            accepted,
         };
-        let mut converted = Votes { decided, promised: None, accepted };
         let next = converted.epoch() + 1;
-        let promised = votes.promised.filter(|(epoch, _)| *epoch == next).map(|(_, ballot)| ballot.into());
-        let accepted = converted.accepted.as_ref().map(|proposal| proposal.ballot.clone());
+        let promised = votes
+            .promised
+            .filter(|(epoch, _)| *epoch == next)
+            .map(|(_, ballot)| ballot.into());
+        let accepted = converted
+            .accepted
+            .as_ref()
+            .map(|proposal| proposal.ballot.clone());
         converted.promised = promised.max(accepted);
         converted
     }
--- a/control/src/storage/format2.rs
+++ b/control/src/storage/format2.rs
@@ -19,9 +19,21 @@
 }
 
 impl From<ControlStateV2> for ControlState {
-    /// Nobody is known to have given orders. Routers of two versions don't run at the same time, so none is under way.
+    /// Nobody is known to have given orders. Routers of two versions don't run at the same time, so
+    /// none is under way.
     fn from(former: ControlStateV2) -> Self {
-        let ControlStateV2 { position, configuration, weights, accepted } = former;
-        ControlState { position, configuration, weights, accepted, order_holder: None }
+        let ControlStateV2 {
+            position,
+            configuration,
+            weights,
+            accepted,
+        } = former;
+        ControlState {
+            position,
+            configuration,
+            weights,
+            accepted,
+            order_holder: None,
+        }
     }
 }
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -1,4 +1,5 @@
-//! Views: which replica is primary in an epoch, which ones hold every acknowledged change, and who decides the next view.
+//! Views: which replica is primary in an epoch, which ones hold every acknowledged change, and who
+//! decides the next view.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -51,7 +52,12 @@
     /// The electorate that decides the first view of a new system; none where nobody is in it.
     pub fn founding(electorate: BTreeSet<ReplicaId>) -> Option<Self> {
         let primary = electorate.first()?.clone();
-        Some(View { epoch: FOUNDING_EPOCH, primary, in_sync: BTreeSet::new(), witnesses: electorate })
+        Some(View {
+            epoch: FOUNDING_EPOCH,
+            primary,
+            in_sync: BTreeSet::new(),
+            witnesses: electorate,
+        })
     }
 
     /// Whether this is no view to work in, but the electorate of the first one.
@@ -75,8 +81,9 @@
     }
 }
 
-/// The number of an attempt to decide a view; higher ones win. No two attempts have the same one: the life tells those of a
-/// restarted proposer from those of its former process, whose late answers must not count.
+/// The number of an attempt to decide a view; higher ones win. No two attempts have the same one:
+/// the life tells those of a restarted proposer from those of its former process, whose late
+/// answers must not count.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     /// Rises with each attempt of a process.
--- a/control/src/witness.rs
+++ b/control/src/witness.rs
@@ -1,7 +1,8 @@
 //! A witness: stores epochs, votes on the next view, and grants the primary's lease.
 //!
-//! What it promised or accepted always concerns the epoch behind the newest view that it knows to be decided. Once it
-//! knows that epoch to be decided as well, both are void: whoever still attempts it is told the decided view instead.
+//! What it promised or accepted always concerns the epoch behind the newest view that it knows to
+//! be decided. Once it knows that epoch to be decided as well, both are void: whoever still
+//! attempts it is told the decided view instead.
 
 use crate::Millis;
 use crate::view::{Ballot, Epoch, FOUNDING_EPOCH, Proposal, ReplicaId, View};
@@ -21,7 +22,9 @@
 impl Votes {
     /// The epoch of the newest decided view; that of the founding electorate where there is none.
     pub fn epoch(&self) -> Epoch {
-        self.decided.as_ref().map_or(FOUNDING_EPOCH, |view| view.epoch)
+        self.decided
+            .as_ref()
+            .map_or(FOUNDING_EPOCH, |view| view.epoch)
     }
 }
 
@@ -45,7 +48,8 @@
     },
     /// Another replica holds the lease.
     Leased,
-    /// This replica did not start together with the system, so it may have forgotten an earlier vote on the first view.
+    /// This replica did not start together with the system, so it may have forgotten an earlier
+    /// vote on the first view.
     NoFounder,
 }
 
@@ -56,7 +60,8 @@
     Free,
     /// Held by a replica until a moment of this witness's clock.
     Held { holder: ReplicaId, until: Millis },
-    /// Just started: grants of the former process are unknown, so only the primary on file may hold it until then.
+    /// Just started: grants of the former process are unknown, so only the primary on file may hold
+    /// it until then.
     Unknown { until: Millis },
 }
 
@@ -70,11 +75,20 @@
 }
 
 impl Witness {
-    /// A witness that starts with what its disk holds. One that `may_found` started together with the system and votes on
-    /// the first view.
+    /// A witness that starts with what its disk holds. One that `may_found` started together with
+    /// the system and votes on the first view.
     pub fn new(votes: Votes, may_found: bool, lease: Millis, now: Millis) -> Self {
-        let grant = if votes.decided.is_some() { Grant::Unknown { until: now + lease } } else { Grant::Free };
-        Witness { votes, grant, lease, may_found }
+        let grant = if votes.decided.is_some() {
+            Grant::Unknown { until: now + lease }
+        } else {
+            Grant::Free
+        };
+        Witness {
+            votes,
+            grant,
+            lease,
+            may_found,
+        }
     }
 
     /// What is to be on disk.
@@ -99,12 +113,20 @@
         }
     }
 
-    /// Votes on an attempt to have a view follow `current`, which the proposer knows to be decided. The second value says
-    /// whether the votes have to be stored before the answer.
+    /// Votes on an attempt to have a view follow `current`, which the proposer knows to be decided.
+    /// The second value says whether the votes have to be stored before the answer.
     pub fn prepare(&mut self, current: &View, ballot: &Ballot, now: Millis) -> (Vote, bool) {
         let has_learned = self.learn(current);
-        if let Some(decided) = self.decided().filter(|decided| decided.epoch > current.epoch) {
-            return (Vote::Passed { decided: decided.clone() }, has_learned);
+        if let Some(decided) = self
+            .decided()
+            .filter(|decided| decided.epoch > current.epoch)
+        {
+            return (
+                Vote::Passed {
+                    decided: decided.clone(),
+                },
+                has_learned,
+            );
         }
         if current.is_founding() && !self.may_found {
             return (Vote::NoFounder, has_learned);
@@ -112,18 +134,37 @@
         if !self.is_free_for(&ballot.proposer, now) {
             return (Vote::Leased, has_learned);
         }
-        if let Some(higher) = self.votes.promised.as_ref().filter(|promised| *promised > ballot) {
-            return (Vote::Outbid { ballot: higher.clone() }, has_learned);
+        if let Some(higher) = self
+            .votes
+            .promised
+            .as_ref()
+            .filter(|promised| *promised > ballot)
+        {
+            return (
+                Vote::Outbid {
+                    ballot: higher.clone(),
+                },
+                has_learned,
+            );
         }
         self.votes.promised = Some(ballot.clone());
-        (Vote::Promised { accepted: self.votes.accepted.clone() }, true)
+        (
+            Vote::Promised {
+                accepted: self.votes.accepted.clone(),
+            },
+            true,
+        )
     }
 
-    /// Accepts a view that is to follow `current`, unless a higher attempt was promised to or the epoch has been decided.
-    /// A refusal names the round that was promised to.
+    /// Accepts a view that is to follow `current`, unless a higher attempt was promised to or the
+    /// epoch has been decided. A refusal names the round that was promised to.
     pub fn accept(&mut self, current: &View, proposal: Proposal) -> Result<(), u64> {
         self.learn(current);
-        let promised = self.votes.promised.as_ref().filter(|promised| **promised > proposal.ballot);
+        let promised = self
+            .votes
+            .promised
+            .as_ref()
+            .filter(|promised| **promised > proposal.ballot);
         if let Some(higher) = promised {
             return Err(higher.round);
         }
@@ -135,15 +176,29 @@
         Ok(())
     }
 
-    /// Grants the lease to the primary of the newest decided view, unless a successor is being decided.
+    /// Grants the lease to the primary of the newest decided view, unless a successor is being
+    /// decided.
     pub fn grant(&mut self, holder: &ReplicaId, epoch: Epoch, now: Millis) -> bool {
-        let leads = self.decided().is_some_and(|view| view.epoch == epoch && view.primary == *holder);
-        let is_challenged = self.votes.promised.as_ref().is_some_and(|ballot| ballot.proposer != *holder)
-            || self.votes.accepted.as_ref().is_some_and(|accepted| accepted.view.primary != *holder);
+        let leads = self
+            .decided()
+            .is_some_and(|view| view.epoch == epoch && view.primary == *holder);
+        let is_challenged = self
+            .votes
+            .promised
+            .as_ref()
+            .is_some_and(|ballot| ballot.proposer != *holder)
+            || self
+                .votes
+                .accepted
+                .as_ref()
+                .is_some_and(|accepted| accepted.view.primary != *holder);
         if !leads || is_challenged || !self.is_free_for(holder, now) {
             return false;
         }
-        self.grant = Grant::Held { holder: holder.clone(), until: now + self.lease };
+        self.grant = Grant::Held {
+            holder: holder.clone(),
+            until: now + self.lease,
+        };
         true
     }
 
@@ -163,7 +218,11 @@
         if view.epoch <= self.votes.epoch() {
             return false;
         }
-        self.votes = Votes { decided: Some(view.clone()), promised: None, accepted: None };
+        self.votes = Votes {
+            decided: Some(view.clone()),
+            promised: None,
+            accepted: None,
+        };
         true
     }
 }
--- a/control/tests/catching_up.rs
+++ b/control/tests/catching_up.rs
@@ -1,5 +1,5 @@
-//! A replica that comes back behind, or empty, is brought up while changes go on, in bounded time and bytes; and whatever it
-//! came back with, it does not lead with old state.
+//! A replica that comes back behind, or empty, is brought up while changes go on, in bounded time
+//! and bytes; and whatever it came back with, it does not lead with old state.
 
 mod world;
 
@@ -9,7 +9,8 @@
 /// Time in which a replica has to be in step again.
 const CATCH_UP: u64 = 5_000;
 
-/// Runs for so long with a change at the primary each `interval`, or until `name` is in sync if that is wanted.
+/// Runs for so long with a change at the primary each `interval`, or until `name` is in sync if
+/// that is wanted.
 fn busy(world: &mut World, lasts: u64, interval: u64, until_in_sync: Option<&str>) -> Option<u64> {
     let begun = world.now;
     while world.now < begun + lasts {
@@ -29,7 +30,11 @@
 
 fn backup(world: &World) -> String {
     let primary = world.primary().expect("a primary");
-    world.names().into_iter().find(|name| *name != primary).expect("a backup")
+    world
+        .names()
+        .into_iter()
+        .find(|name| *name != primary)
+        .expect("a backup")
 }
 
 /// How changes, messages and disks are timed.
@@ -56,13 +61,26 @@
     busy(&mut world, 1_600, pace.interval, None);
     let before = world.bytes_sent_to(&away);
     let took = busy(&mut world, CATCH_UP, pace.interval, Some(&away));
-    let Pace { interval, latency, sync } = pace;
-    let setting = format!("a change each {interval} ms, messages of {latency} ms, syncs of {sync} ms");
-    assert!(took.is_some(), "{setting}: not in step after {CATCH_UP} ms; {}", world.describe());
+    let Pace {
+        interval,
+        latency,
+        sync,
+    } = pace;
+    let setting =
+        format!("a change each {interval} ms, messages of {latency} ms, syncs of {sync} ms");
+    assert!(
+        took.is_some(),
+        "{setting}: not in step after {CATCH_UP} ms; {}",
+        world.describe()
+    );
     let bytes = world.bytes_sent_to(&away) - before;
     println!("{setting}, wiped {is_wiped}: in step after {took:?} ms, {bytes} bytes");
     assert!(bytes < 300_000, "{setting}: {bytes} bytes were sent");
-    let done = world.outcomes.values().filter(|outcome| **outcome == Outcome::Done).count();
+    let done = world
+        .outcomes
+        .values()
+        .filter(|outcome| **outcome == Outcome::Done)
+        .count();
     assert!(done > 20, "{setting}: {done} changes were made meanwhile");
     world.assert_nothing_lost();
 }
@@ -72,8 +90,22 @@
     for interval in [10, 20, 40] {
         for latency in [1, 5, 15] {
             for sync in [2, 15, 60] {
-                comes_back_under_load(&Pace { interval, latency, sync }, true);
-                comes_back_under_load(&Pace { interval, latency, sync }, false);
+                comes_back_under_load(
+                    &Pace {
+                        interval,
+                        latency,
+                        sync,
+                    },
+                    true,
+                );
+                comes_back_under_load(
+                    &Pace {
+                        interval,
+                        latency,
+                        sync,
+                    },
+                    false,
+                );
             }
         }
     }
@@ -93,7 +125,10 @@
     let before = world.bytes_sent_to(&away);
     assert!(world.until(CATCH_UP, |world| world.is_in_sync(&away)));
     let bytes = world.bytes_sent_to(&away) - before;
-    assert!(bytes < 20_000, "{bytes} bytes for a dozen small changes beside a configuration of 400 KB");
+    assert!(
+        bytes < 20_000,
+        "{bytes} bytes for a dozen small changes beside a configuration of 400 KB"
+    );
 }
 
 #[test]
@@ -106,7 +141,13 @@
             world.submit(&primary, configuration(version, version + 3, "grows"));
             version += 3;
         } else {
-            world.submit(&primary, change(&format!("m{}", world.state_index() % 40), world.state_index()));
+            world.submit(
+                &primary,
+                change(
+                    &format!("m{}", world.state_index() % 40),
+                    world.state_index(),
+                ),
+            );
         }
         let before = world.state_index();
         assert!(world.until(1_000, |world| world.state_index() > before));
@@ -129,7 +170,8 @@
     world.assert_nothing_lost();
 }
 
-/// Configurations of a megabyte and of eight: taken, outliving a lost disk, and brought to an empty replica meanwhile.
+/// Configurations of a megabyte and of eight: taken, outliving a lost disk, and brought to an empty
+/// replica meanwhile.
 #[test]
 fn large_configurations_are_brought_to_an_empty_replica_while_others_follow() {
     for megabytes in [1, 8] {
@@ -153,7 +195,10 @@
             assert!(world.until(3_000, |world| world.primary().is_some()));
             send(&mut world);
         }
-        assert!(world.until(2 * CATCH_UP, |world| world.is_in_sync(&away)), "{megabytes} MB");
+        assert!(
+            world.until(2 * CATCH_UP, |world| world.is_in_sync(&away)),
+            "{megabytes} MB"
+        );
         world.assert_nothing_lost();
     }
 }
--- a/control/tests/conditional_orders.rs
+++ b/control/tests/conditional_orders.rs
@@ -1,5 +1,6 @@
-//! Orders that arrive late, twice overtaken or never: every order in which a few messages between who gives orders and one backend can
-//! arrive, with reports that may be older than others that came before.
+//! Orders that arrive late, twice overtaken or never: every order in which a few messages between
+//! who gives orders and one backend can arrive, with reports that may be older than others that
+//! came before.
 
 use control::rollout::{ConditionalOrder, Need, Progress, Reported};
 use std::collections::BTreeSet;
@@ -35,7 +36,11 @@
 }
 
 fn reported((version, is_busy, taken_orders): Report) -> Reported {
-    Reported { version, is_busy, taken_orders }
+    Reported {
+        version,
+        is_busy,
+        taken_orders,
+    }
 }
 
 impl Backend {
@@ -45,7 +50,8 @@
 
     /// As the published protocol says.
     fn take(&mut self, (version, if_taken_orders): Order, heeds_condition: bool) {
-        let is_refused = self.loads.is_some() || heeds_condition && if_taken_orders != self.taken_orders;
+        let is_refused =
+            self.loads.is_some() || heeds_condition && if_taken_orders != self.taken_orders;
         if !is_refused && version != self.version {
             self.taken_orders += 1;
             self.loads = Some(version);
@@ -55,8 +61,20 @@
 
 impl World {
     fn new() -> Self {
-        let backend = Backend { version: 1, taken_orders: 0, loads: None };
-        World { backend, named: 1, orders: vec![], reports: vec![], given: 0, made: 0, known: None }
+        let backend = Backend {
+            version: 1,
+            taken_orders: 0,
+            loads: None,
+        };
+        World {
+            backend,
+            named: 1,
+            orders: vec![],
+            reports: vec![],
+            given: 0,
+            made: 0,
+            known: None,
+        }
     }
 
     /// Everything that may happen next.
@@ -134,20 +152,34 @@
     assert!(steps_back(false).0 > 0);
 }
 
-/// Whatever is reported later, an order is followed until it is done, overtaken or can still be taken.
+/// Whatever is reported later, an order is followed until it is done, overtaken or can still be
+/// taken.
 #[test]
 fn an_order_is_awaited_just_as_long_as_it_may_still_be_taken() {
-    let order = ConditionalOrder { version: 3, if_taken_orders: 5 };
+    let order = ConditionalOrder {
+        version: 3,
+        if_taken_orders: 5,
+    };
     for taken_orders in 4..8 {
         for version in 1..5 {
-            let is_busy = Reported { version, is_busy: true, taken_orders };
+            let is_busy = Reported {
+                version,
+                is_busy: true,
+                taken_orders,
+            };
             assert_eq!(order.progress(is_busy), Progress::Busy);
             let expected = match (version >= 3, taken_orders > 5) {
                 (true, _) => Progress::Done,
                 (false, true) => Progress::Overtaken,
                 (false, false) => Progress::Awaited,
             };
-            assert_eq!(order.progress(Reported { is_busy: false, ..is_busy }), expected);
+            assert_eq!(
+                order.progress(Reported {
+                    is_busy: false,
+                    ..is_busy
+                }),
+                expected
+            );
         }
     }
 }
--- a/control/tests/configuration.rs
+++ b/control/tests/configuration.rs
@@ -27,7 +27,8 @@
 #[test]
 fn the_longest_prefix_of_a_host_is_its_route() {
     let parsed = Configuration::parse(SOUND.as_bytes()).unwrap();
-    let name = |host: &str, path: &str| parsed.route(host, path).map(|route| route.name.to_string());
+    let name =
+        |host: &str, path: &str| parsed.route(host, path).map(|route| route.name.to_string());
     assert_eq!(name("a.example", "/x/y/z").as_deref(), Some("r2"));
     assert_eq!(name("a.example", "/x/z").as_deref(), Some("r1"));
     assert_eq!(name("a.example", "/q/"), None);
@@ -51,7 +52,10 @@
 
 #[test]
 fn what_is_not_valid_is_named_with_its_place() {
-    assert_matches!(Configuration::parse(&SOUND.as_bytes()[..300]), Err(Problem::Unreadable(_)));
+    assert_matches!(
+        Configuration::parse(&SOUND.as_bytes()[..300]),
+        Err(Problem::Unreadable(_))
+    );
     assert_matches!(problem("\"service\":\"models\",\"attempts\"", "\"service\":\"none\",\"attempts\""),
         Problem::UnknownService { route, service } if route == "r1" && service == "none");
     assert_matches!(problem("\"/x/y/\"", "\"/x/\""), Problem::SamePlace { first, second } if first == "r1" && second == "r2");
@@ -60,23 +64,32 @@
     assert_matches!(problem("\"timeoutMs\":3000", "\"timeoutMs\":0"), Problem::NoTimeout { route } if route == "r1");
     assert_matches!(problem("\"k3\"", "\"k1\""), Problem::SharedKey { first, second } if first == "t1" && second == "t2");
     let version = problem("\"version\":7", "\"version\":\"seven\"");
-    assert_eq!(version.to_string(), "version is missing or not a whole number: give it such a value");
+    assert_eq!(
+        version.to_string(),
+        "version is missing or not a whole number: give it such a value"
+    );
 }
 
 fn put(state: &mut ControlState, base: u64, body: &str) -> Outcome {
-    let change = Change::Configuration { base, body: body.as_bytes().into() };
+    let change = Change::Configuration {
+        base,
+        body: body.as_bytes().into(),
+    };
     match state.judge(&change) {
         Some(outcome) => outcome,
         None => {
-            let position = Position { index: state.position.index + 1, epoch: 1 };
+            let position = Position {
+                index: state.position.index + 1,
+                epoch: 1,
+            };
             state.apply(&Update { position, change });
             Outcome::Done
         }
     }
 }
 
-/// Every order of three changes of which two build on the same version, each sent twice: one of these two wins, and what was
-/// taken is acknowledged whenever it comes again.
+/// Every order of three changes of which two build on the same version, each sent twice: one of
+/// these two wins, and what was taken is acknowledged whenever it comes again.
 #[test]
 fn of_two_changes_on_one_version_one_wins_in_every_order() {
     let first = (0, SOUND.to_owned());
@@ -93,11 +106,18 @@
             let (base, body) = changes[at];
             let outcome = put(&mut state, *base, body);
             if taken[at] {
-                assert_eq!(outcome, Outcome::Done, "order {order}: a change that was taken is refused");
+                assert_eq!(
+                    outcome,
+                    Outcome::Done,
+                    "order {order}: a change that was taken is refused"
+                );
             }
             taken[at] |= outcome == Outcome::Done;
         }
-        assert!(!(taken[1] && taken[2]), "order {order}: both changes were taken");
+        assert!(
+            !(taken[1] && taken[2]),
+            "order {order}: both changes were taken"
+        );
     }
 }
 
@@ -107,7 +127,10 @@
     assert_eq!(put(&mut state, 0, SOUND), Outcome::Done);
     let same = SOUND.replacen("\"r1\"", "\"other\"", 1);
     assert_matches!(put(&mut state, 7, &same), Outcome::Refused(Refusal::Invalid(text)) if text.contains("not above the current 7"));
-    assert_matches!(put(&mut state, 3, &same), Outcome::Refused(Refusal::OtherVersion { current: 7 }));
+    assert_matches!(
+        put(&mut state, 3, &same),
+        Outcome::Refused(Refusal::OtherVersion { current: 7 })
+    );
 }
 
 #[test]
@@ -120,7 +143,11 @@
             )
         };
         let routes: Vec<String> = (0..200).map(route).collect();
-        format!(r#"{{"version":{version},"routes":[{}],"services":[]}}"#, routes.join(",")).into_bytes()
+        format!(
+            r#"{{"version":{version},"routes":[{}],"services":[]}}"#,
+            routes.join(",")
+        )
+        .into_bytes()
     };
     let (base, next) = (routes(1, 500), routes(2, 120));
     let pieces = delta::difference(&base, &next);
@@ -133,5 +160,9 @@
         })
         .sum();
     assert!(new < 200, "{new} of {} bytes are sent", next.len());
-    assert_eq!(delta::restore(&base[..10], &pieces), None, "a base that does not fit is told");
+    assert_eq!(
+        delta::restore(&base[..10], &pieces),
+        None,
+        "a base that does not fit is told"
+    );
 }
