--- a/control/tests/cut_off.rs
+++ b/control/tests/cut_off.rs
@@ -1,5 +1,6 @@
-//! A replica that is cut off from the others, both ways or one way, for long or with short gaps: from the moment of the cut
-//! on it confirms nothing, refuses nothing and reads nothing; and when it is back it is told who leads before it does anything.
+//! A replica that is cut off from the others, both ways or one way, for long or with short gaps:
+//! from the moment of the cut on it confirms nothing, refuses nothing and reads nothing; and when
+//! it is back it is told who leads before it does anything.
 
 mod world;
 
@@ -35,7 +36,8 @@
     }
 }
 
-/// Calls at a machine: a new change, one that builds on another version, one that was made, and a question.
+/// Calls at a machine: a new change, one that builds on another version, one that was made, and a
+/// question.
 #[derive(Debug, Clone, Copy)]
 struct Calls {
     new: u64,
@@ -55,9 +57,17 @@
 
 fn assert_nobody_could_tell(world: &World, calls: Calls) {
     for ticket in [calls.new, calls.refused, calls.made] {
-        assert_matches!(world.outcomes.get(&ticket), Some(Outcome::Unknown), "{calls:?}");
+        assert_matches!(
+            world.outcomes.get(&ticket),
+            Some(Outcome::Unknown),
+            "{calls:?}"
+        );
     }
-    assert_matches!(world.readings.get(&calls.read), Some(Reading::Unknown), "{calls:?}");
+    assert_matches!(
+        world.readings.get(&calls.read),
+        Some(Reading::Unknown),
+        "{calls:?}"
+    );
 }
 
 fn with_a_configuration(seed: u64, count: usize, faults: usize) -> World {
@@ -84,8 +94,13 @@
                 assert!(world.leaders() <= 1);
             }
             world.run(ANSWER);
-            calls.iter().for_each(|calls| assert_nobody_could_tell(&world, *calls));
-            assert!(world.primary().is_some_and(|primary| primary != away), "{cut:?} of {count}");
+            calls
+                .iter()
+                .for_each(|calls| assert_nobody_could_tell(&world, *calls));
+            assert!(
+                world.primary().is_some_and(|primary| primary != away),
+                "{cut:?} of {count}"
+            );
         }
     }
 }
@@ -102,7 +117,8 @@
             for mark in 0..100 {
                 match world.primary() {
                     Some(primary) => {
-                        let ticket = world.submit(&primary, change(&format!("meanwhile-{mark}"), 1));
+                        let ticket =
+                            world.submit(&primary, change(&format!("meanwhile-{mark}"), 1));
                         world.run(140);
                         let outcome = world.outcomes.get(&ticket);
                         without_primary += u32::from(outcome != Some(&Outcome::Done));
@@ -113,7 +129,10 @@
                     }
                 }
             }
-            assert!(without_primary <= 2, "{cut:?} of {away}: {without_primary} of 100 changes failed");
+            assert!(
+                without_primary <= 2,
+                "{cut:?} of {away}: {without_primary} of 100 changes failed"
+            );
         }
     }
 }
@@ -124,12 +143,15 @@
         let mut world = with_a_configuration(3, 3, 1);
         let away = world.primary().expect("a primary");
         cut_off(&mut world, &away, cut);
-        assert!(world.until(FAILOVER, |world| world.primary().is_some_and(|name| name != away)));
+        assert!(world.until(FAILOVER, |world| {
+            world.primary().is_some_and(|name| name != away)
+        }));
         let primary = world.primary().expect("another primary");
         world.submit(&primary, configuration(1, 5, "meanwhile"));
         world.run(CUT);
         world.heal();
-        // Questions from the first moment on are answered with the newest state or not at all (World checks each).
+        // Questions from the first moment on are answered with the newest state or not at all
+        // (World checks each).
         let mut asked = Vec::new();
         for mark in 0..200 {
             asked.push(call(&mut world, &away, mark));
@@ -138,13 +160,20 @@
         world.run(ANSWER);
         assert!(world.is_in_sync(&away), "{cut:?}: it is in step again");
         for calls in asked {
-            assert!(world.outcomes.contains_key(&calls.new), "{cut:?}: nobody waits for good");
-            assert!(world.readings.contains_key(&calls.read), "{cut:?}: nobody waits for good");
+            assert!(
+                world.outcomes.contains_key(&calls.new),
+                "{cut:?}: nobody waits for good"
+            );
+            assert!(
+                world.readings.contains_key(&calls.read),
+                "{cut:?}: nobody waits for good"
+            );
         }
     }
 }
 
-/// A path that comes back for 200 ms each second lets nobody lead twice, and brings nothing old into force.
+/// A path that comes back for 200 ms each second lets nobody lead twice, and brings nothing old
+/// into force.
 #[test]
 fn a_path_that_comes_and_goes_keeps_every_promise() {
     for cut in [Cut::Both, Cut::Hears, Cut::Speaks] {
@@ -158,8 +187,16 @@
                     call(&mut world, &away, 10 * mark + step);
                     if let Some(primary) = world.primary() {
                         version += 1;
-                        let base = world.machines[&primary].node.as_ref().expect("up").state().version();
-                        world.submit(&primary, configuration(base, base + 1, &format!("{version}")));
+                        let base = world.machines[&primary]
+                            .node
+                            .as_ref()
+                            .expect("up")
+                            .state()
+                            .version();
+                        world.submit(
+                            &primary,
+                            configuration(base, base + 1, &format!("{version}")),
+                        );
                         world.read(&primary);
                     }
                     world.run(100);
@@ -169,14 +206,22 @@
                 world.run(200);
                 assert!(world.leaders() <= 1, "{cut:?}");
             }
-            assert!(world.until(5_000, |world| world.primary().is_some()), "{cut:?}");
+            assert!(
+                world.until(5_000, |world| world.primary().is_some()),
+                "{cut:?}"
+            );
             world.assert_nothing_lost();
-            assert!(world.acknowledged.len() > 10, "{cut:?}: {} changes were made", world.acknowledged.len());
+            assert!(
+                world.acknowledged.len() > 10,
+                "{cut:?}: {} changes were made",
+                world.acknowledged.len()
+            );
         }
     }
 }
 
-/// Two halves of the replicas that can't reach each other: neither has a majority, so neither tells anything.
+/// Two halves of the replicas that can't reach each other: neither has a majority, so neither tells
+/// anything.
 #[test]
 fn of_two_halves_neither_confirms_anything() {
     for (count, faults) in [(4, 1), (6, 2)] {
@@ -202,12 +247,21 @@
             world.run(300);
         }
         world.run(ANSWER);
-        asked.iter().for_each(|calls| assert_nobody_could_tell(&world, *calls));
+        asked
+            .iter()
+            .for_each(|calls| assert_nobody_could_tell(&world, *calls));
         for name in world.names() {
-            assert_ne!(world.role(&name), Some(RoleName::Primary), "{name} leads in one half");
+            assert_ne!(
+                world.role(&name),
+                Some(RoleName::Primary),
+                "{name} leads in one half"
+            );
         }
         world.heal();
-        assert!(world.until(FAILOVER, |world| world.primary().is_some()), "one leads again");
+        assert!(
+            world.until(FAILOVER, |world| world.primary().is_some()),
+            "one leads again"
+        );
         world.assert_nothing_lost();
     }
 }
--- a/control/tests/directory.rs
+++ b/control/tests/directory.rs
@@ -29,10 +29,14 @@
 }
 
 fn content(directory: &Directory) -> Vec<String> {
-    directory.backends().map(|(id, backend)| format!("{id} {backend:?}")).collect()
+    directory
+        .backends()
+        .map(|(id, backend)| format!("{id} {backend:?}"))
+        .collect()
 }
 
-/// Every order of five steps, each of them any exchange between three holders that have written different things.
+/// Every order of five steps, each of them any exchange between three holders that have written
+/// different things.
 #[test]
 fn holders_converge_whatever_the_order_of_their_exchanges() {
     let pairs = [(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)];
@@ -59,25 +63,36 @@
         }
         assert_eq!(content(&holders[0]), content(&holders[1]), "order {order}");
         assert_eq!(content(&holders[0]), content(&holders[2]), "order {order}");
-        assert!(content(&holders[0])[0].contains("Draining"), "the later heartbeat holds");
-        assert!(content(&holders[0])[1].contains("Gone"), "what has left does not come back");
+        assert!(
+            content(&holders[0])[0].contains("Draining"),
+            "the later heartbeat holds"
+        );
+        assert!(
+            content(&holders[0])[1].contains("Gone"),
+            "what has left does not come back"
+        );
         assert!(!holders[0].has_news_for(holders[1].vector()));
         converged += 1;
     }
     assert_eq!(converged, 7_776);
 }
 
-/// Story: two nodes held different records of one backend for many seconds, each for the newest one, and ranked its later heartbeats by them.
-/// Found by reading, not seen in service. Cause: a heartbeat that is sent on to a second node when the first does not answer in time is
-/// written down by both under the same number. Who wrote last replaced what it held, and who heard of it kept the record of the higher
-/// origin, so what held depended on the path.
+/// Story: two nodes held different records of one backend for many seconds, each for the newest
+/// one, and ranked its later heartbeats by them. Found by reading, not seen in service. Cause: a
+/// heartbeat that is sent on to a second node when the first does not answer in time is written
+/// down by both under the same number. Who wrote last replaced what it held, and who heard of it
+/// kept the record of the higher origin, so what held depended on the path.
 #[test]
 fn holders_converge_where_two_write_down_the_same_heartbeat_in_every_order() {
     let taken_by = |owner: &str| match backend(5, BackendPhase::Ready) {
-        Value::Backend(backend) => Value::Backend(Backend { owner: owner.into(), ..backend }),
+        Value::Backend(backend) => Value::Backend(Backend {
+            owner: owner.into(),
+            ..backend
+        }),
         other => other,
     };
-    for (steps, origins) in (0..4_usize.pow(5)).flat_map(|steps| [(steps, [1, 2]), (steps, [2, 1])]) {
+    for (steps, origins) in (0..4_usize.pow(5)).flat_map(|steps| [(steps, [1, 2]), (steps, [2, 1])])
+    {
         let mut one = Directory::new(Origin(origins[0]));
         let mut other = Directory::new(Origin(origins[1]));
         // Two kinds of step each: writing, and pulling from the other one.
@@ -91,7 +106,11 @@
         }
         pull(&other, &mut one);
         pull(&one, &mut other);
-        assert_eq!(content(&one), content(&other), "steps {steps}, origins {origins:?}");
+        assert_eq!(
+            content(&one),
+            content(&other),
+            "steps {steps}, origins {origins:?}"
+        );
     }
 }
 
@@ -100,7 +119,10 @@
     let mut directory = Directory::new(Origin(1));
     assert!(directory.put(key("x"), backend(5, BackendPhase::Draining)));
     assert!(!directory.put(key("x"), backend(4, BackendPhase::Ready)));
-    assert!(!directory.put(key("x"), backend(5, BackendPhase::Draining)), "nothing new is not written");
+    assert!(
+        !directory.put(key("x"), backend(5, BackendPhase::Draining)),
+        "nothing new is not written"
+    );
 }
 
 #[test]
@@ -118,7 +140,15 @@
 #[test]
 fn what_has_ended_is_named_and_what_goes_on_is_not() {
     let mut directory = Directory::new(Origin(1));
-    let order = |phase| Value::Order(Order { fence: 1, number: 1, model: "m".into(), version: 2, phase });
+    let order = |phase| {
+        Value::Order(Order {
+            fence: 1,
+            number: 1,
+            model: "m".into(),
+            version: 2,
+            phase,
+        })
+    };
     directory.put(key("on"), backend(1, BackendPhase::Draining));
     directory.put(Key::Order("on".into()), order(OrderPhase::Done));
     directory.put(key("off"), backend(1, BackendPhase::Gone));
@@ -131,7 +161,8 @@
     assert_eq!(directory.backends().count(), 1);
 }
 
-/// Two holders of 500 records that differ in three find these three, and compare far fewer than all.
+/// Two holders of 500 records that differ in three find these three, and compare far fewer than
+/// all.
 #[test]
 fn range_digests_find_what_differs() {
     let hash = |number: u64| number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/control/tests/history.rs
+++ b/control/tests/history.rs
@@ -1,5 +1,5 @@
-//! Configurations travel as steps: every order in which answers to earlier questions may arrive leads to the newest text or
-//! changes nothing.
+//! Configurations travel as steps: every order in which answers to earlier questions may arrive
+//! leads to the newest text or changes nothing.
 
 use assert_matches::assert_matches;
 use control::history::{History, Misfit, News};
@@ -12,7 +12,11 @@
         format!("{{\"route\":{at},\"revision\":{revision}}}")
     };
     let routes: Vec<String> = (0..200).map(route).collect();
-    format!("{{\"version\":{version},\"routes\":[{}]}}", routes.join(",")).into_bytes()
+    format!(
+        "{{\"version\":{version},\"routes\":[{}]}}",
+        routes.join(",")
+    )
+    .into_bytes()
 }
 
 fn up_to(version: u64) -> History {
@@ -23,9 +27,11 @@
 
 #[test]
 fn answers_to_two_questions_in_any_order_lead_to_the_newest_text() {
-    // Two sources answer what was asked at versions 1, 2 and 3; the sources themselves go on from 3 to 6.
-    let answers: Vec<News> =
-        [(1, 3), (1, 4), (2, 4), (3, 5), (3, 6)].map(|(base, at)| up_to(at).news_for(base).unwrap()).into();
+    // Two sources answer what was asked at versions 1, 2 and 3; the sources themselves go on from 3
+    // to 6.
+    let answers: Vec<News> = [(1, 3), (1, 4), (2, 4), (3, 5), (3, 6)]
+        .map(|(base, at)| up_to(at).news_for(base).unwrap())
+        .into();
     for order in orders::all(&[0, 1, 2, 3, 4]) {
         let mut holder = up_to(1);
         for at in &order {
@@ -76,7 +82,10 @@
     let mut holder = History::default();
     holder.advance(4, [&b"{\"other\":1}"[..], &text(4)].concat());
     let held = holder.text().to_vec();
-    assert_matches!(holder.take(up_to(5).news_for(4).unwrap()), Err(Misfit::Checksum { version: 5 }));
+    assert_matches!(
+        holder.take(up_to(5).news_for(4).unwrap()),
+        Err(Misfit::Checksum { version: 5 })
+    );
     assert_eq!((holder.version(), holder.text()), (4, &held[..]));
 }
 
--- a/control/tests/membership.rs
+++ b/control/tests/membership.rs
@@ -7,8 +7,9 @@
 
 #[test]
 fn each_member_has_a_few_monitors_whatever_the_size_and_a_change_moves_few_of_them() {
-    let names =
-        |count: usize| -> BTreeSet<CompactString> { (0..count).map(|at| format!("n{at}").into()).collect() };
+    let names = |count: usize| -> BTreeSet<CompactString> {
+        (0..count).map(|at| format!("n{at}").into()).collect()
+    };
     for count in [2, 3, 11, 420] {
         let members = names(count);
         let mut monitored = 0;
@@ -28,8 +29,9 @@
     }
     let (before, mut after) = (names(420), names(420));
     after.remove("n7");
-    let moved =
-        after.iter().filter(|name| ring::successors(&before, name, 3) != ring::successors(&after, name, 3));
+    let moved = after
+        .iter()
+        .filter(|name| ring::successors(&before, name, 3) != ring::successors(&after, name, 3));
     assert_eq!(moved.count(), 3, "only those that had the one that is gone");
 }
 
--- a/control/tests/order_turns.rs
+++ b/control/tests/order_turns.rs
@@ -1,13 +1,15 @@
 //! Whether somebody may give orders to backends while the primary is struck again and again.
 //!
-//! Story: at the end of a long day with hundreds of changes more than a tenth of the backends still had old weights, though the newest
-//! version had been acknowledged long before, and there had been over twelve calm seconds since, a few at a time. Troubles of the
-//! nodes that hold the control state came every few seconds.
+//! Story: at the end of a long day with hundreds of changes more than a tenth of the backends still
+//! had old weights, though the newest version had been acknowledged long before, and there had been
+//! over twelve calm seconds since, a few at a time. Troubles of the nodes that hold the control
+//! state came every few seconds.
 //!
-//! Evidence: plays of such troubles show a primary for most of the time, and no moment at which it may give orders. Cause: whoever gets
-//! the lease lets the time of a lease pass before its first order, for the sake of orders of its predecessor. That wait began
-//! anew with every change of the primary, though its predecessor had given no order, and with every look at which the lease was not
-//! shown, though nobody else had held it.
+//! Evidence: plays of such troubles show a primary for most of the time, and no moment at which it
+//! may give orders. Cause: whoever gets the lease lets the time of a lease pass before its first
+//! order, for the sake of orders of its predecessor. That wait began anew with every change of the
+//! primary, though its predecessor had given no order, and with every look at which the lease was
+//! not shown, though nobody else had held it.
 
 mod world;
 
@@ -34,7 +36,11 @@
 impl Group {
     fn founded(seed: u64) -> Self {
         let world = World::founded(seed, 5, 2);
-        Group { world, version: 0, orders: Vec::new() }
+        Group {
+            world,
+            version: 0,
+            orders: Vec::new(),
+        }
     }
 
     /// Lets time pass with changes under way.
@@ -51,23 +57,37 @@
     }
 
     fn change(&mut self) {
-        let Some(primary) = self.world.primary() else { return };
-        let node = self.world.machines[&primary].node.as_ref().expect("it leads");
+        let Some(primary) = self.world.primary() else {
+            return;
+        };
+        let node = self.world.machines[&primary]
+            .node
+            .as_ref()
+            .expect("it leads");
         let base = node.state().version();
         self.version = base.max(self.version) + 1;
-        self.world.submit(&primary, configuration(base, self.version, "m"));
+        self.world
+            .submit(&primary, configuration(base, self.version, "m"));
     }
 
     fn look(&mut self) {
         let now = self.world.now;
         for name in self.world.names() {
             let machine = &self.world.machines[&name];
-            let Some(node) = machine.node.as_ref().filter(|_| machine.frozen_until <= now) else { continue };
+            let Some(node) = machine
+                .node
+                .as_ref()
+                .filter(|_| machine.frozen_until <= now)
+            else {
+                continue;
+            };
             let turn = node.order_turn(now);
             if turn == OrderTurn::Held {
                 self.orders.push((now, name));
             } else if turn.may_take(LEASE, now) {
-                let change = Change::OrderHolder { replica: node.id().clone() };
+                let change = Change::OrderHolder {
+                    replica: node.id().clone(),
+                };
                 self.world.submit(&name, change);
             }
         }
@@ -87,8 +107,13 @@
     /// Orders of two machines lie further apart than a lease.
     fn assert_apart(&self) {
         for pair in self.orders.windows(2) {
-            let [(before, one), (after, other)] = pair else { unreachable!() };
-            assert!(one == other || after - before > LEASE, "{one} at {before}, {other} at {after}");
+            let [(before, one), (after, other)] = pair else {
+                unreachable!()
+            };
+            assert!(
+                one == other || after - before > LEASE,
+                "{one} at {before}, {other} at {after}"
+            );
         }
     }
 }
@@ -103,18 +128,24 @@
             let begun = group.world.now;
             group.strike_primary(|world, name| world.kill(name, 400, false));
             group.run(3_300);
-            group.strike_primary(|world, name| world.machines.get_mut(name).expect("a machine").sync = None);
+            group.strike_primary(|world, name| {
+                world.machines.get_mut(name).expect("a machine").sync = None
+            });
             group.run(900);
             group.world.restore_disks();
             group.run(2_400);
             let ordered = group.ordered_since(begun);
-            assert!(ordered >= 1_500, "seed {seed}, cycle {cycle}: {ordered} ms of 6,600 ms for orders");
+            assert!(
+                ordered >= 1_500,
+                "seed {seed}, cycle {cycle}: {ordered} ms of 6,600 ms for orders"
+            );
         }
         group.assert_apart();
     }
 }
 
-/// A backup whose process is killed is taken out of the view and in again, which makes two views of the same primary.
+/// A backup whose process is killed is taken out of the view and in again, which makes two views of
+/// the same primary.
 #[test]
 fn views_of_the_same_primary_hold_no_order_back() {
     for seed in 1..=5 {
@@ -126,7 +157,12 @@
         let begun = group.world.now;
         let holder = group.world.primary().expect("a primary");
         for _ in 0..8 {
-            let backup = group.world.names().into_iter().find(|name| *name != holder).expect("a backup");
+            let backup = group
+                .world
+                .names()
+                .into_iter()
+                .find(|name| *name != holder)
+                .expect("a backup");
             // Syncs of the disk take their time, so that a new view takes a while to begin.
             for machine in group.world.machines.values_mut() {
                 machine.sync = Some(60);
@@ -135,13 +171,16 @@
             group.run(2_500);
         }
         let ordered = group.ordered_since(begun);
-        assert!(ordered >= 15_000, "seed {seed}: {ordered} ms of 20,000 ms for orders");
+        assert!(
+            ordered >= 15_000,
+            "seed {seed}: {ordered} ms of 20,000 ms for orders"
+        );
         group.assert_apart();
     }
 }
 
-/// Machines are killed, lose power or their disks, stand still and are cut off, and messages are late and lost: whoever may give orders
-/// does so more than a lease after any other.
+/// Machines are killed, lose power or their disks, stand still and are cut off, and messages are
+/// late and lost: whoever may give orders does so more than a lease after any other.
 #[test]
 fn no_two_machines_give_orders_within_a_lease_whatever_happens() {
     let mut takeovers = 0;
@@ -175,7 +214,14 @@
             group.world.restore_disks();
         }
         group.assert_apart();
-        takeovers += group.orders.windows(2).filter(|pair| pair[0].1 != pair[1].1).count();
+        takeovers += group
+            .orders
+            .windows(2)
+            .filter(|pair| pair[0].1 != pair[1].1)
+            .count();
     }
-    assert!(takeovers > 100, "{takeovers} changes of who gives orders were seen");
+    assert!(
+        takeovers > 100,
+        "{takeovers} changes of who gives orders were seen"
+    );
 }
--- a/control/tests/plays.rs
+++ b/control/tests/plays.rs
@@ -1,6 +1,6 @@
-//! Faults that overlap: in each round as many disks are lost as are borne, and every other machine may be killed, lose power,
-//! stand still or be cut off meanwhile. Afterwards there is a primary again, everything acknowledged is there, nobody went
-//! back, and nothing old was read.
+//! Faults that overlap: in each round as many disks are lost as are borne, and every other machine
+//! may be killed, lose power, stand still or be cut off meanwhile. Afterwards there is a primary
+//! again, everything acknowledged is there, nobody went back, and nothing old was read.
 //!
 //! `CONTROL_PLAYS` says how many seeds are played for each size; by default a few.
 
@@ -56,7 +56,13 @@
             let sync = 2 + world.rng.u64(0..=weather.slowest_sync);
             world.machines.get_mut(&name).expect("a machine").sync = Some(sync);
         }
-        Play { world, seed, changes: 0, heals: Vec::new(), without_primary: Vec::new() }
+        Play {
+            world,
+            seed,
+            changes: 0,
+            heals: Vec::new(),
+            without_primary: Vec::new(),
+        }
     }
 
     fn strike(&mut self, faults: usize, one_way: bool) {
@@ -83,7 +89,9 @@
         self.world.cut_off(name);
         if one_way {
             let hears = self.world.rng.bool();
-            self.world.cut.retain(|(from, to)| if hears { from == name } else { to == name });
+            self.world
+                .cut
+                .retain(|(from, to)| if hears { from == name } else { to == name });
         }
         self.heals.push((self.world.now + lasts, name.to_owned()));
     }
@@ -91,17 +99,23 @@
     fn heal_due(&mut self) {
         let now = self.world.now;
         let heals = std::mem::take(&mut self.heals);
-        let (due, later) = heals.into_iter().partition::<Vec<_>, _>(|(at, _)| *at <= now);
+        let (due, later) = heals
+            .into_iter()
+            .partition::<Vec<_>, _>(|(at, _)| *at <= now);
         self.heals = later;
         for (_, name) in due {
-            self.world.cut.retain(|(from, to)| *from != name && *to != name);
+            self.world
+                .cut
+                .retain(|(from, to)| *from != name && *to != name);
         }
     }
 
     /// A change or a question at any machine.
     fn call(&mut self) {
         let names = self.world.names();
-        let primaries = names.iter().filter(|name| self.world.role(name) == Some(RoleName::Primary));
+        let primaries = names
+            .iter()
+            .filter(|name| self.world.role(name) == Some(RoleName::Primary));
         let primaries: Vec<&String> = primaries.collect();
         // Calls are passed on to whoever is thought to lead; some go astray.
         let name = match self.world.rng.u8(0..4) {
@@ -112,18 +126,33 @@
         self.changes += 1;
         if self.changes % 3 == 0 {
             let known = |name: &String| self.world.machines[name].node.as_ref();
-            let base = names.iter().filter_map(known).map(|node| node.state().version()).max().unwrap_or(0);
-            let change = configuration(base, base + 1 + self.changes % 2, &format!("c{}", self.changes));
+            let base = names
+                .iter()
+                .filter_map(known)
+                .map(|node| node.state().version())
+                .max()
+                .unwrap_or(0);
+            let change = configuration(
+                base,
+                base + 1 + self.changes % 2,
+                &format!("c{}", self.changes),
+            );
             self.world.submit(&name, change);
         } else {
-            self.world.submit(&name, change(&format!("m{}", self.changes), 1));
+            self.world
+                .submit(&name, change(&format!("m{}", self.changes), 1));
         }
         self.world.read(&name);
     }
 
     fn round(&mut self, faults: usize, one_way: bool) {
         let whole = self.world.until(REPAIR, World::is_whole);
-        assert!(whole, "seed {}: not all replicas are in step again: {}", self.seed, self.world.describe());
+        assert!(
+            whole,
+            "seed {}: not all replicas are in step again: {}",
+            self.seed,
+            self.world.describe()
+        );
         let begun = self.world.now;
         let strikes_at = begun + self.world.rng.u64(0..STRIKE_WITHIN);
         while self.world.now < strikes_at + ROUND {
@@ -135,20 +164,37 @@
             }
             self.world.run(1);
             self.heal_due();
-            assert!(self.world.leaders() <= 1, "seed {}: two primaries", self.seed);
+            assert!(
+                self.world.leaders() <= 1,
+                "seed {}: two primaries",
+                self.seed
+            );
         }
         self.world.heal();
         let healed = self.world.now;
-        let led = self.world.until(FAILOVER, |world| world.primary().is_some());
+        let led = self
+            .world
+            .until(FAILOVER, |world| world.primary().is_some());
         self.without_primary.push(self.world.now - healed);
-        assert!(led, "seed {}: no primary after all faults are over: {}", self.seed, self.world.describe());
+        assert!(
+            led,
+            "seed {}: no primary after all faults are over: {}",
+            self.seed,
+            self.world.describe()
+        );
         self.world.assert_nothing_lost();
     }
 }
 
 fn plays(count: usize, faults: usize, weather: Weather) {
-    let seeds = std::env::var("CONTROL_PLAYS").ok().and_then(|text| text.parse().ok()).unwrap_or(6);
-    let first = std::env::var("CONTROL_FIRST_SEED").ok().and_then(|text| text.parse().ok()).unwrap_or(0);
+    let seeds = std::env::var("CONTROL_PLAYS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(6);
+    let first = std::env::var("CONTROL_FIRST_SEED")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
     let (mut acknowledged, mut configurations, mut without_primary) = (0, 0, Vec::new());
     for seed in first..first + seeds {
         let mut play = Play::new(seed, count, faults, weather);
@@ -171,11 +217,22 @@
         share(99),
         share(100)
     );
-    assert!(acknowledged >= 5 * seeds, "{acknowledged} changes were acknowledged in {seeds} plays");
-    assert!(configurations >= seeds, "{configurations} configurations were acknowledged in {seeds} plays");
+    assert!(
+        acknowledged >= 5 * seeds,
+        "{acknowledged} changes were acknowledged in {seeds} plays"
+    );
+    assert!(
+        configurations >= seeds,
+        "{configurations} configurations were acknowledged in {seeds} plays"
+    );
 }
 
-const ROUGH: Weather = Weather { loss: 0.03, late: 0.02, one_way: true, slowest_sync: 40 };
+const ROUGH: Weather = Weather {
+    loss: 0.03,
+    late: 0.02,
+    one_way: true,
+    slowest_sync: 40,
+};
 
 #[test]
 fn three_replicas_bear_one_lost_disk_among_other_faults() {
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -1,5 +1,6 @@
-//! Changes of members: machines that are replaced, lose their disks or leave one after the other, with the next loss right
-//! behind the last repair; a leaving member whose copy is needed; and the first view, whatever befalls who founds.
+//! Changes of members: machines that are replaced, lose their disks or leave one after the other,
+//! with the next loss right behind the last repair; a leaving member whose copy is needed; and the
+//! first view, whatever befalls who founds.
 
 mod world;
 
@@ -14,10 +15,17 @@
 const FAILOVER: u64 = 4_000;
 
 fn acknowledged(world: &mut World, mark: &str) {
-    assert!(world.until(FAILOVER, |world| world.primary().is_some()), "{mark}: {}", world.describe());
+    assert!(
+        world.until(FAILOVER, |world| world.primary().is_some()),
+        "{mark}: {}",
+        world.describe()
+    );
     let primary = world.primary().expect("a primary");
     let ticket = world.submit(&primary, change(mark, 1));
-    assert!(world.until(FAILOVER, |world| world.outcomes.contains_key(&ticket)), "{mark}");
+    assert!(
+        world.until(FAILOVER, |world| world.outcomes.contains_key(&ticket)),
+        "{mark}"
+    );
     assert_matches!(world.outcomes[&ticket], Outcome::Done, "{mark}");
 }
 
@@ -32,7 +40,11 @@
                 acknowledged(&mut world, &format!("m{round}"));
                 world.wipe(&lost, 300);
                 acknowledged(&mut world, &format!("meanwhile{round}"));
-                assert!(world.until(REPAIR, World::is_whole), "{pause} ms: {}", world.describe());
+                assert!(
+                    world.until(REPAIR, World::is_whole),
+                    "{pause} ms: {}",
+                    world.describe()
+                );
                 world.run(pause);
                 world.assert_nothing_lost();
             }
@@ -40,8 +52,8 @@
     }
 }
 
-/// A machine is gone for good and an empty one comes in its place; meanwhile another one is cut off for a while, and the next
-/// machine goes as soon as the new one is in step.
+/// A machine is gone for good and an empty one comes in its place; meanwhile another one is cut off
+/// for a while, and the next machine goes as soon as the new one is in step.
 #[test]
 fn each_machine_is_replaced_in_turn_during_cuts() {
     for (count, faults) in [(3, 1), (4, 1), (5, 2)] {
@@ -95,17 +107,25 @@
         }
         acknowledged(&mut world, "while it waits");
         assert!(world.until(REPAIR, |world| world.machines[&away].node.is_some()));
-        assert!(world.until(REPAIR, |world| world.may_end(&leaving)), "{}", world.describe());
+        assert!(
+            world.until(REPAIR, |world| world.may_end(&leaving)),
+            "{}",
+            world.describe()
+        );
         // Now it goes with its disk, and all others lose power.
         world.remove(&leaving);
-        world.names().iter().for_each(|name| world.kill(name, 500, true));
+        world
+            .names()
+            .iter()
+            .for_each(|name| world.kill(name, 500, true));
         world.run(500);
         acknowledged(&mut world, "afterwards");
         world.assert_nothing_lost();
     }
 }
 
-/// All are restarted in turn, each asks to be taken out first: no change waits for a process that has ended.
+/// All are restarted in turn, each asks to be taken out first: no change waits for a process that
+/// has ended.
 #[test]
 fn while_all_leave_and_return_in_turn_no_change_waits_long() {
     const LONGEST: u64 = 500;
@@ -148,7 +168,8 @@
 }
 
 #[test]
-fn one_first_view_is_decided_whoever_founds_in_whatever_order_and_whatever_befalls_the_first_seed() {
+fn one_first_view_is_decided_whoever_founds_in_whatever_order_and_whatever_befalls_the_first_seed()
+{
     use Founding::{Cut, FirstWithAll, FirstWithThree, Kill, Second, Wipe};
     for trouble in [Kill, Wipe, Cut] {
         for order in orders::all(&[FirstWithThree, FirstWithAll, Second, trouble]) {
@@ -167,21 +188,31 @@
                 }
                 world.run(600);
                 world.heal();
-                // The seeds go on until there is a view. (World checks that there is one for each epoch.)
+                // The seeds go on until there is a view. (World checks that there is one for each
+                // epoch.)
                 for _ in 0..20 {
                     if world.primary().is_none() {
                         world.found_with("n2", 4);
                     }
                     world.run(400);
                 }
-                assert!(world.primary().is_some(), "{order:?} {pause}: {}", world.describe());
-                assert!(world.until(REPAIR, World::is_whole), "{order:?} {pause}: {}", world.describe());
+                assert!(
+                    world.primary().is_some(),
+                    "{order:?} {pause}: {}",
+                    world.describe()
+                );
+                assert!(
+                    world.until(REPAIR, World::is_whole),
+                    "{order:?} {pause}: {}",
+                    world.describe()
+                );
             }
         }
     }
 }
 
-/// A machine whose disk is new, after the system began, has no say in the first view and can't begin a second system.
+/// A machine whose disk is new, after the system began, has no say in the first view and can't
+/// begin a second system.
 #[test]
 fn who_came_later_founds_nothing() {
     let mut world = World::new(3, 4, 1);
@@ -190,9 +221,17 @@
     }
     world.run(200);
     for _ in 0..10 {
-        world.names().iter().for_each(|name| world.found_with(name, 4));
+        world
+            .names()
+            .iter()
+            .for_each(|name| world.found_with(name, 4));
         world.run(300);
     }
     assert!(world.primary().is_none());
-    assert!(world.machines.values().all(|machine| machine.node.as_ref().expect("up").view().is_none()));
+    assert!(
+        world
+            .machines
+            .values()
+            .all(|machine| machine.node.as_ref().expect("up").view().is_none())
+    );
 }
--- a/control/tests/replication.rs
+++ b/control/tests/replication.rs
@@ -1,4 +1,5 @@
-//! Replicas of the control state under faults: nothing acknowledged is lost, nobody goes back, one primary at a time.
+//! Replicas of the control state under faults: nothing acknowledged is lost, nobody goes back, one
+//! primary at a time.
 
 mod world;
 
@@ -23,8 +24,15 @@
     let mut world = World::founded(1, 3, 1);
     acknowledged(&mut world, 2);
     world.run(100);
-    let known =
-        |world: &World, name: &str| world.machines[name].node.as_ref().unwrap().state().position.index;
+    let known = |world: &World, name: &str| {
+        world.machines[name]
+            .node
+            .as_ref()
+            .unwrap()
+            .state()
+            .position
+            .index
+    };
     assert!(world.names().iter().all(|name| known(&world, name) == 1));
 }
 
@@ -34,7 +42,9 @@
     acknowledged(&mut world, 2);
     let first = world.primary().unwrap();
     world.kill(&first, 60_000, true);
-    assert!(world.until(FAILOVER, |world| world.primary().is_some_and(|name| name != first)));
+    assert!(world.until(FAILOVER, |world| {
+        world.primary().is_some_and(|name| name != first)
+    }));
     acknowledged(&mut world, 3);
     world.assert_nothing_lost();
 }
@@ -48,7 +58,11 @@
             acknowledged(&mut world, version);
             let wiped = world.primary().unwrap();
             for name in world.names() {
-                if name == wiped { world.wipe(&name, 1_300) } else { world.kill(&name, 1_300, true) }
+                if name == wiped {
+                    world.wipe(&name, 1_300)
+                } else {
+                    world.kill(&name, 1_300, true)
+                }
             }
             assert!(
                 world.until(8_000, |world| world.primary().is_some()),
@@ -57,18 +71,32 @@
             world.assert_nothing_lost();
             // The wiped one is taken in again.
             world.run(3_000);
-            let view = world.machines[&wiped].node.as_ref().unwrap().view().cloned().expect("a view");
-            assert!(view.in_sync.iter().any(|replica| replica.node == *wiped), "{view:?}");
+            let view = world.machines[&wiped]
+                .node
+                .as_ref()
+                .unwrap()
+                .view()
+                .cloned()
+                .expect("a view");
+            assert!(
+                view.in_sync.iter().any(|replica| replica.node == *wiped),
+                "{view:?}"
+            );
         }
     }
 }
 
-/// A backup was cut off and taken out, another one is wiped at once after its return, everything else loses power.
+/// A backup was cut off and taken out, another one is wiped at once after its return, everything
+/// else loses power.
 #[test]
 fn a_replica_that_lost_its_disk_twice_and_one_that_missed_changes_lose_nothing() {
     let mut world = World::founded(6, 4, 1);
     let primary = world.primary().unwrap();
-    let cut = world.names().into_iter().find(|name| *name != primary).unwrap();
+    let cut = world
+        .names()
+        .into_iter()
+        .find(|name| *name != primary)
+        .unwrap();
     world.cut_off(&cut);
     world.run(2_000);
     acknowledged(&mut world, 2);
@@ -81,9 +109,16 @@
     acknowledged(&mut world, 4);
     let wiped = world.primary().unwrap();
     for name in world.names() {
-        if name == wiped { world.wipe(&name, 1_300) } else { world.kill(&name, 1_300, true) }
+        if name == wiped {
+            world.wipe(&name, 1_300)
+        } else {
+            world.kill(&name, 1_300, true)
+        }
     }
-    assert!(world.until(8_000, |world| world.primary().is_some()), "there is a primary again");
+    assert!(
+        world.until(8_000, |world| world.primary().is_some()),
+        "there is a primary again"
+    );
     world.assert_nothing_lost();
 }
 
@@ -98,13 +133,17 @@
         for name in world.names() {
             world.kill(&name, 800, seed % 2 == 0);
         }
-        assert!(world.until(6_000, |world| world.primary().is_some()), "seed {seed}");
+        assert!(
+            world.until(6_000, |world| world.primary().is_some()),
+            "seed {seed}"
+        );
         world.assert_nothing_lost();
         acknowledged(&mut world, 4);
     }
 }
 
-/// Two operators send on top of the same version over a cut: one of them wins, and only on the side of the majority.
+/// Two operators send on top of the same version over a cut: one of them wins, and only on the side
+/// of the majority.
 #[test]
 fn of_two_changes_on_one_version_over_a_cut_one_wins() {
     let mut world = World::founded(7, 3, 1);
@@ -114,7 +153,9 @@
     assert_matches!(world.outcomes[&ticket], Outcome::Done);
     world.cut_off(&first);
     let minority = world.submit(&first, configuration(3, 5, "minority"));
-    assert!(world.until(FAILOVER, |world| world.primary().is_some_and(|name| name != first)));
+    assert!(world.until(FAILOVER, |world| {
+        world.primary().is_some_and(|name| name != first)
+    }));
     let second = world.primary().unwrap();
     let majority = world.submit(&second, configuration(3, 6, "majority"));
     world.run(500);
@@ -125,8 +166,15 @@
     let again = world.submit(&second, configuration(3, 6, "majority"));
     let other = world.submit(&second, configuration(3, 5, "minority"));
     world.run(200);
-    assert_matches!(world.outcomes[&again], Outcome::Done, "a change that was taken is acknowledged again");
-    assert_matches!(world.outcomes[&other], Outcome::Refused(Refusal::OtherVersion { current: 6 }));
+    assert_matches!(
+        world.outcomes[&again],
+        Outcome::Done,
+        "a change that was taken is acknowledged again"
+    );
+    assert_matches!(
+        world.outcomes[&other],
+        Outcome::Refused(Refusal::OtherVersion { current: 6 })
+    );
 }
 
 #[test]
@@ -136,12 +184,18 @@
     let first = world.primary().unwrap();
     world.machines.get_mut(&first).unwrap().sync = None;
     let ticket = world.submit(&first, change("m", 3));
-    assert!(world.until(FAILOVER, |world| world.primary().is_some_and(|name| name != first)));
-    assert!(world.outcomes.contains_key(&ticket), "nobody waits for a disk that hangs");
+    assert!(world.until(FAILOVER, |world| {
+        world.primary().is_some_and(|name| name != first)
+    }));
+    assert!(
+        world.outcomes.contains_key(&ticket),
+        "nobody waits for a disk that hangs"
+    );
     acknowledged(&mut world, 4);
 }
 
-/// A machine is gone for good and an empty one comes at another address; later the next one is replaced in the same way.
+/// A machine is gone for good and an empty one comes at another address; later the next one is
+/// replaced in the same way.
 #[test]
 fn machines_that_are_replaced_one_after_the_other_leave_a_majority() {
     let mut world = World::founded(10, 3, 1);
@@ -169,10 +223,14 @@
     acknowledged(&mut world, 2);
 }
 
-/// Days of faults by seed. At every moment there is one primary at the most; at the end everything acknowledged is there.
+/// Days of faults by seed. At every moment there is one primary at the most; at the end everything
+/// acknowledged is there.
 #[test]
 fn days_of_faults_lose_nothing() {
-    let days = std::env::var("CONTROL_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(150);
+    let days = std::env::var("CONTROL_SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(150);
     for seed in 0..days {
         day(seed);
     }
@@ -223,18 +281,38 @@
     let mut world = World::founded(11, 5, 2);
     world.run(500);
     let primary = world.primary().unwrap();
-    let is_current =
-        |world: &World, name: &str| world.current_at(name).is_some_and(|at| world.now < at + OUT_OF_TOUCH);
+    let is_current = |world: &World, name: &str| {
+        world
+            .current_at(name)
+            .is_some_and(|at| world.now < at + OUT_OF_TOUCH)
+    };
     for name in world.names() {
-        assert!(is_current(&world, &name), "{name} hears the primary {primary}");
+        assert!(
+            is_current(&world, &name),
+            "{name} hears the primary {primary}"
+        );
     }
-    let away: Vec<String> = world.names().into_iter().filter(|name| *name != primary).take(2).collect();
+    let away: Vec<String> = world
+        .names()
+        .into_iter()
+        .filter(|name| *name != primary)
+        .take(2)
+        .collect();
     away.iter().for_each(|name| world.cut_off(name));
     world.run(1_500);
     for name in world.names() {
-        assert_eq!(is_current(&world, &name), !away.contains(&name), "{name} after the cut");
+        assert_eq!(
+            is_current(&world, &name),
+            !away.contains(&name),
+            "{name} after the cut"
+        );
     }
     acknowledged(&mut world, 2);
     world.heal();
-    assert!(world.until(5_000, |world| away.iter().all(|name| is_current(world, name))), "after the cut");
+    assert!(
+        world.until(5_000, |world| away
+            .iter()
+            .all(|name| is_current(world, name))),
+        "after the cut"
+    );
 }
--- a/control/tests/rollout.rs
+++ b/control/tests/rollout.rs
@@ -1,9 +1,11 @@
-//! Which backends are brought to new weights, how many at a time, and when a holder of the lease may begin.
+//! Which backends are brought to new weights, how many at a time, and when a holder of the lease
+//! may begin.
 
 use compact_str::CompactString;
 use control::directory::{Backend, BackendPhase, Directory, Key, Order, OrderPhase, Origin, Value};
 use control::rollout::{
-    Confirmations, FormerHolder, HeldBack, OrderQueue, OrderTurn, RefusedFences, Rollout, lacking_by_cause,
+    Confirmations, FormerHolder, HeldBack, OrderQueue, OrderTurn, RefusedFences, Rollout,
+    lacking_by_cause,
 };
 use control::state::WeightsTarget;
 use control::view::{ReplicaId, View};
@@ -40,7 +42,11 @@
 
 fn lacking(directory: &Directory, version: u64) -> Vec<String> {
     let rollout = Rollout::of(directory, &targets(version), &Confirmations::new(PATIENCE));
-    rollout.lacking.into_iter().map(|lacking| lacking.id.to_string()).collect()
+    rollout
+        .lacking
+        .into_iter()
+        .map(|lacking| lacking.id.to_string())
+        .collect()
 }
 
 #[test]
@@ -48,41 +54,91 @@
     let directory = directory([
         ("old", backend(1)),
         ("new", backend(2)),
-        ("drains", Backend { phase: BackendPhase::Draining, ..backend(1) }),
-        ("silent", Backend { silent: true, ..backend(1) }),
-        ("other", Backend { models: vec![("n".into(), 1)], ..backend(1) }),
-        ("none", Backend { models: Vec::new(), ..backend(1) }),
+        (
+            "drains",
+            Backend {
+                phase: BackendPhase::Draining,
+                ..backend(1)
+            },
+        ),
+        (
+            "silent",
+            Backend {
+                silent: true,
+                ..backend(1)
+            },
+        ),
+        (
+            "other",
+            Backend {
+                models: vec![("n".into(), 1)],
+                ..backend(1)
+            },
+        ),
+        (
+            "none",
+            Backend {
+                models: Vec::new(),
+                ..backend(1)
+            },
+        ),
     ]);
     assert_eq!(lacking(&directory, 2), ["old", "silent"]);
     assert_eq!(lacking(&directory, 1), [""; 0]);
     assert_eq!(lacking(&directory, 3), ["new", "old", "silent"]);
 }
 
-/// Heartbeats that stop say nothing of whether an order can be taken. Who may be gone gets what places are left, few of them, and not again
-/// at once.
+/// Heartbeats that stop say nothing of whether an order can be taken. Who may be gone gets what
+/// places are left, few of them, and not again at once.
 #[test]
 fn backends_whose_heartbeats_have_stopped_come_last_by_few_and_now_and_then() {
-    let silent = || Backend { silent: true, ..backend(1) };
-    let directory = directory([("a", silent()), ("b", backend(1)), ("c", silent()), ("d", backend(1))]);
+    let silent = || Backend {
+        silent: true,
+        ..backend(1)
+    };
+    let directory = directory([
+        ("a", silent()),
+        ("b", backend(1)),
+        ("c", silent()),
+        ("d", backend(1)),
+    ]);
     let mut queue = OrderQueue::default();
     assert_eq!(next(&queue, &directory, 2), ["b", "d", "a", "c"]);
     for failed in ["b", "d", "b"] {
         queue.ordered(&failed.into(), 0);
         queue.ended(&failed.into(), false);
     }
-    assert_eq!(next(&queue, &directory, 2), ["d", "b", "a", "c"], "also behind those that do not answer");
+    assert_eq!(
+        next(&queue, &directory, 2),
+        ["d", "b", "a", "c"],
+        "also behind those that do not answer"
+    );
     let rollout = Rollout::of(&directory, &targets(2), &Confirmations::new(PATIENCE));
     let is_due = |queue: &OrderQueue, at: usize, now| queue.is_due(&rollout.lacking[at], now);
     assert!(is_due(&queue, 0, 0) && is_due(&queue, 1, 0));
     queue.ordered(&"a".into(), 500);
-    assert_eq!([501, 2_499, 2_500].map(|now| is_due(&queue, 0, now)), [false, false, true]);
+    assert_eq!(
+        [501, 2_499, 2_500].map(|now| is_due(&queue, 0, now)),
+        [false, false, true]
+    );
     queue.ordered(&"b".into(), 500);
-    assert!(is_due(&queue, 1, 501), "who is heard is asked again at once");
-    for (heard, silent, places, for_silent) in [(0, 3, 1, 1), (4, 4, 1, 1), (40, 8, 10, 3), (112, 0, 28, 7)] {
+    assert!(
+        is_due(&queue, 1, 501),
+        "who is heard is asked again at once"
+    );
+    for (heard, silent, places, for_silent) in
+        [(0, 3, 1, 1), (4, 4, 1, 1), (40, 8, 10, 3), (112, 0, 28, 7)]
+    {
         let mut directory = Directory::new(Origin(1));
         for number in 0..heard + silent {
-            let backend = Backend { silent: number < silent, ..backend(1) };
-            directory.put(Key::Backend(format!("b{number}").into()), Value::Backend(backend));
+            let backend = Backend {
+                silent: number < silent,
+                ..backend(1)
+            };
+            directory.put(
+                Key::Backend(format!("b{number}").into()),
+                Value::Backend(backend),
+            );
         }
         let rollout = Rollout::of(&directory, &targets(2), &Confirmations::new(PATIENCE));
         let most = (rollout.most_at_once, rollout.most_silent_at_once);
@@ -96,14 +152,38 @@
     let mut directory = directory([
         ("due", backend(1)),
         ("has it", backend(2)),
-        ("drains", Backend { phase: BackendPhase::Draining, ..backend(1) }),
-        ("silent", Backend { silent: true, ..backend(1) }),
-        ("gone", Backend { phase: BackendPhase::Gone, ..backend(1) }),
+        (
+            "drains",
+            Backend {
+                phase: BackendPhase::Draining,
+                ..backend(1)
+            },
+        ),
+        (
+            "silent",
+            Backend {
+                silent: true,
+                ..backend(1)
+            },
+        ),
+        (
+            "gone",
+            Backend {
+                phase: BackendPhase::Gone,
+                ..backend(1)
+            },
+        ),
         ("loads", backend(1)),
         ("loaded the last one", backend(1)),
         ("has loaded and tells otherwise", backend(1)),
         ("has loaded and tells so", backend(2)),
-        ("has loaded and is silent", Backend { silent: true, ..backend(1) }),
+        (
+            "has loaded and is silent",
+            Backend {
+                silent: true,
+                ..backend(1)
+            },
+        ),
     ]);
     for (id, version, phase) in [
         ("loads", 2, OrderPhase::UnderWay),
@@ -112,7 +192,13 @@
         ("has loaded and tells so", 2, OrderPhase::Done),
         ("has loaded and is silent", 2, OrderPhase::Done),
     ] {
-        let order = Order { fence: 1, number: 1, model: "m".into(), version, phase };
+        let order = Order {
+            fence: 1,
+            number: 1,
+            model: "m".into(),
+            version,
+            phase,
+        };
         directory.put(Key::Order(id.into()), Value::Order(order));
     }
     let expected = [
@@ -122,18 +208,30 @@
         (HeldBack::Draining, 1),
         (HeldBack::Contradicted, 1),
     ];
-    assert_eq!(lacking_by_cause(&directory, &targets(2)), BTreeMap::from(expected));
+    assert_eq!(
+        lacking_by_cause(&directory, &targets(2)),
+        BTreeMap::from(expected)
+    );
 }
 
 #[test]
 fn an_order_that_is_done_counts_until_a_newer_version_is_named() {
     let mut directory = directory([("b", backend(1))]);
     let mut note = |phase, number| {
-        let order = Order { fence: 1, number, model: "m".into(), version: 2, phase };
+        let order = Order {
+            fence: 1,
+            number,
+            model: "m".into(),
+            version: 2,
+            phase,
+        };
         directory.put(Key::Order("b".into()), Value::Order(order));
         (lacking(&directory, 2), lacking(&directory, 3))
     };
-    assert_eq!(note(OrderPhase::UnderWay, 1), (vec!["b".to_owned()], vec!["b".to_owned()]));
+    assert_eq!(
+        note(OrderPhase::UnderWay, 1),
+        (vec!["b".to_owned()], vec!["b".to_owned()])
+    );
     assert_eq!(note(OrderPhase::Done, 2), (vec![], vec!["b".to_owned()]));
 }
 
@@ -142,7 +240,10 @@
     for (count, most) in [(0, 1), (1, 1), (4, 1), (5, 2), (112, 28)] {
         let mut directory = Directory::new(Origin(1));
         for number in 0..count {
-            directory.put(Key::Backend(format!("b{number}").into()), Value::Backend(backend(1)));
+            directory.put(
+                Key::Backend(format!("b{number}").into()),
+                Value::Backend(backend(1)),
+            );
         }
         assert_eq!(
             Rollout::of(&directory, &targets(2), &Confirmations::new(PATIENCE)).most_at_once,
@@ -158,7 +259,10 @@
     assert!(refused.allow("b", 4));
     refused.refused(&"b".into(), 4);
     refused.refused(&"b".into(), 3);
-    assert_eq!([3, 4, 5].map(|fence| refused.allow("b", fence)), [false, false, true]);
+    assert_eq!(
+        [3, 4, 5].map(|fence| refused.allow("b", fence)),
+        [false, false, true]
+    );
     assert!(refused.allow("another", 4));
     refused.retain(|backend| backend != "b");
     assert!(refused.allow("b", 4), "it is forgotten with its backend");
@@ -166,7 +270,9 @@
 
 #[test]
 fn who_takes_the_turn_of_another_waits_for_longer_than_a_lease_and_the_first_one_for_nobody() {
-    let after = OrderTurn::After { former_ended: 1_000 };
+    let after = OrderTurn::After {
+        former_ended: 1_000,
+    };
     assert!(!after.may_take(LEASE, 1_000 + LEASE));
     assert!(after.may_take(LEASE, 1_100 + LEASE));
     assert!(OrderTurn::First.may_take(LEASE, 0));
@@ -176,12 +282,21 @@
 
 fn replica(number: usize) -> ReplicaId {
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, number as u16);
-    ReplicaId { disk: number as u64 + 1, node: format!("n{number}").into(), address }
+    ReplicaId {
+        disk: number as u64 + 1,
+        node: format!("n{number}").into(),
+        address,
+    }
 }
 
 fn view(epoch: u64, primary: usize) -> View {
     let all: BTreeSet<ReplicaId> = (0..REPLICAS).map(replica).collect();
-    View { epoch, primary: replica(primary), in_sync: all.clone(), witnesses: all }
+    View {
+        epoch,
+        primary: replica(primary),
+        in_sync: all.clone(),
+        witnesses: all,
+    }
 }
 
 const REPLICAS: usize = 3;
@@ -189,15 +304,16 @@
 /// Each view lasts so long.
 const VIEW: u64 = 1_000;
 
-/// Every history of five views of three replicas, with every choice of who gives a first order when, and of which views one replica
-/// gets to see: it never takes the time of a former holder for over while that one may still give orders, and never waits for a
-/// replica that came to lead and gave none.
+/// Every history of five views of three replicas, with every choice of who gives a first order
+/// when, and of which views one replica gets to see: it never takes the time of a former holder for
+/// over while that one may still give orders, and never waits for a replica that came to lead and
+/// gave none.
 #[test]
 fn a_former_holder_has_ended_when_it_led_last_in_every_history_of_views() {
     let own = 0;
     let choices = REPLICAS.pow(VIEWS as u32);
-    for (primaries, first_orders, seen) in
-        (0..choices).flat_map(|p| (0..1 << VIEWS).flat_map(move |o| (0..1 << VIEWS).map(move |s| (p, o, s))))
+    for (primaries, first_orders, seen) in (0..choices)
+        .flat_map(|p| (0..1 << VIEWS).flat_map(move |o| (0..1 << VIEWS).map(move |s| (p, o, s))))
     {
         let primary = |view: usize| primaries / REPLICAS.pow(view as u32) % REPLICAS;
         let mut holder: Option<usize> = None;
@@ -215,9 +331,15 @@
             {
                 let since = former.since().expect("another one gave orders last");
                 let ended = last_led[&holder];
-                assert!(ended <= since, "{primaries} {first_orders:b} {seen:b}: {since} before {ended}");
+                assert!(
+                    ended <= since,
+                    "{primaries} {first_orders:b} {seen:b}: {since} before {ended}"
+                );
                 let sees_all = seen == (1 << VIEWS) - 1;
-                assert!(!sees_all || since == ended, "{primaries} {first_orders:b}: {since}, not {ended}");
+                assert!(
+                    !sees_all || since == ended,
+                    "{primaries} {first_orders:b}: {since}, not {ended}"
+                );
             }
             if first_orders >> at & 1 == 1 {
                 holder = Some(leader);
@@ -228,7 +350,11 @@
             }
             // It is told of the first order within the view.
             if is_seen {
-                former.note(Some(&view(1 + at as u64, leader)), holder.map(replica).as_ref(), now + 1);
+                former.note(
+                    Some(&view(1 + at as u64, leader)),
+                    holder.map(replica).as_ref(),
+                    now + 1,
+                );
             }
         }
     }
@@ -236,13 +362,15 @@
 
 const PATIENCE: u64 = 3_000;
 
-/// Every history of what six looks find: the order done or a newer one, a heartbeat that tells the version or an older one, and time that
-/// passes. A backend is in doubt just when it tells an older version although it had told this one since the order was done, or although
-/// its heartbeats have had their time; it is told of once.
+/// Every history of what six looks find: the order done or a newer one, a heartbeat that tells the
+/// version or an older one, and time that passes. A backend is in doubt just when it tells an older
+/// version although it had told this one since the order was done, or although its heartbeats have
+/// had their time; it is told of once.
 #[test]
 fn a_backend_is_in_doubt_once_its_heartbeats_contradict_its_order_in_every_history() {
     const LOOKS: u32 = 6;
-    // Of each look: whether a newer order is done by then, whether the backend tells its version, whether time has passed.
+    // Of each look: whether a newer order is done by then, whether the backend tells its version,
+    // whether time has passed.
     for history in 0..8_u32.pow(LOOKS) {
         let mut directory = directory([("b", backend(1))]);
         let mut confirmations = Confirmations::new(PATIENCE);
@@ -253,19 +381,35 @@
             let (is_newer, tells, passes) = (what & 1 == 1, what & 2 == 2, what & 4 == 4);
             if is_newer || since.is_none() {
                 version += 1;
-                let order =
-                    Order { fence: 1, number: version, model: "m".into(), version, phase: OrderPhase::Done };
+                let order = Order {
+                    fence: 1,
+                    number: version,
+                    model: "m".into(),
+                    version,
+                    phase: OrderPhase::Done,
+                };
                 directory.put(Key::Order("b".into()), Value::Order(order));
                 (since, was_confirmed, was_doubted) = (None, false, false);
             }
             now += if passes { PATIENCE } else { 1 };
-            let told = Backend { sequence: u64::from(look) + 2, ..backend(if tells { version } else { 1 }) };
+            let told = Backend {
+                sequence: u64::from(look) + 2,
+                ..backend(if tells { version } else { 1 })
+            };
             directory.put(Key::Backend("b".into()), Value::Backend(told));
             let doubts = confirmations.look(&directory, now);
             let first = *since.get_or_insert(now);
             let is_doubted = !tells && (was_confirmed || was_doubted || now >= first + PATIENCE);
-            assert_eq!(confirmations.is_doubted("b"), is_doubted, "{history:o} at look {look}");
-            assert_eq!(doubts.len(), usize::from(is_doubted && !was_doubted), "{history:o} at look {look}");
+            assert_eq!(
+                confirmations.is_doubted("b"),
+                is_doubted,
+                "{history:o} at look {look}"
+            );
+            assert_eq!(
+                doubts.len(),
+                usize::from(is_doubted && !was_doubted),
+                "{history:o} at look {look}"
+            );
             was_confirmed |= tells;
             was_doubted = is_doubted;
         }
@@ -276,8 +420,15 @@
 fn who_has_left_or_gets_another_order_is_in_doubt_no_more() {
     let mut directory = directory([("b", backend(1)), ("c", backend(1))]);
     let mut confirmations = Confirmations::new(PATIENCE);
-    let order =
-        |number, phase| Value::Order(Order { fence: 1, number, model: "m".into(), version: 2, phase });
+    let order = |number, phase| {
+        Value::Order(Order {
+            fence: 1,
+            number,
+            model: "m".into(),
+            version: 2,
+            phase,
+        })
+    };
     for id in ["b", "c"] {
         directory.put(Key::Order(id.into()), order(1, OrderPhase::Done));
     }
@@ -286,13 +437,20 @@
     directory.put(Key::Order("b".into()), order(2, OrderPhase::UnderWay));
     directory.forget(&Key::Order("c".into()));
     assert!(confirmations.look(&directory, PATIENCE).is_empty());
-    assert_eq!(["b", "c"].map(|id| confirmations.is_doubted(id)), [false, false]);
+    assert_eq!(
+        ["b", "c"].map(|id| confirmations.is_doubted(id)),
+        [false, false]
+    );
 }
 
 fn next(queue: &OrderQueue, directory: &Directory, version: u64) -> Vec<String> {
-    let mut lacking = Rollout::of(directory, &targets(version), &Confirmations::new(PATIENCE)).lacking;
+    let mut lacking =
+        Rollout::of(directory, &targets(version), &Confirmations::new(PATIENCE)).lacking;
     queue.sort(&mut lacking);
-    lacking.into_iter().map(|lacking| lacking.id.to_string()).collect()
+    lacking
+        .into_iter()
+        .map(|lacking| lacking.id.to_string())
+        .collect()
 }
 
 #[test]
@@ -307,17 +465,34 @@
         queue.ordered(&backend.into(), 0);
         queue.ended(&backend.into(), false);
     }
-    assert_eq!(next(&queue, &directory, 2), ["a", "c", "b"], "b has failed twice");
+    assert_eq!(
+        next(&queue, &directory, 2),
+        ["a", "c", "b"],
+        "b has failed twice"
+    );
     queue.ended(&"b".into(), true);
-    assert_eq!(next(&queue, &directory, 2), ["b", "a", "c"], "one answer makes up for it");
+    assert_eq!(
+        next(&queue, &directory, 2),
+        ["b", "a", "c"],
+        "one answer makes up for it"
+    );
     queue.retain(|backend| backend != "a");
-    assert_eq!(next(&queue, &directory, 2), ["a", "b", "c"], "a is forgotten: it is as good as new");
+    assert_eq!(
+        next(&queue, &directory, 2),
+        ["a", "b", "c"],
+        "a is forgotten: it is as good as new"
+    );
 }
 
 /// Where versions come faster than all backends can be brought to one, each still has its turn.
 #[test]
 fn versions_in_quick_succession_reach_every_backend_by_turns() {
-    let directory = directory([("a", backend(1)), ("b", backend(1)), ("c", backend(1)), ("d", backend(1))]);
+    let directory = directory([
+        ("a", backend(1)),
+        ("b", backend(1)),
+        ("c", backend(1)),
+        ("d", backend(1)),
+    ]);
     let mut queue = OrderQueue::default();
     let mut orders: BTreeMap<String, u32> = BTreeMap::new();
     for version in 2..14 {
@@ -327,5 +502,8 @@
         queue.ended(&first.as_str().into(), true);
         *orders.entry(first).or_default() += 1;
     }
-    assert!(orders.len() == 4 && orders.values().all(|count| *count == 3), "{orders:?}");
+    assert!(
+        orders.len() == 4 && orders.values().all(|count| *count == 3),
+        "{orders:?}"
+    );
 }
--- a/control/tests/storage.rs
+++ b/control/tests/storage.rs
@@ -1,4 +1,5 @@
-//! Records on disk: what is torn is cut, what is damaged is told, and nothing that was synced is lost.
+//! Records on disk: what is torn is cut, what is damaged is told, and nothing that was synced is
+//! lost.
 
 use assert_matches::assert_matches;
 use control::changes::Change;
@@ -6,12 +7,26 @@
 use control::storage::{Damage, FORMAT, Record, Recovered, decode, decode_snapshot, encode};
 
 fn update(index: u64) -> Record {
-    let change = Change::Weights { model: "m".into(), version: index + 1 };
-    Record::Update(Update { position: Position { index, epoch: 1 }, change })
+    let change = Change::Weights {
+        model: "m".into(),
+        version: index + 1,
+    };
+    Record::Update(Update {
+        position: Position { index, epoch: 1 },
+        change,
+    })
 }
 
 fn records() -> Vec<Record> {
-    vec![Record::Disk { format: FORMAT, disk: 7 }, update(1), update(2), update(3)]
+    vec![
+        Record::Disk {
+            format: FORMAT,
+            disk: 7,
+        },
+        update(1),
+        update(2),
+        update(3),
+    ]
 }
 
 fn bytes(records: &[Record]) -> Vec<u8> {
@@ -24,11 +39,17 @@
 fn a_file_cut_anywhere_gives_its_whole_records() {
     let all = records();
     let whole = bytes(&all);
-    let ends: Vec<usize> = (0..=all.len()).map(|count| bytes(&all[..count]).len()).collect();
+    let ends: Vec<usize> = (0..=all.len())
+        .map(|count| bytes(&all[..count]).len())
+        .collect();
     for length in 0..=whole.len() {
         let (found, sound) = decode(&whole[..length]).expect("a torn tail is no damage");
         let count = ends.iter().rposition(|end| *end <= length).unwrap_or(0);
-        assert_eq!((found.len(), sound), (count, ends[count]), "cut at {length}");
+        assert_eq!(
+            (found.len(), sound),
+            (count, ends[count]),
+            "cut at {length}"
+        );
         assert_eq!(found, all[..count]);
     }
 }
@@ -60,21 +81,30 @@
 
 #[test]
 fn what_can_not_be_used_says_what_to_do() {
-    let later = Recovered::replay([Record::Disk { format: FORMAT + 1, disk: 7 }]).unwrap_err();
+    let later = Recovered::replay([Record::Disk {
+        format: FORMAT + 1,
+        disk: 7,
+    }])
+    .unwrap_err();
     assert_eq!(
         later.to_string(),
         "the records are of format 4, this program reads up to 3: start the newer program again"
     );
     assert_matches!(Recovered::replay([update(1)]), Err(Damage::NoDisk));
-    assert!(Damage::Record { offset: 9 }.to_string().contains("rejoins with an empty disk"));
+    assert!(
+        Damage::Record { offset: 9 }
+            .to_string()
+            .contains("rejoins with an empty disk")
+    );
 }
 
-/// A snapshot that the program of format 2 wrote after three changes, of which the last one was not known to be committed.
+/// A snapshot that the program of format 2 wrote after three changes, of which the last one was not
+/// known to be committed.
 const FORMAT_2: &[u8] = &[
     0x00, 0x00, 0x00, 0x03, 0x53, 0x13, 0x2e, 0x33, 0x00, 0x02, 0x07, // the disk
     0x00, 0x00, 0x00, 0x04, 0xae, 0x26, 0x48, 0x4b, 0x04, 0x00, 0x00, 0x00, // votes
-    0x00, 0x00, 0x00, 0x11, 0x34, 0x38, 0x34, 0x12, 0x03, 0x02, 0x04, 0x00, 0x01, 0x01, 0x6d, 0x03, 0x02,
-    0x00, 0x01, 0x03, 0x04, 0x01, 0x01, 0x6d, 0x04, // the state and the last change
+    0x00, 0x00, 0x00, 0x11, 0x34, 0x38, 0x34, 0x12, 0x03, 0x02, 0x04, 0x00, 0x01, 0x01, 0x6d, 0x03,
+    0x02, 0x00, 0x01, 0x03, 0x04, 0x01, 0x01, 0x6d, 0x04, // the state and the last change
 ];
 
 #[test]
@@ -83,10 +113,16 @@
     assert_eq!(recovered.disk, 7);
     assert_eq!(recovered.state.position, Position { index: 2, epoch: 4 });
     assert_eq!(recovered.state.weights["m"].version, 3);
-    assert_eq!(recovered.state.order_holder, None, "nobody is known to give orders");
+    assert_eq!(
+        recovered.state.order_holder, None,
+        "nobody is known to give orders"
+    );
     assert_matches!(&recovered.tail, Some(tail) if tail.position.index == 3);
     let mut again = Vec::new();
-    recovered.records().iter().for_each(|record| encode(record, &mut again));
+    recovered
+        .records()
+        .iter()
+        .for_each(|record| encode(record, &mut again));
     let again = Recovered::replay(decode_snapshot(&again).unwrap()).unwrap();
     assert_eq!(again, recovered, "in the present format it says the same");
 }
--- a/control/tests/two_operators.rs
+++ b/control/tests/two_operators.rs
@@ -1,5 +1,6 @@
-//! Two operators who change the configuration at once, orders that are sent again, and orders whose answer was lost: one of
-//! two changes wins on every path, the other one is never confirmed, and what was taken is never refused.
+//! Two operators who change the configuration at once, orders that are sent again, and orders whose
+//! answer was lost: one of two changes wins on every path, the other one is never confirmed, and
+//! what was taken is never refused.
 
 mod world;
 
@@ -63,32 +64,57 @@
 /// Both send their change once more where there is a primary: what they are told now is final.
 fn assert_one_won(world: &mut World, firsts: &[u64], seconds: &[u64], order: &[Event]) {
     let told = |world: &World, tickets: &[u64], wanted: &Outcome| {
-        tickets.iter().any(|ticket| world.outcomes.get(ticket) == Some(wanted))
+        tickets
+            .iter()
+            .any(|ticket| world.outcomes.get(ticket) == Some(wanted))
     };
-    let confirmed = [told(world, firsts, &Outcome::Done), told(world, seconds, &Outcome::Done)];
+    let confirmed = [
+        told(world, firsts, &Outcome::Done),
+        told(world, seconds, &Outcome::Done),
+    ];
     let primary = world.primary().expect("a primary");
-    let (again, other) = (world.submit(&primary, first()), world.submit(&primary, second()));
+    let (again, other) = (
+        world.submit(&primary, first()),
+        world.submit(&primary, second()),
+    );
     world.run(500);
     let read = world.read(&primary);
     world.run(500);
     let last = [&world.outcomes[&again], &world.outcomes[&other]];
-    let won: Vec<bool> = last.iter().map(|outcome| **outcome == Outcome::Done).collect();
+    let won: Vec<bool> = last
+        .iter()
+        .map(|outcome| **outcome == Outcome::Done)
+        .collect();
     assert_ne!(won[0], won[1], "{order:?}: one of them wins: {last:?}");
     for (at, was_confirmed) in confirmed.into_iter().enumerate() {
-        assert!(!was_confirmed || won[at], "{order:?}: who was confirmed has lost");
+        assert!(
+            !was_confirmed || won[at],
+            "{order:?}: who was confirmed has lost"
+        );
     }
     let refused = Outcome::Refused(Refusal::OtherVersion { current: 7 });
     let winners = if won[0] { firsts } else { seconds };
-    assert!(!told(world, winners, &refused), "{order:?}: what was taken was refused");
+    assert!(
+        !told(world, winners, &refused),
+        "{order:?}: what was taken was refused"
+    );
     let winner = if won[0] { first() } else { second() };
-    let Change::Configuration { body, .. } = winner else { unreachable!() };
+    let Change::Configuration { body, .. } = winner else {
+        unreachable!()
+    };
     assert_matches!(&world.readings[&read], Reading::Newest(Some(stored)) if stored.body == body);
 }
 
 #[test]
 fn of_two_changes_under_one_number_one_wins_in_every_order_with_whatever_befalls_the_primary() {
     for trouble in [Event::Kill, Event::Wipe, Event::Cut] {
-        let events = [Event::First, Event::First, Event::Second, Event::Second, trouble];
+        let events = [
+            Event::First,
+            Event::First,
+            Event::Second,
+            Event::Second,
+            trouble,
+        ];
         let mut orders = orders::all(&events);
         orders.sort_by_key(|order| format!("{order:?}"));
         orders.dedup();
@@ -103,7 +129,8 @@
     }
 }
 
-/// The answer to a change was lost; many others followed; the primary changed, lost its disk, started from a snapshot.
+/// The answer to a change was lost; many others followed; the primary changed, lost its disk,
+/// started from a snapshot.
 #[test]
 fn what_was_taken_is_acknowledged_again_whatever_came_in_between() {
     let mut world = World::founded(1, 3, 1);
@@ -118,7 +145,10 @@
     assert_eq!(send(&mut world, change("weights", 3)), Outcome::Done);
     let mut version = 7;
     for step in 0..60 {
-        assert_eq!(send(&mut world, configuration(version, version + 2, "later")), Outcome::Done);
+        assert_eq!(
+            send(&mut world, configuration(version, version + 2, "later")),
+            Outcome::Done
+        );
         version += 2;
         let primary = world.primary().expect("a primary");
         match step % 20 {
@@ -126,21 +156,37 @@
             9 => world.wipe(&primary, 1_500),
             14 => {
                 world.compact_disks(0);
-                world.names().iter().for_each(|name| world.kill(name, 300, true));
+                world
+                    .names()
+                    .iter()
+                    .for_each(|name| world.kill(name, 300, true));
             }
             _ => {}
         }
         if step == 30 {
             assert_eq!(send(&mut world, change("weights", 8)), Outcome::Done);
         }
-        assert_eq!(send(&mut world, first()), Outcome::Done, "after {step} others");
-        assert_eq!(send(&mut world, change("weights", 3)), Outcome::Done, "a version that was named");
+        assert_eq!(
+            send(&mut world, first()),
+            Outcome::Done,
+            "after {step} others"
+        );
+        assert_eq!(
+            send(&mut world, change("weights", 3)),
+            Outcome::Done,
+            "a version that was named"
+        );
         let lost = send(&mut world, second());
-        assert_matches!(lost, Outcome::Refused(Refusal::OtherVersion { .. }), "after {step} others");
+        assert_matches!(
+            lost,
+            Outcome::Refused(Refusal::OtherVersion { .. }),
+            "after {step} others"
+        );
     }
 }
 
-/// A change that is still being stored, and the same one sent again to the same and to the next primary.
+/// A change that is still being stored, and the same one sent again to the same and to the next
+/// primary.
 #[test]
 fn a_change_that_is_under_way_and_sent_again_is_made_once() {
     for pause in 0..12 {
@@ -167,7 +213,10 @@
 fn state_after(configurations: u64) -> ControlState {
     let mut state = ControlState::default();
     for version in 1..=configurations {
-        let position = Position { index: version, epoch: 1 };
+        let position = Position {
+            index: version,
+            epoch: 1,
+        };
         let change = configuration(version - 1, version, "counted");
         assert_eq!(state.judge(&change), None);
         state.apply(&Update { position, change });
@@ -182,14 +231,19 @@
     let oldest_known = configuration(10, 11, "counted");
     assert_eq!(state.judge(&oldest_known), Some(Outcome::Done));
     let forgotten = configuration(9, 10, "counted");
-    assert_eq!(state.judge(&forgotten), Some(Outcome::Unknown), "it was taken, and nobody knows it any more");
+    assert_eq!(
+        state.judge(&forgotten),
+        Some(Outcome::Unknown),
+        "it was taken, and nobody knows it any more"
+    );
     let never_taken = configuration(11, 12, "another one");
     let current = remembered + 10;
     let refused = Outcome::Refused(Refusal::OtherVersion { current });
     assert_eq!(state.judge(&never_taken), Some(refused));
 }
 
-/// A change that lost the race at the one replica, and reached a few disks, is in force nowhere afterwards.
+/// A change that lost the race at the one replica, and reached a few disks, is in force nowhere
+/// afterwards.
 #[test]
 fn what_an_old_primary_stored_on_a_few_disks_is_not_in_force_once_another_change_was_taken() {
     for reached in 0..6 {
@@ -198,7 +252,9 @@
         let ticket = world.submit(&old, second());
         world.run(reached);
         world.cut_off(&old);
-        assert!(world.until(FAILOVER, |world| world.primary().is_some_and(|name| name != old)));
+        assert!(world.until(FAILOVER, |world| {
+            world.primary().is_some_and(|name| name != old)
+        }));
         let next = world.primary().expect("another primary");
         let taken = world.submit(&next, first());
         world.run(500);
@@ -210,7 +266,11 @@
         let in_force = if won { first() } else { second() };
         for name in world.names() {
             let state = world.machines[&name].node.as_ref().expect("up").state();
-            assert_eq!(state.judge(&in_force), Some(Outcome::Done), "after {reached} ms at {name}");
+            assert_eq!(
+                state.judge(&in_force),
+                Some(Outcome::Done),
+                "after {reached} ms at {name}"
+            );
             assert_eq!(state.position.index, 1, "after {reached} ms at {name}");
         }
     }
--- a/control/tests/view_model/bounds.rs
+++ b/control/tests/view_model/bounds.rs
@@ -83,7 +83,9 @@
         let joiners: Vec<Option<usize>> = joiners.map(Some).chain([None]).collect();
         let leavers = in_sync.iter().filter(|other| **other != at).copied();
         let leavers: Vec<Option<usize>> = leavers.map(Some).chain([None]).collect();
-        let pairs = joiners.iter().flat_map(|joiner| leavers.iter().map(move |leaver| (*joiner, *leaver)));
+        let pairs = joiners
+            .iter()
+            .flat_map(|joiner| leavers.iter().map(move |leaver| (*joiner, *leaver)));
         let views = pairs.map(|(joiner, leaver)| changed(view, joiner, leaver));
         // The same members once more, where a proposal that was given up would take others in.
         let has_open_proposal = !leading.proposed.is_subset(&in_sync);
@@ -97,20 +99,29 @@
         let act = match step {
             Step::Do(act) => act.clone(),
             Step::Deliver(pattern, to) => {
-                let meant = state.sent.iter().filter(|(_, message)| pattern.fits(message));
-                let mut meant =
-                    meant.filter(|(_, message)| message.receiver().is_none_or(|receiver| receiver == *to));
-                let (digest, _) = meant.next().unwrap_or_else(|| panic!("{step:?} has no message"));
+                let meant = state
+                    .sent
+                    .iter()
+                    .filter(|(_, message)| pattern.fits(message));
+                let mut meant = meant.filter(|(_, message)| {
+                    message.receiver().is_none_or(|receiver| receiver == *to)
+                });
+                let (digest, _) = meant
+                    .next()
+                    .unwrap_or_else(|| panic!("{step:?} has no message"));
                 assert!(meant.next().is_none(), "{step:?} has several messages");
                 Act::Take(*to, *digest)
             }
         };
-        self.next_state(state, act).unwrap_or_else(|| panic!("{step:?} changes nothing"))
+        self.next_state(state, act)
+            .unwrap_or_else(|| panic!("{step:?} changes nothing"))
     }
 
     fn acts_of(&self, state: &State, at: usize, acts: &mut Vec<Act>) {
         let replica = &state.replicas[at];
-        let Some(view) = replica.witness.decided().filter(|_| !replica.is_lost) else { return };
+        let Some(view) = replica.witness.decided().filter(|_| !replica.is_lost) else {
+            return;
+        };
         let may_attempt =
             replica.attempt.is_none() && replica.round < self.rounds && view.epoch < self.epochs;
         let may_lead = view.in_sync.contains(&id(at)) || self.fault == Fault::AnyoneTakesOver;
@@ -141,13 +152,23 @@
         acts: &mut Vec<Act>,
     ) {
         if may_attempt && self.changes_members {
-            acts.extend(self.wanted_views(replica, at).into_iter().map(|view| Act::Change(at, view)));
+            acts.extend(
+                self.wanted_views(replica, at)
+                    .into_iter()
+                    .map(|view| Act::Change(at, view)),
+            );
         }
-        if leading.stage == Stage::Ready && replica.attempt.is_none() && replica.log < self.changes {
+        if leading.stage == Stage::Ready && replica.attempt.is_none() && replica.log < self.changes
+        {
             acts.push(Act::Order(at));
         }
-        let in_sync = replica.witness.decided().map(|view| numbers(&view.in_sync)).unwrap_or_default();
-        let outside = (0..self.replicas).filter(|other| !in_sync.contains(other) && self.changes_members);
+        let in_sync = replica
+            .witness
+            .decided()
+            .map(|view| numbers(&view.in_sync))
+            .unwrap_or_default();
+        let outside =
+            (0..self.replicas).filter(|other| !in_sync.contains(other) && self.changes_members);
         acts.extend(outside.map(|other| Act::BringUp(at, other)));
         if self.ticks > 0 {
             acts.push(Act::SendHeartbeat(at));
@@ -187,9 +208,18 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<State> {
-        let first = View { epoch: 1, primary: id(0), in_sync: ids(0..self.in_sync), witnesses: ids(0..3) };
+        let first = View {
+            epoch: 1,
+            primary: id(0),
+            in_sync: ids(0..self.in_sync),
+            witnesses: ids(0..3),
+        };
         let replica = |at: usize| {
-            let votes = Votes { decided: Some(first.clone()), promised: None, accepted: None };
+            let votes = Votes {
+                decided: Some(first.clone()),
+                promised: None,
+                accepted: None,
+            };
             let leading = (at == 0).then(|| Leading {
                 epoch: 1,
                 stage: Stage::Ready,
@@ -211,7 +241,9 @@
             }
         };
         let first_state = State {
-            replicas: (0..self.replicas).map(|at| Shared::new(replica(at))).collect(),
+            replicas: (0..self.replicas)
+                .map(|at| Shared::new(replica(at)))
+                .collect(),
             sent: BTreeMap::new(),
             decided: Shared::new(BTreeMap::from([(1, first.clone())])),
             acknowledged: 0,
@@ -222,7 +254,11 @@
             has_two_views: false,
             leads_without: false,
         };
-        vec![self.prefix.iter().fold(first_state, |state, step| self.step(&state, step))]
+        vec![
+            self.prefix
+                .iter()
+                .fold(first_state, |state, step| self.step(&state, step)),
+        ]
     }
 
     fn actions(&self, state: &State, acts: &mut Vec<Act>) {
@@ -261,7 +297,12 @@
         match act {
             Act::TakeOver(_) => {
                 let view = turn.replica.witness.decided()?.clone();
-                let wanted = View { epoch: view.epoch + 1, primary: id(at), in_sync: ids([at]), ..view };
+                let wanted = View {
+                    epoch: view.epoch + 1,
+                    primary: id(at),
+                    in_sync: ids([at]),
+                    ..view
+                };
                 turn.begin_attempt(wanted, Intent::TakeOver { copies: COPIES });
             }
             Act::Change(_, view) => turn.begin_attempt(view, Intent::Change),
@@ -286,9 +327,13 @@
             Property::always(ONE_VIEW, |_, state: &State| !state.has_two_views),
             Property::always(NOTHING_LOST, |_, state: &State| !state.leads_without),
             Property::always(ONE_HOLDER, |_: &Bounds, state: &State| {
-                let holds =
-                    |leading: &Leading| state.now < held_until(leading, &state.decided[&leading.epoch]);
-                let leading = state.replicas.iter().filter_map(|replica| replica.leading.as_ref());
+                let holds = |leading: &Leading| {
+                    state.now < held_until(leading, &state.decided[&leading.epoch])
+                };
+                let leading = state
+                    .replicas
+                    .iter()
+                    .filter_map(|replica| replica.leading.as_ref());
                 leading.filter(|leading| holds(leading)).count() <= 1
             }),
         ]
--- a/control/tests/view_model/main.rs
+++ b/control/tests/view_model/main.rs
@@ -1,9 +1,11 @@
-//! Changes of views, model-checked: every order in which messages may come, be lost, late or doubled, together with attempts
-//! that are given up, processes that restart and disks that are lost, within bounds on epochs, attempts and changes.
-//! Rules that are left out on purpose show that the check finds what they keep off.
+//! Changes of views, model-checked: every order in which messages may come, be lost, late or
+//! doubled, together with attempts that are given up, processes that restart and disks that are
+//! lost, within bounds on epochs, attempts and changes. Rules that are left out on purpose show
+//! that the check finds what they keep off.
 //!
-//! `VIEW_MODEL=full cargo test --release -p bitternsill-control --test view_model -- --nocapture` goes further, in some
-//! minutes; without it the checks stop after so many states as a test may take.
+//! `VIEW_MODEL=full cargo test --release -p bitternsill-control --test view_model -- --nocapture`
+//! goes further, in some minutes; without it the checks stop after so many states as a test may
+//! take.
 
 mod bounds;
 mod scenarios;
@@ -12,7 +14,8 @@
 
 use bounds::{Bounds, NOTHING_LOST, ONE_HOLDER, ONE_VIEW};
 use scenarios::{
-    joiners, lagging, leases, leases_of_new_witnesses, replaced_proposal, restarts, second_life, takeovers,
+    joiners, lagging, leases, leases_of_new_witnesses, replaced_proposal, restarts, second_life,
+    takeovers,
 };
 use stateright::{Checker, HasDiscoveries, Model};
 use turn::Fault;
@@ -45,7 +48,11 @@
     (Fault::AnyoneTakesOver, lagging, NOTHING_LOST),
     (Fault::GivenUpProposalForgotten, joiners, NOTHING_LOST),
     (Fault::ViewFromHeartbeat, replaced_proposal, NOTHING_LOST),
-    (Fault::LeaseKeptWithNewWitnesses, leases_of_new_witnesses, ONE_HOLDER),
+    (
+        Fault::LeaseKeptWithNewWitnesses,
+        leases_of_new_witnesses,
+        ONE_HOLDER,
+    ),
     (Fault::GrantNotHeeded, leases, ONE_HOLDER),
 ];
 
@@ -62,7 +69,11 @@
     let checker = bounds.checker().threads(threads).target_state_count(most);
     let checker = checker.finish_when(HasDiscoveries::Any).spawn_bfs().join();
     let broken = checker.discoveries().into_keys().next();
-    Checked { unique_states: checker.unique_state_count(), states: checker.state_count(), broken }
+    Checked {
+        unique_states: checker.unique_state_count(),
+        states: checker.state_count(),
+        broken,
+    }
 }
 
 #[test]
@@ -70,8 +81,16 @@
     let is_full = std::env::var("VIEW_MODEL").is_ok_and(|value| value == "full");
     let most = if is_full { STATES_IN_FULL } else { STATES };
     for (name, scenario) in SCENARIOS {
-        let Checked { unique_states, states, broken } = check(scenario(Fault::None), most);
-        let extent = if states < most { "all there are" } else { "not all" };
+        let Checked {
+            unique_states,
+            states,
+            broken,
+        } = check(scenario(Fault::None), most);
+        let extent = if states < most {
+            "all there are"
+        } else {
+            "not all"
+        };
         println!("{name}: {unique_states} states, {extent}");
         assert_eq!(broken, None, "{name}");
     }
@@ -80,7 +99,11 @@
 #[test]
 fn each_rule_that_is_left_out_is_found_by_what_it_keeps_off() {
     for (fault, scenario, expected) in FAULTS {
-        let Checked { unique_states, broken, .. } = check(scenario(fault), STATES_TO_FIND);
+        let Checked {
+            unique_states,
+            broken,
+            ..
+        } = check(scenario(fault), STATES_TO_FIND);
         println!("{fault:?}: found after {unique_states} states");
         assert_eq!(broken, Some(expected), "{fault:?}");
     }
--- a/control/tests/view_model/scenarios.rs
+++ b/control/tests/view_model/scenarios.rs
@@ -1,4 +1,5 @@
-//! Where a check begins and how far it goes: each scenario leads up, one way only, to a moment at which much may go wrong.
+//! Where a check begins and how far it goes: each scenario leads up, one way only, to a moment at
+//! which much may go wrong.
 
 use crate::bounds::{Act, Bounds, Step};
 use crate::state::{Message, id, ids};
@@ -28,12 +29,20 @@
 
 /// The same; one of them may restart in the middle.
 pub fn restarts(fault: Fault) -> Bounds {
-    Bounds { restarts: 1, ..takeovers(fault) }
+    Bounds {
+        restarts: 1,
+        ..takeovers(fault)
+    }
 }
 
-/// A candidate restarts before its own acceptance is on its disk, and tries again with another majority.
+/// A candidate restarts before its own acceptance is on its disk, and tries again with another
+/// majority.
 pub fn second_life(fault: Fault) -> Bounds {
-    let (first, second) = if fault == Fault::BallotsRepeat { ((1, 0), (1, 0)) } else { ((1, 1), (2, 2)) };
+    let (first, second) = if fault == Fault::BallotsRepeat {
+        ((1, 0), (1, 0))
+    } else {
+        ((1, 1), (2, 2))
+    };
     let mut prefix = vec![
         Step::Do(Act::TakeOver(1)),
         deliver(Kind::Prepare, 1).of(first),
@@ -72,15 +81,26 @@
         deliver(Kind::Stored, 0).from(1),
         Step::Do(Act::Lose(0)),
     ];
-    Bounds { changes: 1, losses: 1, in_sync: 2, prefix, ..takeovers(fault) }
+    Bounds {
+        changes: 1,
+        losses: 1,
+        in_sync: 2,
+        prefix,
+        ..takeovers(fault)
+    }
 }
 
 fn next_view(in_sync: impl IntoIterator<Item = usize>) -> View {
-    View { epoch: 2, primary: id(0), in_sync: ids(in_sync), witnesses: ids(0..3) }
+    View {
+        epoch: 2,
+        primary: id(0),
+        in_sync: ids(in_sync),
+        witnesses: ids(0..3),
+    }
 }
 
-/// A primary proposed to take a replica in, one witness accepted that, and the primary gave it up; it orders a change, which one
-/// backup stores, and loses its disk.
+/// A primary proposed to take a replica in, one witness accepted that, and the primary gave it up;
+/// it orders a change, which one backup stores, and loses its disk.
 pub fn joiners(fault: Fault) -> Bounds {
     let prefix = vec![
         Step::Do(Act::BringUp(0, 2)),
@@ -96,11 +116,19 @@
         deliver(Kind::Stored, 0).from(1),
         Step::Do(Act::Lose(0)),
     ];
-    Bounds { epochs: 3, changes: 1, losses: 1, in_sync: 2, tells_decided: true, prefix, ..takeovers(fault) }
+    Bounds {
+        epochs: 3,
+        changes: 1,
+        losses: 1,
+        in_sync: 2,
+        tells_decided: true,
+        prefix,
+        ..takeovers(fault)
+    }
 }
 
-/// The same with a slow disk: the primary has not accepted its own proposal yet, and has another view decided for the same
-/// epoch, without that replica.
+/// The same with a slow disk: the primary has not accepted its own proposal yet, and has another
+/// view decided for the same epoch, without that replica.
 pub fn replaced_proposal(fault: Fault) -> Bounds {
     let (first, second) = ((1, 1), (2, 1));
     let mut prefix = vec![
@@ -146,12 +174,22 @@
 
 /// A primary renews its lease while another replica tries to take over.
 pub fn leases(fault: Fault) -> Bounds {
-    Bounds { ticks: 2, candidates: BTreeSet::from([1]), tells_decided: true, ..takeovers(fault) }
+    Bounds {
+        ticks: 2,
+        candidates: BTreeSet::from([1]),
+        tells_decided: true,
+        ..takeovers(fault)
+    }
 }
 
 /// A new machine takes the place of a witness while the lease is held by the word of that witness.
 pub fn leases_of_new_witnesses(fault: Fault) -> Bounds {
-    let swapped = View { epoch: 2, primary: id(0), in_sync: ids([0, 1, 3]), witnesses: ids([0, 1, 3]) };
+    let swapped = View {
+        epoch: 2,
+        primary: id(0),
+        in_sync: ids([0, 1, 3]),
+        witnesses: ids([0, 1, 3]),
+    };
     let prefix = vec![
         Step::Do(Act::BringUp(0, 3)),
         deliver(Kind::Install, 3),
@@ -227,8 +265,9 @@
             Message::Granted { .. } => (Kind::Granted, None),
         };
         let is_from = self.from.is_none_or(|from| message.sender() == Some(from));
-        let is_of =
-            self.attempt.is_none_or(|of| ballot.is_some_and(|ballot| (ballot.round, ballot.life) == of));
+        let is_of = self
+            .attempt
+            .is_none_or(|of| ballot.is_some_and(|ballot| (ballot.round, ballot.life) == of));
         let log = match message {
             Message::Stored { log, .. } | Message::Replicate { log, .. } => Some(*log),
             _ => None,
@@ -237,14 +276,25 @@
             Message::Accept { proposal, .. } => Some(&proposal.view.in_sync),
             _ => None,
         };
-        let is_with = self.in_sync.is_none_or(|members| in_sync == Some(&ids(members)));
+        let is_with = self
+            .in_sync
+            .is_none_or(|members| in_sync == Some(&ids(members)));
         let is_storing = self.log.is_none_or(|stored| log == Some(stored));
         kind == self.kind && is_from && is_of && is_with && is_storing
     }
 }
 
 fn deliver(kind: Kind, to: usize) -> Step {
-    Step::Deliver(Pattern { kind, from: None, attempt: None, log: None, in_sync: None }, to)
+    Step::Deliver(
+        Pattern {
+            kind,
+            from: None,
+            attempt: None,
+            log: None,
+            in_sync: None,
+        },
+        to,
+    )
 }
 
 impl Step {
@@ -256,18 +306,30 @@
     }
 
     fn from(self, from: usize) -> Self {
-        self.with_pattern(|pattern| Pattern { from: Some(from), ..pattern })
+        self.with_pattern(|pattern| Pattern {
+            from: Some(from),
+            ..pattern
+        })
     }
 
     fn of(self, attempt: (u64, u64)) -> Self {
-        self.with_pattern(|pattern| Pattern { attempt: Some(attempt), ..pattern })
+        self.with_pattern(|pattern| Pattern {
+            attempt: Some(attempt),
+            ..pattern
+        })
     }
 
     fn storing(self, log: u8) -> Self {
-        self.with_pattern(|pattern| Pattern { log: Some(log), ..pattern })
+        self.with_pattern(|pattern| Pattern {
+            log: Some(log),
+            ..pattern
+        })
     }
 
     fn with(self, in_sync: [usize; 2]) -> Self {
-        self.with_pattern(|pattern| Pattern { in_sync: Some(in_sync), ..pattern })
+        self.with_pattern(|pattern| Pattern {
+            in_sync: Some(in_sync),
+            ..pattern
+        })
     }
 }
--- a/control/tests/view_model/state.rs
+++ b/control/tests/view_model/state.rs
@@ -27,7 +27,10 @@
     pub fn new(value: T) -> Self {
         let mut hasher = DefaultHasher::new();
         value.hash(&mut hasher);
-        Shared { digest: hasher.finish(), value: Arc::new(value) }
+        Shared {
+            digest: hasher.finish(),
+            value: Arc::new(value),
+        }
     }
 }
 
@@ -92,16 +95,61 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Message {
-    Prepare { from: usize, current: View, ballot: Ballot },
-    Vote { from: usize, to: usize, life: u64, ballot: Ballot, vote: Vote },
-    Accept { from: usize, current: View, proposal: Proposal },
-    Accepted { from: usize, to: usize, life: u64, ballot: Ballot, answer: Result<(), u64> },
-    Decided { view: View },
-    Install { from: usize, to: usize, epoch: u64, log: u8 },
-    Replicate { from: usize, epoch: u64, log: u8 },
-    Stored { from: usize, to: usize, epoch: u64, log: u8 },
-    Heartbeat { from: usize, epoch: u64, sent_at: u64 },
-    Granted { from: usize, to: usize, epoch: u64, sent_at: u64 },
+    Prepare {
+        from: usize,
+        current: View,
+        ballot: Ballot,
+    },
+    Vote {
+        from: usize,
+        to: usize,
+        life: u64,
+        ballot: Ballot,
+        vote: Vote,
+    },
+    Accept {
+        from: usize,
+        current: View,
+        proposal: Proposal,
+    },
+    Accepted {
+        from: usize,
+        to: usize,
+        life: u64,
+        ballot: Ballot,
+        answer: Result<(), u64>,
+    },
+    Decided {
+        view: View,
+    },
+    Install {
+        from: usize,
+        to: usize,
+        epoch: u64,
+        log: u8,
+    },
+    Replicate {
+        from: usize,
+        epoch: u64,
+        log: u8,
+    },
+    Stored {
+        from: usize,
+        to: usize,
+        epoch: u64,
+        log: u8,
+    },
+    Heartbeat {
+        from: usize,
+        epoch: u64,
+        sent_at: u64,
+    },
+    Granted {
+        from: usize,
+        to: usize,
+        epoch: u64,
+        sent_at: u64,
+    },
 }
 
 impl Message {
@@ -164,10 +212,14 @@
     }
 }
 
-/// Until when a primary counts on its lease: a majority of its view's witnesses granted a heartbeat that it sent so long ago.
+/// Until when a primary counts on its lease: a majority of its view's witnesses granted a heartbeat
+/// that it sent so long ago.
 pub fn held_until(leading: &Leading, view: &View) -> u64 {
     let witnesses = numbers(&view.witnesses);
-    let granted = leading.granted.iter().filter(|(from, _)| witnesses.contains(from));
+    let granted = leading
+        .granted
+        .iter()
+        .filter(|(from, _)| witnesses.contains(from));
     let mut sent: Vec<u64> = granted.map(|(_, at)| *at).collect();
     sent.sort_unstable_by(|one, other| other.cmp(one));
     let granted = sent.get(view.majority() - 1).map_or(0, |at| at + HELD);
@@ -176,7 +228,11 @@
 
 pub fn id(number: usize) -> ReplicaId {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number as u8 + 1), 7000);
-    ReplicaId { disk: number as u64 + 1, node: format!("n{number}").into(), address }
+    ReplicaId {
+        disk: number as u64 + 1,
+        node: format!("n{number}").into(),
+        address,
+    }
 }
 
 pub fn number(id: &ReplicaId) -> usize {
--- a/control/tests/view_model/turn.rs
+++ b/control/tests/view_model/turn.rs
@@ -1,8 +1,10 @@
-//! What one replica does in one step. Votes and attempts are the program's own; what a primary does with its data and its
-//! lease is mirrored from `control::node`.
+//! What one replica does in one step. Votes and attempts are the program's own; what a primary does
+//! with its data and its lease is mirrored from `control::node`.
 
 use crate::bounds::Bounds;
-use crate::state::{COPIES, Leading, Message, Replica, Shared, Stage, State, held_until, id, numbers};
+use crate::state::{
+    COPIES, Leading, Message, Replica, Shared, Stage, State, held_until, id, numbers,
+};
 use control::proposer::{Attempt, Intent, Progress};
 use control::view::{Ballot, View};
 use control::witness::{Vote, Votes, Witness};
@@ -20,7 +22,8 @@
     BallotsRepeat,
     /// A candidate does not carry on what an earlier attempt may have had accepted.
     FoundIgnored,
-    /// A replica takes the view that it accepted for decided once it hears the primary of that epoch.
+    /// A replica takes the view that it accepted for decided once it hears the primary of that
+    /// epoch.
     ViewFromHeartbeat,
     /// Changes are acknowledged without those whom a proposal that was given up would take in.
     GivenUpProposalForgotten,
@@ -44,7 +47,13 @@
 impl<'a> Turn<'a> {
     pub fn of(bounds: &'a Bounds, state: &'a mut State, at: usize) -> Self {
         let replica = Replica::clone(&state.replicas[at]);
-        Turn { bounds, fault: bounds.fault, state, at, replica }
+        Turn {
+            bounds,
+            fault: bounds.fault,
+            state,
+            at,
+            replica,
+        }
     }
 
     /// Puts the replica back as it is now.
@@ -73,7 +82,15 @@
         let votes = self.replica.witness.votes().clone();
         match self.fault {
             Fault::PromiseOverwritten => {
-                self.replica.witness = Witness::new(Votes { promised: None, ..votes }, false, 0, 0);
+                self.replica.witness = Witness::new(
+                    Votes {
+                        promised: None,
+                        ..votes
+                    },
+                    false,
+                    0,
+                    0,
+                );
             }
             Fault::GrantNotHeeded => self.replica.witness = Witness::new(votes, false, 0, 0),
             _ => {}
@@ -81,12 +98,32 @@
     }
 
     pub fn begin_attempt(&mut self, wanted: View, intent: Intent) {
-        let Some(current) = self.replica.witness.decided().cloned() else { return };
+        let Some(current) = self.replica.witness.decided().cloned() else {
+            return;
+        };
         self.replica.round += 1;
-        let life = if self.fault == Fault::BallotsRepeat { 0 } else { self.replica.life };
-        let ballot = Ballot { round: self.replica.round, proposer: id(self.at), life };
-        self.replica.attempt = Some(Attempt::new(ballot.clone(), current.clone(), wanted, intent, 0));
-        self.send(Message::Prepare { from: self.at, current, ballot });
+        let life = if self.fault == Fault::BallotsRepeat {
+            0
+        } else {
+            self.replica.life
+        };
+        let ballot = Ballot {
+            round: self.replica.round,
+            proposer: id(self.at),
+            life,
+        };
+        self.replica.attempt = Some(Attempt::new(
+            ballot.clone(),
+            current.clone(),
+            wanted,
+            intent,
+            0,
+        ));
+        self.send(Message::Prepare {
+            from: self.at,
+            current,
+            ballot,
+        });
     }
 
     fn proceed(&mut self, progress: Progress) {
@@ -96,9 +133,15 @@
                 if let Some(leading) = &mut self.replica.leading {
                     leading.proposed = numbers(&proposal.view.in_sync);
                 }
-                let Some(attempt) = &self.replica.attempt else { return };
+                let Some(attempt) = &self.replica.attempt else {
+                    return;
+                };
                 let current = attempt.current.clone();
-                self.send(Message::Accept { from: self.at, current, proposal });
+                self.send(Message::Accept {
+                    from: self.at,
+                    current,
+                    proposal,
+                });
             }
             Progress::Decided(view) => {
                 self.replica.attempt = None;
@@ -121,7 +164,12 @@
             return;
         }
         self.store();
-        if self.replica.attempt.as_ref().is_some_and(|attempt| attempt.epoch() <= view.epoch) {
+        if self
+            .replica
+            .attempt
+            .as_ref()
+            .is_some_and(|attempt| attempt.epoch() <= view.epoch)
+        {
             self.replica.attempt = None;
         }
         let former = self.replica.leading.take();
@@ -132,7 +180,9 @@
 
     fn lead(&mut self, view: &View, former: Option<Leading>) {
         let keeps = self.fault == Fault::LeaseKeptWithNewWitnesses;
-        let held = former.as_ref().map(|former| held_until(former, &self.state.decided[&former.epoch]));
+        let held = former
+            .as_ref()
+            .map(|former| held_until(former, &self.state.decided[&former.epoch]));
         self.replica.leading = Some(Leading {
             epoch: view.epoch,
             stage: Stage::Starting(BTreeSet::from([self.at])),
@@ -143,8 +193,16 @@
         });
         let log = self.replica.log;
         self.state.leads_without |= log < self.state.acknowledged;
-        for other in numbers(&view.in_sync).into_iter().filter(|other| *other != self.at) {
-            self.state.send(Message::Install { from: self.at, to: other, epoch: view.epoch, log });
+        for other in numbers(&view.in_sync)
+            .into_iter()
+            .filter(|other| *other != self.at)
+        {
+            self.state.send(Message::Install {
+                from: self.at,
+                to: other,
+                epoch: view.epoch,
+                log,
+            });
         }
         self.finish();
     }
@@ -166,7 +224,9 @@
 
     fn finish(&mut self) {
         let required = self.required();
-        let Some(leading) = &mut self.replica.leading else { return };
+        let Some(leading) = &mut self.replica.leading else {
+            return;
+        };
         let is_done = match &leading.stage {
             Stage::Starting(done) | Stage::Replicating(done) => required.is_subset(done),
             Stage::Ready => false,
@@ -185,22 +245,37 @@
     pub fn order(&mut self) {
         self.replica.log += 1;
         let log = self.replica.log;
-        let Some(leading) = &mut self.replica.leading else { return };
+        let Some(leading) = &mut self.replica.leading else {
+            return;
+        };
         leading.stage = Stage::Replicating(BTreeSet::from([self.at]));
-        self.state.send(Message::Replicate { from: self.at, epoch: leading.epoch, log });
+        self.state.send(Message::Replicate {
+            from: self.at,
+            epoch: leading.epoch,
+            log,
+        });
     }
 
     pub fn bring_up(&mut self, other: usize) {
         let (from, log) = (self.at, self.replica.log);
         if let Some(leading) = &self.replica.leading {
-            self.state.send(Message::Install { from, to: other, epoch: leading.epoch, log });
+            self.state.send(Message::Install {
+                from,
+                to: other,
+                epoch: leading.epoch,
+                log,
+            });
         }
     }
 
     pub fn send_heartbeat(&mut self) {
         let sent_at = self.state.now;
         if let Some(epoch) = self.replica.leading.as_ref().map(|leading| leading.epoch) {
-            self.send(Message::Heartbeat { from: self.at, epoch, sent_at });
+            self.send(Message::Heartbeat {
+                from: self.at,
+                epoch,
+                sent_at,
+            });
         }
     }
 
@@ -215,52 +290,111 @@
 
     pub fn take(&mut self, message: Message) {
         match message {
-            Message::Prepare { from, current, ballot } => {
+            Message::Prepare {
+                from,
+                current,
+                ballot,
+            } => {
                 self.learn(&current);
                 self.spoil();
-                let (vote, _) = self.replica.witness.prepare(&current, &ballot, self.state.now);
+                let (vote, _) = self
+                    .replica
+                    .witness
+                    .prepare(&current, &ballot, self.state.now);
                 if self.fault != Fault::PromiseNotStored {
                     self.store();
                 }
                 let life = ballot.life;
-                self.send(Message::Vote { from: self.at, to: from, life, ballot, vote });
+                self.send(Message::Vote {
+                    from: self.at,
+                    to: from,
+                    life,
+                    ballot,
+                    vote,
+                });
             }
-            Message::Vote { from, life, ballot, vote, .. } => self.voted(from, life, &ballot, vote),
-            Message::Accept { from, current, proposal } => {
+            Message::Vote {
+                from,
+                life,
+                ballot,
+                vote,
+                ..
+            } => self.voted(from, life, &ballot, vote),
+            Message::Accept {
+                from,
+                current,
+                proposal,
+            } => {
                 self.learn(&current);
                 let ballot = proposal.ballot.clone();
                 let answer = self.replica.witness.accept(&current, proposal);
                 self.store();
                 let life = ballot.life;
-                self.send(Message::Accepted { from: self.at, to: from, life, ballot, answer });
+                self.send(Message::Accepted {
+                    from: self.at,
+                    to: from,
+                    life,
+                    ballot,
+                    answer,
+                });
             }
-            Message::Accepted { from, life, ballot, answer, .. } => {
+            Message::Accepted {
+                from,
+                life,
+                ballot,
+                answer,
+                ..
+            } => {
                 if let Some(attempt) = self.attempt_of(life, &ballot) {
                     let progress = attempt.accepted(&id(from), answer);
                     self.proceed(progress);
                 }
             }
             Message::Decided { view } => self.learn(&view),
-            Message::Install { from, epoch, log, .. } => {
+            Message::Install {
+                from, epoch, log, ..
+            } => {
                 if self.follows(from, epoch) {
                     self.keep(from, epoch, log);
                 }
             }
             Message::Replicate { from, epoch, log } => {
                 self.hear(from, epoch);
-                if self.follows(from, epoch) && (self.replica.log == log || self.replica.log + 1 == log) {
+                if self.follows(from, epoch)
+                    && (self.replica.log == log || self.replica.log + 1 == log)
+                {
                     self.keep(from, epoch, log);
                 }
             }
-            Message::Stored { from, epoch, log, .. } => self.stored(from, epoch, log),
-            Message::Heartbeat { from, epoch, sent_at } => {
+            Message::Stored {
+                from, epoch, log, ..
+            } => self.stored(from, epoch, log),
+            Message::Heartbeat {
+                from,
+                epoch,
+                sent_at,
+            } => {
                 self.hear(from, epoch);
                 if self.replica.witness.grant(&id(from), epoch, self.state.now) {
-                    self.send(Message::Granted { from: self.at, to: from, epoch, sent_at });
+                    self.send(Message::Granted {
+                        from: self.at,
+                        to: from,
+                        epoch,
+                        sent_at,
+                    });
                 }
             }
-            Message::Granted { from, epoch, sent_at, .. } => {
-                if let Some(leading) = self.replica.leading.as_mut().filter(|leading| leading.epoch == epoch)
+            Message::Granted {
+                from,
+                epoch,
+                sent_at,
+                ..
+            } => {
+                if let Some(leading) = self
+                    .replica
+                    .leading
+                    .as_mut()
+                    .filter(|leading| leading.epoch == epoch)
                 {
                     let newest = leading.granted.entry(from).or_default();
                     *newest = sent_at.max(*newest);
@@ -271,7 +405,10 @@
 
     fn attempt_of(&mut self, life: u64, ballot: &Ballot) -> Option<&mut Attempt> {
         let is_own = self.fault == Fault::BallotsRepeat || life == self.replica.life;
-        self.replica.attempt.as_mut().filter(|attempt| is_own && attempt.ballot == *ballot)
+        self.replica
+            .attempt
+            .as_mut()
+            .filter(|attempt| is_own && attempt.ballot == *ballot)
     }
 
     fn voted(&mut self, from: usize, life: u64, ballot: &Ballot, vote: Vote) {
@@ -287,7 +424,12 @@
 
     fn keep(&mut self, primary: usize, epoch: u64, log: u8) {
         self.replica.log = log;
-        self.send(Message::Stored { from: self.at, to: primary, epoch, log });
+        self.send(Message::Stored {
+            from: self.at,
+            to: primary,
+            epoch,
+            log,
+        });
     }
 
     fn follows(&self, primary: usize, epoch: u64) -> bool {
@@ -297,7 +439,13 @@
 
     /// The fault that takes an accepted view for decided.
     fn hear(&mut self, primary: usize, epoch: u64) {
-        let accepted = self.replica.witness.votes().accepted.clone().map(|accepted| accepted.view);
+        let accepted = self
+            .replica
+            .witness
+            .votes()
+            .accepted
+            .clone()
+            .map(|accepted| accepted.view);
         let heard = accepted.filter(|view| view.epoch == epoch && view.primary == id(primary));
         if let Some(view) = heard.filter(|_| self.fault == Fault::ViewFromHeartbeat) {
             self.learn(&view);
@@ -306,7 +454,12 @@
 
     fn stored(&mut self, from: usize, epoch: u64, log: u8) {
         let own_log = self.replica.log;
-        let Some(leading) = self.replica.leading.as_mut().filter(|leading| leading.epoch == epoch) else {
+        let Some(leading) = self
+            .replica
+            .leading
+            .as_mut()
+            .filter(|leading| leading.epoch == epoch)
+        else {
             return;
         };
         leading.holds.insert(from, log);
--- a/control/tests/views.rs
+++ b/control/tests/views.rs
@@ -1,4 +1,5 @@
-//! Two replicas that want to be primary at once: every order in which their messages can arrive, tried one by one.
+//! Two replicas that want to be primary at once: every order in which their messages can arrive,
+//! tried one by one.
 
 use control::proposer::{Attempt, Intent, Progress};
 use control::view::{Ballot, Proposal, ReplicaId, View};
@@ -9,36 +10,72 @@
 
 fn replica(number: u8) -> ReplicaId {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000);
-    ReplicaId { disk: u64::from(number), node: format!("n{number}").into(), address }
+    ReplicaId {
+        disk: u64::from(number),
+        node: format!("n{number}").into(),
+        address,
+    }
 }
 
 fn view(epoch: u64, primary: &ReplicaId, members: &BTreeSet<ReplicaId>) -> View {
-    View { epoch, primary: primary.clone(), in_sync: members.clone(), witnesses: members.clone() }
+    View {
+        epoch,
+        primary: primary.clone(),
+        in_sync: members.clone(),
+        witnesses: members.clone(),
+    }
 }
 
 fn ballot(round: u64, proposer: &ReplicaId) -> Ballot {
-    Ballot { round, proposer: proposer.clone(), life: 1 }
+    Ballot {
+        round,
+        proposer: proposer.clone(),
+        life: 1,
+    }
 }
 
 fn decided(view: View) -> Votes {
-    Votes { decided: Some(view), promised: None, accepted: None }
+    Votes {
+        decided: Some(view),
+        promised: None,
+        accepted: None,
+    }
 }
 
 #[derive(Debug, Clone)]
 enum Message {
-    Prepare { to: usize, by: usize },
-    Vote { from: usize, by: usize, vote: Vote },
-    Accept { to: usize, by: usize, proposal: Proposal },
-    Accepted { from: usize, by: usize, answer: Result<(), u64> },
+    Prepare {
+        to: usize,
+        by: usize,
+    },
+    Vote {
+        from: usize,
+        by: usize,
+        vote: Vote,
+    },
+    Accept {
+        to: usize,
+        by: usize,
+        proposal: Proposal,
+    },
+    Accepted {
+        from: usize,
+        by: usize,
+        answer: Result<(), u64>,
+    },
 }
 
 impl Message {
     fn is_to_itself(&self) -> bool {
         match self {
             Message::Prepare { to: other, by }
-            | Message::Vote { from: other, by, .. }
+            | Message::Vote {
+                from: other, by, ..
+            }
             | Message::Accept { to: other, by, .. }
-            | Message::Accepted { from: other, by, .. } => other == by,
+            | Message::Accepted {
+                from: other, by, ..
+            } => other == by,
         }
     }
 }
@@ -60,7 +97,10 @@
         let first = view(1, &members[2], &all);
         let votes = decided(first.clone());
         // The lease of the first primary is over.
-        let witnesses = members.iter().map(|_| Witness::new(votes.clone(), false, 0, 0)).collect();
+        let witnesses = members
+            .iter()
+            .map(|_| Witness::new(votes.clone(), false, 0, 0))
+            .collect();
         let attempts = (0..2)
             .map(|at| {
                 let wanted = view(2, &members[at], &all);
@@ -73,8 +113,17 @@
                 )
             })
             .collect();
-        let wires = (0..2).flat_map(|by| (0..3).map(move |to| Message::Prepare { to, by })).collect();
-        World { members, witnesses, attempts, wires, decided: Vec::new(), first }
+        let wires = (0..2)
+            .flat_map(|by| (0..3).map(move |to| Message::Prepare { to, by }))
+            .collect();
+        World {
+            members,
+            witnesses,
+            attempts,
+            wires,
+            decided: Vec::new(),
+            first,
+        }
     }
 
     /// Delivers a message, and what a replica says to itself, which takes no time.
@@ -93,17 +142,29 @@
                 self.wires.push(Message::Vote { from: to, by, vote });
             }
             Message::Vote { from, by, vote } => {
-                if let Progress::Accept(proposal) = self.attempts[by].voted(&self.members[from], vote) {
-                    let accepts = (0..3).map(|to| Message::Accept { to, by, proposal: proposal.clone() });
+                if let Progress::Accept(proposal) =
+                    self.attempts[by].voted(&self.members[from], vote)
+                {
+                    let accepts = (0..3).map(|to| Message::Accept {
+                        to,
+                        by,
+                        proposal: proposal.clone(),
+                    });
                     self.wires.extend(accepts);
                 }
             }
             Message::Accept { to, by, proposal } => {
                 let answer = self.witnesses[to].accept(&self.first, proposal);
-                self.wires.push(Message::Accepted { from: to, by, answer });
+                self.wires.push(Message::Accepted {
+                    from: to,
+                    by,
+                    answer,
+                });
             }
             Message::Accepted { from, by, answer } => {
-                if let Progress::Decided(view) = self.attempts[by].accepted(&self.members[from], answer) {
+                if let Progress::Decided(view) =
+                    self.attempts[by].accepted(&self.members[from], answer)
+                {
                     self.decided.push(view);
                 }
             }
@@ -120,21 +181,37 @@
         for at in 0..world.wires.len() {
             let mut next = world.clone();
             next.deliver(at);
-            let views: BTreeSet<String> = next.decided.iter().map(|view| format!("{view:?}")).collect();
+            let views: BTreeSet<String> = next
+                .decided
+                .iter()
+                .map(|view| format!("{view:?}"))
+                .collect();
             assert!(views.len() <= 1, "two views for one epoch: {views:?}");
-            views.into_iter().for_each(|view| *decided.entry(view).or_insert(0) += 1);
+            views
+                .into_iter()
+                .for_each(|view| *decided.entry(view).or_insert(0) += 1);
             // Orders that lead to the same state go on alike.
-            let mut wires: Vec<String> = next.wires.iter().map(|wire| format!("{wire:?}")).collect();
+            let mut wires: Vec<String> =
+                next.wires.iter().map(|wire| format!("{wire:?}")).collect();
             wires.sort_unstable();
             let mut key = DefaultHasher::new();
-            format!("{:?}{:?}{:?}{wires:?}", next.witnesses, next.attempts, next.decided.len())
-                .hash(&mut key);
+            format!(
+                "{:?}{:?}{:?}{wires:?}",
+                next.witnesses,
+                next.attempts,
+                next.decided.len()
+            )
+            .hash(&mut key);
             if seen.insert(key.finish()) {
                 open.push(next);
             }
         }
     }
-    assert!(decided.len() >= 2, "either of the two can win: {}", decided.len());
+    assert!(
+        decided.len() >= 2,
+        "either of the two can win: {}",
+        decided.len()
+    );
     assert!(seen.len() > 1_000, "{} states were tried", seen.len());
 }
 
@@ -149,7 +226,10 @@
     assert_eq!(witness.prepare(&first, &rival, 999).0, Vote::Leased);
     assert!(witness.grant(&primary, 1, 999));
     assert_eq!(witness.prepare(&first, &rival, 1_998).0, Vote::Leased);
-    assert_eq!(witness.prepare(&first, &rival, 1_999).0, Vote::Promised { accepted: None });
+    assert_eq!(
+        witness.prepare(&first, &rival, 1_999).0,
+        Vote::Promised { accepted: None }
+    );
     // Who has promised to a successor grants nothing to the former holder any more.
     assert!(!witness.grant(&primary, 1, 2_000));
 }
@@ -163,7 +243,14 @@
     assert!(witness.grant(&primary, 1, 10));
     witness.release(&replica(2));
     let rival = ballot(1, &replica(2));
-    assert_eq!(witness.prepare(&first, &rival, 20).0, Vote::Leased, "only the holder gives it back");
+    assert_eq!(
+        witness.prepare(&first, &rival, 20).0,
+        Vote::Leased,
+        "only the holder gives it back"
+    );
     witness.release(&primary);
-    assert_eq!(witness.prepare(&first, &rival, 20).0, Vote::Promised { accepted: None });
+    assert_eq!(
+        witness.prepare(&first, &rival, 20).0,
+        Vote::Promised { accepted: None }
+    );
 }
--- a/control/tests/wire_format.rs
+++ b/control/tests/wire_format.rs
@@ -1,14 +1,15 @@
-//! Bytes of messages and stored records stay as they were: another version of the program sends and stores the same.
+//! Bytes of messages and stored records stay as they were: another version of the program sends and
+//! stores the same.
 //!
-//! The fixtures were written by the program as it was before its types were renamed. Each line is the name of a sample and
-//! its bytes in hexadecimal digits.
+//! The fixtures were written by the program as it was before its types were renamed. Each line is
+//! the name of a sample and its bytes in hexadecimal digits.
 
 use control::changes::{Change, Outcome, Refusal};
+use control::digest::{Range, Summary};
 use control::directory::{
-    Backend, BackendPhase, Key, Member, MemberStatus, Order, OrderPhase, Origin, Record as DirectoryRecord, Stamp,
-    Suspicion, Value,
+    Backend, BackendPhase, Key, Member, MemberStatus, Order, OrderPhase, Origin,
+    Record as DirectoryRecord, Stamp, Suspicion, Value,
 };
-use control::digest::{Range, Summary};
 use control::history::{History, News};
 use control::message::{Echo, Envelope, Message};
 use control::state::{ControlState, Position, Update};
@@ -26,7 +27,9 @@
 }
 
 fn unhex(digits: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("a fixture holds hexadecimal digits");
+    let digit = |at: usize| {
+        u8::from_str_radix(&digits[at..at + 2], 16).expect("a fixture holds hexadecimal digits")
+    };
     (0..digits.len()).step_by(2).map(digit).collect()
 }
 
@@ -39,12 +42,23 @@
 
 impl Fixtures {
     fn new(text: &'static str) -> Self {
-        let lines = text.lines().map(|line| line.split_once(' ').expect("a name and its bytes")).collect();
-        Fixtures { lines, checked: 0, missing: String::new() }
+        let lines = text
+            .lines()
+            .map(|line| line.split_once(' ').expect("a name and its bytes"))
+            .collect();
+        Fixtures {
+            lines,
+            checked: 0,
+            missing: String::new(),
+        }
     }
 
     /// The sample encodes to the bytes of its fixture, and these are read as the sample.
-    fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, sample: &T) {
+    fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+        &mut self,
+        name: &str,
+        sample: &T,
+    ) {
         let bytes = postcard::to_stdvec(sample).unwrap();
         let Some(expected) = self.lines.get(name) else {
             self.missing += &format!("{name} {}\n", hex(&bytes));
@@ -58,13 +72,21 @@
 
     fn finish(self) {
         assert_eq!(self.missing, "", "samples without a fixture");
-        assert_eq!(self.checked, self.lines.len(), "each fixture has its sample");
+        assert_eq!(
+            self.checked,
+            self.lines.len(),
+            "each fixture has its sample"
+        );
     }
 }
 
 fn replica(number: u8) -> ReplicaId {
     let address = SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, number), 7560);
-    ReplicaId { disk: 0x0102_0304_0506_0700 + u64::from(number), node: format!("node-{number}").into(), address }
+    ReplicaId {
+        disk: 0x0102_0304_0506_0700 + u64::from(number),
+        node: format!("node-{number}").into(),
+        address,
+    }
 }
 
 fn replicas(numbers: &[u8]) -> BTreeSet<ReplicaId> {
@@ -72,15 +94,27 @@
 }
 
 fn view(epoch: u64) -> View {
-    View { epoch, primary: replica(1), in_sync: replicas(&[1, 2]), witnesses: replicas(&[1, 2, 3]) }
+    View {
+        epoch,
+        primary: replica(1),
+        in_sync: replicas(&[1, 2]),
+        witnesses: replicas(&[1, 2, 3]),
+    }
 }
 
 fn ballot() -> Ballot {
-    Ballot { round: 9, proposer: replica(2), life: 77 }
+    Ballot {
+        round: 9,
+        proposer: replica(2),
+        life: 77,
+    }
 }
 
 fn proposal() -> Proposal {
-    Proposal { ballot: ballot(), view: view(6) }
+    Proposal {
+        ballot: ballot(),
+        view: view(6),
+    }
 }
 
 fn position(index: u64) -> Position {
@@ -90,37 +124,60 @@
 const CONFIGURATION: &str = r#"{"version":3,"services":[],"routes":[]}"#;
 
 fn configuration() -> Change {
-    Change::Configuration { base: 2, body: CONFIGURATION.as_bytes().into() }
+    Change::Configuration {
+        base: 2,
+        body: CONFIGURATION.as_bytes().into(),
+    }
 }
 
 fn weights() -> Change {
-    Change::Weights { model: "daka510000".into(), version: 300 }
+    Change::Weights {
+        model: "daka510000".into(),
+        version: 300,
+    }
 }
 
 fn order_holder() -> Change {
-    Change::OrderHolder { replica: replica(3) }
+    Change::OrderHolder {
+        replica: replica(3),
+    }
 }
 
 fn update(index: u64, change: Change) -> Update {
-    Update { position: position(index), change }
+    Update {
+        position: position(index),
+        change,
+    }
 }
 
 fn state() -> ControlState {
     let mut state = ControlState::default();
-    for (change, index) in [configuration(), weights(), order_holder()].into_iter().zip(1..) {
+    for (change, index) in [configuration(), weights(), order_holder()]
+        .into_iter()
+        .zip(1..)
+    {
         state.apply(&update(index, change));
     }
     state
 }
 
 fn votes() -> Votes {
-    Votes { decided: Some(view(5)), promised: Some(ballot()), accepted: Some(proposal()) }
+    Votes {
+        decided: Some(view(5)),
+        promised: Some(ballot()),
+        accepted: Some(proposal()),
+    }
 }
 
 #[test]
 fn messages_between_replicas_keep_their_bytes() {
     let mut fixtures = Fixtures::new(include_str!("fixtures/replica_messages.txt"));
-    let heartbeat = |committed, echo| Message::Heartbeat { epoch: 5, round: 400, committed, echo };
+    let heartbeat = |committed, echo| Message::Heartbeat {
+        epoch: 5,
+        round: 400,
+        committed,
+        echo,
+    };
     let reply = |other_view| Message::HeartbeatReply {
         epoch: 5,
         round: 400,
@@ -129,41 +186,115 @@
         wants_view: false,
         sent_at: 70_000,
     };
-    let prepare_reply = |vote| Message::PrepareReply { ballot: ballot(), vote };
-    let accept_reply = |answer| Message::AcceptReply { ballot: ballot(), answer };
+    let prepare_reply = |vote| Message::PrepareReply {
+        ballot: ballot(),
+        vote,
+    };
+    let accept_reply = |answer| Message::AcceptReply {
+        ballot: ballot(),
+        answer,
+    };
     let messages = [
-        ("heartbeat", heartbeat(Some(position(7)), Some(Echo { life: 77, at: 1_234 }))),
+        (
+            "heartbeat",
+            heartbeat(
+                Some(position(7)),
+                Some(Echo {
+                    life: 77,
+                    at: 1_234,
+                }),
+            ),
+        ),
         ("heartbeat.bare", heartbeat(None, None)),
         ("heartbeat_reply", reply(Some(view(6)))),
         ("heartbeat_reply.bare", reply(None)),
-        ("prepare", Message::Prepare { current: view(5), ballot: ballot() }),
-        ("prepare_reply.promised", prepare_reply(Vote::Promised { accepted: Some(proposal()) })),
-        ("prepare_reply.outbid", prepare_reply(Vote::Outbid { ballot: ballot() })),
-        ("prepare_reply.passed", prepare_reply(Vote::Passed { decided: view(6) })),
+        (
+            "prepare",
+            Message::Prepare {
+                current: view(5),
+                ballot: ballot(),
+            },
+        ),
+        (
+            "prepare_reply.promised",
+            prepare_reply(Vote::Promised {
+                accepted: Some(proposal()),
+            }),
+        ),
+        (
+            "prepare_reply.outbid",
+            prepare_reply(Vote::Outbid { ballot: ballot() }),
+        ),
+        (
+            "prepare_reply.passed",
+            prepare_reply(Vote::Passed { decided: view(6) }),
+        ),
         ("prepare_reply.leased", prepare_reply(Vote::Leased)),
         ("prepare_reply.no_founder", prepare_reply(Vote::NoFounder)),
-        ("accept", Message::Accept { current: view(5), proposal: proposal() }),
+        (
+            "accept",
+            Message::Accept {
+                current: view(5),
+                proposal: proposal(),
+            },
+        ),
         ("accept_reply.ok", accept_reply(Ok(()))),
         ("accept_reply.refused", accept_reply(Err(12))),
         ("decided", Message::Decided { view: view(6) }),
         ("synchronize", Message::Synchronize { epoch: 6 }),
-        ("holds", Message::Holds { epoch: 6, last: position(8), committed: position(7) }),
-        ("install", Message::Install { epoch: 6, state: state(), tail: Some(update(4, weights())) }),
+        (
+            "holds",
+            Message::Holds {
+                epoch: 6,
+                last: position(8),
+                committed: position(7),
+            },
+        ),
+        (
+            "install",
+            Message::Install {
+                epoch: 6,
+                state: state(),
+                tail: Some(update(4, weights())),
+            },
+        ),
         (
             "replicate",
             Message::Replicate {
                 epoch: 6,
                 previous: position(3),
-                updates: vec![update(4, configuration()), update(5, weights()), update(6, order_holder())],
+                updates: vec![
+                    update(4, configuration()),
+                    update(5, weights()),
+                    update(6, order_holder()),
+                ],
+            },
+        ),
+        (
+            "committed",
+            Message::Committed {
+                epoch: 6,
+                position: position(6),
+            },
+        ),
+        (
+            "join",
+            Message::Join {
+                last: position(8),
+                committed: position(7),
             },
         ),
-        ("committed", Message::Committed { epoch: 6, position: position(6) }),
-        ("join", Message::Join { last: position(8), committed: position(7) }),
         ("leave", Message::Leave { epoch: 6 }),
         ("resign", Message::Resign { epoch: 6 }),
     ];
     for (name, message) in messages {
-        let envelope = Envelope { from: replica(1), life: 77, to: replica(2), answers: Some(78), message };
+        let envelope = Envelope {
+            from: replica(1),
+            life: 77,
+            to: replica(2),
+            answers: Some(78),
+            message,
+        };
         fixtures.check(name, &envelope);
     }
     fixtures.finish();
@@ -173,24 +304,53 @@
 fn outcomes_and_records_of_the_directory_keep_their_bytes() {
     let mut fixtures = Fixtures::new(include_str!("fixtures/directory_records.txt"));
     fixtures.check("outcome.done", &Outcome::Done);
-    fixtures.check("outcome.other_version", &Outcome::Refused(Refusal::OtherVersion { current: 4 }));
-    fixtures.check("outcome.invalid", &Outcome::Refused(Refusal::Invalid("routes[0]".to_owned())));
+    fixtures.check(
+        "outcome.other_version",
+        &Outcome::Refused(Refusal::OtherVersion { current: 4 }),
+    );
+    fixtures.check(
+        "outcome.invalid",
+        &Outcome::Refused(Refusal::Invalid("routes[0]".to_owned())),
+    );
     fixtures.check("outcome.unknown", &Outcome::Unknown);
-    fixtures.check("range", &Range { prefix: 1 << 63, bits: 1 });
+    fixtures.check(
+        "range",
+        &Range {
+            prefix: 1 << 63,
+            bits: 1,
+        },
+    );
     fixtures.check("summary.digest", &Summary::Digest(123_456_789));
     fixtures.check("summary.listed", &Summary::Listed(vec![(1, 2), (3, 4)]));
     let mut history = History::default();
-    history.advance(1, format!("{}{}", CONFIGURATION, "{\"r\":1}".repeat(40)).into_bytes());
+    history.advance(
+        1,
+        format!("{}{}", CONFIGURATION, "{\"r\":1}".repeat(40)).into_bytes(),
+    );
     fixtures.check("news.whole", &history.news_for(0).unwrap());
-    history.advance(2, format!("{}{}{}", CONFIGURATION, "{\"r\":2}", "{\"r\":1}".repeat(40)).into_bytes());
+    history.advance(
+        2,
+        format!("{}{}{}", CONFIGURATION, "{\"r\":2}", "{\"r\":1}".repeat(40)).into_bytes(),
+    );
     let steps: News = history.news_for(1).unwrap();
     fixtures.check("news.steps", &steps);
-    let stamp = Stamp { origin: Origin(77), counter: 5 };
+    let stamp = Stamp {
+        origin: Origin(77),
+        counter: 5,
+    };
     let mut record = |name: &str, key: Key, value: Value| {
         fixtures.check(name, &DirectoryRecord { key, stamp, value });
     };
-    let phases = [BackendPhase::Ready, BackendPhase::Draining, BackendPhase::Gone];
-    for (phase, name) in phases.into_iter().zip(["backend.ready", "backend.draining", "backend.gone"]) {
+    let phases = [
+        BackendPhase::Ready,
+        BackendPhase::Draining,
+        BackendPhase::Gone,
+    ];
+    for (phase, name) in
+        phases
+            .into_iter()
+            .zip(["backend.ready", "backend.draining", "backend.gone"])
+    {
         let backend = Backend {
             service: "qalam-lm".into(),
             address: SocketAddrV4::new(Ipv4Addr::new(10, 2, 0, 9), 8080),
@@ -205,7 +365,10 @@
         record(name, Key::Backend("i-1".into()), Value::Backend(backend));
     }
     let statuses = [MemberStatus::Up, MemberStatus::Down, MemberStatus::Left];
-    for (status, name) in statuses.into_iter().zip(["member.up", "member.down", "member.left"]) {
+    for (status, name) in statuses
+        .into_iter()
+        .zip(["member.up", "member.down", "member.left"])
+    {
         let member = Member {
             zone: "seeb".into(),
             internal: SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 2), 7560),
@@ -217,32 +380,68 @@
         };
         record(name, Key::Member("node-2".into()), Value::Member(member));
     }
-    let phases = [OrderPhase::UnderWay, OrderPhase::Done, OrderPhase::Withdrawn];
-    for (phase, name) in phases.into_iter().zip(["order.under_way", "order.done", "order.withdrawn"]) {
-        let order = Order { fence: 41, number: 2, model: "daka510000".into(), version: 3, phase };
+    let phases = [
+        OrderPhase::UnderWay,
+        OrderPhase::Done,
+        OrderPhase::Withdrawn,
+    ];
+    for (phase, name) in
+        phases
+            .into_iter()
+            .zip(["order.under_way", "order.done", "order.withdrawn"])
+    {
+        let order = Order {
+            fence: 41,
+            number: 2,
+            model: "daka510000".into(),
+            version: 3,
+            phase,
+        };
         record(name, Key::Order("i-1".into()), Value::Order(order));
     }
-    let suspicion = Suspicion { number: 2, lasts_ms: 4_000 };
-    record("suspicion", Key::Suspicion("i-1".into()), Value::Suspicion(suspicion));
+    let suspicion = Suspicion {
+        number: 2,
+        lasts_ms: 4_000,
+    };
+    record(
+        "suspicion",
+        Key::Suspicion("i-1".into()),
+        Value::Suspicion(suspicion),
+    );
     fixtures.finish();
 }
 
 /// The records of each kind that the present format knows, former kinds among them, as one file.
 fn stored_records() -> Vec<Record> {
     let former = AcceptedV1 {
-        ballot: BallotV1 { round: 9, proposer: replica(2) },
+        ballot: BallotV1 {
+            round: 9,
+            proposer: replica(2),
+        },
         view: view(6),
         previous: Some(view(5)),
     };
     let former_votes = VotesV1 {
-        promised: Some((6, BallotV1 { round: 10, proposer: replica(3) })),
+        promised: Some((
+            6,
+            BallotV1 {
+                round: 10,
+                proposer: replica(3),
+            },
+        )),
         accepted: Some(former),
     };
     vec![
-        Record::Disk { format: FORMAT, disk: 0x0102_0304 },
+        Record::Disk {
+            format: FORMAT,
+            disk: 0x0102_0304,
+        },
         Record::VotesV1(former_votes),
         Record::Votes(votes()),
-        Record::Install { state: state(), tail: None },
+        Record::Install {
+            state: state(),
+            tail: None,
+        },
         Record::Update(update(4, configuration())),
         Record::Update(update(5, weights())),
         Record::Update(update(6, order_holder())),
@@ -270,8 +469,23 @@
 fn votes_of_format_1_are_read_as_before() {
     let records = stored_records().into_iter().take(2);
     let recovered = Recovered::replay(records).unwrap();
-    let promised = Ballot { round: 10, proposer: replica(3), life: 0 };
-    let accepted = Proposal { ballot: Ballot { round: 9, proposer: replica(2), life: 0 }, view: view(6) };
-    let expected = Votes { decided: Some(view(5)), promised: Some(promised), accepted: Some(accepted) };
+    let promised = Ballot {
+        round: 10,
+        proposer: replica(3),
+        life: 0,
+    };
+    let accepted = Proposal {
+        ballot: Ballot {
+            round: 9,
+            proposer: replica(2),
+            life: 0,
+        },
+        view: view(6),
+    };
+    let expected = Votes {
+        decided: Some(view(5)),
+        promised: Some(promised),
+        accepted: Some(accepted),
+    };
     assert_eq!(recovered.votes, expected);
 }
--- a/control/tests/world/mod.rs
+++ b/control/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! Replicas of the control state in virtual time: messages late, lost and cut; disks slow, stuck and wiped; power lost.
+//! Replicas of the control state in virtual time: messages late, lost and cut; disks slow, stuck
+//! and wiped; power lost.
 #![allow(dead_code)] // each test program uses its share
 
 use control::Millis;
@@ -14,13 +15,19 @@
 
 /// A change that is told apart from others.
 pub fn change(model: &str, version: u64) -> Change {
-    Change::Weights { model: model.into(), version }
+    Change::Weights {
+        model: model.into(),
+        version,
+    }
 }
 
 /// A configuration of a version on top of another.
 pub fn configuration(base: u64, version: u64, mark: &str) -> Change {
     let body = format!(r#"{{"version":{version},"mark":"{mark}","routes":[],"services":[]}}"#);
-    Change::Configuration { base, body: body.into_bytes().into() }
+    Change::Configuration {
+        base,
+        body: body.into_bytes().into(),
+    }
 }
 
 /// So many machines are named to all others at the first start.
@@ -72,7 +79,8 @@
     pub outcomes: BTreeMap<u64, Outcome>,
     /// A digest of the state that was first shown as committed, by the index of its last change.
     committed: BTreeMap<u64, u64>,
-    /// The newest version of the configuration that was acknowledged, and the one at the time of each question.
+    /// The newest version of the configuration that was acknowledged, and the one at the time of
+    /// each question.
     newest_version: u64,
     asked_at_version: BTreeMap<u64, u64>,
     /// Changes that were acknowledged.
@@ -171,14 +179,25 @@
         self.found_with(founder, self.machines.len());
     }
 
-    /// A machine has the first view decided, by the replicas of the first three machines, and as far as it knows the others.
+    /// A machine has the first view decided, by the replicas of the first three machines, and as
+    /// far as it knows the others.
     pub fn found_with(&mut self, founder: &str, known: usize) {
         let seeds = self.machines.values().take(SEEDS);
-        let unheard = |address| ReplicaId { disk: 0, node: "".into(), address };
+        let unheard = |address| ReplicaId {
+            disk: 0,
+            node: "".into(),
+            address,
+        };
         let replica = |machine: &Machine| machine.node.as_ref().map(|node| node.id().clone());
-        let electorate =
-            seeds.map(|machine| replica(machine).unwrap_or_else(|| unheard(machine.address))).collect();
-        let replicas = self.machines.values().take(known).filter_map(replica).collect();
+        let electorate = seeds
+            .map(|machine| replica(machine).unwrap_or_else(|| unheard(machine.address)))
+            .collect();
+        let replicas = self
+            .machines
+            .values()
+            .take(known)
+            .filter_map(replica)
+            .collect();
         let now = self.now;
         if let Some(node) = &mut self.machines.get_mut(founder).expect("a machine").node {
             node.found(electorate, replicas, now);
@@ -188,7 +207,10 @@
 
     /// The replicas of all machines that run.
     pub fn replicas(&self) -> BTreeSet<ReplicaId> {
-        let nodes = self.machines.values().filter_map(|machine| machine.node.as_ref());
+        let nodes = self
+            .machines
+            .values()
+            .filter_map(|machine| machine.node.as_ref());
         nodes.map(|node| node.id().clone()).collect()
     }
 
@@ -200,15 +222,29 @@
         let disk = self.next_disk;
         let machine = self.machines.get_mut(name).expect("a machine");
         if machine.disk.is_empty() {
-            encode(&Record::Disk { format: FORMAT, disk }, &mut machine.disk);
+            encode(
+                &Record::Disk {
+                    format: FORMAT,
+                    disk,
+                },
+                &mut machine.disk,
+            );
             self.next_disk += 1;
         }
         let (records, sound) = decode(&machine.disk).expect("a torn tail is no damage");
         machine.disk.truncate(sound);
         let recovered = Recovered::replay(records).expect("sound records");
-        let id = ReplicaId { disk: recovered.disk, node: name.into(), address: machine.address };
+        let id = ReplicaId {
+            disk: recovered.disk,
+            node: name.into(),
+            address: machine.address,
+        };
         machine.shown = recovered.state.position.index;
-        let identity = Identity { id, life: self.next_life, may_found: machine.may_found };
+        let identity = Identity {
+            id,
+            life: self.next_life,
+            may_found: machine.may_found,
+        };
         self.next_life += 1;
         machine.node = Some(ControlNode::new(identity, recovered, self.timing, self.now));
         machine.back_at = None;
@@ -256,7 +292,10 @@
     pub fn restore_disks(&mut self) {
         for machine in self.machines.values_mut() {
             machine.sync = Some(2);
-            let hung = machine.writes.iter_mut().filter(|write| write.done_at == Millis::MAX);
+            let hung = machine
+                .writes
+                .iter_mut()
+                .filter(|write| write.done_at == Millis::MAX);
             hung.for_each(|write| write.done_at = self.now + 2);
         }
     }
@@ -269,9 +308,15 @@
     pub fn primary(&self) -> Option<String> {
         let leads = |machine: &Machine| {
             machine.frozen_until <= self.now
-                && machine.node.as_ref().is_some_and(|node| node.leads(self.now).is_some())
+                && machine
+                    .node
+                    .as_ref()
+                    .is_some_and(|node| node.leads(self.now).is_some())
         };
-        self.machines.iter().find(|(_, machine)| leads(machine)).map(|(name, _)| name.clone())
+        self.machines
+            .iter()
+            .find(|(_, machine)| leads(machine))
+            .map(|(name, _)| name.clone())
     }
 
     /// When a machine's state was last known to be the newest.
@@ -324,10 +369,16 @@
 
     /// Whether a machine's replica is in the primary's in-sync set, and the primary leads.
     pub fn is_in_sync(&self, name: &str) -> bool {
-        let Some(primary) = self.primary() else { return false };
-        let view = self.machines[&primary].node.as_ref().and_then(|node| node.view());
+        let Some(primary) = self.primary() else {
+            return false;
+        };
+        let view = self.machines[&primary]
+            .node
+            .as_ref()
+            .and_then(|node| node.view());
         let id = self.machines[name].node.as_ref().map(|node| node.id());
-        view.zip(id).is_some_and(|(view, id)| view.in_sync.contains(id))
+        view.zip(id)
+            .is_some_and(|(view, id)| view.in_sync.contains(id))
     }
 
     /// How many bytes were sent to a machine.
@@ -337,7 +388,9 @@
 
     /// The index of the primary's last committed change; 0 without a primary.
     pub fn state_index(&self) -> u64 {
-        let node = self.primary().and_then(|name| self.machines[&name].node.as_ref());
+        let node = self
+            .primary()
+            .and_then(|name| self.machines[&name].node.as_ref());
         node.map_or(0, |node| node.state().position.index)
     }
 
@@ -345,7 +398,10 @@
     pub fn newest_reading(&mut self) -> Option<u64> {
         let primary = self.primary()?;
         let ticket = self.read(&primary);
-        assert!(self.until(1_000, |world| world.readings.contains_key(&ticket)), "it is answered");
+        assert!(
+            self.until(1_000, |world| world.readings.contains_key(&ticket)),
+            "it is answered"
+        );
         match &self.readings[&ticket] {
             Reading::Newest(Some(stored)) => Some(stored.version),
             _ => None,
@@ -358,7 +414,10 @@
             let Some(node) = &machine.node else { continue };
             if machine.disk.len() > longest && machine.writes.is_empty() {
                 machine.disk.clear();
-                node.snapshot().records().iter().for_each(|record| encode(record, &mut machine.disk));
+                node.snapshot()
+                    .records()
+                    .iter()
+                    .for_each(|record| encode(record, &mut machine.disk));
             }
         }
     }
@@ -372,15 +431,26 @@
                 continue;
             };
             let names = |replicas: &BTreeSet<ReplicaId>| {
-                replicas.iter().map(ToString::to_string).collect::<Vec<_>>().join(" ")
+                replicas
+                    .iter()
+                    .map(ToString::to_string)
+                    .collect::<Vec<_>>()
+                    .join(" ")
             };
             let view = node.view().map_or_else(String::new, |view| {
                 let (in_sync, witnesses) = (names(&view.in_sync), names(&view.witnesses));
-                format!("{} of {}; in sync {in_sync}; witnesses {witnesses}", view.epoch, view.primary)
+                format!(
+                    "{} of {}; in sync {in_sync}; witnesses {witnesses}",
+                    view.epoch, view.primary
+                )
             });
             let held = node.snapshot();
             let (state, tail) = (held.state.position, held.tail.map(|tail| tail.position));
-            text += &format!("\n{} is {:?}, {state:?} {tail:?}, view {view}", node.id(), node.role());
+            text += &format!(
+                "\n{} is {:?}, {state:?} {tail:?}, view {view}",
+                node.id(),
+                node.role()
+            );
             text += &format!(
                 "; votes {:?} {:?}",
                 held.votes.promised.map(|b| (b.round, b.proposer.node)),
@@ -392,21 +462,36 @@
 
     /// Whether a machine's process may end.
     pub fn may_end(&self, name: &str) -> bool {
-        self.machines[name].node.as_ref().is_none_or(ControlNode::may_end)
+        self.machines[name]
+            .node
+            .as_ref()
+            .is_none_or(ControlNode::may_end)
     }
 
     /// Whether the present view has so many witnesses, all of them replicas that run.
     pub fn counts_only_living(&self, count: usize) -> bool {
-        let Some(primary) = self.primary() else { return false };
-        let view = self.machines[&primary].node.as_ref().and_then(|node| node.view());
+        let Some(primary) = self.primary() else {
+            return false;
+        };
+        let view = self.machines[&primary]
+            .node
+            .as_ref()
+            .and_then(|node| node.view());
         let replicas = self.replicas();
-        view.is_some_and(|view| view.witnesses.len() == count && view.witnesses.is_subset(&replicas))
+        view.is_some_and(|view| {
+            view.witnesses.len() == count && view.witnesses.is_subset(&replicas)
+        })
     }
 
     /// Whether every machine runs and stores every change.
     pub fn is_whole(&self) -> bool {
-        let Some(primary) = self.primary() else { return false };
-        let view = self.machines[&primary].node.as_ref().and_then(|node| node.view());
+        let Some(primary) = self.primary() else {
+            return false;
+        };
+        let view = self.machines[&primary]
+            .node
+            .as_ref()
+            .and_then(|node| node.view());
         let replicas = self.replicas();
         replicas.len() == self.machines.len() && view.is_some_and(|view| view.in_sync == replicas)
     }
@@ -448,8 +533,16 @@
 
     fn tick(&mut self) {
         let (known, now) = (self.replicas(), self.now);
-        for name in self.names_where(|machine| machine.node.is_some() && machine.frozen_until <= now) {
-            let node = self.machines.get_mut(&name).expect("a machine").node.as_mut().expect("up");
+        for name in
+            self.names_where(|machine| machine.node.is_some() && machine.frozen_until <= now)
+        {
+            let node = self
+                .machines
+                .get_mut(&name)
+                .expect("a machine")
+                .node
+                .as_mut()
+                .expect("up");
             node.know(known.clone());
             node.tick(now);
             self.collect(&name);
@@ -459,12 +552,20 @@
     fn finish_writes(&mut self) {
         let now = self.now;
         let has_due = |machine: &Machine| {
-            machine.frozen_until <= now && machine.writes.first().is_some_and(|write| write.done_at <= now)
+            machine.frozen_until <= now
+                && machine
+                    .writes
+                    .first()
+                    .is_some_and(|write| write.done_at <= now)
         };
         for name in self.names_where(has_due) {
             let machine = self.machines.get_mut(&name).expect("a machine");
             let mut done = None;
-            while machine.writes.first().is_some_and(|write| write.done_at <= now) {
+            while machine
+                .writes
+                .first()
+                .is_some_and(|write| write.done_at <= now)
+            {
                 let write = machine.writes.remove(0);
                 machine.disk.extend(write.bytes);
                 done = Some(write.sequence);
@@ -478,7 +579,10 @@
 
     /// The machine at an address; none where it is gone.
     fn name_of(&self, address: SocketAddrV4) -> Option<&String> {
-        let found = self.machines.iter().find(|(_, machine)| machine.address == address);
+        let found = self
+            .machines
+            .iter()
+            .find(|(_, machine)| machine.address == address);
         found.map(|(name, _)| name)
     }
 
@@ -490,9 +594,15 @@
         let mut due = Vec::new();
         let mut later = Vec::new();
         for wire in std::mem::take(&mut self.wires) {
-            let Some(to) = self.name_of(wire.envelope.to.address).cloned() else { continue };
+            let Some(to) = self.name_of(wire.envelope.to.address).cloned() else {
+                continue;
+            };
             let frozen = self.machines[&to].frozen_until > now;
-            if wire.at <= now && !frozen { due.push((to, wire.envelope)) } else { later.push(wire) }
+            if wire.at <= now && !frozen {
+                due.push((to, wire.envelope))
+            } else {
+                later.push(wire)
+            }
         }
         self.wires.extend(later);
         for (to, envelope) in due {
@@ -507,7 +617,9 @@
     /// Carries out the effects of a machine, and checks what it shows.
     fn collect(&mut self, name: &str) {
         let machine = self.machines.get_mut(name).expect("a machine");
-        let Some(node) = &mut machine.node else { return };
+        let Some(node) = &mut machine.node else {
+            return;
+        };
         let effects = node.take_effects();
         let now = self.now;
         for effect in effects {
@@ -517,9 +629,17 @@
                     let mut bytes = Vec::new();
                     records.iter().for_each(|record| encode(record, &mut bytes));
                     let machine = self.machines.get_mut(name).expect("a machine");
-                    let writing = self.bytes_per_ms.map_or(0, |rate| bytes.len() as u64 / rate);
-                    let done_at = machine.sync.map_or(Millis::MAX, |sync| now + sync + writing);
-                    machine.writes.push(Write { sequence, bytes, done_at });
+                    let writing = self
+                        .bytes_per_ms
+                        .map_or(0, |rate| bytes.len() as u64 / rate);
+                    let done_at = machine
+                        .sync
+                        .map_or(Millis::MAX, |sync| now + sync + writing);
+                    machine.writes.push(Write {
+                        sequence,
+                        bytes,
+                        done_at,
+                    });
                 }
                 Effect::Reply { ticket, outcome } => {
                     if outcome == Outcome::Done {
@@ -538,24 +658,40 @@
     }
 
     fn send(&mut self, from: &str, envelope: Envelope) {
-        let Some(to) = self.name_of(envelope.to.address).cloned() else { return };
+        let Some(to) = self.name_of(envelope.to.address).cloned() else {
+            return;
+        };
         if self.cut.contains(&(from.to_owned(), to.clone())) || self.rng.f64() < self.loss {
             return;
         }
         let bytes = encode_message(&envelope.message);
         *self.bytes_sent.entry(to).or_default() += bytes.len() as u64;
-        let transmission = self.bytes_per_ms.map_or(0, |rate| bytes.len() as u64 / rate);
+        let transmission = self
+            .bytes_per_ms
+            .map_or(0, |rate| bytes.len() as u64 / rate);
         let message = decode_message(&bytes);
         let is_late = self.late > 0.0 && self.rng.f64() < self.late;
-        let delay = if is_late { self.rng.u64(0..=LONGEST_DELAY) } else { self.rng.u64(0..=self.latency) };
+        let delay = if is_late {
+            self.rng.u64(0..=LONGEST_DELAY)
+        } else {
+            self.rng.u64(0..=self.latency)
+        };
         let at = self.now + self.latency + delay + transmission;
-        self.wires.push(Wire { at, envelope: Envelope { message, ..envelope } });
+        self.wires.push(Wire {
+            at,
+            envelope: Envelope {
+                message,
+                ..envelope
+            },
+        });
     }
 
     fn acknowledge(&mut self, ticket: u64) {
         let change = self.asked[&ticket].clone();
         if let Change::Configuration { body, .. } = &change {
-            let version = Configuration::parse(body).expect("an accepted configuration").version;
+            let version = Configuration::parse(body)
+                .expect("an accepted configuration")
+                .version;
             self.newest_version = self.newest_version.max(version);
         }
         self.acknowledged.push(change);
@@ -566,7 +702,10 @@
         if let Reading::Newest(configuration) = reading {
             let read = configuration.as_ref().map_or(0, |stored| stored.version);
             let newest = self.asked_at_version[&ticket];
-            assert!(read >= newest, "{read} was read after {newest} had been acknowledged");
+            assert!(
+                read >= newest,
+                "{read} was read after {newest} had been acknowledged"
+            );
         }
     }
 
@@ -576,7 +715,11 @@
         let machine = self.machines.get_mut(name).expect("a machine");
         let Some(node) = &machine.node else { return };
         let index = node.state().position.index;
-        assert!(index >= machine.shown, "{name} went back from {} to {index}", machine.shown);
+        assert!(
+            index >= machine.shown,
+            "{name} went back from {} to {index}",
+            machine.shown
+        );
         if index != machine.shown {
             let mut digest = DefaultHasher::new();
             node.state().hash(&mut digest);
@@ -587,7 +730,11 @@
         machine.shown = index;
         if let Some(view) = node.view() {
             let first = self.views.entry(view.epoch).or_insert_with(|| view.clone());
-            assert_eq!(first, view, "two views were decided for epoch {}", view.epoch);
+            assert_eq!(
+                first, view,
+                "two views were decided for epoch {}",
+                view.epoch
+            );
         }
         if let Some(epoch) = node.leads(now) {
             let id = node.id().clone();
@@ -599,7 +746,11 @@
     /// At most one replica leads at any moment.
     pub fn leaders(&self) -> usize {
         let leads = |node: &ControlNode| node.leads(self.now).is_some();
-        self.machines.values().filter_map(|machine| machine.node.as_ref()).filter(|node| leads(node)).count()
+        self.machines
+            .values()
+            .filter_map(|machine| machine.node.as_ref())
+            .filter(|node| leads(node))
+            .count()
     }
 
     /// Everything that was acknowledged is in the newest state.
@@ -607,7 +758,12 @@
         let name = self.primary().expect("a primary");
         let state = self.machines[&name].node.as_ref().expect("up").state();
         for change in &self.acknowledged {
-            assert!(state.judge(change).is_some_and(|outcome| outcome == Outcome::Done), "lost: {change:?}");
+            assert!(
+                state
+                    .judge(change)
+                    .is_some_and(|outcome| outcome == Outcome::Done),
+                "lost: {change:?}"
+            );
         }
     }
 }
--- a/lab/src/days.rs
+++ b/lab/src/days.rs
@@ -1,5 +1,5 @@
-//! Days of a fleet drawn at random: planned work and troubles of every kind that a deployment knows, alone and in pairs that
-//! meet; and what came of them, as a table of rules by kinds.
+//! Days of a fleet drawn at random: planned work and troubles of every kind that a deployment
+//! knows, alone and in pairs that meet; and what came of them, as a table of rules by kinds.
 
 mod kinds;
 mod long;
@@ -21,7 +21,12 @@
 const MEETING_S: f64 = 1.5;
 
 /// What a day may end with.
-const CLOSINGS: &[Option<&str>] = &[Some("power_off_all"), Some("wipe_after_ack"), Some("kill_all"), None];
+const CLOSINGS: &[Option<&str>] = &[
+    Some("power_off_all"),
+    Some("wipe_after_ack"),
+    Some("kill_all"),
+    None,
+];
 /// Variants of that.
 const CLOSING_VARIANTS: &[&str] = &["timed", "taken", "oldest"];
 
@@ -32,25 +37,37 @@
     All,
     /// What concerns the control state: two more of these, and most of them close together.
     Control,
-    /// Every kind, beside series that overlap: versions of weights, configurations, and troubles that come again and again while
-    /// clients leave early.
+    /// Every kind, beside series that overlap: versions of weights, configurations, and troubles
+    /// that come again and again while clients leave early.
     Series,
-    /// Long days with hundreds of configurations, versions of weights in series, and a primary that is struck again and again.
+    /// Long days with hundreds of configurations, versions of weights in series, and a primary that
+    /// is struck again and again.
     Long,
 }
 
 impl Focus {
     /// How long a day lasts, in seconds of traffic.
     fn length_s(self) -> f64 {
-        if self == Focus::Long { long::LENGTH_S } else { LENGTH_S }
+        if self == Focus::Long {
+            long::LENGTH_S
+        } else {
+            LENGTH_S
+        }
     }
 }
 
-/// The kinds known here that a listing of a deployment's kinds names, each on a line of its own before a colon.
+/// The kinds known here that a listing of a deployment's kinds names, each on a line of its own
+/// before a colon.
 pub fn listed(listing: &str) -> Vec<Kind> {
-    let names: BTreeSet<&str> =
-        listing.lines().filter_map(|line| Some(line.split_once(':')?.0.trim())).collect();
-    KINDS.iter().filter(|kind| names.contains(kind.name)).copied().collect()
+    let names: BTreeSet<&str> = listing
+        .lines()
+        .filter_map(|line| Some(line.split_once(':')?.0.trim()))
+        .collect();
+    KINDS
+        .iter()
+        .filter(|kind| names.contains(kind.name))
+        .copied()
+        .collect()
 }
 
 /// A day as a file: mostly drawn at random, with two troubles that meet.
@@ -58,7 +75,10 @@
     let mut rng = Rng::with_seed(seed);
     let is_in_focus = |kind: &Kind| focus != Focus::Control || kind.is_about_control();
     let of = |planned: bool| {
-        kinds.iter().filter(|kind| kind.planned == planned && is_in_focus(kind)).collect::<Vec<_>>()
+        kinds
+            .iter()
+            .filter(|kind| kind.planned == planned && is_in_focus(kind))
+            .collect::<Vec<_>>()
     };
     let mut plan = entries(&of(true), 2..5, &mut rng);
     let mut faults = entries(&of(false), 2..5, &mut rng);
@@ -85,34 +105,46 @@
     )
 }
 
-/// Versions of weights one after the other, so that a newer one is named before the last one is everywhere, and configurations.
+/// Versions of weights one after the other, so that a newer one is named before the last one is
+/// everywhere, and configurations.
 fn planned_series(kinds: &[Kind], rng: &mut Rng) -> Vec<String> {
     let mut entries = Vec::new();
     if kinds.iter().any(|kind| kind.name == "version_bump") {
         let gap = 0.5 + 4.5 * rng.f64();
         let first = FIRST_S + 10.0 * rng.f64();
         let bumps = (0..rng.usize(3..9)).map(|number| first + gap * number as f64);
-        entries.extend(bumps.map(|at| format!("{{ at = {at:.1}, kind = \"version_bump\", count = 0 }}")));
+        entries.extend(
+            bumps.map(|at| format!("{{ at = {at:.1}, kind = \"version_bump\", count = 0 }}")),
+        );
     }
     if kinds.iter().any(|kind| kind.name == "config_storm") {
         let at = FIRST_S + 20.0 * rng.f64();
         let gap = 0.08 + 0.8 * rng.f64();
-        entries.push(format!("{{ at = {at:.1}, kind = \"config_storm\", for_s = 20, gap_s = {gap:.2} }}"));
+        entries.push(format!(
+            "{{ at = {at:.1}, kind = \"config_storm\", for_s = 20, gap_s = {gap:.2} }}"
+        ));
     }
     entries
 }
 
-/// Clients that leave early for most of the day, and two troubles of backends or machines that come again and again.
+/// Clients that leave early for most of the day, and two troubles of backends or machines that come
+/// again and again.
 fn trouble_series(kinds: &[Kind], rng: &mut Rng) -> Vec<String> {
     let mut entries = Vec::new();
     if kinds.iter().any(|kind| kind.name == "give_up") {
         let share = 0.1 + 0.4 * rng.f64();
-        entries.push(format!("{{ at = 2, kind = \"give_up\", share = {share:.2}, for_s = 50 }}"));
+        entries.push(format!(
+            "{{ at = 2, kind = \"give_up\", share = {share:.2}, for_s = 50 }}"
+        ));
     }
-    let recurring: Vec<&Kind> =
-        kinds.iter().filter(|kind| kind.name.starts_with("srv_") || kind.name.starts_with("node_")).collect();
+    let recurring: Vec<&Kind> = kinds
+        .iter()
+        .filter(|kind| kind.name.starts_with("srv_") || kind.name.starts_with("node_"))
+        .collect();
     for _ in 0..2 {
-        let Some(kind) = recurring.get(rng.usize(..recurring.len().max(1))) else { continue };
+        let Some(kind) = recurring.get(rng.usize(..recurring.len().max(1))) else {
+            continue;
+        };
         let gap = 2.0 + 4.0 * rng.f64();
         let first = FIRST_S + 15.0 * rng.f64();
         for number in 0..rng.usize(3..6) {
@@ -124,7 +156,9 @@
 
 /// What the day ends with, as a line of the file.
 fn closing(rng: &mut Rng) -> String {
-    let Some(kind) = CLOSINGS[rng.usize(..CLOSINGS.len())] else { return String::new() };
+    let Some(kind) = CLOSINGS[rng.usize(..CLOSINGS.len())] else {
+        return String::new();
+    };
     let down = 1.0 + 3.0 * rng.f64();
     let how = CLOSING_VARIANTS.get(rng.usize(..2 * CLOSING_VARIANTS.len()));
     let how = how.map_or(String::new(), |how| format!(", how = \"{how}\""));
@@ -136,7 +170,9 @@
         return Vec::new();
     }
     let count = rng.usize(count);
-    (0..count).map(|_| entry(kinds, FIRST_S + (LAST_S - FIRST_S) * rng.f64(), rng)).collect()
+    (0..count)
+        .map(|_| entry(kinds, FIRST_S + (LAST_S - FIRST_S) * rng.f64(), rng))
+        .collect()
 }
 
 /// Two troubles that meet.
@@ -152,7 +188,10 @@
 fn entry(kinds: &[&Kind], at: f64, rng: &mut Rng) -> String {
     let kind = kinds[rng.usize(..kinds.len())];
     let lasts = 3.0 + 6.0 * rng.f64();
-    let mut text = format!("{{ at = {at:.1}, kind = \"{}\", for_s = {lasts:.1}", kind.name);
+    let mut text = format!(
+        "{{ at = {at:.1}, kind = \"{}\", for_s = {lasts:.1}",
+        kind.name
+    );
     let how = how(kind, rng);
     if !how.is_empty() {
         let _ = write!(text, ", how = \"{how}\"");
@@ -171,8 +210,12 @@
 /// A variant, and with machines perhaps which of them are meant and what is done meanwhile.
 fn how(kind: &Kind, rng: &mut Rng) -> String {
     // The usual variant is as likely as each of the others.
-    let mut how: Vec<&str> =
-        kind.variants.get(rng.usize(..=kind.variants.len())).copied().into_iter().collect();
+    let mut how: Vec<&str> = kind
+        .variants
+        .get(rng.usize(..=kind.variants.len()))
+        .copied()
+        .into_iter()
+        .collect();
     if kind.target != Target::Other {
         how.extend(CHOSEN.get(rng.usize(..2 * CHOSEN.len())));
         how.extend(MEANWHILE.get(rng.usize(..2 * MEANWHILE.len())));
@@ -189,7 +232,8 @@
     pub broken: BTreeSet<String>,
 }
 
-/// A table of rules by kinds: of how many days with that kind the rule was broken on, and how many were played.
+/// A table of rules by kinds: of how many days with that kind the rule was broken on, and how many
+/// were played.
 pub fn table(days: &[Played]) -> String {
     let mut played: BTreeMap<&str, u32> = BTreeMap::new();
     let mut broken: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
@@ -202,7 +246,9 @@
         }
     }
     let mut text = format!("{:<20} {:>6}", "kind", "days");
-    broken.keys().for_each(|rule| text.push_str(&format!(" {rule:>9}")));
+    broken
+        .keys()
+        .for_each(|rule| text.push_str(&format!(" {rule:>9}")));
     text.push('\n');
     for (kind, days) in &played {
         let _ = write!(text, "{kind:<20} {days:>6}");
--- a/lab/src/days/kinds.rs
+++ b/lab/src/days/kinds.rs
@@ -25,7 +25,8 @@
 }
 
 impl Kind {
-    /// Whether it concerns the control state: those who hold it, its disks, and the calls that change it.
+    /// Whether it concerns the control state: those who hold it, its disks, and the calls that
+    /// change it.
     pub fn is_about_control(&self) -> bool {
         const CALLS: &[&str] = &[
             "ack_lost",
@@ -49,11 +50,21 @@
 pub const MEANWHILE: &[&str] = &["meet", "race", "hard", "drain"];
 
 const fn planned(name: &'static str, variants: &'static [&'static str]) -> Kind {
-    Kind { name, planned: true, variants, target: Target::Other }
+    Kind {
+        name,
+        planned: true,
+        variants,
+        target: Target::Other,
+    }
 }
 
 const fn trouble(name: &'static str, variants: &'static [&'static str]) -> Kind {
-    Kind { name, planned: false, variants, target: Target::Other }
+    Kind {
+        name,
+        planned: false,
+        variants,
+        target: Target::Other,
+    }
 }
 
 const fn striking(target: Target, kind: Kind) -> Kind {
@@ -63,11 +74,19 @@
 /// Every kind that is known here.
 pub const KINDS: &[Kind] = &[
     planned("big_config", &[]),
-    planned("config_change", &["route", "weights", "timeout", "tenant", "quota", "topup", "idle"]),
+    planned(
+        "config_change",
+        &[
+            "route", "weights", "timeout", "tenant", "quota", "topup", "idle",
+        ],
+    ),
     planned("config_storm", &[]),
     planned("hup", &[]),
     planned("release", &[]),
-    striking(Target::Core, planned("replace_core", &["oldest", "planned"])),
+    striking(
+        Target::Core,
+        planned("replace_core", &["oldest", "planned"]),
+    ),
     planned("revoke", &["last"]),
     striking(Target::Machines, planned("roll_term", &["remove", "busy"])),
     planned("scale_in", &["spot"]),
@@ -75,7 +94,10 @@
     planned("seed_turnover", &[]),
     planned("version_bump", &["adapter"]),
     trouble("ack_lost", &[]),
-    striking(Target::Core, trouble("after_ack_kill", &["kill", "timed", "taken"])),
+    striking(
+        Target::Core,
+        trouble("after_ack_kill", &["kill", "timed", "taken"]),
+    ),
     striking(Target::Core, trouble("after_ack_wipe", &["oldest"])),
     trouble("answer_lost", &[]),
     trouble("bad_config", &[]),
@@ -87,8 +109,8 @@
         trouble(
             "core_cut",
             &[
-                "behind", "split", "all", "near", "oldest", "one_way", "seeds", "both", "lure", "relieve",
-                "reset", "refuse",
+                "behind", "split", "all", "near", "oldest", "one_way", "seeds", "both", "lure",
+                "relieve", "reset", "refuse",
             ],
         ),
     ),
@@ -98,7 +120,10 @@
     trouble("events_gap", &[]),
     trouble("garble", &["extra", "unframed", "early", "rot"]),
     trouble("give_up", &[]),
-    striking(Target::Machines, trouble("herd_kill", &["power", "off", "taken"])),
+    striking(
+        Target::Machines,
+        trouble("herd_kill", &["power", "off", "taken"]),
+    ),
     trouble("hot_key", &[]),
     trouble("idle_race", &[]),
     striking(Target::Machines, trouble("node_cut", &["all", "servers"])),
@@ -111,7 +136,10 @@
     trouble("srv_crash", &["dark", "gone", "domain"]),
     trouble("srv_cut", &["fronts", "some", "one_way", "reset"]),
     trouble("srv_flap", &[]),
-    trouble("srv_grey", &["errors", "shed", "busy", "hang", "reset", "mute", "slow"]),
+    trouble(
+        "srv_grey",
+        &["errors", "shed", "busy", "hang", "reset", "mute", "slow"],
+    ),
     trouble("srv_lying_health", &["errors", "hang", "reset", "bad"]),
     trouble("srv_slow", &[]),
 ];
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -1,5 +1,6 @@
-//! What observers saw of values that one writer counts up, each under a key of its own: at whichever process they look, a value
-//! that anyone was shown must be there again in the end, and one look at one process must never go back.
+//! What observers saw of values that one writer counts up, each under a key of its own: at
+//! whichever process they look, a value that anyone was shown must be there again in the end, and
+//! one look at one process must never go back.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -47,14 +48,37 @@
 impl fmt::Display for Wrong {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wrong::WentBack { process, key, values } => {
-                write!(f, "process {process} showed {key} as {} and then as {}", values.0, values.1)
+            Wrong::WentBack {
+                process,
+                key,
+                values,
+            } => {
+                write!(
+                    f,
+                    "process {process} showed {key} as {} and then as {}",
+                    values.0, values.1
+                )
             }
-            Wrong::Invented { process, key, value } => {
-                write!(f, "process {process} showed {key} as {value}, which nobody wrote")
+            Wrong::Invented {
+                process,
+                key,
+                value,
+            } => {
+                write!(
+                    f,
+                    "process {process} showed {key} as {value}, which nobody wrote"
+                )
             }
-            Wrong::Lost { process, key, values } => {
-                write!(f, "{key} was shown as {}, and process {process} ends with {:?}", values.0, values.1)
+            Wrong::Lost {
+                process,
+                key,
+                values,
+            } => {
+                write!(
+                    f,
+                    "{key} was shown as {}, and process {process} ends with {:?}",
+                    values.0, values.1
+                )
             }
             Wrong::Differ { key } => write!(f, "processes end with different values of {key}"),
         }
@@ -81,12 +105,20 @@
     /// A process showed a value in a look.
     pub fn shows(&mut self, process: usize, look: Look, key: &str, value: u64) {
         if self.written.get(key).is_none_or(|written| value > *written) {
-            self.wrong.push(Wrong::Invented { process, key: key.to_owned(), value });
+            self.wrong.push(Wrong::Invented {
+                process,
+                key: key.to_owned(),
+                value,
+            });
             return;
         }
         let last = self.looks.insert((process, look, key.to_owned()), value);
         if let Some(last) = last.filter(|last| *last > value) {
-            self.wrong.push(Wrong::WentBack { process, key: key.to_owned(), values: (last, value) });
+            self.wrong.push(Wrong::WentBack {
+                process,
+                key: key.to_owned(),
+                values: (last, value),
+            });
         }
         let shown = self.shown.entry(key.to_owned()).or_insert(0);
         *shown = (*shown).max(value);
@@ -125,13 +157,18 @@
     use super::*;
 
     fn held(values: [u64; 2]) -> BTreeMap<usize, BTreeMap<String, u64>> {
-        (0..2).zip(values).map(|(at, value)| (at, BTreeMap::from([("k".to_owned(), value)]))).collect()
+        (0..2)
+            .zip(values)
+            .map(|(at, value)| (at, BTreeMap::from([("k".to_owned(), value)])))
+            .collect()
     }
 
     fn seen(shows: &[(usize, Look, u64)]) -> History {
         let mut history = History::default();
         history.writes("k", 9);
-        shows.iter().for_each(|(process, look, value)| history.shows(*process, *look, "k", *value));
+        shows
+            .iter()
+            .for_each(|(process, look, value)| history.shows(*process, *look, "k", *value));
         history
     }
 
@@ -143,15 +180,30 @@
         let key = || "k".to_owned();
         assert_eq!(
             seen(&[(0, 1, 4), (0, 1, 3)]).judge(&held([9, 9])),
-            [Wrong::WentBack { process: 0, key: key(), values: (4, 3) }]
+            [Wrong::WentBack {
+                process: 0,
+                key: key(),
+                values: (4, 3)
+            }]
         );
         assert_eq!(
             seen(&[(0, 1, 10)]).judge(&held([9, 9])),
-            [Wrong::Invented { process: 0, key: key(), value: 10 }]
+            [Wrong::Invented {
+                process: 0,
+                key: key(),
+                value: 10
+            }]
         );
         assert_eq!(
             seen(&[(0, 1, 4)]).judge(&held([4, 3])),
-            [Wrong::Lost { process: 1, key: key(), values: (4, Some(3)) }, Wrong::Differ { key: key() }]
+            [
+                Wrong::Lost {
+                    process: 1,
+                    key: key(),
+                    values: (4, Some(3))
+                },
+                Wrong::Differ { key: key() }
+            ]
         );
     }
 }
--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -1,4 +1,5 @@
-//! A link: a relay on loopback between two processes, each direction of which a test can hold up by itself.
+//! A link: a relay on loopback between two processes, each direction of which a test can hold up by
+//! itself.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,7 +13,8 @@
     /// They pass.
     #[default]
     Open,
-    /// They wait, as behind a router that has gone: the connection stays open and silent. What waits passes later.
+    /// They wait, as behind a router that has gone: the connection stays open and silent. What
+    /// waits passes later.
     Stalled,
     /// They pass so much later.
     Late(Duration),
@@ -51,7 +53,8 @@
         self.changed.notify_all();
     }
 
-    /// Waits until bytes of a direction may pass; false where the connections of that time are over.
+    /// Waits until bytes of a direction may pass; false where the connections of that time are
+    /// over.
     fn wait(&self, way: usize, resets: u64) -> bool {
         let mut state = self.state();
         loop {
@@ -62,7 +65,10 @@
                 if state.ways[way] == Way::Open {
                     return true;
                 }
-                state = self.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
+                state = self
+                    .changed
+                    .wait(state)
+                    .unwrap_or_else(PoisonError::into_inner);
                 continue;
             };
             drop(state);
@@ -81,10 +87,14 @@
 }
 
 impl Link {
-    /// A link to an address, whether or not anybody listens there yet. Errors: no socket can be had.
+    /// A link to an address, whether or not anybody listens there yet. Errors: no socket can be
+    /// had.
     pub fn to(target: SocketAddr) -> io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let link = Link { address: listener.local_addr()?, shared: Arc::default() };
+        let link = Link {
+            address: listener.local_addr()?,
+            shared: Arc::default(),
+        };
         let shared = link.shared.clone();
         thread::spawn(move || {
             for socket in listener.incoming().map_while(Result::ok) {
@@ -130,7 +140,9 @@
         return reset(&one);
     };
     let clones = [&one, &other, &one, &other].map(TcpStream::try_clone);
-    let [Ok(a), Ok(b), Ok(c), Ok(d)] = clones else { return reset(&one) };
+    let [Ok(a), Ok(b), Ok(c), Ok(d)] = clones else {
+        return reset(&one);
+    };
     {
         let mut state = shared.state();
         if state.ended || state.resets != resets {
@@ -223,6 +235,9 @@
         let mut again = TcpStream::connect(link.address).unwrap();
         again.write_all(b"new").unwrap();
         let texts = || told.recv().unwrap().0;
-        assert!((0..3).any(|_| texts() == "new"), "a new connection is carried");
+        assert!(
+            (0..3).any(|_| texts() == "new"),
+            "a new connection is carried"
+        );
     }
 }
--- a/lab/src/timeline.rs
+++ b/lab/src/timeline.rs
@@ -1,4 +1,5 @@
-//! Which faults befall which of some processes, and when: drawn by a seed, so that a day that fails can be played again.
+//! Which faults befall which of some processes, and when: drawn by a seed, so that a day that fails
+//! can be played again.
 
 use std::collections::BTreeSet;
 
@@ -28,8 +29,9 @@
 /// A fault and when it comes, in milliseconds from the begin.
 pub type Event = (u64, Fault);
 
-/// A day of so many milliseconds for some processes. At its end all have power, run, and hear each other. No file is lost while
-/// another one is, and fewer than half of the processes ever lose theirs.
+/// A day of so many milliseconds for some processes. At its end all have power, run, and hear each
+/// other. No file is lost while another one is, and fewer than half of the processes ever lose
+/// theirs.
 pub fn draw(seed: u64, processes: usize, length: u64) -> Vec<Event> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut day = Vec::new();
@@ -80,7 +82,11 @@
         at += rng.u64(20..500);
     }
     day.push((length, Fault::Heal));
-    day.extend(stopped.into_iter().map(|one| (length, Fault::Continue(one))));
+    day.extend(
+        stopped
+            .into_iter()
+            .map(|one| (length, Fault::Continue(one))),
+    );
     if !off.is_empty() {
         day.push((length, Fault::PowerOn(off)));
     }
@@ -110,7 +116,10 @@
                         off.extend(group);
                     }
                     Fault::PowerOn(group) => {
-                        assert!(group.is_subset(&off), "seed {seed}: only who is off comes back");
+                        assert!(
+                            group.is_subset(&off),
+                            "seed {seed}: only who is off comes back"
+                        );
                         off.retain(|process| !group.contains(process));
                     }
                     Fault::Stop(one) => assert!(!off.contains(&one) && stopped.insert(one)),
@@ -123,7 +132,12 @@
                     _ => cut += 1,
                 }
             }
-            assert!(off.is_empty() && stopped.is_empty() && cut == 0 && lost.len() <= (processes - 1) / 2);
+            assert!(
+                off.is_empty()
+                    && stopped.is_empty()
+                    && cut == 0
+                    && lost.len() <= (processes - 1) / 2
+            );
         }
     }
 }
--- a/learning/src/age.rs
+++ b/learning/src/age.rs
@@ -14,7 +14,8 @@
     pub class_half_life: Wall,
     /// So many answers of a class count in full; fewer count for their share.
     pub class_weight: f64,
-    /// The same of a host. A host that is left out because it is slow is judged by few answers, and these say enough.
+    /// The same of a host. A host that is left out because it is slow is judged by few answers, and
+    /// these say enough.
     pub host_weight: f64,
     /// What counts for less than this counts for nothing.
     pub floor: f64,
@@ -114,8 +115,8 @@
     towards + (value - towards) * counts
 }
 
-/// Ages a picture. `listed` are the hosts on the present list with their starts; `fresh` what a new gatherer believes of
-/// each class.
+/// Ages a picture. `listed` are the hosts on the present list with their starts; `fresh` what a new
+/// gatherer believes of each class.
 pub fn age(
     picture: &Picture,
     fleet: &Fleet,
@@ -127,15 +128,33 @@
     if picture.fleet != *fleet || picture.classes.len() != fresh.len() {
         return Err(Unfit::OtherFleet);
     }
-    let age = now.checked_sub(picture.taken).filter(|age| *age <= rules.oldest).ok_or(Unfit::UnknownAge)?;
-    let classes =
-        picture.classes.iter().zip(fresh).map(|(old, fresh)| aged_class(old, fresh, age, rules)).collect();
+    let age = now
+        .checked_sub(picture.taken)
+        .filter(|age| *age <= rules.oldest)
+        .ok_or(Unfit::UnknownAge)?;
+    let classes = picture
+        .classes
+        .iter()
+        .zip(fresh)
+        .map(|(old, fresh)| aged_class(old, fresh, age, rules))
+        .collect();
     let slow = |h: &HostMemory| h.slowness.iter().any(|s| *s > rules.slow);
-    let common =
-        picture.hosts.values().filter(|h| slow(h)).count() as f64 > rules.common * picture.hosts.len() as f64;
-    let mut aged = Aged { age, classes, ..Aged::default() };
+    let common = picture.hosts.values().filter(|h| slow(h)).count() as f64
+        > rules.common * picture.hosts.len() as f64;
+    let mut aged = Aged {
+        age,
+        classes,
+        ..Aged::default()
+    };
     for (uid, host) in &picture.hosts {
-        match aged_host(host, listed.get(&**uid).copied(), common, now, fleet.classes.len(), rules) {
+        match aged_host(
+            host,
+            listed.get(&**uid).copied(),
+            common,
+            now,
+            fleet.classes.len(),
+            rules,
+        ) {
             Ok(host) => aged.hosts.push((uid.to_string(), host)),
             Err(reason) => aged.dropped.push((uid.to_string(), reason)),
         }
@@ -144,11 +163,16 @@
 }
 
 fn aged_class(old: &ClassMemory, fresh: &ClassMemory, age: Wall, rules: &Rules) -> ClassMemory {
-    let counts = left(age, rules.class_half_life) * (old.weight / rules.class_weight).clamp(0.0, 1.0);
-    let sound =
-        [old.median, old.p95, old.least, old.tries.0, old.tries.1].iter().all(|v| v.is_finite() && *v > 0.0);
+    let counts =
+        left(age, rules.class_half_life) * (old.weight / rules.class_weight).clamp(0.0, 1.0);
+    let sound = [old.median, old.p95, old.least, old.tries.0, old.tries.1]
+        .iter()
+        .all(|v| v.is_finite() && *v > 0.0);
     if counts < rules.floor || !sound {
-        return ClassMemory { weight: 0.0, ..fresh.clone() };
+        return ClassMemory {
+            weight: 0.0,
+            ..fresh.clone()
+        };
     }
     // Times are drawn by their ratio: half-way between 10 ms and 1 s is 100 ms.
     let mix = |old: f64, fresh: f64| draw(old.ln(), fresh.max(1.0).ln(), counts).exp();
@@ -157,7 +181,10 @@
         median: mix(old.median, fresh.median),
         p95: mix(old.p95, fresh.p95),
         least: mix(old.least, fresh.least),
-        tries: (mix(old.tries.0, fresh.tries.0), mix(old.tries.1, fresh.tries.1)),
+        tries: (
+            mix(old.tries.0, fresh.tries.0),
+            mix(old.tries.1, fresh.tries.1),
+        ),
         weight: old.weight * counts,
     }
 }
@@ -175,9 +202,11 @@
         return Err(Reason::Restarted);
     }
     // Judged in the future: the clock has jumped in the middle, and nobody knows when that was.
-    let age = now.checked_sub(host.judged).ok_or(Reason::CountsForNothing)?;
-    let counts =
-        left(age, rules.host_half_life) * (f64::from(host.weight) / rules.host_weight).clamp(0.0, 1.0);
+    let age = now
+        .checked_sub(host.judged)
+        .ok_or(Reason::CountsForNothing)?;
+    let counts = left(age, rules.host_half_life)
+        * (f64::from(host.weight) / rules.host_weight).clamp(0.0, 1.0);
     let sound = host
         .slowness
         .iter()
@@ -190,11 +219,17 @@
         return Err(Reason::CommonCause);
     }
     // Memory warns and never recommends: what was better than ordinary is ordinary.
-    let worse =
-        |value: f32, ordinary: f32| draw(f64::from(value.max(ordinary)), f64::from(ordinary), counts) as f32;
-    // A limit follows load: it says something of the host itself only where the host was slow or failing.
+    let worse = |value: f32, ordinary: f32| {
+        draw(f64::from(value.max(ordinary)), f64::from(ordinary), counts) as f32
+    };
+    // A limit follows load: it says something of the host itself only where the host was slow or
+    // failing.
     let bad = host.slowness.iter().any(|s| *s > rules.slow) || f64::from(host.errors) > rules.floor;
-    let limit = if bad { host.limit.clamp(1.0, rules.start_limit) } else { rules.start_limit };
+    let limit = if bad {
+        host.limit.clamp(1.0, rules.start_limit)
+    } else {
+        rules.start_limit
+    };
     let aged = HostMemory {
         born,
         slowness: host.slowness.iter().map(|s| worse(*s, 1.0)).collect(),
@@ -204,7 +239,12 @@
         weight: (f64::from(host.weight) * counts) as f32,
         judged: host.judged,
     };
-    let ordinary =
-        aged.slowness.iter().all(|s| *s < 1.1) && aged.errors < 0.01 && aged.limit > 0.9 * rules.start_limit;
-    if ordinary { Err(Reason::Ordinary) } else { Ok(aged) }
+    let ordinary = aged.slowness.iter().all(|s| *s < 1.1)
+        && aged.errors < 0.01
+        && aged.limit > 0.9 * rules.start_limit;
+    if ordinary {
+        Err(Reason::Ordinary)
+    } else {
+        Ok(aged)
+    }
 }
--- a/learning/src/file.rs
+++ b/learning/src/file.rs
@@ -40,7 +40,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FileError::NotOne => f.write_str("no file of what was learned"),
-            FileError::Length { wanted, found } => write!(f, "{found} bytes where {wanted} were written"),
+            FileError::Length { wanted, found } => {
+                write!(f, "{found} bytes where {wanted} were written")
+            }
             FileError::Checksum => f.write_str("the checksum does not fit"),
             FileError::Version(version) => {
                 write!(f, "version {version}; versions 1 to {VERSION} are read")
@@ -91,7 +93,14 @@
         let class = |c: Class1| {
             let (median, p95) = (1000.0 * c.median_us, 1000.0 * c.p95_us);
             // How many answers that was is not told: half of what counts in full.
-            ClassMemory { name: c.name, median, p95, least: median, tries: (median, p95), weight: 4.0 }
+            ClassMemory {
+                name: c.name,
+                median,
+                p95,
+                least: median,
+                tries: (median, p95),
+                weight: 4.0,
+            }
         };
         let host = |h: Host1| {
             let memory = HostMemory {
@@ -115,7 +124,9 @@
 }
 
 fn frame(version: u16, body: &[u8]) -> Result<Vec<u8>, FileError> {
-    let length = u32::try_from(body.len()).ok().filter(|_| body.len() <= LONGEST);
+    let length = u32::try_from(body.len())
+        .ok()
+        .filter(|_| body.len() <= LONGEST);
     let length = length.ok_or(FileError::TooLong(body.len() as u64))?;
     let mut out = Vec::with_capacity(HEADER + body.len());
     out.extend(MAGIC);
@@ -142,7 +153,11 @@
         fleet: picture.fleet.clone(),
         taken: picture.taken,
         classes: picture.classes.clone(),
-        hosts: picture.hosts.iter().map(|(uid, host)| (uid.to_string(), host.clone())).collect(),
+        hosts: picture
+            .hosts
+            .iter()
+            .map(|(uid, host)| (uid.to_string(), host.clone()))
+            .collect(),
     };
     let mut bytes = Vec::new();
     ciborium::into_writer(&body, &mut bytes).map_err(|e| FileError::Body(e.to_string()))?;
@@ -180,14 +195,21 @@
         return Err(FileError::NotOne);
     }
     let length = u32::from_le_bytes([header[12], header[13], header[14], header[15]]) as usize;
-    if length > LONGEST { Err(FileError::TooLong(length as u64)) } else { Ok((HEADER + length) as u64) }
+    if length > LONGEST {
+        Err(FileError::TooLong(length as u64))
+    } else {
+        Ok((HEADER + length) as u64)
+    }
 }
 
 /// A picture from a file of any version, and which that was.
 pub fn decode(bytes: &[u8]) -> Result<(Picture, u16), FileError> {
     let wanted = length(bytes)?;
     if wanted != bytes.len() as u64 {
-        return Err(FileError::Length { wanted, found: bytes.len() as u64 });
+        return Err(FileError::Length {
+            wanted,
+            found: bytes.len() as u64,
+        });
     }
     let version = u16::from_le_bytes([bytes[8], bytes[9]]);
     let body = &bytes[HEADER..];
@@ -197,11 +219,28 @@
     }
     let wrong = |e: ciborium::de::Error<std::io::Error>| FileError::Body(e.to_string());
     match version {
-        1 => Ok((ciborium::from_reader::<Body1, _>(body).map_err(wrong)?.into(), 1)),
+        1 => Ok((
+            ciborium::from_reader::<Body1, _>(body)
+                .map_err(wrong)?
+                .into(),
+            1,
+        )),
         2 => {
             let body: Body = ciborium::from_reader(body).map_err(wrong)?;
-            let hosts = body.hosts.into_iter().map(|(uid, host)| (Arc::from(uid), host)).collect();
-            Ok((Picture { fleet: body.fleet, taken: body.taken, classes: body.classes, hosts }, 2))
+            let hosts = body
+                .hosts
+                .into_iter()
+                .map(|(uid, host)| (Arc::from(uid), host))
+                .collect();
+            Ok((
+                Picture {
+                    fleet: body.fleet,
+                    taken: body.taken,
+                    classes: body.classes,
+                    hosts,
+                },
+                2,
+            ))
         }
         other => Err(FileError::Version(other)),
     }
--- a/learning/src/picture.rs
+++ b/learning/src/picture.rs
@@ -70,6 +70,11 @@
 impl Picture {
     /// A picture of nothing yet.
     pub fn new(fleet: Fleet) -> Picture {
-        Picture { fleet, taken: 0, classes: Vec::new(), hosts: OrdMap::new() }
+        Picture {
+            fleet,
+            taken: 0,
+            classes: Vec::new(),
+            hosts: OrdMap::new(),
+        }
     }
 }
--- a/learning/src/steps.rs
+++ b/learning/src/steps.rs
@@ -1,5 +1,5 @@
-//! The steps of writing a picture, in their order. The writer carries them out one by one; the tests that kill it and
-//! the model checker walk the same list.
+//! The steps of writing a picture, in their order. The writer carries them out one by one; the
+//! tests that kill it and the model checker walk the same list.
 
 /// Generations that are kept.
 pub const KEPT: usize = 3;
@@ -48,7 +48,8 @@
 /// The generation of a name.
 pub fn generation(name: &str) -> Option<u64> {
     let digits = name.strip_prefix("learned.")?;
-    (digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_digit())).then(|| digits.parse().ok())?
+    (digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_digit()))
+        .then(|| digits.parse().ok())?
 }
 
 /// How the next generation is written, with these in the folder: its number and the steps.
@@ -56,7 +57,13 @@
     let mut present = present.to_vec();
     present.sort_unstable();
     let next = present.last().map_or(1, |last| last.saturating_add(1));
-    let mut steps = vec![Step::Create, Step::Write, Step::SyncFile, Step::Rename, Step::SyncFolder];
+    let mut steps = vec![
+        Step::Create,
+        Step::Write,
+        Step::SyncFile,
+        Step::Rename,
+        Step::SyncFolder,
+    ];
     // Only behind the new one's sync: until then the old ones are all there is.
     let spare = (present.len() + 1).saturating_sub(KEPT);
     steps.extend(present.iter().take(spare).map(|old| Step::Remove(*old)));
