--- a/learning/tests/age.rs
+++ b/learning/tests/age.rs
@@ -9,7 +9,11 @@
 const TAKEN: Wall = 1_700_000_000_000;
 
 fn fleet() -> Fleet {
-    Fleet { classes: vec!["search".into()], cells: 3, reach: 2 }
+    Fleet {
+        classes: vec!["search".into()],
+        cells: 3,
+        reach: 2,
+    }
 }
 
 fn fresh() -> Vec<ClassMemory> {
@@ -24,7 +28,15 @@
 }
 
 fn host(slowness: f32, limit: f32, errors: f32, weight: f32) -> HostMemory {
-    HostMemory { born: 5, slowness: vec![slowness], delay: 0.3, limit, errors, weight, judged: TAKEN }
+    HostMemory {
+        born: 5,
+        slowness: vec![slowness],
+        delay: 0.3,
+        limit,
+        errors,
+        weight,
+        judged: TAKEN,
+    }
 }
 
 fn picture(hosts: &[(&str, HostMemory)]) -> Picture {
@@ -36,8 +48,16 @@
         tries: (1e6, 4e6),
         weight: 96.0,
     }];
-    let hosts = hosts.iter().map(|(uid, host)| (Arc::from(*uid), host.clone())).collect();
-    Picture { fleet: fleet(), taken: TAKEN, classes, hosts }
+    let hosts = hosts
+        .iter()
+        .map(|(uid, host)| (Arc::from(*uid), host.clone()))
+        .collect();
+    Picture {
+        fleet: fleet(),
+        taken: TAKEN,
+        classes,
+        hosts,
+    }
 }
 
 fn listed(hosts: &[&str]) -> BTreeMap<String, Wall> {
@@ -46,11 +66,22 @@
 
 fn at(picture: &Picture, after: Wall) -> Aged {
     let names: Vec<&str> = picture.hosts.keys().map(|uid| &**uid).collect();
-    age::age(picture, &fleet(), &fresh(), &listed(&names), TAKEN + after, &Rules::default()).unwrap()
+    age::age(
+        picture,
+        &fleet(),
+        &fresh(),
+        &listed(&names),
+        TAKEN + after,
+        &Rules::default(),
+    )
+    .unwrap()
 }
 
 fn why(aged: &Aged, uid: &str) -> Option<Reason> {
-    aged.dropped.iter().find(|(name, _)| name == uid).map(|(_, why)| *why)
+    aged.dropped
+        .iter()
+        .find(|(name, _)| name == uid)
+        .map(|(_, why)| *why)
 }
 
 #[test]
@@ -82,10 +113,28 @@
         ("e", ordinary()),
         ("f", ordinary()),
     ]);
-    let present: Vec<&str> = all.hosts.keys().map(|uid| &**uid).filter(|uid| *uid != "gone").collect();
-    let aged =
-        age::age(&all, &fleet(), &fresh(), &listed(&present), TAKEN + 1000, &Rules::default()).unwrap();
-    assert_eq!(aged.hosts.iter().map(|(uid, _)| uid.as_str()).collect::<Vec<_>>(), ["slow"]);
+    let present: Vec<&str> = all
+        .hosts
+        .keys()
+        .map(|uid| &**uid)
+        .filter(|uid| *uid != "gone")
+        .collect();
+    let aged = age::age(
+        &all,
+        &fleet(),
+        &fresh(),
+        &listed(&present),
+        TAKEN + 1000,
+        &Rules::default(),
+    )
+    .unwrap();
+    assert_eq!(
+        aged.hosts
+            .iter()
+            .map(|(uid, _)| uid.as_str())
+            .collect::<Vec<_>>(),
+        ["slow"]
+    );
     assert_eq!(why(&aged, "gone"), Some(Reason::NotListed));
     assert_eq!(why(&aged, "reborn"), Some(Reason::Restarted));
     for uid in ["ahead", "odd", "short", "hardly"] {
@@ -99,34 +148,84 @@
 #[test]
 fn a_clock_that_jumped_and_another_fleet_are_refused_whole() {
     let plain = || host(1.0, 3.0, 0.0, 16.0);
-    let all = picture(&[("slow", host(4.0, 1.0, 0.0, 16.0)), ("a", plain()), ("b", plain())]);
+    let all = picture(&[
+        ("slow", host(4.0, 1.0, 0.0, 16.0)),
+        ("a", plain()),
+        ("b", plain()),
+    ]);
     let age = |now: Wall, fleet: &Fleet| {
-        age::age(&all, fleet, &fresh(), &listed(&["slow"]), now, &Rules::default())
-            .map(|aged| aged.hosts.len())
+        age::age(
+            &all,
+            fleet,
+            &fresh(),
+            &listed(&["slow"]),
+            now,
+            &Rules::default(),
+        )
+        .map(|aged| aged.hosts.len())
     };
     assert_eq!(age(TAKEN - 1, &fleet()), Err(Unfit::UnknownAge));
-    assert_eq!(age(TAKEN + 400 * 86_400_000, &fleet()), Err(Unfit::UnknownAge));
-    assert_eq!(age(TAKEN, &Fleet { cells: 4, ..fleet() }), Err(Unfit::OtherFleet));
-    assert_eq!(age(TAKEN, &Fleet { classes: vec!["page".into()], ..fleet() }), Err(Unfit::OtherFleet));
+    assert_eq!(
+        age(TAKEN + 400 * 86_400_000, &fleet()),
+        Err(Unfit::UnknownAge)
+    );
+    assert_eq!(
+        age(
+            TAKEN,
+            &Fleet {
+                cells: 4,
+                ..fleet()
+            }
+        ),
+        Err(Unfit::OtherFleet)
+    );
+    assert_eq!(
+        age(
+            TAKEN,
+            &Fleet {
+                classes: vec!["page".into()],
+                ..fleet()
+            }
+        ),
+        Err(Unfit::OtherFleet)
+    );
     assert_eq!(age(TAKEN, &fleet()), Ok(1));
 }
 
 #[test]
 fn where_nearly_all_were_slow_only_times_are_kept() {
     let slow = || host(4.0, 1.0, 0.0, 16.0);
-    let all = picture(&[("a", slow()), ("b", slow()), ("c", host(1.0, 3.0, 0.0, 16.0))]);
+    let all = picture(&[
+        ("a", slow()),
+        ("b", slow()),
+        ("c", host(1.0, 3.0, 0.0, 16.0)),
+    ]);
     let aged = at(&all, 1000);
-    assert_eq!((aged.hosts.len(), why(&aged, "a")), (0, Some(Reason::CommonCause)));
-    assert!(aged.classes[0].weight > 90.0 && aged.classes[0].p95 < 5e6, "{:?}", aged.classes[0]);
+    assert_eq!(
+        (aged.hosts.len(), why(&aged, "a")),
+        (0, Some(Reason::CommonCause))
+    );
+    assert!(
+        aged.classes[0].weight > 90.0 && aged.classes[0].p95 < 5e6,
+        "{:?}",
+        aged.classes[0]
+    );
 }
 
 #[test]
 fn three_days_leave_next_to_nothing() {
-    let all = picture(&[("a", host(8.0, 1.0, 1.0, 16.0)), ("b", host(1.0, 3.0, 0.0, 16.0))]);
+    let all = picture(&[
+        ("a", host(8.0, 1.0, 1.0, 16.0)),
+        ("b", host(1.0, 3.0, 0.0, 16.0)),
+    ]);
     let aged = at(&all, 3 * 86_400_000);
     assert_eq!(aged.hosts.len(), 0);
     let class = &aged.classes[0];
-    assert_eq!((class.weight, class.p95), (0.0, fresh()[0].p95), "a new gatherer's own belief");
+    assert_eq!(
+        (class.weight, class.p95),
+        (0.0, fresh()[0].p95),
+        "a new gatherer's own belief"
+    );
 }
 
 proptest! {
@@ -135,7 +234,8 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(13), ..ProptestConfig::default()
     })]
 
-    /// Time passing only takes away: weights fall, and every value moves towards what a new gatherer believes.
+    /// Time passing only takes away: weights fall, and every value moves towards what a new
+    /// gatherer believes.
     #[test]
     fn ageing_never_raises_a_weight_and_never_makes_a_host_better_than_a_new_one(
         hosts in prop::collection::vec((0.0f32..20.0, 0.0f32..10.0, 0.0f32..2.0, 0.0f32..40.0), 1..12),
--- a/learning/tests/file.rs
+++ b/learning/tests/file.rs
@@ -1,4 +1,5 @@
-//! The file: every way in which it can be spoilt, old, new or somebody else's, and that what is written is read.
+//! The file: every way in which it can be spoilt, old, new or somebody else's, and that what is
+//! written is read.
 
 use imbl::OrdMap;
 use learning::file::{self, FileError, HEADER, LONGEST, VERSION};
@@ -19,14 +20,31 @@
 }
 
 fn class(name: &str) -> ClassMemory {
-    ClassMemory { name: name.into(), median: 8e6, p95: 3e7, least: 7e6, tries: (9e6, 4e7), weight: 96.0 }
+    ClassMemory {
+        name: name.into(),
+        median: 8e6,
+        p95: 3e7,
+        least: 7e6,
+        tries: (9e6, 4e7),
+        weight: 96.0,
+    }
 }
 
 fn picture(hosts: u32) -> Picture {
-    let fleet = Fleet { classes: vec!["search".into(), "page".into()], cells: 6, reach: 2 };
-    let hosts: OrdMap<Arc<str>, HostMemory> =
-        (0..hosts).map(|n| (Arc::from(format!("s-{n}").as_str()), host(n))).collect();
-    Picture { fleet, taken: 1_700_000_000_500, classes: vec![class("search"), class("page")], hosts }
+    let fleet = Fleet {
+        classes: vec!["search".into(), "page".into()],
+        cells: 6,
+        reach: 2,
+    };
+    let hosts: OrdMap<Arc<str>, HostMemory> = (0..hosts)
+        .map(|n| (Arc::from(format!("s-{n}").as_str()), host(n)))
+        .collect();
+    Picture {
+        fleet,
+        taken: 1_700_000_000_500,
+        classes: vec![class("search"), class("page")],
+        hosts,
+    }
 }
 
 #[test]
@@ -35,7 +53,10 @@
     for length in 0..bytes.len() {
         assert!(file::decode(&bytes[..length]).is_err(), "cut to {length}");
     }
-    assert!(file::decode(&[bytes.as_slice(), &[0]].concat()).is_err(), "a byte behind");
+    assert!(
+        file::decode(&[bytes.as_slice(), &[0]].concat()).is_err(),
+        "a byte behind"
+    );
     for at in 0..bytes.len() {
         for bit in 0..8 {
             let mut spoilt = bytes.clone();
@@ -65,7 +86,10 @@
     // A length beyond the bound is refused from the header alone.
     let mut long = bytes;
     long[12..16].copy_from_slice(&(LONGEST as u32 + 1).to_le_bytes());
-    assert_eq!(file::length(&long[..HEADER]), Err(FileError::TooLong(LONGEST as u64 + 1)));
+    assert_eq!(
+        file::length(&long[..HEADER]),
+        Err(FileError::TooLong(LONGEST as u64 + 1))
+    );
 }
 
 /// Version 1 had slowness alone, and seconds.
@@ -77,12 +101,18 @@
     assert_eq!(old.fleet, new.fleet);
     for (uid, host) in &new.hosts {
         let read = &old.hosts[uid];
-        assert_eq!((&read.slowness, read.born, read.errors), (&host.slowness, host.born, 0.0));
+        assert_eq!(
+            (&read.slowness, read.born, read.errors),
+            (&host.slowness, host.born, 0.0)
+        );
     }
     let (a, b) = (&old.classes[0], &new.classes[0]);
     assert_eq!((a.median, a.p95, a.weight), (b.median, b.p95, 4.0));
     // Written anew it is of the present version, and says the same.
-    assert_eq!(file::decode(&file::encode(&old).unwrap()), Ok((old, VERSION)));
+    assert_eq!(
+        file::decode(&file::encode(&old).unwrap()),
+        Ok((old, VERSION))
+    );
 }
 
 proptest! {
@@ -108,7 +138,8 @@
         hosts.clear();
     }
 
-    /// Whatever bytes come, they are refused or read; nothing panics and nothing is taken from behind the end.
+    /// Whatever bytes come, they are refused or read; nothing panics and nothing is taken from
+    /// behind the end.
     #[test]
     fn any_bytes_end_in_a_verdict(body in prop::collection::vec(any::<u8>(), 0..300), version in 0u16..4) {
         let mut bytes = file::MAGIC.to_vec();
--- a/learning/tests/model.rs
+++ b/learning/tests/model.rs
@@ -1,5 +1,5 @@
-//! The writer, a crash at any moment and the reader, checked in every order by a model checker. The model walks the same
-//! steps that the writer does.
+//! The writer, a crash at any moment and the reader, checked in every order by a model checker. The
+//! model walks the same steps that the writer does.
 
 use learning::steps::{self, Step};
 use stateright::{Checker, Model, Property};
@@ -35,8 +35,8 @@
     Next,
     /// The process is killed: what the system was told stays.
     Kill,
-    /// The machine loses power: what is not synced may be gone, in part or as a whole; `renamed` says whether a rename
-    /// that was not synced stands, `torn` whether data that was not is torn.
+    /// The machine loses power: what is not synced may be gone, in part or as a whole; `renamed`
+    /// says whether a rename that was not synced stands, `torn` whether data that was not is torn.
     Power {
         renamed: bool,
         torn: bool,
@@ -56,7 +56,10 @@
 /// What the reader takes.
 fn read(names: &BTreeMap<u64, Content>) -> Option<u64> {
     let present: Vec<u64> = names.keys().copied().collect();
-    steps::tried(&present).into_iter().find(|g| sound(&names[g])).map(|g| names[&g].picture)
+    steps::tried(&present)
+        .into_iter()
+        .find(|g| sound(&names[g]))
+        .map(|g| names[&g].picture)
 }
 
 impl Model for Disk {
@@ -103,10 +106,18 @@
                 let (generation, steps, at) = state.writing.take()?;
                 match &steps[at] {
                     Step::Create => {
-                        state.beside = Some(Content { picture: state.begun, whole: false, synced: false })
+                        state.beside = Some(Content {
+                            picture: state.begun,
+                            whole: false,
+                            synced: false,
+                        })
+                    }
+                    Step::Write => {
+                        state.beside = state.beside.map(|c| Content { whole: true, ..c })
+                    }
+                    Step::SyncFile => {
+                        state.beside = state.beside.map(|c| Content { synced: true, ..c })
                     }
-                    Step::Write => state.beside = state.beside.map(|c| Content { whole: true, ..c }),
-                    Step::SyncFile => state.beside = state.beside.map(|c| Content { synced: true, ..c }),
                     Step::Rename => {
                         let content = state.beside.take()?;
                         state.names.insert(generation, content);
@@ -131,7 +142,11 @@
                 state.crashes += 1;
                 state.writing = None;
                 state.beside = None;
-                let mut after = if renamed { state.names.clone() } else { state.durable.clone() };
+                let mut after = if renamed {
+                    state.names.clone()
+                } else {
+                    state.durable.clone()
+                };
                 for content in after.values_mut() {
                     content.whole &= content.synced || !torn;
                     content.synced = true;
@@ -149,7 +164,8 @@
                 read(&state.names).unwrap_or(0) >= state.promised
             }),
             Property::always("few generations stay", |_, state: &State| {
-                // One more while the new one is in place and the old one not yet removed, and one a crash.
+                // One more while the new one is in place and the old one not yet removed, and one a
+                // crash.
                 state.names.len() <= steps::KEPT + 1 + usize::from(state.crashes)
             }),
             Property::sometimes(
@@ -164,12 +180,26 @@
 fn no_crash_loses_what_was_promised() {
     let checker = Disk { without: None }.checker().spawn_bfs().join();
     checker.assert_properties();
-    assert!(checker.unique_state_count() > 500, "{}", checker.unique_state_count());
+    assert!(
+        checker.unique_state_count() > 500,
+        "{}",
+        checker.unique_state_count()
+    );
 }
 
-/// The model is worth something only if it finds the classic mistake: what is named before it is on the disk.
+/// The model is worth something only if it finds the classic mistake: what is named before it is on
+/// the disk.
 #[test]
 fn the_model_finds_a_write_without_its_sync() {
-    let checker = Disk { without: Some(Step::SyncFile) }.checker().spawn_bfs().join();
-    assert!(checker.discovery("what was promised is read, or newer").is_some());
+    let checker = Disk {
+        without: Some(Step::SyncFile),
+    }
+    .checker()
+    .spawn_bfs()
+    .join();
+    assert!(
+        checker
+            .discovery("what was promised is read, or newer")
+            .is_some()
+    );
 }
--- a/ownership/src/choose.rs
+++ b/ownership/src/choose.rs
@@ -1,10 +1,11 @@
-//! In which order gatherers try to take a kind of work: each can tell by itself, and who comes or goes moves nobody else.
+//! In which order gatherers try to take a kind of work: each can tell by itself, and who comes or
+//! goes moves nobody else.
 
 use crate::kind::Kind;
 use std::collections::BTreeMap;
 
-/// The gatherers in the order in which they try, by weighted rendezvous hashing: of two, one with twice the weight goes first two
-/// times in three. A weight of 0 is left out.
+/// The gatherers in the order in which they try, by weighted rendezvous hashing: of two, one with
+/// twice the weight goes first two times in three. A weight of 0 is left out.
 pub fn order<'a>(kind: Kind, candidates: &'a BTreeMap<String, f64>) -> Vec<&'a str> {
     let score = |(name, weight): (&'a String, &f64)| {
         // From 0 to 1, both excluded.
@@ -44,7 +45,10 @@
     #[test]
     fn kinds_are_spread_and_one_that_goes_moves_only_what_it_had() {
         let all = fleet(60);
-        let firsts: Vec<&str> = Kind::ALL.into_iter().map(|kind| order(kind, &all)[0]).collect();
+        let firsts: Vec<&str> = Kind::ALL
+            .into_iter()
+            .map(|kind| order(kind, &all)[0])
+            .collect();
         let mut distinct = firsts.clone();
         distinct.sort_unstable();
         distinct.dedup();
@@ -54,7 +58,11 @@
             for gone in ["gatherer-3", before[0], before[30]] {
                 let mut left = all.clone();
                 left.remove(gone);
-                let expected: Vec<&str> = before.iter().copied().filter(|name| *name != gone).collect();
+                let expected: Vec<&str> = before
+                    .iter()
+                    .copied()
+                    .filter(|name| *name != gone)
+                    .collect();
                 assert_eq!(order(kind, &left), expected, "without {gone}");
             }
         }
@@ -65,7 +73,8 @@
         let (mut first, mut all) = (0, 0);
         for fleet_of in 0..500 {
             let names = [0, 1].map(|n| format!("{fleet_of}-{n}"));
-            let weights = BTreeMap::from([(names[0].clone(), weight(1)), (names[1].clone(), weight(0))]);
+            let weights =
+                BTreeMap::from([(names[0].clone(), weight(1)), (names[1].clone(), weight(0))]);
             for kind in Kind::ALL {
                 all += 1;
                 first += usize::from(order(kind, &weights)[0] == names[0]);
--- a/ownership/src/follow.rs
+++ b/ownership/src/follow.rs
@@ -1,12 +1,13 @@
-//! The list of index hosts as one gatherer follows it: from the owner's publication while that is fresh, and by asking discovery
-//! itself, in its turn, when it is not.
+//! The list of index hosts as one gatherer follows it: from the owner's publication while that is
+//! fresh, and by asking discovery itself, in its turn, when it is not.
 
 use crate::{Time, Token};
 
 /// Times that a deployment states.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// How old a published list may grow, from when the owner was last seen to have found discovery in order.
+    /// How old a published list may grow, from when the owner was last seen to have found discovery
+    /// in order.
     pub old: Time,
     /// Between two gatherers that ask discovery themselves one after the other.
     pub step: Time,
@@ -27,7 +28,8 @@
     bounds: Bounds,
     /// The highest token that anything was published under.
     token: Token,
-    /// The version held and the token that it came under, and when the owner last was seen to be in order.
+    /// The version held and the token that it came under, and when the owner last was seen to be in
+    /// order.
     held: Option<(Token, u64)>,
     fresh_at: Time,
     good: (Token, u64),
@@ -40,7 +42,15 @@
     /// One that has just started: it has until the bound to hear of an owner.
     pub fn new(bounds: Bounds, now: Time) -> Follower {
         let (token, good) = (Token::default(), (Token::default(), 0));
-        Follower { bounds, token, held: None, fresh_at: now, good, place: 0, refused: 0 }
+        Follower {
+            bounds,
+            token,
+            held: None,
+            fresh_at: now,
+            good,
+            place: 0,
+            refused: 0,
+        }
     }
 
     /// This gatherer's turn among those that would ask discovery themselves.
@@ -60,15 +70,18 @@
         self.good = (token, good);
     }
 
-    /// A list is published under a token. One from before an owner that was heard of is refused and counted: it came from one
-    /// that woke up late, or from a store that was put back.
+    /// A list is published under a token. One from before an owner that was heard of is refused and
+    /// counted: it came from one that woke up late, or from a store that was put back.
     pub fn published(&mut self, token: Token, version: u64) -> Result<(), Refused> {
         if token < self.token {
             self.refused += 1;
             return Err(Refused::OldToken);
         }
         // A new owner may have heard of another discovery, that counts anew.
-        if self.held.is_some_and(|(of, held)| of == token && version <= held) {
+        if self
+            .held
+            .is_some_and(|(of, held)| of == token && version <= held)
+        {
             return Err(Refused::NotNewer);
         }
         (self.token, self.held) = (token, Some((token, version)));
@@ -88,7 +101,9 @@
     /// When that changes by itself.
     pub fn asks_at(&self) -> Time {
         let turn = self.bounds.step.saturating_mul(self.place as Time);
-        self.fresh_at.saturating_add(self.bounds.old).saturating_add(turn)
+        self.fresh_at
+            .saturating_add(self.bounds.old)
+            .saturating_add(turn)
     }
 
     /// How old the publication is, as far as this gatherer knows.
@@ -118,7 +133,13 @@
     }
 
     fn follower() -> Follower {
-        Follower::new(Bounds { old: 4 * S, step: S / 2 }, 10 * S)
+        Follower::new(
+            Bounds {
+                old: 4 * S,
+                step: S / 2,
+            },
+            10 * S,
+        )
     }
 
     #[test]
@@ -131,7 +152,10 @@
         assert_eq!((one.is_fresh(13 * S), one.is_fresh(14 * S)), (true, false));
         one.signed(token(5), 1, 13 * S);
         one.signed(token(5), 1, 16 * S);
-        assert!(one.is_fresh(17 * S - 1) && !one.is_fresh(17 * S), "the same word again says nothing");
+        assert!(
+            one.is_fresh(17 * S - 1) && !one.is_fresh(17 * S),
+            "the same word again says nothing"
+        );
         assert_eq!((one.asks(18 * S), one.asks(18 * S + S / 2)), (false, true));
         one.signed(token(5), 2, 19 * S);
         assert!(!one.asks(19 * S), "it goes back to following");
@@ -153,7 +177,10 @@
         assert!(!one.is_fresh(15 * S), "nor does it count as a sign of life");
         assert_eq!((one.published(token(12), 1), one.refused()), (Ok(()), 2));
         // A store that was begun anew: its tokens are higher whatever its revisions.
-        let later = Token { era: 2, revision: 1 };
+        let later = Token {
+            era: 2,
+            revision: 1,
+        };
         assert_eq!(one.published(later, 1), Ok(()));
         assert_eq!(one.published(token(99), 99), Err(Refused::OldToken));
     }
--- a/ownership/src/job.rs
+++ b/ownership/src/job.rs
@@ -1,5 +1,5 @@
-//! Work in steps, with its place in the store: begun steps are counted, and an owner that comes after another goes on where that
-//! one was.
+//! Work in steps, with its place in the store: begun steps are counted, and an owner that comes
+//! after another goes on where that one was.
 
 use crate::Token;
 use serde_json::{Value as Json, json};
@@ -30,7 +30,10 @@
         if let Some(proposal) = json["activate"].as_u64() {
             return Some(Step::Activate(proposal));
         }
-        let names = json["restart"].as_array()?.iter().map(|name| name.as_str().map(str::to_owned));
+        let names = json["restart"]
+            .as_array()?
+            .iter()
+            .map(|name| name.as_str().map(str::to_owned));
         Some(Step::Restart(names.collect::<Option<_>>()?))
     }
 }
@@ -119,21 +122,44 @@
 impl Job {
     /// A job that nobody has begun.
     pub fn new(steps: Vec<Step>, out: usize) -> Job {
-        Job { steps, at: 0, tries: 0, by: None, ordered: BTreeMap::new(), out, stands: Stands::Open }
+        Job {
+            steps,
+            at: 0,
+            tries: 0,
+            by: None,
+            ordered: BTreeMap::new(),
+            out,
+            stands: Stands::Open,
+        }
     }
 
     /// The step that it stands before.
     pub fn step(&self) -> Option<&Step> {
-        self.steps.get(self.at).filter(|_| self.stands == Stands::Open)
+        self.steps
+            .get(self.at)
+            .filter(|_| self.stands == Stands::Open)
     }
 
-    /// The job with its present step begun by this owner. After one that gave the work up in order that is no new attempt.
+    /// The job with its present step begun by this owner. After one that gave the work up in order
+    /// that is no new attempt.
     pub fn begun(&self, by: Token, orderly: bool) -> Job {
-        let tries = if orderly { self.tries.max(1) } else { self.tries + 1 };
-        let mut job = Job { tries, by: Some(by), ..self.clone() };
+        let tries = if orderly {
+            self.tries.max(1)
+        } else {
+            self.tries + 1
+        };
+        let mut job = Job {
+            tries,
+            by: Some(by),
+            ..self.clone()
+        };
         if tries > TRIES {
-            let step = self.steps.get(self.at).map_or(String::new(), ToString::to_string);
-            job.stands = Stands::Parked(format!("`{step}` was begun {TRIES} times and never ended"));
+            let step = self
+                .steps
+                .get(self.at)
+                .map_or(String::new(), ToString::to_string);
+            job.stands =
+                Stands::Parked(format!("`{step}` was begun {TRIES} times and never ended"));
         }
         job
     }
@@ -141,14 +167,34 @@
     /// The job with its present step done.
     pub fn advanced(&self) -> Job {
         let at = self.at + 1;
-        let stands = if at >= self.steps.len() { Stands::Done } else { Stands::Open };
-        Job { at, tries: 0, by: None, ordered: BTreeMap::new(), stands, ..self.clone() }
+        let stands = if at >= self.steps.len() {
+            Stands::Done
+        } else {
+            Stands::Open
+        };
+        Job {
+            at,
+            tries: 0,
+            by: None,
+            ordered: BTreeMap::new(),
+            stands,
+            ..self.clone()
+        }
     }
 
     /// The job as it stands otherwise. One that goes on has its attempts counted anew.
     pub fn stood(&self, stands: Stands) -> Job {
-        let tries = if stands == Stands::Open { 0 } else { self.tries };
-        Job { stands, tries, by: None, ..self.clone() }
+        let tries = if stands == Stands::Open {
+            0
+        } else {
+            self.tries
+        };
+        Job {
+            stands,
+            tries,
+            by: None,
+            ..self.clone()
+        }
     }
 
     /// The job as JSON.
@@ -161,10 +207,15 @@
     /// A job from its text.
     pub fn read(text: &str) -> Option<Job> {
         let json: Json = serde_json::from_str(text).ok()?;
-        let steps = json["steps"].as_array()?.iter().map(Step::read).collect::<Option<_>>()?;
+        let steps = json["steps"]
+            .as_array()?
+            .iter()
+            .map(Step::read)
+            .collect::<Option<_>>()?;
         let ordered = json["ordered"].as_object()?.iter();
-        let ordered =
-            ordered.map(|(name, life)| Some((name.clone(), life.as_u64()?))).collect::<Option<_>>()?;
+        let ordered = ordered
+            .map(|(name, life)| Some((name.clone(), life.as_u64()?)))
+            .collect::<Option<_>>()?;
         let number = |key: &str| json[key].as_u64();
         Some(Job {
             steps,
@@ -185,7 +236,10 @@
     #[test]
     fn a_step_that_is_begun_again_and_again_is_parked_and_an_orderly_change_of_hands_is_none() {
         let token = |revision| Token { era: 1, revision };
-        let mut job = Job::new(vec![Step::Activate(7), Step::Restart(vec!["a".to_owned()])], 1);
+        let mut job = Job::new(
+            vec![Step::Activate(7), Step::Restart(vec!["a".to_owned()])],
+            1,
+        );
         for owner in 1..=3 {
             job = job.begun(token(owner), false).begun(token(owner), true);
             assert_eq!((job.tries, &job.stands), (owner, &Stands::Open));
@@ -193,9 +247,14 @@
         }
         assert_eq!(job.advanced().tries, 0, "the next step is another matter");
         let parked = job.begun(token(4), false);
-        assert!(matches!(&parked.stands, Stands::Parked(why) if why.contains("activate proposal 7")));
+        assert!(
+            matches!(&parked.stands, Stands::Parked(why) if why.contains("activate proposal 7"))
+        );
         assert_eq!(parked.step(), None);
-        assert_eq!(Job::read(&parked.json().to_string()).as_ref(), Some(&parked));
+        assert_eq!(
+            Job::read(&parked.json().to_string()).as_ref(),
+            Some(&parked)
+        );
         let again = parked.stood(Stands::Open);
         assert_eq!((again.step(), again.tries), (Some(&Step::Activate(7)), 0));
         assert_eq!(again.advanced().advanced().stands, Stands::Done);
--- a/ownership/src/keeping.rs
+++ b/ownership/src/keeping.rs
@@ -1,5 +1,5 @@
-//! Which gatherers are gone for good: those whose own word in the store has not changed for long, by the clock of one that saw it stand
-//! still all the while.
+//! Which gatherers are gone for good: those whose own word in the store has not changed for long,
+//! by the clock of one that saw it stand still all the while.
 
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,12 +16,13 @@
         let mut before = std::mem::take(&mut self.seen);
         for (name, revision) in words {
             let known = before.remove(name).filter(|(known, _)| *known == revision);
-            self.seen.insert(name.to_owned(), known.unwrap_or((revision, now)));
+            self.seen
+                .insert(name.to_owned(), known.unwrap_or((revision, now)));
         }
     }
 
-    /// Who has been silent for so long, each with the revision of its last word; whoever goes on without a store is never gone, as it
-    /// may be serving.
+    /// Who has been silent for so long, each with the revision of its last word; whoever goes on
+    /// without a store is never gone, as it may be serving.
     pub fn gone<'a>(
         &'a self,
         after: Time,
@@ -37,7 +38,10 @@
 
     /// When somebody may be gone next.
     pub fn due(&self, after: Time) -> Option<Time> {
-        self.seen.values().map(|(_, since)| since.saturating_add(after)).min()
+        self.seen
+            .values()
+            .map(|(_, since)| since.saturating_add(after))
+            .min()
     }
 
     /// The work is another's now: what was seen before says nothing later.
@@ -57,11 +61,17 @@
         keeper.sees([("a", 1), ("b", 2), ("k", 3)].into_iter(), 100);
         keeper.sees([("a", 1), ("b", 9), ("k", 3)].into_iter(), 150);
         let gone = |keeper: &Keeper, now| {
-            keeper.gone(60, &keepers, now).map(|(n, r)| (n.to_owned(), r)).collect::<Vec<_>>()
+            keeper
+                .gone(60, &keepers, now)
+                .map(|(n, r)| (n.to_owned(), r))
+                .collect::<Vec<_>>()
         };
         assert_eq!(gone(&keeper, 159), []);
         assert_eq!(gone(&keeper, 160), [("a".to_owned(), 1)]);
-        assert_eq!(gone(&keeper, 210), [("a".to_owned(), 1), ("b".to_owned(), 9)]);
+        assert_eq!(
+            gone(&keeper, 210),
+            [("a".to_owned(), 1), ("b".to_owned(), 9)]
+        );
         assert_eq!(keeper.due(60), Some(160));
         // One that owns the work again begins to count anew.
         keeper.clear();
--- a/ownership/src/kind.rs
+++ b/ownership/src/kind.rs
@@ -34,7 +34,8 @@
     Fenced,
     /// It is not refused, and harmless when it is made twice.
     Harmless,
-    /// It is not refused; at most so many can come after a lease's end, as leave is asked right before each.
+    /// It is not refused; at most so many can come after a lease's end, as leave is asked right
+    /// before each.
     Bounded(u32),
 }
 
@@ -96,7 +97,9 @@
 impl Permit {
     /// Only a lease gives leave, and only for places that its kind names.
     pub(crate) fn new(kind: Kind, place: Place, token: Token) -> Option<Permit> {
-        kind.lands().contains(&place).then_some(Permit { kind, place, token })
+        kind.lands()
+            .contains(&place)
+            .then_some(Permit { kind, place, token })
     }
 
     /// What kind of work it is of.
@@ -126,7 +129,11 @@
             let places = [Place::Store, Place::Discovery, Place::IndexHosts];
             for place in places {
                 let permit = Permit::new(kind, place, Token::default());
-                assert_eq!(permit.is_some(), kind.lands().contains(&place), "{kind} {place:?}");
+                assert_eq!(
+                    permit.is_some(),
+                    kind.lands().contains(&place),
+                    "{kind} {place:?}"
+                );
             }
         }
         assert_eq!(Place::Store.guard(), Guard::Fenced);
--- a/ownership/src/lease.rs
+++ b/ownership/src/lease.rs
@@ -1,8 +1,10 @@
-//! One gatherer's account of the lease on one kind of work: whether it holds it, when it may take it, what it asks of the store.
+//! One gatherer's account of the lease on one kind of work: whether it holds it, when it may take
+//! it, what it asks of the store.
 //!
-//! The owner counts from when it *sent* what was answered; others count from when they *saw* the last change, and longer by what
-//! two clocks can run apart. Whoever takes over does so by a change that holds only if nothing came since. So an owner has
-//! stopped, by its own clock, before the next can begin.
+//! The owner counts from when it *sent* what was answered; others count from when they *saw* the
+//! last change, and longer by what two clocks can run apart. Whoever takes over does so by a change
+//! that holds only if nothing came since. So an owner has stopped, by its own clock, before the
+//! next can begin.
 
 use crate::keys;
 use crate::kind::{Kind, Permit, Place};
@@ -34,10 +36,13 @@
 }
 
 impl Terms {
-    /// How long anybody else waits after the last sign of an owner: the owner's clock may be slow, and this one fast.
+    /// How long anybody else waits after the last sign of an owner: the owner's clock may be slow,
+    /// and this one fast.
     pub fn patience(&self) -> Time {
         let drift = self.drift.min(900);
-        self.lease.saturating_mul(1000 + drift).div_ceil(1000 - drift)
+        self.lease
+            .saturating_mul(1000 + drift)
+            .div_ceil(1000 - drift)
     }
 }
 
@@ -65,7 +70,8 @@
                "from": self.from})
     }
 
-    /// A grant from its text. One that cannot be read is nobody's, and parked: somebody may be acting on it.
+    /// A grant from its text. One that cannot be read is nobody's, and parked: somebody may be
+    /// acting on it.
     pub fn read(text: &str) -> Grant {
         let read = |text: &str| -> Option<Grant> {
             let json: Json = serde_json::from_str(text).ok()?;
@@ -79,7 +85,10 @@
                 from: word("from"),
             })
         };
-        let spoilt = || Grant { parked: Some("its entry cannot be read".to_owned()), ..Grant::default() };
+        let spoilt = || Grant {
+            parked: Some("its entry cannot be read".to_owned()),
+            ..Grant::default()
+        };
         read(text).unwrap_or_else(spoilt)
     }
 }
@@ -103,7 +112,11 @@
     fn read(text: &str) -> Option<Alive> {
         let json: Json = serde_json::from_str(text).ok()?;
         let (count, good) = (json["count"].as_u64()?, json["good"].as_u64()?);
-        Some(Alive { token: Token::read(&json["token"])?, count, good })
+        Some(Alive {
+            token: Token::read(&json["token"])?,
+            count,
+            good,
+        })
     }
 }
 
@@ -127,13 +140,22 @@
 impl View {
     /// What a gatherer of this name sees.
     pub fn of(state: &State, kind: Kind, name: &str) -> View {
-        let held = |key: &str| state.held(key).map(|held| (held.revision, held.value.as_str()));
+        let held = |key: &str| {
+            state
+                .held(key)
+                .map(|held| (held.revision, held.value.as_str()))
+        };
         let era = state.era();
         let grant = held(&keys::owner(kind)).map(|(revision, text)| (revision, Grant::read(text)));
-        let token = grant.as_ref().map(|(revision, _)| Token { era, revision: *revision });
+        let token = grant.as_ref().map(|(revision, _)| Token {
+            era,
+            revision: *revision,
+        });
         let doubts = keys::doubt(kind, "");
         let doubts = state.under(&doubts).filter(|(_, held)| {
-            let of = serde_json::from_str(&held.value).ok().and_then(|json| Token::read(&json));
+            let of = serde_json::from_str(&held.value)
+                .ok()
+                .and_then(|json| Token::read(&json));
             of.is_some() && of == token
         });
         View {
@@ -148,7 +170,10 @@
 
     /// The token of the grant.
     pub fn token(&self) -> Option<Token> {
-        self.grant.as_ref().map(|(revision, _)| Token { era: self.era, revision: *revision })
+        self.grant.as_ref().map(|(revision, _)| Token {
+            era: self.era,
+            revision: *revision,
+        })
     }
 
     /// The owner's sign of life, where it is of the present grant.
@@ -244,7 +269,8 @@
     name: String,
     life: u64,
     view: View,
-    /// When the grant or the owner's sign of life was last seen to change, and whether that was in this life.
+    /// When the grant or the owner's sign of life was last seen to change, and whether that was in
+    /// this life.
     seen_at: Time,
     witnessed: bool,
     looked: bool,
@@ -290,8 +316,12 @@
 
     /// What the store says now.
     pub fn sees(&mut self, view: View, now: Time) {
-        let signs =
-            |view: &View| (view.grant.as_ref().map(|(at, _)| *at), view.alive.as_ref().map(|(at, _)| *at));
+        let signs = |view: &View| {
+            (
+                view.grant.as_ref().map(|(at, _)| *at),
+                view.alive.as_ref().map(|(at, _)| *at),
+            )
+        };
         if !self.looked {
             (self.looked, self.seen_at) = (true, now);
         } else if signs(&view) != signs(&self.view) {
@@ -299,14 +329,20 @@
         }
         self.view = view;
         let revision = self.revision();
-        if let Some(held) = self.held.take_if(|held| revision != Some(held.token.revision)) {
+        if let Some(held) = self
+            .held
+            .take_if(|held| revision != Some(held.token.revision))
+        {
             self.stopping = None;
             self.events.push(Event::Lost(held.token));
         }
         let stop = match &self.view {
             view if view.forbidden => Some(Stop::Forbidden),
             view if view.doubts >= self.enough => Some(Stop::Doubted),
-            View { wish: Some((_, to)), .. } if *to != self.name => Some(Stop::Wished(to.clone())),
+            View {
+                wish: Some((_, to)),
+                ..
+            } if *to != self.name => Some(Stop::Wished(to.clone())),
             _ => None,
         };
         self.stop(stop, now);
@@ -334,7 +370,8 @@
         self.good += 1;
     }
 
-    /// Whether the work has come to rest: nothing of it is under way. A lease that is to end waits for that.
+    /// Whether the work has come to rest: nothing of it is under way. A lease that is to end waits
+    /// for that.
     pub fn rests(&mut self, quiet: bool) {
         self.quiet = quiet;
     }
@@ -346,13 +383,19 @@
 
     /// The token, while the work is this gatherer's.
     pub fn holds(&self, now: Time) -> Option<Token> {
-        let held = self.held.as_ref().filter(|held| self.stopping.is_none() && now < held.until);
+        let held = self
+            .held
+            .as_ref()
+            .filter(|held| self.stopping.is_none() && now < held.until);
         held.map(|held| held.token)
     }
 
     /// What has to be so for a change that is made on behalf of the work.
     pub fn fence(&self, permit: &Permit) -> Check {
-        Check { key: keys::owner(self.kind), expects: Expects::At(permit.token().revision) }
+        Check {
+            key: keys::owner(self.kind),
+            expects: Expects::At(permit.token().revision),
+        }
     }
 
     /// What the store says, as last seen.
@@ -367,13 +410,21 @@
 
     /// When it wants to be asked for what is [`Lease::next`].
     pub fn due(&self) -> Option<Time> {
-        let lapses = self.held.as_ref().filter(|held| !held.lapsed).map(|held| held.until);
+        let lapses = self
+            .held
+            .as_ref()
+            .filter(|held| !held.lapsed)
+            .map(|held| held.until);
         let wants = || {
             if self.pending.is_some() {
                 return None;
             }
             let acts = self.ends().is_some() || self.is_own() && self.stopping.is_none();
-            let at = if acts { Some(self.next_at) } else { self.take_at() };
+            let at = if acts {
+                Some(self.next_at)
+            } else {
+                self.take_at()
+            };
             Some(at?.max(self.next_at))
         };
         [lapses, wants()].into_iter().flatten().min()
@@ -400,20 +451,37 @@
 
     /// The answer to what was asked last. What the store says now has to have been seen before.
     pub fn answered(&mut self, answer: Answer, now: Time) {
-        let Some((intent, asked)) = self.pending.take() else { return };
+        let Some((intent, asked)) = self.pending.take() else {
+            return;
+        };
         let until = asked.saturating_add(self.terms.lease.saturating_sub(self.terms.margin));
         self.next_at = now + self.terms.lease / 16;
         match (intent, answer) {
             (Intent::Take, Answer::Applied(revision)) if self.revision() == Some(revision) => {
-                let token = Token { era: self.view.era, revision };
-                self.held = Some(Held { token, until, count: 0, lapsed: false });
+                let token = Token {
+                    era: self.view.era,
+                    revision,
+                };
+                self.held = Some(Held {
+                    token,
+                    until,
+                    count: 0,
+                    lapsed: false,
+                });
                 self.next_at = asked.saturating_add(self.terms.lease / 4).max(now);
                 let why = self.why();
                 self.events.push(Event::Owns(token, why));
             }
-            (Intent::Renew(token, count), Answer::Applied(_)) if self.view.token() == Some(token) => {
+            (Intent::Renew(token, count), Answer::Applied(_))
+                if self.view.token() == Some(token) =>
+            {
                 let new = self.held.is_none();
-                let held = self.held.get_or_insert(Held { token, until, count, lapsed: false });
+                let held = self.held.get_or_insert(Held {
+                    token,
+                    until,
+                    count,
+                    lapsed: false,
+                });
                 (held.until, held.count) = (until, count);
                 let resumed = std::mem::take(&mut held.lapsed);
                 if new {
@@ -427,7 +495,9 @@
                 self.next_at = asked.saturating_add(self.terms.lease / 4).max(now);
             }
             (Intent::Park, Answer::Applied(_)) => {
-                self.events.push(Event::Parked("its owners died one after the other".to_owned()));
+                self.events.push(Event::Parked(
+                    "its owners died one after the other".to_owned(),
+                ));
             }
             (Intent::End(stop), Answer::Applied(_)) => {
                 let out = match stop {
@@ -443,14 +513,19 @@
             }
             // Something it rested on has changed: it is looked at anew.
             (Intent::End(_), Answer::Refused) => self.stopping = None,
-            // What was lost is seen in the store; what is not known counts for nothing, and is asked again.
+            // What was lost is seen in the store; what is not known counts for nothing, and is
+            // asked again.
             _ => {}
         }
         self.settle(now);
     }
 
     fn settle(&mut self, now: Time) {
-        if let Some(held) = self.held.as_mut().filter(|held| !held.lapsed && now >= held.until) {
+        if let Some(held) = self
+            .held
+            .as_mut()
+            .filter(|held| !held.lapsed && now >= held.until)
+        {
             held.lapsed = true;
             self.events.push(Event::Lapsed(held.token));
         }
@@ -462,19 +537,31 @@
 
     /// Whether the store says that the work is this life's.
     fn is_own(&self) -> bool {
-        let own = |grant: &Grant| grant.owner.as_ref() == Some(&self.name) && grant.life == Some(self.life);
-        self.view.grant.as_ref().is_some_and(|(_, grant)| own(grant))
+        let own = |grant: &Grant| {
+            grant.owner.as_ref() == Some(&self.name) && grant.life == Some(self.life)
+        };
+        self.view
+            .grant
+            .as_ref()
+            .is_some_and(|(_, grant)| own(grant))
     }
 
     /// The grant that is to end now, and why.
     fn ends(&self) -> Option<(u64, Stop)> {
-        let stop = self.stopping.clone().filter(|_| self.quiet && self.is_own())?;
+        let stop = self
+            .stopping
+            .clone()
+            .filter(|_| self.quiet && self.is_own())?;
         Some((self.view.grant.as_ref()?.0, stop))
     }
 
     /// From when on this gatherer may take the work.
     fn take_at(&self) -> Option<Time> {
-        let wished = self.view.wish.as_ref().is_some_and(|(_, to)| *to == self.name);
+        let wished = self
+            .view
+            .wish
+            .as_ref()
+            .is_some_and(|(_, to)| *to == self.name);
         let place = if wished { 0 } else { self.place? };
         if self.view.forbidden || !self.looked || self.is_own() || self.place.is_none() {
             return None;
@@ -494,20 +581,28 @@
 
     /// What must not have changed since it was seen.
     fn unchanged(key: String, revision: Option<u64>) -> Check {
-        Check { key, expects: revision.map_or(Expects::Absent, Expects::At) }
+        Check {
+            key,
+            expects: revision.map_or(Expects::Absent, Expects::At),
+        }
     }
 
     fn set(key: String, value: &Json) -> Change {
-        Change { key, value: Some(value.to_string()) }
+        Change {
+            key,
+            value: Some(value.to_string()),
+        }
     }
 
     fn why(&self) -> String {
         match self.view.grant.as_ref().map(|(_, grant)| grant) {
             None => "taken: nobody ever had it".to_owned(),
             Some(Grant { owner: None, .. }) => "taken: it was given up".to_owned(),
-            Some(Grant { owner: Some(owner), life: None, .. }) if *owner == self.name => {
-                "taken: it was offered".to_owned()
-            }
+            Some(Grant {
+                owner: Some(owner),
+                life: None,
+                ..
+            }) if *owner == self.name => "taken: it was offered".to_owned(),
             Some(_) => "taken: the one before was heard of no more".to_owned(),
         }
     }
@@ -516,14 +611,17 @@
         let grant = self.view.grant.as_ref();
         let checks = vec![
             Self::unchanged(keys::owner(self.kind), grant.map(|(at, _)| *at)),
-            Self::unchanged(keys::alive(self.kind), self.view.alive.as_ref().map(|(at, _)| *at)),
+            Self::unchanged(
+                keys::alive(self.kind),
+                self.view.alive.as_ref().map(|(at, _)| *at),
+            ),
             Self::unchanged(keys::forbid(self.kind, &self.name), None),
         ];
         let former = grant.map(|(_, grant)| grant);
         let from = former.and_then(|grant| grant.owner.clone().or_else(|| grant.from.clone()));
         // Whoever has just started cannot tell a deadly job from a power loss that took all.
-        let died =
-            former.is_some_and(|grant| grant.owner.is_some() && grant.life.is_some()) && self.witnessed;
+        let died = former.is_some_and(|grant| grant.owner.is_some() && grant.life.is_some())
+            && self.witnessed;
         let steady = self.view.sign().is_some_and(|alive| alive.count >= STEADY);
         let before = former.map_or(0, |grant| grant.deaths);
         let deaths = match (died, steady) {
@@ -533,21 +631,49 @@
         };
         let (own, own_life) = (Some(self.name.clone()), Some(self.life));
         let (intent, grant) = if deaths >= DEATHS {
-            let parked = Some(format!("{deaths} owners in a row died soon after they took it"));
-            (Intent::Park, Grant { parked, why: "parked".to_owned(), from, deaths, ..Grant::default() })
+            let parked = Some(format!(
+                "{deaths} owners in a row died soon after they took it"
+            ));
+            (
+                Intent::Park,
+                Grant {
+                    parked,
+                    why: "parked".to_owned(),
+                    from,
+                    deaths,
+                    ..Grant::default()
+                },
+            )
         } else {
             let why = self.why();
-            (Intent::Take, Grant { owner: own, life: own_life, deaths, parked: None, why, from })
+            (
+                Intent::Take,
+                Grant {
+                    owner: own,
+                    life: own_life,
+                    deaths,
+                    parked: None,
+                    why,
+                    from,
+                },
+            )
         };
         let sets = vec![Self::set(keys::owner(self.kind), &grant.json())];
-        (intent, self.with_wish(self.name.clone(), Ask { checks, sets }))
+        (
+            intent,
+            self.with_wish(self.name.clone(), Ask { checks, sets }),
+        )
     }
 
     /// Where an operator wanted this one to have it, that has come about.
     fn with_wish(&self, to: String, mut ask: Ask) -> Ask {
         if let Some((at, _)) = self.view.wish.as_ref().filter(|(_, wished)| *wished == to) {
-            ask.checks.push(Self::unchanged(keys::wish(self.kind), Some(*at)));
-            ask.sets.push(Change { key: keys::wish(self.kind), value: None });
+            ask.checks
+                .push(Self::unchanged(keys::wish(self.kind), Some(*at)));
+            ask.sets.push(Change {
+                key: keys::wish(self.kind),
+                value: None,
+            });
         }
         ask
     }
@@ -555,20 +681,46 @@
     fn renew(&self) -> (Intent, Ask) {
         let token = self.view.token().unwrap_or_default();
         let count = self.held.as_ref().map_or(0, |held| held.count) + 1;
-        let alive = Alive { token, count, good: self.good };
+        let alive = Alive {
+            token,
+            count,
+            good: self.good,
+        };
         let sets = vec![Self::set(keys::alive(self.kind), &alive.json())];
-        let checks = vec![Self::unchanged(keys::owner(self.kind), Some(token.revision))];
-        (Intent::Renew(token, count), self.with_wish(self.name.clone(), Ask { checks, sets }))
+        let checks = vec![Self::unchanged(
+            keys::owner(self.kind),
+            Some(token.revision),
+        )];
+        (
+            Intent::Renew(token, count),
+            self.with_wish(self.name.clone(), Ask { checks, sets }),
+        )
     }
 
     fn end(&self, revision: u64, stop: Stop) -> (Intent, Ask) {
-        let to = if let Stop::Wished(to) = &stop { Some(to.clone()) } else { None };
+        let to = if let Stop::Wished(to) = &stop {
+            Some(to.clone())
+        } else {
+            None
+        };
         let from = Some(self.name.clone());
-        let grant = Grant { owner: to.clone(), why: stop.to_string(), from, ..Grant::default() };
+        let grant = Grant {
+            owner: to.clone(),
+            why: stop.to_string(),
+            from,
+            ..Grant::default()
+        };
         let checks = vec![Self::unchanged(keys::owner(self.kind), Some(revision))];
         let sets = vec![Self::set(keys::owner(self.kind), &grant.json())];
         let ask = Ask { checks, sets };
-        (Intent::End(stop), if let Some(to) = to { self.with_wish(to, ask) } else { ask })
+        (
+            Intent::End(stop),
+            if let Some(to) = to {
+                self.with_wish(to, ask)
+            } else {
+                ask
+            },
+        )
     }
 }
 
--- a/ownership/src/lease/tests.rs
+++ b/ownership/src/lease/tests.rs
@@ -5,7 +5,12 @@
 use store::state::{Done, Outcome, Room};
 
 const S: Time = 1_000_000_000;
-const TERMS: Terms = Terms { lease: 4 * S, drift: 100, margin: S / 4, step: S / 2 };
+const TERMS: Terms = Terms {
+    lease: 4 * S,
+    drift: 100,
+    margin: S / 4,
+    step: S / 2,
+};
 const KIND: Kind = Kind::Hosts;
 
 /// A store, and gatherers whose clocks are one.
@@ -18,7 +23,12 @@
 
 impl World {
     fn new(count: usize) -> World {
-        let mut world = World { state: State::default(), revision: 0, now: 10 * S, all: Vec::new() };
+        let mut world = World {
+            state: State::default(),
+            revision: 0,
+            now: 10 * S,
+            all: Vec::new(),
+        };
         world.put(keys::ERA, Some("1"));
         (0..count).for_each(|at| world.start(at));
         world
@@ -26,20 +36,42 @@
 
     fn apply(&mut self, command: &Command) -> Option<Done> {
         self.revision += 1;
-        self.state.apply(self.revision, command, Room { keys: 99, sessions: 99 }).1
+        self.state
+            .apply(
+                self.revision,
+                command,
+                Room {
+                    keys: 99,
+                    sessions: 99,
+                },
+            )
+            .1
     }
 
     fn put(&mut self, key: &str, value: Option<&str>) {
-        let change = Change { key: key.to_owned(), value: value.map(str::to_owned) };
+        let change = Change {
+            key: key.to_owned(),
+            value: value.map(str::to_owned),
+        };
         self.apply(&Command::Put(change));
     }
 
     /// A gatherer starts, anew perhaps.
     fn start(&mut self, at: usize) {
         self.apply(&Command::Open(at as u64));
-        let lease = Lease::new(KIND, TERMS, &format!("g{at}"), 100 + self.revision, self.now);
+        let lease = Lease::new(
+            KIND,
+            TERMS,
+            &format!("g{at}"),
+            100 + self.revision,
+            self.now,
+        );
         let one = (lease, self.revision, 0);
-        if at < self.all.len() { self.all[at] = one } else { self.all.push(one) }
+        if at < self.all.len() {
+            self.all[at] = one
+        } else {
+            self.all.push(one)
+        }
     }
 
     /// These have their turns for so long; the order in which they try is that of their numbers.
@@ -60,7 +92,12 @@
         lease.stands(Some(at), 3, now);
         let Some(ask) = lease.next(now) else { return };
         *request += 1;
-        let txn = Txn { session: *session, request: *request, checks: ask.checks, sets: ask.sets };
+        let txn = Txn {
+            session: *session,
+            request: *request,
+            checks: ask.checks,
+            sets: ask.sets,
+        };
         let done = self.apply(&Command::Txn(txn));
         let answer = match done {
             Some(Done::Made(.., Outcome::Applied(revision))) => Answer::Applied(revision),
@@ -72,8 +109,9 @@
     }
 
     fn owner(&self) -> Option<usize> {
-        let owners: Vec<usize> =
-            (0..self.all.len()).filter(|at| self.all[*at].0.holds(self.now).is_some()).collect();
+        let owners: Vec<usize> = (0..self.all.len())
+            .filter(|at| self.all[*at].0.holds(self.now).is_some())
+            .collect();
         assert!(owners.len() <= 1, "{owners:?}");
         owners.first().copied()
     }
@@ -101,8 +139,12 @@
         }
     }
     let wait = taken.expect("somebody took it") - stopped;
-    // From the last renewal, at most a quarter of a lease before: the patience, and the turn of the second.
-    assert!(wait <= TERMS.patience() + TERMS.step + S / 4 && wait > TERMS.lease, "{wait}");
+    // From the last renewal, at most a quarter of a lease before: the patience, and the turn of the
+    // second.
+    assert!(
+        wait <= TERMS.patience() + TERMS.step + S / 4 && wait > TERMS.lease,
+        "{wait}"
+    );
     let second = world.all[1].0.holds(world.now).unwrap();
     assert!(second > first);
     // It wakes: leave is refused at once, and what it would write as well.
@@ -111,13 +153,25 @@
     let permit = Permit::new(KIND, Place::Store, first).unwrap();
     let checks = vec![late.fence(&permit)];
     let session = world.all[0].1;
-    let sets = vec![Change { key: "effect".to_owned(), value: Some(String::new()) }];
-    let done = world.apply(&Command::Txn(Txn { session, request: 999, checks, sets }));
+    let sets = vec![Change {
+        key: "effect".to_owned(),
+        value: Some(String::new()),
+    }];
+    let done = world.apply(&Command::Txn(Txn {
+        session,
+        request: 999,
+        checks,
+        sets,
+    }));
     assert!(matches!(done, Some(Done::Made(.., Outcome::Refused(_)))));
     world.run(S, &[0, 1, 2]);
     let events = world.all[0].0.take_events();
     assert!(events.contains(&Event::Lost(first)), "{events:?}");
-    assert_eq!(world.owner(), Some(1), "a better place in the order moves nothing");
+    assert_eq!(
+        world.owner(),
+        Some(1),
+        "a better place in the order moves nothing"
+    );
 }
 
 #[test]
@@ -127,7 +181,11 @@
     let before = world.all[0].0.holds(world.now).unwrap();
     world.start(0);
     world.run(S, &[0]);
-    assert_eq!(world.owner(), None, "its own former life might be acting still");
+    assert_eq!(
+        world.owner(),
+        None,
+        "its own former life might be acting still"
+    );
     world.run(TERMS.patience(), &[0]);
     assert!(world.all[0].0.holds(world.now).unwrap() > before);
 }
@@ -140,19 +198,34 @@
     world.put(&keys::wish(KIND), Some("g2"));
     world.run(S / 2, &[0, 1, 2]);
     assert_eq!(world.owner(), None, "it has stopped");
-    assert_eq!(world.grant().owner.as_deref(), Some("g0"), "and waits until all has come to rest");
+    assert_eq!(
+        world.grant().owner.as_deref(),
+        Some("g0"),
+        "and waits until all has come to rest"
+    );
     world.all[0].0.rests(true);
     world.run(S / 2, &[0, 1, 2]);
-    assert_eq!((world.owner(), world.grant().why.as_str()), (Some(2), "taken: it was offered"));
-    assert_eq!(world.state.get(&keys::wish(KIND)), None, "it has come about");
+    assert_eq!(
+        (world.owner(), world.grant().why.as_str()),
+        (Some(2), "taken: it was offered")
+    );
+    assert_eq!(
+        world.state.get(&keys::wish(KIND)),
+        None,
+        "it has come about"
+    );
     world.put(&keys::forbid(KIND, "g2"), Some(""));
     world.run(S, &[0, 1, 2]);
     // The one that had it last waits, so that what an operator moved does not come back at once.
     assert_eq!(world.owner(), Some(1));
-    // Offered to one that is not there, it is taken by another in time, and the wish is not asked for again and again.
+    // Offered to one that is not there, it is taken by another in time, and the wish is not asked
+    // for again and again.
     world.put(&keys::wish(KIND), Some("nobody"));
     world.run(S / 2, &[0, 1, 2]);
-    assert_eq!((world.owner(), world.grant().owner.as_deref()), (None, Some("nobody")));
+    assert_eq!(
+        (world.owner(), world.grant().owner.as_deref()),
+        (None, Some("nobody"))
+    );
     // The two that may have it have both given it up of late, and wait before they take it again.
     world.run(2 * TERMS.patience(), &[0, 1, 2]);
     assert!(world.owner().is_some());
@@ -167,13 +240,24 @@
     world.run(S, &[0, 1, 2]);
     let token = world.all[0].0.holds(world.now).unwrap();
     world.put(&keys::doubt(KIND, "g1"), Some(&token.json().to_string()));
-    world.put(&keys::doubt(KIND, "g2"), Some(&Token { revision: 1, ..token }.json().to_string()));
+    world.put(
+        &keys::doubt(KIND, "g2"),
+        Some(
+            &Token {
+                revision: 1,
+                ..token
+            }
+            .json()
+            .to_string(),
+        ),
+    );
     world.run(2 * S, &[0, 1, 2]);
     assert_eq!(world.owner(), Some(0), "one word, and one of another time");
     world.put(&keys::doubt(KIND, "g2"), Some(&token.json().to_string()));
     world.run(2 * S, &[0, 1, 2]);
     assert_eq!((world.owner(), world.grant().deaths), (Some(1), 0));
-    // It stays out though it is the first in the order, for long: the next to go leaves it to another.
+    // It stays out though it is the first in the order, for long: the next to go leaves it to
+    // another.
     world.put(&keys::forbid(KIND, "g1"), Some(""));
     world.run(2 * S, &[0, 1, 2]);
     assert_eq!(world.owner(), Some(2));
@@ -197,10 +281,20 @@
     let last: Vec<usize> = (0..5).filter(|at| !died.contains(at)).collect();
     world.run(20 * S, &last);
     let grant = world.grant();
-    assert_eq!((world.owner(), grant.owner.as_deref(), grant.deaths), (None, None, 3));
-    assert!(grant.parked.is_some_and(|why| why.contains("3 owners in a row died")));
+    assert_eq!(
+        (world.owner(), grant.owner.as_deref(), grant.deaths),
+        (None, None, 3)
+    );
+    assert!(
+        grant
+            .parked
+            .is_some_and(|why| why.contains("3 owners in a row died"))
+    );
     // An operator releases it.
-    world.put(&keys::owner(KIND), Some(&Grant::default().json().to_string()));
+    world.put(
+        &keys::owner(KIND),
+        Some(&Grant::default().json().to_string()),
+    );
     world.run(TERMS.step * 5, &last);
     assert_eq!(world.owner(), Some(last[0]));
     // All lose power, again and again: none of them has seen another die.
@@ -225,7 +319,12 @@
     lease.stands(Some(0), 1, now);
     let ask = lease.next(now).expect("it takes it");
     assert_eq!(lease.next(now), None, "one thing at a time");
-    let txn = Txn { session: *session, request: 1, checks: ask.checks, sets: ask.sets };
+    let txn = Txn {
+        session: *session,
+        request: 1,
+        checks: ask.checks,
+        sets: ask.sets,
+    };
     world.apply(&Command::Txn(txn));
     world.all[0].2 = 1;
     world.now += S;
@@ -242,5 +341,8 @@
     assert_eq!(world.all[0].0.holds(world.now), token);
     let events = world.all[0].0.take_events();
     let lapsed = Event::Lapsed(token.unwrap());
-    assert!(events.contains(&lapsed) && events.contains(&Event::Resumed(token.unwrap())), "{events:?}");
+    assert!(
+        events.contains(&lapsed) && events.contains(&Event::Resumed(token.unwrap())),
+        "{events:?}"
+    );
 }
--- a/ownership/src/lib.rs
+++ b/ownership/src/lib.rs
@@ -1,8 +1,10 @@
-//! One owner at a time for each kind of work that is done on behalf of a whole fleet. No sockets, clock, files or randomness:
-//! time, what the store holds and its answers come in; changes to be made there, and whether an effect may be made, go out.
+//! One owner at a time for each kind of work that is done on behalf of a whole fleet. No sockets,
+//! clock, files or randomness: time, what the store holds and its answers come in; changes to be
+//! made there, and whether an effect may be made, go out.
 //!
-//! A lease ends by itself, on its owner's own monotonic clock, before anybody else can take it; an owner that stood still finds so
-//! when it asks for leave right before an effect. What cannot be checked where it lands is named, and bounded.
+//! A lease ends by itself, on its owner's own monotonic clock, before anybody else can take it; an
+//! owner that stood still finds so when it asks for leave right before an effect. What cannot be
+//! checked where it lands is named, and bounded.
 
 #![forbid(unsafe_code)]
 
@@ -42,6 +44,9 @@
 
     /// A token from JSON.
     pub fn read(json: &serde_json::Value) -> Option<Token> {
-        Some(Token { era: json[0].as_u64()?, revision: json[1].as_u64()? })
+        Some(Token {
+            era: json[0].as_u64()?,
+            revision: json[1].as_u64()?,
+        })
     }
 }
--- a/ownership/src/probes.rs
+++ b/ownership/src/probes.rs
@@ -1,4 +1,5 @@
-//! Probing by one for all: which suspected hosts the owner probes when, and what a gatherer makes of the verdicts.
+//! Probing by one for all: which suspected hosts the owner probes when, and what a gatherer makes
+//! of the verdicts.
 
 use crate::{Time, Token};
 use serde_json::{Value as Json, json};
@@ -40,7 +41,12 @@
     pub fn read(text: &str) -> Option<Verdict> {
         let json: Json = serde_json::from_str(text).ok()?;
         let (number, took) = (json["number"].as_u64()?, json["took"].as_u64()?);
-        Some(Verdict { token: Token::read(&json["token"])?, number, sound: json["sound"].as_bool()?, took })
+        Some(Verdict {
+            token: Token::read(&json["token"])?,
+            number,
+            sound: json["sound"].as_bool()?,
+            took,
+        })
     }
 }
 
@@ -60,24 +66,41 @@
 
 impl Round {
     /// Those that are suspected now, and may be probed; others are forgotten.
-    pub fn suspects<'a>(&mut self, names: impl Iterator<Item = &'a str>, bounds: &Bounds, now: Time) {
+    pub fn suspects<'a>(
+        &mut self,
+        names: impl Iterator<Item = &'a str>,
+        bounds: &Bounds,
+        now: Time,
+    ) {
         let mut before = std::mem::take(&mut self.suspects);
         for name in names.take(bounds.suspects) {
-            let new = Suspect { due: now, out: false, sound: 0 };
+            let new = Suspect {
+                due: now,
+                out: false,
+                sound: 0,
+            };
             let one = before.remove(name).unwrap_or(new);
             self.suspects.insert(name.to_owned(), one);
         }
     }
 
-    /// Who is to be probed now; each is out until its verdict comes, so that no owner has two at one host.
+    /// Who is to be probed now; each is out until its verdict comes, so that no owner has two at
+    /// one host.
     pub fn due(&self, now: Time) -> Option<&str> {
-        let waits = self.suspects.iter().find(|(_, one)| !one.out && one.due <= now);
+        let waits = self
+            .suspects
+            .iter()
+            .find(|(_, one)| !one.out && one.due <= now);
         waits.map(|(name, _)| name.as_str())
     }
 
     /// When the next is.
     pub fn due_at(&self) -> Option<Time> {
-        self.suspects.values().filter(|one| !one.out).map(|one| one.due).min()
+        self.suspects
+            .values()
+            .filter(|one| !one.out)
+            .map(|one| one.due)
+            .min()
     }
 
     /// A probe has gone out.
@@ -105,7 +128,15 @@
             self.suspects.remove(name);
         }
         self.number += 1;
-        Some((Verdict { token, number: self.number, sound, took }, cleared))
+        Some((
+            Verdict {
+                token,
+                number: self.number,
+                sound,
+                took,
+            },
+            cleared,
+        ))
     }
 
     /// The work is another's now.
@@ -145,7 +176,10 @@
             return false;
         }
         self.token = verdict.token;
-        let known = self.all.get(name).map(|(known, _)| (known.token, known.number));
+        let known = self
+            .all
+            .get(name)
+            .map(|(known, _)| (known.token, known.number));
         if known != Some((verdict.token, verdict.number)) {
             self.all.insert(name.to_owned(), (verdict, now));
         }
@@ -157,8 +191,8 @@
         self.all.retain(|name, _| is_there(name));
     }
 
-    /// What may stand for a probe of this gatherer's own, and how much it weighs: 1 when it has just come, 0 at the end of its
-    /// time. What is older is nothing.
+    /// What may stand for a probe of this gatherer's own, and how much it weighs: 1 when it has
+    /// just come, 0 at the end of its time. What is older is nothing.
     pub fn stands_for(&self, name: &str, bounds: &Bounds, now: Time) -> Option<(Verdict, f64)> {
         let (verdict, at) = self.all.get(name)?;
         let age = now.saturating_sub(*at);
@@ -178,7 +212,12 @@
     const MS: Time = 1_000_000;
 
     fn bounds() -> Bounds {
-        Bounds { period: 100 * MS, good_for: 200 * MS, suspects: 3, enough: 2 }
+        Bounds {
+            period: 100 * MS,
+            good_for: 200 * MS,
+            suspects: 3,
+            enough: 2,
+        }
     }
 
     fn token(revision: u64) -> Token {
@@ -197,13 +236,30 @@
             sent.push(name);
         }
         assert_eq!(sent, ["a", "b", "c"]);
-        let (verdict, cleared) = round.ended("a", token(3), true, 7, &bounds, 10 * MS).unwrap();
+        let (verdict, cleared) = round
+            .ended("a", token(3), true, 7, &bounds, 10 * MS)
+            .unwrap();
         assert_eq!((verdict.number, verdict.sound, cleared), (1, true, false));
-        assert_eq!((round.due(109 * MS), round.due(110 * MS)), (None, Some("a")));
+        assert_eq!(
+            (round.due(109 * MS), round.due(110 * MS)),
+            (None, Some("a"))
+        );
         round.sent("a");
-        assert!(round.ended("a", token(3), true, 7, &bounds, 120 * MS).unwrap().1, "sound often enough");
-        // One that fails goes on being probed; one that nobody suspects any more is forgotten, its answer too.
-        assert!(!round.ended("b", token(3), false, 7, &bounds, 130 * MS).unwrap().1);
+        assert!(
+            round
+                .ended("a", token(3), true, 7, &bounds, 120 * MS)
+                .unwrap()
+                .1,
+            "sound often enough"
+        );
+        // One that fails goes on being probed; one that nobody suspects any more is forgotten, its
+        // answer too.
+        assert!(
+            !round
+                .ended("b", token(3), false, 7, &bounds, 130 * MS)
+                .unwrap()
+                .1
+        );
         round.suspects(["b"].into_iter(), &bounds, 140 * MS);
         assert_eq!(round.ended("c", token(3), true, 7, &bounds, 150 * MS), None);
         assert_eq!(round.due_at(), Some(230 * MS));
@@ -212,16 +268,31 @@
     #[test]
     fn verdicts_weigh_less_with_age_and_those_of_an_owner_of_before_are_refused() {
         let (mut all, bounds) = (Verdicts::default(), bounds());
-        let verdict = Verdict { token: token(3), number: 1, sound: false, took: 9 };
+        let verdict = Verdict {
+            token: token(3),
+            number: 1,
+            sound: false,
+            took: 9,
+        };
         assert_eq!(Verdict::read(&verdict.json().to_string()), Some(verdict));
         assert!(all.published("a", verdict, 100 * MS));
         // The same one, seen again, is no younger for it.
         assert!(all.published("a", verdict, 150 * MS));
-        let weight = |all: &Verdicts, at| all.stands_for("a", &bounds, at).map(|(_, weight)| weight);
+        let weight =
+            |all: &Verdicts, at| all.stands_for("a", &bounds, at).map(|(_, weight)| weight);
         assert_eq!(weight(&all, 200 * MS), Some(0.5));
         assert_eq!(weight(&all, 300 * MS), None);
         all.signed(token(8));
-        assert!(!all.published("a", Verdict { number: 2, ..verdict }, 310 * MS) && all.refused() == 1);
+        assert!(
+            !all.published(
+                "a",
+                Verdict {
+                    number: 2,
+                    ..verdict
+                },
+                310 * MS
+            ) && all.refused() == 1
+        );
         assert_eq!(weight(&all, 310 * MS), None);
         all.retain(|name| name != "a");
         assert_eq!(weight(&all, 100 * MS), None);
--- a/ownership/src/rollout.rs
+++ b/ownership/src/rollout.rs
@@ -1,5 +1,6 @@
-//! The next thing to be done for a job, by what is seen of the fleet. Every effect is a change of the store that is made together with
-//! the job's own: it is made once, whoever makes it, and however often that is tried.
+//! The next thing to be done for a job, by what is seen of the fleet. Every effect is a change of
+//! the store that is made together with the job's own: it is made once, whoever makes it, and
+//! however often that is tried.
 
 use crate::job::{Job, Stands, Step};
 use crate::{Time, Token};
@@ -69,8 +70,15 @@
     Activate(u64),
 }
 
-/// The next thing for a job, under a token; `orderly` says whether the owner before gave the work up by itself.
-pub fn next(job: &Job, token: Token, orderly: bool, scene: &Scene<'_>, bounds: &Bounds) -> Option<Next> {
+/// The next thing for a job, under a token; `orderly` says whether the owner before gave the work
+/// up by itself.
+pub fn next(
+    job: &Job,
+    token: Token,
+    orderly: bool,
+    scene: &Scene<'_>,
+    bounds: &Bounds,
+) -> Option<Next> {
     let step = job.step()?;
     if job.by != Some(token) {
         return Some(Next::Write(job.begun(token, orderly), Effect::None));
@@ -78,7 +86,11 @@
     let pause = |why: String| Some(Next::Write(job.stood(Stands::Paused(why)), Effect::None));
     let within = |bound: Time, why: String| {
         let until = scene.since.saturating_add(bound);
-        if scene.now < until { Some(Next::Wait(until)) } else { pause(why) }
+        if scene.now < until {
+            Some(Next::Wait(until))
+        } else {
+            pause(why)
+        }
     };
     match step {
         Step::Activate(proposal) => match &scene.activation {
@@ -87,7 +99,13 @@
             Activation::Impossible(why) => pause(why.clone()),
             Activation::Waits(why) => within(bounds.words_within, why.clone()),
         },
-        Step::Restart(names) => restart(job, names, scene, &|why| within(bounds.back_within, why), &pause),
+        Step::Restart(names) => restart(
+            job,
+            names,
+            scene,
+            &|why| within(bounds.back_within, why),
+            &pause,
+        ),
     }
 }
 
@@ -98,17 +116,33 @@
     within: &dyn Fn(String) -> Option<Next>,
     pause: &dyn Fn(String) -> Option<Next>,
 ) -> Option<Next> {
-    let is_back =
-        |name: &String, life: u64| scene.here.get(name).is_some_and(|here| here.life != life && here.serves);
-    let away: Vec<&String> =
-        job.ordered.iter().filter(|(name, life)| !is_back(name, **life)).map(|(name, _)| name).collect();
-    let waiting: Vec<&String> = names.iter().filter(|name| !job.ordered.contains_key(*name)).collect();
+    let is_back = |name: &String, life: u64| {
+        scene
+            .here
+            .get(name)
+            .is_some_and(|here| here.life != life && here.serves)
+    };
+    let away: Vec<&String> = job
+        .ordered
+        .iter()
+        .filter(|(name, life)| !is_back(name, **life))
+        .map(|(name, _)| name)
+        .collect();
+    let waiting: Vec<&String> = names
+        .iter()
+        .filter(|name| !job.ordered.contains_key(*name))
+        .collect();
     if waiting.is_empty() && away.is_empty() {
         return Some(Next::Write(job.advanced(), Effect::None));
     }
     // Whoever is out for another reason counts too: what matters is how many serve.
     let is_out = |(name, here): &(&String, &Here)| !here.serves || away.contains(name);
-    let out: Vec<&str> = scene.here.iter().filter(is_out).map(|(name, _)| name.as_str()).collect();
+    let out: Vec<&str> = scene
+        .here
+        .iter()
+        .filter(is_out)
+        .map(|(name, _)| name.as_str())
+        .collect();
     let room = job.out.saturating_sub(out.len());
     let mut orders = BTreeMap::new();
     for name in waiting.iter().take(room) {
@@ -119,7 +153,11 @@
         }
     }
     if orders.is_empty() {
-        return within(format!("out of service for too long: {}, where {} may be", out.join(", "), job.out));
+        return within(format!(
+            "out of service for too long: {}, where {} may be",
+            out.join(", "),
+            job.out
+        ));
     }
     let mut job = job.clone();
     job.ordered.extend(orders.clone());
@@ -131,7 +169,10 @@
     use super::*;
 
     const S: Time = 1_000_000_000;
-    const BOUNDS: Bounds = Bounds { back_within: 10 * S, words_within: 5 * S };
+    const BOUNDS: Bounds = Bounds {
+        back_within: 10 * S,
+        words_within: 5 * S,
+    };
 
     fn token(revision: u64) -> Token {
         Token { era: 1, revision }
@@ -146,7 +187,18 @@
     impl World {
         fn next(&self, job: &Job, by: u64, now: Time) -> Option<Next> {
             let (here, activation) = (&self.here, self.activation.clone());
-            next(job, token(by), false, &Scene { here, activation, since: self.since, now }, &BOUNDS)
+            next(
+                job,
+                token(by),
+                false,
+                &Scene {
+                    here,
+                    activation,
+                    since: self.since,
+                    now,
+                },
+                &BOUNDS,
+            )
         }
 
         /// Carries out all that can be done at once; what was ordered.
@@ -168,13 +220,28 @@
 
         fn back(&mut self, name: &str) {
             let here = self.here.get_mut(name).unwrap();
-            *here = Here { life: here.life + 100, serves: true };
+            *here = Here {
+                life: here.life + 100,
+                serves: true,
+            };
         }
     }
 
     fn world(count: u64) -> World {
-        let here = |n: u64| (format!("g{n}"), Here { life: n, serves: true });
-        World { here: (0..count).map(here).collect(), activation: Activation::Ready, since: 0 }
+        let here = |n: u64| {
+            (
+                format!("g{n}"),
+                Here {
+                    life: n,
+                    serves: true,
+                },
+            )
+        };
+        World {
+            here: (0..count).map(here).collect(),
+            activation: Activation::Ready,
+            since: 0,
+        }
     }
 
     fn names(count: u64) -> Vec<String> {
@@ -206,10 +273,16 @@
         let mut world = world(4);
         world.here.get_mut("g3").unwrap().serves = false;
         let mut job = Job::new(vec![Step::Restart(names(3))], 2);
-        assert_eq!(world.go(&mut job, 1, S), ["g0"], "one of the two that may be out is out already");
+        assert_eq!(
+            world.go(&mut job, 1, S),
+            ["g0"],
+            "one of the two that may be out is out already"
+        );
         assert_eq!(world.next(&job, 1, 2 * S), Some(Next::Wait(11 * S)));
         world.go(&mut job, 1, 11 * S);
-        let Stands::Paused(why) = &job.stands else { panic!("{job:?}") };
+        let Stands::Paused(why) = &job.stands else {
+            panic!("{job:?}")
+        };
         assert!(why.contains("g0, g3"), "{why}");
         assert_eq!(world.next(&job, 1, 12 * S), None);
         // An operator has it go on once they are back.
@@ -232,14 +305,29 @@
         assert_eq!(world.next(&begun, 1, S), Some(Next::Wait(5 * S)));
         assert!(matches!(
             world.next(&begun, 1, 5 * S),
-            Some(Next::Write(Job { stands: Stands::Paused(_), .. }, _))
+            Some(Next::Write(
+                Job {
+                    stands: Stands::Paused(_),
+                    ..
+                },
+                _
+            ))
         ));
         world.activation = Activation::Ready;
-        assert_eq!(world.next(&begun, 1, S), Some(Next::Write(begun.advanced(), Effect::Activate(7))));
+        assert_eq!(
+            world.next(&begun, 1, S),
+            Some(Next::Write(begun.advanced(), Effect::Activate(7)))
+        );
         world.activation = Activation::Done;
-        assert_eq!(world.next(&begun, 1, S), Some(Next::Write(begun.advanced(), Effect::None)));
+        assert_eq!(
+            world.next(&begun, 1, S),
+            Some(Next::Write(begun.advanced(), Effect::None))
+        );
         world.activation = Activation::Impossible("g0 cannot".to_owned());
         let paused = begun.stood(Stands::Paused("g0 cannot".to_owned()));
-        assert_eq!(world.next(&begun, 1, S), Some(Next::Write(paused, Effect::None)));
+        assert_eq!(
+            world.next(&begun, 1, S),
+            Some(Next::Write(paused, Effect::None))
+        );
     }
 }
--- a/ownership/tests/model.rs
+++ b/ownership/tests/model.rs
@@ -1,9 +1,11 @@
-//! Lease, takeover and fence, model-checked: one step of time after the other, each gatherer's clock one step ahead or behind, every order
-//! in which questions, answers and effects come, at any delay.
+//! Lease, takeover and fence, model-checked: one step of time after the other, each gatherer's
+//! clock one step ahead or behind, every order in which questions, answers and effects come, at any
+//! delay.
 
 use stateright::{Checker, Model, Property};
 
-/// Steps of time that a lease holds, on its owner's clock; by how many steps two clocks can differ over that.
+/// Steps of time that a lease holds, on its owner's clock; by how many steps two clocks can differ
+/// over that.
 const LEASE: u8 = 2;
 const DRIFT: u8 = 1;
 /// Ages stop counting here: nothing tells older ones apart.
@@ -63,7 +65,8 @@
     /// The token of the last effect that landed, and whether an older one landed behind it.
     landed: u8,
     old_landed: bool,
-    /// By how much the first gatherer's clock is ahead of true time; the second's is behind by as much.
+    /// By how much the first gatherer's clock is ahead of true time; the second's is behind by as
+    /// much.
     apart: u8,
 }
 
@@ -88,7 +91,11 @@
 
 impl Rule {
     fn patience(&self) -> u8 {
-        if self.without == Without::TheDrift { LEASE } else { LEASE + DRIFT }
+        if self.without == Without::TheDrift {
+            LEASE
+        } else {
+            LEASE + DRIFT
+        }
     }
 
     fn holds(one: &Gatherer) -> bool {
@@ -97,7 +104,11 @@
 
     /// The token that an owner writes by.
     fn token(&self, one: &Gatherer, grant: u8) -> u8 {
-        if self.without == Without::TheRevision { one.life } else { grant }
+        if self.without == Without::TheRevision {
+            one.life
+        } else {
+            grant
+        }
     }
 
     fn wants(state: &State, at: usize, patience: u8) -> Option<Ask> {
@@ -116,9 +127,24 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let one = Gatherer { life: 1, seen: (0, 0), seen_age: 0, held: None, asked: None, effect: None };
+        let one = Gatherer {
+            life: 1,
+            seen: (0, 0),
+            seen_age: 0,
+            held: None,
+            asked: None,
+            effect: None,
+        };
         let (grant, owner, renewals, landed, old_landed, apart) = (0, None, 0, 0, false, 0);
-        vec![State { grant, owner, renewals, all: [one; 2], landed, old_landed, apart }]
+        vec![State {
+            grant,
+            owner,
+            renewals,
+            all: [one; 2],
+            landed,
+            old_landed,
+            apart,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
@@ -131,7 +157,9 @@
                 actions.push(Action::See(at));
             }
             match one.asked {
-                None if Rule::wants(state, at, self.patience()).is_some() => actions.push(Action::Ask(at)),
+                None if Rule::wants(state, at, self.patience()).is_some() => {
+                    actions.push(Action::Ask(at))
+                }
                 None => {}
                 Some((.., None)) => actions.extend([Action::Reach(at), Action::Lost(at)]),
                 Some((.., Some(_))) => actions.extend([Action::Answer(at), Action::Lost(at)]),
@@ -154,8 +182,13 @@
         // A lease that has run out, and an answer that is worth nothing any more, are nothing.
         let pass = |one: &mut Gatherer| {
             one.seen_age = older(one.seen_age);
-            one.held = one.held.map(|(grant, age)| (grant, age + 1)).filter(|(_, age)| *age < LEASE);
-            one.asked = one.asked.map(|(ask, age, reached)| (ask, (age + 1).min(LEASE), reached));
+            one.held = one
+                .held
+                .map(|(grant, age)| (grant, age + 1))
+                .filter(|(_, age)| *age < LEASE);
+            one.asked = one
+                .asked
+                .map(|(ask, age, reached)| (ask, (age + 1).min(LEASE), reached));
         };
         match action {
             Action::Time => next.all.iter_mut().for_each(pass),
@@ -190,7 +223,8 @@
                 let life = one.life;
                 match ask {
                     Ask::Take { .. } if made => {
-                        (next.grant, next.owner, next.renewals) = (state.grant + 1, Some((at, life)), 0);
+                        (next.grant, next.owner, next.renewals) =
+                            (state.grant + 1, Some((at, life)), 0);
                     }
                     Ask::Renew { .. } if made => next.renewals += 1,
                     _ => {}
@@ -199,7 +233,11 @@
             Action::Answer(at) => {
                 let one = &mut next.all[at];
                 let (ask, age, made) = one.asked.take()?;
-                let age = if self.without == Without::TheQuestion { 0 } else { age };
+                let age = if self.without == Without::TheQuestion {
+                    0
+                } else {
+                    age
+                };
                 // The member that was asked has applied what it answers.
                 if made == Some(true) {
                     let grant = match ask {
@@ -233,8 +271,9 @@
                     _ => token == state.grant,
                 };
                 if fenced {
-                    let by_grant =
-                        state.owner.is_some_and(|(owner, life)| owner == at && life == next.all[at].life);
+                    let by_grant = state
+                        .owner
+                        .is_some_and(|(owner, life)| owner == at && life == next.all[at].life);
                     next.old_landed |= !by_grant || token < state.landed;
                     next.landed = next.landed.max(token);
                 }
@@ -260,7 +299,10 @@
             Property::always("never two owners", |_: &Rule, state: &State| {
                 state.all.iter().filter(|one| Rule::holds(one)).count() <= 1
             }),
-            Property::always("nothing lands under an old token", |_: &Rule, state: &State| !state.old_landed),
+            Property::always(
+                "nothing lands under an old token",
+                |_: &Rule, state: &State| !state.old_landed,
+            ),
             Property::sometimes("the work changes hands", |_: &Rule, state: &State| {
                 state.grant >= 2 && state.landed >= 2
             }),
@@ -277,7 +319,10 @@
     };
     let checker = checker.spawn_bfs().join();
     let broken = ["never two owners", "nothing lands under an old token"];
-    let broken = broken.into_iter().filter(|name| checker.discovery(name).is_some()).collect();
+    let broken = broken
+        .into_iter()
+        .filter(|name| checker.discovery(name).is_some())
+        .collect();
     if without == Without::Nothing {
         assert!(checker.discovery("the work changes hands").is_some());
     }
@@ -287,7 +332,11 @@
 /// `OWNERSHIP_MODEL=all` goes to the end, which takes minutes.
 #[test]
 fn the_rule_holds_and_without_any_part_of_it_does_not() {
-    let depth = if std::env::var_os("OWNERSHIP_MODEL").is_some() { None } else { Some(18) };
+    let depth = if std::env::var_os("OWNERSHIP_MODEL").is_some() {
+        None
+    } else {
+        Some(18)
+    };
     let (states, broken) = check(Without::Nothing, depth);
     println!("two gatherers: {states} states, kept");
     assert_eq!(broken, Vec::<&str>::new());
--- a/recovery/src/bearing.rs
+++ b/recovery/src/bearing.rs
@@ -1,16 +1,18 @@
-//! How much of what clients ask index hosts are seen to bear: by what came of the queries that were taken.
+//! How much of what clients ask index hosts are seen to bear: by what came of the queries that were
+//! taken.
 //!
-//! What the settings say of a cold host is the least that one bears; how much clients ask of it they do not say. So the share
-//! that is taken starts there, and grows as fast as it is seen that what was taken is answered whole in its time. Each share
-//! is judged by the first few queries taken under it, whichever of them end first: quick ends are good ones, and judged by
-//! those alone hosts that begin to queue would pass for sound.
+//! What the settings say of a cold host is the least that one bears; how much clients ask of it
+//! they do not say. So the share that is taken starts there, and grows as fast as it is seen that
+//! what was taken is answered whole in its time. Each share is judged by the first few queries
+//! taken under it, whichever of them end first: quick ends are good ones, and judged by those alone
+//! hosts that begin to queue would pass for sound.
 
 use crate::Time;
 
 /// Queries by which a share is judged: more would hold a small gatherer up for long.
 const JUDGED: u32 = 8;
-/// With all of them answered whole in this part of their time more is taken: hosts that begin to queue are still whole, and
-/// take longer. With so many not whole in their time less is taken.
+/// With all of them answered whole in this part of their time more is taken: hosts that begin to
+/// queue are still whole, and take longer. With so many not whole in their time less is taken.
 const EASY: f64 = 0.5;
 const TOO_MUCH: u32 = 2;
 /// By how much: up faster than down, as each step up is judged by itself.
@@ -62,7 +64,17 @@
         // From nothing no share would ever grow.
         let share = start.clamp(1.0 / f64::from(JUDGED), 1.0);
         let (taken, easy, whole, short) = (0, 0, 0, 0);
-        Bearing { share, patience, since: now, until: None, taken, easy, whole, short, proved: false }
+        Bearing {
+            share,
+            patience,
+            since: now,
+            until: None,
+            taken,
+            easy,
+            whole,
+            short,
+            proved: false,
+        }
     }
 
     /// The share that may be taken.
@@ -107,7 +119,9 @@
             self.share = (self.share * UP).min(1.0);
         } else if self.short >= TOO_MUCH {
             self.share = (self.share * DOWN).max(1.0 / f64::from(JUDGED));
-        } else if self.easy + self.whole + self.short < JUDGED && self.due().is_none_or(|due| now < due) {
+        } else if self.easy + self.whole + self.short < JUDGED
+            && self.due().is_none_or(|due| now < due)
+        {
             return;
         }
         (self.since, self.until) = (now, None);
@@ -130,16 +144,39 @@
     #[test]
     fn the_share_follows_what_is_borne_by_the_first_queries_taken_under_it() {
         let mut bearing = Bearing::new(0.2, 500, 100);
-        assert_eq!(play(&mut bearing, 99, 0, 30, 0), 0.2, "taken before this share was");
-        assert_eq!(play(&mut bearing, 100, 8, 7, 0), 0.2, "one is still out, and may be late");
-        assert_eq!(play(&mut bearing, 101, 40, 40, 0), 0.2, "others that were quicker say nothing of it");
+        assert_eq!(
+            play(&mut bearing, 99, 0, 30, 0),
+            0.2,
+            "taken before this share was"
+        );
+        assert_eq!(
+            play(&mut bearing, 100, 8, 7, 0),
+            0.2,
+            "one is still out, and may be late"
+        );
+        assert_eq!(
+            play(&mut bearing, 101, 40, 40, 0),
+            0.2,
+            "others that were quicker say nothing of it"
+        );
         bearing.ended(100, Came::Easily, 120);
         assert_eq!(bearing.share(), 0.4);
-        assert_eq!(play(&mut bearing, 130, 8, 7, 1), 0.4, "neither borne nor too much");
-        assert_eq!(play(&mut bearing, 150, 4, 1, 2), 0.3, "too much is known before all have ended");
+        assert_eq!(
+            play(&mut bearing, 130, 8, 7, 1),
+            0.4,
+            "neither borne nor too much"
+        );
+        assert_eq!(
+            play(&mut bearing, 150, 4, 1, 2),
+            0.3,
+            "too much is known before all have ended"
+        );
         play(&mut bearing, 170, 8, 7, 0);
         bearing.ended(170, Came::Whole, 180);
-        assert!(bearing.share() < 0.31, "one that only just came is a queue that begins");
+        assert!(
+            bearing.share() < 0.31,
+            "one that only just came is a queue that begins"
+        );
         // Clients that leave keep no verdict from being drawn.
         assert_eq!(play(&mut bearing, 190, 8, 3, 0), 0.3);
         assert_eq!(bearing.due(), Some(690));
@@ -153,8 +190,15 @@
         for at in 0..99 {
             play(&mut bearing, 1000 + 20 * at, 8, 0, 8);
         }
-        assert_eq!(bearing.share(), 0.125, "a few are always taken: else nothing would be seen to be borne");
+        assert_eq!(
+            bearing.share(),
+            0.125,
+            "a few are always taken: else nothing would be seen to be borne"
+        );
         assert_eq!(Bearing::new(0.0, 0, 0).share(), 0.125);
-        assert_eq!([0.5, 0.6].map(|spent| Came::after(spent, true)), [Came::Easily, Came::Whole]);
+        assert_eq!(
+            [0.5, 0.6].map(|spent| Came::after(spent, true)),
+            [Came::Easily, Came::Whole]
+        );
     }
 }
--- a/recovery/src/phase.rs
+++ b/recovery/src/phase.rs
@@ -29,13 +29,19 @@
 
     /// The phase of a name.
     pub fn named(name: &str) -> Option<Phase> {
-        Self::NAMES.iter().find(|(_, word)| *word == name).map(|(phase, _)| *phase)
+        Self::NAMES
+            .iter()
+            .find(|(_, word)| *word == name)
+            .map(|(phase, _)| *phase)
     }
 }
 
 impl fmt::Display for Phase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = Self::NAMES.iter().find(|(phase, _)| phase == self).map_or("", |(_, word)| word);
+        let name = Self::NAMES
+            .iter()
+            .find(|(phase, _)| phase == self)
+            .map_or("", |(_, word)| word);
         f.write_str(name)
     }
 }
@@ -51,7 +57,8 @@
     NoList,
     /// The list is the one from before the start, and discovery has not confirmed it.
     ListUnconfirmed,
-    /// The gatherer and most peers that answered started together: what was learned before says nothing of the index hosts.
+    /// The gatherer and most peers that answered started together: what was learned before says
+    /// nothing of the index hosts.
     StartedTogether,
     /// A peer that answered serves in full: this gatherer alone was away.
     AloneAway,
@@ -69,12 +76,16 @@
             Reason::PeersSilent(n) => write!(f, "{n} peers have not answered yet"),
             Reason::PeersLate(n) => write!(f, "{n} peers did not answer in time"),
             Reason::NoList => f.write_str("no list has named an index host that takes work"),
-            Reason::ListUnconfirmed => f.write_str("the list is from before; discovery has not confirmed it"),
+            Reason::ListUnconfirmed => {
+                f.write_str("the list is from before; discovery has not confirmed it")
+            }
             Reason::StartedTogether => f.write_str("most of the fleet started with this gatherer"),
             Reason::AloneAway => f.write_str("a peer serves in full: this gatherer alone was away"),
             Reason::NobodyAnswered => f.write_str("no peer answered: held to be a loss of power"),
             Reason::Warm => f.write_str("the index hosts have had their time to warm up"),
-            Reason::Borne => f.write_str("all that clients ask was taken, and answered whole in its time"),
+            Reason::Borne => {
+                f.write_str("all that clients ask was taken, and answered whole in its time")
+            }
         }
     }
 }
@@ -84,7 +95,8 @@
 pub struct Plan {
     /// The longest that peers are waited for.
     pub ask_for: Time,
-    /// The longest after the start that discovery's own list is waited for where there is one from before.
+    /// The longest after the start that discovery's own list is waited for where there is one from
+    /// before.
     pub list_for: Time,
     /// Gatherers that started no further apart than this have one cause.
     pub together: Time,
@@ -180,7 +192,8 @@
         self.phase >= Phase::Returning
     }
 
-    /// Whether the index hosts must be held to be cold whatever a list from before says: all may have lost their power.
+    /// Whether the index hosts must be held to be cold whatever a list from before says: all may
+    /// have lost their power.
     pub fn distrusts_hosts(&self) -> bool {
         self.phase < Phase::Full && self.together && !self.confirmed
     }
@@ -198,7 +211,11 @@
     /// Peers that have not answered yet.
     pub fn unanswered(&self) -> Vec<u64> {
         let silent = self.peers.iter().filter(|(_, answer)| answer.is_none());
-        if self.phase == Phase::Asking { silent.map(|(peer, _)| *peer).collect() } else { Vec::new() }
+        if self.phase == Phase::Asking {
+            silent.map(|(peer, _)| *peer).collect()
+        } else {
+            Vec::new()
+        }
     }
 
     /// When it wants to be looked at again.
@@ -219,7 +236,8 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// A peer has answered; one that is not known, or answers twice, changes nothing but its own answer.
+    /// A peer has answered; one that is not known, or answers twice, changes nothing but its own
+    /// answer.
     pub fn answered(&mut self, from: u64, peer: Peer, now: Time) {
         if let Some(answer) = self.peers.get_mut(&from) {
             *answer = Some((now, peer));
@@ -227,7 +245,8 @@
         self.settle(now);
     }
 
-    /// The list as it is now: whether it names a host that takes work, and whether discovery itself has told it.
+    /// The list as it is now: whether it names a host that takes work, and whether discovery itself
+    /// has told it.
     pub fn listed(&mut self, usable: bool, by_discovery: bool, now: Time) {
         (self.listed, self.confirmed) = (usable, self.confirmed || by_discovery);
         self.settle(now);
@@ -241,13 +260,17 @@
         self.settle(now);
     }
 
-    /// Whether a query of a class is taken; if not, after how long it should come again. `draw` is from 0 to 1, anew for each.
+    /// Whether a query of a class is taken; if not, after how long it should come again. `draw` is
+    /// from 0 to 1, anew for each.
     pub fn admit(&mut self, class: usize, draw: f64, now: Time) -> Turn {
         if self.phase != Phase::Returning {
             return Turn::Taken;
         }
         let after = now.saturating_sub(self.since);
-        let turn = self.plan.ramp.admit(class, after, self.bearing.share(), draw);
+        let turn = self
+            .plan
+            .ramp
+            .admit(class, after, self.bearing.share(), draw);
         if turn == Turn::Taken {
             self.bearing.took(now);
         }
@@ -263,21 +286,36 @@
     }
 
     fn silent(&self) -> usize {
-        self.peers.values().filter(|answer| answer.is_none()).count()
+        self.peers
+            .values()
+            .filter(|answer| answer.is_none())
+            .count()
     }
 
     fn go(&mut self, to: Phase, why: Vec<Reason>, now: Time) {
         let (from, lasted) = (self.phase, now.saturating_sub(self.since));
         (self.phase, self.since, self.why) = (to, now, why.clone());
         self.bearing = Bearing::new(self.plan.ramp.start, self.plan.ends_within, now);
-        self.changes.push(Change { from, lasted, to, why });
+        self.changes.push(Change {
+            from,
+            lasted,
+            to,
+            why,
+        });
     }
 
     fn settle(&mut self, now: Time) {
         if self.phase == Phase::Asking {
-            let (silent, late) = (self.silent(), now >= self.started.saturating_add(self.plan.ask_for));
+            let (silent, late) = (
+                self.silent(),
+                now >= self.started.saturating_add(self.plan.ask_for),
+            );
             // One that serves in full has seen no loss of power: nobody else need be waited for.
-            let full = self.peers.values().flatten().any(|(_, peer)| peer.phase == Some(Phase::Full));
+            let full = self
+                .peers
+                .values()
+                .flatten()
+                .any(|(_, peer)| peer.phase == Some(Phase::Full));
             if silent == 0 || late || full {
                 let (together, mut why) = self.judge();
                 self.together = together;
@@ -287,14 +325,22 @@
                 self.go(Phase::Listing, why, now);
             }
         }
-        // Discovery knows when each host started; a list from before does not, and is used for want of that one.
-        let told = self.confirmed || !self.together || now >= self.started.saturating_add(self.plan.list_for);
+        // Discovery knows when each host started; a list from before does not, and is used for want
+        // of that one.
+        let told = self.confirmed
+            || !self.together
+            || now >= self.started.saturating_add(self.plan.list_for);
         if self.phase == Phase::Listing && self.listed && told {
             let why = self.why.clone();
-            let to = if self.together { Phase::Returning } else { Phase::Full };
+            let to = if self.together {
+                Phase::Returning
+            } else {
+                Phase::Full
+            };
             self.go(to, why, now);
         }
-        if self.phase == Phase::Returning && now >= self.since.saturating_add(self.plan.ramp.lasts) {
+        if self.phase == Phase::Returning && now >= self.since.saturating_add(self.plan.ramp.lasts)
+        {
             self.go(Phase::Full, vec![Reason::Warm], now);
         } else if self.phase == Phase::Returning && self.bearing.is_proved() {
             self.go(Phase::Full, vec![Reason::Borne], now);
@@ -304,12 +350,19 @@
     /// Whether the gatherer returns with all, by what its peers say.
     fn judge(&self) -> (bool, Vec<Reason>) {
         let answers: Vec<&(Time, Peer)> = self.peers.values().flatten().collect();
-        if answers.iter().any(|(_, peer)| peer.phase == Some(Phase::Full)) {
+        if answers
+            .iter()
+            .any(|(_, peer)| peer.phase == Some(Phase::Full))
+        {
             return (false, vec![Reason::AloneAway]);
         }
         if answers.is_empty() {
             // A gatherer that has no peers has nobody to tell.
-            let why = if self.peers.is_empty() { Reason::StartedTogether } else { Reason::NobodyAnswered };
+            let why = if self.peers.is_empty() {
+                Reason::StartedTogether
+            } else {
+                Reason::NobodyAnswered
+            };
             return (true, vec![why]);
         }
         let near = |(at, peer): &&&(Time, Peer)| {
@@ -344,7 +397,10 @@
     }
 
     fn peer(running: Time, phase: Phase) -> Peer {
-        Peer { running, phase: Some(phase) }
+        Peer {
+            running,
+            phase: Some(phase),
+        }
     }
 
     #[test]
@@ -354,7 +410,10 @@
         assert_eq!((one.phase(), one.is_ready()), (Phase::Asking, false));
         // The first that serves in full is enough, and the other is not waited for.
         one.answered(2, peer(90_000 * MS, Phase::Full), 150 * MS);
-        assert_eq!((one.phase(), one.is_ready(), one.distrusts_hosts()), (Phase::Full, true, false));
+        assert_eq!(
+            (one.phase(), one.is_ready(), one.distrusts_hosts()),
+            (Phase::Full, true, false)
+        );
         assert_eq!(one.admit(0, 1.0, 150 * MS), Turn::Taken);
         assert_eq!(one.reasons(), [Reason::AloneAway, Reason::ListUnconfirmed]);
     }
@@ -364,14 +423,24 @@
         let mut one = start(&[1, 2]);
         one.answered(1, peer(30 * MS, Phase::Asking), 140 * MS);
         one.answered(9, peer(30 * MS, Phase::Full), 140 * MS);
-        assert_eq!(one.phase(), Phase::Asking, "one that is no peer says nothing");
+        assert_eq!(
+            one.phase(),
+            Phase::Asking,
+            "one that is no peer says nothing"
+        );
         one.answered(2, peer(2_000 * MS, Phase::Listing), 150 * MS);
-        assert_eq!((one.phase(), one.reasons()), (Phase::Listing, vec![Reason::NoList]));
+        assert_eq!(
+            (one.phase(), one.reasons()),
+            (Phase::Listing, vec![Reason::NoList])
+        );
         one.listed(true, false, 160 * MS);
         // Discovery's own list is waited for, but not for long.
         assert_eq!((one.phase(), one.due()), (Phase::Listing, Some(1_600 * MS)));
         one.tick(1_600 * MS);
-        assert_eq!((one.phase(), one.distrusts_hosts()), (Phase::Returning, true));
+        assert_eq!(
+            (one.phase(), one.distrusts_hosts()),
+            (Phase::Returning, true)
+        );
         one.listed(true, true, 1_700 * MS);
         assert!(!one.distrusts_hosts(), "discovery knows when each started");
         one.tick(11_599 * MS);
@@ -379,14 +448,20 @@
         one.tick(11_600 * MS);
         let told: Vec<(Phase, Phase)> = one.take_changes().iter().map(|c| (c.from, c.to)).collect();
         let way = [Phase::Asking, Phase::Listing, Phase::Returning, Phase::Full];
-        assert_eq!(told, way.windows(2).map(|w| (w[0], w[1])).collect::<Vec<_>>());
+        assert_eq!(
+            told,
+            way.windows(2).map(|w| (w[0], w[1])).collect::<Vec<_>>()
+        );
     }
 
     #[test]
     fn peers_that_never_answer_are_waited_for_no_longer_than_told() {
         let mut one = start(&[1, 2, 3]);
         one.answered(3, peer(90_000 * MS, Phase::Returning), 200 * MS);
-        assert_eq!((one.due(), one.unanswered()), (Some(1_100 * MS), vec![1, 2]));
+        assert_eq!(
+            (one.due(), one.unanswered()),
+            (Some(1_100 * MS), vec![1, 2])
+        );
         one.listed(true, true, 1_099 * MS);
         assert!(!one.is_ready());
         one.tick(1_100 * MS);
@@ -397,6 +472,10 @@
         let mut cut_off = start(&[1, 2, 3]);
         cut_off.listed(true, true, 200 * MS);
         cut_off.tick(1_100 * MS);
-        assert_eq!(cut_off.phase(), Phase::Returning, "nobody answered: the careful way");
+        assert_eq!(
+            cut_off.phase(),
+            Phase::Returning,
+            "nobody answered: the careful way"
+        );
     }
 }
--- a/recovery/src/ramp.rs
+++ b/recovery/src/ramp.rs
@@ -1,9 +1,10 @@
 //! In which order and how fast classes come back while index hosts warm up.
 //!
-//! What index hosts bear together grows from a stated share to all of it over a stated time, and each gatherer has its share of
-//! the clients, so the share of its own queries that may be taken is the same for each: nobody needs to know how many are up.
-//! That is the least; where [`crate::bearing`] has seen them bear more, more is taken. Classes are taken back by what they are
-//! worth. Others are told when their turn is, not all for one moment.
+//! What index hosts bear together grows from a stated share to all of it over a stated time, and
+//! each gatherer has its share of the clients, so the share of its own queries that may be taken is
+//! the same for each: nobody needs to know how many are up. That is the least; where
+//! [`crate::bearing`] has seen them bear more, more is taken. Classes are taken back by what they
+//! are worth. Others are told when their turn is, not all for one moment.
 
 use crate::Time;
 
@@ -30,13 +31,22 @@
 }
 
 impl Ramp {
-    /// A ramp from a share (0 to 1) over a time; each class has what one of its queries is worth against its work.
+    /// A ramp from a share (0 to 1) over a time; each class has what one of its queries is worth
+    /// against its work.
     pub fn new(start: f64, lasts: Time, most: Time, worth: &[f64]) -> Ramp {
         let mut order: Vec<usize> = (0..worth.len()).collect();
         order.sort_by(|a, b| worth[*b].total_cmp(&worth[*a]).then(a.cmp(b)));
         let mut places = vec![0; worth.len()];
-        order.iter().enumerate().for_each(|(place, class)| places[*class] = place);
-        Ramp { start: start.clamp(0.0, 1.0), lasts, most, places }
+        order
+            .iter()
+            .enumerate()
+            .for_each(|(place, class)| places[*class] = place);
+        Ramp {
+            start: start.clamp(0.0, 1.0),
+            lasts,
+            most,
+            places,
+        }
     }
 
     /// What index hosts bear after so long, of what they bear when warm.
@@ -50,21 +60,34 @@
     /// The part of a class's queries that are taken where this share of all is.
     pub fn part(&self, class: usize, share: f64) -> f64 {
         // A class that came with other settings goes last.
-        let place = self.places.get(class).copied().unwrap_or(self.places.len().saturating_sub(1));
+        let place = self
+            .places
+            .get(class)
+            .copied()
+            .unwrap_or(self.places.len().saturating_sub(1));
         (share * self.places.len().max(1) as f64 - place as f64).clamp(0.0, 1.0)
     }
 
-    /// Whether a query of a class is taken after so long, where index hosts were seen to bear a share of all queries. `draw` is
-    /// from 0 to 1, anew for each query.
+    /// Whether a query of a class is taken after so long, where index hosts were seen to bear a
+    /// share of all queries. `draw` is from 0 to 1, anew for each query.
     pub fn admit(&self, class: usize, after: Time, borne: f64, draw: f64) -> Turn {
         if draw < self.part(class, self.share(after).max(borne)) || after >= self.lasts {
             return Turn::Taken;
         }
-        // When half of its queries are taken, at the latest; spread, so that not all come at that moment.
-        let place = self.places.get(class).copied().unwrap_or(self.places.len().saturating_sub(1));
+        // When half of its queries are taken, at the latest; spread, so that not all come at that
+        // moment.
+        let place = self
+            .places
+            .get(class)
+            .copied()
+            .unwrap_or(self.places.len().saturating_sub(1));
         let half = (place as f64 + 0.5) / self.places.len().max(1) as f64;
-        let at = (half - self.start) / (1.0 - self.start).max(f64::MIN_POSITIVE) * self.lasts as f64;
-        let wait = (at.max(0.0) as Time).saturating_sub(after).max(self.lasts / 64).min(self.most);
+        let at =
+            (half - self.start) / (1.0 - self.start).max(f64::MIN_POSITIVE) * self.lasts as f64;
+        let wait = (at.max(0.0) as Time)
+            .saturating_sub(after)
+            .max(self.lasts / 64)
+            .min(self.most);
         Turn::Later(wait / 2 + (wait as f64 / 2.0 * draw.clamp(0.0, 1.0)) as Time)
     }
 }
@@ -107,9 +130,15 @@
         waits.sort_unstable();
         assert!(waits[0] >= 2 * S && waits[999] <= 4 * S);
         let most_in_a_tenth = waits.windows(150).map(|w| w[149] - w[0]).min().unwrap();
-        assert!(most_in_a_tenth > S / 5, "150 of 1000 within {most_in_a_tenth} ns");
+        assert!(
+            most_in_a_tenth > S / 5,
+            "150 of 1000 within {most_in_a_tenth} ns"
+        );
         assert_eq!(ramp.admit(1, 3 * S, 0.0, 0.99), Turn::Taken);
         assert_eq!(ramp.admit(0, S, 1.0, 0.99), Turn::Taken, "seen to be borne");
-        assert_eq!(Ramp::new(1.0, 0, S, &[1.0]).admit(0, 0, 0.0, 0.99), Turn::Taken);
+        assert_eq!(
+            Ramp::new(1.0, 0, S, &[1.0]).admit(0, 0, 0.0, 0.99),
+            Turn::Taken
+        );
     }
 }
--- a/recovery/tests/bearing.rs
+++ b/recovery/tests/bearing.rs
@@ -1,5 +1,5 @@
-//! Gatherers that return beside index hosts that warm up, by seed: what is taken follows what the hosts are seen to bear,
-//! and not only what the settings say that a cold one bears at the least.
+//! Gatherers that return beside index hosts that warm up, by seed: what is taken follows what the
+//! hosts are seen to bear, and not only what the settings say that a cold one bears at the least.
 
 use recovery::Time;
 use recovery::bearing::Came;
@@ -13,7 +13,8 @@
 /// Queries a second that the hosts bear once they are warm.
 const WARM: f64 = 400.0;
 
-/// What became of queries within the ramp's time: asked, whole, not whole in time though taken; and when all were in full service.
+/// What became of queries within the ramp's time: asked, whole, not whole in time though taken; and
+/// when all were in full service.
 #[derive(Debug, Default)]
 struct Seen {
     asked: f64,
@@ -23,13 +24,21 @@
     dearest: (f64, f64),
 }
 
-/// Plays so many gatherers with clients that ask for a share of what warm hosts bear, beside hosts that bear this share when
-/// cold, with what comes of queries told to the gatherers or not.
+/// Plays so many gatherers with clients that ask for a share of what warm hosts bear, beside hosts
+/// that bear this share when cold, with what comes of queries told to the gatherers or not.
 fn play(seed: u64, gatherers: usize, load: f64, cold: f64, told: bool) -> Seen {
     let mut rng = fastrand::Rng::with_seed(seed);
     let ramp = Ramp::new(0.2, RAMP, 2_000 * MS, &[1.0, 4.0]);
-    let plan = Plan { ask_for: 500 * MS, list_for: 500 * MS, together: 3_000 * MS, ramp, ends_within: AIM };
-    let mut fleet: Vec<Recovery> = (0..gatherers).map(|_| Recovery::new(plan.clone(), [], 0)).collect();
+    let plan = Plan {
+        ask_for: 500 * MS,
+        list_for: 500 * MS,
+        together: 3_000 * MS,
+        ramp,
+        ends_within: AIM,
+    };
+    let mut fleet: Vec<Recovery> = (0..gatherers)
+        .map(|_| Recovery::new(plan.clone(), [], 0))
+        .collect();
     fleet.iter_mut().for_each(|one| one.listed(true, true, 0));
     let (mut queue, mut room, mut seen) = (VecDeque::new(), 0.0, Seen::default());
     let mut now = 0;
@@ -51,7 +60,11 @@
             seen.dearest.1 += if whole && class == 1 { 1.0 } else { 0.0 };
             if told {
                 let one: &mut Recovery = &mut fleet[at];
-                one.ended(taken, Came::after((now - taken) as f64 / AIM as f64, whole), now);
+                one.ended(
+                    taken,
+                    Came::after((now - taken) as f64 / AIM as f64, whole),
+                    now,
+                );
             }
         }
         let asked = WARM * load / 100.0;
@@ -72,24 +85,35 @@
     seen
 }
 
-/// Six tenths of what warm hosts bear are asked, and cold ones bear eight: by the settings' least share alone, four in ten of
-/// all queries are refused for nothing over those ten seconds. The more gatherers share the clients the fewer queries each has
-/// to judge by, and the later it is sure.
+/// Six tenths of what warm hosts bear are asked, and cold ones bear eight: by the settings' least
+/// share alone, four in ten of all queries are refused for nothing over those ten seconds. The more
+/// gatherers share the clients the fewer queries each has to judge by, and the later it is sure.
 #[test]
 fn hosts_that_bear_all_that_is_asked_are_soon_asked_for_all_of_it() {
-    for (seed, gatherers, least, full) in
-        [(1, 3, 0.85, RAMP / 3), (2, 10, 0.75, RAMP / 2), (3, 30, 0.65, RAMP)]
-    {
+    for (seed, gatherers, least, full) in [
+        (1, 3, 0.85, RAMP / 3),
+        (2, 10, 0.75, RAMP / 2),
+        (3, 30, 0.65, RAMP),
+    ] {
         let seen = play(seed, gatherers, 0.6, 0.8, true);
-        assert!(seen.whole > least * seen.asked && seen.late == 0.0, "{gatherers}: {seen:?}");
-        assert!(seen.full_at.is_some_and(|at| at < full), "{gatherers}: {seen:?}");
+        assert!(
+            seen.whole > least * seen.asked && seen.late == 0.0,
+            "{gatherers}: {seen:?}"
+        );
+        assert!(
+            seen.full_at.is_some_and(|at| at < full),
+            "{gatherers}: {seen:?}"
+        );
         let blind = play(seed, gatherers, 0.6, 0.8, false);
-        assert!(blind.whole < 0.62 * blind.asked && blind.full_at.is_none_or(|at| at >= RAMP), "{blind:?}");
+        assert!(
+            blind.whole < 0.62 * blind.asked && blind.full_at.is_none_or(|at| at >= RAMP),
+            "{blind:?}"
+        );
     }
 }
 
-/// As much is asked as warm hosts bear, and cold ones bear the fifth that the settings say: what is taken stays near it,
-/// the dearest first, and little of it comes to nothing.
+/// As much is asked as warm hosts bear, and cold ones bear the fifth that the settings say: what is
+/// taken stays near it, the dearest first, and little of it comes to nothing.
 #[test]
 fn hosts_that_bear_no_more_than_the_settings_say_are_not_asked_for_much_more() {
     for (seed, gatherers) in [(1, 3), (2, 10), (3, 30)] {
@@ -97,6 +121,9 @@
         // Over ten seconds they bear six tenths of what is asked.
         assert!(seen.whole > 0.5 * seen.asked, "{gatherers}: {seen:?}");
         assert!(seen.late < 0.15 * seen.asked, "{gatherers}: {seen:?}");
-        assert!(seen.dearest.1 > 0.75 * seen.dearest.0, "{gatherers}: {seen:?}");
+        assert!(
+            seen.dearest.1 > 0.75 * seen.dearest.0,
+            "{gatherers}: {seen:?}"
+        );
     }
 }
--- a/recovery/tests/fleet.rs
+++ b/recovery/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! A whole fleet of gatherers that start, lose power again, cannot reach each other or discovery, by seed: whatever happens,
-//! nobody waits longer than the bounds say, and all serve in full in the end.
+//! A whole fleet of gatherers that start, lose power again, cannot reach each other or discovery,
+//! by seed: whatever happens, nobody waits longer than the bounds say, and all serve in full in the
+//! end.
 
 use recovery::Time;
 use recovery::phase::{Peer, Phase, Plan, Recovery};
@@ -23,7 +24,13 @@
 
 fn plan() -> Plan {
     let ramp = Ramp::new(0.2, RAMP, 2_000 * MS, &[1.0, 3.0]);
-    Plan { ask_for: ASK, list_for: LIST, together: 3_000 * MS, ramp, ends_within: 2_000 * MS }
+    Plan {
+        ask_for: ASK,
+        list_for: LIST,
+        together: 3_000 * MS,
+        ramp,
+        ends_within: 2_000 * MS,
+    }
 }
 
 /// Plays a fleet; what was wrong.
@@ -67,19 +74,32 @@
             }
             if now >= fleet[at].asked_at + 100 * MS {
                 fleet[at].asked_at = now;
-                for peer in fleet[at].recovery.as_ref().map(Recovery::unanswered).unwrap_or_default() {
+                for peer in fleet[at]
+                    .recovery
+                    .as_ref()
+                    .map(Recovery::unanswered)
+                    .unwrap_or_default()
+                {
                     let told = fleet[peer as usize].recovery.as_ref();
-                    let told = told.map(|r| Peer { running: r.running(now), phase: Some(r.phase()) });
+                    let told = told.map(|r| Peer {
+                        running: r.running(now),
+                        phase: Some(r.phase()),
+                    });
                     if let Some(told) = told.filter(|_| rng.u64(0..100) >= deaf) {
                         answers.push((now + rng.u64(0..300) * MS, at, peer, told));
                     }
                 }
             }
-            let due: Vec<_> = answers.iter().filter(|a| a.0 <= now && a.1 == at).copied().collect();
+            let due: Vec<_> = answers
+                .iter()
+                .filter(|a| a.0 <= now && a.1 == at)
+                .copied()
+                .collect();
             answers.retain(|a| !(a.0 <= now && a.1 == at));
             let gatherer = &mut fleet[at];
             let recovery = gatherer.recovery.as_mut().expect("it is up");
-            due.into_iter().for_each(|(_, _, peer, told)| recovery.answered(peer, told, now));
+            due.into_iter()
+                .for_each(|(_, _, peer, told)| recovery.answered(peer, told, now));
             let told = now >= discovery_at;
             if told || has_list[at] {
                 recovery.listed(true, told, now);
@@ -90,17 +110,27 @@
                 let ready = *gatherer.ready_at.get_or_insert(now);
                 let listed = gatherer.listed_at.ok_or("ready without a list")?;
                 if ready > listed.max(gatherer.up_at + LIST) + 20 * MS {
-                    return Err(format!("gatherer {at} was ready {} ms too late", (ready - listed) / MS));
+                    return Err(format!(
+                        "gatherer {at} was ready {} ms too late",
+                        (ready - listed) / MS
+                    ));
                 }
             } else if now > gatherer.listed_at.unwrap_or(now).max(gatherer.up_at + LIST) + 20 * MS {
                 return Err(format!("gatherer {at} is kept at {}", recovery.phase()));
             }
         }
     }
-    let phases: BTreeMap<usize, Phase> =
-        fleet.iter().enumerate().filter_map(|(at, g)| Some((at, g.recovery.as_ref()?.phase()))).collect();
+    let phases: BTreeMap<usize, Phase> = fleet
+        .iter()
+        .enumerate()
+        .filter_map(|(at, g)| Some((at, g.recovery.as_ref()?.phase())))
+        .collect();
     let full = phases.len() == count && phases.values().all(|phase| *phase == Phase::Full);
-    if full { Ok(()) } else { Err(format!("in the end {phases:?}")) }
+    if full {
+        Ok(())
+    } else {
+        Err(format!("in the end {phases:?}"))
+    }
 }
 
 #[test]
--- a/router/src/cli.rs
+++ b/router/src/cli.rs
@@ -96,16 +96,26 @@
 pub fn ask(call: &SystemCall) -> Result<String, CallError> {
     match call {
         SystemCall::Status(asked) => status(asked),
-        SystemCall::Members(asked) => {
-            table(asked, "members", &["name", "zone", "status", "incarnation", "replica"])
-        }
-        SystemCall::Backends(asked) => {
-            table(asked, "backends", &["id", "service", "address", "zone", "phase", "silent"])
-        }
+        SystemCall::Members(asked) => table(
+            asked,
+            "members",
+            &["name", "zone", "status", "incarnation", "replica"],
+        ),
+        SystemCall::Backends(asked) => table(
+            asked,
+            "backends",
+            &["id", "service", "address", "zone", "phase", "silent"],
+        ),
         SystemCall::Traffic(asked) => table(
             asked,
             "traffic",
-            &["about", "messagesSent", "bytesSent", "messagesReceived", "bytesReceived"],
+            &[
+                "about",
+                "messagesSent",
+                "bytesSent",
+                "messagesReceived",
+                "bytesReceived",
+            ],
         ),
         SystemCall::Configuration(asked) => get(asked.at, "/v1/configuration/read"),
         SystemCall::Storage(StorageCall::Verify { folder }) => verify(folder),
@@ -114,14 +124,28 @@
 }
 
 fn get(at: SocketAddrV4, path: &str) -> Result<String, CallError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let unreachable = |problem| CallError::Unreachable { at, problem };
     runtime.block_on(async {
-        let client = reqwest::Client::builder().no_proxy().timeout(PATIENCE).build().map_err(unreachable)?;
-        let answer = client.get(format!("http://{at}{path}")).send().await.map_err(unreachable)?;
+        let client = reqwest::Client::builder()
+            .no_proxy()
+            .timeout(PATIENCE)
+            .build()
+            .map_err(unreachable)?;
+        let answer = client
+            .get(format!("http://{at}{path}"))
+            .send()
+            .await
+            .map_err(unreachable)?;
         let status = answer.status().as_u16();
         let text = answer.text().await.map_err(unreachable)?;
-        if status == 200 { Ok(text) } else { Err(CallError::Refused { at, status, text }) }
+        if status == 200 {
+            Ok(text)
+        } else {
+            Err(CallError::Refused { at, status, text })
+        }
     })
 }
 
@@ -136,7 +160,14 @@
         return Ok(report.to_string());
     }
     let mut text = String::new();
-    for field in ["node", "configuration", "change", "primary", "replica", "weights"] {
+    for field in [
+        "node",
+        "configuration",
+        "change",
+        "primary",
+        "replica",
+        "weights",
+    ] {
         // Writing to a string does not fail.
         let _ = writeln!(text, "{field}: {}", plain(&report[field]));
     }
@@ -184,16 +215,28 @@
         "change: {} of epoch {}",
         recovered.state.position.index, recovered.state.position.epoch
     );
-    let _ = writeln!(text, "stored and not known to be committed: {}", recovered.tail.is_some());
+    let _ = writeln!(
+        text,
+        "stored and not known to be committed: {}",
+        recovered.tail.is_some()
+    );
     let _ = writeln!(text, "configuration: version {}", recovered.state.version());
-    let history: Vec<String> = recovered.state.history().map(|version| version.to_string()).collect();
+    let history: Vec<String> = recovered
+        .state
+        .history()
+        .map(|version| version.to_string())
+        .collect();
     let _ = writeln!(text, "accepted versions: {}", history.join(" "));
     for (model, target) in &recovered.state.weights {
         let _ = writeln!(text, "weights of {model}: version {}", target.version);
     }
     if let Some(view) = &recovered.votes.decided {
         let names = |replicas: &std::collections::BTreeSet<control::view::ReplicaId>| {
-            replicas.iter().map(ToString::to_string).collect::<Vec<_>>().join(" ")
+            replicas
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>()
+                .join(" ")
         };
         let _ = writeln!(text, "epoch: {}, primary {}", view.epoch, view.primary);
         let _ = writeln!(text, "in sync: {}", names(&view.in_sync));
@@ -204,10 +247,13 @@
 
 /// The settings file: the one that was named, or the environment's.
 fn settings_path(named: Option<PathBuf>) -> Result<PathBuf, SettingsError> {
-    named.or_else(|| std::env::var_os(PATH_VARIABLE).map(PathBuf::from)).ok_or(SettingsError::NoPath)
+    named
+        .or_else(|| std::env::var_os(PATH_VARIABLE).map(PathBuf::from))
+        .ok_or(SettingsError::NoPath)
 }
 
-/// Runs a router until it is told to end; its figures are told on the metrics port, where one is named.
+/// Runs a router until it is told to end; its figures are told on the metrics port, where one is
+/// named.
 pub fn run(settings: Option<PathBuf>, metrics_port: Option<u16>) -> Result<(), ServeError> {
     let level = match std::env::var("BITTERNSILL_LOG").as_deref() {
         Ok("debug") => Level::Debug,
@@ -226,5 +272,10 @@
 pub fn check(settings: Option<PathBuf>) -> Result<String, SettingsError> {
     let path = settings_path(settings)?;
     let settings = Settings::read(&path)?;
-    Ok(format!("{} is sound: node {} in zone {}", path.display(), settings.node_name, settings.zone))
+    Ok(format!(
+        "{} is sound: node {} in zone {}",
+        path.display(),
+        settings.node_name,
+        settings.zone
+    ))
 }
--- a/router/src/control_api.rs
+++ b/router/src/control_api.rs
@@ -82,20 +82,32 @@
                 self.put_version(body).await
             }
             (Method::GET, ["v1", "status"]) => self.status(),
-            _ => problem(StatusCode::NOT_FOUND, "there is no such call; the operators' page lists them"),
+            _ => problem(
+                StatusCode::NOT_FOUND,
+                "there is no such call; the operators' page lists them",
+            ),
         }
     }
 
     async fn heartbeat(&self, id: &str, body: Option<Bytes>) -> Response {
-        let Some(body) = body else { return incomplete() };
+        let Some(body) = body else {
+            return incomplete();
+        };
         let json = &mut serde_json::Deserializer::from_slice(&body);
         let heartbeat: Heartbeat = match serde_path_to_error::deserialize(json) {
             Ok(heartbeat) => heartbeat,
             Err(found) => {
-                return problem(StatusCode::BAD_REQUEST, &format!("{}: {}", found.path(), found.inner()));
+                return problem(
+                    StatusCode::BAD_REQUEST,
+                    &format!("{}: {}", found.path(), found.inner()),
+                );
             }
         };
-        let phase = if heartbeat.state == "ready" { BackendPhase::Ready } else { BackendPhase::Draining };
+        let phase = if heartbeat.state == "ready" {
+            BackendPhase::Ready
+        } else {
+            BackendPhase::Draining
+        };
         let backend = Backend {
             service: heartbeat.service,
             address: heartbeat.address,
@@ -105,12 +117,17 @@
             sequence: heartbeat.sequence,
             silent: false,
             owner: CompactString::default(),
-            models: heartbeat.models.into_iter().map(|model| (model.name, model.version)).collect(),
+            models: heartbeat
+                .models
+                .into_iter()
+                .map(|model| (model.name, model.version))
+                .collect(),
         };
         match self.fleet.register(id.into(), backend).await {
-            Some(Some(address)) => {
-                json_answer(StatusCode::OK, serde_json::json!({"heartbeatAddress": address.to_string()}))
-            }
+            Some(Some(address)) => json_answer(
+                StatusCode::OK,
+                serde_json::json!({"heartbeatAddress": address.to_string()}),
+            ),
             Some(None) => json_answer(StatusCode::OK, serde_json::json!({})),
             None => unavailable(),
         }
@@ -133,7 +150,11 @@
                 models: Vec::new(),
             },
         };
-        let gone = Backend { phase: BackendPhase::Gone, sequence: u64::MAX, ..held };
+        let gone = Backend {
+            phase: BackendPhase::Gone,
+            sequence: u64::MAX,
+            ..held
+        };
         match self.fleet.register(id.into(), gone).await {
             Some(_) => json_answer(StatusCode::OK, serde_json::json!({})),
             None => unavailable(),
@@ -141,20 +162,34 @@
     }
 
     async fn replace_configuration(&self, base: Option<u64>, body: Option<Bytes>) -> Response {
-        let Some(body) = body else { return incomplete() };
+        let Some(body) = body else {
+            return incomplete();
+        };
         let Some(base) = base else {
             return problem(
                 StatusCode::BAD_REQUEST,
                 "X-Base-Version is missing or no whole number: name the version in force",
             );
         };
-        self.change(Change::Configuration { base, body: body[..].into() }).await
+        self.change(Change::Configuration {
+            base,
+            body: body[..].into(),
+        })
+        .await
     }
 
     async fn put_version(&self, body: Option<Bytes>) -> Response {
-        let Some(body) = body else { return incomplete() };
+        let Some(body) = body else {
+            return incomplete();
+        };
         match serde_json::from_slice::<VersionPut>(&body) {
-            Ok(put) => self.change(Change::Weights { model: put.model, version: put.version }).await,
+            Ok(put) => {
+                self.change(Change::Weights {
+                    model: put.model,
+                    version: put.version,
+                })
+                .await
+            }
             Err(found) => problem(StatusCode::BAD_REQUEST, &found.to_string()),
         }
     }
@@ -173,8 +208,13 @@
 
     async fn read_configuration(&self) -> Response {
         match self.fleet.read_configuration(MOST_HOPS).await {
-            Some(Some(body)) => Response::builder().content_type("application/json").body(body),
-            Some(None) => problem(StatusCode::NOT_FOUND, "there is no configuration yet: send the first one"),
+            Some(Some(body)) => Response::builder()
+                .content_type("application/json")
+                .body(body),
+            Some(None) => problem(
+                StatusCode::NOT_FOUND,
+                "there is no configuration yet: send the first one",
+            ),
             None => unavailable(),
         }
     }
@@ -197,7 +237,13 @@
 }
 
 fn base_version(headers: &HeaderMap) -> Option<u64> {
-    headers.get(BASE_VERSION)?.to_str().ok()?.trim().parse().ok()
+    headers
+        .get(BASE_VERSION)?
+        .to_str()
+        .ok()?
+        .trim()
+        .parse()
+        .ok()
 }
 
 fn json_answer(status: StatusCode, value: serde_json::Value) -> Response {
@@ -212,7 +258,10 @@
 }
 
 fn incomplete() -> Response {
-    problem(StatusCode::BAD_REQUEST, "the body did not come whole, or is too long: send it again")
+    problem(
+        StatusCode::BAD_REQUEST,
+        "the body did not come whole, or is too long: send it again",
+    )
 }
 
 fn unavailable() -> Response {
@@ -220,6 +269,9 @@
         StatusCode::SERVICE_UNAVAILABLE,
         "no majority of the control state can be reached from here: ask again, or ask another node",
     );
-    response.headers_mut().insert("retry-after", poem::http::HeaderValue::from_static(RETRY_AFTER));
+    response.headers_mut().insert(
+        "retry-after",
+        poem::http::HeaderValue::from_static(RETRY_AFTER),
+    );
     response
 }
--- a/router/src/disk/mod.rs
+++ b/router/src/disk/mod.rs
@@ -1,7 +1,7 @@
 //! The control state's records on disk: a log in segments with a snapshot beside it.
 //!
-//! A snapshot with its number is written and synced under another name before it is renamed; the segment of the same number
-//! follows on it. Whatever has a lower number is void from then on.
+//! A snapshot with its number is written and synced under another name before it is renamed; the
+//! segment of the same number follows on it. Whatever has a lower number is void from then on.
 
 mod reader;
 mod writer;
@@ -88,6 +88,9 @@
 
 /// What a new disk begins with.
 pub fn empty(disk: u64) -> Recovered {
-    let record = Record::Disk { format: FORMAT, disk };
+    let record = Record::Disk {
+        format: FORMAT,
+        disk,
+    };
     Recovered::replay([record]).unwrap_or_default()
 }
--- a/router/src/disk/reader.rs
+++ b/router/src/disk/reader.rs
@@ -1,15 +1,20 @@
 //! Reading a data directory.
 
-use super::{DAMAGED_FOLDER, DiskError, FLEET_FILE, Known, io_error, list, segment_path, snapshot_path};
+use super::{
+    DAMAGED_FOLDER, DiskError, FLEET_FILE, Known, io_error, list, segment_path, snapshot_path,
+};
 use control::storage::{Damage, Record, Recovered, decode, decode_snapshot};
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What was known of the fleet when the process ended; nothing where that was not kept or is not sound.
+/// What was known of the fleet when the process ended; nothing where that was not kept or is not
+/// sound.
 pub fn read_fleet(folder: &Path) -> Known {
     let bytes = fs::read(folder.join(FLEET_FILE)).unwrap_or_default();
-    let Some((checksum, body)) = bytes.split_first_chunk::<4>() else { return Known::default() };
+    let Some((checksum, body)) = bytes.split_first_chunk::<4>() else {
+        return Known::default();
+    };
     if crc32fast::hash(body) != u32::from_be_bytes(*checksum) {
         return Known::default();
     }
@@ -26,14 +31,19 @@
         records.extend(decode_snapshot(&read_file(&path)?).map_err(damaged(&path))?);
     }
     let segments = files.segments.iter().filter(|number| **number >= first);
-    records.extend(read_segments(segments.map(|number| segment_path(folder, *number)))?);
+    records.extend(read_segments(
+        segments.map(|number| segment_path(folder, *number)),
+    )?);
     if records.is_empty() {
         return Ok(None);
     }
-    Recovered::replay(records).map(Some).map_err(damaged(folder))
+    Recovered::replay(records)
+        .map(Some)
+        .map_err(damaged(folder))
 }
 
-/// The records of segments one after the other. A write that a loss of power cut off ends them: what follows is empty.
+/// The records of segments one after the other. A write that a loss of power cut off ends them:
+/// what follows is empty.
 fn read_segments(paths: impl Iterator<Item = PathBuf>) -> Result<Vec<Record>, DiskError> {
     let mut records = Vec::new();
     let mut cut_off: Option<(PathBuf, usize)> = None;
@@ -60,7 +70,8 @@
     move |damage| DiskError::Damaged { path, damage }
 }
 
-/// What a data directory holds. One whose records are damaged is set aside, and the node rejoins as one that lost its disk.
+/// What a data directory holds. One whose records are damaged is set aside, and the node rejoins as
+/// one that lost its disk.
 pub fn read_or_set_aside(folder: &Path) -> Result<Option<Recovered>, DiskError> {
     match read(folder) {
         Err(DiskError::Damaged { path, damage }) => {
@@ -80,8 +91,14 @@
         fs::remove_dir_all(&aside)?;
     }
     fs::create_dir(&aside)?;
-    let snapshots = files.snapshots.iter().map(|number| snapshot_path(folder, *number));
-    let segments = files.segments.iter().map(|number| segment_path(folder, *number));
+    let snapshots = files
+        .snapshots
+        .iter()
+        .map(|number| snapshot_path(folder, *number));
+    let segments = files
+        .segments
+        .iter()
+        .map(|number| segment_path(folder, *number));
     for path in snapshots.chain(segments) {
         if let Some(name) = path.file_name() {
             fs::rename(&path, aside.join(name))?;
--- a/router/src/disk/writer.rs
+++ b/router/src/disk/writer.rs
@@ -1,6 +1,8 @@
 //! The thread that writes a data directory.
 
-use super::{DAMAGED_FOLDER, DiskError, FLEET_FILE, Known, io_error, list, segment_path, snapshot_path};
+use super::{
+    DAMAGED_FOLDER, DiskError, FLEET_FILE, Known, io_error, list, segment_path, snapshot_path,
+};
 use control::storage::{Record, Recovered, encode};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
@@ -39,12 +41,29 @@
     /// Opens a folder for writing, beginning with a snapshot of what it holds.
     pub fn open(folder: &Path, recovered: &Recovered, done: Done) -> Result<Self, DiskError> {
         let files = list(folder).map_err(io_error(folder))?;
-        let newest = files.snapshots.iter().chain(&files.segments).max().copied().unwrap_or(0);
+        let newest = files
+            .snapshots
+            .iter()
+            .chain(&files.segments)
+            .max()
+            .copied()
+            .unwrap_or(0);
         let (jobs, queue) = mpsc::channel();
-        let writer = Writer { folder: folder.to_owned(), number: newest, segment: None, length: 0, done };
-        let spawned = thread::Builder::new().name("disk".into()).spawn(move || writer.run(&queue));
+        let writer = Writer {
+            folder: folder.to_owned(),
+            number: newest,
+            segment: None,
+            length: 0,
+            done,
+        };
+        let spawned = thread::Builder::new()
+            .name("disk".into())
+            .spawn(move || writer.run(&queue));
         spawned.map_err(io_error(folder))?;
-        let disk = Disk { jobs, since_snapshot: 0 };
+        let disk = Disk {
+            jobs,
+            since_snapshot: 0,
+        };
         disk.compact(recovered);
         Ok(disk)
     }
@@ -78,7 +97,10 @@
 
     fn compact(&self, recovered: &Recovered) {
         let mut bytes = Vec::new();
-        recovered.records().iter().for_each(|record| encode(record, &mut bytes));
+        recovered
+            .records()
+            .iter()
+            .for_each(|record| encode(record, &mut bytes));
         let _ = self.jobs.send(Job::Compact { bytes });
     }
 }
@@ -165,7 +187,8 @@
         Ok(())
     }
 
-    /// Writes a snapshot beside the old files, opens a new segment, and only then removes what both replace.
+    /// Writes a snapshot beside the old files, opens a new segment, and only then removes what both
+    /// replace.
     fn compact(&mut self, bytes: &[u8]) -> io::Result<()> {
         let number = self.number + 1;
         let beside = self.folder.join("snapshot.new");
@@ -188,10 +211,20 @@
 
     /// Old files that stay are no harm: the newest snapshot counts.
     fn remove_older(&self) {
-        let Ok(files) = list(&self.folder) else { return };
+        let Ok(files) = list(&self.folder) else {
+            return;
+        };
         let older = |number: &&u64| **number < self.number;
-        let snapshots = files.snapshots.iter().filter(older).map(|at| snapshot_path(&self.folder, *at));
-        let segments = files.segments.iter().filter(older).map(|at| segment_path(&self.folder, *at));
+        let snapshots = files
+            .snapshots
+            .iter()
+            .filter(older)
+            .map(|at| snapshot_path(&self.folder, *at));
+        let segments = files
+            .segments
+            .iter()
+            .filter(older)
+            .map(|at| segment_path(&self.folder, *at));
         for path in snapshots.chain(segments) {
             if let Err(problem) = fs::remove_file(&path) {
                 log::debug!("{}: {problem}", path.display());
--- a/router/src/fleet/faults.rs
+++ b/router/src/fleet/faults.rs
@@ -1,4 +1,5 @@
-//! Evidence against backends: told to the node with a replica that judges them, and published by it.
+//! Evidence against backends: told to the node with a replica that judges them, and published by
+//! it.
 
 use super::Fleet;
 use super::registration::place;
@@ -16,7 +17,10 @@
         let mut by_judge: BTreeMap<SocketAddrV4, Vec<(CompactString, u32)>> = BTreeMap::new();
         for (backend, count) in faults {
             if let Some(judge) = self.judge_of(backend) {
-                by_judge.entry(judge).or_default().push((backend.clone(), *count));
+                by_judge
+                    .entry(judge)
+                    .or_default()
+                    .push((backend.clone(), *count));
             }
         }
         let reporter = &self.settings.node_name;
@@ -24,7 +28,13 @@
             if judge == self.settings.internal_address() {
                 self.take_faults(reporter, &faults);
             } else {
-                self.links.tell(judge, Request::Faults { reporter: reporter.clone(), faults });
+                self.links.tell(
+                    judge,
+                    Request::Faults {
+                        reporter: reporter.clone(),
+                        faults,
+                    },
+                );
             }
         }
     }
@@ -35,7 +45,9 @@
         let judges = directory
             .members()
             .filter(|(_, member)| member.replica.is_some() && member.status == MemberStatus::Up);
-        judges.max_by_key(|(name, _)| place(backend, name)).map(|(_, member)| member.internal)
+        judges
+            .max_by_key(|(name, _)| place(backend, name))
+            .map(|(_, member)| member.internal)
     }
 
     /// Takes faults that a router saw, and publishes which backends are suspected from now on.
@@ -53,7 +65,12 @@
     fn suspect(&self, backend: &CompactString, lasts_ms: u64) {
         let held = lock(&self.directory).suspicion(backend);
         let number = held.map_or(1, |held| held.number + 1);
-        log::info!("backend {backend} is suspected for {lasts_ms} ms: several routers saw it fail requests");
-        self.put(Key::Suspicion(backend.clone()), Value::Suspicion(Suspicion { number, lasts_ms }));
+        log::info!(
+            "backend {backend} is suspected for {lasts_ms} ms: several routers saw it fail requests"
+        );
+        self.put(
+            Key::Suspicion(backend.clone()),
+            Value::Suspicion(Suspicion { number, lasts_ms }),
+        );
     }
 }
--- a/router/src/fleet/members.rs
+++ b/router/src/fleet/members.rs
@@ -18,12 +18,13 @@
 
     pub(super) fn missing_members(&self, directory: &Directory) -> Vec<(CompactString, u64)> {
         let silent = lock(&self.monitored).silent_for(MEMBER_PATIENCE);
-        let is_up = |(name, incarnation): &MonitoredLife| match directory.get(&Key::Member(name.clone())) {
-            Some(Value::Member(member)) => {
-                member.status == MemberStatus::Up && member.incarnation == *incarnation
-            }
-            _ => false,
-        };
+        let is_up =
+            |(name, incarnation): &MonitoredLife| match directory.get(&Key::Member(name.clone())) {
+                Some(Value::Member(member)) => {
+                    member.status == MemberStatus::Up && member.incarnation == *incarnation
+                }
+                _ => false,
+            };
         silent.into_iter().filter(is_up).collect()
     }
 
@@ -61,7 +62,13 @@
         };
         if held.incarnation == incarnation && held.status == MemberStatus::Up {
             log::info!("member {name} is down: a monitor misses its heartbeats");
-            self.put(key, Value::Member(Member { status: MemberStatus::Down, ..held }));
+            self.put(
+                key,
+                Value::Member(Member {
+                    status: MemberStatus::Down,
+                    ..held
+                }),
+            );
         }
     }
 }
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! What a router knows of its fleet, and how it gets to know it: pulls by version vectors, and member heartbeats.
+//! What a router knows of its fleet, and how it gets to know it: pulls by version vectors, and
+//! member heartbeats.
 
 mod faults;
 mod members;
@@ -38,7 +39,8 @@
 
 /// How long one try to reach a node with a replica may take.
 const FORWARD_PATIENCE: Duration = Duration::from_millis(900);
-/// A monitored member with its incarnation: after it was taken for down and came back, its silence is counted anew.
+/// A monitored member with its incarnation: after it was taken for down and came back, its silence
+/// is counted anew.
 pub type MonitoredLife = (CompactString, u64);
 
 /// The shared state of a router.
@@ -68,7 +70,8 @@
     /// Members whose heartbeats this node receives.
     pub monitored: Mutex<Silence<MonitoredLife>>,
     heard_backends: Mutex<Silence<CompactString>>,
-    /// The highest number of a heartbeat that was heard of each backend, also of those that said nothing new.
+    /// The highest number of a heartbeat that was heard of each backend, also of those that said
+    /// nothing new.
     heartbeat_numbers: Mutex<BTreeMap<CompactString, u64>>,
     leader: Mutex<Option<(Epoch, ReplicaId)>>,
     /// When the control state, as pulled from others, was last known to be the newest.
@@ -109,7 +112,10 @@
             settings,
         };
         let fleet = Arc::new(fleet);
-        fleet.put(Key::Member(fleet.settings.node_name.clone()), Value::Member(fleet.own_member(1)));
+        fleet.put(
+            Key::Member(fleet.settings.node_name.clone()),
+            Value::Member(fleet.own_member(1)),
+        );
         fleet
     }
 
@@ -128,7 +134,8 @@
         *self.news.borrow()
     }
 
-    /// Takes what was known when this node's former process ended. Heartbeats that come since are newer.
+    /// Takes what was known when this node's former process ended. Heartbeats that come since are
+    /// newer.
     pub fn restore(&self, known: Known) {
         self.restore_named_weights(known.named_weights);
         for (key, value) in known.records {
@@ -151,7 +158,11 @@
             replica: self.replica.as_ref().map(|replica| replica.id.clone()),
             life: self.life,
             incarnation,
-            status: if self.leaving.load(Ordering::Relaxed) { MemberStatus::Left } else { MemberStatus::Up },
+            status: if self.leaving.load(Ordering::Relaxed) {
+                MemberStatus::Left
+            } else {
+                MemberStatus::Up
+            },
         }
     }
 
@@ -183,7 +194,8 @@
     /// Takes news of who is primary.
     pub fn hear_of_leader(&self, leader: Option<(Epoch, ReplicaId)>) {
         let mut known = lock(&self.leader);
-        let newer = |(epoch, _): &(Epoch, ReplicaId)| known.as_ref().is_none_or(|known| *epoch > known.0);
+        let newer =
+            |(epoch, _): &(Epoch, ReplicaId)| known.as_ref().is_none_or(|known| *epoch > known.0);
         if let Some(leader) = leader.filter(newer) {
             *known = Some(leader);
             drop(known);
@@ -191,16 +203,25 @@
         }
     }
 
-    /// Members that hold replicas and are not known to have left, with whether they are thought to be up.
+    /// Members that hold replicas and are not known to have left, with whether they are thought to
+    /// be up.
     pub fn replica_members(&self) -> Vec<(CompactString, Member)> {
         let directory = lock(&self.directory);
-        let members = directory.members().filter(|(_, member)| member.replica.is_some());
-        members.map(|(name, member)| (name.clone(), member.clone())).collect()
+        let members = directory
+            .members()
+            .filter(|(_, member)| member.replica.is_some());
+        members
+            .map(|(name, member)| (name.clone(), member.clone()))
+            .collect()
     }
 
     /// How many members take traffic, this one included.
     pub fn members_up(&self) -> usize {
         let directory = lock(&self.directory);
-        directory.members().filter(|(_, member)| member.status == MemberStatus::Up).count().max(1)
+        directory
+            .members()
+            .filter(|(_, member)| member.status == MemberStatus::Up)
+            .count()
+            .max(1)
     }
 }
--- a/router/src/fleet/named_weights.rs
+++ b/router/src/fleet/named_weights.rs
@@ -11,12 +11,13 @@
 use routing::version_floor::NamedVersion;
 use std::collections::BTreeMap;
 
-/// So long before new weights must be everywhere no request is sent to backends without them any more: it may wait there before it
-/// starts.
+/// So long before new weights must be everywhere no request is sent to backends without them any
+/// more: it may wait there before it starts.
 const SEND_MARGIN: Millis = 1_300;
 /// So long before that what waits at such a backend is withdrawn.
 const START_MARGIN: Millis = 300;
-/// An answer that was on its way for longer says less of when a version was named than what is known here.
+/// An answer that was on its way for longer says less of when a version was named than what is
+/// known here.
 const PROMPT_ANSWER: Millis = 500;
 
 /// When an answer of another router was sent, as far as can be told here.
@@ -49,16 +50,25 @@
         let named = self.named_weights();
         let mut oldest: BTreeMap<CompactString, UnfinishedVersion> = BTreeMap::new();
         let directory = lock(&self.directory);
-        let ready = directory.backends().filter(|(_, backend)| backend.phase == BackendPhase::Ready);
+        let ready = directory
+            .backends()
+            .filter(|(_, backend)| backend.phase == BackendPhase::Ready);
         let held: Vec<(&CompactString, u64)> = ready
-            .flat_map(|(_, backend)| backend.models.iter().map(|(model, version)| (model, *version)))
+            .flat_map(|(_, backend)| {
+                backend
+                    .models
+                    .iter()
+                    .map(|(model, version)| (model, *version))
+            })
             .collect();
         for named in named {
             let lacks = |(model, version): &&(&CompactString, u64)| {
                 **model == named.model && *version < named.version
             };
             let lacking = held.iter().filter(lacks).count() as u64;
-            let is_older = oldest.get(&named.model).is_none_or(|known| named.version < known.named.version);
+            let is_older = oldest
+                .get(&named.model)
+                .is_none_or(|known| named.version < known.named.version);
             if lacking > 0 && is_older {
                 oldest.insert(named.model.clone(), UnfinishedVersion { named, lacking });
             }
@@ -92,7 +102,12 @@
     pub(super) fn restore_named_weights(&self, named: Vec<NamedVersion>) {
         let now = clock::now();
         let mut floors = lock(&self.version_floors);
-        for NamedVersion { model, version, age_ms } in named {
+        for NamedVersion {
+            model,
+            version,
+            age_ms,
+        } in named
+        {
             floors.hear(&model, version, now.saturating_sub(age_ms));
         }
     }
@@ -101,14 +116,20 @@
     pub(super) fn hear_of_named_weights(&self, named: Vec<NamedVersion>, sent: SentAt) {
         let mut floors = lock(&self.version_floors);
         let was_prompt = sent.latest.saturating_sub(sent.earliest) <= PROMPT_ANSWER;
-        for NamedVersion { model, version, age_ms } in named {
+        for NamedVersion {
+            model,
+            version,
+            age_ms,
+        } in named
+        {
             if was_prompt || !floors.knows(&model, version) {
                 floors.hear(&model, version, sent.earliest.saturating_sub(age_ms));
             }
         }
     }
 
-    /// Versions that are new here are taken to be named now, unless somebody tells that it was earlier.
+    /// Versions that are new here are taken to be named now, unless somebody tells that it was
+    /// earlier.
     pub(super) fn name_weights_now(&self, weights: &BTreeMap<CompactString, WeightsTarget>) {
         let now = clock::now();
         let mut floors = lock(&self.version_floors);
--- a/router/src/fleet/operators.rs
+++ b/router/src/fleet/operators.rs
@@ -17,7 +17,10 @@
         if hops == 0 {
             return Outcome::Unknown;
         }
-        let request = || Request::Submit { change: change.clone(), hops: hops - 1 };
+        let request = || Request::Submit {
+            change: change.clone(),
+            hops: hops - 1,
+        };
         for address in self.way_to_the_primary() {
             let patience = Duration::from_millis(self.settings.bounds.ack_timeout_ms.min(3_000));
             match self.links.ask(address, request(), patience).await {
@@ -57,7 +60,10 @@
     fn way_to_the_primary(&self) -> Vec<SocketAddrV4> {
         let own = self.settings.internal_address();
         let leader = self.leader().map(|(_, replica)| replica.address);
-        let others = self.nearest_replicas().into_iter().map(|(_, member)| member.internal);
+        let others = self
+            .nearest_replicas()
+            .into_iter()
+            .map(|(_, member)| member.internal);
         let mut way: Vec<SocketAddrV4> = Vec::new();
         for address in leader.into_iter().chain(others) {
             if address != own && !way.contains(&address) {
--- a/router/src/fleet/registration.rs
+++ b/router/src/fleet/registration.rs
@@ -11,25 +11,39 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long the end of a backend may take to reach a majority of the nodes that hold the control state.
+/// How long the end of a backend may take to reach a majority of the nodes that hold the control
+/// state.
 const DRAIN_SPREAD: Duration = Duration::from_millis(400);
 /// How long a heartbeat may take altogether; its sender goes elsewhere after a second.
 const REGISTRATION_PATIENCE: Duration = Duration::from_millis(900);
 
 impl Fleet {
-    /// Takes a backend's heartbeat or end, here or at a node with a replica. The value says whether it is
-    /// acknowledged, and where later heartbeats should go.
-    pub async fn register(&self, id: CompactString, backend: Backend) -> Option<Option<SocketAddrV4>> {
+    /// Takes a backend's heartbeat or end, here or at a node with a replica. The value says whether
+    /// it is acknowledged, and where later heartbeats should go.
+    pub async fn register(
+        &self,
+        id: CompactString,
+        backend: Backend,
+    ) -> Option<Option<SocketAddrV4>> {
         if self.replica.is_some() && !self.is_leaving() {
             return self.take_backend(id, backend).await;
         }
-        tokio::time::timeout(REGISTRATION_PATIENCE, self.pass_on(id, backend)).await.ok().flatten()
+        tokio::time::timeout(REGISTRATION_PATIENCE, self.pass_on(id, backend))
+            .await
+            .ok()
+            .flatten()
     }
 
     async fn pass_on(&self, id: CompactString, backend: Backend) -> Option<Option<SocketAddrV4>> {
         for member in self.replicas_for(&id) {
-            let request = Request::Register { id: id.clone(), backend: backend.clone() };
-            let asked = self.links.ask(member.internal, request, FORWARD_PATIENCE / 2).await;
+            let request = Request::Register {
+                id: id.clone(),
+                backend: backend.clone(),
+            };
+            let asked = self
+                .links
+                .ask(member.internal, request, FORWARD_PATIENCE / 2)
+                .await;
             if let Some(Response::Registered(address)) = asked {
                 return Some(address);
             }
@@ -40,14 +54,16 @@
     /// Nodes with replicas that are up: the leader's zone does not matter, this node's own does.
     pub fn nearest_replicas(&self) -> Vec<(CompactString, Member)> {
         let mut members = self.replica_members();
-        members
-            .retain(|(name, member)| member.status == MemberStatus::Up && *name != self.settings.node_name);
+        members.retain(|(name, member)| {
+            member.status == MemberStatus::Up && *name != self.settings.node_name
+        });
         members.sort_by_key(|(name, member)| (member.zone != self.settings.zone, name.clone()));
         members
     }
 
-    /// Takes a backend's heartbeat or end at a node with a replica. A heartbeat is acknowledged where it reaches the fleet; an
-    /// end only once a majority of the nodes that hold the control state know it, as the acknowledgement binds all routers.
+    /// Takes a backend's heartbeat or end at a node with a replica. A heartbeat is acknowledged
+    /// where it reaches the fleet; an end only once a majority of the nodes that hold the control
+    /// state know it, as the acknowledgement binds all routers.
     pub(super) async fn take_backend(
         &self,
         id: CompactString,
@@ -69,8 +85,12 @@
         if self.is_newest(&id, &backend) {
             self.put_backend(key.clone(), backend);
         }
-        // An end that a newer heartbeat has taken back is not acknowledged: that would bind all routers.
-        if leaves && !(self.takes_no_more_requests(&key) && self.reaches_majority(&key, DRAIN_SPREAD).await) {
+        // An end that a newer heartbeat has taken back is not acknowledged: that would bind all
+        // routers.
+        if leaves
+            && !(self.takes_no_more_requests(&key)
+                && self.reaches_majority(&key, DRAIN_SPREAD).await)
+        {
             return None;
         }
         Some(address)
@@ -92,17 +112,23 @@
         *newest == backend.sequence
     }
 
-    /// Writes a backend's record where it says something new. A heartbeat that only counts up is not passed on, unless it contradicts
-    /// an order that is said to be done: only its number tells others that it is newer than that.
+    /// Writes a backend's record where it says something new. A heartbeat that only counts up is
+    /// not passed on, unless it contradicts an order that is said to be done: only its number tells
+    /// others that it is newer than that.
     fn put_backend(&self, key: Key, mut backend: Backend) -> bool {
         let mut directory = lock(&self.directory);
         if let Some(Value::Backend(held)) = directory.get(&key) {
             if held.phase == BackendPhase::Gone || held.sequence > backend.sequence {
                 return false;
             }
-            let counts_up = Backend { sequence: held.sequence, ..backend.clone() };
+            let counts_up = Backend {
+                sequence: held.sequence,
+                ..backend.clone()
+            };
             let is_contradiction = match &key {
-                Key::Backend(id) => directory.order(id).is_some_and(|order| is_contradicted(&backend, order)),
+                Key::Backend(id) => directory
+                    .order(id)
+                    .is_some_and(|order| is_contradicted(&backend, order)),
                 _ => false,
             };
             if counts_up == *held && !is_contradiction {
@@ -110,7 +136,10 @@
             }
             // A deregistration carries nothing but the id.
             if backend.phase == BackendPhase::Gone {
-                backend = Backend { phase: BackendPhase::Gone, ..held.clone() };
+                backend = Backend {
+                    phase: BackendPhase::Gone,
+                    ..held.clone()
+                };
             }
         }
         let changed = directory.put(key, Value::Backend(backend));
@@ -121,27 +150,33 @@
         changed
     }
 
-    /// Where a backend should send its heartbeats: to a node with a replica in its zone. Backends are spread over these.
+    /// Where a backend should send its heartbeats: to a node with a replica in its zone. Backends
+    /// are spread over these.
     fn address_for(&self, id: &str, zone: &str) -> Option<SocketAddrV4> {
         let members = self.replica_members();
-        let near = members.iter().filter(|(_, m)| m.zone == zone && m.status == MemberStatus::Up);
+        let near = members
+            .iter()
+            .filter(|(_, m)| m.zone == zone && m.status == MemberStatus::Up);
         let near = near.max_by_key(|(name, _)| place(id, name));
         let near = near.and_then(|(_, member)| member.control);
         near.or(self.settings.listen.control_plane)
     }
 
-    /// Nodes with replicas that may take a backend's heartbeat, those of this node's zone first, in an order that differs by
-    /// backend.
+    /// Nodes with replicas that may take a backend's heartbeat, those of this node's zone first, in
+    /// an order that differs by backend.
     fn replicas_for(&self, id: &str) -> Vec<Member> {
         let mut members = self.nearest_replicas();
         members.sort_by_key(|(name, member)| {
-            (member.zone != self.settings.zone, std::cmp::Reverse(place(id, name)))
+            (
+                member.zone != self.settings.zone,
+                std::cmp::Reverse(place(id, name)),
+            )
         });
         members.into_iter().map(|(_, member)| member).collect()
     }
 
-    /// Marks backends as silent whose heartbeats have stopped coming here. A node that is cut off can't tell: they go to other
-    /// nodes, and it does not learn which of these are there.
+    /// Marks backends as silent whose heartbeats have stopped coming here. A node that is cut off
+    /// can't tell: they go to other nodes, and it does not learn which of these are there.
     pub fn watch_backends(&self, now: Millis) {
         if !self.takes_registrations() {
             return;
@@ -182,7 +217,11 @@
         let heard = |backend: &Backend| {
             backend.silent || backend.phase == BackendPhase::Gone || is_up(&backend.owner)
         };
-        directory.backends().filter(|(_, backend)| !heard(backend)).map(|(id, _)| id.clone()).collect()
+        directory
+            .backends()
+            .filter(|(_, backend)| !heard(backend))
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
     fn mark_silent(&self, id: CompactString) {
@@ -196,7 +235,13 @@
             && matches!(lock(&self.directory).get(&owner), Some(Value::Member(m)) if m.status == MemberStatus::Up);
         if !held.silent && held.phase != BackendPhase::Gone && !other_hears {
             log::info!("backend {id} is silent");
-            self.put(key, Value::Backend(Backend { silent: true, ..held }));
+            self.put(
+                key,
+                Value::Backend(Backend {
+                    silent: true,
+                    ..held
+                }),
+            );
         }
     }
 }
--- a/router/src/fleet/service.rs
+++ b/router/src/fleet/service.rs
@@ -12,7 +12,10 @@
 use std::sync::Arc;
 
 impl Service for Fleet {
-    fn answer(self: Arc<Self>, request: Request) -> Pin<Box<dyn Future<Output = Option<Answer>> + Send>> {
+    fn answer(
+        self: Arc<Self>,
+        request: Request,
+    ) -> Pin<Box<dyn Future<Output = Option<Answer>> + Send>> {
         Box::pin(async move {
             let response = match request {
                 Request::Replica(envelope) => {
@@ -22,12 +25,12 @@
                     None
                 }
                 Request::Pull(request) => return Some(self.answer_pull(request).await),
-                Request::Submit { change, hops } => {
-                    Some(Response::Outcome(self.submit(change, hops.min(MOST_HOPS)).await))
-                }
-                Request::ReadConfiguration { hops } => {
-                    Some(Response::Configuration(self.read_configuration(hops.min(MOST_HOPS)).await))
-                }
+                Request::Submit { change, hops } => Some(Response::Outcome(
+                    self.submit(change, hops.min(MOST_HOPS)).await,
+                )),
+                Request::ReadConfiguration { hops } => Some(Response::Configuration(
+                    self.read_configuration(hops.min(MOST_HOPS)).await,
+                )),
                 Request::Register { id, backend } => {
                     let taken = if self.replica.is_none() || self.is_leaving() {
                         None
@@ -40,10 +43,18 @@
                     let digests = Digests::new(lock(&self.directory).hashes());
                     Some(Response::Summary(digests.summary(range)))
                 }
-                Request::StoreStatus { store } => Some(Response::StoreStatus(self.stores.status(store))),
-                Request::Locate { key, planned, wants_save } => {
-                    Some(Response::Located(self.locate(&Question { key, planned, wants_save })))
+                Request::StoreStatus { store } => {
+                    Some(Response::StoreStatus(self.stores.status(store)))
                 }
+                Request::Locate {
+                    key,
+                    planned,
+                    wants_save,
+                } => Some(Response::Located(self.locate(&Question {
+                    key,
+                    planned,
+                    wants_save,
+                }))),
                 Request::Placed { key, placement } => {
                     lock(&self.locations).placed(key, &placement, clock::now());
                     None
--- a/router/src/frame.rs
+++ b/router/src/frame.rs
@@ -1,7 +1,8 @@
-//! Frames on a connection between routers: a length, and a `postcard` message. Long messages are compressed, as many routers
-//! may ask for everything at once and their links are slow.
+//! Frames on a connection between routers: a length, and a `postcard` message. Long messages are
+//! compressed, as many routers may ask for everything at once and their links are slow.
 //!
-//! The length is a big-endian `u32` whose highest bit says that the bytes are compressed (LZ4 block with its size before it).
+//! The length is a big-endian `u32` whose highest bit says that the bytes are compressed (LZ4 block
+//! with its size before it).
 
 use crate::protocol::{Frame, LONGEST};
 use crate::traffic::{MessageKind, Traffic};
@@ -45,7 +46,11 @@
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, FrameError> {
     let message = postcard::to_stdvec(frame)?;
     let is_compressed = message.len() >= LEAST_COMPRESSED;
-    let body = if is_compressed { lz4_flex::block::compress_prepend_size(&message) } else { message };
+    let body = if is_compressed {
+        lz4_flex::block::compress_prepend_size(&message)
+    } else {
+        message
+    };
     if body.len() > LONGEST {
         return Err(FrameError::TooLong { length: body.len() });
     }
@@ -61,7 +66,9 @@
     if !is_compressed {
         return Ok(postcard::from_bytes(body)?);
     }
-    let told = body.first_chunk::<SIZE_BYTES>().map_or(0, |size| u32::from_le_bytes(*size) as usize);
+    let told = body
+        .first_chunk::<SIZE_BYTES>()
+        .map_or(0, |size| u32::from_le_bytes(*size) as usize);
     if told > LONGEST {
         return Err(FrameError::TooLong { length: told });
     }
@@ -82,7 +89,10 @@
 }
 
 /// Reads a frame.
-pub async fn read_frame(reader: &mut (impl AsyncRead + Unpin), traffic: &Traffic) -> io::Result<Frame> {
+pub async fn read_frame(
+    reader: &mut (impl AsyncRead + Unpin),
+    traffic: &Traffic,
+) -> io::Result<Frame> {
     let told = reader.read_u32().await?;
     let length = (told & !COMPRESSED) as usize;
     if length > LONGEST {
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,5 +1,6 @@
-//! A router of the fleet: it takes requests of clients and sends them to backends, keeps the fleet's control state
-//! together with the other routers, and takes the calls of operators and backends.
+//! A router of the fleet: it takes requests of clients and sends them to backends, keeps the
+//! fleet's control state together with the other routers, and takes the calls of operators and
+//! backends.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/router/src/links.rs
+++ b/router/src/links.rs
@@ -1,4 +1,5 @@
-//! Connections between routers: length-prefixed postcard frames over TCP, requests with answers and without.
+//! Connections between routers: length-prefixed postcard frames over TCP, requests with answers and
+//! without.
 
 use crate::frame::{read_frame, write_frame};
 use crate::protocol::{Frame, Request, Response};
@@ -16,8 +17,8 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::timeout;
 
-/// How long a connection may take to come up. Short, as a peer that is just starting loses the first packet, and the system
-/// sends that again only after a second.
+/// How long a connection may take to come up. Short, as a peer that is just starting loses the
+/// first packet, and the system sends that again only after a second.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(250);
 /// Unacknowledged bytes break a connection after this.
 pub const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -67,8 +68,16 @@
             return link.clone();
         }
         let (frames, queue) = mpsc::channel(QUEUE);
-        let link = Link { frames, pending: Pending::default() };
-        tokio::spawn(run_link(address, queue, link.pending.clone(), self.traffic.clone()));
+        let link = Link {
+            frames,
+            pending: Pending::default(),
+        };
+        tokio::spawn(run_link(
+            address,
+            queue,
+            link.pending.clone(),
+            self.traffic.clone(),
+        ));
         links.insert(address, link.clone());
         link
     }
@@ -76,11 +85,19 @@
     /// Sends a request that has no answer; dropped where the connection can't take it.
     pub fn tell(&self, address: SocketAddrV4, request: Request) {
         // A link that has just ended is made anew by the next message.
-        let _ = self.link(address).frames.try_send(Frame::Request(0, request));
+        let _ = self
+            .link(address)
+            .frames
+            .try_send(Frame::Request(0, request));
     }
 
     /// Sends a request and waits for its answer; none where there is none in time.
-    pub async fn ask(&self, address: SocketAddrV4, request: Request, patience: Duration) -> Option<Response> {
+    pub async fn ask(
+        &self,
+        address: SocketAddrV4,
+        request: Request,
+        patience: Duration,
+    ) -> Option<Response> {
         let id = self.next.fetch_add(1, Ordering::Relaxed) | 1 << 31;
         let link = self.link(address);
         let (answer, answered) = oneshot::channel();
@@ -143,14 +160,20 @@
 
 impl From<Response> for Answer {
     fn from(response: Response) -> Self {
-        Answer { response, permit: None }
+        Answer {
+            response,
+            permit: None,
+        }
     }
 }
 
 /// Answers requests.
 pub trait Service: Send + Sync + 'static {
     /// Answers one request; none for requests that have no answer.
-    fn answer(self: Arc<Self>, request: Request) -> Pin<Box<dyn Future<Output = Option<Answer>> + Send>>;
+    fn answer(
+        self: Arc<Self>,
+        request: Request,
+    ) -> Pin<Box<dyn Future<Output = Option<Answer>> + Send>>;
 }
 
 /// Serves requests of other routers.
@@ -183,7 +206,9 @@
     };
     let read = async {
         loop {
-            let Frame::Request(id, request) = read_frame(&mut reader, &traffic).await? else { continue };
+            let Frame::Request(id, request) = read_frame(&mut reader, &traffic).await? else {
+                continue;
+            };
             if id == 0 {
                 service.clone().answer(request).await;
                 continue;
--- a/router/src/listener.rs
+++ b/router/src/listener.rs
@@ -1,8 +1,10 @@
-//! Taking connections of clients: whether the client is still there, and breaking a connection off in the middle of an answer.
+//! Taking connections of clients: whether the client is still there, and breaking a connection off
+//! in the middle of an answer.
 //!
-//! The server library polls a connection again after it has failed. A request of a client that has closed its connection would
-//! then go on, and a body that has failed would end as if it were whole. So a connection's own state says how it stands, and whoever
-//! works for a request asks that state.
+//! The server library polls a connection again after it has failed. A request of a client that has
+//! closed its connection would then go on, and a body that has failed would end as if it were
+//! whole. So a connection's own state says how it stands, and whoever works for a request asks that
+//! state.
 
 use crate::links::lock;
 use poem::listener::Acceptor;
@@ -48,7 +50,9 @@
     pub async fn ended(&self) {
         let mut state = self.0.subscribe();
         // The sender is held here, so the wait ends by the state alone.
-        let _ = state.wait_for(|state| *state != ConnectionState::Open).await;
+        let _ = state
+            .wait_for(|state| *state != ConnectionState::Open)
+            .await;
     }
 
     /// From now on nothing is read or written on it.
@@ -56,7 +60,8 @@
         self.enter(ConnectionState::BrokenOff);
     }
 
-    /// The one place where the state changes: an open connection ends once, by the client or by this router.
+    /// The one place where the state changes: an open connection ends once, by the client or by
+    /// this router.
     fn enter(&self, state: ConnectionState) {
         self.0.send_if_modified(|held| {
             let is_open = *held == ConnectionState::Open;
@@ -84,13 +89,19 @@
 impl ClientConnections {
     /// The connection from an address.
     pub fn of(&self, remote: Option<&SocketAddr>) -> ClientConnection {
-        remote.and_then(|remote| lock(&self.0).get(remote).cloned()).unwrap_or_default()
+        remote
+            .and_then(|remote| lock(&self.0).get(remote).cloned())
+            .unwrap_or_default()
     }
 
-    /// Forgets a connection that has ended, unless another one has come from the same address since.
+    /// Forgets a connection that has ended, unless another one has come from the same address
+    /// since.
     fn forget(&self, remote: &SocketAddr, connection: &ClientConnection) {
         let mut connections = lock(&self.0);
-        if connections.get(remote).is_some_and(|held| Arc::ptr_eq(&held.0, &connection.0)) {
+        if connections
+            .get(remote)
+            .is_some_and(|held| Arc::ptr_eq(&held.0, &connection.0))
+        {
             connections.remove(remote);
         }
     }
@@ -105,7 +116,10 @@
 impl ClientAcceptor {
     /// Takes connections from a listener.
     pub fn new(listener: TcpListener, connections: ClientConnections) -> Self {
-        ClientAcceptor { listener, connections }
+        ClientAcceptor {
+            listener,
+            connections,
+        }
     }
 }
 
@@ -113,17 +127,33 @@
     type Io = ClientStream;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
-        self.listener.local_addr().map(|address| LocalAddr(address.into())).into_iter().collect()
+        self.listener
+            .local_addr()
+            .map(|address| LocalAddr(address.into()))
+            .into_iter()
+            .collect()
     }
 
-    async fn accept(&mut self) -> io::Result<(Self::Io, LocalAddr, RemoteAddr, poem::http::uri::Scheme)> {
+    async fn accept(
+        &mut self,
+    ) -> io::Result<(Self::Io, LocalAddr, RemoteAddr, poem::http::uri::Scheme)> {
         let local = self.listener.local_addr()?;
         let (stream, remote) = self.listener.accept().await?;
         stream.set_nodelay(true)?;
         let connection = ClientConnection::default();
         lock(&self.connections.0).insert(remote, connection.clone());
-        let io = ClientStream { stream, connection, remote, connections: self.connections.clone() };
-        Ok((io, LocalAddr(local.into()), RemoteAddr(remote.into()), poem::http::uri::Scheme::HTTP))
+        let io = ClientStream {
+            stream,
+            connection,
+            remote,
+            connections: self.connections.clone(),
+        };
+        Ok((
+            io,
+            LocalAddr(local.into()),
+            RemoteAddr(remote.into()),
+            poem::http::uri::Scheme::HTTP,
+        ))
     }
 }
 
@@ -160,7 +190,8 @@
         let (before, room) = (buffer.filled().len(), buffer.remaining());
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         self.note_failure(&read);
-        let is_end = room > 0 && matches!(read, Poll::Ready(Ok(()))) && buffer.filled().len() == before;
+        let is_end =
+            room > 0 && matches!(read, Poll::Ready(Ok(()))) && buffer.filled().len() == before;
         if is_end {
             self.connection.enter(ConnectionState::ClientLeft);
         }
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -1,4 +1,5 @@
-//! The tasks that keep this node in touch with its fleet: heartbeats to monitors, the founding, and repair.
+//! The tasks that keep this node in touch with its fleet: heartbeats to monitors, the founding, and
+//! repair.
 
 use crate::clock;
 use crate::fleet::{Fleet, MonitoredLife};
@@ -64,8 +65,11 @@
 
 fn members_up(fleet: &Fleet) -> BTreeMap<CompactString, Member> {
     let directory = lock(&fleet.directory);
-    let up = directory.members().filter(|(_, member)| member.status == MemberStatus::Up);
-    up.map(|(name, member)| (name.clone(), member.clone())).collect()
+    let up = directory
+        .members()
+        .filter(|(_, member)| member.status == MemberStatus::Up);
+    up.map(|(name, member)| (name.clone(), member.clone()))
+        .collect()
 }
 
 async fn send_heartbeats(fleet: &Fleet, socket: &UdpSocket) {
@@ -75,8 +79,13 @@
     let name = fleet.settings.node_name.clone();
     let members = members_up(fleet);
     let names: BTreeSet<CompactString> = members.keys().cloned().collect();
-    let heartbeat = MemberHeartbeat { name: name.clone(), life: fleet.life };
-    let Ok(bytes) = postcard::to_stdvec(&heartbeat) else { return };
+    let heartbeat = MemberHeartbeat {
+        name: name.clone(),
+        life: fleet.life,
+    };
+    let Ok(bytes) = postcard::to_stdvec(&heartbeat) else {
+        return;
+    };
     for monitor in ring::successors(&names, &name, MONITORS) {
         if let Some(member) = members.get(&monitor) {
             // A lost heartbeat is followed by the next one.
@@ -85,7 +94,8 @@
     }
 }
 
-/// Counts the silence of the members that this node monitors; nodes with replicas write down what they miss.
+/// Counts the silence of the members that this node monitors; nodes with replicas write down what
+/// they miss.
 fn watch_members(fleet: &Fleet) {
     let members = members_up(fleet);
     let names: BTreeSet<CompactString> = members.keys().cloned().collect();
@@ -126,13 +136,15 @@
     }
 }
 
-/// A seed of a system that starts for the first time has the seeds decide the first view. The first seed does so at once, the
-/// others where it does not.
+/// A seed of a system that starts for the first time has the seeds decide the first view. The first
+/// seed does so at once, the others where it does not.
 pub async fn found(fleet: Arc<Fleet>) {
     let settings = &fleet.settings;
     let own = settings.listen.control_plane;
     let place = settings.seeds.iter().position(|seed| Some(*seed) == own);
-    let (Some(place), Some(replica), true) = (place, &fleet.replica, settings.bootstrap) else { return };
+    let (Some(place), Some(replica), true) = (place, &fleet.replica, settings.bootstrap) else {
+        return;
+    };
     let fewest = Timing::tolerating(settings.fault_tolerance.machines).fewest_witnesses();
     tokio::time::sleep(FOUNDER_TURN * place as u32).await;
     let begun = Instant::now();
@@ -144,7 +156,8 @@
             return;
         }
         let members = fleet.replica_members();
-        let replicas: BTreeSet<ReplicaId> = members.into_iter().filter_map(|(_, m)| m.replica).collect();
+        let replicas: BTreeSet<ReplicaId> =
+            members.into_iter().filter_map(|(_, m)| m.replica).collect();
         if replicas != known {
             (known, since) = (replicas, Instant::now());
         }
@@ -159,17 +172,28 @@
     }
 }
 
-/// The replicas at the addresses of the seeds. One that was not heard yet counts as well, under a name that nobody has, so
-/// that no two founders take different nodes for all.
+/// The replicas at the addresses of the seeds. One that was not heard yet counts as well, under a
+/// name that nobody has, so that no two founders take different nodes for all.
 fn electorate(fleet: &Fleet) -> BTreeSet<ReplicaId> {
     const UNHEARD: u64 = 0;
     let directory = lock(&fleet.directory);
-    let seeds = fleet.settings.seeds.iter().map(|seed| fleet.settings.internal_address_of(*seed));
+    let seeds = fleet
+        .settings
+        .seeds
+        .iter()
+        .map(|seed| fleet.settings.internal_address_of(*seed));
     let replica_at = |address: SocketAddrV4| {
-        let member = directory.members().map(|(_, member)| member).find(|member| member.internal == address);
+        let member = directory
+            .members()
+            .map(|(_, member)| member)
+            .find(|member| member.internal == address);
         match member {
             Some(member) => member.replica.clone(),
-            None => Some(ReplicaId { disk: UNHEARD, node: CompactString::default(), address }),
+            None => Some(ReplicaId {
+                disk: UNHEARD,
+                node: CompactString::default(),
+                address,
+            }),
         }
     };
     seeds.filter_map(replica_at).collect()
@@ -201,7 +225,9 @@
         tokio::time::sleep(PRUNE).await;
         let mut directory = lock(&fleet.directory);
         let ended = directory.ended();
-        ended.intersection(&before).for_each(|key| directory.forget(key));
+        ended
+            .intersection(&before)
+            .for_each(|key| directory.forget(key));
         before = directory.ended();
     }
 }
@@ -212,8 +238,13 @@
     let mut ranges = vec![Range::ALL];
     let mut differing = Vec::new();
     while let Some(range) = ranges.pop() {
-        let response = fleet.links.ask(other, Request::Compare { range }, PATIENCE).await;
-        let Some(Response::Summary(summary)) = response else { return None };
+        let response = fleet
+            .links
+            .ask(other, Request::Compare { range }, PATIENCE)
+            .await;
+        let Some(Response::Summary(summary)) = response else {
+            return None;
+        };
         let digests = Digests::new(lock(&fleet.directory).hashes());
         let (narrower, keys) = digests.compare(range, &summary);
         ranges.extend(narrower);
@@ -224,7 +255,10 @@
 
 async fn fetch(fleet: &Fleet, other: SocketAddrV4, keys: Vec<u64>) {
     const PATIENCE: Duration = Duration::from_millis(800);
-    let response = fleet.links.ask(other, Request::Fetch { keys }, PATIENCE).await;
+    let response = fleet
+        .links
+        .ask(other, Request::Fetch { keys }, PATIENCE)
+        .await;
     if let Some(Response::Records(records)) = response {
         let changed = lock(&fleet.directory).merge(records, &VersionVector::new());
         if !changed.is_empty() {
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Figures of a router for whoever watches it: counters of what it did, and how it stands, as lines of text.
+//! Figures of a router for whoever watches it: counters of what it did, and how it stands, as lines
+//! of text.
 
 use crate::fleet::Fleet;
 use crate::links::lock;
@@ -95,14 +96,22 @@
 impl MetricsPage {
     /// The page of a router; a node with a replica may give orders.
     pub fn new(fleet: Arc<Fleet>, table: Arc<Table>, orders: Option<Arc<Orders>>) -> Self {
-        MetricsPage { fleet, table, orders }
+        MetricsPage {
+            fleet,
+            table,
+            orders,
+        }
     }
 
     /// One line a figure: its name, labels if any, and its value.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (event, name) in Event::ALL {
-            line(&mut text, &format!("{name}_total"), self.fleet.counters.get(event));
+            line(
+                &mut text,
+                &format!("{name}_total"),
+                self.fleet.counters.get(event),
+            );
         }
         self.write_control(&mut text);
         self.write_weights(&mut text);
@@ -114,11 +123,22 @@
     fn write_control(&self, text: &mut String) {
         let fleet = &self.fleet;
         let published = lock(&fleet.published);
-        line(text, "configuration_version", published.version().unwrap_or(0));
+        line(
+            text,
+            "configuration_version",
+            published.version().unwrap_or(0),
+        );
         line(text, "control_change", published.position().index);
         drop(published);
-        line(text, "control_epoch", fleet.leader().map_or(0, |(epoch, _)| epoch));
-        let leads = fleet.replica.as_ref().is_some_and(crate::replica::ReplicaHandle::leads);
+        line(
+            text,
+            "control_epoch",
+            fleet.leader().map_or(0, |(epoch, _)| epoch),
+        );
+        let leads = fleet
+            .replica
+            .as_ref()
+            .is_some_and(crate::replica::ReplicaHandle::leads);
         line(text, "control_leads", u64::from(leads));
         if let Some(age) = fleet.age() {
             line(text, "control_age_ms", age);
@@ -128,11 +148,19 @@
 
     fn write_weights(&self, text: &mut String) {
         for (model, target) in lock(&self.fleet.published).weights() {
-            line(text, &format!("weights_named{{model=\"{model}\"}}"), target.version);
+            line(
+                text,
+                &format!("weights_named{{model=\"{model}\"}}"),
+                target.version,
+            );
         }
         for named in self.fleet.named_weights() {
             let labels = format!("model=\"{}\",version=\"{}\"", named.model, named.version);
-            line(text, &format!("weights_named_ms_ago{{{labels}}}"), named.age_ms);
+            line(
+                text,
+                &format!("weights_named_ms_ago{{{labels}}}"),
+                named.age_ms,
+            );
         }
         let mut backends: BTreeMap<(String, u64), u64> = BTreeMap::new();
         for backend in self.table.all() {
@@ -141,7 +169,11 @@
             }
         }
         for ((model, version), count) in backends {
-            line(text, &format!("backends_with_weights{{model=\"{model}\",version=\"{version}\"}}"), count);
+            line(
+                text,
+                &format!("backends_with_weights{{model=\"{model}\",version=\"{version}\"}}"),
+                count,
+            );
         }
     }
 
@@ -152,13 +184,21 @@
             line(text, "backends_refusing_fences", orders.refusing_backends());
         }
         for unfinished in self.fleet.unfinished_versions() {
-            let NamedVersion { model, version, age_ms } = unfinished.named;
+            let NamedVersion {
+                model,
+                version,
+                age_ms,
+            } = unfinished.named;
             let labels = format!("model=\"{model}\",version=\"{version}\"");
             line(text, &format!("weights_unfinished_ms{{{labels}}}"), age_ms);
         }
         for (cause, count) in self.fleet.lacking_by_cause() {
             let name = cause.name();
-            line(text, &format!("backends_lacking_weights{{cause=\"{name}\"}}"), count);
+            line(
+                text,
+                &format!("backends_lacking_weights{{cause=\"{name}\"}}"),
+                count,
+            );
         }
     }
 
@@ -169,10 +209,16 @@
             (BackendPhase::Draining, "draining"),
             (BackendPhase::Gone, "gone"),
         ] {
-            let count = directory.backends().filter(|(_, backend)| backend.phase == phase).count();
+            let count = directory
+                .backends()
+                .filter(|(_, backend)| backend.phase == phase)
+                .count();
             line(text, &format!("backends{{phase=\"{name}\"}}"), count as u64);
         }
-        let silent = directory.backends().filter(|(_, backend)| backend.silent).count();
+        let silent = directory
+            .backends()
+            .filter(|(_, backend)| backend.silent)
+            .count();
         line(text, "backends_silent", silent as u64);
     }
 }
@@ -186,6 +232,8 @@
     type Output = Response;
 
     async fn call(&self, _: Request) -> Result<Self::Output> {
-        Ok(Response::builder().content_type("text/plain; charset=utf-8").body(self.text()))
+        Ok(Response::builder()
+            .content_type("text/plain; charset=utf-8")
+            .body(self.text()))
     }
 }
--- a/router/src/protocol.rs
+++ b/router/src/protocol.rs
@@ -159,7 +159,8 @@
     pub state: Option<PublishedState>,
     /// The newest epoch and its primary.
     pub leader: Option<(Epoch, ReplicaId)>,
-    /// So many milliseconds ago the answerer's control state was last known to be the newest; none where it never was.
+    /// So many milliseconds ago the answerer's control state was last known to be the newest; none
+    /// where it never was.
     pub age_ms: Option<u64>,
     /// So many milliseconds the answer was held back for news.
     pub held_ms: u64,
--- a/router/src/proxy/answer.rs
+++ b/router/src/proxy/answer.rs
@@ -1,4 +1,5 @@
-//! Judging the answer of a backend: whether it is proven to be its own and whole, and whether the request has run.
+//! Judging the answer of a backend: whether it is proven to be its own and whole, and whether the
+//! request has run.
 
 use super::attempt::{Begun, Call, Content, Ended, Events, Result, recycle};
 use super::backend::{Backend, Outstanding, Told};
@@ -37,7 +38,8 @@
             self.backend.tell(told);
         }
         if own.is_some_and(|id| id != self.call.request_id) {
-            // The answer to another request stands where this one's should: nothing behind it can be trusted.
+            // The answer to another request stands where this one's should: nothing behind it can
+            // be trusted.
             self.backend.failed();
             return Err(Ended::Broken);
         }
@@ -45,10 +47,14 @@
         if not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
             return self.reject(head.status, &head.headers, body).await;
         }
-        let (sealed, success) = (head.headers.contains_key(&headers::SEAL), head.status.is_success());
+        let (sealed, success) = (
+            head.headers.contains_key(&headers::SEAL),
+            head.status.is_success(),
+        );
         let promises = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
         if promises || (success && !(sealed && own.is_some())) {
-            // A promise that the backend does not make, or a success that is not proven to be its own.
+            // A promise that the backend does not make, or a success that is not proven to be its
+            // own.
             self.backend.failed();
             return Err(Ended::Broken);
         }
@@ -57,8 +63,8 @@
             self.backend.learn_version(&prompt.model, version);
         }
         let is_stream = success && self.call.streaming && is_event_stream(&head.headers);
-        let framed =
-            head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
+        let framed = head.headers.contains_key(CONTENT_LENGTH)
+            || head.headers.contains_key(TRANSFER_ENCODING);
         if !framed && !body.is_end_stream() {
             // Whether such an answer is whole can't be told.
             self.backend.failed();
@@ -74,7 +80,9 @@
     /// The backend has not run the request.
     async fn reject(self, status: StatusCode, head: &HeaderMap, body: Incoming) -> Result {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-        let retry_after = head.get("retry-after").and_then(|value| value.to_str().ok()?.parse().ok());
+        let retry_after = head
+            .get("retry-after")
+            .and_then(|value| value.to_str().ok()?.parse().ok());
         let told = headers::number(head, &headers::VERSIONS);
         let other = headers::text(head, &INSTANCE_ID).filter(|id| *id != self.backend.id);
         match (&self.call.prompt, self.expected_version) {
@@ -83,19 +91,32 @@
                 self.backend.refuted_version(&prompt.model, expected, told);
             }
             (Some(prompt), _) => {
-                told.into_iter().for_each(|told| self.backend.learn_version(&prompt.model, told));
+                told.into_iter()
+                    .for_each(|told| self.backend.learn_version(&prompt.model, told));
             }
             (None, _) => {}
         }
-        let (backend, closes, keep_alive) = (self.backend.clone(), headers::closes(head), keep_alive(head));
+        let (backend, closes, keep_alive) = (
+            self.backend.clone(),
+            headers::closes(head),
+            keep_alive(head),
+        );
         if Limited::new(body, LONGEST_BUFFERED).collect().await.is_ok() {
             recycle(backend, self.connection, closes, keep_alive);
         }
-        Err(Ended::Rejected { retry_after, misdirected })
+        Err(Ended::Rejected {
+            retry_after,
+            misdirected,
+        })
     }
 
     /// Waits for the first bytes of a stream.
-    async fn first_event(mut self, status: StatusCode, head: HeaderMap, mut body: Incoming) -> Result {
+    async fn first_event(
+        mut self,
+        status: StatusCode,
+        head: HeaderMap,
+        mut body: Incoming,
+    ) -> Result {
         let first = loop {
             match body.frame().await {
                 Some(Ok(frame)) => match frame.into_data() {
@@ -125,14 +146,24 @@
         };
         let took = self.begun.elapsed();
         let content = Content::Events(Box::new(events));
-        Ok(Begun { head, status, content, backend: self.backend, took })
+        Ok(Begun {
+            head,
+            status,
+            content,
+            backend: self.backend,
+            took,
+        })
     }
 
     /// Takes an answer whole, so that one which breaks off is never passed on as if it were.
     async fn whole(self, status: StatusCode, head: HeaderMap, body: Incoming) -> Result {
-        let collected = Limited::new(body, LONGEST_BUFFERED).collect().await.map(Collected::to_bytes);
+        let collected = Limited::new(body, LONGEST_BUFFERED)
+            .collect()
+            .await
+            .map(Collected::to_bytes);
         let told = headers::number(&head, &CONTENT_LENGTH);
-        // Bytes behind a whole answer break the connection, and take nothing from an answer whose length was told.
+        // Bytes behind a whole answer break the connection, and take nothing from an answer whose
+        // length was told.
         let is_whole = |bytes: &Bytes| match told {
             Some(length) => length == bytes.len() as u64,
             None => !self.connection.is_broken(),
@@ -148,9 +179,20 @@
         }
         let took = self.begun.elapsed();
         drop(self.outstanding);
-        recycle(self.backend.clone(), self.connection, headers::closes(&head), keep_alive(&head));
+        recycle(
+            self.backend.clone(),
+            self.connection,
+            headers::closes(&head),
+            keep_alive(&head),
+        );
         let content = Content::Whole(bytes);
-        Ok(Begun { head, status, content, backend: self.backend, took })
+        Ok(Begun {
+            head,
+            status,
+            content,
+            backend: self.backend,
+            took,
+        })
     }
 }
 
@@ -162,7 +204,9 @@
 /// The time that a backend keeps an idle connection, in seconds.
 fn keep_alive(head: &HeaderMap) -> Option<u64> {
     let value = headers::text(head, &headers::KEEP_ALIVE)?;
-    value.split(',').find_map(|option| option.trim().strip_prefix("timeout=")?.trim().parse().ok())
+    value
+        .split(',')
+        .find_map(|option| option.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
 
 /// Whether a backend says that it failed by its own fault; a request that was too late is nobody's.
