--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -13,7 +13,8 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-const PROMPT: &str = "X-Model-Name: m\r\nX-Token-Counts: 900,10\r\nX-Prompt-Prefix: a:300,b:500,own:100\r\n";
+const PROMPT: &str =
+    "X-Model-Name: m\r\nX-Token-Counts: 900,10\r\nX-Prompt-Prefix: a:300,b:500,own:100\r\n";
 
 /// Two stand-ins that say nothing of their load, and a router before them.
 async fn two() -> (StandIn, StandIn, Router) {
@@ -25,8 +26,16 @@
 
 fn add_store(router: &Router) -> SocketAddrV4 {
     let address: SocketAddrV4 = "127.0.0.1:9".parse().unwrap();
-    let store = KvStore { address, zone: "a".into(), kv_capacity: 100_000, max_concurrent: 4 };
-    router.fleet.stores.resettle(&BTreeMap::from([(address, store)]));
+    let store = KvStore {
+        address,
+        zone: "a".into(),
+        kv_capacity: 100_000,
+        max_concurrent: 4,
+    };
+    router
+        .fleet
+        .stores
+        .resettle(&BTreeMap::from([(address, store)]));
     router.fleet.stores.answers(address, 1);
     address
 }
@@ -35,7 +44,10 @@
 async fn requests_that_share_a_start_go_where_it_is_kept() {
     let (first, second, router) = two().await;
     for _ in 0..6 {
-        assert_eq!(status(&router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await), "200");
+        assert_eq!(
+            status(&router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await),
+            "200"
+        );
     }
     let counts = [first.count(), second.count()];
     assert!(counts.contains(&6), "all at one of them: {counts:?}");
@@ -47,36 +59,67 @@
     let (first, second, router) = two().await;
     let store = add_store(&router);
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
-    let sent = if first.count() == 1 { first.request(0) } else { second.request(0) };
+    let sent = if first.count() == 1 {
+        first.request(0)
+    } else {
+        second.request(0)
+    };
     assert_eq!(header(&sent, "kv-save"), Some(store.to_string()), "{sent}");
-    assert_eq!(header(&sent, "kv-fetch"), Some(store.to_string()), "a miss costs little");
+    assert_eq!(
+        header(&sent, "kv-fetch"),
+        Some(store.to_string()),
+        "a miss costs little"
+    );
     let salt = header(&sent, "cache-salt").expect("a salt");
     assert_eq!(Salt::read(&salt).map(|salt| salt.version), Some(1));
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
-    let again = if first.count() == 2 { first.request(1) } else { second.request(1) };
+    let again = if first.count() == 2 {
+        first.request(1)
+    } else {
+        second.request(1)
+    };
     assert_eq!(header(&again, "kv-save"), None, "it is being saved");
 }
 
 #[tokio::test]
 async fn a_busy_holder_is_asked_for_parts_and_one_that_drains_is_not() {
-    let busy = Act::Say(answer("200 OK", "X-Response-Seal: s\r\nX-Server-Load: 4,50,4\r\n", "1"));
+    let busy = Act::Say(answer(
+        "200 OK",
+        "X-Response-Seal: s\r\nX-Server-Load: 4,50,4\r\n",
+        "1",
+    ));
     let first = StandIn::start(vec![busy.clone()]).await;
     let second = StandIn::start(vec![busy]).await;
     let router = Router::start(&[&first, &second]).await;
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let holder = if first.count() == 1 { 0 } else { 1 };
-    let (holding, other) = if holder == 0 { (&first, &second) } else { (&second, &first) };
+    let (holding, other) = if holder == 0 {
+        (&first, &second)
+    } else {
+        (&second, &first)
+    };
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     assert_eq!(other.count(), 1, "the holder has told that it is full");
-    assert_eq!(header(&other.request(0), "kv-fetch"), Some(holding.address.to_string()));
+    assert_eq!(
+        header(&other.request(0), "kv-fetch"),
+        Some(holding.address.to_string())
+    );
 
     let draining = control::directory::BackendPhase::Draining;
     register(&router.fleet, holder, holding, 2, draining);
     router.table.refresh(&router.fleet);
     let prompt = PROMPT.replace("b:500", "c:500");
     let key = PrefixKey::of_part("tt1-", "m", "c");
-    let held = Placement { backend: format!("i-{holder}").into(), version: 1 };
-    router.fleet.locations.lock().unwrap().placed(key, &held, router::clock::now());
+    let held = Placement {
+        backend: format!("i-{holder}").into(),
+        version: 1,
+    };
+    router
+        .fleet
+        .locations
+        .lock()
+        .unwrap()
+        .placed(key, &held, router::clock::now());
     router.ask("/unsafe/", &format!("{KEY}{prompt}")).await;
     assert_eq!(other.count(), 2);
     assert_eq!(header(&other.request(1), "kv-fetch"), None);
@@ -89,14 +132,51 @@
     let locator = Locator::new(router.fleet.clone());
     let wall = "tt1-";
     let key = PrefixKey::of_part(wall, "m", "b");
-    let asked =
-        Question { key, planned: Placement { backend: "asker".into(), version: 9 }, wants_save: false };
-    let holder = router.fleet.locate(&asked).holders.last().expect("a holder").backend.clone();
-    locator.tell_evicted(&holder, &[KeptEvent { key, version: 2, kept: false }]);
-    assert!(router.fleet.locate(&asked).is_held_by(&holder, 1), "another version gave way");
-    locator.tell_evicted(&holder, &[KeptEvent { key, version: 1, kept: true }]);
+    let asked = Question {
+        key,
+        planned: Placement {
+            backend: "asker".into(),
+            version: 9,
+        },
+        wants_save: false,
+    };
+    let holder = router
+        .fleet
+        .locate(&asked)
+        .holders
+        .last()
+        .expect("a holder")
+        .backend
+        .clone();
+    locator.tell_evicted(
+        &holder,
+        &[KeptEvent {
+            key,
+            version: 2,
+            kept: false,
+        }],
+    );
+    assert!(
+        router.fleet.locate(&asked).is_held_by(&holder, 1),
+        "another version gave way"
+    );
+    locator.tell_evicted(
+        &holder,
+        &[KeptEvent {
+            key,
+            version: 1,
+            kept: true,
+        }],
+    );
     assert!(router.fleet.locate(&asked).is_held_by(&holder, 1));
-    locator.tell_evicted(&holder, &[KeptEvent { key, version: 1, kept: false }]);
+    locator.tell_evicted(
+        &holder,
+        &[KeptEvent {
+            key,
+            version: 1,
+            kept: false,
+        }],
+    );
     assert!(!router.fleet.locate(&asked).is_held_by(&holder, 1));
 }
 
@@ -104,20 +184,38 @@
 async fn owners_answer_other_routers() {
     let (_first, _second, router) = two().await;
     let service: Arc<router::fleet::Fleet> = router.fleet.clone();
-    let placement = |backend: &str| Placement { backend: backend.into(), version: 1 };
-    let ask =
-        |backend: &str| Request::Locate { key: PrefixKey(3), planned: placement(backend), wants_save: false };
+    let placement = |backend: &str| Placement {
+        backend: backend.into(),
+        version: 1,
+    };
+    let ask = |backend: &str| Request::Locate {
+        key: PrefixKey(3),
+        planned: placement(backend),
+        wants_save: false,
+    };
     use router::links::Service;
-    let answered = async |request| service.clone().answer(request).await.map(|answer| answer.response);
+    let answered = async |request| {
+        service
+            .clone()
+            .answer(request)
+            .await
+            .map(|answer| answer.response)
+    };
     let located = async |backend| match answered(ask(backend)).await {
         Some(Response::Located(located)) => located.holders,
         other => panic!("{other:?}"),
     };
     assert!(located("b1").await.is_empty());
     assert_eq!(located("b2").await, [placement("b1")]);
-    let moved = Request::Placed { key: PrefixKey(3), placement: placement("b2") };
+    let moved = Request::Placed {
+        key: PrefixKey(3),
+        placement: placement("b2"),
+    };
     assert!(answered(moved).await.is_none());
-    let gone = Request::Evicted { backend: "b1".into(), prefixes: vec![(PrefixKey(3), 1)] };
+    let gone = Request::Evicted {
+        backend: "b1".into(),
+        prefixes: vec![(PrefixKey(3), 1)],
+    };
     assert!(answered(gone).await.is_none());
     assert_eq!(located("b3").await, [placement("b2")]);
 }
@@ -125,7 +223,13 @@
 #[test]
 fn a_salt_names_its_wall_and_its_version() {
     let text = salt("s0a1b-", Some(12));
-    assert_eq!(Salt::read(&text), Some(Salt { wall: "s0a1b-", version: 12 }));
+    assert_eq!(
+        Salt::read(&text),
+        Some(Salt {
+            wall: "s0a1b-",
+            version: 12
+        })
+    );
     assert_eq!(Salt::read("somebody else's"), None);
     assert_ne!(salt("w", Some(1)), salt("w", Some(2)));
 }
--- a/router/tests/proxy.rs
+++ b/router/tests/proxy.rs
@@ -9,22 +9,42 @@
 async fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
     let backend = StandIn::start(vec![Act::Say(success("the body"))]).await;
     let router = Router::start(&[&backend]).await;
-    let spoofed =
-        "X-Tenant-Id: other\r\nCache-Salt: mine\r\nKv-Fetch: 1.2.3.4:5\r\nPriority: 0\r\nX-Own: kept\r\n";
-    let answer = router.ask("/unsafe/a%20b?q=1", &format!("{KEY}{spoofed}")).await;
-    assert_eq!((status(&answer), body(&answer)), ("200", "the body"), "{answer}");
+    let spoofed = "X-Tenant-Id: other\r\nCache-Salt: mine\r\nKv-Fetch: 1.2.3.4:5\r\nPriority: 0\r\nX-Own: kept\r\n";
+    let answer = router
+        .ask("/unsafe/a%20b?q=1", &format!("{KEY}{spoofed}"))
+        .await;
+    assert_eq!(
+        (status(&answer), body(&answer)),
+        ("200", "the body"),
+        "{answer}"
+    );
     assert_eq!(header(&answer, "x-response-seal").as_deref(), Some("seal"));
     let sent = backend.request(0);
-    assert!(sent.starts_with("POST /unsafe/a%20b?q=1 HTTP/1.1\r\n"), "{sent}");
+    assert!(
+        sent.starts_with("POST /unsafe/a%20b?q=1 HTTP/1.1\r\n"),
+        "{sent}"
+    );
     assert!(sent.ends_with("body"));
     assert_eq!(header(&sent, "host").as_deref(), Some("h"));
     assert_eq!(header(&sent, "x-tenant-id").as_deref(), Some("t1"));
     assert_eq!(header(&sent, "x-expect-instance").as_deref(), Some("i-0"));
     assert_eq!(header(&sent, "x-own").as_deref(), Some("kept"));
-    for own in ["authorization", "cache-salt", "kv-fetch", "priority", "connection"] {
+    for own in [
+        "authorization",
+        "cache-salt",
+        "kv-fetch",
+        "priority",
+        "connection",
+    ] {
         assert_eq!(header(&sent, own), None, "{own} does not go along");
     }
-    assert!(header(&sent, "x-deadline-ms").unwrap().parse::<u64>().unwrap() <= 5_000);
+    assert!(
+        header(&sent, "x-deadline-ms")
+            .unwrap()
+            .parse::<u64>()
+            .unwrap()
+            <= 5_000
+    );
 }
 
 #[tokio::test]
@@ -32,7 +52,14 @@
     let backend = StandIn::start(vec![Act::Say(success(""))]).await;
     let router = Router::start(&[&backend]).await;
     assert_eq!(status(&router.ask("/unsafe/", "").await), "401");
-    assert_eq!(status(&router.ask("/unsafe/", "Authorization: Bearer none\r\n").await), "401");
+    assert_eq!(
+        status(
+            &router
+                .ask("/unsafe/", "Authorization: Bearer none\r\n")
+                .await
+        ),
+        "401"
+    );
     assert_eq!(status(&router.ask("/none/", KEY).await), "404");
     assert_eq!(backend.count(), 0);
     assert_eq!(status(&router.ask("/open/", "").await), "200");
@@ -40,8 +67,15 @@
 
 #[tokio::test]
 async fn what_was_turned_away_unrun_goes_to_another_backend_or_comes_back_as_503() {
-    let full = Act::Say(answer("503 Service Unavailable", "X-Not-Executed: 1\r\nRetry-After: 0.4\r\n", ""));
-    let (first, second) = (StandIn::start(vec![full.clone()]).await, StandIn::start(vec![full]).await);
+    let full = Act::Say(answer(
+        "503 Service Unavailable",
+        "X-Not-Executed: 1\r\nRetry-After: 0.4\r\n",
+        "",
+    ));
+    let (first, second) = (
+        StandIn::start(vec![full.clone()]).await,
+        StandIn::start(vec![full]).await,
+    );
     let router = Router::start(&[&first, &second]).await;
     let answer = router.ask("/unsafe/", KEY).await;
     assert_eq!(status(&answer), "503", "{answer}");
@@ -112,7 +146,10 @@
         assert_eq!((status(&answer), body(&answer)), ("200", "ok"), "{answer}");
     }
     let given_up = tokio::time::timeout(PATIENCE, hanging.given_up.acquire()).await;
-    given_up.expect("the losing send is cancelled by closing its connection").unwrap().forget();
+    given_up
+        .expect("the losing send is cancelled by closing its connection")
+        .unwrap()
+        .forget();
 }
 
 #[tokio::test]
@@ -122,7 +159,10 @@
     let router = Router::start(&[&backend]).await;
     let answer = router.ask("/stream/", KEY).await;
     assert_eq!(status(&answer), "200");
-    assert!(answer.contains("data: piece 1\n\n") && answer.contains("data: piece 2\n\n"), "{answer}");
+    assert!(
+        answer.contains("data: piece 1\n\n") && answer.contains("data: piece 2\n\n"),
+        "{answer}"
+    );
     assert!(answer.ends_with(END));
 }
 
@@ -133,8 +173,14 @@
         let backend = StandIn::start(vec![act]).await;
         let router = Router::start(&[&backend]).await;
         let answer = router.ask("/stream/", KEY).await;
-        assert!(!answer.ends_with(END), "it ends as if it were whole: {answer}");
-        assert!(!answer.contains("data: pi\r\n"), "half an event is passed on: {answer}");
+        assert!(
+            !answer.ends_with(END),
+            "it ends as if it were whole: {answer}"
+        );
+        assert!(
+            !answer.contains("data: pi\r\n"),
+            "half an event is passed on: {answer}"
+        );
         assert_eq!(backend.count(), 1, "it may not be resumed");
     }
 }
@@ -151,10 +197,17 @@
     let answer = router.ask("/resumable/", KEY).await;
     assert_eq!(header(&answer, "x-response-seal").as_deref(), Some("seal"));
     for piece in 1..=3 {
-        assert_eq!(answer.matches(&format!("data: piece {piece}\n\n")).count(), 1, "{answer}");
+        assert_eq!(
+            answer.matches(&format!("data: piece {piece}\n\n")).count(),
+            1,
+            "{answer}"
+        );
     }
     assert!(answer.ends_with(END), "{answer}");
-    assert_eq!(header(&first.request(1), "last-event-id").as_deref(), Some("2"));
+    assert_eq!(
+        header(&first.request(1), "last-event-id").as_deref(),
+        Some("2")
+    );
 }
 
 #[tokio::test]
--- a/router/tests/published.rs
+++ b/router/tests/published.rs
@@ -13,13 +13,22 @@
             )
         })
         .collect();
-    format!(r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#, routes.join(","))
-        .into_bytes()
+    format!(
+        r#"{{"version":{version},"routes":[{}],"services":[{{"name":"s"}}]}}"#,
+        routes.join(",")
+    )
+    .into_bytes()
 }
 
 fn change(state: &mut ControlState, version: u64) {
-    let position = Position { index: state.position.index + 1, epoch: 1 };
-    let change = Change::Configuration { base: state.version(), body: body(version).into() };
+    let position = Position {
+        index: state.position.index + 1,
+        epoch: 1,
+    };
+    let change = Change::Configuration {
+        base: state.version(),
+        body: body(version).into(),
+    };
     state.apply(&Update { position, change });
 }
 
@@ -38,14 +47,19 @@
     for (first, second) in [(2, 4), (4, 2), (3, 3)] {
         let mut holder = source(1);
         let (position, base) = (holder.position(), holder.base());
-        let answers =
-            [first, second].map(|version| source(version).news_for(position, base).expect("there is news"));
+        let answers = [first, second].map(|version| {
+            source(version)
+                .news_for(position, base)
+                .expect("there is news")
+        });
         for answer in answers {
             holder.take(answer);
         }
         let version = first.max(second);
         if holder.version() != Some(version) {
-            let news = source(version).news_for(holder.position(), holder.base()).expect("there is news");
+            let news = source(version)
+                .news_for(holder.position(), holder.base())
+                .expect("there is news");
             assert!(holder.take(news));
         }
         let configuration = holder.configuration().expect("a configuration");
@@ -58,17 +72,29 @@
 fn a_holder_whose_text_does_not_fit_asks_for_the_whole_one() {
     // This holder's version 1 is not what its source has under that number.
     let mut state = ControlState::default();
-    let other = String::from_utf8(body(1)).expect("text").replace("a.example", "b.example");
-    let change = Change::Configuration { base: 0, body: other.into_bytes().into() };
-    state.apply(&Update { position: Position { index: 1, epoch: 1 }, change });
+    let other = String::from_utf8(body(1))
+        .expect("text")
+        .replace("a.example", "b.example");
+    let change = Change::Configuration {
+        base: 0,
+        body: other.into_bytes().into(),
+    };
+    state.apply(&Update {
+        position: Position { index: 1, epoch: 1 },
+        change,
+    });
     let mut holder = Published::default();
     holder.take_own(&state);
 
-    let news = source(2).news_for(holder.position(), holder.base()).expect("there is news");
+    let news = source(2)
+        .news_for(holder.position(), holder.base())
+        .expect("there is news");
     assert!(!holder.take(news), "steps from another text lead astray");
     assert_eq!(holder.version(), Some(1), "what is in force stays in force");
     assert_eq!(holder.base(), None, "the whole text is wanted");
-    let news = source(2).news_for(holder.position(), holder.base()).expect("there is news");
+    let news = source(2)
+        .news_for(holder.position(), holder.base())
+        .expect("there is news");
     assert!(holder.take(news));
     assert_eq!((holder.version(), holder.base()), (Some(2), Some(2)));
 }
--- a/router/tests/pulls.rs
+++ b/router/tests/pulls.rs
@@ -23,7 +23,11 @@
         incarnation: 1,
         status: MemberStatus::Up,
     };
-    let position = if base.is_some() { Position { index: 1, epoch: 1 } } else { Position::default() };
+    let position = if base.is_some() {
+        Position { index: 1, epoch: 1 }
+    } else {
+        Position::default()
+    };
     Request::Pull(PullRequest {
         name: format!("asker-{number}").into(),
         member,
@@ -37,13 +41,21 @@
 }
 
 fn answer_now(fleet: &Arc<Fleet>, request: Request) -> Option<Answer> {
-    fleet.clone().answer(request).now_or_never().map(|answer| answer.expect("an answer"))
+    fleet
+        .clone()
+        .answer(request)
+        .now_or_never()
+        .map(|answer| answer.expect("an answer"))
 }
 
 /// A configuration of about a megabyte.
 fn large_configuration(fleet: &Fleet) {
     let padding = " ".repeat(1 << 20);
-    publish(fleet, 2, &CONFIGURATION.replace("\"version\":1", &format!("{padding}\"version\":2")));
+    publish(
+        fleet,
+        2,
+        &CONFIGURATION.replace("\"version\":1", &format!("{padding}\"version\":2")),
+    );
 }
 
 #[tokio::test]
@@ -73,7 +85,9 @@
         held.push(answer);
     }
     let own = router.fleet.directory.lock().unwrap().vector().clone();
-    let Request::Pull(mut informed) = asks(50, Some(2), 0) else { unreachable!() };
+    let Request::Pull(mut informed) = asks(50, Some(2), 0) else {
+        unreachable!()
+    };
     informed.vector = own;
     informed.position.index = 2;
     assert!(answer_now(&router.fleet, Request::Pull(informed)).is_some());
@@ -85,10 +99,14 @@
     let vector = fleet.directory.lock().unwrap().vector().clone();
     let mut waiting: Vec<_> = (0..50)
         .map(|number| {
-            let Request::Pull(mut request) = asks(number, None, 60_000) else { unreachable!() };
+            let Request::Pull(mut request) = asks(number, None, 60_000) else {
+                unreachable!()
+            };
             // Whoever asked before knows the members.
             request.vector = vector.clone();
-            request.vector.insert(control::directory::Origin(1), u64::MAX);
+            request
+                .vector
+                .insert(control::directory::Origin(1), u64::MAX);
             request.epoch = u64::MAX;
             fleet.clone().answer(Request::Pull(request))
         })
@@ -109,9 +127,18 @@
 async fn a_node_that_never_heard_of_a_primary_says_so() {
     let asked = Router::start(&[]).await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
+    let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+        unreachable!()
+    };
     tokio::spawn(links::serve(listener, asked.fleet.clone(), Arc::default()));
     let asker = Router::without_configuration();
-    assert_eq!(asker.pull(address, Duration::ZERO, || {}).await, Pull::OutOfTouch);
-    assert_eq!(asker.published.lock().unwrap().version(), Some(1), "what it has is taken all the same");
+    assert_eq!(
+        asker.pull(address, Duration::ZERO, || {}).await,
+        Pull::OutOfTouch
+    );
+    assert_eq!(
+        asker.published.lock().unwrap().version(),
+        Some(1),
+        "what it has is taken all the same"
+    );
 }
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -22,7 +22,11 @@
 }
 
 fn replica(number: u8) -> ReplicaId {
-    ReplicaId { disk: 1, node: format!("n{number}").into(), address: address(number, 7560) }
+    ReplicaId {
+        disk: 1,
+        node: format!("n{number}").into(),
+        address: address(number, 7560),
+    }
 }
 
 fn member(number: u8, zone: &str, status: MemberStatus) -> Member {
@@ -37,7 +41,8 @@
     }
 }
 
-/// Node 1, in zone a; nodes 2 and 3 are in zone a as well, 4 and 5 in zone b. All hold the control state.
+/// Node 1, in zone a; nodes 2 and 3 are in zone a as well, 4 and 5 in zone b. All hold the control
+/// state.
 fn fleet() -> Arc<Fleet> {
     // In touch with the primary for as long as the test takes.
     fleet_in_touch_at(Some(router::clock::now() + 60_000))
@@ -49,8 +54,17 @@
     let settings = Settings::parse(Path::new("settings.json"), text.as_bytes()).expect("settings");
     let (handle, _) = ReplicaHandle::new(replica(1));
     let witnesses: BTreeSet<ReplicaId> = (1..=5).map(replica).collect();
-    let view = View { epoch: 1, primary: replica(1), in_sync: witnesses.clone(), witnesses };
-    handle.show(Shown { view: Some(Arc::new(view)), current_at, ..Shown::default() });
+    let view = View {
+        epoch: 1,
+        primary: replica(1),
+        in_sync: witnesses.clone(),
+        witnesses,
+    };
+    handle.show(Shown {
+        view: Some(Arc::new(view)),
+        current_at,
+        ..Shown::default()
+    });
     let fleet = Fleet::new(Arc::new(settings), Some(handle), 1);
     for (number, zone) in [(2, "a"), (3, "a"), (4, "b"), (5, "b")] {
         put(&fleet, number, zone, MemberStatus::Up);
@@ -60,7 +74,10 @@
 
 fn put(fleet: &Fleet, number: u8, zone: &str, status: MemberStatus) {
     let name = format!("n{number}").into();
-    fleet.put(Key::Member(name), Value::Member(member(number, zone, status)));
+    fleet.put(
+        Key::Member(name),
+        Value::Member(member(number, zone, status)),
+    );
 }
 
 fn backend(zone: &str, sequence: u64, phase: BackendPhase) -> Backend {
@@ -78,14 +95,18 @@
 }
 
 async fn beat(fleet: &Fleet, id: &str, zone: &str, sequence: u64) -> SocketAddrV4 {
-    let told = fleet.register(id.into(), backend(zone, sequence, BackendPhase::Ready)).await;
+    let told = fleet
+        .register(id.into(), backend(zone, sequence, BackendPhase::Ready))
+        .await;
     told.expect("it is acknowledged").expect("an address")
 }
 
 async fn spread(fleet: &Fleet, zone: &str) -> BTreeMap<SocketAddrV4, u32> {
     let mut counts = BTreeMap::new();
     for number in 0..300 {
-        *counts.entry(beat(fleet, &format!("i-{zone}-{number}"), zone, 1).await).or_default() += 1;
+        *counts
+            .entry(beat(fleet, &format!("i-{zone}-{number}"), zone, 1).await)
+            .or_default() += 1;
     }
     counts
 }
@@ -94,13 +115,29 @@
 async fn backends_are_spread_over_the_replicas_of_their_zone() {
     let fleet = fleet();
     let own = spread(&fleet, "a").await;
-    assert_eq!(own.keys().copied().collect::<Vec<_>>(), [1, 2, 3].map(|node| address(node, 8381)));
-    assert!(own.values().all(|count| (60..140).contains(count)), "{own:?}");
+    assert_eq!(
+        own.keys().copied().collect::<Vec<_>>(),
+        [1, 2, 3].map(|node| address(node, 8381))
+    );
+    assert!(
+        own.values().all(|count| (60..140).contains(count)),
+        "{own:?}"
+    );
     let other = spread(&fleet, "b").await;
-    assert_eq!(other.keys().copied().collect::<Vec<_>>(), [4, 5].map(|node| address(node, 8381)));
-    assert!(other.values().all(|count| (110..190).contains(count)), "{other:?}");
+    assert_eq!(
+        other.keys().copied().collect::<Vec<_>>(),
+        [4, 5].map(|node| address(node, 8381))
+    );
+    assert!(
+        other.values().all(|count| (110..190).contains(count)),
+        "{other:?}"
+    );
     let nowhere = spread(&fleet, "c").await;
-    assert_eq!(nowhere.keys().copied().collect::<Vec<_>>(), [address(1, 8381)], "nobody is nearer");
+    assert_eq!(
+        nowhere.keys().copied().collect::<Vec<_>>(),
+        [address(1, 8381)],
+        "nobody is nearer"
+    );
 }
 
 #[tokio::test]
@@ -115,7 +152,10 @@
     for (id, former) in before {
         let now = beat(&fleet, &id, "a", 2).await;
         assert_ne!(now, address(2, 8381));
-        assert!(former == address(2, 8381) || now == former, "{id} was moved without need");
+        assert!(
+            former == address(2, 8381) || now == former,
+            "{id} was moved without need"
+        );
     }
 }
 
@@ -128,14 +168,29 @@
     assert_eq!(fleet.changes(), changes, "it only counts up");
     let late = backend("a", 3, BackendPhase::Draining);
     fleet.register("i".into(), late).await;
-    let phase = |fleet: &Fleet| match fleet.directory.lock().expect("sound").get(&Key::Backend("i".into())) {
+    let phase = |fleet: &Fleet| match fleet
+        .directory
+        .lock()
+        .expect("sound")
+        .get(&Key::Backend("i".into()))
+    {
         Some(Value::Backend(backend)) => backend.phase,
         other => panic!("{other:?}"),
     };
-    assert_eq!(phase(&fleet), BackendPhase::Ready, "a later heartbeat is known");
-    fleet.register("i".into(), backend("a", u64::MAX, BackendPhase::Gone)).await;
+    assert_eq!(
+        phase(&fleet),
+        BackendPhase::Ready,
+        "a later heartbeat is known"
+    );
+    fleet
+        .register("i".into(), backend("a", u64::MAX, BackendPhase::Gone))
+        .await;
     beat(&fleet, "i", "a", 9).await;
-    assert_eq!(phase(&fleet), BackendPhase::Gone, "who has left does not come back under its id");
+    assert_eq!(
+        phase(&fleet),
+        BackendPhase::Gone,
+        "who has left does not come back under its id"
+    );
 }
 
 /// A node with a replica pulls, which tells what it knows.
@@ -164,7 +219,10 @@
         beat(&fleet, "i", "a", 1).await;
         let before = vector_of(&fleet);
         let mut ended = Box::pin(fleet.register("i".into(), backend("a", 2, phase)));
-        assert!((&mut ended).now_or_never().is_none(), "this node alone knows");
+        assert!(
+            (&mut ended).now_or_never().is_none(),
+            "this node alone knows"
+        );
         let after = vector_of(&fleet);
         pulls(&fleet, 2, &after).await;
         pulls(&fleet, 3, &before).await;
@@ -185,19 +243,38 @@
     pulls(&fleet, 2, &vector_of(&fleet)).await;
     let draining = backend("a", 2, BackendPhase::Draining);
     assert_eq!(fleet.register("i".into(), draining.clone()).await, None);
-    assert_eq!(fleet.register("i".into(), draining).await, None, "neither is the same said again");
+    assert_eq!(
+        fleet.register("i".into(), draining).await,
+        None,
+        "neither is the same said again"
+    );
 }
 
-/// Another node took the heartbeat first, and this one learned of it by a pull: it is no proof that a majority knows.
+/// Another node took the heartbeat first, and this one learned of it by a pull: it is no proof that
+/// a majority knows.
 #[tokio::test(start_paused = true)]
 async fn an_end_that_another_node_wrote_waits_for_a_majority_as_well() {
     let fleet = fleet();
-    let stamp = Stamp { origin: Origin(77), counter: 1 };
+    let stamp = Stamp {
+        origin: Origin(77),
+        counter: 1,
+    };
     let draining = backend("a", 2, BackendPhase::Draining);
-    let record = Record { key: Key::Backend("i".into()), stamp, value: Value::Backend(draining.clone()) };
+    let record = Record {
+        key: Key::Backend("i".into()),
+        stamp,
+        value: Value::Backend(draining.clone()),
+    };
     let vector = VersionVector::from([(Origin(77), 1)]);
-    fleet.directory.lock().expect("sound").merge(vec![record], &vector);
-    let said_here = Backend { owner: "n1".into(), ..draining };
+    fleet
+        .directory
+        .lock()
+        .expect("sound")
+        .merge(vec![record], &vector);
+    let said_here = Backend {
+        owner: "n1".into(),
+        ..draining
+    };
     let mut ended = Box::pin(fleet.register("i".into(), said_here));
     assert!((&mut ended).now_or_never().is_none());
     let after = vector_of(&fleet);
@@ -210,38 +287,67 @@
 async fn a_node_that_is_cut_off_takes_no_heartbeats_unless_half_of_the_others_are_with_it() {
     let fleet = fleet_in_touch_at(None);
     let ready = || backend("a", 1, BackendPhase::Ready);
-    assert_eq!(fleet.register("i".into(), ready()).await, None, "its sender goes to another node");
+    assert_eq!(
+        fleet.register("i".into(), ready()).await,
+        None,
+        "its sender goes to another node"
+    );
     pulls(&fleet, 2, &VersionVector::new()).await;
-    assert_eq!(fleet.register("i".into(), ready()).await, None, "two of five");
+    assert_eq!(
+        fleet.register("i".into(), ready()).await,
+        None,
+        "two of five"
+    );
     pulls(&fleet, 4, &VersionVector::new()).await;
-    assert!(fleet.register("i".into(), ready()).await.is_some(), "three of five are parted from two");
+    assert!(
+        fleet.register("i".into(), ready()).await.is_some(),
+        "three of five are parted from two"
+    );
 }
 
 /// Whether a backend is marked as silent whose node is down, as far as this node can tell.
 fn marks_silent(fleet: &Fleet) -> bool {
-    let owned = Backend { owner: "n2".into(), ..backend("a", 7, BackendPhase::Ready) };
+    let owned = Backend {
+        owner: "n2".into(),
+        ..backend("a", 7, BackendPhase::Ready)
+    };
     fleet.put(Key::Backend("i".into()), Value::Backend(owned));
     put(fleet, 2, "a", MemberStatus::Down);
     let now = router::clock::now();
     (0..200).for_each(|step| fleet.watch_backends(now + 200 * step));
-    match fleet.directory.lock().expect("sound").get(&Key::Backend("i".into())) {
+    match fleet
+        .directory
+        .lock()
+        .expect("sound")
+        .get(&Key::Backend("i".into()))
+    {
         Some(Value::Backend(backend)) => backend.silent,
         other => panic!("{other:?}"),
     }
 }
 
-/// Story: a control machine was cut off for some seconds. Once the cut had healed, backends that had been heard elsewhere all the time were
-/// silent for the whole fleet, and got neither requests nor new weights until their next heartbeats. Cause: a node that is cut off hears
-/// neither its backends nor the nodes that hear them, took both for gone, and its word outranked the others' when it was back.
+/// Story: a control machine was cut off for some seconds. Once the cut had healed, backends that
+/// had been heard elsewhere all the time were silent for the whole fleet, and got neither requests
+/// nor new weights until their next heartbeats. Cause: a node that is cut off hears neither its
+/// backends nor the nodes that hear them, took both for gone, and its word outranked the others'
+/// when it was back.
 #[tokio::test]
 async fn a_node_that_is_cut_off_takes_no_backend_for_silent() {
-    assert!(marks_silent(&fleet()), "in touch it does, also for a node that is down");
-    assert!(!marks_silent(&fleet_in_touch_at(None)), "cut off it can't tell");
+    assert!(
+        marks_silent(&fleet()),
+        "in touch it does, also for a node that is down"
+    );
+    assert!(
+        !marks_silent(&fleet_in_touch_at(None)),
+        "cut off it can't tell"
+    );
 }
 
-/// Found by reading, beside backends that had older weights again; not seen in service. A backend has other weights for a moment, or takes back
-/// that it will leave; a heartbeat of that moment comes late, and until the next one the fleet holds for true what it says. Cause: heartbeats that only count up are not written down, so a late one with a lower
-/// number than these was taken for newer than what was written.
+/// Found by reading, beside backends that had older weights again; not seen in service. A backend
+/// has other weights for a moment, or takes back that it will leave; a heartbeat of that moment
+/// comes late, and until the next one the fleet holds for true what it says. Cause: heartbeats that
+/// only count up are not written down, so a late one with a lower number than these was taken for
+/// newer than what was written.
 #[tokio::test]
 async fn a_late_heartbeat_is_known_by_newer_ones_that_said_nothing_new() {
     let fleet = fleet();
@@ -249,16 +355,31 @@
         models: vec![("m".into(), version)],
         ..backend("a", sequence, BackendPhase::Ready)
     };
-    let held = || match fleet.directory.lock().expect("sound").get(&Key::Backend("i".into())) {
+    let held = || match fleet
+        .directory
+        .lock()
+        .expect("sound")
+        .get(&Key::Backend("i".into()))
+    {
         Some(Value::Backend(backend)) => backend.models.clone(),
         other => panic!("{other:?}"),
     };
     assert!(fleet.register("i".into(), told(1, 1)).await.is_some());
     assert!(fleet.register("i".into(), told(4, 1)).await.is_some());
-    assert!(fleet.register("i".into(), told(3, 2)).await.is_some(), "late, and acknowledged all the same");
+    assert!(
+        fleet.register("i".into(), told(3, 2)).await.is_some(),
+        "late, and acknowledged all the same"
+    );
     assert_eq!(held(), [("m".into(), 1)]);
     assert!(fleet.register("i".into(), told(5, 2)).await.is_some());
     assert_eq!(held(), [("m".into(), 2)]);
-    let late_end = Backend { phase: BackendPhase::Draining, ..told(4, 2) };
-    assert_eq!(fleet.register("i".into(), late_end).await, None, "it has been taken back");
+    let late_end = Backend {
+        phase: BackendPhase::Draining,
+        ..told(4, 2)
+    };
+    assert_eq!(
+        fleet.register("i".into(), late_end).await,
+        None,
+        "it has been taken back"
+    );
 }
--- a/router/tests/stores.rs
+++ b/router/tests/stores.rs
@@ -24,7 +24,10 @@
         kv_capacity: 100_000,
         max_concurrent: 4,
     };
-    let wanted: BTreeMap<_, _> = ports.iter().map(|port| (address(*port), store(*port))).collect();
+    let wanted: BTreeMap<_, _> = ports
+        .iter()
+        .map(|port| (address(*port), store(*port)))
+        .collect();
     stores.resettle(&wanted);
 }
 
@@ -38,7 +41,10 @@
     assert_eq!((found.address, found.generation), (address(9), 5));
     stores.is_silent(address(9));
     assert_eq!(stores.of(key), None);
-    assert_eq!(stores.status(address(9)), Some(StoreStatus { generation: None }));
+    assert_eq!(
+        stores.status(address(9)),
+        Some(StoreStatus { generation: None })
+    );
 }
 
 #[test]
@@ -50,7 +56,10 @@
     // It has restarted, and lost what it kept.
     reader.answers(address(9), 6);
     asker.take_status(address(9), reader.status(address(9)).expect("it was heard"));
-    assert_eq!(asker.of(PrefixKey(1)).map(|store| store.generation), Some(6));
+    assert_eq!(
+        asker.of(PrefixKey(1)).map(|store| store.generation),
+        Some(6)
+    );
     reader.is_silent(address(9));
     asker.take_status(address(9), reader.status(address(9)).expect("it was heard"));
     assert_eq!(asker.of(PrefixKey(1)), None);
@@ -59,9 +68,19 @@
 #[test]
 fn each_prefix_has_one_of_the_stores_and_moves_only_when_that_one_is_silent() {
     let stores = stores(&[9, 10, 11]);
-    [9, 10, 11].iter().for_each(|port| stores.answers(address(*port), 1));
+    [9, 10, 11]
+        .iter()
+        .for_each(|port| stores.answers(address(*port), 1));
     let places = |stores: &Stores| -> Vec<u16> {
-        (0..300).map(|key| stores.of(PrefixKey(key)).expect("one answers").address.port()).collect()
+        (0..300)
+            .map(|key| {
+                stores
+                    .of(PrefixKey(key))
+                    .expect("one answers")
+                    .address
+                    .port()
+            })
+            .collect()
     };
     let before = places(&stores);
     for port in [9, 10, 11] {
@@ -71,7 +90,11 @@
     stores.is_silent(address(10));
     let after = places(&stores);
     for (before, after) in before.iter().zip(&after) {
-        assert!(if *before == 10 { *after != 10 } else { before == after });
+        assert!(if *before == 10 {
+            *after != 10
+        } else {
+            before == after
+        });
     }
 }
 
@@ -80,7 +103,10 @@
     let stores = stores(&[9, 10]);
     stores.answers(address(9), 1);
     settle(&stores, &[10]);
-    assert_eq!((stores.status(address(9)), stores.of(PrefixKey(1))), (None, None));
+    assert_eq!(
+        (stores.status(address(9)), stores.of(PrefixKey(1))),
+        (None, None)
+    );
     settle(&stores, &[9, 10]);
     assert_eq!(stores.of(PrefixKey(1)), None, "it has to be heard anew");
 }
--- a/router/tests/weights_deadline.rs
+++ b/router/tests/weights_deadline.rs
@@ -1,10 +1,11 @@
 //! Until when requests may begin on older weights, as several routers see it.
 //!
-//! Story: a version of some weights is acknowledged, and requests must not begin on an older one some seconds later. A router that heard of
-//! it late, as it had been cut off or had just started, still sent requests to a backend with the old weights after that time.
+//! Story: a version of some weights is acknowledged, and requests must not begin on an older one
+//! some seconds later. A router that heard of it late, as it had been cut off or had just started,
+//! still sent requests to a backend with the old weights after that time.
 //!
-//! Evidence: the time was counted from the first request after the router had heard of the version. Cause: news told what was
-//! named, and not how long ago.
+//! Evidence: the time was counted from the first request after the router had heard of the version.
+//! Cause: news told what was named, and not how long ago.
 
 mod common;
 
@@ -22,7 +23,8 @@
 
 /// Long enough that a router which counts it anew is seen to do so.
 const VERSION_MS: u64 = 1_800;
-const PROMPT: &str = "X-Model-Name: m\r\nX-Token-Counts: 100,10\r\nX-Prompt-Prefix: aa:50,bb:50\r\n";
+const PROMPT: &str =
+    "X-Model-Name: m\r\nX-Token-Counts: 100,10\r\nX-Prompt-Prefix: aa:50,bb:50\r\n";
 
 fn fleet(life: u64) -> Arc<Fleet> {
     let mut settings = Router::settings();
@@ -34,7 +36,9 @@
 /// Answers other routers.
 async fn serve(fleet: &Arc<Fleet>) -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
+    let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+        unreachable!()
+    };
     tokio::spawn(links::serve(listener, fleet.clone(), Arc::default()));
     address
 }
@@ -43,15 +47,31 @@
 async fn source() -> SocketAddrV4 {
     let fleet = fleet(9);
     publish(&fleet, 1, CONFIGURATION);
-    let weights = BTreeMap::from([("m".into(), WeightsTarget { version: 2, index: 2 })]);
-    let named = PublishedState { position: Position { index: 2, epoch: 1 }, configuration: None, weights };
+    let weights = BTreeMap::from([(
+        "m".into(),
+        WeightsTarget {
+            version: 2,
+            index: 2,
+        },
+    )]);
+    let named = PublishedState {
+        position: Position { index: 2, epoch: 1 },
+        configuration: None,
+        weights,
+    };
     assert!(fleet.published.lock().unwrap().take(named));
     serve(&fleet).await
 }
 
 async fn hears_from(router: &Router, address: SocketAddrV4) {
-    assert_ne!(router.fleet.pull(address, Duration::ZERO, || {}).await, Pull::Failed);
-    assert_eq!(router.fleet.published.lock().unwrap().weights()["m"].version, 2);
+    assert_ne!(
+        router.fleet.pull(address, Duration::ZERO, || {}).await,
+        Pull::Failed
+    );
+    assert_eq!(
+        router.fleet.published.lock().unwrap().weights()["m"].version,
+        2
+    );
 }
 
 async fn ask(router: &Router) -> String {
@@ -64,18 +84,27 @@
     let old = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let first = Router::start_on(fleet(1), CONFIGURATION, &[&old]).await;
     hears_from(&first, source().await).await;
-    assert_eq!(ask(&first).await, "200", "older weights may be used for a while");
+    assert_eq!(
+        ask(&first).await,
+        "200",
+        "older weights may be used for a while"
+    );
     while ask(&first).await == "200" {}
 
     let late = Router::start_on(fleet(2), CONFIGURATION, &[&old]).await;
     assert_eq!(ask(&late).await, "200", "it has not heard yet");
     hears_from(&late, serve(&first.fleet).await).await;
     let sent = old.count();
-    assert_eq!(ask(&late).await, "503", "the time of the old weights is over");
+    assert_eq!(
+        ask(&late).await,
+        "503",
+        "the time of the old weights is over"
+    );
     assert_eq!(old.count(), sent, "and nothing is sent there");
 }
 
-/// Whoever restarts with its disk goes on counting where it was: else versions whose nodes are killed again and again are never required.
+/// Whoever restarts with its disk goes on counting where it was: else versions whose nodes are
+/// killed again and again are never required.
 #[tokio::test]
 async fn a_node_that_is_started_again_goes_on_where_its_time_was() {
     let old = StandIn::start(vec![Act::Say(success("ok"))]).await;
@@ -84,12 +113,20 @@
     while ask(&first).await == "200" {}
 
     let again = Router::start_on(fleet(3), CONFIGURATION, &[&old]).await;
-    let known = Known { records: Vec::new(), named_weights: first.fleet.named_weights() };
+    let known = Known {
+        records: Vec::new(),
+        named_weights: first.fleet.named_weights(),
+    };
     again.fleet.restore(known);
-    assert_eq!(ask(&again).await, "503", "the time was over before it was started again");
+    assert_eq!(
+        ask(&again).await,
+        "503",
+        "the time was over before it was started again"
+    );
 }
 
-/// Sends one request to the only backend there is, which lets it wait; then a version is named, and a backend has it.
+/// Sends one request to the only backend there is, which lets it wait; then a version is named, and
+/// a backend has it.
 async fn waits_at_old_weights(path: &str) -> (String, bool, usize) {
     let patient = CONFIGURATION.replace("\"timeoutMs\":3000", "\"timeoutMs\":60000");
     let patient = patient.replace("\"targetLatencyMs\":100", "\"targetLatencyMs\":60000");
@@ -107,16 +144,27 @@
         router.table.refresh(&router.fleet);
     };
     let (status, ()) = tokio::join!(asking, then_named);
-    let withdrawn = tokio::time::timeout(PATIENCE, old.given_up.acquire()).await.is_ok();
+    let withdrawn = tokio::time::timeout(PATIENCE, old.given_up.acquire())
+        .await
+        .is_ok();
     (status, withdrawn, new.count())
 }
 
-/// Story: requests waited at crowded backends for over two seconds, were sent in time, and began on the old weights when these must not be
-/// used any more. Cause: what is required was looked at only when a request is sent.
+/// Story: requests waited at crowded backends for over two seconds, were sent in time, and began on
+/// the old weights when these must not be used any more. Cause: what is required was looked at only
+/// when a request is sent.
 #[tokio::test]
 async fn what_still_waits_at_old_weights_is_withdrawn_in_time() {
     let repeatable = tokio::time::timeout(PATIENCE, waits_at_old_weights("/safe/")).await;
     let other = tokio::time::timeout(PATIENCE, waits_at_old_weights("/unsafe/")).await;
-    assert_eq!(repeatable.ok(), Some(("200".to_owned(), true, 1)), "it is repeated at new weights");
-    assert_eq!(other.ok(), Some(("502".to_owned(), true, 0)), "it may have run, so it is not repeated");
+    assert_eq!(
+        repeatable.ok(),
+        Some(("200".to_owned(), true, 1)),
+        "it is repeated at new weights"
+    );
+    assert_eq!(
+        other.ok(),
+        Some(("502".to_owned(), true, 0)),
+        "it may have run, so it is not repeated"
+    );
 }
--- a/router/tests/wire_format.rs
+++ b/router/tests/wire_format.rs
@@ -1,12 +1,14 @@
-//! Bytes between routers and on their disks stay as they were: another version of the program sends and stores the same.
+//! Bytes between routers and on their disks stay as they were: another version of the program sends
+//! and stores the same.
 //!
-//! The fixtures were written by the program as it was before its types were renamed. Each line is the name of a sample and
-//! its bytes in hexadecimal digits.
+//! The fixtures were written by the program as it was before its types were renamed. Each line is
+//! the name of a sample and its bytes in hexadecimal digits.
 
 use control::changes::{Change, Outcome, Refusal};
 use control::digest::{Range, Summary};
 use control::directory::{
-    Backend, BackendPhase, Key, Member, MemberStatus, Order, OrderPhase, Origin, Record, Stamp, Suspicion, Value,
+    Backend, BackendPhase, Key, Member, MemberStatus, Order, OrderPhase, Origin, Record, Stamp,
+    Suspicion, Value,
 };
 use control::history::{History, News};
 use control::message::{Envelope, Message};
@@ -32,7 +34,9 @@
 }
 
 fn unhex(digits: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("a fixture holds hexadecimal digits");
+    let digit = |at: usize| {
+        u8::from_str_radix(&digits[at..at + 2], 16).expect("a fixture holds hexadecimal digits")
+    };
     (0..digits.len()).step_by(2).map(digit).collect()
 }
 
@@ -45,8 +49,15 @@
 
 impl Fixtures {
     fn new(text: &'static str) -> Self {
-        let lines = text.lines().map(|line| line.split_once(' ').expect("a name and its bytes")).collect();
-        Fixtures { lines, checked: 0, missing: String::new() }
+        let lines = text
+            .lines()
+            .map(|line| line.split_once(' ').expect("a name and its bytes"))
+            .collect();
+        Fixtures {
+            lines,
+            checked: 0,
+            missing: String::new(),
+        }
     }
 
     /// The sample encodes to the bytes of its fixture, and these are read as the sample.
@@ -58,13 +69,21 @@
         };
         assert_eq!(hex(&bytes), *expected, "{name} is encoded as before");
         let decoded: T = postcard::from_bytes(&unhex(expected)).unwrap();
-        assert_eq!(format!("{decoded:?}"), format!("{sample:?}"), "{name} is decoded as before");
+        assert_eq!(
+            format!("{decoded:?}"),
+            format!("{sample:?}"),
+            "{name} is decoded as before"
+        );
         self.checked += 1;
     }
 
     fn finish(self) {
         assert_eq!(self.missing, "", "samples without a fixture");
-        assert_eq!(self.checked, self.lines.len(), "each fixture has its sample");
+        assert_eq!(
+            self.checked,
+            self.lines.len(),
+            "each fixture has its sample"
+        );
     }
 }
 
@@ -75,7 +94,11 @@
 }
 
 fn replica(number: u8) -> ReplicaId {
-    ReplicaId { disk: 7, node: format!("node-{number}").into(), address: address(number) }
+    ReplicaId {
+        disk: 7,
+        node: format!("node-{number}").into(),
+        address: address(number),
+    }
 }
 
 fn backend() -> Backend {
@@ -105,22 +128,44 @@
 }
 
 fn records() -> Vec<(Key, Value)> {
-    let order = Order { fence: 41, number: 2, model: "daka510000".into(), version: 3, phase: OrderPhase::Done };
+    let order = Order {
+        fence: 41,
+        number: 2,
+        model: "daka510000".into(),
+        version: 3,
+        phase: OrderPhase::Done,
+    };
     vec![
         (Key::Backend("i-1".into()), Value::Backend(backend())),
         (Key::Member("node-2".into()), Value::Member(member())),
         (Key::Order("i-1".into()), Value::Order(order)),
-        (Key::Suspicion("i-1".into()), Value::Suspicion(Suspicion { number: 2, lasts_ms: 4_000 })),
+        (
+            Key::Suspicion("i-1".into()),
+            Value::Suspicion(Suspicion {
+                number: 2,
+                lasts_ms: 4_000,
+            }),
+        ),
     ]
 }
 
 fn stamped() -> Vec<Record> {
-    let stamp = Stamp { origin: Origin(77), counter: 5 };
-    records().into_iter().map(|(key, value)| Record { key, stamp, value }).collect()
+    let stamp = Stamp {
+        origin: Origin(77),
+        counter: 5,
+    };
+    records()
+        .into_iter()
+        .map(|(key, value)| Record { key, stamp, value })
+        .collect()
 }
 
 fn named() -> Vec<NamedVersion> {
-    vec![NamedVersion { model: "daka510000".into(), version: 3, age_ms: 700 }]
+    vec![NamedVersion {
+        model: "daka510000".into(),
+        version: 3,
+        age_ms: 700,
+    }]
 }
 
 fn position() -> Position {
@@ -128,23 +173,53 @@
 }
 
 fn published() -> PublishedState {
-    let weights = BTreeMap::from([("daka510000".into(), WeightsTarget { version: 3, index: 8 })]);
-    let news = News::Whole { version: 3, text: CONFIGURATION.to_vec() };
-    PublishedState { position: position(), configuration: Some(news), weights }
+    let weights = BTreeMap::from([(
+        "daka510000".into(),
+        WeightsTarget {
+            version: 3,
+            index: 8,
+        },
+    )]);
+    let news = News::Whole {
+        version: 3,
+        text: CONFIGURATION.to_vec(),
+    };
+    PublishedState {
+        position: position(),
+        configuration: Some(news),
+        weights,
+    }
 }
 
 fn steps() -> News {
     let mut history = History::default();
     history.advance(1, "{\"r\":1}".repeat(40).into_bytes());
-    history.advance(2, format!("{}{}", "{\"r\":2}", "{\"r\":1}".repeat(40)).into_bytes());
+    history.advance(
+        2,
+        format!("{}{}", "{\"r\":2}", "{\"r\":1}".repeat(40)).into_bytes(),
+    );
     history.news_for(1).unwrap()
 }
 
 fn requests() -> Vec<(&'static str, Request)> {
-    let message = Message::Decided { view: control::view::View::founding([replica(1)].into()).unwrap() };
-    let envelope = Envelope { from: replica(1), life: 77, to: replica(2), answers: None, message };
-    let configuration = Change::Configuration { base: 2, body: CONFIGURATION.into() };
-    let placement = Placement { backend: "i-1".into(), version: 3 };
+    let message = Message::Decided {
+        view: control::view::View::founding([replica(1)].into()).unwrap(),
+    };
+    let envelope = Envelope {
+        from: replica(1),
+        life: 77,
+        to: replica(2),
+        answers: None,
+        message,
+    };
+    let configuration = Change::Configuration {
+        base: 2,
+        body: CONFIGURATION.into(),
+    };
+    let placement = Placement {
+        backend: "i-1".into(),
+        version: 3,
+    };
     let pull = PullRequest {
         name: "node-1".into(),
         member: member(),
@@ -158,28 +233,91 @@
     vec![
         ("replica", Request::Replica(Box::new(envelope))),
         ("pull", Request::Pull(pull)),
-        ("submit.configuration", Request::Submit { change: configuration, hops: 2 }),
+        (
+            "submit.configuration",
+            Request::Submit {
+                change: configuration,
+                hops: 2,
+            },
+        ),
         (
             "submit.weights",
-            Request::Submit { change: Change::Weights { model: "daka510000".into(), version: 3 }, hops: 1 },
+            Request::Submit {
+                change: Change::Weights {
+                    model: "daka510000".into(),
+                    version: 3,
+                },
+                hops: 1,
+            },
         ),
         (
             "submit.order_holder",
-            Request::Submit { change: Change::OrderHolder { replica: replica(3) }, hops: 0 },
+            Request::Submit {
+                change: Change::OrderHolder {
+                    replica: replica(3),
+                },
+                hops: 0,
+            },
         ),
         ("read_configuration", Request::ReadConfiguration { hops: 2 }),
-        ("register", Request::Register { id: "i-1".into(), backend: backend() }),
-        ("compare", Request::Compare { range: Range { prefix: 1 << 63, bits: 1 } }),
+        (
+            "register",
+            Request::Register {
+                id: "i-1".into(),
+                backend: backend(),
+            },
+        ),
+        (
+            "compare",
+            Request::Compare {
+                range: Range {
+                    prefix: 1 << 63,
+                    bits: 1,
+                },
+            },
+        ),
         ("store_status", Request::StoreStatus { store: address(9) }),
         (
             "locate",
-            Request::Locate { key: PrefixKey(123_456_789), planned: placement.clone(), wants_save: true },
+            Request::Locate {
+                key: PrefixKey(123_456_789),
+                planned: placement.clone(),
+                wants_save: true,
+            },
+        ),
+        (
+            "placed",
+            Request::Placed {
+                key: PrefixKey(123_456_789),
+                placement,
+            },
+        ),
+        (
+            "evicted",
+            Request::Evicted {
+                backend: "i-1".into(),
+                prefixes: vec![(PrefixKey(12), 3)],
+            },
+        ),
+        (
+            "evicted_from_store",
+            Request::EvictedFromStore {
+                prefixes: vec![(PrefixKey(12), 3)],
+            },
+        ),
+        (
+            "fetch",
+            Request::Fetch {
+                keys: vec![1, 2, 1 << 60],
+            },
+        ),
+        (
+            "faults",
+            Request::Faults {
+                reporter: "node-1".into(),
+                faults: vec![("i-1".into(), 3)],
+            },
         ),
-        ("placed", Request::Placed { key: PrefixKey(123_456_789), placement }),
-        ("evicted", Request::Evicted { backend: "i-1".into(), prefixes: vec![(PrefixKey(12), 3)] }),
-        ("evicted_from_store", Request::EvictedFromStore { prefixes: vec![(PrefixKey(12), 3)] }),
-        ("fetch", Request::Fetch { keys: vec![1, 2, 1 << 60] }),
-        ("faults", Request::Faults { reporter: "node-1".into(), faults: vec![("i-1".into(), 3)] }),
     ]
 }
 
@@ -194,30 +332,65 @@
         named_weights: named(),
     };
     let located = Located {
-        holders: vec![Placement { backend: "i-1".into(), version: 3 }],
+        holders: vec![Placement {
+            backend: "i-1".into(),
+            version: 3,
+        }],
         stored: Some(3),
         save: true,
     };
-    let differences = PublishedState { configuration: Some(steps()), ..published() };
+    let differences = PublishedState {
+        configuration: Some(steps()),
+        ..published()
+    };
     vec![
-        ("pulled", Response::Pulled(Box::new(pulled(Some(published()))))),
-        ("pulled.steps", Response::Pulled(Box::new(pulled(Some(differences))))),
+        (
+            "pulled",
+            Response::Pulled(Box::new(pulled(Some(published())))),
+        ),
+        (
+            "pulled.steps",
+            Response::Pulled(Box::new(pulled(Some(differences)))),
+        ),
         ("pulled.bare", Response::Pulled(Box::new(pulled(None)))),
         ("outcome.done", Response::Outcome(Outcome::Done)),
-        ("outcome.refused", Response::Outcome(Outcome::Refused(Refusal::OtherVersion { current: 4 }))),
-        ("outcome.invalid", Response::Outcome(Outcome::Refused(Refusal::Invalid("routes[0]".into())))),
+        (
+            "outcome.refused",
+            Response::Outcome(Outcome::Refused(Refusal::OtherVersion { current: 4 })),
+        ),
+        (
+            "outcome.invalid",
+            Response::Outcome(Outcome::Refused(Refusal::Invalid("routes[0]".into()))),
+        ),
         ("outcome.unknown", Response::Outcome(Outcome::Unknown)),
         ("configuration.unknown", Response::Configuration(None)),
         ("configuration.none", Response::Configuration(Some(None))),
-        ("configuration", Response::Configuration(Some(Some(CONFIGURATION.to_vec())))),
+        (
+            "configuration",
+            Response::Configuration(Some(Some(CONFIGURATION.to_vec()))),
+        ),
         ("registered", Response::Registered(Some(address(4)))),
         ("registered.bare", Response::Registered(None)),
-        ("store_status", Response::StoreStatus(Some(StoreStatus { generation: Some(77_120) }))),
-        ("store_status.silent", Response::StoreStatus(Some(StoreStatus { generation: None }))),
+        (
+            "store_status",
+            Response::StoreStatus(Some(StoreStatus {
+                generation: Some(77_120),
+            })),
+        ),
+        (
+            "store_status.silent",
+            Response::StoreStatus(Some(StoreStatus { generation: None })),
+        ),
         ("store_status.unknown", Response::StoreStatus(None)),
         ("located", Response::Located(located)),
-        ("summary.digest", Response::Summary(Summary::Digest(123_456_789))),
-        ("summary.listed", Response::Summary(Summary::Listed(vec![(1, 2), (3, 4)]))),
+        (
+            "summary.digest",
+            Response::Summary(Summary::Digest(123_456_789)),
+        ),
+        (
+            "summary.listed",
+            Response::Summary(Summary::Listed(vec![(1, 2), (3, 4)])),
+        ),
         ("records", Response::Records(stamped())),
         ("not_registered", Response::NotRegistered),
     ]
@@ -232,7 +405,13 @@
     for (name, response) in responses() {
         fixtures.check(&format!("response.{name}"), &Frame::Response(7, response));
     }
-    fixtures.check("datagram.heartbeat", &MemberHeartbeat { name: "node-1".into(), life: 77 });
+    fixtures.check(
+        "datagram.heartbeat",
+        &MemberHeartbeat {
+            name: "node-1".into(),
+            life: 77,
+        },
+    );
     fixtures.finish();
 }
 
@@ -242,15 +421,26 @@
     assert_eq!(hex(&short), "00000006".to_owned() + "00070b020102");
     let keys = vec![5; 4_000];
     let long = frame::encode(&Frame::Request(7, Request::Fetch { keys })).unwrap();
-    assert_eq!(hex(&long), include_str!("fixtures/compressed_frame.hex").trim());
+    assert_eq!(
+        hex(&long),
+        include_str!("fixtures/compressed_frame.hex").trim()
+    );
 }
 
 #[test]
 fn what_was_known_of_the_fleet_is_read_from_a_file_of_before() {
-    let known = Known { records: records(), named_weights: named() };
-    let folder = std::env::temp_dir().join(format!("bitternsill-wire-format-{}", std::process::id()));
+    let known = Known {
+        records: records(),
+        named_weights: named(),
+    };
+    let folder =
+        std::env::temp_dir().join(format!("bitternsill-wire-format-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
-    fs::write(folder.join("fleet"), unhex(include_str!("fixtures/fleet_file.hex").trim())).unwrap();
+    fs::write(
+        folder.join("fleet"),
+        unhex(include_str!("fixtures/fleet_file.hex").trim()),
+    )
+    .unwrap();
     let found = disk::read_fleet(&folder);
     fs::remove_dir_all(&folder).unwrap();
     assert_eq!(found, known);
@@ -265,10 +455,19 @@
     let mut names: Vec<String> = requests()
         .into_iter()
         .map(|(_, request)| Frame::Request(7, request))
-        .chain(responses().into_iter().map(|(_, response)| Frame::Response(7, response)))
+        .chain(
+            responses()
+                .into_iter()
+                .map(|(_, response)| Frame::Response(7, response)),
+        )
         .map(|frame| format!("{:?}", MessageKind::of(&frame)))
         .collect();
     names.sort();
     names.dedup();
-    assert_eq!(names, include_str!("fixtures/message_kinds.txt").lines().collect::<Vec<_>>());
+    assert_eq!(
+        names,
+        include_str!("fixtures/message_kinds.txt")
+            .lines()
+            .collect::<Vec<_>>()
+    );
 }
--- a/router/tests/withdrawn_requests.rs
+++ b/router/tests/withdrawn_requests.rs
@@ -1,11 +1,13 @@
 //! Requests that are given up while they are held up on their way to a backend.
 //!
-//! Story: a backend began a request, seconds after its client had left. The way to the backend had been cut when the request was sent; once it
-//! had healed, the system of the router's machine sent on what it still held, and the end of the connection behind it. Seen before as
-//! "a backend begins what its caller has withdrawn"; the same cause as late orders for weights: what is given up here is not thereby
-//! taken back.
+//! Story: a backend began a request, seconds after its client had left. The way to the backend had
+//! been cut when the request was sent; once it had healed, the system of the router's machine sent
+//! on what it still held, and the end of the connection behind it. Seen before as "a backend begins
+//! what its caller has withdrawn"; the same cause as late orders for weights: what is given up here
+//! is not thereby taken back.
 //!
-//! Evidence: a way that holds bytes up, and drops them only where their sender has reset the connection, delivered the whole request.
+//! Evidence: a way that holds bytes up, and drops them only where their sender has reset the
+//! connection, delivered the whole request.
 
 mod common;
 
@@ -16,7 +18,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// A way to a backend that is cut. Once it heals, what was sent arrives, unless its sender has reset the connection meanwhile.
+/// A way to a backend that is cut. Once it heals, what was sent arrives, unless its sender has
+/// reset the connection meanwhile.
 struct HeldUp {
     address: SocketAddrV4,
     /// A permit for each connection on which something was sent.
@@ -31,9 +34,17 @@
 impl HeldUp {
     async fn before(backend: &StandIn) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
+        let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
+            unreachable!()
+        };
         let permits = || Arc::new(Semaphore::new(0));
-        let way = HeldUp { address, sent: permits(), ended: permits(), heals: permits(), carried: permits() };
+        let way = HeldUp {
+            address,
+            sent: permits(),
+            ended: permits(),
+            heals: permits(),
+            carried: permits(),
+        };
         let (sent, ended) = (way.sent.clone(), way.ended.clone());
         let (heals, carried, target) = (way.heals.clone(), way.carried.clone(), backend.address);
         tokio::spawn(async move {
@@ -57,7 +68,12 @@
 
 /// Waits until the other side has closed or reset the connection, and reads nothing.
 async fn has_ended(stream: &TcpStream) {
-    while !stream.ready(Interest::READABLE).await.unwrap().is_read_closed() {
+    while !stream
+        .ready(Interest::READABLE)
+        .await
+        .unwrap()
+        .is_read_closed()
+    {
         tokio::task::yield_now().await;
     }
 }
@@ -76,7 +92,11 @@
 }
 
 async fn wait_for(permits: &Semaphore) {
-    tokio::time::timeout(PATIENCE, permits.acquire()).await.expect("in time").unwrap().forget();
+    tokio::time::timeout(PATIENCE, permits.acquire())
+        .await
+        .expect("in time")
+        .unwrap()
+        .forget();
 }
 
 #[tokio::test]
@@ -84,7 +104,13 @@
     let backend = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let way = HeldUp::before(&backend).await;
     let router = Router::start(&[]).await;
-    register_at(&router.fleet, 0, way.address, 1, control::directory::BackendPhase::Ready);
+    register_at(
+        &router.fleet,
+        0,
+        way.address,
+        1,
+        control::directory::BackendPhase::Ready,
+    );
     router.table.refresh(&router.fleet);
     let client = router.send("/unsafe/", KEY).await;
     wait_for(&way.sent).await;
--- a/routing/src/admission.rs
+++ b/routing/src/admission.rs
@@ -1,8 +1,9 @@
 //! Refusing early where a service has more work than it can do in time.
 //!
-//! Routers learn of overload by the time that answers take to begin, measured against their objectives. While the
-//! typical answer begins too late, a growing share of new requests is refused at once, whatever their kind; the share
-//! falls again as answers get quicker. All routers see the same backends, so they act alike without a word between them.
+//! Routers learn of overload by the time that answers take to begin, measured against their
+//! objectives. While the typical answer begins too late, a growing share of new requests is refused
+//! at once, whatever their kind; the share falls again as answers get quicker. All routers see the
+//! same backends, so they act alike without a word between them.
 
 use crate::Millis;
 use std::collections::{HashMap, VecDeque};
@@ -13,12 +14,13 @@
 const STEP: Millis = 100;
 /// Answers that have to be seen before anything is refused.
 const LEAST_SEEN: usize = 3;
-/// A service is overloaded once the typical answer has begun later than this share of its objective for a while. Short peaks
-/// are better served late than refused.
+/// A service is overloaded once the typical answer has begun later than this share of its objective
+/// for a while. Short peaks are better served late than refused.
 const OVERLOADED: f64 = 0.8;
 /// For so long.
 const SUSTAINED: Millis = 2_000;
-/// While a service is overloaded, the typical answer is to begin within this share of its objective.
+/// While a service is overloaded, the typical answer is to begin within this share of its
+/// objective.
 const GOAL: f64 = 0.25;
 /// An overload is over once nothing had to be refused for so long.
 const RECOVERED: Millis = 3_000;
@@ -66,7 +68,13 @@
     pub fn sent(&mut self, objective: Millis, now: Millis) -> PendingId {
         let id = PendingId(self.next);
         self.next += 1;
-        self.pending.insert(id, Pending { since: now, objective: objective.max(1) });
+        self.pending.insert(
+            id,
+            Pending {
+                since: now,
+                objective: objective.max(1),
+            },
+        );
         id
     }
 
@@ -95,13 +103,18 @@
         }
     }
 
-    /// The median share of their objectives that answers take to begin, those included that are already late.
+    /// The median share of their objectives that answers take to begin, those included that are
+    /// already late.
     fn typical_ratio(&mut self, now: Millis) -> f64 {
         while self.begun.front().is_some_and(|(at, _)| at + WINDOW < now) {
             self.begun.pop_front();
         }
         let mut ratios: Vec<f64> = self.begun.iter().map(|(_, ratio)| *ratio).collect();
-        let late = self.pending.values().map(|pending| pending.ratio(now)).filter(|ratio| *ratio > GOAL);
+        let late = self
+            .pending
+            .values()
+            .map(|pending| pending.ratio(now))
+            .filter(|ratio| *ratio > GOAL);
         ratios.extend(late);
         if ratios.len() < LEAST_SEEN {
             return 0.0;
@@ -113,21 +126,34 @@
 }
 
 impl Standing {
-    /// The one place where the standing changes. The refused share grows steeply with the time that answers take, so that a
-    /// backlog is worked off soon.
+    /// The one place where the standing changes. The refused share grows steeply with the time that
+    /// answers take, so that a backlog is worked off soon.
     fn after(self, level: f64, now: Millis) -> Standing {
         match self {
             Standing::Calm | Standing::Late { .. } if level <= OVERLOADED => Standing::Calm,
             Standing::Calm => Standing::Late { since: now },
             Standing::Late { since } if now < since + SUSTAINED => self,
-            Standing::Late { .. } => Standing::Overloaded { refused_share: 0.0, needed: now },
+            Standing::Late { .. } => Standing::Overloaded {
+                refused_share: 0.0,
+                needed: now,
+            },
             Standing::Overloaded { needed, .. } if now > needed + RECOVERED => Standing::Calm,
-            Standing::Overloaded { refused_share, needed } => {
-                let wanted = if level > GOAL { 1.0 - (GOAL / level).powi(2) } else { 0.0 };
+            Standing::Overloaded {
+                refused_share,
+                needed,
+            } => {
+                let wanted = if level > GOAL {
+                    1.0 - (GOAL / level).powi(2)
+                } else {
+                    0.0
+                };
                 let next = refused_share + APPROACH * (wanted.min(LARGEST_SHARE) - refused_share);
                 let is_needed = next > NEGLIGIBLE;
                 let refused_share = if is_needed { next } else { 0.0 };
-                Standing::Overloaded { refused_share, needed: if is_needed { now } else { needed } }
+                Standing::Overloaded {
+                    refused_share,
+                    needed: if is_needed { now } else { needed },
+                }
             }
         }
     }
--- a/routing/src/budget.rs
+++ b/routing/src/budget.rs
@@ -1,12 +1,14 @@
 //! The share of a service's retry budget that one router may use.
 //!
-//! The budget is summed over all routers. Each uses the ratio of its own requests and an equal share of the slack, so
-//! that the sum holds without a word between them, also while some of them are cut off.
+//! The budget is summed over all routers. Each uses the ratio of its own requests and an equal
+//! share of the slack, so that the sum holds without a word between them, also while some of them
+//! are cut off.
 
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// Part of the permitted repeats that is used; the rest covers differences between clocks and windows.
+/// Part of the permitted repeats that is used; the rest covers differences between clocks and
+/// windows.
 const USED: f64 = 0.8;
 
 /// What the deployment permits.
@@ -30,10 +32,15 @@
 }
 
 impl RetryBudget {
-    /// A budget of a router that starts now. What a former process of this router used is unknown, so its share of the
-    /// slack is only available after a window.
+    /// A budget of a router that starts now. What a former process of this router used is unknown,
+    /// so its share of the slack is only available after a window.
     pub fn new(permitted: Permitted, now: Millis) -> Self {
-        RetryBudget { permitted, begun: now, requests: VecDeque::new(), repeats: VecDeque::new() }
+        RetryBudget {
+            permitted,
+            begun: now,
+            requests: VecDeque::new(),
+            repeats: VecDeque::new(),
+        }
     }
 
     fn expire(&mut self, now: Millis) {
@@ -53,11 +60,16 @@
         self.expire(now);
     }
 
-    /// Takes one repeat out of the budget, if there is one left after leaving `kept` of it to others.
+    /// Takes one repeat out of the budget, if there is one left after leaving `kept` of it to
+    /// others.
     pub fn take(&mut self, routers: usize, kept: f64, now: Millis) -> bool {
         self.expire(now);
         let begins = now < self.begun + self.permitted.window;
-        let slack = if begins { 0.0 } else { self.permitted.slack / routers.max(1) as f64 };
+        let slack = if begins {
+            0.0
+        } else {
+            self.permitted.slack / routers.max(1) as f64
+        };
         let permitted = USED * (self.permitted.ratio * self.requests.len() as f64 + slack);
         let left = self.repeats.len() as f64 + 1.0 <= permitted * (1.0 - kept);
         if left {
--- a/routing/src/faults.rs
+++ b/routing/src/faults.rs
@@ -1,8 +1,9 @@
 //! Evidence that a backend fails requests, gathered from several routers.
 //!
-//! A fleet of many routers sends each backend little from each of them, so that none sees enough failures to judge. One
-//! router gathers the faults that all of them saw at a backend and suspects it once enough came from more than one of them.
-//! A suspicion has an end; it lasts longer where the backend fails again soon after.
+//! A fleet of many routers sends each backend little from each of them, so that none sees enough
+//! failures to judge. One router gathers the faults that all of them saw at a backend and suspects
+//! it once enough came from more than one of them. A suspicion has an end; it lasts longer where
+//! the backend fails again soon after.
 
 use crate::Millis;
 use compact_str::CompactString;
@@ -12,7 +13,8 @@
 const WINDOW: Millis = 2_000;
 /// A backend is suspected after so many faults within the window.
 const ENOUGH: u32 = 4;
-/// A router's faults count for so many within the window, so that no single one can make a backend suspected.
+/// A router's faults count for so many within the window, so that no single one can make a backend
+/// suspected.
 const MOST_EACH: u32 = 2;
 /// How long the first suspicion lasts.
 const SUSPECTED: Millis = 1_000;
@@ -44,7 +46,8 @@
 }
 
 impl FaultEvidence {
-    /// Takes the faults that a router saw. Returns how long the backend is to be suspected, where that begins now.
+    /// Takes the faults that a router saw. Returns how long the backend is to be suspected, where
+    /// that begins now.
     pub fn report(
         &mut self,
         backend: &CompactString,
@@ -56,7 +59,11 @@
         if now < case.until {
             return None;
         }
-        case.reports.push_back(Report { reporter: reporter.clone(), faults, at: now });
+        case.reports.push_back(Report {
+            reporter: reporter.clone(),
+            faults,
+            at: now,
+        });
         case.forget_old(now);
         (case.weight() >= ENOUGH).then(|| case.suspect(now))
     }
@@ -82,7 +89,11 @@
 
 impl Case {
     fn forget_old(&mut self, now: Millis) {
-        while self.reports.front().is_some_and(|report| now >= report.at + WINDOW) {
+        while self
+            .reports
+            .front()
+            .is_some_and(|report| now >= report.at + WINDOW)
+        {
             self.reports.pop_front();
         }
     }
@@ -98,15 +109,19 @@
 
     fn suspect(&mut self, now: Millis) -> Millis {
         let again = self.lasts > 0 && now < self.until + IN_A_ROW;
-        self.lasts = if again { (2 * self.lasts).min(LONGEST) } else { SUSPECTED };
+        self.lasts = if again {
+            (2 * self.lasts).min(LONGEST)
+        } else {
+            SUSPECTED
+        };
         self.until = now + self.lasts;
         self.reports.clear();
         self.lasts
     }
 }
 
-/// Whether suspicions are to be heeded: where more than 3 in 10 backends of a service are suspected, the fault is more
-/// likely the requests' or the network's.
+/// Whether suspicions are to be heeded: where more than 3 in 10 backends of a service are
+/// suspected, the fault is more likely the requests' or the network's.
 pub fn are_few_suspected(suspected: usize, all: usize) -> bool {
     10 * suspected <= 3 * all
 }
--- a/routing/src/hedging.rs
+++ b/routing/src/hedging.rs
@@ -1,4 +1,5 @@
-//! How many copies may follow sends. When one follows is told by [`Pace`], which the gatherer's decision module has.
+//! How many copies may follow sends. When one follows is told by [`Pace`], which the gatherer's
+//! decision module has.
 
 pub use bramblestair::choice::Pace;
 
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions of a router, without I/O or clocks: where a request goes first, when a copy follows it, what may be
-//! repeated, and which parts of prompts are kept where.
+//! Decisions of a router, without I/O or clocks: where a request goes first, when a copy follows
+//! it, what may be repeated, and which parts of prompts are kept where.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/routing/src/locations.rs
+++ b/routing/src/locations.rs
@@ -1,8 +1,10 @@
-//! The index of kept prompts: which backends keep the shared start of a prompt, and whether the store does.
+//! The index of kept prompts: which backends keep the shared start of a prompt, and whether the
+//! store does.
 //!
-//! Each shared start (prefix) has one owner among the routers, which sees every request for it. A request names the backend
-//! that it would go to; where nobody keeps the prefix yet, that backend is noted at once, so that the next request finds it
-//! before any event could tell. Events of backends and stores take away what has given way.
+//! Each shared start (prefix) has one owner among the routers, which sees every request for it. A
+//! request names the backend that it would go to; where nobody keeps the prefix yet, that backend
+//! is noted at once, so that the next request finds it before any event could tell. Events of
+//! backends and stores take away what has given way.
 
 use crate::Millis;
 use crate::prompt::Prompt;
@@ -15,14 +17,16 @@
 const HOLDERS: usize = 6;
 /// Prefixes that are remembered; some of the least recently used ones give way.
 const PREFIXES: usize = 16_384;
-/// A backend is taken to keep a prefix for so long after its last use, where no event has said otherwise.
+/// A backend is taken to keep a prefix for so long after its last use, where no event has said
+/// otherwise.
 const KEPT: Millis = 20_000;
 /// The store is taken to keep a prefix for so long after it was last saved or used.
 const STORED: Millis = 60_000;
 /// A prefix is not saved again so soon.
 const SAVE_AGAIN: Millis = 2_500;
 
-/// Identifies the shared start of a prompt: the wall around its tenant, its model, and its last part that others share.
+/// Identifies the shared start of a prompt: the wall around its tenant, its model, and its last
+/// part that others share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PrefixKey(pub u64);
 
@@ -64,7 +68,9 @@
 impl Located {
     /// Whether a backend keeps the prefix under this version.
     pub fn is_held_by(&self, backend: &str, version: u64) -> bool {
-        self.holders.iter().any(|holder| holder.backend == backend && holder.version == version)
+        self.holders
+            .iter()
+            .any(|holder| holder.backend == backend && holder.version == version)
     }
 }
 
@@ -97,8 +103,9 @@
 }
 
 impl Locations {
-    /// Where a prefix is kept. Where it is kept nowhere under the planned version, the planned backend will keep it.
-    /// `generation` is the store's, which changes when the store has lost everything; none where it does not answer.
+    /// Where a prefix is kept. Where it is kept nowhere under the planned version, the planned
+    /// backend will keep it. `generation` is the store's, which changes when the store has lost
+    /// everything; none where it does not answer.
     pub fn locate(
         &mut self,
         key: PrefixKey,
@@ -112,11 +119,19 @@
         prefix.used = now;
         prefix.expire(generation, now);
         let located = Located {
-            holders: prefix.holders.iter().map(|holder| holder.placement.clone()).collect(),
+            holders: prefix
+                .holders
+                .iter()
+                .map(|holder| holder.placement.clone())
+                .collect(),
             stored: prefix.use_stored(now),
             save: wants_save && prefix.begin_save(planned.version, generation, now),
         };
-        if !located.holders.iter().any(|holder| holder.version == planned.version) {
+        if !located
+            .holders
+            .iter()
+            .any(|holder| holder.version == planned.version)
+        {
             prefix.note(planned, now);
         }
         located
@@ -131,7 +146,9 @@
     /// A backend keeps a prefix no more; nothing is noted of prefixes that nobody asked for.
     pub fn evicted(&mut self, key: PrefixKey, placement: &Placement) {
         if let Some(prefix) = self.prefixes.get_mut(&key) {
-            prefix.holders.retain(|holder| holder.placement != *placement);
+            prefix
+                .holders
+                .retain(|holder| holder.placement != *placement);
         }
     }
 
@@ -167,14 +184,22 @@
 impl Prefix {
     fn expire(&mut self, generation: Option<u64>, now: Millis) {
         self.holders.retain(|holder| now < holder.used + KEPT);
-        let is_there = |stored: &Stored| Some(stored.generation) == generation && now < stored.used + STORED;
+        let is_there =
+            |stored: &Stored| Some(stored.generation) == generation && now < stored.used + STORED;
         self.stored = self.stored.filter(is_there);
     }
 
     fn note(&mut self, placement: &Placement, now: Millis) {
         self.used = now;
-        self.holders.retain(|holder| holder.placement.backend != placement.backend);
-        self.holders.insert(0, Holder { placement: placement.clone(), used: now });
+        self.holders
+            .retain(|holder| holder.placement.backend != placement.backend);
+        self.holders.insert(
+            0,
+            Holder {
+                placement: placement.clone(),
+                used: now,
+            },
+        );
         self.holders.truncate(HOLDERS);
     }
 
@@ -185,17 +210,27 @@
         Some(stored.version)
     }
 
-    /// Whether the prefix is to be saved now: the store lacks it, and nobody has just begun to save it.
+    /// Whether the prefix is to be saved now: the store lacks it, and nobody has just begun to save
+    /// it.
     fn begin_save(&mut self, version: u64, generation: Option<u64>, now: Millis) -> bool {
-        let Some(generation) = generation else { return false };
+        let Some(generation) = generation else {
+            return false;
+        };
         if self.stored.is_some_and(|stored| stored.version == version) {
             return false;
         }
-        if self.saving.is_some_and(|(saved, until)| saved == version && now < until) {
+        if self
+            .saving
+            .is_some_and(|(saved, until)| saved == version && now < until)
+        {
             return false;
         }
         self.saving = Some((version, now + SAVE_AGAIN));
-        self.stored = Some(Stored { version, generation, used: now });
+        self.stored = Some(Stored {
+            version,
+            generation,
+            used: now,
+        });
         true
     }
 }
--- a/routing/src/owners.rs
+++ b/routing/src/owners.rs
@@ -1,5 +1,6 @@
-//! Who owns a key: a ring of hashes on which every member stands at several places, so that each owns about as much as the
-//! others, and a member that comes or goes changes the owners of few keys.
+//! Who owns a key: a ring of hashes on which every member stands at several places, so that each
+//! owns about as much as the others, and a member that comes or goes changes the owners of few
+//! keys.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -15,7 +16,10 @@
 
 impl<T> Default for Owners<T> {
     fn default() -> Self {
-        Owners { ring: Vec::new(), members: Vec::new() }
+        Owners {
+            ring: Vec::new(),
+            members: Vec::new(),
+        }
     }
 }
 
--- a/routing/src/prompt.rs
+++ b/routing/src/prompt.rs
@@ -28,12 +28,24 @@
     /// Reads what the headers of a request say; none where it names no model.
     pub fn read(model: Option<&str>, parts: Option<&str>, tokens: Option<&str>) -> Option<Self> {
         let model = CompactString::from(model?);
-        let parts: Vec<Part> = parts.unwrap_or_default().split(',').filter_map(read_part).collect();
-        let mut counts = tokens.unwrap_or_default().split(',').map(|count| count.trim().parse().unwrap_or(0));
+        let parts: Vec<Part> = parts
+            .unwrap_or_default()
+            .split(',')
+            .filter_map(read_part)
+            .collect();
+        let mut counts = tokens
+            .unwrap_or_default()
+            .split(',')
+            .map(|count| count.trim().parse().unwrap_or(0));
         let told = counts.next().unwrap_or(0);
         let tokens_out = counts.next().unwrap_or(0);
         let tokens_in = parts.iter().map(|part| part.tokens).sum::<u64>().max(told);
-        Some(Prompt { model, parts, tokens_in, tokens_out })
+        Some(Prompt {
+            model,
+            parts,
+            tokens_in,
+            tokens_out,
+        })
     }
 
     /// The parts that other requests may share.
@@ -44,5 +56,8 @@
 
 fn read_part(text: &str) -> Option<Part> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part { id: id.into(), tokens: tokens.parse().ok()? })
+    Some(Part {
+        id: id.into(),
+        tokens: tokens.parse().ok()?,
+    })
 }
--- a/routing/src/rest.rs
+++ b/routing/src/rest.rs
@@ -1,7 +1,9 @@
-//! How long an idle connection to a service may have rested to be trusted with a request that can't be repeated.
+//! How long an idle connection to a service may have rested to be trusted with a request that can't
+//! be repeated.
 //!
-//! Backends may forget idle connections without a word; whatever is next sent on one is reset, and whether it has run can't
-//! be told. Once that happens, requests that may not be sent again get a connection that rested for less, for a while.
+//! Backends may forget idle connections without a word; whatever is next sent on one is reset, and
+//! whether it has run can't be told. Once that happens, requests that may not be sent again get a
+//! connection that rested for less, for a while.
 
 use crate::Millis;
 
@@ -28,11 +30,15 @@
         let longest = (rested / 2).max(LEAST);
         let known = self.limit.filter(|limit| now < limit.until);
         let longest = known.map_or(longest, |limit| limit.longest.min(longest));
-        self.limit = Some(Limit { longest, until: now + HEEDED });
+        self.limit = Some(Limit {
+            longest,
+            until: now + HEEDED,
+        });
     }
 
     /// Whether a connection that rested for so long is to be trusted.
     pub fn allows(&self, rested: Millis, now: Millis) -> bool {
-        self.limit.is_none_or(|limit| now >= limit.until || rested <= limit.longest)
+        self.limit
+            .is_none_or(|limit| now >= limit.until || rested <= limit.longest)
     }
 }
--- a/routing/src/version_floor.rs
+++ b/routing/src/version_floor.rs
@@ -1,7 +1,8 @@
 //! From when on only backends with a named version of a model's weights may be used.
 //!
-//! A version's time runs from when it was named, wherever and whenever a router hears of it. News therefore tell how long ago that
-//! was, and of two accounts of one moment the earlier one holds: it can only err to the safe side.
+//! A version's time runs from when it was named, wherever and whenever a router hears of it. News
+//! therefore tell how long ago that was, and of two accounts of one moment the earlier one holds:
+//! it can only err to the safe side.
 
 use crate::Millis;
 use compact_str::CompactString;
@@ -19,8 +20,8 @@
     pub age_ms: Millis,
 }
 
-/// A version that is required no more is remembered for so long after it was, for requests that still wait by it: they are withdrawn later
-/// than backends become ineligible.
+/// A version that is required no more is remembered for so long after it was, for requests that
+/// still wait by it: they are withdrawn later than backends become ineligible.
 const REMEMBERED_FOR: Millis = 5_000;
 
 /// The versions of one model's weights.
@@ -57,16 +58,24 @@
 }
 
 impl VersionFloors {
-    /// Each version keeps the moment from which its time runs, whatever is named after it: the time of a newer one begins
-    /// later, and until it is over the older one is what is required.
+    /// Each version keeps the moment from which its time runs, whatever is named after it: the time
+    /// of a newer one begins later, and until it is over the older one is what is required.
     pub fn hear(&mut self, model: &str, version: u64, at: Millis) {
-        let since = self.models.entry(model.into()).or_default().named.entry(version).or_insert(at);
+        let since = self
+            .models
+            .entry(model.into())
+            .or_default()
+            .named
+            .entry(version)
+            .or_insert(at);
         *since = at.min(*since);
     }
 
     /// Whether this version has been heard of.
     pub fn knows(&self, model: &str, version: u64) -> bool {
-        self.models.get(model).is_some_and(|versions| versions.named.contains_key(&version))
+        self.models
+            .get(model)
+            .is_some_and(|versions| versions.named.contains_key(&version))
     }
 
     /// Every version that still says something.
@@ -82,25 +91,33 @@
         self.models.iter().flat_map(of_model).collect()
     }
 
-    /// The least version of a model's weights on which a request may start now, where older ones may be used for `patience`
-    /// from when a version was named.
+    /// The least version of a model's weights on which a request may start now, where older ones
+    /// may be used for `patience` from when a version was named.
     pub fn least(&mut self, model: &str, patience: Millis, now: Millis) -> Option<u64> {
         let versions = self.models.get_mut(model)?;
         let is_due = |since: &Millis| now >= *since + patience;
-        let least =
-            versions.named.iter().rev().find(|(_, since)| is_due(since)).map(|(version, _)| *version)?;
+        let least = versions
+            .named
+            .iter()
+            .rev()
+            .find(|(_, since)| is_due(since))
+            .map(|(version, _)| *version)?;
         versions.replace_before(least, patience, now);
         Some(least)
     }
 
-    /// Until when requests may start on this version, where older ones may be used for `patience`; none while there is no newer
-    /// one. That moment is the next version's, whatever has replaced that one since.
+    /// Until when requests may start on this version, where older ones may be used for `patience`;
+    /// none while there is no newer one. That moment is the next version's, whatever has replaced
+    /// that one since.
     pub fn last_start(&self, model: &str, version: u64, patience: Millis) -> Option<Millis> {
         let versions = self.models.get(model)?;
         if version < versions.forgotten {
             return Some(0);
         }
-        let newer = versions.named.range(version + 1..).chain(versions.replaced.range(version + 1..));
+        let newer = versions
+            .named
+            .range(version + 1..)
+            .chain(versions.replaced.range(version + 1..));
         newer.map(|(_, since)| *since + patience).min()
     }
 
--- a/routing/tests/admission.rs
+++ b/routing/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Refusing early: a service with one queue, in virtual time, before routers that know nothing of each other.
+//! Refusing early: a service with one queue, in virtual time, before routers that know nothing of
+//! each other.
 
 use routing::admission::{Admission, PendingId};
 use std::collections::VecDeque;
@@ -55,7 +56,11 @@
             if self.rng.f64() < per_second / 1_000.0 {
                 self.arrive(&mut seen);
             }
-            while self.waiting.front().is_some_and(|(_, _, begins)| *begins <= self.now as f64) {
+            while self
+                .waiting
+                .front()
+                .is_some_and(|(_, _, begins)| *begins <= self.now as f64)
+            {
                 let (at, id, _) = self.waiting.pop_front().expect("it was there");
                 self.routers[at].answered(id, self.now);
             }
@@ -101,8 +106,15 @@
         let settled = service.play(20_000, 100.0 * overload);
         let share = settled.refused_share();
         let least = 1.0 - 1.0 / overload;
-        assert!(share > least - 0.03 && share < least + 0.2, "{share:.2} refused at {overload}");
-        assert!(settled.in_time() > 0.7 / overload, "{:.2} in time at {overload}", settled.in_time());
+        assert!(
+            share > least - 0.03 && share < least + 0.2,
+            "{share:.2} refused at {overload}"
+        );
+        assert!(
+            settled.in_time() > 0.7 / overload,
+            "{:.2} in time at {overload}",
+            settled.in_time()
+        );
     }
 }
 
@@ -115,10 +127,15 @@
         if service.rng.f64() < 0.13 {
             never.asked += 1;
             service.free_at = service.free_at.max(service.now as f64) + service.work;
-            never.waits.push((service.free_at - service.now as f64) as u64);
+            never
+                .waits
+                .push((service.free_at - service.now as f64) as u64);
         }
     }
-    assert!(never.in_time() < 0.1, "the comparison that makes the test above worth something");
+    assert!(
+        never.in_time() < 0.1,
+        "the comparison that makes the test above worth something"
+    );
 }
 
 #[test]
--- a/routing/tests/faults.rs
+++ b/routing/tests/faults.rs
@@ -9,7 +9,12 @@
     text.into()
 }
 
-fn report(evidence: &mut FaultEvidence, reporter: &str, faults: u32, now: Millis) -> Option<Millis> {
+fn report(
+    evidence: &mut FaultEvidence,
+    reporter: &str,
+    faults: u32,
+    now: Millis,
+) -> Option<Millis> {
     evidence.report(&name("i-1"), &name(reporter), faults, now)
 }
 
@@ -25,15 +30,24 @@
 fn two_routers_with_two_faults_each_do_in_any_order() {
     for order in orders::all(&["n1", "n1", "n2", "n2"]) {
         let mut evidence = FaultEvidence::default();
-        let outcomes = order.iter().map(|reporter| report(&mut evidence, reporter, 1, 5));
-        assert_eq!(outcomes.collect::<Vec<_>>(), [None, None, None, Some(1_000)], "{order:?}");
+        let outcomes = order
+            .iter()
+            .map(|reporter| report(&mut evidence, reporter, 1, 5));
+        assert_eq!(
+            outcomes.collect::<Vec<_>>(),
+            [None, None, None, Some(1_000)],
+            "{order:?}"
+        );
     }
 }
 
 #[test]
 fn faults_that_are_spread_over_a_long_time_do_not() {
     let mut evidence = FaultEvidence::default();
-    for (at, reporter) in ["n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"].into_iter().enumerate() {
+    for (at, reporter) in ["n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8"]
+        .into_iter()
+        .enumerate()
+    {
         assert_eq!(report(&mut evidence, reporter, 1, 700 * at as Millis), None);
     }
 }
@@ -45,12 +59,20 @@
     for expected in [1_000, 2_000, 4_000, 8_000, 8_000] {
         assert_eq!(report(&mut evidence, "n1", 2, now), None);
         assert_eq!(report(&mut evidence, "n2", 2, now), Some(expected));
-        assert_eq!(report(&mut evidence, "n2", 2, now + 1), None, "it is suspected already");
+        assert_eq!(
+            report(&mut evidence, "n2", 2, now + 1),
+            None,
+            "it is suspected already"
+        );
         now += expected + 500;
     }
     now += 20_000;
     report(&mut evidence, "n1", 2, now);
-    assert_eq!(report(&mut evidence, "n2", 2, now), Some(1_000), "after a long time well");
+    assert_eq!(
+        report(&mut evidence, "n2", 2, now),
+        Some(1_000),
+        "after a long time well"
+    );
 }
 
 #[test]
--- a/routing/tests/version_floor.rs
+++ b/routing/tests/version_floor.rs
@@ -20,9 +20,17 @@
     floors.hear("m", 2, 0);
     floors.hear("m", 3, 5_000);
     assert_eq!(floors.least("m", PATIENCE, PATIENCE - 1), None);
-    assert_eq!(floors.least("m", PATIENCE, PATIENCE), Some(2), "version 2 counts from when 2 was named");
+    assert_eq!(
+        floors.least("m", PATIENCE, PATIENCE),
+        Some(2),
+        "version 2 counts from when 2 was named"
+    );
     assert_eq!(floors.least("m", PATIENCE, 4_999 + PATIENCE), Some(2));
-    assert_eq!(floors.least("m", PATIENCE, 5_000 + PATIENCE), Some(3), "and 3 from when 3 was");
+    assert_eq!(
+        floors.least("m", PATIENCE, 5_000 + PATIENCE),
+        Some(3),
+        "and 3 from when 3 was"
+    );
 }
 
 #[test]
@@ -34,17 +42,23 @@
     assert_eq!(floors.least("m", PATIENCE, PATIENCE), Some(2));
 }
 
-/// Story: requests began on version 1 of some weights, 6.1 s after version 2 was acknowledged, where 6 s are permitted. Versions had been
-/// named at 2.0 s, 5.2 s and 8.5 s; a backend that was late in the rollout still had version 1, and routers still sent to it.
+/// Story: requests began on version 1 of some weights, 6.1 s after version 2 was acknowledged,
+/// where 6 s are permitted. Versions had been named at 2.0 s, 5.2 s and 8.5 s; a backend that was
+/// late in the rollout still had version 1, and routers still sent to it.
 ///
-/// Evidence: each router heard of each version within 10 ms, by its log. Cause: only the newest version was remembered, and since when,
-/// so each newer one let its predecessor's time begin anew; where versions come faster than that time, none was ever required.
+/// Evidence: each router heard of each version within 10 ms, by its log. Cause: only the newest
+/// version was remembered, and since when, so each newer one let its predecessor's time begin anew;
+/// where versions come faster than that time, none was ever required.
 #[test]
 fn a_version_keeps_its_deadline_when_newer_ones_are_named() {
     let mut floors = VersionFloors::default();
     for (version, at) in [(2, 2_000), (3, 5_200), (4, 8_500)] {
         floors.hear("m", version, at);
-        assert_eq!(floors.least("m", PATIENCE, at), None, "version {version} has just been named");
+        assert_eq!(
+            floors.least("m", PATIENCE, at),
+            None,
+            "version {version} has just been named"
+        );
     }
     for (version, at) in [(2, 2_000), (3, 5_200), (4, 8_500)] {
         assert_eq!(floors.least("m", PATIENCE, at + PATIENCE), Some(version));
@@ -53,7 +67,12 @@
 
 #[test]
 fn of_two_accounts_the_earlier_one_holds_in_every_order() {
-    for accounts in [[100, 400, 250], [400, 100, 250], [250, 400, 100], [400, 250, 100]] {
+    for accounts in [
+        [100, 400, 250],
+        [400, 100, 250],
+        [250, 400, 100],
+        [400, 250, 100],
+    ] {
         let mut floors = VersionFloors::default();
         accounts.iter().for_each(|at| floors.hear("m", 2, *at));
         assert_eq!(floors.least("m", PATIENCE, 99 + PATIENCE), None);
@@ -74,9 +93,17 @@
     }
     for later in 0..6_000 {
         let (told, heard) = (told_at + later, heard_at + later);
-        assert_eq!(teller.least("m", PATIENCE, told), hearer.least("m", PATIENCE, heard), "{later} ms later");
+        assert_eq!(
+            teller.least("m", PATIENCE, told),
+            hearer.least("m", PATIENCE, heard),
+            "{later} ms later"
+        );
     }
-    assert_eq!(teller.named(20_000).len(), 1, "what is over says nothing any more");
+    assert_eq!(
+        teller.named(20_000).len(),
+        1,
+        "what is over says nothing any more"
+    );
 }
 
 #[test]
@@ -100,12 +127,15 @@
     assert!(floors.are_settled(PATIENCE, 300 + PATIENCE));
 }
 
-/// Story: a request began on version 21 of some weights 7.2 s after version 22 was acknowledged, where 6 s are permitted, and was served. It was
-/// held up on its way to a backend that had version 21; versions were named each 0.85 s. Seen in 4 of 49 runs of one seed of the soak.
+/// Story: a request began on version 21 of some weights 7.2 s after version 22 was acknowledged,
+/// where 6 s are permitted, and was served. It was held up on its way to a backend that had version
+/// 21; versions were named each 0.85 s. Seen in 4 of 49 runs of one seed of the soak.
 ///
-/// Evidence: the router knew of version 22 at once, and had not withdrawn the request when its time was over. Cause: requests are withdrawn a
-/// second later than backends become ineligible; a version was forgotten once the next one made backends ineligible, so where versions lie less
-/// than that second apart, the one whose time was about to be over was always forgotten just before.
+/// Evidence: the router knew of version 22 at once, and had not withdrawn the request when its time
+/// was over. Cause: requests are withdrawn a second later than backends become ineligible; a
+/// version was forgotten once the next one made backends ineligible, so where versions lie less
+/// than that second apart, the one whose time was about to be over was always forgotten just
+/// before.
 #[test]
 fn the_last_start_on_a_version_never_moves_however_fast_newer_ones_are_named() {
     const LATER: u64 = 1_000;
@@ -117,9 +147,16 @@
             }
             floors.least("m", PATIENCE, now);
             let last = floors.last_start("m", 1, PATIENCE + LATER);
-            assert!(last.is_some_and(|last| last <= PATIENCE + LATER), "{last:?} at {now}, each {gap} ms");
+            assert!(
+                last.is_some_and(|last| last <= PATIENCE + LATER),
+                "{last:?} at {now}, each {gap} ms"
+            );
             if now < PATIENCE + LATER {
-                assert_eq!(last, Some(PATIENCE + LATER), "nor earlier, at {now}, each {gap} ms");
+                assert_eq!(
+                    last,
+                    Some(PATIENCE + LATER),
+                    "nor earlier, at {now}, each {gap} ms"
+                );
             }
         }
     }
--- a/soak/src/backend/mod.rs
+++ b/soak/src/backend/mod.rs
@@ -65,7 +65,15 @@
         address: Ipv4Addr,
     ) -> Arc<Self> {
         let (newest_weights, next) = (AtomicU64::new(1), AtomicU64::new(1));
-        Arc::new(Surroundings { clock, recorder, control, client, address, newest_weights, next })
+        Arc::new(Surroundings {
+            clock,
+            recorder,
+            control,
+            client,
+            address,
+            newest_weights,
+            next,
+        })
     }
 }
 
@@ -96,7 +104,11 @@
     /// Starts an incarnation with the newest weights.
     pub async fn start(around: Arc<Surroundings>) -> std::io::Result<Self> {
         let listener = TcpListener::bind((around.address, 0)).await?;
-        let way = Way::to(SocketAddrV4::new(around.address, listener.local_addr()?.port())).await?;
+        let way = Way::to(SocketAddrV4::new(
+            around.address,
+            listener.local_addr()?.port(),
+        ))
+        .await?;
         let address = way.address;
         let state = Arc::new(State {
             number: around.next.fetch_add(1, Ordering::Relaxed),
@@ -112,10 +124,17 @@
             sequence: AtomicU64::new(0),
             slots: Semaphore::new(SLOTS),
         });
-        state.note(Stage::Started { version: state.version.load(Ordering::Relaxed) });
+        state.note(Stage::Started {
+            version: state.version.load(Ordering::Relaxed),
+        });
         let serving = tokio::spawn(serve(listener, state.clone()));
         let beating = tokio::spawn(beat(state.clone()));
-        Ok(Backend { state, way, serving, beating })
+        Ok(Backend {
+            state,
+            way,
+            serving,
+            beating,
+        })
     }
 
     /// The version of its weights.
@@ -126,13 +145,18 @@
     /// It takes connections and answers nothing, or goes on.
     pub fn hang(&self, hangs: bool) {
         self.state.is_hanging.store(hangs, Ordering::Relaxed);
-        self.state.note(if hangs { Stage::Hanging } else { Stage::Answering });
+        self.state.note(if hangs {
+            Stage::Hanging
+        } else {
+            Stage::Answering
+        });
     }
 
     /// The way to it is cut, or heals.
     pub fn cut(&self, is_cut: bool) {
         self.way.cut(is_cut);
-        self.state.note(if is_cut { Stage::Cut } else { Stage::Healed });
+        self.state
+            .note(if is_cut { Stage::Cut } else { Stage::Healed });
     }
 
     /// It ends at once, with everything that it does.
@@ -156,7 +180,8 @@
     }
 }
 
-/// What a backend does ends with it: else it would go on sending heartbeats to the routers of the next run.
+/// What a backend does ends with it: else it would go on sending heartbeats to the routers of the
+/// next run.
 impl Drop for Backend {
     fn drop(&mut self) {
         self.serving.abort();
@@ -179,7 +204,9 @@
     });
     let builder = hyper::server::conn::http1::Builder::new();
     // The caller may have closed; what it asked for is dropped with the connection.
-    let _ = builder.serve_connection(TokioIo::new(stream), service).await;
+    let _ = builder
+        .serve_connection(TokioIo::new(stream), service)
+        .await;
 }
 
 async fn beat(state: Arc<State>) {
@@ -208,7 +235,11 @@
 
     fn note(&self, stage: Stage) {
         let at = self.around.clock.now();
-        self.around.recorder.open().backends.push(Staged { backend: self.number, at, stage });
+        self.around.recorder.open().backends.push(Staged {
+            backend: self.number,
+            at,
+            stage,
+        });
     }
 
     async fn hang(&self) {
@@ -226,7 +257,11 @@
     /// Says something of itself to the routers, one after the other. Whether it was acknowledged.
     async fn call(&self, what: &str) -> bool {
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-        let state = if self.is_draining.load(Ordering::Relaxed) { "draining" } else { "ready" };
+        let state = if self.is_draining.load(Ordering::Relaxed) {
+            "draining"
+        } else {
+            "ready"
+        };
         let body = serde_json::json!({
             "service": "s", "address": self.address.to_string(), "zone": format!("z{}", self.number % 3), "version": "v1",
             "slots": SLOTS, "state": state, "coldRemainingMs": 0, "sequence": sequence, "stage": "both",
@@ -234,10 +269,24 @@
         });
         let control = &self.around.control;
         let first = fastrand::usize(..control.len());
-        for address in control.iter().cycle().skip(first).take(control.len().min(4)) {
+        for address in control
+            .iter()
+            .cycle()
+            .skip(first)
+            .take(control.len().min(4))
+        {
             let url = format!("http://{address}/v1/instances/{}/{what}", self.id());
-            let call = self.around.client.post(url).body(body.to_string()).timeout(HEARTBEAT_PATIENCE);
-            if call.send().await.is_ok_and(|answer| answer.status().is_success()) {
+            let call = self
+                .around
+                .client
+                .post(url)
+                .body(body.to_string())
+                .timeout(HEARTBEAT_PATIENCE);
+            if call
+                .send()
+                .await
+                .is_ok_and(|answer| answer.status().is_success())
+            {
                 return true;
             }
         }
--- a/soak/src/backend/orders.rs
+++ b/soak/src/backend/orders.rs
@@ -14,24 +14,37 @@
 const LOAD: Duration = Duration::from_millis(290);
 
 impl State {
-    /// Takes an order as the published protocol says: also one for an older version, unless it expects another state of this backend.
+    /// Takes an order as the published protocol says: also one for an older version, unless it
+    /// expects another state of this backend.
     pub(super) async fn take_order(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         self.hang().await;
         if self.is_misdirected(&request) {
             return answer(421, Bytes::new());
         }
-        let Ok(body) = request.into_body().collect().await else { return answer(400, Bytes::new()) };
+        let Ok(body) = request.into_body().collect().await else {
+            return answer(400, Bytes::new());
+        };
         let order: serde_json::Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
-        let (Some(holder), Some(fence), Some(version)) =
-            (order["holder"].as_str(), order["fenceToken"].as_u64(), order["version"].as_u64())
-        else {
+        let (Some(holder), Some(fence), Some(version)) = (
+            order["holder"].as_str(),
+            order["fenceToken"].as_u64(),
+            order["version"].as_u64(),
+        ) else {
             return answer(400, Bytes::new());
         };
         let at = self.around.clock.now();
-        let seen = OrderSeen { backend: self.number, at, holder: holder.to_owned(), fence };
+        let seen = OrderSeen {
+            backend: self.number,
+            at,
+            holder: holder.to_owned(),
+            fence,
+        };
         self.around.recorder.open().orders.push(seen);
         {
-            let mut highest = self.highest_fence.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut highest = self
+                .highest_fence
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             if fence < *highest {
                 return answer(412, Bytes::new());
             }
--- a/soak/src/backend/running.rs
+++ b/soak/src/backend/running.rs
@@ -34,7 +34,10 @@
         };
         let mut history = state.around.recorder.open();
         history.runs.push(run);
-        Running { state: state.clone(), at: history.runs.len() - 1 }
+        Running {
+            state: state.clone(),
+            at: history.runs.len() - 1,
+        }
     }
 
     fn begin(&self, version: u64) {
@@ -64,29 +67,43 @@
 
 impl Asked {
     fn read(request: &Request<Incoming>) -> Option<Self> {
-        let text = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
+        let text = |name: &str| {
+            request
+                .headers()
+                .get(name)
+                .and_then(|value| value.to_str().ok())
+        };
         let (work_ms, events) = text(WORK_HEADER)?.split_once(',')?;
         Some(Asked {
             request: u64::from_str_radix(text("x-request-id")?, 16).ok()?,
             work_ms: work_ms.parse().ok()?,
             events: events.parse().ok()?,
             expected_version: text("expect-version").and_then(|text| text.parse().ok()),
-            last_event: text("last-event-id").and_then(|text| text.parse().ok()).unwrap_or(0),
+            last_event: text("last-event-id")
+                .and_then(|text| text.parse().ok())
+                .unwrap_or(0),
         })
     }
 }
 
 impl State {
     pub(super) async fn run(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let Some(asked) = Asked::read(&request) else { return answer(400, Bytes::new()) };
+        let Some(asked) = Asked::read(&request) else {
+            return answer(400, Bytes::new());
+        };
         if self.is_misdirected(&request) {
             return answer(421, Bytes::new());
         }
         let running = Running::arrive(&self, asked.request);
         self.hang().await;
-        let Ok(_slot) = self.slots.acquire().await else { return answer(503, Bytes::new()) };
+        let Ok(_slot) = self.slots.acquire().await else {
+            return answer(503, Bytes::new());
+        };
         let version = self.version.load(Ordering::Relaxed);
-        if asked.expected_version.is_some_and(|expected| expected != version) {
+        if asked
+            .expected_version
+            .is_some_and(|expected| expected != version)
+        {
             let mut response = answer(421, Bytes::new());
             response.headers_mut().insert("versions", version.into());
             return response;
@@ -106,7 +123,8 @@
         let mut response = if asked.events == 0 {
             answer(200, format!("done {id:016x}").into())
         } else {
-            let mut response = Response::new(events(id, asked.last_event + 1, asked.events, running));
+            let mut response =
+                Response::new(events(id, asked.last_event + 1, asked.events, running));
             let kind = hyper::header::HeaderValue::from_static("text/event-stream");
             response.headers_mut().insert("content-type", kind);
             response
@@ -137,7 +155,10 @@
             tokio::time::sleep(EVENT_GAP).await;
         }
         let text = event(id, number);
-        Some((Ok::<_, Infallible>(Frame::data(Bytes::from(text))), (number + 1, running)))
+        Some((
+            Ok::<_, Infallible>(Frame::data(Bytes::from(text))),
+            (number + 1, running),
+        ))
     });
     StreamBody::new(events).boxed_unsync()
 }
--- a/soak/src/check/configurations.rs
+++ b/soak/src/check/configurations.rs
@@ -1,4 +1,5 @@
-//! What concerns configurations: they are in force in time, none goes back, and of two on one version one wins.
+//! What concerns configurations: they are in force in time, none goes back, and of two on one
+//! version one wins.
 
 use super::{SLACK_MS, Violation, acknowledged, in_touch};
 use crate::clock::Millis;
@@ -6,7 +7,9 @@
 use crate::settings::CONFIG_APPLY_MS;
 use std::collections::BTreeMap;
 
-pub(super) fn acknowledged_configurations(history: &History) -> impl Iterator<Item = (u64, Millis)> {
+pub(super) fn acknowledged_configurations(
+    history: &History,
+) -> impl Iterator<Item = (u64, Millis)> {
     acknowledged(history).filter_map(|changed| match changed.change {
         Change::Configuration { version, .. } => Some((version, changed.answered_at)),
         Change::Weights(_) => None,
@@ -30,7 +33,11 @@
                 seen.configuration,
                 seen.asked_at - at
             );
-            found.push(Violation { rule: "CONFIG", at: seen.asked_at, what });
+            found.push(Violation {
+                rule: "CONFIG",
+                at: seen.asked_at,
+                what,
+            });
         }
     }
     found
@@ -42,7 +49,9 @@
     let mut found = Vec::new();
     for seen in &history.seen {
         let started = history.struck.iter().filter(|struck| {
-            struck.router == seen.router && struck.blow == Blow::Started && struck.at <= seen.answered_at
+            struck.router == seen.router
+                && struck.blow == Blow::Started
+                && struck.at <= seen.answered_at
         });
         let life = started.map(|struck| struck.at).max().unwrap_or(0);
         let before = newest.entry(seen.router).or_default();
@@ -50,9 +59,15 @@
             *before = (0, 0);
         }
         if seen.configuration < before.0 && before.1 <= seen.asked_at && life < before.1 {
-            let what =
-                format!("router {} went from version {} to {}", seen.router, before.0, seen.configuration);
-            found.push(Violation { rule: "CONFIG", at: seen.answered_at, what });
+            let what = format!(
+                "router {} went from version {} to {}",
+                seen.router, before.0, seen.configuration
+            );
+            found.push(Violation {
+                rule: "CONFIG",
+                at: seen.answered_at,
+                what,
+            });
         }
         if seen.configuration >= before.0 {
             *before = (seen.configuration, seen.answered_at);
@@ -66,11 +81,21 @@
     let mut taken: BTreeMap<u64, u64> = BTreeMap::new();
     let mut found = Vec::new();
     for changed in acknowledged(history) {
-        let Change::Configuration { base, variant, .. } = changed.change else { continue };
-        if let Some(other) = taken.insert(base, variant).filter(|other| *other != variant) {
-            let what =
-                format!("variants {other} and {variant} are both acknowledged on top of version {base}");
-            found.push(Violation { rule: "CONFIG", at: changed.answered_at, what });
+        let Change::Configuration { base, variant, .. } = changed.change else {
+            continue;
+        };
+        if let Some(other) = taken
+            .insert(base, variant)
+            .filter(|other| *other != variant)
+        {
+            let what = format!(
+                "variants {other} and {variant} are both acknowledged on top of version {base}"
+            );
+            found.push(Violation {
+                rule: "CONFIG",
+                at: changed.answered_at,
+                what,
+            });
         }
     }
     found
--- a/soak/src/check/processes.rs
+++ b/soak/src/check/processes.rs
@@ -17,16 +17,26 @@
     for struck in &history.struck {
         let last = told.entry(struck.router).or_default();
         let life = lives.entry(struck.router).or_default();
-        let mut complain = |what: String| found.push(Violation { rule: "FAULT", at: struck.at, what });
+        let mut complain = |what: String| {
+            found.push(Violation {
+                rule: "FAULT",
+                at: struck.at,
+                what,
+            })
+        };
         match struck.blow {
             Blow::Started => {
                 *last = None;
-                *life = Life { started: Some(struck.at), ..Life::default() };
+                *life = Life {
+                    started: Some(struck.at),
+                    ..Life::default()
+                };
             }
             Blow::Terminated => *last = last.or(Some(*struck)),
             Blow::Killed => {
-                let grace_is_over =
-                    last.is_some_and(|last| last.blow == Blow::Terminated && struck.at >= last.at + GRACE_MS);
+                let grace_is_over = last.is_some_and(|last| {
+                    last.blow == Blow::Terminated && struck.at >= last.at + GRACE_MS
+                });
                 if grace_is_over && !life.stood_still() {
                     complain(format!(
                         "router {} was still there at the end of its grace period",
@@ -39,7 +49,10 @@
             Blow::Continued => life.go_on(struck.at),
             Blow::Ended(_) if life.ran(struck.at).is_some_and(|ran| ran < START_MS) => {}
             Blow::Ended(ending) => match last {
-                None => complain(format!("router {} ended by itself: {ending:?}", struck.router)),
+                None => complain(format!(
+                    "router {} ended by itself: {ending:?}",
+                    struck.router
+                )),
                 Some(last) if last.blow == Blow::Terminated && ending != Ending::InOrder => {
                     let ran = life.ran(struck.at).unwrap_or(0);
                     complain(format!(
@@ -55,7 +68,8 @@
     found
 }
 
-/// How long a process has run. One that was stopped right after its start takes no signals until it goes on.
+/// How long a process has run. One that was stopped right after its start takes no signals until it
+/// goes on.
 #[derive(Debug, Clone, Copy, Default)]
 struct Life {
     started: Option<Millis>,
@@ -75,6 +89,7 @@
     /// How long it has run; none where its start was not seen.
     fn ran(&self, now: Millis) -> Option<Millis> {
         let still = self.still + self.stopped.map_or(0, |stopped| now - stopped);
-        self.started.map(|started| (now - started).saturating_sub(still))
+        self.started
+            .map(|started| (now - started).saturating_sub(still))
     }
 }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -59,7 +59,8 @@
 }
 
 impl Wish {
-    /// Clients that leave early ask for work that would last, so that it is seen whether it ends with them.
+    /// Clients that leave early ask for work that would last, so that it is seen whether it ends
+    /// with them.
     fn draw(id: u64, leaves: bool) -> Self {
         let kind = [Kind::Unsafe, Kind::Safe, Kind::Resumable][fastrand::usize(..3)];
         let is_long = fastrand::u8(..20) == 0;
@@ -68,8 +69,17 @@
             (false, true) => fastrand::u64(300..900),
             (false, false) => fastrand::u64(2..60),
         };
-        let events = if kind == Kind::Resumable { fastrand::u64(2..12) } else { 0 };
-        Wish { id, kind, work_ms, events }
+        let events = if kind == Kind::Resumable {
+            fastrand::u64(2..12)
+        } else {
+            0
+        };
+        Wish {
+            id,
+            kind,
+            work_ms,
+            events,
+        }
     }
 
     fn path(&self) -> &'static str {
@@ -98,7 +108,9 @@
         if self.events == 0 {
             return format!("done {:016x}", self.id);
         }
-        (1..=self.events).map(|number| event(self.id, number)).collect()
+        (1..=self.events)
+            .map(|number| event(self.id, number))
+            .collect()
     }
 }
 
@@ -108,7 +120,9 @@
         let mut connection: Option<Connection> = None;
         while !*ends.borrow_and_update() {
             tokio::time::sleep(pause.mul_f64(fastrand::f64())).await;
-            let Some(mut open) = self.open(connection.take()).await else { continue };
+            let Some(mut open) = self.open(connection.take()).await else {
+                continue;
+            };
             if self.ask(&mut open).await {
                 connection = Some(open);
             }
@@ -124,24 +138,36 @@
         }
         let router = fastrand::usize(..self.frontends.len());
         let connecting = TcpStream::connect(self.frontends[router]);
-        let stream = tokio::time::timeout(CONNECT_PATIENCE, connecting).await.ok()?.ok()?;
+        let stream = tokio::time::timeout(CONNECT_PATIENCE, connecting)
+            .await
+            .ok()?
+            .ok()?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         let task = tokio::spawn(async move {
             // How it ended is told to whoever waits for an answer on it.
             let _ = connection.await;
         });
-        Some(Connection { router, sender, task })
+        Some(Connection {
+            router,
+            sender,
+            task,
+        })
     }
 
     /// Sends one request. Whether the connection may be used again.
     async fn ask(&self, connection: &mut Connection) -> bool {
         let leaves = fastrand::u64(..1_000) < self.leaves;
         let wish = Wish::draw(self.next.fetch_add(1, Ordering::Relaxed), leaves);
-        let Some(request) = wish.request() else { return false };
+        let Some(request) = wish.request() else {
+            return false;
+        };
         let sent_at = self.clock.now();
         let patience = Duration::from_millis(DEADLINE_MS + DEADLINE_SLACK_MS);
-        let leaves_after =
-            Duration::from_millis(if leaves { fastrand::u64(1..250) } else { u64::from(u32::MAX) });
+        let leaves_after = Duration::from_millis(if leaves {
+            fastrand::u64(1..250)
+        } else {
+            u64::from(u32::MAX)
+        });
         let outcome = tokio::select! {
             outcome = exchange(&mut connection.sender, request, &wish) => outcome,
             () = tokio::time::sleep(leaves_after) => Outcome::Left,
@@ -169,15 +195,29 @@
         Ok(response) => response,
         Err(mut failure) => {
             let was_sent = failure.take_message().is_none();
-            return if was_sent { Outcome::NoAnswer } else { Outcome::NotSent };
+            return if was_sent {
+                Outcome::NoAnswer
+            } else {
+                Outcome::NotSent
+            };
         }
     };
     let status = response.status().as_u16();
     let (head, body) = response.into_parts();
-    let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("");
+    let text = |name: &str| {
+        head.headers
+            .get(name)
+            .and_then(|value| value.to_str().ok())
+            .unwrap_or("")
+    };
     let id = format!("{:016x}", wish.id);
-    let (own, seal) = (text("x-request-id") == id, text("x-response-seal") == format!("seal-{id}"));
-    let Some(body) = read(body).await else { return Outcome::BrokenOff };
+    let (own, seal) = (
+        text("x-request-id") == id,
+        text("x-response-seal") == format!("seal-{id}"),
+    );
+    let Some(body) = read(body).await else {
+        return Outcome::BrokenOff;
+    };
     match status {
         200 if !own => Outcome::Spoiled("it names another request"),
         200 if !seal => Outcome::Spoiled("it has no seal of its own"),
--- a/soak/src/fleet.rs
+++ b/soak/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Routers as processes of their own: started, signalled, and started again by whoever plays the platform.
+//! Routers as processes of their own: started, signalled, and started again by whoever plays the
+//! platform.
 
 use crate::clock::Clock;
 use crate::history::{Blow, Recorder, Struck};
@@ -75,7 +76,12 @@
     recorder: &Arc<Recorder>,
 ) -> io::Result<(Keeper, tokio::task::JoinHandle<io::Result<()>>)> {
     let (strikes, queue) = mpsc::unbounded_channel();
-    let router = Router { site: site.clone(), number, clock, recorder: recorder.clone() };
+    let router = Router {
+        site: site.clone(),
+        number,
+        clock,
+        recorder: recorder.clone(),
+    };
     let child = router.start(true)?;
     let keeping = tokio::spawn(async move { router.keep(child, queue).await });
     Ok((Keeper(strikes), keeping))
@@ -87,16 +93,28 @@
     }
 
     fn note(&self, blow: Blow) {
-        let struck = Struck { router: self.number, at: self.clock.now(), blow };
+        let struck = Struck {
+            router: self.number,
+            at: self.clock.now(),
+            blow,
+        };
         self.recorder.open().struck.push(struck);
     }
 
     fn start(&self, bootstrap: bool) -> io::Result<Child> {
         let data = self.data();
         fs::create_dir_all(&data)?;
-        let file = self.site.folder.join(format!("settings-{}.json", self.number));
-        let settings =
-            settings::of_router(self.site.size, self.site.addresses, self.number, &data, bootstrap);
+        let file = self
+            .site
+            .folder
+            .join(format!("settings-{}.json", self.number));
+        let settings = settings::of_router(
+            self.site.size,
+            self.site.addresses,
+            self.number,
+            &data,
+            bootstrap,
+        );
         fs::write(&file, settings.to_string())?;
         let log = self.site.folder.join(format!("router-{}.log", self.number));
         let log = File::options().append(true).create(true).open(log)?;
@@ -114,7 +132,11 @@
         Ok(child)
     }
 
-    async fn keep(self, mut child: Child, mut strikes: mpsc::UnboundedReceiver<Strike>) -> io::Result<()> {
+    async fn keep(
+        self,
+        mut child: Child,
+        mut strikes: mpsc::UnboundedReceiver<Strike>,
+    ) -> io::Result<()> {
         let mut kill_at: Option<Instant> = None;
         let mut go_on_at: Option<Instant> = None;
         let mut wipes = false;
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -229,7 +229,8 @@
 /// How the fleet stood after the last trouble, once it had had its time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Final {
-    /// The version that a router told when the configuration was read back; none where it told none.
+    /// The version that a router told when the configuration was read back; none where it told
+    /// none.
     pub read_back: Option<u64>,
     /// Versions in force at routers.
     pub configurations: Vec<u64>,
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -47,7 +47,8 @@
     /// The primary is struck again and again while versions of the weights are named.
     #[arg(long)]
     strike_primary: bool,
-    /// Ways to backends are cut again and again while versions of the weights are named; what was sent meanwhile arrives later.
+    /// Ways to backends are cut again and again while versions of the weights are named; what was
+    /// sent meanwhile arrives later.
     #[arg(long)]
     cut_ways: bool,
     /// Where logs of runs with a broken rule are kept.
@@ -61,22 +62,36 @@
         Plan {
             program: self.program.clone(),
             seed,
-            size: Size { routers: self.routers, replicas: self.replicas },
+            size: Size {
+                routers: self.routers,
+                replicas: self.replicas,
+            },
             backends: self.backends,
             clients: self.clients,
             pause: Duration::from_millis(self.pause_ms),
             trouble_ms: self.trouble_s * 1_000,
             strikes_primary: self.strike_primary,
             cuts_ways: self.cut_ways,
-            folder: self.keep.as_ref().map_or(folder, |keep| keep.join(format!("seed-{seed}"))),
+            folder: self
+                .keep
+                .as_ref()
+                .map_or(folder, |keep| keep.join(format!("seed-{seed}"))),
         }
     }
 }
 
 /// Prints what came of a run. Whether every rule was kept.
 fn tell(seed: u64, report: &Report) -> bool {
-    println!("seed {seed}: {} broken; {}", report.violations.len(), report.figures());
-    report.violations.iter().take(PRINTED).for_each(|violation| println!("  {violation}"));
+    println!(
+        "seed {seed}: {} broken; {}",
+        report.violations.len(),
+        report.figures()
+    );
+    report
+        .violations
+        .iter()
+        .take(PRINTED)
+        .for_each(|violation| println!("  {violation}"));
     report.violations.is_empty()
 }
 
@@ -119,7 +134,10 @@
 
 /// Comes back on SIGTERM or SIGINT.
 async fn is_told_to_end() {
-    let signals = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
+    let signals = (
+        signal(SignalKind::terminate()),
+        signal(SignalKind::interrupt()),
+    );
     let (Ok(mut terminate), Ok(mut interrupt)) = signals else {
         return std::future::pending().await;
     };
@@ -131,7 +149,10 @@
 
 fn main() -> ExitCode {
     let options = Options::parse();
-    let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(problem) => {
             eprintln!("soak: {problem}");
@@ -146,5 +167,9 @@
         }
     });
     drop(runtime);
-    if all_kept { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if all_kept {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
--- a/soak/src/network.rs
+++ b/soak/src/network.rs
@@ -21,10 +21,16 @@
     /// The first network that is free.
     pub fn claim() -> io::Result<Self> {
         for network in NETWORKS {
-            if let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, network, 255, 1), CLAIM_PORT)) {
-                return Ok(Network { addresses: Addresses { network }, _claim: claim });
+            if let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, network, 255, 1), CLAIM_PORT))
+            {
+                return Ok(Network {
+                    addresses: Addresses { network },
+                    _claim: claim,
+                });
             }
         }
-        Err(io::Error::other("every loopback network is in use: end other soaks first"))
+        Err(io::Error::other(
+            "every loopback network is in use: end other soaks first",
+        ))
     }
 }
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -1,4 +1,5 @@
-//! Operators: they send configurations and versions of weights, again where the answer is unclear, to any router.
+//! Operators: they send configurations and versions of weights, again where the answer is unclear,
+//! to any router.
 
 use crate::clock::Clock;
 use crate::history::{Change, Changed, Recorder, Reply};
@@ -42,21 +43,38 @@
         let body = configuration(version, variant);
         let send = |address: SocketAddrV4| {
             let url = format!("http://{address}/v1/configuration/replace");
-            self.client.post(url).header("x-base-version", base.to_string()).body(body.clone())
+            self.client
+                .post(url)
+                .header("x-base-version", base.to_string())
+                .body(body.clone())
         };
-        self.change(Change::Configuration { base, version, variant }, send).await
+        self.change(
+            Change::Configuration {
+                base,
+                version,
+                variant,
+            },
+            send,
+        )
+        .await
     }
 
     /// Names a version of the weights until that is acknowledged.
     pub async fn name_weights(&self, version: u64) -> Reply {
         let body = json!({"model": "m", "version": version}).to_string();
         let send = |address: SocketAddrV4| {
-            self.client.post(format!("http://{address}/v1/version-put")).body(body.clone())
+            self.client
+                .post(format!("http://{address}/v1/version-put"))
+                .body(body.clone())
         };
         self.change(Change::Weights(version), send).await
     }
 
-    async fn change(&self, change: Change, send: impl Fn(SocketAddrV4) -> reqwest::RequestBuilder) -> Reply {
+    async fn change(
+        &self,
+        change: Change,
+        send: impl Fn(SocketAddrV4) -> reqwest::RequestBuilder,
+    ) -> Reply {
         let sent_at = self.clock.now();
         let begun = Instant::now();
         let mut reply = Reply::Unclear;
@@ -71,7 +89,12 @@
                 tokio::time::sleep(AGAIN).await;
             }
         }
-        let changed = Changed { change, sent_at, answered_at: self.clock.now(), reply };
+        let changed = Changed {
+            change,
+            sent_at,
+            answered_at: self.clock.now(),
+            reply,
+        };
         self.recorder.open().changes.push(changed);
         reply
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -23,7 +23,8 @@
 
 /// How long the first configuration may take.
 const START_PATIENCE: Duration = Duration::from_secs(20);
-/// After the last trouble everything has so long to come back: the longest stop, a grace period and a restart among it.
+/// After the last trouble everything has so long to come back: the longest stop, a grace period and
+/// a restart among it.
 const RETURN: Duration = Duration::from_millis(14_000);
 /// For so long it is seen then how clients are served.
 const CALM: Duration = Duration::from_millis(2_000);
@@ -99,7 +100,11 @@
     /// A line with the figures of the run.
     pub fn figures(&self) -> String {
         let count = |wanted: fn(&Outcome) -> bool| {
-            self.history.requests.iter().filter(|request| wanted(&request.outcome)).count()
+            self.history
+                .requests
+                .iter()
+                .filter(|request| wanted(&request.outcome))
+                .count()
         };
         format!(
             "{} requests: {} served, other answers {:?}, {} left, {} without a whole answer, {} in no time; {} blows, {} changes, {} orders",
@@ -132,7 +137,8 @@
 
 /// Makes a run.
 pub async fn run(plan: Plan) -> Result<Report, RunError> {
-    // What another run has left there would be taken for this one's: its disks name addresses that may be in use now.
+    // What another run has left there would be taken for this one's: its disks name addresses that
+    // may be in use now.
     match fs::remove_dir_all(&plan.folder) {
         Err(problem) if problem.kind() != io::ErrorKind::NotFound => return Err(problem.into()),
         _ => fs::create_dir_all(&plan.folder)?,
@@ -142,17 +148,28 @@
     let (clock, recorder) = (Clock::start(), Arc::new(Recorder::default()));
     recorder.open().replicas = plan.size.replicas;
     let client = reqwest::Client::builder().no_proxy().build()?;
-    let site =
-        Site { program: plan.program.clone(), folder: plan.folder.clone(), size: plan.size, addresses };
+    let site = Site {
+        program: plan.program.clone(),
+        folder: plan.folder.clone(),
+        size: plan.size,
+        addresses,
+    };
     let (mut keepers, mut kept) = (Vec::new(), Vec::new());
     for number in 0..plan.size.routers {
         let (keeper, keeping) = fleet::keep(&site, number, clock, &recorder)?;
         keepers.push(keeper);
         kept.push(keeping);
     }
-    let control: Vec<_> = (0..plan.size.routers).map(|number| addresses.control(number)).collect();
-    let around =
-        Surroundings::new(clock, recorder.clone(), control.clone(), client.clone(), addresses.backends());
+    let control: Vec<_> = (0..plan.size.routers)
+        .map(|number| addresses.control(number))
+        .collect();
+    let around = Surroundings::new(
+        clock,
+        recorder.clone(),
+        control.clone(),
+        client.clone(),
+        addresses.backends(),
+    );
     let mut backends = Vec::new();
     for _ in 0..plan.backends {
         backends.push(Mutex::new(Some(Backend::start(around.clone()).await?)));
@@ -178,7 +195,10 @@
         weights,
     });
     let played = stage.clone().play().await;
-    stage.keepers.iter().for_each(|keeper| keeper.strike(Strike::End));
+    stage
+        .keepers
+        .iter()
+        .for_each(|keeper| keeper.strike(Strike::End));
     for keeping in kept {
         // A keeper that failed has been seen by its router's silence.
         let _ = keeping.await;
@@ -186,7 +206,10 @@
     played?;
     let history = stage.recorder.open().clone();
     let violations = check::violations(&history);
-    Ok(Report { history, violations })
+    Ok(Report {
+        history,
+        violations,
+    })
 }
 
 impl Stage {
@@ -194,12 +217,16 @@
         let started = tokio::time::timeout(START_PATIENCE, async {
             while self.operator.configure(0, 1).await != Reply::Acknowledged {}
         });
-        started.await.map_err(|_| RunError::NoStart(self.plan.folder.clone()))?;
+        started
+            .await
+            .map_err(|_| RunError::NoStart(self.plan.folder.clone()))?;
         let (end, ends) = watch::channel(false);
         let clients = Arc::new(Clients {
             clock: self.clock,
             recorder: self.recorder.clone(),
-            frontends: (0..self.plan.size.routers).map(|number| self.addresses.frontend(number)).collect(),
+            frontends: (0..self.plan.size.routers)
+                .map(|number| self.addresses.frontend(number))
+                .collect(),
             leaves: LEAVES,
             next: AtomicU64::new(1),
         });
@@ -232,8 +259,21 @@
     }
 
     async fn play_schedule(self: Arc<Self>) {
-        let Plan { size, backends, trouble_ms, strikes_primary, cuts_ways, .. } = self.plan;
-        let scope = Scope { size, backends, lasts: trouble_ms, strikes_primary, cuts_ways };
+        let Plan {
+            size,
+            backends,
+            trouble_ms,
+            strikes_primary,
+            cuts_ways,
+            ..
+        } = self.plan;
+        let scope = Scope {
+            size,
+            backends,
+            lasts: trouble_ms,
+            strikes_primary,
+            cuts_ways,
+        };
         let begun = tokio::time::Instant::now();
         let mut under_way = JoinSet::new();
         for Step { at, action } in schedule::draw(scope, self.plan.seed) {
@@ -293,10 +333,15 @@
     }
 
     async fn configure(&self, race: bool) {
-        let Some(base) = self.operator.read_back(READ_PATIENCE).await else { return };
+        let Some(base) = self.operator.read_back(READ_PATIENCE).await else {
+            return;
+        };
         let version = base + fastrand::u64(1..4);
         if race {
-            tokio::join!(self.operator.configure(base, version), self.operator.configure(base, version));
+            tokio::join!(
+                self.operator.configure(base, version),
+                self.operator.configure(base, version)
+            );
         } else {
             self.operator.configure(base, version).await;
         }
@@ -305,7 +350,9 @@
     async fn name_weights(&self) {
         let version = self.weights.fetch_add(1, Ordering::Relaxed) + 1;
         if self.operator.name_weights(version).await == Reply::Acknowledged {
-            self.around.newest_weights.fetch_max(version, Ordering::Relaxed);
+            self.around
+                .newest_weights
+                .fetch_max(version, Ordering::Relaxed);
         }
     }
 
@@ -315,7 +362,12 @@
             let asked_at = self.clock.now();
             if let Some(configuration) = self.figure(number, "configuration_version").await {
                 let answered_at = self.clock.now();
-                let seen = Seen { router: number, asked_at, answered_at, configuration };
+                let seen = Seen {
+                    router: number,
+                    asked_at,
+                    answered_at,
+                    configuration,
+                };
                 self.recorder.open().seen.push(seen);
             }
             tokio::time::sleep(LOOK).await;
@@ -325,16 +377,27 @@
     /// A figure of a router, as its metrics page tells.
     async fn figure(&self, number: usize, name: &str) -> Option<u64> {
         let url = format!("http://{}/metrics", self.addresses.metrics(number));
-        let answer = self.client.get(url).timeout(LOOK_PATIENCE).send().await.ok()?;
+        let answer = self
+            .client
+            .get(url)
+            .timeout(LOOK_PATIENCE)
+            .send()
+            .await
+            .ok()?;
         let text = String::from_utf8(answer.bytes().await.ok()?.to_vec()).ok()?;
-        text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
+        text.lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
     async fn look_at_the_end(&self, calm_since: Millis) {
         let read_back = self.operator.read_back(READ_PATIENCE).await;
         let mut configurations = Vec::new();
         for number in 0..self.plan.size.routers {
-            configurations.push(self.figure(number, "configuration_version").await.unwrap_or(0));
+            configurations.push(
+                self.figure(number, "configuration_version")
+                    .await
+                    .unwrap_or(0),
+            );
         }
         let mut weights = Vec::new();
         for backend in &self.backends {
@@ -346,7 +409,9 @@
                 && request.outcome != Outcome::Left
                 && request.outcome != Outcome::NotSent
         });
-        let outcomes: Vec<bool> = owed.map(|request| request.outcome == Outcome::Served).collect();
+        let outcomes: Vec<bool> = owed
+            .map(|request| request.outcome == Outcome::Served)
+            .collect();
         let served = outcomes.iter().filter(|served| **served).count();
         let end = &mut history.end;
         end.requests = (outcomes.len() as u32, served as u32);
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -1,4 +1,5 @@
-//! What happens during a run, drawn by its seed: series of signals, restarts, losses and changes that overlap.
+//! What happens during a run, drawn by its seed: series of signals, restarts, losses and changes
+//! that overlap.
 
 use crate::clock::Millis;
 use crate::fleet::Strike;
@@ -61,10 +62,14 @@
     let mut steps = Vec::new();
     steps.extend(configurations(scope, &mut rng));
     steps.extend(weights(scope, &mut rng));
-    // In a third of the runs those with the control state have no trouble: only then bounds of time hold throughout.
+    // In a third of the runs those with the control state have no trouble: only then bounds of time
+    // hold throughout.
     let spares_replicas = rng.u8(..3) == 0;
-    let struck =
-        if spares_replicas { scope.size.replicas..scope.size.routers } else { 0..scope.size.routers };
+    let struck = if spares_replicas {
+        scope.size.replicas..scope.size.routers
+    } else {
+        0..scope.size.routers
+    };
     for _ in 0..rng.usize(2..5) {
         steps.extend(router_series(scope, struck.clone(), &mut rng));
     }
@@ -84,17 +89,24 @@
     steps
 }
 
-/// Ways to backends are cut for some seconds, several at a time, and versions of the weights are named meanwhile.
+/// Ways to backends are cut for some seconds, several at a time, and versions of the weights are
+/// named meanwhile.
 fn way_series(scope: Scope, rng: &mut Rng) -> Vec<Step> {
     let mut steps = Vec::new();
     let gap = rng.u64(300..1_500);
     let longest = rng.u64(1_000..6_000);
     for at in (0..scope.lasts / gap).map(|number| number * gap) {
         let lasts = Duration::from_millis(rng.u64(200..longest));
-        steps.push(Step { at, action: Action::CutBackend(rng.usize(..scope.backends), lasts) });
+        steps.push(Step {
+            at,
+            action: Action::CutBackend(rng.usize(..scope.backends), lasts),
+        });
     }
     let gap = rng.u64(500..2_500);
-    let names = (0..scope.lasts / gap).map(|number| Step { at: number * gap, action: Action::NameWeights });
+    let names = (0..scope.lasts / gap).map(|number| Step {
+        at: number * gap,
+        action: Action::NameWeights,
+    });
     steps.extend(names);
     steps
 }
@@ -110,11 +122,17 @@
             1 => Strike::Stop(Duration::from_millis(rng.u64(900..2_500))),
             _ => Strike::Kill,
         };
-        steps.push(Step { at, action: Action::Primary(strike) });
+        steps.push(Step {
+            at,
+            action: Action::Primary(strike),
+        });
         at += gap * rng.u64(80..120) / 100;
     }
     let gap = rng.u64(700..2_500);
-    let names = (0..scope.lasts / gap).map(|number| Step { at: number * gap, action: Action::NameWeights });
+    let names = (0..scope.lasts / gap).map(|number| Step {
+        at: number * gap,
+        action: Action::NameWeights,
+    });
     steps.extend(names);
     steps
 }
@@ -122,19 +140,33 @@
 /// Moments of a series: some, with a gap, from anywhere in the first two thirds.
 fn moments(scope: Scope, count: usize, gap: Millis, rng: &mut Rng) -> impl Iterator<Item = Millis> {
     let first = rng.u64(..scope.lasts * 2 / 3);
-    (0..count as u64).map(move |number| first + gap * number).take_while(move |at| *at < scope.lasts)
+    (0..count as u64)
+        .map(move |number| first + gap * number)
+        .take_while(move |at| *at < scope.lasts)
 }
 
 fn configurations(scope: Scope, rng: &mut Rng) -> Vec<Step> {
     let gap = rng.u64(80..900);
     let race_share = rng.u8(..3);
     let times = (0..scope.lasts / gap).map(|number| gap * number);
-    times.map(|at| Step { at, action: Action::Configure { race: rng.u8(..10) < race_share } }).collect()
+    times
+        .map(|at| Step {
+            at,
+            action: Action::Configure {
+                race: rng.u8(..10) < race_share,
+            },
+        })
+        .collect()
 }
 
 fn weights(scope: Scope, rng: &mut Rng) -> Vec<Step> {
     let (count, gap) = (rng.usize(1..6), rng.u64(400..4_000));
-    moments(scope, count, gap, rng).map(|at| Step { at, action: Action::NameWeights }).collect()
+    moments(scope, count, gap, rng)
+        .map(|at| Step {
+            at,
+            action: Action::NameWeights,
+        })
+        .collect()
 }
 
 /// One kind of strike, at one router after the other or at any of those that are struck.
@@ -153,7 +185,10 @@
             2 => Strike::Stop(Duration::from_millis(rng.u64(200..4_000))),
             _ => Strike::HangUp,
         };
-        steps.push(Step { at, action: Action::Router(number, strike) });
+        steps.push(Step {
+            at,
+            action: Action::Router(number, strike),
+        });
         number = match number + 1 {
             next if in_turn && next < struck.end => next,
             _ if in_turn => struck.start,
@@ -181,12 +216,19 @@
     steps
 }
 
-/// All that hold the control state are killed at once, or one of them loses its disk: as many as are tolerated, once a run.
+/// All that hold the control state are killed at once, or one of them loses its disk: as many as
+/// are tolerated, once a run.
 fn blow_to_the_core(scope: Scope, rng: &mut Rng) -> Vec<Step> {
     let at = rng.u64(scope.lasts / 4..scope.lasts * 3 / 4);
     if rng.bool() {
-        let kill = |number| Step { at, action: Action::Router(number, Strike::Kill) };
+        let kill = |number| Step {
+            at,
+            action: Action::Router(number, Strike::Kill),
+        };
         return (0..scope.size.replicas).map(kill).collect();
     }
-    vec![Step { at, action: Action::Router(rng.usize(..scope.size.replicas), Strike::Wipe) }]
+    vec![Step {
+        at,
+        action: Action::Router(rng.usize(..scope.size.replicas), Strike::Wipe),
+    }]
 }
--- a/soak/src/settings.rs
+++ b/soak/src/settings.rs
@@ -44,7 +44,12 @@
 impl Addresses {
     /// The address of a router.
     pub fn router(&self, number: usize) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.network, (number / 200) as u8, 1 + (number % 200) as u8)
+        Ipv4Addr::new(
+            127,
+            self.network,
+            (number / 200) as u8,
+            1 + (number % 200) as u8,
+        )
     }
 
     /// Where backends listen, on ports of their own.
@@ -82,8 +87,9 @@
     bootstrap: bool,
 ) -> serde_json::Value {
     let at = |port: u16| SocketAddrV4::new(addresses.router(number), port).to_string();
-    let seeds: Vec<String> =
-        (0..size.replicas.min(3)).map(|seed| addresses.control(seed).to_string()).collect();
+    let seeds: Vec<String> = (0..size.replicas.min(3))
+        .map(|seed| addresses.control(seed).to_string())
+        .collect();
     let has_replica = number < size.replicas;
     let zone = format!("z{}", number % 3);
     json!({
--- a/soak/src/way.rs
+++ b/soak/src/way.rs
@@ -1,7 +1,7 @@
 //! The way from routers to one backend: a relay that can be cut for a while without a word.
 //!
-//! What is sent meanwhile is held up, and arrives when the way has healed, as a system sends on what it still holds. What its sender has
-//! reset until then is lost.
+//! What is sent meanwhile is held up, and arrives when the way has healed, as a system sends on
+//! what it still holds. What its sender has reset until then is lost.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -30,7 +30,11 @@
         let address = SocketAddrV4::new(*target.ip(), listener.local_addr()?.port());
         let (is_cut, cuts) = watch::channel(false);
         let carrying = tokio::spawn(carry(listener, target, cuts));
-        Ok(Way { address, is_cut, carrying })
+        Ok(Way {
+            address,
+            is_cut,
+            carrying,
+        })
     }
 
     /// Cuts the way, or heals it.
@@ -54,11 +58,17 @@
 }
 
 /// Carries a connection until either side ends it.
-async fn carry_connection(mut router: TcpStream, target: SocketAddrV4, cuts: watch::Receiver<bool>) {
+async fn carry_connection(
+    mut router: TcpStream,
+    target: SocketAddrV4,
+    cuts: watch::Receiver<bool>,
+) {
     if !heals(&mut cuts.clone()).await || was_reset(&router) {
         return;
     }
-    let Ok(mut backend) = TcpStream::connect(target).await else { return };
+    let Ok(mut backend) = TcpStream::connect(target).await else {
+        return;
+    };
     if router.set_nodelay(true).is_err() || backend.set_nodelay(true).is_err() {
         return;
     }
@@ -70,7 +80,8 @@
     }
 }
 
-/// Passes bytes of one direction until its sender has ended the connection. While the way is cut nothing is read, not even that.
+/// Passes bytes of one direction until its sender has ended the connection. While the way is cut
+/// nothing is read, not even that.
 async fn pass(mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, mut cuts: watch::Receiver<bool>) {
     let mut bytes = vec![0; BUFFER];
     loop {
--- a/soak/tests/network.rs
+++ b/soak/tests/network.rs
@@ -5,7 +5,10 @@
 #[test]
 fn no_two_runs_have_the_same_network_and_one_that_ends_gives_its_own_back() {
     let networks: Vec<Network> = (0..5).map(|_| Network::claim().unwrap()).collect();
-    let mut numbers: Vec<u8> = networks.iter().map(|network| network.addresses.network).collect();
+    let mut numbers: Vec<u8> = networks
+        .iter()
+        .map(|network| network.addresses.network)
+        .collect();
     numbers.dedup();
     assert_eq!(numbers.len(), 5, "{numbers:?}");
     drop(networks);
--- a/soak/tests/ways.rs
+++ b/soak/tests/ways.rs
@@ -1,4 +1,5 @@
-//! Ways to backends that are cut: what is sent meanwhile arrives when they heal, and is lost where its sender has reset the connection.
+//! Ways to backends that are cut: what is sent meanwhile arrives when they heal, and is lost where
+//! its sender has reset the connection.
 
 use soak::way::Way;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -38,11 +39,17 @@
 
 async fn answers(stream: &mut TcpStream, count: usize) {
     let mut bytes = vec![0; count];
-    tokio::time::timeout(PATIENCE, stream.read_exact(&mut bytes)).await.expect("in time").unwrap();
+    tokio::time::timeout(PATIENCE, stream.read_exact(&mut bytes))
+        .await
+        .expect("in time")
+        .unwrap();
 }
 
 async fn next(told: &mut tokio::sync::mpsc::UnboundedReceiver<Vec<u8>>) -> String {
-    let all = tokio::time::timeout(PATIENCE, told.recv()).await.expect("in time").unwrap();
+    let all = tokio::time::timeout(PATIENCE, told.recv())
+        .await
+        .expect("in time")
+        .unwrap();
     String::from_utf8(all).unwrap()
 }
 
@@ -88,5 +95,9 @@
     last.write_all(b"c").await.unwrap();
     answers(&mut last, 1).await;
     drop(last);
-    assert_eq!(next(&mut told).await, "c", "the connection that was reset before it came up never did");
+    assert_eq!(
+        next(&mut told).await,
+        "c",
+        "the connection that was reset before it came up never did"
+    );
 }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -24,13 +24,19 @@
 
     /// Whether a call of this turn takes one more part.
     pub fn can_join(&self, now: Time, most_parts: u32) -> bool {
-        self.parts.range(now..).any(|(_, parts)| *parts < most_parts)
+        self.parts
+            .range(now..)
+            .any(|(_, parts)| *parts < most_parts)
     }
 
     /// Adds a part to a call of this turn. Returns the call's number.
     pub fn begin(&mut self, now: Time, most_parts: u32) -> u64 {
         let mut call = now;
-        while self.parts.get(&call).is_some_and(|parts| *parts >= most_parts) {
+        while self
+            .parts
+            .get(&call)
+            .is_some_and(|parts| *parts >= most_parts)
+        {
             call += 1;
         }
         *self.parts.entry(call).or_insert(0) += 1;
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,7 +1,8 @@
 //! Every decision of the aggregator. Its types, events and actions stand in `src/interface.rs`.
 //!
-//! The ordinary path: a query's first sends go to the least-loaded row, each part has one timer at its
-//! class's recent 95th percentile, a part pending then gets one copy elsewhere, and the first answer wins.
+//! The ordinary path: a query's first sends go to the least-loaded row, each part has one timer at
+//! its class's recent 95th percentile, a part pending then gets one copy elsewhere, and the first
+//! answer wins.
 
 mod admission;
 mod cold;
@@ -17,7 +18,8 @@
 
 /// Answers kept for a class's percentiles.
 const WINDOW: usize = 96;
-/// Before any answer, the copy timer stands at this share of the aim, and the median at a third of that.
+/// Before any answer, the copy timer stands at this share of the aim, and the median at a third of
+/// that.
 const START_SHARE: f64 = 0.3;
 /// Copies per part sent, and the most that may be saved up.
 const COPY_SHARE: f64 = 0.1;
@@ -27,7 +29,8 @@
 /// Calls out to a server at the start, and the least.
 const START_LIMIT: f64 = 3.0;
 const LEAST_LIMIT: f64 = 1.0;
-/// With thin evidence a query is refused if a shard may take this share of its time; its wait drains so fast.
+/// With thin evidence a query is refused if a shard may take this share of its time; its wait
+/// drains so fast.
 const HOT_SHARE: f64 = 0.5;
 const HOT_DRAIN: f64 = 0.25;
 /// A probe is good for this share of the least aim and awaited so many ticks.
@@ -35,43 +38,53 @@
 const PROBE_WAIT: Time = 4;
 /// A part leaves its row for a holder expected to be so many times as quick; less is a tie.
 const ROW_LEFT: f64 = 1.25;
-/// A server whose smoothed delay is over this share of the aim has its limit lowered, to this share of it.
+/// A server whose smoothed delay is over this share of the aim has its limit lowered, to this share
+/// of it.
 const SLOW_SHARE: f64 = 0.2;
 const LIMIT_CUT: f64 = 0.75;
 /// Judged answers that are counted of a server, as what was learned of it rests on no older ones.
 const JUDGED: f64 = 16.0;
-/// Weight of one sample in a server's slowness (1 = like its peers), and the sample that a failure counts as.
+/// Weight of one sample in a server's slowness (1 = like its peers), and the sample that a failure
+/// counts as.
 const SAMPLE: f64 = 0.25;
 const FAILURE: f64 = 8.0;
-/// A server with more than this share of errors among its last answers fails. As it fails at once it is always
-/// idle, so it is tried by one part an aim, or where a shard has nobody else by one in this share of an aim.
+/// A server with more than this share of errors among its last answers fails. As it fails at once
+/// it is always idle, so it is tried by one part an aim, or where a shard has nobody else by one in
+/// this share of an aim.
 const FAILING: f64 = 0.5;
 const FAILING_TRY: f64 = 0.25;
-/// So many times slower than usual and twice its median peer, a server is left out; fading over so many aims.
+/// So many times slower than usual and twice its median peer, a server is left out; fading over so
+/// many aims.
 const SICK: f64 = 3.0;
 const FADE: f64 = 12.0;
-/// A server with no answer since its oldest part went out, this many 95th percentiles ago, is silent.
+/// A server with no answer since its oldest part went out, this many 95th percentiles ago, is
+/// silent.
 const SILENT: f64 = 2.0;
 /// When more than this share of the servers look silent the cause is common, and none is judged.
 const COMMON: f64 = 0.4;
-/// A query with more parts than this share of the servers sends a scout first, as it could kill so many.
+/// A query with more parts than this share of the servers sends a scout first, as it could kill so
+/// many.
 const WIDE: f64 = 0.125;
 const SCOUT_WAIT: f64 = 1.4; // With no deaths about, a scout is trusted after so many medians, times that share
 /// Before this share of a median no part can have been at work.
 const QUICK: f64 = 0.125;
 const STALE: f64 = 0.75; // A connection idle for this share of the least time that broke one is closed before use
-/// Share of what was counted over a window of sends that is no chance, of many servers too: two deviations less.
+/// Share of what was counted over a window of sends that is no chance, of many servers too: two
+/// deviations less.
 const SURE: f64 = 0.8;
-/// Share of a cold server's stated budget that is used, and bursts that may not break it, in times the usual.
+/// Share of a cold server's stated budget that is used, and bursts that may not break it, in times
+/// the usual.
 const COLD_USED: f64 = 0.7;
 const COLD_BURST: f64 = 1.5;
-/// Before a known list is asked for again: first, longer in large fleets, and at last; with a silence and a call, 6 s.
+/// Before a known list is asked for again: first, longer in large fleets, and at last; with a
+/// silence and a call, 6 s.
 const LIST_AGAIN: (Time, Time) = (200_000_000, 1_300_000_000);
 /// Work held back may fill this share of the least aim, at the rate answers come; more is refused.
 const HELD_SHARE: f64 = 0.25;
 /// After a server's death queries send a scout for this many of the least aim.
 const DOUBT: Time = 8;
-/// A query is not started with less than its class's 95th percentile left, or this share of the aim if less.
+/// A query is not started with less than its class's 95th percentile left, or this share of the aim
+/// if less.
 const START_BY: f64 = 0.4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -97,7 +110,7 @@
     took: (f64, Time),
     seen: Time,
     busy: f64,
-    used: Time,                 // When its connection last brought something; 0 where it has none
+    used: Time, // When its connection last brought something; 0 where it has none
     slowness: Vec<(f64, Time)>, // For each class (1 = like its peers), and when that was last judged
     cold_from: Option<Time>,
     turn: f64, // When this aggregator's turn to send a cold server a part begins, from 0 to 1
@@ -196,7 +209,13 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let start = |c: &Class| Pace::starting(c.aim);
         Aggregator {
-            aim: settings.classes.iter().filter(|c| !c.retired).map(|c| c.aim).min().unwrap_or(1),
+            aim: settings
+                .classes
+                .iter()
+                .filter(|c| !c.retired)
+                .map(|c| c.aim)
+                .min()
+                .unwrap_or(1),
             rng: fastrand::Rng::with_seed(seed),
             holders: vec![Vec::new(); settings.cells as usize],
             pace: settings.classes.iter().map(start).collect(),
@@ -237,35 +256,81 @@
 
     fn take(&mut self, event: &Event, out: &mut Vec<Action>) {
         match *event {
-            Event::Settings { ref settings, ref from } => self.resettle(settings, from),
+            Event::Settings {
+                ref settings,
+                ref from,
+            } => self.resettle(settings, from),
             Event::List { kind, ref entries } => self.list(kind, entries),
             Event::ListFailed { refused } => {
-                // All fail together and would call again together: the more there are, the more they spread.
-                let (asked, size) = (self.settings.ask_within, self.settings.aggregators.max(1).ilog2());
+                // All fail together and would call again together: the more there are, the more
+                // they spread.
+                let (asked, size) = (
+                    self.settings.ask_within,
+                    self.settings.aggregators.max(1).ilog2(),
+                );
                 let (unanswered, refusals) = self.misses;
-                self.misses = if refused { (0, refusals + 1) } else { (unanswered + 1, 0) };
-                let (spread, again) = if refused { (2, refusals) } else { (1, unanswered.saturating_sub(1)) };
-                let known = (LIST_AGAIN.0 << size.saturating_sub(4).min(spread), LIST_AGAIN.1);
-                let (first, most) = if self.ready > 0 { known } else { (asked >> 4, asked) };
+                self.misses = if refused {
+                    (0, refusals + 1)
+                } else {
+                    (unanswered + 1, 0)
+                };
+                let (spread, again) = if refused {
+                    (2, refusals)
+                } else {
+                    (1, unanswered.saturating_sub(1))
+                };
+                let known = (
+                    LIST_AGAIN.0 << size.saturating_sub(4).min(spread),
+                    LIST_AGAIN.1,
+                );
+                let (first, most) = if self.ready > 0 {
+                    known
+                } else {
+                    (asked >> 4, asked)
+                };
                 let wait = (first << again.min(size)).min(most);
-                let at = self.now.saturating_add(wait).saturating_add(self.rng.u64(..1 + wait));
+                let at = self
+                    .now
+                    .saturating_add(wait)
+                    .saturating_add(self.rng.u64(..1 + wait));
                 self.timers.set(at, Timer::Watch);
             }
             Event::Query { .. } => self.admit(event),
-            Event::Part { id, number, shard, weight } => {
+            Event::Part {
+                id,
+                number,
+                shard,
+                weight,
+            } => {
                 self.taken.push_back(self.now);
                 if let Some(query) = self.queries.get_mut(&number) {
                     query.parts.push(id);
                     query.expected = query.expected.max(query.parts.len());
-                    self.parts.insert(id, Part { number, shard, weight, held: true, ..Part::default() });
+                    self.parts.insert(
+                        id,
+                        Part {
+                            number,
+                            shard,
+                            weight,
+                            held: true,
+                            ..Part::default()
+                        },
+                    );
                 }
             }
             Event::Ended { .. } => self.ended(event, out),
             Event::ClientLeft { id } => {
                 let number = self.queries.iter().find(|q| q.1.id == id).map(|q| *q.0);
-                number.into_iter().for_each(|number| self.forget(number, out));
+                number
+                    .into_iter()
+                    .for_each(|number| self.forget(number, out));
             }
-            Event::Probed { server, outcome, took, .. } => self.probed(server, outcome, took),
+            Event::Probed {
+                server,
+                outcome,
+                took,
+                ..
+            } => self.probed(server, outcome, took),
             Event::Recall(ref learned) => self.recall(learned),
             Event::Wake => {}
         }
@@ -282,7 +347,9 @@
         carry(&mut self.tries, new.tries, from);
         carry(&mut self.usual, new.usual, from);
         carry(&mut self.peers, new.peers, from);
-        self.servers.values_mut().for_each(|s| carry(&mut s.slowness, vec![(1.0, 0); from.len()], from));
+        self.servers
+            .values_mut()
+            .for_each(|s| carry(&mut s.slowness, vec![(1.0, 0); from.len()], from));
         (self.aim, self.settings) = (new.aim, new.settings);
     }
 
@@ -297,12 +364,17 @@
         }
         for e in entries {
             let slowness = vec![(1.0, 0); self.settings.classes.len()];
-            let new = Server { limit: START_LIMIT, slowness, ..Server::default() };
+            let new = Server {
+                limit: START_LIMIT,
+                slowness,
+                ..Server::default()
+            };
             let server = self.servers.entry(e.server).or_insert(new);
             server.cell = e.cell % self.settings.cells;
             server.ready = e.standing == Standing::Ready && !e.out;
             server.gone = e.standing == Standing::Gone;
-            // Started anew it is cold, whatever was known of its last life; so is one back that was out by hand.
+            // Started anew it is cold, whatever was known of its last life; so is one back that was
+            // out by hand.
             let back = std::mem::replace(&mut server.out, e.out) && !e.out;
             if back || e.born > 0 && server.cold_from.is_none_or(|from| e.born > from) {
                 server.limit = START_LIMIT / 2.0;
@@ -323,14 +395,32 @@
     }
 
     fn ended(&mut self, event: &Event, out: &mut Vec<Action>) {
-        let Event::Ended { part: id, attempt, outcome, took, .. } = *event else { return };
-        let Some(sent) = self.sends.remove(&(id, attempt)) else { return };
+        let Event::Ended {
+            part: id,
+            attempt,
+            outcome,
+            took,
+            ..
+        } = *event
+        else {
+            return;
+        };
+        let Some(sent) = self.sends.remove(&(id, attempt)) else {
+            return;
+        };
         // What has drained away is no evidence: the next answer counts whole.
         let (now, out_for) = (self.now, took as f64);
         let learn = |took: &mut (f64, Time)| {
             let seen = drained(*took, now);
             if outcome == Outcome::Ok || out_for > seen {
-                *took = (if seen > 0.0 { 0.5 * (seen + out_for) } else { out_for }, now);
+                *took = (
+                    if seen > 0.0 {
+                        0.5 * (seen + out_for)
+                    } else {
+                        out_for
+                    },
+                    now,
+                );
             }
         };
         if !sent.lost {
@@ -342,20 +432,29 @@
             server.used = if broken { 0 } else { self.now };
             server.calls.end(sent.call);
         }
-        // A connection that breaks at once when used after long disuse speaks of itself, not of its server or
-        // query: the part goes there again, and only if none is made now was it a death.
+        // A connection that breaks at once when used after long disuse speaks of itself, not of its
+        // server or query: the part goes there again, and only if none is made now was it a death.
         let quick = QUICK * self.pace[sent.class].median;
         let stale = outcome == Outcome::Reset && sent.idle > self.aim / 2 && (took as f64) < quick;
         if stale {
-            let before = if self.breaking() { self.stale.0 } else { Time::MAX };
+            let before = if self.breaking() {
+                self.stale.0
+            } else {
+                Time::MAX
+            };
             self.stale = (before.min(sent.idle), self.now);
         } else {
             self.judge(&sent, outcome, took);
         }
-        // A query may itself kill its servers: while deaths go on each proves itself by one part first.
+        // A query may itself kill its servers: while deaths go on each proves itself by one part
+        // first.
         let known = !stale && self.servers.get(&sent.server).is_some_and(|s| s.ready);
-        let again = self.parts.get(&id).is_some_and(|p| p.again == Some(sent.server));
-        let died = known && (outcome == Outcome::Reset || again && outcome == Outcome::ConnectFailed);
+        let again = self
+            .parts
+            .get(&id)
+            .is_some_and(|p| p.again == Some(sent.server));
+        let died =
+            known && (outcome == Outcome::Reset || again && outcome == Outcome::ConnectFailed);
         if died && self.now > self.death_at + self.aim / 2 {
             // Deaths at one moment are a crash; deaths that go on have a cause among what is sent.
             if self.now < self.death_at + DOUBT * self.aim {
@@ -363,12 +462,17 @@
             }
             self.death_at = self.now;
         }
-        let Some(part) = self.parts.get_mut(&id) else { return };
+        let Some(part) = self.parts.get_mut(&id) else {
+            return;
+        };
         part.live.retain(|a| *a != attempt);
         if !outcome.never_ran() {
             part.may_have_run = Some(part.may_have_run.map_or(sent.at, |at| at.min(sent.at)));
         }
-        let (number, over) = (part.number, matches!(outcome, Outcome::TimedOut | Outcome::Skipped));
+        let (number, over) = (
+            part.number,
+            matches!(outcome, Outcome::TimedOut | Outcome::Skipped),
+        );
         if outcome == Outcome::Ok && !part.done {
             self.tries[sent.class].add(took);
             (part.done, part.held) = (true, false);
@@ -376,21 +480,39 @@
             self.pace[sent.class].add(sent.at + took - part.first_sent.unwrap_or(sent.at));
             let (weight, live) = (part.weight, part.live.clone());
             self.answers.push_back(self.now);
-            if self.servers.get(&sent.server).is_some_and(|s| self.is_warm(s)) {
+            if self
+                .servers
+                .get(&sent.server)
+                .is_some_and(|s| self.is_warm(s))
+            {
                 let ((rate, at), ramp) = (self.borne, (self.settings.ramp as f64).max(1.0));
-                let warm = self.servers.values().filter(|s| s.ready && self.is_warm(s)).count().max(1) as f64;
-                self.borne = (rate * (-((now - at) as f64) / ramp).exp() + 1.0 / ramp / warm, now);
+                let warm = self
+                    .servers
+                    .values()
+                    .filter(|s| s.ready && self.is_warm(s))
+                    .count()
+                    .max(1) as f64;
+                self.borne = (
+                    rate * (-((now - at) as f64) / ramp).exp() + 1.0 / ramp / warm,
+                    now,
+                );
             }
             for twin in live {
-                self.sends.entry((id, twin)).and_modify(|sent| sent.lost = true);
+                self.sends
+                    .entry((id, twin))
+                    .and_modify(|sent| sent.lost = true);
                 self.cancel(id, twin, out);
             }
-            self.queries.entry(number).and_modify(|q| (q.done, q.weight) = (q.done + 1, q.weight + weight));
+            self.queries
+                .entry(number)
+                .and_modify(|q| (q.done, q.weight) = (q.done + 1, q.weight + weight));
             self.settle(number, false, out);
         } else if !part.done && part.live.is_empty() && !part.held && !over {
             part.held = true;
             part.again = stale.then_some(sent.server);
-            let Some(query) = self.queries.get_mut(&number) else { return };
+            let Some(query) = self.queries.get_mut(&number) else {
+                return;
+            };
             // Where no part has been answered the query itself is the first to be doubted.
             if died && query.done == 0 && !query.second {
                 let live = |p: &&PartId| self.parts.get(p).is_some_and(|p| !p.live.is_empty());
@@ -407,12 +529,17 @@
         match timer {
             Timer::Copy(id) => self.copy(id, out),
             Timer::Cut(number) => {
-                let Some(query) = self.queries.get(&number) else { return };
+                let Some(query) = self.queries.get(&number) else {
+                    return;
+                };
                 let c = &self.settings.classes[query.class];
                 if !query.second && query.weight >= c.floor {
                     self.settle(number, true, out);
                 } else if !query.second && self.now < query.useful {
-                    self.timers.set(self.now + self.settings.tick.max(c.aim / 64), Timer::Cut(number));
+                    self.timers.set(
+                        self.now + self.settings.tick.max(c.aim / 64),
+                        Timer::Cut(number),
+                    );
                 }
             }
             Timer::End(number) => self.settle(number, true, out),
@@ -423,20 +550,26 @@
 
     /// Answers a query that is whole; when its time is up, answers it with what is in or ends it.
     fn settle(&mut self, number: u64, time_up: bool, out: &mut Vec<Action>) {
-        let Some(query) = self.queries.get_mut(&number) else { return };
+        let Some(query) = self.queries.get_mut(&number) else {
+            return;
+        };
         let c = &self.settings.classes[query.class];
         let all = query.done >= query.expected && query.parts.len() >= query.expected;
         let whole = all || (!query.second && c.need < 1.0 && query.weight >= c.need);
         if !whole && !time_up {
             return;
         }
-        // A first step that ends at the last moment leaves no time for a second: that query is over.
+        // A first step that ends at the last moment leaves no time for a second: that query is
+        // over.
         let over = c.second_step > 0 && !query.second && self.now >= query.useful;
         if over || !(whole || (c.floor < c.need && query.weight >= c.floor)) {
             return self.give_up(number, out);
         }
         let honest = whole && (!query.second || query.first_whole);
-        out.push(Action::Answer { query: query.id, whole: honest });
+        out.push(Action::Answer {
+            query: query.id,
+            whole: honest,
+        });
         if c.second_step > 0 && !query.second {
             (query.second, query.first_whole) = (true, whole);
             query.expected = (c.second_step as usize).min(query.done);
@@ -449,24 +582,39 @@
 
     /// Ends a query that cannot be answered any more.
     fn give_up(&mut self, number: u64, out: &mut Vec<Action>) {
-        let Some(query) = self.queries.get(&number) else { return };
+        let Some(query) = self.queries.get(&number) else {
+            return;
+        };
         let unsafe_class = self.settings.classes[query.class].effect == Effect::Unsafe;
         let ran = |p: &Part| p.done || !p.live.is_empty() || p.may_have_run.is_some();
         let ran = unsafe_class && self.parts_of(query).any(|(_, p)| ran(p));
-        let refused = Action::Refuse { query: query.id, hold_off: self.settings.max_hold_off };
-        out.push(if ran { Action::Fail { query: query.id } } else { refused });
+        let refused = Action::Refuse {
+            query: query.id,
+            hold_off: self.settings.max_hold_off,
+        };
+        out.push(if ran {
+            Action::Fail { query: query.id }
+        } else {
+            refused
+        });
         self.forget(number, out);
     }
 
     fn forget(&mut self, number: u64, out: &mut Vec<Action>) {
-        let Some(query) = self.queries.remove(&number) else { return };
+        let Some(query) = self.queries.remove(&number) else {
+            return;
+        };
         self.drop_parts(&query.parts, out);
     }
 
     fn drop_parts(&mut self, ids: &[PartId], out: &mut Vec<Action>) {
         for id in ids {
-            let live = self.parts.remove(id).map_or_else(Vec::new, |part| part.live);
-            live.into_iter().for_each(|attempt| self.cancel(*id, attempt, out));
+            let live = self
+                .parts
+                .remove(id)
+                .map_or_else(Vec::new, |part| part.live);
+            live.into_iter()
+                .for_each(|attempt| self.cancel(*id, attempt, out));
         }
     }
 
@@ -476,11 +624,16 @@
     }
 
     fn parts_of<'a>(&'a self, query: &'a Query) -> impl Iterator<Item = (PartId, &'a Part)> {
-        query.parts.iter().filter_map(|id| Some((*id, self.parts.get(id)?)))
+        query
+            .parts
+            .iter()
+            .filter_map(|id| Some((*id, self.parts.get(id)?)))
     }
 
     fn replicas(&self, shard: u32) -> Vec<ServerId> {
         let cells = (0..self.settings.reach).map(|j| (shard + j) % self.settings.cells);
-        cells.flat_map(|cell| self.holders[cell as usize].clone()).collect()
+        cells
+            .flat_map(|cell| self.holders[cell as usize].clone())
+            .collect()
     }
 }
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -1,31 +1,56 @@
-//! What is known of servers: how slow each is, whether it fails, is sick or silent, and what of that outlives a restart.
+//! What is known of servers: how slow each is, whether it fails, is sick or silent, and what of
+//! that outlives a restart.
 
 use super::*;
 
 impl Aggregator {
-    /// What was learned: of so many servers judged since last told of (noted from the first call on), and of classes.
+    /// What was learned: of so many servers judged since last told of (noted from the first call
+    /// on), and of classes.
     pub fn learned(&mut self, most: usize) -> Learned {
         let server = |id| {
             let s: &Server = self.servers.get(&id)?;
             let slowness = s.slowness.iter().map(|s| s.0).collect();
             let (delay, limit, errors) = (s.delay, s.limit, s.errors);
-            Some((id, ServerMemory { slowness, delay, limit, errors, answers: s.judged }))
+            Some((
+                id,
+                ServerMemory {
+                    slowness,
+                    delay,
+                    limit,
+                    errors,
+                    answers: s.judged,
+                },
+            ))
         };
         let mut touched = self.touched.take().unwrap_or_default();
-        let servers = (0..most).map_while(|_| touched.pop_first()).filter_map(server).collect();
+        let servers = (0..most)
+            .map_while(|_| touched.pop_first())
+            .filter_map(server)
+            .collect();
         self.touched = Some(touched);
-        let pace =
-            |p: &Pace| PaceMemory { median: p.median, p95: p.p95, least: p.least, answers: p.recent.len() };
+        let pace = |p: &Pace| PaceMemory {
+            median: p.median,
+            p95: p.p95,
+            least: p.least,
+            answers: p.recent.len(),
+        };
         let [parts, tries] = [&self.pace, &self.tries].map(|all| all.iter().map(pace).collect());
-        Learned { servers, parts, tries }
+        Learned {
+            servers,
+            parts,
+            tries,
+        }
     }
 
-    /// Takes what an earlier life had learned. It only warns: no server is held to be better than a new one. Held to be
-    /// judged an aim ago, so that the first answers that say otherwise count double.
+    /// Takes what an earlier life had learned. It only warns: no server is held to be better than a
+    /// new one. Held to be judged an aim ago, so that the first answers that say otherwise count
+    /// double.
     pub(super) fn recall(&mut self, learned: &Learned) {
         let at = self.now.saturating_sub(self.aim);
         for (id, memory) in &learned.servers {
-            let Some(server) = self.servers.get_mut(id).filter(|s| s.judged == 0.0) else { continue };
+            let Some(server) = self.servers.get_mut(id).filter(|s| s.judged == 0.0) else {
+                continue;
+            };
             for (own, slowness) in server.slowness.iter_mut().zip(&memory.slowness) {
                 *own = (slowness.clamp(1.0, FAILURE), at);
             }
@@ -33,9 +58,14 @@
             server.delay = memory.delay.clamp(0.0, 1.0);
             (server.errors, server.erred) = (memory.errors.clamp(0.0, 1.0), at);
         }
-        for (own, told) in [(&mut self.pace, &learned.parts), (&mut self.tries, &learned.tries)] {
-            let new =
-                own.iter_mut().zip(told).filter(|(own, told)| own.recent.is_empty() && told.answers > 0);
+        for (own, told) in [
+            (&mut self.pace, &learned.parts),
+            (&mut self.tries, &learned.tries),
+        ] {
+            let new = own
+                .iter_mut()
+                .zip(told)
+                .filter(|(own, told)| own.recent.is_empty() && told.answers > 0);
             for (own, told) in new {
                 (own.median, own.p95, own.least) =
                     (told.median.max(1.0), told.p95.max(1.0), told.least.max(1.0));
@@ -43,19 +73,27 @@
         }
     }
 
-    /// How long a probe waited. Reports of load say no more of a server than its answers do, so none is read.
+    /// How long a probe waited. Reports of load say no more of a server than its answers do, so
+    /// none is read.
     pub(super) fn probed(&mut self, id: ServerId, outcome: Outcome, took: Time) {
-        let Some(server) = self.servers.get_mut(&id) else { return };
+        let Some(server) = self.servers.get_mut(&id) else {
+            return;
+        };
         (server.seen, server.busy) = (self.now, if outcome == Outcome::Ok { 1.0 } else { FAILURE });
         server.busy += (took / (PROBE_WAIT * self.settings.tick).max(1)) as f64;
     }
 
-    /// Where evidence is thin and answers slow, probes two holders of each shard; the query waits some ticks. A probe
-    /// dearer than the work that a bad choice loses is not worth its answer: of many aggregators all have thin evidence.
+    /// Where evidence is thin and answers slow, probes two holders of each shard; the query waits
+    /// some ticks. A probe dearer than the work that a bad choice loses is not worth its answer: of
+    /// many aggregators all have thin evidence.
     pub(super) fn probe(&mut self, out: &mut Vec<Action>) {
         let s = &self.settings;
-        let tight = |q: &Query| self.pace[q.class].p95 > START_SHARE * s.classes[q.class].aim as f64;
-        let new = self.queries.iter().filter(|q| q.1.wait_until == 0 && tight(q.1));
+        let tight =
+            |q: &Query| self.pace[q.class].p95 > START_SHARE * s.classes[q.class].aim as f64;
+        let new = self
+            .queries
+            .iter()
+            .filter(|q| q.1.wait_until == 0 && tight(q.1));
         let probing = s.probes && s.probe_price <= s.waste_price && self.answers.len() < self.ready;
         let new: Vec<u64> = new.map(|q| *q.0).filter(|_| probing).collect();
         for number in new {
@@ -63,13 +101,20 @@
             query.wait_until = self.now + PROBE_WAIT * self.settings.tick;
             self.timers.set(query.wait_until, Timer::Beat);
             let (class, parts) = (query.class, query.parts.clone());
-            for shard in parts.iter().filter_map(|p| self.parts.get(p)).map(|p| p.shard).collect::<Vec<_>>() {
+            for shard in parts
+                .iter()
+                .filter_map(|p| self.parts.get(p))
+                .map(|p| p.shard)
+                .collect::<Vec<_>>()
+            {
                 let mut free = self.replicas(shard);
                 free.retain(|id| self.room(*id, class));
                 self.rng.shuffle(&mut free);
                 for id in free.into_iter().take(2) {
                     let server = self.servers.get_mut(&id).expect("a replica is known");
-                    if self.now > server.seen.max(server.probed) + (PROBE_GOOD * self.aim as f64) as Time {
+                    if self.now
+                        > server.seen.max(server.probed) + (PROBE_GOOD * self.aim as f64) as Time
+                    {
                         server.probed = self.now;
                         out.push(Action::Probe(id));
                     }
@@ -78,17 +123,24 @@
         }
     }
 
-    /// How long a part may take: by slowness, a probe, the last answers less what drained, what is out now
+    /// How long a part may take: by slowness, a probe, the last answers less what drained, what is
+    /// out now
     pub(super) fn expected(&self, id: ServerId, class: usize, shard: u32) -> f64 {
         let s = &self.servers[&id];
         let fresh = self.aim / 2;
         let base = self.slowness(s, class) * self.pace[class].median;
         let probed = match s.seen {
-            seen if s.probed > seen && self.now > s.probed + PROBE_WAIT * self.settings.tick => 3.0 + s.busy,
+            seen if s.probed > seen && self.now > s.probed + PROBE_WAIT * self.settings.tick => {
+                3.0 + s.busy
+            }
             seen if seen > 0 && seen + fresh / 2 > self.now => 1.0 + s.busy,
             _ => 2.0,
         };
-        let own = if s.took.1 + fresh > self.now { Some(&s.took) } else { self.shards.get(&shard) };
+        let own = if s.took.1 + fresh > self.now {
+            Some(&s.took)
+        } else {
+            self.shards.get(&shard)
+        };
         let own = own.map_or(0.0, |took| drained(*took, self.now));
         let out_for = self.oldest.get(&id).map_or(0, |o| self.now - o.0);
         (base * probed / 2.0).max(own).max(out_for as f64)
@@ -96,10 +148,20 @@
 
     /// What an ended attempt says of its server.
     pub(super) fn judge(&mut self, sent: &Sent, outcome: Outcome, took: Time) {
-        let (aim, now, common) = (self.settings.classes[sent.class].aim, self.now, self.peers[sent.class]);
+        let (aim, now, common) = (
+            self.settings.classes[sent.class].aim,
+            self.now,
+            self.peers[sent.class],
+        );
         let ratio = (took as f64 / self.pace[sent.class].median).min(FAILURE);
-        let Some(server) = self.servers.get_mut(&sent.server) else { return };
-        server.answered = if matches!(outcome, Outcome::Ok | Outcome::Error) { now } else { server.answered };
+        let Some(server) = self.servers.get_mut(&sent.server) else {
+            return;
+        };
+        server.answered = if matches!(outcome, Outcome::Ok | Outcome::Error) {
+            now
+        } else {
+            server.answered
+        };
         if let Some(touched) = &mut self.touched {
             touched.insert(sent.server);
             server.judged = (server.judged + 1.0).min(JUDGED);
@@ -115,7 +177,8 @@
                 server.delay += SAMPLE * (took as f64 / aim as f64 - server.delay);
                 let slow = server.delay > SLOW_SHARE;
                 if slow && sent.at >= server.cut_at {
-                    (server.limit, server.cut_at) = ((server.limit * LIMIT_CUT).max(LEAST_LIMIT), now);
+                    (server.limit, server.cut_at) =
+                        ((server.limit * LIMIT_CUT).max(LEAST_LIMIT), now);
                 } else if !slow && server.calls.len() as f64 + 2.0 > server.limit {
                     server.limit += 1.0 / server.limit;
                 }
@@ -127,7 +190,9 @@
                 FAILURE
             }
             // Cut short: it would have taken at least this long.
-            Outcome::Cancelled | Outcome::TimedOut if ratio > server.slowness[sent.class].0 => ratio,
+            Outcome::Cancelled | Outcome::TimedOut if ratio > server.slowness[sent.class].0 => {
+                ratio
+            }
             _ => return,
         };
         // An error speaks of its class alone; what is slow or broken is so for all.
@@ -152,7 +217,8 @@
         1.0 + (slowness - 1.0) * (1.0 - (self.now - at) as f64 / (FADE * self.aim as f64)).max(0.0)
     }
 
-    /// Whether a server fails what it is sent and was tried less than this share of the least aim ago.
+    /// Whether a server fails what it is sent and was tried less than this share of the least aim
+    /// ago.
     pub(super) fn failing(&self, server: &Server, share: f64) -> bool {
         let again = server.erred + (share * self.aim as f64) as Time;
         server.errors > FAILING && (self.now < again || !server.calls.is_empty())
@@ -166,10 +232,17 @@
     pub(super) fn survey(&mut self) {
         self.oldest.clear();
         for sent in self.sends.values() {
-            let oldest = self.oldest.entry(sent.server).or_insert((sent.at, sent.class));
+            let oldest = self
+                .oldest
+                .entry(sent.server)
+                .or_insert((sent.at, sent.class));
             *oldest = (sent.at, sent.class).min(*oldest);
         }
-        let silent = self.oldest.iter().filter(|(id, (at, class))| self.silent(**id, *at, *class)).count();
+        let silent = self
+            .oldest
+            .iter()
+            .filter(|(id, (at, class))| self.silent(**id, *at, *class))
+            .count();
         self.common = silent as f64 > COMMON * self.ready as f64;
         for class in 0..self.peers.len() {
             let ready = self.servers.values().filter(|s| s.ready);
--- a/src/choice/pace.rs
+++ b/src/choice/pace.rs
@@ -18,7 +18,12 @@
     /// Before any answer: shares of the aim.
     pub fn starting(aim: Time) -> Self {
         let p95 = START_SHARE * aim as f64;
-        Pace { recent: VecDeque::new(), median: p95 / 3.0, p95, least: p95 }
+        Pace {
+            recent: VecDeque::new(),
+            median: p95 / 3.0,
+            p95,
+            least: p95,
+        }
     }
 
     /// One more answer took so long.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -224,7 +224,8 @@
 }
 
 impl Default for Settings {
-    /// A lone aggregator with one class and one cell, where copies and cancels are allowed and no server starts cold.
+    /// A lone aggregator with one class and one cell, where copies and cancels are allowed and no
+    /// server starts cold.
     fn default() -> Self {
         Settings {
             aggregators: 1,
@@ -308,9 +309,11 @@
 /// Something that happened, as one aggregator sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// What an earlier life of this aggregator had learned, as far as it still counts; after the list it is about.
+    /// What an earlier life of this aggregator had learned, as far as it still counts; after the
+    /// list it is about.
     Recall(Arc<Learned>),
-    /// Other settings hold from now on. Classes that queries are of keep their places; the whole list follows.
+    /// Other settings hold from now on. Classes that queries are of keep their places; the whole
+    /// list follows.
     Settings {
         /// The settings.
         settings: Arc<Settings>,
@@ -326,8 +329,9 @@
     },
     /// Asking for the list failed, or the subscription broke.
     ListFailed {
-        /// Discovery could not be reached then, or said no: what it has to tell counts from then on. Otherwise it fell silent,
-        /// left the call without an answer, or said what could not be used.
+        /// Discovery could not be reached then, or said no: what it has to tell counts from then
+        /// on. Otherwise it fell silent, left the call without an answer, or said what could not be
+        /// used.
         refused: bool,
     },
     /// A query was taken; its parts follow in the same turn.
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -12,7 +12,10 @@
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { set: BTreeSet::new(), wake: 0 }
+        Timers {
+            set: BTreeSet::new(),
+            wake: 0,
+        }
     }
 }
 
