--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,8 +2,8 @@
 
 use crate::choice::Aggregator;
 use crate::interface::{
-    Action, Budget, Class, Effect, Entry, Event, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId,
-    Settings, Standing, Time,
+    Action, Budget, Class, Effect, Entry, Event, ListKind, LoadReport, Outcome, PartId, QueryId,
+    ServerId, Settings, Standing, Time,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -72,7 +72,12 @@
     }
 
     fn parse<T: std::str::FromStr>(&self, field: &str, value: &str) -> Result<T, String> {
-        value.parse().map_err(|_| format!("{}: field `{field}` is no such number: `{value}`", self.name))
+        value.parse().map_err(|_| {
+            format!(
+                "{}: field `{field}` is no such number: `{value}`",
+                self.name
+            )
+        })
     }
 
     fn number<T: std::str::FromStr>(&self, field: &str) -> Result<T, String> {
@@ -109,12 +114,18 @@
         match self.find(field) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(other) => Err(format!("{}: field `{field}` is neither 0 nor 1: `{other}`", self.name)),
+            Some(other) => Err(format!(
+                "{}: field `{field}` is neither 0 nor 1: `{other}`",
+                self.name
+            )),
         }
     }
 
     fn unknown(&self, field: &str, value: &str) -> String {
-        format!("{}: field `{field}` has an unknown value: `{value}`", self.name)
+        format!(
+            "{}: field `{field}` has an unknown value: `{value}`",
+            self.name
+        )
     }
 
     fn outcome(&self) -> Result<Outcome, String> {
@@ -133,8 +144,15 @@
 
     fn load(&self) -> Result<LoadReport, String> {
         let mut load = LoadReport::default();
-        for pair in self.find("telemetry").unwrap_or("").split(',').filter(|p| !p.is_empty()) {
-            let (name, value) = pair.split_once(':').ok_or_else(|| self.unknown("telemetry", pair))?;
+        for pair in self
+            .find("telemetry")
+            .unwrap_or("")
+            .split(',')
+            .filter(|p| !p.is_empty())
+        {
+            let (name, value) = pair
+                .split_once(':')
+                .ok_or_else(|| self.unknown("telemetry", pair))?;
             let value: f64 = self.parse("telemetry", value)?;
             match name {
                 "outstanding" => load.in_flight = Some(value),
@@ -173,13 +191,21 @@
 
 impl<'a> Group<'a> {
     fn sub(&self, key: &str) -> Group<'a> {
-        Group { path: format!("{}.{key}", self.path), value: &self.value[key] }
+        Group {
+            path: format!("{}.{key}", self.path),
+            value: &self.value[key],
+        }
     }
 
     fn items(&self) -> Vec<Group<'a>> {
         let items = self.value.as_array().map(Vec::as_slice).unwrap_or_default();
         let numbered = items.iter().enumerate();
-        numbered.map(|(i, value)| Group { path: format!("{}[{i}]", self.path), value }).collect()
+        numbered
+            .map(|(i, value)| Group {
+                path: format!("{}[{i}]", self.path),
+                value,
+            })
+            .collect()
     }
 
     fn maybe(&self, key: &str) -> Result<Option<f64>, String> {
@@ -187,13 +213,17 @@
             Value::Null => Ok(None),
             value => match value.as_f64() {
                 Some(number) if number >= 0.0 => Ok(Some(number)),
-                _ => Err(format!("INIT: setting `{}.{key}` is no number of 0 or more", self.path)),
+                _ => Err(format!(
+                    "INIT: setting `{}.{key}` is no number of 0 or more",
+                    self.path
+                )),
             },
         }
     }
 
     fn real(&self, key: &str) -> Result<f64, String> {
-        self.maybe(key)?.ok_or_else(|| format!("INIT: setting `{}.{key}` is missing", self.path))
+        self.maybe(key)?
+            .ok_or_else(|| format!("INIT: setting `{}.{key}` is missing", self.path))
     }
 
     fn real_or(&self, key: &str, absent: f64) -> Result<f64, String> {
@@ -210,15 +240,24 @@
 }
 
 fn at(list: &[Group<'_>], place: usize, absent: f64) -> f64 {
-    list.get(place).and_then(|item| item.value.as_f64()).unwrap_or(absent)
+    list.get(place)
+        .and_then(|item| item.value.as_f64())
+        .unwrap_or(absent)
 }
 
 /// Reads the settings an aggregator starts with; unknown keys are skipped.
 pub fn read_settings(text: &str) -> Result<Settings, String> {
-    let value: Value =
-        serde_json::from_str(text).map_err(|e| format!("INIT: field `boot_info` is not JSON: {e}"))?;
-    let root = Group { path: "boot_info".to_owned(), value: &value };
-    let (limits, rules, extra) = (root.sub("limits"), root.sub("guarantees"), root.sub("extra"));
+    let value: Value = serde_json::from_str(text)
+        .map_err(|e| format!("INIT: field `boot_info` is not JSON: {e}"))?;
+    let root = Group {
+        path: "boot_info".to_owned(),
+        value: &value,
+    };
+    let (limits, rules, extra) = (
+        root.sub("limits"),
+        root.sub("guarantees"),
+        root.sub("extra"),
+    );
     let prices = root.sub("prices");
     let floors = extra.sub("floor_by_class").items();
     let needs = extra.sub("class_need").items();
@@ -274,7 +313,11 @@
         waste_price: prices.real_or("waste", 0.0)?,
         second_copies: limits.flag("second_copies"),
         repeats_marked: root.sub("clients").flag("marks_retry"),
-        max_hold_off: if limits.flag("retry_after") { limits.time_or("max_retry_after", 0)? } else { 0 },
+        max_hold_off: if limits.flag("retry_after") {
+            limits.time_or("max_retry_after", 0)?
+        } else {
+            0
+        },
         ask_within: rules.time_or("ask_within", Time::MAX)?,
         drain_grace: rules.time_or("drain_grace", 0)?,
         start_capacity: rules.real_or("start_capacity", 1.0)?,
@@ -316,7 +359,10 @@
     pub fn line(&mut self, text: &str) -> Result<Option<String>, WireError> {
         self.lines += 1;
         let line = Line::new(text.trim_end_matches(['\r', '\n']));
-        self.take(&line).map_err(|problem| WireError { line: self.lines, problem })
+        self.take(&line).map_err(|problem| WireError {
+            line: self.lines,
+            problem,
+        })
     }
 
     /// To be called when the input ends: a batch cut short is an error.
@@ -364,7 +410,10 @@
             "SHEET" => {
                 let sheet: usize = line.number("sheet")?;
                 if sheet >= SHEETS {
-                    return Err(format!("SHEET: field `sheet` is over {}: `{sheet}`", SHEETS - 1));
+                    return Err(format!(
+                        "SHEET: field `sheet` is over {}: `{sheet}`",
+                        SHEETS - 1
+                    ));
                 }
                 match line.number("items")? {
                     0 => self.sheets[sheet] = Some(Arc::new([])),
@@ -375,8 +424,10 @@
             "INIT" => self.start(line)?,
             "STOP" => {
                 let who = self.who(line)?.to_owned();
-                let place =
-                    self.places.remove(&who).ok_or_else(|| format!("STOP: unknown instance `{who}`"))?;
+                let place = self
+                    .places
+                    .remove(&who)
+                    .ok_or_else(|| format!("STOP: unknown instance `{who}`"))?;
                 self.hosted[place].events.clear();
                 self.acting.retain(|p| *p != place);
             }
@@ -407,7 +458,9 @@
     }
 
     fn who(&self, line: &Line<'_>) -> Result<&str, String> {
-        self.selected.as_deref().ok_or_else(|| format!("{}: no SELECT before it in this batch", line.name))
+        self.selected
+            .as_deref()
+            .ok_or_else(|| format!("{}: no SELECT before it in this batch", line.name))
     }
 
     fn start(&mut self, line: &Line<'_>) -> Result<(), String> {
@@ -415,7 +468,12 @@
         let settings = read_settings(line.text("boot_info")?)?;
         let classes = settings.classes.len();
         let aggregator = Aggregator::new(settings, line.number("random_seed")?);
-        let fresh = Hosted { name: name.clone(), classes, aggregator, events: Vec::new() };
+        let fresh = Hosted {
+            name: name.clone(),
+            classes,
+            aggregator,
+            events: Vec::new(),
+        };
         // A stopped instance's place is used again, so that restarts do not pile up memory.
         let place = match self.hosted.iter().position(|hosted| hosted.name == name) {
             Some(place) => {
@@ -446,10 +504,15 @@
                 };
                 let sheet: usize = line.number("sheet")?;
                 let entries = self.sheets.get(sheet).cloned().flatten();
-                let entries = entries.ok_or_else(|| format!("MEMBERSHIP: no SHEET numbered `{sheet}`"))?;
+                let entries =
+                    entries.ok_or_else(|| format!("MEMBERSHIP: no SHEET numbered `{sheet}`"))?;
                 Event::List { kind, entries }
             }
-            "ORDER" => order(line, line.number("tid")?, line.whole("group_no")?.unsigned_abs())?,
+            "ORDER" => order(
+                line,
+                line.number("tid")?,
+                line.whole("group_no")?.unsigned_abs(),
+            )?,
             "DONE" => Event::Ended {
                 part: PartId(line.number("tid")?),
                 attempt: line.number("leg")?,
@@ -464,7 +527,9 @@
                 took: line.number_or("took", 0)?,
                 load: line.load()?,
             },
-            "ABORTED" => Event::ClientLeft { id: QueryId(line.number("tid")?) },
+            "ABORTED" => Event::ClientLeft {
+                id: QueryId(line.number("tid")?),
+            },
             "RING" => Event::Wake,
             // No class here streams its answers and no peer speaks: nothing to decide on these.
             "HEADERS" | "FROM_PEER" => return Ok(None),
@@ -494,9 +559,15 @@
 fn order(line: &Line<'_>, id: u64, number: u64) -> Result<Event, String> {
     let shard = line.whole("slab")?;
     if shard >= 0 {
-        let shard = u32::try_from(shard).map_err(|_| "ORDER: field `slab` is too large".to_owned())?;
+        let shard =
+            u32::try_from(shard).map_err(|_| "ORDER: field `slab` is too large".to_owned())?;
         let weight = line.real("size_or_weight")?;
-        return Ok(Event::Part { id: PartId(id), number, shard, weight });
+        return Ok(Event::Part {
+            id: PartId(id),
+            number,
+            shard,
+            weight,
+        });
     }
     Ok(Event::Query {
         id: QueryId(id),
@@ -509,23 +580,40 @@
 }
 
 fn put(out: &mut String, line: fmt::Arguments<'_>) {
-    out.write_fmt(line).expect("writing to a string cannot fail");
+    out.write_fmt(line)
+        .expect("writing to a string cannot fail");
     out.push('\n');
 }
 
 fn write_action(out: &mut String, action: &Action) {
     match action {
-        Action::Send { part, server, until } => {
-            put(out, format_args!("PLACE tid={} leaf={} try_until={until}", part.0, server.0));
+        Action::Send {
+            part,
+            server,
+            until,
+        } => {
+            put(
+                out,
+                format_args!("PLACE tid={} leaf={} try_until={until}", part.0, server.0),
+            );
         }
         Action::Cancel { part, attempt } => {
-            put(out, format_args!("STOP_ATTEMPT tid={} leg={attempt}", part.0));
+            put(
+                out,
+                format_args!("STOP_ATTEMPT tid={} leg={attempt}", part.0),
+            );
         }
         Action::Answer { query, whole } => {
-            put(out, format_args!("ANSWER tid={} on={}", query.0, u8::from(*whole)));
+            put(
+                out,
+                format_args!("ANSWER tid={} on={}", query.0, u8::from(*whole)),
+            );
         }
         Action::Refuse { query, hold_off } => {
-            put(out, format_args!("REFUSE tid={} hold_off={hold_off}", query.0));
+            put(
+                out,
+                format_args!("REFUSE tid={} hold_off={hold_off}", query.0),
+            );
         }
         Action::Fail { query } => put(out, format_args!("RESPOND_ERROR tid={}", query.0)),
         Action::WakeAt(instant) => put(out, format_args!("NOTIFY_ME instant={instant} label=wake")),
@@ -533,6 +621,9 @@
         Action::Watch(on) => put(out, format_args!("WATCH on={}", u8::from(*on))),
         Action::Fetch => put(out, format_args!("FETCH")),
         Action::Close(server) => put(out, format_args!("DISCONNECT leaf={}", server.0)),
-        Action::Note(text) => put(out, format_args!("NOTE_DOWN line={}", text.replace(['\r', '\n'], " "))),
+        Action::Note(text) => put(
+            out,
+            format_args!("NOTE_DOWN line={}", text.replace(['\r', '\n'], " ")),
+        ),
     }
 }
--- a/store/src/command.rs
+++ b/store/src/command.rs
@@ -8,7 +8,8 @@
 pub enum Command {
     /// A key gets a value, whatever it had.
     Put(Change),
-    /// A session begins; its id is the revision of this entry. The number tells its caller from others.
+    /// A session begins; its id is the revision of this entry. The number tells its caller from
+    /// others.
     Open(u64),
     /// Several keys change together, or none does.
     Txn(Txn),
@@ -70,7 +71,12 @@
 
     /// Bytes of its longest text, and how many keys it names.
     pub fn size(&self) -> (usize, usize) {
-        let of = |change: &Change| change.key.len().max(change.value.as_ref().map_or(0, String::len));
+        let of = |change: &Change| {
+            change
+                .key
+                .len()
+                .max(change.value.as_ref().map_or(0, String::len))
+        };
         match self {
             Command::Put(change) => (of(change), 1),
             Command::Open(_) => (0, 0),
@@ -87,7 +93,8 @@
 }
 
 impl Txn {
-    /// The change as JSON: `checks` are pairs of a key and what is expected, `sets` pairs of a key and its value or null.
+    /// The change as JSON: `checks` are pairs of a key and what is expected, `sets` pairs of a key
+    /// and its value or null.
     pub fn json(&self) -> Json {
         let check = |check: &Check| match &check.expects {
             Expects::Absent => json!([check.key, {"absent": true}]),
@@ -95,7 +102,11 @@
             Expects::Is(value) => json!([check.key, {"is": value}]),
         };
         let checks: Vec<Json> = self.checks.iter().map(check).collect();
-        let sets: Vec<Json> = self.sets.iter().map(|set| json!([set.key, set.value])).collect();
+        let sets: Vec<Json> = self
+            .sets
+            .iter()
+            .map(|set| json!([set.key, set.value]))
+            .collect();
         json!({"session": self.session, "request": self.request, "checks": checks, "sets": sets})
     }
 
@@ -107,20 +118,34 @@
                 wanted if wanted["at"].is_u64() => Expects::At(wanted["at"].as_u64()?),
                 wanted => Expects::Is(wanted["is"].as_str()?.to_owned()),
             };
-            Some(Check { key: json[0].as_str()?.to_owned(), expects })
+            Some(Check {
+                key: json[0].as_str()?.to_owned(),
+                expects,
+            })
         };
         let set = |json: &Json| {
             let value = match &json[1] {
                 Json::Null => None,
                 value => Some(value.as_str()?.to_owned()),
             };
-            Some(Change { key: json[0].as_str()?.to_owned(), value })
+            Some(Change {
+                key: json[0].as_str()?.to_owned(),
+                value,
+            })
         };
         Some(Txn {
             session: json["session"].as_u64()?,
             request: json["request"].as_u64()?,
-            checks: json["checks"].as_array()?.iter().map(check).collect::<Option<_>>()?,
-            sets: json["sets"].as_array()?.iter().map(set).collect::<Option<_>>()?,
+            checks: json["checks"]
+                .as_array()?
+                .iter()
+                .map(check)
+                .collect::<Option<_>>()?,
+            sets: json["sets"]
+                .as_array()?
+                .iter()
+                .map(set)
+                .collect::<Option<_>>()?,
         })
     }
 }
@@ -131,5 +156,8 @@
         Json::Null => None,
         value => Some(value.as_str()?.to_owned()),
     };
-    Some(Change { key: json["key"].as_str()?.to_owned(), value })
+    Some(Change {
+        key: json["key"].as_str()?.to_owned(),
+        value,
+    })
 }
--- a/store/src/kept.rs
+++ b/store/src/kept.rs
@@ -40,7 +40,11 @@
 
     /// A member whose file is gone, though it was once of this store.
     pub fn gone(cluster: u64) -> Kept {
-        Kept { cluster, lost: true, ..Kept::default() }
+        Kept {
+            cluster,
+            lost: true,
+            ..Kept::default()
+        }
     }
 
     /// Whether the member may have voted.
@@ -63,16 +67,24 @@
         }
     }
 
-    /// The file of a new store of these members that begins with all that this file holds, whether or not it is committed:
-    /// what another member had acknowledged and this one has not heard of is lost. Its era is later than the file's, and no
-    /// earlier than the wall clock of the step in seconds: a backup may be put back more than once.
+    /// The file of a new store of these members that begins with all that this file holds, whether
+    /// or not it is committed: what another member had acknowledged and this one has not heard of
+    /// is lost. Its era is later than the file's, and no earlier than the wall clock of the step in
+    /// seconds: a backup may be put back more than once.
     pub fn anew(mut self, cluster: u64, members: &BTreeSet<u64>, clock: u64) -> Vec<Record> {
         let mut snapshot = std::mem::take(&mut self.snapshot);
         let (from, last) = (snapshot.position.index, self.last(&snapshot));
         // What a later leader replaced stands in the file, but not in the log.
-        let positions = self.log.iter().flat_map(|log| log.iter_with_positions()).map(|(at, _)| at.into());
+        let positions = self
+            .log
+            .iter()
+            .flat_map(|log| log.iter_with_positions())
+            .map(|(at, _)| at.into());
         // An operator's step takes whatever there is, bounds or not.
-        let room = Room { keys: usize::MAX, sessions: usize::MAX };
+        let room = Room {
+            keys: usize::MAX,
+            sessions: usize::MAX,
+        };
         for at in positions.filter(|at: &Position| at.index > from) {
             if let Some(command) = self.commands.get(&at) {
                 snapshot.state.apply(at.index, command, room);
@@ -90,7 +102,9 @@
     }
 
     fn last(&self, snapshot: &Snapshot) -> Position {
-        self.log.as_ref().map_or(snapshot.position, |log| log.last_position().into())
+        self.log
+            .as_ref()
+            .map_or(snapshot.position, |log| log.last_position().into())
     }
 
     /// The members that the file names.
@@ -98,7 +112,10 @@
         match &self.log {
             Some(log) => {
                 let log = Log::new(self.snapshot.config(), log.clone());
-                log.latest_config().unique_nodes().map(NodeId::get).collect()
+                log.latest_config()
+                    .unique_nodes()
+                    .map(NodeId::get)
+                    .collect()
             }
             None => self.snapshot.members.clone(),
         }
@@ -125,11 +142,19 @@
                 self.snapshot = snapshot;
             }
             Record::Append(entries) => {
-                self.commands
-                    .extend(entries.commands().map(|(position, command)| (position, command.clone())));
-                let log = self.log.get_or_insert_with(|| crate::member::after(Position::default()));
+                self.commands.extend(
+                    entries
+                        .commands()
+                        .map(|(position, command)| (position, command.clone())),
+                );
+                let log = self
+                    .log
+                    .get_or_insert_with(|| crate::member::after(Position::default()));
                 // Entries that begin inside the log replace its end.
-                let kept = entries.after.index.saturating_sub(log.prev_position().index.get());
+                let kept = entries
+                    .after
+                    .index
+                    .saturating_sub(log.prev_position().index.get());
                 log.truncate(usize::try_from(kept).unwrap_or(usize::MAX));
                 for entry in entries.log().iter() {
                     log.push(entry);
@@ -140,7 +165,9 @@
 
     /// The member as it was, its state at the snapshot, and what the log's entries say.
     pub fn into_node(self, id: NodeId) -> (Node, Snapshot, BTreeMap<Position, Command>) {
-        let log = self.log.unwrap_or_else(|| crate::member::after(self.snapshot.position));
+        let log = self
+            .log
+            .unwrap_or_else(|| crate::member::after(self.snapshot.position));
         let log = Log::new(self.snapshot.config(), log);
         let node = Node::restart(id, self.term.into(), self.vote.map(NodeId::new), log);
         (node, self.snapshot, self.commands)
@@ -160,15 +187,28 @@
         vec![
             (
                 "store",
-                if self.cluster == 0 { "not known".to_owned() } else { format!("{:016x}", self.cluster) },
+                if self.cluster == 0 {
+                    "not known".to_owned()
+                } else {
+                    format!("{:016x}", self.cluster)
+                },
             ),
             ("starts", self.starts.to_string()),
             ("files lost before", self.generation.to_string()),
             ("standing", format!("{:?}", self.standing()).to_lowercase()),
             ("term", self.term.to_string()),
-            ("vote", self.vote.map_or("none".to_owned(), |id| id.to_string())),
-            ("snapshot up to entry", self.snapshot.position.index.to_string()),
-            ("last entry", format!("{} of term {}", last.index, last.term)),
+            (
+                "vote",
+                self.vote.map_or("none".to_owned(), |id| id.to_string()),
+            ),
+            (
+                "snapshot up to entry",
+                self.snapshot.position.index.to_string(),
+            ),
+            (
+                "last entry",
+                format!("{} of term {}", last.index, last.term),
+            ),
             ("keys", keys.join(" ")),
         ]
     }
@@ -179,21 +219,32 @@
     use super::*;
     use crate::state::State;
 
-    /// A backup that is put back, twice or after the store went on, gives an era above all that were.
+    /// A backup that is put back, twice or after the store went on, gives an era above all that
+    /// were.
     #[test]
-    fn a_store_that_is_begun_anew_has_a_later_era_than_its_file_and_no_earlier_one_than_the_clock() {
+    fn a_store_that_is_begun_anew_has_a_later_era_than_its_file_and_no_earlier_one_than_the_clock()
+    {
         let era_after = |before: u64, clock: u64| {
             let mut state = State::default();
             state.begin_era(before);
             let position = Position { index: 9, term: 3 };
-            let snapshot = Snapshot { position, state, ..Snapshot::default() };
+            let snapshot = Snapshot {
+                position,
+                state,
+                ..Snapshot::default()
+            };
             let kept = Kept::of(vec![Record::Snapshot(snapshot)]);
             let records = kept.anew(7, &BTreeSet::from([1]), clock);
-            let Some(Record::Snapshot(snapshot)) = records.get(1) else { panic!("{records:?}") };
+            let Some(Record::Snapshot(snapshot)) = records.get(1) else {
+                panic!("{records:?}")
+            };
             assert_eq!(snapshot.position.index, 9, "places go on");
             snapshot.state.era()
         };
-        assert_eq!((era_after(5, 0), era_after(5, 4), era_after(5, 1_000)), (6, 6, 1_000));
+        assert_eq!(
+            (era_after(5, 0), era_after(5, 4), era_after(5, 1_000)),
+            (6, 6, 1_000)
+        );
         // The same backup again: nobody knows of the first time but the clock.
         assert!(era_after(5, 1_001) > era_after(5, 1_000));
     }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,8 +1,9 @@
-//! One member of a small replicated store, for configuration and state. It has no sockets, clock, files or randomness of
-//! its own: time, packets and news of finished writes come in; packets, writes and committed changes go out.
+//! One member of a small replicated store, for configuration and state. It has no sockets, clock,
+//! files or randomness of its own: time, packets and news of finished writes come in; packets,
+//! writes and committed changes go out.
 //!
-//! The one rule that everything else rests on: what a member tells others, and what it says is committed, is told only
-//! after every write that came before it is on the disk.
+//! The one rule that everything else rests on: what a member tells others, and what it says is
+//! committed, is told only after every write that came before it is on the disk.
 
 #![forbid(unsafe_code)]
 
--- a/store/src/member.rs
+++ b/store/src/member.rs
@@ -1,7 +1,8 @@
 //! A member: a log that a majority commits, over a Raft library, and the state that it makes.
 //!
-//! What has to be kept goes out as numbered writes. A packet waits until every write before it is done, and so does what is
-//! committed: nothing is acknowledged, voted or shown that a loss of power could take back.
+//! What has to be kept goes out as numbered writes. A packet waits until every write before it is
+//! done, and so does what is committed: nothing is acknowledged, voted or shown that a loss of
+//! power could take back.
 
 use crate::Time;
 use crate::command::Command;
@@ -19,7 +20,8 @@
 
 pub use calls::{Call, CallId, Compacted, Reply, TooMany};
 
-/// How often a leader speaks, and how long a member waits for it (once to twice that long, at random).
+/// How often a leader speaks, and how long a member waits for it (once to twice that long, at
+/// random).
 #[derive(Debug, Clone, Copy)]
 pub struct Pace {
     /// Between two heartbeats.
@@ -37,8 +39,8 @@
     pub members: BTreeSet<u64>,
     /// Whether this member begins the store, where there is none yet.
     pub begins: bool,
-    /// The era of a store that it begins: later than that of any store before it, as a wall clock in seconds tells; 0 where
-    /// nobody asks for one.
+    /// The era of a store that it begins: later than that of any store before it, as a wall clock
+    /// in seconds tells; 0 where nobody asks for one.
     pub era: u64,
 }
 
@@ -90,7 +92,10 @@
 impl std::fmt::Display for OtherStore {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let OtherStore { from, theirs, own } = self;
-        write!(f, "member {from} is of store {theirs:016x}, and this one of store {own:016x}")
+        write!(
+            f,
+            "member {from} is of store {theirs:016x}, and this one of store {own:016x}"
+        )
     }
 }
 
@@ -112,7 +117,8 @@
     cluster: u64,
     /// Which start of this member this is.
     start: u64,
-    /// Writes not handed out yet, and the number of the last one made; none are made where nothing is kept.
+    /// Writes not handed out yet, and the number of the last one made; none are made where nothing
+    /// is kept.
     writes: Option<Vec<Write>>,
     made: u64,
     /// The last write that is done.
@@ -127,7 +133,8 @@
     outbox: VecDeque<(u64, u64, Packet)>,
     /// To each member: in which term, and when, it was last sent what it lacked.
     resent: BTreeMap<u64, (u64, Time)>,
-    /// What came to be committed, each with its entry's place; of a snapshot each key with the snapshot's.
+    /// What came to be committed, each with its entry's place; of a snapshot each key with the
+    /// snapshot's.
     committed: VecDeque<(u64, Change)>,
     due: Option<Time>,
     /// When what was not answered is asked again.
@@ -145,7 +152,8 @@
 }
 
 impl Store {
-    /// Starts a member; with what its file kept it goes on from that. Where nothing is kept all is in memory.
+    /// Starts a member; with what its file kept it goes on from that. Where nothing is kept all is
+    /// in memory.
     pub fn start(
         membership: &Membership,
         pace: Pace,
@@ -160,7 +168,14 @@
         let kept = kept.unwrap_or_default();
         let (start, cluster, standing) = (kept.starts + 1, kept.cluster, kept.standing());
         let (count, begins, life) = (membership.members.len(), membership.begins, rng.u64(1..));
-        let rejoin = Rejoin::new(standing, count, begins, life, kept.generation, kept.peers.clone());
+        let rejoin = Rejoin::new(
+            standing,
+            count,
+            begins,
+            life,
+            kept.generation,
+            kept.peers.clone(),
+        );
         let unvoted = kept.joined || standing == Standing::Founding;
         let (node, snapshot, commands) = match standing {
             Standing::Empty => (Node::start(id), Snapshot::default(), BTreeMap::new()),
@@ -213,10 +228,18 @@
         &self.state
     }
 
-    /// The last value of a key that this member has seen, with its revision, be it committed yet or not: all that one has to go
-    /// by that has just started and hears of nobody.
+    /// The last value of a key that this member has seen, with its revision, be it committed yet or
+    /// not: all that one has to go by that has just started and hears of nobody.
     pub fn foreseen(&self, key: &str) -> Option<(u64, &str)> {
-        let ahead = self.commands.range(Position { index: self.applied + 1, term: 0 }..).rev();
+        let ahead = self
+            .commands
+            .range(
+                Position {
+                    index: self.applied + 1,
+                    term: 0,
+                }..,
+            )
+            .rev();
         let set = ahead.filter_map(|(at, command)| {
             let sets = match command {
                 Command::Put(change) => std::slice::from_ref(change),
@@ -226,7 +249,11 @@
             let set = sets.iter().find(|set| set.key == key)?;
             Some((at.index, set.value.as_deref()?))
         });
-        let held = || self.state.held(key).map(|held| (held.revision, held.value.as_str()));
+        let held = || {
+            self.state
+                .held(key)
+                .map(|held| (held.revision, held.value.as_str()))
+        };
         set.max().or_else(held)
     }
 
@@ -239,7 +266,11 @@
     pub fn due(&self) -> Option<Time> {
         // A lone member has nobody to hear from.
         let due = self.due.filter(|_| self.takes_part() && !self.unvoted);
-        let others = [due, self.ask_at].into_iter().flatten().min().filter(|_| self.members.len() > 1);
+        let others = [due, self.ask_at]
+            .into_iter()
+            .flatten()
+            .min()
+            .filter(|_| self.members.len() > 1);
         [others, self.calls.due()].into_iter().flatten().min()
     }
 
@@ -251,7 +282,9 @@
     /// What it waits for before it votes and counts, in words.
     pub fn waits_for(&self) -> Option<String> {
         let begins = || "the member that begins the store has not done so yet".to_owned();
-        self.rejoin.waits_for().or_else(|| (self.unvoted && self.takes_part()).then(begins))
+        self.rejoin
+            .waits_for()
+            .or_else(|| (self.unvoted && self.takes_part()).then(begins))
     }
 
     /// How often it has lost its file.
@@ -281,7 +314,11 @@
     /// Every write up to this one is on the disk.
     pub fn written(&mut self, number: u64) {
         self.done = self.done.max(number);
-        while self.ends.front().is_some_and(|(number, _)| *number <= self.done) {
+        while self
+            .ends
+            .front()
+            .is_some_and(|(number, _)| *number <= self.done)
+        {
             self.durable = self.ends.pop_front().map_or(self.durable, |(_, end)| end);
         }
         self.apply();
@@ -290,10 +327,15 @@
     /// Packets for other members that wait for no write.
     pub fn take_outbox(&mut self) -> Vec<(u64, Packet)> {
         let done = self.done;
-        let (ready, waits) = std::mem::take(&mut self.outbox).into_iter().partition(|p| p.0 <= done);
+        let (ready, waits) = std::mem::take(&mut self.outbox)
+            .into_iter()
+            .partition(|p| p.0 <= done);
         self.outbox = waits;
         let ready: VecDeque<(u64, u64, Packet)> = ready;
-        ready.into_iter().map(|(_, to, packet)| (to, packet)).collect()
+        ready
+            .into_iter()
+            .map(|(_, to, packet)| (to, packet))
+            .collect()
     }
 
     /// The place of the last entry that is applied.
@@ -306,7 +348,8 @@
         std::mem::take(&mut self.committed)
     }
 
-    /// Wants a value to stand in the store; it is proposed again until it does, or is replaced here.
+    /// Wants a value to stand in the store; it is proposed again until it does, or is replaced
+    /// here.
     pub fn put(&mut self, key: &str, value: &str, now: Time) -> Result<(), TooLarge> {
         let full = self.state.get(key).is_none() && self.state.len() >= self.bounds.keys;
         if full || value.len() > self.bounds.value_bytes || key.len() > self.bounds.value_bytes {
@@ -318,7 +361,8 @@
         Ok(())
     }
 
-    /// The timer is due: the leader speaks, another member stands for election, one that waits for answers asks again.
+    /// The timer is due: the leader speaks, another member stands for election, one that waits for
+    /// answers asks again.
     pub fn timer(&mut self, now: Time) {
         self.press(now);
         if self.ask_at.is_some_and(|at| at <= now) {
@@ -333,10 +377,24 @@
 
     /// Takes a packet from another member; one of another store is refused.
     pub fn receive(&mut self, packet: Packet, now: Time) -> Result<(), OtherStore> {
-        let Packet { from, cluster, term, sequence, starts, generation, generations, body } = packet;
-        let other = OtherStore { from, theirs: cluster, own: self.cluster };
+        let Packet {
+            from,
+            cluster,
+            term,
+            sequence,
+            starts,
+            generation,
+            generations,
+            body,
+        } = packet;
+        let other = OtherStore {
+            from,
+            theirs: cluster,
+            own: self.cluster,
+        };
         let foreign = cluster != 0 && self.cluster != 0 && cluster != self.cluster;
-        // A store that begins takes in whoever has never voted in another, and hears of one that there is already.
+        // A store that begins takes in whoever has never voted in another, and hears of one that
+        // there is already.
         let begins = match &body {
             Body::Found { .. } => self.unvoted || self.takes_part(),
             Body::Begun { .. } => self.rejoin.standing() == Standing::Founding,
@@ -347,7 +405,9 @@
         }
         if !foreign && self.cluster != 0 && cluster != 0 {
             self.learn(from, generation);
-            generations.into_iter().for_each(|(member, generation)| self.learn(member, generation));
+            generations
+                .into_iter()
+                .for_each(|(member, generation)| self.learn(member, generation));
         }
         let introduces = matches!(body, Body::Ask(_) | Body::Found { .. });
         if !introduces && self.rejoin.is_over(from, generation) {
@@ -379,7 +439,11 @@
                 }
             }
             Body::Read { number, life } => self.begin_read(from, (number, life), now),
-            Body::ReadAt { number, life, index } if life == self.rejoin.life() => self.read_at(number, index),
+            Body::ReadAt {
+                number,
+                life,
+                index,
+            } if life == self.rejoin.life() => self.read_at(number, index),
             Body::ReadAt { .. } => {}
             Body::Snapshot { snapshot, .. } => self.install(snapshot),
             mut body => {
@@ -391,7 +455,11 @@
                 if let Body::Vote { last } = &mut body {
                     *last = self.judged(*last);
                 }
-                let last = if let Body::Appended { last } = &body { Some(*last) } else { None };
+                let last = if let Body::Appended { last } = &body {
+                    Some(*last)
+                } else {
+                    None
+                };
                 self.rejoin.heard(from, starts, term, last);
                 if let Body::Append { entries, .. } = &body {
                     self.follow(from, term);
@@ -413,7 +481,10 @@
     }
 
     fn propose(&mut self, command: Command) {
-        if let Command::Put(Change { key, value: Some(value) }) = &command
+        if let Command::Put(Change {
+            key,
+            value: Some(value),
+        }) = &command
             && self.state.get(key) == Some(value)
         {
             return;
@@ -424,23 +495,33 @@
         }
     }
 
-    /// Whether something stands in the log and is not applied yet. A command whose entry another leader took out of the log is
-    /// kept beside it for a while, and is not under way.
+    /// Whether something stands in the log and is not applied yet. A command whose entry another
+    /// leader took out of the log is kept beside it for a while, and is not under way.
     fn is_under_way(&self, command: &Command) -> bool {
         let entries = self.node.log().entries();
         let stands = |position: &Position| {
             let term = entries.get_term(LogIndex::new(position.index));
             term.is_some_and(|term| term.get() == position.term)
         };
-        let ahead = self.commands.range(Position { index: self.applied + 1, term: 0 }..);
-        ahead.filter(|(position, _)| stands(position)).any(|(_, ahead)| ahead == command)
+        let ahead = self.commands.range(
+            Position {
+                index: self.applied + 1,
+                term: 0,
+            }..,
+        );
+        ahead
+            .filter(|(position, _)| stands(position))
+            .any(|(_, ahead)| ahead == command)
     }
 
     /// Proposes what is wanted and not yet on its way, or hands it to the leader.
     fn propose_wanted(&mut self) {
-        self.wanted.retain(|key, value| self.state.get(key) != Some(value));
-        let change =
-            |(key, value): (&String, &String)| Change { key: key.clone(), value: Some(value.clone()) };
+        self.wanted
+            .retain(|key, value| self.state.get(key) != Some(value));
+        let change = |(key, value): (&String, &String)| Change {
+            key: key.clone(),
+            value: Some(value.clone()),
+        };
         let wanted: Vec<Command> = self.wanted.iter().map(change).map(Command::Put).collect();
         wanted.into_iter().for_each(|command| self.hand_in(command));
     }
@@ -460,7 +541,10 @@
 
     /// The member that leads or may do so, where it is another one.
     fn leader(&self) -> Option<u64> {
-        self.node.voted_for().filter(|id| *id != self.node.id()).map(NodeId::get)
+        self.node
+            .voted_for()
+            .filter(|id| *id != self.node.id())
+            .map(NodeId::get)
     }
 
     fn id(&self) -> u64 {
@@ -469,19 +553,34 @@
 
     fn packet(&self, body: Body) -> Packet {
         let term = self.node.current_term().get();
-        self.signed(Packet { term, body, ..Packet::default() })
+        self.signed(Packet {
+            term,
+            body,
+            ..Packet::default()
+        })
     }
 
     /// A packet with what this member is and what it knows of others.
     fn signed(&self, packet: Packet) -> Packet {
         let (from, cluster, generation) = (self.id(), self.cluster, self.rejoin.generation());
         let (starts, generations) = (self.start, self.generations());
-        Packet { from, cluster, starts, generation, generations, ..packet }
+        Packet {
+            from,
+            cluster,
+            starts,
+            generation,
+            generations,
+            ..packet
+        }
     }
 
     /// How often others have lost their files, as far as this member knows.
     pub fn generations(&self) -> BTreeMap<u64, u64> {
-        let peers = self.rejoin.peers().iter().filter(|(_, peer)| peer.generation > 0);
+        let peers = self
+            .rejoin
+            .peers()
+            .iter()
+            .filter(|(_, peer)| peer.generation > 0);
         peers.map(|(id, peer)| (*id, peer.generation)).collect()
     }
 
@@ -500,7 +599,9 @@
                     self.unvoted = false;
                     self.keep(Record::Term(self.node.current_term().get()));
                 }
-                Action::SaveVotedFor => self.keep(Record::Vote(self.node.voted_for().map(NodeId::get))),
+                Action::SaveVotedFor => {
+                    self.keep(Record::Vote(self.node.voted_for().map(NodeId::get)))
+                }
                 Action::AppendLogEntries(entries) => {
                     let record = Record::Append(packet::Entries::new(&entries, &self.commands));
                     self.keep(record);
@@ -509,7 +610,8 @@
                     self.calls.spoke(message.seqno().get());
                     let peers: Vec<u64> = self.node.peers().map(NodeId::get).collect();
                     let (after, packet) = self.message(&message);
-                    self.outbox.extend(peers.into_iter().map(|peer| (after, peer, packet.clone())));
+                    self.outbox
+                        .extend(peers.into_iter().map(|peer| (after, peer, packet.clone())));
                 }
                 Action::SendMessage(to, message) => {
                     let (after, packet) = self.message(&message);
@@ -519,9 +621,13 @@
                 }
                 Action::InstallSnapshot(to) => {
                     let snapshot = self.snapshot();
-                    let body = |snapshot| Body::Snapshot { snapshot, restores: 0 };
+                    let body = |snapshot| Body::Snapshot {
+                        snapshot,
+                        restores: 0,
+                    };
                     let packet = snapshot.map(|snapshot| self.packet(body(snapshot)));
-                    self.outbox.extend(packet.map(|packet| (self.made, to.get(), packet)));
+                    self.outbox
+                        .extend(packet.map(|packet| (self.made, to.get(), packet)));
                 }
             }
         }
@@ -534,7 +640,11 @@
 
     /// Up to where the log is on the disk, where any is kept.
     fn on_disk(&self) -> u64 {
-        if self.writes.is_some() { self.durable } else { u64::MAX }
+        if self.writes.is_some() {
+            self.durable
+        } else {
+            u64::MAX
+        }
     }
 
     fn last(&self) -> Position {
@@ -546,21 +656,31 @@
         self.last().index
     }
 
-    /// Applies what is committed and on this member's own disk: a lone member's entry is committed as it is made.
+    /// Applies what is committed and on this member's own disk: a lone member's entry is committed
+    /// as it is made.
     fn apply(&mut self) {
         while self.applied < self.node.commit_index().get().min(self.on_disk()) {
             let index = LogIndex::new(self.applied + 1);
             let entries = self.node.log().entries();
-            let (Some(entry), Some(term)) = (entries.get_entry(index), entries.get_term(index)) else {
+            let (Some(entry), Some(term)) = (entries.get_entry(index), entries.get_term(index))
+            else {
                 break;
             };
             if entry == LogEntry::Command {
-                let position = Position { index: index.get(), term: term.get() };
+                let position = Position {
+                    index: index.get(),
+                    term: term.get(),
+                };
                 if let Some(command) = self.commands.get(&position) {
-                    let room = Room { keys: self.bounds.keys, sessions: self.bounds.sessions };
+                    let room = Room {
+                        keys: self.bounds.keys,
+                        sessions: self.bounds.sessions,
+                    };
                     let (changes, done) = self.state.apply(position.index, command, room);
-                    self.calls.note(position.index, &changes, self.bounds.history);
-                    self.committed.extend(changes.into_iter().map(|change| (position.index, change)));
+                    self.calls
+                        .note(position.index, &changes, self.bounds.history);
+                    self.committed
+                        .extend(changes.into_iter().map(|change| (position.index, change)));
                     self.calls.done(done);
                 }
             }
@@ -576,17 +696,28 @@
         let index = LogIndex::new(self.applied);
         let (position, config) = self.node.log().get_position_and_config(index)?;
         let members = config.voters.iter().map(|id| id.get()).collect();
-        Some(Snapshot { position: Position::from(position), members, state: self.state.clone() })
+        Some(Snapshot {
+            position: Position::from(position),
+            members,
+            state: self.state.clone(),
+        })
     }
 
     /// Folds the applied part of the log into a snapshot.
     fn compact(&mut self) {
-        // Nothing is folded twice: a member that cannot apply would write its whole file again at every event.
+        // Nothing is folded twice: a member that cannot apply would write its whole file again at
+        // every event.
         let folded = self.node.log().snapshot_position().index.get();
-        let Some(snapshot) = self.snapshot().filter(|snapshot| snapshot.position.index > folded) else {
+        let Some(snapshot) = self
+            .snapshot()
+            .filter(|snapshot| snapshot.position.index > folded)
+        else {
             return;
         };
-        if self.node.handle_snapshot_installed(snapshot.position.into(), snapshot.config()) {
+        if self
+            .node
+            .handle_snapshot_installed(snapshot.position.into(), snapshot.config())
+        {
             self.forget_commands();
             self.rewrite(snapshot);
         }
@@ -597,7 +728,10 @@
         if snapshot.position.index <= self.applied {
             return;
         }
-        if self.node.handle_snapshot_installed(snapshot.position.into(), snapshot.config()) {
+        if self
+            .node
+            .handle_snapshot_installed(snapshot.position.into(), snapshot.config())
+        {
             self.take_state(snapshot);
         }
     }
@@ -607,7 +741,13 @@
         self.applied = snapshot.position.index;
         self.state = snapshot.state.clone();
         let told = |(key, held): (&str, &crate::state::Held)| {
-            (snapshot.position.index, Change { key: key.to_owned(), value: Some(held.value.clone()) })
+            (
+                snapshot.position.index,
+                Change {
+                    key: key.to_owned(),
+                    value: Some(held.value.clone()),
+                },
+            )
         };
         self.committed.extend(self.state.keys().map(told));
         self.calls.skipped(self.applied, &self.state);
@@ -616,7 +756,10 @@
     }
 
     fn forget_commands(&mut self) {
-        self.commands = self.commands.split_off(&Position { index: self.applied + 1, term: 0 });
+        self.commands = self.commands.split_off(&Position {
+            index: self.applied + 1,
+            term: 0,
+        });
     }
 
     fn keep(&mut self, record: Record) {
@@ -625,23 +768,40 @@
 
     fn write(&mut self, replaces: bool, records: Vec<Record>) {
         let end = self.end();
-        let Some(writes) = &mut self.writes else { return };
+        let Some(writes) = &mut self.writes else {
+            return;
+        };
         self.made += 1;
         if !matches!(records[..], [Record::Append(_)]) {
             self.promised = self.made;
         }
         self.ends.push_back((self.made, end));
-        writes.push(Write { number: self.made, replaces, records });
+        writes.push(Write {
+            number: self.made,
+            replaces,
+            records,
+        });
     }
 
     fn rewrite(&mut self, snapshot: Snapshot) {
-        let mut records =
-            vec![Record::Start(self.start), Record::Cluster(self.cluster), Record::Snapshot(snapshot)];
+        let mut records = vec![
+            Record::Start(self.start),
+            Record::Cluster(self.cluster),
+            Record::Snapshot(snapshot),
+        ];
         records.push(Record::Generation(self.rejoin.generation()));
-        records.extend(self.rejoin.peers().iter().map(|(id, peer)| Record::Peer(*id, *peer)));
+        records.extend(
+            self.rejoin
+                .peers()
+                .iter()
+                .map(|(id, peer)| Record::Peer(*id, *peer)),
+        );
         records.push(Record::Term(self.node.current_term().get()));
         records.push(Record::Vote(self.node.voted_for().map(NodeId::get)));
-        records.push(Record::Append(packet::Entries::new(self.node.log().entries(), &self.commands)));
+        records.push(Record::Append(packet::Entries::new(
+            self.node.log().entries(),
+            &self.commands,
+        )));
         match self.rejoin.standing() {
             Standing::Founding => records.push(Record::Founding(true)),
             Standing::Lost => records.push(Record::Lost),
@@ -654,13 +814,19 @@
 
 impl From<LogPosition> for Position {
     fn from(position: LogPosition) -> Self {
-        Position { index: position.index.get(), term: position.term.get() }
+        Position {
+            index: position.index.get(),
+            term: position.term.get(),
+        }
     }
 }
 
 impl From<Position> for LogPosition {
     fn from(position: Position) -> Self {
-        LogPosition { term: position.term.into(), index: LogIndex::new(position.index) }
+        LogPosition {
+            term: position.term.into(),
+            index: LogIndex::new(position.index),
+        }
     }
 }
 
--- a/store/src/member/calls.rs
+++ b/store/src/member/calls.rs
@@ -1,9 +1,10 @@
-//! What is asked of the store through this member: sessions, changes of several keys, reads that are true when they are
-//! answered, and what was committed since a revision.
+//! What is asked of the store through this member: sessions, changes of several keys, reads that
+//! are true when they are answered, and what was committed since a revision.
 //!
-//! Every member applies every entry, so the one that was asked sees the answer there and none has to be sent back. It puts
-//! the request to the leader a heartbeat apart until then; a request that comes twice is made once, by its session. When the
-//! caller's patience ends it is told that what came of it is not known.
+//! Every member applies every entry, so the one that was asked sees the answer there and none has
+//! to be sent back. It puts the request to the leader a heartbeat apart until then; a request that
+//! comes twice is made once, by its session. When the caller's patience ends it is told that what
+//! came of it is not known.
 
 use super::Store;
 use crate::Time;
@@ -85,7 +86,14 @@
 impl Calls {
     pub(super) fn new(floor: u64) -> Calls {
         let (pending, replies, readings) = (BTreeMap::new(), Vec::new(), Vec::new());
-        Calls { pending, replies, readings, press_at: None, history: VecDeque::new(), floor }
+        Calls {
+            pending,
+            replies,
+            readings,
+            press_at: None,
+            history: VecDeque::new(),
+            floor,
+        }
     }
 
     pub(super) fn due(&self) -> Option<Time> {
@@ -94,7 +102,11 @@
 
     /// The leader has spoken to all: reads that waited for that count answers from here on.
     pub(super) fn spoke(&mut self, sequence: u64) {
-        for reading in self.readings.iter_mut().filter(|reading| reading.after.is_none()) {
+        for reading in self
+            .readings
+            .iter_mut()
+            .filter(|reading| reading.after.is_none())
+        {
             reading.after = Some(sequence);
         }
     }
@@ -117,7 +129,12 @@
             }
             _ => false,
         };
-        let ids: Vec<CallId> = self.pending.iter().filter(|(_, p)| waits(p)).map(|(id, _)| *id).collect();
+        let ids: Vec<CallId> = self
+            .pending
+            .iter()
+            .filter(|(_, p)| waits(p))
+            .map(|(id, _)| *id)
+            .collect();
         for id in ids {
             match &done {
                 Some(Done::Opened(_, session)) => self.answer(id, Reply::Opened(*session)),
@@ -129,20 +146,32 @@
 
     /// Everything up to here is applied.
     pub(super) fn applied(&mut self, applied: u64) {
-        let waits =
-            |(_, p): &(&CallId, &Pending)| matches!(p.what, What::Read(Some(index)) if index <= applied);
-        let ids: Vec<CallId> = self.pending.iter().filter(waits).map(|(id, _)| *id).collect();
-        ids.into_iter().for_each(|id| self.answer(id, Reply::Read(applied)));
+        let waits = |(_, p): &(&CallId, &Pending)| matches!(p.what, What::Read(Some(index)) if index <= applied);
+        let ids: Vec<CallId> = self
+            .pending
+            .iter()
+            .filter(waits)
+            .map(|(id, _)| *id)
+            .collect();
+        ids.into_iter()
+            .for_each(|id| self.answer(id, Reply::Read(applied)));
     }
 
     /// Keeps what an entry changed for those who watch from a revision on.
     pub(super) fn note(&mut self, revision: u64, changes: &[Change], most: usize) {
-        self.history.extend(changes.iter().map(|change| (revision, change.clone())));
+        self.history
+            .extend(changes.iter().map(|change| (revision, change.clone())));
         while self.history.len() > most {
             // What one entry changed goes together.
-            let Some((gone, _)) = self.history.pop_front() else { break };
+            let Some((gone, _)) = self.history.pop_front() else {
+                break;
+            };
             self.floor = gone;
-            while self.history.front().is_some_and(|(revision, _)| *revision == gone) {
+            while self
+                .history
+                .front()
+                .is_some_and(|(revision, _)| *revision == gone)
+            {
                 self.history.pop_front();
             }
         }
@@ -156,15 +185,26 @@
             What::Txn(txn) => state.outcome(txn.session, txn.request).cloned(),
             _ => None,
         };
-        let done: Vec<_> = self.pending.iter().filter_map(|(id, p)| Some((*id, known(p)?))).collect();
-        done.into_iter().for_each(|(id, outcome)| self.answer(id, Reply::Made(outcome)));
+        let done: Vec<_> = self
+            .pending
+            .iter()
+            .filter_map(|(id, p)| Some((*id, known(p)?)))
+            .collect();
+        done.into_iter()
+            .for_each(|(id, outcome)| self.answer(id, Reply::Made(outcome)));
     }
 }
 
 impl Store {
-    /// Asks something, under a number that the caller has not used before in this member's life. The answer comes by
-    /// [`Store::take_replies`], within the caller's patience.
-    pub fn call(&mut self, id: CallId, call: Call, patience: Time, now: Time) -> Result<(), TooMany> {
+    /// Asks something, under a number that the caller has not used before in this member's life.
+    /// The answer comes by [`Store::take_replies`], within the caller's patience.
+    pub fn call(
+        &mut self,
+        id: CallId,
+        call: Call,
+        patience: Time,
+        now: Time,
+    ) -> Result<(), TooMany> {
         if self.calls.pending.len() >= self.bounds.calls {
             return Err(TooMany);
         }
@@ -178,9 +218,16 @@
             What::Txn(txn) => self.state.outcome(txn.session, txn.request).cloned(),
             _ => None,
         };
-        self.calls.pending.insert(id, Pending { what, until: now.saturating_add(patience) });
+        self.calls.pending.insert(
+            id,
+            Pending {
+                what,
+                until: now.saturating_add(patience),
+            },
+        );
         if too_large {
-            self.calls.answer(id, Reply::Made(Outcome::Refused(Refusal::TooLarge)));
+            self.calls
+                .answer(id, Reply::Made(Outcome::Refused(Refusal::TooLarge)));
         } else if let Some(outcome) = known {
             self.calls.answer(id, Reply::Made(outcome));
         } else {
@@ -206,7 +253,11 @@
         if revision < self.calls.floor {
             return Err(Compacted(self.calls.floor));
         }
-        Ok(self.calls.history.iter().filter(move |(at, _)| *at > revision))
+        Ok(self
+            .calls
+            .history
+            .iter()
+            .filter(move |(at, _)| *at > revision))
     }
 
     /// Whether a command keeps within what the store takes.
@@ -215,15 +266,24 @@
         bytes <= self.bounds.value_bytes && keys <= self.bounds.txn_keys
     }
 
-    /// Puts what has no answer yet to the leader, again if need be, and gives up what is out of its time.
+    /// Puts what has no answer yet to the leader, again if need be, and gives up what is out of its
+    /// time.
     pub(super) fn press(&mut self, now: Time) {
         if self.calls.press_at.is_none_or(|at| at > now) {
             return;
         }
-        let late: Vec<CallId> =
-            self.calls.pending.iter().filter(|(_, p)| p.until <= now).map(|(id, _)| *id).collect();
-        late.into_iter().for_each(|id| self.calls.answer(id, Reply::Unknown));
-        let Some(first) = self.calls.pending.values().map(|p| p.until).min() else { return };
+        let late: Vec<CallId> = self
+            .calls
+            .pending
+            .iter()
+            .filter(|(_, p)| p.until <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        late.into_iter()
+            .for_each(|id| self.calls.answer(id, Reply::Unknown));
+        let Some(first) = self.calls.pending.values().map(|p| p.until).min() else {
+            return;
+        };
         self.calls.press_at = Some(first.min(now + self.pace.heartbeat));
         if !self.takes_part() {
             return;
@@ -237,18 +297,24 @@
                 What::Read(Some(_)) => {}
             }
         }
-        commands.into_iter().for_each(|command| self.hand_in(command));
+        commands
+            .into_iter()
+            .for_each(|command| self.hand_in(command));
         for number in reads {
             if self.leads() {
                 self.begin_read(self.id(), (number, self.rejoin.life()), now);
             } else if let Some(leader) = self.leader() {
-                let packet = self.packet(Body::Read { number, life: self.rejoin.life() });
+                let packet = self.packet(Body::Read {
+                    number,
+                    life: self.rejoin.life(),
+                });
                 self.outbox.push_back((self.made, leader, packet));
             }
         }
     }
 
-    /// A member, this one perhaps, wants to read: what is committed now is what it has to see, if this one leads still.
+    /// A member, this one perhaps, wants to read: what is committed now is what it has to see, if
+    /// this one leads still.
     pub(super) fn begin_read(&mut self, from: u64, asked: (u64, u64), now: Time) {
         let (commit, term) = (self.node.commit_index(), self.node.current_term());
         // One that has committed nothing in its own term may not know what its predecessor told.
@@ -257,13 +323,22 @@
             return;
         }
         // It asks again until it has its answer: only the last time counts.
-        self.calls.readings.retain(|reading| (reading.from, reading.asked) != (from, asked));
+        self.calls
+            .readings
+            .retain(|reading| (reading.from, reading.asked) != (from, asked));
         if self.calls.readings.len() >= self.bounds.calls * self.members.len() {
             return;
         }
-        // Not only what is on this member's own disk: its predecessor may have told what lay on the others'.
+        // Not only what is on this member's own disk: its predecessor may have told what lay on the
+        // others'.
         let (index, heard) = (commit.get(), BTreeSet::from([self.id()]));
-        self.calls.readings.push(Reading { from, asked, index, after: None, heard });
+        self.calls.readings.push(Reading {
+            from,
+            asked,
+            index,
+            after: None,
+            heard,
+        });
         // What is to be sent already goes by itself, so that the next message is a later one.
         self.settle(now);
         self.node.heartbeat();
@@ -294,11 +369,21 @@
             .partition(|reading: &Reading| reading.heard.len() >= enough);
         self.calls.readings = rest;
         let sure: Vec<Reading> = sure;
-        for Reading { from, asked: (number, life), index, .. } in sure {
+        for Reading {
+            from,
+            asked: (number, life),
+            index,
+            ..
+        } in sure
+        {
             if from == self.id() {
                 self.read_at(number, index);
             } else {
-                let packet = self.packet(Body::ReadAt { number, life, index });
+                let packet = self.packet(Body::ReadAt {
+                    number,
+                    life,
+                    index,
+                });
                 self.outbox.push_back((self.made, from, packet));
             }
         }
@@ -306,7 +391,11 @@
 
     /// The leader has said up to where this member must have applied.
     pub(super) fn read_at(&mut self, number: u64, index: u64) {
-        if let Some(Pending { what: What::Read(at), .. }) = self.calls.pending.get_mut(&number) {
+        if let Some(Pending {
+            what: What::Read(at),
+            ..
+        }) = self.calls.pending.get_mut(&number)
+        {
             at.get_or_insert(index);
         }
         self.calls.applied(self.applied);
--- a/store/src/member/rejoining.rs
+++ b/store/src/member/rejoining.rs
@@ -1,5 +1,6 @@
-//! A member's way into the store: what it says and answers before it takes part, and what it does with what it is told. The
-//! rule stands in [`crate::rejoin`]; here it meets the log, the file and the packets.
+//! A member's way into the store: what it says and answers before it takes part, and what it does
+//! with what it is told. The rule stands in [`crate::rejoin`]; here it meets the log, the file and
+//! the packets.
 
 use super::{Store, after};
 use crate::Time;
@@ -17,18 +18,29 @@
             bodies.push(Body::Ask(ask));
         }
         if let (Standing::Lost, Some((term, last))) = (self.rejoin.standing(), self.bar) {
-            bodies.push(Body::Fetch { life: self.rejoin.life(), term, last });
+            bodies.push(Body::Fetch {
+                life: self.rejoin.life(),
+                term,
+                last,
+            });
         }
         if self.rejoin.standing() == Standing::Founding
             && let Some(snapshot) = self.snapshot()
         {
-            bodies.push(Body::Found { life: self.rejoin.life(), snapshot });
+            bodies.push(Body::Found {
+                life: self.rejoin.life(),
+                snapshot,
+            });
         }
-        let others = self.members.iter().filter(|to| **to != self.id() && !self.joined.contains(to));
+        let others = self
+            .members
+            .iter()
+            .filter(|to| **to != self.id() && !self.joined.contains(to));
         let others: Vec<u64> = others.copied().collect();
         for body in &bodies {
             let packet = self.packet(body.clone());
-            self.outbox.extend(others.iter().map(|to| (self.made, *to, packet.clone())));
+            self.outbox
+                .extend(others.iter().map(|to| (self.made, *to, packet.clone())));
         }
         // Members that come back at one moment do not go on asking at one moment.
         let wait = self.pace.election / 2 + self.rng.u64(0..=self.pace.election / 2);
@@ -36,8 +48,14 @@
     }
 
     pub(super) fn answer(&mut self, from: u64, ask: &Ask, term: u64) {
-        let known = self.rejoin.peers().get(&from).map_or(0, |peer| peer.generation);
-        let (told, noted) = self.rejoin.answer(from, ask, term, !self.unvoted, self.last());
+        let known = self
+            .rejoin
+            .peers()
+            .get(&from)
+            .map_or(0, |peer| peer.generation);
+        let (told, noted) = self
+            .rejoin
+            .answer(from, ask, term, !self.unvoted, self.last());
         if noted {
             self.keep(Record::Peer(from, self.rejoin.peers()[&from]));
         }
@@ -57,7 +75,11 @@
             Verdict::Claims(generation) => {
                 self.cluster = self.rejoin.store();
                 self.bar = None;
-                for record in [Record::Cluster(self.cluster), Record::Lost, Record::Generation(generation)] {
+                for record in [
+                    Record::Cluster(self.cluster),
+                    Record::Lost,
+                    Record::Generation(generation),
+                ] {
                     self.keep(record);
                 }
             }
@@ -70,8 +92,9 @@
         self.speak(now);
     }
 
-    /// Takes what another knows of how often a member has lost its file. What its earlier lives had a part in is not counted
-    /// any more: whoever leads or stands for election may owe that to them.
+    /// Takes what another knows of how often a member has lost its file. What its earlier lives had
+    /// a part in is not counted any more: whoever leads or stands for election may owe that to
+    /// them.
     pub(super) fn learn(&mut self, member: u64, generation: u64) {
         if member == self.id() {
             if generation > self.rejoin.generation() && self.rejoin.is_replaced() {
@@ -85,7 +108,11 @@
 
     fn step_down(&mut self) {
         if self.node.role() != Role::Follower {
-            let (id, term, vote) = (self.node.id(), self.node.current_term(), self.node.voted_for());
+            let (id, term, vote) = (
+                self.node.id(),
+                self.node.current_term(),
+                self.node.voted_for(),
+            );
             self.node = Node::restart(id, term, vote, self.node.log().clone());
         }
     }
@@ -106,7 +133,10 @@
     pub(super) fn found(&mut self) {
         self.cluster = self.rng.u64(1..);
         let members = self.members.clone();
-        let mut snapshot = Snapshot { members, ..Snapshot::default() };
+        let mut snapshot = Snapshot {
+            members,
+            ..Snapshot::default()
+        };
         if self.era > 0 {
             snapshot.state.begin_era(self.era);
         }
@@ -129,20 +159,23 @@
 
     /// Another member begins the store, with this one in it.
     pub(super) fn join(&mut self, from: u64, cluster: u64, life: u64, snapshot: Snapshot) {
-        // Of two that begin one store, as an operator may have it who begins it anew from a file, the one that has more goes on.
+        // Of two that begin one store, as an operator may have it who begins it anew from a file,
+        // the one that has more goes on.
         let founding = self.rejoin.standing() == Standing::Founding;
         let (own, other) = (rank(self.last()), rank(snapshot.position));
         let gives_way = self.unvoted && if founding { other > own } else { other >= own };
         let body = if self.unvoted && self.cluster == cluster {
             Body::Joined
-        } else if (gives_way || self.rejoin.standing() == Standing::Empty) && snapshot.members == self.members
+        } else if (gives_way || self.rejoin.standing() == Standing::Empty)
+            && snapshot.members == self.members
         {
             self.cluster = cluster;
             self.rejoin.restored();
             self.begin(&snapshot);
             Body::Joined
         } else if !self.takes_part() {
-            // It may have voted in what it does not remember, or in a store that is not there any more.
+            // It may have voted in what it does not remember, or in a store that is not there any
+            // more.
             return;
         } else {
             Body::Begun { life }
@@ -176,14 +209,23 @@
     /// Gives a member that has lost its file what is committed, where that is enough.
     pub(super) fn restore(&mut self, to: u64, life: u64, term: u64, last: Position) {
         let enough = self.takes_part() && self.leads() && self.node.current_term().get() >= term;
-        let snapshot = self.snapshot().filter(|snapshot| enough && rank(snapshot.position) >= rank(last));
-        let packet = snapshot.map(|snapshot| self.packet(Body::Snapshot { snapshot, restores: life }));
-        self.outbox.extend(packet.map(|packet| (self.made, to, packet)));
+        let snapshot = self
+            .snapshot()
+            .filter(|snapshot| enough && rank(snapshot.position) >= rank(last));
+        let packet = snapshot.map(|snapshot| {
+            self.packet(Body::Snapshot {
+                snapshot,
+                restores: life,
+            })
+        });
+        self.outbox
+            .extend(packet.map(|packet| (self.made, to, packet)));
     }
 
     /// Takes what a leader has committed in place of what this member has lost, and counts again.
     pub(super) fn catch_up(&mut self, from: u64, term: u64, life: u64, snapshot: Snapshot) {
-        let enough = |(least, last): (u64, Position)| term >= least && rank(snapshot.position) >= rank(last);
+        let enough =
+            |(least, last): (u64, Position)| term >= least && rank(snapshot.position) >= rank(last);
         let lost = self.rejoin.standing() == Standing::Lost && life == self.rejoin.life();
         if !lost || !self.bar.is_some_and(enough) {
             return;
--- a/store/src/member/tests.rs
+++ b/store/src/member/tests.rs
@@ -11,10 +11,25 @@
 }
 
 fn member(id: u64, begins: bool) -> Store {
-    let membership = Membership { id, members: BTreeSet::from([1, 2, 3]), begins, era: 0 };
-    let pace = Pace { heartbeat: 10 * MS, election: 50 * MS };
-    let bounds =
-        Bounds { log: 8, keys: 100, value_bytes: 100, sessions: 8, txn_keys: 8, calls: 8, history: 40 };
+    let membership = Membership {
+        id,
+        members: BTreeSet::from([1, 2, 3]),
+        begins,
+        era: 0,
+    };
+    let pace = Pace {
+        heartbeat: 10 * MS,
+        election: 50 * MS,
+    };
+    let bounds = Bounds {
+        log: 8,
+        keys: 100,
+        value_bytes: 100,
+        sessions: 8,
+        txn_keys: 8,
+        calls: 8,
+        history: 40,
+    };
     Store::start(&membership, pace, bounds, id, None, 0)
 }
 
@@ -39,7 +54,11 @@
 
     fn put(&mut self, id: u64, key: &str, value: &str) {
         let now = self.now;
-        self.members.get_mut(&id).unwrap().put(key, value, now).unwrap();
+        self.members
+            .get_mut(&id)
+            .unwrap()
+            .put(key, value, now)
+            .unwrap();
     }
 
     fn value(&self, id: u64, key: &str) -> Option<&str> {
@@ -55,7 +74,12 @@
     cluster.put(2, "a", "by a follower");
     cluster.run(100 * MS);
     assert!((1..=3).all(|id| cluster.value(id, "a") == Some("by a follower")));
-    let leader = *cluster.members.iter().find(|(_, store)| store.leads()).expect("a leader").0;
+    let leader = *cluster
+        .members
+        .iter()
+        .find(|(_, store)| store.leads())
+        .expect("a leader")
+        .0;
     cluster.members.remove(&leader);
     let others: Vec<u64> = cluster.members.keys().copied().collect();
     cluster.run(500 * MS);
@@ -63,7 +87,12 @@
         cluster.put(others[i % 2], &format!("k{i}"), "v");
         cluster.run(20 * MS);
     }
-    assert!(others.iter().all(|id| cluster.value(*id, "k39") == Some("v")), "two of three commit");
+    assert!(
+        others
+            .iter()
+            .all(|id| cluster.value(*id, "k39") == Some("v")),
+        "two of three commit"
+    );
     // The log was folded meanwhile, so the one that comes back needs a snapshot.
     let folded = cluster.members[&others[0]].node.log().snapshot_position();
     assert!(folded.index.get() > 8);
@@ -83,9 +112,25 @@
 
 #[test]
 fn a_lone_member_commits_at_once_and_needs_no_timer() {
-    let membership = Membership { id: 0, members: BTreeSet::from([0]), begins: true, era: 0 };
-    let pace = Pace { heartbeat: MS, election: MS };
-    let bounds = Bounds { log: 8, keys: 2, value_bytes: 10, sessions: 8, txn_keys: 8, calls: 8, history: 40 };
+    let membership = Membership {
+        id: 0,
+        members: BTreeSet::from([0]),
+        begins: true,
+        era: 0,
+    };
+    let pace = Pace {
+        heartbeat: MS,
+        election: MS,
+    };
+    let bounds = Bounds {
+        log: 8,
+        keys: 2,
+        value_bytes: 10,
+        sessions: 8,
+        txn_keys: 8,
+        calls: 8,
+        history: 40,
+    };
     let mut store = Store::start(&membership, pace, bounds, 1, None, 0);
     for i in 0..100 {
         store.put("a", &i.to_string(), 0).unwrap();
@@ -94,20 +139,32 @@
     assert_eq!(store.put("b", "longer than ten bytes", 0), Err(TooLarge));
     store.put("b", "", 0).unwrap();
     assert_eq!(store.put("c", "", 0), Err(TooLarge));
-    assert!(store.node.log().entries().len() <= 9 && store.commands.len() <= 9, "the log is folded");
+    assert!(
+        store.node.log().entries().len() <= 9 && store.commands.len() <= 9,
+        "the log is folded"
+    );
     assert_eq!((store.due(), store.take_outbox().len()), (None, 0));
 }
 
-/// A leader that is cut off proposes a key's value; the others choose another leader and give the key another value, and the
-/// former leader's entry is taken out of its log. What it wants is proposed again, although nothing else changes any more.
+/// A leader that is cut off proposes a key's value; the others choose another leader and give the
+/// key another value, and the former leader's entry is taken out of its log. What it wants is
+/// proposed again, although nothing else changes any more.
 #[test]
 fn what_a_former_leader_wants_is_proposed_again_once_its_entry_was_taken_out() {
     let members = (1..=3).map(|id| (id, member(id, id == 1))).collect();
     let mut cluster = Cluster { members, now: 0 };
     cluster.run(300 * MS);
-    let leader = *cluster.members.iter().find(|(_, store)| store.leads()).expect("a leader").0;
+    let leader = *cluster
+        .members
+        .iter()
+        .find(|(_, store)| store.leads())
+        .expect("a leader")
+        .0;
     let former = cluster.members.remove(&leader).expect("the leader");
-    let mut alone = Cluster { members: BTreeMap::from([(leader, former)]), now: cluster.now };
+    let mut alone = Cluster {
+        members: BTreeMap::from([(leader, former)]),
+        now: cluster.now,
+    };
     // Entries ahead of what the others will ever commit.
     for i in 0..4 {
         alone.put(leader, &format!("alone{i}"), "v");
--- a/store/src/packet.rs
+++ b/store/src/packet.rs
@@ -3,7 +3,9 @@
 use crate::command::Command;
 use crate::rejoin::{Ask, Past, Told, What};
 use crate::state::State;
-use raftbare::{ClusterConfig, LogEntries, LogEntry, LogIndex, Message, MessageHeader, MessageSeqNo, NodeId};
+use raftbare::{
+    ClusterConfig, LogEntries, LogEntry, LogIndex, Message, MessageHeader, MessageSeqNo, NodeId,
+};
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -70,7 +72,10 @@
 impl Entries {
     /// A stretch of the library's log, with what its commands say.
     pub fn new(log: &LogEntries, commands: &BTreeMap<Position, Command>) -> Entries {
-        let mut stretch = Entries { after: log.prev_position().into(), entries: Vec::new() };
+        let mut stretch = Entries {
+            after: log.prev_position().into(),
+            entries: Vec::new(),
+        };
         for (position, entry) in log.iter_with_positions() {
             let entry = match entry {
                 LogEntry::Term(term) => Entry::Term(term.get()),
@@ -95,7 +100,11 @@
             log.push(match entry {
                 Entry::Term(term) => LogEntry::Term((*term).into()),
                 Entry::Members(members) => LogEntry::ClusterConfig(
-                    Snapshot { members: members.clone(), ..Snapshot::default() }.config(),
+                    Snapshot {
+                        members: members.clone(),
+                        ..Snapshot::default()
+                    }
+                    .config(),
                 ),
                 Entry::Command(_) => LogEntry::Command,
             });
@@ -106,14 +115,16 @@
     /// The commands in it, each with its place.
     pub fn commands(&self) -> impl Iterator<Item = (Position, &Command)> {
         let mut term = self.after.term;
-        self.entries.iter().zip(self.after.index + 1..).filter_map(move |(entry, index)| match entry {
-            Entry::Term(new) => {
-                term = *new;
-                None
-            }
-            Entry::Command(command) => Some((Position { index, term }, command)),
-            Entry::Members(_) => None,
-        })
+        self.entries.iter().zip(self.after.index + 1..).filter_map(
+            move |(entry, index)| match entry {
+                Entry::Term(new) => {
+                    term = *new;
+                    None
+                }
+                Entry::Command(command) => Some((Position { index, term }, command)),
+                Entry::Members(_) => None,
+            },
+        )
     }
 }
 
@@ -142,7 +153,8 @@
         /// The end of the member's log.
         last: Position,
     },
-    /// The state in place of a log that the leader no longer has, or for the life of a member that has lost its file.
+    /// The state in place of a log that the leader no longer has, or for the life of a member that
+    /// has lost its file.
     Snapshot {
         /// The state.
         snapshot: Snapshot,
@@ -230,38 +242,72 @@
 
 impl std::error::Error for NoPacket {}
 
-/// The kinds of packet with what each is for: written and read by it, and what `describe asyncapi` prints.
+/// The kinds of packet with what each is for: written and read by it, and what `describe asyncapi`
+/// prints.
 pub const KINDS: &[(&str, &str)] = &[
     ("vote", "A candidate asks for a vote"),
     ("voted", "The answer to a candidate"),
     ("append", "The leader's entries, or its heartbeat"),
     ("appended", "The answer to the leader"),
-    ("snapshot", "The state in place of entries that the leader no longer has"),
+    (
+        "snapshot",
+        "The state in place of entries that the leader no longer has",
+    ),
     ("put", "A member wants the leader to propose an entry"),
-    ("read", "A member asks the leader up to where it must have applied, to answer a read"),
-    ("read at", "The answer to that, once the leader is known to lead"),
-    ("ask", "A member that has just started asks what others know of it"),
+    (
+        "read",
+        "A member asks the leader up to where it must have applied, to answer a read",
+    ),
+    (
+        "read at",
+        "The answer to that, once the leader is known to lead",
+    ),
+    (
+        "ask",
+        "A member that has just started asks what others know of it",
+    ),
     ("told", "The answer to one that asks"),
-    ("found", "A member that begins the store says that the receiver is part of it"),
+    (
+        "found",
+        "A member that begins the store says that the receiver is part of it",
+    ),
     ("joined", "The answer to one that begins the store"),
-    ("begun", "Another answer to that: there is a store already, in which others have voted"),
-    ("fetch", "A member that has lost its file asks the leader for what is committed"),
+    (
+        "begun",
+        "Another answer to that: there is a store already, in which others have voted",
+    ),
+    (
+        "fetch",
+        "A member that has lost its file asks the leader for what is committed",
+    ),
 ];
 
 impl Body {
     /// The library's message, where the packet is one.
     pub fn into_message(self, from: u64, term: u64, sequence: u64) -> Option<Message> {
-        let header =
-            MessageHeader { from: NodeId::new(from), term: term.into(), seqno: MessageSeqNo::new(sequence) };
+        let header = MessageHeader {
+            from: NodeId::new(from),
+            term: term.into(),
+            seqno: MessageSeqNo::new(sequence),
+        };
         Some(match self {
-            Body::Vote { last } => Message::RequestVoteCall { header, last_position: last.into() },
-            Body::Voted { granted } => Message::RequestVoteReply { header, vote_granted: granted },
+            Body::Vote { last } => Message::RequestVoteCall {
+                header,
+                last_position: last.into(),
+            },
+            Body::Voted { granted } => Message::RequestVoteReply {
+                header,
+                vote_granted: granted,
+            },
             Body::Append { commit, entries } => Message::AppendEntriesCall {
                 header,
                 commit_index: LogIndex::new(commit),
                 entries: entries.log(),
             },
-            Body::Appended { last } => Message::AppendEntriesReply { header, last_position: last.into() },
+            Body::Appended { last } => Message::AppendEntriesReply {
+                header,
+                last_position: last.into(),
+            },
             _ => return None,
         })
     }
@@ -290,16 +336,30 @@
     /// The packet that carries a message of the library; who sends it is put in by the member.
     pub fn from_message(message: &Message, commands: &BTreeMap<Position, Command>) -> Packet {
         let body = match message {
-            Message::RequestVoteCall { last_position, .. } => Body::Vote { last: (*last_position).into() },
-            Message::RequestVoteReply { vote_granted, .. } => Body::Voted { granted: *vote_granted },
-            Message::AppendEntriesCall { commit_index, entries, .. } => {
-                Body::Append { commit: commit_index.get(), entries: Entries::new(entries, commands) }
-            }
-            Message::AppendEntriesReply { last_position, .. } => {
-                Body::Appended { last: (*last_position).into() }
-            }
+            Message::RequestVoteCall { last_position, .. } => Body::Vote {
+                last: (*last_position).into(),
+            },
+            Message::RequestVoteReply { vote_granted, .. } => Body::Voted {
+                granted: *vote_granted,
+            },
+            Message::AppendEntriesCall {
+                commit_index,
+                entries,
+                ..
+            } => Body::Append {
+                commit: commit_index.get(),
+                entries: Entries::new(entries, commands),
+            },
+            Message::AppendEntriesReply { last_position, .. } => Body::Appended {
+                last: (*last_position).into(),
+            },
         };
-        Packet { term: message.term().get(), sequence: message.seqno().get(), body, ..Packet::default() }
+        Packet {
+            term: message.term().get(),
+            sequence: message.seqno().get(),
+            body,
+            ..Packet::default()
+        }
     }
 
     /// The line, with its end.
@@ -307,7 +367,9 @@
         let mut json = match &self.body {
             Body::Vote { last } | Body::Appended { last } => json!({"last": write_position(*last)}),
             Body::Voted { granted } => json!({"granted": granted}),
-            Body::Append { commit, entries } => json!({"commit": commit, "log": write_entries(entries)}),
+            Body::Append { commit, entries } => {
+                json!({"commit": commit, "log": write_entries(entries)})
+            }
             Body::Snapshot { snapshot, restores } => {
                 let mut json = write_snapshot(snapshot);
                 json["restores"] = (*restores).into();
@@ -315,7 +377,11 @@
             }
             Body::Propose(command) => command.json(),
             Body::Read { number, life } => json!({"number": number, "life": life}),
-            Body::ReadAt { number, life, index } => json!({"number": number, "life": life, "index": index}),
+            Body::ReadAt {
+                number,
+                life,
+                index,
+            } => json!({"number": number, "life": life, "index": index}),
             Body::Ask(ask) => json!({
                 "life": ask.life, "past": word(PASTS, ask.past), "starts": ask.starts,
                 "asks_as": ask.generation, "last": write_position(ask.last)
@@ -345,7 +411,11 @@
             json["generation"] = self.generation.into();
         }
         if !self.generations.is_empty() {
-            json["generations"] = self.generations.iter().map(|(id, of)| json!([id, of])).collect();
+            json["generations"] = self
+                .generations
+                .iter()
+                .map(|(id, of)| json!([id, of]))
+                .collect();
         }
         json.to_string() + "\n"
     }
@@ -357,7 +427,9 @@
         let last = || read_position(&json["last"]).ok_or(NoPacket("last"));
         let body = match json["kind"].as_str().ok_or(NoPacket("kind"))? {
             "vote" => Body::Vote { last: last()? },
-            "voted" => Body::Voted { granted: json["granted"].as_bool().ok_or(NoPacket("granted"))? },
+            "voted" => Body::Voted {
+                granted: json["granted"].as_bool().ok_or(NoPacket("granted"))?,
+            },
             "append" => Body::Append {
                 commit: number("commit")?,
                 entries: read_entries(&json["log"]).ok_or(NoPacket("log"))?,
@@ -368,10 +440,15 @@
                 restores: json["restores"].as_u64().unwrap_or(0),
             },
             "put" => Body::Propose(Command::read(&json).ok_or(NoPacket("put"))?),
-            "read" => Body::Read { number: number("number")?, life: number("life")? },
-            "read at" => {
-                Body::ReadAt { number: number("number")?, life: number("life")?, index: number("index")? }
-            }
+            "read" => Body::Read {
+                number: number("number")?,
+                life: number("life")?,
+            },
+            "read at" => Body::ReadAt {
+                number: number("number")?,
+                life: number("life")?,
+                index: number("index")?,
+            },
             "ask" => Body::Ask(Ask {
                 life: number("life")?,
                 past: meant(PASTS, &json["past"]).ok_or(NoPacket("past"))?,
@@ -391,8 +468,14 @@
                 snapshot: read_snapshot(&json).ok_or(NoPacket("snapshot"))?,
             },
             "joined" => Body::Joined,
-            "begun" => Body::Begun { life: number("life")? },
-            "fetch" => Body::Fetch { life: number("life")?, term: number("least_term")?, last: last()? },
+            "begun" => Body::Begun {
+                life: number("life")?,
+            },
+            "fetch" => Body::Fetch {
+                life: number("life")?,
+                term: number("least_term")?,
+                last: last()?,
+            },
             _ => return Err(NoPacket("unknown kind")),
         };
         // A member of an earlier build names no store.
@@ -401,14 +484,33 @@
         let starts = json["started"].as_u64().unwrap_or(0);
         let generation = json["generation"].as_u64().unwrap_or(0);
         let pair = |json: &Json| Some((json[0].as_u64()?, json[1].as_u64()?));
-        let generations = json["generations"].as_array().map(Vec::as_slice).unwrap_or_default();
-        let generations =
-            generations.iter().map(pair).collect::<Option<_>>().ok_or(NoPacket("generations"))?;
-        Ok(Packet { from, cluster, term, sequence, starts, generation, generations, body })
+        let generations = json["generations"]
+            .as_array()
+            .map(Vec::as_slice)
+            .unwrap_or_default();
+        let generations = generations
+            .iter()
+            .map(pair)
+            .collect::<Option<_>>()
+            .ok_or(NoPacket("generations"))?;
+        Ok(Packet {
+            from,
+            cluster,
+            term,
+            sequence,
+            starts,
+            generation,
+            generations,
+            body,
+        })
     }
 }
 
-const PASTS: &[(Past, &str)] = &[(Past::None, "none"), (Past::Claimed, "claimed"), (Past::Whole, "whole")];
+const PASTS: &[(Past, &str)] = &[
+    (Past::None, "none"),
+    (Past::Claimed, "claimed"),
+    (Past::Whole, "whole"),
+];
 const WHATS: &[(What, &str)] = &[
     (What::Empty, "empty"),
     (What::Joined, "joined"),
@@ -418,11 +520,15 @@
 ];
 
 fn word<T: PartialEq>(all: &[(T, &'static str)], meant: T) -> &'static str {
-    all.iter().find(|(value, _)| *value == meant).map_or("", |(_, word)| word)
+    all.iter()
+        .find(|(value, _)| *value == meant)
+        .map_or("", |(_, word)| word)
 }
 
 fn meant<T: Copy>(all: &[(T, &'static str)], word: &Json) -> Option<T> {
-    all.iter().find(|(_, known)| word == known).map(|(value, _)| *value)
+    all.iter()
+        .find(|(_, known)| word == known)
+        .map(|(value, _)| *value)
 }
 
 fn write_position(position: Position) -> Json {
@@ -430,7 +536,10 @@
 }
 
 fn read_position(json: &Json) -> Option<Position> {
-    Some(Position { index: json[0].as_u64()?, term: json[1].as_u64()? })
+    Some(Position {
+        index: json[0].as_u64()?,
+        term: json[1].as_u64()?,
+    })
 }
 
 /// A stretch of the log as JSON.
@@ -458,8 +567,15 @@
             Some(Entry::Command(Command::read(json)?))
         }
     };
-    let entries = json["entries"].as_array()?.iter().map(entry).collect::<Option<_>>()?;
-    Some(Entries { after: read_position(&json["after"])?, entries })
+    let entries = json["entries"]
+        .as_array()?
+        .iter()
+        .map(entry)
+        .collect::<Option<_>>()?;
+    Some(Entries {
+        after: read_position(&json["after"])?,
+        entries,
+    })
 }
 
 /// A snapshot as JSON.
@@ -471,7 +587,11 @@
 pub fn read_snapshot(json: &Json) -> Option<Snapshot> {
     let position = read_position(&json["position"])?;
     let state = State::read(&json["state"], position.index)?;
-    Some(Snapshot { position, members: read_members(&json["members"])?, state })
+    Some(Snapshot {
+        position,
+        members: read_members(&json["members"])?,
+        state,
+    })
 }
 
 fn read_members(json: &Json) -> Option<BTreeSet<u64>> {
--- a/store/src/record.rs
+++ b/store/src/record.rs
@@ -1,5 +1,6 @@
-//! The records of a member's file, as bytes: each with its length, its place in the file and a checksum of both its head
-//! and its content, so that a file cut short by a crash can be told from one that was damaged.
+//! The records of a member's file, as bytes: each with its length, its place in the file and a
+//! checksum of both its head and its content, so that a file cut short by a crash can be told from
+//! one that was damaged.
 
 use crate::packet::{self, Entries, Snapshot};
 use crate::rejoin::Peer;
@@ -9,7 +10,8 @@
 /// One record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Record {
-    /// The member has started once more, and this is the count. Written before anything is promised in that life.
+    /// The member has started once more, and this is the count. Written before anything is promised
+    /// in that life.
     Start(u64),
     /// Which store this is.
     Cluster(u64),
@@ -43,7 +45,9 @@
             Record::Append(entries) => json!({"append": packet::write_entries(entries)}),
             Record::Snapshot(snapshot) => json!({"snapshot": packet::write_snapshot(snapshot)}),
             Record::Generation(generation) => json!({"generation": generation}),
-            Record::Peer(id, peer) => json!({"peer": [id, peer.generation, peer.starts, peer.life]}),
+            Record::Peer(id, peer) => {
+                json!({"peer": [id, peer.generation, peer.starts, peer.life]})
+            }
             Record::Joined => json!({"joined": true}),
             Record::Founding(still) => json!({"founding": still}),
             Record::Lost => json!({"lost": true}),
@@ -77,7 +81,8 @@
 
 /// What a file begins with; the last byte is the version of its format.
 pub const MAGIC: &[u8; 8] = b"bittern\x03";
-/// The format before, of which every record is one of this format too: it had no transactions and no sessions.
+/// The format before, of which every record is one of this format too: it had no transactions and
+/// no sessions.
 const FORMER: &[u8; 8] = b"bittern\x02";
 
 /// Bytes of a record before its content: its length, its place, and the checksum of both.
@@ -110,7 +115,8 @@
     pub torn: usize,
 }
 
-/// Why a file cannot be used. A member that made up for what is damaged could break a promise it has given.
+/// Why a file cannot be used. A member that made up for what is damaged could break a promise it
+/// has given.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Damage {
     /// Where, in bytes from the file's begin.
@@ -128,19 +134,33 @@
 impl std::error::Error for Damage {}
 
 fn number(bytes: &[u8]) -> u32 {
-    bytes.iter().rev().fold(0, |sum, byte| sum << 8 | u32::from(*byte))
+    bytes
+        .iter()
+        .rev()
+        .fold(0, |sum, byte| sum << 8 | u32::from(*byte))
 }
 
-/// Reads a file of this format. Whatever its bytes, it gives its whole records, or says where it is damaged.
+/// Reads a file of this format. Whatever its bytes, it gives its whole records, or says where it is
+/// damaged.
 pub fn read(bytes: &[u8]) -> Result<Read, Damage> {
-    let mut read = Read { records: Vec::new(), whole: 0, torn: 0 };
-    let Some(rest) = bytes.strip_prefix(MAGIC).or_else(|| bytes.strip_prefix(FORMER)) else {
+    let mut read = Read {
+        records: Vec::new(),
+        whole: 0,
+        torn: 0,
+    };
+    let Some(rest) = bytes
+        .strip_prefix(MAGIC)
+        .or_else(|| bytes.strip_prefix(FORMER))
+    else {
         // Nothing was promised in a file whose first bytes never came.
         if MAGIC.starts_with(bytes) || FORMER.starts_with(bytes) {
             read.torn = bytes.len();
             return Ok(read);
         }
-        let found = match bytes.strip_prefix(&MAGIC[..7]).and_then(|rest| rest.first()) {
+        let found = match bytes
+            .strip_prefix(&MAGIC[..7])
+            .and_then(|rest| rest.first())
+        {
             Some(version) => format!("format {version}; this program reads format {}", MAGIC[7]),
             None => "this is no file of a store".to_owned(),
         };
@@ -150,7 +170,10 @@
     let mut rest = rest;
     while !rest.is_empty() {
         let (offset, place) = (read.whole, read.records.len() as u64 + 1);
-        let damage = |found: String| Damage { offset, found: format!("record {place}: {found}") };
+        let damage = |found: String| Damage {
+            offset,
+            found: format!("record {place}: {found}"),
+        };
         // A file made longer before its bytes came is all zeros from there on.
         if rest.len() < HEAD || rest.iter().all(|byte| *byte == 0) {
             read.torn = rest.len();
@@ -160,10 +183,14 @@
         if crc32fast::hash(&head[..12]) != number(&head[12..]) {
             return Err(damage("its head does not have its checksum".to_owned()));
         }
-        let (length, told) =
-            (number(&head[..4]) as usize, u64::from_le_bytes(head[4..12].try_into().expect("8")));
+        let (length, told) = (
+            number(&head[..4]) as usize,
+            u64::from_le_bytes(head[4..12].try_into().expect("8")),
+        );
         if told != place || length > LONGEST {
-            return Err(damage(format!("it says that it is record {told}, of {length} bytes")));
+            return Err(damage(format!(
+                "it says that it is record {told}, of {length} bytes"
+            )));
         }
         // The head is whole and says how much was to follow: the write never ended.
         if behind.len() < length + TAIL {
@@ -175,23 +202,31 @@
             return Err(damage("its content does not have its checksum".to_owned()));
         }
         let record = Record::parse(content);
-        read.records.push(record.ok_or_else(|| damage("it is whole and makes no sense".to_owned()))?);
+        read.records
+            .push(record.ok_or_else(|| damage("it is whole and makes no sense".to_owned()))?);
         rest = &behind[TAIL..];
         read.whole = bytes.len() - rest.len();
     }
     Ok(read)
 }
 
-/// Reads a file of the first format: a line of JSON for each record and no checksum. A last line cut short is dropped.
+/// Reads a file of the first format: a line of JSON for each record and no checksum. A last line
+/// cut short is dropped.
 pub fn read_lines(bytes: &[u8]) -> Result<Read, Damage> {
-    let mut read = Read { records: Vec::new(), whole: 0, torn: 0 };
+    let mut read = Read {
+        records: Vec::new(),
+        whole: 0,
+        torn: 0,
+    };
     for line in bytes.split_inclusive(|byte| *byte == b'\n') {
         if !line.ends_with(b"\n") {
             read.torn = line.len();
             break;
         }
-        let damage =
-            || Damage { offset: read.whole, found: format!("line {} is no record", read.records.len() + 1) };
+        let damage = || Damage {
+            offset: read.whole,
+            found: format!("line {} is no record", read.records.len() + 1),
+        };
         let record = Record::parse(line).ok_or_else(damage)?;
         read.records.push(record);
         read.whole += line.len();
@@ -207,12 +242,18 @@
     use proptest::prelude::*;
 
     fn records() -> Vec<Record> {
-        let change = Change { key: "members/m0".to_owned(), value: Some("ih-2".to_owned()) };
+        let change = Change {
+            key: "members/m0".to_owned(),
+            value: Some("ih-2".to_owned()),
+        };
         let entries = Entries {
             after: Position { index: 3, term: 2 },
             entries: vec![Entry::Term(2), Entry::Command(Command::Put(change))],
         };
-        let snapshot = Snapshot { position: Position { index: 3, term: 2 }, ..Snapshot::default() };
+        let snapshot = Snapshot {
+            position: Position { index: 3, term: 2 },
+            ..Snapshot::default()
+        };
         vec![
             Record::Cluster(7),
             Record::Start(1),
@@ -243,14 +284,21 @@
         let (bytes, ends) = file();
         for cut in 0..=bytes.len() {
             let read = read(&bytes[..cut]).unwrap();
-            let whole = ends.iter().filter(|end| **end <= cut).count().saturating_sub(1);
+            let whole = ends
+                .iter()
+                .filter(|end| **end <= cut)
+                .count()
+                .saturating_sub(1);
             assert_eq!(read.records, records()[..whole], "cut at {cut}");
             let end = if cut < MAGIC.len() { 0 } else { ends[whole] };
             assert_eq!((read.whole, read.torn), (end, cut - end));
             // The same where the file was made longer before its bytes came.
             if cut >= MAGIC.len() && ends.contains(&cut) {
                 let longer = [&bytes[..cut], &[0; 40]].concat();
-                assert_eq!(super::read(&longer).map(|r| (r.whole, r.torn)), Ok((cut, 40)));
+                assert_eq!(
+                    super::read(&longer).map(|r| (r.whole, r.torn)),
+                    Ok((cut, 40))
+                );
             }
         }
         for at in 0..bytes.len() * 8 {
@@ -272,7 +320,10 @@
         let without = [&bytes[..ends[2]], &bytes[ends[3]..]].concat();
         assert_eq!(
             read(&without).unwrap_err().to_string(),
-            format!("at byte {}: record 3: it says that it is record 4, of 10 bytes", ends[2])
+            format!(
+                "at byte {}: record 3: it says that it is record 4, of 10 bytes",
+                ends[2]
+            )
         );
         let mut future = bytes.clone();
         future[7] = 9;
@@ -283,13 +334,20 @@
         // The last format is read still.
         let former = [FORMER, &bytes[8..]].concat();
         assert_eq!(read(&former).unwrap().records, records());
-        assert_eq!(read(b"something else").unwrap_err().to_string(), "at byte 0: this is no file of a store");
         assert_eq!(
-            read_lines(b"{\"term\":2}\n{\"vote\":1}\n{\"te").unwrap().records,
+            read(b"something else").unwrap_err().to_string(),
+            "at byte 0: this is no file of a store"
+        );
+        assert_eq!(
+            read_lines(b"{\"term\":2}\n{\"vote\":1}\n{\"te")
+                .unwrap()
+                .records,
             [Record::Term(2), Record::Vote(Some(1))]
         );
         assert_eq!(
-            read_lines(b"{\"term\":2}\n{\"vot3\":1}\n").unwrap_err().to_string(),
+            read_lines(b"{\"term\":2}\n{\"vot3\":1}\n")
+                .unwrap_err()
+                .to_string(),
             "at byte 11: line 2 is no record"
         );
     }
--- a/store/src/rejoin.rs
+++ b/store/src/rejoin.rs
@@ -1,17 +1,21 @@
 //! What a member's promises are worth after a start, told by what others know of it.
 //!
-//! A member that has lost what it promised must not vote: it could vote twice in one term, or for a candidate that lacks what
-//! this member had acknowledged. The rule, with `m` for more than half of all members:
+//! A member that has lost what it promised must not vote: it could vote twice in one term, or for a
+//! candidate that lacks what this member had acknowledged. The rule, with `m` for more than half of
+//! all members:
 //!
-//! - A member with a whole file asks the others. One that knows of a newer file of its says so; with `m - 1` answers from
-//!   members that have a file too, and none of those, it is sound. Fewer could not commit anything together with it.
-//! - A member that has lost its file takes a new *generation*, higher than any that `m` sound members know, and has `m` sound
-//!   members note it. From then on they take nothing from its earlier lives, nor does anyone who hears from them.
-//! - Each of them tells its term and the end of its log with that. Whatever the earlier lives helped to elect or to commit, one
-//!   of these members helped too: either before it answered, and then its answer covers it, or afterwards, and then the vote or
-//!   acknowledgement carries the generation, and the earlier life's is not counted beside it.
-//! - So the member counts again once it has installed what a leader of no lower a term has committed, up to no less than the
-//!   furthest of these ends.
+//! - A member with a whole file asks the others. One that knows of a newer file of its says so;
+//!   with `m - 1` answers from members that have a file too, and none of those, it is sound. Fewer
+//!   could not commit anything together with it.
+//! - A member that has lost its file takes a new *generation*, higher than any that `m` sound
+//!   members know, and has `m` sound members note it. From then on they take nothing from its
+//!   earlier lives, nor does anyone who hears from them.
+//! - Each of them tells its term and the end of its log with that. Whatever the earlier lives
+//!   helped to elect or to commit, one of these members helped too: either before it answered, and
+//!   then its answer covers it, or afterwards, and then the vote or acknowledgement carries the
+//!   generation, and the earlier life's is not counted beside it.
+//! - So the member counts again once it has installed what a leader of no lower a term has
+//!   committed, up to no less than the furthest of these ends.
 //! - A store begins only when every member is there and says that its file has never held one.
 //!
 //! Nothing here waits on a member that may wait on this one: answers are given in any standing.
@@ -37,7 +41,8 @@
 /// What a member says of itself when it asks the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ask {
-    /// A random number that this life of the member has, by which answers are told from those to an earlier one.
+    /// A random number that this life of the member has, by which answers are told from those to an
+    /// earlier one.
     pub life: u64,
     /// How much of its past it has.
     pub past: Past,
@@ -99,7 +104,8 @@
     pub starts: u64,
     /// The life that said so.
     pub life: u64,
-    /// The highest term and the furthest end of its log that it has told in that; known to this life of this member alone.
+    /// The highest term and the furthest end of its log that it has told in that; known to this
+    /// life of this member alone.
     reached: (u64, Position),
     /// The start in which it last told of those.
     told_in: u64,
@@ -108,7 +114,12 @@
 impl Peer {
     /// What a file keeps of another member.
     pub fn known(generation: u64, starts: u64, life: u64) -> Peer {
-        Peer { generation, starts, life, ..Peer::default() }
+        Peer {
+            generation,
+            starts,
+            life,
+            ..Peer::default()
+        }
     }
 }
 
@@ -125,7 +136,8 @@
     Lost,
     /// It takes this generation.
     Claims(u64),
-    /// It may count again from the state that a leader of this term or a later one commits up to this place or a later one.
+    /// It may count again from the state that a leader of this term or a later one commits up to
+    /// this place or a later one.
     CatchesUp(u64, Position),
 }
 
@@ -159,8 +171,16 @@
         peers: BTreeMap<u64, Peer>,
     ) -> Rejoin {
         let answers = BTreeMap::new();
-        let mut rejoin =
-            Rejoin { standing, members, begins, life, generation, claimed: false, answers, peers };
+        let mut rejoin = Rejoin {
+            standing,
+            members,
+            begins,
+            life,
+            generation,
+            claimed: false,
+            answers,
+            peers,
+        };
         if members == 1 && standing == Standing::Unjudged {
             rejoin.standing = Standing::Sound;
         }
@@ -200,12 +220,26 @@
             Standing::Lost => Past::Claimed,
             Standing::Unjudged => Past::Whole,
         };
-        Some(Ask { life: self.life, past, generation: self.generation, starts, last })
+        Some(Ask {
+            life: self.life,
+            past,
+            generation: self.generation,
+            starts,
+            last,
+        })
     }
 
-    /// Answers one that asks; `voted` says whether anyone can have voted in this member's store. Gives the answer, and whether
-    /// what it noted of the asker has to be kept before the answer goes out.
-    pub fn answer(&mut self, from: u64, ask: &Ask, term: u64, voted: bool, last: Position) -> (Told, bool) {
+    /// Answers one that asks; `voted` says whether anyone can have voted in this member's store.
+    /// Gives the answer, and whether what it noted of the asker has to be kept before the answer
+    /// goes out.
+    pub fn answer(
+        &mut self,
+        from: u64,
+        ask: &Ask,
+        term: u64,
+        voted: bool,
+        last: Position,
+    ) -> (Told, bool) {
         let what = match self.standing {
             Standing::Lost => What::Lost,
             Standing::Empty => What::Empty,
@@ -221,28 +255,51 @@
             Past::None => false,
             // A generation known by hearsay has no life yet.
             Past::Claimed => {
-                let taken = ask.generation == peer.generation && ![0, ask.life].contains(&peer.life);
+                let taken =
+                    ask.generation == peer.generation && ![0, ask.life].contains(&peer.life);
                 ask.generation < peer.generation || taken
             }
             Past::Whole => {
                 // What a life says before it takes part may arrive after what it says then.
                 let before = peer.told_in < ask.starts;
-                let behind = before && (term < peer.reached.0 || rank(ask.last) < rank(peer.reached.1));
+                let behind =
+                    before && (term < peer.reached.0 || rank(ask.last) < rank(peer.reached.1));
                 told < known || told == known && ![0, ask.life].contains(&peer.life) || behind
             }
         };
-        // Only who will remember it may say that it has noted it. Before anyone has voted there is nothing to lose.
-        let keeps = voted && matches!(what, What::Whole | What::Sound) && ask.past != Past::None && !newer;
+        // Only who will remember it may say that it has noted it. Before anyone has voted there is
+        // nothing to lose.
+        let keeps =
+            voted && matches!(what, What::Whole | What::Sound) && ask.past != Past::None && !newer;
         let noted = keeps && (told, ask.life) != (known, peer.life);
         if noted {
-            let past = if ask.generation > peer.generation { Peer::default() } else { *peer };
-            *peer = Peer { generation: ask.generation, starts: ask.starts, life: ask.life, ..past };
+            let past = if ask.generation > peer.generation {
+                Peer::default()
+            } else {
+                *peer
+            };
+            *peer = Peer {
+                generation: ask.generation,
+                starts: ask.starts,
+                life: ask.life,
+                ..past
+            };
         }
         let generation = self.peers[&from].generation;
-        (Told { life: ask.life, what, generation, newer, last }, noted)
+        (
+            Told {
+                life: ask.life,
+                what,
+                generation,
+                newer,
+                last,
+            },
+            noted,
+        )
     }
 
-    /// What a member has told of its term and log in one of its starts; a later file of its says no less.
+    /// What a member has told of its term and log in one of its starts; a later file of its says no
+    /// less.
     pub fn heard(&mut self, from: u64, starts: u64, term: u64, last: Option<Position>) {
         let peer = self.peers.entry(from).or_default();
         peer.told_in = peer.told_in.max(starts);
@@ -255,15 +312,21 @@
 
     /// Whether a packet from a member is of an earlier life, which is over.
     pub fn is_over(&self, from: u64, generation: u64) -> bool {
-        self.peers.get(&from).is_some_and(|peer| generation < peer.generation)
+        self.peers
+            .get(&from)
+            .is_some_and(|peer| generation < peer.generation)
     }
 
-    /// Takes what another knows of a member's generation; true where that is news, and has to be kept.
+    /// Takes what another knows of a member's generation; true where that is news, and has to be
+    /// kept.
     pub fn learn(&mut self, member: u64, generation: u64) -> bool {
         let peer = self.peers.entry(member).or_default();
         let news = generation > peer.generation;
         if news {
-            *peer = Peer { generation, ..Peer::default() };
+            *peer = Peer {
+                generation,
+                ..Peer::default()
+            };
         }
         news
     }
@@ -284,12 +347,17 @@
             return Verdict::Lost;
         }
         self.answers.insert(from, (store, term, told));
-        let count =
-            |what: &dyn Fn(&Told) -> bool| self.answers.values().filter(|answer| what(&answer.2)).count();
+        let count = |what: &dyn Fn(&Told) -> bool| {
+            self.answers
+                .values()
+                .filter(|answer| what(&answer.2))
+                .count()
+        };
         match self.standing {
             Standing::Sound | Standing::Founding => Verdict::Waits,
             Standing::Unjudged => {
-                let fine = count(&|told| matches!(told.what, What::Joined | What::Whole | What::Sound));
+                let fine =
+                    count(&|told| matches!(told.what, What::Joined | What::Whole | What::Sound));
                 if fine + 1 < self.more_than_half() {
                     return Verdict::Waits;
                 }
@@ -297,7 +365,8 @@
                 Verdict::Sound
             }
             Standing::Empty
-                if count(&|told| matches!(told.what, What::Empty | What::Joined)) + 1 == self.members =>
+                if count(&|told| matches!(told.what, What::Empty | What::Joined)) + 1
+                    == self.members =>
             {
                 if !self.begins {
                     return Verdict::Waits;
@@ -311,23 +380,35 @@
 
     /// What a member without a past does with the answers of sound ones of one store.
     fn catch_up(&mut self) -> Verdict {
-        let stores = self.answers.values().map(|answer| answer.0).filter(|store| *store != 0);
+        let stores = self
+            .answers
+            .values()
+            .map(|answer| answer.0)
+            .filter(|store| *store != 0);
         let Some(store) = stores.max_by_key(|store| self.sound(*store).count()) else {
             return Verdict::Waits;
         };
         let claimed = self.claimed.then_some(self.generation);
-        let covers =
-            |answer: &&(u64, u64, Told)| claimed.is_none_or(|claimed| answer.2.generation == claimed);
+        let covers = |answer: &&(u64, u64, Told)| {
+            claimed.is_none_or(|claimed| answer.2.generation == claimed)
+        };
         let sound: Vec<_> = self.sound(store).filter(covers).collect();
         if sound.len() < self.more_than_half() {
             return Verdict::Waits;
         }
         if claimed.is_some() {
             let term = sound.iter().map(|answer| answer.1).max().unwrap_or(0);
-            let last = sound.iter().map(|answer| answer.2.last).max_by_key(|last| rank(*last));
+            let last = sound
+                .iter()
+                .map(|answer| answer.2.last)
+                .max_by_key(|last| rank(*last));
             return Verdict::CatchesUp(term, last.unwrap_or_default());
         }
-        let known = sound.iter().map(|answer| answer.2.generation).max().unwrap_or(0);
+        let known = sound
+            .iter()
+            .map(|answer| answer.2.generation)
+            .max()
+            .unwrap_or(0);
         self.generation = self.generation.max(known) + 1;
         self.standing = Standing::Lost;
         self.claimed = true;
@@ -336,18 +417,30 @@
     }
 
     fn sound(&self, store: u64) -> impl Iterator<Item = &(u64, u64, Told)> {
-        self.answers.values().filter(move |answer| answer.0 == store && answer.2.what == What::Sound)
+        self.answers
+            .values()
+            .filter(move |answer| answer.0 == store && answer.2.what == What::Sound)
     }
 
     /// The store that most answers are of.
     pub fn store(&self) -> u64 {
-        let stores = self.answers.values().map(|answer| answer.0).filter(|store| *store != 0);
-        stores.max_by_key(|store| self.sound(*store).count()).unwrap_or(0)
+        let stores = self
+            .answers
+            .values()
+            .map(|answer| answer.0)
+            .filter(|store| *store != 0);
+        stores
+            .max_by_key(|store| self.sound(*store).count())
+            .unwrap_or(0)
     }
 
-    /// A later life of this member is known to others. True where this one had thought better of itself.
+    /// A later life of this member is known to others. True where this one had thought better of
+    /// itself.
     pub fn is_replaced(&mut self) -> bool {
-        let thought = matches!(self.standing, Standing::Unjudged | Standing::Sound | Standing::Founding);
+        let thought = matches!(
+            self.standing,
+            Standing::Unjudged | Standing::Sound | Standing::Founding
+        );
         if thought {
             self.lose();
         }
@@ -384,11 +477,18 @@
     /// What the member waits for, in words; none where it waits for nothing.
     pub fn waits_for(&self) -> Option<String> {
         let (members, half) = (self.members, self.more_than_half());
-        let of = |what: What| self.answers.values().filter(|answer| answer.2.what == what).count();
+        let of = |what: What| {
+            self.answers
+                .values()
+                .filter(|answer| answer.2.what == what)
+                .count()
+        };
         let (sound, whole, lost) = (of(What::Sound), of(What::Whole), of(What::Lost));
         match self.standing {
             Standing::Sound => None,
-            Standing::Founding => Some(format!("the store begins once all {members} members are part of it")),
+            Standing::Founding => Some(format!(
+                "the store begins once all {members} members are part of it"
+            )),
             Standing::Unjudged => Some(format!(
                 "{} of {} other members with a file have answered; {lost} have lost theirs",
                 sound + whole,
@@ -412,7 +512,13 @@
     use super::*;
 
     fn told(life: u64, what: What, generation: u64, newer: bool, last: Position) -> Told {
-        Told { life, what, generation, newer, last }
+        Told {
+            life,
+            what,
+            generation,
+            newer,
+            last,
+        }
     }
 
     fn position(index: u64, term: u64) -> Position {
@@ -427,16 +533,32 @@
     fn a_member_without_a_past_takes_a_generation_from_more_than_half_and_a_bar_from_as_many() {
         let mut lost = member(Standing::Empty);
         let end = position(4, 2);
-        assert_eq!(lost.told(2, 9, 3, told(7, What::Sound, 0, false, end)), Verdict::Waits);
-        // One that has only a file, one that lost its own, and one of another store do not count; nor does one twice.
-        for (from, store, what) in
-            [(2, 9, What::Sound), (3, 9, What::Whole), (4, 9, What::Lost), (5, 8, What::Sound)]
-        {
-            assert_eq!(lost.told(from, store, 3, told(7, what, 4, false, end)), Verdict::Waits);
+        assert_eq!(
+            lost.told(2, 9, 3, told(7, What::Sound, 0, false, end)),
+            Verdict::Waits
+        );
+        // One that has only a file, one that lost its own, and one of another store do not count;
+        // nor does one twice.
+        for (from, store, what) in [
+            (2, 9, What::Sound),
+            (3, 9, What::Whole),
+            (4, 9, What::Lost),
+            (5, 8, What::Sound),
+        ] {
+            assert_eq!(
+                lost.told(from, store, 3, told(7, what, 4, false, end)),
+                Verdict::Waits
+            );
         }
         lost.told(3, 9, 3, told(7, What::Sound, 4, false, end));
-        assert_eq!(lost.told(4, 9, 3, told(7, What::Sound, 1, false, end)), Verdict::Claims(5));
-        assert_eq!((lost.store(), lost.ask(1, end).unwrap().past), (0, Past::Claimed));
+        assert_eq!(
+            lost.told(4, 9, 3, told(7, What::Sound, 1, false, end)),
+            Verdict::Claims(5)
+        );
+        assert_eq!(
+            (lost.store(), lost.ask(1, end).unwrap().past),
+            (0, Past::Claimed)
+        );
         // Answers from before the generation was taken, or to another life, are none.
         lost.told(2, 9, 3, told(7, What::Sound, 4, false, end));
         lost.told(3, 9, 9, told(8, What::Sound, 5, false, end));
@@ -449,7 +571,10 @@
             "the highest term, and the furthest end by term"
         );
         // Somebody else had taken that generation.
-        assert_eq!(lost.told(5, 9, 3, told(7, What::Sound, 5, true, end)), Verdict::Waits);
+        assert_eq!(
+            lost.told(5, 9, 3, told(7, What::Sound, 5, true, end)),
+            Verdict::Waits
+        );
         assert_eq!(lost.ask(1, end).unwrap().past, Past::None);
     }
 
@@ -458,7 +583,12 @@
         let mut first = member(Standing::Empty);
         for from in 2..5 {
             assert_eq!(
-                first.told(from, 0, 0, told(7, What::Empty, 0, false, Position::default())),
+                first.told(
+                    from,
+                    0,
+                    0,
+                    told(7, What::Empty, 0, false, Position::default())
+                ),
                 Verdict::Waits
             );
         }
@@ -468,36 +598,68 @@
         let (answer, _) = second.answer(1, &ask, 0, false, Position::default());
         assert_eq!(first.told(5, 3, 0, answer), Verdict::Waits);
         // One that has lost its file knows that there was a store.
-        assert_eq!(first.told(5, 0, 0, told(7, What::Lost, 0, false, Position::default())), Verdict::Waits);
-        assert_eq!(first.told(5, 0, 0, told(7, What::Empty, 0, false, Position::default())), Verdict::Founds);
+        assert_eq!(
+            first.told(5, 0, 0, told(7, What::Lost, 0, false, Position::default())),
+            Verdict::Waits
+        );
+        assert_eq!(
+            first.told(5, 0, 0, told(7, What::Empty, 0, false, Position::default())),
+            Verdict::Founds
+        );
     }
 
     #[test]
     fn an_old_file_is_told_from_the_newest_by_its_starts_its_generation_its_term_and_its_log() {
         let mut sound = member(Standing::Sound);
-        let ask = |life, generation, starts, last| Ask { life, past: Past::Whole, generation, starts, last };
+        let ask = |life, generation, starts, last| Ask {
+            life,
+            past: Past::Whole,
+            generation,
+            starts,
+            last,
+        };
         let end = position(9, 3);
-        assert!(sound.answer(2, &ask(1, 0, 5, end), 3, true, end).1, "a new life is noted");
+        assert!(
+            sound.answer(2, &ask(1, 0, 5, end), 3, true, end).1,
+            "a new life is noted"
+        );
         let (again, noted) = sound.answer(2, &ask(1, 0, 5, end), 3, true, end);
         assert!(!again.newer && !noted, "the same life asks again");
         sound.heard(2, 5, 4, Some(position(12, 4)));
         let further = position(12, 4);
         for (case, ask, term, newer) in [
             ("the next start", ask(2, 0, 6, further), 4, false),
-            ("as many starts by another life", ask(3, 0, 6, further), 4, true),
+            (
+                "as many starts by another life",
+                ask(3, 0, 6, further),
+                4,
+                true,
+            ),
             ("fewer starts", ask(3, 0, 3, further), 4, true),
             ("a lower term", ask(3, 0, 7, further), 3, true),
-            ("a log that ends before", ask(3, 0, 7, position(20, 3)), 4, true),
+            (
+                "a log that ends before",
+                ask(3, 0, 7, position(20, 3)),
+                4,
+                true,
+            ),
             ("a later generation", ask(4, 1, 1, further), 4, false),
             ("an earlier one", ask(5, 0, 9, further), 4, true),
         ] {
-            assert_eq!(sound.answer(2, &ask, term, true, end).0.newer, newer, "{case}");
+            assert_eq!(
+                sound.answer(2, &ask, term, true, end).0.newer,
+                newer,
+                "{case}"
+            );
         }
         assert!(sound.is_over(2, 0) && !sound.is_over(2, 1));
         assert!(sound.learn(2, 3) && !sound.learn(2, 3) && sound.is_over(2, 2));
         // One that has lost its own file remembers nothing for anybody.
         let mut lost = member(Standing::Lost);
-        let claim = Ask { past: Past::Claimed, ..ask(6, 4, 1, end) };
+        let claim = Ask {
+            past: Past::Claimed,
+            ..ask(6, 4, 1, end)
+        };
         assert!(!lost.answer(3, &claim, 3, true, end).1);
         assert!(sound.answer(3, &claim, 3, true, end).1 && sound.is_over(3, 3));
     }
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -1,5 +1,6 @@
-//! What the log's entries make: keys with the revisions of their last change, and sessions with what came of their last
-//! requests. Every member applies the same entries in the same order and comes to the same.
+//! What the log's entries make: keys with the revisions of their last change, and sessions with
+//! what came of their last requests. Every member applies the same entries in the same order and
+//! comes to the same.
 
 use crate::command::{Command, Expects, Txn};
 use crate::packet::Change;
@@ -7,7 +8,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The key that says which life of the store this is: each that is begun anew has a higher number than those before it.
+/// The key that says which life of the store this is: each that is begun anew has a higher number
+/// than those before it.
 pub const ERA: &str = "era";
 
 /// What bounds it; the same at every member.
@@ -44,7 +46,8 @@
     Differs(String, Option<u64>),
     /// The store has no room for so many keys.
     Full,
-    /// The store does not have, or no longer has, this session: whether its request was made before it cannot say.
+    /// The store does not have, or no longer has, this session: whether its request was made before
+    /// it cannot say.
     NoSession,
     /// The session has made later requests than this one.
     Past,
@@ -56,9 +59,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Refusal::Differs(key, Some(revision)) => {
-                write!(f, "{key} is not as was expected: it was changed at revision {revision}")
+                write!(
+                    f,
+                    "{key} is not as was expected: it was changed at revision {revision}"
+                )
+            }
+            Refusal::Differs(key, None) => {
+                write!(f, "{key} is not as was expected: it is not there")
             }
-            Refusal::Differs(key, None) => write!(f, "{key} is not as was expected: it is not there"),
             Refusal::Full => f.write_str("the store has no room for more keys"),
             Refusal::NoSession => f.write_str("the store does not know this session"),
             Refusal::Past => f.write_str("the session has made later requests"),
@@ -95,7 +103,13 @@
 impl State {
     /// Says which life of the store this is, at its begin.
     pub fn begin_era(&mut self, era: u64) {
-        self.keys.insert(ERA.to_owned(), Held { value: era.to_string(), revision: 0 });
+        self.keys.insert(
+            ERA.to_owned(),
+            Held {
+                value: era.to_string(),
+                revision: 0,
+            },
+        );
     }
 
     /// Which life of the store this is; 0 where it does not say.
@@ -121,7 +135,8 @@
     /// Keys that begin so, in order.
     pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Held)> {
         let from = self.keys.range(prefix.to_owned()..);
-        from.take_while(move |(key, _)| key.starts_with(prefix)).map(|(key, held)| (key.as_str(), held))
+        from.take_while(move |(key, _)| key.starts_with(prefix))
+            .map(|(key, held)| (key.as_str(), held))
     }
 
     /// How many keys there are.
@@ -141,20 +156,43 @@
     }
 
     /// Applies an entry at its place: what changed, and what somebody may have waited for.
-    pub fn apply(&mut self, revision: u64, command: &Command, room: Room) -> (Vec<Change>, Option<Done>) {
+    pub fn apply(
+        &mut self,
+        revision: u64,
+        command: &Command,
+        room: Room,
+    ) -> (Vec<Change>, Option<Done>) {
         match command {
             // Wanted again and again until it stands: what stands already has not changed.
-            Command::Put(change) if self.get(&change.key) == change.value.as_deref() => (Vec::new(), None),
+            Command::Put(change) if self.get(&change.key) == change.value.as_deref() => {
+                (Vec::new(), None)
+            }
             Command::Put(change) => {
                 let fits = self.keys.contains_key(&change.key) || self.keys.len() < room.keys;
-                (if fits { self.set([change], revision) } else { Vec::new() }, None)
+                (
+                    if fits {
+                        self.set([change], revision)
+                    } else {
+                        Vec::new()
+                    },
+                    None,
+                )
             }
             Command::Open(nonce) => {
                 let outcome = Outcome::Refused(Refusal::Past);
-                self.sessions.insert(revision, Session { request: 0, outcome, used: revision });
+                self.sessions.insert(
+                    revision,
+                    Session {
+                        request: 0,
+                        outcome,
+                        used: revision,
+                    },
+                );
                 while self.sessions.len() > room.sessions {
                     let oldest = self.sessions.iter().min_by_key(|(_, session)| session.used);
-                    let Some(oldest) = oldest.map(|(id, _)| *id) else { break };
+                    let Some(oldest) = oldest.map(|(id, _)| *id) else {
+                        break;
+                    };
                     self.sessions.remove(&oldest);
                 }
                 (Vec::new(), Some(Done::Opened(*nonce, revision)))
@@ -168,7 +206,9 @@
 
     fn transact(&mut self, revision: u64, txn: &Txn, room: Room) -> (Vec<Change>, Outcome) {
         let refused = |why| (Vec::new(), Outcome::Refused(why));
-        let Some(session) = self.sessions.get_mut(&txn.session) else { return refused(Refusal::NoSession) };
+        let Some(session) = self.sessions.get_mut(&txn.session) else {
+            return refused(Refusal::NoSession);
+        };
         session.used = revision;
         // Made before: it has come twice.
         if txn.request == session.request && txn.request > 0 {
@@ -200,16 +240,29 @@
             let found = self.keys.get(&check.key).map(|held| held.revision);
             return Some(Refusal::Differs(check.key.clone(), found));
         }
-        let new = txn.sets.iter().filter(|set| set.value.is_some() && !self.keys.contains_key(&set.key));
+        let new = txn
+            .sets
+            .iter()
+            .filter(|set| set.value.is_some() && !self.keys.contains_key(&set.key));
         (self.keys.len() + new.count() > room.keys).then_some(Refusal::Full)
     }
 
-    fn set<'a>(&mut self, sets: impl IntoIterator<Item = &'a Change>, revision: u64) -> Vec<Change> {
+    fn set<'a>(
+        &mut self,
+        sets: impl IntoIterator<Item = &'a Change>,
+        revision: u64,
+    ) -> Vec<Change> {
         let mut changes = Vec::new();
         for set in sets {
             match &set.value {
                 Some(value) => {
-                    self.keys.insert(set.key.clone(), Held { value: value.clone(), revision });
+                    self.keys.insert(
+                        set.key.clone(),
+                        Held {
+                            value: value.clone(),
+                            revision,
+                        },
+                    );
                 }
                 None => drop(self.keys.remove(&set.key)),
             }
@@ -220,30 +273,48 @@
 
     /// The state as JSON.
     pub fn json(&self) -> Json {
-        let keys: Vec<Json> =
-            self.keys.iter().map(|(key, held)| json!([key, held.value, held.revision])).collect();
-        let session = |(id, of): (&u64, &Session)| json!([id, of.request, of.outcome.json(), of.used]);
+        let keys: Vec<Json> = self
+            .keys
+            .iter()
+            .map(|(key, held)| json!([key, held.value, held.revision]))
+            .collect();
+        let session =
+            |(id, of): (&u64, &Session)| json!([id, of.request, of.outcome.json(), of.used]);
         let sessions: Vec<Json> = self.sessions.iter().map(session).collect();
         json!({"keys": keys, "sessions": sessions})
     }
 
-    /// A state from JSON, also of the first form, which had keys and values alone: those count as changed at this revision.
+    /// A state from JSON, also of the first form, which had keys and values alone: those count as
+    /// changed at this revision.
     pub fn read(json: &Json, at: u64) -> Option<State> {
         let mut state = State::default();
         if !json["keys"].is_array() {
             for (key, value) in json.as_object()? {
                 let value = value.as_str()?.to_owned();
-                state.keys.insert(key.clone(), Held { value, revision: at });
+                state.keys.insert(
+                    key.clone(),
+                    Held {
+                        value,
+                        revision: at,
+                    },
+                );
             }
             return Some(state);
         }
         for key in json["keys"].as_array()? {
-            let held = Held { value: key[1].as_str()?.to_owned(), revision: key[2].as_u64()? };
+            let held = Held {
+                value: key[1].as_str()?.to_owned(),
+                revision: key[2].as_u64()?,
+            };
             state.keys.insert(key[0].as_str()?.to_owned(), held);
         }
         for of in json["sessions"].as_array()? {
             let (request, used) = (of[1].as_u64()?, of[3].as_u64()?);
-            let session = Session { request, outcome: Outcome::read(&of[2])?, used };
+            let session = Session {
+                request,
+                outcome: Outcome::read(&of[2])?,
+                used,
+            };
             state.sessions.insert(of[0].as_u64()?, session);
         }
         Some(state)
@@ -259,7 +330,10 @@
                 json!({"refused": "differs", "key": key, "found": found})
             }
             Outcome::Refused(why) => {
-                let word = REFUSALS.iter().find(|(known, _)| known == why).map(|(_, word)| *word);
+                let word = REFUSALS
+                    .iter()
+                    .find(|(known, _)| known == why)
+                    .map(|(_, word)| *word);
                 json!({"refused": word})
             }
         }
@@ -273,7 +347,10 @@
         let word = json["refused"].as_str()?;
         if word == "differs" {
             let key = json["key"].as_str()?.to_owned();
-            return Some(Outcome::Refused(Refusal::Differs(key, json["found"].as_u64())));
+            return Some(Outcome::Refused(Refusal::Differs(
+                key,
+                json["found"].as_u64(),
+            )));
         }
         let why = REFUSALS.iter().find(|(_, known)| *known == word)?;
         Some(Outcome::Refused(why.0.clone()))
@@ -293,7 +370,10 @@
     use crate::command::Check;
     use proptest::prelude::*;
 
-    const ROOM: Room = Room { keys: 4, sessions: 2 };
+    const ROOM: Room = Room {
+        keys: 4,
+        sessions: 2,
+    };
 
     fn txn(
         session: u64,
@@ -301,13 +381,21 @@
         checks: Vec<(&str, Expects)>,
         sets: Vec<(&str, Option<&str>)>,
     ) -> Command {
-        let check = |(key, expects): (&str, Expects)| Check { key: key.to_owned(), expects };
+        let check = |(key, expects): (&str, Expects)| Check {
+            key: key.to_owned(),
+            expects,
+        };
         let set = |(key, value): (&str, Option<&str>)| Change {
             key: key.to_owned(),
             value: value.map(str::to_owned),
         };
         let checks = checks.into_iter().map(check).collect();
-        Command::Txn(Txn { session, request, checks, sets: sets.into_iter().map(set).collect() })
+        Command::Txn(Txn {
+            session,
+            request,
+            checks,
+            sets: sets.into_iter().map(set).collect(),
+        })
     }
 
     fn outcome(state: &mut State, revision: u64, command: &Command) -> Outcome {
@@ -321,16 +409,29 @@
     fn several_keys_change_together_or_not_at_all() {
         let mut state = State::default();
         state.apply(1, &Command::Open(7), ROOM);
-        let both = txn(1, 1, vec![("a", Expects::Absent)], vec![("a", Some("1")), ("b", Some("1"))]);
+        let both = txn(
+            1,
+            1,
+            vec![("a", Expects::Absent)],
+            vec![("a", Some("1")), ("b", Some("1"))],
+        );
         assert_eq!(outcome(&mut state, 2, &both), Outcome::Applied(2));
-        let stale = txn(1, 2, vec![("a", Expects::At(2)), ("b", Expects::Is("0".into()))], vec![("a", None)]);
+        let stale = txn(
+            1,
+            2,
+            vec![("a", Expects::At(2)), ("b", Expects::Is("0".into()))],
+            vec![("a", None)],
+        );
         assert_eq!(
             outcome(&mut state, 3, &stale),
             Outcome::Refused(Refusal::Differs("b".to_owned(), Some(2)))
         );
         assert_eq!((state.get("a"), state.get("b")), (Some("1"), Some("1")));
         let many = vec![("c", Some("")), ("d", Some("")), ("e", Some(""))];
-        assert_eq!(outcome(&mut state, 4, &txn(1, 3, vec![], many)), Outcome::Refused(Refusal::Full));
+        assert_eq!(
+            outcome(&mut state, 4, &txn(1, 3, vec![], many)),
+            Outcome::Refused(Refusal::Full)
+        );
         assert_eq!(state.len(), 2);
         let gone = txn(1, 4, vec![("a", Expects::At(2))], vec![("a", None)]);
         assert_eq!(outcome(&mut state, 5, &gone), Outcome::Applied(5));
@@ -343,20 +444,41 @@
         state.apply(1, &Command::Open(7), ROOM);
         let one = txn(1, 1, vec![], vec![("a", Some("1"))]);
         assert_eq!(outcome(&mut state, 2, &one), Outcome::Applied(2));
-        state.apply(3, &Command::Put(Change { key: "a".to_owned(), value: Some("2".to_owned()) }), ROOM);
-        assert_eq!(outcome(&mut state, 4, &one), Outcome::Applied(2), "what came of it then");
+        state.apply(
+            3,
+            &Command::Put(Change {
+                key: "a".to_owned(),
+                value: Some("2".to_owned()),
+            }),
+            ROOM,
+        );
+        assert_eq!(
+            outcome(&mut state, 4, &one),
+            Outcome::Applied(2),
+            "what came of it then"
+        );
         assert_eq!(state.get("a"), Some("2"));
-        assert_eq!(outcome(&mut state, 5, &txn(1, 9, vec![], vec![])), Outcome::Applied(5));
-        assert_eq!(outcome(&mut state, 6, &one), Outcome::Refused(Refusal::Past));
+        assert_eq!(
+            outcome(&mut state, 5, &txn(1, 9, vec![], vec![])),
+            Outcome::Applied(5)
+        );
+        assert_eq!(
+            outcome(&mut state, 6, &one),
+            Outcome::Refused(Refusal::Past)
+        );
         // Two further sessions: the one that was not heard of for longest goes.
         state.apply(7, &Command::Open(8), ROOM);
         state.apply(8, &Command::Open(9), ROOM);
-        assert_eq!(outcome(&mut state, 9, &one), Outcome::Refused(Refusal::NoSession));
+        assert_eq!(
+            outcome(&mut state, 9, &one),
+            Outcome::Refused(Refusal::NoSession)
+        );
         assert_eq!(State::read(&state.json(), 0), Some(state));
     }
 
     proptest! {
-        /// Whatever comes in whatever order: a state and the one that went through its text go on alike.
+        /// Whatever comes in whatever order: a state and the one that went through its text go on
+        /// alike.
         #[test]
         fn a_state_goes_on_from_its_text_as_from_itself(
             steps in prop::collection::vec((0u8..4, 0u64..12, 0u64..4, 0u8..3), 0..60), cut in 0usize..60
--- a/store/tests/load.rs
+++ b/store/tests/load.rs
@@ -1,4 +1,5 @@
-//! A store under many changes beside slow disks, in virtual time: what that costs in commits, and in leaders.
+//! A store under many changes beside slow disks, in virtual time: what that costs in commits, and
+//! in leaders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use store::Time;
@@ -10,7 +11,8 @@
 
 struct Member {
     store: Store,
-    /// Writes that wait for the disk, and those that it is at until a moment: what waits shares one sync.
+    /// Writes that wait for the disk, and those that it is at until a moment: what waits shares one
+    /// sync.
     waiting: Vec<Write>,
     syncing: Option<(Time, Vec<Write>)>,
 }
@@ -25,16 +27,39 @@
     packets: u64,
 }
 
-/// Three members whose disks take so long over each sync, with so many changes a second put at them in turn.
+/// Three members whose disks take so long over each sync, with so many changes a second put at them
+/// in turn.
 fn play(sync: Time, changes: u64, length: Time) -> Seen {
-    let pace = Pace { heartbeat: 150 * MS, election: 600 * MS };
-    let bounds =
-        Bounds { log: 256, keys: 64, value_bytes: 1000, sessions: 8, txn_keys: 8, calls: 8, history: 40 };
+    let pace = Pace {
+        heartbeat: 150 * MS,
+        election: 600 * MS,
+    };
+    let bounds = Bounds {
+        log: 256,
+        keys: 64,
+        value_bytes: 1000,
+        sessions: 8,
+        txn_keys: 8,
+        calls: 8,
+        history: 40,
+    };
     let members = BTreeSet::from([1, 2, 3]);
     let start = |id| {
-        let membership = Membership { id, members: members.clone(), begins: id == 1, era: 0 };
+        let membership = Membership {
+            id,
+            members: members.clone(),
+            begins: id == 1,
+            era: 0,
+        };
         let store = Store::start(&membership, pace, bounds, id, Some(Kept::default()), 0);
-        (id, Member { store, waiting: Vec::new(), syncing: None })
+        (
+            id,
+            Member {
+                store,
+                waiting: Vec::new(),
+                syncing: None,
+            },
+        )
     };
     let mut all: BTreeMap<u64, Member> = (1..=3).map(start).collect();
     let (mut wires, mut seen): (Vec<(Time, u64, Packet)>, Seen) = (Vec::new(), Seen::default());
@@ -47,17 +72,26 @@
         if now >= settled && now % (1_000 * MS / changes) < MS {
             number += 1;
             let store = &mut all.get_mut(&(1 + number % 3)).expect("a member").store;
-            store.put(&format!("k{}", number % 60), &number.to_string(), now).expect("it fits");
+            store
+                .put(&format!("k{}", number % 60), &number.to_string(), now)
+                .expect("it fits");
         }
         let due: Vec<_> = wires.iter().filter(|w| w.0 <= now).cloned().collect();
         wires.retain(|w| w.0 > now);
         for (_, to, packet) in due {
-            all.get_mut(&to).expect("a member").store.receive(packet, now).expect("one store");
+            all.get_mut(&to)
+                .expect("a member")
+                .store
+                .receive(packet, now)
+                .expect("one store");
         }
         for member in all.values_mut() {
             member.store.timer(now);
             if let Some((_, writes)) = member.syncing.take_if(|(at, _)| *at <= now) {
-                writes.last().into_iter().for_each(|write| member.store.written(write.number));
+                writes
+                    .last()
+                    .into_iter()
+                    .for_each(|write| member.store.written(write.number));
             }
             member.waiting.extend(member.store.take_writes());
             if member.syncing.is_none() && !member.waiting.is_empty() {
@@ -66,31 +100,57 @@
                 member.syncing = Some((now + sync, std::mem::take(&mut member.waiting)));
             }
             let before = wires.len();
-            wires.extend(member.store.take_outbox().into_iter().map(|(to, packet)| (now + MS, to, packet)));
+            wires.extend(
+                member
+                    .store
+                    .take_outbox()
+                    .into_iter()
+                    .map(|(to, packet)| (now + MS, to, packet)),
+            );
             seen.packets += (wires.len() - before) as u64;
         }
-        let committed = all.get_mut(&1).expect("a member").store.take_committed().len() as u64;
+        let committed = all
+            .get_mut(&1)
+            .expect("a member")
+            .store
+            .take_committed()
+            .len() as u64;
         if committed > 0 {
-            (seen.committed, seen.longest_gap, last) =
-                (seen.committed + committed, seen.longest_gap.max(now - last), now);
+            (seen.committed, seen.longest_gap, last) = (
+                seen.committed + committed,
+                seen.longest_gap.max(now - last),
+                now,
+            );
         }
-        let leader = all.iter().find(|(_, member)| member.store.leads()).map(|(id, _)| *id);
+        let leader = all
+            .iter()
+            .find(|(_, member)| member.store.leads())
+            .map(|(id, _)| *id);
         seen.without_leader += if leader.is_none() { MS } else { 0 };
         seen.leaders.extend(leader);
     }
     seen
 }
 
-/// Before, each answer that lagged brought all that was lacking once more, and ever more packets went round; and a leader's
-/// heartbeats waited behind its own writes, so that a disk that takes longer than an election cost it the lead.
+/// Before, each answer that lagged brought all that was lacking once more, and ever more packets
+/// went round; and a leader's heartbeats waited behind its own writes, so that a disk that takes
+/// longer than an election cost it the lead.
 #[test]
 fn many_changes_beside_a_slow_disk_cost_no_lead_and_leave_no_gap() {
     for (sync, changes) in [(25 * MS, 200), (100 * MS, 100), (700 * MS, 2)] {
         let seen = play(sync, changes, 6_000 * MS);
-        println!("{} ms a sync, {changes} changes a second: {seen:?}", sync / MS);
-        assert_eq!((seen.leaders.len(), seen.without_leader), (1, 0), "{seen:?}");
+        println!(
+            "{} ms a sync, {changes} changes a second: {seen:?}",
+            sync / MS
+        );
+        assert_eq!(
+            (seen.leaders.len(), seen.without_leader),
+            (1, 0),
+            "{seen:?}"
+        );
         assert!(seen.longest_gap < 10 * sync, "{seen:?}");
-        // A change goes to each other member and is answered, is handed to the leader, and some are sent again.
+        // A change goes to each other member and is answered, is handed to the leader, and some are
+        // sent again.
         assert!(seen.packets < 24 * 6 * changes + 2_000, "{seen:?}");
     }
 }
--- a/store/tests/rejoin_model.rs
+++ b/store/tests/rejoin_model.rs
@@ -1,8 +1,10 @@
-//! The rule by which a member without its past counts again, model-checked: every order in which messages may come, be lost, late
-//! or doubled, every election, and every moment at which a file may be lost, within bounds on terms, entries and losses. The
-//! rule is abstracted from `store/src/rejoin.rs`; that the code keeps to it is the simulation's part.
+//! The rule by which a member without its past counts again, model-checked: every order in which
+//! messages may come, be lost, late or doubled, every election, and every moment at which a file
+//! may be lost, within bounds on terms, entries and losses. The rule is abstracted from
+//! `store/src/rejoin.rs`; that the code keeps to it is the simulation's part.
 //!
-//! `REJOIN_MODEL=full cargo test --release -p bitternsill-store --test rejoin_model -- --nocapture` checks the larger bounds.
+//! `REJOIN_MODEL=full cargo test --release -p bitternsill-store --test rejoin_model -- --nocapture`
+//! checks the larger bounds.
 
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,7 +39,8 @@
 enum Standing {
     Sound,
     Lost,
-    /// It has taken its generation, and this is what others answered: their terms and the ends of their logs.
+    /// It has taken its generation, and this is what others answered: their terms and the ends of
+    /// their logs.
     Claimed(BTreeMap<u8, (u8, Rank)>),
 }
 
@@ -54,13 +57,47 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask { from: u8, term: u8, last: Rank },
-    Vote { from: u8, to: u8, term: u8, generation: u8, known: Vec<u8> },
-    Append { from: u8, term: u8, log: Log },
-    Ack { from: u8, to: u8, term: u8, length: u8, generation: u8, known: Vec<u8> },
-    Claim { from: u8, generation: u8 },
-    Told { from: u8, to: u8, generation: u8, term: u8, last: Rank },
-    Committed { from: u8, term: u8, log: Log },
+    Ask {
+        from: u8,
+        term: u8,
+        last: Rank,
+    },
+    Vote {
+        from: u8,
+        to: u8,
+        term: u8,
+        generation: u8,
+        known: Vec<u8>,
+    },
+    Append {
+        from: u8,
+        term: u8,
+        log: Log,
+    },
+    Ack {
+        from: u8,
+        to: u8,
+        term: u8,
+        length: u8,
+        generation: u8,
+        known: Vec<u8>,
+    },
+    Claim {
+        from: u8,
+        generation: u8,
+    },
+    Told {
+        from: u8,
+        to: u8,
+        generation: u8,
+        term: u8,
+        last: Rank,
+    },
+    Committed {
+        from: u8,
+        term: u8,
+        log: Log,
+    },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -69,7 +106,8 @@
     /// Whatever was ever sent: it may come at any time, any number of times, or never.
     sent: BTreeSet<Message>,
     losses: u8,
-    /// What was ever committed, and who led in each term; a second history of either is the violation.
+    /// What was ever committed, and who led in each term; a second history of either is the
+    /// violation.
     committed: Log,
     leaders: BTreeMap<u8, u8>,
     broken: bool,
@@ -179,20 +217,39 @@
                 if *term == me.term && free && *last >= rank(&me.log) && me.role == Role::Follower {
                     me.vote = Some(*from);
                     let (generation, known) = (me.generation, me.known.clone());
-                    self.sent.insert(Message::Vote { from: to, to: *from, term: me.term, generation, known });
+                    self.sent.insert(Message::Vote {
+                        from: to,
+                        to: *from,
+                        term: me.term,
+                        generation,
+                        known,
+                    });
                 }
             }
-            Message::Vote { from, to: _, term, generation, known } if sound => {
+            Message::Vote {
+                from,
+                to: _,
+                term,
+                generation,
+                known,
+            } if sound => {
                 if me.hears(bounds.rule, *from, *generation, known)
                     && *term == me.term
                     && let Role::Candidate(votes) = &mut me.role
                 {
                     votes.insert(*from);
                     if votes.len() >= bounds.more_than_half() {
-                        self.broken |= self.leaders.insert(me.term, to).is_some_and(|other| other != to);
+                        self.broken |= self
+                            .leaders
+                            .insert(me.term, to)
+                            .is_some_and(|other| other != to);
                         me.role = Role::Leader(BTreeMap::new());
                         me.log.push(me.term);
-                        self.sent.insert(Message::Append { from: to, term: me.term, log: me.log.clone() });
+                        self.sent.insert(Message::Append {
+                            from: to,
+                            term: me.term,
+                            log: me.log.clone(),
+                        });
                     }
                 }
             }
@@ -202,7 +259,8 @@
                 if !me.log.starts_with(log) {
                     me.log = log.clone();
                 }
-                let (length, generation, known) = (log.len() as u8, me.generation, me.known.clone());
+                let (length, generation, known) =
+                    (log.len() as u8, me.generation, me.known.clone());
                 self.sent.insert(Message::Ack {
                     from: to,
                     to: *from,
@@ -212,23 +270,39 @@
                     known,
                 });
             }
-            Message::Ack { from, to: _, term, length, generation, known } if sound => {
+            Message::Ack {
+                from,
+                to: _,
+                term,
+                length,
+                generation,
+                known,
+            } if sound => {
                 if me.hears(bounds.rule, *from, *generation, known)
                     && *term == me.term
                     && let Role::Leader(acks) = &mut me.role
                 {
                     let ack = acks.entry(*from).or_insert(0);
                     *ack = (*ack).max(*length);
-                    let acked = |n: usize| acks.values().filter(|ack| **ack as usize >= n).count() + 1;
-                    let most = (1..=me.log.len()).rev().find(|n| acked(*n) >= bounds.more_than_half());
+                    let acked =
+                        |n: usize| acks.values().filter(|ack| **ack as usize >= n).count() + 1;
+                    let most = (1..=me.log.len())
+                        .rev()
+                        .find(|n| acked(*n) >= bounds.more_than_half());
                     if let Some(most) = most.filter(|n| me.log[n - 1] == me.term) {
                         let log = me.log[..most].to_vec();
                         self.commit(&log);
-                        self.sent.insert(Message::Committed { from: to, term: me.term, log });
+                        self.sent.insert(Message::Committed {
+                            from: to,
+                            term: me.term,
+                            log,
+                        });
                     }
                 }
             }
-            Message::Claim { from, generation } if sound && *generation >= me.known[*from as usize] => {
+            Message::Claim { from, generation }
+                if sound && *generation >= me.known[*from as usize] =>
+            {
                 if *generation > me.known[*from as usize] {
                     me.known[*from as usize] = *generation;
                     if bounds.rule != Rule::LivesForgotten {
@@ -236,9 +310,21 @@
                     }
                 }
                 let (generation, term, last) = (*generation, me.term, rank(&me.log));
-                self.sent.insert(Message::Told { from: to, to: *from, generation, term, last });
+                self.sent.insert(Message::Told {
+                    from: to,
+                    to: *from,
+                    generation,
+                    term,
+                    last,
+                });
             }
-            Message::Told { from, to: _, generation, term, last } if *generation == me.generation => {
+            Message::Told {
+                from,
+                to: _,
+                generation,
+                term,
+                last,
+            } if *generation == me.generation => {
                 if let Standing::Claimed(told) = &mut me.standing {
                     told.entry(*from).or_insert((*term, *last));
                 }
@@ -273,7 +359,11 @@
 
     fn actions(&self, state: &State, acts: &mut Vec<Act>) {
         let count = state.members.len();
-        let impaired = state.members.iter().filter(|m| !Self::has_past(&m.standing)).count();
+        let impaired = state
+            .members
+            .iter()
+            .filter(|m| !Self::has_past(&m.standing))
+            .count();
         for (at, member) in (0..).zip(&state.members) {
             match &member.standing {
                 Standing::Sound => {
@@ -313,7 +403,9 @@
                 | Message::Append { from, .. }
                 | Message::Claim { from, .. }
                 | Message::Committed { from, .. } => all(from),
-                Message::Vote { to, .. } | Message::Ack { to, .. } | Message::Told { to, .. } => vec![*to],
+                Message::Vote { to, .. } | Message::Ack { to, .. } | Message::Told { to, .. } => {
+                    vec![*to]
+                }
             };
             acts.extend(to.into_iter().map(|to| Act::Take(to, message.clone())));
         }
@@ -327,26 +419,47 @@
                 (me.term, me.vote) = (me.term + 1, Some(at));
                 me.role = Role::Candidate(BTreeSet::from([at]));
                 let (term, last) = (me.term, rank(&me.log));
-                next.sent.insert(Message::Ask { from: at, term, last });
+                next.sent.insert(Message::Ask {
+                    from: at,
+                    term,
+                    last,
+                });
             }
             Act::Propose(at) => {
                 let me = &mut next.members[at as usize];
                 me.log.push(me.term);
                 let (term, log) = (me.term, me.log.clone());
-                next.sent.insert(Message::Append { from: at, term, log });
+                next.sent.insert(Message::Append {
+                    from: at,
+                    term,
+                    log,
+                });
             }
             Act::Lose(at) => {
                 next.losses += 1;
-                let standing = if self.rule == Rule::VotesAtOnce { Standing::Sound } else { Standing::Lost };
-                next.members[at as usize] = Member { standing, ..Member::fresh(state.members.len()) };
+                let standing = if self.rule == Rule::VotesAtOnce {
+                    Standing::Sound
+                } else {
+                    Standing::Lost
+                };
+                next.members[at as usize] = Member {
+                    standing,
+                    ..Member::fresh(state.members.len())
+                };
             }
             Act::Claim(at, asked) => {
-                let known = asked.iter().map(|other| state.members[*other as usize].known[at as usize]).max();
+                let known = asked
+                    .iter()
+                    .map(|other| state.members[*other as usize].known[at as usize])
+                    .max();
                 let me = &mut next.members[at as usize];
                 me.generation = known.unwrap_or(0) + 1;
                 me.standing = Standing::Claimed(BTreeMap::new());
                 let generation = me.generation;
-                next.sent.insert(Message::Claim { from: at, generation });
+                next.sent.insert(Message::Claim {
+                    from: at,
+                    generation,
+                });
             }
             Act::Take(to, message) => next.take(self, to, &message),
         }
@@ -355,24 +468,35 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one leader a term, and nothing committed is lost", |_, state: &State| {
-                !state.broken
-            }),
-            Property::sometimes("a member that had lost its past counts again", |_, state: &State| {
-                let again = |m: &Member| m.generation > 0 && m.standing == Standing::Sound;
-                state.members.iter().any(again) && !state.committed.is_empty()
-            }),
+            Property::always(
+                "one leader a term, and nothing committed is lost",
+                |_, state: &State| !state.broken,
+            ),
+            Property::sometimes(
+                "a member that had lost its past counts again",
+                |_, state: &State| {
+                    let again = |m: &Member| m.generation > 0 && m.standing == Standing::Sound;
+                    state.members.iter().any(again) && !state.committed.is_empty()
+                },
+            ),
         ]
     }
 }
 
 /// Three members from the begin; any of them may lose its file.
 fn three(rule: Rule, terms: u8, entries: usize, losses: u8) -> Bounds {
-    Bounds { rule, start: State::begin(3), terms, entries, losses, losers: 3 }
+    Bounds {
+        rule,
+        start: State::begin(3),
+        terms,
+        entries,
+        losses,
+        losers: 3,
+    }
 }
 
-/// Three members, the second of which leads in the first term with the vote of the first; the third has heard of nothing.
-/// The first may lose its file.
+/// Three members, the second of which leads in the first term with the vote of the first; the third
+/// has heard of nothing. The first may lose its file.
 fn led(rule: Rule) -> Bounds {
     let mut start = State::begin(3);
     for at in [0, 1] {
@@ -381,14 +505,33 @@
     }
     start.members[1].role = Role::Leader(BTreeMap::new());
     start.leaders = BTreeMap::from([(1, 1)]);
-    start.sent.insert(Message::Append { from: 1, term: 1, log: vec![1] });
+    start.sent.insert(Message::Append {
+        from: 1,
+        term: 1,
+        log: vec![1],
+    });
     let (generation, known) = (0, vec![0; 3]);
-    start.sent.insert(Message::Ack { from: 0, to: 1, term: 1, length: 1, generation, known });
-    Bounds { rule, start, terms: 2, entries: 1, losses: 1, losers: 1 }
+    start.sent.insert(Message::Ack {
+        from: 0,
+        to: 1,
+        term: 1,
+        length: 1,
+        generation,
+        known,
+    });
+    Bounds {
+        rule,
+        start,
+        terms: 2,
+        entries: 1,
+        losses: 1,
+        losers: 1,
+    }
 }
 
-/// Five members, the third of which leads in the first term and has committed an entry with the fourth and fifth; the first has
-/// given the second its vote for the second term, which is on its way.
+/// Five members, the third of which leads in the first term and has committed an entry with the
+/// fourth and fifth; the first has given the second its vote for the second term, which is on its
+/// way.
 fn five(rule: Rule) -> Bounds {
     let mut start = State::begin(5);
     for at in [2, 3, 4] {
@@ -397,30 +540,61 @@
     }
     start.members[2].role = Role::Leader(BTreeMap::from([(3, 1), (4, 1)]));
     (start.committed, start.leaders) = (vec![1], BTreeMap::from([(1, 2)]));
-    start.sent.insert(Message::Committed { from: 2, term: 1, log: vec![1] });
+    start.sent.insert(Message::Committed {
+        from: 2,
+        term: 1,
+        log: vec![1],
+    });
     for at in [0, 1] {
         let me = &mut start.members[at];
         (me.term, me.vote, me.log) = (2, Some(1), vec![1]);
     }
     start.members[1].role = Role::Candidate(BTreeSet::from([1]));
-    start.sent.insert(Message::Ask { from: 1, term: 2, last: (1, 1) });
+    start.sent.insert(Message::Ask {
+        from: 1,
+        term: 2,
+        last: (1, 1),
+    });
     let (generation, known) = (0, vec![0; 5]);
-    start.sent.insert(Message::Vote { from: 0, to: 1, term: 2, generation, known });
+    start.sent.insert(Message::Vote {
+        from: 0,
+        to: 1,
+        term: 2,
+        generation,
+        known,
+    });
     // Only the first may lose its file; the bound on losses sees to that with the standing below.
-    start.members[0] = Member { standing: Standing::Lost, ..Member::fresh(5) };
-    Bounds { rule, start, terms: 2, entries: 1, losses: 0, losers: 0 }
+    start.members[0] = Member {
+        standing: Standing::Lost,
+        ..Member::fresh(5)
+    };
+    Bounds {
+        rule,
+        start,
+        terms: 2,
+        entries: 1,
+        losses: 0,
+        losers: 0,
+    }
 }
 
 fn check(name: &str, bounds: Bounds) -> bool {
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let rule = bounds.rule;
     let checker = bounds.checker().threads(threads).spawn_bfs().join();
-    let broken = checker.discovery("one leader a term, and nothing committed is lost").is_some();
+    let broken = checker
+        .discovery("one leader a term, and nothing committed is lost")
+        .is_some();
     let (unique, depth) = (checker.unique_state_count(), checker.max_depth());
-    println!("{name}, {rule:?}: {unique} states, depth {depth}, {}", if broken { "broken" } else { "kept" });
+    println!(
+        "{name}, {rule:?}: {unique} states, depth {depth}, {}",
+        if broken { "broken" } else { "kept" }
+    );
     if rule == Rule::Whole {
         assert!(
-            checker.discovery("a member that had lost its past counts again").is_some(),
+            checker
+                .discovery("a member that had lost its past counts again")
+                .is_some(),
             "{name}: nothing was checked"
         );
     }
@@ -433,8 +607,12 @@
     assert!(!check("three members, led", led(Rule::VotesAtOnce)));
     assert!(!check("three members, led", led(Rule::NoBar)));
     if std::env::var("REJOIN_MODEL").is_ok_and(|which| which == "full") {
-        // With three members whoever stands for election is among those that answered; with five it need not be.
+        // With three members whoever stands for election is among those that answered; with five it
+        // need not be.
         assert!(!check("five members", five(Rule::LivesForgotten)));
-        assert!(check("three members from the begin", three(Rule::Whole, 2, 1, 1)));
+        assert!(check(
+            "three members from the begin",
+            three(Rule::Whole, 2, 1, 1)
+        ));
     }
 }
--- a/store/tests/simulation.rs
+++ b/store/tests/simulation.rs
@@ -1,6 +1,6 @@
-//! Members under lost, late and doubled packets, one-way cuts, crashes that lose what was not synced, and lost files; by
-//! seed, so that a seed that fails does so again. `STORE_SEEDS=10000 cargo test --release -p bitternsill-store --test
-//! simulation` plays as many.
+//! Members under lost, late and doubled packets, one-way cuts, crashes that lose what was not
+//! synced, and lost files; by seed, so that a seed that fails does so again. `STORE_SEEDS=10000
+//! cargo test --release -p bitternsill-store --test simulation` plays as many.
 
 mod world;
 
@@ -17,7 +17,8 @@
     assert!(world.furthest > 5, "hardly anything was committed");
 }
 
-/// Each fault is found, from a seed on that is known to find it, so that a few are enough; with `STORE_SEEDS` from 0 on.
+/// Each fault is found, from a seed on that is known to find it, so that a few are enough; with
+/// `STORE_SEEDS` from 0 on.
 #[test]
 fn planted_faults_are_found() {
     for (planted, count, known) in [
@@ -27,12 +28,19 @@
         (Planted::NoBar, 5, 62_062),
         (Planted::VotesForAnyone, 3, 0),
     ] {
-        let (from, seeds) = if seeds() > 60 { (0, 80_000) } else { (known, 300) };
+        let (from, seeds) = if seeds() > 60 {
+            (0, 80_000)
+        } else {
+            (known, 300)
+        };
         let found = first_failure(seeds, |seed| World::new(from + seed, count, planted).play());
         let (seed, problem) = found.unwrap_or_else(|| panic!("{planted:?} went unnoticed"));
         // The same seed without the fault is no failure.
         let world = || World::new(from + seed, count, Planted::Nothing);
         assert_eq!(world().play(), Ok(()), "{planted:?}: seed {}", from + seed);
-        println!("{planted:?}: {count} members, seed {}: {problem}", from + seed);
+        println!(
+            "{planted:?}: {count} members, seed {}: {problem}",
+            from + seed
+        );
     }
 }
--- a/store/tests/transactions.rs
+++ b/store/tests/transactions.rs
@@ -1,5 +1,6 @@
-//! Changes of several keys and reads that ask, by seed, under everything that befalls the members: each change is made once
-//! or never, whole, and everything that is answered fits one order that keeps to real time.
+//! Changes of several keys and reads that ask, by seed, under everything that befalls the members:
+//! each change is made once or never, whole, and everything that is answered fits one order that
+//! keeps to real time.
 
 mod world;
 
@@ -61,15 +62,31 @@
 
 impl Clients {
     fn new(kind: Client) -> Clients {
-        let counter =
-            |_| Counter { doing: Doing::Nothing, member: 1, call: 0, begun: 0, session: None, request: 0 };
+        let counter = |_| Counter {
+            doing: Doing::Nothing,
+            member: 1,
+            call: 0,
+            begun: 0,
+            session: None,
+            request: 0,
+        };
         let counters = (0..4).map(counter).collect();
-        Clients { kind, counters, next: 0, seen: Vec::new(), applied: 0, lost: 0 }
+        Clients {
+            kind,
+            counters,
+            next: 0,
+            seen: Vec::new(),
+            applied: 0,
+            lost: 0,
+        }
     }
 
     /// Whether nobody waits for the outcome of a change.
     fn is_quiet(&self) -> bool {
-        !self.counters.iter().any(|counter| matches!(counter.doing, Doing::Changing(_)))
+        !self
+            .counters
+            .iter()
+            .any(|counter| matches!(counter.doing, Doing::Changing(_)))
     }
 
     fn step(&mut self, world: &mut World, begin: bool) -> Result<(), String> {
@@ -77,23 +94,34 @@
         let mut replies = Vec::new();
         for (id, member) in &mut world.members {
             if let Some(store) = &mut member.store {
-                replies.extend(store.take_replies().into_iter().map(|(call, reply)| (*id, call, reply)));
+                replies.extend(
+                    store
+                        .take_replies()
+                        .into_iter()
+                        .map(|(call, reply)| (*id, call, reply)),
+                );
             }
         }
         for at in 0..self.counters.len() {
             let counter = &self.counters[at];
-            let own = |(_, call, _): &&(u64, CallId, Reply)| *call == counter.call && counter.call > 0;
+            let own =
+                |(_, call, _): &&(u64, CallId, Reply)| *call == counter.call && counter.call > 0;
             let reply = replies.iter().find(own).map(|(.., reply)| reply.clone());
             // A member that lost its power answers nothing any more.
             let late = world.now > counter.begun + PATIENCE + 50 * MS;
-            let reply = reply.or_else(|| (late && counter.doing != Doing::Nothing).then_some(Reply::Unknown));
+            let reply = reply
+                .or_else(|| (late && counter.doing != Doing::Nothing).then_some(Reply::Unknown));
             if let Some(reply) = reply {
                 self.answered(at, reply, world)?;
             }
             let counter = &self.counters[at];
             if counter.doing == Doing::Nothing && begin && world.rng.u8(..) < 20 {
                 let member = 1 + world.rng.u64(0..count);
-                let doing = if counter.session.is_none() { Doing::Opening } else { Doing::Reading };
+                let doing = if counter.session.is_none() {
+                    Doing::Opening
+                } else {
+                    Doing::Reading
+                };
                 self.ask(at, member, doing, world);
             }
         }
@@ -103,7 +131,10 @@
     fn ask(&mut self, at: usize, member: u64, doing: Doing, world: &mut World) {
         self.next += 1;
         let counter = &mut self.counters[at];
-        let again = matches!((&counter.doing, &doing), (Doing::Changing(_), Doing::Changing(_)));
+        let again = matches!(
+            (&counter.doing, &doing),
+            (Doing::Changing(_), Doing::Changing(_))
+        );
         (counter.member, counter.call, counter.doing) = (member, self.next, doing);
         counter.begun = world.now;
         let _ = again;
@@ -115,7 +146,11 @@
         };
         let unasked = self.kind == Client::ReadsUnasked && call == Call::Read;
         let (now, id) = (world.now, self.next);
-        if let Some(store) = world.members.get_mut(&member).and_then(|member| member.store.as_mut()) {
+        if let Some(store) = world
+            .members
+            .get_mut(&member)
+            .and_then(|member| member.store.as_mut())
+        {
             if unasked {
                 let revision = store.applied();
                 let _ = self.answered(at, Reply::Read(revision), world);
@@ -130,10 +165,14 @@
         let counter = &mut self.counters[at];
         match (counter.doing.clone(), reply) {
             (Doing::Opening, Reply::Opened(session)) => {
-                (counter.session, counter.request, counter.doing) = (Some(session), 0, Doing::Nothing);
+                (counter.session, counter.request, counter.doing) =
+                    (Some(session), 0, Doing::Nothing);
             }
             (Doing::Reading, Reply::Read(answered)) => {
-                let store = world.members[&counter.member].store.as_ref().ok_or("it has just answered")?;
+                let store = world.members[&counter.member]
+                    .store
+                    .as_ref()
+                    .ok_or("it has just answered")?;
                 // What is looked at now may be newer than the answer.
                 let revision = store.applied().max(answered);
                 let held = ["a", "b"].map(|key| store.state().held(key).cloned());
@@ -141,13 +180,25 @@
                 if one != other {
                     return Err(format!("half of a change is seen: {held:?}"));
                 }
-                let counted = one.as_ref().map_or(0, |held| held.value.parse().unwrap_or(0));
-                self.seen.push(Seen { begun, ended: now, revision, count: Some(counted) });
+                let counted = one
+                    .as_ref()
+                    .map_or(0, |held| held.value.parse().unwrap_or(0));
+                self.seen.push(Seen {
+                    begun,
+                    ended: now,
+                    revision,
+                    count: Some(counted),
+                });
                 let check = |key: &str| Check {
                     key: key.to_owned(),
-                    expects: one.as_ref().map_or(Expects::Absent, |held| Expects::At(held.revision)),
+                    expects: one
+                        .as_ref()
+                        .map_or(Expects::Absent, |held| Expects::At(held.revision)),
+                };
+                let set = |key: &str| Change {
+                    key: key.to_owned(),
+                    value: Some((counted + 1).to_string()),
                 };
-                let set = |key: &str| Change { key: key.to_owned(), value: Some((counted + 1).to_string()) };
                 counter.request += 1;
                 let txn = Txn {
                     session: counter.session.unwrap_or(0),
@@ -161,14 +212,22 @@
             (Doing::Changing(_), Reply::Made(Outcome::Applied(revision))) => {
                 counter.doing = Doing::Nothing;
                 self.applied += 1;
-                // An answer that came to an earlier try tells of that: it began no later than this one did.
-                self.seen.push(Seen { begun: 0, ended: now, revision, count: None });
+                // An answer that came to an earlier try tells of that: it began no later than this
+                // one did.
+                self.seen.push(Seen {
+                    begun: 0,
+                    ended: now,
+                    revision,
+                    count: None,
+                });
             }
             (Doing::Changing(_), Reply::Made(Outcome::Refused(Refusal::NoSession))) => {
                 (counter.doing, counter.session) = (Doing::Nothing, None);
                 self.lost += 1;
             }
-            (Doing::Changing(_), Reply::Made(Outcome::Refused(_))) => counter.doing = Doing::Nothing,
+            (Doing::Changing(_), Reply::Made(Outcome::Refused(_))) => {
+                counter.doing = Doing::Nothing
+            }
             (Doing::Changing(mut txn), Reply::Unknown) => {
                 if self.kind == Client::AsksAnew {
                     counter.request += 1;
@@ -183,13 +242,24 @@
         Ok(())
     }
 
-    /// Whether all that was answered fits one order that keeps to real time, in which each change counts one.
+    /// Whether all that was answered fits one order that keeps to real time, in which each change
+    /// counts one.
     fn judge(&self, world: &World) -> Result<(), String> {
-        let store = world.members.values().find_map(|member| member.store.as_ref()).ok_or("nobody is up")?;
-        let counted: u64 = store.state().get("a").map_or(0, |value| value.parse().unwrap_or(0));
+        let store = world
+            .members
+            .values()
+            .find_map(|member| member.store.as_ref())
+            .ok_or("nobody is up")?;
+        let counted: u64 = store
+            .state()
+            .get("a")
+            .map_or(0, |value| value.parse().unwrap_or(0));
         let made = self.applied..=self.applied + self.lost;
         if !made.contains(&counted) {
-            return Err(format!("{} changes were made, and the count is {counted}", self.applied));
+            return Err(format!(
+                "{} changes were made, and the count is {counted}",
+                self.applied
+            ));
         }
         let mut by_end: Vec<&Seen> = self.seen.iter().collect();
         by_end.sort_by_key(|seen| seen.ended);
@@ -204,12 +274,18 @@
                 ));
             }
             // Where nothing was lost each count is that of the changes up to its revision.
-            let changes =
-                self.seen.iter().filter(|s| s.count.is_none() && s.revision <= seen.revision).count();
+            let changes = self
+                .seen
+                .iter()
+                .filter(|s| s.count.is_none() && s.revision <= seen.revision)
+                .count();
             if let Some(count) = seen.count.filter(|_| self.lost == 0)
                 && count != changes as u64
             {
-                return Err(format!("{count} was read at {}, after {changes} changes", seen.revision));
+                return Err(format!(
+                    "{count} was read at {}, after {changes} changes",
+                    seen.revision
+                ));
             }
         }
         Ok(())
@@ -235,13 +311,18 @@
 
 #[test]
 fn every_change_is_made_once_and_whole_and_reads_keep_to_real_time() {
-    let failed = first_failure(seeds(), |seed| play(seed, Client::Sound, Planted::Nothing).map(drop));
+    let failed = first_failure(seeds(), |seed| {
+        play(seed, Client::Sound, Planted::Nothing).map(drop)
+    });
     assert_eq!(failed, None);
-    let made: u64 = (0..6).map(|seed| play(seed, Client::Sound, Planted::Nothing).unwrap()).sum();
+    let made: u64 = (0..6)
+        .map(|seed| play(seed, Client::Sound, Planted::Nothing).unwrap())
+        .sum();
     assert!(made > 15, "hardly anything was changed: {made}");
 }
 
-/// Each fault is found within a few seeds from one on that is known to find it; with `STORE_SEEDS` from 0 on.
+/// Each fault is found within a few seeds from one on that is known to find it; with `STORE_SEEDS`
+/// from 0 on.
 #[test]
 fn planted_faults_of_reads_and_repeats_are_found() {
     for (kind, planted, known) in [
@@ -249,10 +330,19 @@
         (Client::AsksAnew, Planted::Nothing, 0),
         (Client::Sound, Planted::UnaskedLeader, 0),
     ] {
-        let (from, seeds) = if seeds() > 60 { (0, 5000) } else { (known, 200) };
+        let (from, seeds) = if seeds() > 60 {
+            (0, 5000)
+        } else {
+            (known, 200)
+        };
         let found = first_failure(seeds, |seed| play(from + seed, kind, planted).map(drop));
-        let (seed, problem) = found.unwrap_or_else(|| panic!("{kind:?} with {planted:?} went unnoticed"));
-        assert!(play(from + seed, Client::Sound, Planted::Nothing).is_ok(), "seed {}", from + seed);
+        let (seed, problem) =
+            found.unwrap_or_else(|| panic!("{kind:?} with {planted:?} went unnoticed"));
+        assert!(
+            play(from + seed, Client::Sound, Planted::Nothing).is_ok(),
+            "seed {}",
+            from + seed
+        );
         println!("{kind:?}, {planted:?}: seed {}: {problem}", from + seed);
     }
 }
--- a/store/tests/world/mod.rs
+++ b/store/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! Members of a store in virtual time, by seed: packets late, lost, doubled and out of order; links cut; power and files lost.
+//! Members of a store in virtual time, by seed: packets late, lost, doubled and out of order; links
+//! cut; power and files lost.
 #![allow(dead_code)] // each simulation uses its share
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,9 +17,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Planted {
     Nothing,
-    /// Writes are said to be done before they are: votes and acknowledgements go out ahead of the disk.
+    /// Writes are said to be done before they are: votes and acknowledgements go out ahead of the
+    /// disk.
     SaysBeforeSync,
-    /// A member whose file is lost votes again as if it had never voted: it takes itself for one that has just joined.
+    /// A member whose file is lost votes again as if it had never voted: it takes itself for one
+    /// that has just joined.
     EmptyVotes,
     /// A restart forgets the vote that its file has.
     VoteForgotten,
@@ -26,11 +29,13 @@
     NoBar,
     /// Every candidate's log is taken to be as good as one's own.
     VotesForAnyone,
-    /// A member that takes itself for the leader answers reads without asking whether it leads still.
+    /// A member that takes itself for the leader answers reads without asking whether it leads
+    /// still.
     UnaskedLeader,
 }
 
-/// How long something takes: mostly up to the first, now and then up to the second, in milliseconds.
+/// How long something takes: mostly up to the first, now and then up to the second, in
+/// milliseconds.
 fn late(rng: &mut fastrand::Rng, usual: u64, seldom: u64) -> Time {
     let most = if rng.u8(..) < 10 { seldom } else { usual };
     rng.u64(0..=most) * MS
@@ -66,7 +71,17 @@
     pub fn new(seed: u64, count: u64, planted: Planted) -> World {
         let member = |id| {
             let (disk, writes) = (Vec::new(), Vec::new());
-            (id, Member { store: None, disk, writes, back_at: 0, voted_in: 0, impaired: false })
+            (
+                id,
+                Member {
+                    store: None,
+                    disk,
+                    writes,
+                    back_at: 0,
+                    voted_in: 0,
+                    impaired: false,
+                },
+            )
         };
         World {
             rng: fastrand::Rng::with_seed(seed),
@@ -94,14 +109,41 @@
             records.retain(|record| !matches!(record, Record::Vote(_)));
         }
         // What its settings say stays as it was at the first start.
-        let membership = Membership { id, members, begins: id == 1, era: 0 };
-        let pace = Pace { heartbeat: 40 * MS, election: 160 * MS };
-        let bounds =
-            Bounds { log: 12, keys: 100, value_bytes: 100, sessions: 8, txn_keys: 8, calls: 8, history: 40 };
+        let membership = Membership {
+            id,
+            members,
+            begins: id == 1,
+            era: 0,
+        };
+        let pace = Pace {
+            heartbeat: 40 * MS,
+            election: 160 * MS,
+        };
+        let bounds = Bounds {
+            log: 12,
+            keys: 100,
+            value_bytes: 100,
+            sessions: 8,
+            txn_keys: 8,
+            calls: 8,
+            history: 40,
+        };
         let seed = self.rng.u64(..);
-        let gone = records.is_empty() && member.voted_in != 0 && self.planted != Planted::EmptyVotes;
-        let kept = if gone { Kept::gone(member.voted_in) } else { Kept::of(records) };
-        member.store = Some(Store::start(&membership, pace, bounds, seed, Some(kept), self.now));
+        let gone =
+            records.is_empty() && member.voted_in != 0 && self.planted != Planted::EmptyVotes;
+        let kept = if gone {
+            Kept::gone(member.voted_in)
+        } else {
+            Kept::of(records)
+        };
+        member.store = Some(Store::start(
+            &membership,
+            pace,
+            bounds,
+            seed,
+            Some(kept),
+            self.now,
+        ));
     }
 
     /// Loses power: what is not synced is gone, and all that is in memory.
@@ -113,7 +155,11 @@
 
     /// Loses a member's file with its power, as long as fewer than half of them are without theirs.
     fn lose_file(&mut self, id: u64, for_: Time) {
-        let impaired = self.members.values().filter(|member| member.impaired).count();
+        let impaired = self
+            .members
+            .values()
+            .filter(|member| member.impaired)
+            .count();
         if impaired + 1 > (self.members.len() - 1) / 2 {
             return;
         }
@@ -123,7 +169,10 @@
         let member = self.members.get_mut(&id).expect("a member");
         (member.disk, member.impaired) = (Vec::new(), true);
         if self.planted == Planted::EmptyVotes && member.voted_in != 0 {
-            let snapshot = Snapshot { members, ..Snapshot::default() };
+            let snapshot = Snapshot {
+                members,
+                ..Snapshot::default()
+            };
             let (cluster, started) = (Record::Cluster(member.voted_in), Record::Start(1 << 20));
             member.disk = vec![cluster, started, Record::Snapshot(snapshot), Record::Joined];
         } else if !keeps_beside {
@@ -145,7 +194,11 @@
                 if write.replaces {
                     member.disk.clear();
                 }
-                if write.records.iter().any(|record| matches!(record, Record::Term(term) if *term > 0)) {
+                if write
+                    .records
+                    .iter()
+                    .any(|record| matches!(record, Record::Term(term) if *term > 0))
+                {
                     member.voted_in = member.store.as_ref().map_or(0, Store::cluster);
                 }
                 member.disk.extend(write.records);
@@ -160,17 +213,20 @@
             }
         }
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.wires).into_iter().partition(|w| w.0 <= now);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.wires)
+            .into_iter()
+            .partition(|w| w.0 <= now);
         self.wires = later;
         for (_, from, to, packet) in due {
             if !self.cut.contains(&(from, to))
                 && let Some(store) = self.members.get_mut(&to).and_then(|m| m.store.as_mut())
             {
-                let mut packet =
-                    Packet::read(packet.write().as_bytes()).map_err(|problem| problem.to_string())?;
+                let mut packet = Packet::read(packet.write().as_bytes())
+                    .map_err(|problem| problem.to_string())?;
                 match (self.planted, &mut packet.body) {
-                    (Planted::NoBar, Body::Told(Told { last, .. })) if store.standing() == Standing::Lost => {
+                    (Planted::NoBar, Body::Told(Told { last, .. }))
+                        if store.standing() == Standing::Lost =>
+                    {
                         (*last, packet.term) = (Position::default(), 0);
                     }
                     (Planted::EmptyVotes, Body::Told(Told { what, newer, .. }))
@@ -179,14 +235,21 @@
                         (*what, *newer) = (What::Whole, false);
                     }
                     (Planted::VotesForAnyone, Body::Vote { last }) => {
-                        *last = Position { index: last.index, term: u64::MAX };
+                        *last = Position {
+                            index: last.index,
+                            term: u64::MAX,
+                        };
                     }
                     _ => {}
                 }
                 if let (Planted::UnaskedLeader, Body::Read { number, life }, true) =
                     (self.planted, &packet.body, store.leads())
                 {
-                    let body = Body::ReadAt { number: *number, life: *life, index: store.applied() };
+                    let body = Body::ReadAt {
+                        number: *number,
+                        life: *life,
+                        index: store.applied(),
+                    };
                     let told = Packet {
                         from: to,
                         cluster: packet.cluster,
@@ -206,10 +269,15 @@
         Ok(())
     }
 
-    /// What a member gives out: writes to its disk, packets to the wires, applied entries to the history.
+    /// What a member gives out: writes to its disk, packets to the wires, applied entries to the
+    /// history.
     fn drain(&mut self, id: u64) -> Result<(), String> {
-        let Some(member) = self.members.get_mut(&id) else { return Ok(()) };
-        let Some(store) = &mut member.store else { return Ok(()) };
+        let Some(member) = self.members.get_mut(&id) else {
+            return Ok(());
+        };
+        let Some(store) = &mut member.store else {
+            return Ok(());
+        };
         for write in store.take_writes() {
             let after = member.writes.last().map_or(self.now, |(at, _)| *at);
             let at = after + late(&mut self.rng, 4, 60);
@@ -224,7 +292,8 @@
             told.entry(revision).or_default().push(change);
         }
         for (revision, changes) in told {
-            // A snapshot tells every key at its own place, and what stands there in the log is among them.
+            // A snapshot tells every key at its own place, and what stands there in the log is
+            // among them.
             match self.log.get(&revision) {
                 Some(held) if !changes.contains(held) => {
                     return Err(format!(
@@ -247,7 +316,8 @@
         Ok(())
     }
 
-    /// Faults for a while, then calm; all must then be one, and have all that anybody was ever shown.
+    /// Faults for a while, then calm; all must then be one, and have all that anybody was ever
+    /// shown.
     pub fn play(&mut self) -> Result<(), String> {
         self.troubled(3000, |_| Ok(()))?;
         self.calmed()
@@ -303,10 +373,19 @@
                 return Ok(());
             }
         }
-        let states: Vec<_> = self.members.values().filter_map(|m| m.store.as_ref()).collect();
-        let states: Vec<_> =
-            states.iter().map(|s| (s.applied(), s.standing(), s.waits_for(), s.state())).collect();
-        Err(format!("entry {} was shown, and after 20 s of calm members hold {states:?}", self.furthest))
+        let states: Vec<_> = self
+            .members
+            .values()
+            .filter_map(|m| m.store.as_ref())
+            .collect();
+        let states: Vec<_> = states
+            .iter()
+            .map(|s| (s.applied(), s.standing(), s.waits_for(), s.state()))
+            .collect();
+        Err(format!(
+            "entry {} was shown, and after 20 s of calm members hold {states:?}",
+            self.furthest
+        ))
     }
 
     /// Every link is whole again.
@@ -316,18 +395,29 @@
 
     /// Whether all members run, hold the same and have all that was ever shown.
     pub fn is_one(&self) -> bool {
-        let stores: Vec<_> = self.members.values().filter_map(|m| m.store.as_ref()).collect();
-        let same = |store: &&Store| store.applied() >= self.furthest && store.state() == stores[0].state();
+        let stores: Vec<_> = self
+            .members
+            .values()
+            .filter_map(|m| m.store.as_ref())
+            .collect();
+        let same =
+            |store: &&Store| store.applied() >= self.furthest && store.state() == stores[0].state();
         stores.len() == self.members.len() && stores.iter().all(same)
     }
 }
 
 pub fn seeds() -> u64 {
-    std::env::var("STORE_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(60)
+    std::env::var("STORE_SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(60)
 }
 
 /// The first seed that fails, of so many, with what failed.
-pub fn first_failure(seeds: u64, play: impl Fn(u64) -> Result<(), String> + Sync) -> Option<(u64, String)> {
+pub fn first_failure(
+    seeds: u64,
+    play: impl Fn(u64) -> Result<(), String> + Sync,
+) -> Option<(u64, String)> {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     let found = Mutex::new(None::<(u64, String)>);
     std::thread::scope(|scope| {
@@ -336,7 +426,12 @@
             scope.spawn(move || {
                 for seed in (first..seeds).step_by(threads as usize) {
                     // What is behind the first one found need not be played.
-                    if found.lock().unwrap().as_ref().is_some_and(|(earlier, _)| *earlier < seed) {
+                    if found
+                        .lock()
+                        .unwrap()
+                        .as_ref()
+                        .is_some_and(|(earlier, _)| *earlier < seed)
+                    {
                         return;
                     }
                     if let Err(problem) = play(seed) {
