--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,5 @@
-//! What many aggregators that share nothing send one cold server in all, also after a lull and told late.
+//! What many aggregators that share nothing send one cold server in all, also after a lull and told
+//! late.
 
 mod common;
 use bramblestair::interface::*;
@@ -9,11 +10,20 @@
 const FALL: Time = 1000 * MS;
 const START_CAPACITY: f64 = 0.2;
 
-/// So many aggregators that have all learned how long a part takes, before one server for all shards, of which each asks
-/// this seldom.
+/// So many aggregators that have all learned how long a part takes, before one server for all
+/// shards, of which each asks this seldom.
 fn aggregators(all: u32, tip_multiple: f64, every: Time, seed: u64) -> Vec<Rig> {
-    let settings = Settings { aggregators: all, ramp: RAMP, fall: FALL, ..ring(1, 1) };
-    let settings = Settings { start_capacity: START_CAPACITY, tip_multiple, ..settings };
+    let settings = Settings {
+        aggregators: all,
+        ramp: RAMP,
+        fall: FALL,
+        ..ring(1, 1)
+    };
+    let settings = Settings {
+        start_capacity: START_CAPACITY,
+        tip_multiple,
+        ..settings
+    };
     let rig = |at| {
         let mut rig = Rig::seeded(settings.clone(), seed * 1000 + u64::from(at));
         // Too seldom to show that a server bears more than one core's work.
@@ -27,21 +37,34 @@
     (0..all).map(rig).collect()
 }
 
-/// The server is back cold, and `later` all learn of it; each then has a query this often, from a moment of its own on, for
-/// three of the told times. When something was sent, counted from the server's start.
+/// The server is back cold, and `later` all learn of it; each then has a query this often, from a
+/// moment of its own on, for three of the told times. When something was sent, counted from the
+/// server's start.
 fn burst(mut rigs: Vec<Rig>, later: Time, every: Time, seed: u64) -> Vec<Time> {
     let (mut sent, mut rng) = (Vec::new(), fastrand::Rng::with_seed(seed));
     for rig in &mut rigs {
         let start = rig.now;
-        let born = Entry { born: start, ..entry(100, 0) };
-        rig.turn(later / 2, &[Event::List { kind: ListKind::Partial, entries: [born].into() }]);
+        let born = Entry {
+            born: start,
+            ..entry(100, 0)
+        };
+        rig.turn(
+            later / 2,
+            &[Event::List {
+                kind: ListKind::Partial,
+                entries: [born].into(),
+            }],
+        );
         rig.turn(later - later / 2, &[Event::Wake]);
         let begin = rig.now;
         let mut next = rng.u64(..every);
         while next < 3 * FALL {
             rig.ask((begin + next).saturating_sub(rig.now), &[0]);
-            let events: Vec<Event> =
-                rig.sends().iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, TOOK)).collect();
+            let events: Vec<Event> = rig
+                .sends()
+                .iter()
+                .map(|s| ended(s.0, 0, s.1, Outcome::Ok, TOOK))
+                .collect();
             sent.extend(rig.sends().iter().map(|_| rig.now - start));
             rig.turn(0, &events);
             next += every / 2 + rng.u64(..every);
@@ -51,14 +74,19 @@
     sent
 }
 
-/// What is sent within any one of the told times, over what may be chance, at the most; and how much is sent in all of what is
-/// allowed.
-/// A case: how many aggregators, the told multiple, how often each usually asks, the lull, and how often it asks then.
+/// What is sent within any one of the told times, over what may be chance, at the most; and how
+/// much is sent in all of what is allowed. A case: how many aggregators, the told multiple, how
+/// often each usually asks, the lull, and how often it asks then.
 fn most_and_used(cases: &[(u32, f64, Time, Time, Time)]) -> (f64, f64) {
     let (mut most, mut total, mut budgets) = (0.0_f64, 0, 0.0);
     for &(all, tip_multiple, every, lull, then) in cases {
         for seed in 0..8 {
-            let sent = burst(aggregators(all, tip_multiple, every, seed), lull, then, seed);
+            let sent = burst(
+                aggregators(all, tip_multiple, every, seed),
+                lull,
+                then,
+                seed,
+            );
             for (at, first) in sent.iter().enumerate() {
                 let within = sent[at..].iter().take_while(|t| **t < first + FALL).count() as f64;
                 let age = (first + FALL / 2) as f64 / RAMP as f64;
@@ -81,18 +109,26 @@
     (most, used)
 }
 
-/// Found on reading: with a share of a seventh of a part, each of thirty aggregators had saved two up over a lull, and a burst
-/// sent them all at once.
+/// Found on reading: with a share of a seventh of a part, each of thirty aggregators had saved two
+/// up over a lull, and a burst sent them all at once.
 #[test]
 fn a_burst_after_a_lull_does_not_find_a_part_saved_up_at_every_aggregator() {
     let (often, then) = (4000 * MS, 100 * MS);
-    let cases = [(30, 1.0, 2500 * MS), (30, 1.5, 4000 * MS), (20, 0.8, 6000 * MS)];
-    let (_, used) = most_and_used(&cases.map(|(all, multiple, lull)| (all, multiple, often, lull, then)));
-    assert!(used > 0.35, "a cold server is left idle: {used:.2} of what it is allowed");
+    let cases = [
+        (30, 1.0, 2500 * MS),
+        (30, 1.5, 4000 * MS),
+        (20, 0.8, 6000 * MS),
+    ];
+    let (_, used) =
+        most_and_used(&cases.map(|(all, multiple, lull)| (all, multiple, often, lull, then)));
+    assert!(
+        used > 0.35,
+        "a cold server is left idle: {used:.2} of what it is allowed"
+    );
 }
 
-/// Found on reading: where each usually asks for less than its share two parts were saved up at each, and a burst, however
-/// large, or one of half as much again for long, brought them out.
+/// Found on reading: where each usually asks for less than its share two parts were saved up at
+/// each, and a burst, however large, or one of half as much again for long, brought them out.
 #[test]
 fn a_burst_does_not_find_parts_saved_up_where_each_asks_seldom_either() {
     let (any, more) = (100 * MS, 2667 * MS);
@@ -103,29 +139,52 @@
         (30, 3.0, 4000 * MS, 6000 * MS, more),
     ];
     let (most, used) = most_and_used(&cases);
-    assert!(used > 0.35, "a cold server is left idle: {used:.2} of what it is allowed");
+    assert!(
+        used > 0.35,
+        "a cold server is left idle: {used:.2} of what it is allowed"
+    );
     assert!(most > 0.5, "nothing was probed: {most:.2} of the limit");
 }
 
-/// Found on reading: where a burst of half as much again is too much, each went on sending two parts that it had saved up.
+/// Found on reading: where a burst of half as much again is too much, each went on sending two
+/// parts that it had saved up.
 #[test]
 fn of_a_burst_too_large_for_a_cold_server_only_a_share_of_a_large_fleet_goes_on() {
     let (lull, often, more) = (2500 * MS, 10_000 * MS, 6667 * MS);
-    let cases =
-        [(100, 4.0, often, lull, more), (100, 3.4, often, lull, more), (100, 3.4, often, 4000 * MS, more)];
+    let cases = [
+        (100, 4.0, often, lull, more),
+        (100, 3.4, often, lull, more),
+        (100, 3.4, often, 4000 * MS, more),
+    ];
     let (most, used) = most_and_used(&cases);
-    assert!(used > 0.35, "a cold server is left idle: {used:.2} of what it is allowed");
+    assert!(
+        used > 0.35,
+        "a cold server is left idle: {used:.2} of what it is allowed"
+    );
     assert!(most > 0.5, "nothing was probed: {most:.2} of the limit");
 }
 
 /// Whether an aggregator of so many sends a cold server a second part within the told time.
 fn sends_two(all: u32, tip_multiple: f64, every: Time) -> bool {
     let rig = &mut aggregators(all, tip_multiple, every, 0)[0];
-    let born = Entry { born: rig.now, ..entry(100, 0) };
-    rig.turn(2500 * MS, &[Event::List { kind: ListKind::Partial, entries: [born].into() }]);
+    let born = Entry {
+        born: rig.now,
+        ..entry(100, 0)
+    };
+    rig.turn(
+        2500 * MS,
+        &[Event::List {
+            kind: ListKind::Partial,
+            entries: [born].into(),
+        }],
+    );
     let mut sends = || {
         rig.ask(TOOK, &[0]);
-        let events: Vec<_> = rig.sends().iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, TOOK)).collect();
+        let events: Vec<_> = rig
+            .sends()
+            .iter()
+            .map(|s| ended(s.0, 0, s.1, Outcome::Ok, TOOK))
+            .collect();
         rig.turn(0, &events);
         events.len()
     };
@@ -133,8 +192,9 @@
     sends() == 1
 }
 
-/// Found by playing: a hundred aggregators, of which one part each is no chance already, left a cold server idle where one
-/// query has two parts for it. Of two dozen one part each is within chance, and two are not.
+/// Found by playing: a hundred aggregators, of which one part each is no chance already, left a
+/// cold server idle where one query has two parts for it. Of two dozen one part each is within
+/// chance, and two are not.
 #[test]
 fn a_second_part_at_once_is_sent_only_where_it_makes_no_difference_to_what_a_burst_may_do() {
     assert!(sends_two(100, 10.0, 10_000 * MS));
--- a/tests/cold_starts.rs
+++ b/tests/cold_starts.rs
@@ -7,40 +7,84 @@
 /// A server that the list says has just started gets its share of the told budget and no more.
 #[test]
 fn a_cold_server_is_sent_little_at_first() {
-    let settings = Settings { ramp: 10_000 * MS, fall: 1000 * MS, start_capacity: 0.2, ..ring(1, 1) };
-    let mut rig = Rig::new(Settings { tip_multiple: 2.0, aggregators: 2, ..settings });
+    let settings = Settings {
+        ramp: 10_000 * MS,
+        fall: 1000 * MS,
+        start_capacity: 0.2,
+        ..ring(1, 1)
+    };
+    let mut rig = Rig::new(Settings {
+        tip_multiple: 2.0,
+        aggregators: 2,
+        ..settings
+    });
     rig.warm_up(100 * MS, &[0]);
-    let born = Entry { born: rig.now, ..entry(100, 0) };
-    rig.turn(0, &[Event::List { kind: ListKind::Partial, entries: [born].into() }]);
+    let born = Entry {
+        born: rig.now,
+        ..entry(100, 0)
+    };
+    rig.turn(
+        0,
+        &[Event::List {
+            kind: ListKind::Partial,
+            entries: [born].into(),
+        }],
+    );
     let mut sent = 0;
     for _ in 0..9 {
         rig.ask(MS, &[0]);
         sent += rig.sends().len();
-        let events: Vec<Event> =
-            rig.sends().iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, 90 * MS)).collect();
+        let events: Vec<Event> = rig
+            .sends()
+            .iter()
+            .map(|s| ended(s.0, 0, s.1, Outcome::Ok, 90 * MS))
+            .collect();
         rig.turn(90 * MS, &events);
     }
     // 2 x 0.2 x 1 s of work, over two aggregators, is two parts of 100 ms.
     assert!((1..=2).contains(&sent), "{sent} parts in its first second");
 }
 
-/// Found on reading: with a ramp but no budget told, the share of a budget was no number, and a new server got nothing.
+/// Found on reading: with a ramp but no budget told, the share of a budget was no number, and a new
+/// server got nothing.
 #[test]
 fn a_cold_server_for_which_no_budget_is_told_is_used_at_once() {
-    let mut rig = Rig::new(Settings { ramp: 10_000 * MS, ..ring(1, 1) });
+    let mut rig = Rig::new(Settings {
+        ramp: 10_000 * MS,
+        ..ring(1, 1)
+    });
     rig.warm_up(100 * MS, &[0]);
-    let born = Entry { born: rig.now, ..entry(100, 0) };
-    rig.turn(0, &[Event::List { kind: ListKind::Partial, entries: [born].into() }]);
+    let born = Entry {
+        born: rig.now,
+        ..entry(100, 0)
+    };
+    rig.turn(
+        0,
+        &[Event::List {
+            kind: ListKind::Partial,
+            entries: [born].into(),
+        }],
+    );
     rig.ask(MS, &[0]);
     assert_eq!(rig.sends().len(), 1);
 }
 
-/// Found on full-size days: each aggregator's share of a cold server's budget is under one part, and all sent theirs at once.
+/// Found on full-size days: each aggregator's share of a cold server's budget is under one part,
+/// and all sent theirs at once.
 #[test]
 fn many_aggregators_take_turns_at_a_cold_server() {
     let all = 40;
-    let settings = Settings { aggregators: all, ramp: 20_000 * MS, fall: 1000 * MS, ..ring(1, 1) };
-    let settings = Settings { start_capacity: 0.2, tip_multiple: 2.0, ..settings };
+    let settings = Settings {
+        aggregators: all,
+        ramp: 20_000 * MS,
+        fall: 1000 * MS,
+        ..ring(1, 1)
+    };
+    let settings = Settings {
+        start_capacity: 0.2,
+        tip_multiple: 2.0,
+        ..settings
+    };
     let mut sent = 0;
     for seed in 0..u64::from(all) {
         let mut rig = Rig::seeded(settings.clone(), seed);
@@ -50,38 +94,76 @@
             let (part, server, _) = rig.sends()[0];
             rig.turn(100 * MS, &[ended(part, 0, server, Outcome::Ok, 100 * MS)]);
         }
-        let born = Entry { born: rig.now, ..entry(100, 0) };
-        rig.turn(0, &[Event::List { kind: ListKind::Partial, entries: [born].into() }]);
+        let born = Entry {
+            born: rig.now,
+            ..entry(100, 0)
+        };
+        rig.turn(
+            0,
+            &[Event::List {
+                kind: ListKind::Partial,
+                entries: [born].into(),
+            }],
+        );
         for _ in 0..10 {
             rig.ask(100 * MS, &[0]);
             sent += rig.sends().len();
         }
     }
     // 2 x 0.2 x 1 s of work is four parts of 100 ms, of which 0.7 is used.
-    assert!((1..=8).contains(&sent), "{sent} parts from all aggregators in the server's first second");
+    assert!(
+        (1..=8).contains(&sent),
+        "{sent} parts from all aggregators in the server's first second"
+    );
 }
 
-/// Found on hand+drain: a shard's last holder came back cold and was sent a third of what it could bear, as the average host
-/// is sent far less than the busiest one shows that a host bears.
+/// Found on hand+drain: a shard's last holder came back cold and was sent a third of what it could
+/// bear, as the average host is sent far less than the busiest one shows that a host bears.
 #[test]
 fn a_cold_server_gets_its_share_of_what_the_busiest_sound_one_bears() {
-    let settings = Settings { aggregators: 2, ramp: 10_000 * MS, fall: 1000 * MS, ..ring(8, 1) };
-    let settings = Settings { start_capacity: 0.32, tip_multiple: 3.0, call_work: 100 * MS, ..settings };
+    let settings = Settings {
+        aggregators: 2,
+        ramp: 10_000 * MS,
+        fall: 1000 * MS,
+        ..ring(8, 1)
+    };
+    let settings = Settings {
+        start_capacity: 0.32,
+        tip_multiple: 3.0,
+        call_work: 100 * MS,
+        ..settings
+    };
     let mut rig = Rig::new(settings);
     rig.warm_up(5 * MS, &[1]);
     let mut sent = 0;
     for round in 0..300 {
         if round == 200 {
-            let born = Entry { born: rig.now, ..entry(100, 0) };
-            rig.turn(0, &[Event::List { kind: ListKind::Partial, entries: [born].into() }]);
+            let born = Entry {
+                born: rig.now,
+                ..entry(100, 0)
+            };
+            rig.turn(
+                0,
+                &[Event::List {
+                    kind: ListKind::Partial,
+                    entries: [born].into(),
+                }],
+            );
         }
         // A hundred parts a second at one server; then as many at the one that has just started.
         rig.ask(5 * MS, &[u32::from(round < 200)]);
         let sends = rig.sends();
         sent += if round < 200 { 0 } else { sends.len() };
-        let events: Vec<Event> = sends.iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, 5 * MS)).collect();
+        let events: Vec<Event> = sends
+            .iter()
+            .map(|s| ended(s.0, 0, s.1, Outcome::Ok, 5 * MS))
+            .collect();
         rig.turn(5 * MS, &events);
     }
-    // 3 x 0.32 x 1 s of a hundred a second; one core shared by two, at 105 ms, would be 4 of them, the average 8.
-    assert!((30..=96).contains(&sent), "{sent} parts in its first second");
+    // 3 x 0.32 x 1 s of a hundred a second; one core shared by two, at 105 ms, would be 4 of them,
+    // the average 8.
+    assert!(
+        (30..=96).contains(&sent),
+        "{sent} parts in its first second"
+    );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,12 +15,20 @@
 }
 
 pub fn entry(id: u32, cell: u32) -> Entry {
-    Entry { server: ServerId(id), cell, ..Entry::default() }
+    Entry {
+        server: ServerId(id),
+        cell,
+        ..Entry::default()
+    }
 }
 
 /// A ring of `cells` cells with one server each, every shard on `reach` of them.
 pub fn ring(cells: u32, reach: u32) -> Settings {
-    Settings { cells, reach, ..Settings::default() }
+    Settings {
+        cells,
+        reach,
+        ..Settings::default()
+    }
 }
 
 impl Rig {
@@ -31,9 +39,19 @@
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
         let entries: Vec<Entry> = (0..settings.cells).map(|c| entry(100 + c, c)).collect();
-        let mut rig =
-            Rig { aggregator: Aggregator::new(settings, seed), now: 1000 * MS, actions: Vec::new(), next: 1 };
-        rig.turn(0, &[Event::List { kind: ListKind::Persisted, entries: entries.into() }]);
+        let mut rig = Rig {
+            aggregator: Aggregator::new(settings, seed),
+            now: 1000 * MS,
+            actions: Vec::new(),
+            next: 1,
+        };
+        rig.turn(
+            0,
+            &[Event::List {
+                kind: ListKind::Persisted,
+                entries: entries.into(),
+            }],
+        );
         rig
     }
 
@@ -49,10 +67,22 @@
         self.next += 1 + shards.len() as u64;
         let parts = shards.len() as u32;
         let id = QueryId(number);
-        let mut events = vec![Event::Query { id, number, class, parts, patience, repeat: false }];
+        let mut events = vec![Event::Query {
+            id,
+            number,
+            class,
+            parts,
+            patience,
+            repeat: false,
+        }];
         for (i, &shard) in shards.iter().enumerate() {
             let weight = 1.0 / f64::from(parts);
-            events.push(Event::Part { id: PartId(number + 1 + i as u64), number, shard, weight });
+            events.push(Event::Part {
+                id: PartId(number + 1 + i as u64),
+                number,
+                shard,
+                weight,
+            });
         }
         (number, events)
     }
@@ -65,7 +95,11 @@
 
     pub fn sends(&self) -> Vec<(PartId, ServerId, Time)> {
         let send = |a: &Action| match *a {
-            Action::Send { part, server, until } => Some((part, server, until)),
+            Action::Send {
+                part,
+                server,
+                until,
+            } => Some((part, server, until)),
             _ => None,
         };
         self.actions.iter().filter_map(send).collect()
@@ -78,8 +112,10 @@
             // A wide query sends one part ahead of the others.
             while !self.sends().is_empty() {
                 let sends = self.sends();
-                let events: Vec<Event> =
-                    sends.iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, took)).collect();
+                let events: Vec<Event> = sends
+                    .iter()
+                    .map(|s| ended(s.0, 0, s.1, Outcome::Ok, took))
+                    .collect();
                 self.turn(took, &events);
             }
         }
@@ -87,5 +123,12 @@
 }
 
 pub fn ended(part: PartId, attempt: u32, server: ServerId, outcome: Outcome, took: Time) -> Event {
-    Event::Ended { part, attempt, server, outcome, took, load: LoadReport::default() }
+    Event::Ended {
+        part,
+        attempt,
+        server,
+        outcome,
+        took,
+        load: LoadReport::default(),
+    }
 }
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -39,7 +39,11 @@
     assert_ne!(copies[0].1, first, "the copy goes to another replica");
     rig.turn(5 * MS, &[ended(part, 1, copies[0].1, Outcome::Ok, 5 * MS)]);
     assert!(rig.actions.contains(&Action::Cancel { part, attempt: 0 }));
-    assert!(rig.actions.iter().any(|a| matches!(a, Action::Answer { whole: true, .. })));
+    assert!(
+        rig.actions
+            .iter()
+            .any(|a| matches!(a, Action::Answer { whole: true, .. }))
+    );
 }
 
 #[test]
@@ -48,7 +52,10 @@
     rig.warm_up(20 * MS, &[0, 2, 4]);
     rig.ask(MS, &[0]);
     let (part, server, _) = rig.sends()[0];
-    rig.turn(30 * MS, &[Event::Wake, ended(part, 0, server, Outcome::Ok, 30 * MS)]);
+    rig.turn(
+        30 * MS,
+        &[Event::Wake, ended(part, 0, server, Outcome::Ok, 30 * MS)],
+    );
     assert_eq!(rig.sends(), []);
 }
 
@@ -80,11 +87,15 @@
     assert!(first.len() < 40, "the two holders of shard 0 are full");
     rig.ask(0, &[2]);
     rig.turn(30 * MS, &[Event::Wake]);
-    assert_eq!(rig.sends(), [], "servers 102 and 103 have room, but parts wait");
+    assert_eq!(
+        rig.sends(),
+        [],
+        "servers 102 and 103 have room, but parts wait"
+    );
 }
 
-/// Found on incident i8175b1: lost answers stretched the 95th percentile of parts, and silent servers' parts were
-/// rescued only when their queries were over.
+/// Found on incident i8175b1: lost answers stretched the 95th percentile of parts, and silent
+/// servers' parts were rescued only when their queries were over.
 #[test]
 fn lost_answers_do_not_put_off_the_rescue_of_the_next() {
     let mut rig = Rig::new(ring(200, 3));
@@ -99,28 +110,40 @@
             let due = |o: &(PartId, u32, ServerId, Time), now| !lost(o.2) && now >= o.3 + 100 * MS;
             let now = rig.now + 10 * MS;
             let answered = out.iter().filter(|o| due(o, now));
-            let ends: Vec<Event> = answered.map(|o| ended(o.0, o.1, o.2, Outcome::Ok, 100 * MS)).collect();
+            let ends: Vec<Event> = answered
+                .map(|o| ended(o.0, o.1, o.2, Outcome::Ok, 100 * MS))
+                .collect();
             out.retain(|o| !due(o, now));
             rig.turn(10 * MS, &ends);
             for s in rig.sends() {
-                waits.extend(out.iter().find(|o| o.0 == s.0).map(|o| (rig.now - o.3) / MS));
+                waits.extend(
+                    out.iter()
+                        .find(|o| o.0 == s.0)
+                        .map(|o| (rig.now - o.3) / MS),
+                );
                 out.push((s.0, 1, s.1, rig.now));
             }
         }
     }
     let late = waits[waits.len() / 2..].iter().max().copied().unwrap_or(0);
-    assert!(waits.len() >= 10, "{} parts met a silent server", waits.len());
+    assert!(
+        waits.len() >= 10,
+        "{} parts met a silent server",
+        waits.len()
+    );
     assert!(late <= 250, "a lost part waited {late} ms for its copy");
 }
 
-/// Found on linen-south, hunted day h8fe4f5: queries of 41 parts were lost by the last one or two, whose copies had
-/// no allowance left.
+/// Found on linen-south, hunted day h8fe4f5: queries of 41 parts were lost by the last one or two,
+/// whose copies had no allowance left.
 #[test]
 fn the_last_parts_of_a_wide_query_are_copied_whatever_was_saved_up() {
     let mut rig = Rig::new(ring(400, 3));
     rig.warm_up(100 * MS, &[0, 100, 200]);
     // Many single parts are slow, and use up what was saved.
-    let events: Vec<Event> = (0..40).flat_map(|i| rig.query(0, 2000 * MS, &[3 * i]).1).collect();
+    let events: Vec<Event> = (0..40)
+        .flat_map(|i| rig.query(0, 2000 * MS, &[3 * i]).1)
+        .collect();
     rig.turn(MS, &events);
     rig.turn(120 * MS, &[Event::Wake]);
     let spent = rig.sends().len();
@@ -129,29 +152,44 @@
     rig.ask(MS, &shards);
     let sends = rig.sends();
     assert_eq!(sends.len(), 30);
-    let ends = sends[2..].iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, 90 * MS));
+    let ends = sends[2..]
+        .iter()
+        .map(|s| ended(s.0, 0, s.1, Outcome::Ok, 90 * MS));
     rig.turn(90 * MS, &ends.collect::<Vec<_>>());
     let mut copied = std::collections::BTreeSet::new();
     for _ in 0..6 {
         rig.turn(10 * MS, &[Event::Wake]);
-        copied.extend(rig.sends().iter().map(|s| s.0).filter(|id| sends.iter().any(|s| s.0 == *id)));
+        copied.extend(
+            rig.sends()
+                .iter()
+                .map(|s| s.0)
+                .filter(|id| sends.iter().any(|s| s.0 == *id)),
+        );
     }
     assert_eq!(copied.len(), 2, "both of the last two");
 }
 
-/// Own stall: what came in meanwhile is taken by how long it was out, so neither copies nor refusals follow.
+/// Own stall: what came in meanwhile is taken by how long it was out, so neither copies nor
+/// refusals follow.
 #[test]
 fn an_own_stall_is_not_read_as_slow_servers() {
     let mut rig = Rig::new(ring(200, 2));
     rig.warm_up(20 * MS, &[0, 50, 100]);
     for _ in 0..12 {
         rig.ask(MS, &[0, 50, 100]);
-        let ends: Vec<Event> = rig.sends().iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, 20 * MS)).collect();
+        let ends: Vec<Event> = rig
+            .sends()
+            .iter()
+            .map(|s| ended(s.0, 0, s.1, Outcome::Ok, 20 * MS))
+            .collect();
         rig.turn(700 * MS, &ends);
         assert_eq!(rig.sends(), [], "all had answered before the stall ended");
     }
     let number = rig.ask(MS, &[0, 50, 100]);
     assert_eq!(rig.sends().len(), 3, "query {number} is started");
     rig.turn(25 * MS, &[Event::Wake]);
-    assert!(!rig.sends().is_empty(), "the timer still stands at the servers' 20 ms");
+    assert!(
+        !rig.sends().is_empty(),
+        "the timer still stands at the servers' 20 ms"
+    );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,7 +7,8 @@
 
 const SERVERS: u32 = 20;
 const AGGREGATORS: u32 = 100;
-/// How long a part takes everywhere, and the work in it: less, as most of it is the way there and back.
+/// How long a part takes everywhere, and the work in it: less, as most of it is the way there and
+/// back.
 const TOOK: Time = 30 * MS;
 const WORK: f64 = 0.015;
 /// Queries a second of each aggregator, and shards of each.
@@ -40,7 +41,9 @@
 impl Fleet {
     fn new(settings: &Settings, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let rigs: Vec<Rig> = (0..AGGREGATORS).map(|_| Rig::seeded(settings.clone(), rng.u64(..))).collect();
+        let rigs: Vec<Rig> = (0..AGGREGATORS)
+            .map(|_| Rig::seeded(settings.clone(), rng.u64(..)))
+            .collect();
         let now = rigs[0].now;
         Fleet {
             rigs,
@@ -62,7 +65,13 @@
 
     fn tell(&mut self, entries: &[Entry]) {
         for at in 0..self.rigs.len() {
-            self.turn(at, vec![Event::List { kind: ListKind::Partial, entries: entries.to_vec().into() }]);
+            self.turn(
+                at,
+                vec![Event::List {
+                    kind: ListKind::Partial,
+                    entries: entries.to_vec().into(),
+                }],
+            );
         }
     }
 
@@ -70,12 +79,21 @@
         let rig = &mut self.rigs[at];
         rig.turn(self.now - rig.now, &events);
         for (part, server, _) in rig.sends() {
-            let leg = self.legs.entry((at, part)).and_modify(|leg| *leg += 1).or_insert(0);
+            let leg = self
+                .legs
+                .entry((at, part))
+                .and_modify(|leg| *leg += 1)
+                .or_insert(0);
             self.sent.entry(server).or_default().push(self.now);
             if !self.silent.contains(&server) {
                 let usual = self.slow.get(&server).copied().unwrap_or(TOOK);
-                let took = if self.refusing.contains(&server) { MS } else { usual };
-                self.due.insert((self.now + took, at, part, *leg, server, took));
+                let took = if self.refusing.contains(&server) {
+                    MS
+                } else {
+                    usual
+                };
+                self.due
+                    .insert((self.now + took, at, part, *leg, server, took));
             }
         }
         for action in self.rigs[at].actions.clone() {
@@ -84,7 +102,10 @@
                 Action::Refuse { query, .. } | Action::Fail { query } => (query, None),
                 _ => continue,
             };
-            let (until, done) = self.open.remove(&(at, query.0)).expect("one final answer to each query");
+            let (until, done) = self
+                .open
+                .remove(&(at, query.0))
+                .expect("one final answer to each query");
             assert!(self.now <= until, "answered in its client's time");
             match kind {
                 Some(true) => assert_eq!(done, SHARDS, "whole only with all parts"),
@@ -107,14 +128,21 @@
             {
                 self.due.pop_first();
                 let refused = self.refusing.contains(&server);
-                let outcome = if refused { Outcome::ConnectFailed } else { Outcome::Ok };
+                let outcome = if refused {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
+                };
                 if !refused
                     && let Some(query) = self.query_of.remove(&(at, part))
                     && let Some((_, done)) = self.open.get_mut(&(at, query))
                 {
                     *done += 1;
                 }
-                events.entry(at).or_default().push(ended(part, leg, server, outcome, took));
+                events
+                    .entry(at)
+                    .or_default()
+                    .push(ended(part, leg, server, outcome, took));
             }
             for at in 0..self.rigs.len() {
                 let mut events = events.remove(&at).unwrap_or_default();
@@ -123,7 +151,9 @@
                     let shards: Vec<u32> = (first..first + SHARDS).map(|s| s % SERVERS).collect();
                     let (number, asked) = self.rigs[at].query(0, PATIENCE, &shards);
                     self.open.insert((at, number), (self.now + PATIENCE, 0));
-                    self.query_of.extend((1..=u64::from(SHARDS)).map(|i| ((at, PartId(number + i)), number)));
+                    self.query_of.extend(
+                        (1..=u64::from(SHARDS)).map(|i| ((at, PartId(number + i)), number)),
+                    );
                     events.extend(asked);
                 }
                 if !events.is_empty() || self.now % (50 * MS) == 0 {
@@ -135,18 +165,33 @@
     }
 }
 
-/// Found on join+vast: of what cold servers could do they were sent a quarter, while the warm ones were overrun.
+/// Found on join+vast: of what cold servers could do they were sent a quarter, while the warm ones
+/// were overrun.
 #[test]
 fn many_aggregators_use_cold_servers_as_far_as_the_rule_lets_them() {
-    let settings =
-        Settings { aggregators: AGGREGATORS, ramp: 18_000 * MS, fall: 1000 * MS, ..ring(SERVERS, 2) };
-    let settings = Settings { start_capacity: 0.32, tip_multiple: 3.0, ..settings };
+    let settings = Settings {
+        aggregators: AGGREGATORS,
+        ramp: 18_000 * MS,
+        fall: 1000 * MS,
+        ..ring(SERVERS, 2)
+    };
+    let settings = Settings {
+        start_capacity: 0.32,
+        tip_multiple: 3.0,
+        ..settings
+    };
     for seed in 0..3 {
         let mut fleet = Fleet::new(&settings, seed);
         fleet.run(6000 * MS);
         let (born, replaced) = (fleet.now, 12);
-        let new = (0..replaced).map(|c| Entry { born, ..entry(200 + c, c) });
-        let old = (0..replaced).map(|c| Entry { standing: Standing::Gone, ..entry(100 + c, c) });
+        let new = (0..replaced).map(|c| Entry {
+            born,
+            ..entry(200 + c, c)
+        });
+        let old = (0..replaced).map(|c| Entry {
+            standing: Standing::Gone,
+            ..entry(100 + c, c)
+        });
         let change: Vec<Entry> = old.chain(new).collect();
         fleet.tell(&change);
         fleet.sent.clear();
@@ -159,44 +204,83 @@
             let sent = &fleet.sent[&ServerId(200 + cell)];
             all += sent.len();
             for &at in sent {
-                let within = sent.iter().filter(|s| **s >= at && **s < at + settings.fall).count() as f64;
+                let within = sent
+                    .iter()
+                    .filter(|s| **s >= at && **s < at + settings.fall)
+                    .count() as f64;
                 let age = (at - born) as f64 / settings.ramp as f64;
                 let capacity = settings.start_capacity + (1.0 - settings.start_capacity) * age;
                 let limit = settings.tip_multiple * capacity / WORK;
-                assert!(within <= limit, "seed {seed}: {within} in a second to a server good for {limit:.0}");
+                assert!(
+                    within <= limit,
+                    "seed {seed}: {within} in a second to a server good for {limit:.0}"
+                );
             }
         }
         let used = all as f64 / f64::from(replaced) / 6.0 / warm;
-        assert!((0.5..=1.2).contains(&used), "seed {seed}: {used:.2} of what a warm server is sent");
+        assert!(
+            (0.5..=1.2).contains(&used),
+            "seed {seed}: {used:.2} of what a warm server is sent"
+        );
     }
 }
 
 /// A class that may be answered from half of its parts.
 fn settings() -> Settings {
-    let class =
-        Class { floor: 0.5, short_worth: 0.8, aim: 1000 * MS, deadline: PATIENCE, ..Class::default() };
-    let settings =
-        Settings { aggregators: AGGREGATORS, ramp: 18_000 * MS, fall: 1000 * MS, ..ring(SERVERS, 2) };
-    Settings { start_capacity: 0.32, tip_multiple: 3.0, classes: vec![class], ..settings }
+    let class = Class {
+        floor: 0.5,
+        short_worth: 0.8,
+        aim: 1000 * MS,
+        deadline: PATIENCE,
+        ..Class::default()
+    };
+    let settings = Settings {
+        aggregators: AGGREGATORS,
+        ramp: 18_000 * MS,
+        fall: 1000 * MS,
+        ..ring(SERVERS, 2)
+    };
+    Settings {
+        start_capacity: 0.32,
+        tip_multiple: 3.0,
+        classes: vec![class],
+        ..settings
+    }
 }
 
-/// A restart in the middle of a release: all aggregators know nothing, most servers are cold and some never answer.
+/// A restart in the middle of a release: all aggregators know nothing, most servers are cold and
+/// some never answer.
 #[test]
 fn every_query_ends_once_and_in_time_where_most_servers_are_cold_and_some_silent() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(&settings(), seed);
         let born = fleet.now;
-        fleet.tell(&(0..14).map(|c| Entry { born, ..entry(100 + c, c) }).collect::<Vec<_>>());
+        fleet.tell(
+            &(0..14)
+                .map(|c| Entry {
+                    born,
+                    ..entry(100 + c, c)
+                })
+                .collect::<Vec<_>>(),
+        );
         fleet.silent = [103, 116].map(ServerId).into();
         fleet.run(6000 * MS);
         let asked = fleet.whole + fleet.partial + fleet.refused;
         assert!(asked > 900, "{asked} queries are enough to mean something");
-        assert!(fleet.open.values().all(|(until, _)| *until > fleet.now), "none is left behind");
-        assert!(fleet.whole * 10 > asked * 5, "seed {seed}: {} of {asked} whole", fleet.whole);
+        assert!(
+            fleet.open.values().all(|(until, _)| *until > fleet.now),
+            "none is left behind"
+        );
+        assert!(
+            fleet.whole * 10 > asked * 5,
+            "seed {seed}: {} of {asked} whole",
+            fleet.whole
+        );
     }
 }
 
-/// Most of the list is replaced within seconds: what leaves gets nothing more from the moment it is told.
+/// Most of the list is replaced within seconds: what leaves gets nothing more from the moment it is
+/// told.
 #[test]
 fn nothing_goes_to_leaving_servers_while_most_of_the_list_is_replaced() {
     let mut fleet = Fleet::new(&settings(), 7);
@@ -204,56 +288,103 @@
     for batch in 0..3 {
         // Each slice keeps one sound holder, as releases leave it.
         let cells = (0..4).map(|i| batch + 5 * i);
-        let leaving = cells.clone().map(|c| Entry { standing: Standing::Draining, ..entry(100 + c, c) });
+        let leaving = cells.clone().map(|c| Entry {
+            standing: Standing::Draining,
+            ..entry(100 + c, c)
+        });
         fleet.tell(&leaving.collect::<Vec<_>>());
         fleet.sent.clear();
         fleet.run(1000 * MS);
         let born = fleet.now;
-        let gone = cells.clone().map(|c| Entry { standing: Standing::Gone, ..entry(100 + c, c) });
-        let new = cells.clone().map(|c| Entry { born, ..entry(200 + c, c) });
+        let gone = cells.clone().map(|c| Entry {
+            standing: Standing::Gone,
+            ..entry(100 + c, c)
+        });
+        let new = cells.clone().map(|c| Entry {
+            born,
+            ..entry(200 + c, c)
+        });
         fleet.tell(&gone.chain(new).collect::<Vec<_>>());
         fleet.run(1000 * MS);
-        let late: usize = cells.filter_map(|c| fleet.sent.get(&ServerId(100 + c))).map(Vec::len).sum();
-        assert_eq!(late, 0, "parts to servers of batch {batch} after the notice");
+        let late: usize = cells
+            .filter_map(|c| fleet.sent.get(&ServerId(100 + c)))
+            .map(Vec::len)
+            .sum();
+        assert_eq!(
+            late, 0,
+            "parts to servers of batch {batch} after the notice"
+        );
     }
     let asked = fleet.whole + fleet.partial + fleet.refused;
-    assert!(fleet.whole * 10 > asked * 9, "{} of {asked} whole", fleet.whole);
+    assert!(
+        fleet.whole * 10 > asked * 9,
+        "{} of {asked} whole",
+        fleet.whole
+    );
 }
 
-/// A server at its limit of connections refuses all for a while: no storm on it, and no exclusion once it takes them.
+/// A server at its limit of connections refuses all for a while: no storm on it, and no exclusion
+/// once it takes them.
 #[test]
 fn a_server_that_refuses_connections_is_tried_seldom_and_taken_back() {
     let mut fleet = Fleet::new(&settings(), 9);
     fleet.run(3000 * MS);
-    let usual = fleet.sent.insert(ServerId(105), Vec::new()).unwrap_or_default().len();
+    let usual = fleet
+        .sent
+        .insert(ServerId(105), Vec::new())
+        .unwrap_or_default()
+        .len();
     fleet.refusing.insert(ServerId(105));
     fleet.run(3000 * MS);
-    let tried = fleet.sent.insert(ServerId(105), Vec::new()).unwrap_or_default().len();
-    assert!(tried * 4 < usual * 3, "{tried} attempts while it refuses, {usual} before");
+    let tried = fleet
+        .sent
+        .insert(ServerId(105), Vec::new())
+        .unwrap_or_default()
+        .len();
+    assert!(
+        tried * 4 < usual * 3,
+        "{tried} attempts while it refuses, {usual} before"
+    );
     fleet.refusing.clear();
-    // Each aggregator hears of it twice a second at most, and believes in it again after several answers.
+    // Each aggregator hears of it twice a second at most, and believes in it again after several
+    // answers.
     fleet.run(27_000 * MS);
     fleet.sent.clear();
     fleet.run(3000 * MS);
     let back = fleet.sent.get(&ServerId(105)).map_or(0, Vec::len);
-    assert!(back * 3 > usual * 2, "{back} parts after it takes them again, {usual} before");
+    assert!(
+        back * 3 > usual * 2,
+        "{back} parts after it takes them again, {usual} before"
+    );
     let asked = fleet.whole + fleet.partial + fleet.refused;
-    assert!(fleet.refused * 100 < asked, "{} of {asked} refused", fleet.refused);
+    assert!(
+        fleet.refused * 100 < asked,
+        "{} of {asked} refused",
+        fleet.refused
+    );
 }
 
-/// A hundred that restart together, each with what it had learned itself: the slow are spared from the first second on, no
-/// sound one is flocked to, and a memory that is wrong of every server brings no storm either.
+/// A hundred that restart together, each with what it had learned itself: the slow are spared from
+/// the first second on, no sound one is flocked to, and a memory that is wrong of every server
+/// brings no storm either.
 #[test]
 fn gatherers_that_restart_together_with_what_they_learned_do_not_flock() {
     let slow: BTreeMap<ServerId, Time> = [104, 111, 117].map(|id| (ServerId(id), 400 * MS)).into();
     for seed in 0..3 {
         let mut before = Fleet::new(&settings(), seed);
         before.slow = slow.clone();
-        before.rigs.iter_mut().for_each(|rig| drop(rig.aggregator.learned(0)));
+        before
+            .rigs
+            .iter_mut()
+            .for_each(|rig| drop(rig.aggregator.learned(0)));
         before.run(8000 * MS);
-        let learned: Vec<Learned> =
-            before.rigs.iter_mut().map(|rig| rig.aggregator.learned(SERVERS as usize)).collect();
-        // By what is remembered: the parts that slow servers get in the first second, and the most that another gets.
+        let learned: Vec<Learned> = before
+            .rigs
+            .iter_mut()
+            .map(|rig| rig.aggregator.learned(SERVERS as usize))
+            .collect();
+        // By what is remembered: the parts that slow servers get in the first second, and the most
+        // that another gets.
         let restart = |shift: Option<u32>| {
             let mut fleet = Fleet::new(&settings(), 100 + seed);
             fleet.slow = slow.clone();
@@ -267,10 +398,17 @@
             fleet.run(1000 * MS);
             let count = |id: &ServerId| fleet.sent.get(id).map_or(0, Vec::len);
             let spared: usize = slow.keys().map(count).sum();
-            let ids = (0..SERVERS).map(|c| ServerId(100 + c)).filter(|id| !slow.contains_key(id));
+            let ids = (0..SERVERS)
+                .map(|c| ServerId(100 + c))
+                .filter(|id| !slow.contains_key(id));
             let most = ids.map(|id| count(&id)).max().unwrap_or(0);
             fleet.run(3000 * MS);
-            (spared, most, fleet.whole, fleet.whole + fleet.partial + fleet.refused)
+            (
+                spared,
+                most,
+                fleet.whole,
+                fleet.whole + fleet.partial + fleet.refused,
+            )
         };
         let (none, own, wrong) = (restart(None), restart(Some(0)), restart(Some(5)));
         eprintln!("seed {seed}: none {none:?}, own {own:?}, wrong {wrong:?}");
@@ -288,21 +426,36 @@
                 none.1
             );
             let share = |t: (usize, usize, u32, u32)| f64::from(t.2) / f64::from(t.3);
-            assert!(share(told) > share(none) - 0.03, "seed {seed}: {told:?} against {none:?}");
+            assert!(
+                share(told) > share(none) - 0.03,
+                "seed {seed}: {told:?} against {none:?}"
+            );
         }
     }
 }
 
-/// What becomes of the calls of so many aggregators when none of them is answered: how many begin in each second, and the
-/// longest that one stays without a call under way. A call that is not answered takes a second to fail.
+/// What becomes of the calls of so many aggregators when none of them is answered: how many begin
+/// in each second, and the longest that one stays without a call under way. A call that is not
+/// answered takes a second to fail.
 fn calls_unanswered(aggregators: u32, known: bool) -> (Vec<u32>, Time, Vec<Rig>) {
-    let settings = Settings { list_on_request: true, ask_within: 10_000 * MS, aggregators, ..ring(4, 2) };
+    let settings = Settings {
+        list_on_request: true,
+        ask_within: 10_000 * MS,
+        aggregators,
+        ..ring(4, 2)
+    };
     // By aggregator: when its next call fails, and when the last one did.
     let mut rigs: Vec<(Rig, Option<Time>, Time)> = (0..u64::from(aggregators))
         .map(|seed| {
             let mut rig = Rig::seeded(settings.clone(), seed);
             if !known {
-                rig.turn(0, &[Event::List { kind: ListKind::Complete, entries: Vec::new().into() }]);
+                rig.turn(
+                    0,
+                    &[Event::List {
+                        kind: ListKind::Complete,
+                        entries: Vec::new().into(),
+                    }],
+                );
             }
             (rig, Some(1000 * MS), 0)
         })
@@ -312,9 +465,14 @@
     for step in 1..600 {
         let now = start + step * 100 * MS;
         for (rig, fails, failed) in &mut rigs {
-            let due = fails.take_if(|at| start + *at <= now).map(|_| Event::ListFailed { refused: true });
+            let due = fails
+                .take_if(|at| start + *at <= now)
+                .map(|_| Event::ListFailed { refused: true });
             *failed = if due.is_some() { now } else { *failed };
-            rig.turn(now - rig.now, &due.into_iter().chain([Event::Wake]).collect::<Vec<_>>());
+            rig.turn(
+                now - rig.now,
+                &due.into_iter().chain([Event::Wake]).collect::<Vec<_>>(),
+            );
             if rig.actions.contains(&Action::Watch(true)) && fails.is_none() {
                 calls[step as usize / 10] += 1;
                 longest = longest.max(now - *failed);
@@ -322,17 +480,25 @@
             }
         }
     }
-    (calls, longest, rigs.into_iter().map(|(rig, ..)| rig).collect())
+    (
+        calls,
+        longest,
+        rigs.into_iter().map(|(rig, ..)| rig).collect(),
+    )
 }
 
-/// Found on herd+vast: once its watches were lost discovery was called a hundred times a second for the rest of the day,
-/// answered none, and ninety aggregators went on with the list from before the release.
+/// Found on herd+vast: once its watches were lost discovery was called a hundred times a second for
+/// the rest of the day, answered none, and ninety aggregators went on with the list from before the
+/// release.
 #[test]
 fn calls_for_a_first_list_that_fail_for_all_grow_few_and_spread_out() {
     for (aggregators, bounds) in [(100, 40..=130), (3, 5..=16)] {
         let (calls, _, mut rigs) = calls_unanswered(aggregators, false);
         let settled: u32 = calls[20..40].iter().sum();
-        assert!(calls[20..].iter().max() <= Some(&(aggregators / 4).max(3)), "{aggregators}: {calls:?}");
+        assert!(
+            calls[20..].iter().max() <= Some(&(aggregators / 4).max(3)),
+            "{aggregators}: {calls:?}"
+        );
         assert!(
             bounds.contains(&(settled / 2)),
             "{settled} calls of {aggregators} in 20 s, not within twice {bounds:?}"
@@ -340,15 +506,25 @@
         // Once the list has come the next failure is the first.
         let rig = &mut rigs[0];
         let (kind, entries) = (ListKind::Partial, Vec::new().into());
-        rig.turn(MS, &[Event::List { kind, entries }, Event::ListFailed { refused: true }]);
+        rig.turn(
+            MS,
+            &[
+                Event::List { kind, entries },
+                Event::ListFailed { refused: true },
+            ],
+        );
         rig.turn(1300 * MS, &[Event::Wake]);
-        assert!(rig.actions.contains(&Action::Watch(true)), "called again within an eighth of the told time");
+        assert!(
+            rig.actions.contains(&Action::Watch(true)),
+            "called again within an eighth of the told time"
+        );
     }
 }
 
-/// Whoever has a list must hear what leaves it 6 s after discovery had it, whatever call failed before: found on reading, as
-/// a fleet of a hundred waited up to 20 s between two calls. The waits still grow and spread. How long they may be together with
-/// what went before is in `bitternsill/tests/limits.rs`; that allows a hundred no fewer calls than are told here.
+/// Whoever has a list must hear what leaves it 6 s after discovery had it, whatever call failed
+/// before: found on reading, as a fleet of a hundred waited up to 20 s between two calls. The waits
+/// still grow and spread. How long they may be together with what went before is in
+/// `bitternsill/tests/limits.rs`; that allows a hundred no fewer calls than are told here.
 #[test]
 fn a_known_list_is_asked_for_again_in_time_by_few_at_once() {
     for (aggregators, fewest, most, mean, first) in [
@@ -358,20 +534,38 @@
         (3, 0, 4, 2, 400 * MS),
     ] {
         let (calls, longest, mut rigs) = calls_unanswered(aggregators, true);
-        assert!(longest <= 2_700 * MS, "{aggregators}: {} ms without a call", longest / MS);
+        assert!(
+            longest <= 2_700 * MS,
+            "{aggregators}: {} ms without a call",
+            longest / MS
+        );
         let settled = calls[20..].iter().max().copied().unwrap_or(0);
         assert!(settled <= most, "{aggregators}: {calls:?}");
         let all: u32 = calls[20..].iter().sum();
         assert!(all <= mean * 40, "{aggregators}: {all} calls in 40 s");
         let least = calls[20..].iter().min().copied().unwrap_or(0);
-        assert!(least + 1 > fewest / 2, "{aggregators} do not come together: {calls:?}");
-        // A first failure is of a watch, which may have been silent before; a second of a call behind that.
+        assert!(
+            least + 1 > fewest / 2,
+            "{aggregators} do not come together: {calls:?}"
+        );
+        // A first failure is of a watch, which may have been silent before; a second of a call
+        // behind that.
         for rig in &mut rigs {
-            rig.turn(MS, &[Event::List { kind: ListKind::Partial, entries: Vec::new().into() }]);
+            rig.turn(
+                MS,
+                &[Event::List {
+                    kind: ListKind::Partial,
+                    entries: Vec::new().into(),
+                }],
+            );
             for most in [first, 2 * first] {
                 rig.turn(MS, &[Event::ListFailed { refused: true }]);
                 rig.turn(most, &[Event::Wake]);
-                assert!(rig.actions.contains(&Action::Watch(true)), "not within {} ms", most / MS);
+                assert!(
+                    rig.actions.contains(&Action::Watch(true)),
+                    "not within {} ms",
+                    most / MS
+                );
             }
         }
     }
--- a/tests/query_deadlines.rs
+++ b/tests/query_deadlines.rs
@@ -7,31 +7,60 @@
 #[test]
 fn a_query_that_cannot_be_sent_is_refused_before_its_client_leaves() {
     let mut rig = Rig::new(ring(3, 1));
-    rig.turn(0, &[Event::List { kind: ListKind::Complete, entries: [].into() }]);
+    rig.turn(
+        0,
+        &[Event::List {
+            kind: ListKind::Complete,
+            entries: [].into(),
+        }],
+    );
     let number = rig.ask(MS, &[0]);
     let mut ended = None;
     for _ in 0..2000 {
         rig.turn(MS, &[Event::Wake]);
-        if rig.actions.iter().any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number)) {
+        if rig
+            .actions
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number))
+        {
             ended = Some(rig.now);
             break;
         }
     }
-    assert!(ended.is_some_and(|at| at <= 1001 * MS + 1000 * MS), "ended at its aim: {ended:?}");
+    assert!(
+        ended.is_some_and(|at| at <= 1001 * MS + 1000 * MS),
+        "ended at its aim: {ended:?}"
+    );
 }
 
 #[test]
 fn an_unsafe_part_that_may_have_run_is_not_sent_again_and_its_query_fails() {
-    let class = Class { effect: Effect::Unsafe, ..Class::default() };
-    let mut rig = Rig::new(Settings { classes: vec![class], ..ring(3, 3) });
+    let class = Class {
+        effect: Effect::Unsafe,
+        ..Class::default()
+    };
+    let mut rig = Rig::new(Settings {
+        classes: vec![class],
+        ..ring(3, 3)
+    });
     rig.ask(0, &[0]);
     let (part, server, _) = rig.sends()[0];
-    rig.turn(5 * MS, &[ended(part, 0, server, Outcome::ConnectFailed, 5 * MS)]);
+    rig.turn(
+        5 * MS,
+        &[ended(part, 0, server, Outcome::ConnectFailed, 5 * MS)],
+    );
     let (again, second, _) = rig.sends()[0];
     assert_eq!(again, part, "never ran: another attempt is harmless");
     rig.turn(5 * MS, &[ended(part, 1, second, Outcome::Reset, 5 * MS)]);
-    assert!(rig.actions.iter().any(|a| matches!(a, Action::Fail { .. })), "given up, and said so at once");
-    assert!(!rig.actions.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Send { .. })));
+    assert!(
+        rig.actions.iter().any(|a| matches!(a, Action::Fail { .. })),
+        "given up, and said so at once"
+    );
+    assert!(
+        !rig.actions
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { .. } | Action::Send { .. }))
+    );
 }
 
 /// Found on an incident: a query was started on the servers with room and never finished.
@@ -43,7 +72,11 @@
         !rig.sends().is_empty()
     } {}
     rig.ask(0, &[0, 1]);
-    assert_eq!(rig.sends(), [], "server 100 is full, so nothing goes to 101 either");
+    assert_eq!(
+        rig.sends(),
+        [],
+        "server 100 is full, so nothing goes to 101 either"
+    );
 }
 
 /// Found on overloaded days: a client's repeat was served as if its aim began anew.
@@ -56,16 +89,29 @@
     }
     let (number, events) = rig.query(0, 900 * MS, &[1]);
     rig.turn(MS, &events);
-    assert!(rig.actions.iter().any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number)));
+    assert!(
+        rig.actions
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number))
+    );
     assert_eq!(rig.sends(), []);
 }
 
-/// Found on the small twin of an incident: rule 1 broke when a first step was answered at its last moment.
+/// Found on the small twin of an incident: rule 1 broke when a first step was answered at its last
+/// moment.
 #[test]
 fn a_two_step_query_ends_in_time_at_either_step() {
-    let class = Class { floor: 0.4, short_worth: 0.95, second_step: 2, ..Class::default() };
+    let class = Class {
+        floor: 0.4,
+        short_worth: 0.95,
+        second_step: 2,
+        ..Class::default()
+    };
     for answered_at in [10 * MS, 997 * MS, 999 * MS] {
-        let mut rig = Rig::new(Settings { classes: vec![class.clone()], ..ring(3, 2) });
+        let mut rig = Rig::new(Settings {
+            classes: vec![class.clone()],
+            ..ring(3, 2)
+        });
         let number = rig.ask(0, &[0, 1]);
         let start = rig.now;
         let sends = rig.sends();
@@ -81,10 +127,25 @@
             }
             finals += usize::from(answers == 2);
         };
-        rig.turn(answered_at, &sends.iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, MS)).collect::<Vec<_>>());
+        rig.turn(
+            answered_at,
+            &sends
+                .iter()
+                .map(|s| ended(s.0, 0, s.1, Outcome::Ok, MS))
+                .collect::<Vec<_>>(),
+        );
         count(&rig);
-        let part = |id| Event::Part { id: PartId(id), number, shard: 0, weight: 0.5 };
-        if rig.actions.iter().any(|a| matches!(a, Action::Answer { .. })) {
+        let part = |id| Event::Part {
+            id: PartId(id),
+            number,
+            shard: 0,
+            weight: 0.5,
+        };
+        if rig
+            .actions
+            .iter()
+            .any(|a| matches!(a, Action::Answer { .. }))
+        {
             rig.turn(MS, &[part(90), part(91)]);
             count(&rig);
         }
@@ -96,7 +157,8 @@
     }
 }
 
-/// Found on incident i6064cb: queries waited until just the median was left, were started, and timed out.
+/// Found on incident i6064cb: queries waited until just the median was left, were started, and
+/// timed out.
 #[test]
 fn a_query_is_not_started_with_too_little_time_left() {
     let mut rig = Rig::new(ring(4, 2));
@@ -104,41 +166,61 @@
         // One answer in eight takes 300 ms: the median is 20 ms, the 95th percentile is not.
         rig.ask(MS, &[i % 4]);
         let took = if i % 8 == 0 { 300 * MS } else { 20 * MS };
-        let answers: Vec<Event> = rig.sends().iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, took)).collect();
+        let answers: Vec<Event> = rig
+            .sends()
+            .iter()
+            .map(|s| ended(s.0, 0, s.1, Outcome::Ok, took))
+            .collect();
         rig.turn(took, &answers);
     }
     // A repeat with 1200 of 2000 ms of patience is 800 ms old: 200 ms of its aim are left.
     let (number, events) = rig.query(0, 1200 * MS, &[0]);
     rig.turn(MS, &events);
     assert_eq!(rig.sends(), []);
-    assert!(rig.actions.iter().any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number)));
+    assert!(
+        rig.actions
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number))
+    );
     let (_, events) = rig.query(0, 1600 * MS, &[0]);
     rig.turn(MS, &events);
     assert_eq!(rig.sends().len(), 1, "with more time left it is sent");
 }
 
-/// Found on incident i6064cb: first tries of clients with a shorter patience were taken for old repeats.
+/// Found on incident i6064cb: first tries of clients with a shorter patience were taken for old
+/// repeats.
 #[test]
 fn clients_may_have_more_than_one_usual_patience() {
     for repeats_marked in [false, true] {
-        let mut rig = Rig::new(Settings { repeats_marked, ..ring(6, 3) });
+        let mut rig = Rig::new(Settings {
+            repeats_marked,
+            ..ring(6, 3)
+        });
         let mut refused = 0;
         for i in 0..60 {
-            let patience = if i >= 20 && i % 3 == 0 { 1100 * MS } else { 1800 * MS };
+            let patience = if i >= 20 && i % 3 == 0 {
+                1100 * MS
+            } else {
+                1800 * MS
+            };
             let (number, events) = rig.query(0, patience, &[i % 6]);
             rig.turn(MS, &events);
-            let ended_it = |a: &Action| matches!(a, Action::Refuse { query, .. } if query.0 == number);
+            let ended_it =
+                |a: &Action| matches!(a, Action::Refuse { query, .. } if query.0 == number);
             refused += usize::from(i > 40 && rig.actions.iter().any(ended_it));
-            let answers: Vec<Event> =
-                rig.sends().iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, 300 * MS)).collect();
+            let answers: Vec<Event> = rig
+                .sends()
+                .iter()
+                .map(|s| ended(s.0, 0, s.1, Outcome::Ok, 300 * MS))
+                .collect();
             rig.turn(300 * MS, &answers);
         }
         assert_eq!(refused, 0, "marked: {repeats_marked}");
     }
 }
 
-/// Found on full-size days: time-outs at the holders of a popular shard, and every query that touched it was lost
-/// after its other parts had been served.
+/// Found on full-size days: time-outs at the holders of a popular shard, and every query that
+/// touched it was lost after its other parts had been served.
 #[test]
 fn a_query_for_a_jammed_shard_is_refused_unsent_where_evidence_is_thin() {
     let mut rig = Rig::new(ring(200, 2));
@@ -148,21 +230,37 @@
     rig.turn(900 * MS, &[ended(part, 0, server, Outcome::Ok, 900 * MS)]);
     let number = rig.ask(MS, &[10, 60, 110, 160]);
     assert_eq!(rig.sends(), []);
-    assert!(rig.actions.iter().any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number)));
+    assert!(
+        rig.actions
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number))
+    );
     rig.ask(MS, &[60, 110, 160]);
     assert_eq!(rig.sends().len(), 3, "other shards are served");
     rig.ask(4000 * MS, &[10]);
-    assert_eq!(rig.sends().len(), 1, "and so is this one when its queue has had time to drain");
+    assert_eq!(
+        rig.sends().len(),
+        1,
+        "and so is this one when its queue has had time to drain"
+    );
 }
 
-/// Clients with little time: a first try is started by a share of its own time, not of its class's aim.
+/// Clients with little time: a first try is started by a share of its own time, not of its class's
+/// aim.
 #[test]
 fn a_first_try_with_little_time_is_started() {
-    let mut rig = Rig::new(Settings { repeats_marked: true, ..ring(4, 2) });
+    let mut rig = Rig::new(Settings {
+        repeats_marked: true,
+        ..ring(4, 2)
+    });
     for i in 0..40 {
         rig.ask(MS, &[i % 4]);
         let took = if i % 8 == 0 { 300 } else { 60 } * MS;
-        let ends: Vec<Event> = rig.sends().iter().map(|s| ended(s.0, 0, s.1, Outcome::Ok, took)).collect();
+        let ends: Vec<Event> = rig
+            .sends()
+            .iter()
+            .map(|s| ended(s.0, 0, s.1, Outcome::Ok, took))
+            .collect();
         rig.turn(took, &ends);
     }
     let (_, events) = rig.query(0, 250 * MS, &[0]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,8 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const CELLS: u32 = 6;
-const OUTCOMES: [Outcome; 6] =
-    [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed];
+const OUTCOMES: [Outcome; 6] = [
+    Outcome::Ok,
+    Outcome::Ok,
+    Outcome::Error,
+    Outcome::Full,
+    Outcome::Reset,
+    Outcome::ConnectFailed,
+];
 
 /// An attempt that is out: server, sent at, until, how it will end, when.
 type Out = (ServerId, Time, Time, Outcome, Time);
@@ -51,7 +57,10 @@
             class(Effect::Keyed, 1.0, 0),
             class(Effect::Unsafe, 1.0, 0),
             // Any six tenths of the parts make a whole answer.
-            Class { need: 0.6, ..class(Effect::Safe, 0.6, 0) },
+            Class {
+                need: 0.6,
+                ..class(Effect::Safe, 0.6, 0)
+            },
         ],
         cells: CELLS,
         reach: if rng.bool() { 1 } else { 3 },
@@ -63,7 +72,11 @@
         ramp: 3000 * MS,
         tip_multiple: 2.0,
         fall: 500 * MS,
-        budget: Some(Budget { free: rng.u64(0..5), ratio: 0.05, window: 500 * MS }),
+        budget: Some(Budget {
+            free: rng.u64(0..5),
+            ratio: 0.05,
+            window: 500 * MS,
+        }),
         probes: rng.bool(),
         cancels: rng.bool(),
         ..Settings::default()
@@ -78,7 +91,9 @@
     let mut pieces: BTreeMap<PartId, Piece> = BTreeMap::new();
     let mut out: BTreeMap<(PartId, u32), Out> = BTreeMap::new();
     let mut barred: BTreeMap<ServerId, Time> = BTreeMap::new();
-    let mut entries: Vec<Entry> = (0..2 * CELLS).map(|i| common::entry(50 + i, i % CELLS)).collect();
+    let mut entries: Vec<Entry> = (0..2 * CELLS)
+        .map(|i| common::entry(50 + i, i % CELLS))
+        .collect();
     // Whoever was out by hand counts as started when taken back, whatever the list says.
     let mut back: BTreeMap<ServerId, Time> = BTreeMap::new();
     let mut cold_sent: BTreeMap<ServerId, VecDeque<Time>> = BTreeMap::new();
@@ -86,11 +101,18 @@
     let mut now = 5000 * MS;
     let (mut next, mut finals) = (1u64, 0);
     let mut fresh_second: Vec<u64> = Vec::new();
-    let mut events = vec![Event::List { kind: ListKind::Persisted, entries: entries.clone().into() }];
+    let mut events = vec![Event::List {
+        kind: ListKind::Persisted,
+        entries: entries.clone().into(),
+    }];
     for turn in 0..1500 {
         let mut told_over: BTreeSet<u64> = BTreeSet::new();
         // Outcomes that have come due.
-        let due: Vec<(PartId, u32)> = out.iter().filter(|(_, v)| v.4 <= now).map(|(k, _)| *k).collect();
+        let due: Vec<(PartId, u32)> = out
+            .iter()
+            .filter(|(_, v)| v.4 <= now)
+            .map(|(k, _)| *k)
+            .collect();
         for (part, attempt) in due {
             let (server, at, _, outcome, _) = out.remove(&(part, attempt)).unwrap();
             let piece = pieces.get_mut(&part).unwrap();
@@ -105,42 +127,91 @@
                 next += 1;
                 let (id, shard) = (PartId(next), rng.u32(0..CELLS));
                 asked.parts.push(id);
-                pieces.insert(id, Piece { number, shard, weight: 0.5, attempts: vec![], done: false });
+                pieces.insert(
+                    id,
+                    Piece {
+                        number,
+                        shard,
+                        weight: 0.5,
+                        attempts: vec![],
+                        done: false,
+                    },
+                );
                 taken.push_back(now);
-                events.push(Event::Part { id, number, shard, weight: 0.5 });
+                events.push(Event::Part {
+                    id,
+                    number,
+                    shard,
+                    weight: 0.5,
+                });
             }
         }
         if turn < 1200 && rng.u32(0..4) == 0 {
             next += 1;
-            let current: Vec<usize> = (0..s.classes.len()).filter(|c| !s.classes[*c].retired).collect();
+            let current: Vec<usize> = (0..s.classes.len())
+                .filter(|c| !s.classes[*c].retired)
+                .collect();
             let (number, class, count) = (next, *rng.choice(&current).unwrap(), rng.u32(2..6));
             let patience = rng.u64(3..900) * MS;
             let (id, repeat) = (QueryId(number), rng.bool());
-            events.push(Event::Query { id, number, class, parts: count, patience, repeat });
+            events.push(Event::Query {
+                id,
+                number,
+                class,
+                parts: count,
+                patience,
+                repeat,
+            });
             taken.push_back(now);
             let end = now + patience;
-            let mut asked = Asked { id, class, end, parts: vec![], step: 1, first_whole: false, over: false };
+            let mut asked = Asked {
+                id,
+                class,
+                end,
+                parts: vec![],
+                step: 1,
+                first_whole: false,
+                over: false,
+            };
             for _ in 0..count {
                 next += 1;
                 let (id, shard, weight) = (PartId(next), rng.u32(0..CELLS), 1.0 / f64::from(count));
                 asked.parts.push(id);
-                pieces.insert(id, Piece { number, shard, weight, attempts: vec![], done: false });
+                pieces.insert(
+                    id,
+                    Piece {
+                        number,
+                        shard,
+                        weight,
+                        attempts: vec![],
+                        done: false,
+                    },
+                );
                 taken.push_back(now);
-                events.push(Event::Part { id, number, shard, weight });
+                events.push(Event::Part {
+                    id,
+                    number,
+                    shard,
+                    weight,
+                });
             }
             queries.insert(number, asked);
         }
         if rng.u32(0..40) == 0 {
             let i = rng.usize(0..entries.len());
-            entries[i].standing =
-                *rng.choice(&[Standing::Ready, Standing::Draining, Standing::Gone]).unwrap();
+            entries[i].standing = *rng
+                .choice(&[Standing::Ready, Standing::Draining, Standing::Gone])
+                .unwrap();
             if entries[i].standing == Standing::Ready {
                 barred.remove(&entries[i].server);
                 entries[i].born = now - 100 * MS;
             } else {
                 barred.entry(entries[i].server).or_insert(now);
             }
-            events.push(Event::List { kind: ListKind::Partial, entries: [entries[i].clone()].into() });
+            events.push(Event::List {
+                kind: ListKind::Partial,
+                entries: [entries[i].clone()].into(),
+            });
         }
         if rng.u32(0..40) == 0 {
             let i = rng.usize(0..entries.len());
@@ -148,17 +219,31 @@
             if !entries[i].out && entries[i].standing != Standing::Gone {
                 back.insert(entries[i].server, now);
             }
-            events.push(Event::List { kind: ListKind::Partial, entries: [entries[i].clone()].into() });
+            events.push(Event::List {
+                kind: ListKind::Partial,
+                entries: [entries[i].clone()].into(),
+            });
         }
         if rng.u32(0..400) == 0 {
-            // One class says something else: its queries keep the place that they know, and new ones get a fresh one.
+            // One class says something else: its queries keep the place that they know, and new
+            // ones get a fresh one.
             let i = rng.usize(0..s.classes.len());
-            let fresh = Class { max_attempts: rng.u32(1..5), retired: false, ..s.classes[i].clone() };
+            let fresh = Class {
+                max_attempts: rng.u32(1..5),
+                retired: false,
+                ..s.classes[i].clone()
+            };
             s.classes[i].retired = true;
             let from = (0..s.classes.len()).chain([i]).map(Some).collect();
             s.classes.push(fresh);
-            events.push(Event::Settings { settings: s.clone().into(), from });
-            events.push(Event::List { kind: ListKind::Complete, entries: entries.clone().into() });
+            events.push(Event::Settings {
+                settings: s.clone().into(),
+                from,
+            });
+            events.push(Event::List {
+                kind: ListKind::Complete,
+                entries: entries.clone().into(),
+            });
         }
         if rng.u32(0..60) == 0 {
             let open: Vec<u64> = queries.iter().filter(|q| !q.1.over).map(|q| *q.0).collect();
@@ -175,23 +260,36 @@
         events.clear();
         for action in actions {
             match action {
-                Action::Send { part, server, until } => {
+                Action::Send {
+                    part,
+                    server,
+                    until,
+                } => {
                     let piece = pieces.get_mut(&part).unwrap();
                     let asked = &queries[&piece.number];
-                    assert!(!asked.over && !piece.done, "lost: a send for something finished");
+                    assert!(
+                        !asked.over && !piece.done,
+                        "lost: a send for something finished"
+                    );
                     assert!(until <= asked.end, "an attempt outlives its client");
-                    // A cold server of one core, parts of 40 ms, this aggregator's half, and half as much for chance.
+                    // A cold server of one core, parts of 40 ms, this aggregator's half, and half
+                    // as much for chance.
                     let entry = entries.iter().find(|e| e.server == server).unwrap();
                     assert!(!entry.out, "sent to a server that is out by hand");
                     let born = entry.born.max(back.get(&server).copied().unwrap_or(0));
                     if born > 0 && now < born + s.ramp {
                         let capacity = 0.2 + 0.8 * (now - born) as f64 / s.ramp as f64;
                         let most = 1.5
-                            * (s.tip_multiple * capacity * s.fall as f64 / 2.0 / (40 * MS) as f64).max(1.0);
+                            * (s.tip_multiple * capacity * s.fall as f64 / 2.0 / (40 * MS) as f64)
+                                .max(1.0);
                         let sent: &mut VecDeque<Time> = cold_sent.entry(server).or_default();
                         sent.push_back(now);
                         sent.retain(|at| at + s.fall > now && *at >= born);
-                        assert!(sent.len() as f64 <= most, "cold server pushed: {} over {most}", sent.len());
+                        assert!(
+                            sent.len() as f64 <= most,
+                            "cold server pushed: {} over {most}",
+                            sent.len()
+                        );
                     }
                     let place = (server.0 - 50 + CELLS - piece.shard) % CELLS;
                     assert!(place < s.reach, "the server does not hold the shard");
@@ -201,7 +299,9 @@
                     let first_ran = piece.attempts.iter().find(ran).map(|a| a.0);
                     match s.classes[asked.class].effect {
                         Effect::Safe => {}
-                        Effect::Keyed => assert!(first_ran.is_none_or(|at| now <= at + 150 * MS), "keyed"),
+                        Effect::Keyed => {
+                            assert!(first_ran.is_none_or(|at| now <= at + 150 * MS), "keyed")
+                        }
                         Effect::Unsafe => assert_eq!(first_ran, None, "unsafe part sent twice"),
                     }
                     let live = piece.attempts.iter().filter(|a| a.1.is_none()).count();
@@ -219,10 +319,11 @@
                     piece.attempts.push((now, None));
                     let hangs = rng.u32(0..5) == 0;
                     let answer = now + rng.u64(1..80) * MS;
-                    let (outcome, at) = match (*rng.choice(&OUTCOMES).unwrap(), answer <= until && !hangs) {
-                        (outcome, true) => (outcome, answer),
-                        _ => (Outcome::TimedOut, until.max(now + 1)),
-                    };
+                    let (outcome, at) =
+                        match (*rng.choice(&OUTCOMES).unwrap(), answer <= until && !hangs) {
+                            (outcome, true) => (outcome, answer),
+                            _ => (Outcome::TimedOut, until.max(now + 1)),
+                        };
                     out.insert((part, attempt), (server, now, until, outcome, at));
                 }
                 Action::Cancel { part, attempt } => {
@@ -231,15 +332,23 @@
                         (sent.3, sent.4) = (Outcome::Cancelled, now);
                     }
                 }
-                // The client left in this very turn, after the event that ended the query: told too late to matter.
-                Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query }
+                // The client left in this very turn, after the event that ended the query: told too
+                // late to matter.
+                Action::Answer { query, .. }
+                | Action::Refuse { query, .. }
+                | Action::Fail { query }
                     if told_over.contains(&query.0) => {}
                 Action::Answer { query, whole } => {
                     let asked = queries.get_mut(&query.0).unwrap();
                     assert!(!asked.over, "two final answers");
                     let c = &s.classes[asked.class];
-                    let share: f64 =
-                        asked.parts.iter().map(|p| &pieces[p]).filter(|p| p.done).map(|p| p.weight).sum();
+                    let share: f64 = asked
+                        .parts
+                        .iter()
+                        .map(|p| &pieces[p])
+                        .filter(|p| p.done)
+                        .map(|p| p.weight)
+                        .sum();
                     assert!(share >= c.floor - 1e-4, "under the floor");
                     assert!(!whole || share >= c.need - 1e-4, "marked whole and is not");
                     assert!(
@@ -261,25 +370,45 @@
                         && s.classes[asked.class].effect == Effect::Unsafe
                     {
                         let ran = |p: &PartId| {
-                            pieces[p].attempts.iter().any(|a| a.1.is_none_or(|o| !o.never_ran()))
+                            pieces[p]
+                                .attempts
+                                .iter()
+                                .any(|a| a.1.is_none_or(|o| !o.never_ran()))
                         };
-                        assert!(!asked.parts.iter().any(ran), "refused though a part may have run");
+                        assert!(
+                            !asked.parts.iter().any(ran),
+                            "refused though a part may have run"
+                        );
                     }
                 }
                 _ => {}
             }
         }
         for asked in queries.values() {
-            assert!(asked.over || now <= asked.end, "lost: no final answer in time, seed {seed}");
+            assert!(
+                asked.over || now <= asked.end,
+                "lost: no final answer in time, seed {seed}"
+            );
         }
-        now += if rng.u32(0..200) == 0 { 20 * MS } else { 5 * MS };
+        now += if rng.u32(0..200) == 0 {
+            20 * MS
+        } else {
+            5 * MS
+        };
     }
-    assert_eq!(finals, queries.len(), "every query has exactly one final answer");
+    assert_eq!(
+        finals,
+        queries.len(),
+        "every query has exactly one final answer"
+    );
     finals
 }
 
 #[test]
 fn the_rules_hold_whatever_happens() {
     let finals: usize = (0..40).map(run).sum();
-    assert!(finals > 5000, "{finals} queries are enough to mean something");
+    assert!(
+        finals > 5000,
+        "{finals} queries are enough to mean something"
+    );
 }
--- a/tests/second.rs
+++ b/tests/second.rs
@@ -1,5 +1,6 @@
-//! What differs at a second deployment: few queries a second, sets of two servers with no overlap, calls that cost work
-//! beside up to 8 parts, cancels that stop nothing, classes with other floors, and a list that must be asked.
+//! What differs at a second deployment: few queries a second, sets of two servers with no overlap,
+//! calls that cost work beside up to 8 parts, cancels that stop nothing, classes with other floors,
+//! and a list that must be asked.
 
 mod common;
 use bramblestair::interface::*;
@@ -10,17 +11,31 @@
 /// Work of a part.
 const PART: Time = 110 * MS;
 
-/// Three classes: partial from seven tenths, whole and safe, whole and keyed for as long as its aim.
+/// Three classes: partial from seven tenths, whole and safe, whole and keyed for as long as its
+/// aim.
 fn settings() -> Settings {
-    let class = |aim: Time, deadline: Time| Class { aim, deadline, ..Class::default() };
+    let class = |aim: Time, deadline: Time| Class {
+        aim,
+        deadline,
+        ..Class::default()
+    };
     Settings {
         aggregators: 3,
         tick: 5 * MS,
         list_on_request: true,
         classes: vec![
-            Class { floor: 0.7, short_worth: 0.9, worth: 5.0, ..class(1500 * MS, 3000 * MS) },
+            Class {
+                floor: 0.7,
+                short_worth: 0.9,
+                worth: 5.0,
+                ..class(1500 * MS, 3000 * MS)
+            },
             class(2000 * MS, 6000 * MS),
-            Class { effect: Effect::Keyed, key_lifetime: 1500 * MS, ..class(1500 * MS, 3000 * MS) },
+            Class {
+                effect: Effect::Keyed,
+                key_lifetime: 1500 * MS,
+                ..class(1500 * MS, 3000 * MS)
+            },
         ],
         cells: CELLS,
         call_parts: 8,
@@ -67,7 +82,13 @@
         let mut rig = Rig::new(settings());
         // Two servers in each set.
         let more: Vec<Entry> = (0..CELLS).map(|cell| entry(200 + cell, cell)).collect();
-        rig.turn(MS, &[Event::List { kind: ListKind::Partial, entries: more.into() }]);
+        rig.turn(
+            MS,
+            &[Event::List {
+                kind: ListKind::Partial,
+                entries: more.into(),
+            }],
+        );
         World {
             rig,
             takes,
@@ -88,7 +109,11 @@
         self.rig.turn(5 * MS, events);
         let now = self.rig.now;
         for (part, server, until) in self.rig.sends() {
-            let leg = self.legs.entry(part).and_modify(|leg| *leg += 1).or_insert(0);
+            let leg = self
+                .legs
+                .entry(part)
+                .and_modify(|leg| *leg += 1)
+                .or_insert(0);
             self.parts += u32::from(*leg == 0);
             let out = self.out.entry(part).or_insert(0);
             self.copies += u32::from(*out > 0);
@@ -111,14 +136,18 @@
                 }
                 _ => continue,
             };
-            let (until, class) = self.open.remove(&query.0).expect("one final answer to each query");
+            let (until, class) = self
+                .open
+                .remove(&query.0)
+                .expect("one final answer to each query");
             assert!(now <= until, "in its client's time");
             let ends = self.ends.entry(class).or_default();
             *(if answered { &mut ends.0 } else { &mut ends.1 }) += 1;
         }
     }
 
-    /// Runs for so long with so many queries a second, their classes one in five, three in five, one in five.
+    /// Runs for so long with so many queries a second, their classes one in five, three in five,
+    /// one in five.
     fn run(&mut self, time: Time, rate: f64) {
         let until = self.rig.now + time;
         while self.rig.now < until {
@@ -142,7 +171,8 @@
                 let shards: Vec<u32> = (first..first + wide).map(|s| s % 24).collect();
                 let patience = settings().classes[class].deadline;
                 let (number, asked) = self.rig.query(class, patience, &shards);
-                self.open.insert(number, (self.rig.now + 5 * MS + patience, class));
+                self.open
+                    .insert(number, (self.rig.now + 5 * MS + patience, class));
                 events.extend(asked);
             }
             events.push(Event::Wake);
@@ -168,8 +198,17 @@
     let mut world = World::new(paused);
     world.run(60_000 * MS, 6.0);
     let share = f64::from(world.copies) / f64::from(world.parts);
-    assert!((0.005..=0.11).contains(&share), "{} copies of {} parts", world.copies, world.parts);
-    assert!((0..3).all(|class| world.answered(class) > 0.97), "{:?}", world.ends);
+    assert!(
+        (0.005..=0.11).contains(&share),
+        "{} copies of {} parts",
+        world.copies,
+        world.parts
+    );
+    assert!(
+        (0..3).all(|class| world.answered(class) > 0.97),
+        "{:?}",
+        world.ends
+    );
 }
 
 #[test]
@@ -177,32 +216,64 @@
     // One server of each set takes parts and never answers, from 10 s on.
     let begin = 11_000 * MS;
     let half = move |server: ServerId, now| {
-        if server.0 >= 200 && now > begin { Takes::Never } else { Takes::For(PART) }
+        if server.0 >= 200 && now > begin {
+            Takes::Never
+        } else {
+            Takes::For(PART)
+        }
     };
     let mut world = World::new(half);
     world.run(40_000 * MS, 4.0);
-    assert!(world.answered(0) > 0.9 && world.answered(1) > 0.8, "{:?}", world.ends);
+    assert!(
+        world.answered(0) > 0.9 && world.answered(1) > 0.8,
+        "{:?}",
+        world.ends
+    );
     let silent = |at: Time| -> usize {
         let late = |times: &Vec<Time>| times.iter().filter(|t| **t > at).count();
-        world.sent.iter().filter(|(id, _)| id.0 >= 200).map(|(_, times)| late(times)).sum()
+        world
+            .sent
+            .iter()
+            .filter(|(id, _)| id.0 >= 200)
+            .map(|(_, times)| late(times))
+            .sum()
+    };
+    let all = |at: Time| -> usize {
+        world
+            .sent
+            .values()
+            .map(|t| t.iter().filter(|t| **t > at).count())
+            .sum()
     };
-    let all =
-        |at: Time| -> usize { world.sent.values().map(|t| t.iter().filter(|t| **t > at).count()).sum() };
-    assert!(silent(begin + 5_000 * MS) * 8 < all(begin + 5_000 * MS), "they are soon left alone");
+    assert!(
+        silent(begin + 5_000 * MS) * 8 < all(begin + 5_000 * MS),
+        "they are soon left alone"
+    );
 }
 
 #[test]
 fn a_class_with_under_ten_answers_is_rescued_from_a_silent_server_in_its_time() {
-    let silent = |server: ServerId, _| if server.0 == 100 { Takes::Never } else { Takes::For(PART) };
+    let silent = |server: ServerId, _| {
+        if server.0 == 100 {
+            Takes::Never
+        } else {
+            Takes::For(PART)
+        }
+    };
     let mut world = World::new(silent);
-    // Five queries of the whole class on the set of that server, two seconds apart, and nothing else ever.
+    // Five queries of the whole class on the set of that server, two seconds apart, and nothing
+    // else ever.
     for _ in 0..5 {
         let (number, events) = world.rig.query(1, 6000 * MS, &[0, 6]);
         world.open.insert(number, (world.rig.now + 6000 * MS, 1));
         world.turn(&events);
         world.run(2500 * MS, 0.0);
     }
-    assert_eq!(world.ends[&1], (5, 0), "answered by the other server of the set");
+    assert_eq!(
+        world.ends[&1],
+        (5, 0),
+        "answered by the other server of the set"
+    );
 }
 
 #[test]
@@ -210,7 +281,11 @@
     // Two servers of different sets die at 5 s; no list says so until 24 s later.
     let dead = |server: ServerId, now| {
         let gone = [100, 203].contains(&server.0) && now > 6_000 * MS;
-        if gone { Takes::Refuses } else { Takes::For(PART) }
+        if gone {
+            Takes::Refuses
+        } else {
+            Takes::For(PART)
+        }
     };
     let mut world = World::new(dead);
     world.run(4_000 * MS, 4.0);
@@ -219,34 +294,69 @@
         world.turn(&[Event::ListFailed { refused: true }]);
         world.run(1000 * MS, 4.0);
     }
-    assert!((0..3).all(|class| world.answered(class) > 0.9), "{:?}", world.ends);
-    assert!((2..=24).contains(&(world.calls - asked)), "{} calls", world.calls - asked);
-    let rest: Vec<Entry> = (0..CELLS).flat_map(|c| [entry(100 + c, c), entry(200 + c, c)]).collect();
-    let rest: Vec<Entry> = rest.into_iter().filter(|e| ![100, 203].contains(&e.server.0)).collect();
-    world.turn(&[Event::List { kind: ListKind::Complete, entries: rest.into() }]);
+    assert!(
+        (0..3).all(|class| world.answered(class) > 0.9),
+        "{:?}",
+        world.ends
+    );
+    assert!(
+        (2..=24).contains(&(world.calls - asked)),
+        "{} calls",
+        world.calls - asked
+    );
+    let rest: Vec<Entry> = (0..CELLS)
+        .flat_map(|c| [entry(100 + c, c), entry(200 + c, c)])
+        .collect();
+    let rest: Vec<Entry> = rest
+        .into_iter()
+        .filter(|e| ![100, 203].contains(&e.server.0))
+        .collect();
+    world.turn(&[Event::List {
+        kind: ListKind::Complete,
+        entries: rest.into(),
+    }]);
     let told = world.rig.now;
     world.run(4_000 * MS, 4.0);
     for id in [100, 203] {
-        assert!(world.sent[&ServerId(id)].iter().all(|at| *at <= told), "nothing new to what has gone");
+        assert!(
+            world.sent[&ServerId(id)].iter().all(|at| *at <= told),
+            "nothing new to what has gone"
+        );
     }
 }
 
 #[test]
 fn a_shard_whose_only_sound_server_is_cold_is_served_within_that_servers_budget() {
     let start = 1_000 * MS;
-    let dead = |server: ServerId, _| if server.0 == 100 { Takes::Refuses } else { Takes::For(PART) };
+    let dead = |server: ServerId, _| {
+        if server.0 == 100 {
+            Takes::Refuses
+        } else {
+            Takes::For(PART)
+        }
+    };
     let mut world = World::new(dead);
     world.run(10_000 * MS, 4.0);
     let born = world.rig.now;
-    let cold = Entry { born, ..entry(200, 0) };
-    world.turn(&[Event::List { kind: ListKind::Partial, entries: [cold].into() }]);
+    let cold = Entry {
+        born,
+        ..entry(200, 0)
+    };
+    world.turn(&[Event::List {
+        kind: ListKind::Partial,
+        entries: [cold].into(),
+    }]);
     world.run(14_000 * MS, 4.0);
     let sent = &world.sent[&ServerId(200)];
     let fresh: Vec<Time> = sent.iter().copied().filter(|at| *at >= born).collect();
     assert!(fresh.len() >= 10, "it is used: {}", fresh.len());
-    // Within any second no more than the stated multiple of what it can do then, shared by three aggregators.
+    // Within any second no more than the stated multiple of what it can do then, shared by three
+    // aggregators.
     for (at, from) in fresh.iter().enumerate() {
-        let within = fresh[at..].iter().take_while(|t| **t < from + start).count() as f64;
+        let within = fresh[at..]
+            .iter()
+            .take_while(|t| **t < from + start)
+            .count() as f64;
         let age = (from - born + start) as f64 / (14_000 * MS) as f64;
         let capacity = 0.18 + 0.82 * age.min(1.0);
         let bears = 2.0 * capacity * 2.0 / 0.15 / 3.0;
@@ -264,7 +374,13 @@
         wide.classes[2].aim = 4000 * MS;
         wide.classes[2].deadline = 6000 * MS;
         let mut rig = Rig::new(wide);
-        rig.turn(MS, &[Event::List { kind: ListKind::Partial, entries: [entry(200, 0)].into() }]);
+        rig.turn(
+            MS,
+            &[Event::List {
+                kind: ListKind::Partial,
+                entries: [entry(200, 0)].into(),
+            }],
+        );
         let (_, events) = rig.query(2, 6000 * MS, &[0]);
         rig.turn(0, &events);
         let (part, server, _) = rig.sends()[0];
@@ -272,36 +388,53 @@
         assert_eq!(rig.sends().len(), again, "after {later}");
         if again == 0 {
             // It is known at once, so it is said at once.
-            assert!(rig.actions.iter().any(|a| matches!(a, Action::Refuse { .. })), "{:?}", rig.actions);
+            assert!(
+                rig.actions
+                    .iter()
+                    .any(|a| matches!(a, Action::Refuse { .. })),
+                "{:?}",
+                rig.actions
+            );
         }
     }
 }
 
-/// All servers have just started, as after a loss of power, and parts are short against their aims: what the first of them
-/// cost says what the servers bear. Before, that was not known until eight answers of a class, which a cold server's share
-/// by the aim alone does not bring in seconds.
+/// All servers have just started, as after a loss of power, and parts are short against their aims:
+/// what the first of them cost says what the servers bear. Before, that was not known until eight
+/// answers of a class, which a cold server's share by the aim alone does not bring in seconds.
 #[test]
 fn the_first_answers_of_servers_that_all_start_cold_raise_what_each_is_sent() {
     let mut world = World::new(|_, _| Takes::For(20 * MS));
     let born = world.rig.now;
     let cells = (0..CELLS).flat_map(|cell| [entry(100 + cell, cell), entry(200 + cell, cell)]);
     let cold: Vec<Entry> = cells.map(|e| Entry { born, ..e }).collect();
-    world.turn(&[Event::List { kind: ListKind::Complete, entries: cold.into() }]);
+    world.turn(&[Event::List {
+        kind: ListKind::Complete,
+        entries: cold.into(),
+    }]);
     world.run(5_000 * MS, 4.0);
     assert!(world.answered(1) > 0.5, "{:?}", world.ends);
-    // Within any second no more than the stated multiple of what a server can do then, shared by three aggregators.
+    // Within any second no more than the stated multiple of what a server can do then, shared by
+    // three aggregators.
     for sent in world.sent.values() {
         for (at, from) in sent.iter().enumerate() {
-            let within = sent[at..].iter().take_while(|t| **t < from + 1_000 * MS).count() as f64;
+            let within = sent[at..]
+                .iter()
+                .take_while(|t| **t < from + 1_000 * MS)
+                .count() as f64;
             let capacity = 0.18 + 0.82 * (from + 1_000 * MS - born) as f64 / (14_000 * MS) as f64;
             let bears = 2.0 * capacity / 0.06 / 3.0;
-            assert!(within <= bears, "{within} parts within a second, {bears:.1} allowed");
+            assert!(
+                within <= bears,
+                "{within} parts within a second, {bears:.1} allowed"
+            );
         }
     }
 }
 
-/// Followed on a day with dead servers and no list that says so: a part went three times in 15 ms to the one of its set that
-/// refuses connections, as the other had no room, and its query was refused. Such a server is idle always.
+/// Followed on a day with dead servers and no list that says so: a part went three times in 15 ms
+/// to the one of its set that refuses connections, as the other had no room, and its query was
+/// refused. Such a server is idle always.
 #[test]
 fn a_server_that_refuses_connections_uses_up_no_attempts_while_the_other_of_its_set_is_busy() {
     let dead = |server: ServerId, _| match server.0 {
@@ -314,16 +447,27 @@
     // One try in each quarter of the least aim, and some before it is known.
     let sent = world.sent[&ServerId(100)].len();
     assert!(sent <= 90, "{sent} sends to what is dead");
-    assert!((0..3).all(|class| world.answered(class) > 0.5), "{:?}", world.ends);
+    assert!(
+        (0..3).all(|class| world.answered(class) > 0.5),
+        "{:?}",
+        world.ends
+    );
 }
 
-/// Twelve parts on six sets of three servers each go to six servers of eighteen, and not to two thirds of them: a query that
-/// kills what it meets can kill no more, so its scout is trusted after a part of a median and need not answer first.
+/// Twelve parts on six sets of three servers each go to six servers of eighteen, and not to two
+/// thirds of them: a query that kills what it meets can kill no more, so its scout is trusted after
+/// a part of a median and need not answer first.
 #[test]
 fn a_wide_query_is_as_wide_as_the_servers_that_it_meets() {
     let mut rig = Rig::new(settings());
     let more = (0..CELLS).flat_map(|cell| [entry(200 + cell, cell), entry(300 + cell, cell)]);
-    rig.turn(MS, &[Event::List { kind: ListKind::Partial, entries: more.collect() }]);
+    rig.turn(
+        MS,
+        &[Event::List {
+            kind: ListKind::Partial,
+            entries: more.collect(),
+        }],
+    );
     rig.warm_up(PART, &[0, 1, 2, 3, 4, 5]);
     let shards: Vec<u32> = (0..12).collect();
     let (_, events) = rig.query(1, 6000 * MS, &shards);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -8,7 +8,10 @@
     "a_new_key": "skipped"}"#;
 
 fn init() -> String {
-    format!("INIT random_seed=18446744073709551615 boot_info={}", INFO.replace('\n', " "))
+    format!(
+        "INIT random_seed=18446744073709551615 boot_info={}",
+        INFO.replace('\n', " ")
+    )
 }
 
 fn feed(host: &mut Host, lines: &[&str]) -> Result<String, String> {
@@ -43,30 +46,78 @@
 #[test]
 fn a_query_is_sent_and_answered() {
     let mut host = started();
-    let reply =
-        feed(&mut host, &["FRAME now=200 turn=2", "SELECT who=aggregator_0", QUERY, PART, "EOF_BATCH"]);
+    let reply = feed(
+        &mut host,
+        &[
+            "FRAME now=200 turn=2",
+            "SELECT who=aggregator_0",
+            QUERY,
+            PART,
+            "EOF_BATCH",
+        ],
+    );
     let reply = reply.unwrap();
-    assert!(reply.starts_with("BY who=aggregator_0\nPLACE tid=5 leaf="), "{reply}");
+    assert!(
+        reply.starts_with("BY who=aggregator_0\nPLACE tid=5 leaf="),
+        "{reply}"
+    );
     assert!(reply.ends_with("READY turn=2\n"));
-    let leaf = reply.split("leaf=").nth(1).unwrap().split(' ').next().unwrap();
-    let done =
-        format!("DONE tid=5 leg=0 leaf={leaf} code=done took=90 terminal=1 telemetry=outstanding:2,x9:1");
-    let reply = feed(&mut host, &["FRAME now=300 turn=3", "SELECT who=aggregator_0", &done, "EOF_BATCH"]);
+    let leaf = reply
+        .split("leaf=")
+        .nth(1)
+        .unwrap()
+        .split(' ')
+        .next()
+        .unwrap();
+    let done = format!(
+        "DONE tid=5 leg=0 leaf={leaf} code=done took=90 terminal=1 telemetry=outstanding:2,x9:1"
+    );
+    let reply = feed(
+        &mut host,
+        &[
+            "FRAME now=300 turn=3",
+            "SELECT who=aggregator_0",
+            &done,
+            "EOF_BATCH",
+        ],
+    );
     assert!(reply.unwrap().contains("ANSWER tid=4 on=1\n"));
     host.finish().unwrap();
 }
 
 #[test]
 fn every_outcome_code_is_known_and_others_are_named() {
-    for code in ["done", "err", "busy", "etimedout", "econnrefused", "econnreset", "ecanceled", "skipped"] {
+    for code in [
+        "done",
+        "err",
+        "busy",
+        "etimedout",
+        "econnrefused",
+        "econnreset",
+        "ecanceled",
+        "skipped",
+    ] {
         let mut host = started();
         let done = format!("DONE tid=9 leg=0 leaf=7 code={code} terminal=0");
         let probe = format!("PING_RESULT leaf=7 code={code}");
-        feed(&mut host, &["FRAME now=1 turn=2", "SELECT who=aggregator_0", &done, &probe, "EOF_BATCH"])
-            .unwrap();
+        feed(
+            &mut host,
+            &[
+                "FRAME now=1 turn=2",
+                "SELECT who=aggregator_0",
+                &done,
+                &probe,
+                "EOF_BATCH",
+            ],
+        )
+        .unwrap();
     }
     let mut host = started();
-    let lines = ["FRAME now=1 turn=2", "SELECT who=aggregator_0", "DONE tid=9 leg=0 leaf=7 code=odd"];
+    let lines = [
+        "FRAME now=1 turn=2",
+        "SELECT who=aggregator_0",
+        "DONE tid=9 leg=0 leaf=7 code=odd",
+    ];
     assert_eq!(
         feed(&mut host, &lines).unwrap_err(),
         "line 11: DONE: field `code` has an unknown value: `odd`"
@@ -76,7 +127,17 @@
 #[test]
 fn stop_and_start_in_one_batch_begin_anew() {
     let mut host = started();
-    feed(&mut host, &["FRAME now=200 turn=2", "SELECT who=aggregator_0", QUERY, PART, "EOF_BATCH"]).unwrap();
+    feed(
+        &mut host,
+        &[
+            "FRAME now=200 turn=2",
+            "SELECT who=aggregator_0",
+            QUERY,
+            PART,
+            "EOF_BATCH",
+        ],
+    )
+    .unwrap();
     let lines = [
         "FRAME now=300 turn=3",
         "SELECT who=aggregator_0",
@@ -86,8 +147,16 @@
         "EOF_BATCH",
     ];
     assert_eq!(feed(&mut host, &lines).unwrap(), "READY turn=3\n");
-    let gone = ["FRAME now=400 turn=4", "SELECT who=aggregator_0", "STOP", "RING label=x"];
-    assert_eq!(feed(&mut host, &gone).unwrap_err(), "line 23: RING: unknown instance `aggregator_0`");
+    let gone = [
+        "FRAME now=400 turn=4",
+        "SELECT who=aggregator_0",
+        "STOP",
+        "RING label=x",
+    ];
+    assert_eq!(
+        feed(&mut host, &gone).unwrap_err(),
+        "line 23: RING: unknown instance `aggregator_0`"
+    );
 }
 
 #[test]
@@ -104,21 +173,37 @@
         PART,
         "EOF_BATCH",
     ];
-    assert!(feed(&mut host, &lines).unwrap().contains("PLACE tid=5 leaf=99 "));
+    assert!(
+        feed(&mut host, &lines)
+            .unwrap()
+            .contains("PLACE tid=5 leaf=99 ")
+    );
 }
 
 #[test]
 fn malformed_lines_are_named_with_their_field() {
     let cases = [
         ("FRAME now=1", "line 9: FRAME: field `turn` is missing"),
-        ("EOF_BATCH", "line 9: EOF_BATCH outside a batch: FRAME is missing"),
-        ("FRAME now=x turn=1", "line 9: FRAME: field `now` is no such number: `x`"),
-        ("FRAME now=1 turn=1\nRING label=a", "line 10: RING: no SELECT before it in this batch"),
+        (
+            "EOF_BATCH",
+            "line 9: EOF_BATCH outside a batch: FRAME is missing",
+        ),
+        (
+            "FRAME now=x turn=1",
+            "line 9: FRAME: field `now` is no such number: `x`",
+        ),
+        (
+            "FRAME now=1 turn=1\nRING label=a",
+            "line 10: RING: no SELECT before it in this batch",
+        ),
         (
             "FRAME now=1 turn=1\nSELECT who=aggregator_9\nRING label=a",
             "line 11: RING: unknown instance `aggregator_9`",
         ),
-        ("FRAME now=1 turn=1\nSELECT who=aggregator_0\nHM a=1", "line 11: unknown message `HM`"),
+        (
+            "FRAME now=1 turn=1\nSELECT who=aggregator_0\nHM a=1",
+            "line 11: unknown message `HM`",
+        ),
         (
             "FRAME now=1 turn=1\nSELECT who=aggregator_0\nORDER tid=-1 slab=0 size_or_weight=1 group_no=1",
             "line 11: ORDER: field `tid` is no such number: `-1`",
@@ -131,7 +216,10 @@
             "FRAME now=1 turn=1\nSELECT who=aggregator_0\nORDER tid=4 slab=-1 band=8 size_or_weight=1 group_no=1 time_budget=2",
             "line 11: ORDER: field `band` names no class: `8`",
         ),
-        ("FRAME now=1 turn=1\nSHEET sheet=16 items=0", "line 10: SHEET: field `sheet` is over 15: `16`"),
+        (
+            "FRAME now=1 turn=1\nSHEET sheet=16 items=0",
+            "line 10: SHEET: field `sheet` is over 15: `16`",
+        ),
         (
             "FRAME now=1 turn=1\nSHEET sheet=1 items=2\nENTRY leaf=1 status=ready\nEOF_BATCH",
             "line 12: EOF_BATCH: SHEET 1 lacks entries",
@@ -162,7 +250,14 @@
 #[test]
 fn settings_skip_unknown_keys_and_name_bad_ones() {
     let settings = read_settings(INFO).unwrap();
-    assert_eq!((settings.cells, settings.reach, settings.classes[0].max_attempts), (2, 2, 3));
+    assert_eq!(
+        (
+            settings.cells,
+            settings.reach,
+            settings.classes[0].max_attempts
+        ),
+        (2, 2, 3)
+    );
     assert_eq!(settings.budget, None);
     let bad = INFO.replace("\"target\": 1000000000", "\"target\": \"soon\"");
     assert_eq!(
@@ -181,9 +276,17 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    child.stdin.take().unwrap().write_all(b"FRAME now=1 turn=1\nSELECT who=a\nSTOP\n").unwrap();
+    child
+        .stdin
+        .take()
+        .unwrap()
+        .write_all(b"FRAME now=1 turn=1\nSELECT who=a\nSTOP\n")
+        .unwrap();
     let output = child.wait_with_output().unwrap();
     assert!(!output.status.success());
     let message = String::from_utf8(output.stderr).unwrap();
-    assert_eq!(message, "bramblestair-wirehost: line 3: STOP: unknown instance `a`\n");
+    assert_eq!(
+        message,
+        "bramblestair-wirehost: line 3: STOP: unknown instance `a`\n"
+    );
 }
--- a/versions/src/audit.rs
+++ b/versions/src/audit.rs
@@ -1,7 +1,9 @@
-//! Whether anything was done under a version that was not in force any more, by each gatherer's own trail.
+//! Whether anything was done under a version that was not in force any more, by each gatherer's own
+//! trail.
 //!
-//! Each trail is judged on its own clock alone, as clocks of other machines say nothing: acts under a version are within the
-//! bound for as long as the validity lasts from a moment at which the gatherer *asked* and was told that this one is active.
+//! Each trail is judged on its own clock alone, as clocks of other machines say nothing: acts under
+//! a version are within the bound for as long as the validity lasts from a moment at which the
+//! gatherer *asked* and was told that this one is active.
 
 use crate::standing::Standing;
 use crate::trail::{Broken, Entry, Mark, read};
@@ -12,7 +14,8 @@
 /// Something found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Finding {
-    /// Queries were taken under a version longer after its last proof than the validity, by one that may not go on so.
+    /// Queries were taken under a version longer after its last proof than the validity, by one
+    /// that may not go on so.
     Beyond {
         /// The version.
         version: Version,
@@ -36,7 +39,8 @@
     NeverActive(Version),
     /// It says that it was told of an earlier version after a later one.
     WentBack(Version, Version),
-    /// A life ended without a last note, as where power was lost: what it did after that one is not known.
+    /// A life ended without a last note, as where power was lost: what it did after that one is not
+    /// known.
     CutOff {
         /// The life.
         life: u64,
@@ -52,7 +56,8 @@
 }
 
 impl Finding {
-    /// Whether it means that something was done that must not have been; `None` where that is not known.
+    /// Whether it means that something was done that must not have been; `None` where that is not
+    /// known.
     pub fn is_wrong(&self) -> Option<bool> {
         match self {
             Finding::Beyond { .. } | Finding::NeverActive(_) | Finding::WentBack(..) => Some(true),
@@ -76,9 +81,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ms = |time: &Time| time / 1_000_000;
         match self {
-            Finding::Beyond { version, class, by, count } => {
+            Finding::Beyond {
+                version,
+                class,
+                by,
+                count,
+            } => {
                 let by = ms(by);
-                write!(f, "up to {count} queries of {class} under version {version}, {by} ms beyond its end")
+                write!(
+                    f,
+                    "up to {count} queries of {class} under version {version}, {by} ms beyond its end"
+                )
             }
             Finding::Kept { version, by, count } => {
                 let by = ms(by);
@@ -110,7 +123,8 @@
 pub struct Span {
     /// The life.
     pub life: u64,
-    /// The wall clock at the life's begin, less its own clock then: what makes of its times moments for people.
+    /// The wall clock at the life's begin, less its own clock then: what makes of its times moments
+    /// for people.
     pub wall_ms: i64,
     /// The version.
     pub version: Version,
@@ -140,7 +154,8 @@
     pub calls: Vec<Called>,
     /// What was found.
     pub findings: Vec<Finding>,
-    /// The life that had not ended when the trail did, and how long it had been running at its last note.
+    /// The life that had not ended when the trail did, and how long it had been running at its last
+    /// note.
     pub open: Option<(u64, Time)>,
 }
 
@@ -148,7 +163,8 @@
 pub fn judge(entries: &[Entry], broken: Option<Broken>, active: &BTreeSet<Version>) -> Report {
     let mut report = Report::default();
     let (mut life, mut wall_ms, mut validity) = (0, 0, 0);
-    // By version: when it was last asked for with that answer; and which of them it goes on under without a store.
+    // By version: when it was last asked for with that answer; and which of them it goes on under
+    // without a store.
     let (mut proofs, mut kept) = (BTreeMap::<Version, Time>::new(), BTreeSet::<Version>::new());
     let (mut told, mut runs, mut stands_kept) = (0, 0, false);
     // When the life began and when it last noted something, until it has ended in order.
@@ -160,9 +176,17 @@
             *last = (*last).max(*at);
         }
         match mark {
-            Mark::Began { life: new, wall, validity: of, .. } => {
+            Mark::Began {
+                life: new,
+                wall,
+                validity: of,
+                ..
+            } => {
                 if let Some((begun, last)) = open.replace((*at, *at)) {
-                    report.findings.push(Finding::CutOff { life, after: last.saturating_sub(begun) });
+                    report.findings.push(Finding::CutOff {
+                        life,
+                        after: last.saturating_sub(begun),
+                    });
                 }
                 (life, validity) = (*new, *of);
                 wall_ms = *wall as i64 - (*at / 1_000_000) as i64;
@@ -196,30 +220,61 @@
                 }
             }
             Mark::Stands { standing } => stands_kept |= *standing == Standing::Kept,
-            Mark::Acts { version, class, taken, count, .. } => {
-                let ends = proofs.get(version).map_or(0, |asked| asked.saturating_add(validity));
+            Mark::Acts {
+                version,
+                class,
+                taken,
+                count,
+                ..
+            } => {
+                let ends = proofs
+                    .get(version)
+                    .map_or(0, |asked| asked.saturating_add(validity));
                 if taken.1 >= ends {
                     let by = taken.1 - ends;
                     let (version, count, class) = (*version, *count, class.clone());
                     // Whoever goes on so has said that it does.
                     let may = kept.contains(&version) && stands_kept;
-                    let beyond = Finding::Beyond { version, class, by, count };
-                    report.findings.push(if may { Finding::Kept { version, by, count } } else { beyond });
+                    let beyond = Finding::Beyond {
+                        version,
+                        class,
+                        by,
+                        count,
+                    };
+                    report.findings.push(if may {
+                        Finding::Kept { version, by, count }
+                    } else {
+                        beyond
+                    });
                 }
-                match report.spans.last_mut().filter(|s| s.life == life && s.version == *version) {
+                match report
+                    .spans
+                    .last_mut()
+                    .filter(|s| s.life == life && s.version == *version)
+                {
                     Some(span) => {
                         span.taken = (span.taken.0.min(taken.0), span.taken.1.max(taken.1));
                         span.count += count;
                     }
                     None => {
                         let (version, taken, count) = (*version, *taken, *count);
-                        report.spans.push(Span { life, wall_ms, version, taken, count });
+                        report.spans.push(Span {
+                            life,
+                            wall_ms,
+                            version,
+                            taken,
+                            count,
+                        });
                     }
                 }
             }
             Mark::Called { version, call } => {
                 let wall_ms = wall_ms + (*at / 1_000_000) as i64;
-                report.calls.push(Called { wall_ms, version: *version, call: call.clone() });
+                report.calls.push(Called {
+                    wall_ms,
+                    version: *version,
+                    call: call.clone(),
+                });
             }
             Mark::Lost { count } => report.findings.push(Finding::Lost(*count)),
             Mark::Ended => open = None,
@@ -231,8 +286,8 @@
     report
 }
 
-/// Judges every trail of one gatherer that there is, each by its segments from the oldest that is left on. A life that had not
-/// ended goes on only in the trail that was `fetched` just now.
+/// Judges every trail of one gatherer that there is, each by its segments from the oldest that is
+/// left on. A life that had not ended goes on only in the trail that was `fetched` just now.
 pub fn account(
     trails: &[BTreeMap<u64, String>],
     fetched: Option<u64>,
@@ -245,7 +300,10 @@
         let (entries, broken) = join(segments, told);
         let one = judge(&entries, broken, active);
         let over = fetched.is_none() || number(segments) != fetched;
-        let cut_off = one.open.filter(|_| over).map(|(life, after)| Finding::CutOff { life, after });
+        let cut_off = one
+            .open
+            .filter(|_| over)
+            .map(|(life, after)| Finding::CutOff { life, after });
         report.findings.extend(cut_off);
         report.spans.extend(one.spans);
         report.calls.extend(one.calls);
@@ -255,23 +313,31 @@
         report.findings.push(Finding::NoTrail);
     } else if told.keys().any(|trail| !numbers.contains(trail)) {
         let why = "an earlier trail that the store was told of is gone";
-        report.findings.push(Finding::Broken(Broken { line: 0, why }));
+        report
+            .findings
+            .push(Finding::Broken(Broken { line: 0, why }));
     }
-    report.spans.sort_by_key(|span| span.wall_ms + (span.taken.0 / 1_000_000) as i64);
+    report
+        .spans
+        .sort_by_key(|span| span.wall_ms + (span.taken.0 / 1_000_000) as i64);
     report.calls.sort_by_key(|call| call.wall_ms);
     report
 }
 
 /// The number of a trail, by its first line.
 fn number(segments: &BTreeMap<u64, String>) -> Option<u64> {
-    let first = segments.values().next().and_then(|text| text.split_inclusive('\n').next())?;
+    let first = segments
+        .values()
+        .next()
+        .and_then(|text| text.split_inclusive('\n').next())?;
     match read(first).0.first()?.mark {
         Mark::Follows { trail, .. } => Some(trail),
         _ => None,
     }
 }
 
-/// What the store was told of a trail: so many lines of a segment, and the hash of the last of them.
+/// What the store was told of a trail: so many lines of a segment, and the hash of the last of
+/// them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Digest {
     /// The segment.
@@ -282,22 +348,35 @@
     pub hash: String,
 }
 
-/// Puts segments of one trail together, from the oldest that is left on: what holds, and where it holds no longer. A segment
-/// that does not follow from the one before it, and a trail that is shorter than the store was told, are broken too.
+/// Puts segments of one trail together, from the oldest that is left on: what holds, and where it
+/// holds no longer. A segment that does not follow from the one before it, and a trail that is
+/// shorter than the store was told, are broken too.
 ///
 /// `told` has each trail that the gatherer ever had, by its number.
-fn join(segments: &BTreeMap<u64, String>, told: &BTreeMap<u64, Digest>) -> (Vec<Entry>, Option<Broken>) {
+fn join(
+    segments: &BTreeMap<u64, String>,
+    told: &BTreeMap<u64, Digest>,
+) -> (Vec<Entry>, Option<Broken>) {
     let (mut all, mut before) = (Vec::new(), None::<(u64, String)>);
     let digest = number(segments).and_then(|own| told.get(&own));
     for (number, text) in segments {
         let (entries, chain, broken) = read(text);
         let line = entries.len();
-        if let Some(Entry { mark: Mark::Follows { segment, hash, .. }, .. }) = entries.first() {
-            let follows = before.as_ref().is_none_or(|(at, last)| at + 1 == *number && last == hash);
+        if let Some(Entry {
+            mark: Mark::Follows { segment, hash, .. },
+            ..
+        }) = entries.first()
+        {
+            let follows = before
+                .as_ref()
+                .is_none_or(|(at, last)| at + 1 == *number && last == hash);
             if segment != number || !follows {
                 return (
                     all,
-                    Some(Broken { line: 1, why: "its segment does not follow from the one before it" }),
+                    Some(Broken {
+                        line: 1,
+                        why: "its segment does not follow from the one before it",
+                    }),
                 );
             }
         }
@@ -307,13 +386,25 @@
         }
         let told = digest.filter(|digest| digest.segment == *number);
         if told.is_some_and(|told| hash_at(text, told.length) != Some(told.hash.as_str())) {
-            return (all, Some(Broken { line, why: "it is not what the store was told of it" }));
+            return (
+                all,
+                Some(Broken {
+                    line,
+                    why: "it is not what the store was told of it",
+                }),
+            );
         }
         before = Some((*number, chain.hash));
     }
     let last = segments.last_key_value().map(|(number, _)| *number);
     if digest.is_some_and(|digest| last.is_none_or(|last| last < digest.segment)) {
-        return (all, Some(Broken { line: 0, why: "segments that the store was told of are missing" }));
+        return (
+            all,
+            Some(Broken {
+                line: 0,
+                why: "segments that the store was told of are missing",
+            }),
+        );
     }
     (all, None)
 }
@@ -324,7 +415,8 @@
     text.lines().nth(at)?.split_once(' ').map(|(hash, _)| hash)
 }
 
-/// How long two versions were acted on at one time, in milliseconds of the wall clocks that the gatherers told: for people.
+/// How long two versions were acted on at one time, in milliseconds of the wall clocks that the
+/// gatherers told: for people.
 pub fn overlaps(reports: &BTreeMap<String, Report>) -> BTreeMap<(Version, Version), u64> {
     let ms = |span: &Span| {
         let at = |time: Time| span.wall_ms + (time / 1_000_000) as i64;
@@ -355,19 +447,38 @@
     const MS: Time = 1_000_000;
 
     fn entries(marks: Vec<(u64, Mark)>) -> Vec<Entry> {
-        let began = Mark::Began { name: "g".to_owned(), life: 1, wall: 50_000, validity: 1000 * MS };
-        let first = Entry { at: 10 * MS, mark: began };
-        let rest = marks.into_iter().map(|(at, mark)| Entry { at: at * MS, mark });
+        let began = Mark::Began {
+            name: "g".to_owned(),
+            life: 1,
+            wall: 50_000,
+            validity: 1000 * MS,
+        };
+        let first = Entry {
+            at: 10 * MS,
+            mark: began,
+        };
+        let rest = marks
+            .into_iter()
+            .map(|(at, mark)| Entry { at: at * MS, mark });
         [first].into_iter().chain(rest).collect()
     }
 
     fn acts(version: Version, first: u64, last: u64) -> Mark {
         let (class, outcome) = ("page".to_owned(), "whole".to_owned());
-        Mark::Acts { version, class, outcome, taken: (first * MS, last * MS), count: 9 }
+        Mark::Acts {
+            version,
+            class,
+            outcome,
+            taken: (first * MS, last * MS),
+            count: 9,
+        }
     }
 
     fn proved(asked: u64, version: Version) -> Mark {
-        Mark::Proved { asked: asked * MS, version }
+        Mark::Proved {
+            asked: asked * MS,
+            version,
+        }
     }
 
     fn found(marks: Vec<(u64, Mark)>) -> Vec<Finding> {
@@ -376,17 +487,43 @@
 
     #[test]
     fn acts_within_the_validity_are_fine_and_each_beyond_it_is_named() {
-        let fine = vec![(20, proved(15, 5)), (900, proved(800, 5)), (1500, acts(5, 20, 1700))];
+        let fine = vec![
+            (20, proved(15, 5)),
+            (900, proved(800, 5)),
+            (1500, acts(5, 20, 1700)),
+        ];
         assert_eq!(found(fine), []);
-        // Told of the next version, it serves on under the former one until that one's validity is over.
-        let straggles = vec![(20, proved(15, 5)), (300, proved(300, 9)), (1100, acts(5, 20, 1014))];
+        // Told of the next version, it serves on under the former one until that one's validity is
+        // over.
+        let straggles = vec![
+            (20, proved(15, 5)),
+            (300, proved(300, 9)),
+            (1100, acts(5, 20, 1014)),
+        ];
         assert_eq!(found(straggles), []);
-        let beyond = vec![(20, proved(15, 5)), (300, proved(300, 9)), (1100, acts(5, 20, 1015))];
-        let finding = Finding::Beyond { version: 5, class: "page".to_owned(), by: 0, count: 9 };
+        let beyond = vec![
+            (20, proved(15, 5)),
+            (300, proved(300, 9)),
+            (1100, acts(5, 20, 1015)),
+        ];
+        let finding = Finding::Beyond {
+            version: 5,
+            class: "page".to_owned(),
+            by: 0,
+            count: 9,
+        };
         assert_eq!(found(beyond), [finding]);
         // It switches before it has asked again: what held of the former holds of this.
-        let runs = |version| Mark::Runs { version, keeper: false };
-        let switches = vec![(20, proved(15, 5)), (21, runs(5)), (300, runs(9)), (1100, acts(9, 301, 1014))];
+        let runs = |version| Mark::Runs {
+            version,
+            keeper: false,
+        };
+        let switches = vec![
+            (20, proved(15, 5)),
+            (21, runs(5)),
+            (300, runs(9)),
+            (1100, acts(9, 301, 1014)),
+        ];
         assert_eq!(found(switches), []);
         let never = vec![(20, acts(5, 20, 21))];
         assert_eq!(found(never)[0].is_wrong(), Some(true), "it was never told");
@@ -394,10 +531,27 @@
 
     #[test]
     fn one_that_goes_on_without_a_store_is_named_and_must_have_said_so() {
-        let runs = Mark::Runs { version: 5, keeper: true };
-        let kept = Mark::Stands { standing: Standing::Kept };
-        let go_on = vec![(20, proved(15, 5)), (21, runs.clone()), (1020, kept), (2000, acts(5, 20, 1990))];
-        assert_eq!(found(go_on), [Finding::Kept { version: 5, by: 975 * MS, count: 9 }]);
+        let runs = Mark::Runs {
+            version: 5,
+            keeper: true,
+        };
+        let kept = Mark::Stands {
+            standing: Standing::Kept,
+        };
+        let go_on = vec![
+            (20, proved(15, 5)),
+            (21, runs.clone()),
+            (1020, kept),
+            (2000, acts(5, 20, 1990)),
+        ];
+        assert_eq!(
+            found(go_on),
+            [Finding::Kept {
+                version: 5,
+                by: 975 * MS,
+                count: 9
+            }]
+        );
         let silent = vec![(20, proved(15, 5)), (21, runs), (2000, acts(5, 20, 1990))];
         assert_eq!(found(silent)[0].is_wrong(), Some(true));
     }
@@ -405,8 +559,14 @@
     #[test]
     fn what_the_store_never_said_is_a_lie_and_what_is_missing_is_not_known() {
         assert_eq!(found(vec![(20, proved(15, 7))]), [Finding::NeverActive(7)]);
-        assert_eq!(found(vec![(20, proved(15, 9)), (30, proved(25, 5))]), [Finding::WentBack(9, 5)]);
-        let broken = Broken { line: 3, why: "it is cut short" };
+        assert_eq!(
+            found(vec![(20, proved(15, 9)), (30, proved(25, 5))]),
+            [Finding::WentBack(9, 5)]
+        );
+        let broken = Broken {
+            line: 3,
+            why: "it is cut short",
+        };
         let report = judge(&entries(vec![]), Some(broken), &BTreeSet::new());
         assert_eq!(report.findings[0].is_wrong(), None);
     }
@@ -417,14 +577,25 @@
         let mut hash = String::new();
         for segment in 0..3 {
             let mut chain = Chain::default();
-            let mark = Mark::Follows { trail: 77, segment, hash: hash.clone() };
+            let mark = Mark::Follows {
+                trail: 77,
+                segment,
+                hash: hash.clone(),
+            };
             let begins = Entry { at: segment, mark };
-            let acts = Entry { at: 10 + segment, mark: acts(5, 1, 2) };
+            let acts = Entry {
+                at: 10 + segment,
+                mark: acts(5, 1, 2),
+            };
             let text = chain.line(&begins) + "\n" + &chain.line(&acts) + "\n";
             hash = chain.hash;
             segments.insert(segment, text);
         }
-        let digest = Digest { segment: 2, length: 2, hash };
+        let digest = Digest {
+            segment: 2,
+            length: 2,
+            hash,
+        };
         let mut told = BTreeMap::from([(77, digest)]);
         assert_eq!(join(&segments, &told).1, None);
         let without = |gone: u64| {
@@ -434,32 +605,88 @@
         };
         assert_eq!(without(0).1, None, "the oldest may have been let go");
         assert_eq!(without(1).1.map(|broken| broken.line), Some(1));
-        assert_eq!(without(2).1.unwrap().why, "segments that the store was told of are missing");
+        assert_eq!(
+            without(2).1.unwrap().why,
+            "segments that the store was told of are missing"
+        );
         let mut cut = segments.clone();
-        cut.insert(2, segments[&2].split_inclusive('\n').next().unwrap().to_owned());
+        cut.insert(
+            2,
+            segments[&2]
+                .split_inclusive('\n')
+                .next()
+                .unwrap()
+                .to_owned(),
+        );
         let (held, broken) = join(&cut, &told);
-        assert_eq!((held.len(), broken.unwrap().why), (5, "it is not what the store was told of it"));
+        assert_eq!(
+            (held.len(), broken.unwrap().why),
+            (5, "it is not what the store was told of it")
+        );
         assert_eq!(join(&BTreeMap::new(), &BTreeMap::new()), (vec![], None));
         let none = BTreeSet::new();
-        assert_eq!(account(&[], None, &told, &none).findings, [Finding::NoTrail]);
+        assert_eq!(
+            account(&[], None, &told, &none).findings,
+            [Finding::NoTrail]
+        );
         let gone = "an earlier trail that the store was told of is gone";
         let gone = Finding::Broken(Broken { line: 0, why: gone });
-        let found = |trails: &[BTreeMap<u64, String>]| account(trails, Some(77), &told, &none).findings;
-        assert!(found(&[BTreeMap::new()]).contains(&gone), "all of it is gone");
+        let found =
+            |trails: &[BTreeMap<u64, String>]| account(trails, Some(77), &told, &none).findings;
+        assert!(
+            found(&[BTreeMap::new()]).contains(&gone),
+            "all of it is gone"
+        );
         // One that was lost with its disk, and one that was kept elsewhere.
         let mut chain = Chain::default();
-        let begins = Entry { at: 1, mark: Mark::Follows { trail: 78, segment: 0, hash: String::new() } };
+        let begins = Entry {
+            at: 1,
+            mark: Mark::Follows {
+                trail: 78,
+                segment: 0,
+                hash: String::new(),
+            },
+        };
         let other = BTreeMap::from([(0, chain.line(&begins) + "\n")]);
-        told.insert(78, Digest { segment: 0, length: 1, hash: chain.hash });
-        assert_eq!(account(&[segments.clone()], Some(77), &told, &none).findings.last(), Some(&gone));
+        told.insert(
+            78,
+            Digest {
+                segment: 0,
+                length: 1,
+                hash: chain.hash,
+            },
+        );
+        assert_eq!(
+            account(&[segments.clone()], Some(77), &told, &none)
+                .findings
+                .last(),
+            Some(&gone)
+        );
         let both = account(&[other, segments], Some(77), &told, &none);
-        assert!(!both.findings.contains(&gone) && both.spans.len() == 1, "{both:?}");
+        assert!(
+            !both.findings.contains(&gone) && both.spans.len() == 1,
+            "{both:?}"
+        );
         // Kept from a life that nobody saw the end of; and from one that goes on.
         let mut chain = Chain::default();
-        let began = Mark::Began { name: "g".to_owned(), life: 6, wall: 0, validity: 1 };
-        let text = [begins, Entry { at: 2, mark: began }].map(|entry| chain.line(&entry) + "\n").concat();
+        let began = Mark::Began {
+            name: "g".to_owned(),
+            life: 6,
+            wall: 0,
+            validity: 1,
+        };
+        let text = [begins, Entry { at: 2, mark: began }]
+            .map(|entry| chain.line(&entry) + "\n")
+            .concat();
         let alone = [BTreeMap::from([(0, text)])];
-        let told = BTreeMap::from([(78, Digest { segment: 0, length: 2, hash: chain.hash })]);
+        let told = BTreeMap::from([(
+            78,
+            Digest {
+                segment: 0,
+                length: 2,
+                hash: chain.hash,
+            },
+        )]);
         let cut_off = Finding::CutOff { life: 6, after: 0 };
         assert_eq!(account(&alone, None, &told, &none).findings, [cut_off]);
         assert_eq!(account(&alone, Some(78), &told, &none).findings, []);
@@ -467,8 +694,16 @@
 
     #[test]
     fn what_could_not_be_noted_and_calls_by_hand_are_told() {
-        let began = |life| Mark::Began { name: "g".to_owned(), life, wall: 60_000, validity: 1000 * MS };
-        let call = Mark::Called { version: 5, call: "exclude s-1".to_owned() };
+        let began = |life| Mark::Began {
+            name: "g".to_owned(),
+            life,
+            wall: 60_000,
+            validity: 1000 * MS,
+        };
+        let call = Mark::Called {
+            version: 5,
+            call: "exclude s-1".to_owned(),
+        };
         let marks = vec![
             (30, call),
             (700, began(2)),
@@ -478,7 +713,16 @@
         ];
         let report = judge(&entries(marks), None, &BTreeSet::new());
         // The first life ended without a word, the second in order, the third goes on.
-        assert_eq!(report.findings, [Finding::CutOff { life: 1, after: 20 * MS }, Finding::Lost(4)]);
+        assert_eq!(
+            report.findings,
+            [
+                Finding::CutOff {
+                    life: 1,
+                    after: 20 * MS
+                },
+                Finding::Lost(4)
+            ]
+        );
         let words: Vec<&str> = report.findings.iter().map(Finding::word).collect();
         assert_eq!(words, ["gap", "NOT KNOWN"]);
         assert_eq!(report.calls[0].wall_ms, 50_020);
@@ -488,7 +732,11 @@
     fn versions_that_were_acted_on_at_one_time_are_told() {
         let of = |marks| judge(&entries(marks), None, &BTreeSet::from([5, 9]));
         let early = of(vec![(20, proved(15, 9)), (600, acts(9, 400, 590))]);
-        let late = of(vec![(20, proved(15, 5)), (600, acts(5, 20, 550)), (650, acts(9, 560, 640))]);
+        let late = of(vec![
+            (20, proved(15, 5)),
+            (600, acts(5, 20, 550)),
+            (650, acts(9, 560, 640)),
+        ]);
         assert_eq!(late.spans.len(), 2);
         let reports = BTreeMap::from([("a".to_owned(), early), ("b".to_owned(), late)]);
         assert_eq!(overlaps(&reports), BTreeMap::from([((5, 9), 150)]));
--- a/versions/src/registration.rs
+++ b/versions/src/registration.rs
@@ -21,7 +21,10 @@
 impl Registration {
     /// A process with this life that has not registered yet.
     pub fn new(life: u64) -> Self {
-        Registration { life, state: State::Unseen }
+        Registration {
+            life,
+            state: State::Unseen,
+        }
     }
 
     /// The life that a registration bears.
@@ -34,8 +37,9 @@
         self.state == State::Displaced
     }
 
-    /// A registration of the name was committed. Each one has to be told, in order: two processes that register in the same
-    /// moment may each find only the other's in the store whenever they look. True where the name is lost by this one.
+    /// A registration of the name was committed. Each one has to be told, in order: two processes
+    /// that register in the same moment may each find only the other's in the store whenever they
+    /// look. True where the name is lost by this one.
     pub fn committed(&mut self, life: u64) -> bool {
         let next = match self.state {
             State::Unseen | State::Registered if life == self.life => State::Registered,
--- a/versions/src/rollout.rs
+++ b/versions/src/rollout.rs
@@ -11,7 +11,8 @@
     pub runs: Version,
     /// The proposal (its revision) to which its word is, and why it cannot, if it cannot.
     pub word: Option<(u64, Option<String>)>,
-    /// When it was left out by an operator, on the clock of who decides, if that one has seen it happen.
+    /// When it was left out by an operator, on the clock of who decides, if that one has seen it
+    /// happen.
     pub left_out: Option<Time>,
 }
 
@@ -35,22 +36,33 @@
             Missing::Cannot(why) => write!(f, "cannot use this: {why}"),
             Missing::LeftOutTooLately(wait) => {
                 let wait = wait / 1_000_000;
-                write!(f, "was left out, and may act on the former version for {wait} ms more")
+                write!(
+                    f,
+                    "was left out, and may act on the former version for {wait} ms more"
+                )
             }
             Missing::Keeper => f.write_str("goes on without a store, and so cannot be left out"),
         }
     }
 }
 
-/// How many of so many gatherers go on without a store, at a share of them that stays in service whatever happens.
+/// How many of so many gatherers go on without a store, at a share of them that stays in service
+/// whatever happens.
 pub fn least(count: usize, share: f64) -> usize {
     ((count as f64 * share.clamp(0.0, 1.0)).ceil() as usize).min(count)
 }
 
-/// Who of these goes on under a version though it cannot ask the store: the first by a hash of name and version, so that no
-/// gatherer is always one and each can tell by itself.
-pub fn keepers<'a>(names: impl IntoIterator<Item = &'a str>, proposal: u64, share: f64) -> BTreeSet<&'a str> {
-    let mut all: Vec<(u64, &str)> = names.into_iter().map(|name| (hash(name, proposal), name)).collect();
+/// Who of these goes on under a version though it cannot ask the store: the first by a hash of name
+/// and version, so that no gatherer is always one and each can tell by itself.
+pub fn keepers<'a>(
+    names: impl IntoIterator<Item = &'a str>,
+    proposal: u64,
+    share: f64,
+) -> BTreeSet<&'a str> {
+    let mut all: Vec<(u64, &str)> = names
+        .into_iter()
+        .map(|name| (hash(name, proposal), name))
+        .collect();
     all.sort_unstable();
     let most = least(all.len(), share);
     all.into_iter().take(most).map(|(_, name)| name).collect()
@@ -59,15 +71,18 @@
 /// FNV-1a over both: it has to be the same in every build.
 fn hash(name: &str, proposal: u64) -> u64 {
     let bytes = proposal.to_le_bytes();
-    let mixed = bytes.iter().chain(name.as_bytes()).fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
-    });
+    let mixed = bytes
+        .iter()
+        .chain(name.as_bytes())
+        .fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
+            (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+        });
     // The last bytes alone would order names that differ at their end.
     (mixed ^ mixed >> 32).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// Whether a proposal may be made active: everybody has given its word for it, or was left out for longer than its validity
-/// and the margin for clocks that run apart. Who is in the way is named.
+/// Whether a proposal may be made active: everybody has given its word for it, or was left out for
+/// longer than its validity and the margin for clocks that run apart. Who is in the way is named.
 pub fn in_the_way<'a>(
     fleet: &'a BTreeMap<String, Member>,
     proposal: u64,
@@ -106,7 +121,10 @@
             word: Some((to, why.map(str::to_owned))),
             ..Member::default()
         };
-        let out = |at| Member { left_out: Some(at), ..Member::default() };
+        let out = |at| Member {
+            left_out: Some(at),
+            ..Member::default()
+        };
         let fleet: BTreeMap<String, Member> = [
             ("a", word(7, None)),
             ("b", word(6, None)),
@@ -138,10 +156,18 @@
         let mut often: BTreeMap<&str, u32> = BTreeMap::new();
         for proposal in 1..=200 {
             assert_eq!(of(proposal).len(), 15);
-            of(proposal).into_iter().for_each(|name| *often.entry(name).or_default() += 1);
+            of(proposal)
+                .into_iter()
+                .for_each(|name| *often.entry(name).or_default() += 1);
         }
         assert_eq!(often.len(), 60, "each is one at times");
-        assert!(often.values().all(|times| (20..=85).contains(times)), "{often:?}");
-        assert_eq!((least(3, 0.5), least(3, 0.0), least(0, 1.0), least(5, 2.0)), (2, 0, 0, 5));
+        assert!(
+            often.values().all(|times| (20..=85).contains(times)),
+            "{often:?}"
+        );
+        assert_eq!(
+            (least(3, 0.5), least(3, 0.0), least(0, 1.0), least(5, 2.0)),
+            (2, 0, 0, 5)
+        );
     }
 }
--- a/versions/src/standing.rs
+++ b/versions/src/standing.rs
@@ -8,7 +8,8 @@
 pub struct Terms {
     /// How long after it last asked, with an answer, a gatherer acts on what it was told.
     pub validity: Time,
-    /// How long answers must have come without a gap before one that was shut out takes clients again.
+    /// How long answers must have come without a gap before one that was shut out takes clients
+    /// again.
     pub steady: Time,
 }
 
@@ -26,8 +27,8 @@
     Current,
     /// It runs what was active when it last was told, some time ago. It serves on.
     Behind,
-    /// It knows that it does not run what is active, or half of the validity has gone without an answer. It serves on, and is
-    /// brought up.
+    /// It knows that it does not run what is active, or half of the validity has gone without an
+    /// answer. It serves on, and is brought up.
     Straggler,
     /// Its validity is over, and it is one of those that go on all the same.
     Kept,
@@ -69,15 +70,17 @@
     keeper: bool,
     /// When it asked what was last answered, and which version it was told.
     told: Option<(Time, Version)>,
-    /// When it last asked and was told that what it runs is active, or what it ran before it switched to this: a validity counts
-    /// from there, and is not renewed by being told of another version.
+    /// When it last asked and was told that what it runs is active, or what it ran before it
+    /// switched to this: a validity counts from there, and is not renewed by being told of another
+    /// version.
     proved: Option<Time>,
     /// When it asked what has no answer yet.
     asked: Option<Time>,
     ask_at: Time,
     /// Questions without an answer in a row.
     misses: u32,
-    /// Since when answers have come without a gap, after it was shut out; `None` while it is not, or they do not.
+    /// Since when answers have come without a gap, after it was shut out; `None` while it is not,
+    /// or they do not.
     out: bool,
     steady_since: Option<Time>,
     /// An operator has it held back.
@@ -87,8 +90,9 @@
 }
 
 impl Account {
-    /// One that starts now with this version, and has asked nothing yet. It takes no clients before it was answered once, or
-    /// its validity has passed without and it is a keeper: what it starts with may be of last month.
+    /// One that starts now with this version, and has asked nothing yet. It takes no clients before
+    /// it was answered once, or its validity has passed without and it is a keeper: what it starts
+    /// with may be of last month.
     pub fn new(terms: Terms, runs: Version, keeper: bool, now: Time) -> Account {
         Account {
             terms,
@@ -123,7 +127,8 @@
         Some(self.proved?.saturating_add(self.terms.validity))
     }
 
-    /// Whether the store is to be asked now which version is active; if so, the question counts as asked.
+    /// Whether the store is to be asked now which version is active; if so, the question counts as
+    /// asked.
     pub fn asks(&mut self, now: Time) -> bool {
         if now < self.ask_at || self.asked.is_some() {
             return false;
@@ -134,14 +139,25 @@
 
     /// When this wants to be looked at again.
     pub fn due(&self) -> Time {
-        let next = if self.asked.is_some() { Time::MAX } else { self.ask_at };
+        let next = if self.asked.is_some() {
+            Time::MAX
+        } else {
+            self.ask_at
+        };
         let gap = self.terms.gap();
-        let ends = self.proved.map(|at| [gap, 2 * gap, self.terms.validity].map(|after| at + after));
+        let ends = self
+            .proved
+            .map(|at| [gap, 2 * gap, self.terms.validity].map(|after| at + after));
         let begin = self.started.saturating_add(self.terms.validity);
-        let steady = self.steady_since.map(|since| since.saturating_add(self.terms.steady));
+        let steady = self
+            .steady_since
+            .map(|since| since.saturating_add(self.terms.steady));
         let all = ends.into_iter().flatten().chain(steady).chain([begin]);
         // Moments that have gone are looked at with the next question.
-        all.filter(|at| *at > self.changes_at()).chain([next]).min().unwrap_or(next)
+        all.filter(|at| *at > self.changes_at())
+            .chain([next])
+            .min()
+            .unwrap_or(next)
     }
 
     fn changes_at(&self) -> Time {
@@ -150,20 +166,27 @@
 
     /// The store has answered what was asked: this version is active.
     pub fn answered(&mut self, active: Version, now: Time) {
-        let Some(asked) = self.asked.take() else { return };
+        let Some(asked) = self.asked.take() else {
+            return;
+        };
         self.misses = 0;
         self.ask_at = asked.saturating_add(self.terms.validity / 8).max(now);
         // An answer that took longer than it is worth says nothing.
         if now.saturating_sub(asked) <= self.terms.validity {
             self.told = Some((asked, active));
-            self.proved = if active == self.runs { Some(asked) } else { self.proved };
+            self.proved = if active == self.runs {
+                Some(asked)
+            } else {
+                self.proved
+            };
             self.steady_since.get_or_insert(asked);
         }
         self.settle(now);
     }
 
-    /// The store has answered that this gatherer is left out of the next activation: whoever decides on that counts on its
-    /// validity running out from then on, so that answer renews nothing.
+    /// The store has answered that this gatherer is left out of the next activation: whoever
+    /// decides on that counts on its validity running out from then on, so that answer renews
+    /// nothing.
     pub fn left_out(&mut self, now: Time) {
         self.unanswered(now);
     }
@@ -179,10 +202,15 @@
         self.settle(now);
     }
 
-    /// It runs another version from now on, and is or is not one of those that go on under it without a store.
+    /// It runs another version from now on, and is or is not one of those that go on under it
+    /// without a store.
     pub fn switched(&mut self, to: Version, keeper: bool, now: Time) {
-        // What is active now came to be so after the last moment for which the former was proved, so it holds for as long.
-        let told = self.told.filter(|(_, told)| *told == to).map(|(asked, _)| asked);
+        // What is active now came to be so after the last moment for which the former was proved,
+        // so it holds for as long.
+        let told = self
+            .told
+            .filter(|(_, told)| *told == to)
+            .map(|(asked, _)| asked);
         self.proved = told.or(self.proved);
         (self.runs, self.keeper) = (to, keeper);
         self.settle(now);
@@ -194,8 +222,8 @@
         self.settle(now);
     }
 
-    /// Whether a query may be taken at this very moment: asked with a clock read right before, as the process may have stood
-    /// still since anything else was decided.
+    /// Whether a query may be taken at this very moment: asked with a clock read right before, as
+    /// the process may have stood still since anything else was decided.
     pub fn may_act(&self, now: Time) -> bool {
         match self.standing {
             Standing::ShutOut => false,
@@ -239,7 +267,11 @@
         if age >= self.terms.validity {
             let begun = now.saturating_sub(self.started) >= self.terms.validity;
             self.out |= !self.keeper;
-            return if self.keeper && begun { Standing::Kept } else { Standing::ShutOut };
+            return if self.keeper && begun {
+                Standing::Kept
+            } else {
+                Standing::ShutOut
+            };
         }
         // It may have switched since it was told.
         let runs_active = self.told.is_some_and(|(_, active)| active <= self.runs);
@@ -269,7 +301,15 @@
     const S: Time = 1_000_000_000;
 
     fn account(keeper: bool) -> Account {
-        Account::new(Terms { validity: 8 * S, steady: 3 * S }, 5, keeper, 100 * S)
+        Account::new(
+            Terms {
+                validity: 8 * S,
+                steady: 3 * S,
+            },
+            5,
+            keeper,
+            100 * S,
+        )
     }
 
     /// Asks and is answered at once.
@@ -280,7 +320,11 @@
     }
 
     fn way(account: &mut Account) -> Vec<Standing> {
-        account.take_changes().iter().map(|change| change.to).collect()
+        account
+            .take_changes()
+            .iter()
+            .map(|change| change.to)
+            .collect()
     }
 
     #[test]
@@ -288,33 +332,56 @@
         let mut one = account(false);
         assert!(!one.may_act(100 * S), "what it starts with may be old");
         renew(&mut one, 5, 101 * S);
-        assert_eq!((one.standing(), one.may_act(101 * S)), (Standing::Current, true));
+        assert_eq!(
+            (one.standing(), one.may_act(101 * S)),
+            (Standing::Current, true)
+        );
         assert!(one.asks(102 * S));
         for at in 1020..1110 {
             one.settle(at * S / 10);
         }
         assert_eq!(
             way(&mut one),
-            [Standing::Current, Standing::Behind, Standing::Straggler, Standing::ShutOut]
+            [
+                Standing::Current,
+                Standing::Behind,
+                Standing::Straggler,
+                Standing::ShutOut
+            ]
         );
-        // Counted from when it had asked; and also where nothing has looked since, as in a process that stood still.
+        // Counted from when it had asked; and also where nothing has looked since, as in a process
+        // that stood still.
         let mut slept = account(false);
         renew(&mut slept, 5, 101 * S);
         assert!(slept.may_act(109 * S - 1) && !slept.may_act(109 * S));
-        assert_eq!(slept.standing(), Standing::Current, "it has not been looked at");
+        assert_eq!(
+            slept.standing(),
+            Standing::Current,
+            "it has not been looked at"
+        );
     }
 
     #[test]
     fn an_answer_counts_from_its_question_and_a_very_late_one_not_at_all() {
         let mut one = account(false);
-        assert!(one.asks(100 * S) && !one.asks(100 * S), "one question at a time");
+        assert!(
+            one.asks(100 * S) && !one.asks(100 * S),
+            "one question at a time"
+        );
         one.answered(5, 106 * S);
-        assert_eq!((one.valid_until(), one.standing()), (Some(108 * S), Standing::Straggler));
+        assert_eq!(
+            (one.valid_until(), one.standing()),
+            (Some(108 * S), Standing::Straggler)
+        );
         assert!(one.asks(106 * S));
         one.answered(5, 115 * S);
         assert_eq!(one.valid_until(), Some(108 * S));
         one.answered(5, 115 * S);
-        assert_eq!(one.valid_until(), Some(108 * S), "an answer that nobody asked for");
+        assert_eq!(
+            one.valid_until(),
+            Some(108 * S),
+            "an answer that nobody asked for"
+        );
     }
 
     #[test]
@@ -342,22 +409,32 @@
         let mut one = account(false);
         renew(&mut one, 5, 100 * S);
         renew(&mut one, 9, 101 * S);
-        assert_eq!((one.standing(), one.may_act(101 * S)), (Standing::Straggler, true));
+        assert_eq!(
+            (one.standing(), one.may_act(101 * S)),
+            (Standing::Straggler, true)
+        );
         // Told again and again of what it does not run, it renews nothing by that.
         let mut cannot = one.clone();
         (102..108).for_each(|second| renew(&mut cannot, 9, second * S));
         assert!(cannot.may_act(108 * S - 1) && !cannot.may_act(108 * S));
-        // One that switches as the store's news come, before it has asked again, is not shut out for that.
+        // One that switches as the store's news come, before it has asked again, is not shut out
+        // for that.
         let mut quick = account(false);
         renew(&mut quick, 5, 100 * S);
         quick.switched(9, false, 101 * S);
-        assert_eq!((quick.may_act(108 * S - 1), quick.may_act(108 * S)), (true, false));
+        assert_eq!(
+            (quick.may_act(108 * S - 1), quick.may_act(108 * S)),
+            (true, false)
+        );
         assert_ne!(quick.standing(), Standing::ShutOut);
         one.switched(9, true, 102 * S);
         assert_eq!(one.standing(), Standing::Current);
         // It is a keeper now: its validity ends, and it goes on.
         one.settle(109 * S);
-        assert_eq!((one.standing(), one.may_act(200 * S)), (Standing::Kept, true));
+        assert_eq!(
+            (one.standing(), one.may_act(200 * S)),
+            (Standing::Kept, true)
+        );
         one.hold(true, 110 * S);
         assert!(!one.may_act(110 * S), "an operator's word goes before");
     }
@@ -368,7 +445,10 @@
         one.settle(107 * S);
         assert!(!one.may_act(107 * S));
         one.settle(108 * S);
-        assert_eq!((one.standing(), one.may_act(108 * S)), (Standing::Kept, true));
+        assert_eq!(
+            (one.standing(), one.may_act(108 * S)),
+            (Standing::Kept, true)
+        );
         let mut other = account(false);
         other.settle(500 * S);
         assert!(!other.may_act(500 * S));
@@ -385,7 +465,15 @@
             now += S / 100;
         }
         let waits: Vec<Time> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
-        assert!(waits[0] < S / 4 && waits.windows(2).all(|pair| pair[0] <= pair[1]), "{waits:?}");
-        assert!(waits.last().is_some_and(|wait| (2 * S..2 * S + S / 10).contains(wait)), "{waits:?}");
+        assert!(
+            waits[0] < S / 4 && waits.windows(2).all(|pair| pair[0] <= pair[1]),
+            "{waits:?}"
+        );
+        assert!(
+            waits
+                .last()
+                .is_some_and(|wait| (2 * S..2 * S + S / 10).contains(wait)),
+            "{waits:?}"
+        );
     }
 }
--- a/versions/src/trail.rs
+++ b/versions/src/trail.rs
@@ -1,5 +1,6 @@
-//! What a gatherer notes of its own acts: each line carries the hash of all before it, so that a trail that was cut or altered
-//! shows where. Acts are counted over stretches of time by version, class and outcome; what changes stands by itself.
+//! What a gatherer notes of its own acts: each line carries the hash of all before it, so that a
+//! trail that was cut or altered shows where. Acts are counted over stretches of time by version,
+//! class and outcome; what changes stands by itself.
 
 use crate::standing::Standing;
 use crate::{Time, Version};
@@ -13,14 +14,16 @@
 pub enum Mark {
     /// A segment of the trail begins.
     Follows {
-        /// A random number that the trail has had from its first segment on: one that was lost is not taken for the next.
+        /// A random number that the trail has had from its first segment on: one that was lost is
+        /// not taken for the next.
         trail: u64,
         /// Which one, counted from 0.
         segment: u64,
         /// The hash of the last line of the one before it; empty where there was none.
         hash: String,
     },
-    /// A life of the gatherer began, at this wall clock (milliseconds; for people, nothing is judged by it).
+    /// A life of the gatherer began, at this wall clock (milliseconds; for people, nothing is
+    /// judged by it).
     Began {
         /// Its name.
         name: String,
@@ -88,22 +91,42 @@
     pub mark: Mark,
 }
 
-const STANDINGS: [Standing; 5] =
-    [Standing::Current, Standing::Behind, Standing::Straggler, Standing::Kept, Standing::ShutOut];
+const STANDINGS: [Standing; 5] = [
+    Standing::Current,
+    Standing::Behind,
+    Standing::Straggler,
+    Standing::Kept,
+    Standing::ShutOut,
+];
 
 impl Entry {
     fn json(&self) -> Json {
         let mut json = match &self.mark {
-            Mark::Follows { trail, segment, hash } => {
+            Mark::Follows {
+                trail,
+                segment,
+                hash,
+            } => {
                 json!({"trail": trail, "segment": segment, "follows": hash})
             }
-            Mark::Began { name, life, wall, validity } => {
+            Mark::Began {
+                name,
+                life,
+                wall,
+                validity,
+            } => {
                 json!({"began": name, "life": life, "wall": wall, "validity": validity})
             }
             Mark::Proved { asked, version } => json!({"proved": version, "asked": asked}),
             Mark::Runs { version, keeper } => json!({"runs": version, "keeper": keeper}),
             Mark::Stands { standing } => json!({"stands": standing.to_string()}),
-            Mark::Acts { version, class, outcome, taken, count } => {
+            Mark::Acts {
+                version,
+                class,
+                outcome,
+                taken,
+                count,
+            } => {
                 json!({"acts": version, "class": class, "outcome": outcome, "taken": [taken.0, taken.1], "count": count})
             }
             Mark::Called { version, call } => json!({"called": call, "version": version}),
@@ -118,28 +141,57 @@
         let number = |key: &str| json[key].as_u64();
         let text = |key: &str| json[key].as_str().map(str::to_owned);
         let mark = if let Some(hash) = text("follows") {
-            Mark::Follows { trail: number("trail")?, segment: number("segment")?, hash }
+            Mark::Follows {
+                trail: number("trail")?,
+                segment: number("segment")?,
+                hash,
+            }
         } else if let Some(name) = text("began") {
-            Mark::Began { name, life: number("life")?, wall: number("wall")?, validity: number("validity")? }
+            Mark::Began {
+                name,
+                life: number("life")?,
+                wall: number("wall")?,
+                validity: number("validity")?,
+            }
         } else if let Some(version) = number("proved") {
-            Mark::Proved { asked: number("asked")?, version }
+            Mark::Proved {
+                asked: number("asked")?,
+                version,
+            }
         } else if let Some(version) = number("runs") {
-            Mark::Runs { version, keeper: json["keeper"].as_bool()? }
+            Mark::Runs {
+                version,
+                keeper: json["keeper"].as_bool()?,
+            }
         } else if let Some(word) = text("stands") {
-            let standing = STANDINGS.into_iter().find(|standing| standing.to_string() == word)?;
+            let standing = STANDINGS
+                .into_iter()
+                .find(|standing| standing.to_string() == word)?;
             Mark::Stands { standing }
         } else if let Some(version) = number("acts") {
             let taken = (json["taken"][0].as_u64()?, json["taken"][1].as_u64()?);
             let (class, outcome) = (text("class")?, text("outcome")?);
-            Mark::Acts { version, class, outcome, taken, count: number("count")? }
+            Mark::Acts {
+                version,
+                class,
+                outcome,
+                taken,
+                count: number("count")?,
+            }
         } else if let Some(count) = number("lost") {
             Mark::Lost { count }
         } else if json["ended"] == true {
             Mark::Ended
         } else {
-            Mark::Called { version: number("version")?, call: text("called")? }
+            Mark::Called {
+                version: number("version")?,
+                call: text("called")?,
+            }
         };
-        Some(Entry { at: number("at")?, mark })
+        Some(Entry {
+            at: number("at")?,
+            mark,
+        })
     }
 }
 
@@ -166,10 +218,12 @@
         hash.update(self.length.to_le_bytes());
         hash.update(text.as_bytes());
         // Half of it is plenty to tell a change by, and half of the bytes.
-        self.hash = hash.finalize()[..16].iter().fold(String::new(), |mut hex, byte| {
-            let _ = write!(hex, "{byte:02x}");
-            hex
-        });
+        self.hash = hash.finalize()[..16]
+            .iter()
+            .fold(String::new(), |mut hex, byte| {
+                let _ = write!(hex, "{byte:02x}");
+                hex
+            });
         self.length += 1;
     }
 }
@@ -189,7 +243,8 @@
     }
 }
 
-/// Reads a trail from its first line on: as much as holds, what the next line is bound to, and where it holds no longer.
+/// Reads a trail from its first line on: as much as holds, what the next line is bound to, and
+/// where it holds no longer.
 pub fn read(text: &str) -> (Vec<Entry>, Chain, Option<Broken>) {
     let (mut entries, mut chain) = (Vec::new(), Chain::default());
     for (at, line) in text.split_inclusive('\n').enumerate() {
@@ -203,10 +258,18 @@
         let mut next = chain.clone();
         next.bind(json);
         if next.hash != hash {
-            return (entries, chain, broken("it does not follow from those before it"));
+            return (
+                entries,
+                chain,
+                broken("it does not follow from those before it"),
+            );
         }
-        let entry = serde_json::from_str(json).ok().and_then(|json| Entry::read(&json));
-        let Some(entry) = entry else { return (entries, chain, broken("it makes no sense")) };
+        let entry = serde_json::from_str(json)
+            .ok()
+            .and_then(|json| Entry::read(&json));
+        let Some(entry) = entry else {
+            return (entries, chain, broken("it makes no sense"));
+        };
         entries.push(entry);
         chain = next;
     }
@@ -231,7 +294,10 @@
             Some((_, (first, last, count))) => {
                 (*first, *last, *count) = ((*first).min(taken), (*last).max(taken), *count + 1);
             }
-            None => drop(self.acts.insert((version, class.to_owned(), outcome), (taken, taken, 1))),
+            None => drop(
+                self.acts
+                    .insert((version, class.to_owned(), outcome), (taken, taken, 1)),
+            ),
         }
     }
 
@@ -240,7 +306,16 @@
         let acts = std::mem::take(&mut self.acts).into_iter();
         acts.map(|((version, class, outcome), (first, last, count))| {
             let (outcome, taken) = (outcome.to_owned(), (first, last));
-            Entry { at, mark: Mark::Acts { version, class, outcome, taken, count } }
+            Entry {
+                at,
+                mark: Mark::Acts {
+                    version,
+                    class,
+                    outcome,
+                    taken,
+                    count,
+                },
+            }
         })
         .collect()
     }
@@ -252,23 +327,46 @@
 
     fn trail() -> (Vec<Entry>, String) {
         let marks = [
-            Mark::Began { name: "g1".to_owned(), life: 7, wall: 1, validity: 8 },
-            Mark::Runs { version: 5, keeper: true },
-            Mark::Proved { asked: 3, version: 5 },
-            Mark::Stands { standing: Standing::Kept },
-            Mark::Called { version: 5, call: "exclude s-1".to_owned() },
+            Mark::Began {
+                name: "g1".to_owned(),
+                life: 7,
+                wall: 1,
+                validity: 8,
+            },
+            Mark::Runs {
+                version: 5,
+                keeper: true,
+            },
+            Mark::Proved {
+                asked: 3,
+                version: 5,
+            },
+            Mark::Stands {
+                standing: Standing::Kept,
+            },
+            Mark::Called {
+                version: 5,
+                call: "exclude s-1".to_owned(),
+            },
             Mark::Lost { count: 4 },
             Mark::Ended,
         ];
-        let mut entries: Vec<Entry> =
-            marks.into_iter().zip(10..).map(|(mark, at)| Entry { at, mark }).collect();
+        let mut entries: Vec<Entry> = marks
+            .into_iter()
+            .zip(10..)
+            .map(|(mark, at)| Entry { at, mark })
+            .collect();
         let mut ledger = Ledger::default();
-        [12, 19, 14].into_iter().for_each(|taken| ledger.count(5, "page", "whole", taken));
+        [12, 19, 14]
+            .into_iter()
+            .for_each(|taken| ledger.count(5, "page", "whole", taken));
         ledger.count(4, "page", "whole", 2);
         entries.extend(ledger.take(20));
         assert_eq!(ledger.take(21), []);
         let mut chain = Chain::default();
-        let text = entries.iter().fold(String::new(), |text, entry| text + &chain.line(entry) + "\n");
+        let text = entries.iter().fold(String::new(), |text, entry| {
+            text + &chain.line(entry) + "\n"
+        });
         (entries, text)
     }
 
@@ -277,7 +375,9 @@
         let (entries, text) = trail();
         let (read_back, chain, broken) = read(&text);
         assert_eq!((&read_back, chain.length, broken), (&entries, 9, None));
-        let Mark::Acts { taken, count, .. } = &entries[8].mark else { panic!("{entries:?}") };
+        let Mark::Acts { taken, count, .. } = &entries[8].mark else {
+            panic!("{entries:?}")
+        };
         assert_eq!((*taken, *count), ((12, 19), 3));
         // Any byte altered, in any line: everything before it holds, and nothing from there on.
         for at in 0..text.len() {
@@ -294,7 +394,10 @@
         let without: String = lines[..3].iter().chain(&lines[4..]).copied().collect();
         assert_eq!(
             read(&without).2,
-            Some(Broken { line: 4, why: "it does not follow from those before it" })
+            Some(Broken {
+                line: 4,
+                why: "it does not follow from those before it"
+            })
         );
         let cut = &text[..text.len() - 3];
         assert_eq!(read(cut).2.unwrap().why, "it is cut short");
--- a/versions/tests/fleet.rs
+++ b/versions/tests/fleet.rs
@@ -1,6 +1,7 @@
-//! A fleet over rollouts, by seed: gatherers that are cut off, stand still, lose power and have clocks that run apart; a store
-//! without a majority for stretches; operators who leave gatherers out. Nobody acts on a version beyond its bound, whoever was
-//! left out of an activation has stopped before it, and the least share stays in service. `VERSIONS_SEEDS=10000 cargo test
+//! A fleet over rollouts, by seed: gatherers that are cut off, stand still, lose power and have
+//! clocks that run apart; a store without a majority for stretches; operators who leave gatherers
+//! out. Nobody acts on a version beyond its bound, whoever was left out of an activation has
+//! stopped before it, and the least share stays in service. `VERSIONS_SEEDS=10000 cargo test
 //! --release -p bitternsill-versions --test fleet` plays as many.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,7 +10,10 @@
 use versions::{Time, Version};
 
 const MS: Time = 1_000_000;
-const TERMS: Terms = Terms { validity: 4_000 * MS, steady: 800 * MS };
+const TERMS: Terms = Terms {
+    validity: 4_000 * MS,
+    steady: 800 * MS,
+};
 /// What two clocks may differ by, in parts of a thousand.
 const DRIFT: u64 = 50;
 const SHARE: f64 = 0.4;
@@ -24,7 +28,8 @@
     FromTheAnswer,
     /// One that is left out renews its validity all the same.
     RenewedWhileOut,
-    /// The share that goes on without a store is not kept in activations: its members may be left out.
+    /// The share that goes on without a store is not kept in activations: its members may be left
+    /// out.
     KeepersLeftOut,
 }
 
@@ -70,7 +75,10 @@
     let count = [3, 6, 10][seed as usize % 3];
     let names: Vec<String> = (0..count).map(|at| format!("g{at}")).collect();
     let all: BTreeSet<String> = names.iter().cloned().collect();
-    let mut store = Store { keepers: all.clone(), ..Store::default() };
+    let mut store = Store {
+        keepers: all.clone(),
+        ..Store::default()
+    };
     let mut fleet: Vec<Gatherer> = (0..count)
         .map(|at| Gatherer {
             account: Account::new(TERMS, 0, true, 0),
@@ -125,7 +133,8 @@
                 continue;
             }
             let own = one.clock(now);
-            // What came while it stood still is there at its first turn, and so are queries: they go first here.
+            // What came while it stood still is there at its first turn, and so are queries: they
+            // go first here.
             let acts = one.account.may_act(own);
             let runs = one.account.runs();
             if acts && let Some(ended) = store.ended.get(&runs) {
@@ -138,7 +147,10 @@
                 }
                 let last = *ended + bound(TERMS.validity, DRIFT) + 40 * MS;
                 if !kept && now > last {
-                    return Err(format!("{name} acts on {runs} {} ms beyond its bound", (now - last) / MS));
+                    return Err(format!(
+                        "{name} acts on {runs} {} ms beyond its bound",
+                        (now - last) / MS
+                    ));
                 }
             }
             if one.linked && quorum {
@@ -190,12 +202,16 @@
             let after = one.account.standing();
             one.swings += u32::from((before == Standing::ShutOut) != (after == Standing::ShutOut));
         }
-        // Whoever operates the fleet: proposes, leaves out whoever has not had its say for long, activates.
+        // Whoever operates the fleet: proposes, leaves out whoever has not had its say for long,
+        // activates.
         let own = now / 1_000 * rate;
         if !quorum {
             continue;
         }
-        if store.proposal == 0 || store.words.is_empty() || made > 0 && store.proposal == store.active {
+        if store.proposal == 0
+            || store.words.is_empty()
+            || made > 0 && store.proposal == store.active
+        {
             // The last rollout has its time to end.
             if rng.u8(..) < 6 && now < 78_000 * MS {
                 revision += 1;
@@ -208,12 +224,27 @@
             let life = fleet[names.iter().position(|n| n == name).expect("one of them")].life;
             let word = store.words.get(name).filter(|(of, _)| *of == life);
             let word = word.map(|(_, to)| (*to, None));
-            (name.clone(), Member { runs: 0, word, left_out: activator.1.get(name).copied() })
+            (
+                name.clone(),
+                Member {
+                    runs: 0,
+                    word,
+                    left_out: activator.1.get(name).copied(),
+                },
+            )
         };
         let members: BTreeMap<String, Member> = names.iter().map(member).collect();
-        let waits = if planted == Planted::NoWait { 0 } else { bound(TERMS.validity, DRIFT) };
+        let waits = if planted == Planted::NoWait {
+            0
+        } else {
+            bound(TERMS.validity, DRIFT)
+        };
         let none = BTreeSet::new();
-        let former = if planted == Planted::KeepersLeftOut { &none } else { &store.keepers };
+        let former = if planted == Planted::KeepersLeftOut {
+            &none
+        } else {
+            &store.keepers
+        };
         let missing: Vec<String> = in_the_way(&members, store.proposal, former, waits, own)
             .keys()
             .map(|n| (*n).to_owned())
@@ -231,12 +262,22 @@
         revision += 1;
         store.ended.insert(store.active, now);
         // Whoever has given its word meanwhile is not waited for: it switches like the others.
-        let silent =
-            |name: &&String| members[*name].word.as_ref().is_none_or(|(to, _)| *to != store.proposal);
+        let silent = |name: &&String| {
+            members[*name]
+                .word
+                .as_ref()
+                .is_none_or(|(to, _)| *to != store.proposal)
+        };
         let silent: BTreeSet<String> = activator.1.keys().filter(silent).cloned().collect();
         store.left_out.insert(store.active, silent);
-        let with = names.iter().filter(|name| !activator.1.contains_key(*name)).map(String::as_str);
-        store.keepers = keepers(with, store.proposal, SHARE).into_iter().map(str::to_owned).collect();
+        let with = names
+            .iter()
+            .filter(|name| !activator.1.contains_key(*name))
+            .map(String::as_str);
+        store.keepers = keepers(with, store.proposal, SHARE)
+            .into_iter()
+            .map(str::to_owned)
+            .collect();
         (store.active, store.proposal) = (revision, revision);
         (activator.1, made) = (BTreeMap::new(), made + 1);
         // A version that is active again has not ended.
@@ -254,17 +295,24 @@
 }
 
 fn seeds() -> u64 {
-    std::env::var("VERSIONS_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(40)
+    std::env::var("VERSIONS_SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(40)
 }
 
 #[test]
 fn nobody_acts_beyond_the_bound_and_whoever_was_left_out_has_stopped() {
     let mut made = 0;
     for seed in 0..seeds() {
-        made += play(seed, Planted::Nothing).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
+        made +=
+            play(seed, Planted::Nothing).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
     }
     println!("{} seeds, {made} activations", seeds());
-    assert!(u64::from(made) > seeds(), "hardly anything was activated: {made}");
+    assert!(
+        u64::from(made) > seeds(),
+        "hardly anything was activated: {made}"
+    );
 }
 
 /// Each is found from a seed on that is known to find it.
@@ -283,13 +331,16 @@
     }
 }
 
-/// The store is lost for good under a version: the stated share of gatherers goes on, the others stop, all by themselves.
+/// The store is lost for good under a version: the stated share of gatherers goes on, the others
+/// stop, all by themselves.
 #[test]
 fn a_fleet_that_loses_its_store_as_a_whole_keeps_the_least_share_in_service() {
     let names: Vec<String> = (0..30).map(|at| format!("g{at}")).collect();
     let kept = keepers(names.iter().map(String::as_str), 7, SHARE);
-    let mut fleet: Vec<Account> =
-        names.iter().map(|name| Account::new(TERMS, 7, kept.contains(name.as_str()), 0)).collect();
+    let mut fleet: Vec<Account> = names
+        .iter()
+        .map(|name| Account::new(TERMS, 7, kept.contains(name.as_str()), 0))
+        .collect();
     for one in &mut fleet {
         assert!(one.asks(MS));
         one.answered(7, 2 * MS);
--- a/versions/tests/model.rs
+++ b/versions/tests/model.rs
@@ -1,5 +1,5 @@
-//! Activation and shut-out, model-checked: one step of time after the other, every order of questions, answers that come late or
-//! never, words given, gatherers left out, and the switch.
+//! Activation and shut-out, model-checked: one step of time after the other, every order of
+//! questions, answers that come late or never, words given, gatherers left out, and the switch.
 
 use stateright::{Checker, Model, Property};
 
@@ -28,7 +28,8 @@
     runs: bool,
     /// How long ago it asked what was last answered for what it runs.
     proved: u8,
-    /// What it has asked: how long ago, and what was true then: whether the new one was active, and whether it was left out.
+    /// What it has asked: how long ago, and what was true then: whether the new one was active, and
+    /// whether it was left out.
     asked: Option<(u8, bool, bool)>,
     word: bool,
     /// How long ago it was left out.
@@ -70,8 +71,17 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let one = Gatherer { runs: false, proved: OLD, asked: None, word: false, out: None };
-        vec![State { all: vec![one; self.gatherers], active: None }]
+        let one = Gatherer {
+            runs: false,
+            proved: OLD,
+            asked: None,
+            word: false,
+            out: None,
+        };
+        vec![State {
+            all: vec![one; self.gatherers],
+            active: None,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
@@ -89,7 +99,12 @@
             }
         }
         let waited = |out: u8| out >= VALIDITY || self.without == Without::TheWait;
-        if state.active.is_none() && state.all.iter().all(|one| one.word || one.out.is_some_and(waited)) {
+        if state.active.is_none()
+            && state
+                .all
+                .iter()
+                .all(|one| one.word || one.out.is_some_and(waited))
+        {
             actions.push(Action::Activate);
         }
     }
@@ -101,19 +116,29 @@
             Action::Time => {
                 for one in &mut next.all {
                     one.proved = older(one.proved);
-                    one.asked = one.asked.map(|(age, active, out)| (older(age), active, out));
+                    one.asked = one
+                        .asked
+                        .map(|(age, active, out)| (older(age), active, out));
                     one.out = one.out.map(older);
                 }
                 next.active = next.active.map(|(age, out)| (older(age), out));
             }
             Action::Ask(at) => {
                 let one = &mut next.all[at];
-                one.asked = Some((0, state.active.is_some(), state.active.is_none() && one.out.is_some()));
+                one.asked = Some((
+                    0,
+                    state.active.is_some(),
+                    state.active.is_none() && one.out.is_some(),
+                ));
             }
             Action::Answer(at) => {
                 let one = &mut next.all[at];
                 let (age, active, out) = one.asked.take()?;
-                let age = if self.without == Without::TheQuestion { 0 } else { age };
+                let age = if self.without == Without::TheQuestion {
+                    0
+                } else {
+                    age
+                };
                 let own = active == one.runs || self.without == Without::TheVersion;
                 if own && (!out || self.without == Without::TheMark) {
                     one.proved = one.proved.min(age);
@@ -133,18 +158,35 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("whoever was left out has stopped", |_: &Rule, state: &State| {
-                let Some((_, out)) = &state.active else { return true };
-                state.all.iter().zip(out).all(|(one, out)| one.runs || !out || !Rule::may_act(one))
-            }),
+            Property::always(
+                "whoever was left out has stopped",
+                |_: &Rule, state: &State| {
+                    let Some((_, out)) = &state.active else {
+                        return true;
+                    };
+                    state
+                        .all
+                        .iter()
+                        .zip(out)
+                        .all(|(one, out)| one.runs || !out || !Rule::may_act(one))
+                },
+            ),
             Property::always("nobody acts beyond the bound", |_: &Rule, state: &State| {
-                let Some((age, _)) = &state.active else { return true };
+                let Some((age, _)) = &state.active else {
+                    return true;
+                };
                 *age < VALIDITY || state.all.iter().all(|one| one.runs || !Rule::may_act(one))
             }),
-            Property::sometimes("one is left out, and all the others switch", |_: &Rule, state: &State| {
-                let Some((_, out)) = &state.active else { return false };
-                out.contains(&true) && state.all.iter().zip(out).all(|(one, out)| *out || one.runs)
-            }),
+            Property::sometimes(
+                "one is left out, and all the others switch",
+                |_: &Rule, state: &State| {
+                    let Some((_, out)) = &state.active else {
+                        return false;
+                    };
+                    out.contains(&true)
+                        && state.all.iter().zip(out).all(|(one, out)| *out || one.runs)
+                },
+            ),
         ]
     }
 }
@@ -152,10 +194,20 @@
 fn check(gatherers: usize, without: Without) -> (usize, Vec<&'static str>) {
     let rule = Rule { gatherers, without };
     let checker = rule.checker().threads(2).spawn_bfs().join();
-    let broken = ["whoever was left out has stopped", "nobody acts beyond the bound"];
-    let broken = broken.into_iter().filter(|name| checker.discovery(name).is_some()).collect();
+    let broken = [
+        "whoever was left out has stopped",
+        "nobody acts beyond the bound",
+    ];
+    let broken = broken
+        .into_iter()
+        .filter(|name| checker.discovery(name).is_some())
+        .collect();
     if without == Without::Nothing {
-        assert!(checker.discovery("one is left out, and all the others switch").is_some());
+        assert!(
+            checker
+                .discovery("one is left out, and all the others switch")
+                .is_some()
+        );
     }
     (checker.unique_state_count(), broken)
 }
@@ -165,7 +217,12 @@
     let (states, broken) = check(2, Without::Nothing);
     println!("two gatherers: {states} states, kept");
     assert_eq!(broken, Vec::<&str>::new());
-    for without in [Without::TheWait, Without::TheQuestion, Without::TheMark, Without::TheVersion] {
+    for without in [
+        Without::TheWait,
+        Without::TheQuestion,
+        Without::TheMark,
+        Without::TheVersion,
+    ] {
         let (states, broken) = check(2, without);
         println!("without {without:?}: {states} states, broken: {broken:?}");
         assert!(!broken.is_empty(), "without {without:?} nothing breaks");
--- a/versions/tests/registration.rs
+++ b/versions/tests/registration.rs
@@ -2,8 +2,9 @@
 
 use versions::registration::Registration;
 
-/// Every sequence of the two lives up to a length, told to both processes one by one: as soon as each has registered, the
-/// one whose registration is not the last is displaced, and never both unless the later one registered again.
+/// Every sequence of the two lives up to a length, told to both processes one by one: as soon as
+/// each has registered, the one whose registration is not the last is displaced, and never both
+/// unless the later one registered again.
 #[test]
 fn in_every_order_of_registrations_the_earlier_process_is_displaced() {
     for length in 1..=6_u32 {
@@ -27,14 +28,17 @@
     }
 }
 
-/// Both registrations are committed before either process looks, again and again: the store's content alone would show
-/// each of them only the second one.
+/// Both registrations are committed before either process looks, again and again: the store's
+/// content alone would show each of them only the second one.
 #[test]
 fn registrations_that_are_overwritten_unseen_still_count() {
     let mut first = Registration::new(1);
     assert!(!first.committed(1));
     assert!(first.committed(2));
     assert!(first.is_displaced());
-    assert!(!first.committed(1), "a late registration of its own does not bring the name back");
+    assert!(
+        !first.committed(1),
+        "a late registration of its own does not bring the name back"
+    );
     assert!(first.is_displaced());
 }
