--- a/bitternsill/benches/learned.rs
+++ b/bitternsill/benches/learned.rs
@@ -7,12 +7,12 @@
 mod common;
 
 use bitternsill::learned::folder::{Folder, FolderError};
-use bramblestair::Aggregator;
-use bramblestair::interface::{
-    Action, Class, Entry, Event, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId, Settings,
-};
 use common::*;
 use crossbeam_queue::ArrayQueue;
+use dispatch::Aggregator;
+use dispatch::interface::{
+    Action, Class, Entry, Event, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId, Settings,
+};
 use learning::file;
 use learning::picture::{Fleet, HostMemory, Picture};
 use learning::steps;
--- a/bitternsill/src/admin/door.rs
+++ b/bitternsill/src/admin/door.rs
@@ -9,7 +9,7 @@
 use crate::front::{Gatherer, Message, Phase};
 use crate::limits::Limits;
 use crate::net::{Connection, Ready, Stream, Token};
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use std::collections::VecDeque;
 use std::fs::File;
 use std::io;
--- a/bitternsill/src/admin/drain.rs
+++ b/bitternsill/src/admin/drain.rs
@@ -2,7 +2,7 @@
 //! do now.
 
 use crate::limits::Limits;
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 
 /// The moments of a drain, counted from the call.
 #[derive(Debug, Clone, Copy)]
--- a/bitternsill/src/admin/hand.rs
+++ b/bitternsill/src/admin/hand.rs
@@ -2,7 +2,7 @@
 //! both change it agree on the later change of each host, in whatever order they hear of it. No
 //! I/O.
 
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/bitternsill/src/admin/handover.rs
+++ b/bitternsill/src/admin/handover.rs
@@ -7,7 +7,7 @@
 
 use super::hand::Hand;
 use crate::limits::Limits;
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use rustix::fs::FlockOperation;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
--- a/bitternsill/src/admin/mod.rs
+++ b/bitternsill/src/admin/mod.rs
@@ -12,7 +12,7 @@
 pub mod handover;
 
 use crate::limits::Limits;
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use drain::Drain;
 use hand::Hand;
 use handover::Handover;
--- a/bitternsill/src/core/classes.rs
+++ b/bitternsill/src/core/classes.rs
@@ -5,7 +5,7 @@
 //! A class stands in a slot whose number open queries and the module hold. A slot never moves; one
 //! that nothing holds any more is used again.
 
-use bramblestair::interface::{Class, Effect, Time};
+use dispatch::interface::{Class, Effect, Time};
 use std::cmp::Reverse;
 
 #[derive(Debug, Clone, PartialEq)]
--- a/bitternsill/src/core/mod.rs
+++ b/bitternsill/src/core/mod.rs
@@ -12,12 +12,12 @@
 pub mod settings;
 
 use crate::limits::{Limits, MS};
-use bramblestair::interface::{
+use classes::{Classes, TooMany};
+use dispatch::interface::{
     Action, Entry, Event, Learned, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId,
     Settings, Time,
 };
-use bramblestair::{Aggregator, interface::Effect};
-use classes::{Classes, TooMany};
+use dispatch::{Aggregator, interface::Effect};
 use ports::{
     Answer, Ask, AttemptId, Caller, Clients, Directory, Hosts, Outgoing, Reason, Refusal, Value,
 };
--- a/bitternsill/src/core/ports.rs
+++ b/bitternsill/src/core/ports.rs
@@ -1,6 +1,6 @@
 //! The plain types and small traits by which fronts and index-host links meet the core.
 
-use bramblestair::interface::{ServerId, Time};
+use dispatch::interface::{ServerId, Time};
 use std::rc::Rc;
 
 /// Whoever waits for an answer; the numbers mean something to its front alone.
--- a/bitternsill/src/core/settings.rs
+++ b/bitternsill/src/core/settings.rs
@@ -2,8 +2,8 @@
 
 use super::permitted;
 use crate::limits::MS;
-use bramblestair::interface::{Effect, Settings, Time};
-use bramblestair::wire::read_settings;
+use dispatch::interface::{Effect, Settings, Time};
+use dispatch::wire::read_settings;
 use serde_json::Value;
 use std::fmt;
 
--- a/bitternsill/src/front/arrivals.rs
+++ b/bitternsill/src/front/arrivals.rs
@@ -1,7 +1,7 @@
 //! When the bytes came that wait to be understood: a request behind another one has been waited for
 //! all along.
 
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use std::collections::VecDeque;
 
 /// Bytes that come within so short a time of each other are held to have come with the first of
--- a/bitternsill/src/front/catalogue/session.rs
+++ b/bitternsill/src/front/catalogue/session.rs
@@ -4,10 +4,10 @@
 use crate::core::ports::{Answer, Caller};
 use crate::front::{Gatherer, Message};
 use crate::net::{Connection, Context, Input, Ready, Stream};
-use bramblestair::interface::Time;
 use catalogue::ber;
 use catalogue::session::{Act, Around, Session};
 use catalogue::z3950::CloseReason;
+use dispatch::interface::Time;
 use std::collections::BTreeMap;
 use std::io;
 
--- a/bitternsill/src/front/catalogue/sru.rs
+++ b/bitternsill/src/front/catalogue/sru.rs
@@ -4,13 +4,13 @@
 use crate::core::ports::{Answer, Caller};
 use crate::front::http::{Head, Response};
 use crate::front::server::{Cx, Handled, Service};
-use bramblestair::interface::Time;
 use catalogue::cql::Node;
 use catalogue::fault::{Fault, Kind};
 use catalogue::operation::{Operation, Outcome, Search, Short, Step, Want, Why};
 use catalogue::sets::Owner;
 use catalogue::sru::request::{self, Form, Refused, Request, ScanRequest, SearchRequest};
 use catalogue::sru::{Operation as Verb, explain, response, soap};
+use dispatch::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 const XML: &str = "text/xml; charset=utf-8";
--- a/bitternsill/src/front/catalogue/sru_host.rs
+++ b/bitternsill/src/front/catalogue/sru_host.rs
@@ -3,12 +3,12 @@
 use super::link::{Dialect, Nonsense};
 use crate::front::http::{Head, Progress, Reader};
 use crate::limits::Limits;
-use bramblestair::interface::Time;
 use catalogue::host::sru::{Job, check};
 use catalogue::host::{Heard, HostBounds, Next};
 use catalogue::pool::Learned;
 use catalogue::sru::request::percent;
 use catalogue::work::{Given, Work};
+use dispatch::interface::Time;
 use std::net::SocketAddr;
 
 /// One connection's state.
--- a/bitternsill/src/front/catalogue/z3950_host.rs
+++ b/bitternsill/src/front/catalogue/z3950_host.rs
@@ -2,12 +2,12 @@
 
 use super::link::{Dialect, Nonsense};
 use crate::limits::Limits;
-use bramblestair::interface::Time;
 use catalogue::ber;
 use catalogue::host::z3950::{Session, hello};
 use catalogue::host::{Heard, HostBounds, Next};
 use catalogue::pool::Learned;
 use catalogue::work::Work;
+use dispatch::interface::Time;
 use std::net::SocketAddr;
 
 /// One session's state; all of it is with the link.
--- a/bitternsill/src/front/clients.rs
+++ b/bitternsill/src/front/clients.rs
@@ -5,7 +5,7 @@
 use crate::admin::drain::Sweep;
 use crate::limits::Limits;
 use crate::net::{Net, Token};
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a connection that the core holds no request of is doing.
--- a/bitternsill/src/front/hosts.rs
+++ b/bitternsill/src/front/hosts.rs
@@ -5,7 +5,7 @@
 use crate::core::ports::{AttemptId, Outgoing};
 use crate::limits::Limits;
 use crate::net::{Connection, Net, Token};
-use bramblestair::interface::{Entry, ListKind, ServerId, Standing, Time};
+use dispatch::interface::{Entry, ListKind, ServerId, Standing, Time};
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
--- a/bitternsill/src/front/platform/discovery.rs
+++ b/bitternsill/src/front/platform/discovery.rs
@@ -7,7 +7,7 @@
 use crate::front::http::{Progress, Reader};
 use crate::front::{Gatherer, Message};
 use crate::net::{self, Attempt, Connection, Context, Input, Ready, Stream, Token};
-use bramblestair::interface::{Entry, ListKind, ServerId, Standing};
+use dispatch::interface::{Entry, ListKind, ServerId, Standing};
 use serde_json::Value as Json;
 use std::fmt;
 use std::io;
--- a/bitternsill/src/front/platform/frames.rs
+++ b/bitternsill/src/front/platform/frames.rs
@@ -1,7 +1,7 @@
 //! The frames between gatherers and index hosts: a length, a letter and the rest.
 
 use crate::core::ports::{Outgoing, Score, Value};
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use std::fmt;
 
 /// What an index host sent.
--- a/bitternsill/src/front/platform/link.rs
+++ b/bitternsill/src/front/platform/link.rs
@@ -6,7 +6,7 @@
 use crate::front::{Gatherer, Message};
 use crate::limits::Limits;
 use crate::net::{self, Attempt, Connection, Context, Input, Ready, Stream};
-use bramblestair::interface::{Outcome, ServerId, Time};
+use dispatch::interface::{Outcome, ServerId, Time};
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 use std::io;
--- a/bitternsill/src/front/platform/query.rs
+++ b/bitternsill/src/front/platform/query.rs
@@ -4,7 +4,7 @@
 use crate::core::ports::{Answer, Ask, Caller, Reason};
 use crate::front::http::{Head, Response};
 use crate::limits::Limits;
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use serde_json::Value as Json;
 use std::collections::BTreeSet;
 use std::fmt;
--- a/bitternsill/src/front/server.rs
+++ b/bitternsill/src/front/server.rs
@@ -8,7 +8,7 @@
 use crate::core::ports::{Answer, Caller};
 use crate::limits::Limits;
 use crate::net::{Connection, Context, Input, Ready, Stream};
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use std::io;
 
 /// A callback's surroundings.
--- a/bitternsill/src/front/signals.rs
+++ b/bitternsill/src/front/signals.rs
@@ -7,7 +7,7 @@
 use crate::core::settings::Deployment;
 use crate::limits::Limits;
 use crate::net::{Connection, Context, Ready};
-use bramblestair::interface::{ListKind, Settings};
+use dispatch::interface::{ListKind, Settings};
 use serde_json::Value as Json;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::error::Error;
--- a/bitternsill/src/front/turned.rs
+++ b/bitternsill/src/front/turned.rs
@@ -5,7 +5,7 @@
 //! Whoever starts it on a new deployment has to see that from the log and from `ready`.
 
 use crate::limits::Limits;
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/bitternsill/src/learned/mod.rs
+++ b/bitternsill/src/learned/mod.rs
@@ -8,7 +8,7 @@
 use crate::core::Core;
 use crate::front::hosts::HostTable;
 use crate::limits::MS;
-use bramblestair::interface::{Learned, PaceMemory, ServerMemory, Time};
+use dispatch::interface::{Learned, PaceMemory, ServerMemory, Time};
 use folder::Folder;
 use learning::age::{self, Aged, Rules};
 use learning::picture::{ClassMemory, Fleet, HostMemory, Picture, Wall};
--- a/bitternsill/src/limits.rs
+++ b/bitternsill/src/limits.rs
@@ -3,7 +3,7 @@
 //! Filled once at start, from the defaults here and from what the settings say, and handed down by
 //! reference.
 
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 
 /// One millisecond in the clock's unit.
 pub const MS: Time = 1_000_000;
--- a/bitternsill/src/net/mod.rs
+++ b/bitternsill/src/net/mod.rs
@@ -7,7 +7,7 @@
 pub use reactor::{Connection, Context, Net, Reactor, Ready, Token, World};
 pub use stream::{Attempt, Input, Stream, connect, listen};
 
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// A clock that only moves forward and starts at Unix time, so that a host's start can be set
--- a/bitternsill/src/net/reactor.rs
+++ b/bitternsill/src/net/reactor.rs
@@ -2,7 +2,7 @@
 //! posted.
 
 use super::Clock;
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use rustix::buffer::spare_capacity;
 use rustix::event::{Timespec, epoll};
 use std::collections::{BTreeSet, VecDeque};
--- a/bitternsill/src/recovery/mod.rs
+++ b/bitternsill/src/recovery/mod.rs
@@ -11,7 +11,7 @@
 use ::recovery::Time;
 use ::recovery::phase::{Phase, Plan, Recovery};
 use ::recovery::ramp::{Ramp, Turn};
-use bramblestair::interface::{ListKind, Settings};
+use dispatch::interface::{ListKind, Settings};
 use serde::Deserialize;
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
--- a/bitternsill/src/store/asks.rs
+++ b/bitternsill/src/store/asks.rs
@@ -4,7 +4,7 @@
 use super::links::Shelf;
 use crate::front::{Gatherer, Message};
 use crate::net::{Net, Token};
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use serde_json::{Value as Json, json};
 use store::command::Txn;
 use store::member::{Call, CallId, Reply};
--- a/bitternsill/src/store/links.rs
+++ b/bitternsill/src/store/links.rs
@@ -5,7 +5,7 @@
 use crate::front::{Gatherer, Message};
 use crate::net::{self, Attempt, Connection, Context, Input, Net, Ready, Stream, Token};
 use crate::recovery;
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
--- a/bitternsill/src/versions/mod.rs
+++ b/bitternsill/src/versions/mod.rs
@@ -14,7 +14,7 @@
 use crate::store::asks::Asker;
 use ::recovery::bearing::Came;
 use ::recovery::phase::Phase;
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use serde::Deserialize;
 use serde_json::{Value as Json, json};
 use std::io;
--- a/bitternsill/src/versions/scribe.rs
+++ b/bitternsill/src/versions/scribe.rs
@@ -4,7 +4,7 @@
 use crate::front::{Gatherer, Message};
 use crate::net::{Connection, Context, Ready, Token};
 use crate::versions::collect::whole_letters;
-use bramblestair::interface::Time;
+use dispatch::interface::Time;
 use serde_json::json;
 use std::collections::VecDeque;
 use std::fs::{File, OpenOptions};
--- a/bitternsill/tests/common/fleet.rs
+++ b/bitternsill/tests/common/fleet.rs
@@ -2,9 +2,9 @@
 //! index hosts and discovery, clients and observers.
 
 use super::*;
-use lab::history::{History, Look};
-use lab::link::{Link, Way};
-use lab::timeline::Fault;
+use simulation::history::{History, Look};
+use simulation::link::{Link, Way};
+use simulation::timeline::Fault;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::thread::JoinHandle;
--- a/bitternsill/tests/common/versions.rs
+++ b/bitternsill/tests/common/versions.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::*;
 use super::*;
-use lab::link::Way;
+use simulation::link::Way;
 use std::collections::BTreeSet;
 
 /// For how long what a gatherer was told holds.
--- a/bitternsill/tests/core.rs
+++ b/bitternsill/tests/core.rs
@@ -6,7 +6,7 @@
 };
 use bitternsill::core::settings::Deployment;
 use bitternsill::limits::{Limits, MS};
-use bramblestair::interface::*;
+use dispatch::interface::*;
 use std::rc::Rc;
 
 /// What the core did.
--- a/bitternsill/tests/fleet_recovery.rs
+++ b/bitternsill/tests/fleet_recovery.rs
@@ -7,8 +7,8 @@
 
 use common::fleet::*;
 use common::*;
-use lab::timeline::{self, Fault};
 use serde_json::{Value, json};
+use simulation::timeline::{self, Fault};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/bitternsill/tests/limits.rs
+++ b/bitternsill/tests/limits.rs
@@ -1,8 +1,8 @@
 //! The bounds that follow from what a deployment tells.
 
 use bitternsill::limits::{Limits, MS};
-use bramblestair::Aggregator;
-use bramblestair::interface::{Action, Entry, Event, ListKind, ServerId, Settings, Time};
+use dispatch::Aggregator;
+use dispatch::interface::{Action, Entry, Event, ListKind, ServerId, Settings, Time};
 
 /// Found on reading: with deadlines under half a second what was asked last had 0.1 s, and was
 /// failed at the end.
--- a/control/tests/history.rs
+++ b/control/tests/history.rs
@@ -3,7 +3,7 @@
 
 use assert_matches::assert_matches;
 use control::history::{History, Misfit, News};
-use lab::orders;
+use simulation::orders;
 
 /// A text with many routes, of which one changes with each version.
 fn text(version: u64) -> Vec<u8> {
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -6,7 +6,7 @@
 
 use assert_matches::assert_matches;
 use control::changes::Outcome;
-use lab::orders;
+use simulation::orders;
 use world::{World, change};
 
 /// Time in which a replica has to be in step again.
--- a/control/tests/two_operators.rs
+++ b/control/tests/two_operators.rs
@@ -7,7 +7,7 @@
 use assert_matches::assert_matches;
 use control::changes::{Change, Outcome, Reading, Refusal};
 use control::state::{ControlState, Position, REMEMBERED, Update};
-use lab::orders;
+use simulation::orders;
 use world::{World, change, configuration};
 
 /// Long enough for another replica to lead and answer.
--- a/src/bin/bramblestair-wirehost.rs
+++ b/dispatch/src/bin/bitternsill-simhost.rs
@@ -1,6 +1,6 @@
 //! Hosts aggregators on the simulator's wire: standard input in, standard output out.
 
-use bramblestair::wire::Host;
+use dispatch::wire::Host;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
@@ -24,7 +24,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("bramblestair-wirehost: {problem}");
+            eprintln!("bitternsill-simhost: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/src/choice.rs
+++ b/dispatch/src/dispatcher/mod.rs
@@ -5,15 +5,15 @@
 //! answer wins.
 
 mod admission;
-mod cold;
-mod health;
-mod pace;
-mod sending;
+mod attempts;
+mod outlier_detection;
+mod pacing;
+mod slow_start;
 
 use crate::calls::Calls;
 use crate::interface::*;
 use crate::timers::Timers;
-pub use pace::Pace;
+pub use pacing::Pace;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Answers kept for a class's percentiles.
--- a/src/wire.rs
+++ b/dispatch/src/wire.rs
@@ -1,6 +1,6 @@
 //! The simulator's line protocol: a codec and a host for many aggregators. Translation only.
 
-use crate::choice::Aggregator;
+use crate::dispatcher::Aggregator;
 use crate::interface::{
     Action, Budget, Class, Effect, Entry, Event, ListKind, LoadReport, Outcome, PartId, QueryId,
     ServerId, Settings, Standing, Time,
--- a/tests/cold.rs
+++ b/dispatch/tests/cold.rs
@@ -2,8 +2,8 @@
 //! late.
 
 mod common;
-use bramblestair::interface::*;
 use common::*;
+use dispatch::interface::*;
 
 const TOOK: Time = 100 * MS;
 const RAMP: Time = 20_000 * MS;
--- a/tests/cold_starts.rs
+++ b/dispatch/tests/cold_starts.rs
@@ -1,8 +1,8 @@
 //! Servers that have just started: what each of one aggregator and of many sends them.
 
 mod common;
-use bramblestair::interface::*;
 use common::*;
+use dispatch::interface::*;
 
 /// A server that the list says has just started gets its share of the told budget and no more.
 #[test]
--- a/tests/common/mod.rs
+++ b/dispatch/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A hand-driven aggregator and its surroundings, for tests of the decisions.
 #![allow(dead_code)]
 
-use bramblestair::Aggregator;
-use bramblestair::interface::*;
+use dispatch::Aggregator;
+use dispatch::interface::*;
 
 pub const MS: Time = 1_000_000;
 
--- a/tests/copies.rs
+++ b/dispatch/tests/copies.rs
@@ -1,8 +1,8 @@
 //! First sends, the timer of each part, and copies: how many, when, and what ends them.
 
 mod common;
-use bramblestair::interface::*;
 use common::*;
+use dispatch::interface::*;
 
 #[test]
 fn first_sends_take_one_row_and_the_least_loaded() {
--- a/tests/failing_servers.rs
+++ b/dispatch/tests/failing_servers.rs
@@ -2,8 +2,8 @@
 //! how they come back.
 
 mod common;
-use bramblestair::interface::*;
 use common::*;
+use dispatch::interface::*;
 
 #[test]
 fn nothing_goes_to_a_server_that_drains_or_is_gone() {
--- a/tests/fleet.rs
+++ b/dispatch/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Many aggregators that share nothing: what is harmless of one and harmful of a hundred.
 
 mod common;
-use bramblestair::interface::*;
 use common::*;
+use dispatch::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const SERVERS: u32 = 20;
--- a/tests/probes.rs
+++ b/dispatch/tests/probes.rs
@@ -1,8 +1,8 @@
 //! Probes and the scouts of wide queries: when they are sent, and what waits for them.
 
 mod common;
-use bramblestair::interface::*;
 use common::*;
+use dispatch::interface::*;
 
 /// Found on linen-south: one query of a quarter of the servers, in a row, took every holder of most
 /// of its shards.
--- a/tests/query_deadlines.rs
+++ b/dispatch/tests/query_deadlines.rs
@@ -1,8 +1,8 @@
 //! The time of a query: when it is started, refused or ended.
 
 mod common;
-use bramblestair::interface::*;
 use common::*;
+use dispatch::interface::*;
 
 #[test]
 fn a_query_that_cannot_be_sent_is_refused_before_its_client_leaves() {
--- a/tests/rules.rs
+++ b/dispatch/tests/rules.rs
@@ -1,9 +1,9 @@
 //! Arbitrary legal orders of events, from fixed seeds: the six rules hold on every action.
 
 mod common;
-use bramblestair::Aggregator;
-use bramblestair::interface::*;
 use common::MS;
+use dispatch::Aggregator;
+use dispatch::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const CELLS: u32 = 6;
--- a/tests/second.rs
+++ b/dispatch/tests/second.rs
@@ -3,8 +3,8 @@
 //! and a list that must be asked.
 
 mod common;
-use bramblestair::interface::*;
 use common::*;
+use dispatch::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const CELLS: u32 = 6;
--- a/tests/wire.rs
+++ b/dispatch/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec: what is understood, and what is named when a line is malformed.
 
-use bramblestair::wire::{Host, read_settings};
+use dispatch::wire::{Host, read_settings};
 
 const INFO: &str = r#"{"request_classes": [{"target": 1000000000, "deadline": 2000000000, "effect": "read_like"}],
     "extra": {"sets": 2, "in_a_row": 2, "never_heard_of": [1, {"a": null}]}, "limits": {"cancel": true,
@@ -270,7 +270,7 @@
 fn the_host_program_ends_with_a_plain_message() {
     use std::io::Write;
     use std::process::{Command, Stdio};
-    let mut child = Command::new(env!("CARGO_BIN_EXE_bramblestair-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_bitternsill-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -287,6 +287,6 @@
     let message = String::from_utf8(output.stderr).unwrap();
     assert_eq!(
         message,
-        "bramblestair-wirehost: line 3: STOP: unknown instance `a`\n"
+        "bitternsill-simhost: line 3: STOP: unknown instance `a`\n"
     );
 }
--- a/routing/tests/faults.rs
+++ b/routing/tests/faults.rs
@@ -1,9 +1,9 @@
 //! When several routers' evidence makes a backend suspected, and for how long.
 
 use compact_str::CompactString;
-use lab::orders;
 use routing::Millis;
 use routing::faults::{FaultEvidence, are_few_suspected};
+use simulation::orders;
 
 fn name(text: &str) -> CompactString {
     text.into()
--- a/routing/tests/locations.rs
+++ b/routing/tests/locations.rs
@@ -1,9 +1,9 @@
 //! The index of kept prompts: what an owner tells of a prefix, in every order of a few messages.
 
-use lab::orders;
 use routing::locations::{Locations, Placement, PrefixKey};
 use routing::owners::Owners;
 use routing::prompt::Prompt;
+use simulation::orders;
 use std::collections::BTreeMap;
 
 const KEY: PrefixKey = PrefixKey(7);
--- a/lab/examples/days.rs
+++ b/simulation/examples/days.rs
@@ -6,8 +6,8 @@
 //! hundreds of changes and a primary that is struck again and again. `days table ENTRY...` prints
 //! rules by kinds from the journal entries of plays.
 
-use lab::days::{self, Focus, Played};
 use serde_json::Value;
+use simulation::days::{self, Focus, Played};
 use std::error::Error;
 use std::path::Path;
 use std::{env, fs};
--- a/lab/tests/days.rs
+++ b/simulation/tests/days.rs
@@ -1,6 +1,6 @@
 //! Days drawn at random, and the table of what came of them.
 
-use lab::days::{Focus, KINDS, Played, draw, listed, table};
+use simulation::days::{Focus, KINDS, Played, draw, listed, table};
 use std::collections::BTreeSet;
 
 const LISTING: &str = "Each entry has 'at' and 'kind'.\n\nhot_key: share\nhup: share\n\nthese may come too:\nburst: x times\n";
--- a/lab/tests/orders.rs
+++ b/simulation/tests/orders.rs
@@ -1,6 +1,6 @@
 //! Every order comes up once.
 
-use lab::orders::all;
+use simulation::orders::all;
 use std::collections::BTreeSet;
 
 #[test]
