--- /dev/null
+++ b/bitternsill/src/admin/hand/tests.rs
@@ -0,0 +1,87 @@
+//! Tests of `admin::hand`.
+
+use super::*;
+
+#[test]
+fn changes_of_two_processes_meet_in_any_order() {
+    // Every order in which four changes of two processes can be heard gives the same map.
+    let changes = [
+        ("a", true, 5),
+        ("b", true, 6),
+        ("a", false, 7),
+        ("b", false, 6),
+    ];
+    let mut seen = Vec::new();
+    for mut order in 0..24usize {
+        let mut left: Vec<_> = changes.to_vec();
+        let (mut one, mut two) = (Hand::new(8), Hand::new(8));
+        for n in (1..=4).rev() {
+            let (uid, out, stamp) = left.remove(order % n);
+            order /= n;
+            let mut lone = Hand::new(8);
+            lone.set(uid, out, stamp).unwrap();
+            if n % 2 == 0 {
+                one.merge(&lone)
+            } else {
+                two.merge(&lone)
+            };
+        }
+        let before = one.clone();
+        one.merge(&two);
+        two.merge(&before);
+        assert_eq!(one, two);
+        seen.push(one);
+    }
+    assert!(seen.windows(2).all(|w| w[0] == w[1]));
+    assert!(!seen[0].is_out("a"), "the later change holds");
+}
+
+#[test]
+fn a_clock_that_steps_back_does_not_undo_a_call() {
+    let mut hand = Hand::new(8);
+    hand.set("a", true, 1_000).unwrap();
+    let mut other = hand.clone();
+    other.set("a", false, 10).unwrap();
+    assert!(hand.merge(&other) && !hand.is_out("a"));
+}
+
+#[test]
+fn a_text_cut_anywhere_or_changed_in_any_byte_is_not_taken() {
+    let mut hand = Hand::new(8);
+    hand.set("s-1", true, 1).unwrap();
+    hand.set("s-2", false, 2).unwrap();
+    let text = hand.encode("n1").into_bytes();
+    assert_eq!(Hand::decode(&text, "n1", 8), Ok(hand));
+    for at in 0..text.len() {
+        assert_eq!(
+            Hand::decode(&text[..at], "n1", 8),
+            Err(Unreadable::Damaged),
+            "cut at {at}"
+        );
+        let mut changed = text.clone();
+        changed[at] ^= 1;
+        assert_eq!(
+            Hand::decode(&changed, "n1", 8),
+            Err(Unreadable::Damaged),
+            "changed at {at}"
+        );
+    }
+    assert_eq!(
+        Hand::decode(&text, "n2", 8),
+        Err(Unreadable::Foreign("n1".into()))
+    );
+}
+
+#[test]
+fn only_so_many_hosts_are_kept_and_those_that_are_back_give_way() {
+    let mut hand = Hand::new(2);
+    hand.set("a", true, 1).unwrap();
+    hand.set("b", true, 2).unwrap();
+    assert_eq!(hand.set("c", true, 3), Err(TooMany));
+    hand.set("a", false, 4).unwrap();
+    hand.set("c", true, 5).unwrap();
+    assert_eq!(hand.out().collect::<Vec<_>>(), ["b", "c"]);
+    hand.set("b", false, 6).unwrap();
+    hand.forget(100, 50);
+    assert_eq!(hand.marks.len(), 1, "back for long enough");
+}
--- /dev/null
+++ b/bitternsill/src/core/classes/tests.rs
@@ -0,0 +1,130 @@
+//! Tests of `core::classes`.
+
+use super::*;
+
+const MOST: usize = 8;
+
+fn names(all: &[&str]) -> Vec<String> {
+    all.iter().map(|name| (*name).to_owned()).collect()
+}
+
+fn class(effect: Effect, max_attempts: u32) -> Class {
+    Class {
+        effect,
+        max_attempts,
+        ..Class::default()
+    }
+}
+
+#[test]
+fn a_name_means_both_for_a_while_and_open_queries_keep_theirs() {
+    let (safe, keyed, unsafe_) = (
+        class(Effect::Safe, 4),
+        class(Effect::Keyed, 4),
+        class(Effect::Unsafe, 4),
+    );
+    let mut classes = Classes::new(
+        &names(&["page", "shelf", "old"]),
+        &[safe.clone(), keyed.clone(), safe.clone()],
+    );
+    let from = classes
+        .lay(
+            &names(&["new", "shelf", "page"]),
+            &[safe.clone(), safe.clone(), unsafe_.clone()],
+            |_| true,
+            0,
+            10,
+            MOST,
+        )
+        .unwrap();
+    // Nothing moved; the three fresh ones go on from what their names were before.
+    assert_eq!(from, [Some(0), Some(1), Some(2), None, Some(1), Some(0)]);
+    assert_eq!(classes.order(), [3, 4, 5]);
+    let mean = |name: &str, key, now| classes.find(name, key, now);
+    // The key tells which settings a client goes by.
+    assert_eq!(
+        (mean("shelf", true, 5), mean("shelf", false, 5)),
+        (Some(1), Some(4))
+    );
+    // Where it does not, what is allowed by both.
+    assert_eq!(mean("page", false, 5), Some(5));
+    assert_eq!(
+        (mean("old", false, 5), mean("new", false, 0)),
+        (Some(2), Some(3))
+    );
+    // Afterwards the new ones alone.
+    assert_eq!(
+        (
+            mean("old", false, 10),
+            mean("shelf", true, 10),
+            mean("page", false, 10)
+        ),
+        (None, Some(4), Some(5))
+    );
+    let retired: Vec<bool> = classes.table().iter().map(|c| c.retired).collect();
+    assert_eq!(retired, [true, true, true, false, false, false]);
+}
+
+#[test]
+fn fewer_attempts_hold_at_once_and_more_only_afterwards() {
+    for (before, after) in [(2, 4), (4, 2)] {
+        let mut classes = Classes::new(&names(&["page"]), &[class(Effect::Safe, before)]);
+        classes
+            .lay(
+                &names(&["page"]),
+                &[class(Effect::Safe, after)],
+                |_| false,
+                0,
+                10,
+                MOST,
+            )
+            .unwrap();
+        let attempts =
+            |now| classes.table()[classes.find("page", false, now).unwrap()].max_attempts;
+        assert_eq!((attempts(9), attempts(10)), (2, after));
+    }
+}
+
+#[test]
+fn slots_are_used_again_once_nothing_holds_them_and_no_others() {
+    let mut rng = fastrand::Rng::with_seed(18);
+    for _ in 0..200 {
+        let mut classes = Classes::new(
+            &names(&["a", "b"]),
+            &[class(Effect::Safe, 1), class(Effect::Safe, 2)],
+        );
+        let mut held: Vec<(usize, Class)> = Vec::new();
+        for now in (0..).step_by(10).take(50) {
+            let before = classes.table();
+            let chosen: Vec<&str> = ["a", "b", "c"].into_iter().filter(|_| rng.bool()).collect();
+            let chosen = if chosen.is_empty() { vec!["a"] } else { chosen };
+            let fresh: Vec<Class> = chosen
+                .iter()
+                .map(|_| class(Effect::Safe, rng.u32(1..3)))
+                .collect();
+            let holds = |at| held.iter().any(|(slot, _)| *slot == at);
+            // A slot's number must go on to mean the class for whoever holds it.
+            if let Ok(from) = classes.lay(
+                &names(&chosen),
+                &fresh,
+                holds,
+                now,
+                now + rng.u64(0..20),
+                MOST,
+            ) {
+                assert!(from.iter().flatten().all(|at| *at < before.len()));
+            }
+            let table = classes.table();
+            assert!(table.len() <= MOST && table.len() >= before.len());
+            let means = |slot: usize| Class {
+                retired: false,
+                ..table[slot].clone()
+            };
+            assert!(held.iter().all(|(slot, class)| means(*slot) == *class));
+            if let Some(slot) = classes.find(chosen[0], false, now) {
+                held.push((slot, means(slot)));
+            }
+            held.retain(|_| rng.u32(0..3) > 0);
+        }
+    }
+}
--- /dev/null
+++ b/bitternsill/src/core/schema/tests.rs
@@ -0,0 +1,99 @@
+//! Tests of `core::schema`.
+
+use super::super::permitted::check;
+use super::*;
+
+fn good() -> Value {
+    json!({
+        "request_classes": [
+            {"name": "a", "target": 1, "deadline": 2, "effect": "read_like"},
+            {"name": "b", "target": 1, "deadline": 2, "effect": "idempotency_key", "key_ttl": 5}
+        ],
+        "extra": {"floor_by_class": [0.7, 1.0], "sets": 6}, "limits": {"max_attempts": 3, "other": []}
+    })
+}
+
+/// Whatever stands in any one place: the schema and the check say the same of it.
+#[test]
+fn the_schema_takes_what_the_check_takes() {
+    let schema = jsonschema::validator_for(&settings()).unwrap();
+    let mut paths: Vec<(String, String)> = Vec::new();
+    for (group, keys) in ONCE {
+        let above = if group.is_empty() {
+            String::new()
+        } else {
+            format!("/{group}")
+        };
+        paths.extend(
+            keys.iter()
+                .map(|(key, _)| (above.clone(), (*key).to_owned())),
+        );
+        if !group.is_empty() {
+            paths.push((String::new(), (*group).to_owned()));
+        }
+    }
+    paths.extend(
+        CLASS
+            .iter()
+            .map(|(key, ..)| ("/request_classes/1".to_owned(), (*key).to_owned())),
+    );
+    paths.extend(
+        BY_CLASS
+            .iter()
+            .map(|(key, _)| ("/extra".to_owned(), (*key).to_owned())),
+    );
+    paths.push((String::new(), "request_classes".to_owned()));
+    let odd = json!([
+        null,
+        true,
+        -1,
+        0,
+        0.5,
+        1,
+        2.0,
+        1e300,
+        "",
+        "ask",
+        "read_like",
+        {},
+        [],
+        ["x"],
+        [""],
+        [0.5, 2],
+        [0, 1],
+        [null, 1]
+    ]);
+    let mut told = [0, 0];
+    for (above, key) in paths {
+        for value in odd.as_array().unwrap().iter().map(Some).chain([None]) {
+            let mut settings = good();
+            if settings.pointer(&above).is_none() {
+                settings[&above[1..]] = json!({});
+            }
+            let group = settings
+                .pointer_mut(&above)
+                .unwrap()
+                .as_object_mut()
+                .unwrap();
+            match value {
+                Some(value) => group.insert(key.clone(), value.clone()),
+                None => group.remove(&key),
+            };
+            let said = check(&settings);
+            // How many values such a list has is no matter of the schema's.
+            if said
+                .clone()
+                .is_err_and(|problem| problem.0.contains("one a class"))
+            {
+                continue;
+            }
+            assert_eq!(
+                schema.is_valid(&settings),
+                said.is_ok(),
+                "{above}/{key} {value:?}: {said:?}"
+            );
+            told[usize::from(said.is_ok())] += 1;
+        }
+    }
+    assert!(told.iter().all(|count| *count > 100), "{told:?}");
+}
--- /dev/null
+++ b/bitternsill/src/front/platform/frames/tests.rs
@@ -0,0 +1,96 @@
+//! Tests of `front::platform::frames`.
+
+use super::*;
+use crate::core::ports::AttemptId;
+
+#[test]
+fn calls_are_written_as_the_protocol_has_them() {
+    let part = Outgoing {
+        id: AttemptId { part: 1, leg: 0 },
+        name: "9b1f.3.r".to_owned(),
+        shard: 3,
+        until: 240_000_000,
+        not_after: 0,
+        key: Some("5c0f".into()),
+        from: Some("3+5+9".into()),
+        first_whole: Some(false),
+        text: "c41e77d0".into(),
+    };
+    let bytes = call(
+        &[
+            part.clone(),
+            Outgoing {
+                from: None,
+                name: "9b1f.3".to_owned(),
+                ..part
+            },
+        ],
+        0,
+    );
+    assert_eq!(bytes[..4], (bytes.len() as u32 - 4).to_le_bytes());
+    let text = String::from_utf8_lossy(&bytes[4..]);
+    insta::assert_snapshot!(text, @r"
+    m9b1f.3.r 3 d=240,k=5c0f,from=3+5+9,whole=0 8
+    c41e77d09b1f.3 3 d=240,k=5c0f 8
+    c41e77d0
+    ");
+}
+
+#[test]
+fn frames_are_read_at_any_split_and_bad_ones_named() {
+    let whole = frame(b'q', b"a.3 good 18402777190000000001 -\nva\nlue");
+    for at in 0..whole.len() {
+        let mut input = whole[..at].to_vec();
+        assert_eq!(read(&mut input, 100), Ok(None));
+        input.extend_from_slice(&whole[at..]);
+        let value = Value {
+            score: Score::Whole(18402777190000000001),
+            body: "va\nlue".into(),
+        };
+        let wanted = Frame::Ended {
+            name: "a.3".to_owned(),
+            end: End::Good(value),
+        };
+        assert_eq!(read(&mut input, 100), Ok(Some(wanted)));
+        assert!(input.is_empty());
+    }
+    let spoilt = |bytes: &[u8]| {
+        let wanted = Frame::Ended {
+            name: "a.3".to_owned(),
+            end: End::Spoilt,
+        };
+        assert_eq!(
+            read(&mut frame(b'q', bytes), 100),
+            Ok(Some(wanted)),
+            "{bytes:?}"
+        );
+    };
+    spoilt(b"a.3 odd 1 -\n");
+    spoilt(b"a.3 good\nvalue");
+    spoilt(b"a.3 good high -\nvalue");
+    spoilt(b"a.3 good 1 -\nval\xff");
+    spoilt(b"a.3 good 1 -\nvalue\x1c\0\0\0qa.4 good 2 -\nvalue");
+    let odd_report = read(&mut frame(b'q', b"a.3 good 1 \xff\xfe\nvalue"), 100);
+    assert!(
+        matches!(
+            odd_report,
+            Ok(Some(Frame::Ended {
+                end: End::Good(_),
+                ..
+            }))
+        ),
+        "{odd_report:?}"
+    );
+    assert_eq!(
+        read(&mut frame(b'q', b"a.3 good 1 -"), 100),
+        Err(FrameError::Line)
+    );
+    assert_eq!(
+        read(&mut frame(b'z', b""), 100),
+        Err(FrameError::Letter(b'z'))
+    );
+    assert_eq!(
+        read(&mut vec![255, 255, 255, 255], 100),
+        Err(FrameError::Length(u32::MAX as usize))
+    );
+}
--- /dev/null
+++ b/bitternsill/src/front/turned/tests.rs
@@ -0,0 +1,30 @@
+//! Tests of `front::turned`.
+
+use super::*;
+
+#[test]
+fn each_reason_is_told_at_once_then_seldom_with_its_count_and_reasons_are_bounded() {
+    let limits = Limits {
+        turned_reasons: 2,
+        turned_repeat: 100,
+        turned_example: 4,
+        ..Limits::default()
+    };
+    let mut turned = Turned::default();
+    let mut note = |why: &str, now| {
+        turned
+            .note(why, "GET\n/long", now, &limits)
+            .map(|r| (r.why, r.new))
+    };
+    assert_eq!(note("no path", 1), Some(("no path".to_owned(), 1)));
+    assert_eq!([note("no path", 50), note("no path", 100)], [None, None]);
+    assert_eq!(note("no path", 101), Some(("no path".to_owned(), 3)));
+    assert_eq!(note("no class", 101), Some(("no class".to_owned(), 1)));
+    assert_eq!(note("a", 102), Some((OTHERS.to_owned(), 1)));
+    assert_eq!(note("b", 103), None, "past the bound they are one reason");
+    assert_eq!(
+        turned.to_string().lines().nth(1),
+        Some(r"turned away: 4 (no path), the latest asked for GET\n")
+    );
+    assert_eq!(turned.kinds.len(), 3);
+}
--- a/catalogue/src/cql/term.rs
+++ b/catalogue/src/cql/term.rs
@@ -117,39 +117,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn masks_are_told_from_characters() {
-        let cases = [
-            ("moon", Mask::None),
-            ("moon*", Mask::Right),
-            ("*moon", Mask::Left),
-            ("*moon*", Mask::Both),
-            ("mo?n", Mask::Inside),
-            ("m*n*", Mask::Inside),
-            (r"what\?", Mask::None),
-            (r"5\*", Mask::None),
-        ];
-        for (term, mask) in cases {
-            assert_eq!(parts(term).mask(), mask, "{term}");
-        }
-        assert_eq!(parts(r"what\? mo?n*").z3958(), "what? mo#n?");
-        let anchored = parts("^the moon^");
-        assert_eq!(
-            (anchored.first, anchored.last, anchored.plain()),
-            (true, true, "the moon".to_owned())
-        );
-        for text in ["a*b", "^x", r"back\slash", "what?"] {
-            assert_eq!(
-                parts(&literal(text)),
-                Parts {
-                    pieces: vec![Piece::Text(text.into())],
-                    first: false,
-                    last: false
-                }
-            );
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/catalogue/src/host/sru/tests.rs
@@ -0,0 +1,188 @@
+//! Tests of `host::sru`.
+
+use super::*;
+use crate::sort::SortKey;
+use crate::work::Range;
+
+const BOUNDS: HostBounds = HostBounds {
+    local_sort: 4,
+    message: 1 << 16,
+    named_sets: 4,
+    set_age: 100,
+    exchanges: 6,
+};
+
+fn job(learned: &Learned, sort: bool, offset: u64, count: u32) -> Job {
+    let work = Work::Page(PageWork {
+        query: "cql.serverChoice = \"moon\"".into(),
+        sort: if sort {
+            vec![SortKey::named("title").unwrap()]
+        } else {
+            Vec::new()
+        },
+        schema: Schema::Mods,
+        fresh: true,
+        ranges: vec![Range {
+            slice: 3,
+            offset,
+            count,
+        }],
+        facets: Vec::new(),
+    });
+    Job::new(work, 3, learned)
+}
+
+fn refusal(number: u16, details: &str) -> String {
+    format!(
+        "<r><version>1.1</version><diagnostics><diagnostic><uri>info:srw/diagnostic/1/{number}</uri>\
+         <details>{details}</details></diagnostic></diagnostics></r>"
+    )
+}
+
+fn records(hits: u64, titles: &[&str]) -> String {
+    let records: String = titles
+        .iter()
+        .map(|t| format!("<record><recordData><dc><title>{t}</title></dc></recordData></record>"))
+        .collect();
+    format!("<r><numberOfRecords>{hits}</numberOfRecords><records>{records}</records></r>")
+}
+
+fn titles(next: Next<()>) -> Vec<String> {
+    match next {
+        Next::Done(Given::Found(found)) => found
+            .records
+            .iter()
+            .filter_map(|r| r.value("dc.title"))
+            .collect(),
+        other => panic!("{other:?}"),
+    }
+}
+
+/// A host that speaks 2.0 alone refuses the older ones; the next part asks it in 2.0 at once.
+#[test]
+fn a_hosts_version_is_found_and_remembered() {
+    let mut learned = Learned::default();
+    let mut one = job(&learned, false, 0, 1);
+    let mut asked = Vec::new();
+    loop {
+        let ask = one.ask(&BOUNDS, &learned);
+        asked.push(ask.split('&').next().unwrap().to_owned());
+        if !ask.contains("version=") {
+            break;
+        }
+        assert_eq!(
+            one.answered(200, &refusal(5, ""), &BOUNDS, &mut learned),
+            Next::Say(())
+        );
+    }
+    assert_eq!(
+        asked,
+        [
+            "version=1.2",
+            "version=1.1",
+            "query=cql.serverChoice%20%3D%20%22moon%22"
+        ]
+    );
+    assert_eq!(
+        titles(one.answered(200, &records(1, &["a"]), &BOUNDS, &mut learned)),
+        ["a"]
+    );
+    assert!(
+        !job(&learned, false, 0, 1)
+            .ask(&BOUNDS, &learned)
+            .contains("version=")
+    );
+    // One that speaks none ends after each was tried once.
+    let mut learned = Learned::default();
+    let mut none = job(&learned, false, 0, 1);
+    let ends =
+        (0..4).find_map(
+            |_| match none.answered(200, &refusal(5, "x"), &BOUNDS, &mut learned) {
+                Next::Say(()) => None,
+                other => Some(other),
+            },
+        );
+    assert_eq!(
+        ends,
+        Some(Next::Done(Given::Refused(Kind::VERSION.of("x"))))
+    );
+}
+
+#[test]
+fn a_host_without_a_schema_or_sorting_is_asked_round_it() {
+    let mut learned = Learned::default();
+    let mut one = job(&learned, true, 1, 2);
+    let ask = one.ask(&BOUNDS, &learned);
+    assert!(
+        ask.contains("recordSchema=mods") && ask.contains("sortKeys=title"),
+        "{ask}"
+    );
+    assert_eq!(
+        one.answered(200, &refusal(66, "mods"), &BOUNDS, &mut learned),
+        Next::Say(())
+    );
+    assert!(one.ask(&BOUNDS, &learned).contains("recordSchema=dc"));
+    assert_eq!(
+        one.answered(200, &refusal(80, ""), &BOUNDS, &mut learned),
+        Next::Say(())
+    );
+    let ask = one.ask(&BOUNDS, &learned);
+    assert!(
+        !ask.contains("sortKeys") && ask.contains("startRecord=1&maximumRecords=4"),
+        "{ask}"
+    );
+    // It gives two at once; they are gathered, sorted here, and the range is cut out.
+    assert_eq!(
+        one.answered(200, &records(3, &["c", "a"]), &BOUNDS, &mut learned),
+        Next::Say(())
+    );
+    assert!(
+        one.ask(&BOUNDS, &learned)
+            .contains("startRecord=3&maximumRecords=1")
+    );
+    assert_eq!(
+        titles(one.answered(200, &records(3, &["b"]), &BOUNDS, &mut learned)),
+        ["b", "c"]
+    );
+    // The next part knows, and says so where there are too many.
+    let mut next = job(&learned, true, 0, 1);
+    assert!(!next.ask(&BOUNDS, &learned).contains("sortKeys"));
+    match next.answered(
+        200,
+        &records(5, &["a", "b", "c", "d"]),
+        &BOUNDS,
+        &mut learned,
+    ) {
+        Next::Done(Given::Refused(fault)) => assert_eq!(fault.kind, Kind::SORT_TOO_MANY),
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn what_speaks_of_the_server_fails_and_what_speaks_of_the_query_is_an_answer() {
+    let say = |status, body: &str| {
+        let mut learned = Learned::default();
+        job(&learned, false, 0, 1).answered(status, body, &BOUNDS, &mut learned)
+    };
+    assert_eq!(say(503, ""), Next::Later);
+    assert_eq!(say(200, &refusal(2, "")), Next::Later);
+    assert!(matches!(say(200, &refusal(1, "")), Next::Failed(_)));
+    assert!(matches!(say(500, "oops"), Next::Failed(_)));
+    assert!(matches!(say(500, &records(1, &["a"])), Next::Failed(_)));
+    assert_eq!(
+        say(200, &refusal(16, "x")),
+        Next::Done(Given::Refused(Kind::INDEX.of("x")))
+    );
+    assert_eq!(
+        say(400, &refusal(10, "x")),
+        Next::Done(Given::Refused(Kind::SYNTAX.of("x")))
+    );
+    let partial = records(2, &["a"]).replace(
+        "</r>",
+        "<diagnostics><diagnostic><uri>info:srw/diagnostic/1/59</uri></diagnostic></diagnostics></r>",
+    );
+    match say(200, &partial) {
+        Next::Done(Given::Found(found)) => assert!(!found.exact && found.hits == 2),
+        other => panic!("{other:?}"),
+    }
+}
--- /dev/null
+++ b/store/src/kept/tests.rs
@@ -0,0 +1,33 @@
+//! Tests of `kept`.
+
+use super::*;
+use crate::state::State;
+
+/// A backup that is put back, twice or after the store went on, gives an era above all that
+/// were.
+#[test]
+fn a_store_that_is_begun_anew_has_a_later_era_than_its_file_and_no_earlier_one_than_the_clock() {
+    let era_after = |before: u64, clock: u64| {
+        let mut state = State::default();
+        state.begin_era(before);
+        let position = Position { index: 9, term: 3 };
+        let snapshot = Snapshot {
+            position,
+            state,
+            ..Snapshot::default()
+        };
+        let kept = Kept::of(vec![Record::Snapshot(snapshot)]);
+        let records = kept.anew(7, &BTreeSet::from([1]), clock);
+        let Some(Record::Snapshot(snapshot)) = records.get(1) else {
+            panic!("{records:?}")
+        };
+        assert_eq!(snapshot.position.index, 9, "places go on");
+        snapshot.state.era()
+    };
+    assert_eq!(
+        (era_after(5, 0), era_after(5, 4), era_after(5, 1_000)),
+        (6, 6, 1_000)
+    );
+    // The same backup again: nobody knows of the first time but the clock.
+    assert!(era_after(5, 1_001) > era_after(5, 1_000));
+}
--- /dev/null
+++ b/store/src/record/tests.rs
@@ -0,0 +1,128 @@
+//! Tests of `record`.
+
+use super::*;
+use crate::command::Command;
+use crate::packet::{Change, Entry, Position};
+use proptest::prelude::*;
+
+fn records() -> Vec<Record> {
+    let change = Change {
+        key: "members/m0".to_owned(),
+        value: Some("ih-2".to_owned()),
+    };
+    let entries = Entries {
+        after: Position { index: 3, term: 2 },
+        entries: vec![Entry::Term(2), Entry::Command(Command::Put(change))],
+    };
+    let snapshot = Snapshot {
+        position: Position { index: 3, term: 2 },
+        ..Snapshot::default()
+    };
+    vec![
+        Record::Cluster(7),
+        Record::Start(1),
+        Record::Snapshot(snapshot),
+        Record::Term(2),
+        Record::Vote(None),
+        Record::Vote(Some(3)),
+        Record::Append(entries),
+        Record::Generation(2),
+        Record::Peer(3, Peer::known(1, 4, 9)),
+        Record::Joined,
+        Record::Founding(false),
+        Record::Lost,
+    ]
+}
+
+fn file() -> (Vec<u8>, Vec<usize>) {
+    let (mut bytes, mut ends) = (MAGIC.to_vec(), vec![MAGIC.len()]);
+    for (at, record) in records().iter().enumerate() {
+        bytes.extend(encode(record, at as u64 + 1));
+        ends.push(bytes.len());
+    }
+    (bytes, ends)
+}
+
+#[test]
+fn a_file_cut_anywhere_gives_its_whole_records_and_one_with_any_bit_flipped_is_refused() {
+    let (bytes, ends) = file();
+    for cut in 0..=bytes.len() {
+        let read = read(&bytes[..cut]).unwrap();
+        let whole = ends
+            .iter()
+            .filter(|end| **end <= cut)
+            .count()
+            .saturating_sub(1);
+        assert_eq!(read.records, records()[..whole], "cut at {cut}");
+        let end = if cut < MAGIC.len() { 0 } else { ends[whole] };
+        assert_eq!((read.whole, read.torn), (end, cut - end));
+        // The same where the file was made longer before its bytes came.
+        if cut >= MAGIC.len() && ends.contains(&cut) {
+            let longer = [&bytes[..cut], &[0; 40]].concat();
+            assert_eq!(
+                super::read(&longer).map(|r| (r.whole, r.torn)),
+                Ok((cut, 40))
+            );
+        }
+    }
+    for at in 0..bytes.len() * 8 {
+        let mut flipped = bytes.clone();
+        flipped[at / 8] ^= 1 << (at % 8);
+        // The format's own number may become that of the one before, which says the same.
+        if flipped.starts_with(FORMER) {
+            assert_eq!(read(&flipped).unwrap().records, records());
+            continue;
+        }
+        let damage = read(&flipped).expect_err("a flipped bit is no torn tail");
+        assert!(damage.offset <= at / 8, "bit {at}: {damage}");
+    }
+}
+
+#[test]
+fn a_record_missing_in_the_middle_or_from_another_file_or_format_is_told() {
+    let (bytes, ends) = file();
+    let without = [&bytes[..ends[2]], &bytes[ends[3]..]].concat();
+    assert_eq!(
+        read(&without).unwrap_err().to_string(),
+        format!(
+            "at byte {}: record 3: it says that it is record 4, of 10 bytes",
+            ends[2]
+        )
+    );
+    let mut future = bytes.clone();
+    future[7] = 9;
+    assert_eq!(
+        read(&future).unwrap_err().to_string(),
+        "at byte 0: format 9; this program reads format 3"
+    );
+    // The last format is read still.
+    let former = [FORMER, &bytes[8..]].concat();
+    assert_eq!(read(&former).unwrap().records, records());
+    assert_eq!(
+        read(b"something else").unwrap_err().to_string(),
+        "at byte 0: this is no file of a store"
+    );
+    assert_eq!(
+        read_lines(b"{\"term\":2}\n{\"vote\":1}\n{\"te")
+            .unwrap()
+            .records,
+        [Record::Term(2), Record::Vote(Some(1))]
+    );
+    assert_eq!(
+        read_lines(b"{\"term\":2}\n{\"vot3\":1}\n")
+            .unwrap_err()
+            .to_string(),
+        "at byte 11: line 2 is no record"
+    );
+}
+
+proptest! {
+    #[test]
+    fn any_bytes_are_read_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..400) {
+        let _ = (read(&bytes), read_lines(&bytes));
+        let mut mixed = file().0;
+        let at = at.min(mixed.len());
+        mixed.splice(at..at, bytes);
+        let _ = read(&mixed);
+    }
+}
--- /dev/null
+++ b/store/src/state/tests.rs
@@ -0,0 +1,140 @@
+//! Tests of `state`.
+
+use super::*;
+use crate::command::Check;
+use proptest::prelude::*;
+
+const ROOM: Room = Room {
+    keys: 4,
+    sessions: 2,
+};
+
+fn txn(
+    session: u64,
+    request: u64,
+    checks: Vec<(&str, Expects)>,
+    sets: Vec<(&str, Option<&str>)>,
+) -> Command {
+    let check = |(key, expects): (&str, Expects)| Check {
+        key: key.to_owned(),
+        expects,
+    };
+    let set = |(key, value): (&str, Option<&str>)| Change {
+        key: key.to_owned(),
+        value: value.map(str::to_owned),
+    };
+    let checks = checks.into_iter().map(check).collect();
+    Command::Txn(Txn {
+        session,
+        request,
+        checks,
+        sets: sets.into_iter().map(set).collect(),
+    })
+}
+
+fn outcome(state: &mut State, revision: u64, command: &Command) -> Outcome {
+    match state.apply(revision, command, ROOM).1 {
+        Some(Done::Made(.., outcome)) => outcome,
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn several_keys_change_together_or_not_at_all() {
+    let mut state = State::default();
+    state.apply(1, &Command::Open(7), ROOM);
+    let both = txn(
+        1,
+        1,
+        vec![("a", Expects::Absent)],
+        vec![("a", Some("1")), ("b", Some("1"))],
+    );
+    assert_eq!(outcome(&mut state, 2, &both), Outcome::Applied(2));
+    let stale = txn(
+        1,
+        2,
+        vec![("a", Expects::At(2)), ("b", Expects::Is("0".into()))],
+        vec![("a", None)],
+    );
+    assert_eq!(
+        outcome(&mut state, 3, &stale),
+        Outcome::Refused(Refusal::Differs("b".to_owned(), Some(2)))
+    );
+    assert_eq!((state.get("a"), state.get("b")), (Some("1"), Some("1")));
+    let many = vec![("c", Some("")), ("d", Some("")), ("e", Some(""))];
+    assert_eq!(
+        outcome(&mut state, 4, &txn(1, 3, vec![], many)),
+        Outcome::Refused(Refusal::Full)
+    );
+    assert_eq!(state.len(), 2);
+    let gone = txn(1, 4, vec![("a", Expects::At(2))], vec![("a", None)]);
+    assert_eq!(outcome(&mut state, 5, &gone), Outcome::Applied(5));
+    assert_eq!(state.get("a"), None);
+}
+
+#[test]
+fn a_request_that_comes_again_is_made_once_and_a_forgotten_session_makes_none() {
+    let mut state = State::default();
+    state.apply(1, &Command::Open(7), ROOM);
+    let one = txn(1, 1, vec![], vec![("a", Some("1"))]);
+    assert_eq!(outcome(&mut state, 2, &one), Outcome::Applied(2));
+    state.apply(
+        3,
+        &Command::Put(Change {
+            key: "a".to_owned(),
+            value: Some("2".to_owned()),
+        }),
+        ROOM,
+    );
+    assert_eq!(
+        outcome(&mut state, 4, &one),
+        Outcome::Applied(2),
+        "what came of it then"
+    );
+    assert_eq!(state.get("a"), Some("2"));
+    assert_eq!(
+        outcome(&mut state, 5, &txn(1, 9, vec![], vec![])),
+        Outcome::Applied(5)
+    );
+    assert_eq!(
+        outcome(&mut state, 6, &one),
+        Outcome::Refused(Refusal::Past)
+    );
+    // Two further sessions: the one that was not heard of for longest goes.
+    state.apply(7, &Command::Open(8), ROOM);
+    state.apply(8, &Command::Open(9), ROOM);
+    assert_eq!(
+        outcome(&mut state, 9, &one),
+        Outcome::Refused(Refusal::NoSession)
+    );
+    assert_eq!(State::read(&state.json(), 0), Some(state));
+}
+
+proptest! {
+    /// Whatever comes in whatever order: a state and the one that went through its text go on
+    /// alike.
+    #[test]
+    fn a_state_goes_on_from_its_text_as_from_itself(
+        steps in prop::collection::vec((0u8..4, 0u64..12, 0u64..4, 0u8..3), 0..60), cut in 0usize..60
+    ) {
+        let mut state = State::default();
+        let mut other = state.clone();
+        for (at, (kind, session, request, key)) in steps.into_iter().enumerate() {
+            if at == cut {
+                other = State::read(&other.json(), 0).expect("its own text");
+            }
+            let (revision, key) = (at as u64 + 1, format!("k{key}"));
+            let command = match kind {
+                0 => Command::Open(session),
+                1 => Command::Put(Change { key, value: Some(revision.to_string()) }),
+                2 => txn(session, request, vec![(&key, Expects::Absent)], vec![(&key, Some("t"))]),
+                _ => txn(session, request, vec![], vec![(&key, None)]),
+            };
+            let read = Command::read(&command.json()).expect("its own text");
+            prop_assert_eq!(&read, &command);
+            prop_assert_eq!(state.apply(revision, &command, ROOM), other.apply(revision, &read, ROOM));
+            prop_assert!(state.len() <= ROOM.keys && state.sessions.len() <= ROOM.sessions);
+        }
+        prop_assert_eq!(state, other);
+    }
+}
