--- a/bitternsill/src/front/catalogue/z3950_host.rs
+++ b/bitternsill/src/front/catalogue/z3950_host.rs
@@ -55,7 +55,7 @@
                 .session
                 .heard(&unit, &self.bounds, learned, now)
                 .map(Some)
-                .map_err(Nonsense),
+                .map_err(|problem| Nonsense(problem.to_string())),
             Ok(None) => Ok(None),
             Err(problem) => Err(Nonsense(problem.to_string())),
         }
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -6,13 +6,14 @@
 use crate::cql::{self, Node};
 use crate::fault::{Fault, Kind};
 use crate::pool::Learned;
-use crate::record::{Schema, Syntax};
+use crate::record::{RecordError, Schema, Syntax};
 use crate::rpn;
 use crate::sets::Time;
 use crate::work::{Given, PageWork, Range, ScanWork, Work};
 use crate::z3950::init::{self, Abilities, Ability, WANTED};
 use crate::z3950::{self, SetStatus, records, scan, sort, tag};
 use std::collections::VecDeque;
+use thiserror::Error;
 
 /// The syntaxes in the order in which they are asked for.
 const SYNTAXES: [Syntax; 4] = [Syntax::Xml, Syntax::Usmarc, Syntax::Grs1, Syntax::Sutrs];
@@ -60,6 +61,26 @@
     job: Option<Job>,
 }
 
+/// Why a session can't go on: the host sent what the protocol does not have at this point.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum SessionError {
+    /// A data unit of another kind than the one that is due.
+    #[error("a data unit with the tag {0}")]
+    UnexpectedUnit(u32),
+    /// A response, and no request is in flight.
+    #[error("a response to nothing")]
+    NoJob,
+    /// A mandatory field of a search response is missing.
+    #[error("a search response without its status")]
+    NoSearchStatus,
+    /// A mandatory field of a search response is missing.
+    #[error("a search response without its count")]
+    NoResultCount,
+    /// The records can't be read.
+    #[error(transparent)]
+    Records(#[from] RecordError),
+}
+
 /// The first thing that is said.
 pub fn hello(bounds: &HostBounds) -> Vec<u8> {
     z3950::unit(tag::INIT_REQUEST, None, |w| {
@@ -198,9 +219,9 @@
         bounds: &HostBounds,
         learned: &mut Learned,
         now: Time,
-    ) -> Result<Heard, String> {
+    ) -> Result<Heard, SessionError> {
         if unit.class != Class::Context {
-            return Err(format!("a data unit with the tag {}", unit.tag));
+            return Err(SessionError::UnexpectedUnit(unit.tag));
         }
         match unit.tag {
             tag::INIT_RESPONSE if self.job.is_none() => {
@@ -218,7 +239,7 @@
             tag::CLOSE => Ok(Heard::Bye),
             _ => {
                 let Some(job) = &mut self.job else {
-                    return Err("a response to nothing".to_owned());
+                    return Err(SessionError::NoJob);
                 };
                 job.exchanges += 1;
                 let too_many = job.exchanges > bounds.exchanges;
@@ -234,7 +255,7 @@
                         Ok(terms) => Next::Done(Given::Scanned(terms)),
                         Err(fault) => refused(fault),
                     }),
-                    (_, other) => return Err(format!("a data unit with the tag {other}")),
+                    (_, other) => return Err(SessionError::UnexpectedUnit(other)),
                 };
                 let next = match next? {
                     Next::Say(_) if too_many => {
@@ -321,16 +342,16 @@
         bounds: &HostBounds,
         learned: &mut Learned,
         now: Time,
-    ) -> Result<Next<Vec<u8>>, String> {
+    ) -> Result<Next<Vec<u8>>, SessionError> {
         let ok = unit
             .get(tag::SEARCH_STATUS)
             .and_then(Item::boolean)
-            .ok_or("a search response without its status")?;
+            .ok_or(SessionError::NoSearchStatus)?;
         let hits = unit
             .get(tag::RESULT_COUNT)
             .and_then(Item::integer)
             .and_then(|n| u64::try_from(n).ok());
-        let hits = hits.ok_or("a search response without its count")?;
+        let hits = hits.ok_or(SessionError::NoResultCount)?;
         let subset =
             unit.get(tag::SET_STATUS).and_then(Item::integer) == Some(SetStatus::Subset as i64);
         let fault = z3950::response_fault(unit);
@@ -339,12 +360,12 @@
                 fault.unwrap_or_else(|| Kind::GENERAL.of("the search failed")),
             ));
         }
-        let given = records::read(unit, tag::RECORDS).map_err(|problem| problem.to_string())?;
+        let given = records::read(unit, tag::RECORDS)?;
         let Some(job) = &mut self.job else {
-            return Err(String::new());
+            return Err(SessionError::NoJob);
         };
         let Some(set) = &mut job.set else {
-            return Err(String::new());
+            return Err(SessionError::NoJob);
         };
         (set.hits, set.exact, set.made) = (hits, ok, now);
         let kept = set.clone();
@@ -357,7 +378,7 @@
             Err(fault) => return Ok(Next::Done(Given::Refused(fault))),
         };
         let Some(job) = &mut self.job else {
-            return Err(String::new());
+            return Err(SessionError::NoJob);
         };
         job.gathering = gathering;
         job.take(given);
@@ -424,12 +445,12 @@
         unit: &Item,
         bounds: &HostBounds,
         learned: &mut Learned,
-    ) -> Result<Next<Vec<u8>>, String> {
+    ) -> Result<Next<Vec<u8>>, SessionError> {
         if sort::read_response(unit).is_err() {
             // Whatever it says: its records are sorted here, if there are not too many.
             learned.no_sort = true;
             let Some(job) = &mut self.job else {
-                return Err(String::new());
+                return Err(SessionError::NoJob);
             };
             job.local = true;
             let hits = job.set.as_ref().map_or(0, |s| s.hits);
@@ -476,10 +497,10 @@
         bounds: &HostBounds,
         learned: &mut Learned,
         now: Time,
-    ) -> Result<Next<Vec<u8>>, String> {
-        let given = records::read(unit, tag::RECORDS).map_err(|problem| problem.to_string())?;
+    ) -> Result<Next<Vec<u8>>, SessionError> {
+        let given = records::read(unit, tag::RECORDS)?;
         let Some(job) = &mut self.job else {
-            return Err(String::new());
+            return Err(SessionError::NoJob);
         };
         let some = !given.is_empty();
         job.take(given);
--- a/catalogue/src/sru.rs
+++ b/catalogue/src/sru.rs
@@ -1,12 +1,14 @@
 //! SRU: versions, requests and responses (Library of Congress 1.1 and 1.2, OASIS searchRetrieve
 //! 2.0), without HTTP.
 
+mod error;
 pub mod explain;
 pub mod request;
 pub mod response;
 pub mod soap;
 mod xml;
 
+pub use error::ResponseError;
 pub use xml::{ReadResponse, read_response};
 
 use serde::{Deserialize, Serialize};
--- a/catalogue/src/sru/xml.rs
+++ b/catalogue/src/sru/xml.rs
@@ -3,6 +3,7 @@
 use crate::fault::{Fault, Kind};
 use crate::merge::{Facet, Term};
 use crate::record::Record;
+use crate::sru::error::ResponseError;
 use quick_xml::Writer;
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::reader::Reader;
@@ -44,13 +45,13 @@
 }
 
 /// Reads a response.
-pub fn read_response(text: &str) -> Result<ReadResponse, String> {
+pub fn read_response(text: &str) -> Result<ReadResponse, ResponseError> {
     let mut reader = Reader::from_str(text);
     let mut state = State::default();
     state.response.exact = true;
     let mut current = String::new();
     loop {
-        match reader.read_event().map_err(|e| e.to_string())? {
+        match reader.read_event()? {
             Event::Start(start) => {
                 current.clear();
                 let name = local(&start);
@@ -65,7 +66,7 @@
                     continue;
                 }
                 if state.path.len() >= DEPTH {
-                    return Err("nested too deep".to_owned());
+                    return Err(ResponseError::TooDeep);
                 }
                 state.open(&name);
                 state.path.push(name);
@@ -75,21 +76,21 @@
             }
             Event::End(_) => {
                 let Some(name) = state.path.pop() else {
-                    return Err("an end without its beginning".to_owned());
+                    return Err(ResponseError::UnmatchedEnd);
                 };
                 state.declared.pop();
                 state.close(&name, current.trim())?;
                 current.clear();
             }
-            Event::Text(text) => current.push_str(&text.decode().map_err(|e| e.to_string())?),
-            Event::CData(text) => current.push_str(&text.decode().map_err(|e| e.to_string())?),
+            Event::Text(text) => current.push_str(&text.decode()?),
+            Event::CData(text) => current.push_str(&text.decode()?),
             Event::GeneralRef(reference) => current.push_str(&resolve(&reference)?),
             Event::Eof => break,
             _ => {}
         }
     }
     if !state.path.is_empty() || state.response.root.is_empty() {
-        return Err("the response is not whole".to_owned());
+        return Err(ResponseError::Incomplete);
     }
     Ok(state.response)
 }
@@ -118,11 +119,11 @@
         }
     }
 
-    fn close(&mut self, name: &str, text: &str) -> Result<(), String> {
+    fn close(&mut self, name: &str, text: &str) -> Result<(), ResponseError> {
         let parent = self.path.last().map_or("", String::as_str);
         let number = |text: &str| {
             text.parse::<u64>()
-                .map_err(|_| format!("{name} is no number"))
+                .map_err(|_| ResponseError::NotANumber(name.to_owned()))
         };
         match (name, parent) {
             ("uri", "diagnostic") => {
@@ -211,15 +212,15 @@
     start.attributes().flatten().filter_map(declared).collect()
 }
 
-fn resolve(reference: &quick_xml::events::BytesRef<'_>) -> Result<String, String> {
-    if let Some(c) = reference.resolve_char_ref().map_err(|e| e.to_string())? {
+fn resolve(reference: &quick_xml::events::BytesRef<'_>) -> Result<String, ResponseError> {
+    if let Some(c) = reference.resolve_char_ref()? {
         return Ok(c.to_string());
     }
-    let name = reference.decode().map_err(|e| e.to_string())?;
+    let name = reference.decode()?;
     let known = quick_xml::escape::resolve_predefined_entity(&name);
     known
         .map(str::to_owned)
-        .ok_or_else(|| format!("the entity {name} is not known"))
+        .ok_or_else(|| ResponseError::UnknownEntity(name.into_owned()))
 }
 
 /// The record inside `recordData`: XML as it stands, or text that is XML.
@@ -227,19 +228,19 @@
     reader: &mut Reader<&[u8]>,
     start: &BytesStart<'_>,
     declared: &[Vec<(String, String)>],
-) -> Result<Record, String> {
+) -> Result<Record, ResponseError> {
     let end = start.to_end().into_owned();
     let mut writer = Writer::new(Vec::new());
     let (mut depth, mut elements) = (0usize, 0usize);
     let mut text = String::new();
     loop {
-        let mut event = reader.read_event().map_err(|e| e.to_string())?;
+        let mut event = reader.read_event()?;
         match &event {
             Event::End(e) if depth == 0 && e.name() == end.name() => break,
-            Event::End(_) => depth = depth.checked_sub(1).ok_or("an end without its beginning")?,
-            Event::Eof => return Err("recordData is not closed".to_owned()),
-            Event::Text(t) if depth == 0 => text.push_str(&t.decode().map_err(|e| e.to_string())?),
-            Event::CData(t) if depth == 0 => text.push_str(&t.decode().map_err(|e| e.to_string())?),
+            Event::End(_) => depth = depth.checked_sub(1).ok_or(ResponseError::UnmatchedEnd)?,
+            Event::Eof => return Err(ResponseError::OpenRecord),
+            Event::Text(t) if depth == 0 => text.push_str(&t.decode()?),
+            Event::CData(t) if depth == 0 => text.push_str(&t.decode()?),
             Event::GeneralRef(r) if depth == 0 => text.push_str(&resolve(r)?),
             _ => {}
         }
@@ -264,13 +265,13 @@
             depth += 1;
         }
         if elements > 0 {
-            writer.write_event(event).map_err(|e| e.to_string())?;
+            writer.write_event(event)?;
         }
     }
     if elements == 0 {
         return Ok(Record::new(text.trim().to_owned()));
     }
-    let xml = String::from_utf8(writer.into_inner()).map_err(|e| e.to_string())?;
+    let xml = String::from_utf8(writer.into_inner())?;
     let xml = without_idle_declarations(xml.trim(), declared);
     // A diagnostic in the record's place.
     if let Some((name, _)) = crate::record::tree::root(&xml)
