--- a/bitternsill/src/front/catalogue.rs
+++ b/bitternsill/src/front/catalogue.rs
@@ -16,11 +16,11 @@
 use crate::front::Gatherer;
 use crate::limits::{Limits, MS};
 use ::recovery::ramp::Turn;
-use catalogue::operation::{Bounds, Plan, Round, Why};
+use catalogue::operation::{Bounds, FailureReason, Plan, Round};
 use catalogue::session::Config;
 use catalogue::sets::{SetBounds, SetTable};
 use catalogue::sru::request::RequestBounds;
-use catalogue::work::{Given, Work};
+use catalogue::work::{Work, WorkResult};
 use dispatch::interface::Time;
 use std::cell::{RefCell, RefMut};
 use std::net::SocketAddr;
@@ -146,14 +146,14 @@
         Answer::Served { values, .. } => {
             let given = values
                 .iter()
-                .filter_map(|(slice, value)| Some((*slice, Given::decode(&value.body)?)));
+                .filter_map(|(slice, value)| Some((*slice, WorkResult::decode(&value.body)?)));
             Round::Served(given.collect())
         }
         Answer::Refused { hold_off } => Round::Refused {
             hold_off: *hold_off,
         },
-        Answer::Failed(Reason::TimeUp) => Round::Failed(Why::TimeUp),
-        Answer::Failed(Reason::GivenUp | Reason::Ending) => Round::Failed(Why::GivenUp),
+        Answer::Failed(Reason::TimeUp) => Round::Failed(FailureReason::TimeUp),
+        Answer::Failed(Reason::GivenUp | Reason::Ending) => Round::Failed(FailureReason::GivenUp),
     }
 }
 
--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -6,9 +6,9 @@
 use crate::front::{Gatherer, Message};
 use crate::limits::Limits;
 use crate::net::{self, Attempt, Connection, Context, Input, Ready, Stream};
-use catalogue::host::{Heard, HostBounds, Next};
+use catalogue::host::{HostBounds, HostEvent, Next};
 use catalogue::pool::{self, Fate, Learned, Pool, PoolBounds};
-use catalogue::work::{Given, Work};
+use catalogue::work::{Work, WorkResult};
 use dispatch::interface::{Outcome, ServerId, Time};
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -25,7 +25,7 @@
 /// A protocol, as spoken to an index host.
 pub trait Dialect {
     /// What is said first, where the session needs a welcome before it is used.
-    fn hello(&mut self) -> Option<Vec<u8>>;
+    fn init_request(&mut self) -> Option<Vec<u8>>;
 
     /// Begins a part; a former one that is not done is forgotten.
     fn begin(
@@ -44,10 +44,10 @@
         learned: &mut Learned,
         limits: &Limits,
         now: Time,
-    ) -> Result<Option<Heard>, Nonsense>;
+    ) -> Result<Option<HostEvent>, Nonsense>;
 
     /// The reply that the end of the connection completes, where that is how the protocol has it.
-    fn ended(&mut self, _learned: &mut Learned, _now: Time) -> Option<Heard> {
+    fn ended(&mut self, _learned: &mut Learned, _now: Time) -> Option<HostEvent> {
         None
     }
 
@@ -272,18 +272,18 @@
         }
     }
 
-    fn heard(&mut self, cx: &mut Cx<'_>, heard: Heard) {
+    fn handle_host_event(&mut self, cx: &mut Cx<'_>, host_event: HostEvent) {
         self.used = cx.now;
-        match heard {
-            Heard::Welcome => {
+        match host_event {
+            HostEvent::Opened => {
                 self.welcome = true;
                 self.pool.borrow_mut().connected(self.host.0, cx.now);
             }
-            Heard::Unwelcome(problem) => {
+            HostEvent::Rejected(problem) => {
                 tracing::info!(host = self.host.0, problem, "no session");
                 cx.close();
             }
-            Heard::Bye => {
+            HostEvent::Closed => {
                 // It says that it ends the session: that is no death, neither of the host nor by
                 // the part.
                 if let Some(Current::Wanted { part, .. }) = self.current.take() {
@@ -292,7 +292,7 @@
                 }
                 cx.close();
             }
-            Heard::Next(next) => self.next(cx, next),
+            HostEvent::Next(next) => self.next(cx, next),
         }
     }
 
@@ -313,7 +313,7 @@
             return cx.close();
         };
         match next {
-            Next::Say(bytes) => {
+            Next::Send(bytes) => {
                 // A host that leaves, or that closes behind its reply, is asked nothing more for
                 // this part either.
                 let late = self
@@ -352,17 +352,17 @@
         }
     }
 
-    fn value(&self, mut given: Given) -> Value {
+    fn value(&self, mut given: WorkResult) -> Value {
         let score = match &mut given {
-            Given::Found(found) => {
+            WorkResult::Found(found) => {
                 found.host = self.host.0;
                 found.hits
             }
-            Given::Scanned(terms) => {
+            WorkResult::Scanned(terms) => {
                 terms.host = self.host.0;
                 0
             }
-            Given::Refused(_) => 0,
+            WorkResult::Refused(_) => 0,
         };
         Value {
             score: Score::Whole(score.into()),
@@ -442,14 +442,14 @@
             if cx.is_closing() {
                 return;
             }
-            let heard = {
+            let host_event = {
                 let limits = cx.world.limits.clone();
                 let mut pool = self.pool.borrow_mut();
                 let learned = pool.learned(self.host.0, cx.now);
                 self.dialect.read(&mut self.input, learned, &limits, cx.now)
             };
-            match heard {
-                Ok(Some(heard)) => self.heard(cx, heard),
+            match host_event {
+                Ok(Some(host_event)) => self.handle_host_event(cx, host_event),
                 Ok(None) => break,
                 Err(Nonsense(problem)) => {
                     tracing::debug!(host = self.host.0, problem, "a link is given up");
@@ -465,13 +465,13 @@
         match end {
             Ok(Input::Open) => {}
             Ok(Input::Ended) => {
-                let heard = {
+                let host_event = {
                     let mut pool = self.pool.borrow_mut();
                     let learned = pool.learned(self.host.0, cx.now);
                     self.dialect.ended(learned, cx.now)
                 };
-                if let Some(heard) = heard {
-                    self.heard(cx, heard);
+                if let Some(host_event) = host_event {
+                    self.handle_host_event(cx, host_event);
                 }
                 cx.close();
             }
@@ -497,9 +497,9 @@
                     return cx.close();
                 }
             }
-            match self.dialect.hello() {
-                Some(hello) => self.stream.push(&hello),
-                None => self.heard(cx, Heard::Welcome),
+            match self.dialect.init_request() {
+                Some(init_request) => self.stream.push(&init_request),
+                None => self.handle_host_event(cx, HostEvent::Opened),
             }
         } else if ready.readable {
             self.read(cx);
--- a/bitternsill/src/front/catalogue/session.rs
+++ b/bitternsill/src/front/catalogue/session.rs
@@ -5,7 +5,7 @@
 use crate::front::{Gatherer, Message};
 use crate::net::{Connection, Context, Input, Ready, Stream};
 use catalogue::ber;
-use catalogue::session::{Act, Around, Session};
+use catalogue::session::{Action, Session, SessionContext};
 use catalogue::z3950::CloseReason;
 use dispatch::interface::Time;
 use std::collections::BTreeMap;
@@ -49,31 +49,31 @@
     }
 
     /// Lets the session do something and carries out what comes of it, until nothing more does.
-    fn step(&mut self, cx: &mut Cx<'_>, first: impl FnOnce(&mut Session, &mut Around<'_>)) {
+    fn step(&mut self, cx: &mut Cx<'_>, first: impl FnOnce(&mut Session, &mut SessionContext<'_>)) {
         let catalogue = self.catalogue.clone();
         let Some(session) = &mut self.session else {
             return;
         };
-        let mut acts = Vec::new();
+        let mut actions = Vec::new();
         {
             let mut sets = catalogue.sets();
             let unwritten = self.stream.unwritten();
             first(
                 session,
-                &mut Around {
+                &mut SessionContext {
                     sets: &mut sets,
                     unwritten,
                     now: cx.now,
-                    acts: &mut acts,
+                    actions: &mut actions,
                 },
             );
         }
         let mut at = 0;
-        while let Some(act) = acts.get(at).cloned() {
+        while let Some(act) = actions.get(at).cloned() {
             at += 1;
             match act {
-                Act::Say(bytes) => self.stream.push(&bytes),
-                Act::Ask { operation, plan } => {
+                Action::Send(bytes) => self.stream.push(&bytes),
+                Action::Ask { operation, plan } => {
                     let arrived = *self.asked.entry(operation).or_insert(cx.since);
                     let caller = Caller {
                         connection: cx.token.bits(),
@@ -82,16 +82,16 @@
                     if let Err(refusal) = catalogue.ask(cx.world, caller, &plan, arrived, cx.now) {
                         let mut sets = catalogue.sets();
                         let unwritten = self.stream.unwritten();
-                        let mut around = Around {
+                        let mut context = SessionContext {
                             sets: &mut sets,
                             unwritten,
                             now: cx.now,
-                            acts: &mut acts,
+                            actions: &mut actions,
                         };
-                        session.answered(operation, not_taken(refusal), &mut around);
+                        session.answered(operation, not_taken(refusal), &mut context);
                     }
                 }
-                Act::Withdraw { operation } => {
+                Action::Withdraw { operation } => {
                     let caller = Caller {
                         connection: cx.token.bits(),
                         operation,
@@ -99,7 +99,7 @@
                     cx.world.core.client_left(caller);
                     self.asked.remove(&operation);
                 }
-                Act::End => self.ending = Some(cx.now + cx.world.limits.linger),
+                Action::End => self.ending = Some(cx.now + cx.world.limits.linger),
             }
         }
         let running: Vec<u32> = session.operations().collect();
@@ -121,7 +121,7 @@
             ) {
                 Ok(Some(unit)) => {
                     self.used = cx.now;
-                    self.step(cx, |session, around| session.unit(&unit, around));
+                    self.step(cx, |session, context| session.unit(&unit, context));
                 }
                 Ok(None) => return,
                 Err(problem) => {
@@ -134,8 +134,8 @@
     }
 
     fn close_session(&mut self, cx: &mut Cx<'_>, reason: CloseReason, words: &str) {
-        self.step(cx, |session, around| {
-            session.close(reason, words, around.acts)
+        self.step(cx, |session, context| {
+            session.close(reason, words, context.actions)
         });
     }
 
@@ -254,8 +254,8 @@
                 let after = matches!(answer, Answer::Served { .. });
                 let round = ended(&answer);
                 self.used = if after { cx.now } else { self.used };
-                self.step(cx, |session, around| {
-                    session.answered(operation, round, around)
+                self.step(cx, |session, context| {
+                    session.answered(operation, round, context)
                 });
                 self.read_units(cx);
             }
--- a/bitternsill/src/front/catalogue/sru.rs
+++ b/bitternsill/src/front/catalogue/sru.rs
@@ -6,7 +6,7 @@
 use crate::front::server::{Cx, Handled, Service};
 use catalogue::cql::Node;
 use catalogue::fault::{Fault, Kind};
-use catalogue::operation::{Operation, Outcome, Search, Short, Step, Want, Why};
+use catalogue::operation::{FailureReason, Operation, Outcome, Search, ShortReason, Step, Want};
 use catalogue::sets::Owner;
 use catalogue::sru::request::{self, Form, Refused, Request, ScanRequest, SearchRequest};
 use catalogue::sru::{Operation as Verb, explain, response, soap};
@@ -98,8 +98,8 @@
         };
         let failed = |why| {
             let (status, words) = match why {
-                Why::TimeUp => (504, "no answer in time"),
-                Why::GivenUp => (500, "given up"),
+                FailureReason::TimeUp => (504, "no answer in time"),
+                FailureReason::GivenUp => (500, "given up"),
             };
             self.respond(
                 form,
@@ -109,8 +109,10 @@
         };
         match outcome {
             Outcome::Page(page) => match page.short {
-                Some(Short::Refused { hold_off }) if page.records.is_empty() => refused(hold_off),
-                Some(Short::Failed(why)) if page.records.is_empty() => failed(why),
+                Some(ShortReason::Refused { hold_off }) if page.records.is_empty() => {
+                    refused(hold_off)
+                }
+                Some(ShortReason::Failed(why)) if page.records.is_empty() => failed(why),
                 _ => self.respond(
                     form,
                     200,
--- a/bitternsill/src/front/catalogue/sru_host.rs
+++ b/bitternsill/src/front/catalogue/sru_host.rs
@@ -4,10 +4,10 @@
 use crate::front::http::{Head, Progress, Reader};
 use crate::limits::Limits;
 use catalogue::host::sru::{Job, check};
-use catalogue::host::{Heard, HostBounds, Next};
+use catalogue::host::{HostBounds, HostEvent, Next};
 use catalogue::pool::Learned;
 use catalogue::sru::request::percent;
-use catalogue::work::{Given, Work};
+use catalogue::work::{Work, WorkResult};
 use dispatch::interface::Time;
 use std::net::SocketAddr;
 
@@ -36,7 +36,7 @@
         let Some((job, database)) = &self.job else {
             return Next::Failed("no search is under way".to_owned());
         };
-        Next::Say(
+        Next::Send(
             format!(
                 "GET /{}?{} HTTP/1.1\r\nHost: {}\r\nAccept: application/sru+xml, text/xml\r\n\r\n",
                 percent(database),
@@ -47,14 +47,14 @@
         )
     }
 
-    fn answered(&mut self, head: &Head, body: &[u8], learned: &mut Learned) -> Heard {
+    fn answered(&mut self, head: &Head, body: &[u8], learned: &mut Learned) -> HostEvent {
         let text = String::from_utf8_lossy(body);
         let status = head.start.1.parse().unwrap_or(0);
         let Some((job, _)) = &mut self.job else {
-            return Heard::Next(Next::Failed("a response to nothing".to_owned()));
+            return HostEvent::Next(Next::Failed("a response to nothing".to_owned()));
         };
-        Heard::Next(match job.answered(status, &text, &self.bounds, learned) {
-            Next::Say(()) => self.say(learned),
+        HostEvent::Next(match job.answered(status, &text, &self.bounds, learned) {
+            Next::Send(()) => self.say(learned),
             Next::Done(given) => Next::Done(given),
             Next::Later => Next::Later,
             Next::Failed(problem) => Next::Failed(problem),
@@ -63,7 +63,7 @@
 }
 
 impl Dialect for SruHost {
-    fn hello(&mut self) -> Option<Vec<u8>> {
+    fn init_request(&mut self) -> Option<Vec<u8>> {
         None
     }
 
@@ -76,7 +76,7 @@
         _now: Time,
     ) -> Next<Vec<u8>> {
         if let Err(fault) = check(work) {
-            return Next::Done(Given::Refused(fault));
+            return Next::Done(WorkResult::Refused(fault));
         }
         self.reader = None;
         self.job = Some((Job::new(work.clone(), slice, learned), database.to_owned()));
@@ -89,7 +89,7 @@
         learned: &mut Learned,
         limits: &Limits,
         _now: Time,
-    ) -> Result<Option<Heard>, Nonsense> {
+    ) -> Result<Option<HostEvent>, Nonsense> {
         if input.is_empty() {
             return Ok(None);
         }
@@ -108,7 +108,7 @@
         }
     }
 
-    fn ended(&mut self, learned: &mut Learned, _now: Time) -> Option<Heard> {
+    fn ended(&mut self, learned: &mut Learned, _now: Time) -> Option<HostEvent> {
         let mut reader = self.reader.take().filter(Reader::ends_with_connection)?;
         self.closing = true;
         let (head, body) = reader.take();
--- a/bitternsill/src/front/catalogue/z3950_host.rs
+++ b/bitternsill/src/front/catalogue/z3950_host.rs
@@ -3,8 +3,8 @@
 use super::link::{Dialect, Nonsense};
 use crate::limits::Limits;
 use catalogue::ber;
-use catalogue::host::z3950::{Session, hello};
-use catalogue::host::{Heard, HostBounds, Next};
+use catalogue::host::z3950::{Session, init_request};
+use catalogue::host::{HostBounds, HostEvent, Next};
 use catalogue::pool::Learned;
 use catalogue::work::Work;
 use dispatch::interface::Time;
@@ -27,8 +27,8 @@
 }
 
 impl Dialect for Z3950Host {
-    fn hello(&mut self) -> Option<Vec<u8>> {
-        Some(hello(&self.bounds))
+    fn init_request(&mut self) -> Option<Vec<u8>> {
+        Some(init_request(&self.bounds))
     }
 
     fn begin(
@@ -49,11 +49,11 @@
         learned: &mut Learned,
         limits: &Limits,
         now: Time,
-    ) -> Result<Option<Heard>, Nonsense> {
+    ) -> Result<Option<HostEvent>, Nonsense> {
         match ber::read(input, limits.host_message, limits.ber_depth) {
             Ok(Some(unit)) => self
                 .session
-                .heard(&unit, &self.bounds, learned, now)
+                .receive(&unit, &self.bounds, learned, now)
                 .map(Some)
                 .map_err(|problem| Nonsense(problem.to_string())),
             Ok(None) => Ok(None),
--- a/catalogue/src/ber.rs
+++ b/catalogue/src/ber.rs
@@ -1,6 +1,6 @@
 //! The Basic Encoding Rules, as far as Z39.50 needs them; length and depth are bounded.
 
-use std::fmt;
+use thiserror::Error;
 
 /// The class of a tag.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -14,28 +14,19 @@
 }
 
 /// An encoding that cannot be read.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum BerError {
     /// Longer than the limit.
+    #[error("an encoding over the length limit")]
     TooLong,
     /// Nested deeper than the limit.
+    #[error("an encoding nested too deep")]
     TooDeep,
     /// It breaks the rules.
+    #[error("a malformed encoding")]
     Malformed,
 }
 
-impl fmt::Display for BerError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            BerError::TooLong => "an encoding over the length limit",
-            BerError::TooDeep => "an encoding nested too deep",
-            BerError::Malformed => "a malformed encoding",
-        })
-    }
-}
-
-impl std::error::Error for BerError {}
-
 /// A decoded value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
@@ -170,29 +161,29 @@
             input.drain(..at);
             Ok(Some(item))
         }
-        Err(Short::More(total)) if input.len() <= most && total <= most => Ok(None),
-        Ok(_) | Err(Short::More(_)) => Err(BerError::TooLong),
-        Err(Short::Wrong(problem)) => Err(problem),
+        Err(ShortReason::More(total)) if input.len() <= most && total <= most => Ok(None),
+        Ok(_) | Err(ShortReason::More(_)) => Err(BerError::TooLong),
+        Err(ShortReason::Wrong(problem)) => Err(problem),
     }
 }
 
 /// Why a value was not read: more bytes are wanted (so many in all, as far as is known), or it is
 /// wrong.
-enum Short {
+enum ShortReason {
     More(usize),
     Wrong(BerError),
 }
 
-const MALFORMED: Short = Short::Wrong(BerError::Malformed);
+const MALFORMED: ShortReason = ShortReason::Wrong(BerError::Malformed);
 
-fn decode(bytes: &[u8], at: &mut usize, depth: usize) -> Result<Item, Short> {
+fn decode(bytes: &[u8], at: &mut usize, depth: usize) -> Result<Item, ShortReason> {
     if depth == 0 {
-        return Err(Short::Wrong(BerError::TooDeep));
+        return Err(ShortReason::Wrong(BerError::TooDeep));
     }
     let next = |at: &mut usize| {
-        let byte = bytes.get(*at).copied().ok_or(Short::More(*at + 1))?;
+        let byte = bytes.get(*at).copied().ok_or(ShortReason::More(*at + 1))?;
         *at += 1;
-        Ok::<u8, Short>(byte)
+        Ok::<u8, ShortReason>(byte)
     };
     let first = next(at)?;
     let class = match first >> 6 {
@@ -223,7 +214,7 @@
             let mut length = 0usize;
             for _ in 0..long & 0x7f {
                 if length > usize::MAX >> 16 {
-                    return Err(Short::Wrong(BerError::TooLong));
+                    return Err(ShortReason::Wrong(BerError::TooLong));
                 }
                 length = length << 8 | usize::from(next(at)?);
             }
@@ -234,7 +225,7 @@
         let mut items = Vec::new();
         while bytes.get(*at..*at + 2) != Some(&[0, 0]) {
             if bytes.len() < *at + 2 {
-                return Err(Short::More(*at + 2));
+                return Err(ShortReason::More(*at + 2));
             }
             items.push(decode(bytes, at, depth - 1)?);
         }
@@ -247,9 +238,9 @@
     };
     let end = at
         .checked_add(length)
-        .ok_or(Short::Wrong(BerError::TooLong))?;
+        .ok_or(ShortReason::Wrong(BerError::TooLong))?;
     let Some(body) = bytes.get(..end) else {
-        return Err(Short::More(end));
+        return Err(ShortReason::More(end));
     };
     if !constructed {
         let content = Content::Primitive(body[*at..].to_vec());
@@ -264,7 +255,7 @@
     while *at < end {
         // A value inside that wants more than its surroundings hold is wrong, not late.
         items.push(decode(body, at, depth - 1).map_err(|short| match short {
-            Short::More(_) => MALFORMED,
+            ShortReason::More(_) => MALFORMED,
             wrong => wrong,
         })?);
     }
--- a/catalogue/src/cql/term.rs
+++ b/catalogue/src/cql/term.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Parts {
     /// The characters, with `None` for any number of any, and `Some(None)` for any one.
-    pub pieces: Vec<Piece>,
+    pub fragments: Vec<Fragment>,
     /// The term begins its field.
     pub first: bool,
     /// The term ends its field.
@@ -28,7 +28,7 @@
 
 /// One piece of a term.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Piece {
+pub enum Fragment {
     /// These characters.
     Text(String),
     /// Any number of any characters.
@@ -39,34 +39,34 @@
 
 /// Takes a term apart: masks and anchors that are not escaped.
 pub fn parts(term: &str) -> Parts {
-    let mut pieces = Vec::new();
+    let mut fragments = Vec::new();
     let mut text = String::new();
     let (mut first, mut last) = (false, false);
     let mut chars = term.char_indices().peekable();
-    let flush = |text: &mut String, pieces: &mut Vec<Piece>| {
+    let flush = |text: &mut String, fragments: &mut Vec<Fragment>| {
         if !text.is_empty() {
-            pieces.push(Piece::Text(std::mem::take(text)));
+            fragments.push(Fragment::Text(std::mem::take(text)));
         }
     };
     while let Some((at, c)) = chars.next() {
         match c {
             '\\' => text.push(chars.next().map_or('\\', |(_, c)| c)),
             '*' => {
-                flush(&mut text, &mut pieces);
-                pieces.push(Piece::Any);
+                flush(&mut text, &mut fragments);
+                fragments.push(Fragment::Any);
             }
             '?' => {
-                flush(&mut text, &mut pieces);
-                pieces.push(Piece::One);
+                flush(&mut text, &mut fragments);
+                fragments.push(Fragment::One);
             }
             '^' if at == 0 => first = true,
             '^' if chars.peek().is_none() => last = true,
             c => text.push(c),
         }
     }
-    flush(&mut text, &mut pieces);
+    flush(&mut text, &mut fragments);
     Parts {
-        pieces,
+        fragments,
         first,
         last,
     }
@@ -75,32 +75,32 @@
 impl Parts {
     /// Where it is masked.
     pub fn mask(&self) -> Mask {
-        match self.pieces.as_slice() {
-            [] | [Piece::Text(_)] => Mask::None,
-            [Piece::Text(_), Piece::Any] => Mask::Right,
-            [Piece::Any, Piece::Text(_)] => Mask::Left,
-            [Piece::Any, Piece::Text(_), Piece::Any] => Mask::Both,
+        match self.fragments.as_slice() {
+            [] | [Fragment::Text(_)] => Mask::None,
+            [Fragment::Text(_), Fragment::Any] => Mask::Right,
+            [Fragment::Any, Fragment::Text(_)] => Mask::Left,
+            [Fragment::Any, Fragment::Text(_), Fragment::Any] => Mask::Both,
             _ => Mask::Inside,
         }
     }
 
     /// The characters alone.
     pub fn plain(&self) -> String {
-        let text = |piece: &Piece| match piece {
-            Piece::Text(text) => text.clone(),
+        let text = |fragment: &Fragment| match fragment {
+            Fragment::Text(text) => text.clone(),
             _ => String::new(),
         };
-        self.pieces.iter().map(text).collect()
+        self.fragments.iter().map(text).collect()
     }
 
     /// With the masks of Z39.58 as Bib-1's truncation 104 has them: `?` any number, `#` one.
     pub fn z3958(&self) -> String {
-        let word = |piece: &Piece| match piece {
-            Piece::Text(text) => text.clone(),
-            Piece::Any => "?".to_owned(),
-            Piece::One => "#".to_owned(),
+        let word = |fragment: &Fragment| match fragment {
+            Fragment::Text(text) => text.clone(),
+            Fragment::Any => "?".to_owned(),
+            Fragment::One => "#".to_owned(),
         };
-        self.pieces.iter().map(word).collect()
+        self.fragments.iter().map(word).collect()
     }
 }
 
--- a/catalogue/src/cql/term/tests.rs
+++ b/catalogue/src/cql/term/tests.rs
@@ -27,7 +27,7 @@
         assert_eq!(
             parts(&literal(text)),
             Parts {
-                pieces: vec![Piece::Text(text.into())],
+                fragments: vec![Fragment::Text(text.into())],
                 first: false,
                 last: false
             }
--- a/catalogue/src/host.rs
+++ b/catalogue/src/host.rs
@@ -30,9 +30,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Next<Message> {
     /// Say this and wait.
-    Say(Message),
+    Send(Message),
     /// The part is done.
-    Done(crate::work::Given),
+    Done(crate::work::WorkResult),
     /// The host turned the part away unseen.
     Later,
     /// It failed; it may have run.
@@ -41,13 +41,13 @@
 
 /// What something that a host said means.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Heard {
+pub enum HostEvent {
     /// The session may be used.
-    Welcome,
+    Opened,
     /// The host does not take the session.
-    Unwelcome(String),
+    Rejected(String),
     /// The host ends it.
-    Bye,
+    Closed,
     /// What comes next for the part under way.
     Next(Next<Vec<u8>>),
 }
@@ -57,12 +57,16 @@
     match fault.kind {
         kind if kind.bib1 == 2 => Next::Later,
         kind if kind.is_of_the_server() => Next::Failed(fault.to_string()),
-        _ => Next::Done(crate::work::Given::Refused(fault)),
+        _ => Next::Done(crate::work::WorkResult::Refused(fault)),
     }
 }
 
 /// Sorts a host's records here and cuts the range out: for a host that does not sort itself.
-fn sorted_here(keys: &[SortKey], records: Vec<Record>, range: Range) -> Result<Vec<Record>, Fault> {
+fn sort_locally(
+    keys: &[SortKey],
+    records: Vec<Record>,
+    range: Range,
+) -> Result<Vec<Record>, Fault> {
     let rows = records
         .into_iter()
         .map(|record| Row::new(record, keys))
@@ -86,7 +90,7 @@
 
 /// Records as they come, until as many as were asked for are here.
 #[derive(Debug, Clone, Default)]
-struct Gathering {
+struct RecordBuffer {
     records: Vec<Record>,
     /// The first place that is wanted, from 0.
     from: u64,
@@ -94,10 +98,10 @@
     want: u64,
 }
 
-impl Gathering {
-    fn of(range: Range, hits: u64) -> Gathering {
+impl RecordBuffer {
+    fn of(range: Range, hits: u64) -> RecordBuffer {
         let want = u64::from(range.count).min(hits.saturating_sub(range.offset));
-        Gathering {
+        RecordBuffer {
             records: Vec::new(),
             from: range.offset,
             want,
--- a/catalogue/src/host/sru.rs
+++ b/catalogue/src/host/sru.rs
@@ -1,7 +1,7 @@
 //! SRU with an index host: its version is learned, and what it refuses is asked for otherwise or
 //! said so.
 
-use super::{Gathering, HostBounds, Next, found, refused, sorted_here, too_many_to_sort};
+use super::{HostBounds, Next, RecordBuffer, found, refused, sort_locally, too_many_to_sort};
 use crate::cql::{self, write_sort};
 use crate::fault::{Fault, Kind};
 use crate::merge::Terms;
@@ -10,10 +10,10 @@
 use crate::sort::write_sort_keys;
 use crate::sru::request::percent;
 use crate::sru::{ReadResponse, Version, read_response};
-use crate::work::{Found, Given, PageWork, ScanWork, Work};
+use crate::work::{Found, PageWork, ScanWork, Work, WorkResult};
 
 /// The order in which versions are tried with a host that is not known.
-const TRIED: [Version; 3] = [Version::V12, Version::V11, Version::V20];
+const VERSION_ORDER: [Version; 3] = [Version::V12, Version::V11, Version::V20];
 
 /// One part under way.
 #[derive(Debug, Clone)]
@@ -24,7 +24,7 @@
     tried: Vec<Version>,
     /// Sorted here, as the host does not.
     local: bool,
-    gathering: Option<Gathering>,
+    buffer: Option<RecordBuffer>,
     first: Option<(u64, bool, Option<Vec<crate::merge::Facet>>)>,
     exchanges: u32,
 }
@@ -32,7 +32,7 @@
 impl Job {
     /// A part for one slice.
     pub fn new(work: Work, slice: u32, learned: &Learned) -> Job {
-        let version = learned.version.unwrap_or(TRIED[0]);
+        let version = learned.version.unwrap_or(VERSION_ORDER[0]);
         let local = learned.no_sort && matches!(&work, Work::Page(page) if !page.sort.is_empty());
         Job {
             work,
@@ -40,7 +40,7 @@
             version,
             tried: vec![version],
             local,
-            gathering: None,
+            buffer: None,
             first: None,
             exchanges: 0,
         }
@@ -86,8 +86,8 @@
             false => page.query.clone(),
         };
         pairs.push(("query", query));
-        let (from, count) = match &self.gathering {
-            Some(gathering) => gathering.rest(),
+        let (from, count) = match &self.buffer {
+            Some(buffer) => buffer.rest(),
             None if self.local && page.range(self.slice).count > 0 => {
                 (0, u64::from(bounds.local_sort))
             }
@@ -151,7 +151,7 @@
                 self.scan(&scan, response, learned)
             }
         };
-        if matches!(next, Next::Say(())) && self.exchanges >= bounds.exchanges {
+        if matches!(next, Next::Send(())) && self.exchanges >= bounds.exchanges {
             return Next::Failed("more exchanges than one part may take".to_owned());
         }
         next
@@ -180,7 +180,7 @@
             {
                 learned.no_sort = true;
                 self.local = true;
-                self.gathering = None;
+                self.buffer = None;
                 true
             }
             _ => self.other_version(fault, learned),
@@ -193,7 +193,7 @@
                 && ["version", "operation", "recordPacking"]
                     .iter()
                     .any(|p| fault.about.contains(p));
-        let Some(next) = TRIED
+        let Some(next) = VERSION_ORDER
             .into_iter()
             .find(|v| !self.tried.contains(v))
             .filter(|_| about)
@@ -226,7 +226,7 @@
             .find(|f| !partial(f) && f.kind.sru != 61);
         if let Some(fault) = fatal.filter(|_| response.hits.unwrap_or(0) == 0) {
             return if self.round(fault, learned) {
-                Next::Say(())
+                Next::Send(())
             } else {
                 refused(fault.clone())
             };
@@ -241,9 +241,9 @@
                 .iter()
                 .any(|f| matches!(f.kind.sru, 58 | 59));
         let range = page.range(self.slice);
-        if self.gathering.is_none() {
+        if self.buffer.is_none() {
             if self.local && range.count > 0 && hits > u64::from(bounds.local_sort) {
-                return Next::Done(Given::Refused(too_many_to_sort(hits, bounds)));
+                return Next::Done(WorkResult::Refused(too_many_to_sort(hits, bounds)));
             }
             let wanted = if self.local && range.count > 0 {
                 crate::work::Range {
@@ -254,35 +254,35 @@
             } else {
                 range
             };
-            self.gathering = Some(Gathering::of(wanted, hits));
+            self.buffer = Some(RecordBuffer::of(wanted, hits));
             self.first = Some((hits, exact, response.facets));
         }
-        let Some(gathering) = &mut self.gathering else {
+        let Some(buffer) = &mut self.buffer else {
             return Next::Failed(String::new());
         };
-        let before = gathering.records.len();
-        let room = gathering.rest().1 as usize;
-        gathering
+        let before = buffer.records.len();
+        let limits = buffer.rest().1 as usize;
+        buffer
             .records
-            .extend(response.records.into_iter().take(room));
-        if !gathering.is_done() && gathering.records.len() > before {
+            .extend(response.records.into_iter().take(limits));
+        if !buffer.is_done() && buffer.records.len() > before {
             // The host gives fewer at once than it was asked for.
-            return Next::Say(());
+            return Next::Send(());
         }
         // Fewer than there should be: the set has changed under the page, which its counts will
         // show.
-        let records = std::mem::take(&mut gathering.records);
+        let records = std::mem::take(&mut buffer.records);
         let (hits, exact, facets) = self.first.take().unwrap_or((hits, exact, None));
         let records = if self.local && range.count > 0 {
-            match sorted_here(&page.sort, records, range) {
+            match sort_locally(&page.sort, records, range) {
                 Ok(records) => records,
-                Err(fault) => return Next::Done(Given::Refused(fault)),
+                Err(fault) => return Next::Done(WorkResult::Refused(fault)),
             }
         } else {
             records
         };
         let facets = facets.filter(|_| !page.facets.is_empty());
-        Next::Done(Given::Found(Found {
+        Next::Done(WorkResult::Found(Found {
             facets,
             ..found(hits, exact, records)
         }))
@@ -295,7 +295,7 @@
             .filter(|_| response.terms.is_empty())
         {
             return if self.round(fault, learned) {
-                Next::Say(())
+                Next::Send(())
             } else {
                 refused(fault.clone())
             };
@@ -306,7 +306,7 @@
         self.learn(&response, learned);
         let mut terms = response.terms;
         terms.truncate(scan.number as usize);
-        Next::Done(Given::Scanned(Terms { terms, host: 0 }))
+        Next::Done(WorkResult::Scanned(Terms { terms, host: 0 }))
     }
 }
 
--- a/catalogue/src/host/sru/tests.rs
+++ b/catalogue/src/host/sru/tests.rs
@@ -49,7 +49,7 @@
 
 fn titles(next: Next<()>) -> Vec<String> {
     match next {
-        Next::Done(Given::Found(found)) => found
+        Next::Done(WorkResult::Found(found)) => found
             .records
             .iter()
             .filter_map(|r| r.value("dc.title"))
@@ -72,7 +72,7 @@
         }
         assert_eq!(
             one.answered(200, &refusal(5, ""), &BOUNDS, &mut learned),
-            Next::Say(())
+            Next::Send(())
         );
     }
     assert_eq!(
@@ -98,13 +98,13 @@
     let ends =
         (0..4).find_map(
             |_| match none.answered(200, &refusal(5, "x"), &BOUNDS, &mut learned) {
-                Next::Say(()) => None,
+                Next::Send(()) => None,
                 other => Some(other),
             },
         );
     assert_eq!(
         ends,
-        Some(Next::Done(Given::Refused(Kind::VERSION.of("x"))))
+        Some(Next::Done(WorkResult::Refused(Kind::VERSION.of("x"))))
     );
 }
 
@@ -119,12 +119,12 @@
     );
     assert_eq!(
         one.answered(200, &refusal(66, "mods"), &BOUNDS, &mut learned),
-        Next::Say(())
+        Next::Send(())
     );
     assert!(one.ask(&BOUNDS, &learned).contains("recordSchema=dc"));
     assert_eq!(
         one.answered(200, &refusal(80, ""), &BOUNDS, &mut learned),
-        Next::Say(())
+        Next::Send(())
     );
     let ask = one.ask(&BOUNDS, &learned);
     assert!(
@@ -134,7 +134,7 @@
     // It gives two at once; they are gathered, sorted here, and the range is cut out.
     assert_eq!(
         one.answered(200, &records(3, &["c", "a"]), &BOUNDS, &mut learned),
-        Next::Say(())
+        Next::Send(())
     );
     assert!(
         one.ask(&BOUNDS, &learned)
@@ -153,7 +153,7 @@
         &BOUNDS,
         &mut learned,
     ) {
-        Next::Done(Given::Refused(fault)) => assert_eq!(fault.kind, Kind::SORT_TOO_MANY),
+        Next::Done(WorkResult::Refused(fault)) => assert_eq!(fault.kind, Kind::SORT_TOO_MANY),
         other => panic!("{other:?}"),
     }
 }
@@ -171,18 +171,18 @@
     assert!(matches!(say(500, &records(1, &["a"])), Next::Failed(_)));
     assert_eq!(
         say(200, &refusal(16, "x")),
-        Next::Done(Given::Refused(Kind::INDEX.of("x")))
+        Next::Done(WorkResult::Refused(Kind::INDEX.of("x")))
     );
     assert_eq!(
         say(400, &refusal(10, "x")),
-        Next::Done(Given::Refused(Kind::SYNTAX.of("x")))
+        Next::Done(WorkResult::Refused(Kind::SYNTAX.of("x")))
     );
     let partial = records(2, &["a"]).replace(
         "</r>",
         "<diagnostics><diagnostic><uri>info:srw/diagnostic/1/59</uri></diagnostic></diagnostics></r>",
     );
     match say(200, &partial) {
-        Next::Done(Given::Found(found)) => assert!(!found.exact && found.hits == 2),
+        Next::Done(WorkResult::Found(found)) => assert!(!found.exact && found.hits == 2),
         other => panic!("{other:?}"),
     }
 }
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -1,7 +1,9 @@
 //! Z39.50 with an index host: one session, one part at a time, with the sets that the host still
 //! has for it.
 
-use super::{Gathering, Heard, HostBounds, Next, found, refused, sorted_here, too_many_to_sort};
+use super::{
+    HostBounds, HostEvent, Next, RecordBuffer, found, refused, sort_locally, too_many_to_sort,
+};
 use crate::ber::{Class, Item};
 use crate::cql::{self, Node};
 use crate::fault::{Fault, Kind};
@@ -9,7 +11,7 @@
 use crate::record::{RecordError, Schema, Syntax};
 use crate::rpn;
 use crate::sets::Time;
-use crate::work::{Given, PageWork, Range, ScanWork, Work};
+use crate::work::{PageWork, Range, ScanWork, Work, WorkResult};
 use crate::z3950::init::{self, Abilities, Ability, WANTED};
 use crate::z3950::{self, SetStatus, records, scan, sort, tag};
 use std::collections::VecDeque;
@@ -29,7 +31,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Doing {
+enum JobPhase {
     Searching,
     Sorting,
     Presenting,
@@ -42,9 +44,9 @@
     query: Option<Node>,
     range: Range,
     database: String,
-    doing: Doing,
+    phase: JobPhase,
     set: Option<HostSet>,
-    gathering: Gathering,
+    buffer: RecordBuffer,
     /// Sorted here, as the host does not.
     local: bool,
     /// The set was gone once and was searched again.
@@ -82,7 +84,7 @@
 }
 
 /// The first thing that is said.
-pub fn hello(bounds: &HostBounds) -> Vec<u8> {
+pub fn init_request(bounds: &HostBounds) -> Vec<u8> {
     z3950::unit(tag::INIT_REQUEST, None, |w| {
         init::introduce(
             w,
@@ -129,7 +131,7 @@
         // The text was parsed when it came in; here it is only nested as deep as it was written.
         let query = match cql::parse(&page.query, 256) {
             Ok(query) => query.root,
-            Err(fault) => return Next::Done(Given::Refused(fault)),
+            Err(fault) => return Next::Done(WorkResult::Refused(fault)),
         };
         let sorts = self.abilities.has(Ability::Sort) && !learned.no_sort;
         let job = Job {
@@ -137,9 +139,9 @@
             range: page.range(slice),
             page: page.clone(),
             database: database.to_owned(),
-            doing: Doing::Searching,
+            phase: JobPhase::Searching,
             set: None,
-            gathering: Gathering::default(),
+            buffer: RecordBuffer::default(),
             local: !page.sort.is_empty() && !sorts,
             again: false,
             exchanges: 0,
@@ -155,9 +157,9 @@
         self.job = Some(job);
         match known {
             Some(set) => {
-                let gathering = self.wanted(set.hits, bounds);
-                if let (Some(job), Ok(gathering)) = (&mut self.job, gathering) {
-                    job.gathering = gathering;
+                let buffer = self.wanted(set.hits, bounds);
+                if let (Some(job), Ok(buffer)) = (&mut self.job, buffer) {
+                    job.buffer = buffer;
                     job.set = Some(set);
                 }
                 self.present(learned)
@@ -168,23 +170,23 @@
 
     fn begin_scan(&mut self, work: &ScanWork, slice: u32, database: &str) -> Next<Vec<u8>> {
         if !self.abilities.has(Ability::Scan) {
-            return Next::Done(Given::Refused(Kind::SCAN.of("the host does not scan")));
+            return Next::Done(WorkResult::Refused(Kind::SCAN.of("the host does not scan")));
         }
         let clause = match cql::parse(&work.clause, 4).map(|q| q.root) {
             Ok(Node::Clause(clause)) => clause,
             Ok(_) => {
-                return Next::Done(Given::Refused(
+                return Next::Done(WorkResult::Refused(
                     Kind::SYNTAX.of("a scan of more than one clause"),
                 ));
             }
-            Err(fault) => return Next::Done(Given::Refused(fault)),
+            Err(fault) => return Next::Done(WorkResult::Refused(fault)),
         };
         let mut written = Ok(());
         let unit = z3950::unit(tag::SCAN_REQUEST, None, |w| {
             written = scan::write_request(w, database, &clause, work.number, work.position);
         });
         if let Err(fault) = written {
-            return Next::Done(Given::Refused(fault));
+            return Next::Done(WorkResult::Refused(fault));
         }
         self.job = Some(Job {
             page: PageWork {
@@ -202,31 +204,31 @@
                 count: 0,
             },
             database: database.to_owned(),
-            doing: Doing::Scanning,
+            phase: JobPhase::Scanning,
             set: None,
-            gathering: Gathering::default(),
+            buffer: RecordBuffer::default(),
             local: false,
             again: false,
             exchanges: 1,
         });
-        Next::Say(unit)
+        Next::Send(unit)
     }
 
     /// A data unit has come. An error says why the session cannot go on.
-    pub fn heard(
+    pub fn receive(
         &mut self,
         unit: &Item,
         bounds: &HostBounds,
         learned: &mut Learned,
         now: Time,
-    ) -> Result<Heard, SessionError> {
+    ) -> Result<HostEvent, SessionError> {
         if unit.class != Class::Context {
             return Err(SessionError::UnexpectedUnit(unit.tag));
         }
         match unit.tag {
             tag::INIT_RESPONSE if self.job.is_none() => {
                 if unit.get(tag::RESULT).and_then(Item::boolean) != Some(true) {
-                    return Ok(Heard::Unwelcome(
+                    return Ok(HostEvent::Rejected(
                         "the host does not take the session".to_owned(),
                     ));
                 }
@@ -234,39 +236,41 @@
                     .get(tag::OPTIONS)
                     .map_or_else(Abilities::default, Abilities::read);
                 self.abilities = told.both(Abilities::of(WANTED));
-                Ok(Heard::Welcome)
+                Ok(HostEvent::Opened)
             }
-            tag::CLOSE => Ok(Heard::Bye),
+            tag::CLOSE => Ok(HostEvent::Closed),
             _ => {
                 let Some(job) = &mut self.job else {
                     return Err(SessionError::NoJob);
                 };
                 job.exchanges += 1;
                 let too_many = job.exchanges > bounds.exchanges;
-                let next = match (&job.doing, unit.tag) {
-                    (Doing::Searching, tag::SEARCH_RESPONSE) => {
+                let next = match (&job.phase, unit.tag) {
+                    (JobPhase::Searching, tag::SEARCH_RESPONSE) => {
                         self.searched(unit, bounds, learned, now)
                     }
-                    (Doing::Sorting, tag::SORT_RESPONSE) => self.sorted(unit, bounds, learned),
-                    (Doing::Presenting, tag::PRESENT_RESPONSE) => {
+                    (JobPhase::Sorting, tag::SORT_RESPONSE) => self.sorted(unit, bounds, learned),
+                    (JobPhase::Presenting, tag::PRESENT_RESPONSE) => {
                         self.presented(unit, bounds, learned, now)
                     }
-                    (Doing::Scanning, tag::SCAN_RESPONSE) => Ok(match scan::read_response(unit) {
-                        Ok(terms) => Next::Done(Given::Scanned(terms)),
-                        Err(fault) => refused(fault),
-                    }),
+                    (JobPhase::Scanning, tag::SCAN_RESPONSE) => {
+                        Ok(match scan::read_response(unit) {
+                            Ok(terms) => Next::Done(WorkResult::Scanned(terms)),
+                            Err(fault) => refused(fault),
+                        })
+                    }
                     (_, other) => return Err(SessionError::UnexpectedUnit(other)),
                 };
                 let next = match next? {
-                    Next::Say(_) if too_many => {
+                    Next::Send(_) if too_many => {
                         Next::Failed("more exchanges than one part may take".to_owned())
                     }
                     next => next,
                 };
-                if !matches!(next, Next::Say(_)) {
+                if !matches!(next, Next::Send(_)) {
                     self.job = None;
                 }
-                Ok(Heard::Next(next))
+                Ok(HostEvent::Next(next))
             }
         }
     }
@@ -284,7 +288,7 @@
         let Some(job) = &mut self.job else {
             return Next::Failed(String::new());
         };
-        job.doing = Doing::Searching;
+        job.phase = JobPhase::Searching;
         let key = key_of(job);
         job.set = Some(HostSet {
             key,
@@ -328,10 +332,10 @@
             });
         });
         match written {
-            Ok(()) => Next::Say(unit),
+            Ok(()) => Next::Send(unit),
             Err(fault) => {
                 self.job = None;
-                Next::Done(Given::Refused(fault))
+                Next::Done(WorkResult::Refused(fault))
             }
         }
     }
@@ -373,16 +377,16 @@
         while self.sets.len() > bounds.named_sets {
             self.sets.pop_front();
         }
-        let gathering = match self.wanted(hits, bounds) {
-            Ok(gathering) => gathering,
-            Err(fault) => return Ok(Next::Done(Given::Refused(fault))),
+        let buffer = match self.wanted(hits, bounds) {
+            Ok(buffer) => buffer,
+            Err(fault) => return Ok(Next::Done(WorkResult::Refused(fault))),
         };
         let Some(job) = &mut self.job else {
             return Err(SessionError::NoJob);
         };
-        job.gathering = gathering;
+        job.buffer = buffer;
         job.take(given);
-        if job.gathering.is_done() {
+        if job.buffer.is_done() {
             return Ok(self.finish());
         }
         if !job.page.sort.is_empty() && !job.local {
@@ -398,17 +402,17 @@
     }
 
     /// What is to be gathered of so many hits.
-    fn wanted(&self, hits: u64, bounds: &HostBounds) -> Result<Gathering, Fault> {
+    fn wanted(&self, hits: u64, bounds: &HostBounds) -> Result<RecordBuffer, Fault> {
         let Some(job) = &self.job else {
-            return Ok(Gathering::default());
+            return Ok(RecordBuffer::default());
         };
         if !job.local || job.range.count == 0 {
-            return Ok(Gathering::of(job.range, hits));
+            return Ok(RecordBuffer::of(job.range, hits));
         }
         if hits > u64::from(bounds.local_sort) {
             return Err(too_many_to_sort(hits, bounds));
         }
-        Ok(Gathering::of(
+        Ok(RecordBuffer::of(
             Range {
                 offset: 0,
                 count: bounds.local_sort,
@@ -429,8 +433,8 @@
         });
         match written {
             Ok(()) => {
-                job.doing = Doing::Sorting;
-                Next::Say(unit)
+                job.phase = JobPhase::Sorting;
+                Next::Send(unit)
             }
             // The service has no words for it, so the records are sorted here.
             Err(_) => {
@@ -455,12 +459,12 @@
             job.local = true;
             let hits = job.set.as_ref().map_or(0, |s| s.hits);
             match self.wanted(hits, bounds) {
-                Ok(gathering) => {
+                Ok(buffer) => {
                     if let Some(job) = &mut self.job {
-                        job.gathering = gathering;
+                        job.buffer = buffer;
                     }
                 }
-                Err(fault) => return Ok(Next::Done(Given::Refused(fault))),
+                Err(fault) => return Ok(Next::Done(WorkResult::Refused(fault))),
             }
         }
         Ok(self.present(learned))
@@ -471,14 +475,14 @@
         let Some(job) = &mut self.job else {
             return Next::Failed(String::new());
         };
-        let (from, count) = job.gathering.rest();
+        let (from, count) = job.buffer.rest();
         if count == 0 {
             return self.finish();
         }
-        job.doing = Doing::Presenting;
+        job.phase = JobPhase::Presenting;
         let name = job.set.as_ref().map_or("default", |s| s.name.as_str());
         let (syntax, schema) = (syntax(learned), schema(&job.page, learned));
-        Next::Say(z3950::unit(tag::PRESENT_REQUEST, None, |w| {
+        Next::Send(z3950::unit(tag::PRESENT_REQUEST, None, |w| {
             w.bytes(tag::SET_ID, name.as_bytes());
             w.integer(tag::START, from as i64 + 1);
             w.integer(tag::REQUESTED, count as i64);
@@ -504,7 +508,7 @@
         };
         let some = !given.is_empty();
         job.take(given);
-        if job.gathering.is_done() {
+        if job.buffer.is_done() {
             return Ok(self.finish());
         }
         match z3950::response_fault(unit) {
@@ -518,7 +522,7 @@
             Some(fault) if fault.kind.bib1 == 13 => Ok(self.finish()),
             Some(fault) if matches!(fault.kind.bib1, 27 | 30) && !job.again => {
                 job.again = true;
-                job.gathering = Gathering::default();
+                job.buffer = RecordBuffer::default();
                 Ok(self.search(bounds, learned, now))
             }
             Some(fault) => Ok(refused(fault)),
@@ -531,24 +535,25 @@
         };
         let (hits, exact) = job.set.as_ref().map_or((0, true), |s| (s.hits, s.exact));
         let records = if job.local && job.range.count > 0 {
-            match sorted_here(&job.page.sort, job.gathering.records, job.range) {
+            match sort_locally(&job.page.sort, job.buffer.records, job.range) {
                 Ok(records) => records,
-                Err(fault) => return Next::Done(Given::Refused(fault)),
+                Err(fault) => return Next::Done(WorkResult::Refused(fault)),
             }
         } else {
-            job.gathering.records
+            job.buffer.records
         };
-        Next::Done(Given::Found(found(hits, exact, records)))
+        Next::Done(WorkResult::Found(found(hits, exact, records)))
     }
 }
 
 impl Job {
-    fn take(&mut self, given: Vec<records::Given>) {
-        let room = self.gathering.rest().1 as usize;
-        let record = |given: records::Given| given.unwrap_or_else(crate::record::Record::refused);
-        self.gathering
+    fn take(&mut self, given: Vec<records::WorkResult>) {
+        let limits = self.buffer.rest().1 as usize;
+        let record =
+            |given: records::WorkResult| given.unwrap_or_else(crate::record::Record::refused);
+        self.buffer
             .records
-            .extend(given.into_iter().take(room).map(record));
+            .extend(given.into_iter().take(limits).map(record));
     }
 }
 
--- a/catalogue/src/host/z3950/tests.rs
+++ b/catalogue/src/host/z3950/tests.rs
@@ -127,14 +127,16 @@
             learned: Learned::default(),
             now: 0,
         };
-        let hello = ber::read(&mut hello(&BOUNDS), 1 << 16, 32)
+        let init_request = ber::read(&mut init_request(&BOUNDS), 1 << 16, 32)
             .unwrap()
             .expect("a unit");
-        let welcome = ber::read(&mut host.answer(&hello), 1 << 16, 32)
+        let welcome = ber::read(&mut host.answer(&init_request), 1 << 16, 32)
             .unwrap()
             .expect("a unit");
-        let heard = play.session.heard(&welcome, &BOUNDS, &mut play.learned, 0);
-        assert_eq!(heard, Ok(Heard::Welcome));
+        let receive = play
+            .session
+            .receive(&welcome, &BOUNDS, &mut play.learned, 0);
+        assert_eq!(receive, Ok(HostEvent::Opened));
         host.said.clear();
         play
     }
@@ -166,7 +168,7 @@
         let mut next = self
             .session
             .begin(&work, 0, "d", &BOUNDS, &self.learned, self.now);
-        while let Next::Say(bytes) = next {
+        while let Next::Send(bytes) = next {
             let unit = ber::read(&mut bytes.clone(), 1 << 16, 32)
                 .unwrap()
                 .expect("a unit");
@@ -175,9 +177,9 @@
                 .expect("a unit");
             next = match self
                 .session
-                .heard(&reply, &BOUNDS, &mut self.learned, self.now)
+                .receive(&reply, &BOUNDS, &mut self.learned, self.now)
             {
-                Ok(Heard::Next(next)) => next,
+                Ok(HostEvent::Next(next)) => next,
                 other => panic!("{other:?}"),
             };
         }
@@ -193,7 +195,7 @@
         count: u32,
     ) -> (u64, String) {
         match self.page(host, sort, fresh, offset, count) {
-            Next::Done(Given::Found(f)) => {
+            Next::Done(WorkResult::Found(f)) => {
                 let titles: Vec<String> = f
                     .records
                     .iter()
@@ -256,7 +258,7 @@
     );
     let mut play = Play::open(&mut many);
     match play.page(&mut many, true, true, 0, 3) {
-        Next::Done(Given::Refused(fault)) => assert_eq!(fault.kind, Kind::SORT_TOO_MANY),
+        Next::Done(WorkResult::Refused(fault)) => assert_eq!(fault.kind, Kind::SORT_TOO_MANY),
         other => panic!("{other:?}"),
     }
 }
--- a/catalogue/src/operation.rs
+++ b/catalogue/src/operation.rs
@@ -3,7 +3,7 @@
 //! Each round is one query to the core, with parts, a class and one final answer of its own. An
 //! operation ends in exactly one [`Outcome`], after at most [`Bounds::rounds`] rounds.
 
-mod filling;
+mod page_assembly;
 
 use crate::cql::{Clause, Node};
 use crate::fault::{Fault, Kind};
@@ -11,8 +11,8 @@
 use crate::record::{Record, Schema};
 use crate::sets::{Changed, Owner, ResultSet, SetId, SetTable, Time};
 use crate::sort::SortKey;
-use crate::work::{Found, Given, PageWork, ScanWork, Work};
-use filling::{Filling, Trouble, extend, first_round, missing_rows, take};
+use crate::work::{Found, PageWork, ScanWork, Work, WorkResult};
+use page_assembly::{PageAssembly, PageError, extend, first_plan, missing_rows, take};
 
 /// How much a sum of weights may fall short of what is asked for.
 const ROUNDING: f64 = 0.0001;
@@ -45,19 +45,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Round {
     /// What each slice that is in gave.
-    Served(Vec<(u32, Given)>),
+    Served(Vec<(u32, WorkResult)>),
     /// Turned away; asking again is harmless.
     Refused {
         /// How long to keep away; 0 for no advice.
         hold_off: Time,
     },
     /// Given up.
-    Failed(Why),
+    Failed(FailureReason),
 }
 
 /// Why something was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum FailureReason {
     /// Its time ended.
     TimeUp,
     /// The module gave it up, or too few slices were in.
@@ -86,7 +86,7 @@
         hold_off: Time,
     },
     /// Given up.
-    Failed(Why),
+    Failed(FailureReason),
     /// The request cannot be served.
     Fault(Fault),
 }
@@ -101,7 +101,7 @@
     /// Its hits.
     pub count: Count,
     /// Whether every slice is in the set.
-    pub whole: bool,
+    pub complete: bool,
     /// The position of the first record.
     pub start: u64,
     /// The records from there on, without a gap.
@@ -109,11 +109,11 @@
     /// How many there should have been.
     pub wanted: u64,
     /// Why there are fewer.
-    pub short: Option<Short>,
+    pub short: Option<ShortReason>,
     /// The set stands in the place of one that has changed.
     pub replaced: bool,
     /// What else is to be said.
-    pub notes: Vec<Fault>,
+    pub diagnostics: Vec<Fault>,
     /// The facets.
     pub facets: Vec<MergedFacet>,
 }
@@ -128,14 +128,14 @@
 
 /// Why a page has fewer records than it should.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Short {
+pub enum ShortReason {
     /// Turned away; asking again is harmless.
     Refused {
         /// How long to keep away.
         hold_off: Time,
     },
     /// Given up, or a slice did not answer.
-    Failed(Why),
+    Failed(FailureReason),
     /// Further than such sets can be read.
     Reach,
 }
@@ -148,9 +148,9 @@
     /// Where the starting point stands, from 1.
     pub position: u64,
     /// Whether every slice is in.
-    pub whole: bool,
+    pub complete: bool,
     /// What else is to be said.
-    pub notes: Vec<Fault>,
+    pub diagnostics: Vec<Fault>,
 }
 
 /// How many records are wanted with a search.
@@ -224,7 +224,7 @@
         search: Search,
         replaced: bool,
     },
-    Filling(Filling),
+    PageAssembly(PageAssembly),
     Scanning {
         number: u32,
         position: u32,
@@ -244,7 +244,7 @@
 impl Operation {
     /// Begins a search.
     pub fn search(search: Search, bounds: Bounds) -> (Operation, Step) {
-        let step = Step::Ask(first_round(&search, &bounds));
+        let step = Step::Ask(first_plan(&search, &bounds));
         (
             Operation {
                 bounds,
@@ -272,7 +272,7 @@
         let hits = sets.get(set, now).map_or(0, |s| s.count().hits);
         let left = hits.saturating_add(1).saturating_sub(start.max(1));
         let wanted = count.min(left);
-        let filling = Filling {
+        let page_assembly = PageAssembly {
             set,
             start,
             wanted,
@@ -283,14 +283,14 @@
             lost: Vec::new(),
             short: None,
             replaced: false,
-            notes: Vec::new(),
+            diagnostics: Vec::new(),
             facets: Vec::new(),
             again,
         };
         let mut operation = Operation {
             bounds,
             rounds: 0,
-            state: State::Filling(filling),
+            state: State::PageAssembly(page_assembly),
         };
         let step = operation.fill(sets, now);
         (operation, step)
@@ -333,14 +333,14 @@
     pub fn answered(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
         match &self.state {
             State::Searching { .. } => self.searched(round, sets, now),
-            State::Filling(_) => self.filled(round, sets, now),
+            State::PageAssembly(_) => self.filled(round, sets, now),
             State::Scanning { .. } => self.scanned(round),
         }
     }
 
     fn searched(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
         let State::Searching { search, replaced } = &self.state else {
-            return gave_up();
+            return given_up();
         };
         let (search, replaced) = (search.clone(), *replaced);
         let values = match round {
@@ -352,12 +352,14 @@
         let mut faults: Vec<(u32, Fault)> = Vec::new();
         for (slice, given) in values {
             match given {
-                Given::Found(one) => found.push((slice, one)),
-                Given::Refused(fault) => faults.push((slice, fault)),
-                Given::Scanned(_) => {}
+                WorkResult::Found(one) => found.push((slice, one)),
+                WorkResult::Refused(fault) => faults.push((slice, fault)),
+                WorkResult::Scanned(_) => {}
             }
         }
-        if let Some(step) = too_few(found.len(), search.slices.len(), &faults, self.bounds.floor) {
+        if let Some(step) =
+            below_floor(found.len(), search.slices.len(), &faults, self.bounds.floor)
+        {
             return step;
         }
         let asked: Vec<u32> = search
@@ -373,9 +375,14 @@
             &found,
             now,
         );
-        let mut notes = notes_of(&set.missing, faults);
+        let mut diagnostics = diagnostics_of(&set.missing, faults);
         let lists: Vec<_> = found.iter().map(|(_, f)| f.facets.clone()).collect();
-        let facets = merged_facets(&search.facets, &lists, !set.missing.is_empty(), &mut notes);
+        let facets = merged_facets(
+            &search.facets,
+            &lists,
+            !set.missing.is_empty(),
+            &mut diagnostics,
+        );
         let hits = set.count().hits;
         let wanted = search
             .want
@@ -416,7 +423,7 @@
             }
         }
         let id = sets.insert(set, search.owner, search.ttl, now);
-        self.state = State::Filling(Filling {
+        self.state = State::PageAssembly(PageAssembly {
             set: id,
             start: search.start,
             wanted,
@@ -427,7 +434,7 @@
             lost: Vec::new(),
             short: None,
             replaced,
-            notes,
+            diagnostics,
             facets,
             again: Some(search),
         });
@@ -436,8 +443,8 @@
 
     /// Asks for what the page lacks, or ends.
     fn fill(&mut self, sets: &mut SetTable, now: Time) -> Step {
-        let State::Filling(page) = &mut self.state else {
-            return gave_up();
+        let State::PageAssembly(page) = &mut self.state else {
+            return given_up();
         };
         let Some(set) = sets.get(page.set, now) else {
             return Step::Done(Outcome::Fault(Kind::SET_GONE.of("it gave way to others")));
@@ -452,7 +459,7 @@
         let query = set.query.to_string();
         let sort = set.sort.clone();
         let count = set.count();
-        let (whole, token) = (set.missing.is_empty(), set.token.clone());
+        let (complete, token) = (set.missing.is_empty(), set.token.clone());
         let disorder = set.merged.as_ref().and_then(|m| m.disorder);
         sets.remeasure(page.set);
         if let Some(ranges) = plan {
@@ -473,10 +480,10 @@
                     slices,
                 });
             }
-            page.short = Some(Short::Reach);
+            page.short = Some(ShortReason::Reach);
         }
         if let Some(slice) = disorder {
-            page.notes
+            page.diagnostics
                 .push(Kind::SORT.of(format!("the host of slice {slice} gives another order")));
         }
         let mut records = Vec::new();
@@ -486,49 +493,49 @@
             records.push(record);
         }
         if (records.len() as u64) < page.wanted && page.short.is_none() {
-            page.short = Some(Short::Reach);
+            page.short = Some(ShortReason::Reach);
         }
         Step::Done(Outcome::Page(Box::new(Page {
             set: page.set,
             token,
             count,
-            whole,
+            complete,
             start: page.start,
             records,
             wanted: page.wanted,
             short: page.short,
             replaced: page.replaced,
-            notes: std::mem::take(&mut page.notes),
+            diagnostics: std::mem::take(&mut page.diagnostics),
             facets: std::mem::take(&mut page.facets),
         })))
     }
 
     fn filled(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
-        let State::Filling(page) = &mut self.state else {
-            return gave_up();
+        let State::PageAssembly(page) = &mut self.state else {
+            return given_up();
         };
         let values = match round {
             Round::Served(values) => values,
             // What is there already is still good.
             Round::Refused { hold_off } => {
-                page.short = Some(Short::Refused { hold_off });
+                page.short = Some(ShortReason::Refused { hold_off });
                 return self.fill(sets, now);
             }
             Round::Failed(why) => {
-                page.short = Some(Short::Failed(why));
+                page.short = Some(ShortReason::Failed(why));
                 return self.fill(sets, now);
             }
         };
         let Some(set) = sets.get(page.set, now) else {
             return Step::Done(Outcome::Fault(Kind::SET_GONE.of("it gave way to others")));
         };
-        let mut given: Vec<(u32, Given)> = values;
+        let mut given: Vec<(u32, WorkResult)> = values;
         for place in std::mem::take(&mut page.asked) {
             let at = given.iter().position(|(slice, _)| *slice == place.slice);
             let taken = match at.map(|at| given.swap_remove(at).1) {
-                Some(Given::Found(found)) => take(page, set, &place, found),
-                Some(Given::Refused(fault)) => {
-                    page.notes.push(
+                Some(WorkResult::Found(found)) => take(page, set, &place, found),
+                Some(WorkResult::Refused(fault)) => {
+                    page.diagnostics.push(
                         fault
                             .kind
                             .of(format!("slice {}: {}", place.slice, fault.about)),
@@ -543,26 +550,26 @@
             };
             match taken {
                 Ok(()) => {}
-                Err(Trouble::Fault(fault)) => return Step::Done(Outcome::Fault(fault)),
-                Err(Trouble::Changed(Changed { slice })) => return self.changed(slice, sets),
+                Err(PageError::Fault(fault)) => return Step::Done(Outcome::Fault(fault)),
+                Err(PageError::Changed(Changed { slice })) => return self.changed(slice, sets),
             }
         }
         if !page.lost.is_empty() {
-            page.short = Some(Short::Failed(Why::GivenUp));
+            page.short = Some(ShortReason::Failed(FailureReason::GivenUp));
         }
         self.fill(sets, now)
     }
 
     /// The set is not what it was: its positions mean nothing any more.
     fn changed(&mut self, slice: u32, sets: &mut SetTable) -> Step {
-        let State::Filling(page) = &mut self.state else {
-            return gave_up();
+        let State::PageAssembly(page) = &mut self.state else {
+            return given_up();
         };
         sets.remove(page.set);
         match page.again.take() {
             Some(search) if self.rounds < self.bounds.rounds => {
                 self.rounds += 1;
-                let step = Step::Ask(first_round(&search, &self.bounds));
+                let step = Step::Ask(first_plan(&search, &self.bounds));
                 self.state = State::Searching {
                     search,
                     replaced: true,
@@ -583,7 +590,7 @@
             slices,
         } = &self.state
         else {
-            return gave_up();
+            return given_up();
         };
         let values = match round {
             Round::Served(values) => values,
@@ -593,46 +600,46 @@
         let (mut lists, mut faults, mut missing) = (Vec::new(), Vec::new(), slices.clone());
         for (slice, given) in values {
             match given {
-                Given::Scanned(terms) => {
+                WorkResult::Scanned(terms) => {
                     missing.retain(|s| *s != slice);
                     lists.push(terms);
                 }
-                Given::Refused(fault) => faults.push((slice, fault)),
-                Given::Found(_) => {}
+                WorkResult::Refused(fault) => faults.push((slice, fault)),
+                WorkResult::Found(_) => {}
             }
         }
-        if let Some(step) = too_few(lists.len(), slices.len(), &faults, self.bounds.floor) {
+        if let Some(step) = below_floor(lists.len(), slices.len(), &faults, self.bounds.floor) {
             return step;
         }
         let (terms, position) = merge::scan(&lists, seed, *number as usize, *position as usize);
-        let notes = notes_of(&missing, faults);
+        let diagnostics = diagnostics_of(&missing, faults);
         Step::Done(Outcome::Scan(Scanned {
             terms,
             position: position as u64,
-            whole: missing.is_empty(),
-            notes,
+            complete: missing.is_empty(),
+            diagnostics,
         }))
     }
 }
 
-fn gave_up() -> Step {
-    Step::Done(Outcome::Failed(Why::GivenUp))
+fn given_up() -> Step {
+    Step::Done(Outcome::Failed(FailureReason::GivenUp))
 }
 
 /// An answer from less than the class's floor is never given: what the core counted as in may have
 /// been a refusal.
-fn too_few(have: usize, asked: usize, faults: &[(u32, Fault)], floor: f64) -> Option<Step> {
+fn below_floor(have: usize, asked: usize, faults: &[(u32, Fault)], floor: f64) -> Option<Step> {
     if have > 0 && have as f64 / asked.max(1) as f64 + ROUNDING >= floor {
         return None;
     }
     Some(Step::Done(match faults.first() {
         Some((_, fault)) => Outcome::Fault(fault.clone()),
-        None => Outcome::Failed(Why::GivenUp),
+        None => Outcome::Failed(FailureReason::GivenUp),
     }))
 }
 
-fn notes_of(missing: &[u32], faults: Vec<(u32, Fault)>) -> Vec<Fault> {
-    let mut notes = Vec::new();
+fn diagnostics_of(missing: &[u32], faults: Vec<(u32, Fault)>) -> Vec<Fault> {
+    let mut diagnostics = Vec::new();
     if !missing.is_empty() {
         let words: Vec<String> = missing.iter().map(u32::to_string).collect();
         let plural = if missing.len() == 1 {
@@ -640,21 +647,21 @@
         } else {
             "slices"
         };
-        notes.push(Kind::PARTIAL.of(format!("without {plural} {}", words.join(", "))));
+        diagnostics.push(Kind::PARTIAL.of(format!("without {plural} {}", words.join(", "))));
     }
-    notes.extend(
+    diagnostics.extend(
         faults
             .into_iter()
             .map(|(slice, f)| f.kind.of(format!("slice {slice}: {}", f.about))),
     );
-    notes
+    diagnostics
 }
 
 fn merged_facets(
-    asks: &[FacetAsk],
+    requests: &[FacetAsk],
     lists: &[Option<Vec<merge::Facet>>],
     missing: bool,
-    notes: &mut Vec<Fault>,
+    diagnostics: &mut Vec<Fault>,
 ) -> Vec<MergedFacet> {
     let one = |ask: &FacetAsk| {
         let of = |list: &'_ Option<Vec<merge::Facet>>| {
@@ -669,9 +676,9 @@
         merged.exact &= !missing;
         merged
     };
-    let merged: Vec<MergedFacet> = asks.iter().map(one).collect();
-    if lists.iter().any(Option::is_none) && !asks.is_empty() {
-        notes.push(Kind::FEATURE.of("facets: some hosts count none, so counts are too low"));
+    let merged: Vec<MergedFacet> = requests.iter().map(one).collect();
+    if lists.iter().any(Option::is_none) && !requests.is_empty() {
+        diagnostics.push(Kind::FEATURE.of("facets: some hosts count none, so counts are too low"));
     }
     merged
 }
--- a/catalogue/src/operation/filling.rs
+++ b/catalogue/src/operation/page_assembly.rs
@@ -1,42 +1,42 @@
 //! What a page lacks, who is asked for it, and what becomes of what they give.
 
-use super::{Bounds, Plan, Search, Short};
+use super::{Bounds, Plan, Search, ShortReason};
 use crate::fault::{Fault, Kind};
 use crate::merge::{self, FacetAsk, MergedFacet, Pull, Row};
 use crate::record::{Record, Schema};
-use crate::sets::{Changed, Place, ResultSet, SetId};
+use crate::sets::{Changed, ResultSet, SetId, SliceRange};
 use crate::work::{Found, PageWork, Range, Work};
 
 /// A page's state.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct Filling {
+pub(super) struct PageAssembly {
     pub(super) set: SetId,
     pub(super) start: u64,
     pub(super) wanted: u64,
     pub(super) schema: Schema,
     pub(super) rows: Vec<Option<Record>>,
     /// What is asked for in the round under way.
-    pub(super) asked: Vec<Place>,
+    pub(super) asked: Vec<SliceRange>,
     /// Whether that extends the known order of a sorted set.
     pub(super) extends: bool,
     pub(super) lost: Vec<u32>,
-    pub(super) short: Option<Short>,
+    pub(super) short: Option<ShortReason>,
     pub(super) replaced: bool,
-    pub(super) notes: Vec<Fault>,
+    pub(super) diagnostics: Vec<Fault>,
     pub(super) facets: Vec<MergedFacet>,
     /// The search to begin again with, where the set has changed.
     pub(super) again: Option<Search>,
 }
 
 /// Why what a slice gave ends the page.
-pub(super) enum Trouble {
+pub(super) enum PageError {
     Changed(Changed),
     Fault(Fault),
 }
 
 /// What is asked first. An unsorted set's first page mostly lies in its first slice, so the others
 /// are asked for their share only.
-pub(super) fn first_round(search: &Search, bounds: &Bounds) -> Plan {
+pub(super) fn first_plan(search: &Search, bounds: &Bounds) -> Plan {
     let slices = search.slices.len().max(1) as u64;
     let want = search.want.most().min(bounds.page);
     let per_part = u64::from(bounds.per_part);
@@ -84,7 +84,7 @@
 
 /// In a sorted set: merges what is here up to the page's end, and says what is wanted for more.
 pub(super) fn extend(
-    page: &mut Filling,
+    page: &mut PageAssembly,
     set: &mut ResultSet,
     bounds: &Bounds,
 ) -> Result<Option<Vec<Range>>, Fault> {
@@ -115,7 +115,7 @@
             Pull::Dry(dry) => {
                 let need = end - merged.order.len() as u64;
                 let count = chunk(need, slices, u64::from(bounds.per_part));
-                let place = |at: usize| Place {
+                let place = |at: usize| SliceRange {
                     at,
                     slice: set.slices[at].slice,
                     offset: merged.sources[at].next_offset(),
@@ -123,7 +123,7 @@
                 };
                 page.asked = dry.into_iter().map(place).collect();
                 page.extends = true;
-                let range = |p: &Place| Range {
+                let range = |p: &SliceRange| Range {
                     slice: p.slice,
                     offset: p.offset,
                     count: p.count as u32,
@@ -137,7 +137,7 @@
 
 /// Asks for the rows that are not here, where it is known where they stand.
 pub(super) fn missing_rows(
-    page: &mut Filling,
+    page: &mut PageAssembly,
     set: &ResultSet,
     bounds: &Bounds,
 ) -> Option<Vec<Range>> {
@@ -154,7 +154,7 @@
                 ask.count = place.1 + 1 - ask.offset
             }
             Some(_) => {}
-            None => page.asked.push(Place {
+            None => page.asked.push(SliceRange {
                 at: place.0,
                 slice: set.slices[place.0].slice,
                 offset: place.1,
@@ -168,14 +168,14 @@
 
 /// Takes what a slice gave.
 pub(super) fn take(
-    page: &mut Filling,
+    page: &mut PageAssembly,
     set: &mut ResultSet,
-    place: &Place,
+    place: &SliceRange,
     mut found: Found,
-) -> Result<(), Trouble> {
+) -> Result<(), PageError> {
     if page.extends {
         let slice = &set.slices[place.at];
-        let changed = Trouble::Changed(Changed { slice: slice.slice });
+        let changed = PageError::Changed(Changed { slice: slice.slice });
         if slice.exact && found.exact && slice.hits != found.hits || found.records.is_empty() {
             return Err(changed);
         }
@@ -191,12 +191,12 @@
                 return Err(changed);
             }
             let row = Row::new(record, &set.sort)
-                .ok_or_else(|| Trouble::Fault(Kind::SORT_MISSING.of("")))?;
+                .ok_or_else(|| PageError::Fault(Kind::SORT_MISSING.of("")))?;
             source.ahead.push_back(row);
         }
         return Ok(());
     }
-    set.check(place, &mut found).map_err(Trouble::Changed)?;
+    set.check(place, &mut found).map_err(PageError::Changed)?;
     let located = set.locate(page.start, page.rows.len() as u64);
     let mut last = None;
     for (position, (at, offset)) in located {
--- a/catalogue/src/record.rs
+++ b/catalogue/src/record.rs
@@ -10,7 +10,7 @@
 
 use crate::escape;
 use serde::{Deserialize, Serialize};
-use std::fmt;
+use thiserror::Error;
 
 /// A schema of XML records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -143,28 +143,19 @@
 }
 
 /// A record that cannot be read, or not be written as asked for.
-#[derive(Debug, Clone, PartialEq, Eq)]
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RecordError {
     /// It breaks its format.
+    #[error("a malformed record: {0}")]
     Malformed(&'static str),
     /// Its schema is not known, so it passes only as it is.
+    #[error("a record in a schema that is not known")]
     UnknownSchema,
     /// Longer than its format can say.
+    #[error("a record longer than its format allows")]
     TooLong,
 }
 
-impl fmt::Display for RecordError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            RecordError::Malformed(what) => write!(f, "a malformed record: {what}"),
-            RecordError::UnknownSchema => f.write_str("a record in a schema that is not known"),
-            RecordError::TooLong => f.write_str("a record longer than its format allows"),
-        }
-    }
-}
-
-impl std::error::Error for RecordError {}
-
 /// A field, by its Dublin Core element: what all schemas have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[allow(missing_docs)]
--- a/catalogue/src/record/marc.rs
+++ b/catalogue/src/record/marc.rs
@@ -87,17 +87,17 @@
                 marc.control.push((tag, text(field)));
                 continue;
             }
-            let mut pieces = field.split(|b| *b == SUBFIELD);
-            let indicators = text(pieces.next().unwrap_or_default());
-            let subfield = |piece: &[u8]| {
-                let piece = text(piece);
-                let mut chars = piece.chars();
+            let mut fragments = field.split(|b| *b == SUBFIELD);
+            let indicators = text(fragments.next().unwrap_or_default());
+            let subfield = |fragment: &[u8]| {
+                let fragment = text(fragment);
+                let mut chars = fragment.chars();
                 chars.next().map(|code| (code, chars.as_str().to_owned()))
             };
             marc.data.push(Data {
                 tag,
                 indicators,
-                subfields: pieces.filter_map(subfield).collect(),
+                subfields: fragments.filter_map(subfield).collect(),
             });
         }
         Ok(marc)
--- a/catalogue/src/session.rs
+++ b/catalogue/src/session.rs
@@ -10,7 +10,7 @@
 use crate::record::{Schema, Syntax};
 use crate::sets::{SetId, SetTable, Time};
 use crate::z3950::init::{self, Abilities, Ability, Identity, OFFERED};
-use crate::z3950::records::Room;
+use crate::z3950::records::SegmentLimits;
 use crate::z3950::{self, CloseReason, Service, SetStatus, tag};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -109,9 +109,9 @@
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Write this.
-    Say(Vec<u8>),
+    Send(Vec<u8>),
     /// Hand a round to the core.
     Ask {
         /// Which operation it is for.
@@ -176,7 +176,7 @@
     owner: u64,
     state: State,
     abilities: Abilities,
-    room: Room,
+    limits: SegmentLimits,
     admitted: bool,
     failed_challenges: u32,
     /// Requests that wait for a challenge to be answered.
@@ -187,7 +187,7 @@
 }
 
 /// Where a request is taken and answered: what all of a session's doings need.
-pub struct Around<'a> {
+pub struct SessionContext<'a> {
     /// Every result set.
     pub sets: &'a mut SetTable,
     /// Bytes that wait to be written to the client.
@@ -195,7 +195,7 @@
     /// The present moment.
     pub now: Time,
     /// What is to be done.
-    pub acts: &'a mut Vec<Act>,
+    pub actions: &'a mut Vec<Action>,
 }
 
 impl Session {
@@ -206,7 +206,7 @@
             owner,
             state: State::Fresh,
             abilities: Abilities::default(),
-            room: Room {
+            limits: SegmentLimits {
                 preferred: 1 << 10,
                 exceptional: 1 << 10,
                 segmentation: 0,
@@ -249,21 +249,21 @@
     }
 
     /// Ends the session: whatever is under way is withdrawn.
-    pub fn close(&mut self, reason: CloseReason, words: &str, acts: &mut Vec<Act>) {
+    pub fn close(&mut self, reason: CloseReason, words: &str, actions: &mut Vec<Action>) {
         if self.state == State::Closing {
             return;
         }
         for operation in std::mem::take(&mut self.running).into_keys() {
-            acts.push(Act::Withdraw { operation });
+            actions.push(Action::Withdraw { operation });
         }
         self.state = State::Closing;
         self.held.clear();
-        acts.push(Act::Say(z3950::close(None, reason, words)));
-        acts.push(Act::End);
+        actions.push(Action::Send(z3950::close(None, reason, words)));
+        actions.push(Action::End);
     }
 
     /// A whole data unit has come.
-    pub fn unit(&mut self, unit: &Item, around: &mut Around<'_>) {
+    pub fn unit(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
         if self.state == State::Closing {
             return;
         }
@@ -275,31 +275,33 @@
             return self.close(
                 CloseReason::ProtocolError,
                 "a reference that is too long",
-                around.acts,
+                context.actions,
             );
         }
         let service = z3950::service(unit);
         match (service, self.state) {
-            (Some(Service::Close), _) => self.close(CloseReason::ResponseToPeer, "", around.acts),
+            (Some(Service::Close), _) => {
+                self.close(CloseReason::ResponseToPeer, "", context.actions)
+            }
             (Some(Service::Init), State::Fresh) => {
-                self.init(unit, reference.as_deref(), around.acts)
+                self.init(unit, reference.as_deref(), context.actions)
             }
             (Some(Service::Init), _) | (None, _) | (_, State::Fresh) => {
                 self.close(
                     CloseReason::ProtocolError,
                     "no such service, or out of order",
-                    around.acts,
+                    context.actions,
                 );
             }
             (Some(Service::TriggerResourceControl), _) => {
-                self.trigger(unit, reference.as_deref(), around)
+                self.trigger(unit, reference.as_deref(), context)
             }
-            (Some(Service::AccessControl), _) => self.challenged(unit, around),
-            (Some(service), _) => self.operate(service, unit, reference, around),
+            (Some(Service::AccessControl), _) => self.challenged(unit, context),
+            (Some(service), _) => self.operate(service, unit, reference, context),
         }
     }
 
-    fn init(&mut self, unit: &Item, reference: Option<&[u8]>, acts: &mut Vec<Act>) {
+    fn init(&mut self, unit: &Item, reference: Option<&[u8]>, actions: &mut Vec<Action>) {
         let [_, two, three] = init::versions(unit);
         let wanted = unit
             .get(tag::OPTIONS)
@@ -330,7 +332,7 @@
             () if abilities.has(Ability::Level1Segmentation) => 1,
             () => 0,
         };
-        self.room = Room {
+        self.limits = SegmentLimits {
             preferred,
             exceptional,
             segmentation,
@@ -338,19 +340,23 @@
         self.abilities = abilities;
         self.admitted = admitted.is_ok();
         let taken = known && fault.is_none();
-        acts.push(Act::Say(z3950::unit(tag::INIT_RESPONSE, reference, |w| {
-            init::introduce(w, three, abilities, preferred, exceptional);
-            w.boolean(tag::RESULT, taken);
-            init::name_self(w);
-            if let Some(fault) = &fault {
-                init::write_refusal(w, fault);
-            }
-        })));
+        actions.push(Action::Send(z3950::unit(
+            tag::INIT_RESPONSE,
+            reference,
+            |w| {
+                init::introduce(w, three, abilities, preferred, exceptional);
+                w.boolean(tag::RESULT, taken);
+                init::name_self(w);
+                if let Some(fault) = &fault {
+                    init::write_refusal(w, fault);
+                }
+            },
+        )));
         if taken {
             self.state = State::Open;
         } else {
             self.state = State::Closing;
-            acts.push(Act::End);
+            actions.push(Action::End);
         }
     }
 
@@ -360,14 +366,14 @@
         service: Service,
         unit: &Item,
         reference: Option<Vec<u8>>,
-        around: &mut Around<'_>,
+        context: &mut SessionContext<'_>,
     ) {
         let same = |r: &Running| r.reference == reference;
         if self.running.values().any(same) {
             return self.close(
                 CloseReason::ProtocolError,
                 "the reference is in use",
-                around.acts,
+                context.actions,
             );
         }
         if !self.admitted
@@ -376,19 +382,19 @@
                 Service::Delete | Service::ResourceReport | Service::Extended
             )
         {
-            return self.challenge(unit, reference.as_deref(), around.acts);
+            return self.challenge(unit, reference.as_deref(), context.actions);
         }
         let begun = match service {
-            Service::Search => self.search(unit, around),
-            Service::Present => self.present(unit, around),
+            Service::Search => self.search(unit, context),
+            Service::Present => self.present(unit, context),
             Service::Scan => self.scan(unit),
-            Service::Sort => self.sort(unit, around),
+            Service::Sort => self.sort(unit, context),
             Service::Delete => {
-                let said = self.delete(unit, reference.as_deref(), around.sets);
-                return around.acts.push(Act::Say(said));
+                let said = self.delete(unit, reference.as_deref(), context.sets);
+                return context.actions.push(Action::Send(said));
             }
             Service::ResourceReport => {
-                return around.acts.push(Act::Say(z3950::unit(
+                return context.actions.push(Action::Send(z3950::unit(
                     tag::RESOURCE_REPORT_RESPONSE,
                     reference.as_deref(),
                     // Failure: none is kept.
@@ -409,53 +415,53 @@
                         operation,
                     },
                 );
-                self.follow(number, step, around);
+                self.follow(number, step, context);
             }
             Err(fault) => {
                 let said = answers::failure(service, reference.as_deref(), &fault);
-                around.acts.push(Act::Say(said));
+                context.actions.push(Action::Send(said));
             }
         }
     }
 
     /// A round of an operation has ended.
-    pub fn answered(&mut self, operation: u32, round: Round, around: &mut Around<'_>) {
+    pub fn answered(&mut self, operation: u32, round: Round, context: &mut SessionContext<'_>) {
         let Some(running) = self.running.get_mut(&operation) else {
             return;
         };
-        let step = running.operation.answered(round, around.sets, around.now);
-        self.follow(operation, step, around);
+        let step = running.operation.answered(round, context.sets, context.now);
+        self.follow(operation, step, context);
     }
 
-    fn follow(&mut self, number: u32, step: Step, around: &mut Around<'_>) {
+    fn follow(&mut self, number: u32, step: Step, context: &mut SessionContext<'_>) {
         match step {
-            Step::Ask(plan) => around.acts.push(Act::Ask {
+            Step::Ask(plan) => context.actions.push(Action::Ask {
                 operation: number,
                 plan,
             }),
             Step::Done(outcome) => {
                 if let Some(running) = self.running.remove(&number) {
-                    self.finish(running, outcome, around);
+                    self.finish(running, outcome, context);
                 }
             }
         }
     }
 
-    fn finish(&mut self, running: Running, outcome: Outcome, around: &mut Around<'_>) {
+    fn finish(&mut self, running: Running, outcome: Outcome, context: &mut SessionContext<'_>) {
         if let Outcome::Page(page) = &outcome
             && let Purpose::Search { set, .. } | Purpose::Sort { set } = &running.purpose
             && let Some(old) = self.sets.insert(set.clone(), page.set)
         {
-            around.sets.remove(old);
+            context.sets.remove(old);
         }
-        let left = self.config.output.saturating_sub(around.unwritten);
-        for said in answers::answer(&running, outcome, &self.config.database, self.room, left) {
-            around.acts.push(Act::Say(said));
+        let left = self.config.output.saturating_sub(context.unwritten);
+        for said in answers::answer(&running, outcome, &self.config.database, self.limits, left) {
+            context.actions.push(Action::Send(said));
         }
     }
 
     /// TriggerResourceControl (section 3.2.6.4): only taking an operation back means anything here.
-    fn trigger(&mut self, unit: &Item, reference: Option<&[u8]>, around: &mut Around<'_>) {
+    fn trigger(&mut self, unit: &Item, reference: Option<&[u8]>, context: &mut SessionContext<'_>) {
         const CANCEL: i64 = 3;
         if unit.get(tag::REQUESTED_ACTION).and_then(Item::integer) != Some(CANCEL) {
             return;
@@ -468,34 +474,40 @@
             return;
         };
         if let Some(running) = self.running.remove(&number) {
-            around.acts.push(Act::Withdraw { operation: number });
-            around.acts.push(Act::Say(answers::cancelled(&running)));
+            context.actions.push(Action::Withdraw { operation: number });
+            context
+                .actions
+                .push(Action::Send(answers::cancelled(&running)));
         }
     }
 
     /// Asks who is there before an operation is taken (section 3.2.5.1).
-    fn challenge(&mut self, unit: &Item, reference: Option<&[u8]>, acts: &mut Vec<Act>) {
+    fn challenge(&mut self, unit: &Item, reference: Option<&[u8]>, actions: &mut Vec<Action>) {
         if self.held.len() >= self.config.operations {
             return self.close(
                 CloseReason::Security,
                 "too many operations before the challenge was answered",
-                acts,
+                actions,
             );
         }
         self.held.push(unit.clone());
         if self.held.len() == 1 {
-            acts.push(Act::Say(z3950::unit(tag::ACCESS_REQUEST, reference, |w| {
-                w.bytes(tag::SIMPLE_CHALLENGE, b"user/password");
-            })));
+            actions.push(Action::Send(z3950::unit(
+                tag::ACCESS_REQUEST,
+                reference,
+                |w| {
+                    w.bytes(tag::SIMPLE_CHALLENGE, b"user/password");
+                },
+            )));
         }
     }
 
-    fn challenged(&mut self, unit: &Item, around: &mut Around<'_>) {
+    fn challenged(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
         if self.admitted || self.held.is_empty() {
             return self.close(
                 CloseReason::ProtocolError,
                 "nobody was challenged",
-                around.acts,
+                context.actions,
             );
         }
         let given = unit
@@ -510,8 +522,8 @@
                 continue;
             };
             match &result {
-                Ok(()) => self.operate(service, &held, reference, around),
-                Err(fault) => around.acts.push(Act::Say(answers::failure(
+                Ok(()) => self.operate(service, &held, reference, context),
+                Err(fault) => context.actions.push(Action::Send(answers::failure(
                     service,
                     reference.as_deref(),
                     fault,
@@ -521,7 +533,7 @@
         if result.is_err() {
             self.failed_challenges += 1;
             if self.failed_challenges >= CHALLENGES {
-                self.close(CloseReason::Security, "", around.acts);
+                self.close(CloseReason::Security, "", context.actions);
             }
         }
     }
@@ -563,13 +575,13 @@
             .iter()
             .filter(|(_, status)| *status != SUCCESS)
             .count();
-        let whole = match (failed, statuses.len()) {
+        let complete = match (failed, statuses.len()) {
             (0, _) => SUCCESS,
             (1, 1) => UNKNOWN,
             _ => NOT_ALL,
         };
         z3950::unit(tag::DELETE_RESPONSE, reference, |w| {
-            w.integer(0, whole);
+            w.integer(0, complete);
             if !statuses.is_empty() {
                 w.inside(1, |list| {
                     for (name, status) in &statuses {
@@ -587,7 +599,7 @@
     }
 
     /// What a set's status says of one that is whole or not.
-    fn set_status(whole: bool) -> Option<SetStatus> {
-        (!whole).then_some(SetStatus::Subset)
+    fn set_status(complete: bool) -> Option<SetStatus> {
+        (!complete).then_some(SetStatus::Subset)
     }
 }
--- a/catalogue/src/session/answers.rs
+++ b/catalogue/src/session/answers.rs
@@ -2,9 +2,9 @@
 
 use super::{Form, Purpose, Running, Session};
 use crate::fault::{Fault, Kind};
-use crate::operation::{Outcome, Page, Scanned, Short, Why};
+use crate::operation::{FailureReason, Outcome, Page, Scanned, ShortReason};
 use crate::record::{Record, Schema, Syntax};
-use crate::z3950::records::{self, Divided, Ready, Room};
+use crate::z3950::records::{self, Divided, Ready, SegmentLimits};
 use crate::z3950::scan::ScanStatus;
 use crate::z3950::sort::SortStatus;
 use crate::z3950::{self, Service, SetStatus, scan, sort, tag};
@@ -92,12 +92,12 @@
     }
 }
 
-fn why(short: Short) -> Fault {
+fn why(short: ShortReason) -> Fault {
     match short {
-        Short::Refused { .. } => Kind::BUSY.of("ask again later"),
-        Short::Failed(Why::TimeUp) => Kind::TIME.of("no answer in time"),
-        Short::Failed(Why::GivenUp) => Kind::BUSY.of("a slice did not answer"),
-        Short::Reach => Kind::RANGE.of("too far in one step"),
+        ShortReason::Refused { .. } => Kind::BUSY.of("ask again later"),
+        ShortReason::Failed(FailureReason::TimeUp) => Kind::TIME.of("no answer in time"),
+        ShortReason::Failed(FailureReason::GivenUp) => Kind::BUSY.of("a slice did not answer"),
+        ShortReason::Reach => Kind::RANGE.of("too far in one step"),
     }
 }
 
@@ -106,15 +106,17 @@
     running: &Running,
     outcome: Outcome,
     database: &str,
-    room: Room,
+    limits: SegmentLimits,
     left: usize,
 ) -> Vec<Vec<u8>> {
     let reference = running.reference.as_deref();
     let failed = |fault: &Fault| vec![failure(service(&running.purpose), reference, fault)];
     let page = match outcome {
         Outcome::Refused { .. } => return failed(&Kind::BUSY.of("ask again later")),
-        Outcome::Failed(Why::TimeUp) => return failed(&Kind::TIME.of("no answer in time")),
-        Outcome::Failed(Why::GivenUp) => return failed(&Kind::TIME.of("given up")),
+        Outcome::Failed(FailureReason::TimeUp) => {
+            return failed(&Kind::TIME.of("no answer in time"));
+        }
+        Outcome::Failed(FailureReason::GivenUp) => return failed(&Kind::TIME.of("given up")),
         Outcome::Fault(fault) => return failed(&fault),
         Outcome::Scan(scanned) => return vec![scan_done(reference, &scanned)],
         Outcome::Page(page) => page,
@@ -126,11 +128,11 @@
             *form,
             formless.as_ref(),
             database,
-            room,
+            limits,
             left,
         ),
         Purpose::Present { form, clipped } => {
-            presented(reference, &page, *form, *clipped, database, room, left)
+            presented(reference, &page, *form, *clipped, database, limits, left)
         }
         Purpose::Sort { .. } => vec![sort_done(reference, &page)],
         Purpose::Scan => Vec::new(),
@@ -138,7 +140,7 @@
 }
 
 fn scan_done(reference: Option<&[u8]>, scanned: &Scanned) -> Vec<u8> {
-    let status = match (scanned.whole, scanned.terms.is_empty()) {
+    let status = match (scanned.complete, scanned.terms.is_empty()) {
         (false, _) => ScanStatus::Partial,
         (true, true) => ScanStatus::EndOfList,
         (true, false) => ScanStatus::Success,
@@ -149,20 +151,20 @@
             status,
             &scanned.terms,
             scanned.position,
-            scanned.notes.first(),
+            scanned.diagnostics.first(),
         );
     })
 }
 
 fn sort_done(reference: Option<&[u8]>, page: &Page) -> Vec<u8> {
-    let disorder = page.notes.iter().find(|f| f.kind == Kind::SORT);
-    let status = if page.whole && disorder.is_none() {
+    let disorder = page.diagnostics.iter().find(|f| f.kind == Kind::SORT);
+    let status = if page.complete && disorder.is_none() {
         SortStatus::Success
     } else {
         SortStatus::Partial
     };
     z3950::unit(tag::SORT_RESPONSE, reference, |w| {
-        sort::write_response(w, status, disorder.or_else(|| page.notes.first()));
+        sort::write_response(w, status, disorder.or_else(|| page.diagnostics.first()));
     })
 }
 
@@ -184,20 +186,20 @@
     }
 }
 
-fn divided(page: &Page, form: Form, database: &str, room: Room, left: usize) -> Divided {
+fn divided(page: &Page, form: Form, database: &str, limits: SegmentLimits, left: usize) -> Divided {
     let records = page
         .records
         .iter()
         .map(|record| ready(record, form))
         .collect();
-    records::divide(database, form.syntax, records, room, left)
+    records::divide(database, form.syntax, records, limits, left)
 }
 
 fn status_of(page: &Page, divided: &Divided, clipped: bool) -> PresentStatus {
     match divided.delivered {
         0 if page.wanted > 0 => PresentStatus::Failure,
         _ if divided.short => PresentStatus::MessageSize,
-        _ if clipped || page.short.is_some() || !page.whole => PresentStatus::ByTarget,
+        _ if clipped || page.short.is_some() || !page.complete => PresentStatus::ByTarget,
         _ => PresentStatus::Success,
     }
 }
@@ -225,10 +227,10 @@
     form: Form,
     clipped: bool,
     database: &str,
-    room: Room,
+    limits: SegmentLimits,
     left: usize,
 ) -> Vec<Vec<u8>> {
-    let divided = divided(page, form, database, room, left);
+    let divided = divided(page, form, database, limits, left);
     let status = status_of(page, &divided, clipped);
     let mut said = segments(reference, &divided);
     said.push(z3950::unit(tag::PRESENT_RESPONSE, reference, |w| {
@@ -253,7 +255,7 @@
     form: Form,
     formless: Option<&Fault>,
     database: &str,
-    room: Room,
+    limits: SegmentLimits,
     left: usize,
 ) -> Vec<Vec<u8>> {
     // A search response has no segments: what does not fit is presented later.
@@ -261,9 +263,9 @@
         page,
         form,
         database,
-        Room {
+        SegmentLimits {
             segmentation: 0,
-            ..room
+            ..limits
         },
         left,
     );
@@ -277,8 +279,8 @@
         w.integer(tag::RETURNED, divided.delivered as i64);
         w.integer(tag::NEXT_POSITION, next_position(page, divided.delivered));
         // A search in which slices are missing did not succeed; its set is a valid subset.
-        w.boolean(tag::SEARCH_STATUS, page.whole);
-        if let Some(set) = Session::set_status(page.whole) {
+        w.boolean(tag::SEARCH_STATUS, page.complete);
+        if let Some(set) = Session::set_status(page.complete) {
             w.integer(tag::SET_STATUS, set as i64);
         }
         if shown {
@@ -289,7 +291,7 @@
             };
             w.integer(tag::PRESENT_STATUS, status as i64);
         }
-        let partial = page.notes.iter().find(|f| f.kind == Kind::PARTIAL);
+        let partial = page.diagnostics.iter().find(|f| f.kind == Kind::PARTIAL);
         let short = page.short.map(why);
         if divided.delivered > 0 {
             records::write(w, &divided.last.1);
--- a/catalogue/src/session/requests.rs
+++ b/catalogue/src/session/requests.rs
@@ -1,6 +1,6 @@
 //! Requests for operations, checked and begun.
 
-use super::{Around, Form, Purpose, Session};
+use super::{Form, Purpose, Session, SessionContext};
 use crate::ber::Item;
 use crate::cql::Node;
 use crate::fault::{Fault, Kind};
@@ -88,13 +88,17 @@
 
     /// The search that a query stands for: sets in it are what they were made of, and slices that
     /// one of them lacks are left out.
-    fn resolve(&self, query: Node, around: &mut Around<'_>) -> Result<(Node, Vec<u32>), Fault> {
+    fn resolve(
+        &self,
+        query: Node,
+        context: &mut SessionContext<'_>,
+    ) -> Result<(Node, Vec<u32>), Fault> {
         let mut left_out: BTreeSet<u32> = BTreeSet::new();
         let query = query.resolve(&mut |name| {
             let id = self.sets.get(name).ok_or_else(|| Kind::NO_SET.of(name))?;
-            let set = around
+            let set = context
                 .sets
-                .get(*id, around.now)
+                .get(*id, context.now)
                 .ok_or_else(|| Kind::SET_GONE.of(name))?;
             left_out.extend(&set.missing);
             Ok(set.query.clone())
@@ -105,7 +109,7 @@
         Ok((query, left_out.into_iter().collect()))
     }
 
-    fn asks(
+    fn build_search(
         &self,
         query: Node,
         left_out: Vec<u32>,
@@ -134,7 +138,7 @@
         }
     }
 
-    pub(super) fn search(&mut self, unit: &Item, around: &mut Around<'_>) -> Begun {
+    pub(super) fn search(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Begun {
         let small = number(unit, tag::SMALL_SET, "small-set-upper-bound")?;
         let large = number(unit, tag::LARGE_SET, "large-set-lower-bound")?;
         let medium = number(unit, tag::MEDIUM_SET, "medium-set-present-number")?;
@@ -155,7 +159,7 @@
         let query = unit
             .get(tag::QUERY)
             .ok_or_else(|| Kind::SYNTAX.of("the query is missing"))?;
-        let (query, left_out) = self.resolve(rpn::read(query, self.config.clauses)?, around)?;
+        let (query, left_out) = self.resolve(rpn::read(query, self.config.clauses)?, context)?;
         // Records in a form that is not given do not keep the search from being done.
         let form = elements(unit, &[tag::SMALL_ELEMENTS, tag::MEDIUM_ELEMENTS]).and_then(
             |(schema, brief)| {
@@ -188,9 +192,9 @@
         };
         // A set that is replaced is gone, whatever becomes of the new one (section 3.2.2.1.3).
         if let Some(old) = self.sets.remove(&set) {
-            around.sets.remove(old);
+            context.sets.remove(old);
         }
-        let search = self.asks(query, left_out, Vec::new(), form.schema, want);
+        let search = self.build_search(query, left_out, Vec::new(), form.schema, want);
         let (operation, step) = Operation::search(search, self.config.bounds);
         Ok((
             Purpose::Search {
@@ -203,7 +207,7 @@
         ))
     }
 
-    pub(super) fn present(&mut self, unit: &Item, around: &mut Around<'_>) -> Begun {
+    pub(super) fn present(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Begun {
         let name = unit
             .get(tag::SET_ID)
             .and_then(Item::text)
@@ -212,7 +216,7 @@
             .sets
             .get(&name)
             .ok_or_else(|| Kind::NO_SET.of(name.as_str()))?;
-        let Some(set) = around.sets.get(id, around.now) else {
+        let Some(set) = context.sets.get(id, context.now) else {
             // It stays known by name, so that the client is told what became of it, each time.
             return Err(Kind::SET_GONE.of(name));
         };
@@ -241,8 +245,8 @@
             form.schema,
             None,
             self.config.bounds,
-            around.sets,
-            around.now,
+            context.sets,
+            context.now,
         );
         Ok((
             Purpose::Present {
@@ -281,15 +285,15 @@
         Ok((Purpose::Scan, operation, step))
     }
 
-    pub(super) fn sort(&mut self, unit: &Item, around: &mut Around<'_>) -> Begun {
+    pub(super) fn sort(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Begun {
         let request = sort::read_request(unit, self.config.sort_keys)?;
         let [input] = request.input.as_slice() else {
             return Err(Kind::SORT_TOO_MANY.of("one result set at a time"));
         };
         self.check_set(&request.output, true)?;
-        let (query, left_out) = self.resolve(Node::Set(input.clone()), around)?;
+        let (query, left_out) = self.resolve(Node::Set(input.clone()), context)?;
         // One record of each slice shows whether its host can sort.
-        let search = self.asks(query, left_out, request.keys, Schema::Dc, Want::Count(1));
+        let search = self.build_search(query, left_out, request.keys, Schema::Dc, Want::Count(1));
         let (operation, step) = Operation::search(search, self.config.bounds);
         Ok((
             Purpose::Sort {
--- a/catalogue/src/sets.rs
+++ b/catalogue/src/sets.rs
@@ -83,7 +83,7 @@
 
 /// A page's positions as places in slices.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct SliceRange {
     /// The place of the slice among the set's.
     pub at: usize,
     /// The slice.
@@ -187,7 +187,7 @@
 
     /// What is asked of a slice for a place in it: the records, and the one before them where that
     /// was delivered, so that a change is seen.
-    pub fn ask(&self, place: &Place) -> Range {
+    pub fn ask(&self, place: &SliceRange) -> Range {
         let anchored = self.slices[place.at]
             .anchor
             .is_some_and(|a| a.offset + 1 == place.offset);
@@ -201,7 +201,7 @@
 
     /// Holds what a slice gave for such a range against what it gave before; takes the checking
     /// record off.
-    pub fn check(&self, place: &Place, found: &mut Found) -> Result<(), Changed> {
+    pub fn check(&self, place: &SliceRange, found: &mut Found) -> Result<(), Changed> {
         let slice = &self.slices[place.at];
         let changed = Err(Changed { slice: slice.slice });
         // A count that was cut may well be cut elsewhere.
--- a/catalogue/src/sets/tests.rs
+++ b/catalogue/src/sets/tests.rs
@@ -72,7 +72,7 @@
         ..Found::default()
     };
     set.delivered(0, 1, &record(1));
-    let place = Place {
+    let place = SliceRange {
         at: 0,
         slice: 0,
         offset: 2,
@@ -105,7 +105,7 @@
         set.check(&place, &mut page(5, &[1, 2])).is_err(),
         "one too few"
     );
-    let elsewhere = Place {
+    let elsewhere = SliceRange {
         at: 0,
         slice: 0,
         offset: 4,
--- a/catalogue/src/sru/response.rs
+++ b/catalogue/src/sru/response.rs
@@ -89,7 +89,7 @@
     }
     // In 2.0 the count's precision says that slices are missing.
     let said = |fault: &&Fault| fault.kind != Kind::PARTIAL || form.version != Version::V20;
-    faults.extend(page.notes.iter().filter(said).cloned());
+    faults.extend(page.diagnostics.iter().filter(said).cloned());
     if page.count.hits > 0 && page.start > page.count.hits && page.wanted == 0 {
         faults.push(Kind::RANGE.of(page.start.to_string()));
     }
@@ -225,7 +225,7 @@
         }
         out.push_str("</terms>");
     }
-    diagnostics(form, &scanned.notes, &mut out);
+    diagnostics(form, &scanned.diagnostics, &mut out);
     end(form, out)
 }
 
--- a/catalogue/src/sru/xml/tests.rs
+++ b/catalogue/src/sru/xml/tests.rs
@@ -60,11 +60,15 @@
 
 #[test]
 fn what_is_cut_short_or_no_number_is_no_response() {
-    let whole = "<r><numberOfRecords>7</numberOfRecords><records><record><recordData><a/></recordData></record></records></r>";
-    for cut in 0..whole.len() {
-        assert!(read_response(&whole[..cut]).is_err(), "{}", &whole[..cut]);
+    let complete = "<r><numberOfRecords>7</numberOfRecords><records><record><recordData><a/></recordData></record></records></r>";
+    for cut in 0..complete.len() {
+        assert!(
+            read_response(&complete[..cut]).is_err(),
+            "{}",
+            &complete[..cut]
+        );
     }
-    assert!(read_response(whole).is_ok());
+    assert!(read_response(complete).is_ok());
     assert!(read_response("<r><numberOfRecords>many</numberOfRecords></r>").is_err());
     assert!(read_response(&"<a>".repeat(1000)).is_err());
 }
--- a/catalogue/src/work.rs
+++ b/catalogue/src/work.rs
@@ -85,7 +85,7 @@
 
 /// What a slice gave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Given {
+pub enum WorkResult {
     /// Hits.
     Found(Found),
     /// Terms.
@@ -106,14 +106,14 @@
     }
 }
 
-impl Given {
+impl WorkResult {
     /// As a part's value.
     pub fn encode(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
     /// From such a value.
-    pub fn decode(text: &str) -> Option<Given> {
+    pub fn decode(text: &str) -> Option<WorkResult> {
         serde_json::from_str(text).ok()
     }
 }
--- a/catalogue/src/z3950/records.rs
+++ b/catalogue/src/z3950/records.rs
@@ -23,23 +23,23 @@
 
 /// How a record stands in a list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Piece {
+enum Fragment {
     Whole = 1,
     First = 3,
     Middle = 4,
     Last = 5,
 }
 
-fn entry(database: &str, piece: Piece, syntax: Syntax, record: &Ready) -> Vec<u8> {
+fn entry(database: &str, fragment: Fragment, syntax: Syntax, record: &Ready) -> Vec<u8> {
     let mut w = Writer::default();
     w.inside_universal(universal::SEQUENCE, |named| {
         named.bytes(0, database.as_bytes());
-        named.inside(1, |choice| match (record, piece) {
-            (Ok(bytes), Piece::Whole) => {
+        named.inside(1, |choice| match (record, fragment) {
+            (Ok(bytes), Fragment::Whole) => {
                 choice.inside(1, |retrieval| external(retrieval, syntax, bytes))
             }
             // A fragment is bytes and no record: notExternallyTagged.
-            (Ok(bytes), piece) => choice.inside(piece as u32, |f| f.bytes(0, bytes)),
+            (Ok(bytes), fragment) => choice.inside(fragment as u32, |f| f.bytes(0, bytes)),
             (Err(fault), _) => choice.inside(2, |surrogate| {
                 surrogate.inside_universal(universal::SEQUENCE, |d| write_fault(d, fault));
             }),
@@ -50,7 +50,7 @@
 
 /// What a client takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
+pub struct SegmentLimits {
     /// Bytes of a message's records.
     pub preferred: usize,
     /// Bytes of the one record that may be longer.
@@ -77,22 +77,22 @@
     database: &str,
     syntax: Syntax,
     records: Vec<Ready>,
-    room: Room,
+    limits: SegmentLimits,
     most: usize,
 ) -> Divided {
     use crate::fault::Kind;
     let mut out = Divided::default();
     let (mut open, mut spent): ((usize, Vec<u8>), usize) = ((0, Vec::new()), 0);
     for mut record in records {
-        let mut bytes = entry(database, Piece::Whole, syntax, &record);
-        if bytes.len() > room.preferred && room.segmentation < 2 {
+        let mut bytes = entry(database, Fragment::Whole, syntax, &record);
+        if bytes.len() > limits.preferred && limits.segmentation < 2 {
             // Alone in its message it may be as long as the exceptional size.
-            if bytes.len() > room.exceptional {
+            if bytes.len() > limits.exceptional {
                 record = Err(Kind::RECORD_TOO_LONG.of(bytes.len().to_string()));
-                bytes = entry(database, Piece::Whole, syntax, &record);
-            } else if room.segmentation == 0 && open.0 > 0 {
+                bytes = entry(database, Fragment::Whole, syntax, &record);
+            } else if limits.segmentation == 0 && open.0 > 0 {
                 record = Err(Kind::RECORD_OVER_MESSAGE.of(bytes.len().to_string()));
-                bytes = entry(database, Piece::Whole, syntax, &record);
+                bytes = entry(database, Fragment::Whole, syntax, &record);
             }
         }
         if spent + bytes.len() > most {
@@ -100,29 +100,32 @@
             break;
         }
         spent += bytes.len();
-        let fits = open.1.len() + bytes.len() <= room.preferred;
-        if !fits && room.segmentation == 0 && open.0 > 0 {
+        let fits = open.1.len() + bytes.len() <= limits.preferred;
+        if !fits && limits.segmentation == 0 && open.0 > 0 {
             out.short = true;
             break;
         }
         if !fits && open.0 > 0 {
             out.segments.push(std::mem::take(&mut open));
         }
-        if let (Ok(whole), 2) = (&record, room.segmentation)
-            && bytes.len() > room.preferred
+        if let (Ok(complete), 2) = (&record, limits.segmentation)
+            && bytes.len() > limits.preferred
         {
             // Parts travel one a message; the last of them stays open for what follows.
-            let step = room.preferred.saturating_sub(64 + database.len()).max(256);
-            let pieces: Vec<&[u8]> = whole.chunks(step).collect();
-            let count = pieces.len();
-            for (at, piece) in pieces.into_iter().enumerate() {
+            let step = limits
+                .preferred
+                .saturating_sub(64 + database.len())
+                .max(256);
+            let fragments: Vec<&[u8]> = complete.chunks(step).collect();
+            let count = fragments.len();
+            for (at, fragment) in fragments.into_iter().enumerate() {
                 let kind = match at {
-                    0 if count > 1 => Piece::First,
-                    _ if at + 1 < count => Piece::Middle,
-                    _ if count > 1 => Piece::Last,
-                    _ => Piece::Whole,
+                    0 if count > 1 => Fragment::First,
+                    _ if at + 1 < count => Fragment::Middle,
+                    _ if count > 1 => Fragment::Last,
+                    _ => Fragment::Whole,
                 };
-                let part = entry(database, kind, syntax, &Ok(piece.to_vec()));
+                let part = entry(database, kind, syntax, &Ok(fragment.to_vec()));
                 if at + 1 < count {
                     out.segments.push((1, part));
                 } else {
@@ -158,23 +161,23 @@
 pub fn write_all(w: &mut Writer, database: &str, syntax: Syntax, records: &[Vec<u8>]) {
     let all: Vec<u8> = records
         .iter()
-        .flat_map(|r| entry(database, Piece::Whole, syntax, &Ok(r.clone())))
+        .flat_map(|r| entry(database, Fragment::Whole, syntax, &Ok(r.clone())))
         .collect();
     write(w, &all);
 }
 
 /// A record of a response, or the diagnostic in its place.
-pub type Given = Result<Record, Fault>;
+pub type WorkResult = Result<Record, Fault>;
 
 /// The records of a response or segment. An error for one that makes no sense at all.
-pub fn read(response: &Item, list_tag: u32) -> Result<Vec<Given>, RecordError> {
+pub fn read(response: &Item, list_tag: u32) -> Result<Vec<WorkResult>, RecordError> {
     let Some(list) = response.get(list_tag) else {
         return Ok(Vec::new());
     };
     list.items().iter().map(read_entry).collect()
 }
 
-fn read_entry(named: &Item) -> Result<Given, RecordError> {
+fn read_entry(named: &Item) -> Result<WorkResult, RecordError> {
     let choice = named.get(1).ok_or(RecordError::Malformed("no record"))?;
     if let Some(surrogate) = choice.get(2) {
         let fault = surrogate
--- a/catalogue/src/z3950/records/tests.rs
+++ b/catalogue/src/z3950/records/tests.rs
@@ -10,7 +10,7 @@
         .collect()
 }
 
-fn read_back(divided: &Divided) -> Vec<Given> {
+fn read_back(divided: &Divided) -> Vec<WorkResult> {
     let mut all = Vec::new();
     for (count, bytes) in divided.segments.iter().chain([&divided.last]) {
         let item = ber::read(&mut segment(None, *count, bytes), 1 << 24, 16)
@@ -26,7 +26,7 @@
 
 #[test]
 fn without_segmentation_only_what_fits_is_sent_and_at_least_one() {
-    let room = Room {
+    let limits = SegmentLimits {
         preferred: 1000,
         exceptional: 3000,
         segmentation: 0,
@@ -35,7 +35,7 @@
         "d",
         Syntax::Xml,
         records(&[300, 300, 300, 300]),
-        room,
+        limits,
         1 << 20,
     );
     assert_eq!(
@@ -43,9 +43,9 @@
         (2, true, 0)
     );
     // The first may be exceptional, a longer one is said to be too long in its place.
-    let divided = divide("d", Syntax::Xml, records(&[2000, 300]), room, 1 << 20);
+    let divided = divide("d", Syntax::Xml, records(&[2000, 300]), limits, 1 << 20);
     assert_eq!((divided.delivered, divided.short), (1, true));
-    let divided = divide("d", Syntax::Xml, records(&[4000, 300]), room, 1 << 20);
+    let divided = divide("d", Syntax::Xml, records(&[4000, 300]), limits, 1 << 20);
     let given = read_back(&divided);
     assert_eq!(
         (
@@ -54,7 +54,7 @@
         ),
         (2, Some(17))
     );
-    let divided = divide("d", Syntax::Xml, records(&[10, 2000, 10]), room, 1 << 20);
+    let divided = divide("d", Syntax::Xml, records(&[10, 2000, 10]), limits, 1 << 20);
     assert_eq!(
         read_back(&divided)[1]
             .as_ref()
@@ -66,7 +66,7 @@
 
 #[test]
 fn level_1_sends_all_whole_records_and_level_2_parts_too() {
-    let room = Room {
+    let limits = SegmentLimits {
         preferred: 1000,
         exceptional: 3000,
         segmentation: 1,
@@ -75,7 +75,7 @@
         "d",
         Syntax::Xml,
         records(&[300, 300, 2000, 300, 300, 300]),
-        room,
+        limits,
         1 << 20,
     );
     assert_eq!(
@@ -88,11 +88,17 @@
             .iter()
             .all(|(_, bytes)| bytes.len() <= 2200)
     );
-    let room = Room {
+    let limits = SegmentLimits {
         segmentation: 2,
-        ..room
+        ..limits
     };
-    let divided = divide("d", Syntax::Xml, records(&[300, 9000, 300]), room, 1 << 20);
+    let divided = divide(
+        "d",
+        Syntax::Xml,
+        records(&[300, 9000, 300]),
+        limits,
+        1 << 20,
+    );
     assert_eq!((divided.delivered, divided.short), (3, false));
     assert!(
         divided
@@ -109,6 +115,6 @@
         .count();
     assert!(parts >= 10);
     // Whatever is asked for, no more than the bound is held for one client.
-    let divided = divide("d", Syntax::Xml, records(&[500; 100]), room, 5000);
+    let divided = divide("d", Syntax::Xml, records(&[500; 100]), limits, 5000);
     assert!(divided.short && divided.delivered < 10);
 }
--- a/catalogue/tests/operation.rs
+++ b/catalogue/tests/operation.rs
@@ -4,12 +4,12 @@
 use catalogue::cql;
 use catalogue::fault::Kind;
 use catalogue::operation::{
-    Bounds, Operation, Outcome, Page, Plan, Round, Search, Step, Want, Why,
+    Bounds, FailureReason, Operation, Outcome, Page, Plan, Round, Search, Step, Want,
 };
 use catalogue::record::{Record, Schema};
 use catalogue::sets::{Owner, SetBounds, SetId, SetTable};
 use catalogue::sort::SortKey;
-use catalogue::work::{Found, Given, Work};
+use catalogue::work::{Found, Work, WorkResult};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -82,11 +82,11 @@
                 records,
                 ..Found::default()
             };
-            values.push((*slice, Given::Found(found)));
+            values.push((*slice, WorkResult::Found(found)));
         }
         // The core gives no answer under the class's floor.
         if values.is_empty() || (values.len() as f64) < BOUNDS.floor * plan.slices.len() as f64 {
-            return Round::Failed(Why::GivenUp);
+            return Round::Failed(FailureReason::GivenUp);
         }
         Round::Served(values)
     }
@@ -200,8 +200,8 @@
         let page = served(world.first(sorted, count, &mut sets));
         let expected = world.expected(sorted);
         prop_assert_eq!(page.count.hits as usize, expected.len());
-        prop_assert_eq!(page.whole, world.missing.is_empty());
-        prop_assert_eq!(page.notes.iter().any(|f| f.kind == Kind::PARTIAL), !page.whole);
+        prop_assert_eq!(page.complete, world.missing.is_empty());
+        prop_assert_eq!(page.diagnostics.iter().any(|f| f.kind == Kind::PARTIAL), !page.complete);
         let mut read = titles(&page);
         let mut next = page.next();
         let first_cost = world.fetched;
@@ -311,11 +311,11 @@
     world.slices[0].reverse();
     let page = served(world.first(true, 5, &mut table()));
     assert!(
-        page.notes
+        page.diagnostics
             .iter()
             .any(|f| f.kind == Kind::SORT && f.about.contains("slice 0")),
         "{:?}",
-        page.notes
+        page.diagnostics
     );
     assert_eq!(page.records.len(), 5, "and nothing is lost by it");
 }
@@ -329,8 +329,8 @@
         ..BOUNDS
     };
     let (mut operation, _) = Operation::search(world.search(false, 1, 1), bounds);
-    let refused = || Given::Refused(Kind::INDEX.of("title"));
-    let found = Given::Found(Found {
+    let refused = || WorkResult::Refused(Kind::INDEX.of("title"));
+    let found = WorkResult::Found(Found {
         hits: 1,
         exact: true,
         ..Found::default()
@@ -348,9 +348,9 @@
         panic!("one round")
     };
     let page = served(outcome);
-    let kinds: Vec<Kind> = page.notes.iter().map(|f| f.kind).collect();
+    let kinds: Vec<Kind> = page.diagnostics.iter().map(|f| f.kind).collect();
     assert_eq!(
-        (page.whole, kinds),
+        (page.complete, kinds),
         (false, vec![Kind::PARTIAL, Kind::INDEX])
     );
 }
