--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -138,7 +138,7 @@
         listeners: vec![(config.listen, accept)],
         reread: Box::new(move || {
             let (fresh, made) = (config::load(Some(config.path.clone()))?, fresh);
-            fresh.shape.fits(&shape).map_err(ConfigError::Lacks)?;
+            fresh.shape.fits(&shape).map_err(ConfigError::Shape)?;
             let settings = Some(made(&fresh.settings)?);
             Ok(Reread {
                 discovery: Some(fresh.discovery),
