--- a/ownership/src/choose/tests.rs
+++ b/ownership/src/election/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `choose`.
+//! Tests of the election order.
 
 use super::*;
 
@@ -7,18 +7,18 @@
 }
 
 #[test]
-fn kinds_are_spread_and_one_that_goes_moves_only_what_it_had() {
+fn spreads_roles_and_keeps_order_without_a_candidate() {
     let all = fleet(60);
-    let firsts: Vec<&str> = Kind::ALL
+    let firsts: Vec<&str> = Role::ALL
         .into_iter()
-        .map(|kind| order(kind, &all)[0])
+        .map(|role| rank(role, &all)[0])
         .collect();
     let mut distinct = firsts.clone();
     distinct.sort_unstable();
     distinct.dedup();
     assert!(distinct.len() >= 3, "{firsts:?}");
-    for kind in Kind::ALL {
-        let before = order(kind, &all);
+    for role in Role::ALL {
+        let before = rank(role, &all);
         for gone in ["gatherer-3", before[0], before[30]] {
             let mut left = all.clone();
             left.remove(gone);
@@ -27,25 +27,25 @@
                 .copied()
                 .filter(|name| *name != gone)
                 .collect();
-            assert_eq!(order(kind, &left), expected, "without {gone}");
+            assert_eq!(rank(role, &left), expected, "without {gone}");
         }
     }
 }
 
 #[test]
-fn one_that_owns_more_goes_first_less_often() {
+fn ranks_busy_candidates_lower() {
     let (mut first, mut all) = (0, 0);
     for fleet_of in 0..500 {
         let names = [0, 1].map(|n| format!("{fleet_of}-{n}"));
         let weights =
             BTreeMap::from([(names[0].clone(), weight(1)), (names[1].clone(), weight(0))]);
-        for kind in Kind::ALL {
+        for role in Role::ALL {
             all += 1;
-            first += usize::from(order(kind, &weights)[0] == names[0]);
+            first += usize::from(rank(role, &weights)[0] == names[0]);
         }
     }
     let share = first as f64 / all as f64;
     assert!((0.28..0.39).contains(&share), "a third: {share}");
     let none = BTreeMap::from([("a".to_owned(), 0.0)]);
-    assert_eq!(order(Kind::Hosts, &none), Vec::<&str>::new());
+    assert_eq!(rank(Role::Hosts, &none), Vec::<&str>::new());
 }
--- a/ownership/src/job.rs
+++ b/ownership/src/job.rs
@@ -1,32 +1,33 @@
-//! Work in steps, with its place in the store: begun steps are counted, and an owner that comes
-//! after another goes on where that one was.
+//! Jobs: sequences of steps whose progress is in the store, so that a new owner continues where the
+//! previous one stopped. Attempts at a step are counted, so that a step which kills its owners is
+//! not attempted forever.
 
 use crate::Token;
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How often a step may be begun and not ended before it is left to an operator.
-pub const TRIES: u64 = 3;
+/// How often a step may be begun without being completed before the job is parked.
+pub const MAX_ATTEMPTS: u64 = 3;
 
-/// One step.
+/// A step of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Has all gatherers switch to a proposal.
+    /// All gatherers switch to a proposal.
     Activate(u64),
-    /// Has these gatherers end in order, to be started again by whoever does that.
+    /// These gatherers shut down gracefully; a supervisor outside starts them again.
     Restart(Vec<String>),
 }
 
 impl Step {
-    fn json(&self) -> Json {
+    fn to_json(&self) -> Json {
         match self {
             Step::Activate(proposal) => json!({"activate": proposal}),
             Step::Restart(names) => json!({"restart": names}),
         }
     }
 
-    fn read(json: &Json) -> Option<Step> {
+    fn from_json(json: &Json) -> Option<Step> {
         if let Some(proposal) = json["activate"].as_u64() {
             return Some(Step::Activate(proposal));
         }
@@ -47,55 +48,55 @@
     }
 }
 
-/// How a job stands.
+/// The status of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Stands {
-    /// It is worked on.
+pub enum Status {
+    /// It is being executed.
     Open,
-    /// It waits for an operator, as something is not as it should be.
+    /// It waits for an operator, as the fleet is not in the expected state.
     Paused(String),
-    /// It waits for an operator, as whoever took it came to grief.
+    /// It waits for an operator, as its owners failed while they executed it.
     Parked(String),
-    /// Every step is done.
+    /// All steps are complete.
     Done,
-    /// An operator has called it off.
+    /// An operator cancelled it.
     Cancelled,
 }
 
-impl Stands {
-    fn json(&self) -> Json {
+impl Status {
+    fn to_json(&self) -> Json {
         match self {
-            Stands::Open => json!("open"),
-            Stands::Paused(why) => json!({"paused": why}),
-            Stands::Parked(why) => json!({"parked": why}),
-            Stands::Done => json!("done"),
-            Stands::Cancelled => json!("cancelled"),
+            Status::Open => json!("open"),
+            Status::Paused(reason) => json!({"paused": reason}),
+            Status::Parked(reason) => json!({"parked": reason}),
+            Status::Done => json!("done"),
+            Status::Cancelled => json!("cancelled"),
         }
     }
 
-    fn read(json: &Json) -> Option<Stands> {
+    fn from_json(json: &Json) -> Option<Status> {
         Some(match json.as_str() {
-            Some("open") => Stands::Open,
-            Some("done") => Stands::Done,
-            Some("cancelled") => Stands::Cancelled,
+            Some("open") => Status::Open,
+            Some("done") => Status::Done,
+            Some("cancelled") => Status::Cancelled,
             Some(_) => return None,
             None => match (json["paused"].as_str(), json["parked"].as_str()) {
-                (Some(why), _) => Stands::Paused(why.to_owned()),
-                (_, Some(why)) => Stands::Parked(why.to_owned()),
+                (Some(reason), _) => Status::Paused(reason.to_owned()),
+                (_, Some(reason)) => Status::Parked(reason.to_owned()),
                 _ => return None,
             },
         })
     }
 }
 
-impl fmt::Display for Stands {
+impl fmt::Display for Status {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Stands::Open => f.write_str("open"),
-            Stands::Paused(why) => write!(f, "paused: {why}"),
-            Stands::Parked(why) => write!(f, "parked: {why}"),
-            Stands::Done => f.write_str("done"),
-            Stands::Cancelled => f.write_str("called off"),
+            Status::Open => f.write_str("open"),
+            Status::Paused(reason) => write!(f, "paused: {reason}"),
+            Status::Parked(reason) => write!(f, "parked: {reason}"),
+            Status::Done => f.write_str("done"),
+            Status::Cancelled => f.write_str("called off"),
         }
     }
 }
@@ -105,126 +106,138 @@
 pub struct Job {
     /// Its steps.
     pub steps: Vec<Step>,
-    /// The place: so many steps are done.
-    pub at: usize,
-    /// How often the present step was begun.
-    pub tries: u64,
-    /// By whom last.
-    pub by: Option<Token>,
-    /// Of the present step: which gatherers were told to end, and in which life.
-    pub ordered: BTreeMap<String, u64>,
+    /// The index of the current step.
+    pub position: usize,
+    /// How often the current step was begun.
+    pub attempts: u64,
+    /// The token of the owner that last began it.
+    pub attempted_by: Option<Token>,
+    /// The gatherers that the current step has ordered to restart, each with the incarnation that
+    /// the order is for.
+    pub restarted: BTreeMap<String, u64>,
     /// How many gatherers may be out of service at once.
-    pub out: usize,
-    /// How it stands.
-    pub stands: Stands,
+    pub max_unavailable: usize,
+    /// Its status.
+    pub status: Status,
 }
 
 impl Job {
-    /// A job that nobody has begun.
-    pub fn new(steps: Vec<Step>, out: usize) -> Job {
+    /// A job that has not been begun.
+    pub fn new(steps: Vec<Step>, max_unavailable: usize) -> Job {
         Job {
             steps,
-            at: 0,
-            tries: 0,
-            by: None,
-            ordered: BTreeMap::new(),
-            out,
-            stands: Stands::Open,
+            position: 0,
+            attempts: 0,
+            attempted_by: None,
+            restarted: BTreeMap::new(),
+            max_unavailable,
+            status: Status::Open,
         }
     }
 
-    /// The step that it stands before.
-    pub fn step(&self) -> Option<&Step> {
+    /// The current step, while the job is open.
+    pub fn current_step(&self) -> Option<&Step> {
         self.steps
-            .get(self.at)
-            .filter(|_| self.stands == Stands::Open)
+            .get(self.position)
+            .filter(|_| self.status == Status::Open)
     }
 
-    /// The job with its present step begun by this owner. After one that gave the work up in order
-    /// that is no new attempt.
-    pub fn begun(&self, by: Token, orderly: bool) -> Job {
-        let tries = if orderly {
-            self.tries.max(1)
+    /// The job with its current step begun by the owner of this token. After an owner that released
+    /// the role in an orderly way this is no new attempt.
+    ///
+    /// A step that was begun [`MAX_ATTEMPTS`] times already parks the job.
+    pub fn begin_attempt(&self, by: Token, orderly: bool) -> Job {
+        let attempts = if orderly {
+            self.attempts.max(1)
         } else {
-            self.tries + 1
+            self.attempts + 1
         };
         let mut job = Job {
-            tries,
-            by: Some(by),
+            attempts,
+            attempted_by: Some(by),
             ..self.clone()
         };
-        if tries > TRIES {
+        if attempts > MAX_ATTEMPTS {
             let step = self
                 .steps
-                .get(self.at)
+                .get(self.position)
                 .map_or(String::new(), ToString::to_string);
-            job.stands =
-                Stands::Parked(format!("`{step}` was begun {TRIES} times and never ended"));
+            job.status = Status::Parked(format!(
+                "`{step}` was begun {MAX_ATTEMPTS} times and never ended"
+            ));
         }
         job
     }
 
-    /// The job with its present step done.
-    pub fn advanced(&self) -> Job {
-        let at = self.at + 1;
-        let stands = if at >= self.steps.len() {
-            Stands::Done
+    /// The job with its current step complete.
+    pub fn complete_step(&self) -> Job {
+        let position = self.position + 1;
+        let status = if position >= self.steps.len() {
+            Status::Done
         } else {
-            Stands::Open
+            Status::Open
         };
         Job {
-            at,
-            tries: 0,
-            by: None,
-            ordered: BTreeMap::new(),
-            stands,
+            position,
+            attempts: 0,
+            attempted_by: None,
+            restarted: BTreeMap::new(),
+            status,
             ..self.clone()
         }
     }
 
-    /// The job as it stands otherwise. One that goes on has its attempts counted anew.
-    pub fn stood(&self, stands: Stands) -> Job {
-        let tries = if stands == Stands::Open {
+    /// The job with another status. Reopening it resets the count of attempts.
+    pub fn with_status(&self, status: Status) -> Job {
+        let attempts = if status == Status::Open {
             0
         } else {
-            self.tries
+            self.attempts
         };
         Job {
-            stands,
-            tries,
-            by: None,
+            status,
+            attempts,
+            attempted_by: None,
             ..self.clone()
         }
     }
 
-    /// The job as JSON.
-    pub fn json(&self) -> Json {
-        let steps: Vec<Json> = self.steps.iter().map(Step::json).collect();
-        json!({"steps": steps, "at": self.at, "tries": self.tries, "by": self.by.map(Token::json), "ordered": self.ordered,
-               "out": self.out, "stands": self.stands.json()})
+    /// The stored form.
+    pub fn to_json(&self) -> Json {
+        let steps: Vec<Json> = self.steps.iter().map(Step::to_json).collect();
+        json!({
+            "steps": steps,
+            "at": self.position,
+            "tries": self.attempts,
+            "by": self.attempted_by.map(Token::to_json),
+            "ordered": self.restarted,
+            "out": self.max_unavailable,
+            "stands": self.status.to_json(),
+        })
     }
 
-    /// A job from its text.
-    pub fn read(text: &str) -> Option<Job> {
+    /// Reads the stored form; `None` if it is not a job.
+    pub fn parse(text: &str) -> Option<Job> {
         let json: Json = serde_json::from_str(text).ok()?;
+        let number = |key: &str| json[key].as_u64();
         let steps = json["steps"]
             .as_array()?
             .iter()
-            .map(Step::read)
+            .map(Step::from_json)
             .collect::<Option<_>>()?;
-        let ordered = json["ordered"].as_object()?.iter();
-        let ordered = ordered
-            .map(|(name, life)| Some((name.clone(), life.as_u64()?)))
+        let restarted = json["ordered"]
+            .as_object()?
+            .iter()
+            .map(|(name, incarnation)| Some((name.clone(), incarnation.as_u64()?)))
             .collect::<Option<_>>()?;
-        let number = |key: &str| json[key].as_u64();
         Some(Job {
             steps,
-            at: number("at")? as usize,
-            tries: number("tries")?,
-            by: Token::read(&json["by"]),
-            ordered,
-            out: number("out")? as usize,
-            stands: Stands::read(&json["stands"])?,
+            position: number("at")? as usize,
+            attempts: number("tries")?,
+            attempted_by: Token::from_json(&json["by"]),
+            restarted,
+            max_unavailable: number("out")? as usize,
+            status: Status::from_json(&json["stands"])?,
         })
     }
 }
--- a/ownership/src/keys.rs
+++ b/ownership/src/keys.rs
@@ -1,43 +1,45 @@
-//! Where in the store things stand.
+//! The keys of the store. Their texts are shared by all versions of the program and must not
+//! change.
 
-use crate::kind::Kind;
+use crate::role::Role;
 
 pub use store::state::ERA;
 
-/// Lists that an owner publishes.
-pub const LIST: &str = "hosts/list";
-/// Hosts that somebody wants probed, by their name.
+/// The endpoint list that the owner of [`Role::Hosts`] publishes.
+pub const ENDPOINT_LIST: &str = "hosts/list";
+/// Prefix: hosts that some gatherer wants checked, by the host's name.
 pub const SUSPECT: &str = "suspect/";
-/// What came of probing a host.
+/// Prefix: results of health checks, by the host's name.
 pub const VERDICT: &str = "verdict/";
-/// Jobs, by their number.
+/// Prefix: jobs, by their number.
 pub const JOB: &str = "job/";
-/// Orders to gatherers, by their name.
-pub const ORDER: &str = "order/";
-/// What each gatherer says of itself.
-pub const HERE: &str = "here/";
-
-/// Who owns a kind.
-pub fn owner(kind: Kind) -> String {
-    format!("owner/{kind}")
+/// Prefix: restart orders, by the gatherer's name.
+pub const RESTART_ORDER: &str = "order/";
+/// Prefix: each gatherer's presence, by its name.
+pub const PRESENCE: &str = "here/";
+
+/// The grant of a role.
+pub fn owner(role: Role) -> String {
+    format!("owner/{role}")
 }
 
-/// How often the grant was renewed.
-pub fn alive(kind: Kind) -> String {
-    format!("alive/{kind}")
+/// The last renewal of a role's grant.
+pub fn renewal(role: Role) -> String {
+    format!("alive/{role}")
 }
 
-/// That a gatherer may not own a kind; of every gatherer without a name.
-pub fn forbid(kind: Kind, name: &str) -> String {
-    format!("forbid/{kind}/{name}")
+/// The exclusion of a gatherer from a role; with an empty name the prefix for all gatherers.
+pub fn exclusion(role: Role, name: &str) -> String {
+    format!("forbid/{role}/{name}")
 }
 
-/// To whom an operator wants a kind to go.
-pub fn wish(kind: Kind) -> String {
-    format!("wish/{kind}")
+/// The gatherer to which an operator wants a role transferred.
+pub fn transfer(role: Role) -> String {
+    format!("wish/{role}")
 }
 
-/// That a gatherer can do what the owner cannot; of every gatherer without a name.
-pub fn doubt(kind: Kind, name: &str) -> String {
-    format!("doubt/{kind}/{name}")
+/// A gatherer's report that it can do what the owner fails to do; with an empty name the prefix for
+/// all gatherers.
+pub fn fault_report(role: Role, name: &str) -> String {
+    format!("doubt/{role}/{name}")
 }
--- a/ownership/src/lease/tests.rs
+++ b/ownership/src/lease/tests.rs
@@ -2,16 +2,17 @@
 
 use super::*;
 use store::command::{Command, Txn};
-use store::state::{Done, Outcome, Room};
+use store::packet::Change;
+use store::state::{Done, Outcome, Room, State};
 
 const S: Time = 1_000_000_000;
-const TERMS: Terms = Terms {
-    lease: 4 * S,
-    drift: 100,
-    margin: S / 4,
-    step: S / 2,
+const CONFIG: Config = Config {
+    duration: 4 * S,
+    drift_permille: 100,
+    safety_margin: S / 4,
+    stagger: S / 2,
 };
-const KIND: Kind = Kind::Hosts;
+const ROLE: Role = Role::Hosts;
 
 /// A store, and gatherers whose clocks are one.
 struct World {
@@ -60,8 +61,8 @@
     fn start(&mut self, at: usize) {
         self.apply(&Command::Open(at as u64));
         let lease = Lease::new(
-            KIND,
-            TERMS,
+            ROLE,
+            CONFIG,
             &format!("g{at}"),
             100 + self.revision,
             self.now,
@@ -88,47 +89,51 @@
     fn turn(&mut self, at: usize) {
         let now = self.now;
         let (lease, session, request) = &mut self.all[at];
-        lease.sees(View::of(&self.state, KIND, &format!("g{at}")), now);
-        lease.stands(Some(at), 3, now);
-        let Some(ask) = lease.next(now) else { return };
+        lease.observe(View::of(&self.state, ROLE, &format!("g{at}")), now);
+        lease.set_rank(Some(at), 3, now);
+        let Some(ask) = lease.poll(now) else { return };
         *request += 1;
         let txn = Txn {
             session: *session,
             request: *request,
             checks: ask.checks,
-            sets: ask.sets,
+            sets: ask.changes,
         };
         let done = self.apply(&Command::Txn(txn));
         let answer = match done {
-            Some(Done::Made(.., Outcome::Applied(revision))) => Answer::Applied(revision),
-            _ => Answer::Refused,
+            Some(Done::Made(.., Outcome::Applied(revision))) => Response::Committed(revision),
+            _ => Response::Rejected,
         };
         let lease = &mut self.all[at].0;
-        lease.sees(View::of(&self.state, KIND, &format!("g{at}")), now);
-        lease.answered(answer, now);
+        lease.observe(View::of(&self.state, ROLE, &format!("g{at}")), now);
+        lease.handle_response(answer, now);
     }
 
     fn owner(&self) -> Option<usize> {
         let owners: Vec<usize> = (0..self.all.len())
-            .filter(|at| self.all[*at].0.holds(self.now).is_some())
+            .filter(|at| self.all[*at].0.valid_token(self.now).is_some())
             .collect();
         assert!(owners.len() <= 1, "{owners:?}");
         owners.first().copied()
     }
 
     fn grant(&self) -> Grant {
-        View::of(&self.state, KIND, "").grant.unwrap().1
+        View::of(&self.state, ROLE, "").grant.unwrap().1
     }
 }
 
 #[test]
-fn the_first_in_order_takes_it_and_the_next_once_the_lease_and_what_clocks_differ_by_are_over() {
+fn next_candidate_acquires_after_takeover_delay() {
     let mut world = World::new(3);
     world.run(S / 2, &[0, 1, 2]);
     assert_eq!(world.owner(), Some(0));
-    let first = world.all[0].0.holds(world.now).unwrap();
+    let first = world.all[0].0.valid_token(world.now).unwrap();
     world.run(30 * S, &[0, 1, 2]);
-    assert_eq!(world.all[0].0.holds(world.now), Some(first), "it stays");
+    assert_eq!(
+        world.all[0].0.valid_token(world.now),
+        Some(first),
+        "it stays"
+    );
     // It stands still. By its own clock it has stopped before anybody else begins.
     let stopped = world.now;
     let mut taken = None;
@@ -142,16 +147,16 @@
     // From the last renewal, at most a quarter of a lease before: the patience, and the turn of the
     // second.
     assert!(
-        wait <= TERMS.patience() + TERMS.step + S / 4 && wait > TERMS.lease,
+        wait <= CONFIG.takeover_delay() + CONFIG.stagger + S / 4 && wait > CONFIG.duration,
         "{wait}"
     );
-    let second = world.all[1].0.holds(world.now).unwrap();
+    let second = world.all[1].0.valid_token(world.now).unwrap();
     assert!(second > first);
     // It wakes: leave is refused at once, and what it would write as well.
     let late = &world.all[0].0;
-    assert_eq!(late.permit(Place::Store, world.now), None);
-    let permit = Permit::new(KIND, Place::Store, first).unwrap();
-    let checks = vec![late.fence(&permit)];
+    assert_eq!(late.permit(Target::Store, world.now), None);
+    let permit = Permit::new(ROLE, Target::Store, first).unwrap();
+    let checks = vec![late.fencing_check(&permit)];
     let session = world.all[0].1;
     let sets = vec![Change {
         key: "effect".to_owned(),
@@ -175,10 +180,10 @@
 }
 
 #[test]
-fn a_life_that_has_just_started_holds_nothing_of_what_it_had() {
+fn new_incarnation_does_not_inherit_the_lease() {
     let mut world = World::new(1);
     world.run(S, &[0]);
-    let before = world.all[0].0.holds(world.now).unwrap();
+    let before = world.all[0].0.valid_token(world.now).unwrap();
     world.start(0);
     world.run(S, &[0]);
     assert_eq!(
@@ -186,16 +191,16 @@
         None,
         "its own former life might be acting still"
     );
-    world.run(TERMS.patience(), &[0]);
-    assert!(world.all[0].0.holds(world.now).unwrap() > before);
+    world.run(CONFIG.takeover_delay(), &[0]);
+    assert!(world.all[0].0.valid_token(world.now).unwrap() > before);
 }
 
 #[test]
-fn an_operator_moves_it_in_order_and_forbids_it() {
+fn operator_transfers_and_excludes() {
     let mut world = World::new(3);
     world.run(S, &[0, 1, 2]);
-    world.all[0].0.rests(false);
-    world.put(&keys::wish(KIND), Some("g2"));
+    world.all[0].0.set_idle(false);
+    world.put(&keys::transfer(ROLE), Some("g2"));
     world.run(S / 2, &[0, 1, 2]);
     assert_eq!(world.owner(), None, "it has stopped");
     assert_eq!(
@@ -203,31 +208,31 @@
         Some("g0"),
         "and waits until all has come to rest"
     );
-    world.all[0].0.rests(true);
+    world.all[0].0.set_idle(true);
     world.run(S / 2, &[0, 1, 2]);
     assert_eq!(
-        (world.owner(), world.grant().why.as_str()),
+        (world.owner(), world.grant().reason.as_str()),
         (Some(2), "taken: it was offered")
     );
     assert_eq!(
-        world.state.get(&keys::wish(KIND)),
+        world.state.get(&keys::transfer(ROLE)),
         None,
         "it has come about"
     );
-    world.put(&keys::forbid(KIND, "g2"), Some(""));
+    world.put(&keys::exclusion(ROLE, "g2"), Some(""));
     world.run(S, &[0, 1, 2]);
     // The one that had it last waits, so that what an operator moved does not come back at once.
     assert_eq!(world.owner(), Some(1));
     // Offered to one that is not there, it is taken by another in time, and the wish is not asked
     // for again and again.
-    world.put(&keys::wish(KIND), Some("nobody"));
+    world.put(&keys::transfer(ROLE), Some("nobody"));
     world.run(S / 2, &[0, 1, 2]);
     assert_eq!(
         (world.owner(), world.grant().owner.as_deref()),
         (None, Some("nobody"))
     );
     // The two that may have it have both given it up of late, and wait before they take it again.
-    world.run(2 * TERMS.patience(), &[0, 1, 2]);
+    world.run(2 * CONFIG.takeover_delay(), &[0, 1, 2]);
     assert!(world.owner().is_some());
     let owner = world.owner();
     world.run(20 * S, &[0, 1, 2]);
@@ -235,36 +240,42 @@
 }
 
 #[test]
-fn others_that_show_they_can_do_better_have_it_given_up_and_nobody_else_does() {
+fn releases_after_quorum_of_fault_reports() {
     let mut world = World::new(3);
     world.run(S, &[0, 1, 2]);
-    let token = world.all[0].0.holds(world.now).unwrap();
-    world.put(&keys::doubt(KIND, "g1"), Some(&token.json().to_string()));
+    let token = world.all[0].0.valid_token(world.now).unwrap();
+    world.put(
+        &keys::fault_report(ROLE, "g1"),
+        Some(&token.to_json().to_string()),
+    );
     world.put(
-        &keys::doubt(KIND, "g2"),
+        &keys::fault_report(ROLE, "g2"),
         Some(
             &Token {
                 revision: 1,
                 ..token
             }
-            .json()
+            .to_json()
             .to_string(),
         ),
     );
     world.run(2 * S, &[0, 1, 2]);
     assert_eq!(world.owner(), Some(0), "one word, and one of another time");
-    world.put(&keys::doubt(KIND, "g2"), Some(&token.json().to_string()));
+    world.put(
+        &keys::fault_report(ROLE, "g2"),
+        Some(&token.to_json().to_string()),
+    );
     world.run(2 * S, &[0, 1, 2]);
-    assert_eq!((world.owner(), world.grant().deaths), (Some(1), 0));
+    assert_eq!((world.owner(), world.grant().failures), (Some(1), 0));
     // It stays out though it is the first in the order, for long: the next to go leaves it to
     // another.
-    world.put(&keys::forbid(KIND, "g1"), Some(""));
+    world.put(&keys::exclusion(ROLE, "g1"), Some(""));
     world.run(2 * S, &[0, 1, 2]);
     assert_eq!(world.owner(), Some(2));
 }
 
 #[test]
-fn work_whose_owners_die_soon_after_they_took_it_is_parked_but_a_power_loss_parks_nothing() {
+fn parks_after_failed_owners_but_not_after_power_loss() {
     let mut world = World::new(5);
     let mut died = Vec::new();
     // The first had it before the others looked: its death might be that of all.
@@ -282,7 +293,7 @@
     world.run(20 * S, &last);
     let grant = world.grant();
     assert_eq!(
-        (world.owner(), grant.owner.as_deref(), grant.deaths),
+        (world.owner(), grant.owner.as_deref(), grant.failures),
         (None, None, 3)
     );
     assert!(
@@ -292,20 +303,20 @@
     );
     // An operator releases it.
     world.put(
-        &keys::owner(KIND),
-        Some(&Grant::default().json().to_string()),
+        &keys::owner(ROLE),
+        Some(&Grant::default().to_json().to_string()),
     );
-    world.run(TERMS.step * 5, &last);
+    world.run(CONFIG.stagger * 5, &last);
     assert_eq!(world.owner(), Some(last[0]));
     // All lose power, again and again: none of them has seen another die.
     for _ in 0..5 {
         (0..5).for_each(|at| world.start(at));
-        world.run(TERMS.patience() + TERMS.step, &[0, 1, 2, 3, 4]);
+        world.run(CONFIG.takeover_delay() + CONFIG.stagger, &[0, 1, 2, 3, 4]);
         assert!(world.owner().is_some());
     }
-    assert_eq!(world.grant().deaths, 0);
+    assert_eq!(world.grant().failures, 0);
     // What cannot be read may be somebody's.
-    world.put(&keys::owner(KIND), Some("{\"own"));
+    world.put(&keys::owner(ROLE), Some("{\"own"));
     world.run(20 * S, &[0, 1, 2, 3, 4]);
     assert!(world.owner().is_none() && world.grant().parked.is_some());
 }
@@ -315,32 +326,32 @@
     let mut world = World::new(1);
     let now = world.now;
     let (lease, session, _) = &mut world.all[0];
-    lease.sees(View::of(&world.state, KIND, "g0"), now);
-    lease.stands(Some(0), 1, now);
-    let ask = lease.next(now).expect("it takes it");
-    assert_eq!(lease.next(now), None, "one thing at a time");
+    lease.observe(View::of(&world.state, ROLE, "g0"), now);
+    lease.set_rank(Some(0), 1, now);
+    let ask = lease.poll(now).expect("it takes it");
+    assert_eq!(lease.poll(now), None, "one thing at a time");
     let txn = Txn {
         session: *session,
         request: 1,
         checks: ask.checks,
-        sets: ask.sets,
+        sets: ask.changes,
     };
     world.apply(&Command::Txn(txn));
     world.all[0].2 = 1;
     world.now += S;
     let now = world.now;
-    world.all[0].0.answered(Answer::Unknown, now);
+    world.all[0].0.handle_response(Response::Unknown, now);
     assert_eq!(world.owner(), None);
     world.run(S / 2, &[0]);
     assert_eq!(world.owner(), Some(0), "found in the store, and renewed");
     // Renewals without answers: it stops in time, and resumes if nobody took over.
-    let token = world.all[0].0.holds(world.now);
-    world.now += TERMS.lease;
+    let token = world.all[0].0.valid_token(world.now);
+    world.now += CONFIG.duration;
     assert_eq!(world.owner(), None);
     world.run(S, &[0]);
-    assert_eq!(world.all[0].0.holds(world.now), token);
+    assert_eq!(world.all[0].0.valid_token(world.now), token);
     let events = world.all[0].0.take_events();
-    let lapsed = Event::Lapsed(token.unwrap());
+    let lapsed = Event::Expired(token.unwrap());
     assert!(
         events.contains(&lapsed) && events.contains(&Event::Resumed(token.unwrap())),
         "{events:?}"
--- a/ownership/src/lib.rs
+++ b/ownership/src/lib.rs
@@ -1,32 +1,41 @@
-//! One owner at a time for each kind of work that is done on behalf of a whole fleet. No sockets,
-//! clock, files or randomness: time, what the store holds and its answers come in; changes to be
-//! made there, and whether an effect may be made, go out.
+//! Singleton roles of a gatherer fleet: leases with fencing tokens, the election order, and the
+//! work that the owner of each role does. No sockets, clock, files or randomness: the time, the
+//! state of the replicated store and its responses come in; store transactions and permits for side
+//! effects go out.
 //!
-//! A lease ends by itself, on its owner's own monotonic clock, before anybody else can take it; an
-//! owner that stood still finds so when it asks for leave right before an effect. What cannot be
-//! checked where it lands is named, and bounded.
+//! These leases are entries in the replicated store of the gatherers (package `bitternsill-store`).
+//! The router fleet has leases and rollouts of its own over its control state; those are in the
+//! package `control` and share no code or data with these.
+//!
+//! A lease expires on its owner's own monotonic clock before any other gatherer can acquire it. An
+//! owner that was suspended notices when it asks for a [`role::Permit`] right before a side effect.
+//! Which side effects cannot be fenced where they land, and how many can be late, is stated by
+//! [`role::Target::guard`].
 
 #![forbid(unsafe_code)]
 
-pub mod choose;
-pub mod follow;
+pub mod election;
+pub mod failure_detector;
+pub mod health_check;
 pub mod job;
-pub mod keeping;
 pub mod keys;
-pub mod kind;
 pub mod lease;
-pub mod probes;
+pub mod observer;
+pub mod role;
 pub mod rollout;
 
-/// A moment or a duration, in nanoseconds of a clock that only moves forward.
+/// A moment or a duration, in nanoseconds of a monotonic clock.
 pub type Time = u64;
 
-/// By what an owner is told from every one before it.
+/// A fencing token: each grant of a role has a higher one than every grant before it.
+///
+/// The derived order is part of the contract: the era goes before the revision.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token {
-    /// The store's era: each store that an operator begins anew has a later one.
+    /// The store's era. An operator who restores the store from a backup starts a later era, as
+    /// revisions then repeat.
     pub era: u64,
-    /// The revision at which the grant was made.
+    /// The store revision at which the grant was committed.
     pub revision: u64,
 }
 
@@ -37,13 +46,13 @@
 }
 
 impl Token {
-    /// The token as JSON.
-    pub fn json(self) -> serde_json::Value {
+    /// The stored form: `[era, revision]`.
+    pub fn to_json(self) -> serde_json::Value {
         serde_json::json!([self.era, self.revision])
     }
 
-    /// A token from JSON.
-    pub fn read(json: &serde_json::Value) -> Option<Token> {
+    /// Reads the stored form; `None` if it is not a token.
+    pub fn from_json(json: &serde_json::Value) -> Option<Token> {
         Some(Token {
             era: json[0].as_u64()?,
             revision: json[1].as_u64()?,
--- a/ownership/src/rollout.rs
+++ b/ownership/src/rollout.rs
@@ -1,167 +1,186 @@
-//! The next thing to be done for a job, by what is seen of the fleet. Every effect is a change of
-//! the store that is made together with the job's own: it is made once, whoever makes it, and
-//! however often that is tried.
+//! Decides the next step of a [`Job`] from the observed state of the fleet.
+//!
+//! Every side effect is part of the store transaction that advances the job. So it is made exactly
+//! once, whichever owner makes it and however often the transaction is attempted.
+//!
+//! This is the rollout of the gatherers; the router fleet's rollout is in the package `control`.
 
-use crate::job::{Job, Stands, Step};
+use crate::job::{Job, Status, Step};
 use crate::{Time, Token};
 use std::collections::BTreeMap;
 
-/// What a gatherer says of itself.
+/// What a gatherer publishes about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Here {
-    /// Its life.
-    pub life: u64,
-    /// Whether it takes clients, under the version that is active.
-    pub serves: bool,
+pub struct Presence {
+    /// The incarnation of its process.
+    pub incarnation: u64,
+    /// Whether it accepts clients under the active version.
+    pub serving: bool,
 }
 
-/// Whether a proposal could be made active.
+/// Whether a proposal can be made active.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Activation {
-    /// It is already.
-    Done,
-    /// Nobody is in the way.
+    /// It is active already.
+    Active,
+    /// No gatherer prevents it.
     Ready,
-    /// Somebody has not had their say yet.
-    Waits(String),
-    /// Somebody cannot use it, or it is not what is proposed any more.
+    /// Some gatherer has not voted yet; the text says which.
+    Waiting(String),
+    /// Some gatherer cannot use it, or it is no longer the proposal.
     Impossible(String),
 }
 
-/// What one owner sees.
+/// The state of the fleet as one owner observes it.
 #[derive(Debug, Clone)]
-pub struct Scene<'a> {
-    /// Each gatherer.
-    pub here: &'a BTreeMap<String, Here>,
-    /// What is to be said of an activation, where the step is one.
+pub struct Observation<'a> {
+    /// Every gatherer's presence, by name.
+    pub members: &'a BTreeMap<String, Presence>,
+    /// The state of the activation, where the step is one.
     pub activation: Activation,
-    /// Since when this owner has seen the job as it is.
-    pub since: Time,
-    /// Now.
+    /// Since when this owner has observed the job unchanged.
+    pub unchanged_since: Time,
+    /// The current time.
     pub now: Time,
 }
 
-/// How long is waited.
+/// The time-outs of a rollout.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
-    /// For a gatherer that was told to end to serve again.
-    pub back_within: Time,
-    /// For gatherers to have their say on a proposal.
-    pub words_within: Time,
+pub struct Config {
+    /// For a restarted gatherer to serve again.
+    pub restart_timeout: Time,
+    /// For the gatherers to vote on a proposal.
+    pub vote_timeout: Time,
 }
 
-/// What is to be done.
+/// What is to be done for a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
-    /// Nothing before something changes, or this moment.
+pub enum Decision {
+    /// Nothing until the observation changes, or until this moment.
     Wait(Time),
-    /// The job is to be written so, together with this.
-    Write(Job, Effect),
+    /// The job is to be stored in this form, together with the effect.
+    Update(Job, Effect),
 }
 
-/// What is changed together with the job.
+/// What is changed in the same transaction as the job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Nothing.
     None,
-    /// These gatherers are told to end, in these lives.
-    Orders(BTreeMap<String, u64>),
+    /// These gatherers are ordered to restart, by name, each in this incarnation only.
+    Restart(BTreeMap<String, u64>),
     /// This proposal is made active.
     Activate(u64),
 }
 
-/// The next thing for a job, under a token; `orderly` says whether the owner before gave the work
-/// up by itself.
-pub fn next(
+/// Decides for a job under the owner's token. `orderly` says whether the previous owner released
+/// the role by itself. `None` if the job is not open.
+pub fn decide(
     job: &Job,
     token: Token,
     orderly: bool,
-    scene: &Scene<'_>,
-    bounds: &Bounds,
-) -> Option<Next> {
-    let step = job.step()?;
-    if job.by != Some(token) {
-        return Some(Next::Write(job.begun(token, orderly), Effect::None));
+    observation: &Observation<'_>,
+    config: &Config,
+) -> Option<Decision> {
+    let step = job.current_step()?;
+    if job.attempted_by != Some(token) {
+        return Some(update(job.begin_attempt(token, orderly)));
     }
-    let pause = |why: String| Some(Next::Write(job.stood(Stands::Paused(why)), Effect::None));
-    let within = |bound: Time, why: String| {
-        let until = scene.since.saturating_add(bound);
-        if scene.now < until {
-            Some(Next::Wait(until))
-        } else {
-            pause(why)
+    Some(match step {
+        Step::Activate(proposal) => activate(job, *proposal, observation, config),
+        Step::Restart(names) => restart(job, names, observation, config),
+    })
+}
+
+fn update(job: Job) -> Decision {
+    Decision::Update(job, Effect::None)
+}
+
+fn pause(job: &Job, reason: String) -> Decision {
+    update(job.with_status(Status::Paused(reason)))
+}
+
+/// Waits until the time-out since the job's last change, then pauses the job.
+fn wait_or_pause(
+    job: &Job,
+    observation: &Observation<'_>,
+    timeout: Time,
+    reason: String,
+) -> Decision {
+    let until = observation.unchanged_since.saturating_add(timeout);
+    if observation.now < until {
+        Decision::Wait(until)
+    } else {
+        pause(job, reason)
+    }
+}
+
+fn activate(job: &Job, proposal: u64, observation: &Observation<'_>, config: &Config) -> Decision {
+    match &observation.activation {
+        Activation::Active => update(job.complete_step()),
+        Activation::Ready => Decision::Update(job.complete_step(), Effect::Activate(proposal)),
+        Activation::Impossible(reason) => pause(job, reason.clone()),
+        Activation::Waiting(reason) => {
+            wait_or_pause(job, observation, config.vote_timeout, reason.clone())
         }
-    };
-    match step {
-        Step::Activate(proposal) => match &scene.activation {
-            Activation::Done => Some(Next::Write(job.advanced(), Effect::None)),
-            Activation::Ready => Some(Next::Write(job.advanced(), Effect::Activate(*proposal))),
-            Activation::Impossible(why) => pause(why.clone()),
-            Activation::Waits(why) => within(bounds.words_within, why.clone()),
-        },
-        Step::Restart(names) => restart(
-            job,
-            names,
-            scene,
-            &|why| within(bounds.back_within, why),
-            &pause,
-        ),
     }
 }
 
+/// Restarts gatherers in waves, so that no more than [`Job::max_unavailable`] are out of service.
 fn restart(
     job: &Job,
     names: &[String],
-    scene: &Scene<'_>,
-    within: &dyn Fn(String) -> Option<Next>,
-    pause: &dyn Fn(String) -> Option<Next>,
-) -> Option<Next> {
-    let is_back = |name: &String, life: u64| {
-        scene
-            .here
+    observation: &Observation<'_>,
+    config: &Config,
+) -> Decision {
+    let members = observation.members;
+    let has_returned = |name: &String, incarnation: u64| {
+        members
             .get(name)
-            .is_some_and(|here| here.life != life && here.serves)
+            .is_some_and(|member| member.incarnation != incarnation && member.serving)
     };
-    let away: Vec<&String> = job
-        .ordered
+    let restarting: Vec<&String> = job
+        .restarted
         .iter()
-        .filter(|(name, life)| !is_back(name, **life))
+        .filter(|(name, incarnation)| !has_returned(name, **incarnation))
         .map(|(name, _)| name)
         .collect();
-    let waiting: Vec<&String> = names
+    let remaining: Vec<&String> = names
         .iter()
-        .filter(|name| !job.ordered.contains_key(*name))
+        .filter(|name| !job.restarted.contains_key(*name))
         .collect();
-    if waiting.is_empty() && away.is_empty() {
-        return Some(Next::Write(job.advanced(), Effect::None));
+    if remaining.is_empty() && restarting.is_empty() {
+        return update(job.complete_step());
     }
-    // Whoever is out for another reason counts too: what matters is how many serve.
-    let is_out = |(name, here): &(&String, &Here)| !here.serves || away.contains(name);
-    let out: Vec<&str> = scene
-        .here
+    // A gatherer that is out of service for another reason counts too: the bound is on how many
+    // serve.
+    let unavailable: Vec<&str> = members
         .iter()
-        .filter(is_out)
+        .filter(|(name, member)| !member.serving || restarting.contains(name))
         .map(|(name, _)| name.as_str())
         .collect();
-    let room = job.out.saturating_sub(out.len());
+    let capacity = job.max_unavailable.saturating_sub(unavailable.len());
     let mut orders = BTreeMap::new();
-    for name in waiting.iter().take(room) {
-        match scene.here.get(*name) {
-            Some(here) if here.serves => drop(orders.insert((*name).clone(), here.life)),
+    for name in remaining.into_iter().take(capacity) {
+        match members.get(name) {
+            Some(member) if member.serving => {
+                orders.insert(name.clone(), member.incarnation);
+            }
             Some(_) => {}
-            None => return pause(format!("{name} is not there")),
+            None => return pause(job, format!("{name} is not there")),
         }
     }
     if orders.is_empty() {
-        return within(format!(
+        let reason = format!(
             "out of service for too long: {}, where {} may be",
-            out.join(", "),
-            job.out
-        ));
+            unavailable.join(", "),
+            job.max_unavailable
+        );
+        return wait_or_pause(job, observation, config.restart_timeout, reason);
     }
     let mut job = job.clone();
-    job.ordered.extend(orders.clone());
-    Some(Next::Write(job, Effect::Orders(orders)))
+    job.restarted.extend(orders.clone());
+    Decision::Update(job, Effect::Restart(orders))
 }
 
 #[cfg(test)]
--- a/ownership/src/rollout/tests.rs
+++ b/ownership/src/rollout/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `rollout`.
+//! Tests of the rollout.
 
 use super::*;
 
 const S: Time = 1_000_000_000;
-const BOUNDS: Bounds = Bounds {
-    back_within: 10 * S,
-    words_within: 5 * S,
+const CONFIG: Config = Config {
+    restart_timeout: 10 * S,
+    vote_timeout: 5 * S,
 };
 
 fn token(revision: u64) -> Token {
@@ -13,38 +13,38 @@
 }
 
 struct World {
-    here: BTreeMap<String, Here>,
+    members: BTreeMap<String, Presence>,
     activation: Activation,
-    since: Time,
+    unchanged_since: Time,
 }
 
 impl World {
-    fn next(&self, job: &Job, by: u64, now: Time) -> Option<Next> {
-        let (here, activation) = (&self.here, self.activation.clone());
-        next(
+    fn decide(&self, job: &Job, by: u64, now: Time) -> Option<Decision> {
+        let (members, activation) = (&self.members, self.activation.clone());
+        decide(
             job,
             token(by),
             false,
-            &Scene {
-                here,
+            &Observation {
+                members,
                 activation,
-                since: self.since,
+                unchanged_since: self.unchanged_since,
                 now,
             },
-            &BOUNDS,
+            &CONFIG,
         )
     }
 
     /// Carries out all that can be done at once; what was ordered.
-    fn go(&mut self, job: &mut Job, by: u64, now: Time) -> Vec<String> {
+    fn execute(&mut self, job: &mut Job, by: u64, now: Time) -> Vec<String> {
         let mut ordered = Vec::new();
-        while let Some(Next::Write(new, effect)) = self.next(job, by, now) {
-            (*job, self.since) = (new, now);
-            if let Effect::Orders(orders) = effect {
+        while let Some(Decision::Update(new, effect)) = self.decide(job, by, now) {
+            (*job, self.unchanged_since) = (new, now);
+            if let Effect::Restart(orders) = effect {
                 for (name, life) in orders {
-                    let here = self.here.get_mut(&name).unwrap();
-                    assert!(here.life == life && here.serves);
-                    here.serves = false;
+                    let member = self.members.get_mut(&name).unwrap();
+                    assert!(member.incarnation == life && member.serving);
+                    member.serving = false;
                     ordered.push(name);
                 }
             }
@@ -52,29 +52,29 @@
         ordered
     }
 
-    fn back(&mut self, name: &str) {
-        let here = self.here.get_mut(name).unwrap();
-        *here = Here {
-            life: here.life + 100,
-            serves: true,
+    fn finish_restart(&mut self, name: &str) {
+        let member = self.members.get_mut(name).unwrap();
+        *member = Presence {
+            incarnation: member.incarnation + 100,
+            serving: true,
         };
     }
 }
 
 fn world(count: u64) -> World {
-    let here = |n: u64| {
+    let presence = |n: u64| {
         (
             format!("g{n}"),
-            Here {
-                life: n,
-                serves: true,
+            Presence {
+                incarnation: n,
+                serving: true,
             },
         )
     };
     World {
-        here: (0..count).map(here).collect(),
+        members: (0..count).map(presence).collect(),
         activation: Activation::Ready,
-        since: 0,
+        unchanged_since: 0,
     }
 }
 
@@ -83,65 +83,68 @@
 }
 
 #[test]
-fn restarts_go_in_waves_and_are_carried_on_by_the_next_owner_each_once() {
+fn next_owner_continues_restart_waves() {
     let mut world = world(5);
     let mut job = Job::new(vec![Step::Restart(names(5))], 2);
-    assert_eq!(world.go(&mut job, 1, S), ["g0", "g1"]);
-    world.back("g1");
-    assert_eq!(world.go(&mut job, 1, 2 * S), ["g2"]);
+    assert_eq!(world.execute(&mut job, 1, S), ["g0", "g1"]);
+    world.finish_restart("g1");
+    assert_eq!(world.execute(&mut job, 1, 2 * S), ["g2"]);
     // The next owner orders nobody twice, though one is not back yet.
-    assert_eq!(world.go(&mut job, 2, 3 * S), Vec::<String>::new());
-    assert_eq!((job.tries, job.by), (2, Some(token(2))));
-    world.back("g0");
-    world.back("g2");
-    assert_eq!(world.go(&mut job, 2, 4 * S), ["g3", "g4"]);
-    world.back("g3");
-    assert_eq!(job.stands, Stands::Open);
-    world.back("g4");
-    world.go(&mut job, 2, 5 * S);
-    assert_eq!((job.stands, world.here["g4"].life), (Stands::Done, 104));
+    assert_eq!(world.execute(&mut job, 2, 3 * S), Vec::<String>::new());
+    assert_eq!((job.attempts, job.attempted_by), (2, Some(token(2))));
+    world.finish_restart("g0");
+    world.finish_restart("g2");
+    assert_eq!(world.execute(&mut job, 2, 4 * S), ["g3", "g4"]);
+    world.finish_restart("g3");
+    assert_eq!(job.status, Status::Open);
+    world.finish_restart("g4");
+    world.execute(&mut job, 2, 5 * S);
+    assert_eq!(
+        (job.status, world.members["g4"].incarnation),
+        (Status::Done, 104)
+    );
 }
 
 #[test]
-fn who_is_out_for_another_reason_counts_and_who_does_not_come_back_pauses_the_job() {
+fn counts_all_unavailable_and_pauses_on_timeout() {
     let mut world = world(4);
-    world.here.get_mut("g3").unwrap().serves = false;
+    world.members.get_mut("g3").unwrap().serving = false;
     let mut job = Job::new(vec![Step::Restart(names(3))], 2);
     assert_eq!(
-        world.go(&mut job, 1, S),
+        world.execute(&mut job, 1, S),
         ["g0"],
         "one of the two that may be out is out already"
     );
-    assert_eq!(world.next(&job, 1, 2 * S), Some(Next::Wait(11 * S)));
-    world.go(&mut job, 1, 11 * S);
-    let Stands::Paused(why) = &job.stands else {
+    assert_eq!(world.decide(&job, 1, 2 * S), Some(Decision::Wait(11 * S)));
+    world.execute(&mut job, 1, 11 * S);
+    let Status::Paused(why) = &job.status else {
         panic!("{job:?}")
     };
     assert!(why.contains("g0, g3"), "{why}");
-    assert_eq!(world.next(&job, 1, 12 * S), None);
+    assert_eq!(world.decide(&job, 1, 12 * S), None);
     // An operator has it go on once they are back.
-    world.back("g3");
-    world.back("g0");
-    job = job.stood(Stands::Open);
-    assert_eq!(world.go(&mut job, 1, 13 * S), ["g1", "g2"]);
-    world.here.remove("g2");
+    world.finish_restart("g3");
+    world.finish_restart("g0");
+    job = job.with_status(Status::Open);
+    assert_eq!(world.execute(&mut job, 1, 13 * S), ["g1", "g2"]);
+    world.members.remove("g2");
     let mut other = Job::new(vec![Step::Restart(vec!["g9".to_owned()])], 9);
-    world.go(&mut other, 1, 14 * S);
-    assert_eq!(other.stands, Stands::Paused("g9 is not there".to_owned()));
+    world.execute(&mut other, 1, 14 * S);
+    assert_eq!(other.status, Status::Paused("g9 is not there".to_owned()));
 }
 
 #[test]
-fn an_activation_is_made_with_the_jobs_own_place_and_one_that_was_made_is_not_made_again() {
+fn activates_once_with_the_job_update() {
     let mut world = world(1);
     let job = Job::new(vec![Step::Activate(7)], 1);
-    let begun = job.begun(token(1), false);
-    world.activation = Activation::Waits("g1 has not said that it can use this".to_owned());
-    assert_eq!(world.next(&begun, 1, S), Some(Next::Wait(5 * S)));
+    let begun = job.begin_attempt(token(1), false);
+    world.activation = Activation::Waiting("g1 has not said that it can use this".to_owned());
+    assert_eq!(world.decide(&begun, 1, S), Some(Decision::Wait(5 * S)));
     assert!(matches!(
-        world.next(&begun, 1, 5 * S),
-        Some(Next::Write(
+        world.decide(&begun, 1, 5 * S),
+        Some(Decision::Update(
             Job {
-                stands: Stands::Paused(_),
+                status: Status::Paused(_),
                 ..
             },
             _
@@ -149,18 +152,18 @@
     ));
     world.activation = Activation::Ready;
     assert_eq!(
-        world.next(&begun, 1, S),
-        Some(Next::Write(begun.advanced(), Effect::Activate(7)))
+        world.decide(&begun, 1, S),
+        Some(Decision::Update(begun.complete_step(), Effect::Activate(7)))
     );
-    world.activation = Activation::Done;
+    world.activation = Activation::Active;
     assert_eq!(
-        world.next(&begun, 1, S),
-        Some(Next::Write(begun.advanced(), Effect::None))
+        world.decide(&begun, 1, S),
+        Some(Decision::Update(begun.complete_step(), Effect::None))
     );
     world.activation = Activation::Impossible("g0 cannot".to_owned());
-    let paused = begun.stood(Stands::Paused("g0 cannot".to_owned()));
+    let paused = begun.with_status(Status::Paused("g0 cannot".to_owned()));
     assert_eq!(
-        world.next(&begun, 1, S),
-        Some(Next::Write(paused, Effect::None))
+        world.decide(&begun, 1, S),
+        Some(Decision::Update(paused, Effect::None))
     );
 }
--- a/ownership/tests/model.rs
+++ b/ownership/tests/model.rs
@@ -1,6 +1,5 @@
-//! Lease, takeover and fence, model-checked: one step of time after the other, each gatherer's
-//! clock one step ahead or behind, every order in which questions, answers and effects come, at any
-//! delay.
+//! Model check of lease, takeover and fencing: discrete time, clocks that differ by one step, and
+//! every order and delay of requests, responses and side effects.
 
 use stateright::{Checker, Model, Property};
 
@@ -9,65 +8,65 @@
 const LEASE: u8 = 2;
 const DRIFT: u8 = 1;
 /// Ages stop counting here: nothing tells older ones apart.
-const OLD: u8 = LEASE + DRIFT;
+const MAX_AGE: u8 = LEASE + DRIFT;
 /// Grants and renewals that are looked at.
 const GRANTS: u8 = 2;
 const RENEWALS: u8 = 1;
 
-/// A part of the rule that is left out.
+/// A part of the protocol that is left out, to show that the properties need it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Without {
-    Nothing,
-    /// The check and the write of an effect are two steps.
-    TheFence,
-    /// A token is counted in memory, and begins anew with each life.
-    TheRevision,
-    /// A lease counts from the answer.
-    TheQuestion,
-    /// Others wait for as long as the lease, by their own clocks.
-    TheDrift,
-    /// Whoever takes over does not check that nothing came since it looked.
-    TheCheck,
-    /// A life goes on with the lease of the one before it.
-    TheLife,
+enum Ablation {
+    None,
+    /// Check and write of an effect are two steps.
+    Fencing,
+    /// Tokens are counted in memory and start anew with each incarnation.
+    TokenFromRevision,
+    /// A lease counts from the response instead of the request.
+    LeaseFromSend,
+    /// The takeover delay has no margin for clock drift.
+    DriftMargin,
+    /// An acquisition does not check that no renewal was committed meanwhile.
+    RenewalCheck,
+    /// An incarnation goes on with the lease of the one before it.
+    Incarnation,
 }
 
-/// What is on its way to the store.
+/// A request to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Ask {
-    /// Takes the work, if grant and renewals are as they were seen.
-    Take { grant: u8, renewals: u8 },
+enum Request {
+    /// Takes the work, if grant and renewals are as they were observed.
+    Acquire { grant: u8, renewals: u8 },
     /// Renews this grant.
     Renew { grant: u8 },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Gatherer {
-    life: u8,
+    incarnation: u8,
     /// What it has seen of the store, and how long ago that changed.
-    seen: (u8, u8),
-    seen_age: u8,
+    observed: (u8, u8),
+    observed_age: u8,
     /// The grant that it holds, and how long ago it asked what was answered.
-    held: Option<(u8, u8)>,
+    lease: Option<(u8, u8)>,
     /// What it has asked, how long ago, whether it has reached the store, and whether that took it.
-    asked: Option<(Ask, u8, Option<bool>)>,
+    in_flight: Option<(Request, u8, Option<bool>)>,
     /// An effect for which leave was given, by its token: it lands at any time.
     effect: Option<u8>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    /// The grant, whose it is (who, in which life), and how often it was renewed.
+    /// The grant, whose it is (who, in which incarnation), and how often it was renewed.
     grant: u8,
     owner: Option<(usize, u8)>,
     renewals: u8,
     all: [Gatherer; 2],
     /// The token of the last effect that landed, and whether an older one landed behind it.
     landed: u8,
-    old_landed: bool,
+    stale_landed: bool,
     /// By how much the first gatherer's clock is ahead of true time; the second's is behind by as
     /// much.
-    apart: u8,
+    clock_skew: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -75,102 +74,102 @@
     Time,
     /// Time passes for the slow clock only when it is due: this one it does not.
     TimeForTheFast,
-    See(usize),
-    Ask(usize),
-    Reach(usize),
-    Answer(usize),
-    Lost(usize),
-    Leave(usize),
+    Observe(usize),
+    Send(usize),
+    Commit(usize),
+    Respond(usize),
+    Lose(usize),
+    Permit(usize),
     Land(usize),
     Restart(usize),
 }
 
-struct Rule {
-    without: Without,
+struct LeaseProtocol {
+    ablation: Ablation,
 }
 
-impl Rule {
-    fn patience(&self) -> u8 {
-        if self.without == Without::TheDrift {
+impl LeaseProtocol {
+    fn takeover_delay(&self) -> u8 {
+        if self.ablation == Ablation::DriftMargin {
             LEASE
         } else {
             LEASE + DRIFT
         }
     }
 
-    fn holds(one: &Gatherer) -> bool {
-        one.held.is_some_and(|(_, age)| age < LEASE)
+    fn is_owner(one: &Gatherer) -> bool {
+        one.lease.is_some_and(|(_, age)| age < LEASE)
     }
 
     /// The token that an owner writes by.
     fn token(&self, one: &Gatherer, grant: u8) -> u8 {
-        if self.without == Without::TheRevision {
-            one.life
+        if self.ablation == Ablation::TokenFromRevision {
+            one.incarnation
         } else {
             grant
         }
     }
 
-    fn wants(state: &State, at: usize, patience: u8) -> Option<Ask> {
+    fn next_request(state: &State, at: usize, takeover_delay: u8) -> Option<Request> {
         let one = &state.all[at];
-        let (grant, renewals) = one.seen;
-        if let Some((held, _)) = one.held.filter(|(held, _)| *held == grant) {
-            return (renewals < RENEWALS).then_some(Ask::Renew { grant: held });
+        let (grant, renewals) = one.observed;
+        if let Some((held, _)) = one.lease.filter(|(held, _)| *held == grant) {
+            return (renewals < RENEWALS).then_some(Request::Renew { grant: held });
         }
-        let free = grant == 0 || one.seen_age >= patience;
-        (free && grant < GRANTS).then_some(Ask::Take { grant, renewals })
+        let free = grant == 0 || one.observed_age >= takeover_delay;
+        (free && grant < GRANTS).then_some(Request::Acquire { grant, renewals })
     }
 }
 
-impl Model for Rule {
+impl Model for LeaseProtocol {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let one = Gatherer {
-            life: 1,
-            seen: (0, 0),
-            seen_age: 0,
-            held: None,
-            asked: None,
+            incarnation: 1,
+            observed: (0, 0),
+            observed_age: 0,
+            lease: None,
+            in_flight: None,
             effect: None,
         };
-        let (grant, owner, renewals, landed, old_landed, apart) = (0, None, 0, 0, false, 0);
+        let (grant, owner, renewals, landed, stale_landed, clock_skew) = (0, None, 0, 0, false, 0);
         vec![State {
             grant,
             owner,
             renewals,
             all: [one; 2],
             landed,
-            old_landed,
-            apart,
+            stale_landed,
+            clock_skew,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.push(Action::Time);
-        if state.apart < DRIFT {
+        if state.clock_skew < DRIFT {
             actions.push(Action::TimeForTheFast);
         }
         for (at, one) in state.all.iter().enumerate() {
-            if one.seen != (state.grant, state.renewals) {
-                actions.push(Action::See(at));
+            if one.observed != (state.grant, state.renewals) {
+                actions.push(Action::Observe(at));
             }
-            match one.asked {
-                None if Rule::wants(state, at, self.patience()).is_some() => {
-                    actions.push(Action::Ask(at))
+            match one.in_flight {
+                None if LeaseProtocol::next_request(state, at, self.takeover_delay()).is_some() => {
+                    actions.push(Action::Send(at))
                 }
                 None => {}
-                Some((.., None)) => actions.extend([Action::Reach(at), Action::Lost(at)]),
-                Some((.., Some(_))) => actions.extend([Action::Answer(at), Action::Lost(at)]),
+                Some((.., None)) => actions.extend([Action::Commit(at), Action::Lose(at)]),
+                Some((.., Some(_))) => actions.extend([Action::Respond(at), Action::Lose(at)]),
             }
-            if one.effect.is_none() && Rule::holds(one) {
-                actions.push(Action::Leave(at));
+            if one.effect.is_none() && LeaseProtocol::is_owner(one) {
+                actions.push(Action::Permit(at));
             }
             if one.effect.is_some() {
                 actions.push(Action::Land(at));
             }
-            if at == 0 && one.life < 2 && one.held.is_some() {
+            if at == 0 && one.incarnation < 2 && one.lease.is_some() {
                 actions.push(Action::Restart(at));
             }
         }
@@ -178,16 +177,16 @@
 
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
-        let older = |age: u8| (age + 1).min(OLD);
+        let older = |age: u8| (age + 1).min(MAX_AGE);
         // A lease that has run out, and an answer that is worth nothing any more, are nothing.
         let pass = |one: &mut Gatherer| {
-            one.seen_age = older(one.seen_age);
-            one.held = one
-                .held
+            one.observed_age = older(one.observed_age);
+            one.lease = one
+                .lease
                 .map(|(grant, age)| (grant, age + 1))
                 .filter(|(_, age)| *age < LEASE);
-            one.asked = one
-                .asked
+            one.in_flight = one
+                .in_flight
                 .map(|(ask, age, reached)| (ask, (age + 1).min(LEASE), reached));
         };
         match action {
@@ -195,45 +194,45 @@
             Action::TimeForTheFast => {
                 // The first one's clock runs ahead; over a lease no further than it may.
                 pass(&mut next.all[0]);
-                next.apart += 1;
+                next.clock_skew += 1;
             }
-            Action::See(at) => {
+            Action::Observe(at) => {
                 let one = &mut next.all[at];
-                (one.seen, one.seen_age) = ((state.grant, state.renewals), 0);
-                one.held = one.held.filter(|(held, _)| *held == state.grant);
+                (one.observed, one.observed_age) = ((state.grant, state.renewals), 0);
+                one.lease = one.lease.filter(|(held, _)| *held == state.grant);
             }
-            Action::Ask(at) => {
-                let ask = Rule::wants(state, at, self.patience())?;
-                next.all[at].asked = Some((ask, 0, None));
+            Action::Send(at) => {
+                let ask = LeaseProtocol::next_request(state, at, self.takeover_delay())?;
+                next.all[at].in_flight = Some((ask, 0, None));
             }
-            Action::Reach(at) => {
+            Action::Commit(at) => {
                 let one = &mut next.all[at];
-                let (ask, age, _) = one.asked?;
+                let (ask, age, _) = one.in_flight?;
                 let made = match ask {
-                    Ask::Take { grant, renewals } => {
+                    Request::Acquire { grant, renewals } => {
                         let as_seen = (grant, renewals) == (state.grant, state.renewals);
-                        as_seen || self.without == Without::TheCheck && grant == state.grant
+                        as_seen || self.ablation == Ablation::RenewalCheck && grant == state.grant
                     }
-                    Ask::Renew { grant } => grant == state.grant,
+                    Request::Renew { grant } => grant == state.grant,
                 };
-                one.asked = Some((ask, age, Some(made)));
+                one.in_flight = Some((ask, age, Some(made)));
                 if !made {
-                    one.asked = None;
+                    one.in_flight = None;
                 }
-                let life = one.life;
+                let incarnation = one.incarnation;
                 match ask {
-                    Ask::Take { .. } if made => {
+                    Request::Acquire { .. } if made => {
                         (next.grant, next.owner, next.renewals) =
-                            (state.grant + 1, Some((at, life)), 0);
+                            (state.grant + 1, Some((at, incarnation)), 0);
                     }
-                    Ask::Renew { .. } if made => next.renewals += 1,
+                    Request::Renew { .. } if made => next.renewals += 1,
                     _ => {}
                 }
             }
-            Action::Answer(at) => {
+            Action::Respond(at) => {
                 let one = &mut next.all[at];
-                let (ask, age, made) = one.asked.take()?;
-                let age = if self.without == Without::TheQuestion {
+                let (ask, age, made) = one.in_flight.take()?;
+                let age = if self.ablation == Ablation::LeaseFromSend {
                     0
                 } else {
                     age
@@ -241,53 +240,53 @@
                 // The member that was asked has applied what it answers.
                 if made == Some(true) {
                     let grant = match ask {
-                        Ask::Take { grant, .. } => grant + 1,
-                        Ask::Renew { grant } => grant,
+                        Request::Acquire { grant, .. } => grant + 1,
+                        Request::Renew { grant } => grant,
                     };
                     if grant == state.grant && age < LEASE {
-                        one.held = Some((grant, age));
+                        one.lease = Some((grant, age));
                     }
                 }
-                if one.seen != (state.grant, state.renewals) {
-                    (one.seen, one.seen_age) = ((state.grant, state.renewals), 0);
+                if one.observed != (state.grant, state.renewals) {
+                    (one.observed, one.observed_age) = ((state.grant, state.renewals), 0);
                 }
             }
-            Action::Lost(at) => next.all[at].asked = None,
-            Action::Leave(at) => {
+            Action::Lose(at) => next.all[at].in_flight = None,
+            Action::Permit(at) => {
                 let one = next.all[at];
-                let (grant, _) = one.held?;
+                let (grant, _) = one.lease?;
                 next.all[at].effect = Some(self.token(&one, grant));
-                // Without a fence it is looked whether the work is its own, and written later.
-                if self.without == Without::TheFence && grant != state.grant {
+                // Ablation a fence it is looked whether the work is its own, and written later.
+                if self.ablation == Ablation::Fencing && grant != state.grant {
                     next.all[at].effect = None;
                 }
             }
             Action::Land(at) => {
                 let token = next.all[at].effect.take()?;
-                let fenced = match self.without {
-                    Without::TheFence => true,
-                    // A store that knows no better token than the highest that it has seen.
-                    Without::TheRevision => token >= state.landed,
+                let fenced = match self.ablation {
+                    Ablation::Fencing => true,
+                    // A store that knows no better token than the highest that it has observed.
+                    Ablation::TokenFromRevision => token >= state.landed,
                     _ => token == state.grant,
                 };
                 if fenced {
-                    let by_grant = state
-                        .owner
-                        .is_some_and(|(owner, life)| owner == at && life == next.all[at].life);
-                    next.old_landed |= !by_grant || token < state.landed;
+                    let by_grant = state.owner.is_some_and(|(owner, incarnation)| {
+                        owner == at && incarnation == next.all[at].incarnation
+                    });
+                    next.stale_landed |= !by_grant || token < state.landed;
                     next.landed = next.landed.max(token);
                 }
             }
             Action::Restart(at) => {
                 let one = &mut next.all[at];
-                one.life += 1;
-                (one.asked, one.effect) = (None, None);
-                (one.seen, one.seen_age) = ((state.grant, state.renewals), 0);
-                if self.without == Without::TheLife {
-                    // It takes the lease up where its former life had it, with its time anew.
-                    one.held = one.held.map(|(grant, _)| (grant, 0));
+                one.incarnation += 1;
+                (one.in_flight, one.effect) = (None, None);
+                (one.observed, one.observed_age) = ((state.grant, state.renewals), 0);
+                if self.ablation == Ablation::Incarnation {
+                    // It takes the lease up where its former incarnation had it, with its time anew.
+                    one.lease = one.lease.map(|(grant, _)| (grant, 0));
                 } else {
-                    one.held = None;
+                    one.lease = None;
                 }
             }
         }
@@ -296,23 +295,29 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never two owners", |_: &Rule, state: &State| {
-                state.all.iter().filter(|one| Rule::holds(one)).count() <= 1
+            Property::always("never two owners", |_: &LeaseProtocol, state: &State| {
+                state
+                    .all
+                    .iter()
+                    .filter(|one| LeaseProtocol::is_owner(one))
+                    .count()
+                    <= 1
             }),
             Property::always(
                 "nothing lands under an old token",
-                |_: &Rule, state: &State| !state.old_landed,
+                |_: &LeaseProtocol, state: &State| !state.stale_landed,
+            ),
+            Property::sometimes(
+                "the work changes hands",
+                |_: &LeaseProtocol, state: &State| state.grant >= 2 && state.landed >= 2,
             ),
-            Property::sometimes("the work changes hands", |_: &Rule, state: &State| {
-                state.grant >= 2 && state.landed >= 2
-            }),
         ]
     }
 }
 
 /// Checks as far as this many steps from the begin, or to the end.
-fn check(without: Without, depth: Option<usize>) -> (usize, Vec<&'static str>) {
-    let checker = Rule { without }.checker().threads(2);
+fn check(ablation: Ablation, depth: Option<usize>) -> (usize, Vec<&'static str>) {
+    let checker = LeaseProtocol { ablation }.checker().threads(2);
     let checker = match depth {
         Some(depth) => checker.target_max_depth(depth),
         None => checker,
@@ -323,7 +328,7 @@
         .into_iter()
         .filter(|name| checker.discovery(name).is_some())
         .collect();
-    if without == Without::Nothing {
+    if ablation == Ablation::None {
         assert!(checker.discovery("the work changes hands").is_some());
     }
     (checker.unique_state_count(), broken)
@@ -331,25 +336,25 @@
 
 /// `OWNERSHIP_MODEL=all` goes to the end, which takes minutes.
 #[test]
-fn the_rule_holds_and_without_any_part_of_it_does_not() {
+fn holds_and_needs_each_part() {
     let depth = if std::env::var_os("OWNERSHIP_MODEL").is_some() {
         None
     } else {
         Some(18)
     };
-    let (states, broken) = check(Without::Nothing, depth);
+    let (states, broken) = check(Ablation::None, depth);
     println!("two gatherers: {states} states, kept");
     assert_eq!(broken, Vec::<&str>::new());
-    for without in [
-        Without::TheFence,
-        Without::TheRevision,
-        Without::TheQuestion,
-        Without::TheDrift,
-        Without::TheCheck,
-        Without::TheLife,
+    for ablation in [
+        Ablation::Fencing,
+        Ablation::TokenFromRevision,
+        Ablation::LeaseFromSend,
+        Ablation::DriftMargin,
+        Ablation::RenewalCheck,
+        Ablation::Incarnation,
     ] {
-        let (states, broken) = check(without, depth);
-        println!("without {without:?}: {states} states, broken: {broken:?}");
-        assert!(!broken.is_empty(), "without {without:?} nothing breaks");
+        let (states, broken) = check(ablation, depth);
+        println!("without {ablation:?}: {states} states, broken: {broken:?}");
+        assert!(!broken.is_empty(), "without {ablation:?} nothing breaks");
     }
 }
--- a/ownership/tests/simulation.rs
+++ b/ownership/tests/simulation.rs
@@ -1,10 +1,10 @@
-//! Gatherers, a store, clocks that run apart, processes that stand still anywhere, links that are
-//! cut, power losses and backups that are put back: by seed. `OWNERSHIP_SEEDS=10000 cargo test
-//! --release -p bitternsill-ownership --test simulation -- --nocapture` plays as many.
+//! Simulation of gatherers and a store with clock drift, process suspensions, network partitions,
+//! power losses and restored backups; deterministic by seed. `OWNERSHIP_SEEDS=10000 cargo test
+//! --release -p bitternsill-ownership --test simulation -- --nocapture` runs that many.
 
-use ownership::kind::{Kind, Place};
-use ownership::lease::{Answer, Ask, Event, Lease, Terms, View};
-use ownership::{Time, Token, choose, keys};
+use ownership::lease::{Config, Event, Lease, Request, Response, View};
+use ownership::role::{Role, Target};
+use ownership::{Time, Token, election, keys};
 use std::collections::BTreeMap;
 use store::command::{Check, Command, Expects, Txn};
 use store::packet::Change;
@@ -13,44 +13,44 @@
 const MS: Time = 1_000_000;
 const LEASE: Time = 1_000 * MS;
 const TICK: Time = 10 * MS;
-const KIND: Kind = Kind::Probes;
+const ROLE: Role = Role::HealthChecks;
 const ROOM: Room = Room {
     keys: 500,
     sessions: 500,
 };
 
-/// A part of the rule that is left out.
+/// A part of the protocol that is left out, to show that the simulation notices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Without {
-    Nothing,
-    /// Whoever takes over does not check that no renewal came meanwhile.
-    TheCheckOfLife,
-    /// What an owner writes is checked by itself, before it is written.
-    TheFence,
-    /// A lease counts from its answer.
-    TheQuestion,
-    /// Others wait for no more than the lease, as their own clocks have it.
-    TheDrift,
-    /// A life is not told from another of its name, before it or beside it.
-    TheLife,
-    /// A store that is begun anew from a backup keeps its era.
-    TheEra,
+enum Ablation {
+    None,
+    /// An acquisition does not check that no renewal was committed meanwhile.
+    RenewalCheck,
+    /// Fencing check and write are not one transaction.
+    Fencing,
+    /// A lease counts from the response instead of the request.
+    LeaseFromSend,
+    /// The takeover delay has no margin for clock drift.
+    DriftMargin,
+    /// Incarnations of one name are not distinguished.
+    Incarnation,
+    /// A store that is restored from a backup keeps its era.
+    Era,
 }
 
-/// What is on its way to the store.
+/// A command in flight to the store.
 struct Sent {
     at: Time,
     command: Command,
 }
 
-struct Waits {
+struct Awaited {
     request: u64,
     until: Time,
 }
 
 struct Gatherer {
     name: String,
-    life: u64,
+    incarnation: u64,
     lease: Lease,
     /// This gatherer's clock: how it runs, and what it shows at a true time.
     rate: f64,
@@ -59,13 +59,13 @@
     applied: usize,
     session: u64,
     requests: u64,
-    waits: Option<Waits>,
+    awaited: Option<Awaited>,
     up: bool,
-    paused_until: Time,
-    cut: bool,
-    /// Leave that was given right before the process stood still: what is made with it lands on
-    /// waking.
-    mid: Option<(Token, Check, bool)>,
+    suspended_until: Time,
+    partitioned: bool,
+    /// An effect whose permit was issued right before the process was suspended: it lands when
+    /// the process resumes.
+    pending_effect: Option<(Token, Check, bool)>,
     lag: Time,
 }
 
@@ -77,7 +77,7 @@
 
 struct World {
     rng: fastrand::Rng,
-    without: Without,
+    ablation: Ablation,
     now: Time,
     /// How far clocks run apart, in parts of a thousand.
     drift: u64,
@@ -86,9 +86,9 @@
     log: Vec<(Time, Command)>,
     /// The truth: everything of the log applied.
     truth: State,
-    on_way: Vec<Sent>,
+    in_flight: Vec<Sent>,
     all: Vec<Gatherer>,
-    lives: u64,
+    incarnations: u64,
     /// Effects in the store, by the token that they were made under, in order; and those outside,
     /// each with whether it was late.
     fenced: Vec<Token>,
@@ -98,32 +98,32 @@
     backup: Option<State>,
     /// Who is held to own the work by which token, as they say so.
     tokens: BTreeMap<Token, u64>,
-    /// How often a process stood still with leave in its hand.
-    stood: u64,
+    /// How often a process was suspended between a permit and its effect.
+    suspensions: u64,
 }
 
 impl World {
-    fn new(seed: u64, without: Without) -> World {
+    fn new(seed: u64, ablation: Ablation) -> World {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (count, drift) = (rng.usize(3..=6), [50, 200][rng.usize(0..2)]);
         let namesakes = rng.u8(0..4) == 0;
         let mut world = World {
-            without,
+            ablation,
             drift,
             now: 0,
             faults: true,
             log: Vec::new(),
             truth: State::default(),
-            on_way: Vec::new(),
+            in_flight: Vec::new(),
             all: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             fenced: Vec::new(),
             outside: 0,
             late: 0,
             owned: 0,
             backup: None,
             tokens: BTreeMap::new(),
-            stood: 0,
+            suspensions: 0,
             rng,
         };
         world.append(Command::Put(Change {
@@ -139,19 +139,19 @@
             let number = if namesakes && at + 1 == count { 0 } else { at };
             let gatherer = Gatherer {
                 name: format!("g{number}"),
-                life: 0,
-                lease: Lease::new(KIND, world.terms(), "", 0, 0),
+                incarnation: 0,
+                lease: Lease::new(ROLE, world.config(), "", 0, 0),
                 rate,
                 offset: world.rng.u64(0..1 << 40),
                 state: State::default(),
                 applied: 0,
                 session: 0,
                 requests: 0,
-                waits: None,
+                awaited: None,
                 up: false,
-                paused_until: 0,
-                cut: false,
-                mid: None,
+                suspended_until: 0,
+                partitioned: false,
+                pending_effect: None,
                 lag: world.rng.u64(0..30) * MS,
             };
             world.all.push(gatherer);
@@ -160,17 +160,17 @@
         world
     }
 
-    fn terms(&self) -> Terms {
-        let drift = if self.without == Without::TheDrift {
+    fn config(&self) -> Config {
+        let drift = if self.ablation == Ablation::DriftMargin {
             0
         } else {
             self.drift
         };
-        Terms {
-            lease: LEASE,
-            drift,
-            margin: 50 * MS,
-            step: 100 * MS,
+        Config {
+            duration: LEASE,
+            drift_permille: drift,
+            safety_margin: 50 * MS,
+            stagger: 100 * MS,
         }
     }
 
@@ -182,29 +182,29 @@
         for change in changes.iter().filter(|change| change.key == "effect") {
             let json: serde_json::Value =
                 serde_json::from_str(change.value.as_deref().unwrap()).unwrap();
-            self.fenced.push(Token::read(&json[0]).unwrap());
+            self.fenced.push(Token::from_json(&json[0]).unwrap());
         }
     }
 
     fn start(&mut self, at: usize) {
-        self.lives += 1;
-        let nonce = self.lives;
+        self.incarnations += 1;
+        let nonce = self.incarnations;
         self.append(Command::Open(nonce));
-        let (session, terms) = (self.log.len() as u64, self.terms());
+        let (session, config) = (self.log.len() as u64, self.config());
         let one = &mut self.all[at];
-        one.life = if self.without == Without::TheLife {
+        one.incarnation = if self.ablation == Ablation::Incarnation {
             1
         } else {
             nonce
         };
         let now = one.clock(self.now);
-        one.lease = Lease::new(KIND, terms, &one.name, one.life, now);
-        (one.session, one.requests, one.waits, one.mid) = (session, 0, None, None);
-        (one.up, one.paused_until) = (true, 0);
+        one.lease = Lease::new(ROLE, config, &one.name, one.incarnation, now);
+        (one.session, one.requests, one.awaited, one.pending_effect) = (session, 0, None, None);
+        (one.up, one.suspended_until) = (true, 0);
     }
 
-    /// Puts a change on its way; it may be lost, or come late.
-    fn send(&mut self, at: usize, ask: Ask, waits: bool) {
+    /// Sends a transaction; it may be lost or delayed.
+    fn send(&mut self, at: usize, ask: Request, awaited: bool) {
         let late = self.faults && self.rng.u8(0..20) == 0;
         let way = if late {
             self.rng.u64(0..2_000)
@@ -219,27 +219,27 @@
             session: one.session,
             request,
             checks: ask.checks,
-            sets: ask.sets,
+            sets: ask.changes,
         };
-        if waits {
-            one.waits = Some(Waits {
+        if awaited {
+            one.awaited = Some(Awaited {
                 request,
                 until: one.clock(self.now) + LEASE / 4,
             });
         }
-        if !lost && !one.cut {
-            self.on_way.push(Sent {
+        if !lost && !one.partitioned {
+            self.in_flight.push(Sent {
                 at: self.now + way,
                 command: Command::Txn(txn),
             });
         }
     }
 
-    /// What has come through is applied at members that hear of it, and callers have their answers.
-    fn hear(&mut self, at: usize) {
+    /// Applies committed commands at a member and delivers the responses.
+    fn receive(&mut self, at: usize) {
         let (now, log) = (self.now, &self.log);
         let one = &mut self.all[at];
-        if one.cut {
+        if one.partitioned {
             return;
         }
         let mut answers = Vec::new();
@@ -250,55 +250,59 @@
             if let Some(Done::Made(session, request, outcome)) = done
                 && session == one.session
                 && one
-                    .waits
+                    .awaited
                     .as_ref()
-                    .is_some_and(|waits| waits.request == request)
+                    .is_some_and(|awaited| awaited.request == request)
             {
-                one.waits = None;
+                one.awaited = None;
                 answers.push(match outcome {
-                    Outcome::Applied(revision) => Answer::Applied(revision),
-                    Outcome::Refused(_) => Answer::Refused,
+                    Outcome::Applied(revision) => Response::Committed(revision),
+                    Outcome::Refused(_) => Response::Rejected,
                 });
             }
         }
         let clock = one.clock(now);
-        let view = View::of(&one.state, KIND, &one.name);
-        one.lease.sees(view, clock);
+        let view = View::of(&one.state, ROLE, &one.name);
+        one.lease.observe(view, clock);
         answers
             .into_iter()
-            .for_each(|answer| one.lease.answered(answer, clock));
+            .for_each(|answer| one.lease.handle_response(answer, clock));
     }
 
-    fn turn(&mut self, at: usize) {
-        self.hear(at);
+    fn step(&mut self, at: usize) {
+        self.receive(at);
         let now = self.now;
         let one = &mut self.all[at];
         let clock = one.clock(now);
-        if one.waits.take_if(|waits| waits.until <= clock).is_some() {
-            one.lease.answered(Answer::Unknown, clock);
+        if one
+            .awaited
+            .take_if(|awaited| awaited.until <= clock)
+            .is_some()
+        {
+            one.lease.handle_response(Response::Unknown, clock);
         }
         let candidates: BTreeMap<String, f64> = (0..self.all.len())
             .map(|n| (format!("g{n}"), 1.0))
             .collect();
-        let order = choose::order(KIND, &candidates);
+        let order = election::rank(ROLE, &candidates);
         let one = &mut self.all[at];
         let place = order.iter().position(|name| *name == one.name);
-        one.lease.stands(place, order.len(), clock);
+        one.lease.set_rank(place, order.len(), clock);
         // Counted from the answer, a lease would be as much longer as the way there and back.
-        let asked = if self.without == Without::TheQuestion {
+        let asked = if self.ablation == Ablation::LeaseFromSend {
             clock + LEASE / 4
         } else {
             clock
         };
-        if let Some(mut ask) = one.lease.next(asked) {
-            if self.without == Without::TheCheckOfLife {
-                ask.checks.retain(|check| check.key != keys::alive(KIND));
+        if let Some(mut ask) = one.lease.poll(asked) {
+            if self.ablation == Ablation::RenewalCheck {
+                ask.checks.retain(|check| check.key != keys::renewal(ROLE));
             }
             self.send(at, ask, true);
         }
         let one = &mut self.all[at];
         for event in one.lease.take_events() {
-            if let Event::Owns(token, _) = event {
+            if let Event::Acquired(token, _) = event {
                 self.owned += 1;
                 let known = self.tokens.insert(token, one.session);
                 assert!(
@@ -307,20 +311,21 @@
                 );
             }
         }
-        // Right before an effect leave is asked for; the process may stand still right after.
-        if one.mid.is_none() && self.rng.u8(0..10) == 0 {
+        // A permit is requested right before an effect; the process may be suspended right after.
+        if one.pending_effect.is_none() && self.rng.u8(0..10) == 0 {
             let outside = self.rng.bool();
             let place = if outside {
-                Place::IndexHosts
+                Target::IndexHosts
             } else {
-                Place::Store
+                Target::Store
             };
             let clock = one.clock(self.now);
             if let Some(permit) = one.lease.permit(place, clock) {
-                one.mid = Some((permit.token(), one.lease.fence(&permit), outside));
+                one.pending_effect =
+                    Some((permit.token(), one.lease.fencing_check(&permit), outside));
                 if self.faults && self.rng.u8(0..12) == 0 {
-                    self.stood += 1;
-                    one.paused_until = self.now + self.rng.u64(100..5_000) * MS;
+                    self.suspensions += 1;
+                    one.suspended_until = self.now + self.rng.u64(100..5_000) * MS;
                     return;
                 }
             }
@@ -328,18 +333,19 @@
         self.land(at);
     }
 
-    /// An effect for which leave was given lands.
+    /// An effect whose permit was issued lands.
     fn land(&mut self, at: usize) {
-        let Some((token, fence, outside)) = self.all[at].mid.take() else {
+        let Some((token, fence, outside)) = self.all[at].pending_effect.take() else {
             return;
         };
         if outside {
             self.outside += 1;
-            self.late +=
-                u64::from(self.all[at].lease.holds(self.all[at].clock(self.now)) != Some(token));
+            self.late += u64::from(
+                self.all[at].lease.valid_token(self.all[at].clock(self.now)) != Some(token),
+            );
             return;
         }
-        // Without a fence an owner looks whether it is still so, and then writes.
+        // Ablation a fence an owner looks whether it is still so, and then writes.
         let Expects::At(revision) = fence.expects else {
             panic!("a fence is a revision")
         };
@@ -347,24 +353,31 @@
             .state
             .held(&fence.key)
             .is_some_and(|held| held.revision == revision);
-        let value = Some(serde_json::json!([token.json(), self.now]).to_string());
+        let value = Some(serde_json::json!([token.to_json(), self.now]).to_string());
         let sets = vec![Change {
             key: "effect".to_owned(),
             value,
         }];
-        let checks = if self.without == Without::TheFence {
+        let checks = if self.ablation == Ablation::Fencing {
             Vec::new()
         } else {
             vec![fence]
         };
-        if self.without != Without::TheFence || looks {
-            self.send(at, Ask { checks, sets }, false);
+        if self.ablation != Ablation::Fencing || looks {
+            self.send(
+                at,
+                Request {
+                    checks,
+                    changes: sets,
+                },
+                false,
+            );
         }
     }
 
     fn owners(&self) -> Vec<(usize, Token)> {
         let holds =
-            |(at, one): (usize, &Gatherer)| Some((at, one.lease.holds(one.clock(self.now))?));
+            |(at, one): (usize, &Gatherer)| Some((at, one.lease.valid_token(one.clock(self.now))?));
         self.all
             .iter()
             .enumerate()
@@ -377,18 +390,18 @@
     fn tick(&mut self) {
         self.now += TICK;
         let now = self.now;
-        let (due, later): (Vec<Sent>, Vec<Sent>) = std::mem::take(&mut self.on_way)
+        let (due, later): (Vec<Sent>, Vec<Sent>) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|sent| sent.at <= now);
-        self.on_way = later;
+        self.in_flight = later;
         due.into_iter().for_each(|sent| self.append(sent.command));
         if self.faults {
-            self.fault();
+            self.inject_fault();
         }
         for at in 0..self.all.len() {
             let one = &self.all[at];
-            if one.up && one.paused_until <= now {
-                self.turn(at);
+            if one.up && one.suspended_until <= now {
+                self.step(at);
             }
         }
         let owners = self.owners();
@@ -403,7 +416,7 @@
         );
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         if self.rng.u16(0..60) != 0 {
             return;
         }
@@ -413,10 +426,10 @@
             0..=3 => {
                 // The one that owns the work more often than others.
                 let at = if self.rng.bool() { owner } else { at };
-                self.all[at].paused_until = self.now + self.rng.u64(100..4_000) * MS;
+                self.all[at].suspended_until = self.now + self.rng.u64(100..4_000) * MS;
             }
-            4..=6 => self.all[at].cut = true,
-            7 | 8 => self.all.iter_mut().for_each(|one| one.cut = false),
+            4..=6 => self.all[at].partitioned = true,
+            7 | 8 => self.all.iter_mut().for_each(|one| one.partitioned = false),
             9 => self.all[owner].up = false,
             10 | 11 => {
                 for at in 0..self.all.len() {
@@ -437,13 +450,12 @@
         }
     }
 
-    /// The store is lost, and begun anew from a backup: every member starts from that. What was on
-    /// its way never comes.
+    /// The store is lost and restored from a backup at every member. What was in flight is lost.
     fn restore(&mut self, mut state: State) {
         let era: u64 = state.get(keys::ERA).unwrap().parse().unwrap();
         // By the rule the operator's clock is a part of it, so that two restores of one backup
         // differ.
-        let era = if self.without == Without::TheEra {
+        let era = if self.ablation == Ablation::Era {
             era
         } else {
             (era + 1).max(1_000 + self.now / MS)
@@ -454,9 +466,9 @@
         };
         state.apply(self.log.len() as u64, &Command::Put(change), ROOM);
         self.truth = state.clone();
-        self.on_way.clear();
+        self.in_flight.clear();
         // Revisions go on from where the backup ends.
-        if self.without == Without::TheEra {
+        if self.ablation == Ablation::Era {
             let last = state
                 .keys()
                 .map(|(_, held)| held.revision)
@@ -472,18 +484,18 @@
     }
 }
 
-/// Plays a seed; what of it was wrong, and how often the work changed hands.
-fn play(seed: u64, without: Without) -> Result<(u64, u64, u64), String> {
+/// Runs one seed: the numbers of grants, effects and late effects, or the violated property.
+fn play(seed: u64, ablation: Ablation) -> Result<(u64, u64, u64), String> {
     let played = std::panic::catch_unwind(|| {
-        let mut world = World::new(seed, without);
+        let mut world = World::new(seed, ablation);
         while world.now < 20_000 * MS {
             world.tick();
         }
-        // All is well again: before long somebody owns the work, and goes on doing so.
+        // After the faults the role gets an owner before long, and keeps it.
         world
             .all
             .iter_mut()
-            .for_each(|one| (one.cut, one.paused_until) = (false, 0));
+            .for_each(|one| (one.partitioned, one.suspended_until) = (false, 0));
         (0..world.all.len()).for_each(|at| {
             if !world.all[at].up {
                 world.start(at)
@@ -492,7 +504,7 @@
         let healed = world.now;
         world.faults = false;
         let parked = |world: &World| {
-            View::of(&world.truth, KIND, "")
+            View::of(&world.truth, ROLE, "")
                 .grant
                 .is_some_and(|(_, grant)| grant.parked.is_some())
         };
@@ -512,13 +524,13 @@
             world.owned <= owned + 1,
             "it changes hands though all is well"
         );
-        // Leave is given once for an effect: of those outside no more can be late than processes
-        // stood still.
+        // A permit is for one effect: no more effects outside can be late than processes were
+        // suspended.
         assert!(
-            world.late <= world.stood,
+            world.late <= world.suspensions,
             "{} late effects, {} pauses",
             world.late,
-            world.stood
+            world.suspensions
         );
         (
             world.owned,
@@ -546,7 +558,7 @@
 }
 
 #[test]
-fn there_are_never_two_owners_and_nothing_lands_under_an_old_token() {
+fn keeps_one_owner_and_rejects_stale_tokens() {
     let seeds = std::env::var("OWNERSHIP_SEEDS")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -558,7 +570,7 @@
     let mut total = (0, 0, 0);
     for seed in first..first + seeds {
         let (owned, effects, late) =
-            play(seed, Without::Nothing).unwrap_or_else(|p| panic!("seed {seed}: {p}"));
+            play(seed, Ablation::None).unwrap_or_else(|p| panic!("seed {seed}: {p}"));
         total = (total.0 + owned, total.1 + effects, total.2 + late);
     }
     println!(
@@ -569,23 +581,23 @@
 }
 
 #[test]
-fn a_part_of_the_rule_that_is_left_out_is_found() {
+fn detects_each_ablation() {
     let of = [
-        Without::TheCheckOfLife,
-        Without::TheFence,
-        Without::TheQuestion,
-        Without::TheDrift,
-        Without::TheLife,
-        Without::TheEra,
+        Ablation::RenewalCheck,
+        Ablation::Fencing,
+        Ablation::LeaseFromSend,
+        Ablation::DriftMargin,
+        Ablation::Incarnation,
+        Ablation::Era,
     ];
     quietly(|| {
-        for without in of {
+        for ablation in of {
             let found = (0..3_000)
-                .find_map(|seed| play(seed, without).err().map(|problem| (seed, problem)));
-            println!("without {without:?}: {found:?}");
+                .find_map(|seed| play(seed, ablation).err().map(|problem| (seed, problem)));
+            println!("without {ablation:?}: {found:?}");
             assert!(
                 found.is_some(),
-                "without {without:?} nothing is found in 3000 seeds"
+                "without {ablation:?} nothing is found in 3000 seeds"
             );
         }
     });
--- a/ownership/tests/stored_format.rs
+++ b/ownership/tests/stored_format.rs
@@ -1,10 +1,10 @@
 //! Pins what this package stores: keys and JSON, as written by the program before its types were
 //! renamed. A difference here means that an older or newer gatherer of the fleet cannot read it.
 
-use ownership::job::{Job, Stands, Step};
-use ownership::kind::Kind;
-use ownership::lease::{Answer, Grant, Lease, Stop, Terms, View};
-use ownership::probes::Verdict;
+use ownership::health_check::Verdict;
+use ownership::job::{Job, Status, Step};
+use ownership::lease::{Config, Grant, Lease, ReleaseReason, Response, View};
+use ownership::role::Role;
 use ownership::{Token, keys};
 use std::collections::BTreeMap;
 
@@ -15,16 +15,16 @@
 
 #[test]
 fn keys_are_unchanged() {
-    let names: Vec<&str> = Kind::ALL.into_iter().map(Kind::name).collect();
+    let names: Vec<&str> = Role::ALL.into_iter().map(Role::name).collect();
     assert_eq!(names, ["hosts", "probes", "rollout", "keeping"]);
     assert_eq!(
         [
-            keys::LIST,
+            keys::ENDPOINT_LIST,
             keys::SUSPECT,
             keys::VERDICT,
             keys::JOB,
-            keys::ORDER,
-            keys::HERE
+            keys::RESTART_ORDER,
+            keys::PRESENCE
         ],
         [
             "hosts/list",
@@ -35,51 +35,54 @@
             "here/"
         ]
     );
-    assert_eq!(keys::owner(Kind::Keeping), "owner/keeping");
-    assert_eq!(keys::alive(Kind::Hosts), "alive/hosts");
-    assert_eq!(keys::forbid(Kind::Probes, "g1"), "forbid/probes/g1");
-    assert_eq!(keys::wish(Kind::Rollout), "wish/rollout");
-    assert_eq!(keys::doubt(Kind::Hosts, "g1"), "doubt/hosts/g1");
+    assert_eq!(keys::owner(Role::Cleanup), "owner/keeping");
+    assert_eq!(keys::renewal(Role::Hosts), "alive/hosts");
+    assert_eq!(
+        keys::exclusion(Role::HealthChecks, "g1"),
+        "forbid/probes/g1"
+    );
+    assert_eq!(keys::transfer(Role::Rollout), "wish/rollout");
+    assert_eq!(keys::fault_report(Role::Hosts, "g1"), "doubt/hosts/g1");
 }
 
 #[test]
 fn tokens_and_verdicts_are_unchanged() {
-    assert_eq!(TOKEN.json().to_string(), "[3,41]");
+    assert_eq!(TOKEN.to_json().to_string(), "[3,41]");
     assert_eq!(TOKEN.to_string(), "3.41");
     let verdict = Verdict {
         token: TOKEN,
-        number: 5,
-        sound: true,
-        took: 1_200_000,
+        sequence: 5,
+        healthy: true,
+        latency: 1_200_000,
     };
     let text = r#"{"number":5,"sound":true,"token":[3,41],"took":1200000}"#;
-    assert_eq!(verdict.json().to_string(), text);
-    assert_eq!(Verdict::read(text), Some(verdict));
+    assert_eq!(verdict.to_json().to_string(), text);
+    assert_eq!(Verdict::parse(text), Some(verdict));
 }
 
 #[test]
 fn grants_are_unchanged() {
     let grant = Grant {
         owner: Some("g1".to_owned()),
-        life: Some(7),
-        deaths: 2,
+        incarnation: Some(7),
+        failures: 2,
         parked: None,
-        why: "taken: it was given up".to_owned(),
-        from: Some("g2".to_owned()),
+        reason: "taken: it was given up".to_owned(),
+        previous_owner: Some("g2".to_owned()),
     };
     let text = r#"{"deaths":2,"from":"g2","life":7,"owner":"g1","parked":null,"why":"taken: it was given up"}"#;
-    assert_eq!(grant.json().to_string(), text);
-    assert_eq!(Grant::read(text), grant);
-    let unreadable = Grant::read("{}");
+    assert_eq!(grant.to_json().to_string(), text);
+    assert_eq!(Grant::parse(text), grant);
+    let unreadable = Grant::parse("{}");
     assert_eq!(
-        unreadable.json().to_string(),
+        unreadable.to_json().to_string(),
         r#"{"deaths":0,"from":null,"life":null,"owner":null,"parked":"its entry cannot be read","why":""}"#
     );
     let reasons = [
-        Stop::Unfit,
-        Stop::Forbidden,
-        Stop::Wished("g3".to_owned()),
-        Stop::Doubted,
+        ReleaseReason::Ineligible,
+        ReleaseReason::Excluded,
+        ReleaseReason::Transfer("g3".to_owned()),
+        ReleaseReason::FaultReported,
     ];
     assert_eq!(
         reasons.map(|reason| reason.to_string()),
@@ -94,9 +97,9 @@
 
 /// The changes that a lease asks for, as key and value.
 fn requested(lease: &mut Lease, now: u64) -> Vec<(String, Option<String>)> {
-    let request = lease.next(now).expect("a request is due");
+    let request = lease.poll(now).expect("a request is due");
     request
-        .sets
+        .changes
         .into_iter()
         .map(|change| (change.key, change.value))
         .collect()
@@ -104,37 +107,37 @@
 
 #[test]
 fn acquisition_renewal_and_release_are_unchanged() {
-    let terms = Terms {
-        lease: 4_000,
-        drift: 100,
-        margin: 100,
-        step: 10,
+    let config = Config {
+        duration: 4_000,
+        drift_permille: 100,
+        safety_margin: 100,
+        stagger: 10,
     };
-    let mut lease = Lease::new(Kind::Hosts, terms, "g1", 9, 0);
+    let mut lease = Lease::new(Role::Hosts, config, "g1", 9, 0);
     let mut view = View {
         era: 3,
         ..View::default()
     };
-    lease.sees(view.clone(), 0);
-    lease.stands(Some(0), 2, 0);
+    lease.observe(view.clone(), 0);
+    lease.set_rank(Some(0), 2, 0);
     let grant = r#"{"deaths":0,"from":null,"life":9,"owner":"g1","parked":null,"why":"taken: nobody ever had it"}"#;
     assert_eq!(
         requested(&mut lease, 0),
         [("owner/hosts".to_owned(), Some(grant.to_owned()))]
     );
-    view.grant = Some((41, Grant::read(grant)));
-    lease.sees(view.clone(), 1);
-    lease.answered(Answer::Applied(41), 1);
-    assert_eq!(lease.holds(1), Some(TOKEN));
-    lease.went_well();
+    view.grant = Some((41, Grant::parse(grant)));
+    lease.observe(view.clone(), 1);
+    lease.handle_response(Response::Committed(41), 1);
+    assert_eq!(lease.valid_token(1), Some(TOKEN));
+    lease.record_success();
     let renewal = r#"{"count":1,"good":1,"token":[3,41]}"#;
     assert_eq!(
         requested(&mut lease, 1_000),
         [("alive/hosts".to_owned(), Some(renewal.to_owned()))]
     );
-    lease.answered(Answer::Applied(42), 1_001);
-    view.wish = Some((43, "g2".to_owned()));
-    lease.sees(view, 1_100);
+    lease.handle_response(Response::Committed(42), 1_001);
+    view.transfer = Some((43, "g2".to_owned()));
+    lease.observe(view, 1_100);
     let offer = r#"{"deaths":0,"from":"g1","life":null,"owner":"g2","parked":null,"why":"offered: an operator wants it so"}"#;
     assert_eq!(
         requested(&mut lease, 1_300),
@@ -152,32 +155,32 @@
         Step::Restart(vec!["g1".to_owned(), "g2".to_owned()]),
     ];
     let job = Job {
-        at: 1,
-        tries: 2,
-        by: Some(TOKEN),
-        ordered: BTreeMap::from([("g1".to_owned(), 9)]),
+        position: 1,
+        attempts: 2,
+        attempted_by: Some(TOKEN),
+        restarted: BTreeMap::from([("g1".to_owned(), 9)]),
         ..Job::new(steps, 1)
     };
-    let text = |stands: &str| {
+    let text = |status: &str| {
         format!(
-            r#"{{"at":1,"by":[3,41],"ordered":{{"g1":9}},"out":1,"stands":{stands},"steps":[{{"activate":7}},{{"restart":["g1","g2"]}}],"tries":2}}"#
+            r#"{{"at":1,"by":[3,41],"ordered":{{"g1":9}},"out":1,"stands":{status},"steps":[{{"activate":7}},{{"restart":["g1","g2"]}}],"tries":2}}"#
         )
     };
     let why = || "why".to_owned();
-    for (stands, stored, shown) in [
-        (Stands::Open, r#""open""#, "open"),
-        (Stands::Paused(why()), r#"{"paused":"why"}"#, "paused: why"),
-        (Stands::Parked(why()), r#"{"parked":"why"}"#, "parked: why"),
-        (Stands::Done, r#""done""#, "done"),
-        (Stands::Cancelled, r#""cancelled""#, "called off"),
+    for (status, stored, shown) in [
+        (Status::Open, r#""open""#, "open"),
+        (Status::Paused(why()), r#"{"paused":"why"}"#, "paused: why"),
+        (Status::Parked(why()), r#"{"parked":"why"}"#, "parked: why"),
+        (Status::Done, r#""done""#, "done"),
+        (Status::Cancelled, r#""cancelled""#, "called off"),
     ] {
-        assert_eq!(stands.to_string(), shown);
+        assert_eq!(status.to_string(), shown);
         let job = Job {
-            stands,
+            status,
             ..job.clone()
         };
-        assert_eq!(job.json().to_string(), text(stored));
-        assert_eq!(Job::read(&text(stored)), Some(job));
+        assert_eq!(job.to_json().to_string(), text(stored));
+        assert_eq!(Job::parse(&text(stored)), Some(job));
     }
     let shown: Vec<String> = job.steps.iter().map(ToString::to_string).collect();
     assert_eq!(shown, ["activate proposal 7", "restart g1, g2"]);
