--- a/bitternsill/src/cli.rs
+++ b/bitternsill/src/cli.rs
@@ -7,7 +7,7 @@
 use crate::front::catalogue::setup::{self, Beside};
 use crate::learned::cli::{self as learned, Learned};
 use crate::limits::Limits;
-use crate::store::cli::{self as store_file, StoreCall};
+use crate::store::cli::{self as store_file, StoreCommand};
 use crate::{config, describe, serve};
 use ::router::cli::SystemCall;
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -91,7 +91,7 @@
     Learned(Learned),
     /// Look at the file of a store's member.
     #[command(subcommand)]
-    Store(StoreCall),
+    Store(StoreCommand),
     /// Ask a fleet: how far it has come after a start, which versions it runs, who acted on which.
     #[command(subcommand)]
     Fleet(FleetCall),
--- a/bitternsill/src/describe/asyncapi.rs
+++ b/bitternsill/src/describe/asyncapi.rs
@@ -3,7 +3,7 @@
 use crate::front::platform::discovery::{MEMBERS, STATES};
 use crate::store::links::WATCH;
 use serde_json::{Map, Value as Json, json};
-use store::packet::KINDS;
+use store::message::KINDS;
 
 fn object(required: &[&str], properties: Json) -> Json {
     json!({"type": "object", "required": required, "properties": properties})
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -20,7 +20,7 @@
 use crate::limits::Limits;
 use crate::net::{Net, Token, World};
 use crate::recovery::Return;
-use crate::store::links::Shelf;
+use crate::store::links::StoreService;
 use crate::versions::Versions;
 use clients::ClientTable;
 use dispatch::interface::{ListKind, Outcome, ServerId, Time};
@@ -29,8 +29,8 @@
 use signals::Fresh;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use store::command::Change;
 use store::member::{Reply, Write};
-use store::packet::Change;
 use turned::Turned;
 use versions::standing::Standing;
 use versions::trail::Entry;
@@ -154,7 +154,7 @@
     /// Told to end while another process serves the same address.
     pub followed: bool,
     /// The store, off the request path; absent once its file has failed.
-    pub shelf: Option<Shelf>,
+    pub store_service: Option<StoreService>,
     /// What is learned, where it is kept.
     pub keeper: Option<Keeper>,
     /// The return after a start, where an operator's file asks for it.
@@ -311,8 +311,8 @@
 
     /// Records something in the store.
     pub fn record(&mut self, what: &str, value: &str, net: &mut Net<Self>) {
-        if let Some(shelf) = &mut self.shelf {
-            shelf.record(what, value, net);
+        if let Some(store_service) = &mut self.store_service {
+            store_service.record(what, value, net);
         }
     }
 
--- a/bitternsill/src/recovery.rs
+++ b/bitternsill/src/recovery.rs
@@ -173,9 +173,9 @@
                 .map(ToString::to_string)
                 .collect::<Vec<_>>()
         };
-        let store = self.shelf.as_ref().map(|shelf| {
-            let (standing, waits) = shelf.standing();
-            json!({"standing": format!("{standing:?}").to_lowercase(), "waits_for": waits, "id": format!("{:016x}", shelf.id())})
+        let store = self.store_service.as_ref().map(|store_service| {
+            let (status, waiting_for) = store_service.status();
+            json!({"standing": status.as_str(), "waits_for": waiting_for, "id": format!("{:016x}", store_service.id())})
         });
         let line = json!({
             "phase": state.map(|state| state.phase().to_string()), "why": state.map(why),
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -26,8 +26,8 @@
 use crate::limits::Limits;
 use crate::net::{self, Clock, Reactor};
 use crate::recovery::{RecoverySetup, Return};
-use crate::store::disk::{Behaviour, Disk};
-use crate::store::links::{Incoming, Shelf};
+use crate::store::disk::{Disk, DiskOptions};
+use crate::store::links::{Incoming, StoreService};
 use crate::versions::{self, Prepare, Versions, VersionsSetup};
 use catalogue::session;
 use dispatch::interface::{ListKind, Settings, Time};
@@ -37,7 +37,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
-use store::member::{Bounds, Membership, Pace, Store};
+use store::member::{Bounds, Membership, Store, Timing};
 
 /// Whatever keeps the program from serving.
 pub type ServeError = Box<dyn std::error::Error>;
@@ -265,7 +265,7 @@
     seed: u64,
     now: Time,
 ) -> Result<Member, ServeError> {
-    let pace = Pace {
+    let timing = Timing {
         heartbeat: limits.store_heartbeat,
         election: limits.store_election,
     };
@@ -282,11 +282,11 @@
         let lone = Membership {
             id: 0,
             members: BTreeSet::from([0]),
-            begins: true,
+            bootstraps: true,
             era: 0,
         };
         return Ok((
-            Store::start(&lone, pace, bounds, seed, None, now),
+            Store::start(&lone, timing, bounds, seed, None, now),
             BTreeMap::new(),
             None,
         ));
@@ -296,22 +296,22 @@
     let membership = Membership {
         id: setup.member,
         members,
-        begins: setup.begins,
+        bootstraps: setup.begins,
         era,
     };
-    let full_rest = std::time::Duration::from_nanos(limits.store_full_rest);
-    let behaviour = Behaviour {
-        sync: setup.test_sync,
-        full_while: setup.test_full_while.clone(),
-        full_rest,
+    let full_retry_delay = std::time::Duration::from_nanos(limits.store_full_rest);
+    let options = DiskOptions {
+        extra_sync_delay: setup.test_sync,
+        full_marker: setup.test_full_while.clone(),
+        full_retry_delay,
     };
-    let (disk, kept) = Disk::open(&setup.file, limits.store_log, behaviour)?;
+    let (disk, persisted) = Disk::open(&setup.file, limits.store_log, options)?;
     let store = Store::start(
         &membership,
-        pace,
+        timing,
         bounds,
         seed ^ setup.member,
-        Some(kept),
+        Some(persisted),
         now,
     );
     tracing::info!(member = setup.member, start = store.starts(), store = %format_args!("{:016x}", store.cluster()), "store");
@@ -353,7 +353,7 @@
         followed: false,
         ready_by: plan.discovery.map(|_| now + limits.first_list),
         listeners: Vec::new(),
-        shelf: None,
+        store_service: None,
         keeper,
         returning: None,
         versions: None,
@@ -372,7 +372,7 @@
     net.open(Box::new(reload));
     let (store, peers, disk) = open_store(plan.store.as_ref(), &limits, plan.seed, now)?;
     let asked = peers.clone();
-    gatherer.shelf = Some(Shelf::new(
+    gatherer.store_service = Some(StoreService::new(
         store,
         plan.name.clone(),
         &peers,
--- a/bitternsill/src/store.rs
+++ b/bitternsill/src/store.rs
@@ -2,8 +2,8 @@
 //! a member decides is in the package `store`, which does no I/O. It stands off the request path
 //! and is no input to the decision module.
 
-pub mod asks;
 pub mod cli;
 pub mod client;
 pub mod disk;
 pub mod links;
+pub mod requests;
--- a/bitternsill/src/store/client.rs
+++ b/bitternsill/src/store/client.rs
@@ -6,25 +6,26 @@
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
-use store::command::{Check, Expects, Txn};
-use store::packet::Change;
-use store::state::{Held, Outcome, Refusal, State};
+use store::command::{Change, Check, Expects, Txn};
+
+use store::state::{Outcome, Rejection, State, VersionedValue};
 
 /// What a read brought.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct ReadResult {
     /// The revision at which it is true.
     pub revision: u64,
     /// Each key with its value and the revision of its last change.
     pub keys: BTreeMap<String, (String, u64)>,
 }
 
-impl Seen {
+impl ReadResult {
     /// What a member itself holds at a revision.
-    pub fn of(state: &State, revision: u64) -> Seen {
-        let key =
-            |(key, held): (&str, &Held)| (key.to_owned(), (held.value.clone(), held.revision));
-        Seen {
+    pub fn of(state: &State, revision: u64) -> ReadResult {
+        let key = |(key, held): (&str, &VersionedValue)| {
+            (key.to_owned(), (held.value.clone(), held.revision))
+        };
+        ReadResult {
             revision,
             keys: state.keys().map(key).collect(),
         }
@@ -58,11 +59,11 @@
 
 /// What came of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Changed {
+pub enum ChangeOutcome {
     /// It was made at this revision.
     Applied(u64),
     /// It was not.
-    Refused(Refusal),
+    Rejected(Rejection),
     /// Nobody could be asked to the end: it may have been made.
     Unknown,
 }
@@ -71,64 +72,70 @@
 #[derive(Debug, Clone)]
 pub struct Client {
     /// Addresses of members.
-    pub at: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// The longest for one call.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// One line to an address, and one line back.
-pub fn line(at: SocketAddr, asked: &str, patience: Duration) -> Result<Json, String> {
-    let late = |problem: std::io::Error| match problem.kind() {
+pub fn exchange_line(
+    addresses: SocketAddr,
+    request: &str,
+    timeout: Duration,
+) -> Result<Json, String> {
+    let io_error = |problem: std::io::Error| match problem.kind() {
         std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => {
             "no answer in time".to_owned()
         }
         _ => problem.to_string(),
     };
-    let mut socket = TcpStream::connect_timeout(&at, patience).map_err(late)?;
-    socket.set_read_timeout(Some(patience)).map_err(late)?;
+    let mut socket = TcpStream::connect_timeout(&addresses, timeout).map_err(io_error)?;
+    socket.set_read_timeout(Some(timeout)).map_err(io_error)?;
     socket
-        .write_all(format!("{asked}\n").as_bytes())
-        .map_err(late)?;
-    let mut line = String::new();
-    BufReader::new(socket).read_line(&mut line).map_err(late)?;
-    serde_json::from_str(&line)
+        .write_all(format!("{request}\n").as_bytes())
+        .map_err(io_error)?;
+    let mut exchange_line = String::new();
+    BufReader::new(socket)
+        .read_line(&mut exchange_line)
+        .map_err(io_error)?;
+    serde_json::from_str(&exchange_line)
         .map_err(|_| "the answer cannot be read; is it a gatherer's store?".to_owned())
 }
 
 impl Client {
     /// Asks one member after the other until one has an answer.
-    fn ask(&self, asked: &Json) -> Result<Json, String> {
-        let (begun, mut problem) = (Instant::now(), "no address is told".to_owned());
-        let each = self.patience / 3;
+    fn request(&self, request: &Json) -> Result<Json, String> {
+        let (started, mut problem) = (Instant::now(), "no address is told".to_owned());
+        let each = self.timeout / 3;
         loop {
-            for at in &self.at {
-                match line(*at, &asked.to_string(), each) {
+            for address in &self.addresses {
+                match exchange_line(*address, &request.to_string(), each) {
                     Ok(answer) if answer["unknown"] == true => {
-                        problem = format!("{at}: the store has no majority that answers");
+                        problem = format!("{address}: the store has no majority that answers");
                     }
                     Ok(answer) => return Ok(answer),
-                    Err(why) => problem = format!("{at}: {why}"),
+                    Err(why) => problem = format!("{address}: {why}"),
                 }
-                if begun.elapsed() >= self.patience {
+                if started.elapsed() >= self.timeout {
                     return Err(problem);
                 }
             }
             thread::sleep(Duration::from_millis(50));
-            if begun.elapsed() >= self.patience {
+            if started.elapsed() >= self.timeout {
                 return Err(problem);
             }
         }
     }
 
     /// Keys that begin so, as new as anything that anybody was told.
-    pub fn read(&self, prefix: &str) -> Result<Seen, String> {
-        let answer = self.ask(&json!({"ask": "read", "prefix": prefix}))?;
-        seen(&answer).ok_or_else(|| format!("no answer to a read: {answer}"))
+    pub fn read(&self, prefix: &str) -> Result<ReadResult, String> {
+        let answer = self.request(&json!({"ask": "read", "prefix": prefix}))?;
+        read_result(&answer).ok_or_else(|| format!("no answer to a read: {answer}"))
     }
 
     /// Makes a change, at most once, whatever is lost on the way.
-    pub fn change(&self, checks: Vec<Check>, sets: Vec<Change>) -> Result<Changed, String> {
-        let opened = self.ask(&json!({"ask": "open"}))?;
+    pub fn change(&self, checks: Vec<Check>, sets: Vec<Change>) -> Result<ChangeOutcome, String> {
+        let opened = self.request(&json!({"ask": "open"}))?;
         let session = opened["opened"]
             .as_u64()
             .ok_or_else(|| format!("no session: {opened}"))?;
@@ -138,19 +145,19 @@
             checks,
             sets,
         };
-        match self.ask(&json!({"ask": "txn", "txn": txn.json()})) {
+        match self.request(&json!({"ask": "txn", "txn": txn.json()})) {
             Ok(answer) => match Outcome::read(&answer["made"]) {
-                Some(Outcome::Applied(revision)) => Ok(Changed::Applied(revision)),
-                Some(Outcome::Refused(why)) => Ok(Changed::Refused(why)),
+                Some(Outcome::Applied(revision)) => Ok(ChangeOutcome::Applied(revision)),
+                Some(Outcome::Rejected(why)) => Ok(ChangeOutcome::Rejected(why)),
                 None => Err(format!("no answer to a change: {answer}")),
             },
-            Err(_) => Ok(Changed::Unknown),
+            Err(_) => Ok(ChangeOutcome::Unknown),
         }
     }
 }
 
 /// What an answer to a read says.
-pub fn seen(answer: &Json) -> Option<Seen> {
+pub fn read_result(answer: &Json) -> Option<ReadResult> {
     let key = |key: &Json| {
         let value = (key[1].as_str()?.to_owned(), key[2].as_u64()?);
         Some((key[0].as_str()?.to_owned(), value))
@@ -160,7 +167,7 @@
         .iter()
         .map(key)
         .collect::<Option<_>>()?;
-    Some(Seen {
+    Some(ReadResult {
         revision: answer["revision"].as_u64()?,
         keys,
     })
--- a/bitternsill/src/store/links.rs
+++ b/bitternsill/src/store/links.rs
@@ -1,7 +1,7 @@
 //! The store on the loop: its timer, its lines to and from other members, and those who watch it.
 
-use super::asks::{self, Asker, Line};
 use super::disk::Disk;
+use super::requests::{self, Request, Requester};
 use crate::front::{Gatherer, Message};
 use crate::net::{self, Attempt, Connection, Context, Input, Net, Ready, Stream, Token};
 use crate::recovery;
@@ -10,14 +10,15 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
+use store::command::Change;
 use store::member::{CallId, Compacted, Store, Write};
-use store::packet::{self, Change, Packet};
-use store::rejoin::Standing;
+use store::message::{Envelope, MalformedMessage};
+use store::rejoin::Status;
 
 type Cx<'a> = Context<'a, Gatherer>;
 
 /// The store of a gatherer and the connections that belong to it.
-pub struct Shelf {
+pub struct StoreService {
     store: Store,
     name: String,
     clock: Option<Token>,
@@ -26,19 +27,19 @@
     /// Those who watch from a revision on, and are told each change with its own.
     followers: Vec<Token>,
     /// Who waits for what was asked, by its number, and the last number given.
-    pub(super) waiting: BTreeMap<CallId, Asker>,
-    calls: CallId,
+    pub(super) waiting: BTreeMap<CallId, Requester>,
+    last_call: CallId,
     /// Who is told of each change of a key that begins so.
-    told_of: Option<(Token, Vec<String>)>,
+    subscription: Option<(Token, Vec<String>)>,
     /// Who writes the member's file, where it has one.
-    pages: Option<Token>,
+    file_writer: Option<Token>,
     /// What was last told of the member's standing, and when it is told again that it waits.
-    told: (Option<Standing>, Time),
+    logged_status: (Option<Status>, Time),
     /// Between two such lines.
-    told_again: Time,
+    status_log_interval: Time,
 }
 
-impl Shelf {
+impl StoreService {
     /// Puts a store on the loop; a lone member needs neither a timer nor sockets, and one in memory
     /// no file.
     pub fn new(
@@ -46,20 +47,20 @@
         name: String,
         peers: &BTreeMap<u64, SocketAddr>,
         disk: Option<Disk>,
-        told_again: Time,
+        status_log_interval: Time,
         net: &mut Net<Gatherer>,
-    ) -> Shelf {
+    ) -> StoreService {
         let clock = (!peers.is_empty() || disk.is_some()).then(|| net.open(Box::new(Clock)));
         let open =
             |(id, address): (&u64, &SocketAddr)| (*id, net.open(Box::new(Peer::new(*address))));
         let peers = peers.iter().map(open).collect();
-        let pages = disk.map(|disk| {
-            net.open(Box::new(Pages {
+        let file_writer = disk.map(|disk| {
+            net.open(Box::new(FileWriter {
                 disk,
                 waiting: VecDeque::new(),
             }))
         });
-        let mut shelf = Shelf {
+        let mut store_service = StoreService {
             store,
             name,
             clock,
@@ -67,14 +68,14 @@
             watchers: Vec::new(),
             followers: Vec::new(),
             waiting: BTreeMap::new(),
-            calls: 0,
-            told_of: None,
-            pages,
-            told: (None, 0),
-            told_again,
+            last_call: 0,
+            subscription: None,
+            file_writer,
+            logged_status: (None, 0),
+            status_log_interval,
         };
-        shelf.pump(net);
-        shelf
+        store_service.dispatch(net);
+        store_service
     }
 
     /// The member.
@@ -87,13 +88,13 @@
     }
 
     pub(super) fn next_call(&mut self) -> CallId {
-        self.calls += 1;
-        self.calls
+        self.last_call += 1;
+        self.last_call
     }
 
     /// Has an object told, by a message, whenever a key that begins with one of these has changed.
-    pub fn tell_of(&mut self, prefixes: Vec<String>, token: Token) {
-        self.told_of = Some((token, prefixes));
+    pub fn subscribe(&mut self, prefixes: Vec<String>, token: Token) {
+        self.subscription = Some((token, prefixes));
     }
 
     /// Records something of this gatherer under its name.
@@ -102,23 +103,23 @@
         if self.store.put(&key, value, net.now()).is_err() {
             tracing::warn!(key, "the store does not take this much");
         }
-        self.pump(net);
+        self.dispatch(net);
     }
 
     /// Wants a key to have a value; it is proposed until it does.
-    pub fn want(&mut self, key: &str, value: &str, net: &mut Net<Gatherer>) {
+    pub fn propose(&mut self, key: &str, value: &str, net: &mut Net<Gatherer>) {
         if self.store.state().get(key) == Some(value) {
             return;
         }
         if self.store.put(key, value, net.now()).is_err() {
             tracing::warn!(key, "the store does not take this much");
         }
-        self.pump(net);
+        self.dispatch(net);
     }
 
     /// What the member may do, and what it waits for before it votes and counts.
-    pub fn standing(&self) -> (Standing, Option<String>) {
-        (self.store.standing(), self.store.waits_for())
+    pub fn status(&self) -> (Status, Option<String>) {
+        (self.store.status(), self.store.waiting_for())
     }
 
     /// Which store the member is of; 0 where it does not know.
@@ -127,52 +128,54 @@
     }
 
     /// Tells the log of a new standing at once, and of one that waits when it has waited for long.
-    fn tell_standing(&mut self, now: Time) {
-        let (standing, waits) = self.standing();
-        let news = self.told.0 != Some(standing);
-        if self.clock.is_none() || !(news || waits.is_some() && now >= self.told.1) {
+    fn log_status(&mut self, now: Time) {
+        let (status, waiting_for) = self.status();
+        let changed_status = self.logged_status.0 != Some(status);
+        if self.clock.is_none()
+            || !(changed_status || waiting_for.is_some() && now >= self.logged_status.1)
+        {
             return;
         }
         let (store, generation) = (
             format!("{:016x}", self.store.cluster()),
             self.store.generation(),
         );
-        match waits {
-            Some(waits) if news && standing != Standing::Lost => {
+        match waiting_for {
+            Some(waiting_for) if changed_status && status != Status::Lost => {
                 tracing::info!(
-                    ?standing,
+                    standing = status.log_label(),
                     store,
-                    waits,
+                    waits = waiting_for,
                     "the store's member takes no part yet"
                 );
             }
-            Some(waits) => tracing::warn!(
-                ?standing,
+            Some(waiting_for) => tracing::warn!(
+                standing = status.log_label(),
                 store,
-                waits,
+                waits = waiting_for,
                 "the store's member takes no part yet"
             ),
             None => tracing::info!(
-                ?standing,
+                standing = status.log_label(),
                 store,
                 generation,
                 "the store's member takes part"
             ),
         }
-        self.told = (Some(standing), now + self.told_again);
+        self.logged_status = (Some(status), now + self.status_log_interval);
     }
 
     /// Passes on what the store has for others.
-    pub(super) fn pump(&mut self, net: &mut Net<Gatherer>) {
-        self.tell_standing(net.now());
+    pub(super) fn dispatch(&mut self, net: &mut Net<Gatherer>) {
+        self.log_status(net.now());
         for write in self.store.take_writes() {
-            if let Some(token) = self.pages {
+            if let Some(token) = self.file_writer {
                 net.post(token, Message::Write(write));
             }
         }
-        for (to, packet) in self.store.take_outbox() {
+        for (to, envelope) in self.store.take_outbox() {
             if let Some(token) = self.peers.get(&to) {
-                net.post(*token, Message::Line(packet.write()));
+                net.post(*token, Message::Line(envelope.write()));
             }
         }
         let mut changed = Vec::new();
@@ -182,22 +185,28 @@
                 net.post(*token, Message::Line(line.clone()));
             }
             for token in &self.followers {
-                net.post(*token, Message::Line(asks::watch_line(revision, &change)));
+                net.post(
+                    *token,
+                    Message::Line(requests::watch_line(revision, &change)),
+                );
             }
-            let told = self
-                .told_of
+            let logged_status = self
+                .subscription
                 .as_ref()
                 .map_or(&[][..], |(_, prefixes)| prefixes);
-            if told.iter().any(|prefix| change.key.starts_with(prefix)) {
+            if logged_status
+                .iter()
+                .any(|prefix| change.key.starts_with(prefix))
+            {
                 changed.push(change);
             }
         }
-        if let Some((token, _)) = self.told_of.as_ref().filter(|_| !changed.is_empty()) {
+        if let Some((token, _)) = self.subscription.as_ref().filter(|_| !changed.is_empty()) {
             net.post(*token, Message::StoreChanged(changed));
         }
         for (id, reply) in self.store.take_replies() {
-            if let Some(asker) = self.waiting.remove(&id) {
-                self.tell(&asker, reply, net);
+            if let Some(requester) = self.waiting.remove(&id) {
+                self.reply(&requester, reply, net);
             }
         }
         if let (Some(token), Some(at)) = (self.clock, self.store.due()) {
@@ -216,61 +225,61 @@
 
 /// Does something with the store, and passes on what comes of it.
 fn with_store<T>(cx: &mut Cx<'_>, act: impl FnOnce(&mut Store, Time) -> T) -> Option<T> {
-    let shelf = cx.world.shelf.as_mut()?;
-    let result = act(&mut shelf.store, cx.now);
-    shelf.pump(cx.net);
+    let store_service = cx.world.store_service.as_mut()?;
+    let result = act(&mut store_service.store, cx.now);
+    store_service.dispatch(cx.net);
     Some(result)
 }
 
 /// The member's file: writes go to its thread in order, and the store hears of each that is done.
-struct Pages {
+struct FileWriter {
     disk: Disk,
     /// Writes for which the thread has no room yet.
     waiting: VecDeque<Write>,
 }
 
-impl Pages {
+impl FileWriter {
     /// Hands over what the thread has room for. A member whose disk does not keep up with so much
     /// ends: it could not promise anything in time.
-    fn hand(&mut self, cx: &mut Cx<'_>) {
+    fn submit(&mut self, cx: &mut Cx<'_>) {
         while let Some(write) = self.waiting.pop_front() {
-            if let Err(write) = self.disk.hand(write) {
+            if let Err(write) = self.disk.submit(write) {
                 self.waiting.push_front(write);
                 break;
             }
         }
         if self.waiting.len() > cx.world.limits.store_log {
-            self.end(cx, &"the disk does not keep up");
+            self.stop(cx, &"the disk does not keep up");
         }
     }
 
-    fn end(&mut self, cx: &mut Cx<'_>, problem: &dyn std::fmt::Display) {
-        tracing::error!(%problem, "the store's file cannot be written; this member stops");
-        cx.world.shelf = None;
+    fn stop(&mut self, cx: &mut Cx<'_>, error: &dyn std::fmt::Display) {
+        tracing::error!(%error, "the store's file cannot be written; this member stops");
+        cx.world.store_service = None;
         cx.close();
     }
 }
 
-impl Connection<Gatherer> for Pages {
+impl Connection<Gatherer> for FileWriter {
     fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
-        cx.net.register(self.disk.woken(), cx.token, Ready::READ)
+        cx.net.register(self.disk.wakeups(), cx.token, Ready::READ)
     }
 
     fn ready(&mut self, cx: &mut Cx<'_>, _ready: Ready) {
-        match self.disk.done() {
+        match self.disk.completed() {
             Ok(Some(number)) => {
-                with_store(cx, |store, _| store.written(number));
-                self.hand(cx);
+                with_store(cx, |store, _| store.on_written(number));
+                self.submit(cx);
             }
             Ok(None) => {}
-            Err(problem) => self.end(cx, &problem),
+            Err(error) => self.stop(cx, &error),
         }
     }
 
     fn deliver(&mut self, cx: &mut Cx<'_>, message: Message) {
         if let Message::Write(write) = message {
             self.waiting.push_back(write);
-            self.hand(cx);
+            self.submit(cx);
         }
     }
 
@@ -397,7 +406,7 @@
 pub struct Incoming {
     stream: Stream,
     input: Vec<u8>,
-    watches: bool,
+    watching: bool,
 }
 
 impl Incoming {
@@ -406,17 +415,17 @@
         Box::new(Incoming {
             stream,
             input: Vec::new(),
-            watches: false,
+            watching: false,
         })
     }
 
-    fn line(&mut self, cx: &mut Cx<'_>, line: &[u8]) -> Result<(), packet::NoPacket> {
+    fn line(&mut self, cx: &mut Cx<'_>, line: &[u8]) -> Result<(), MalformedMessage> {
         if line.trim_ascii() == WATCH.as_bytes() {
-            if let Some(shelf) = &mut cx.world.shelf
-                && !std::mem::replace(&mut self.watches, true)
+            if let Some(store_service) = &mut cx.world.store_service
+                && !std::mem::replace(&mut self.watching, true)
             {
-                shelf.watchers.push(cx.token);
-                for (key, held) in shelf.store.state().keys() {
+                store_service.watchers.push(cx.token);
+                for (key, held) in store_service.store.state().keys() {
                     let change = Change {
                         key: key.to_owned(),
                         value: Some(held.value.clone()),
@@ -430,37 +439,41 @@
             self.stream.push(cx.world.phase_line(cx.now).as_bytes());
             return Ok(());
         }
-        if let Some(asked) = serde_json::from_slice(line)
+        if let Some(request) = serde_json::from_slice(line)
             .ok()
-            .and_then(|json| asks::read(&json, cx.token))
+            .and_then(|json| requests::parse(&json, cx.token))
         {
-            return self.asked(cx, asked.map_err(packet::NoPacket)?);
+            return self.handle_request(cx, request.map_err(MalformedMessage)?);
         }
-        let packet = Packet::read(line)?;
+        let envelope = Envelope::read(line)?;
         let known = cx
             .world
-            .shelf
+            .store_service
             .as_ref()
-            .is_some_and(|shelf| shelf.peers.contains_key(&packet.from));
+            .is_some_and(|store_service| store_service.peers.contains_key(&envelope.from));
         if !known {
-            return Err(packet::NoPacket("from no member"));
+            return Err(MalformedMessage("from no member"));
         }
-        if let Some(Err(other)) = with_store(cx, |store, now| store.receive(packet, now)) {
+        if let Some(Err(other)) = with_store(cx, |store, now| store.receive(envelope, now)) {
             // It will say so again with every packet: once for a connection is enough.
             tracing::warn!(%other, "a member of another store is refused");
-            return Err(packet::NoPacket("of another store"));
+            return Err(MalformedMessage("of another store"));
         }
         Ok(())
     }
 
     /// Answers what a line asks, or has it answered.
-    fn asked(&mut self, cx: &mut Cx<'_>, line: Line) -> Result<(), packet::NoPacket> {
-        let patience = cx.world.limits.store_patience;
-        if let Line::Trail {
+    fn handle_request(
+        &mut self,
+        cx: &mut Cx<'_>,
+        request: Request,
+    ) -> Result<(), MalformedMessage> {
+        let timeout = cx.world.limits.store_patience;
+        if let Request::Trail {
             token,
             segment,
             from,
-        } = line
+        } = request
         {
             match cx
                 .world
@@ -475,35 +488,43 @@
             }
             return Ok(());
         }
-        let Some(shelf) = &mut cx.world.shelf else {
-            return Err(packet::NoPacket("no store"));
+        let Some(store_service) = &mut cx.world.store_service else {
+            return Err(MalformedMessage("no store"));
         };
-        match line {
-            Line::Call(call, asker) => shelf.ask(call, asker, patience, cx.net),
-            Line::Stale(Asker::Line { id, prefix, .. }) => {
-                let answer = asks::stale(&id, &prefix, shelf.store.applied(), shelf.store.state());
+        match request {
+            Request::Call(call, requester) => {
+                store_service.submit(call, requester, timeout, cx.net)
+            }
+            Request::StaleRead(Requester::Connection { id, prefix, .. }) => {
+                let answer = requests::stale_response(
+                    &id,
+                    &prefix,
+                    store_service.store.applied(),
+                    store_service.store.state(),
+                );
                 self.stream.push(answer.as_bytes());
             }
-            Line::Watch(from) if !std::mem::replace(&mut self.watches, true) => {
-                shelf.followers.push(cx.token);
-                match shelf.store.since(from) {
+            Request::Watch(from) if !std::mem::replace(&mut self.watching, true) => {
+                store_service.followers.push(cx.token);
+                match store_service.store.changes_since(from) {
                     Ok(changes) => {
-                        let lines =
-                            changes.map(|(revision, change)| asks::watch_line(*revision, change));
+                        let lines = changes
+                            .map(|(revision, change)| requests::watch_line(*revision, change));
                         lines.for_each(|line| self.stream.push(line.as_bytes()));
                     }
                     // What is missing cannot be told: everything is, as it is now.
                     Err(Compacted(floor)) => {
-                        let line = json!({"compacted": floor, "revision": shelf.store.applied()});
+                        let line =
+                            json!({"compacted": floor, "revision": store_service.store.applied()});
                         self.stream.push(format!("{line}\n").as_bytes());
-                        for (key, held) in shelf.store.state().keys() {
+                        for (key, held) in store_service.store.state().keys() {
                             let value = Some(held.value.clone());
                             let change = Change {
                                 key: key.to_owned(),
                                 value,
                             };
                             self.stream
-                                .push(asks::watch_line(held.revision, &change).as_bytes());
+                                .push(requests::watch_line(held.revision, &change).as_bytes());
                         }
                     }
                 }
@@ -536,17 +557,18 @@
 
     fn ready(&mut self, cx: &mut Cx<'_>, ready: Ready) {
         if ready.readable {
-            let end = self
+            let stop = self
                 .stream
                 .read(&mut self.input, cx.world.limits.read_burst);
-            while let Some(end) = self.input.iter().position(|b| *b == b'\n') {
-                let line: Vec<u8> = self.input.drain(..=end).collect();
-                if let Err(problem) = self.line(cx, &line) {
-                    tracing::debug!(%problem, "store");
+            while let Some(stop) = self.input.iter().position(|b| *b == b'\n') {
+                let line: Vec<u8> = self.input.drain(..=stop).collect();
+                if let Err(error) = self.line(cx, &line) {
+                    tracing::debug!(%error, "store");
                     return cx.close();
                 }
             }
-            if self.input.len() > cx.world.limits.frame_bytes * 2 || !matches!(end, Ok(Input::Open))
+            if self.input.len() > cx.world.limits.frame_bytes * 2
+                || !matches!(stop, Ok(Input::Open))
             {
                 return cx.close();
             }
@@ -568,9 +590,9 @@
     fn timer(&mut self, _cx: &mut Cx<'_>) {}
 
     fn closed(&mut self, cx: &mut Cx<'_>) {
-        if let Some(shelf) = &mut cx.world.shelf {
-            shelf.watchers.retain(|token| *token != cx.token);
-            shelf.followers.retain(|token| *token != cx.token);
+        if let Some(store_service) = &mut cx.world.store_service {
+            store_service.watchers.retain(|token| *token != cx.token);
+            store_service.followers.retain(|token| *token != cx.token);
         }
         cx.world.clients.remove(cx.token);
     }
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -11,7 +11,7 @@
 use crate::front::signals::Fresh;
 use crate::front::{Gatherer, Message};
 use crate::net::{Connection, Context, Net, Ready, Token};
-use crate::store::asks::Asker;
+use crate::store::requests::Requester;
 use ::recovery::bearing::Came;
 use ::recovery::phase::Phase;
 use dispatch::interface::Time;
@@ -20,8 +20,8 @@
 use std::io;
 use std::path::PathBuf;
 use std::time::Duration;
+use store::command::Change;
 use store::member::{Call, Reply};
-use store::packet::Change;
 use versions::Version;
 use versions::registration::Registration;
 use versions::standing::{Account, Standing, Terms};
@@ -333,13 +333,14 @@
     /// Looks at what the store holds, and does what is due: switches, has its say on a proposal,
     /// takes an operator's word.
     fn look_at_versions(&mut self, net: &mut Net<Self>, now: Time) {
-        let (Some(shelf), Some(versions)) = (&mut self.shelf, &mut self.versions) else {
+        let (Some(store_service), Some(versions)) = (&mut self.store_service, &mut self.versions)
+        else {
             return;
         };
         let name = versions.name.clone();
-        let state = shelf.store().state();
+        let state = store_service.store().state();
         let json = |key: &str| {
-            let held = state.held(key)?;
+            let held = state.versioned(key)?;
             Some((
                 held.revision,
                 serde_json::from_str::<Json>(&held.value).ok()?,
@@ -362,7 +363,8 @@
         if let Some((version, document)) = active.filter(|(version, _)| *version != tried) {
             self.switch(version, &document, net, now);
         }
-        let (Some(shelf), Some(versions)) = (&mut self.shelf, &mut self.versions) else {
+        let (Some(store_service), Some(versions)) = (&mut self.store_service, &mut self.versions)
+        else {
             return;
         };
         let own = json!({"life": versions.life, "runs": versions.runs(), "program": env!("CARGO_PKG_VERSION"),
@@ -372,7 +374,7 @@
         }
         wants
             .into_iter()
-            .for_each(|(key, value)| shelf.want(&key, &value.to_string(), net));
+            .for_each(|(key, value)| store_service.propose(&key, &value.to_string(), net));
         versions.tell_changes(net);
     }
 }
@@ -422,13 +424,15 @@
 impl Agent {
     fn go_on(&self, cx: &mut Cx<'_>) {
         let now = cx.net.now();
-        let (Some(shelf), Some(versions)) = (&mut cx.world.shelf, &mut cx.world.versions) else {
+        let (Some(store_service), Some(versions)) =
+            (&mut cx.world.store_service, &mut cx.world.versions)
+        else {
             return;
         };
         versions.account.settle(now);
         if versions.account.asks(now) {
             let patience = versions.setup.validity_ms.saturating_mul(1_000_000) / 4;
-            shelf.ask(Call::Read, Asker::Own(cx.token), patience, cx.net);
+            store_service.submit(Call::Read, Requester::Internal(cx.token), patience, cx.net);
         }
         versions.tell_changes(cx.net);
         let due = versions.account.due();
@@ -453,9 +457,13 @@
             Message::Replied(Reply::Read(_)) => {
                 // What this member holds is now as new as anything told before the question.
                 cx.world.look_at_versions(cx.net, cx.now);
-                let state = cx.world.shelf.as_ref().map(|shelf| shelf.store().state());
+                let state = cx
+                    .world
+                    .store_service
+                    .as_ref()
+                    .map(|store_service| store_service.store().state());
                 let active = state
-                    .and_then(|state| state.held(ACTIVE))
+                    .and_then(|state| state.versioned(ACTIVE))
                     .map_or(0, |held| held.revision);
                 let now = cx.net.now();
                 if let Some(versions) = &mut cx.world.versions {
@@ -490,11 +498,13 @@
 /// a whole validity has passed without any.
 pub fn connect(gatherer: &mut Gatherer, net: &mut Net<Gatherer>) {
     let now = net.now();
-    let (Some(shelf), Some(versions)) = (&mut gatherer.shelf, &mut gatherer.versions) else {
+    let (Some(store_service), Some(versions)) =
+        (&mut gatherer.store_service, &mut gatherer.versions)
+    else {
         return;
     };
     if let Some(agent) = versions.agent {
-        shelf.tell_of(
+        store_service.subscribe(
             vec![
                 "config/".to_owned(),
                 format!("{GATHERERS}{}", versions.name),
@@ -502,8 +512,8 @@
             agent,
         );
     }
-    let store = shelf.store();
-    let known = store.foreseen(ACTIVE);
+    let store = store_service.store();
+    let known = store.latest_known(ACTIVE);
     let known =
         known.and_then(|(version, text)| Some((version, serde_json::from_str::<Json>(text).ok()?)));
     match known {
@@ -511,7 +521,7 @@
         // Where nothing was ever active each goes by its own file, and nobody can be left out. A
         // member that has lost its file does not know that.
         None => {
-            let keeper = store.standing() != store::rejoin::Standing::Lost;
+            let keeper = store.status() != store::rejoin::Status::Lost;
             versions.account.switched(0, keeper, now);
             versions.note(vec![(now, Mark::Runs { version: 0, keeper })], net);
         }
--- a/bitternsill/src/versions/activation.rs
+++ b/bitternsill/src/versions/activation.rs
@@ -2,11 +2,10 @@
 //! an operator's command and for a job.
 
 use super::{ACTIVE, GATHERERS, NEXT, OUT, PAST, WAS, WORD};
-use crate::store::client::Seen;
+use crate::store::client::ReadResult;
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
-use store::command::Check;
-use store::packet::Change;
+use store::command::{Change, Check};
 use versions::Time;
 use versions::rollout::{Member, Missing, bound, in_the_way, keepers};
 
@@ -47,7 +46,7 @@
 }
 
 /// The fleet as the store has it, with when each was seen to be left out.
-pub fn fleet(seen: &Seen, left_out: &BTreeMap<String, u64>) -> BTreeMap<String, Member> {
+pub fn fleet(seen: &ReadResult, left_out: &BTreeMap<String, u64>) -> BTreeMap<String, Member> {
     let member = |name: &str| {
         let (own, _) = seen.json(&format!("{GATHERERS}{name}"))?;
         let word = seen.json(&format!("{WORD}{name}")).and_then(|(word, _)| {
@@ -70,7 +69,7 @@
 }
 
 /// Keeps since when each gatherer was seen to be left out.
-pub fn note_left_out(seen: &Seen, left_out: &mut BTreeMap<String, Time>, now: Time) {
+pub fn note_left_out(seen: &ReadResult, left_out: &mut BTreeMap<String, Time>, now: Time) {
     let out: BTreeSet<&str> = seen.names(OUT).collect();
     left_out.retain(|name, _| out.contains(name.as_str()));
     for name in out {
@@ -80,7 +79,11 @@
 
 /// What makes the last proposal active, by what is seen; `left_out` says since when each gatherer
 /// has been seen to be left out, on the clock of `now`.
-pub fn plan(seen: &Seen, left_out: &BTreeMap<String, Time>, now: Time) -> Result<Plan, Blocked> {
+pub fn plan(
+    seen: &ReadResult,
+    left_out: &BTreeMap<String, Time>,
+    now: Time,
+) -> Result<Plan, Blocked> {
     let nothing = |why: String| Blocked::Nothing(why);
     let (next, proposal) = seen
         .json(NEXT)
--- a/bitternsill/src/versions/audit.rs
+++ b/bitternsill/src/versions/audit.rs
@@ -4,7 +4,7 @@
 use super::cli::Where;
 use super::collect::Trails;
 use super::{GATHERERS, TRAILS, WAS};
-use crate::store::client::Seen;
+use crate::store::client::ReadResult;
 use clap::Args;
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -59,7 +59,7 @@
 }
 
 /// Every version that the store ever made active, with its proposal.
-fn versions(seen: &Seen) -> BTreeMap<Version, String> {
+fn versions(seen: &ReadResult) -> BTreeMap<Version, String> {
     let was = seen.names(WAS);
     was.filter_map(|proposal| {
         Some((
@@ -71,7 +71,7 @@
 }
 
 /// What is known of each gatherer that the store knows, and why one could not be asked.
-fn collect(call: &Audit, seen: &Seen) -> (BTreeMap<String, Report>, Vec<String>) {
+fn collect(call: &Audit, seen: &ReadResult) -> (BTreeMap<String, Report>, Vec<String>) {
     let (keep, patience) = (
         call.keep.as_deref(),
         Duration::from_millis(call.place.patience),
@@ -115,7 +115,7 @@
     (reports, problems)
 }
 
-fn as_json(seen: &Seen, reports: &BTreeMap<String, Report>) -> String {
+fn as_json(seen: &ReadResult, reports: &BTreeMap<String, Report>) -> String {
     let span = |s: &versions::audit::Span| {
         json!({"version": s.version, "from_ms": wall(s.wall_ms, s.taken.0), "to_ms": wall(s.wall_ms, s.taken.1),
                "queries": s.count, "life": s.life})
@@ -153,7 +153,7 @@
     begin + (at / 1_000_000) as i64
 }
 
-fn as_text(seen: &Seen, reports: &BTreeMap<String, Report>) -> String {
+fn as_text(seen: &ReadResult, reports: &BTreeMap<String, Report>) -> String {
     let mut text = String::new();
     let active: Vec<String> = versions(seen)
         .into_iter()
@@ -218,7 +218,7 @@
 const PAGE: &str = include_str!("audit.html");
 
 /// One page with a line of time for each gatherer.
-fn page(seen: &Seen, reports: &BTreeMap<String, Report>) -> Result<String, String> {
+fn page(seen: &ReadResult, reports: &BTreeMap<String, Report>) -> Result<String, String> {
     let all = reports.values().flat_map(|report| &report.spans);
     let ends = all.map(|span| {
         (
--- a/bitternsill/src/versions/audit/tests.rs
+++ b/bitternsill/src/versions/audit/tests.rs
@@ -6,9 +6,9 @@
 /// `VERSIONS_PAGE=FILE` keeps the page, to be looked at.
 #[test]
 fn a_page_of_sixty_gatherers_has_a_line_for_each_and_needs_nothing_else() {
-    let mut seen = Seen {
+    let mut seen = ReadResult {
         revision: 90,
-        ..Seen::default()
+        ..ReadResult::default()
     };
     for (proposal, version) in [(10, 12), (40, 44), (70, 75)] {
         seen.keys
--- a/bitternsill/src/versions/cli.rs
+++ b/bitternsill/src/versions/cli.rs
@@ -4,7 +4,7 @@
 use super::activation::{self, Blocked, fleet};
 use super::{ACTIVE, FORMAT, GATHERERS, HELD, NEXT, OUT, PAST};
 use crate::core::settings;
-use crate::store::client::{Changed, Client};
+use crate::store::client::{ChangeOutcome, Client};
 use clap::{Args, Subcommand};
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 use std::thread;
 use std::time::{Duration, Instant};
-use store::packet::Change;
+use store::command::Change;
 use versions::rollout::{Member, Missing};
 
 /// Versions of the configuration.
@@ -57,8 +57,8 @@
     /// The store there.
     pub fn client(&self) -> Client {
         Client {
-            at: self.at.clone(),
-            patience: Duration::from_millis(self.patience),
+            addresses: self.at.clone(),
+            timeout: Duration::from_millis(self.patience),
         }
     }
 }
@@ -185,15 +185,15 @@
     // Another proposal that came meanwhile is not replaced unseen.
     let checks = vec![seen.unchanged(NEXT), seen.unchanged(ACTIVE)];
     match client.change(checks, vec![set(NEXT, Some(document.to_string()))])? {
-        Changed::Applied(proposal) => Ok(if call.place.json {
+        ChangeOutcome::Applied(proposal) => Ok(if call.place.json {
             json!({"proposal": proposal}).to_string()
         } else {
             format!(
                 "proposed as {proposal}; `fleet activate` has all switch once each has said that it can"
             )
         }),
-        Changed::Refused(why) => Err(format!("not proposed: {why}")),
-        Changed::Unknown => {
+        ChangeOutcome::Rejected(why) => Err(format!("not proposed: {why}")),
+        ChangeOutcome::Unknown => {
             Err("not known whether it was proposed: look with `fleet versions`".to_owned())
         }
     }
@@ -241,26 +241,26 @@
         };
         let (proposal, with, keepers) = (plan.proposal, plan.with, plan.keepers);
         match client.change(plan.checks, plan.sets)? {
-            Changed::Applied(version) if call.place.json => {
+            ChangeOutcome::Applied(version) if call.place.json => {
                 return Ok(
                     json!({"version": version, "proposal": proposal, "keepers": keepers})
                         .to_string(),
                 );
             }
-            Changed::Applied(version) => {
+            ChangeOutcome::Applied(version) => {
                 let keepers = keepers.join(", ");
                 return Ok(format!(
                     "version {version} is active for {with} gatherers; without a store go on: {keepers}"
                 ));
             }
             // Somebody had another word, or started anew, since it was read: it is read again.
-            Changed::Refused(_) if begun.elapsed() <= wait => {}
-            Changed::Refused(why) => {
+            ChangeOutcome::Rejected(_) if begun.elapsed() <= wait => {}
+            ChangeOutcome::Rejected(why) => {
                 return Err(format!(
                     "not activated, something has changed meanwhile: {why}"
                 ));
             }
-            Changed::Unknown => {
+            ChangeOutcome::Unknown => {
                 return Err(
                     "not known whether it was activated: look with `fleet versions`".to_owned(),
                 );
@@ -283,9 +283,9 @@
     let key = format!("{prefix}{name}");
     let word = if put { Some("{}".to_owned()) } else { None };
     match client.change(vec![seen.unchanged(&key)], vec![set(key, word)])? {
-        Changed::Applied(revision) => Ok(format!("done at revision {revision}")),
-        Changed::Refused(why) => Err(format!("not done: {why}")),
-        Changed::Unknown => {
+        ChangeOutcome::Applied(revision) => Ok(format!("done at revision {revision}")),
+        ChangeOutcome::Rejected(why) => Err(format!("not done: {why}")),
+        ChangeOutcome::Unknown => {
             Err("not known whether it was done: look with `fleet versions`".to_owned())
         }
     }
--- a/bitternsill/src/versions/collect.rs
+++ b/bitternsill/src/versions/collect.rs
@@ -2,7 +2,7 @@
 //! is named, so that the next collection, or one that was broken off, goes on from what is there,
 //! and a trail outlives its gatherer's disk.
 
-use crate::store::client::line;
+use crate::store::client::exchange_line;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -66,7 +66,7 @@
     ) -> Result<(), String> {
         let ask = |segment: u64, from: u64| {
             let asked = json!({"ask": "trail", "segment": segment, "from": from}).to_string();
-            line(at, &asked, patience).or_else(|_| line(at, &asked, patience))
+            exchange_line(at, &asked, patience).or_else(|_| exchange_line(at, &asked, patience))
         };
         // Which trail it has now, before anything is taken for a part of one.
         let first = ask(u64::MAX, 0)?;
--- a/bitternsill/src/versions/scribe.rs
+++ b/bitternsill/src/versions/scribe.rs
@@ -140,10 +140,10 @@
                         continue;
                     }
                     self.tell_at = cx.now + cx.world.limits.trail_told;
-                    if let Some(shelf) = &mut cx.world.shelf {
+                    if let Some(store_service) = &mut cx.world.store_service {
                         let digest = json!({"segment": segment, "length": length, "hash": hash});
                         let key = format!("{}{}/{trail}", super::TRAILS, self.name);
-                        shelf.want(&key, &digest.to_string(), cx.net);
+                        store_service.propose(&key, &digest.to_string(), cx.net);
                     }
                 }
             }
--- a/bitternsill/tests/fleet_audit.rs
+++ b/bitternsill/tests/fleet_audit.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use bitternsill::store::client::{Changed, Client};
+use bitternsill::store::client::{ChangeOutcome, Client};
 use common::fleet::*;
 use common::versions::*;
 use common::*;
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::Duration;
-use store::packet::Change;
+use store::command::Change;
 
 /// A folder of the test's own, empty.
 fn folder(name: &str) -> PathBuf {
@@ -167,8 +167,8 @@
 fn a_document_of_a_later_format_is_named_by_all_who_cannot_read_it_and_changes_nothing() {
     let (fleet, ..) = with_a_version("later");
     let client = Client {
-        at: fleet.stores.clone(),
-        patience: Duration::from_secs(10),
+        addresses: fleet.stores.clone(),
+        timeout: Duration::from_secs(10),
     };
     let document = json!({"format": 2, "settings": with_class("later"), "least": 0.5}).to_string();
     let change = Change {
@@ -177,7 +177,7 @@
     };
     assert!(matches!(
         client.change(vec![], vec![change]),
-        Ok(Changed::Applied(_))
+        Ok(ChangeOutcome::Applied(_))
     ));
     let refused = activate(&fleet, &[0]).unwrap_err();
     assert_eq!(
--- a/ownership/src/lease.rs
+++ b/ownership/src/lease.rs
@@ -11,8 +11,8 @@
 use crate::{Time, Token};
 use serde_json::{Value as Json, json};
 use std::fmt;
-use store::command::{Check, Expects};
-use store::packet::Change;
+use store::command::{Change, Check, Expects};
+
 use store::state::State;
 
 /// Renewals before an owner counts as one that took the work without harm.
@@ -142,7 +142,7 @@
     pub fn of(state: &State, kind: Kind, name: &str) -> View {
         let held = |key: &str| {
             state
-                .held(key)
+                .versioned(key)
                 .map(|held| (held.revision, held.value.as_str()))
         };
         let era = state.era();
@@ -152,7 +152,7 @@
             revision: *revision,
         });
         let doubts = keys::doubt(kind, "");
-        let doubts = state.under(&doubts).filter(|(_, held)| {
+        let doubts = state.with_prefix(&doubts).filter(|(_, held)| {
             let of = serde_json::from_str(&held.value)
                 .ok()
                 .and_then(|json| Token::read(&json));
--- a/ownership/src/lease/tests.rs
+++ b/ownership/src/lease/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use store::command::{Command, Txn};
-use store::state::{Done, Outcome, Room};
+use store::state::{Capacity, Completion, Outcome};
 
 const S: Time = 1_000_000_000;
 const TERMS: Terms = Terms {
@@ -34,13 +34,13 @@
         world
     }
 
-    fn apply(&mut self, command: &Command) -> Option<Done> {
+    fn apply(&mut self, command: &Command) -> Option<Completion> {
         self.revision += 1;
         self.state
             .apply(
                 self.revision,
                 command,
-                Room {
+                Capacity {
                     keys: 99,
                     sessions: 99,
                 },
@@ -100,7 +100,10 @@
         };
         let done = self.apply(&Command::Txn(txn));
         let answer = match done {
-            Some(Done::Made(.., Outcome::Applied(revision))) => Answer::Applied(revision),
+            Some(Completion::Txn {
+                outcome: Outcome::Applied(revision),
+                ..
+            }) => Answer::Applied(revision),
             _ => Answer::Refused,
         };
         let lease = &mut self.all[at].0;
@@ -163,7 +166,13 @@
         checks,
         sets,
     }));
-    assert!(matches!(done, Some(Done::Made(.., Outcome::Refused(_)))));
+    assert!(matches!(
+        done,
+        Some(Completion::Txn {
+            outcome: Outcome::Rejected(_),
+            ..
+        })
+    ));
     world.run(S, &[0, 1, 2]);
     let events = world.all[0].0.take_events();
     assert!(events.contains(&Event::Lost(first)), "{events:?}");
--- a/ownership/tests/simulation.rs
+++ b/ownership/tests/simulation.rs
@@ -6,15 +6,15 @@
 use ownership::lease::{Answer, Ask, Event, Lease, Terms, View};
 use ownership::{Time, Token, choose, keys};
 use std::collections::BTreeMap;
-use store::command::{Check, Command, Expects, Txn};
-use store::packet::Change;
-use store::state::{Done, Outcome, Room, State};
+use store::command::{Change, Check, Command, Expects, Txn};
+
+use store::state::{Capacity, Completion, Outcome, State};
 
 const MS: Time = 1_000_000;
 const LEASE: Time = 1_000 * MS;
 const TICK: Time = 10 * MS;
 const KIND: Kind = Kind::Probes;
-const ROOM: Room = Room {
+const ROOM: Capacity = Capacity {
     keys: 500,
     sessions: 500,
 };
@@ -247,7 +247,11 @@
             let (_, command) = &log[one.applied];
             one.applied += 1;
             let (_, done) = one.state.apply(one.applied as u64, command, ROOM);
-            if let Some(Done::Made(session, request, outcome)) = done
+            if let Some(Completion::Txn {
+                session,
+                request,
+                outcome,
+            }) = done
                 && session == one.session
                 && one
                     .waits
@@ -257,7 +261,7 @@
                 one.waits = None;
                 answers.push(match outcome {
                     Outcome::Applied(revision) => Answer::Applied(revision),
-                    Outcome::Refused(_) => Answer::Refused,
+                    Outcome::Rejected(_) => Answer::Refused,
                 });
             }
         }
@@ -345,7 +349,7 @@
         };
         let looks = self.all[at]
             .state
-            .held(&fence.key)
+            .versioned(&fence.key)
             .is_some_and(|held| held.revision == revision);
         let value = Some(serde_json::json!([token.json(), self.now]).to_string());
         let sets = vec![Change {
--- a/store/src/command.rs
+++ b/store/src/command.rs
@@ -1,53 +1,71 @@
-//! What an entry of the log asks the state to do, and how it is written.
+//! Commands that entries of the log hold for the state machine, and their JSON.
 
-use crate::packet::Change;
 use serde_json::{Value as Json, json};
 
-/// One entry's request.
+/// A command of one entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// A key gets a value, whatever it had.
+    /// Sets or removes a key unconditionally.
     Put(Change),
-    /// A session begins; its id is the revision of this entry. The number tells its caller from
-    /// others.
+    /// Opens a session whose id is the revision of this entry. The nonce tells the caller which
+    /// session is its own.
     Open(u64),
-    /// Several keys change together, or none does.
+    /// Changes several keys atomically.
     Txn(Txn),
 }
 
-/// A change of several keys, made whole or not at all.
+/// A transaction: all sets are applied if all checks hold, else none is.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// The session that it is of.
+    /// Id of the session.
     pub session: u64,
-    /// Its number there; one that is repeated has the number it had.
+    /// Number of the request in its session, from 1. A retry has the number of the first attempt,
+    /// which makes it idempotent.
     pub request: u64,
-    /// What has to be so for it to be made.
+    /// Preconditions.
     pub checks: Vec<Check>,
-    /// What it changes.
+    /// Changes.
     pub sets: Vec<Change>,
 }
 
-/// What has to be so of a key.
+/// A precondition on a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Check {
     /// The key.
     pub key: String,
-    /// What is expected of it.
+    /// The expectation.
     pub expects: Expects,
 }
 
-/// What is expected of a key.
+/// Expectation of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expects {
-    /// It is not there.
+    /// The key does not exist.
     Absent,
-    /// It was last changed at this revision.
+    /// The key was last changed at this revision.
     At(u64),
-    /// It has this value.
+    /// The key has this value.
     Is(String),
 }
 
+/// A change of one key.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Change {
+    /// The key.
+    pub key: String,
+    /// The new value; `None` removes the key.
+    pub value: Option<String>,
+}
+
+/// Size of a command.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct Size {
+    /// Bytes of the longest key or value.
+    pub longest_bytes: usize,
+    /// Keys that are named.
+    pub keys: usize,
+}
+
 impl Command {
     /// The command as JSON.
     pub fn json(&self) -> Json {
@@ -58,7 +76,7 @@
         }
     }
 
-    /// A command from JSON.
+    /// A command from JSON; `None` if it has another form.
     pub fn read(json: &Json) -> Option<Command> {
         if let Some(nonce) = json["open"].as_u64() {
             return Some(Command::Open(nonce));
@@ -66,11 +84,11 @@
         if json["txn"].is_object() {
             return Some(Command::Txn(Txn::read(&json["txn"])?));
         }
-        Some(Command::Put(read_change(json)?))
+        Some(Command::Put(change_from_json(json)?))
     }
 
-    /// Bytes of its longest text, and how many keys it names.
-    pub fn size(&self) -> (usize, usize) {
+    /// Size of the command, for the store's bounds.
+    pub(crate) fn size(&self) -> Size {
         let of = |change: &Change| {
             change
                 .key
@@ -78,23 +96,29 @@
                 .max(change.value.as_ref().map_or(0, String::len))
         };
         match self {
-            Command::Put(change) => (of(change), 1),
-            Command::Open(_) => (0, 0),
+            Command::Put(change) => Size {
+                longest_bytes: of(change),
+                keys: 1,
+            },
+            Command::Open(_) => Size::default(),
             Command::Txn(txn) => {
                 let expected = txn.checks.iter().map(|check| match &check.expects {
                     Expects::Is(value) => check.key.len().max(value.len()),
                     _ => check.key.len(),
                 });
                 let longest = txn.sets.iter().map(of).chain(expected).max().unwrap_or(0);
-                (longest, txn.sets.len() + txn.checks.len())
+                Size {
+                    longest_bytes: longest,
+                    keys: txn.sets.len() + txn.checks.len(),
+                }
             }
         }
     }
 }
 
 impl Txn {
-    /// The change as JSON: `checks` are pairs of a key and what is expected, `sets` pairs of a key
-    /// and its value or null.
+    /// The transaction as JSON: `checks` are pairs of a key and its expectation, `sets` pairs of a
+    /// key and its value or null.
     pub fn json(&self) -> Json {
         let check = |check: &Check| match &check.expects {
             Expects::Absent => json!([check.key, {"absent": true}]),
@@ -110,7 +134,7 @@
         json!({"session": self.session, "request": self.request, "checks": checks, "sets": sets})
     }
 
-    /// A change from JSON; `None` where something is missing or of another kind.
+    /// A transaction from JSON; `None` if it has another form.
     pub fn read(json: &Json) -> Option<Txn> {
         let check = |json: &Json| {
             let expects = match &json[1] {
@@ -150,8 +174,8 @@
     }
 }
 
-/// A change from JSON; a key without a value is gone.
-pub fn read_change(json: &Json) -> Option<Change> {
+/// A change from JSON; `None` if it has another form. A null value removes the key.
+fn change_from_json(json: &Json) -> Option<Change> {
     let value = match json.get("value")? {
         Json::Null => None,
         value => Some(value.as_str()?.to_owned()),
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,19 +1,31 @@
-//! One member of a small replicated store, for configuration and state. It has no sockets, clock,
-//! files or randomness of its own: time, packets and news of finished writes come in; packets,
-//! writes and committed changes go out.
+//! One member of a small replicated store, for configuration and coordination state.
 //!
-//! The one rule that everything else rests on: what a member tells others, and what it says is
-//! committed, is told only after every write that came before it is on the disk.
+//! The members agree on a log by Raft (Ongaro and Ousterhout, "In Search of an Understandable
+//! Consensus Algorithm", 2014) over the library `raftbare`, and every member applies the committed
+//! entries to the same key-value state. The crate does no I/O and has no clock, threads or
+//! randomness of its own: time, messages and completions of writes come in; messages, writes and
+//! committed changes go out. So the same code runs in the gatherer and in simulations.
+//!
+//! Invariant that everything else rests on: a member acknowledges, votes or shows something as
+//! committed only after every write that this depends on is on its disk (see
+//! [`member::Store::take_outbox`]). Else a power failure could take back what others count on.
+//!
+//! - [`member`]: the member, with its client calls, persistence and admission to the store.
+//! - [`rejoin`]: the rule by which a restarted member may vote again, also without its file.
+//! - [`log`], [`command`], [`state`]: entries, what they ask for, and what comes of them.
+//! - [`message`]: messages between members, and their encoding as lines of JSON.
+//! - [`record`], [`persisted`]: the member's file, and the state that is recovered from it.
 
 #![forbid(unsafe_code)]
 
 pub mod command;
-pub mod kept;
+pub mod log;
 pub mod member;
-pub mod packet;
+pub mod message;
+pub mod persisted;
 pub mod record;
 pub mod rejoin;
 pub mod state;
 
-/// A moment or a duration, in nanoseconds of a clock that only moves forward.
+/// An instant or a duration, in nanoseconds of a monotonic clock.
 pub type Time = u64;
--- /dev/null
+++ b/store/src/member/persistence.rs
@@ -0,0 +1,155 @@
+//! Numbered writes of a member's file, and which of them are on the disk.
+
+use super::Store;
+use crate::log::{Entries, Snapshot};
+use crate::record::Record;
+use crate::rejoin::Status;
+use raftbare::NodeId;
+use std::collections::VecDeque;
+
+/// Records that have to be on the disk before any message that was queued after them is sent.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Write {
+    /// Sequence number, from 1; writes are carried out in this order.
+    pub number: u64,
+    /// Whether the records replace the whole file.
+    pub replaces: bool,
+    /// The records.
+    pub records: Vec<Record>,
+}
+
+/// Where the log ended when a write was issued.
+struct LogEnd {
+    write: u64,
+    index: u64,
+}
+
+/// The writes of a member. A member that keeps no file issues none, and everything counts as
+/// durable at once.
+pub(super) struct Persistence {
+    /// Writes that have not been taken yet; `None` where no file is kept.
+    queue: Option<Vec<Write>>,
+    last_issued: u64,
+    last_completed: u64,
+    /// The last write of anything but log entries: a term, a vote, or what this member is.
+    last_vote_write: u64,
+    /// For writes that are not completed.
+    log_ends: VecDeque<LogEnd>,
+    /// Index up to which the log is on the disk.
+    durable_index: u64,
+}
+
+impl Persistence {
+    /// Persistence of a member whose log, as recovered from its file, ends at this index.
+    pub(super) fn new(keeps_file: bool, durable_index: u64) -> Persistence {
+        Persistence {
+            queue: keeps_file.then(Vec::new),
+            last_issued: 0,
+            last_completed: 0,
+            last_vote_write: 0,
+            log_ends: VecDeque::new(),
+            durable_index,
+        }
+    }
+
+    /// Number of the last write that was issued; a message that waits for it waits for all.
+    pub(super) fn last_issued(&self) -> u64 {
+        self.last_issued
+    }
+
+    /// Number of the last write that is on the disk.
+    pub(super) fn last_completed(&self) -> u64 {
+        self.last_completed
+    }
+
+    /// Number of the last write of a term, a vote or the member's status.
+    pub(super) fn last_vote_write(&self) -> u64 {
+        self.last_vote_write
+    }
+
+    /// Index up to which the log is durable.
+    pub(super) fn durable_index(&self) -> u64 {
+        if self.queue.is_some() {
+            self.durable_index
+        } else {
+            u64::MAX
+        }
+    }
+
+    fn issue(&mut self, replaces: bool, records: Vec<Record>, log_end: u64) {
+        let Some(queue) = &mut self.queue else {
+            return;
+        };
+        self.last_issued += 1;
+        if !matches!(records[..], [Record::Append(_)]) {
+            self.last_vote_write = self.last_issued;
+        }
+        self.log_ends.push_back(LogEnd {
+            write: self.last_issued,
+            index: log_end,
+        });
+        queue.push(Write {
+            number: self.last_issued,
+            replaces,
+            records,
+        });
+    }
+
+    fn complete(&mut self, number: u64) {
+        self.last_completed = self.last_completed.max(number);
+        let completed = self.last_completed;
+        while let Some(end) = self.log_ends.front()
+            && end.write <= completed
+        {
+            self.durable_index = end.index;
+            self.log_ends.pop_front();
+        }
+    }
+}
+
+impl Store {
+    /// Writes to carry out, in order, since this was last called.
+    pub fn take_writes(&mut self) -> Vec<Write> {
+        self.persistence
+            .queue
+            .as_mut()
+            .map(std::mem::take)
+            .unwrap_or_default()
+    }
+
+    /// Notes that every write up to this number is on the disk.
+    pub fn on_written(&mut self, number: u64) {
+        self.persistence.complete(number);
+        self.apply();
+    }
+
+    /// Appends a record to the file.
+    pub(super) fn persist(&mut self, record: Record) {
+        let log_end = self.last().index;
+        self.persistence.issue(false, vec![record], log_end);
+    }
+
+    /// Replaces the file by a snapshot and what has to be known beside it.
+    pub(super) fn replace_file(&mut self, snapshot: Snapshot) {
+        let mut records = vec![
+            Record::Start(self.start),
+            Record::Cluster(self.cluster),
+            Record::Snapshot(snapshot),
+            Record::Generation(self.rejoin.generation()),
+        ];
+        let peers = self.rejoin.peers().iter();
+        records.extend(peers.map(|(id, peer)| Record::Peer(*id, *peer)));
+        records.push(Record::Term(self.node.current_term().get()));
+        records.push(Record::Vote(self.node.voted_for().map(NodeId::get)));
+        let entries = Entries::new(self.node.log().entries(), &self.commands);
+        records.push(Record::Append(entries));
+        match self.rejoin.status() {
+            Status::Bootstrapping => records.push(Record::Bootstrapping(true)),
+            Status::Lost => records.push(Record::Lost),
+            _ if self.never_voted => records.push(Record::Joined),
+            _ => {}
+        }
+        let log_end = self.last().index;
+        self.persistence.issue(true, records, log_end);
+    }
+}
--- a/store/src/member/rejoining.rs
+++ b/store/src/member/rejoining.rs
@@ -1,107 +1,114 @@
-//! A member's way into the store: what it says and answers before it takes part, and what it does
-//! with what it is told. The rule stands in [`crate::rejoin`]; here it meets the log, the file and
-//! the packets.
+//! Bootstrap of the store, and admission of members that have just started: applies the rule of
+//! [`crate::rejoin`] to the log, the file and the messages.
 
-use super::{Store, after};
+use super::{CatchUpBar, Store};
 use crate::Time;
-use crate::packet::{Body, Position, Snapshot};
+use crate::log::{Position, Snapshot, empty_log};
+use crate::message::Message;
 use crate::record::Record;
-use crate::rejoin::{Ask, Past, Standing, Verdict, rank};
+use crate::rejoin::{History, Status, StatusRequest, Verdict};
 use raftbare::{Log, Node, NodeId, Role};
 
 impl Store {
-    /// Says what this member has to say before it takes part, and when to say it again.
-    pub(super) fn speak(&mut self, now: Time) {
-        let last = self.last();
-        let mut bodies = Vec::new();
-        if let Some(ask) = self.rejoin.ask(self.start, last) {
-            bodies.push(Body::Ask(ask));
-        }
-        if let (Standing::Lost, Some((term, last))) = (self.rejoin.standing(), self.bar) {
-            bodies.push(Body::Fetch {
-                life: self.rejoin.life(),
-                term,
-                last,
+    /// Sends what this member has to tell the others before it is active, and schedules the next
+    /// time.
+    pub(super) fn send_status(&mut self, now: Time) {
+        let messages = self.status_messages();
+        let others: Vec<u64> = self
+            .members
+            .iter()
+            .copied()
+            .filter(|to| *to != self.id() && !self.accepted.contains(to))
+            .collect();
+        for message in &messages {
+            for to in &others {
+                self.send(*to, message.clone());
+            }
+        }
+        // With jitter, so that members that restart together do not keep asking together.
+        let half = self.timing.election / 2;
+        let wait = half + self.rng.u64(0..=half);
+        self.status_request_at = (!messages.is_empty()).then_some(now + wait);
+    }
+
+    fn status_messages(&self) -> Vec<Message> {
+        let incarnation = self.rejoin.incarnation();
+        let mut messages = Vec::new();
+        if let Some(request) = self.rejoin.status_request(self.start, self.last()) {
+            messages.push(Message::StatusRequest(request));
+        }
+        if let (Status::Lost, Some(bar)) = (self.rejoin.status(), self.catch_up_bar) {
+            messages.push(Message::SnapshotRequest {
+                incarnation,
+                term: bar.term,
+                last: bar.last,
             });
         }
-        if self.rejoin.standing() == Standing::Founding
+        if self.rejoin.status() == Status::Bootstrapping
             && let Some(snapshot) = self.snapshot()
         {
-            bodies.push(Body::Found {
-                life: self.rejoin.life(),
+            messages.push(Message::Bootstrap {
+                incarnation,
                 snapshot,
             });
         }
-        let others = self
-            .members
-            .iter()
-            .filter(|to| **to != self.id() && !self.joined.contains(to));
-        let others: Vec<u64> = others.copied().collect();
-        for body in &bodies {
-            let packet = self.packet(body.clone());
-            self.outbox
-                .extend(others.iter().map(|to| (self.made, *to, packet.clone())));
-        }
-        // Members that come back at one moment do not go on asking at one moment.
-        let wait = self.pace.election / 2 + self.rng.u64(0..=self.pace.election / 2);
-        self.ask_at = (!bodies.is_empty()).then_some(now + wait);
+        messages
     }
 
-    pub(super) fn answer(&mut self, from: u64, ask: &Ask, term: u64) {
+    /// Answers a member that has just started.
+    pub(super) fn answer_status_request(&mut self, from: u64, request: &StatusRequest, term: u64) {
         let known = self
             .rejoin
             .peers()
             .get(&from)
             .map_or(0, |peer| peer.generation);
-        let (told, noted) = self
-            .rejoin
-            .answer(from, ask, term, !self.unvoted, self.last());
-        if noted {
-            self.keep(Record::Peer(from, self.rejoin.peers()[&from]));
+        let last = self.last();
+        let (response, must_persist) =
+            self.rejoin
+                .respond(from, request, term, !self.never_voted, last);
+        if must_persist {
+            self.persist(Record::Peer(from, self.rejoin.peers()[&from]));
         }
-        if ask.past == Past::Claimed && told.generation > known {
+        if request.past == History::Claimed && response.generation > known {
             self.step_down();
         }
-        let packet = self.packet(Body::Told(told));
-        self.outbox.push_back((self.made, from, packet));
+        self.send(from, Message::StatusResponse(response));
     }
 
-    pub(super) fn judge(&mut self, verdict: Verdict, now: Time) {
+    /// Acts on what has come of the responses to this member's status request.
+    pub(super) fn apply_verdict(&mut self, verdict: Verdict, now: Time) {
         match verdict {
-            Verdict::Waits => return,
-            Verdict::Sound => self.ask_at = None,
-            Verdict::Founds => self.found(),
-            Verdict::Lost => self.lose(),
-            Verdict::Claims(generation) => {
-                self.cluster = self.rejoin.store();
-                self.bar = None;
-                for record in [
-                    Record::Cluster(self.cluster),
-                    Record::Lost,
-                    Record::Generation(generation),
-                ] {
-                    self.keep(record);
-                }
+            Verdict::Pending => return,
+            Verdict::Active => self.status_request_at = None,
+            Verdict::Bootstrap => self.bootstrap(),
+            Verdict::Lost => self.mark_lost(),
+            Verdict::ClaimGeneration(generation) => {
+                self.cluster = self.rejoin.majority_store();
+                self.catch_up_bar = None;
+                self.persist(Record::Cluster(self.cluster));
+                self.persist(Record::Lost);
+                self.persist(Record::Generation(generation));
             }
-            Verdict::CatchesUp(term, last) => {
-                if self.bar.replace((term, last)) == Some((term, last)) {
+            Verdict::CatchUp { term, last } => {
+                let bar = CatchUpBar { term, last };
+                if self.catch_up_bar.replace(bar) == Some(bar) {
                     return;
                 }
             }
         }
-        self.speak(now);
+        self.send_status(now);
     }
 
-    /// Takes what another knows of how often a member has lost its file. What its earlier lives had
-    /// a part in is not counted any more: whoever leads or stands for election may owe that to
-    /// them.
-    pub(super) fn learn(&mut self, member: u64, generation: u64) {
+    /// Learns how often a member has lost its file. Votes and acknowledgements of its earlier
+    /// generations no longer count, so a leader or candidate, which may owe its position to them,
+    /// steps down.
+    pub(super) fn observe_generation(&mut self, member: u64, generation: u64) {
         if member == self.id() {
-            if generation > self.rejoin.generation() && self.rejoin.is_replaced() {
-                self.lose();
+            if generation > self.rejoin.generation() && self.rejoin.on_replaced() {
+                self.mark_lost();
             }
-        } else if generation > 0 && self.rejoin.learn(member, generation) {
-            self.keep(Record::Peer(member, self.rejoin.peers()[&member]));
+        } else if generation > 0 && self.rejoin.observe_generation(member, generation) {
+            self.persist(Record::Peer(member, self.rejoin.peers()[&member]));
             self.step_down();
         }
     }
@@ -117,20 +124,20 @@
         }
     }
 
-    /// This member's file is not the newest that it had.
-    pub(super) fn lose(&mut self) {
+    /// Marks this member's file as not the newest that it had.
+    pub(super) fn mark_lost(&mut self) {
         self.step_down();
-        if std::mem::take(&mut self.unvoted) {
-            // Nothing ever came of the store that this member took itself to be of.
+        if std::mem::take(&mut self.never_voted) {
+            // The store that this member took itself to be of has never come to be.
             self.cluster = 0;
-            self.keep(Record::Cluster(0));
+            self.persist(Record::Cluster(0));
         }
-        self.bar = None;
-        self.keep(Record::Lost);
+        self.catch_up_bar = None;
+        self.persist(Record::Lost);
     }
 
-    /// Begins the store: once every member is part of it somebody may vote.
-    pub(super) fn found(&mut self) {
+    /// Bootstraps the store. Nobody votes before every member has accepted it.
+    pub(super) fn bootstrap(&mut self) {
         self.cluster = self.rng.u64(1..);
         let members = self.members.clone();
         let mut snapshot = Snapshot {
@@ -140,101 +147,131 @@
         if self.era > 0 {
             snapshot.state.begin_era(self.era);
         }
-        self.begin(&snapshot);
+        self.start_log(&snapshot);
         if self.members.len() == 1 {
-            self.founded();
+            self.finish_bootstrap();
         }
     }
 
-    /// Takes a snapshot for the begin of the log.
-    fn begin(&mut self, snapshot: &Snapshot) {
-        let log = Log::new(snapshot.config(), after(snapshot.position));
+    /// Starts a new log from a snapshot.
+    fn start_log(&mut self, snapshot: &Snapshot) {
+        let log = Log::new(snapshot.config(), empty_log(snapshot.position));
         self.node = Node::restart(self.node.id(), snapshot.position.term.into(), None, log);
         (self.applied, self.state) = (snapshot.position.index, snapshot.state.clone());
         self.commands.clear();
-        self.unvoted = true;
-        self.rejoin.begins();
-        self.rewrite(snapshot.clone());
+        self.never_voted = true;
+        self.rejoin.clear_peers();
+        self.replace_file(snapshot.clone());
     }
 
-    /// Another member begins the store, with this one in it.
-    pub(super) fn join(&mut self, from: u64, cluster: u64, life: u64, snapshot: Snapshot) {
-        // Of two that begin one store, as an operator may have it who begins it anew from a file,
-        // the one that has more goes on.
-        let founding = self.rejoin.standing() == Standing::Founding;
-        let (own, other) = (rank(self.last()), rank(snapshot.position));
-        let gives_way = self.unvoted && if founding { other > own } else { other >= own };
-        let body = if self.unvoted && self.cluster == cluster {
-            Body::Joined
-        } else if (gives_way || self.rejoin.standing() == Standing::Empty)
+    /// Another member bootstraps the store, with this one in it.
+    pub(super) fn on_bootstrap(
+        &mut self,
+        from: u64,
+        cluster: u64,
+        incarnation: u64,
+        snapshot: Snapshot,
+    ) {
+        // Of two members that bootstrap one store, as may happen when an operator recovers it from
+        // a file, the one with the more recent state goes on.
+        let bootstraps = self.rejoin.status() == Status::Bootstrapping;
+        let (own, other) = (self.last().recency(), snapshot.position.recency());
+        let gives_way = self.never_voted
+            && if bootstraps {
+                other > own
+            } else {
+                other >= own
+            };
+        let message = if self.never_voted && self.cluster == cluster {
+            Message::BootstrapAccepted
+        } else if (gives_way || self.rejoin.status() == Status::Empty)
             && snapshot.members == self.members
         {
             self.cluster = cluster;
-            self.rejoin.restored();
-            self.begin(&snapshot);
-            Body::Joined
-        } else if !self.takes_part() {
-            // It may have voted in what it does not remember, or in a store that is not there any
-            // more.
+            self.rejoin.mark_active();
+            self.start_log(&snapshot);
+            Message::BootstrapAccepted
+        } else if !self.is_active() {
+            // It may have voted in a store that it does not remember, or that no longer exists.
             return;
         } else {
-            Body::Begun { life }
+            Message::AlreadyBootstrapped { incarnation }
         };
-        if body == Body::Joined {
-            self.rejoin.restored();
-            self.ask_at = None;
+        if message == Message::BootstrapAccepted {
+            self.rejoin.mark_active();
+            self.status_request_at = None;
         }
-        let packet = self.packet(body);
-        self.outbox.push_back((self.made, from, packet));
+        self.send(from, message);
     }
 
-    pub(super) fn joined(&mut self, from: u64) {
-        if self.rejoin.standing() == Standing::Founding && self.joined.insert(from) {
-            let all = self.joined.len() + 1 >= self.members.len();
+    /// A member has accepted the store that this one bootstraps.
+    pub(super) fn on_bootstrap_accepted(&mut self, from: u64) {
+        if self.rejoin.status() == Status::Bootstrapping && self.accepted.insert(from) {
+            let all = self.accepted.len() + 1 >= self.members.len();
             if all {
-                self.founded();
+                self.finish_bootstrap();
             }
         }
     }
 
-    /// The store has begun: this member stands for election, and never begins it again.
-    fn founded(&mut self) {
-        self.keep(Record::Founding(false));
-        self.rejoin.restored();
-        (self.unvoted, self.ask_at) = (false, None);
-        self.joined.clear();
+    /// The store exists: this member starts an election, and never bootstraps it again.
+    fn finish_bootstrap(&mut self) {
+        self.persist(Record::Bootstrapping(false));
+        self.rejoin.mark_active();
+        (self.never_voted, self.status_request_at) = (false, None);
+        self.accepted.clear();
         self.node.handle_election_timeout();
     }
 
-    /// Gives a member that has lost its file what is committed, where that is enough.
-    pub(super) fn restore(&mut self, to: u64, life: u64, term: u64, last: Position) {
-        let enough = self.takes_part() && self.leads() && self.node.current_term().get() >= term;
+    /// Sends the committed state to a member that has lost its file, if it reaches far enough.
+    pub(super) fn send_restore_snapshot(
+        &mut self,
+        to: u64,
+        incarnation: u64,
+        term: u64,
+        last: Position,
+    ) {
+        let may_answer =
+            self.is_active() && self.is_leader() && self.node.current_term().get() >= term;
         let snapshot = self
             .snapshot()
-            .filter(|snapshot| enough && rank(snapshot.position) >= rank(last));
-        let packet = snapshot.map(|snapshot| {
-            self.packet(Body::Snapshot {
+            .filter(|snapshot| may_answer && snapshot.position.recency() >= last.recency());
+        if let Some(snapshot) = snapshot {
+            let message = Message::InstallSnapshot {
                 snapshot,
-                restores: life,
-            })
-        });
-        self.outbox
-            .extend(packet.map(|packet| (self.made, to, packet)));
+                restores: incarnation,
+            };
+            self.send(to, message);
+        }
     }
 
-    /// Takes what a leader has committed in place of what this member has lost, and counts again.
-    pub(super) fn catch_up(&mut self, from: u64, term: u64, life: u64, snapshot: Snapshot) {
-        let enough =
-            |(least, last): (u64, Position)| term >= least && rank(snapshot.position) >= rank(last);
-        let lost = self.rejoin.standing() == Standing::Lost && life == self.rejoin.life();
-        if !lost || !self.bar.is_some_and(enough) {
+    /// Installs a leader's committed state in place of what this member has lost, and makes the
+    /// member active again.
+    ///
+    /// Invariant: only a snapshot at or beyond the catch-up bar is installed. Below it, this member
+    /// could vote for a candidate that lacks an entry which an earlier generation of this member
+    /// had acknowledged and which was committed by that.
+    pub(super) fn install_restore_snapshot(
+        &mut self,
+        from: u64,
+        term: u64,
+        incarnation: u64,
+        snapshot: Snapshot,
+    ) {
+        let lost = self.rejoin.status() == Status::Lost && incarnation == self.rejoin.incarnation();
+        let reaches_bar = self.catch_up_bar.is_some_and(|bar| {
+            term >= bar.term && snapshot.position.recency() >= bar.last.recency()
+        });
+        if !lost || !reaches_bar {
             return;
         }
-        let log = Log::new(snapshot.config(), after(snapshot.position));
-        // In this term it can have voted for nobody else with any effect: that one leads.
+        let log = Log::new(snapshot.config(), empty_log(snapshot.position));
+        // The vote goes to the leader of this term: a vote of an earlier generation for another
+        // candidate can have had no effect, as that candidate does not lead.
         self.node = Node::restart(self.node.id(), term.into(), Some(NodeId::new(from)), log);
-        (self.bar, self.ask_at, self.unvoted) = (None, None, false);
-        self.rejoin.restored();
-        self.take_state(snapshot);
+        (self.catch_up_bar, self.status_request_at) = (None, None);
+        self.never_voted = false;
+        self.rejoin.mark_active();
+        self.adopt_snapshot(snapshot);
     }
 }
--- a/store/src/member/tests.rs
+++ b/store/src/member/tests.rs
@@ -10,14 +10,14 @@
     now: Time,
 }
 
-fn member(id: u64, begins: bool) -> Store {
+fn member(id: u64, bootstraps: bool) -> Store {
     let membership = Membership {
         id,
         members: BTreeSet::from([1, 2, 3]),
-        begins,
+        bootstraps,
         era: 0,
     };
-    let pace = Pace {
+    let timing = Timing {
         heartbeat: 10 * MS,
         election: 50 * MS,
     };
@@ -30,7 +30,7 @@
         calls: 8,
         history: 40,
     };
-    Store::start(&membership, pace, bounds, id, None, 0)
+    Store::start(&membership, timing, bounds, id, None, 0)
 }
 
 impl Cluster {
@@ -42,11 +42,11 @@
                 store.timer(self.now);
                 packets.extend(store.take_outbox());
             }
-            for (to, packet) in packets {
+            for (to, envelope) in packets {
                 // Each packet goes through its line.
-                let packet = Packet::read(packet.write().as_bytes()).unwrap();
+                let envelope = Envelope::read(envelope.write().as_bytes()).unwrap();
                 if let Some(store) = self.members.get_mut(&to) {
-                    store.receive(packet, self.now).unwrap();
+                    store.receive(envelope, self.now).unwrap();
                 }
             }
         }
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_majority_commits_without_a_lost_member_and_one_that_comes_back_catches_up() {
+fn majority_commits_and_returning_member_catches_up() {
     let members = (1..=3).map(|id| (id, member(id, id == 1))).collect();
     let mut cluster = Cluster { members, now: 0 };
     cluster.run(300 * MS);
@@ -77,7 +77,7 @@
     let leader = *cluster
         .members
         .iter()
-        .find(|(_, store)| store.leads())
+        .find(|(_, store)| store.is_leader())
         .expect("a leader")
         .0;
     cluster.members.remove(&leader);
@@ -111,14 +111,14 @@
 }
 
 #[test]
-fn a_lone_member_commits_at_once_and_needs_no_timer() {
+fn lone_member_commits_without_timer() {
     let membership = Membership {
         id: 0,
         members: BTreeSet::from([0]),
-        begins: true,
+        bootstraps: true,
         era: 0,
     };
-    let pace = Pace {
+    let timing = Timing {
         heartbeat: MS,
         election: MS,
     };
@@ -131,7 +131,7 @@
         calls: 8,
         history: 40,
     };
-    let mut store = Store::start(&membership, pace, bounds, 1, None, 0);
+    let mut store = Store::start(&membership, timing, bounds, 1, None, 0);
     for i in 0..100 {
         store.put("a", &i.to_string(), 0).unwrap();
         assert_eq!(store.state().get("a"), Some(i.to_string().as_str()));
@@ -150,14 +150,14 @@
 /// key another value, and the former leader's entry is taken out of its log. What it wants is
 /// proposed again, although nothing else changes any more.
 #[test]
-fn what_a_former_leader_wants_is_proposed_again_once_its_entry_was_taken_out() {
+fn proposes_wanted_value_again_after_truncation() {
     let members = (1..=3).map(|id| (id, member(id, id == 1))).collect();
     let mut cluster = Cluster { members, now: 0 };
     cluster.run(300 * MS);
     let leader = *cluster
         .members
         .iter()
-        .find(|(_, store)| store.leads())
+        .find(|(_, store)| store.is_leader())
         .expect("a leader")
         .0;
     let former = cluster.members.remove(&leader).expect("the leader");
--- a/store/src/kept.rs
+++ b/store/src/persisted.rs
@@ -1,27 +1,27 @@
-//! What a member's file kept, read back in order.
+//! The state of a member as recovered from its file, by replaying the records in order.
 
 use crate::command::Command;
-use crate::packet::{Position, Snapshot};
+use crate::log::{Entries, Position, Snapshot, empty_log};
 use crate::record::Record;
-use crate::rejoin::{Peer, Standing};
-use crate::state::Room;
+use crate::rejoin::{Peer, Status};
+use crate::state::Capacity;
 use raftbare::{Log, LogEntries, Node, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a file kept.
+/// State recovered from a member's file.
 #[derive(Debug, Default)]
-pub struct Kept {
-    /// How often the member has started before.
+pub struct PersistedState {
+    /// How often the member has started.
     pub starts: u64,
-    /// Which store it is of; 0 where the file does not say.
+    /// Id of the store; 0 if the file has none.
     pub cluster: u64,
-    /// How often the member had lost its file.
+    /// The member's generation: how often it has lost its file.
     pub generation: u64,
-    /// What others are known to have told of themselves.
+    /// What is known of other members.
     pub peers: BTreeMap<u64, Peer>,
-    /// Whether the member is part of a store in which it has not voted yet.
+    /// Whether the member belongs to a store in which it has not voted yet.
     pub joined: bool,
-    founding: bool,
+    bootstrapping: bool,
     lost: bool,
     term: u64,
     vote: Option<u64>,
@@ -30,74 +30,85 @@
     commands: BTreeMap<Position, Command>,
 }
 
-impl Kept {
-    /// What these records say.
-    pub fn of(records: Vec<Record>) -> Kept {
-        let mut kept = Kept::default();
-        records.into_iter().for_each(|record| kept.take(record));
-        kept
+impl PersistedState {
+    /// Replays the records of a file.
+    pub fn from_records(records: Vec<Record>) -> PersistedState {
+        let mut persisted = PersistedState::default();
+        records
+            .into_iter()
+            .for_each(|record| persisted.replay(record));
+        persisted
     }
 
-    /// A member whose file is gone, though it was once of this store.
-    pub fn gone(cluster: u64) -> Kept {
-        Kept {
+    /// State of a member of this store whose file is gone.
+    pub fn lost_file(cluster: u64) -> PersistedState {
+        PersistedState {
             cluster,
             lost: true,
-            ..Kept::default()
+            ..PersistedState::default()
         }
     }
 
     /// Whether the member may have voted.
     pub fn has_voted(&self) -> bool {
-        self.term > 0 && !self.founding && !self.joined
+        self.term > 0 && !self.bootstrapping && !self.joined
     }
 
-    /// True where the member has never been part of a store.
+    /// Whether the member has never belonged to a store.
     pub fn is_empty(&self) -> bool {
         self.term == 0 && self.log.is_none() && !self.lost
     }
 
-    /// What the member may do at first.
-    pub fn standing(&self) -> Standing {
+    /// Status that the member starts with.
+    pub fn status(&self) -> Status {
         match self {
-            Kept { lost: true, .. } => Standing::Lost,
-            kept if kept.is_empty() => Standing::Empty,
-            Kept { founding: true, .. } => Standing::Founding,
-            _ => Standing::Unjudged,
+            PersistedState { lost: true, .. } => Status::Lost,
+            persisted if persisted.is_empty() => Status::Empty,
+            PersistedState {
+                bootstrapping: true,
+                ..
+            } => Status::Bootstrapping,
+            _ => Status::Unverified,
         }
     }
 
-    /// The file of a new store of these members that begins with all that this file holds, whether
-    /// or not it is committed: what another member had acknowledged and this one has not heard of
-    /// is lost. Its era is later than the file's, and no earlier than the wall clock of the step in
-    /// seconds: a backup may be put back more than once.
-    pub fn anew(mut self, cluster: u64, members: &BTreeSet<u64>, clock: u64) -> Vec<Record> {
+    /// Records of a new store of these members, which starts with all that this file holds,
+    /// committed or not. Entries that other members acknowledged and this file lacks are lost.
+    ///
+    /// The new era is later than the file's, and not before the wall clock `clock_s` in seconds,
+    /// since one backup may be restored more than once.
+    pub fn into_new_store(
+        mut self,
+        cluster: u64,
+        members: &BTreeSet<u64>,
+        clock_s: u64,
+    ) -> Vec<Record> {
         let mut snapshot = std::mem::take(&mut self.snapshot);
         let (from, last) = (snapshot.position.index, self.last(&snapshot));
-        // What a later leader replaced stands in the file, but not in the log.
+        // The file still holds commands of entries that a later leader has replaced in the log.
         let positions = self
             .log
             .iter()
             .flat_map(|log| log.iter_with_positions())
             .map(|(at, _)| at.into());
-        // An operator's step takes whatever there is, bounds or not.
-        let room = Room {
+        // Recovery by an operator is not limited by the bounds of the running store.
+        let capacity = Capacity {
             keys: usize::MAX,
             sessions: usize::MAX,
         };
         for at in positions.filter(|at: &Position| at.index > from) {
             if let Some(command) = self.commands.get(&at) {
-                snapshot.state.apply(at.index, command, room);
+                snapshot.state.apply(at.index, command, capacity);
             }
         }
-        let era = (snapshot.state.era() + 1).max(clock);
+        let era = (snapshot.state.era() + 1).max(clock_s);
         snapshot.state.begin_era(era);
         (snapshot.position, snapshot.members) = (last, members.clone());
         vec![
             Record::Cluster(cluster),
             Record::Snapshot(snapshot),
             Record::Term(last.term),
-            Record::Founding(true),
+            Record::Bootstrapping(true),
         ]
     }
 
@@ -107,7 +118,7 @@
             .map_or(snapshot.position, |log| log.last_position().into())
     }
 
-    /// The members that the file names.
+    /// Members by the latest configuration in the file.
     pub fn members(&self) -> BTreeSet<u64> {
         match &self.log {
             Some(log) => {
@@ -121,7 +132,7 @@
         }
     }
 
-    fn take(&mut self, record: Record) {
+    fn replay(&mut self, record: Record) {
         match record {
             Record::Start(count) => self.starts = self.starts.max(count),
             Record::Cluster(id) => self.cluster = id,
@@ -134,46 +145,48 @@
             Record::Generation(generation) => self.generation = generation,
             Record::Peer(id, peer) => drop(self.peers.insert(id, peer)),
             Record::Joined => self.joined = true,
-            Record::Founding(founding) => (self.founding, self.joined) = (founding, false),
+            Record::Bootstrapping(bootstrapping) => {
+                (self.bootstrapping, self.joined) = (bootstrapping, false)
+            }
             Record::Lost => self.lost = true,
             Record::Vote(vote) => self.vote = vote,
             Record::Snapshot(snapshot) => {
-                self.log = Some(crate::member::after(snapshot.position));
+                self.log = Some(empty_log(snapshot.position));
                 self.snapshot = snapshot;
             }
-            Record::Append(entries) => {
-                self.commands.extend(
-                    entries
-                        .commands()
-                        .map(|(position, command)| (position, command.clone())),
-                );
-                let log = self
-                    .log
-                    .get_or_insert_with(|| crate::member::after(Position::default()));
-                // Entries that begin inside the log replace its end.
-                let kept = entries
-                    .after
-                    .index
-                    .saturating_sub(log.prev_position().index.get());
-                log.truncate(usize::try_from(kept).unwrap_or(usize::MAX));
-                for entry in entries.log().iter() {
-                    log.push(entry);
-                }
-            }
+            Record::Append(entries) => self.append(&entries),
+        }
+    }
+
+    fn append(&mut self, entries: &Entries) {
+        let commands = entries.commands();
+        self.commands
+            .extend(commands.map(|(position, command)| (position, command.clone())));
+        let log = self
+            .log
+            .get_or_insert_with(|| empty_log(Position::default()));
+        // Entries that start inside the log replace its end.
+        let retained = entries
+            .after
+            .index
+            .saturating_sub(log.prev_position().index.get());
+        log.truncate(usize::try_from(retained).unwrap_or(usize::MAX));
+        for entry in entries.to_log().iter() {
+            log.push(entry);
         }
     }
 
-    /// The member as it was, its state at the snapshot, and what the log's entries say.
+    /// The Raft node as it was, its snapshot, and the commands of the log's entries.
     pub fn into_node(self, id: NodeId) -> (Node, Snapshot, BTreeMap<Position, Command>) {
         let log = self
             .log
-            .unwrap_or_else(|| crate::member::after(self.snapshot.position));
+            .unwrap_or_else(|| empty_log(self.snapshot.position));
         let log = Log::new(self.snapshot.config(), log);
         let node = Node::restart(id, self.term.into(), self.vote.map(NodeId::new), log);
         (node, self.snapshot, self.commands)
     }
 
-    /// What `store show` prints.
+    /// Names and values that `store show` prints.
     pub fn summary(&self) -> Vec<(&'static str, String)> {
         let last = self.last(&self.snapshot);
         let mut keys: Vec<&str> = self.snapshot.state.keys().map(|(key, _)| key).collect();
@@ -195,7 +208,7 @@
             ),
             ("starts", self.starts.to_string()),
             ("files lost before", self.generation.to_string()),
-            ("standing", format!("{:?}", self.standing()).to_lowercase()),
+            ("standing", self.status().to_string()),
             ("term", self.term.to_string()),
             (
                 "vote",
--- a/store/src/kept/tests.rs
+++ b/store/src/persisted/tests.rs
@@ -6,7 +6,7 @@
 /// A backup that is put back, twice or after the store went on, gives an era above all that
 /// were.
 #[test]
-fn a_store_that_is_begun_anew_has_a_later_era_than_its_file_and_no_earlier_one_than_the_clock() {
+fn new_store_has_a_later_era_than_file_and_clock() {
     let era_after = |before: u64, clock: u64| {
         let mut state = State::default();
         state.begin_era(before);
@@ -16,8 +16,8 @@
             state,
             ..Snapshot::default()
         };
-        let kept = Kept::of(vec![Record::Snapshot(snapshot)]);
-        let records = kept.anew(7, &BTreeSet::from([1]), clock);
+        let persisted = PersistedState::from_records(vec![Record::Snapshot(snapshot)]);
+        let records = persisted.into_new_store(7, &BTreeSet::from([1]), clock);
         let Some(Record::Snapshot(snapshot)) = records.get(1) else {
             panic!("{records:?}")
         };
--- a/store/src/record/tests.rs
+++ b/store/src/record/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of `record`.
 
 use super::*;
-use crate::command::Command;
-use crate::packet::{Change, Entry, Position};
+use crate::command::{Change, Command};
+use crate::log::{Entry, Position};
 use proptest::prelude::*;
 
 fn records() -> Vec<Record> {
@@ -29,7 +29,7 @@
         Record::Generation(2),
         Record::Peer(3, Peer::known(1, 4, 9)),
         Record::Joined,
-        Record::Founding(false),
+        Record::Bootstrapping(false),
         Record::Lost,
     ]
 }
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_file_cut_anywhere_gives_its_whole_records_and_one_with_any_bit_flipped_is_refused() {
+fn reads_torn_files_and_rejects_flipped_bits() {
     let (bytes, ends) = file();
     for cut in 0..=bytes.len() {
         let read = read(&bytes[..cut]).unwrap();
@@ -55,12 +55,12 @@
             .saturating_sub(1);
         assert_eq!(read.records, records()[..whole], "cut at {cut}");
         let end = if cut < MAGIC.len() { 0 } else { ends[whole] };
-        assert_eq!((read.whole, read.torn), (end, cut - end));
+        assert_eq!((read.valid_bytes, read.torn_bytes), (end, cut - end));
         // The same where the file was made longer before its bytes came.
         if cut >= MAGIC.len() && ends.contains(&cut) {
             let longer = [&bytes[..cut], &[0; 40]].concat();
             assert_eq!(
-                super::read(&longer).map(|r| (r.whole, r.torn)),
+                super::read(&longer).map(|r| (r.valid_bytes, r.torn_bytes)),
                 Ok((cut, 40))
             );
         }
@@ -69,7 +69,7 @@
         let mut flipped = bytes.clone();
         flipped[at / 8] ^= 1 << (at % 8);
         // The format's own number may become that of the one before, which says the same.
-        if flipped.starts_with(FORMER) {
+        if flipped.starts_with(PREVIOUS_MAGIC) {
             assert_eq!(read(&flipped).unwrap().records, records());
             continue;
         }
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_record_missing_in_the_middle_or_from_another_file_or_format_is_told() {
+fn rejects_missing_record_and_other_formats() {
     let (bytes, ends) = file();
     let without = [&bytes[..ends[2]], &bytes[ends[3]..]].concat();
     assert_eq!(
@@ -96,7 +96,7 @@
         "at byte 0: format 9; this program reads format 3"
     );
     // The last format is read still.
-    let former = [FORMER, &bytes[8..]].concat();
+    let former = [PREVIOUS_MAGIC, &bytes[8..]].concat();
     assert_eq!(read(&former).unwrap().records, records());
     assert_eq!(
         read(b"something else").unwrap_err().to_string(),
@@ -118,7 +118,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..400) {
+    fn reads_arbitrary_bytes_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200), at in 0usize..400) {
         let _ = (read(&bytes), read_lines(&bytes));
         let mut mixed = file().0;
         let at = at.min(mixed.len());
--- a/store/src/rejoin.rs
+++ b/store/src/rejoin.rs
@@ -1,227 +1,267 @@
-//! What a member's promises are worth after a start, told by what others know of it.
+//! The rule by which a member may vote again after a restart, with or without its file.
 //!
-//! A member that has lost what it promised must not vote: it could vote twice in one term, or for a
-//! candidate that lacks what this member had acknowledged. The rule, with `m` for more than half of
-//! all members:
+//! Raft assumes that a member never loses its term, vote and log. A member that did must not vote:
+//! it could vote twice in one term, or for a candidate that lacks an entry which it had
+//! acknowledged. The rule (in the spirit of the recovery of Viewstamped Replication Revisited,
+//! Liskov and Cowling, 2012, section 4.3), with `m` for a majority of all members:
 //!
-//! - A member with a whole file asks the others. One that knows of a newer file of its says so;
-//!   with `m - 1` answers from members that have a file too, and none of those, it is sound. Fewer
-//!   could not commit anything together with it.
-//! - A member that has lost its file takes a new *generation*, higher than any that `m` sound
-//!   members know, and has `m` sound members note it. From then on they take nothing from its
-//!   earlier lives, nor does anyone who hears from them.
-//! - Each of them tells its term and the end of its log with that. Whatever the earlier lives
-//!   helped to elect or to commit, one of these members helped too: either before it answered, and
-//!   then its answer covers it, or afterwards, and then the vote or acknowledgement carries the
-//!   generation, and the earlier life's is not counted beside it.
-//! - So the member counts again once it has installed what a leader of no lower a term has
-//!   committed, up to no less than the furthest of these ends.
-//! - A store begins only when every member is there and says that its file has never held one.
+//! - A member with an intact file asks the others. One that knows of a newer file of that member
+//!   says so. With `m - 1` responses of members that have a file too, and none of a newer one, it is
+//!   active: fewer members could not have committed anything together with a newer file.
+//! - A member that has lost its file claims a new *generation*, above any that `m` active members
+//!   know, and has `m` active members record it. From then on they ignore messages of its earlier
+//!   generations, as does everyone who hears from them.
+//! - With their responses these members send their term and the end of their log. Whatever the
+//!   earlier generations helped to elect or to commit, one of these members helped too. Either it
+//!   did so before its response, which then covers it; or after it, and then its vote or
+//!   acknowledgement carries the new generation, beside which the earlier one's does not count.
+//! - So the member is active again once it has installed what a leader of at least the highest of
+//!   these terms has committed, up to at least the furthest of these ends: the catch-up bar.
+//! - A store is bootstrapped only when every member is there and has never belonged to a store.
 //!
-//! Nothing here waits on a member that may wait on this one: answers are given in any standing.
+//! No wait can be circular: status requests are answered in any status. The rule is model-checked in
+//! `tests/rejoin_model.rs`, and the code runs in the simulations beside that.
 
-use crate::packet::Position;
+use crate::log::Position;
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// What a member may do.
+/// Status of a member. Only an active one votes and counts towards a majority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// Its file has never held a store.
+pub enum Status {
+    /// Its file has never belonged to a store.
     Empty,
-    /// It begins the store, and waits until every other member is part of that.
-    Founding,
-    /// Its file is whole; it waits for others to say that they know of no newer one.
-    Unjudged,
-    /// It has lost what it promised, and neither votes nor counts until it has caught up.
+    /// It bootstraps the store, and waits until every other member has accepted it.
+    Bootstrapping,
+    /// Its file is intact; it waits for others to confirm that they know of no newer one.
+    Unverified,
+    /// It has lost its file, or has an old one, and has to catch up first.
     Lost,
     /// It votes and counts.
-    Sound,
+    Active,
 }
 
-/// What a member says of itself when it asks the others.
+impl Status {
+    /// The word that stands for it in the answers to operators and in their commands' output.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Status::Empty => "empty",
+            Status::Bootstrapping => "founding",
+            Status::Unverified => "unjudged",
+            Status::Lost => "lost",
+            Status::Active => "sound",
+        }
+    }
+
+    /// The word that stands for it in log lines, which operators' pages quote.
+    pub fn log_label(self) -> &'static str {
+        match self {
+            Status::Empty => "Empty",
+            Status::Bootstrapping => "Founding",
+            Status::Unverified => "Unjudged",
+            Status::Lost => "Lost",
+            Status::Active => "Sound",
+        }
+    }
+}
+
+impl fmt::Display for Status {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
+/// What a member states of itself when it asks the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
-    /// A random number that this life of the member has, by which answers are told from those to an
-    /// earlier one.
-    pub life: u64,
-    /// How much of its past it has.
-    pub past: Past,
-    /// How often it has lost its file.
+pub struct StatusRequest {
+    /// Random id of this incarnation of the member: responses to an earlier one do not count.
+    pub incarnation: u64,
+    /// What it has of its file.
+    pub past: History,
+    /// Its generation: how often it has lost its file.
     pub generation: u64,
     /// How often it has started.
     pub starts: u64,
-    /// The end of its log.
+    /// Position of its last entry.
     pub last: Position,
 }
 
-/// How much of its past a member that asks has.
+/// What a member that asks has of its file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Past {
-    /// None, and it knows nothing yet.
+pub enum History {
+    /// Nothing; it has not claimed a generation yet.
     None,
-    /// None; it takes this generation.
+    /// Nothing; it claims the generation in its request.
     Claimed,
     /// All of it, as far as it knows.
-    Whole,
+    Intact,
 }
 
-/// What a member answers.
+/// The response to a [`StatusRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
-    /// The life that asked.
-    pub life: u64,
-    /// What the one that answers is.
-    pub what: What,
-    /// The asker's generation as it is known here.
+pub struct StatusResponse {
+    /// The incarnation that asked.
+    pub incarnation: u64,
+    /// Status of the responder.
+    pub status: PeerStatus,
+    /// Generation of the asker, as the responder knows it.
     pub generation: u64,
-    /// Whether a newer file, or another life of this generation, of the asker is known.
-    pub newer: bool,
-    /// The end of the log of the one that answers.
+    /// Whether the responder knows of a newer file of the asker, or of another incarnation with the
+    /// claimed generation.
+    pub superseded: bool,
+    /// Position of the responder's last entry.
     pub last: Position,
 }
 
-/// What a member that answers is.
+/// Status of a responder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum What {
-    /// Its file has never held a store.
+pub enum PeerStatus {
+    /// Its file has never belonged to a store.
     Empty,
-    /// It is part of a store in which, as far as it knows, nobody has voted yet.
+    /// It belongs to a store in which, as far as it knows, nobody has voted yet.
     Joined,
-    /// It has a file, and may yet be told that it is an old one.
-    Whole,
+    /// It has a file, and may yet learn that there was a newer one.
+    Unverified,
     /// It has lost its file.
     Lost,
     /// It votes and counts.
-    Sound,
+    Active,
 }
 
-/// What others have said of themselves, as far as this member has heard.
+/// What this member knows of another.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Peer {
-    /// The highest generation it is known to have taken.
+    /// Its highest known generation.
     pub generation: u64,
-    /// In that, the most starts.
+    /// Its highest known start in that generation.
     pub starts: u64,
-    /// The life that said so.
-    pub life: u64,
-    /// The highest term and the furthest end of its log that it has told in that; known to this
-    /// life of this member alone.
+    /// The incarnation that stated these; 0 if they come from a third member.
+    pub incarnation: u64,
+    /// Its highest known term, and the most up-to-date end of its log, in that generation. Not
+    /// persisted.
     reached: (u64, Position),
-    /// The start in which it last told of those.
-    told_in: u64,
+    /// Its latest start in which it sent them.
+    progress_start: u64,
 }
 
 impl Peer {
-    /// What a file keeps of another member.
-    pub fn known(generation: u64, starts: u64, life: u64) -> Peer {
+    /// What is persisted of another member.
+    pub fn known(generation: u64, starts: u64, incarnation: u64) -> Peer {
         Peer {
             generation,
             starts,
-            life,
+            incarnation,
             ..Peer::default()
         }
     }
 }
 
-/// What has come of an answer.
+/// What a response leads to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing yet.
-    Waits,
-    /// The member votes and counts.
-    Sound,
-    /// Every member has said that there is no store yet: this one begins it.
-    Founds,
-    /// The member's file is not what it last promised by.
+    /// Nothing yet: more responses are needed.
+    Pending,
+    /// The member is active.
+    Active,
+    /// No member belongs to a store: this one bootstraps it.
+    Bootstrap,
+    /// The member's file is not the newest that it had.
     Lost,
-    /// It takes this generation.
-    Claims(u64),
-    /// It may count again from the state that a leader of this term or a later one commits up to
-    /// this place or a later one.
-    CatchesUp(u64, Position),
+    /// The member claims this generation.
+    ClaimGeneration(u64),
+    /// The member may become active from the committed state of a leader.
+    CatchUp {
+        /// Least term of that leader.
+        term: u64,
+        /// Position up to which the state has to reach.
+        last: Position,
+    },
 }
 
-/// Positions as they are compared between logs: by term, then by length.
-pub fn rank(position: Position) -> (u64, u64) {
-    (position.term, position.index)
+/// A response with what its envelope states of the sender.
+#[derive(Debug, Clone, Copy)]
+struct Received {
+    /// Id of the sender's store; 0 if it has none.
+    store: u64,
+    term: u64,
+    response: StatusResponse,
 }
 
-/// What one member knows of its own standing and of others' lives.
+/// A member's knowledge of its own status and of the other members.
 #[derive(Debug, Clone)]
 pub struct Rejoin {
-    standing: Standing,
+    status: Status,
     members: usize,
-    begins: bool,
-    life: u64,
+    bootstraps: bool,
+    incarnation: u64,
     generation: u64,
     claimed: bool,
-    /// The store of which each answer was, and the term.
-    answers: BTreeMap<u64, (u64, u64, Told)>,
+    /// The last response of each member.
+    responses: BTreeMap<u64, Received>,
     peers: BTreeMap<u64, Peer>,
 }
 
 impl Rejoin {
-    /// A member that has just started, of so many, with what its file keeps of others.
+    /// A member that has just started, in a store of this many members.
     pub fn new(
-        standing: Standing,
+        status: Status,
         members: usize,
-        begins: bool,
-        life: u64,
+        bootstraps: bool,
+        incarnation: u64,
         generation: u64,
         peers: BTreeMap<u64, Peer>,
     ) -> Rejoin {
-        let answers = BTreeMap::new();
         let mut rejoin = Rejoin {
-            standing,
+            status,
             members,
-            begins,
-            life,
+            bootstraps,
+            incarnation,
             generation,
             claimed: false,
-            answers,
+            responses: BTreeMap::new(),
             peers,
         };
-        if members == 1 && standing == Standing::Unjudged {
-            rejoin.standing = Standing::Sound;
+        if members == 1 && status == Status::Unverified {
+            rejoin.status = Status::Active;
         }
         rejoin
     }
 
-    /// What this member may do.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    /// This member's status.
+    pub fn status(&self) -> Status {
+        self.status
     }
 
-    /// How often it has lost its file.
+    /// How often this member has lost its file.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The random number of this life.
-    pub fn life(&self) -> u64 {
-        self.life
+    /// Random id of this incarnation.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
-    /// What is known of others.
+    /// What is known of the other members.
     pub fn peers(&self) -> &BTreeMap<u64, Peer> {
         &self.peers
     }
 
-    fn more_than_half(&self) -> usize {
+    fn majority(&self) -> usize {
         self.members / 2 + 1
     }
 
-    /// What this member asks, if it asks anything.
-    pub fn ask(&self, starts: u64, last: Position) -> Option<Ask> {
-        let past = match self.standing {
-            Standing::Sound | Standing::Founding => return None,
-            Standing::Empty => Past::None,
-            Standing::Lost if !self.claimed => Past::None,
-            Standing::Lost => Past::Claimed,
-            Standing::Unjudged => Past::Whole,
+    /// The request that this member has to send now, if any.
+    pub fn status_request(&self, starts: u64, last: Position) -> Option<StatusRequest> {
+        let past = match self.status {
+            Status::Active | Status::Bootstrapping => return None,
+            Status::Empty => History::None,
+            Status::Lost if !self.claimed => History::None,
+            Status::Lost => History::Claimed,
+            Status::Unverified => History::Intact,
         };
-        Some(Ask {
-            life: self.life,
+        Some(StatusRequest {
+            incarnation: self.incarnation,
             past,
             generation: self.generation,
             starts,
@@ -229,278 +269,313 @@
         })
     }
 
-    /// Answers one that asks; `voted` says whether anyone can have voted in this member's store.
-    /// Gives the answer, and whether what it noted of the asker has to be kept before the answer
-    /// goes out.
-    pub fn answer(
+    /// Responds to a member that asks; `voted` is whether anyone can have voted in this member's
+    /// store. Returns the response, and whether [`Rejoin::peers`] of the asker has to be persisted
+    /// before the response is sent: the asker counts on this member to remember it.
+    pub fn respond(
         &mut self,
         from: u64,
-        ask: &Ask,
+        request: &StatusRequest,
         term: u64,
         voted: bool,
         last: Position,
-    ) -> (Told, bool) {
-        let what = match self.standing {
-            Standing::Lost => What::Lost,
-            Standing::Empty => What::Empty,
-            // Whoever would begin a store hears of one that another begins.
-            Standing::Founding => What::Whole,
-            _ if !voted => What::Joined,
-            Standing::Unjudged => What::Whole,
-            Standing::Sound => What::Sound,
+    ) -> (StatusResponse, bool) {
+        let own_status = match self.status {
+            Status::Lost => PeerStatus::Lost,
+            Status::Empty => PeerStatus::Empty,
+            // Nobody may bootstrap another store beside this one.
+            Status::Bootstrapping => PeerStatus::Unverified,
+            _ if !voted => PeerStatus::Joined,
+            Status::Unverified => PeerStatus::Unverified,
+            Status::Active => PeerStatus::Active,
         };
         let peer = self.peers.entry(from).or_default();
-        let (known, told) = ((peer.generation, peer.starts), (ask.generation, ask.starts));
-        let newer = match ask.past {
-            Past::None => false,
-            // A generation known by hearsay has no life yet.
-            Past::Claimed => {
-                let taken =
-                    ask.generation == peer.generation && ![0, ask.life].contains(&peer.life);
-                ask.generation < peer.generation || taken
+        let (known, response) = (
+            (peer.generation, peer.starts),
+            (request.generation, request.starts),
+        );
+        let superseded = match request.past {
+            History::None => false,
+            // A generation that a third member has reported has no incarnation yet.
+            History::Claimed => {
+                let taken = request.generation == peer.generation
+                    && ![0, request.incarnation].contains(&peer.incarnation);
+                request.generation < peer.generation || taken
             }
-            Past::Whole => {
-                // What a life says before it takes part may arrive after what it says then.
-                let before = peer.told_in < ask.starts;
-                let behind =
-                    before && (term < peer.reached.0 || rank(ask.last) < rank(peer.reached.1));
-                told < known || told == known && ![0, ask.life].contains(&peer.life) || behind
+            History::Intact => {
+                // A request may arrive after messages that the same start sent as an active member.
+                let before = peer.progress_start < request.starts;
+                let behind = before
+                    && (term < peer.reached.0 || request.last.recency() < peer.reached.1.recency());
+                response < known
+                    || response == known && ![0, request.incarnation].contains(&peer.incarnation)
+                    || behind
             }
         };
-        // Only who will remember it may say that it has noted it. Before anyone has voted there is
-        // nothing to lose.
-        let keeps =
-            voted && matches!(what, What::Whole | What::Sound) && ask.past != Past::None && !newer;
-        let noted = keeps && (told, ask.life) != (known, peer.life);
-        if noted {
-            let past = if ask.generation > peer.generation {
+        // Only a member that will remember the asker may record it. Before anyone has voted there
+        // is nothing to lose.
+        let remembers = voted
+            && matches!(own_status, PeerStatus::Unverified | PeerStatus::Active)
+            && request.past != History::None
+            && !superseded;
+        let must_persist =
+            remembers && (response, request.incarnation) != (known, peer.incarnation);
+        if must_persist {
+            let past = if request.generation > peer.generation {
                 Peer::default()
             } else {
                 *peer
             };
             *peer = Peer {
-                generation: ask.generation,
-                starts: ask.starts,
-                life: ask.life,
+                generation: request.generation,
+                starts: request.starts,
+                incarnation: request.incarnation,
                 ..past
             };
         }
         let generation = self.peers[&from].generation;
         (
-            Told {
-                life: ask.life,
-                what,
+            StatusResponse {
+                incarnation: request.incarnation,
+                status: own_status,
                 generation,
-                newer,
+                superseded,
                 last,
             },
-            noted,
+            must_persist,
         )
     }
 
-    /// What a member has told of its term and log in one of its starts; a later file of its says no
-    /// less.
-    pub fn heard(&mut self, from: u64, starts: u64, term: u64, last: Option<Position>) {
+    /// Notes the term and log end that a member has sent in one of its starts. Any newer file of that
+    /// member reaches at least as far.
+    pub fn observe_progress(&mut self, from: u64, starts: u64, term: u64, last: Option<Position>) {
         let peer = self.peers.entry(from).or_default();
-        peer.told_in = peer.told_in.max(starts);
+        peer.progress_start = peer.progress_start.max(starts);
         let reached = &mut peer.reached;
         reached.0 = reached.0.max(term);
-        if let Some(last) = last.filter(|last| rank(*last) > rank(reached.1)) {
+        if let Some(last) = last.filter(|last| last.recency() > reached.1.recency()) {
             reached.1 = last;
         }
     }
 
-    /// Whether a packet from a member is of an earlier life, which is over.
-    pub fn is_over(&self, from: u64, generation: u64) -> bool {
+    /// Whether a message is of an earlier generation of its sender.
+    pub fn is_stale(&self, from: u64, generation: u64) -> bool {
         self.peers
             .get(&from)
             .is_some_and(|peer| generation < peer.generation)
     }
 
-    /// Takes what another knows of a member's generation; true where that is news, and has to be
-    /// kept.
-    pub fn learn(&mut self, member: u64, generation: u64) -> bool {
+    /// Notes a member's generation; true if it is a new one, which has to be persisted.
+    pub fn observe_generation(&mut self, member: u64, generation: u64) -> bool {
         let peer = self.peers.entry(member).or_default();
-        let news = generation > peer.generation;
-        if news {
+        let newer = generation > peer.generation;
+        if newer {
             *peer = Peer {
                 generation,
                 ..Peer::default()
             };
         }
-        news
+        newer
     }
 
-    /// Takes an answer, from a member of a store (0 where it knows none) in a term.
-    pub fn told(&mut self, from: u64, store: u64, term: u64, told: Told) -> Verdict {
-        if told.life != self.life {
-            return Verdict::Waits;
+    /// Handles a response from a member of a store (0 if it has none) in a term.
+    pub fn on_response(
+        &mut self,
+        from: u64,
+        store: u64,
+        term: u64,
+        response: StatusResponse,
+    ) -> Verdict {
+        if response.incarnation != self.incarnation {
+            return Verdict::Pending;
         }
-        if told.newer && self.claimed && self.standing == Standing::Lost {
-            // Another has this generation: a higher one is looked for.
+        if response.superseded && self.claimed && self.status == Status::Lost {
+            // Another incarnation has claimed this generation: a higher one is needed.
             self.claimed = false;
-            self.answers.clear();
-            return Verdict::Waits;
+            self.responses.clear();
+            return Verdict::Pending;
         }
-        if told.newer && matches!(self.standing, Standing::Unjudged | Standing::Sound) {
-            self.lose();
+        if response.superseded && matches!(self.status, Status::Unverified | Status::Active) {
+            self.mark_lost();
             return Verdict::Lost;
         }
-        self.answers.insert(from, (store, term, told));
-        let count = |what: &dyn Fn(&Told) -> bool| {
-            self.answers
+        self.responses.insert(
+            from,
+            Received {
+                store,
+                term,
+                response,
+            },
+        );
+        let count = |status: &dyn Fn(&StatusResponse) -> bool| {
+            self.responses
                 .values()
-                .filter(|answer| what(&answer.2))
+                .filter(|received| status(&received.response))
                 .count()
         };
-        match self.standing {
-            Standing::Sound | Standing::Founding => Verdict::Waits,
-            Standing::Unjudged => {
-                let fine =
-                    count(&|told| matches!(told.what, What::Joined | What::Whole | What::Sound));
-                if fine + 1 < self.more_than_half() {
-                    return Verdict::Waits;
+        match self.status {
+            Status::Active | Status::Bootstrapping => Verdict::Pending,
+            Status::Unverified => {
+                let with_file = count(&|response| {
+                    matches!(
+                        response.status,
+                        PeerStatus::Joined | PeerStatus::Unverified | PeerStatus::Active
+                    )
+                });
+                if with_file + 1 < self.majority() {
+                    return Verdict::Pending;
                 }
-                self.standing = Standing::Sound;
-                Verdict::Sound
+                self.status = Status::Active;
+                Verdict::Active
             }
-            Standing::Empty
-                if count(&|told| matches!(told.what, What::Empty | What::Joined)) + 1
+            Status::Empty
+                if count(&|response| {
+                    matches!(response.status, PeerStatus::Empty | PeerStatus::Joined)
+                }) + 1
                     == self.members =>
             {
-                if !self.begins {
-                    return Verdict::Waits;
+                if !self.bootstraps {
+                    return Verdict::Pending;
                 }
-                self.standing = Standing::Founding;
-                Verdict::Founds
+                self.status = Status::Bootstrapping;
+                Verdict::Bootstrap
             }
-            Standing::Empty | Standing::Lost => self.catch_up(),
+            Status::Empty | Status::Lost => self.catch_up(),
         }
     }
 
-    /// What a member without a past does with the answers of sound ones of one store.
+    /// Progress of a member without a file by the responses of active members of one store: the
+    /// claim of a generation first, then the catch-up bar.
     fn catch_up(&mut self) -> Verdict {
-        let stores = self
-            .answers
-            .values()
-            .map(|answer| answer.0)
-            .filter(|store| *store != 0);
-        let Some(store) = stores.max_by_key(|store| self.sound(*store).count()) else {
-            return Verdict::Waits;
-        };
+        let store = self.majority_store();
+        if store == 0 {
+            return Verdict::Pending;
+        }
         let claimed = self.claimed.then_some(self.generation);
-        let covers = |answer: &&(u64, u64, Told)| {
-            claimed.is_none_or(|claimed| answer.2.generation == claimed)
+        let covers = |received: &&Received| {
+            claimed.is_none_or(|claimed| received.response.generation == claimed)
         };
-        let sound: Vec<_> = self.sound(store).filter(covers).collect();
-        if sound.len() < self.more_than_half() {
-            return Verdict::Waits;
+        let active: Vec<_> = self.active(store).filter(covers).collect();
+        if active.len() < self.majority() {
+            return Verdict::Pending;
         }
         if claimed.is_some() {
-            let term = sound.iter().map(|answer| answer.1).max().unwrap_or(0);
-            let last = sound
+            let term = active
                 .iter()
-                .map(|answer| answer.2.last)
-                .max_by_key(|last| rank(*last));
-            return Verdict::CatchesUp(term, last.unwrap_or_default());
+                .map(|received| received.term)
+                .max()
+                .unwrap_or(0);
+            let last = active
+                .iter()
+                .map(|received| received.response.last)
+                .max_by_key(|last| last.recency());
+            return Verdict::CatchUp {
+                term,
+                last: last.unwrap_or_default(),
+            };
         }
-        let known = sound
+        let known = active
             .iter()
-            .map(|answer| answer.2.generation)
+            .map(|received| received.response.generation)
             .max()
             .unwrap_or(0);
         self.generation = self.generation.max(known) + 1;
-        self.standing = Standing::Lost;
+        self.status = Status::Lost;
         self.claimed = true;
-        self.answers.clear();
-        Verdict::Claims(self.generation)
+        self.responses.clear();
+        Verdict::ClaimGeneration(self.generation)
     }
 
-    fn sound(&self, store: u64) -> impl Iterator<Item = &(u64, u64, Told)> {
-        self.answers
-            .values()
-            .filter(move |answer| answer.0 == store && answer.2.what == What::Sound)
+    /// Responses of active members of a store.
+    fn active(&self, store: u64) -> impl Iterator<Item = &Received> {
+        self.responses.values().filter(move |received| {
+            received.store == store && received.response.status == PeerStatus::Active
+        })
     }
 
-    /// The store that most answers are of.
-    pub fn store(&self) -> u64 {
+    /// Id of the store of most active responders; 0 if there is none.
+    pub fn majority_store(&self) -> u64 {
         let stores = self
-            .answers
+            .responses
             .values()
-            .map(|answer| answer.0)
+            .map(|received| received.store)
             .filter(|store| *store != 0);
         stores
-            .max_by_key(|store| self.sound(*store).count())
+            .max_by_key(|store| self.active(*store).count())
             .unwrap_or(0)
     }
 
-    /// A later life of this member is known to others. True where this one had thought better of
-    /// itself.
-    pub fn is_replaced(&mut self) -> bool {
+    /// Others know of a later generation of this member. True if this incarnation was, or could have
+    /// become, active, which it no longer may.
+    pub fn on_replaced(&mut self) -> bool {
         let thought = matches!(
-            self.standing,
-            Standing::Unjudged | Standing::Sound | Standing::Founding
+            self.status,
+            Status::Unverified | Status::Active | Status::Bootstrapping
         );
         if thought {
-            self.lose();
+            self.mark_lost();
         }
         thought
     }
 
-    /// The store that this life wanted to begin is there already; true where it still wanted that.
-    pub fn begun(&mut self, life: u64) -> bool {
-        let wanted = self.standing == Standing::Founding && life == self.life;
+    /// The store that this incarnation was bootstrapping exists already. True if it still was.
+    pub fn on_already_bootstrapped(&mut self, incarnation: u64) -> bool {
+        let wanted = self.status == Status::Bootstrapping && incarnation == self.incarnation;
         if wanted {
-            self.lose();
+            self.mark_lost();
         }
         wanted
     }
 
-    /// The member's file turned out not to be the newest.
-    fn lose(&mut self) {
-        self.standing = Standing::Lost;
+    /// This member's file is not the newest that it had.
+    fn mark_lost(&mut self) {
+        self.status = Status::Lost;
         self.claimed = false;
-        self.answers.clear();
+        self.responses.clear();
     }
 
-    /// The member is part of a store that begins: whatever was known of others was of none.
-    pub fn begins(&mut self) {
+    /// Forgets the peers: this member starts in a new store.
+    pub fn clear_peers(&mut self) {
         self.peers.clear();
     }
 
-    /// The member is part of the store: it has been told so as it began, or has caught up.
-    pub fn restored(&mut self) {
-        self.standing = Standing::Sound;
-        self.answers.clear();
+    /// Makes the member active: it has accepted a store that starts, or has caught up.
+    pub fn mark_active(&mut self) {
+        self.status = Status::Active;
+        self.responses.clear();
     }
 
-    /// What the member waits for, in words; none where it waits for nothing.
-    pub fn waits_for(&self) -> Option<String> {
-        let (members, half) = (self.members, self.more_than_half());
-        let of = |what: What| {
-            self.answers
+    /// What the member waits for, as a sentence for operators; `None` if it is active.
+    pub fn waiting_for(&self) -> Option<String> {
+        let (members, half) = (self.members, self.majority());
+        let of = |status: PeerStatus| {
+            self.responses
                 .values()
-                .filter(|answer| answer.2.what == what)
+                .filter(|received| received.response.status == status)
                 .count()
         };
-        let (sound, whole, lost) = (of(What::Sound), of(What::Whole), of(What::Lost));
-        match self.standing {
-            Standing::Sound => None,
-            Standing::Founding => Some(format!(
+        let (sound, whole, lost) = (
+            of(PeerStatus::Active),
+            of(PeerStatus::Unverified),
+            of(PeerStatus::Lost),
+        );
+        match self.status {
+            Status::Active => None,
+            Status::Bootstrapping => Some(format!(
                 "the store begins once all {members} members are part of it"
             )),
-            Standing::Unjudged => Some(format!(
+            Status::Unverified => Some(format!(
                 "{} of {} other members with a file have answered; {lost} have lost theirs",
                 sound + whole,
                 half - 1
             )),
-            Standing::Empty => Some(format!(
+            Status::Empty => Some(format!(
                 "this file has never held a store; of {} others {} say the same, {} are of a store",
                 members - 1,
-                of(What::Empty),
+                of(PeerStatus::Empty),
                 sound + whole + lost
             )),
-            Standing::Lost => Some(format!(
+            Status::Lost => Some(format!(
                 "what this member had promised is lost; {sound} of the {half} sound members that it needs have answered"
             )),
         }
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -1,174 +1,193 @@
-//! What the log's entries make: keys with the revisions of their last change, and sessions with
-//! what came of their last requests. Every member applies the same entries in the same order and
-//! comes to the same.
+//! The replicated state machine: keys with the revisions of their last change, and client sessions
+//! with the outcomes of their last requests.
+//!
+//! Invariant: [`State::apply`] is deterministic. Every member applies the same entries in the same
+//! order with the same capacity, so all come to the same state.
 
-use crate::command::{Command, Expects, Txn};
-use crate::packet::Change;
+use crate::command::{Change, Command, Expects, Txn};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The key that says which life of the store this is: each that is begun anew has a higher number
-/// than those before it.
+/// Key of the store's era: a store that is recovered from a member's file has a later era than the
+/// store before it.
 pub const ERA: &str = "era";
 
-/// What bounds it; the same at every member.
+/// Bounds of the state, which have to be equal at all members.
 #[derive(Debug, Clone, Copy)]
-pub struct Room {
-    /// Keys that are held.
+pub struct Capacity {
+    /// Maximum number of keys.
     pub keys: usize,
-    /// Sessions that are held; the one unused longest gives way.
+    /// Maximum number of sessions; the least recently used one is evicted.
     pub sessions: usize,
 }
 
-/// A key's value, and when it came to have it.
+/// A value with its revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Held {
+pub struct VersionedValue {
     /// The value.
     pub value: String,
-    /// The revision of its last change.
+    /// Revision of the last change: the index of its entry.
     pub revision: u64,
 }
 
-/// What came of a change of several keys.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was made, at this revision.
+    /// Applied at this revision.
     Applied(u64),
-    /// Nothing was changed.
-    Refused(Refusal),
+    /// Rejected: nothing was changed.
+    Rejected(Rejection),
 }
 
-/// Why nothing was changed.
+/// Why a transaction was rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refusal {
-    /// A key is not as was expected; the revision of its last change, if it is there.
-    Differs(String, Option<u64>),
-    /// The store has no room for so many keys.
+pub enum Rejection {
+    /// A check on this key failed; with the revision of its last change, if it exists.
+    CheckFailed(String, Option<u64>),
+    /// The state has no capacity for more keys.
     Full,
-    /// The store does not have, or no longer has, this session: whether its request was made before
-    /// it cannot say.
-    NoSession,
-    /// The session has made later requests than this one.
-    Past,
-    /// It names too many keys, or one of its texts is too long.
+    /// The session does not exist or was evicted: whether an earlier attempt of the request was
+    /// applied is unknown.
+    UnknownSession,
+    /// The session has made a later request already.
+    StaleRequest,
+    /// It names too many keys, or a key or value is too long.
     TooLarge,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Differs(key, Some(revision)) => {
+            Rejection::CheckFailed(key, Some(revision)) => {
                 write!(
                     f,
                     "{key} is not as was expected: it was changed at revision {revision}"
                 )
             }
-            Refusal::Differs(key, None) => {
+            Rejection::CheckFailed(key, None) => {
                 write!(f, "{key} is not as was expected: it is not there")
             }
-            Refusal::Full => f.write_str("the store has no room for more keys"),
-            Refusal::NoSession => f.write_str("the store does not know this session"),
-            Refusal::Past => f.write_str("the session has made later requests"),
-            Refusal::TooLarge => f.write_str("it names too many keys, or a text is too long"),
+            Rejection::Full => f.write_str("the store has no room for more keys"),
+            Rejection::UnknownSession => f.write_str("the store does not know this session"),
+            Rejection::StaleRequest => f.write_str("the session has made later requests"),
+            Rejection::TooLarge => f.write_str("it names too many keys, or a text is too long"),
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Session {
-    /// Its last request and what came of it; none of it yet at 0.
+    /// Number of its last request, with the outcome; 0 before the first one.
     request: u64,
     outcome: Outcome,
-    /// The revision at which it was last heard of.
+    /// Revision of its last use.
     used: u64,
 }
 
-/// What a caller may have waited for.
+/// What an applied entry completes for a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Done {
-    /// The session of this number has this id.
-    Opened(u64, u64),
-    /// This came of a session's request.
-    Made(u64, u64, Outcome),
+pub enum Completion {
+    /// A session was opened.
+    SessionOpened {
+        /// The caller's nonce.
+        nonce: u64,
+        /// Id of the session.
+        session: u64,
+    },
+    /// A transaction was applied or rejected.
+    Txn {
+        /// Id of the session.
+        session: u64,
+        /// Number of the request in the session.
+        request: u64,
+        /// Its outcome.
+        outcome: Outcome,
+    },
 }
 
-/// Keys and sessions at a revision.
+/// Keys and sessions as of the last applied entry.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
-    keys: BTreeMap<String, Held>,
+    keys: BTreeMap<String, VersionedValue>,
     sessions: BTreeMap<u64, Session>,
 }
 
 impl State {
-    /// Says which life of the store this is, at its begin.
+    /// Sets the era, in the state that a store starts with.
     pub fn begin_era(&mut self, era: u64) {
         self.keys.insert(
             ERA.to_owned(),
-            Held {
+            VersionedValue {
                 value: era.to_string(),
                 revision: 0,
             },
         );
     }
 
-    /// Which life of the store this is; 0 where it does not say.
+    /// The store's era; 0 if it has none.
     pub fn era(&self) -> u64 {
         self.get(ERA).and_then(|era| era.parse().ok()).unwrap_or(0)
     }
 
-    /// A key's value.
+    /// The value of a key.
     pub fn get(&self, key: &str) -> Option<&str> {
-        self.keys.get(key).map(|held| held.value.as_str())
+        self.keys.get(key).map(|versioned| versioned.value.as_str())
     }
 
-    /// A key's value and revision.
-    pub fn held(&self, key: &str) -> Option<&Held> {
+    /// The value of a key with its revision.
+    pub fn versioned(&self, key: &str) -> Option<&VersionedValue> {
         self.keys.get(key)
     }
 
-    /// Every key, in order.
-    pub fn keys(&self) -> impl Iterator<Item = (&str, &Held)> {
-        self.keys.iter().map(|(key, held)| (key.as_str(), held))
+    /// All keys, in order.
+    pub fn keys(&self) -> impl Iterator<Item = (&str, &VersionedValue)> {
+        self.keys
+            .iter()
+            .map(|(key, versioned)| (key.as_str(), versioned))
     }
 
-    /// Keys that begin so, in order.
-    pub fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Held)> {
+    /// Keys with this prefix, in order.
+    pub fn with_prefix<'a>(
+        &'a self,
+        prefix: &'a str,
+    ) -> impl Iterator<Item = (&'a str, &'a VersionedValue)> {
         let from = self.keys.range(prefix.to_owned()..);
         from.take_while(move |(key, _)| key.starts_with(prefix))
-            .map(|(key, held)| (key.as_str(), held))
+            .map(|(key, versioned)| (key.as_str(), versioned))
     }
 
-    /// How many keys there are.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// What came of a session's request, where it is the last one.
+    /// Outcome of a session's request, if that is its last one.
     pub fn outcome(&self, session: u64, request: u64) -> Option<&Outcome> {
-        let of = self.sessions.get(&session)?;
-        (of.request == request && request > 0).then_some(&of.outcome)
+        let last = self.sessions.get(&session)?;
+        (last.request == request && request > 0).then_some(&last.outcome)
     }
 
-    /// Applies an entry at its place: what changed, and what somebody may have waited for.
+    /// Applies the command of the entry with this index; returns what changed, and what is completed
+    /// for a caller.
     pub fn apply(
         &mut self,
         revision: u64,
         command: &Command,
-        room: Room,
-    ) -> (Vec<Change>, Option<Done>) {
+        capacity: Capacity,
+    ) -> (Vec<Change>, Option<Completion>) {
         match command {
-            // Wanted again and again until it stands: what stands already has not changed.
+            // Members propose a value until it is set: setting it again is no change.
             Command::Put(change) if self.get(&change.key) == change.value.as_deref() => {
                 (Vec::new(), None)
             }
             Command::Put(change) => {
-                let fits = self.keys.contains_key(&change.key) || self.keys.len() < room.keys;
+                let fits = self.keys.contains_key(&change.key) || self.keys.len() < capacity.keys;
                 (
                     if fits {
                         self.set([change], revision)
@@ -179,46 +198,56 @@
                 )
             }
             Command::Open(nonce) => {
-                let outcome = Outcome::Refused(Refusal::Past);
-                self.sessions.insert(
-                    revision,
-                    Session {
-                        request: 0,
-                        outcome,
-                        used: revision,
-                    },
-                );
-                while self.sessions.len() > room.sessions {
-                    let oldest = self.sessions.iter().min_by_key(|(_, session)| session.used);
-                    let Some(oldest) = oldest.map(|(id, _)| *id) else {
-                        break;
-                    };
-                    self.sessions.remove(&oldest);
-                }
-                (Vec::new(), Some(Done::Opened(*nonce, revision)))
+                let completion = self.open_session(*nonce, revision, capacity);
+                (Vec::new(), Some(completion))
             }
             Command::Txn(txn) => {
-                let (changes, outcome) = self.transact(revision, txn, room);
-                (changes, Some(Done::Made(txn.session, txn.request, outcome)))
+                let (changes, outcome) = self.transact(revision, txn, capacity);
+                let completion = Completion::Txn {
+                    session: txn.session,
+                    request: txn.request,
+                    outcome,
+                };
+                (changes, Some(completion))
             }
         }
     }
 
-    fn transact(&mut self, revision: u64, txn: &Txn, room: Room) -> (Vec<Change>, Outcome) {
-        let refused = |why| (Vec::new(), Outcome::Refused(why));
+    fn open_session(&mut self, nonce: u64, revision: u64, capacity: Capacity) -> Completion {
+        let session = Session {
+            request: 0,
+            outcome: Outcome::Rejected(Rejection::StaleRequest),
+            used: revision,
+        };
+        self.sessions.insert(revision, session);
+        while self.sessions.len() > capacity.sessions {
+            let oldest = self.sessions.iter().min_by_key(|(_, session)| session.used);
+            let Some(oldest) = oldest.map(|(id, _)| *id) else {
+                break;
+            };
+            self.sessions.remove(&oldest);
+        }
+        Completion::SessionOpened {
+            nonce,
+            session: revision,
+        }
+    }
+
+    fn transact(&mut self, revision: u64, txn: &Txn, capacity: Capacity) -> (Vec<Change>, Outcome) {
+        let rejected = |why| (Vec::new(), Outcome::Rejected(why));
         let Some(session) = self.sessions.get_mut(&txn.session) else {
-            return refused(Refusal::NoSession);
+            return rejected(Rejection::UnknownSession);
         };
         session.used = revision;
-        // Made before: it has come twice.
+        // A retry of the last request gets the outcome of its first attempt.
         if txn.request == session.request && txn.request > 0 {
             return (Vec::new(), session.outcome.clone());
         }
         if txn.request < session.request || txn.request == 0 {
-            return refused(Refusal::Past);
+            return rejected(Rejection::StaleRequest);
         }
-        let (changes, outcome) = match self.refusal(txn, room) {
-            Some(why) => refused(why),
+        let (changes, outcome) = match self.rejection(txn, capacity) {
+            Some(why) => rejected(why),
             None => (self.set(&txn.sets, revision), Outcome::Applied(revision)),
         };
         if let Some(session) = self.sessions.get_mut(&txn.session) {
@@ -227,24 +256,29 @@
         (changes, outcome)
     }
 
-    fn refusal(&self, txn: &Txn, room: Room) -> Option<Refusal> {
-        let differs = txn.checks.iter().find(|check| {
-            let held = self.keys.get(&check.key);
+    fn rejection(&self, txn: &Txn, capacity: Capacity) -> Option<Rejection> {
+        let failed = txn.checks.iter().find(|check| {
+            let found = self.keys.get(&check.key);
             !match &check.expects {
-                Expects::Absent => held.is_none(),
-                Expects::At(revision) => held.is_some_and(|held| held.revision == *revision),
-                Expects::Is(value) => held.is_some_and(|held| held.value == *value),
+                Expects::Absent => found.is_none(),
+                Expects::At(revision) => {
+                    found.is_some_and(|versioned| versioned.revision == *revision)
+                }
+                Expects::Is(value) => found.is_some_and(|versioned| versioned.value == *value),
             }
         });
-        if let Some(check) = differs {
-            let found = self.keys.get(&check.key).map(|held| held.revision);
-            return Some(Refusal::Differs(check.key.clone(), found));
+        if let Some(check) = failed {
+            let found = self
+                .keys
+                .get(&check.key)
+                .map(|versioned| versioned.revision);
+            return Some(Rejection::CheckFailed(check.key.clone(), found));
         }
         let new = txn
             .sets
             .iter()
             .filter(|set| set.value.is_some() && !self.keys.contains_key(&set.key));
-        (self.keys.len() + new.count() > room.keys).then_some(Refusal::Full)
+        (self.keys.len() + new.count() > capacity.keys).then_some(Rejection::Full)
     }
 
     fn set<'a>(
@@ -258,7 +292,7 @@
                 Some(value) => {
                     self.keys.insert(
                         set.key.clone(),
-                        Held {
+                        VersionedValue {
                             value: value.clone(),
                             revision,
                         },
@@ -271,12 +305,12 @@
         changes
     }
 
-    /// The state as JSON.
+    /// The state as JSON, as in snapshots.
     pub fn json(&self) -> Json {
         let keys: Vec<Json> = self
             .keys
             .iter()
-            .map(|(key, held)| json!([key, held.value, held.revision]))
+            .map(|(key, versioned)| json!([key, versioned.value, versioned.revision]))
             .collect();
         let session =
             |(id, of): (&u64, &Session)| json!([id, of.request, of.outcome.json(), of.used]);
@@ -284,8 +318,8 @@
         json!({"keys": keys, "sessions": sessions})
     }
 
-    /// A state from JSON, also of the first form, which had keys and values alone: those count as
-    /// changed at this revision.
+    /// A state from JSON; `None` if it has another form. In the first version's form, which had
+    /// neither revisions nor sessions, keys count as changed at the revision `at`.
     pub fn read(json: &Json, at: u64) -> Option<State> {
         let mut state = State::default();
         if !json["keys"].is_array() {
@@ -293,7 +327,7 @@
                 let value = value.as_str()?.to_owned();
                 state.keys.insert(
                     key.clone(),
-                    Held {
+                    VersionedValue {
                         value,
                         revision: at,
                     },
@@ -302,11 +336,11 @@
             return Some(state);
         }
         for key in json["keys"].as_array()? {
-            let held = Held {
+            let versioned = VersionedValue {
                 value: key[1].as_str()?.to_owned(),
                 revision: key[2].as_u64()?,
             };
-            state.keys.insert(key[0].as_str()?.to_owned(), held);
+            state.keys.insert(key[0].as_str()?.to_owned(), versioned);
         }
         for of in json["sessions"].as_array()? {
             let (request, used) = (of[1].as_u64()?, of[3].as_u64()?);
@@ -326,11 +360,11 @@
     pub fn json(&self) -> Json {
         match self {
             Outcome::Applied(revision) => json!({"applied": revision}),
-            Outcome::Refused(Refusal::Differs(key, found)) => {
+            Outcome::Rejected(Rejection::CheckFailed(key, found)) => {
                 json!({"refused": "differs", "key": key, "found": found})
             }
-            Outcome::Refused(why) => {
-                let word = REFUSALS
+            Outcome::Rejected(why) => {
+                let word = REJECTION_WORDS
                     .iter()
                     .find(|(known, _)| known == why)
                     .map(|(_, word)| *word);
@@ -339,7 +373,7 @@
         }
     }
 
-    /// An outcome from JSON.
+    /// An outcome from JSON; `None` if it has another form.
     pub fn read(json: &Json) -> Option<Outcome> {
         if let Some(revision) = json["applied"].as_u64() {
             return Some(Outcome::Applied(revision));
@@ -347,21 +381,22 @@
         let word = json["refused"].as_str()?;
         if word == "differs" {
             let key = json["key"].as_str()?.to_owned();
-            return Some(Outcome::Refused(Refusal::Differs(
+            return Some(Outcome::Rejected(Rejection::CheckFailed(
                 key,
                 json["found"].as_u64(),
             )));
         }
-        let why = REFUSALS.iter().find(|(_, known)| *known == word)?;
-        Some(Outcome::Refused(why.0.clone()))
+        let why = REJECTION_WORDS.iter().find(|(_, known)| *known == word)?;
+        Some(Outcome::Rejected(why.0.clone()))
     }
 }
 
-const REFUSALS: &[(Refusal, &str)] = &[
-    (Refusal::Full, "full"),
-    (Refusal::NoSession, "no session"),
-    (Refusal::Past, "past"),
-    (Refusal::TooLarge, "too large"),
+/// Words of rejections in JSON, other than that of a failed check.
+const REJECTION_WORDS: &[(Rejection, &str)] = &[
+    (Rejection::Full, "full"),
+    (Rejection::UnknownSession, "no session"),
+    (Rejection::StaleRequest, "past"),
+    (Rejection::TooLarge, "too large"),
 ];
 
 #[cfg(test)]
--- a/store/src/state/tests.rs
+++ b/store/src/state/tests.rs
@@ -4,7 +4,7 @@
 use crate::command::Check;
 use proptest::prelude::*;
 
-const ROOM: Room = Room {
+const CAPACITY: Capacity = Capacity {
     keys: 4,
     sessions: 2,
 };
@@ -33,16 +33,16 @@
 }
 
 fn outcome(state: &mut State, revision: u64, command: &Command) -> Outcome {
-    match state.apply(revision, command, ROOM).1 {
-        Some(Done::Made(.., outcome)) => outcome,
+    match state.apply(revision, command, CAPACITY).1 {
+        Some(Completion::Txn { outcome, .. }) => outcome,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn several_keys_change_together_or_not_at_all() {
+fn transactions_are_atomic() {
     let mut state = State::default();
-    state.apply(1, &Command::Open(7), ROOM);
+    state.apply(1, &Command::Open(7), CAPACITY);
     let both = txn(
         1,
         1,
@@ -58,13 +58,13 @@
     );
     assert_eq!(
         outcome(&mut state, 3, &stale),
-        Outcome::Refused(Refusal::Differs("b".to_owned(), Some(2)))
+        Outcome::Rejected(Rejection::CheckFailed("b".to_owned(), Some(2)))
     );
     assert_eq!((state.get("a"), state.get("b")), (Some("1"), Some("1")));
     let many = vec![("c", Some("")), ("d", Some("")), ("e", Some(""))];
     assert_eq!(
         outcome(&mut state, 4, &txn(1, 3, vec![], many)),
-        Outcome::Refused(Refusal::Full)
+        Outcome::Rejected(Rejection::Full)
     );
     assert_eq!(state.len(), 2);
     let gone = txn(1, 4, vec![("a", Expects::At(2))], vec![("a", None)]);
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn a_request_that_comes_again_is_made_once_and_a_forgotten_session_makes_none() {
+fn applies_retries_once_and_rejects_evicted_sessions() {
     let mut state = State::default();
-    state.apply(1, &Command::Open(7), ROOM);
+    state.apply(1, &Command::Open(7), CAPACITY);
     let one = txn(1, 1, vec![], vec![("a", Some("1"))]);
     assert_eq!(outcome(&mut state, 2, &one), Outcome::Applied(2));
     state.apply(
@@ -84,7 +84,7 @@
             key: "a".to_owned(),
             value: Some("2".to_owned()),
         }),
-        ROOM,
+        CAPACITY,
     );
     assert_eq!(
         outcome(&mut state, 4, &one),
@@ -98,14 +98,14 @@
     );
     assert_eq!(
         outcome(&mut state, 6, &one),
-        Outcome::Refused(Refusal::Past)
+        Outcome::Rejected(Rejection::StaleRequest)
     );
     // Two further sessions: the one that was not heard of for longest goes.
-    state.apply(7, &Command::Open(8), ROOM);
-    state.apply(8, &Command::Open(9), ROOM);
+    state.apply(7, &Command::Open(8), CAPACITY);
+    state.apply(8, &Command::Open(9), CAPACITY);
     assert_eq!(
         outcome(&mut state, 9, &one),
-        Outcome::Refused(Refusal::NoSession)
+        Outcome::Rejected(Rejection::UnknownSession)
     );
     assert_eq!(State::read(&state.json(), 0), Some(state));
 }
@@ -114,7 +114,7 @@
     /// Whatever comes in whatever order: a state and the one that went through its text go on
     /// alike.
     #[test]
-    fn a_state_goes_on_from_its_text_as_from_itself(
+    fn state_round_trips_through_json(
         steps in prop::collection::vec((0u8..4, 0u64..12, 0u64..4, 0u8..3), 0..60), cut in 0usize..60
     ) {
         let mut state = State::default();
@@ -132,8 +132,8 @@
             };
             let read = Command::read(&command.json()).expect("its own text");
             prop_assert_eq!(&read, &command);
-            prop_assert_eq!(state.apply(revision, &command, ROOM), other.apply(revision, &read, ROOM));
-            prop_assert!(state.len() <= ROOM.keys && state.sessions.len() <= ROOM.sessions);
+            prop_assert_eq!(state.apply(revision, &command, CAPACITY), other.apply(revision, &read, CAPACITY));
+            prop_assert!(state.len() <= CAPACITY.keys && state.sessions.len() <= CAPACITY.sessions);
         }
         prop_assert_eq!(state, other);
     }
--- a/store/tests/load.rs
+++ b/store/tests/load.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use store::Time;
-use store::kept::Kept;
-use store::member::{Bounds, Membership, Pace, Store, Write};
-use store::packet::Packet;
+use store::member::{Bounds, Membership, Store, Timing, Write};
+use store::message::Envelope;
+use store::persisted::PersistedState;
 
 const MS: Time = 1_000_000;
 
@@ -30,7 +30,7 @@
 /// Three members whose disks take so long over each sync, with so many changes a second put at them
 /// in turn.
 fn play(sync: Time, changes: u64, length: Time) -> Seen {
-    let pace = Pace {
+    let timing = Timing {
         heartbeat: 150 * MS,
         election: 600 * MS,
     };
@@ -48,10 +48,17 @@
         let membership = Membership {
             id,
             members: members.clone(),
-            begins: id == 1,
+            bootstraps: id == 1,
             era: 0,
         };
-        let store = Store::start(&membership, pace, bounds, id, Some(Kept::default()), 0);
+        let store = Store::start(
+            &membership,
+            timing,
+            bounds,
+            id,
+            Some(PersistedState::default()),
+            0,
+        );
         (
             id,
             Member {
@@ -62,7 +69,7 @@
         )
     };
     let mut all: BTreeMap<u64, Member> = (1..=3).map(start).collect();
-    let (mut wires, mut seen): (Vec<(Time, u64, Packet)>, Seen) = (Vec::new(), Seen::default());
+    let (mut wires, mut seen): (Vec<(Time, u64, Envelope)>, Seen) = (Vec::new(), Seen::default());
     let (mut now, mut number, mut last, settled) = (0, 0, 0, 5_000 * MS);
     while now < settled + length {
         now += MS;
@@ -78,11 +85,11 @@
         }
         let due: Vec<_> = wires.iter().filter(|w| w.0 <= now).cloned().collect();
         wires.retain(|w| w.0 > now);
-        for (_, to, packet) in due {
+        for (_, to, envelope) in due {
             all.get_mut(&to)
                 .expect("a member")
                 .store
-                .receive(packet, now)
+                .receive(envelope, now)
                 .expect("one store");
         }
         for member in all.values_mut() {
@@ -91,7 +98,7 @@
                 writes
                     .last()
                     .into_iter()
-                    .for_each(|write| member.store.written(write.number));
+                    .for_each(|write| member.store.on_written(write.number));
             }
             member.waiting.extend(member.store.take_writes());
             if member.syncing.is_none() && !member.waiting.is_empty() {
@@ -105,7 +112,7 @@
                     .store
                     .take_outbox()
                     .into_iter()
-                    .map(|(to, packet)| (now + MS, to, packet)),
+                    .map(|(to, envelope)| (now + MS, to, envelope)),
             );
             seen.packets += (wires.len() - before) as u64;
         }
@@ -124,7 +131,7 @@
         }
         let leader = all
             .iter()
-            .find(|(_, member)| member.store.leads())
+            .find(|(_, member)| member.store.is_leader())
             .map(|(id, _)| *id);
         seen.without_leader += if leader.is_none() { MS } else { 0 };
         seen.leaders.extend(leader);
@@ -136,7 +143,7 @@
 /// went round; and a leader's heartbeats waited behind its own writes, so that a disk that takes
 /// longer than an election cost it the lead.
 #[test]
-fn many_changes_beside_a_slow_disk_cost_no_lead_and_leave_no_gap() {
+fn leader_with_slow_disk_keeps_leading_under_load() {
     for (sync, changes) in [(25 * MS, 200), (100 * MS, 100), (700 * MS, 2)] {
         let seen = play(sync, changes, 6_000 * MS);
         println!(
--- a/store/tests/rejoin_model.rs
+++ b/store/tests/rejoin_model.rs
@@ -12,19 +12,19 @@
 /// Which part of the rule is left out, to see that the check finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Rule {
-    Whole,
+    Complete,
     /// A member without its past votes at once.
-    VotesAtOnce,
+    VotesImmediately,
     /// It counts again with whatever some leader has committed.
-    NoBar,
+    NoCatchUpBar,
     /// What its earlier lives sent is counted on.
-    LivesForgotten,
+    AcceptsStaleGenerations,
 }
 
 type Log = Vec<u8>;
 type Rank = (u8, u8);
 
-fn rank(log: &Log) -> Rank {
+fn recency(log: &Log) -> Rank {
     (log.last().copied().unwrap_or(0), log.len() as u8)
 }
 
@@ -36,8 +36,8 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Standing {
-    Sound,
+enum Status {
+    Active,
     Lost,
     /// It has taken its generation, and this is what others answered: their terms and the ends of
     /// their logs.
@@ -50,31 +50,31 @@
     vote: Option<u8>,
     log: Log,
     role: Role,
-    standing: Standing,
+    status: Status,
     generation: u8,
     known: Vec<u8>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask {
+    RequestVote {
         from: u8,
         term: u8,
         last: Rank,
     },
-    Vote {
+    RequestVoteResponse {
         from: u8,
         to: u8,
         term: u8,
         generation: u8,
         known: Vec<u8>,
     },
-    Append {
+    AppendEntries {
         from: u8,
         term: u8,
         log: Log,
     },
-    Ack {
+    AppendEntriesResponse {
         from: u8,
         to: u8,
         term: u8,
@@ -82,11 +82,11 @@
         generation: u8,
         known: Vec<u8>,
     },
-    Claim {
+    ClaimGeneration {
         from: u8,
         generation: u8,
     },
-    Told {
+    StatusResponse {
         from: u8,
         to: u8,
         generation: u8,
@@ -114,12 +114,12 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Act {
-    Stand(u8),
+enum Action {
+    StartElection(u8),
     Propose(u8),
-    Lose(u8),
-    Claim(u8, BTreeSet<u8>),
-    Take(u8, Message),
+    LoseFile(u8),
+    ClaimGeneration(u8, BTreeSet<u8>),
+    Deliver(u8, Message),
 }
 
 #[derive(Debug, Clone)]
@@ -130,16 +130,16 @@
     entries: usize,
     losses: u8,
     /// So many of the members, from the first on, may lose their files.
-    losers: u8,
+    losable_members: u8,
 }
 
 impl Bounds {
-    fn more_than_half(&self) -> usize {
+    fn majority(&self) -> usize {
         self.start.members.len() / 2 + 1
     }
 
-    fn has_past(standing: &Standing) -> bool {
-        *standing == Standing::Sound
+    fn is_active(status: &Status) -> bool {
+        *status == Status::Active
     }
 }
 
@@ -150,33 +150,33 @@
             vote: None,
             log: Vec::new(),
             role: Role::Follower,
-            standing: Standing::Sound,
+            status: Status::Active,
             generation: 0,
             known: vec![0; members],
         }
     }
 
-    fn rise(&mut self, term: u8) {
+    fn advance_term(&mut self, term: u8) {
         if term > self.term {
             (self.term, self.vote, self.role) = (term, None, Role::Follower);
         }
     }
 
     /// Whether a message of this generation of another counts; takes what comes with it.
-    fn hears(&mut self, rule: Rule, from: u8, generation: u8, known: &[u8]) -> bool {
-        if rule == Rule::LivesForgotten {
+    fn accepts(&mut self, rule: Rule, from: u8, generation: u8, known: &[u8]) -> bool {
+        if rule == Rule::AcceptsStaleGenerations {
             return true;
         }
         if generation < self.known[from as usize] {
             return false;
         }
-        let mut news = generation > self.known[from as usize];
+        let mut changed = generation > self.known[from as usize];
         self.known[from as usize] = generation;
-        for (own, told) in self.known.iter_mut().zip(known) {
-            news |= *told > *own;
-            *own = (*own).max(*told);
+        for (own, received) in self.known.iter_mut().zip(known) {
+            changed |= *received > *own;
+            *own = (*own).max(*received);
         }
-        if news {
+        if changed {
             self.role = Role::Follower;
         }
         true
@@ -184,7 +184,7 @@
 }
 
 impl State {
-    fn begin(members: usize) -> State {
+    fn initial(members: usize) -> State {
         State {
             members: vec![Member::fresh(members); members],
             sent: BTreeSet::new(),
@@ -207,61 +207,65 @@
         }
     }
 
-    fn take(&mut self, bounds: &Bounds, to: u8, message: &Message) {
-        let mut me = self.members[to as usize].clone();
-        let sound = Bounds::has_past(&me.standing);
+    fn deliver(&mut self, bounds: &Bounds, to: u8, message: &Message) {
+        let mut member = self.members[to as usize].clone();
+        let active = Bounds::is_active(&member.status);
         match message {
-            Message::Ask { from, term, last } if sound => {
-                me.rise(*term);
-                let free = me.vote.is_none_or(|vote| vote == *from);
-                if *term == me.term && free && *last >= rank(&me.log) && me.role == Role::Follower {
-                    me.vote = Some(*from);
-                    let (generation, known) = (me.generation, me.known.clone());
-                    self.sent.insert(Message::Vote {
+            Message::RequestVote { from, term, last } if active => {
+                member.advance_term(*term);
+                let free = member.vote.is_none_or(|vote| vote == *from);
+                if *term == member.term
+                    && free
+                    && *last >= recency(&member.log)
+                    && member.role == Role::Follower
+                {
+                    member.vote = Some(*from);
+                    let (generation, known) = (member.generation, member.known.clone());
+                    self.sent.insert(Message::RequestVoteResponse {
                         from: to,
                         to: *from,
-                        term: me.term,
+                        term: member.term,
                         generation,
                         known,
                     });
                 }
             }
-            Message::Vote {
+            Message::RequestVoteResponse {
                 from,
                 to: _,
                 term,
                 generation,
                 known,
-            } if sound => {
-                if me.hears(bounds.rule, *from, *generation, known)
-                    && *term == me.term
-                    && let Role::Candidate(votes) = &mut me.role
+            } if active => {
+                if member.accepts(bounds.rule, *from, *generation, known)
+                    && *term == member.term
+                    && let Role::Candidate(votes) = &mut member.role
                 {
                     votes.insert(*from);
-                    if votes.len() >= bounds.more_than_half() {
+                    if votes.len() >= bounds.majority() {
                         self.broken |= self
                             .leaders
-                            .insert(me.term, to)
+                            .insert(member.term, to)
                             .is_some_and(|other| other != to);
-                        me.role = Role::Leader(BTreeMap::new());
-                        me.log.push(me.term);
-                        self.sent.insert(Message::Append {
+                        member.role = Role::Leader(BTreeMap::new());
+                        member.log.push(member.term);
+                        self.sent.insert(Message::AppendEntries {
                             from: to,
-                            term: me.term,
-                            log: me.log.clone(),
+                            term: member.term,
+                            log: member.log.clone(),
                         });
                     }
                 }
             }
-            Message::Append { from, term, log } if sound && *term >= me.term => {
-                me.rise(*term);
-                me.role = Role::Follower;
-                if !me.log.starts_with(log) {
-                    me.log = log.clone();
+            Message::AppendEntries { from, term, log } if active && *term >= member.term => {
+                member.advance_term(*term);
+                member.role = Role::Follower;
+                if !member.log.starts_with(log) {
+                    member.log = log.clone();
                 }
                 let (length, generation, known) =
-                    (log.len() as u8, me.generation, me.known.clone());
-                self.sent.insert(Message::Ack {
+                    (log.len() as u8, member.generation, member.known.clone());
+                self.sent.insert(Message::AppendEntriesResponse {
                     from: to,
                     to: *from,
                     term: *term,
@@ -270,47 +274,47 @@
                     known,
                 });
             }
-            Message::Ack {
+            Message::AppendEntriesResponse {
                 from,
                 to: _,
                 term,
                 length,
                 generation,
                 known,
-            } if sound => {
-                if me.hears(bounds.rule, *from, *generation, known)
-                    && *term == me.term
-                    && let Role::Leader(acks) = &mut me.role
+            } if active => {
+                if member.accepts(bounds.rule, *from, *generation, known)
+                    && *term == member.term
+                    && let Role::Leader(acks) = &mut member.role
                 {
                     let ack = acks.entry(*from).or_insert(0);
                     *ack = (*ack).max(*length);
                     let acked =
                         |n: usize| acks.values().filter(|ack| **ack as usize >= n).count() + 1;
-                    let most = (1..=me.log.len())
+                    let most = (1..=member.log.len())
                         .rev()
-                        .find(|n| acked(*n) >= bounds.more_than_half());
-                    if let Some(most) = most.filter(|n| me.log[n - 1] == me.term) {
-                        let log = me.log[..most].to_vec();
+                        .find(|n| acked(*n) >= bounds.majority());
+                    if let Some(most) = most.filter(|n| member.log[n - 1] == member.term) {
+                        let log = member.log[..most].to_vec();
                         self.commit(&log);
                         self.sent.insert(Message::Committed {
                             from: to,
-                            term: me.term,
+                            term: member.term,
                             log,
                         });
                     }
                 }
             }
-            Message::Claim { from, generation }
-                if sound && *generation >= me.known[*from as usize] =>
+            Message::ClaimGeneration { from, generation }
+                if active && *generation >= member.known[*from as usize] =>
             {
-                if *generation > me.known[*from as usize] {
-                    me.known[*from as usize] = *generation;
-                    if bounds.rule != Rule::LivesForgotten {
-                        me.role = Role::Follower;
+                if *generation > member.known[*from as usize] {
+                    member.known[*from as usize] = *generation;
+                    if bounds.rule != Rule::AcceptsStaleGenerations {
+                        member.role = Role::Follower;
                     }
                 }
-                let (generation, term, last) = (*generation, me.term, rank(&me.log));
-                self.sent.insert(Message::Told {
+                let (generation, term, last) = (*generation, member.term, recency(&member.log));
+                self.sent.insert(Message::StatusResponse {
                     from: to,
                     to: *from,
                     generation,
@@ -318,150 +322,157 @@
                     last,
                 });
             }
-            Message::Told {
+            Message::StatusResponse {
                 from,
                 to: _,
                 generation,
                 term,
                 last,
-            } if *generation == me.generation => {
-                if let Standing::Claimed(told) = &mut me.standing {
-                    told.entry(*from).or_insert((*term, *last));
+            } if *generation == member.generation => {
+                if let Status::Claimed(received) = &mut member.status {
+                    received.entry(*from).or_insert((*term, *last));
                 }
             }
             Message::Committed { from, term, log } => {
-                let bar = match &me.standing {
-                    Standing::Claimed(told) if told.len() >= bounds.more_than_half() => {
-                        let terms = told.values().map(|told| told.0).max();
-                        terms.zip(told.values().map(|told| told.1).max())
+                let catch_up_bar = match &member.status {
+                    Status::Claimed(received) if received.len() >= bounds.majority() => {
+                        let terms = received.values().map(|received| received.0).max();
+                        terms.zip(received.values().map(|received| received.1).max())
                     }
                     _ => None,
                 };
-                let enough = |(least, last): (u8, Rank)| *term >= least && rank(log) >= last;
-                if bar.is_some_and(|bar| enough(bar) || bounds.rule == Rule::NoBar) {
-                    (me.term, me.vote, me.log) = (*term, Some(*from), log.clone());
-                    me.standing = Standing::Sound;
+                let enough = |(least, last): (u8, Rank)| *term >= least && recency(log) >= last;
+                if catch_up_bar.is_some_and(|catch_up_bar| {
+                    enough(catch_up_bar) || bounds.rule == Rule::NoCatchUpBar
+                }) {
+                    (member.term, member.vote, member.log) = (*term, Some(*from), log.clone());
+                    member.status = Status::Active;
                 }
             }
             _ => {}
         }
-        self.members[to as usize] = me;
+        self.members[to as usize] = member;
     }
 }
 
 impl Model for Bounds {
     type State = State;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         vec![self.start.clone()]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Act>) {
+    fn actions(&self, state: &State, acts: &mut Vec<Action>) {
         let count = state.members.len();
         let impaired = state
             .members
             .iter()
-            .filter(|m| !Self::has_past(&m.standing))
+            .filter(|m| !Self::is_active(&m.status))
             .count();
         for (at, member) in (0..).zip(&state.members) {
-            match &member.standing {
-                Standing::Sound => {
+            match &member.status {
+                Status::Active => {
                     if member.term < self.terms && !matches!(member.role, Role::Leader(_)) {
-                        acts.push(Act::Stand(at));
+                        acts.push(Action::StartElection(at));
                     }
                     if matches!(member.role, Role::Leader(_)) && member.log.len() < self.entries {
-                        acts.push(Act::Propose(at));
+                        acts.push(Action::Propose(at));
                     }
-                    if at < self.losers
+                    if at < self.losable_members
                         && state.losses < self.losses
-                        && impaired < count - self.more_than_half()
+                        && impaired < count - self.majority()
                     {
-                        acts.push(Act::Lose(at));
+                        acts.push(Action::LoseFile(at));
                     }
                 }
-                Standing::Lost => {
+                Status::Lost => {
                     // Any m sound others may be those that were asked.
                     let others: Vec<u8> = (0..count as u8)
-                        .filter(|other| Self::has_past(&state.members[*other as usize].standing))
+                        .filter(|other| Self::is_active(&state.members[*other as usize].status))
                         .collect();
                     for chosen in 0u32..1 << others.len() {
-                        if chosen.count_ones() as usize == self.more_than_half() {
+                        if chosen.count_ones() as usize == self.majority() {
                             let is_in = |n: &usize| chosen >> n & 1 == 1;
                             let set = (0..others.len()).filter(is_in).map(|n| others[n]).collect();
-                            acts.push(Act::Claim(at, set));
+                            acts.push(Action::ClaimGeneration(at, set));
                         }
                     }
                 }
-                Standing::Claimed(_) => {}
+                Status::Claimed(_) => {}
             }
         }
         for message in &state.sent {
             let all = |from: &u8| (0..count as u8).filter(|to| to != from).collect::<Vec<_>>();
             let to = match message {
-                Message::Ask { from, .. }
-                | Message::Append { from, .. }
-                | Message::Claim { from, .. }
+                Message::RequestVote { from, .. }
+                | Message::AppendEntries { from, .. }
+                | Message::ClaimGeneration { from, .. }
                 | Message::Committed { from, .. } => all(from),
-                Message::Vote { to, .. } | Message::Ack { to, .. } | Message::Told { to, .. } => {
+                Message::RequestVoteResponse { to, .. }
+                | Message::AppendEntriesResponse { to, .. }
+                | Message::StatusResponse { to, .. } => {
                     vec![*to]
                 }
             };
-            acts.extend(to.into_iter().map(|to| Act::Take(to, message.clone())));
+            acts.extend(
+                to.into_iter()
+                    .map(|to| Action::Deliver(to, message.clone())),
+            );
         }
     }
 
-    fn next_state(&self, state: &State, act: Act) -> Option<State> {
+    fn next_state(&self, state: &State, act: Action) -> Option<State> {
         let mut next = state.clone();
         match act {
-            Act::Stand(at) => {
-                let me = &mut next.members[at as usize];
-                (me.term, me.vote) = (me.term + 1, Some(at));
-                me.role = Role::Candidate(BTreeSet::from([at]));
-                let (term, last) = (me.term, rank(&me.log));
-                next.sent.insert(Message::Ask {
+            Action::StartElection(at) => {
+                let member = &mut next.members[at as usize];
+                (member.term, member.vote) = (member.term + 1, Some(at));
+                member.role = Role::Candidate(BTreeSet::from([at]));
+                let (term, last) = (member.term, recency(&member.log));
+                next.sent.insert(Message::RequestVote {
                     from: at,
                     term,
                     last,
                 });
             }
-            Act::Propose(at) => {
-                let me = &mut next.members[at as usize];
-                me.log.push(me.term);
-                let (term, log) = (me.term, me.log.clone());
-                next.sent.insert(Message::Append {
+            Action::Propose(at) => {
+                let member = &mut next.members[at as usize];
+                member.log.push(member.term);
+                let (term, log) = (member.term, member.log.clone());
+                next.sent.insert(Message::AppendEntries {
                     from: at,
                     term,
                     log,
                 });
             }
-            Act::Lose(at) => {
+            Action::LoseFile(at) => {
                 next.losses += 1;
-                let standing = if self.rule == Rule::VotesAtOnce {
-                    Standing::Sound
+                let status = if self.rule == Rule::VotesImmediately {
+                    Status::Active
                 } else {
-                    Standing::Lost
+                    Status::Lost
                 };
                 next.members[at as usize] = Member {
-                    standing,
+                    status,
                     ..Member::fresh(state.members.len())
                 };
             }
-            Act::Claim(at, asked) => {
+            Action::ClaimGeneration(at, asked) => {
                 let known = asked
                     .iter()
                     .map(|other| state.members[*other as usize].known[at as usize])
                     .max();
-                let me = &mut next.members[at as usize];
-                me.generation = known.unwrap_or(0) + 1;
-                me.standing = Standing::Claimed(BTreeMap::new());
-                let generation = me.generation;
-                next.sent.insert(Message::Claim {
+                let member = &mut next.members[at as usize];
+                member.generation = known.unwrap_or(0) + 1;
+                member.status = Status::Claimed(BTreeMap::new());
+                let generation = member.generation;
+                next.sent.insert(Message::ClaimGeneration {
                     from: at,
                     generation,
                 });
             }
-            Act::Take(to, message) => next.take(self, to, &message),
+            Action::Deliver(to, message) => next.deliver(self, to, &message),
         }
         (next != *state).then_some(next)
     }
@@ -475,7 +486,7 @@
             Property::sometimes(
                 "a member that had lost its past counts again",
                 |_, state: &State| {
-                    let again = |m: &Member| m.generation > 0 && m.standing == Standing::Sound;
+                    let again = |m: &Member| m.generation > 0 && m.status == Status::Active;
                     state.members.iter().any(again) && !state.committed.is_empty()
                 },
             ),
@@ -487,31 +498,31 @@
 fn three(rule: Rule, terms: u8, entries: usize, losses: u8) -> Bounds {
     Bounds {
         rule,
-        start: State::begin(3),
+        start: State::initial(3),
         terms,
         entries,
         losses,
-        losers: 3,
+        losable_members: 3,
     }
 }
 
 /// Three members, the second of which leads in the first term with the vote of the first; the third
 /// has heard of nothing. The first may lose its file.
 fn led(rule: Rule) -> Bounds {
-    let mut start = State::begin(3);
+    let mut start = State::initial(3);
     for at in [0, 1] {
-        let me = &mut start.members[at];
-        (me.term, me.vote, me.log) = (1, Some(1), vec![1]);
+        let member = &mut start.members[at];
+        (member.term, member.vote, member.log) = (1, Some(1), vec![1]);
     }
     start.members[1].role = Role::Leader(BTreeMap::new());
     start.leaders = BTreeMap::from([(1, 1)]);
-    start.sent.insert(Message::Append {
+    start.sent.insert(Message::AppendEntries {
         from: 1,
         term: 1,
         log: vec![1],
     });
     let (generation, known) = (0, vec![0; 3]);
-    start.sent.insert(Message::Ack {
+    start.sent.insert(Message::AppendEntriesResponse {
         from: 0,
         to: 1,
         term: 1,
@@ -525,7 +536,7 @@
         terms: 2,
         entries: 1,
         losses: 1,
-        losers: 1,
+        losable_members: 1,
     }
 }
 
@@ -533,10 +544,10 @@
 /// fourth and fifth; the first has given the second its vote for the second term, which is on its
 /// way.
 fn five(rule: Rule) -> Bounds {
-    let mut start = State::begin(5);
+    let mut start = State::initial(5);
     for at in [2, 3, 4] {
-        let me = &mut start.members[at];
-        (me.term, me.vote, me.log) = (1, Some(2), vec![1]);
+        let member = &mut start.members[at];
+        (member.term, member.vote, member.log) = (1, Some(2), vec![1]);
     }
     start.members[2].role = Role::Leader(BTreeMap::from([(3, 1), (4, 1)]));
     (start.committed, start.leaders) = (vec![1], BTreeMap::from([(1, 2)]));
@@ -546,17 +557,17 @@
         log: vec![1],
     });
     for at in [0, 1] {
-        let me = &mut start.members[at];
-        (me.term, me.vote, me.log) = (2, Some(1), vec![1]);
+        let member = &mut start.members[at];
+        (member.term, member.vote, member.log) = (2, Some(1), vec![1]);
     }
     start.members[1].role = Role::Candidate(BTreeSet::from([1]));
-    start.sent.insert(Message::Ask {
+    start.sent.insert(Message::RequestVote {
         from: 1,
         term: 2,
         last: (1, 1),
     });
     let (generation, known) = (0, vec![0; 5]);
-    start.sent.insert(Message::Vote {
+    start.sent.insert(Message::RequestVoteResponse {
         from: 0,
         to: 1,
         term: 2,
@@ -565,7 +576,7 @@
     });
     // Only the first may lose its file; the bound on losses sees to that with the standing below.
     start.members[0] = Member {
-        standing: Standing::Lost,
+        status: Status::Lost,
         ..Member::fresh(5)
     };
     Bounds {
@@ -574,7 +585,7 @@
         terms: 2,
         entries: 1,
         losses: 0,
-        losers: 0,
+        losable_members: 0,
     }
 }
 
@@ -590,7 +601,7 @@
         "{name}, {rule:?}: {unique} states, depth {depth}, {}",
         if broken { "broken" } else { "kept" }
     );
-    if rule == Rule::Whole {
+    if rule == Rule::Complete {
         assert!(
             checker
                 .discovery("a member that had lost its past counts again")
@@ -602,17 +613,17 @@
 }
 
 #[test]
-fn a_member_without_its_past_breaks_nothing_and_without_a_part_of_the_rule_it_does() {
-    assert!(check("three members, led", led(Rule::Whole)));
-    assert!(!check("three members, led", led(Rule::VotesAtOnce)));
-    assert!(!check("three members, led", led(Rule::NoBar)));
+fn rejoin_rule_is_safe_and_every_part_is_needed() {
+    assert!(check("three members, led", led(Rule::Complete)));
+    assert!(!check("three members, led", led(Rule::VotesImmediately)));
+    assert!(!check("three members, led", led(Rule::NoCatchUpBar)));
     if std::env::var("REJOIN_MODEL").is_ok_and(|which| which == "full") {
         // With three members whoever stands for election is among those that answered; with five it
         // need not be.
-        assert!(!check("five members", five(Rule::LivesForgotten)));
+        assert!(!check("five members", five(Rule::AcceptsStaleGenerations)));
         assert!(check(
             "three members from the begin",
-            three(Rule::Whole, 2, 1, 1)
+            three(Rule::Complete, 2, 1, 1)
         ));
     }
 }
--- a/store/tests/simulation.rs
+++ b/store/tests/simulation.rs
@@ -4,15 +4,15 @@
 
 mod world;
 
-use world::{Planted, World, first_failure, seeds};
+use world::{PlantedFault, World, first_failure, seeds};
 
 #[test]
-fn nothing_that_was_shown_is_lost_or_differs_whatever_fails() {
+fn committed_changes_survive_faults() {
     let failed = first_failure(seeds(), |seed| {
-        World::new(seed, [3, 5, 7][seed as usize % 3], Planted::Nothing).play()
+        World::new(seed, [3, 5, 7][seed as usize % 3], PlantedFault::Nothing).play()
     });
     assert_eq!(failed, None);
-    let mut world = World::new(0, 3, Planted::Nothing);
+    let mut world = World::new(0, 3, PlantedFault::Nothing);
     world.play().unwrap();
     assert!(world.furthest > 5, "hardly anything was committed");
 }
@@ -20,13 +20,13 @@
 /// Each fault is found, from a seed on that is known to find it, so that a few are enough; with
 /// `STORE_SEEDS` from 0 on.
 #[test]
-fn planted_faults_are_found() {
+fn finds_planted_faults() {
     for (planted, count, known) in [
-        (Planted::SaysBeforeSync, 7, 0),
-        (Planted::EmptyVotes, 5, 1),
-        (Planted::VoteForgotten, 3, 17_880),
-        (Planted::NoBar, 5, 62_062),
-        (Planted::VotesForAnyone, 3, 0),
+        (PlantedFault::AcknowledgesBeforeSync, 7, 0),
+        (PlantedFault::VotesAfterLoss, 5, 1),
+        (PlantedFault::ForgetsVote, 3, 17_880),
+        (PlantedFault::NoCatchUpBar, 5, 62_062),
+        (PlantedFault::VotesForAnyone, 3, 0),
     ] {
         let (from, seeds) = if seeds() > 60 {
             (0, 80_000)
@@ -36,7 +36,7 @@
         let found = first_failure(seeds, |seed| World::new(from + seed, count, planted).play());
         let (seed, problem) = found.unwrap_or_else(|| panic!("{planted:?} went unnoticed"));
         // The same seed without the fault is no failure.
-        let world = || World::new(from + seed, count, Planted::Nothing);
+        let world = || World::new(from + seed, count, PlantedFault::Nothing);
         assert_eq!(world().play(), Ok(()), "{planted:?}: seed {}", from + seed);
         println!(
             "{planted:?}: {count} members, seed {}: {problem}",
