--- a/store/tests/transactions.rs
+++ b/store/tests/transactions.rs
@@ -5,29 +5,29 @@
 mod world;
 
 use store::Time;
-use store::command::{Check, Expects, Txn};
+use store::command::{Change, Check, Expects, Txn};
 use store::member::{Call, CallId, Reply};
-use store::packet::Change;
-use store::state::{Outcome, Refusal};
-use world::{MS, Planted, World, first_failure, seeds};
+
+use store::state::{Outcome, Rejection};
+use world::{MS, PlantedFault, World, first_failure, seeds};
 
 const PATIENCE: Time = 800 * MS;
 
 /// What a client does wrong, to see that it would be found.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Client {
-    Sound,
+    Active,
     /// It takes what the member holds, without having it ask.
     ReadsUnasked,
     /// What was not answered is asked again under a new number and without its checks.
-    AsksAnew,
+    RetriesAsNewRequest,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 enum Doing {
     Nothing,
     Opening,
-    Reading,
+    PendingRead,
     Changing(Txn),
 }
 
@@ -108,9 +108,9 @@
                 |(_, call, _): &&(u64, CallId, Reply)| *call == counter.call && counter.call > 0;
             let reply = replies.iter().find(own).map(|(.., reply)| reply.clone());
             // A member that lost its power answers nothing any more.
-            let late = world.now > counter.begun + PATIENCE + 50 * MS;
+            let delay = world.now > counter.begun + PATIENCE + 50 * MS;
             let reply = reply
-                .or_else(|| (late && counter.doing != Doing::Nothing).then_some(Reply::Unknown));
+                .or_else(|| (delay && counter.doing != Doing::Nothing).then_some(Reply::Unknown));
             if let Some(reply) = reply {
                 self.answered(at, reply, world)?;
             }
@@ -120,7 +120,7 @@
                 let doing = if counter.session.is_none() {
                     Doing::Opening
                 } else {
-                    Doing::Reading
+                    Doing::PendingRead
                 };
                 self.ask(at, member, doing, world);
             }
@@ -141,7 +141,7 @@
         let call = match &counter.doing {
             Doing::Nothing => return,
             Doing::Opening => Call::Open,
-            Doing::Reading => Call::Read,
+            Doing::PendingRead => Call::Read,
             Doing::Changing(txn) => Call::Txn(txn.clone()),
         };
         let unasked = self.kind == Client::ReadsUnasked && call == Call::Read;
@@ -168,21 +168,21 @@
                 (counter.session, counter.request, counter.doing) =
                     (Some(session), 0, Doing::Nothing);
             }
-            (Doing::Reading, Reply::Read(answered)) => {
+            (Doing::PendingRead, Reply::Read(answered)) => {
                 let store = world.members[&counter.member]
                     .store
                     .as_ref()
                     .ok_or("it has just answered")?;
                 // What is looked at now may be newer than the answer.
                 let revision = store.applied().max(answered);
-                let held = ["a", "b"].map(|key| store.state().held(key).cloned());
-                let [one, other] = &held;
+                let versioned = ["a", "b"].map(|key| store.state().versioned(key).cloned());
+                let [one, other] = &versioned;
                 if one != other {
-                    return Err(format!("half of a change is seen: {held:?}"));
+                    return Err(format!("half of a change is seen: {versioned:?}"));
                 }
                 let counted = one
                     .as_ref()
-                    .map_or(0, |held| held.value.parse().unwrap_or(0));
+                    .map_or(0, |versioned| versioned.value.parse().unwrap_or(0));
                 self.seen.push(Seen {
                     begun,
                     ended: now,
@@ -193,7 +193,7 @@
                     key: key.to_owned(),
                     expects: one
                         .as_ref()
-                        .map_or(Expects::Absent, |held| Expects::At(held.revision)),
+                        .map_or(Expects::Absent, |versioned| Expects::At(versioned.revision)),
                 };
                 let set = |key: &str| Change {
                     key: key.to_owned(),
@@ -209,7 +209,7 @@
                 let member = counter.member;
                 self.ask(at, member, Doing::Changing(txn), world);
             }
-            (Doing::Changing(_), Reply::Made(Outcome::Applied(revision))) => {
+            (Doing::Changing(_), Reply::Txn(Outcome::Applied(revision))) => {
                 counter.doing = Doing::Nothing;
                 self.applied += 1;
                 // An answer that came to an earlier try tells of that: it began no later than this
@@ -221,15 +221,15 @@
                     count: None,
                 });
             }
-            (Doing::Changing(_), Reply::Made(Outcome::Refused(Refusal::NoSession))) => {
+            (Doing::Changing(_), Reply::Txn(Outcome::Rejected(Rejection::UnknownSession))) => {
                 (counter.doing, counter.session) = (Doing::Nothing, None);
                 self.lost += 1;
             }
-            (Doing::Changing(_), Reply::Made(Outcome::Refused(_))) => {
+            (Doing::Changing(_), Reply::Txn(Outcome::Rejected(_))) => {
                 counter.doing = Doing::Nothing
             }
             (Doing::Changing(mut txn), Reply::Unknown) => {
-                if self.kind == Client::AsksAnew {
+                if self.kind == Client::RetriesAsNewRequest {
                     counter.request += 1;
                     (txn.request, txn.checks) = (counter.request, Vec::new());
                 }
@@ -293,7 +293,7 @@
 }
 
 /// Plays one seed; how many changes were made.
-fn play(seed: u64, kind: Client, planted: Planted) -> Result<u64, String> {
+fn play(seed: u64, kind: Client, planted: PlantedFault) -> Result<u64, String> {
     let mut world = World::new(seed, [3, 5][seed as usize % 2], planted);
     let mut clients = Clients::new(kind);
     world.troubled(6000, |world| clients.step(world, true))?;
@@ -310,13 +310,13 @@
 }
 
 #[test]
-fn every_change_is_made_once_and_whole_and_reads_keep_to_real_time() {
+fn transactions_apply_once_and_reads_are_linearizable() {
     let failed = first_failure(seeds(), |seed| {
-        play(seed, Client::Sound, Planted::Nothing).map(drop)
+        play(seed, Client::Active, PlantedFault::Nothing).map(drop)
     });
     assert_eq!(failed, None);
     let made: u64 = (0..6)
-        .map(|seed| play(seed, Client::Sound, Planted::Nothing).unwrap())
+        .map(|seed| play(seed, Client::Active, PlantedFault::Nothing).unwrap())
         .sum();
     assert!(made > 15, "hardly anything was changed: {made}");
 }
@@ -324,11 +324,11 @@
 /// Each fault is found within a few seeds from one on that is known to find it; with `STORE_SEEDS`
 /// from 0 on.
 #[test]
-fn planted_faults_of_reads_and_repeats_are_found() {
+fn finds_planted_faults_of_reads_and_retries() {
     for (kind, planted, known) in [
-        (Client::ReadsUnasked, Planted::Nothing, 0),
-        (Client::AsksAnew, Planted::Nothing, 0),
-        (Client::Sound, Planted::UnaskedLeader, 0),
+        (Client::ReadsUnasked, PlantedFault::Nothing, 0),
+        (Client::RetriesAsNewRequest, PlantedFault::Nothing, 0),
+        (Client::Active, PlantedFault::UnconfirmedReads, 0),
     ] {
         let (from, seeds) = if seeds() > 60 {
             (0, 5000)
@@ -339,7 +339,7 @@
         let (seed, problem) =
             found.unwrap_or_else(|| panic!("{kind:?} with {planted:?} went unnoticed"));
         assert!(
-            play(from + seed, Client::Sound, Planted::Nothing).is_ok(),
+            play(from + seed, Client::Active, PlantedFault::Nothing).is_ok(),
             "seed {}",
             from + seed
         );
--- a/store/tests/wire_format.rs
+++ b/store/tests/wire_format.rs
@@ -3,12 +3,13 @@
 //! renamed type or field must leave them as they are.
 
 use std::collections::{BTreeMap, BTreeSet};
-use store::command::{Check, Command, Expects, Txn};
-use store::kept::Kept;
-use store::packet::{Body, Change, Entries, Entry, KINDS, Packet, Position, Snapshot};
+use store::command::{Change, Check, Command, Expects, Txn};
+use store::log::{Entries, Entry, Position, Snapshot};
+use store::message::{Envelope, KINDS, Message};
+use store::persisted::PersistedState;
 use store::record::{MAGIC, Record, encode, read, read_lines};
-use store::rejoin::{Ask, Past, Peer, Told, What};
-use store::state::{Outcome, Refusal, Room, State};
+use store::rejoin::{History, Peer, PeerStatus, StatusRequest, StatusResponse};
+use store::state::{Capacity, Outcome, Rejection, State};
 
 const FILE: &[u8] = include_bytes!("fixtures/file-v3.bin");
 const LINES: &str = include_str!("fixtures/file-v1.jsonl");
@@ -55,7 +56,7 @@
 
 /// A state with keys and with sessions, one for each outcome that a session can have.
 fn state() -> State {
-    let room = Room {
+    let capacity = Capacity {
         keys: 2,
         sessions: 8,
     };
@@ -64,7 +65,7 @@
     let mut revision = 0;
     let mut apply = |command: &Command| {
         revision += 1;
-        state.apply(revision, command, room);
+        state.apply(revision, command, capacity);
         revision
     };
     let set = |session, checks, key: &str| {
@@ -109,17 +110,17 @@
         Record::Generation(2),
         Record::Peer(3, Peer::known(1, 4, 9)),
         Record::Joined,
-        Record::Founding(true),
-        Record::Founding(false),
+        Record::Bootstrapping(true),
+        Record::Bootstrapping(false),
         Record::Lost,
     ]
 }
 
-fn packets() -> Vec<Packet> {
+fn packets() -> Vec<Envelope> {
     let last = Position { index: 9, term: 3 };
-    let asks = [Past::None, Past::Claimed, Past::Whole].map(|past| {
-        Body::Ask(Ask {
-            life: 11,
+    let asks = [History::None, History::Claimed, History::Intact].map(|past| {
+        Message::StatusRequest(StatusRequest {
+            incarnation: 11,
             past,
             generation: 2,
             starts: 6,
@@ -127,60 +128,60 @@
         })
     });
     let answers = [
-        What::Empty,
-        What::Joined,
-        What::Whole,
-        What::Lost,
-        What::Sound,
+        PeerStatus::Empty,
+        PeerStatus::Joined,
+        PeerStatus::Unverified,
+        PeerStatus::Lost,
+        PeerStatus::Active,
     ]
-    .map(|what| {
-        Body::Told(Told {
-            life: 11,
-            what,
+    .map(|status| {
+        Message::StatusResponse(StatusResponse {
+            incarnation: 11,
+            status,
             generation: 2,
-            newer: what == What::Lost,
+            superseded: status == PeerStatus::Lost,
             last,
         })
     });
-    let mut bodies = vec![
-        Body::Vote { last },
-        Body::Voted { granted: true },
-        Body::Append {
+    let mut messages = vec![
+        Message::RequestVote { last },
+        Message::RequestVoteResponse { granted: true },
+        Message::AppendEntries {
             commit: 8,
             entries: entries(),
         },
-        Body::Appended { last },
-        Body::Snapshot {
+        Message::AppendEntriesResponse { last },
+        Message::InstallSnapshot {
             snapshot: snapshot(),
             restores: 11,
         },
-        Body::Propose(Command::Txn(txn())),
-        Body::Propose(Command::Put(change("k", Some("v")))),
-        Body::Propose(Command::Open(77)),
-        Body::Read {
+        Message::Propose(Command::Txn(txn())),
+        Message::Propose(Command::Put(change("k", Some("v")))),
+        Message::Propose(Command::Open(77)),
+        Message::ReadIndex {
             number: 12,
-            life: 11,
+            incarnation: 11,
         },
-        Body::ReadAt {
+        Message::ReadIndexResponse {
             number: 12,
-            life: 11,
+            incarnation: 11,
             index: 9,
         },
-        Body::Found {
-            life: 11,
+        Message::Bootstrap {
+            incarnation: 11,
             snapshot: snapshot(),
         },
-        Body::Joined,
-        Body::Begun { life: 11 },
-        Body::Fetch {
-            life: 11,
+        Message::BootstrapAccepted,
+        Message::AlreadyBootstrapped { incarnation: 11 },
+        Message::SnapshotRequest {
+            incarnation: 11,
             term: 4,
             last,
         },
     ];
-    bodies.extend(asks);
-    bodies.extend(answers);
-    let packet = |(at, body)| Packet {
+    messages.extend(asks);
+    messages.extend(answers);
+    let envelope = |(at, message)| Envelope {
         from: 2,
         cluster: 7,
         term: 4,
@@ -188,13 +189,13 @@
         starts: 6,
         generation: 1,
         generations: BTreeMap::from([(1, 2), (3, 1)]),
-        body,
+        message,
     };
-    let mut packets: Vec<Packet> = bodies.into_iter().enumerate().map(packet).collect();
+    let mut packets: Vec<Envelope> = messages.into_iter().enumerate().map(envelope).collect();
     // Of a member that has lost no file and knows of none that has.
-    packets.push(Packet {
+    packets.push(Envelope {
         from: 1,
-        ..Packet::default()
+        ..Envelope::default()
     });
     packets
 }
@@ -236,11 +237,11 @@
 
 #[test]
 fn writes_and_reads_packets() {
-    let written: String = packets().iter().map(Packet::write).collect();
+    let written: String = packets().iter().map(Envelope::write).collect();
     assert_eq!(written, PACKETS);
-    let read: Vec<Packet> = PACKETS
+    let read: Vec<Envelope> = PACKETS
         .lines()
-        .map(|line| Packet::read(line.as_bytes()).expect("a packet"))
+        .map(|line| Envelope::read(line.as_bytes()).expect("a packet"))
         .collect();
     assert_eq!(read, packets());
     for (kind, _) in KINDS {
@@ -251,8 +252,8 @@
 
 #[test]
 fn writes_and_reads_outcomes() {
-    let refused = |why| Outcome::Refused(why);
-    let differs = |found| refused(Refusal::Differs("k".to_owned(), found));
+    let rejected = |why| Outcome::Rejected(why);
+    let differs = |found| rejected(Rejection::CheckFailed("k".to_owned(), found));
     for (outcome, text) in [
         (Outcome::Applied(4), r#"{"applied":4}"#),
         (
@@ -263,10 +264,13 @@
             differs(None),
             r#"{"found":null,"key":"k","refused":"differs"}"#,
         ),
-        (refused(Refusal::Full), r#"{"refused":"full"}"#),
-        (refused(Refusal::NoSession), r#"{"refused":"no session"}"#),
-        (refused(Refusal::Past), r#"{"refused":"past"}"#),
-        (refused(Refusal::TooLarge), r#"{"refused":"too large"}"#),
+        (rejected(Rejection::Full), r#"{"refused":"full"}"#),
+        (
+            rejected(Rejection::UnknownSession),
+            r#"{"refused":"no session"}"#,
+        ),
+        (rejected(Rejection::StaleRequest), r#"{"refused":"past"}"#),
+        (rejected(Rejection::TooLarge), r#"{"refused":"too large"}"#),
     ] {
         assert_eq!(outcome.json().to_string(), text);
         assert_eq!(Outcome::read(&outcome.json()), Some(outcome));
@@ -277,8 +281,9 @@
 fn prints_the_same_summary() {
     let summaries: String = [0, 4, 9, 10, 11, 13]
         .map(|count| {
-            let kept = Kept::of(records().into_iter().take(count).collect());
-            let lines = kept.summary().into_iter();
+            let persisted =
+                PersistedState::from_records(records().into_iter().take(count).collect());
+            let lines = persisted.summary().into_iter();
             let lines: String = lines
                 .map(|(name, value)| format!("{name}: {value}\n"))
                 .collect();
--- a/store/tests/world/mod.rs
+++ b/store/tests/world/mod.rs
@@ -5,38 +5,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Mutex;
 use store::Time;
-use store::kept::Kept;
-use store::member::{Bounds, Membership, Pace, Store, Write};
-use store::packet::{Body, Change, Packet, Position, Snapshot};
+use store::command::Change;
+use store::log::{Position, Snapshot};
+use store::member::{Bounds, Membership, Store, Timing, Write};
+use store::message::{Envelope, Message};
+use store::persisted::PersistedState;
 use store::record::{MAGIC, Record, encode, read};
-use store::rejoin::{Standing, Told, What};
+use store::rejoin::{PeerStatus, Status, StatusResponse};
 
 pub const MS: Time = 1_000_000;
 
 /// What the simulation does wrong on purpose, to see that it would be found.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Planted {
+pub enum PlantedFault {
     Nothing,
     /// Writes are said to be done before they are: votes and acknowledgements go out ahead of the
     /// disk.
-    SaysBeforeSync,
+    AcknowledgesBeforeSync,
     /// A member whose file is lost votes again as if it had never voted: it takes itself for one
     /// that has just joined.
-    EmptyVotes,
+    VotesAfterLoss,
     /// A restart forgets the vote that its file has.
-    VoteForgotten,
+    ForgetsVote,
     /// A member that has lost its file counts again with whatever the first leader has committed.
-    NoBar,
+    NoCatchUpBar,
     /// Every candidate's log is taken to be as good as one's own.
     VotesForAnyone,
     /// A member that takes itself for the leader answers reads without asking whether it leads
     /// still.
-    UnaskedLeader,
+    UnconfirmedReads,
 }
 
 /// How long something takes: mostly up to the first, now and then up to the second, in
 /// milliseconds.
-fn late(rng: &mut fastrand::Rng, usual: u64, seldom: u64) -> Time {
+fn delay(rng: &mut fastrand::Rng, usual: u64, seldom: u64) -> Time {
     let most = if rng.u8(..) < 10 { seldom } else { usual };
     rng.u64(0..=most) * MS
 }
@@ -47,7 +49,7 @@
     disk: Vec<Record>,
     /// Writes under way, and when each is done.
     pub writes: Vec<(Time, Write)>,
-    back_at: Time,
+    restart_at: Time,
     /// Which store a file beside the member's own says that it has voted in.
     voted_in: u64,
     /// Its file was lost, and it does not count again yet.
@@ -56,19 +58,19 @@
 
 pub struct World {
     pub rng: fastrand::Rng,
-    pub planted: Planted,
+    pub planted: PlantedFault,
     pub now: Time,
     pub members: BTreeMap<u64, Member>,
-    wires: Vec<(Time, u64, u64, Packet)>,
+    in_flight: Vec<(Time, u64, u64, Envelope)>,
     /// Links that bring nothing, each in one direction.
-    cut: BTreeSet<(u64, u64)>,
+    partitioned: BTreeSet<(u64, u64)>,
     /// What any member ever applied at each place.
     log: BTreeMap<u64, Change>,
     pub furthest: u64,
 }
 
 impl World {
-    pub fn new(seed: u64, count: u64, planted: Planted) -> World {
+    pub fn new(seed: u64, count: u64, planted: PlantedFault) -> World {
         let member = |id| {
             let (disk, writes) = (Vec::new(), Vec::new());
             (
@@ -77,7 +79,7 @@
                     store: None,
                     disk,
                     writes,
-                    back_at: 0,
+                    restart_at: 0,
                     voted_in: 0,
                     impaired: false,
                 },
@@ -88,8 +90,8 @@
             planted,
             now: 0,
             members: (1..=count).map(member).collect(),
-            wires: Vec::new(),
-            cut: BTreeSet::new(),
+            in_flight: Vec::new(),
+            partitioned: BTreeSet::new(),
             log: BTreeMap::new(),
             furthest: 0,
         }
@@ -100,22 +102,22 @@
         let member = self.members.get_mut(&id).expect("a member");
         // The disk's content goes through its bytes, with what a write cut short leaves behind.
         let mut bytes = MAGIC.to_vec();
-        let places = (1..).zip(&member.disk);
-        places.for_each(|(place, record)| bytes.extend(encode(record, place)));
+        let positions = (1..).zip(&member.disk);
+        positions.for_each(|(place, record)| bytes.extend(encode(record, place)));
         bytes.truncate(bytes.len());
         bytes.extend(std::iter::repeat_n(0u8, self.rng.usize(0..15)));
         let mut records = read(&bytes).expect("a torn tail is no damage").records;
-        if self.planted == Planted::VoteForgotten {
+        if self.planted == PlantedFault::ForgetsVote {
             records.retain(|record| !matches!(record, Record::Vote(_)));
         }
         // What its settings say stays as it was at the first start.
         let membership = Membership {
             id,
             members,
-            begins: id == 1,
+            bootstraps: id == 1,
             era: 0,
         };
-        let pace = Pace {
+        let timing = Timing {
             heartbeat: 40 * MS,
             election: 160 * MS,
         };
@@ -129,19 +131,20 @@
             history: 40,
         };
         let seed = self.rng.u64(..);
-        let gone =
-            records.is_empty() && member.voted_in != 0 && self.planted != Planted::EmptyVotes;
-        let kept = if gone {
-            Kept::gone(member.voted_in)
+        let gone = records.is_empty()
+            && member.voted_in != 0
+            && self.planted != PlantedFault::VotesAfterLoss;
+        let persisted = if gone {
+            PersistedState::lost_file(member.voted_in)
         } else {
-            Kept::of(records)
+            PersistedState::from_records(records)
         };
         member.store = Some(Store::start(
             &membership,
-            pace,
+            timing,
             bounds,
             seed,
-            Some(kept),
+            Some(persisted),
             self.now,
         ));
     }
@@ -149,7 +152,7 @@
     /// Loses power: what is not synced is gone, and all that is in memory.
     pub fn crash(&mut self, id: u64, for_: Time) {
         let member = self.members.get_mut(&id).expect("a member");
-        (member.store, member.back_at) = (None, self.now + for_);
+        (member.store, member.restart_at) = (None, self.now + for_);
         member.writes.clear();
     }
 
@@ -168,7 +171,7 @@
         let members = self.members.keys().copied().collect();
         let member = self.members.get_mut(&id).expect("a member");
         (member.disk, member.impaired) = (Vec::new(), true);
-        if self.planted == Planted::EmptyVotes && member.voted_in != 0 {
+        if self.planted == PlantedFault::VotesAfterLoss && member.voted_in != 0 {
             let snapshot = Snapshot {
                 members,
                 ..Snapshot::default()
@@ -185,7 +188,7 @@
         let ids: Vec<u64> = self.members.keys().copied().collect();
         for id in &ids {
             let member = &self.members[id];
-            if member.store.is_none() && member.back_at <= self.now {
+            if member.store.is_none() && member.restart_at <= self.now {
                 self.boot(*id);
             }
             let member = self.members.get_mut(id).expect("a member");
@@ -203,38 +206,42 @@
                 }
                 member.disk.extend(write.records);
                 if let Some(store) = &mut member.store {
-                    store.written(write.number);
+                    store.on_written(write.number);
                 }
             }
             if let Some(store) = &mut member.store {
                 store.timer(self.now);
                 // What it has caught up with counts once it is on the disk.
-                member.impaired &= store.standing() != Standing::Sound || !member.writes.is_empty();
+                member.impaired &= store.status() != Status::Active || !member.writes.is_empty();
             }
         }
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.wires)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|w| w.0 <= now);
-        self.wires = later;
-        for (_, from, to, packet) in due {
-            if !self.cut.contains(&(from, to))
+        self.in_flight = later;
+        for (_, from, to, envelope) in due {
+            if !self.partitioned.contains(&(from, to))
                 && let Some(store) = self.members.get_mut(&to).and_then(|m| m.store.as_mut())
             {
-                let mut packet = Packet::read(packet.write().as_bytes())
+                let mut envelope = Envelope::read(envelope.write().as_bytes())
                     .map_err(|problem| problem.to_string())?;
-                match (self.planted, &mut packet.body) {
-                    (Planted::NoBar, Body::Told(Told { last, .. }))
-                        if store.standing() == Standing::Lost =>
-                    {
-                        (*last, packet.term) = (Position::default(), 0);
+                match (self.planted, &mut envelope.message) {
+                    (
+                        PlantedFault::NoCatchUpBar,
+                        Message::StatusResponse(StatusResponse { last, .. }),
+                    ) if store.status() == Status::Lost => {
+                        (*last, envelope.term) = (Position::default(), 0);
                     }
-                    (Planted::EmptyVotes, Body::Told(Told { what, newer, .. }))
-                        if store.standing() == Standing::Unjudged =>
-                    {
-                        (*what, *newer) = (What::Whole, false);
+                    (
+                        PlantedFault::VotesAfterLoss,
+                        Message::StatusResponse(StatusResponse {
+                            status, superseded, ..
+                        }),
+                    ) if store.status() == Status::Unverified => {
+                        (*status, *superseded) = (PeerStatus::Unverified, false);
                     }
-                    (Planted::VotesForAnyone, Body::Vote { last }) => {
+                    (PlantedFault::VotesForAnyone, Message::RequestVote { last }) => {
                         *last = Position {
                             index: last.index,
                             term: u64::MAX,
@@ -242,25 +249,31 @@
                     }
                     _ => {}
                 }
-                if let (Planted::UnaskedLeader, Body::Read { number, life }, true) =
-                    (self.planted, &packet.body, store.leads())
+                if let (
+                    PlantedFault::UnconfirmedReads,
+                    Message::ReadIndex {
+                        number,
+                        incarnation,
+                    },
+                    true,
+                ) = (self.planted, &envelope.message, store.is_leader())
                 {
-                    let body = Body::ReadAt {
+                    let message = Message::ReadIndexResponse {
                         number: *number,
-                        life: *life,
+                        incarnation: *incarnation,
                         index: store.applied(),
                     };
-                    let told = Packet {
+                    let response = Envelope {
                         from: to,
-                        cluster: packet.cluster,
-                        term: packet.term,
-                        body,
-                        ..Packet::default()
+                        cluster: envelope.cluster,
+                        term: envelope.term,
+                        message,
+                        ..Envelope::default()
                     };
-                    self.wires.push((now + MS, to, from, told));
+                    self.in_flight.push((now + MS, to, from, response));
                 }
                 // A store that never came to be may still be spoken of by who had begun it.
-                let _ = store.receive(packet, now);
+                let _ = store.receive(envelope, now);
             }
         }
         for id in ids {
@@ -280,24 +293,24 @@
         };
         for write in store.take_writes() {
             let after = member.writes.last().map_or(self.now, |(at, _)| *at);
-            let at = after + late(&mut self.rng, 4, 60);
+            let at = after + delay(&mut self.rng, 4, 60);
             let number = write.number;
             member.writes.push((at, write));
-            if self.planted == Planted::SaysBeforeSync {
-                store.written(number);
+            if self.planted == PlantedFault::AcknowledgesBeforeSync {
+                store.on_written(number);
             }
         }
-        let mut told: BTreeMap<u64, Vec<Change>> = BTreeMap::new();
+        let mut response: BTreeMap<u64, Vec<Change>> = BTreeMap::new();
         for (revision, change) in store.take_committed() {
-            told.entry(revision).or_default().push(change);
+            response.entry(revision).or_default().push(change);
         }
-        for (revision, changes) in told {
+        for (revision, changes) in response {
             // A snapshot tells every key at its own place, and what stands there in the log is
             // among them.
             match self.log.get(&revision) {
-                Some(held) if !changes.contains(held) => {
+                Some(versioned) if !changes.contains(versioned) => {
                     return Err(format!(
-                        "at {revision} member {id} has {changes:?}, where {held:?} was shown"
+                        "at {revision} member {id} has {changes:?}, where {versioned:?} was shown"
                     ));
                 }
                 None if changes.len() == 1 => drop(self.log.insert(revision, changes[0].clone())),
@@ -305,11 +318,11 @@
             }
         }
         self.furthest = self.furthest.max(store.applied());
-        for (to, packet) in store.take_outbox() {
+        for (to, envelope) in store.take_outbox() {
             for _ in 0..if self.rng.u8(..) < 10 { 2 } else { 1 } {
                 if self.rng.u8(..) >= 12 {
-                    let at = self.now + MS + late(&mut self.rng, 4, 80);
-                    self.wires.push((at, id, to, packet.clone()));
+                    let at = self.now + MS + delay(&mut self.rng, 4, 80);
+                    self.in_flight.push((at, id, to, envelope.clone()));
                 }
             }
         }
@@ -344,16 +357,16 @@
                     }
                 }
                 40..46 => {
-                    let off = late(&mut self.rng, away, away);
+                    let off = delay(&mut self.rng, away, away);
                     self.crash(id, off);
                 }
                 // Power lost to all at one moment.
                 46..47 => (1..=count).for_each(|id| self.crash(id, 20 * MS)),
-                47..55 => drop(self.cut.insert((id, other))),
+                47..55 => drop(self.partitioned.insert((id, other))),
                 // On some days links stay cut, and members away, for longer than an election takes.
-                55..75 if !long || self.rng.u8(..) < 50 => self.cut.clear(),
+                55..75 if !long || self.rng.u8(..) < 50 => self.partitioned.clear(),
                 75..79 => {
-                    let off = late(&mut self.rng, away, away);
+                    let off = delay(&mut self.rng, away, away);
                     self.lose_file(id, off);
                 }
                 _ => {}
@@ -380,7 +393,7 @@
             .collect();
         let states: Vec<_> = states
             .iter()
-            .map(|s| (s.applied(), s.standing(), s.waits_for(), s.state()))
+            .map(|s| (s.applied(), s.status(), s.waiting_for(), s.state()))
             .collect();
         Err(format!(
             "entry {} was shown, and after 20 s of calm members hold {states:?}",
@@ -390,7 +403,7 @@
 
     /// Every link is whole again.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
     }
 
     /// Whether all members run, hold the same and have all that was ever shown.
