--- a/ownership/src/lease/request.rs
+++ b/ownership/src/lease/request.rs
@@ -6,8 +6,8 @@
 use super::{Lease, MAX_CONSECUTIVE_FAILURES, STABLE_RENEWALS};
 use crate::{Token, keys};
 use serde_json::Value as Json;
+use store::command::Change;
 use store::command::{Check, Expects};
-use store::packet::Change;
 
 /// A transaction to be submitted to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/ownership/src/lease/tests.rs
+++ b/ownership/src/lease/tests.rs
@@ -1,9 +1,9 @@
 //! One gatherer's account beside a store in one place.
 
 use super::*;
+use store::command::Change;
 use store::command::{Command, Txn};
-use store::packet::Change;
-use store::state::{Done, Outcome, Room, State};
+use store::state::{Capacity, Completion, Outcome, State};
 
 const S: Time = 1_000_000_000;
 const CONFIG: Config = Config {
@@ -35,13 +35,13 @@
         world
     }
 
-    fn apply(&mut self, command: &Command) -> Option<Done> {
+    fn apply(&mut self, command: &Command) -> Option<Completion> {
         self.revision += 1;
         self.state
             .apply(
                 self.revision,
                 command,
-                Room {
+                Capacity {
                     keys: 99,
                     sessions: 99,
                 },
@@ -101,7 +101,10 @@
         };
         let done = self.apply(&Command::Txn(txn));
         let answer = match done {
-            Some(Done::Made(.., Outcome::Applied(revision))) => Response::Committed(revision),
+            Some(Completion::Txn {
+                outcome: Outcome::Applied(revision),
+                ..
+            }) => Response::Committed(revision),
             _ => Response::Rejected,
         };
         let lease = &mut self.all[at].0;
@@ -168,7 +171,13 @@
         checks,
         sets,
     }));
-    assert!(matches!(done, Some(Done::Made(.., Outcome::Refused(_)))));
+    assert!(matches!(
+        done,
+        Some(Completion::Txn {
+            outcome: Outcome::Rejected(_),
+            ..
+        })
+    ));
     world.run(S, &[0, 1, 2]);
     let events = world.all[0].0.take_events();
     assert!(events.contains(&Event::Lost(first)), "{events:?}");
--- a/ownership/src/lease/view.rs
+++ b/ownership/src/lease/view.rs
@@ -28,7 +28,7 @@
     pub fn of(state: &State, role: Role, name: &str) -> View {
         let entry = |key: &str| {
             state
-                .held(key)
+                .versioned(key)
                 .map(|entry| (entry.revision, entry.value.as_str()))
         };
         let mut view = View {
@@ -73,7 +73,7 @@
 fn fault_reports(state: &State, role: Role, token: Token) -> usize {
     let reported = |text: &str| Token::from_json(&serde_json::from_str(text).ok()?);
     state
-        .under(&keys::fault_report(role, ""))
+        .with_prefix(&keys::fault_report(role, ""))
         .filter(|(_, entry)| reported(&entry.value) == Some(token))
         .count()
 }
--- a/ownership/tests/simulation.rs
+++ b/ownership/tests/simulation.rs
@@ -6,15 +6,15 @@
 use ownership::role::{Role, Target};
 use ownership::{Time, Token, election, keys};
 use std::collections::BTreeMap;
+use store::command::Change;
 use store::command::{Check, Command, Expects, Txn};
-use store::packet::Change;
-use store::state::{Done, Outcome, Room, State};
+use store::state::{Capacity, Completion, Outcome, State};
 
 const MS: Time = 1_000_000;
 const LEASE: Time = 1_000 * MS;
 const TICK: Time = 10 * MS;
 const ROLE: Role = Role::HealthChecks;
-const ROOM: Room = Room {
+const CAPACITY: Capacity = Capacity {
     keys: 500,
     sessions: 500,
 };
@@ -177,7 +177,7 @@
     fn append(&mut self, command: Command) {
         self.log.push((self.now, command.clone()));
         let revision = self.log.len() as u64;
-        let (changes, _) = self.truth.apply(revision, &command, ROOM);
+        let (changes, _) = self.truth.apply(revision, &command, CAPACITY);
         // An effect that was made lands under a token, which the write carries.
         for change in changes.iter().filter(|change| change.key == "effect") {
             let json: serde_json::Value =
@@ -246,8 +246,12 @@
         while one.applied < log.len() && log[one.applied].0 + one.lag <= now {
             let (_, command) = &log[one.applied];
             one.applied += 1;
-            let (_, done) = one.state.apply(one.applied as u64, command, ROOM);
-            if let Some(Done::Made(session, request, outcome)) = done
+            let (_, done) = one.state.apply(one.applied as u64, command, CAPACITY);
+            if let Some(Completion::Txn {
+                session,
+                request,
+                outcome,
+            }) = done
                 && session == one.session
                 && one
                     .awaited
@@ -257,7 +261,7 @@
                 one.awaited = None;
                 answers.push(match outcome {
                     Outcome::Applied(revision) => Response::Committed(revision),
-                    Outcome::Refused(_) => Response::Rejected,
+                    Outcome::Rejected(_) => Response::Rejected,
                 });
             }
         }
@@ -351,7 +355,7 @@
         };
         let looks = self.all[at]
             .state
-            .held(&fence.key)
+            .versioned(&fence.key)
             .is_some_and(|held| held.revision == revision);
         let value = Some(serde_json::json!([token.to_json(), self.now]).to_string());
         let sets = vec![Change {
@@ -464,7 +468,7 @@
             key: keys::ERA.to_owned(),
             value: Some(era.to_string()),
         };
-        state.apply(self.log.len() as u64, &Command::Put(change), ROOM);
+        state.apply(self.log.len() as u64, &Command::Put(change), CAPACITY);
         self.truth = state.clone();
         self.in_flight.clear();
         // Revisions go on from where the backup ends.
