--- a/control/src/changes.rs
+++ b/control/src/changes.rs
@@ -25,7 +25,7 @@
     },
     /// From now on this replica gives orders to backends. The primary asks for it before its first
     /// order.
-    OrderHolder {
+    RolloutOwner {
         /// The replica.
         replica: ReplicaId,
     },
@@ -37,16 +37,16 @@
         match self {
             Change::Configuration { body, .. } => body.len(),
             Change::Weights { model, .. } => model.len(),
-            Change::OrderHolder { replica } => replica.node.len(),
+            Change::RolloutOwner { replica } => replica.node.len(),
         }
     }
 }
 
 /// Why a change is not made.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum Rejection {
     /// It builds on a version that is not the current one.
-    OtherVersion {
+    VersionConflict {
         /// The current version.
         current: u64,
     },
@@ -58,19 +58,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// It was made, now or before.
-    Done,
+    Committed,
     /// It was not made and never will be.
-    Refused(Refusal),
+    Rejected(Rejection),
     /// Nobody can tell at present: ask again, here or elsewhere.
     Unknown,
 }
 
 /// What came of a question for the newest configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reading {
+pub enum ReadOutcome {
     /// The newest configuration; none where there is none yet. At a moment after the question came,
     /// a majority of the witnesses confirmed that no other replica leads.
-    Newest(Option<StoredConfiguration>),
+    Latest(Option<StoredConfiguration>),
     /// Nobody can tell here at present: ask again, or elsewhere.
     Unknown,
 }
--- a/control/src/delta.rs
+++ b/control/src/delta.rs
@@ -1,11 +1,11 @@
-//! Differences between two texts of JSON: pieces that stand in the base are named, others are sent.
+//! Differences between two texts of JSON: chunks that stand in the base are named, others are sent.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A piece of a text.
+/// A chunk of a text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Piece {
+pub enum Chunk {
     /// Bytes of the base.
     Copy {
         /// Where they begin.
@@ -14,11 +14,11 @@
         length: u32,
     },
     /// Bytes that the base does not have.
-    New(Vec<u8>),
+    Insert(Vec<u8>),
 }
 
-/// Objects begin with a brace; each piece reaches up to the next one.
-fn pieces(text: &[u8]) -> impl Iterator<Item = (usize, &[u8])> {
+/// Objects begin with a brace; each chunk reaches up to the next one.
+fn chunks(text: &[u8]) -> impl Iterator<Item = (usize, &[u8])> {
     let mut start = 0;
     std::iter::from_fn(move || {
         let rest = text.get(start..).filter(|rest| !rest.is_empty())?;
@@ -26,44 +26,44 @@
             .iter()
             .position(|byte| *byte == b'{')
             .map_or(rest.len(), |at| at + 1);
-        let piece = (start, &rest[..length]);
+        let chunk = (start, &rest[..length]);
         start += length;
-        Some(piece)
+        Some(chunk)
     })
 }
 
 /// What makes `text` of `base`.
-pub fn difference(base: &[u8], text: &[u8]) -> Vec<Piece> {
-    let known: HashMap<&[u8], usize> = pieces(base).map(|(start, piece)| (piece, start)).collect();
-    let mut result: Vec<Piece> = Vec::new();
-    for (_, piece) in pieces(text) {
-        match (known.get(piece), result.last_mut()) {
-            (Some(at), Some(Piece::Copy { start, length }))
+pub fn diff(base: &[u8], text: &[u8]) -> Vec<Chunk> {
+    let known: HashMap<&[u8], usize> = chunks(base).map(|(start, chunk)| (chunk, start)).collect();
+    let mut result: Vec<Chunk> = Vec::new();
+    for (_, chunk) in chunks(text) {
+        match (known.get(chunk), result.last_mut()) {
+            (Some(at), Some(Chunk::Copy { start, length }))
                 if *at == (*start + *length) as usize =>
             {
-                *length += piece.len() as u32;
+                *length += chunk.len() as u32;
             }
-            (Some(at), _) => result.push(Piece::Copy {
+            (Some(at), _) => result.push(Chunk::Copy {
                 start: *at as u32,
-                length: piece.len() as u32,
+                length: chunk.len() as u32,
             }),
-            (None, Some(Piece::New(bytes))) => bytes.extend(piece),
-            (None, _) => result.push(Piece::New(piece.to_vec())),
+            (None, Some(Chunk::Insert(bytes))) => bytes.extend(chunk),
+            (None, _) => result.push(Chunk::Insert(chunk.to_vec())),
         }
     }
     result
 }
 
-/// The text that pieces make of `base`; none where they don't fit it.
-pub fn restore(base: &[u8], pieces: &[Piece]) -> Option<Vec<u8>> {
+/// The text that chunks make of `base`; none where they don't fit it.
+pub fn patch(base: &[u8], chunks: &[Chunk]) -> Option<Vec<u8>> {
     let mut text = Vec::new();
-    for piece in pieces {
-        match piece {
-            Piece::Copy { start, length } => {
+    for chunk in chunks {
+        match chunk {
+            Chunk::Copy { start, length } => {
                 let start = *start as usize;
                 text.extend(base.get(start..start + *length as usize)?);
             }
-            Piece::New(bytes) => text.extend(bytes),
+            Chunk::Insert(bytes) => text.extend(bytes),
         }
     }
     Some(text)
--- a/control/src/directory.rs
+++ b/control/src/directory.rs
@@ -121,21 +121,21 @@
     }
 
     /// Forgets a record. As its stamp stays covered by the vector, nobody sends it again.
-    pub fn forget(&mut self, key: &Key) {
+    pub fn remove(&mut self, key: &Key) {
         if let Some((stamp, _)) = self.records.remove(key) {
             self.by_stamp.remove(&(stamp.origin, stamp.counter));
         }
     }
 
     /// Whether there is anything that the holder of `vector` lacks.
-    pub fn has_news_for(&self, vector: &VersionVector) -> bool {
+    pub fn has_records_since(&self, vector: &VersionVector) -> bool {
         self.vector
             .iter()
             .any(|(origin, counter)| vector.get(origin).copied().unwrap_or(0) < *counter)
     }
 
     /// Everything that the holder of `vector` lacks.
-    pub fn news_for(&self, vector: &VersionVector) -> Vec<Record> {
+    pub fn records_since(&self, vector: &VersionVector) -> Vec<Record> {
         let mut news = Vec::new();
         for (origin, newest) in &self.vector {
             let known = vector.get(origin).copied().unwrap_or(0);
@@ -182,7 +182,7 @@
 
     /// Keys of what has ended: backends that are gone with their orders and suspicions, and members
     /// that are not there.
-    pub fn ended(&self) -> BTreeSet<Key> {
+    pub fn expired(&self) -> BTreeSet<Key> {
         let is_gone = |id: &CompactString| {
             let backend = self.get(&Key::Backend(id.clone()));
             backend.is_none_or(
@@ -202,7 +202,7 @@
     }
 
     /// Backends and members, to be kept on disk.
-    pub fn lasting(&self) -> Vec<(Key, Value)> {
+    pub fn persistent_records(&self) -> Vec<(Key, Value)> {
         let lasting = self
             .records
             .iter()
--- a/control/src/directory/records.rs
+++ b/control/src/directory/records.rs
@@ -62,7 +62,7 @@
     /// The number of the heartbeat that said so.
     pub sequence: u64,
     /// Its heartbeats have stopped coming.
-    pub silent: bool,
+    pub unresponsive: bool,
     /// The node that takes its heartbeats.
     pub owner: CompactString,
     /// Version of each model's weights that it has.
@@ -92,9 +92,9 @@
     /// The replica of the control state that it runs, if any.
     pub replica: Option<ReplicaId>,
     /// Its present life.
-    pub life: u64,
-    /// Rises with each life and each refutation.
     pub incarnation: u64,
+    /// Rises with each life and each refutation.
+    pub revision: u64,
     /// Whether it is there.
     pub status: MemberStatus,
 }
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum OrderPhase {
     /// The backend is about to load weights: send it nothing.
-    UnderWay,
+    InProgress,
     /// It has the version.
     Done,
     /// It was not given, or not taken: send requests as before.
@@ -114,7 +114,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Order {
     /// The fencing token under which it is given.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Its number under that token.
     pub number: u64,
     /// The model.
@@ -160,16 +160,16 @@
     fn rank(&self) -> (u64, u64) {
         match self {
             Value::Backend(backend) if backend.phase == BackendPhase::Gone => (u64::MAX, 0),
-            Value::Backend(backend) => (backend.sequence, u64::from(backend.silent)),
+            Value::Backend(backend) => (backend.sequence, u64::from(backend.unresponsive)),
             Value::Member(member) => {
                 let later = match member.status {
                     MemberStatus::Up => 0,
                     MemberStatus::Down => 1,
                     MemberStatus::Left => 2,
                 };
-                (member.incarnation, later)
+                (member.revision, later)
             }
-            Value::Order(order) => (order.fence, order.number),
+            Value::Order(order) => (order.fencing_token, order.number),
             Value::Suspicion(suspicion) => (suspicion.number, 0),
         }
     }
--- a/control/src/silence.rs
+++ b/control/src/failure_detector.rs
@@ -8,16 +8,16 @@
 
 /// Notes when things were last heard.
 #[derive(Debug, Clone)]
-pub struct Silence<K> {
+pub struct FailureDetector<K> {
     counted: Millis,
     now: Millis,
     heard: BTreeMap<K, Millis>,
 }
 
-impl<K: Ord + Clone> Silence<K> {
+impl<K: Ord + Clone> FailureDetector<K> {
     /// Nothing was heard yet.
     pub fn new(now: Millis) -> Self {
-        Silence {
+        FailureDetector {
             counted: 0,
             now,
             heard: BTreeMap::new(),
@@ -31,12 +31,12 @@
     }
 
     /// Something was heard.
-    pub fn heard(&mut self, key: K) {
+    pub fn record_heartbeat(&mut self, key: K) {
         self.heard.insert(key, self.counted);
     }
 
     /// Something is no longer awaited.
-    pub fn forget(&mut self, key: &K) {
+    pub fn remove(&mut self, key: &K) {
         self.heard.remove(key);
     }
 
@@ -46,16 +46,16 @@
     }
 
     /// Whether something is awaited.
-    pub fn knows(&self, key: &K) -> bool {
+    pub fn is_monitored(&self, key: &K) -> bool {
         self.heard.contains_key(key)
     }
 
     /// What was not heard for so long.
-    pub fn silent_for(&self, patience: Millis) -> Vec<K> {
-        let silent = self
+    pub fn expired(&self, patience: Millis) -> Vec<K> {
+        let unresponsive = self
             .heard
             .iter()
             .filter(|(_, at)| self.counted >= **at + patience);
-        silent.map(|(key, _)| key.clone()).collect()
+        unresponsive.map(|(key, _)| key.clone()).collect()
     }
 }
--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -1,83 +1,83 @@
 //! The texts of a configuration one after the other: differences that are made once and sent to
 //! every holder that lags.
 //!
-//! Each step names the version that it starts from and the checksum of what it leads to, so that a
-//! holder whose text has moved on since it asked takes from an answer just the steps that follow
+//! Each delta names the version that it starts from and the checksum of what it leads to, so that a
+//! holder whose text has moved on since it asked takes from an answer just the deltas that follow
 //! its own text.
 
-use crate::delta::{Piece, difference, restore};
+use crate::delta::{Chunk, diff, patch};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// The most steps that are kept for holders which lag.
-const STEPS_KEPT: usize = 32;
+/// The most deltas that are kept for holders which lag.
+const MAX_DELTAS: usize = 32;
 
 /// What leads from one version of a text to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Step {
+pub struct Delta {
     base: u64,
     version: u64,
-    pieces: Vec<Piece>,
+    chunks: Vec<Chunk>,
     checksum: u32,
 }
 
-impl Step {
+impl Delta {
     fn between(base: (u64, &[u8]), version: u64, text: &[u8]) -> Self {
-        let pieces = difference(base.1, text);
-        Step {
+        let chunks = diff(base.1, text);
+        Delta {
             base: base.0,
             version,
-            pieces,
+            chunks,
             checksum: crc32fast::hash(text),
         }
     }
 
     /// How many bytes it takes to send, about.
     fn size(&self) -> usize {
-        const PIECE_BYTES: usize = 8;
-        let bytes = |piece: &Piece| match piece {
-            Piece::Copy { .. } => PIECE_BYTES,
-            Piece::New(bytes) => PIECE_BYTES + bytes.len(),
+        const CHUNK_OVERHEAD_BYTES: usize = 8;
+        let bytes = |chunk: &Chunk| match chunk {
+            Chunk::Copy { .. } => CHUNK_OVERHEAD_BYTES,
+            Chunk::Insert(bytes) => CHUNK_OVERHEAD_BYTES + bytes.len(),
         };
-        self.pieces.iter().map(bytes).sum()
+        self.chunks.iter().map(bytes).sum()
     }
 }
 
 /// What a holder lacks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum TextUpdate {
     /// The newest text itself.
-    Whole {
+    Full {
         /// Its version.
         version: u64,
         /// The text.
         text: Vec<u8>,
     },
-    /// Steps that lead to the newest text.
-    Steps(Vec<Step>),
+    /// Deltas that lead to the newest text.
+    Deltas(Vec<Delta>),
 }
 
-impl News {
+impl TextUpdate {
     /// The version that it leads to.
     pub fn version(&self) -> Option<u64> {
         match self {
-            News::Whole { version, .. } => Some(*version),
-            News::Steps(steps) => steps.last().map(|step| step.version),
+            TextUpdate::Full { version, .. } => Some(*version),
+            TextUpdate::Deltas(deltas) => deltas.last().map(|delta| delta.version),
         }
     }
 }
 
-/// Why news can't be taken.
+/// Why an update cannot be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Misfit {
-    /// No step starts from the text held.
+pub enum ApplyError {
+    /// No delta starts from the text held.
     #[error("no step starts from version {held}: ask again with that version")]
-    OtherBase {
+    BaseMismatch {
         /// The version held; 0 for none.
         held: u64,
     },
-    /// A step leads to another text than it should.
+    /// A delta leads to another text than it should.
     #[error("the text of version {version} does not have its checksum: ask for the whole text")]
     Checksum {
         /// The version.
@@ -85,12 +85,12 @@
     },
 }
 
-/// The newest text with the steps that led to it.
+/// The newest text with the deltas that led to it.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     version: u64,
     text: Vec<u8>,
-    steps: VecDeque<Step>,
+    deltas: VecDeque<Delta>,
 }
 
 impl History {
@@ -107,49 +107,49 @@
     /// Takes a newer text.
     pub fn advance(&mut self, version: u64, text: Vec<u8>) {
         if self.version > 0 {
-            self.keep(Step::between((self.version, &self.text), version, &text));
+            self.retain(Delta::between((self.version, &self.text), version, &text));
         }
         (self.version, self.text) = (version, text);
     }
 
-    fn keep(&mut self, step: Step) {
-        self.steps.push_back(step);
-        if self.steps.len() > STEPS_KEPT {
-            self.steps.pop_front();
+    fn retain(&mut self, delta: Delta) {
+        self.deltas.push_back(delta);
+        if self.deltas.len() > MAX_DELTAS {
+            self.deltas.pop_front();
         }
     }
 
-    /// What the holder of version `base` lacks: steps where these are fewer bytes than the text,
+    /// What the holder of version `base` lacks: deltas where these are fewer bytes than the text,
     /// else the text.
-    pub fn news_for(&self, base: u64) -> Option<News> {
+    pub fn update_for(&self, base: u64) -> Option<TextUpdate> {
         if self.version == 0 || base == self.version {
             return None;
         }
-        let whole = || News::Whole {
+        let whole = || TextUpdate::Full {
             version: self.version,
             text: self.text.clone(),
         };
-        let Some(first) = self.steps.iter().position(|step| step.base == base) else {
+        let Some(first) = self.deltas.iter().position(|delta| delta.base == base) else {
             return Some(whole());
         };
-        let steps = self.steps.range(first..);
-        if steps.clone().map(Step::size).sum::<usize>() >= self.text.len() {
+        let deltas = self.deltas.range(first..);
+        if deltas.clone().map(Delta::size).sum::<usize>() >= self.text.len() {
             return Some(whole());
         }
-        Some(News::Steps(steps.cloned().collect()))
+        Some(TextUpdate::Deltas(deltas.cloned().collect()))
     }
 
     /// Takes what another holder had; unchanged where that does not fit.
-    pub fn take(&mut self, news: News) -> Result<(), Misfit> {
-        match news {
-            News::Whole { version, text } => self.advance(version, text),
-            News::Steps(steps) => {
-                let first = steps.iter().position(|step| step.base == self.version);
-                let first = first.ok_or(Misfit::OtherBase { held: self.version })?;
-                let text = follow(&self.text, &steps[first..])?;
-                for step in steps.into_iter().skip(first) {
-                    self.version = step.version;
-                    self.keep(step);
+    pub fn apply(&mut self, update: TextUpdate) -> Result<(), ApplyError> {
+        match update {
+            TextUpdate::Full { version, text } => self.advance(version, text),
+            TextUpdate::Deltas(deltas) => {
+                let first = deltas.iter().position(|delta| delta.base == self.version);
+                let first = first.ok_or(ApplyError::BaseMismatch { held: self.version })?;
+                let text = apply_deltas(&self.text, &deltas[first..])?;
+                for delta in deltas.into_iter().skip(first) {
+                    self.version = delta.version;
+                    self.retain(delta);
                 }
                 self.text = text;
             }
@@ -158,14 +158,14 @@
     }
 }
 
-/// The text that steps lead to.
-fn follow(text: &[u8], steps: &[Step]) -> Result<Vec<u8>, Misfit> {
+/// The text that deltas lead to.
+fn apply_deltas(text: &[u8], deltas: &[Delta]) -> Result<Vec<u8>, ApplyError> {
     let mut text = text.to_vec();
-    for step in steps {
+    for delta in deltas {
         let next =
-            restore(&text, &step.pieces).filter(|next| crc32fast::hash(next) == step.checksum);
-        text = next.ok_or(Misfit::Checksum {
-            version: step.version,
+            patch(&text, &delta.chunks).filter(|next| crc32fast::hash(next) == delta.checksum);
+        text = next.ok_or(ApplyError::Checksum {
+            version: delta.version,
         })?;
     }
     Ok(text)
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -13,13 +13,14 @@
 pub mod delta;
 pub mod digest;
 pub mod directory;
+pub mod failure_detector;
 pub mod history;
 pub mod message;
 pub mod node;
 pub mod proposer;
 pub mod ring;
 pub mod rollout;
-pub mod silence;
+
 pub mod state;
 pub mod storage;
 pub mod view;
--- a/control/src/message.rs
+++ b/control/src/message.rs
@@ -2,7 +2,7 @@
 
 use crate::Millis;
 use crate::state::{ControlState, Position, Update};
-use crate::view::{Ballot, Epoch, Life, Proposal, ReplicaId, View};
+use crate::view::{Epoch, Incarnation, Proposal, ProposalNumber, ReplicaId, View};
 use crate::witness::Vote;
 use serde::{Deserialize, Serialize};
 
@@ -12,12 +12,12 @@
     /// Who sent it.
     pub from: ReplicaId,
     /// In which life of its process.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Who it is for; a replica that lost its disk doesn't take what was sent to the former one.
     pub to: ReplicaId,
     /// Where it is an answer: in which life the receiver asked. An answer to a former process is
     /// dropped.
-    pub answers: Option<Life>,
+    pub in_reply_to: Option<Incarnation>,
     /// What it says.
     pub message: Message,
 }
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Echo {
     /// The life.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// The moment.
     pub at: Millis,
 }
@@ -39,7 +39,7 @@
         /// Its epoch.
         epoch: Epoch,
         /// Rises with each round of heartbeats of a life, to come back with the reply.
-        round: u64,
+        sequence: u64,
         /// The last change that is committed; none where the primary does not know that it is the
         /// newest.
         committed: Option<Position>,
@@ -51,7 +51,7 @@
         /// The epoch of the heartbeat.
         epoch: Epoch,
         /// As in the heartbeat.
-        round: u64,
+        sequence: u64,
         /// Whether the lease is granted.
         granted: bool,
         /// The newest view that the replier knows to be decided, where it is another one than the
@@ -67,12 +67,12 @@
         /// The decided view that another one is to follow.
         current: View,
         /// The attempt.
-        ballot: Ballot,
+        number: ProposalNumber,
     },
     /// A witness's vote.
     PrepareReply {
         /// The attempt.
-        ballot: Ballot,
+        number: ProposalNumber,
         /// The vote.
         vote: Vote,
     },
@@ -86,7 +86,7 @@
     /// Whether a witness accepted.
     AcceptReply {
         /// The attempt.
-        ballot: Ballot,
+        number: ProposalNumber,
         /// Nothing where it was accepted; else the round that the witness has promised to.
         answer: Result<(), u64>,
     },
@@ -101,7 +101,7 @@
         epoch: Epoch,
     },
     /// What a backup, or a replica that asks to be taken in, stores.
-    Holds {
+    StoredPositions {
         /// The epoch of the primary.
         epoch: Epoch,
         /// The last stored change.
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -24,13 +24,13 @@
 use primary::{Primary, Stage};
 
 use crate::Millis;
-use crate::changes::{Change, Outcome, Reading};
+use crate::changes::{Change, Outcome, ReadOutcome};
 use crate::message::{Envelope, Message};
 use crate::proposer::Attempt;
-use crate::rollout::FormerHolder;
+use crate::rollout::FormerOwner;
 use crate::state::{ControlState, Position, Update};
 use crate::storage::{Record, Recovered};
-use crate::view::{Epoch, Life, ReplicaId, View};
+use crate::view::{Epoch, Incarnation, ReplicaId, View};
 use crate::witness::Witness;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -61,7 +61,7 @@
         /// Which caller.
         ticket: Ticket,
         /// What it is told.
-        reading: Reading,
+        reading: ReadOutcome,
     },
     /// The committed state has changed.
     Committed,
@@ -102,9 +102,9 @@
     /// The replica.
     pub id: ReplicaId,
     /// Drawn for this run of the process.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Whether it started together with the system, so that it may vote on the first view.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
 }
 
 /// One replica.
@@ -121,14 +121,14 @@
     leaving: bool,
     attempt: Option<Attempt>,
     attempt_resend_at: Millis,
-    round: u64,
+    proposal_round: u64,
     heard_primary: Millis,
     current_at: Option<Millis>,
     retry_at: Millis,
     join_at: Millis,
     known: BTreeSet<ReplicaId>,
     calls: Calls,
-    former_holder: FormerHolder,
+    former_owner: FormerOwner,
     made: u64,
     durable: u64,
     waiting_since: Millis,
@@ -153,7 +153,7 @@
             .as_ref()
             .map_or(recovered.state.position, |tail| tail.position);
         let mut node = ControlNode {
-            witness: Witness::new(recovered.votes, identity.may_found, timing.lease, now),
+            witness: Witness::new(recovered.votes, identity.may_bootstrap, timing.lease, now),
             role,
             state: recovered.state,
             tail: recovered.tail,
@@ -164,14 +164,14 @@
             leaving: false,
             attempt: None,
             attempt_resend_at: 0,
-            round: 0,
+            proposal_round: 0,
             heard_primary: if own { 0 } else { now },
             current_at: None,
             retry_at: 0,
             join_at: 0,
             known: BTreeSet::new(),
             calls: Calls::default(),
-            former_holder: FormerHolder::default(),
+            former_owner: FormerOwner::default(),
             made: 0,
             durable: 0,
             waiting_since: now,
@@ -179,7 +179,7 @@
             inbox: VecDeque::new(),
             effects: Vec::new(),
         };
-        node.note_order_holder(now);
+        node.track_rollout_owner(now);
         node
     }
 
@@ -227,7 +227,7 @@
 
     /// Whether this replica is the primary, is in step with its backups and holds the lease at
     /// `now`; then singleton work may be done under the epoch as fencing token.
-    pub fn leads(&self, now: Millis) -> Option<Epoch> {
+    pub fn leading_epoch(&self, now: Millis) -> Option<Epoch> {
         self.lease(now).map(|(epoch, _)| epoch)
     }
 
@@ -251,7 +251,7 @@
     /// When the committed state here was the newest for certain: this replica led, or its primary
     /// did and knew it then.
     pub fn current_at(&self, now: Millis) -> Option<Millis> {
-        if self.leads(now).is_some() {
+        if self.leading_epoch(now).is_some() {
             Some(now)
         } else {
             self.current_at
@@ -259,7 +259,7 @@
     }
 
     /// Other replicas that are known to exist, of which one may be asked to be taken in.
-    pub fn know(&mut self, replicas: BTreeSet<ReplicaId>) {
+    pub fn set_known_replicas(&mut self, replicas: BTreeSet<ReplicaId>) {
         self.known = replicas;
     }
 
@@ -287,7 +287,7 @@
         if !matches!(self.role, Role::Primary(_)) {
             self.effects.push(Effect::Read {
                 ticket,
-                reading: Reading::Unknown,
+                reading: ReadOutcome::Unknown,
             });
             return;
         }
@@ -297,7 +297,7 @@
     }
 
     /// The writes up to this one are on disk.
-    pub fn stored(&mut self, sequence: u64, now: Millis) {
+    pub fn on_stored(&mut self, sequence: u64, now: Millis) {
         self.durable = self.durable.max(sequence);
         self.waiting_since = now;
         self.release();
@@ -307,8 +307,8 @@
     /// A message from another replica.
     pub fn receive(&mut self, envelope: Envelope, now: Millis) {
         let is_late = envelope
-            .answers
-            .is_some_and(|life| life != self.identity.life);
+            .in_reply_to
+            .is_some_and(|incarnation| incarnation != self.identity.incarnation);
         if envelope.to == self.identity.id && !is_late {
             self.inbox.push_back(envelope);
             self.work(now);
@@ -385,50 +385,50 @@
     fn handle(&mut self, envelope: Envelope, now: Millis) {
         let Envelope {
             from,
-            life,
+            incarnation,
             message,
             ..
         } = envelope;
         let asker = Asker {
             replica: from.clone(),
-            life,
+            incarnation,
         };
         match message {
             Message::Heartbeat {
                 epoch,
-                round,
+                sequence,
                 committed,
                 echo,
             } => {
-                self.on_heartbeat(asker, epoch, round, committed, echo, now);
+                self.on_heartbeat(asker, epoch, sequence, committed, echo, now);
             }
             Message::HeartbeatReply {
                 epoch,
-                round,
+                sequence,
                 granted,
                 other_view,
                 wants_view,
                 sent_at,
             } => {
                 let reply = views::HeartbeatAnswer {
-                    round,
+                    sequence,
                     granted,
                     other_view,
                     wants_view,
                     sent_at,
-                    life,
+                    incarnation,
                 };
                 self.on_heartbeat_reply(from, epoch, reply, now);
             }
-            Message::Prepare { current, ballot } => self.on_prepare(asker, current, ballot, now),
-            Message::PrepareReply { ballot, vote } => self.on_vote(&from, &ballot, vote, now),
+            Message::Prepare { current, number } => self.on_prepare(asker, current, number, now),
+            Message::PrepareReply { number, vote } => self.on_vote(&from, &number, vote, now),
             Message::Accept { current, proposal } => self.on_accept(asker, current, proposal, now),
-            Message::AcceptReply { ballot, answer } => {
-                self.on_accept_reply(&from, &ballot, answer, now)
+            Message::AcceptReply { number, answer } => {
+                self.on_accept_reply(&from, &number, answer, now)
             }
             Message::Decided { view } => self.learn(view, now),
             Message::Synchronize { epoch } => self.on_synchronize(asker, epoch),
-            Message::Holds {
+            Message::StoredPositions {
                 epoch,
                 last,
                 committed,
@@ -466,13 +466,20 @@
             .collect()
     }
 
-    fn envelope(&self, to: ReplicaId, answers: Option<Life>, message: Message) -> Envelope {
-        let Identity { id, life, .. } = &self.identity;
+    fn envelope(
+        &self,
+        to: ReplicaId,
+        in_reply_to: Option<Incarnation>,
+        message: Message,
+    ) -> Envelope {
+        let Identity {
+            id, incarnation, ..
+        } = &self.identity;
         Envelope {
             from: id.clone(),
-            life: *life,
+            incarnation: *incarnation,
             to,
-            answers,
+            in_reply_to,
             message,
         }
     }
@@ -484,13 +491,13 @@
     }
 
     fn answer(&mut self, asker: Asker, message: Message) {
-        let envelope = self.envelope(asker.replica, Some(asker.life), message);
+        let envelope = self.envelope(asker.replica, Some(asker.incarnation), message);
         self.dispatch(envelope);
     }
 
     /// Answers once everything that was to be stored so far is on disk.
     fn answer_stored(&mut self, asker: Asker, message: Message) {
-        let envelope = self.envelope(asker.replica, Some(asker.life), message);
+        let envelope = self.envelope(asker.replica, Some(asker.incarnation), message);
         self.held.push_back((self.made, envelope));
         self.release();
     }
@@ -551,5 +558,5 @@
 #[derive(Debug, Clone)]
 struct Asker {
     replica: ReplicaId,
-    life: Life,
+    incarnation: Incarnation,
 }
--- a/control/src/node/calls.rs
+++ b/control/src/node/calls.rs
@@ -2,13 +2,13 @@
 //!
 //! A change that is stored proves by itself that this replica is the primary: every in-sync replica
 //! has taken it. An answer without one (a refusal, a change made before, the newest configuration)
-//! proves nothing, so it waits for a round of heartbeats that began after the call came, and that a
+//! proves nothing, so it waits for a sequence of heartbeats that began after the call came, and that a
 //! majority of the witnesses granted.
 
 use super::primary::Stage;
 use super::{ControlNode, Effect, Role, Ticket};
 use crate::Millis;
-use crate::changes::{Change, Outcome, Reading};
+use crate::changes::{Change, Outcome, ReadOutcome};
 use std::collections::VecDeque;
 
 /// A change that is not ordered yet.
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 enum Answer {
     Outcome(Outcome),
-    Reading,
+    ReadOutcome,
 }
 
 impl Answer {
@@ -33,9 +33,9 @@
                 ticket,
                 outcome: Outcome::Unknown,
             },
-            Answer::Reading => Effect::Read {
+            Answer::ReadOutcome => Effect::Read {
                 ticket,
-                reading: Reading::Unknown,
+                reading: ReadOutcome::Unknown,
             },
         }
     }
@@ -47,8 +47,8 @@
     ticket: Ticket,
     answer: Answer,
     since: Millis,
-    /// The round of heartbeats that confirms it; none where it has not begun.
-    round: Option<u64>,
+    /// The sequence of heartbeats that confirms it; none where it has not begun.
+    sequence: Option<u64>,
 }
 
 /// All callers that wait.
@@ -70,9 +70,9 @@
     pub(super) fn read(&mut self, ticket: Ticket, now: Millis) {
         self.unconfirmed.push(Unconfirmed {
             ticket,
-            answer: Answer::Reading,
+            answer: Answer::ReadOutcome,
             since: now,
-            round: None,
+            sequence: None,
         });
     }
 
@@ -84,7 +84,7 @@
             ticket,
             answer,
             since,
-            round: None,
+            sequence: None,
         });
     }
 
@@ -92,20 +92,21 @@
         self.changes.pop_front()
     }
 
-    /// Answers that no round of heartbeats has begun for.
-    fn need_a_round(&self) -> bool {
-        self.unconfirmed.iter().any(|call| call.round.is_none())
+    /// Answers that no sequence of heartbeats has begun for.
+    fn need_a_heartbeat(&self) -> bool {
+        self.unconfirmed.iter().any(|call| call.sequence.is_none())
     }
 
-    fn wait_for(&mut self, round: u64) {
+    fn wait_for(&mut self, sequence: u64) {
         self.unconfirmed.iter_mut().for_each(|call| {
-            call.round.get_or_insert(round);
+            call.sequence.get_or_insert(sequence);
         });
     }
 
-    /// Takes out those that this round confirms.
+    /// Takes out those that this sequence confirms.
     fn confirmed_by(&mut self, confirmed: u64) -> Vec<Unconfirmed> {
-        let is_confirmed = |call: &Unconfirmed| call.round.is_some_and(|round| round <= confirmed);
+        let is_confirmed =
+            |call: &Unconfirmed| call.sequence.is_some_and(|sequence| sequence <= confirmed);
         let calls = std::mem::take(&mut self.unconfirmed);
         let (confirmed, left) = calls.into_iter().partition(is_confirmed);
         self.unconfirmed = left;
@@ -153,9 +154,9 @@
         if !self.knows_what_is_committed() {
             return;
         }
-        if self.calls.need_a_round() {
-            let round = self.send_heartbeats(now);
-            self.calls.wait_for(round);
+        if self.calls.need_a_heartbeat() {
+            let sequence = self.send_heartbeats(now);
+            self.calls.wait_for(sequence);
         }
         let Role::Primary(primary) = &self.role else {
             return;
@@ -167,8 +168,8 @@
             let ticket = call.ticket;
             let effect = match call.answer {
                 Answer::Outcome(outcome) => Effect::Reply { ticket, outcome },
-                Answer::Reading => {
-                    let reading = Reading::Newest(self.state.configuration.clone());
+                Answer::ReadOutcome => {
+                    let reading = ReadOutcome::Latest(self.state.configuration.clone());
                     Effect::Read { ticket, reading }
                 }
             };
--- a/control/src/node/lease.rs
+++ b/control/src/node/lease.rs
@@ -20,8 +20,8 @@
 }
 
 impl Lease {
-    /// Begins a round of heartbeats.
-    pub(super) fn begin_round(&mut self, now: Millis) -> u64 {
+    /// Begins a sequence of heartbeats.
+    pub(super) fn begin_heartbeat(&mut self, now: Millis) -> u64 {
         self.last_round += 1;
         self.sent.insert(self.last_round, now);
         if self.sent.len() > ROUNDS_KEPT {
@@ -30,13 +30,13 @@
         self.last_round
     }
 
-    /// A witness has granted a round.
-    pub(super) fn granted(&mut self, from: ReplicaId, round: u64) {
+    /// A witness has granted a sequence.
+    pub(super) fn granted(&mut self, from: ReplicaId, sequence: u64) {
         let newest = self.granted.entry(from).or_default();
-        *newest = round.max(*newest);
+        *newest = sequence.max(*newest);
     }
 
-    /// The newest round that a majority of a view's witnesses has granted, this or a later one
+    /// The newest sequence that a majority of a view's witnesses has granted, this or a later one
     /// each.
     pub(super) fn confirmed(&self, view: &View) -> Option<u64> {
         let witnesses = view.witnesses.iter();
@@ -49,7 +49,9 @@
 
     /// Until when the lease of so long is held in a view; 0 where it is not known to be held.
     pub(super) fn until(&self, view: &View, lasts: Millis) -> Millis {
-        let sent_at = self.confirmed(view).and_then(|round| self.sent.get(&round));
+        let sent_at = self
+            .confirmed(view)
+            .and_then(|sequence| self.sent.get(&sequence));
         sent_at.map_or(0, |sent_at| sent_at + lasts)
     }
 }
--- a/control/src/node/membership.rs
+++ b/control/src/node/membership.rs
@@ -9,28 +9,28 @@
 use crate::message::Message;
 use crate::proposer::Intent;
 use crate::state::Position;
-use crate::view::{Epoch, FOUNDING_EPOCH, ReplicaId, View};
+use crate::view::{BOOTSTRAP_EPOCH, Epoch, ReplicaId, View};
 use std::collections::BTreeSet;
 
 impl ControlNode {
     /// Has the first view decided by a majority of the electorate: the replicas at the addresses
     /// that every node of a new system was told. Several of them may do this; one view is decided.
-    pub fn found(
+    pub fn bootstrap(
         &mut self,
         electorate: BTreeSet<ReplicaId>,
         replicas: BTreeSet<ReplicaId>,
         now: Millis,
     ) {
-        let Some(current) = View::founding(electorate) else {
+        let Some(current) = View::bootstrap(electorate) else {
             return;
         };
         let Some(primary) = replicas.first().cloned() else {
             return;
         };
-        if !self.identity.may_found || self.view().is_some() || self.attempt.is_some() {
+        if !self.identity.may_bootstrap || self.view().is_some() || self.attempt.is_some() {
             return;
         }
-        let epoch = FOUNDING_EPOCH + 1;
+        let epoch = BOOTSTRAP_EPOCH + 1;
         let wanted = View {
             epoch,
             primary,
@@ -52,7 +52,7 @@
     }
 
     /// Whether the process may end without a change waiting for it, or a copy being the last one.
-    pub fn may_end(&self) -> bool {
+    pub fn can_shut_down(&self) -> bool {
         self.view()
             .is_none_or(|view| !view.in_sync.contains(self.id()))
     }
@@ -144,7 +144,7 @@
         };
         let (own, silence, witness_silence) =
             (self.id(), self.timing.silence, self.timing.witness_silence);
-        let silent = primary.unresponsive(view, own, silence, now);
+        let unresponsive = primary.unresponsive(view, own, silence, now);
         let idle = |wanted: &View| primary.silent_witness(wanted, own, witness_silence, now);
         let joiner = primary.caught_up(self.last(), self.state.position, silence, now);
         if let Some(joiner) = &joiner {
@@ -153,8 +153,8 @@
         let leaving = primary
             .leaving
             .iter()
-            .filter(|member| !silent.contains(*member));
-        for member in silent.iter().chain(leaving) {
+            .filter(|member| !unresponsive.contains(*member));
+        for member in unresponsive.iter().chain(leaving) {
             if wanted.in_sync.len() > self.needed_copies() {
                 wanted.in_sync.remove(member);
             }
@@ -163,7 +163,7 @@
             let idle = idle(&wanted);
             return with_joiner(wanted, joiner, idle);
         }
-        if view.witnesses.len() > self.timing.fewest_witnesses()
+        if view.witnesses.len() > self.timing.min_witnesses()
             && let Some(witness) = idle(&wanted)
         {
             wanted.witnesses.remove(&witness);
--- a/control/src/node/orders.rs
+++ b/control/src/node/orders.rs
@@ -2,26 +2,27 @@
 
 use super::ControlNode;
 use crate::Millis;
-use crate::rollout::OrderTurn;
+use crate::rollout::RolloutOwnership;
 
 impl ControlNode {
     /// Whether orders may be given to backends from here.
-    pub fn order_turn(&self, now: Millis) -> OrderTurn {
-        if self.leads(now).is_none() {
-            return OrderTurn::NotLeading;
+    pub fn rollout_ownership(&self, now: Millis) -> RolloutOwnership {
+        if self.leading_epoch(now).is_none() {
+            return RolloutOwnership::NotLeader;
         }
-        match (&self.state.order_holder, self.former_holder.since()) {
-            (None, _) => OrderTurn::First,
-            (Some(holder), _) if holder == self.id() => OrderTurn::Held,
-            (Some(_), Some(former_ended)) => OrderTurn::After { former_ended },
+        match (&self.state.rollout_owner, self.former_owner.since()) {
+            (None, _) => RolloutOwnership::Unowned,
+            (Some(holder), _) if holder == self.id() => RolloutOwnership::Owned,
+            (Some(_), Some(lease_ended)) => RolloutOwnership::FormerOwner { lease_ended },
             // It leads here, so it does not elsewhere; from now on at the latest.
-            (Some(_), None) => OrderTurn::After { former_ended: now },
+            (Some(_), None) => RolloutOwnership::FormerOwner { lease_ended: now },
         }
     }
 
     /// A view was learned, or the committed state has changed.
-    pub(super) fn note_order_holder(&mut self, now: Millis) {
-        let holder = self.state.order_holder.as_ref();
-        self.former_holder.note(self.witness.decided(), holder, now);
+    pub(super) fn track_rollout_owner(&mut self, now: Millis) {
+        let holder = self.state.rollout_owner.as_ref();
+        self.former_owner
+            .observe(self.witness.decided(), holder, now);
     }
 }
--- a/control/src/node/primary.rs
+++ b/control/src/node/primary.rs
@@ -173,7 +173,11 @@
 /// A view with one more in-sync replica. It takes the place of a former disk of the same machine; a
 /// new machine takes that of a witness that has fallen silent, so that the next loss does not meet
 /// a majority that counts the dead.
-pub(super) fn with_joiner(mut view: View, replica: &ReplicaId, silent: Option<ReplicaId>) -> View {
+pub(super) fn with_joiner(
+    mut view: View,
+    replica: &ReplicaId,
+    unresponsive: Option<ReplicaId>,
+) -> View {
     // Two processes can't have one address, so the former one has ended and its disk is gone.
     let is_former = |other: &ReplicaId| other.address == replica.address && other != replica;
     let has_place = view
@@ -182,8 +186,8 @@
         .any(|other| other == replica || is_former(other));
     view.in_sync.retain(|other| !is_former(other));
     view.witnesses.retain(|other| !is_former(other));
-    if let Some(silent) = silent.filter(|_| !has_place) {
-        view.witnesses.remove(&silent);
+    if let Some(unresponsive) = unresponsive.filter(|_| !has_place) {
+        view.witnesses.remove(&unresponsive);
     }
     view.in_sync.insert(replica.clone());
     view.witnesses.insert(replica.clone());
--- a/control/src/node/replication.rs
+++ b/control/src/node/replication.rs
@@ -64,7 +64,7 @@
     pub(super) fn synchronize_own(&mut self) {
         let own = Asker {
             replica: self.id().clone(),
-            life: self.identity.life,
+            incarnation: self.identity.incarnation,
         };
         self.tell_what_is_held(own);
     }
@@ -258,7 +258,10 @@
 
     /// Orders the next waiting change, if nothing else is under way.
     pub(super) fn order_next(&mut self, now: Millis) {
-        while self.leads(now).is_some() && self.attempt.is_none() && !self.storage_is_stuck(now) {
+        while self.leading_epoch(now).is_some()
+            && self.attempt.is_none()
+            && !self.storage_is_stuck(now)
+        {
             let Role::Primary(primary) = &self.role else {
                 return;
             };
@@ -268,7 +271,7 @@
             let Some(waiting) = self.calls.next_change() else {
                 return;
             };
-            match self.state.judge(&waiting.change) {
+            match self.state.evaluate(&waiting.change) {
                 Some(outcome) => {
                     self.calls.judged(waiting, outcome);
                     self.confirm_calls(now);
@@ -365,7 +368,7 @@
         if let Some(ticket) = self.tail_ticket.take() {
             self.effects.push(Effect::Reply {
                 ticket,
-                outcome: Outcome::Done,
+                outcome: Outcome::Committed,
             });
         }
         self.tell_committed();
@@ -387,7 +390,7 @@
             return false;
         };
         self.state.apply(&tail);
-        self.note_order_holder(now);
+        self.track_rollout_owner(now);
         self.effects.push(Effect::Committed);
         true
     }
@@ -404,7 +407,7 @@
         let (epoch, last, committed) = (self.epoch(), self.last(), self.state.position);
         self.answer_stored(
             asker,
-            Message::Holds {
+            Message::StoredPositions {
                 epoch,
                 last,
                 committed,
@@ -432,7 +435,7 @@
         }
         let is_newer = state.position.index > self.state.position.index;
         (self.state, self.tail) = (state, tail);
-        self.note_order_holder(now);
+        self.track_rollout_owner(now);
         self.backlog = Backlog::new(self.last());
         let record = Record::Install {
             state: self.state.clone(),
--- a/control/src/node/timing.rs
+++ b/control/src/node/timing.rs
@@ -53,7 +53,7 @@
 
     /// The fewest witnesses that are left when a silent one is taken out: so many that a majority
     /// outlives the faults.
-    pub fn fewest_witnesses(&self) -> usize {
+    pub fn min_witnesses(&self) -> usize {
         2 * self.copies - 1
     }
 }
--- a/control/src/node/views.rs
+++ b/control/src/node/views.rs
@@ -6,37 +6,37 @@
 use crate::message::{Echo, Message};
 use crate::proposer::{Attempt, Intent, Progress};
 use crate::state::Position;
-use crate::view::{Ballot, Epoch, Life, Proposal, ReplicaId, View};
+use crate::view::{Epoch, Incarnation, Proposal, ProposalNumber, ReplicaId, View};
 use crate::witness::Vote;
 use std::collections::BTreeSet;
 
 /// What came back for a heartbeat.
 pub(super) struct HeartbeatAnswer {
-    pub(super) round: u64,
+    pub(super) sequence: u64,
     pub(super) granted: bool,
     pub(super) other_view: Option<View>,
     pub(super) wants_view: bool,
     pub(super) sent_at: Millis,
-    pub(super) life: Life,
+    pub(super) incarnation: Incarnation,
 }
 
 impl ControlNode {
     // ---- heartbeats and the lease
     // --------------------------------------------------------------------------
 
-    /// Asks all others for the lease. The number of the round comes back with their answers.
+    /// Asks all others for the lease. The number of the sequence comes back with their answers.
     pub(super) fn send_heartbeats(&mut self, now: Millis) -> u64 {
         let (id, epoch) = (self.id().clone(), self.epoch());
-        let committed = self.leads(now).map(|_| self.state.position);
+        let committed = self.leading_epoch(now).map(|_| self.state.position);
         let own = self.witness.grant(&id, epoch, now);
         let others = self.others();
         let Role::Primary(primary) = &mut self.role else {
             return 0;
         };
         primary.heartbeat_at = now + self.timing.heartbeat;
-        let round = primary.lease.begin_round(now);
+        let sequence = primary.lease.begin_heartbeat(now);
         if own {
-            primary.lease.granted(id, round);
+            primary.lease.granted(id, sequence);
         }
         let echo = |other: &ReplicaId| primary.heard.get(other).and_then(|heard| heard.echo);
         let echoes: Vec<Option<Echo>> = others.iter().map(echo).collect();
@@ -45,20 +45,20 @@
                 other,
                 Message::Heartbeat {
                     epoch,
-                    round,
+                    sequence,
                     committed,
                     echo,
                 },
             );
         }
-        round
+        sequence
     }
 
     pub(super) fn on_heartbeat(
         &mut self,
         from: Asker,
         epoch: Epoch,
-        round: u64,
+        sequence: u64,
         committed: Option<Position>,
         echo: Option<Echo>,
         now: Millis,
@@ -76,7 +76,7 @@
         let wants_view = self.epoch() < epoch;
         let reply = Message::HeartbeatReply {
             epoch,
-            round,
+            sequence,
             granted,
             other_view,
             wants_view,
@@ -88,8 +88,9 @@
     /// The primary knew its state to be the newest after it had heard what this replica said at the
     /// moment of the echo.
     fn note_age(&mut self, committed: Position, echo: Option<Echo>) {
-        let own =
-            echo.filter(|echo| echo.life == self.identity.life && self.state.position >= committed);
+        let own = echo.filter(|echo| {
+            echo.incarnation == self.identity.incarnation && self.state.position >= committed
+        });
         self.current_at = self.current_at.max(own.map(|echo| echo.at));
     }
 
@@ -108,12 +109,12 @@
             return;
         };
         let echo = Some(Echo {
-            life: answer.life,
+            incarnation: answer.incarnation,
             at: answer.sent_at,
         });
         primary.heard.insert(from.clone(), Heard { at: now, echo });
         if answer.granted {
-            primary.lease.granted(from.clone(), answer.round);
+            primary.lease.granted(from.clone(), answer.sequence);
         }
         if answer.wants_view {
             self.send(from, Message::Decided { view });
@@ -174,15 +175,21 @@
     // ---- votes
     // ---------------------------------------------------------------------------------------------
 
-    pub(super) fn on_prepare(&mut self, from: Asker, current: View, ballot: Ballot, now: Millis) {
-        if !current.is_founding() {
+    pub(super) fn on_prepare(
+        &mut self,
+        from: Asker,
+        current: View,
+        number: ProposalNumber,
+        now: Millis,
+    ) {
+        if !current.is_bootstrap() {
             self.learn(current.clone(), now);
         }
-        let (vote, has_to_be_stored) = self.witness.prepare(&current, &ballot, now);
+        let (vote, has_to_be_stored) = self.witness.prepare(&current, &number, now);
         if has_to_be_stored {
             self.store_votes(now);
         }
-        self.answer_stored(from, Message::PrepareReply { ballot, vote });
+        self.answer_stored(from, Message::PrepareReply { number, vote });
     }
 
     pub(super) fn on_accept(
@@ -192,22 +199,28 @@
         proposal: Proposal,
         now: Millis,
     ) {
-        if !current.is_founding() {
+        if !current.is_bootstrap() {
             self.learn(current.clone(), now);
         }
-        let ballot = proposal.ballot.clone();
+        let number = proposal.number.clone();
         let answer = self.witness.accept(&current, proposal);
         if answer.is_ok() {
             self.store_votes(now);
         }
-        self.answer_stored(from, Message::AcceptReply { ballot, answer });
+        self.answer_stored(from, Message::AcceptReply { number, answer });
     }
 
-    pub(super) fn on_vote(&mut self, from: &ReplicaId, ballot: &Ballot, vote: Vote, now: Millis) {
+    pub(super) fn on_vote(
+        &mut self,
+        from: &ReplicaId,
+        number: &ProposalNumber,
+        vote: Vote,
+        now: Millis,
+    ) {
         if let Some(attempt) = self
             .attempt
             .as_mut()
-            .filter(|attempt| attempt.ballot == *ballot)
+            .filter(|attempt| attempt.number == *number)
         {
             let progress = attempt.voted(from, vote);
             self.proceed(progress, now);
@@ -217,14 +230,14 @@
     pub(super) fn on_accept_reply(
         &mut self,
         from: &ReplicaId,
-        ballot: &Ballot,
+        number: &ProposalNumber,
         answer: Result<(), u64>,
         now: Millis,
     ) {
         if let Some(attempt) = self
             .attempt
             .as_mut()
-            .filter(|attempt| attempt.ballot == *ballot)
+            .filter(|attempt| attempt.number == *number)
         {
             let progress = attempt.accepted(from, answer);
             self.proceed(progress, now);
@@ -276,13 +289,13 @@
         now: Millis,
     ) {
         wanted.epoch = current.epoch + 1;
-        self.round += 1;
-        let ballot = Ballot {
-            round: self.round,
+        self.proposal_round += 1;
+        let number = ProposalNumber {
+            round: self.proposal_round,
             proposer: self.id().clone(),
-            life: self.identity.life,
+            incarnation: self.identity.incarnation,
         };
-        self.attempt = Some(Attempt::new(ballot, current, wanted, intent, now));
+        self.attempt = Some(Attempt::new(number, current, wanted, intent, now));
         self.send_attempt(now);
     }
 
@@ -290,10 +303,10 @@
     fn send_attempt(&mut self, now: Millis) {
         self.attempt_resend_at = now + self.timing.heartbeat;
         let Some(attempt) = &self.attempt else { return };
-        let (current, ballot) = (attempt.current.clone(), attempt.ballot.clone());
+        let (current, number) = (attempt.current.clone(), attempt.number.clone());
         let message = match attempt.proposal() {
             Some(proposal) => Message::Accept { current, proposal },
-            None => Message::Prepare { current, ballot },
+            None => Message::Prepare { current, number },
         };
         for witness in attempt.unanswered() {
             self.send(witness, message.clone());
@@ -308,7 +321,7 @@
             self.timing.silence
         };
         if now >= attempt.begun + patience {
-            self.round = self.round.max(attempt.highest_round());
+            self.proposal_round = self.proposal_round.max(attempt.highest_round());
             self.abandon_attempt(now);
         } else if now >= self.attempt_resend_at {
             self.send_attempt(now);
@@ -348,10 +361,10 @@
                 self.learn(view, now);
             }
             Progress::Failed { round } => {
-                self.round = self.round.max(round);
+                self.proposal_round = self.proposal_round.max(round);
                 self.abandon_attempt(now);
             }
-            Progress::Overtaken(decided) => {
+            Progress::Superseded(decided) => {
                 self.attempt = None;
                 self.learn(decided, now);
                 self.abandon_attempt(now);
@@ -365,7 +378,7 @@
             return;
         }
         self.store_votes(now);
-        self.note_order_holder(now);
+        self.track_rollout_owner(now);
         if self
             .attempt
             .as_ref()
--- a/control/src/proposer.rs
+++ b/control/src/proposer.rs
@@ -2,7 +2,7 @@
 //! and the new witnesses.
 
 use crate::Millis;
-use crate::view::{Ballot, Epoch, Proposal, ReplicaId, View};
+use crate::view::{Epoch, Proposal, ProposalNumber, ReplicaId, View};
 use crate::witness::Vote;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -47,14 +47,14 @@
         round: u64,
     },
     /// A later view has been decided; start anew from it.
-    Overtaken(View),
+    Superseded(View),
 }
 
 /// One attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Attempt {
     /// Its number.
-    pub ballot: Ballot,
+    pub number: ProposalNumber,
     /// The decided view that the attempt starts from.
     pub current: View,
     /// When it was begun.
@@ -67,13 +67,19 @@
 
 impl Attempt {
     /// Begins to have `wanted` follow `current`.
-    pub fn new(ballot: Ballot, current: View, wanted: View, intent: Intent, now: Millis) -> Self {
+    pub fn new(
+        number: ProposalNumber,
+        current: View,
+        wanted: View,
+        intent: Intent,
+        now: Millis,
+    ) -> Self {
         let phase = Phase::Preparing {
             promises: BTreeSet::new(),
             found: None,
         };
         Attempt {
-            ballot,
+            number,
             current,
             begun: now,
             wanted,
@@ -123,7 +129,7 @@
     /// The proposal of the second phase; none in the first.
     pub fn proposal(&self) -> Option<Proposal> {
         matches!(self.phase, Phase::Accepting { .. }).then(|| Proposal {
-            ballot: self.ballot.clone(),
+            number: self.number.clone(),
             view: self.wanted.clone(),
         })
     }
@@ -137,16 +143,16 @@
             Vote::Promised { accepted } => {
                 promises.insert(from.clone());
                 let newer = match (&accepted, &found) {
-                    (Some(told), Some(known)) => told.ballot > known.ballot,
+                    (Some(told), Some(known)) => told.number > known.number,
                     (told, _) => told.is_some(),
                 };
                 if newer {
                     *found = accepted.map(Box::new);
                 }
             }
-            Vote::Passed { decided } => return Progress::Overtaken(decided),
-            Vote::Outbid { ballot } => return self.refused(from, ballot.round),
-            Vote::Leased | Vote::NoFounder => return self.refused(from, self.ballot.round),
+            Vote::AlreadyDecided { decided } => return Progress::Superseded(decided),
+            Vote::Superseded { number } => return self.refused(from, number.round),
+            Vote::Leased | Vote::NotEligible => return self.refused(from, self.number.round),
         }
         if !self.current.has_majority(promises) {
             return Progress::Waiting;
@@ -170,12 +176,12 @@
                 .in_sync
                 .extend(in_sync.intersection(promises).cloned());
             let missing = copies.saturating_sub(self.wanted.in_sync.len());
-            let silent: Vec<ReplicaId> = in_sync
+            let unresponsive: Vec<ReplicaId> = in_sync
                 .difference(&self.wanted.in_sync)
                 .take(missing)
                 .cloned()
                 .collect();
-            self.wanted.in_sync.extend(silent);
+            self.wanted.in_sync.extend(unresponsive);
         }
     }
 
@@ -215,12 +221,12 @@
             .copied()
             .max()
             .unwrap_or_default()
-            .max(self.ballot.round)
+            .max(self.number.round)
     }
 
     /// Whether a witness has promised to a higher attempt, so that a later one of this proposer may
     /// go through sooner.
     pub fn is_outbid(&self) -> bool {
-        self.highest_round() > self.ballot.round
+        self.highest_round() > self.number.round
     }
 }
--- a/control/src/rollout.rs
+++ b/control/src/rollout.rs
@@ -3,13 +3,13 @@
 
 mod conditional;
 mod confirmations;
+mod ownership;
 mod queue;
-mod turn;
 
-pub use conditional::{ConditionalOrder, Need, Progress, Reported};
-pub use confirmations::{Confirmations, Doubt};
-pub use queue::{OrderQueue, RefusedFences};
-pub use turn::{FormerHolder, OrderTurn};
+pub use conditional::{ConditionalOrder, NextStep, OrderProgress, ReportedWeights};
+pub use confirmations::{Confirmations, UnconfirmedOrder};
+pub use ownership::{FormerOwner, RolloutOwnership};
+pub use queue::{OrderQueue, RejectedTokens};
 
 use crate::directory::{Backend, BackendPhase, Directory, Order, OrderPhase};
 use crate::state::WeightsTarget;
@@ -24,7 +24,7 @@
 
 /// A backend that lacks a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Lacking {
+pub struct OutdatedBackend {
     /// Its instance id.
     pub id: CompactString,
     /// Where it takes orders.
@@ -34,87 +34,88 @@
     /// The version that it lacks.
     pub version: u64,
     /// Its heartbeats have stopped coming. It may take an order all the same.
-    pub is_silent: bool,
+    pub is_unresponsive: bool,
 }
 
 /// What is to be done.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Rollout {
     /// Backends that lack a version.
-    pub lacking: Vec<Lacking>,
+    pub outdated: Vec<OutdatedBackend>,
     /// How many of them may load at the same time.
-    pub most_at_once: usize,
+    pub max_concurrent: usize,
     /// Of these, how many whose heartbeats have stopped.
-    pub most_silent_at_once: usize,
+    pub max_concurrent_unresponsive: usize,
 }
 
 /// What keeps a backend that lacks a version from getting an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum HeldBack {
+pub enum PendingReason {
     /// Nothing: its order is due.
     Due,
     /// An order was given, and it is not known to be done.
-    UnderWay,
+    InProgress,
     /// Its heartbeats have stopped coming; it is asked now and then.
-    Silent,
+    Unresponsive,
     /// It is about to leave.
     Draining,
     /// Its order is done, and its heartbeats tell an older version still or again.
     Contradicted,
 }
 
-impl HeldBack {
+impl PendingReason {
     /// Every cause.
-    pub const ALL: [HeldBack; 5] = [
-        HeldBack::Due,
-        HeldBack::UnderWay,
-        HeldBack::Silent,
-        HeldBack::Draining,
-        HeldBack::Contradicted,
+    pub const ALL: [PendingReason; 5] = [
+        PendingReason::Due,
+        PendingReason::InProgress,
+        PendingReason::Unresponsive,
+        PendingReason::Draining,
+        PendingReason::Contradicted,
     ];
 
     /// The word that operators are told.
     pub fn name(self) -> &'static str {
         match self {
-            HeldBack::Due => "due",
-            HeldBack::UnderWay => "under_way",
-            HeldBack::Silent => "silent",
-            HeldBack::Draining => "draining",
-            HeldBack::Contradicted => "contradicted",
+            PendingReason::Due => "due",
+            PendingReason::InProgress => "under_way",
+            PendingReason::Unresponsive => "silent",
+            PendingReason::Draining => "draining",
+            PendingReason::Contradicted => "contradicted",
         }
     }
 
-    fn of(backend: &Backend, order: Option<&Order>, lacking: &Lacking) -> Option<Self> {
+    fn of(backend: &Backend, order: Option<&Order>, lacking: &OutdatedBackend) -> Option<Self> {
         let is_under_way = order.is_some_and(|order| {
             order.model == lacking.model
                 && order.version == lacking.version
-                && order.phase == OrderPhase::UnderWay
+                && order.phase == OrderPhase::InProgress
         });
         match backend.phase {
             BackendPhase::Gone => None,
-            BackendPhase::Draining => Some(HeldBack::Draining),
-            BackendPhase::Ready if backend.silent => Some(HeldBack::Silent),
-            BackendPhase::Ready if is_under_way => Some(HeldBack::UnderWay),
-            BackendPhase::Ready => Some(HeldBack::Due),
+            BackendPhase::Draining => Some(PendingReason::Draining),
+            BackendPhase::Ready if backend.unresponsive => Some(PendingReason::Unresponsive),
+            BackendPhase::Ready if is_under_way => Some(PendingReason::InProgress),
+            BackendPhase::Ready => Some(PendingReason::Due),
         }
     }
 }
 
 /// How many backends lack the newest version of some weights, by what keeps them from an order.
-pub fn lacking_by_cause(
+pub fn outdated_by_reason(
     directory: &Directory,
     targets: &BTreeMap<CompactString, WeightsTarget>,
-) -> BTreeMap<HeldBack, u64> {
-    let mut counts: BTreeMap<HeldBack, u64> = HeldBack::ALL.map(|cause| (cause, 0)).into();
+) -> BTreeMap<PendingReason, u64> {
+    let mut counts: BTreeMap<PendingReason, u64> =
+        PendingReason::ALL.map(|cause| (cause, 0)).into();
     for (id, backend) in directory.backends() {
         let order = directory.order(id);
-        for lacking in lacking(id, backend, done_version(order), targets) {
-            if let Some(cause) = HeldBack::of(backend, order, &lacking) {
+        for lacking in outdated(id, backend, done_version(order), targets) {
+            if let Some(cause) = PendingReason::of(backend, order, &lacking) {
                 *counts.entry(cause).or_default() += 1;
             }
         }
         if order.is_some_and(|order| is_contradicted(backend, order)) {
-            *counts.entry(HeldBack::Contradicted).or_default() += 1;
+            *counts.entry(PendingReason::Contradicted).or_default() += 1;
         }
     }
     counts
@@ -123,7 +124,7 @@
 /// Whether a backend that takes orders tells an older version than its order, which is done, should
 /// have brought.
 pub fn is_contradicted(backend: &Backend, order: &Order) -> bool {
-    let is_there = backend.phase == BackendPhase::Ready && !backend.silent;
+    let is_there = backend.phase == BackendPhase::Ready && !backend.unresponsive;
     is_there
         && order.phase == OrderPhase::Done
         && confirmations::told_version(backend, order) < order.version
@@ -145,19 +146,19 @@
         let backends: Vec<(&CompactString, &Backend)> = backends.collect();
         let heard = backends
             .iter()
-            .filter(|(_, backend)| !backend.silent)
+            .filter(|(_, backend)| !backend.unresponsive)
             .count();
-        let most_at_once = heard.div_ceil(LOADING_SHARE).max(1);
+        let max_concurrent = heard.div_ceil(LOADING_SHARE).max(1);
         let lacking = backends.iter().flat_map(|(id, backend)| {
             let believed = directory
                 .order(id)
-                .filter(|_| !confirmations.is_doubted(id));
-            lacking(id, backend, done_version(believed), targets)
+                .filter(|_| !confirmations.is_unconfirmed(id));
+            outdated(id, backend, done_version(believed), targets)
         });
         Rollout {
-            lacking: lacking.collect(),
-            most_at_once,
-            most_silent_at_once: most_at_once.div_ceil(SILENT_SHARE),
+            outdated: lacking.collect(),
+            max_concurrent,
+            max_concurrent_unresponsive: max_concurrent.div_ceil(SILENT_SHARE),
         }
     }
 }
@@ -168,22 +169,22 @@
     done.map(|order| (&order.model, order.version))
 }
 
-fn lacking<'a>(
+fn outdated<'a>(
     id: &'a CompactString,
     backend: &'a Backend,
     done: Option<(&'a CompactString, u64)>,
     targets: &'a BTreeMap<CompactString, WeightsTarget>,
-) -> impl Iterator<Item = Lacking> + 'a {
+) -> impl Iterator<Item = OutdatedBackend> + 'a {
     backend.models.iter().filter_map(move |(model, version)| {
         let target = targets.get(model)?;
         let is_done = done.is_some_and(|(of, version)| of == model && version >= target.version);
         let lacks = *version < target.version && !is_done;
-        lacks.then(|| Lacking {
+        lacks.then(|| OutdatedBackend {
             id: id.clone(),
             address: backend.address,
             model: model.clone(),
             version: target.version,
-            is_silent: backend.silent,
+            is_unresponsive: backend.unresponsive,
         })
     })
 }
--- a/control/src/rollout/conditional.rs
+++ b/control/src/rollout/conditional.rs
@@ -7,13 +7,13 @@
 
 /// What a backend reports of one model's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reported {
+pub struct ReportedWeights {
     /// The version; 0 where it does not have the model.
     pub version: u64,
     /// Whether an order is under way.
     pub is_busy: bool,
     /// How many orders it has taken.
-    pub taken_orders: u64,
+    pub accepted_orders: u64,
 }
 
 /// An order to bring a backend to a version.
@@ -22,44 +22,44 @@
     /// The version.
     pub version: u64,
     /// It is to be refused where the backend has not taken just so many orders.
-    pub if_taken_orders: u64,
+    pub if_accepted_orders: u64,
 }
 
 /// What a backend needs that reports something.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
+pub enum NextStep {
     /// Nothing: it has the version.
-    Nothing,
+    UpToDate,
     /// Time: another order is under way.
-    Time,
+    Wait,
     /// This order.
     Order(ConditionalOrder),
 }
 
 /// How far an order has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Progress {
+pub enum OrderProgress {
     /// The backend has the version, or a newer one.
     Done,
     /// An order is under way there.
     Busy,
     /// This order has not been taken yet, as far as the report tells, which may be a little old.
-    Awaited,
+    Pending,
     /// Another order was taken in its place: this one will be refused.
-    Overtaken,
+    Superseded,
 }
 
-impl Reported {
+impl ReportedWeights {
     /// What brings the backend to a version.
-    pub fn need(&self, version: u64) -> Need {
+    pub fn next_step(&self, version: u64) -> NextStep {
         if self.is_busy {
-            Need::Time
+            NextStep::Wait
         } else if self.version >= version {
-            Need::Nothing
+            NextStep::UpToDate
         } else {
-            Need::Order(ConditionalOrder {
+            NextStep::Order(ConditionalOrder {
                 version,
-                if_taken_orders: self.taken_orders,
+                if_accepted_orders: self.accepted_orders,
             })
         }
     }
@@ -67,15 +67,15 @@
 
 impl ConditionalOrder {
     /// How far it has come by a later report.
-    pub fn progress(&self, reported: Reported) -> Progress {
+    pub fn progress(&self, reported: ReportedWeights) -> OrderProgress {
         if reported.is_busy {
-            Progress::Busy
+            OrderProgress::Busy
         } else if reported.version >= self.version {
-            Progress::Done
-        } else if reported.taken_orders <= self.if_taken_orders {
-            Progress::Awaited
+            OrderProgress::Done
+        } else if reported.accepted_orders <= self.if_accepted_orders {
+            OrderProgress::Pending
         } else {
-            Progress::Overtaken
+            OrderProgress::Superseded
         }
     }
 }
--- a/control/src/rollout/confirmations.rs
+++ b/control/src/rollout/confirmations.rs
@@ -32,13 +32,13 @@
 
 /// A backend that tells an older version than its last order, which is done, should have brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Doubt {
+pub struct UnconfirmedOrder {
     /// The backend.
     pub backend: CompactString,
     /// The order.
     pub order: Order,
     /// The version that its last heartbeat told.
-    pub told: u64,
+    pub reported_version: u64,
 }
 
 /// Follows the orders that are done, as one node learns of them.
@@ -58,7 +58,7 @@
     }
 
     /// Takes what is known now. Returns what has come into doubt by it.
-    pub fn look(&mut self, directory: &Directory, now: Millis) -> Vec<Doubt> {
+    pub fn observe(&mut self, directory: &Directory, now: Millis) -> Vec<UnconfirmedOrder> {
         let done = |id: &str| {
             directory
                 .order(id)
@@ -76,10 +76,10 @@
             });
             if followed.enter(told >= order.version, now, self.patience) == Some(Standing::Doubted)
             {
-                doubts.push(Doubt {
+                doubts.push(UnconfirmedOrder {
                     backend: id.clone(),
                     order: order.clone(),
-                    told,
+                    reported_version: told,
                 });
             }
         }
@@ -87,7 +87,7 @@
     }
 
     /// Whether it is in doubt that a backend still has the version of its last order.
-    pub fn is_doubted(&self, backend: &str) -> bool {
+    pub fn is_unconfirmed(&self, backend: &str) -> bool {
         self.followed
             .get(backend)
             .is_some_and(|followed| followed.standing == Standing::Doubted)
--- a/control/src/rollout/turn.rs
+++ b/control/src/rollout/ownership.rs
@@ -16,42 +16,46 @@
 
 /// Whether a node may give orders.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum OrderTurn {
+pub enum RolloutOwnership {
     /// It does not hold the lease.
     #[default]
-    NotLeading,
+    NotLeader,
     /// It holds the lease. Another node gave orders last, and has not held the lease from some
     /// moment on.
-    After {
+    FormerOwner {
         /// That moment, or a later one.
-        former_ended: Millis,
+        lease_ended: Millis,
     },
     /// It holds the lease, and nobody has given orders yet.
-    First,
+    Unowned,
     /// It holds the lease, and gave orders last.
-    Held,
+    Owned,
 }
 
-impl OrderTurn {
+impl RolloutOwnership {
     /// Whether the node may have itself named as the one that gives orders.
-    pub fn may_take(&self, lease: Millis, now: Millis) -> bool {
+    pub fn may_claim(&self, lease: Millis, now: Millis) -> bool {
         match *self {
-            OrderTurn::NotLeading | OrderTurn::Held => false,
-            OrderTurn::After { former_ended } => now >= former_ended + lease + TAKEOVER_MARGIN,
-            OrderTurn::First => true,
+            RolloutOwnership::NotLeader | RolloutOwnership::Owned => false,
+            RolloutOwnership::FormerOwner { lease_ended } => {
+                now >= lease_ended + lease + TAKEOVER_MARGIN
+            }
+            RolloutOwnership::Unowned => true,
         }
     }
 }
 
-impl fmt::Display for OrderTurn {
+impl fmt::Display for RolloutOwnership {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            OrderTurn::NotLeading => "this node does not hold the lease",
-            OrderTurn::After { .. } => {
+            RolloutOwnership::NotLeader => "this node does not hold the lease",
+            RolloutOwnership::FormerOwner { .. } => {
                 "this node holds the lease, and another one gave orders last"
             }
-            OrderTurn::First => "this node holds the lease, and nobody has given orders yet",
-            OrderTurn::Held => "this node gives orders",
+            RolloutOwnership::Unowned => {
+                "this node holds the lease, and nobody has given orders yet"
+            }
+            RolloutOwnership::Owned => "this node gives orders",
         })
     }
 }
@@ -63,7 +67,7 @@
 /// a view is late enough. Between two views that follow each other nobody else can have led; where
 /// a view was missed, the time begins anew.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct FormerHolder(Option<Ended>);
+pub struct FormerOwner(Option<Ended>);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Ended {
@@ -72,9 +76,9 @@
     since: Millis,
 }
 
-impl FormerHolder {
+impl FormerOwner {
     /// Takes the newest view, and who gave orders last.
-    pub fn note(&mut self, view: Option<&View>, holder: Option<&ReplicaId>, now: Millis) {
+    pub fn observe(&mut self, view: Option<&View>, holder: Option<&ReplicaId>, now: Millis) {
         let Some((view, holder)) = view
             .zip(holder)
             .filter(|(view, holder)| view.primary != **holder)
--- a/control/src/rollout/queue.rs
+++ b/control/src/rollout/queue.rs
@@ -1,6 +1,6 @@
 //! Which backend gets the next order, and which ones refuse the present fencing token.
 
-use super::Lacking;
+use super::OutdatedBackend;
 use crate::Millis;
 use crate::view::Epoch;
 use compact_str::CompactString;
@@ -28,28 +28,28 @@
 
 impl OrderQueue {
     /// Sorts backends by who is next.
-    pub fn sort(&self, lacking: &mut [Lacking]) {
+    pub fn sort(&self, lacking: &mut [OutdatedBackend]) {
         lacking.sort_by_key(|backend| {
             let tried = self.tried.get(&backend.id).copied().unwrap_or_default();
-            (backend.is_silent, tried.unanswered, tried.last_order)
+            (backend.is_unresponsive, tried.unanswered, tried.last_order)
         });
     }
 
     /// Whether a backend may be asked now.
-    pub fn is_due(&self, backend: &Lacking, now: Millis) -> bool {
+    pub fn is_due(&self, backend: &OutdatedBackend, now: Millis) -> bool {
         let tried = self.tried.get(&backend.id);
-        !backend.is_silent || tried.is_none_or(|tried| now >= tried.last_at + SILENT_PAUSE)
+        !backend.is_unresponsive || tried.is_none_or(|tried| now >= tried.last_at + SILENT_PAUSE)
     }
 
     /// A backend is given an order.
-    pub fn ordered(&mut self, backend: &CompactString, now: Millis) {
+    pub fn record_order(&mut self, backend: &CompactString, now: Millis) {
         self.orders += 1;
         let tried = self.tried.entry(backend.clone()).or_default();
         (tried.last_order, tried.last_at) = (self.orders, now);
     }
 
     /// Whether a backend's order came to its end.
-    pub fn ended(&mut self, backend: &CompactString, was_answered: bool) {
+    pub fn record_result(&mut self, backend: &CompactString, was_answered: bool) {
         let tried = self.tried.entry(backend.clone()).or_default();
         tried.unanswered = if was_answered {
             0
@@ -66,19 +66,21 @@
 
 /// Fencing tokens that backends have refused as they had seen a higher one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RefusedFences(BTreeMap<CompactString, Epoch>);
+pub struct RejectedTokens(BTreeMap<CompactString, Epoch>);
 
-impl RefusedFences {
+impl RejectedTokens {
     /// A backend has refused an order under this token.
-    pub fn refused(&mut self, backend: &CompactString, fence: Epoch) {
+    pub fn record(&mut self, backend: &CompactString, fencing_token: Epoch) {
         let highest = self.0.entry(backend.clone()).or_default();
-        *highest = fence.max(*highest);
+        *highest = fencing_token.max(*highest);
     }
 
     /// Whether a backend may be given an order under this token: none that it has refused, nor a
     /// lower one.
-    pub fn allow(&self, backend: &str, fence: Epoch) -> bool {
-        self.0.get(backend).is_none_or(|refused| fence > *refused)
+    pub fn allows(&self, backend: &str, fencing_token: Epoch) -> bool {
+        self.0
+            .get(backend)
+            .is_none_or(|refused| fencing_token > *refused)
     }
 
     /// Forgets backends that are not there any more.
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -1,7 +1,7 @@
 //! The durable control state: the configuration in force, the versions of weights, who gives
 //! orders, and what was acknowledged.
 
-use crate::changes::{Change, Outcome, Refusal};
+use crate::changes::{Change, Outcome, Rejection};
 use crate::configuration::{self, Configuration};
 use crate::view::{Epoch, ReplicaId};
 use compact_str::CompactString;
@@ -12,7 +12,7 @@
 
 /// How many accepted configurations are remembered, so that one sent again is known. At a thousand
 /// a day these are four days; what is sent again later gets no clear answer.
-pub const REMEMBERED: usize = 4096;
+pub const RETAINED_CONFIGURATIONS: usize = 4096;
 
 /// The position of a change: who ordered it, and its number.
 #[derive(
@@ -80,7 +80,7 @@
     pub weights: BTreeMap<CompactString, WeightsTarget>,
     pub(crate) accepted: Vec<(u64, Fingerprint)>,
     /// Who gives orders to backends, or gave them last; none before the first one.
-    pub order_holder: Option<ReplicaId>,
+    pub rollout_owner: Option<ReplicaId>,
 }
 
 impl ControlState {
@@ -103,46 +103,46 @@
     /// is not remembered.
     fn may_have_been_forgotten(&self, base: u64) -> bool {
         let oldest = self.accepted.first().map_or(0, |(version, _)| *version);
-        self.accepted.len() >= REMEMBERED && base < oldest
+        self.accepted.len() >= RETAINED_CONFIGURATIONS && base < oldest
     }
 
     /// What a change would come to now: nothing to do, a refusal, or that it is to be made.
-    pub fn judge(&self, change: &Change) -> Option<Outcome> {
+    pub fn evaluate(&self, change: &Change) -> Option<Outcome> {
         match change {
-            Change::Configuration { base, body } => self.judge_configuration(*base, body),
+            Change::Configuration { base, body } => self.evaluate_configuration(*base, body),
             Change::Weights { model, version } => {
                 let known = self
                     .weights
                     .get(model)
                     .is_some_and(|target| target.version >= *version);
-                known.then_some(Outcome::Done)
+                known.then_some(Outcome::Committed)
             }
-            Change::OrderHolder { replica } => {
-                (self.order_holder.as_ref() == Some(replica)).then_some(Outcome::Done)
+            Change::RolloutOwner { replica } => {
+                (self.rollout_owner.as_ref() == Some(replica)).then_some(Outcome::Committed)
             }
         }
     }
 
-    fn judge_configuration(&self, base: u64, body: &[u8]) -> Option<Outcome> {
+    fn evaluate_configuration(&self, base: u64, body: &[u8]) -> Option<Outcome> {
         if self.was_taken(Fingerprint::of(base, body)) {
-            return Some(Outcome::Done);
+            return Some(Outcome::Committed);
         }
         if self.may_have_been_forgotten(base) {
             return Some(Outcome::Unknown);
         }
         if base != self.version() {
-            return Some(Outcome::Refused(Refusal::OtherVersion {
+            return Some(Outcome::Rejected(Rejection::VersionConflict {
                 current: self.version(),
             }));
         }
         match Configuration::parse(body) {
-            Err(problem) => Some(Outcome::Refused(Refusal::Invalid(problem.to_string()))),
+            Err(problem) => Some(Outcome::Rejected(Rejection::Invalid(problem.to_string()))),
             Ok(parsed) if parsed.version <= base => {
                 let problem = configuration::Problem::OldVersion {
                     found: parsed.version,
                     current: base,
                 };
-                Some(Outcome::Refused(Refusal::Invalid(problem.to_string())))
+                Some(Outcome::Rejected(Rejection::Invalid(problem.to_string())))
             }
             Ok(_) => None,
         }
@@ -158,7 +158,7 @@
                 };
                 self.accepted
                     .push((parsed.version, Fingerprint::of(*base, body)));
-                if self.accepted.len() > REMEMBERED {
+                if self.accepted.len() > RETAINED_CONFIGURATIONS {
                     self.accepted.remove(0);
                 }
                 self.configuration = Some(StoredConfiguration {
@@ -173,7 +173,7 @@
                 };
                 self.weights.insert(model.clone(), target);
             }
-            Change::OrderHolder { replica } => self.order_holder = Some(replica.clone()),
+            Change::RolloutOwner { replica } => self.rollout_owner = Some(replica.clone()),
         }
     }
 
--- a/control/src/storage.rs
+++ b/control/src/storage.rs
@@ -7,7 +7,7 @@
 mod format1;
 mod format2;
 
-pub use format1::{AcceptedV1, BallotV1, VotesV1};
+pub use format1::{AcceptedV1, ProposalNumberV1, VotesV1};
 pub use format2::ControlStateV2;
 
 use crate::state::{ControlState, Update};
@@ -56,12 +56,12 @@
 
 /// Why stored records can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Damage {
+pub enum StorageError {
     /// A record does not match its checksum, or makes no sense.
     #[error(
         "record at byte {offset} is damaged: move the data directory away and start the node again, it then rejoins with an empty disk"
     )]
-    Record {
+    CorruptRecord {
         /// Where it begins.
         offset: usize,
     },
@@ -69,21 +69,21 @@
     #[error(
         "the records are of format {found}, this program reads up to {FORMAT}: start the newer program again"
     )]
-    Format {
+    UnsupportedFormat {
         /// The format found.
         found: u32,
     },
     /// A file that was written and synced as a whole is not whole.
     #[error(
-        "the file ends after byte {sound} though more was stored: move the data directory away and start the node again, it then rejoins with an empty disk"
+        "the file ends after byte {valid_length} though more was stored: move the data directory away and start the node again, it then rejoins with an empty disk"
     )]
-    CutOff {
+    Truncated {
         /// The length of its sound part.
-        sound: usize,
+        valid_length: usize,
     },
     /// There is no first record.
     #[error("the first record is missing: move the data directory away and start the node again")]
-    NoDisk,
+    MissingHeader,
 }
 
 /// Appends a record's frame to `bytes`.
@@ -95,7 +95,7 @@
 }
 
 /// Reads a snapshot, which was written and synced as a whole; its last record is the state.
-pub fn decode_snapshot(bytes: &[u8]) -> Result<Vec<Record>, Damage> {
+pub fn decode_snapshot(bytes: &[u8]) -> Result<Vec<Record>, StorageError> {
     let (records, sound) = decode(bytes)?;
     let holds_state = matches!(
         records.last(),
@@ -105,12 +105,14 @@
     if is_whole {
         Ok(records)
     } else {
-        Err(Damage::CutOff { sound })
+        Err(StorageError::Truncated {
+            valid_length: sound,
+        })
     }
 }
 
 /// Reads the frames of a file; the second value is the length of its sound part.
-pub fn decode(bytes: &[u8]) -> Result<(Vec<Record>, usize), Damage> {
+pub fn decode(bytes: &[u8]) -> Result<(Vec<Record>, usize), StorageError> {
     let mut records = Vec::new();
     let mut offset = 0;
     while let Some((record, next)) = frame(bytes, offset)? {
@@ -126,7 +128,7 @@
 }
 
 /// One frame, and where the next one begins; none where the file ends, be it within a frame.
-fn frame(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, Damage> {
+fn frame(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, StorageError> {
     let (Some(length), Some(checksum)) = (number(bytes, offset), number(bytes, offset + 4)) else {
         return Ok(None);
     };
@@ -143,12 +145,12 @@
     }
     match postcard::from_bytes(body) {
         Ok(record) => Ok(Some((record, next))),
-        Err(_) => Err(Damage::Record { offset }),
+        Err(_) => Err(StorageError::CorruptRecord { offset }),
     }
 }
 
 /// A torn write leaves no sound frame behind it; damage in the middle does.
-fn torn_or_damaged(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, Damage> {
+fn torn_or_damaged(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, StorageError> {
     let sound_frame_at = |at: usize| {
         let length = number(bytes, at).filter(|length| (1..=LONGEST).contains(length))?;
         let checksum = number(bytes, at + 4)?;
@@ -158,7 +160,7 @@
     let sound_behind =
         (offset + 1..bytes.len().saturating_sub(HEADER)).any(|at| sound_frame_at(at).is_some());
     if sound_behind {
-        Err(Damage::Record { offset })
+        Err(StorageError::CorruptRecord { offset })
     } else {
         Ok(None)
     }
@@ -179,22 +181,22 @@
 
 impl Recovered {
     /// Replays records in their order.
-    pub fn replay(records: impl IntoIterator<Item = Record>) -> Result<Self, Damage> {
+    pub fn replay(records: impl IntoIterator<Item = Record>) -> Result<Self, StorageError> {
         let mut recovered = Recovered::default();
         for record in records {
             recovered.take(record)?;
         }
         if recovered.disk == 0 {
-            Err(Damage::NoDisk)
+            Err(StorageError::MissingHeader)
         } else {
             Ok(recovered)
         }
     }
 
-    fn take(&mut self, record: Record) -> Result<(), Damage> {
+    fn take(&mut self, record: Record) -> Result<(), StorageError> {
         match record {
             Record::Disk { format, .. } if format > FORMAT => {
-                return Err(Damage::Format { found: format });
+                return Err(StorageError::UnsupportedFormat { found: format });
             }
             Record::Disk { disk, .. } => self.disk = disk,
             Record::VotesV1(votes) => self.votes = votes.into(),
--- a/control/src/storage/format1.rs
+++ b/control/src/storage/format1.rs
@@ -1,6 +1,6 @@
 //! What format 1 kept of a witness, and what becomes of it in the present format.
 
-use crate::view::{Ballot, Epoch, Proposal, ReplicaId, View};
+use crate::view::{Epoch, Proposal, ProposalNumber, ReplicaId, View};
 use crate::witness::Votes;
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 
 /// The number of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BallotV1 {
+pub struct ProposalNumberV1 {
     /// Rises with each attempt.
     pub round: u64,
     /// Who attempts it.
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedV1 {
     /// In which attempt.
-    pub ballot: BallotV1,
+    pub number: ProposalNumberV1,
     /// The view.
     pub view: View,
     /// The decided view that it follows; none where the view itself is known to be decided.
@@ -31,17 +31,17 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VotesV1 {
     /// The highest attempt that was promised to, with the epoch that it was to decide.
-    pub promised: Option<(Epoch, BallotV1)>,
+    pub promised: Option<(Epoch, ProposalNumberV1)>,
     /// The newest accepted view.
     pub accepted: Option<AcceptedV1>,
 }
 
-impl From<BallotV1> for Ballot {
-    fn from(ballot: BallotV1) -> Self {
-        Ballot {
-            round: ballot.round,
-            proposer: ballot.proposer,
-            life: UNKNOWN_LIFE,
+impl From<ProposalNumberV1> for ProposalNumber {
+    fn from(number: ProposalNumberV1) -> Self {
+        ProposalNumber {
+            round: number.round,
+            proposer: number.proposer,
+            incarnation: UNKNOWN_LIFE,
         }
     }
 }
@@ -56,13 +56,13 @@
                 ..
             }) => (Some(view), None),
             Some(AcceptedV1 {
-                ballot,
+                number,
                 view,
                 previous,
             }) => (
                 previous,
                 Some(Proposal {
-                    ballot: ballot.into(),
+                    number: number.into(),
                     view,
                 }),
             ),
@@ -76,11 +76,11 @@
         let promised = votes
             .promised
             .filter(|(epoch, _)| *epoch == next)
-            .map(|(_, ballot)| ballot.into());
+            .map(|(_, number)| number.into());
         let accepted = converted
             .accepted
             .as_ref()
-            .map(|proposal| proposal.ballot.clone());
+            .map(|proposal| proposal.number.clone());
         converted.promised = promised.max(accepted);
         converted
     }
--- a/control/src/storage/format2.rs
+++ b/control/src/storage/format2.rs
@@ -33,7 +33,7 @@
             configuration,
             weights,
             accepted,
-            order_holder: None,
+            rollout_owner: None,
         }
     }
 }
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -30,10 +30,10 @@
 pub type Epoch = u64;
 
 /// The epoch of the electorate that decides the first view; no replica ever works in it.
-pub const FOUNDING_EPOCH: Epoch = 0;
+pub const BOOTSTRAP_EPOCH: Epoch = 0;
 
 /// Identifies one run of a process. Drawn at its start.
-pub type Life = u64;
+pub type Incarnation = u64;
 
 /// One configuration of the replication group.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -50,10 +50,10 @@
 
 impl View {
     /// The electorate that decides the first view of a new system; none where nobody is in it.
-    pub fn founding(electorate: BTreeSet<ReplicaId>) -> Option<Self> {
+    pub fn bootstrap(electorate: BTreeSet<ReplicaId>) -> Option<Self> {
         let primary = electorate.first()?.clone();
         Some(View {
-            epoch: FOUNDING_EPOCH,
+            epoch: BOOTSTRAP_EPOCH,
             primary,
             in_sync: BTreeSet::new(),
             witnesses: electorate,
@@ -61,8 +61,8 @@
     }
 
     /// Whether this is no view to work in, but the electorate of the first one.
-    pub fn is_founding(&self) -> bool {
-        self.epoch == FOUNDING_EPOCH
+    pub fn is_bootstrap(&self) -> bool {
+        self.epoch == BOOTSTRAP_EPOCH
     }
 
     /// Whether `votes` holds a majority of the witnesses.
@@ -85,20 +85,20 @@
 /// the life tells those of a restarted proposer from those of its former process, whose late
 /// answers must not count.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ballot {
+pub struct ProposalNumber {
     /// Rises with each attempt of a process.
     pub round: u64,
     /// Who attempts it.
     pub proposer: ReplicaId,
     /// In which life of its process.
-    pub life: Life,
+    pub incarnation: Incarnation,
 }
 
 /// A view that is proposed in an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
     /// The attempt.
-    pub ballot: Ballot,
+    pub number: ProposalNumber,
     /// The view.
     pub view: View,
 }
--- a/control/src/witness.rs
+++ b/control/src/witness.rs
@@ -5,7 +5,7 @@
 //! attempts it is told the decided view instead.
 
 use crate::Millis;
-use crate::view::{Ballot, Epoch, FOUNDING_EPOCH, Proposal, ReplicaId, View};
+use crate::view::{BOOTSTRAP_EPOCH, Epoch, Proposal, ProposalNumber, ReplicaId, View};
 use serde::{Deserialize, Serialize};
 
 /// What a witness keeps on its disk.
@@ -14,7 +14,7 @@
     /// The newest view that is known to be decided.
     pub decided: Option<View>,
     /// The highest attempt to decide the next epoch that was promised to.
-    pub promised: Option<Ballot>,
+    pub promised: Option<ProposalNumber>,
     /// The view for the next epoch that was accepted in the highest attempt.
     pub accepted: Option<Proposal>,
 }
@@ -24,7 +24,7 @@
     pub fn epoch(&self) -> Epoch {
         self.decided
             .as_ref()
-            .map_or(FOUNDING_EPOCH, |view| view.epoch)
+            .map_or(BOOTSTRAP_EPOCH, |view| view.epoch)
     }
 }
 
@@ -37,12 +37,12 @@
         accepted: Option<Proposal>,
     },
     /// A higher attempt was promised to.
-    Outbid {
+    Superseded {
         /// That attempt.
-        ballot: Ballot,
+        number: ProposalNumber,
     },
     /// The epoch has been decided.
-    Passed {
+    AlreadyDecided {
         /// The newest view that is known to be decided.
         decided: View,
     },
@@ -50,7 +50,7 @@
     Leased,
     /// This replica did not start together with the system, so it may have forgotten an earlier
     /// vote on the first view.
-    NoFounder,
+    NotEligible,
 }
 
 /// The lease as one witness sees it.
@@ -71,13 +71,13 @@
     votes: Votes,
     grant: Grant,
     lease: Millis,
-    may_found: bool,
+    may_bootstrap: bool,
 }
 
 impl Witness {
-    /// A witness that starts with what its disk holds. One that `may_found` started together with
+    /// A witness that starts with what its disk holds. One that `may_bootstrap` started together with
     /// the system and votes on the first view.
-    pub fn new(votes: Votes, may_found: bool, lease: Millis, now: Millis) -> Self {
+    pub fn new(votes: Votes, may_bootstrap: bool, lease: Millis, now: Millis) -> Self {
         let grant = if votes.decided.is_some() {
             Grant::Unknown { until: now + lease }
         } else {
@@ -87,7 +87,7 @@
             votes,
             grant,
             lease,
-            may_found,
+            may_bootstrap,
         }
     }
 
@@ -115,39 +115,44 @@
 
     /// Votes on an attempt to have a view follow `current`, which the proposer knows to be decided.
     /// The second value says whether the votes have to be stored before the answer.
-    pub fn prepare(&mut self, current: &View, ballot: &Ballot, now: Millis) -> (Vote, bool) {
+    pub fn prepare(
+        &mut self,
+        current: &View,
+        number: &ProposalNumber,
+        now: Millis,
+    ) -> (Vote, bool) {
         let has_learned = self.learn(current);
         if let Some(decided) = self
             .decided()
             .filter(|decided| decided.epoch > current.epoch)
         {
             return (
-                Vote::Passed {
+                Vote::AlreadyDecided {
                     decided: decided.clone(),
                 },
                 has_learned,
             );
         }
-        if current.is_founding() && !self.may_found {
-            return (Vote::NoFounder, has_learned);
+        if current.is_bootstrap() && !self.may_bootstrap {
+            return (Vote::NotEligible, has_learned);
         }
-        if !self.is_free_for(&ballot.proposer, now) {
+        if !self.is_free_for(&number.proposer, now) {
             return (Vote::Leased, has_learned);
         }
         if let Some(higher) = self
             .votes
             .promised
             .as_ref()
-            .filter(|promised| *promised > ballot)
+            .filter(|promised| *promised > number)
         {
             return (
-                Vote::Outbid {
-                    ballot: higher.clone(),
+                Vote::Superseded {
+                    number: higher.clone(),
                 },
                 has_learned,
             );
         }
-        self.votes.promised = Some(ballot.clone());
+        self.votes.promised = Some(number.clone());
         (
             Vote::Promised {
                 accepted: self.votes.accepted.clone(),
@@ -164,14 +169,14 @@
             .votes
             .promised
             .as_ref()
-            .filter(|promised| **promised > proposal.ballot);
+            .filter(|promised| **promised > proposal.number);
         if let Some(higher) = promised {
             return Err(higher.round);
         }
         if proposal.view.epoch != self.votes.epoch() + 1 {
-            return Err(proposal.ballot.round);
+            return Err(proposal.number.round);
         }
-        self.votes.promised = Some(proposal.ballot.clone());
+        self.votes.promised = Some(proposal.number.clone());
         self.votes.accepted = Some(proposal);
         Ok(())
     }
@@ -186,7 +191,7 @@
             .votes
             .promised
             .as_ref()
-            .is_some_and(|ballot| ballot.proposer != *holder)
+            .is_some_and(|number| number.proposer != *holder)
             || self
                 .votes
                 .accepted
--- a/control/tests/catching_up.rs
+++ b/control/tests/catching_up.rs
@@ -79,7 +79,7 @@
     let done = world
         .outcomes
         .values()
-        .filter(|outcome| **outcome == Outcome::Done)
+        .filter(|outcome| **outcome == Outcome::Committed)
         .count();
     assert!(done > 20, "{setting}: {done} changes were made meanwhile");
     world.assert_nothing_lost();
@@ -185,7 +185,11 @@
             let ticket = world.submit(&primary, configuration(version, version + 1, &padding));
             version += 1;
             assert!(world.until(3_500, |world| world.outcomes.contains_key(&ticket)));
-            assert_eq!(world.outcomes[&ticket], Outcome::Done, "{megabytes} MB");
+            assert_eq!(
+                world.outcomes[&ticket],
+                Outcome::Committed,
+                "{megabytes} MB"
+            );
         };
         send(&mut world);
         let away = backup(&world);
--- a/control/tests/conditional_orders.rs
+++ b/control/tests/conditional_orders.rs
@@ -2,7 +2,7 @@
 //! who gives orders and one backend can arrive, with reports that may be older than others that
 //! came before.
 
-use control::rollout::{ConditionalOrder, Need, Progress, Reported};
+use control::rollout::{ConditionalOrder, NextStep, OrderProgress, ReportedWeights};
 use std::collections::BTreeSet;
 
 /// Versions that are named, one after the other.
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Backend {
     version: u64,
-    taken_orders: u64,
+    accepted_orders: u64,
     /// The version that it is loading.
     loads: Option<u64>,
 }
@@ -35,25 +35,25 @@
     known: Option<Report>,
 }
 
-fn reported((version, is_busy, taken_orders): Report) -> Reported {
-    Reported {
+fn reported((version, is_busy, accepted_orders): Report) -> ReportedWeights {
+    ReportedWeights {
         version,
         is_busy,
-        taken_orders,
+        accepted_orders,
     }
 }
 
 impl Backend {
     fn report(&self) -> Report {
-        (self.version, self.loads.is_some(), self.taken_orders)
+        (self.version, self.loads.is_some(), self.accepted_orders)
     }
 
     /// As the published protocol says.
-    fn take(&mut self, (version, if_taken_orders): Order, heeds_condition: bool) {
+    fn take(&mut self, (version, if_accepted_orders): Order, heeds_condition: bool) {
         let is_refused =
-            self.loads.is_some() || heeds_condition && if_taken_orders != self.taken_orders;
+            self.loads.is_some() || heeds_condition && if_accepted_orders != self.accepted_orders;
         if !is_refused && version != self.version {
-            self.taken_orders += 1;
+            self.accepted_orders += 1;
             self.loads = Some(version);
         }
     }
@@ -63,7 +63,7 @@
     fn new() -> Self {
         let backend = Backend {
             version: 1,
-            taken_orders: 0,
+            accepted_orders: 0,
             loads: None,
         };
         World {
@@ -99,12 +99,14 @@
         for at in 0..self.reports.len() {
             add(&|world| world.known = Some(world.reports.remove(at)));
         }
-        if let Some(Need::Order(order)) = self.known.map(|known| reported(known).need(self.named))
+        if let Some(NextStep::Order(order)) = self
+            .known
+            .map(|known| reported(known).next_step(self.named))
             && self.given < MOST_ORDERS
         {
             add(&|world| {
                 world.given += 1;
-                world.orders.push((order.version, order.if_taken_orders));
+                world.orders.push((order.version, order.if_accepted_orders));
             });
         }
         for at in 0..self.orders.len() {
@@ -158,23 +160,23 @@
 fn an_order_is_awaited_just_as_long_as_it_may_still_be_taken() {
     let order = ConditionalOrder {
         version: 3,
-        if_taken_orders: 5,
+        if_accepted_orders: 5,
     };
-    for taken_orders in 4..8 {
+    for accepted_orders in 4..8 {
         for version in 1..5 {
-            let is_busy = Reported {
+            let is_busy = ReportedWeights {
                 version,
                 is_busy: true,
-                taken_orders,
+                accepted_orders,
             };
-            assert_eq!(order.progress(is_busy), Progress::Busy);
-            let expected = match (version >= 3, taken_orders > 5) {
-                (true, _) => Progress::Done,
-                (false, true) => Progress::Overtaken,
-                (false, false) => Progress::Awaited,
+            assert_eq!(order.progress(is_busy), OrderProgress::Busy);
+            let expected = match (version >= 3, accepted_orders > 5) {
+                (true, _) => OrderProgress::Done,
+                (false, true) => OrderProgress::Superseded,
+                (false, false) => OrderProgress::Pending,
             };
             assert_eq!(
-                order.progress(Reported {
+                order.progress(ReportedWeights {
                     is_busy: false,
                     ..is_busy
                 }),
--- a/control/tests/configuration.rs
+++ b/control/tests/configuration.rs
@@ -1,7 +1,7 @@
 //! Configurations of operators: what is valid, and what is said of those that are not.
 
 use assert_matches::assert_matches;
-use control::changes::{Change, Outcome, Refusal};
+use control::changes::{Change, Outcome, Rejection};
 use control::configuration::{Access, Configuration, Kind, Problem};
 use control::delta;
 use control::state::{ControlState, Position, Update};
@@ -75,7 +75,7 @@
         base,
         body: body.as_bytes().into(),
     };
-    match state.judge(&change) {
+    match state.evaluate(&change) {
         Some(outcome) => outcome,
         None => {
             let position = Position {
@@ -83,7 +83,7 @@
                 epoch: 1,
             };
             state.apply(&Update { position, change });
-            Outcome::Done
+            Outcome::Committed
         }
     }
 }
@@ -108,11 +108,11 @@
             if taken[at] {
                 assert_eq!(
                     outcome,
-                    Outcome::Done,
+                    Outcome::Committed,
                     "order {order}: a change that was taken is refused"
                 );
             }
-            taken[at] |= outcome == Outcome::Done;
+            taken[at] |= outcome == Outcome::Committed;
         }
         assert!(
             !(taken[1] && taken[2]),
@@ -124,12 +124,12 @@
 #[test]
 fn a_version_that_does_not_rise_is_refused() {
     let mut state = ControlState::default();
-    assert_eq!(put(&mut state, 0, SOUND), Outcome::Done);
+    assert_eq!(put(&mut state, 0, SOUND), Outcome::Committed);
     let same = SOUND.replacen("\"r1\"", "\"other\"", 1);
-    assert_matches!(put(&mut state, 7, &same), Outcome::Refused(Refusal::Invalid(text)) if text.contains("not above the current 7"));
+    assert_matches!(put(&mut state, 7, &same), Outcome::Rejected(Rejection::Invalid(text)) if text.contains("not above the current 7"));
     assert_matches!(
         put(&mut state, 3, &same),
-        Outcome::Refused(Refusal::OtherVersion { current: 7 })
+        Outcome::Rejected(Rejection::VersionConflict { current: 7 })
     );
 }
 
@@ -150,18 +150,18 @@
         .into_bytes()
     };
     let (base, next) = (routes(1, 500), routes(2, 120));
-    let pieces = delta::difference(&base, &next);
-    assert_eq!(delta::restore(&base, &pieces).as_deref(), Some(&next[..]));
-    let new: usize = pieces
+    let chunks = delta::diff(&base, &next);
+    assert_eq!(delta::patch(&base, &chunks).as_deref(), Some(&next[..]));
+    let new: usize = chunks
         .iter()
         .map(|piece| match piece {
-            delta::Piece::New(bytes) => bytes.len(),
+            delta::Chunk::Insert(bytes) => bytes.len(),
             _ => 0,
         })
         .sum();
     assert!(new < 200, "{new} of {} bytes are sent", next.len());
     assert_eq!(
-        delta::restore(&base[..10], &pieces),
+        delta::patch(&base[..10], &chunks),
         None,
         "a base that does not fit is told"
     );
--- a/control/tests/cut_off.rs
+++ b/control/tests/cut_off.rs
@@ -5,7 +5,7 @@
 mod world;
 
 use assert_matches::assert_matches;
-use control::changes::{Outcome, Reading};
+use control::changes::{Outcome, ReadOutcome};
 use control::node::RoleName;
 use std::collections::BTreeSet;
 use world::{World, change, configuration};
@@ -65,7 +65,7 @@
     }
     assert_matches!(
         world.readings.get(&calls.read),
-        Some(Reading::Unknown),
+        Some(ReadOutcome::Unknown),
         "{calls:?}"
     );
 }
@@ -121,7 +121,7 @@
                             world.submit(&primary, change(&format!("meanwhile-{mark}"), 1));
                         world.run(140);
                         let outcome = world.outcomes.get(&ticket);
-                        without_primary += u32::from(outcome != Some(&Outcome::Done));
+                        without_primary += u32::from(outcome != Some(&Outcome::Committed));
                     }
                     None => {
                         without_primary += 1;
--- a/control/tests/directory.rs
+++ b/control/tests/directory.rs
@@ -12,7 +12,7 @@
         slots: 4,
         phase,
         sequence,
-        silent: false,
+        unresponsive: false,
         owner: "n1".into(),
         models: vec![("m".into(), 1)],
     })
@@ -23,7 +23,7 @@
 }
 
 fn pull(from: &Directory, to: &mut Directory) {
-    let news = from.news_for(to.vector());
+    let news = from.records_since(to.vector());
     let vector = from.vector().clone();
     to.merge(news, &vector);
 }
@@ -71,7 +71,7 @@
             content(&holders[0])[1].contains("Gone"),
             "what has left does not come back"
         );
-        assert!(!holders[0].has_news_for(holders[1].vector()));
+        assert!(!holders[0].has_records_since(holders[1].vector()));
         converged += 1;
     }
     assert_eq!(converged, 7_776);
@@ -131,10 +131,10 @@
     let mut two = Directory::new(Origin(2));
     one.put(key("x"), backend(1, BackendPhase::Gone));
     pull(&one, &mut two);
-    two.forget(&key("x"));
+    two.remove(&key("x"));
     pull(&one, &mut two);
     assert_eq!(two.backends().count(), 0);
-    assert!(!one.has_news_for(two.vector()));
+    assert!(!one.has_records_since(two.vector()));
 }
 
 #[test]
@@ -142,7 +142,7 @@
     let mut directory = Directory::new(Origin(1));
     let order = |phase| {
         Value::Order(Order {
-            fence: 1,
+            fencing_token: 1,
             number: 1,
             model: "m".into(),
             version: 2,
@@ -153,11 +153,11 @@
     directory.put(Key::Order("on".into()), order(OrderPhase::Done));
     directory.put(key("off"), backend(1, BackendPhase::Gone));
     directory.put(Key::Order("off".into()), order(OrderPhase::Done));
-    directory.put(Key::Order("never".into()), order(OrderPhase::UnderWay));
-    let ended = directory.ended();
+    directory.put(Key::Order("never".into()), order(OrderPhase::InProgress));
+    let ended = directory.expired();
     assert_eq!(ended.len(), 3, "{ended:?}");
-    ended.iter().for_each(|key| directory.forget(key));
-    assert!(directory.ended().is_empty());
+    ended.iter().for_each(|key| directory.remove(key));
+    assert!(directory.expired().is_empty());
     assert_eq!(directory.backends().count(), 1);
 }
 
--- a/control/tests/membership.rs
+++ b/control/tests/membership.rs
@@ -1,8 +1,8 @@
 //! The ring of monitors, and silence in counted time.
 
 use compact_str::CompactString;
+use control::failure_detector::FailureDetector;
 use control::ring;
-use control::silence::Silence;
 use std::collections::BTreeSet;
 
 #[test]
@@ -37,18 +37,18 @@
 
 #[test]
 fn time_in_which_the_observer_stood_still_is_no_silence() {
-    let mut silence = Silence::new(0);
-    silence.heard("backend");
+    let mut silence = FailureDetector::new(0);
+    silence.record_heartbeat("backend");
     silence.advance(200);
     // The observer was frozen for ten seconds.
     silence.advance(10_200);
-    assert!(silence.silent_for(1_000).is_empty());
+    assert!(silence.expired(1_000).is_empty());
     for step in 1..=5 {
         silence.advance(10_200 + step * 200);
     }
-    assert_eq!(silence.silent_for(1_000), vec!["backend"]);
-    silence.heard("backend");
-    assert!(silence.silent_for(1_000).is_empty());
-    silence.forget(&"backend");
-    assert!(!silence.knows(&"backend"));
+    assert_eq!(silence.expired(1_000), vec!["backend"]);
+    silence.record_heartbeat("backend");
+    assert!(silence.expired(1_000).is_empty());
+    silence.remove(&"backend");
+    assert!(!silence.is_monitored(&"backend"));
 }
--- a/control/tests/order_turns.rs
+++ b/control/tests/order_turns.rs
@@ -15,7 +15,7 @@
 
 use control::Millis;
 use control::changes::Change;
-use control::rollout::OrderTurn;
+use control::rollout::RolloutOwnership;
 use world::{World, configuration};
 
 /// The time that lies between orders of two holders.
@@ -51,7 +51,7 @@
                 self.change();
             }
             if self.world.now % LOOK == 0 {
-                self.look();
+                self.observe();
             }
         }
     }
@@ -70,7 +70,7 @@
             .submit(&primary, configuration(base, self.version, "m"));
     }
 
-    fn look(&mut self) {
+    fn observe(&mut self) {
         let now = self.world.now;
         for name in self.world.names() {
             let machine = &self.world.machines[&name];
@@ -81,11 +81,11 @@
             else {
                 continue;
             };
-            let turn = node.order_turn(now);
-            if turn == OrderTurn::Held {
+            let turn = node.rollout_ownership(now);
+            if turn == RolloutOwnership::Owned {
                 self.orders.push((now, name));
-            } else if turn.may_take(LEASE, now) {
-                let change = Change::OrderHolder {
+            } else if turn.may_claim(LEASE, now) {
+                let change = Change::RolloutOwner {
                     replica: node.id().clone(),
                 };
                 self.world.submit(&name, change);
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -26,7 +26,7 @@
         world.until(FAILOVER, |world| world.outcomes.contains_key(&ticket)),
         "{mark}"
     );
-    assert_matches!(world.outcomes[&ticket], Outcome::Done, "{mark}");
+    assert_matches!(world.outcomes[&ticket], Outcome::Committed, "{mark}");
 }
 
 /// As soon as the last one is in step again, and so much later, the next one loses its disk.
@@ -103,12 +103,12 @@
         world.leave(&leaving);
         for _ in 0..30 {
             world.run(100);
-            assert!(!world.may_end(&leaving), "its copy is one of two");
+            assert!(!world.can_shut_down(&leaving), "its copy is one of two");
         }
         acknowledged(&mut world, "while it waits");
         assert!(world.until(REPAIR, |world| world.machines[&away].node.is_some()));
         assert!(
-            world.until(REPAIR, |world| world.may_end(&leaving)),
+            world.until(REPAIR, |world| world.can_shut_down(&leaving)),
             "{}",
             world.describe()
         );
@@ -136,7 +136,7 @@
         world.leave(&leaving);
         for step in 0..30 {
             if step == 10 {
-                assert!(world.may_end(&leaving));
+                assert!(world.can_shut_down(&leaving));
                 world.kill(&leaving, 500, false);
             }
             let begun = world.now;
--- a/control/tests/replication.rs
+++ b/control/tests/replication.rs
@@ -4,7 +4,7 @@
 mod world;
 
 use assert_matches::assert_matches;
-use control::changes::{Outcome, Refusal};
+use control::changes::{Outcome, Rejection};
 use world::{World, change, configuration};
 
 /// Long enough for a lease to end and another primary to be found.
@@ -16,7 +16,7 @@
     let primary = world.primary().expect("a primary");
     let ticket = world.submit(&primary, change("m", version));
     assert!(world.until(FAILOVER, |world| world.outcomes.contains_key(&ticket)));
-    assert_matches!(world.outcomes[&ticket], Outcome::Done);
+    assert_matches!(world.outcomes[&ticket], Outcome::Committed);
 }
 
 #[test]
@@ -150,7 +150,7 @@
     let first = world.primary().unwrap();
     let ticket = world.submit(&first, configuration(0, 3, "first"));
     world.run(200);
-    assert_matches!(world.outcomes[&ticket], Outcome::Done);
+    assert_matches!(world.outcomes[&ticket], Outcome::Committed);
     world.cut_off(&first);
     let minority = world.submit(&first, configuration(3, 5, "minority"));
     assert!(world.until(FAILOVER, |world| {
@@ -159,7 +159,7 @@
     let second = world.primary().unwrap();
     let majority = world.submit(&second, configuration(3, 6, "majority"));
     world.run(500);
-    assert_matches!(world.outcomes[&majority], Outcome::Done);
+    assert_matches!(world.outcomes[&majority], Outcome::Committed);
     world.heal();
     world.run(3_000);
     assert_matches!(world.outcomes[&minority], Outcome::Unknown);
@@ -168,12 +168,12 @@
     world.run(200);
     assert_matches!(
         world.outcomes[&again],
-        Outcome::Done,
+        Outcome::Committed,
         "a change that was taken is acknowledged again"
     );
     assert_matches!(
         world.outcomes[&other],
-        Outcome::Refused(Refusal::OtherVersion { current: 6 })
+        Outcome::Rejected(Rejection::VersionConflict { current: 6 })
     );
 }
 
--- a/control/tests/rollout.rs
+++ b/control/tests/rollout.rs
@@ -4,8 +4,8 @@
 use compact_str::CompactString;
 use control::directory::{Backend, BackendPhase, Directory, Key, Order, OrderPhase, Origin, Value};
 use control::rollout::{
-    Confirmations, FormerHolder, HeldBack, OrderQueue, OrderTurn, RefusedFences, Rollout,
-    lacking_by_cause,
+    Confirmations, FormerOwner, OrderQueue, PendingReason, RejectedTokens, Rollout,
+    RolloutOwnership, outdated_by_reason,
 };
 use control::state::WeightsTarget;
 use control::view::{ReplicaId, View};
@@ -22,7 +22,7 @@
         slots: 4,
         phase: BackendPhase::Ready,
         sequence: 1,
-        silent: false,
+        unresponsive: false,
         owner: "n1".into(),
         models: vec![("m".into(), version)],
     }
@@ -43,7 +43,7 @@
 fn lacking(directory: &Directory, version: u64) -> Vec<String> {
     let rollout = Rollout::of(directory, &targets(version), &Confirmations::new(PATIENCE));
     rollout
-        .lacking
+        .outdated
         .into_iter()
         .map(|lacking| lacking.id.to_string())
         .collect()
@@ -64,7 +64,7 @@
         (
             "silent",
             Backend {
-                silent: true,
+                unresponsive: true,
                 ..backend(1)
             },
         ),
@@ -92,21 +92,21 @@
 /// places are left, few of them, and not again at once.
 #[test]
 fn backends_whose_heartbeats_have_stopped_come_last_by_few_and_now_and_then() {
-    let silent = || Backend {
-        silent: true,
+    let unresponsive = || Backend {
+        unresponsive: true,
         ..backend(1)
     };
     let directory = directory([
-        ("a", silent()),
+        ("a", unresponsive()),
         ("b", backend(1)),
-        ("c", silent()),
+        ("c", unresponsive()),
         ("d", backend(1)),
     ]);
     let mut queue = OrderQueue::default();
     assert_eq!(next(&queue, &directory, 2), ["b", "d", "a", "c"]);
     for failed in ["b", "d", "b"] {
-        queue.ordered(&failed.into(), 0);
-        queue.ended(&failed.into(), false);
+        queue.record_order(&failed.into(), 0);
+        queue.record_result(&failed.into(), false);
     }
     assert_eq!(
         next(&queue, &directory, 2),
@@ -114,25 +114,25 @@
         "also behind those that do not answer"
     );
     let rollout = Rollout::of(&directory, &targets(2), &Confirmations::new(PATIENCE));
-    let is_due = |queue: &OrderQueue, at: usize, now| queue.is_due(&rollout.lacking[at], now);
+    let is_due = |queue: &OrderQueue, at: usize, now| queue.is_due(&rollout.outdated[at], now);
     assert!(is_due(&queue, 0, 0) && is_due(&queue, 1, 0));
-    queue.ordered(&"a".into(), 500);
+    queue.record_order(&"a".into(), 500);
     assert_eq!(
         [501, 2_499, 2_500].map(|now| is_due(&queue, 0, now)),
         [false, false, true]
     );
-    queue.ordered(&"b".into(), 500);
+    queue.record_order(&"b".into(), 500);
     assert!(
         is_due(&queue, 1, 501),
         "who is heard is asked again at once"
     );
-    for (heard, silent, places, for_silent) in
+    for (heard, unresponsive, places, for_silent) in
         [(0, 3, 1, 1), (4, 4, 1, 1), (40, 8, 10, 3), (112, 0, 28, 7)]
     {
         let mut directory = Directory::new(Origin(1));
-        for number in 0..heard + silent {
+        for number in 0..heard + unresponsive {
             let backend = Backend {
-                silent: number < silent,
+                unresponsive: number < unresponsive,
                 ..backend(1)
             };
             directory.put(
@@ -141,9 +141,9 @@
             );
         }
         let rollout = Rollout::of(&directory, &targets(2), &Confirmations::new(PATIENCE));
-        let most = (rollout.most_at_once, rollout.most_silent_at_once);
+        let most = (rollout.max_concurrent, rollout.max_concurrent_unresponsive);
         assert_eq!(most, (places, for_silent), "{heard} are heard");
-        assert_eq!(rollout.lacking.len(), heard + silent);
+        assert_eq!(rollout.outdated.len(), heard + unresponsive);
     }
 }
 
@@ -162,7 +162,7 @@
         (
             "silent",
             Backend {
-                silent: true,
+                unresponsive: true,
                 ..backend(1)
             },
         ),
@@ -180,20 +180,20 @@
         (
             "has loaded and is silent",
             Backend {
-                silent: true,
+                unresponsive: true,
                 ..backend(1)
             },
         ),
     ]);
     for (id, version, phase) in [
-        ("loads", 2, OrderPhase::UnderWay),
-        ("loaded the last one", 1, OrderPhase::UnderWay),
+        ("loads", 2, OrderPhase::InProgress),
+        ("loaded the last one", 1, OrderPhase::InProgress),
         ("has loaded and tells otherwise", 2, OrderPhase::Done),
         ("has loaded and tells so", 2, OrderPhase::Done),
         ("has loaded and is silent", 2, OrderPhase::Done),
     ] {
         let order = Order {
-            fence: 1,
+            fencing_token: 1,
             number: 1,
             model: "m".into(),
             version,
@@ -202,14 +202,14 @@
         directory.put(Key::Order(id.into()), Value::Order(order));
     }
     let expected = [
-        (HeldBack::Due, 2),
-        (HeldBack::UnderWay, 1),
-        (HeldBack::Silent, 1),
-        (HeldBack::Draining, 1),
-        (HeldBack::Contradicted, 1),
+        (PendingReason::Due, 2),
+        (PendingReason::InProgress, 1),
+        (PendingReason::Unresponsive, 1),
+        (PendingReason::Draining, 1),
+        (PendingReason::Contradicted, 1),
     ];
     assert_eq!(
-        lacking_by_cause(&directory, &targets(2)),
+        outdated_by_reason(&directory, &targets(2)),
         BTreeMap::from(expected)
     );
 }
@@ -219,7 +219,7 @@
     let mut directory = directory([("b", backend(1))]);
     let mut note = |phase, number| {
         let order = Order {
-            fence: 1,
+            fencing_token: 1,
             number,
             model: "m".into(),
             version: 2,
@@ -229,7 +229,7 @@
         (lacking(&directory, 2), lacking(&directory, 3))
     };
     assert_eq!(
-        note(OrderPhase::UnderWay, 1),
+        note(OrderPhase::InProgress, 1),
         (vec!["b".to_owned()], vec!["b".to_owned()])
     );
     assert_eq!(note(OrderPhase::Done, 2), (vec![], vec!["b".to_owned()]));
@@ -246,7 +246,7 @@
             );
         }
         assert_eq!(
-            Rollout::of(&directory, &targets(2), &Confirmations::new(PATIENCE)).most_at_once,
+            Rollout::of(&directory, &targets(2), &Confirmations::new(PATIENCE)).max_concurrent,
             most,
             "{count} backends"
         );
@@ -255,29 +255,30 @@
 
 #[test]
 fn a_backend_that_refused_a_fencing_token_gets_only_higher_ones() {
-    let mut refused = RefusedFences::default();
-    assert!(refused.allow("b", 4));
-    refused.refused(&"b".into(), 4);
-    refused.refused(&"b".into(), 3);
+    let mut refused = RejectedTokens::default();
+    assert!(refused.allows("b", 4));
+    refused.record(&"b".into(), 4);
+    refused.record(&"b".into(), 3);
     assert_eq!(
-        [3, 4, 5].map(|fence| refused.allow("b", fence)),
+        [3, 4, 5].map(|fencing_token| refused.allows("b", fencing_token)),
         [false, false, true]
     );
-    assert!(refused.allow("another", 4));
+    assert!(refused.allows("another", 4));
     refused.retain(|backend| backend != "b");
-    assert!(refused.allow("b", 4), "it is forgotten with its backend");
+    assert!(refused.allows("b", 4), "it is forgotten with its backend");
 }
 
 #[test]
 fn who_takes_the_turn_of_another_waits_for_longer_than_a_lease_and_the_first_one_for_nobody() {
-    let after = OrderTurn::After {
-        former_ended: 1_000,
-    };
-    assert!(!after.may_take(LEASE, 1_000 + LEASE));
-    assert!(after.may_take(LEASE, 1_100 + LEASE));
-    assert!(OrderTurn::First.may_take(LEASE, 0));
-    assert!(!OrderTurn::NotLeading.may_take(LEASE, 1_000_000));
-    assert!(!OrderTurn::Held.may_take(LEASE, 1_000_000), "it has it");
+    let after = RolloutOwnership::FormerOwner { lease_ended: 1_000 };
+    assert!(!after.may_claim(LEASE, 1_000 + LEASE));
+    assert!(after.may_claim(LEASE, 1_100 + LEASE));
+    assert!(RolloutOwnership::Unowned.may_claim(LEASE, 0));
+    assert!(!RolloutOwnership::NotLeader.may_claim(LEASE, 1_000_000));
+    assert!(
+        !RolloutOwnership::Owned.may_claim(LEASE, 1_000_000),
+        "it has it"
+    );
 }
 
 fn replica(number: usize) -> ReplicaId {
@@ -318,13 +319,13 @@
         let primary = |view: usize| primaries / REPLICAS.pow(view as u32) % REPLICAS;
         let mut holder: Option<usize> = None;
         let mut last_led = BTreeMap::new();
-        let mut former = FormerHolder::default();
+        let mut former = FormerOwner::default();
         for at in 0..VIEWS {
             let (leader, now) = (primary(at), VIEW * at as u64);
             let is_seen = leader == own || seen >> at & 1 == 1;
             let known = holder.map(replica);
             if is_seen {
-                former.note(Some(&view(1 + at as u64, leader)), known.as_ref(), now);
+                former.observe(Some(&view(1 + at as u64, leader)), known.as_ref(), now);
             }
             if leader == own
                 && let Some(holder) = holder.filter(|holder| *holder != own)
@@ -350,7 +351,7 @@
             }
             // It is told of the first order within the view.
             if is_seen {
-                former.note(
+                former.observe(
                     Some(&view(1 + at as u64, leader)),
                     holder.map(replica).as_ref(),
                     now + 1,
@@ -382,7 +383,7 @@
             if is_newer || since.is_none() {
                 version += 1;
                 let order = Order {
-                    fence: 1,
+                    fencing_token: 1,
                     number: version,
                     model: "m".into(),
                     version,
@@ -397,21 +398,22 @@
                 ..backend(if tells { version } else { 1 })
             };
             directory.put(Key::Backend("b".into()), Value::Backend(told));
-            let doubts = confirmations.look(&directory, now);
+            let doubts = confirmations.observe(&directory, now);
             let first = *since.get_or_insert(now);
-            let is_doubted = !tells && (was_confirmed || was_doubted || now >= first + PATIENCE);
+            let is_unconfirmed =
+                !tells && (was_confirmed || was_doubted || now >= first + PATIENCE);
             assert_eq!(
-                confirmations.is_doubted("b"),
-                is_doubted,
+                confirmations.is_unconfirmed("b"),
+                is_unconfirmed,
                 "{history:o} at look {look}"
             );
             assert_eq!(
                 doubts.len(),
-                usize::from(is_doubted && !was_doubted),
+                usize::from(is_unconfirmed && !was_doubted),
                 "{history:o} at look {look}"
             );
             was_confirmed |= tells;
-            was_doubted = is_doubted;
+            was_doubted = is_unconfirmed;
         }
     }
 }
@@ -422,7 +424,7 @@
     let mut confirmations = Confirmations::new(PATIENCE);
     let order = |number, phase| {
         Value::Order(Order {
-            fence: 1,
+            fencing_token: 1,
             number,
             model: "m".into(),
             version: 2,
@@ -432,20 +434,20 @@
     for id in ["b", "c"] {
         directory.put(Key::Order(id.into()), order(1, OrderPhase::Done));
     }
-    confirmations.look(&directory, 0);
-    assert_eq!(confirmations.look(&directory, PATIENCE).len(), 2);
-    directory.put(Key::Order("b".into()), order(2, OrderPhase::UnderWay));
-    directory.forget(&Key::Order("c".into()));
-    assert!(confirmations.look(&directory, PATIENCE).is_empty());
+    confirmations.observe(&directory, 0);
+    assert_eq!(confirmations.observe(&directory, PATIENCE).len(), 2);
+    directory.put(Key::Order("b".into()), order(2, OrderPhase::InProgress));
+    directory.remove(&Key::Order("c".into()));
+    assert!(confirmations.observe(&directory, PATIENCE).is_empty());
     assert_eq!(
-        ["b", "c"].map(|id| confirmations.is_doubted(id)),
+        ["b", "c"].map(|id| confirmations.is_unconfirmed(id)),
         [false, false]
     );
 }
 
 fn next(queue: &OrderQueue, directory: &Directory, version: u64) -> Vec<String> {
     let mut lacking =
-        Rollout::of(directory, &targets(version), &Confirmations::new(PATIENCE)).lacking;
+        Rollout::of(directory, &targets(version), &Confirmations::new(PATIENCE)).outdated;
     queue.sort(&mut lacking);
     lacking
         .into_iter()
@@ -458,19 +460,19 @@
     let directory = directory([("a", backend(1)), ("b", backend(1)), ("c", backend(1))]);
     let mut queue = OrderQueue::default();
     assert_eq!(next(&queue, &directory, 2), ["a", "b", "c"]);
-    queue.ordered(&"a".into(), 0);
-    queue.ended(&"a".into(), false);
+    queue.record_order(&"a".into(), 0);
+    queue.record_result(&"a".into(), false);
     assert_eq!(next(&queue, &directory, 2), ["b", "c", "a"]);
     for backend in ["b", "c", "b"] {
-        queue.ordered(&backend.into(), 0);
-        queue.ended(&backend.into(), false);
+        queue.record_order(&backend.into(), 0);
+        queue.record_result(&backend.into(), false);
     }
     assert_eq!(
         next(&queue, &directory, 2),
         ["a", "c", "b"],
         "b has failed twice"
     );
-    queue.ended(&"b".into(), true);
+    queue.record_result(&"b".into(), true);
     assert_eq!(
         next(&queue, &directory, 2),
         ["b", "a", "c"],
@@ -498,8 +500,8 @@
     for version in 2..14 {
         // There is time for one order under each version.
         let first = next(&queue, &directory, version).remove(0);
-        queue.ordered(&first.as_str().into(), 0);
-        queue.ended(&first.as_str().into(), true);
+        queue.record_order(&first.as_str().into(), 0);
+        queue.record_result(&first.as_str().into(), true);
         *orders.entry(first).or_default() += 1;
     }
     assert!(
--- a/control/tests/storage.rs
+++ b/control/tests/storage.rs
@@ -4,7 +4,7 @@
 use assert_matches::assert_matches;
 use control::changes::Change;
 use control::state::{Position, Update};
-use control::storage::{Damage, FORMAT, Record, Recovered, decode, decode_snapshot, encode};
+use control::storage::{FORMAT, Record, Recovered, StorageError, decode, decode_snapshot, encode};
 
 fn update(index: u64) -> Record {
     let change = Change::Weights {
@@ -63,7 +63,7 @@
         let mut damaged = whole.clone();
         damaged[at] ^= 0x10;
         match decode(&damaged) {
-            Err(Damage::Record { .. }) => {}
+            Err(StorageError::CorruptRecord { .. }) => {}
             Ok((found, _)) => assert!(all.starts_with(&found), "byte {at} made another record"),
             Err(other) => panic!("byte {at}: {other}"),
         }
@@ -90,9 +90,12 @@
         later.to_string(),
         "the records are of format 4, this program reads up to 3: start the newer program again"
     );
-    assert_matches!(Recovered::replay([update(1)]), Err(Damage::NoDisk));
+    assert_matches!(
+        Recovered::replay([update(1)]),
+        Err(StorageError::MissingHeader)
+    );
     assert!(
-        Damage::Record { offset: 9 }
+        StorageError::CorruptRecord { offset: 9 }
             .to_string()
             .contains("rejoins with an empty disk")
     );
@@ -114,7 +117,7 @@
     assert_eq!(recovered.state.position, Position { index: 2, epoch: 4 });
     assert_eq!(recovered.state.weights["m"].version, 3);
     assert_eq!(
-        recovered.state.order_holder, None,
+        recovered.state.rollout_owner, None,
         "nobody is known to give orders"
     );
     assert_matches!(&recovered.tail, Some(tail) if tail.position.index == 3);
--- a/control/tests/two_operators.rs
+++ b/control/tests/two_operators.rs
@@ -5,8 +5,8 @@
 mod world;
 
 use assert_matches::assert_matches;
-use control::changes::{Change, Outcome, Reading, Refusal};
-use control::state::{ControlState, Position, REMEMBERED, Update};
+use control::changes::{Change, Outcome, ReadOutcome, Rejection};
+use control::state::{ControlState, Position, RETAINED_CONFIGURATIONS, Update};
 use simulation::orders;
 use world::{World, change, configuration};
 
@@ -69,8 +69,8 @@
             .any(|ticket| world.outcomes.get(ticket) == Some(wanted))
     };
     let confirmed = [
-        told(world, firsts, &Outcome::Done),
-        told(world, seconds, &Outcome::Done),
+        told(world, firsts, &Outcome::Committed),
+        told(world, seconds, &Outcome::Committed),
     ];
     let primary = world.primary().expect("a primary");
     let (again, other) = (
@@ -83,7 +83,7 @@
     let last = [&world.outcomes[&again], &world.outcomes[&other]];
     let won: Vec<bool> = last
         .iter()
-        .map(|outcome| **outcome == Outcome::Done)
+        .map(|outcome| **outcome == Outcome::Committed)
         .collect();
     assert_ne!(won[0], won[1], "{order:?}: one of them wins: {last:?}");
     for (at, was_confirmed) in confirmed.into_iter().enumerate() {
@@ -92,7 +92,7 @@
             "{order:?}: who was confirmed has lost"
         );
     }
-    let refused = Outcome::Refused(Refusal::OtherVersion { current: 7 });
+    let refused = Outcome::Rejected(Rejection::VersionConflict { current: 7 });
     let winners = if won[0] { firsts } else { seconds };
     assert!(
         !told(world, winners, &refused),
@@ -102,7 +102,7 @@
     let Change::Configuration { body, .. } = winner else {
         unreachable!()
     };
-    assert_matches!(&world.readings[&read], Reading::Newest(Some(stored)) if stored.body == body);
+    assert_matches!(&world.readings[&read], ReadOutcome::Latest(Some(stored)) if stored.body == body);
 }
 
 #[test]
@@ -141,13 +141,13 @@
         assert!(world.until(FAILOVER, |world| world.outcomes.contains_key(&ticket)));
         world.outcomes[&ticket].clone()
     };
-    assert_eq!(send(&mut world, first()), Outcome::Done);
-    assert_eq!(send(&mut world, change("weights", 3)), Outcome::Done);
+    assert_eq!(send(&mut world, first()), Outcome::Committed);
+    assert_eq!(send(&mut world, change("weights", 3)), Outcome::Committed);
     let mut version = 7;
     for step in 0..60 {
         assert_eq!(
             send(&mut world, configuration(version, version + 2, "later")),
-            Outcome::Done
+            Outcome::Committed
         );
         version += 2;
         let primary = world.primary().expect("a primary");
@@ -164,22 +164,22 @@
             _ => {}
         }
         if step == 30 {
-            assert_eq!(send(&mut world, change("weights", 8)), Outcome::Done);
+            assert_eq!(send(&mut world, change("weights", 8)), Outcome::Committed);
         }
         assert_eq!(
             send(&mut world, first()),
-            Outcome::Done,
+            Outcome::Committed,
             "after {step} others"
         );
         assert_eq!(
             send(&mut world, change("weights", 3)),
-            Outcome::Done,
+            Outcome::Committed,
             "a version that was named"
         );
         let lost = send(&mut world, second());
         assert_matches!(
             lost,
-            Outcome::Refused(Refusal::OtherVersion { .. }),
+            Outcome::Rejected(Rejection::VersionConflict { .. }),
             "after {step} others"
         );
     }
@@ -200,11 +200,11 @@
         let next = world.primary().expect("a primary");
         let at_the_next = world.submit(&next, first());
         world.run(500);
-        assert_eq!(world.outcomes[&at_the_next], Outcome::Done);
+        assert_eq!(world.outcomes[&at_the_next], Outcome::Committed);
         for ticket in [one, again] {
             // The killed process told its callers nothing, or that it was done.
             let outcome = world.outcomes.get(&ticket);
-            assert_matches!(outcome, None | Some(Outcome::Done), "{pause} ms");
+            assert_matches!(outcome, None | Some(Outcome::Committed), "{pause} ms");
         }
         assert_eq!(world.state_index(), 1, "it was made once");
     }
@@ -218,7 +218,7 @@
             epoch: 1,
         };
         let change = configuration(version - 1, version, "counted");
-        assert_eq!(state.judge(&change), None);
+        assert_eq!(state.evaluate(&change), None);
         state.apply(&Update { position, change });
     }
     state
@@ -226,20 +226,20 @@
 
 #[test]
 fn how_far_back_a_change_is_known_is_bounded_and_beyond_it_nobody_is_refused() {
-    let remembered = REMEMBERED as u64;
+    let remembered = RETAINED_CONFIGURATIONS as u64;
     let state = state_after(remembered + 10);
     let oldest_known = configuration(10, 11, "counted");
-    assert_eq!(state.judge(&oldest_known), Some(Outcome::Done));
+    assert_eq!(state.evaluate(&oldest_known), Some(Outcome::Committed));
     let forgotten = configuration(9, 10, "counted");
     assert_eq!(
-        state.judge(&forgotten),
+        state.evaluate(&forgotten),
         Some(Outcome::Unknown),
         "it was taken, and nobody knows it any more"
     );
     let never_taken = configuration(11, 12, "another one");
     let current = remembered + 10;
-    let refused = Outcome::Refused(Refusal::OtherVersion { current });
-    assert_eq!(state.judge(&never_taken), Some(refused));
+    let refused = Outcome::Rejected(Rejection::VersionConflict { current });
+    assert_eq!(state.evaluate(&never_taken), Some(refused));
 }
 
 /// A change that lost the race at the one replica, and reached a few disks, is in force nowhere
@@ -260,15 +260,15 @@
         world.run(500);
         world.heal();
         world.run(FAILOVER);
-        let won = world.outcomes[&taken] == Outcome::Done;
-        let is_lost = world.outcomes[&ticket] != Outcome::Done;
+        let won = world.outcomes[&taken] == Outcome::Committed;
+        let is_lost = world.outcomes[&ticket] != Outcome::Committed;
         assert!(is_lost || !won, "after {reached} ms both were confirmed");
         let in_force = if won { first() } else { second() };
         for name in world.names() {
             let state = world.machines[&name].node.as_ref().expect("up").state();
             assert_eq!(
-                state.judge(&in_force),
-                Some(Outcome::Done),
+                state.evaluate(&in_force),
+                Some(Outcome::Committed),
                 "after {reached} ms at {name}"
             );
             assert_eq!(state.position.index, 1, "after {reached} ms at {name}");
--- a/control/tests/view_model/bounds.rs
+++ b/control/tests/view_model/bounds.rs
@@ -234,7 +234,7 @@
                 disk: votes,
                 attempt: None,
                 round: 0,
-                life: 1,
+                incarnation: 1,
                 log: 0,
                 leading,
                 is_lost: false,
--- a/control/tests/view_model/scenarios.rs
+++ b/control/tests/view_model/scenarios.rs
@@ -252,11 +252,11 @@
 impl Pattern {
     /// Whether a message is of this kind, and from whom and of which attempt is meant.
     pub fn fits(&self, message: &Message) -> bool {
-        let (kind, ballot) = match message {
-            Message::Prepare { ballot, .. } => (Kind::Prepare, Some(ballot)),
-            Message::Vote { ballot, .. } => (Kind::Vote, Some(ballot)),
-            Message::Accept { proposal, .. } => (Kind::Accept, Some(&proposal.ballot)),
-            Message::Accepted { ballot, .. } => (Kind::Accepted, Some(ballot)),
+        let (kind, number) = match message {
+            Message::Prepare { number, .. } => (Kind::Prepare, Some(number)),
+            Message::Vote { number, .. } => (Kind::Vote, Some(number)),
+            Message::Accept { proposal, .. } => (Kind::Accept, Some(&proposal.number)),
+            Message::Accepted { number, .. } => (Kind::Accepted, Some(number)),
             Message::Decided { .. } => (Kind::Decided, None),
             Message::Install { .. } => (Kind::Install, None),
             Message::Replicate { .. } => (Kind::Replicate, None),
@@ -267,7 +267,7 @@
         let is_from = self.from.is_none_or(|from| message.sender() == Some(from));
         let is_of = self
             .attempt
-            .is_none_or(|of| ballot.is_some_and(|ballot| (ballot.round, ballot.life) == of));
+            .is_none_or(|of| number.is_some_and(|number| (number.round, number.incarnation) == of));
         let log = match message {
             Message::Stored { log, .. } | Message::Replicate { log, .. } => Some(*log),
             _ => None,
--- a/control/tests/view_model/state.rs
+++ b/control/tests/view_model/state.rs
@@ -1,7 +1,7 @@
 //! The states of the model: replicas, and every message that was ever sent.
 
 use control::proposer::Attempt;
-use control::view::{Ballot, Proposal, ReplicaId, View};
+use control::view::{Proposal, ProposalNumber, ReplicaId, View};
 use control::witness::{Vote, Votes, Witness};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -86,7 +86,7 @@
     pub disk: Votes,
     pub attempt: Option<Attempt>,
     pub round: u64,
-    pub life: u64,
+    pub incarnation: u64,
     /// Changes that are stored.
     pub log: u8,
     pub leading: Option<Leading>,
@@ -98,13 +98,13 @@
     Prepare {
         from: usize,
         current: View,
-        ballot: Ballot,
+        number: ProposalNumber,
     },
     Vote {
         from: usize,
         to: usize,
-        life: u64,
-        ballot: Ballot,
+        incarnation: u64,
+        number: ProposalNumber,
         vote: Vote,
     },
     Accept {
@@ -115,8 +115,8 @@
     Accepted {
         from: usize,
         to: usize,
-        life: u64,
-        ballot: Ballot,
+        incarnation: u64,
+        number: ProposalNumber,
         answer: Result<(), u64>,
     },
     Decided {
--- a/control/tests/view_model/turn.rs
+++ b/control/tests/view_model/turn.rs
@@ -6,7 +6,7 @@
     COPIES, Leading, Message, Replica, Shared, Stage, State, held_until, id, numbers,
 };
 use control::proposer::{Attempt, Intent, Progress};
-use control::view::{Ballot, View};
+use control::view::{ProposalNumber, View};
 use control::witness::{Vote, Votes, Witness};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -102,18 +102,18 @@
             return;
         };
         self.replica.round += 1;
-        let life = if self.fault == Fault::BallotsRepeat {
+        let incarnation = if self.fault == Fault::BallotsRepeat {
             0
         } else {
-            self.replica.life
+            self.replica.incarnation
         };
-        let ballot = Ballot {
+        let number = ProposalNumber {
             round: self.replica.round,
             proposer: id(self.at),
-            life,
+            incarnation,
         };
         self.replica.attempt = Some(Attempt::new(
-            ballot.clone(),
+            number.clone(),
             current.clone(),
             wanted,
             intent,
@@ -122,7 +122,7 @@
         self.send(Message::Prepare {
             from: self.at,
             current,
-            ballot,
+            number,
         });
     }
 
@@ -152,7 +152,7 @@
                 }
             }
             Progress::Failed { .. } => self.replica.attempt = None,
-            Progress::Overtaken(view) => {
+            Progress::Superseded(view) => {
                 self.replica.attempt = None;
                 self.learn(&view);
             }
@@ -282,7 +282,8 @@
     pub fn restart(&mut self, lease: u64) {
         let replica = &mut self.replica;
         replica.witness = Witness::new(replica.disk.clone(), false, lease, self.state.now);
-        (replica.attempt, replica.leading, replica.life) = (None, None, replica.life + 1);
+        (replica.attempt, replica.leading, replica.incarnation) =
+            (None, None, replica.incarnation + 1);
         if self.fault == Fault::BallotsRepeat {
             replica.round = 0;
         }
@@ -293,59 +294,59 @@
             Message::Prepare {
                 from,
                 current,
-                ballot,
+                number,
             } => {
                 self.learn(&current);
                 self.spoil();
                 let (vote, _) = self
                     .replica
                     .witness
-                    .prepare(&current, &ballot, self.state.now);
+                    .prepare(&current, &number, self.state.now);
                 if self.fault != Fault::PromiseNotStored {
                     self.store();
                 }
-                let life = ballot.life;
+                let incarnation = number.incarnation;
                 self.send(Message::Vote {
                     from: self.at,
                     to: from,
-                    life,
-                    ballot,
+                    incarnation,
+                    number,
                     vote,
                 });
             }
             Message::Vote {
                 from,
-                life,
-                ballot,
+                incarnation,
+                number,
                 vote,
                 ..
-            } => self.voted(from, life, &ballot, vote),
+            } => self.voted(from, incarnation, &number, vote),
             Message::Accept {
                 from,
                 current,
                 proposal,
             } => {
                 self.learn(&current);
-                let ballot = proposal.ballot.clone();
+                let number = proposal.number.clone();
                 let answer = self.replica.witness.accept(&current, proposal);
                 self.store();
-                let life = ballot.life;
+                let incarnation = number.incarnation;
                 self.send(Message::Accepted {
                     from: self.at,
                     to: from,
-                    life,
-                    ballot,
+                    incarnation,
+                    number,
                     answer,
                 });
             }
             Message::Accepted {
                 from,
-                life,
-                ballot,
+                incarnation,
+                number,
                 answer,
                 ..
             } => {
-                if let Some(attempt) = self.attempt_of(life, &ballot) {
+                if let Some(attempt) = self.attempt_of(incarnation, &number) {
                     let progress = attempt.accepted(&id(from), answer);
                     self.proceed(progress);
                 }
@@ -403,20 +404,20 @@
         }
     }
 
-    fn attempt_of(&mut self, life: u64, ballot: &Ballot) -> Option<&mut Attempt> {
-        let is_own = self.fault == Fault::BallotsRepeat || life == self.replica.life;
+    fn attempt_of(&mut self, incarnation: u64, number: &ProposalNumber) -> Option<&mut Attempt> {
+        let is_own = self.fault == Fault::BallotsRepeat || incarnation == self.replica.incarnation;
         self.replica
             .attempt
             .as_mut()
-            .filter(|attempt| is_own && attempt.ballot == *ballot)
+            .filter(|attempt| is_own && attempt.number == *number)
     }
 
-    fn voted(&mut self, from: usize, life: u64, ballot: &Ballot, vote: Vote) {
+    fn voted(&mut self, from: usize, incarnation: u64, number: &ProposalNumber, vote: Vote) {
         let vote = match (self.fault, vote) {
             (Fault::FoundIgnored, Vote::Promised { .. }) => Vote::Promised { accepted: None },
             (_, vote) => vote,
         };
-        if let Some(attempt) = self.attempt_of(life, ballot) {
+        if let Some(attempt) = self.attempt_of(incarnation, number) {
             let progress = attempt.voted(&id(from), vote);
             self.proceed(progress);
         }
--- a/control/tests/views.rs
+++ b/control/tests/views.rs
@@ -2,7 +2,7 @@
 //! tried one by one.
 
 use control::proposer::{Attempt, Intent, Progress};
-use control::view::{Ballot, Proposal, ReplicaId, View};
+use control::view::{Proposal, ProposalNumber, ReplicaId, View};
 use control::witness::{Vote, Votes, Witness};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -26,11 +26,11 @@
     }
 }
 
-fn ballot(round: u64, proposer: &ReplicaId) -> Ballot {
-    Ballot {
+fn number(round: u64, proposer: &ReplicaId) -> ProposalNumber {
+    ProposalNumber {
         round,
         proposer: proposer.clone(),
-        life: 1,
+        incarnation: 1,
     }
 }
 
@@ -105,7 +105,7 @@
             .map(|at| {
                 let wanted = view(2, &members[at], &all);
                 Attempt::new(
-                    ballot(1, &members[at]),
+                    number(1, &members[at]),
                     first.clone(),
                     wanted,
                     Intent::TakeOver { copies: 2 },
@@ -137,8 +137,8 @@
     fn take(&mut self, at: usize) {
         match self.wires.remove(at) {
             Message::Prepare { to, by } => {
-                let ballot = self.attempts[by].ballot.clone();
-                let (vote, _) = self.witnesses[to].prepare(&self.first, &ballot, 1);
+                let number = self.attempts[by].number.clone();
+                let (vote, _) = self.witnesses[to].prepare(&self.first, &number, 1);
                 self.wires.push(Message::Vote { from: to, by, vote });
             }
             Message::Vote { from, by, vote } => {
@@ -221,7 +221,7 @@
     let primary = replica(1);
     let first = view(1, &primary, &members);
     let mut witness = Witness::new(decided(first.clone()), false, 1_000, 0);
-    let rival = ballot(1, &replica(2));
+    let rival = number(1, &replica(2));
     // Just started: what the former process granted is unknown.
     assert_eq!(witness.prepare(&first, &rival, 999).0, Vote::Leased);
     assert!(witness.grant(&primary, 1, 999));
@@ -242,7 +242,7 @@
     let mut witness = Witness::new(decided(first.clone()), false, 1_000, 0);
     assert!(witness.grant(&primary, 1, 10));
     witness.release(&replica(2));
-    let rival = ballot(1, &replica(2));
+    let rival = number(1, &replica(2));
     assert_eq!(
         witness.prepare(&first, &rival, 20).0,
         Vote::Leased,
--- a/control/tests/wire_format.rs
+++ b/control/tests/wire_format.rs
@@ -4,17 +4,19 @@
 //! The fixtures were written by the program as it was before its types were renamed. Each line is
 //! the name of a sample and its bytes in hexadecimal digits.
 
-use control::changes::{Change, Outcome, Refusal};
+use control::changes::{Change, Outcome, Rejection};
 use control::digest::{Range, Summary};
 use control::directory::{
     Backend, BackendPhase, Key, Member, MemberStatus, Order, OrderPhase, Origin,
     Record as DirectoryRecord, Stamp, Suspicion, Value,
 };
-use control::history::{History, News};
+use control::history::{History, TextUpdate};
 use control::message::{Echo, Envelope, Message};
 use control::state::{ControlState, Position, Update};
-use control::storage::{AcceptedV1, BallotV1, FORMAT, Record, Recovered, VotesV1, decode, encode};
-use control::view::{Ballot, Proposal, ReplicaId, View};
+use control::storage::{
+    AcceptedV1, FORMAT, ProposalNumberV1, Record, Recovered, VotesV1, decode, encode,
+};
+use control::view::{Proposal, ProposalNumber, ReplicaId, View};
 use control::witness::{Vote, Votes};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -102,17 +104,17 @@
     }
 }
 
-fn ballot() -> Ballot {
-    Ballot {
+fn number() -> ProposalNumber {
+    ProposalNumber {
         round: 9,
         proposer: replica(2),
-        life: 77,
+        incarnation: 77,
     }
 }
 
 fn proposal() -> Proposal {
     Proposal {
-        ballot: ballot(),
+        number: number(),
         view: view(6),
     }
 }
@@ -137,8 +139,8 @@
     }
 }
 
-fn order_holder() -> Change {
-    Change::OrderHolder {
+fn rollout_owner() -> Change {
+    Change::RolloutOwner {
         replica: replica(3),
     }
 }
@@ -152,7 +154,7 @@
 
 fn state() -> ControlState {
     let mut state = ControlState::default();
-    for (change, index) in [configuration(), weights(), order_holder()]
+    for (change, index) in [configuration(), weights(), rollout_owner()]
         .into_iter()
         .zip(1..)
     {
@@ -164,7 +166,7 @@
 fn votes() -> Votes {
     Votes {
         decided: Some(view(5)),
-        promised: Some(ballot()),
+        promised: Some(number()),
         accepted: Some(proposal()),
     }
 }
@@ -174,24 +176,24 @@
     let mut fixtures = Fixtures::new(include_str!("fixtures/replica_messages.txt"));
     let heartbeat = |committed, echo| Message::Heartbeat {
         epoch: 5,
-        round: 400,
+        sequence: 400,
         committed,
         echo,
     };
     let reply = |other_view| Message::HeartbeatReply {
         epoch: 5,
-        round: 400,
+        sequence: 400,
         granted: true,
         other_view,
         wants_view: false,
         sent_at: 70_000,
     };
     let prepare_reply = |vote| Message::PrepareReply {
-        ballot: ballot(),
+        number: number(),
         vote,
     };
     let accept_reply = |answer| Message::AcceptReply {
-        ballot: ballot(),
+        number: number(),
         answer,
     };
     let messages = [
@@ -200,7 +202,7 @@
             heartbeat(
                 Some(position(7)),
                 Some(Echo {
-                    life: 77,
+                    incarnation: 77,
                     at: 1_234,
                 }),
             ),
@@ -212,7 +214,7 @@
             "prepare",
             Message::Prepare {
                 current: view(5),
-                ballot: ballot(),
+                number: number(),
             },
         ),
         (
@@ -223,14 +225,14 @@
         ),
         (
             "prepare_reply.outbid",
-            prepare_reply(Vote::Outbid { ballot: ballot() }),
+            prepare_reply(Vote::Superseded { number: number() }),
         ),
         (
             "prepare_reply.passed",
-            prepare_reply(Vote::Passed { decided: view(6) }),
+            prepare_reply(Vote::AlreadyDecided { decided: view(6) }),
         ),
         ("prepare_reply.leased", prepare_reply(Vote::Leased)),
-        ("prepare_reply.no_founder", prepare_reply(Vote::NoFounder)),
+        ("prepare_reply.no_founder", prepare_reply(Vote::NotEligible)),
         (
             "accept",
             Message::Accept {
@@ -244,7 +246,7 @@
         ("synchronize", Message::Synchronize { epoch: 6 }),
         (
             "holds",
-            Message::Holds {
+            Message::StoredPositions {
                 epoch: 6,
                 last: position(8),
                 committed: position(7),
@@ -266,7 +268,7 @@
                 updates: vec![
                     update(4, configuration()),
                     update(5, weights()),
-                    update(6, order_holder()),
+                    update(6, rollout_owner()),
                 ],
             },
         ),
@@ -290,9 +292,9 @@
     for (name, message) in messages {
         let envelope = Envelope {
             from: replica(1),
-            life: 77,
+            incarnation: 77,
             to: replica(2),
-            answers: Some(78),
+            in_reply_to: Some(78),
             message,
         };
         fixtures.check(name, &envelope);
@@ -303,14 +305,14 @@
 #[test]
 fn outcomes_and_records_of_the_directory_keep_their_bytes() {
     let mut fixtures = Fixtures::new(include_str!("fixtures/directory_records.txt"));
-    fixtures.check("outcome.done", &Outcome::Done);
+    fixtures.check("outcome.done", &Outcome::Committed);
     fixtures.check(
         "outcome.other_version",
-        &Outcome::Refused(Refusal::OtherVersion { current: 4 }),
+        &Outcome::Rejected(Rejection::VersionConflict { current: 4 }),
     );
     fixtures.check(
         "outcome.invalid",
-        &Outcome::Refused(Refusal::Invalid("routes[0]".to_owned())),
+        &Outcome::Rejected(Rejection::Invalid("routes[0]".to_owned())),
     );
     fixtures.check("outcome.unknown", &Outcome::Unknown);
     fixtures.check(
@@ -327,12 +329,12 @@
         1,
         format!("{}{}", CONFIGURATION, "{\"r\":1}".repeat(40)).into_bytes(),
     );
-    fixtures.check("news.whole", &history.news_for(0).unwrap());
+    fixtures.check("news.whole", &history.update_for(0).unwrap());
     history.advance(
         2,
         format!("{}{}{}", CONFIGURATION, "{\"r\":2}", "{\"r\":1}".repeat(40)).into_bytes(),
     );
-    let steps: News = history.news_for(1).unwrap();
+    let steps: TextUpdate = history.update_for(1).unwrap();
     fixtures.check("news.steps", &steps);
     let stamp = Stamp {
         origin: Origin(77),
@@ -358,7 +360,7 @@
             slots: 64,
             phase,
             sequence: 300,
-            silent: true,
+            unresponsive: true,
             owner: "node-2".into(),
             models: vec![("daka510000".into(), 3)],
         };
@@ -374,14 +376,14 @@
             internal: SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 2), 7560),
             control: Some(SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 2), 8381)),
             replica: Some(replica(2)),
-            life: 77,
-            incarnation: 4,
+            incarnation: 77,
+            revision: 4,
             status,
         };
         record(name, Key::Member("node-2".into()), Value::Member(member));
     }
     let phases = [
-        OrderPhase::UnderWay,
+        OrderPhase::InProgress,
         OrderPhase::Done,
         OrderPhase::Withdrawn,
     ];
@@ -391,7 +393,7 @@
             .zip(["order.under_way", "order.done", "order.withdrawn"])
     {
         let order = Order {
-            fence: 41,
+            fencing_token: 41,
             number: 2,
             model: "daka510000".into(),
             version: 3,
@@ -414,7 +416,7 @@
 /// The records of each kind that the present format knows, former kinds among them, as one file.
 fn stored_records() -> Vec<Record> {
     let former = AcceptedV1 {
-        ballot: BallotV1 {
+        number: ProposalNumberV1 {
             round: 9,
             proposer: replica(2),
         },
@@ -424,7 +426,7 @@
     let former_votes = VotesV1 {
         promised: Some((
             6,
-            BallotV1 {
+            ProposalNumberV1 {
                 round: 10,
                 proposer: replica(3),
             },
@@ -444,7 +446,7 @@
         },
         Record::Update(update(4, configuration())),
         Record::Update(update(5, weights())),
-        Record::Update(update(6, order_holder())),
+        Record::Update(update(6, rollout_owner())),
     ]
 }
 
@@ -462,23 +464,23 @@
     assert_eq!(recovered.votes, votes());
     assert_eq!(recovered.state.version(), 3);
     assert_eq!(recovered.state.position, position(5));
-    assert_eq!(recovered.tail, Some(update(6, order_holder())));
+    assert_eq!(recovered.tail, Some(update(6, rollout_owner())));
 }
 
 #[test]
 fn votes_of_format_1_are_read_as_before() {
     let records = stored_records().into_iter().take(2);
     let recovered = Recovered::replay(records).unwrap();
-    let promised = Ballot {
+    let promised = ProposalNumber {
         round: 10,
         proposer: replica(3),
-        life: 0,
+        incarnation: 0,
     };
     let accepted = Proposal {
-        ballot: Ballot {
+        number: ProposalNumber {
             round: 9,
             proposer: replica(2),
-            life: 0,
+            incarnation: 0,
         },
         view: view(6),
     };
--- a/control/tests/world/mod.rs
+++ b/control/tests/world/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // each test program uses its share
 
 use control::Millis;
-use control::changes::{Change, Outcome, Reading};
+use control::changes::{Change, Outcome, ReadOutcome};
 use control::configuration::Configuration;
 use control::message::{Envelope, Message};
 use control::node::{ControlNode, Effect, Identity, RoleName, Timing};
@@ -53,7 +53,7 @@
     back_at: Option<Millis>,
     address: SocketAddrV4,
     /// Whether it has never lost its disk, so that it may vote on the first view.
-    may_found: bool,
+    may_bootstrap: bool,
     /// The highest change that this life has shown as committed.
     shown: u64,
 }
@@ -91,7 +91,7 @@
     /// The views that replicas took for decided, by epoch.
     views: BTreeMap<u64, View>,
     /// What callers read, by ticket.
-    pub readings: BTreeMap<u64, Reading>,
+    pub readings: BTreeMap<u64, ReadOutcome>,
     /// Bytes of messages that were sent to each machine.
     bytes_sent: BTreeMap<String, u64>,
     /// How fast links and disks are; at once where that does not matter.
@@ -147,7 +147,7 @@
             frozen_until: 0,
             back_at: None,
             address,
-            may_found: true,
+            may_bootstrap: true,
             shown: 0,
         };
         self.machines.insert(name.to_owned(), machine);
@@ -157,7 +157,10 @@
     /// A new machine that comes after the system began.
     pub fn add_without_founding(&mut self, name: &str) {
         self.add(name);
-        self.machines.get_mut(name).expect("a machine").may_found = false;
+        self.machines
+            .get_mut(name)
+            .expect("a machine")
+            .may_bootstrap = false;
     }
 
     /// A machine is gone for good.
@@ -168,14 +171,14 @@
     /// A group that has been founded and has a primary.
     pub fn founded(seed: u64, count: usize, faults: usize) -> Self {
         let mut world = World::new(seed, count, faults);
-        world.found("n0");
+        world.bootstrap("n0");
         world.run(500);
         assert!(world.primary().is_some(), "the first view has a primary");
         world
     }
 
     /// A machine has the first view decided, by the replicas of the first three machines.
-    pub fn found(&mut self, founder: &str) {
+    pub fn bootstrap(&mut self, founder: &str) {
         self.found_with(founder, self.machines.len());
     }
 
@@ -200,7 +203,7 @@
             .collect();
         let now = self.now;
         if let Some(node) = &mut self.machines.get_mut(founder).expect("a machine").node {
-            node.found(electorate, replicas, now);
+            node.bootstrap(electorate, replicas, now);
         }
         self.collect(founder);
     }
@@ -242,8 +245,8 @@
         machine.shown = recovered.state.position.index;
         let identity = Identity {
             id,
-            life: self.next_life,
-            may_found: machine.may_found,
+            incarnation: self.next_life,
+            may_bootstrap: machine.may_bootstrap,
         };
         self.next_life += 1;
         machine.node = Some(ControlNode::new(identity, recovered, self.timing, self.now));
@@ -272,7 +275,7 @@
         self.kill(name, for_, true);
         let machine = self.machines.get_mut(name).expect("a machine");
         machine.disk.clear();
-        machine.may_found = false;
+        machine.may_bootstrap = false;
     }
 
     pub fn freeze(&mut self, name: &str, for_: Millis) {
@@ -311,7 +314,7 @@
                 && machine
                     .node
                     .as_ref()
-                    .is_some_and(|node| node.leads(self.now).is_some())
+                    .is_some_and(|node| node.leading_epoch(self.now).is_some())
         };
         self.machines
             .iter()
@@ -351,7 +354,7 @@
         match &mut self.machines.get_mut(name).expect("a machine").node {
             Some(node) => node.read(ticket, now),
             None => {
-                self.readings.insert(ticket, Reading::Unknown);
+                self.readings.insert(ticket, ReadOutcome::Unknown);
             }
         }
         self.collect(name);
@@ -403,7 +406,7 @@
             "it is answered"
         );
         match &self.readings[&ticket] {
-            Reading::Newest(Some(stored)) => Some(stored.version),
+            ReadOutcome::Latest(Some(stored)) => Some(stored.version),
             _ => None,
         }
     }
@@ -461,11 +464,11 @@
     }
 
     /// Whether a machine's process may end.
-    pub fn may_end(&self, name: &str) -> bool {
+    pub fn can_shut_down(&self, name: &str) -> bool {
         self.machines[name]
             .node
             .as_ref()
-            .is_none_or(ControlNode::may_end)
+            .is_none_or(ControlNode::can_shut_down)
     }
 
     /// Whether the present view has so many witnesses, all of them replicas that run.
@@ -543,7 +546,7 @@
                 .node
                 .as_mut()
                 .expect("up");
-            node.know(known.clone());
+            node.set_known_replicas(known.clone());
             node.tick(now);
             self.collect(&name);
         }
@@ -571,7 +574,7 @@
                 done = Some(write.sequence);
             }
             if let (Some(sequence), Some(node)) = (done, &mut machine.node) {
-                node.stored(sequence, now);
+                node.on_stored(sequence, now);
                 self.collect(&name);
             }
         }
@@ -642,7 +645,7 @@
                     });
                 }
                 Effect::Reply { ticket, outcome } => {
-                    if outcome == Outcome::Done {
+                    if outcome == Outcome::Committed {
                         self.acknowledge(ticket);
                     }
                     self.outcomes.insert(ticket, outcome);
@@ -698,8 +701,8 @@
     }
 
     /// What is read is never older than what was acknowledged before the question.
-    fn check_reading(&self, ticket: u64, reading: &Reading) {
-        if let Reading::Newest(configuration) = reading {
+    fn check_reading(&self, ticket: u64, reading: &ReadOutcome) {
+        if let ReadOutcome::Latest(configuration) = reading {
             let read = configuration.as_ref().map_or(0, |stored| stored.version);
             let newest = self.asked_at_version[&ticket];
             assert!(
@@ -736,7 +739,7 @@
                 view.epoch
             );
         }
-        if let Some(epoch) = node.leads(now) {
+        if let Some(epoch) = node.leading_epoch(now) {
             let id = node.id().clone();
             let holder = self.holders.entry(epoch).or_insert_with(|| id.clone());
             assert_eq!(*holder, id, "two holders in epoch {epoch}");
@@ -745,7 +748,7 @@
 
     /// At most one replica leads at any moment.
     pub fn leaders(&self) -> usize {
-        let leads = |node: &ControlNode| node.leads(self.now).is_some();
+        let leads = |node: &ControlNode| node.leading_epoch(self.now).is_some();
         self.machines
             .values()
             .filter_map(|machine| machine.node.as_ref())
@@ -760,8 +763,8 @@
         for change in &self.acknowledged {
             assert!(
                 state
-                    .judge(change)
-                    .is_some_and(|outcome| outcome == Outcome::Done),
+                    .evaluate(change)
+                    .is_some_and(|outcome| outcome == Outcome::Committed),
                 "lost: {change:?}"
             );
         }
--- a/router/src/control_api.rs
+++ b/router/src/control_api.rs
@@ -5,7 +5,7 @@
 use crate::protocol::MOST_HOPS;
 use bytes::Bytes;
 use compact_str::CompactString;
-use control::changes::{Change, Outcome, Refusal};
+use control::changes::{Change, Outcome, Rejection};
 use control::directory::{Backend, BackendPhase, Key, Value};
 use poem::http::{HeaderMap, Method, StatusCode};
 use poem::{Body, Endpoint, Request, Response, Result};
@@ -115,7 +115,7 @@
             slots: heartbeat.slots,
             phase,
             sequence: heartbeat.sequence,
-            silent: false,
+            unresponsive: false,
             owner: CompactString::default(),
             models: heartbeat
                 .models
@@ -145,7 +145,7 @@
                 slots: 0,
                 phase: BackendPhase::Gone,
                 sequence: u64::MAX,
-                silent: false,
+                unresponsive: false,
                 owner: CompactString::default(),
                 models: Vec::new(),
             },
@@ -196,12 +196,12 @@
 
     async fn change(&self, change: Change) -> Response {
         match self.fleet.submit(change, MOST_HOPS).await {
-            Outcome::Done => json_answer(StatusCode::OK, serde_json::json!({})),
-            Outcome::Refused(Refusal::OtherVersion { current }) => {
+            Outcome::Committed => json_answer(StatusCode::OK, serde_json::json!({})),
+            Outcome::Rejected(Rejection::VersionConflict { current }) => {
                 let text = format!("version {current} is in force: build on it");
                 problem(StatusCode::PRECONDITION_FAILED, &text)
             }
-            Outcome::Refused(Refusal::Invalid(text)) => problem(StatusCode::BAD_REQUEST, &text),
+            Outcome::Rejected(Rejection::Invalid(text)) => problem(StatusCode::BAD_REQUEST, &text),
             Outcome::Unknown => unavailable(),
         }
     }
--- a/router/src/disk.rs
+++ b/router/src/disk.rs
@@ -10,7 +10,7 @@
 pub use writer::{Disk, Done};
 
 use control::directory::{Key, Value};
-use control::storage::{Damage, FORMAT, Record, Recovered};
+use control::storage::{FORMAT, Record, Recovered, StorageError};
 use routing::version_floor::NamedVersion;
 use serde::{Deserialize, Serialize};
 use std::fs;
@@ -49,7 +49,7 @@
         /// The file.
         path: PathBuf,
         /// What is wrong.
-        damage: Damage,
+        damage: StorageError,
     },
 }
 
--- a/router/src/disk/reader.rs
+++ b/router/src/disk/reader.rs
@@ -3,7 +3,7 @@
 use super::{
     DAMAGED_FOLDER, DiskError, FLEET_FILE, Known, io_error, list, segment_path, snapshot_path,
 };
-use control::storage::{Damage, Record, Recovered, decode, decode_snapshot};
+use control::storage::{Record, Recovered, StorageError, decode, decode_snapshot};
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -51,7 +51,9 @@
         let bytes = read_file(&path)?;
         let (found, sound) = decode(&bytes).map_err(damaged(&path))?;
         if let Some((path, sound)) = cut_off.take_if(|_| !found.is_empty()) {
-            return Err(damaged(&path)(Damage::CutOff { sound }));
+            return Err(damaged(&path)(StorageError::Truncated {
+                valid_length: sound,
+            }));
         }
         records.extend(found);
         if sound < bytes.len() {
@@ -65,7 +67,7 @@
     fs::read(path).map_err(io_error(path))
 }
 
-fn damaged(path: &Path) -> impl FnOnce(Damage) -> DiskError {
+fn damaged(path: &Path) -> impl FnOnce(StorageError) -> DiskError {
     let path = path.to_owned();
     move |damage| DiskError::Damaged { path, damage }
 }
--- a/router/src/fleet.rs
+++ b/router/src/fleet.rs
@@ -24,7 +24,7 @@
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Directory, Key, Member, MemberStatus, Origin, Value};
-use control::silence::Silence;
+use control::failure_detector::FailureDetector;
 use control::view::{Epoch, ReplicaId};
 use peers::Peers;
 use pulls::WHOLE_ANSWERS_KB;
@@ -66,10 +66,10 @@
     /// The replica that this node runs, if any.
     pub replica: Option<ReplicaHandle>,
     /// This process's own life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Members whose heartbeats this node receives.
-    pub monitored: Mutex<Silence<MonitoredLife>>,
-    heard_backends: Mutex<Silence<CompactString>>,
+    pub monitored: Mutex<FailureDetector<MonitoredLife>>,
+    heard_backends: Mutex<FailureDetector<CompactString>>,
     /// The highest number of a heartbeat that was heard of each backend, also of those that said
     /// nothing new.
     heartbeat_numbers: Mutex<BTreeMap<CompactString, u64>>,
@@ -86,21 +86,25 @@
 
 impl Fleet {
     /// A router that knows nothing yet.
-    pub fn new(settings: Arc<Settings>, replica: Option<ReplicaHandle>, life: u64) -> Arc<Self> {
+    pub fn new(
+        settings: Arc<Settings>,
+        replica: Option<ReplicaHandle>,
+        incarnation: u64,
+    ) -> Arc<Self> {
         let now = clock::now();
         let fleet = Fleet {
             links: Links::default(),
             counters: Counters::default(),
-            directory: Mutex::new(Directory::new(Origin(life))),
+            directory: Mutex::new(Directory::new(Origin(incarnation))),
             published: Mutex::new(Published::default()),
             version_floors: Mutex::default(),
             stores: Stores::default(),
             locations: Mutex::default(),
             evidence: Mutex::default(),
             replica,
-            life,
-            monitored: Mutex::new(Silence::new(now)),
-            heard_backends: Mutex::new(Silence::new(now)),
+            incarnation,
+            monitored: Mutex::new(FailureDetector::new(now)),
+            heard_backends: Mutex::new(FailureDetector::new(now)),
             heartbeat_numbers: Mutex::default(),
             leader: Mutex::new(None),
             pulled_current_at: Mutex::new(None),
@@ -143,21 +147,21 @@
                 continue;
             }
             if let Key::Backend(id) = &key {
-                lock(&self.heard_backends).heard(id.clone());
+                lock(&self.heard_backends).record_heartbeat(id.clone());
             }
             self.put(key, value);
         }
     }
 
     /// What this node is.
-    fn own_member(&self, incarnation: u64) -> Member {
+    fn own_member(&self, revision: u64) -> Member {
         Member {
             zone: self.settings.zone.clone(),
             internal: self.settings.internal_address(),
             control: self.settings.listen.control_plane,
             replica: self.replica.as_ref().map(|replica| replica.id.clone()),
-            life: self.life,
-            incarnation,
+            incarnation: self.incarnation,
+            revision,
             status: if self.leaving.load(Ordering::Relaxed) {
                 MemberStatus::Left
             } else {
--- a/router/src/fleet/members.rs
+++ b/router/src/fleet/members.rs
@@ -17,15 +17,15 @@
     }
 
     pub(super) fn missing_members(&self, directory: &Directory) -> Vec<(CompactString, u64)> {
-        let silent = lock(&self.monitored).silent_for(MEMBER_PATIENCE);
+        let unresponsive = lock(&self.monitored).expired(MEMBER_PATIENCE);
         let is_up =
-            |(name, incarnation): &MonitoredLife| match directory.get(&Key::Member(name.clone())) {
+            |(name, revision): &MonitoredLife| match directory.get(&Key::Member(name.clone())) {
                 Some(Value::Member(member)) => {
-                    member.status == MemberStatus::Up && member.incarnation == *incarnation
+                    member.status == MemberStatus::Up && member.revision == *revision
                 }
                 _ => false,
             };
-        silent.into_iter().filter(is_up).collect()
+        unresponsive.into_iter().filter(is_up).collect()
     }
 
     /// Notes the asker as a member, and the members that it misses as down.
@@ -37,30 +37,31 @@
         };
         let mut member = request.member.clone();
         if let Some(held) = &held {
-            let same = held.life == member.life && held.status == member.status;
-            let refutes = held.life != member.life || held.status == MemberStatus::Down;
-            member.incarnation = match (same, refutes) {
-                (true, _) => held.incarnation,
-                (_, true) => held.incarnation.max(member.incarnation - 1) + 1,
-                _ => held.incarnation,
+            let same = held.incarnation == member.incarnation && held.status == member.status;
+            let refutes =
+                held.incarnation != member.incarnation || held.status == MemberStatus::Down;
+            member.revision = match (same, refutes) {
+                (true, _) => held.revision,
+                (_, true) => held.revision.max(member.revision - 1) + 1,
+                _ => held.revision,
             };
         }
         if held.as_ref() != Some(&member) {
             self.put(key, Value::Member(member));
         }
-        for (name, incarnation) in &request.missing {
-            self.mark_down(name, *incarnation);
+        for (name, revision) in &request.missing {
+            self.mark_down(name, *revision);
         }
     }
 
     /// A monitor misses a member.
-    pub fn mark_down(&self, name: &CompactString, incarnation: u64) {
+    pub fn mark_down(&self, name: &CompactString, revision: u64) {
         let key = Key::Member(name.clone());
         let held = match lock(&self.directory).get(&key) {
             Some(Value::Member(member)) => member.clone(),
             _ => return,
         };
-        if held.incarnation == incarnation && held.status == MemberStatus::Up {
+        if held.revision == revision && held.status == MemberStatus::Up {
             log::info!("member {name} is down: a monitor misses its heartbeats");
             self.put(
                 key,
--- a/router/src/fleet/named_weights.rs
+++ b/router/src/fleet/named_weights.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::BackendPhase;
-use control::rollout::{HeldBack, lacking_by_cause};
+use control::rollout::{PendingReason, outdated_by_reason};
 use control::state::WeightsTarget;
 use routing::version_floor::NamedVersion;
 use std::collections::BTreeMap;
@@ -40,9 +40,9 @@
 
 impl Fleet {
     /// How many backends lack the newest version of some weights, by what keeps them from an order.
-    pub fn lacking_by_cause(&self) -> BTreeMap<HeldBack, u64> {
+    pub fn outdated_by_reason(&self) -> BTreeMap<PendingReason, u64> {
         let published = lock(&self.published);
-        lacking_by_cause(&lock(&self.directory), published.weights())
+        outdated_by_reason(&lock(&self.directory), published.weights())
     }
 
     /// The versions of weights that are not everywhere; of each model the oldest one.
--- a/router/src/fleet/pulls.rs
+++ b/router/src/fleet/pulls.rs
@@ -47,18 +47,19 @@
         let directory = lock(&self.directory);
         let published = lock(&self.published);
         let own = directory.get(&Key::Member(self.settings.node_name.clone()));
-        let incarnation = match own {
+        let revision = match own {
             Some(Value::Member(member))
-                if member.life != self.life || member.status == MemberStatus::Down =>
+                if member.incarnation != self.incarnation
+                    || member.status == MemberStatus::Down =>
             {
-                member.incarnation + 1
+                member.revision + 1
             }
-            Some(Value::Member(member)) => member.incarnation,
+            Some(Value::Member(member)) => member.revision,
             _ => 1,
         };
         PullRequest {
             name: self.settings.node_name.clone(),
-            member: self.own_member(incarnation),
+            member: self.own_member(revision),
             vector: directory.vector().clone(),
             position: published.position(),
             base: published.base(),
@@ -183,9 +184,9 @@
         };
         let directory = lock(&self.directory);
         let pulled = Pulled {
-            records: directory.news_for(&request.vector),
+            records: directory.records_since(&request.vector),
             vector: directory.vector().clone(),
-            state: lock(&self.published).news_for(request.position, request.base),
+            state: lock(&self.published).update_for(request.position, request.base),
             leader: self.leader(),
             age_ms: self.age(),
             named_weights: self.named_weights(),
@@ -221,7 +222,7 @@
     }
 
     fn has_news_for(&self, request: &PullRequest) -> bool {
-        lock(&self.directory).has_news_for(&request.vector)
+        lock(&self.directory).has_records_since(&request.vector)
             || lock(&self.published).position().index > request.position.index
             || self
                 .leader()
--- a/router/src/fleet/registration.rs
+++ b/router/src/fleet/registration.rs
@@ -76,9 +76,9 @@
         backend.owner = self.settings.node_name.clone();
         let key = Key::Backend(id.clone());
         if backend.phase == BackendPhase::Gone {
-            lock(&self.heard_backends).forget(&id);
+            lock(&self.heard_backends).remove(&id);
         } else {
-            lock(&self.heard_backends).heard(id.clone());
+            lock(&self.heard_backends).record_heartbeat(id.clone());
         }
         let zone = backend.zone.clone();
         let address = self.address_for(&id, &zone);
@@ -184,18 +184,18 @@
         let patience = 5 * self.settings.heartbeat_interval_ms / 2;
         self.forget_heartbeat_numbers();
         let orphans = self.orphaned_backends();
-        let silent = {
+        let unresponsive = {
             let mut heard = lock(&self.heard_backends);
             heard.advance(now);
             for id in orphans {
-                if !heard.knows(&id) {
-                    heard.heard(id);
+                if !heard.is_monitored(&id) {
+                    heard.record_heartbeat(id);
                 }
             }
-            heard.silent_for(patience)
+            heard.expired(patience)
         };
-        for id in silent {
-            lock(&self.heard_backends).forget(&id);
+        for id in unresponsive {
+            lock(&self.heard_backends).remove(&id);
             self.mark_silent(id);
         }
     }
@@ -215,7 +215,7 @@
             matches!(member, Some(Value::Member(member)) if member.status == MemberStatus::Up)
         };
         let heard = |backend: &Backend| {
-            backend.silent || backend.phase == BackendPhase::Gone || is_up(&backend.owner)
+            backend.unresponsive || backend.phase == BackendPhase::Gone || is_up(&backend.owner)
         };
         directory
             .backends()
@@ -233,12 +233,12 @@
         let owner = Key::Member(held.owner.clone());
         let other_hears = held.owner != self.settings.node_name
             && matches!(lock(&self.directory).get(&owner), Some(Value::Member(m)) if m.status == MemberStatus::Up);
-        if !held.silent && held.phase != BackendPhase::Gone && !other_hears {
+        if !held.unresponsive && held.phase != BackendPhase::Gone && !other_hears {
             log::info!("backend {id} is silent");
             self.put(
                 key,
                 Value::Backend(Backend {
-                    silent: true,
+                    unresponsive: true,
                     ..held
                 }),
             );
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -57,10 +57,12 @@
 /// A member that this node monitors is there.
 fn hear(fleet: &Fleet, heartbeat: MemberHeartbeat) {
     let held = match lock(&fleet.directory).get(&Key::Member(heartbeat.name.clone())) {
-        Some(Value::Member(member)) if member.life == heartbeat.life => member.incarnation,
+        Some(Value::Member(member)) if member.incarnation == heartbeat.incarnation => {
+            member.revision
+        }
         _ => return,
     };
-    lock(&fleet.monitored).heard((heartbeat.name, held));
+    lock(&fleet.monitored).record_heartbeat((heartbeat.name, held));
 }
 
 fn members_up(fleet: &Fleet) -> BTreeMap<CompactString, Member> {
@@ -81,7 +83,7 @@
     let names: BTreeSet<CompactString> = members.keys().cloned().collect();
     let heartbeat = MemberHeartbeat {
         name: name.clone(),
-        life: fleet.life,
+        incarnation: fleet.incarnation,
     };
     let Ok(bytes) = postcard::to_stdvec(&heartbeat) else {
         return;
@@ -106,20 +108,20 @@
     for at in (0..4).rev() {
         silence.advance(now.saturating_sub(at * HEARTBEAT.as_millis() as u64 / 4));
     }
-    let lives: BTreeSet<MonitoredLife> = monitored
+    let incarnations: BTreeSet<MonitoredLife> = monitored
         .into_iter()
-        .filter_map(|name| Some((name.clone(), members.get(&name)?.incarnation)))
+        .filter_map(|name| Some((name.clone(), members.get(&name)?.revision)))
         .collect();
-    silence.retain(|life| lives.contains(life));
-    for life in lives {
-        if !silence.knows(&life) {
-            silence.heard(life);
+    silence.retain(|incarnation| incarnations.contains(incarnation));
+    for incarnation in incarnations {
+        if !silence.is_monitored(&incarnation) {
+            silence.record_heartbeat(incarnation);
         }
     }
     drop(silence);
     if fleet.replica.is_some() {
-        for (name, incarnation) in fleet.missing() {
-            fleet.mark_down(&name, incarnation);
+        for (name, revision) in fleet.missing() {
+            fleet.mark_down(&name, revision);
         }
     }
 }
@@ -145,7 +147,7 @@
     let (Some(place), Some(replica), true) = (place, &fleet.replica, settings.bootstrap) else {
         return;
     };
-    let fewest = Timing::tolerating(settings.fault_tolerance.machines).fewest_witnesses();
+    let fewest = Timing::tolerating(settings.fault_tolerance.machines).min_witnesses();
     tokio::time::sleep(FOUNDER_TURN * place as u32).await;
     let begun = Instant::now();
     let mut known = BTreeSet::new();
@@ -224,11 +226,11 @@
     loop {
         tokio::time::sleep(PRUNE).await;
         let mut directory = lock(&fleet.directory);
-        let ended = directory.ended();
+        let ended = directory.expired();
         ended
             .intersection(&before)
-            .for_each(|key| directory.forget(key));
-        before = directory.ended();
+            .for_each(|key| directory.remove(key));
+        before = directory.expired();
     }
 }
 
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -6,7 +6,7 @@
 use crate::proxy::table::Table;
 use crate::weights::Orders;
 use control::directory::BackendPhase;
-use control::rollout::OrderTurn;
+use control::rollout::RolloutOwnership;
 use poem::{Endpoint, Request, Response, Result};
 use routing::version_floor::NamedVersion;
 use std::collections::BTreeMap;
@@ -179,7 +179,7 @@
 
     fn write_orders(&self, text: &mut String) {
         if let Some(orders) = &self.orders {
-            let gives = orders.turn() == OrderTurn::Held;
+            let gives = orders.turn() == RolloutOwnership::Owned;
             line(text, "orders_given_here", u64::from(gives));
             line(text, "backends_refusing_fences", orders.refusing_backends());
         }
@@ -192,7 +192,7 @@
             let labels = format!("model=\"{model}\",version=\"{version}\"");
             line(text, &format!("weights_unfinished_ms{{{labels}}}"), age_ms);
         }
-        for (cause, count) in self.fleet.lacking_by_cause() {
+        for (cause, count) in self.fleet.outdated_by_reason() {
             let name = cause.name();
             line(
                 text,
@@ -215,11 +215,11 @@
                 .count();
             line(text, &format!("backends{{phase=\"{name}\"}}"), count as u64);
         }
-        let silent = directory
+        let unresponsive = directory
             .backends()
-            .filter(|(_, backend)| backend.silent)
+            .filter(|(_, backend)| backend.unresponsive)
             .count();
-        line(text, "backends_silent", silent as u64);
+        line(text, "backends_silent", unresponsive as u64);
     }
 }
 
--- a/router/src/protocol.rs
+++ b/router/src/protocol.rs
@@ -4,7 +4,7 @@
 use control::changes::{Change, Outcome};
 use control::digest::{Range, Summary};
 use control::directory::{Backend, Member, Record, VersionVector};
-use control::history::News;
+use control::history::TextUpdate;
 use control::message::Envelope;
 use control::state::{Position, WeightsTarget};
 use control::view::{Epoch, ReplicaId};
@@ -174,7 +174,7 @@
     /// The last change in it.
     pub position: Position,
     /// What the asker lacks of the configuration; none where it has not changed.
-    pub configuration: Option<News>,
+    pub configuration: Option<TextUpdate>,
     /// The newest version of each model's weights.
     pub weights: BTreeMap<CompactString, WeightsTarget>,
 }
@@ -194,5 +194,5 @@
     /// The sender's name.
     pub name: CompactString,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
 }
--- a/router/src/proxy/backend.rs
+++ b/router/src/proxy/backend.rs
@@ -55,7 +55,7 @@
 /// What changes about a backend.
 struct Live {
     phase: BackendPhase,
-    silent: bool,
+    unresponsive: bool,
     order: Option<(Order, Millis)>,
     weights: KnownWeights,
     outstanding: u32,
@@ -136,7 +136,7 @@
     ) -> Self {
         let live = Live {
             phase: registered.phase,
-            silent: registered.silent,
+            unresponsive: registered.unresponsive,
             order: None,
             weights: KnownWeights::default(),
             outstanding: 0,
@@ -173,7 +173,7 @@
             live.suspected_until = clock::now() + suspicion.lasts_ms;
         }
         live.phase = registered.phase;
-        live.silent = registered.silent;
+        live.unresponsive = registered.unresponsive;
         live.weights.take_heartbeat(registered);
         if let Some(order) = order {
             let news = live.order.as_ref().is_none_or(|(known, _)| known != order);
@@ -206,7 +206,7 @@
                 return Fitness::Unfit;
             }
         }
-        if live.silent || now < live.avoid_until {
+        if live.unresponsive || now < live.avoid_until {
             Fitness::Doubtful
         } else {
             Fitness::Fit
@@ -327,7 +327,7 @@
 impl Live {
     fn is_loading(&self, model: &str, now: Millis) -> bool {
         self.order.as_ref().is_some_and(|(order, since)| {
-            order.phase == OrderPhase::UnderWay
+            order.phase == OrderPhase::InProgress
                 && order.model == model
                 && now < since + LOADING
                 && self
--- a/router/src/proxy/kept.rs
+++ b/router/src/proxy/kept.rs
@@ -60,7 +60,7 @@
         reader.is_some_and(|(name, _)| **name == fleet.settings.node_name)
     };
     let readable = directory.backends().filter(|(_, backend)| {
-        backend.phase == BackendPhase::Ready && !backend.silent && !backend.models.is_empty()
+        backend.phase == BackendPhase::Ready && !backend.unresponsive && !backend.models.is_empty()
     });
     let own = readable.filter(|(id, backend)| is_assigned(id, &backend.zone));
     own.map(|(id, backend)| (id.clone(), backend.address))
--- a/router/src/proxy/known_weights.rs
+++ b/router/src/proxy/known_weights.rs
@@ -54,7 +54,7 @@
 
     /// Takes the last order that is known. Orders only raise versions.
     pub fn take_order(&mut self, order: &Order) {
-        let rank = (order.fence, order.number);
+        let rank = (order.fencing_token, order.number);
         if order.phase != OrderPhase::Done || self.done.is_some_and(|done| rank <= done) {
             return;
         }
--- a/router/src/proxy/stores.rs
+++ b/router/src/proxy/stores.rs
@@ -100,7 +100,7 @@
     }
 
     /// A store has stopped to answer.
-    pub fn is_silent(&self, address: SocketAddrV4) {
+    pub fn is_unresponsive(&self, address: SocketAddrV4) {
         self.enter(address, State::Silent);
     }
 
@@ -108,7 +108,7 @@
     pub fn take_status(&self, address: SocketAddrV4, status: StoreStatus) {
         match status.generation {
             Some(generation) => self.answers(address, generation),
-            None => self.is_silent(address),
+            None => self.is_unresponsive(address),
         }
     }
 
@@ -245,7 +245,7 @@
             locator.tell_evicted_from_store(&events);
         };
         if events::follow(address, &client, heard).await.is_err() {
-            fleet.stores.is_silent(address);
+            fleet.stores.is_unresponsive(address);
         }
         tokio::time::sleep(TRY_AGAIN).await;
     }
--- a/router/src/published.rs
+++ b/router/src/published.rs
@@ -3,7 +3,7 @@
 use crate::protocol::PublishedState;
 use compact_str::CompactString;
 use control::configuration::Configuration;
-use control::history::{History, Misfit};
+use control::history::{ApplyError, History};
 use control::state::{ControlState, Position, WeightsTarget};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -79,9 +79,9 @@
             .filter(|news| news.version() != self.version());
         if let Some(news) = news {
             let mut history = self.history.clone();
-            if let Err(misfit) = history.take(news) {
+            if let Err(misfit) = history.apply(news) {
                 log::debug!("a configuration is not taken: {misfit}");
-                self.wants_whole = matches!(misfit, Misfit::Checksum { .. });
+                self.wants_whole = matches!(misfit, ApplyError::Checksum { .. });
                 return false;
             }
             if !self.load(history) {
@@ -124,11 +124,11 @@
     }
 
     /// What a router lacks that has a state up to `position` and a configuration of version `base`.
-    pub fn news_for(&self, position: Position, base: Option<u64>) -> Option<PublishedState> {
+    pub fn update_for(&self, position: Position, base: Option<u64>) -> Option<PublishedState> {
         if position.index >= self.position.index {
             return None;
         }
-        let configuration = self.history.news_for(base.unwrap_or(0));
+        let configuration = self.history.update_for(base.unwrap_or(0));
         Some(PublishedState {
             position: self.position,
             configuration,
