--- a/router/src/replica.rs
+++ b/router/src/replica.rs
@@ -8,10 +8,10 @@
 use crate::protocol::Request;
 use compact_str::CompactString;
 use control::Millis;
-use control::changes::{Change, Outcome, Reading};
+use control::changes::{Change, Outcome, ReadOutcome};
 use control::message::Envelope;
 use control::node::{ControlNode, Effect, RoleName};
-use control::rollout::OrderTurn;
+use control::rollout::RolloutOwnership;
 use control::state::StoredConfiguration;
 use control::view::{Epoch, ReplicaId, View};
 use std::collections::{BTreeSet, HashMap};
@@ -31,7 +31,7 @@
 enum Input {
     Message(Box<Envelope>),
     Submit(Change, oneshot::Sender<Outcome>),
-    Read(oneshot::Sender<Reading>),
+    Read(oneshot::Sender<ReadOutcome>),
     Found {
         electorate: BTreeSet<ReplicaId>,
         replicas: BTreeSet<ReplicaId>,
@@ -45,7 +45,7 @@
     /// The fencing token of the lease, and until when it is held.
     pub lease: Option<(Epoch, Millis)>,
     /// Whether orders may be given to backends from here.
-    pub order_turn: OrderTurn,
+    pub rollout_ownership: RolloutOwnership,
     /// When the committed state was last known to be the newest.
     pub current_at: Option<Millis>,
     /// The newest view that is known to be decided.
@@ -54,7 +54,7 @@
     pub role: Option<RoleName>,
     /// Whether the process may end without a change waiting for this replica, or its copy being one
     /// of too few.
-    pub may_end: bool,
+    pub can_shut_down: bool,
     /// A line for operators.
     pub status: String,
 }
@@ -98,11 +98,11 @@
 
     /// Whether this replica is the primary under a lease at this very moment.
     pub fn leads(&self) -> bool {
-        self.fence().is_some()
+        self.fencing_token().is_some()
     }
 
     /// The fencing token of the lease, while it is held.
-    pub fn fence(&self) -> Option<Epoch> {
+    pub fn fencing_token(&self) -> Option<Epoch> {
         lock(&self.shown)
             .lease
             .filter(|(_, until)| clock::now() < *until)
@@ -110,18 +110,18 @@
     }
 
     /// Whether orders may be given to backends from here at this very moment.
-    pub fn order_turn(&self) -> OrderTurn {
+    pub fn rollout_ownership(&self) -> RolloutOwnership {
         if self.leads() {
-            lock(&self.shown).order_turn
+            lock(&self.shown).rollout_ownership
         } else {
-            OrderTurn::NotLeading
+            RolloutOwnership::NotLeader
         }
     }
 
     /// The fencing token of orders to backends, while they may be given from here.
-    pub fn order_fence(&self) -> Option<Epoch> {
-        self.fence()
-            .filter(|_| self.order_turn() == OrderTurn::Held)
+    pub fn order_fencing_token(&self) -> Option<Epoch> {
+        self.fencing_token()
+            .filter(|_| self.rollout_ownership() == RolloutOwnership::Owned)
     }
 
     /// When its committed state was last known to be the newest.
@@ -152,8 +152,8 @@
 
     /// Whether the process may end without a change waiting for this replica, or its copy being one
     /// of too few.
-    pub fn may_end(&self) -> bool {
-        lock(&self.shown).may_end
+    pub fn can_shut_down(&self) -> bool {
+        lock(&self.shown).can_shut_down
     }
 
     /// A line for operators.
@@ -181,8 +181,8 @@
         let (reply, answer) = oneshot::channel();
         self.inputs.send(Input::Read(reply)).await.ok()?;
         match answer.await.ok()? {
-            Reading::Newest(configuration) => Some(configuration),
-            Reading::Unknown => None,
+            ReadOutcome::Latest(configuration) => Some(configuration),
+            ReadOutcome::Unknown => None,
         }
     }
 
@@ -209,7 +209,7 @@
     handle: ReplicaHandle,
     tickets: u64,
     callers: HashMap<u64, oneshot::Sender<Outcome>>,
-    readers: HashMap<u64, oneshot::Sender<Reading>>,
+    readers: HashMap<u64, oneshot::Sender<ReadOutcome>>,
     saved: u64,
     save_at: Millis,
 }
@@ -244,7 +244,7 @@
                 Some(input) => task.take(input),
                 None => return,
             },
-            Some(sequence) = stored.recv() => task.node.stored(sequence, clock::now()),
+            Some(sequence) = stored.recv() => task.node.on_stored(sequence, clock::now()),
             _ = ticks.tick() => task.tick(),
         }
         task.carry_out();
@@ -269,7 +269,7 @@
             Input::Found {
                 electorate,
                 replicas,
-            } => self.node.found(electorate, replicas, now),
+            } => self.node.bootstrap(electorate, replicas, now),
             Input::Leave => self.node.leave(now),
         }
     }
@@ -278,7 +278,7 @@
         let members = self.fleet.replica_members();
         let known: BTreeSet<ReplicaId> =
             members.into_iter().filter_map(|(_, m)| m.replica).collect();
-        self.node.know(known);
+        self.node.set_known_replicas(known);
         self.node.tick(clock::now());
         self.save_fleet();
     }
@@ -293,7 +293,7 @@
         let version = self.fleet.changes();
         if version != self.saved || !self.fleet.are_weights_settled() {
             self.saved = version;
-            let records = lock(&self.fleet.directory).lasting();
+            let records = lock(&self.fleet.directory).persistent_records();
             self.disk.save_fleet(&Known {
                 records,
                 named_weights: self.fleet.named_weights(),
@@ -348,7 +348,7 @@
         let is_same = former.as_ref().map(|view| view.epoch) == node.view().map(|view| view.epoch);
         self.handle.show(Shown {
             lease: node.lease(now),
-            order_turn: node.order_turn(now),
+            rollout_ownership: node.rollout_ownership(now),
             current_at: node.current_at(now),
             view: if is_same {
                 former
@@ -356,7 +356,7 @@
                 node.view().cloned().map(Arc::new)
             },
             role: Some(node.role()),
-            may_end: node.may_end(),
+            can_shut_down: node.can_shut_down(),
             status: format!(
                 "{:?} in epoch {}, change {}",
                 node.role(),
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -20,7 +20,7 @@
 use crate::weights::Orders;
 use control::node::{ControlNode, Identity, Timing};
 use control::storage::Recovered;
-use control::view::{Life, ReplicaId};
+use control::view::{Incarnation, ReplicaId};
 use poem::http::StatusCode;
 use poem::listener::TcpListener;
 use poem::{Endpoint, Request, Response, Result, Server};
@@ -106,7 +106,7 @@
 
 fn open_replica(
     settings: &Settings,
-    life: Life,
+    incarnation: Incarnation,
 ) -> std::result::Result<Option<Replica>, ServeError> {
     let Some(folder) = settings
         .data_directory
@@ -127,8 +127,8 @@
     let timing = Timing::tolerating(settings.fault_tolerance.machines);
     let identity = Identity {
         id: id.clone(),
-        life,
-        may_found: settings.bootstrap,
+        incarnation,
+        may_bootstrap: settings.bootstrap,
     };
     let node = ControlNode::new(identity, recovered, timing, crate::clock::now());
     let (handle, inputs) = ReplicaHandle::new(id);
@@ -149,10 +149,10 @@
     // First of all: a signal that comes before would end the process at once.
     let signals = Signals::take()?;
     let settings = Arc::new(settings);
-    let life = fastrand::u64(1..);
-    let replica = open_replica(&settings, life)?;
+    let incarnation = fastrand::u64(1..);
+    let replica = open_replica(&settings, incarnation)?;
     let handle = replica.as_ref().map(|replica| replica.handle.clone());
-    let fleet = Fleet::new(settings.clone(), handle.clone(), life);
+    let fleet = Fleet::new(settings.clone(), handle.clone(), incarnation);
     if let Some(folder) = settings
         .data_directory
         .as_ref()
@@ -320,12 +320,12 @@
 async fn wait_for_other_copies(replica: &ReplicaHandle, patience: Duration) {
     const LOOK: Duration = Duration::from_millis(50);
     let begun = Instant::now();
-    if !replica.may_end() {
+    if !replica.can_shut_down() {
         log::info!(
             "this node's copy of the control state is still needed: waiting for another one"
         );
     }
-    while !replica.may_end() {
+    while !replica.can_shut_down() {
         if begun.elapsed() >= patience {
             log::warn!(
                 "the grace period is over and this node's copy is still needed: start it again soon"
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -12,7 +12,7 @@
         .members()
         .map(|(name, member)| {
             json!({"name": name.as_str(), "zone": member.zone.as_str(), "status": format!("{:?}", member.status),
-                   "incarnation": member.incarnation, "replica": member.replica.as_ref().map(ToString::to_string)})
+                   "incarnation": member.revision, "replica": member.replica.as_ref().map(ToString::to_string)})
         })
         .collect();
     let backends: Vec<Json> = directory
@@ -20,7 +20,7 @@
         .map(|(id, backend)| {
             json!({"id": id.as_str(), "service": backend.service.as_str(), "address": backend.address.to_string(),
                    "zone": backend.zone.as_str(), "phase": format!("{:?}", backend.phase),
-                   "silent": backend.silent})
+                   "silent": backend.unresponsive})
         })
         .collect();
     let weights: Vec<Json> = published
--- a/router/src/weights.rs
+++ b/router/src/weights.rs
@@ -13,7 +13,9 @@
 use compact_str::CompactString;
 use control::changes::Change;
 use control::directory::Key;
-use control::rollout::{Confirmations, Doubt, OrderQueue, OrderTurn, RefusedFences, Rollout};
+use control::rollout::{
+    Confirmations, OrderQueue, RejectedTokens, Rollout, RolloutOwnership, UnconfirmedOrder,
+};
 use overdue::OverdueVersions;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -27,8 +29,8 @@
 const CONFIRMING_HEARTBEATS: u64 = 3;
 
 /// An attempt to bring a backend to a version.
-struct UnderWay {
-    is_silent: bool,
+struct InProgress {
+    is_unresponsive: bool,
     task: tokio::task::JoinHandle<()>,
 }
 
@@ -37,9 +39,9 @@
     fleet: Arc<Fleet>,
     replica: ReplicaHandle,
     backends: BackendCalls,
-    refused: Mutex<RefusedFences>,
+    refused: Mutex<RejectedTokens>,
     queue: Mutex<OrderQueue>,
-    turn: Mutex<OrderTurn>,
+    turn: Mutex<RolloutOwnership>,
     confirmations: Mutex<Confirmations>,
 }
 
@@ -64,19 +66,19 @@
     /// Keeps looking for backends that lack weights.
     pub async fn run(self: Arc<Self>) {
         let mut overdue = OverdueVersions::default();
-        let mut under_way: HashMap<CompactString, UnderWay> = HashMap::new();
+        let mut under_way: HashMap<CompactString, InProgress> = HashMap::new();
         loop {
             tokio::time::sleep(LOOK).await;
             under_way.retain(|_, attempt| !attempt.task.is_finished());
             overdue.look(&self.fleet);
-            let turn = self.replica.order_turn();
+            let turn = self.replica.rollout_ownership();
             self.enter(turn);
-            if turn == OrderTurn::NotLeading {
+            if turn == RolloutOwnership::NotLeader {
                 continue;
             }
             self.look_for_doubts();
             let rollout = self.rollout();
-            if !rollout.lacking.is_empty() && self.take_turn(turn).await {
+            if !rollout.outdated.is_empty() && self.take_turn(turn).await {
                 self.begin_attempts(rollout, &mut under_way);
             }
         }
@@ -86,24 +88,24 @@
     fn begin_attempts(
         self: &Arc<Self>,
         rollout: Rollout,
-        under_way: &mut HashMap<CompactString, UnderWay>,
+        under_way: &mut HashMap<CompactString, InProgress>,
     ) {
-        for backend in rollout.lacking {
-            if under_way.len() >= rollout.most_at_once {
+        for backend in rollout.outdated {
+            if under_way.len() >= rollout.max_concurrent {
                 return;
             }
-            let is_silent = backend.is_silent;
-            let silent = under_way
+            let is_unresponsive = backend.is_unresponsive;
+            let unresponsive = under_way
                 .values()
-                .filter(|attempt| attempt.is_silent)
+                .filter(|attempt| attempt.is_unresponsive)
                 .count();
-            if is_silent && silent >= rollout.most_silent_at_once {
+            if is_unresponsive && unresponsive >= rollout.max_concurrent_unresponsive {
                 return;
             }
             under_way
                 .entry(backend.id.clone())
-                .or_insert_with(|| UnderWay {
-                    is_silent,
+                .or_insert_with(|| InProgress {
+                    is_unresponsive,
                     task: tokio::spawn(Arc::clone(self).bring(backend)),
                 });
         }
@@ -114,16 +116,16 @@
     fn look_for_doubts(&self) {
         let doubts = {
             let directory = lock(&self.fleet.directory);
-            lock(&self.confirmations).look(&directory, clock::now())
+            lock(&self.confirmations).observe(&directory, clock::now())
         };
-        for Doubt {
+        for UnconfirmedOrder {
             backend,
             order,
-            told,
+            reported_version,
         } in doubts
         {
             log::warn!(
-                "backend {backend} told version {told} of {} after its order for version {} was done; it is asked again",
+                "backend {backend} told version {reported_version} of {} after its order for version {} was done; it is asked again",
                 order.model,
                 order.version
             );
@@ -131,20 +133,20 @@
     }
 
     /// Whether orders may be given here, for which the control state has to name this node.
-    async fn take_turn(&self, turn: OrderTurn) -> bool {
-        if turn.may_take(self.fleet.settings.bounds.lease_ms, clock::now()) {
+    async fn take_turn(&self, turn: RolloutOwnership) -> bool {
+        if turn.may_claim(self.fleet.settings.bounds.lease_ms, clock::now()) {
             // Where nobody can tell what became of it, it is asked for again at the next look.
-            let change = Change::OrderHolder {
+            let change = Change::RolloutOwner {
                 replica: self.replica.id.clone(),
             };
             let outcome = tokio::time::timeout(TURN_PATIENCE, self.replica.submit(change)).await;
             log::debug!("orders: this node asked to give them: {outcome:?}");
         }
-        self.replica.order_fence().is_some()
+        self.replica.order_fencing_token().is_some()
     }
 
     /// The one place where it changes whether this node gives orders.
-    fn enter(&self, turn: OrderTurn) {
+    fn enter(&self, turn: RolloutOwnership) {
         let former = std::mem::replace(&mut *lock(&self.turn), turn);
         if former != turn {
             log::info!("orders: {turn}");
@@ -152,7 +154,7 @@
     }
 
     /// Whether this node gives orders.
-    pub fn turn(&self) -> OrderTurn {
+    pub fn turn(&self) -> RolloutOwnership {
         *lock(&self.turn)
     }
 
@@ -171,14 +173,14 @@
         let is_there = |backend: &str| directory.get(&Key::Backend(backend.into())).is_some();
         refused.retain(is_there);
         queue.retain(is_there);
-        let fence = self.replica.fence();
+        let fencing_token = self.replica.fencing_token();
+        rollout.outdated.retain(|backend| {
+            fencing_token.is_some_and(|fencing_token| refused.allows(&backend.id, fencing_token))
+        });
         rollout
-            .lacking
-            .retain(|backend| fence.is_some_and(|fence| refused.allow(&backend.id, fence)));
-        rollout
-            .lacking
+            .outdated
             .retain(|backend| queue.is_due(backend, clock::now()));
-        queue.sort(&mut rollout.lacking);
+        queue.sort(&mut rollout.outdated);
         rollout
     }
 }
--- a/router/src/weights/backend_calls.rs
+++ b/router/src/weights/backend_calls.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::headers::EXPECT_INSTANCE;
 use compact_str::CompactString;
-use control::rollout::{ConditionalOrder, Lacking, Reported};
+use control::rollout::{ConditionalOrder, OutdatedBackend, ReportedWeights};
 use control::view::Epoch;
 use serde::Deserialize;
 use std::time::Duration;
@@ -56,14 +56,14 @@
     /// Gives an order under a fencing token.
     pub(super) async fn order(
         &self,
-        backend: &Lacking,
+        backend: &OutdatedBackend,
         order: ConditionalOrder,
         holder: &str,
-        fence: Epoch,
+        fencing_token: Epoch,
     ) -> OrderAnswer {
         let body = serde_json::json!({
             "operation": "version", "model": backend.model.as_str(), "version": order.version, "method": "retain",
-            "holder": holder, "fenceToken": fence, "ifRevision": order.if_taken_orders,
+            "holder": holder, "fenceToken": fencing_token, "ifRevision": order.if_accepted_orders,
         });
         let url = format!("http://{}/v1/order", backend.address);
         let call = self
@@ -83,7 +83,7 @@
             409 => OrderAnswer::Overtaken,
             412 => {
                 log::warn!(
-                    "backend {} has seen a higher fencing token than {fence}",
+                    "backend {} has seen a higher fencing token than {fencing_token}",
                     backend.id
                 );
                 OrderAnswer::Fenced
@@ -96,7 +96,7 @@
     }
 
     /// What a backend reports of the model's weights; none where no report comes.
-    pub(super) async fn report(&self, backend: &Lacking) -> Option<Reported> {
+    pub(super) async fn report(&self, backend: &OutdatedBackend) -> Option<ReportedWeights> {
         let url = format!("http://{}/v1/report", backend.address);
         let call = self
             .client
@@ -115,10 +115,10 @@
             .iter()
             .find(|model| model.name == backend.model);
         let version = model.map_or(0, |model| model.version);
-        Some(Reported {
+        Some(ReportedWeights {
             version,
             is_busy: report.busy,
-            taken_orders: report.sequence,
+            accepted_orders: report.sequence,
         })
     }
 }
--- a/router/src/weights/bringing.rs
+++ b/router/src/weights/bringing.rs
@@ -7,7 +7,7 @@
 use crate::links::lock;
 use crate::metrics::Event;
 use control::directory::{Key, Order, OrderPhase, Value};
-use control::rollout::{ConditionalOrder, Lacking, Need, Progress};
+use control::rollout::{ConditionalOrder, NextStep, OrderProgress, OutdatedBackend};
 use control::view::Epoch;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -40,22 +40,22 @@
 
 impl Orders {
     /// Brings one backend to a version.
-    pub(super) async fn bring(self: Arc<Self>, backend: Lacking) {
-        let Some(fence) = self.replica.order_fence() else {
+    pub(super) async fn bring(self: Arc<Self>, backend: OutdatedBackend) {
+        let Some(fencing_token) = self.replica.order_fencing_token() else {
             return;
         };
-        lock(&self.queue).ordered(&backend.id, clock::now());
-        let attempt = self.attempt(&backend, fence).await;
+        lock(&self.queue).record_order(&backend.id, clock::now());
+        let attempt = self.attempt(&backend, fencing_token).await;
         let was_answered = matches!(
             attempt,
             Attempt::Done | Attempt::NotDone { was_answered: true }
         );
-        lock(&self.queue).ended(&backend.id, was_answered);
+        lock(&self.queue).record_result(&backend.id, was_answered);
         match attempt {
-            Attempt::Done => self.note(&backend, fence, OrderPhase::Done),
+            Attempt::Done => self.note(&backend, fencing_token, OrderPhase::Done),
             // Else routers would keep away from a backend that loads nothing.
             Attempt::NotDone { .. } if self.is_announced(&backend) => {
-                self.note(&backend, fence, OrderPhase::Withdrawn);
+                self.note(&backend, fencing_token, OrderPhase::Withdrawn);
             }
             Attempt::NotDone { .. } | Attempt::Loading => {}
         }
@@ -63,12 +63,12 @@
 
     /// One attempt. The order holds only for the state that the backend has reported: one that is
     /// overtaken on its way by a newer one would take the backend back otherwise.
-    async fn attempt(&self, backend: &Lacking, fence: Epoch) -> Attempt {
+    async fn attempt(&self, backend: &OutdatedBackend, fencing_token: Epoch) -> Attempt {
         let order = match self.next_order(backend).await {
             Ok(order) => order,
             Err(attempt) => return attempt,
         };
-        self.note(backend, fence, OrderPhase::UnderWay);
+        self.note(backend, fencing_token, OrderPhase::InProgress);
         tokio::time::sleep(NOTICE + self.fleet.gather_time()).await;
         let answer = self.order(backend, order).await;
         self.count(backend, order, answer);
@@ -84,7 +84,7 @@
 
     /// The order that a backend needs by its own report. Where it needs none, or gives no report,
     /// the attempt has ended.
-    async fn next_order(&self, backend: &Lacking) -> Result<ConditionalOrder, Attempt> {
+    async fn next_order(&self, backend: &OutdatedBackend) -> Result<ConditionalOrder, Attempt> {
         let begun = Instant::now();
         while begun.elapsed() < ORDER_PATIENCE {
             let Some(reported) = self.backends.report(backend).await else {
@@ -92,10 +92,10 @@
                     was_answered: false,
                 });
             };
-            match reported.need(backend.version) {
-                Need::Nothing => return Err(Attempt::Done),
-                Need::Order(order) => return Ok(order),
-                Need::Time => tokio::time::sleep(REPORT).await,
+            match reported.next_step(backend.version) {
+                NextStep::UpToDate => return Err(Attempt::Done),
+                NextStep::Order(order) => return Ok(order),
+                NextStep::Wait => tokio::time::sleep(REPORT).await,
             }
         }
         Err(Attempt::Loading)
@@ -106,7 +106,7 @@
     /// reports is true whoever leads, so a lease that is lost ends nothing here.
     async fn follow(
         &self,
-        backend: &Lacking,
+        backend: &OutdatedBackend,
         order: ConditionalOrder,
         patience: Duration,
     ) -> Attempt {
@@ -123,10 +123,10 @@
             };
             unanswered = 0;
             attempt = match order.progress(reported) {
-                Progress::Done => return Attempt::Done,
-                Progress::Overtaken => return Attempt::NotDone { was_answered: true },
-                Progress::Busy => Attempt::Loading,
-                Progress::Awaited => Attempt::NotDone {
+                OrderProgress::Done => return Attempt::Done,
+                OrderProgress::Superseded => return Attempt::NotDone { was_answered: true },
+                OrderProgress::Busy => Attempt::Loading,
+                OrderProgress::Pending => Attempt::NotDone {
                     was_answered: false,
                 },
             };
@@ -135,26 +135,31 @@
     }
 
     /// Gives the order.
-    async fn order(&self, backend: &Lacking, order: ConditionalOrder) -> OrderAnswer {
+    async fn order(&self, backend: &OutdatedBackend, order: ConditionalOrder) -> OrderAnswer {
         // The fence is read right before the effect: it is none once the lease has ended.
-        let Some(fence) = self.replica.order_fence() else {
+        let Some(fencing_token) = self.replica.order_fencing_token() else {
             return OrderAnswer::NotGiven;
         };
         let answer = self
             .backends
-            .order(backend, order, &self.fleet.settings.node_name, fence)
+            .order(
+                backend,
+                order,
+                &self.fleet.settings.node_name,
+                fencing_token,
+            )
             .await;
         if answer == OrderAnswer::Fenced {
-            lock(&self.refused).refused(&backend.id, fence);
+            lock(&self.refused).record(&backend.id, fencing_token);
         }
         answer
     }
 
-    fn count(&self, backend: &Lacking, order: ConditionalOrder, answer: OrderAnswer) {
-        let Lacking {
+    fn count(&self, backend: &OutdatedBackend, order: ConditionalOrder, answer: OrderAnswer) {
+        let OutdatedBackend {
             id, model, version, ..
         } = backend;
-        let others = order.if_taken_orders;
+        let others = order.if_accepted_orders;
         log::info!(
             "order to backend {id} for version {version} of {model}, behind {others} others: {answer:?}"
         );
@@ -169,23 +174,23 @@
     }
 
     /// Whether routers are told that the backend is about to load.
-    fn is_announced(&self, backend: &Lacking) -> bool {
+    fn is_announced(&self, backend: &OutdatedBackend) -> bool {
         let directory = lock(&self.fleet.directory);
         directory
             .order(&backend.id)
-            .is_some_and(|order| order.phase == OrderPhase::UnderWay)
+            .is_some_and(|order| order.phase == OrderPhase::InProgress)
     }
 
     /// Tells routers how far a backend's order has come. Numbers go on from the record that there
     /// is, which may be of this node's former process.
-    fn note(&self, backend: &Lacking, fence: Epoch, phase: OrderPhase) {
+    fn note(&self, backend: &OutdatedBackend, fencing_token: Epoch, phase: OrderPhase) {
         let held = lock(&self.fleet.directory).order(&backend.id).cloned();
         let number = held
-            .filter(|order| order.fence == fence)
+            .filter(|order| order.fencing_token == fencing_token)
             .map_or(1, |order| order.number + 1);
         let (model, version) = (backend.model.clone(), backend.version);
         let order = Order {
-            fence,
+            fencing_token,
             number,
             model,
             version,
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use control::configuration::Configuration;
 use control::directory::{Backend, BackendPhase, Key, Value};
-use control::history::News;
+use control::history::TextUpdate;
 use control::state::Position;
 use router::fleet::Fleet;
 use router::listener::{ClientAcceptor, ClientConnections};
@@ -267,7 +267,7 @@
     let version = Configuration::parse(body.as_bytes()).unwrap().version;
     let state = PublishedState {
         position: Position { index, epoch: 1 },
-        configuration: Some(News::Whole {
+        configuration: Some(TextUpdate::Full {
             version,
             text: body.as_bytes().to_vec(),
         }),
@@ -308,7 +308,7 @@
     assert!(fleet.put(
         key,
         Value::Backend(Backend {
-            silent: true,
+            unresponsive: true,
             ..held
         })
     ));
@@ -360,7 +360,7 @@
         slots: 4,
         phase: BackendPhase::Ready,
         sequence: 1,
-        silent: false,
+        unresponsive: false,
         owner: "n1".into(),
         models: vec![("m".into(), 1)],
     }
--- a/router/tests/common/model_backend.rs
+++ b/router/tests/common/model_backend.rs
@@ -134,15 +134,15 @@
     fn take_order(&mut self, request: &str) -> u16 {
         let body = request.split_once("\r\n\r\n").map_or("", |(_, body)| body);
         let order: Value = serde_json::from_str(body).unwrap();
-        let (Some(fence), Some(version)) =
+        let (Some(fencing_token), Some(version)) =
             (order["fenceToken"].as_u64(), order["version"].as_u64())
         else {
             return 400;
         };
-        if fence < self.highest_fence {
+        if fencing_token < self.highest_fence {
             return 412;
         }
-        self.highest_fence = fence;
+        self.highest_fence = fencing_token;
         if order["ifRevision"]
             .as_u64()
             .is_some_and(|expected| expected != self.taken_orders)
--- a/router/tests/files.rs
+++ b/router/tests/files.rs
@@ -3,7 +3,7 @@
 
 use control::changes::Change;
 use control::state::{Position, Update};
-use control::storage::{AcceptedV1, BallotV1, Record, Recovered, VotesV1};
+use control::storage::{AcceptedV1, ProposalNumberV1, Record, Recovered, VotesV1};
 use control::view::{ReplicaId, View};
 use router::cli::{self, SystemCall};
 use router::disk::{self, Disk, DiskError};
@@ -274,13 +274,13 @@
         in_sync: members.clone(),
         witnesses: members.clone(),
     };
-    let ballot = |round| BallotV1 {
+    let number = |round| ProposalNumberV1 {
         round,
         proposer: replica(2),
     };
     let votes = |promised, previous, epoch| {
         let accepted = Some(AcceptedV1 {
-            ballot: ballot(3),
+            number: number(3),
             view: view(epoch),
             previous,
         });
@@ -290,19 +290,19 @@
         ];
         Recovered::replay(kept).unwrap().votes
     };
-    let decided = votes(Some((5, ballot(1))), None, 5);
+    let decided = votes(Some((5, number(1))), None, 5);
     assert_eq!(
         (decided.decided, decided.promised, decided.accepted),
         (Some(view(5)), None, None)
     );
-    let under_way = votes(Some((6, ballot(4))), Some(view(5)), 6);
+    let under_way = votes(Some((6, number(4))), Some(view(5)), 6);
     assert_eq!(under_way.decided, Some(view(5)));
     assert_eq!(
         under_way.accepted.map(|proposal| proposal.view),
         Some(view(6))
     );
     assert_eq!(
-        under_way.promised.map(|ballot| ballot.round),
+        under_way.promised.map(|number| number.round),
         Some(4),
         "the higher one holds"
     );
--- a/router/tests/known_weights.rs
+++ b/router/tests/known_weights.rs
@@ -43,7 +43,7 @@
         slots: 4,
         phase: BackendPhase::Ready,
         sequence,
-        silent: false,
+        unresponsive: false,
         owner: "n1".into(),
         models: vec![(MODEL.into(), version)],
     }
@@ -57,7 +57,7 @@
         Word::Done { number, version } => {
             let phase = OrderPhase::Done;
             known.take_order(&Order {
-                fence: 1,
+                fencing_token: 1,
                 number,
                 model: MODEL.into(),
                 version,
--- a/router/tests/late_orders.rs
+++ b/router/tests/late_orders.rs
@@ -19,7 +19,7 @@
 use common::model_backend::ModelBackend;
 use common::*;
 use control::directory::{Key, Order, OrderPhase, Value};
-use control::rollout::OrderTurn;
+use control::rollout::RolloutOwnership;
 use control::state::{Position, WeightsTarget};
 use control::view::ReplicaId;
 use router::fleet::Fleet;
@@ -52,7 +52,7 @@
     let lease = Some((1, u64::MAX));
     handle.show(Shown {
         lease,
-        order_turn: OrderTurn::Held,
+        rollout_ownership: RolloutOwnership::Owned,
         current_at,
         ..Shown::default()
     });
@@ -185,7 +185,7 @@
         let backend = ModelBackend::start(1).await;
         let router = Router::start_on(node().0, CONFIGURATION, &[]).await;
         let done = Order {
-            fence: 1,
+            fencing_token: 1,
             number: 1,
             model: "m".into(),
             version: 2,
--- a/router/tests/links.rs
+++ b/router/tests/links.rs
@@ -1,7 +1,7 @@
 //! Questions between routers: each answer reaches the one who asked, whatever comes late, twice,
 //! unasked or not at all.
 
-use control::changes::{Change, Outcome, Refusal};
+use control::changes::{Change, Outcome, Rejection};
 use router::frame::{read_frame, write_frame};
 use router::links::Links;
 use router::protocol::{Frame, Request, Response};
@@ -83,12 +83,16 @@
 
 /// An answer that names the question.
 fn answer_to(version: u64) -> Response {
-    Response::Outcome(Outcome::Refused(Refusal::OtherVersion { current: version }))
+    Response::Outcome(Outcome::Rejected(Rejection::VersionConflict {
+        current: version,
+    }))
 }
 
 fn named(response: Option<Response>) -> Option<u64> {
     match response? {
-        Response::Outcome(Outcome::Refused(Refusal::OtherVersion { current })) => Some(current),
+        Response::Outcome(Outcome::Rejected(Rejection::VersionConflict { current })) => {
+            Some(current)
+        }
         other => panic!("{other:?}"),
     }
 }
--- a/router/tests/orders.rs
+++ b/router/tests/orders.rs
@@ -13,7 +13,7 @@
 use common::model_backend::ModelBackend;
 use common::*;
 use control::directory::{BackendPhase, OrderPhase};
-use control::rollout::OrderTurn;
+use control::rollout::RolloutOwnership;
 use control::state::{Position, WeightsTarget};
 use control::view::ReplicaId;
 use router::fleet::Fleet;
@@ -38,7 +38,7 @@
     let (handle, _) = ReplicaHandle::new(id);
     handle.show(Shown {
         lease: Some((1, u64::MAX)),
-        order_turn: OrderTurn::Held,
+        rollout_ownership: RolloutOwnership::Owned,
         ..Shown::default()
     });
     let fleet = Fleet::new(Arc::new(Router::settings()), Some(handle.clone()), 1);
@@ -93,11 +93,11 @@
         r#"{"models":[{"name":"m","version":1}],"sequence":0}"#,
     ));
     let taken = Act::SayAndClose(answer("202 Accepted", "", "{}"));
-    let silent = others_are_reached(&[Act::Hang]).await;
+    let unresponsive = others_are_reached(&[Act::Hang]).await;
     let silent_to_orders = others_are_reached(&[report.clone(), Act::Hang]).await;
     let crashed = others_are_reached(&[report, taken, Act::Hang]).await;
     assert_eq!(
-        (silent, silent_to_orders, crashed),
+        (unresponsive, silent_to_orders, crashed),
         (true, true, true),
         "with backends that are silent, that report and are silent to orders, and that crash after an order"
     );
@@ -123,7 +123,7 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, becomes(OrderPhase::UnderWay))
+    tokio::time::timeout(PATIENCE, becomes(OrderPhase::InProgress))
         .await
         .expect("it is announced");
     handle.show(Shown::default());
--- a/router/tests/published.rs
+++ b/router/tests/published.rs
@@ -49,7 +49,7 @@
         let (position, base) = (holder.position(), holder.base());
         let answers = [first, second].map(|version| {
             source(version)
-                .news_for(position, base)
+                .update_for(position, base)
                 .expect("there is news")
         });
         for answer in answers {
@@ -58,7 +58,7 @@
         let version = first.max(second);
         if holder.version() != Some(version) {
             let news = source(version)
-                .news_for(holder.position(), holder.base())
+                .update_for(holder.position(), holder.base())
                 .expect("there is news");
             assert!(holder.take(news));
         }
@@ -87,13 +87,13 @@
     holder.take_own(&state);
 
     let news = source(2)
-        .news_for(holder.position(), holder.base())
+        .update_for(holder.position(), holder.base())
         .expect("there is news");
     assert!(!holder.take(news), "steps from another text lead astray");
     assert_eq!(holder.version(), Some(1), "what is in force stays in force");
     assert_eq!(holder.base(), None, "the whole text is wanted");
     let news = source(2)
-        .news_for(holder.position(), holder.base())
+        .update_for(holder.position(), holder.base())
         .expect("there is news");
     assert!(holder.take(news));
     assert_eq!((holder.version(), holder.base()), (Some(2), Some(2)));
--- a/router/tests/pulls.rs
+++ b/router/tests/pulls.rs
@@ -19,8 +19,8 @@
         internal: "127.0.0.1:7560".parse().unwrap(),
         control: None,
         replica: None,
-        life: number,
-        incarnation: 1,
+        incarnation: number,
+        revision: 1,
         status: MemberStatus::Up,
     };
     let position = if base.is_some() {
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -35,8 +35,8 @@
         internal: address(number, 7560),
         control: Some(address(number, 8381)),
         replica: Some(replica(number)),
-        life: u64::from(number),
-        incarnation: 1,
+        incarnation: u64::from(number),
+        revision: 1,
         status,
     }
 }
@@ -88,7 +88,7 @@
         slots: 4,
         phase,
         sequence,
-        silent: false,
+        unresponsive: false,
         owner: "".into(),
         models: Vec::new(),
     }
@@ -321,7 +321,7 @@
         .expect("sound")
         .get(&Key::Backend("i".into()))
     {
-        Some(Value::Backend(backend)) => backend.silent,
+        Some(Value::Backend(backend)) => backend.unresponsive,
         other => panic!("{other:?}"),
     }
 }
--- a/router/tests/stores.rs
+++ b/router/tests/stores.rs
@@ -39,7 +39,7 @@
     stores.answers(address(9), 5);
     let found = stores.of(key).expect("it answers");
     assert_eq!((found.address, found.generation), (address(9), 5));
-    stores.is_silent(address(9));
+    stores.is_unresponsive(address(9));
     assert_eq!(stores.of(key), None);
     assert_eq!(
         stores.status(address(9)),
@@ -60,7 +60,7 @@
         asker.of(PrefixKey(1)).map(|store| store.generation),
         Some(6)
     );
-    reader.is_silent(address(9));
+    reader.is_unresponsive(address(9));
     asker.take_status(address(9), reader.status(address(9)).expect("it was heard"));
     assert_eq!(asker.of(PrefixKey(1)), None);
 }
@@ -87,7 +87,7 @@
         let share = before.iter().filter(|other| **other == port).count();
         assert!((60..140).contains(&share), "{share} of 300 at {port}");
     }
-    stores.is_silent(address(10));
+    stores.is_unresponsive(address(10));
     let after = places(&stores);
     for (before, after) in before.iter().zip(&after) {
         assert!(if *before == 10 {
--- a/router/tests/weights_deadline.rs
+++ b/router/tests/weights_deadline.rs
@@ -26,11 +26,11 @@
 const PROMPT: &str =
     "X-Model-Name: m\r\nX-Token-Counts: 100,10\r\nX-Prompt-Prefix: aa:50,bb:50\r\n";
 
-fn fleet(life: u64) -> Arc<Fleet> {
+fn fleet(incarnation: u64) -> Arc<Fleet> {
     let mut settings = Router::settings();
-    settings.node_name = format!("n{life}").into();
+    settings.node_name = format!("n{incarnation}").into();
     settings.bounds.version_ms = VERSION_MS;
-    Fleet::new(Arc::new(settings), None, life)
+    Fleet::new(Arc::new(settings), None, incarnation)
 }
 
 /// Answers other routers.
--- a/router/tests/wire_format.rs
+++ b/router/tests/wire_format.rs
@@ -4,13 +4,13 @@
 //! The fixtures were written by the program as it was before its types were renamed. Each line is
 //! the name of a sample and its bytes in hexadecimal digits.
 
-use control::changes::{Change, Outcome, Refusal};
+use control::changes::{Change, Outcome, Rejection};
 use control::digest::{Range, Summary};
 use control::directory::{
     Backend, BackendPhase, Key, Member, MemberStatus, Order, OrderPhase, Origin, Record, Stamp,
     Suspicion, Value,
 };
-use control::history::{History, News};
+use control::history::{History, TextUpdate};
 use control::message::{Envelope, Message};
 use control::state::{Position, WeightsTarget};
 use control::view::ReplicaId;
@@ -109,7 +109,7 @@
         slots: 64,
         phase: BackendPhase::Draining,
         sequence: 300,
-        silent: true,
+        unresponsive: true,
         owner: "node-2".into(),
         models: vec![("daka510000".into(), 3)],
     }
@@ -121,15 +121,15 @@
         internal: address(2),
         control: Some(address(3)),
         replica: Some(replica(2)),
-        life: 77,
-        incarnation: 4,
+        incarnation: 77,
+        revision: 4,
         status: MemberStatus::Up,
     }
 }
 
 fn records() -> Vec<(Key, Value)> {
     let order = Order {
-        fence: 41,
+        fencing_token: 41,
         number: 2,
         model: "daka510000".into(),
         version: 3,
@@ -180,7 +180,7 @@
             index: 8,
         },
     )]);
-    let news = News::Whole {
+    let news = TextUpdate::Full {
         version: 3,
         text: CONFIGURATION.to_vec(),
     };
@@ -191,25 +191,25 @@
     }
 }
 
-fn steps() -> News {
+fn steps() -> TextUpdate {
     let mut history = History::default();
     history.advance(1, "{\"r\":1}".repeat(40).into_bytes());
     history.advance(
         2,
         format!("{}{}", "{\"r\":2}", "{\"r\":1}".repeat(40)).into_bytes(),
     );
-    history.news_for(1).unwrap()
+    history.update_for(1).unwrap()
 }
 
 fn requests() -> Vec<(&'static str, Request)> {
     let message = Message::Decided {
-        view: control::view::View::founding([replica(1)].into()).unwrap(),
+        view: control::view::View::bootstrap([replica(1)].into()).unwrap(),
     };
     let envelope = Envelope {
         from: replica(1),
-        life: 77,
+        incarnation: 77,
         to: replica(2),
-        answers: None,
+        in_reply_to: None,
         message,
     };
     let configuration = Change::Configuration {
@@ -253,7 +253,7 @@
         (
             "submit.order_holder",
             Request::Submit {
-                change: Change::OrderHolder {
+                change: Change::RolloutOwner {
                     replica: replica(3),
                 },
                 hops: 0,
@@ -353,14 +353,14 @@
             Response::Pulled(Box::new(pulled(Some(differences)))),
         ),
         ("pulled.bare", Response::Pulled(Box::new(pulled(None)))),
-        ("outcome.done", Response::Outcome(Outcome::Done)),
+        ("outcome.done", Response::Outcome(Outcome::Committed)),
         (
             "outcome.refused",
-            Response::Outcome(Outcome::Refused(Refusal::OtherVersion { current: 4 })),
+            Response::Outcome(Outcome::Rejected(Rejection::VersionConflict { current: 4 })),
         ),
         (
             "outcome.invalid",
-            Response::Outcome(Outcome::Refused(Refusal::Invalid("routes[0]".into()))),
+            Response::Outcome(Outcome::Rejected(Rejection::Invalid("routes[0]".into()))),
         ),
         ("outcome.unknown", Response::Outcome(Outcome::Unknown)),
         ("configuration.unknown", Response::Configuration(None)),
@@ -409,7 +409,7 @@
         "datagram.heartbeat",
         &MemberHeartbeat {
             name: "node-1".into(),
-            life: 77,
+            incarnation: 77,
         },
     );
     fixtures.finish();
