--- a/control/src/configuration.rs
+++ b/control/src/configuration.rs
@@ -9,10 +9,10 @@
 
 /// Why a configuration can't be taken.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Problem {
+pub enum ConfigurationError {
     /// Not JSON, or not all of it.
     #[error("the body is not whole JSON: {0}; send it again, complete")]
-    Unreadable(String),
+    InvalidJson(String),
     /// A field is missing or of another type.
     #[error("{path} is missing or not {wanted}: give it such a value")]
     Field {
@@ -33,7 +33,7 @@
     },
     /// Two routes have one place.
     #[error("routes {first} and {second} have the same host and pathPrefix: change one of them")]
-    SamePlace {
+    DuplicateRoute {
         /// One route's name.
         first: CompactString,
         /// The other's.
@@ -43,19 +43,19 @@
     #[error(
         "the weights of routes[{route}].trafficSplit add up to 0: give at least one of them weight"
     )]
-    NoWeight {
+    ZeroWeight {
         /// The route's name.
         route: CompactString,
     },
     /// A route gives no time.
     #[error("routes[{route}].timeoutMs is 0: allowed is 1 and more")]
-    NoTimeout {
+    ZeroTimeout {
         /// The route's name.
         route: CompactString,
     },
     /// The version does not rise.
     #[error("version {found} is not above the current {current}: send a higher one")]
-    OldVersion {
+    StaleVersion {
         /// The version found.
         found: u64,
         /// The version in force.
@@ -110,7 +110,7 @@
     /// A stream may be continued at another backend.
     pub resumable: bool,
     /// The longest pause between events.
-    pub gap_aim_ms: u64,
+    pub gap_target_ms: u64,
 }
 
 impl Route {
@@ -216,7 +216,7 @@
     /// Its tenants.
     pub tenants: Vec<Tenant>,
     keys: HashMap<String, usize>,
-    places: HashMap<CompactString, Vec<usize>>,
+    route_index: HashMap<CompactString, Vec<usize>>,
 }
 
 /// Who may send a request.
@@ -232,25 +232,25 @@
 
 impl Configuration {
     /// Reads and checks a configuration, apart from whether its version rises.
-    pub fn parse(body: &[u8]) -> Result<Self, Problem> {
+    pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut bytes = body.to_vec();
         let value: OwnedValue = simd_json::to_owned_value(&mut bytes)
-            .map_err(|problem| Problem::Unreadable(problem.to_string()))?;
+            .map_err(|error| ConfigurationError::InvalidJson(error.to_string()))?;
         let mut parsed = Configuration {
             version: number(&value, "version").ok_or_else(|| field("version", "a whole number"))?,
             limits: read_limits(value.get("limits")),
             ..Configuration::default()
         };
-        for (at, service) in list(&value, "services")?.iter().enumerate() {
-            let (name, service) = read_service(service, at)?;
+        for (index, service) in list(&value, "services")?.iter().enumerate() {
+            let (name, service) = read_service(service, index)?;
             parsed.services.insert(name, service);
         }
-        for (at, route) in list(&value, "routes")?.iter().enumerate() {
-            parsed.routes.push(read_route(route, at)?);
+        for (index, route) in list(&value, "routes")?.iter().enumerate() {
+            parsed.routes.push(read_route(route, index)?);
         }
         if value.get("tenants").is_some() {
-            for (at, tenant) in list(&value, "tenants")?.iter().enumerate() {
-                parsed.add_tenant(tenant, at)?;
+            for (index, tenant) in list(&value, "tenants")?.iter().enumerate() {
+                parsed.add_tenant(tenant, index)?;
             }
         }
         parsed.check()?;
@@ -258,8 +258,8 @@
         Ok(parsed)
     }
 
-    fn add_tenant(&mut self, value: &OwnedValue, at: usize) -> Result<(), Problem> {
-        let path = format!("tenants[{at}]");
+    fn add_tenant(&mut self, value: &OwnedValue, index: usize) -> Result<(), ConfigurationError> {
+        let path = format!("tenants[{index}]");
         let tenant = Tenant {
             name: text(value, "name").ok_or_else(|| field(&format!("{path}.name"), "a text"))?,
             priority: number(value, "priority").unwrap_or(0).min(9) as u8,
@@ -273,15 +273,15 @@
                 && other != self.tenants.len()
             {
                 let (first, second) = (self.tenants[other].name.clone(), tenant.name);
-                return Err(Problem::SharedKey { first, second });
+                return Err(ConfigurationError::SharedKey { first, second });
             }
         }
         self.tenants.push(tenant);
         Ok(())
     }
 
-    fn check(&self) -> Result<(), Problem> {
-        let mut places: HashMap<(&str, &str), &Route> = HashMap::new();
+    fn check(&self) -> Result<(), ConfigurationError> {
+        let mut seen: HashMap<(&str, &str), &Route> = HashMap::new();
         for route in &self.routes {
             let unknown = route
                 .split
@@ -289,40 +289,43 @@
                 .find(|(service, _)| !self.services.contains_key(service));
             if let Some((service, _)) = unknown {
                 let (route, service) = (route.name.clone(), service.clone());
-                return Err(Problem::UnknownService { route, service });
+                return Err(ConfigurationError::UnknownService { route, service });
             }
             if route.split.iter().map(|(_, weight)| weight).sum::<u64>() == 0 {
-                return Err(Problem::NoWeight {
+                return Err(ConfigurationError::ZeroWeight {
                     route: route.name.clone(),
                 });
             }
             if route.timeout_ms == 0 {
-                return Err(Problem::NoTimeout {
+                return Err(ConfigurationError::ZeroTimeout {
                     route: route.name.clone(),
                 });
             }
-            if let Some(other) = places.insert((&route.host, &route.path_prefix), route) {
+            if let Some(other) = seen.insert((&route.host, &route.path_prefix), route) {
                 let (first, second) = (other.name.clone(), route.name.clone());
-                return Err(Problem::SamePlace { first, second });
+                return Err(ConfigurationError::DuplicateRoute { first, second });
             }
         }
         Ok(())
     }
 
     fn index(&mut self) {
-        for (at, route) in self.routes.iter().enumerate() {
-            self.places.entry(route.host.clone()).or_default().push(at);
+        for (index, route) in self.routes.iter().enumerate() {
+            self.route_index
+                .entry(route.host.clone())
+                .or_default()
+                .push(index);
         }
         let routes = &self.routes;
-        for places in self.places.values_mut() {
-            places.sort_by_key(|at| std::cmp::Reverse(routes[*at].path_prefix.len()));
+        for candidates in self.route_index.values_mut() {
+            candidates.sort_by_key(|index| std::cmp::Reverse(routes[*index].path_prefix.len()));
         }
     }
 
     /// The route of a host and a path: the one with the longest prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let places = self.places.get(host)?;
-        let mut routes = places.iter().map(|at| &self.routes[*at]);
+        let candidates = self.route_index.get(host)?;
+        let mut routes = candidates.iter().map(|index| &self.routes[*index]);
         routes.find(|route| path.starts_with(route.path_prefix.as_str()))
     }
 
@@ -330,7 +333,7 @@
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access<'_> {
         let tenant = key
             .and_then(|key| self.keys.get(key))
-            .map(|at| &self.tenants[*at]);
+            .map(|index| &self.tenants[*index]);
         match tenant {
             Some(tenant) => Access::Tenant(tenant),
             None if route.public || self.tenants.is_empty() => Access::Open,
@@ -339,8 +342,8 @@
     }
 }
 
-fn field(path: &str, wanted: &'static str) -> Problem {
-    Problem::Field {
+fn field(path: &str, wanted: &'static str) -> ConfigurationError {
+    ConfigurationError::Field {
         path: path.to_owned(),
         wanted,
     }
@@ -348,10 +351,10 @@
 
 fn number(value: &OwnedValue, key: &str) -> Option<u64> {
     let value = value.get(key)?;
-    let whole = value
+    let integral = value
         .as_f64()
         .filter(|float| float.fract() == 0.0 && *float >= 0.0);
-    value.as_u64().or(whole.map(|float| float as u64))
+    value.as_u64().or(integral.map(|float| float as u64))
 }
 
 fn decimal(value: &OwnedValue, key: &str) -> Option<f64> {
@@ -369,26 +372,33 @@
         .unwrap_or(false)
 }
 
-fn list<'a>(value: &'a OwnedValue, key: &str) -> Result<&'a [OwnedValue], Problem> {
+fn list<'a>(value: &'a OwnedValue, key: &str) -> Result<&'a [OwnedValue], ConfigurationError> {
     let list = value.get(key).and_then(|value| value.as_array());
     list.map(|list| &list[..])
         .ok_or_else(|| field(key, "a list"))
 }
 
 fn read_limits(value: Option<&OwnedValue>) -> Limits {
-    let usual = Limits::default();
-    let get = |key: &str, usual: u64| value.and_then(|value| number(value, key)).unwrap_or(usual);
+    let defaults = Limits::default();
+    let get = |key: &str, default: u64| {
+        value
+            .and_then(|value| number(value, key))
+            .unwrap_or(default)
+    };
     Limits {
-        max_header_bytes: get("maxHeaderBytes", usual.max_header_bytes),
-        max_body_bytes: get("maxBodyBytes", usual.max_body_bytes),
-        header_timeout_ms: get("headerTimeoutMs", usual.header_timeout_ms),
-        idle_timeout_ms: get("idleTimeoutMs", usual.idle_timeout_ms),
+        max_header_bytes: get("maxHeaderBytes", defaults.max_header_bytes),
+        max_body_bytes: get("maxBodyBytes", defaults.max_body_bytes),
+        header_timeout_ms: get("headerTimeoutMs", defaults.header_timeout_ms),
+        idle_timeout_ms: get("idleTimeoutMs", defaults.idle_timeout_ms),
     }
 }
 
-fn read_service(value: &OwnedValue, at: usize) -> Result<(CompactString, Service), Problem> {
+fn read_service(
+    value: &OwnedValue,
+    index: usize,
+) -> Result<(CompactString, Service), ConfigurationError> {
     let name =
-        text(value, "name").ok_or_else(|| field(&format!("services[{at}].name"), "a text"))?;
+        text(value, "name").ok_or_else(|| field(&format!("services[{index}].name"), "a text"))?;
     let engine = value.get("engine").map(|engine| Engine {
         slots: number(engine, "slots").unwrap_or(1).max(1) as u32,
         kv_capacity: number(engine, "kvCapacity").unwrap_or(0),
@@ -426,8 +436,8 @@
     Ok((name, service))
 }
 
-fn read_route(value: &OwnedValue, at: usize) -> Result<Route, Problem> {
-    let path = |key: &str| format!("routes[{at}].{key}");
+fn read_route(value: &OwnedValue, index: usize) -> Result<Route, ConfigurationError> {
+    let path = |key: &str| format!("routes[{index}].{key}");
     let wanted = |key: &str| text(value, key).ok_or_else(|| field(&path(key), "a text"));
     let kind = match value.get("kind").and_then(|kind| kind.as_str()) {
         Some("safe") => Kind::Safe,
@@ -443,7 +453,7 @@
                     .ok_or_else(|| field(&path("trafficSplit"), "services with weights"))?;
                 Ok((service, number(part, "weight").unwrap_or(0)))
             })
-            .collect::<Result<Vec<_>, Problem>>()?,
+            .collect::<Result<Vec<_>, ConfigurationError>>()?,
         None => vec![(wanted("service")?, 1)],
     };
     let timeout =
@@ -461,6 +471,6 @@
         public: flag(value, "public"),
         sticky: flag(value, "sticky"),
         resumable: flag(value, "resumable"),
-        gap_aim_ms: number(value, "gap_aim_ms").unwrap_or(0),
+        gap_target_ms: number(value, "gap_aim_ms").unwrap_or(0),
     })
 }
--- a/control/src/digest.rs
+++ b/control/src/digest.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// A range with at most so many records is listed instead of being halved again.
-const LISTED: usize = 8;
+const MAX_LISTED_RECORDS: usize = 8;
 
 /// A range of the hashed key space: all keys whose hash begins with these bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     /// Every key.
     pub const ALL: Range = Range { prefix: 0, bits: 0 };
 
-    fn holds(self, hash: u64) -> bool {
+    fn contains(self, hash: u64) -> bool {
         self.bits == 0 || (hash ^ self.prefix) >> (64 - u32::from(self.bits)) == 0
     }
 
@@ -68,7 +68,7 @@
             .entries
             .range(range.prefix..)
             .map(|(key, content)| (*key, *content));
-        entries.take_while(move |(key, _)| range.holds(*key))
+        entries.take_while(move |(key, _)| range.contains(*key))
     }
 
     /// The digest of a range: the same for the same records.
@@ -85,7 +85,7 @@
 
     /// What this holder says of a range.
     pub fn summary(&self, range: Range) -> Summary {
-        let few = self.within(range).nth(LISTED).is_none();
+        let few = self.within(range).nth(MAX_LISTED_RECORDS).is_none();
         if few {
             Summary::Listed(self.within(range).collect())
         } else {
@@ -95,8 +95,8 @@
 
     /// Compares what another holder says of a range: the ranges to go on with, and keys whose
     /// records differ or are missing here.
-    pub fn compare(&self, range: Range, told: &Summary) -> (Vec<Range>, Vec<u64>) {
-        match told {
+    pub fn compare(&self, range: Range, remote: &Summary) -> (Vec<Range>, Vec<u64>) {
+        match remote {
             Summary::Digest(digest) if *digest == self.digest(range) => (Vec::new(), Vec::new()),
             Summary::Digest(_) => (range.halves().to_vec(), Vec::new()),
             Summary::Listed(listed) => {
--- a/control/src/directory.rs
+++ b/control/src/directory.rs
@@ -98,8 +98,8 @@
 
     /// Writes a record of this node's own. False where what is held ranks higher or says the same.
     pub fn put(&mut self, key: Key, value: Value) -> bool {
-        if let Some((_, held)) = self.records.get(&key)
-            && !value.outranks(held)
+        if let Some((_, current)) = self.records.get(&key)
+            && !value.outranks(current)
         {
             return false;
         }
@@ -109,13 +109,13 @@
             origin: self.own,
             counter: *counter,
         };
-        self.hold(key, stamp, value);
+        self.insert(key, stamp, value);
         true
     }
 
-    fn hold(&mut self, key: Key, stamp: Stamp, value: Value) {
-        if let Some((former, _)) = self.records.insert(key.clone(), (stamp, value)) {
-            self.by_stamp.remove(&(former.origin, former.counter));
+    fn insert(&mut self, key: Key, stamp: Stamp, value: Value) {
+        if let Some((previous, _)) = self.records.insert(key.clone(), (stamp, value)) {
+            self.by_stamp.remove(&(previous.origin, previous.counter));
         }
         self.by_stamp.insert((stamp.origin, stamp.counter), key);
     }
@@ -167,10 +167,10 @@
     pub fn merge(&mut self, news: Vec<Record>, vector: &VersionVector) -> BTreeSet<Key> {
         let mut changed = BTreeSet::new();
         for record in news {
-            let held = self.records.get(&record.key);
-            if held.is_none_or(|(_, held)| record.value.outranks(held)) {
+            let current = self.records.get(&record.key);
+            if current.is_none_or(|(_, current)| record.value.outranks(current)) {
                 changed.insert(record.key.clone());
-                self.hold(record.key, record.stamp, record.value);
+                self.insert(record.key, record.stamp, record.value);
             }
         }
         for (origin, counter) in vector {
@@ -183,31 +183,31 @@
     /// Keys of what has ended: backends that are gone with their orders and suspicions, and members
     /// that are not there.
     pub fn expired(&self) -> BTreeSet<Key> {
-        let is_gone = |id: &CompactString| {
+        let is_deregistered = |id: &CompactString| {
             let backend = self.get(&Key::Backend(id.clone()));
             backend.is_none_or(
                 |value| matches!(value, Value::Backend(b) if b.phase == BackendPhase::Gone),
             )
         };
-        let has_ended = |key: &Key, value: &Value| match (key, value) {
-            (Key::Backend(id) | Key::Order(id) | Key::Suspicion(id), _) => is_gone(id),
+        let is_expired = |key: &Key, value: &Value| match (key, value) {
+            (Key::Backend(id) | Key::Order(id) | Key::Suspicion(id), _) => is_deregistered(id),
             (_, Value::Member(member)) => member.status != MemberStatus::Up,
             _ => false,
         };
-        let ended = self
+        let expired = self
             .records
             .iter()
-            .filter(|(key, (_, value))| has_ended(key, value));
-        ended.map(|(key, _)| key.clone()).collect()
+            .filter(|(key, (_, value))| is_expired(key, value));
+        expired.map(|(key, _)| key.clone()).collect()
     }
 
     /// Backends and members, to be kept on disk.
     pub fn persistent_records(&self) -> Vec<(Key, Value)> {
-        let lasting = self
+        let persistent = self
             .records
             .iter()
             .filter(|(key, _)| !matches!(key, Key::Order(_) | Key::Suspicion(_)));
-        lasting
+        persistent
             .map(|(key, (_, value))| (key.clone(), value.clone()))
             .collect()
     }
--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -72,10 +72,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ApplyError {
     /// No delta starts from the text held.
-    #[error("no step starts from version {held}: ask again with that version")]
+    #[error("no step starts from version {current}: ask again with that version")]
     BaseMismatch {
         /// The version held; 0 for none.
-        held: u64,
+        current: u64,
     },
     /// A delta leads to another text than it should.
     #[error("the text of version {version} does not have its checksum: ask for the whole text")]
@@ -125,16 +125,16 @@
         if self.version == 0 || base == self.version {
             return None;
         }
-        let whole = || TextUpdate::Full {
+        let full = || TextUpdate::Full {
             version: self.version,
             text: self.text.clone(),
         };
         let Some(first) = self.deltas.iter().position(|delta| delta.base == base) else {
-            return Some(whole());
+            return Some(full());
         };
         let deltas = self.deltas.range(first..);
         if deltas.clone().map(Delta::size).sum::<usize>() >= self.text.len() {
-            return Some(whole());
+            return Some(full());
         }
         Some(TextUpdate::Deltas(deltas.cloned().collect()))
     }
@@ -145,7 +145,9 @@
             TextUpdate::Full { version, text } => self.advance(version, text),
             TextUpdate::Deltas(deltas) => {
                 let first = deltas.iter().position(|delta| delta.base == self.version);
-                let first = first.ok_or(ApplyError::BaseMismatch { held: self.version })?;
+                let first = first.ok_or(ApplyError::BaseMismatch {
+                    current: self.version,
+                })?;
                 let text = apply_deltas(&self.text, &deltas[first..])?;
                 for delta in deltas.into_iter().skip(first) {
                     self.version = delta.version;
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -7,21 +7,21 @@
 //! singleton work exclusive; whatever else is answered without a change being stored is confirmed
 //! by a majority after the call came.
 
-mod backlog;
-mod calls;
 mod lease;
 mod membership;
 mod orders;
+mod pending_calls;
 mod primary;
+mod recent_updates;
 mod replication;
 mod timing;
 mod views;
 
 pub use timing::Timing;
 
-use backlog::Backlog;
-use calls::Calls;
+use pending_calls::PendingCalls;
 use primary::{Primary, Stage};
+use recent_updates::RecentUpdates;
 
 use crate::Millis;
 use crate::changes::{Change, Outcome, ReadOutcome};
@@ -116,23 +116,23 @@
     state: ControlState,
     tail: Option<Update>,
     tail_ticket: Option<Ticket>,
-    backlog: Backlog,
+    recent_updates: RecentUpdates,
     role: Role,
     leaving: bool,
     attempt: Option<Attempt>,
-    attempt_resend_at: Millis,
+    retransmit_at: Millis,
     proposal_round: u64,
-    heard_primary: Millis,
+    last_primary_contact: Millis,
     current_at: Option<Millis>,
-    retry_at: Millis,
+    next_attempt_at: Millis,
     join_at: Millis,
-    known: BTreeSet<ReplicaId>,
-    calls: Calls,
+    known_replicas: BTreeSet<ReplicaId>,
+    calls: PendingCalls,
     former_owner: FormerOwner,
-    made: u64,
-    durable: u64,
-    waiting_since: Millis,
-    held: VecDeque<(u64, Envelope)>,
+    last_write: u64,
+    last_durable_write: u64,
+    write_pending_since: Millis,
+    pending_replies: VecDeque<(u64, Envelope)>,
     inbox: VecDeque<Envelope>,
     effects: Vec<Effect>,
 }
@@ -158,24 +158,24 @@
             state: recovered.state,
             tail: recovered.tail,
             tail_ticket: None,
-            backlog: Backlog::new(last),
+            recent_updates: RecentUpdates::new(last),
             identity,
             timing,
             leaving: false,
             attempt: None,
-            attempt_resend_at: 0,
+            retransmit_at: 0,
             proposal_round: 0,
-            heard_primary: if own { 0 } else { now },
+            last_primary_contact: if own { 0 } else { now },
             current_at: None,
-            retry_at: 0,
+            next_attempt_at: 0,
             join_at: 0,
-            known: BTreeSet::new(),
-            calls: Calls::default(),
+            known_replicas: BTreeSet::new(),
+            calls: PendingCalls::default(),
             former_owner: FormerOwner::default(),
-            made: 0,
-            durable: 0,
-            waiting_since: now,
-            held: VecDeque::new(),
+            last_write: 0,
+            last_durable_write: 0,
+            write_pending_since: now,
+            pending_replies: VecDeque::new(),
             inbox: VecDeque::new(),
             effects: Vec::new(),
         };
@@ -235,17 +235,17 @@
     pub fn lease(&self, now: Millis) -> Option<(Epoch, Millis)> {
         match &self.role {
             Role::Primary(primary) if !matches!(primary.stage, Stage::Starting { .. }) => {
-                let until = self.lease_until(primary);
+                let until = self.lease_expires_at(primary);
                 (now < until).then(|| (self.epoch(), until))
             }
             _ => None,
         }
     }
 
-    fn lease_until(&self, primary: &Primary) -> Millis {
+    fn lease_expires_at(&self, primary: &Primary) -> Millis {
         let lasts = self.timing.lease - self.timing.lease_margin;
         self.view()
-            .map_or(0, |view| primary.lease.until(view, lasts))
+            .map_or(0, |view| primary.lease.expires_at(view, lasts))
     }
 
     /// When the committed state here was the newest for certain: this replica led, or its primary
@@ -260,7 +260,7 @@
 
     /// Other replicas that are known to exist, of which one may be asked to be taken in.
     pub fn set_known_replicas(&mut self, replicas: BTreeSet<ReplicaId>) {
-        self.known = replicas;
+        self.known_replicas = replicas;
     }
 
     /// Takes what has to be done.
@@ -278,8 +278,8 @@
             return;
         }
         self.calls.submit(ticket, change, now);
-        self.order_next(now);
-        self.work(now);
+        self.replicate_next(now);
+        self.process_inbox(now);
     }
 
     /// A caller asks for the newest configuration; the answer comes as an effect.
@@ -293,15 +293,15 @@
         }
         self.calls.read(ticket, now);
         self.confirm_calls(now);
-        self.work(now);
+        self.process_inbox(now);
     }
 
     /// The writes up to this one are on disk.
     pub fn on_stored(&mut self, sequence: u64, now: Millis) {
-        self.durable = self.durable.max(sequence);
-        self.waiting_since = now;
-        self.release();
-        self.work(now);
+        self.last_durable_write = self.last_durable_write.max(sequence);
+        self.write_pending_since = now;
+        self.release_replies();
+        self.process_inbox(now);
     }
 
     /// A message from another replica.
@@ -311,7 +311,7 @@
             .is_some_and(|incarnation| incarnation != self.identity.incarnation);
         if envelope.to == self.identity.id && !is_late {
             self.inbox.push_back(envelope);
-            self.work(now);
+            self.process_inbox(now);
         }
     }
 
@@ -323,16 +323,16 @@
             Role::Backup => self.tick_backup(now),
             Role::Outside => {}
         }
-        self.tick_member(now);
+        self.tick_membership(now);
         self.tick_attempt(now);
-        self.work(now);
+        self.process_inbox(now);
     }
 
     // ---- state changes
     // -------------------------------------------------------------------------------------
 
     /// The one place where the role changes.
-    fn enter(&mut self, role: Role, cause: &'static str) {
+    fn transition(&mut self, role: Role, cause: &'static str) {
         let was_primary = matches!(self.role, Role::Primary(_));
         let before = self.role();
         self.role = role;
@@ -373,10 +373,10 @@
     // ------------------------------------------------------------------------------------------
 
     /// Handles what this replica has said to itself, and what came from others.
-    fn work(&mut self, now: Millis) {
+    fn process_inbox(&mut self, now: Millis) {
         while let Some(envelope) = self.inbox.pop_front() {
             if let Role::Primary(primary) = &mut self.role {
-                primary.hear(&envelope.from, now);
+                primary.record_contact(&envelope.from, now);
             }
             self.handle(envelope, now);
         }
@@ -389,7 +389,7 @@
             message,
             ..
         } = envelope;
-        let asker = Asker {
+        let requester = Requester {
             replica: from.clone(),
             incarnation,
         };
@@ -400,7 +400,7 @@
                 committed,
                 echo,
             } => {
-                self.on_heartbeat(asker, epoch, sequence, committed, echo, now);
+                self.on_heartbeat(requester, epoch, sequence, committed, echo, now);
             }
             Message::HeartbeatReply {
                 epoch,
@@ -410,7 +410,7 @@
                 wants_view,
                 sent_at,
             } => {
-                let reply = views::HeartbeatAnswer {
+                let reply = views::HeartbeatReply {
                     sequence,
                     granted,
                     other_view,
@@ -420,32 +420,36 @@
                 };
                 self.on_heartbeat_reply(from, epoch, reply, now);
             }
-            Message::Prepare { current, number } => self.on_prepare(asker, current, number, now),
+            Message::Prepare { current, number } => {
+                self.on_prepare(requester, current, number, now)
+            }
             Message::PrepareReply { number, vote } => self.on_vote(&from, &number, vote, now),
-            Message::Accept { current, proposal } => self.on_accept(asker, current, proposal, now),
+            Message::Accept { current, proposal } => {
+                self.on_accept(requester, current, proposal, now)
+            }
             Message::AcceptReply { number, answer } => {
                 self.on_accept_reply(&from, &number, answer, now)
             }
             Message::Decided { view } => self.learn(view, now),
-            Message::Synchronize { epoch } => self.on_synchronize(asker, epoch),
+            Message::Synchronize { epoch } => self.on_synchronize(requester, epoch),
             Message::StoredPositions {
                 epoch,
                 last,
                 committed,
             } => {
                 if epoch == self.epoch() {
-                    self.on_holds(from, last, committed, now);
+                    self.on_stored_positions(from, last, committed, now);
                 }
             }
             Message::Install { epoch, state, tail } => {
-                self.on_install(asker, epoch, state, tail, now)
+                self.on_install(requester, epoch, state, tail, now)
             }
             Message::Replicate {
                 epoch,
                 previous,
                 updates,
             } => {
-                self.on_replicate(asker, epoch, previous, updates, now);
+                self.on_replicate(requester, epoch, previous, updates, now);
             }
             Message::Committed { epoch, position } => {
                 if self.is_primary_of(&from, epoch) {
@@ -490,16 +494,16 @@
         self.dispatch(envelope);
     }
 
-    fn answer(&mut self, asker: Asker, message: Message) {
-        let envelope = self.envelope(asker.replica, Some(asker.incarnation), message);
+    fn reply(&mut self, requester: Requester, message: Message) {
+        let envelope = self.envelope(requester.replica, Some(requester.incarnation), message);
         self.dispatch(envelope);
     }
 
     /// Answers once everything that was to be stored so far is on disk.
-    fn answer_stored(&mut self, asker: Asker, message: Message) {
-        let envelope = self.envelope(asker.replica, Some(asker.incarnation), message);
-        self.held.push_back((self.made, envelope));
-        self.release();
+    fn reply_when_durable(&mut self, requester: Requester, message: Message) {
+        let envelope = self.envelope(requester.replica, Some(requester.incarnation), message);
+        self.pending_replies.push_back((self.last_write, envelope));
+        self.release_replies();
     }
 
     fn dispatch(&mut self, envelope: Envelope) {
@@ -510,25 +514,25 @@
         }
     }
 
-    fn release(&mut self) {
+    fn release_replies(&mut self) {
         while self
-            .held
+            .pending_replies
             .front()
-            .is_some_and(|(after, _)| *after <= self.durable)
+            .is_some_and(|(after, _)| *after <= self.last_durable_write)
         {
-            if let Some((_, envelope)) = self.held.pop_front() {
+            if let Some((_, envelope)) = self.pending_replies.pop_front() {
                 self.dispatch(envelope);
             }
         }
     }
 
     fn store(&mut self, records: Vec<Record>, now: Millis) {
-        if self.durable == self.made {
-            self.waiting_since = now;
+        if self.last_durable_write == self.last_write {
+            self.write_pending_since = now;
         }
-        self.made += 1;
+        self.last_write += 1;
         self.effects.push(Effect::Store {
-            sequence: self.made,
+            sequence: self.last_write,
             records,
         });
     }
@@ -538,11 +542,12 @@
         self.store(vec![Record::Votes(votes)], now);
     }
 
-    fn storage_is_stuck(&self, now: Millis) -> bool {
-        self.durable < self.made && now >= self.waiting_since + self.timing.storage_patience
+    fn is_storage_stalled(&self, now: Millis) -> bool {
+        self.last_durable_write < self.last_write
+            && now >= self.write_pending_since + self.timing.storage_timeout
     }
 
-    fn last(&self) -> Position {
+    fn last_position(&self) -> Position {
         self.tail
             .as_ref()
             .map_or(self.state.position, |tail| tail.position)
@@ -556,7 +561,7 @@
 
 /// Who sent a message, in which life: its answer names that life.
 #[derive(Debug, Clone)]
-struct Asker {
+struct Requester {
     replica: ReplicaId,
     incarnation: Incarnation,
 }
--- a/control/src/node/membership.rs
+++ b/control/src/node/membership.rs
@@ -37,8 +37,8 @@
             in_sync: replicas.clone(),
             witnesses: replicas,
         };
-        self.attempt_view(current, wanted, Intent::Change, now);
-        self.work(now);
+        self.propose_view(current, wanted, Intent::Change, now);
+        self.process_inbox(now);
     }
 
     /// The process is about to end: a primary hands its role over, and the others are asked to go
@@ -47,8 +47,8 @@
         self.leaving = true;
         self.resign("the process is about to end", now);
         self.join_at = now;
-        self.tick_member(now);
-        self.work(now);
+        self.tick_membership(now);
+        self.process_inbox(now);
     }
 
     /// Whether the process may end without a change waiting for it, or a copy being the last one.
@@ -59,8 +59,8 @@
 
     /// A replica that does not store every change asks the primary, or whoever is known, to be
     /// taken in; one whose process is about to end asks to be taken out.
-    pub(super) fn tick_member(&mut self, now: Millis) {
-        if now < self.join_at || self.storage_is_stuck(now) {
+    pub(super) fn tick_membership(&mut self, now: Millis) {
+        if now < self.join_at || self.is_storage_stalled(now) {
             return;
         }
         let is_in_sync = self
@@ -71,14 +71,14 @@
                 epoch: self.epoch(),
             },
             (false, false) => Message::Join {
-                last: self.last(),
+                last: self.last_position(),
                 committed: self.state.position,
             },
             _ => return,
         };
         self.join_at = now + self.timing.join_interval;
         let mut asked = self.view().map(View::participants).unwrap_or_default();
-        asked.extend(self.known.iter().cloned());
+        asked.extend(self.known_replicas.iter().cloned());
         asked.remove(self.id());
         for replica in asked {
             self.send(replica, message.clone());
@@ -105,7 +105,7 @@
         primary.joiners.insert(from.clone(), now);
         primary.leaving.remove(&from);
         self.send(from.clone(), Message::Decided { view });
-        self.on_holds(from, last, committed, now);
+        self.on_stored_positions(from, last, committed, now);
     }
 
     pub(super) fn on_leave(&mut self, from: ReplicaId, epoch: Epoch, now: Millis) {
@@ -121,7 +121,7 @@
     /// Asks for another view where replicas have fallen silent or are leaving, or another one has
     /// caught up.
     pub(super) fn reconsider_view(&mut self, now: Millis) {
-        if self.attempt.is_some() || now < self.retry_at {
+        if self.attempt.is_some() || now < self.next_attempt_at {
             return;
         }
         let Some(view) = self.view().cloned() else {
@@ -130,9 +130,9 @@
         let wanted = self.wanted_view(&view, now);
         // A proposal that was given up may still be decided by others: the next view, even the same
         // one, ends that.
-        let has_open_proposal = !self.required_copies().is_subset(&view.in_sync);
+        let has_open_proposal = !self.required_acks().is_subset(&view.in_sync);
         if wanted != view || has_open_proposal {
-            self.attempt_view(view, wanted, Intent::Change, now);
+            self.propose_view(view, wanted, Intent::Change, now);
         }
     }
 
@@ -142,11 +142,19 @@
         let Role::Primary(primary) = &self.role else {
             return wanted;
         };
-        let (own, silence, witness_silence) =
-            (self.id(), self.timing.silence, self.timing.witness_silence);
-        let unresponsive = primary.unresponsive(view, own, silence, now);
-        let idle = |wanted: &View| primary.silent_witness(wanted, own, witness_silence, now);
-        let joiner = primary.caught_up(self.last(), self.state.position, silence, now);
+        let (own, replica_timeout, witness_timeout) = (
+            self.id(),
+            self.timing.replica_timeout,
+            self.timing.witness_timeout,
+        );
+        let unresponsive = primary.unresponsive(view, own, replica_timeout, now);
+        let idle = |wanted: &View| primary.unresponsive_witness(wanted, own, witness_timeout, now);
+        let joiner = primary.caught_up(
+            self.last_position(),
+            self.state.position,
+            replica_timeout,
+            now,
+        );
         if let Some(joiner) = &joiner {
             wanted.in_sync.insert(joiner.clone());
         }
@@ -155,7 +163,7 @@
             .iter()
             .filter(|member| !unresponsive.contains(*member));
         for member in unresponsive.iter().chain(leaving) {
-            if wanted.in_sync.len() > self.needed_copies() {
+            if wanted.in_sync.len() > self.min_in_sync() {
                 wanted.in_sync.remove(member);
             }
         }
--- a/control/src/node/calls.rs
+++ b/control/src/node/pending_calls.rs
@@ -13,7 +13,7 @@
 
 /// A change that is not ordered yet.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct PendingChange {
     pub(super) ticket: Ticket,
     pub(super) change: Change,
     since: Millis,
@@ -53,14 +53,14 @@
 
 /// All callers that wait.
 #[derive(Debug, Default)]
-pub(super) struct Calls {
-    changes: VecDeque<Waiting>,
+pub(super) struct PendingCalls {
+    changes: VecDeque<PendingChange>,
     unconfirmed: Vec<Unconfirmed>,
 }
 
-impl Calls {
+impl PendingCalls {
     pub(super) fn submit(&mut self, ticket: Ticket, change: Change, now: Millis) {
-        self.changes.push_back(Waiting {
+        self.changes.push_back(PendingChange {
             ticket,
             change,
             since: now,
@@ -77,8 +77,8 @@
     }
 
     /// A change was judged without being made.
-    pub(super) fn judged(&mut self, waiting: Waiting, outcome: Outcome) {
-        let Waiting { ticket, since, .. } = waiting;
+    pub(super) fn resolve(&mut self, waiting: PendingChange, outcome: Outcome) {
+        let PendingChange { ticket, since, .. } = waiting;
         let answer = Answer::Outcome(outcome);
         self.unconfirmed.push(Unconfirmed {
             ticket,
@@ -88,16 +88,16 @@
         });
     }
 
-    pub(super) fn next_change(&mut self) -> Option<Waiting> {
+    pub(super) fn next_change(&mut self) -> Option<PendingChange> {
         self.changes.pop_front()
     }
 
     /// Answers that no sequence of heartbeats has begun for.
-    fn need_a_heartbeat(&self) -> bool {
+    fn needs_heartbeat(&self) -> bool {
         self.unconfirmed.iter().any(|call| call.sequence.is_none())
     }
 
-    fn wait_for(&mut self, sequence: u64) {
+    fn await_heartbeat(&mut self, sequence: u64) {
         self.unconfirmed.iter_mut().for_each(|call| {
             call.sequence.get_or_insert(sequence);
         });
@@ -114,15 +114,15 @@
     }
 
     /// Takes out those that have waited too long, and says what they are told.
-    fn expire(&mut self, now: Millis, patience: Millis) -> Vec<Effect> {
-        let is_late = |since: Millis| now >= since.saturating_add(patience);
+    fn expire(&mut self, now: Millis, timeout: Millis) -> Vec<Effect> {
+        let is_late = |since: Millis| now >= since.saturating_add(timeout);
         let late = self
             .changes
             .iter()
             .take_while(|waiting| is_late(waiting.since))
             .count();
         let late = self.changes.drain(..late);
-        let mut told: Vec<Effect> = late
+        let mut replies: Vec<Effect> = late
             .map(|waiting| Effect::Reply {
                 ticket: waiting.ticket,
                 outcome: Outcome::Unknown,
@@ -133,11 +133,11 @@
             .into_iter()
             .partition(|call| is_late(call.since));
         self.unconfirmed = left;
-        told.extend(
+        replies.extend(
             late.into_iter()
                 .map(|call| Answer::unknown(call.ticket, &call.answer)),
         );
-        told
+        replies
     }
 
     /// Nobody can be told anything here.
@@ -154,14 +154,17 @@
         if !self.knows_what_is_committed() {
             return;
         }
-        if self.calls.need_a_heartbeat() {
+        if self.calls.needs_heartbeat() {
             let sequence = self.send_heartbeats(now);
-            self.calls.wait_for(sequence);
+            self.calls.await_heartbeat(sequence);
         }
         let Role::Primary(primary) = &self.role else {
             return;
         };
-        let Some(confirmed) = self.view().and_then(|view| primary.lease.confirmed(view)) else {
+        let Some(confirmed) = self
+            .view()
+            .and_then(|view| primary.lease.confirmed_sequence(view))
+        else {
             return;
         };
         for call in self.calls.confirmed_by(confirmed) {
@@ -183,7 +186,7 @@
     }
 
     pub(super) fn expire_calls(&mut self, now: Millis) {
-        let told = self.calls.expire(now, self.timing.call_patience);
-        self.effects.extend(told);
+        let replies = self.calls.expire(now, self.timing.call_timeout);
+        self.effects.extend(replies);
     }
 }
--- a/control/src/node/primary.rs
+++ b/control/src/node/primary.rs
@@ -28,18 +28,18 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Transfer {
     /// Its last stored change, as it said.
-    pub(super) holds: Option<Position>,
+    pub(super) stored: Option<Position>,
     /// The last change that it was sent.
     pub(super) sent: Option<Position>,
     /// When it last stored something more, or was sent what it lacked.
-    pub(super) went_on_at: Millis,
+    pub(super) progressed_at: Millis,
     /// How many whole states it was sent since it was last in step.
     pub(super) installs: u32,
 }
 
 /// When a replica was heard last.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Heard {
+pub(super) struct Contact {
     /// When.
     pub(super) at: Millis,
     /// The replica's own clock in its last answer to a heartbeat.
@@ -51,7 +51,7 @@
     pub(super) stage: Stage,
     pub(super) since: Millis,
     pub(super) lease: Lease,
-    pub(super) heard: BTreeMap<ReplicaId, Heard>,
+    pub(super) heard: BTreeMap<ReplicaId, Contact>,
     pub(super) transfers: BTreeMap<ReplicaId, Transfer>,
     /// Replicas outside the in-sync set that ask to be taken in, with when they last did.
     pub(super) joiners: BTreeMap<ReplicaId, Millis>,
@@ -63,11 +63,11 @@
     pub(super) leaving: BTreeSet<ReplicaId>,
     pub(super) heartbeat_at: Millis,
     /// Until then no further change is ordered, so that a joiner can catch up.
-    pub(super) paused_until: Millis,
+    pub(super) writes_stalled_until: Millis,
 }
 
 impl Primary {
-    pub(super) fn new(lease: Lease, heard: BTreeMap<ReplicaId, Heard>, now: Millis) -> Self {
+    pub(super) fn new(lease: Lease, heard: BTreeMap<ReplicaId, Contact>, now: Millis) -> Self {
         Primary {
             stage: Stage::Starting {
                 since: now,
@@ -81,45 +81,45 @@
             proposed: BTreeSet::new(),
             leaving: BTreeSet::new(),
             heartbeat_at: now,
-            paused_until: 0,
+            writes_stalled_until: 0,
         }
     }
 
-    pub(super) fn hear(&mut self, from: &ReplicaId, now: Millis) {
+    pub(super) fn record_contact(&mut self, from: &ReplicaId, now: Millis) {
         self.heard
             .entry(from.clone())
-            .or_insert(Heard {
+            .or_insert(Contact {
                 at: now,
                 echo: None,
             })
             .at = now;
     }
 
-    pub(super) fn last_heard(&self, replica: &ReplicaId) -> Millis {
+    pub(super) fn last_contact(&self, replica: &ReplicaId) -> Millis {
         self.heard.get(replica).map_or(self.since, |heard| heard.at)
     }
 
     /// In-sync replicas that were not heard, or have not stored what they were sent, for longer
-    /// than `patience`.
+    /// than `timeout`.
     pub(super) fn unresponsive(
         &self,
         view: &View,
         own: &ReplicaId,
-        patience: Millis,
+        timeout: Millis,
         now: Millis,
     ) -> BTreeSet<ReplicaId> {
         let is_late = |replica: &ReplicaId| match &self.stage {
             Stage::Starting { since, synced } => {
-                now >= since + patience && !synced.contains(replica)
+                now >= since + timeout && !synced.contains(replica)
             }
             Stage::Replicating { since, stored } => {
-                now >= since + patience && !stored.contains(replica)
+                now >= since + timeout && !stored.contains(replica)
             }
             Stage::Ready => false,
         };
         let others = view.in_sync.iter().filter(|replica| *replica != own);
         others
-            .filter(|r| now >= self.last_heard(r) + patience || is_late(r))
+            .filter(|r| now >= self.last_contact(r) + timeout || is_late(r))
             .cloned()
             .collect()
     }
@@ -132,17 +132,17 @@
         &self,
         last: Position,
         committed: Position,
-        patience: Millis,
+        timeout: Millis,
         now: Millis,
     ) -> Option<ReplicaId> {
-        let is_here = |at: Millis| now < at + patience;
+        let is_here = |at: Millis| now < at + timeout;
         let is_starting = matches!(self.stage, Stage::Starting { .. });
         let is_in_step = |replica: &ReplicaId| {
-            let holds = self
+            let stored = self
                 .transfers
                 .get(replica)
-                .and_then(|transfer| transfer.holds);
-            holds.is_some_and(|holds| holds == last || !is_starting && holds == committed)
+                .and_then(|transfer| transfer.stored);
+            stored.is_some_and(|stored| stored == last || !is_starting && stored == committed)
         };
         let mut joiners = self
             .joiners
@@ -154,18 +154,18 @@
     }
 
     /// A witness outside the in-sync set that was not heard for so long, or is about to end.
-    pub(super) fn silent_witness(
+    pub(super) fn unresponsive_witness(
         &self,
         wanted: &View,
         own: &ReplicaId,
-        silence: Millis,
+        timeout: Millis,
         now: Millis,
     ) -> Option<ReplicaId> {
         let mut idle = wanted
             .witnesses
             .difference(&wanted.in_sync)
             .filter(|witness| *witness != own);
-        idle.find(|witness| now >= self.last_heard(witness) + silence)
+        idle.find(|witness| now >= self.last_contact(witness) + timeout)
             .cloned()
     }
 }
--- a/control/src/node/backlog.rs
+++ b/control/src/node/recent_updates.rs
@@ -4,18 +4,18 @@
 use std::collections::VecDeque;
 
 /// The most changes that are kept.
-const MOST_UPDATES: usize = 512;
+const MAX_UPDATES: usize = 512;
 /// The most bytes of changes that are kept.
-const MOST_BYTES: usize = 1 << 20;
+const MAX_BYTES: usize = 1 << 20;
 
 /// A change with the position of the one before it.
 #[derive(Debug, Clone)]
-pub(super) struct Step {
+pub(super) struct LogEntry {
     pub(super) previous: Position,
     pub(super) update: Update,
 }
 
-impl Step {
+impl LogEntry {
     fn bytes(&self) -> usize {
         self.update.change.bytes()
     }
@@ -23,34 +23,35 @@
 
 /// Changes one after the other, up to the last one that is stored.
 #[derive(Debug)]
-pub(super) struct Backlog {
+pub(super) struct RecentUpdates {
     last: Position,
-    steps: VecDeque<Step>,
+    entries: VecDeque<LogEntry>,
     bytes: usize,
 }
 
-impl Backlog {
+impl RecentUpdates {
     /// Nothing is known of the changes up to `last`.
     pub(super) fn new(last: Position) -> Self {
-        Backlog {
+        RecentUpdates {
             last,
-            steps: VecDeque::new(),
+            entries: VecDeque::new(),
             bytes: 0,
         }
     }
 
     /// Takes the next change.
     pub(super) fn push(&mut self, update: &Update) {
-        let step = Step {
+        let entry = LogEntry {
             previous: self.last,
             update: update.clone(),
         };
         self.last = update.position;
-        self.bytes += step.bytes();
-        self.steps.push_back(step);
+        self.bytes += entry.bytes();
+        self.entries.push_back(entry);
         // The newest one stays whatever its size, as it is still being stored elsewhere.
-        while self.steps.len() > 1 && (self.steps.len() > MOST_UPDATES || self.bytes > MOST_BYTES) {
-            let Some(oldest) = self.steps.pop_front() else {
+        while self.entries.len() > 1 && (self.entries.len() > MAX_UPDATES || self.bytes > MAX_BYTES)
+        {
+            let Some(oldest) = self.entries.pop_front() else {
                 return;
             };
             self.bytes -= oldest.bytes();
@@ -58,14 +59,14 @@
     }
 
     /// What follows on a position, none where that is not known.
-    pub(super) fn after(&self, position: Position) -> Option<impl Iterator<Item = &Step>> {
+    pub(super) fn after(&self, position: Position) -> Option<impl Iterator<Item = &LogEntry>> {
         let first = if position == self.last {
-            self.steps.len()
+            self.entries.len()
         } else {
-            self.steps
+            self.entries
                 .iter()
-                .position(|step| step.previous == position)?
+                .position(|entry| entry.previous == position)?
         };
-        Some(self.steps.range(first..))
+        Some(self.entries.range(first..))
     }
 }
--- a/control/src/node/replication.rs
+++ b/control/src/node/replication.rs
@@ -1,9 +1,9 @@
 //! The data: bringing backups into step, ordering changes, and storing them.
 
-use super::backlog::{Backlog, Step};
-use super::calls::Waiting;
+use super::pending_calls::PendingChange;
 use super::primary::{Stage, Transfer};
-use super::{Asker, ControlNode, Effect, Role};
+use super::recent_updates::{LogEntry, RecentUpdates};
+use super::{ControlNode, Effect, Requester, Role};
 use crate::Millis;
 use crate::changes::Outcome;
 use crate::message::Message;
@@ -18,7 +18,7 @@
 /// What a replica that lags is sent.
 enum Missing {
     Nothing,
-    Steps(Vec<Step>),
+    Entries(Vec<LogEntry>),
     Everything,
 }
 
@@ -27,7 +27,7 @@
     // ----------------------------------------------------------------------------------------
 
     /// Sends again what backups have not answered.
-    pub(super) fn resend(&mut self, now: Millis) {
+    pub(super) fn retransmit_interval(&mut self, now: Millis) {
         let epoch = self.epoch();
         let Some(view) = self.view() else { return };
         let Role::Primary(primary) = &self.role else {
@@ -53,7 +53,7 @@
                     .filter(|replica| is_pending(stored, replica));
                 for replica in pending.cloned().collect::<Vec<_>>() {
                     let before = self.before_tail();
-                    self.bring_up(&replica, before, now);
+                    self.catch_up(&replica, before, now);
                 }
             }
             Stage::Ready => {}
@@ -62,15 +62,15 @@
 
     /// This replica counts among those in step once what it holds is on its own disk.
     pub(super) fn synchronize_own(&mut self) {
-        let own = Asker {
+        let own = Requester {
             replica: self.id().clone(),
             incarnation: self.identity.incarnation,
         };
-        self.tell_what_is_held(own);
+        self.report_stored_positions(own);
     }
 
     /// What another replica stores, as it says.
-    pub(super) fn on_holds(
+    pub(super) fn on_stored_positions(
         &mut self,
         from: ReplicaId,
         last: Position,
@@ -83,10 +83,10 @@
         // What one replica knows to be committed is committed: every replica that may lead stores
         // it.
         if self.commit_up_to(committed, now) {
-            self.tell_committed();
+            self.broadcast_committed();
         }
-        self.note_holds(&from, last, now);
-        let own_last = self.last();
+        self.record_stored_position(&from, last, now);
+        let own_last = self.last_position();
         let is_in_sync = self.view().is_some_and(|view| view.in_sync.contains(&from));
         let Role::Primary(primary) = &mut self.role else {
             return;
@@ -100,8 +100,8 @@
                 stored.insert(from);
                 self.finish_replication(now);
             }
-            Stage::Starting { .. } | Stage::Replicating { .. } => self.bring_up(&from, last, now),
-            Stage::Ready if !is_in_sync => self.bring_up(&from, last, now),
+            Stage::Starting { .. } | Stage::Replicating { .. } => self.catch_up(&from, last, now),
+            Stage::Ready if !is_in_sync => self.catch_up(&from, last, now),
             Stage::Ready => {}
         }
         if !is_in_sync {
@@ -109,24 +109,24 @@
         }
     }
 
-    fn note_holds(&mut self, replica: &ReplicaId, holds: Position, now: Millis) {
-        let own_last = self.last();
+    fn record_stored_position(&mut self, replica: &ReplicaId, stored: Position, now: Millis) {
+        let own_last = self.last_position();
         let Role::Primary(primary) = &mut self.role else {
             return;
         };
         let transfer = primary.transfers.entry(replica.clone()).or_default();
-        if transfer.holds != Some(holds) {
-            transfer.holds = Some(holds);
-            transfer.went_on_at = now;
+        if transfer.stored != Some(stored) {
+            transfer.stored = Some(stored);
+            transfer.progressed_at = now;
         }
-        if holds == own_last {
+        if stored == own_last {
             transfer.installs = 0;
         }
     }
 
-    /// Sends a replica that stores the changes up to `holds` what it lacks.
-    fn bring_up(&mut self, replica: &ReplicaId, holds: Position, now: Millis) {
-        let (epoch, resend) = (self.epoch(), self.timing.resend);
+    /// Sends a replica that stores the changes up to `stored` what it lacks.
+    fn catch_up(&mut self, replica: &ReplicaId, stored: Position, now: Millis) {
+        let (epoch, retransmit_interval) = (self.epoch(), self.timing.retransmit_interval);
         if *replica == *self.id() {
             return;
         }
@@ -134,17 +134,17 @@
             return;
         };
         let transfer = primary.transfers.get(replica).cloned().unwrap_or_default();
-        let is_under_way =
-            transfer.sent.is_some_and(|sent| sent != holds) && now < transfer.went_on_at + resend;
-        if is_under_way {
+        let is_in_flight = transfer.sent.is_some_and(|sent| sent != stored)
+            && now < transfer.progressed_at + retransmit_interval;
+        if is_in_flight {
             return;
         }
-        let sent = match self.missing(holds) {
+        let sent = match self.missing(stored) {
             Missing::Nothing => return,
-            Missing::Steps(steps) => {
-                let sent = steps.last().map(|step| step.update.position);
-                let previous = steps.first().map_or(holds, |step| step.previous);
-                let updates = steps.into_iter().map(|step| step.update).collect();
+            Missing::Entries(entries) => {
+                let sent = entries.last().map(|entry| entry.update.position);
+                let previous = entries.first().map_or(stored, |entry| entry.previous);
+                let updates = entries.into_iter().map(|entry| entry.update).collect();
                 self.send(
                     replica.clone(),
                     Message::Replicate {
@@ -156,52 +156,52 @@
                 sent
             }
             Missing::Everything => {
-                self.pause_for(&transfer, now);
+                self.stall_writes_for(&transfer, now);
                 let (state, tail) = (self.state.clone(), self.tail.clone());
                 self.send(replica.clone(), Message::Install { epoch, state, tail });
-                Some(self.last())
+                Some(self.last_position())
             }
         };
-        let is_whole = self.backlog.after(holds).is_none();
+        let is_full_install = self.recent_updates.after(stored).is_none();
         let Role::Primary(primary) = &mut self.role else {
             return;
         };
         let transfer = primary.transfers.entry(replica.clone()).or_default();
-        (transfer.sent, transfer.went_on_at) = (sent, now);
-        transfer.installs += u32::from(is_whole);
+        (transfer.sent, transfer.progressed_at) = (sent, now);
+        transfer.installs += u32::from(is_full_install);
     }
 
-    fn missing(&self, holds: Position) -> Missing {
-        let Some(steps) = self.backlog.after(holds) else {
+    fn missing(&self, stored: Position) -> Missing {
+        let Some(entries) = self.recent_updates.after(stored) else {
             return Missing::Everything;
         };
         let mut left = WINDOW_BYTES;
-        let fits = |step: &&Step| {
+        let fits = |entry: &&LogEntry| {
             let is_first = left == WINDOW_BYTES;
-            let bytes = step.update.change.bytes();
+            let bytes = entry.update.change.bytes();
             let fits = is_first || bytes <= left;
             left = left.saturating_sub(bytes.max(1));
             fits
         };
-        let steps: Vec<Step> = steps.take_while(fits).cloned().collect();
-        if steps.is_empty() {
+        let entries: Vec<LogEntry> = entries.take_while(fits).cloned().collect();
+        if entries.is_empty() {
             Missing::Nothing
         } else {
-            Missing::Steps(steps)
+            Missing::Entries(entries)
         }
     }
 
     /// Holds changes back for a while where a replica that was sent everything once lacks
     /// everything again.
-    fn pause_for(&mut self, transfer: &Transfer, now: Millis) {
+    fn stall_writes_for(&mut self, transfer: &Transfer, now: Millis) {
         /// So many whole states are sent without a pause.
         const FREE_INSTALLS: u32 = 1;
-        let pause = self.timing.catch_up_pause;
+        let write_stall = self.timing.write_stall;
         if let Role::Primary(primary) = &mut self.role
             && transfer.installs > FREE_INSTALLS
-            && now >= primary.paused_until + 4 * pause
+            && now >= primary.writes_stalled_until + 4 * write_stall
         {
-            primary.paused_until = now + pause;
+            primary.writes_stalled_until = now + write_stall;
         }
     }
 
@@ -214,22 +214,22 @@
         let Stage::Starting { synced, .. } = &primary.stage else {
             return;
         };
-        if !self.required_copies().is_subset(synced) {
+        if !self.required_acks().is_subset(synced) {
             return;
         }
-        if view.in_sync.len() < self.needed_copies() {
+        if view.in_sync.len() < self.min_in_sync() {
             return self.reconsider_view(now);
         }
         self.set_stage(Stage::Ready, "every in-sync replica has the same state");
         self.commit_tail(now);
         self.reconsider_view(now);
         self.confirm_calls(now);
-        self.order_next(now);
+        self.replicate_next(now);
     }
 
     /// The replicas that have to store a change before it is acknowledged: those of the present
     /// view, and those of any view that may come to follow it by this primary's doing.
-    pub(super) fn required_copies(&self) -> BTreeSet<ReplicaId> {
+    pub(super) fn required_acks(&self) -> BTreeSet<ReplicaId> {
         let mut required = self
             .view()
             .map(|view| view.in_sync.clone())
@@ -238,7 +238,7 @@
             required.extend(primary.proposed.iter().cloned());
         }
         if let Some(attempt) = &self.attempt {
-            required.extend(attempt.wanted().in_sync.iter().cloned());
+            required.extend(attempt.target().in_sync.iter().cloned());
         }
         required
     }
@@ -251,21 +251,21 @@
 
     /// How many replicas have to store a change. A system with fewer replicas than that works with
     /// what it has.
-    pub(super) fn needed_copies(&self) -> usize {
+    pub(super) fn min_in_sync(&self) -> usize {
         let possible = self.view().map_or(1, |view| view.witnesses.len());
-        self.timing.copies.min(possible)
+        self.timing.replication_factor.min(possible)
     }
 
     /// Orders the next waiting change, if nothing else is under way.
-    pub(super) fn order_next(&mut self, now: Millis) {
+    pub(super) fn replicate_next(&mut self, now: Millis) {
         while self.leading_epoch(now).is_some()
             && self.attempt.is_none()
-            && !self.storage_is_stuck(now)
+            && !self.is_storage_stalled(now)
         {
             let Role::Primary(primary) = &self.role else {
                 return;
             };
-            if primary.stage != Stage::Ready || now < primary.paused_until {
+            if primary.stage != Stage::Ready || now < primary.writes_stalled_until {
                 return;
             }
             let Some(waiting) = self.calls.next_change() else {
@@ -273,7 +273,7 @@
             };
             match self.state.evaluate(&waiting.change) {
                 Some(outcome) => {
-                    self.calls.judged(waiting, outcome);
+                    self.calls.resolve(waiting, outcome);
                     self.confirm_calls(now);
                 }
                 None => self.replicate(waiting, now),
@@ -281,8 +281,8 @@
         }
     }
 
-    fn replicate(&mut self, waiting: Waiting, now: Millis) {
-        let previous = self.last();
+    fn replicate(&mut self, waiting: PendingChange, now: Millis) {
+        let previous = self.last_position();
         let position = Position {
             index: self.state.position.index + 1,
             epoch: self.epoch(),
@@ -292,7 +292,7 @@
             change: waiting.change,
         };
         self.tail_ticket = Some(waiting.ticket);
-        self.keep(update, now);
+        self.append(update, now);
         self.set_stage(
             Stage::Replicating {
                 since: now,
@@ -300,7 +300,7 @@
             },
             "a change is being stored",
         );
-        let mut receivers = self.required_copies();
+        let mut receivers = self.required_acks();
         let Role::Primary(primary) = &self.role else {
             return;
         };
@@ -313,7 +313,7 @@
 
     /// Sends the newest change to a replica that has, or has been sent, all before it.
     fn stream(&mut self, replica: &ReplicaId, previous: Position) {
-        let (last, own) = (self.last(), self.id().clone());
+        let (last, own) = (self.last_position(), self.id().clone());
         let is_in_sync = self
             .view()
             .is_some_and(|view| view.in_sync.contains(replica));
@@ -322,7 +322,7 @@
         };
         let transfer = primary.transfers.entry(replica.clone()).or_default();
         let has_all =
-            is_in_sync || transfer.holds == Some(previous) || transfer.sent == Some(previous);
+            is_in_sync || transfer.stored == Some(previous) || transfer.sent == Some(previous);
         if !has_all || *replica == own {
             return;
         }
@@ -353,17 +353,17 @@
         let Stage::Replicating { stored, .. } = &primary.stage else {
             return;
         };
-        if self.required_copies().is_subset(stored) {
+        if self.required_acks().is_subset(stored) {
             self.set_stage(Stage::Ready, "the change is stored everywhere");
             self.commit_tail(now);
             self.reconsider_view(now);
-            self.order_next(now);
+            self.replicate_next(now);
         }
     }
 
     /// The primary's stored change is on every in-sync disk.
     fn commit_tail(&mut self, now: Millis) {
-        let position = self.last();
+        let position = self.last_position();
         self.commit_up_to(position, now);
         if let Some(ticket) = self.tail_ticket.take() {
             self.effects.push(Effect::Reply {
@@ -371,10 +371,10 @@
                 outcome: Outcome::Committed,
             });
         }
-        self.tell_committed();
+        self.broadcast_committed();
     }
 
-    fn tell_committed(&mut self) {
+    fn broadcast_committed(&mut self) {
         let (epoch, position) = (self.epoch(), self.state.position);
         for other in self.others() {
             self.send(other, Message::Committed { epoch, position });
@@ -396,17 +396,17 @@
     }
 
     /// Takes the next change as one that is stored and not known to be committed.
-    fn keep(&mut self, update: Update, now: Millis) {
-        self.backlog.push(&update);
+    fn append(&mut self, update: Update, now: Millis) {
+        self.recent_updates.push(&update);
         self.tail = Some(update.clone());
         self.store(vec![Record::Update(update)], now);
     }
 
     /// Tells the primary what is stored here, once it is on disk.
-    fn tell_what_is_held(&mut self, asker: Asker) {
-        let (epoch, last, committed) = (self.epoch(), self.last(), self.state.position);
-        self.answer_stored(
-            asker,
+    fn report_stored_positions(&mut self, requester: Requester) {
+        let (epoch, last, committed) = (self.epoch(), self.last_position(), self.state.position);
+        self.reply_when_durable(
+            requester,
             Message::StoredPositions {
                 epoch,
                 last,
@@ -415,15 +415,15 @@
         );
     }
 
-    pub(super) fn on_synchronize(&mut self, from: Asker, epoch: Epoch) {
+    pub(super) fn on_synchronize(&mut self, from: Requester, epoch: Epoch) {
         if self.is_primary_of(&from.replica, epoch) {
-            self.tell_what_is_held(from);
+            self.report_stored_positions(from);
         }
     }
 
     pub(super) fn on_install(
         &mut self,
-        from: Asker,
+        from: Requester,
         epoch: Epoch,
         state: ControlState,
         tail: Option<Update>,
@@ -436,13 +436,13 @@
         let is_newer = state.position.index > self.state.position.index;
         (self.state, self.tail) = (state, tail);
         self.track_rollout_owner(now);
-        self.backlog = Backlog::new(self.last());
+        self.recent_updates = RecentUpdates::new(self.last_position());
         let record = Record::Install {
             state: self.state.clone(),
             tail: self.tail.clone(),
         };
         self.store(vec![record], now);
-        self.tell_what_is_held(from);
+        self.report_stored_positions(from);
         if is_newer {
             self.effects.push(Effect::Committed);
         }
@@ -450,7 +450,7 @@
 
     pub(super) fn on_replicate(
         &mut self,
-        from: Asker,
+        from: Requester,
         epoch: Epoch,
         previous: Position,
         updates: Vec<Update>,
@@ -459,13 +459,13 @@
         if !self.is_primary_of(&from.replica, epoch) {
             return;
         }
-        if previous == self.last() {
+        if previous == self.last_position() {
             for update in updates {
                 // The primary orders a change only once the one before it is committed.
-                self.commit_up_to(self.last(), now);
-                self.keep(update, now);
+                self.commit_up_to(self.last_position(), now);
+                self.append(update, now);
             }
         }
-        self.tell_what_is_held(from);
+        self.report_stored_positions(from);
     }
 }
--- a/control/src/node/timing.rs
+++ b/control/src/node/timing.rs
@@ -10,25 +10,25 @@
     /// By how much the holder stops before its lease ends.
     pub lease_margin: Millis,
     /// Time between two heartbeats of the primary.
-    pub heartbeat: Millis,
+    pub heartbeat_interval: Millis,
     /// A replica that was not heard for so long is taken out of the in-sync set.
-    pub silence: Millis,
+    pub replica_timeout: Millis,
     /// A disk write that takes longer makes a primary resign.
-    pub storage_patience: Millis,
+    pub storage_timeout: Millis,
     /// Added to a candidate's wait for each candidate before it.
-    pub stagger: Millis,
+    pub election_stagger: Millis,
     /// Time between two attempts to be taken in.
     pub join_interval: Millis,
     /// What a replica was sent is sent again after this where no answer came.
-    pub resend: Millis,
+    pub retransmit_interval: Millis,
     /// For how long no change is ordered where a replica can't catch up otherwise.
-    pub catch_up_pause: Millis,
+    pub write_stall: Millis,
     /// A call that waits longer gets no clear answer.
-    pub call_patience: Millis,
+    pub call_timeout: Millis,
     /// A witness that was not heard for so long is taken out where enough others are left.
-    pub witness_silence: Millis,
+    pub witness_timeout: Millis,
     /// How many replicas have to store a change before it is acknowledged.
-    pub copies: usize,
+    pub replication_factor: usize,
 }
 
 impl Timing {
@@ -38,22 +38,22 @@
         Timing {
             lease: 1_000,
             lease_margin: 150,
-            heartbeat: 200,
-            silence: 750,
-            storage_patience: 700,
-            stagger: 150,
+            heartbeat_interval: 200,
+            replica_timeout: 750,
+            storage_timeout: 700,
+            election_stagger: 150,
             join_interval: 250,
-            resend: 400,
-            catch_up_pause: 1_000,
-            call_patience: 3_500,
-            witness_silence: 750,
-            copies: faults.max(1) + 1,
+            retransmit_interval: 400,
+            write_stall: 1_000,
+            call_timeout: 3_500,
+            witness_timeout: 750,
+            replication_factor: faults.max(1) + 1,
         }
     }
 
     /// The fewest witnesses that are left when a silent one is taken out: so many that a majority
     /// outlives the faults.
     pub fn min_witnesses(&self) -> usize {
-        2 * self.copies - 1
+        2 * self.replication_factor - 1
     }
 }
--- a/control/src/node/views.rs
+++ b/control/src/node/views.rs
@@ -1,7 +1,7 @@
 //! Views: heartbeats and the lease, votes, and attempts to have another view decided.
 
-use super::primary::{Heard, Primary};
-use super::{Asker, ControlNode, Role};
+use super::primary::{Contact, Primary};
+use super::{ControlNode, Requester, Role};
 use crate::Millis;
 use crate::message::{Echo, Message};
 use crate::proposer::{Attempt, Intent, Progress};
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 /// What came back for a heartbeat.
-pub(super) struct HeartbeatAnswer {
+pub(super) struct HeartbeatReply {
     pub(super) sequence: u64,
     pub(super) granted: bool,
     pub(super) other_view: Option<View>,
@@ -33,10 +33,10 @@
         let Role::Primary(primary) = &mut self.role else {
             return 0;
         };
-        primary.heartbeat_at = now + self.timing.heartbeat;
-        let sequence = primary.lease.begin_heartbeat(now);
+        primary.heartbeat_at = now + self.timing.heartbeat_interval;
+        let sequence = primary.lease.begin(now);
         if own {
-            primary.lease.granted(id, sequence);
+            primary.lease.record_grant(id, sequence);
         }
         let echo = |other: &ReplicaId| primary.heard.get(other).and_then(|heard| heard.echo);
         let echoes: Vec<Option<Echo>> = others.iter().map(echo).collect();
@@ -56,7 +56,7 @@
 
     pub(super) fn on_heartbeat(
         &mut self,
-        from: Asker,
+        from: Requester,
         epoch: Epoch,
         sequence: u64,
         committed: Option<Position>,
@@ -65,10 +65,10 @@
     ) {
         let is_current = self.is_primary_of(&from.replica, epoch);
         if is_current {
-            self.heard_primary = now;
+            self.last_primary_contact = now;
             if let Some(committed) = committed {
                 self.commit_up_to(committed, now);
-                self.note_age(committed, echo);
+                self.update_freshness(committed, echo);
             }
         }
         let granted = is_current && self.witness.grant(&from.replica, epoch, now);
@@ -82,12 +82,12 @@
             wants_view,
             sent_at: now,
         };
-        self.answer(from, reply);
+        self.reply(from, reply);
     }
 
     /// The primary knew its state to be the newest after it had heard what this replica said at the
     /// moment of the echo.
-    fn note_age(&mut self, committed: Position, echo: Option<Echo>) {
+    fn update_freshness(&mut self, committed: Position, echo: Option<Echo>) {
         let own = echo.filter(|echo| {
             echo.incarnation == self.identity.incarnation && self.state.position >= committed
         });
@@ -98,7 +98,7 @@
         &mut self,
         from: ReplicaId,
         epoch: Epoch,
-        answer: HeartbeatAnswer,
+        answer: HeartbeatReply,
         now: Millis,
     ) {
         if let Some(view) = answer.other_view {
@@ -112,39 +112,41 @@
             incarnation: answer.incarnation,
             at: answer.sent_at,
         });
-        primary.heard.insert(from.clone(), Heard { at: now, echo });
+        primary
+            .heard
+            .insert(from.clone(), Contact { at: now, echo });
         if answer.granted {
-            primary.lease.granted(from.clone(), answer.sequence);
+            primary.lease.record_grant(from.clone(), answer.sequence);
         }
         if answer.wants_view {
             self.send(from, Message::Decided { view });
         }
         self.confirm_calls(now);
-        self.order_next(now);
+        self.replicate_next(now);
     }
 
     pub(super) fn tick_primary(&mut self, now: Millis) {
-        if self.storage_is_stuck(now) {
+        if self.is_storage_stalled(now) {
             return self.resign("the disk does not answer", now);
         }
         let Role::Primary(primary) = &self.role else {
             return;
         };
         let is_settled = now >= primary.since + self.timing.lease;
-        let without_lease = is_settled && now >= self.lease_until(primary);
+        let without_lease = is_settled && now >= self.lease_expires_at(primary);
         if now >= primary.heartbeat_at {
             self.send_heartbeats(now);
-            self.resend(now);
+            self.retransmit_interval(now);
         }
         if without_lease {
             self.attempt = None;
-            self.heard_primary = now;
-            return self.enter(Role::Backup, "the lease ended");
+            self.last_primary_contact = now;
+            return self.transition(Role::Backup, "the lease ended");
         }
         self.finish_stage(now);
         self.reconsider_view(now);
         self.confirm_calls(now);
-        self.order_next(now);
+        self.replicate_next(now);
     }
 
     /// A primary hands its role over.
@@ -154,22 +156,22 @@
         }
         let epoch = self.epoch();
         self.attempt = None;
-        self.enter(Role::Backup, cause);
-        self.heard_primary = now + 2 * self.timing.lease;
+        self.transition(Role::Backup, cause);
+        self.last_primary_contact = now + 2 * self.timing.lease;
         for other in self.others() {
             self.send(other, Message::Resign { epoch });
         }
         let id = self.id().clone();
-        self.witness.release(&id);
-        self.work(now);
+        self.witness.release_lease(&id);
+        self.process_inbox(now);
     }
 
     pub(super) fn on_resign(&mut self, from: ReplicaId, epoch: Epoch, now: Millis) {
         if !self.is_primary_of(&from, epoch) {
             return;
         }
-        self.witness.release(&from);
-        self.heard_primary = now.saturating_sub(self.timing.lease);
+        self.witness.release_lease(&from);
+        self.last_primary_contact = now.saturating_sub(self.timing.lease);
     }
 
     // ---- votes
@@ -177,7 +179,7 @@
 
     pub(super) fn on_prepare(
         &mut self,
-        from: Asker,
+        from: Requester,
         current: View,
         number: ProposalNumber,
         now: Millis,
@@ -189,12 +191,12 @@
         if has_to_be_stored {
             self.store_votes(now);
         }
-        self.answer_stored(from, Message::PrepareReply { number, vote });
+        self.reply_when_durable(from, Message::PrepareReply { number, vote });
     }
 
     pub(super) fn on_accept(
         &mut self,
-        from: Asker,
+        from: Requester,
         current: View,
         proposal: Proposal,
         now: Millis,
@@ -207,7 +209,7 @@
         if answer.is_ok() {
             self.store_votes(now);
         }
-        self.answer_stored(from, Message::AcceptReply { number, answer });
+        self.reply_when_durable(from, Message::AcceptReply { number, answer });
     }
 
     pub(super) fn on_vote(
@@ -222,7 +224,7 @@
             .as_mut()
             .filter(|attempt| attempt.number == *number)
         {
-            let progress = attempt.voted(from, vote);
+            let progress = attempt.on_vote(from, vote);
             self.proceed(progress, now);
         }
     }
@@ -239,7 +241,7 @@
             .as_mut()
             .filter(|attempt| attempt.number == *number)
         {
-            let progress = attempt.accepted(from, answer);
+            let progress = attempt.on_accept_reply(from, answer);
             self.proceed(progress, now);
         }
     }
@@ -250,7 +252,8 @@
     /// An in-sync backup takes over once the primary has been silent for longer than its lease.
     pub(super) fn tick_backup(&mut self, now: Millis) {
         let Some(view) = self.view() else { return };
-        if self.attempt.is_some() || now < self.retry_at || !view.in_sync.contains(self.id()) {
+        if self.attempt.is_some() || now < self.next_attempt_at || !view.in_sync.contains(self.id())
+        {
             return;
         }
         let is_before = |other: &&ReplicaId| **other != view.primary && *other < self.id();
@@ -259,7 +262,7 @@
         let wait = if own {
             0
         } else {
-            self.timing.lease + before * self.timing.stagger
+            self.timing.lease + before * self.timing.election_stagger
         };
         // A process that is about to end is primary again only where nobody else is.
         let wait = if self.leaving {
@@ -267,7 +270,7 @@
         } else {
             wait
         };
-        if now < self.heard_primary + wait || self.storage_is_stuck(now) {
+        if now < self.last_primary_contact + wait || self.is_storage_stalled(now) {
             return;
         }
         let wanted = View {
@@ -276,12 +279,17 @@
             in_sync: BTreeSet::from([self.id().clone()]),
             witnesses: view.witnesses.clone(),
         };
-        let copies = self.timing.copies.min(view.witnesses.len());
-        self.attempt_view(view.clone(), wanted, Intent::TakeOver { copies }, now);
+        let replication_factor = self.timing.replication_factor.min(view.witnesses.len());
+        self.propose_view(
+            view.clone(),
+            wanted,
+            Intent::TakeOver { replication_factor },
+            now,
+        );
     }
 
     /// Begins an attempt to have a view decided that follows `current`.
-    pub(super) fn attempt_view(
+    pub(super) fn propose_view(
         &mut self,
         current: View,
         mut wanted: View,
@@ -301,45 +309,45 @@
 
     /// Asks everyone who has not answered in the present phase of the attempt.
     fn send_attempt(&mut self, now: Millis) {
-        self.attempt_resend_at = now + self.timing.heartbeat;
+        self.retransmit_at = now + self.timing.heartbeat_interval;
         let Some(attempt) = &self.attempt else { return };
         let (current, number) = (attempt.current.clone(), attempt.number.clone());
         let message = match attempt.proposal() {
             Some(proposal) => Message::Accept { current, proposal },
             None => Message::Prepare { current, number },
         };
-        for witness in attempt.unanswered() {
+        for witness in attempt.pending_recipients() {
             self.send(witness, message.clone());
         }
     }
 
     pub(super) fn tick_attempt(&mut self, now: Millis) {
         let Some(attempt) = &self.attempt else { return };
-        let patience = if attempt.is_outbid() {
-            self.timing.heartbeat
+        let timeout = if attempt.is_superseded() {
+            self.timing.heartbeat_interval
         } else {
-            self.timing.silence
+            self.timing.replica_timeout
         };
-        if now >= attempt.begun + patience {
+        if now >= attempt.started_at + timeout {
             self.proposal_round = self.proposal_round.max(attempt.highest_round());
-            self.abandon_attempt(now);
-        } else if now >= self.attempt_resend_at {
+            self.back_off(now);
+        } else if now >= self.retransmit_at {
             self.send_attempt(now);
         }
     }
 
-    pub(super) fn abandon_attempt(&mut self, now: Millis) {
+    pub(super) fn back_off(&mut self, now: Millis) {
         self.attempt = None;
         let is_before = |other: &&ReplicaId| *other < self.id();
         let place = self
             .view()
             .map_or(0, |view| view.in_sync.iter().filter(is_before).count());
-        self.retry_at = now + 50 + place as u64 * self.timing.stagger / 2;
+        self.next_attempt_at = now + 50 + place as u64 * self.timing.election_stagger / 2;
     }
 
     fn proceed(&mut self, progress: Progress, now: Millis) {
         match progress {
-            Progress::Waiting => {}
+            Progress::Pending => {}
             Progress::Accept(proposal) => {
                 if let Role::Primary(primary) = &mut self.role {
                     // What was proposed before can't be decided any more, unless it is this very
@@ -362,12 +370,12 @@
             }
             Progress::Failed { round } => {
                 self.proposal_round = self.proposal_round.max(round);
-                self.abandon_attempt(now);
+                self.back_off(now);
             }
             Progress::Superseded(decided) => {
                 self.attempt = None;
                 self.learn(decided, now);
-                self.abandon_attempt(now);
+                self.back_off(now);
             }
         }
     }
@@ -386,19 +394,19 @@
         {
             self.attempt = None;
         }
-        self.heard_primary = now;
+        self.last_primary_contact = now;
         if view.primary == *self.id() {
-            self.lead(now);
+            self.start_leading(now);
         } else if view.participants().contains(self.id()) {
-            self.enter(Role::Backup, "a view with another primary was decided");
+            self.transition(Role::Backup, "a view with another primary was decided");
         } else {
-            self.enter(Role::Outside, "a view without this replica was decided");
+            self.transition(Role::Outside, "a view without this replica was decided");
         }
     }
 
     /// Begins to work as primary of the present view: tells everyone of it, and brings the backups
     /// into step.
-    fn lead(&mut self, now: Millis) {
+    fn start_leading(&mut self, now: Millis) {
         let former = match &mut self.role {
             Role::Primary(primary) => Some((
                 std::mem::take(&mut primary.lease),
@@ -410,14 +418,14 @@
         let (lease, mut heard, leaving) = former.unwrap_or_default();
         // Silence counts from here on, also through later views of the same primary.
         for replica in self.others() {
-            heard.entry(replica).or_insert(Heard {
+            heard.entry(replica).or_insert(Contact {
                 at: now,
                 echo: None,
             });
         }
         let mut primary = Primary::new(lease, heard, now);
         primary.leaving = leaving;
-        self.enter(
+        self.transition(
             Role::Primary(Box::new(primary)),
             "a view with this primary was decided",
         );
@@ -427,7 +435,7 @@
             }
         }
         self.send_heartbeats(now);
-        self.resend(now);
+        self.retransmit_interval(now);
         self.synchronize_own();
     }
 }
--- a/control/src/proposer.rs
+++ b/control/src/proposer.rs
@@ -12,7 +12,7 @@
     /// Waiting for promises of the present witnesses.
     Preparing {
         promises: BTreeSet<ReplicaId>,
-        found: Option<Box<Proposal>>,
+        highest_accepted: Option<Box<Proposal>>,
     },
     /// Waiting for the view to be accepted.
     Accepting { accepts: BTreeSet<ReplicaId> },
@@ -24,11 +24,11 @@
     /// Those of the wanted view, as it stands.
     Change,
     /// The proposer takes over: in-sync replicas that vote for it stay in sync, and silent ones as
-    /// long as there would be fewer than `copies`. Each of these holds every acknowledged change,
+    /// long as there would be fewer than `replication_factor`. Each of these holds every acknowledged change,
     /// whether it answers at present or not.
     TakeOver {
         /// How many copies of each change there have to be.
-        copies: usize,
+        replication_factor: usize,
     },
 }
 
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Progress {
     /// Nothing yet.
-    Waiting,
+    Pending,
     /// The attempt goes into its second phase: ask for acceptance.
     Accept(Proposal),
     /// The view is decided.
@@ -58,34 +58,34 @@
     /// The decided view that the attempt starts from.
     pub current: View,
     /// When it was begun.
-    pub begun: Millis,
-    wanted: View,
+    pub started_at: Millis,
+    target: View,
     intent: Intent,
     phase: Phase,
-    refusals: BTreeMap<ReplicaId, u64>,
+    rejections: BTreeMap<ReplicaId, u64>,
 }
 
 impl Attempt {
-    /// Begins to have `wanted` follow `current`.
+    /// Begins to have `target` follow `current`.
     pub fn new(
         number: ProposalNumber,
         current: View,
-        wanted: View,
+        target: View,
         intent: Intent,
         now: Millis,
     ) -> Self {
         let phase = Phase::Preparing {
             promises: BTreeSet::new(),
-            found: None,
+            highest_accepted: None,
         };
         Attempt {
             number,
             current,
-            begun: now,
-            wanted,
+            started_at: now,
+            target,
             intent,
             phase,
-            refusals: BTreeMap::new(),
+            rejections: BTreeMap::new(),
         }
     }
 
@@ -95,32 +95,33 @@
     }
 
     /// The view that it is to bring about, as far as it is known now.
-    pub fn wanted(&self) -> &View {
-        &self.wanted
+    pub fn target(&self) -> &View {
+        &self.target
     }
 
     /// Who has to be asked in the present phase.
-    pub fn audience(&self) -> BTreeSet<ReplicaId> {
+    pub fn recipients(&self) -> BTreeSet<ReplicaId> {
         match self.phase {
             Phase::Preparing { .. } => self.current.witnesses.clone(),
             Phase::Accepting { .. } => self
                 .current
                 .witnesses
-                .union(&self.wanted.witnesses)
+                .union(&self.target.witnesses)
                 .cloned()
                 .collect(),
         }
     }
 
     /// Who has not answered yet in the present phase.
-    pub fn unanswered(&self) -> BTreeSet<ReplicaId> {
+    pub fn pending_recipients(&self) -> BTreeSet<ReplicaId> {
         let answered = match &self.phase {
             Phase::Preparing { promises, .. } => promises,
             Phase::Accepting { accepts } => accepts,
         };
-        let has_answered =
-            |replica: &ReplicaId| answered.contains(replica) || self.refusals.contains_key(replica);
-        self.audience()
+        let has_answered = |replica: &ReplicaId| {
+            answered.contains(replica) || self.rejections.contains_key(replica)
+        };
+        self.recipients()
             .into_iter()
             .filter(|replica| !has_answered(replica))
             .collect()
@@ -130,84 +131,88 @@
     pub fn proposal(&self) -> Option<Proposal> {
         matches!(self.phase, Phase::Accepting { .. }).then(|| Proposal {
             number: self.number.clone(),
-            view: self.wanted.clone(),
+            view: self.target.clone(),
         })
     }
 
     /// Takes a witness's answer to the first phase.
-    pub fn voted(&mut self, from: &ReplicaId, vote: Vote) -> Progress {
-        let Phase::Preparing { promises, found } = &mut self.phase else {
-            return Progress::Waiting;
+    pub fn on_vote(&mut self, from: &ReplicaId, vote: Vote) -> Progress {
+        let Phase::Preparing {
+            promises,
+            highest_accepted,
+        } = &mut self.phase
+        else {
+            return Progress::Pending;
         };
         match vote {
             Vote::Promised { accepted } => {
                 promises.insert(from.clone());
-                let newer = match (&accepted, &found) {
-                    (Some(told), Some(known)) => told.number > known.number,
-                    (told, _) => told.is_some(),
+                let is_newer = match (&accepted, &*highest_accepted) {
+                    (Some(reported), Some(known)) => reported.number > known.number,
+                    (reported, _) => reported.is_some(),
                 };
-                if newer {
-                    *found = accepted.map(Box::new);
+                if is_newer {
+                    *highest_accepted = accepted.map(Box::new);
                 }
             }
             Vote::AlreadyDecided { decided } => return Progress::Superseded(decided),
-            Vote::Superseded { number } => return self.refused(from, number.round),
-            Vote::Leased | Vote::NotEligible => return self.refused(from, self.number.round),
+            Vote::Superseded { number } => return self.reject(from, number.round),
+            Vote::Leased | Vote::NotEligible => return self.reject(from, self.number.round),
         }
         if !self.current.has_majority(promises) {
-            return Progress::Waiting;
+            return Progress::Pending;
         }
-        let (promises, found) = (std::mem::take(promises), found.take());
-        self.settle(&promises, found.map(|found| found.view));
+        let (promises, accepted) = (std::mem::take(promises), highest_accepted.take());
+        self.choose_view(&promises, accepted.map(|accepted| accepted.view));
         self.phase = Phase::Accepting {
             accepts: BTreeSet::new(),
         };
-        self.refusals.clear();
-        self.proposal().map_or(Progress::Waiting, Progress::Accept)
+        self.rejections.clear();
+        self.proposal().map_or(Progress::Pending, Progress::Accept)
     }
 
     /// What is proposed: a view that an earlier attempt may have had decided is carried on.
-    fn settle(&mut self, promises: &BTreeSet<ReplicaId>, found: Option<View>) {
-        if let Some(view) = found {
-            self.wanted = view;
-        } else if let Intent::TakeOver { copies } = self.intent {
+    fn choose_view(&mut self, promises: &BTreeSet<ReplicaId>, accepted: Option<View>) {
+        if let Some(view) = accepted {
+            self.target = view;
+        } else if let Intent::TakeOver { replication_factor } = self.intent {
             let in_sync = &self.current.in_sync;
-            self.wanted
+            self.target
                 .in_sync
                 .extend(in_sync.intersection(promises).cloned());
-            let missing = copies.saturating_sub(self.wanted.in_sync.len());
+            let missing = replication_factor.saturating_sub(self.target.in_sync.len());
             let unresponsive: Vec<ReplicaId> = in_sync
-                .difference(&self.wanted.in_sync)
+                .difference(&self.target.in_sync)
                 .take(missing)
                 .cloned()
                 .collect();
-            self.wanted.in_sync.extend(unresponsive);
+            self.target.in_sync.extend(unresponsive);
         }
     }
 
     /// Takes a witness's answer to the second phase; a refusal names the round that it has promised
     /// to.
-    pub fn accepted(&mut self, from: &ReplicaId, answer: Result<(), u64>) -> Progress {
+    pub fn on_accept_reply(&mut self, from: &ReplicaId, answer: Result<(), u64>) -> Progress {
         if let Err(round) = answer {
-            return self.refused(from, round);
+            return self.reject(from, round);
         }
         let Phase::Accepting { accepts } = &mut self.phase else {
-            return Progress::Waiting;
+            return Progress::Pending;
         };
         accepts.insert(from.clone());
-        if self.current.has_majority(accepts) && self.wanted.has_majority(accepts) {
-            return Progress::Decided(self.wanted.clone());
+        if self.current.has_majority(accepts) && self.target.has_majority(accepts) {
+            return Progress::Decided(self.target.clone());
         }
-        Progress::Waiting
+        Progress::Pending
     }
 
     /// Notes a refusal; the attempt has failed once a majority can't be had any more.
-    fn refused(&mut self, from: &ReplicaId, round: u64) -> Progress {
-        self.refusals.insert(from.clone(), round);
-        let refused: BTreeSet<ReplicaId> = self.refusals.keys().cloned().collect();
-        let left = self.current.witnesses.difference(&refused).count();
+    fn reject(&mut self, from: &ReplicaId, round: u64) -> Progress {
+        self.rejections.insert(from.clone(), round);
+        let reject: BTreeSet<ReplicaId> = self.rejections.keys().cloned().collect();
+        let left = self.current.witnesses.difference(&reject).count();
         if left >= self.current.majority() {
-            return Progress::Waiting;
+            return Progress::Pending;
         }
         Progress::Failed {
             round: self.highest_round(),
@@ -216,7 +221,7 @@
 
     /// The highest round that is known of.
     pub fn highest_round(&self) -> u64 {
-        self.refusals
+        self.rejections
             .values()
             .copied()
             .max()
@@ -226,7 +231,7 @@
 
     /// Whether a witness has promised to a higher attempt, so that a later one of this proposer may
     /// go through sooner.
-    pub fn is_outbid(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         self.highest_round() > self.number.round
     }
 }
--- a/control/src/ring.rs
+++ b/control/src/ring.rs
@@ -14,17 +14,17 @@
 }
 
 /// Other members in the order of the ring, beginning behind `name`.
-fn around(members: &BTreeSet<CompactString>, name: &str) -> Vec<CompactString> {
+fn in_ring_order(members: &BTreeSet<CompactString>, name: &str) -> Vec<CompactString> {
     let own = position(name);
     let others = members.iter().filter(|other| *other != name);
-    let mut placed: Vec<(bool, (u64, &str))> = others
+    let mut by_position: Vec<(bool, (u64, &str))> = others
         .map(|other| {
-            let place = position(other);
-            (place < own, place)
+            let position_of_other = position(other);
+            (position_of_other < own, position_of_other)
         })
         .collect();
-    placed.sort_unstable();
-    placed
+    by_position.sort_unstable();
+    by_position
         .into_iter()
         .map(|(_, (_, name))| name.into())
         .collect()
@@ -36,9 +36,9 @@
     name: &str,
     count: usize,
 ) -> Vec<CompactString> {
-    let mut around = around(members, name);
-    around.truncate(count);
-    around
+    let mut in_ring_order = in_ring_order(members, name);
+    in_ring_order.truncate(count);
+    in_ring_order
 }
 
 /// The members whose heartbeats `name` receives: those that it follows on the ring.
@@ -47,7 +47,7 @@
     name: &str,
     count: usize,
 ) -> Vec<CompactString> {
-    let around = around(members, name);
-    let first = around.len().saturating_sub(count);
-    around[first..].to_vec()
+    let in_ring_order = in_ring_order(members, name);
+    let first = in_ring_order.len().saturating_sub(count);
+    in_ring_order[first..].to_vec()
 }
--- a/control/src/rollout.rs
+++ b/control/src/rollout.rs
@@ -18,9 +18,9 @@
 use std::net::SocketAddrV4;
 
 /// One in so many backends with models may load at the same time.
-const LOADING_SHARE: usize = 4;
+const LOADING_DIVISOR: usize = 4;
 /// One in so many of the places may be taken by backends whose heartbeats have stopped.
-const SILENT_SHARE: usize = 4;
+const UNRESPONSIVE_DIVISOR: usize = 4;
 
 /// A backend that lacks a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -124,10 +124,10 @@
 /// Whether a backend that takes orders tells an older version than its order, which is done, should
 /// have brought.
 pub fn is_contradicted(backend: &Backend, order: &Order) -> bool {
-    let is_there = backend.phase == BackendPhase::Ready && !backend.unresponsive;
-    is_there
+    let is_available = backend.phase == BackendPhase::Ready && !backend.unresponsive;
+    is_available
         && order.phase == OrderPhase::Done
-        && confirmations::told_version(backend, order) < order.version
+        && confirmations::reported_version_of(backend, order) < order.version
 }
 
 impl Rollout {
@@ -138,27 +138,27 @@
         targets: &BTreeMap<CompactString, WeightsTarget>,
         confirmations: &Confirmations,
     ) -> Self {
-        let takes_orders =
+        let is_eligible =
             |backend: &Backend| backend.phase == BackendPhase::Ready && !backend.models.is_empty();
         let backends = directory
             .backends()
-            .filter(|(_, backend)| takes_orders(backend));
+            .filter(|(_, backend)| is_eligible(backend));
         let backends: Vec<(&CompactString, &Backend)> = backends.collect();
-        let heard = backends
+        let responsive = backends
             .iter()
             .filter(|(_, backend)| !backend.unresponsive)
             .count();
-        let max_concurrent = heard.div_ceil(LOADING_SHARE).max(1);
+        let max_concurrent = responsive.div_ceil(LOADING_DIVISOR).max(1);
         let lacking = backends.iter().flat_map(|(id, backend)| {
-            let believed = directory
+            let trusted = directory
                 .order(id)
                 .filter(|_| !confirmations.is_unconfirmed(id));
-            outdated(id, backend, done_version(believed), targets)
+            outdated(id, backend, done_version(trusted), targets)
         });
         Rollout {
             outdated: lacking.collect(),
             max_concurrent,
-            max_concurrent_unresponsive: max_concurrent.div_ceil(SILENT_SHARE),
+            max_concurrent_unresponsive: max_concurrent.div_ceil(UNRESPONSIVE_DIVISOR),
         }
     }
 }
@@ -178,8 +178,8 @@
     backend.models.iter().filter_map(move |(model, version)| {
         let target = targets.get(model)?;
         let is_done = done.is_some_and(|(of, version)| of == model && version >= target.version);
-        let lacks = *version < target.version && !is_done;
-        lacks.then(|| OutdatedBackend {
+        let is_outdated = *version < target.version && !is_done;
+        is_outdated.then(|| OutdatedBackend {
             id: id.clone(),
             address: backend.address,
             model: model.clone(),
--- a/control/src/rollout/confirmations.rs
+++ b/control/src/rollout/confirmations.rs
@@ -12,22 +12,22 @@
 
 /// How an order that is done stands with its backend's heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum Confirmation {
     /// None has told the version yet.
-    Awaited {
+    Pending {
         /// Since when.
         since: Millis,
     },
     /// The last one told the version.
     Confirmed,
     /// They tell an older version, and it is not to be expected that they will tell this one.
-    Doubted,
+    Unconfirmed,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Followed {
+struct TrackedOrder {
     order: Order,
-    standing: Standing,
+    confirmation: Confirmation,
 }
 
 /// A backend that tells an older version than its last order, which is done, should have brought.
@@ -44,16 +44,16 @@
 /// Follows the orders that are done, as one node learns of them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Confirmations {
-    patience: Millis,
-    followed: BTreeMap<CompactString, Followed>,
+    timeout: Millis,
+    tracked: BTreeMap<CompactString, TrackedOrder>,
 }
 
 impl Confirmations {
     /// Heartbeats have so long to confirm an order.
-    pub fn new(patience: Millis) -> Self {
+    pub fn new(timeout: Millis) -> Self {
         Confirmations {
-            patience,
-            followed: BTreeMap::new(),
+            timeout,
+            tracked: BTreeMap::new(),
         }
     }
 
@@ -64,54 +64,63 @@
                 .order(id)
                 .filter(|order| order.phase == OrderPhase::Done)
         };
-        self.followed
-            .retain(|id, followed| done(id) == Some(&followed.order));
-        let mut doubts = Vec::new();
+        self.tracked
+            .retain(|id, tracked| done(id) == Some(&tracked.order));
+        let mut unconfirmed = Vec::new();
         for (id, backend) in directory.backends() {
             let Some(order) = done(id) else { continue };
-            let told = told_version(backend, order);
-            let followed = self.followed.entry(id.clone()).or_insert_with(|| Followed {
-                order: order.clone(),
-                standing: Standing::Awaited { since: now },
-            });
-            if followed.enter(told >= order.version, now, self.patience) == Some(Standing::Doubted)
+            let reported_version = reported_version_of(backend, order);
+            let tracked = self
+                .tracked
+                .entry(id.clone())
+                .or_insert_with(|| TrackedOrder {
+                    order: order.clone(),
+                    confirmation: Confirmation::Pending { since: now },
+                });
+            if tracked.transition(reported_version >= order.version, now, self.timeout)
+                == Some(Confirmation::Unconfirmed)
             {
-                doubts.push(UnconfirmedOrder {
+                unconfirmed.push(UnconfirmedOrder {
                     backend: id.clone(),
                     order: order.clone(),
-                    reported_version: told,
+                    reported_version: reported_version,
                 });
             }
         }
-        doubts
+        unconfirmed
     }
 
     /// Whether it is in doubt that a backend still has the version of its last order.
     pub fn is_unconfirmed(&self, backend: &str) -> bool {
-        self.followed
+        self.tracked
             .get(backend)
-            .is_some_and(|followed| followed.standing == Standing::Doubted)
+            .is_some_and(|tracked| tracked.confirmation == Confirmation::Unconfirmed)
     }
 }
 
-impl Followed {
+impl TrackedOrder {
     /// The one place where a standing changes. Returns the new one where it has.
-    fn enter(&mut self, is_told: bool, now: Millis, patience: Millis) -> Option<Standing> {
-        let next = match self.standing {
-            _ if is_told => Standing::Confirmed,
-            Standing::Awaited { since } if now < since + patience => self.standing,
-            _ => Standing::Doubted,
+    fn transition(
+        &mut self,
+        is_reported: bool,
+        now: Millis,
+        timeout: Millis,
+    ) -> Option<Confirmation> {
+        let next = match self.confirmation {
+            _ if is_reported => Confirmation::Confirmed,
+            Confirmation::Pending { since } if now < since + timeout => self.confirmation,
+            _ => Confirmation::Unconfirmed,
         };
-        let former = std::mem::replace(&mut self.standing, next);
+        let former = std::mem::replace(&mut self.confirmation, next);
         (former != next).then_some(next)
     }
 }
 
 /// The version of the order's model that the last heartbeat told; 0 where it told none.
-pub(super) fn told_version(backend: &Backend, order: &Order) -> u64 {
-    let told = backend
+pub(super) fn reported_version_of(backend: &Backend, order: &Order) -> u64 {
+    let reported_version = backend
         .models
         .iter()
         .find(|(model, _)| *model == order.model);
-    told.map_or(0, |(_, version)| *version)
+    reported_version.map_or(0, |(_, version)| *version)
 }
--- a/control/src/rollout/ownership.rs
+++ b/control/src/rollout/ownership.rs
@@ -67,10 +67,10 @@
 /// a view is late enough. Between two views that follow each other nobody else can have led; where
 /// a view was missed, the time begins anew.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct FormerOwner(Option<Ended>);
+pub struct FormerOwner(Option<EndedLease>);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Ended {
+struct EndedLease {
     holder: ReplicaId,
     epoch: Epoch,
     since: Millis,
@@ -86,11 +86,13 @@
             self.0 = None;
             return;
         };
-        let goes_on = |ended: &&mut Ended| ended.holder == *holder && view.epoch <= ended.epoch + 1;
-        match self.0.as_mut().filter(goes_on) {
-            Some(ended) => ended.epoch = view.epoch,
+        let is_continuous = |ended_lease: &&mut EndedLease| {
+            ended_lease.holder == *holder && view.epoch <= ended_lease.epoch + 1
+        };
+        match self.0.as_mut().filter(is_continuous) {
+            Some(ended_lease) => ended_lease.epoch = view.epoch,
             None => {
-                self.0 = Some(Ended {
+                self.0 = Some(EndedLease {
                     holder: holder.clone(),
                     epoch: view.epoch,
                     since: now,
@@ -101,6 +103,6 @@
 
     /// Since when; none where it may hold the lease, or there is no such node.
     pub fn since(&self) -> Option<Millis> {
-        self.0.as_ref().map(|ended| ended.since)
+        self.0.as_ref().map(|ended_lease| ended_lease.since)
     }
 }
--- a/control/src/rollout/queue.rs
+++ b/control/src/rollout/queue.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// A backend whose heartbeats have stopped is asked again after this.
-const SILENT_PAUSE: Millis = 2_000;
+const UNRESPONSIVE_RETRY_MS: Millis = 2_000;
 
 /// Whom to give the next order: those whose heartbeats come first, then those whose last orders
 /// were answered, and of these the one that has waited for longest. So neither backends that do not
@@ -15,12 +15,12 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OrderQueue {
     orders: u64,
-    tried: BTreeMap<CompactString, Tried>,
+    attempts: BTreeMap<CompactString, OrderAttempts>,
 }
 
 /// How a backend's orders went.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Tried {
+struct OrderAttempts {
     unanswered: u32,
     last_order: u64,
     last_at: Millis,
@@ -28,39 +28,44 @@
 
 impl OrderQueue {
     /// Sorts backends by who is next.
-    pub fn sort(&self, lacking: &mut [OutdatedBackend]) {
-        lacking.sort_by_key(|backend| {
-            let tried = self.tried.get(&backend.id).copied().unwrap_or_default();
-            (backend.is_unresponsive, tried.unanswered, tried.last_order)
+    pub fn sort(&self, outdated: &mut [OutdatedBackend]) {
+        outdated.sort_by_key(|backend| {
+            let attempts = self.attempts.get(&backend.id).copied().unwrap_or_default();
+            (
+                backend.is_unresponsive,
+                attempts.unanswered,
+                attempts.last_order,
+            )
         });
     }
 
     /// Whether a backend may be asked now.
     pub fn is_due(&self, backend: &OutdatedBackend, now: Millis) -> bool {
-        let tried = self.tried.get(&backend.id);
-        !backend.is_unresponsive || tried.is_none_or(|tried| now >= tried.last_at + SILENT_PAUSE)
+        let attempts = self.attempts.get(&backend.id);
+        !backend.is_unresponsive
+            || attempts.is_none_or(|attempts| now >= attempts.last_at + UNRESPONSIVE_RETRY_MS)
     }
 
     /// A backend is given an order.
     pub fn record_order(&mut self, backend: &CompactString, now: Millis) {
         self.orders += 1;
-        let tried = self.tried.entry(backend.clone()).or_default();
-        (tried.last_order, tried.last_at) = (self.orders, now);
+        let attempts = self.attempts.entry(backend.clone()).or_default();
+        (attempts.last_order, attempts.last_at) = (self.orders, now);
     }
 
     /// Whether a backend's order came to its end.
     pub fn record_result(&mut self, backend: &CompactString, was_answered: bool) {
-        let tried = self.tried.entry(backend.clone()).or_default();
-        tried.unanswered = if was_answered {
+        let attempts = self.attempts.entry(backend.clone()).or_default();
+        attempts.unanswered = if was_answered {
             0
         } else {
-            tried.unanswered.saturating_add(1)
+            attempts.unanswered.saturating_add(1)
         };
     }
 
     /// Forgets backends that are not there any more.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
-        self.tried.retain(|backend, _| is_there(backend));
+    pub fn retain(&mut self, is_registered: impl Fn(&str) -> bool) {
+        self.attempts.retain(|backend, _| is_registered(backend));
     }
 }
 
@@ -84,8 +89,8 @@
     }
 
     /// Forgets backends that are not there any more.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
-        self.0.retain(|backend, _| is_there(backend));
+    pub fn retain(&mut self, is_registered: impl Fn(&str) -> bool) {
+        self.0.retain(|backend, _| is_registered(backend));
     }
 
     /// How many backends have refused one.
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -92,7 +92,7 @@
     }
 
     /// Whether this very configuration was taken before.
-    fn was_taken(&self, fingerprint: Fingerprint) -> bool {
+    fn is_accepted(&self, fingerprint: Fingerprint) -> bool {
         self.accepted
             .iter()
             .rev()
@@ -101,7 +101,7 @@
 
     /// Whether a configuration that builds on this version may have been taken so long ago that it
     /// is not remembered.
-    fn may_have_been_forgotten(&self, base: u64) -> bool {
+    fn may_have_been_evicted(&self, base: u64) -> bool {
         let oldest = self.accepted.first().map_or(0, |(version, _)| *version);
         self.accepted.len() >= RETAINED_CONFIGURATIONS && base < oldest
     }
@@ -124,10 +124,10 @@
     }
 
     fn evaluate_configuration(&self, base: u64, body: &[u8]) -> Option<Outcome> {
-        if self.was_taken(Fingerprint::of(base, body)) {
+        if self.is_accepted(Fingerprint::of(base, body)) {
             return Some(Outcome::Committed);
         }
-        if self.may_have_been_forgotten(base) {
+        if self.may_have_been_evicted(base) {
             return Some(Outcome::Unknown);
         }
         if base != self.version() {
@@ -138,7 +138,7 @@
         match Configuration::parse(body) {
             Err(problem) => Some(Outcome::Rejected(Rejection::Invalid(problem.to_string()))),
             Ok(parsed) if parsed.version <= base => {
-                let problem = configuration::Problem::OldVersion {
+                let problem = configuration::ConfigurationError::StaleVersion {
                     found: parsed.version,
                     current: base,
                 };
--- a/control/src/storage.rs
+++ b/control/src/storage.rs
@@ -16,9 +16,9 @@
 use thiserror::Error;
 
 /// Bytes before a record: its length and its checksum.
-const HEADER: usize = 8;
+const FRAME_HEADER_BYTES: usize = 8;
 /// The longest record; a longer length can only be damage.
-const LONGEST: usize = 48 << 20;
+const MAX_RECORD_BYTES: usize = 48 << 20;
 /// The format written by this program.
 pub const FORMAT: u32 = 3;
 
@@ -96,17 +96,17 @@
 
 /// Reads a snapshot, which was written and synced as a whole; its last record is the state.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<Vec<Record>, StorageError> {
-    let (records, sound) = decode(bytes)?;
-    let holds_state = matches!(
+    let (records, valid_length) = decode(bytes)?;
+    let ends_with_state = matches!(
         records.last(),
         Some(Record::Install { .. } | Record::InstallV2 { .. })
     );
-    let is_whole = sound == bytes.len() && holds_state;
-    if is_whole {
+    let is_complete = valid_length == bytes.len() && ends_with_state;
+    if is_complete {
         Ok(records)
     } else {
         Err(StorageError::Truncated {
-            valid_length: sound,
+            valid_length: valid_length,
         })
     }
 }
@@ -115,33 +115,34 @@
 pub fn decode(bytes: &[u8]) -> Result<(Vec<Record>, usize), StorageError> {
     let mut records = Vec::new();
     let mut offset = 0;
-    while let Some((record, next)) = frame(bytes, offset)? {
+    while let Some((record, next)) = read_frame(bytes, offset)? {
         records.push(record);
         offset = next;
     }
     Ok((records, offset))
 }
 
-fn number(bytes: &[u8], at: usize) -> Option<usize> {
-    let four: [u8; 4] = bytes.get(at..at + 4)?.try_into().ok()?;
+fn read_u32(bytes: &[u8], position: usize) -> Option<usize> {
+    let four: [u8; 4] = bytes.get(position..position + 4)?.try_into().ok()?;
     Some(u32::from_be_bytes(four) as usize)
 }
 
 /// One frame, and where the next one begins; none where the file ends, be it within a frame.
-fn frame(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, StorageError> {
-    let (Some(length), Some(checksum)) = (number(bytes, offset), number(bytes, offset + 4)) else {
+fn read_frame(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, StorageError> {
+    let (Some(length), Some(checksum)) = (read_u32(bytes, offset), read_u32(bytes, offset + 4))
+    else {
         return Ok(None);
     };
-    let next = offset + HEADER + length;
-    let Some(body) = bytes.get(offset + HEADER..next) else {
-        return if length > LONGEST {
-            torn_or_damaged(bytes, offset)
+    let next = offset + FRAME_HEADER_BYTES + length;
+    let Some(body) = bytes.get(offset + FRAME_HEADER_BYTES..next) else {
+        return if length > MAX_RECORD_BYTES {
+            classify_invalid_frame(bytes, offset)
         } else {
             Ok(None)
         };
     };
     if crc32fast::hash(body) as usize != checksum || length == 0 {
-        return torn_or_damaged(bytes, offset);
+        return classify_invalid_frame(bytes, offset);
     }
     match postcard::from_bytes(body) {
         Ok(record) => Ok(Some((record, next))),
@@ -150,16 +151,21 @@
 }
 
 /// A torn write leaves no sound frame behind it; damage in the middle does.
-fn torn_or_damaged(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, StorageError> {
-    let sound_frame_at = |at: usize| {
-        let length = number(bytes, at).filter(|length| (1..=LONGEST).contains(length))?;
-        let checksum = number(bytes, at + 4)?;
-        let body = bytes.get(at + HEADER..at + HEADER + length)?;
+fn classify_invalid_frame(
+    bytes: &[u8],
+    offset: usize,
+) -> Result<Option<(Record, usize)>, StorageError> {
+    let valid_frame_at = |position: usize| {
+        let length =
+            read_u32(bytes, position).filter(|length| (1..=MAX_RECORD_BYTES).contains(length))?;
+        let checksum = read_u32(bytes, position + 4)?;
+        let body =
+            bytes.get(position + FRAME_HEADER_BYTES..position + FRAME_HEADER_BYTES + length)?;
         (crc32fast::hash(body) as usize == checksum).then_some(())
     };
-    let sound_behind =
-        (offset + 1..bytes.len().saturating_sub(HEADER)).any(|at| sound_frame_at(at).is_some());
-    if sound_behind {
+    let has_valid_frame_after = (offset + 1..bytes.len().saturating_sub(FRAME_HEADER_BYTES))
+        .any(|position| valid_frame_at(position).is_some());
+    if has_valid_frame_after {
         Err(StorageError::CorruptRecord { offset })
     } else {
         Ok(None)
@@ -184,7 +190,7 @@
     pub fn replay(records: impl IntoIterator<Item = Record>) -> Result<Self, StorageError> {
         let mut recovered = Recovered::default();
         for record in records {
-            recovered.take(record)?;
+            recovered.apply(record)?;
         }
         if recovered.disk == 0 {
             Err(StorageError::MissingHeader)
@@ -193,7 +199,7 @@
         }
     }
 
-    fn take(&mut self, record: Record) -> Result<(), StorageError> {
+    fn apply(&mut self, record: Record) -> Result<(), StorageError> {
         match record {
             Record::Disk { format, .. } if format > FORMAT => {
                 return Err(StorageError::UnsupportedFormat { found: format });
--- a/control/src/storage/format1.rs
+++ b/control/src/storage/format1.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Attempts of format 1 did not name the life of their process.
-const UNKNOWN_LIFE: u64 = 0;
+const UNKNOWN_INCARNATION: u64 = 0;
 
 /// The number of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
         ProposalNumber {
             round: number.round,
             proposer: number.proposer,
-            incarnation: UNKNOWN_LIFE,
+            incarnation: UNKNOWN_INCARNATION,
         }
     }
 }
--- a/control/src/witness.rs
+++ b/control/src/witness.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether `replica` may take over as far as the lease goes.
-    fn is_free_for(&self, replica: &ReplicaId, now: Millis) -> bool {
+    fn lease_is_available_to(&self, replica: &ReplicaId, now: Millis) -> bool {
         match &self.grant {
             Grant::Free => true,
             Grant::Held { holder, until } => holder == replica || *until <= now,
@@ -136,7 +136,7 @@
         if current.is_bootstrap() && !self.may_bootstrap {
             return (Vote::NotEligible, has_learned);
         }
-        if !self.is_free_for(&number.proposer, now) {
+        if !self.lease_is_available_to(&number.proposer, now) {
             return (Vote::Leased, has_learned);
         }
         if let Some(higher) = self
@@ -184,7 +184,7 @@
     /// Grants the lease to the primary of the newest decided view, unless a successor is being
     /// decided.
     pub fn grant(&mut self, holder: &ReplicaId, epoch: Epoch, now: Millis) -> bool {
-        let leads = self
+        let is_primary = self
             .decided()
             .is_some_and(|view| view.epoch == epoch && view.primary == *holder);
         let is_challenged = self
@@ -197,7 +197,7 @@
                 .accepted
                 .as_ref()
                 .is_some_and(|accepted| accepted.view.primary != *holder);
-        if !leads || is_challenged || !self.is_free_for(holder, now) {
+        if !is_primary || is_challenged || !self.lease_is_available_to(holder, now) {
             return false;
         }
         self.grant = Grant::Held {
@@ -208,7 +208,7 @@
     }
 
     /// The holder gives its lease back.
-    pub fn release(&mut self, holder: &ReplicaId) {
+    pub fn release_lease(&mut self, holder: &ReplicaId) {
         match &self.grant {
             Grant::Held { holder: held, .. } if held == holder => self.grant = Grant::Free,
             Grant::Unknown { .. } if self.decided().is_some_and(|view| view.primary == *holder) => {
--- a/control/tests/catching_up.rs
+++ b/control/tests/catching_up.rs
@@ -12,16 +12,16 @@
 /// Runs for so long with a change at the primary each `interval`, or until `name` is in sync if
 /// that is wanted.
 fn busy(world: &mut World, lasts: u64, interval: u64, until_in_sync: Option<&str>) -> Option<u64> {
-    let begun = world.now;
-    while world.now < begun + lasts {
-        if (world.now - begun) % interval == 0
+    let started_at = world.now;
+    while world.now < started_at + lasts {
+        if (world.now - started_at) % interval == 0
             && let Some(primary) = world.primary()
         {
             let number = world.asked.len();
             world.submit(&primary, change(&format!("m{number}"), 1));
         }
         if until_in_sync.is_some_and(|name| world.is_in_sync(name)) {
-            return Some(world.now - begun);
+            return Some(world.now - started_at);
         }
         world.run(1);
     }
--- a/control/tests/configuration.rs
+++ b/control/tests/configuration.rs
@@ -2,7 +2,7 @@
 
 use assert_matches::assert_matches;
 use control::changes::{Change, Outcome, Rejection};
-use control::configuration::{Access, Configuration, Kind, Problem};
+use control::configuration::{Access, Configuration, ConfigurationError, Kind};
 use control::delta;
 use control::state::{ControlState, Position, Update};
 
@@ -18,7 +18,7 @@
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000},
  "tenants":[{"name":"t1","apiKeys":["k1","k2"],"priority":1,"isolated":true},{"name":"t2","apiKeys":["k3"]}]}"#;
 
-fn problem(from: &str, to: &str) -> Problem {
+fn problem(from: &str, to: &str) -> ConfigurationError {
     let body = SOUND.replacen(from, to, 1);
     assert_ne!(body, SOUND, "{from} is there");
     Configuration::parse(body.as_bytes()).expect_err("it is not valid")
@@ -54,15 +54,15 @@
 fn what_is_not_valid_is_named_with_its_place() {
     assert_matches!(
         Configuration::parse(&SOUND.as_bytes()[..300]),
-        Err(Problem::Unreadable(_))
+        Err(ConfigurationError::InvalidJson(_))
     );
     assert_matches!(problem("\"service\":\"models\",\"attempts\"", "\"service\":\"none\",\"attempts\""),
-        Problem::UnknownService { route, service } if route == "r1" && service == "none");
-    assert_matches!(problem("\"/x/y/\"", "\"/x/\""), Problem::SamePlace { first, second } if first == "r1" && second == "r2");
+        ConfigurationError::UnknownService { route, service } if route == "r1" && service == "none");
+    assert_matches!(problem("\"/x/y/\"", "\"/x/\""), ConfigurationError::DuplicateRoute { first, second } if first == "r1" && second == "r2");
     assert_matches!(problem("\"weight\":90},{\"service\":\"records\",\"weight\":10", "\"weight\":0"),
-        Problem::NoWeight { route } if route == "r2");
-    assert_matches!(problem("\"timeoutMs\":3000", "\"timeoutMs\":0"), Problem::NoTimeout { route } if route == "r1");
-    assert_matches!(problem("\"k3\"", "\"k1\""), Problem::SharedKey { first, second } if first == "t1" && second == "t2");
+        ConfigurationError::ZeroWeight { route } if route == "r2");
+    assert_matches!(problem("\"timeoutMs\":3000", "\"timeoutMs\":0"), ConfigurationError::ZeroTimeout { route } if route == "r1");
+    assert_matches!(problem("\"k3\"", "\"k1\""), ConfigurationError::SharedKey { first, second } if first == "t1" && second == "t2");
     let version = problem("\"version\":7", "\"version\":\"seven\"");
     assert_eq!(
         version.to_string(),
--- a/control/tests/history.rs
+++ b/control/tests/history.rs
@@ -44,7 +44,7 @@
             match holder.apply(news) {
                 Ok(()) => assert_eq!(holder.version(), leads_to),
                 Err(misfit) => {
-                    assert_matches!(misfit, ApplyError::BaseMismatch { held } if held == before);
+                    assert_matches!(misfit, ApplyError::BaseMismatch { current } if current == before);
                     assert_eq!(holder.version(), before);
                 }
             }
@@ -81,12 +81,12 @@
 fn a_text_of_the_same_number_and_other_content_is_not_built_on() {
     let mut holder = History::default();
     holder.advance(4, [&b"{\"other\":1}"[..], &text(4)].concat());
-    let held = holder.text().to_vec();
+    let current = holder.text().to_vec();
     assert_matches!(
         holder.apply(up_to(5).update_for(4).unwrap()),
         Err(ApplyError::Checksum { version: 5 })
     );
-    assert_eq!((holder.version(), holder.text()), (4, &held[..]));
+    assert_eq!((holder.version(), holder.text()), (4, &current[..]));
 }
 
 #[test]
--- a/control/tests/order_turns.rs
+++ b/control/tests/order_turns.rs
@@ -125,7 +125,7 @@
         let mut group = Group::founded(seed);
         group.run(5_000);
         for cycle in 0..6 {
-            let begun = group.world.now;
+            let started_at = group.world.now;
             group.strike_primary(|world, name| world.kill(name, 400, false));
             group.run(3_300);
             group.strike_primary(|world, name| {
@@ -134,7 +134,7 @@
             group.run(900);
             group.world.restore_disks();
             group.run(2_400);
-            let ordered = group.ordered_since(begun);
+            let ordered = group.ordered_since(started_at);
             assert!(
                 ordered >= 1_500,
                 "seed {seed}, cycle {cycle}: {ordered} ms of 6,600 ms for orders"
@@ -154,7 +154,7 @@
         // Another primary than the first one, which waits for nobody.
         group.world.kill(&primary, 400, false);
         group.run(8_000);
-        let begun = group.world.now;
+        let started_at = group.world.now;
         let holder = group.world.primary().expect("a primary");
         for _ in 0..8 {
             let backup = group
@@ -170,7 +170,7 @@
             group.world.kill(&backup, 1_200, false);
             group.run(2_500);
         }
-        let ordered = group.ordered_since(begun);
+        let ordered = group.ordered_since(started_at);
         assert!(
             ordered >= 15_000,
             "seed {seed}: {ordered} ms of 20,000 ms for orders"
--- a/control/tests/plays.rs
+++ b/control/tests/plays.rs
@@ -153,13 +153,13 @@
             self.seed,
             self.world.describe()
         );
-        let begun = self.world.now;
-        let strikes_at = begun + self.world.rng.u64(0..STRIKE_WITHIN);
+        let started_at = self.world.now;
+        let strikes_at = started_at + self.world.rng.u64(0..STRIKE_WITHIN);
         while self.world.now < strikes_at + ROUND {
             if self.world.now == strikes_at {
                 self.strike(faults, one_way);
             }
-            if self.world.now < begun + BUSY && (self.world.now - begun) % 60 == 0 {
+            if self.world.now < started_at + BUSY && (self.world.now - started_at) % 60 == 0 {
                 self.call();
             }
             self.world.run(1);
--- a/control/tests/reconfiguration.rs
+++ b/control/tests/reconfiguration.rs
@@ -139,9 +139,9 @@
                 assert!(world.can_shut_down(&leaving));
                 world.kill(&leaving, 500, false);
             }
-            let begun = world.now;
+            let started_at = world.now;
             acknowledged(&mut world, &format!("m{round}-{step}"));
-            longest = longest.max(world.now - begun);
+            longest = longest.max(world.now - started_at);
             world.run(100);
         }
         assert!(world.until(REPAIR, World::is_whole), "{}", world.describe());
--- a/control/tests/view_model/bounds.rs
+++ b/control/tests/view_model/bounds.rs
@@ -2,7 +2,8 @@
 
 use crate::scenarios::Pattern;
 use crate::state::{
-    COPIES, LEASE, Leading, Message, Replica, Shared, Stage, State, held_until, id, ids, numbers,
+    LEASE, Leading, Message, REPLICATION_FACTOR, Replica, Shared, Stage, State, held_until, id,
+    ids, numbers,
 };
 use crate::turn::{Fault, Turn};
 use control::proposer::Intent;
@@ -91,7 +92,7 @@
         let has_open_proposal = !leading.proposed.is_subset(&in_sync);
         views
             .filter(|wanted| wanted.in_sync != view.in_sync || has_open_proposal)
-            .filter(|wanted| wanted.in_sync.len() >= COPIES)
+            .filter(|wanted| wanted.in_sync.len() >= REPLICATION_FACTOR)
             .collect()
     }
 
@@ -303,7 +304,12 @@
                     in_sync: ids([at]),
                     ..view
                 };
-                turn.begin_attempt(wanted, Intent::TakeOver { copies: COPIES });
+                turn.begin_attempt(
+                    wanted,
+                    Intent::TakeOver {
+                        replication_factor: REPLICATION_FACTOR,
+                    },
+                );
             }
             Act::Change(_, view) => turn.begin_attempt(view, Intent::Change),
             Act::GiveUp(_) => turn.give_up(),
--- a/control/tests/view_model/state.rs
+++ b/control/tests/view_model/state.rs
@@ -14,7 +14,7 @@
 /// For how long the holder counts on it.
 pub const HELD: u64 = 1;
 /// How many replicas have to store a change.
-pub const COPIES: usize = 2;
+pub const REPLICATION_FACTOR: usize = 2;
 
 /// A part of a state that many states share, compared by its digest.
 #[derive(Debug, Clone)]
--- a/control/tests/view_model/turn.rs
+++ b/control/tests/view_model/turn.rs
@@ -3,7 +3,7 @@
 
 use crate::bounds::Bounds;
 use crate::state::{
-    COPIES, Leading, Message, Replica, Shared, Stage, State, held_until, id, numbers,
+    Leading, Message, REPLICATION_FACTOR, Replica, Shared, Stage, State, held_until, id, numbers,
 };
 use control::proposer::{Attempt, Intent, Progress};
 use control::view::{ProposalNumber, View};
@@ -128,7 +128,7 @@
 
     fn proceed(&mut self, progress: Progress) {
         match progress {
-            Progress::Waiting => {}
+            Progress::Pending => {}
             Progress::Accept(proposal) => {
                 if let Some(leading) = &mut self.replica.leading {
                     leading.proposed = numbers(&proposal.view.in_sync);
@@ -217,7 +217,7 @@
             required.extend(&leading.proposed);
         }
         if let Some(attempt) = &self.replica.attempt {
-            required.extend(numbers(&attempt.wanted().in_sync));
+            required.extend(numbers(&attempt.target().in_sync));
         }
         required
     }
@@ -231,7 +231,7 @@
             Stage::Starting(done) | Stage::Replicating(done) => required.is_subset(done),
             Stage::Ready => false,
         };
-        if is_done && required.len() >= COPIES {
+        if is_done && required.len() >= REPLICATION_FACTOR {
             leading.stage = Stage::Ready;
             self.state.acknowledged = self.state.acknowledged.max(self.replica.log);
         }
@@ -320,7 +320,7 @@
                 number,
                 vote,
                 ..
-            } => self.voted(from, incarnation, &number, vote),
+            } => self.on_vote(from, incarnation, &number, vote),
             Message::Accept {
                 from,
                 current,
@@ -347,7 +347,7 @@
                 ..
             } => {
                 if let Some(attempt) = self.attempt_of(incarnation, &number) {
-                    let progress = attempt.accepted(&id(from), answer);
+                    let progress = attempt.on_accept_reply(&id(from), answer);
                     self.proceed(progress);
                 }
             }
@@ -412,13 +412,13 @@
             .filter(|attempt| is_own && attempt.number == *number)
     }
 
-    fn voted(&mut self, from: usize, incarnation: u64, number: &ProposalNumber, vote: Vote) {
+    fn on_vote(&mut self, from: usize, incarnation: u64, number: &ProposalNumber, vote: Vote) {
         let vote = match (self.fault, vote) {
             (Fault::FoundIgnored, Vote::Promised { .. }) => Vote::Promised { accepted: None },
             (_, vote) => vote,
         };
         if let Some(attempt) = self.attempt_of(incarnation, number) {
-            let progress = attempt.voted(&id(from), vote);
+            let progress = attempt.on_vote(&id(from), vote);
             self.proceed(progress);
         }
     }
--- a/control/tests/views.rs
+++ b/control/tests/views.rs
@@ -108,7 +108,9 @@
                     number(1, &members[at]),
                     first.clone(),
                     wanted,
-                    Intent::TakeOver { copies: 2 },
+                    Intent::TakeOver {
+                        replication_factor: 2,
+                    },
                     0,
                 )
             })
@@ -143,7 +145,7 @@
             }
             Message::Vote { from, by, vote } => {
                 if let Progress::Accept(proposal) =
-                    self.attempts[by].voted(&self.members[from], vote)
+                    self.attempts[by].on_vote(&self.members[from], vote)
                 {
                     let accepts = (0..3).map(|to| Message::Accept {
                         to,
@@ -163,7 +165,7 @@
             }
             Message::Accepted { from, by, answer } => {
                 if let Progress::Decided(view) =
-                    self.attempts[by].accepted(&self.members[from], answer)
+                    self.attempts[by].on_accept_reply(&self.members[from], answer)
                 {
                     self.decided.push(view);
                 }
@@ -241,14 +243,14 @@
     let first = view(1, &primary, &members);
     let mut witness = Witness::new(decided(first.clone()), false, 1_000, 0);
     assert!(witness.grant(&primary, 1, 10));
-    witness.release(&replica(2));
+    witness.release_lease(&replica(2));
     let rival = number(1, &replica(2));
     assert_eq!(
         witness.prepare(&first, &rival, 20).0,
         Vote::Leased,
         "only the holder gives it back"
     );
-    witness.release(&primary);
+    witness.release_lease(&primary);
     assert_eq!(
         witness.prepare(&first, &rival, 20).0,
         Vote::Promised { accepted: None }
