--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -7,30 +7,30 @@
 //! singleton work exclusive; whatever else is answered without a change being stored is confirmed
 //! by a majority after the call came.
 
-mod backlog;
-mod calls;
 mod lease;
 mod membership;
 mod orders;
+mod pending_calls;
 mod primary;
+mod recent_updates;
 mod replication;
 mod timing;
 mod views;
 
 pub use timing::Timing;
 
-use backlog::Backlog;
-use calls::Calls;
+use pending_calls::PendingCalls;
 use primary::{Primary, Stage};
+use recent_updates::RecentUpdates;
 
 use crate::Millis;
-use crate::changes::{Change, Outcome, Reading};
+use crate::changes::{Change, Outcome, ReadOutcome};
 use crate::message::{Envelope, Message};
 use crate::proposer::Attempt;
-use crate::rollout::FormerHolder;
+use crate::rollout::FormerOwner;
 use crate::state::{ControlState, Position, Update};
 use crate::storage::{Record, Recovered};
-use crate::view::{Epoch, Life, ReplicaId, View};
+use crate::view::{Epoch, Incarnation, ReplicaId, View};
 use crate::witness::Witness;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -61,7 +61,7 @@
         /// Which caller.
         ticket: Ticket,
         /// What it is told.
-        reading: Reading,
+        reading: ReadOutcome,
     },
     /// The committed state has changed.
     Committed,
@@ -102,9 +102,9 @@
     /// The replica.
     pub id: ReplicaId,
     /// Drawn for this run of the process.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Whether it started together with the system, so that it may vote on the first view.
-    pub may_found: bool,
+    pub may_bootstrap: bool,
 }
 
 /// One replica.
@@ -116,23 +116,23 @@
     state: ControlState,
     tail: Option<Update>,
     tail_ticket: Option<Ticket>,
-    backlog: Backlog,
+    recent_updates: RecentUpdates,
     role: Role,
     leaving: bool,
     attempt: Option<Attempt>,
-    attempt_resend_at: Millis,
-    round: u64,
-    heard_primary: Millis,
+    retransmit_at: Millis,
+    proposal_round: u64,
+    last_primary_contact: Millis,
     current_at: Option<Millis>,
-    retry_at: Millis,
+    next_attempt_at: Millis,
     join_at: Millis,
-    known: BTreeSet<ReplicaId>,
-    calls: Calls,
-    former_holder: FormerHolder,
-    made: u64,
-    durable: u64,
-    waiting_since: Millis,
-    held: VecDeque<(u64, Envelope)>,
+    known_replicas: BTreeSet<ReplicaId>,
+    calls: PendingCalls,
+    former_owner: FormerOwner,
+    last_write: u64,
+    last_durable_write: u64,
+    write_pending_since: Millis,
+    pending_replies: VecDeque<(u64, Envelope)>,
     inbox: VecDeque<Envelope>,
     effects: Vec<Effect>,
 }
@@ -153,33 +153,33 @@
             .as_ref()
             .map_or(recovered.state.position, |tail| tail.position);
         let mut node = ControlNode {
-            witness: Witness::new(recovered.votes, identity.may_found, timing.lease, now),
+            witness: Witness::new(recovered.votes, identity.may_bootstrap, timing.lease, now),
             role,
             state: recovered.state,
             tail: recovered.tail,
             tail_ticket: None,
-            backlog: Backlog::new(last),
+            recent_updates: RecentUpdates::new(last),
             identity,
             timing,
             leaving: false,
             attempt: None,
-            attempt_resend_at: 0,
-            round: 0,
-            heard_primary: if own { 0 } else { now },
+            retransmit_at: 0,
+            proposal_round: 0,
+            last_primary_contact: if own { 0 } else { now },
             current_at: None,
-            retry_at: 0,
+            next_attempt_at: 0,
             join_at: 0,
-            known: BTreeSet::new(),
-            calls: Calls::default(),
-            former_holder: FormerHolder::default(),
-            made: 0,
-            durable: 0,
-            waiting_since: now,
-            held: VecDeque::new(),
+            known_replicas: BTreeSet::new(),
+            calls: PendingCalls::default(),
+            former_owner: FormerOwner::default(),
+            last_write: 0,
+            last_durable_write: 0,
+            write_pending_since: now,
+            pending_replies: VecDeque::new(),
             inbox: VecDeque::new(),
             effects: Vec::new(),
         };
-        node.note_order_holder(now);
+        node.track_rollout_owner(now);
         node
     }
 
@@ -227,7 +227,7 @@
 
     /// Whether this replica is the primary, is in step with its backups and holds the lease at
     /// `now`; then singleton work may be done under the epoch as fencing token.
-    pub fn leads(&self, now: Millis) -> Option<Epoch> {
+    pub fn leading_epoch(&self, now: Millis) -> Option<Epoch> {
         self.lease(now).map(|(epoch, _)| epoch)
     }
 
@@ -235,23 +235,23 @@
     pub fn lease(&self, now: Millis) -> Option<(Epoch, Millis)> {
         match &self.role {
             Role::Primary(primary) if !matches!(primary.stage, Stage::Starting { .. }) => {
-                let until = self.lease_until(primary);
+                let until = self.lease_expires_at(primary);
                 (now < until).then(|| (self.epoch(), until))
             }
             _ => None,
         }
     }
 
-    fn lease_until(&self, primary: &Primary) -> Millis {
+    fn lease_expires_at(&self, primary: &Primary) -> Millis {
         let lasts = self.timing.lease - self.timing.lease_margin;
         self.view()
-            .map_or(0, |view| primary.lease.until(view, lasts))
+            .map_or(0, |view| primary.lease.expires_at(view, lasts))
     }
 
     /// When the committed state here was the newest for certain: this replica led, or its primary
     /// did and knew it then.
     pub fn current_at(&self, now: Millis) -> Option<Millis> {
-        if self.leads(now).is_some() {
+        if self.leading_epoch(now).is_some() {
             Some(now)
         } else {
             self.current_at
@@ -259,8 +259,8 @@
     }
 
     /// Other replicas that are known to exist, of which one may be asked to be taken in.
-    pub fn know(&mut self, replicas: BTreeSet<ReplicaId>) {
-        self.known = replicas;
+    pub fn set_known_replicas(&mut self, replicas: BTreeSet<ReplicaId>) {
+        self.known_replicas = replicas;
     }
 
     /// Takes what has to be done.
@@ -278,8 +278,8 @@
             return;
         }
         self.calls.submit(ticket, change, now);
-        self.order_next(now);
-        self.work(now);
+        self.replicate_next(now);
+        self.process_inbox(now);
     }
 
     /// A caller asks for the newest configuration; the answer comes as an effect.
@@ -287,31 +287,31 @@
         if !matches!(self.role, Role::Primary(_)) {
             self.effects.push(Effect::Read {
                 ticket,
-                reading: Reading::Unknown,
+                reading: ReadOutcome::Unknown,
             });
             return;
         }
         self.calls.read(ticket, now);
         self.confirm_calls(now);
-        self.work(now);
+        self.process_inbox(now);
     }
 
     /// The writes up to this one are on disk.
-    pub fn stored(&mut self, sequence: u64, now: Millis) {
-        self.durable = self.durable.max(sequence);
-        self.waiting_since = now;
-        self.release();
-        self.work(now);
+    pub fn on_stored(&mut self, sequence: u64, now: Millis) {
+        self.last_durable_write = self.last_durable_write.max(sequence);
+        self.write_pending_since = now;
+        self.release_replies();
+        self.process_inbox(now);
     }
 
     /// A message from another replica.
     pub fn receive(&mut self, envelope: Envelope, now: Millis) {
         let is_late = envelope
-            .answers
-            .is_some_and(|life| life != self.identity.life);
+            .in_reply_to
+            .is_some_and(|incarnation| incarnation != self.identity.incarnation);
         if envelope.to == self.identity.id && !is_late {
             self.inbox.push_back(envelope);
-            self.work(now);
+            self.process_inbox(now);
         }
     }
 
@@ -323,16 +323,16 @@
             Role::Backup => self.tick_backup(now),
             Role::Outside => {}
         }
-        self.tick_member(now);
+        self.tick_membership(now);
         self.tick_attempt(now);
-        self.work(now);
+        self.process_inbox(now);
     }
 
     // ---- state changes
     // -------------------------------------------------------------------------------------
 
     /// The one place where the role changes.
-    fn enter(&mut self, role: Role, cause: &'static str) {
+    fn transition(&mut self, role: Role, cause: &'static str) {
         let was_primary = matches!(self.role, Role::Primary(_));
         let before = self.role();
         self.role = role;
@@ -373,10 +373,10 @@
     // ------------------------------------------------------------------------------------------
 
     /// Handles what this replica has said to itself, and what came from others.
-    fn work(&mut self, now: Millis) {
+    fn process_inbox(&mut self, now: Millis) {
         while let Some(envelope) = self.inbox.pop_front() {
             if let Role::Primary(primary) = &mut self.role {
-                primary.hear(&envelope.from, now);
+                primary.record_contact(&envelope.from, now);
             }
             self.handle(envelope, now);
         }
@@ -385,67 +385,71 @@
     fn handle(&mut self, envelope: Envelope, now: Millis) {
         let Envelope {
             from,
-            life,
+            incarnation,
             message,
             ..
         } = envelope;
-        let asker = Asker {
+        let requester = Requester {
             replica: from.clone(),
-            life,
+            incarnation,
         };
         match message {
             Message::Heartbeat {
                 epoch,
-                round,
+                sequence,
                 committed,
                 echo,
             } => {
-                self.on_heartbeat(asker, epoch, round, committed, echo, now);
+                self.on_heartbeat(requester, epoch, sequence, committed, echo, now);
             }
             Message::HeartbeatReply {
                 epoch,
-                round,
+                sequence,
                 granted,
                 other_view,
                 wants_view,
                 sent_at,
             } => {
-                let reply = views::HeartbeatAnswer {
-                    round,
+                let reply = views::HeartbeatReply {
+                    sequence,
                     granted,
                     other_view,
                     wants_view,
                     sent_at,
-                    life,
+                    incarnation,
                 };
                 self.on_heartbeat_reply(from, epoch, reply, now);
             }
-            Message::Prepare { current, ballot } => self.on_prepare(asker, current, ballot, now),
-            Message::PrepareReply { ballot, vote } => self.on_vote(&from, &ballot, vote, now),
-            Message::Accept { current, proposal } => self.on_accept(asker, current, proposal, now),
-            Message::AcceptReply { ballot, answer } => {
-                self.on_accept_reply(&from, &ballot, answer, now)
+            Message::Prepare { current, number } => {
+                self.on_prepare(requester, current, number, now)
+            }
+            Message::PrepareReply { number, vote } => self.on_vote(&from, &number, vote, now),
+            Message::Accept { current, proposal } => {
+                self.on_accept(requester, current, proposal, now)
+            }
+            Message::AcceptReply { number, answer } => {
+                self.on_accept_reply(&from, &number, answer, now)
             }
             Message::Decided { view } => self.learn(view, now),
-            Message::Synchronize { epoch } => self.on_synchronize(asker, epoch),
-            Message::Holds {
+            Message::Synchronize { epoch } => self.on_synchronize(requester, epoch),
+            Message::StoredPositions {
                 epoch,
                 last,
                 committed,
             } => {
                 if epoch == self.epoch() {
-                    self.on_holds(from, last, committed, now);
+                    self.on_stored_positions(from, last, committed, now);
                 }
             }
             Message::Install { epoch, state, tail } => {
-                self.on_install(asker, epoch, state, tail, now)
+                self.on_install(requester, epoch, state, tail, now)
             }
             Message::Replicate {
                 epoch,
                 previous,
                 updates,
             } => {
-                self.on_replicate(asker, epoch, previous, updates, now);
+                self.on_replicate(requester, epoch, previous, updates, now);
             }
             Message::Committed { epoch, position } => {
                 if self.is_primary_of(&from, epoch) {
@@ -466,13 +470,20 @@
             .collect()
     }
 
-    fn envelope(&self, to: ReplicaId, answers: Option<Life>, message: Message) -> Envelope {
-        let Identity { id, life, .. } = &self.identity;
+    fn envelope(
+        &self,
+        to: ReplicaId,
+        in_reply_to: Option<Incarnation>,
+        message: Message,
+    ) -> Envelope {
+        let Identity {
+            id, incarnation, ..
+        } = &self.identity;
         Envelope {
             from: id.clone(),
-            life: *life,
+            incarnation: *incarnation,
             to,
-            answers,
+            in_reply_to,
             message,
         }
     }
@@ -483,16 +494,16 @@
         self.dispatch(envelope);
     }
 
-    fn answer(&mut self, asker: Asker, message: Message) {
-        let envelope = self.envelope(asker.replica, Some(asker.life), message);
+    fn reply(&mut self, requester: Requester, message: Message) {
+        let envelope = self.envelope(requester.replica, Some(requester.incarnation), message);
         self.dispatch(envelope);
     }
 
     /// Answers once everything that was to be stored so far is on disk.
-    fn answer_stored(&mut self, asker: Asker, message: Message) {
-        let envelope = self.envelope(asker.replica, Some(asker.life), message);
-        self.held.push_back((self.made, envelope));
-        self.release();
+    fn reply_when_durable(&mut self, requester: Requester, message: Message) {
+        let envelope = self.envelope(requester.replica, Some(requester.incarnation), message);
+        self.pending_replies.push_back((self.last_write, envelope));
+        self.release_replies();
     }
 
     fn dispatch(&mut self, envelope: Envelope) {
@@ -503,25 +514,25 @@
         }
     }
 
-    fn release(&mut self) {
+    fn release_replies(&mut self) {
         while self
-            .held
+            .pending_replies
             .front()
-            .is_some_and(|(after, _)| *after <= self.durable)
+            .is_some_and(|(after, _)| *after <= self.last_durable_write)
         {
-            if let Some((_, envelope)) = self.held.pop_front() {
+            if let Some((_, envelope)) = self.pending_replies.pop_front() {
                 self.dispatch(envelope);
             }
         }
     }
 
     fn store(&mut self, records: Vec<Record>, now: Millis) {
-        if self.durable == self.made {
-            self.waiting_since = now;
+        if self.last_durable_write == self.last_write {
+            self.write_pending_since = now;
         }
-        self.made += 1;
+        self.last_write += 1;
         self.effects.push(Effect::Store {
-            sequence: self.made,
+            sequence: self.last_write,
             records,
         });
     }
@@ -531,11 +542,12 @@
         self.store(vec![Record::Votes(votes)], now);
     }
 
-    fn storage_is_stuck(&self, now: Millis) -> bool {
-        self.durable < self.made && now >= self.waiting_since + self.timing.storage_patience
+    fn is_storage_stalled(&self, now: Millis) -> bool {
+        self.last_durable_write < self.last_write
+            && now >= self.write_pending_since + self.timing.storage_timeout
     }
 
-    fn last(&self) -> Position {
+    fn last_position(&self) -> Position {
         self.tail
             .as_ref()
             .map_or(self.state.position, |tail| tail.position)
@@ -549,7 +561,7 @@
 
 /// Who sent a message, in which life: its answer names that life.
 #[derive(Debug, Clone)]
-struct Asker {
+struct Requester {
     replica: ReplicaId,
-    life: Life,
+    incarnation: Incarnation,
 }
--- a/control/src/rollout/turn.rs
+++ b/control/src/rollout/ownership.rs
@@ -16,42 +16,46 @@
 
 /// Whether a node may give orders.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum OrderTurn {
+pub enum RolloutOwnership {
     /// It does not hold the lease.
     #[default]
-    NotLeading,
+    NotLeader,
     /// It holds the lease. Another node gave orders last, and has not held the lease from some
     /// moment on.
-    After {
+    FormerOwner {
         /// That moment, or a later one.
-        former_ended: Millis,
+        lease_ended: Millis,
     },
     /// It holds the lease, and nobody has given orders yet.
-    First,
+    Unowned,
     /// It holds the lease, and gave orders last.
-    Held,
+    Owned,
 }
 
-impl OrderTurn {
+impl RolloutOwnership {
     /// Whether the node may have itself named as the one that gives orders.
-    pub fn may_take(&self, lease: Millis, now: Millis) -> bool {
+    pub fn may_claim(&self, lease: Millis, now: Millis) -> bool {
         match *self {
-            OrderTurn::NotLeading | OrderTurn::Held => false,
-            OrderTurn::After { former_ended } => now >= former_ended + lease + TAKEOVER_MARGIN,
-            OrderTurn::First => true,
+            RolloutOwnership::NotLeader | RolloutOwnership::Owned => false,
+            RolloutOwnership::FormerOwner { lease_ended } => {
+                now >= lease_ended + lease + TAKEOVER_MARGIN
+            }
+            RolloutOwnership::Unowned => true,
         }
     }
 }
 
-impl fmt::Display for OrderTurn {
+impl fmt::Display for RolloutOwnership {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            OrderTurn::NotLeading => "this node does not hold the lease",
-            OrderTurn::After { .. } => {
+            RolloutOwnership::NotLeader => "this node does not hold the lease",
+            RolloutOwnership::FormerOwner { .. } => {
                 "this node holds the lease, and another one gave orders last"
             }
-            OrderTurn::First => "this node holds the lease, and nobody has given orders yet",
-            OrderTurn::Held => "this node gives orders",
+            RolloutOwnership::Unowned => {
+                "this node holds the lease, and nobody has given orders yet"
+            }
+            RolloutOwnership::Owned => "this node gives orders",
         })
     }
 }
@@ -63,18 +67,18 @@
 /// a view is late enough. Between two views that follow each other nobody else can have led; where
 /// a view was missed, the time begins anew.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct FormerHolder(Option<Ended>);
+pub struct FormerOwner(Option<EndedLease>);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Ended {
+struct EndedLease {
     holder: ReplicaId,
     epoch: Epoch,
     since: Millis,
 }
 
-impl FormerHolder {
+impl FormerOwner {
     /// Takes the newest view, and who gave orders last.
-    pub fn note(&mut self, view: Option<&View>, holder: Option<&ReplicaId>, now: Millis) {
+    pub fn observe(&mut self, view: Option<&View>, holder: Option<&ReplicaId>, now: Millis) {
         let Some((view, holder)) = view
             .zip(holder)
             .filter(|(view, holder)| view.primary != **holder)
@@ -82,11 +86,13 @@
             self.0 = None;
             return;
         };
-        let goes_on = |ended: &&mut Ended| ended.holder == *holder && view.epoch <= ended.epoch + 1;
-        match self.0.as_mut().filter(goes_on) {
-            Some(ended) => ended.epoch = view.epoch,
+        let is_continuous = |ended_lease: &&mut EndedLease| {
+            ended_lease.holder == *holder && view.epoch <= ended_lease.epoch + 1
+        };
+        match self.0.as_mut().filter(is_continuous) {
+            Some(ended_lease) => ended_lease.epoch = view.epoch,
             None => {
-                self.0 = Some(Ended {
+                self.0 = Some(EndedLease {
                     holder: holder.clone(),
                     epoch: view.epoch,
                     since: now,
@@ -97,6 +103,6 @@
 
     /// Since when; none where it may hold the lease, or there is no such node.
     pub fn since(&self) -> Option<Millis> {
-        self.0.as_ref().map(|ended| ended.since)
+        self.0.as_ref().map(|ended_lease| ended_lease.since)
     }
 }
