--- a/routing/src/admission.rs
+++ b/routing/src/admission.rs
@@ -1,166 +1,182 @@
-//! Refusing early where a service has more work than it can do in time.
+//! Admission control: rejects requests early when a service is overloaded.
 //!
-//! Routers learn of overload by the time that answers take to begin, measured against their
-//! objectives. While the typical answer begins too late, a growing share of new requests is refused
-//! at once, whatever their kind; the share falls again as answers get quicker. All routers see the
-//! same backends, so they act alike without a word between them.
+//! Routers detect overload by the time to the first byte of responses, relative to the latency
+//! target of their route. While the median response is too late, a growing ratio of new requests is
+//! rejected, whatever their kind; the ratio falls as responses get faster. All routers observe the
+//! same backends, so they converge without coordination.
 
 use crate::Millis;
 use std::collections::{HashMap, VecDeque};
 
-/// Answers that began within this time are looked at.
+/// Responses that began within this time are considered.
 const WINDOW: Millis = 400;
-/// Time between two adjustments of the refused share.
-const STEP: Millis = 100;
-/// Answers that have to be seen before anything is refused.
-const LEAST_SEEN: usize = 3;
-/// A service is overloaded once the typical answer has begun later than this share of its objective
-/// for a while. Short peaks are better served late than refused.
-const OVERLOADED: f64 = 0.8;
-/// For so long.
-const SUSTAINED: Millis = 2_000;
-/// While a service is overloaded, the typical answer is to begin within this share of its
-/// objective.
-const GOAL: f64 = 0.25;
-/// An overload is over once nothing had to be refused for so long.
-const RECOVERED: Millis = 3_000;
-/// How much of the way to its new value the refused share goes with each adjustment.
-const APPROACH: f64 = 0.5;
-/// A smaller share is none.
-const NEGLIGIBLE: f64 = 0.01;
-/// At least one in ten requests is sent, so that an end of the overload is noticed.
-const LARGEST_SHARE: f64 = 0.9;
+/// Time between two adjustments of the rejection ratio.
+const ADJUSTMENT_INTERVAL: Millis = 100;
+/// Minimum number of samples for a decision.
+const MIN_SAMPLES: usize = 3;
+/// Median latency, as a ratio of the target, above which a service counts as late. Short bursts are
+/// better served late than rejected, so lateness has to be sustained.
+const LATE_RATIO: f64 = 0.8;
+/// A service that is late for this long is overloaded.
+const SUSTAINED_FOR: Millis = 2_000;
+/// While a service is overloaded, the controller steers the median latency to this ratio of the
+/// target.
+const SETPOINT_RATIO: f64 = 0.25;
+/// An overload ends once nothing had to be rejected for this long.
+const RECOVERY_TIME: Millis = 3_000;
+/// Smoothing factor: how far the rejection ratio moves to its new value with each adjustment.
+const SMOOTHING: f64 = 0.5;
+/// A smaller rejection ratio counts as zero.
+const NEGLIGIBLE_RATIO: f64 = 0.01;
+/// At least one request in ten is admitted, so that the end of the overload is noticed.
+const MAX_REJECTION_RATIO: f64 = 0.9;
 
-/// Identifies a request that is pending.
+/// Identifies a request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct PendingId(u64);
+pub struct InFlightId(u64);
 
+/// A request whose response has not begun.
 #[derive(Debug, Clone, Copy)]
-struct Pending {
-    since: Millis,
-    objective: Millis,
+struct InFlight {
+    sent_at: Millis,
+    latency_target: Millis,
 }
 
-/// How a service stands, as far as one router can tell.
+/// Load of a service, as one router observes it.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-enum Standing {
-    /// Answers are in time.
+enum LoadState {
+    /// Responses are in time.
     #[default]
-    Calm,
-    /// Answers are late since a moment.
+    Normal,
+    /// Responses have been late since the given time.
     Late { since: Millis },
-    /// It is overloaded: a share of new requests is refused. It was last needed at a moment.
-    Overloaded { refused_share: f64, needed: Millis },
+    /// A ratio of new requests is rejected; `last_needed` is when that was last necessary.
+    Overloaded {
+        rejection_ratio: f64,
+        last_needed: Millis,
+    },
 }
 
-/// What one router knows of a service's load, and the share of requests that it refuses.
+/// Decides which ratio of a service's requests one router rejects.
 #[derive(Debug, Default)]
-pub struct Admission {
-    begun: VecDeque<(Millis, f64)>,
-    pending: HashMap<PendingId, Pending>,
-    next: u64,
-    standing: Standing,
-    stepped: Millis,
+pub struct AdmissionController {
+    /// When recent responses began, each with its latency as a ratio of the target.
+    samples: VecDeque<(Millis, f64)>,
+    in_flight: HashMap<InFlightId, InFlight>,
+    next_id: u64,
+    state: LoadState,
+    adjusted_at: Millis,
 }
 
-impl Admission {
-    /// A request was sent whose answer is to begin within an objective.
-    pub fn sent(&mut self, objective: Millis, now: Millis) -> PendingId {
-        let id = PendingId(self.next);
-        self.next += 1;
-        self.pending.insert(
+impl AdmissionController {
+    /// Records a request that was sent and whose response is to begin within `latency_target`.
+    pub fn record_sent(&mut self, latency_target: Millis, now: Millis) -> InFlightId {
+        let id = InFlightId(self.next_id);
+        self.next_id += 1;
+        self.in_flight.insert(
             id,
-            Pending {
-                since: now,
-                objective: objective.max(1),
+            InFlight {
+                sent_at: now,
+                latency_target: latency_target.max(1),
             },
         );
         id
     }
 
-    /// Its answer has begun.
-    pub fn answered(&mut self, id: PendingId, now: Millis) {
-        if let Some(pending) = self.pending.remove(&id) {
-            self.begun.push_back((now, pending.ratio(now)));
+    /// Records that the response of a request began.
+    pub fn record_response(&mut self, id: InFlightId, now: Millis) {
+        if let Some(request) = self.in_flight.remove(&id) {
+            self.samples.push_back((now, request.latency_ratio(now)));
         }
     }
 
-    /// It has ended without an answer that tells anything.
-    pub fn forget(&mut self, id: PendingId) {
-        self.pending.remove(&id);
+    /// Removes a request that ended without a response that says anything about the load.
+    pub fn discard(&mut self, id: InFlightId) {
+        self.in_flight.remove(&id);
     }
 
-    /// The share of new requests that is refused now.
-    pub fn refused_share(&mut self, now: Millis) -> f64 {
-        if now >= self.stepped + STEP {
-            self.stepped = now;
-            let level = self.typical_ratio(now);
-            self.standing = self.standing.after(level, now);
+    /// Returns the ratio of new requests to reject now, from 0 to 1.
+    pub fn rejection_ratio(&mut self, now: Millis) -> f64 {
+        if now >= self.adjusted_at + ADJUSTMENT_INTERVAL {
+            self.adjusted_at = now;
+            let latency_ratio = self.median_latency_ratio(now);
+            self.state = self.state.after(latency_ratio, now);
         }
-        match self.standing {
-            Standing::Overloaded { refused_share, .. } => refused_share,
-            Standing::Calm | Standing::Late { .. } => 0.0,
+        match self.state {
+            LoadState::Overloaded {
+                rejection_ratio, ..
+            } => rejection_ratio,
+            LoadState::Normal | LoadState::Late { .. } => 0.0,
         }
     }
 
-    /// The median share of their objectives that answers take to begin, those included that are
-    /// already late.
-    fn typical_ratio(&mut self, now: Millis) -> f64 {
-        while self.begun.front().is_some_and(|(at, _)| at + WINDOW < now) {
-            self.begun.pop_front();
+    /// The median latency as a ratio of the target, over recent responses and those requests in
+    /// flight that have already missed the setpoint.
+    fn median_latency_ratio(&mut self, now: Millis) -> f64 {
+        while self
+            .samples
+            .front()
+            .is_some_and(|(at, _)| at + WINDOW < now)
+        {
+            self.samples.pop_front();
         }
-        let mut ratios: Vec<f64> = self.begun.iter().map(|(_, ratio)| *ratio).collect();
+        let mut ratios: Vec<f64> = self.samples.iter().map(|(_, ratio)| *ratio).collect();
         let late = self
-            .pending
+            .in_flight
             .values()
-            .map(|pending| pending.ratio(now))
-            .filter(|ratio| *ratio > GOAL);
+            .map(|request| request.latency_ratio(now))
+            .filter(|ratio| *ratio > SETPOINT_RATIO);
         ratios.extend(late);
-        if ratios.len() < LEAST_SEEN {
+        if ratios.len() < MIN_SAMPLES {
             return 0.0;
         }
-        let middle = ratios.len() / 2;
-        let (_, median, _) = ratios.select_nth_unstable_by(middle, f64::total_cmp);
+        let median_index = ratios.len() / 2;
+        let (_, median, _) = ratios.select_nth_unstable_by(median_index, f64::total_cmp);
         *median
     }
 }
 
-impl Standing {
-    /// The one place where the standing changes. The refused share grows steeply with the time that
-    /// answers take, so that a backlog is worked off soon.
-    fn after(self, level: f64, now: Millis) -> Standing {
+impl LoadState {
+    /// The only transition function. The rejection ratio grows steeply with the latency, so that
+    /// a backlog is worked off quickly.
+    fn after(self, latency_ratio: f64, now: Millis) -> LoadState {
         match self {
-            Standing::Calm | Standing::Late { .. } if level <= OVERLOADED => Standing::Calm,
-            Standing::Calm => Standing::Late { since: now },
-            Standing::Late { since } if now < since + SUSTAINED => self,
-            Standing::Late { .. } => Standing::Overloaded {
-                refused_share: 0.0,
-                needed: now,
+            LoadState::Normal | LoadState::Late { .. } if latency_ratio <= LATE_RATIO => {
+                LoadState::Normal
+            }
+            LoadState::Normal => LoadState::Late { since: now },
+            LoadState::Late { since } if now < since + SUSTAINED_FOR => self,
+            LoadState::Late { .. } => LoadState::Overloaded {
+                rejection_ratio: 0.0,
+                last_needed: now,
             },
-            Standing::Overloaded { needed, .. } if now > needed + RECOVERED => Standing::Calm,
-            Standing::Overloaded {
-                refused_share,
-                needed,
+            LoadState::Overloaded { last_needed, .. } if now > last_needed + RECOVERY_TIME => {
+                LoadState::Normal
+            }
+            LoadState::Overloaded {
+                rejection_ratio,
+                last_needed,
             } => {
-                let wanted = if level > GOAL {
-                    1.0 - (GOAL / level).powi(2)
+                let target = if latency_ratio > SETPOINT_RATIO {
+                    1.0 - (SETPOINT_RATIO / latency_ratio).powi(2)
                 } else {
                     0.0
                 };
-                let next = refused_share + APPROACH * (wanted.min(LARGEST_SHARE) - refused_share);
-                let is_needed = next > NEGLIGIBLE;
-                let refused_share = if is_needed { next } else { 0.0 };
-                Standing::Overloaded {
-                    refused_share,
-                    needed: if is_needed { now } else { needed },
+                let next = rejection_ratio
+                    + SMOOTHING * (target.min(MAX_REJECTION_RATIO) - rejection_ratio);
+                let is_needed = next > NEGLIGIBLE_RATIO;
+                let rejection_ratio = if is_needed { next } else { 0.0 };
+                LoadState::Overloaded {
+                    rejection_ratio,
+                    last_needed: if is_needed { now } else { last_needed },
                 }
             }
         }
     }
 }
 
-impl Pending {
-    fn ratio(&self, now: Millis) -> f64 {
-        now.saturating_sub(self.since) as f64 / self.objective as f64
+impl InFlight {
+    fn latency_ratio(&self, now: Millis) -> f64 {
+        now.saturating_sub(self.sent_at) as f64 / self.latency_target as f64
     }
 }
--- a/routing/src/hedging.rs
+++ b/routing/src/hedging.rs
@@ -1,35 +1,40 @@
-//! How many copies may follow sends. When one follows is told by [`Pace`], which the gatherer's
-//! decision module has.
+//! Limits how many hedged requests are sent.
+//!
+//! When a request is hedged follows from [`Pace`], the latency estimate that routers share with
+//! the gatherer ("The Tail at Scale", Dean and Barroso, 2013).
 
 pub use dispatch::dispatcher::Pace;
 
-/// Copies per first send, and the most that may be saved up.
-const COPY_SHARE: f64 = 0.1;
-const COPY_SAVED: f64 = 4.0;
+/// Hedges that each first attempt adds to the budget.
+const HEDGES_PER_REQUEST: f64 = 0.1;
+/// Largest number of hedges that may be saved up.
+const MAX_SAVED_HEDGES: f64 = 4.0;
 
-/// What is left of the copies that sends allow.
+/// A token bucket of hedged requests, refilled by first attempts.
 #[derive(Debug, Clone)]
-pub struct CopyAllowance(f64);
+pub struct HedgeBudget {
+    tokens: f64,
+}
 
-impl Default for CopyAllowance {
+impl Default for HedgeBudget {
     fn default() -> Self {
-        CopyAllowance(1.0)
+        HedgeBudget { tokens: 1.0 }
     }
 }
 
-impl CopyAllowance {
-    /// A first send adds its share.
-    pub fn sent(&mut self) {
-        self.0 = (self.0 + COPY_SHARE).min(COPY_SAVED);
+impl HedgeBudget {
+    /// Adds the share of a first attempt.
+    pub fn deposit(&mut self) {
+        self.tokens = (self.tokens + HEDGES_PER_REQUEST).min(MAX_SAVED_HEDGES);
     }
 
-    /// Whether one more copy may be sent.
-    pub fn is_left(&self) -> bool {
-        self.0 >= 1.0
+    /// Returns whether one more hedge may be sent.
+    pub fn is_available(&self) -> bool {
+        self.tokens >= 1.0
     }
 
-    /// A copy was sent.
-    pub fn take(&mut self) {
-        self.0 = (self.0 - 1.0).max(0.0);
+    /// Removes the token of a hedge that was sent.
+    pub fn withdraw(&mut self) {
+        self.tokens = (self.tokens - 1.0).max(0.0);
     }
 }
--- a/routing/src/lib.rs
+++ b/routing/src/lib.rs
@@ -1,20 +1,20 @@
-//! Decisions of a router, without I/O or clocks: where a request goes first, when a copy follows
-//! it, what may be repeated, and which parts of prompts are kept where.
+//! Routing decisions without I/O or clocks: load balancing, hedging, retry budgets, admission
+//! control, outlier detection, and the index of prefix caches.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod admission;
-pub mod budget;
-pub mod faults;
+pub mod hash_ring;
 pub mod hedging;
-pub mod locations;
-pub mod owners;
+pub mod idle_limit;
+pub mod outlier_detection;
+pub mod prefix_index;
 pub mod prompt;
-pub mod rest;
+pub mod retry_budget;
 pub mod selection;
-pub mod split;
+pub mod traffic_split;
 pub mod version_floor;
 
-/// A moment or a duration on a steady clock, in milliseconds.
+/// A point in time or a duration on a monotonic clock, in milliseconds.
 pub type Millis = u64;
--- a/routing/src/prompt.rs
+++ b/routing/src/prompt.rs
@@ -1,62 +1,76 @@
-//! What a request says of its prompt.
+//! The prompt description that clients send in request headers.
 
 use compact_str::CompactString;
 
-/// A part of a prompt, shared between requests that begin alike.
+/// A segment of a prompt, which requests with a common prefix share.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Part {
-    /// Its id.
+pub struct Segment {
+    /// Content id of the segment.
     pub id: CompactString,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// A prompt: its model, its parts in order, and its sizes.
+/// The model, the segments and the token counts of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model.
+    /// Name of the model.
     pub model: CompactString,
-    /// Its parts; the last one belongs to the request or its session alone.
-    pub parts: Vec<Part>,
-    /// Tokens of the prompt.
-    pub tokens_in: u64,
-    /// The most tokens of the answer.
-    pub tokens_out: u64,
+    /// Segments in order; the last one belongs to this request or its session alone.
+    pub segments: Vec<Segment>,
+    /// Length of the prompt in tokens.
+    pub input_tokens: u64,
+    /// Maximum length of the answer in tokens.
+    pub max_output_tokens: u64,
 }
 
 impl Prompt {
-    /// Reads what the headers of a request say; none where it names no model.
-    pub fn read(model: Option<&str>, parts: Option<&str>, tokens: Option<&str>) -> Option<Self> {
+    /// Parses the values of the model, prefix and token-count headers. Malformed segments are
+    /// skipped and malformed counts are 0; `None` if there is no model.
+    pub fn from_headers(
+        model: Option<&str>,
+        segments: Option<&str>,
+        token_counts: Option<&str>,
+    ) -> Option<Self> {
         let model = CompactString::from(model?);
-        let parts: Vec<Part> = parts
+        let segments: Vec<Segment> = segments
             .unwrap_or_default()
             .split(',')
-            .filter_map(read_part)
+            .filter_map(parse_segment)
             .collect();
-        let mut counts = tokens
+        let mut counts = token_counts
             .unwrap_or_default()
             .split(',')
             .map(|count| count.trim().parse().unwrap_or(0));
-        let told = counts.next().unwrap_or(0);
-        let tokens_out = counts.next().unwrap_or(0);
-        let tokens_in = parts.iter().map(|part| part.tokens).sum::<u64>().max(told);
+        let declared_input = counts.next().unwrap_or(0);
+        let max_output_tokens = counts.next().unwrap_or(0);
+        let input_tokens = total_tokens(&segments).max(declared_input);
         Some(Prompt {
             model,
-            parts,
-            tokens_in,
-            tokens_out,
+            segments,
+            input_tokens,
+            max_output_tokens,
         })
     }
 
-    /// The parts that other requests may share.
-    pub fn shared(&self) -> &[Part] {
-        self.parts.split_last().map_or(&[], |(_, shared)| shared)
+    /// The segments that other requests may share.
+    pub fn shared_segments(&self) -> &[Segment] {
+        self.segments.split_last().map_or(&[], |(_, shared)| shared)
     }
+
+    /// Length of the shared segments in tokens.
+    pub fn shared_tokens(&self) -> u64 {
+        total_tokens(self.shared_segments())
+    }
+}
+
+fn total_tokens(segments: &[Segment]) -> u64 {
+    segments.iter().map(|segment| segment.tokens).sum()
 }
 
-fn read_part(text: &str) -> Option<Part> {
+fn parse_segment(text: &str) -> Option<Segment> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(Part {
+    Some(Segment {
         id: id.into(),
         tokens: tokens.parse().ok()?,
     })
--- a/routing/src/selection.rs
+++ b/routing/src/selection.rs
@@ -1,34 +1,34 @@
-//! First sends go to the least-loaded backend, ties broken at random.
+//! Least-loaded backend selection, with random tie-breaking.
 
-/// Loads within this share of the least one are alike.
-const ALIKE: f64 = 0.02;
+/// Loads within this ratio of the lowest one count as equal.
+const TIE_TOLERANCE: f64 = 0.02;
 
 /// A backend that a request might be sent to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// How loaded it would be with the request: work that it has, and work that the request would
-    /// add there.
+    /// Load of the backend including the request.
     pub load: f64,
-    /// Whether it should only be used where there is no other.
-    pub avoided: bool,
+    /// Whether the backend is only used if there is no other.
+    pub is_last_resort: bool,
 }
 
-/// The place of the least-loaded candidate, among those that are not avoided where there are any.
+/// Returns the index of a least-loaded candidate. Last resorts are considered only if there are no
+/// other candidates.
 pub fn least_loaded(candidates: &[Candidate], rng: &mut fastrand::Rng) -> Option<usize> {
-    let only_avoided = candidates.iter().all(|candidate| candidate.avoided);
+    let only_last_resorts = candidates.iter().all(|candidate| candidate.is_last_resort);
     let eligible = || {
         candidates
             .iter()
             .enumerate()
-            .filter(|(_, c)| only_avoided || !c.avoided)
+            .filter(|(_, candidate)| only_last_resorts || !candidate.is_last_resort)
     };
-    let least = eligible()
+    let min_load = eligible()
         .map(|(_, candidate)| candidate.load)
         .fold(f64::INFINITY, f64::min);
-    let bound = least + ALIKE * least.abs();
-    let alike: Vec<usize> = eligible()
-        .filter(|(_, candidate)| candidate.load <= bound)
-        .map(|(at, _)| at)
+    let max_tied_load = min_load + TIE_TOLERANCE * min_load.abs();
+    let tied: Vec<usize> = eligible()
+        .filter(|(_, candidate)| candidate.load <= max_tied_load)
+        .map(|(index, _)| index)
         .collect();
-    (!alike.is_empty()).then(|| alike[rng.usize(0..alike.len())])
+    (!tied.is_empty()).then(|| tied[rng.usize(0..tied.len())])
 }
--- a/routing/src/version_floor.rs
+++ b/routing/src/version_floor.rs
@@ -1,131 +1,140 @@
-//! From when on only backends with a named version of a model's weights may be used.
+//! The minimum version of a model's weights that requests may start on.
 //!
-//! A version's time runs from when it was named, wherever and whenever a router hears of it. News
-//! therefore tell how long ago that was, and of two accounts of one moment the earlier one holds:
-//! it can only err to the safe side.
+//! Operators announce new versions of weights. Requests may start on older versions for a grace
+//! period after the announcement, wherever and whenever a router learns of it. Updates between
+//! routers therefore carry the age of the announcement, as their clocks differ, and of two reports
+//! of one announcement the earlier one wins: it can only err on the safe side.
 
 use crate::Millis;
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// A named version, as routers tell each other of it.
+/// An announced version, as routers report it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedVersion {
-    /// The model.
+pub struct AnnouncedVersion {
+    /// Name of the model.
     pub model: CompactString,
-    /// The version of its weights.
+    /// Version of its weights.
     pub version: u64,
-    /// So many milliseconds ago it was named.
+    /// Time since the announcement, in milliseconds.
     pub age_ms: Millis,
 }
 
-/// A version that is required no more is remembered for so long after it was, for requests that
-/// still wait by it: they are withdrawn later than backends become ineligible.
-const REMEMBERED_FOR: Millis = 5_000;
+/// How long a superseded version is retained after its grace period. Requests that wait at a
+/// backend are withdrawn later than the backend becomes ineligible, and still need its deadline.
+const SUPERSEDED_RETENTION: Millis = 5_000;
 
-/// The versions of one model's weights.
+/// The announced versions of one model's weights.
 #[derive(Debug, Default)]
 struct Versions {
-    /// Those that were named and that a newer one has not replaced, and since when.
-    named: BTreeMap<u64, Millis>,
-    /// Those that were replaced lately.
-    replaced: BTreeMap<u64, Millis>,
-    /// The newest version that was forgotten.
-    forgotten: u64,
+    /// Versions that no newer one has superseded, with the times of their announcements.
+    announced: BTreeMap<u64, Millis>,
+    /// Recently superseded versions.
+    superseded: BTreeMap<u64, Millis>,
+    /// The newest version that was pruned.
+    newest_pruned: u64,
 }
 
 impl Versions {
-    /// A newer version is required than these.
-    fn replace_before(&mut self, least: u64, patience: Millis, now: Millis) {
-        let kept = self.named.split_off(&least);
-        for (version, since) in std::mem::replace(&mut self.named, kept) {
-            let known = self.replaced.entry(version).or_insert(since);
-            *known = since.min(*known);
+    /// Moves the versions before `minimum` to the superseded ones, and prunes the oldest of these.
+    fn supersede_before(&mut self, minimum: u64, grace_period: Millis, now: Millis) {
+        let current = self.announced.split_off(&minimum);
+        for (version, announced_at) in std::mem::replace(&mut self.announced, current) {
+            let earliest = self.superseded.entry(version).or_insert(announced_at);
+            *earliest = announced_at.min(*earliest);
         }
-        while let Some(oldest) = self.replaced.first_entry()
-            && now >= *oldest.get() + patience + REMEMBERED_FOR
+        while let Some(oldest) = self.superseded.first_entry()
+            && now >= *oldest.get() + grace_period + SUPERSEDED_RETENTION
         {
-            self.forgotten = oldest.remove_entry().0;
+            self.newest_pruned = oldest.remove_entry().0;
         }
     }
 }
 
-/// The versions of weights that were named, and since when.
+/// The announced versions of all models, and the minimum version that follows from them.
 #[derive(Debug, Default)]
 pub struct VersionFloors {
     models: HashMap<CompactString, Versions>,
 }
 
 impl VersionFloors {
-    /// Each version keeps the moment from which its time runs, whatever is named after it: the time
-    /// of a newer one begins later, and until it is over the older one is what is required.
-    pub fn hear(&mut self, model: &str, version: u64, at: Millis) {
-        let since = self
+    /// Records that a version was announced at `at`. Each version keeps the time of its own
+    /// announcement, whatever is announced after it: if a newer version reset the grace period, no
+    /// version would ever be required while announcements come faster than the period.
+    pub fn record(&mut self, model: &str, version: u64, at: Millis) {
+        let announced_at = self
             .models
             .entry(model.into())
             .or_default()
-            .named
+            .announced
             .entry(version)
             .or_insert(at);
-        *since = at.min(*since);
+        *announced_at = at.min(*announced_at);
     }
 
-    /// Whether this version has been heard of.
-    pub fn knows(&self, model: &str, version: u64) -> bool {
+    /// Returns whether a version is known.
+    pub fn contains(&self, model: &str, version: u64) -> bool {
         self.models
             .get(model)
-            .is_some_and(|versions| versions.named.contains_key(&version))
+            .is_some_and(|versions| versions.announced.contains_key(&version))
     }
 
-    /// Every version that still says something.
-    pub fn named(&self, now: Millis) -> Vec<NamedVersion> {
+    /// The versions that are not superseded, with their ages.
+    pub fn announced(&self, now: Millis) -> Vec<AnnouncedVersion> {
         let of_model = |(model, versions): (&CompactString, &Versions)| {
-            let tell = |(version, since): (&u64, &Millis)| NamedVersion {
+            let to_report = |(version, announced_at): (&u64, &Millis)| AnnouncedVersion {
                 model: model.clone(),
                 version: *version,
-                age_ms: now.saturating_sub(*since),
+                age_ms: now.saturating_sub(*announced_at),
             };
-            versions.named.iter().map(tell).collect::<Vec<_>>()
+            versions.announced.iter().map(to_report).collect::<Vec<_>>()
         };
         self.models.iter().flat_map(of_model).collect()
     }
 
-    /// The least version of a model's weights on which a request may start now, where older ones
-    /// may be used for `patience` from when a version was named.
-    pub fn least(&mut self, model: &str, patience: Millis, now: Millis) -> Option<u64> {
+    /// The minimum version of a model's weights that a request may start on now, if older ones may
+    /// be used for `grace_period` after an announcement; `None` if every version is allowed.
+    pub fn minimum(&mut self, model: &str, grace_period: Millis, now: Millis) -> Option<u64> {
         let versions = self.models.get_mut(model)?;
-        let is_due = |since: &Millis| now >= *since + patience;
-        let least = versions
-            .named
+        let is_effective = |announced_at: &Millis| now >= *announced_at + grace_period;
+        let minimum = versions
+            .announced
             .iter()
             .rev()
-            .find(|(_, since)| is_due(since))
+            .find(|(_, announced_at)| is_effective(announced_at))
             .map(|(version, _)| *version)?;
-        versions.replace_before(least, patience, now);
-        Some(least)
+        versions.supersede_before(minimum, grace_period, now);
+        Some(minimum)
     }
 
-    /// Until when requests may start on this version, where older ones may be used for `patience`;
-    /// none while there is no newer one. That moment is the next version's, whatever has replaced
-    /// that one since.
-    pub fn last_start(&self, model: &str, version: u64, patience: Millis) -> Option<Millis> {
+    /// The time until which requests may start on this version, if older ones may be used for
+    /// `grace_period`; `None` while there is no newer version. The next version determines it, also
+    /// if that one has been superseded since.
+    pub fn start_deadline(
+        &self,
+        model: &str,
+        version: u64,
+        grace_period: Millis,
+    ) -> Option<Millis> {
         let versions = self.models.get(model)?;
-        if version < versions.forgotten {
+        if version < versions.newest_pruned {
             return Some(0);
         }
         let newer = versions
-            .named
+            .announced
             .range(version + 1..)
-            .chain(versions.replaced.range(version + 1..));
-        newer.map(|(_, since)| *since + patience).min()
+            .chain(versions.superseded.range(version + 1..));
+        newer
+            .map(|(_, announced_at)| *announced_at + grace_period)
+            .min()
     }
 
-    /// Whether every version was named longer ago than `patience`.
-    pub fn are_settled(&self, patience: Millis, now: Millis) -> bool {
+    /// Returns whether the grace period of every version is over.
+    pub fn all_effective(&self, grace_period: Millis, now: Millis) -> bool {
         self.models
             .values()
-            .flat_map(|versions| versions.named.values())
-            .all(|since| now >= *since + patience)
+            .flat_map(|versions| versions.announced.values())
+            .all(|announced_at| now >= *announced_at + grace_period)
     }
 }
--- a/routing/tests/decisions.rs
+++ b/routing/tests/decisions.rs
@@ -1,15 +1,15 @@
-//! Decisions of the data plane: copies, repeats and choice.
+//! Decisions of the data plane: hedges, retries and choice.
 
-use routing::budget::{Permitted, RetryBudget};
-use routing::hedging::{CopyAllowance, Pace};
+use routing::hedging::{HedgeBudget, Pace};
 use routing::prompt::Prompt;
+use routing::retry_budget::{RetryBudget, RetryLimits};
 use routing::selection::{Candidate, least_loaded};
-use routing::split;
+use routing::traffic_split::choose_weighted;
 
 const MS: u64 = 1_000_000;
 
 #[test]
-fn the_timer_starts_at_a_share_of_the_objective_and_follows_the_recent_95th_percentile() {
+fn hedge_delay_follows_recent_p95() {
     let mut pace = Pace::starting(1_000 * MS);
     assert_eq!(pace.p95, 300.0 * MS as f64);
     for took in 1..=100 {
@@ -27,45 +27,43 @@
 }
 
 #[test]
-fn copies_stay_under_one_in_ten_sends() {
-    let mut allowance = CopyAllowance::default();
-    let (mut sent, mut copied) = (0, 0);
+fn hedges_stay_under_ten_percent() {
+    let mut budget = HedgeBudget::default();
+    let (mut sent, mut hedged) = (0, 0);
     for _ in 0..10_000 {
-        allowance.sent();
+        budget.deposit();
         sent += 1;
         // Every send is slow.
-        if allowance.is_left() {
-            allowance.take();
-            copied += 1;
+        if budget.is_available() {
+            budget.withdraw();
+            hedged += 1;
         }
     }
-    assert!(copied <= sent / 10 + 1, "{copied} copies of {sent}");
+    assert!(hedged <= sent / 10 + 1, "{hedged} hedges of {sent}");
 }
 
 /// Five routers that send on everything they may, in any window: the sum stays within what is
 /// permitted.
 #[test]
-fn repeats_of_all_routers_together_stay_within_the_budget() {
-    let permitted = Permitted {
+fn retries_of_all_routers_stay_within_budget() {
+    let limits = RetryLimits {
         ratio: 0.2,
         slack: 50.0,
         window: 10_000,
     };
     let routers = 5;
-    let mut budgets: Vec<RetryBudget> = (0..routers)
-        .map(|_| RetryBudget::new(permitted, 0))
-        .collect();
-    let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+    let mut budgets: Vec<RetryBudget> = (0..routers).map(|_| RetryBudget::new(limits, 0)).collect();
+    let (mut requests, mut retries) = (Vec::new(), Vec::new());
     let mut rng = fastrand::Rng::with_seed(1);
     for now in 0..60_000_u64 {
-        // A pause in the middle: the repeats must not go on with it.
+        // A pause in the middle: the retries must not go on with it.
         if !(25_000..35_000).contains(&now) && rng.u8(0..10) == 0 {
-            budgets[rng.usize(0..routers)].request(now);
+            budgets[rng.usize(0..routers)].deposit(now);
             requests.push(now);
         }
         let at = rng.usize(0..routers);
-        if budgets[at].take(routers, 0.0, now) {
-            repeats.push(now);
+        if budgets[at].try_withdraw(routers, 0.0, now) {
+            retries.push(now);
         }
     }
     for end in (10_000..60_000).step_by(500) {
@@ -80,43 +78,50 @@
             .into_iter()
             .max();
         let most = 0.2 * counted.unwrap_or(0) as f64 + 50.0;
-        assert!(within(&repeats, end) as f64 <= most, "at {end}");
+        assert!(within(&retries, end) as f64 <= most, "at {end}");
     }
-    assert!(repeats.len() > 100, "the budget is used: {}", repeats.len());
+    assert!(retries.len() > 100, "the budget is used: {}", retries.len());
 }
 
 #[test]
-fn a_router_that_has_just_started_uses_no_slack() {
-    let permitted = Permitted {
+fn no_slack_in_first_window() {
+    let limits = RetryLimits {
         ratio: 0.2,
         slack: 50.0,
         window: 10_000,
     };
-    let mut budget = RetryBudget::new(permitted, 0);
+    let mut budget = RetryBudget::new(limits, 0);
     assert!(
-        !budget.take(5, 0.0, 9_999),
+        !budget.try_withdraw(5, 0.0, 9_999),
         "what its former process used is unknown"
     );
-    assert!(budget.take(5, 0.0, 10_001));
+    assert!(budget.try_withdraw(5, 0.0, 10_001));
 }
 
 #[test]
-fn copies_leave_a_part_of_the_budget_to_failures() {
-    let permitted = Permitted {
+fn hedges_leave_reserved_budget() {
+    let limits = RetryLimits {
         ratio: 0.0,
         slack: 10.0,
         window: 1_000,
     };
-    let mut budget = RetryBudget::new(permitted, 0);
-    let copies = (0..20).filter(|_| budget.take(1, 0.5, 2_000)).count();
-    let failures = (0..20).filter(|_| budget.take(1, 0.0, 2_000)).count();
-    assert_eq!((copies, failures), (4, 4));
+    let mut budget = RetryBudget::new(limits, 0);
+    let hedges = (0..20)
+        .filter(|_| budget.try_withdraw(1, 0.5, 2_000))
+        .count();
+    let failures = (0..20)
+        .filter(|_| budget.try_withdraw(1, 0.0, 2_000))
+        .count();
+    assert_eq!((hedges, failures), (4, 4));
 }
 
 #[test]
-fn first_sends_go_to_the_least_loaded_and_ties_fall_at_random() {
+fn picks_least_loaded_and_breaks_ties_randomly() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let candidate = |load: f64, avoided: bool| Candidate { load, avoided };
+    let candidate = |load: f64, is_last_resort: bool| Candidate {
+        load,
+        is_last_resort,
+    };
     let loads = [
         candidate(5.0, false),
         candidate(1.0, false),
@@ -130,44 +135,47 @@
     assert_eq!(
         (chosen[0], chosen[3]),
         (0, 0),
-        "neither the busy one nor the avoided one"
+        "neither the busy one nor the last resort"
     );
     assert!(chosen[1] > 400 && chosen[2] > 400, "{chosen:?}");
-    let all_avoided = [candidate(2.0, true), candidate(1.0, true)];
+    let all_last_resorts = [candidate(2.0, true), candidate(1.0, true)];
     assert_eq!(
-        least_loaded(&all_avoided, &mut rng),
+        least_loaded(&all_last_resorts, &mut rng),
         Some(1),
-        "where all are doubtful they are used all the same"
+        "last resorts are used if there is nothing else"
     );
     assert_eq!(least_loaded(&[], &mut rng), None);
 }
 
 #[test]
-fn a_split_follows_its_weights() {
+fn traffic_split_follows_weights() {
     let mut rng = fastrand::Rng::with_seed(5);
     let hits = (0..10_000)
-        .filter(|_| split::choose(&[90, 10], &mut rng) == Some(1))
+        .filter(|_| choose_weighted(&[90, 10], &mut rng) == Some(1))
         .count();
     assert!((800..1_200).contains(&hits), "{hits}");
-    assert_eq!(split::choose(&[0, 5, 0], &mut rng), Some(1));
-    assert_eq!(split::choose(&[0, 0], &mut rng), None);
+    assert_eq!(choose_weighted(&[0, 5, 0], &mut rng), Some(1));
+    assert_eq!(choose_weighted(&[0, 0], &mut rng), None);
 }
 
 #[test]
-fn a_prompt_is_read_from_what_a_request_says() {
-    let prompt = Prompt::read(
+fn parses_prompt_headers() {
+    let prompt = Prompt::from_headers(
         Some("m"),
         Some("5c1e:800,91bd:410,e440:250"),
         Some("1460,80"),
     )
     .unwrap();
-    assert_eq!((prompt.parts.len(), prompt.shared().len()), (3, 2));
-    assert_eq!((prompt.tokens_in, prompt.tokens_out), (1_460, 80));
-    let odd = Prompt::read(Some("m"), Some("x,y:z,a:5"), Some("no")).unwrap();
     assert_eq!(
-        (odd.parts.len(), odd.tokens_in),
+        (prompt.segments.len(), prompt.shared_segments().len()),
+        (3, 2)
+    );
+    assert_eq!((prompt.input_tokens, prompt.max_output_tokens), (1_460, 80));
+    let malformed = Prompt::from_headers(Some("m"), Some("x,y:z,a:5"), Some("no")).unwrap();
+    assert_eq!(
+        (malformed.segments.len(), malformed.input_tokens),
         (1, 5),
-        "what makes no sense is left out"
+        "malformed segments and counts are skipped"
     );
-    assert_eq!(Prompt::read(None, Some("a:5"), None), None);
+    assert_eq!(Prompt::from_headers(None, Some("a:5"), None), None);
 }
