--- a/router/src/disk.rs
+++ b/router/src/disk.rs
@@ -11,7 +11,7 @@
 
 use control::directory::{Key, Value};
 use control::storage::{FORMAT, Record, Recovered, StorageError};
-use routing::version_floor::NamedVersion;
+use routing::version_floor::AnnouncedVersion;
 use serde::{Deserialize, Serialize};
 use std::fs;
 use std::io;
@@ -29,7 +29,7 @@
     /// Backends and members.
     pub records: Vec<(Key, Value)>,
     /// Versions of weights, and for how long they were named at that time.
-    pub named_weights: Vec<NamedVersion>,
+    pub named_weights: Vec<AnnouncedVersion>,
 }
 
 /// Why a data directory can't be used.
--- a/router/src/fleet.rs
+++ b/router/src/fleet.rs
@@ -28,8 +28,8 @@
 use control::view::{Epoch, ReplicaId};
 use peers::Peers;
 use pulls::WHOLE_ANSWERS_KB;
-use routing::faults::FaultEvidence;
-use routing::locations::Locations;
+use routing::outlier_detection::OutlierDetector;
+use routing::prefix_index::PrefixIndex;
 use routing::version_floor::VersionFloors;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -60,9 +60,9 @@
     /// Stores of kept prompts.
     pub stores: Stores,
     /// Where the shared starts of prompts are kept that this router owns.
-    pub locations: Mutex<Locations>,
+    pub locations: Mutex<PrefixIndex>,
     /// Faults of the backends that this node judges.
-    evidence: Mutex<FaultEvidence>,
+    evidence: Mutex<OutlierDetector>,
     /// The replica that this node runs, if any.
     pub replica: Option<ReplicaHandle>,
     /// This process's own life.
--- a/router/src/fleet/faults.rs
+++ b/router/src/fleet/faults.rs
@@ -54,12 +54,12 @@
     pub fn take_faults(&self, reporter: &CompactString, faults: &[(CompactString, u32)]) {
         let now = clock::now();
         for (backend, count) in faults {
-            let suspected = lock(&self.evidence).report(backend, reporter, *count, now);
+            let suspected = lock(&self.evidence).record_failures(backend, reporter, *count, now);
             if let Some(lasts_ms) = suspected {
                 self.suspect(backend, lasts_ms);
             }
         }
-        lock(&self.evidence).forget_quiet(now);
+        lock(&self.evidence).prune(now);
     }
 
     fn suspect(&self, backend: &CompactString, lasts_ms: u64) {
--- a/router/src/fleet/named_weights.rs
+++ b/router/src/fleet/named_weights.rs
@@ -8,7 +8,7 @@
 use control::directory::BackendPhase;
 use control::rollout::{PendingReason, outdated_by_reason};
 use control::state::WeightsTarget;
-use routing::version_floor::NamedVersion;
+use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
 
 /// So long before new weights must be everywhere no request is sent to backends without them any
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnfinishedVersion {
     /// The version; the oldest such one of its model.
-    pub named: NamedVersion,
+    pub named: AnnouncedVersion,
     /// How many backends lack it.
     pub lacking: u64,
 }
@@ -79,51 +79,51 @@
     /// The least version of a model's weights to whose backends a request may be sent now.
     pub fn least_version(&self, model: &str) -> Option<u64> {
         let patience = self.settings.bounds.version_ms.saturating_sub(SEND_MARGIN);
-        lock(&self.version_floors).least(model, patience, clock::now())
+        lock(&self.version_floors).minimum(model, patience, clock::now())
     }
 
     /// Until when a request may start on this version; none while there is no newer one.
     pub fn last_start(&self, model: &str, version: u64) -> Option<Millis> {
         let patience = self.settings.bounds.version_ms.saturating_sub(START_MARGIN);
-        lock(&self.version_floors).last_start(model, version, patience)
+        lock(&self.version_floors).start_deadline(model, version, patience)
     }
 
     /// The versions that are named, and how long ago.
-    pub fn named_weights(&self) -> Vec<NamedVersion> {
-        lock(&self.version_floors).named(clock::now())
+    pub fn named_weights(&self) -> Vec<AnnouncedVersion> {
+        lock(&self.version_floors).announced(clock::now())
     }
 
     /// Whether the time of some version is not over yet.
     pub fn are_weights_settled(&self) -> bool {
-        lock(&self.version_floors).are_settled(self.settings.bounds.version_ms, clock::now())
+        lock(&self.version_floors).all_effective(self.settings.bounds.version_ms, clock::now())
     }
 
     /// What was known when this node's former process ended: since then more time has passed.
-    pub(super) fn restore_named_weights(&self, named: Vec<NamedVersion>) {
+    pub(super) fn restore_named_weights(&self, named: Vec<AnnouncedVersion>) {
         let now = clock::now();
         let mut floors = lock(&self.version_floors);
-        for NamedVersion {
+        for AnnouncedVersion {
             model,
             version,
             age_ms,
         } in named
         {
-            floors.hear(&model, version, now.saturating_sub(age_ms));
+            floors.record(&model, version, now.saturating_sub(age_ms));
         }
     }
 
     /// Takes what another router tells. The earliest moment that its answer permits counts.
-    pub(super) fn hear_of_named_weights(&self, named: Vec<NamedVersion>, sent: SentAt) {
+    pub(super) fn hear_of_named_weights(&self, named: Vec<AnnouncedVersion>, sent: SentAt) {
         let mut floors = lock(&self.version_floors);
         let was_prompt = sent.latest.saturating_sub(sent.earliest) <= PROMPT_ANSWER;
-        for NamedVersion {
+        for AnnouncedVersion {
             model,
             version,
             age_ms,
         } in named
         {
-            if was_prompt || !floors.knows(&model, version) {
-                floors.hear(&model, version, sent.earliest.saturating_sub(age_ms));
+            if was_prompt || !floors.contains(&model, version) {
+                floors.record(&model, version, sent.earliest.saturating_sub(age_ms));
             }
         }
     }
@@ -134,7 +134,7 @@
         let now = clock::now();
         let mut floors = lock(&self.version_floors);
         for (model, target) in weights {
-            floors.hear(model, target.version, now);
+            floors.record(model, target.version, now);
         }
     }
 }
--- a/router/src/fleet/service.rs
+++ b/router/src/fleet/service.rs
@@ -56,7 +56,7 @@
                     wants_save,
                 }))),
                 Request::Placed { key, placement } => {
-                    lock(&self.locations).placed(key, &placement, clock::now());
+                    lock(&self.locations).record_placement(key, &placement, clock::now());
                     None
                 }
                 Request::Evicted { backend, prefixes } => {
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -8,7 +8,7 @@
 use control::directory::BackendPhase;
 use control::rollout::RolloutOwnership;
 use poem::{Endpoint, Request, Response, Result};
-use routing::version_floor::NamedVersion;
+use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -184,7 +184,7 @@
             line(text, "backends_refusing_fences", orders.refusing_backends());
         }
         for unfinished in self.fleet.unfinished_versions() {
-            let NamedVersion {
+            let AnnouncedVersion {
                 model,
                 version,
                 age_ms,
--- a/router/src/protocol.rs
+++ b/router/src/protocol.rs
@@ -8,8 +8,8 @@
 use control::message::Envelope;
 use control::state::{Position, WeightsTarget};
 use control::view::{Epoch, ReplicaId};
-use routing::locations::{Located, Placement, PrefixKey};
-use routing::version_floor::NamedVersion;
+use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
+use routing::version_floor::AnnouncedVersion;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -111,7 +111,7 @@
     /// To a question whether a store answers; none where the router does not know.
     StoreStatus(Option<StoreStatus>),
     /// To a question where a prefix is kept.
-    Located(Located),
+    Located(PrefixLocation),
     /// To a comparison.
     Summary(Summary),
     /// To a fetch.
@@ -165,7 +165,7 @@
     /// So many milliseconds the answer was held back for news.
     pub held_ms: u64,
     /// Versions of weights whose time runs, or was over last.
-    pub named_weights: Vec<NamedVersion>,
+    pub named_weights: Vec<AnnouncedVersion>,
 }
 
 /// The committed control state as routers use it.
--- a/router/src/proxy/backend.rs
+++ b/router/src/proxy/backend.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Backend as Registered, BackendPhase, Order, OrderPhase, Suspicion};
-use routing::rest::TrustedRest;
+use routing::idle_limit::IdleLimit;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddrV4;
@@ -71,7 +71,7 @@
 /// What backends of one service share.
 #[derive(Debug, Default)]
 pub struct ServiceState {
-    trusted_rest: Mutex<TrustedRest>,
+    trusted_rest: Mutex<IdleLimit>,
 }
 
 /// One incarnation of a backend.
@@ -301,7 +301,7 @@
 
     /// A connection that had rested was reset as a request was sent on it.
     pub fn forgot_connection(&self, rested: Millis) {
-        lock(&self.service_state.trusted_rest).was_too_long(rested, clock::now());
+        lock(&self.service_state.trusted_rest).record_stale(rested, clock::now());
         lock(&self.live).idle.clear();
     }
 
--- a/router/src/proxy/events.rs
+++ b/router/src/proxy/events.rs
@@ -2,7 +2,7 @@
 
 use super::salt::Salt;
 use compact_str::CompactString;
-use routing::locations::PrefixKey;
+use routing::prefix_index::PrefixKey;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -95,7 +95,7 @@
             .iter()
             .filter_map(|(_, sign, salt, part, tokens, model)| {
                 let salt = Salt::read(salt)?;
-                let key = PrefixKey::of_part(salt.wall, model, part);
+                let key = PrefixKey::of_segment(salt.wall, model, part);
                 // What is left of a part that gives way in pieces is told with its removal, and is
                 // of no use.
                 Some(KeptEvent {
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -16,10 +16,10 @@
 use control::Millis;
 use control::configuration::{Kind, Route};
 use hyper::header::HeaderName;
-use routing::admission::Admission;
-use routing::budget::{Permitted, RetryBudget};
-use routing::hedging::{CopyAllowance, Pace};
-use routing::locations::{Located, PrefixKey};
+use routing::admission::AdmissionController;
+use routing::hedging::{HedgeBudget, Pace};
+use routing::prefix_index::{PrefixKey, PrefixLocation};
+use routing::retry_budget::{RetryBudget, RetryLimits};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
@@ -61,7 +61,7 @@
     /// How long answers take.
     pub(super) pace: Pace,
     /// Copies that may still be sent.
-    pub(super) copies: CopyAllowance,
+    pub(super) copies: HedgeBudget,
 }
 
 /// A kind of request: its service, how it is answered, and its objective.
@@ -77,7 +77,7 @@
     pub locator: Arc<Locator>,
     learned: Mutex<HashMap<KindKey, Learned>>,
     budgets: Mutex<HashMap<CompactString, RetryBudget>>,
-    admissions: Mutex<HashMap<CompactString, Admission>>,
+    admissions: Mutex<HashMap<CompactString, AdmissionController>>,
 }
 
 /// How often a request was sent, and where.
@@ -132,7 +132,7 @@
         let mut learned = lock(&self.learned);
         let entry = learned.entry(Self::kind(job)).or_insert_with(|| Learned {
             pace: Pace::starting(job.route.target_latency_ms * 1_000_000),
-            copies: CopyAllowance::default(),
+            copies: HedgeBudget::default(),
         });
         look(entry)
     }
@@ -145,7 +145,7 @@
         let bounds = &self.fleet.settings.bounds;
         let mut budgets = lock(&self.budgets);
         let budget = budgets.entry(service.clone()).or_insert_with(|| {
-            let permitted = Permitted {
+            let permitted = RetryLimits {
                 ratio: bounds.retry_budget_ratio,
                 slack: bounds.retry_budget_slack,
                 window: (bounds.budget_window_s * 1_000.0) as Millis,
@@ -158,7 +158,7 @@
     pub(super) fn with_admission<T>(
         &self,
         service: &CompactString,
-        look: impl FnOnce(&mut Admission) -> T,
+        look: impl FnOnce(&mut AdmissionController) -> T,
     ) -> T {
         let mut admissions = lock(&self.admissions);
         look(admissions.entry(service.clone()).or_default())
@@ -168,7 +168,7 @@
     /// even the least-loaded backend has room, nothing is.
     pub(super) fn is_one_too_many(&self, job: &Job, planned: &Choice) -> bool {
         let share = self.with_admission(&job.service, |admission| {
-            admission.refused_share(clock::now())
+            admission.rejection_ratio(clock::now())
         });
         share > 0.0 && planned.backend.load().is_crowded() && fastrand::f64() < share
     }
@@ -176,14 +176,16 @@
     /// Takes one repeat out of the budget.
     pub(super) fn take_repeat(&self, service: &CompactString, kept: f64) -> bool {
         let routers = self.fleet.members_up();
-        self.with_budget(service, |budget| budget.take(routers, kept, clock::now()))
+        self.with_budget(service, |budget| {
+            budget.try_withdraw(routers, kept, clock::now())
+        })
     }
 
     pub(super) fn choose(
         &self,
         job: &Job,
         tried: &[CompactString],
-        located: Option<&Located>,
+        located: Option<&PrefixLocation>,
     ) -> Option<Choice> {
         let backends = self.table.backends(&job.service);
         let prompt = job.call.prompt.as_ref();
@@ -203,7 +205,7 @@
         &self,
         job: &Job,
         choice: &Choice,
-        located: Option<&Located>,
+        located: Option<&PrefixLocation>,
     ) -> Transfer {
         let Some((prompt, version)) = job.call.prompt.as_ref().zip(choice.version) else {
             return Transfer::default();
@@ -213,7 +215,7 @@
         if self.is_being_replaced(&prompt.model, version) {
             return Transfer::default();
         }
-        let Some(key) = PrefixKey::of(&job.call.wall, prompt) else {
+        let Some(key) = PrefixKey::of_prompt(&job.call.wall, prompt) else {
             return Transfer::default();
         };
         let store = self.locator.store_of(key).map(|store| store.address);
@@ -223,21 +225,21 @@
                 save: None,
             };
         };
-        let is_there = located.is_held_by(&choice.backend.id, version);
+        let is_there = located.is_cached_by(&choice.backend.id, version);
         let other = if is_there {
             None
         } else {
             self.other_holder(&choice.backend, &prompt.model, version, located)
         };
         // What a store has gives way less often than what a backend keeps.
-        let fetch = if located.stored == Some(version) {
+        let fetch = if located.stored_version == Some(version) {
             store.or(other)
         } else {
             other.or(store)
         };
         Transfer {
             fetch,
-            save: store.filter(|_| located.save),
+            save: store.filter(|_| located.should_save),
         }
     }
 
@@ -257,9 +259,9 @@
         chosen: &Backend,
         model: &str,
         version: u64,
-        located: &Located,
+        located: &PrefixLocation,
     ) -> Option<SocketAddrV4> {
-        let holders = located.holders.iter();
+        let holders = located.replicas.iter();
         let others =
             holders.filter(|holder| holder.version == version && holder.backend != chosen.id);
         let known = others.filter_map(|holder| self.table.backend(&holder.backend));
@@ -276,7 +278,7 @@
         &self,
         job: &Job,
         tried: &[CompactString],
-        located: Option<&Located>,
+        located: Option<&PrefixLocation>,
     ) -> Option<Choice> {
         let patience = Duration::from_millis(job.route.target_latency_ms) / WAIT_SHARE;
         let until = (Instant::now() + patience).min(job.until);
@@ -293,7 +295,7 @@
 
     /// Sends a request until there is an answer to pass on, or none can be had.
     pub async fn run(&self, job: &Job) -> Result<(Begun, Tries), GivenUp> {
-        self.with_budget(&job.service, |budget| budget.request(clock::now()));
+        self.with_budget(&job.service, |budget| budget.deposit(clock::now()));
         Pending::new(self, job).run().await
     }
 
@@ -305,7 +307,7 @@
         job: &Job,
         choice: Choice,
         last_event_id: Option<String>,
-        located: Option<&Located>,
+        located: Option<&PrefixLocation>,
         sent: Sent,
     ) -> attempt::Result {
         let transfer = self.transfer(job, &choice, located);
--- a/router/src/proxy/ingress.rs
+++ b/router/src/proxy/ingress.rs
@@ -15,7 +15,7 @@
 use poem::http::StatusCode;
 use poem::{Body, Endpoint, Request, Response, Result};
 use routing::prompt::Prompt;
-use routing::split;
+use routing::traffic_split::choose_weighted;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use std::time::Duration;
@@ -138,7 +138,7 @@
         arrived: Instant,
     ) -> std::result::Result<Job, Refused> {
         let weights: Vec<u64> = route.split.iter().map(|(_, weight)| *weight).collect();
-        let chosen = split::choose(&weights, &mut fastrand::Rng::new());
+        let chosen = choose_weighted(&weights, &mut fastrand::Rng::new());
         let (service, _) = chosen
             .and_then(|at| route.split.get(at))
             .ok_or_else(|| Refused::with(StatusCode::INTERNAL_SERVER_ERROR))?;
@@ -280,7 +280,7 @@
     if let Some(tenant) = tenant {
         headers::set(&mut sent, headers::TENANT, &tenant.name);
     }
-    let prompt = Prompt::read(
+    let prompt = Prompt::from_headers(
         headers::text(&sent, &headers::MODEL),
         headers::text(&sent, &headers::PREFIX),
         headers::text(&sent, &headers::TOKENS),
--- a/router/src/proxy/locator.rs
+++ b/router/src/proxy/locator.rs
@@ -9,8 +9,8 @@
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::MemberStatus;
-use routing::locations::{Located, Placement, PrefixKey};
-use routing::owners::Owners;
+use routing::hash_ring::HashRing;
+use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
@@ -32,7 +32,7 @@
 
 #[derive(Default)]
 struct Ring {
-    owners: Arc<Owners<Owner>>,
+    owners: Arc<HashRing<Owner>>,
     made_at: Option<Millis>,
     change: u64,
 }
@@ -65,7 +65,7 @@
         })
     }
 
-    fn owners(&self) -> Arc<Owners<Owner>> {
+    fn owners(&self) -> Arc<HashRing<Owner>> {
         let now = clock::now();
         let mut ring = lock(&self.ring);
         let is_fresh = ring.made_at.is_some_and(|made_at| now < made_at + REFRESH);
@@ -86,7 +86,7 @@
             let named = members
                 .iter()
                 .map(|(name, owner)| (name.as_str(), owner.clone()));
-            ring.owners = Arc::new(Owners::new(named));
+            ring.owners = Arc::new(HashRing::new(named));
             (ring.made_at, ring.change) = (Some(now), change);
         }
         ring.owners.clone()
@@ -97,9 +97,9 @@
     }
 
     /// Where a prefix is kept; none where its owner does not tell in time.
-    pub async fn locate(&self, question: Question) -> Option<Located> {
+    pub async fn locate(&self, question: Question) -> Option<PrefixLocation> {
         let owners = self.owners();
-        let address = owners.of(question.key.0)?.address;
+        let address = owners.owner(question.key.0)?.address;
         if self.is_own(address) {
             return Some(self.fleet.locate(&question));
         }
@@ -136,11 +136,11 @@
     /// Tells a prefix's owner where a request goes.
     pub fn tell_placed(&self, key: PrefixKey, placement: Placement) {
         let owners = self.owners();
-        let Some(owner) = owners.of(key.0) else {
+        let Some(owner) = owners.owner(key.0) else {
             return;
         };
         if self.is_own(owner.address) {
-            lock(&self.fleet.locations).placed(key, &placement, clock::now());
+            lock(&self.fleet.locations).record_placement(key, &placement, clock::now());
         } else {
             self.fleet
                 .links
@@ -187,7 +187,7 @@
         let owners = self.owners();
         let mut by_owner: BTreeMap<SocketAddrV4, Vec<(PrefixKey, u64)>> = BTreeMap::new();
         for event in events.iter().filter(|event| !event.kept) {
-            if let Some(owner) = owners.of(event.key.0).filter(|owner| is_told(owner)) {
+            if let Some(owner) = owners.owner(event.key.0).filter(|owner| is_told(owner)) {
                 by_owner
                     .entry(owner.address)
                     .or_default()
@@ -200,21 +200,21 @@
 
 impl Fleet {
     /// Answers as the owner of a prefix.
-    pub fn locate(&self, question: &Question) -> Located {
+    pub fn locate(&self, question: &Question) -> PrefixLocation {
         let generation = self.stores.of(question.key).map(|store| store.generation);
         let Question {
             key,
             planned,
             wants_save,
         } = question;
-        lock(&self.locations).locate(*key, planned, *wants_save, generation, clock::now())
+        lock(&self.locations).look_up(*key, planned, *wants_save, generation, clock::now())
     }
 
     /// A backend keeps these prefixes no more.
     pub fn take_evicted(&self, backend: &CompactString, prefixes: &[(PrefixKey, u64)]) {
         let mut locations = lock(&self.locations);
         for (key, version) in prefixes {
-            locations.evicted(
+            locations.record_eviction(
                 *key,
                 &Placement {
                     backend: backend.clone(),
@@ -229,6 +229,6 @@
         let mut locations = lock(&self.locations);
         prefixes
             .iter()
-            .for_each(|(key, version)| locations.evicted_from_store(*key, *version));
+            .for_each(|(key, version)| locations.record_store_eviction(*key, *version));
     }
 }
--- a/router/src/proxy/pending.rs
+++ b/router/src/proxy/pending.rs
@@ -10,8 +10,8 @@
 use crate::metrics::Event;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use routing::admission::PendingId;
-use routing::locations::{Located, Placement, PrefixKey};
+use routing::admission::InFlightId;
+use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
 use std::time::Duration;
 
 /// Part of the retry budget that copies leave to repeats after failures.
@@ -35,8 +35,8 @@
     sent: Vec<Sent>,
     copied: bool,
     advice: Option<f64>,
-    located: Option<Located>,
-    admitted: Option<PendingId>,
+    located: Option<PrefixLocation>,
+    admitted: Option<InFlightId>,
     /// A backend's own failure, to be passed on where nothing better comes.
     failure: Option<Begun>,
 }
@@ -73,11 +73,11 @@
         self.admitted = Some(
             self.exchanges
                 .with_admission(&self.job.service, |admission| {
-                    admission.sent(self.job.route.target_latency_ms, clock::now())
+                    admission.record_sent(self.job.route.target_latency_ms, clock::now())
                 }),
         );
         self.exchanges
-            .with_learned(self.job, |learned| learned.copies.sent());
+            .with_learned(self.job, |learned| learned.copies.deposit());
         let hedge_after = self
             .exchanges
             .with_learned(self.job, |learned| learned.pace.p95);
@@ -121,7 +121,7 @@
         let Some(located) = self
             .located
             .as_ref()
-            .filter(|located| !located.holders.is_empty())
+            .filter(|located| !located.replicas.is_empty())
         else {
             return planned;
         };
@@ -130,7 +130,7 @@
             .choose(self.job, &[], Some(located))
             .unwrap_or(planned);
         if let Some(placement) = placement(&choice)
-            && !located.is_held_by(&placement.backend, placement.version)
+            && !located.is_cached_by(&placement.backend, placement.version)
         {
             self.exchanges.locator.tell_placed(key, placement);
         }
@@ -141,9 +141,9 @@
     fn question(&self, planned: &Choice) -> Option<Question> {
         let call = &self.job.call;
         let prompt = call.prompt.as_ref()?;
-        let shared: u64 = prompt.shared().iter().map(|part| part.tokens).sum();
-        let key = PrefixKey::of(&call.wall, prompt).filter(|_| shared >= LEAST_SHARED)?;
-        let wants_save = shared as f64 >= SAVE_SHARE * prompt.tokens_in as f64;
+        let shared: u64 = prompt.shared_tokens();
+        let key = PrefixKey::of_prompt(&call.wall, prompt).filter(|_| shared >= LEAST_SHARED)?;
+        let wants_save = shared as f64 >= SAVE_SHARE * prompt.input_tokens as f64;
         Some(Question {
             key,
             planned: placement(planned)?,
@@ -173,7 +173,7 @@
         }
         let allowed = self
             .exchanges
-            .with_learned(self.job, |learned| learned.copies.is_left());
+            .with_learned(self.job, |learned| learned.copies.is_available());
         if !allowed {
             return;
         }
@@ -186,7 +186,7 @@
             .take_repeat(&self.job.service, KEPT_FOR_FAILURES)
         {
             self.exchanges
-                .with_learned(self.job, |learned| learned.copies.take());
+                .with_learned(self.job, |learned| learned.copies.withdraw());
             self.copied = true;
             self.exchanges.count(Event::Copied);
             self.send(choice);
@@ -262,7 +262,7 @@
         if let Some(id) = self.admitted.take() {
             self.exchanges
                 .with_admission(&self.job.service, |admission| {
-                    admission.answered(id, clock::now());
+                    admission.record_response(id, clock::now());
                 });
         }
         if begun.status.is_success() {
@@ -289,7 +289,7 @@
     fn drop(&mut self) {
         if let Some(id) = self.admitted.take() {
             self.exchanges
-                .with_admission(&self.job.service, |admission| admission.forget(id));
+                .with_admission(&self.job.service, |admission| admission.discard(id));
         }
     }
 }
--- a/router/src/proxy/pick.rs
+++ b/router/src/proxy/pick.rs
@@ -3,8 +3,8 @@
 
 use super::backend::{Backend, Fitness};
 use compact_str::CompactString;
-use routing::faults::are_few_suspected;
-use routing::locations::Located;
+use routing::outlier_detection::is_within_ejection_limit;
+use routing::prefix_index::PrefixLocation;
 use routing::prompt::Prompt;
 use routing::selection::{Candidate, least_loaded};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -33,7 +33,7 @@
     /// The zone of this router.
     pub zone: &'a str,
     /// Where the shared start of the prompt is kept, where its owner has told.
-    pub located: Option<&'a Located>,
+    pub located: Option<&'a PrefixLocation>,
 }
 
 /// A chosen backend.
@@ -62,7 +62,7 @@
         .iter()
         .filter(|is_suspected| **is_suspected)
         .count();
-    let heeds_suspicions = are_few_suspected(suspected_count, backends.len());
+    let heeds_suspicions = is_within_ejection_limit(suspected_count, backends.len());
     let mut eligible = Vec::new();
     let mut candidates = Vec::new();
     for (backend, is_suspected) in backends.iter().zip(suspected) {
@@ -75,8 +75,11 @@
         }
         let is_home = home.as_ref() == Some(&backend.id);
         let (load, choice) = weigh(backend, need, is_home);
-        let avoided = heeds_suspicions && is_suspected || fitness == Fitness::Doubtful;
-        candidates.push(Candidate { load, avoided });
+        let is_last_resort = heeds_suspicions && is_suspected || fitness == Fitness::Doubtful;
+        candidates.push(Candidate {
+            load,
+            is_last_resort,
+        });
         eligible.push(choice);
     }
     let at = least_loaded(&candidates, &mut fastrand::Rng::new())?;
@@ -128,21 +131,21 @@
     prompt: &Prompt,
     is_home: bool,
 ) -> u64 {
-    let shared: u64 = prompt.shared().iter().map(|part| part.tokens).sum();
+    let shared: u64 = prompt.shared_tokens();
     let saved_share = match (need.located, version) {
-        (Some(located), Some(version)) if located.is_held_by(&backend.id, version) => 1.0,
+        (Some(located), Some(version)) if located.is_cached_by(&backend.id, version) => 1.0,
         (None, _) if is_home => HOME_SHARE,
         _ => 0.0,
     };
     prompt
-        .tokens_in
+        .input_tokens
         .saturating_sub((shared as f64 * saved_share) as u64)
 }
 
 /// The backend that all routers agree on for prompts which share their parts with this one:
 /// rendezvous hashing.
 fn home(backends: &[Arc<Backend>], wall: &str, prompt: &Prompt) -> Option<CompactString> {
-    let part = prompt.shared().last()?;
+    let part = prompt.shared_segments().last()?;
     let score = |backend: &Arc<Backend>| {
         let mut hasher = DefaultHasher::new();
         (wall, &part.id, &backend.id).hash(&mut hasher);
--- a/router/src/proxy/stores.rs
+++ b/router/src/proxy/stores.rs
@@ -9,7 +9,7 @@
 use compact_str::CompactString;
 use control::configuration::KvStore;
 use control::directory::{Member, MemberStatus};
-use routing::locations::PrefixKey;
+use routing::prefix_index::PrefixKey;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddrV4;
--- a/router/src/weights/overdue.rs
+++ b/router/src/weights/overdue.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Fleet, UnfinishedVersion};
 use compact_str::CompactString;
 use control::Millis;
-use routing::version_floor::NamedVersion;
+use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
 
 /// Time between two looks.
@@ -26,7 +26,7 @@
         }
         self.looked_at = now;
         for UnfinishedVersion { named, lacking } in fleet.unfinished_versions() {
-            let NamedVersion {
+            let AnnouncedVersion {
                 model,
                 version,
                 age_ms,
--- a/router/tests/metrics.rs
+++ b/router/tests/metrics.rs
@@ -7,7 +7,7 @@
 use router::disk::Known;
 use router::metrics::{Counters, Event, MetricsPage};
 use router::protocol::PublishedState;
-use routing::version_floor::NamedVersion;
+use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
 
 fn figure(text: &str, name: &str) -> Option<u64> {
@@ -75,7 +75,7 @@
     assert!(router.fleet.published.lock().unwrap().take(named));
     router.fleet.restore(Known {
         records: Vec::new(),
-        named_weights: vec![NamedVersion {
+        named_weights: vec![AnnouncedVersion {
             model: "m".into(),
             version: 2,
             age_ms: 700,
--- a/router/tests/operator_pages.rs
+++ b/router/tests/operator_pages.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use control::directory::{BackendPhase, Key, Member, MemberStatus, Value};
-use control::rollout::OrderTurn;
+use control::rollout::RolloutOwnership;
 use control::view::ReplicaId;
 use poem::http::{Method, Uri};
 use poem::{Endpoint, Request};
@@ -35,8 +35,8 @@
         internal: id.address,
         control: None,
         replica: Some(id.clone()),
-        life: u64::from(number),
-        incarnation: 4,
+        incarnation: u64::from(number),
+        revision: 4,
         status,
     };
     fleet.put(Key::Member(id.node), Value::Member(member));
@@ -47,7 +47,7 @@
     let (handle, _) = ReplicaHandle::new(replica(1));
     handle.show(Shown {
         lease: Some((1, u64::MAX)),
-        order_turn: OrderTurn::Held,
+        rollout_ownership: RolloutOwnership::Owned,
         current_at: Some(router::clock::now() + 60_000),
         status: "Primary in epoch 1, change 1".to_owned(),
         ..Shown::default()
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -8,7 +8,7 @@
 use router::proxy::events::KeptEvent;
 use router::proxy::locator::{Locator, Question};
 use router::proxy::salt::{Salt, salt};
-use routing::locations::{Placement, PrefixKey};
+use routing::prefix_index::{Placement, PrefixKey};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -109,7 +109,7 @@
     register(&router.fleet, holder, holding, 2, draining);
     router.table.refresh(&router.fleet);
     let prompt = PROMPT.replace("b:500", "c:500");
-    let key = PrefixKey::of_part("tt1-", "m", "c");
+    let key = PrefixKey::of_segment("tt1-", "m", "c");
     let held = Placement {
         backend: format!("i-{holder}").into(),
         version: 1,
@@ -119,7 +119,7 @@
         .locations
         .lock()
         .unwrap()
-        .placed(key, &held, router::clock::now());
+        .record_placement(key, &held, router::clock::now());
     router.ask("/unsafe/", &format!("{KEY}{prompt}")).await;
     assert_eq!(other.count(), 2);
     assert_eq!(header(&other.request(1), "kv-fetch"), None);
@@ -131,7 +131,7 @@
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let locator = Locator::new(router.fleet.clone());
     let wall = "tt1-";
-    let key = PrefixKey::of_part(wall, "m", "b");
+    let key = PrefixKey::of_segment(wall, "m", "b");
     let asked = Question {
         key,
         planned: Placement {
@@ -143,7 +143,7 @@
     let holder = router
         .fleet
         .locate(&asked)
-        .holders
+        .replicas
         .last()
         .expect("a holder")
         .backend
@@ -157,7 +157,7 @@
         }],
     );
     assert!(
-        router.fleet.locate(&asked).is_held_by(&holder, 1),
+        router.fleet.locate(&asked).is_cached_by(&holder, 1),
         "another version gave way"
     );
     locator.tell_evicted(
@@ -168,7 +168,7 @@
             kept: true,
         }],
     );
-    assert!(router.fleet.locate(&asked).is_held_by(&holder, 1));
+    assert!(router.fleet.locate(&asked).is_cached_by(&holder, 1));
     locator.tell_evicted(
         &holder,
         &[KeptEvent {
@@ -177,7 +177,7 @@
             kept: false,
         }],
     );
-    assert!(!router.fleet.locate(&asked).is_held_by(&holder, 1));
+    assert!(!router.fleet.locate(&asked).is_cached_by(&holder, 1));
 }
 
 #[tokio::test]
@@ -202,7 +202,7 @@
             .map(|answer| answer.response)
     };
     let located = async |backend| match answered(ask(backend)).await {
-        Some(Response::Located(located)) => located.holders,
+        Some(Response::Located(located)) => located.replicas,
         other => panic!("{other:?}"),
     };
     assert!(located("b1").await.is_empty());
--- a/router/tests/stores.rs
+++ b/router/tests/stores.rs
@@ -3,7 +3,7 @@
 use control::configuration::KvStore;
 use router::protocol::StoreStatus;
 use router::proxy::stores::Stores;
-use routing::locations::PrefixKey;
+use routing::prefix_index::PrefixKey;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/router/tests/wire_format.rs
+++ b/router/tests/wire_format.rs
@@ -20,8 +20,8 @@
     Frame, MemberHeartbeat, PublishedState, PullRequest, Pulled, Request, Response, StoreStatus,
 };
 use router::traffic::MessageKind;
-use routing::locations::{Located, Placement, PrefixKey};
-use routing::version_floor::NamedVersion;
+use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
+use routing::version_floor::AnnouncedVersion;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
@@ -160,8 +160,8 @@
         .collect()
 }
 
-fn named() -> Vec<NamedVersion> {
-    vec![NamedVersion {
+fn named() -> Vec<AnnouncedVersion> {
+    vec![AnnouncedVersion {
         model: "daka510000".into(),
         version: 3,
         age_ms: 700,
@@ -331,13 +331,13 @@
         held_ms: 300,
         named_weights: named(),
     };
-    let located = Located {
-        holders: vec![Placement {
+    let located = PrefixLocation {
+        replicas: vec![Placement {
             backend: "i-1".into(),
             version: 3,
         }],
-        stored: Some(3),
-        save: true,
+        stored_version: Some(3),
+        should_save: true,
     };
     let differences = PublishedState {
         configuration: Some(steps()),
