--- a/router/src/control_api.rs
+++ b/router/src/control_api.rs
@@ -1,8 +1,8 @@
 //! The control interface: heartbeats of backends, calls of operators.
 
 use crate::fleet::Fleet;
-use crate::links::lock;
 use crate::protocol::MOST_HOPS;
+use crate::sync::lock;
 use bytes::Bytes;
 use compact_str::CompactString;
 use control::changes::{Change, Outcome, Rejection};
--- a/router/src/fleet.rs
+++ b/router/src/fleet.rs
@@ -6,21 +6,24 @@
 mod named_weights;
 mod operators;
 mod peers;
+mod prefixes;
 mod pulls;
 mod registration;
 mod service;
 
 pub use named_weights::UnfinishedVersion;
+pub use prefixes::Question;
 pub use pulls::{PULL_WAIT, Pull};
 
 use crate::clock;
+use crate::counters::Counters;
 use crate::disk::Known;
-use crate::links::{Links, lock};
-use crate::metrics::Counters;
-use crate::proxy::stores::Stores;
+use crate::kv_stores::Stores;
+use crate::links::Links;
 use crate::published::Published;
-use crate::replica::ReplicaHandle;
+use crate::replica::handle::ReplicaHandle;
 use crate::settings::Settings;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Directory, Key, Member, MemberStatus, Origin, Value};
--- a/router/src/fleet/faults.rs
+++ b/router/src/fleet/faults.rs
@@ -4,8 +4,8 @@
 use super::Fleet;
 use super::registration::place;
 use crate::clock;
-use crate::links::lock;
 use crate::protocol::Request;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::directory::{Key, MemberStatus, Suspicion, Value};
 use std::collections::BTreeMap;
--- a/router/src/fleet/members.rs
+++ b/router/src/fleet/members.rs
@@ -1,8 +1,8 @@
 //! Which routers are there: what askers say of themselves, and which ones a monitor misses.
 
 use super::{Fleet, MonitoredLife};
-use crate::links::lock;
 use crate::protocol::PullRequest;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Directory, Key, Member, MemberStatus, Value};
--- a/router/src/fleet/named_weights.rs
+++ b/router/src/fleet/named_weights.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use crate::clock;
-use crate::links::lock;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::BackendPhase;
--- a/router/src/fleet/operators.rs
+++ b/router/src/fleet/operators.rs
@@ -1,9 +1,9 @@
 //! Calls of operators: answered here or passed on to the primary.
 
 use super::{FORWARD_PATIENCE, Fleet};
-use crate::links::lock;
 use crate::protocol::{Request, Response};
-use crate::replica::ReplicaHandle;
+use crate::replica::handle::ReplicaHandle;
+use crate::sync::lock;
 use control::changes::{Change, Outcome};
 use std::net::SocketAddrV4;
 use std::time::Duration;
--- a/router/src/fleet/peers.rs
+++ b/router/src/fleet/peers.rs
@@ -3,8 +3,8 @@
 
 use super::Fleet;
 use crate::clock;
-use crate::links::lock;
 use crate::protocol::PullRequest;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Key, Stamp, VersionVector};
--- a/router/src/fleet/pulls.rs
+++ b/router/src/fleet/pulls.rs
@@ -3,9 +3,10 @@
 use super::Fleet;
 use super::named_weights::SentAt;
 use crate::clock;
-use crate::links::{Answer, lock};
+use crate::links::Answer;
 use crate::protocol::{PullRequest, Pulled, Request, Response};
-use crate::replica::ReplicaHandle;
+use crate::replica::handle::ReplicaHandle;
+use crate::sync::lock;
 use control::Millis;
 use control::directory::{Key, MemberStatus, Value};
 use std::net::SocketAddrV4;
--- a/router/src/fleet/registration.rs
+++ b/router/src/fleet/registration.rs
@@ -1,8 +1,8 @@
 //! Heartbeats of backends: taking them, passing them on, and noticing that they have stopped.
 
 use super::{FORWARD_PATIENCE, Fleet};
-use crate::links::lock;
 use crate::protocol::{Request, Response};
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Backend, BackendPhase, Key, Member, MemberStatus, Value};
--- a/router/src/fleet/service.rs
+++ b/router/src/fleet/service.rs
@@ -1,10 +1,10 @@
 //! Answering the requests of other nodes.
 
-use super::Fleet;
+use super::{Fleet, Question};
 use crate::clock;
-use crate::links::{Answer, Service, lock};
+use crate::links::{Answer, Service};
 use crate::protocol::{MOST_HOPS, Request, Response};
-use crate::proxy::locator::Question;
+use crate::sync::lock;
 use control::digest::Digests;
 use std::collections::BTreeSet;
 use std::future::Future;
--- a/router/src/links.rs
+++ b/router/src/links.rs
@@ -3,15 +3,16 @@
 
 use crate::frame::{read_frame, write_frame};
 use crate::protocol::{Frame, Request, Response};
+use crate::socket;
+use crate::sync::lock;
 use crate::traffic::Traffic;
-use socket2::{SockRef, TcpKeepalive};
 use std::collections::HashMap;
 use std::future::Future;
 use std::io;
 use std::net::SocketAddrV4;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU32, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
@@ -20,25 +21,9 @@
 /// How long a connection may take to come up. Short, as a peer that is just starting loses the
 /// first packet, and the system sends that again only after a second.
 const CONNECT_PATIENCE: Duration = Duration::from_millis(250);
-/// Unacknowledged bytes break a connection after this.
-pub const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Frames that wait for a connection; more are dropped.
 const QUEUE: usize = 256;
 
-/// Locks a mutex whose content is sound even if a holder panicked.
-pub fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
-/// Has a socket notice a silent peer, and send small frames at once.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
-    stream.set_nodelay(true)?;
-    let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
-    let second = Duration::from_secs(1);
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(second).with_interval(second))
-}
-
 type Pending = Arc<Mutex<HashMap<u32, oneshot::Sender<Response>>>>;
 
 /// One connection to another router, made when it is first used.
@@ -119,7 +104,7 @@
 ) {
     let connected = timeout(CONNECT_PATIENCE, TcpStream::connect(address)).await;
     if let Ok(Ok(stream)) = connected
-        && prepare(&stream).is_ok()
+        && socket::configure(&stream).is_ok()
     {
         let (mut reader, mut writer) = stream.into_split();
         let write = async {
@@ -192,7 +177,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, service: Arc<impl Service>, traffic: Arc<Traffic>) {
-    if prepare(&stream).is_err() {
+    if socket::configure(&stream).is_err() {
         return;
     }
     let (mut reader, mut writer) = stream.into_split();
--- a/router/src/listener.rs
+++ b/router/src/listener.rs
@@ -6,7 +6,7 @@
 //! whole. So a connection's own state says how it stands, and whoever works for a request asks that
 //! state.
 
-use crate::links::lock;
+use crate::sync::lock;
 use poem::listener::Acceptor;
 use poem::web::{LocalAddr, RemoteAddr};
 use std::collections::HashMap;
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -3,8 +3,8 @@
 
 use crate::clock;
 use crate::fleet::{Fleet, MonitoredLife};
-use crate::links::lock;
 use crate::protocol::{MemberHeartbeat, Request, Response};
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::digest::{Digests, Range};
 use control::directory::{Key, Member, MemberStatus, Value, VersionVector};
--- a/router/src/proxy/attempt.rs
+++ b/router/src/proxy/attempt.rs
@@ -5,7 +5,6 @@
 use super::connection::{Connection, Failure};
 use super::headers;
 use super::salt::salt;
-use super::stores::Transfer;
 use crate::clock;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -14,6 +13,7 @@
 use hyper::body::Incoming;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
 use routing::prompt::Prompt;
+use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -51,6 +51,15 @@
     pub is_repeatable: bool,
 }
 
+/// What a send tells its backend about kept prompts.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct Transfer {
+    /// Take missing parts from there.
+    pub fetch: Option<SocketAddrV4>,
+    /// Send the parts there once they are read.
+    pub save: Option<SocketAddrV4>,
+}
+
 /// How one send differs from another.
 #[derive(Debug, Clone, Default)]
 pub struct Variant {
--- a/router/src/proxy/backend.rs
+++ b/router/src/proxy/backend.rs
@@ -4,7 +4,7 @@
 use super::fault_log::FaultLog;
 use super::known_weights::KnownWeights;
 use crate::clock;
-use crate::links::lock;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Backend as Registered, BackendPhase, Order, OrderPhase, Suspicion};
--- a/router/src/proxy/connection.rs
+++ b/router/src/proxy/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a backend: what was written on it, and whether it can be used again.
 
-use crate::links::prepare;
+use crate::socket;
 use bytes::Bytes;
 use control::Millis;
 use http_body_util::Full;
@@ -94,7 +94,7 @@
         let stream = timeout(patience, TcpStream::connect(address))
             .await
             .map_err(|_| late())??;
-        prepare(&stream)?;
+        socket::configure(&stream)?;
         // A close would have the system send on what it still holds, for as long as that takes.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         let written = Arc::new(AtomicU64::new(0));
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -1,17 +1,16 @@
 //! One request of a client, from its first send to the start of its answer: first sends, copies,
 //! repeats.
 
-use super::attempt::{self, Begun, Call, Content, Ended, Sent, Variant};
+use super::attempt::{self, Begun, Call, Content, Ended, Sent, Transfer, Variant};
 use super::backend::{Backend, Fitness};
 use super::locator::Locator;
 use super::pending::Pending;
 use super::pick::{Choice, Need, pick};
-use super::stores::Transfer;
 use super::table::Table;
 use crate::clock;
+use crate::counters::Event;
 use crate::fleet::Fleet;
-use crate::links::lock;
-use crate::metrics::Event;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::configuration::{Kind, Route};
--- a/router/src/proxy/fault_log.rs
+++ b/router/src/proxy/fault_log.rs
@@ -1,7 +1,7 @@
 //! Faults of backends that this router saw and has not told of yet.
 
 use crate::fleet::Fleet;
-use crate::links::lock;
+use crate::sync::lock;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
--- a/router/src/proxy/kept.rs
+++ b/router/src/proxy/kept.rs
@@ -4,7 +4,7 @@
 use super::events;
 use super::locator::Locator;
 use crate::fleet::Fleet;
-use crate::links::lock;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::directory::{BackendPhase, MemberStatus};
 use std::collections::BTreeMap;
--- a/router/src/proxy/pending.rs
+++ b/router/src/proxy/pending.rs
@@ -4,10 +4,10 @@
 use super::answer::is_own_failure;
 use super::attempt::{self, Begun, Ended, Sent};
 use super::exchange::{Exchanges, GivenUp, Job, MOST_REJECTIONS, Tries};
-use super::locator::Question;
 use super::pick::Choice;
 use crate::clock;
-use crate::metrics::Event;
+use crate::counters::Event;
+use crate::fleet::Question;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use routing::admission::InFlightId;
--- a/router/src/proxy/relay.rs
+++ b/router/src/proxy/relay.rs
@@ -3,8 +3,8 @@
 use super::attempt::{Begun, Content, Events, recycle};
 use super::backend::Backend;
 use super::exchange::{Exchanges, Job, Tries};
+use crate::counters::Event;
 use crate::listener::{ClientConnection, ConnectionState};
-use crate::metrics::Event;
 use bytes::{Bytes, BytesMut};
 use futures_util::Stream;
 use futures_util::stream;
--- a/router/src/proxy/table.rs
+++ b/router/src/proxy/table.rs
@@ -3,7 +3,7 @@
 use super::backend::{Backend, ServiceState};
 use super::fault_log::FaultLog;
 use crate::fleet::Fleet;
-use crate::links::lock;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::directory::{Backend as Registered, BackendPhase};
 use std::collections::HashMap;
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -3,7 +3,7 @@
 use crate::control_api::ControlApi;
 use crate::disk::{self, Disk, DiskError};
 use crate::fleet::Fleet;
-use crate::links::{self, lock};
+use crate::links;
 use crate::listener::{ClientAcceptor, ClientConnections};
 use crate::membership;
 use crate::metrics::MetricsPage;
@@ -14,8 +14,11 @@
 use crate::proxy::locator::Locator;
 use crate::proxy::stores;
 use crate::proxy::table::{self, Table};
-use crate::replica::{self, ReplicaHandle};
+use crate::replica::handle::{Inputs, ReplicaHandle};
+use crate::replica::task;
 use crate::settings::{Settings, SettingsError};
+use crate::socket;
+use crate::sync::lock;
 use crate::upstreams;
 use crate::weights::Orders;
 use control::node::{ControlNode, Identity, Timing};
@@ -101,7 +104,7 @@
     disk: Disk,
     stored: mpsc::UnboundedReceiver<u64>,
     handle: ReplicaHandle,
-    inputs: replica::Inputs,
+    inputs: Inputs,
 }
 
 fn open_replica(
@@ -170,7 +173,7 @@
     let client = reqwest::Client::builder()
         .no_proxy()
         .tcp_nodelay(true)
-        .tcp_user_timeout(links::USER_TIMEOUT)
+        .tcp_user_timeout(socket::USER_TIMEOUT)
         .build()?;
     let table = Arc::new(Table::default());
     let locator = Locator::new(fleet.clone());
@@ -235,14 +238,7 @@
         inputs,
     } = replica;
     let orders = Orders::new(fleet.clone(), handle.clone(), client.clone());
-    tokio::spawn(replica::run(
-        node,
-        disk,
-        stored,
-        fleet.clone(),
-        handle,
-        inputs,
-    ));
+    tokio::spawn(task::run(node, disk, stored, fleet.clone(), handle, inputs));
     tokio::spawn(orders.clone().run());
     orders
 }
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -1,7 +1,7 @@
 //! What a router says of itself and of its fleet to operators.
 
 use crate::fleet::Fleet;
-use crate::links::lock;
+use crate::sync::lock;
 use serde_json::{Value as Json, json};
 
 /// A report as JSON.
@@ -42,7 +42,7 @@
         "configuration": published.version(),
         "change": published.position().index,
         "primary": fleet.leader().map(|(epoch, replica)| json!({"epoch": epoch, "replica": replica.to_string()})),
-        "replica": fleet.replica.as_ref().map(crate::replica::ReplicaHandle::status),
+        "replica": fleet.replica.as_ref().map(crate::replica::handle::ReplicaHandle::status),
         "members": members,
         "backends": backends,
         "weights": weights,
--- a/router/src/upstreams.rs
+++ b/router/src/upstreams.rs
@@ -2,7 +2,7 @@
 //! then in case the first falls behind.
 
 use crate::fleet::{Fleet, PULL_WAIT, Pull};
-use crate::links::lock;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::directory::{Member, MemberStatus};
 use control::ring;
--- a/router/src/weights.rs
+++ b/router/src/weights.rs
@@ -7,8 +7,8 @@
 
 use crate::clock;
 use crate::fleet::Fleet;
-use crate::links::lock;
-use crate::replica::ReplicaHandle;
+use crate::replica::handle::ReplicaHandle;
+use crate::sync::lock;
 use backend_calls::BackendCalls;
 use compact_str::CompactString;
 use control::changes::Change;
--- a/router/src/weights/bringing.rs
+++ b/router/src/weights/bringing.rs
@@ -4,8 +4,8 @@
 use super::Orders;
 use super::backend_calls::OrderAnswer;
 use crate::clock;
-use crate::links::lock;
-use crate::metrics::Event;
+use crate::counters::Event;
+use crate::sync::lock;
 use control::directory::{Key, Order, OrderPhase, Value};
 use control::rollout::{ConditionalOrder, NextStep, OrderProgress, OutdatedBackend};
 use control::view::Epoch;
--- a/router/tests/late_orders.rs
+++ b/router/tests/late_orders.rs
@@ -24,7 +24,7 @@
 use control::view::ReplicaId;
 use router::fleet::Fleet;
 use router::protocol::PublishedState;
-use router::replica::{ReplicaHandle, Shown};
+use router::replica::handle::{ReplicaHandle, Shown};
 use router::weights::Orders;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/router/tests/leaving_clients.rs
+++ b/router/tests/leaving_clients.rs
@@ -13,7 +13,7 @@
 mod common;
 
 use common::*;
-use router::metrics::Event;
+use router::counters::Event;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
--- a/router/tests/metrics.rs
+++ b/router/tests/metrics.rs
@@ -4,8 +4,9 @@
 
 use common::*;
 use control::state::{Position, WeightsTarget};
+use router::counters::{Counters, Event};
 use router::disk::Known;
-use router::metrics::{Counters, Event, MetricsPage};
+use router::metrics::MetricsPage;
 use router::protocol::PublishedState;
 use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
--- a/router/tests/operator_pages.rs
+++ b/router/tests/operator_pages.rs
@@ -13,7 +13,7 @@
 use router::fleet::Fleet;
 use router::metrics::MetricsPage;
 use router::proxy::table::Table;
-use router::replica::{ReplicaHandle, Shown};
+use router::replica::handle::{ReplicaHandle, Shown};
 use router::weights::Orders;
 use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -4,9 +4,10 @@
 
 use common::*;
 use control::configuration::KvStore;
+use router::fleet::Question;
 use router::protocol::{Request, Response};
 use router::proxy::events::KeptEvent;
-use router::proxy::locator::{Locator, Question};
+use router::proxy::locator::Locator;
 use router::proxy::salt::{Salt, salt};
 use routing::prefix_index::{Placement, PrefixKey};
 use std::collections::BTreeMap;
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -10,7 +10,7 @@
 use router::fleet::Fleet;
 use router::links::Service;
 use router::protocol::{PullRequest, Request};
-use router::replica::{ReplicaHandle, Shown};
+use router::replica::handle::{ReplicaHandle, Shown};
 use router::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
--- a/router/tests/stores.rs
+++ b/router/tests/stores.rs
@@ -1,8 +1,8 @@
 //! Stores of kept prompts, as routers hear of them.
 
 use control::configuration::KvStore;
+use router::kv_stores::Stores;
 use router::protocol::StoreStatus;
-use router::proxy::stores::Stores;
 use routing::prefix_index::PrefixKey;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
