--- a/router/src/fleet.rs
+++ b/router/src/fleet.rs
@@ -6,21 +6,24 @@
 mod named_weights;
 mod operators;
 mod peers;
+mod prefixes;
 mod pulls;
 mod registration;
 mod service;
 
 pub use named_weights::UnfinishedVersion;
+pub use prefixes::Question;
 pub use pulls::{PULL_WAIT, Pull};
 
 use crate::clock;
+use crate::counters::Counters;
 use crate::disk::Known;
-use crate::links::{Links, lock};
-use crate::metrics::Counters;
-use crate::proxy::stores::Stores;
+use crate::kv_stores::Stores;
+use crate::links::Links;
 use crate::published::Published;
-use crate::replica::ReplicaHandle;
+use crate::replica::handle::ReplicaHandle;
 use crate::settings::Settings;
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Directory, Key, Member, MemberStatus, Origin, Value};
@@ -28,8 +31,8 @@
 use control::view::{Epoch, ReplicaId};
 use peers::Peers;
 use pulls::WHOLE_ANSWERS_KB;
-use routing::faults::FaultEvidence;
-use routing::locations::Locations;
+use routing::outlier_detection::OutlierDetector;
+use routing::prefix_index::PrefixIndex;
 use routing::version_floor::VersionFloors;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -60,9 +63,9 @@
     /// Stores of kept prompts.
     pub stores: Stores,
     /// Where the shared starts of prompts are kept that this router owns.
-    pub locations: Mutex<Locations>,
+    pub locations: Mutex<PrefixIndex>,
     /// Faults of the backends that this node judges.
-    evidence: Mutex<FaultEvidence>,
+    evidence: Mutex<OutlierDetector>,
     /// The replica that this node runs, if any.
     pub replica: Option<ReplicaHandle>,
     /// This process's own life.
--- a/router/src/proxy/locator.rs
+++ b/router/src/proxy/locator.rs
@@ -1,16 +1,17 @@
 //! Asking the owner of a prompt's shared start where it is kept, and answering as an owner.
 
 use super::events::KeptEvent;
-use super::stores::AnsweringStore;
+
 use crate::clock;
-use crate::fleet::Fleet;
-use crate::links::lock;
+use crate::fleet::{Fleet, Question};
+use crate::kv_stores::AnsweringStore;
 use crate::protocol::{Request, Response};
+use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::MemberStatus;
-use routing::locations::{Located, Placement, PrefixKey};
-use routing::owners::Owners;
+use routing::hash_ring::HashRing;
+use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
@@ -32,7 +33,7 @@
 
 #[derive(Default)]
 struct Ring {
-    owners: Arc<Owners<Owner>>,
+    owners: Arc<HashRing<Owner>>,
     made_at: Option<Millis>,
     change: u64,
 }
@@ -44,17 +45,6 @@
     avoided: Mutex<HashMap<SocketAddrV4, Millis>>,
 }
 
-/// A question to an owner.
-#[derive(Debug, Clone)]
-pub struct Question {
-    /// The prefix.
-    pub key: PrefixKey,
-    /// Where the request would go if the prefix is kept nowhere.
-    pub planned: Placement,
-    /// Whether the prefix is worth saving at the store.
-    pub wants_save: bool,
-}
-
 impl Locator {
     /// Knows nobody yet.
     pub fn new(fleet: Arc<Fleet>) -> Arc<Self> {
@@ -65,7 +55,7 @@
         })
     }
 
-    fn owners(&self) -> Arc<Owners<Owner>> {
+    fn owners(&self) -> Arc<HashRing<Owner>> {
         let now = clock::now();
         let mut ring = lock(&self.ring);
         let is_fresh = ring.made_at.is_some_and(|made_at| now < made_at + REFRESH);
@@ -86,7 +76,7 @@
             let named = members
                 .iter()
                 .map(|(name, owner)| (name.as_str(), owner.clone()));
-            ring.owners = Arc::new(Owners::new(named));
+            ring.owners = Arc::new(HashRing::new(named));
             (ring.made_at, ring.change) = (Some(now), change);
         }
         ring.owners.clone()
@@ -97,9 +87,9 @@
     }
 
     /// Where a prefix is kept; none where its owner does not tell in time.
-    pub async fn locate(&self, question: Question) -> Option<Located> {
+    pub async fn locate(&self, question: Question) -> Option<PrefixLocation> {
         let owners = self.owners();
-        let address = owners.of(question.key.0)?.address;
+        let address = owners.owner(question.key.0)?.address;
         if self.is_own(address) {
             return Some(self.fleet.locate(&question));
         }
@@ -136,11 +126,11 @@
     /// Tells a prefix's owner where a request goes.
     pub fn tell_placed(&self, key: PrefixKey, placement: Placement) {
         let owners = self.owners();
-        let Some(owner) = owners.of(key.0) else {
+        let Some(owner) = owners.owner(key.0) else {
             return;
         };
         if self.is_own(owner.address) {
-            lock(&self.fleet.locations).placed(key, &placement, clock::now());
+            lock(&self.fleet.locations).record_placement(key, &placement, clock::now());
         } else {
             self.fleet
                 .links
@@ -187,7 +177,7 @@
         let owners = self.owners();
         let mut by_owner: BTreeMap<SocketAddrV4, Vec<(PrefixKey, u64)>> = BTreeMap::new();
         for event in events.iter().filter(|event| !event.kept) {
-            if let Some(owner) = owners.of(event.key.0).filter(|owner| is_told(owner)) {
+            if let Some(owner) = owners.owner(event.key.0).filter(|owner| is_told(owner)) {
                 by_owner
                     .entry(owner.address)
                     .or_default()
@@ -197,38 +187,3 @@
         by_owner
     }
 }
-
-impl Fleet {
-    /// Answers as the owner of a prefix.
-    pub fn locate(&self, question: &Question) -> Located {
-        let generation = self.stores.of(question.key).map(|store| store.generation);
-        let Question {
-            key,
-            planned,
-            wants_save,
-        } = question;
-        lock(&self.locations).locate(*key, planned, *wants_save, generation, clock::now())
-    }
-
-    /// A backend keeps these prefixes no more.
-    pub fn take_evicted(&self, backend: &CompactString, prefixes: &[(PrefixKey, u64)]) {
-        let mut locations = lock(&self.locations);
-        for (key, version) in prefixes {
-            locations.evicted(
-                *key,
-                &Placement {
-                    backend: backend.clone(),
-                    version: *version,
-                },
-            );
-        }
-    }
-
-    /// A store keeps these prefixes no more.
-    pub fn take_evicted_from_store(&self, prefixes: &[(PrefixKey, u64)]) {
-        let mut locations = lock(&self.locations);
-        prefixes
-            .iter()
-            .for_each(|(key, version)| locations.evicted_from_store(*key, *version));
-    }
-}
