--- a/bitternsill/src/admin/hand/tests.rs
+++ b/bitternsill/src/admin/hand/tests.rs
@@ -85,3 +85,15 @@
     hand.forget(100, 50);
     assert_eq!(hand.marks.len(), 1, "back for long enough");
 }
+
+/// The file as the release before this one wrote it.
+const STORED: &str = "d80a412a\n{\"gatherer\":\"g\",\"hosts\":[{\"out\":true,\"stamp\":5,\"uid\":\"a\"},{\"out\":false,\"stamp\":7,\"uid\":\"b\"}],\"version\":1}\n";
+
+#[test]
+fn stored_file_keeps_its_bytes() {
+    let mut hand = Hand::new(8);
+    hand.set("a", true, 5).unwrap();
+    hand.set("b", false, 7).unwrap();
+    assert_eq!(hand.encode("g"), STORED);
+    assert_eq!(Hand::decode(STORED.as_bytes(), "g", 8).unwrap(), hand);
+}
