--- a/bitternsill/benches/learned.rs
+++ b/bitternsill/benches/learned.rs
@@ -11,7 +11,8 @@
 use crossbeam_queue::ArrayQueue;
 use dispatch::Aggregator;
 use dispatch::interface::{
-    Action, Class, Entry, Event, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId, Settings,
+    Action, Class, Endpoint, Event, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId,
+    Settings,
 };
 use learning::file;
 use learning::picture::{Fleet, HostMemory, Picture};
@@ -304,21 +305,21 @@
     const MANY: u32 = 10_000;
     const CLASSES: usize = 8;
     let class = Class {
-        aim: 1_000_000_000,
+        latency_target: 1_000_000_000,
         ..Class::default()
     };
     let settings = Settings {
         classes: vec![class; CLASSES],
         cells: 100,
-        reach: 2,
+        replication_factor: 2,
         ..Settings::default()
     };
-    let entry = |n: u32| Entry {
+    let entry = |n: u32| Endpoint {
         server: ServerId(n),
         cell: n % 100,
-        ..Entry::default()
+        ..Endpoint::default()
     };
-    let list = Event::List {
+    let list = Event::Endpoints {
         kind: ListKind::Complete,
         entries: (0..MANY).map(entry).collect(),
     };
@@ -347,7 +348,7 @@
             now += 5_000_000;
             let mut events = Vec::new();
             for (part, attempt) in out.drain(..) {
-                events.push(Event::Ended {
+                events.push(Event::AttemptEnded {
                     part,
                     attempt,
                     server: ServerId(0),
@@ -363,8 +364,8 @@
                     number,
                     class: (number % CLASSES as u64) as usize,
                     parts: 2,
-                    patience: 2_000_000_000,
-                    repeat: false,
+                    client_timeout: 2_000_000_000,
+                    is_retry: false,
                 });
                 for part in 1..=2 {
                     let shard = (number * 37 + part) as u32 % 100;
--- a/bitternsill/src/core.rs
+++ b/bitternsill/src/core.rs
@@ -14,7 +14,7 @@
 use crate::limits::{Limits, MS};
 use classes::{Classes, TooMany};
 use dispatch::interface::{
-    Action, Entry, Event, Learned, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId,
+    Action, Endpoint, Event, Learned, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId,
     Settings, Time,
 };
 use dispatch::{Aggregator, interface::Effect};
@@ -208,7 +208,7 @@
 
     /// The longest time to return that clients may be told; 0 where none may.
     pub fn longest_hold_off(&self) -> Time {
-        self.settings.max_hold_off
+        self.settings.max_retry_after
     }
 
     /// Queries that have no final answer yet.
@@ -232,7 +232,7 @@
         // refusal is due.
         if self.queries.len() + self.parts.len() >= self.settings.max_open as usize {
             return Err(Refusal::TableFull {
-                hold_off: self.settings.max_hold_off,
+                hold_off: self.settings.max_retry_after,
             });
         }
         let margin = self.limits.answer_margin;
@@ -247,8 +247,8 @@
             number,
             class: ask.class,
             parts: ask.parts.len() as u32,
-            patience: patience.saturating_sub(self.limits.patience_margin.min(patience / 2)),
-            repeat: ask.repeat,
+            client_timeout: patience.saturating_sub(self.limits.patience_margin.min(patience / 2)),
+            is_retry: ask.repeat,
         });
         let mut parts = Vec::with_capacity(ask.parts.len());
         for (shard, weight) in ask.parts {
@@ -286,8 +286,8 @@
     }
 
     /// News of the list of index hosts.
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        self.events.push(Event::List {
+    pub fn list(&mut self, kind: ListKind, entries: Vec<Endpoint>) {
+        self.events.push(Event::Endpoints {
             kind,
             entries: entries.into(),
         });
@@ -304,9 +304,9 @@
             .collect();
         let tries = order
             .iter()
-            .filter_map(|slot| learned.tries.get(*slot).cloned())
+            .filter_map(|slot| learned.attempts.get(*slot).cloned())
             .collect();
-        (learned.parts, learned.tries) = (parts, tries);
+        (learned.parts, learned.attempts) = (parts, tries);
         for (_, memory) in &mut learned.servers {
             memory.slowness = order
                 .iter()
@@ -330,12 +330,12 @@
             );
             return;
         }
-        self.events.push(Event::Recall(Arc::new(learned)));
+        self.events.push(Event::Restore(Arc::new(learned)));
     }
 
     /// A discovery call failed, or the watch ended: refused or broken, or left without an answer.
     pub fn list_failed(&mut self, refused: bool) {
-        self.events.push(Event::ListFailed { refused });
+        self.events.push(Event::DiscoveryFailed { refused });
     }
 
     /// The last byte of an attempt's message went out: from here on it may run.
@@ -368,7 +368,7 @@
             ?outcome,
             "ended"
         );
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             part: PartId(id.part),
             attempt: id.leg,
             server: attempt.host,
@@ -402,7 +402,7 @@
     pub fn probed(&mut self, host: ServerId, outcome: Outcome, now: Time) {
         if let Some(sent) = self.probes.remove(&host) {
             let took = now.saturating_sub(sent);
-            self.events.push(Event::Probed {
+            self.events.push(Event::ProbeEnded {
                 server: host,
                 outcome,
                 took,
@@ -548,8 +548,14 @@
                     self.ended(id, outcome, now);
                 }
             }
-            Action::Answer { query, whole } => self.answer(query.0, whole, now),
-            Action::Refuse { query, hold_off } => {
+            Action::Answer {
+                query,
+                complete: whole,
+            } => self.answer(query.0, whole, now),
+            Action::Reject {
+                query,
+                retry_after: hold_off,
+            } => {
                 if let Some(query) = self.finish(query.0, Answer::Refused { hold_off }, now) {
                     let held = now.saturating_sub(query.taken) / MS;
                     tracing::debug!(
@@ -574,7 +580,7 @@
             Action::Watch(on) => ports.watch(on),
             Action::Fetch => ports.fetch(),
             Action::Close(host) => ports.close_idle(host),
-            Action::Note(text) => tracing::info!(note = text, "module"),
+            Action::Log(text) => tracing::info!(note = text, "module"),
         }
     }
 
@@ -779,7 +785,7 @@
                 version,
                 ..
             } = query;
-            let aim = self.settings.classes[class].aim.max(1);
+            let aim = self.settings.classes[class].latency_target.max(1);
             let spent = now.saturating_sub(taken) as f64 / aim as f64;
             ends.push(Ended {
                 taken,
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -259,7 +259,7 @@
         let fleet = Fleet {
             classes: deployment.classes.clone(),
             cells: settings.cells,
-            reach: settings.reach,
+            reach: settings.replication_factor,
         };
         let taken = self
             .core
--- a/bitternsill/src/front/hosts.rs
+++ b/bitternsill/src/front/hosts.rs
@@ -5,7 +5,7 @@
 use crate::core::ports::{AttemptId, Outgoing};
 use crate::limits::Limits;
 use crate::net::{Connection, Net, Token};
-use dispatch::interface::{Entry, ListKind, ServerId, Standing, Time};
+use dispatch::interface::{Endpoint, ListKind, ServerId, ServerStatus, Time};
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -71,7 +71,7 @@
     /// Where it listens; absent where a change only says that it left.
     pub endpoint: Option<SocketAddr>,
     /// The rest, as the module wants it; its `server` is filled in by the table.
-    pub entry: Entry,
+    pub entry: Endpoint,
 }
 
 struct Link {
@@ -83,7 +83,7 @@
 struct Host {
     uid: Arc<str>,
     /// What the list says of it, and whether it is out by hand.
-    entry: Entry,
+    entry: Endpoint,
     endpoint: Option<SocketAddr>,
     leaving_since: Option<Time>,
     links: Vec<Link>,
@@ -122,11 +122,11 @@
     }
 
     /// The whole list, as the module is told it.
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn entries(&self) -> Vec<Endpoint> {
         let present = self
             .hosts
             .values()
-            .filter(|h| h.entry.standing != Standing::Gone);
+            .filter(|h| h.entry.status != ServerStatus::Removed);
         present.map(|h| h.entry.clone()).collect()
     }
 
@@ -139,7 +139,7 @@
     pub fn active(&self) -> usize {
         self.hosts
             .values()
-            .filter(|h| h.entry.standing == Standing::Ready)
+            .filter(|h| h.entry.status == ServerStatus::Ready)
             .count()
     }
 
@@ -149,8 +149,8 @@
             let host = self
                 .hosts
                 .get(id)
-                .filter(|h| h.entry.standing != Standing::Gone)?;
-            let state = if host.entry.standing == Standing::Ready {
+                .filter(|h| h.entry.status != ServerStatus::Removed)?;
+            let state = if host.entry.status == ServerStatus::Ready {
                 "active"
             } else {
                 "leaving"
@@ -166,8 +166,8 @@
         let present = self
             .hosts
             .iter()
-            .filter(|(_, h)| h.entry.standing != Standing::Gone);
-        present.map(|(id, host)| (&*host.uid, *id, host.entry.born))
+            .filter(|(_, h)| h.entry.status != ServerStatus::Removed);
+        present.map(|(id, host)| (&*host.uid, *id, host.entry.started_at))
     }
 
     /// The number of a host that is known.
@@ -177,7 +177,9 @@
 
     /// The name and the start of a host.
     pub fn name_of(&self, id: ServerId) -> Option<(&Arc<str>, Time)> {
-        self.hosts.get(&id).map(|host| (&host.uid, host.entry.born))
+        self.hosts
+            .get(&id)
+            .map(|host| (&host.uid, host.entry.started_at))
     }
 
     /// Takes the lines of a list and gives the module's entries.
@@ -187,7 +189,7 @@
         members: Vec<Member>,
         net: &mut Net<Gatherer>,
         now: Time,
-    ) -> Vec<Entry> {
+    ) -> Vec<Endpoint> {
         let mut entries = Vec::with_capacity(members.len());
         let mut listed = Vec::new();
         for mut member in members {
@@ -197,12 +199,12 @@
             };
             listed.push(id);
             member.entry.server = id;
-            member.entry.out = self.out.contains(&member.uid);
+            member.entry.excluded = self.out.contains(&member.uid);
             let new = Host {
                 uid: Arc::from(member.uid.as_str()),
-                entry: Entry {
-                    standing: Standing::Gone,
-                    ..Entry::default()
+                entry: Endpoint {
+                    status: ServerStatus::Removed,
+                    ..Endpoint::default()
                 },
                 endpoint: None,
                 leaving_since: None,
@@ -225,7 +227,7 @@
         if kind != ListKind::Partial {
             for (id, host) in &mut self.hosts {
                 if !listed.contains(id) {
-                    host.entry.standing = Standing::Gone;
+                    host.entry.status = ServerStatus::Removed;
                     host.stand(net, now);
                 }
             }
@@ -241,12 +243,12 @@
         out: BTreeSet<String>,
         net: &mut Net<Gatherer>,
         now: Time,
-    ) -> Vec<Entry> {
+    ) -> Vec<Endpoint> {
         self.out = out;
         let mut entries = Vec::new();
         for host in self.hosts.values_mut() {
             let is_out = self.out.contains(&*host.uid);
-            if std::mem::replace(&mut host.entry.out, is_out) != is_out {
+            if std::mem::replace(&mut host.entry.excluded, is_out) != is_out {
                 host.stand(net, now);
                 entries.push(host.entry.clone());
             }
@@ -271,7 +273,7 @@
     /// this runs.
     fn forget_gone(&mut self) {
         let kept = |h: &Host| {
-            h.entry.standing != Standing::Gone || !h.links.is_empty() || !h.attempts.is_empty()
+            h.entry.status != ServerStatus::Removed || !h.links.is_empty() || !h.attempts.is_empty()
         };
         self.hosts.retain(|_, host| kept(host));
         self.ids.retain(|_, id| self.hosts.contains_key(id));
@@ -286,7 +288,8 @@
         now: Time,
     ) -> Result<(), Vec<Outgoing>> {
         let grace = self.limits.drain_grace / 2;
-        let allowed = |h: &Host| !h.entry.out && h.leaving_since.is_none_or(|at| now < at + grace);
+        let allowed =
+            |h: &Host| !h.entry.excluded && h.leaving_since.is_none_or(|at| now < at + grace);
         if self.hosts.get(&id).is_none_or(|host| !allowed(host)) {
             return Err(parts);
         }
@@ -417,7 +420,7 @@
 impl Host {
     /// Does as the list and the operators say, the stricter of the two.
     fn stand(&mut self, net: &mut Net<Gatherer>, now: Time) {
-        if self.entry.standing == Standing::Ready && !self.entry.out {
+        if self.entry.status == ServerStatus::Ready && !self.entry.excluded {
             self.leaving_since = None;
         } else if self.leaving_since.is_none() {
             self.leaving_since = Some(now);
--- a/bitternsill/src/front/platform/discovery.rs
+++ b/bitternsill/src/front/platform/discovery.rs
@@ -7,7 +7,7 @@
 use crate::front::http::{Progress, Reader};
 use crate::front::{Gatherer, Message};
 use crate::net::{self, Attempt, Connection, Context, Input, Ready, Stream, Token};
-use dispatch::interface::{Entry, ListKind, ServerId, Standing};
+use dispatch::interface::{Endpoint, ListKind, ServerId, ServerStatus};
 use serde_json::Value as Json;
 use std::fmt;
 use std::io;
@@ -19,10 +19,10 @@
 pub const MEMBERS: &str = "/catalog/members";
 
 /// The states by their names: the list is read by it, and it is what `describe asyncapi` prints.
-pub const STATES: &[(&str, Standing)] = &[
-    ("active", Standing::Ready),
-    ("leaving", Standing::Draining),
-    ("left", Standing::Gone),
+pub const STATES: &[(&str, ServerStatus)] = &[
+    ("active", ServerStatus::Ready),
+    ("leaving", ServerStatus::Draining),
+    ("left", ServerStatus::Removed),
 ];
 
 /// A list that cannot be read.
@@ -73,7 +73,7 @@
             .map(|(_, s)| *s);
         let standing = standing.ok_or(ListError("unknown `state`"))?;
         let endpoint = target["endpoint"].as_str().and_then(|e| e.parse().ok());
-        if standing == Standing::Ready && endpoint.is_none() {
+        if standing == ServerStatus::Ready && endpoint.is_none() {
             return Err(ListError("an active target without `endpoint`"));
         }
         members.push(Member {
@@ -82,7 +82,7 @@
                 .ok_or(ListError("no `uid`"))?
                 .to_owned(),
             endpoint,
-            entry: Entry {
+            entry: Endpoint {
                 server: ServerId(0),
                 zone: place(&mut names.zones, target["az"].as_str().unwrap_or_default()),
                 kind: place(
@@ -90,13 +90,13 @@
                     target["model"].as_str().unwrap_or_default(),
                 ),
                 cell: target["pod_group"].as_u64().unwrap_or(0) as u32,
-                standing,
-                heft: target["capacity_hint"].as_f64().unwrap_or(1.0),
-                born: target["boot_ms"]
+                status: standing,
+                size: target["capacity_hint"].as_f64().unwrap_or(1.0),
+                started_at: target["boot_ms"]
                     .as_u64()
                     .unwrap_or(0)
                     .saturating_mul(1_000_000),
-                out: false,
+                excluded: false,
             },
         });
     }
--- a/bitternsill/src/front/platform/link.rs
+++ b/bitternsill/src/front/platform/link.rs
@@ -257,7 +257,9 @@
                 let is_spoilt = end == End::Spoilt;
                 match end {
                     End::Good(value) => cx.world.core.served(attempt, value, cx.now),
-                    End::Later if !doubled => cx.world.core.ended(attempt, Outcome::Full, cx.now),
+                    End::Later if !doubled => {
+                        cx.world.core.ended(attempt, Outcome::Rejected, cx.now)
+                    }
                     End::Later | End::Bad | End::Spoilt => {
                         cx.world.core.ended(attempt, Outcome::Error, cx.now);
                     }
--- a/bitternsill/src/learned.rs
+++ b/bitternsill/src/learned.rs
@@ -8,7 +8,7 @@
 use crate::core::Core;
 use crate::front::hosts::HostTable;
 use crate::limits::MS;
-use dispatch::interface::{Learned, PaceMemory, ServerMemory, Time};
+use dispatch::interface::{Learned, LearnedLatency, LearnedServer, Time};
 use folder::Folder;
 use learning::age::{self, Aged, Rules};
 use learning::picture::{ClassMemory, Fleet, HostMemory, Picture, Wall};
@@ -168,7 +168,7 @@
             let id = hosts.id_of(uid)?;
             Some((
                 id,
-                ServerMemory {
+                LearnedServer {
                     slowness: memory.slowness.iter().map(|s| f64::from(*s)).collect(),
                     delay: f64::from(memory.delay),
                     limit: f64::from(memory.limit),
@@ -180,7 +180,7 @@
         let pace = |of: fn(&ClassMemory) -> (f64, f64)| {
             let one = |c: &ClassMemory| {
                 let (median, p95) = of(c);
-                PaceMemory {
+                LearnedLatency {
                     median,
                     p95,
                     least: c.least,
@@ -192,7 +192,7 @@
         Learned {
             servers: aged.hosts.iter().filter_map(server).collect(),
             parts: pace(|c| (c.median, c.p95)),
-            tries: pace(|c| c.tries),
+            attempts: pace(|c| c.tries),
         }
     }
 
@@ -261,19 +261,20 @@
 }
 
 fn classes(fleet: &Fleet, learned: &Learned) -> Vec<ClassMemory> {
-    let class = |((name, part), attempt): ((&String, &PaceMemory), &PaceMemory)| ClassMemory {
-        name: name.clone(),
-        median: part.median,
-        p95: part.p95,
-        least: part.least,
-        tries: (attempt.median, attempt.p95),
-        weight: part.answers as f64,
-    };
+    let class =
+        |((name, part), attempt): ((&String, &LearnedLatency), &LearnedLatency)| ClassMemory {
+            name: name.clone(),
+            median: part.median,
+            p95: part.p95,
+            least: part.least,
+            tries: (attempt.median, attempt.p95),
+            weight: part.answers as f64,
+        };
     fleet
         .classes
         .iter()
         .zip(&learned.parts)
-        .zip(&learned.tries)
+        .zip(&learned.attempts)
         .map(class)
         .collect()
 }
--- a/bitternsill/src/recovery.rs
+++ b/bitternsill/src/recovery.rs
@@ -56,22 +56,22 @@
         seed: u64,
         net: &mut Net<Gatherer>,
     ) -> Return {
-        let worth: Vec<f64> = settings.classes.iter().map(|class| class.worth).collect();
+        let worth: Vec<f64> = settings.classes.iter().map(|class| class.value).collect();
         let most = settings
             .classes
             .iter()
-            .map(|class| class.aim)
+            .map(|class| class.latency_target)
             .max()
             .unwrap_or(0)
-            .max(settings.max_hold_off);
+            .max(settings.max_retry_after);
         // Without stated times index hosts are taken to bear everything at once.
-        let ramp = Ramp::new(settings.start_capacity, settings.ramp, most, &worth);
+        let ramp = Ramp::new(settings.initial_capacity, settings.slow_start, most, &worth);
         let ms = Limits::ms;
         let (ask_for, together) = (ms(setup.ask_ms), ms(setup.together_s.saturating_mul(1_000)));
         let ends_within = settings
             .classes
             .iter()
-            .map(|class| class.aim)
+            .map(|class| class.latency_target)
             .max()
             .unwrap_or(0);
         let plan = Plan {
@@ -123,7 +123,8 @@
         if self.recovery.distrusts_hosts() {
             // They may have lost their power too: until discovery says when each started, each has
             // a cold host's share.
-            kept.iter_mut().for_each(|member| member.entry.born = now);
+            kept.iter_mut()
+                .for_each(|member| member.entry.started_at = now);
         }
         Some(kept)
     }
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -65,7 +65,7 @@
 }
 
 fn limits((settings, deployment): &(Settings, Deployment), sockets: usize) -> Limits {
-    let aims = || settings.classes.iter().map(|class| class.aim);
+    let aims = || settings.classes.iter().map(|class| class.latency_target);
     let deadline = settings
         .classes
         .iter()
@@ -332,7 +332,7 @@
     let fleet = Fleet {
         classes: deployment.classes.clone(),
         cells: settings.cells,
-        reach: settings.reach,
+        reach: settings.replication_factor,
     };
     let keeper = plan
         .learning
--- a/bitternsill/tests/core.rs
+++ b/bitternsill/tests/core.rs
@@ -49,7 +49,7 @@
 /// for each.
 fn core() -> Core {
     let class = Class {
-        aim: 1_000 * MS,
+        latency_target: 1_000 * MS,
         deadline: 2_000 * MS,
         max_attempts: 2,
         ..Class::default()
@@ -59,11 +59,11 @@
         tick: 5 * MS,
         classes: vec![class],
         cells: 1,
-        reach: 1,
+        replication_factor: 1,
         call_parts: 1,
         max_open: 100,
-        cancels: true,
-        second_copies: true,
+        can_cancel: true,
+        can_hedge: true,
         ..Settings::default()
     };
     let deployment = Deployment {
@@ -72,15 +72,15 @@
         ..Deployment::default()
     };
     let mut core = Core::new(settings, deployment, Rc::new(Limits::default()), 7);
-    let entry = |server| Entry {
+    let entry = |server| Endpoint {
         server: ServerId(server),
         zone: 0,
         kind: 0,
         cell: 0,
-        standing: Standing::Ready,
-        heft: 1.0,
-        born: 0,
-        out: false,
+        status: ServerStatus::Ready,
+        size: 1.0,
+        started_at: 0,
+        excluded: false,
     };
     core.list(ListKind::Complete, (1..=6).map(entry).collect());
     core
--- a/bitternsill/tests/limits.rs
+++ b/bitternsill/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use bitternsill::limits::{Limits, MS};
 use dispatch::Aggregator;
-use dispatch::interface::{Action, Entry, Event, ListKind, ServerId, Settings, Time};
+use dispatch::interface::{Action, Endpoint, Event, ListKind, ServerId, Settings, Time};
 
 /// Found on reading: with deadlines under half a second what was asked last had 0.1 s, and was
 /// failed at the end.
@@ -57,21 +57,21 @@
 fn waits(aggregators: u32, refused: &[bool], seed: u64) -> Vec<Time> {
     let settings = Settings {
         aggregators,
-        list_on_request: true,
-        ask_within: 20_000 * MS,
+        discovery_on_request: true,
+        max_list_age: 20_000 * MS,
         cells: 1,
-        reach: 1,
+        replication_factor: 1,
         ..Settings::default()
     };
     let (mut module, mut now, mut out) = (Aggregator::new(settings, seed), 1000 * MS, Vec::new());
-    let entries = [Entry {
+    let entries = [Endpoint {
         server: ServerId(7),
-        ..Entry::default()
+        ..Endpoint::default()
     }]
     .into();
     module.turn(
         now,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Complete,
             entries,
         }],
@@ -79,7 +79,11 @@
     );
     let mut wait = |refused: &bool| {
         out.clear();
-        module.turn(now, &[Event::ListFailed { refused: *refused }], &mut out);
+        module.turn(
+            now,
+            &[Event::DiscoveryFailed { refused: *refused }],
+            &mut out,
+        );
         let due = out.iter().find_map(|action| match action {
             Action::WakeAt(at) => Some(*at),
             _ => None,
--- a/dispatch/src/dispatcher/admission.rs
+++ b/dispatch/src/dispatcher/admission.rs
@@ -1,6 +1,10 @@
-//! Which queries are taken, and which are refused or given up as they would come too late.
+//! Admission control and load shedding: which queries are taken, and which are rejected because
+//! their answers would come too late.
 
-use super::*;
+use super::Aggregator;
+use super::parameters::{HOT_SHARD_RATIO, LATENCY_WINDOW, MAX_BACKLOG_RATIO, MAX_START_RATIO};
+use super::state::{Part, Query, Timer};
+use crate::interface::{Action, Event, PartId, Time};
 
 impl Aggregator {
     pub(super) fn admit(&mut self, event: &Event) {
@@ -9,111 +13,127 @@
             number,
             class,
             parts,
-            patience,
-            repeat,
+            client_timeout,
+            is_retry,
         } = *event
         else {
             return;
         };
-        self.taken.push_back(self.now);
+        self.admissions.push_back(self.now);
         let c = &self.settings.classes[class];
         // The aim runs from the first try. A try of no usual patience ends with its client's
         // deadline.
-        let usual = &mut self.usual[class];
-        if !repeat {
-            usual.push_front(patience);
-            usual.truncate(WINDOW / 2);
+        let usual = &mut self.usual_timeouts[class];
+        if !is_retry {
+            usual.push_front(client_timeout);
+            usual.truncate(LATENCY_WINDOW / 2);
         }
         let like = usual
             .iter()
-            .filter(|u| u.abs_diff(patience) <= patience / 64)
+            .filter(|u| u.abs_diff(client_timeout) <= client_timeout / 64)
             .count();
-        let left = c.deadline.saturating_sub(patience);
-        let again = Time::from(repeat || !self.settings.repeats_marked);
+        let left = c.deadline.saturating_sub(client_timeout);
+        let again = Time::from(is_retry || !self.settings.retries_marked);
         let age = if like * 16 >= usual.len() {
-            left / 2 * Time::from(repeat)
+            left / 2 * Time::from(is_retry)
         } else {
             left * again
         };
-        let wanted = patience.min(c.aim.saturating_sub(age));
-        let useful = self.now + wanted.saturating_sub(2 * self.settings.tick);
-        let time = if repeat || age > 0 { c.aim } else { wanted };
+        let wanted = client_timeout.min(c.latency_target.saturating_sub(age));
+        let useful_until = self.now + wanted.saturating_sub(2 * self.settings.tick);
+        let time_budget = if is_retry || age > 0 {
+            c.latency_target
+        } else {
+            wanted
+        };
         let query = Query {
             id,
             class,
-            time,
+            time_budget,
             expected: parts as usize,
-            useful,
+            useful_until,
             ..Query::default()
         };
-        self.timers.set(useful, Timer::End(number));
+        self.timers.set(useful_until, Timer::Deadline(number));
         if c.floor < c.need && c.second_step > 0 {
             // A class with partial answers keeps time for its second step.
-            let kept = (1.2 * self.pace[class].p95).clamp(0.2 * c.aim as f64, 0.6 * c.aim as f64);
-            self.timers
-                .set(useful.saturating_sub(kept as Time), Timer::Cut(number));
+            let kept = (1.2 * self.part_latency[class].p95)
+                .clamp(0.2 * c.latency_target as f64, 0.6 * c.latency_target as f64);
+            self.timers.set(
+                useful_until.saturating_sub(kept as Time),
+                Timer::PartialAnswer(number),
+            );
         }
         self.queries.insert(number, query);
     }
 
     /// Whether a shard of a query lately took too much of the time that it has left, even at its
     /// best holder.
-    pub(super) fn hot(&self, query: &Query) -> bool {
-        let left = HOT_SHARE * query.useful.saturating_sub(self.now) as f64;
-        let left = left.max(2.0 * self.pace[query.class].median);
+    pub(super) fn has_hot_shard(&self, query: &Query) -> bool {
+        let left = HOT_SHARD_RATIO * query.useful_until.saturating_sub(self.now) as f64;
+        let left = left.max(2.0 * self.part_latency[query.class].median);
         let best = |(_, p): (PartId, &Part)| {
             let all = self.replicas(p.shard).into_iter();
-            all.map(|id| self.expected(id, query.class, p.shard))
+            all.map(|id| self.expected_time(id, query.class, p.shard))
                 .reduce(f64::min)
                 .unwrap_or(0.0)
         };
-        let thin = self.answers.len() < self.ready;
+        let thin = self.recent_answers.len() < self.ready;
         thin && !query.started && self.parts_of(query).any(|part| best(part) > left)
     }
 
     /// Whether a query that needs every part is too late for its slowest part or, once started, a
     /// usual one.
-    pub(super) fn late(&self, query: &Query) -> bool {
-        let (c, pace) = (&self.settings.classes[query.class], &self.pace[query.class]);
+    pub(super) fn is_late(&self, query: &Query) -> bool {
+        let (c, part_latency) = (
+            &self.settings.classes[query.class],
+            &self.part_latency[query.class],
+        );
         let needed = if query.started {
-            pace.median
+            part_latency.median
         } else {
-            pace.p95.min(START_BY * query.time as f64)
+            part_latency
+                .p95
+                .min(MAX_START_RATIO * query.time_budget as f64)
         };
-        c.needs_all() && (self.now as f64 + needed > query.useful as f64 || self.hot(query))
+        c.needs_all()
+            && (self.now as f64 + needed > query.useful_until as f64 || self.has_hot_shard(query))
     }
 
     /// Ends what can no longer be answered in time, and refuses what would only wait.
     pub(super) fn shed(&mut self, out: &mut Vec<Action>) {
-        let (mut lost, mut fresh, mut held) = (Vec::new(), Vec::new(), 0.0);
+        let (mut superseded, mut fresh, mut pending) = (Vec::new(), Vec::new(), 0.0);
         for (&number, query) in &self.queries {
             let c = &self.settings.classes[query.class];
-            let waiting = self.parts_of(query).filter(|p| p.1.held).count();
-            let stuck = |p: &Part| !p.done && !p.held && p.live.is_empty(); // It may not be sent again
+            let waiting = self.parts_of(query).filter(|p| p.1.pending).count();
+            let stuck = |p: &Part| !p.done && !p.pending && p.in_flight.is_empty(); // It may not be sent again
             let over = c.needs_all() && self.parts_of(query).any(|p| stuck(p.1));
-            if over || waiting > 0 && self.late(query) {
-                lost.push(number);
-            } else if self.lacking.contains(&number) {
+            if over || waiting > 0 && self.is_late(query) {
+                superseded.push(number);
+            } else if self.blocked.contains(&number) {
                 // Of a partial class only the floor must be sent.
                 let must = waiting as f64 * c.floor;
-                held += must;
-                let work = query.parts.len() as f64 * self.pace[query.class].median;
+                pending += must;
+                let work = query.parts.len() as f64 * self.part_latency[query.class].median;
                 if waiting > 0 && !query.started {
-                    fresh.push((c.worth / work, number, must));
+                    fresh.push((c.value / work, number, must));
                 }
             }
         }
-        lost.into_iter()
-            .for_each(|number| self.give_up(number, out));
-        let warm = self.started.is_some_and(|at| at + self.aim < self.now);
+        superseded
+            .into_iter()
+            .for_each(|number| self.abandon(number, out));
+        let warm = self
+            .started_at
+            .is_some_and(|at| at + self.latency_target < self.now);
         fresh.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
         for (_, number, must) in fresh {
             // A query that waits alone is never too much.
-            if !warm || held - must <= HELD_SHARE * self.answers.len() as f64 {
+            if !warm || pending - must <= MAX_BACKLOG_RATIO * self.recent_answers.len() as f64 {
                 break;
             }
-            held -= must;
-            self.give_up(number, out);
+            pending -= must;
+            self.abandon(number, out);
         }
     }
 }
--- a/dispatch/src/dispatcher/pacing.rs
+++ b/dispatch/src/dispatcher/pacing.rs
@@ -1,12 +1,12 @@
 //! How long answers take: the clock of copies.
 
-use super::{START_SHARE, WINDOW};
+use super::parameters::{INITIAL_P95_RATIO, LATENCY_WINDOW};
 use crate::interface::Time;
 use std::collections::VecDeque;
 
 /// How long answers of one class took lately.
 #[derive(Debug, Default, Clone)]
-pub struct Pace {
+pub struct LatencyEstimate {
     pub(super) recent: VecDeque<Time>,
     pub(super) median: f64,
     /// The 95th percentile.
@@ -14,11 +14,11 @@
     pub(super) least: f64,
 }
 
-impl Pace {
+impl LatencyEstimate {
     /// Before any answer: shares of the aim.
-    pub fn starting(aim: Time) -> Self {
-        let p95 = START_SHARE * aim as f64;
-        Pace {
+    pub fn starting(latency_target: Time) -> Self {
+        let p95 = INITIAL_P95_RATIO * latency_target as f64;
+        LatencyEstimate {
             recent: VecDeque::new(),
             median: p95 / 3.0,
             p95,
@@ -29,15 +29,17 @@
     /// One more answer took so long.
     pub fn add(&mut self, took: Time) {
         self.recent.push_front(took);
-        self.recent.truncate(WINDOW);
+        self.recent.truncate(LATENCY_WINDOW);
         let mut sorted = Vec::from(self.recent.clone());
         sorted.sort_unstable();
         let at = |percent: usize| sorted[sorted.len() * percent / 100].max(1) as f64;
-        if sorted.len() < WINDOW / 12 {
+        if sorted.len() < LATENCY_WINDOW / 12 {
             self.least = self.p95.min(at(99)); // Too few for a usual time; a part costs the longest, at the most
             return;
         }
         (self.median, self.p95) = (at(50), at(95));
-        self.least = self.median.min(self.least * (1.0 + 0.1 / WINDOW as f64));
+        self.least = self
+            .median
+            .min(self.least * (1.0 + 0.1 / LATENCY_WINDOW as f64));
     }
 }
--- a/dispatch/src/dispatcher/slow_start.rs
+++ b/dispatch/src/dispatcher/slow_start.rs
@@ -1,36 +1,46 @@
 //! How much a server that has just started is sent.
 
-use super::*;
+use super::Aggregator;
+use super::parameters::{
+    CONFIDENT_RATIO, LATENCY_WINDOW, SLOW_DELAY_RATIO, SLOW_START_BURST, SLOW_START_UTILIZATION,
+};
+use super::state::{AnswerRate, Server};
 
 impl Aggregator {
-    pub(super) fn is_warm(&self, server: &Server) -> bool {
+    pub(super) fn is_warmed_up(&self, server: &Server) -> bool {
         server
-            .cold_from
-            .is_none_or(|from| from + self.settings.ramp <= self.now)
+            .slow_start_from
+            .is_none_or(|from| from + self.settings.slow_start <= self.now)
     }
 
     /// Whether a cold server's told budget has room: of what a warm one bears, or one core at the
     /// dearest class answered.
-    pub(super) fn cold_room(&self, server: &Server) -> bool {
+    pub(super) fn slow_start_allows(&self, server: &Server) -> bool {
         let s = &self.settings;
-        let is_cold = s.fall > 0 && !self.is_warm(server);
-        let Some(from) = server.cold_from.filter(|_| is_cold) else {
+        let in_slow_start = s.overload_window > 0 && !self.is_warmed_up(server);
+        let Some(from) = server.slow_start_from.filter(|_| in_slow_start) else {
             return true;
         };
-        let (all, fall, age) = (
+        let (all, overload_window, age) = (
             f64::from(s.aggregators),
-            s.fall as f64,
+            s.overload_window as f64,
             (self.now.max(from) - from) as f64,
         );
-        let capacity = s.start_capacity + (1.0 - s.start_capacity) * age / s.ramp as f64;
-        let least = self.pace.iter().map(|p| (!p.recent.is_empty(), p.least));
+        let capacity = s.initial_capacity + (1.0 - s.initial_capacity) * age / s.slow_start as f64;
+        let least = self
+            .part_latency
+            .iter()
+            .map(|p| (!p.recent.is_empty(), p.least));
         let work =
             least.fold((false, 1.0), |a, b| if b > a { b } else { a }).1 + s.call_work as f64;
-        let share = s.tip_multiple * capacity * fall * (1.0 / all / work).max(self.borne());
+        let share = s.overload_multiple
+            * capacity
+            * overload_window
+            * (1.0 / all / work).max(self.sustained_rate());
         let (parts, budget, ask) = (
-            COLD_USED * share,
+            SLOW_START_UTILIZATION * share,
             share * all,
-            COLD_BURST * self.usual() * fall,
+            SLOW_START_BURST * self.mean_answer_rate() * overload_window,
         );
         // A share below one part is rounded up: to one, or to two where two of each are chance or
         // one of each is not any more. Of a burst that would bring out too many only a share of the
@@ -40,18 +50,18 @@
             all * (2.0 - (2.0 + ask) * (-ask).exp()),
         );
         let (few, turn) = (
-            ask == 0.0 || ask > COLD_BURST * share,
-            server.turn + age * parts / fall,
+            ask == 0.0 || ask > SLOW_START_BURST * share,
+            server.slow_start_turn + age * parts / overload_window,
         );
         let sent = |n: f64| {
             server
-                .sent
+                .recent_sends
                 .iter()
-                .filter(|at| (self.now - **at) as f64 <= n * fall)
+                .filter(|at| (self.now - **at) as f64 <= n * overload_window)
                 .count()
         };
-        let closed = turn.fract() * (1.0 - parts) >= COLD_USED * parts + 0.5 / all;
-        let waits = closed || server.sent.is_empty() && turn < 1.0 || sent(1.0 / parts) > 0;
+        let closed = turn.fract() * (1.0 - parts) >= SLOW_START_UTILIZATION * parts + 0.5 / all;
+        let waits = closed || server.recent_sends.is_empty() && turn < 1.0 || sent(1.0 / parts) > 0;
         let early = if few {
             waits
         } else {
@@ -65,27 +75,29 @@
     /// Parts that a warm server bears for this aggregator in a nanosecond: what one lately answers
     /// on average, or what the busiest sound one surely does, as far as its last sends are more
     /// than chance.
-    pub(super) fn borne(&self) -> f64 {
+    pub(super) fn sustained_rate(&self) -> f64 {
         let sound = self
             .servers
             .values()
-            .filter(|s| s.ready && self.is_warm(s) && s.delay < SLOW_SHARE);
+            .filter(|s| s.ready && self.is_warmed_up(s) && s.delay < SLOW_DELAY_RATIO);
         let span = sound
-            .filter_map(|s| s.sent.get(WINDOW - 1))
+            .filter_map(|s| s.recent_sends.get(LATENCY_WINDOW - 1))
             .map(|at| self.now - at)
             .min();
-        self.usual().max(span.map_or(0.0, |span| {
-            SURE * WINDOW as f64 / span.max(self.settings.fall) as f64
+        self.mean_answer_rate().max(span.map_or(0.0, |span| {
+            CONFIDENT_RATIO * LATENCY_WINDOW as f64 / span.max(self.settings.overload_window) as f64
         }))
     }
 
     /// Parts that warm servers answer on average for this aggregator in a nanosecond, as far as it
     /// is known.
-    pub(super) fn usual(&self) -> f64 {
-        let ((rate, at), s) = (self.borne, &self.settings);
+    pub(super) fn mean_answer_rate(&self) -> f64 {
+        let (AnswerRate { rate, last }, s) = (&self.answer_rate, &self.settings);
         // Soon after the start the average holds little yet; one query must not pass for a steady
         // load.
-        let told = at.saturating_sub(self.started.unwrap_or(at)).max(s.fall) as f64;
-        rate / (1.0 - (-told / s.ramp as f64).exp())
+        let known = last
+            .saturating_sub(self.started_at.unwrap_or(*last))
+            .max(s.overload_window) as f64;
+        rate / (1.0 - (-known / s.slow_start as f64).exp())
     }
 }
--- a/dispatch/src/interface.rs
+++ b/dispatch/src/interface.rs
@@ -35,13 +35,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// An answer inside this time has the full worth.
-    pub aim: Time,
+    pub latency_target: Time,
     /// The time a client waits in all, across its tries.
     pub deadline: Time,
     /// Worth of a whole answer.
-    pub worth: f64,
+    pub value: f64,
     /// Portion of the worth for an answer after the aim.
-    pub late_share: f64,
+    pub late_value: f64,
     /// What a repeat may do.
     pub effect: Effect,
     /// How long repeats of a keyed part are dropped.
@@ -51,7 +51,7 @@
     /// Portion of the parts' weight that makes a whole answer.
     pub need: f64,
     /// An answer short of whole earns this times its share of the need.
-    pub short_worth: f64,
+    pub partial_value: f64,
     /// Parts of the second step; 0 for a class with one step.
     pub second_step: u32,
     /// The most attempts for one part.
@@ -81,13 +81,13 @@
     /// Shortest gap between two turns.
     pub tick: Time,
     /// True where the server list must be asked for.
-    pub list_on_request: bool,
+    pub discovery_on_request: bool,
     /// The classes of query.
     pub classes: Vec<Class>,
     /// Number of cells; shard `s` is held by cells `s .. s + reach`, counted round.
     pub cells: u32,
     /// Number of cells in a row that hold a shard.
-    pub reach: u32,
+    pub replication_factor: u32,
     /// The most parts that share one call.
     pub call_parts: u32,
     /// Work of a call beside that of its parts; 0 where calls cost nothing.
@@ -95,50 +95,50 @@
     /// How many queries and parts may be held.
     pub max_open: u32,
     /// Whether an attempt may be called off.
-    pub cancels: bool,
+    pub can_cancel: bool,
     /// Whether servers may be probed.
-    pub probes: bool,
+    pub can_probe: bool,
     /// Points taken off for each probe, by part.
     pub probe_price: f64,
     /// Points taken off for work that brought no answer, as a share of all work.
     pub waste_price: f64,
     /// Whether a part may have two attempts out.
-    pub second_copies: bool,
+    pub can_hedge: bool,
     /// Whether clients say of a repeat that it is one.
-    pub repeats_marked: bool,
+    pub retries_marked: bool,
     /// The longest advice to keep away that clients follow; 0 where they get none.
-    pub max_hold_off: Time,
+    pub max_retry_after: Time,
     /// How long an aggregator may go without asking for the list.
-    pub ask_within: Time,
+    pub max_list_age: Time,
     /// How long sends to a draining or gone server may go on.
     pub drain_grace: Time,
     /// Least portion of its capacity that a server starts with.
-    pub start_capacity: f64,
+    pub initial_capacity: f64,
     /// A started server is warm after this.
-    pub ramp: Time,
+    pub slow_start: Time,
     /// Sent more than this multiple of its present capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long, a cold server falls over.
-    pub fall: Time,
+    pub overload_window: Time,
     /// The stated budget of further attempts, if any.
     pub budget: Option<Budget>,
 }
 
 /// What the list says of a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerStatus {
     /// Takes work.
     #[default]
     Ready,
     /// Finishes its work and takes nothing new.
     Draining,
     /// Taken away.
-    Gone,
+    Removed,
 }
 
 /// One line of the server list.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     /// Which server.
     pub server: ServerId,
     /// Its zone.
@@ -148,13 +148,13 @@
     /// Its cell.
     pub cell: u32,
     /// What the list says of it.
-    pub standing: Standing,
+    pub status: ServerStatus,
     /// Its size as registered, unitless.
-    pub heft: f64,
+    pub size: f64,
     /// When it last started; 0 for long ago.
-    pub born: Time,
+    pub started_at: Time,
     /// Taken out by hand, whatever the list says of it.
-    pub out: bool,
+    pub excluded: bool,
 }
 
 /// How a list event relates to the list held so far.
@@ -176,7 +176,7 @@
     /// The server replied with an error; it may have run.
     Error,
     /// Turned away unseen; it never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or be running.
     TimedOut,
     /// No connection was made; it never ran.
@@ -192,7 +192,7 @@
 impl Outcome {
     /// True where the attempt is known not to have run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::ConnectFailed | Self::Skipped)
+        matches!(self, Self::Rejected | Self::ConnectFailed | Self::Skipped)
     }
 }
 
@@ -207,15 +207,15 @@
     /// A class of one step that is safe to repeat and needs every part, with an aim of a second.
     fn default() -> Self {
         Class {
-            aim: 1_000_000_000,
+            latency_target: 1_000_000_000,
             deadline: 2_000_000_000,
-            worth: 1.0,
-            late_share: 0.0,
+            value: 1.0,
+            late_value: 0.0,
             effect: Effect::Safe,
             key_lifetime: 0,
             floor: 1.0,
             need: 1.0,
-            short_worth: 0.0,
+            partial_value: 0.0,
             second_step: 0,
             max_attempts: 3,
             retired: false,
@@ -231,26 +231,26 @@
             aggregators: 1,
             zone: 0,
             tick: 1_000_000,
-            list_on_request: false,
+            discovery_on_request: false,
             classes: vec![Class::default()],
             cells: 1,
-            reach: 1,
+            replication_factor: 1,
             call_parts: 1,
             call_work: 0,
             max_open: u32::MAX,
-            cancels: true,
-            probes: false,
+            can_cancel: true,
+            can_probe: false,
             probe_price: 0.0,
             waste_price: 0.0,
-            second_copies: true,
-            repeats_marked: false,
-            max_hold_off: 0,
-            ask_within: Time::MAX,
+            can_hedge: true,
+            retries_marked: false,
+            max_retry_after: 0,
+            max_list_age: Time::MAX,
             drain_grace: 0,
-            start_capacity: 1.0,
-            ramp: 0,
-            tip_multiple: f64::INFINITY,
-            fall: 0,
+            initial_capacity: 1.0,
+            slow_start: 0,
+            overload_multiple: f64::INFINITY,
+            overload_window: 0,
             budget: None,
         }
     }
@@ -269,7 +269,7 @@
 
 /// What an aggregator has learned of a server, for another life of it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ServerMemory {
+pub struct LearnedServer {
     /// How slow it is for each class; 1 is like its peers.
     pub slowness: Vec<f64>,
     /// Its smoothed delay, as a share of the least aim.
@@ -284,7 +284,7 @@
 
 /// What an aggregator has learned of a class's times.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct PaceMemory {
+pub struct LearnedLatency {
     /// The median.
     pub median: f64,
     /// The 95th percentile.
@@ -299,11 +299,11 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Learned {
     /// Servers.
-    pub servers: Vec<(ServerId, ServerMemory)>,
+    pub servers: Vec<(ServerId, LearnedServer)>,
     /// Each class's times of parts.
-    pub parts: Vec<PaceMemory>,
+    pub parts: Vec<LearnedLatency>,
     /// Each class's times of answered attempts.
-    pub tries: Vec<PaceMemory>,
+    pub attempts: Vec<LearnedLatency>,
 }
 
 /// Something that happened, as one aggregator sees it.
@@ -311,7 +311,7 @@
 pub enum Event {
     /// What an earlier life of this aggregator had learned, as far as it still counts; after the
     /// list it is about.
-    Recall(Arc<Learned>),
+    Restore(Arc<Learned>),
     /// Other settings hold from now on. Classes that queries are of keep their places; the whole
     /// list follows.
     Settings {
@@ -321,14 +321,14 @@
         from: Arc<[Option<usize>]>,
     },
     /// News of the server list.
-    List {
+    Endpoints {
         /// How it relates to the list held.
         kind: ListKind,
         /// The lines.
-        entries: Arc<[Entry]>,
+        entries: Arc<[Endpoint]>,
     },
     /// Asking for the list failed, or the subscription broke.
-    ListFailed {
+    DiscoveryFailed {
         /// Discovery could not be reached then, or said no: what it has to tell counts from then
         /// on. Otherwise it fell silent, left the call without an answer, or said what could not be
         /// used.
@@ -345,9 +345,9 @@
         /// How many parts its first step has.
         parts: u32,
         /// How long until the client leaves this try.
-        patience: Time,
+        client_timeout: Time,
         /// The client said that this is a repeat.
-        repeat: bool,
+        is_retry: bool,
     },
     /// A part of a query.
     Part {
@@ -361,7 +361,7 @@
         weight: f64,
     },
     /// An attempt ended; each send has exactly one of these.
-    Ended {
+    AttemptEnded {
         /// Which part.
         part: PartId,
         /// Which attempt of it, from 0.
@@ -383,7 +383,7 @@
     /// A wake-up that was asked for is due.
     Wake,
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// Which server.
         server: ServerId,
         /// How it ended.
@@ -419,14 +419,14 @@
         /// Which query.
         query: QueryId,
         /// True for a whole answer.
-        whole: bool,
+        complete: bool,
     },
     /// Turn a query away; asking again is harmless.
-    Refuse {
+    Reject {
         /// Which query.
         query: QueryId,
         /// How long the client ought to keep away; 0 for no advice.
-        hold_off: Time,
+        retry_after: Time,
     },
     /// Give a query up, with no promise on its effect.
     Fail {
@@ -444,5 +444,5 @@
     /// Close the idle connections to a server.
     Close(ServerId),
     /// A line for the operators' log.
-    Note(String),
+    Log(String),
 }
--- a/dispatch/src/wire.rs
+++ b/dispatch/src/wire.rs
@@ -2,8 +2,8 @@
 
 use crate::dispatcher::Aggregator;
 use crate::interface::{
-    Action, Budget, Class, Effect, Entry, Event, ListKind, LoadReport, Outcome, PartId, QueryId,
-    ServerId, Settings, Standing, Time,
+    Action, Budget, Class, Effect, Endpoint, Event, ListKind, LoadReport, Outcome, PartId, QueryId,
+    ServerId, ServerStatus, Settings, Time,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -132,7 +132,7 @@
         Ok(match self.word("code")? {
             "done" => Outcome::Ok,
             "err" => Outcome::Error,
-            "busy" => Outcome::Full,
+            "busy" => Outcome::Rejected,
             "etimedout" => Outcome::TimedOut,
             "econnrefused" => Outcome::ConnectFailed,
             "econnreset" => Outcome::Reset,
@@ -164,21 +164,21 @@
         Ok(load)
     }
 
-    fn entry(&self) -> Result<Entry, String> {
-        Ok(Entry {
+    fn entry(&self) -> Result<Endpoint, String> {
+        Ok(Endpoint {
             server: ServerId(self.number("leaf")?),
             zone: self.number_or("area", 0)?,
             kind: self.number_or("kind", 0)?,
             cell: self.number_or("cell", 0)?,
-            standing: match self.word("status")? {
-                "ready" => Standing::Ready,
-                "draining" => Standing::Draining,
-                "gone" => Standing::Gone,
+            status: match self.word("status")? {
+                "ready" => ServerStatus::Ready,
+                "draining" => ServerStatus::Draining,
+                "gone" => ServerStatus::Removed,
                 other => return Err(self.unknown("status", other)),
             },
-            heft: self.number_or("heft", 1.0)?,
-            born: self.number_or("born", 0)?,
-            out: false,
+            size: self.number_or("heft", 1.0)?,
+            started_at: self.number_or("born", 0)?,
+            excluded: false,
         })
     }
 }
@@ -266,10 +266,10 @@
     let mut classes = Vec::new();
     for (i, class) in root.sub("request_classes").items().iter().enumerate() {
         classes.push(Class {
-            aim: class.real("target")? as Time,
+            latency_target: class.real("target")? as Time,
             deadline: class.real("deadline")? as Time,
-            worth: class.real_or("credit", 1.0)?,
-            late_share: class.real_or("late_share", 0.0)?,
+            value: class.real_or("credit", 1.0)?,
+            late_value: class.real_or("late_share", 0.0)?,
             effect: match class.value["effect"].as_str() {
                 Some("read_like") => Effect::Safe,
                 Some("idempotency_key") => Effect::Keyed,
@@ -279,7 +279,7 @@
             key_lifetime: class.time_or("key_ttl", 0)?,
             floor: at(&floors, i, 1.0),
             need: at(&needs, i, 1.0),
-            short_worth: at(&shorts, i, 0.0),
+            partial_value: at(&shorts, i, 0.0),
             second_step: at(&fetches, i, 0.0) as u32,
             max_attempts: limits.real_or("max_attempts", 1.0)? as u32,
             retired: false,
@@ -300,30 +300,30 @@
         aggregators: root.real_or("group_size", 1.0)?.max(1.0) as u32,
         zone: root.real_or("zone", 0.0)? as u32,
         tick: root.time_or("tick", 0)?,
-        list_on_request: value["discovery"].as_str() == Some("ask"),
+        discovery_on_request: value["discovery"].as_str() == Some("ask"),
         classes,
         cells: extra.real_or("sets", 1.0)?.max(1.0) as u32,
-        reach: extra.real_or("in_a_row", 1.0)?.max(1.0) as u32,
+        replication_factor: extra.real_or("in_a_row", 1.0)?.max(1.0) as u32,
         call_parts: extra.real_or("batch", 1.0)?.max(1.0) as u32,
         call_work: extra.time_or("per_call_work", 0)?,
         max_open: limits.real_or("max_open", f64::from(u32::MAX))? as u32,
-        cancels: limits.flag("cancel"),
-        probes: limits.flag("probes"),
+        can_cancel: limits.flag("cancel"),
+        can_probe: limits.flag("probes"),
         probe_price: prices.real_or("probe", 0.0)?,
         waste_price: prices.real_or("waste", 0.0)?,
-        second_copies: limits.flag("second_copies"),
-        repeats_marked: root.sub("clients").flag("marks_retry"),
-        max_hold_off: if limits.flag("retry_after") {
+        can_hedge: limits.flag("second_copies"),
+        retries_marked: root.sub("clients").flag("marks_retry"),
+        max_retry_after: if limits.flag("retry_after") {
             limits.time_or("max_retry_after", 0)?
         } else {
             0
         },
-        ask_within: rules.time_or("ask_within", Time::MAX)?,
+        max_list_age: rules.time_or("ask_within", Time::MAX)?,
         drain_grace: rules.time_or("drain_grace", 0)?,
-        start_capacity: rules.real_or("start_capacity", 1.0)?,
-        ramp: rules.time_or("ramp_time", 0)?,
-        tip_multiple: rules.real_or("tip_multiple", f64::INFINITY)?,
-        fall: rules.time_or("fall", 0)?,
+        initial_capacity: rules.real_or("start_capacity", 1.0)?,
+        slow_start: rules.time_or("ramp_time", 0)?,
+        overload_multiple: rules.real_or("tip_multiple", f64::INFINITY)?,
+        overload_window: rules.time_or("fall", 0)?,
         budget,
     })
 }
@@ -341,8 +341,8 @@
 pub struct Host {
     hosted: Vec<Hosted>,
     places: BTreeMap<String, usize>,
-    sheets: [Option<Arc<[Entry]>>; SHEETS],
-    reading: Option<(usize, usize, Vec<Entry>)>,
+    sheets: [Option<Arc<[Endpoint]>>; SHEETS],
+    reading: Option<(usize, usize, Vec<Endpoint>)>,
     frame: Option<(Time, u64)>,
     selected: Option<String>,
     acting: Vec<usize>,
@@ -499,21 +499,21 @@
                     "Partial" => ListKind::Partial,
                     "Complete" => ListKind::Complete,
                     "Persisted" => ListKind::Persisted,
-                    "Error" => return Ok(Some(Event::ListFailed { refused: true })),
+                    "Error" => return Ok(Some(Event::DiscoveryFailed { refused: true })),
                     other => return Err(line.unknown("mode", other)),
                 };
                 let sheet: usize = line.number("sheet")?;
                 let entries = self.sheets.get(sheet).cloned().flatten();
                 let entries =
                     entries.ok_or_else(|| format!("MEMBERSHIP: no SHEET numbered `{sheet}`"))?;
-                Event::List { kind, entries }
+                Event::Endpoints { kind, entries }
             }
             "ORDER" => order(
                 line,
                 line.number("tid")?,
                 line.whole("group_no")?.unsigned_abs(),
             )?,
-            "DONE" => Event::Ended {
+            "DONE" => Event::AttemptEnded {
                 part: PartId(line.number("tid")?),
                 attempt: line.number("leg")?,
                 server: ServerId(line.number("leaf")?),
@@ -521,7 +521,7 @@
                 took: line.number_or("took", 0)?,
                 load: line.load()?,
             },
-            "PING_RESULT" => Event::Probed {
+            "PING_RESULT" => Event::ProbeEnded {
                 server: ServerId(line.number("leaf")?),
                 outcome: line.outcome()?,
                 took: line.number_or("took", 0)?,
@@ -574,8 +574,8 @@
         number,
         class: line.number("band")?,
         parts: line.whole("size_or_weight")?.clamp(0, i64::from(u32::MAX)) as u32,
-        patience: line.number("time_budget")?,
-        repeat: line.flag("resent")?,
+        client_timeout: line.number("time_budget")?,
+        is_retry: line.flag("resent")?,
     })
 }
 
@@ -603,16 +603,16 @@
                 format_args!("STOP_ATTEMPT tid={} leg={attempt}", part.0),
             );
         }
-        Action::Answer { query, whole } => {
+        Action::Answer { query, complete } => {
             put(
                 out,
-                format_args!("ANSWER tid={} on={}", query.0, u8::from(*whole)),
+                format_args!("ANSWER tid={} on={}", query.0, u8::from(*complete)),
             );
         }
-        Action::Refuse { query, hold_off } => {
+        Action::Reject { query, retry_after } => {
             put(
                 out,
-                format_args!("REFUSE tid={} hold_off={hold_off}", query.0),
+                format_args!("REFUSE tid={} hold_off={retry_after}", query.0),
             );
         }
         Action::Fail { query } => put(out, format_args!("RESPOND_ERROR tid={}", query.0)),
@@ -621,7 +621,7 @@
         Action::Watch(on) => put(out, format_args!("WATCH on={}", u8::from(*on))),
         Action::Fetch => put(out, format_args!("FETCH")),
         Action::Close(server) => put(out, format_args!("DISCONNECT leaf={}", server.0)),
-        Action::Note(text) => put(
+        Action::Log(text) => put(
             out,
             format_args!("NOTE_DOWN line={}", text.replace(['\r', '\n'], " ")),
         ),
--- a/dispatch/tests/cold.rs
+++ b/dispatch/tests/cold.rs
@@ -12,16 +12,16 @@
 
 /// So many aggregators that have all learned how long a part takes, before one server for all
 /// shards, of which each asks this seldom.
-fn aggregators(all: u32, tip_multiple: f64, every: Time, seed: u64) -> Vec<Rig> {
+fn aggregators(all: u32, overload_multiple: f64, every: Time, seed: u64) -> Vec<Rig> {
     let settings = Settings {
         aggregators: all,
-        ramp: RAMP,
-        fall: FALL,
+        slow_start: RAMP,
+        overload_window: FALL,
         ..ring(1, 1)
     };
     let settings = Settings {
-        start_capacity: START_CAPACITY,
-        tip_multiple,
+        initial_capacity: START_CAPACITY,
+        overload_multiple,
         ..settings
     };
     let rig = |at| {
@@ -44,15 +44,15 @@
     let (mut sent, mut rng) = (Vec::new(), fastrand::Rng::with_seed(seed));
     for rig in &mut rigs {
         let start = rig.now;
-        let born = Entry {
-            born: start,
+        let started_at = Endpoint {
+            started_at: start,
             ..entry(100, 0)
         };
         rig.turn(
             later / 2,
-            &[Event::List {
+            &[Event::Endpoints {
                 kind: ListKind::Partial,
-                entries: [born].into(),
+                entries: [started_at].into(),
             }],
         );
         rig.turn(later - later / 2, &[Event::Wake]);
@@ -79,10 +79,10 @@
 /// often each usually asks, the lull, and how often it asks then.
 fn most_and_used(cases: &[(u32, f64, Time, Time, Time)]) -> (f64, f64) {
     let (mut most, mut total, mut budgets) = (0.0_f64, 0, 0.0);
-    for &(all, tip_multiple, every, lull, then) in cases {
+    for &(all, overload_multiple, every, lull, then) in cases {
         for seed in 0..8 {
             let sent = burst(
-                aggregators(all, tip_multiple, every, seed),
+                aggregators(all, overload_multiple, every, seed),
                 lull,
                 then,
                 seed,
@@ -91,17 +91,18 @@
                 let within = sent[at..].iter().take_while(|t| **t < first + FALL).count() as f64;
                 let age = (first + FALL / 2) as f64 / RAMP as f64;
                 let capacity = START_CAPACITY + (1.0 - START_CAPACITY) * age;
-                let budget = tip_multiple * capacity * (FALL as f64 / TOOK as f64);
+                let budget = overload_multiple * capacity * (FALL as f64 / TOOK as f64);
                 let limit = budget + 2.0 * budget.sqrt() + 2.0;
                 assert!(
                     within <= limit,
-                    "{all} aggregators, {tip_multiple}, seed {seed}: {within} where {limit:.1} may be chance"
+                    "{all} aggregators, {overload_multiple}, seed {seed}: {within} where {limit:.1} may be chance"
                 );
                 most = most.max(within / limit);
             }
             total += sent.len();
             let age = (lull + 1500 * MS) as f64 / RAMP as f64;
-            budgets += 3.0 * tip_multiple * (START_CAPACITY + (1.0 - START_CAPACITY) * age) * 10.0;
+            budgets +=
+                3.0 * overload_multiple * (START_CAPACITY + (1.0 - START_CAPACITY) * age) * 10.0;
         }
     }
     let used = total as f64 / budgets;
@@ -165,17 +166,17 @@
 }
 
 /// Whether an aggregator of so many sends a cold server a second part within the told time.
-fn sends_two(all: u32, tip_multiple: f64, every: Time) -> bool {
-    let rig = &mut aggregators(all, tip_multiple, every, 0)[0];
-    let born = Entry {
-        born: rig.now,
+fn sends_two(all: u32, overload_multiple: f64, every: Time) -> bool {
+    let rig = &mut aggregators(all, overload_multiple, every, 0)[0];
+    let started_at = Endpoint {
+        started_at: rig.now,
         ..entry(100, 0)
     };
     rig.turn(
         2500 * MS,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Partial,
-            entries: [born].into(),
+            entries: [started_at].into(),
         }],
     );
     let mut sends = || {
--- a/dispatch/tests/cold_starts.rs
+++ b/dispatch/tests/cold_starts.rs
@@ -8,26 +8,26 @@
 #[test]
 fn a_cold_server_is_sent_little_at_first() {
     let settings = Settings {
-        ramp: 10_000 * MS,
-        fall: 1000 * MS,
-        start_capacity: 0.2,
+        slow_start: 10_000 * MS,
+        overload_window: 1000 * MS,
+        initial_capacity: 0.2,
         ..ring(1, 1)
     };
     let mut rig = Rig::new(Settings {
-        tip_multiple: 2.0,
+        overload_multiple: 2.0,
         aggregators: 2,
         ..settings
     });
     rig.warm_up(100 * MS, &[0]);
-    let born = Entry {
-        born: rig.now,
+    let started_at = Endpoint {
+        started_at: rig.now,
         ..entry(100, 0)
     };
     rig.turn(
         0,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Partial,
-            entries: [born].into(),
+            entries: [started_at].into(),
         }],
     );
     let mut sent = 0;
@@ -50,19 +50,19 @@
 #[test]
 fn a_cold_server_for_which_no_budget_is_told_is_used_at_once() {
     let mut rig = Rig::new(Settings {
-        ramp: 10_000 * MS,
+        slow_start: 10_000 * MS,
         ..ring(1, 1)
     });
     rig.warm_up(100 * MS, &[0]);
-    let born = Entry {
-        born: rig.now,
+    let started_at = Endpoint {
+        started_at: rig.now,
         ..entry(100, 0)
     };
     rig.turn(
         0,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Partial,
-            entries: [born].into(),
+            entries: [started_at].into(),
         }],
     );
     rig.ask(MS, &[0]);
@@ -76,13 +76,13 @@
     let all = 40;
     let settings = Settings {
         aggregators: all,
-        ramp: 20_000 * MS,
-        fall: 1000 * MS,
+        slow_start: 20_000 * MS,
+        overload_window: 1000 * MS,
         ..ring(1, 1)
     };
     let settings = Settings {
-        start_capacity: 0.2,
-        tip_multiple: 2.0,
+        initial_capacity: 0.2,
+        overload_multiple: 2.0,
         ..settings
     };
     let mut sent = 0;
@@ -94,15 +94,15 @@
             let (part, server, _) = rig.sends()[0];
             rig.turn(100 * MS, &[ended(part, 0, server, Outcome::Ok, 100 * MS)]);
         }
-        let born = Entry {
-            born: rig.now,
+        let started_at = Endpoint {
+            started_at: rig.now,
             ..entry(100, 0)
         };
         rig.turn(
             0,
-            &[Event::List {
+            &[Event::Endpoints {
                 kind: ListKind::Partial,
-                entries: [born].into(),
+                entries: [started_at].into(),
             }],
         );
         for _ in 0..10 {
@@ -123,13 +123,13 @@
 fn a_cold_server_gets_its_share_of_what_the_busiest_sound_one_bears() {
     let settings = Settings {
         aggregators: 2,
-        ramp: 10_000 * MS,
-        fall: 1000 * MS,
+        slow_start: 10_000 * MS,
+        overload_window: 1000 * MS,
         ..ring(8, 1)
     };
     let settings = Settings {
-        start_capacity: 0.32,
-        tip_multiple: 3.0,
+        initial_capacity: 0.32,
+        overload_multiple: 3.0,
         call_work: 100 * MS,
         ..settings
     };
@@ -138,15 +138,15 @@
     let mut sent = 0;
     for round in 0..300 {
         if round == 200 {
-            let born = Entry {
-                born: rig.now,
+            let started_at = Endpoint {
+                started_at: rig.now,
                 ..entry(100, 0)
             };
             rig.turn(
                 0,
-                &[Event::List {
+                &[Event::Endpoints {
                     kind: ListKind::Partial,
-                    entries: [born].into(),
+                    entries: [started_at].into(),
                 }],
             );
         }
--- a/dispatch/tests/common/mod.rs
+++ b/dispatch/tests/common/mod.rs
@@ -14,19 +14,19 @@
     pub next: u64,
 }
 
-pub fn entry(id: u32, cell: u32) -> Entry {
-    Entry {
+pub fn entry(id: u32, cell: u32) -> Endpoint {
+    Endpoint {
         server: ServerId(id),
         cell,
-        ..Entry::default()
+        ..Endpoint::default()
     }
 }
 
 /// A ring of `cells` cells with one server each, every shard on `reach` of them.
-pub fn ring(cells: u32, reach: u32) -> Settings {
+pub fn ring(cells: u32, replication_factor: u32) -> Settings {
     Settings {
         cells,
-        reach,
+        replication_factor,
         ..Settings::default()
     }
 }
@@ -38,7 +38,7 @@
     }
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
-        let entries: Vec<Entry> = (0..settings.cells).map(|c| entry(100 + c, c)).collect();
+        let entries: Vec<Endpoint> = (0..settings.cells).map(|c| entry(100 + c, c)).collect();
         let mut rig = Rig {
             aggregator: Aggregator::new(settings, seed),
             now: 1000 * MS,
@@ -47,7 +47,7 @@
         };
         rig.turn(
             0,
-            &[Event::List {
+            &[Event::Endpoints {
                 kind: ListKind::Persisted,
                 entries: entries.into(),
             }],
@@ -62,7 +62,12 @@
     }
 
     /// The events of a query of a class on some shards; its parts have the ids after its own.
-    pub fn query(&mut self, class: usize, patience: Time, shards: &[u32]) -> (u64, Vec<Event>) {
+    pub fn query(
+        &mut self,
+        class: usize,
+        client_timeout: Time,
+        shards: &[u32],
+    ) -> (u64, Vec<Event>) {
         let number = self.next;
         self.next += 1 + shards.len() as u64;
         let parts = shards.len() as u32;
@@ -72,8 +77,8 @@
             number,
             class,
             parts,
-            patience,
-            repeat: false,
+            client_timeout,
+            is_retry: false,
         }];
         for (i, &shard) in shards.iter().enumerate() {
             let weight = 1.0 / f64::from(parts);
@@ -123,7 +128,7 @@
 }
 
 pub fn ended(part: PartId, attempt: u32, server: ServerId, outcome: Outcome, took: Time) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         part,
         attempt,
         server,
--- a/dispatch/tests/copies.rs
+++ b/dispatch/tests/copies.rs
@@ -42,7 +42,7 @@
     assert!(
         rig.actions
             .iter()
-            .any(|a| matches!(a, Action::Answer { whole: true, .. }))
+            .any(|a| matches!(a, Action::Answer { complete: true, .. }))
     );
 }
 
--- a/dispatch/tests/failing_servers.rs
+++ b/dispatch/tests/failing_servers.rs
@@ -8,13 +8,13 @@
 #[test]
 fn nothing_goes_to_a_server_that_drains_or_is_gone() {
     let mut rig = Rig::new(ring(3, 2));
-    let drain = Entry {
-        standing: Standing::Draining,
+    let drain = Endpoint {
+        status: ServerStatus::Draining,
         ..entry(100, 0)
     };
     rig.turn(
         0,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Partial,
             entries: [drain].into(),
         }],
@@ -26,7 +26,7 @@
     let complete = [entry(100, 0)];
     rig.turn(
         0,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Complete,
             entries: complete.into(),
         }],
@@ -49,7 +49,7 @@
 /// Found on the long day: hosts that left ahead of the list turned away part after part.
 #[test]
 fn so_is_a_server_that_turns_everything_away() {
-    fails_at_once(Outcome::Full);
+    fails_at_once(Outcome::Rejected);
 }
 
 fn fails_at_once(outcome: Outcome) {
@@ -99,14 +99,14 @@
     for generation in 1..=100 {
         let new = (0..3).map(|cell| entry(100 + 3 * generation + cell, cell));
         let old = (0..3).map(|cell| entry(100 + 3 * (generation - 1) + cell, cell));
-        let gone = old.map(|e| Entry {
-            standing: Standing::Gone,
+        let gone = old.map(|e| Endpoint {
+            status: ServerStatus::Removed,
             ..e
         });
-        let entries: Vec<Entry> = new.chain(gone).collect();
+        let entries: Vec<Endpoint> = new.chain(gone).collect();
         rig.turn(
             50 * MS,
-            &[Event::List {
+            &[Event::Endpoints {
                 kind: ListKind::Partial,
                 entries: entries.into(),
             }],
@@ -229,7 +229,7 @@
         drawn += sends.iter().filter(|s| turned_away(s)).count();
         let outcome = |s| {
             if turned_away(s) {
-                (Outcome::Full, MS)
+                (Outcome::Rejected, MS)
             } else {
                 (Outcome::Ok, 20 * MS)
             }
@@ -254,13 +254,13 @@
 #[test]
 fn a_reset_does_not_make_a_server_cold() {
     let settings = Settings {
-        ramp: 60_000 * MS,
-        fall: 2000 * MS,
-        start_capacity: 0.1,
+        slow_start: 60_000 * MS,
+        overload_window: 2000 * MS,
+        initial_capacity: 0.1,
         ..ring(1, 1)
     };
     let mut rig = Rig::new(Settings {
-        tip_multiple: 2.0,
+        overload_multiple: 2.0,
         aggregators: 4,
         ..settings
     });
@@ -311,7 +311,7 @@
             refused = rig
                 .actions
                 .iter()
-                .any(|a| matches!(a, Action::Refuse { .. }));
+                .any(|a| matches!(a, Action::Reject { .. }));
         }
     }
     assert_eq!(killed, 3, "a try of it kills one server");
@@ -352,7 +352,7 @@
     rig.turn(10 * MS, &rest);
     assert!(rig.actions.contains(&Action::Answer {
         query: QueryId(number),
-        whole: true
+        complete: true
     }));
 }
 
@@ -423,29 +423,29 @@
 fn a_wave_of_drains_moves_work_to_what_is_sound() {
     let settings = Settings {
         aggregators: 30,
-        ramp: 20_000 * MS,
-        fall: 1000 * MS,
+        slow_start: 20_000 * MS,
+        overload_window: 1000 * MS,
         ..ring(6, 3)
     };
     let mut rig = Rig::new(Settings {
-        start_capacity: 0.2,
-        tip_multiple: 2.0,
+        initial_capacity: 0.2,
+        overload_multiple: 2.0,
         ..settings
     });
     rig.warm_up(100 * MS, &[0, 2, 4]);
-    let drained = [100, 103].map(|id| Entry {
-        standing: Standing::Draining,
+    let drained = [100, 103].map(|id| Endpoint {
+        status: ServerStatus::Draining,
         ..entry(id, id - 100)
     });
-    let born = rig.now;
-    let cold = [200, 203].map(|id| Entry {
-        born,
+    let started_at = rig.now;
+    let cold = [200, 203].map(|id| Endpoint {
+        started_at,
         ..entry(id, id - 200)
     });
-    let wave: Vec<Entry> = drained.into_iter().chain(cold).collect();
+    let wave: Vec<Endpoint> = drained.into_iter().chain(cold).collect();
     rig.turn(
         0,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Partial,
             entries: wave.into(),
         }],
@@ -484,13 +484,13 @@
     rig.turn(100 * MS, &[ended(part, 0, server, Outcome::Ok, 100 * MS)]);
     // The shard's other holder is not listed any more, so that the same server is used again.
     let other = if server == ServerId(105) { 106 } else { 105 };
-    let gone = Entry {
-        standing: Standing::Gone,
+    let gone = Endpoint {
+        status: ServerStatus::Removed,
         ..entry(other, other - 100)
     };
     rig.turn(
         MS,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Partial,
             entries: vec![gone].into(),
         }],
@@ -535,7 +535,7 @@
     assert!(
         rig.actions
             .iter()
-            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number))
+            .any(|a| matches!(a, Action::Reject { query, .. } if query.0 == number))
     );
 }
 
@@ -546,13 +546,13 @@
 fn a_shards_last_holder_is_used_though_it_fails_some_parts() {
     let mut rig = Rig::new(ring(2, 2));
     rig.warm_up(20 * MS, &[0, 1]);
-    let out = Entry {
-        out: true,
+    let out = Endpoint {
+        excluded: true,
         ..entry(101, 1)
     };
     rig.turn(
         0,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Partial,
             entries: [out].into(),
         }],
--- a/dispatch/tests/fleet.rs
+++ b/dispatch/tests/fleet.rs
@@ -33,7 +33,7 @@
     /// By aggregator and query: when its client gives up, and the share of its parts that is in.
     open: BTreeMap<(usize, u64), (Time, u32)>,
     query_of: BTreeMap<(usize, PartId), u64>,
-    whole: u32,
+    complete: u32,
     partial: u32,
     refused: u32,
 }
@@ -57,17 +57,17 @@
             slow: BTreeMap::new(),
             open: BTreeMap::new(),
             query_of: BTreeMap::new(),
-            whole: 0,
+            complete: 0,
             partial: 0,
             refused: 0,
         }
     }
 
-    fn tell(&mut self, entries: &[Entry]) {
+    fn tell(&mut self, entries: &[Endpoint]) {
         for at in 0..self.rigs.len() {
             self.turn(
                 at,
-                vec![Event::List {
+                vec![Event::Endpoints {
                     kind: ListKind::Partial,
                     entries: entries.to_vec().into(),
                 }],
@@ -98,8 +98,8 @@
         }
         for action in self.rigs[at].actions.clone() {
             let (query, kind) = match action {
-                Action::Answer { query, whole } => (query, Some(whole)),
-                Action::Refuse { query, .. } | Action::Fail { query } => (query, None),
+                Action::Answer { query, complete } => (query, Some(complete)),
+                Action::Reject { query, .. } | Action::Fail { query } => (query, None),
                 _ => continue,
             };
             let (until, done) = self
@@ -112,7 +112,7 @@
                 Some(false) => assert!(done * 2 >= SHARDS, "{done} parts are under the floor"),
                 None => {}
             }
-            self.whole += u32::from(kind == Some(true));
+            self.complete += u32::from(kind == Some(true));
             self.partial += u32::from(kind == Some(false));
             self.refused += u32::from(kind.is_none());
         }
@@ -171,28 +171,28 @@
 fn many_aggregators_use_cold_servers_as_far_as_the_rule_lets_them() {
     let settings = Settings {
         aggregators: AGGREGATORS,
-        ramp: 18_000 * MS,
-        fall: 1000 * MS,
+        slow_start: 18_000 * MS,
+        overload_window: 1000 * MS,
         ..ring(SERVERS, 2)
     };
     let settings = Settings {
-        start_capacity: 0.32,
-        tip_multiple: 3.0,
+        initial_capacity: 0.32,
+        overload_multiple: 3.0,
         ..settings
     };
     for seed in 0..3 {
         let mut fleet = Fleet::new(&settings, seed);
         fleet.run(6000 * MS);
-        let (born, replaced) = (fleet.now, 12);
-        let new = (0..replaced).map(|c| Entry {
-            born,
+        let (started_at, replaced) = (fleet.now, 12);
+        let new = (0..replaced).map(|c| Endpoint {
+            started_at,
             ..entry(200 + c, c)
         });
-        let old = (0..replaced).map(|c| Entry {
-            standing: Standing::Gone,
+        let old = (0..replaced).map(|c| Endpoint {
+            status: ServerStatus::Removed,
             ..entry(100 + c, c)
         });
-        let change: Vec<Entry> = old.chain(new).collect();
+        let change: Vec<Endpoint> = old.chain(new).collect();
         fleet.tell(&change);
         fleet.sent.clear();
         fleet.run(6000 * MS);
@@ -206,11 +206,11 @@
             for &at in sent {
                 let within = sent
                     .iter()
-                    .filter(|s| **s >= at && **s < at + settings.fall)
+                    .filter(|s| **s >= at && **s < at + settings.overload_window)
                     .count() as f64;
-                let age = (at - born) as f64 / settings.ramp as f64;
-                let capacity = settings.start_capacity + (1.0 - settings.start_capacity) * age;
-                let limit = settings.tip_multiple * capacity / WORK;
+                let age = (at - started_at) as f64 / settings.slow_start as f64;
+                let capacity = settings.initial_capacity + (1.0 - settings.initial_capacity) * age;
+                let limit = settings.overload_multiple * capacity / WORK;
                 assert!(
                     within <= limit,
                     "seed {seed}: {within} in a second to a server good for {limit:.0}"
@@ -229,20 +229,20 @@
 fn settings() -> Settings {
     let class = Class {
         floor: 0.5,
-        short_worth: 0.8,
-        aim: 1000 * MS,
+        partial_value: 0.8,
+        latency_target: 1000 * MS,
         deadline: PATIENCE,
         ..Class::default()
     };
     let settings = Settings {
         aggregators: AGGREGATORS,
-        ramp: 18_000 * MS,
-        fall: 1000 * MS,
+        slow_start: 18_000 * MS,
+        overload_window: 1000 * MS,
         ..ring(SERVERS, 2)
     };
     Settings {
-        start_capacity: 0.32,
-        tip_multiple: 3.0,
+        initial_capacity: 0.32,
+        overload_multiple: 3.0,
         classes: vec![class],
         ..settings
     }
@@ -254,27 +254,27 @@
 fn every_query_ends_once_and_in_time_where_most_servers_are_cold_and_some_silent() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(&settings(), seed);
-        let born = fleet.now;
+        let started_at = fleet.now;
         fleet.tell(
             &(0..14)
-                .map(|c| Entry {
-                    born,
+                .map(|c| Endpoint {
+                    started_at,
                     ..entry(100 + c, c)
                 })
                 .collect::<Vec<_>>(),
         );
         fleet.silent = [103, 116].map(ServerId).into();
         fleet.run(6000 * MS);
-        let asked = fleet.whole + fleet.partial + fleet.refused;
+        let asked = fleet.complete + fleet.partial + fleet.refused;
         assert!(asked > 900, "{asked} queries are enough to mean something");
         assert!(
             fleet.open.values().all(|(until, _)| *until > fleet.now),
             "none is left behind"
         );
         assert!(
-            fleet.whole * 10 > asked * 5,
+            fleet.complete * 10 > asked * 5,
             "seed {seed}: {} of {asked} whole",
-            fleet.whole
+            fleet.complete
         );
     }
 }
@@ -288,20 +288,20 @@
     for batch in 0..3 {
         // Each slice keeps one sound holder, as releases leave it.
         let cells = (0..4).map(|i| batch + 5 * i);
-        let leaving = cells.clone().map(|c| Entry {
-            standing: Standing::Draining,
+        let leaving = cells.clone().map(|c| Endpoint {
+            status: ServerStatus::Draining,
             ..entry(100 + c, c)
         });
         fleet.tell(&leaving.collect::<Vec<_>>());
         fleet.sent.clear();
         fleet.run(1000 * MS);
-        let born = fleet.now;
-        let gone = cells.clone().map(|c| Entry {
-            standing: Standing::Gone,
+        let started_at = fleet.now;
+        let gone = cells.clone().map(|c| Endpoint {
+            status: ServerStatus::Removed,
             ..entry(100 + c, c)
         });
-        let new = cells.clone().map(|c| Entry {
-            born,
+        let new = cells.clone().map(|c| Endpoint {
+            started_at,
             ..entry(200 + c, c)
         });
         fleet.tell(&gone.chain(new).collect::<Vec<_>>());
@@ -315,11 +315,11 @@
             "parts to servers of batch {batch} after the notice"
         );
     }
-    let asked = fleet.whole + fleet.partial + fleet.refused;
+    let asked = fleet.complete + fleet.partial + fleet.refused;
     assert!(
-        fleet.whole * 10 > asked * 9,
+        fleet.complete * 10 > asked * 9,
         "{} of {asked} whole",
-        fleet.whole
+        fleet.complete
     );
 }
 
@@ -356,7 +356,7 @@
         back * 3 > usual * 2,
         "{back} parts after it takes them again, {usual} before"
     );
-    let asked = fleet.whole + fleet.partial + fleet.refused;
+    let asked = fleet.complete + fleet.partial + fleet.refused;
     assert!(
         fleet.refused * 100 < asked,
         "{} of {asked} refused",
@@ -393,7 +393,7 @@
                 for (server, _) in &mut memory.servers {
                     server.0 = 100 + (server.0 - 100 + shift.unwrap_or(0)) % SERVERS;
                 }
-                fleet.turn(at, vec![Event::Recall(std::sync::Arc::new(memory))]);
+                fleet.turn(at, vec![Event::Restore(std::sync::Arc::new(memory))]);
             }
             fleet.run(1000 * MS);
             let count = |id: &ServerId| fleet.sent.get(id).map_or(0, Vec::len);
@@ -406,8 +406,8 @@
             (
                 spared,
                 most,
-                fleet.whole,
-                fleet.whole + fleet.partial + fleet.refused,
+                fleet.complete,
+                fleet.complete + fleet.partial + fleet.refused,
             )
         };
         let (none, own, wrong) = (restart(None), restart(Some(0)), restart(Some(5)));
@@ -439,8 +439,8 @@
 /// answered takes a second to fail.
 fn calls_unanswered(aggregators: u32, known: bool) -> (Vec<u32>, Time, Vec<Rig>) {
     let settings = Settings {
-        list_on_request: true,
-        ask_within: 10_000 * MS,
+        discovery_on_request: true,
+        max_list_age: 10_000 * MS,
         aggregators,
         ..ring(4, 2)
     };
@@ -451,7 +451,7 @@
             if !known {
                 rig.turn(
                     0,
-                    &[Event::List {
+                    &[Event::Endpoints {
                         kind: ListKind::Complete,
                         entries: Vec::new().into(),
                     }],
@@ -467,7 +467,7 @@
         for (rig, fails, failed) in &mut rigs {
             let due = fails
                 .take_if(|at| start + *at <= now)
-                .map(|_| Event::ListFailed { refused: true });
+                .map(|_| Event::DiscoveryFailed { refused: true });
             *failed = if due.is_some() { now } else { *failed };
             rig.turn(
                 now - rig.now,
@@ -509,8 +509,8 @@
         rig.turn(
             MS,
             &[
-                Event::List { kind, entries },
-                Event::ListFailed { refused: true },
+                Event::Endpoints { kind, entries },
+                Event::DiscoveryFailed { refused: true },
             ],
         );
         rig.turn(1300 * MS, &[Event::Wake]);
@@ -553,13 +553,13 @@
         for rig in &mut rigs {
             rig.turn(
                 MS,
-                &[Event::List {
+                &[Event::Endpoints {
                     kind: ListKind::Partial,
                     entries: Vec::new().into(),
                 }],
             );
             for most in [first, 2 * first] {
-                rig.turn(MS, &[Event::ListFailed { refused: true }]);
+                rig.turn(MS, &[Event::DiscoveryFailed { refused: true }]);
                 rig.turn(most, &[Event::Wake]);
                 assert!(
                     rig.actions.contains(&Action::Watch(true)),
--- a/dispatch/tests/probes.rs
+++ b/dispatch/tests/probes.rs
@@ -37,7 +37,7 @@
 #[test]
 fn a_probe_that_waits_is_believed_over_its_report() {
     let settings = Settings {
-        probes: true,
+        can_probe: true,
         tick: 5 * MS,
         ..ring(60, 2)
     };
@@ -58,7 +58,7 @@
             })
             .collect();
         assert_eq!(probes.len(), 2, "both holders are probed");
-        let report = |server, took, load| Event::Probed {
+        let report = |server, took, load| Event::ProbeEnded {
             server,
             outcome: Outcome::Ok,
             took,
@@ -84,7 +84,7 @@
 #[test]
 fn a_sound_probe_without_a_report_is_no_failure() {
     let mut rig = Rig::new(Settings {
-        probes: true,
+        can_probe: true,
         tick: 5 * MS,
         ..ring(60, 2)
     });
@@ -99,7 +99,7 @@
     });
     let (outcome, load) = (Outcome::Ok, LoadReport::default());
     let sound: Vec<Event> = probes
-        .map(|server| Event::Probed {
+        .map(|server| Event::ProbeEnded {
             server,
             outcome,
             took: MS,
@@ -119,7 +119,7 @@
 #[test]
 fn a_probe_on_its_way_makes_no_server_too_slow_before_its_time_is_over() {
     let mut rig = Rig::new(Settings {
-        probes: true,
+        can_probe: true,
         tick: 5 * MS,
         ..ring(60, 2)
     });
@@ -127,7 +127,7 @@
     let probed = |rig: &Rig, took| -> Vec<Event> {
         let load = LoadReport::default();
         let probes = rig.actions.iter().filter_map(|a| match *a {
-            Action::Probe(server) => Some(Event::Probed {
+            Action::Probe(server) => Some(Event::ProbeEnded {
                 server,
                 outcome: Outcome::Ok,
                 took,
@@ -158,7 +158,7 @@
     assert!(
         rig.actions
             .iter()
-            .all(|a| !matches!(a, Action::Refuse { .. })),
+            .all(|a| !matches!(a, Action::Reject { .. })),
         "{:?}",
         rig.actions
     );
@@ -182,7 +182,7 @@
             ..ring(60, 2)
         };
         let mut rig = Rig::new(Settings {
-            probes: true,
+            can_probe: true,
             tick: 5 * MS,
             ..prices
         });
@@ -324,7 +324,7 @@
         refused += rig
             .actions
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count();
     }
     assert_eq!(
--- a/dispatch/tests/query_deadlines.rs
+++ b/dispatch/tests/query_deadlines.rs
@@ -9,7 +9,7 @@
     let mut rig = Rig::new(ring(3, 1));
     rig.turn(
         0,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Complete,
             entries: [].into(),
         }],
@@ -21,7 +21,7 @@
         if rig
             .actions
             .iter()
-            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number))
+            .any(|a| matches!(a, Action::Reject { query, .. } if query.0 == number))
         {
             ended = Some(rig.now);
             break;
@@ -59,7 +59,7 @@
     assert!(
         !rig.actions
             .iter()
-            .any(|a| matches!(a, Action::Refuse { .. } | Action::Send { .. }))
+            .any(|a| matches!(a, Action::Reject { .. } | Action::Send { .. }))
     );
 }
 
@@ -92,7 +92,7 @@
     assert!(
         rig.actions
             .iter()
-            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number))
+            .any(|a| matches!(a, Action::Reject { query, .. } if query.0 == number))
     );
     assert_eq!(rig.sends(), []);
 }
@@ -103,7 +103,7 @@
 fn a_two_step_query_ends_in_time_at_either_step() {
     let class = Class {
         floor: 0.4,
-        short_worth: 0.95,
+        partial_value: 0.95,
         second_step: 2,
         ..Class::default()
     };
@@ -121,7 +121,7 @@
             for action in &rig.actions {
                 match action {
                     Action::Answer { .. } => answers += 1,
-                    Action::Refuse { .. } | Action::Fail { .. } => finals += 1,
+                    Action::Reject { .. } | Action::Fail { .. } => finals += 1,
                     _ => {}
                 }
             }
@@ -180,7 +180,7 @@
     assert!(
         rig.actions
             .iter()
-            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number))
+            .any(|a| matches!(a, Action::Reject { query, .. } if query.0 == number))
     );
     let (_, events) = rig.query(0, 1600 * MS, &[0]);
     rig.turn(MS, &events);
@@ -191,22 +191,22 @@
 /// repeats.
 #[test]
 fn clients_may_have_more_than_one_usual_patience() {
-    for repeats_marked in [false, true] {
+    for retries_marked in [false, true] {
         let mut rig = Rig::new(Settings {
-            repeats_marked,
+            retries_marked,
             ..ring(6, 3)
         });
         let mut refused = 0;
         for i in 0..60 {
-            let patience = if i >= 20 && i % 3 == 0 {
+            let client_timeout = if i >= 20 && i % 3 == 0 {
                 1100 * MS
             } else {
                 1800 * MS
             };
-            let (number, events) = rig.query(0, patience, &[i % 6]);
+            let (number, events) = rig.query(0, client_timeout, &[i % 6]);
             rig.turn(MS, &events);
             let ended_it =
-                |a: &Action| matches!(a, Action::Refuse { query, .. } if query.0 == number);
+                |a: &Action| matches!(a, Action::Reject { query, .. } if query.0 == number);
             refused += usize::from(i > 40 && rig.actions.iter().any(ended_it));
             let answers: Vec<Event> = rig
                 .sends()
@@ -215,7 +215,7 @@
                 .collect();
             rig.turn(300 * MS, &answers);
         }
-        assert_eq!(refused, 0, "marked: {repeats_marked}");
+        assert_eq!(refused, 0, "marked: {retries_marked}");
     }
 }
 
@@ -233,7 +233,7 @@
     assert!(
         rig.actions
             .iter()
-            .any(|a| matches!(a, Action::Refuse { query, .. } if query.0 == number))
+            .any(|a| matches!(a, Action::Reject { query, .. } if query.0 == number))
     );
     rig.ask(MS, &[60, 110, 160]);
     assert_eq!(rig.sends().len(), 3, "other shards are served");
@@ -250,7 +250,7 @@
 #[test]
 fn a_first_try_with_little_time_is_started() {
     let mut rig = Rig::new(Settings {
-        repeats_marked: true,
+        retries_marked: true,
         ..ring(4, 2)
     });
     for i in 0..40 {
--- a/dispatch/tests/rules.rs
+++ b/dispatch/tests/rules.rs
@@ -11,7 +11,7 @@
     Outcome::Ok,
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Reset,
     Outcome::ConnectFailed,
 ];
@@ -39,13 +39,13 @@
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
     let class = |effect, floor, second_step| Class {
-        aim: 400 * MS,
+        latency_target: 400 * MS,
         deadline: 900 * MS,
         effect,
         floor,
         second_step,
         key_lifetime: 150 * MS,
-        short_worth: 0.9,
+        partial_value: 0.9,
         ..Class::default()
     };
     Settings {
@@ -63,22 +63,22 @@
             },
         ],
         cells: CELLS,
-        reach: if rng.bool() { 1 } else { 3 },
+        replication_factor: if rng.bool() { 1 } else { 3 },
         call_parts: if rng.bool() { 1 } else { 4 },
-        second_copies: rng.bool(),
-        max_hold_off: 100 * MS,
+        can_hedge: rng.bool(),
+        max_retry_after: 100 * MS,
         drain_grace: if rng.bool() { 0 } else { 50 * MS },
-        start_capacity: 0.2,
-        ramp: 3000 * MS,
-        tip_multiple: 2.0,
-        fall: 500 * MS,
+        initial_capacity: 0.2,
+        slow_start: 3000 * MS,
+        overload_multiple: 2.0,
+        overload_window: 500 * MS,
         budget: Some(Budget {
             free: rng.u64(0..5),
             ratio: 0.05,
             window: 500 * MS,
         }),
-        probes: rng.bool(),
-        cancels: rng.bool(),
+        can_probe: rng.bool(),
+        can_cancel: rng.bool(),
         ..Settings::default()
     }
 }
@@ -91,7 +91,7 @@
     let mut pieces: BTreeMap<PartId, Piece> = BTreeMap::new();
     let mut out: BTreeMap<(PartId, u32), Out> = BTreeMap::new();
     let mut barred: BTreeMap<ServerId, Time> = BTreeMap::new();
-    let mut entries: Vec<Entry> = (0..2 * CELLS)
+    let mut entries: Vec<Endpoint> = (0..2 * CELLS)
         .map(|i| common::entry(50 + i, i % CELLS))
         .collect();
     // Whoever was out by hand counts as started when taken back, whatever the list says.
@@ -101,7 +101,7 @@
     let mut now = 5000 * MS;
     let (mut next, mut finals) = (1u64, 0);
     let mut fresh_second: Vec<u64> = Vec::new();
-    let mut events = vec![Event::List {
+    let mut events = vec![Event::Endpoints {
         kind: ListKind::Persisted,
         entries: entries.clone().into(),
     }];
@@ -152,18 +152,18 @@
                 .filter(|c| !s.classes[*c].retired)
                 .collect();
             let (number, class, count) = (next, *rng.choice(&current).unwrap(), rng.u32(2..6));
-            let patience = rng.u64(3..900) * MS;
-            let (id, repeat) = (QueryId(number), rng.bool());
+            let client_timeout = rng.u64(3..900) * MS;
+            let (id, is_retry) = (QueryId(number), rng.bool());
             events.push(Event::Query {
                 id,
                 number,
                 class,
                 parts: count,
-                patience,
-                repeat,
+                client_timeout,
+                is_retry,
             });
             taken.push_back(now);
-            let end = now + patience;
+            let end = now + client_timeout;
             let mut asked = Asked {
                 id,
                 class,
@@ -199,27 +199,31 @@
         }
         if rng.u32(0..40) == 0 {
             let i = rng.usize(0..entries.len());
-            entries[i].standing = *rng
-                .choice(&[Standing::Ready, Standing::Draining, Standing::Gone])
+            entries[i].status = *rng
+                .choice(&[
+                    ServerStatus::Ready,
+                    ServerStatus::Draining,
+                    ServerStatus::Removed,
+                ])
                 .unwrap();
-            if entries[i].standing == Standing::Ready {
+            if entries[i].status == ServerStatus::Ready {
                 barred.remove(&entries[i].server);
-                entries[i].born = now - 100 * MS;
+                entries[i].started_at = now - 100 * MS;
             } else {
                 barred.entry(entries[i].server).or_insert(now);
             }
-            events.push(Event::List {
+            events.push(Event::Endpoints {
                 kind: ListKind::Partial,
                 entries: [entries[i].clone()].into(),
             });
         }
         if rng.u32(0..40) == 0 {
             let i = rng.usize(0..entries.len());
-            entries[i].out = !entries[i].out;
-            if !entries[i].out && entries[i].standing != Standing::Gone {
+            entries[i].excluded = !entries[i].excluded;
+            if !entries[i].excluded && entries[i].status != ServerStatus::Removed {
                 back.insert(entries[i].server, now);
             }
-            events.push(Event::List {
+            events.push(Event::Endpoints {
                 kind: ListKind::Partial,
                 entries: [entries[i].clone()].into(),
             });
@@ -240,7 +244,7 @@
                 settings: s.clone().into(),
                 from,
             });
-            events.push(Event::List {
+            events.push(Event::Endpoints {
                 kind: ListKind::Complete,
                 entries: entries.clone().into(),
             });
@@ -275,16 +279,20 @@
                     // A cold server of one core, parts of 40 ms, this aggregator's half, and half
                     // as much for chance.
                     let entry = entries.iter().find(|e| e.server == server).unwrap();
-                    assert!(!entry.out, "sent to a server that is out by hand");
-                    let born = entry.born.max(back.get(&server).copied().unwrap_or(0));
-                    if born > 0 && now < born + s.ramp {
-                        let capacity = 0.2 + 0.8 * (now - born) as f64 / s.ramp as f64;
+                    assert!(!entry.excluded, "sent to a server that is out by hand");
+                    let started_at = entry
+                        .started_at
+                        .max(back.get(&server).copied().unwrap_or(0));
+                    if started_at > 0 && now < started_at + s.slow_start {
+                        let capacity = 0.2 + 0.8 * (now - started_at) as f64 / s.slow_start as f64;
                         let most = 1.5
-                            * (s.tip_multiple * capacity * s.fall as f64 / 2.0 / (40 * MS) as f64)
+                            * (s.overload_multiple * capacity * s.overload_window as f64
+                                / 2.0
+                                / (40 * MS) as f64)
                                 .max(1.0);
                         let sent: &mut VecDeque<Time> = cold_sent.entry(server).or_default();
                         sent.push_back(now);
-                        sent.retain(|at| at + s.fall > now && *at >= born);
+                        sent.retain(|at| at + s.overload_window > now && *at >= started_at);
                         assert!(
                             sent.len() as f64 <= most,
                             "cold server pushed: {} over {most}",
@@ -292,7 +300,10 @@
                         );
                     }
                     let place = (server.0 - 50 + CELLS - piece.shard) % CELLS;
-                    assert!(place < s.reach, "the server does not hold the shard");
+                    assert!(
+                        place < s.replication_factor,
+                        "the server does not hold the shard"
+                    );
                     let since = barred.get(&server).copied().unwrap_or(now);
                     assert!(now <= since + s.drain_grace, "drain");
                     let ran = |a: &&(Time, Option<Outcome>)| a.1.is_none_or(|o| !o.never_ran());
@@ -305,7 +316,7 @@
                         Effect::Unsafe => assert_eq!(first_ran, None, "unsafe part sent twice"),
                     }
                     let live = piece.attempts.iter().filter(|a| a.1.is_none()).count();
-                    assert!(live == 0 || s.second_copies, "two attempts out");
+                    assert!(live == 0 || s.can_hedge, "two attempts out");
                     assert!(piece.attempts.len() < s.classes[asked.class].max_attempts as usize);
                     if !piece.attempts.is_empty() {
                         extras.push_back(now);
@@ -327,7 +338,7 @@
                     out.insert((part, attempt), (server, now, until, outcome, at));
                 }
                 Action::Cancel { part, attempt } => {
-                    assert!(s.cancels, "cancels are not allowed");
+                    assert!(s.can_cancel, "cancels are not allowed");
                     if let Some(sent) = out.get_mut(&(part, attempt)) {
                         (sent.3, sent.4) = (Outcome::Cancelled, now);
                     }
@@ -335,10 +346,10 @@
                 // The client left in this very turn, after the event that ended the query: told too
                 // late to matter.
                 Action::Answer { query, .. }
-                | Action::Refuse { query, .. }
+                | Action::Reject { query, .. }
                 | Action::Fail { query }
                     if told_over.contains(&query.0) => {}
-                Action::Answer { query, whole } => {
+                Action::Answer { query, complete } => {
                     let asked = queries.get_mut(&query.0).unwrap();
                     assert!(!asked.over, "two final answers");
                     let c = &s.classes[asked.class];
@@ -350,23 +361,26 @@
                         .map(|p| p.weight)
                         .sum();
                     assert!(share >= c.floor - 1e-4, "under the floor");
-                    assert!(!whole || share >= c.need - 1e-4, "marked whole and is not");
                     assert!(
-                        !whole || asked.step == 1 || asked.first_whole,
+                        !complete || share >= c.need - 1e-4,
+                        "marked whole and is not"
+                    );
+                    assert!(
+                        !complete || asked.step == 1 || asked.first_whole,
                         "whole after a partial first step"
                     );
                     if c.second_step > 0 && asked.step == 1 {
-                        (asked.step, asked.first_whole) = (2, whole);
+                        (asked.step, asked.first_whole) = (2, complete);
                         fresh_second.push(query.0);
                     } else {
                         (asked.over, finals) = (true, finals + 1);
                     }
                 }
-                Action::Refuse { query, .. } | Action::Fail { query } => {
+                Action::Reject { query, .. } | Action::Fail { query } => {
                     let asked = queries.get_mut(&query.0).unwrap();
                     assert!(!asked.over, "two final answers");
                     (asked.over, finals) = (true, finals + 1);
-                    if matches!(action, Action::Refuse { .. })
+                    if matches!(action, Action::Reject { .. })
                         && s.classes[asked.class].effect == Effect::Unsafe
                     {
                         let ran = |p: &PartId| {
--- a/dispatch/tests/second.rs
+++ b/dispatch/tests/second.rs
@@ -14,20 +14,20 @@
 /// Three classes: partial from seven tenths, whole and safe, whole and keyed for as long as its
 /// aim.
 fn settings() -> Settings {
-    let class = |aim: Time, deadline: Time| Class {
-        aim,
+    let class = |latency_target: Time, deadline: Time| Class {
+        latency_target,
         deadline,
         ..Class::default()
     };
     Settings {
         aggregators: 3,
         tick: 5 * MS,
-        list_on_request: true,
+        discovery_on_request: true,
         classes: vec![
             Class {
                 floor: 0.7,
-                short_worth: 0.9,
-                worth: 5.0,
+                partial_value: 0.9,
+                value: 5.0,
                 ..class(1500 * MS, 3000 * MS)
             },
             class(2000 * MS, 6000 * MS),
@@ -41,12 +41,12 @@
         call_parts: 8,
         call_work: 40 * MS,
         max_open: 82,
-        ask_within: 10_000 * MS,
+        max_list_age: 10_000 * MS,
         drain_grace: 500 * MS,
-        start_capacity: 0.18,
-        ramp: 14_000 * MS,
-        tip_multiple: 2.0,
-        fall: 1000 * MS,
+        initial_capacity: 0.18,
+        slow_start: 14_000 * MS,
+        overload_multiple: 2.0,
+        overload_window: 1000 * MS,
         ..ring(CELLS, 1)
     }
 }
@@ -81,10 +81,10 @@
     fn new(takes: F) -> Self {
         let mut rig = Rig::new(settings());
         // Two servers in each set.
-        let more: Vec<Entry> = (0..CELLS).map(|cell| entry(200 + cell, cell)).collect();
+        let more: Vec<Endpoint> = (0..CELLS).map(|cell| entry(200 + cell, cell)).collect();
         rig.turn(
             MS,
-            &[Event::List {
+            &[Event::Endpoints {
                 kind: ListKind::Partial,
                 entries: more.into(),
             }],
@@ -129,7 +129,7 @@
         for action in self.rig.actions.clone() {
             let (query, answered) = match action {
                 Action::Answer { query, .. } => (query, true),
-                Action::Refuse { query, .. } | Action::Fail { query } => (query, false),
+                Action::Reject { query, .. } | Action::Fail { query } => (query, false),
                 Action::Watch(true) => {
                     self.calls += 1;
                     continue;
@@ -169,10 +169,10 @@
                 let wide = [10, 5, 1][class];
                 let first = self.rng.u32(0..24);
                 let shards: Vec<u32> = (first..first + wide).map(|s| s % 24).collect();
-                let patience = settings().classes[class].deadline;
-                let (number, asked) = self.rig.query(class, patience, &shards);
+                let client_timeout = settings().classes[class].deadline;
+                let (number, asked) = self.rig.query(class, client_timeout, &shards);
                 self.open
-                    .insert(number, (self.rig.now + 5 * MS + patience, class));
+                    .insert(number, (self.rig.now + 5 * MS + client_timeout, class));
                 events.extend(asked);
             }
             events.push(Event::Wake);
@@ -291,7 +291,7 @@
     world.run(4_000 * MS, 4.0);
     let asked = world.calls;
     for _ in 0..24 {
-        world.turn(&[Event::ListFailed { refused: true }]);
+        world.turn(&[Event::DiscoveryFailed { refused: true }]);
         world.run(1000 * MS, 4.0);
     }
     assert!(
@@ -304,14 +304,14 @@
         "{} calls",
         world.calls - asked
     );
-    let rest: Vec<Entry> = (0..CELLS)
+    let rest: Vec<Endpoint> = (0..CELLS)
         .flat_map(|c| [entry(100 + c, c), entry(200 + c, c)])
         .collect();
-    let rest: Vec<Entry> = rest
+    let rest: Vec<Endpoint> = rest
         .into_iter()
         .filter(|e| ![100, 203].contains(&e.server.0))
         .collect();
-    world.turn(&[Event::List {
+    world.turn(&[Event::Endpoints {
         kind: ListKind::Complete,
         entries: rest.into(),
     }]);
@@ -337,18 +337,22 @@
     };
     let mut world = World::new(dead);
     world.run(10_000 * MS, 4.0);
-    let born = world.rig.now;
-    let cold = Entry {
-        born,
+    let started_at = world.rig.now;
+    let cold = Endpoint {
+        started_at,
         ..entry(200, 0)
     };
-    world.turn(&[Event::List {
+    world.turn(&[Event::Endpoints {
         kind: ListKind::Partial,
         entries: [cold].into(),
     }]);
     world.run(14_000 * MS, 4.0);
     let sent = &world.sent[&ServerId(200)];
-    let fresh: Vec<Time> = sent.iter().copied().filter(|at| *at >= born).collect();
+    let fresh: Vec<Time> = sent
+        .iter()
+        .copied()
+        .filter(|at| *at >= started_at)
+        .collect();
     assert!(fresh.len() >= 10, "it is used: {}", fresh.len());
     // Within any second no more than the stated multiple of what it can do then, shared by three
     // aggregators.
@@ -357,7 +361,7 @@
             .iter()
             .take_while(|t| **t < from + start)
             .count() as f64;
-        let age = (from - born + start) as f64 / (14_000 * MS) as f64;
+        let age = (from - started_at + start) as f64 / (14_000 * MS) as f64;
         let capacity = 0.18 + 0.82 * age.min(1.0);
         let bears = 2.0 * capacity * 2.0 / 0.15 / 3.0;
         assert!(
@@ -371,12 +375,12 @@
 fn a_keyed_part_is_sent_again_at_1400_ms_and_not_at_1600_ms() {
     for (later, again) in [(1400 * MS, 1), (1600 * MS, 0)] {
         let mut wide = settings();
-        wide.classes[2].aim = 4000 * MS;
+        wide.classes[2].latency_target = 4000 * MS;
         wide.classes[2].deadline = 6000 * MS;
         let mut rig = Rig::new(wide);
         rig.turn(
             MS,
-            &[Event::List {
+            &[Event::Endpoints {
                 kind: ListKind::Partial,
                 entries: [entry(200, 0)].into(),
             }],
@@ -391,7 +395,7 @@
             assert!(
                 rig.actions
                     .iter()
-                    .any(|a| matches!(a, Action::Refuse { .. })),
+                    .any(|a| matches!(a, Action::Reject { .. })),
                 "{:?}",
                 rig.actions
             );
@@ -405,10 +409,10 @@
 #[test]
 fn the_first_answers_of_servers_that_all_start_cold_raise_what_each_is_sent() {
     let mut world = World::new(|_, _| Takes::For(20 * MS));
-    let born = world.rig.now;
+    let started_at = world.rig.now;
     let cells = (0..CELLS).flat_map(|cell| [entry(100 + cell, cell), entry(200 + cell, cell)]);
-    let cold: Vec<Entry> = cells.map(|e| Entry { born, ..e }).collect();
-    world.turn(&[Event::List {
+    let cold: Vec<Endpoint> = cells.map(|e| Endpoint { started_at, ..e }).collect();
+    world.turn(&[Event::Endpoints {
         kind: ListKind::Complete,
         entries: cold.into(),
     }]);
@@ -422,7 +426,8 @@
                 .iter()
                 .take_while(|t| **t < from + 1_000 * MS)
                 .count() as f64;
-            let capacity = 0.18 + 0.82 * (from + 1_000 * MS - born) as f64 / (14_000 * MS) as f64;
+            let capacity =
+                0.18 + 0.82 * (from + 1_000 * MS - started_at) as f64 / (14_000 * MS) as f64;
             let bears = 2.0 * capacity / 0.06 / 3.0;
             assert!(
                 within <= bears,
@@ -463,7 +468,7 @@
     let more = (0..CELLS).flat_map(|cell| [entry(200 + cell, cell), entry(300 + cell, cell)]);
     rig.turn(
         MS,
-        &[Event::List {
+        &[Event::Endpoints {
             kind: ListKind::Partial,
             entries: more.collect(),
         }],
--- a/dispatch/tests/wire.rs
+++ b/dispatch/tests/wire.rs
@@ -253,7 +253,7 @@
     assert_eq!(
         (
             settings.cells,
-            settings.reach,
+            settings.replication_factor,
             settings.classes[0].max_attempts
         ),
         (2, 2, 3)
--- a/dispatch/tests/wire_format.rs
+++ b/dispatch/tests/wire_format.rs
@@ -24,20 +24,20 @@
     assert_eq!(settings.aggregators, 4);
     assert_eq!(settings.zone, 1);
     assert_eq!(settings.tick, 5_000_000);
-    assert!(settings.list_on_request);
-    assert_eq!((settings.cells, settings.reach), (4, 2));
+    assert!(settings.discovery_on_request);
+    assert_eq!((settings.cells, settings.replication_factor), (4, 2));
     assert_eq!((settings.call_parts, settings.call_work), (4, 1000));
     assert_eq!(settings.max_open, 500);
-    assert!(settings.cancels && settings.probes && settings.second_copies);
+    assert!(settings.can_cancel && settings.can_probe && settings.can_hedge);
     assert_eq!((settings.probe_price, settings.waste_price), (0.1, 0.2));
-    assert!(settings.repeats_marked);
-    assert_eq!(settings.max_hold_off, 100_000_000);
-    assert_eq!(settings.ask_within, 2_000_000_000);
+    assert!(settings.retries_marked);
+    assert_eq!(settings.max_retry_after, 100_000_000);
+    assert_eq!(settings.max_list_age, 2_000_000_000);
     assert_eq!(settings.drain_grace, 50_000_000);
-    assert_eq!(settings.start_capacity, 0.2);
-    assert_eq!(settings.ramp, 3_000_000_000);
-    assert_eq!(settings.tip_multiple, 2.0);
-    assert_eq!(settings.fall, 500_000_000);
+    assert_eq!(settings.initial_capacity, 0.2);
+    assert_eq!(settings.slow_start, 3_000_000_000);
+    assert_eq!(settings.overload_multiple, 2.0);
+    assert_eq!(settings.overload_window, 500_000_000);
     let budget = Budget {
         free: 8,
         ratio: 0.3,
@@ -47,9 +47,12 @@
     let [read, keyed, unkeyed] = &settings.classes[..] else {
         panic!("three classes are configured");
     };
-    assert_eq!((read.aim, read.deadline), (400_000_000, 900_000_000));
-    assert_eq!((read.worth, read.late_share), (2.0, 0.25));
-    assert_eq!((read.floor, read.need, read.short_worth), (0.5, 0.9, 0.8));
+    assert_eq!(
+        (read.latency_target, read.deadline),
+        (400_000_000, 900_000_000)
+    );
+    assert_eq!((read.value, read.late_value), (2.0, 0.25));
+    assert_eq!((read.floor, read.need, read.partial_value), (0.5, 0.9, 0.8));
     assert_eq!((read.second_step, read.max_attempts), (2, 3));
     assert_eq!(read.effect, Effect::Safe);
     assert_eq!(keyed.effect, Effect::Keyed);
--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -18,7 +18,7 @@
 use hyper::header::HeaderName;
 use routing::admission::Admission;
 use routing::budget::{Permitted, RetryBudget};
-use routing::hedging::{CopyAllowance, Pace};
+use routing::hedging::{CopyAllowance, LatencyEstimate};
 use routing::locations::{Located, PrefixKey};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub(super) struct Learned {
     /// How long answers take.
-    pub(super) pace: Pace,
+    pub(super) pace: LatencyEstimate,
     /// Copies that may still be sent.
     pub(super) copies: CopyAllowance,
 }
@@ -131,7 +131,7 @@
     pub(super) fn with_learned<T>(&self, job: &Job, look: impl FnOnce(&mut Learned) -> T) -> T {
         let mut learned = lock(&self.learned);
         let entry = learned.entry(Self::kind(job)).or_insert_with(|| Learned {
-            pace: Pace::starting(job.route.target_latency_ms * 1_000_000),
+            pace: LatencyEstimate::starting(job.route.target_latency_ms * 1_000_000),
             copies: CopyAllowance::default(),
         });
         look(entry)
--- a/routing/src/hedging.rs
+++ b/routing/src/hedging.rs
@@ -1,7 +1,7 @@
 //! How many copies may follow sends. When one follows is told by [`Pace`], which the gatherer's
 //! decision module has.
 
-pub use dispatch::dispatcher::Pace;
+pub use dispatch::dispatcher::LatencyEstimate;
 
 /// Copies per first send, and the most that may be saved up.
 const COPY_SHARE: f64 = 0.1;
--- a/routing/tests/decisions.rs
+++ b/routing/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! Decisions of the data plane: copies, repeats and choice.
 
 use routing::budget::{Permitted, RetryBudget};
-use routing::hedging::{CopyAllowance, Pace};
+use routing::hedging::{CopyAllowance, LatencyEstimate};
 use routing::prompt::Prompt;
 use routing::selection::{Candidate, least_loaded};
 use routing::split;
@@ -10,7 +10,7 @@
 
 #[test]
 fn the_timer_starts_at_a_share_of_the_objective_and_follows_the_recent_95th_percentile() {
-    let mut pace = Pace::starting(1_000 * MS);
+    let mut pace = LatencyEstimate::starting(1_000 * MS);
     assert_eq!(pace.p95, 300.0 * MS as f64);
     for took in 1..=100 {
         pace.add(took * MS);
