--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -16,6 +16,8 @@
 mod pacing;
 mod parameters;
 mod probes;
+mod replica_selection;
+mod scheduling;
 mod slow_start;
 mod state;
 
--- a/dispatch/src/dispatcher/admission.rs
+++ b/dispatch/src/dispatcher/admission.rs
@@ -7,6 +7,10 @@
 use crate::interface::{Action, Event, PartId, Time};
 
 impl Aggregator {
+    /// Takes a query and sets its deadline.
+    ///
+    /// The latency target counts from the client's first request. Of a retry that is not marked as
+    /// one only its time-out tells: an unusual one ends with the client's deadline.
     pub(super) fn admit(&mut self, event: &Event) {
         let Event::Query {
             id,
@@ -21,8 +25,6 @@
         };
         self.admissions.push_back(self.now);
         let c = &self.settings.classes[class];
-        // The aim runs from the first try. A try of no usual patience ends with its client's
-        // deadline.
         let usual = &mut self.usual_timeouts[class];
         if !is_retry {
             usual.push_front(client_timeout);
@@ -56,19 +58,19 @@
         };
         self.timers.set(useful_until, Timer::Deadline(number));
         if c.floor < c.need && c.second_step > 0 {
-            // A class with partial answers keeps time for its second step.
-            let kept = (1.2 * self.part_latency[class].p95)
+            // A class with partial answers reserves time for its second step.
+            let reserved = (1.2 * self.part_latency[class].p95)
                 .clamp(0.2 * c.latency_target as f64, 0.6 * c.latency_target as f64);
             self.timers.set(
-                useful_until.saturating_sub(kept as Time),
+                useful_until.saturating_sub(reserved as Time),
                 Timer::PartialAnswer(number),
             );
         }
         self.queries.insert(number, query);
     }
 
-    /// Whether a shard of a query lately took too much of the time that it has left, even at its
-    /// best holder.
+    /// Whether a shard of a query recently took too much of the time that the query has left, even
+    /// at its best replica.
     pub(super) fn has_hot_shard(&self, query: &Query) -> bool {
         let left = HOT_SHARD_RATIO * query.useful_until.saturating_sub(self.now) as f64;
         let left = left.max(2.0 * self.part_latency[query.class].median);
--- a/dispatch/src/dispatcher/outlier_detection.rs
+++ b/dispatch/src/dispatcher/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! What is known of servers: how slow each is, whether it fails, is sick or silent, and what of
-//! that outlives a restart.
+//! Outlier detection: how slow each server is, and whether it fails, is an outlier among its peers
+//! or is unresponsive.
 
 use super::Aggregator;
 use super::parameters::{
@@ -11,8 +11,8 @@
 use crate::interface::{Outcome, ServerId, Time};
 
 impl Aggregator {
-    /// How long a part may take: by slowness, a probe, the last answers less what drained, what is
-    /// out now
+    /// How long a part is expected to take at a server, in nanoseconds: the highest of what its
+    /// slowness and its last probe say, its recent delay, and the age of its oldest attempt.
     pub(super) fn expected_time(&self, id: ServerId, class: usize, shard: u32) -> f64 {
         let s = &self.servers[&id];
         let fresh = self.latency_target / 2;
@@ -36,7 +36,8 @@
         (base * probed / 2.0).max(own).max(out_for as f64)
     }
 
-    /// What an ended attempt says of its server.
+    /// Updates the statistics of a server by the outcome of an attempt. The concurrency limit is
+    /// raised additively and lowered multiplicatively, as in TCP's congestion avoidance.
     pub(super) fn record_outcome(&mut self, sent: &Attempt, outcome: Outcome, took: Time) {
         let (latency_target, now, common_fault) = (
             self.settings.classes[sent.class].latency_target,
@@ -56,7 +57,8 @@
             changed_servers.insert(sent.server);
             server.outcomes = (server.outcomes + 1.0).min(MAX_OUTCOME_COUNT);
         }
-        let refused = outcome == Outcome::ConnectFailed && common_fault < OUTLIER_SLOWNESS; // Where none can be made, no server's fault
+        // Where no connection can be made to any server it is no server's fault.
+        let refused = outcome == Outcome::ConnectFailed && common_fault < OUTLIER_SLOWNESS;
         let failed = refused || matches!(outcome, Outcome::Error | Outcome::Rejected);
         server.last_error = if failed { now } else { server.last_error };
         if failed || outcome == Outcome::Ok {
@@ -81,13 +83,13 @@
                 server.limit = MIN_CONCURRENCY;
                 FAILURE_SLOWNESS
             }
-            // Cut short: it would have taken at least this long.
+            // It would have taken at least this long.
             Outcome::Cancelled | Outcome::TimedOut if ratio > server.slowness[sent.class].0 => {
                 ratio
             }
             _ => return,
         };
-        // An error speaks of its class alone; what is slow or broken is so for all.
+        // An error is evidence on its class alone; a slow or broken server is so for all classes.
         for (class, (slowness, at)) in server.slowness.iter_mut().enumerate() {
             if class == sent.class || outcome != Outcome::Error {
                 // The older what was known, the more the new counts.
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Whether idle connections have lately been found broken.
+    /// Whether idle connections have recently been found broken.
     pub(super) fn idle_connections_reset(&self) -> bool {
         self.idle_resets.shortest > 0
             && self.now
@@ -106,7 +108,7 @@
                     + (SLOWNESS_DECAY_TARGETS * self.latency_target as f64) as Time
     }
 
-    /// A server's slowness as far as it is still known.
+    /// A server's slowness; it decays to 1 while nothing new is learned.
     pub(super) fn slowness(&self, server: &Server, class: usize) -> f64 {
         let (slowness, at) = server.slowness[class];
         1.0 + (slowness - 1.0)
@@ -114,18 +116,20 @@
                 .max(0.0)
     }
 
-    /// Whether a server fails what it is sent and was tried less than this share of the least aim
-    /// ago.
-    pub(super) fn is_failing(&self, server: &Server, share: f64) -> bool {
-        let again = server.last_error + (share * self.latency_target as f64) as Time;
+    /// Whether a server fails its requests and is not to be retried yet, which is for `ratio` of the
+    /// least latency target.
+    pub(super) fn is_failing(&self, server: &Server, ratio: f64) -> bool {
+        let again = server.last_error + (ratio * self.latency_target as f64) as Time;
         server.errors > FAILING_ERROR_RATE && (self.now < again || !server.calls.is_empty())
     }
 
+    /// Whether a server is ejected for being much slower than usual and than its median peer.
     pub(super) fn is_outlier(&self, server: &Server, class: usize) -> bool {
         self.slowness(server, class) > OUTLIER_SLOWNESS.max(2.0 * self.median_slowness[class])
     }
 
-    /// Looks over what is out: the oldest part at each server, the median peer, and who is silent.
+    /// Updates what is derived from all attempts and servers: the oldest attempt at each server,
+    /// whether the fault is common to many, and the median slowness of each class.
     pub(super) fn update_health_summary(&mut self) {
         self.oldest_attempt.clear();
         for sent in self.attempts_in_flight.values() {
@@ -152,9 +156,10 @@
         }
     }
 
-    /// Whether a server has answered nothing since a part went out to it, for long.
+    /// Whether a server has answered nothing since an attempt was sent to it, for long.
     pub(super) fn is_unresponsive(&self, id: ServerId, at: Time, class: usize) -> bool {
-        let quiet = self.servers.get(&id).is_some_and(|s| s.last_answer < at);
-        quiet && (self.now - at) as f64 >= UNRESPONSIVE_P95S * self.attempt_latency[class].p95
+        let no_answer_since = self.servers.get(&id).is_some_and(|s| s.last_answer < at);
+        no_answer_since
+            && (self.now - at) as f64 >= UNRESPONSIVE_P95S * self.attempt_latency[class].p95
     }
 }
--- a/dispatch/src/dispatcher/pacing.rs
+++ b/dispatch/src/dispatcher/pacing.rs
@@ -1,10 +1,10 @@
-//! How long answers take: the clock of copies.
+//! Latency estimates: windowed percentiles that set the delay of hedged requests.
 
 use super::parameters::{INITIAL_P95_RATIO, LATENCY_WINDOW};
 use crate::interface::Time;
 use std::collections::VecDeque;
 
-/// How long answers of one class took lately.
+/// Percentiles of the recent latencies of one class, in nanoseconds.
 #[derive(Debug, Default, Clone)]
 pub struct LatencyEstimate {
     pub(super) recent: VecDeque<Time>,
@@ -15,7 +15,7 @@
 }
 
 impl LatencyEstimate {
-    /// Before any answer: shares of the aim.
+    /// The estimate before any answer: ratios of the latency target.
     pub fn starting(latency_target: Time) -> Self {
         let p95 = INITIAL_P95_RATIO * latency_target as f64;
         LatencyEstimate {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// One more answer took so long.
+    /// Adds the latency of one answer.
     pub fn add(&mut self, took: Time) {
         self.recent.push_front(took);
         self.recent.truncate(LATENCY_WINDOW);
@@ -34,7 +34,8 @@
         sorted.sort_unstable();
         let at = |percent: usize| sorted[sorted.len() * percent / 100].max(1) as f64;
         if sorted.len() < LATENCY_WINDOW / 12 {
-            self.least = self.p95.min(at(99)); // Too few for a usual time; a part costs the longest, at the most
+            // Too few for percentiles: a part costs the longest seen, at the most.
+            self.least = self.p95.min(at(99));
             return;
         }
         (self.median, self.p95) = (at(50), at(95));
--- a/dispatch/src/dispatcher/parameters.rs
+++ b/dispatch/src/dispatcher/parameters.rs
@@ -101,6 +101,8 @@
 pub(super) const CONFIDENT_RATIO: f64 = 0.8;
 /// Ratio of a warming server's stated capacity that is used.
 pub(super) const SLOW_START_UTILIZATION: f64 = 0.7;
+/// Attempts whose times are remembered of each server.
+pub(super) const SENDS_REMEMBERED: usize = 4 * LATENCY_WINDOW;
 /// Bursts that must not overload a warming server, as a multiple of the mean answer rate.
 pub(super) const SLOW_START_BURST: f64 = 1.5;
 
--- a/dispatch/src/dispatcher/slow_start.rs
+++ b/dispatch/src/dispatcher/slow_start.rs
@@ -1,4 +1,8 @@
-//! How much a server that has just started is sent.
+//! Slow start: how much a server that has just started is sent.
+//!
+//! A warming server crashes when all aggregators together send it more than a stated multiple of its
+//! present capacity over a window. Aggregators do not talk to each other, so each sends its quota
+//! share of that budget; where the share is less than one part, they take turns by chance.
 
 use super::Aggregator;
 use super::parameters::{
@@ -7,14 +11,16 @@
 use super::state::{AnswerRate, Server};
 
 impl Aggregator {
+    /// Whether a server's slow start is over.
     pub(super) fn is_warmed_up(&self, server: &Server) -> bool {
         server
             .slow_start_from
             .is_none_or(|from| from + self.settings.slow_start <= self.now)
     }
 
-    /// Whether a cold server's told budget has room: of what a warm one bears, or one core at the
-    /// dearest class answered.
+    /// Whether a server may be sent one more part as far as its slow start is concerned. Its capacity
+    /// is taken to be what a warmed-up server sustains, or one core at the most expensive class that
+    /// has been answered.
     pub(super) fn slow_start_allows(&self, server: &Server) -> bool {
         let s = &self.settings;
         let in_slow_start = s.overload_window > 0 && !self.is_warmed_up(server);
@@ -42,9 +48,9 @@
             share * all,
             SLOW_START_BURST * self.mean_answer_rate() * overload_window,
         );
-        // A share below one part is rounded up: to one, or to two where two of each are chance or
-        // one of each is not any more. Of a burst that would bring out too many only a share of the
-        // aggregators goes on, by their turns.
+        // A quota share below one part is rounded up: to one, or to two where two of each aggregator
+        // are chance, or one of each is not any more. Of a burst in which too many would send only
+        // a part of the aggregators goes on, by their turns.
         let (chance, burst) = (
             budget + 2.0 * budget.sqrt() + 2.0,
             all * (2.0 - (2.0 + ask) * (-ask).exp()),
@@ -72,9 +78,9 @@
         sent(1.0) as f64 + 1.0 <= most && (parts >= 1.0 || sent(2.0 / parts) < 2 && !early)
     }
 
-    /// Parts that a warm server bears for this aggregator in a nanosecond: what one lately answers
-    /// on average, or what the busiest sound one surely does, as far as its last sends are more
-    /// than chance.
+    /// Parts that a warmed-up server sustains for this aggregator, in parts a nanosecond: the mean
+    /// answer rate, or the rate of the busiest server that is not slow, as far as its last attempts
+    /// are more than chance.
     pub(super) fn sustained_rate(&self) -> f64 {
         let sound = self
             .servers
@@ -89,12 +95,10 @@
         }))
     }
 
-    /// Parts that warm servers answer on average for this aggregator in a nanosecond, as far as it
-    /// is known.
+    /// Parts that a warmed-up server answers on average for this aggregator, in parts a nanosecond.
     pub(super) fn mean_answer_rate(&self) -> f64 {
         let (AnswerRate { rate, last }, s) = (&self.answer_rate, &self.settings);
-        // Soon after the start the average holds little yet; one query must not pass for a steady
-        // load.
+        // Soon after the start the average rests on little; one query must not pass for a steady load.
         let known = last
             .saturating_sub(self.started_at.unwrap_or(*last))
             .max(s.overload_window) as f64;
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -165,3 +165,11 @@
     /// Until when it waits for answers to probes; 0 where none were sent.
     pub(super) probe_until: Time,
 }
+
+/// A part that waits to be sent.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PendingPart {
+    pub(super) id: PartId,
+    pub(super) shard: u32,
+    pub(super) weight: f64,
+}
--- a/dispatch/src/interface.rs
+++ b/dispatch/src/interface.rs
@@ -1,4 +1,4 @@
-//! The types that the decision module takes in and gives out, and nothing else.
+//! The events that an aggregator takes, the actions that it returns, and its settings.
 //!
 //! All times are nanoseconds of one clock that only moves forward; durations are nanoseconds too.
 
@@ -19,38 +19,39 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// What repeating a part of a class may do.
+/// What a repeated part of a class does at a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// Idempotent: safe to repeat.
     #[default]
     Safe,
-    /// Repeats are dropped for the class's `key_lifetime` from the first attempt that may have run.
+    /// Carries an idempotency key: servers drop repeats for the class's `key_lifetime` after the
+    /// first attempt that may have run.
     Keyed,
-    /// To be sent again only when every earlier attempt is known not to have run.
+    /// Not idempotent: sent again only when every earlier attempt is known not to have run.
     Unsafe,
 }
 
 /// One class of query.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer inside this time has the full worth.
+    /// An answer within this time has its full value.
     pub latency_target: Time,
-    /// The time a client waits in all, across its tries.
+    /// How long a client waits in all, over its first request and its retries.
     pub deadline: Time,
-    /// Worth of a whole answer.
+    /// Value of a complete answer.
     pub value: f64,
-    /// Portion of the worth for an answer after the aim.
+    /// Ratio of the value that an answer after the latency target still has.
     pub late_value: f64,
-    /// What a repeat may do.
+    /// What a repeated part does.
     pub effect: Effect,
-    /// How long repeats of a keyed part are dropped.
+    /// How long servers drop repeats of a part with an idempotency key.
     pub key_lifetime: Time,
-    /// Least portion of the parts' weight an answer may rest on.
+    /// Least ratio of the parts' weight that an answer may rest on.
     pub floor: f64,
-    /// Portion of the parts' weight that makes a whole answer.
+    /// Ratio of the parts' weight that makes an answer complete.
     pub need: f64,
-    /// An answer short of whole earns this times its share of the need.
+    /// Value of a partial answer, as a multiple of its ratio of the need.
     pub partial_value: f64,
     /// Parts of the second step; 0 for a class with one step.
     pub second_step: u32,
@@ -60,7 +61,7 @@
     pub retired: bool,
 }
 
-/// The stated limit on attempts beyond each part's first.
+/// The stated retry budget: a limit on attempts beyond each part's first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
     /// Attempts permitted however light the traffic.
@@ -71,7 +72,7 @@
     pub window: Time,
 }
 
-/// What an aggregator is told when it starts.
+/// The settings of an aggregator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Number of aggregators in the tier.
@@ -80,7 +81,7 @@
     pub zone: u32,
     /// Shortest gap between two turns.
     pub tick: Time,
-    /// True where the server list must be asked for.
+    /// Whether the endpoint list must be requested.
     pub discovery_on_request: bool,
     /// The classes of query.
     pub classes: Vec<Class>,
@@ -90,53 +91,53 @@
     pub replication_factor: u32,
     /// The most parts that share one call.
     pub call_parts: u32,
-    /// Work of a call beside that of its parts; 0 where calls cost nothing.
+    /// Work of a call beside that of its parts, in nanoseconds; 0 where calls cost nothing.
     pub call_work: Time,
-    /// How many queries and parts may be held.
+    /// How many queries and parts may be open.
     pub max_open: u32,
-    /// Whether an attempt may be called off.
+    /// Whether an attempt may be cancelled.
     pub can_cancel: bool,
     /// Whether servers may be probed.
     pub can_probe: bool,
-    /// Points taken off for each probe, by part.
+    /// Price of a probe for each part, in units of a query's value.
     pub probe_price: f64,
-    /// Points taken off for work that brought no answer, as a share of all work.
+    /// Price of work that brought no answer, as a ratio of all work, in units of a query's value.
     pub waste_price: f64,
-    /// Whether a part may have two attempts out.
+    /// Whether a part may have two attempts in flight (hedged requests).
     pub can_hedge: bool,
-    /// Whether clients say of a repeat that it is one.
+    /// Whether clients mark retries.
     pub retries_marked: bool,
-    /// The longest advice to keep away that clients follow; 0 where they get none.
+    /// The longest retry-after that clients honour; 0 where they are sent none.
     pub max_retry_after: Time,
-    /// How long an aggregator may go without asking for the list.
+    /// The oldest endpoint list that an aggregator may work by before it must request a new one.
     pub max_list_age: Time,
-    /// How long sends to a draining or gone server may go on.
+    /// How long attempts may still be started at a draining or removed server.
     pub drain_grace: Time,
-    /// Least portion of its capacity that a server starts with.
+    /// Ratio of its capacity that a server starts with.
     pub initial_capacity: f64,
-    /// A started server is warm after this.
+    /// How long the slow start of a server takes.
     pub slow_start: Time,
-    /// Sent more than this multiple of its present capacity ...
+    /// A server in slow start crashes when sent more than this multiple of its present capacity ...
     pub overload_multiple: f64,
-    /// ... for this long, a cold server falls over.
+    /// ... over a window of this length.
     pub overload_window: Time,
-    /// The stated budget of further attempts, if any.
+    /// The stated retry budget, if any.
     pub budget: Option<Budget>,
 }
 
-/// What the list says of a server.
+/// The status of a server in the endpoint list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ServerStatus {
     /// Takes work.
     #[default]
     Ready,
-    /// Finishes its work and takes nothing new.
+    /// Finishes its requests and takes no new ones.
     Draining,
-    /// Taken away.
+    /// No longer a server.
     Removed,
 }
 
-/// One line of the server list.
+/// One server of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Endpoint {
     /// Which server.
@@ -147,24 +148,24 @@
     pub kind: u32,
     /// Its cell.
     pub cell: u32,
-    /// What the list says of it.
+    /// Its status.
     pub status: ServerStatus,
     /// Its size as registered, unitless.
     pub size: f64,
     /// When it last started; 0 for long ago.
     pub started_at: Time,
-    /// Taken out by hand, whatever the list says of it.
+    /// Excluded by an operator, whatever its status.
     pub excluded: bool,
 }
 
-/// How a list event relates to the list held so far.
+/// How an update relates to the endpoint list known so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
     /// Only what changed.
     Partial,
-    /// The whole list; a server not in it is gone.
+    /// The complete list; a server that is not in it has been removed.
     Complete,
-    /// The list held before the start, perhaps out of date.
+    /// The list that was stored before the start, perhaps out of date.
     Persisted,
 }
 
@@ -175,7 +176,7 @@
     Ok,
     /// The server replied with an error; it may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// Rejected before it ran.
     Rejected,
     /// No answer in time; it may have run or be running.
     TimedOut,
@@ -183,7 +184,7 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     Skipped,
@@ -197,14 +198,15 @@
 }
 
 impl Class {
-    /// Whether an answer short of whole is worth nothing.
+    /// Whether a partial answer has no value.
     pub fn needs_all(&self) -> bool {
         self.floor >= self.need
     }
 }
 
 impl Default for Class {
-    /// A class of one step that is safe to repeat and needs every part, with an aim of a second.
+    /// A class of one step that is safe to repeat and needs every part, with a latency
+    /// target of a second.
     fn default() -> Self {
         Class {
             latency_target: 1_000_000_000,
@@ -224,8 +226,8 @@
 }
 
 impl Default for Settings {
-    /// A lone aggregator with one class and one cell, where copies and cancels are allowed and no
-    /// server starts cold.
+    /// A lone aggregator with one class and one cell, where hedging and cancelling are allowed
+    /// and servers have no slow start.
     fn default() -> Self {
         Settings {
             aggregators: 1,
@@ -259,39 +261,39 @@
 /// What a server reports of its load; late and noisy. A value not reported is absent.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests it holds.
+    /// Requests in flight.
     pub in_flight: Option<f64>,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: Option<f64>,
-    /// Portion of its cores in use.
+    /// Ratio of its cores in use.
     pub busy: Option<f64>,
 }
 
-/// What an aggregator has learned of a server, for another life of it.
+/// What an aggregator has learned of a server, for its next incarnation.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedServer {
     /// How slow it is for each class; 1 is like its peers.
     pub slowness: Vec<f64>,
-    /// Its smoothed delay, as a share of the least aim.
+    /// Its smoothed delay, as a ratio of the latency target.
     pub delay: f64,
-    /// Calls that it may have out.
+    /// Its concurrency limit, in calls.
     pub limit: f64,
-    /// Its smoothed share of errors.
+    /// Its smoothed error rate, from 0 to 1.
     pub errors: f64,
-    /// How many judged answers that rests on, up to a bound.
+    /// How many outcomes that rests on, up to a bound.
     pub answers: f64,
 }
 
-/// What an aggregator has learned of a class's times.
+/// What an aggregator has learned of a class's latency, in nanoseconds.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedLatency {
     /// The median.
     pub median: f64,
     /// The 95th percentile.
     pub p95: f64,
-    /// The least median.
+    /// The least recent median.
     pub least: f64,
-    /// How many answers it rests on; 0 for what every aggregator begins with.
+    /// How many answers it rests on; 0 for the initial estimate.
     pub answers: usize,
 }
 
@@ -300,38 +302,37 @@
 pub struct Learned {
     /// Servers.
     pub servers: Vec<(ServerId, LearnedServer)>,
-    /// Each class's times of parts.
+    /// How long parts take, by class.
     pub parts: Vec<LearnedLatency>,
-    /// Each class's times of answered attempts.
+    /// How long answered attempts take, by class.
     pub attempts: Vec<LearnedLatency>,
 }
 
-/// Something that happened, as one aggregator sees it.
+/// Something that happened at one aggregator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// What an earlier life of this aggregator had learned, as far as it still counts; after the
-    /// list it is about.
+    /// What an earlier incarnation of this aggregator had learned, as far as it is still valid. Comes
+    /// after the endpoint list.
     Restore(Arc<Learned>),
-    /// Other settings hold from now on. Classes that queries are of keep their places; the whole
-    /// list follows.
+    /// New settings are in force. Classes that open queries belong to keep their index; the complete
+    /// endpoint list follows.
     Settings {
         /// The settings.
         settings: Arc<Settings>,
-        /// For each class the one of before that it goes on from.
+        /// For each class the index of the former class that its estimates are taken from.
         from: Arc<[Option<usize>]>,
     },
-    /// News of the server list.
+    /// An update of the endpoint list.
     Endpoints {
-        /// How it relates to the list held.
+        /// How it relates to the list known so far.
         kind: ListKind,
-        /// The lines.
+        /// The servers.
         entries: Arc<[Endpoint]>,
     },
-    /// Asking for the list failed, or the subscription broke.
+    /// Requesting the endpoint list failed, or the subscription ended.
     DiscoveryFailed {
-        /// Discovery could not be reached then, or said no: what it has to tell counts from then
-        /// on. Otherwise it fell silent, left the call without an answer, or said what could not be
-        /// used.
+        /// Discovery could not be reached, or rejected the request. Otherwise it timed out, or its
+        /// answer was malformed.
         refused: bool,
     },
     /// A query was taken; its parts follow in the same turn.
@@ -340,13 +341,13 @@
         id: QueryId,
         /// Its number at this aggregator; its parts carry the same.
         number: u64,
-        /// Its class, by place in the settings.
+        /// Its class, by index in the settings.
         class: usize,
         /// How many parts its first step has.
         parts: u32,
-        /// How long until the client leaves this try.
+        /// How long until the client gives this request up.
         client_timeout: Time,
-        /// The client said that this is a repeat.
+        /// The client marked this as a retry.
         is_retry: bool,
     },
     /// A part of a query.
@@ -360,7 +361,7 @@
         /// Its weight among the parts of its step.
         weight: f64,
     },
-    /// An attempt ended; each send has exactly one of these.
+    /// An attempt ended. Each [`Action::Send`] is followed by exactly one of these.
     AttemptEnded {
         /// Which part.
         part: PartId,
@@ -370,17 +371,17 @@
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// How long it was out.
+        /// How long it was in flight.
         took: Time,
         /// The server's load report, where one came along.
         load: LoadReport,
     },
-    /// The client of a query has left.
+    /// The client of a query has disconnected or cancelled it.
     ClientLeft {
         /// Which query.
         id: QueryId,
     },
-    /// A wake-up that was asked for is due.
+    /// A wake-up that was requested is due.
     Wake,
     /// A probe ended.
     ProbeEnded {
@@ -395,16 +396,16 @@
     },
 }
 
-/// Something the aggregator decides to do.
+/// Something that the aggregator has decided to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start an attempt for a part.
     Send {
         /// Which part.
         part: PartId,
-        /// To which server; it must hold the part's shard.
+        /// To which server; it is a replica of the part's shard.
         server: ServerId,
-        /// When to stop waiting for it.
+        /// Its deadline.
         until: Time,
     },
     /// Stop waiting for an attempt.
@@ -418,28 +419,28 @@
     Answer {
         /// Which query.
         query: QueryId,
-        /// True for a whole answer.
+        /// Whether the answer is complete.
         complete: bool,
     },
-    /// Turn a query away; asking again is harmless.
+    /// Reject a query; the client may safely retry.
     Reject {
         /// Which query.
         query: QueryId,
-        /// How long the client ought to keep away; 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Time,
     },
-    /// Give a query up, with no promise on its effect.
+    /// Fail a query that may have taken effect.
     Fail {
         /// Which query.
         query: QueryId,
     },
-    /// Ask for a [`Event::Wake`] at this time.
+    /// Request an [`Event::Wake`] at this time.
     WakeAt(Time),
-    /// Ask a server for its load.
+    /// Probe a server for its load.
     Probe(ServerId),
-    /// Subscribe to changes of the server list, or stop.
+    /// Subscribe to updates of the endpoint list, or unsubscribe.
     Watch(bool),
-    /// Ask once for the whole server list.
+    /// Request the complete endpoint list once.
     Fetch,
     /// Close the idle connections to a server.
     Close(ServerId),
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,5 +1,5 @@
-//! Dispatch decisions of a gatherer: where a query's parts go, when a copy is sent, when to give
-//! up.
+//! Dispatch decisions of a gatherer: where a query's parts go, when it is hedged, and when
+//! it is rejected.
 //!
 //! No I/O: a program feeds [`Aggregator`] with [`Event`]s and carries out the [`Action`]s it
 //! returns. `bitternsill` does so on sockets, `bitternsill-simhost` on the simulator's wire.
--- a/dispatch/src/timers.rs
+++ b/dispatch/src/timers.rs
@@ -1,9 +1,9 @@
-//! Timers of a state machine that is told the time.
+//! Timers of a state machine whose caller provides the time.
 
 use crate::interface::Time;
 use std::collections::BTreeSet;
 
-/// Timers by their moments, and the wake-up that was last asked for.
+/// Timers in order of their time, and the wake-up that was last requested.
 #[derive(Debug)]
 pub struct Timers<T> {
     set: BTreeSet<(Time, T)>,
@@ -32,12 +32,12 @@
         Some(first.1)
     }
 
-    /// Whether a timer is set, for whatever moment.
+    /// Whether a timer is set, for any time.
     pub fn has(&self, timer: T) -> bool {
         self.set.iter().any(|(_, other)| *other == timer)
     }
 
-    /// When to be woken next; none where that was asked for before and is still ahead.
+    /// When to be woken next; none where a wake-up no later is already requested.
     pub fn next_wake(&mut self, now: Time) -> Option<Time> {
         let first = self.set.first().map(|(at, _)| *at);
         let next = first.filter(|at| self.wake <= now || *at < self.wake);
