--- a/router/src/proxy/exchange.rs
+++ b/router/src/proxy/exchange.rs
@@ -16,7 +16,7 @@
 use control::configuration::{Kind, Route};
 use hyper::header::HeaderName;
 use routing::admission::AdmissionController;
-use routing::hedging::{HedgeBudget, Pace};
+use routing::hedging::{HedgeBudget, LatencyEstimate};
 use routing::prefix_index::{PrefixKey, PrefixLocation};
 use routing::retry_budget::{RetryBudget, RetryLimits};
 use std::collections::HashMap;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub(super) struct Learned {
     /// How long answers take.
-    pub(super) pace: Pace,
+    pub(super) pace: LatencyEstimate,
     /// Copies that may still be sent.
     pub(super) copies: HedgeBudget,
 }
@@ -130,7 +130,7 @@
     pub(super) fn with_learned<T>(&self, job: &Job, look: impl FnOnce(&mut Learned) -> T) -> T {
         let mut learned = lock(&self.learned);
         let entry = learned.entry(Self::kind(job)).or_insert_with(|| Learned {
-            pace: Pace::starting(job.route.target_latency_ms * 1_000_000),
+            pace: LatencyEstimate::starting(job.route.target_latency_ms * 1_000_000),
             copies: HedgeBudget::default(),
         });
         look(entry)
--- a/routing/src/hedging.rs
+++ b/routing/src/hedging.rs
@@ -3,7 +3,7 @@
 //! When a request is hedged follows from [`Pace`], the latency estimate that routers share with
 //! the gatherer ("The Tail at Scale", Dean and Barroso, 2013).
 
-pub use dispatch::dispatcher::Pace;
+pub use dispatch::dispatcher::LatencyEstimate;
 
 /// Hedges that each first attempt adds to the budget.
 const HEDGES_PER_REQUEST: f64 = 0.1;
--- a/routing/tests/decisions.rs
+++ b/routing/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! Decisions of the data plane: hedges, retries and choice.
 
-use routing::hedging::{HedgeBudget, Pace};
+use routing::hedging::{HedgeBudget, LatencyEstimate};
 use routing::prompt::Prompt;
 use routing::retry_budget::{RetryBudget, RetryLimits};
 use routing::selection::{Candidate, least_loaded};
@@ -10,7 +10,7 @@
 
 #[test]
 fn hedge_delay_follows_recent_p95() {
-    let mut pace = Pace::starting(1_000 * MS);
+    let mut pace = LatencyEstimate::starting(1_000 * MS);
     assert_eq!(pace.p95, 300.0 * MS as f64);
     for took in 1..=100 {
         pace.add(took * MS);
