--- a/control/src/rollout/confirmations.rs
+++ b/control/src/rollout/confirmations.rs
@@ -83,7 +83,7 @@
                 unconfirmed.push(UnconfirmedOrder {
                     backend: id.clone(),
                     order: order.clone(),
-                    reported_version: reported_version,
+                    reported_version,
                 });
             }
         }
--- a/control/src/storage.rs
+++ b/control/src/storage.rs
@@ -106,7 +106,7 @@
         Ok(records)
     } else {
         Err(StorageError::Truncated {
-            valid_length: valid_length,
+            valid_length,
         })
     }
 }
