--- a/bitternsill/src/admin/door.rs
+++ b/bitternsill/src/admin/door.rs
@@ -130,7 +130,11 @@
                 if call.operation != Operation::Ready {
                     tracing::info!(%call, peer = %self.peer, status = response.status, "operator's call");
                     if let Some(versions) = &cx.world.versions {
-                        versions.called(&format!("{call}: {}", response.status), cx.now, cx.net);
+                        versions.record_call(
+                            &format!("{call}: {}", response.status),
+                            cx.now,
+                            cx.net,
+                        );
                     }
                 }
                 response
--- a/bitternsill/src/fleet.rs
+++ b/bitternsill/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `bitternsill fleet`: what is asked of a whole fleet.
+//! `bitternsill fleet`: commands to a whole fleet of gatherers.
 
 use crate::recovery::cli::{self as phase, Phase};
 use crate::versions::audit::{self, Audit};
@@ -19,7 +19,7 @@
     Audit(Audit),
 }
 
-/// What is printed, and whether all is well.
+/// What is printed, and whether the command succeeded.
 pub fn run(call: &FleetCall) -> (String, bool) {
     match call {
         FleetCall::Phase(call) => phase::run(call),
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -32,8 +32,8 @@
 use store::member::{Reply, Write};
 use store::packet::Change;
 use turned::Turned;
-use versions::standing::Standing;
-use versions::trail::Entry;
+use versions::audit_log::Entry;
+use versions::status::Status;
 
 /// What connections are told.
 #[derive(Debug)]
@@ -112,14 +112,14 @@
     /// The gatherer returns, and has come no further than this.
     Returning(recovery::phase::Phase),
     /// It may not act on the version that it runs, or an operator has it held back.
-    Version(Standing),
+    Version(Status),
 }
 
 impl std::fmt::Display for Wait {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Wait::Returning(phase) => return write!(f, "the gatherer returns, and is {phase}"),
-            Wait::Version(Standing::ShutOut) => {
+            Wait::Version(Status::Suspended) => {
                 "the version that it runs is not known to be active"
             }
             Wait::Version(_) => "an operator has it held back",
@@ -191,9 +191,9 @@
         } else if let Some(versions) = self
             .versions
             .as_ref()
-            .filter(|versions| !versions.may_act(now))
+            .filter(|versions| !versions.may_accept(now))
         {
-            Some(Wait::Version(versions.standing()))
+            Some(Wait::Version(versions.status()))
         } else if self.ready_by.is_some_and(|by| by > now) {
             Some(Wait::FirstList)
         } else if !self.hosts.any_active() {
@@ -428,7 +428,7 @@
         if let Some(sweep) = self.orders.drain.sweep(now) {
             self.clients.sweep(net, sweep);
         }
-        self.note_ends(net, now);
+        self.record_ends(net, now);
         self.go_on_returning(net, now);
         self.advance(net, now);
         self.say_waits(now);
--- a/bitternsill/src/front/platform/client.rs
+++ b/bitternsill/src/front/platform/client.rs
@@ -117,7 +117,7 @@
                 // Asked with a clock read now: the process may have stood still since this round
                 // began.
                 if let (Ok(_), Some(versions)) = (&ask, &world.versions)
-                    && !versions.may_act(cx.net.now())
+                    && !versions.may_accept(cx.net.now())
                 {
                     let hold_off = world.core.longest_hold_off();
                     return Handled::Done(query::respond(&Answer::Refused { hold_off }));
--- a/bitternsill/src/front/signals.rs
+++ b/bitternsill/src/front/signals.rs
@@ -132,7 +132,7 @@
                     .world
                     .versions
                     .as_ref()
-                    .is_some_and(|versions| versions.runs() != 0) =>
+                    .is_some_and(|versions| versions.running() != 0) =>
             {
                 tracing::warn!(
                     "the file's settings are not taken: the store's version is in force"
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -430,11 +430,11 @@
         gatherer.ready_by = None;
     }
     if let Some((setup, prepare)) = plan.versions {
-        let life = random_seed();
-        gatherer.versions = Some(Versions::begin(
+        let incarnation = random_seed();
+        gatherer.versions = Some(Versions::start(
             setup,
             plan.name.clone(),
-            life,
+            incarnation,
             prepare,
             net,
         ));
@@ -451,7 +451,7 @@
         let patience = std::time::Duration::from_nanos(limits.last_picture);
         keeper.finish(&mut gatherer.core, &gatherer.hosts, net.now(), patience);
     }
-    gatherer.note_ends(net, net.now());
+    gatherer.record_ends(net, net.now());
     if let Some(versions) = gatherer.versions.take() {
         versions.finish(
             net.now(),
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -1,242 +1,194 @@
-//! Versions of the configuration on the loop: what the store says is prepared and switched to, how
-//! old that is decides whether clients are taken, and what was done under which version is noted.
-//! The package `versions` decides; off where no operator's file has it.
+//! Versions of the configuration in the event loop of a gatherer. The package `versions` decides;
+//! this module connects it with the store, the dispatcher and the audit log. Off unless the
+//! operator's file has a section `versions`.
 
 pub mod activation;
+mod agent;
 pub mod audit;
+pub mod audit_writer;
 pub mod cli;
 pub mod collect;
-pub mod scribe;
+pub mod keys;
+mod setup;
+
+pub use agent::connect;
+pub use setup::VersionsSetup;
 
 use crate::front::signals::Fresh;
 use crate::front::{Gatherer, Message};
-use crate::net::{Connection, Context, Net, Ready, Token};
-use crate::store::asks::Asker;
+use crate::net::{Net, Token};
 use ::recovery::bearing::Came;
 use ::recovery::phase::Phase;
+use audit_writer::{AuditWriter, FinalEntries};
 use dispatch::interface::Time;
-use serde::Deserialize;
 use serde_json::{Value as Json, json};
-use std::io;
-use std::path::PathBuf;
-use std::time::Duration;
-use store::member::{Call, Reply};
-use store::packet::Change;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use versions::Version;
+use versions::audit_log::{Entry, Record, ServedCounter};
+use versions::lease::{Config, VersionLease};
 use versions::registration::Registration;
-use versions::standing::{Account, Standing, Terms};
-use versions::trail::{Entry, Ledger, Mark};
-
-type Cx<'a> = Context<'a, Gatherer>;
-
-/// What an operator's file says of versions.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct VersionsSetup {
-    /// Milliseconds after it last asked, with an answer, for which this gatherer acts on what it
-    /// was told.
-    #[serde(default = "validity_ms")]
-    pub validity_ms: u64,
-    /// Milliseconds for which answers have to come again before one that was shut out takes
-    /// clients.
-    #[serde(default = "steady_ms")]
-    pub steady_ms: u64,
-    /// The folder of its trail; without one nothing is noted.
-    #[serde(default)]
-    pub trail: Option<PathBuf>,
-    /// Milliseconds between two notes of what was done.
-    #[serde(default = "note_ms")]
-    pub note_ms: u64,
-    /// For tests: the trail's disk is full while there is such a file.
-    #[serde(default)]
-    pub test_full_while: Option<PathBuf>,
-}
-
-fn validity_ms() -> u64 {
-    10_000
-}
+use versions::status::Status;
 
-fn steady_ms() -> u64 {
-    5_000
-}
+/// Nanoseconds in a millisecond.
+const NANOS_PER_MS: Time = 1_000_000;
 
-fn note_ms() -> u64 {
-    10_000
-}
-
-/// The newest form of the document that this program reads: 1 has `settings`, as they stand in a
-/// configuration, and `least`, the share of gatherers that goes on without a store.
+/// The newest format of the document that this program reads. Format 1 has `settings`, as in a
+/// configuration, and `least`, the fraction of gatherers that serves on without a store.
 pub const FORMAT: u64 = 1;
 
-/// Keys of the store: the proposal, what is active, what was, and what is said of or by each
-/// gatherer.
-pub const NEXT: &str = "config/next";
-/// What is active.
-pub const ACTIVE: &str = "config/active";
-/// What was active of late, by its proposal.
-pub const PAST: &str = "config/past/";
-/// That a proposal was ever active: the revision of its key is the version.
-pub const WAS: &str = "config/was/";
-/// Each gatherer's word on the proposal.
-pub const WORD: &str = "config/word/";
-/// Gatherers that an activation need not wait for.
-pub const OUT: &str = "config/out/";
-/// Gatherers that an operator has held back.
-pub const HELD: &str = "config/held/";
-/// What each gatherer is and runs.
-pub const GATHERERS: &str = "gatherers/";
-/// How far each gatherer's trail goes.
-pub const TRAILS: &str = "trail/";
-
-/// Makes of settings what they mean to this program, or says why they cannot be used.
+/// Prepares settings for use by this program, or says why they cannot be used.
 pub type Prepare = Box<dyn Fn(&Json) -> Result<Fresh, String>>;
 
-/// Which version this gatherer acts on.
+/// The version that this gatherer runs, and whether it may serve under it.
 pub struct Versions {
-    account: Account,
+    lease: VersionLease,
     name: String,
-    life: u64,
+    incarnation: u64,
     setup: VersionsSetup,
     prepare: Prepare,
     agent: Option<Token>,
-    trail: Option<(Token, scribe::LastWord)>,
-    ledger: Ledger,
-    note_at: Time,
-    /// The proposal and the version that it has had its say on.
-    said: u64,
-    tried: Version,
-    /// Whether this process has its gatherer's name.
+    audit_log: Option<(Token, FinalEntries)>,
+    served: ServedCounter,
+    /// When the served queries are recorded next.
+    flush_at: Time,
+    /// The last proposal that this gatherer has voted on.
+    voted_on: u64,
+    /// The last version that it has attempted to switch to.
+    attempted: Version,
+    /// Whether this process still has its gatherer's name.
     registration: Registration,
 }
 
 impl Versions {
-    /// Begins it; asks for what is active at once.
-    pub fn begin(
+    /// Opens the audit log and starts the agent, which queries the active version at once.
+    pub fn start(
         setup: VersionsSetup,
         name: String,
-        life: u64,
+        incarnation: u64,
         prepare: Prepare,
         net: &mut Net<Gatherer>,
     ) -> Versions {
-        let ms = |count: u64| count.saturating_mul(1_000_000);
-        let terms = Terms {
+        let ms = |count: u64| count.saturating_mul(NANOS_PER_MS);
+        let config = Config {
             validity: ms(setup.validity_ms),
-            steady: ms(setup.steady_ms),
+            recovery: ms(setup.steady_ms),
         };
         let now = net.now();
-        let trail = setup.trail.as_ref().and_then(|folder| {
-            match scribe::Scribe::open(folder, &name, setup.test_full_while.clone()) {
-                Ok((scribe, last)) => Some((net.open(Box::new(scribe)), last)),
-                Err(problem) => {
-                    tracing::error!(folder = %folder.display(), %problem, "no trail is kept: its folder cannot be used");
-                    None
-                }
-            }
-        });
-        let agent = Some(net.open(Box::new(Agent)));
-        let note_at = now + ms(setup.note_ms);
+        let audit_log = open_audit_log(&setup, &name, net);
+        let agent = Some(net.open(Box::new(agent::Agent)));
         let versions = Versions {
-            account: Account::new(terms, 0, false, now),
+            lease: VersionLease::new(config, 0, false, now),
             name,
-            life,
+            incarnation,
+            flush_at: now + ms(setup.note_ms),
             setup,
             prepare,
             agent,
-            trail,
-            ledger: Ledger::default(),
-            note_at,
-            said: 0,
-            tried: 0,
-            registration: Registration::new(life),
+            audit_log,
+            served: ServedCounter::default(),
+            voted_on: 0,
+            attempted: 0,
+            registration: Registration::new(incarnation),
+        };
+        let wall = SystemTime::now().duration_since(UNIX_EPOCH);
+        let record = Record::Started {
+            name: versions.name.clone(),
+            incarnation,
+            wall_ms: wall.map_or(0, |since| since.as_millis() as u64),
+            validity: config.validity,
         };
-        let wall = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        let wall = wall.map_or(0, |since| since.as_millis() as u64);
-        let (name, validity) = (versions.name.clone(), terms.validity);
-        versions.note(
-            vec![(
-                now,
-                Mark::Began {
-                    name,
-                    life,
-                    wall,
-                    validity,
-                },
-            )],
-            net,
-        );
+        versions.record(vec![(now, record)], net);
         versions
     }
 
-    /// Whether a query may be taken at this very moment.
-    pub fn may_act(&self, now: Time) -> bool {
-        self.account.may_act(now)
+    /// Whether a query of a client may be accepted at this very moment.
+    pub fn may_accept(&self, now: Time) -> bool {
+        self.lease.may_accept(now)
     }
 
-    /// How it stands.
-    pub fn standing(&self) -> Standing {
-        self.account.standing()
+    /// The status towards the active version.
+    pub fn status(&self) -> Status {
+        self.lease.status()
     }
 
     /// The version that it runs.
-    pub fn runs(&self) -> Version {
-        self.account.runs()
+    pub fn running(&self) -> Version {
+        self.lease.running()
     }
 
-    /// The object that keeps its trail.
+    /// The connection that writes the audit log.
     pub fn trail(&self) -> Option<Token> {
-        self.trail.as_ref().map(|(token, _)| *token)
+        self.audit_log.as_ref().map(|(token, _)| *token)
     }
 
-    /// When its acts are noted next.
+    /// When the served queries are recorded next.
     pub fn due(&self) -> Option<Time> {
-        self.trail.as_ref().map(|_| self.note_at)
+        self.audit_log.as_ref().map(|_| self.flush_at)
     }
 
-    /// What it says of itself to those who ask.
-    pub fn line(&self, now: Time) -> Json {
-        let left = self
-            .account
-            .valid_until()
-            .map(|until| until.saturating_sub(now) / 1_000_000);
-        json!({"runs": self.runs(), "standing": self.standing().to_string(), "held": self.account.is_held(),
-               "valid_ms": left, "displaced": self.registration.is_displaced()})
+    /// The part of a status response about versions.
+    pub fn to_json(&self, now: Time) -> Json {
+        let valid_until = self.lease.valid_until();
+        let valid_ms = valid_until.map(|until| until.saturating_sub(now) / NANOS_PER_MS);
+        json!({
+            "runs": self.running(),
+            "standing": self.status().to_string(),
+            "held": self.lease.is_on_hold(),
+            "valid_ms": valid_ms,
+            "displaced": self.registration.is_displaced(),
+        })
     }
 
-    fn note(&self, marks: Vec<(Time, Mark)>, net: &mut Net<Gatherer>) {
-        if let Some(trail) = self.trail().filter(|_| !marks.is_empty()) {
-            net.post(
-                trail,
-                Message::Noted(marks.into_iter().map(entry).collect()),
-            );
+    /// Records an operator's command.
+    pub fn record_call(&self, call: &str, now: Time, net: &mut Net<Gatherer>) {
+        let record = Record::OperatorCall {
+            version: self.running(),
+            call: call.to_owned(),
+        };
+        self.record(vec![(now, record)], net);
+    }
+
+    /// Records what was served until now, and that this incarnation stopped gracefully. Waits for
+    /// the disk no longer than `timeout`.
+    pub fn finish(mut self, now: Time, timeout: Duration) {
+        let records = self.drain_served(now);
+        if let Some((_, final_entries)) = &self.audit_log {
+            let records = records.into_iter().chain([(now, Record::Stopped)]);
+            final_entries.write(records.map(entry).collect(), timeout);
         }
     }
 
-    /// Notes what was done until the end, and that this life ended in order; waits so long for the
-    /// disk at the most.
-    pub fn finish(mut self, now: Time, patience: Duration) {
-        let marks = self.counted(now);
-        if let Some((_, last)) = &self.trail {
-            let marks = marks.into_iter().chain([(now, Mark::Ended)]);
-            last.say(marks.map(entry).collect(), patience);
+    fn record(&self, records: Vec<(Time, Record)>, net: &mut Net<Gatherer>) {
+        if let Some(writer) = self.trail().filter(|_| !records.is_empty()) {
+            let entries = records.into_iter().map(entry).collect();
+            net.post(writer, Message::Noted(entries));
         }
     }
 
-    /// What was counted, behind the proof that it rests on.
-    fn counted(&mut self, now: Time) -> Vec<(Time, Mark)> {
-        let proof = self
-            .account
-            .told()
-            .map(|(asked, version)| (now, Mark::Proved { asked, version }));
-        let acts = self
-            .ledger
-            .take(now)
-            .into_iter()
-            .map(|entry| (entry.at, entry.mark));
-        proof.into_iter().chain(acts).collect()
+    /// The records of what was served, after the confirmation that it rests on: the audit checks
+    /// them in the order of the log.
+    fn drain_served(&mut self, now: Time) -> Vec<(Time, Record)> {
+        let confirmation = self.lease.last_response().map(|response| {
+            let record = Record::Confirmed {
+                queried_at: response.queried_at,
+                version: response.active,
+            };
+            (now, record)
+        });
+        let served = self.served.drain(now).into_iter();
+        let served = served.map(|entry| (entry.at, entry.record));
+        confirmation.into_iter().chain(served).collect()
     }
 
-    /// Makes of a document what it means to this program, or says why it cannot be used here.
-    fn usable(&self, document: &Json) -> Result<Fresh, String> {
+    /// Records what was served.
+    fn flush(&mut self, now: Time, net: &mut Net<Gatherer>) {
+        self.flush_at = now + self.setup.note_ms.saturating_mul(NANOS_PER_MS);
+        let records = self.drain_served(now);
+        self.record(records, net);
+    }
+
+    /// Prepares a document for use, or says why this program cannot use it.
+    fn prepare(&self, document: &Json) -> Result<Fresh, String> {
         match document["format"].as_u64().unwrap_or(1) {
             format if format > FORMAT => Err(format!(
                 "it is of format {format}, and this program reads up to {FORMAT}"
@@ -245,44 +197,43 @@
         }
     }
 
-    /// Notes an operator's call.
-    pub fn called(&self, call: &str, now: Time, net: &mut Net<Gatherer>) {
-        self.note(
-            vec![(
-                now,
-                Mark::Called {
-                    version: self.runs(),
-                    call: call.to_owned(),
-                },
-            )],
-            net,
-        );
-    }
-
-    /// Notes what was counted; the proof that it rests on goes first.
-    fn flush(&mut self, now: Time, net: &mut Net<Gatherer>) {
-        self.note_at = now + self.setup.note_ms.saturating_mul(1_000_000);
-        let marks = self.counted(now);
-        self.note(marks, net);
+    /// Logs and records each change of status.
+    fn report_status_changes(&mut self, net: &mut Net<Gatherer>) {
+        for change in self.lease.take_changes() {
+            let (from, to, version) = (change.from, change.to, self.running());
+            tracing::info!(%from, %to, version, "the version's status has changed");
+            self.record(vec![(change.at, Record::StatusChanged { status: to })], net);
+        }
     }
+}
 
-    /// Tells log and trail of each change of standing.
-    fn tell_changes(&mut self, net: &mut Net<Gatherer>) {
-        for change in self.account.take_changes() {
-            let (from, to, version) = (change.from, change.to, self.runs());
-            tracing::info!(%from, %to, version, "the version's standing has changed");
-            self.note(vec![(change.at, Mark::Stands { standing: to })], net);
+/// Opens the audit log, if there is one. A gatherer whose log cannot be opened serves without.
+fn open_audit_log(
+    setup: &VersionsSetup,
+    name: &str,
+    net: &mut Net<Gatherer>,
+) -> Option<(Token, FinalEntries)> {
+    let folder = setup.trail.as_ref()?;
+    match AuditWriter::open(folder, name, setup.test_full_while.clone()) {
+        Ok((writer, final_entries)) => Some((net.open(Box::new(writer)), final_entries)),
+        Err(problem) => {
+            tracing::error!(
+                folder = %folder.display(),
+                %problem,
+                "no audit log is written: its folder cannot be used"
+            );
+            None
         }
     }
 }
 
-fn entry((at, mark): (Time, Mark)) -> Entry {
-    Entry { at, mark }
+fn entry((at, record): (Time, Record)) -> Entry {
+    Entry { at, record }
 }
 
 impl Gatherer {
-    /// What came of queries goes to whoever wants to know: the return, and the trail.
-    pub fn note_ends(&mut self, net: &mut Net<Self>, now: Time) {
+    /// Passes the outcome of queries on to the recovery and to the audit log.
+    pub fn record_ends(&mut self, net: &mut Net<Self>, now: Time) {
         let returning = self.returning.as_mut().map(|returning| returning.tell());
         let mut returning = returning.filter(|recovery| recovery.phase() == Phase::Returning);
         let ends = self
@@ -295,225 +246,16 @@
             if let Some(versions) = &mut self.versions {
                 let class = self.core.class_name(end.class);
                 versions
-                    .ledger
-                    .count(end.version, class, end.outcome, end.taken);
+                    .served
+                    .record(end.version, class, end.outcome, end.taken);
             }
         }
         if let Some(versions) = self
             .versions
             .as_mut()
-            .filter(|versions| now >= versions.note_at)
+            .filter(|versions| now >= versions.flush_at)
         {
             versions.flush(now, net);
         }
     }
-
-    /// Takes every committed registration of this gatherer's name, in order.
-    fn note_registrations(&mut self, changes: &[Change]) {
-        let Some(versions) = &mut self.versions else {
-            return;
-        };
-        let key = format!("{GATHERERS}{}", versions.name);
-        let values = changes
-            .iter()
-            .filter(|change| change.key == key)
-            .filter_map(|change| change.value.as_ref());
-        let lives =
-            values.filter_map(|value| serde_json::from_str::<Json>(value).ok()?["life"].as_u64());
-        for life in lives {
-            if versions.registration.committed(life) {
-                tracing::error!(
-                    name = versions.name,
-                    "another process has taken this gatherer's name: this one takes no clients"
-                );
-            }
-        }
-    }
-
-    /// Looks at what the store holds, and does what is due: switches, has its say on a proposal,
-    /// takes an operator's word.
-    fn look_at_versions(&mut self, net: &mut Net<Self>, now: Time) {
-        let (Some(shelf), Some(versions)) = (&mut self.shelf, &mut self.versions) else {
-            return;
-        };
-        let name = versions.name.clone();
-        let state = shelf.store().state();
-        let json = |key: &str| {
-            let held = state.held(key)?;
-            Some((
-                held.revision,
-                serde_json::from_str::<Json>(&held.value).ok()?,
-            ))
-        };
-        let active = json(ACTIVE);
-        let (next, held) = (json(NEXT), state.get(&format!("{HELD}{name}")).is_some());
-        let mut wants: Vec<(String, Json)> = Vec::new();
-        versions
-            .account
-            .hold(held || versions.registration.is_displaced(), now);
-        if let Some((proposal, document)) = next.filter(|(proposal, _)| *proposal > versions.said) {
-            versions.said = proposal;
-            let cannot = versions.usable(&document).err();
-            tracing::info!(proposal, cannot, "a version is proposed");
-            let word = json!({"to": proposal, "life": versions.life, "cannot": cannot});
-            wants.push((format!("{WORD}{name}"), word));
-        }
-        let tried = versions.tried;
-        if let Some((version, document)) = active.filter(|(version, _)| *version != tried) {
-            self.switch(version, &document, net, now);
-        }
-        let (Some(shelf), Some(versions)) = (&mut self.shelf, &mut self.versions) else {
-            return;
-        };
-        let own = json!({"life": versions.life, "runs": versions.runs(), "program": env!("CARGO_PKG_VERSION"),
-                         "validity_ms": versions.setup.validity_ms, "reads": FORMAT});
-        if !versions.registration.is_displaced() {
-            wants.push((format!("{GATHERERS}{name}"), own));
-        }
-        wants
-            .into_iter()
-            .for_each(|(key, value)| shelf.want(&key, &value.to_string(), net));
-        versions.tell_changes(net);
-    }
-}
-
-impl Gatherer {
-    /// Switches to an active version, if it can be used.
-    fn switch(&mut self, version: Version, document: &Json, net: &mut Net<Self>, now: Time) {
-        let Some(versions) = &mut self.versions else {
-            return;
-        };
-        versions.tried = version;
-        let name = versions.name.clone();
-        let keeper = document["keepers"]
-            .as_array()
-            .is_some_and(|all| all.iter().any(|one| *one == *name));
-        // What was done so far was done under the former one.
-        self.note_ends(net, now);
-        let Some(versions) = &mut self.versions else {
-            return;
-        };
-        versions.flush(now, net);
-        let fresh = versions.usable(document);
-        match fresh.and_then(|fresh| self.reconfigure(fresh, now)) {
-            Ok(()) => {
-                self.core.acts_on(version);
-                let Some(versions) = &mut self.versions else {
-                    return;
-                };
-                versions.account.switched(version, keeper, now);
-                tracing::info!(version, keeper, "switched");
-                versions.note(vec![(now, Mark::Runs { version, keeper })], net);
-            }
-            Err(problem) => {
-                tracing::error!(
-                    version,
-                    problem,
-                    "the active version cannot be used: this gatherer is left behind"
-                );
-            }
-        }
-    }
-}
-
-/// Asks the store which version is active, again and again, and does what follows.
-struct Agent;
-
-impl Agent {
-    fn go_on(&self, cx: &mut Cx<'_>) {
-        let now = cx.net.now();
-        let (Some(shelf), Some(versions)) = (&mut cx.world.shelf, &mut cx.world.versions) else {
-            return;
-        };
-        versions.account.settle(now);
-        if versions.account.asks(now) {
-            let patience = versions.setup.validity_ms.saturating_mul(1_000_000) / 4;
-            shelf.ask(Call::Read, Asker::Own(cx.token), patience, cx.net);
-        }
-        versions.tell_changes(cx.net);
-        let due = versions.account.due();
-        cx.set_timer(due.max(now + 1_000_000));
-    }
-}
-
-impl Connection<Gatherer> for Agent {
-    fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
-        cx.set_timer(cx.now);
-        Ok(())
-    }
-
-    fn ready(&mut self, _cx: &mut Cx<'_>, _ready: Ready) {}
-
-    fn deliver(&mut self, cx: &mut Cx<'_>, message: Message) {
-        match message {
-            Message::StoreChanged(changes) => {
-                cx.world.note_registrations(&changes);
-                cx.world.look_at_versions(cx.net, cx.now);
-            }
-            Message::Replied(Reply::Read(_)) => {
-                // What this member holds is now as new as anything told before the question.
-                cx.world.look_at_versions(cx.net, cx.now);
-                let state = cx.world.shelf.as_ref().map(|shelf| shelf.store().state());
-                let active = state
-                    .and_then(|state| state.held(ACTIVE))
-                    .map_or(0, |held| held.revision);
-                let now = cx.net.now();
-                if let Some(versions) = &mut cx.world.versions {
-                    let out = state.is_some_and(|state| {
-                        state.get(&format!("{OUT}{}", versions.name)).is_some()
-                    });
-                    if out {
-                        versions.account.left_out(now);
-                    } else {
-                        versions.account.answered(active, now);
-                    }
-                }
-            }
-            Message::Replied(_) => {
-                let now = cx.net.now();
-                if let Some(versions) = &mut cx.world.versions {
-                    versions.account.unanswered(now);
-                }
-            }
-            _ => return,
-        }
-        self.go_on(cx);
-    }
-
-    fn timer(&mut self, cx: &mut Cx<'_>) {
-        self.go_on(cx);
-    }
-}
-
-/// Has the store's news told to the agent, and takes what the member's own file says was active: an
-/// old version is not served under without the store's word or, by one that goes on without, before
-/// a whole validity has passed without any.
-pub fn connect(gatherer: &mut Gatherer, net: &mut Net<Gatherer>) {
-    let now = net.now();
-    let (Some(shelf), Some(versions)) = (&mut gatherer.shelf, &mut gatherer.versions) else {
-        return;
-    };
-    if let Some(agent) = versions.agent {
-        shelf.tell_of(
-            vec![
-                "config/".to_owned(),
-                format!("{GATHERERS}{}", versions.name),
-            ],
-            agent,
-        );
-    }
-    let store = shelf.store();
-    let known = store.foreseen(ACTIVE);
-    let known =
-        known.and_then(|(version, text)| Some((version, serde_json::from_str::<Json>(text).ok()?)));
-    match known {
-        Some((version, document)) => gatherer.switch(version, &document, net, now),
-        // Where nothing was ever active each goes by its own file, and nobody can be left out. A
-        // member that has lost its file does not know that.
-        None => {
-            let keeper = store.standing() != store::rejoin::Standing::Lost;
-            versions.account.switched(0, keeper, now);
-            versions.note(vec![(now, Mark::Runs { version: 0, keeper })], net);
-        }
-    }
 }
--- a/bitternsill/src/versions/activation.rs
+++ b/bitternsill/src/versions/activation.rs
@@ -1,177 +1,231 @@
-//! What making a proposal active changes in the store, and what has to be so for it: the same for
-//! an operator's command and for a job.
+//! The store transaction that makes a proposal active, for an operator's command and for a job
+//! alike.
 
-use super::{ACTIVE, GATHERERS, NEXT, OUT, PAST, WAS, WORD};
+use super::NANOS_PER_MS;
+use super::keys::{ACTIVE, EVER_ACTIVE, EXCLUDED, GATHERERS, HISTORY, PROPOSAL, VOTE};
 use crate::store::client::Seen;
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
 use store::command::Check;
 use store::packet::Change;
 use versions::Time;
-use versions::rollout::{Member, Missing, bound, in_the_way, keepers};
+use versions::rollout::{Blocker, Member, Vote, autonomous_members, blockers, exclusion_delay};
 
-/// What clocks of two machines may differ by, in parts of a thousand.
-const DRIFT: u64 = 50;
+/// How far the clocks of two machines may drift apart, in parts of a thousand.
+const DRIFT_PERMILLE: u64 = 50;
+/// The number of former documents that are retained, so that one can be proposed again.
+const RETAINED_DOCUMENTS: usize = 8;
+/// The number of proposals of which it is retained that they were active.
+const RETAINED_PROPOSALS: usize = 100;
+/// The fraction of autonomous gatherers for a proposal that does not state one.
+const DEFAULT_AUTONOMOUS_FRACTION: f64 = 0.5;
 
-/// Documents of former versions that can be gone back to, and versions that are remembered to have
-/// been active.
-const PAST_KEPT: usize = 8;
-const WAS_KEPT: usize = 100;
-
-/// A change that makes a proposal active.
+/// A transaction that makes a proposal active.
 pub struct Plan {
     /// The proposal.
     pub proposal: u64,
     /// How many gatherers take part.
-    pub with: usize,
-    /// Who goes on without a store.
-    pub keepers: Vec<String>,
-    /// What has to be so still.
+    pub participants: usize,
+    /// Which of them serve on without a store.
+    pub autonomous: Vec<String>,
+    /// What has to be unchanged.
     pub checks: Vec<Check>,
-    /// What is changed.
-    pub sets: Vec<Change>,
+    /// What is written.
+    pub changes: Vec<Change>,
 }
 
-/// Why there is none.
+/// Why no proposal can be made active.
 pub enum Blocked {
-    /// There is nothing to make active.
-    Nothing(String),
-    /// Some gatherers are in the way; the longest that one which was left out may act on the former
-    /// version.
-    InTheWay {
-        /// Who, and why.
-        missing: BTreeMap<String, Missing>,
-        /// The longest validity, with what clocks differ by.
-        longest: Time,
+    /// There is no proposal to activate; the text says why.
+    NoProposal(String),
+    /// Some gatherers prevent it.
+    ByGatherers {
+        /// Which, and why.
+        blockers: BTreeMap<String, Blocker>,
+        /// How long an excluded gatherer may still serve at most.
+        exclusion_delay: Time,
     },
 }
 
-/// The fleet as the store has it, with when each was seen to be left out.
-pub fn fleet(seen: &Seen, left_out: &BTreeMap<String, u64>) -> BTreeMap<String, Member> {
+/// The fleet as the store has it; `excluded_since` has when each gatherer was first seen to be
+/// excluded.
+pub fn fleet(seen: &Seen, excluded_since: &BTreeMap<String, Time>) -> BTreeMap<String, Member> {
     let member = |name: &str| {
-        let (own, _) = seen.json(&format!("{GATHERERS}{name}"))?;
-        let word = seen.json(&format!("{WORD}{name}")).and_then(|(word, _)| {
-            // The word of an earlier life is nobody's.
-            let of_this_life = word["life"] == own["life"];
-            let cannot = word["cannot"].as_str().map(str::to_owned);
-            of_this_life.then_some((word["to"].as_u64()?, cannot))
-        });
-        let runs = own["runs"].as_u64().unwrap_or(0);
-        Some((
-            name.to_owned(),
-            Member {
-                runs,
-                word,
-                left_out: left_out.get(name).copied(),
-            },
-        ))
+        let (registration, _) = seen.json(&format!("{GATHERERS}{name}"))?;
+        let vote = seen
+            .json(&format!("{VOTE}{name}"))
+            .and_then(|(vote, _)| read_vote(&vote, &registration));
+        Some(Member {
+            running: registration["runs"].as_u64().unwrap_or(0),
+            vote,
+            excluded_since: excluded_since.get(name).copied(),
+        })
     };
-    seen.names(GATHERERS).filter_map(member).collect()
+    seen.names(GATHERERS)
+        .filter_map(|name| Some((name.to_owned(), member(name)?)))
+        .collect()
+}
+
+/// A gatherer's vote. That of an earlier incarnation does not count: the program may have been
+/// replaced by one that cannot use the proposal.
+fn read_vote(vote: &Json, registration: &Json) -> Option<Vote> {
+    if vote["life"] != registration["life"] {
+        return None;
+    }
+    Some(Vote {
+        proposal: vote["to"].as_u64()?,
+        objection: vote["cannot"].as_str().map(str::to_owned),
+    })
 }
 
-/// Keeps since when each gatherer was seen to be left out.
-pub fn note_left_out(seen: &Seen, left_out: &mut BTreeMap<String, Time>, now: Time) {
-    let out: BTreeSet<&str> = seen.names(OUT).collect();
-    left_out.retain(|name, _| out.contains(name.as_str()));
-    for name in out {
-        left_out.entry(name.to_owned()).or_insert(now);
+/// Updates since when each gatherer has been seen to be excluded.
+pub fn observe_exclusions(seen: &Seen, excluded_since: &mut BTreeMap<String, Time>, now: Time) {
+    let excluded: BTreeSet<&str> = seen.names(EXCLUDED).collect();
+    excluded_since.retain(|name, _| excluded.contains(name.as_str()));
+    for name in excluded {
+        excluded_since.entry(name.to_owned()).or_insert(now);
     }
 }
 
-/// What makes the last proposal active, by what is seen; `left_out` says since when each gatherer
-/// has been seen to be left out, on the clock of `now`.
-pub fn plan(seen: &Seen, left_out: &BTreeMap<String, Time>, now: Time) -> Result<Plan, Blocked> {
-    let nothing = |why: String| Blocked::Nothing(why);
-    let (next, proposal) = seen
-        .json(NEXT)
-        .ok_or_else(|| nothing("nothing is proposed".to_owned()))?;
-    let active = seen.json(ACTIVE);
+/// Plans the activation of the last proposal. `excluded_since` is on the clock of `now`.
+pub fn plan(
+    seen: &Seen,
+    excluded_since: &BTreeMap<String, Time>,
+    now: Time,
+) -> Result<Plan, Blocked> {
+    let (document, proposal) = seen
+        .json(PROPOSAL)
+        .ok_or_else(|| Blocked::NoProposal("nothing is proposed".to_owned()))?;
+    let active = seen.json(ACTIVE).map(|(active, _)| active);
     if active
         .as_ref()
-        .is_some_and(|(active, _)| active["proposal"] == proposal)
+        .is_some_and(|active| active["proposal"] == proposal)
     {
-        return Err(nothing(format!("proposal {proposal} is active already")));
+        let reason = format!("proposal {proposal} is active already");
+        return Err(Blocked::NoProposal(reason));
     }
-    // Whoever was left out acts on the former version for no longer than its validity from then on.
-    let fleet = fleet(seen, left_out);
+    let fleet = fleet(seen, excluded_since);
+    check_blockers(seen, &fleet, active.as_ref(), proposal, now)?;
+    let participants: Vec<&str> = fleet
+        .iter()
+        .filter(|(_, member)| member.excluded_since.is_none())
+        .map(|(name, _)| name.as_str())
+        .collect();
+    let fraction = document["least"]
+        .as_f64()
+        .unwrap_or(DEFAULT_AUTONOMOUS_FRACTION);
+    let autonomous: Vec<String> =
+        autonomous_members(participants.iter().copied(), proposal, fraction)
+            .into_iter()
+            .map(str::to_owned)
+            .collect();
+    let mut changes = activation_changes(&document, proposal, &autonomous);
+    changes.extend(deletions(seen, HISTORY, RETAINED_DOCUMENTS));
+    changes.extend(deletions(seen, EVER_ACTIVE, RETAINED_PROPOSALS));
+    // An excluded gatherer has stopped, so it may query the new version from here on.
+    let excluded = fleet
+        .iter()
+        .filter(|(_, member)| member.excluded_since.is_some());
+    changes.extend(excluded.map(|(name, _)| set(format!("{EXCLUDED}{name}"), None)));
+    Ok(Plan {
+        proposal,
+        participants: participants.len(),
+        autonomous,
+        checks: checks(seen, &fleet),
+        changes,
+    })
+}
+
+fn check_blockers(
+    seen: &Seen,
+    fleet: &BTreeMap<String, Member>,
+    active: Option<&Json>,
+    proposal: u64,
+    now: Time,
+) -> Result<(), Blocked> {
     let validity = |name: &String| {
-        let (own, _) = seen.json(&format!("{GATHERERS}{name}"))?;
-        Some(own["validity_ms"].as_u64()?.saturating_mul(1_000_000))
+        let (registration, _) = seen.json(&format!("{GATHERERS}{name}"))?;
+        let validity_ms = registration["validity_ms"].as_u64()?;
+        Some(validity_ms.saturating_mul(NANOS_PER_MS))
     };
-    let longest = bound(fleet.keys().filter_map(validity).max().unwrap_or(0), DRIFT);
-    let former: BTreeSet<String> = match &active {
-        Some((active, _)) => keepers_of(active),
-        // By their own files all go on without a store.
+    let longest_validity = fleet.keys().filter_map(validity).max().unwrap_or(0);
+    let exclusion_delay = exclusion_delay(longest_validity, DRIFT_PERMILLE);
+    let autonomous: BTreeSet<String> = match active {
+        Some(active) => autonomous_under(active),
+        // Gatherers that run their own files serve on without a store.
         None => fleet.keys().cloned().collect(),
     };
-    let missing = in_the_way(&fleet, proposal, &former, longest, now);
-    if !missing.is_empty() {
-        let missing = missing
-            .into_iter()
-            .map(|(name, why)| (name.to_owned(), why))
-            .collect();
-        return Err(Blocked::InTheWay { missing, longest });
+    let blockers = blockers(fleet, proposal, &autonomous, exclusion_delay, now);
+    if blockers.is_empty() {
+        return Ok(());
     }
-    // All of what was read has to be so still at the revision of the switch.
-    let mut checks: Vec<Check> = vec![seen.unchanged(NEXT), seen.unchanged(ACTIVE)];
-    for (name, member) in &fleet {
+    Err(Blocked::ByGatherers {
+        blockers: blockers
+            .into_iter()
+            .map(|(name, blocker)| (name.to_owned(), blocker))
+            .collect(),
+        exclusion_delay,
+    })
+}
+
+/// Everything that the plan rests on has to be unchanged when it is committed. Otherwise a gatherer
+/// that restarts or is taken in meanwhile could run a version that it did not vote for.
+fn checks(seen: &Seen, fleet: &BTreeMap<String, Member>) -> Vec<Check> {
+    let mut checks = vec![seen.unchanged(PROPOSAL), seen.unchanged(ACTIVE)];
+    for (name, member) in fleet {
+        let prefix = if member.excluded_since.is_some() {
+            EXCLUDED
+        } else {
+            VOTE
+        };
         checks.push(seen.unchanged(&format!("{GATHERERS}{name}")));
-        let word = if member.left_out.is_some() { OUT } else { WORD };
-        checks.push(seen.unchanged(&format!("{word}{name}")));
+        checks.push(seen.unchanged(&format!("{prefix}{name}")));
     }
-    let with: Vec<&str> = fleet
-        .iter()
-        .filter(|(_, m)| m.left_out.is_none())
-        .map(|(name, _)| name.as_str())
-        .collect();
-    let least = next["least"].as_f64().unwrap_or(0.5);
-    let keepers: Vec<String> = keepers(with.iter().copied(), proposal, least)
-        .into_iter()
-        .map(str::to_owned)
+    checks
+}
+
+fn activation_changes(document: &Json, proposal: u64, autonomous: &[String]) -> Vec<Change> {
+    let active = json!({
+        "format": document["format"].as_u64().unwrap_or(1),
+        "settings": document["settings"],
+        "keepers": autonomous,
+        "proposal": proposal,
+    });
+    let retained = json!({"settings": document["settings"]});
+    vec![
+        set(ACTIVE.to_owned(), Some(active.to_string())),
+        set(format!("{HISTORY}{proposal}"), Some(retained.to_string())),
+        set(format!("{EVER_ACTIVE}{proposal}"), Some("{}".to_owned())),
+    ]
+}
+
+/// Deletes the oldest entries under a prefix, so that with the new one no more than `retained` are
+/// left: the store is small.
+fn deletions(seen: &Seen, prefix: &str, retained: usize) -> Vec<Change> {
+    let mut proposals: Vec<u64> = seen
+        .names(prefix)
+        .filter_map(|name| name.parse().ok())
         .collect();
-    let document = json!({"format": next["format"].as_u64().unwrap_or(1), "settings": next["settings"],
-                          "keepers": keepers, "proposal": proposal});
-    let past = json!({"settings": next["settings"]});
-    let set = |key: String, value: Option<String>| Change { key, value };
-    let mut sets = vec![
-        set(ACTIVE.to_owned(), Some(document.to_string())),
-        set(format!("{PAST}{proposal}"), Some(past.to_string())),
-        set(format!("{WAS}{proposal}"), Some("{}".to_owned())),
-    ];
-    // The store is small: of documents the last few are kept, and of what was ever active the fact,
-    // for longer.
-    for (prefix, most) in [(PAST, PAST_KEPT), (WAS, WAS_KEPT)] {
-        let mut all: Vec<u64> = seen
-            .names(prefix)
-            .filter_map(|name| name.parse().ok())
-            .collect();
-        all.sort_unstable();
-        let gone = all.len().saturating_sub(most - 1);
-        sets.extend(
-            all[..gone]
-                .iter()
-                .map(|proposal| set(format!("{prefix}{proposal}"), None)),
-        );
-    }
-    // Whoever was left out has stopped: it may be brought up from here on.
-    let out = fleet.iter().filter(|(_, m)| m.left_out.is_some());
-    sets.extend(out.map(|(name, _)| set(format!("{OUT}{name}"), None)));
-    Ok(Plan {
-        proposal,
-        with: with.len(),
-        keepers,
-        checks,
-        sets,
-    })
+    proposals.sort_unstable();
+    let surplus = proposals.len().saturating_sub(retained - 1);
+    proposals[..surplus]
+        .iter()
+        .map(|proposal| set(format!("{prefix}{proposal}"), None))
+        .collect()
 }
 
-/// Who goes on without a store under an active document.
-pub fn keepers_of(active: &Json) -> BTreeSet<String> {
-    let all = active["keepers"]
+fn set(key: String, value: Option<String>) -> Change {
+    Change { key, value }
+}
+
+/// The gatherers that serve on without a store under an active document.
+pub fn autonomous_under(active: &Json) -> BTreeSet<String> {
+    let names = active["keepers"]
         .as_array()
         .map(Vec::as_slice)
         .unwrap_or_default();
-    all.iter()
+    names
+        .iter()
         .filter_map(Json::as_str)
         .map(str::to_owned)
         .collect()
--- /dev/null
+++ b/bitternsill/src/versions/agent.rs
@@ -0,0 +1,251 @@
+//! The connection of the event loop that queries the store for the active version and acts on what
+//! follows: it votes on proposals and switches versions.
+
+use super::keys::{ACTIVE, EXCLUDED, GATHERERS, ON_HOLD, PROPOSAL, VOTE};
+use super::{FORMAT, NANOS_PER_MS};
+use crate::front::{Gatherer, Message};
+use crate::net::{Connection, Context, Net, Ready};
+use crate::store::asks::Asker;
+use dispatch::interface::Time;
+use serde_json::{Value as Json, json};
+use std::io;
+use store::member::{Call, Reply};
+use store::packet::Change;
+use versions::Version;
+use versions::audit_log::Record;
+
+type Cx<'a> = Context<'a, Gatherer>;
+
+/// A query has to be answered within this fraction of the validity.
+const QUERY_TIMEOUTS_PER_VALIDITY: Time = 4;
+
+/// Queries the store for the active version, over and over.
+pub(super) struct Agent;
+
+impl Agent {
+    fn poll(&self, cx: &mut Cx<'_>) {
+        let now = cx.net.now();
+        let (Some(shelf), Some(versions)) = (&mut cx.world.shelf, &mut cx.world.versions) else {
+            return;
+        };
+        versions.lease.update(now);
+        if versions.lease.begin_query(now) {
+            let validity = versions.setup.validity_ms.saturating_mul(NANOS_PER_MS);
+            let timeout = validity / QUERY_TIMEOUTS_PER_VALIDITY;
+            shelf.ask(Call::Read, Asker::Own(cx.token), timeout, cx.net);
+        }
+        versions.report_status_changes(cx.net);
+        let due = versions.lease.due();
+        cx.set_timer(due.max(now + NANOS_PER_MS));
+    }
+
+    fn handle_query_response(cx: &mut Cx<'_>) {
+        // What this member has applied is now at least as new as when the query was sent.
+        cx.world.apply_store_state(cx.net, cx.now);
+        let state = cx.world.shelf.as_ref().map(|shelf| shelf.store().state());
+        let active = state
+            .and_then(|state| state.held(ACTIVE))
+            .map_or(0, |entry| entry.revision);
+        let now = cx.net.now();
+        let Some(versions) = &mut cx.world.versions else {
+            return;
+        };
+        let excluded =
+            state.is_some_and(|state| state.get(&format!("{EXCLUDED}{}", versions.name)).is_some());
+        if excluded {
+            versions.lease.handle_exclusion(now);
+        } else {
+            versions.lease.handle_response(active, now);
+        }
+    }
+}
+
+impl Connection<Gatherer> for Agent {
+    fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
+        cx.set_timer(cx.now);
+        Ok(())
+    }
+
+    fn ready(&mut self, _cx: &mut Cx<'_>, _ready: Ready) {}
+
+    fn deliver(&mut self, cx: &mut Cx<'_>, message: Message) {
+        match message {
+            Message::StoreChanged(changes) => {
+                cx.world.observe_registrations(&changes);
+                cx.world.apply_store_state(cx.net, cx.now);
+            }
+            Message::Replied(Reply::Read(_)) => Agent::handle_query_response(cx),
+            Message::Replied(_) => {
+                let now = cx.net.now();
+                if let Some(versions) = &mut cx.world.versions {
+                    versions.lease.handle_timeout(now);
+                }
+            }
+            _ => return,
+        }
+        self.poll(cx);
+    }
+
+    fn timer(&mut self, cx: &mut Cx<'_>) {
+        self.poll(cx);
+    }
+}
+
+impl Gatherer {
+    /// Passes on every committed registration of this gatherer's name, in order.
+    fn observe_registrations(&mut self, changes: &[Change]) {
+        let Some(versions) = &mut self.versions else {
+            return;
+        };
+        let key = format!("{GATHERERS}{}", versions.name);
+        let incarnations = changes
+            .iter()
+            .filter(|change| change.key == key)
+            .filter_map(|change| change.value.as_ref())
+            .filter_map(|value| serde_json::from_str::<Json>(value).ok()?["life"].as_u64());
+        for incarnation in incarnations {
+            if versions.registration.observe_commit(incarnation) {
+                tracing::error!(
+                    name = versions.name,
+                    "another process has taken this gatherer's name: this one takes no clients"
+                );
+            }
+        }
+    }
+
+    /// Acts on the state of the store: votes on a new proposal, switches to a new active version,
+    /// follows an operator's hold, and registers.
+    fn apply_store_state(&mut self, net: &mut Net<Self>, now: Time) {
+        let (Some(shelf), Some(versions)) = (&mut self.shelf, &mut self.versions) else {
+            return;
+        };
+        let name = versions.name.clone();
+        let state = shelf.store().state();
+        let document = |key: &str| {
+            let entry = state.held(key)?;
+            let document = serde_json::from_str::<Json>(&entry.value).ok()?;
+            Some((entry.revision, document))
+        };
+        let active = document(ACTIVE);
+        let proposal = document(PROPOSAL);
+        let on_hold = state.get(&format!("{ON_HOLD}{name}")).is_some();
+        let mut writes: Vec<(String, Json)> = Vec::new();
+        versions
+            .lease
+            .set_on_hold(on_hold || versions.registration.is_displaced(), now);
+        if let Some((proposal, document)) = proposal.filter(|(at, _)| *at > versions.voted_on) {
+            writes.push((format!("{VOTE}{name}"), versions.vote(proposal, &document)));
+        }
+        let attempted = versions.attempted;
+        if let Some((version, document)) = active.filter(|(version, _)| *version != attempted) {
+            self.switch(version, &document, net, now);
+        }
+        let (Some(shelf), Some(versions)) = (&mut self.shelf, &mut self.versions) else {
+            return;
+        };
+        if !versions.registration.is_displaced() {
+            writes.push((format!("{GATHERERS}{name}"), versions.registration_json()));
+        }
+        for (key, value) in writes {
+            shelf.want(&key, &value.to_string(), net);
+        }
+        versions.report_status_changes(net);
+    }
+
+    /// Switches to an active version, if this gatherer can use it.
+    fn switch(&mut self, version: Version, document: &Json, net: &mut Net<Self>, now: Time) {
+        let Some(versions) = &mut self.versions else {
+            return;
+        };
+        versions.attempted = version;
+        let name = versions.name.clone();
+        let autonomous = document["keepers"]
+            .as_array()
+            .is_some_and(|names| names.iter().any(|one| *one == *name));
+        // What was served up to here was served under the former version.
+        self.record_ends(net, now);
+        let Some(versions) = &mut self.versions else {
+            return;
+        };
+        versions.flush(now, net);
+        let prepared = versions.prepare(document);
+        match prepared.and_then(|prepared| self.reconfigure(prepared, now)) {
+            Ok(()) => {
+                self.core.acts_on(version);
+                let Some(versions) = &mut self.versions else {
+                    return;
+                };
+                versions.lease.switch(version, autonomous, now);
+                tracing::info!(version, autonomous, "switched");
+                let record = Record::Switched {
+                    version,
+                    autonomous,
+                };
+                versions.record(vec![(now, record)], net);
+            }
+            Err(problem) => {
+                tracing::error!(
+                    version,
+                    problem,
+                    "the active version cannot be used: this gatherer is left behind"
+                );
+            }
+        }
+    }
+}
+
+impl super::Versions {
+    /// This gatherer's vote on a proposal, in its stored form.
+    fn vote(&mut self, proposal: u64, document: &Json) -> Json {
+        self.voted_on = proposal;
+        let cannot = self.prepare(document).err();
+        tracing::info!(proposal, cannot, "a version is proposed");
+        json!({"to": proposal, "life": self.incarnation, "cannot": cannot})
+    }
+
+    /// This gatherer's registration, in its stored form.
+    fn registration_json(&self) -> Json {
+        json!({
+            "life": self.incarnation,
+            "runs": self.running(),
+            "program": env!("CARGO_PKG_VERSION"),
+            "validity_ms": self.setup.validity_ms,
+            "reads": FORMAT,
+        })
+    }
+}
+
+/// Subscribes the agent to the store, and starts with the version that this member's own file has
+/// as active. That version may be outdated: it is served under only after a response of the store,
+/// or, by an autonomous gatherer, after a whole validity has passed without any.
+pub fn connect(gatherer: &mut Gatherer, net: &mut Net<Gatherer>) {
+    let now = net.now();
+    let (Some(shelf), Some(versions)) = (&mut gatherer.shelf, &mut gatherer.versions) else {
+        return;
+    };
+    if let Some(agent) = versions.agent {
+        let keys = vec![
+            "config/".to_owned(),
+            format!("{GATHERERS}{}", versions.name),
+        ];
+        shelf.tell_of(keys, agent);
+    }
+    let store = shelf.store();
+    let known = store.foreseen(ACTIVE);
+    let known =
+        known.and_then(|(version, text)| Some((version, serde_json::from_str::<Json>(text).ok()?)));
+    match known {
+        Some((version, document)) => gatherer.switch(version, &document, net, now),
+        // Where no version was ever active, each gatherer runs its own file and none can be
+        // excluded. A member that has lost its file does not know whether one was.
+        None => {
+            let autonomous = store.standing() != store::rejoin::Standing::Lost;
+            versions.lease.switch(0, autonomous, now);
+            let record = Record::Switched {
+                version: 0,
+                autonomous,
+            };
+            versions.record(vec![(now, record)], net);
+        }
+    }
+}
--- a/bitternsill/src/versions/audit.rs
+++ b/bitternsill/src/versions/audit.rs
@@ -1,24 +1,26 @@
-//! `bitternsill fleet audit`: trails are fetched from each gatherer and judged by the package
-//! `versions`.
+//! `bitternsill fleet audit`: fetches the audit logs of all gatherers, has the package `versions`
+//! audit them, and prints the result.
 
-use super::cli::Where;
-use super::collect::Trails;
-use super::{GATHERERS, TRAILS, WAS};
+mod page;
+mod report;
+
+use super::cli::StoreArgs;
+use super::collect::CollectedLogs;
+use super::keys::{AUDIT_LOGS, EVER_ACTIVE, GATHERERS};
 use crate::store::client::Seen;
 use clap::Args;
-use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 use std::path::PathBuf;
 use std::time::Duration;
 use versions::Version;
-use versions::audit::{Digest, Report, account, overlaps};
+use versions::audit::{LogDigest, Report, audit_gatherer};
 
 /// What is audited, and how it is told.
 #[derive(Debug, Args)]
 pub struct Audit {
     #[command(flatten)]
-    place: Where,
+    store: StoreArgs,
     /// Also write one page of HTML, with a line of time for each gatherer.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
@@ -28,275 +30,116 @@
     keep: Option<PathBuf>,
 }
 
-/// What is printed, and whether nothing was wrong and all is known.
+/// What an audit has to say of the whole fleet.
+struct FleetReport {
+    /// The revision of the store.
+    revision: u64,
+    /// Every version that was ever active, with its proposal.
+    versions: BTreeMap<Version, String>,
+    /// By gatherer.
+    reports: BTreeMap<String, Report>,
+}
+
+/// What is printed, and whether there is no violation and everything is known.
 pub fn run(call: &Audit) -> (String, bool) {
-    let seen = match call.place.client().read("") {
+    let seen = match call.store.client().read("") {
         Ok(seen) => seen,
         Err(problem) => return (problem, false),
     };
-    let (reports, problems) = collect(call, &seen);
-    let sound = reports
+    let (fleet, problems) = audit(call, &seen);
+    let is_clean = fleet
+        .reports
         .values()
-        .all(|r| r.findings.iter().all(|f| f.is_wrong() == Some(false)));
-    let mut text = if call.place.json {
-        as_json(&seen, &reports)
+        .flat_map(|report| &report.findings)
+        .all(|finding| finding.is_violation() == Some(false));
+    let mut text = if call.store.json {
+        report::to_json(&fleet)
     } else {
-        as_text(&seen, &reports)
+        report::to_text(&fleet)
     };
-    for problem in problems.iter().filter(|_| !call.place.json) {
+    for problem in problems.iter().filter(|_| !call.store.json) {
         let _ = write!(text, "\nnot asked: {problem}");
     }
     if let Some(path) = &call.html {
-        let written = page(&seen, &reports).and_then(|page| {
-            std::fs::write(path, page).map_err(|problem| format!("{}: {problem}", path.display()))
-        });
+        let written = page::render(&fleet)
+            .map_err(|problem| problem.to_string())
+            .and_then(|page| {
+                std::fs::write(path, page)
+                    .map_err(|problem| format!("{}: {problem}", path.display()))
+            });
         if let Err(problem) = written {
             let _ = write!(text, "\n{problem}");
             return (text, false);
         }
     }
-    (text, sound)
+    (text, is_clean)
 }
 
 /// Every version that the store ever made active, with its proposal.
 fn versions(seen: &Seen) -> BTreeMap<Version, String> {
-    let was = seen.names(WAS);
-    was.filter_map(|proposal| {
-        Some((
-            seen.keys.get(&format!("{WAS}{proposal}"))?.1,
-            proposal.to_owned(),
-        ))
-    })
-    .collect()
-}
-
-/// What is known of each gatherer that the store knows, and why one could not be asked.
-fn collect(call: &Audit, seen: &Seen) -> (BTreeMap<String, Report>, Vec<String>) {
-    let (keep, patience) = (
-        call.keep.as_deref(),
-        Duration::from_millis(call.place.patience),
-    );
-    let mut problems = Vec::new();
-    let mut trails = match keep.map(Trails::kept) {
-        Some(Err(problem)) => {
-            problems.push(format!("what was kept cannot be read: {problem}"));
-            Trails::default()
-        }
-        Some(Ok(kept)) => kept,
-        None => Trails::default(),
-    };
-    for address in &call.place.at {
-        // Of one that cannot be asked is known what was kept of it before, or nothing.
-        if let Err(problem) = trails.fetch(*address, keep, patience) {
-            problems.push(format!("{address}: {problem}"));
-        }
-    }
-    let active: BTreeSet<Version> = versions(seen).into_keys().collect();
-    let mut reports = BTreeMap::new();
-    for name in seen.names(GATHERERS) {
-        let prefix = format!("{TRAILS}{name}/");
-        let digest = |trail: &str| {
-            let (digest, _) = seen.json(&format!("{prefix}{trail}"))?;
-            let (segment, length) = (digest["segment"].as_u64()?, digest["length"].as_u64()?);
-            let hash = digest["hash"].as_str()?.to_owned();
-            Some((
-                trail.parse().ok()?,
-                Digest {
-                    segment,
-                    length,
-                    hash,
-                },
-            ))
-        };
-        let told: BTreeMap<u64, Digest> = seen.names(&prefix).filter_map(digest).collect();
-        let (trails, fetched) = trails.of(name);
-        reports.insert(name.to_owned(), account(&trails, fetched, &told, &active));
-    }
-    (reports, problems)
+    seen.names(EVER_ACTIVE)
+        .filter_map(|proposal| {
+            let (_, version) = seen.keys.get(&format!("{EVER_ACTIVE}{proposal}"))?;
+            Some((*version, proposal.to_owned()))
+        })
+        .collect()
 }
 
-fn as_json(seen: &Seen, reports: &BTreeMap<String, Report>) -> String {
-    let span = |s: &versions::audit::Span| {
-        json!({"version": s.version, "from_ms": wall(s.wall_ms, s.taken.0), "to_ms": wall(s.wall_ms, s.taken.1),
-               "queries": s.count, "life": s.life})
+/// Audits each gatherer that the store knows; also says why one could not be asked.
+fn audit(call: &Audit, seen: &Seen) -> (FleetReport, Vec<String>) {
+    let (logs, problems) = collect(call);
+    let versions = versions(seen);
+    let active: BTreeSet<Version> = versions.keys().copied().collect();
+    let report = |name: &str| {
+        let (logs, fetched) = logs.of(name);
+        audit_gatherer(&logs, fetched, &digests(seen, name), &active)
     };
-    let report = |(name, report): (&String, &Report)| {
-        let findings: Vec<Json> = report
-            .findings
-            .iter()
-            .map(|finding| json!({"what": finding.to_string(), "wrong": finding.is_wrong(), "word": finding.word()}))
-            .collect();
-        let spans: Vec<Json> = report.spans.iter().map(span).collect();
-        let call = |c: &versions::audit::Called| json!({"at_ms": c.wall_ms, "version": c.version, "call": c.call});
-        let calls: Vec<Json> = report.calls.iter().map(call).collect();
-        (
-            name.clone(),
-            json!({"acted": spans, "calls": calls, "findings": findings}),
-        )
-    };
-    let gatherers: serde_json::Map<String, Json> = reports.iter().map(report).collect();
-    let overlaps: Vec<Json> = overlaps(reports)
-        .into_iter()
-        .map(|((one, other), ms)| json!({"versions": [one, other], "ms": ms}))
-        .collect();
-    let active: Vec<Json> = versions(seen)
-        .into_iter()
-        .map(|(v, p)| json!({"version": v, "proposal": p}))
+    let reports = seen
+        .names(GATHERERS)
+        .map(|name| (name.to_owned(), report(name)))
         .collect();
-    format!(
-        "{:#}",
-        json!({"versions": active, "gatherers": gatherers, "overlaps": overlaps})
-    )
-}
-
-fn wall(begin: i64, at: u64) -> i64 {
-    begin + (at / 1_000_000) as i64
+    let fleet = FleetReport {
+        revision: seen.revision,
+        versions,
+        reports,
+    };
+    (fleet, problems)
 }
 
-fn as_text(seen: &Seen, reports: &BTreeMap<String, Report>) -> String {
-    let mut text = String::new();
-    let active: Vec<String> = versions(seen)
-        .into_iter()
-        .map(|(v, proposal)| format!("{v} (proposal {proposal})"))
-        .collect();
-    let _ = write!(
-        text,
-        "versions that were ever active: {}",
-        if active.is_empty() {
-            "none".to_owned()
-        } else {
-            active.join(", ")
-        }
-    );
-    for (name, report) in reports {
-        let _ = write!(text, "\n{name}");
-        for span in &report.spans {
-            let (from, to) = (
-                clock(wall(span.wall_ms, span.taken.0)),
-                clock(wall(span.wall_ms, span.taken.1)),
-            );
-            let _ = write!(
-                text,
-                "\n  version {} from {from} to {to}: {} queries",
-                span.version, span.count
-            );
-        }
-        for call in &report.calls {
-            let _ = write!(
-                text,
-                "\n  at {} under version {}: {}",
-                clock(call.wall_ms),
-                call.version,
-                call.call
-            );
-        }
-        for finding in &report.findings {
-            let _ = write!(text, "\n  {}: {finding}", finding.word());
-        }
+/// The logs that are stored and those that can be fetched, and why one could not be.
+fn collect(call: &Audit) -> (CollectedLogs, Vec<String>) {
+    let folder = call.keep.as_deref();
+    let timeout = Duration::from_millis(call.store.patience);
+    let mut problems = Vec::new();
+    let mut logs = CollectedLogs::default();
+    match folder.map(CollectedLogs::load) {
+        Some(Ok(stored)) => logs = stored,
+        Some(Err(problem)) => problems.push(format!("what was kept cannot be read: {problem}")),
+        None => {}
     }
-    for ((one, other), ms) in overlaps(reports) {
-        let _ = write!(
-            text,
-            "\nversions {one} and {other} were acted on at one time for {ms} ms"
-        );
+    for address in &call.store.at {
+        // Of a gatherer that cannot be asked the stored logs are audited.
+        if let Err(problem) = logs.fetch(*address, folder, timeout) {
+            problems.push(format!("{address}: {problem}"));
+        }
     }
-    text
-}
-
-/// A wall clock's time of day, in UTC.
-fn clock(ms: i64) -> String {
-    let ms = ms.rem_euclid(86_400_000);
-    format!(
-        "{:02}:{:02}:{:02}.{:03}",
-        ms / 3_600_000,
-        ms / 60_000 % 60,
-        ms / 1_000 % 60,
-        ms % 1_000
-    )
+    (logs, problems)
 }
 
-const PAGE: &str = include_str!("audit.html");
-
-/// One page with a line of time for each gatherer.
-fn page(seen: &Seen, reports: &BTreeMap<String, Report>) -> Result<String, String> {
-    let all = reports.values().flat_map(|report| &report.spans);
-    let ends = all.map(|span| {
-        (
-            wall(span.wall_ms, span.taken.0),
-            wall(span.wall_ms, span.taken.1),
-        )
-    });
-    let called = reports
-        .values()
-        .flat_map(|report| &report.calls)
-        .map(|call| (call.wall_ms, call.wall_ms));
-    let ends = ends.chain(called);
-    let (first, last) = ends.fold((i64::MAX, i64::MIN), |all, one| {
-        (all.0.min(one.0), all.1.max(one.1))
-    });
-    let (first, last) = if first > last {
-        (0, 1)
-    } else {
-        (first, last.max(first + 1))
-    };
-    let known: Vec<Version> = versions(seen).into_keys().collect();
-    // Greys that stay apart in print, told again by a pattern of the version's number in the bar.
-    let shade = |version: Version| {
-        known
-            .iter()
-            .position(|of| *of == version)
-            .map_or(0, |at| 1 + at % 6)
+/// The digests of a gatherer's logs in the store, by the number of the log.
+fn digests(seen: &Seen, name: &str) -> BTreeMap<u64, LogDigest> {
+    let prefix = format!("{AUDIT_LOGS}{name}/");
+    let digest = |log: &str| {
+        let (digest, _) = seen.json(&format!("{prefix}{log}"))?;
+        Some(LogDigest {
+            segment: digest["segment"].as_u64()?,
+            length: digest["length"].as_u64()?,
+            hash: digest["hash"].as_str()?.to_owned(),
+        })
     };
-    let x = |ms: i64| (ms - first) as f64 / (last - first) as f64 * 1000.0;
-    let line = |(name, report): (&String, &Report)| {
-        let bars: Vec<Json> = report
-            .spans
-            .iter()
-            .map(|span| {
-                let (from, to) = (wall(span.wall_ms, span.taken.0), wall(span.wall_ms, span.taken.1));
-                json!({"x": x(from), "width": (x(to) - x(from)).max(2.0), "shade": shade(span.version),
-                       "version": span.version, "title": format!("version {}: {} queries from {} to {}", span.version, span.count, clock(from), clock(to))})
-            })
-            .collect();
-        let findings: Vec<Json> = report
-            .findings
-            .iter()
-            .map(|finding| json!({"what": finding.to_string(), "wrong": finding.is_wrong(), "word": finding.word()}))
-            .collect();
-        let call = |call: &versions::audit::Called| {
-            let title = format!(
-                "{} at {}, under version {}",
-                call.call,
-                clock(call.wall_ms),
-                call.version
-            );
-            json!({"x": x(call.wall_ms), "title": title})
-        };
-        let calls: Vec<Json> = report.calls.iter().map(call).collect();
-        json!({"name": name, "bars": bars, "calls": calls, "findings": findings})
-    };
-    let ticks: Vec<Json> = (0..=5)
-        .map(|at| json!({"x": at * 200, "text": clock(first + (last - first) * at / 5)}))
-        .collect();
-    let overlaps: Vec<Json> = overlaps(reports)
-        .into_iter()
-        .map(|((one, other), ms)| json!({"one": one, "other": other, "ms": ms}))
-        .collect();
-    let lines: Vec<Json> = reports.iter().map(line).collect();
-    let shades: Vec<Json> = versions(seen)
-        .into_iter()
-        .map(|(version, proposal)| json!({"version": version, "proposal": proposal, "shade": shade(version)}))
-        .collect();
-    let mut pages = minijinja::Environment::new();
-    pages
-        .add_template("audit.html", PAGE)
-        .map_err(|problem| problem.to_string())?;
-    let page = pages
-        .get_template("audit.html")
-        .map_err(|problem| problem.to_string())?;
-    let context = json!({"lines": lines, "ticks": ticks, "overlaps": overlaps, "shades": shades,
-                         "height": 24 * reports.len(), "revision": seen.revision});
-    page.render(context).map_err(|problem| problem.to_string())
+    seen.names(&prefix)
+        .filter_map(|log| Some((log.parse().ok()?, digest(log)?)))
+        .collect()
 }
 
 #[cfg(test)]
--- a/bitternsill/src/versions/audit/tests.rs
+++ b/bitternsill/src/versions/audit/tests.rs
@@ -3,22 +3,19 @@
 use super::*;
 use versions::audit::{Finding, Span};
 
-/// `VERSIONS_PAGE=FILE` keeps the page, to be looked at.
+/// `VERSIONS_PAGE=FILE` writes the page to a file.
 #[test]
-fn a_page_of_sixty_gatherers_has_a_line_for_each_and_needs_nothing_else() {
-    let mut seen = Seen {
-        revision: 90,
-        ..Seen::default()
-    };
+fn page_has_a_timeline_per_gatherer_and_needs_no_other_file() {
+    let mut seen = Seen::default();
     for (proposal, version) in [(10, 12), (40, 44), (70, 75)] {
-        seen.keys
-            .insert(format!("{WAS}{proposal}"), ("{}".to_owned(), version));
+        let key = format!("{EVER_ACTIVE}{proposal}");
+        seen.keys.insert(key, ("{}".to_owned(), version));
     }
     let span = |version, from: u64, to: u64| Span {
-        life: 1,
-        wall_ms: 36_000_000,
+        incarnation: 1,
+        wall_offset_ms: 36_000_000,
         version,
-        taken: (from * 1_000_000_000, to * 1_000_000_000),
+        accepted: (from * 1_000_000_000, to * 1_000_000_000),
         count: 1_000,
     };
     let report = |at: u64| {
@@ -28,10 +25,10 @@
             span(75, 201 + at % 5, 300),
         ];
         let findings = match at {
-            7 => vec![Finding::NoTrail],
-            9 => vec![Finding::Kept {
+            7 => vec![Finding::NoLog],
+            9 => vec![Finding::ServedAutonomously {
                 version: 44,
-                by: 5_000_000_000,
+                overrun: 5_000_000_000,
                 count: 12,
             }],
             _ => Vec::new(),
@@ -46,9 +43,19 @@
         )
     };
     let reports: BTreeMap<String, Report> = (0..60).map(report).collect();
-    let page = page(&seen, &reports).unwrap();
+    let fleet = FleetReport {
+        revision: 90,
+        versions: versions(&seen),
+        reports,
+    };
+    let page = page::render(&fleet).unwrap();
     assert_eq!(page.matches("<rect class").count(), 180 + 3);
-    assert!(reports.keys().all(|name| page.contains(name.as_str())));
+    assert!(
+        fleet
+            .reports
+            .keys()
+            .all(|name| page.contains(name.as_str()))
+    );
     assert!(!page.contains("http"), "one file, and nothing fetched");
     assert!(
         page.contains("10:00:00.000")
--- a/bitternsill/src/versions/cli.rs
+++ b/bitternsill/src/versions/cli.rs
@@ -1,20 +1,19 @@
-//! `bitternsill fleet configure|activate|versions|diff|hold|release|leave-out|take-in`: versions by
-//! an operator's hand.
+//! The operator's commands on versions of the configuration: `bitternsill fleet
+//! configure|activate|versions|diff|hold|release|leave-out|take-in`.
+//!
+//! The doc comments of the arguments are the help texts of the program.
 
-use super::activation::{self, Blocked, fleet};
-use super::{ACTIVE, FORMAT, GATHERERS, HELD, NEXT, OUT, PAST};
-use crate::core::settings;
+mod activate;
+mod configure;
+mod show;
+
+use super::keys::{EXCLUDED, GATHERERS, ON_HOLD};
 use crate::store::client::{Changed, Client};
 use clap::{Args, Subcommand};
-use serde_json::{Value as Json, json};
-use std::collections::{BTreeMap, BTreeSet};
-use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::thread;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use store::packet::Change;
-use versions::rollout::{Member, Missing};
 
 /// Versions of the configuration.
 #[derive(Debug, Subcommand)]
@@ -26,7 +25,7 @@
     /// way is named.
     Activate(Activate),
     /// Tell what is active and proposed, and what each gatherer runs and says.
-    Versions(Where),
+    Versions(StoreArgs),
     /// Tell what a proposal, or an earlier version, changes against what is active.
     Diff(Diff),
     /// Hold a gatherer back: it takes no clients, whatever it runs.
@@ -41,7 +40,7 @@
 
 /// Where the store's members are.
 #[derive(Debug, Clone, Args)]
-pub struct Where {
+pub struct StoreArgs {
     /// Addresses of members of the store; one after the other is asked until one answers.
     #[arg(long, value_name = "ADDRESS", num_args = 1.., required = true)]
     pub at: Vec<SocketAddr>,
@@ -53,7 +52,7 @@
     pub json: bool,
 }
 
-impl Where {
+impl StoreArgs {
     /// The store there.
     pub fn client(&self) -> Client {
         Client {
@@ -77,7 +76,7 @@
     #[arg(long, default_value_t = 0.5)]
     least: f64,
     #[command(flatten)]
-    place: Where,
+    store: StoreArgs,
 }
 
 /// An activation.
@@ -87,7 +86,7 @@
     #[arg(long, default_value_t = 5_000)]
     wait: u64,
     #[command(flatten)]
-    place: Where,
+    store: StoreArgs,
 }
 
 /// A comparison.
@@ -97,7 +96,7 @@
     #[arg(long, value_name = "PROPOSAL")]
     with: Option<u64>,
     #[command(flatten)]
-    place: Where,
+    store: StoreArgs,
 }
 
 /// One gatherer.
@@ -106,171 +105,37 @@
     /// Its name.
     name: String,
     #[command(flatten)]
-    place: Where,
+    store: StoreArgs,
 }
 
-/// What is printed, and whether what was asked was done.
+/// What is printed, and whether the command succeeded.
 pub fn run(call: &VersionsCall) -> (String, bool) {
-    let done = match call {
-        VersionsCall::Configure(call) => configure(call),
-        VersionsCall::Activate(call) => activate(call),
-        VersionsCall::Versions(place) => tell(place),
-        VersionsCall::Diff(call) => diff(call),
-        VersionsCall::Hold(named) => mark(named, HELD, true),
-        VersionsCall::Release(named) => mark(named, HELD, false),
-        VersionsCall::LeaveOut(named) => mark(named, OUT, true),
-        VersionsCall::TakeIn(named) => mark(named, OUT, false),
+    let result = match call {
+        VersionsCall::Configure(call) => configure::run(call),
+        VersionsCall::Activate(call) => activate::run(call),
+        VersionsCall::Versions(store) => show::versions(store),
+        VersionsCall::Diff(call) => show::diff(call),
+        VersionsCall::Hold(named) => set_flag(named, ON_HOLD, true),
+        VersionsCall::Release(named) => set_flag(named, ON_HOLD, false),
+        VersionsCall::LeaveOut(named) => set_flag(named, EXCLUDED, true),
+        VersionsCall::TakeIn(named) => set_flag(named, EXCLUDED, false),
     };
-    match done {
+    match result {
         Ok(text) => (text, true),
         Err(text) => (text, false),
     }
 }
 
-fn set(key: impl Into<String>, value: Option<String>) -> Change {
+fn put(key: impl Into<String>, value: Option<String>) -> Change {
     Change {
         key: key.into(),
         value,
     }
 }
 
-fn configure(call: &Configure) -> Result<String, String> {
-    if !(0.0..=1.0).contains(&call.least) {
-        return Err(format!(
-            "--least is a share from 0 to 1, not {}",
-            call.least
-        ));
-    }
-    let client = call.place.client();
-    let seen = client.read("")?;
-    let settings = match (&call.file, call.back_to) {
-        (Some(file), _) => {
-            let text =
-                std::fs::read(file).map_err(|problem| format!("{}: {problem}", file.display()))?;
-            let json: Json = serde_json::from_slice(&text)
-                .map_err(|problem| format!("{}: {problem}", file.display()))?;
-            let settings = if json["settings"].is_object() {
-                json["settings"].clone()
-            } else {
-                json
-            };
-            settings::read(&settings)
-                .map_err(|problem| format!("{}: {problem}", file.display()))?;
-            settings
-        }
-        (None, Some(proposal)) => {
-            let past = seen.json(&format!("{PAST}{proposal}"));
-            let (past, _) =
-                past.ok_or_else(|| format!("proposal {proposal} was not active of late"))?;
-            past["settings"].clone()
-        }
-        (None, None) => return Err("a file, or --back-to".to_owned()),
-    };
-    // What some could not read is not even proposed; those of before the first format number read
-    // that one.
-    let older: Vec<&str> = seen
-        .names(GATHERERS)
-        .filter(|name| {
-            seen.json(&format!("{GATHERERS}{name}"))
-                .is_some_and(|(own, _)| own["reads"].as_u64().unwrap_or(1) < FORMAT)
-        })
-        .collect();
-    if !older.is_empty() {
-        return Err(format!(
-            "not proposed: format {FORMAT} is not read by {}",
-            older.join(", ")
-        ));
-    }
-    let document = json!({"format": FORMAT, "settings": settings, "least": call.least});
-    // Another proposal that came meanwhile is not replaced unseen.
-    let checks = vec![seen.unchanged(NEXT), seen.unchanged(ACTIVE)];
-    match client.change(checks, vec![set(NEXT, Some(document.to_string()))])? {
-        Changed::Applied(proposal) => Ok(if call.place.json {
-            json!({"proposal": proposal}).to_string()
-        } else {
-            format!(
-                "proposed as {proposal}; `fleet activate` has all switch once each has said that it can"
-            )
-        }),
-        Changed::Refused(why) => Err(format!("not proposed: {why}")),
-        Changed::Unknown => {
-            Err("not known whether it was proposed: look with `fleet versions`".to_owned())
-        }
-    }
-}
-
-fn activate(call: &Activate) -> Result<String, String> {
-    let client = call.place.client();
-    let begun = Instant::now();
-    let mut left_out = BTreeMap::new();
-    loop {
-        let now = begun.elapsed().as_nanos() as u64;
-        let seen = client.read("")?;
-        activation::note_left_out(&seen, &mut left_out, now);
-        let wait = Duration::from_millis(call.wait);
-        let plan = match activation::plan(&seen, &left_out, now) {
-            Ok(plan) => plan,
-            Err(Blocked::Nothing(why)) => return Err(why),
-            Err(Blocked::InTheWay { missing, longest }) => {
-                let only_time = missing
-                    .values()
-                    .all(|why| matches!(why, Missing::LeftOutTooLately(_)));
-                let longest = if only_time {
-                    Duration::from_nanos(longest)
-                } else {
-                    Duration::ZERO
-                };
-                // Where it cannot be done, all who are in the way are named: whoever may yet have a
-                // say is waited for.
-                let never = missing
-                    .values()
-                    .any(|why| matches!(why, Missing::Cannot(_) | Missing::Keeper));
-                let silent = missing.values().any(|why| *why == Missing::Silent);
-                if begun.elapsed() > wait + longest || never && !silent {
-                    let names = missing
-                        .iter()
-                        .map(|(name, why)| format!("\n  {name} {why}"));
-                    return Err(format!(
-                        "not activated; in the way are:{}",
-                        names.collect::<String>()
-                    ));
-                }
-                thread::sleep(Duration::from_millis(50));
-                continue;
-            }
-        };
-        let (proposal, with, keepers) = (plan.proposal, plan.with, plan.keepers);
-        match client.change(plan.checks, plan.sets)? {
-            Changed::Applied(version) if call.place.json => {
-                return Ok(
-                    json!({"version": version, "proposal": proposal, "keepers": keepers})
-                        .to_string(),
-                );
-            }
-            Changed::Applied(version) => {
-                let keepers = keepers.join(", ");
-                return Ok(format!(
-                    "version {version} is active for {with} gatherers; without a store go on: {keepers}"
-                ));
-            }
-            // Somebody had another word, or started anew, since it was read: it is read again.
-            Changed::Refused(_) if begun.elapsed() <= wait => {}
-            Changed::Refused(why) => {
-                return Err(format!(
-                    "not activated, something has changed meanwhile: {why}"
-                ));
-            }
-            Changed::Unknown => {
-                return Err(
-                    "not known whether it was activated: look with `fleet versions`".to_owned(),
-                );
-            }
-        }
-    }
-}
-
-fn mark(named: &Named, prefix: &str, put: bool) -> Result<String, String> {
-    let client = named.place.client();
+/// Sets or deletes a gatherer's key under a prefix.
+fn set_flag(named: &Named, prefix: &str, present: bool) -> Result<String, String> {
+    let client = named.store.client();
     let seen = client.read("")?;
     let name = &named.name;
     if !seen.keys.contains_key(&format!("{GATHERERS}{name}")) {
@@ -281,8 +146,8 @@
         ));
     }
     let key = format!("{prefix}{name}");
-    let word = if put { Some("{}".to_owned()) } else { None };
-    match client.change(vec![seen.unchanged(&key)], vec![set(key, word)])? {
+    let value = present.then(|| "{}".to_owned());
+    match client.change(vec![seen.unchanged(&key)], vec![put(key, value)])? {
         Changed::Applied(revision) => Ok(format!("done at revision {revision}")),
         Changed::Refused(why) => Err(format!("not done: {why}")),
         Changed::Unknown => {
@@ -290,104 +155,3 @@
         }
     }
 }
-
-fn tell(place: &Where) -> Result<String, String> {
-    let seen = place.client().read("")?;
-    let active = seen.json(ACTIVE);
-    let next = seen.json(NEXT);
-    let fleet = fleet(
-        &seen,
-        &seen.names(OUT).map(|name| (name.to_owned(), 0)).collect(),
-    );
-    let held: BTreeSet<&str> = seen.names(HELD).collect();
-    if place.json {
-        let line = |(name, member): (&String, &Member)| {
-            let word = member
-                .word
-                .as_ref()
-                .map(|(to, cannot)| json!({"to": to, "cannot": cannot}));
-            json!({"name": name, "runs": member.runs, "word": word, "held": held.contains(name.as_str()),
-                   "left_out": member.left_out.is_some()})
-        };
-        let gatherers: Vec<Json> = fleet.iter().map(line).collect();
-        let version = active.as_ref().map(|(_, version)| *version);
-        let keepers = active.as_ref().map(|(active, _)| active["keepers"].clone());
-        return Ok(
-            json!({"revision": seen.revision, "version": version, "keepers": keepers,
-                         "proposal": next.map(|(_, proposal)| proposal), "gatherers": gatherers})
-            .to_string(),
-        );
-    }
-    let mut text = match &active {
-        Some((active, version)) => format!(
-            "version {version} is active (proposal {})",
-            active["proposal"]
-        ),
-        None => "no version is active: each gatherer goes by its own file".to_owned(),
-    };
-    if let Some((_, proposal)) = &next {
-        let _ = write!(text, "; proposal {proposal} is the last one");
-    }
-    for (name, member) in &fleet {
-        let _ = write!(text, "\n{name}: runs {}", member.runs);
-        match &member.word {
-            Some((to, None)) => drop(write!(text, ", can use {to}")),
-            Some((to, Some(why))) => drop(write!(text, ", cannot use {to}: {why}")),
-            None => text.push_str(", has said nothing"),
-        }
-        text.push_str(if held.contains(name.as_str()) {
-            ", held back"
-        } else {
-            ""
-        });
-        text.push_str(if member.left_out.is_some() {
-            ", left out"
-        } else {
-            ""
-        });
-    }
-    Ok(text)
-}
-
-fn diff(call: &Diff) -> Result<String, String> {
-    let seen = call.place.client().read("config/")?;
-    let active = seen
-        .json(ACTIVE)
-        .map_or(Json::Null, |(active, _)| active["settings"].clone());
-    let other = match call.with {
-        Some(proposal) => seen
-            .json(&format!("{PAST}{proposal}"))
-            .ok_or("that proposal was not active of late")?,
-        None => seen.json(NEXT).ok_or("nothing is proposed")?,
-    };
-    let mut lines = Vec::new();
-    compare(&active, &other.0["settings"], "settings", &mut lines);
-    Ok(if lines.is_empty() {
-        "no difference".to_owned()
-    } else {
-        lines.join("\n")
-    })
-}
-
-/// Every place at which two documents differ, with what stands there.
-fn compare(one: &Json, other: &Json, path: &str, lines: &mut Vec<String>) {
-    match (one, other) {
-        (Json::Object(one), Json::Object(other)) => {
-            let keys: BTreeSet<&String> = one.keys().chain(other.keys()).collect();
-            for key in keys {
-                let (a, b) = (
-                    one.get(key).unwrap_or(&Json::Null),
-                    other.get(key).unwrap_or(&Json::Null),
-                );
-                compare(a, b, &format!("{path}.{key}"), lines);
-            }
-        }
-        (Json::Array(one), Json::Array(other)) if one.len() == other.len() => {
-            for (at, (a, b)) in one.iter().zip(other).enumerate() {
-                compare(a, b, &format!("{path}[{at}]"), lines);
-            }
-        }
-        _ if one != other => lines.push(format!("{path}: {one} becomes {other}")),
-        _ => {}
-    }
-}
--- /dev/null
+++ b/bitternsill/src/versions/cli/activate.rs
@@ -0,0 +1,100 @@
+//! `fleet activate`: makes the last proposal active once no gatherer prevents it.
+
+use super::super::activation::{self, Blocked, Plan};
+use super::Activate;
+use crate::store::client::Changed;
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::thread;
+use std::time::{Duration, Instant};
+use versions::Time;
+use versions::rollout::Blocker;
+
+/// The time between two attempts while gatherers prevent the activation.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+pub(super) fn run(call: &Activate) -> Result<String, String> {
+    let client = call.store.client();
+    let wait = Duration::from_millis(call.wait);
+    let started = Instant::now();
+    let mut excluded_since = BTreeMap::new();
+    loop {
+        let now = started.elapsed().as_nanos() as u64;
+        let seen = client.read("")?;
+        activation::observe_exclusions(&seen, &mut excluded_since, now);
+        let plan = match activation::plan(&seen, &excluded_since, now) {
+            Ok(plan) => plan,
+            Err(Blocked::NoProposal(reason)) => return Err(reason),
+            Err(Blocked::ByGatherers {
+                blockers,
+                exclusion_delay,
+            }) => {
+                if is_hopeless(&blockers, exclusion_delay, started.elapsed(), wait) {
+                    return Err(describe(&blockers));
+                }
+                thread::sleep(POLL_INTERVAL);
+                continue;
+            }
+        };
+        match client.change(plan.checks.clone(), plan.changes.clone())? {
+            Changed::Applied(version) => return Ok(success(version, &plan, call.store.json)),
+            // A gatherer has voted or restarted since the store was read: it is read again.
+            Changed::Refused(_) if started.elapsed() <= wait => {}
+            Changed::Refused(why) => {
+                return Err(format!(
+                    "not activated, something has changed meanwhile: {why}"
+                ));
+            }
+            Changed::Unknown => {
+                return Err(
+                    "not known whether it was activated: look with `fleet versions`".to_owned(),
+                );
+            }
+        }
+    }
+}
+
+/// Whether it is of no use to wait longer. Where a gatherer cannot use the proposal, the votes that
+/// are missing are still waited for, so that all such gatherers are named at once.
+fn is_hopeless(
+    blockers: &BTreeMap<String, Blocker>,
+    exclusion_delay: Time,
+    elapsed: Duration,
+    wait: Duration,
+) -> bool {
+    let all_expire = blockers
+        .values()
+        .all(|blocker| matches!(blocker, Blocker::StillValid(_)));
+    let exclusion_delay = if all_expire {
+        Duration::from_nanos(exclusion_delay)
+    } else {
+        Duration::ZERO
+    };
+    let is_permanent = blockers
+        .values()
+        .any(|blocker| matches!(blocker, Blocker::Objection(_) | Blocker::Autonomous));
+    let votes_missing = blockers.values().any(|blocker| *blocker == Blocker::NoVote);
+    elapsed > wait + exclusion_delay || is_permanent && !votes_missing
+}
+
+fn describe(blockers: &BTreeMap<String, Blocker>) -> String {
+    let names: String = blockers
+        .iter()
+        .map(|(name, blocker)| format!("\n  {name} {blocker}"))
+        .collect();
+    format!("not activated; in the way are:{names}")
+}
+
+fn success(version: u64, plan: &Plan, as_json: bool) -> String {
+    let autonomous = &plan.autonomous;
+    if as_json {
+        let proposal = plan.proposal;
+        return json!({"version": version, "proposal": proposal, "keepers": autonomous})
+            .to_string();
+    }
+    format!(
+        "version {version} is active for {} gatherers; without a store go on: {}",
+        plan.participants,
+        autonomous.join(", ")
+    )
+}
--- /dev/null
+++ b/bitternsill/src/versions/cli/configure.rs
@@ -0,0 +1,79 @@
+//! `fleet configure`: proposes settings to the fleet.
+
+use super::super::FORMAT;
+use super::super::keys::{ACTIVE, GATHERERS, HISTORY, PROPOSAL};
+use super::{Configure, put};
+use crate::core::settings;
+use crate::store::client::{Changed, Seen};
+use serde_json::{Value as Json, json};
+use std::path::Path;
+
+pub(super) fn run(call: &Configure) -> Result<String, String> {
+    if !(0.0..=1.0).contains(&call.least) {
+        return Err(format!(
+            "--least is a share from 0 to 1, not {}",
+            call.least
+        ));
+    }
+    let client = call.store.client();
+    let seen = client.read("")?;
+    let settings = match (&call.file, call.back_to) {
+        (Some(file), _) => read_settings(file)?,
+        (None, Some(proposal)) => former_settings(&seen, proposal)?,
+        (None, None) => return Err("a file, or --back-to".to_owned()),
+    };
+    check_format(&seen)?;
+    let document = json!({"format": FORMAT, "settings": settings, "least": call.least});
+    // A proposal that was made since the store was read is not replaced.
+    let checks = vec![seen.unchanged(PROPOSAL), seen.unchanged(ACTIVE)];
+    match client.change(checks, vec![put(PROPOSAL, Some(document.to_string()))])? {
+        Changed::Applied(proposal) if call.store.json => {
+            Ok(json!({"proposal": proposal}).to_string())
+        }
+        Changed::Applied(proposal) => Ok(format!(
+            "proposed as {proposal}; `fleet activate` has all switch once each has said that it can"
+        )),
+        Changed::Refused(why) => Err(format!("not proposed: {why}")),
+        Changed::Unknown => {
+            Err("not known whether it was proposed: look with `fleet versions`".to_owned())
+        }
+    }
+}
+
+/// The settings in a file, which has only these, or is a configuration.
+fn read_settings(file: &Path) -> Result<Json, String> {
+    let in_file = |problem: &dyn std::fmt::Display| format!("{}: {problem}", file.display());
+    let text = std::fs::read(file).map_err(|problem| in_file(&problem))?;
+    let json: Json = serde_json::from_slice(&text).map_err(|problem| in_file(&problem))?;
+    let settings = if json["settings"].is_object() {
+        json["settings"].clone()
+    } else {
+        json
+    };
+    settings::read(&settings).map_err(|problem| in_file(&problem))?;
+    Ok(settings)
+}
+
+fn former_settings(seen: &Seen, proposal: u64) -> Result<Json, String> {
+    let (document, _) = seen
+        .json(&format!("{HISTORY}{proposal}"))
+        .ok_or_else(|| format!("proposal {proposal} was not active of late"))?;
+    Ok(document["settings"].clone())
+}
+
+/// A document that some gatherer cannot read is not even proposed. Programs from before the format
+/// was numbered read format 1.
+fn check_format(seen: &Seen) -> Result<(), String> {
+    let reads_older = |name: &&str| {
+        seen.json(&format!("{GATHERERS}{name}"))
+            .is_some_and(|(registration, _)| registration["reads"].as_u64().unwrap_or(1) < FORMAT)
+    };
+    let older: Vec<&str> = seen.names(GATHERERS).filter(reads_older).collect();
+    if older.is_empty() {
+        return Ok(());
+    }
+    Err(format!(
+        "not proposed: format {FORMAT} is not read by {}",
+        older.join(", ")
+    ))
+}
--- a/bitternsill/src/versions/collect.rs
+++ b/bitternsill/src/versions/collect.rs
@@ -1,9 +1,9 @@
-//! Trails as they are collected: fetched from each gatherer in pieces, and kept in a folder if one
-//! is named, so that the next collection, or one that was broken off, goes on from what is there,
-//! and a trail outlives its gatherer's disk.
+//! Collects audit logs: fetches them from the gatherers in chunks and stores them in a folder, if
+//! one is given. So a collection that was interrupted continues, and a log outlives its gatherer's
+//! disk.
 
 use crate::store::client::line;
-use serde_json::json;
+use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::fs::{self, OpenOptions};
@@ -11,147 +11,244 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use versions::audit::Segments;
 
-/// Trails by gatherer and by their own number; each has its segments.
+/// Why a log could not be fetched.
+#[derive(Debug, thiserror::Error)]
+pub enum FetchError {
+    /// A request failed twice.
+    #[error("{0}")]
+    Request(String),
+    /// The gatherer has no audit log.
+    #[error("it has no trail")]
+    NoLog,
+    /// A response is not what was asked for.
+    #[error("an answer that cannot be read")]
+    BadResponse,
+    /// The gatherer began another log while this one was being fetched.
+    #[error("it has begun another trail meanwhile")]
+    LogReplaced,
+    /// A chunk could not be stored.
+    #[error("{}: {problem}", path.display())]
+    Store {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        problem: io::Error,
+    },
+}
+
+/// A chunk of a segment.
+struct Chunk {
+    log: Option<u64>,
+    segment: u64,
+    text: String,
+    last_segment: u64,
+    more: bool,
+}
+
+impl Chunk {
+    fn from_json(json: &Json) -> Option<Chunk> {
+        Some(Chunk {
+            log: json["trail"].as_u64(),
+            segment: json["segment"].as_u64()?,
+            text: json["text"].as_str()?.to_owned(),
+            last_segment: json["last"].as_u64()?,
+            more: json["more"] == true,
+        })
+    }
+}
+
+/// Where logs are fetched from, and how long a response may take.
+struct Source {
+    address: SocketAddr,
+    timeout: Duration,
+}
+
+impl Source {
+    /// Requests a chunk; a request that fails is retried once.
+    fn request(&self, segment: u64, offset: u64) -> Result<Json, FetchError> {
+        let request = json!({"ask": "trail", "segment": segment, "from": offset}).to_string();
+        let response = line(self.address, &request, self.timeout)
+            .or_else(|_| line(self.address, &request, self.timeout))
+            .map_err(FetchError::Request)?;
+        Ok(response["trail"].clone())
+    }
+
+    fn chunk(&self, segment: u64, offset: u64) -> Result<Chunk, FetchError> {
+        let json = self.request(segment, offset)?;
+        Chunk::from_json(&json).ok_or(FetchError::BadResponse)
+    }
+
+    /// The gatherer's name and the number of its current log.
+    fn current_log(&self) -> Result<(String, u64), FetchError> {
+        let json = self.request(u64::MAX, 0)?;
+        match (json["name"].as_str(), json["trail"].as_u64()) {
+            (Some(name), Some(log)) => Ok((name.to_owned(), log)),
+            _ => Err(FetchError::NoLog),
+        }
+    }
+}
+
+/// The logs of a fleet.
 #[derive(Debug, Default)]
-pub struct Trails {
-    all: BTreeMap<String, BTreeMap<u64, BTreeMap<u64, String>>>,
-    /// The one that a gatherer has now.
-    fetched: BTreeMap<String, u64>,
+pub struct CollectedLogs {
+    /// By gatherer, and by the number of the log.
+    logs: BTreeMap<String, BTreeMap<u64, Segments>>,
+    /// The current log of each gatherer from which one was fetched.
+    current: BTreeMap<String, u64>,
 }
 
-impl Trails {
-    /// Every trail of a gatherer, and the number of the one that was fetched just now.
-    pub fn of(&self, name: &str) -> (Vec<BTreeMap<u64, String>>, Option<u64>) {
-        let trails = self
-            .all
-            .get(name)
-            .map(|trails| trails.values().cloned().collect());
-        (trails.unwrap_or_default(), self.fetched.get(name).copied())
+impl CollectedLogs {
+    /// All logs of a gatherer, and the number of the one that was fetched just now.
+    pub fn of(&self, name: &str) -> (Vec<Segments>, Option<u64>) {
+        let logs = self.logs.get(name);
+        let logs = logs.map(|logs| logs.values().cloned().collect());
+        (logs.unwrap_or_default(), self.current.get(name).copied())
     }
 
-    /// What a folder has kept. Errors: it cannot be read.
-    pub fn kept(folder: &Path) -> io::Result<Trails> {
-        let mut trails = Trails::default();
+    /// Loads the logs that are stored in a folder.
+    ///
+    /// # Errors
+    /// The folder cannot be read.
+    pub fn load(folder: &Path) -> io::Result<CollectedLogs> {
+        let mut collected = CollectedLogs::default();
         for entry in fs::read_dir(folder)? {
             let path = entry?.path();
-            let Some((name, trail, segment)) =
-                path.file_name().and_then(|name| parts(name.to_str()?))
+            let Some(segment) = path
+                .file_name()
+                .and_then(|name| SegmentName::parse(name.to_str()?))
             else {
                 continue;
             };
-            // What was cut in the middle of a letter is asked for again.
-            let text = whole_letters(fs::read(&path)?);
-            trails.segments(&name, trail).insert(segment, text);
+            // A character that was stored in part is fetched again.
+            let text = complete_utf8(fs::read(&path)?);
+            collected
+                .segments(&segment.gatherer, segment.log)
+                .insert(segment.segment, text);
         }
-        Ok(trails)
+        Ok(collected)
     }
 
-    fn segments(&mut self, name: &str, trail: u64) -> &mut BTreeMap<u64, String> {
-        self.all
+    fn segments(&mut self, name: &str, log: u64) -> &mut Segments {
+        self.logs
             .entry(name.to_owned())
             .or_default()
-            .entry(trail)
+            .entry(log)
             .or_default()
     }
 
-    /// Fetches what one gatherer has beyond what is here, a piece at a time; each is kept before
-    /// the next is asked for. Errors: a piece could not be had, also when it was asked for again,
-    /// or not be kept; what came before stays.
+    /// Fetches what is missing of one gatherer's current log, chunk by chunk; each is stored before
+    /// the next is requested. What was fetched before an error stays.
+    ///
+    /// # Errors
+    /// A request failed, also when it was retried, or a chunk could not be stored.
     pub fn fetch(
         &mut self,
-        at: SocketAddr,
+        address: SocketAddr,
         folder: Option<&Path>,
-        patience: Duration,
-    ) -> Result<(), String> {
-        let ask = |segment: u64, from: u64| {
-            let asked = json!({"ask": "trail", "segment": segment, "from": from}).to_string();
-            line(at, &asked, patience).or_else(|_| line(at, &asked, patience))
-        };
-        // Which trail it has now, before anything is taken for a part of one.
-        let first = ask(u64::MAX, 0)?;
-        let (name, trail) = (
-            first["trail"]["name"].as_str(),
-            first["trail"]["trail"].as_u64(),
-        );
-        let (Some(name), Some(trail)) = (name, trail) else {
-            return Err("it has no trail".to_owned());
-        };
-        self.fetched.insert(name.to_owned(), trail);
-        let held = self.segments(name, trail);
-        let (mut segment, mut from) = held
+        timeout: Duration,
+    ) -> Result<(), FetchError> {
+        let source = Source { address, timeout };
+        let (name, log) = source.current_log()?;
+        self.current.insert(name.clone(), log);
+        let known = self.segments(&name, log);
+        let (mut segment, mut offset) = known
             .last_key_value()
-            .map_or((0, 0), |(at, text)| (*at, text.len() as u64));
+            .map_or((0, 0), |(number, text)| (*number, text.len() as u64));
         loop {
-            let told = ask(segment, from)?;
-            let told = &told["trail"];
-            let (text, at) = (told["text"].as_str(), told["segment"].as_u64());
-            let (Some(text), Some(at), Some(last)) = (text, at, told["last"].as_u64()) else {
-                return Err("an answer that cannot be read".to_owned());
-            };
-            if told["trail"].as_u64() != Some(trail) {
-                return Err("it has begun another trail meanwhile".to_owned());
+            let chunk = source.chunk(segment, offset)?;
+            if chunk.log != Some(log) {
+                return Err(FetchError::LogReplaced);
             }
-            if at != segment {
-                // What was to come next was let go there; it tells the oldest that is left instead.
-                (segment, from) = (at, 0);
+            if chunk.segment != segment {
+                // The segment was deleted there: the response is for the oldest that is left.
+                (segment, offset) = (chunk.segment, 0);
                 continue;
             }
-            if let Some(folder) = folder.filter(|_| !text.is_empty()) {
-                let path = folder.join(file_name(name, trail, segment));
-                let kept = OpenOptions::new().create(true).append(true).open(&path);
-                let kept = kept.and_then(|mut file| file.write_all(text.as_bytes()));
-                kept.map_err(|problem| format!("{}: {problem}", path.display()))?;
+            if let Some(folder) = folder.filter(|_| !chunk.text.is_empty()) {
+                let file = SegmentName {
+                    gatherer: name.clone(),
+                    log,
+                    segment,
+                };
+                append(folder.join(file.to_file_name()), &chunk.text)?;
             }
-            held.entry(segment).or_default().push_str(text);
-            from += text.len() as u64;
-            if told["more"] != true {
-                if segment >= last {
-                    return Ok(());
-                }
-                (segment, from) = (segment + 1, 0);
+            known.entry(segment).or_default().push_str(&chunk.text);
+            offset += chunk.text.len() as u64;
+            if chunk.more {
+                continue;
+            }
+            if segment >= chunk.last_segment {
+                return Ok(());
             }
+            (segment, offset) = (segment + 1, 0);
         }
     }
 }
 
-/// As much of these bytes as is whole letters.
-pub fn whole_letters(bytes: Vec<u8>) -> String {
+fn append(path: PathBuf, text: &str) -> Result<(), FetchError> {
+    let file = OpenOptions::new().create(true).append(true).open(&path);
+    file.and_then(|mut file| file.write_all(text.as_bytes()))
+        .map_err(|problem| FetchError::Store { path, problem })
+}
+
+/// The bytes up to the last complete character: a chunk may end within one.
+pub fn complete_utf8(bytes: Vec<u8>) -> String {
     String::from_utf8(bytes).unwrap_or_else(|problem| {
-        let whole = problem.utf8_error().valid_up_to();
-        String::from_utf8_lossy(&problem.as_bytes()[..whole]).into_owned()
+        let valid = problem.utf8_error().valid_up_to();
+        String::from_utf8_lossy(&problem.as_bytes()[..valid]).into_owned()
     })
 }
 
-/// A file's name: the gatherer's, in which only plain letters stand as they are, the trail's number
-/// and the segment's.
-fn file_name(name: &str, trail: u64, segment: u64) -> PathBuf {
-    let plain = name.bytes().fold(String::new(), |mut plain, byte| {
-        if byte.is_ascii_alphanumeric() || byte == b'-' {
-            plain.push(char::from(byte));
-        } else {
-            let _ = write!(plain, "%{byte:02x}");
-        }
-        plain
-    });
-    PathBuf::from(format!("{plain}.{trail:016x}.{segment:06}.trail"))
+/// What the name of a stored segment's file says.
+#[derive(Debug, PartialEq, Eq)]
+struct SegmentName {
+    gatherer: String,
+    log: u64,
+    segment: u64,
 }
 
-/// What a file's name says; `None` where it is no such file.
-fn parts(file: &str) -> Option<(String, u64, u64)> {
-    let mut words = file.strip_suffix(".trail")?.split('.');
-    let (plain, trail, segment) = (words.next()?, words.next()?, words.next()?);
-    let (mut name, mut rest) = (Vec::new(), plain.bytes());
-    while let Some(byte) = rest.next() {
-        if byte == b'%' {
-            let digit = |byte: u8| char::from(byte).to_digit(16);
-            name.push((digit(rest.next()?)? * 16 + digit(rest.next()?)?) as u8);
-        } else {
-            name.push(byte);
+impl SegmentName {
+    /// The gatherer's name is percent-encoded except for ASCII letters, digits and hyphens, so that
+    /// it can neither leave the folder nor contain the separator.
+    fn to_file_name(&self) -> PathBuf {
+        let encoded = self
+            .gatherer
+            .bytes()
+            .fold(String::new(), |mut encoded, byte| {
+                if byte.is_ascii_alphanumeric() || byte == b'-' {
+                    encoded.push(char::from(byte));
+                } else {
+                    let _ = write!(encoded, "%{byte:02x}");
+                }
+                encoded
+            });
+        let (log, segment) = (self.log, self.segment);
+        PathBuf::from(format!("{encoded}.{log:016x}.{segment:06}.trail"))
+    }
+
+    /// `None` if it is not the name of a stored segment.
+    fn parse(file_name: &str) -> Option<SegmentName> {
+        let mut parts = file_name.strip_suffix(".trail")?.split('.');
+        let (encoded, log, segment) = (parts.next()?, parts.next()?, parts.next()?);
+        let mut name = Vec::new();
+        let mut bytes = encoded.bytes();
+        let hex_digit = |byte: u8| char::from(byte).to_digit(16);
+        while let Some(byte) = bytes.next() {
+            if byte == b'%' {
+                let (high, low) = (hex_digit(bytes.next()?)?, hex_digit(bytes.next()?)?);
+                name.push((high * 16 + low) as u8);
+            } else {
+                name.push(byte);
+            }
         }
+        Some(SegmentName {
+            log: u64::from_str_radix(log, 16).ok()?,
+            segment: segment.parse().ok()?,
+            gatherer: String::from_utf8(name).ok()?,
+        })
     }
-    let number = (u64::from_str_radix(trail, 16).ok()?, segment.parse().ok()?);
-    Some((String::from_utf8(name).ok()?, number.0, number.1))
 }
 
 #[cfg(test)]
--- a/versions/src/audit/tests.rs
+++ b/versions/src/audit/tests.rs
@@ -1,51 +1,54 @@
-//! Tests of `audit`.
+//! Tests of the audit.
 
+use super::segments::join;
 use super::*;
-use crate::trail::Chain;
+use crate::audit_log::{Entry, HashChain, Record};
+use crate::status::Status;
 
 const MS: Time = 1_000_000;
 
-fn entries(marks: Vec<(u64, Mark)>) -> Vec<Entry> {
-    let began = Mark::Began {
+fn entries(records: Vec<(u64, Record)>) -> Vec<Entry> {
+    let began = Record::Started {
         name: "g".to_owned(),
-        life: 1,
-        wall: 50_000,
+        incarnation: 1,
+        wall_ms: 50_000,
         validity: 1000 * MS,
     };
     let first = Entry {
         at: 10 * MS,
-        mark: began,
+        record: began,
     };
-    let rest = marks
-        .into_iter()
-        .map(|(at, mark)| Entry { at: at * MS, mark });
+    let rest = records.into_iter().map(|(at, record)| Entry {
+        at: at * MS,
+        record,
+    });
     [first].into_iter().chain(rest).collect()
 }
 
-fn acts(version: Version, first: u64, last: u64) -> Mark {
+fn acts(version: Version, first: u64, last: u64) -> Record {
     let (class, outcome) = ("page".to_owned(), "whole".to_owned());
-    Mark::Acts {
+    Record::Served {
         version,
         class,
         outcome,
-        taken: (first * MS, last * MS),
+        accepted: (first * MS, last * MS),
         count: 9,
     }
 }
 
-fn proved(asked: u64, version: Version) -> Mark {
-    Mark::Proved {
-        asked: asked * MS,
+fn proved(queried_at: u64, version: Version) -> Record {
+    Record::Confirmed {
+        queried_at: queried_at * MS,
         version,
     }
 }
 
-fn found(marks: Vec<(u64, Mark)>) -> Vec<Finding> {
-    judge(&entries(marks), None, &BTreeSet::from([5, 9])).findings
+fn found(records: Vec<(u64, Record)>) -> Vec<Finding> {
+    replay(&entries(records), None, &BTreeSet::from([5, 9])).findings
 }
 
 #[test]
-fn acts_within_the_validity_are_fine_and_each_beyond_it_is_named() {
+fn reports_queries_after_the_validity() {
     let fine = vec![
         (20, proved(15, 5)),
         (900, proved(800, 5)),
@@ -65,17 +68,17 @@
         (300, proved(300, 9)),
         (1100, acts(5, 20, 1015)),
     ];
-    let finding = Finding::Beyond {
+    let finding = Finding::ServedExpired {
         version: 5,
         class: "page".to_owned(),
-        by: 0,
+        overrun: 0,
         count: 9,
     };
     assert_eq!(found(beyond), [finding]);
     // It switches before it has asked again: what held of the former holds of this.
-    let runs = |version| Mark::Runs {
+    let runs = |version| Record::Switched {
         version,
-        keeper: false,
+        autonomous: false,
     };
     let switches = vec![
         (20, proved(15, 5)),
@@ -85,17 +88,21 @@
     ];
     assert_eq!(found(switches), []);
     let never = vec![(20, acts(5, 20, 21))];
-    assert_eq!(found(never)[0].is_wrong(), Some(true), "it was never told");
+    assert_eq!(
+        found(never)[0].is_violation(),
+        Some(true),
+        "it was never told"
+    );
 }
 
 #[test]
-fn one_that_goes_on_without_a_store_is_named_and_must_have_said_so() {
-    let runs = Mark::Runs {
+fn autonomous_service_must_be_recorded() {
+    let runs = Record::Switched {
         version: 5,
-        keeper: true,
+        autonomous: true,
     };
-    let kept = Mark::Stands {
-        standing: Standing::Kept,
+    let kept = Record::StatusChanged {
+        status: Status::Autonomous,
     };
     let go_on = vec![
         (20, proved(15, 5)),
@@ -105,69 +112,69 @@
     ];
     assert_eq!(
         found(go_on),
-        [Finding::Kept {
+        [Finding::ServedAutonomously {
             version: 5,
-            by: 975 * MS,
+            overrun: 975 * MS,
             count: 9
         }]
     );
     let silent = vec![(20, proved(15, 5)), (21, runs), (2000, acts(5, 20, 1990))];
-    assert_eq!(found(silent)[0].is_wrong(), Some(true));
+    assert_eq!(found(silent)[0].is_violation(), Some(true));
 }
 
 #[test]
-fn what_the_store_never_said_is_a_lie_and_what_is_missing_is_not_known() {
+fn tells_violations_from_unknowns() {
     assert_eq!(found(vec![(20, proved(15, 7))]), [Finding::NeverActive(7)]);
     assert_eq!(
         found(vec![(20, proved(15, 9)), (30, proved(25, 5))]),
-        [Finding::WentBack(9, 5)]
+        [Finding::Regressed { from: 9, to: 5 }]
     );
-    let broken = Broken {
+    let corruption = Corruption {
         line: 3,
-        why: "it is cut short",
+        defect: Defect::Truncated,
     };
-    let report = judge(&entries(vec![]), Some(broken), &BTreeSet::new());
-    assert_eq!(report.findings[0].is_wrong(), None);
+    let report = replay(&entries(vec![]), Some(corruption), &BTreeSet::new());
+    assert_eq!(report.findings[0].is_violation(), None);
 }
 
 #[test]
-fn segments_that_are_missing_and_trails_shorter_than_the_store_was_told_are_broken() {
+fn detects_missing_segments_and_logs() {
     let mut segments = BTreeMap::new();
     let mut hash = String::new();
     for segment in 0..3 {
-        let mut chain = Chain::default();
-        let mark = Mark::Follows {
-            trail: 77,
+        let mut chain = HashChain::default();
+        let record = Record::SegmentStarted {
+            log: 77,
             segment,
-            hash: hash.clone(),
+            previous_hash: hash.clone(),
+        };
+        let begins = Entry {
+            at: segment,
+            record,
         };
-        let begins = Entry { at: segment, mark };
         let acts = Entry {
             at: 10 + segment,
-            mark: acts(5, 1, 2),
+            record: acts(5, 1, 2),
         };
-        let text = chain.line(&begins) + "\n" + &chain.line(&acts) + "\n";
+        let text = chain.append(&begins) + "\n" + &chain.append(&acts) + "\n";
         hash = chain.hash;
         segments.insert(segment, text);
     }
-    let digest = Digest {
+    let digest = LogDigest {
         segment: 2,
         length: 2,
         hash,
     };
-    let mut told = BTreeMap::from([(77, digest)]);
-    assert_eq!(join(&segments, &told).1, None);
+    let mut digests = BTreeMap::from([(77, digest)]);
+    assert_eq!(join(&segments, &digests).1, None);
     let without = |gone: u64| {
         let mut left = segments.clone();
         left.remove(&gone);
-        join(&left, &told)
+        join(&left, &digests)
     };
     assert_eq!(without(0).1, None, "the oldest may have been let go");
-    assert_eq!(without(1).1.map(|broken| broken.line), Some(1));
-    assert_eq!(
-        without(2).1.unwrap().why,
-        "segments that the store was told of are missing"
-    );
+    assert_eq!(without(1).1.map(|corruption| corruption.line), Some(1));
+    assert_eq!(without(2).1.unwrap().defect, Defect::SegmentsMissing);
     let mut cut = segments.clone();
     cut.insert(
         2,
@@ -177,118 +184,137 @@
             .unwrap()
             .to_owned(),
     );
-    let (held, broken) = join(&cut, &told);
+    let (held, corruption) = join(&cut, &digests);
     assert_eq!(
-        (held.len(), broken.unwrap().why),
-        (5, "it is not what the store was told of it")
+        (held.len(), corruption.unwrap().defect),
+        (5, Defect::DigestMismatch)
     );
     assert_eq!(join(&BTreeMap::new(), &BTreeMap::new()), (vec![], None));
     let none = BTreeSet::new();
     assert_eq!(
-        account(&[], None, &told, &none).findings,
-        [Finding::NoTrail]
+        audit_gatherer(&[], None, &digests, &none).findings,
+        [Finding::NoLog]
     );
-    let gone = "an earlier trail that the store was told of is gone";
-    let gone = Finding::Broken(Broken { line: 0, why: gone });
-    let found = |trails: &[BTreeMap<u64, String>]| account(trails, Some(77), &told, &none).findings;
+    let gone = Finding::Corrupt(Corruption {
+        line: 0,
+        defect: Defect::LogMissing,
+    });
+    let found = |trails: &[BTreeMap<u64, String>]| {
+        audit_gatherer(trails, Some(77), &digests, &none).findings
+    };
     assert!(
         found(&[BTreeMap::new()]).contains(&gone),
         "all of it is gone"
     );
     // One that was lost with its disk, and one that was kept elsewhere.
-    let mut chain = Chain::default();
+    let mut chain = HashChain::default();
     let begins = Entry {
         at: 1,
-        mark: Mark::Follows {
-            trail: 78,
+        record: Record::SegmentStarted {
+            log: 78,
             segment: 0,
-            hash: String::new(),
+            previous_hash: String::new(),
         },
     };
-    let other = BTreeMap::from([(0, chain.line(&begins) + "\n")]);
-    told.insert(
+    let other = BTreeMap::from([(0, chain.append(&begins) + "\n")]);
+    digests.insert(
         78,
-        Digest {
+        LogDigest {
             segment: 0,
             length: 1,
             hash: chain.hash,
         },
     );
     assert_eq!(
-        account(&[segments.clone()], Some(77), &told, &none)
+        audit_gatherer(&[segments.clone()], Some(77), &digests, &none)
             .findings
             .last(),
         Some(&gone)
     );
-    let both = account(&[other, segments], Some(77), &told, &none);
+    let both = audit_gatherer(&[other, segments], Some(77), &digests, &none);
     assert!(
         !both.findings.contains(&gone) && both.spans.len() == 1,
         "{both:?}"
     );
     // Kept from a life that nobody saw the end of; and from one that goes on.
-    let mut chain = Chain::default();
-    let began = Mark::Began {
+    let mut chain = HashChain::default();
+    let began = Record::Started {
         name: "g".to_owned(),
-        life: 6,
-        wall: 0,
+        incarnation: 6,
+        wall_ms: 0,
         validity: 1,
     };
-    let text = [begins, Entry { at: 2, mark: began }]
-        .map(|entry| chain.line(&entry) + "\n")
-        .concat();
+    let text = [
+        begins,
+        Entry {
+            at: 2,
+            record: began,
+        },
+    ]
+    .map(|entry| chain.append(&entry) + "\n")
+    .concat();
     let alone = [BTreeMap::from([(0, text)])];
-    let told = BTreeMap::from([(
+    let digests = BTreeMap::from([(
         78,
-        Digest {
+        LogDigest {
             segment: 0,
             length: 2,
             hash: chain.hash,
         },
     )]);
-    let cut_off = Finding::CutOff { life: 6, after: 0 };
-    assert_eq!(account(&alone, None, &told, &none).findings, [cut_off]);
-    assert_eq!(account(&alone, Some(78), &told, &none).findings, []);
+    let cut_off = Finding::EndMissing {
+        incarnation: 6,
+        after: 0,
+    };
+    assert_eq!(
+        audit_gatherer(&alone, None, &digests, &none).findings,
+        [cut_off]
+    );
+    assert_eq!(
+        audit_gatherer(&alone, Some(78), &digests, &none).findings,
+        []
+    );
 }
 
 #[test]
-fn what_could_not_be_noted_and_calls_by_hand_are_told() {
-    let began = |life| Mark::Began {
+fn reports_lost_entries_and_operator_calls() {
+    let began = |incarnation| Record::Started {
         name: "g".to_owned(),
-        life,
-        wall: 60_000,
+        incarnation,
+        wall_ms: 60_000,
         validity: 1000 * MS,
     };
-    let call = Mark::Called {
+    let call = Record::OperatorCall {
         version: 5,
         call: "exclude s-1".to_owned(),
     };
-    let marks = vec![
+    let records = vec![
         (30, call),
         (700, began(2)),
-        (710, Mark::Ended),
+        (710, Record::Stopped),
         (800, began(3)),
-        (810, Mark::Lost { count: 4 }),
+        (810, Record::EntriesLost { count: 4 }),
     ];
-    let report = judge(&entries(marks), None, &BTreeSet::new());
+    let report = replay(&entries(records), None, &BTreeSet::new());
     // The first life ended without a word, the second in order, the third goes on.
     assert_eq!(
         report.findings,
         [
-            Finding::CutOff {
-                life: 1,
+            Finding::EndMissing {
+                incarnation: 1,
                 after: 20 * MS
             },
-            Finding::Lost(4)
+            Finding::EntriesLost(4)
         ]
     );
-    let words: Vec<&str> = report.findings.iter().map(Finding::word).collect();
+    let words: Vec<&str> = report.findings.iter().map(Finding::label).collect();
     assert_eq!(words, ["gap", "NOT KNOWN"]);
     assert_eq!(report.calls[0].wall_ms, 50_020);
 }
 
 #[test]
-fn versions_that_were_acted_on_at_one_time_are_told() {
-    let of = |marks| judge(&entries(marks), None, &BTreeSet::from([5, 9]));
+fn reports_overlapping_versions() {
+    let of = |records| replay(&entries(records), None, &BTreeSet::from([5, 9]));
     let early = of(vec![(20, proved(15, 9)), (600, acts(9, 400, 590))]);
     let late = of(vec![
         (20, proved(15, 5)),
@@ -297,5 +323,12 @@
     ]);
     assert_eq!(late.spans.len(), 2);
     let reports = BTreeMap::from([("a".to_owned(), early), ("b".to_owned(), late)]);
-    assert_eq!(overlaps(&reports), BTreeMap::from([((5, 9), 150)]));
+    assert_eq!(
+        overlaps(&reports),
+        [Overlap {
+            earlier: 5,
+            later: 9,
+            duration_ms: 150
+        }]
+    );
 }
--- a/versions/src/registration.rs
+++ b/versions/src/registration.rs
@@ -1,35 +1,35 @@
-//! Whether a process still has its gatherer's name, or another process has taken it.
+//! Detects that another process has registered under a gatherer's name.
 
-/// How a process stands to its name.
+/// The state of a process's registration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     /// Its own registration has not been committed yet.
-    Unseen,
+    Pending,
     /// Its own registration was committed, and no other one after it.
     Registered,
-    /// Another process registered after it; this is for good.
+    /// Another process registered after it. This state is final.
     Displaced,
 }
 
-/// One process's claim to its gatherer's name.
+/// One process's registration of its gatherer's name.
 #[derive(Debug, Clone)]
 pub struct Registration {
-    life: u64,
+    incarnation: u64,
     state: State,
 }
 
 impl Registration {
-    /// A process with this life that has not registered yet.
-    pub fn new(life: u64) -> Self {
+    /// A process of this incarnation that has not registered yet.
+    pub fn new(incarnation: u64) -> Self {
         Registration {
-            life,
-            state: State::Unseen,
+            incarnation,
+            state: State::Pending,
         }
     }
 
-    /// The life that a registration bears.
-    pub fn life(&self) -> u64 {
-        self.life
+    /// The incarnation that registers.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     /// Whether another process has taken the name.
@@ -37,12 +37,16 @@
         self.state == State::Displaced
     }
 
-    /// A registration of the name was committed. Each one has to be told, in order: two processes
-    /// that register in the same moment may each find only the other's in the store whenever they
-    /// look. True where the name is lost by this one.
-    pub fn committed(&mut self, life: u64) -> bool {
+    /// A registration of the name was committed. Returns `true` if this process lost the name by
+    /// it.
+    ///
+    /// Every committed registration has to be passed, in order: of two processes that register at
+    /// the same time each may find only the other's registration when it reads the store.
+    pub fn observe_commit(&mut self, incarnation: u64) -> bool {
         let next = match self.state {
-            State::Unseen | State::Registered if life == self.life => State::Registered,
+            State::Pending | State::Registered if incarnation == self.incarnation => {
+                State::Registered
+            }
             State::Registered => State::Displaced,
             unchanged => unchanged,
         };
--- a/versions/tests/fleet.rs
+++ b/versions/tests/fleet.rs
@@ -1,53 +1,57 @@
-//! A fleet over rollouts, by seed: gatherers that are cut off, stand still, lose power and have
-//! clocks that run apart; a store without a majority for stretches; operators who leave gatherers
-//! out. Nobody acts on a version beyond its bound, whoever was left out of an activation has
-//! stopped before it, and the least share stays in service. `VERSIONS_SEEDS=10000 cargo test
-//! --release -p bitternsill-versions --test fleet` plays as many.
+//! Simulation of rollouts in a fleet, deterministic by seed: network partitions, suspensions, power
+//! losses and clock drift of gatherers, a store that loses its quorum, operators who exclude
+//! gatherers. No gatherer serves beyond its validity, an excluded one has stopped before the
+//! activation, and the autonomous fraction stays in service. `VERSIONS_SEEDS=10000 cargo test
+//! --release -p bitternsill-versions --test fleet` runs that many.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use versions::rollout::{Member, bound, in_the_way, keepers, least};
-use versions::standing::{Account, Standing, Terms};
+use versions::lease::{Config, VersionLease};
+use versions::rollout::{
+    Member, Vote, autonomous_count, autonomous_members, blockers, exclusion_delay,
+};
+use versions::status::Status;
 use versions::{Time, Version};
 
 const MS: Time = 1_000_000;
-const TERMS: Terms = Terms {
+const CONFIG: Config = Config {
     validity: 4_000 * MS,
-    steady: 800 * MS,
+    recovery: 800 * MS,
 };
 /// What two clocks may differ by, in parts of a thousand.
 const DRIFT: u64 = 50;
-const SHARE: f64 = 0.4;
+const AUTONOMOUS_FRACTION: f64 = 0.4;
 
-/// What is done wrong on purpose.
+/// A defect that is injected, to show that the simulation detects it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Planted {
-    Nothing,
-    /// An activation leaves gatherers out without waiting until they have stopped.
-    NoWait,
-    /// A validity counts from when the answer came, and not from when it was asked for.
-    FromTheAnswer,
-    /// One that is left out renews its validity all the same.
-    RenewedWhileOut,
+enum Defect {
+    None,
+    /// An activation does not wait until excluded gatherers have stopped.
+    NoExclusionDelay,
+    /// A validity counts from the response instead of the query.
+    ValidityFromResponse,
+    /// An excluded gatherer renews its validity.
+    RenewedWhileExcluded,
     /// The share that goes on without a store is not kept in activations: its members may be left
     /// out.
-    KeepersLeftOut,
+    AutonomousExcluded,
 }
 
 struct Gatherer {
-    account: Account,
+    lease: VersionLease,
     up: bool,
     back_at: Time,
-    asleep_until: Time,
-    /// Its clock: so much of it goes by for each thousand of true time.
+    suspended_until: Time,
+    /// The rate of its clock, in thousandths of true time.
     rate: u64,
-    life: u64,
+    incarnation: u64,
     /// The version on its disk, and whether it is a keeper under it.
     disk: (Version, bool),
-    /// Whether the store hears it and it hears the store.
-    linked: bool,
-    /// Answers on their way: when they come, what is active, and whether this one is left out.
+    /// Whether it is connected to the store.
+    connected: bool,
+    /// Responses in flight: when they arrive, the active version, and whether this gatherer is
+    /// excluded.
     answers: VecDeque<(Time, Version, bool)>,
-    swings: u32,
+    flaps: u32,
 }
 
 impl Gatherer {
@@ -61,36 +65,36 @@
 #[derive(Default)]
 struct Store {
     proposal: u64,
-    words: BTreeMap<String, (u64, u64)>,
+    votes: BTreeMap<String, (u64, u64)>,
     out: BTreeSet<String>,
     active: Version,
-    keepers: BTreeSet<String>,
+    autonomous: BTreeSet<String>,
     /// When each version ended, in true time.
     ended: BTreeMap<Version, Time>,
     left_out: BTreeMap<Version, BTreeSet<String>>,
 }
 
-fn play(seed: u64, planted: Planted) -> Result<u32, String> {
+fn play(seed: u64, defect: Defect) -> Result<u32, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let count = [3, 6, 10][seed as usize % 3];
     let names: Vec<String> = (0..count).map(|at| format!("g{at}")).collect();
     let all: BTreeSet<String> = names.iter().cloned().collect();
     let mut store = Store {
-        keepers: all.clone(),
+        autonomous: all.clone(),
         ..Store::default()
     };
     let mut fleet: Vec<Gatherer> = (0..count)
         .map(|at| Gatherer {
-            account: Account::new(TERMS, 0, true, 0),
+            lease: VersionLease::new(CONFIG, 0, true, 0),
             up: false,
             back_at: 0,
-            asleep_until: 0,
+            suspended_until: 0,
             rate: rng.u64(976..=1024),
-            life: at as u64,
+            incarnation: at as u64,
             disk: (0, true),
-            linked: true,
+            connected: true,
             answers: VecDeque::new(),
-            swings: 0,
+            flaps: 0,
         })
         .collect();
     let mut activator: (Time, BTreeMap<String, Time>) = (0, BTreeMap::new());
@@ -110,9 +114,9 @@
                     continue;
                 }
                 one.up = true;
-                one.life += 1_000;
+                one.incarnation += 1_000;
                 let own = one.clock(now);
-                one.account = Account::new(TERMS, one.disk.0, one.disk.1, own);
+                one.lease = VersionLease::new(CONFIG, one.disk.0, one.disk.1, own);
                 one.answers.clear();
             }
             if !calm {
@@ -121,31 +125,31 @@
                         (one.up, one.back_at) = (false, now + rng.u64(50..9_000) * MS);
                         continue;
                     }
-                    6..12 => one.asleep_until = now + rng.u64(50..12_000) * MS,
-                    12..24 => one.linked = false,
-                    24..64 => one.linked = true,
+                    6..12 => one.suspended_until = now + rng.u64(50..12_000) * MS,
+                    12..24 => one.connected = false,
+                    24..64 => one.connected = true,
                     _ => {}
                 }
             } else {
-                one.linked = true;
+                one.connected = true;
             }
-            if now < one.asleep_until && !calm {
+            if now < one.suspended_until && !calm {
                 continue;
             }
             let own = one.clock(now);
             // What came while it stood still is there at its first turn, and so are queries: they
             // go first here.
-            let acts = one.account.may_act(own);
-            let runs = one.account.runs();
+            let acts = one.lease.may_accept(own);
+            let runs = one.lease.running();
             if acts && let Some(ended) = store.ended.get(&runs) {
-                let kept = one.account.standing() == Standing::Kept || one.disk.1;
+                let kept = one.lease.status() == Status::Autonomous || one.disk.1;
                 if store.left_out[&runs].contains(name) {
                     return Err(format!(
                         "{name} acts on {runs}, of whose end it was left out, at {} ms",
                         now / MS
                     ));
                 }
-                let last = *ended + bound(TERMS.validity, DRIFT) + 40 * MS;
+                let last = *ended + exclusion_delay(CONFIG.validity, DRIFT) + 40 * MS;
                 if !kept && now > last {
                     return Err(format!(
                         "{name} acts on {runs} {} ms beyond its bound",
@@ -153,54 +157,57 @@
                     ));
                 }
             }
-            if one.linked && quorum {
-                store.words.entry(name.clone()).or_insert((one.life, 0));
-                let word = store.words.get_mut(name).expect("just put there");
-                if *word != (one.life, store.proposal) {
+            if one.connected && quorum {
+                store
+                    .votes
+                    .entry(name.clone())
+                    .or_insert((one.incarnation, 0));
+                let vote = store.votes.get_mut(name).expect("just put there");
+                if *vote != (one.incarnation, store.proposal) {
                     // Prepared within some time of hearing of it.
                     if rng.u8(..) < 30 {
-                        *word = (one.life, store.proposal);
+                        *vote = (one.incarnation, store.proposal);
                     }
                 }
                 // What it applies of the store: it may be late with that too.
                 if store.active != runs && rng.u8(..) < 60 {
-                    let keeper = store.keepers.contains(name);
-                    one.account.switched(store.active, keeper, own);
-                    one.disk = (store.active, keeper);
+                    let autonomous = store.autonomous.contains(name);
+                    one.lease.switch(store.active, autonomous, own);
+                    one.disk = (store.active, autonomous);
                 }
             }
-            let before = one.account.standing();
-            if one.account.asks(own) {
+            let before = one.lease.status();
+            if one.lease.begin_query(own) {
                 // What an answer says is as old as its question.
                 let most = if rng.u8(..) < 20 { 3_000 } else { 60 };
                 // It is waited for no longer than a gap.
                 let late = rng.u64(10..most) * MS;
-                let comes = late < TERMS.validity / 4;
-                if one.linked && quorum && comes {
-                    let out = store.out.contains(name) && planted != Planted::RenewedWhileOut;
+                let comes = late < CONFIG.validity / 4;
+                if one.connected && quorum && comes {
+                    let out = store.out.contains(name) && defect != Defect::RenewedWhileExcluded;
                     one.answers.push_back((now + late, store.active, out));
                 } else {
-                    one.account.unanswered(own);
+                    one.lease.handle_timeout(own);
                 }
             }
             if one.answers.front().is_some_and(|(at, ..)| *at <= now)
                 && let Some((_, active, out)) = one.answers.pop_front()
             {
-                if planted == Planted::FromTheAnswer {
-                    one.account.unanswered(own);
+                if defect == Defect::ValidityFromResponse {
+                    one.lease.handle_timeout(own);
                     // It asks anew and takes the old answer for that.
-                    let asked = (0..80).any(|step| one.account.asks(own + step * 20 * MS));
+                    let asked = (0..80).any(|step| one.lease.begin_query(own + step * 20 * MS));
                     assert!(asked, "within a gap it asks again");
                 }
                 if out {
-                    one.account.left_out(own);
+                    one.lease.handle_exclusion(own);
                 } else {
-                    one.account.answered(active, own);
+                    one.lease.handle_response(active, own);
                 }
             }
-            one.account.settle(own);
-            let after = one.account.standing();
-            one.swings += u32::from((before == Standing::ShutOut) != (after == Standing::ShutOut));
+            one.lease.update(own);
+            let after = one.lease.status();
+            one.flaps += u32::from((before == Status::Suspended) != (after == Status::Suspended));
         }
         // Whoever operates the fleet: proposes, leaves out whoever has not had its say for long,
         // activates.
@@ -209,7 +216,7 @@
             continue;
         }
         if store.proposal == 0
-            || store.words.is_empty()
+            || store.votes.is_empty()
             || made > 0 && store.proposal == store.active
         {
             // The last rollout has its time to end.
@@ -221,31 +228,35 @@
             continue;
         }
         let member = |name: &String| {
-            let life = fleet[names.iter().position(|n| n == name).expect("one of them")].life;
-            let word = store.words.get(name).filter(|(of, _)| *of == life);
-            let word = word.map(|(_, to)| (*to, None));
+            let incarnation =
+                fleet[names.iter().position(|n| n == name).expect("one of them")].incarnation;
+            let vote = store.votes.get(name).filter(|(of, _)| *of == incarnation);
+            let vote = vote.map(|(_, proposal)| Vote {
+                proposal: *proposal,
+                objection: None,
+            });
             (
                 name.clone(),
                 Member {
-                    runs: 0,
-                    word,
-                    left_out: activator.1.get(name).copied(),
+                    running: 0,
+                    vote,
+                    excluded_since: activator.1.get(name).copied(),
                 },
             )
         };
         let members: BTreeMap<String, Member> = names.iter().map(member).collect();
-        let waits = if planted == Planted::NoWait {
+        let waits = if defect == Defect::NoExclusionDelay {
             0
         } else {
-            bound(TERMS.validity, DRIFT)
+            exclusion_delay(CONFIG.validity, DRIFT)
         };
         let none = BTreeSet::new();
-        let former = if planted == Planted::KeepersLeftOut {
+        let former = if defect == Defect::AutonomousExcluded {
             &none
         } else {
-            &store.keepers
+            &store.autonomous
         };
-        let missing: Vec<String> = in_the_way(&members, store.proposal, former, waits, own)
+        let missing: Vec<String> = blockers(&members, store.proposal, former, waits, own)
             .keys()
             .map(|n| (*n).to_owned())
             .collect();
@@ -264,9 +275,9 @@
         // Whoever has given its word meanwhile is not waited for: it switches like the others.
         let silent = |name: &&String| {
             members[*name]
-                .word
+                .vote
                 .as_ref()
-                .is_none_or(|(to, _)| *to != store.proposal)
+                .is_none_or(|vote| vote.proposal != store.proposal)
         };
         let silent: BTreeSet<String> = activator.1.keys().filter(silent).cloned().collect();
         store.left_out.insert(store.active, silent);
@@ -274,7 +285,7 @@
             .iter()
             .filter(|name| !activator.1.contains_key(*name))
             .map(String::as_str);
-        store.keepers = keepers(with, store.proposal, SHARE)
+        store.autonomous = autonomous_members(with, store.proposal, AUTONOMOUS_FRACTION)
             .into_iter()
             .map(str::to_owned)
             .collect();
@@ -283,13 +294,13 @@
         // A version that is active again has not ended.
         store.out.clear();
     }
-    let stands: Vec<Standing> = fleet.iter().map(|one| one.account.standing()).collect();
-    if stands.iter().any(|standing| *standing > Standing::Behind) {
+    let stands: Vec<Status> = fleet.iter().map(|one| one.lease.status()).collect();
+    if stands.iter().any(|status| *status > Status::Behind) {
         return Err(format!("after 20 s of calm they stand {stands:?}"));
     }
-    let swings = fleet.iter().map(|one| one.swings).max().unwrap_or(0);
-    if swings > 60 {
-        return Err(format!("one swung in and out {swings} times in 90 s"));
+    let flaps = fleet.iter().map(|one| one.flaps).max().unwrap_or(0);
+    if flaps > 60 {
+        return Err(format!("one swung in and out {flaps} times in 90 s"));
     }
     Ok(made)
 }
@@ -302,11 +313,10 @@
 }
 
 #[test]
-fn nobody_acts_beyond_the_bound_and_whoever_was_left_out_has_stopped() {
+fn no_gatherer_serves_beyond_its_validity() {
     let mut made = 0;
     for seed in 0..seeds() {
-        made +=
-            play(seed, Planted::Nothing).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
+        made += play(seed, Defect::None).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
     }
     println!("{} seeds, {made} activations", seeds());
     assert!(
@@ -317,38 +327,42 @@
 
 /// Each is found from a seed on that is known to find it.
 #[test]
-fn planted_faults_of_validity_and_activation_are_found() {
-    for (planted, known) in [
-        (Planted::NoWait, 1),
-        (Planted::FromTheAnswer, 90),
-        (Planted::RenewedWhileOut, 11),
-        (Planted::KeepersLeftOut, 0),
+fn detects_each_injected_defect() {
+    for (defect, known) in [
+        (Defect::NoExclusionDelay, 1),
+        (Defect::ValidityFromResponse, 90),
+        (Defect::RenewedWhileExcluded, 11),
+        (Defect::AutonomousExcluded, 0),
     ] {
-        let found = (known..known + 300).find_map(|seed| Some((seed, play(seed, planted).err()?)));
-        let (seed, problem) = found.unwrap_or_else(|| panic!("{planted:?} went unnoticed"));
-        assert!(play(seed, Planted::Nothing).is_ok());
-        println!("{planted:?}: seed {seed}: {problem}");
+        let found = (known..known + 300).find_map(|seed| Some((seed, play(seed, defect).err()?)));
+        let (seed, problem) = found.unwrap_or_else(|| panic!("{defect:?} went unnoticed"));
+        assert!(play(seed, Defect::None).is_ok());
+        println!("{defect:?}: seed {seed}: {problem}");
     }
 }
 
 /// The store is lost for good under a version: the stated share of gatherers goes on, the others
 /// stop, all by themselves.
 #[test]
-fn a_fleet_that_loses_its_store_as_a_whole_keeps_the_least_share_in_service() {
+fn autonomous_fraction_survives_loss_of_the_store() {
     let names: Vec<String> = (0..30).map(|at| format!("g{at}")).collect();
-    let kept = keepers(names.iter().map(String::as_str), 7, SHARE);
-    let mut fleet: Vec<Account> = names
+    let kept = autonomous_members(names.iter().map(String::as_str), 7, AUTONOMOUS_FRACTION);
+    let mut fleet: Vec<VersionLease> = names
         .iter()
-        .map(|name| Account::new(TERMS, 7, kept.contains(name.as_str()), 0))
+        .map(|name| VersionLease::new(CONFIG, 7, kept.contains(name.as_str()), 0))
         .collect();
     for one in &mut fleet {
-        assert!(one.asks(MS));
-        one.answered(7, 2 * MS);
+        assert!(one.begin_query(MS));
+        one.handle_response(7, 2 * MS);
     }
-    let serving = |fleet: &[Account], now| fleet.iter().filter(|one| one.may_act(now)).count();
-    assert_eq!(serving(&fleet, TERMS.validity), 30);
+    let serving =
+        |fleet: &[VersionLease], now| fleet.iter().filter(|one| one.may_accept(now)).count();
+    assert_eq!(serving(&fleet, CONFIG.validity), 30);
     for tick in 0..1000 {
-        fleet.iter_mut().for_each(|one| one.settle(tick * 20 * MS));
+        fleet.iter_mut().for_each(|one| one.update(tick * 20 * MS));
     }
-    assert_eq!(serving(&fleet, 20_000 * MS), least(30, SHARE));
+    assert_eq!(
+        serving(&fleet, 20_000 * MS),
+        autonomous_count(30, AUTONOMOUS_FRACTION)
+    );
 }
--- a/versions/tests/model.rs
+++ b/versions/tests/model.rs
@@ -1,39 +1,39 @@
-//! Activation and shut-out, model-checked: one step of time after the other, every order of
-//! questions, answers that come late or never, words given, gatherers left out, and the switch.
+//! Model check of activation and validity: discrete time and every order of queries, responses that
+//! are delayed or lost, votes, exclusions and the switch.
 
 use stateright::{Checker, Model, Property};
 
 /// Steps of time that an answer holds, and how long an activation waits for those it leaves out.
 const VALIDITY: u8 = 3;
 /// Ages stop counting here: nothing tells older ones apart.
-const OLD: u8 = VALIDITY + 2;
+const MAX_AGE: u8 = VALIDITY + 2;
 
-/// A part of the rule that is left out.
+/// A part of the protocol that is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Without {
-    Nothing,
-    /// An activation does not wait for those that it leaves out.
-    TheWait,
-    /// A validity counts from the answer.
-    TheQuestion,
-    /// One that is left out renews its validity.
-    TheMark,
-    /// Being told of another version renews the validity of the one that is run.
-    TheVersion,
+enum Ablation {
+    None,
+    /// An activation does not wait for excluded gatherers to stop.
+    ExclusionDelay,
+    /// A validity counts from the response instead of the query.
+    ValidityFromQuery,
+    /// An excluded gatherer renews its validity.
+    ExclusionResponse,
+    /// A response that names another version renews the validity of the running one.
+    VersionMatch,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Gatherer {
     /// Whether it runs the new version.
-    runs: bool,
-    /// How long ago it asked what was last answered for what it runs.
-    proved: u8,
-    /// What it has asked: how long ago, and what was true then: whether the new one was active, and
+    switched: bool,
+    /// How long ago it asked what was last answered for what it switched.
+    confirmed: u8,
+    /// What it has in_flight: how long ago, and what was true then: whether the new one was active, and
     /// whether it was left out.
-    asked: Option<(u8, bool, bool)>,
-    word: bool,
-    /// How long ago it was left out.
-    out: Option<u8>,
+    in_flight: Option<(u8, bool, bool)>,
+    voted: bool,
+    /// How long ago it was excluded.
+    excluded: Option<u8>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -46,37 +46,37 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Action {
     Time,
-    Ask(usize),
-    Answer(usize),
-    Lost(usize),
-    Word(usize),
-    LeaveOut(usize),
+    Query(usize),
+    Respond(usize),
+    Lose(usize),
+    Vote(usize),
+    Exclude(usize),
     Activate,
     Switch(usize),
 }
 
-struct Rule {
+struct ActivationProtocol {
     gatherers: usize,
-    without: Without,
+    ablation: Ablation,
 }
 
-impl Rule {
-    fn may_act(one: &Gatherer) -> bool {
-        one.proved < VALIDITY
+impl ActivationProtocol {
+    fn may_accept(one: &Gatherer) -> bool {
+        one.confirmed < VALIDITY
     }
 }
 
-impl Model for Rule {
+impl Model for ActivationProtocol {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let one = Gatherer {
-            runs: false,
-            proved: OLD,
-            asked: None,
-            word: false,
-            out: None,
+            switched: false,
+            confirmed: MAX_AGE,
+            in_flight: None,
+            voted: false,
+            excluded: None,
         };
         vec![State {
             all: vec![one; self.gatherers],
@@ -87,23 +87,23 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.push(Action::Time);
         for (at, one) in state.all.iter().enumerate() {
-            match one.asked {
-                None => actions.push(Action::Ask(at)),
-                Some(_) => actions.extend([Action::Answer(at), Action::Lost(at)]),
+            match one.in_flight {
+                None => actions.push(Action::Query(at)),
+                Some(_) => actions.extend([Action::Respond(at), Action::Lose(at)]),
             }
             if state.active.is_none() {
-                actions.push(Action::Word(at));
-                actions.push(Action::LeaveOut(at));
-            } else if !one.runs {
+                actions.push(Action::Vote(at));
+                actions.push(Action::Exclude(at));
+            } else if !one.switched {
                 actions.push(Action::Switch(at));
             }
         }
-        let waited = |out: u8| out >= VALIDITY || self.without == Without::TheWait;
+        let waited = |out: u8| out >= VALIDITY || self.ablation == Ablation::ExclusionDelay;
         if state.active.is_none()
             && state
                 .all
                 .iter()
-                .all(|one| one.word || one.out.is_some_and(waited))
+                .all(|one| one.voted || one.excluded.is_some_and(waited))
         {
             actions.push(Action::Activate);
         }
@@ -111,47 +111,47 @@
 
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
-        let older = |age: u8| (age + 1).min(OLD);
+        let older = |age: u8| (age + 1).min(MAX_AGE);
         match action {
             Action::Time => {
                 for one in &mut next.all {
-                    one.proved = older(one.proved);
-                    one.asked = one
-                        .asked
+                    one.confirmed = older(one.confirmed);
+                    one.in_flight = one
+                        .in_flight
                         .map(|(age, active, out)| (older(age), active, out));
-                    one.out = one.out.map(older);
+                    one.excluded = one.excluded.map(older);
                 }
                 next.active = next.active.map(|(age, out)| (older(age), out));
             }
-            Action::Ask(at) => {
+            Action::Query(at) => {
                 let one = &mut next.all[at];
-                one.asked = Some((
+                one.in_flight = Some((
                     0,
                     state.active.is_some(),
-                    state.active.is_none() && one.out.is_some(),
+                    state.active.is_none() && one.excluded.is_some(),
                 ));
             }
-            Action::Answer(at) => {
+            Action::Respond(at) => {
                 let one = &mut next.all[at];
-                let (age, active, out) = one.asked.take()?;
-                let age = if self.without == Without::TheQuestion {
+                let (age, active, out) = one.in_flight.take()?;
+                let age = if self.ablation == Ablation::ValidityFromQuery {
                     0
                 } else {
                     age
                 };
-                let own = active == one.runs || self.without == Without::TheVersion;
-                if own && (!out || self.without == Without::TheMark) {
-                    one.proved = one.proved.min(age);
+                let own = active == one.switched || self.ablation == Ablation::VersionMatch;
+                if own && (!out || self.ablation == Ablation::ExclusionResponse) {
+                    one.confirmed = one.confirmed.min(age);
                 }
             }
-            Action::Lost(at) => next.all[at].asked = None,
-            Action::Word(at) => next.all[at].word = true,
-            Action::LeaveOut(at) => next.all[at].out = next.all[at].out.or(Some(0)),
+            Action::Lose(at) => next.all[at].in_flight = None,
+            Action::Vote(at) => next.all[at].voted = true,
+            Action::Exclude(at) => next.all[at].excluded = next.all[at].excluded.or(Some(0)),
             Action::Activate => {
                 // Whoever has given its word meanwhile takes part.
-                next.active = Some((0, state.all.iter().map(|one| !one.word).collect()));
+                next.active = Some((0, state.all.iter().map(|one| !one.voted).collect()));
             }
-            Action::Switch(at) => next.all[at].runs = true,
+            Action::Switch(at) => next.all[at].switched = true,
         }
         (next != *state).then_some(next)
     }
@@ -160,40 +160,52 @@
         vec![
             Property::always(
                 "whoever was left out has stopped",
-                |_: &Rule, state: &State| {
+                |_: &ActivationProtocol, state: &State| {
                     let Some((_, out)) = &state.active else {
                         return true;
                     };
-                    state
-                        .all
-                        .iter()
-                        .zip(out)
-                        .all(|(one, out)| one.runs || !out || !Rule::may_act(one))
+                    state.all.iter().zip(out).all(|(one, out)| {
+                        one.switched || !out || !ActivationProtocol::may_accept(one)
+                    })
+                },
+            ),
+            Property::always(
+                "nobody acts beyond the bound",
+                |_: &ActivationProtocol, state: &State| {
+                    let Some((age, _)) = &state.active else {
+                        return true;
+                    };
+                    *age < VALIDITY
+                        || state
+                            .all
+                            .iter()
+                            .all(|one| one.switched || !ActivationProtocol::may_accept(one))
                 },
             ),
-            Property::always("nobody acts beyond the bound", |_: &Rule, state: &State| {
-                let Some((age, _)) = &state.active else {
-                    return true;
-                };
-                *age < VALIDITY || state.all.iter().all(|one| one.runs || !Rule::may_act(one))
-            }),
             Property::sometimes(
                 "one is left out, and all the others switch",
-                |_: &Rule, state: &State| {
+                |_: &ActivationProtocol, state: &State| {
                     let Some((_, out)) = &state.active else {
                         return false;
                     };
                     out.contains(&true)
-                        && state.all.iter().zip(out).all(|(one, out)| *out || one.runs)
+                        && state
+                            .all
+                            .iter()
+                            .zip(out)
+                            .all(|(one, out)| *out || one.switched)
                 },
             ),
         ]
     }
 }
 
-fn check(gatherers: usize, without: Without) -> (usize, Vec<&'static str>) {
-    let rule = Rule { gatherers, without };
-    let checker = rule.checker().threads(2).spawn_bfs().join();
+fn check(gatherers: usize, ablation: Ablation) -> (usize, Vec<&'static str>) {
+    let protocol = ActivationProtocol {
+        gatherers,
+        ablation,
+    };
+    let checker = protocol.checker().threads(2).spawn_bfs().join();
     let broken = [
         "whoever was left out has stopped",
         "nobody acts beyond the bound",
@@ -202,7 +214,7 @@
         .into_iter()
         .filter(|name| checker.discovery(name).is_some())
         .collect();
-    if without == Without::Nothing {
+    if ablation == Ablation::None {
         assert!(
             checker
                 .discovery("one is left out, and all the others switch")
@@ -213,18 +225,18 @@
 }
 
 #[test]
-fn the_rule_holds_and_without_any_part_of_it_does_not() {
-    let (states, broken) = check(2, Without::Nothing);
+fn holds_and_needs_each_part() {
+    let (states, broken) = check(2, Ablation::None);
     println!("two gatherers: {states} states, kept");
     assert_eq!(broken, Vec::<&str>::new());
-    for without in [
-        Without::TheWait,
-        Without::TheQuestion,
-        Without::TheMark,
-        Without::TheVersion,
+    for ablation in [
+        Ablation::ExclusionDelay,
+        Ablation::ValidityFromQuery,
+        Ablation::ExclusionResponse,
+        Ablation::VersionMatch,
     ] {
-        let (states, broken) = check(2, without);
-        println!("without {without:?}: {states} states, broken: {broken:?}");
-        assert!(!broken.is_empty(), "without {without:?} nothing breaks");
+        let (states, broken) = check(2, ablation);
+        println!("without {ablation:?}: {states} states, broken: {broken:?}");
+        assert!(!broken.is_empty(), "without {ablation:?} nothing breaks");
     }
 }
--- a/versions/tests/registration.rs
+++ b/versions/tests/registration.rs
@@ -6,7 +6,7 @@
 /// each has registered, the one whose registration is not the last is displaced, and never both
 /// unless the later one registered again.
 #[test]
-fn in_every_order_of_registrations_the_earlier_process_is_displaced() {
+fn displaces_the_earlier_process_in_every_order() {
     for length in 1..=6_u32 {
         for order in 0..1_u32 << length {
             let mut processes = [Registration::new(1), Registration::new(2)];
@@ -14,9 +14,9 @@
             for at in 0..length {
                 let who = (order >> at & 1) as usize;
                 let was = processes.clone();
-                let life = processes[who].life();
+                let life = processes[who].incarnation();
                 for (index, process) in processes.iter_mut().enumerate() {
-                    let lost = process.committed(life);
+                    let lost = process.observe_commit(life);
                     assert_eq!(lost, process.is_displaced() && !was[index].is_displaced());
                 }
                 seen[who] = true;
@@ -31,13 +31,13 @@
 /// Both registrations are committed before either process looks, again and again: the store's
 /// content alone would show each of them only the second one.
 #[test]
-fn registrations_that_are_overwritten_unseen_still_count() {
+fn overwritten_registrations_count() {
     let mut first = Registration::new(1);
-    assert!(!first.committed(1));
-    assert!(first.committed(2));
+    assert!(!first.observe_commit(1));
+    assert!(first.observe_commit(2));
     assert!(first.is_displaced());
     assert!(
-        !first.committed(1),
+        !first.observe_commit(1),
         "a late registration of its own does not bring the name back"
     );
     assert!(first.is_displaced());
--- a/versions/tests/stored_format.rs
+++ b/versions/tests/stored_format.rs
@@ -2,120 +2,129 @@
 //! as written by the program before its types were renamed: trails on disk stay readable.
 
 use versions::audit::Finding;
-use versions::rollout::Missing;
-use versions::standing::Standing;
-use versions::trail::{Broken, Chain, Entry, Mark, read};
+use versions::audit_log::{Corruption, Defect, Entry, HashChain, Record, Segment};
+use versions::rollout::Blocker;
+use versions::status::Status;
 
 /// One entry of each kind.
 fn entries() -> Vec<Entry> {
     let name = || "g1".to_owned();
-    let marks = vec![
-        Mark::Follows {
-            trail: 77,
+    let records = vec![
+        Record::SegmentStarted {
+            log: 77,
             segment: 2,
-            hash: "00ff".to_owned(),
+            previous_hash: "00ff".to_owned(),
         },
-        Mark::Began {
+        Record::Started {
             name: name(),
-            life: 9,
-            wall: 1_700_000_000_123,
+            incarnation: 9,
+            wall_ms: 1_700_000_000_123,
             validity: 10_000_000_000,
         },
-        Mark::Proved {
-            asked: 5,
+        Record::Confirmed {
+            queried_at: 5,
             version: 12,
         },
-        Mark::Runs {
+        Record::Switched {
             version: 12,
-            keeper: true,
+            autonomous: true,
         },
-        Mark::Stands {
-            standing: Standing::Current,
+        Record::StatusChanged {
+            status: Status::Current,
         },
-        Mark::Stands {
-            standing: Standing::Behind,
+        Record::StatusChanged {
+            status: Status::Behind,
         },
-        Mark::Stands {
-            standing: Standing::Straggler,
+        Record::StatusChanged {
+            status: Status::Straggler,
         },
-        Mark::Stands {
-            standing: Standing::Kept,
+        Record::StatusChanged {
+            status: Status::Autonomous,
         },
-        Mark::Stands {
-            standing: Standing::ShutOut,
+        Record::StatusChanged {
+            status: Status::Suspended,
         },
-        Mark::Acts {
+        Record::Served {
             version: 12,
             class: "gold".to_owned(),
             outcome: "answered".to_owned(),
-            taken: (6, 8),
+            accepted: (6, 8),
             count: 3,
         },
-        Mark::Called {
+        Record::OperatorCall {
             version: 12,
             call: "drain".to_owned(),
         },
-        Mark::Lost { count: 4 },
-        Mark::Ended,
+        Record::EntriesLost { count: 4 },
+        Record::Stopped,
     ];
     let at = (0..).map(|n| n * 10);
-    at.zip(marks).map(|(at, mark)| Entry { at, mark }).collect()
+    at.zip(records)
+        .map(|(at, record)| Entry { at, record })
+        .collect()
 }
 
 #[test]
 fn audit_log_lines_are_unchanged() {
     let stored = include_str!("fixtures/audit.trail");
-    let mut chain = Chain::default();
+    let mut chain = HashChain::default();
     let written: String = entries()
         .iter()
-        .map(|entry| chain.line(entry) + "\n")
+        .map(|entry| chain.append(entry) + "\n")
         .collect();
     assert_eq!(written, stored);
-    assert_eq!(read(stored), (entries(), chain, None));
+    let read = Segment::read(stored);
+    assert_eq!(
+        (read.entries, read.chain, read.corruption),
+        (entries(), chain, None)
+    );
 }
 
 #[test]
 fn status_words_are_unchanged() {
     let all = [
-        Standing::Current,
-        Standing::Behind,
-        Standing::Straggler,
-        Standing::Kept,
-        Standing::ShutOut,
+        Status::Current,
+        Status::Behind,
+        Status::Straggler,
+        Status::Autonomous,
+        Status::Suspended,
     ];
     assert_eq!(
-        all.map(|standing| standing.to_string()),
+        all.map(|status| status.to_string()),
         ["current", "behind", "straggler", "kept", "shut out"]
     );
 }
 
 #[test]
 fn findings_are_unchanged() {
-    let by = 3_000_000;
+    let overrun = 3_000_000;
     let class = "gold".to_owned();
     let findings = [
-        Finding::Beyond {
+        Finding::ServedExpired {
             version: 12,
             class,
-            by,
+            overrun,
             count: 2,
         },
-        Finding::Kept {
+        Finding::ServedAutonomously {
             version: 12,
-            by,
+            overrun,
             count: 2,
         },
         Finding::NeverActive(12),
-        Finding::WentBack(13, 12),
-        Finding::CutOff { life: 9, after: by },
-        Finding::Lost(4),
-        Finding::Broken(Broken {
+        Finding::Regressed { from: 13, to: 12 },
+        Finding::EndMissing {
+            incarnation: 9,
+            after: overrun,
+        },
+        Finding::EntriesLost(4),
+        Finding::Corrupt(Corruption {
             line: 7,
-            why: "it has no hash",
+            defect: Defect::NoHash,
         }),
-        Finding::NoTrail,
+        Finding::NoLog,
     ];
-    let shown = findings.map(|finding| format!("{}: {finding}", finding.word()));
+    let shown = findings.map(|finding| format!("{}: {finding}", finding.label()));
     let stored: Vec<&str> = include_str!("fixtures/findings.txt").lines().collect();
     assert_eq!(shown.to_vec(), stored);
 }
@@ -123,10 +132,10 @@
 #[test]
 fn reasons_against_an_activation_are_unchanged() {
     let all = [
-        Missing::Silent,
-        Missing::Cannot("why".to_owned()),
-        Missing::LeftOutTooLately(3_000_000),
-        Missing::Keeper,
+        Blocker::NoVote,
+        Blocker::Objection("why".to_owned()),
+        Blocker::StillValid(3_000_000),
+        Blocker::Autonomous,
     ];
     assert_eq!(
         all.map(|why| why.to_string()),
@@ -138,3 +147,30 @@
         ]
     );
 }
+
+#[test]
+fn defects_are_unchanged() {
+    let all = [
+        Defect::Truncated,
+        Defect::NoHash,
+        Defect::HashMismatch,
+        Defect::NoEntry,
+        Defect::SegmentMismatch,
+        Defect::DigestMismatch,
+        Defect::SegmentsMissing,
+        Defect::LogMissing,
+    ];
+    assert_eq!(
+        all.map(|defect| defect.to_string()),
+        [
+            "it is cut short",
+            "it has no hash",
+            "it does not follow from those before it",
+            "it makes no sense",
+            "its segment does not follow from the one before it",
+            "it is not what the store was told of it",
+            "segments that the store was told of are missing",
+            "an earlier trail that the store was told of is gone",
+        ]
+    );
+}
