--- a/bitternsill/tests/common/versions.rs
+++ b/bitternsill/tests/common/versions.rs
@@ -1,15 +1,15 @@
-//! What stories on versions do to a fleet, and ask of it.
+//! Helpers of the tests on versions of the configuration.
 
 use super::fleet::*;
 use super::*;
 use simulation::link::Way;
 use std::collections::BTreeSet;
 
-/// For how long what a gatherer was told holds.
+/// The validity of a confirmation.
 pub const VALIDITY: Duration = Duration::from_millis(2_000);
 
-/// Gatherers with versions.
-pub fn set() -> Set {
+/// The setup of gatherers with versions.
+pub fn setup() -> Set {
     Set {
         known: true,
         versions: Some(
@@ -68,20 +68,20 @@
     said["proposal"].as_u64().unwrap()
 }
 
-/// Activates what is proposed; the version and who goes on without a store.
+/// Activates the proposal; the version and the autonomous gatherers.
 pub fn activate(fleet: &Fleet, at: &[usize]) -> Result<(u64, BTreeSet<String>), String> {
     let (text, done) = fleet.call(&["activate", "--json", "--wait", "3000"], at);
     let said: Value = serde_json::from_str(&text).map_err(|_| text.clone())?;
     assert!(done);
-    let keepers = said["keepers"]
+    let autonomous = said["keepers"]
         .as_array()
         .unwrap()
         .iter()
         .map(|one| one.as_str().unwrap().to_owned());
-    Ok((said["version"].as_u64().unwrap(), keepers.collect()))
+    Ok((said["version"].as_u64().unwrap(), autonomous.collect()))
 }
 
-/// What a gatherer answers a query of a class with: a status.
+/// The status of a gatherer's response to a query of a class.
 pub fn ask(fleet: &Fleet, at: usize, class: &str) -> Option<String> {
     let mut socket = TcpStream::connect(fleet.fronts[at]).ok()?;
     socket
@@ -102,50 +102,50 @@
     ask(fleet, at, class).as_deref() == Some("200")
 }
 
-/// What a gatherer says of its version.
+/// The part of a gatherer's status response about versions.
 pub fn version(fleet: &Fleet, at: usize) -> Value {
     let (text, _) = fleet.call(&["phase", "--format", "json"], &[at]);
     let said: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
     said[0]["answer"]["version"].clone()
 }
 
-/// Whether it says that it stands so.
-pub fn stands(fleet: &Fleet, at: usize, wanted: &str) -> bool {
+/// Whether a gatherer reports this status.
+pub fn has_status(fleet: &Fleet, at: usize, wanted: &str) -> bool {
     version(fleet, at)["standing"] == wanted
 }
 
-/// What the audit says of all: its text, and whether nothing is wrong and all is known.
+/// Audits all gatherers: the text, and whether there is no violation and everything is known.
 pub fn audit(fleet: &Fleet) -> (String, bool) {
     let all: Vec<usize> = (0..fleet.stores.len()).collect();
-    // What was done last is in the trails once it has been noted.
+    // The last queries are in the audit logs once they have been flushed.
     std::thread::sleep(Duration::from_millis(300));
     fleet.call(&["audit", "--patience", "4000"], &all)
 }
 
-/// What becomes of bytes from one to all others, and back.
-pub fn cut_off(fleet: &Fleet, one: usize, ways: [Way; 2]) {
+/// Sets what happens to bytes from one gatherer to all others, and back.
+pub fn partition(fleet: &Fleet, one: usize, ways: [Way; 2]) {
     for other in (0..fleet.stores.len()).filter(|other| *other != one) {
         fleet.link(one, other).set(ways[0], ways[1]);
         fleet.link(other, one).set(ways[1], ways[0]);
     }
 }
 
-/// Whether all say that they are current.
+/// Whether all report that they are current.
 pub fn current(fleet: &Fleet) -> bool {
-    (0..fleet.stores.len()).all(|at| stands(fleet, at, "current"))
+    (0..fleet.stores.len()).all(|at| has_status(fleet, at, "current"))
 }
 
-/// A fleet that runs its first version, and who of it goes on without a store; one does not.
+/// A fleet that runs its first version, its autonomous gatherers, and one that is not.
 pub fn with_a_version(name: &str) -> (Fleet, BTreeSet<String>, usize) {
-    let fleet = Fleet::with(name, 3, set());
+    let fleet = Fleet::with(name, 3, setup());
     eventually("all are current", || current(&fleet));
     configure(&fleet, "first", &[0]);
-    let (_, keepers) = activate(&fleet, &[0]).unwrap();
+    let (_, autonomous) = activate(&fleet, &[0]).unwrap();
     let other = (0..3)
-        .find(|at| !keepers.contains(&format!("g{at}")))
+        .find(|at| !autonomous.contains(&format!("g{at}")))
         .expect("one is no keeper");
     eventually("all serve the first", || {
         (0..3).all(|at| serves(&fleet, at, "first"))
     });
-    (fleet, keepers, other)
+    (fleet, autonomous, other)
 }
--- a/bitternsill/tests/fleet_audit.rs
+++ b/bitternsill/tests/fleet_audit.rs
@@ -1,5 +1,5 @@
-//! Evidence under faults: trails whose disk is full, that outlive their gatherer's disk, collectors
-//! that are killed, names taken twice, documents of a later format. Several programs each.
+//! Audit logs under faults: full and lost disks, collections that are killed, names registered
+//! twice, documents of a later format. Several processes each.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use store::packet::Change;
 
-/// A folder of the test's own, empty.
+/// An empty folder of the test's own.
 fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("bitternsill-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
@@ -31,12 +31,12 @@
     files.sum()
 }
 
-/// A trail that cannot be written costs no query; what it does not have is told as not known once
-/// it can be written again.
+/// An audit log that cannot be written costs no query; the missing entries are reported as unknown
+/// once it can be written again.
 #[test]
-fn a_full_disk_costs_no_query_and_what_could_not_be_noted_is_told_as_not_known() {
+fn full_disk_costs_no_query_and_is_reported() {
     let full = folder("full").join("full");
-    let mut set = set();
+    let mut set = setup();
     set.versions.as_mut().unwrap()["test_full_while"] = json!(full);
     let fleet = Fleet::with("trail-full", 3, set);
     eventually("all are current", || current(&fleet));
@@ -58,11 +58,11 @@
     });
 }
 
-/// A collector is killed in the middle of a trail; the next one goes on from there. Later the
-/// gatherer's disk is lost: what was collected is known still, and what came after is not.
+/// A collection is killed in the middle of a log; the next one continues from there. Later the
+/// gatherer's disk is lost: what was collected is still known, and what came after is not.
 #[test]
-fn a_collector_that_is_killed_is_carried_on_and_what_it_kept_outlives_the_gatherers_disk() {
-    let mut set = set();
+fn killed_collection_continues_and_outlives_the_disk() {
+    let mut set = setup();
     set.versions.as_mut().unwrap()["note_ms"] = json!(100);
     let mut fleet = Fleet::with("collect", 3, set);
     eventually("all are current", || current(&fleet));
@@ -73,7 +73,7 @@
             > 50_000
     });
     let kept = folder("kept");
-    // What the gatherer says takes its time, so that the collector is killed between two pieces.
+    // Responses are delayed, so that the collection is killed between two chunks.
     let link = Link::to(fleet.stores[1]).unwrap();
     link.set(Way::Open, Way::Late(Duration::from_millis(400)));
     let mut collector = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
@@ -99,7 +99,7 @@
     let (text, sound) = fleet.call(&words, &[0, 1, 2]);
     assert!(sound, "{text}");
     assert!(bytes_in(&kept) > 50_000);
-    // Its disk is lost with all that it had noted.
+    // Its disk is lost with all entries.
     let one = BTreeSet::from([1]);
     fleet.befall(&Fault::PowerOff(one.clone()));
     std::fs::remove_dir_all(fleet.trail(1)).unwrap();
@@ -136,11 +136,11 @@
     );
 }
 
-/// A second process comes up under a name that is taken: the one before takes no clients any more,
-/// and says why.
+/// A second process starts under a name that is registered: the earlier one rejects clients and
+/// says why.
 #[test]
-fn of_two_gatherers_of_one_name_the_earlier_takes_no_clients() {
-    let mut set = set();
+fn earlier_process_of_a_name_rejects_clients() {
+    let mut set = setup();
     set.named_as = BTreeMap::from([(2, 1)]);
     let mut fleet = Fleet::with("namesakes", 3, set);
     let both = |fleet: &Fleet| [1, 2].map(|at| version(fleet, at)["displaced"] == true);
@@ -152,7 +152,7 @@
     let (out, on) = if first { (1, 2) } else { (2, 1) };
     eventually("the other serves", || serves(&fleet, on, "page"));
     assert!(!serves(&fleet, out, "page"));
-    // Started anew, it takes the name back.
+    // Restarted, it takes the name back.
     let one = BTreeSet::from([out]);
     fleet.befall(&Fault::PowerOff(one.clone()));
     fleet.befall(&Fault::PowerOn(one));
@@ -164,7 +164,7 @@
 /// A document of a later format, from an operator with a newer program: each gatherer says that it
 /// cannot read it.
 #[test]
-fn a_document_of_a_later_format_is_named_by_all_who_cannot_read_it_and_changes_nothing() {
+fn rejects_document_of_later_format() {
     let (fleet, ..) = with_a_version("later");
     let client = Client {
         at: fleet.stores.clone(),
@@ -190,11 +190,10 @@
     assert!((0..3).all(|at| serves(&fleet, at, "first") && !serves(&fleet, at, "later")));
 }
 
-/// What an operator has one gatherer do by hand stands in its trail, with the version under which
-/// it was done.
+/// Operator calls are in the audit log, with the version under which they were executed.
 #[test]
-fn calls_by_hand_are_told_with_their_version_and_an_orderly_end_leaves_no_gap() {
-    let mut set = set();
+fn reports_operator_calls_and_graceful_shutdown() {
+    let mut set = setup();
     set.doors = true;
     let mut fleet = Fleet::with("by-hand", 3, set);
     eventually("all are current", || current(&fleet));
@@ -204,7 +203,7 @@
         .output()
         .unwrap();
     assert!(admin.status.success(), "{admin:?}");
-    // One ends in order, another does not.
+    // One shuts down gracefully, another does not.
     let mut program = fleet.programs[2].take().unwrap();
     program.signal("TERM");
     program.child.wait().unwrap();
--- a/bitternsill/tests/fleet_versions.rs
+++ b/bitternsill/tests/fleet_versions.rs
@@ -1,7 +1,6 @@
-//! Versions of the configuration over a fleet of several programs, with links cut, processes that
-//! stand still, power and trails lost: who acted on which version, and how a straggler is brought
-//! up or stops by itself. `VERSIONS_SEEDS=200 cargo test --release -p bitternsill --test
-//! fleet_versions days -- --nocapture` plays as many days.
+//! Versions of the configuration in a fleet of several processes, under network partitions,
+//! suspensions, power losses and lost audit logs. `VERSIONS_SEEDS=200 cargo test --release -p
+//! bitternsill --test fleet_versions random -- --nocapture` runs that many random scenarios.
 
 mod common;
 
@@ -17,14 +16,14 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn all_switch_at_one_revision_no_query_is_lost_by_it_and_the_audit_tells_who_acted_on_what() {
-    let fleet = Fleet::with("rollout", 3, set());
+fn switches_all_at_one_revision_without_losing_queries() {
+    let fleet = Fleet::with("rollout", 3, setup());
     eventually("all are current", || current(&fleet));
     *fleet.asked.lock().unwrap() = Asked::default();
     configure(&fleet, "extra", &[1]);
-    let (version, keepers) = activate(&fleet, &[2]).unwrap();
+    let (version, autonomous) = activate(&fleet, &[2]).unwrap();
     assert_eq!(
-        keepers.len(),
+        autonomous.len(),
         2,
         "a third of three, and no less than a share says"
     );
@@ -77,11 +76,10 @@
     assert!(asked.closed == 0 && asked.whole > 100, "{asked:?}");
 }
 
-/// One is cut off before it could prepare: the activation names it, and can leave it out only once
-/// it has stopped by itself. Cut one way it is no better off: it hears and is not heard, or is
-/// heard and hears nothing.
+/// A gatherer is partitioned before it can vote: the activation names it, and can exclude it only
+/// once it has stopped by itself. The same holds for asymmetric partitions.
 #[test]
-fn a_gatherer_that_is_cut_off_is_named_and_has_stopped_by_itself_before_it_can_be_left_out() {
+fn partitioned_gatherer_stops_before_it_can_be_excluded() {
     for (name, ways) in [
         ("cut", [Way::Stalled, Way::Stalled]),
         ("unheard", [Way::Stalled, Way::Open]),
@@ -89,35 +87,35 @@
     ] {
         let (fleet, _, out) = with_a_version(name);
         let rest: Vec<usize> = (0..3).filter(|at| *at != out).collect();
-        cut_off(&fleet, out, ways);
+        partition(&fleet, out, ways);
         configure(&fleet, "second", &rest);
         let refused = activate(&fleet, &rest).unwrap_err();
         assert!(refused.contains(&format!("g{out}")), "{refused}");
-        // It has stopped meanwhile, or does so by its own clock.
+        // It has stopped by now, or does so by its own clock.
         assert!(fleet.call(&["leave-out", &format!("g{out}")], &rest).1);
-        let (_, keepers) = activate(&fleet, &rest).unwrap();
+        let (_, autonomous) = activate(&fleet, &rest).unwrap();
         assert!(
             !serves(&fleet, out, "first"),
             "{name}: it serves under what has ended"
         );
-        assert!(stands(&fleet, out, "shut out"));
-        assert!(!keepers.contains(&format!("g{out}")));
+        assert!(has_status(&fleet, out, "shut out"));
+        assert!(!autonomous.contains(&format!("g{out}")));
         eventually("the others serve the second", || {
             rest.iter().all(|at| serves(&fleet, *at, "second"))
         });
         fleet.heal();
         eventually("it is brought up", || {
-            stands(&fleet, out, "current") && serves(&fleet, out, "second")
+            has_status(&fleet, out, "current") && serves(&fleet, out, "second")
         });
         let (text, sound) = audit(&fleet);
         assert!(sound, "{text}");
     }
 }
 
-/// A process that stands still over a switch takes nothing under the former version from its first
-/// turn on, though a query has waited for it all the while.
+/// A process that is suspended over a switch accepts nothing under the former version when it
+/// resumes, though a query has been waiting for it.
 #[test]
-fn a_process_that_slept_over_a_switch_takes_nothing_under_what_has_ended() {
+fn suspended_process_accepts_nothing_under_expired_version() {
     let (mut fleet, _, out) = with_a_version("slept-over");
     let rest: Vec<usize> = (0..3).filter(|at| *at != out).collect();
     fleet.befall(&Fault::Stop(out));
@@ -139,20 +137,20 @@
     assert!(sound, "{text}");
 }
 
-/// The store has no majority: whoever was to go on without does, another stops by itself, and all
-/// are current again after.
+/// The store loses its quorum: autonomous gatherers serve on, others stop by themselves, and all
+/// are current again afterwards.
 #[test]
-fn without_a_store_the_least_share_stays_in_service_and_says_so() {
-    let (mut fleet, keepers, other) = with_a_version("storeless");
-    let keeper = (0..3)
-        .find(|at| keepers.contains(&format!("g{at}")))
+fn autonomous_fraction_serves_without_a_store() {
+    let (mut fleet, autonomous, other) = with_a_version("storeless");
+    let autonomous_one = (0..3)
+        .find(|at| autonomous.contains(&format!("g{at}")))
         .unwrap();
-    for (alone, wanted) in [(keeper, "kept"), (other, "shut out")] {
+    for (alone, wanted) in [(autonomous_one, "kept"), (other, "shut out")] {
         let off: BTreeSet<usize> = (0..3).filter(|at| *at != alone).collect();
         fleet.befall(&Fault::PowerOff(off.clone()));
-        eventually(wanted, || stands(&fleet, alone, wanted));
+        eventually(wanted, || has_status(&fleet, alone, wanted));
         assert_eq!(serves(&fleet, alone, "first"), wanted == "kept");
-        // Power lost to it as well: what it has on its disk is all that it goes by.
+        // It loses its power as well: what it has on its disk is all that it knows.
         fleet.befall(&Fault::PowerOff(BTreeSet::from([alone])));
         fleet.befall(&Fault::PowerOn(BTreeSet::from([alone])));
         if wanted == "kept" {
@@ -169,10 +167,10 @@
     assert!(sound && text.contains("kept in service"), "{text}");
 }
 
-/// A trail that was altered, and one that is gone, are not known; they are never good.
+/// Altered and missing audit logs are unknown; they never pass the audit.
 #[test]
-fn a_trail_that_was_altered_or_lost_is_told_as_not_known() {
-    let mut fleet = Fleet::with("altered", 3, set());
+fn altered_or_lost_audit_log_is_unknown() {
+    let mut fleet = Fleet::with("altered", 3, setup());
     eventually("all are current", || current(&fleet));
     eventually("all serve", || (0..3).all(|at| serves(&fleet, at, "page")));
     let (text, sound) = audit(&fleet);
@@ -192,11 +190,11 @@
     );
 }
 
-/// One day: rollouts one after the other while power, links and processes fail. In the end all run
-/// one version, and nothing was done under one that had ended.
+/// One scenario: rollouts one after the other while power, links and processes fail. In the end all
+/// run one version, and nothing was served under an expired one.
 fn play(seed: u64) -> Result<u32, String> {
     let count = 3;
-    let mut fleet = Fleet::with(&format!("versions{seed}"), count, set());
+    let mut fleet = Fleet::with(&format!("versions{seed}"), count, setup());
     eventually("all are current", || current(&fleet));
     let (begun, mut made) = (Instant::now(), 0);
     let all: Vec<usize> = (0..count).collect();
@@ -204,7 +202,7 @@
         while begun.elapsed() < Duration::from_millis(at) {
             std::thread::sleep(Duration::from_millis(20));
         }
-        // A member's lost file is its own story.
+        // A member that loses its file has scenarios of its own.
         if !matches!(fault, Fault::LoseFile(_)) {
             fleet.befall(&fault);
         }
@@ -249,7 +247,7 @@
 }
 
 #[test]
-fn days_of_rollouts_under_faults_end_with_one_version_and_no_act_under_an_ended_one() {
+fn random_rollouts_under_faults_converge() {
     let seeds = std::env::var("VERSIONS_SEEDS")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -265,7 +263,7 @@
     println!("{seeds} days from seed {first}: {made} activations");
 }
 
-/// Processor time that a process has had, in seconds.
+/// The processor time of a process, in seconds.
 fn processor_time(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let behind = stat.rsplit(") ").next().unwrap();
@@ -278,11 +276,11 @@
     (ticks[0] + ticks[1]) as f64 / 100.0
 }
 
-/// Measures what versions and trail cost queries, on against off in turn: `VERSIONS_COST=3 cargo
-/// test --release -p bitternsill --test fleet_versions measure -- --nocapture` plays three rounds
-/// of each. Without that it does nothing.
+/// Measures what versions and audit log cost queries, with and without them in turn:
+/// `VERSIONS_COST=3 cargo test --release -p bitternsill --test fleet_versions measure --
+/// --nocapture` runs three rounds of each. Without the variable it does nothing.
 #[test]
-fn measure_what_versions_and_trail_cost() {
+fn measure_cost_of_versions_and_audit_log() {
     let Some(rounds) = std::env::var("VERSIONS_COST")
         .ok()
         .and_then(|n| n.parse::<u32>().ok())
@@ -294,7 +292,7 @@
     );
     for round in 0..2 * rounds {
         let on = (round / 2 + round) % 2 == 0;
-        let mut set = set();
+        let mut set = setup();
         set.versions = if on {
             Some(json!({"validity_ms": 10_000}))
         } else {
--- a/ownership/src/lease/tests.rs
+++ b/ownership/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! One gatherer's account beside a store in one place.
+//! Tests of the lease beside a store in one process.
 
 use super::*;
 use store::command::{Command, Txn};
@@ -14,7 +14,7 @@
 };
 const ROLE: Role = Role::Hosts;
 
-/// A store, and gatherers whose clocks are one.
+/// A store, and gatherers that share a clock.
 struct World {
     state: State,
     revision: u64,
@@ -57,7 +57,7 @@
         self.apply(&Command::Put(change));
     }
 
-    /// A gatherer starts, anew perhaps.
+    /// Starts or restarts a gatherer.
     fn start(&mut self, at: usize) {
         self.apply(&Command::Open(at as u64));
         let lease = Lease::new(
@@ -75,7 +75,7 @@
         }
     }
 
-    /// These have their turns for so long; the order in which they try is that of their numbers.
+    /// Runs these gatherers for some time; they are ranked by their numbers.
     fn run(&mut self, time: Time, who: &[usize]) {
         let until = self.now + time;
         while self.now < until {
@@ -134,7 +134,7 @@
         Some(first),
         "it stays"
     );
-    // It stands still. By its own clock it has stopped before anybody else begins.
+    // It is suspended. By its own clock its lease expires before another gatherer acquires.
     let stopped = world.now;
     let mut taken = None;
     for _ in 0..400 {
@@ -144,15 +144,15 @@
         }
     }
     let wait = taken.expect("somebody took it") - stopped;
-    // From the last renewal, at most a quarter of a lease before: the patience, and the turn of the
-    // second.
+    // From the last renewal, at most a quarter of a lease before: the takeover delay and the
+    // stagger of the second candidate.
     assert!(
         wait <= CONFIG.takeover_delay() + CONFIG.stagger + S / 4 && wait > CONFIG.duration,
         "{wait}"
     );
     let second = world.all[1].0.valid_token(world.now).unwrap();
     assert!(second > first);
-    // It wakes: leave is refused at once, and what it would write as well.
+    // It resumes: permits are refused at once, and its transactions are rejected.
     let late = &world.all[0].0;
     assert_eq!(late.permit(Target::Store, world.now), None);
     let permit = Permit::new(ROLE, Target::Store, first).unwrap();
@@ -221,17 +221,17 @@
     );
     world.put(&keys::exclusion(ROLE, "g2"), Some(""));
     world.run(S, &[0, 1, 2]);
-    // The one that had it last waits, so that what an operator moved does not come back at once.
+    // The last owner has a cooldown, so that the role does not move back at once.
     assert_eq!(world.owner(), Some(1));
-    // Offered to one that is not there, it is taken by another in time, and the wish is not asked
-    // for again and again.
+    // Offered to a gatherer that is not there, it is acquired by another in time, and the
+    // transfer is not repeated.
     world.put(&keys::transfer(ROLE), Some("nobody"));
     world.run(S / 2, &[0, 1, 2]);
     assert_eq!(
         (world.owner(), world.grant().owner.as_deref()),
         (None, Some("nobody"))
     );
-    // The two that may have it have both given it up of late, and wait before they take it again.
+    // Both gatherers that may own it have a cooldown.
     world.run(2 * CONFIG.takeover_delay(), &[0, 1, 2]);
     assert!(world.owner().is_some());
     let owner = world.owner();
@@ -267,8 +267,7 @@
     );
     world.run(2 * S, &[0, 1, 2]);
     assert_eq!((world.owner(), world.grant().failures), (Some(1), 0));
-    // It stays out though it is the first in the order, for long: the next to go leaves it to
-    // another.
+    // It has a long cooldown though it ranks first: after the next release another acquires.
     world.put(&keys::exclusion(ROLE, "g1"), Some(""));
     world.run(2 * S, &[0, 1, 2]);
     assert_eq!(world.owner(), Some(2));
@@ -278,7 +277,8 @@
 fn parks_after_failed_owners_but_not_after_power_loss() {
     let mut world = World::new(5);
     let mut died = Vec::new();
-    // The first had it before the others looked: its death might be that of all.
+    // The first grant was made before the others observed the store: its owner's failure might
+    // be a power loss of all.
     for _ in 0..4 {
         let left: Vec<usize> = (0..5).filter(|at| !died.contains(at)).collect();
         let mut waited = 0;
@@ -301,28 +301,28 @@
             .parked
             .is_some_and(|why| why.contains("3 owners in a row died"))
     );
-    // An operator releases it.
+    // An operator unparks it.
     world.put(
         &keys::owner(ROLE),
         Some(&Grant::default().to_json().to_string()),
     );
     world.run(CONFIG.stagger * 5, &last);
     assert_eq!(world.owner(), Some(last[0]));
-    // All lose power, again and again: none of them has seen another die.
+    // All lose power repeatedly: none of them has observed another fail.
     for _ in 0..5 {
         (0..5).for_each(|at| world.start(at));
         world.run(CONFIG.takeover_delay() + CONFIG.stagger, &[0, 1, 2, 3, 4]);
         assert!(world.owner().is_some());
     }
     assert_eq!(world.grant().failures, 0);
-    // What cannot be read may be somebody's.
+    // A grant that cannot be read may have an owner.
     world.put(&keys::owner(ROLE), Some("{\"own"));
     world.run(20 * S, &[0, 1, 2, 3, 4]);
     assert!(world.owner().is_none() && world.grant().parked.is_some());
 }
 
 #[test]
-fn an_answer_that_never_came_counts_for_nothing_and_what_was_taken_by_it_is_found() {
+fn unknown_outcome_counts_for_nothing_until_observed() {
     let mut world = World::new(1);
     let now = world.now;
     let (lease, session, _) = &mut world.all[0];
@@ -344,7 +344,7 @@
     assert_eq!(world.owner(), None);
     world.run(S / 2, &[0]);
     assert_eq!(world.owner(), Some(0), "found in the store, and renewed");
-    // Renewals without answers: it stops in time, and resumes if nobody took over.
+    // Renewals without responses: the lease expires in time, and resumes if nobody took over.
     let token = world.all[0].0.valid_token(world.now);
     world.now += CONFIG.duration;
     assert_eq!(world.owner(), None);
--- a/ownership/tests/model.rs
+++ b/ownership/tests/model.rs
@@ -178,7 +178,7 @@
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         let older = |age: u8| (age + 1).min(MAX_AGE);
-        // A lease that has run out, and an answer that is worth nothing any more, are nothing.
+        // Expired leases and responses that came too late are dropped from the state.
         let pass = |one: &mut Gatherer| {
             one.observed_age = older(one.observed_age);
             one.lease = one
@@ -192,7 +192,7 @@
         match action {
             Action::Time => next.all.iter_mut().for_each(pass),
             Action::TimeForTheFast => {
-                // The first one's clock runs ahead; over a lease no further than it may.
+                // The first gatherer's clock runs fast, within the drift allowed over a lease.
                 pass(&mut next.all[0]);
                 next.clock_skew += 1;
             }
@@ -237,7 +237,7 @@
                 } else {
                     age
                 };
-                // The member that was asked has applied what it answers.
+                // The member that responds has applied the transaction.
                 if made == Some(true) {
                     let grant = match ask {
                         Request::Acquire { grant, .. } => grant + 1,
@@ -256,7 +256,7 @@
                 let one = next.all[at];
                 let (grant, _) = one.lease?;
                 next.all[at].effect = Some(self.token(&one, grant));
-                // Ablation a fence it is looked whether the work is its own, and written later.
+                // Without fencing the owner is checked now, and the effect is written later.
                 if self.ablation == Ablation::Fencing && grant != state.grant {
                     next.all[at].effect = None;
                 }
@@ -265,7 +265,7 @@
                 let token = next.all[at].effect.take()?;
                 let fenced = match self.ablation {
                     Ablation::Fencing => true,
-                    // A store that knows no better token than the highest that it has observed.
+                    // A store that can only compare with the highest token that it has seen.
                     Ablation::TokenFromRevision => token >= state.landed,
                     _ => token == state.grant,
                 };
@@ -283,7 +283,7 @@
                 (one.in_flight, one.effect) = (None, None);
                 (one.observed, one.observed_age) = ((state.grant, state.renewals), 0);
                 if self.ablation == Ablation::Incarnation {
-                    // It takes the lease up where its former incarnation had it, with its time anew.
+                    // It resumes the lease of its former incarnation, with a new expiry.
                     one.lease = one.lease.map(|(grant, _)| (grant, 0));
                 } else {
                     one.lease = None;
--- a/ownership/tests/simulation.rs
+++ b/ownership/tests/simulation.rs
@@ -131,7 +131,7 @@
             value: Some("1".to_owned()),
         }));
         for at in 0..count {
-            // As far apart as the terms allow.
+            // As far apart as the configuration allows.
             let apart = drift as f64 / 1_000.0;
             let between = 1.0 - apart + 2.0 * apart * world.rng.f64();
             let rate = [1.0 - apart, 1.0 + apart, between][world.rng.usize(0..3)];
@@ -178,7 +178,7 @@
         self.log.push((self.now, command.clone()));
         let revision = self.log.len() as u64;
         let (changes, _) = self.truth.apply(revision, &command, ROOM);
-        // An effect that was made lands under a token, which the write carries.
+        // Every effect carries the token under which it was made.
         for change in changes.iter().filter(|change| change.key == "effect") {
             let json: serde_json::Value =
                 serde_json::from_str(change.value.as_deref().unwrap()).unwrap();
@@ -206,7 +206,7 @@
     /// Sends a transaction; it may be lost or delayed.
     fn send(&mut self, at: usize, ask: Request, awaited: bool) {
         let late = self.faults && self.rng.u8(0..20) == 0;
-        let way = if late {
+        let delay = if late {
             self.rng.u64(0..2_000)
         } else {
             self.rng.u64(1..40)
@@ -229,7 +229,7 @@
         }
         if !lost && !one.partitioned {
             self.in_flight.push(Sent {
-                at: self.now + way,
+                at: self.now + delay,
                 command: Command::Txn(txn),
             });
         }
@@ -286,9 +286,9 @@
             .collect();
         let order = election::rank(ROLE, &candidates);
         let one = &mut self.all[at];
-        let place = order.iter().position(|name| *name == one.name);
-        one.lease.set_rank(place, order.len(), clock);
-        // Counted from the answer, a lease would be as much longer as the way there and back.
+        let rank = order.iter().position(|name| *name == one.name);
+        one.lease.set_rank(rank, order.len(), clock);
+        // Counted from the response, a lease would be longer by the round trip.
         let asked = if self.ablation == Ablation::LeaseFromSend {
             clock + LEASE / 4
         } else {
@@ -314,13 +314,13 @@
         // A permit is requested right before an effect; the process may be suspended right after.
         if one.pending_effect.is_none() && self.rng.u8(0..10) == 0 {
             let outside = self.rng.bool();
-            let place = if outside {
+            let target = if outside {
                 Target::IndexHosts
             } else {
                 Target::Store
             };
             let clock = one.clock(self.now);
-            if let Some(permit) = one.lease.permit(place, clock) {
+            if let Some(permit) = one.lease.permit(target, clock) {
                 one.pending_effect =
                     Some((permit.token(), one.lease.fencing_check(&permit), outside));
                 if self.faults && self.rng.u8(0..12) == 0 {
@@ -345,7 +345,7 @@
             );
             return;
         }
-        // Ablation a fence an owner looks whether it is still so, and then writes.
+        // Without fencing an owner checks first, and then writes.
         let Expects::At(revision) = fence.expects else {
             panic!("a fence is a revision")
         };
@@ -424,7 +424,7 @@
         let owner = self.owners().first().map_or(at, |(at, _)| *at);
         match self.rng.u8(0..14) {
             0..=3 => {
-                // The one that owns the work more often than others.
+                // The owner is struck more often than others.
                 let at = if self.rng.bool() { owner } else { at };
                 self.all[at].suspended_until = self.now + self.rng.u64(100..4_000) * MS;
             }
@@ -439,7 +439,7 @@
                 }
             }
             12 if self.rng.u8(0..3) == 0 => {
-                // Power is lost to all.
+                // All lose power.
                 (0..self.all.len()).for_each(|at| self.start(at));
             }
             13 if self.rng.u8(0..3) == 0 => match self.backup.take() {
@@ -453,8 +453,7 @@
     /// The store is lost and restored from a backup at every member. What was in flight is lost.
     fn restore(&mut self, mut state: State) {
         let era: u64 = state.get(keys::ERA).unwrap().parse().unwrap();
-        // By the rule the operator's clock is a part of it, so that two restores of one backup
-        // differ.
+        // The operator's clock is part of the era, so that two restores of one backup differ.
         let era = if self.ablation == Ablation::Era {
             era
         } else {
@@ -467,7 +466,7 @@
         state.apply(self.log.len() as u64, &Command::Put(change), ROOM);
         self.truth = state.clone();
         self.in_flight.clear();
-        // Revisions go on from where the backup ends.
+        // Revisions continue from the end of the backup.
         if self.ablation == Ablation::Era {
             let last = state
                 .keys()
--- a/versions/src/lease/tests.rs
+++ b/versions/src/lease/tests.rs
@@ -4,14 +4,14 @@
 
 const S: Time = 1_000_000_000;
 
-fn lease(keeper: bool) -> VersionLease {
+fn new_lease(autonomous: bool) -> VersionLease {
     VersionLease::new(
         Config {
             validity: 8 * S,
             recovery: 3 * S,
         },
         5,
-        keeper,
+        autonomous,
         100 * S,
     )
 }
@@ -33,19 +33,19 @@
 
 #[test]
 fn degrades_to_suspended_without_responses() {
-    let mut one = lease(false);
-    assert!(!one.may_accept(100 * S), "what it starts with may be old");
-    renew(&mut one, 5, 101 * S);
+    let mut lease = new_lease(false);
+    assert!(!lease.may_accept(100 * S), "what it starts with may be old");
+    renew(&mut lease, 5, 101 * S);
     assert_eq!(
-        (one.status(), one.may_accept(101 * S)),
+        (lease.status(), lease.may_accept(101 * S)),
         (Status::Current, true)
     );
-    assert!(one.begin_query(102 * S));
+    assert!(lease.begin_query(102 * S));
     for at in 1020..1110 {
-        one.update(at * S / 10);
+        lease.update(at * S / 10);
     }
     assert_eq!(
-        statuses(&mut one),
+        statuses(&mut lease),
         [
             Status::Current,
             Status::Behind,
@@ -55,7 +55,7 @@
     );
     // Counted from when it had asked; and also where nothing has looked since, as in a process
     // that stood still.
-    let mut slept = lease(false);
+    let mut slept = new_lease(false);
     renew(&mut slept, 5, 101 * S);
     assert!(slept.may_accept(109 * S - 1) && !slept.may_accept(109 * S));
     assert_eq!(slept.status(), Status::Current, "it has not been looked at");
@@ -63,22 +63,22 @@
 
 #[test]
 fn validity_counts_from_the_query() {
-    let mut one = lease(false);
+    let mut lease = new_lease(false);
     assert!(
-        one.begin_query(100 * S) && !one.begin_query(100 * S),
+        lease.begin_query(100 * S) && !lease.begin_query(100 * S),
         "one question at a time"
     );
-    one.handle_response(5, 106 * S);
+    lease.handle_response(5, 106 * S);
     assert_eq!(
-        (one.valid_until(), one.status()),
+        (lease.valid_until(), lease.status()),
         (Some(108 * S), Status::Straggler)
     );
-    assert!(one.begin_query(106 * S));
-    one.handle_response(5, 115 * S);
-    assert_eq!(one.valid_until(), Some(108 * S));
-    one.handle_response(5, 115 * S);
+    assert!(lease.begin_query(106 * S));
+    lease.handle_response(5, 115 * S);
+    assert_eq!(lease.valid_until(), Some(108 * S));
+    lease.handle_response(5, 115 * S);
     assert_eq!(
-        one.valid_until(),
+        lease.valid_until(),
         Some(108 * S),
         "an answer that nobody asked for"
     );
@@ -86,40 +86,40 @@
 
 #[test]
 fn recovers_only_after_steady_responses() {
-    let mut one = lease(false);
-    renew(&mut one, 5, 100 * S);
-    one.update(108 * S);
-    assert_eq!(one.status(), Status::Suspended);
+    let mut lease = new_lease(false);
+    renew(&mut lease, 5, 100 * S);
+    lease.update(108 * S);
+    assert_eq!(lease.status(), Status::Suspended);
     // A link that is whole for a moment every few seconds.
     for round in 0..20 {
-        renew(&mut one, 5, (110 + 5 * round) * S);
-        assert_eq!(one.status(), Status::Suspended, "round {round}");
-        one.update((114 + 5 * round) * S + 1);
+        renew(&mut lease, 5, (110 + 5 * round) * S);
+        assert_eq!(lease.status(), Status::Suspended, "round {round}");
+        lease.update((114 + 5 * round) * S + 1);
     }
     for second in 0..4 {
-        renew(&mut one, 5, (300 + second) * S);
+        renew(&mut lease, 5, (300 + second) * S);
     }
-    assert_eq!(one.status(), Status::Current);
-    let swings = one.take_changes().len();
+    assert_eq!(lease.status(), Status::Current);
+    let swings = lease.take_changes().len();
     assert_eq!(swings, 3, "in, out and in again");
 }
 
 #[test]
 fn is_straggler_until_it_switches() {
-    let mut one = lease(false);
-    renew(&mut one, 5, 100 * S);
-    renew(&mut one, 9, 101 * S);
+    let mut lease = new_lease(false);
+    renew(&mut lease, 5, 100 * S);
+    renew(&mut lease, 9, 101 * S);
     assert_eq!(
-        (one.status(), one.may_accept(101 * S)),
+        (lease.status(), lease.may_accept(101 * S)),
         (Status::Straggler, true)
     );
     // Told again and again of what it does not run, it renews nothing by that.
-    let mut cannot = one.clone();
+    let mut cannot = lease.clone();
     (102..108).for_each(|second| renew(&mut cannot, 9, second * S));
     assert!(cannot.may_accept(108 * S - 1) && !cannot.may_accept(108 * S));
     // One that switches as the store's news come, before it has asked again, is not shut out
     // for that.
-    let mut quick = lease(false);
+    let mut quick = new_lease(false);
     renew(&mut quick, 5, 100 * S);
     quick.switch(9, false, 101 * S);
     assert_eq!(
@@ -127,40 +127,40 @@
         (true, false)
     );
     assert_ne!(quick.status(), Status::Suspended);
-    one.switch(9, true, 102 * S);
-    assert_eq!(one.status(), Status::Current);
+    lease.switch(9, true, 102 * S);
+    assert_eq!(lease.status(), Status::Current);
     // It is a keeper now: its validity ends, and it goes on.
-    one.update(109 * S);
+    lease.update(109 * S);
     assert_eq!(
-        (one.status(), one.may_accept(200 * S)),
+        (lease.status(), lease.may_accept(200 * S)),
         (Status::Autonomous, true)
     );
-    one.set_on_hold(true, 110 * S);
-    assert!(!one.may_accept(110 * S), "an operator's word goes before");
+    lease.set_on_hold(true, 110 * S);
+    assert!(!lease.may_accept(110 * S), "an operator's word goes before");
 }
 
 #[test]
 fn autonomous_start_waits_for_the_validity() {
-    let mut one = lease(true);
-    one.update(107 * S);
-    assert!(!one.may_accept(107 * S));
-    one.update(108 * S);
+    let mut lease = new_lease(true);
+    lease.update(107 * S);
+    assert!(!lease.may_accept(107 * S));
+    lease.update(108 * S);
     assert_eq!(
-        (one.status(), one.may_accept(108 * S)),
+        (lease.status(), lease.may_accept(108 * S)),
         (Status::Autonomous, true)
     );
-    let mut other = lease(false);
+    let mut other = new_lease(false);
     other.update(500 * S);
     assert!(!other.may_accept(500 * S));
 }
 
 #[test]
 fn backs_off_up_to_the_gap() {
-    let (mut one, mut now, mut asked) = (lease(false), 100 * S, Vec::new());
+    let (mut lease, mut now, mut asked) = (new_lease(false), 100 * S, Vec::new());
     while now < 160 * S {
-        if one.begin_query(now) {
+        if lease.begin_query(now) {
             asked.push(now);
-            one.handle_timeout(now + S / 100);
+            lease.handle_timeout(now + S / 100);
         }
         now += S / 100;
     }
