--- a/control/src/storage.rs
+++ b/control/src/storage.rs
@@ -105,9 +105,7 @@
     if is_complete {
         Ok(records)
     } else {
-        Err(StorageError::Truncated {
-            valid_length,
-        })
+        Err(StorageError::Truncated { valid_length })
     }
 }
 
