--- a/bitternsill/src/describe/asyncapi.rs
+++ b/bitternsill/src/describe/asyncapi.rs
@@ -1,7 +1,7 @@
 //! The streams as an AsyncAPI description: discovery's watch, and the store's lines.
 
 use crate::front::platform::discovery::{MEMBERS, STATES};
-use crate::store::links::WATCH;
+use crate::store::server::WATCH;
 use serde_json::{Map, Value as Json, json};
 use store::message::KINDS;
 
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -20,7 +20,7 @@
 use crate::limits::Limits;
 use crate::net::{Net, Token, World};
 use crate::recovery::Return;
-use crate::store::links::StoreService;
+use crate::store::service::StoreService;
 use crate::versions::Versions;
 use clients::ClientTable;
 use dispatch::interface::{ListKind, Outcome, ServerId, Time};
--- a/bitternsill/src/recovery/cli.rs
+++ b/bitternsill/src/recovery/cli.rs
@@ -38,7 +38,9 @@
         .map(|at| {
             (*at, {
                 let at = *at;
-                thread::spawn(move || client::exchange_line(at, super::ASK, patience))
+                thread::spawn(move || {
+                    client::exchange_line(at, super::ASK, patience).map_err(String::from)
+                })
             })
         })
         .collect();
--- a/bitternsill/src/store.rs
+++ b/bitternsill/src/store.rs
@@ -1,9 +1,12 @@
-//! The store on the loop: its links to other members and to those who watch it, and its file. What
-//! a member decides is in the package `store`, which does no I/O. It stands off the request path
-//! and is no input to the decision module.
+//! The replicated store on the event loop: connections to other members and clients, and the file.
+//! What a member decides is in the package `store`, which does no I/O. The store is off the request
+//! path, and no input of dispatch decisions.
 
 pub mod cli;
 pub mod client;
 pub mod disk;
-pub mod links;
+mod file_writer;
+mod peer;
 pub mod requests;
+pub mod server;
+pub mod service;
--- a/bitternsill/src/store/cli.rs
+++ b/bitternsill/src/store/cli.rs
@@ -1,7 +1,9 @@
-//! `bitternsill store`: what stands in a member's file, whether or not the member runs.
+//! `bitternsill store`: inspects the file of a member, and recovers a store from it.
 
-use super::disk;
+use super::disk::{self, OpenError};
 use clap::Subcommand;
+use std::error::Error;
+use std::fmt;
 use std::path::{Path, PathBuf};
 use store::persisted::PersistedState;
 
@@ -29,9 +31,54 @@
     },
 }
 
-/// The words to print, or what is wrong with the file.
-pub fn run(call: &StoreCommand) -> Result<String, String> {
-    let (file, show) = match call {
+/// A command that was not carried out.
+#[derive(Debug)]
+pub enum StoreFileError {
+    /// There is no such file.
+    NotFound(PathBuf),
+    /// The file cannot be used.
+    Unusable(OpenError),
+    /// The file names no members: it never belonged to a store.
+    NoMembers(PathBuf),
+    /// The loss has to be accepted; with what would be lost.
+    LossNotAccepted(String),
+}
+
+impl fmt::Display for StoreFileError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            StoreFileError::NotFound(file) => {
+                write!(f, "{}: there is no such file", file.display())
+            }
+            StoreFileError::Unusable(error) => error.fmt(f),
+            StoreFileError::NoMembers(file) => write!(
+                f,
+                "{}: this file names no members: it has never held a store",
+                file.display()
+            ),
+            StoreFileError::LossNotAccepted(warning) => write!(
+                f,
+                "{warning}. Nothing is changed. To do it, stop every member and add --accept-loss"
+            ),
+        }
+    }
+}
+
+impl Error for StoreFileError {}
+
+impl From<OpenError> for StoreFileError {
+    fn from(error: OpenError) -> StoreFileError {
+        StoreFileError::Unusable(error)
+    }
+}
+
+/// Runs a command; returns the text to print.
+///
+/// # Errors
+///
+/// [`StoreFileError`] if the file cannot be used, or a loss has not been accepted.
+pub fn run(command: &StoreCommand) -> Result<String, StoreFileError> {
+    let (file, show) = match command {
         StoreCommand::Verify { file } => (file, false),
         StoreCommand::Show { file } => (file, true),
         StoreCommand::Recover { file, accept_loss } => return recover(file, *accept_loss),
@@ -56,23 +103,20 @@
     }))
 }
 
-fn read(file: &Path) -> Result<store::record::FileContents, String> {
-    // Reading what is not there would say that it is empty.
+fn read(file: &Path) -> Result<store::record::FileContents, StoreFileError> {
+    // A member starts from a missing file as from an empty one; here it is a mistake.
     if !file.exists() {
-        return Err(format!("{}: there is no such file", file.display()));
+        return Err(StoreFileError::NotFound(file.to_owned()));
     }
-    disk::read(file).map_err(|problem| problem.to_string())
+    Ok(disk::read(file)?)
 }
 
-/// Makes a member's file the begin of a new store.
-fn recover(file: &Path, accepted: bool) -> Result<String, String> {
+/// Replaces a member's file by that of a new store which starts with the file's state.
+fn recover(file: &Path, accept_loss: bool) -> Result<String, StoreFileError> {
     let persisted = PersistedState::from_records(read(file)?.records);
     let members = persisted.members();
     if members.is_empty() {
-        return Err(format!(
-            "{}: this file names no members: it has never held a store",
-            file.display()
-        ));
+        return Err(StoreFileError::NoMembers(file.to_owned()));
     }
     let own: String = persisted
         .summary()
@@ -86,16 +130,14 @@
          member that still has a file of it is refused",
         file.display()
     );
-    if !accepted {
-        return Err(format!(
-            "{warning}. Nothing is changed. To do it, stop every member and add --accept-loss"
-        ));
+    if !accept_loss {
+        return Err(StoreFileError::LossNotAccepted(warning));
     }
     let store = crate::serve::random_seed().max(1);
     let clock = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let new_records =
         persisted.into_new_store(store, &members, clock.map_or(0, |since| since.as_secs()));
-    let former = disk::replace(file, &new_records).map_err(|problem| problem.to_string())?;
+    let former = disk::replace(file, &new_records)?;
     let others: Vec<String> = members.iter().map(u64::to_string).collect();
     Ok(format!(
         "{warning}.\nDone: store {store:016x}; the former file is {}. Now move away, on every other member of {}, its file and the \
--- a/bitternsill/src/store/client.rs
+++ b/bitternsill/src/store/client.rs
@@ -1,29 +1,96 @@
-//! A caller of the store from outside: an operator's command, at the addresses of its members.
+//! A blocking client of the store, for operators' commands: it speaks JSON lines to the members'
+//! addresses.
 
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
-use std::io::{BufRead, BufReader, Write};
+use std::error::Error;
+use std::fmt;
+use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 use store::command::{Change, Check, Expects, Txn};
-
 use store::state::{Outcome, Rejection, State, VersionedValue};
 
-/// What a read brought.
+/// Pause between two rounds over the members' addresses.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// A member may take this fraction of a request's timeout.
+const ATTEMPTS_PER_TIMEOUT: u32 = 3;
+
+/// A request that got no usable response.
+#[derive(Debug)]
+pub enum ClientError {
+    /// The exchange timed out.
+    TimedOut,
+    /// The connection failed.
+    Io(io::Error),
+    /// The response is not JSON.
+    NotJson,
+    /// The client has no address.
+    NoAddress,
+    /// This member reached no majority.
+    NoMajority(SocketAddr),
+    /// The exchange with this member failed.
+    Member(SocketAddr, Box<ClientError>),
+    /// The response to a request of this kind has another form.
+    UnexpectedResponse(&'static str, Json),
+}
+
+impl fmt::Display for ClientError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ClientError::TimedOut => f.write_str("no answer in time"),
+            ClientError::Io(error) => error.fmt(f),
+            ClientError::NotJson => {
+                f.write_str("the answer cannot be read; is it a gatherer's store?")
+            }
+            ClientError::NoAddress => f.write_str("no address is told"),
+            ClientError::NoMajority(member) => {
+                write!(f, "{member}: the store has no majority that answers")
+            }
+            ClientError::Member(member, error) => write!(f, "{member}: {error}"),
+            ClientError::UnexpectedResponse(expected, response) => {
+                write!(f, "no {expected}: {response}")
+            }
+        }
+    }
+}
+
+impl Error for ClientError {}
+
+impl From<io::Error> for ClientError {
+    fn from(error: io::Error) -> ClientError {
+        match error.kind() {
+            io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut => ClientError::TimedOut,
+            _ => ClientError::Io(error),
+        }
+    }
+}
+
+/// For commands whose errors are texts.
+impl From<ClientError> for String {
+    fn from(error: ClientError) -> String {
+        error.to_string()
+    }
+}
+
+/// The result of a read.
 #[derive(Debug, Clone, Default)]
 pub struct ReadResult {
-    /// The revision at which it is true.
+    /// Revision of the state that was read.
     pub revision: u64,
     /// Each key with its value and the revision of its last change.
     pub keys: BTreeMap<String, (String, u64)>,
 }
 
 impl ReadResult {
-    /// What a member itself holds at a revision.
+    /// The keys of a member's own state at a revision.
     pub fn of(state: &State, revision: u64) -> ReadResult {
-        let key = |(key, held): (&str, &VersionedValue)| {
-            (key.to_owned(), (held.value.clone(), held.revision))
+        let key = |(key, versioned): (&str, &VersionedValue)| {
+            (
+                key.to_owned(),
+                (versioned.value.clone(), versioned.revision),
+            )
         };
         ReadResult {
             revision,
@@ -31,13 +98,13 @@
         }
     }
 
-    /// A key's value as JSON, with its revision.
+    /// The value of a key as JSON, with its revision.
     pub fn json(&self, key: &str) -> Option<(Json, u64)> {
         let (value, revision) = self.keys.get(key)?;
         Some((serde_json::from_str(value).ok()?, *revision))
     }
 
-    /// What has to be so for nothing to have changed of a key since.
+    /// A precondition that a key has not changed since the read.
     pub fn unchanged(&self, key: &str) -> Check {
         let expects = self
             .keys
@@ -49,7 +116,7 @@
         }
     }
 
-    /// The names behind a prefix.
+    /// The rest of each key with this prefix.
     pub fn names<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a str> {
         self.keys
             .keys()
@@ -57,118 +124,131 @@
     }
 }
 
-/// What came of a change.
+/// Outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It was made at this revision.
+    /// Applied at this revision.
     Applied(u64),
-    /// It was not.
+    /// Rejected: nothing was changed.
     Rejected(Rejection),
-    /// Nobody could be asked to the end: it may have been made.
+    /// No member responded in time: the change may have been applied.
     Unknown,
 }
 
-/// The addresses, and how long an answer is waited for in all.
+/// A client of a store.
 #[derive(Debug, Clone)]
 pub struct Client {
-    /// Addresses of members.
+    /// Addresses of members, which are tried in this order.
     pub addresses: Vec<SocketAddr>,
-    /// The longest for one call.
+    /// Timeout of a request, over all attempts.
     pub timeout: Duration,
 }
 
-/// One line to an address, and one line back.
+/// Sends a line to an address and reads the line that answers it.
+///
+/// # Errors
+///
+/// [`ClientError`] if the connection fails, times out or brings anything but JSON.
 pub fn exchange_line(
-    addresses: SocketAddr,
+    address: SocketAddr,
     request: &str,
     timeout: Duration,
-) -> Result<Json, String> {
-    let io_error = |problem: std::io::Error| match problem.kind() {
-        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut => {
-            "no answer in time".to_owned()
-        }
-        _ => problem.to_string(),
-    };
-    let mut socket = TcpStream::connect_timeout(&addresses, timeout).map_err(io_error)?;
-    socket.set_read_timeout(Some(timeout)).map_err(io_error)?;
-    socket
-        .write_all(format!("{request}\n").as_bytes())
-        .map_err(io_error)?;
-    let mut exchange_line = String::new();
-    BufReader::new(socket)
-        .read_line(&mut exchange_line)
-        .map_err(io_error)?;
-    serde_json::from_str(&exchange_line)
-        .map_err(|_| "the answer cannot be read; is it a gatherer's store?".to_owned())
+) -> Result<Json, ClientError> {
+    let mut socket = TcpStream::connect_timeout(&address, timeout)?;
+    socket.set_read_timeout(Some(timeout))?;
+    socket.write_all(format!("{request}\n").as_bytes())?;
+    let mut response = String::new();
+    BufReader::new(socket).read_line(&mut response)?;
+    serde_json::from_str(&response).map_err(|_| ClientError::NotJson)
 }
 
 impl Client {
-    /// Asks one member after the other until one has an answer.
-    fn request(&self, request: &Json) -> Result<Json, String> {
-        let (started, mut problem) = (Instant::now(), "no address is told".to_owned());
-        let each = self.timeout / 3;
+    /// Sends a request to one member after the other until one has a response.
+    fn request(&self, request: &Json) -> Result<Json, ClientError> {
+        let started = Instant::now();
+        let request = request.to_string();
+        let mut last_error = ClientError::NoAddress;
         loop {
             for address in &self.addresses {
-                match exchange_line(*address, &request.to_string(), each) {
-                    Ok(answer) if answer["unknown"] == true => {
-                        problem = format!("{address}: the store has no majority that answers");
+                match exchange_line(*address, &request, self.timeout / ATTEMPTS_PER_TIMEOUT) {
+                    Ok(response) if response["unknown"] == true => {
+                        last_error = ClientError::NoMajority(*address);
                     }
-                    Ok(answer) => return Ok(answer),
-                    Err(why) => problem = format!("{address}: {why}"),
+                    Ok(response) => return Ok(response),
+                    Err(error) => last_error = ClientError::Member(*address, Box::new(error)),
                 }
                 if started.elapsed() >= self.timeout {
-                    return Err(problem);
+                    return Err(last_error);
                 }
             }
-            thread::sleep(Duration::from_millis(50));
+            thread::sleep(RETRY_DELAY);
             if started.elapsed() >= self.timeout {
-                return Err(problem);
+                return Err(last_error);
             }
         }
     }
 
-    /// Keys that begin so, as new as anything that anybody was told.
-    pub fn read(&self, prefix: &str) -> Result<ReadResult, String> {
-        let answer = self.request(&json!({"ask": "read", "prefix": prefix}))?;
-        read_result(&answer).ok_or_else(|| format!("no answer to a read: {answer}"))
+    /// Reads the keys with this prefix, linearizably.
+    ///
+    /// # Errors
+    ///
+    /// [`ClientError`] if no member responds in time.
+    pub fn read(&self, prefix: &str) -> Result<ReadResult, ClientError> {
+        let response = self.request(&json!({"ask": "read", "prefix": prefix}))?;
+        read_result(&response).ok_or(ClientError::UnexpectedResponse(
+            "answer to a read",
+            response,
+        ))
     }
 
-    /// Makes a change, at most once, whatever is lost on the way.
-    pub fn change(&self, checks: Vec<Check>, sets: Vec<Change>) -> Result<ChangeOutcome, String> {
+    /// Applies a change in a session of its own, and so at most once.
+    ///
+    /// # Errors
+    ///
+    /// [`ClientError`] if no session could be opened or the response has another form. Without a
+    /// response to the change itself the outcome is [`ChangeOutcome::Unknown`].
+    pub fn change(
+        &self,
+        checks: Vec<Check>,
+        sets: Vec<Change>,
+    ) -> Result<ChangeOutcome, ClientError> {
         let opened = self.request(&json!({"ask": "open"}))?;
         let session = opened["opened"]
             .as_u64()
-            .ok_or_else(|| format!("no session: {opened}"))?;
+            .ok_or(ClientError::UnexpectedResponse("session", opened))?;
         let txn = Txn {
             session,
             request: 1,
             checks,
             sets,
         };
-        match self.request(&json!({"ask": "txn", "txn": txn.json()})) {
-            Ok(answer) => match Outcome::read(&answer["made"]) {
-                Some(Outcome::Applied(revision)) => Ok(ChangeOutcome::Applied(revision)),
-                Some(Outcome::Rejected(why)) => Ok(ChangeOutcome::Rejected(why)),
-                None => Err(format!("no answer to a change: {answer}")),
-            },
-            Err(_) => Ok(ChangeOutcome::Unknown),
+        let Ok(response) = self.request(&json!({"ask": "txn", "txn": txn.json()})) else {
+            return Ok(ChangeOutcome::Unknown);
+        };
+        match Outcome::read(&response["made"]) {
+            Some(Outcome::Applied(revision)) => Ok(ChangeOutcome::Applied(revision)),
+            Some(Outcome::Rejected(rejection)) => Ok(ChangeOutcome::Rejected(rejection)),
+            None => Err(ClientError::UnexpectedResponse(
+                "answer to a change",
+                response,
+            )),
         }
     }
 }
 
-/// What an answer to a read says.
-pub fn read_result(answer: &Json) -> Option<ReadResult> {
+/// The result in a response to a read; `None` if it has another form.
+pub fn read_result(response: &Json) -> Option<ReadResult> {
     let key = |key: &Json| {
         let value = (key[1].as_str()?.to_owned(), key[2].as_u64()?);
         Some((key[0].as_str()?.to_owned(), value))
     };
-    let keys = answer["keys"]
+    let keys = response["keys"]
         .as_array()?
         .iter()
         .map(key)
         .collect::<Option<_>>()?;
     Some(ReadResult {
-        revision: answer["revision"].as_u64()?,
+        revision: response["revision"].as_u64()?,
         keys,
     })
 }
--- a/bitternsill/src/store/disk.rs
+++ b/bitternsill/src/store/disk.rs
@@ -1,5 +1,5 @@
-//! The file of a store's member: opened and judged at the start, then written and synced by a
-//! thread of its own, so that a slow disk holds up the store and nothing else.
+//! The file of a store member: read and checked at the start, then written and synced by a thread
+//! of its own, so that a slow disk delays the store and nothing else.
 
 use rustix::fs::{FlockOperation, flock};
 use std::fmt;
@@ -17,9 +17,9 @@
 /// Why a member's file cannot be used.
 #[derive(Debug)]
 pub enum OpenError {
-    /// It cannot be read or made.
+    /// It cannot be read or created.
     Io(PathBuf, io::Error),
-    /// Another process has it.
+    /// Another process holds its lock.
     Locked(PathBuf),
     /// It does not hold what was written to it.
     Corrupt(PathBuf, Corruption),
@@ -51,7 +51,11 @@
 
 impl std::error::Error for OpenError {}
 
-/// What stands in a member's file, whichever format it has.
+/// Reads a member's file in any format; a missing one counts as empty.
+///
+/// # Errors
+///
+/// [`OpenError`] if it cannot be read or is corrupt.
 pub fn read(path: &Path) -> Result<record::FileContents, OpenError> {
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
@@ -66,25 +70,24 @@
     read.map_err(|corruption| OpenError::Corrupt(path.to_owned(), corruption))
 }
 
-/// How the disk is treated, and how tests have it behave.
+/// Options of the disk, most of them for tests.
 #[derive(Debug, Clone, Default)]
 pub struct DiskOptions {
-    /// Each sync takes so much longer, and until then nothing reaches the file: what a loss of
-    /// power finds unsynced is gone.
+    /// Delay before each write and sync, for tests of slow disks and power failures.
     pub extra_sync_delay: Duration,
-    /// While this is there the disk is full.
+    /// While this file exists the disk counts as full, for tests.
     pub full_marker: Option<PathBuf>,
-    /// How long a full disk is left alone before the next attempt.
+    /// Delay before the next attempt after the disk was full.
     pub full_retry_delay: Duration,
 }
 
-/// Where a member keeps of which store it is, apart from its data: with the one file gone, the
-/// other says that there was one.
+/// Path of the file with the store's id, beside the member's file: if that one is lost, this one
+/// tells that there was one.
 pub fn identity_path(path: &Path) -> PathBuf {
     path.with_extension("id")
 }
 
-/// Which store a member has voted in, as the file beside its data says.
+/// Id of the store that a member has voted in, from the identity file.
 fn identity(path: &Path) -> Result<Option<u64>, OpenError> {
     let temporary = identity_path(path);
     let text = match std::fs::read_to_string(&temporary) {
@@ -103,21 +106,21 @@
         .ok_or_else(|| OpenError::Corrupt(temporary, found()))
 }
 
-/// A file that nobody sees before it is whole and on the disk.
+/// Replaces a file atomically: it is renamed only when it is complete and synced.
 fn write_atomically(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let temporary = path.with_extension("new");
     let mut file = File::create(&temporary)?;
     file.write_all(bytes)?;
     file.sync_all()?;
     std::fs::rename(&temporary, path)?;
-    // The new name itself has to last.
+    // The rename itself has to be synced too.
     let folder = path
         .parent()
         .filter(|folder| !folder.as_os_str().is_empty());
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
-/// The bytes of a file of these records.
+/// A file of these records.
 fn encode_file(records: &[record::Record]) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     for (at, record) in records.iter().enumerate() {
@@ -126,7 +129,7 @@
     bytes
 }
 
-/// Locks a member's file for this process.
+/// Locks a member's file for this process until the lock is dropped.
 fn lock(path: &Path) -> Result<File, OpenError> {
     let failed = |problem| OpenError::Io(path.to_owned(), problem);
     let lock = File::create(path.with_extension("lock")).map_err(failed)?;
@@ -135,8 +138,12 @@
     Ok(lock)
 }
 
-/// Puts other records in a member's file, which no process may have; what stood there stays beside
-/// it under this name.
+/// Replaces the records of a member's file, which no process may use. Returns the path of a copy of
+/// the former file.
+///
+/// # Errors
+///
+/// [`OpenError`] if the file is locked or cannot be written.
 pub fn replace(path: &Path, records: &[record::Record]) -> Result<PathBuf, OpenError> {
     let failed = |problem| OpenError::Io(path.to_owned(), problem);
     let _lock = lock(path)?;
@@ -152,7 +159,7 @@
     }
 }
 
-/// The thread, as the loop sees it.
+/// Handle of the thread that writes the file.
 pub struct Disk {
     requests: SyncSender<Write>,
     completed: Receiver<io::Result<u64>>,
@@ -160,88 +167,78 @@
 }
 
 impl Disk {
-    /// Opens a member's file, cuts off what a crash left of its last record, and starts the thread.
+    /// Opens a member's file, truncates a torn last record, and starts the thread. At most
+    /// `queue_len` writes wait for it.
+    ///
+    /// # Errors
+    ///
+    /// [`OpenError`] if the file is locked, corrupt or cannot be read or written.
     pub fn open(
         path: &Path,
         queue_len: usize,
         options: DiskOptions,
     ) -> Result<(Disk, PersistedState), OpenError> {
-        let failed = |problem| OpenError::Io(path.to_owned(), problem);
         let lock = lock(path)?;
-        let read = read(path)?;
-        if read.torn_bytes > 0 {
-            let (at, bytes) = (read.valid_bytes, read.torn_bytes);
+        let contents = read(path)?;
+        if contents.torn_bytes > 0 {
+            let (at, bytes) = (contents.valid_bytes, contents.torn_bytes);
             tracing::warn!(file = %path.display(), at, bytes, "a record that was never finished is cut off");
         }
-        let persisted = PersistedState::from_records(read.records.clone());
-        // A file that is there says more than the one beside it, and is not held up by that one's
-        // damage.
-        let stored_identity = identity(path).or_else(|problem| {
+        let persisted = PersistedState::from_records(contents.records.clone());
+        // A member's file that has voted is enough: a corrupt identity file is ignored then.
+        let stored_identity = identity(path).or_else(|error| {
             if persisted.has_voted() {
                 Ok(None)
             } else {
-                Err(problem)
+                Err(error)
             }
         })?;
         let persisted = match stored_identity {
-            Some(store) if read.records.is_empty() => {
+            Some(store) if contents.records.is_empty() => {
                 tracing::warn!(file = %path.display(), store = %format_args!("{store:016x}"),
                     "this member's file is gone, though it was of a store: what it had promised there is lost");
                 PersistedState::lost_file(store)
             }
             _ => persisted,
         };
-        let (cluster, voted) = (persisted.cluster, persisted.has_voted());
-        let mut record_file = RecordFile {
+        let mut file = RecordFile {
             path: path.to_owned(),
             file: None,
             record_count: 0,
             options,
-            cluster,
+            cluster: persisted.cluster,
             stored_identity,
             _lock: lock,
         };
-        if voted {
-            record_file.store_identity(cluster).map_err(failed)?;
-        }
-        let former = std::fs::read(path).is_ok_and(|bytes| !bytes.starts_with(MAGIC))
-            && read.valid_bytes > 0;
-        if former || read.valid_bytes < MAGIC.len() {
-            if former {
-                tracing::info!(file = %path.display(), records = read.records.len(), "brought to the present format");
-            }
-            record_file.replace(&read.records).map_err(failed)?;
-        } else {
-            let file = OpenOptions::new().append(true).open(path).map_err(failed)?;
-            file.set_len(read.valid_bytes as u64).map_err(failed)?;
-            (record_file.file, record_file.record_count) = (Some(file), read.records.len() as u64);
+        let failed = |error| OpenError::Io(path.to_owned(), error);
+        if persisted.has_voted() {
+            file.write_identity(persisted.cluster).map_err(failed)?;
         }
+        file.prepare(&contents).map_err(failed)?;
+        let disk = Disk::spawn(file, queue_len).map_err(failed)?;
+        Ok((disk, persisted))
+    }
+
+    /// Starts the thread that writes the file.
+    fn spawn(file: RecordFile, queue_len: usize) -> io::Result<Disk> {
         let (requests, queue) = sync_channel(queue_len);
         let (completions, completed) = sync_channel(queue_len);
-        let (wakeups, waker) = UnixStream::pair().map_err(failed)?;
-        let quiet = [&wakeups, &waker].map(|end| end.set_nonblocking(true));
-        quiet
-            .into_iter()
-            .collect::<io::Result<()>>()
-            .map_err(failed)?;
-        let work = move || record_file.work(&queue, &completions, waker);
+        let (wakeups, waker) = UnixStream::pair()?;
+        wakeups.set_nonblocking(true)?;
+        waker.set_nonblocking(true)?;
         thread::Builder::new()
             .name("store".to_owned())
-            .spawn(work)
-            .map_err(failed)?;
-        Ok((
-            Disk {
-                requests,
-                completed,
-                wakeups,
-            },
-            persisted,
-        ))
+            .spawn(move || file.work(&queue, &completions, waker))?;
+        Ok(Disk {
+            requests,
+            completed,
+            wakeups,
+        })
     }
 
-    /// Hands a write over; gives it back where as many wait as may.
+    /// Queues a write; returns it if the queue is full.
     pub fn submit(&self, write: Write) -> Result<(), Write> {
-        // A thread that has ended has told why.
+        // A thread that has ended has sent its error.
         self.requests
             .try_send(write)
             .or_else(|problem| match problem {
@@ -250,8 +247,11 @@
             })
     }
 
-    /// The number of the last write that is on the disk, if one has come to be since this was last
-    /// asked.
+    /// The number of the last write on the disk, if any was completed since this was last called.
+    ///
+    /// # Errors
+    ///
+    /// The error with which the thread has ended.
     pub fn completed(&mut self) -> io::Result<Option<u64>> {
         let _ = self.wakeups.read(&mut [0; 64]);
         self.completed
@@ -259,27 +259,44 @@
             .try_fold(None, |_, result| result.map(Some))
     }
 
-    /// What becomes readable when a write is done.
+    /// Becomes readable when a write is completed.
     pub fn wakeups(&self) -> &UnixStream {
         &self.wakeups
     }
 }
 
-/// The file, as the thread has it.
+/// The file and its lock, owned by the thread.
 struct RecordFile {
     path: PathBuf,
     file: Option<File>,
-    /// Records in it.
+    /// Number of records in it.
     record_count: u64,
     options: DiskOptions,
-    /// Which store the records are of, and which one the file beside them names.
+    /// Id of the store by the records.
     cluster: u64,
+    /// Id of the store by the identity file.
     stored_identity: Option<u64>,
-    /// Held for as long as the file is written.
     _lock: File,
 }
 
 impl RecordFile {
+    /// Opens the file for appending; one of another format is rewritten in the present one first.
+    fn prepare(&mut self, contents: &record::FileContents) -> io::Result<()> {
+        let other_format = std::fs::read(&self.path).is_ok_and(|bytes| !bytes.starts_with(MAGIC))
+            && contents.valid_bytes > 0;
+        if other_format {
+            tracing::info!(file = %self.path.display(), records = contents.records.len(), "brought to the present format");
+        }
+        if other_format || contents.valid_bytes < MAGIC.len() {
+            return self.replace(&contents.records);
+        }
+        let file = OpenOptions::new().append(true).open(&self.path)?;
+        file.set_len(contents.valid_bytes as u64)?;
+        self.file = Some(file);
+        self.record_count = contents.records.len() as u64;
+        Ok(())
+    }
+
     fn work(
         mut self,
         requests: &Receiver<Write>,
@@ -287,7 +304,7 @@
         mut waker: UnixStream,
     ) {
         while let Ok(first) = requests.recv() {
-            // What waits shares one sync.
+            // Queued writes share one sync (group commit).
             let mut batch = vec![first];
             batch.extend(requests.try_iter());
             let last = batch.last().map_or(0, |write| write.number);
@@ -301,8 +318,8 @@
         }
     }
 
-    /// Until there is room nothing is acknowledged, and so no change is taken; what was committed
-    /// is told as before.
+    /// Writes a batch, and waits while the disk is full. Until then nothing is acknowledged, so the
+    /// member commits no change, and serves what is committed.
     fn write_retrying_when_full(&mut self, batch: &[Write]) -> io::Result<()> {
         let (record_count, length) = (
             self.record_count,
@@ -316,8 +333,8 @@
                         tracing::error!(file = %self.path.display(),
                             "the disk is full: this member takes no change until there is room, and tells what it has");
                     }
-                    // What came of the records is cut off, as they are written again; a replacement
-                    // begins anew by itself.
+                    // Partly written records are truncated, as they are written again; a replacement
+                    // starts with a new file anyway.
                     if let (Some(file), Some(length)) = (&self.file, &length)
                         && !batch.iter().any(|write| write.replaces)
                     {
@@ -336,8 +353,8 @@
         }
     }
 
-    /// Writes beside the data of which store it is, before anything is promised there.
-    fn store_identity(&mut self, cluster: u64) -> io::Result<()> {
+    /// Writes the identity file, before this member votes or acknowledges anything in the store.
+    fn write_identity(&mut self, cluster: u64) -> io::Result<()> {
         if cluster != 0 && self.stored_identity != Some(cluster) {
             write_atomically(
                 &identity_path(&self.path),
@@ -360,11 +377,11 @@
         for record in batch.iter().flat_map(|write| &write.records) {
             match record {
                 record::Record::Cluster(cluster) => self.cluster = *cluster,
-                record::Record::Term(term) if *term > 0 => self.store_identity(self.cluster)?,
+                record::Record::Term(term) if *term > 0 => self.write_identity(self.cluster)?,
                 _ => {}
             }
         }
-        // What stood before the last replacement need not be written any more.
+        // Records before the last replacement need not be written.
         let from = batch.iter().rposition(|write| write.replaces);
         if let Some(from) = from {
             self.replace(&batch[from].records)?;
@@ -384,12 +401,12 @@
             .as_mut()
             .ok_or_else(|| io::Error::other("the file is not open"))?;
         file.write_all(&bytes)?;
-        // A sync that has failed may have dropped what it failed on: a second one says nothing,
-        // whatever the cause.
+        // After a failed sync the kernel may have dropped the dirty pages, and the next one succeeds
+        // without them: the error is final, also if the disk was full.
         file.sync_data().map_err(io::Error::other)
     }
 
-    /// Replaces everything, by a new file in the old one's place.
+    /// Replaces the whole file.
     fn replace(&mut self, records: &[record::Record]) -> io::Result<()> {
         thread::sleep(self.options.extra_sync_delay);
         write_atomically(&self.path, &encode_file(records))?;
--- a/bitternsill/src/store/requests.rs
+++ b/bitternsill/src/store/requests.rs
@@ -1,55 +1,56 @@
-//! What is asked of the store from outside the member: by this gatherer's own parts, and in lines
-//! of JSON by operators' commands and other gatherers.
+//! Requests of clients, which are lines of JSON from operators' commands and other gatherers, and
+//! the lines that answer them.
 
-use super::links::StoreService;
-use crate::front::{Gatherer, Message};
-use crate::net::{Net, Token};
-use dispatch::interface::Time;
+use crate::net::Token;
 use serde_json::{Value as Json, json};
 use store::command::{Change, Txn};
-use store::member::{Call, CallId, Reply};
+use store::member::{Call, Reply};
+use store::message::MalformedMessage;
 
 use store::state::State;
 
-/// Who waits for an answer.
+/// Who gets the reply to a call.
 #[derive(Debug, Clone)]
 pub enum Requester {
-    /// A connection that asked in a line: the number that it gave, and for a read which keys it
-    /// wants.
+    /// A connection that sent a line.
     Connection {
         /// The connection.
         token: Token,
-        /// What the line had under `id`; it comes back.
+        /// The `id` of the line, which is returned in the response.
         id: Json,
-        /// For a read: keys that begin so.
+        /// Prefix of the keys that a read returns.
         prefix: String,
     },
-    /// An object of this gatherer, which is told by a message.
+    /// An object of this gatherer, which gets [`Message::Replied`](crate::front::Message::Replied).
     Internal(Token),
 }
 
-/// What a line asks.
+/// A request.
 #[derive(Debug)]
 pub enum Request {
-    /// A call of the store, and who waits.
+    /// A call of the store.
     Call(Call, Requester),
-    /// Keys as this member has them, which may be old.
+    /// A read of this member's state, which may be stale.
     StaleRead(Requester),
-    /// Everything that was committed after a revision, and what will be.
+    /// A watch of changes committed after this revision.
     Watch(u64),
-    /// This gatherer's own trail from a place on.
+    /// Bytes of this gatherer's audit log.
     Trail {
-        /// Who waits.
+        /// The connection.
         token: Token,
-        /// The segment, counted from 0.
+        /// Number of the segment, from 0.
         segment: u64,
-        /// How many bytes of it are known already.
+        /// Offset in the segment, in bytes.
         from: u64,
     },
 }
 
-/// Reads a line that asks something; `None` where it does not, `Err` where it cannot be understood.
-pub fn parse(json: &Json, token: Token) -> Option<Result<Request, &'static str>> {
+/// Parses a request; `None` if the JSON is not a request.
+///
+/// # Errors
+///
+/// [`MalformedMessage`] if the request is not valid.
+pub fn parse(json: &Json, token: Token) -> Option<Result<Request, MalformedMessage>> {
     let kind = json.get("ask")?;
     let prefix = json["prefix"].as_str().unwrap_or_default().to_owned();
     let requester = Requester::Connection {
@@ -61,13 +62,17 @@
         Some("open") => Ok(Request::Call(Call::Open, requester)),
         Some("txn") => match Txn::read(&json["txn"]) {
             Some(txn) => Ok(Request::Call(Call::Txn(txn), requester)),
-            None => Err("`txn` has `session`, `request`, `checks` and `sets`"),
+            None => Err(MalformedMessage(
+                "`txn` has `session`, `request`, `checks` and `sets`",
+            )),
         },
         Some("read") if json["stale"] == true => Ok(Request::StaleRead(requester)),
         Some("read") => Ok(Request::Call(Call::Read, requester)),
         Some("watch") => match json["from"].as_u64() {
             Some(from) => Ok(Request::Watch(from)),
-            None => Err("`from` is the revision after which changes are told"),
+            None => Err(MalformedMessage(
+                "`from` is the revision after which changes are told",
+            )),
         },
         Some("trail") => {
             let number = |key: &str| json[key].as_u64().unwrap_or(0);
@@ -77,11 +82,11 @@
                 from: number("from"),
             })
         }
-        _ => Err("`ask` is open, txn, read, watch or trail"),
+        _ => Err(MalformedMessage("`ask` is open, txn, read, watch or trail")),
     })
 }
 
-/// The answer to a line.
+/// The response to a call.
 pub fn response(reply: &Reply, id: &Json, prefix: &str, state: &State) -> String {
     let mut json = match reply {
         Reply::Opened(session) => json!({"opened": session}),
@@ -93,7 +98,7 @@
     json.to_string() + "\n"
 }
 
-/// The answer to a read that may be old, and says so.
+/// The response to a stale read, which says so.
 pub fn stale_response(id: &Json, prefix: &str, revision: u64, state: &State) -> String {
     json!({"id": id, "stale": true, "revision": revision, "keys": keys(state, prefix)}).to_string()
         + "\n"
@@ -102,41 +107,16 @@
 fn keys(state: &State, prefix: &str) -> Json {
     state
         .with_prefix(prefix)
-        .map(|(key, held)| json!([key, held.value, held.revision]))
+        .map(|(key, versioned)| json!([key, versioned.value, versioned.revision]))
         .collect()
 }
 
-/// One line of a watch that began at a revision.
+/// A line of a watch from a revision on.
 pub fn watch_line(revision: u64, change: &Change) -> String {
     json!({"revision": revision, "key": change.key, "value": change.value}).to_string() + "\n"
 }
 
-impl StoreService {
-    /// Asks the store something; whoever waits is told within the patience.
-    pub fn submit(
-        &mut self,
-        call: Call,
-        requester: Requester,
-        patience: Time,
-        net: &mut Net<Gatherer>,
-    ) {
-        let id: CallId = self.next_call();
-        match self.store_mut().call(id, call, patience, net.now()) {
-            Ok(()) => drop(self.waiting.insert(id, requester)),
-            // As much is asked already as may be: it is not known either.
-            Err(_) => self.reply(&requester, Reply::Unknown, net),
-        }
-        self.dispatch(net);
-    }
-
-    /// Tells whoever waits what came of what they asked.
-    pub(super) fn reply(&self, requester: &Requester, reply: Reply, net: &mut Net<Gatherer>) {
-        match requester {
-            Requester::Connection { token, id, prefix } => {
-                let line = response(&reply, id, prefix, self.store().state());
-                net.post(*token, Message::Line(line));
-            }
-            Requester::Internal(token) => net.post(*token, Message::Replied(reply)),
-        }
-    }
+/// A line of a watch from the present state on.
+pub(super) fn plain_watch_line(change: &Change) -> String {
+    json!({"key": change.key, "value": change.value}).to_string() + "\n"
 }
--- a/bitternsill/src/versions/audit.rs
+++ b/bitternsill/src/versions/audit.rs
@@ -32,7 +32,7 @@
 pub fn run(call: &Audit) -> (String, bool) {
     let seen = match call.place.client().read("") {
         Ok(seen) => seen,
-        Err(problem) => return (problem, false),
+        Err(problem) => return (problem.to_string(), false),
     };
     let (reports, problems) = collect(call, &seen);
     let sound = reports
--- a/store/src/member/client_calls.rs
+++ b/store/src/member/client_calls.rs
@@ -155,7 +155,10 @@
 
     /// Replies to reads whose index is applied.
     pub(super) fn on_applied(&mut self, applied: u64) {
-        let is_ready = |pending: &Pending| matches!(pending.kind, PendingKind::Read(Some(index)) if index <= applied);
+        let is_ready = |pending: &Pending| match pending.kind {
+            PendingKind::Read(Some(index)) => index <= applied,
+            _ => false,
+        };
         for id in self.ids(is_ready) {
             self.reply(id, Reply::Read(applied));
         }
--- a/store/src/member/receive.rs
+++ b/store/src/member/receive.rs
@@ -97,10 +97,7 @@
             } => self.on_bootstrap(from, sender.cluster, incarnation, snapshot),
             Message::BootstrapAccepted => self.on_bootstrap_accepted(from),
             Message::AlreadyBootstrapped { incarnation } => {
-                if self.rejoin.on_already_bootstrapped(incarnation) {
-                    self.mark_lost();
-                    self.send_status(now);
-                }
+                self.on_already_bootstrapped(incarnation, now);
             }
             Message::SnapshotRequest {
                 incarnation,
--- a/store/src/member/rejoining.rs
+++ b/store/src/member/rejoining.rs
@@ -214,6 +214,14 @@
         }
     }
 
+    /// A store exists already, so this member does not go on with its bootstrap.
+    pub(super) fn on_already_bootstrapped(&mut self, incarnation: u64, now: Time) {
+        if self.rejoin.on_already_bootstrapped(incarnation) {
+            self.mark_lost();
+            self.send_status(now);
+        }
+    }
+
     /// The store exists: this member starts an election, and never bootstraps it again.
     fn finish_bootstrap(&mut self) {
         self.persist(Record::Bootstrapping(false));
--- a/store/src/message.rs
+++ b/store/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between members: Raft's, and those for proposals, reads and admission. The encoding, one
-//! JSON object a line, is in `codec`.
+//! Messages between members: Raft's, and those for proposals, reads and admission. The encoding,
+//! one JSON object a line, is in `codec`.
 
 use crate::command::Command;
 use crate::log::{Entries, Position, Snapshot};
--- a/store/src/record.rs
+++ b/store/src/record.rs
@@ -1,7 +1,7 @@
 //! The records of a member's file and their encoding.
 //!
 //! A file is the magic with the format's version, then records. Each record is a header of
-//! [`HEADER_BYTES`] (length of the content, ordinal of the record, CRC-32 of both, little-endian), the
+//! 16 bytes (length of the content, ordinal of the record, CRC-32 of both, little-endian), the
 //! content as JSON, and the CRC-32 of the content. With these a file that a crash cut short, whose
 //! torn tail was never acknowledged, can be told from a corrupt one, which must not be used.
 
--- a/store/src/rejoin.rs
+++ b/store/src/rejoin.rs
@@ -6,8 +6,8 @@
 //! Liskov and Cowling, 2012, section 4.3), with `m` for a majority of all members:
 //!
 //! - A member with an intact file asks the others. One that knows of a newer file of that member
-//!   says so. With `m - 1` responses of members that have a file too, and none of a newer one, it is
-//!   active: fewer members could not have committed anything together with a newer file.
+//!   says so. With `m - 1` responses of members that have a file too, and none of a newer one, it
+//!   is active: fewer members could not have committed anything together with a newer file.
 //! - A member that has lost its file claims a new *generation*, above any that `m` active members
 //!   know, and has `m` active members record it. From then on they ignore messages of its earlier
 //!   generations, as does everyone who hears from them.
@@ -19,8 +19,8 @@
 //!   these terms has committed, up to at least the furthest of these ends: the catch-up bar.
 //! - A store is bootstrapped only when every member is there and has never belonged to a store.
 //!
-//! No wait can be circular: status requests are answered in any status. The rule is model-checked in
-//! `tests/rejoin_model.rs`, and the code runs in the simulations beside that.
+//! No wait can be circular: status requests are answered in any status. The rule is model-checked
+//! in `tests/rejoin_model.rs`, and the code runs in the simulations beside that.
 
 use crate::log::Position;
 use std::collections::BTreeMap;
@@ -346,8 +346,8 @@
         )
     }
 
-    /// Notes the term and log end that a member has sent in one of its starts. Any newer file of that
-    /// member reaches at least as far.
+    /// Notes the term and log end that a member has sent in one of its starts. Any newer file of
+    /// that member reaches at least as far.
     pub fn observe_progress(&mut self, from: u64, starts: u64, term: u64, last: Option<Position>) {
         let peer = self.peers.entry(from).or_default();
         peer.progress_start = peer.progress_start.max(starts);
@@ -505,8 +505,8 @@
             .unwrap_or(0)
     }
 
-    /// Others know of a later generation of this member. True if this incarnation was, or could have
-    /// become, active, which it no longer may.
+    /// Others know of a later generation of this member. True if this incarnation was, or could
+    /// have become, active, which it no longer may.
     pub fn on_replaced(&mut self) -> bool {
         let thought = matches!(
             self.status,
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -173,8 +173,8 @@
         (last.request == request && request > 0).then_some(&last.outcome)
     }
 
-    /// Applies the command of the entry with this index; returns what changed, and what is completed
-    /// for a caller.
+    /// Applies the command of the entry with this index; returns what changed, and what is
+    /// completed for a caller.
     pub fn apply(
         &mut self,
         revision: u64,
