--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -19,7 +19,7 @@
 use crate::learned::Keeper;
 use crate::limits::Limits;
 use crate::net::{Net, Token, World};
-use crate::recovery::Return;
+use crate::recovery::RecoveryService;
 use crate::store::service::StoreService;
 use crate::versions::Versions;
 use clients::ClientTable;
@@ -158,7 +158,7 @@
     /// What is learned, where it is kept.
     pub keeper: Option<Keeper>,
     /// The return after a start, where an operator's file asks for it.
-    pub returning: Option<Return>,
+    pub returning: Option<RecoveryService>,
     /// Which version it acts on, where the store has these.
     pub versions: Option<Versions>,
     /// When the program started.
@@ -184,7 +184,7 @@
         } else if let Some(state) = self
             .returning
             .as_ref()
-            .map(Return::state)
+            .map(RecoveryService::recovery)
             .filter(|state| !state.is_ready())
         {
             Some(Wait::Returning(state.phase()))
@@ -327,7 +327,7 @@
         self.core.list(kind, entries);
         self.record_members(net);
         self.ready_by = None;
-        self.list_is_there(true, now);
+        self.on_endpoint_list(true, now);
     }
 
     /// Records the index hosts as they are known now.
@@ -391,7 +391,7 @@
         let returning = self
             .returning
             .as_ref()
-            .and_then(|returning| returning.state().due());
+            .and_then(|returning| returning.recovery().due());
         let noted = self.versions.as_ref().and_then(Versions::due);
         [
             self.core.due(),
@@ -429,7 +429,7 @@
             self.clients.sweep(net, sweep);
         }
         self.note_ends(net, now);
-        self.go_on_returning(net, now);
+        self.advance_recovery(net, now);
         self.advance(net, now);
         self.say_waits(now);
     }
--- a/bitternsill/src/front/catalogue.rs
+++ b/bitternsill/src/front/catalogue.rs
@@ -15,7 +15,7 @@
 use crate::core::ports::{Answer, Ask, Caller, Reason, Refusal};
 use crate::front::Gatherer;
 use crate::limits::{Limits, MS};
-use ::recovery::ramp::Turn;
+use ::recovery::slow_start::Admission;
 use catalogue::operation::{Bounds, Plan, Round, Why};
 use catalogue::session::Config;
 use catalogue::sets::{SetBounds, SetTable};
@@ -110,7 +110,7 @@
         // What is under way goes on; what begins has its turn while the gatherer returns.
         let begins = !matches!(&plan.work, Work::Page(page) if !page.fresh);
         if let Some(returning) = world.returning.as_mut().filter(|_| begins)
-            && let Turn::Later(wait) = returning.admit(class, arrived)
+            && let Admission::RetryAfter(wait) = returning.admit(class, arrived)
         {
             return Err(Refusal::TableFull {
                 hold_off: wait.min(world.core.longest_hold_off()),
--- a/bitternsill/src/front/platform/client.rs
+++ b/bitternsill/src/front/platform/client.rs
@@ -4,7 +4,7 @@
 use crate::core::ports::{Answer, Caller, Refusal};
 use crate::front::http::{Head, Response};
 use crate::front::server::{Cx, Handled, Service};
-use ::recovery::ramp::Turn;
+use ::recovery::slow_start::Admission;
 
 /// One thing that the HTTP surface offers.
 #[derive(Debug, Clone, Copy)]
@@ -123,7 +123,7 @@
                     return Handled::Done(query::respond(&Answer::Refused { hold_off }));
                 }
                 if let (Ok(ask), Some(returning)) = (&ask, &mut world.returning)
-                    && let Turn::Later(wait) = returning.admit(ask.class, ask.arrived)
+                    && let Admission::RetryAfter(wait) = returning.admit(ask.class, ask.arrived)
                 {
                     // Where no time to return may be told, none is.
                     let hold_off = wait.min(world.core.longest_hold_off());
--- a/bitternsill/src/recovery.rs
+++ b/bitternsill/src/recovery.rs
@@ -1,171 +1,170 @@
-//! The gatherer's return on the loop: peers are asked over the store's addresses, and what they say
-//! goes to the package `recovery`, which decides. Only where an operator's file asks for it.
+//! Recovery of the gatherer on the event loop: peers are queried at their stores' addresses, and
+//! their answers go to the package `recovery`, which decides. Only where an operator's file asks
+//! for it.
 
 pub mod cli;
-pub mod questions;
+pub mod peer_query;
 
 use crate::front::Gatherer;
 use crate::front::hosts::Member;
-use crate::limits::Limits;
+use crate::limits::{Limits, MS};
 use crate::net::Net;
 use ::recovery::Time;
-use ::recovery::phase::{Phase, Plan, Recovery};
-use ::recovery::ramp::{Ramp, Turn};
+use ::recovery::phase::{Config, Peer, Phase, Recovery};
+use ::recovery::slow_start::{Admission, SlowStart};
 use dispatch::interface::{ListKind, Settings};
 use serde::Deserialize;
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What an operator's file says of the return.
+/// Recovery in an operator's file.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecoverySetup {
-    /// Milliseconds that peers are waited for at the most.
-    #[serde(default = "ask_ms")]
-    pub ask_ms: u64,
-    /// Gatherers that started within so many seconds of each other have one cause.
-    #[serde(default = "together_s")]
-    pub together_s: u64,
+    /// Maximum time to wait for the answers of peers, in milliseconds.
+    #[serde(rename = "ask_ms", default = "default_peer_timeout_ms")]
+    pub peer_timeout_ms: u64,
+    /// Gatherers that started within this many seconds of each other restarted for one cause.
+    #[serde(rename = "together_s", default = "default_restart_window_s")]
+    pub restart_window_s: u64,
 }
 
-fn ask_ms() -> u64 {
+fn default_peer_timeout_ms() -> u64 {
     1_000
 }
 
-fn together_s() -> u64 {
+fn default_restart_window_s() -> u64 {
     30
 }
 
-/// The return of this gatherer.
-pub struct Return {
+/// Recovery of this gatherer.
+pub struct RecoveryService {
     recovery: Recovery,
     rng: fastrand::Rng,
-    /// The list from before the start, until it is known what it is worth.
-    kept: Vec<Member>,
+    /// The endpoint list from before the start, until it is used or replaced by discovery's.
+    persisted_hosts: Vec<Member>,
 }
 
-impl Return {
-    /// Begins it, with the list from before; each peer is asked by an object of its own.
-    pub fn begin(
+impl RecoveryService {
+    /// Starts the recovery with the persisted endpoint list, and queries each peer by an object of
+    /// its own.
+    pub fn start(
         setup: RecoverySetup,
         settings: &Settings,
         peers: &BTreeMap<u64, SocketAddr>,
-        kept: Vec<Member>,
-        list_for: Time,
+        persisted_hosts: Vec<Member>,
+        discovery_timeout: Time,
         seed: u64,
         net: &mut Net<Gatherer>,
-    ) -> Return {
-        let worth: Vec<f64> = settings.classes.iter().map(|class| class.worth).collect();
-        let most = settings
-            .classes
-            .iter()
-            .map(|class| class.aim)
-            .max()
-            .unwrap_or(0)
-            .max(settings.max_hold_off);
-        // Without stated times index hosts are taken to bear everything at once.
-        let ramp = Ramp::new(settings.start_capacity, settings.ramp, most, &worth);
-        let ms = Limits::ms;
-        let (ask_for, together) = (ms(setup.ask_ms), ms(setup.together_s.saturating_mul(1_000)));
-        let ends_within = settings
-            .classes
-            .iter()
-            .map(|class| class.aim)
-            .max()
-            .unwrap_or(0);
-        let plan = Plan {
-            ask_for,
-            list_for,
-            together,
-            ramp,
-            ends_within,
-        };
+    ) -> RecoveryService {
+        let config = config(setup, settings, discovery_timeout);
         for (peer, address) in peers {
-            net.open(Box::new(questions::Question::new(*peer, *address)));
+            net.open(Box::new(peer_query::PeerQuery::new(*peer, *address)));
         }
-        let mut recovery = Recovery::new(plan, peers.keys().copied(), net.now());
-        recovery.listed(!kept.is_empty(), false, net.now());
-        Return {
+        let mut recovery = Recovery::new(config, peers.keys().copied(), net.now());
+        recovery.on_endpoints(!persisted_hosts.is_empty(), false, net.now());
+        RecoveryService {
             recovery,
             rng: fastrand::Rng::with_seed(seed),
-            kept,
+            persisted_hosts,
         }
     }
 
-    /// The decision's state.
-    pub fn state(&self) -> &Recovery {
+    /// The recovery's state.
+    pub fn recovery(&self) -> &Recovery {
         &self.recovery
     }
 
-    /// The same, to be told something; what comes of it is carried out in the gatherer's next turn.
-    pub fn tell(&mut self) -> &mut Recovery {
+    /// The recovery's state, to pass on an event; transitions are carried out in the gatherer's
+    /// next turn.
+    pub fn recovery_mut(&mut self) -> &mut Recovery {
         &mut self.recovery
     }
 
-    /// Whether a query that came then is taken, and if not when it should come again.
-    pub fn admit(&mut self, class: usize, came: Time) -> Turn {
-        self.recovery.admit(class, self.rng.f64(), came)
+    /// Decides on a query that arrived at this time.
+    pub fn admit(&mut self, class: usize, arrived: Time) -> Admission {
+        self.recovery.admit(class, self.rng.f64(), arrived)
     }
 
-    /// Carries out what time has brought. Gives the list from before once it may be used.
+    /// Handles time-outs and logs transitions. Returns the persisted endpoint list once it may be
+    /// used.
     fn turn(&mut self, now: Time) -> Option<Vec<Member>> {
         self.recovery.tick(now);
-        for change in self.recovery.take_changes() {
-            let why: Vec<String> = change.why.iter().map(ToString::to_string).collect();
-            tracing::info!(from = %change.from, lasted_ms = change.lasted / 1_000_000, to = %change.to, why = why.join("; "),
+        for transition in self.recovery.take_transitions() {
+            let reasons: Vec<String> = transition.reasons.iter().map(ToString::to_string).collect();
+            tracing::info!(from = %transition.from, lasted_ms = transition.lasted / MS, to = %transition.to, why = reasons.join("; "),
                 "the return goes on");
         }
-        if self.recovery.phase() < Phase::Returning || self.kept.is_empty() {
+        if self.recovery.phase() < Phase::SlowStart || self.persisted_hosts.is_empty() {
             return None;
         }
-        let mut kept = std::mem::take(&mut self.kept);
+        let mut hosts = std::mem::take(&mut self.persisted_hosts);
         if self.recovery.distrusts_hosts() {
-            // They may have lost their power too: until discovery says when each started, each has
+            // The hosts may have lost power too: until discovery tells when each started, each has
             // a cold host's share.
-            kept.iter_mut().for_each(|member| member.entry.born = now);
+            hosts.iter_mut().for_each(|member| member.entry.born = now);
         }
-        Some(kept)
+        Some(hosts)
+    }
+}
+
+fn config(setup: RecoverySetup, settings: &Settings, discovery_timeout: Time) -> Config {
+    let values: Vec<f64> = settings.classes.iter().map(|class| class.worth).collect();
+    let aims = settings.classes.iter().map(|class| class.aim);
+    let longest_aim = aims.max().unwrap_or(0);
+    // Without configured times index hosts count as warm at once.
+    let slow_start = SlowStart::new(
+        settings.start_capacity,
+        settings.ramp,
+        longest_aim.max(settings.max_hold_off),
+        &values,
+    );
+    Config {
+        peer_timeout: Limits::ms(setup.peer_timeout_ms),
+        discovery_timeout,
+        restart_window: Limits::ms(setup.restart_window_s.saturating_mul(1_000)),
+        slow_start,
+        query_timeout: longest_aim,
     }
 }
 
 impl Gatherer {
-    /// The return goes on, where there is one.
-    pub fn go_on_returning(&mut self, net: &mut Net<Self>, now: Time) {
-        let Some(kept) = self
+    /// Carries the recovery on, if there is one.
+    pub fn advance_recovery(&mut self, net: &mut Net<Self>, now: Time) {
+        let Some(persisted) = self
             .returning
             .as_mut()
             .and_then(|returning| returning.turn(now))
         else {
             return;
         };
-        let told = self
+        let confirmed = self
             .returning
             .as_ref()
             .is_some_and(|returning| returning.recovery.is_confirmed());
-        // What discovery has told meanwhile is newer.
-        if !told {
-            let entries = self.hosts.update(ListKind::Persisted, kept, net, now);
+        // A list that discovery has sent meanwhile is newer.
+        if !confirmed {
+            let entries = self.hosts.update(ListKind::Persisted, persisted, net, now);
             self.core.list(ListKind::Persisted, entries);
-            self.list_is_there(false, now);
+            self.on_endpoint_list(false, now);
         }
     }
 
-    /// A list has been taken; whether discovery itself told it.
-    pub fn list_is_there(&mut self, by_discovery: bool, now: Time) {
+    /// Handles a new endpoint list; `by_discovery` is whether it comes from discovery.
+    pub fn on_endpoint_list(&mut self, by_discovery: bool, now: Time) {
         let usable = self.hosts.any_active();
-        // Nothing of the list from before is needed any more.
         if let Some(returning) = &mut self.returning {
             if by_discovery {
-                returning.kept.clear();
+                returning.persisted_hosts.clear();
             }
-            returning.recovery.listed(usable, by_discovery, now);
+            returning.recovery.on_endpoints(usable, by_discovery, now);
         }
     }
 
-    /// What this gatherer says to one that asks for its phase.
+    /// The line that answers a query for the phase.
     pub fn phase_line(&self, now: Time) -> String {
-        let state = self.returning.as_ref().map(Return::state);
+        let state = self.returning.as_ref().map(RecoveryService::recovery);
         let why = |state: &Recovery| {
             state
                 .reasons()
@@ -179,7 +178,7 @@
         });
         let line = json!({
             "phase": state.map(|state| state.phase().to_string()), "why": state.map(why),
-            "running_ms": now.saturating_sub(self.started) / 1_000_000, "ready": self.is_ready(now),
+            "running_ms": now.saturating_sub(self.started) / MS, "ready": self.is_ready(now),
             "waits_for": self.waits(now).map(|wait| wait.to_string()), "index_hosts": self.hosts.active(), "store": store,
             "version": self.versions.as_ref().map(|versions| versions.line(now))
         });
@@ -187,15 +186,15 @@
     }
 }
 
-/// What a gatherer is asked its phase with.
+/// The line that queries a gatherer's phase.
 pub const ASK: &str = "phase";
 
-/// A peer as its line says.
-pub fn read_line(line: &[u8]) -> Option<::recovery::phase::Peer> {
+/// Parses a peer's answer; `None` if it has another form.
+pub fn read_line(line: &[u8]) -> Option<Peer> {
     let json: Json = serde_json::from_slice(line).ok()?;
-    let running = json["running_ms"].as_u64()?.saturating_mul(1_000_000);
-    Some(::recovery::phase::Peer {
-        running,
+    let uptime = json["running_ms"].as_u64()?.saturating_mul(MS);
+    Some(Peer {
+        uptime,
         phase: json["phase"].as_str().and_then(Phase::named),
     })
 }
--- a/bitternsill/src/recovery/questions.rs
+++ b/bitternsill/src/recovery/peer_query.rs
@@ -1,5 +1,5 @@
-//! A peer is asked for its phase: again and again until it answers, or its answer is waited for no
-//! more.
+//! Queries a peer for its phase, and retries until it answers or its answer is no longer waited
+//! for.
 
 use crate::front::{Gatherer, Message};
 use crate::net::{self, Attempt, Connection, Context, Input, Ready, Stream};
@@ -8,39 +8,39 @@
 
 type Cx<'a> = Context<'a, Gatherer>;
 
-/// The object that asks one peer.
-pub struct Question {
+/// The query of one peer.
+pub struct PeerQuery {
     peer: u64,
-    to: SocketAddr,
+    address: SocketAddr,
     stream: Option<Stream>,
-    up: bool,
+    connected: bool,
     input: Vec<u8>,
 }
 
-impl Question {
-    /// Asks a peer at its address.
-    pub fn new(peer: u64, to: SocketAddr) -> Question {
-        Question {
+impl PeerQuery {
+    /// A query of a peer at its address.
+    pub fn new(peer: u64, address: SocketAddr) -> PeerQuery {
+        PeerQuery {
             peer,
-            to,
+            address,
             stream: None,
-            up: false,
+            connected: false,
             input: Vec::new(),
         }
     }
 
     fn is_wanted(&self, cx: &Cx<'_>) -> bool {
         let returning = cx.world.returning.as_ref();
-        returning.is_some_and(|returning| returning.state().unanswered().contains(&self.peer))
+        returning.is_some_and(|returning| returning.recovery().unanswered().contains(&self.peer))
     }
 
     fn begin(&mut self, cx: &mut Cx<'_>) {
         if !self.is_wanted(cx) {
             return cx.close();
         }
-        (self.up, self.stream) = (false, net::connect(self.to).ok());
+        (self.connected, self.stream) = (false, net::connect(self.address).ok());
         self.input.clear();
-        // A peer that is off refuses at once; one that is cut off says nothing.
+        // A peer that is down refuses at once; a partitioned one does not respond.
         cx.set_timer(cx.now + cx.world.limits.recovery_retry);
         if let Some(stream) = &mut self.stream {
             let waits = Ready::WRITE;
@@ -51,7 +51,7 @@
     }
 }
 
-impl Connection<Gatherer> for Question {
+impl Connection<Gatherer> for PeerQuery {
     fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
         self.begin(cx);
         Ok(())
@@ -61,10 +61,10 @@
         let Some(stream) = &mut self.stream else {
             return;
         };
-        if !self.up {
+        if !self.connected {
             match stream.attempt() {
                 Attempt::Pending => return,
-                Attempt::Up => self.up = true,
+                Attempt::Up => self.connected = true,
                 Attempt::Failed(_) => {
                     self.stream = None;
                     return;
@@ -79,11 +79,13 @@
                     super::read_line(&self.input[..at]),
                     cx.world.returning.as_mut(),
                 ) {
-                    returning.tell().answered(self.peer, answer, cx.now);
+                    returning
+                        .recovery_mut()
+                        .on_peer_answer(self.peer, answer, cx.now);
                 }
                 return cx.close();
             }
-            // A line has a bound, and a peer that hangs up is asked again.
+            // The line is bounded, and a peer that closes the connection is queried again.
             if self.input.len() > cx.world.limits.frame_bytes || !matches!(end, Ok(Input::Open)) {
                 self.stream = None;
                 return;
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -25,7 +25,7 @@
 use crate::learned::{Keeper, LearningSetup};
 use crate::limits::Limits;
 use crate::net::{self, Clock, Reactor};
-use crate::recovery::{RecoverySetup, Return};
+use crate::recovery::{RecoveryService, RecoverySetup};
 use crate::store::disk::{Disk, DiskOptions};
 use crate::store::server::Incoming;
 use crate::store::service::StoreService;
@@ -407,7 +407,7 @@
         // What that list is worth is known once the peers have been asked.
         Some(setup) => {
             let settings = gatherer.core.settings();
-            gatherer.returning = Some(Return::begin(
+            gatherer.returning = Some(RecoveryService::start(
                 setup,
                 settings,
                 &asked,
--- a/bitternsill/src/store/disk.rs
+++ b/bitternsill/src/store/disk.rs
@@ -333,8 +333,8 @@
                         tracing::error!(file = %self.path.display(),
                             "the disk is full: this member takes no change until there is room, and tells what it has");
                     }
-                    // Partly written records are truncated, as they are written again; a replacement
-                    // starts with a new file anyway.
+                    // Partly written records are truncated, as they are written again; a
+                    // replacement starts with a new file anyway.
                     if let (Some(file), Some(length)) = (&self.file, &length)
                         && !batch.iter().any(|write| write.replaces)
                     {
@@ -401,8 +401,8 @@
             .as_mut()
             .ok_or_else(|| io::Error::other("the file is not open"))?;
         file.write_all(&bytes)?;
-        // After a failed sync the kernel may have dropped the dirty pages, and the next one succeeds
-        // without them: the error is final, also if the disk was full.
+        // After a failed sync the kernel may have dropped the dirty pages, and the next one
+        // succeeds without them: the error is final, also if the disk was full.
         file.sync_data().map_err(io::Error::other)
     }
 
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -12,7 +12,7 @@
 use crate::front::{Gatherer, Message};
 use crate::net::{Connection, Context, Net, Ready, Token};
 use crate::store::requests::Requester;
-use ::recovery::bearing::Came;
+use ::recovery::capacity::QueryResult;
 use ::recovery::phase::Phase;
 use dispatch::interface::Time;
 use serde::Deserialize;
@@ -283,14 +283,17 @@
 impl Gatherer {
     /// What came of queries goes to whoever wants to know: the return, and the trail.
     pub fn note_ends(&mut self, net: &mut Net<Self>, now: Time) {
-        let returning = self.returning.as_mut().map(|returning| returning.tell());
-        let mut returning = returning.filter(|recovery| recovery.phase() == Phase::Returning);
+        let returning = self
+            .returning
+            .as_mut()
+            .map(|returning| returning.recovery_mut());
+        let mut returning = returning.filter(|recovery| recovery.phase() == Phase::SlowStart);
         let ends = self
             .core
             .take_ends(returning.is_some() || self.versions.is_some());
         for end in ends {
             if let Some(recovery) = &mut returning {
-                recovery.ended(end.taken, Came::after(end.spent, end.whole), now);
+                recovery.on_query_completed(end.taken, QueryResult::new(end.spent, end.whole), now);
             }
             if let Some(versions) = &mut self.versions {
                 let class = self.core.class_name(end.class);
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,16 +1,16 @@
-//! What a gatherer does between its start and full service: whom it asks, what it waits for and how
-//! long, which queries it takes meanwhile. No sockets, clock, files or randomness: time and answers
-//! come in, the phase and what to do go out.
+//! Recovery of a gatherer after its start, until it serves in full: which peers it queries, what it
+//! waits for and how long, and which queries it admits meanwhile. No sockets, clock, files or
+//! randomness: time and answers come in, the phase and decisions go out.
 //!
-//! Nobody waits for a phase of another: peers are only asked for what they know, answer in any
-//! phase, and what they do not answer in time is done without. So no circle of waits can form, and
-//! each wait has a bound.
+//! Invariant: no gatherer waits for the phase of another. Peers are only asked for what they know,
+//! they answer in any phase, and recovery goes on without an answer that does not come in time. So
+//! waits cannot be circular, and each has a bound.
 
 #![forbid(unsafe_code)]
 
-pub mod bearing;
+pub mod capacity;
 pub mod phase;
-pub mod ramp;
+pub mod slow_start;
 
-/// A moment or a duration, in nanoseconds of a clock that only moves forward.
+/// An instant or a duration, in nanoseconds of a monotonic clock.
 pub type Time = u64;
--- a/recovery/src/phase.rs
+++ b/recovery/src/phase.rs
@@ -1,33 +1,34 @@
-//! The phases, and what leads from one to the next.
+//! Phases of a recovery, and their transitions.
 
 use crate::Time;
-use crate::bearing::{Bearing, Came};
-use crate::ramp::{Ramp, Turn};
+use crate::capacity::{CapacityEstimate, QueryResult};
+use crate::slow_start::{Admission, SlowStart};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How far a gatherer has come.
+/// Phase of a recovery, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It asks its peers what they know; their answers tell whether it returns alone or with all.
-    Asking,
-    /// It has no list of index hosts that it may use.
-    Listing,
-    /// It serves, and takes back one class after the other.
-    Returning,
-    /// It serves whatever comes.
-    Full,
+    /// It queries its peers: their answers tell whether it alone or the whole fleet restarts.
+    QueryingPeers,
+    /// It has no endpoint list of index hosts that it may use.
+    AwaitingEndpoints,
+    /// It serves, and admits one class after the other while index hosts warm up.
+    SlowStart,
+    /// It serves all queries.
+    Serving,
 }
 
 impl Phase {
+    /// Names in answers to peers and operators.
     const NAMES: [(Phase, &'static str); 4] = [
-        (Phase::Asking, "asking"),
-        (Phase::Listing, "listing"),
-        (Phase::Returning, "returning"),
-        (Phase::Full, "full"),
+        (Phase::QueryingPeers, "asking"),
+        (Phase::AwaitingEndpoints, "listing"),
+        (Phase::SlowStart, "returning"),
+        (Phase::Serving, "full"),
     ];
 
-    /// The phase of a name.
+    /// The phase of a name in answers of peers.
     pub fn named(name: &str) -> Option<Phase> {
         Self::NAMES
             .iter()
@@ -46,334 +47,346 @@
     }
 }
 
-/// Why a gatherer is in its phase, or has left the one before.
+/// Why a gatherer is in its phase, or left the one before.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reason {
-    /// So many peers have not answered yet.
-    PeersSilent(usize),
-    /// They did not within the time for that.
-    PeersLate(usize),
-    /// No list has named an index host that takes work.
-    NoList,
-    /// The list is the one from before the start, and discovery has not confirmed it.
-    ListUnconfirmed,
-    /// The gatherer and most peers that answered started together: what was learned before says
-    /// nothing of the index hosts.
-    StartedTogether,
-    /// A peer that answered serves in full: this gatherer alone was away.
-    AloneAway,
-    /// Nobody answered: it cannot be told from a loss of power, and is held to be one.
-    NobodyAnswered,
-    /// The index hosts that started anew are warm.
-    Warm,
-    /// All that clients ask was taken, and answered whole in its time.
-    Borne,
+    /// This many peers have not answered yet.
+    PeersPending(usize),
+    /// This many peers did not answer in time.
+    PeersTimedOut(usize),
+    /// No endpoint list has an index host that takes work.
+    NoEndpoints,
+    /// The endpoint list is persisted from before the start, and not confirmed by discovery.
+    EndpointsUnconfirmed,
+    /// Most peers that answered started together with this gatherer: what was learned before says
+    /// nothing about the index hosts.
+    FleetRestart,
+    /// Only this gatherer restarted: a peer serves in full, or most have been running for long.
+    SingleRestart,
+    /// No peer answered. This is treated as a power failure, from which it cannot be distinguished.
+    NoPeerAnswered,
+    /// The index hosts have had the time to warm up.
+    WarmedUp,
+    /// All queries were admitted, and answered completely and fast.
+    CapacityProven,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::PeersSilent(n) => write!(f, "{n} peers have not answered yet"),
-            Reason::PeersLate(n) => write!(f, "{n} peers did not answer in time"),
-            Reason::NoList => f.write_str("no list has named an index host that takes work"),
-            Reason::ListUnconfirmed => {
+            Reason::PeersPending(n) => write!(f, "{n} peers have not answered yet"),
+            Reason::PeersTimedOut(n) => write!(f, "{n} peers did not answer in time"),
+            Reason::NoEndpoints => f.write_str("no list has named an index host that takes work"),
+            Reason::EndpointsUnconfirmed => {
                 f.write_str("the list is from before; discovery has not confirmed it")
             }
-            Reason::StartedTogether => f.write_str("most of the fleet started with this gatherer"),
-            Reason::AloneAway => f.write_str("a peer serves in full: this gatherer alone was away"),
-            Reason::NobodyAnswered => f.write_str("no peer answered: held to be a loss of power"),
-            Reason::Warm => f.write_str("the index hosts have had their time to warm up"),
-            Reason::Borne => {
+            Reason::FleetRestart => f.write_str("most of the fleet started with this gatherer"),
+            Reason::SingleRestart => {
+                f.write_str("a peer serves in full: this gatherer alone was away")
+            }
+            Reason::NoPeerAnswered => f.write_str("no peer answered: held to be a loss of power"),
+            Reason::WarmedUp => f.write_str("the index hosts have had their time to warm up"),
+            Reason::CapacityProven => {
                 f.write_str("all that clients ask was taken, and answered whole in its time")
             }
         }
     }
 }
 
-/// What bounds a return.
+/// Configuration of a recovery; times in nanoseconds.
 #[derive(Debug, Clone)]
-pub struct Plan {
-    /// The longest that peers are waited for.
-    pub ask_for: Time,
-    /// The longest after the start that discovery's own list is waited for where there is one from
-    /// before.
-    pub list_for: Time,
-    /// Gatherers that started no further apart than this have one cause.
-    pub together: Time,
-    /// How index hosts warm up and what classes are worth.
-    pub ramp: Ramp,
-    /// Every query has its answer within this time.
-    pub ends_within: Time,
+pub struct Config {
+    /// Maximum time to wait for the answers of peers.
+    pub peer_timeout: Time,
+    /// Maximum time after the start to wait for discovery where an endpoint list is persisted.
+    pub discovery_timeout: Time,
+    /// Gatherers that started within this time of each other restarted for one cause.
+    pub restart_window: Time,
+    /// Slow start of the index hosts.
+    pub slow_start: SlowStart,
+    /// Maximum time of a query.
+    pub query_timeout: Time,
 }
 
-/// What a peer answers.
+/// Answer of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Peer {
-    /// How long it has been running.
-    pub running: Time,
-    /// Its phase; none where it does not recover by this rule.
+    /// Time since its start, in nanoseconds.
+    pub uptime: Time,
+    /// Its phase; `None` if no recovery is configured there.
     pub phase: Option<Phase>,
 }
 
-/// One change of phase, for the log.
+/// A transition, for the log.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
-    /// The phase that was left.
+pub struct Transition {
+    /// The phase that ended.
     pub from: Phase,
-    /// How long it had lasted.
+    /// Its duration, in nanoseconds.
     pub lasted: Time,
-    /// The one that begins.
+    /// The phase that starts.
     pub to: Phase,
-    /// Why.
-    pub why: Vec<Reason>,
+    /// The reasons.
+    pub reasons: Vec<Reason>,
 }
 
-/// A gatherer's return.
+/// Recovery of a gatherer.
 #[derive(Debug, Clone)]
 pub struct Recovery {
-    plan: Plan,
+    config: Config,
     phase: Phase,
     started: Time,
     since: Time,
-    /// Each peer, and what it answered and when.
+    /// Each peer, with its answer and when that came.
     peers: BTreeMap<u64, Option<(Time, Peer)>>,
-    /// Whether a list names a host that takes work, and whether discovery has told it.
-    listed: bool,
+    /// Whether the endpoint list has a host that takes work.
+    has_endpoints: bool,
+    /// Whether discovery has confirmed the list.
     confirmed: bool,
-    /// Whether all return: what is served is ramped.
-    together: bool,
-    /// What index hosts were seen to bear since the return began.
-    bearing: Bearing,
-    why: Vec<Reason>,
-    changes: Vec<Change>,
+    /// Whether the whole fleet restarts, so that admission follows a slow start.
+    fleet_restart: bool,
+    capacity: CapacityEstimate,
+    reasons: Vec<Reason>,
+    transitions: Vec<Transition>,
 }
 
 impl Recovery {
-    /// A gatherer that starts now, with these peers.
-    pub fn new(plan: Plan, peers: impl IntoIterator<Item = u64>, now: Time) -> Recovery {
+    /// Recovery of a gatherer that starts now, with these peers.
+    pub fn new(config: Config, peers: impl IntoIterator<Item = u64>, now: Time) -> Recovery {
         let mut recovery = Recovery {
-            bearing: Bearing::new(plan.ramp.start, plan.ends_within, now),
-            plan,
-            phase: Phase::Asking,
+            capacity: CapacityEstimate::new(
+                config.slow_start.initial_share,
+                config.query_timeout,
+                now,
+            ),
+            config,
+            phase: Phase::QueryingPeers,
             started: now,
             since: now,
             peers: peers.into_iter().map(|peer| (peer, None)).collect(),
-            listed: false,
+            has_endpoints: false,
             confirmed: false,
-            together: true,
-            why: Vec::new(),
-            changes: Vec::new(),
+            fleet_restart: true,
+            reasons: Vec::new(),
+            transitions: Vec::new(),
         };
-        recovery.settle(now);
+        recovery.advance(now);
         recovery
     }
 
-    /// How far it has come.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// What it waits for, or why it is where it is.
+    /// What the gatherer waits for, or why it is in its phase.
     pub fn reasons(&self) -> Vec<Reason> {
-        let mut why = match self.phase {
-            Phase::Asking => vec![Reason::PeersSilent(self.silent())],
-            Phase::Listing if self.listed => vec![Reason::ListUnconfirmed],
-            Phase::Listing => vec![Reason::NoList],
-            Phase::Returning | Phase::Full => self.why.clone(),
+        let mut reasons = match self.phase {
+            Phase::QueryingPeers => vec![Reason::PeersPending(self.pending_peers())],
+            Phase::AwaitingEndpoints if self.has_endpoints => vec![Reason::EndpointsUnconfirmed],
+            Phase::AwaitingEndpoints => vec![Reason::NoEndpoints],
+            Phase::SlowStart | Phase::Serving => self.reasons.clone(),
         };
-        if self.phase >= Phase::Returning && !self.confirmed {
-            why.push(Reason::ListUnconfirmed);
+        if self.phase >= Phase::SlowStart && !self.confirmed {
+            reasons.push(Reason::EndpointsUnconfirmed);
         }
-        why
+        reasons
     }
 
-    /// Whether clients should be sent here.
+    /// Whether the gatherer is ready for clients.
     pub fn is_ready(&self) -> bool {
-        self.phase >= Phase::Returning
+        self.phase >= Phase::SlowStart
     }
 
-    /// Whether the index hosts must be held to be cold whatever a list from before says: all may
-    /// have lost their power.
+    /// Whether index hosts have to be treated as cold, whatever a persisted endpoint list says: all
+    /// may have lost power.
     pub fn distrusts_hosts(&self) -> bool {
-        self.phase < Phase::Full && self.together && !self.confirmed
+        self.phase < Phase::Serving && self.fleet_restart && !self.confirmed
     }
 
-    /// Whether discovery itself has told the list.
+    /// Whether discovery has confirmed the endpoint list.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed
     }
 
-    /// How long it has been running.
-    pub fn running(&self, now: Time) -> Time {
+    /// Time since the start, in nanoseconds.
+    pub fn uptime(&self, now: Time) -> Time {
         now.saturating_sub(self.started)
     }
 
-    /// Peers that have not answered yet.
+    /// Peers that have to be queried.
     pub fn unanswered(&self) -> Vec<u64> {
-        let silent = self.peers.iter().filter(|(_, answer)| answer.is_none());
-        if self.phase == Phase::Asking {
-            silent.map(|(peer, _)| *peer).collect()
+        let pending = self.peers.iter().filter(|(_, answer)| answer.is_none());
+        if self.phase == Phase::QueryingPeers {
+            pending.map(|(peer, _)| *peer).collect()
         } else {
             Vec::new()
         }
     }
 
-    /// When it wants to be looked at again.
+    /// When [`Recovery::tick`] has to be called next.
     pub fn due(&self) -> Option<Time> {
         match self.phase {
-            Phase::Asking => Some(self.started.saturating_add(self.plan.ask_for)),
-            Phase::Listing if self.listed => Some(self.started.saturating_add(self.plan.list_for)),
-            Phase::Returning => {
-                let warm = self.since.saturating_add(self.plan.ramp.lasts);
-                Some(self.bearing.due().map_or(warm, |due| due.min(warm)))
+            Phase::QueryingPeers => Some(self.started.saturating_add(self.config.peer_timeout)),
+            Phase::AwaitingEndpoints if self.has_endpoints => {
+                Some(self.started.saturating_add(self.config.discovery_timeout))
+            }
+            Phase::SlowStart => {
+                let warm = self.since.saturating_add(self.config.slow_start.duration);
+                Some(self.capacity.due().map_or(warm, |due| due.min(warm)))
             }
-            Phase::Listing | Phase::Full => None,
+            Phase::AwaitingEndpoints | Phase::Serving => None,
         }
     }
 
-    /// Changes since this was last asked.
-    pub fn take_changes(&mut self) -> Vec<Change> {
-        std::mem::take(&mut self.changes)
+    /// Transitions since this was last called.
+    pub fn take_transitions(&mut self) -> Vec<Transition> {
+        std::mem::take(&mut self.transitions)
     }
 
-    /// A peer has answered; one that is not known, or answers twice, changes nothing but its own
-    /// answer.
-    pub fn answered(&mut self, from: u64, peer: Peer, now: Time) {
+    /// Handles the answer of a peer. Answers of unknown peers are ignored.
+    pub fn on_peer_answer(&mut self, from: u64, peer: Peer, now: Time) {
         if let Some(answer) = self.peers.get_mut(&from) {
             *answer = Some((now, peer));
         }
-        self.settle(now);
+        self.advance(now);
     }
 
-    /// The list as it is now: whether it names a host that takes work, and whether discovery itself
-    /// has told it.
-    pub fn listed(&mut self, usable: bool, by_discovery: bool, now: Time) {
-        (self.listed, self.confirmed) = (usable, self.confirmed || by_discovery);
-        self.settle(now);
+    /// Handles a new endpoint list: whether it has a host that takes work, and whether it comes
+    /// from discovery.
+    pub fn on_endpoints(&mut self, usable: bool, by_discovery: bool, now: Time) {
+        (self.has_endpoints, self.confirmed) = (usable, self.confirmed || by_discovery);
+        self.advance(now);
     }
 
-    /// Time has passed.
+    /// Handles time-outs.
     pub fn tick(&mut self, now: Time) {
-        if self.phase == Phase::Returning {
-            self.bearing.judge(now);
+        if self.phase == Phase::SlowStart {
+            self.capacity.evaluate(now);
         }
-        self.settle(now);
+        self.advance(now);
     }
 
-    /// Whether a query of a class is taken; if not, after how long it should come again. `draw` is
-    /// from 0 to 1, anew for each.
-    pub fn admit(&mut self, class: usize, draw: f64, now: Time) -> Turn {
-        if self.phase != Phase::Returning {
-            return Turn::Taken;
+    /// Decides on a query of a class. `random` is uniform in 0 to 1, drawn for each query.
+    pub fn admit(&mut self, class: usize, random: f64, now: Time) -> Admission {
+        if self.phase != Phase::SlowStart {
+            return Admission::Admitted;
         }
-        let after = now.saturating_sub(self.since);
-        let turn = self
-            .plan
-            .ramp
-            .admit(class, after, self.bearing.share(), draw);
-        if turn == Turn::Taken {
-            self.bearing.took(now);
+        let elapsed = now.saturating_sub(self.since);
+        let admission = self
+            .config
+            .slow_start
+            .admit(class, elapsed, self.capacity.share(), random);
+        if admission == Admission::Admitted {
+            self.capacity.on_admitted(now);
         }
-        turn
+        admission
     }
 
-    /// A query that was taken then has ended.
-    pub fn ended(&mut self, taken: Time, came: Came, now: Time) {
-        if self.phase == Phase::Returning {
-            self.bearing.ended(taken, came, now);
-            self.settle(now);
+    /// Handles the result of a query that was admitted at this time.
+    pub fn on_query_completed(&mut self, admitted: Time, result: QueryResult, now: Time) {
+        if self.phase == Phase::SlowStart {
+            self.capacity.on_completed(admitted, result, now);
+            self.advance(now);
         }
     }
 
-    fn silent(&self) -> usize {
+    fn pending_peers(&self) -> usize {
         self.peers
             .values()
             .filter(|answer| answer.is_none())
             .count()
     }
 
-    fn go(&mut self, to: Phase, why: Vec<Reason>, now: Time) {
-        let (from, lasted) = (self.phase, now.saturating_sub(self.since));
-        (self.phase, self.since, self.why) = (to, now, why.clone());
-        self.bearing = Bearing::new(self.plan.ramp.start, self.plan.ends_within, now);
-        self.changes.push(Change {
-            from,
-            lasted,
+    fn enter(&mut self, to: Phase, reasons: Vec<Reason>, now: Time) {
+        self.transitions.push(Transition {
+            from: self.phase,
+            lasted: now.saturating_sub(self.since),
             to,
-            why,
+            reasons: reasons.clone(),
         });
+        (self.phase, self.since, self.reasons) = (to, now, reasons);
+        let initial_share = self.config.slow_start.initial_share;
+        self.capacity = CapacityEstimate::new(initial_share, self.config.query_timeout, now);
     }
 
-    fn settle(&mut self, now: Time) {
-        if self.phase == Phase::Asking {
-            let (silent, late) = (
-                self.silent(),
-                now >= self.started.saturating_add(self.plan.ask_for),
-            );
-            // One that serves in full has seen no loss of power: nobody else need be waited for.
-            let full = self
-                .peers
-                .values()
-                .flatten()
-                .any(|(_, peer)| peer.phase == Some(Phase::Full));
-            if silent == 0 || late || full {
-                let (together, mut why) = self.judge();
-                self.together = together;
-                if late && silent > 0 && !full {
-                    why.push(Reason::PeersLate(silent));
-                }
-                self.go(Phase::Listing, why, now);
-            }
+    /// Makes every transition that is possible now, in the order of the phases.
+    fn advance(&mut self, now: Time) {
+        if self.phase == Phase::QueryingPeers {
+            self.finish_peer_queries(now);
         }
-        // Discovery knows when each host started; a list from before does not, and is used for want
-        // of that one.
-        let told = self.confirmed
-            || !self.together
-            || now >= self.started.saturating_add(self.plan.list_for);
-        if self.phase == Phase::Listing && self.listed && told {
-            let why = self.why.clone();
-            let to = if self.together {
-                Phase::Returning
+        if self.phase == Phase::AwaitingEndpoints && self.may_use_endpoints(now) {
+            let reasons = self.reasons.clone();
+            let to = if self.fleet_restart {
+                Phase::SlowStart
             } else {
-                Phase::Full
+                Phase::Serving
             };
-            self.go(to, why, now);
+            self.enter(to, reasons, now);
+        }
+        if self.phase == Phase::SlowStart {
+            let warm_at = self.since.saturating_add(self.config.slow_start.duration);
+            if now >= warm_at {
+                self.enter(Phase::Serving, vec![Reason::WarmedUp], now);
+            } else if self.capacity.is_proven() {
+                self.enter(Phase::Serving, vec![Reason::CapacityProven], now);
+            }
         }
-        if self.phase == Phase::Returning && now >= self.since.saturating_add(self.plan.ramp.lasts)
-        {
-            self.go(Phase::Full, vec![Reason::Warm], now);
-        } else if self.phase == Phase::Returning && self.bearing.is_proved() {
-            self.go(Phase::Full, vec![Reason::Borne], now);
+    }
+
+    fn finish_peer_queries(&mut self, now: Time) {
+        let pending = self.pending_peers();
+        let timed_out = now >= self.started.saturating_add(self.config.peer_timeout);
+        // A peer that serves in full has seen no power failure: no other answer can change that.
+        let serving = self.has_serving_peer();
+        if pending == 0 || timed_out || serving {
+            let (fleet_restart, mut reasons) = self.classify_restart();
+            self.fleet_restart = fleet_restart;
+            if timed_out && pending > 0 && !serving {
+                reasons.push(Reason::PeersTimedOut(pending));
+            }
+            self.enter(Phase::AwaitingEndpoints, reasons, now);
         }
     }
 
-    /// Whether the gatherer returns with all, by what its peers say.
-    fn judge(&self) -> (bool, Vec<Reason>) {
+    /// Whether the endpoint list may be used. After a fleet restart discovery is waited for, as it
+    /// knows when each host started; a persisted list does not.
+    fn may_use_endpoints(&self, now: Time) -> bool {
+        let timed_out = now >= self.started.saturating_add(self.config.discovery_timeout);
+        self.has_endpoints && (self.confirmed || !self.fleet_restart || timed_out)
+    }
+
+    fn has_serving_peer(&self) -> bool {
+        self.peers
+            .values()
+            .flatten()
+            .any(|(_, peer)| peer.phase == Some(Phase::Serving))
+    }
+
+    /// Whether the whole fleet restarts, by the answers of the peers, and why.
+    fn classify_restart(&self) -> (bool, Vec<Reason>) {
         let answers: Vec<&(Time, Peer)> = self.peers.values().flatten().collect();
-        if answers
-            .iter()
-            .any(|(_, peer)| peer.phase == Some(Phase::Full))
-        {
-            return (false, vec![Reason::AloneAway]);
+        if self.has_serving_peer() {
+            return (false, vec![Reason::SingleRestart]);
         }
         if answers.is_empty() {
-            // A gatherer that has no peers has nobody to tell.
+            // A gatherer without peers is the whole fleet.
             let why = if self.peers.is_empty() {
-                Reason::StartedTogether
+                Reason::FleetRestart
             } else {
-                Reason::NobodyAnswered
+                Reason::NoPeerAnswered
             };
             return (true, vec![why]);
         }
-        let near = |(at, peer): &&&(Time, Peer)| {
+        let started_together = |(at, peer): &&&(Time, Peer)| {
             let own = at.saturating_sub(self.started);
-            peer.running.abs_diff(own) <= self.plan.together
+            peer.uptime.abs_diff(own) <= self.config.restart_window
         };
-        let with = answers.iter().filter(near).count();
-        if 2 * with >= answers.len() {
-            (true, vec![Reason::StartedTogether])
+        let restart_window = answers.iter().filter(started_together).count();
+        if 2 * restart_window >= answers.len() {
+            (true, vec![Reason::FleetRestart])
         } else {
-            (false, vec![Reason::AloneAway])
+            (false, vec![Reason::SingleRestart])
         }
     }
 }
--- a/recovery/tests/bearing.rs
+++ b/recovery/tests/capacity.rs
@@ -2,9 +2,9 @@
 //! hosts are seen to bear, and not only what the settings say that a cold one bears at the least.
 
 use recovery::Time;
-use recovery::bearing::Came;
-use recovery::phase::{Phase, Plan, Recovery};
-use recovery::ramp::{Ramp, Turn};
+use recovery::capacity::QueryResult;
+use recovery::phase::{Config, Phase, Recovery};
+use recovery::slow_start::{Admission, SlowStart};
 use std::collections::VecDeque;
 
 const MS: Time = 1_000_000;
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 struct Seen {
     asked: f64,
-    whole: f64,
+    complete: f64,
     late: f64,
     full_at: Option<Time>,
     dearest: (f64, f64),
@@ -26,20 +26,22 @@
 
 /// Plays so many gatherers with clients that ask for a share of what warm hosts bear, beside hosts
 /// that bear this share when cold, with what comes of queries told to the gatherers or not.
-fn play(seed: u64, gatherers: usize, load: f64, cold: f64, told: bool) -> Seen {
+fn play(seed: u64, gatherers: usize, load: f64, cold: f64, transitions: bool) -> Seen {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let ramp = Ramp::new(0.2, RAMP, 2_000 * MS, &[1.0, 4.0]);
-    let plan = Plan {
-        ask_for: 500 * MS,
-        list_for: 500 * MS,
-        together: 3_000 * MS,
-        ramp,
-        ends_within: AIM,
+    let slow_start = SlowStart::new(0.2, RAMP, 2_000 * MS, &[1.0, 4.0]);
+    let plan = Config {
+        peer_timeout: 500 * MS,
+        discovery_timeout: 500 * MS,
+        restart_window: 3_000 * MS,
+        slow_start,
+        query_timeout: AIM,
     };
     let mut fleet: Vec<Recovery> = (0..gatherers)
         .map(|_| Recovery::new(plan.clone(), [], 0))
         .collect();
-    fleet.iter_mut().for_each(|one| one.listed(true, true, 0));
+    fleet
+        .iter_mut()
+        .for_each(|one| one.on_endpoints(true, true, 0));
     let (mut queue, mut room, mut seen) = (VecDeque::new(), 0.0, Seen::default());
     let mut now = 0;
     while now < RAMP {
@@ -48,21 +50,21 @@
         // What nobody has asked for cannot be done ahead.
         room = (room + bears / 100.0).min(bears / 100.0 + 1.0);
         while let Some(&(at, taken, class)) = queue.front() {
-            let whole = now <= taken + AIM;
-            if whole && room < 1.0 {
+            let complete = now <= taken + AIM;
+            if complete && room < 1.0 {
                 break;
             }
             queue.pop_front();
             // What is out of its time is given up and costs nothing more.
-            room -= if whole { 1.0 } else { 0.0 };
-            seen.whole += if whole { 1.0 } else { 0.0 };
-            seen.late += if whole { 0.0 } else { 1.0 };
-            seen.dearest.1 += if whole && class == 1 { 1.0 } else { 0.0 };
-            if told {
+            room -= if complete { 1.0 } else { 0.0 };
+            seen.complete += if complete { 1.0 } else { 0.0 };
+            seen.late += if complete { 0.0 } else { 1.0 };
+            seen.dearest.1 += if complete && class == 1 { 1.0 } else { 0.0 };
+            if transitions {
                 let one: &mut Recovery = &mut fleet[at];
-                one.ended(
+                one.on_query_completed(
                     taken,
-                    Came::after((now - taken) as f64 / AIM as f64, whole),
+                    QueryResult::new((now - taken) as f64 / AIM as f64, complete),
                     now,
                 );
             }
@@ -73,12 +75,12 @@
             let (at, class) = (rng.usize(0..gatherers), rng.usize(0..2));
             seen.asked += 1.0;
             seen.dearest.0 += class as f64;
-            if fleet[at].admit(class, rng.f64(), now) == Turn::Taken {
+            if fleet[at].admit(class, rng.f64(), now) == Admission::Admitted {
                 queue.push_back((at, now, class));
             }
         }
         fleet.iter_mut().for_each(|one| one.tick(now));
-        if fleet.iter().all(|one| one.phase() == Phase::Full) {
+        if fleet.iter().all(|one| one.phase() == Phase::Serving) {
             seen.full_at.get_or_insert(now);
         }
     }
@@ -97,7 +99,7 @@
     ] {
         let seen = play(seed, gatherers, 0.6, 0.8, true);
         assert!(
-            seen.whole > least * seen.asked && seen.late == 0.0,
+            seen.complete > least * seen.asked && seen.late == 0.0,
             "{gatherers}: {seen:?}"
         );
         assert!(
@@ -106,7 +108,7 @@
         );
         let blind = play(seed, gatherers, 0.6, 0.8, false);
         assert!(
-            blind.whole < 0.62 * blind.asked && blind.full_at.is_none_or(|at| at >= RAMP),
+            blind.complete < 0.62 * blind.asked && blind.full_at.is_none_or(|at| at >= RAMP),
             "{blind:?}"
         );
     }
@@ -119,7 +121,7 @@
     for (seed, gatherers) in [(1, 3), (2, 10), (3, 30)] {
         let seen = play(seed, gatherers, 1.0, 0.2, true);
         // Over ten seconds they bear six tenths of what is asked.
-        assert!(seen.whole > 0.5 * seen.asked, "{gatherers}: {seen:?}");
+        assert!(seen.complete > 0.5 * seen.asked, "{gatherers}: {seen:?}");
         assert!(seen.late < 0.15 * seen.asked, "{gatherers}: {seen:?}");
         assert!(
             seen.dearest.1 > 0.75 * seen.dearest.0,
--- a/recovery/tests/fleet.rs
+++ b/recovery/tests/fleet.rs
@@ -3,8 +3,8 @@
 //! end.
 
 use recovery::Time;
-use recovery::phase::{Peer, Phase, Plan, Recovery};
-use recovery::ramp::Ramp;
+use recovery::phase::{Config, Peer, Phase, Recovery};
+use recovery::slow_start::SlowStart;
 use std::collections::BTreeMap;
 
 const MS: Time = 1_000_000;
@@ -22,14 +22,14 @@
     up_at: Time,
 }
 
-fn plan() -> Plan {
-    let ramp = Ramp::new(0.2, RAMP, 2_000 * MS, &[1.0, 3.0]);
-    Plan {
-        ask_for: ASK,
-        list_for: LIST,
-        together: 3_000 * MS,
-        ramp,
-        ends_within: 2_000 * MS,
+fn plan() -> Config {
+    let slow_start = SlowStart::new(0.2, RAMP, 2_000 * MS, &[1.0, 3.0]);
+    Config {
+        peer_timeout: ASK,
+        discovery_timeout: LIST,
+        restart_window: 3_000 * MS,
+        slow_start,
+        query_timeout: 2_000 * MS,
     }
 }
 
@@ -80,13 +80,13 @@
                     .map(Recovery::unanswered)
                     .unwrap_or_default()
                 {
-                    let told = fleet[peer as usize].recovery.as_ref();
-                    let told = told.map(|r| Peer {
-                        running: r.running(now),
+                    let transitions = fleet[peer as usize].recovery.as_ref();
+                    let transitions = transitions.map(|r| Peer {
+                        uptime: r.uptime(now),
                         phase: Some(r.phase()),
                     });
-                    if let Some(told) = told.filter(|_| rng.u64(0..100) >= deaf) {
-                        answers.push((now + rng.u64(0..300) * MS, at, peer, told));
+                    if let Some(transitions) = transitions.filter(|_| rng.u64(0..100) >= deaf) {
+                        answers.push((now + rng.u64(0..300) * MS, at, peer, transitions));
                     }
                 }
             }
@@ -98,21 +98,22 @@
             answers.retain(|a| !(a.0 <= now && a.1 == at));
             let gatherer = &mut fleet[at];
             let recovery = gatherer.recovery.as_mut().expect("it is up");
-            due.into_iter()
-                .for_each(|(_, _, peer, told)| recovery.answered(peer, told, now));
-            let told = now >= discovery_at;
-            if told || has_list[at] {
-                recovery.listed(true, told, now);
+            due.into_iter().for_each(|(_, _, peer, transitions)| {
+                recovery.on_peer_answer(peer, transitions, now)
+            });
+            let transitions = now >= discovery_at;
+            if transitions || has_list[at] {
+                recovery.on_endpoints(true, transitions, now);
                 gatherer.listed_at.get_or_insert(now);
             }
             recovery.tick(now);
             if recovery.is_ready() {
                 let ready = *gatherer.ready_at.get_or_insert(now);
-                let listed = gatherer.listed_at.ok_or("ready without a list")?;
-                if ready > listed.max(gatherer.up_at + LIST) + 20 * MS {
+                let on_endpoints = gatherer.listed_at.ok_or("ready without a list")?;
+                if ready > on_endpoints.max(gatherer.up_at + LIST) + 20 * MS {
                     return Err(format!(
                         "gatherer {at} was ready {} ms too late",
-                        (ready - listed) / MS
+                        (ready - on_endpoints) / MS
                     ));
                 }
             } else if now > gatherer.listed_at.unwrap_or(now).max(gatherer.up_at + LIST) + 20 * MS {
@@ -125,7 +126,7 @@
         .enumerate()
         .filter_map(|(at, g)| Some((at, g.recovery.as_ref()?.phase())))
         .collect();
-    let full = phases.len() == count && phases.values().all(|phase| *phase == Phase::Full);
+    let full = phases.len() == count && phases.values().all(|phase| *phase == Phase::Serving);
     if full {
         Ok(())
     } else {
--- a/recovery/tests/wire_format.rs
+++ b/recovery/tests/wire_format.rs
@@ -5,10 +5,10 @@
 #[test]
 fn phases_keep_their_words() {
     for (phase, word) in [
-        (Phase::Asking, "asking"),
-        (Phase::Listing, "listing"),
-        (Phase::Returning, "returning"),
-        (Phase::Full, "full"),
+        (Phase::QueryingPeers, "asking"),
+        (Phase::AwaitingEndpoints, "listing"),
+        (Phase::SlowStart, "returning"),
+        (Phase::Serving, "full"),
     ] {
         assert_eq!(phase.to_string(), word);
         assert_eq!(Phase::named(word), Some(phase));
@@ -19,34 +19,34 @@
 #[test]
 fn reasons_keep_their_texts() {
     for (reason, text) in [
-        (Reason::PeersSilent(2), "2 peers have not answered yet"),
-        (Reason::PeersLate(2), "2 peers did not answer in time"),
+        (Reason::PeersPending(2), "2 peers have not answered yet"),
+        (Reason::PeersTimedOut(2), "2 peers did not answer in time"),
         (
-            Reason::NoList,
+            Reason::NoEndpoints,
             "no list has named an index host that takes work",
         ),
         (
-            Reason::ListUnconfirmed,
+            Reason::EndpointsUnconfirmed,
             "the list is from before; discovery has not confirmed it",
         ),
         (
-            Reason::StartedTogether,
+            Reason::FleetRestart,
             "most of the fleet started with this gatherer",
         ),
         (
-            Reason::AloneAway,
+            Reason::SingleRestart,
             "a peer serves in full: this gatherer alone was away",
         ),
         (
-            Reason::NobodyAnswered,
+            Reason::NoPeerAnswered,
             "no peer answered: held to be a loss of power",
         ),
         (
-            Reason::Warm,
+            Reason::WarmedUp,
             "the index hosts have had their time to warm up",
         ),
         (
-            Reason::Borne,
+            Reason::CapacityProven,
             "all that clients ask was taken, and answered whole in its time",
         ),
     ] {
