--- a/bitternsill/src/versions/audit.rs
+++ b/bitternsill/src/versions/audit.rs
@@ -44,7 +44,7 @@
 pub fn run(call: &Audit) -> (String, bool) {
     let seen = match call.store.client().read("") {
         Ok(seen) => seen,
-        Err(problem) => return (problem, false),
+        Err(problem) => return (problem.to_string(), false),
     };
     let (fleet, problems) = audit(call, &seen);
     let is_clean = fleet
--- a/store/src/member/receive.rs
+++ b/store/src/member/receive.rs
@@ -112,14 +112,6 @@
         }
     }
 
-    /// The store exists already: this member gives up bootstrapping it and asks to rejoin.
-    fn on_already_bootstrapped(&mut self, incarnation: u64, now: Time) {
-        if self.rejoin.on_already_bootstrapped(incarnation) {
-            self.mark_lost();
-            self.send_status(now);
-        }
-    }
-
     /// Messages that only a member that votes and counts towards a majority may handle.
     fn handle_as_active(&mut self, sender: &Sender, message: Message, now: Time) {
         let from = sender.id;
