--- a/bitternsill/src/core/settings.rs
+++ b/bitternsill/src/core/settings.rs
@@ -48,8 +48,8 @@
 pub fn read(value: &Value) -> Result<(Settings, Deployment), SettingsError> {
     permitted::check(value)?;
     let mut settings = read_settings(&value.to_string())
-        // In the words of the simulator's wire, which operators never see.
-        .map_err(|problem| SettingsError(problem.replace("INIT: setting `boot_info.", "`")))?;
+        // Without the path of the simulator's wire, which operators never see.
+        .map_err(|problem| SettingsError(problem.to_string().replace("INIT: setting `boot_info.", "`")))?;
     let open_tick = value["tick"].is_null();
     if open_tick {
         // The module counts some waits in ticks.
--- a/dispatch/src/dispatcher/admission.rs
+++ b/dispatch/src/dispatcher/admission.rs
@@ -102,40 +102,63 @@
             && (self.now as f64 + needed > query.useful_until as f64 || self.has_hot_shard(query))
     }
 
-    /// Ends what can no longer be answered in time, and refuses what would only wait.
+    /// Sheds load: ends queries that can no longer be answered in time, and rejects those of least
+    /// value for their work while more parts are blocked than servers answer in the time that is
+    /// left.
     pub(super) fn shed(&mut self, out: &mut Vec<Action>) {
-        let (mut superseded, mut fresh, mut pending) = (Vec::new(), Vec::new(), 0.0);
+        let (mut expired, mut waiting, mut backlog) = (Vec::new(), Vec::new(), 0.0);
         for (&number, query) in &self.queries {
-            let c = &self.settings.classes[query.class];
-            let waiting = self.parts_of(query).filter(|p| p.1.pending).count();
-            let stuck = |p: &Part| !p.done && !p.pending && p.in_flight.is_empty(); // It may not be sent again
-            let over = c.needs_all() && self.parts_of(query).any(|p| stuck(p.1));
-            if over || waiting > 0 && self.is_late(query) {
-                superseded.push(number);
+            let class = &self.settings.classes[query.class];
+            let pending = self.parts_of(query).filter(|p| p.1.pending).count();
+            if self.has_lost_part(query) || pending > 0 && self.is_late(query) {
+                expired.push(number);
             } else if self.blocked.contains(&number) {
-                // Of a partial class only the floor must be sent.
-                let must = waiting as f64 * c.floor;
-                pending += must;
+                // Of a class with partial answers only the floor must be sent.
+                let parts = pending as f64 * class.floor;
+                backlog += parts;
                 let work = query.parts.len() as f64 * self.part_latency[query.class].median;
-                if waiting > 0 && !query.started {
-                    fresh.push((c.value / work, number, must));
+                if pending > 0 && !query.started {
+                    let value = class.value / work;
+                    waiting.push(WaitingQuery {
+                        value,
+                        number,
+                        parts,
+                    });
                 }
             }
         }
-        superseded
-            .into_iter()
-            .for_each(|number| self.abandon(number, out));
-        let warm = self
+        for number in expired {
+            self.abandon(number, out);
+        }
+        // Before that the rate of answers is not known.
+        let knows_rate = self
             .started_at
             .is_some_and(|at| at + self.latency_target < self.now);
-        fresh.sort_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-        for (_, number, must) in fresh {
+        let most = MAX_BACKLOG_RATIO * self.recent_answers.len() as f64;
+        waiting.sort_by(|a, b| a.value.total_cmp(&b.value).then(b.number.cmp(&a.number)));
+        for query in waiting {
             // A query that waits alone is never too much.
-            if !warm || pending - must <= MAX_BACKLOG_RATIO * self.recent_answers.len() as f64 {
+            if !knows_rate || backlog - query.parts <= most {
                 break;
             }
-            pending -= must;
-            self.abandon(number, out);
+            backlog -= query.parts;
+            self.abandon(query.number, out);
         }
     }
+
+    /// Whether a query that needs every part has one that may not be sent again.
+    fn has_lost_part(&self, query: &Query) -> bool {
+        let is_lost = |p: &Part| !p.done && !p.pending && p.in_flight.is_empty();
+        let class = &self.settings.classes[query.class];
+        class.needs_all() && self.parts_of(query).any(|p| is_lost(p.1))
+    }
+}
+
+/// A query that has not started as its parts are blocked.
+struct WaitingQuery {
+    /// Value for each nanosecond of work.
+    value: f64,
+    number: u64,
+    /// How many of its parts must be sent.
+    parts: f64,
 }
--- a/dispatch/src/dispatcher/outlier_detection.rs
+++ b/dispatch/src/dispatcher/outlier_detection.rs
@@ -10,6 +10,23 @@
 use super::state::{Attempt, Server};
 use crate::interface::{Outcome, ServerId, Time};
 
+impl Server {
+    /// Adjusts the concurrency limit by the delay of an answer, given as a ratio of the latency
+    /// target: additive increase while the limit is in use, multiplicative decrease while the
+    /// smoothed delay is high. The limit is lowered once for all attempts that were sent before it
+    /// was last lowered, as they say nothing of the lower one.
+    fn adjust_limit(&mut self, delay: f64, sent_at: Time, now: Time) {
+        self.delay += EWMA_WEIGHT * (delay - self.delay);
+        let is_slow = self.delay > SLOW_DELAY_RATIO;
+        if is_slow && sent_at >= self.limit_lowered_at {
+            self.limit = (self.limit * CONCURRENCY_DECREASE).max(MIN_CONCURRENCY);
+            self.limit_lowered_at = now;
+        } else if !is_slow && self.calls.len() as f64 + 2.0 > self.limit {
+            self.limit += 1.0 / self.limit;
+        }
+    }
+}
+
 impl Aggregator {
     /// How long a part is expected to take at a server, in nanoseconds: the highest of what its
     /// slowness and its last probe say, its recent delay, and the age of its oldest attempt.
@@ -36,16 +53,15 @@
         (base * probed / 2.0).max(own).max(out_for as f64)
     }
 
-    /// Updates the statistics of a server by the outcome of an attempt. The concurrency limit is
-    /// raised additively and lowered multiplicatively, as in TCP's congestion avoidance.
-    pub(super) fn record_outcome(&mut self, sent: &Attempt, outcome: Outcome, took: Time) {
+    /// Updates the statistics of a server by the outcome of an attempt.
+    pub(super) fn record_outcome(&mut self, attempt: &Attempt, outcome: Outcome, took: Time) {
         let (latency_target, now, common_fault) = (
-            self.settings.classes[sent.class].latency_target,
+            self.settings.classes[attempt.class].latency_target,
             self.now,
-            self.median_slowness[sent.class],
+            self.median_slowness[attempt.class],
         );
-        let ratio = (took as f64 / self.part_latency[sent.class].median).min(FAILURE_SLOWNESS);
-        let Some(server) = self.servers.get_mut(&sent.server) else {
+        let ratio = (took as f64 / self.part_latency[attempt.class].median).min(FAILURE_SLOWNESS);
+        let Some(server) = self.servers.get_mut(&attempt.server) else {
             return;
         };
         server.last_answer = if matches!(outcome, Outcome::Ok | Outcome::Error) {
@@ -54,7 +70,7 @@
             server.last_answer
         };
         if let Some(changed_servers) = &mut self.changed_servers {
-            changed_servers.insert(sent.server);
+            changed_servers.insert(attempt.server);
             server.outcomes = (server.outcomes + 1.0).min(MAX_OUTCOME_COUNT);
         }
         // Where no connection can be made to any server it is no server's fault.
@@ -66,16 +82,7 @@
         }
         let sample = match outcome {
             Outcome::Ok => {
-                server.delay += EWMA_WEIGHT * (took as f64 / latency_target as f64 - server.delay);
-                let slow = server.delay > SLOW_DELAY_RATIO;
-                if slow && sent.at >= server.limit_lowered_at {
-                    (server.limit, server.limit_lowered_at) = (
-                        (server.limit * CONCURRENCY_DECREASE).max(MIN_CONCURRENCY),
-                        now,
-                    );
-                } else if !slow && server.calls.len() as f64 + 2.0 > server.limit {
-                    server.limit += 1.0 / server.limit;
-                }
+                server.adjust_limit(took as f64 / latency_target as f64, attempt.at, now);
                 ratio
             }
             Outcome::Error => FAILURE_SLOWNESS,
@@ -84,14 +91,14 @@
                 FAILURE_SLOWNESS
             }
             // It would have taken at least this long.
-            Outcome::Cancelled | Outcome::TimedOut if ratio > server.slowness[sent.class].0 => {
+            Outcome::Cancelled | Outcome::TimedOut if ratio > server.slowness[attempt.class].0 => {
                 ratio
             }
             _ => return,
         };
         // An error is evidence on its class alone; a slow or broken server is so for all classes.
         for (class, (slowness, at)) in server.slowness.iter_mut().enumerate() {
-            if class == sent.class || outcome != Outcome::Error {
+            if class == attempt.class || outcome != Outcome::Error {
                 // The older what was known, the more the new counts.
                 let old = ((now - *at) as f64 / self.latency_target as f64).min(1.0);
                 *slowness += EWMA_WEIGHT * (1.0 + old) * (sample - *slowness);
@@ -132,12 +139,12 @@
     /// whether the fault is common to many, and the median slowness of each class.
     pub(super) fn update_health_summary(&mut self) {
         self.oldest_attempt.clear();
-        for sent in self.attempts_in_flight.values() {
+        for attempt in self.attempts_in_flight.values() {
             let oldest_attempt = self
                 .oldest_attempt
-                .entry(sent.server)
-                .or_insert((sent.at, sent.class));
-            *oldest_attempt = (sent.at, sent.class).min(*oldest_attempt);
+                .entry(attempt.server)
+                .or_insert((attempt.at, attempt.class));
+            *oldest_attempt = (attempt.at, attempt.class).min(*oldest_attempt);
         }
         let is_unresponsive = self
             .oldest_attempt
--- a/dispatch/tests/wire.rs
+++ b/dispatch/tests/wire.rs
@@ -261,7 +261,7 @@
     assert_eq!(settings.budget, None);
     let bad = INFO.replace("\"target\": 1000000000", "\"target\": \"soon\"");
     assert_eq!(
-        read_settings(&bad).unwrap_err(),
+        read_settings(&bad).unwrap_err().to_string(),
         "INIT: setting `boot_info.request_classes[0].target` is no number of 0 or more"
     );
 }
