--- a/bitternsill/src/core.rs
+++ b/bitternsill/src/core.rs
@@ -19,7 +19,8 @@
 };
 use dispatch::{Aggregator, interface::Effect};
 use ports::{
-    Answer, Ask, AttemptId, Caller, Clients, Directory, Hosts, Outgoing, Reason, Refusal, Value,
+    Answer, AttemptId, Caller, Clients, Directory, FailureReason, Hosts, Outgoing, QueryRequest,
+    Rejection, Value,
 };
 use settings::Deployment;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -49,7 +50,7 @@
     /// second.
     first: Option<(Rc<str>, bool)>,
     /// The host that is told first that the second step has begun, and when.
-    opened: Option<(ServerId, Time)>,
+    second_step_opened: Option<(ServerId, Time)>,
     taken: Time,
     attempts: u32,
     /// The version of the configuration under which it was taken.
@@ -74,13 +75,13 @@
 
 /// A query that has had its final answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ended {
+pub struct FinishedQuery {
     /// When it came.
     pub taken: Time,
     /// The part of the time in which its class's answers are wanted that it took.
     pub spent: f64,
     /// Whether it was answered, and whole.
-    pub whole: bool,
+    pub complete: bool,
     /// Its class, by its slot.
     pub class: usize,
     /// What became of it, in a word.
@@ -108,17 +109,17 @@
     probes: BTreeMap<ServerId, Time>,
     wakes: BTreeSet<Time>,
     /// Parts of a second step that follow its first by a turn.
-    following: Vec<(ServerId, Outgoing)>,
+    delayed: Vec<(ServerId, Outgoing)>,
     events: Vec<Event>,
     actions: Vec<Action>,
     /// Final answers of this turn: they go out once all that they end has been given up.
     answers: Vec<(Caller, Answer)>,
     /// Queries that ended since this was last asked for, where somebody asks.
-    ends: Option<Vec<Ended>>,
+    finished: Option<Vec<FinishedQuery>>,
     /// The version of the configuration that queries are taken under; 0 where there are none.
     version: u64,
     last_turn: Time,
-    next_id: u64,
+    last_id: u64,
 }
 
 impl Core {
@@ -139,14 +140,14 @@
             deadlines: BTreeSet::new(),
             probes: BTreeMap::new(),
             wakes: BTreeSet::new(),
-            following: Vec::new(),
+            delayed: Vec::new(),
             events: Vec::new(),
             actions: Vec::new(),
             answers: Vec::new(),
-            ends: None,
+            finished: None,
             version: 0,
             last_turn: 0,
-            next_id: 1,
+            last_id: 1,
         }
     }
 
@@ -187,7 +188,7 @@
     }
 
     /// Queries are taken under this version of the configuration from now on.
-    pub fn acts_on(&mut self, version: u64) {
+    pub fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
@@ -207,7 +208,7 @@
     }
 
     /// The longest time to return that clients may be told; 0 where none may.
-    pub fn longest_hold_off(&self) -> Time {
+    pub fn max_retry_after(&self) -> Time {
         self.settings.max_retry_after
     }
 
@@ -218,21 +219,21 @@
 
     /// Takes a query. It gets its one answer through [`Clients::answer`], unless it is turned away
     /// here.
-    pub fn take(&mut self, ask: Ask, now: Time) -> Result<(), Refusal> {
+    pub fn submit(&mut self, ask: QueryRequest, now: Time) -> Result<(), Rejection> {
         // Sent twice on one connection it would have two answers there.
         if self.callers.contains_key(&ask.caller) {
-            return Err(Refusal::Busy);
+            return Err(Rejection::Busy);
         }
         // Two queries of one name could not be told apart on a link: one would be given the other's
         // values.
         if self.names.contains(&ask.name) {
-            return Err(Refusal::NameTaken);
+            return Err(Rejection::NameTaken);
         }
         // The settings' bound on what is held: the simulator turns such a query away unseen, so its
         // refusal is due.
         if self.queries.len() + self.parts.len() >= self.settings.max_open as usize {
-            return Err(Refusal::TableFull {
-                hold_off: self.settings.max_retry_after,
+            return Err(Rejection::TableFull {
+                retry_after: self.settings.max_retry_after,
             });
         }
         let margin = self.limits.answer_margin;
@@ -240,7 +241,7 @@
             .arrived
             .saturating_add(ask.budget)
             .saturating_sub(margin.min(ask.budget / 4));
-        let number = self.fresh_id();
+        let number = self.next_id();
         let patience = ask.budget.saturating_sub(now.saturating_sub(ask.arrived));
         self.events.push(Event::Query {
             id: QueryId(number),
@@ -248,7 +249,7 @@
             class: ask.class,
             parts: ask.parts.len() as u32,
             client_timeout: patience.saturating_sub(self.limits.patience_margin.min(patience / 2)),
-            is_retry: ask.repeat,
+            is_retry: ask.is_retry,
         });
         let mut parts = Vec::with_capacity(ask.parts.len());
         for (shard, weight) in ask.parts {
@@ -266,7 +267,7 @@
             deadline,
             parts,
             first: None,
-            opened: None,
+            second_step_opened: None,
             taken: ask.arrived,
             attempts: 0,
             version: self.version,
@@ -286,7 +287,7 @@
     }
 
     /// News of the list of index hosts.
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Endpoint>) {
+    pub fn update_endpoints(&mut self, kind: ListKind, entries: Vec<Endpoint>) {
         self.events.push(Event::Endpoints {
             kind,
             entries: entries.into(),
@@ -317,7 +318,7 @@
     }
 
     /// What an earlier run had learned, as far as it still counts; after the list that it is about.
-    pub fn recall(&mut self, learned: Learned) {
+    pub fn restore(&mut self, learned: Learned) {
         if self
             .classes
             .order()
@@ -334,43 +335,43 @@
     }
 
     /// A discovery call failed, or the watch ended: refused or broken, or left without an answer.
-    pub fn list_failed(&mut self, refused: bool) {
+    pub fn discovery_failed(&mut self, refused: bool) {
         self.events.push(Event::DiscoveryFailed { refused });
     }
 
     /// The last byte of an attempt's message went out: from here on it may run.
-    pub fn written(&mut self, attempt: AttemptId) {
+    pub fn mark_written(&mut self, attempt: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(&attempt) {
             attempt.written = true;
         }
     }
 
     /// An attempt brought its value.
-    pub fn served(&mut self, attempt: AttemptId, value: Value, now: Time) {
+    pub fn attempt_served(&mut self, attempt: AttemptId, value: Value, now: Time) {
         if self.attempts.contains_key(&attempt)
             && let Some(part) = self.parts.get_mut(&attempt.part)
         {
             part.value.get_or_insert(value);
         }
-        self.ended(attempt, Outcome::Ok, now);
+        self.attempt_ended(attempt, Outcome::Ok, now);
     }
 
     /// An attempt ended; a second end of one attempt is dropped, so the module sees exactly one.
-    pub fn ended(&mut self, id: AttemptId, outcome: Outcome, now: Time) {
+    pub fn attempt_ended(&mut self, id: AttemptId, outcome: Outcome, now: Time) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
         };
         self.timeouts.remove(&(attempt.until, id));
         tracing::debug!(
             part = id.part,
-            leg = id.leg,
+            number = id.number,
             host = attempt.host.0,
             ?outcome,
             "ended"
         );
         self.events.push(Event::AttemptEnded {
             part: PartId(id.part),
-            attempt: id.leg,
+            attempt: id.number,
             server: attempt.host,
             outcome,
             took: now.saturating_sub(attempt.sent),
@@ -379,15 +380,15 @@
     }
 
     /// A connection broke, or ended: what had been written whole may have run, the rest never did.
-    pub fn broken(&mut self, attempt: AttemptId, now: Time) {
-        self.cut_off(attempt, Outcome::Reset, now);
+    pub fn connection_broken(&mut self, attempt: AttemptId, now: Time) {
+        self.attempt_interrupted(attempt, Outcome::Reset, now);
     }
 
     /// The same with the outcome for what may have run, where more is known than that the
     /// connection ended.
-    pub fn cut_off(&mut self, attempt: AttemptId, outcome: Outcome, now: Time) {
+    pub fn attempt_interrupted(&mut self, attempt: AttemptId, outcome: Outcome, now: Time) {
         let written = self.attempts.get(&attempt).is_some_and(|a| a.written);
-        self.ended(
+        self.attempt_ended(
             attempt,
             if written {
                 outcome
@@ -399,7 +400,7 @@
     }
 
     /// A probe ended.
-    pub fn probed(&mut self, host: ServerId, outcome: Outcome, now: Time) {
+    pub fn probe_ended(&mut self, host: ServerId, outcome: Outcome, now: Time) {
         if let Some(sent) = self.probes.remove(&host) {
             let took = now.saturating_sub(sent);
             self.events.push(Event::ProbeEnded {
@@ -425,7 +426,7 @@
     /// When the next turn is to run.
     pub fn due(&self) -> Option<Time> {
         let gap = self.gap();
-        if !self.events.is_empty() || !self.following.is_empty() {
+        if !self.events.is_empty() || !self.delayed.is_empty() {
             return Some(self.last_turn + gap);
         }
         let times = [
@@ -440,7 +441,7 @@
     /// One turn of the module: it is told all that arrived, and what it decides is carried out.
     pub fn turn(&mut self, now: Time, ports: &mut (impl Clients + Hosts + Directory)) {
         self.last_turn = now;
-        self.time_out(now, ports);
+        self.expire(now, ports);
         while self.wakes.first().is_some_and(|at| *at <= now) {
             self.wakes.pop_first();
             if !matches!(self.events.last(), Some(Event::Wake)) {
@@ -448,7 +449,7 @@
             }
         }
         let mut calls: Vec<(ServerId, Vec<Outgoing>)> = Vec::new();
-        for (host, part) in std::mem::take(&mut self.following) {
+        for (host, part) in std::mem::take(&mut self.delayed) {
             // It may have been called off meanwhile.
             if self.attempts.contains_key(&part.id) {
                 add_to_call(&mut calls, host, part);
@@ -461,7 +462,7 @@
         self.aggregator.turn(now, &self.events, &mut actions);
         self.events.clear();
         for action in actions.drain(..) {
-            self.carry_out(action, now, &mut calls, ports);
+            self.execute(action, now, &mut calls, ports);
         }
         self.actions = actions;
         for (caller, answer) in self.answers.drain(..) {
@@ -481,7 +482,7 @@
         }
     }
 
-    fn time_out(&mut self, now: Time, ports: &mut impl Hosts) {
+    fn expire(&mut self, now: Time, ports: &mut impl Hosts) {
         while let Some(&(at, id)) = self.timeouts.first()
             && at <= now
         {
@@ -494,8 +495,8 @@
             } else {
                 Outcome::ConnectFailed
             };
-            ports.give_up(attempt.host, id);
-            self.ended(id, outcome, now);
+            ports.cancel(attempt.host, id);
+            self.attempt_ended(id, outcome, now);
         }
         let late: Vec<ServerId> = self
             .probes
@@ -504,14 +505,14 @@
             .map(|p| *p.0)
             .collect();
         for host in late {
-            self.probed(host, Outcome::TimedOut, now);
+            self.probe_ended(host, Outcome::TimedOut, now);
         }
         // The module ends queries in good time; this guards the rule should it ever not.
         while let Some(&(at, number)) = self.deadlines.first()
             && at <= now
         {
             self.deadlines.pop_first();
-            if let Some(query) = self.finish(number, Answer::Failed(Reason::TimeUp), now) {
+            if let Some(query) = self.finish(number, Answer::Failed(FailureReason::TimeUp), now) {
                 tracing::warn!(query = &*query.name, "no decision in time");
                 self.events.push(Event::ClientLeft {
                     id: QueryId(number),
@@ -520,7 +521,7 @@
         }
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         action: Action,
         now: Time,
@@ -536,7 +537,7 @@
             Action::Cancel { part, attempt } => {
                 let id = AttemptId {
                     part: part.0,
-                    leg: attempt,
+                    number: attempt,
                 };
                 if let Some(attempt) = self.attempts.get(&id) {
                     let outcome = if attempt.written {
@@ -544,19 +545,13 @@
                     } else {
                         Outcome::Skipped
                     };
-                    ports.give_up(attempt.host, id);
-                    self.ended(id, outcome, now);
+                    ports.cancel(attempt.host, id);
+                    self.attempt_ended(id, outcome, now);
                 }
             }
-            Action::Answer {
-                query,
-                complete: whole,
-            } => self.answer(query.0, whole, now),
-            Action::Reject {
-                query,
-                retry_after: hold_off,
-            } => {
-                if let Some(query) = self.finish(query.0, Answer::Refused { hold_off }, now) {
+            Action::Answer { query, complete } => self.answer(query.0, complete, now),
+            Action::Reject { query, retry_after } => {
+                if let Some(query) = self.finish(query.0, Answer::Rejected { retry_after }, now) {
                     let held = now.saturating_sub(query.taken) / MS;
                     tracing::debug!(
                         query = &*query.name,
@@ -567,7 +562,7 @@
                 }
             }
             Action::Fail { query } => {
-                drop(self.finish(query.0, Answer::Failed(Reason::GivenUp), now))
+                drop(self.finish(query.0, Answer::Failed(FailureReason::GivenUp), now))
             }
             Action::WakeAt(at) => {
                 self.wakes.insert(at);
@@ -600,7 +595,7 @@
         };
         let id = AttemptId {
             part: number,
-            leg: part.attempts,
+            number: part.attempts,
         };
         part.attempts += 1;
         let until = if until == 0 {
@@ -620,13 +615,13 @@
         let class = &self.settings.classes[query.class];
         // Written later than this, a repeat would no longer be dropped by the index host.
         let first_sent = *part.first_sent.get_or_insert(now);
-        let repeatable = match class.effect {
-            Effect::Keyed if id.leg > 0 => first_sent + class.key_lifetime,
+        let repeatable_until = match class.effect {
+            Effect::Keyed if id.number > 0 => first_sent + class.key_lifetime,
             _ => Time::MAX,
         };
         let over = part.value.is_some() || part.attempts > class.max_attempts;
-        if over || until.min(repeatable) <= now {
-            self.ended(id, Outcome::Skipped, now);
+        if over || until.min(repeatable_until) <= now {
+            self.attempt_ended(id, Outcome::Skipped, now);
             return;
         }
         query.attempts += 1;
@@ -642,25 +637,25 @@
             ),
             shard: part.shard,
             until,
-            not_after: repeatable,
+            not_after: repeatable_until,
             key: query.key.clone(),
             from: second.map(|(from, _)| from.clone()),
             text: query.text.clone(),
-            first_whole: second.map(|(_, whole)| *whole),
+            first_step_complete: second.map(|(_, complete)| *complete),
         };
         // The first step ends when the first part of the second arrives, and whoever has not heard
         // of that by then turns the others down: they follow when the first has had a turn's time.
         if query.first.is_some() {
-            let (first, at) = *query.opened.get_or_insert((host, now));
+            let (first, at) = *query.second_step_opened.get_or_insert((host, now));
             if at == now && first != host {
-                self.following.push((host, outgoing));
+                self.delayed.push((host, outgoing));
                 return;
             }
         }
         add_to_call(calls, host, outgoing);
     }
 
-    fn answer(&mut self, number: u64, whole: bool, now: Time) {
+    fn answer(&mut self, number: u64, complete: bool, now: Time) {
         let Some(query) = self.queries.get(&number) else {
             return;
         };
@@ -678,7 +673,7 @@
         } else {
             weight + ROUNDING >= need
         };
-        let honest = whole && enough && query.first.as_ref().is_none_or(|first| first.1);
+        let honest = complete && enough && query.first.as_ref().is_none_or(|first| first.1);
         if within.is_empty() || weight + ROUNDING < floor {
             // An answer from less than the class's least share must never go out, whoever asked for
             // it.
@@ -687,7 +682,7 @@
                 weight,
                 "an answer from too few parts was held back"
             );
-            self.finish(number, Answer::Failed(Reason::GivenUp), now);
+            self.finish(number, Answer::Failed(FailureReason::GivenUp), now);
             self.events.push(Event::ClientLeft {
                 id: QueryId(number),
             });
@@ -701,7 +696,7 @@
         if let Some(query) = self.finish(
             number,
             Answer::Served {
-                whole: honest,
+                complete: honest,
                 values: within,
             },
             now,
@@ -709,7 +704,7 @@
             tracing::debug!(
                 query = &*query.name,
                 took = now.saturating_sub(query.taken) / MS,
-                whole = honest,
+                complete = honest,
                 attempts = query.attempts,
                 "answered"
             );
@@ -722,7 +717,7 @@
         &mut self,
         number: u64,
         mut within: Vec<(u32, Value)>,
-        whole: bool,
+        complete: bool,
         most: usize,
     ) {
         within.sort_by_key(|(shard, _)| *shard);
@@ -735,7 +730,7 @@
             .map(|(shard, _)| self.add_part(number, *shard, weight))
             .collect();
         if let Some(query) = self.queries.get_mut(&number) {
-            query.first = Some((from.join("+").into(), whole));
+            query.first = Some((from.join("+").into(), complete));
             for old in std::mem::replace(&mut query.parts, parts) {
                 self.parts.remove(&old);
             }
@@ -743,7 +738,7 @@
     }
 
     fn add_part(&mut self, query: u64, shard: u32, weight: f64) -> u64 {
-        let id = self.fresh_id();
+        let id = self.next_id();
         self.parts.insert(
             id,
             Part {
@@ -765,18 +760,18 @@
     }
 
     /// Queries that ended since this was last asked, and whether they are to be noted from now on.
-    pub fn take_ends(&mut self, go_on: bool) -> Vec<Ended> {
-        std::mem::replace(&mut self.ends, go_on.then(Vec::new)).unwrap_or_default()
+    pub fn take_finished(&mut self, go_on: bool) -> Vec<FinishedQuery> {
+        std::mem::replace(&mut self.finished, go_on.then(Vec::new)).unwrap_or_default()
     }
 
     /// Ends a query with its final answer, which goes out at the end of the turn.
     fn finish(&mut self, number: u64, answer: Answer, now: Time) -> Option<Query> {
         let query = self.close(number)?;
-        if let Some(ends) = &mut self.ends {
+        if let Some(finished) = &mut self.finished {
             let outcome = match answer {
-                Answer::Served { whole: true, .. } => "whole",
+                Answer::Served { complete: true, .. } => "whole",
                 Answer::Served { .. } => "partial",
-                Answer::Refused { .. } => "refused",
+                Answer::Rejected { .. } => "refused",
                 Answer::Failed(_) => "failed",
             };
             let Query {
@@ -785,12 +780,12 @@
                 version,
                 ..
             } = query;
-            let aim = self.settings.classes[class].latency_target.max(1);
-            let spent = now.saturating_sub(taken) as f64 / aim as f64;
-            ends.push(Ended {
+            let latency_target = self.settings.classes[class].latency_target.max(1);
+            let spent = now.saturating_sub(taken) as f64 / latency_target as f64;
+            finished.push(FinishedQuery {
                 taken,
                 spent,
-                whole: outcome == "whole",
+                complete: outcome == "whole",
                 class,
                 outcome,
                 version,
@@ -811,22 +806,22 @@
         Some(query)
     }
 
-    fn fresh_id(&mut self) -> u64 {
-        self.next_id += 1;
-        self.next_id
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     /// Fails whatever is still open: the program is about to end. What waits to be written is not
     /// written any more.
     pub fn fail_all(&mut self, ports: &mut (impl Clients + Hosts)) {
         for (id, attempt) in self.attempts.drain() {
-            ports.give_up(attempt.host, id);
+            ports.cancel(attempt.host, id);
         }
         self.timeouts.clear();
-        self.following.clear();
+        self.delayed.clear();
         while let Some((&number, _)) = self.queries.first_key_value() {
             if let Some(query) = self.close(number) {
-                ports.answer(query.caller, Answer::Failed(Reason::Ending));
+                ports.answer(query.caller, Answer::Failed(FailureReason::Ending));
             }
         }
     }
--- a/bitternsill/src/core/ports.rs
+++ b/bitternsill/src/core/ports.rs
@@ -28,12 +28,12 @@
     /// The part's number in the core.
     pub part: u64,
     /// Which attempt of it, from 0.
-    pub leg: u32,
+    pub number: u32,
 }
 
 /// A query as a front hands it in.
 #[derive(Debug)]
-pub struct Ask {
+pub struct QueryRequest {
     /// Who waits.
     pub caller: Caller,
     /// The client's id for it.
@@ -43,7 +43,7 @@
     /// The idempotency key, in a keyed class.
     pub key: Option<Rc<str>>,
     /// The client says that it asks again.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// How long the client waits, counted from `arrived`.
     pub budget: Time,
     /// When the query's last byte came.
@@ -56,11 +56,11 @@
 
 /// Why a query is turned away before the module sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     /// As much is held as the settings allow.
     TableFull {
         /// How long to keep away; 0 for no advice.
-        hold_off: Time,
+        retry_after: Time,
     },
     /// The same caller already waits for an answer.
     Busy,
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Score {
     /// A whole number.
-    Whole(i128),
+    Integer(i128),
     /// Any other number.
     Real(f64),
 }
@@ -95,20 +95,20 @@
                 .filter(|real: &f64| real.is_finite())
                 .map(Score::Real)
         };
-        text.parse().ok().map(Score::Whole).or_else(real)
+        text.parse().ok().map(Score::Integer).or_else(real)
     }
 
     /// Orders scores; whole ones exactly.
     pub fn total_cmp(&self, other: &Self) -> std::cmp::Ordering {
         match (self, other) {
-            (Score::Whole(a), Score::Whole(b)) => a.cmp(b),
+            (Score::Integer(a), Score::Integer(b)) => a.cmp(b),
             _ => self.real().total_cmp(&other.real()),
         }
     }
 
     fn real(&self) -> f64 {
         match *self {
-            Score::Whole(n) => n as f64,
+            Score::Integer(n) => n as f64,
             Score::Real(x) => x,
         }
     }
@@ -116,7 +116,7 @@
 
 /// Why a query failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum FailureReason {
     /// Its time ended without a decision.
     TimeUp,
     /// The module gave it up.
@@ -131,17 +131,17 @@
     /// Served from the parts that are in.
     Served {
         /// Whether it is marked whole.
-        whole: bool,
+        complete: bool,
         /// Each part that is in, by shard.
         values: Vec<(u32, Value)>,
     },
     /// Turned away; asking again is harmless.
-    Refused {
+    Rejected {
         /// How long to keep away; 0 for no advice.
-        hold_off: Time,
+        retry_after: Time,
     },
     /// Given up.
-    Failed(Reason),
+    Failed(FailureReason),
 }
 
 /// One part on its way to an index host.
@@ -162,7 +162,7 @@
     /// In a second step: the shards that were in after the first.
     pub from: Option<Rc<str>>,
     /// In a second step: whether the first was whole.
-    pub first_whole: Option<bool>,
+    pub first_step_complete: Option<bool>,
     /// The query's text.
     pub text: Rc<str>,
 }
@@ -178,7 +178,7 @@
     /// Sends the parts of one call.
     fn call(&mut self, host: ServerId, parts: Vec<Outgoing>);
     /// Gives an attempt up.
-    fn give_up(&mut self, host: ServerId, attempt: AttemptId);
+    fn cancel(&mut self, host: ServerId, attempt: AttemptId);
     /// Probes a host.
     fn probe(&mut self, host: ServerId);
     /// Closes the idle connections to a host.
--- a/bitternsill/src/core/settings.rs
+++ b/bitternsill/src/core/settings.rs
@@ -49,7 +49,13 @@
     permitted::check(value)?;
     let mut settings = read_settings(&value.to_string())
         // Without the path of the simulator's wire, which operators never see.
-        .map_err(|problem| SettingsError(problem.to_string().replace("INIT: setting `boot_info.", "`")))?;
+        .map_err(|problem| {
+            SettingsError(
+                problem
+                    .to_string()
+                    .replace("INIT: setting `boot_info.", "`"),
+            )
+        })?;
     let open_tick = value["tick"].is_null();
     if open_tick {
         // The module counts some waits in ticks.
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -265,7 +265,8 @@
             .core
             .reconfigure(settings, deployment, limits.clone(), now);
         taken.map_err(|_| format!("more classes at once than {}", limits.classes))?;
-        self.core.list(ListKind::Complete, self.hosts.entries());
+        self.core
+            .update_endpoints(ListKind::Complete, self.hosts.entries());
         self.hosts.retune(connector, limits.clone());
         self.limits = limits;
         if let Some(keeper) = &mut self.keeper {
@@ -282,7 +283,7 @@
             now,
         );
         if !entries.is_empty() {
-            self.core.list(ListKind::Partial, entries);
+            self.core.update_endpoints(ListKind::Partial, entries);
         }
     }
 
@@ -324,7 +325,7 @@
             ListKind::Partial
         };
         let entries = self.hosts.update(kind, members, net, now);
-        self.core.list(kind, entries);
+        self.core.update_endpoints(kind, entries);
         self.record_members(net);
         self.ready_by = None;
         self.list_is_there(true, now);
@@ -413,10 +414,11 @@
             self.core.turn(now, &mut desk);
             let (unsent, unprobed) = (desk.unsent, desk.unprobed);
             for attempt in unsent {
-                self.core.ended(attempt, Outcome::ConnectFailed, now);
+                self.core
+                    .attempt_ended(attempt, Outcome::ConnectFailed, now);
             }
             for host in unprobed {
-                self.core.probed(host, Outcome::ConnectFailed, now);
+                self.core.probe_ended(host, Outcome::ConnectFailed, now);
             }
         }
         if let Some(keeper) = &mut self.keeper {
@@ -439,7 +441,8 @@
         if let Message::Call(parts) = message {
             for part in parts {
                 self.hosts.forget_attempt(part.id);
-                self.core.ended(part.id, Outcome::ConnectFailed, now);
+                self.core
+                    .attempt_ended(part.id, Outcome::ConnectFailed, now);
             }
         }
     }
@@ -493,8 +496,8 @@
         }
     }
 
-    fn give_up(&mut self, host: ServerId, attempt: AttemptId) {
-        self.hosts.give_up(host, attempt, self.net);
+    fn cancel(&mut self, host: ServerId, attempt: AttemptId) {
+        self.hosts.cancel(host, attempt, self.net);
     }
 
     fn probe(&mut self, host: ServerId) {
--- a/bitternsill/src/front/catalogue.rs
+++ b/bitternsill/src/front/catalogue.rs
@@ -12,7 +12,7 @@
 pub mod sru_host;
 pub mod z3950_host;
 
-use crate::core::ports::{Answer, Ask, Caller, Reason, Refusal};
+use crate::core::ports::{Answer, Caller, FailureReason, QueryRequest, Rejection};
 use crate::front::Gatherer;
 use crate::limits::{Limits, MS};
 use ::recovery::ramp::Turn;
@@ -101,7 +101,7 @@
         plan: &Plan,
         arrived: Time,
         now: Time,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), Rejection> {
         let class = match &plan.work {
             Work::Page(page) if page.fresh => self.classes.search,
             Work::Page(_) => self.classes.page,
@@ -112,31 +112,33 @@
         if let Some(returning) = world.returning.as_mut().filter(|_| begins)
             && let Turn::Later(wait) = returning.admit(class, arrived)
         {
-            return Err(Refusal::TableFull {
-                hold_off: wait.min(world.core.longest_hold_off()),
+            return Err(Rejection::TableFull {
+                retry_after: wait.min(world.core.max_retry_after()),
             });
         }
         let weight = 1.0 / plan.slices.len().max(1) as f64;
-        let ask = Ask {
+        let ask = QueryRequest {
             caller,
             name: format!("{:016x}-{:x}", caller.connection, caller.operation).into(),
             class,
             key: None,
-            repeat: false,
+            is_retry: false,
             budget: self.budget,
             arrived,
             text: plan.work.encode().into(),
             parts: plan.slices.iter().map(|slice| (*slice, weight)).collect(),
         };
-        world.core.take(ask, now)
+        world.core.submit(ask, now)
     }
 }
 
 /// A round that the core did not take.
-pub fn not_taken(refusal: Refusal) -> Round {
+pub fn not_taken(refusal: Rejection) -> Round {
     match refusal {
-        Refusal::TableFull { hold_off } => Round::Refused { hold_off },
-        Refusal::Busy | Refusal::NameTaken => Round::Refused { hold_off: 0 },
+        Rejection::TableFull {
+            retry_after: hold_off,
+        } => Round::Refused { hold_off },
+        Rejection::Busy | Rejection::NameTaken => Round::Refused { hold_off: 0 },
     }
 }
 
@@ -149,11 +151,15 @@
                 .filter_map(|(slice, value)| Some((*slice, Given::decode(&value.body)?)));
             Round::Served(given.collect())
         }
-        Answer::Refused { hold_off } => Round::Refused {
+        Answer::Rejected {
+            retry_after: hold_off,
+        } => Round::Refused {
             hold_off: *hold_off,
         },
-        Answer::Failed(Reason::TimeUp) => Round::Failed(Why::TimeUp),
-        Answer::Failed(Reason::GivenUp | Reason::Ending) => Round::Failed(Why::GivenUp),
+        Answer::Failed(FailureReason::TimeUp) => Round::Failed(Why::TimeUp),
+        Answer::Failed(FailureReason::GivenUp | FailureReason::Ending) => {
+            Round::Failed(Why::GivenUp)
+        }
     }
 }
 
--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -199,7 +199,7 @@
     }
 
     fn end(&mut self, cx: &mut Cx<'_>, attempt: AttemptId, outcome: Outcome) {
-        cx.world.core.ended(attempt, outcome, cx.now);
+        cx.world.core.attempt_ended(attempt, outcome, cx.now);
         self.part_ended(cx, attempt);
     }
 
@@ -249,7 +249,7 @@
             && let Some(Current::Wanted { part, written, .. }) = &mut self.current
             && !std::mem::replace(written, true)
         {
-            cx.world.core.written(part.id);
+            cx.world.core.mark_written(part.id);
         }
         let ready = Ready::READ.and_room(self.stream.unwritten() > 0);
         if self.stream.arm(cx.net, cx.token, ready).is_err() {
@@ -287,7 +287,9 @@
                 // It says that it ends the session: that is no death, neither of the host nor by
                 // the part.
                 if let Some(Current::Wanted { part, .. }) = self.current.take() {
-                    cx.world.core.cut_off(part.id, Outcome::Error, cx.now);
+                    cx.world
+                        .core
+                        .attempt_interrupted(part.id, Outcome::Error, cx.now);
                     self.part_ended(cx, part.id);
                 }
                 cx.close();
@@ -320,7 +322,9 @@
                     .retiring
                     .is_some_and(|at| cx.now >= at + cx.world.limits.drain_grace / 2);
                 if late || self.dialect.is_closing() {
-                    cx.world.core.cut_off(part.id, Outcome::Reset, cx.now);
+                    cx.world
+                        .core
+                        .attempt_interrupted(part.id, Outcome::Reset, cx.now);
                     self.part_ended(cx, part.id);
                     return cx.close();
                 }
@@ -336,7 +340,9 @@
                 self.pool
                     .borrow_mut()
                     .answered(self.host.0, cx.now.saturating_sub(asked), cx.now);
-                cx.world.core.served(part.id, self.value(given), cx.now);
+                cx.world
+                    .core
+                    .attempt_served(part.id, self.value(given), cx.now);
                 self.part_ended(cx, part.id);
             }
             Next::Later => self.end(cx, part.id, Outcome::Rejected),
@@ -365,7 +371,7 @@
             Given::Refused(_) => 0,
         };
         Value {
-            score: Score::Whole(score.into()),
+            score: Score::Integer(score.into()),
             body: given.encode().into(),
         }
     }
@@ -383,13 +389,15 @@
             cx.world.hosts.attempt_ended(self.host, part.id);
             if let Err(parts) = cx.world.hosts.call(self.host, vec![part], cx.net, cx.now) {
                 for part in parts {
-                    cx.world.core.ended(part.id, Outcome::ConnectFailed, cx.now);
+                    cx.world
+                        .core
+                        .attempt_ended(part.id, Outcome::ConnectFailed, cx.now);
                 }
             }
         }
     }
 
-    fn give_up(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
+    fn cancel(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
         if let Some(at) = self.queue.iter().position(|p| p.id == attempt) {
             self.queue.remove(at);
             self.part_ended(cx, attempt);
@@ -455,7 +463,9 @@
                     tracing::debug!(host = self.host.0, problem, "a link is given up");
                     // The part has had its answer, a bad one: the host did not die.
                     if let Some(Current::Wanted { part, .. }) = self.current.take() {
-                        cx.world.core.cut_off(part.id, Outcome::Error, cx.now);
+                        cx.world
+                            .core
+                            .attempt_interrupted(part.id, Outcome::Error, cx.now);
                         self.part_ended(cx, part.id);
                     }
                     return cx.close();
@@ -529,7 +539,7 @@
                 self.schedule(cx);
             }
             Message::GiveUp(attempt) => {
-                self.give_up(cx, attempt);
+                self.cancel(cx, attempt);
                 if self.up && !cx.is_closing() {
                     self.write(cx);
                     self.schedule(cx);
@@ -542,7 +552,7 @@
                 } else {
                     Outcome::ConnectFailed
                 };
-                cx.world.core.probed(self.host, outcome, cx.now);
+                cx.world.core.probe_ended(self.host, outcome, cx.now);
             }
             Message::CloseIdle if self.current.is_none() && self.queue.is_empty() => cx.close(),
             Message::CloseIdle | Message::HostLeaves => {
@@ -578,7 +588,7 @@
         }
         for part in parts {
             cx.world.hosts.attempt_ended(self.host, part.id);
-            cx.world.core.broken(part.id, cx.now);
+            cx.world.core.connection_broken(part.id, cx.now);
         }
     }
 }
--- a/bitternsill/src/front/hosts.rs
+++ b/bitternsill/src/front/hosts.rs
@@ -312,7 +312,7 @@
     }
 
     /// Tells the connection that carries an attempt to give it up.
-    pub fn give_up(&mut self, id: ServerId, attempt: AttemptId, net: &mut Net<Gatherer>) {
+    pub fn cancel(&mut self, id: ServerId, attempt: AttemptId, net: &mut Net<Gatherer>) {
         if let Some(token) = self
             .hosts
             .get_mut(&id)
--- a/bitternsill/src/front/platform/client.rs
+++ b/bitternsill/src/front/platform/client.rs
@@ -1,7 +1,7 @@
 //! What the platform's clients may ask for.
 
 use super::query;
-use crate::core::ports::{Answer, Caller, Refusal};
+use crate::core::ports::{Answer, Caller, Rejection};
 use crate::front::http::{Head, Response};
 use crate::front::server::{Cx, Handled, Service};
 use ::recovery::ramp::Turn;
@@ -119,25 +119,31 @@
                 if let (Ok(_), Some(versions)) = (&ask, &world.versions)
                     && !versions.may_act(cx.net.now())
                 {
-                    let hold_off = world.core.longest_hold_off();
-                    return Handled::Done(query::respond(&Answer::Refused { hold_off }));
+                    let hold_off = world.core.max_retry_after();
+                    return Handled::Done(query::respond(&Answer::Rejected {
+                        retry_after: hold_off,
+                    }));
                 }
                 if let (Ok(ask), Some(returning)) = (&ask, &mut world.returning)
                     && let Turn::Later(wait) = returning.admit(ask.class, ask.arrived)
                 {
                     // Where no time to return may be told, none is.
-                    let hold_off = wait.min(world.core.longest_hold_off());
-                    return Handled::Done(query::respond(&Answer::Refused { hold_off }));
+                    let hold_off = wait.min(world.core.max_retry_after());
+                    return Handled::Done(query::respond(&Answer::Rejected {
+                        retry_after: hold_off,
+                    }));
                 }
-                match ask.map(|ask| world.core.take(ask, cx.now)) {
+                match ask.map(|ask| world.core.submit(ask, cx.now)) {
                     Ok(Ok(())) => Handled::Waiting,
-                    Ok(Err(Refusal::TableFull { hold_off })) => {
-                        Handled::Done(query::respond(&Answer::Refused { hold_off }))
-                    }
-                    Ok(Err(Refusal::Busy)) => {
+                    Ok(Err(Rejection::TableFull {
+                        retry_after: hold_off,
+                    })) => Handled::Done(query::respond(&Answer::Rejected {
+                        retry_after: hold_off,
+                    })),
+                    Ok(Err(Rejection::Busy)) => {
                         Handled::Done(Response::text(400, "a query is under way here"))
                     }
-                    Ok(Err(Refusal::NameTaken)) => {
+                    Ok(Err(Rejection::NameTaken)) => {
                         Handled::Done(Response::text(409, "a query of this id is open"))
                     }
                     Err(problem) => {
--- a/bitternsill/src/front/platform/discovery.rs
+++ b/bitternsill/src/front/platform/discovery.rs
@@ -250,7 +250,7 @@
             }
             Err(problem) => {
                 tracing::warn!(%problem, "discovery cannot be called");
-                cx.world.core.list_failed(false);
+                cx.world.core.discovery_failed(false);
             }
         }
     }
@@ -265,7 +265,7 @@
             if let Some(failure) = failure {
                 tracing::info!(why, "discovery call or watch ended");
                 self.last = failure;
-                cx.world.core.list_failed(failure == Failure::Refused);
+                cx.world.core.discovery_failed(failure == Failure::Refused);
             }
         }
         if let Some(call) = self.next.take() {
@@ -307,7 +307,9 @@
         open.reader.body.drain(..used);
         // Without news it is an answer all the same: the next failure is the first again.
         if !std::mem::replace(&mut open.answered, true) && told.is_empty() {
-            cx.world.core.list(ListKind::Partial, Vec::new());
+            cx.world
+                .core
+                .update_endpoints(ListKind::Partial, Vec::new());
         }
         // Only what is whole breaks the silence: bytes that never make a line tell nothing.
         cx.set_timer(cx.now + cx.world.limits.watch_silence);
--- a/bitternsill/src/front/platform/frames.rs
+++ b/bitternsill/src/front/platform/frames.rs
@@ -148,7 +148,7 @@
         if let Some(from) = &part.from {
             list += &format!(
                 ",from={from},whole={}",
-                u8::from(part.first_whole == Some(true))
+                u8::from(part.first_step_complete == Some(true))
             );
         }
         let line = format!("{} {} {list} {}\n", part.name, part.shard, part.text.len());
--- a/bitternsill/src/front/platform/frames/tests.rs
+++ b/bitternsill/src/front/platform/frames/tests.rs
@@ -6,14 +6,14 @@
 #[test]
 fn calls_are_written_as_the_protocol_has_them() {
     let part = Outgoing {
-        id: AttemptId { part: 1, leg: 0 },
+        id: AttemptId { part: 1, number: 0 },
         name: "9b1f.3.r".to_owned(),
         shard: 3,
         until: 240_000_000,
         not_after: 0,
         key: Some("5c0f".into()),
         from: Some("3+5+9".into()),
-        first_whole: Some(false),
+        first_step_complete: Some(false),
         text: "c41e77d0".into(),
     };
     let bytes = call(
@@ -44,7 +44,7 @@
         assert_eq!(read(&mut input, 100), Ok(None));
         input.extend_from_slice(&whole[at..]);
         let value = Value {
-            score: Score::Whole(18402777190000000001),
+            score: Score::Integer(18402777190000000001),
             body: "va\nlue".into(),
         };
         let wanted = Frame::Ended {
--- a/bitternsill/src/front/platform/link.rs
+++ b/bitternsill/src/front/platform/link.rs
@@ -111,7 +111,7 @@
                 break;
             }
             for part in self.writing.take().unwrap_or_default() {
-                cx.world.core.written(part.id);
+                cx.world.core.mark_written(part.id);
             }
             let Some(parts) = self.queue.pop_front() else {
                 break;
@@ -142,7 +142,7 @@
     fn unsent(&mut self, cx: &mut Cx<'_>, part: &Outgoing, outcome: Outcome) {
         self.out.remove(&part.name);
         cx.world.hosts.attempt_ended(self.host, part.id);
-        cx.world.core.ended(part.id, outcome, cx.now);
+        cx.world.core.attempt_ended(part.id, outcome, cx.now);
         self.end_part(cx);
     }
 
@@ -173,11 +173,13 @@
     /// Turns a part away without touching an attempt of the same name that is out.
     fn unsent_new(&mut self, cx: &mut Cx<'_>, part: &Outgoing) {
         cx.world.hosts.attempt_ended(self.host, part.id);
-        cx.world.core.ended(part.id, Outcome::ConnectFailed, cx.now);
+        cx.world
+            .core
+            .attempt_ended(part.id, Outcome::ConnectFailed, cx.now);
         self.end_part(cx);
     }
 
-    fn give_up(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
+    fn cancel(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
         let held = self.out.iter().find(|(_, id)| **id == attempt);
         let Some(name) = held.map(|(name, _)| name.clone()) else {
             return;
@@ -231,7 +233,7 @@
         tracing::debug!(host = self.host.0, %problem, out = self.out.len(), "a link is given up");
         for (_, attempt) in self.out.drain() {
             cx.world.hosts.attempt_ended(self.host, attempt);
-            cx.world.core.cut_off(attempt, outcome, cx.now);
+            cx.world.core.attempt_interrupted(attempt, outcome, cx.now);
         }
         cx.close();
     }
@@ -256,12 +258,14 @@
                 }
                 let is_spoilt = end == End::Spoilt;
                 match end {
-                    End::Good(value) => cx.world.core.served(attempt, value, cx.now),
+                    End::Good(value) => cx.world.core.attempt_served(attempt, value, cx.now),
                     End::Later if !doubled => {
-                        cx.world.core.ended(attempt, Outcome::Rejected, cx.now)
+                        cx.world
+                            .core
+                            .attempt_ended(attempt, Outcome::Rejected, cx.now)
                     }
                     End::Later | End::Bad | End::Spoilt => {
-                        cx.world.core.ended(attempt, Outcome::Error, cx.now);
+                        cx.world.core.attempt_ended(attempt, Outcome::Error, cx.now);
                     }
                 }
                 self.end_part(cx);
@@ -273,7 +277,7 @@
             Frame::Probed { good } => {
                 if self.probes.pop_front().is_some() {
                     let outcome = if good { Outcome::Ok } else { Outcome::Error };
-                    cx.world.core.probed(self.host, outcome, cx.now);
+                    cx.world.core.probe_ended(self.host, outcome, cx.now);
                 }
             }
             Frame::Unusable(words) => {
@@ -408,13 +412,13 @@
     fn deliver(&mut self, cx: &mut Cx<'_>, message: Message) {
         match message {
             Message::Call(parts) => self.take_call(cx, parts),
-            Message::GiveUp(attempt) => self.give_up(cx, attempt),
+            Message::GiveUp(attempt) => self.cancel(cx, attempt),
             Message::Probe => {
                 if self.retiring || self.probes.len() >= cx.world.limits.queued_probes {
                     return cx
                         .world
                         .core
-                        .probed(self.host, Outcome::ConnectFailed, cx.now);
+                        .probe_ended(self.host, Outcome::ConnectFailed, cx.now);
                 }
                 self.probes.push_back(cx.now);
                 // Bytes pushed while connecting are written as soon as the connection is up.
@@ -446,7 +450,7 @@
         cx.world.hosts.link_ended(self.host, cx.token);
         for (_, attempt) in self.out.drain() {
             cx.world.hosts.attempt_ended(self.host, attempt);
-            cx.world.core.broken(attempt, cx.now);
+            cx.world.core.connection_broken(attempt, cx.now);
         }
         if !self.probes.is_empty() {
             let outcome = if self.up {
@@ -454,7 +458,7 @@
             } else {
                 Outcome::ConnectFailed
             };
-            cx.world.core.probed(self.host, outcome, cx.now);
+            cx.world.core.probe_ended(self.host, outcome, cx.now);
         }
     }
 }
--- a/bitternsill/src/front/platform/query.rs
+++ b/bitternsill/src/front/platform/query.rs
@@ -1,7 +1,7 @@
 //! What a client's request says, and what its answer looks like.
 
 use crate::core::Core;
-use crate::core::ports::{Answer, Ask, Caller, Reason};
+use crate::core::ports::{Answer, Caller, FailureReason, QueryRequest};
 use crate::front::http::{Head, Response};
 use crate::limits::Limits;
 use dispatch::interface::Time;
@@ -52,7 +52,7 @@
     core: &Core,
     now: Time,
     limits: &Limits,
-) -> Result<Ask, QueryError> {
+) -> Result<QueryRequest, QueryError> {
     // Ids and keys travel on in the frames' lines, where a space, a comma or a line end would mean
     // something.
     let plain = |name: &'static str| {
@@ -78,12 +78,12 @@
         None
     };
     let (text, parts) = parse_body(body, core.deployment().shards)?;
-    Ok(Ask {
+    Ok(QueryRequest {
         caller,
         name: name.into(),
         class,
         key,
-        repeat: head.get(AGAIN) == Some("1"),
+        is_retry: head.get(AGAIN) == Some("1"),
         budget,
         arrived,
         text: text.into(),
@@ -136,7 +136,10 @@
 /// The response that carries an answer.
 pub fn respond(answer: &Answer) -> Response {
     match answer {
-        Answer::Served { whole, values } => {
+        Answer::Served {
+            complete: whole,
+            values,
+        } => {
             let answers: Vec<Json> = values
                 .iter()
                 .map(|(shard, value)| serde_json::json!({"range": shard, "blob": &*value.body}))
@@ -151,7 +154,9 @@
                 body,
             }
         }
-        Answer::Refused { hold_off } => {
+        Answer::Rejected {
+            retry_after: hold_off,
+        } => {
             let mut response = Response::text(503, "refused: ask again later");
             if *hold_off > 0 {
                 response
@@ -161,9 +166,9 @@
             response
         }
         Answer::Failed(reason) => match reason {
-            Reason::TimeUp => Response::text(504, "failed: no answer in time"),
-            Reason::GivenUp => Response::text(500, "failed: given up"),
-            Reason::Ending => Response::text(500, "failed: the gatherer is ending"),
+            FailureReason::TimeUp => Response::text(504, "failed: no answer in time"),
+            FailureReason::GivenUp => Response::text(500, "failed: given up"),
+            FailureReason::Ending => Response::text(500, "failed: the gatherer is ending"),
         },
     }
 }
--- a/bitternsill/src/front/signals.rs
+++ b/bitternsill/src/front/signals.rs
@@ -149,7 +149,7 @@
                     .world
                     .hosts
                     .update(ListKind::Complete, members, cx.net, cx.now);
-                cx.world.core.list(ListKind::Complete, entries);
+                cx.world.core.update_endpoints(ListKind::Complete, entries);
                 cx.world.record_members(cx.net);
             }
         }
--- a/bitternsill/src/learned.rs
+++ b/bitternsill/src/learned.rs
@@ -157,7 +157,7 @@
         ) {
             Ok(aged) => {
                 report(&aged);
-                core.recall(self.learned(&aged, hosts));
+                core.restore(self.learned(&aged, hosts));
             }
             Err(unfit) => tracing::warn!(problem = %unfit, "what was learned is not taken"),
         }
--- a/bitternsill/src/recovery.rs
+++ b/bitternsill/src/recovery.rs
@@ -147,7 +147,7 @@
         // What discovery has told meanwhile is newer.
         if !told {
             let entries = self.hosts.update(ListKind::Persisted, kept, net, now);
-            self.core.list(ListKind::Persisted, entries);
+            self.core.update_endpoints(ListKind::Persisted, entries);
             self.list_is_there(false, now);
         }
     }
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -416,13 +416,15 @@
                 net,
             ));
             // The module has its first turn, and asks discovery, whether or not a client comes.
-            gatherer.core.list(ListKind::Persisted, Vec::new());
+            gatherer
+                .core
+                .update_endpoints(ListKind::Persisted, Vec::new());
         }
         None => {
             let entries = gatherer
                 .hosts
                 .update(ListKind::Persisted, members, net, now);
-            gatherer.core.list(ListKind::Persisted, entries);
+            gatherer.core.update_endpoints(ListKind::Persisted, entries);
         }
     }
     // Other gatherers may be on their way out, so a list from before is good enough to begin with.
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -287,10 +287,10 @@
         let mut returning = returning.filter(|recovery| recovery.phase() == Phase::Returning);
         let ends = self
             .core
-            .take_ends(returning.is_some() || self.versions.is_some());
+            .take_finished(returning.is_some() || self.versions.is_some());
         for end in ends {
             if let Some(recovery) = &mut returning {
-                recovery.ended(end.taken, Came::after(end.spent, end.whole), now);
+                recovery.ended(end.taken, Came::after(end.spent, end.complete), now);
             }
             if let Some(versions) = &mut self.versions {
                 let class = self.core.class_name(end.class);
@@ -397,7 +397,7 @@
         let fresh = versions.usable(document);
         match fresh.and_then(|fresh| self.reconfigure(fresh, now)) {
             Ok(()) => {
-                self.core.acts_on(version);
+                self.core.set_version(version);
                 let Some(versions) = &mut self.versions else {
                     return;
                 };
--- a/bitternsill/tests/core.rs
+++ b/bitternsill/tests/core.rs
@@ -2,7 +2,7 @@
 
 use bitternsill::core::Core;
 use bitternsill::core::ports::{
-    Answer, Ask, AttemptId, Caller, Clients, Directory, Hosts, Outgoing, Score, Value,
+    Answer, AttemptId, Caller, Clients, Directory, Hosts, Outgoing, QueryRequest, Score, Value,
 };
 use bitternsill::core::settings::Deployment;
 use bitternsill::limits::{Limits, MS};
@@ -33,7 +33,7 @@
             parts.into_iter().map(|part| (part.name, part.id)).collect(),
         ));
     }
-    fn give_up(&mut self, _host: ServerId, attempt: AttemptId) {
+    fn cancel(&mut self, _host: ServerId, attempt: AttemptId) {
         self.0.push(Did::GaveUp(attempt));
     }
     fn probe(&mut self, _host: ServerId) {}
@@ -82,17 +82,17 @@
         started_at: 0,
         excluded: false,
     };
-    core.list(ListKind::Complete, (1..=6).map(entry).collect());
+    core.update_endpoints(ListKind::Complete, (1..=6).map(entry).collect());
     core
 }
 
 fn ask(core: &mut Core, now: Time, shards: &[u32]) {
-    let ask = Ask {
+    let ask = QueryRequest {
         caller: Caller::only(1),
         name: "q".into(),
         class: 0,
         key: None,
-        repeat: false,
+        is_retry: false,
         budget: 1_000 * MS,
         arrived: now,
         text: "t".into(),
@@ -101,7 +101,7 @@
             .map(|shard| (*shard, 1.0 / shards.len() as f64))
             .collect(),
     };
-    core.take(ask, now).unwrap();
+    core.submit(ask, now).unwrap();
 }
 
 fn turn(core: &mut Core, now: Time) -> Vec<Did> {
@@ -132,10 +132,10 @@
     let ahead = sent(&turn(&mut core, now));
     assert_eq!(ahead.len(), 1);
     now += 6 * MS;
-    core.served(
+    core.attempt_served(
         ahead[0],
         Value {
-            score: Score::Whole(1),
+            score: Score::Integer(1),
             body: "v".into(),
         },
         now,
@@ -145,19 +145,31 @@
     // One of them is turned away and sent again, its last time; then both are turned away in one
     // turn.
     now += 6 * MS;
-    core.ended(both[0], Outcome::ConnectFailed, now);
+    core.attempt_ended(both[0], Outcome::ConnectFailed, now);
     let again = sent(&turn(&mut core, now));
-    assert_eq!(again, [AttemptId { leg: 1, ..both[0] }]);
+    assert_eq!(
+        again,
+        [AttemptId {
+            number: 1,
+            ..both[0]
+        }]
+    );
     now += 6 * MS;
-    core.ended(again[0], Outcome::ConnectFailed, now);
-    core.ended(both[1], Outcome::ConnectFailed, now);
+    core.attempt_ended(again[0], Outcome::ConnectFailed, now);
+    core.attempt_ended(both[1], Outcome::ConnectFailed, now);
     let did = turn(&mut core, now);
     // A link writes what is queued whenever it is given something to do: it is told what is given
     // up first.
-    let given_up = Did::GaveUp(AttemptId { leg: 1, ..both[1] });
+    let given_up = Did::GaveUp(AttemptId {
+        number: 1,
+        ..both[1]
+    });
     assert_eq!(
         did,
-        [given_up, Did::Answered(1, Answer::Refused { hold_off: 0 })],
+        [
+            given_up,
+            Did::Answered(1, Answer::Rejected { retry_after: 0 })
+        ],
         "and nothing is sent"
     );
 }
