--- a/bitternsill/src/recovery.rs
+++ b/bitternsill/src/recovery.rs
@@ -103,7 +103,9 @@
         if self.recovery.distrusts_hosts() {
             // The hosts may have lost power too: until discovery tells when each started, each has
             // a cold host's share.
-            hosts.iter_mut().for_each(|member| member.entry.started_at = now);
+            hosts
+                .iter_mut()
+                .for_each(|member| member.entry.started_at = now);
         }
         Some(hosts)
     }
@@ -146,7 +148,7 @@
         // A list that discovery has sent meanwhile is newer.
         if !confirmed {
             let entries = self.hosts.update(ListKind::Persisted, persisted, net, now);
-            self.core.list(ListKind::Persisted, entries);
+            self.core.update_endpoints(ListKind::Persisted, entries);
             self.on_endpoint_list(false, now);
         }
     }
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -234,14 +234,21 @@
 impl Gatherer {
     /// Passes the outcome of queries on to the recovery and to the audit log.
     pub fn record_ends(&mut self, net: &mut Net<Self>, now: Time) {
-        let returning = self.returning.as_mut().map(|returning| returning.recovery_mut());
+        let returning = self
+            .returning
+            .as_mut()
+            .map(|returning| returning.recovery_mut());
         let mut returning = returning.filter(|recovery| recovery.phase() == Phase::SlowStart);
         let ends = self
             .core
             .take_finished(returning.is_some() || self.versions.is_some());
         for end in ends {
             if let Some(recovery) = &mut returning {
-                recovery.on_query_completed(end.taken, QueryResult::new(end.spent, end.complete), now);
+                recovery.on_query_completed(
+                    end.taken,
+                    QueryResult::new(end.spent, end.complete),
+                    now,
+                );
             }
             if let Some(versions) = &mut self.versions {
                 let class = self.core.class_name(end.class);
--- a/bitternsill/src/versions/activation.rs
+++ b/bitternsill/src/versions/activation.rs
@@ -6,8 +6,8 @@
 use crate::store::client::ReadResult;
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
-use store::command::Check;
 use store::command::Change;
+use store::command::Check;
 use versions::Time;
 use versions::rollout::{Blocker, Member, Vote, autonomous_members, blockers, exclusion_delay};
 
@@ -49,7 +49,10 @@
 
 /// The fleet as the store has it; `excluded_since` has when each gatherer was first seen to be
 /// excluded.
-pub fn fleet(seen: &ReadResult, excluded_since: &BTreeMap<String, Time>) -> BTreeMap<String, Member> {
+pub fn fleet(
+    seen: &ReadResult,
+    excluded_since: &BTreeMap<String, Time>,
+) -> BTreeMap<String, Member> {
     let member = |name: &str| {
         let (registration, _) = seen.json(&format!("{GATHERERS}{name}"))?;
         let vote = seen
@@ -79,7 +82,11 @@
 }
 
 /// Updates since when each gatherer has been seen to be excluded.
-pub fn observe_exclusions(seen: &ReadResult, excluded_since: &mut BTreeMap<String, Time>, now: Time) {
+pub fn observe_exclusions(
+    seen: &ReadResult,
+    excluded_since: &mut BTreeMap<String, Time>,
+    now: Time,
+) {
     let excluded: BTreeSet<&str> = seen.names(EXCLUDED).collect();
     excluded_since.retain(|name, _| excluded.contains(name.as_str()));
     for name in excluded {
--- a/bitternsill/src/versions/agent.rs
+++ b/bitternsill/src/versions/agent.rs
@@ -9,8 +9,8 @@
 use dispatch::interface::Time;
 use serde_json::{Value as Json, json};
 use std::io;
-use store::member::{Call, Reply};
 use store::command::Change;
+use store::member::{Call, Reply};
 use versions::Version;
 use versions::audit_log::Record;
 
@@ -25,7 +25,9 @@
 impl Agent {
     fn poll(&self, cx: &mut Cx<'_>) {
         let now = cx.net.now();
-        let (Some(store_service), Some(versions)) = (&mut cx.world.store_service, &mut cx.world.versions) else {
+        let (Some(store_service), Some(versions)) =
+            (&mut cx.world.store_service, &mut cx.world.versions)
+        else {
             return;
         };
         versions.lease.update(now);
@@ -42,7 +44,11 @@
     fn handle_query_response(cx: &mut Cx<'_>) {
         // What this member has applied is now at least as new as when the query was sent.
         cx.world.apply_store_state(cx.net, cx.now);
-        let state = cx.world.store_service.as_ref().map(|store_service| store_service.store().state());
+        let state = cx
+            .world
+            .store_service
+            .as_ref()
+            .map(|store_service| store_service.store().state());
         let active = state
             .and_then(|state| state.versioned(ACTIVE))
             .map_or(0, |entry| entry.revision);
@@ -116,7 +122,8 @@
     /// Acts on the state of the store: votes on a new proposal, switches to a new active version,
     /// follows an operator's hold, and registers.
     fn apply_store_state(&mut self, net: &mut Net<Self>, now: Time) {
-        let (Some(store_service), Some(versions)) = (&mut self.store_service, &mut self.versions) else {
+        let (Some(store_service), Some(versions)) = (&mut self.store_service, &mut self.versions)
+        else {
             return;
         };
         let name = versions.name.clone();
@@ -140,7 +147,8 @@
         if let Some((version, document)) = active.filter(|(version, _)| *version != attempted) {
             self.switch(version, &document, net, now);
         }
-        let (Some(store_service), Some(versions)) = (&mut self.store_service, &mut self.versions) else {
+        let (Some(store_service), Some(versions)) = (&mut self.store_service, &mut self.versions)
+        else {
             return;
         };
         if !versions.registration.is_displaced() {
@@ -220,7 +228,9 @@
 /// or, by an autonomous gatherer, after a whole validity has passed without any.
 pub fn connect(gatherer: &mut Gatherer, net: &mut Net<Gatherer>) {
     let now = net.now();
-    let (Some(store_service), Some(versions)) = (&mut gatherer.store_service, &mut gatherer.versions) else {
+    let (Some(store_service), Some(versions)) =
+        (&mut gatherer.store_service, &mut gatherer.versions)
+    else {
         return;
     };
     if let Some(agent) = versions.agent {
--- a/bitternsill/src/versions/collect.rs
+++ b/bitternsill/src/versions/collect.rs
@@ -2,7 +2,7 @@
 //! one is given. So a collection that was interrupted continues, and a log outlives its gatherer's
 //! disk.
 
-use crate::store::client::exchange_line;
+use crate::store::client::{ClientError, exchange_line};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -17,8 +17,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FetchError {
     /// A request failed twice.
-    #[error("{0}")]
-    Request(String),
+    #[error(transparent)]
+    Request(#[from] ClientError),
     /// The gatherer has no audit log.
     #[error("it has no trail")]
     NoLog,
