--- a/router/src/counters.rs
+++ b/router/src/counters.rs
@@ -1,75 +1,75 @@
-//! Event counters of one router process. This module depends on no other, so that every part of the
-//! router may count.
+//! Event counters of one router process. This module depends on no other one of the router, so that
+//! every part of it may count.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Something that is counted.
+/// An event that is counted. The discriminant is the index of its counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// A request of a client has come.
-    RequestBegun,
-    /// The start of a backend's answer went to a client.
-    AnswerBegun,
-    /// A request was refused as it has not run and will not.
-    RefusedUnrun,
-    /// A request was given up that may have run.
+    /// A client's request was received.
+    RequestReceived,
+    /// The head of a backend's response was passed to a client.
+    ResponseStarted,
+    /// A request was rejected that has not been executed and will not be.
+    RejectedNotExecuted,
+    /// A request failed that may have been executed.
     GivenUp,
-    /// A client closed its connection before its answer had begun.
-    ClientLeftWaiting,
-    /// A client closed its connection in the middle of an answer.
-    ClientLeftStreaming,
-    /// A request, a copy or a repeat was sent to a backend.
-    Sent,
-    /// Of these, a copy of a request that was pending for long.
-    Copied,
-    /// Of these, a repeat after a failure or a rejection.
-    Repeated,
-    /// A backend turned a request away.
+    /// A client disconnected before its response began.
+    DisconnectedWaiting,
+    /// A client disconnected in the middle of a response.
+    DisconnectedStreaming,
+    /// An attempt was sent to a backend: a first one, a hedge or a retry.
+    AttemptSent,
+    /// Of the attempts: a hedge of a slow request.
+    Hedged,
+    /// Of the attempts: a retry after a failure or a rejection.
+    Retried,
+    /// A backend rejected a request without executing it.
     Rejected,
-    /// A request was turned away by a backend whose instance or weights are others than expected.
+    /// A backend rejected a request because its instance or weights are not the expected ones.
     Misdirected,
-    /// An order was taken by a backend, or holds already.
-    OrderTaken,
-    /// An order got no clear answer.
+    /// A backend accepted an order, or has its version already.
+    OrderAccepted,
+    /// An order got no conclusive response.
     OrderUnanswered,
-    /// An order was refused for a lower fencing token.
+    /// A backend rejected an order because of its stale fencing token.
     OrderFenced,
-    /// An order was refused as another one was under way, or taken in its place.
-    OrderOvertaken,
+    /// A backend rejected an order because another one is in progress or was accepted instead.
+    OrderConflict,
 }
 
 impl Event {
-    /// Every event, in the order of its counters, with its name.
+    /// Every event in the order of the counters, with its name on the metrics page.
     pub const ALL: [(Event, &'static str); 15] = [
-        (Event::RequestBegun, "requests_begun"),
-        (Event::AnswerBegun, "answers_begun"),
-        (Event::RefusedUnrun, "requests_refused_unrun"),
+        (Event::RequestReceived, "requests_begun"),
+        (Event::ResponseStarted, "answers_begun"),
+        (Event::RejectedNotExecuted, "requests_refused_unrun"),
         (Event::GivenUp, "requests_given_up"),
-        (Event::ClientLeftWaiting, "clients_left_waiting"),
-        (Event::ClientLeftStreaming, "clients_left_streaming"),
-        (Event::Sent, "sends"),
-        (Event::Copied, "copies"),
-        (Event::Repeated, "repeats"),
+        (Event::DisconnectedWaiting, "clients_left_waiting"),
+        (Event::DisconnectedStreaming, "clients_left_streaming"),
+        (Event::AttemptSent, "sends"),
+        (Event::Hedged, "copies"),
+        (Event::Retried, "repeats"),
         (Event::Rejected, "rejections"),
         (Event::Misdirected, "misdirections"),
-        (Event::OrderTaken, "orders_taken"),
+        (Event::OrderAccepted, "orders_taken"),
         (Event::OrderUnanswered, "orders_unanswered"),
         (Event::OrderFenced, "orders_fenced"),
-        (Event::OrderOvertaken, "orders_overtaken"),
+        (Event::OrderConflict, "orders_overtaken"),
     ];
 }
 
-/// Counters of one process.
+/// One monotonic counter per event.
 #[derive(Debug, Default)]
 pub struct Counters([AtomicU64; Event::ALL.len()]);
 
 impl Counters {
-    /// It happened once more.
+    /// Increments the counter of an event.
     pub fn count(&self, event: Event) {
         self.0[event as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How often it happened.
+    /// Returns the value of an event's counter.
     pub fn get(&self, event: Event) -> u64 {
         self.0[event as usize].load(Ordering::Relaxed)
     }
--- a/router/src/fleet.rs
+++ b/router/src/fleet.rs
@@ -12,13 +12,13 @@
 mod service;
 
 pub use named_weights::UnfinishedVersion;
-pub use prefixes::Question;
+pub use prefixes::PrefixLookup;
 pub use pulls::{PULL_WAIT, Pull};
 
 use crate::clock;
 use crate::counters::Counters;
 use crate::disk::Known;
-use crate::kv_stores::Stores;
+use crate::kv_stores::KvStores;
 use crate::links::Links;
 use crate::published::Published;
 use crate::replica::handle::ReplicaHandle;
@@ -61,7 +61,7 @@
     /// Since when versions of weights are named.
     version_floors: Mutex<VersionFloors>,
     /// Stores of kept prompts.
-    pub stores: Stores,
+    pub stores: KvStores,
     /// Where the shared starts of prompts are kept that this router owns.
     pub locations: Mutex<PrefixIndex>,
     /// Faults of the backends that this node judges.
@@ -101,7 +101,7 @@
             directory: Mutex::new(Directory::new(Origin(incarnation))),
             published: Mutex::new(Published::default()),
             version_floors: Mutex::default(),
-            stores: Stores::default(),
+            stores: KvStores::default(),
             locations: Mutex::default(),
             evidence: Mutex::default(),
             replica,
@@ -199,7 +199,7 @@
     }
 
     /// Takes news of who is primary.
-    pub fn hear_of_leader(&self, leader: Option<(Epoch, ReplicaId)>) {
+    pub fn observe_leader(&self, leader: Option<(Epoch, ReplicaId)>) {
         let mut known = lock(&self.leader);
         let newer =
             |(epoch, _): &(Epoch, ReplicaId)| known.as_ref().is_none_or(|known| *epoch > known.0);
--- a/router/src/fleet/faults.rs
+++ b/router/src/fleet/faults.rs
@@ -28,7 +28,7 @@
             if judge == self.settings.internal_address() {
                 self.take_faults(reporter, &faults);
             } else {
-                self.links.tell(
+                self.links.send(
                     judge,
                     Request::Faults {
                         reporter: reporter.clone(),
--- a/router/src/fleet/named_weights.rs
+++ b/router/src/fleet/named_weights.rs
@@ -77,13 +77,13 @@
     }
 
     /// The least version of a model's weights to whose backends a request may be sent now.
-    pub fn least_version(&self, model: &str) -> Option<u64> {
+    pub fn min_version(&self, model: &str) -> Option<u64> {
         let patience = self.settings.bounds.version_ms.saturating_sub(SEND_MARGIN);
         lock(&self.version_floors).minimum(model, patience, clock::now())
     }
 
     /// Until when a request may start on this version; none while there is no newer one.
-    pub fn last_start(&self, model: &str, version: u64) -> Option<Millis> {
+    pub fn start_deadline(&self, model: &str, version: u64) -> Option<Millis> {
         let patience = self.settings.bounds.version_ms.saturating_sub(START_MARGIN);
         lock(&self.version_floors).start_deadline(model, version, patience)
     }
--- a/router/src/fleet/operators.rs
+++ b/router/src/fleet/operators.rs
@@ -23,7 +23,7 @@
         };
         for address in self.way_to_the_primary() {
             let patience = Duration::from_millis(self.settings.bounds.ack_timeout_ms.min(3_000));
-            match self.links.ask(address, request(), patience).await {
+            match self.links.call(address, request(), patience).await {
                 Some(Response::Outcome(Outcome::Unknown)) | None => {}
                 Some(Response::Outcome(outcome)) => return outcome,
                 Some(_) => {}
@@ -43,7 +43,7 @@
         }
         for address in self.way_to_the_primary() {
             let request = Request::ReadConfiguration { hops: hops - 1 };
-            let asked = self.links.ask(address, request, FORWARD_PATIENCE).await;
+            let asked = self.links.call(address, request, FORWARD_PATIENCE).await;
             if let Some(Response::Configuration(Some(body))) = asked {
                 return Some(body);
             }
--- a/router/src/fleet/prefixes.rs
+++ b/router/src/fleet/prefixes.rs
@@ -8,29 +8,32 @@
 
 /// A question to an owner.
 #[derive(Debug, Clone)]
-pub struct Question {
+pub struct PrefixLookup {
     /// The prefix.
     pub key: PrefixKey,
     /// Where the request would go if the prefix is kept nowhere.
     pub planned: Placement,
     /// Whether the prefix is worth saving at the store.
-    pub wants_save: bool,
+    pub should_save: bool,
 }
 
 impl Fleet {
     /// Answers as the owner of a prefix.
-    pub fn locate(&self, question: &Question) -> PrefixLocation {
-        let generation = self.stores.of(question.key).map(|store| store.generation);
-        let Question {
+    pub fn look_up_prefix(&self, question: &PrefixLookup) -> PrefixLocation {
+        let generation = self
+            .stores
+            .store_for(question.key)
+            .map(|store| store.generation);
+        let PrefixLookup {
             key,
             planned,
-            wants_save,
+            should_save,
         } = question;
-        lock(&self.locations).look_up(*key, planned, *wants_save, generation, clock::now())
+        lock(&self.locations).look_up(*key, planned, *should_save, generation, clock::now())
     }
 
     /// A backend keeps these prefixes no more.
-    pub fn take_evicted(&self, backend: &CompactString, prefixes: &[(PrefixKey, u64)]) {
+    pub fn record_evictions(&self, backend: &CompactString, prefixes: &[(PrefixKey, u64)]) {
         let mut locations = lock(&self.locations);
         for (key, version) in prefixes {
             locations.record_eviction(
@@ -44,7 +47,7 @@
     }
 
     /// A store keeps these prefixes no more.
-    pub fn take_evicted_from_store(&self, prefixes: &[(PrefixKey, u64)]) {
+    pub fn record_store_evictions(&self, prefixes: &[(PrefixKey, u64)]) {
         let mut locations = lock(&self.locations);
         prefixes
             .iter()
--- a/router/src/fleet/pulls.rs
+++ b/router/src/fleet/pulls.rs
@@ -83,7 +83,7 @@
         };
         let asked = self
             .links
-            .ask(from, Request::Pull(request), wait + ANSWER_PATIENCE);
+            .call(from, Request::Pull(request), wait + ANSWER_PATIENCE);
         tokio::pin!(asked);
         let response = match tokio::time::timeout(wait + patience, &mut asked).await {
             Ok(response) => response,
@@ -105,7 +105,7 @@
             self.name_weights_now(&state.weights);
             lock(&self.published).take(state)
         });
-        self.hear_of_leader(pulled.leader);
+        self.observe_leader(pulled.leader);
         if !changed.is_empty() || news {
             self.announce();
         }
--- a/router/src/fleet/registration.rs
+++ b/router/src/fleet/registration.rs
@@ -42,7 +42,7 @@
             };
             let asked = self
                 .links
-                .ask(member.internal, request, FORWARD_PATIENCE / 2)
+                .call(member.internal, request, FORWARD_PATIENCE / 2)
                 .await;
             if let Some(Response::Registered(address)) = asked {
                 return Some(address);
--- a/router/src/fleet/service.rs
+++ b/router/src/fleet/service.rs
@@ -1,6 +1,6 @@
 //! Answering the requests of other nodes.
 
-use super::{Fleet, Question};
+use super::{Fleet, PrefixLookup};
 use crate::clock;
 use crate::links::{Answer, Service};
 use crate::protocol::{MOST_HOPS, Request, Response};
@@ -49,22 +49,22 @@
                 Request::Locate {
                     key,
                     planned,
-                    wants_save,
-                } => Some(Response::Located(self.locate(&Question {
+                    should_save,
+                } => Some(Response::Located(self.look_up_prefix(&PrefixLookup {
                     key,
                     planned,
-                    wants_save,
+                    should_save,
                 }))),
                 Request::Placed { key, placement } => {
                     lock(&self.locations).record_placement(key, &placement, clock::now());
                     None
                 }
                 Request::Evicted { backend, prefixes } => {
-                    self.take_evicted(&backend, &prefixes);
+                    self.record_evictions(&backend, &prefixes);
                     None
                 }
                 Request::EvictedFromStore { prefixes } => {
-                    self.take_evicted_from_store(&prefixes);
+                    self.record_store_evictions(&prefixes);
                     None
                 }
                 Request::Faults { reporter, faults } => {
--- a/router/src/kv_stores.rs
+++ b/router/src/kv_stores.rs
@@ -22,7 +22,7 @@
 
 /// A store that answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnsweringStore {
+pub struct AvailableStore {
     /// Where it is.
     pub address: SocketAddrV4,
     /// Its life.
@@ -31,16 +31,16 @@
 
 /// The stores of the configuration.
 #[derive(Default)]
-pub struct Stores {
+pub struct KvStores {
     stores: Mutex<BTreeMap<SocketAddrV4, State>>,
 }
 
-impl Stores {
+impl KvStores {
     /// The store that keeps a prefix: each prefix has one of those that answer.
-    pub fn of(&self, key: PrefixKey) -> Option<AnsweringStore> {
+    pub fn store_for(&self, key: PrefixKey) -> Option<AvailableStore> {
         let stores = lock(&self.stores);
         let answering = stores.iter().filter_map(|(address, state)| match state {
-            State::Answering { generation } => Some(AnsweringStore {
+            State::Answering { generation } => Some(AvailableStore {
                 address: *address,
                 generation: *generation,
             }),
@@ -69,25 +69,25 @@
     }
 
     /// A store answers, in this generation.
-    pub fn answers(&self, address: SocketAddrV4, generation: u64) {
+    pub fn mark_available(&self, address: SocketAddrV4, generation: u64) {
         self.enter(address, State::Answering { generation });
     }
 
     /// A store has stopped to answer.
-    pub fn is_unresponsive(&self, address: SocketAddrV4) {
+    pub fn mark_unresponsive(&self, address: SocketAddrV4) {
         self.enter(address, State::Silent);
     }
 
     /// Takes what another router knows of a store.
-    pub fn take_status(&self, address: SocketAddrV4, status: StoreStatus) {
+    pub fn apply_status(&self, address: SocketAddrV4, status: StoreStatus) {
         match status.generation {
-            Some(generation) => self.answers(address, generation),
-            None => self.is_unresponsive(address),
+            Some(generation) => self.mark_available(address, generation),
+            None => self.mark_unresponsive(address),
         }
     }
 
     /// Takes the stores of the configuration.
-    pub fn resettle(&self, wanted: &BTreeMap<SocketAddrV4, KvStore>) {
+    pub fn reconfigure(&self, wanted: &BTreeMap<SocketAddrV4, KvStore>) {
         let mut stores = lock(&self.stores);
         stores.retain(|address, _| wanted.contains_key(address));
         for address in wanted.keys() {
--- a/router/src/links.rs
+++ b/router/src/links.rs
@@ -68,7 +68,7 @@
     }
 
     /// Sends a request that has no answer; dropped where the connection can't take it.
-    pub fn tell(&self, address: SocketAddrV4, request: Request) {
+    pub fn send(&self, address: SocketAddrV4, request: Request) {
         // A link that has just ended is made anew by the next message.
         let _ = self
             .link(address)
@@ -77,7 +77,7 @@
     }
 
     /// Sends a request and waits for its answer; none where there is none in time.
-    pub async fn ask(
+    pub async fn call(
         &self,
         address: SocketAddrV4,
         request: Request,
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -242,7 +242,7 @@
     while let Some(range) = ranges.pop() {
         let response = fleet
             .links
-            .ask(other, Request::Compare { range }, PATIENCE)
+            .call(other, Request::Compare { range }, PATIENCE)
             .await;
         let Some(Response::Summary(summary)) = response else {
             return None;
@@ -259,7 +259,7 @@
     const PATIENCE: Duration = Duration::from_millis(800);
     let response = fleet
         .links
-        .ask(other, Request::Fetch { keys }, PATIENCE)
+        .call(other, Request::Fetch { keys }, PATIENCE)
         .await;
     if let Some(Response::Records(records)) = response {
         let changed = lock(&fleet.directory).merge(records, &VersionVector::new());
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -3,7 +3,7 @@
 
 use crate::counters::Event;
 use crate::fleet::Fleet;
-use crate::proxy::table::Table;
+use crate::proxy::backend_table::BackendTable;
 use crate::sync::lock;
 use crate::weights::Orders;
 use control::directory::BackendPhase;
@@ -17,13 +17,13 @@
 /// The page with all figures.
 pub struct MetricsPage {
     fleet: Arc<Fleet>,
-    table: Arc<Table>,
+    table: Arc<BackendTable>,
     orders: Option<Arc<Orders>>,
 }
 
 impl MetricsPage {
     /// The page of a router; a node with a replica may give orders.
-    pub fn new(fleet: Arc<Fleet>, table: Arc<Table>, orders: Option<Arc<Orders>>) -> Self {
+    pub fn new(fleet: Arc<Fleet>, table: Arc<BackendTable>, orders: Option<Arc<Orders>>) -> Self {
         MetricsPage {
             fleet,
             table,
--- a/router/src/protocol.rs
+++ b/router/src/protocol.rs
@@ -62,7 +62,7 @@
         /// Where the request would go if the prefix is kept nowhere.
         planned: Placement,
         /// Whether the prefix is worth saving at the store.
-        wants_save: bool,
+        should_save: bool,
     },
     /// Tells the owner of a prefix where a request goes; has no answer.
     Placed {
--- a/router/src/proxy.rs
+++ b/router/src/proxy.rs
@@ -1,20 +1,20 @@
 //! The data plane: requests of clients, sent on to backends.
 
-mod answer;
 pub mod attempt;
 pub mod backend;
+pub mod backend_table;
+pub mod cache_salt;
+pub mod cache_watcher;
 pub mod connection;
-pub mod events;
-pub mod exchange;
-pub mod fault_log;
+pub mod failure_log;
+pub mod forwarder;
 pub mod headers;
+pub mod in_flight;
 pub mod ingress;
-pub mod kept;
-pub mod known_weights;
-pub mod locator;
-pub mod pending;
-pub mod pick;
+pub mod kv_events;
+pub mod kv_store_monitor;
+pub mod observed_weights;
+pub mod prefix_locator;
 pub mod relay;
-pub mod salt;
-pub mod stores;
-pub mod table;
+mod response;
+pub mod selection;
--- a/router/src/proxy/backend.rs
+++ b/router/src/proxy/backend.rs
@@ -1,8 +1,8 @@
 //! A backend as this router sees it: what it was told of it, its load, and its connections.
 
 use super::connection::Connection;
-use super::fault_log::FaultLog;
-use super::known_weights::KnownWeights;
+use super::failure_log::FailureLog;
+use super::observed_weights::ObservedWeights;
 use crate::clock;
 use crate::sync::lock;
 use compact_str::CompactString;
@@ -16,19 +16,19 @@
 use std::time::Duration;
 
 /// Idle connections that are kept for a backend.
-const IDLE: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 /// A backend that could not be reached or broke off is avoided for this long, longer with each
 /// failure in a row.
-const AVOID: Millis = 400;
-const LONGEST_AVOID: Millis = 3_200;
+const BASE_BACKOFF: Millis = 400;
+const MAX_BACKOFF: Millis = 3_200;
 /// What a backend told of its load counts for this long.
-const LOAD_GOOD: Millis = 1_500;
+const LOAD_MAX_AGE: Millis = 1_500;
 /// An order that was not said to be done counts as under way for this long.
-const LOADING: Millis = 3_000;
+const LOADING_TIMEOUT: Millis = 3_000;
 
 /// A load that a backend told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
+pub struct ReportedLoad {
     /// Requests that it works on.
     pub running: u32,
     /// Requests that wait.
@@ -39,11 +39,11 @@
     pub at: Millis,
 }
 
-impl Told {
+impl ReportedLoad {
     /// Reads the header by which backends tell their load.
     pub fn read(text: &str, at: Millis) -> Option<Self> {
         let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
-        Some(Told {
+        Some(ReportedLoad {
             running: numbers.next()??,
             waiting: numbers.next()??,
             slots: numbers.next()??,
@@ -53,16 +53,16 @@
 }
 
 /// What changes about a backend.
-struct Live {
+struct State {
     phase: BackendPhase,
     unresponsive: bool,
     order: Option<(Order, Millis)>,
-    weights: KnownWeights,
+    weights: ObservedWeights,
     outstanding: u32,
-    unread_tokens: u64,
-    told: Option<Told>,
+    prefill_tokens: u64,
+    reported: Option<ReportedLoad>,
     failures: u32,
-    avoid_until: Millis,
+    backoff_until: Millis,
     suspicion: u64,
     suspected_until: Millis,
     idle: Vec<Connection>,
@@ -71,7 +71,7 @@
 /// What backends of one service share.
 #[derive(Debug, Default)]
 pub struct ServiceState {
-    trusted_rest: Mutex<IdleLimit>,
+    idle_limit: Mutex<IdleLimit>,
 }
 
 /// One incarnation of a backend.
@@ -87,8 +87,8 @@
     /// Requests that it works on at once.
     pub slots: u32,
     service_state: Arc<ServiceState>,
-    faults: Arc<FaultLog>,
-    live: Mutex<Live>,
+    faults: Arc<FailureLog>,
+    state: Mutex<State>,
 }
 
 /// A look at a backend's load.
@@ -97,33 +97,33 @@
     /// This router's requests there.
     pub outstanding: u32,
     /// Prompt tokens of this router's requests that it has not begun to answer.
-    pub unread_tokens: u64,
+    pub prefill_tokens: u64,
     /// What it told last, where that is not too old.
-    pub told: Option<Told>,
+    pub reported: Option<ReportedLoad>,
 }
 
 impl Load {
     /// Whether it has told lately that requests wait there.
-    pub fn says_that_requests_wait(&self) -> bool {
-        self.told.is_some_and(|told| told.waiting > 0)
+    pub fn has_queue(&self) -> bool {
+        self.reported.is_some_and(|reported| reported.waiting > 0)
     }
 
     /// Whether, as far as it has told, requests wait there or half of its slots are taken.
-    pub fn is_crowded(&self) -> bool {
-        self.told
-            .is_none_or(|told| told.waiting > 0 || 2 * told.running >= told.slots)
+    pub fn is_busy(&self) -> bool {
+        self.reported
+            .is_none_or(|reported| reported.waiting > 0 || 2 * reported.running >= reported.slots)
     }
 }
 
 /// Whether a backend may be sent requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fitness {
+pub enum Eligibility {
     /// It may.
-    Fit,
+    Eligible,
     /// Only where no other may.
-    Doubtful,
+    LastResort,
     /// It may not.
-    Unfit,
+    Ineligible,
 }
 
 impl Backend {
@@ -132,18 +132,18 @@
         id: CompactString,
         registered: &Registered,
         service_state: Arc<ServiceState>,
-        faults: Arc<FaultLog>,
+        faults: Arc<FailureLog>,
     ) -> Self {
-        let live = Live {
+        let state = State {
             phase: registered.phase,
             unresponsive: registered.unresponsive,
             order: None,
-            weights: KnownWeights::default(),
+            weights: ObservedWeights::default(),
             outstanding: 0,
-            unread_tokens: 0,
-            told: None,
+            prefill_tokens: 0,
+            reported: None,
             failures: 0,
-            avoid_until: 0,
+            backoff_until: 0,
             suspicion: 0,
             suspected_until: 0,
             idle: Vec::new(),
@@ -156,7 +156,7 @@
             slots: registered.slots,
             service_state,
             faults,
-            live: Mutex::new(live),
+            state: Mutex::new(state),
         }
     }
 
@@ -167,169 +167,173 @@
         order: Option<&Order>,
         suspicion: Option<Suspicion>,
     ) {
-        let mut live = lock(&self.live);
-        if let Some(suspicion) = suspicion.filter(|suspicion| suspicion.number > live.suspicion) {
-            live.suspicion = suspicion.number;
-            live.suspected_until = clock::now() + suspicion.lasts_ms;
+        let mut state = lock(&self.state);
+        if let Some(suspicion) = suspicion.filter(|suspicion| suspicion.number > state.suspicion) {
+            state.suspicion = suspicion.number;
+            state.suspected_until = clock::now() + suspicion.lasts_ms;
         }
-        live.phase = registered.phase;
-        live.unresponsive = registered.unresponsive;
-        live.weights.take_heartbeat(registered);
+        state.phase = registered.phase;
+        state.unresponsive = registered.unresponsive;
+        state.weights.observe_heartbeat(registered);
         if let Some(order) = order {
-            let news = live.order.as_ref().is_none_or(|(known, _)| known != order);
-            if news {
-                live.order = Some((order.clone(), clock::now()));
+            let updates = state.order.as_ref().is_none_or(|(known, _)| known != order);
+            if updates {
+                state.order = Some((order.clone(), clock::now()));
             }
-            live.weights.take_order(order);
+            state.weights.observe_order(order);
         }
-        if live.phase == BackendPhase::Gone {
-            live.idle.clear();
+        if state.phase == BackendPhase::Gone {
+            state.idle.clear();
         }
     }
 
     /// Whether it may be sent requests for a model, where these need one of at least some version.
-    pub fn fitness(&self, model: Option<(&str, Option<u64>)>) -> Fitness {
+    pub fn eligibility(&self, model: Option<(&str, Option<u64>)>) -> Eligibility {
         let now = clock::now();
-        let live = lock(&self.live);
-        if live.phase != BackendPhase::Ready {
-            return Fitness::Unfit;
+        let state = lock(&self.state);
+        if state.phase != BackendPhase::Ready {
+            return Eligibility::Ineligible;
         }
         if let Some((model, least)) = model {
-            if live.is_loading(model, now) || live.weights.is_refuted(model, now) {
-                return Fitness::Unfit;
+            if state.is_loading(model, now) || state.weights.is_refuted(model, now) {
+                return Eligibility::Ineligible;
             }
             if least.is_some_and(|least| {
-                live.weights
+                state
+                    .weights
                     .version(model)
                     .is_none_or(|version| version < least)
             }) {
-                return Fitness::Unfit;
+                return Eligibility::Ineligible;
             }
         }
-        if live.unresponsive || now < live.avoid_until {
-            Fitness::Doubtful
+        if state.unresponsive || now < state.backoff_until {
+            Eligibility::LastResort
         } else {
-            Fitness::Fit
+            Eligibility::Eligible
         }
     }
 
     /// Whether several routers have seen it fail requests lately.
     pub fn is_suspected(&self) -> bool {
-        clock::now() < lock(&self.live).suspected_until
+        clock::now() < lock(&self.state).suspected_until
     }
 
     /// The version of a model's weights that it has, as far as is known.
     pub fn version(&self, model: &str) -> Option<u64> {
-        lock(&self.live).weights.version(model)
+        lock(&self.state).weights.version(model)
     }
 
     /// The versions of weights that it has, as far as is known, by model.
     pub fn versions(&self) -> HashMap<CompactString, u64> {
-        lock(&self.live).weights.versions()
+        lock(&self.state).weights.versions()
     }
 
     /// An answer that was served told the version of a model's weights.
-    pub fn learn_version(&self, model: &str, version: u64) {
-        lock(&self.live).weights.take_answer(model, version);
+    pub fn observe_version(&self, model: &str, version: u64) {
+        lock(&self.state).weights.observe_response(model, version);
     }
 
     /// It turned a request away that expected a version of a model's weights, and may have told its
     /// own.
-    pub fn refuted_version(&self, model: &str, expected: u64, told: Option<u64>) {
-        lock(&self.live)
+    pub fn observe_version_mismatch(&self, model: &str, expected: u64, reported: Option<u64>) {
+        lock(&self.state)
             .weights
-            .was_turned_away(model, expected, told, clock::now());
+            .observe_rejection(model, expected, reported, clock::now());
     }
 
     /// A look at its load.
     pub fn load(&self) -> Load {
         let now = clock::now();
-        let live = lock(&self.live);
-        let told = live.told.filter(|told| now < told.at + LOAD_GOOD);
+        let state = lock(&self.state);
+        let reported = state
+            .reported
+            .filter(|reported| now < reported.at + LOAD_MAX_AGE);
         Load {
-            outstanding: live.outstanding,
-            unread_tokens: live.unread_tokens,
-            told,
+            outstanding: state.outstanding,
+            prefill_tokens: state.prefill_tokens,
+            reported,
         }
     }
 
     /// It told its load.
-    pub fn tell(&self, told: Told) {
-        lock(&self.live).told = Some(told);
+    pub fn record_load(&self, reported: ReportedLoad) {
+        lock(&self.state).reported = Some(reported);
     }
 
     /// A connection: an idle one, or a new one.
-    pub async fn connect(&self, patience: Duration, is_repeatable: bool) -> io::Result<Connection> {
-        if let Some(idle) = self.take_idle(is_repeatable, clock::now()) {
+    pub async fn connect(&self, timeout: Duration, is_retryable: bool) -> io::Result<Connection> {
+        if let Some(idle) = self.take_idle(is_retryable, clock::now()) {
             return Ok(idle);
         }
-        Connection::open(self.address, patience).await
+        Connection::open(self.address, timeout).await
     }
 
     /// An idle connection. Where the request may not be repeated, one that rested for too long to
     /// be trusted stays idle.
-    pub fn take_idle(&self, is_repeatable: bool, now: Millis) -> Option<Connection> {
-        let trusted = *lock(&self.service_state.trusted_rest);
-        let mut live = lock(&self.live);
-        live.idle.retain(|connection| !connection.is_closed());
-        let is_trusted =
-            |connection: &Connection| is_repeatable || trusted.allows(connection.rested(now), now);
-        let usable = |connection: &Connection| connection.is_usable(now) && is_trusted(connection);
-        let at = live.idle.iter().rposition(usable)?;
-        Some(live.idle.remove(at))
+    pub fn take_idle(&self, is_retryable: bool, now: Millis) -> Option<Connection> {
+        let idle_limit = *lock(&self.service_state.idle_limit);
+        let mut state = lock(&self.state);
+        state.idle.retain(|connection| !connection.is_closed());
+        let is_allowed = |connection: &Connection| {
+            is_retryable || idle_limit.allows(connection.idle_time(now), now)
+        };
+        let usable = |connection: &Connection| connection.is_usable(now) && is_allowed(connection);
+        let at = state.idle.iter().rposition(usable)?;
+        Some(state.idle.remove(at))
     }
 
     /// Keeps a connection for another request.
-    pub fn keep(&self, mut connection: Connection) {
-        let mut live = lock(&self.live);
-        if live.phase == BackendPhase::Ready && live.idle.len() < IDLE {
+    pub fn return_connection(&self, mut connection: Connection) {
+        let mut state = lock(&self.state);
+        if state.phase == BackendPhase::Ready && state.idle.len() < MAX_IDLE_CONNECTIONS {
             connection.idle_since = Some(clock::now());
-            live.idle.push(connection);
+            state.idle.push(connection);
         }
     }
 
     /// It could not be reached from here: this says nothing of others.
-    pub fn was_out_of_reach(&self) {
-        self.avoid();
+    pub fn record_unreachable(&self) {
+        self.back_off();
     }
 
     /// A request could not be brought to an answer by its fault.
-    pub fn failed(&self) {
-        self.avoid();
+    pub fn record_failure(&self) {
+        self.back_off();
         self.faults.note(&self.id);
     }
 
     /// A connection that had rested was reset as a request was sent on it.
-    pub fn forgot_connection(&self, rested: Millis) {
-        lock(&self.service_state.trusted_rest).record_stale(rested, clock::now());
-        lock(&self.live).idle.clear();
+    pub fn record_stale_connection(&self, idle_time: Millis) {
+        lock(&self.service_state.idle_limit).record_stale(idle_time, clock::now());
+        lock(&self.state).idle.clear();
     }
 
-    fn avoid(&self) {
+    fn back_off(&self) {
         let now = clock::now();
-        let mut live = lock(&self.live);
-        if now >= live.avoid_until {
-            let longer = AVOID << live.failures.min(3);
-            live.avoid_until = now + longer.min(LONGEST_AVOID);
-            live.failures += 1;
+        let mut state = lock(&self.state);
+        if now >= state.backoff_until {
+            let longer = BASE_BACKOFF << state.failures.min(3);
+            state.backoff_until = now + longer.min(MAX_BACKOFF);
+            state.failures += 1;
         }
-        live.idle.clear();
+        state.idle.clear();
     }
 
     /// A request was answered.
-    pub fn succeeded(&self) {
-        let mut live = lock(&self.live);
-        live.failures = 0;
-        live.avoid_until = 0;
+    pub fn record_success(&self) {
+        let mut state = lock(&self.state);
+        state.failures = 0;
+        state.backoff_until = 0;
     }
 }
 
-impl Live {
+impl State {
     fn is_loading(&self, model: &str, now: Millis) -> bool {
         self.order.as_ref().is_some_and(|(order, since)| {
             order.phase == OrderPhase::InProgress
                 && order.model == model
-                && now < since + LOADING
+                && now < since + LOADING_TIMEOUT
                 && self
                     .weights
                     .version(model)
@@ -339,34 +343,34 @@
 }
 
 /// Counts a request at a backend for as long as it lives.
-pub struct Outstanding {
+pub struct InFlightGuard {
     backend: Arc<Backend>,
-    unread_tokens: u64,
+    prefill_tokens: u64,
 }
 
-impl Outstanding {
+impl InFlightGuard {
     /// A request is about to be sent whose prompt takes so many tokens to read.
-    pub fn begin(backend: Arc<Backend>, unread_tokens: u64) -> Self {
-        let mut live = lock(&backend.live);
-        live.outstanding += 1;
-        live.unread_tokens += unread_tokens;
-        drop(live);
-        Outstanding {
+    pub fn begin(backend: Arc<Backend>, prefill_tokens: u64) -> Self {
+        let mut state = lock(&backend.state);
+        state.outstanding += 1;
+        state.prefill_tokens += prefill_tokens;
+        drop(state);
+        InFlightGuard {
             backend,
-            unread_tokens,
+            prefill_tokens,
         }
     }
 
     /// The backend has begun to answer: the prompt is read.
-    pub fn was_read(&mut self) {
-        lock(&self.backend.live).unread_tokens -= std::mem::take(&mut self.unread_tokens);
+    pub fn prefill_finished(&mut self) {
+        lock(&self.backend.state).prefill_tokens -= std::mem::take(&mut self.prefill_tokens);
     }
 }
 
-impl Drop for Outstanding {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut live = lock(&self.backend.live);
-        live.outstanding -= 1;
-        live.unread_tokens -= self.unread_tokens;
+        let mut state = lock(&self.backend.state);
+        state.outstanding -= 1;
+        state.prefill_tokens -= self.prefill_tokens;
     }
 }
--- a/router/src/proxy/table.rs
+++ b/router/src/proxy/backend_table.rs
@@ -1,7 +1,7 @@
 //! The backends that this router may send to, by service.
 
 use super::backend::{Backend, ServiceState};
-use super::fault_log::FaultLog;
+use super::failure_log::FailureLog;
 use crate::fleet::Fleet;
 use crate::sync::lock;
 use compact_str::CompactString;
@@ -14,14 +14,14 @@
 
 /// The table.
 #[derive(Default)]
-pub struct Table {
+pub struct BackendTable {
     services: Mutex<Arc<Services>>,
     known: Mutex<HashMap<CompactString, Arc<Backend>>>,
     service_states: Mutex<HashMap<CompactString, Arc<ServiceState>>>,
-    faults: Arc<FaultLog>,
+    faults: Arc<FailureLog>,
 }
 
-impl Table {
+impl BackendTable {
     /// The backends of a service.
     pub fn backends(&self, service: &str) -> Vec<Arc<Backend>> {
         let services = lock(&self.services).clone();
@@ -34,7 +34,7 @@
     }
 
     /// Faults that were seen and not told of yet.
-    pub fn faults(&self) -> Arc<FaultLog> {
+    pub fn faults(&self) -> Arc<FailureLog> {
         self.faults.clone()
     }
 
@@ -73,7 +73,7 @@
     }
 }
 
-impl Table {
+impl BackendTable {
     fn make(&self, id: &CompactString, registered: &Registered) -> Backend {
         let mut states = lock(&self.service_states);
         let state = states.entry(registered.service.clone()).or_default();
@@ -82,11 +82,11 @@
 }
 
 /// Keeps the table in step with the directory.
-pub async fn keep_in_step(table: Arc<Table>, fleet: Arc<Fleet>) {
-    let mut news = fleet.subscribe();
+pub async fn keep_synchronized(table: Arc<BackendTable>, fleet: Arc<Fleet>) {
+    let mut updates = fleet.subscribe();
     loop {
         table.refresh(&fleet);
-        if news.changed().await.is_err() {
+        if updates.changed().await.is_err() {
             return;
         }
     }
--- a/router/src/proxy/kept.rs
+++ b/router/src/proxy/cache_watcher.rs
@@ -1,8 +1,8 @@
 //! Reading what backends keep: each backend's events are read by one router of its zone, which
 //! tells the owners of prefixes what has given way.
 
-use super::events;
-use super::locator::Locator;
+use super::kv_events;
+use super::prefix_locator::PrefixLocator;
 use crate::fleet::Fleet;
 use crate::sync::lock;
 use compact_str::CompactString;
@@ -17,10 +17,10 @@
 /// Time between two looks at which backends this router reads.
 const LOOK: Duration = Duration::from_millis(1_000);
 /// Time between two tries at a backend that does not answer.
-const TRY_AGAIN: Duration = Duration::from_millis(1_000);
+const RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Keeps reading the backends that fall to this router.
-pub async fn keep_reading(fleet: Arc<Fleet>, locator: Arc<Locator>, client: reqwest::Client) {
+pub async fn run(fleet: Arc<Fleet>, locator: Arc<PrefixLocator>, client: reqwest::Client) {
     let mut tasks: BTreeMap<CompactString, JoinHandle<()>> = BTreeMap::new();
     let mut seen = None;
     loop {
@@ -74,19 +74,19 @@
 }
 
 async fn read(
-    locator: Arc<Locator>,
+    locator: Arc<PrefixLocator>,
     id: CompactString,
     address: SocketAddrV4,
     client: reqwest::Client,
 ) {
     loop {
-        let ended = events::follow(address, &client, |_, events| {
-            locator.tell_evicted(&id, &events)
+        let ended = kv_events::follow(address, &client, |_, events| {
+            locator.notify_evictions(&id, &events)
         })
         .await;
         if let Err(problem) = ended {
             log::debug!("events of backend {id}: {problem}");
         }
-        tokio::time::sleep(TRY_AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/router/src/proxy/connection.rs
+++ b/router/src/proxy/connection.rs
@@ -19,7 +19,6 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
-use tokio::time::timeout;
 
 /// Why a request got no answer on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,16 +26,16 @@
     /// No byte of it was written: it has not run.
     NotWritten,
     /// It may have run.
-    MayHaveRun,
+    MayHaveExecuted,
 }
 
 /// A socket that counts what was written.
-struct Counting {
+struct CountingStream {
     stream: TcpStream,
     written: Arc<AtomicU64>,
 }
 
-impl AsyncRead for Counting {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -46,7 +45,7 @@
     }
 }
 
-impl AsyncWrite for Counting {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -89,16 +88,16 @@
 
 impl Connection {
     /// Connects to a backend.
-    pub async fn open(address: SocketAddrV4, patience: Duration) -> io::Result<Self> {
+    pub async fn open(address: SocketAddrV4, timeout: Duration) -> io::Result<Self> {
         let late = || io::Error::from(io::ErrorKind::TimedOut);
-        let stream = timeout(patience, TcpStream::connect(address))
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
             .await
             .map_err(|_| late())??;
         socket::configure(&stream)?;
         // A close would have the system send on what it still holds, for as long as that takes.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         let written = Arc::new(AtomicU64::new(0));
-        let counting = Counting {
+        let counting = CountingStream {
             stream,
             written: written.clone(),
         };
@@ -106,10 +105,10 @@
             .await
             .map_err(io::Error::other)?;
         let broken = Arc::new(AtomicBool::new(false));
-        let breaks = broken.clone();
+        let broken_flag = broken.clone();
         let task = tokio::spawn(async move {
             if let Err(problem) = connection.await {
-                breaks.store(true, Ordering::Relaxed);
+                broken_flag.store(true, Ordering::Relaxed);
                 log::debug!("a connection to a backend ended: {problem}");
             }
         });
@@ -129,7 +128,7 @@
     }
 
     /// How long it has been idle.
-    pub fn rested(&self, now: Millis) -> Millis {
+    pub fn idle_time(&self, now: Millis) -> Millis {
         self.idle_since.map_or(0, |since| now.saturating_sub(since))
     }
 
@@ -158,14 +157,14 @@
                 Err(if unsent || !wrote {
                     Failure::NotWritten
                 } else {
-                    Failure::MayHaveRun
+                    Failure::MayHaveExecuted
                 })
             }
         }
     }
 
     /// Waits until it can take another request. False where it ends instead.
-    pub async fn becomes_ready(&mut self) -> bool {
+    pub async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 }
--- a/router/src/proxy/fault_log.rs
+++ b/router/src/proxy/failure_log.rs
@@ -13,12 +13,12 @@
 
 /// The faults by backend.
 #[derive(Debug, Default)]
-pub struct FaultLog {
+pub struct FailureLog {
     faults: Mutex<BTreeMap<CompactString, u32>>,
     changed: Notify,
 }
 
-impl FaultLog {
+impl FailureLog {
     /// Notes a fault.
     pub fn note(&self, backend: &CompactString) {
         *lock(&self.faults).entry(backend.clone()).or_default() += 1;
@@ -32,7 +32,7 @@
 }
 
 /// Tells the nodes that judge backends of what is noted, as long as the router runs.
-pub async fn keep_telling(log: Arc<FaultLog>, fleet: Arc<Fleet>) {
+pub async fn run(log: Arc<FailureLog>, fleet: Arc<Fleet>) {
     loop {
         log.changed.notified().await;
         tokio::time::sleep(GATHER).await;
--- a/router/src/proxy/ingress.rs
+++ b/router/src/proxy/ingress.rs
@@ -1,7 +1,7 @@
 //! Requests of clients: finding the route, checking the key, and wording the answer.
 
-use super::attempt::{Begun, Call, Content};
-use super::exchange::{Exchanges, GivenUp, Job, Tries};
+use super::attempt::{ResponseBody, ResponseStart, UpstreamRequest};
+use super::forwarder::{AttemptHistory, ForwardError, ForwardRequest, Forwarder};
 use super::headers;
 use super::relay::Relay;
 use crate::counters::Event;
@@ -22,38 +22,38 @@
 use tokio::time::Instant;
 
 /// Where a client names no deadline.
-const USUAL_DEADLINE_MS: u64 = 30_000;
+const DEFAULT_DEADLINE_MS: u64 = 30_000;
 /// The answer goes out so long before the client stops waiting.
-const ANSWER_MARGIN: Duration = Duration::from_millis(20);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
 /// Advice to clients while this router can't take anything.
 const NOT_READY_RETRY_AFTER: &str = "0.3";
 /// Ranks that one rank of a tenant stands above one of a route.
-const ROUTE_RANKS: u8 = 3;
+const RANKS_PER_TENANT_PRIORITY: u8 = 3;
 /// The lowest rank at a backend.
-const LOWEST_RANK: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 
 /// The interface for clients.
 pub struct Ingress {
-    exchanges: Arc<Exchanges>,
+    forwarder: Arc<Forwarder>,
     connections: ClientConnections,
 }
 
 /// Why a request is not sent on.
-struct Refused {
+struct Rejection {
     status: StatusCode,
     retry_after: Option<String>,
 }
 
-impl Refused {
+impl Rejection {
     fn with(status: StatusCode) -> Self {
-        Refused {
+        Rejection {
             status,
             retry_after: None,
         }
     }
 
-    fn for_now(seconds: &str) -> Self {
-        Refused {
+    fn unavailable(seconds: &str) -> Self {
+        Rejection {
             status: StatusCode::SERVICE_UNAVAILABLE,
             retry_after: Some(seconds.to_owned()),
         }
@@ -62,32 +62,32 @@
 
 impl Ingress {
     /// The interface for clients.
-    pub fn new(exchanges: Arc<Exchanges>, connections: ClientConnections) -> Self {
+    pub fn new(forwarder: Arc<Forwarder>, connections: ClientConnections) -> Self {
         Ingress {
-            exchanges,
+            forwarder,
             connections,
         }
     }
 
     async fn handle(&self, request: Request) -> Response {
-        self.exchanges.count(Event::RequestBegun);
+        self.forwarder.count(Event::RequestReceived);
         let connection = self.connections.of(request.remote_addr().as_socket_addr());
         // The server library goes on with a request whose client has closed the connection, so this
         // is what ends it: all that waits or works for it is dropped here, and sends to backends
         // end with it.
-        let served = tokio::select! {
+        let outcome = tokio::select! {
             biased;
             () = connection.ended() => {
-                self.exchanges.count(Event::ClientLeftWaiting);
-                return nobody_reads_this();
+                self.forwarder.count(Event::DisconnectedWaiting);
+                return undeliverable_response();
             }
-            served = self.serve(request, &connection) => served,
+            outcome = self.serve(request, &connection) => outcome,
         };
-        let mut response = match served {
+        let mut response = match outcome {
             Ok(response) => response,
-            Err(refused) => word(&refused),
+            Err(rejection) => rejection_response(&rejection),
         };
-        if self.exchanges.fleet.is_leaving() {
+        if self.forwarder.fleet.is_leaving() {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -99,36 +99,38 @@
         &self,
         mut request: Request,
         connection: &ClientConnection,
-    ) -> std::result::Result<Response, Refused> {
+    ) -> std::result::Result<Response, Rejection> {
         let arrived = Instant::now();
         let configuration = self
             .configuration()
-            .ok_or_else(|| Refused::for_now(NOT_READY_RETRY_AFTER))?;
+            .ok_or_else(|| Rejection::unavailable(NOT_READY_RETRY_AFTER))?;
         let host = host_of(&request);
         let route = configuration.route(&host, request.uri().path());
-        let route = route.ok_or_else(|| Refused::with(StatusCode::NOT_FOUND))?;
+        let route = route.ok_or_else(|| Rejection::with(StatusCode::NOT_FOUND))?;
         let key = headers::bearer(request.headers());
         let tenant = match configuration.access(route, key) {
             Access::Tenant(tenant) => Some(tenant),
             Access::Open => None,
-            Access::Denied => return Err(Refused::with(StatusCode::UNAUTHORIZED)),
+            Access::Denied => return Err(Rejection::with(StatusCode::UNAUTHORIZED)),
         };
-        let longest = configuration.limits.max_body_bytes as usize;
-        let body = read_body(&mut request, longest).await?;
-        let job = self.job(&configuration, route, tenant, request, body, arrived)?;
-        match self.exchanges.run(&job).await {
-            Ok((begun, tries)) => Ok(self.answer(job, begun, tries, connection.clone())),
-            Err(given_up) => Err(self.refuse(given_up)),
+        let max_bytes = configuration.limits.max_body_bytes as usize;
+        let body = read_body(&mut request, max_bytes).await?;
+        let request = self.request(&configuration, route, tenant, request, body, arrived)?;
+        match self.forwarder.run(&request).await {
+            Ok((response, history)) => {
+                Ok(self.answer(request, response, history, connection.clone()))
+            }
+            Err(error) => Err(self.refuse(error)),
         }
     }
 
     fn configuration(&self) -> Option<Arc<Configuration>> {
-        lock(&self.exchanges.fleet.published)
+        lock(&self.forwarder.fleet.published)
             .configuration()
             .cloned()
     }
 
-    fn job(
+    fn request(
         &self,
         configuration: &Configuration,
         route: &Route,
@@ -136,35 +138,36 @@
         request: Request,
         body: Bytes,
         arrived: Instant,
-    ) -> std::result::Result<Job, Refused> {
+    ) -> std::result::Result<ForwardRequest, Rejection> {
         let weights: Vec<u64> = route.split.iter().map(|(_, weight)| *weight).collect();
         let chosen = choose_weighted(&weights, &mut fastrand::Rng::new());
         let (service, _) = chosen
             .and_then(|at| route.split.get(at))
-            .ok_or_else(|| Refused::with(StatusCode::INTERNAL_SERVER_ERROR))?;
-        let patience =
-            headers::number(request.headers(), &headers::DEADLINE_MS).unwrap_or(USUAL_DEADLINE_MS);
-        let deadline = arrived + Duration::from_millis(patience);
-        let until = deadline.min(arrived + Duration::from_millis(route.timeout_ms)) - ANSWER_MARGIN;
-        let call = call_of(request, body, configuration, route, tenant, deadline)
-            .ok_or_else(|| Refused::with(StatusCode::BAD_REQUEST))?;
-        Ok(Job {
-            call: Arc::new(call),
+            .ok_or_else(|| Rejection::with(StatusCode::INTERNAL_SERVER_ERROR))?;
+        let timeout = headers::number(request.headers(), &headers::DEADLINE_MS)
+            .unwrap_or(DEFAULT_DEADLINE_MS);
+        let deadline = arrived + Duration::from_millis(timeout);
+        let until =
+            deadline.min(arrived + Duration::from_millis(route.timeout_ms)) - RESPONSE_MARGIN;
+        let upstream_request = call_of(request, body, configuration, route, tenant, deadline)
+            .ok_or_else(|| Rejection::with(StatusCode::BAD_REQUEST))?;
+        Ok(ForwardRequest {
+            upstream_request: Arc::new(upstream_request),
             route: Arc::new(route.clone()),
             service: service.clone(),
             until,
         })
     }
 
-    fn refuse(&self, given_up: GivenUp) -> Refused {
-        match given_up {
-            GivenUp::NotRun { retry_after } => {
-                self.exchanges.count(Event::RefusedUnrun);
-                Refused::for_now(&format!("{retry_after:.2}"))
+    fn refuse(&self, error: ForwardError) -> Rejection {
+        match error {
+            ForwardError::NotExecuted { retry_after } => {
+                self.forwarder.count(Event::RejectedNotExecuted);
+                Rejection::unavailable(&format!("{retry_after:.2}"))
             }
-            GivenUp::MayHaveRun { late } => {
-                self.exchanges.count(Event::GivenUp);
-                Refused::with(if late {
+            ForwardError::MayHaveExecuted { timed_out } => {
+                self.forwarder.count(Event::GivenUp);
+                Rejection::with(if timed_out {
                     StatusCode::GATEWAY_TIMEOUT
                 } else {
                     StatusCode::BAD_GATEWAY
@@ -175,30 +178,30 @@
 
     fn answer(
         &self,
-        job: Job,
-        begun: Begun,
-        tries: Tries,
+        request: ForwardRequest,
+        response: ResponseStart,
+        history: AttemptHistory,
         connection: ClientConnection,
     ) -> Response {
-        self.exchanges.count(Event::AnswerBegun);
-        let Begun {
+        self.forwarder.count(Event::ResponseStarted);
+        let ResponseStart {
             mut head,
             status,
             content,
             backend,
             ..
-        } = begun;
+        } = response;
         headers::remove_hop_by_hop(&mut head);
         let body = match content {
-            Content::Whole(bytes) => {
+            ResponseBody::Buffered(bytes) => {
                 head.remove(CONTENT_LENGTH);
                 Body::from_bytes(bytes)
             }
-            Content::Events(events) => {
+            ResponseBody::Stream(events) => {
                 let relay = Relay::new(
-                    self.exchanges.clone(),
-                    job,
-                    tries,
+                    self.forwarder.clone(),
+                    request,
+                    history,
                     backend,
                     events,
                     connection,
@@ -221,13 +224,13 @@
 }
 
 /// The server library wants an answer still; on a connection that has ended it is not written.
-fn nobody_reads_this() -> Response {
+fn undeliverable_response() -> Response {
     Response::builder().status(StatusCode::BAD_GATEWAY).finish()
 }
 
-fn word(refused: &Refused) -> Response {
-    let mut response = Response::builder().status(refused.status).finish();
-    if let Some(value) = refused
+fn rejection_response(rejection: &Rejection) -> Response {
+    let mut response = Response::builder().status(rejection.status).finish();
+    if let Some(value) = rejection
         .retry_after
         .as_deref()
         .and_then(|text| HeaderValue::from_str(text).ok())
@@ -249,17 +252,20 @@
         .into()
 }
 
-async fn read_body(request: &mut Request, longest: usize) -> std::result::Result<Bytes, Refused> {
-    let told = headers::number(request.headers(), &CONTENT_LENGTH);
-    if told.is_some_and(|length| length > longest as u64) {
-        return Err(Refused::with(StatusCode::PAYLOAD_TOO_LARGE));
+async fn read_body(
+    request: &mut Request,
+    max_bytes: usize,
+) -> std::result::Result<Bytes, Rejection> {
+    let reported = headers::number(request.headers(), &CONTENT_LENGTH);
+    if reported.is_some_and(|length| length > max_bytes as u64) {
+        return Err(Rejection::with(StatusCode::PAYLOAD_TOO_LARGE));
     }
-    match request.take_body().into_bytes_limit(longest).await {
+    match request.take_body().into_bytes_limit(max_bytes).await {
         Ok(body) => Ok(body),
         Err(poem::error::ReadBodyError::PayloadTooLarge) => {
-            Err(Refused::with(StatusCode::PAYLOAD_TOO_LARGE))
+            Err(Rejection::with(StatusCode::PAYLOAD_TOO_LARGE))
         }
-        Err(_) => Err(Refused::with(StatusCode::BAD_REQUEST)),
+        Err(_) => Err(Rejection::with(StatusCode::BAD_REQUEST)),
     }
 }
 
@@ -270,7 +276,7 @@
     route: &Route,
     tenant: Option<&Tenant>,
     deadline: Instant,
-) -> Option<Call> {
+) -> Option<UpstreamRequest> {
     let mut sent: HeaderMap = request.headers().clone();
     headers::remove_hop_by_hop(&mut sent);
     headers::remove_router_only(&mut sent);
@@ -286,12 +292,12 @@
         headers::text(&sent, &headers::TOKENS),
     );
     if prompt.is_some() {
-        let tenant_rank = tenant.map_or(0, |tenant| tenant.priority);
-        let rank = tenant_rank
-            .saturating_mul(ROUTE_RANKS)
+        let tenant_priority = tenant.map_or(0, |tenant| tenant.priority);
+        let priority = tenant_priority
+            .saturating_mul(RANKS_PER_TENANT_PRIORITY)
             .saturating_add(route.priority)
-            .min(LOWEST_RANK);
-        headers::set(&mut sent, headers::PRIORITY, &rank.to_string());
+            .min(LOWEST_PRIORITY);
+        headers::set(&mut sent, headers::PRIORITY, &priority.to_string());
     }
     let uri = request
         .uri()
@@ -299,7 +305,7 @@
         .map_or("/", |path| path.as_str())
         .parse()
         .ok()?;
-    Some(Call {
+    Some(UpstreamRequest {
         method: request.method().clone(),
         uri,
         headers: sent,
@@ -307,15 +313,15 @@
         request_id,
         deadline,
         prompt,
-        wall: wall(configuration, tenant),
+        cache_namespace: cache_namespace(configuration, tenant),
         streaming: route.kind == Kind::Streaming,
-        is_repeatable: route.is_idempotent() && route.attempts > 1,
+        is_retryable: route.is_idempotent() && route.attempts > 1,
     })
 }
 
 /// The wall around a tenant's parts. What is shared is shared under a text that names who is
 /// isolated, so that parts made before a tenant was isolated are not found after.
-fn wall(configuration: &Configuration, tenant: Option<&Tenant>) -> CompactString {
+fn cache_namespace(configuration: &Configuration, tenant: Option<&Tenant>) -> CompactString {
     if let Some(tenant) = tenant.filter(|tenant| tenant.isolated) {
         return compact_str::format_compact!("t{}-", tenant.name);
     }
--- a/router/src/proxy/events.rs
+++ b/router/src/proxy/kv_events.rs
@@ -1,6 +1,6 @@
 //! Reading the events by which backends and stores tell what they keep.
 
-use super::salt::Salt;
+use super::cache_salt::CacheSalt;
 use compact_str::CompactString;
 use routing::prefix_index::PrefixKey;
 use serde::Deserialize;
@@ -9,11 +9,11 @@
 use thiserror::Error;
 
 /// How long a call for events may be held.
-const EVENTS_WAIT: Duration = Duration::from_millis(1_000);
+const LONG_POLL_WAIT: Duration = Duration::from_millis(1_000);
 /// Patience beyond the time that a call may be held.
-const CALL_PATIENCE: Duration = Duration::from_millis(600);
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Events that come one by one are taken together after this.
-const EVENTS_PAUSE: Duration = Duration::from_millis(250);
+const BATCH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Why a reading has ended.
 #[derive(Debug, Error)]
@@ -28,7 +28,7 @@
     },
     /// The answer is none that the protocol knows.
     #[error("{address} answers with {status}; it is tried again")]
-    Refused {
+    Rejection {
         /// The backend or store.
         address: SocketAddrV4,
         /// The status.
@@ -62,13 +62,13 @@
 
 /// What has become of a part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeptEvent {
+pub struct KvEvent {
     /// The prefix that ends with the part.
     pub key: PrefixKey,
     /// The version of the weights.
     pub version: u64,
     /// Whether it is kept now.
-    pub kept: bool,
+    pub is_cached: bool,
 }
 
 /// Reads events for as long as they come. `heard` is told the life of whoever sends them with each
@@ -76,7 +76,7 @@
 pub async fn follow(
     address: SocketAddrV4,
     client: &reqwest::Client,
-    heard: impl Fn(u64, Vec<KeptEvent>),
+    heard: impl Fn(u64, Vec<KvEvent>),
 ) -> Result<(), ReadingError> {
     let (mut since, mut epoch) = (0, None);
     loop {
@@ -94,18 +94,18 @@
             .events
             .iter()
             .filter_map(|(_, sign, salt, part, tokens, model)| {
-                let salt = Salt::read(salt)?;
-                let key = PrefixKey::of_segment(salt.wall, model, part);
+                let salt = CacheSalt::read(salt)?;
+                let key = PrefixKey::of_segment(salt.cache_namespace, model, part);
                 // What is left of a part that gives way in pieces is told with its removal, and is
                 // of no use.
-                Some(KeptEvent {
+                Some(KvEvent {
                     key,
                     version: salt.version,
-                    kept: sign == "+" && *tokens > 0,
+                    is_cached: sign == "+" && *tokens > 0,
                 })
             });
         heard(page.epoch, events.collect());
-        tokio::time::sleep(EVENTS_PAUSE).await;
+        tokio::time::sleep(BATCH_INTERVAL).await;
     }
 }
 
@@ -116,15 +116,15 @@
 ) -> Result<Page, ReadingError> {
     let unreachable = |problem| ReadingError::Unreachable { address, problem };
     let url = format!("http://{address}/v1/kv-events?since={since}");
-    let wait = EVENTS_WAIT.as_millis().to_string();
+    let wait = LONG_POLL_WAIT.as_millis().to_string();
     let call = client
         .get(url)
         .header("wait-ms", wait)
-        .timeout(EVENTS_WAIT + CALL_PATIENCE);
+        .timeout(LONG_POLL_WAIT + CALL_TIMEOUT);
     let answer = call.send().await.map_err(unreachable)?;
     let status = answer.status();
     if !status.is_success() {
-        return Err(ReadingError::Refused {
+        return Err(ReadingError::Rejection {
             address,
             status: status.as_u16(),
         });
--- a/router/src/proxy/stores.rs
+++ b/router/src/proxy/kv_store_monitor.rs
@@ -1,8 +1,8 @@
 //! Stores of kept prompts: whether each answers, as the router of the zone that reads its events
 //! tells.
 
-use super::events::{self, KeptEvent};
-use super::locator::Locator;
+use super::kv_events::{self, KvEvent};
+use super::prefix_locator::PrefixLocator;
 use crate::fleet::Fleet;
 use crate::protocol::{Request, Response};
 use crate::sync::lock;
@@ -17,13 +17,13 @@
 use tokio::task::JoinHandle;
 
 /// Part of the calls that a store holds which routers use.
-const READERS_SHARE: f64 = 0.75;
+const READER_CALL_RATIO: f64 = 0.75;
 /// Time between two tries at a store that does not answer.
-const TRY_AGAIN: Duration = Duration::from_millis(300);
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between two questions to the router of the zone that reads a store.
-const STATUS_PAUSE: Duration = Duration::from_millis(500);
+const STATUS_INTERVAL: Duration = Duration::from_millis(500);
 /// Patience for that router's answer.
-const STATUS_PATIENCE: Duration = Duration::from_millis(600);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(600);
 
 fn place(thing: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
@@ -33,23 +33,23 @@
 
 /// How this router hears of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Way {
+enum Source {
     /// It reads the store's events.
-    Reads,
+    Events,
     /// It asks the router of its zone that does.
-    Asks,
+    Peer,
 }
 
 /// Keeps an eye on the stores of the configuration.
-pub async fn keep_watch(fleet: Arc<Fleet>, locator: Arc<Locator>, client: reqwest::Client) {
-    let mut news = fleet.subscribe();
-    let mut tasks: BTreeMap<(SocketAddrV4, Way), JoinHandle<()>> = BTreeMap::new();
+pub async fn run(fleet: Arc<Fleet>, locator: Arc<PrefixLocator>, client: reqwest::Client) {
+    let mut updates = fleet.subscribe();
+    let mut tasks: BTreeMap<(SocketAddrV4, Source), JoinHandle<()>> = BTreeMap::new();
     loop {
         let configured = configured(&fleet);
-        fleet.stores.resettle(&configured);
-        let wanted: BTreeMap<(SocketAddrV4, Way), KvStore> = configured
+        fleet.stores.reconfigure(&configured);
+        let wanted: BTreeMap<(SocketAddrV4, Source), KvStore> = configured
             .into_values()
-            .map(|store| ((store.address, way_to(&fleet, &store)), store))
+            .map(|store| ((store.address, source_of(&fleet, &store)), store))
             .collect();
         tasks.retain(|key, task| {
             let is_wanted = wanted.contains_key(key);
@@ -58,18 +58,20 @@
             }
             is_wanted
         });
-        for ((address, way), store) in wanted {
-            tasks.entry((address, way)).or_insert_with(|| match way {
-                Way::Reads => tokio::spawn(read(
-                    fleet.clone(),
-                    locator.clone(),
-                    address,
-                    client.clone(),
-                )),
-                Way::Asks => tokio::spawn(ask(fleet.clone(), store)),
-            });
+        for ((address, source), store) in wanted {
+            tasks
+                .entry((address, source))
+                .or_insert_with(|| match source {
+                    Source::Events => tokio::spawn(read(
+                        fleet.clone(),
+                        locator.clone(),
+                        address,
+                        client.clone(),
+                    )),
+                    Source::Peer => tokio::spawn(ask(fleet.clone(), store)),
+                });
         }
-        if news.changed().await.is_err() {
+        if updates.changed().await.is_err() {
             return;
         }
     }
@@ -87,7 +89,7 @@
 
 /// The routers that read a store: one in each zone, as far as the store holds so many calls.
 fn readers(fleet: &Fleet, store: &KvStore) -> BTreeMap<CompactString, (CompactString, Member)> {
-    let most = (f64::from(store.max_concurrent) * READERS_SHARE) as usize;
+    let most = (f64::from(store.max_concurrent) * READER_CALL_RATIO) as usize;
     let directory = lock(&fleet.directory);
     let mut first: BTreeMap<CompactString, (CompactString, Member)> = BTreeMap::new();
     for (name, member) in directory
@@ -104,11 +106,11 @@
     first.into_iter().take(most).collect()
 }
 
-fn way_to(fleet: &Fleet, store: &KvStore) -> Way {
+fn source_of(fleet: &Fleet, store: &KvStore) -> Source {
     let reads = readers(fleet, store)
         .values()
         .any(|(name, _)| *name == fleet.settings.node_name);
-    if reads { Way::Reads } else { Way::Asks }
+    if reads { Source::Events } else { Source::Peer }
 }
 
 /// Asks the router that reads a store whether it answers, for as long as it is wanted.
@@ -124,13 +126,13 @@
             };
             let asked = fleet
                 .links
-                .ask(reader.internal, request, STATUS_PATIENCE)
+                .call(reader.internal, request, STATUS_TIMEOUT)
                 .await;
             if let Some(Response::StoreStatus(Some(status))) = asked {
-                fleet.stores.take_status(store.address, status);
+                fleet.stores.apply_status(store.address, status);
             }
         }
-        tokio::time::sleep(STATUS_PAUSE).await;
+        tokio::time::sleep(STATUS_INTERVAL).await;
     }
 }
 
@@ -138,18 +140,18 @@
 /// given way.
 async fn read(
     fleet: Arc<Fleet>,
-    locator: Arc<Locator>,
+    locator: Arc<PrefixLocator>,
     address: SocketAddrV4,
     client: reqwest::Client,
 ) {
     loop {
-        let heard = |generation: u64, events: Vec<KeptEvent>| {
-            fleet.stores.answers(address, generation);
-            locator.tell_evicted_from_store(&events);
+        let heard = |generation: u64, events: Vec<KvEvent>| {
+            fleet.stores.mark_available(address, generation);
+            locator.notify_store_evictions(&events);
         };
-        if events::follow(address, &client, heard).await.is_err() {
-            fleet.stores.is_unresponsive(address);
+        if kv_events::follow(address, &client, heard).await.is_err() {
+            fleet.stores.mark_unresponsive(address);
         }
-        tokio::time::sleep(TRY_AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/router/src/proxy/known_weights.rs
+++ b/router/src/proxy/observed_weights.rs
@@ -15,14 +15,14 @@
 const REFUTED_FOR: Millis = 1_500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Known {
+struct ObservedVersion {
     version: u64,
     refuted_at: Option<Millis>,
 }
 
-impl Known {
-    fn told(version: u64) -> Self {
-        Known {
+impl ObservedVersion {
+    fn reported(version: u64) -> Self {
+        ObservedVersion {
             version,
             refuted_at: None,
         }
@@ -31,15 +31,15 @@
 
 /// What is known of one backend's weights.
 #[derive(Debug, Clone, Default)]
-pub struct KnownWeights {
-    by_model: HashMap<CompactString, Known>,
+pub struct ObservedWeights {
+    by_model: HashMap<CompactString, ObservedVersion>,
     heartbeat: Option<u64>,
     done: Option<(u64, u64)>,
 }
 
-impl KnownWeights {
+impl ObservedWeights {
     /// Takes what the last heartbeat that is known told.
-    pub fn take_heartbeat(&mut self, registered: &Backend) {
+    pub fn observe_heartbeat(&mut self, registered: &Backend) {
         if self
             .heartbeat
             .is_some_and(|heartbeat| registered.sequence <= heartbeat)
@@ -48,40 +48,51 @@
         }
         self.heartbeat = Some(registered.sequence);
         for (model, version) in &registered.models {
-            self.by_model.insert(model.clone(), Known::told(*version));
+            self.by_model
+                .insert(model.clone(), ObservedVersion::reported(*version));
         }
     }
 
     /// Takes the last order that is known. Orders only raise versions.
-    pub fn take_order(&mut self, order: &Order) {
-        let rank = (order.fencing_token, order.number);
-        if order.phase != OrderPhase::Done || self.done.is_some_and(|done| rank <= done) {
+    pub fn observe_order(&mut self, order: &Order) {
+        let priority = (order.fencing_token, order.number);
+        if order.phase != OrderPhase::Done || self.done.is_some_and(|done| priority <= done) {
             return;
         }
-        self.done = Some(rank);
+        self.done = Some(priority);
         if self
             .version(&order.model)
             .is_none_or(|version| version <= order.version)
         {
-            self.by_model
-                .insert(order.model.clone(), Known::told(order.version));
+            self.by_model.insert(
+                order.model.clone(),
+                ObservedVersion::reported(order.version),
+            );
         }
     }
 
     /// An answer that was served told the version.
-    pub fn take_answer(&mut self, model: &str, version: u64) {
+    pub fn observe_response(&mut self, model: &str, version: u64) {
         if self.version(model).is_none_or(|known| known < version) {
-            self.by_model.insert(model.into(), Known::told(version));
+            self.by_model
+                .insert(model.into(), ObservedVersion::reported(version));
         }
     }
 
     /// A request was turned away that expected a version. The answer may tell which one there is
     /// instead.
-    pub fn was_turned_away(&mut self, model: &str, expected: u64, told: Option<u64>, now: Millis) {
-        let told = told.filter(|told| *told != expected);
-        match (self.by_model.get_mut(model), told) {
-            (_, Some(told)) => {
-                self.by_model.insert(model.into(), Known::told(told));
+    pub fn observe_rejection(
+        &mut self,
+        model: &str,
+        expected: u64,
+        reported: Option<u64>,
+        now: Millis,
+    ) {
+        let reported = reported.filter(|reported| *reported != expected);
+        match (self.by_model.get_mut(model), reported) {
+            (_, Some(reported)) => {
+                self.by_model
+                    .insert(model.into(), ObservedVersion::reported(reported));
             }
             (Some(known), None) if known.version == expected => known.refuted_at = Some(now),
             _ => {}
--- a/router/src/proxy/locator.rs
+++ b/router/src/proxy/prefix_locator.rs
@@ -1,10 +1,10 @@
 //! Asking the owner of a prompt's shared start where it is kept, and answering as an owner.
 
-use super::events::KeptEvent;
+use super::kv_events::KvEvent;
 
 use crate::clock;
-use crate::fleet::{Fleet, Question};
-use crate::kv_stores::AnsweringStore;
+use crate::fleet::{Fleet, PrefixLookup};
+use crate::kv_stores::AvailableStore;
 use crate::protocol::{Request, Response};
 use crate::sync::lock;
 use compact_str::CompactString;
@@ -18,9 +18,9 @@
 use std::time::Duration;
 
 /// Patience for an owner's answer: a small part of what reading a prefix again takes.
-const PATIENCE: Duration = Duration::from_millis(12);
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(12);
 /// An owner that did not answer in time is not asked for this long.
-const AVOID: Millis = 400;
+const BASE_BACKOFF: Millis = 400;
 /// The ring of owners is made anew at most so often.
 const REFRESH: Millis = 200;
 
@@ -39,16 +39,16 @@
 }
 
 /// Finds owners and asks them.
-pub struct Locator {
+pub struct PrefixLocator {
     fleet: Arc<Fleet>,
     ring: Mutex<Ring>,
     avoided: Mutex<HashMap<SocketAddrV4, Millis>>,
 }
 
-impl Locator {
+impl PrefixLocator {
     /// Knows nobody yet.
     pub fn new(fleet: Arc<Fleet>) -> Arc<Self> {
-        Arc::new(Locator {
+        Arc::new(PrefixLocator {
             fleet,
             ring: Mutex::default(),
             avoided: Mutex::default(),
@@ -87,11 +87,11 @@
     }
 
     /// Where a prefix is kept; none where its owner does not tell in time.
-    pub async fn locate(&self, question: Question) -> Option<PrefixLocation> {
+    pub async fn look_up(&self, lookup: PrefixLookup) -> Option<PrefixLocation> {
         let owners = self.owners();
-        let address = owners.owner(question.key.0)?.address;
+        let address = owners.owner(lookup.key.0)?.address;
         if self.is_own(address) {
-            return Some(self.fleet.locate(&question));
+            return Some(self.fleet.look_up_prefix(&lookup));
         }
         if lock(&self.avoided)
             .get(&address)
@@ -99,32 +99,37 @@
         {
             return None;
         }
-        let Question {
+        let PrefixLookup {
             key,
             planned,
-            wants_save,
-        } = question;
+            should_save,
+        } = lookup;
         let request = Request::Locate {
             key,
             planned,
-            wants_save,
+            should_save,
         };
-        match self.fleet.links.ask(address, request, PATIENCE).await {
-            Some(Response::Located(located)) => Some(located),
+        match self
+            .fleet
+            .links
+            .call(address, request, LOOKUP_TIMEOUT)
+            .await
+        {
+            Some(Response::Located(location)) => Some(location),
             _ => {
-                lock(&self.avoided).insert(address, clock::now() + AVOID);
+                lock(&self.avoided).insert(address, clock::now() + BASE_BACKOFF);
                 None
             }
         }
     }
 
     /// The store that keeps a prefix, where one answers.
-    pub fn store_of(&self, key: PrefixKey) -> Option<AnsweringStore> {
-        self.fleet.stores.of(key)
+    pub fn store_of(&self, key: PrefixKey) -> Option<AvailableStore> {
+        self.fleet.stores.store_for(key)
     }
 
     /// Tells a prefix's owner where a request goes.
-    pub fn tell_placed(&self, key: PrefixKey, placement: Placement) {
+    pub fn notify_placement(&self, key: PrefixKey, placement: Placement) {
         let owners = self.owners();
         let Some(owner) = owners.owner(key.0) else {
             return;
@@ -134,17 +139,17 @@
         } else {
             self.fleet
                 .links
-                .tell(owner.address, Request::Placed { key, placement });
+                .send(owner.address, Request::Placed { key, placement });
         }
     }
 
     /// Tells the owners of prefixes which ones a backend keeps no more.
-    pub fn tell_evicted(&self, backend: &CompactString, events: &[KeptEvent]) {
-        for (address, prefixes) in self.evicted_by_owner(events, |_| true) {
+    pub fn notify_evictions(&self, backend: &CompactString, events: &[KvEvent]) {
+        for (address, prefixes) in self.evictions_by_owner(events, |_| true) {
             if self.is_own(address) {
-                self.fleet.take_evicted(backend, &prefixes);
+                self.fleet.record_evictions(backend, &prefixes);
             } else {
-                self.fleet.links.tell(
+                self.fleet.links.send(
                     address,
                     Request::Evicted {
                         backend: backend.clone(),
@@ -156,28 +161,29 @@
     }
 
     /// Tells the owners of this zone which prefixes a store keeps no more.
-    pub fn tell_evicted_from_store(&self, events: &[KeptEvent]) {
+    pub fn notify_store_evictions(&self, events: &[KvEvent]) {
         let own_zone = &self.fleet.settings.zone;
-        for (address, prefixes) in self.evicted_by_owner(events, |owner| owner.zone == *own_zone) {
+        for (address, prefixes) in self.evictions_by_owner(events, |owner| owner.zone == *own_zone)
+        {
             if self.is_own(address) {
-                self.fleet.take_evicted_from_store(&prefixes);
+                self.fleet.record_store_evictions(&prefixes);
             } else {
                 self.fleet
                     .links
-                    .tell(address, Request::EvictedFromStore { prefixes });
+                    .send(address, Request::EvictedFromStore { prefixes });
             }
         }
     }
 
-    fn evicted_by_owner(
+    fn evictions_by_owner(
         &self,
-        events: &[KeptEvent],
-        is_told: impl Fn(&Owner) -> bool,
+        events: &[KvEvent],
+        is_notified: impl Fn(&Owner) -> bool,
     ) -> BTreeMap<SocketAddrV4, Vec<(PrefixKey, u64)>> {
         let owners = self.owners();
         let mut by_owner: BTreeMap<SocketAddrV4, Vec<(PrefixKey, u64)>> = BTreeMap::new();
-        for event in events.iter().filter(|event| !event.kept) {
-            if let Some(owner) = owners.owner(event.key.0).filter(|owner| is_told(owner)) {
+        for event in events.iter().filter(|event| !event.is_cached) {
+            if let Some(owner) = owners.owner(event.key.0).filter(|owner| is_notified(owner)) {
                 by_owner
                     .entry(owner.address)
                     .or_default()
--- a/router/src/proxy/relay.rs
+++ b/router/src/proxy/relay.rs
@@ -1,8 +1,8 @@
 //! Passing a stream of events on to a client, whole event by whole event.
 
-use super::attempt::{Begun, Content, Events, recycle};
+use super::attempt::{EventStream, ResponseBody, ResponseStart, recycle};
 use super::backend::Backend;
-use super::exchange::{Exchanges, Job, Tries};
+use super::forwarder::{AttemptHistory, ForwardRequest, Forwarder};
 use crate::counters::Event;
 use crate::listener::{ClientConnection, ConnectionState};
 use bytes::{Bytes, BytesMut};
@@ -17,31 +17,31 @@
 
 /// A stream that is being passed on.
 pub struct Relay {
-    exchanges: Arc<Exchanges>,
-    job: Job,
-    tries: Tries,
+    forwarder: Arc<Forwarder>,
+    request: ForwardRequest,
+    history: AttemptHistory,
     backend: Arc<Backend>,
-    events: Option<Box<Events>>,
+    events: Option<Box<EventStream>>,
     buffer: BytesMut,
     last_event_id: Option<String>,
     connection: ClientConnection,
 }
 
 impl Relay {
-    /// Passes on a stream that has begun.
+    /// Passes on a stream that has response.
     pub fn new(
-        exchanges: Arc<Exchanges>,
-        job: Job,
-        tries: Tries,
+        forwarder: Arc<Forwarder>,
+        request: ForwardRequest,
+        history: AttemptHistory,
         backend: Arc<Backend>,
-        mut events: Box<Events>,
+        mut events: Box<EventStream>,
         connection: ClientConnection,
     ) -> Self {
         let buffer = BytesMut::from(&std::mem::take(&mut events.first)[..]);
         Relay {
-            exchanges,
-            job,
-            tries,
+            forwarder,
+            request,
+            history,
             backend,
             events: Some(events),
             buffer,
@@ -75,10 +75,10 @@
     /// The next whole events; none at the end.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            if let Some(whole) = self.take_whole_events() {
-                return Ok(Some(whole));
+            if let Some(complete) = self.take_complete_events() {
+                return Ok(Some(complete));
             }
-            let until = self.job.until;
+            let until = self.request.until;
             let Some(events) = &mut self.events else {
                 return Ok(None);
             };
@@ -92,26 +92,26 @@
                         self.buffer.extend_from_slice(&data);
                     }
                 }
-                Some(Err(_)) => self.go_on_elsewhere().await?,
-                None if events.connection.is_broken() => self.go_on_elsewhere().await?,
+                Some(Err(_)) => self.resume_elsewhere().await?,
+                None if events.connection.is_broken() => self.resume_elsewhere().await?,
                 None => return Ok(self.end()),
             }
         }
     }
 
-    fn take_whole_events(&mut self) -> Option<Bytes> {
+    fn take_complete_events(&mut self) -> Option<Bytes> {
         let end = find_last(&self.buffer, EVENT_END)? + EVENT_END.len();
-        let whole = self.buffer.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
+        let complete = self.buffer.split_to(end).freeze();
+        if let Some(id) = last_id(&complete) {
             self.last_event_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
     /// The backend has ended its answer in order.
     fn end(&mut self) -> Option<Bytes> {
         if let Some(events) = self.events.take() {
-            let Events {
+            let EventStream {
                 connection,
                 keep_alive,
                 closes,
@@ -125,29 +125,29 @@
 
     /// The backend broke off: what it sent of an unfinished event is dropped, and the stream goes
     /// on elsewhere.
-    async fn go_on_elsewhere(&mut self) -> io::Result<()> {
+    async fn resume_elsewhere(&mut self) -> io::Result<()> {
         let broken = || {
             io::Error::new(
                 io::ErrorKind::ConnectionReset,
                 "the backend broke its answer off",
             )
         };
-        self.backend.failed();
+        self.backend.record_failure();
         self.events = None;
         self.buffer.clear();
         let id = self
             .last_event_id
             .clone()
-            .filter(|_| self.job.route.is_idempotent())
+            .filter(|_| self.request.route.is_idempotent())
             .ok_or_else(broken)?;
         let resumed = self
-            .exchanges
-            .resume(&self.job, &mut self.tries, id)
+            .forwarder
+            .resume(&self.request, &mut self.history, id)
             .await
             .ok_or_else(broken)?;
-        let Begun {
+        let ResponseStart {
             backend,
-            content: Content::Events(mut events),
+            content: ResponseBody::Stream(mut events),
             ..
         } = resumed
         else {
@@ -164,7 +164,7 @@
     fn drop(&mut self) {
         let is_unfinished = self.events.is_some();
         if is_unfinished && self.connection.state() == ConnectionState::ClientLeft {
-            self.exchanges.count(Event::ClientLeftStreaming);
+            self.forwarder.count(Event::DisconnectedStreaming);
         }
     }
 }
--- a/router/src/proxy/answer.rs
+++ b/router/src/proxy/response.rs
@@ -1,10 +1,12 @@
 //! Judging the answer of a backend: whether it is proven to be its own and whole, and whether the
 //! request has run.
 
-use super::attempt::{Begun, Call, Content, Ended, Events, Result, recycle};
-use super::backend::{Backend, Outstanding, Told};
+use super::attempt::{
+    AttemptError, EventStream, ResponseBody, ResponseStart, Result, UpstreamRequest, recycle,
+};
+use super::backend::{Backend, InFlightGuard, ReportedLoad};
 use super::connection::Connection;
-use super::exchange::INSTANCE_ID;
+use super::forwarder::INSTANCE_ID;
 use super::headers;
 use crate::clock;
 use bytes::Bytes;
@@ -16,32 +18,32 @@
 use tokio::time::Instant;
 
 /// Answers that are no streams are taken whole up to this size.
-const LONGEST_BUFFERED: usize = 8 << 20;
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
 /// An answer whose head has come.
 pub(super) struct Answer {
-    pub(super) call: Arc<Call>,
+    pub(super) upstream_request: Arc<UpstreamRequest>,
     pub(super) backend: Arc<Backend>,
-    pub(super) outstanding: Outstanding,
+    pub(super) outstanding: InFlightGuard,
     pub(super) connection: Connection,
-    pub(super) begun: Instant,
+    pub(super) started_at: Instant,
     /// The version of weights that the backend was expected to have.
     pub(super) expected_version: Option<u64>,
 }
 
 impl Answer {
     /// Whether the answer may be passed on, and its start if so.
-    pub(super) async fn judge(self, response: Response<Incoming>) -> Result {
+    pub(super) async fn validate(self, response: Response<Incoming>) -> Result {
         let (head, body) = response.into_parts();
         let own = headers::text(&head.headers, &headers::REQUEST_ID);
         let has_load = headers::text(&head.headers, &headers::LOAD);
-        if let Some(told) = has_load.and_then(|text| Told::read(text, clock::now())) {
-            self.backend.tell(told);
+        if let Some(reported) = has_load.and_then(|text| ReportedLoad::read(text, clock::now())) {
+            self.backend.record_load(reported);
         }
-        if own.is_some_and(|id| id != self.call.request_id) {
+        if own.is_some_and(|id| id != self.upstream_request.request_id) {
             // The answer to another request stands where this one's should: nothing behind it can
             // be trusted.
-            self.backend.failed();
-            return Err(Ended::Broken);
+            self.backend.record_failure();
+            return Err(AttemptError::Broken);
         }
         let not_run = head.headers.contains_key(&headers::NOT_EXECUTED);
         if not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
@@ -51,29 +53,30 @@
             head.headers.contains_key(&headers::SEAL),
             head.status.is_success(),
         );
-        let promises = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
-        if promises || (success && !(sealed && own.is_some())) {
+        let claims_not_executed = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
+        if claims_not_executed || (success && !(sealed && own.is_some())) {
             // A promise that the backend does not make, or a success that is not proven to be its
             // own.
-            self.backend.failed();
-            return Err(Ended::Broken);
+            self.backend.record_failure();
+            return Err(AttemptError::Broken);
         }
         let version = headers::number(&head.headers, &headers::VERSIONS);
-        if let (Some(prompt), Some(version)) = (&self.call.prompt, version) {
-            self.backend.learn_version(&prompt.model, version);
+        if let (Some(prompt), Some(version)) = (&self.upstream_request.prompt, version) {
+            self.backend.observe_version(&prompt.model, version);
         }
-        let is_stream = success && self.call.streaming && is_event_stream(&head.headers);
+        let is_stream =
+            success && self.upstream_request.streaming && is_event_stream(&head.headers);
         let framed = head.headers.contains_key(CONTENT_LENGTH)
             || head.headers.contains_key(TRANSFER_ENCODING);
         if !framed && !body.is_end_stream() {
             // Whether such an answer is whole can't be told.
-            self.backend.failed();
-            return Err(Ended::Broken);
+            self.backend.record_failure();
+            return Err(AttemptError::Broken);
         }
         if is_stream {
             self.first_event(head.status, head.headers, body).await
         } else {
-            self.whole(head.status, head.headers, body).await
+            self.buffered(head.status, head.headers, body).await
         }
     }
 
@@ -83,16 +86,18 @@
         let retry_after = head
             .get("retry-after")
             .and_then(|value| value.to_str().ok()?.parse().ok());
-        let told = headers::number(head, &headers::VERSIONS);
+        let reported = headers::number(head, &headers::VERSIONS);
         let other = headers::text(head, &INSTANCE_ID).filter(|id| *id != self.backend.id);
-        match (&self.call.prompt, self.expected_version) {
-            _ if misdirected && other.is_some() => self.backend.failed(),
+        match (&self.upstream_request.prompt, self.expected_version) {
+            _ if misdirected && other.is_some() => self.backend.record_failure(),
             (Some(prompt), Some(expected)) if misdirected => {
-                self.backend.refuted_version(&prompt.model, expected, told);
+                self.backend
+                    .observe_version_mismatch(&prompt.model, expected, reported);
             }
             (Some(prompt), _) => {
-                told.into_iter()
-                    .for_each(|told| self.backend.learn_version(&prompt.model, told));
+                reported
+                    .into_iter()
+                    .for_each(|reported| self.backend.observe_version(&prompt.model, reported));
             }
             (None, _) => {}
         }
@@ -101,10 +106,14 @@
             headers::closes(head),
             keep_alive(head),
         );
-        if Limited::new(body, LONGEST_BUFFERED).collect().await.is_ok() {
+        if Limited::new(body, MAX_BUFFERED_BYTES)
+            .collect()
+            .await
+            .is_ok()
+        {
             recycle(backend, self.connection, closes, keep_alive);
         }
-        Err(Ended::Rejected {
+        Err(AttemptError::Rejected {
             retry_after,
             misdirected,
         })
@@ -124,19 +133,19 @@
                     _ => {}
                 },
                 Some(Err(_)) => {
-                    self.backend.failed();
-                    return Err(Ended::Broken);
+                    self.backend.record_failure();
+                    return Err(AttemptError::Broken);
                 }
                 None if self.connection.is_broken() => {
-                    self.backend.failed();
-                    return Err(Ended::Broken);
+                    self.backend.record_failure();
+                    return Err(AttemptError::Broken);
                 }
                 None => break Bytes::new(),
             }
         };
-        self.outstanding.was_read();
-        self.backend.succeeded();
-        let events = Events {
+        self.outstanding.prefill_finished();
+        self.backend.record_success();
+        let events = EventStream {
             first,
             rest: body,
             connection: self.connection,
@@ -144,9 +153,9 @@
             keep_alive: keep_alive(&head),
             closes: headers::closes(&head),
         };
-        let took = self.begun.elapsed();
-        let content = Content::Events(Box::new(events));
-        Ok(Begun {
+        let took = self.started_at.elapsed();
+        let content = ResponseBody::Stream(Box::new(events));
+        Ok(ResponseStart {
             head,
             status,
             content,
@@ -156,28 +165,28 @@
     }
 
     /// Takes an answer whole, so that one which breaks off is never passed on as if it were.
-    async fn whole(self, status: StatusCode, head: HeaderMap, body: Incoming) -> Result {
-        let collected = Limited::new(body, LONGEST_BUFFERED)
+    async fn buffered(self, status: StatusCode, head: HeaderMap, body: Incoming) -> Result {
+        let collected = Limited::new(body, MAX_BUFFERED_BYTES)
             .collect()
             .await
             .map(Collected::to_bytes);
-        let told = headers::number(&head, &CONTENT_LENGTH);
+        let reported = headers::number(&head, &CONTENT_LENGTH);
         // Bytes behind a whole answer break the connection, and take nothing from an answer whose
         // length was told.
-        let is_whole = |bytes: &Bytes| match told {
+        let is_complete = |bytes: &Bytes| match reported {
             Some(length) => length == bytes.len() as u64,
             None => !self.connection.is_broken(),
         };
-        let Some(bytes) = collected.ok().filter(is_whole) else {
-            self.backend.failed();
-            return Err(Ended::Broken);
+        let Some(bytes) = collected.ok().filter(is_complete) else {
+            self.backend.record_failure();
+            return Err(AttemptError::Broken);
         };
         if is_own_failure(status) {
-            self.backend.failed()
+            self.backend.record_failure()
         } else {
-            self.backend.succeeded()
+            self.backend.record_success()
         }
-        let took = self.begun.elapsed();
+        let took = self.started_at.elapsed();
         drop(self.outstanding);
         recycle(
             self.backend.clone(),
@@ -185,8 +194,8 @@
             headers::closes(&head),
             keep_alive(&head),
         );
-        let content = Content::Whole(bytes);
-        Ok(Begun {
+        let content = ResponseBody::Buffered(bytes);
+        Ok(ResponseStart {
             head,
             status,
             content,
--- a/router/src/replica/task.rs
+++ b/router/src/replica/task.rs
@@ -126,7 +126,7 @@
             match effect {
                 Effect::Send(envelope) => {
                     let address = envelope.to.address;
-                    self.fleet.links.tell(address, Request::Replica(envelope));
+                    self.fleet.links.send(address, Request::Replica(envelope));
                 }
                 Effect::Store { sequence, records } => self.disk.append(sequence, &records),
                 Effect::Reply { ticket, outcome } => {
@@ -158,7 +158,7 @@
             .node
             .view()
             .map(|view| (view.epoch, view.primary.clone()));
-        self.fleet.hear_of_leader(leader);
+        self.fleet.observe_leader(leader);
     }
 
     fn show(&self) {
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -7,13 +7,13 @@
 use crate::listener::{ClientAcceptor, ClientConnections};
 use crate::membership;
 use crate::metrics::MetricsPage;
-use crate::proxy::exchange::Exchanges;
-use crate::proxy::fault_log;
+use crate::proxy::backend_table::{self, BackendTable};
+use crate::proxy::cache_watcher;
+use crate::proxy::failure_log;
+use crate::proxy::forwarder::Forwarder;
 use crate::proxy::ingress::Ingress;
-use crate::proxy::kept;
-use crate::proxy::locator::Locator;
-use crate::proxy::stores;
-use crate::proxy::table::{self, Table};
+use crate::proxy::kv_store_monitor;
+use crate::proxy::prefix_locator::PrefixLocator;
 use crate::replica::handle::{Inputs, ReplicaHandle};
 use crate::replica::task;
 use crate::settings::{Settings, SettingsError};
@@ -175,9 +175,9 @@
         .tcp_nodelay(true)
         .tcp_user_timeout(socket::USER_TIMEOUT)
         .build()?;
-    let table = Arc::new(Table::default());
-    let locator = Locator::new(fleet.clone());
-    let exchanges = Exchanges::new(fleet.clone(), table.clone(), locator.clone());
+    let table = Arc::new(BackendTable::default());
+    let locator = PrefixLocator::new(fleet.clone());
+    let forwarder = Forwarder::new(fleet.clone(), table.clone(), locator.clone());
 
     let traffic = fleet.links.traffic().clone();
     tokio::spawn(links::serve(listener, fleet.clone(), traffic));
@@ -188,14 +188,17 @@
     tokio::spawn(membership::found(fleet.clone()));
     tokio::spawn(membership::repair(fleet.clone()));
     tokio::spawn(membership::prune(fleet.clone()));
-    tokio::spawn(kept::keep_reading(
+    tokio::spawn(cache_watcher::run(
         fleet.clone(),
         locator.clone(),
         client.clone(),
     ));
-    tokio::spawn(stores::keep_watch(fleet.clone(), locator, client));
-    tokio::spawn(table::keep_in_step(table.clone(), fleet.clone()));
-    tokio::spawn(fault_log::keep_telling(table.faults(), fleet.clone()));
+    tokio::spawn(kv_store_monitor::run(fleet.clone(), locator, client));
+    tokio::spawn(backend_table::keep_synchronized(
+        table.clone(),
+        fleet.clone(),
+    ));
+    tokio::spawn(failure_log::run(table.faults(), fleet.clone()));
 
     let metrics = MetricsPage::new(fleet.clone(), table.clone(), orders);
     let ready = Ready::new(fleet.clone(), table);
@@ -210,7 +213,7 @@
             let listener = tokio::net::TcpListener::bind(address)
                 .await
                 .map_err(failed(address))?;
-            Some(tokio::spawn(take_clients(listener, exchanges, stopped)))
+            Some(tokio::spawn(take_clients(listener, forwarder, stopped)))
         }
         None => None,
     };
@@ -257,7 +260,7 @@
 /// Serves clients until told to stop; ends once every answer is out.
 async fn take_clients(
     listener: tokio::net::TcpListener,
-    exchanges: Arc<Exchanges>,
+    forwarder: Arc<Forwarder>,
     mut stopped: tokio::sync::watch::Receiver<bool>,
 ) {
     let connections = ClientConnections::default();
@@ -268,7 +271,7 @@
     };
     let server = Server::new_with_acceptor(acceptor).idle_timeout(CLIENT_IDLE);
     let ended = server
-        .run_with_graceful_shutdown(Ingress::new(exchanges, connections), stop, None)
+        .run_with_graceful_shutdown(Ingress::new(forwarder, connections), stop, None)
         .await;
     if let Err(problem) = ended {
         log::error!("clients are taken no more: {problem}");
@@ -335,12 +338,12 @@
 /// Whether clients may come.
 struct Ready {
     fleet: Arc<Fleet>,
-    table: Arc<Table>,
+    table: Arc<BackendTable>,
     configured: std::sync::Mutex<Option<Instant>>,
 }
 
 impl Ready {
-    fn new(fleet: Arc<Fleet>, table: Arc<Table>) -> Self {
+    fn new(fleet: Arc<Fleet>, table: Arc<BackendTable>) -> Self {
         Ready {
             fleet,
             table,
--- a/router/src/weights/bringing.rs
+++ b/router/src/weights/bringing.rs
@@ -164,8 +164,8 @@
             "order to backend {id} for version {version} of {model}, behind {others} others: {answer:?}"
         );
         let event = match answer {
-            OrderAnswer::Holds | OrderAnswer::Taken => Event::OrderTaken,
-            OrderAnswer::Overtaken => Event::OrderOvertaken,
+            OrderAnswer::Holds | OrderAnswer::Taken => Event::OrderAccepted,
+            OrderAnswer::Overtaken => Event::OrderConflict,
             OrderAnswer::Fenced => Event::OrderFenced,
             OrderAnswer::Unknown => Event::OrderUnanswered,
             OrderAnswer::NotGiven => return,
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -11,10 +11,10 @@
 use router::fleet::Fleet;
 use router::listener::{ClientAcceptor, ClientConnections};
 use router::protocol::PublishedState;
-use router::proxy::exchange::Exchanges;
+use router::proxy::backend_table::BackendTable;
+use router::proxy::forwarder::Forwarder;
 use router::proxy::ingress::Ingress;
-use router::proxy::locator::Locator;
-use router::proxy::table::Table;
+use router::proxy::prefix_locator::PrefixLocator;
 use router::settings::Settings;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -194,7 +194,7 @@
 pub struct Router {
     pub address: std::net::SocketAddr,
     pub fleet: Arc<Fleet>,
-    pub table: Arc<Table>,
+    pub table: Arc<BackendTable>,
 }
 
 impl Router {
@@ -223,14 +223,18 @@
         for (at, backend) in backends.iter().enumerate() {
             register(&fleet, at, backend, 1, BackendPhase::Ready);
         }
-        let table = Arc::new(Table::default());
+        let table = Arc::new(BackendTable::default());
         table.refresh(&fleet);
-        let exchanges = Exchanges::new(fleet.clone(), table.clone(), Locator::new(fleet.clone()));
+        let forwarder = Forwarder::new(
+            fleet.clone(),
+            table.clone(),
+            PrefixLocator::new(fleet.clone()),
+        );
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let connections = ClientConnections::default();
         let acceptor = ClientAcceptor::new(listener, connections.clone());
-        let ingress = Ingress::new(exchanges, connections);
+        let ingress = Ingress::new(forwarder, connections);
         tokio::spawn(async move { poem::Server::new_with_acceptor(acceptor).run(ingress).await });
         Router {
             address,
--- a/router/tests/common/model_backend.rs
+++ b/router/tests/common/model_backend.rs
@@ -90,7 +90,9 @@
     pub fn deliver_late_orders(&self) -> Vec<u16> {
         let mut state = self.state.lock().unwrap();
         let late = std::mem::take(&mut state.held_up);
-        late.iter().map(|order| state.take_order(order)).collect()
+        late.iter()
+            .map(|order| state.observe_order(order))
+            .collect()
     }
 
     async fn serve(self, mut stream: TcpStream) {
@@ -121,7 +123,7 @@
                 None
             }
             "/v1/order" => {
-                let status = state.take_order(request);
+                let status = state.observe_order(request);
                 Some(answer(&format!("{status} X"), "", "{}"))
             }
             "/v1/report" => Some(answer("200 OK", "", &state.report())),
@@ -131,7 +133,7 @@
 }
 
 impl State {
-    fn take_order(&mut self, request: &str) -> u16 {
+    fn observe_order(&mut self, request: &str) -> u16 {
         let body = request.split_once("\r\n\r\n").map_or("", |(_, body)| body);
         let order: Value = serde_json::from_str(body).unwrap();
         let (Some(fencing_token), Some(version)) =
--- a/router/tests/faults.rs
+++ b/router/tests/faults.rs
@@ -145,33 +145,33 @@
 }
 
 #[tokio::test]
-async fn after_a_forgotten_connection_what_may_not_be_repeated_is_not_sent_on_one_that_rested_for_long()
+async fn after_a_forgotten_connection_what_may_not_be_repeated_is_not_sent_on_one_that_idle_time_for_long()
  {
     let backend = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let router = Router::start(&[&backend]).await;
     let known = router.table.backend("i-0").unwrap();
     let idle = async || {
         let mut connection = known.connect(PATIENCE, true).await.unwrap();
-        assert!(connection.becomes_ready().await);
-        known.keep(connection);
+        assert!(connection.wait_until_ready().await);
+        known.return_connection(connection);
     };
     let much_later = || clock::now() + 1_000;
     idle().await;
     let trusted = known.take_idle(false, much_later());
-    known.keep(trusted.expect("as long as none was forgotten, all are trusted"));
-    known.forgot_connection(400);
+    known.return_connection(trusted.expect("as long as none was forgotten, all are trusted"));
+    known.record_stale_connection(400);
     assert!(
         known.take_idle(true, clock::now()).is_none(),
-        "those that rested as long are dropped"
+        "those that idle_time as long are dropped"
     );
     idle().await;
     assert!(
         known.take_idle(false, much_later()).is_none(),
-        "it rested for longer than 200 ms"
+        "it idle_time for longer than 200 ms"
     );
     assert!(
         known.take_idle(false, clock::now()).is_some(),
-        "it has hardly rested"
+        "it has hardly idle_time"
     );
     idle().await;
     assert!(
--- a/router/tests/leaving_clients.rs
+++ b/router/tests/leaving_clients.rs
@@ -92,7 +92,9 @@
     until(|| first.count() == 1 && second.count() == 1).await;
     drop(client);
     let have_ended = is_given_up(&first).await && is_given_up(&second).await;
-    have_ended && first.count() + second.count() == 2 && router.fleet.counters.get(Event::Sent) == 2
+    have_ended
+        && first.count() + second.count() == 2
+        && router.fleet.counters.get(Event::AttemptSent) == 2
 }
 
 /// Has a client leave in the middle of a stream whose backend says nothing more.
--- a/router/tests/links.rs
+++ b/router/tests/links.rs
@@ -98,12 +98,12 @@
 }
 
 async fn ask(links: &Arc<Links>, peer: &Peer, version: u64, patience: Duration) -> Option<u64> {
-    named(links.ask(peer.address, question(version), patience).await)
+    named(links.call(peer.address, question(version), patience).await)
 }
 
 fn asking(links: &Arc<Links>, peer: &Peer, version: u64) -> tokio::task::JoinHandle<Option<u64>> {
     let (links, address) = (links.clone(), peer.address);
-    tokio::spawn(async move { named(links.ask(address, question(version), PATIENCE).await) })
+    tokio::spawn(async move { named(links.call(address, question(version), PATIENCE).await) })
 }
 
 #[tokio::test]
--- a/router/tests/known_weights.rs
+++ b/router/tests/observed_weights.rs
@@ -1,38 +1,38 @@
 //! What a router knows of a backend's weights, whatever the order in which it hears of them.
 
 use control::directory::{Backend, BackendPhase, Order, OrderPhase};
-use router::proxy::known_weights::KnownWeights;
+use router::proxy::observed_weights::ObservedWeights;
 
 const MODEL: &str = "m";
 
 /// Something that tells of the weights of a backend, which had version 1, then 2, and has 1 again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Word {
+enum Observation {
     Heartbeat { sequence: u64, version: u64 },
     Done { number: u64, version: u64 },
     Served(u64),
-    TurnedAway { expected: u64 },
+    Rejected { expected: u64 },
 }
 
-const WORDS: [Word; 6] = [
-    Word::Heartbeat {
+const OBSERVATIONS: [Observation; 6] = [
+    Observation::Heartbeat {
         sequence: 1,
         version: 1,
     },
-    Word::Heartbeat {
+    Observation::Heartbeat {
         sequence: 2,
         version: 2,
     },
-    Word::Heartbeat {
+    Observation::Heartbeat {
         sequence: 3,
         version: 1,
     },
-    Word::Done {
+    Observation::Done {
         number: 1,
         version: 2,
     },
-    Word::Served(2),
-    Word::TurnedAway { expected: 2 },
+    Observation::Served(2),
+    Observation::Rejected { expected: 2 },
 ];
 
 fn heartbeat(sequence: u64, version: u64) -> Backend {
@@ -49,14 +49,14 @@
     }
 }
 
-fn hear(known: &mut KnownWeights, word: Word) {
+fn hear(known: &mut ObservedWeights, word: Observation) {
     match word {
-        Word::Heartbeat { sequence, version } => {
-            known.take_heartbeat(&heartbeat(sequence, version))
+        Observation::Heartbeat { sequence, version } => {
+            known.observe_heartbeat(&heartbeat(sequence, version))
         }
-        Word::Done { number, version } => {
+        Observation::Done { number, version } => {
             let phase = OrderPhase::Done;
-            known.take_order(&Order {
+            known.observe_order(&Order {
                 fencing_token: 1,
                 number,
                 model: MODEL.into(),
@@ -64,13 +64,13 @@
                 phase,
             });
         }
-        Word::Served(version) => known.take_answer(MODEL, version),
-        Word::TurnedAway { expected } => known.was_turned_away(MODEL, expected, None, 0),
+        Observation::Served(version) => known.observe_response(MODEL, version),
+        Observation::Rejected { expected } => known.observe_rejection(MODEL, expected, None, 0),
     }
 }
 
 /// The order numbered so among all of `items`.
-fn permutation(items: &[Word], mut number: usize) -> Vec<Word> {
+fn permutation(items: &[Observation], mut number: usize) -> Vec<Observation> {
     let mut rest = items.to_vec();
     let mut chosen = Vec::new();
     while !rest.is_empty() {
@@ -85,17 +85,17 @@
 #[test]
 fn one_request_turned_away_and_one_heartbeat_set_right_what_is_known_in_every_order_of_words() {
     for number in 0..720 {
-        let words = permutation(&WORDS, number);
-        let mut known = KnownWeights::default();
+        let words = permutation(&OBSERVATIONS, number);
+        let mut known = ObservedWeights::default();
         words.iter().for_each(|word| hear(&mut known, *word));
         let believed = known.version(MODEL).expect("some version");
         if believed != 1 {
-            known.was_turned_away(MODEL, believed, None, 0);
+            known.observe_rejection(MODEL, believed, None, 0);
             assert!(known.is_refuted(MODEL, 0), "{words:?}");
         }
         hear(
             &mut known,
-            Word::Heartbeat {
+            Observation::Heartbeat {
                 sequence: 4,
                 version: 1,
             },
@@ -110,17 +110,17 @@
 
 #[test]
 fn late_words_of_lower_numbers_change_nothing() {
-    let mut known = KnownWeights::default();
+    let mut known = ObservedWeights::default();
     hear(
         &mut known,
-        Word::Heartbeat {
+        Observation::Heartbeat {
             sequence: 5,
             version: 3,
         },
     );
     hear(
         &mut known,
-        Word::Heartbeat {
+        Observation::Heartbeat {
             sequence: 4,
             version: 2,
         },
@@ -128,21 +128,21 @@
     assert_eq!(known.version(MODEL), Some(3));
     hear(
         &mut known,
-        Word::Done {
+        Observation::Done {
             number: 2,
             version: 4,
         },
     );
     hear(
         &mut known,
-        Word::Heartbeat {
+        Observation::Heartbeat {
             sequence: 6,
             version: 3,
         },
     );
     hear(
         &mut known,
-        Word::Done {
+        Observation::Done {
             number: 2,
             version: 4,
         },
@@ -154,7 +154,7 @@
     );
     hear(
         &mut known,
-        Word::Done {
+        Observation::Done {
             number: 3,
             version: 2,
         },
@@ -164,7 +164,7 @@
         Some(3),
         "orders bring no older weights"
     );
-    hear(&mut known, Word::Served(2));
+    hear(&mut known, Observation::Served(2));
     assert_eq!(
         known.version(MODEL),
         Some(3),
@@ -175,35 +175,35 @@
 #[test]
 fn a_refuted_version_counts_again_after_a_while_or_once_it_is_told_again() {
     let refuted = || {
-        let mut known = KnownWeights::default();
+        let mut known = ObservedWeights::default();
         hear(
             &mut known,
-            Word::Heartbeat {
+            Observation::Heartbeat {
                 sequence: 1,
                 version: 2,
             },
         );
-        hear(&mut known, Word::TurnedAway { expected: 2 });
+        hear(&mut known, Observation::Rejected { expected: 2 });
         assert!(known.is_refuted(MODEL, 0));
         known
     };
     assert!(!refuted().is_refuted(MODEL, 2_000));
     for (word, version) in [
         (
-            Word::Heartbeat {
+            Observation::Heartbeat {
                 sequence: 2,
                 version: 2,
             },
             2,
         ),
         (
-            Word::Done {
+            Observation::Done {
                 number: 1,
                 version: 2,
             },
             2,
         ),
-        (Word::Served(3), 3),
+        (Observation::Served(3), 3),
     ] {
         let mut known = refuted();
         hear(&mut known, word);
@@ -214,18 +214,18 @@
         );
     }
     let mut known = refuted();
-    hear(&mut known, Word::Served(2));
+    hear(&mut known, Observation::Served(2));
     assert!(
         known.is_refuted(MODEL, 0),
         "an answer may have begun before"
     );
-    known.was_turned_away(MODEL, 2, Some(1), 0);
+    known.observe_rejection(MODEL, 2, Some(1), 0);
     assert_eq!(
         (known.version(MODEL), known.is_refuted(MODEL, 0)),
         (Some(1), false),
         "the answer told it"
     );
-    known.was_turned_away(MODEL, 2, None, 0);
+    known.observe_rejection(MODEL, 2, None, 0);
     assert!(
         !known.is_refuted(MODEL, 0),
         "that it has no version 2 is known"
--- a/router/tests/operator_pages.rs
+++ b/router/tests/operator_pages.rs
@@ -12,7 +12,7 @@
 use router::control_api::ControlApi;
 use router::fleet::Fleet;
 use router::metrics::MetricsPage;
-use router::proxy::table::Table;
+use router::proxy::backend_table::BackendTable;
 use router::replica::handle::{ReplicaHandle, Shown};
 use router::weights::Orders;
 use routing::version_floor::AnnouncedVersion;
@@ -68,7 +68,7 @@
         register_at(&fleet, at, address, 1, phase);
     }
     mark_silent(&fleet, 1);
-    fleet.hear_of_leader(Some((1, replica(1))));
+    fleet.observe_leader(Some((1, replica(1))));
     (fleet, handle)
 }
 
@@ -76,7 +76,7 @@
 async fn metric_names_are_stable() {
     let (fleet, handle) = fleet();
     name_version(&fleet);
-    let table = Arc::new(Table::default());
+    let table = Arc::new(BackendTable::default());
     table.refresh(&fleet);
     let orders = Orders::new(fleet.clone(), handle, reqwest::Client::new());
     let text = MetricsPage::new(fleet, table, Some(orders)).text();
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -4,11 +4,11 @@
 
 use common::*;
 use control::configuration::KvStore;
-use router::fleet::Question;
+use router::fleet::PrefixLookup;
 use router::protocol::{Request, Response};
-use router::proxy::events::KeptEvent;
-use router::proxy::locator::Locator;
-use router::proxy::salt::{Salt, salt};
+use router::proxy::cache_salt::{CacheSalt, salt};
+use router::proxy::kv_events::KvEvent;
+use router::proxy::prefix_locator::PrefixLocator;
 use routing::prefix_index::{Placement, PrefixKey};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -36,8 +36,8 @@
     router
         .fleet
         .stores
-        .resettle(&BTreeMap::from([(address, store)]));
-    router.fleet.stores.answers(address, 1);
+        .reconfigure(&BTreeMap::from([(address, store)]));
+    router.fleet.stores.mark_available(address, 1);
     address
 }
 
@@ -72,7 +72,7 @@
         "a miss costs little"
     );
     let salt = header(&sent, "cache-salt").expect("a salt");
-    assert_eq!(Salt::read(&salt).map(|salt| salt.version), Some(1));
+    assert_eq!(CacheSalt::read(&salt).map(|salt| salt.version), Some(1));
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let again = if first.count() == 2 {
         first.request(1)
@@ -130,55 +130,55 @@
 async fn what_an_event_takes_away_is_not_counted_on() {
     let (_first, _second, router) = two().await;
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
-    let locator = Locator::new(router.fleet.clone());
+    let locator = PrefixLocator::new(router.fleet.clone());
     let wall = "tt1-";
     let key = PrefixKey::of_segment(wall, "m", "b");
-    let asked = Question {
+    let asked = PrefixLookup {
         key,
         planned: Placement {
             backend: "asker".into(),
             version: 9,
         },
-        wants_save: false,
+        should_save: false,
     };
     let holder = router
         .fleet
-        .locate(&asked)
+        .look_up_prefix(&asked)
         .replicas
         .last()
         .expect("a holder")
         .backend
         .clone();
-    locator.tell_evicted(
+    locator.notify_evictions(
         &holder,
-        &[KeptEvent {
+        &[KvEvent {
             key,
             version: 2,
-            kept: false,
+            is_cached: false,
         }],
     );
     assert!(
-        router.fleet.locate(&asked).is_cached_by(&holder, 1),
+        router.fleet.look_up_prefix(&asked).is_cached_by(&holder, 1),
         "another version gave way"
     );
-    locator.tell_evicted(
+    locator.notify_evictions(
         &holder,
-        &[KeptEvent {
+        &[KvEvent {
             key,
             version: 1,
-            kept: true,
+            is_cached: true,
         }],
     );
-    assert!(router.fleet.locate(&asked).is_cached_by(&holder, 1));
-    locator.tell_evicted(
+    assert!(router.fleet.look_up_prefix(&asked).is_cached_by(&holder, 1));
+    locator.notify_evictions(
         &holder,
-        &[KeptEvent {
+        &[KvEvent {
             key,
             version: 1,
-            kept: false,
+            is_cached: false,
         }],
     );
-    assert!(!router.fleet.locate(&asked).is_cached_by(&holder, 1));
+    assert!(!router.fleet.look_up_prefix(&asked).is_cached_by(&holder, 1));
 }
 
 #[tokio::test]
@@ -192,7 +192,7 @@
     let ask = |backend: &str| Request::Locate {
         key: PrefixKey(3),
         planned: placement(backend),
-        wants_save: false,
+        should_save: false,
     };
     use router::links::Service;
     let answered = async |request| {
@@ -225,12 +225,12 @@
 fn a_salt_names_its_wall_and_its_version() {
     let text = salt("s0a1b-", Some(12));
     assert_eq!(
-        Salt::read(&text),
-        Some(Salt {
-            wall: "s0a1b-",
+        CacheSalt::read(&text),
+        Some(CacheSalt {
+            cache_namespace: "s0a1b-",
             version: 12
         })
     );
-    assert_eq!(Salt::read("somebody else's"), None);
+    assert_eq!(CacheSalt::read("somebody else's"), None);
     assert_ne!(salt("w", Some(1)), salt("w", Some(2)));
 }
--- a/router/tests/wire_format.rs
+++ b/router/tests/wire_format.rs
@@ -282,7 +282,7 @@
             Request::Locate {
                 key: PrefixKey(123_456_789),
                 planned: placement.clone(),
-                wants_save: true,
+                should_save: true,
             },
         ),
         (
