--- a/router/src/fleet/faults.rs
+++ b/router/src/fleet/faults.rs
@@ -2,9 +2,9 @@
 //! it.
 
 use super::Fleet;
-use super::registration::place;
 use crate::clock;
 use crate::protocol::Request;
+use crate::rendezvous;
 use crate::sync::lock;
 use compact_str::CompactString;
 use control::directory::{Key, MemberStatus, Suspicion, Value};
@@ -46,7 +46,7 @@
             .members()
             .filter(|(_, member)| member.replica.is_some() && member.status == MemberStatus::Up);
         judges
-            .max_by_key(|(name, _)| place(backend, name))
+            .max_by_key(|(name, _)| rendezvous::score(&(backend, name.as_str())))
             .map(|(_, member)| member.internal)
     }
 
--- a/router/src/fleet/prefixes.rs
+++ b/router/src/fleet/prefixes.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
 
-/// A question to an owner.
+/// A lookup to an owner.
 #[derive(Debug, Clone)]
 pub struct PrefixLookup {
     /// The prefix.
@@ -19,16 +19,16 @@
 
 impl Fleet {
     /// Answers as the owner of a prefix.
-    pub fn look_up_prefix(&self, question: &PrefixLookup) -> PrefixLocation {
+    pub fn look_up_prefix(&self, lookup: &PrefixLookup) -> PrefixLocation {
         let generation = self
             .stores
-            .store_for(question.key)
+            .store_for(lookup.key)
             .map(|store| store.generation);
         let PrefixLookup {
             key,
             planned,
             should_save,
-        } = question;
+        } = lookup;
         lock(&self.locations).look_up(*key, planned, *should_save, generation, clock::now())
     }
 
--- a/router/src/fleet/registration.rs
+++ b/router/src/fleet/registration.rs
@@ -2,12 +2,12 @@
 
 use super::{FORWARD_PATIENCE, Fleet};
 use crate::protocol::{Request, Response};
+use crate::rendezvous;
 use crate::sync::lock;
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Backend, BackendPhase, Key, Member, MemberStatus, Value};
 use control::rollout::is_contradicted;
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -157,7 +157,7 @@
         let near = members
             .iter()
             .filter(|(_, m)| m.zone == zone && m.status == MemberStatus::Up);
-        let near = near.max_by_key(|(name, _)| place(id, name));
+        let near = near.max_by_key(|(name, _)| rendezvous::score(&(id, name.as_str())));
         let near = near.and_then(|(_, member)| member.control);
         near.or(self.settings.listen.control_plane)
     }
@@ -169,7 +169,7 @@
         members.sort_by_key(|(name, member)| {
             (
                 member.zone != self.settings.zone,
-                std::cmp::Reverse(place(id, name)),
+                std::cmp::Reverse(rendezvous::score(&(id, name.as_str()))),
             )
         });
         members.into_iter().map(|(_, member)| member).collect()
@@ -245,10 +245,3 @@
         }
     }
 }
-
-/// A member's place in the order in which it is chosen for a backend.
-pub(super) fn place(backend: &str, member: &str) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    (backend, member).hash(&mut hasher);
-    hasher.finish()
-}
--- a/router/src/kv_stores.rs
+++ b/router/src/kv_stores.rs
@@ -1,11 +1,11 @@
 //! The KV stores of the configuration, and whether each is available.
 
 use crate::protocol::StoreStatus;
+use crate::rendezvous;
 use crate::sync::lock;
 use control::configuration::KvStore;
 use routing::prefix_index::PrefixKey;
 use std::collections::BTreeMap;
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddrV4;
 use std::sync::Mutex;
 
@@ -46,7 +46,7 @@
             }),
             _ => None,
         });
-        answering.max_by_key(|store| place(&(key, store.address)))
+        answering.max_by_key(|store| rendezvous::score(&(key, store.address)))
     }
 
     /// What this router knows of a store.
@@ -95,9 +95,3 @@
         }
     }
 }
-
-fn place(thing: &impl Hash) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    thing.hash(&mut hasher);
-    hasher.finish()
-}
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod protocol;
 pub mod proxy;
 pub mod published;
+pub mod rendezvous;
 pub mod replica;
 pub mod serve;
 pub mod settings;
--- a/router/src/proxy/attempt.rs
+++ b/router/src/proxy/attempt.rs
@@ -1,10 +1,10 @@
-//! One send of a request to one backend, up to the start of its answer.
+//! One attempt: sending a request to one backend, up to the head of its response.
 
 use super::backend::{Backend, InFlightGuard};
 use super::cache_salt::salt;
 use super::connection::{Connection, Failure};
 use super::headers;
-use super::response::Answer;
+use super::response::ReceivedResponse;
 use crate::clock;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -19,126 +19,128 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a new connection may take.
+/// Time limit of connecting to a backend.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A reset right after the last answer says more of the backend than of its idle connections.
+/// Minimum idle time, in milliseconds, after which a reset counts as a stale connection. A reset
+/// right after the previous response is a failure of the backend instead.
 const MIN_STALE_IDLE: Millis = 50;
-/// A connection that is kept ends so long before the backend would close it.
+/// A pooled connection expires this long before the backend would close it.
 const KEEP_ALIVE_MARGIN_MS: u64 = 500;
 
-/// What a client asked for, as it goes to any backend.
+/// A client's request, as it is sent to any backend.
 #[derive(Debug)]
 pub struct UpstreamRequest {
-    /// The method.
+    /// Request method.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// Path and query of the client, unchanged.
     pub uri: Uri,
-    /// Headers that go along.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
-    /// The id of the client's try.
+    /// Id of the client's attempt.
     pub request_id: String,
     /// When the client stops waiting.
     pub deadline: Instant,
-    /// The prompt, where the request has one.
+    /// Prompt description, if the request has one.
     pub prompt: Option<Prompt>,
-    /// The text under which parts are kept, without the version.
+    /// Namespace of the tenant's prefix cache; see [`CacheSalt`](super::cache_salt::CacheSalt).
     pub cache_namespace: CompactString,
-    /// Whether the answer is a series of events.
+    /// Whether the response is an event stream.
     pub streaming: bool,
-    /// Whether it may be sent once more where it may have run.
+    /// Whether the request may be sent again although it may have been executed.
     pub is_retryable: bool,
 }
 
-/// What a send tells its backend about kept prompts.
+/// KV cache transfers that a backend is asked to make.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct KvTransfer {
-    /// Take missing parts from there.
+    /// Fetch missing segments from this address.
     pub fetch: Option<SocketAddrV4>,
-    /// Send the parts there once they are read.
+    /// Save the segments to this address after prefill.
     pub save: Option<SocketAddrV4>,
 }
 
-/// How one send differs from another.
+/// Options in which attempts at the same request differ.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptOptions {
-    /// The version of weights that the backend is to have.
+    /// Version of the weights that the backend is expected to have.
     pub version: Option<u64>,
-    /// Where a stream goes on.
+    /// Id of the last event received, if a stream is resumed.
     pub last_event_id: Option<String>,
-    /// What it tells about stores.
+    /// KV cache transfers to request.
     pub kv_transfer: KvTransfer,
-    /// Without the start of an answer for so long, the backend is taken to be at fault.
+    /// A backend that has not started its response after this time counts as failed.
     pub overdue_after: Duration,
 }
 
-/// The start of an answer that may be passed on.
+/// The head of a response that may be passed to the client.
 pub struct ResponseStart {
-    /// Its head.
+    /// Headers.
     pub head: HeaderMap,
-    /// Its status.
+    /// Status.
     pub status: StatusCode,
-    /// What is to follow.
+    /// Body, complete or as a stream.
     pub content: ResponseBody,
-    /// Where it comes from.
+    /// The backend that sent it.
     pub backend: Arc<Backend>,
-    /// How long it took to come.
+    /// Time from the start of the attempt to the response, or to its end if it was buffered.
     pub took: Duration,
 }
 
-/// The content of an answer.
+/// The body of a response.
 pub enum ResponseBody {
-    /// All of it.
+    /// A complete body.
     Buffered(Bytes),
-    /// Events, of which the first bytes have come.
+    /// An event stream whose first bytes have arrived.
     Stream(Box<EventStream>),
 }
 
-/// A stream of events under way.
+/// An event stream in progress.
 pub struct EventStream {
-    /// Bytes that have come and were not passed on.
+    /// Bytes that arrived and were not passed on yet.
     pub first: Bytes,
-    /// What follows.
+    /// The rest of the body.
     pub rest: Incoming,
-    /// The connection on which they come.
+    /// The connection that carries the body.
     pub connection: Connection,
-    /// Counts the request at its backend.
+    /// Counts the request as in flight at its backend.
     pub outstanding: InFlightGuard,
-    /// When the connection would end if it were idle from now on.
+    /// Keep-alive time that the backend announced, in seconds.
     pub keep_alive: Option<u64>,
-    /// Whether the backend closes it behind the answer.
+    /// Whether the backend closes the connection after the response.
     pub closes: bool,
 }
 
-/// How a send ended that brought no answer to pass on.
+/// Why an attempt brought no response that may be passed on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptError {
-    /// The backend could not be reached, or nothing was written: it has not run.
+    /// The backend could not be reached, or nothing was written: the request was not executed.
     NotSent,
-    /// The backend turned it away: it has not run.
+    /// The backend rejected the request without executing it.
     Rejected {
-        /// The backend's advice, in seconds.
+        /// The backend's Retry-After, in seconds.
         retry_after: Option<f64>,
-        /// It is another incarnation, or has other weights.
+        /// Whether the backend is another instance, or has other weights, than expected.
         misdirected: bool,
     },
-    /// It may have run.
+    /// The connection or the response is broken; the request may have been executed.
     Broken,
-    /// It was withdrawn, as the backend's weights got too old for it to start there. It may have
-    /// run.
+    /// The attempt was cancelled because the backend's weights became too old for the request to
+    /// start there. The request may have been executed.
     Withdrawn,
 }
 
-/// What came of a send.
+/// Outcome of an attempt.
 pub type Result = std::result::Result<ResponseStart, AttemptError>;
 
-/// Whether bytes of a request may have reached a backend. Shared with whoever gives the send up.
+/// Whether a backend may have executed a request. Shared with the owner of the attempt, which reads
+/// it after dropping the attempt.
 #[derive(Debug, Clone, Default)]
 pub struct ExecutionFlag(Arc<AtomicBool>);
 
 impl ExecutionFlag {
-    /// Whether the send has come so far that it may run.
+    /// Returns whether the attempt has come so far that the backend may execute the request.
     pub fn may_have_executed(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
@@ -148,8 +150,8 @@
     }
 }
 
-/// Sends a call to a backend and waits for the start of its answer. A backend that is overdue
-/// without a reason is noted as at fault; it may answer still.
+/// Sends a request to a backend and waits for the head of its response. A backend that is overdue
+/// without reporting a queue is recorded as failed, but its response is still accepted.
 pub async fn send(
     upstream_request: Arc<UpstreamRequest>,
     backend: Arc<Backend>,
@@ -201,7 +203,7 @@
         }
     };
     let expected_version = options.version;
-    let answer = Answer {
+    let received = ReceivedResponse {
         upstream_request,
         backend,
         outstanding,
@@ -209,7 +211,7 @@
         started_at,
         expected_version,
     };
-    let result = answer.validate(response).await;
+    let result = received.validate(response).await;
     if matches!(result, Err(AttemptError::Rejected { .. })) {
         sent.set(false);
     }
@@ -233,7 +235,7 @@
     })
 }
 
-/// No answer came on a connection that had rested for so long before the request was sent.
+/// Records a request that got no response, on a connection that was idle for `idle_time` before.
 fn record_send_failure(backend: &Backend, idle_time: Millis) {
     if idle_time >= MIN_STALE_IDLE {
         backend.record_stale_connection(idle_time);
@@ -281,7 +283,7 @@
     request
 }
 
-/// Keeps a connection whose answer is over, once it is ready for another request.
+/// Returns a connection to the pool after its response, once it is ready for another request.
 pub fn recycle(
     backend: Arc<Backend>,
     mut connection: Connection,
--- a/router/src/proxy/backend.rs
+++ b/router/src/proxy/backend.rs
@@ -1,4 +1,5 @@
-//! A backend as this router sees it: what it was told of it, its load, and its connections.
+//! A backend as this router observes it: its reported state, load, recent failures and idle
+//! connections.
 
 use super::connection::Connection;
 use super::failure_log::FailureLog;
@@ -15,32 +16,33 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Idle connections that are kept for a backend.
+/// Maximum number of idle connections per backend.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// A backend that could not be reached or broke off is avoided for this long, longer with each
-/// failure in a row.
+/// Backoff after a backend was unreachable or failed, in milliseconds; it doubles with each
+/// consecutive failure, up to the maximum.
 const BASE_BACKOFF: Millis = 400;
 const MAX_BACKOFF: Millis = 3_200;
-/// What a backend told of its load counts for this long.
+/// Maximum age of a load report, in milliseconds.
 const LOAD_MAX_AGE: Millis = 1_500;
-/// An order that was not said to be done counts as under way for this long.
+/// An order that was not reported as completed counts as in progress for this long, in
+/// milliseconds.
 const LOADING_TIMEOUT: Millis = 3_000;
 
-/// A load that a backend told.
+/// Load that a backend reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that it works on.
+    /// Requests in execution.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that it can work on.
+    /// Maximum number of requests in execution.
     pub slots: u32,
-    /// When it was told.
+    /// Time of the report.
     pub at: Millis,
 }
 
 impl ReportedLoad {
-    /// Reads the header by which backends tell their load.
+    /// Parses the load header.
     pub fn read(text: &str, at: Millis) -> Option<Self> {
         let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
         Some(ReportedLoad {
@@ -52,7 +54,7 @@
     }
 }
 
-/// What changes about a backend.
+/// The mutable state of a backend.
 struct State {
     phase: BackendPhase,
     unresponsive: bool,
@@ -68,7 +70,7 @@
     idle: Vec<Connection>,
 }
 
-/// What backends of one service share.
+/// State shared by the backends of a service.
 #[derive(Debug, Default)]
 pub struct ServiceState {
     idle_limit: Mutex<IdleLimit>,
@@ -76,39 +78,40 @@
 
 /// One incarnation of a backend.
 pub struct Backend {
-    /// Its instance id.
+    /// Instance id.
     pub id: CompactString,
-    /// Its service.
+    /// Name of its service.
     pub service: CompactString,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Zone.
     pub zone: CompactString,
-    /// Requests that it works on at once.
+    /// Maximum number of requests in execution.
     pub slots: u32,
     service_state: Arc<ServiceState>,
-    faults: Arc<FailureLog>,
+    failures: Arc<FailureLog>,
     state: Mutex<State>,
 }
 
-/// A look at a backend's load.
+/// A snapshot of a backend's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// This router's requests there.
+    /// Requests of this router that are in flight there.
     pub outstanding: u32,
-    /// Prompt tokens of this router's requests that it has not begun to answer.
+    /// Prompt tokens of this router's requests that wait for prefill there.
     pub prefill_tokens: u64,
-    /// What it told last, where that is not too old.
+    /// The latest load report, unless it is too old.
     pub reported: Option<ReportedLoad>,
 }
 
 impl Load {
-    /// Whether it has told lately that requests wait there.
+    /// Returns whether the latest report states queued requests.
     pub fn has_queue(&self) -> bool {
         self.reported.is_some_and(|reported| reported.waiting > 0)
     }
 
-    /// Whether, as far as it has told, requests wait there or half of its slots are taken.
+    /// Returns whether, by the latest report, requests are queued or half of the slots are in use.
+    /// True without a report.
     pub fn is_busy(&self) -> bool {
         self.reported
             .is_none_or(|reported| reported.waiting > 0 || 2 * reported.running >= reported.slots)
@@ -120,19 +123,19 @@
 pub enum Eligibility {
     /// It may.
     Eligible,
-    /// Only where no other may.
+    /// Only if no other backend is eligible.
     LastResort,
-    /// It may not.
+    /// It must not.
     Ineligible,
 }
 
 impl Backend {
-    /// A backend that has just become known.
+    /// Creates the state of a backend that was just discovered.
     pub fn new(
         id: CompactString,
         registered: &Registered,
         service_state: Arc<ServiceState>,
-        faults: Arc<FailureLog>,
+        failures: Arc<FailureLog>,
     ) -> Self {
         let state = State {
             phase: registered.phase,
@@ -155,12 +158,12 @@
             zone: registered.zone.clone(),
             slots: registered.slots,
             service_state,
-            faults,
+            failures,
             state: Mutex::new(state),
         }
     }
 
-    /// Takes what the directory says of it.
+    /// Applies the backend's records in the directory.
     pub fn update(
         &self,
         registered: &Registered,
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Whether it may be sent requests for a model, where these need one of at least some version.
+    /// Returns whether requests for a model and minimum version may be sent here.
     pub fn eligibility(&self, model: Option<(&str, Option<u64>)>) -> Eligibility {
         let now = clock::now();
         let state = lock(&self.state);
@@ -214,35 +217,35 @@
         }
     }
 
-    /// Whether several routers have seen it fail requests lately.
+    /// Returns whether several routers observed failures recently.
     pub fn is_suspected(&self) -> bool {
         clock::now() < lock(&self.state).suspected_until
     }
 
-    /// The version of a model's weights that it has, as far as is known.
+    /// The observed version of a model's weights.
     pub fn version(&self, model: &str) -> Option<u64> {
         lock(&self.state).weights.version(model)
     }
 
-    /// The versions of weights that it has, as far as is known, by model.
+    /// The observed versions of weights by model.
     pub fn versions(&self) -> HashMap<CompactString, u64> {
         lock(&self.state).weights.versions()
     }
 
-    /// An answer that was served told the version of a model's weights.
+    /// Records the version stated in a successful response.
     pub fn observe_version(&self, model: &str, version: u64) {
         lock(&self.state).weights.observe_response(model, version);
     }
 
-    /// It turned a request away that expected a version of a model's weights, and may have told its
-    /// own.
+    /// Records that a request was rejected because it expected a version that the backend does not
+    /// have. `reported` is the actual one, if stated.
     pub fn observe_version_mismatch(&self, model: &str, expected: u64, reported: Option<u64>) {
         lock(&self.state)
             .weights
             .observe_rejection(model, expected, reported, clock::now());
     }
 
-    /// A look at its load.
+    /// Takes a snapshot of the load.
     pub fn load(&self) -> Load {
         let now = clock::now();
         let state = lock(&self.state);
@@ -256,12 +259,12 @@
         }
     }
 
-    /// It told its load.
+    /// Records a load report.
     pub fn record_load(&self, reported: ReportedLoad) {
         lock(&self.state).reported = Some(reported);
     }
 
-    /// A connection: an idle one, or a new one.
+    /// Returns an idle connection, or opens a new one within the time limit.
     pub async fn connect(&self, timeout: Duration, is_retryable: bool) -> io::Result<Connection> {
         if let Some(idle) = self.take_idle(is_retryable, clock::now()) {
             return Ok(idle);
@@ -269,8 +272,8 @@
         Connection::open(self.address, timeout).await
     }
 
-    /// An idle connection. Where the request may not be repeated, one that rested for too long to
-    /// be trusted stays idle.
+    /// Takes an idle connection. One that exceeds the idle limit is left for retryable requests, as
+    /// a stale connection could fail a request that must not be sent again.
     pub fn take_idle(&self, is_retryable: bool, now: Millis) -> Option<Connection> {
         let idle_limit = *lock(&self.service_state.idle_limit);
         let mut state = lock(&self.state);
@@ -283,7 +286,7 @@
         Some(state.idle.remove(at))
     }
 
-    /// Keeps a connection for another request.
+    /// Returns a connection to the pool.
     pub fn return_connection(&self, mut connection: Connection) {
         let mut state = lock(&self.state);
         if state.phase == BackendPhase::Ready && state.idle.len() < MAX_IDLE_CONNECTIONS {
@@ -292,18 +295,19 @@
         }
     }
 
-    /// It could not be reached from here: this says nothing of others.
+    /// Records that the backend could not be reached from here. This is not reported to other
+    /// routers, as it may be a fault of the network path.
     pub fn record_unreachable(&self) {
         self.back_off();
     }
 
-    /// A request could not be brought to an answer by its fault.
+    /// Records a failure of the backend itself.
     pub fn record_failure(&self) {
         self.back_off();
-        self.faults.note(&self.id);
+        self.failures.record(&self.id);
     }
 
-    /// A connection that had rested was reset as a request was sent on it.
+    /// Records that a connection was reset when a request was sent on it after it was idle.
     pub fn record_stale_connection(&self, idle_time: Millis) {
         lock(&self.service_state.idle_limit).record_stale(idle_time, clock::now());
         lock(&self.state).idle.clear();
@@ -320,7 +324,7 @@
         state.idle.clear();
     }
 
-    /// A request was answered.
+    /// Records a success, which ends the backoff.
     pub fn record_success(&self) {
         let mut state = lock(&self.state);
         state.failures = 0;
@@ -342,14 +346,14 @@
     }
 }
 
-/// Counts a request at a backend for as long as it lives.
+/// Counts a request as in flight at a backend until it is dropped.
 pub struct InFlightGuard {
     backend: Arc<Backend>,
     prefill_tokens: u64,
 }
 
 impl InFlightGuard {
-    /// A request is about to be sent whose prompt takes so many tokens to read.
+    /// Records a request that is about to be sent with this many prompt tokens to prefill.
     pub fn begin(backend: Arc<Backend>, prefill_tokens: u64) -> Self {
         let mut state = lock(&backend.state);
         state.outstanding += 1;
@@ -361,7 +365,7 @@
         }
     }
 
-    /// The backend has begun to answer: the prompt is read.
+    /// Records that the response began, so prefill is done.
     pub fn prefill_finished(&mut self) {
         lock(&self.backend.state).prefill_tokens -= std::mem::take(&mut self.prefill_tokens);
     }
--- a/router/src/proxy/backend_table.rs
+++ b/router/src/proxy/backend_table.rs
@@ -1,4 +1,4 @@
-//! The backends that this router may send to, by service.
+//! The endpoint table: the backends that this router may send to, by service.
 
 use super::backend::{Backend, ServiceState};
 use super::failure_log::FailureLog;
@@ -9,16 +9,16 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 
-/// Backends by service.
+/// Backends by service name.
 pub type Services = HashMap<CompactString, Vec<Arc<Backend>>>;
 
-/// The table.
+/// The endpoint table, derived from the directory.
 #[derive(Default)]
 pub struct BackendTable {
     services: Mutex<Arc<Services>>,
     known: Mutex<HashMap<CompactString, Arc<Backend>>>,
     service_states: Mutex<HashMap<CompactString, Arc<ServiceState>>>,
-    faults: Arc<FailureLog>,
+    failures: Arc<FailureLog>,
 }
 
 impl BackendTable {
@@ -28,27 +28,27 @@
         services.get(service).cloned().unwrap_or_default()
     }
 
-    /// A backend by its instance id.
+    /// The backend with an instance id.
     pub fn backend(&self, id: &str) -> Option<Arc<Backend>> {
         lock(&self.known).get(id).cloned()
     }
 
-    /// Faults that were seen and not told of yet.
-    pub fn faults(&self) -> Arc<FailureLog> {
-        self.faults.clone()
+    /// The failures that this router observed and has not reported yet.
+    pub fn failures(&self) -> Arc<FailureLog> {
+        self.failures.clone()
     }
 
-    /// Whether any backend is known.
+    /// Returns whether no backend is known.
     pub fn is_empty(&self) -> bool {
         lock(&self.services).is_empty()
     }
 
-    /// Every backend that may be there.
+    /// All backends that may be reachable.
     pub fn all(&self) -> Vec<Arc<Backend>> {
         lock(&self.services).values().flatten().cloned().collect()
     }
 
-    /// Takes what the directory holds now.
+    /// Updates the table to the contents of the directory.
     pub fn refresh(&self, fleet: &Fleet) {
         let directory = lock(&fleet.directory);
         let mut known = lock(&self.known);
@@ -62,7 +62,7 @@
             }
             let backend = known
                 .entry(id.clone())
-                .or_insert_with(|| Arc::new(self.make(id, registered)));
+                .or_insert_with(|| Arc::new(self.new_backend(id, registered)));
             backend.update(registered, directory.order(id), directory.suspicion(id));
             services
                 .entry(registered.service.clone())
@@ -74,14 +74,14 @@
 }
 
 impl BackendTable {
-    fn make(&self, id: &CompactString, registered: &Registered) -> Backend {
+    fn new_backend(&self, id: &CompactString, registered: &Registered) -> Backend {
         let mut states = lock(&self.service_states);
         let state = states.entry(registered.service.clone()).or_default();
-        Backend::new(id.clone(), registered, state.clone(), self.faults.clone())
+        Backend::new(id.clone(), registered, state.clone(), self.failures.clone())
     }
 }
 
-/// Keeps the table in step with the directory.
+/// Updates the table whenever the directory changes.
 pub async fn keep_synchronized(table: Arc<BackendTable>, fleet: Arc<Fleet>) {
     let mut updates = fleet.subscribe();
     loop {
--- a/router/src/proxy/cache_salt.rs
+++ b/router/src/proxy/cache_salt.rs
@@ -1,24 +1,24 @@
-//! The text under which backends and stores keep parts of prompts: the wall around a tenant, and
-//! the version that made them.
+//! The cache salt: the text under which backends and stores cache prompt segments. It consists of
+//! the tenant's cache namespace, which keeps tenants apart, and the version of the weights.
 
 use compact_str::{CompactString, format_compact};
 
-/// What stands between the wall and the version.
-const VERSION_MARK: char = 'v';
+/// Separates the namespace from the version.
+const VERSION_SEPARATOR: char = 'v';
 
-/// A salt as events tell it.
+/// A cache salt, parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheSalt<'a> {
-    /// The wall around a tenant.
+    /// The tenant's cache namespace.
     pub cache_namespace: &'a str,
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: u64,
 }
 
 impl<'a> CacheSalt<'a> {
-    /// Reads a salt; none where it is no router's.
-    pub fn read(text: &'a str) -> Option<Self> {
-        let (cache_namespace, version) = text.rsplit_once(VERSION_MARK)?;
+    /// Parses a salt; `None` if it was not made by a router.
+    pub fn parse(text: &'a str) -> Option<Self> {
+        let (cache_namespace, version) = text.rsplit_once(VERSION_SEPARATOR)?;
         Some(CacheSalt {
             cache_namespace,
             version: version.parse().ok()?,
@@ -26,7 +26,10 @@
     }
 }
 
-/// The text for a wall and a version; 0 where the version is not known.
+/// Formats the salt of a namespace and a version; an unknown version is written as 0.
 pub fn salt(cache_namespace: &str, version: Option<u64>) -> CompactString {
-    format_compact!("{cache_namespace}{VERSION_MARK}{}", version.unwrap_or(0))
+    format_compact!(
+        "{cache_namespace}{VERSION_SEPARATOR}{}",
+        version.unwrap_or(0)
+    )
 }
--- a/router/src/proxy/cache_watcher.rs
+++ b/router/src/proxy/cache_watcher.rs
@@ -1,25 +1,25 @@
-//! Reading what backends keep: each backend's events are read by one router of its zone, which
-//! tells the owners of prefixes what has given way.
+//! Watches the prefix caches of backends. One router in the zone of each backend reads its KV
+//! events and notifies the owners of evicted prefixes.
 
 use super::kv_events;
 use super::prefix_locator::PrefixLocator;
 use crate::fleet::Fleet;
+use crate::rendezvous;
 use crate::sync::lock;
 use compact_str::CompactString;
 use control::directory::{BackendPhase, MemberStatus};
 use std::collections::BTreeMap;
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Time between two looks at which backends this router reads.
+/// Time between two checks which backends this router has to watch.
 const LOOK: Duration = Duration::from_millis(1_000);
-/// Time between two tries at a backend that does not answer.
+/// Time to wait before the events of an unresponsive backend are read again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Keeps reading the backends that fall to this router.
+/// Reads the events of the backends that are assigned to this router, for as long as it runs.
 pub async fn run(fleet: Arc<Fleet>, locator: Arc<PrefixLocator>, client: reqwest::Client) {
     let mut tasks: BTreeMap<CompactString, JoinHandle<()>> = BTreeMap::new();
     let mut seen = None;
@@ -44,8 +44,8 @@
     }
 }
 
-/// The backends with engines whose events this router reads: each has one reader among the routers
-/// of its zone.
+/// The backends whose events this router reads. Each one has one reader among the routers of its
+/// zone, by rendezvous hashing.
 fn assigned(fleet: &Fleet) -> BTreeMap<CompactString, SocketAddrV4> {
     let directory = lock(&fleet.directory);
     let up: Vec<(&CompactString, &CompactString)> = directory
@@ -55,8 +55,11 @@
         .collect();
     let is_assigned = |id: &CompactString, zone: &CompactString| {
         let near = up.iter().filter(|(_, other)| *other == zone);
-        let reader = near.max_by_key(|(name, _)| place(&(id, name)));
-        let reader = reader.or_else(|| up.iter().max_by_key(|(name, _)| place(&(id, name))));
+        let reader = near.max_by_key(|(name, _)| rendezvous::score(&(id, name)));
+        let reader = reader.or_else(|| {
+            up.iter()
+                .max_by_key(|(name, _)| rendezvous::score(&(id, name)))
+        });
         reader.is_some_and(|(name, _)| **name == fleet.settings.node_name)
     };
     let readable = directory.backends().filter(|(_, backend)| {
@@ -67,12 +70,6 @@
         .collect()
 }
 
-fn place(thing: &impl Hash) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    thing.hash(&mut hasher);
-    hasher.finish()
-}
-
 async fn read(
     locator: Arc<PrefixLocator>,
     id: CompactString,
--- a/router/src/proxy/connection.rs
+++ b/router/src/proxy/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend: what was written on it, and whether it can be used again.
+//! An HTTP/1.1 connection to a backend: tracks what was written and whether it can be reused.
 
 use crate::socket;
 use bytes::Bytes;
@@ -20,16 +20,16 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Why a request got no answer on a connection.
+/// Why a request got no response on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No byte of it was written: it has not run.
+    /// No byte was written: the request was not executed.
     NotWritten,
-    /// It may have run.
+    /// The request may have been executed.
     MayHaveExecuted,
 }
 
-/// A socket that counts what was written.
+/// A socket that counts the bytes written to it.
 struct CountingStream {
     stream: TcpStream,
     written: Arc<AtomicU64>,
@@ -67,16 +67,16 @@
     }
 }
 
-/// A connection to a backend. It is reset when it is dropped, so that what is held up on its way to
-/// the backend is not sent on: a request that was given up does not begin there later.
+/// A connection to a backend. It is reset when dropped: an orderly close would let the kernel
+/// deliver buffered bytes later, and an abandoned request could still start at the backend.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     written: Arc<AtomicU64>,
     broken: Arc<AtomicBool>,
     task: JoinHandle<()>,
-    /// The backend closes it when it was idle up to then.
+    /// The backend closes the connection when it has been idle until this time.
     pub idle_until: Millis,
-    /// Since when it has been idle; none where it is new.
+    /// Since when the connection has been idle; `None` if it is new.
     pub idle_since: Option<Millis>,
 }
 
@@ -94,7 +94,7 @@
             .await
             .map_err(|_| late())??;
         socket::configure(&stream)?;
-        // A close would have the system send on what it still holds, for as long as that takes.
+        // A graceful close would let the kernel send buffered data for as long as that takes.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         let written = Arc::new(AtomicU64::new(0));
         let counting = CountingStream {
@@ -122,28 +122,28 @@
         })
     }
 
-    /// Whether it can take a request now.
+    /// Returns whether the connection can take a request now.
     pub fn is_usable(&self, now: Millis) -> bool {
         self.sender.is_ready() && now < self.idle_until
     }
 
-    /// How long it has been idle.
+    /// How long the connection has been idle.
     pub fn idle_time(&self, now: Millis) -> Millis {
         self.idle_since.map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// Whether it ended by a failure. A body whose connection fails may end as if it were whole, so
-    /// this is asked where one has ended.
+    /// Returns whether the connection failed. The body of a failed connection may look complete, so
+    /// this has to be checked at the end of each body without a length.
     pub fn is_broken(&self) -> bool {
         self.broken.load(Ordering::Relaxed)
     }
 
-    /// Whether its end has been noticed.
+    /// Returns whether the connection is known to be closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Waits until it can take another request. False where it ends instead.
+    /// Waits until the connection can take another request. Returns false if it closes instead.
     pub async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/router/src/proxy/failure_log.rs
+++ b/router/src/proxy/failure_log.rs
@@ -1,4 +1,4 @@
-//! Faults of backends that this router saw and has not told of yet.
+//! Backend failures that this router observed and has not reported to the judging nodes yet.
 
 use crate::fleet::Fleet;
 use crate::sync::lock;
@@ -8,34 +8,34 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Faults are gathered for so long before they are told.
+/// Time for which failures are batched before they are reported.
 const GATHER: Duration = Duration::from_millis(100);
 
-/// The faults by backend.
+/// Number of failures by backend.
 #[derive(Debug, Default)]
 pub struct FailureLog {
-    faults: Mutex<BTreeMap<CompactString, u32>>,
+    failures: Mutex<BTreeMap<CompactString, u32>>,
     changed: Notify,
 }
 
 impl FailureLog {
-    /// Notes a fault.
-    pub fn note(&self, backend: &CompactString) {
-        *lock(&self.faults).entry(backend.clone()).or_default() += 1;
+    /// Records a failure.
+    pub fn record(&self, backend: &CompactString) {
+        *lock(&self.failures).entry(backend.clone()).or_default() += 1;
         self.changed.notify_one();
     }
 
-    /// Takes what was noted.
-    pub fn take(&self) -> BTreeMap<CompactString, u32> {
-        std::mem::take(&mut *lock(&self.faults))
+    /// Removes and returns what was recorded.
+    pub fn drain(&self) -> BTreeMap<CompactString, u32> {
+        std::mem::take(&mut *lock(&self.failures))
     }
 }
 
-/// Tells the nodes that judge backends of what is noted, as long as the router runs.
+/// Reports failures to the nodes that judge the backends, for as long as the router runs.
 pub async fn run(log: Arc<FailureLog>, fleet: Arc<Fleet>) {
     loop {
         log.changed.notified().await;
         tokio::time::sleep(GATHER).await;
-        fleet.report_faults(&log.take());
+        fleet.report_faults(&log.drain());
     }
 }
--- a/router/src/proxy/forwarder.rs
+++ b/router/src/proxy/forwarder.rs
@@ -1,5 +1,7 @@
-//! One request of a client, from its first send to the start of its answer: first sends, copies,
-//! repeats.
+//! Forwards clients' requests to backends: the state that requests share, backend selection, and
+//! single attempts.
+//!
+//! The life of one request, with its hedge and retries, is in [`in_flight`](super::in_flight).
 
 use super::attempt::{
     self, AttemptError, AttemptOptions, ExecutionFlag, KvTransfer, ResponseBody, ResponseStart,
@@ -28,41 +30,42 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The header by which a backend names itself.
+/// The header in which a backend states its instance id.
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("x-instance-id");
 
-/// How often a request is sent on after backends turned it away.
+/// How many rejections a request survives before it fails.
 pub(super) const MAX_REJECTIONS: u32 = 3;
-/// So many times the 95th percentile of a kind's answers, and at least the objective, is overdue.
+/// An attempt is overdue after this many times the 95th percentile of its latency, and not before
+/// the latency target.
 const OVERDUE_FACTOR: u32 = 4;
-/// Time between two looks for a backend while there is none.
+/// Time between two attempts to select a backend while none is eligible.
 const SELECTION_RETRY_INTERVAL: Duration = Duration::from_millis(15);
-/// Time between two looks whether newer weights were named than those at which a request waits.
+/// Time between two checks whether newer weights were announced while a request waits.
 const WEIGHTS_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Part of the objective that a request may wait for a backend before it is refused.
+/// A request waits for an eligible backend for the latency target divided by this.
 const SELECTION_WAIT_DIVISOR: u32 = 5;
 
-/// A request was given up.
+/// Why a request has no response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ForwardError {
-    /// It has not run and will not: the client may come back after so many seconds.
+    /// The request was not executed and will not be. The client may retry.
     NotExecuted {
-        /// The advice.
+        /// When to retry, in seconds.
         retry_after: f64,
     },
-    /// It may have run.
+    /// The request may have been executed.
     MayHaveExecuted {
-        /// Whether its time was over.
+        /// Whether the deadline passed.
         timed_out: bool,
     },
 }
 
-/// What is learned about one kind of request.
+/// Latency statistics and the hedge budget of similar requests.
 #[derive(Debug)]
 pub(super) struct RouteStats {
-    /// How long answers take.
+    /// Latency estimate, from which the hedge delay follows.
     pub(super) pace: Pace,
-    /// Copies that may still be sent.
+    /// Hedges that may still be sent.
     pub(super) hedge_budget: HedgeBudget,
 }
 
@@ -74,44 +77,44 @@
     latency_target_ms: u64,
 }
 
-/// The state that requests share.
+/// State shared by all requests.
 pub struct Forwarder {
-    /// The fleet.
+    /// State of the fleet.
     pub fleet: Arc<Fleet>,
-    /// The backends.
+    /// The endpoint table.
     pub table: Arc<BackendTable>,
-    /// Finds out where prompts are kept.
+    /// Looks up where prompt prefixes are cached.
     pub locator: Arc<PrefixLocator>,
     route_stats: Mutex<HashMap<RouteStatsKey, RouteStats>>,
     budgets: Mutex<HashMap<CompactString, RetryBudget>>,
     admissions: Mutex<HashMap<CompactString, AdmissionController>>,
 }
 
-/// How often a request was sent, and where.
+/// The attempts that were made for a request.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptHistory {
-    /// Backends that it was sent to.
+    /// Backends that the request was sent to.
     pub attempted: Vec<CompactString>,
-    /// Sends that may have run.
+    /// Attempts that may have been executed.
     pub executions: u32,
-    /// Sends that backends turned away.
+    /// Attempts that were not executed.
     pub rejections: u32,
 }
 
-/// What is fixed for one request.
+/// A request to forward, with its route and deadline.
 pub struct ForwardRequest {
-    /// What goes to backends.
+    /// What is sent to backends.
     pub upstream_request: Arc<UpstreamRequest>,
-    /// The route.
+    /// The matching route.
     pub route: Arc<Route>,
-    /// The service.
+    /// The service chosen by the route's traffic split.
     pub service: CompactString,
-    /// When the router has to be done.
-    pub until: Instant,
+    /// The router's own deadline.
+    pub deadline: Instant,
 }
 
 impl Forwarder {
-    /// Nothing is under way.
+    /// Creates the state of a router that starts.
     pub fn new(
         fleet: Arc<Fleet>,
         table: Arc<BackendTable>,
@@ -181,8 +184,8 @@
         look(admissions.entry(service.clone()).or_default())
     }
 
-    /// Whether a request is to be refused as its service can't answer all of them in time. Where
-    /// even the least-loaded backend has room, nothing is.
+    /// Decides whether to reject a request because its service is overloaded. Nothing is rejected
+    /// while even the least-loaded backend has spare capacity.
     pub(super) fn should_reject(
         &self,
         request: &ForwardRequest,
@@ -196,7 +199,8 @@
             && fastrand::f64() < rejection_ratio
     }
 
-    /// Takes one repeat out of the budget.
+    /// Withdraws a retry from the service's budget. `reserved` is the part of the budget to leave
+    /// untouched.
     pub(super) fn try_retry(&self, service: &CompactString, reserved: f64) -> bool {
         let routers = self.fleet.members_up();
         self.with_retry_budget(service, |budget| {
@@ -222,8 +226,8 @@
         select_backend(&backends, criteria, attempted)
     }
 
-    /// What a send tells its backend about kept prompts. Without a known version nothing is moved:
-    /// the text under which parts are found is all that tells versions apart.
+    /// The KV cache transfers to request from a backend. None if the version of its weights is
+    /// unknown, as only the salt tells the versions of cached segments apart.
     pub(super) fn kv_transfer(
         &self,
         request: &ForwardRequest,
@@ -238,8 +242,8 @@
         else {
             return KvTransfer::default();
         };
-        // Parts that are made while a backend changes its weights can't be told by their text from
-        // older ones.
+        // While a backend changes its weights, it may compute segments with the new weights under
+        // the old salt.
         if self.is_superseded(&prompt.model, version) {
             return KvTransfer::default();
         }
@@ -260,7 +264,7 @@
         } else {
             self.other_replica(&selected.backend, &prompt.model, version, location)
         };
-        // What a store has gives way less often than what a backend keeps.
+        // Stores evict less often than backends.
         let fetch = if location.stored_version == Some(version) {
             store.or(peer)
         } else {
@@ -272,7 +276,7 @@
         }
     }
 
-    /// Whether a newer version of a model's weights has been named than this one.
+    /// Returns whether a newer version of a model's weights is announced.
     fn is_superseded(&self, model: &str, version: u64) -> bool {
         let published = lock(&self.fleet.published);
         published
@@ -281,8 +285,8 @@
             .is_some_and(|target| target.version > version)
     }
 
-    /// Another backend that keeps the prefix under this version and may be asked for it, one of the
-    /// same zone first.
+    /// Another eligible backend that caches the prefix for this version, preferably in the same
+    /// zone.
     fn other_replica(
         &self,
         chosen: &Backend,
@@ -302,7 +306,7 @@
         nearest.map(|backend| backend.address)
     }
 
-    /// Waits a little for a backend where there is none at present.
+    /// Selects a backend, and waits a little if none is eligible.
     pub(super) async fn select_with_wait(
         &self,
         request: &ForwardRequest,
@@ -311,7 +315,7 @@
     ) -> Option<SelectedBackend> {
         let timeout =
             Duration::from_millis(request.route.target_latency_ms) / SELECTION_WAIT_DIVISOR;
-        let until = (Instant::now() + timeout).min(request.until);
+        let until = (Instant::now() + timeout).min(request.deadline);
         loop {
             if let Some(selected) = self.select(request, attempted, location) {
                 return Some(selected);
@@ -323,7 +327,7 @@
         }
     }
 
-    /// Sends a request until there is an answer to pass on, or none can be had.
+    /// Forwards a request until there is a response to pass on, or none can be had.
     pub async fn run(
         &self,
         request: &ForwardRequest,
@@ -332,9 +336,8 @@
         InFlightRequest::new(self, request).run().await
     }
 
-    /// Sends a request to the chosen backend and waits for the start of its answer. A request may
-    /// wait there for long before it starts, so it is withdrawn when the backend's weights must not
-    /// be used any more.
+    /// Makes one attempt at the selected backend. A request may queue there before it starts, so
+    /// the attempt is cancelled when requests must no longer start on the backend's version.
     pub(super) async fn send(
         &self,
         request: &ForwardRequest,
@@ -368,7 +371,7 @@
         }
     }
 
-    /// Comes back when requests must not start on this version any more.
+    /// Completes when requests must no longer start on this version.
     async fn weights_expired(&self, model: &str, version: u64) {
         loop {
             let left = match self.fleet.start_deadline(model, version) {
@@ -382,14 +385,14 @@
         }
     }
 
-    /// A backend that has not response to answer after this is taken to be at fault.
+    /// Time after which a backend that has not started its response counts as failed.
     pub(super) fn overdue_after(&self, request: &ForwardRequest) -> Duration {
         let p95 = self.with_route_stats(request, |route_stats| route_stats.pace.p95);
         let latency_target = Duration::from_millis(request.route.target_latency_ms);
         latency_target.max(OVERDUE_FACTOR * Duration::from_nanos(p95 as u64))
     }
 
-    /// Goes on with a stream that broke off, at another backend.
+    /// Resumes a broken stream at another backend, after the given event.
     pub async fn resume(
         &self,
         request: &ForwardRequest,
@@ -412,7 +415,7 @@
                 None,
                 ExecutionFlag::default(),
             );
-            match tokio::time::timeout_at(request.until, send).await.ok()? {
+            match tokio::time::timeout_at(request.deadline, send).await.ok()? {
                 Ok(response) => return Some(response),
                 Err(AttemptError::Broken | AttemptError::Withdrawn) => {}
                 Err(AttemptError::NotSent | AttemptError::Rejected { .. }) => {
@@ -425,7 +428,7 @@
     }
 }
 
-/// Whether an answer is a stream.
+/// Returns whether a response is a stream.
 pub fn is_stream(response: &ResponseStart) -> bool {
     matches!(response.content, ResponseBody::Stream(_))
 }
--- a/router/src/proxy/headers.rs
+++ b/router/src/proxy/headers.rs
@@ -1,46 +1,46 @@
-//! Headers of requests and answers: their names, and which go along.
+//! Header names, and rules for which headers are forwarded.
 
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName, HeaderValue};
 
-/// The id of one try of a client.
+/// Id of one attempt of a client.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// How long the client, or this router, waits.
+/// How long the sender waits, in milliseconds.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// Proves that an answer is a backend's own.
+/// Proves that a response was produced by the backend itself.
 pub const SEAL: HeaderName = HeaderName::from_static("x-response-seal");
-/// The tenant of a key.
+/// Tenant of the API key.
 pub const TENANT: HeaderName = HeaderName::from_static("x-tenant-id");
-/// The backend that is meant.
+/// Instance that the request is meant for.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
-/// The version of weights that is meant.
+/// Version of the weights that the request is meant for.
 pub const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-/// A backend's load.
+/// Load that a backend reports.
 pub const LOAD: HeaderName = HeaderName::from_static("x-server-load");
-/// The request has not run.
+/// The request was not executed.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-/// The model.
+/// Name of the model.
 pub const MODEL: HeaderName = HeaderName::from_static("x-model-name");
-/// Sizes of a prompt and its answer.
+/// Token counts of the prompt and its answer.
 pub const TOKENS: HeaderName = HeaderName::from_static("x-token-counts");
-/// Parts of a prompt.
+/// Segments of the prompt.
 pub const PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
-/// Under which text kept parts are found.
+/// Cache salt of the prompt's segments.
 pub const SALT: HeaderName = HeaderName::from_static("cache-salt");
-/// From where parts are to be taken.
+/// Address to fetch segments from.
 pub const KV_FETCH: HeaderName = HeaderName::from_static("kv-fetch");
-/// Where parts are to be sent.
+/// Address to save segments to.
 pub const KV_SAVE: HeaderName = HeaderName::from_static("kv-save");
-/// The urgency at a backend.
+/// Scheduling priority at a backend.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// The version of weights that an answer was made with.
+/// Version of the weights that produced a response.
 pub const VERSIONS: HeaderName = HeaderName::from_static("versions");
-/// Where a stream goes on.
+/// Id after which a stream resumes.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// How long a connection may be idle.
+/// Keep-alive parameters of a connection.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     KEEP_ALIVE,
@@ -53,7 +53,7 @@
     header::UPGRADE,
 ];
 
-/// Headers by which this router speaks to backends; a client's own never go along.
+/// Headers that only routers send to backends; they are removed from clients' requests.
 const ROUTER_ONLY: [HeaderName; 8] = [
     TENANT,
     EXPECT_INSTANCE,
@@ -65,7 +65,7 @@
     header::AUTHORIZATION,
 ];
 
-/// Removes what concerns one connection only.
+/// Removes hop-by-hop headers, also those that `Connection` lists.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -79,24 +79,24 @@
     });
 }
 
-/// Removes what a client may not say to a backend.
+/// Removes headers that clients must not send to backends.
 pub fn remove_router_only(headers: &mut HeaderMap) {
     ROUTER_ONLY.iter().for_each(|name| {
         headers.remove(name);
     });
 }
 
-/// A header as text.
+/// Value of a header as text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A header as a whole number.
+/// Value of a header as an unsigned integer.
 pub fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     text(headers, name)?.trim().parse().ok()
 }
 
-/// Sets a header; a value that can't stand in one is left out.
+/// Sets a header; an invalid value is skipped.
 pub fn set(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
@@ -109,7 +109,7 @@
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
 
-/// Whether a message closes its connection.
+/// Returns whether a message announces that its connection closes.
 pub fn closes(headers: &HeaderMap) -> bool {
     let value = text(headers, &header::CONNECTION).unwrap_or_default();
     value
--- a/router/src/proxy/in_flight.rs
+++ b/router/src/proxy/in_flight.rs
@@ -1,5 +1,4 @@
-//! One request under way: its first send, one copy where it is pending for long, repeats, and the
-//! answer that wins.
+//! One request in flight: its first attempt, at most one hedge, retries, and the first response.
 
 use super::attempt::{self, AttemptError, ExecutionFlag, ResponseStart};
 use super::forwarder::{AttemptHistory, ForwardError, ForwardRequest, Forwarder, MAX_REJECTIONS};
@@ -14,20 +13,20 @@
 use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
 use std::time::Duration;
 
-/// Part of the retry budget that copies leave to repeats after failures.
+/// Part of the retry budget that hedges leave to retries after failures.
 const RESERVED_FOR_FAILURES: f64 = 0.4;
-/// Advice to clients that are refused, in seconds.
+/// Retry-After of rejected requests, in seconds.
 const RETRY_AFTER: f64 = 0.15;
-/// Shared starts of fewer tokens are not asked for.
+/// Prefixes of fewer tokens are not looked up.
 const MIN_SHARED_TOKENS: u64 = 64;
-/// A prompt is worth saving where so much of it is shared: a save brings the whole prompt to the
-/// store.
+/// Minimum ratio of shared tokens for a prefix to be saved: a save transfers the whole prompt to
+/// the store.
 const MIN_SHARED_RATIO_TO_SAVE: f64 = 0.25;
 
 type AttemptFuture<'a> =
     std::pin::Pin<Box<dyn Future<Output = attempt::Result> + std::marker::Send + 'a>>;
 
-/// One request under way.
+/// A request in flight.
 pub struct InFlightRequest<'a> {
     forwarder: &'a Forwarder,
     request: &'a ForwardRequest,
@@ -38,12 +37,12 @@
     retry_after: Option<f64>,
     location: Option<PrefixLocation>,
     admission_id: Option<InFlightId>,
-    /// A backend's own failure, to be passed on where nothing better comes.
+    /// A backend's own failure, passed to the client if no other attempt succeeds.
     failure: Option<ResponseStart>,
 }
 
 impl<'a> InFlightRequest<'a> {
-    /// Nothing is sent yet.
+    /// Creates a request without attempts.
     pub fn new(forwarder: &'a Forwarder, request: &'a ForwardRequest) -> Self {
         InFlightRequest {
             forwarder,
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Sends it until there is an answer to pass on, or none can be had.
+    /// Runs the request until there is a response to pass on, or none can be had.
     pub async fn run(mut self) -> Result<(ResponseStart, AttemptHistory), ForwardError> {
         let Some(planned) = self
             .forwarder
@@ -91,7 +90,7 @@
         let hedge = tokio::time::sleep(Duration::from_nanos(hedge_after as u64));
         tokio::pin!(hedge);
         let mut may_hedge = self.request.upstream_request.is_retryable;
-        let timed_out = tokio::time::sleep_until(self.request.until);
+        let timed_out = tokio::time::sleep_until(self.request.deadline);
         tokio::pin!(timed_out);
         loop {
             tokio::select! {
@@ -118,7 +117,7 @@
         }
     }
 
-    /// Asks where the shared start of the prompt is kept, and chooses anew where somebody keeps it.
+    /// Looks up where the prompt's prefix is cached, and selects a backend again if it is.
     async fn look_up(&mut self, planned: SelectedBackend) -> SelectedBackend {
         let Some(lookup) = self.lookup(&planned) else {
             return planned;
@@ -144,7 +143,7 @@
         selected
     }
 
-    /// What the owner of the prompt's shared start is asked; none where little is shared.
+    /// The lookup for the prompt's prefix; `None` if too little of the prompt is shared.
     fn lookup(&self, planned: &SelectedBackend) -> Option<PrefixLookup> {
         let upstream_request = &self.request.upstream_request;
         let prompt = upstream_request.prompt.as_ref()?;
@@ -174,7 +173,7 @@
         self.attempts_in_flight.push(Box::pin(send));
     }
 
-    /// One copy of a request that is pending for longer than most, at another backend.
+    /// Sends a hedge to another backend, if the request has none and the budgets allow it.
     fn hedge(&mut self) {
         if self.is_hedged
             || self.attempts_in_flight.len() != 1
@@ -211,7 +210,7 @@
         }
     }
 
-    /// Notes how a send ended. Whether the request may be sent once more.
+    /// Records a failed attempt. Returns whether the request may be sent again.
     fn record_failed_attempt(&mut self, ended: AttemptError) -> bool {
         let route = &self.request.route;
         match ended {
@@ -240,16 +239,16 @@
         }
     }
 
-    /// Whether a backend failed by its own fault, and another one may do better: one that has a
-    /// copy, or that is still to get one.
+    /// Returns whether a response is a backend's own failure that another attempt, in flight or
+    /// still permitted, may make up for.
     fn should_retry_response(&self, response: &ResponseStart) -> bool {
         let is_left = !self.attempts_in_flight.is_empty()
             || self.history.executions < self.request.route.attempts;
         is_own_failure(response.status) && self.request.upstream_request.is_retryable && is_left
     }
 
-    /// Sends the request once more. False where that is not permitted, or there is nowhere to send
-    /// it.
+    /// Retries the request. Returns false if the budget does not allow it, or no backend is
+    /// eligible.
     async fn retry(&mut self) -> bool {
         if !self.forwarder.try_retry(&self.request.service, 0.0) {
             return false;
@@ -267,7 +266,7 @@
         found
     }
 
-    /// Passes a backend's own failure on where there was one; else the request is given up.
+    /// Passes on a backend's own failure if there is one; otherwise the request fails.
     fn finish_without_response(
         &mut self,
         timed_out: bool,
@@ -278,7 +277,8 @@
         }
     }
 
-    /// The first answer wins. Dropping the other sends closes their connections.
+    /// The first response wins. Dropping the other attempts resets their connections, which cancels
+    /// them.
     fn finish(&mut self, response: ResponseStart) -> (ResponseStart, AttemptHistory) {
         self.attempts_in_flight.clear();
         if let Some(id) = self.admission_id.take() {
@@ -316,14 +316,14 @@
     }
 }
 
-/// When a client that is refused for too much load may come back, in seconds: spread, so that not
-/// all do at once.
+/// Retry-After of a request rejected for overload, in seconds. Jittered, so that clients do not
+/// come back all at once.
 fn overload_retry_after(request: &ForwardRequest) -> f64 {
     let latency_target_s = request.route.target_latency_ms as f64 / 1_000.0;
     latency_target_s * (0.5 + fastrand::f64())
 }
 
-/// A choice as owners of prefixes know it.
+/// The backend and version as the owners of prefixes know them.
 fn placement(selected: &SelectedBackend) -> Option<Placement> {
     Some(Placement {
         backend: selected.backend.id.clone(),
--- a/router/src/proxy/ingress.rs
+++ b/router/src/proxy/ingress.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: finding the route, checking the key, and wording the answer.
+//! The interface for clients: routing, authentication, and writing responses.
 
 use super::attempt::{ResponseBody, ResponseStart, UpstreamRequest};
 use super::forwarder::{AttemptHistory, ForwardError, ForwardRequest, Forwarder};
@@ -21,24 +21,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Where a client names no deadline.
+/// Deadline of requests that name none.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// The answer goes out so long before the client stops waiting.
+/// The router's own deadline is this long before the client's.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
-/// Advice to clients while this router can't take anything.
+/// Retry-After while this router has no configuration, in seconds.
 const NOT_READY_RETRY_AFTER: &str = "0.3";
-/// Ranks that one rank of a tenant stands above one of a route.
+/// Priority levels of routes for each level of a tenant.
 const RANKS_PER_TENANT_PRIORITY: u8 = 3;
-/// The lowest rank at a backend.
+/// The lowest priority at a backend; larger numbers are less urgent.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// The interface for clients.
+/// The endpoint for clients.
 pub struct Ingress {
     forwarder: Arc<Forwarder>,
     connections: ClientConnections,
 }
 
-/// Why a request is not sent on.
+/// Why a request is not forwarded.
 struct Rejection {
     status: StatusCode,
     retry_after: Option<String>,
@@ -61,7 +61,7 @@
 }
 
 impl Ingress {
-    /// The interface for clients.
+    /// Creates the endpoint.
     pub fn new(forwarder: Arc<Forwarder>, connections: ClientConnections) -> Self {
         Ingress {
             forwarder,
@@ -72,9 +72,8 @@
     async fn handle(&self, request: Request) -> Response {
         self.forwarder.count(Event::RequestReceived);
         let connection = self.connections.of(request.remote_addr().as_socket_addr());
-        // The server library goes on with a request whose client has closed the connection, so this
-        // is what ends it: all that waits or works for it is dropped here, and sends to backends
-        // end with it.
+        // The HTTP server keeps running a request whose client has disconnected. Dropping the
+        // future here cancels it with all its attempts.
         let outcome = tokio::select! {
             biased;
             () = connection.ended() => {
@@ -147,7 +146,7 @@
         let timeout = headers::number(request.headers(), &headers::DEADLINE_MS)
             .unwrap_or(DEFAULT_DEADLINE_MS);
         let deadline = arrived + Duration::from_millis(timeout);
-        let until =
+        let router_deadline =
             deadline.min(arrived + Duration::from_millis(route.timeout_ms)) - RESPONSE_MARGIN;
         let upstream_request = call_of(request, body, configuration, route, tenant, deadline)
             .ok_or_else(|| Rejection::with(StatusCode::BAD_REQUEST))?;
@@ -155,7 +154,7 @@
             upstream_request: Arc::new(upstream_request),
             route: Arc::new(route.clone()),
             service: service.clone(),
-            until,
+            deadline: router_deadline,
         })
     }
 
@@ -223,7 +222,7 @@
     }
 }
 
-/// The server library wants an answer still; on a connection that has ended it is not written.
+/// A response for the HTTP server's sake: on a closed connection it is never written.
 fn undeliverable_response() -> Response {
     Response::builder().status(StatusCode::BAD_GATEWAY).finish()
 }
@@ -319,8 +318,9 @@
     })
 }
 
-/// The wall around a tenant's parts. What is shared is shared under a text that names who is
-/// isolated, so that parts made before a tenant was isolated are not found after.
+/// The namespace of a tenant's cached segments. An isolated tenant has its own. The shared
+/// namespace hashes the names of the isolated tenants, so that segments which a tenant cached
+/// before it was isolated are not found afterwards.
 fn cache_namespace(configuration: &Configuration, tenant: Option<&Tenant>) -> CompactString {
     if let Some(tenant) = tenant.filter(|tenant| tenant.isolated) {
         return compact_str::format_compact!("t{}-", tenant.name);
--- a/router/src/proxy/kv_events.rs
+++ b/router/src/proxy/kv_events.rs
@@ -1,4 +1,4 @@
-//! Reading the events by which backends and stores tell what they keep.
+//! Reads the KV cache events of backends and stores by long polling.
 
 use super::cache_salt::CacheSalt;
 use compact_str::CompactString;
@@ -8,25 +8,25 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a call for events may be held.
+/// How long a poll may be held by the server.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(1_000);
-/// Patience beyond the time that a call may be held.
+/// Time limit of a poll beyond that.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Events that come one by one are taken together after this.
+/// Time to wait between polls, so that single events come in batches.
 const BATCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a reading has ended.
+/// Why reading events ended.
 #[derive(Debug, Error)]
 pub enum ReadingError {
-    /// The call failed.
+    /// The request failed.
     #[error("{address} does not answer: {problem}; it is tried again")]
     Unreachable {
         /// The backend or store.
         address: SocketAddrV4,
-        /// What went wrong.
+        /// The cause.
         problem: reqwest::Error,
     },
-    /// The answer is none that the protocol knows.
+    /// The response has an unexpected status.
     #[error("{address} answers with {status}; it is tried again")]
     Rejection {
         /// The backend or store.
@@ -34,12 +34,12 @@
         /// The status.
         status: u16,
     },
-    /// The answer can't be read.
+    /// The response can't be parsed.
     #[error("{address} sends events that can't be read: {problem}; it is tried again")]
     Unreadable {
         /// The backend or store.
         address: SocketAddrV4,
-        /// What is wrong.
+        /// The cause.
         problem: serde_json::Error,
     },
 }
@@ -60,19 +60,18 @@
     )>,
 }
 
-/// What has become of a part.
+/// A cached or evicted segment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KvEvent {
-    /// The prefix that ends with the part.
+    /// The prefix that ends with the segment.
     pub key: PrefixKey,
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: u64,
-    /// Whether it is kept now.
+    /// Whether the segment is cached now.
     pub is_cached: bool,
 }
 
-/// Reads events for as long as they come. `heard` is told the life of whoever sends them with each
-/// page.
+/// Polls for events until an error. `heard` receives each page with the sender's incarnation.
 pub async fn follow(
     address: SocketAddrV4,
     client: &reqwest::Client,
@@ -81,11 +80,11 @@
     let (mut since, mut epoch) = (0, None);
     loop {
         let page = call(address, client, since).await?;
-        // What was numbered in another life says nothing of this one.
-        let is_same_life = epoch
+        // Event numbers of another incarnation are meaningless.
+        let is_same_incarnation = epoch
             .replace(page.epoch)
             .is_none_or(|former| former == page.epoch);
-        since = if is_same_life {
+        since = if is_same_incarnation {
             page.next_page_token
         } else {
             0
@@ -94,10 +93,10 @@
             .events
             .iter()
             .filter_map(|(_, sign, salt, part, tokens, model)| {
-                let salt = CacheSalt::read(salt)?;
+                let salt = CacheSalt::parse(salt)?;
                 let key = PrefixKey::of_segment(salt.cache_namespace, model, part);
-                // What is left of a part that gives way in pieces is told with its removal, and is
-                // of no use.
+                // A segment that is evicted in chunks counts as evicted with the first one: the
+                // rest is announced with its removal and is of no use.
                 Some(KvEvent {
                     key,
                     version: salt.version,
--- a/router/src/proxy/kv_store_monitor.rs
+++ b/router/src/proxy/kv_store_monitor.rs
@@ -1,37 +1,31 @@
-//! Stores of kept prompts: whether each answers, as the router of the zone that reads its events
-//! tells.
+//! Monitors the KV stores of the configuration. One router in each zone reads a store's events; the
+//! others ask it whether the store is available.
 
 use super::kv_events::{self, KvEvent};
 use super::prefix_locator::PrefixLocator;
 use crate::fleet::Fleet;
 use crate::protocol::{Request, Response};
+use crate::rendezvous;
 use crate::sync::lock;
 use compact_str::CompactString;
 use control::configuration::KvStore;
 use control::directory::{Member, MemberStatus};
 use std::collections::BTreeMap;
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Part of the calls that a store holds which routers use.
+/// Part of a store's concurrent calls that routers may use for events.
 const READER_CALL_RATIO: f64 = 0.75;
-/// Time between two tries at a store that does not answer.
+/// Time to wait before an unavailable store is tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// Time between two questions to the router of the zone that reads a store.
+/// Time between two status requests to the router that reads a store.
 const STATUS_INTERVAL: Duration = Duration::from_millis(500);
-/// Patience for that router's answer.
+/// Time limit of a status request.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(600);
 
-fn place(thing: &impl Hash) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    thing.hash(&mut hasher);
-    hasher.finish()
-}
-
-/// How this router hears of a store.
+/// How this router monitors a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Source {
     /// It reads the store's events.
@@ -40,7 +34,7 @@
     Peer,
 }
 
-/// Keeps an eye on the stores of the configuration.
+/// Monitors the stores of the current configuration, for as long as the router runs.
 pub async fn run(fleet: Arc<Fleet>, locator: Arc<PrefixLocator>, client: reqwest::Client) {
     let mut updates = fleet.subscribe();
     let mut tasks: BTreeMap<(SocketAddrV4, Source), JoinHandle<()>> = BTreeMap::new();
@@ -87,7 +81,7 @@
     stores.map(|store| (store.address, store)).collect()
 }
 
-/// The routers that read a store: one in each zone, as far as the store holds so many calls.
+/// The routers that read a store: one in each zone, as far as the store's call limit allows.
 fn readers(fleet: &Fleet, store: &KvStore) -> BTreeMap<CompactString, (CompactString, Member)> {
     let most = (f64::from(store.max_concurrent) * READER_CALL_RATIO) as usize;
     let directory = lock(&fleet.directory);
@@ -97,7 +91,7 @@
         .filter(|(_, member)| member.status == MemberStatus::Up)
     {
         let is_first = first.get(&member.zone).is_none_or(|(other, _)| {
-            place(&(store.address, name)) > place(&(store.address, other))
+            rendezvous::score(&(store.address, name)) > rendezvous::score(&(store.address, other))
         });
         if is_first {
             first.insert(member.zone.clone(), (name.clone(), member.clone()));
@@ -113,7 +107,7 @@
     if reads { Source::Events } else { Source::Peer }
 }
 
-/// Asks the router that reads a store whether it answers, for as long as it is wanted.
+/// Asks the router that reads a store for its status, until the task is aborted.
 async fn ask(fleet: Arc<Fleet>, store: KvStore) {
     loop {
         let readers = readers(&fleet, &store);
@@ -136,8 +130,8 @@
     }
 }
 
-/// Reads one store's events for as long as it is wanted, and tells the owners in this zone what has
-/// given way.
+/// Reads a store's events until the task is aborted, and notifies the owners in this zone of
+/// evictions.
 async fn read(
     fleet: Arc<Fleet>,
     locator: Arc<PrefixLocator>,
--- a/router/src/proxy/observed_weights.rs
+++ b/router/src/proxy/observed_weights.rs
@@ -1,17 +1,17 @@
-//! Which versions of weights a backend has, as far as one router knows: the last word counts,
-//! whether it tells a newer version or an older one.
+//! The versions of the weights that a backend has, as this router observes them. The latest
+//! observation wins, whether its version is newer or older.
 //!
-//! Heartbeats are numbered, and so are orders. Answers are not: they may pass each other, so one
-//! that was served can only raise a version. One that turned a request away for its version was
-//! made after that version was known here, and refutes it.
+//! Heartbeats and orders are numbered, so stale ones are ignored. Responses are not numbered and
+//! may be reordered, so a successful one can only raise a version. A rejection for a version
+//! mismatch was made after the expected version was observed here, and refutes it.
 
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Backend, Order, OrderPhase};
 use std::collections::HashMap;
 
-/// A version that was refuted counts as refuted until something new is told, and for this long at
-/// the most: longer than a backend's heartbeats lie apart.
+/// A refuted version stays refuted until the next observation, and for this long at most, in
+/// milliseconds: longer than the heartbeat interval.
 const REFUTED_FOR: Millis = 1_500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     }
 }
 
-/// What is known of one backend's weights.
+/// Observed versions of one backend's weights, by model.
 #[derive(Debug, Clone, Default)]
 pub struct ObservedWeights {
     by_model: HashMap<CompactString, ObservedVersion>,
@@ -38,7 +38,7 @@
 }
 
 impl ObservedWeights {
-    /// Takes what the last heartbeat that is known told.
+    /// Applies the latest heartbeat.
     pub fn observe_heartbeat(&mut self, registered: &Backend) {
         if self
             .heartbeat
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes the last order that is known. Orders only raise versions.
+    /// Applies the latest order. Orders only raise versions.
     pub fn observe_order(&mut self, order: &Order) {
         let priority = (order.fencing_token, order.number);
         if order.phase != OrderPhase::Done || self.done.is_some_and(|done| priority <= done) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// An answer that was served told the version.
+    /// Applies the version stated in a successful response.
     pub fn observe_response(&mut self, model: &str, version: u64) {
         if self.version(model).is_none_or(|known| known < version) {
             self.by_model
@@ -79,8 +79,8 @@
         }
     }
 
-    /// A request was turned away that expected a version. The answer may tell which one there is
-    /// instead.
+    /// Applies a rejection of a request that expected another version. The response may state the
+    /// actual one.
     pub fn observe_rejection(
         &mut self,
         model: &str,
@@ -99,18 +99,18 @@
         }
     }
 
-    /// The version of a model's weights.
+    /// The observed version of a model's weights.
     pub fn version(&self, model: &str) -> Option<u64> {
         self.by_model.get(model).map(|known| known.version)
     }
 
-    /// Whether the version that is known was refuted, and nothing new was told since.
+    /// Returns whether the observed version was refuted and not observed again since.
     pub fn is_refuted(&self, model: &str, now: Millis) -> bool {
         let refuted_at = self.by_model.get(model).and_then(|known| known.refuted_at);
         refuted_at.is_some_and(|at| now < at + REFUTED_FOR)
     }
 
-    /// Versions by model.
+    /// Observed versions by model.
     pub fn versions(&self) -> HashMap<CompactString, u64> {
         self.by_model
             .iter()
--- a/router/src/proxy/prefix_locator.rs
+++ b/router/src/proxy/prefix_locator.rs
@@ -1,4 +1,4 @@
-//! Asking the owner of a prompt's shared start where it is kept, and answering as an owner.
+//! Finds the owners of prompt prefixes, and sends them lookups and notifications.
 
 use super::kv_events::KvEvent;
 
@@ -17,11 +17,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Patience for an owner's answer: a small part of what reading a prefix again takes.
+/// Time limit of a lookup: a small part of the time that prefill of a prefix takes.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(12);
-/// An owner that did not answer in time is not asked for this long.
+/// An owner that missed the time limit is skipped for this long.
 const BASE_BACKOFF: Millis = 400;
-/// The ring of owners is made anew at most so often.
+/// Minimum time between two rebuilds of the hash ring.
 const REFRESH: Millis = 200;
 
 /// A router that may own prefixes.
@@ -38,7 +38,7 @@
     change: u64,
 }
 
-/// Finds owners and asks them.
+/// Client of the distributed prefix index.
 pub struct PrefixLocator {
     fleet: Arc<Fleet>,
     ring: Mutex<Ring>,
@@ -46,7 +46,7 @@
 }
 
 impl PrefixLocator {
-    /// Knows nobody yet.
+    /// Creates a locator without a ring.
     pub fn new(fleet: Arc<Fleet>) -> Arc<Self> {
         Arc::new(PrefixLocator {
             fleet,
@@ -86,7 +86,7 @@
         address == self.fleet.settings.internal_address()
     }
 
-    /// Where a prefix is kept; none where its owner does not tell in time.
+    /// Looks up a prefix; `None` if its owner does not answer in time.
     pub async fn look_up(&self, lookup: PrefixLookup) -> Option<PrefixLocation> {
         let owners = self.owners();
         let address = owners.owner(lookup.key.0)?.address;
@@ -123,12 +123,12 @@
         }
     }
 
-    /// The store that keeps a prefix, where one answers.
+    /// The available store that is responsible for a prefix.
     pub fn store_of(&self, key: PrefixKey) -> Option<AvailableStore> {
         self.fleet.stores.store_for(key)
     }
 
-    /// Tells a prefix's owner where a request goes.
+    /// Notifies a prefix's owner of the backend that a request goes to.
     pub fn notify_placement(&self, key: PrefixKey, placement: Placement) {
         let owners = self.owners();
         let Some(owner) = owners.owner(key.0) else {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Tells the owners of prefixes which ones a backend keeps no more.
+    /// Notifies the owners of prefixes that a backend evicted.
     pub fn notify_evictions(&self, backend: &CompactString, events: &[KvEvent]) {
         for (address, prefixes) in self.evictions_by_owner(events, |_| true) {
             if self.is_own(address) {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Tells the owners of this zone which prefixes a store keeps no more.
+    /// Notifies the owners in this zone of prefixes that a store evicted.
     pub fn notify_store_evictions(&self, events: &[KvEvent]) {
         let own_zone = &self.fleet.settings.zone;
         for (address, prefixes) in self.evictions_by_owner(events, |owner| owner.zone == *own_zone)
--- a/router/src/proxy/relay.rs
+++ b/router/src/proxy/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a stream of events on to a client, whole event by whole event.
+//! Relays an event stream to a client, in complete events.
 
 use super::attempt::{EventStream, ResponseBody, ResponseStart, recycle};
 use super::backend::Backend;
@@ -12,10 +12,10 @@
 use std::io;
 use std::sync::Arc;
 
-/// What ends an event.
+/// Terminates an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// A stream that is being passed on.
+/// A stream that is being relayed.
 pub struct Relay {
     forwarder: Arc<Forwarder>,
     request: ForwardRequest,
@@ -28,7 +28,7 @@
 }
 
 impl Relay {
-    /// Passes on a stream that has response.
+    /// Starts to relay a stream.
     pub fn new(
         forwarder: Arc<Forwarder>,
         request: ForwardRequest,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// The bytes for the client. An error breaks the answer off, so that it does not look complete.
+    /// The bytes for the client. An error aborts the response, so that it does not look complete.
     pub fn into_stream(self) -> impl Stream<Item = io::Result<Bytes>> + Send + 'static {
         stream::unfold(Some(self), |relay| async move {
             let mut relay = relay?;
             let connection = relay.connection.clone();
-            // A client that has left is not noticed by a write until the backend says something.
+            // Without a write, the server does not notice that the client has disconnected.
             let next = tokio::select! {
                 biased;
                 () = connection.ended() => Err(io::ErrorKind::ConnectionAborted.into()),
@@ -72,13 +72,13 @@
         })
     }
 
-    /// The next whole events; none at the end.
+    /// The next complete events; `None` at the end.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             if let Some(complete) = self.take_complete_events() {
                 return Ok(Some(complete));
             }
-            let until = self.request.until;
+            let until = self.request.deadline;
             let Some(events) = &mut self.events else {
                 return Ok(None);
             };
@@ -108,7 +108,7 @@
         Some(complete)
     }
 
-    /// The backend has ended its answer in order.
+    /// Handles the regular end of the backend's response.
     fn end(&mut self) -> Option<Bytes> {
         if let Some(events) = self.events.take() {
             let EventStream {
@@ -123,8 +123,7 @@
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// The backend broke off: what it sent of an unfinished event is dropped, and the stream goes
-    /// on elsewhere.
+    /// Handles a stream that broke: drops the incomplete event and resumes at another backend.
     async fn resume_elsewhere(&mut self) -> io::Result<()> {
         let broken = || {
             io::Error::new(
@@ -175,7 +174,7 @@
         .rposition(|window| window == wanted)
 }
 
-/// The last event id in whole events.
+/// The id of the last event.
 fn last_id(events: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(events).ok()?;
     let id = text
--- a/router/src/proxy/response.rs
+++ b/router/src/proxy/response.rs
@@ -1,5 +1,5 @@
-//! Judging the answer of a backend: whether it is proven to be its own and whole, and whether the
-//! request has run.
+//! Validates the responses of backends: whether a response is authentic and complete, and whether
+//! the request was executed.
 
 use super::attempt::{
     AttemptError, EventStream, ResponseBody, ResponseStart, Result, UpstreamRequest, recycle,
@@ -17,21 +17,21 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Answers that are no streams are taken whole up to this size.
+/// Limit of the size of responses that are no streams, which are buffered.
 const MAX_BUFFERED_BYTES: usize = 8 << 20;
-/// An answer whose head has come.
-pub(super) struct Answer {
+/// A response whose head has arrived.
+pub(super) struct ReceivedResponse {
     pub(super) upstream_request: Arc<UpstreamRequest>,
     pub(super) backend: Arc<Backend>,
     pub(super) outstanding: InFlightGuard,
     pub(super) connection: Connection,
     pub(super) started_at: Instant,
-    /// The version of weights that the backend was expected to have.
+    /// Version of the weights that the backend was expected to have.
     pub(super) expected_version: Option<u64>,
 }
 
-impl Answer {
-    /// Whether the answer may be passed on, and its start if so.
+impl ReceivedResponse {
+    /// Validates the response and returns its start if it may be passed on.
     pub(super) async fn validate(self, response: Response<Incoming>) -> Result {
         let (head, body) = response.into_parts();
         let own = headers::text(&head.headers, &headers::REQUEST_ID);
@@ -40,7 +40,7 @@
             self.backend.record_load(reported);
         }
         if own.is_some_and(|id| id != self.upstream_request.request_id) {
-            // The answer to another request stands where this one's should: nothing behind it can
+            // The response to another request: the connection is out of step, and nothing on it can
             // be trusted.
             self.backend.record_failure();
             return Err(AttemptError::Broken);
@@ -55,8 +55,8 @@
         );
         let claims_not_executed = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
         if claims_not_executed || (success && !(sealed && own.is_some())) {
-            // A promise that the backend does not make, or a success that is not proven to be its
-            // own.
+            // A status that claims the request was not executed without the header that proves it,
+            // or a success without proof that it is the backend's own.
             self.backend.record_failure();
             return Err(AttemptError::Broken);
         }
@@ -69,7 +69,7 @@
         let framed = head.headers.contains_key(CONTENT_LENGTH)
             || head.headers.contains_key(TRANSFER_ENCODING);
         if !framed && !body.is_end_stream() {
-            // Whether such an answer is whole can't be told.
+            // Without framing, a truncated body can't be told from a complete one.
             self.backend.record_failure();
             return Err(AttemptError::Broken);
         }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The backend has not run the request.
+    /// Handles a rejection: the backend has not executed the request.
     async fn reject(self, status: StatusCode, head: &HeaderMap, body: Incoming) -> Result {
         let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
         let retry_after = head
@@ -164,15 +164,15 @@
         })
     }
 
-    /// Takes an answer whole, so that one which breaks off is never passed on as if it were.
+    /// Buffers a response, so that a truncated one is never passed on.
     async fn buffered(self, status: StatusCode, head: HeaderMap, body: Incoming) -> Result {
         let collected = Limited::new(body, MAX_BUFFERED_BYTES)
             .collect()
             .await
             .map(Collected::to_bytes);
         let reported = headers::number(&head, &CONTENT_LENGTH);
-        // Bytes behind a whole answer break the connection, and take nothing from an answer whose
-        // length was told.
+        // Bytes after the response break the connection, but do not affect a response whose length
+        // was declared.
         let is_complete = |bytes: &Bytes| match reported {
             Some(length) => length == bytes.len() as u64,
             None => !self.connection.is_broken(),
@@ -210,7 +210,7 @@
     kind.is_some_and(|kind| kind.trim_start().starts_with("text/event-stream"))
 }
 
-/// The time that a backend keeps an idle connection, in seconds.
+/// The keep-alive time that a backend announces, in seconds.
 fn keep_alive(head: &HeaderMap) -> Option<u64> {
     let value = headers::text(head, &headers::KEEP_ALIVE)?;
     value
@@ -218,7 +218,8 @@
         .find_map(|option| option.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
 
-/// Whether a backend says that it failed by its own fault; a request that was too late is nobody's.
+/// Returns whether a response states a failure of the backend itself. A gateway timeout is nobody's
+/// failure.
 pub fn is_own_failure(status: StatusCode) -> bool {
     status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT
 }
--- a/router/src/proxy/selection.rs
+++ b/router/src/proxy/selection.rs
@@ -1,52 +1,53 @@
-//! Choosing the backend of a send: the least-loaded one, counting the work that the request would
-//! bring there.
+//! Selects the backend of an attempt: the least-loaded one, counting the work that the request
+//! would add there.
 
 use super::backend::{Backend, Eligibility};
+use crate::rendezvous;
 use compact_str::CompactString;
 use routing::outlier_detection::is_within_ejection_limit;
 use routing::prefix_index::PrefixLocation;
 use routing::prompt::Prompt;
 use routing::selection::{Candidate, least_loaded};
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-/// Prompt tokens that a request running at a backend counts for.
+/// Cost of a request in execution at a backend, in prompt tokens.
 const RUNNING_TOKENS: f64 = 60.0;
-/// Prompt tokens that a request waiting at a backend counts for, beside this router's own.
+/// Cost of a request that is queued at a backend, in prompt tokens.
 const WAITING_TOKENS: f64 = 4_000.0;
-/// Prompt tokens that the way to another zone counts for.
+/// Cost of crossing zones, in prompt tokens.
 const ZONE_TOKENS: f64 = 1_000.0;
-/// Share of a slot that the way to another zone counts for at services without prompts.
+/// Cost of crossing zones for services without prompts, in slots.
 const ZONE_LOAD: f64 = 0.25;
-/// How much of a shared part its home is expected to keep where nothing is known.
+/// Ratio of the shared tokens that the affinity backend is expected to cache if the index did not
+/// answer.
 const HOME_CACHED_RATIO: f64 = 0.7;
 
-/// What a choice is made for.
+/// Inputs of a selection.
 #[derive(Clone, Copy)]
 pub struct SelectionCriteria<'a> {
-    /// The prompt, where there is one.
+    /// The prompt, if there is one.
     pub prompt: Option<&'a Prompt>,
-    /// The text under which parts are kept, without the version.
+    /// The tenant's cache namespace.
     pub cache_namespace: &'a str,
-    /// The least version of weights.
+    /// Minimum version of the weights.
     pub min_version: Option<u64>,
-    /// The zone of this router.
+    /// Zone of this router.
     pub zone: &'a str,
-    /// Where the shared start of the prompt is kept, where its owner has told.
+    /// Where the prefix is cached, if its owner answered.
     pub location: Option<&'a PrefixLocation>,
 }
 
-/// A chosen backend.
+/// The selected backend.
 pub struct SelectedBackend {
-    /// The backend.
+    /// The selected backend.
     pub backend: Arc<Backend>,
-    /// The version of weights that it has.
+    /// Observed version of its weights, if known.
     pub version: Option<u64>,
-    /// Tokens that it has to read.
+    /// Tokens that need prefill there.
     pub prefill_tokens: u64,
 }
 
-/// The least-loaded backend that is none of `attempted`; none where no other may be used.
+/// Selects the least-loaded eligible backend that is not in `attempted`; `None` if there is none.
 pub fn select_backend(
     backends: &[Arc<Backend>],
     criteria: SelectionCriteria<'_>,
@@ -132,9 +133,9 @@
     )
 }
 
-/// Tokens of a prompt that a backend has to read or to have moved to it: all but those that it
-/// keeps. A move takes about as long as reading. Where nobody has told who keeps them, a home is
-/// expected to.
+/// Tokens of a prompt that a backend has to prefill or to fetch: all but the cached ones. Fetching
+/// takes about as long as prefill. Without an answer of the index, the affinity backend is expected
+/// to cache the prefix.
 fn prefill_tokens(
     backend: &Backend,
     criteria: SelectionCriteria<'_>,
@@ -153,19 +154,15 @@
         .saturating_sub((shared as f64 * cached_ratio) as u64)
 }
 
-/// The backend that all routers agree on for prompts which share their parts with this one:
-/// rendezvous hashing.
+/// The backend that all routers agree on for prompts with the same prefix, by rendezvous hashing.
 fn affinity_backend(
     backends: &[Arc<Backend>],
     cache_namespace: &str,
     prompt: &Prompt,
 ) -> Option<CompactString> {
-    let part = prompt.shared_segments().last()?;
-    let score = |backend: &Arc<Backend>| {
-        let mut hasher = DefaultHasher::new();
-        (cache_namespace, &part.id, &backend.id).hash(&mut hasher);
-        hasher.finish()
-    };
+    let segment = prompt.shared_segments().last()?;
+    let score =
+        |backend: &Arc<Backend>| rendezvous::score(&(cache_namespace, &segment.id, &backend.id));
     backends
         .iter()
         .max_by_key(|backend| score(backend))
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -198,7 +198,7 @@
         table.clone(),
         fleet.clone(),
     ));
-    tokio::spawn(failure_log::run(table.faults(), fleet.clone()));
+    tokio::spawn(failure_log::run(table.failures(), fleet.clone()));
 
     let metrics = MetricsPage::new(fleet.clone(), table.clone(), orders);
     let ready = Ready::new(fleet.clone(), table);
--- a/router/tests/faults.rs
+++ b/router/tests/faults.rs
@@ -105,7 +105,7 @@
     let router = Router::start(&[&failing]).await;
     router.ask("/unsafe/", KEY).await;
     assert_eq!(
-        router.table.faults().take(),
+        router.table.failures().drain(),
         BTreeMap::from([("i-0".into(), 1)])
     );
 }
@@ -116,7 +116,7 @@
     let router = Router::start(&[&hanging]).await;
     let client = router.send("/unsafe/", KEY).await;
     let noted = async {
-        while !router.table.faults().take().contains_key("i-0") {
+        while !router.table.failures().drain().contains_key("i-0") {
             tokio::task::yield_now().await;
         }
     };
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -72,7 +72,7 @@
         "a miss costs little"
     );
     let salt = header(&sent, "cache-salt").expect("a salt");
-    assert_eq!(CacheSalt::read(&salt).map(|salt| salt.version), Some(1));
+    assert_eq!(CacheSalt::parse(&salt).map(|salt| salt.version), Some(1));
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let again = if first.count() == 2 {
         first.request(1)
@@ -225,12 +225,12 @@
 fn a_salt_names_its_wall_and_its_version() {
     let text = salt("s0a1b-", Some(12));
     assert_eq!(
-        CacheSalt::read(&text),
+        CacheSalt::parse(&text),
         Some(CacheSalt {
             cache_namespace: "s0a1b-",
             version: 12
         })
     );
-    assert_eq!(CacheSalt::read("somebody else's"), None);
+    assert_eq!(CacheSalt::parse("somebody else's"), None);
     assert_ne!(salt("w", Some(1)), salt("w", Some(2)));
 }
