--- a/router/src/control_api.rs
+++ b/router/src/control_api.rs
@@ -1,7 +1,7 @@
 //! The control interface: heartbeats of backends, calls of operators.
 
 use crate::fleet::Fleet;
-use crate::protocol::MOST_HOPS;
+use crate::protocol::MAX_HOPS;
 use crate::sync::lock;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -14,9 +14,9 @@
 use std::sync::Arc;
 
 /// The longest configuration.
-const LONGEST_CONFIGURATION: usize = 8 << 20;
+const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
 /// The longest other body.
-const LONGEST_BODY: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
 /// The header that names the version that a configuration builds on.
 const BASE_VERSION: &str = "x-base-version";
 /// When to come back where nobody can tell what became of a call.
@@ -67,18 +67,18 @@
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (request.method().clone(), &parts[..]) {
             (Method::POST, ["v1", "instances", id, "heartbeat"]) => {
-                let body = read_body(&mut request, LONGEST_BODY).await;
+                let body = read_body(&mut request, MAX_BODY_BYTES).await;
                 self.heartbeat(id, body).await
             }
             (Method::POST, ["v1", "instances", id, "deregister"]) => self.deregister(id).await,
             (Method::POST, ["v1", "configuration", "replace"]) => {
                 let base = base_version(request.headers());
-                let body = read_body(&mut request, LONGEST_CONFIGURATION).await;
+                let body = read_body(&mut request, MAX_CONFIGURATION_BYTES).await;
                 self.replace_configuration(base, body).await
             }
             (Method::GET, ["v1", "configuration", "read"]) => self.read_configuration().await,
             (Method::POST, ["v1", "version-put"]) => {
-                let body = read_body(&mut request, LONGEST_BODY).await;
+                let body = read_body(&mut request, MAX_BODY_BYTES).await;
                 self.put_version(body).await
             }
             (Method::GET, ["v1", "status"]) => self.status(),
@@ -195,7 +195,7 @@
     }
 
     async fn change(&self, change: Change) -> Response {
-        match self.fleet.submit(change, MOST_HOPS).await {
+        match self.fleet.submit(change, MAX_HOPS).await {
             Outcome::Committed => json_answer(StatusCode::OK, serde_json::json!({})),
             Outcome::Rejected(Rejection::VersionConflict { current }) => {
                 let text = format!("version {current} is in force: build on it");
@@ -207,7 +207,7 @@
     }
 
     async fn read_configuration(&self) -> Response {
-        match self.fleet.read_configuration(MOST_HOPS).await {
+        match self.fleet.read_configuration(MAX_HOPS).await {
             Some(Some(body)) => Response::builder()
                 .content_type("application/json")
                 .body(body),
--- a/router/src/disk.rs
+++ b/router/src/disk.rs
@@ -6,7 +6,7 @@
 mod reader;
 mod writer;
 
-pub use reader::{read, read_fleet, read_or_set_aside};
+pub use reader::{read, read_fleet, read_or_quarantine};
 pub use writer::{Disk, Done};
 
 use control::directory::{Key, Value};
@@ -21,15 +21,15 @@
 /// Holds what was known of the fleet.
 const FLEET_FILE: &str = "fleet";
 /// Holds records that could not be used.
-const DAMAGED_FOLDER: &str = "damaged";
+const QUARANTINE_FOLDER: &str = "damaged";
 
 /// What is known of the fleet, for the next start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct PersistedFleet {
     /// Backends and members.
     pub records: Vec<(Key, Value)>,
     /// Versions of weights, and for how long they were named at that time.
-    pub named_weights: Vec<AnnouncedVersion>,
+    pub announced_weights: Vec<AnnouncedVersion>,
 }
 
 /// Why a data directory can't be used.
--- a/router/src/disk/reader.rs
+++ b/router/src/disk/reader.rs
@@ -1,7 +1,8 @@
 //! Reading a data directory.
 
 use super::{
-    DAMAGED_FOLDER, DiskError, FLEET_FILE, Known, io_error, list, segment_path, snapshot_path,
+    DiskError, FLEET_FILE, PersistedFleet, QUARANTINE_FOLDER, io_error, list, segment_path,
+    snapshot_path,
 };
 use control::storage::{Record, Recovered, StorageError, decode, decode_snapshot};
 use std::fs::{self, File};
@@ -10,13 +11,13 @@
 
 /// What was known of the fleet when the process ended; nothing where that was not kept or is not
 /// sound.
-pub fn read_fleet(folder: &Path) -> Known {
+pub fn read_fleet(folder: &Path) -> PersistedFleet {
     let bytes = fs::read(folder.join(FLEET_FILE)).unwrap_or_default();
     let Some((checksum, body)) = bytes.split_first_chunk::<4>() else {
-        return Known::default();
+        return PersistedFleet::default();
     };
     if crc32fast::hash(body) != u32::from_be_bytes(*checksum) {
-        return Known::default();
+        return PersistedFleet::default();
     }
     postcard::from_bytes(body).unwrap_or_default()
 }
@@ -46,18 +47,18 @@
 /// what follows is empty.
 fn read_segments(paths: impl Iterator<Item = PathBuf>) -> Result<Vec<Record>, DiskError> {
     let mut records = Vec::new();
-    let mut cut_off: Option<(PathBuf, usize)> = None;
+    let mut truncated: Option<(PathBuf, usize)> = None;
     for path in paths {
         let bytes = read_file(&path)?;
-        let (found, sound) = decode(&bytes).map_err(damaged(&path))?;
-        if let Some((path, sound)) = cut_off.take_if(|_| !found.is_empty()) {
+        let (found, valid_bytes) = decode(&bytes).map_err(damaged(&path))?;
+        if let Some((path, valid_bytes)) = truncated.take_if(|_| !found.is_empty()) {
             return Err(damaged(&path)(StorageError::Truncated {
-                valid_length: sound,
+                valid_length: valid_bytes,
             }));
         }
         records.extend(found);
-        if sound < bytes.len() {
-            cut_off = Some((path, sound));
+        if valid_bytes < bytes.len() {
+            truncated = Some((path, valid_bytes));
         }
     }
     Ok(records)
@@ -74,11 +75,11 @@
 
 /// What a data directory holds. One whose records are damaged is set aside, and the node rejoins as
 /// one that lost its disk.
-pub fn read_or_set_aside(folder: &Path) -> Result<Option<Recovered>, DiskError> {
+pub fn read_or_quarantine(folder: &Path) -> Result<Option<Recovered>, DiskError> {
     match read(folder) {
         Err(DiskError::Damaged { path, damage }) => {
             log::error!("{}: {damage}; the records are set aside", path.display());
-            set_aside(folder).map_err(io_error(folder))?;
+            quarantine_records(folder).map_err(io_error(folder))?;
             Ok(None)
         }
         other => other,
@@ -86,13 +87,13 @@
 }
 
 /// Keeps damaged records under other names, in place of those of an earlier time.
-fn set_aside(folder: &Path) -> io::Result<()> {
+fn quarantine_records(folder: &Path) -> io::Result<()> {
     let files = list(folder)?;
-    let aside = folder.join(DAMAGED_FOLDER);
-    if aside.exists() {
-        fs::remove_dir_all(&aside)?;
+    let quarantine = folder.join(QUARANTINE_FOLDER);
+    if quarantine.exists() {
+        fs::remove_dir_all(&quarantine)?;
     }
-    fs::create_dir(&aside)?;
+    fs::create_dir(&quarantine)?;
     let snapshots = files
         .snapshots
         .iter()
@@ -103,7 +104,7 @@
         .map(|number| segment_path(folder, *number));
     for path in snapshots.chain(segments) {
         if let Some(name) = path.file_name() {
-            fs::rename(&path, aside.join(name))?;
+            fs::rename(&path, quarantine.join(name))?;
         }
     }
     File::open(folder)?.sync_all()
--- a/router/src/disk/writer.rs
+++ b/router/src/disk/writer.rs
@@ -1,7 +1,8 @@
 //! The thread that writes a data directory.
 
 use super::{
-    DAMAGED_FOLDER, DiskError, FLEET_FILE, Known, io_error, list, segment_path, snapshot_path,
+    DiskError, FLEET_FILE, PersistedFleet, QUARANTINE_FOLDER, io_error, list, segment_path,
+    snapshot_path,
 };
 use control::storage::{Record, Recovered, encode};
 use std::fs::{self, File, OpenOptions};
@@ -89,7 +90,7 @@
     }
 
     /// Keeps what is known of the fleet, for the next start.
-    pub fn save_fleet(&self, known: &Known) {
+    pub fn save_fleet(&self, known: &PersistedFleet) {
         if let Ok(bytes) = postcard::to_stdvec(known) {
             let _ = self.jobs.send(Job::Save { bytes });
         }
@@ -134,39 +135,39 @@
     }
 
     fn until_done(&mut self, mut work: impl FnMut(&mut Self) -> io::Result<()>) {
-        let mut told = false;
+        let mut has_warned = false;
         while let Err(problem) = work(self) {
-            if !std::mem::replace(&mut told, true) {
+            if !std::mem::replace(&mut has_warned, true) {
                 log::warn!(
                     "{}: {problem}; writing is tried again until there is room",
                     self.folder.display()
                 );
-                self.make_room();
+                self.discard_quarantine();
             }
             thread::sleep(RETRY);
         }
-        if told {
+        if has_warned {
             log::info!("{}: writing works again", self.folder.display());
         }
     }
 
     /// Records that could not be used are kept for whoever looks into it, as long as there is room.
-    fn make_room(&self) {
-        let aside = self.folder.join(DAMAGED_FOLDER);
-        if aside.exists()
-            && let Err(problem) = fs::remove_dir_all(&aside)
+    fn discard_quarantine(&self) {
+        let quarantine = self.folder.join(QUARANTINE_FOLDER);
+        if quarantine.exists()
+            && let Err(problem) = fs::remove_dir_all(&quarantine)
         {
-            log::debug!("{}: {problem}", aside.display());
+            log::debug!("{}: {problem}", quarantine.display());
         }
     }
 
     fn save(&self, bytes: &[u8]) -> io::Result<()> {
-        let beside = self.folder.join("fleet.new");
-        let mut file = File::create(&beside)?;
+        let temporary = self.folder.join("fleet.new");
+        let mut file = File::create(&temporary)?;
         file.write_all(&crc32fast::hash(bytes).to_be_bytes())?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        fs::rename(&beside, self.folder.join(FLEET_FILE))?;
+        fs::rename(&temporary, self.folder.join(FLEET_FILE))?;
         self.sync_folder()
     }
 
@@ -191,8 +192,8 @@
     /// replace.
     fn compact(&mut self, bytes: &[u8]) -> io::Result<()> {
         let number = self.number + 1;
-        let beside = self.folder.join("snapshot.new");
-        let mut file = File::create(&beside)?;
+        let temporary = self.folder.join("snapshot.new");
+        let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()?;
         // The segment comes first: a snapshot without one has nothing behind it, which is sound.
@@ -202,7 +203,7 @@
             .truncate(true)
             .open(segment_path(&self.folder, number))?;
         segment.sync_all()?;
-        fs::rename(&beside, snapshot_path(&self.folder, number))?;
+        fs::rename(&temporary, snapshot_path(&self.folder, number))?;
         self.sync_folder()?;
         (self.segment, self.length, self.number) = (Some(segment), 0, number);
         self.remove_older();
--- a/router/src/fleet.rs
+++ b/router/src/fleet.rs
@@ -1,23 +1,23 @@
-//! What a router knows of its fleet, and how it gets to know it: pulls by version vectors, and
-//! member heartbeats.
+//! The state of the fleet as this router knows it. Updates come by pulls with version vectors, and
+//! by heartbeats.
 
-mod faults;
+mod announced_weights;
 mod members;
-mod named_weights;
-mod operators;
 mod peers;
 mod prefixes;
+mod primary_calls;
 mod pulls;
 mod registration;
-mod service;
+mod request_handler;
+mod suspicions;
 
-pub use named_weights::UnfinishedVersion;
+pub use announced_weights::IncompleteRollout;
 pub use prefixes::PrefixLookup;
 pub use pulls::{PULL_WAIT, Pull};
 
 use crate::clock;
 use crate::counters::Counters;
-use crate::disk::Known;
+use crate::disk::PersistedFleet;
 use crate::kv_stores::KvStores;
 use crate::links::Links;
 use crate::published::Published;
@@ -30,7 +30,7 @@
 use control::failure_detector::FailureDetector;
 use control::view::{Epoch, ReplicaId};
 use peers::Peers;
-use pulls::WHOLE_ANSWERS_KB;
+use pulls::FULL_STATE_BUDGET_KB;
 use routing::outlier_detection::OutlierDetector;
 use routing::prefix_index::PrefixIndex;
 use routing::version_floor::VersionFloors;
@@ -40,55 +40,55 @@
 use std::time::Duration;
 use tokio::sync::{Semaphore, watch};
 
-/// How long one try to reach a node with a replica may take.
-const FORWARD_PATIENCE: Duration = Duration::from_millis(900);
-/// A monitored member with its incarnation: after it was taken for down and came back, its silence
-/// is counted anew.
-pub type MonitoredLife = (CompactString, u64);
+/// Time limit of one attempt to reach a replica node.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
+/// A monitored member with its revision: after a member was down and came back, its failure
+/// detector starts over.
+pub type MonitoredIncarnation = (CompactString, u64);
 
-/// The shared state of a router.
+/// The state that all parts of a router share.
 pub struct Fleet {
-    /// The settings of the process.
+    /// Settings of the process.
     pub settings: Arc<Settings>,
     /// Connections to other routers.
     pub links: Links,
-    /// What this router did.
+    /// Event counters.
     pub counters: Counters,
-    /// Soft state.
+    /// Soft state: members, backends, orders and suspicions.
     pub directory: Mutex<Directory>,
     /// Durable state, as committed.
     pub published: Mutex<Published>,
-    /// Since when versions of weights are named.
+    /// Announced versions of weights.
     version_floors: Mutex<VersionFloors>,
-    /// Stores of kept prompts.
+    /// Availability of the KV stores.
     pub stores: KvStores,
-    /// Where the shared starts of prompts are kept that this router owns.
+    /// Index of the prompt prefixes that this router owns.
     pub locations: Mutex<PrefixIndex>,
-    /// Faults of the backends that this node judges.
-    evidence: Mutex<OutlierDetector>,
+    /// Failures of the backends that this node judges.
+    outlier_detector: Mutex<OutlierDetector>,
     /// The replica that this node runs, if any.
     pub replica: Option<ReplicaHandle>,
-    /// This process's own life.
+    /// Incarnation of this process.
     pub incarnation: u64,
     /// Members whose heartbeats this node receives.
-    pub monitored: Mutex<FailureDetector<MonitoredLife>>,
-    heard_backends: Mutex<FailureDetector<CompactString>>,
-    /// The highest number of a heartbeat that was heard of each backend, also of those that said
-    /// nothing new.
+    pub monitored: Mutex<FailureDetector<MonitoredIncarnation>>,
+    monitored_backends: Mutex<FailureDetector<CompactString>>,
+    /// The highest sequence number of each backend's heartbeats, including those without new
+    /// content.
     heartbeat_numbers: Mutex<BTreeMap<CompactString, u64>>,
     leader: Mutex<Option<(Epoch, ReplicaId)>>,
-    /// When the control state, as pulled from others, was last known to be the newest.
-    pulled_current_at: Mutex<Option<Millis>>,
+    /// When the control state, as pulled from others, was last confirmed as the latest.
+    current_as_of: Mutex<Option<Millis>>,
     /// When the process started.
-    begun: Millis,
-    leaving: AtomicBool,
-    news: watch::Sender<u64>,
+    started_at: Millis,
+    is_shutting_down: AtomicBool,
+    changes: watch::Sender<u64>,
     peers: watch::Sender<Peers>,
-    whole_answers: Arc<Semaphore>,
+    full_state_permits: Arc<Semaphore>,
 }
 
 impl Fleet {
-    /// A router that knows nothing yet.
+    /// Creates the state of a router that starts.
     pub fn new(
         settings: Arc<Settings>,
         replica: Option<ReplicaHandle>,
@@ -103,61 +103,61 @@
             version_floors: Mutex::default(),
             stores: KvStores::default(),
             locations: Mutex::default(),
-            evidence: Mutex::default(),
+            outlier_detector: Mutex::default(),
             replica,
             incarnation,
             monitored: Mutex::new(FailureDetector::new(now)),
-            heard_backends: Mutex::new(FailureDetector::new(now)),
+            monitored_backends: Mutex::new(FailureDetector::new(now)),
             heartbeat_numbers: Mutex::default(),
             leader: Mutex::new(None),
-            pulled_current_at: Mutex::new(None),
-            begun: now,
-            leaving: AtomicBool::new(false),
-            news: watch::Sender::new(0),
+            current_as_of: Mutex::new(None),
+            started_at: now,
+            is_shutting_down: AtomicBool::new(false),
+            changes: watch::Sender::new(0),
             peers: watch::Sender::default(),
-            whole_answers: Arc::new(Semaphore::new(WHOLE_ANSWERS_KB as usize)),
+            full_state_permits: Arc::new(Semaphore::new(FULL_STATE_BUDGET_KB as usize)),
             settings,
         };
         let fleet = Arc::new(fleet);
         fleet.put(
             Key::Member(fleet.settings.node_name.clone()),
-            Value::Member(fleet.own_member(1)),
+            Value::Member(fleet.local_member(1)),
         );
         fleet
     }
 
-    /// Is told whenever anything has changed.
+    /// Subscribes to changes of any part of the state.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+        self.changes.subscribe()
     }
 
-    /// Tells that something has changed.
-    pub fn announce(&self) {
-        self.news.send_modify(|count| *count += 1);
+    /// Notifies subscribers of a change.
+    pub fn notify_change(&self) {
+        self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Rises with every change.
-    pub fn changes(&self) -> u64 {
-        *self.news.borrow()
+    /// A counter that every change increments.
+    pub fn change_count(&self) -> u64 {
+        *self.changes.borrow()
     }
 
-    /// Takes what was known when this node's former process ended. Heartbeats that come since are
+    /// Restores the state that a previous process saved. Heartbeats that were received since are
     /// newer.
-    pub fn restore(&self, known: Known) {
-        self.restore_named_weights(known.named_weights);
+    pub fn restore(&self, known: PersistedFleet) {
+        self.restore_announcements(known.announced_weights);
         for (key, value) in known.records {
             if key == Key::Member(self.settings.node_name.clone()) {
                 continue;
             }
             if let Key::Backend(id) = &key {
-                lock(&self.heard_backends).record_heartbeat(id.clone());
+                lock(&self.monitored_backends).record_heartbeat(id.clone());
             }
             self.put(key, value);
         }
     }
 
-    /// What this node is.
-    fn own_member(&self, revision: u64) -> Member {
+    /// This node's own member record.
+    fn local_member(&self, revision: u64) -> Member {
         Member {
             zone: self.settings.zone.clone(),
             internal: self.settings.internal_address(),
@@ -165,7 +165,7 @@
             replica: self.replica.as_ref().map(|replica| replica.id.clone()),
             incarnation: self.incarnation,
             revision,
-            status: if self.leaving.load(Ordering::Relaxed) {
+            status: if self.is_shutting_down.load(Ordering::Relaxed) {
                 MemberStatus::Left
             } else {
                 MemberStatus::Up
@@ -173,32 +173,32 @@
         }
     }
 
-    /// The process is about to end.
-    pub fn leave(&self) {
-        self.leaving.store(true, Ordering::Relaxed);
-        self.announce();
+    /// Begins a graceful shutdown.
+    pub fn begin_shutdown(&self) {
+        self.is_shutting_down.store(true, Ordering::Relaxed);
+        self.notify_change();
     }
 
-    /// Whether the process is about to end.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+    /// Returns whether a graceful shutdown has begun.
+    pub fn is_shutting_down(&self) -> bool {
+        self.is_shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Writes a record of this node's own.
+    /// Writes a record that originates at this node.
     pub fn put(&self, key: Key, value: Value) -> bool {
         let changed = lock(&self.directory).put(key, value);
         if changed {
-            self.announce();
+            self.notify_change();
         }
         changed
     }
 
-    /// The newest primary that this node has heard of.
+    /// The latest primary that this node knows, with its epoch.
     pub fn leader(&self) -> Option<(Epoch, ReplicaId)> {
         lock(&self.leader).clone()
     }
 
-    /// Takes news of who is primary.
+    /// Records a primary, if its epoch is newer.
     pub fn observe_leader(&self, leader: Option<(Epoch, ReplicaId)>) {
         let mut known = lock(&self.leader);
         let newer =
@@ -206,12 +206,11 @@
         if let Some(leader) = leader.filter(newer) {
             *known = Some(leader);
             drop(known);
-            self.announce();
+            self.notify_change();
         }
     }
 
-    /// Members that hold replicas and are not known to have left, with whether they are thought to
-    /// be up.
+    /// Members with replicas, whatever their status.
     pub fn replica_members(&self) -> Vec<(CompactString, Member)> {
         let directory = lock(&self.directory);
         let members = directory
@@ -222,7 +221,7 @@
             .collect()
     }
 
-    /// How many members take traffic, this one included.
+    /// Number of members that are up, at least 1.
     pub fn members_up(&self) -> usize {
         let directory = lock(&self.directory);
         directory
--- a/router/src/fleet/peers.rs
+++ b/router/src/fleet/peers.rs
@@ -1,5 +1,4 @@
-//! What the other nodes with replicas know, as their pulls tell: whether a record has reached a
-//! majority of them.
+//! What the other replica nodes know, by their pulls: whether a record has reached a majority.
 
 use super::Fleet;
 use crate::clock;
@@ -11,21 +10,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A node with a replica that has not pulled for so long is out of reach: each pull waits for 1.5 s
-/// at the most.
-const OUT_OF_REACH: Millis = 2_500;
-/// After this a node without touch to the primary takes heartbeats again, as no other one may be
-/// better off.
-const LASTING_LOSS_OF_TOUCH: Millis = 30_000;
+/// A replica node that has not pulled for this long, in milliseconds, is unreachable: each pull
+/// waits for 1.5 s at most.
+const PEER_TIMEOUT: Millis = 2_500;
+/// A node that has been isolated from the primary for this long, in milliseconds, accepts
+/// heartbeats again: no other node may be better connected.
+const PROLONGED_ISOLATION: Millis = 30_000;
 
-/// What one node with a replica knows.
+/// What one replica node knows.
 #[derive(Debug, Clone)]
 struct Peer {
     vector: VersionVector,
     pulled_at: Millis,
 }
 
-/// What the other nodes with replicas know, by their names.
+/// What the other replica nodes know, by node name.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peers(BTreeMap<CompactString, Peer>);
 
@@ -42,18 +41,18 @@
             .map(|(name, _)| name)
     }
 
-    fn in_reach(&self, now: Millis) -> impl Iterator<Item = &CompactString> {
-        let is_in_reach = move |peer: &Peer| now < peer.pulled_at + OUT_OF_REACH;
+    fn reachable(&self, now: Millis) -> impl Iterator<Item = &CompactString> {
+        let is_reachable = move |peer: &Peer| now < peer.pulled_at + PEER_TIMEOUT;
         self.0
             .iter()
-            .filter(move |(_, peer)| is_in_reach(peer))
+            .filter(move |(_, peer)| is_reachable(peer))
             .map(|(name, _)| name)
     }
 }
 
 impl Fleet {
-    /// Notes what a node with a replica knows.
-    pub(super) fn hear_of_peer(&self, request: &PullRequest) {
+    /// Records what a replica node knows, by its pull.
+    pub(super) fn observe_peer(&self, request: &PullRequest) {
         if request.member.replica.is_none() {
             return;
         }
@@ -66,8 +65,7 @@
         });
     }
 
-    /// The nodes that decide what is so: those whose replicas are witnesses of the newest view, as
-    /// far as it is known here.
+    /// The voters: nodes whose replicas are witnesses of the latest view that is known here.
     fn electorate(&self) -> BTreeSet<CompactString> {
         self.replica
             .as_ref()
@@ -75,44 +73,49 @@
             .unwrap_or_default()
     }
 
-    /// Waits until a majority of the nodes that hold the control state know what this node holds
-    /// about a thing. False where that takes longer than `patience`.
-    pub(super) async fn reaches_majority(&self, key: &Key, patience: Duration) -> bool {
+    /// Waits until a majority of the voters has this node's version of a record. Returns false if
+    /// that takes longer than `timeout`.
+    pub(super) async fn reaches_majority(&self, key: &Key, timeout: Duration) -> bool {
         let Some(stamp) = lock(&self.directory).stamp(key) else {
             return false;
         };
         let electorate = self.electorate();
         let own = &self.settings.node_name;
         let is_majority = |peers: &Peers| {
-            let knowing: BTreeSet<&CompactString> = peers.know(stamp).chain([own]).collect();
+            let informed: BTreeSet<&CompactString> = peers.know(stamp).chain([own]).collect();
             let votes = electorate
                 .iter()
-                .filter(|node| knowing.contains(node))
+                .filter(|node| informed.contains(node))
                 .count();
             2 * votes > electorate.len()
         };
         let mut peers = self.peers.subscribe();
         let reached = peers.wait_for(is_majority);
-        tokio::time::timeout(patience, reached)
+        tokio::time::timeout(timeout, reached)
             .await
             .is_ok_and(|reached| reached.is_ok())
     }
 
-    /// Whether heartbeats of backends are taken here. What this node learns has to reach the fleet:
-    /// it is in touch with the primary, or with half of the nodes that hold the control state, as
-    /// where these are parted in two halves. Where the loss of touch lasts, the whole system may be
-    /// without a majority, and any news are better than none.
-    pub fn takes_registrations(&self) -> bool {
+    /// Returns whether this node accepts heartbeats of backends. What it learns has to reach the
+    /// fleet, so it needs the primary, or half of the voters, as in an even partition. During a
+    /// prolonged isolation the whole system may be without a majority, and any update is better
+    /// than none.
+    pub fn accepts_registrations(&self) -> bool {
         let now = clock::now();
-        let out_of_touch = self.age().unwrap_or(now.saturating_sub(self.begun));
-        if self.is_in_touch() || out_of_touch >= LASTING_LOSS_OF_TOUCH {
+        let isolated_for = self
+            .staleness()
+            .unwrap_or(now.saturating_sub(self.started_at));
+        if self.is_current() || isolated_for >= PROLONGED_ISOLATION {
             return true;
         }
         let electorate = self.electorate();
         let own = &self.settings.node_name;
         let peers = self.peers.borrow();
-        let near: BTreeSet<&CompactString> = peers.in_reach(now).chain([own]).collect();
-        let votes = electorate.iter().filter(|node| near.contains(node)).count();
+        let reachable: BTreeSet<&CompactString> = peers.reachable(now).chain([own]).collect();
+        let votes = electorate
+            .iter()
+            .filter(|node| reachable.contains(node))
+            .count();
         !electorate.is_empty() && 2 * votes >= electorate.len()
     }
 }
--- a/router/src/fleet/prefixes.rs
+++ b/router/src/fleet/prefixes.rs
@@ -1,4 +1,4 @@
-//! Answering prefix lookups as the owner of a prefix.
+//! Answers prefix lookups as the owner of a prefix.
 
 use super::Fleet;
 use crate::clock;
@@ -6,19 +6,19 @@
 use compact_str::CompactString;
 use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
 
-/// A lookup to an owner.
+/// A lookup of a prefix at its owner.
 #[derive(Debug, Clone)]
 pub struct PrefixLookup {
     /// The prefix.
     pub key: PrefixKey,
-    /// Where the request would go if the prefix is kept nowhere.
+    /// The backend that the request would go to if the prefix is cached nowhere.
     pub planned: Placement,
-    /// Whether the prefix is worth saving at the store.
+    /// Whether the prefix is worth saving to the KV store.
     pub should_save: bool,
 }
 
 impl Fleet {
-    /// Answers as the owner of a prefix.
+    /// Looks up a prefix that this router owns.
     pub fn look_up_prefix(&self, lookup: &PrefixLookup) -> PrefixLocation {
         let generation = self
             .stores
@@ -32,7 +32,7 @@
         lock(&self.locations).look_up(*key, planned, *should_save, generation, clock::now())
     }
 
-    /// A backend keeps these prefixes no more.
+    /// Records prefixes that a backend evicted.
     pub fn record_evictions(&self, backend: &CompactString, prefixes: &[(PrefixKey, u64)]) {
         let mut locations = lock(&self.locations);
         for (key, version) in prefixes {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A store keeps these prefixes no more.
+    /// Records prefixes that a store evicted.
     pub fn record_store_evictions(&self, prefixes: &[(PrefixKey, u64)]) {
         let mut locations = lock(&self.locations);
         prefixes
--- a/router/src/fleet/operators.rs
+++ b/router/src/fleet/primary_calls.rs
@@ -1,6 +1,6 @@
-//! Calls of operators: answered here or passed on to the primary.
+//! Operators' calls: handled here if this node has the primary, or forwarded to it.
 
-use super::{FORWARD_PATIENCE, Fleet};
+use super::{FORWARD_TIMEOUT, Fleet};
 use crate::protocol::{Request, Response};
 use crate::replica::handle::ReplicaHandle;
 use crate::sync::lock;
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 impl Fleet {
-    /// Makes an operator's change, here or at the primary.
+    /// Submits an operator's change, here or at the primary. `hops` limits forwarding.
     pub async fn submit(&self, change: Change, hops: u8) -> Outcome {
-        if let Some(replica) = self.own_primary() {
+        if let Some(replica) = self.local_primary() {
             return replica.submit(change).await;
         }
         if hops == 0 {
@@ -21,9 +21,9 @@
             change: change.clone(),
             hops: hops - 1,
         };
-        for address in self.way_to_the_primary() {
-            let patience = Duration::from_millis(self.settings.bounds.ack_timeout_ms.min(3_000));
-            match self.links.call(address, request(), patience).await {
+        for address in self.primary_candidates() {
+            let timeout = Duration::from_millis(self.settings.bounds.ack_timeout_ms.min(3_000));
+            match self.links.call(address, request(), timeout).await {
                 Some(Response::Outcome(Outcome::Unknown)) | None => {}
                 Some(Response::Outcome(outcome)) => return outcome,
                 Some(_) => {}
@@ -32,32 +32,34 @@
         Outcome::Unknown
     }
 
-    /// The newest configuration. The outer value is none where nobody can tell at present.
+    /// Reads the latest configuration. The outer `None` means that it can't be determined now, the
+    /// inner one that there is none yet.
     pub async fn read_configuration(&self, hops: u8) -> Option<Option<Vec<u8>>> {
-        if let Some(replica) = self.own_primary() {
+        if let Some(replica) = self.local_primary() {
             let stored = replica.read().await?;
             return Some(stored.map(|stored| stored.body.to_vec()));
         }
         if hops == 0 {
             return None;
         }
-        for address in self.way_to_the_primary() {
+        for address in self.primary_candidates() {
             let request = Request::ReadConfiguration { hops: hops - 1 };
-            let asked = self.links.call(address, request, FORWARD_PATIENCE).await;
-            if let Some(Response::Configuration(Some(body))) = asked {
+            let response = self.links.call(address, request, FORWARD_TIMEOUT).await;
+            if let Some(Response::Configuration(Some(body))) = response {
                 return Some(body);
             }
         }
         None
     }
 
-    /// The replica here, if it is the primary.
-    fn own_primary(&self) -> Option<&ReplicaHandle> {
+    /// The local replica, if it is the primary.
+    fn local_primary(&self) -> Option<&ReplicaHandle> {
         self.replica.as_ref().filter(|replica| replica.is_primary())
     }
 
-    /// Addresses to pass a call on to: the primary, then another node that may know a newer one.
-    fn way_to_the_primary(&self) -> Vec<SocketAddrV4> {
+    /// Addresses to forward a call to: the primary as known here, then a node that may know a newer
+    /// one.
+    fn primary_candidates(&self) -> Vec<SocketAddrV4> {
         let own = self.settings.internal_address();
         let leader = self.leader().map(|(_, replica)| replica.address);
         let others = self
@@ -74,11 +76,11 @@
         way
     }
 
-    /// Takes what this node's own replica has committed.
-    pub fn publish_own(&self, state: &control::state::ControlState) {
-        if lock(&self.published).take_own(state) {
-            self.name_weights_now(&state.weights);
-            self.announce();
+    /// Publishes what this node's own replica has committed.
+    pub fn publish_committed(&self, state: &control::state::ControlState) {
+        if lock(&self.published).apply_committed(state) {
+            self.announce_weights(&state.weights);
+            self.notify_change();
         }
     }
 }
--- a/router/src/fleet/pulls.rs
+++ b/router/src/fleet/pulls.rs
@@ -1,7 +1,7 @@
-//! Pulling news from other nodes and answering their pulls.
+//! Pulling updates from other nodes, and answering their pulls.
 
 use super::Fleet;
-use super::named_weights::SentAt;
+use super::announced_weights::SendTimeBounds;
 use crate::clock;
 use crate::links::Answer;
 use crate::protocol::{PullRequest, Pulled, Request, Response};
@@ -12,34 +12,33 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-/// How long a pull may wait for news.
+/// How long a pull may wait for updates.
 pub const PULL_WAIT: Duration = Duration::from_millis(1_500);
-/// An answer with news is late after this, beyond the time that it may wait for them.
-const NEWS_PATIENCE: Duration = Duration::from_millis(900);
-/// The same for an answer with everything.
-const WHOLE_PATIENCE: Duration = Duration::from_millis(4_000);
-/// A late answer is given up after this. A connection whose other end has gone breaks sooner.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(5_000);
-/// News that come one by one are taken together where the asker holds no replica: for so long a
-/// member of the fleet, so that large fleets are not told of each backend by an answer of its own,
-/// and at the most for this long.
-const GATHER_EACH: Duration = Duration::from_micros(500);
-const LONGEST_GATHER: Duration = Duration::from_millis(250);
-/// A node whose control state was not known to be the newest for so long has lost touch with the
-/// primary, whose heartbeats come every 0.2 s.
-const OUT_OF_TOUCH: Millis = 1_000;
-/// Kilobytes of answers with everything that are in memory at once.
-pub(super) const WHOLE_ANSWERS_KB: u32 = 8 << 10;
-/// A record takes about so many bytes in an answer.
+/// Time beyond the wait after which a response with updates is late.
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(900);
+/// The same for a response with the full state.
+const FULL_STATE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// A late response is given up after this. A connection to a dead peer breaks sooner.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Updates for routers without replicas are batched, so that large fleets do not get a response for
+/// each backend: for this long per member of the fleet, up to the maximum.
+const BATCH_DELAY_PER_MEMBER: Duration = Duration::from_micros(500);
+const MAX_BATCH_DELAY: Duration = Duration::from_millis(250);
+/// A node whose control state was not confirmed as the latest for this long, in milliseconds, is
+/// stale. The primary's heartbeats come every 0.2 s.
+const MAX_STALENESS: Millis = 1_000;
+/// Memory limit of full-state responses in progress, in kilobytes.
+pub(super) const FULL_STATE_BUDGET_KB: u32 = 8 << 10;
+/// Estimated size of a record in a response.
 const RECORD_BYTES: usize = 200;
-/// What came of a pull.
+/// Outcome of a pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pull {
-    /// There was an answer.
-    Answered,
-    /// There was one, of a node that has lost touch with the primary: another one may know more.
-    OutOfTouch,
-    /// There was none in time, or the connection broke.
+    /// A response from a node that is current.
+    Current,
+    /// A response from a node that is stale; another node may know more.
+    Stale,
+    /// No response in time, or a broken connection.
     Failed,
 }
 
@@ -60,7 +59,7 @@
         };
         PullRequest {
             name: self.settings.node_name.clone(),
-            member: self.own_member(revision),
+            member: self.local_member(revision),
             vector: directory.vector().clone(),
             position: published.position(),
             base: published.base(),
@@ -70,112 +69,112 @@
         }
     }
 
-    /// Asks one node for news once. `is_late` is called where the answer does not come when it
-    /// should; it is waited for a while longer, as asking again would only add to what is queued.
+    /// Pulls from one node once. `is_late` is called if the response is late. The pull goes on
+    /// waiting for it, as another pull would only add to the peer's queue.
     pub async fn pull(&self, from: SocketAddrV4, wait: Duration, is_late: impl FnOnce()) -> Pull {
         let request = self.pull_request(wait);
         let asked_at = clock::now();
-        // Whoever has nothing yet gets everything, and many may ask for that at once.
-        let patience = if request.base.is_none() {
-            WHOLE_PATIENCE
+        // A node without state gets all of it, and many may ask for that at once.
+        let timeout = if request.base.is_none() {
+            FULL_STATE_TIMEOUT
         } else {
-            NEWS_PATIENCE
+            UPDATE_TIMEOUT
         };
-        let asked = self
+        let response = self
             .links
-            .call(from, Request::Pull(request), wait + ANSWER_PATIENCE);
-        tokio::pin!(asked);
-        let response = match tokio::time::timeout(wait + patience, &mut asked).await {
+            .call(from, Request::Pull(request), wait + RESPONSE_TIMEOUT);
+        tokio::pin!(response);
+        let response = match tokio::time::timeout(wait + timeout, &mut response).await {
             Ok(response) => response,
             Err(_) => {
                 is_late();
-                asked.await
+                response.await
             }
         };
         let Some(Response::Pulled(pulled)) = response else {
             return Pull::Failed;
         };
         let changed = lock(&self.directory).merge(pulled.records, &pulled.vector);
-        let sent_at = SentAt {
-            earliest: asked_at + pulled.held_ms,
+        let sent_at = SendTimeBounds {
+            earliest: asked_at + pulled.delay_ms,
             latest: clock::now(),
         };
-        self.hear_of_named_weights(pulled.named_weights, sent_at);
-        let news = pulled.state.is_some_and(|state| {
-            self.name_weights_now(&state.weights);
-            lock(&self.published).take(state)
+        self.merge_announcements(pulled.announced_weights, sent_at);
+        let changes = pulled.state.is_some_and(|state| {
+            self.announce_weights(&state.weights);
+            lock(&self.published).apply_update(state)
         });
         self.observe_leader(pulled.leader);
-        if !changed.is_empty() || news {
-            self.announce();
+        if !changed.is_empty() || changes {
+            self.notify_change();
         }
-        self.note_age(asked_at + pulled.held_ms, pulled.age_ms);
-        let is_in_touch = pulled.age_ms.is_some_and(|age| age < OUT_OF_TOUCH);
-        if is_in_touch {
-            Pull::Answered
+        self.record_staleness(asked_at + pulled.delay_ms, pulled.age_ms);
+        let is_current = pulled.age_ms.is_some_and(|age| age < MAX_STALENESS);
+        if is_current {
+            Pull::Current
         } else {
-            Pull::OutOfTouch
+            Pull::Stale
         }
     }
 
-    /// Another node's state, which is here now, was last known to be the newest so long before it
-    /// was sent, which was not before this moment: however long the answer took on its way, it is
-    /// not taken for newer than it is.
-    fn note_age(&self, sent_at: Millis, age_ms: Option<u64>) {
+    /// Records how stale the control state is that another node sent. `sent_at` is the earliest
+    /// possible time of sending: however long the response was in transit, the state is not taken
+    /// for newer than it is.
+    fn record_staleness(&self, sent_at: Millis, age_ms: Option<u64>) {
         let at = age_ms.map(|age| sent_at.saturating_sub(age));
-        let mut known = lock(&self.pulled_current_at);
+        let mut known = lock(&self.current_as_of);
         *known = (*known).max(at);
     }
 
-    /// How long ago the control state here was last known to be the newest; none where it never
-    /// was.
-    pub fn age(&self) -> Option<Millis> {
+    /// How long ago the control state here was last confirmed as the latest, in milliseconds;
+    /// `None` if it never was.
+    pub fn staleness(&self) -> Option<Millis> {
         let own = self.replica.as_ref().and_then(ReplicaHandle::current_at);
-        let at = own.max(*lock(&self.pulled_current_at))?;
+        let at = own.max(*lock(&self.current_as_of))?;
         Some(clock::now().saturating_sub(at))
     }
 
-    pub(super) fn is_in_touch(&self) -> bool {
-        self.age().is_some_and(|age| age < OUT_OF_TOUCH)
+    pub(super) fn is_current(&self) -> bool {
+        self.staleness().is_some_and(|age| age < MAX_STALENESS)
     }
 
-    /// Comes back once this node has lost touch with the primary; never where it had before.
-    async fn loses_touch(&self) {
-        if !self.is_in_touch() {
+    /// Completes when this node becomes stale; never if it was stale from the start.
+    async fn becomes_stale(&self) {
+        if !self.is_current() {
             return std::future::pending().await;
         }
-        while let Some(age) = self.age().filter(|age| *age < OUT_OF_TOUCH) {
-            tokio::time::sleep(Duration::from_millis(OUT_OF_TOUCH - age)).await;
+        while let Some(age) = self.staleness().filter(|age| *age < MAX_STALENESS) {
+            tokio::time::sleep(Duration::from_millis(MAX_STALENESS - age)).await;
         }
     }
 
-    /// Answers a pull as soon as there is news for the asker. Answers with everything are large,
-    /// and many routers may ask for one at the same time: only a few of them are in memory at once.
+    /// Answers a pull as soon as there are updates. Full-state responses are large and may be
+    /// requested by many routers at once, so a semaphore limits those in memory.
     pub(super) async fn answer_pull(&self, request: PullRequest) -> Answer {
-        self.take_member(&request);
-        let mut news = self.subscribe();
-        self.hear_of_peer(&request);
-        let begun = Instant::now();
+        self.observe_member(&request);
+        let mut changes = self.subscribe();
+        self.observe_peer(&request);
+        let started_at = Instant::now();
         let wait = tokio::time::sleep(Duration::from_millis(request.wait_ms));
-        let loses_touch = self.loses_touch();
-        tokio::pin!(wait, loses_touch);
+        let becomes_stale = self.becomes_stale();
+        tokio::pin!(wait, becomes_stale);
         loop {
-            if self.has_news_for(&request) {
+            if self.has_updates_for(&request) {
                 break;
             }
             tokio::select! {
                 () = &mut wait => break,
-                () = &mut loses_touch => break,
-                changed = news.changed() => if changed.is_err() { break },
+                () = &mut becomes_stale => break,
+                changed = changes.changed() => if changed.is_err() { break },
             }
-            if request.member.replica.is_none() && self.has_news_for(&request) {
-                tokio::time::sleep(self.gather_time()).await;
+            if request.member.replica.is_none() && self.has_updates_for(&request) {
+                tokio::time::sleep(self.batch_delay()).await;
             }
         }
-        let permit = if self.wants_everything(&request) {
-            let kilobytes = self.whole_answer_kb();
+        let permit = if self.needs_full_state(&request) {
+            let kilobytes = self.full_state_kb();
             // The semaphore is never closed.
-            self.whole_answers
+            self.full_state_permits
                 .clone()
                 .acquire_many_owned(kilobytes)
                 .await
@@ -189,9 +188,9 @@
             vector: directory.vector().clone(),
             state: lock(&self.published).update_for(request.position, request.base),
             leader: self.leader(),
-            age_ms: self.age(),
-            named_weights: self.named_weights(),
-            held_ms: begun.elapsed().as_millis() as u64,
+            age_ms: self.staleness(),
+            announced_weights: self.announced_weights(),
+            delay_ms: started_at.elapsed().as_millis() as u64,
         };
         Answer {
             response: Response::Pulled(Box::new(pulled)),
@@ -199,30 +198,32 @@
         }
     }
 
-    /// For how long news are gathered before routers without replicas are told of them.
-    pub fn gather_time(&self) -> Duration {
+    /// How long updates for routers without replicas are batched.
+    pub fn batch_delay(&self) -> Duration {
         let members = u32::try_from(self.members_up()).unwrap_or(u32::MAX);
-        GATHER_EACH.saturating_mul(members).min(LONGEST_GATHER)
+        BATCH_DELAY_PER_MEMBER
+            .saturating_mul(members)
+            .min(MAX_BATCH_DELAY)
     }
 
-    /// Whether the answer to a pull holds all members and backends, or a whole configuration.
-    fn wants_everything(&self, request: &PullRequest) -> bool {
+    /// Returns whether the response to a pull holds the full directory or a full configuration.
+    fn needs_full_state(&self, request: &PullRequest) -> bool {
         let knows_some = !request.vector.is_empty();
         let lacks_configuration =
             request.base.is_none() && lock(&self.published).version().is_some();
         lacks_configuration || !knows_some
     }
 
-    /// About how many kilobytes an answer with everything takes.
-    fn whole_answer_kb(&self) -> u32 {
+    /// Estimated size of a full-state response in kilobytes.
+    fn full_state_kb(&self) -> u32 {
         let records = lock(&self.directory).len() * RECORD_BYTES;
         let bytes = records + lock(&self.published).text_bytes();
         u32::try_from(1 + bytes / 1024)
             .unwrap_or(u32::MAX)
-            .min(WHOLE_ANSWERS_KB)
+            .min(FULL_STATE_BUDGET_KB)
     }
 
-    fn has_news_for(&self, request: &PullRequest) -> bool {
+    fn has_updates_for(&self, request: &PullRequest) -> bool {
         lock(&self.directory).has_records_since(&request.vector)
             || lock(&self.published).position().index > request.position.index
             || self
--- a/router/src/fleet/registration.rs
+++ b/router/src/fleet/registration.rs
@@ -1,6 +1,6 @@
-//! Heartbeats of backends: taking them, passing them on, and noticing that they have stopped.
+//! Registration of backends: accepting and forwarding heartbeats, and detecting that they stop.
 
-use super::{FORWARD_PATIENCE, Fleet};
+use super::{FORWARD_TIMEOUT, Fleet};
 use crate::protocol::{Request, Response};
 use crate::rendezvous;
 use crate::sync::lock;
@@ -11,47 +11,50 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long the end of a backend may take to reach a majority of the nodes that hold the control
-/// state.
-const DRAIN_SPREAD: Duration = Duration::from_millis(400);
-/// How long a heartbeat may take altogether; its sender goes elsewhere after a second.
-const REGISTRATION_PATIENCE: Duration = Duration::from_millis(900);
+/// Time limit for a deregistration to reach a majority of the voters.
+const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time limit of handling a heartbeat; its sender goes to another node after a second.
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Fleet {
-    /// Takes a backend's heartbeat or end, here or at a node with a replica. The value says whether
-    /// it is acknowledged, and where later heartbeats should go.
+    /// Registers a backend's heartbeat or deregistration, here or at a replica node. Returns `None`
+    /// if it is not acknowledged, else the address for later heartbeats.
     pub async fn register(
         &self,
         id: CompactString,
         backend: Backend,
     ) -> Option<Option<SocketAddrV4>> {
-        if self.replica.is_some() && !self.is_leaving() {
-            return self.take_backend(id, backend).await;
+        if self.replica.is_some() && !self.is_shutting_down() {
+            return self.accept_backend(id, backend).await;
         }
-        tokio::time::timeout(REGISTRATION_PATIENCE, self.pass_on(id, backend))
+        tokio::time::timeout(REGISTRATION_TIMEOUT, self.forward_registration(id, backend))
             .await
             .ok()
             .flatten()
     }
 
-    async fn pass_on(&self, id: CompactString, backend: Backend) -> Option<Option<SocketAddrV4>> {
+    async fn forward_registration(
+        &self,
+        id: CompactString,
+        backend: Backend,
+    ) -> Option<Option<SocketAddrV4>> {
         for member in self.replicas_for(&id) {
             let request = Request::Register {
                 id: id.clone(),
                 backend: backend.clone(),
             };
-            let asked = self
+            let response = self
                 .links
-                .call(member.internal, request, FORWARD_PATIENCE / 2)
+                .call(member.internal, request, FORWARD_TIMEOUT / 2)
                 .await;
-            if let Some(Response::Registered(address)) = asked {
+            if let Some(Response::Registered(address)) = response {
                 return Some(address);
             }
         }
         None
     }
 
-    /// Nodes with replicas that are up: the leader's zone does not matter, this node's own does.
+    /// Other replica nodes that are up, those of this node's zone first.
     pub fn nearest_replicas(&self) -> Vec<(CompactString, Member)> {
         let mut members = self.replica_members();
         members.retain(|(name, member)| {
@@ -61,47 +64,47 @@
         members
     }
 
-    /// Takes a backend's heartbeat or end at a node with a replica. A heartbeat is acknowledged
-    /// where it reaches the fleet; an end only once a majority of the nodes that hold the control
-    /// state know it, as the acknowledgement binds all routers.
-    pub(super) async fn take_backend(
+    /// Accepts a heartbeat or deregistration at a replica node. A heartbeat is acknowledged if it
+    /// can reach the fleet. A deregistration is acknowledged only after a majority of the voters
+    /// has it, as the acknowledgement binds all routers.
+    pub(super) async fn accept_backend(
         &self,
         id: CompactString,
         mut backend: Backend,
     ) -> Option<Option<SocketAddrV4>> {
-        let leaves = backend.phase != BackendPhase::Ready;
-        if !leaves && !self.takes_registrations() {
+        let is_deregistration = backend.phase != BackendPhase::Ready;
+        if !is_deregistration && !self.accepts_registrations() {
             return None;
         }
         backend.owner = self.settings.node_name.clone();
         let key = Key::Backend(id.clone());
         if backend.phase == BackendPhase::Gone {
-            lock(&self.heard_backends).remove(&id);
+            lock(&self.monitored_backends).remove(&id);
         } else {
-            lock(&self.heard_backends).record_heartbeat(id.clone());
+            lock(&self.monitored_backends).record_heartbeat(id.clone());
         }
         let zone = backend.zone.clone();
-        let address = self.address_for(&id, &zone);
+        let address = self.heartbeat_address(&id, &zone);
         if self.is_newest(&id, &backend) {
             self.put_backend(key.clone(), backend);
         }
-        // An end that a newer heartbeat has taken back is not acknowledged: that would bind all
-        // routers.
-        if leaves
-            && !(self.takes_no_more_requests(&key)
-                && self.reaches_majority(&key, DRAIN_SPREAD).await)
+        // A deregistration that a newer heartbeat has revoked must not be acknowledged, as no
+        // router would follow it.
+        if is_deregistration
+            && !(self.rejects_requests(&key)
+                && self.reaches_majority(&key, DEREGISTRATION_TIMEOUT).await)
         {
             return None;
         }
         Some(address)
     }
 
-    fn takes_no_more_requests(&self, key: &Key) -> bool {
+    fn rejects_requests(&self, key: &Key) -> bool {
         let directory = lock(&self.directory);
         matches!(directory.get(key), Some(Value::Backend(backend)) if backend.phase != BackendPhase::Ready)
     }
 
-    /// Whether no heartbeat of a higher number was heard here. An end counts whenever it comes.
+    /// Returns whether no newer heartbeat was received here. A deregistration always counts.
     fn is_newest(&self, id: &CompactString, backend: &Backend) -> bool {
         if backend.phase == BackendPhase::Gone {
             return true;
@@ -112,17 +115,17 @@
         *newest == backend.sequence
     }
 
-    /// Writes a backend's record where it says something new. A heartbeat that only counts up is
-    /// not passed on, unless it contradicts an order that is said to be done: only its number tells
-    /// others that it is newer than that.
+    /// Writes a backend's record if its content is new. A heartbeat with only a new sequence number
+    /// is not propagated, unless it contradicts a completed order: its number tells the others that
+    /// it is newer than the order.
     fn put_backend(&self, key: Key, mut backend: Backend) -> bool {
         let mut directory = lock(&self.directory);
-        if let Some(Value::Backend(held)) = directory.get(&key) {
-            if held.phase == BackendPhase::Gone || held.sequence > backend.sequence {
+        if let Some(Value::Backend(current)) = directory.get(&key) {
+            if current.phase == BackendPhase::Gone || current.sequence > backend.sequence {
                 return false;
             }
-            let counts_up = Backend {
-                sequence: held.sequence,
+            let same_content = Backend {
+                sequence: current.sequence,
                 ..backend.clone()
             };
             let is_contradiction = match &key {
@@ -131,39 +134,38 @@
                     .is_some_and(|order| is_contradicted(&backend, order)),
                 _ => false,
             };
-            if counts_up == *held && !is_contradiction {
+            if same_content == *current && !is_contradiction {
                 return false;
             }
             // A deregistration carries nothing but the id.
             if backend.phase == BackendPhase::Gone {
                 backend = Backend {
                     phase: BackendPhase::Gone,
-                    ..held.clone()
+                    ..current.clone()
                 };
             }
         }
         let changed = directory.put(key, Value::Backend(backend));
         drop(directory);
         if changed {
-            self.announce();
+            self.notify_change();
         }
         changed
     }
 
-    /// Where a backend should send its heartbeats: to a node with a replica in its zone. Backends
-    /// are spread over these.
-    fn address_for(&self, id: &str, zone: &str) -> Option<SocketAddrV4> {
+    /// The address for a backend's heartbeats: a replica node in its zone, by rendezvous hashing.
+    fn heartbeat_address(&self, id: &str, zone: &str) -> Option<SocketAddrV4> {
         let members = self.replica_members();
-        let near = members
+        let reachable = members
             .iter()
             .filter(|(_, m)| m.zone == zone && m.status == MemberStatus::Up);
-        let near = near.max_by_key(|(name, _)| rendezvous::score(&(id, name.as_str())));
-        let near = near.and_then(|(_, member)| member.control);
-        near.or(self.settings.listen.control_plane)
+        let reachable = reachable.max_by_key(|(name, _)| rendezvous::score(&(id, name.as_str())));
+        let reachable = reachable.and_then(|(_, member)| member.control);
+        reachable.or(self.settings.listen.control_plane)
     }
 
-    /// Nodes with replicas that may take a backend's heartbeat, those of this node's zone first, in
-    /// an order that differs by backend.
+    /// Replica nodes to forward a backend's heartbeat to: those of this node's zone first, each
+    /// group ordered by rendezvous hashing.
     fn replicas_for(&self, id: &str) -> Vec<Member> {
         let mut members = self.nearest_replicas();
         members.sort_by_key(|(name, member)| {
@@ -175,39 +177,40 @@
         members.into_iter().map(|(_, member)| member).collect()
     }
 
-    /// Marks backends as silent whose heartbeats have stopped coming here. A node that is cut off
-    /// can't tell: they go to other nodes, and it does not learn which of these are there.
+    /// Marks backends as unresponsive whose heartbeats to this node have stopped. A partitioned
+    /// node can't tell: their heartbeats go to other nodes, and it does not learn which of these
+    /// are up.
     pub fn watch_backends(&self, now: Millis) {
-        if !self.takes_registrations() {
+        if !self.accepts_registrations() {
             return;
         }
-        let patience = 5 * self.settings.heartbeat_interval_ms / 2;
+        let timeout = 5 * self.settings.heartbeat_interval_ms / 2;
         self.forget_heartbeat_numbers();
         let orphans = self.orphaned_backends();
         let unresponsive = {
-            let mut heard = lock(&self.heard_backends);
+            let mut heard = lock(&self.monitored_backends);
             heard.advance(now);
             for id in orphans {
                 if !heard.is_monitored(&id) {
                     heard.record_heartbeat(id);
                 }
             }
-            heard.expired(patience)
+            heard.expired(timeout)
         };
         for id in unresponsive {
-            lock(&self.heard_backends).remove(&id);
+            lock(&self.monitored_backends).remove(&id);
             self.mark_silent(id);
         }
     }
 
-    /// Forgets the numbers of backends that nobody knows any more.
+    /// Removes the sequence numbers of backends that were removed.
     fn forget_heartbeat_numbers(&self) {
         let directory = lock(&self.directory);
         let is_known = |id: &CompactString| directory.get(&Key::Backend(id.clone())).is_some();
         lock(&self.heartbeat_numbers).retain(|id, _| is_known(id));
     }
 
-    /// Backends whose heartbeats went to a node that is not there any more.
+    /// Backends whose heartbeats went to a node that is down.
     fn orphaned_backends(&self) -> Vec<CompactString> {
         let directory = lock(&self.directory);
         let is_up = |name: &CompactString| {
@@ -226,20 +229,20 @@
 
     fn mark_silent(&self, id: CompactString) {
         let key = Key::Backend(id.clone());
-        let held = match lock(&self.directory).get(&key) {
+        let current = match lock(&self.directory).get(&key) {
             Some(Value::Backend(backend)) => backend.clone(),
             _ => return,
         };
-        let owner = Key::Member(held.owner.clone());
-        let other_hears = held.owner != self.settings.node_name
+        let owner = Key::Member(current.owner.clone());
+        let other_hears = current.owner != self.settings.node_name
             && matches!(lock(&self.directory).get(&owner), Some(Value::Member(m)) if m.status == MemberStatus::Up);
-        if !held.unresponsive && held.phase != BackendPhase::Gone && !other_hears {
+        if !current.unresponsive && current.phase != BackendPhase::Gone && !other_hears {
             log::info!("backend {id} is silent");
             self.put(
                 key,
                 Value::Backend(Backend {
                     unresponsive: true,
-                    ..held
+                    ..current
                 }),
             );
         }
--- a/router/src/fleet/service.rs
+++ b/router/src/fleet/request_handler.rs
@@ -1,9 +1,9 @@
-//! Answering the requests of other nodes.
+//! Handles the requests of other nodes.
 
 use super::{Fleet, PrefixLookup};
 use crate::clock;
 use crate::links::{Answer, Service};
-use crate::protocol::{MOST_HOPS, Request, Response};
+use crate::protocol::{MAX_HOPS, Request, Response};
 use crate::sync::lock;
 use control::digest::Digests;
 use std::collections::BTreeSet;
@@ -26,16 +26,16 @@
                 }
                 Request::Pull(request) => return Some(self.answer_pull(request).await),
                 Request::Submit { change, hops } => Some(Response::Outcome(
-                    self.submit(change, hops.min(MOST_HOPS)).await,
+                    self.submit(change, hops.min(MAX_HOPS)).await,
                 )),
                 Request::ReadConfiguration { hops } => Some(Response::Configuration(
-                    self.read_configuration(hops.min(MOST_HOPS)).await,
+                    self.read_configuration(hops.min(MAX_HOPS)).await,
                 )),
                 Request::Register { id, backend } => {
-                    let taken = if self.replica.is_none() || self.is_leaving() {
+                    let taken = if self.replica.is_none() || self.is_shutting_down() {
                         None
                     } else {
-                        self.take_backend(id, backend).await
+                        self.accept_backend(id, backend).await
                     };
                     Some(taken.map_or(Response::NotRegistered, Response::Registered))
                 }
@@ -68,7 +68,7 @@
                     None
                 }
                 Request::Faults { reporter, faults } => {
-                    self.take_faults(&reporter, &faults);
+                    self.record_failures(&reporter, &faults);
                     None
                 }
                 Request::Fetch { keys } => {
--- a/router/src/fleet/faults.rs
+++ b/router/src/fleet/suspicions.rs
@@ -1,5 +1,5 @@
-//! Evidence against backends: told to the node with a replica that judges them, and published by
-//! it.
+//! Suspected backends: failures are reported to the replica node that judges the backend, and that
+//! node publishes its suspicions.
 
 use super::Fleet;
 use crate::clock;
@@ -12,11 +12,11 @@
 use std::net::SocketAddrV4;
 
 impl Fleet {
-    /// Tells the judges of these backends of faults that this router saw.
-    pub fn report_faults(&self, faults: &BTreeMap<CompactString, u32>) {
+    /// Reports failures that this router observed to the judges of the backends.
+    pub fn report_failures(&self, faults: &BTreeMap<CompactString, u32>) {
         let mut by_judge: BTreeMap<SocketAddrV4, Vec<(CompactString, u32)>> = BTreeMap::new();
         for (backend, count) in faults {
-            if let Some(judge) = self.judge_of(backend) {
+            if let Some(judge) = self.judge(backend) {
                 by_judge
                     .entry(judge)
                     .or_default()
@@ -26,7 +26,7 @@
         let reporter = &self.settings.node_name;
         for (judge, faults) in by_judge {
             if judge == self.settings.internal_address() {
-                self.take_faults(reporter, &faults);
+                self.record_failures(reporter, &faults);
             } else {
                 self.links.send(
                     judge,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// The node that judges a backend: every router that knows the same members finds the same one.
-    fn judge_of(&self, backend: &str) -> Option<SocketAddrV4> {
+    /// The node that judges a backend, by rendezvous hashing over the replica nodes that are up.
+    fn judge(&self, backend: &str) -> Option<SocketAddrV4> {
         let directory = lock(&self.directory);
         let judges = directory
             .members()
@@ -50,21 +50,22 @@
             .map(|(_, member)| member.internal)
     }
 
-    /// Takes faults that a router saw, and publishes which backends are suspected from now on.
-    pub fn take_faults(&self, reporter: &CompactString, faults: &[(CompactString, u32)]) {
+    /// Records failures that a router observed, and publishes new suspicions.
+    pub fn record_failures(&self, reporter: &CompactString, faults: &[(CompactString, u32)]) {
         let now = clock::now();
         for (backend, count) in faults {
-            let suspected = lock(&self.evidence).record_failures(backend, reporter, *count, now);
+            let suspected =
+                lock(&self.outlier_detector).record_failures(backend, reporter, *count, now);
             if let Some(lasts_ms) = suspected {
                 self.suspect(backend, lasts_ms);
             }
         }
-        lock(&self.evidence).prune(now);
+        lock(&self.outlier_detector).prune(now);
     }
 
     fn suspect(&self, backend: &CompactString, lasts_ms: u64) {
-        let held = lock(&self.directory).suspicion(backend);
-        let number = held.map_or(1, |held| held.number + 1);
+        let current = lock(&self.directory).suspicion(backend);
+        let number = current.map_or(1, |current| current.number + 1);
         log::info!(
             "backend {backend} is suspected for {lasts_ms} ms: several routers saw it fail requests"
         );
--- a/router/src/frame.rs
+++ b/router/src/frame.rs
@@ -4,7 +4,7 @@
 //! The length is a big-endian `u32` whose highest bit says that the bytes are compressed (LZ4 block
 //! with its size before it).
 
-use crate::protocol::{Frame, LONGEST};
+use crate::protocol::{Frame, MAX_MESSAGE_BYTES};
 use crate::traffic::{MessageKind, Traffic};
 use std::io;
 use thiserror::Error;
@@ -13,7 +13,7 @@
 /// Says that what follows is compressed.
 const COMPRESSED: u32 = 1 << 31;
 /// Shorter messages go as they are.
-const LEAST_COMPRESSED: usize = 2 << 10;
+const MIN_COMPRESSED_BYTES: usize = 2 << 10;
 /// Bytes of the size before a compressed block.
 const SIZE_BYTES: usize = 4;
 
@@ -22,7 +22,7 @@
 pub enum FrameError {
     /// The message is longer than any router sends.
     #[error(
-        "a frame of {length} bytes is longer than {LONGEST}: check that the other end is a router of this fleet"
+        "a frame of {length} bytes is longer than {MAX_MESSAGE_BYTES}: check that the other end is a router of this fleet"
     )]
     TooLong {
         /// Its length.
@@ -45,13 +45,13 @@
 /// The bytes of a frame, its length first.
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, FrameError> {
     let message = postcard::to_stdvec(frame)?;
-    let is_compressed = message.len() >= LEAST_COMPRESSED;
+    let is_compressed = message.len() >= MIN_COMPRESSED_BYTES;
     let body = if is_compressed {
         lz4_flex::block::compress_prepend_size(&message)
     } else {
         message
     };
-    if body.len() > LONGEST {
+    if body.len() > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLong { length: body.len() });
     }
     let flag = if is_compressed { COMPRESSED } else { 0 };
@@ -69,7 +69,7 @@
     let told = body
         .first_chunk::<SIZE_BYTES>()
         .map_or(0, |size| u32::from_le_bytes(*size) as usize);
-    if told > LONGEST {
+    if told > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLong { length: told });
     }
     let message = lz4_flex::block::decompress_size_prepended(body)?;
@@ -95,7 +95,7 @@
 ) -> io::Result<Frame> {
     let told = reader.read_u32().await?;
     let length = (told & !COMPRESSED) as usize;
-    if length > LONGEST {
+    if length > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLong { length }.into());
     }
     let mut body = vec![0; length];
--- a/router/src/kv_stores.rs
+++ b/router/src/kv_stores.rs
@@ -9,76 +9,76 @@
 use std::net::SocketAddrV4;
 use std::sync::Mutex;
 
-/// Whether a store answers, and which life of it.
+/// Availability of a store, as far as this router knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
-    /// Not heard yet.
+enum StoreState {
+    /// Not known yet.
     Unknown,
-    /// It does not answer.
-    Silent,
-    /// It answers; another generation has lost what the one before kept.
-    Answering { generation: u64 },
+    /// The store does not respond.
+    Unresponsive,
+    /// The store responds. A new generation has lost the contents of the previous one.
+    Available { generation: u64 },
 }
 
-/// A store that answers.
+/// An available store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AvailableStore {
-    /// Where it is.
+    /// Address of the store.
     pub address: SocketAddrV4,
-    /// Its life.
+    /// Generation of its contents.
     pub generation: u64,
 }
 
-/// The stores of the configuration.
+/// Availability of the stores in the configuration.
 #[derive(Default)]
 pub struct KvStores {
-    stores: Mutex<BTreeMap<SocketAddrV4, State>>,
+    stores: Mutex<BTreeMap<SocketAddrV4, StoreState>>,
 }
 
 impl KvStores {
-    /// The store that keeps a prefix: each prefix has one of those that answer.
+    /// The store responsible for a prefix: one of the available ones, by rendezvous hashing.
     pub fn store_for(&self, key: PrefixKey) -> Option<AvailableStore> {
         let stores = lock(&self.stores);
-        let answering = stores.iter().filter_map(|(address, state)| match state {
-            State::Answering { generation } => Some(AvailableStore {
+        let available = stores.iter().filter_map(|(address, state)| match state {
+            StoreState::Available { generation } => Some(AvailableStore {
                 address: *address,
                 generation: *generation,
             }),
             _ => None,
         });
-        answering.max_by_key(|store| rendezvous::score(&(key, store.address)))
+        available.max_by_key(|store| rendezvous::score(&(key, store.address)))
     }
 
-    /// What this router knows of a store.
+    /// The status of a store, if it is known.
     pub fn status(&self, address: SocketAddrV4) -> Option<StoreStatus> {
         match lock(&self.stores).get(&address)? {
-            State::Unknown => None,
-            State::Silent => Some(StoreStatus { generation: None }),
-            State::Answering { generation } => Some(StoreStatus {
+            StoreState::Unknown => None,
+            StoreState::Unresponsive => Some(StoreStatus { generation: None }),
+            StoreState::Available { generation } => Some(StoreStatus {
                 generation: Some(*generation),
             }),
         }
     }
 
-    /// The one place where what is known of a store changes.
-    fn enter(&self, address: SocketAddrV4, state: State) {
+    /// Records a state; changes are logged.
+    fn set_state(&self, address: SocketAddrV4, state: StoreState) {
         let former = lock(&self.stores).insert(address, state);
         if former != Some(state) {
             log::debug!("store {address}: {state:?}");
         }
     }
 
-    /// A store answers, in this generation.
+    /// Records that a store responds in a generation.
     pub fn mark_available(&self, address: SocketAddrV4, generation: u64) {
-        self.enter(address, State::Answering { generation });
+        self.set_state(address, StoreState::Available { generation });
     }
 
-    /// A store has stopped to answer.
+    /// Records that a store does not respond.
     pub fn mark_unresponsive(&self, address: SocketAddrV4) {
-        self.enter(address, State::Silent);
+        self.set_state(address, StoreState::Unresponsive);
     }
 
-    /// Takes what another router knows of a store.
+    /// Applies the status that another router reported.
     pub fn apply_status(&self, address: SocketAddrV4, status: StoreStatus) {
         match status.generation {
             Some(generation) => self.mark_available(address, generation),
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Takes the stores of the configuration.
+    /// Replaces the set of stores by that of a configuration.
     pub fn reconfigure(&self, wanted: &BTreeMap<SocketAddrV4, KvStore>) {
         let mut stores = lock(&self.stores);
         stores.retain(|address, _| wanted.contains_key(address));
         for address in wanted.keys() {
-            stores.entry(*address).or_insert(State::Unknown);
+            stores.entry(*address).or_insert(StoreState::Unknown);
         }
     }
 }
--- a/router/src/links.rs
+++ b/router/src/links.rs
@@ -1,5 +1,5 @@
-//! Connections between routers: length-prefixed postcard frames over TCP, requests with answers and
-//! without.
+//! Connections between routers: length-prefixed postcard frames over TCP. Requests with responses
+//! are multiplexed by id; one-way requests have the id 0.
 
 use crate::frame::{read_frame, write_frame};
 use crate::protocol::{Frame, Request, Response};
@@ -18,15 +18,15 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::timeout;
 
-/// How long a connection may take to come up. Short, as a peer that is just starting loses the
-/// first packet, and the system sends that again only after a second.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(250);
-/// Frames that wait for a connection; more are dropped.
+/// Time limit of connecting. A peer that is just starting loses the first SYN, which the kernel
+/// retransmits only after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Frames that may queue for a connection; more are dropped.
 const QUEUE: usize = 256;
 
 type Pending = Arc<Mutex<HashMap<u32, oneshot::Sender<Response>>>>;
 
-/// One connection to another router, made when it is first used.
+/// A connection to another router, opened on first use.
 #[derive(Clone)]
 struct Link {
     frames: mpsc::Sender<Frame>,
@@ -42,7 +42,7 @@
 }
 
 impl Links {
-    /// What was sent and received on all connections, those of other routers to this one included.
+    /// Traffic on all connections, including those that other routers opened.
     pub fn traffic(&self) -> &Arc<Traffic> {
         &self.traffic
     }
@@ -67,16 +67,16 @@
         link
     }
 
-    /// Sends a request that has no answer; dropped where the connection can't take it.
+    /// Sends a one-way request; dropped if the connection's queue is full.
     pub fn send(&self, address: SocketAddrV4, request: Request) {
-        // A link that has just ended is made anew by the next message.
+        // The next message reopens a connection that has just ended.
         let _ = self
             .link(address)
             .frames
             .try_send(Frame::Request(0, request));
     }
 
-    /// Sends a request and waits for its answer; none where there is none in time.
+    /// Sends a request and waits for its response; `None` if there is none in time.
     pub async fn call(
         &self,
         address: SocketAddrV4,
@@ -102,7 +102,7 @@
     pending: Pending,
     traffic: Arc<Traffic>,
 ) {
-    let connected = timeout(CONNECT_PATIENCE, TcpStream::connect(address)).await;
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     if let Ok(Ok(stream)) = connected
         && socket::configure(&stream).is_ok()
     {
@@ -118,7 +118,7 @@
                 if let Frame::Response(id, response) = read_frame(&mut reader, &traffic).await?
                     && let Some(answer) = lock(&pending).remove(&id)
                 {
-                    // The asker may have given up.
+                    // The caller may have given up.
                     let _ = answer.send(response);
                 }
             }
@@ -134,12 +134,12 @@
     lock(&pending).clear();
 }
 
-/// An answer, with what is held until it is written.
+/// A response, with resources that are held until it is written.
 #[derive(Debug)]
 pub struct Answer {
-    /// What is answered.
+    /// The response.
     pub response: Response,
-    /// A share of the memory that large answers may take.
+    /// Permit for the memory of a large response.
     pub permit: Option<OwnedSemaphorePermit>,
 }
 
@@ -152,16 +152,16 @@
     }
 }
 
-/// Answers requests.
+/// Handles requests of other routers.
 pub trait Service: Send + Sync + 'static {
-    /// Answers one request; none for requests that have no answer.
+    /// Handles one request; `None` for one-way requests.
     fn answer(
         self: Arc<Self>,
         request: Request,
     ) -> Pin<Box<dyn Future<Output = Option<Answer>> + Send>>;
 }
 
-/// Serves requests of other routers.
+/// Serves the connections of other routers.
 pub async fn serve(listener: TcpListener, service: Arc<impl Service>, traffic: Arc<Traffic>) {
     loop {
         match listener.accept().await {
@@ -201,7 +201,7 @@
             let (service, answers) = (service.clone(), answers.clone());
             tokio::spawn(async move {
                 if let Some(answer) = service.answer(request).await {
-                    // The asker may be gone.
+                    // The caller may have disconnected.
                     let _ = answers.send((id, answer)).await;
                 }
             });
--- a/router/src/listener.rs
+++ b/router/src/listener.rs
@@ -25,9 +25,9 @@
     /// The client is there.
     Open,
     /// The client has closed or reset it.
-    ClientLeft,
+    ClientDisconnected,
     /// This router broke it off: nothing is read or written any more.
-    BrokenOff,
+    Aborted,
 }
 
 /// One connection of a client, as those who answer its requests see it.
@@ -47,7 +47,7 @@
     }
 
     /// Comes back once it has ended, by its client or by this router.
-    pub async fn ended(&self) {
+    pub async fn closed(&self) {
         let mut state = self.0.subscribe();
         // The sender is held here, so the wait ends by the state alone.
         let _ = state
@@ -56,17 +56,17 @@
     }
 
     /// From now on nothing is read or written on it.
-    pub fn break_off(&self) {
-        self.enter(ConnectionState::BrokenOff);
+    pub fn abort(&self) {
+        self.enter(ConnectionState::Aborted);
     }
 
     /// The one place where the state changes: an open connection ends once, by the client or by
     /// this router.
     fn enter(&self, state: ConnectionState) {
-        self.0.send_if_modified(|held| {
-            let is_open = *held == ConnectionState::Open;
+        self.0.send_if_modified(|current| {
+            let is_open = *current == ConnectionState::Open;
             if is_open {
-                *held = state;
+                *current = state;
             }
             is_open
         });
@@ -75,7 +75,7 @@
     fn check(&self) -> io::Result<()> {
         match self.state() {
             ConnectionState::Open => Ok(()),
-            ConnectionState::ClientLeft | ConnectionState::BrokenOff => {
+            ConnectionState::ClientDisconnected | ConnectionState::Aborted => {
                 Err(io::ErrorKind::ConnectionAborted.into())
             }
         }
@@ -100,7 +100,7 @@
         let mut connections = lock(&self.0);
         if connections
             .get(remote)
-            .is_some_and(|held| Arc::ptr_eq(&held.0, &connection.0))
+            .is_some_and(|current| Arc::ptr_eq(&current.0, &connection.0))
         {
             connections.remove(remote);
         }
@@ -167,9 +167,9 @@
 
 impl ClientStream {
     /// A read or write of the socket has failed: the client is gone.
-    fn note_failure<T>(&self, result: &Poll<io::Result<T>>) {
+    fn record_io_failure<T>(&self, result: &Poll<io::Result<T>>) {
         if let Poll::Ready(Err(_)) = result {
-            self.connection.enter(ConnectionState::ClientLeft);
+            self.connection.enter(ConnectionState::ClientDisconnected);
         }
     }
 }
@@ -189,11 +189,11 @@
         self.connection.check()?;
         let (before, room) = (buffer.filled().len(), buffer.remaining());
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
-        self.note_failure(&read);
+        self.record_io_failure(&read);
         let is_end =
             room > 0 && matches!(read, Poll::Ready(Ok(()))) && buffer.filled().len() == before;
         if is_end {
-            self.connection.enter(ConnectionState::ClientLeft);
+            self.connection.enter(ConnectionState::ClientDisconnected);
         }
         read
     }
@@ -207,7 +207,7 @@
     ) -> Poll<io::Result<usize>> {
         self.connection.check()?;
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.note_failure(&written);
+        self.record_io_failure(&written);
         written
     }
 
@@ -218,7 +218,7 @@
     ) -> Poll<io::Result<usize>> {
         self.connection.check()?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.note_failure(&written);
+        self.record_io_failure(&written);
         written
     }
 
--- /dev/null
+++ b/router/src/membership/bootstrap.rs
@@ -0,0 +1,86 @@
+//! Bootstrap of a system that starts for the first time.
+
+use crate::fleet::Fleet;
+use crate::sync::lock;
+use compact_str::CompactString;
+use control::node::Timing;
+use control::view::ReplicaId;
+use std::collections::BTreeSet;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Bootstrap waits until no further replica has come up for this long.
+const BOOTSTRAP_QUIET_TIME: Duration = Duration::from_millis(400);
+/// Maximum wait, so that replicas that never come up do not block the system.
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Time between two bootstrap attempts.
+const BOOTSTRAP_RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// Each seed waits this much longer than the previous one.
+const BOOTSTRAP_STAGGER: Duration = Duration::from_millis(1_500);
+/// Time between two looks at which replicas are up.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Bootstraps a new system if this node is a seed: proposes the seeds as electorate of the first
+/// view. The first seed acts at once, the others only if it does not.
+pub async fn run(fleet: Arc<Fleet>) {
+    let settings = &fleet.settings;
+    let own = settings.listen.control_plane;
+    let rank = settings.seeds.iter().position(|seed| Some(*seed) == own);
+    let (Some(rank), Some(replica), true) = (rank, &fleet.replica, settings.bootstrap) else {
+        return;
+    };
+    let fewest = Timing::tolerating(settings.fault_tolerance.machines).min_witnesses();
+    tokio::time::sleep(BOOTSTRAP_STAGGER * rank as u32).await;
+    let begun = Instant::now();
+    let mut known = BTreeSet::new();
+    let mut since = Instant::now();
+    loop {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if fleet.leader().is_some() {
+            return;
+        }
+        let members = fleet.replica_members();
+        let replicas: BTreeSet<ReplicaId> =
+            members.into_iter().filter_map(|(_, m)| m.replica).collect();
+        if replicas != known {
+            (known, since) = (replicas, Instant::now());
+        }
+        let is_calm =
+            since.elapsed() > BOOTSTRAP_QUIET_TIME && begun.elapsed() > 2 * BOOTSTRAP_QUIET_TIME;
+        let are_all_here = is_calm && known.len() >= fewest;
+        if !are_all_here && begun.elapsed() < BOOTSTRAP_TIMEOUT {
+            continue;
+        }
+        log::info!("founding the control state with {} replicas", known.len());
+        replica.found(electorate(&fleet), known.clone());
+        tokio::time::sleep(BOOTSTRAP_RETRY_INTERVAL).await;
+    }
+}
+
+/// The replicas at the seeds' addresses. A seed that was not heard from yet counts under a
+/// placeholder id, so that two nodes never take different electorates for complete.
+fn electorate(fleet: &Fleet) -> BTreeSet<ReplicaId> {
+    const UNHEARD: u64 = 0;
+    let directory = lock(&fleet.directory);
+    let seeds = fleet
+        .settings
+        .seeds
+        .iter()
+        .map(|seed| fleet.settings.internal_address_of(*seed));
+    let replica_at = |address: SocketAddrV4| {
+        let member = directory
+            .members()
+            .map(|(_, member)| member)
+            .find(|member| member.internal == address);
+        match member {
+            Some(member) => member.replica.clone(),
+            None => Some(ReplicaId {
+                disk: UNHEARD,
+                node: CompactString::default(),
+                address,
+            }),
+        }
+    };
+    seeds.filter_map(replica_at).collect()
+}
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -1,11 +1,10 @@
-//! Figures of a router for whoever watches it: counters of what it did, and how it stands, as lines
-//! of text.
+//! The metrics page: event counters and gauges of a router, as lines of text.
 
 use crate::counters::Event;
 use crate::fleet::Fleet;
 use crate::proxy::backend_table::BackendTable;
 use crate::sync::lock;
-use crate::weights::Orders;
+use crate::weights::RolloutController;
 use control::directory::BackendPhase;
 use control::rollout::RolloutOwnership;
 use poem::{Endpoint, Request, Response, Result};
@@ -14,16 +13,20 @@
 use std::fmt::Write as _;
 use std::sync::Arc;
 
-/// The page with all figures.
+/// The metrics page.
 pub struct MetricsPage {
     fleet: Arc<Fleet>,
     table: Arc<BackendTable>,
-    orders: Option<Arc<Orders>>,
+    orders: Option<Arc<RolloutController>>,
 }
 
 impl MetricsPage {
-    /// The page of a router; a node with a replica may give orders.
-    pub fn new(fleet: Arc<Fleet>, table: Arc<BackendTable>, orders: Option<Arc<Orders>>) -> Self {
+    /// Creates the page; a node with a replica has a rollout controller.
+    pub fn new(
+        fleet: Arc<Fleet>,
+        table: Arc<BackendTable>,
+        orders: Option<Arc<RolloutController>>,
+    ) -> Self {
         MetricsPage {
             fleet,
             table,
@@ -31,11 +34,11 @@
         }
     }
 
-    /// One line a figure: its name, labels if any, and its value.
+    /// The page: one line per metric with its name, labels if any, and value.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (event, name) in Event::ALL {
-            line(
+            write_metric(
                 &mut text,
                 &format!("{name}_total"),
                 self.fleet.counters.get(event),
@@ -51,40 +54,40 @@
     fn write_control(&self, text: &mut String) {
         let fleet = &self.fleet;
         let published = lock(&fleet.published);
-        line(
+        write_metric(
             text,
             "configuration_version",
             published.version().unwrap_or(0),
         );
-        line(text, "control_change", published.position().index);
+        write_metric(text, "control_change", published.position().index);
         drop(published);
-        line(
+        write_metric(
             text,
             "control_epoch",
             fleet.leader().map_or(0, |(epoch, _)| epoch),
         );
-        let leads = fleet
+        let is_leader = fleet
             .replica
             .as_ref()
-            .is_some_and(crate::replica::handle::ReplicaHandle::leads);
-        line(text, "control_leads", u64::from(leads));
-        if let Some(age) = fleet.age() {
-            line(text, "control_age_ms", age);
+            .is_some_and(crate::replica::handle::ReplicaHandle::is_leader);
+        write_metric(text, "control_leads", u64::from(is_leader));
+        if let Some(age) = fleet.staleness() {
+            write_metric(text, "control_age_ms", age);
         }
-        line(text, "members_up", fleet.members_up() as u64);
+        write_metric(text, "members_up", fleet.members_up() as u64);
     }
 
     fn write_weights(&self, text: &mut String) {
         for (model, target) in lock(&self.fleet.published).weights() {
-            line(
+            write_metric(
                 text,
                 &format!("weights_named{{model=\"{model}\"}}"),
                 target.version,
             );
         }
-        for named in self.fleet.named_weights() {
+        for named in self.fleet.announced_weights() {
             let labels = format!("model=\"{}\",version=\"{}\"", named.model, named.version);
-            line(
+            write_metric(
                 text,
                 &format!("weights_named_ms_ago{{{labels}}}"),
                 named.age_ms,
@@ -97,7 +100,7 @@
             }
         }
         for ((model, version), count) in backends {
-            line(
+            write_metric(
                 text,
                 &format!("backends_with_weights{{model=\"{model}\",version=\"{version}\"}}"),
                 count,
@@ -107,22 +110,22 @@
 
     fn write_orders(&self, text: &mut String) {
         if let Some(orders) = &self.orders {
-            let gives = orders.turn() == RolloutOwnership::Owned;
-            line(text, "orders_given_here", u64::from(gives));
-            line(text, "backends_refusing_fences", orders.refusing_backends());
+            let gives = orders.ownership() == RolloutOwnership::Owned;
+            write_metric(text, "orders_given_here", u64::from(gives));
+            write_metric(text, "backends_refusing_fences", orders.fenced_backends());
         }
-        for unfinished in self.fleet.unfinished_versions() {
+        for rollout in self.fleet.incomplete_rollouts() {
             let AnnouncedVersion {
                 model,
                 version,
                 age_ms,
-            } = unfinished.named;
+            } = rollout.announced;
             let labels = format!("model=\"{model}\",version=\"{version}\"");
-            line(text, &format!("weights_unfinished_ms{{{labels}}}"), age_ms);
+            write_metric(text, &format!("weights_unfinished_ms{{{labels}}}"), age_ms);
         }
         for (cause, count) in self.fleet.outdated_by_reason() {
             let name = cause.name();
-            line(
+            write_metric(
                 text,
                 &format!("backends_lacking_weights{{cause=\"{name}\"}}"),
                 count,
@@ -141,17 +144,17 @@
                 .backends()
                 .filter(|(_, backend)| backend.phase == phase)
                 .count();
-            line(text, &format!("backends{{phase=\"{name}\"}}"), count as u64);
+            write_metric(text, &format!("backends{{phase=\"{name}\"}}"), count as u64);
         }
         let unresponsive = directory
             .backends()
             .filter(|(_, backend)| backend.unresponsive)
             .count();
-        line(text, "backends_silent", unresponsive as u64);
+        write_metric(text, "backends_silent", unresponsive as u64);
     }
 }
 
-fn line(text: &mut String, name: &str, value: u64) {
+fn write_metric(text: &mut String, name: &str, value: u64) {
     // Writing to a string does not fail.
     let _ = writeln!(text, "{name} {value}");
 }
--- a/router/src/protocol.rs
+++ b/router/src/protocol.rs
@@ -15,9 +15,9 @@
 use std::net::SocketAddrV4;
 
 /// The longest message; a longer one ends the connection.
-pub const LONGEST: usize = 16 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 /// How often a call may be passed on.
-pub const MOST_HOPS: u8 = 2;
+pub const MAX_HOPS: u8 = 2;
 
 /// What is asked. New kinds go last, as their places are their numbers on the wire.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -163,9 +163,9 @@
     /// where it never was.
     pub age_ms: Option<u64>,
     /// So many milliseconds the answer was held back for news.
-    pub held_ms: u64,
+    pub delay_ms: u64,
     /// Versions of weights whose time runs, or was over last.
-    pub named_weights: Vec<AnnouncedVersion>,
+    pub announced_weights: Vec<AnnouncedVersion>,
 }
 
 /// The committed control state as routers use it.
--- a/router/src/proxy/cache_watcher.rs
+++ b/router/src/proxy/cache_watcher.rs
@@ -25,7 +25,7 @@
     let mut seen = None;
     loop {
         tokio::time::sleep(LOOK).await;
-        if seen.replace(fleet.changes()) == Some(fleet.changes()) {
+        if seen.replace(fleet.change_count()) == Some(fleet.change_count()) {
             continue;
         }
         let wanted = assigned(&fleet);
--- a/router/src/proxy/failure_log.rs
+++ b/router/src/proxy/failure_log.rs
@@ -36,6 +36,6 @@
     loop {
         log.changed.notified().await;
         tokio::time::sleep(GATHER).await;
-        fleet.report_faults(&log.drain());
+        fleet.report_failures(&log.drain());
     }
 }
--- a/router/src/proxy/ingress.rs
+++ b/router/src/proxy/ingress.rs
@@ -76,7 +76,7 @@
         // future here cancels it with all its attempts.
         let outcome = tokio::select! {
             biased;
-            () = connection.ended() => {
+            () = connection.closed() => {
                 self.forwarder.count(Event::DisconnectedWaiting);
                 return undeliverable_response();
             }
@@ -86,7 +86,7 @@
             Ok(response) => response,
             Err(rejection) => rejection_response(&rejection),
         };
-        if self.forwarder.fleet.is_leaving() {
+        if self.forwarder.fleet.is_shutting_down() {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/router/src/proxy/prefix_locator.rs
+++ b/router/src/proxy/prefix_locator.rs
@@ -59,7 +59,7 @@
         let now = clock::now();
         let mut ring = lock(&self.ring);
         let is_fresh = ring.made_at.is_some_and(|made_at| now < made_at + REFRESH);
-        let change = self.fleet.changes();
+        let change = self.fleet.change_count();
         if !is_fresh && (ring.made_at.is_none() || change != ring.change) {
             let directory = lock(&self.fleet.directory);
             let up = directory
--- a/router/src/proxy/relay.rs
+++ b/router/src/proxy/relay.rs
@@ -58,14 +58,14 @@
             // Without a write, the server does not notice that the client has disconnected.
             let next = tokio::select! {
                 biased;
-                () = connection.ended() => Err(io::ErrorKind::ConnectionAborted.into()),
+                () = connection.closed() => Err(io::ErrorKind::ConnectionAborted.into()),
                 next = relay.next() => next,
             };
             match next {
                 Ok(Some(bytes)) => Some((Ok(bytes), Some(relay))),
                 Ok(None) => None,
                 Err(problem) => {
-                    relay.connection.break_off();
+                    relay.connection.abort();
                     Some((Err(problem), None))
                 }
             }
@@ -162,7 +162,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         let is_unfinished = self.events.is_some();
-        if is_unfinished && self.connection.state() == ConnectionState::ClientLeft {
+        if is_unfinished && self.connection.state() == ConnectionState::ClientDisconnected {
             self.forwarder.count(Event::DisconnectedStreaming);
         }
     }
--- a/router/src/published.rs
+++ b/router/src/published.rs
@@ -1,4 +1,4 @@
-//! The committed control state as this router uses it, and how it reaches others.
+//! The committed control state as routers use it, and how it is propagated.
 
 use crate::protocol::PublishedState;
 use compact_str::CompactString;
@@ -8,52 +8,52 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The newest committed state that this router knows. It never goes back.
+/// The latest committed state that this router knows. Its position never goes back.
 #[derive(Debug, Default)]
 pub struct Published {
     position: Position,
     history: History,
     configuration: Option<Arc<Configuration>>,
     weights: BTreeMap<CompactString, WeightsTarget>,
-    /// Steps from the text held have led astray, so the whole text is wanted.
-    wants_whole: bool,
+    /// Deltas to the current text failed their checksum, so the full text is needed.
+    needs_full_text: bool,
 }
 
 impl Published {
-    /// The last change in it.
+    /// Position of the last applied change.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// The configuration in force here.
+    /// The configuration in force.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// The version of that configuration.
+    /// Version of the configuration in force.
     pub fn version(&self) -> Option<u64> {
         self.configuration
             .as_ref()
             .map(|configuration| configuration.version)
     }
 
-    /// The length of the configuration's text.
+    /// Length of the configuration's text in bytes.
     pub fn text_bytes(&self) -> usize {
         self.history.text().len()
     }
 
-    /// The version that steps to a newer one may start from; none where the whole text is wanted.
+    /// The version that deltas may build on; `None` if the full text is needed.
     pub fn base(&self) -> Option<u64> {
-        self.version().filter(|_| !self.wants_whole)
+        self.version().filter(|_| !self.needs_full_text)
     }
 
-    /// The newest version of each model's weights.
+    /// The latest version of each model's weights.
     pub fn weights(&self) -> &BTreeMap<CompactString, WeightsTarget> {
         &self.weights
     }
 
-    /// Takes what this node's own replica has committed. True where that is news.
-    pub fn take_own(&mut self, state: &ControlState) -> bool {
+    /// Applies what this node's own replica has committed. Returns whether anything changed.
+    pub fn apply_committed(&mut self, state: &ControlState) -> bool {
         if state.position.index <= self.position.index {
             return false;
         }
@@ -65,23 +65,23 @@
             self.load(history);
         }
         self.position = state.position;
-        self.name_weights(state.weights.clone());
+        self.set_weights(state.weights.clone());
         true
     }
 
-    /// Takes what another router has. True where that is news.
-    pub fn take(&mut self, state: PublishedState) -> bool {
+    /// Applies an update of another router. Returns whether anything changed.
+    pub fn apply_update(&mut self, state: PublishedState) -> bool {
         if state.position.index <= self.position.index {
             return false;
         }
-        let news = state
+        let update = state
             .configuration
-            .filter(|news| news.version() != self.version());
-        if let Some(news) = news {
+            .filter(|update| update.version() != self.version());
+        if let Some(update) = update {
             let mut history = self.history.clone();
-            if let Err(misfit) = history.apply(news) {
+            if let Err(misfit) = history.apply(update) {
                 log::debug!("a configuration is not taken: {misfit}");
-                self.wants_whole = matches!(misfit, ApplyError::Checksum { .. });
+                self.needs_full_text = matches!(misfit, ApplyError::Checksum { .. });
                 return false;
             }
             if !self.load(history) {
@@ -89,12 +89,12 @@
             }
         }
         self.position = state.position;
-        self.name_weights(state.weights);
+        self.set_weights(state.weights);
         true
     }
 
-    /// The one place where the versions of weights change.
-    fn name_weights(&mut self, weights: BTreeMap<CompactString, WeightsTarget>) {
+    /// Replaces the versions of weights; changes are logged.
+    fn set_weights(&mut self, weights: BTreeMap<CompactString, WeightsTarget>) {
         for (model, target) in &weights {
             if self.weights.get(model) != Some(target) {
                 log::info!(
@@ -106,14 +106,14 @@
         self.weights = weights;
     }
 
-    /// The one place where the configuration changes.
+    /// Replaces the configuration.
     fn load(&mut self, history: History) -> bool {
         match Configuration::parse(history.text()) {
             Ok(parsed) => {
                 log::info!("configuration {} is in force here", parsed.version);
                 self.configuration = Some(Arc::new(parsed));
                 self.history = history;
-                self.wants_whole = false;
+                self.needs_full_text = false;
                 true
             }
             Err(problem) => {
@@ -123,7 +123,8 @@
         }
     }
 
-    /// What a router lacks that has a state up to `position` and a configuration of version `base`.
+    /// The update for a router that has the state up to `position` and the configuration version
+    /// `base`; `None` if it has everything.
     pub fn update_for(&self, position: Position, base: Option<u64>) -> Option<PublishedState> {
         if position.index >= self.position.index {
             return None;
--- a/router/src/replica/handle.rs
+++ b/router/src/replica/handle.rs
@@ -17,7 +17,7 @@
 /// Capacity of the task's input queue.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// What the task is told.
+/// Inputs of the task.
 #[derive(Debug)]
 pub(super) enum Input {
     Message(Box<Envelope>),
@@ -30,40 +30,40 @@
     Leave,
 }
 
-/// What others may see of the replica.
+/// The status of the replica, as other parts of the router see it.
 #[derive(Debug, Clone, Default)]
-pub struct Shown {
-    /// The fencing token of the lease, and until when it is held.
+pub struct ReplicaStatus {
+    /// Fencing token of the lease, and when the lease ends.
     pub lease: Option<(Epoch, Millis)>,
-    /// Whether orders may be given to backends from here.
+    /// Whether this node owns the rollout of weights.
     pub rollout_ownership: RolloutOwnership,
-    /// When the committed state was last known to be the newest.
+    /// When the committed state was last confirmed as the latest.
     pub current_at: Option<Millis>,
-    /// The newest view that is known to be decided.
+    /// The latest view that is known to be decided.
     pub view: Option<Arc<View>>,
-    /// The present role.
+    /// Current role.
     pub role: Option<RoleName>,
-    /// Whether the process may end without a change waiting for this replica, or its copy being one
-    /// of too few.
+    /// Whether the process may end: no change waits for this replica, and enough others have its
+    /// data.
     pub can_shut_down: bool,
-    /// A line for operators.
+    /// Status line for operators.
     pub status: String,
 }
 
-/// The way to the task.
+/// Handle of the replica's task.
 #[derive(Clone)]
 pub struct ReplicaHandle {
-    /// Which replica this is.
+    /// Id of the replica.
     pub id: ReplicaId,
     inputs: mpsc::Sender<Input>,
-    shown: Arc<Mutex<Shown>>,
+    shown: Arc<Mutex<ReplicaStatus>>,
 }
 
-/// The receiving end, for [`run`](super::task::run).
+/// The receiving end of the handle, for [`run`](super::task::run).
 pub struct Inputs(pub(super) mpsc::Receiver<Input>);
 
 impl ReplicaHandle {
-    /// A handle and what the task receives by it.
+    /// Creates a handle and its receiving end.
     pub fn new(id: ReplicaId) -> (Self, Inputs) {
         let (inputs, queue) = mpsc::channel(QUEUE_CAPACITY);
         (
@@ -76,8 +76,8 @@
         )
     }
 
-    /// Sets what others may see.
-    pub fn show(&self, shown: Shown) {
+    /// Publishes a new status.
+    pub fn publish_status(&self, shown: ReplicaStatus) {
         *lock(&self.shown) = shown;
     }
 
@@ -86,14 +86,14 @@
         lock(&self.shown).view.clone()
     }
 
-    /// Passes on a message of another replica; dropped where too many wait.
+    /// Passes on a message of another replica; dropped if the queue is full.
     pub fn receive(&self, envelope: Box<Envelope>) {
-        // A lost message is sent again by its sender.
+        // The sender retransmits lost messages.
         let _ = self.inputs.try_send(Input::Message(envelope));
     }
 
-    /// Whether this replica is the primary under a lease at this very moment.
-    pub fn leads(&self) -> bool {
+    /// Returns whether this replica is the primary and holds the lease now.
+    pub fn is_leader(&self) -> bool {
         self.fencing_token().is_some()
     }
 
@@ -105,27 +105,27 @@
             .map(|(epoch, _)| epoch)
     }
 
-    /// Whether orders may be given to backends from here at this very moment.
+    /// The rollout ownership now, which requires the lease.
     pub fn rollout_ownership(&self) -> RolloutOwnership {
-        if self.leads() {
+        if self.is_leader() {
             lock(&self.shown).rollout_ownership
         } else {
             RolloutOwnership::NotLeader
         }
     }
 
-    /// The fencing token of orders to backends, while they may be given from here.
+    /// The fencing token for orders to backends, while this node owns the rollout.
     pub fn order_fencing_token(&self) -> Option<Epoch> {
         self.fencing_token()
             .filter(|_| self.rollout_ownership() == RolloutOwnership::Owned)
     }
 
-    /// When its committed state was last known to be the newest.
+    /// When the committed state was last confirmed as the latest.
     pub fn current_at(&self) -> Option<Millis> {
         lock(&self.shown).current_at
     }
 
-    /// Whether this replica is the primary, also while it is not in step with its backups yet:
+    /// Returns whether this replica is the primary, also while it still synchronizes its backups:
     /// calls may wait here.
     pub fn is_primary(&self) -> bool {
         matches!(
@@ -134,7 +134,7 @@
         )
     }
 
-    /// The nodes whose replicas are witnesses of the newest view that is known here.
+    /// Nodes whose replicas are witnesses of the latest view.
     pub fn witness_nodes(&self) -> BTreeSet<CompactString> {
         self.view()
             .map(|view| {
@@ -146,18 +146,18 @@
             .unwrap_or_default()
     }
 
-    /// Whether the process may end without a change waiting for this replica, or its copy being one
-    /// of too few.
+    /// Returns whether the process may end: no change waits for this replica, and enough others
+    /// have its data.
     pub fn can_shut_down(&self) -> bool {
         lock(&self.shown).can_shut_down
     }
 
-    /// A line for operators.
+    /// Status line for operators.
     pub fn status(&self) -> String {
         lock(&self.shown).status.clone()
     }
 
-    /// Makes a change.
+    /// Submits a change and waits for its outcome.
     pub async fn submit(&self, change: Change) -> Outcome {
         let (reply, outcome) = oneshot::channel();
         if self
@@ -171,8 +171,8 @@
         outcome.await.unwrap_or(Outcome::Unknown)
     }
 
-    /// The newest configuration; the outer value is none where this replica can't tell. A majority
-    /// has confirmed after the call that this replica is the primary.
+    /// Reads the latest configuration, after a majority has confirmed that this replica is the
+    /// primary. The outer `None` means that this replica can't tell.
     pub async fn read(&self) -> Option<Option<StoredConfiguration>> {
         let (reply, answer) = oneshot::channel();
         self.inputs.send(Input::Read(reply)).await.ok()?;
@@ -182,18 +182,18 @@
         }
     }
 
-    /// Has the first view of a new system decided.
+    /// Bootstraps a new system by proposing its first view.
     pub fn found(&self, electorate: BTreeSet<ReplicaId>, replicas: BTreeSet<ReplicaId>) {
-        // Tried again by whoever founds, as long as there is no view.
+        // The caller retries as long as there is no view.
         let _ = self.inputs.try_send(Input::Found {
             electorate,
             replicas,
         });
     }
 
-    /// The process is about to end: hands the role over, and asks to be taken out of the view.
-    pub async fn leave(&self) {
-        // Nobody is there to be told where the task has ended.
+    /// Begins a graceful shutdown: hands over the primary role and leaves the view.
+    pub async fn begin_shutdown(&self) {
+        // If the task has ended, there is nothing to hand over.
         let _ = self.inputs.send(Input::Leave).await;
     }
 }
--- a/router/src/replica/task.rs
+++ b/router/src/replica/task.rs
@@ -1,9 +1,9 @@
 //! The task that drives the replica: it feeds the state machine with messages, time and completed
 //! writes, and carries out its effects.
 
-use super::handle::{Input, Inputs, ReplicaHandle, Shown};
+use super::handle::{Input, Inputs, ReplicaHandle, ReplicaStatus};
 use crate::clock;
-use crate::disk::{Disk, Known};
+use crate::disk::{Disk, PersistedFleet};
 use crate::fleet::Fleet;
 use crate::protocol::Request;
 use crate::sync::lock;
@@ -54,7 +54,7 @@
         saved: 0,
         save_at,
     };
-    task.fleet.publish_own(task.node.state());
+    task.fleet.publish_committed(task.node.state());
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     loop {
@@ -102,20 +102,20 @@
         self.save_fleet();
     }
 
-    /// Keeps what is known of the fleet on disk, where it has changed.
+    /// Saves the known state of the fleet if it has changed.
     fn save_fleet(&mut self) {
         let now = clock::now();
         if now < self.save_at {
             return;
         }
         self.save_at = now + SAVE;
-        let version = self.fleet.changes();
+        let version = self.fleet.change_count();
         if version != self.saved || !self.fleet.are_weights_settled() {
             self.saved = version;
             let records = lock(&self.fleet.directory).persistent_records();
-            self.disk.save_fleet(&Known {
+            self.disk.save_fleet(&PersistedFleet {
                 records,
-                named_weights: self.fleet.named_weights(),
+                announced_weights: self.fleet.announced_weights(),
             });
         }
     }
@@ -152,7 +152,7 @@
         }
         self.show();
         if committed {
-            self.fleet.publish_own(self.node.state());
+            self.fleet.publish_committed(self.node.state());
         }
         let leader = self
             .node
@@ -165,7 +165,7 @@
         let (now, node) = (clock::now(), &self.node);
         let former = self.handle.view();
         let is_same = former.as_ref().map(|view| view.epoch) == node.view().map(|view| view.epoch);
-        self.handle.show(Shown {
+        self.handle.publish_status(ReplicaStatus {
             lease: node.lease(now),
             rollout_ownership: node.rollout_ownership(now),
             current_at: node.current_at(now),
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -20,7 +20,7 @@
 use crate::socket;
 use crate::sync::lock;
 use crate::upstreams;
-use crate::weights::Orders;
+use crate::weights::RolloutController;
 use control::node::{ControlNode, Identity, Timing};
 use control::storage::Recovered;
 use control::view::{Incarnation, ReplicaId};
@@ -38,12 +38,12 @@
 use tokio::sync::mpsc;
 
 /// A router without any backend calls itself ready so long after it has a configuration.
-const BACKENDS_PATIENCE: Duration = Duration::from_millis(3_000);
+const BACKENDS_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// After SIGTERM new connections are taken for so long, as the platform takes two questions to stay
 /// away.
-const STILL_TAKING: Duration = Duration::from_millis(2_300);
+const DRAIN_DELAY: Duration = Duration::from_millis(2_300);
 /// Part of the grace period within which everything has to be over.
-const GRACE_SHARE: f64 = 0.9;
+const GRACE_RATIO: f64 = 0.9;
 /// Idle connections of clients are closed after this.
 const CLIENT_IDLE: Duration = Duration::from_secs(20);
 
@@ -118,7 +118,7 @@
     else {
         return Ok(None);
     };
-    let found = disk::read_or_set_aside(folder)?;
+    let found = disk::read_or_quarantine(folder)?;
     let recovered: Recovered = found.unwrap_or_else(|| disk::empty(fastrand::u64(1..)));
     let (done, stored) = mpsc::unbounded_channel();
     let disk = Disk::open(folder, &recovered, done)?;
@@ -182,12 +182,12 @@
     let traffic = fleet.links.traffic().clone();
     tokio::spawn(links::serve(listener, fleet.clone(), traffic));
     let orders = replica.map(|replica| start_replica(replica, &fleet, &client));
-    tokio::spawn(upstreams::keep_pulling(fleet.clone()));
-    tokio::spawn(membership::monitor(fleet.clone(), socket));
-    tokio::spawn(membership::watch_backends(fleet.clone()));
-    tokio::spawn(membership::found(fleet.clone()));
-    tokio::spawn(membership::repair(fleet.clone()));
-    tokio::spawn(membership::prune(fleet.clone()));
+    tokio::spawn(upstreams::run(fleet.clone()));
+    tokio::spawn(membership::heartbeats::monitor(fleet.clone(), socket));
+    tokio::spawn(membership::heartbeats::watch_backends(fleet.clone()));
+    tokio::spawn(membership::bootstrap::run(fleet.clone()));
+    tokio::spawn(membership::anti_entropy::repair(fleet.clone()));
+    tokio::spawn(membership::anti_entropy::prune(fleet.clone()));
     tokio::spawn(cache_watcher::run(
         fleet.clone(),
         locator.clone(),
@@ -213,7 +213,7 @@
             let listener = tokio::net::TcpListener::bind(address)
                 .await
                 .map_err(failed(address))?;
-            Some(tokio::spawn(take_clients(listener, forwarder, stopped)))
+            Some(tokio::spawn(serve_clients(listener, forwarder, stopped)))
         }
         None => None,
     };
@@ -228,11 +228,15 @@
         path.display()
     );
 
-    end_in_order(&fleet, &settings, signals, stop, clients).await
+    shut_down(&fleet, &settings, signals, stop, clients).await
 }
 
 /// Runs the replica, and the task that gives orders while it leads.
-fn start_replica(replica: Replica, fleet: &Arc<Fleet>, client: &reqwest::Client) -> Arc<Orders> {
+fn start_replica(
+    replica: Replica,
+    fleet: &Arc<Fleet>,
+    client: &reqwest::Client,
+) -> Arc<RolloutController> {
     let Replica {
         node,
         disk,
@@ -240,7 +244,7 @@
         handle,
         inputs,
     } = replica;
-    let orders = Orders::new(fleet.clone(), handle.clone(), client.clone());
+    let orders = RolloutController::new(fleet.clone(), handle.clone(), client.clone());
     tokio::spawn(task::run(node, disk, stored, fleet.clone(), handle, inputs));
     tokio::spawn(orders.clone().run());
     orders
@@ -258,7 +262,7 @@
 }
 
 /// Serves clients until told to stop; ends once every answer is out.
-async fn take_clients(
+async fn serve_clients(
     listener: tokio::net::TcpListener,
     forwarder: Arc<Forwarder>,
     mut stopped: tokio::sync::watch::Receiver<bool>,
@@ -270,17 +274,17 @@
         let _ = stopped.wait_for(|stopped| *stopped).await;
     };
     let server = Server::new_with_acceptor(acceptor).idle_timeout(CLIENT_IDLE);
-    let ended = server
+    let closed = server
         .run_with_graceful_shutdown(Ingress::new(forwarder, connections), stop, None)
         .await;
-    if let Err(problem) = ended {
+    if let Err(problem) = closed {
         log::error!("clients are taken no more: {problem}");
     }
 }
 
 /// Waits for SIGTERM, then serves on until the platform stays away, and ends once every answer is
 /// out.
-async fn end_in_order(
+async fn shut_down(
     fleet: &Fleet,
     settings: &Settings,
     mut signals: Signals,
@@ -294,13 +298,13 @@
         }
     }
     log::info!("SIGTERM: no new clients, open requests are finished");
-    let grace = Duration::from_secs_f64(settings.bounds.grace_period_s * GRACE_SHARE);
+    let grace = Duration::from_secs_f64(settings.bounds.grace_period_s * GRACE_RATIO);
     let begun = Instant::now();
-    fleet.leave();
+    fleet.begin_shutdown();
     if let Some(replica) = &fleet.replica {
-        replica.leave().await;
+        replica.begin_shutdown().await;
     }
-    tokio::time::sleep(STILL_TAKING.min(grace / 2)).await;
+    tokio::time::sleep(DRAIN_DELAY.min(grace / 2)).await;
     // Nobody waits any more where the interface has ended by itself.
     let _ = stop.send(true);
     if let Some(clients) = clients {
@@ -310,13 +314,13 @@
         }
     }
     if let Some(replica) = &fleet.replica {
-        wait_for_other_copies(replica, grace.saturating_sub(begun.elapsed())).await;
+        wait_for_replication(replica, grace.saturating_sub(begun.elapsed())).await;
     }
     Ok(())
 }
 
 /// Stays until the control state stands elsewhere as often as it has to, as far as there is time.
-async fn wait_for_other_copies(replica: &ReplicaHandle, patience: Duration) {
+async fn wait_for_replication(replica: &ReplicaHandle, patience: Duration) {
     const LOOK: Duration = Duration::from_millis(50);
     let begun = Instant::now();
     if !replica.can_shut_down() {
@@ -352,11 +356,11 @@
     }
 
     fn is_ready(&self) -> bool {
-        if self.fleet.is_leaving() || lock(&self.fleet.published).configuration().is_none() {
+        if self.fleet.is_shutting_down() || lock(&self.fleet.published).configuration().is_none() {
             return false;
         }
         let since = *lock(&self.configured).get_or_insert_with(Instant::now);
-        !self.table.is_empty() || since.elapsed() > BACKENDS_PATIENCE
+        !self.table.is_empty() || since.elapsed() > BACKENDS_TIMEOUT
     }
 }
 
--- a/router/src/settings.rs
+++ b/router/src/settings.rs
@@ -140,7 +140,7 @@
     #[serde(default)]
     pub data_directory: Option<PathBuf>,
     /// Time between two heartbeats of a backend.
-    #[serde(default = "usual_heartbeat")]
+    #[serde(default = "default_heartbeat_interval_ms")]
     pub heartbeat_interval_ms: u64,
     /// What may be lost at once.
     #[serde(default)]
@@ -150,7 +150,7 @@
     pub bounds: Bounds,
 }
 
-fn usual_heartbeat() -> u64 {
+fn default_heartbeat_interval_ms() -> u64 {
     1_000
 }
 
--- a/router/src/upstreams.rs
+++ b/router/src/upstreams.rs
@@ -16,21 +16,21 @@
 use tokio::task::JoinHandle;
 
 /// Time between two choices of whom to pull from.
-const CHOICE: Duration = Duration::from_millis(150);
+const SELECTION_INTERVAL: Duration = Duration::from_millis(150);
 /// Time between two questions to a node that is not followed. Within twice this, news come by way
 /// of it where the followed node has fallen silent.
-const POLL: Duration = Duration::from_millis(800);
+const POLL_INTERVAL: Duration = Duration::from_millis(800);
 /// Wait after a pull that failed, and the longest one after several.
-const PULL_AGAIN: Duration = Duration::from_millis(120);
-const LONGEST_PULL_AGAIN: Duration = Duration::from_millis(1_000);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(120);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// A node that failed, or has lost touch with the primary, is only followed again after this, where
 /// there is another one.
-const AVOID: Duration = Duration::from_millis(3_000);
+const AVOID_DURATION: Duration = Duration::from_millis(3_000);
 /// A node that knows nothing yet asks one seed for everything, and the next one where that fails or
 /// takes so long.
-const NEXT_SEED: Duration = Duration::from_millis(200);
+const SEED_STAGGER: Duration = Duration::from_millis(200);
 /// For so long after its start a node with a replica follows its seeds as well.
-const SEED_TIME: Duration = Duration::from_secs(4);
+const SEED_FOLLOW_TIME: Duration = Duration::from_secs(4);
 
 /// How a node is pulled from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,11 +48,11 @@
 }
 
 /// Keeps pulling from the right nodes.
-pub async fn keep_pulling(fleet: Arc<Fleet>) {
+pub async fn run(fleet: Arc<Fleet>) {
     let begun = Instant::now();
     let mut upstreams: BTreeMap<SocketAddrV4, Upstream> = BTreeMap::new();
     let mut avoided: BTreeMap<SocketAddrV4, Instant> = BTreeMap::new();
-    let mut choices = tokio::time::interval(CHOICE);
+    let mut choices = tokio::time::interval(SELECTION_INTERVAL);
     let failures = Arc::new(watch::Sender::new(0));
     loop {
         choices.tick().await;
@@ -61,17 +61,17 @@
         let failing = upstreams
             .iter()
             .filter(|(_, upstream)| upstream.failing.load(Ordering::Relaxed));
-        avoided.extend(failing.map(|(address, _)| (*address, now + AVOID)));
+        avoided.extend(failing.map(|(address, _)| (*address, now + AVOID_DURATION)));
         let is_avoided = |address: SocketAddrV4| avoided.contains_key(&address);
-        let wanted = choose(&fleet, is_avoided, begun.elapsed() < SEED_TIME);
+        let wanted = choose(&fleet, is_avoided, begun.elapsed() < SEED_FOLLOW_TIME);
         upstreams.retain(|address, upstream| {
-            let kept = wanted.get(address) == Some(&upstream.mode);
-            if !kept {
+            let is_wanted = wanted.get(address) == Some(&upstream.mode);
+            if !is_wanted {
                 upstream.task.abort();
             }
-            kept
+            is_wanted
         });
-        let turns = turns(&fleet, &wanted);
+        let start_order = start_order(&fleet, &wanted);
         for (address, mode) in wanted {
             upstreams.entry(address).or_insert_with(|| {
                 let failing = Arc::new(AtomicBool::new(false));
@@ -82,8 +82,8 @@
                     failing.clone(),
                     failures.clone(),
                 );
-                let turn = turns.get(&address).copied().unwrap_or(0);
-                let waiting = wait_for_turn(turn, failures.subscribe());
+                let position = start_order.get(&address).copied().unwrap_or(0);
+                let waiting = wait_for_start(position, failures.subscribe());
                 let task = tokio::spawn(async move {
                     waiting.await;
                     pulling.await;
@@ -100,7 +100,10 @@
 
 /// In which turn a router without a replica that has no configuration yet asks for everything: each
 /// router in another order, so that no seed is asked by all at once.
-fn turns(fleet: &Fleet, wanted: &BTreeMap<SocketAddrV4, Mode>) -> BTreeMap<SocketAddrV4, u32> {
+fn start_order(
+    fleet: &Fleet,
+    wanted: &BTreeMap<SocketAddrV4, Mode>,
+) -> BTreeMap<SocketAddrV4, u32> {
     if fleet.replica.is_some() || lock(&fleet.published).version().is_some() {
         return BTreeMap::new();
     }
@@ -114,11 +117,11 @@
 }
 
 /// Waits until the upstreams of earlier turns have failed, or have had the time to answer.
-async fn wait_for_turn(turn: u32, mut failures: watch::Receiver<u32>) {
+async fn wait_for_start(position: u32, mut failures: watch::Receiver<u32>) {
     let had_failed = *failures.borrow_and_update();
-    let all_failed = failures.wait_for(|failed| *failed >= had_failed + turn);
+    let all_failed = failures.wait_for(|failed| *failed >= had_failed + position);
     // Either way it is this one's turn.
-    let _ = tokio::time::timeout(turn * NEXT_SEED, all_failed).await;
+    let _ = tokio::time::timeout(position * SEED_STAGGER, all_failed).await;
 }
 
 async fn pull_from(
@@ -130,25 +133,25 @@
 ) {
     // The first answer comes at once, so that a new node knows what there is.
     let mut wait = Duration::ZERO;
-    let mut again = PULL_AGAIN;
+    let mut retry_delay = MIN_RETRY_DELAY;
     loop {
         match fleet
             .pull(address, wait, || failing.store(true, Ordering::Relaxed))
             .await
         {
-            answered @ (Pull::Answered | Pull::OutOfTouch) => {
-                failing.store(answered == Pull::OutOfTouch, Ordering::Relaxed);
-                again = PULL_AGAIN;
+            answered @ (Pull::Current | Pull::Stale) => {
+                failing.store(answered == Pull::Stale, Ordering::Relaxed);
+                retry_delay = MIN_RETRY_DELAY;
                 match mode {
                     Mode::Follow => wait = PULL_WAIT,
-                    Mode::Poll => tokio::time::sleep(POLL).await,
+                    Mode::Poll => tokio::time::sleep(POLL_INTERVAL).await,
                 }
             }
             Pull::Failed => {
                 failing.store(true, Ordering::Relaxed);
                 failures.send_modify(|failed| *failed += 1);
-                tokio::time::sleep(again).await;
-                again = (2 * again).min(LONGEST_PULL_AGAIN);
+                tokio::time::sleep(retry_delay).await;
+                retry_delay = (2 * retry_delay).min(MAX_RETRY_DELAY);
             }
         }
     }
@@ -159,7 +162,7 @@
 fn choose(
     fleet: &Fleet,
     is_avoided: impl Fn(SocketAddrV4) -> bool,
-    is_young: bool,
+    is_starting: bool,
 ) -> BTreeMap<SocketAddrV4, Mode> {
     let settings = &fleet.settings;
     let own = settings.internal_address();
@@ -180,8 +183,8 @@
             .zip([Mode::Follow, Mode::Poll])
             .collect()
     };
-    let is_anyone_sound = chosen.keys().any(|address| !is_avoided(*address));
-    if !is_anyone_sound || is_young && fleet.replica.is_some() {
+    let has_usable = chosen.keys().any(|address| !is_avoided(*address));
+    if !has_usable || is_starting && fleet.replica.is_some() {
         let seeds = settings
             .seeds
             .iter()
@@ -207,8 +210,8 @@
         .collect();
     let order = ring::successors(&names, &settings.node_name, names.len());
     members.sort_by_key(|(name, member)| {
-        let place = order.iter().position(|other| other == name);
+        let rank = order.iter().position(|other| other == name);
         let is_down = member.status != MemberStatus::Up || is_avoided(member.internal);
-        (is_down, member.zone != settings.zone, place)
+        (is_down, member.zone != settings.zone, rank)
     });
 }
--- a/router/src/weights.rs
+++ b/router/src/weights.rs
@@ -1,120 +1,120 @@
-//! Bringing new weights to the backends: the holder of the lease gives fenced orders, a few at a
-//! time.
+//! Rollout of new weights: the node that owns the rollout sends fenced orders to backends, a few at
+//! a time.
 
-mod backend_calls;
-mod bringing;
-mod overdue;
+mod backend_client;
+mod deployment;
+mod overdue_alerts;
 
 use crate::clock;
 use crate::fleet::Fleet;
 use crate::replica::handle::ReplicaHandle;
 use crate::sync::lock;
-use backend_calls::BackendCalls;
+use backend_client::BackendClient;
 use compact_str::CompactString;
 use control::changes::Change;
 use control::directory::Key;
 use control::rollout::{
     Confirmations, OrderQueue, RejectedTokens, Rollout, RolloutOwnership, UnconfirmedOrder,
 };
-use overdue::OverdueVersions;
+use overdue_alerts::OverdueAlerts;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between two looks at what has to be done.
-const LOOK: Duration = Duration::from_millis(100);
-/// How long the control state may take to name this node.
-const TURN_PATIENCE: Duration = Duration::from_secs(2);
-/// So many heartbeats have time to confirm that an order is done.
+/// Time between two checks for work.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time limit of claiming the ownership in the control state.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of heartbeat intervals within which a backend has to confirm a completed order.
 const CONFIRMING_HEARTBEATS: u64 = 3;
 
-/// An attempt to bring a backend to a version.
-struct InProgress {
+/// A deployment in progress.
+struct ActiveDeployment {
     is_unresponsive: bool,
     task: tokio::task::JoinHandle<()>,
 }
 
-/// Gives orders while this node holds the lease.
-pub struct Orders {
+/// Rolls out weights while this node owns the rollout. The ownership is bound to the primary's
+/// lease.
+pub struct RolloutController {
     fleet: Arc<Fleet>,
     replica: ReplicaHandle,
-    backends: BackendCalls,
-    refused: Mutex<RejectedTokens>,
+    backends: BackendClient,
+    fenced: Mutex<RejectedTokens>,
     queue: Mutex<OrderQueue>,
-    turn: Mutex<RolloutOwnership>,
+    ownership: Mutex<RolloutOwnership>,
     confirmations: Mutex<Confirmations>,
 }
 
-impl Orders {
-    /// The orders of a node with a replica.
+impl RolloutController {
+    /// Creates the controller of a node with a replica.
     pub fn new(fleet: Arc<Fleet>, replica: ReplicaHandle, client: reqwest::Client) -> Arc<Self> {
-        let (refused, queue, turn) = (Mutex::default(), Mutex::default(), Mutex::default());
-        let backends = BackendCalls::new(client);
-        let patience = CONFIRMING_HEARTBEATS * fleet.settings.heartbeat_interval_ms;
-        let confirmations = Mutex::new(Confirmations::new(patience));
-        Arc::new(Orders {
+        let (fenced, queue, ownership) = (Mutex::default(), Mutex::default(), Mutex::default());
+        let backends = BackendClient::new(client);
+        let confirmation_time = CONFIRMING_HEARTBEATS * fleet.settings.heartbeat_interval_ms;
+        let confirmations = Mutex::new(Confirmations::new(confirmation_time));
+        Arc::new(RolloutController {
             fleet,
             replica,
             backends,
-            refused,
+            fenced,
             queue,
-            turn,
+            ownership,
             confirmations,
         })
     }
 
-    /// Keeps looking for backends that lack weights.
+    /// Checks for outdated backends, for as long as the process runs.
     pub async fn run(self: Arc<Self>) {
-        let mut overdue = OverdueVersions::default();
-        let mut under_way: HashMap<CompactString, InProgress> = HashMap::new();
+        let mut overdue = OverdueAlerts::default();
+        let mut active: HashMap<CompactString, ActiveDeployment> = HashMap::new();
         loop {
-            tokio::time::sleep(LOOK).await;
-            under_way.retain(|_, attempt| !attempt.task.is_finished());
-            overdue.look(&self.fleet);
-            let turn = self.replica.rollout_ownership();
-            self.enter(turn);
-            if turn == RolloutOwnership::NotLeader {
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            active.retain(|_, deployment| !deployment.task.is_finished());
+            overdue.check(&self.fleet);
+            let ownership = self.replica.rollout_ownership();
+            self.set_ownership(ownership);
+            if ownership == RolloutOwnership::NotLeader {
                 continue;
             }
-            self.look_for_doubts();
+            self.report_unconfirmed_orders();
             let rollout = self.rollout();
-            if !rollout.outdated.is_empty() && self.take_turn(turn).await {
-                self.begin_attempts(rollout, &mut under_way);
+            if !rollout.outdated.is_empty() && self.claim_ownership(ownership).await {
+                self.start_deployments(rollout, &mut active);
             }
         }
     }
 
-    /// Begins to bring as many backends to their versions as there are places.
-    fn begin_attempts(
+    /// Starts deployments up to the concurrency limits.
+    fn start_deployments(
         self: &Arc<Self>,
         rollout: Rollout,
-        under_way: &mut HashMap<CompactString, InProgress>,
+        active: &mut HashMap<CompactString, ActiveDeployment>,
     ) {
         for backend in rollout.outdated {
-            if under_way.len() >= rollout.max_concurrent {
+            if active.len() >= rollout.max_concurrent {
                 return;
             }
             let is_unresponsive = backend.is_unresponsive;
-            let unresponsive = under_way
+            let unresponsive = active
                 .values()
-                .filter(|attempt| attempt.is_unresponsive)
+                .filter(|deployment| deployment.is_unresponsive)
                 .count();
             if is_unresponsive && unresponsive >= rollout.max_concurrent_unresponsive {
                 return;
             }
-            under_way
+            active
                 .entry(backend.id.clone())
-                .or_insert_with(|| InProgress {
+                .or_insert_with(|| ActiveDeployment {
                     is_unresponsive,
-                    task: tokio::spawn(Arc::clone(self).bring(backend)),
+                    task: tokio::spawn(Arc::clone(self).deploy(backend)),
                 });
         }
     }
 
-    /// Follows whether backends bear out that their orders are done, and tells of each one that
-    /// does not.
-    fn look_for_doubts(&self) {
-        let doubts = {
+    /// Logs the backends whose heartbeats contradict their completed orders.
+    fn report_unconfirmed_orders(&self) {
+        let unconfirmed = {
             let directory = lock(&self.fleet.directory);
             lock(&self.confirmations).observe(&directory, clock::now())
         };
@@ -122,7 +122,7 @@
             backend,
             order,
             reported_version,
-        } in doubts
+        } in unconfirmed
         {
             log::warn!(
                 "backend {backend} told version {reported_version} of {} after its order for version {} was done; it is asked again",
@@ -132,50 +132,50 @@
         }
     }
 
-    /// Whether orders may be given here, for which the control state has to name this node.
-    async fn take_turn(&self, turn: RolloutOwnership) -> bool {
-        if turn.may_claim(self.fleet.settings.bounds.lease_ms, clock::now()) {
-            // Where nobody can tell what became of it, it is asked for again at the next look.
+    /// Claims the ownership if it is free. Returns whether this node owns the rollout.
+    async fn claim_ownership(&self, ownership: RolloutOwnership) -> bool {
+        if ownership.may_claim(self.fleet.settings.bounds.lease_ms, clock::now()) {
+            // A claim without a known outcome is repeated by the next check.
             let change = Change::RolloutOwner {
                 replica: self.replica.id.clone(),
             };
-            let outcome = tokio::time::timeout(TURN_PATIENCE, self.replica.submit(change)).await;
+            let outcome = tokio::time::timeout(CLAIM_TIMEOUT, self.replica.submit(change)).await;
             log::debug!("orders: this node asked to give them: {outcome:?}");
         }
         self.replica.order_fencing_token().is_some()
     }
 
-    /// The one place where it changes whether this node gives orders.
-    fn enter(&self, turn: RolloutOwnership) {
-        let former = std::mem::replace(&mut *lock(&self.turn), turn);
-        if former != turn {
-            log::info!("orders: {turn}");
+    /// Records the ownership; changes are logged.
+    fn set_ownership(&self, ownership: RolloutOwnership) {
+        let former = std::mem::replace(&mut *lock(&self.ownership), ownership);
+        if former != ownership {
+            log::info!("orders: {ownership}");
         }
     }
 
-    /// Whether this node gives orders.
-    pub fn turn(&self) -> RolloutOwnership {
-        *lock(&self.turn)
+    /// The current ownership.
+    pub fn ownership(&self) -> RolloutOwnership {
+        *lock(&self.ownership)
     }
 
-    /// How many backends have refused a fencing token.
-    pub fn refusing_backends(&self) -> u64 {
-        lock(&self.refused).count()
+    /// Number of backends that have rejected a fencing token.
+    pub fn fenced_backends(&self) -> u64 {
+        lock(&self.fenced).count()
     }
 
-    /// What is to be done, but for backends that have refused the present fencing token.
+    /// The outdated backends, without those that have rejected the current fencing token.
     fn rollout(&self) -> Rollout {
         let published = lock(&self.fleet.published);
         let directory = lock(&self.fleet.directory);
         let mut rollout = Rollout::of(&directory, published.weights(), &lock(&self.confirmations));
-        let mut refused = lock(&self.refused);
+        let mut fenced = lock(&self.fenced);
         let mut queue = lock(&self.queue);
         let is_there = |backend: &str| directory.get(&Key::Backend(backend.into())).is_some();
-        refused.retain(is_there);
+        fenced.retain(is_there);
         queue.retain(is_there);
         let fencing_token = self.replica.fencing_token();
         rollout.outdated.retain(|backend| {
-            fencing_token.is_some_and(|fencing_token| refused.allows(&backend.id, fencing_token))
+            fencing_token.is_some_and(|fencing_token| fenced.allows(&backend.id, fencing_token))
         });
         rollout
             .outdated
--- a/router/src/weights/backend_calls.rs
+++ b/router/src/weights/backend_client.rs
@@ -1,14 +1,18 @@
-//! Calls to backends about their weights: orders, and reports of what they have.
+//! Client of the backends' weights API: orders and reports.
+
+#[cfg(test)]
+mod tests;
 
 use crate::proxy::headers::EXPECT_INSTANCE;
 use compact_str::CompactString;
 use control::rollout::{ConditionalOrder, OutdatedBackend, ReportedWeights};
 use control::view::Epoch;
 use serde::Deserialize;
+use std::fmt;
 use std::time::Duration;
 
-/// Patience for an order or a report.
-const CALL_PATIENCE: Duration = Duration::from_millis(600);
+/// Time limit of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 #[derive(Debug, Deserialize)]
 struct Report {
@@ -26,41 +30,55 @@
     version: u64,
 }
 
-/// How a backend answered an order.
+/// Response of a backend to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum OrderAnswer {
-    /// It has the version already.
-    Holds,
-    /// It is being done.
-    Taken,
-    /// Another order is being done, or was taken in its place.
-    Overtaken,
-    /// Another holder has used a higher fencing token.
-    Fenced,
-    /// It was not given, as this node does not hold the lease any more.
-    NotGiven,
-    /// It is not known to be taken.
+pub(super) enum OrderResponse {
+    /// The backend has the version already.
+    UpToDate,
+    /// The order was accepted and is in progress.
+    Accepted,
+    /// Another order is in progress, or was accepted instead.
+    Conflict,
+    /// The backend has seen a higher fencing token.
+    StaleToken,
+    /// The order was not sent, as this node's lease has ended.
+    LeaseLost,
+    /// The outcome is unknown.
     Unknown,
 }
 
-/// The way to backends.
-pub(super) struct BackendCalls {
+impl fmt::Display for OrderResponse {
+    /// Writes the name by which the operators' page knows the response in log lines.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            OrderResponse::UpToDate => "Holds",
+            OrderResponse::Accepted => "Taken",
+            OrderResponse::Conflict => "Overtaken",
+            OrderResponse::StaleToken => "Fenced",
+            OrderResponse::LeaseLost => "NotGiven",
+            OrderResponse::Unknown => "Unknown",
+        })
+    }
+}
+
+/// Client of the backends' weights API.
+pub(super) struct BackendClient {
     client: reqwest::Client,
 }
 
-impl BackendCalls {
+impl BackendClient {
     pub(super) fn new(client: reqwest::Client) -> Self {
-        BackendCalls { client }
+        BackendClient { client }
     }
 
-    /// Gives an order under a fencing token.
+    /// Sends an order with a fencing token.
     pub(super) async fn order(
         &self,
         backend: &OutdatedBackend,
         order: ConditionalOrder,
         holder: &str,
         fencing_token: Epoch,
-    ) -> OrderAnswer {
+    ) -> OrderResponse {
         let body = serde_json::json!({
             "operation": "version", "model": backend.model.as_str(), "version": order.version, "method": "retain",
             "holder": holder, "fenceToken": fencing_token, "ifRevision": order.if_accepted_orders,
@@ -70,46 +88,46 @@
             .client
             .post(url)
             .header("content-type", "application/json");
-        // Another incarnation at this address, or after a restart, does not take it.
+        // Another instance at this address must reject the order.
         let call = call
             .header(EXPECT_INSTANCE.as_str(), backend.id.as_str())
             .body(body.to_string());
-        let Ok(answer) = call.timeout(CALL_PATIENCE).send().await else {
-            return OrderAnswer::Unknown;
+        let Ok(response) = call.timeout(CALL_TIMEOUT).send().await else {
+            return OrderResponse::Unknown;
         };
-        match answer.status().as_u16() {
-            200 => OrderAnswer::Holds,
-            202 => OrderAnswer::Taken,
-            409 => OrderAnswer::Overtaken,
+        match response.status().as_u16() {
+            200 => OrderResponse::UpToDate,
+            202 => OrderResponse::Accepted,
+            409 => OrderResponse::Conflict,
             412 => {
                 log::warn!(
                     "backend {} has seen a higher fencing token than {fencing_token}",
                     backend.id
                 );
-                OrderAnswer::Fenced
+                OrderResponse::StaleToken
             }
             status => {
                 log::warn!("backend {} answered an order with {status}", backend.id);
-                OrderAnswer::Unknown
+                OrderResponse::Unknown
             }
         }
     }
 
-    /// What a backend reports of the model's weights; none where no report comes.
+    /// Reads a backend's report of the model's weights; `None` if there is no report.
     pub(super) async fn report(&self, backend: &OutdatedBackend) -> Option<ReportedWeights> {
         let url = format!("http://{}/v1/report", backend.address);
         let call = self
             .client
             .get(url)
             .header(EXPECT_INSTANCE.as_str(), backend.id.as_str());
-        let answer = call
-            .timeout(CALL_PATIENCE)
+        let response = call
+            .timeout(CALL_TIMEOUT)
             .send()
             .await
             .ok()?
             .error_for_status()
             .ok()?;
-        let report: Report = serde_json::from_slice(&answer.bytes().await.ok()?).ok()?;
+        let report: Report = serde_json::from_slice(&response.bytes().await.ok()?).ok()?;
         let model = report
             .models
             .iter()
--- /dev/null
+++ b/router/src/weights/deployment.rs
@@ -0,0 +1,224 @@
+//! Deploys a version to one backend: reads its report, sends an order conditional on that report,
+//! and waits for the order to complete.
+
+use super::RolloutController;
+use super::backend_client::OrderResponse;
+use crate::clock;
+use crate::counters::Event;
+use crate::sync::lock;
+use control::directory::{Key, Order, OrderPhase, Value};
+use control::rollout::{ConditionalOrder, NextStep, OrderProgress, OutdatedBackend};
+use control::view::Epoch;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Time between the announcement that a backend is about to load and its order, beyond the batching
+/// delay of updates. Routers stop sending requests to it in this time.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(40);
+/// Time between two reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(150);
+/// An order that is not completed within this time is repeated.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
+/// The same if the order got no response.
+const UNANSWERED_ORDER_TIMEOUT: Duration = Duration::from_millis(600);
+/// Number of consecutive missing reports that ends the wait.
+const MAX_UNANSWERED_REPORTS: u32 = 2;
+
+/// Outcome of a deployment attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum DeployOutcome {
+    /// The backend has the version.
+    Completed,
+    /// The backend lacks the version and, as far as is known, loads nothing.
+    NotCompleted {
+        /// Whether the backend responded.
+        has_responded: bool,
+    },
+    /// The backend is still loading.
+    Loading,
+}
+
+impl RolloutController {
+    /// Deploys a version to a backend.
+    pub(super) async fn deploy(self: Arc<Self>, backend: OutdatedBackend) {
+        let Some(fencing_token) = self.replica.order_fencing_token() else {
+            return;
+        };
+        lock(&self.queue).record_order(&backend.id, clock::now());
+        let outcome = self.try_deploy(&backend, fencing_token).await;
+        let has_responded = matches!(
+            outcome,
+            DeployOutcome::Completed
+                | DeployOutcome::NotCompleted {
+                    has_responded: true
+                }
+        );
+        lock(&self.queue).record_result(&backend.id, has_responded);
+        match outcome {
+            DeployOutcome::Completed => {
+                self.publish_order_phase(&backend, fencing_token, OrderPhase::Done)
+            }
+            // Otherwise routers would avoid a backend that loads nothing.
+            DeployOutcome::NotCompleted { .. } if self.is_announced(&backend) => {
+                self.publish_order_phase(&backend, fencing_token, OrderPhase::Withdrawn);
+            }
+            DeployOutcome::NotCompleted { .. } | DeployOutcome::Loading => {}
+        }
+    }
+
+    /// One attempt. The order is conditional on the reported state: without that, an order delayed
+    /// on its way past a newer one would roll the backend back.
+    async fn try_deploy(&self, backend: &OutdatedBackend, fencing_token: Epoch) -> DeployOutcome {
+        let order = match self.next_order(backend).await {
+            Ok(order) => order,
+            Err(outcome) => return outcome,
+        };
+        self.publish_order_phase(backend, fencing_token, OrderPhase::InProgress);
+        tokio::time::sleep(ANNOUNCEMENT_DELAY + self.fleet.batch_delay()).await;
+        let response = self.order(backend, order).await;
+        self.count(backend, order, response);
+        match response {
+            OrderResponse::UpToDate => DeployOutcome::Completed,
+            OrderResponse::StaleToken | OrderResponse::LeaseLost => DeployOutcome::NotCompleted {
+                has_responded: true,
+            },
+            OrderResponse::Accepted | OrderResponse::Conflict => {
+                self.await_completion(backend, order, ORDER_TIMEOUT).await
+            }
+            OrderResponse::Unknown => {
+                self.await_completion(backend, order, UNANSWERED_ORDER_TIMEOUT)
+                    .await
+            }
+        }
+    }
+
+    /// The order that a backend needs according to its report. `Err` ends the attempt: no order is
+    /// needed, or there is no report.
+    async fn next_order(
+        &self,
+        backend: &OutdatedBackend,
+    ) -> Result<ConditionalOrder, DeployOutcome> {
+        let started_at = Instant::now();
+        while started_at.elapsed() < ORDER_TIMEOUT {
+            let Some(reported) = self.backends.report(backend).await else {
+                return Err(DeployOutcome::NotCompleted {
+                    has_responded: false,
+                });
+            };
+            match reported.next_step(backend.version) {
+                NextStep::UpToDate => return Err(DeployOutcome::Completed),
+                NextStep::Order(order) => return Ok(order),
+                NextStep::Wait => tokio::time::sleep(REPORT_INTERVAL).await,
+            }
+        }
+        Err(DeployOutcome::Loading)
+    }
+
+    /// Polls reports until the order has completed. Only few backends load at a time, so an
+    /// unresponsive one is abandoned soon to make room for others. A report is true whoever leads,
+    /// so the loss of the lease does not end the wait.
+    async fn await_completion(
+        &self,
+        backend: &OutdatedBackend,
+        order: ConditionalOrder,
+        timeout: Duration,
+    ) -> DeployOutcome {
+        let started_at = Instant::now();
+        let mut unanswered = 0;
+        let mut outcome = DeployOutcome::NotCompleted {
+            has_responded: false,
+        };
+        while started_at.elapsed() < timeout && unanswered < MAX_UNANSWERED_REPORTS {
+            tokio::time::sleep(REPORT_INTERVAL).await;
+            let Some(reported) = self.backends.report(backend).await else {
+                unanswered += 1;
+                continue;
+            };
+            unanswered = 0;
+            outcome = match order.progress(reported) {
+                OrderProgress::Done => return DeployOutcome::Completed,
+                OrderProgress::Superseded => {
+                    return DeployOutcome::NotCompleted {
+                        has_responded: true,
+                    };
+                }
+                OrderProgress::Busy => DeployOutcome::Loading,
+                OrderProgress::Pending => DeployOutcome::NotCompleted {
+                    has_responded: false,
+                },
+            };
+        }
+        outcome
+    }
+
+    /// Sends the order.
+    async fn order(&self, backend: &OutdatedBackend, order: ConditionalOrder) -> OrderResponse {
+        // The fencing token is read right before the call: it is `None` once the lease has ended.
+        let Some(fencing_token) = self.replica.order_fencing_token() else {
+            return OrderResponse::LeaseLost;
+        };
+        let response = self
+            .backends
+            .order(
+                backend,
+                order,
+                &self.fleet.settings.node_name,
+                fencing_token,
+            )
+            .await;
+        if response == OrderResponse::StaleToken {
+            lock(&self.fenced).record(&backend.id, fencing_token);
+        }
+        response
+    }
+
+    fn count(&self, backend: &OutdatedBackend, order: ConditionalOrder, response: OrderResponse) {
+        let OutdatedBackend {
+            id, model, version, ..
+        } = backend;
+        let others = order.if_accepted_orders;
+        log::info!(
+            "order to backend {id} for version {version} of {model}, behind {others} others: {response}"
+        );
+        let event = match response {
+            OrderResponse::UpToDate | OrderResponse::Accepted => Event::OrderAccepted,
+            OrderResponse::Conflict => Event::OrderConflict,
+            OrderResponse::StaleToken => Event::OrderFenced,
+            OrderResponse::Unknown => Event::OrderUnanswered,
+            OrderResponse::LeaseLost => return,
+        };
+        self.fleet.counters.count(event);
+    }
+
+    /// Returns whether routers were notified that the backend is about to load.
+    fn is_announced(&self, backend: &OutdatedBackend) -> bool {
+        let directory = lock(&self.fleet.directory);
+        directory
+            .order(&backend.id)
+            .is_some_and(|order| order.phase == OrderPhase::InProgress)
+    }
+
+    /// Publishes the phase of a backend's order. Numbers continue from the existing record, which
+    /// may be of a previous process of this node.
+    fn publish_order_phase(
+        &self,
+        backend: &OutdatedBackend,
+        fencing_token: Epoch,
+        phase: OrderPhase,
+    ) {
+        let current = lock(&self.fleet.directory).order(&backend.id).cloned();
+        let number = current
+            .filter(|order| order.fencing_token == fencing_token)
+            .map_or(1, |order| order.number + 1);
+        let (model, version) = (backend.model.clone(), backend.version);
+        let order = Order {
+            fencing_token,
+            number,
+            model,
+            version,
+            phase,
+        };
+        self.fleet
+            .put(Key::Order(backend.id.clone()), Value::Order(order));
+    }
+}
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -277,7 +277,7 @@
         }),
         weights: BTreeMap::new(),
     };
-    assert!(fleet.published.lock().unwrap().take(state));
+    assert!(fleet.published.lock().unwrap().apply_update(state));
 }
 
 pub fn register(fleet: &Fleet, at: usize, backend: &StandIn, sequence: u64, phase: BackendPhase) {
--- a/router/tests/crossing.rs
+++ b/router/tests/crossing.rs
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test]
-async fn a_backend_that_answers_before_it_has_read_the_body_gets_the_rest_of_it_and_nothing_else() {
+async fn early_response_does_not_truncate_request_body() {
     let early_success = success("early");
     let early_refusal = answer("503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
     for (first, expected) in [(early_success, "200"), (early_refusal, "503")] {
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn a_late_second_answer_in_the_place_of_the_next_one_reaches_no_client() {
+async fn rejects_response_of_another_request() {
     let twice = success("first") + &success("first").replace("{id}", "id-of-another");
     let backend = StandIn::start(vec![Act::Say(twice.clone()), Act::Say(success("second"))]).await;
     let router = Router::start(&[&backend]).await;
@@ -194,7 +194,7 @@
 }
 
 #[tokio::test]
-async fn a_failure_of_one_backend_waits_for_the_copy_at_another() {
+async fn failure_waits_for_hedge() {
     let address = fails_and_then_succeeds().await;
     let mut backends = [
         StandIn::start(vec![Act::Hang]).await,
@@ -213,7 +213,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_outlasts_the_time_of_its_route_ends_without_looking_complete() {
+async fn stream_past_deadline_is_aborted() {
     let begun = format!("{STREAM_HEAD}{}", event(1));
     let backend = StandIn::start(vec![Act::Say(begun), Act::Hang]).await;
     let router = Router::start(&[&backend]).await;
@@ -240,7 +240,7 @@
 /// A client that resets its connection and comes back from the same port: the end of the former
 /// connection must not take away what breaks the new one.
 #[tokio::test]
-async fn a_connection_from_the_address_of_a_former_one_can_be_broken() {
+async fn reused_client_address_can_be_aborted() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server = listener.local_addr().unwrap();
     let connections = ClientConnections::default();
@@ -264,7 +264,7 @@
     let _second = connect(remote.port()).await;
     let (mut present, ..) = acceptor.accept().await.unwrap();
     drop(former);
-    connections.of(Some(&remote)).break_off();
+    connections.of(Some(&remote)).abort();
     assert!(
         present.write_all(b"the end of an answer").await.is_err(),
         "nothing is written any more"
--- a/router/tests/faults.rs
+++ b/router/tests/faults.rs
@@ -12,7 +12,7 @@
 }
 
 #[tokio::test]
-async fn a_safe_request_that_a_backend_failed_is_answered_by_another() {
+async fn retries_safe_request_after_backend_failure() {
     let failing = StandIn::start(vec![Act::Say(failure())]).await;
     let sound = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let router = Router::start(&[&failing, &sound]).await;
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn where_all_fail_the_first_failure_goes_back_as_it_is() {
+async fn returns_backend_failure_if_all_fail() {
     let (first, second) = (
         StandIn::start(vec![Act::Say(failure())]).await,
         StandIn::start(vec![Act::Say(failure())]).await,
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn a_failure_then_a_break_goes_back_as_the_failure() {
+async fn returns_failure_if_retry_breaks() {
     let acts = || vec![Act::Say(failure()), Act::SayAndReset(String::new())];
     let first = StandIn::start(acts()).await;
     let second = first.clone();
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn an_unsafe_request_that_a_backend_failed_is_not_sent_again() {
+async fn does_not_retry_unsafe_request_after_failure() {
     let (first, second) = (
         StandIn::start(vec![Act::Say(failure())]).await,
         StandIn::start(vec![Act::Say(failure())]).await,
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn faults_that_routers_saw_make_a_backend_avoided_by_all() {
+async fn reported_failures_make_backend_suspected() {
     let failing = StandIn::start(vec![Act::Say(failure())]).await;
     let sound = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let others = [
@@ -72,13 +72,13 @@
     ];
     let router = Router::start(&[&failing, &sound, &others[0], &others[1], &others[2]]).await;
     let told = [("i-0".into(), 2)];
-    router.fleet.take_faults(&"n2".into(), &told);
+    router.fleet.record_failures(&"n2".into(), &told);
     assert_eq!(
         router.fleet.directory.lock().unwrap().suspicion("i-0"),
         None,
         "one router's word"
     );
-    router.fleet.take_faults(&"n3".into(), &told);
+    router.fleet.record_failures(&"n3".into(), &told);
     router.table.refresh(&router.fleet);
     for _ in 0..20 {
         assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
@@ -87,20 +87,20 @@
 }
 
 #[tokio::test]
-async fn a_suspected_backend_is_used_where_no_other_is_there() {
+async fn uses_suspected_backend_as_last_resort() {
     let only = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let router = Router::start(&[&only]).await;
     for reporter in ["n2", "n3"] {
         router
             .fleet
-            .take_faults(&reporter.into(), &[("i-0".into(), 2)]);
+            .record_failures(&reporter.into(), &[("i-0".into(), 2)]);
     }
     router.table.refresh(&router.fleet);
     assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
 }
 
 #[tokio::test]
-async fn a_failure_of_a_backend_is_noted_for_its_judge() {
+async fn records_backend_failure() {
     let failing = StandIn::start(vec![Act::Say(failure())]).await;
     let router = Router::start(&[&failing]).await;
     router.ask("/unsafe/", KEY).await;
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn a_backend_that_is_overdue_without_a_reason_is_noted_for_its_judge() {
+async fn records_overdue_backend() {
     let hanging = StandIn::start(vec![Act::Hang]).await;
     let router = Router::start(&[&hanging]).await;
     let client = router.send("/unsafe/", KEY).await;
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn suspicions_are_numbered_on_from_what_another_judge_wrote() {
+async fn suspicion_numbers_continue_across_judges() {
     let router = Router::start(&[]).await;
     let key = Key::Suspicion("i-9".into());
     let former = control::directory::Suspicion {
@@ -138,15 +138,14 @@
     for reporter in ["n2", "n3"] {
         router
             .fleet
-            .take_faults(&reporter.into(), &[("i-9".into(), 2)]);
+            .record_failures(&reporter.into(), &[("i-9".into(), 2)]);
     }
     let newest = router.fleet.directory.lock().unwrap().suspicion("i-9");
     assert_eq!(newest.map(|suspicion| suspicion.number), Some(8));
 }
 
 #[tokio::test]
-async fn after_a_forgotten_connection_what_may_not_be_repeated_is_not_sent_on_one_that_idle_time_for_long()
- {
+async fn unsafe_request_skips_long_idle_connections_after_stale_one() {
     let backend = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let router = Router::start(&[&backend]).await;
     let known = router.table.backend("i-0").unwrap();
--- a/router/tests/files.rs
+++ b/router/tests/files.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_was_stored_is_found_again_after_each_start() {
+fn stored_records_survive_restarts() {
     let folder = Folder::new("again");
     assert!(disk::read(&folder.0).unwrap().is_none());
     write(&folder.0, &disk::empty(7), 1..4, 1);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_segment_that_has_grown_is_replaced_by_a_snapshot() {
+fn full_segment_is_compacted() {
     let folder = Folder::new("grown");
     write(&folder.0, &disk::empty(7), 1..30, 300_000);
     let bytes: u64 = folder
@@ -111,7 +111,7 @@
 /// A loss of power between any two steps of a snapshot: an unfinished one beside the old files, or
 /// old files that stay.
 #[test]
-fn an_unfinished_snapshot_changes_nothing() {
+fn ignores_incomplete_snapshot() {
     let folder = Folder::new("unfinished");
     write(&folder.0, &disk::empty(7), 1..4, 1);
     let before = disk::read(&folder.0).unwrap();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn damage_is_told_with_its_place_and_the_remedy() {
+fn reports_corruption_with_position_and_remedy() {
     let folder = Folder::new("damage");
     write(&folder.0, &disk::empty(7), 1..4, 1);
     let segment = folder.0.join("segment-00000001");
@@ -148,7 +148,7 @@
     // A node that starts there sets the records aside, twice if need be, and begins as one that
     // lost its disk.
     for _ in 0..2 {
-        assert!(disk::read_or_set_aside(&folder.0).unwrap().is_none());
+        assert!(disk::read_or_quarantine(&folder.0).unwrap().is_none());
         assert_eq!(folder.files(), ["damaged"]);
         let mut damaged = Vec::new();
         control::storage::encode(&update(1, 1), &mut damaged);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn operators_see_what_a_directory_holds() {
+fn shows_contents_of_data_directory() {
     let folder = Folder::new("show");
     write(&folder.0, &disk::empty(7), 1..4, 1);
     let asked = SystemCall::Storage(cli::StorageCall::Show {
@@ -192,7 +192,7 @@
 /// segment that others follow, was synced and is damage. Nothing that is read is older than what a
 /// cut leaves.
 #[test]
-fn files_that_are_cut_at_any_byte_give_what_was_synced_or_nothing_at_all() {
+fn truncation_loses_only_unsynced_records() {
     let folder = Folder::new("cut");
     write(&folder.0, &disk::empty(7), 1..6, 1);
     let before = disk::read(&folder.0).unwrap().unwrap();
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_segment_that_is_cut_off_before_another_one_is_damage() {
+fn truncated_inner_segment_is_corruption() {
     let folder = Folder::new("followed");
     write(&folder.0, &disk::empty(7), 1..4, 1);
     let segment = folder.0.join("segment-00000001");
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn records_of_the_former_format_are_read() {
+fn reads_previous_format() {
     let replica = |number: u8| ReplicaId {
         disk: u64::from(number),
         node: format!("n{number}").into(),
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn settings_are_read_and_what_is_wrong_is_named_with_its_place() {
+fn invalid_settings_are_reported_with_path() {
     let settings = Settings::parse(Path::new("node.json"), SETTINGS.as_bytes()).unwrap();
     assert_eq!(
         (settings.node_name.as_str(), settings.bounds.lease_ms),
--- a/router/tests/frames.rs
+++ b/router/tests/frames.rs
@@ -2,7 +2,7 @@
 
 use assert_matches::assert_matches;
 use router::frame::{encode, read_frame, write_frame};
-use router::protocol::{Frame, LONGEST, Request, Response};
+use router::protocol::{Frame, MAX_MESSAGE_BYTES, Request, Response};
 use router::traffic::{MessageKind, Traffic};
 use std::io;
 
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn frames_of_every_length_around_the_bound_are_read_as_they_were_written() {
+async fn frames_round_trip_around_compression_threshold() {
     for keys in [0, 1, 2_040, 2_048, 2_056, 100_000] {
         let mut bytes = Vec::new();
         let traffic = Traffic::default();
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn long_frames_take_fewer_bytes_than_their_messages() {
+async fn compresses_long_frames() {
     let text =
         r#"{"name":"r-1","host":"h.example","pathPrefix":"/p/","kind":"streaming"}"#.repeat(1_000);
     let frame = Frame::Response(
@@ -70,8 +70,8 @@
 }
 
 #[tokio::test]
-async fn what_is_no_frame_is_refused_without_taking_its_word_for_its_size() {
-    let too_long = LONGEST as u32 + 1;
+async fn rejects_invalid_frames_without_allocating() {
+    let too_long = MAX_MESSAGE_BYTES as u32 + 1;
     let liar = [&too_long.to_le_bytes()[..], b"few bytes"].concat();
     for (bytes, reason) in [
         (framed(too_long, b"whatever"), "is longer than"),
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_frame_that_is_cut_anywhere_is_none() {
+async fn rejects_truncated_frames() {
     let whole = encode(&fetch(3_000)).unwrap();
     for length in 0..whole.len() {
         assert!(
--- a/router/tests/kv_stores.rs
+++ b/router/tests/kv_stores.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_store_is_used_while_it_answers() {
+fn uses_store_while_available() {
     let (stores, key) = (stores(&[9]), PrefixKey(1));
     assert_eq!(stores.status(address(9)), None, "it was not heard yet");
     assert_eq!(stores.store_for(key), None);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_one_router_knows_of_a_store_another_one_takes() {
+fn store_status_is_shared_between_routers() {
     let (reader, asker) = (stores(&[9]), stores(&[9]));
     reader.mark_available(address(9), 5);
     asker.apply_status(address(9), reader.status(address(9)).expect("it was heard"));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn each_prefix_has_one_of_the_stores_and_moves_only_when_that_one_is_silent() {
+fn prefix_moves_only_if_its_store_is_unavailable() {
     let stores = stores(&[9, 10, 11]);
     [9, 10, 11]
         .iter()
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_store_that_is_configured_no_more_is_forgotten() {
+fn forgets_removed_store() {
     let stores = stores(&[9, 10]);
     stores.mark_available(address(9), 1);
     settle(&stores, &[10]);
--- a/router/tests/late_orders.rs
+++ b/router/tests/late_orders.rs
@@ -24,8 +24,8 @@
 use control::view::ReplicaId;
 use router::fleet::Fleet;
 use router::protocol::PublishedState;
-use router::replica::handle::{ReplicaHandle, Shown};
-use router::weights::Orders;
+use router::replica::handle::{ReplicaHandle, ReplicaStatus};
+use router::weights::RolloutController;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tokio::task::JoinHandle;
@@ -50,11 +50,11 @@
     let (handle, _) = ReplicaHandle::new(id);
     let current_at = Some(router::clock::now() + 60_000);
     let lease = Some((1, u64::MAX));
-    handle.show(Shown {
+    handle.publish_status(ReplicaStatus {
         lease,
         rollout_ownership: RolloutOwnership::Owned,
         current_at,
-        ..Shown::default()
+        ..ReplicaStatus::default()
     });
     let mut settings = Router::settings();
     settings.heartbeat_interval_ms = HEARTBEAT_MS;
@@ -68,7 +68,7 @@
     fn start() -> Self {
         let (fleet, handle) = node();
         let client = reqwest::Client::builder().no_proxy().build().unwrap();
-        let orders = tokio::spawn(Orders::new(fleet.clone(), handle, client).run());
+        let orders = tokio::spawn(RolloutController::new(fleet.clone(), handle, client).run());
         Leader { fleet, orders }
     }
 
@@ -116,7 +116,7 @@
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().take(named));
+    assert!(fleet.published.lock().unwrap().apply_update(named));
 }
 
 async fn until(what: &str, is_so: impl Fn() -> bool) {
@@ -133,7 +133,7 @@
 /// The order for version 2 is held up on its way, version 3 is named and loaded, and then the first
 /// order arrives.
 #[tokio::test]
-async fn an_order_that_arrives_after_a_newer_one_takes_no_backend_back() {
+async fn late_order_does_not_roll_back_backend() {
     let backend = ModelBackend::start(1).await;
     backend.hold_up_orders(1);
     let leader = Leader::start();
@@ -157,7 +157,7 @@
 /// Whatever took a backend back, and whether or not its heartbeats had told the newer version in
 /// between: they are believed.
 #[tokio::test]
-async fn a_backend_that_tells_an_older_version_than_it_was_brought_to_gets_an_order_again() {
+async fn reorders_backend_that_reports_older_version() {
     for tells_newer in [true, false] {
         let backend = ModelBackend::start(1).await;
         let leader = Leader::start();
@@ -180,7 +180,7 @@
 /// A router that holds a backend for newer than it is sends it requests that it turns away, for as
 /// long as it does so.
 #[tokio::test]
-async fn requests_go_to_a_backend_by_the_version_that_it_tells_last() {
+async fn routes_by_latest_reported_version() {
     for tells_newer in [true, false] {
         let backend = ModelBackend::start(1).await;
         let router = Router::start_on(node().0, CONFIGURATION, &[]).await;
--- a/router/tests/leaving_clients.rs
+++ b/router/tests/leaving_clients.rs
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn work_for_a_client_ends_when_it_leaves() {
+async fn cancels_work_of_disconnected_clients() {
     let plain = plain_request("/unsafe/");
     let chunked = request(
         "/unsafe/",
--- a/router/tests/links.rs
+++ b/router/tests/links.rs
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn answers_in_another_order_reach_those_who_asked() {
+async fn matches_reordered_responses() {
     let (peer, links) = (Peer::start().await, Arc::new(Links::default()));
     let asked: Vec<_> = (1..=20)
         .map(|version| asking(&links, &peer, version))
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_comes_late_or_twice_or_unasked_reaches_nobody_else() {
+async fn drops_late_duplicate_and_unsolicited_responses() {
     let (peer, links) = (Peer::start().await, Arc::new(Links::default()));
     let given_up = ask(&links, &peer, 1, IMPATIENCE);
     let (given_up, mut stream) = tokio::join!(given_up, peer.connection());
@@ -156,7 +156,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_breaks_between_question_and_answer_ends_the_question_and_not_the_next() {
+async fn broken_connection_fails_only_pending_calls() {
     let (peer, links) = (Peer::start().await, Arc::new(Links::default()));
     let broken = asking(&links, &peer, 1);
     let mut stream = peer.connection().await;
@@ -179,7 +179,7 @@
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_answer_end_the_connection_and_nobody_gets_them() {
+async fn invalid_bytes_close_connection() {
     use tokio::io::AsyncWriteExt;
     let (peer, links) = (Peer::start().await, Arc::new(Links::default()));
     let asked = asking(&links, &peer, 1);
--- a/router/tests/metrics.rs
+++ b/router/tests/metrics.rs
@@ -5,7 +5,7 @@
 use common::*;
 use control::state::{Position, WeightsTarget};
 use router::counters::{Counters, Event};
-use router::disk::Known;
+use router::disk::PersistedFleet;
 use router::metrics::MetricsPage;
 use router::protocol::PublishedState;
 use routing::version_floor::AnnouncedVersion;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_event_has_a_counter_of_its_own() {
+fn events_have_distinct_counters() {
     let counters = Counters::default();
     for (at, (event, _)) in Event::ALL.into_iter().enumerate() {
         assert_eq!(event as usize, at, "{event:?} stands at its place");
@@ -27,7 +27,7 @@
 }
 
 #[tokio::test]
-async fn the_page_tells_what_became_of_requests_and_which_weights_are_where() {
+async fn page_shows_request_outcomes_and_weights() {
     let full = answer("503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
     let backend = StandIn::start(vec![Act::Say(success("ok")), Act::Say(full)]).await;
     let router = Router::start(&[&backend]).await;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn the_page_tells_which_weights_are_not_everywhere_and_what_holds_them_back() {
+async fn page_shows_incomplete_rollouts_with_reasons() {
     let backends = [
         StandIn::start(Vec::new()).await,
         StandIn::start(Vec::new()).await,
@@ -73,10 +73,10 @@
         configuration: None,
         weights,
     };
-    assert!(router.fleet.published.lock().unwrap().take(named));
-    router.fleet.restore(Known {
+    assert!(router.fleet.published.lock().unwrap().apply_update(named));
+    router.fleet.restore(PersistedFleet {
         records: Vec::new(),
-        named_weights: vec![AnnouncedVersion {
+        announced_weights: vec![AnnouncedVersion {
             model: "m".into(),
             version: 2,
             age_ms: 700,
--- a/router/tests/observed_weights.rs
+++ b/router/tests/observed_weights.rs
@@ -83,7 +83,7 @@
 /// In every order of six words, what is known is what the backend has, or it is known to be
 /// refuted, once a request that relied on it was turned away; and the next heartbeat sets it right.
 #[test]
-fn one_request_turned_away_and_one_heartbeat_set_right_what_is_known_in_every_order_of_words() {
+fn rejection_and_heartbeat_correct_version_in_any_order() {
     for number in 0..720 {
         let words = permutation(&OBSERVATIONS, number);
         let mut known = ObservedWeights::default();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn late_words_of_lower_numbers_change_nothing() {
+fn ignores_stale_observations() {
     let mut known = ObservedWeights::default();
     hear(
         &mut known,
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_refuted_version_counts_again_after_a_while_or_once_it_is_told_again() {
+fn refutation_expires_or_is_superseded() {
     let refuted = || {
         let mut known = ObservedWeights::default();
         hear(
--- a/router/tests/operator_pages.rs
+++ b/router/tests/operator_pages.rs
@@ -13,8 +13,8 @@
 use router::fleet::Fleet;
 use router::metrics::MetricsPage;
 use router::proxy::backend_table::BackendTable;
-use router::replica::handle::{ReplicaHandle, Shown};
-use router::weights::Orders;
+use router::replica::handle::{ReplicaHandle, ReplicaStatus};
+use router::weights::RolloutController;
 use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -45,12 +45,12 @@
 /// A node with a replica that leads, two other members, three backends and a configuration.
 fn fleet() -> (Arc<Fleet>, ReplicaHandle) {
     let (handle, _) = ReplicaHandle::new(replica(1));
-    handle.show(Shown {
+    handle.publish_status(ReplicaStatus {
         lease: Some((1, u64::MAX)),
         rollout_ownership: RolloutOwnership::Owned,
         current_at: Some(router::clock::now() + 60_000),
         status: "Primary in epoch 1, change 1".to_owned(),
-        ..Shown::default()
+        ..ReplicaStatus::default()
     });
     let fleet = Fleet::new(Arc::new(Router::settings()), Some(handle.clone()), 1);
     publish(&fleet, 1, CONFIGURATION);
@@ -78,7 +78,7 @@
     name_version(&fleet);
     let table = Arc::new(BackendTable::default());
     table.refresh(&fleet);
-    let orders = Orders::new(fleet.clone(), handle, reqwest::Client::new());
+    let orders = RolloutController::new(fleet.clone(), handle, reqwest::Client::new());
     let text = MetricsPage::new(fleet, table, Some(orders)).text();
     let names: Vec<&str> = text
         .lines()
@@ -105,10 +105,10 @@
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().take(state));
-    fleet.restore(router::disk::Known {
+    assert!(fleet.published.lock().unwrap().apply_update(state));
+    fleet.restore(router::disk::PersistedFleet {
         records: Vec::new(),
-        named_weights: vec![AnnouncedVersion {
+        announced_weights: vec![AnnouncedVersion {
             model: "m".into(),
             version: 2,
             age_ms: 700,
--- a/router/tests/orders.rs
+++ b/router/tests/orders.rs
@@ -18,8 +18,8 @@
 use control::view::ReplicaId;
 use router::fleet::Fleet;
 use router::protocol::PublishedState;
-use router::replica::handle::{ReplicaHandle, Shown};
-use router::weights::Orders;
+use router::replica::handle::{ReplicaHandle, ReplicaStatus};
+use router::weights::RolloutController;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -36,10 +36,10 @@
         address: "127.0.0.1:7560".parse().unwrap(),
     };
     let (handle, _) = ReplicaHandle::new(id);
-    handle.show(Shown {
+    handle.publish_status(ReplicaStatus {
         lease: Some((1, u64::MAX)),
         rollout_ownership: RolloutOwnership::Owned,
-        ..Shown::default()
+        ..ReplicaStatus::default()
     });
     let fleet = Fleet::new(Arc::new(Router::settings()), Some(handle.clone()), 1);
     for (at, address) in backends.iter().enumerate() {
@@ -57,7 +57,7 @@
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().take(named));
+    assert!(fleet.published.lock().unwrap().apply_update(named));
     (fleet, handle)
 }
 
@@ -74,7 +74,7 @@
     let addresses: Vec<SocketAddrV4> = backends.iter().map(|backend| backend.address).collect();
     let (fleet, handle) = leader(&addresses);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(Orders::new(fleet, handle, client).run());
+    let orders = tokio::spawn(RolloutController::new(fleet, handle, client).run());
     let reached = async {
         while backends[2..].iter().any(|backend| backend.count() == 0) {
             tokio::task::yield_now().await;
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn backends_that_do_not_answer_leave_their_places_to_others() {
+async fn unresponsive_backends_do_not_block_rollout() {
     let report = Act::Say(answer(
         "200 OK",
         "",
@@ -113,11 +113,11 @@
 /// seconds. Cause: routers had been told that they were about to load, and the order was not given
 /// any more as the lease was lost in between.
 #[tokio::test]
-async fn a_backend_whose_order_was_not_given_gets_requests_again_at_once() {
+async fn withdrawn_order_readmits_backend() {
     let backend = ModelBackend::start(1).await;
     let (fleet, handle) = leader(&[backend.address]);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(Orders::new(fleet.clone(), handle.clone(), client).run());
+    let orders = tokio::spawn(RolloutController::new(fleet.clone(), handle.clone(), client).run());
     let becomes = async |phase| {
         while phase_of(&fleet, 0) != Some(phase) {
             tokio::task::yield_now().await;
@@ -126,7 +126,7 @@
     tokio::time::timeout(PATIENCE, becomes(OrderPhase::InProgress))
         .await
         .expect("it is announced");
-    handle.show(Shown::default());
+    handle.publish_status(ReplicaStatus::default());
     tokio::time::timeout(PATIENCE, becomes(OrderPhase::Withdrawn))
         .await
         .expect("it is taken back");
@@ -143,12 +143,12 @@
 /// service. Cause: silence is told from heartbeats alone, and who was silent got no order, whether
 /// or not it could have been given one.
 #[tokio::test]
-async fn a_backend_whose_heartbeats_stopped_and_that_answers_gets_its_order() {
+async fn orders_backend_without_heartbeats() {
     let backend = ModelBackend::start(1).await;
     let (fleet, handle) = leader(&[backend.address]);
     mark_silent(&fleet, 0);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(Orders::new(fleet, handle, client).run());
+    let orders = tokio::spawn(RolloutController::new(fleet, handle, client).run());
     let brought = async {
         while backend.version() != 2 {
             tokio::task::yield_now().await;
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn requests_that_share_a_start_go_where_it_is_kept() {
+async fn routes_to_cached_prefix() {
     let (first, second, router) = two().await;
     for _ in 0..6 {
         assert_eq!(
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn a_start_that_others_keep_is_taken_from_them_and_one_that_nobody_keeps_is_saved() {
+async fn fetches_cached_and_saves_uncached_prefix() {
     let (first, second, router) = two().await;
     let store = add_store(&router);
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn a_busy_holder_is_asked_for_parts_and_one_that_drains_is_not() {
+async fn fetches_from_busy_but_not_draining_replica() {
     let busy = Act::Say(answer(
         "200 OK",
         "X-Response-Seal: s\r\nX-Server-Load: 4,50,4\r\n",
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn what_an_event_takes_away_is_not_counted_on() {
+async fn evicted_prefix_is_not_used() {
     let (_first, _second, router) = two().await;
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let locator = PrefixLocator::new(router.fleet.clone());
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn owners_answer_other_routers() {
+async fn owner_answers_lookups() {
     let (_first, _second, router) = two().await;
     let service: Arc<router::fleet::Fleet> = router.fleet.clone();
     let placement = |backend: &str| Placement {
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_salt_names_its_wall_and_its_version() {
+fn salt_round_trips() {
     let text = salt("s0a1b-", Some(12));
     assert_eq!(
         CacheSalt::parse(&text),
--- a/router/tests/proxy.rs
+++ b/router/tests/proxy.rs
@@ -6,7 +6,7 @@
 use control::directory::BackendPhase;
 
 #[tokio::test]
-async fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
+async fn forwards_request_and_response_unchanged() {
     let backend = StandIn::start(vec![Act::Say(success("the body"))]).await;
     let router = Router::start(&[&backend]).await;
     let spoofed = "X-Tenant-Id: other\r\nCache-Salt: mine\r\nKv-Fetch: 1.2.3.4:5\r\nPriority: 0\r\nX-Own: kept\r\n";
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn who_may_not_and_what_is_not_there_is_refused_without_a_send() {
+async fn rejects_unauthorized_and_unknown_without_attempt() {
     let backend = StandIn::start(vec![Act::Say(success(""))]).await;
     let router = Router::start(&[&backend]).await;
     assert_eq!(status(&router.ask("/unsafe/", "").await), "401");
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn what_was_turned_away_unrun_goes_to_another_backend_or_comes_back_as_503() {
+async fn retries_rejection_or_returns_503() {
     let full = Act::Say(answer(
         "503 Service Unavailable",
         "X-Not-Executed: 1\r\nRetry-After: 0.4\r\n",
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn what_may_have_run_is_never_called_unrun_and_never_sent_twice() {
+async fn possibly_executed_request_is_not_retried() {
     for act in [
         Act::SayAndClose(String::new()),
         Act::SayAndReset(String::new()),
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn a_failure_of_the_backend_s_own_goes_back_as_it_is() {
+async fn returns_backend_failure_unchanged() {
     let failure = answer("500 Internal Server Error", "X-Response-Seal: s\r\n", "why");
     let backend = StandIn::start(vec![Act::Say(failure)]).await;
     let router = Router::start(&[&backend]).await;
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn a_safe_request_that_broke_off_is_sent_once_more() {
+async fn retries_broken_safe_request() {
     let broken = StandIn::start(vec![Act::SayAndReset(String::new())]).await;
     let sound = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let router = Router::start(&[&broken, &sound]).await;
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_is_pending_for_long_gets_one_copy_and_the_loser_is_cancelled() {
+async fn hedges_slow_request_and_cancels_loser() {
     let hanging = StandIn::start(vec![Act::Hang]).await;
     let sound = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let router = Router::start(&[&hanging, &sound]).await;
@@ -153,7 +153,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_is_passed_on_event_by_event_to_its_end() {
+async fn relays_stream_to_end() {
     let text = format!("{STREAM_HEAD}{}{}{END}", event(1), event(2));
     let backend = StandIn::start(vec![Act::Say(text)]).await;
     let router = Router::start(&[&backend]).await;
@@ -167,7 +167,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_off_never_looks_complete() {
+async fn broken_stream_is_aborted() {
     let half = format!("{STREAM_HEAD}{}10\r\nid: 2\ndata: pi", event(1));
     for act in [Act::SayAndClose(half.clone()), Act::SayAndReset(half)] {
         let backend = StandIn::start(vec![act]).await;
@@ -186,7 +186,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_may_be_resumed_goes_on_elsewhere_under_its_first_head() {
+async fn resumes_stream_at_another_backend() {
     let half = format!("{STREAM_HEAD}{}{}a\r\nid: 3\ndata", event(1), event(2));
     let rest = format!("{STREAM_HEAD}{}{END}", event(3)).replace("seal\r\n", "other\r\n");
     // Whichever is asked first breaks off, the other one goes on.
@@ -211,7 +211,7 @@
 }
 
 #[tokio::test]
-async fn a_draining_backend_gets_nothing_more() {
+async fn draining_backend_gets_no_requests() {
     let backend = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let router = Router::start(&[&backend]).await;
     assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
--- a/router/tests/published.rs
+++ b/router/tests/published.rs
@@ -37,13 +37,13 @@
     let (mut state, mut published) = (ControlState::default(), Published::default());
     for version in 1..=version {
         change(&mut state, version);
-        published.take_own(&state);
+        published.apply_committed(&state);
     }
     published
 }
 
 #[test]
-fn two_answers_to_questions_of_the_same_moment_do_not_spoil_each_other() {
+fn concurrent_updates_do_not_conflict() {
     for (first, second) in [(2, 4), (4, 2), (3, 3)] {
         let mut holder = source(1);
         let (position, base) = (holder.position(), holder.base());
@@ -53,14 +53,14 @@
                 .expect("there is news")
         });
         for answer in answers {
-            holder.take(answer);
+            holder.apply_update(answer);
         }
         let version = first.max(second);
         if holder.version() != Some(version) {
             let news = source(version)
                 .update_for(holder.position(), holder.base())
                 .expect("there is news");
-            assert!(holder.take(news));
+            assert!(holder.apply_update(news));
         }
         let configuration = holder.configuration().expect("a configuration");
         assert_eq!(configuration.version, version);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_holder_whose_text_does_not_fit_asks_for_the_whole_one() {
+fn requests_full_text_after_checksum_mismatch() {
     // This holder's version 1 is not what its source has under that number.
     let mut state = ControlState::default();
     let other = String::from_utf8(body(1))
@@ -84,17 +84,20 @@
         change,
     });
     let mut holder = Published::default();
-    holder.take_own(&state);
+    holder.apply_committed(&state);
 
     let news = source(2)
         .update_for(holder.position(), holder.base())
         .expect("there is news");
-    assert!(!holder.take(news), "steps from another text lead astray");
+    assert!(
+        !holder.apply_update(news),
+        "steps from another text lead astray"
+    );
     assert_eq!(holder.version(), Some(1), "what is in force stays in force");
     assert_eq!(holder.base(), None, "the whole text is wanted");
     let news = source(2)
         .update_for(holder.position(), holder.base())
         .expect("there is news");
-    assert!(holder.take(news));
+    assert!(holder.apply_update(news));
     assert_eq!((holder.version(), holder.base()), (Some(2), Some(2)));
 }
--- a/router/tests/pulls.rs
+++ b/router/tests/pulls.rs
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn few_answers_with_everything_are_in_memory_at_once() {
+async fn limits_full_responses_in_memory() {
     let router = Router::start(&[]).await;
     large_configuration(&router.fleet);
     let mut held: Vec<Answer> = Vec::new();
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn who_has_the_configuration_is_not_held_up_by_those_who_lack_it() {
+async fn full_responses_do_not_delay_updates() {
     let router = Router::start(&[]).await;
     large_configuration(&router.fleet);
     let mut held: Vec<Answer> = Vec::new();
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn waiting_for_the_first_configuration_holds_nobody_up() {
+async fn waiting_for_first_configuration_takes_no_memory_permit() {
     let fleet = Router::without_configuration();
     let vector = fleet.directory.lock().unwrap().vector().clone();
     let mut waiting: Vec<_> = (0..50)
@@ -115,7 +115,7 @@
         assert!(answer.now_or_never().is_none(), "there is no news yet");
     }
     publish(&fleet, 1, CONFIGURATION);
-    fleet.announce();
+    fleet.notify_change();
     // Answers leave one after the other, as each is written.
     for answer in waiting {
         let answer = answer.await.expect("an answer");
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_never_heard_of_a_primary_says_so() {
+async fn node_without_primary_reports_no_age() {
     let asked = Router::start(&[]).await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
@@ -134,7 +134,7 @@
     let asker = Router::without_configuration();
     assert_eq!(
         asker.pull(address, Duration::ZERO, || {}).await,
-        Pull::OutOfTouch
+        Pull::Stale
     );
     assert_eq!(
         asker.published.lock().unwrap().version(),
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -10,7 +10,7 @@
 use router::fleet::Fleet;
 use router::links::Service;
 use router::protocol::{PullRequest, Request};
-use router::replica::handle::{ReplicaHandle, Shown};
+use router::replica::handle::{ReplicaHandle, ReplicaStatus};
 use router::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -60,10 +60,10 @@
         in_sync: witnesses.clone(),
         witnesses,
     };
-    handle.show(Shown {
+    handle.publish_status(ReplicaStatus {
         view: Some(Arc::new(view)),
         current_at,
-        ..Shown::default()
+        ..ReplicaStatus::default()
     });
     let fleet = Fleet::new(Arc::new(settings), Some(handle), 1);
     for (number, zone) in [(2, "a"), (3, "a"), (4, "b"), (5, "b")] {
@@ -112,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn backends_are_spread_over_the_replicas_of_their_zone() {
+async fn spreads_backends_over_zone_replicas() {
     let fleet = fleet();
     let own = spread(&fleet, "a").await;
     assert_eq!(
@@ -141,7 +141,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_that_is_down_takes_no_backends_and_the_others_keep_theirs() {
+async fn down_replica_gets_no_backends() {
     let fleet = fleet();
     let mut before = BTreeMap::new();
     for number in 0..100 {
@@ -160,12 +160,12 @@
 }
 
 #[tokio::test]
-async fn only_what_a_heartbeat_says_anew_is_passed_on_and_late_ones_change_nothing() {
+async fn propagates_only_new_heartbeat_content() {
     let fleet = fleet();
     beat(&fleet, "i", "a", 5).await;
-    let changes = fleet.changes();
+    let changes = fleet.change_count();
     beat(&fleet, "i", "a", 6).await;
-    assert_eq!(fleet.changes(), changes, "it only counts up");
+    assert_eq!(fleet.change_count(), changes, "it only counts up");
     let late = backend("a", 3, BackendPhase::Draining);
     fleet.register("i".into(), late).await;
     let phase = |fleet: &Fleet| match fleet
@@ -213,7 +213,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_end_of_a_backend_is_acknowledged_once_a_majority_of_the_replicas_know_it() {
+async fn acknowledges_deregistration_after_majority() {
     for phase in [BackendPhase::Draining, BackendPhase::Gone] {
         let fleet = fleet();
         beat(&fleet, "i", "a", 1).await;
@@ -237,7 +237,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_end_of_a_backend_that_reaches_no_majority_is_not_acknowledged() {
+async fn rejects_deregistration_without_majority() {
     let fleet = fleet();
     beat(&fleet, "i", "a", 1).await;
     pulls(&fleet, 2, &vector_of(&fleet)).await;
@@ -253,7 +253,7 @@
 /// Another node took the heartbeat first, and this one learned of it by a pull: it is no proof that
 /// a majority knows.
 #[tokio::test(start_paused = true)]
-async fn an_end_that_another_node_wrote_waits_for_a_majority_as_well() {
+async fn foreign_deregistration_waits_for_majority() {
     let fleet = fleet();
     let stamp = Stamp {
         origin: Origin(77),
@@ -284,7 +284,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_is_cut_off_takes_no_heartbeats_unless_half_of_the_others_are_with_it() {
+async fn partitioned_minority_rejects_heartbeats() {
     let fleet = fleet_in_touch_at(None);
     let ready = || backend("a", 1, BackendPhase::Ready);
     assert_eq!(
@@ -332,7 +332,7 @@
 /// backends nor the nodes that hear them, took both for gone, and its word outranked the others'
 /// when it was back.
 #[tokio::test]
-async fn a_node_that_is_cut_off_takes_no_backend_for_silent() {
+async fn partitioned_node_marks_no_backend_unresponsive() {
     assert!(
         marks_silent(&fleet()),
         "in touch it does, also for a node that is down"
@@ -349,7 +349,7 @@
 /// only count up are not written down, so a late one with a lower number than these was taken for
 /// newer than what was written.
 #[tokio::test]
-async fn a_late_heartbeat_is_known_by_newer_ones_that_said_nothing_new() {
+async fn detects_stale_heartbeat_by_sequence() {
     let fleet = fleet();
     let told = |sequence, version| Backend {
         models: vec![("m".into(), version)],
--- a/router/tests/weights_deadline.rs
+++ b/router/tests/weights_deadline.rs
@@ -11,7 +11,7 @@
 
 use common::*;
 use control::state::{Position, WeightsTarget};
-use router::disk::Known;
+use router::disk::PersistedFleet;
 use router::fleet::{Fleet, Pull};
 use router::links;
 use router::protocol::PublishedState;
@@ -59,7 +59,7 @@
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().take(named));
+    assert!(fleet.published.lock().unwrap().apply_update(named));
     serve(&fleet).await
 }
 
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn a_router_that_hears_late_counts_from_when_a_version_was_named() {
+async fn late_router_counts_from_announcement() {
     let old = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let first = Router::start_on(fleet(1), CONFIGURATION, &[&old]).await;
     hears_from(&first, source().await).await;
@@ -106,16 +106,16 @@
 /// Whoever restarts with its disk goes on counting where it was: else versions whose nodes are
 /// killed again and again are never required.
 #[tokio::test]
-async fn a_node_that_is_started_again_goes_on_where_its_time_was() {
+async fn deadline_survives_restart() {
     let old = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let first = Router::start_on(fleet(2), CONFIGURATION, &[&old]).await;
     hears_from(&first, source().await).await;
     while ask(&first).await == "200" {}
 
     let again = Router::start_on(fleet(3), CONFIGURATION, &[&old]).await;
-    let known = Known {
+    let known = PersistedFleet {
         records: Vec::new(),
-        named_weights: first.fleet.named_weights(),
+        announced_weights: first.fleet.announced_weights(),
     };
     again.fleet.restore(known);
     assert_eq!(
@@ -154,7 +154,7 @@
 /// the old weights when these must not be used any more. Cause: what is required was looked at only
 /// when a request is sent.
 #[tokio::test]
-async fn what_still_waits_at_old_weights_is_withdrawn_in_time() {
+async fn withdraws_requests_queued_on_old_weights() {
     let repeatable = tokio::time::timeout(PATIENCE, waits_at_old_weights("/safe/")).await;
     let other = tokio::time::timeout(PATIENCE, waits_at_old_weights("/unsafe/")).await;
     assert_eq!(
--- a/router/tests/wire_format.rs
+++ b/router/tests/wire_format.rs
@@ -14,7 +14,7 @@
 use control::message::{Envelope, Message};
 use control::state::{Position, WeightsTarget};
 use control::view::ReplicaId;
-use router::disk::{self, Known};
+use router::disk::{self, PersistedFleet};
 use router::frame;
 use router::protocol::{
     Frame, MemberHeartbeat, PublishedState, PullRequest, Pulled, Request, Response, StoreStatus,
@@ -328,8 +328,8 @@
         state,
         leader: Some((5, replica(1))),
         age_ms: Some(40),
-        held_ms: 300,
-        named_weights: named(),
+        delay_ms: 300,
+        announced_weights: named(),
     };
     let located = PrefixLocation {
         replicas: vec![Placement {
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn frames_between_routers_keep_their_bytes() {
+fn frame_bytes_are_stable() {
     let mut fixtures = Fixtures::new(include_str!("fixtures/router_frames.txt"));
     for (name, request) in requests() {
         fixtures.check(&format!("request.{name}"), &Frame::Request(7, request));
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn a_frame_begins_with_its_length_and_long_ones_are_compressed() {
+fn frame_header_is_stable() {
     let short = frame::encode(&Frame::Request(7, Request::Fetch { keys: vec![1, 2] })).unwrap();
     assert_eq!(hex(&short), "00000006".to_owned() + "00070b020102");
     let keys = vec![5; 4_000];
@@ -428,10 +428,10 @@
 }
 
 #[test]
-fn what_was_known_of_the_fleet_is_read_from_a_file_of_before() {
-    let known = Known {
+fn fleet_file_is_stable() {
+    let known = PersistedFleet {
         records: records(),
-        named_weights: named(),
+        announced_weights: named(),
     };
     let folder =
         std::env::temp_dir().join(format!("bitternsill-wire-format-{}", std::process::id()));
@@ -451,7 +451,7 @@
 
 /// The status call tells what messages are about by these names.
 #[test]
-fn kinds_of_messages_are_told_by_the_same_names() {
+fn message_kind_names_are_stable() {
     let mut names: Vec<String> = requests()
         .into_iter()
         .map(|(_, request)| Frame::Request(7, request))
--- a/router/tests/withdrawn_requests.rs
+++ b/router/tests/withdrawn_requests.rs
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn a_request_whose_client_left_while_it_was_held_up_never_reaches_its_backend() {
+async fn abandoned_request_never_reaches_backend() {
     let backend = StandIn::start(vec![Act::Say(success("ok"))]).await;
     let way = HeldUp::before(&backend).await;
     let router = Router::start(&[]).await;
