--- a/router/src/clock.rs
+++ b/router/src/clock.rs
@@ -1,4 +1,4 @@
-//! The steady clock, in milliseconds since the process started.
+//! The monotonic clock, in milliseconds since the process started.
 
 use control::Millis;
 use std::sync::OnceLock;
@@ -6,8 +6,8 @@
 
 static START: OnceLock<Instant> = OnceLock::new();
 
-/// Milliseconds since the first call. Starts well above 0, so that a moment before the start can be
-/// told.
+/// Milliseconds since the first call, plus an offset, so that times before the start can be
+/// represented.
 pub fn now() -> Millis {
     const OFFSET: Millis = 100_000;
     OFFSET + START.get_or_init(Instant::now).elapsed().as_millis() as Millis
--- a/router/src/control_api.rs
+++ b/router/src/control_api.rs
@@ -1,4 +1,4 @@
-//! The control interface: heartbeats of backends, calls of operators.
+//! The control API: heartbeats of backends and operators' calls.
 
 use crate::fleet::Fleet;
 use crate::protocol::MAX_HOPS;
@@ -13,21 +13,21 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// The longest configuration.
+/// Maximum size of a configuration.
 const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
-/// The longest other body.
+/// Maximum size of any other body.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// The header that names the version that a configuration builds on.
+/// The header with the version that a new configuration is based on.
 const BASE_VERSION: &str = "x-base-version";
-/// When to come back where nobody can tell what became of a call.
+/// Retry-After of calls without a known outcome, in seconds.
 const RETRY_AFTER: &str = "0.2";
 
-/// The control interface of a router.
+/// The endpoint of the control API.
 pub struct ControlApi {
     fleet: Arc<Fleet>,
 }
 
-/// A heartbeat as a backend sends it.
+/// A heartbeat as backends send it.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Heartbeat {
@@ -57,7 +57,7 @@
 }
 
 impl ControlApi {
-    /// The interface of a router.
+    /// Creates the endpoint.
     pub fn new(fleet: Arc<Fleet>) -> Self {
         ControlApi { fleet }
     }
@@ -135,9 +135,9 @@
 
     async fn deregister(&self, id: &str) -> Response {
         let key = Key::Backend(id.into());
-        let held = match lock(&self.fleet.directory).get(&key) {
+        let current = match lock(&self.fleet.directory).get(&key) {
             Some(Value::Backend(backend)) => backend.clone(),
-            // Nobody here knows it, so nobody sends it anything.
+            // No node here knows the backend, so none sends it requests.
             _ => Backend {
                 service: CompactString::default(),
                 address: SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0),
@@ -153,7 +153,7 @@
         let gone = Backend {
             phase: BackendPhase::Gone,
             sequence: u64::MAX,
-            ..held
+            ..current
         };
         match self.fleet.register(id.into(), gone).await {
             Some(_) => json_answer(StatusCode::OK, serde_json::json!({})),
--- a/router/src/disk.rs
+++ b/router/src/disk.rs
@@ -1,7 +1,7 @@
-//! The control state's records on disk: a log in segments with a snapshot beside it.
+//! Persistence of the control state: a log in segments, and a snapshot.
 //!
-//! A snapshot with its number is written and synced under another name before it is renamed; the
-//! segment of the same number follows on it. Whatever has a lower number is void from then on.
+//! A snapshot is written and synced under a temporary name before it is renamed. The segment with
+//! the same number continues it, and files with lower numbers are obsolete.
 
 mod reader;
 mod writer;
@@ -18,37 +18,37 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Holds what was known of the fleet.
+/// File with the known state of the fleet.
 const FLEET_FILE: &str = "fleet";
-/// Holds records that could not be used.
+/// Folder for corrupt records.
 const QUARANTINE_FOLDER: &str = "damaged";
 
-/// What is known of the fleet, for the next start.
+/// The known state of the fleet, saved for the next start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedFleet {
     /// Backends and members.
     pub records: Vec<(Key, Value)>,
-    /// Versions of weights, and for how long they were named at that time.
+    /// Announced versions of weights, with their ages at the time of the save.
     pub announced_weights: Vec<AnnouncedVersion>,
 }
 
 /// Why a data directory can't be used.
 #[derive(Debug, Error)]
 pub enum DiskError {
-    /// The system refuses.
+    /// An I/O error.
     #[error("{path}: {problem}; check that the folder exists, can be written and has room")]
     Io {
         /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The cause.
         problem: io::Error,
     },
-    /// What is stored makes no sense.
+    /// The contents are corrupt.
     #[error("{path}: {damage}")]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// The kind of corruption.
         damage: StorageError,
     },
 }
@@ -58,7 +58,7 @@
     move |problem| DiskError::Io { path, problem }
 }
 
-/// The files of a data directory.
+/// The files of a data directory, by number.
 #[derive(Debug, Default)]
 struct Files {
     snapshots: Vec<u64>,
@@ -86,7 +86,7 @@
     Ok(files)
 }
 
-/// What a new disk begins with.
+/// The contents of a new disk.
 pub fn empty(disk: u64) -> Recovered {
     let record = Record::Disk {
         format: FORMAT,
--- a/router/src/disk/reader.rs
+++ b/router/src/disk/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a data directory.
+//! Reads a data directory.
 
 use super::{
     DiskError, FLEET_FILE, PersistedFleet, QUARANTINE_FOLDER, io_error, list, segment_path,
@@ -9,8 +9,8 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What was known of the fleet when the process ended; nothing where that was not kept or is not
-/// sound.
+/// Reads the state of the fleet that the previous process saved; empty if there is none or it is
+/// corrupt.
 pub fn read_fleet(folder: &Path) -> PersistedFleet {
     let bytes = fs::read(folder.join(FLEET_FILE)).unwrap_or_default();
     let Some((checksum, body)) = bytes.split_first_chunk::<4>() else {
@@ -22,7 +22,7 @@
     postcard::from_bytes(body).unwrap_or_default()
 }
 
-/// What a data directory holds; none where it has never been used.
+/// Reads the records of a data directory; `None` if it was never used.
 pub fn read(folder: &Path) -> Result<Option<Recovered>, DiskError> {
     let files = list(folder).map_err(io_error(folder))?;
     let first = files.snapshots.last().copied().unwrap_or(0);
@@ -43,8 +43,8 @@
         .map_err(damaged(folder))
 }
 
-/// The records of segments one after the other. A write that a loss of power cut off ends them:
-/// what follows is empty.
+/// Reads the records of consecutive segments. A write that was interrupted by a power loss ends
+/// them: later segments have to be empty.
 fn read_segments(paths: impl Iterator<Item = PathBuf>) -> Result<Vec<Record>, DiskError> {
     let mut records = Vec::new();
     let mut truncated: Option<(PathBuf, usize)> = None;
@@ -73,8 +73,8 @@
     move |damage| DiskError::Damaged { path, damage }
 }
 
-/// What a data directory holds. One whose records are damaged is set aside, and the node rejoins as
-/// one that lost its disk.
+/// Reads a data directory. If its records are corrupt, they are moved aside, and the node rejoins
+/// as one that lost its disk.
 pub fn read_or_quarantine(folder: &Path) -> Result<Option<Recovered>, DiskError> {
     match read(folder) {
         Err(DiskError::Damaged { path, damage }) => {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Keeps damaged records under other names, in place of those of an earlier time.
+/// Moves corrupt records aside, replacing those of an earlier time.
 fn quarantine_records(folder: &Path) -> io::Result<()> {
     let files = list(folder)?;
     let quarantine = folder.join(QUARANTINE_FOLDER);
--- a/router/src/disk/writer.rs
+++ b/router/src/disk/writer.rs
@@ -12,23 +12,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// A segment that has grown to so many bytes is replaced by a snapshot and a new segment.
+/// A segment of this size is replaced by a snapshot and a new segment.
 const SEGMENT_BYTES: u64 = 4 << 20;
-/// Time between two tries to write to a disk that refuses.
+/// Time between two attempts to write to a failing disk.
 const RETRY: Duration = Duration::from_millis(150);
 
-/// What the thread is asked to do.
+/// Jobs of the thread.
 #[derive(Debug)]
 enum Job {
-    /// Append records and sync them.
+    /// Appends records and syncs them.
     Append { sequence: u64, bytes: Vec<u8> },
-    /// Put a snapshot in place of everything before, and go on in a new segment.
+    /// Replaces everything so far by a snapshot, and continues in a new segment.
     Compact { bytes: Vec<u8> },
-    /// Put what was known of the fleet in place of what was known before.
+    /// Replaces the saved state of the fleet.
     Save { bytes: Vec<u8> },
 }
 
-/// Writes that are done are told with their number.
+/// Receives the sequence numbers of completed writes.
 pub type Done = tokio::sync::mpsc::UnboundedSender<u64>;
 
 /// The writer of one data directory.
@@ -39,7 +39,7 @@
 }
 
 impl Disk {
-    /// Opens a folder for writing, beginning with a snapshot of what it holds.
+    /// Opens a folder for writing, and begins with a snapshot of its contents.
     pub fn open(folder: &Path, recovered: &Recovered, done: Done) -> Result<Self, DiskError> {
         let files = list(folder).map_err(io_error(folder))?;
         let newest = files
@@ -69,7 +69,7 @@
         Ok(disk)
     }
 
-    /// Appends records; `sequence` is told once they are on the disk.
+    /// Appends records; `sequence` is sent to the completion channel once they are synced.
     pub fn append(&mut self, sequence: u64, records: &[Record]) {
         let mut bytes = Vec::new();
         records.iter().for_each(|record| encode(record, &mut bytes));
@@ -78,18 +78,18 @@
         let _ = self.jobs.send(Job::Append { sequence, bytes });
     }
 
-    /// Whether it is time for a snapshot.
+    /// Returns whether the segment is large enough for a snapshot.
     pub fn wants_snapshot(&self) -> bool {
         self.since_snapshot > SEGMENT_BYTES
     }
 
-    /// Puts a snapshot in place of everything that was appended so far.
+    /// Replaces everything that was appended so far by a snapshot.
     pub fn snapshot(&mut self, recovered: &Recovered) {
         self.since_snapshot = 0;
         self.compact(recovered);
     }
 
-    /// Keeps what is known of the fleet, for the next start.
+    /// Saves the known state of the fleet for the next start.
     pub fn save_fleet(&self, known: &PersistedFleet) {
         if let Ok(bytes) = postcard::to_stdvec(known) {
             let _ = self.jobs.send(Job::Save { bytes });
@@ -120,12 +120,12 @@
             match job {
                 Job::Append { sequence, bytes } => {
                     self.until_done(|writer| writer.append(&bytes));
-                    // Nobody listens any more where the process is about to end.
+                    // The receiver is gone when the process is about to end.
                     let _ = self.done.send(sequence);
                 }
                 Job::Compact { bytes } => self.until_done(|writer| writer.compact(&bytes)),
                 Job::Save { bytes } => {
-                    // Only a help after a restart: the next one follows soon.
+                    // The file only speeds up the next start, and the next save follows soon.
                     if let Err(problem) = self.save(&bytes) {
                         log::debug!("what is known of the fleet is not kept: {problem}");
                     }
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Records that could not be used are kept for whoever looks into it, as long as there is room.
+    /// Corrupt records are kept for analysis only as long as there is space.
     fn discard_quarantine(&self) {
         let quarantine = self.folder.join(QUARANTINE_FOLDER);
         if quarantine.exists()
@@ -175,7 +175,7 @@
         File::open(&self.folder)?.sync_all()
     }
 
-    /// Appends to the segment. What an earlier try left behind its sound end is overwritten.
+    /// Appends to the segment. Overwrites what a failed attempt left after the valid end.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let Some(segment) = &mut self.segment else {
             return Err(io::Error::other("no segment is open"));
@@ -188,15 +188,16 @@
         Ok(())
     }
 
-    /// Writes a snapshot beside the old files, opens a new segment, and only then removes what both
-    /// replace.
+    /// Writes a snapshot under a temporary name, opens a new segment, and only then removes the old
+    /// files.
     fn compact(&mut self, bytes: &[u8]) -> io::Result<()> {
         let number = self.number + 1;
         let temporary = self.folder.join("snapshot.new");
         let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        // The segment comes first: a snapshot without one has nothing behind it, which is sound.
+        // The segment is created first: a snapshot without records after it is valid, but records
+        // without a segment would be lost.
         let segment = OpenOptions::new()
             .create(true)
             .write(true)
@@ -210,7 +211,7 @@
         Ok(())
     }
 
-    /// Old files that stay are no harm: the newest snapshot counts.
+    /// Old files that remain do no harm: the newest snapshot counts.
     fn remove_older(&self) {
         let Ok(files) = list(&self.folder) else {
             return;
--- a/router/src/fleet/primary_calls.rs
+++ b/router/src/fleet/primary_calls.rs
@@ -66,14 +66,14 @@
             .nearest_replicas()
             .into_iter()
             .map(|(_, member)| member.internal);
-        let mut way: Vec<SocketAddrV4> = Vec::new();
+        let mut candidates: Vec<SocketAddrV4> = Vec::new();
         for address in leader.into_iter().chain(others) {
-            if address != own && !way.contains(&address) {
-                way.push(address);
+            if address != own && !candidates.contains(&address) {
+                candidates.push(address);
             }
         }
-        way.truncate(2);
-        way
+        candidates.truncate(2);
+        candidates
     }
 
     /// Publishes what this node's own replica has committed.
--- a/router/src/fleet/pulls.rs
+++ b/router/src/fleet/pulls.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use super::announced_weights::SendTimeBounds;
 use crate::clock;
-use crate::links::Answer;
+use crate::links::Reply;
 use crate::protocol::{PullRequest, Pulled, Request, Response};
 use crate::replica::handle::ReplicaHandle;
 use crate::sync::lock;
@@ -150,7 +150,7 @@
 
     /// Answers a pull as soon as there are updates. Full-state responses are large and may be
     /// requested by many routers at once, so a semaphore limits those in memory.
-    pub(super) async fn answer_pull(&self, request: PullRequest) -> Answer {
+    pub(super) async fn answer_pull(&self, request: PullRequest) -> Reply {
         self.observe_member(&request);
         let mut changes = self.subscribe();
         self.observe_peer(&request);
@@ -192,7 +192,7 @@
             announced_weights: self.announced_weights(),
             delay_ms: started_at.elapsed().as_millis() as u64,
         };
-        Answer {
+        Reply {
             response: Response::Pulled(Box::new(pulled)),
             permit,
         }
--- a/router/src/fleet/registration.rs
+++ b/router/src/fleet/registration.rs
@@ -199,7 +199,7 @@
         };
         for id in unresponsive {
             lock(&self.monitored_backends).remove(&id);
-            self.mark_silent(id);
+            self.mark_unresponsive(id);
         }
     }
 
@@ -227,7 +227,7 @@
             .collect()
     }
 
-    fn mark_silent(&self, id: CompactString) {
+    fn mark_unresponsive(&self, id: CompactString) {
         let key = Key::Backend(id.clone());
         let current = match lock(&self.directory).get(&key) {
             Some(Value::Backend(backend)) => backend.clone(),
--- a/router/src/frame.rs
+++ b/router/src/frame.rs
@@ -10,28 +10,28 @@
 use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Says that what follows is compressed.
+/// Flag in the length field: the message is compressed.
 const COMPRESSED: u32 = 1 << 31;
-/// Shorter messages go as they are.
+/// Shorter messages are not compressed.
 const MIN_COMPRESSED_BYTES: usize = 2 << 10;
-/// Bytes of the size before a compressed block.
+/// Size of the length prefix of a compressed block, in bytes.
 const SIZE_BYTES: usize = 4;
 
-/// Why bytes are no frame.
+/// Why bytes are not a valid frame.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The message is longer than any router sends.
+    /// The message is too long.
     #[error(
         "a frame of {length} bytes is longer than {MAX_MESSAGE_BYTES}: check that the other end is a router of this fleet"
     )]
     TooLong {
-        /// Its length.
+        /// Its length in bytes.
         length: usize,
     },
-    /// The bytes can't be decompressed.
+    /// The message can't be decompressed.
     #[error("a frame can't be decompressed ({0}): check that the other end runs the same version")]
     Compression(#[from] lz4_flex::block::DecompressError),
-    /// The message can't be read.
+    /// The message can't be decoded.
     #[error("a frame can't be read ({0}): check that the other end runs the same version")]
     Message(#[from] postcard::Error),
 }
@@ -42,7 +42,7 @@
     }
 }
 
-/// The bytes of a frame, its length first.
+/// Encodes a frame with its length.
 pub fn encode(frame: &Frame) -> Result<Vec<u8>, FrameError> {
     let message = postcard::to_stdvec(frame)?;
     let is_compressed = message.len() >= MIN_COMPRESSED_BYTES;
@@ -61,16 +61,16 @@
     Ok(bytes)
 }
 
-/// The frame whose bytes come after a length.
+/// Decodes the message that follows a length.
 fn decode(body: &[u8], is_compressed: bool) -> Result<Frame, FrameError> {
     if !is_compressed {
         return Ok(postcard::from_bytes(body)?);
     }
-    let told = body
+    let declared = body
         .first_chunk::<SIZE_BYTES>()
         .map_or(0, |size| u32::from_le_bytes(*size) as usize);
-    if told > MAX_MESSAGE_BYTES {
-        return Err(FrameError::TooLong { length: told });
+    if declared > MAX_MESSAGE_BYTES {
+        return Err(FrameError::TooLong { length: declared });
     }
     let message = lz4_flex::block::decompress_size_prepended(body)?;
     Ok(postcard::from_bytes(&message)?)
@@ -93,14 +93,14 @@
     reader: &mut (impl AsyncRead + Unpin),
     traffic: &Traffic,
 ) -> io::Result<Frame> {
-    let told = reader.read_u32().await?;
-    let length = (told & !COMPRESSED) as usize;
+    let declared = reader.read_u32().await?;
+    let length = (declared & !COMPRESSED) as usize;
     if length > MAX_MESSAGE_BYTES {
         return Err(FrameError::TooLong { length }.into());
     }
     let mut body = vec![0; length];
     reader.read_exact(&mut body).await?;
-    let frame = decode(&body, told & COMPRESSED != 0)?;
+    let frame = decode(&body, declared & COMPRESSED != 0)?;
     traffic.received(MessageKind::of(&frame), size_of::<u32>() + length);
     Ok(frame)
 }
--- a/router/src/links.rs
+++ b/router/src/links.rs
@@ -136,16 +136,16 @@
 
 /// A response, with resources that are held until it is written.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Reply {
     /// The response.
     pub response: Response,
     /// Permit for the memory of a large response.
     pub permit: Option<OwnedSemaphorePermit>,
 }
 
-impl From<Response> for Answer {
+impl From<Response> for Reply {
     fn from(response: Response) -> Self {
-        Answer {
+        Reply {
             response,
             permit: None,
         }
@@ -155,10 +155,10 @@
 /// Handles requests of other routers.
 pub trait Service: Send + Sync + 'static {
     /// Handles one request; `None` for one-way requests.
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: Request,
-    ) -> Pin<Box<dyn Future<Output = Option<Answer>> + Send>>;
+    ) -> Pin<Box<dyn Future<Output = Option<Reply>> + Send>>;
 }
 
 /// Serves the connections of other routers.
@@ -181,9 +181,9 @@
         return;
     }
     let (mut reader, mut writer) = stream.into_split();
-    let (answers, mut queue) = mpsc::channel::<(u32, Answer)>(QUEUE);
+    let (answers, mut queue) = mpsc::channel::<(u32, Reply)>(QUEUE);
     let write = async {
-        while let Some((id, Answer { response, permit })) = queue.recv().await {
+        while let Some((id, Reply { response, permit })) = queue.recv().await {
             write_frame(&mut writer, &Frame::Response(id, response), &traffic).await?;
             drop(permit);
         }
@@ -195,12 +195,12 @@
                 continue;
             };
             if id == 0 {
-                service.clone().answer(request).await;
+                service.clone().handle(request).await;
                 continue;
             }
             let (service, answers) = (service.clone(), answers.clone());
             tokio::spawn(async move {
-                if let Some(answer) = service.answer(request).await {
+                if let Some(answer) = service.handle(request).await {
                     // The caller may have disconnected.
                     let _ = answers.send((id, answer)).await;
                 }
--- a/router/src/listener.rs
+++ b/router/src/listener.rs
@@ -1,10 +1,10 @@
-//! Taking connections of clients: whether the client is still there, and breaking a connection off
-//! in the middle of an answer.
+//! Client connections: detects that a client has disconnected, and aborts a connection in the
+//! middle of a response.
 //!
-//! The server library polls a connection again after it has failed. A request of a client that has
-//! closed its connection would then go on, and a body that has failed would end as if it were
-//! whole. So a connection's own state says how it stands, and whoever works for a request asks that
-//! state.
+//! The HTTP server library polls a connection again after it has failed. The request of a
+//! disconnected client would then continue, and a failed body would end as if it were complete.
+//! Therefore each connection has a state of its own, which everything that works for its requests
+//! observes.
 
 use crate::sync::lock;
 use poem::listener::Acceptor;
@@ -19,18 +19,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How a client's connection stands.
+/// State of a client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// The client is there.
+    /// The client is connected.
     Open,
-    /// The client has closed or reset it.
+    /// The client has closed or reset the connection.
     ClientDisconnected,
-    /// This router broke it off: nothing is read or written any more.
+    /// This router has aborted the connection: nothing is read or written any more.
     Aborted,
 }
 
-/// One connection of a client, as those who answer its requests see it.
+/// A client's connection, as the handlers of its requests see it.
 #[derive(Debug, Clone)]
 pub struct ClientConnection(Arc<watch::Sender<ConnectionState>>);
 
@@ -41,27 +41,27 @@
 }
 
 impl ClientConnection {
-    /// How it stands.
+    /// Current state.
     pub fn state(&self) -> ConnectionState {
         *self.0.borrow()
     }
 
-    /// Comes back once it has ended, by its client or by this router.
+    /// Completes when the connection has ended, by the client or by this router.
     pub async fn closed(&self) {
         let mut state = self.0.subscribe();
-        // The sender is held here, so the wait ends by the state alone.
+        // The sender is held here, so the wait ends only by the state.
         let _ = state
             .wait_for(|state| *state != ConnectionState::Open)
             .await;
     }
 
-    /// From now on nothing is read or written on it.
+    /// Aborts the connection: nothing is read or written any more.
     pub fn abort(&self) {
         self.enter(ConnectionState::Aborted);
     }
 
-    /// The one place where the state changes: an open connection ends once, by the client or by
-    /// this router.
+    /// The only transition: an open connection ends once. The client's disconnect and an abort may
+    /// race, and the first one wins.
     fn enter(&self, state: ConnectionState) {
         self.0.send_if_modified(|current| {
             let is_open = *current == ConnectionState::Open;
@@ -82,20 +82,20 @@
     }
 }
 
-/// The open connections, by the client's address.
+/// The open connections, by client address.
 #[derive(Debug, Clone, Default)]
 pub struct ClientConnections(Arc<Mutex<HashMap<SocketAddr, ClientConnection>>>);
 
 impl ClientConnections {
-    /// The connection from an address.
+    /// The connection of a client address.
     pub fn of(&self, remote: Option<&SocketAddr>) -> ClientConnection {
         remote
             .and_then(|remote| lock(&self.0).get(remote).cloned())
             .unwrap_or_default()
     }
 
-    /// Forgets a connection that has ended, unless another one has come from the same address
-    /// since.
+    /// Removes a connection that has ended, unless a newer one has the same address: ports are
+    /// reused.
     fn forget(&self, remote: &SocketAddr, connection: &ClientConnection) {
         let mut connections = lock(&self.0);
         if connections
@@ -107,14 +107,14 @@
     }
 }
 
-/// Takes connections of clients.
+/// Accepts client connections.
 pub struct ClientAcceptor {
     listener: TcpListener,
     connections: ClientConnections,
 }
 
 impl ClientAcceptor {
-    /// Takes connections from a listener.
+    /// Accepts connections from a listener.
     pub fn new(listener: TcpListener, connections: ClientConnections) -> Self {
         ClientAcceptor {
             listener,
@@ -157,7 +157,7 @@
     }
 }
 
-/// The bytes of a client's connection.
+/// The byte stream of a client's connection.
 pub struct ClientStream {
     stream: TcpStream,
     connection: ClientConnection,
@@ -166,7 +166,7 @@
 }
 
 impl ClientStream {
-    /// A read or write of the socket has failed: the client is gone.
+    /// Records that a read or write failed: the client has disconnected.
     fn record_io_failure<T>(&self, result: &Poll<io::Result<T>>) {
         if let Poll::Ready(Err(_)) = result {
             self.connection.enter(ConnectionState::ClientDisconnected);
--- a/router/src/protocol.rs
+++ b/router/src/protocol.rs
@@ -1,4 +1,7 @@
-//! What the routers of a fleet say to each other.
+//! Messages between the routers of a fleet.
+//!
+//! They are encoded with postcard: types and fields may be renamed, but variants and fields must
+//! not be reordered, and new variants go last.
 
 use compact_str::CompactString;
 use control::changes::{Change, Outcome};
@@ -14,185 +17,185 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The longest message; a longer one ends the connection.
+/// Maximum size of a message; a larger one closes the connection.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// How often a call may be passed on.
+/// Maximum number of times that a call is forwarded.
 pub const MAX_HOPS: u8 = 2;
 
-/// What is asked. New kinds go last, as their places are their numbers on the wire.
+/// A request. New variants go last, as postcard encodes a variant by its index.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
-    /// A message between replicas of the control state; has no answer.
+    /// A message between replicas of the control state; one-way.
     Replica(Box<Envelope>),
-    /// Asks for everything that is newer.
+    /// Pulls everything that is newer.
     Pull(PullRequest),
-    /// An operator's change.
+    /// Submits an operator's change.
     Submit {
         /// The change.
         change: Change,
-        /// How often it may still be passed on.
+        /// How many more times the call may be forwarded.
         hops: u8,
     },
-    /// Asks for the newest configuration.
+    /// Reads the latest configuration.
     ReadConfiguration {
-        /// How often it may still be passed on.
+        /// How many more times the call may be forwarded.
         hops: u8,
     },
-    /// A backend's heartbeat or end.
+    /// A backend's heartbeat or deregistration.
     Register {
-        /// The backend's instance id.
+        /// Instance id of the backend.
         id: CompactString,
-        /// What it says of itself.
+        /// The backend's record.
         backend: Backend,
     },
-    /// Compares what both hold of a range.
+    /// Compares the digests of a range of records.
     Compare {
         /// The range.
         range: Range,
     },
-    /// Asks a router that reads a store's events whether the store answers.
+    /// Asks a router that reads a store's events whether the store is available.
     StoreStatus {
-        /// The store.
+        /// Address of the store.
         store: SocketAddrV4,
     },
-    /// Asks the owner of a prefix where it is kept.
+    /// Looks up a prefix at its owner.
     Locate {
         /// The prefix.
         key: PrefixKey,
-        /// Where the request would go if the prefix is kept nowhere.
+        /// The backend that the request would go to if the prefix is cached nowhere.
         planned: Placement,
-        /// Whether the prefix is worth saving at the store.
+        /// Whether the prefix is worth saving to the KV store.
         should_save: bool,
     },
-    /// Tells the owner of a prefix where a request goes; has no answer.
+    /// Notifies the owner of a prefix of the backend that a request goes to; one-way.
     Placed {
         /// The prefix.
         key: PrefixKey,
-        /// The backend that will keep it.
+        /// The backend that will cache it.
         placement: Placement,
     },
-    /// Tells an owner which prefixes a backend keeps no more, with their versions; has no answer.
+    /// Notifies an owner of prefixes that a backend evicted, with their versions; one-way.
     Evicted {
-        /// The backend's instance id.
+        /// Instance id of the backend.
         backend: CompactString,
         /// The prefixes.
         prefixes: Vec<(PrefixKey, u64)>,
     },
-    /// Tells an owner which prefixes the store keeps no more, with their versions; has no answer.
+    /// Notifies an owner of prefixes that a store evicted, with their versions; one-way.
     EvictedFromStore {
         /// The prefixes.
         prefixes: Vec<(PrefixKey, u64)>,
     },
-    /// Asks for records by the hashes of their keys.
+    /// Fetches records by the hashes of their keys.
     Fetch {
         /// The hashes.
         keys: Vec<u64>,
     },
-    /// Tells of faults that a router saw at backends, each with how many; has no answer.
+    /// Reports failures that a router observed at backends, with their numbers; one-way.
     Faults {
-        /// The router's name.
+        /// Name of the router.
         reporter: CompactString,
-        /// The backends' instance ids.
+        /// Instance ids and numbers of failures.
         faults: Vec<(CompactString, u32)>,
     },
 }
 
-/// What is answered.
+/// A response. New variants go last.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Response {
     /// To a pull.
     Pulled(Box<Pulled>),
     /// To a change.
     Outcome(Outcome),
-    /// To a question for the configuration: whether it could be told, and its body.
+    /// To a read of the configuration: the outer `None` means that it can't be determined.
     Configuration(Option<Option<Vec<u8>>>),
-    /// To a heartbeat that is acknowledged: where later ones are to go.
+    /// To a registration that is acknowledged: the address for later heartbeats.
     Registered(Option<SocketAddrV4>),
-    /// To a question whether a store answers; none where the router does not know.
+    /// To a status request; `None` if the router does not know.
     StoreStatus(Option<StoreStatus>),
-    /// To a question where a prefix is kept.
+    /// To a lookup.
     Located(PrefixLocation),
     /// To a comparison.
     Summary(Summary),
     /// To a fetch.
     Records(Vec<Record>),
-    /// To a heartbeat that is not acknowledged here.
+    /// To a registration that is not acknowledged.
     NotRegistered,
 }
 
-/// How a store stands.
+/// Availability of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStatus {
-    /// Its life, where it answers.
+    /// Generation of the store's contents, if it is available.
     pub generation: Option<u64>,
 }
 
-/// Asks for everything that is newer than what the asker has.
+/// Pulls everything that is newer than the sender's state.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PullRequest {
-    /// The asker's name.
+    /// Name of the sender.
     pub name: CompactString,
-    /// What it is.
+    /// The sender's member record.
     pub member: Member,
-    /// How far it knows each origin.
+    /// The sender's position for each origin.
     pub vector: VersionVector,
-    /// The last change of the control state that it has.
+    /// Position of the sender's control state.
     pub position: Position,
-    /// The version of the configuration that it has, as a base for a difference.
+    /// Version of the sender's configuration, as a base for deltas.
     pub base: Option<u64>,
-    /// The newest epoch that it knows.
+    /// The latest epoch that the sender knows.
     pub epoch: Epoch,
-    /// How long the answer may wait for news.
+    /// How long the response may wait for updates, in milliseconds.
     pub wait_ms: u64,
-    /// Members whose heartbeats it misses, with their incarnations.
+    /// Members whose heartbeats the sender misses, with their revisions.
     pub missing: Vec<(CompactString, u64)>,
 }
 
-/// Everything that is newer.
+/// Everything that is newer than the state of a pull's sender.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Pulled {
-    /// Records.
+    /// Newer records.
     pub records: Vec<Record>,
-    /// How far the answerer knows each origin.
+    /// The responder's position for each origin.
     pub vector: VersionVector,
-    /// The control state, where it is newer.
+    /// The control state, if it is newer.
     pub state: Option<PublishedState>,
-    /// The newest epoch and its primary.
+    /// The latest epoch and its primary.
     pub leader: Option<(Epoch, ReplicaId)>,
-    /// So many milliseconds ago the answerer's control state was last known to be the newest; none
-    /// where it never was.
+    /// Time since the responder's control state was last confirmed as the latest, in milliseconds;
+    /// `None` if it never was.
     pub age_ms: Option<u64>,
-    /// So many milliseconds the answer was held back for news.
+    /// How long the response waited for updates, in milliseconds.
     pub delay_ms: u64,
-    /// Versions of weights whose time runs, or was over last.
+    /// Announced versions of weights.
     pub announced_weights: Vec<AnnouncedVersion>,
 }
 
 /// The committed control state as routers use it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PublishedState {
-    /// The last change in it.
+    /// Position of the last change.
     pub position: Position,
-    /// What the asker lacks of the configuration; none where it has not changed.
+    /// Update of the configuration; `None` if it has not changed.
     pub configuration: Option<TextUpdate>,
-    /// The newest version of each model's weights.
+    /// The latest version of each model's weights.
     pub weights: BTreeMap<CompactString, WeightsTarget>,
 }
 
-/// One message on a connection between routers. A request with the id 0 has no answer.
+/// A message on a connection between routers. A request with the id 0 is one-way.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Frame {
     /// A request and its id.
     Request(u32, Request),
-    /// The answer to the request with that id.
+    /// The response to the request with that id.
     Response(u32, Response),
 }
 
-/// A heartbeat between members, as a datagram.
+/// A heartbeat between members, sent as a datagram.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MemberHeartbeat {
-    /// The sender's name.
+    /// Name of the sender.
     pub name: CompactString,
-    /// Its life.
+    /// Incarnation of the sender.
     pub incarnation: u64,
 }
--- a/router/src/proxy/forwarder.rs
+++ b/router/src/proxy/forwarder.rs
@@ -201,7 +201,7 @@
 
     /// Withdraws a retry from the service's budget. `reserved` is the part of the budget to leave
     /// untouched.
-    pub(super) fn try_retry(&self, service: &CompactString, reserved: f64) -> bool {
+    pub(super) fn withdraw_retry(&self, service: &CompactString, reserved: f64) -> bool {
         let routers = self.fleet.members_up();
         self.with_retry_budget(service, |budget| {
             budget.try_withdraw(routers, reserved, clock::now())
@@ -403,7 +403,7 @@
             let selected = self
                 .select_with_wait(request, &history.attempted, None)
                 .await?;
-            if !self.try_retry(&request.service, 0.0) {
+            if !self.withdraw_retry(&request.service, 0.0) {
                 return None;
             }
             history.attempted.push(selected.backend.id.clone());
--- a/router/src/proxy/in_flight.rs
+++ b/router/src/proxy/in_flight.rs
@@ -198,7 +198,7 @@
         };
         if self
             .forwarder
-            .try_retry(&self.request.service, RESERVED_FOR_FAILURES)
+            .withdraw_retry(&self.request.service, RESERVED_FOR_FAILURES)
         {
             self.forwarder
                 .with_route_stats(self.request, |route_stats| {
@@ -250,7 +250,7 @@
     /// Retries the request. Returns false if the budget does not allow it, or no backend is
     /// eligible.
     async fn retry(&mut self) -> bool {
-        if !self.forwarder.try_retry(&self.request.service, 0.0) {
+        if !self.forwarder.withdraw_retry(&self.request.service, 0.0) {
             return false;
         }
         let attempted = self.history.attempted.clone();
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Running a router: starting its parts, answering whether it is ready, and ending in order.
+//! Runs a router: starts its parts, answers readiness checks, and shuts down gracefully.
 
 use crate::control_api::ControlApi;
 use crate::disk::{self, Disk, DiskError};
@@ -14,68 +14,60 @@
 use crate::proxy::ingress::Ingress;
 use crate::proxy::kv_store_monitor;
 use crate::proxy::prefix_locator::PrefixLocator;
+use crate::readiness::Readiness;
 use crate::replica::handle::{Inputs, ReplicaHandle};
 use crate::replica::task;
 use crate::settings::{Settings, SettingsError};
+use crate::shutdown::{Signals, shut_down};
 use crate::socket;
-use crate::sync::lock;
 use crate::upstreams;
 use crate::weights::RolloutController;
 use control::node::{ControlNode, Identity, Timing};
 use control::storage::Recovered;
 use control::view::{Incarnation, ReplicaId};
-use poem::http::StatusCode;
 use poem::listener::TcpListener;
-use poem::{Endpoint, Request, Response, Result, Server};
+use poem::{Endpoint, Response, Server};
 use std::io;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use thiserror::Error;
 use tokio::net::UdpSocket;
-use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// A router without any backend calls itself ready so long after it has a configuration.
-const BACKENDS_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// After SIGTERM new connections are taken for so long, as the platform takes two questions to stay
-/// away.
-const DRAIN_DELAY: Duration = Duration::from_millis(2_300);
-/// Part of the grace period within which everything has to be over.
-const GRACE_RATIO: f64 = 0.9;
-/// Idle connections of clients are closed after this.
+/// Idle client connections are closed after this time.
 const CLIENT_IDLE: Duration = Duration::from_secs(20);
 
 /// Why a router can't run.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The settings can't be used.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The data directory can't be used.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// An address can't be listened on.
+    /// An address can't be bound.
     #[error(
         "{address}: {problem}; check that the address is this machine's and that no other process has it"
     )]
     Listen {
         /// The address.
         address: SocketAddrV4,
-        /// What the system said.
+        /// The cause.
         problem: io::Error,
     },
-    /// The system refuses something that every process needs.
+    /// A system resource that every process needs is unavailable.
     #[error("{0}; check the limits of the process")]
     System(#[from] io::Error),
-    /// A client for calls can't be made.
+    /// The HTTP client can't be created.
     #[error("calls to backends can't be made: {0}")]
     Client(#[from] reqwest::Error),
 }
 
-/// Runs a router until it is told to end.
-pub fn run(path: &Path, metrics_port: Option<u16>) -> std::result::Result<(), ServeError> {
+/// Runs a router until it is terminated.
+pub fn run(path: &Path, metrics_port: Option<u16>) -> Result<(), ServeError> {
     let settings = Settings::read(path)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -83,22 +75,7 @@
     runtime.block_on(serve(settings, path.to_owned(), metrics_port))
 }
 
-/// The signals of the platform.
-struct Signals {
-    terminate: Signal,
-    hangup: Signal,
-}
-
-impl Signals {
-    fn take() -> io::Result<Self> {
-        Ok(Signals {
-            terminate: signal(SignalKind::terminate())?,
-            hangup: signal(SignalKind::hangup())?,
-        })
-    }
-}
-
-/// The replica of a node with a disk.
+/// The parts of the replica of a node with a disk.
 struct Replica {
     node: ControlNode,
     disk: Disk,
@@ -110,7 +87,7 @@
 fn open_replica(
     settings: &Settings,
     incarnation: Incarnation,
-) -> std::result::Result<Option<Replica>, ServeError> {
+) -> Result<Option<Replica>, ServeError> {
     let Some(folder) = settings
         .data_directory
         .as_ref()
@@ -148,9 +125,9 @@
     settings: Settings,
     path: PathBuf,
     metrics_port: Option<u16>,
-) -> std::result::Result<(), ServeError> {
-    // First of all: a signal that comes before would end the process at once.
-    let signals = Signals::take()?;
+) -> Result<(), ServeError> {
+    // First of all: an earlier signal would terminate the process immediately.
+    let signals = Signals::register()?;
     let settings = Arc::new(settings);
     let incarnation = fastrand::u64(1..);
     let replica = open_replica(&settings, incarnation)?;
@@ -169,7 +146,7 @@
         .await
         .map_err(failed(internal))?;
     let socket = UdpSocket::bind(internal).await.map_err(failed(internal))?;
-    // Orders that are given up are not to be sent on for minutes.
+    // The kernel must not retransmit abandoned orders for minutes.
     let client = reqwest::Client::builder()
         .no_proxy()
         .tcp_nodelay(true)
@@ -182,26 +159,11 @@
     let traffic = fleet.links.traffic().clone();
     tokio::spawn(links::serve(listener, fleet.clone(), traffic));
     let orders = replica.map(|replica| start_replica(replica, &fleet, &client));
-    tokio::spawn(upstreams::run(fleet.clone()));
-    tokio::spawn(membership::heartbeats::monitor(fleet.clone(), socket));
-    tokio::spawn(membership::heartbeats::watch_backends(fleet.clone()));
-    tokio::spawn(membership::bootstrap::run(fleet.clone()));
-    tokio::spawn(membership::anti_entropy::repair(fleet.clone()));
-    tokio::spawn(membership::anti_entropy::prune(fleet.clone()));
-    tokio::spawn(cache_watcher::run(
-        fleet.clone(),
-        locator.clone(),
-        client.clone(),
-    ));
-    tokio::spawn(kv_store_monitor::run(fleet.clone(), locator, client));
-    tokio::spawn(backend_table::keep_synchronized(
-        table.clone(),
-        fleet.clone(),
-    ));
-    tokio::spawn(failure_log::run(table.failures(), fleet.clone()));
+    spawn_fleet_tasks(&fleet, socket);
+    spawn_proxy_tasks(&fleet, &table, locator, client);
 
     let metrics = MetricsPage::new(fleet.clone(), table.clone(), orders);
-    let ready = Ready::new(fleet.clone(), table);
+    let ready = Readiness::new(fleet.clone(), table);
     listen(settings.listen.readiness, ready);
     listen(
         settings.listen.control_plane,
@@ -217,7 +179,7 @@
         }
         None => None,
     };
-    // Last, so that no interface that somebody needs finds its port taken by this one.
+    // Last, so that the port can't be taken before those of the other interfaces.
     listen(
         metrics_port.map(|port| SocketAddrV4::new(settings.ip_address, port)),
         metrics,
@@ -228,10 +190,41 @@
         path.display()
     );
 
-    shut_down(&fleet, &settings, signals, stop, clients).await
+    shut_down(&fleet, &settings, signals, stop, clients).await;
+    Ok(())
+}
+
+/// Starts the tasks that keep this node in touch with its fleet.
+fn spawn_fleet_tasks(fleet: &Arc<Fleet>, socket: UdpSocket) {
+    tokio::spawn(upstreams::run(fleet.clone()));
+    tokio::spawn(membership::heartbeats::monitor(fleet.clone(), socket));
+    tokio::spawn(membership::heartbeats::watch_backends(fleet.clone()));
+    tokio::spawn(membership::bootstrap::run(fleet.clone()));
+    tokio::spawn(membership::anti_entropy::repair(fleet.clone()));
+    tokio::spawn(membership::anti_entropy::prune(fleet.clone()));
+}
+
+/// Starts the tasks that keep the data plane up to date.
+fn spawn_proxy_tasks(
+    fleet: &Arc<Fleet>,
+    table: &Arc<BackendTable>,
+    locator: Arc<PrefixLocator>,
+    client: reqwest::Client,
+) {
+    tokio::spawn(cache_watcher::run(
+        fleet.clone(),
+        locator.clone(),
+        client.clone(),
+    ));
+    tokio::spawn(kv_store_monitor::run(fleet.clone(), locator, client));
+    tokio::spawn(backend_table::keep_synchronized(
+        table.clone(),
+        fleet.clone(),
+    ));
+    tokio::spawn(failure_log::run(table.failures(), fleet.clone()));
 }
 
-/// Runs the replica, and the task that gives orders while it leads.
+/// Starts the replica and the rollout controller.
 fn start_replica(
     replica: Replica,
     fleet: &Arc<Fleet>,
@@ -261,7 +254,7 @@
     });
 }
 
-/// Serves clients until told to stop; ends once every answer is out.
+/// Serves clients until told to stop, and returns once every response is sent.
 async fn serve_clients(
     listener: tokio::net::TcpListener,
     forwarder: Arc<Forwarder>,
@@ -281,98 +274,3 @@
         log::error!("clients are taken no more: {problem}");
     }
 }
-
-/// Waits for SIGTERM, then serves on until the platform stays away, and ends once every answer is
-/// out.
-async fn shut_down(
-    fleet: &Fleet,
-    settings: &Settings,
-    mut signals: Signals,
-    stop: tokio::sync::watch::Sender<bool>,
-    clients: Option<tokio::task::JoinHandle<()>>,
-) -> std::result::Result<(), ServeError> {
-    loop {
-        tokio::select! {
-            _ = signals.terminate.recv() => break,
-            _ = signals.hangup.recv() => log::info!("SIGHUP: nothing in the settings changes while the process runs"),
-        }
-    }
-    log::info!("SIGTERM: no new clients, open requests are finished");
-    let grace = Duration::from_secs_f64(settings.bounds.grace_period_s * GRACE_RATIO);
-    let begun = Instant::now();
-    fleet.begin_shutdown();
-    if let Some(replica) = &fleet.replica {
-        replica.begin_shutdown().await;
-    }
-    tokio::time::sleep(DRAIN_DELAY.min(grace / 2)).await;
-    // Nobody waits any more where the interface has ended by itself.
-    let _ = stop.send(true);
-    if let Some(clients) = clients {
-        let left = grace.saturating_sub(begun.elapsed());
-        if tokio::time::timeout(left, clients).await.is_err() {
-            log::warn!("the grace period is over and requests are still open");
-        }
-    }
-    if let Some(replica) = &fleet.replica {
-        wait_for_replication(replica, grace.saturating_sub(begun.elapsed())).await;
-    }
-    Ok(())
-}
-
-/// Stays until the control state stands elsewhere as often as it has to, as far as there is time.
-async fn wait_for_replication(replica: &ReplicaHandle, patience: Duration) {
-    const LOOK: Duration = Duration::from_millis(50);
-    let begun = Instant::now();
-    if !replica.can_shut_down() {
-        log::info!(
-            "this node's copy of the control state is still needed: waiting for another one"
-        );
-    }
-    while !replica.can_shut_down() {
-        if begun.elapsed() >= patience {
-            log::warn!(
-                "the grace period is over and this node's copy is still needed: start it again soon"
-            );
-            return;
-        }
-        tokio::time::sleep(LOOK).await;
-    }
-}
-
-/// Whether clients may come.
-struct Ready {
-    fleet: Arc<Fleet>,
-    table: Arc<BackendTable>,
-    configured: std::sync::Mutex<Option<Instant>>,
-}
-
-impl Ready {
-    fn new(fleet: Arc<Fleet>, table: Arc<BackendTable>) -> Self {
-        Ready {
-            fleet,
-            table,
-            configured: std::sync::Mutex::new(None),
-        }
-    }
-
-    fn is_ready(&self) -> bool {
-        if self.fleet.is_shutting_down() || lock(&self.fleet.published).configuration().is_none() {
-            return false;
-        }
-        let since = *lock(&self.configured).get_or_insert_with(Instant::now);
-        !self.table.is_empty() || since.elapsed() > BACKENDS_TIMEOUT
-    }
-}
-
-impl Endpoint for Ready {
-    type Output = Response;
-
-    async fn call(&self, _: Request) -> Result<Self::Output> {
-        let status = if self.is_ready() {
-            StatusCode::OK
-        } else {
-            StatusCode::SERVICE_UNAVAILABLE
-        };
-        Ok(Response::builder().status(status).finish())
-    }
-}
--- a/router/src/settings.rs
+++ b/router/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process: reading and checking.
+//! The settings file of a process.
 
 use compact_str::CompactString;
 use serde::Deserialize;
@@ -7,10 +7,10 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Names the environment variable that holds the path of the settings file.
+/// The environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "BITTERNSILL_SETTINGS";
 
-/// Why settings can't be used.
+/// Why settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// No path was given.
@@ -21,17 +21,17 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The cause.
         problem: std::io::Error,
     },
-    /// A value is missing or of another kind.
+    /// A value is missing or has the wrong type.
     #[error("{path}: at {at}: {problem}")]
     Value {
         /// The file.
         path: PathBuf,
-        /// The place in it.
+        /// Path of the value in the file.
         at: String,
-        /// What is wrong.
+        /// The cause.
         problem: String,
     },
 }
@@ -42,53 +42,53 @@
 pub struct Listen {
     /// For clients.
     pub frontend: Option<SocketAddrV4>,
-    /// For the platform's question whether clients may come.
+    /// For readiness checks.
     pub readiness: Option<SocketAddrV4>,
     /// For backends and operators.
     pub control_plane: Option<SocketAddrV4>,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ProcessLimits {
     /// Memory in megabytes.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// File descriptors.
     pub file_descriptors: u64,
-    /// Disk in megabytes.
+    /// Disk space in megabytes.
     pub disk_mb: u64,
 }
 
-/// What may be lost at once with every promise kept.
+/// Simultaneous failures that the system has to survive.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct FaultTolerance {
-    /// Machines that count.
+    /// Number of machines.
     pub machines: usize,
 }
 
-/// The times and shares that this deployment promises.
+/// The service-level objectives of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Bounds {
-    /// Time for a configuration to be in force everywhere.
+    /// Time for a configuration to be in force everywhere, in milliseconds.
     pub config_apply_ms: u64,
-    /// Time for an operator's call to be acknowledged.
+    /// Time for an operator's call to be acknowledged, in milliseconds.
     pub ack_timeout_ms: u64,
-    /// Time for a draining backend to be left alone.
+    /// Time within which a draining backend stops getting requests, in milliseconds.
     pub drain_timeout_ms: u64,
-    /// Seconds from SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL, in seconds.
     pub grace_period_s: f64,
-    /// Repeats permitted for each request.
+    /// Retries for each request.
     pub retry_budget_ratio: f64,
-    /// Seconds over which repeats are counted.
+    /// Window of the retry budget, in seconds.
     pub budget_window_s: f64,
-    /// Repeats permitted however few the requests.
+    /// Retries that are permitted regardless of the number of requests.
     pub retry_budget_slack: f64,
-    /// Time within which two holders of a singleton role must not take turns.
+    /// Time within which two holders of a lease must not alternate, in milliseconds.
     pub lease_ms: u64,
-    /// Time for new weights to be everywhere.
+    /// Time for new weights to be deployed everywhere, in milliseconds.
     pub version_ms: u64,
 }
 
@@ -108,44 +108,44 @@
     }
 }
 
-/// The settings of one process. Fields that this program does not know are skipped.
+/// The settings of a process. Unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Settings {
-    /// The node's name.
+    /// Name of the node.
     pub node_name: CompactString,
-    /// Its own address.
+    /// Address of the node.
     pub ip_address: Ipv4Addr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: CompactString,
-    /// The region of each zone.
+    /// Region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<CompactString, CompactString>,
     /// Addresses to listen on.
     pub listen: Listen,
-    /// First and last port for the fleet's own protocol.
+    /// First and last port for the protocol between routers.
     pub internal_port_range: (u16, u16),
-    /// Control addresses of a few nodes.
+    /// Control addresses of some nodes.
     pub seeds: Vec<SocketAddrV4>,
-    /// The whole system starts for the first time.
+    /// Whether the whole system starts for the first time.
     #[serde(default)]
     pub bootstrap: bool,
-    /// The loss of this machine counts.
+    /// Whether this machine counts towards the fault tolerance.
     #[serde(default)]
     pub counts_for_quorum: bool,
-    /// What the process may use.
+    /// Resource limits.
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// The folder that lasts, where there is one.
+    /// Persistent data directory, if there is one.
     #[serde(default)]
     pub data_directory: Option<PathBuf>,
-    /// Time between two heartbeats of a backend.
+    /// Heartbeat interval of backends, in milliseconds.
     #[serde(default = "default_heartbeat_interval_ms")]
     pub heartbeat_interval_ms: u64,
-    /// What may be lost at once.
+    /// Simultaneous failures to survive.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// What the deployment promises.
+    /// Service-level objectives.
     #[serde(default)]
     pub bounds: Bounds,
 }
@@ -164,7 +164,7 @@
         Self::parse(path, &bytes)
     }
 
-    /// Reads the text of a settings file; `path` is for messages.
+    /// Parses settings; `path` is used in error messages.
     pub fn parse(path: &Path, bytes: &[u8]) -> Result<Self, SettingsError> {
         let value = |at: String, problem: String| SettingsError::Value {
             path: path.to_owned(),
@@ -194,18 +194,18 @@
         Ok(settings)
     }
 
-    /// Where the fleet's own protocol listens on this node.
+    /// This node's address for the protocol between routers.
     pub fn internal_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip_address, self.internal_port_range.0)
     }
 
-    /// Where the fleet's own protocol listens on the node with this control address: ports are
-    /// alike on all nodes.
+    /// The address for the protocol between routers of the node with this control address: all
+    /// nodes use the same port.
     pub fn internal_address_of(&self, control: SocketAddrV4) -> SocketAddrV4 {
         SocketAddrV4::new(*control.ip(), self.internal_port_range.0)
     }
 
-    /// Whether this node holds a replica of the control state.
+    /// Returns whether this node has a replica of the control state.
     pub fn has_replica(&self) -> bool {
         self.counts_for_quorum && self.data_directory.is_some()
     }
--- /dev/null
+++ b/router/src/shutdown.rs
@@ -0,0 +1,88 @@
+//! Signals of the platform, and graceful shutdown.
+
+use crate::fleet::Fleet;
+use crate::replica::handle::ReplicaHandle;
+use crate::settings::Settings;
+use std::io;
+use std::time::{Duration, Instant};
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+
+/// After SIGTERM new connections are accepted for this long, as the platform takes two readiness
+/// checks to stop sending them.
+const DRAIN_DELAY: Duration = Duration::from_millis(2_300);
+/// Part of the grace period within which the shutdown has to complete.
+const GRACE_RATIO: f64 = 0.9;
+
+/// Signals that the platform sends.
+pub struct Signals {
+    terminate: Signal,
+    hangup: Signal,
+}
+
+impl Signals {
+    /// Registers the handlers of the signals.
+    pub fn register() -> io::Result<Self> {
+        Ok(Signals {
+            terminate: signal(SignalKind::terminate())?,
+            hangup: signal(SignalKind::hangup())?,
+        })
+    }
+}
+
+/// Waits for SIGTERM, keeps serving until the platform stops sending clients, and returns once
+/// every response is sent.
+pub async fn shut_down(
+    fleet: &Fleet,
+    settings: &Settings,
+    mut signals: Signals,
+    stop: watch::Sender<bool>,
+    clients: Option<JoinHandle<()>>,
+) {
+    loop {
+        tokio::select! {
+            _ = signals.terminate.recv() => break,
+            _ = signals.hangup.recv() => log::info!("SIGHUP: nothing in the settings changes while the process runs"),
+        }
+    }
+    log::info!("SIGTERM: no new clients, open requests are finished");
+    let grace = Duration::from_secs_f64(settings.bounds.grace_period_s * GRACE_RATIO);
+    let begun = Instant::now();
+    fleet.begin_shutdown();
+    if let Some(replica) = &fleet.replica {
+        replica.begin_shutdown().await;
+    }
+    tokio::time::sleep(DRAIN_DELAY.min(grace / 2)).await;
+    // The receiver is gone if the interface has failed.
+    let _ = stop.send(true);
+    if let Some(clients) = clients {
+        let left = grace.saturating_sub(begun.elapsed());
+        if tokio::time::timeout(left, clients).await.is_err() {
+            log::warn!("the grace period is over and requests are still open");
+        }
+    }
+    if let Some(replica) = &fleet.replica {
+        wait_for_replication(replica, grace.saturating_sub(begun.elapsed())).await;
+    }
+}
+
+/// Waits until enough other replicas have this node's data, within the time limit.
+async fn wait_for_replication(replica: &ReplicaHandle, patience: Duration) {
+    const LOOK: Duration = Duration::from_millis(50);
+    let begun = Instant::now();
+    if !replica.can_shut_down() {
+        log::info!(
+            "this node's copy of the control state is still needed: waiting for another one"
+        );
+    }
+    while !replica.can_shut_down() {
+        if begun.elapsed() >= patience {
+            log::warn!(
+                "the grace period is over and this node's copy is still needed: start it again soon"
+            );
+            return;
+        }
+        tokio::time::sleep(LOOK).await;
+    }
+}
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -1,10 +1,10 @@
-//! What a router says of itself and of its fleet to operators.
+//! The status report for operators, as JSON.
 
 use crate::fleet::Fleet;
 use crate::sync::lock;
 use serde_json::{Value as Json, json};
 
-/// A report as JSON.
+/// Builds the report. Its keys are part of the operators' interface.
 pub fn report(fleet: &Fleet) -> Json {
     let published = lock(&fleet.published);
     let directory = lock(&fleet.directory);
--- a/router/src/traffic.rs
+++ b/router/src/traffic.rs
@@ -1,9 +1,9 @@
-//! Counts of messages and bytes between routers, by what they are about.
+//! Counters of messages and bytes between routers, by kind of message.
 
 use crate::protocol::{Frame, Request, Response};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What a message is about.
+/// The kind of a message. The names of the variants are part of the status report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
     /// Replication, failover and leases of the control state.
@@ -14,16 +14,16 @@
     Operator,
     /// Registrations of backends.
     Register,
-    /// Where shared starts of prompts are kept.
+    /// The index of prompt prefixes.
     Locate,
-    /// Faults of backends.
+    /// Failures of backends.
     Faults,
-    /// Comparison of range digests.
+    /// Anti-entropy.
     Repair,
 }
 
 impl MessageKind {
-    /// Every kind, in the order of its counters.
+    /// Every kind, in the order of the counters.
     pub const ALL: [MessageKind; 7] = [
         MessageKind::Replica,
         MessageKind::Pull,
@@ -34,7 +34,7 @@
         MessageKind::Repair,
     ];
 
-    /// What a frame is about.
+    /// The kind of a frame.
     pub fn of(frame: &Frame) -> Self {
         match frame {
             Frame::Request(_, request) => Self::of_request(request),
@@ -97,7 +97,7 @@
 }
 
 impl Traffic {
-    /// A frame was written.
+    /// Records a frame that was written.
     pub fn sent(&self, kind: MessageKind, bytes: usize) {
         let counter = &self.counters[kind as usize];
         counter.messages_sent.fetch_add(1, Ordering::Relaxed);
@@ -106,7 +106,7 @@
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// A frame was read.
+    /// Records a frame that was read.
     pub fn received(&self, kind: MessageKind, bytes: usize) {
         let counter = &self.counters[kind as usize];
         counter.messages_received.fetch_add(1, Ordering::Relaxed);
@@ -115,7 +115,7 @@
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// What was counted of each kind.
+    /// Current values by kind.
     pub fn counts(&self) -> impl Iterator<Item = (MessageKind, Count)> + '_ {
         MessageKind::ALL
             .into_iter()
--- a/router/src/upstreams.rs
+++ b/router/src/upstreams.rs
@@ -1,5 +1,5 @@
-//! From whom this router pulls: one node with a replica is followed, another one is asked now and
-//! then in case the first falls behind.
+//! Selects the nodes that this router pulls from: it follows one replica node and polls another, in
+//! case the first one falls behind.
 
 use crate::fleet::{Fleet, PULL_WAIT, Pull};
 use crate::sync::lock;
@@ -15,29 +15,28 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Time between two choices of whom to pull from.
+/// Time between two selections.
 const SELECTION_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between two questions to a node that is not followed. Within twice this, news come by way
-/// of it where the followed node has fallen silent.
+/// Time between two polls. If the followed node falls silent, updates arrive within twice this by
+/// way of the polled one.
 const POLL_INTERVAL: Duration = Duration::from_millis(800);
-/// Wait after a pull that failed, and the longest one after several.
+/// Initial and maximum delay after failed pulls; it doubles with each one.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(120);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
-/// A node that failed, or has lost touch with the primary, is only followed again after this, where
-/// there is another one.
+/// A node that failed or is stale is avoided for this long if there is another one.
 const AVOID_DURATION: Duration = Duration::from_millis(3_000);
-/// A node that knows nothing yet asks one seed for everything, and the next one where that fails or
-/// takes so long.
+/// A node without state asks the seeds one after the other for the full state: the next one after a
+/// failure or this time.
 const SEED_STAGGER: Duration = Duration::from_millis(200);
-/// For so long after its start a node with a replica follows its seeds as well.
+/// A replica node also follows its seeds for this long after its start.
 const SEED_FOLLOW_TIME: Duration = Duration::from_secs(4);
 
 /// How a node is pulled from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Each pull waits for news.
+    /// Each pull waits for updates.
     Follow,
-    /// Each pull is answered at once, and the next one comes after a pause.
+    /// Each pull is answered immediately; the next one follows after a pause.
     Poll,
 }
 
@@ -47,7 +46,7 @@
     failing: Arc<AtomicBool>,
 }
 
-/// Keeps pulling from the right nodes.
+/// Keeps pulling from the selected nodes, for as long as the process runs.
 pub async fn run(fleet: Arc<Fleet>) {
     let begun = Instant::now();
     let mut upstreams: BTreeMap<SocketAddrV4, Upstream> = BTreeMap::new();
@@ -98,8 +97,8 @@
     }
 }
 
-/// In which turn a router without a replica that has no configuration yet asks for everything: each
-/// router in another order, so that no seed is asked by all at once.
+/// The order in which a router without a replica and configuration asks the seeds for the full
+/// state. It differs between routers, so that no seed is asked by all at once.
 fn start_order(
     fleet: &Fleet,
     wanted: &BTreeMap<SocketAddrV4, Mode>,
@@ -116,11 +115,11 @@
     order.into_iter().zip(0..).collect()
 }
 
-/// Waits until the upstreams of earlier turns have failed, or have had the time to answer.
+/// Waits until the upstreams before this position have failed, or have had time to respond.
 async fn wait_for_start(position: u32, mut failures: watch::Receiver<u32>) {
     let had_failed = *failures.borrow_and_update();
     let all_failed = failures.wait_for(|failed| *failed >= had_failed + position);
-    // Either way it is this one's turn.
+    // Either way this upstream is next.
     let _ = tokio::time::timeout(position * SEED_STAGGER, all_failed).await;
 }
 
@@ -131,7 +130,7 @@
     failing: Arc<AtomicBool>,
     failures: Arc<watch::Sender<u32>>,
 ) {
-    // The first answer comes at once, so that a new node knows what there is.
+    // The first pull does not wait, so that a new node learns the current state.
     let mut wait = Duration::ZERO;
     let mut retry_delay = MIN_RETRY_DELAY;
     loop {
@@ -157,8 +156,8 @@
     }
 }
 
-/// Nodes with replicas follow all others of these; the rest follow one and poll another, in their
-/// own zone first. Seeds are followed while nobody else is known.
+/// The nodes to pull from. A replica node follows all other ones; the rest follow one and poll
+/// another, preferably in their own zone. Seeds are followed while no other node is known.
 fn choose(
     fleet: &Fleet,
     is_avoided: impl Fn(SocketAddrV4) -> bool,
@@ -195,8 +194,8 @@
     chosen
 }
 
-/// Those that are up first, then those of the own zone, spread over them by the node's place on the
-/// ring.
+/// Sorts nodes that are up first, then those of the own zone, then by distance on the ring, which
+/// spreads routers over the nodes.
 fn sort_by_preference(
     members: &mut [(CompactString, Member)],
     fleet: &Fleet,
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -303,7 +303,7 @@
 }
 
 /// Marks a backend as one whose heartbeats have stopped.
-pub fn mark_silent(fleet: &Fleet, at: usize) {
+pub fn mark_unresponsive(fleet: &Fleet, at: usize) {
     let key = Key::Backend(format!("i-{at}").into());
     let held = fleet.directory.lock().unwrap().get(&key).cloned();
     let Some(Value::Backend(held)) = held else {
--- a/router/tests/links.rs
+++ b/router/tests/links.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    async fn answer(&self, stream: &mut TcpStream, id: u32, version: u64) {
+    async fn respond(&self, stream: &mut TcpStream, id: u32, version: u64) {
         write_frame(
             stream,
             &Frame::Response(id, answer_to(version)),
@@ -123,7 +123,7 @@
         );
     }
     for (id, version) in ids.into_iter().rev() {
-        peer.answer(&mut stream, id, version).await;
+        peer.respond(&mut stream, id, version).await;
     }
     for (asked, version) in asked.into_iter().zip(1..) {
         assert_eq!(asked.await.unwrap(), Some(version));
@@ -142,16 +142,16 @@
     assert_ne!(first, second);
     // The first answer comes now, twice; so does one that nobody asked for.
     for unasked in [first, first, 0, u32::MAX] {
-        peer.answer(&mut stream, unasked, 77).await;
+        peer.respond(&mut stream, unasked, 77).await;
     }
     assert!(!waiting.is_finished());
-    peer.answer(&mut stream, second, 2).await;
+    peer.respond(&mut stream, second, 2).await;
     assert_eq!(waiting.await.unwrap(), Some(2));
     // What was answered is not answered again by a further answer.
     let next = asking(&links, &peer, 3);
     let (third, _) = peer.question(&mut stream).await;
-    peer.answer(&mut stream, second, 77).await;
-    peer.answer(&mut stream, third, 3).await;
+    peer.respond(&mut stream, second, 77).await;
+    peer.respond(&mut stream, third, 3).await;
     assert_eq!(next.await.unwrap(), Some(3));
 }
 
@@ -173,8 +173,8 @@
     let (second, version) = peer.question(&mut stream).await;
     assert_eq!(version, 2, "the first question is not sent again");
     // The answer to the former connection's question comes on this one.
-    peer.answer(&mut stream, first, 77).await;
-    peer.answer(&mut stream, second, 2).await;
+    peer.respond(&mut stream, first, 77).await;
+    peer.respond(&mut stream, second, 2).await;
     assert_eq!(next.await.unwrap(), Some(2));
 }
 
--- a/router/tests/operator_pages.rs
+++ b/router/tests/operator_pages.rs
@@ -67,7 +67,7 @@
         let address = SocketAddrV4::new([10, 2, 0, at as u8].into(), 8080);
         register_at(&fleet, at, address, 1, phase);
     }
-    mark_silent(&fleet, 1);
+    mark_unresponsive(&fleet, 1);
     fleet.observe_leader(Some((1, replica(1))));
     (fleet, handle)
 }
--- a/router/tests/orders.rs
+++ b/router/tests/orders.rs
@@ -146,7 +146,7 @@
 async fn orders_backend_without_heartbeats() {
     let backend = ModelBackend::start(1).await;
     let (fleet, handle) = leader(&[backend.address]);
-    mark_silent(&fleet, 0);
+    mark_unresponsive(&fleet, 0);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
     let orders = tokio::spawn(RolloutController::new(fleet, handle, client).run());
     let brought = async {
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -198,7 +198,7 @@
     let answered = async |request| {
         service
             .clone()
-            .answer(request)
+            .handle(request)
             .await
             .map(|answer| answer.response)
     };
--- a/router/tests/pulls.rs
+++ b/router/tests/pulls.rs
@@ -7,7 +7,7 @@
 use control::state::Position;
 use futures_util::FutureExt;
 use router::fleet::{Fleet, Pull};
-use router::links::{self, Answer, Service};
+use router::links::{self, Reply, Service};
 use router::protocol::{PullRequest, Request, Response};
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,10 +40,10 @@
     })
 }
 
-fn answer_now(fleet: &Arc<Fleet>, request: Request) -> Option<Answer> {
+fn answer_now(fleet: &Arc<Fleet>, request: Request) -> Option<Reply> {
     fleet
         .clone()
-        .answer(request)
+        .handle(request)
         .now_or_never()
         .map(|answer| answer.expect("an answer"))
 }
@@ -62,14 +62,14 @@
 async fn limits_full_responses_in_memory() {
     let router = Router::start(&[]).await;
     large_configuration(&router.fleet);
-    let mut held: Vec<Answer> = Vec::new();
+    let mut held: Vec<Reply> = Vec::new();
     while let Some(answer) = answer_now(&router.fleet, asks(held.len() as u64, None, 0)) {
         assert!(matches!(&answer.response, Response::Pulled(pulled) if pulled.state.is_some()));
         held.push(answer);
         assert!(held.len() < 12, "there is a bound");
     }
     assert!(held.len() >= 4, "and it lets some through: {}", held.len());
-    let mut waiting = router.fleet.clone().answer(asks(100, None, 0));
+    let mut waiting = router.fleet.clone().handle(asks(100, None, 0));
     assert!((&mut waiting).now_or_never().is_none());
     // An answer was written.
     drop(held.pop());
@@ -80,7 +80,7 @@
 async fn full_responses_do_not_delay_updates() {
     let router = Router::start(&[]).await;
     large_configuration(&router.fleet);
-    let mut held: Vec<Answer> = Vec::new();
+    let mut held: Vec<Reply> = Vec::new();
     while let Some(answer) = answer_now(&router.fleet, asks(held.len() as u64, None, 0)) {
         held.push(answer);
     }
@@ -108,7 +108,7 @@
                 .vector
                 .insert(control::directory::Origin(1), u64::MAX);
             request.epoch = u64::MAX;
-            fleet.clone().answer(Request::Pull(request))
+            fleet.clone().handle(Request::Pull(request))
         })
         .collect();
     for answer in &mut waiting {
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -205,7 +205,7 @@
         wait_ms: 0,
         missing: Vec::new(),
     });
-    fleet.clone().answer(request).await.expect("an answer");
+    fleet.clone().handle(request).await.expect("an answer");
 }
 
 fn vector_of(fleet: &Fleet) -> VersionVector {
