--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,6 +1,6 @@
-//! A router of the fleet: it takes requests of clients and sends them to backends, keeps the
-//! fleet's control state together with the other routers, and takes the calls of operators and
-//! backends.
+//! A router of the fleet. It forwards clients' requests to backends ([`proxy`]), replicates the
+//! fleet's control state together with the other routers ([`fleet`], [`replica`], [`membership`]),
+//! rolls out weights ([`weights`]), and serves operators and backends ([`control_api`]).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/router/src/proxy/attempt.rs
+++ b/router/src/proxy/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::backend::{Backend, InFlightGuard};
 use super::cache_salt::salt;
-use super::connection::{Connection, Failure};
+use super::connection::{Connection, SendError};
 use super::headers;
 use super::response::ReceivedResponse;
 use crate::clock;
@@ -17,6 +17,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::Instant;
 
 /// Time limit of connecting to a backend.
@@ -113,11 +114,13 @@
 }
 
 /// Why an attempt brought no response that may be passed on.
-#[derive(Debug, Clone, PartialEq)]
+#[derive(Debug, Clone, PartialEq, Error)]
 pub enum AttemptError {
     /// The backend could not be reached, or nothing was written: the request was not executed.
+    #[error("the backend could not be reached")]
     NotSent,
     /// The backend rejected the request without executing it.
+    #[error("the backend rejected the request")]
     Rejected {
         /// The backend's Retry-After, in seconds.
         retry_after: Option<f64>,
@@ -125,9 +128,11 @@
         misdirected: bool,
     },
     /// The connection or the response is broken; the request may have been executed.
+    #[error("the connection or the response is broken")]
     Broken,
     /// The attempt was cancelled because the backend's weights became too old for the request to
     /// start there. The request may have been executed.
+    #[error("the backend's weights became too old")]
     Withdrawn,
 }
 
@@ -194,8 +199,8 @@
         Ok(response) => response,
         Err(failure) => {
             record_send_failure(&backend, idle_time);
-            sent.set(failure == Failure::MayHaveExecuted);
-            return Err(if failure == Failure::NotWritten {
+            sent.set(failure == SendError::MayHaveExecuted);
+            return Err(if failure == SendError::NotWritten {
                 AttemptError::NotSent
             } else {
                 AttemptError::Broken
--- a/router/src/proxy/connection.rs
+++ b/router/src/proxy/connection.rs
@@ -16,16 +16,19 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::task::{Context, Poll};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
 /// Why a request got no response on a connection.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Failure {
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum SendError {
     /// No byte was written: the request was not executed.
+    #[error("nothing was written to the backend")]
     NotWritten,
     /// The request may have been executed.
+    #[error("the connection failed after the request was written")]
     MayHaveExecuted,
 }
 
@@ -147,7 +150,7 @@
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Failure> {
+    ) -> Result<Response<Incoming>, SendError> {
         let before = self.written.load(Ordering::Relaxed);
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
@@ -155,9 +158,9 @@
                 let unsent = error.take_message().is_some();
                 let wrote = self.written.load(Ordering::Relaxed) > before;
                 Err(if unsent || !wrote {
-                    Failure::NotWritten
+                    SendError::NotWritten
                 } else {
-                    Failure::MayHaveExecuted
+                    SendError::MayHaveExecuted
                 })
             }
         }
--- a/router/src/proxy/forwarder.rs
+++ b/router/src/proxy/forwarder.rs
@@ -28,6 +28,7 @@
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::Instant;
 
 /// The header in which a backend states its instance id.
@@ -46,14 +47,16 @@
 const SELECTION_WAIT_DIVISOR: u32 = 5;
 
 /// Why a request has no response.
-#[derive(Debug, Clone, Copy, PartialEq)]
+#[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum ForwardError {
     /// The request was not executed and will not be. The client may retry.
+    #[error("the request was not executed; retry after {retry_after} s")]
     NotExecuted {
         /// When to retry, in seconds.
         retry_after: f64,
     },
     /// The request may have been executed.
+    #[error("the request failed and may have been executed")]
     MayHaveExecuted {
         /// Whether the deadline passed.
         timed_out: bool,
--- a/router/src/proxy/in_flight.rs
+++ b/router/src/proxy/in_flight.rs
@@ -102,7 +102,7 @@
                             self.history.executions < self.request.route.attempts
                         }
                         Ok(response) => return Ok(self.finish(response)),
-                        Err(ended) => self.record_failed_attempt(ended),
+                        Err(error) => self.record_failed_attempt(error),
                     };
                     if self.attempts_in_flight.is_empty() && !(may_continue && self.retry().await) {
                         return self.finish_without_response(false);
@@ -211,9 +211,9 @@
     }
 
     /// Records a failed attempt. Returns whether the request may be sent again.
-    fn record_failed_attempt(&mut self, ended: AttemptError) -> bool {
+    fn record_failed_attempt(&mut self, error: AttemptError) -> bool {
         let route = &self.request.route;
-        match ended {
+        match error {
             AttemptError::NotSent => {
                 self.history.executions -= 1;
                 self.history.rejections += 1;
--- a/router/tests/abandoned_requests.rs
+++ b/router/tests/abandoned_requests.rs
@@ -1,13 +1,12 @@
-//! Requests that are given up while they are held up on their way to a backend.
+//! Requests that are abandoned while they are delayed on their way to a backend.
 //!
-//! Story: a backend began a request, seconds after its client had left. The way to the backend had
-//! been cut when the request was sent; once it had healed, the system of the router's machine sent
-//! on what it still held, and the end of the connection behind it. Seen before as "a backend begins
-//! what its caller has withdrawn"; the same cause as late orders for weights: what is given up here
-//! is not thereby taken back.
+//! Incident: a backend started a request seconds after its client had disconnected. The network
+//! path to the backend had been partitioned when the request was sent. Once it had healed, the
+//! kernel of the router's machine delivered the buffered bytes and then closed the connection. Late
+//! orders for weights had the same cause: abandoning a call here does not revoke its bytes.
 //!
-//! Evidence: a way that holds bytes up, and drops them only where their sender has reset the
-//! connection, delivered the whole request.
+//! Evidence: a path that delays bytes, and drops them only if the sender has reset the connection,
+//! delivered the complete request.
 
 mod common;
 
--- a/router/tests/client_disconnects.rs
+++ b/router/tests/client_disconnects.rs
@@ -1,14 +1,13 @@
-//! Story: backends went on with the work of clients that had left. In one case a client closed its
-//! connection 0.08 s after its request, the router sent a copy to a second backend 0.19 s later,
-//! passed on the first answer that came, and the run ended in full, 1.2 s after nobody was there to
-//! read it.
+//! Incident: backends continued the work of disconnected clients. In one case a client closed its
+//! connection 0.08 s after its request, the router sent a hedge to a second backend 0.19 s later,
+//! relayed the first response, and the execution ended 1.2 s after nobody was there to read it.
 //!
-//! Evidence: with every read of clients' sockets logged, the end of the connection was read at once
-//! in each of 784 such cases, and in none was the request's own task ended. Cause: the server
-//! library ends the connection's future by an error and then polls it once more, to shut it down in
-//! order; that goes on with the request as if its client were there. What is abandoned had to be
-//! found out by a write that fails, or by the deadline. The test that stood for this waited for
-//! longer than the deadline.
+//! Evidence: with every read of client sockets logged, the end of the connection was read
+//! immediately in each of 784 such cases, and in none was the request's task cancelled. Cause: the
+//! HTTP server library ends the connection's future with an error and then polls it once more for
+//! an orderly shutdown, which continues the request. An abandoned request was only detected by a
+//! failing write or by the deadline. The former test of this behaviour waited for longer than the
+//! deadline.
 
 mod common;
 
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -1,5 +1,4 @@
-//! A router's interface for clients on loopback, before stand-ins of backends that speak the
-//! published protocol.
+//! A router's client interface on loopback, with fake backends that speak the published protocol.
 #![allow(dead_code)] // each test program uses its share
 
 pub mod model_backend;
--- a/router/tests/common/model_backend.rs
+++ b/router/tests/common/model_backend.rs
@@ -1,7 +1,7 @@
-//! A stand-in of a model backend that takes orders as the published protocol says: a fencing token
-//! that is lower than one it has seen is refused, and so is an order that expects another count of
-//! taken orders. Whatever else comes is done, also an order for an older version. The way to it can
-//! lose the answer to an order and bring the order itself later.
+//! A fake model backend that accepts orders by the published protocol: it rejects an order with a
+//! lower fencing token than one it has seen, and an order conditional on another number of accepted
+//! orders. It carries out all others, including orders for an older version. The path to it can
+//! lose the response to an order, and deliver the order itself later.
 
 use super::{answer, header, read_request, success};
 use serde_json::Value;
--- a/router/tests/delayed_orders.rs
+++ b/router/tests/delayed_orders.rs
@@ -1,18 +1,18 @@
-//! Orders for new weights that were given up and arrive late, and backends that have older weights
+//! Orders for new weights that were abandoned and arrive late, and backends that have older weights
 //! again.
 //!
-//! Story: at the end of a day a fifth of the backends had an older version of their weights, and a
-//! tenth of the requests was refused. All of them had taken the order for the newest version
-//! seconds before, and had begun to serve it. An order for the version before had got no answer in
-//! time from each of them: it was on its way all the while, arrived when the newer one was done,
-//! and took the backend back. Nobody ordered it anew, and all routers went on to ask it for the
-//! newest version, which it turned away.
+//! Incident: at the end of a day a fifth of the backends had an older version of their weights, and
+//! a tenth of the requests was rejected. All of these backends had accepted the order for the
+//! latest version seconds before, and had begun to serve it. The order for the previous version had
+//! got no response in time: it was in transit all the while, arrived when the newer one was
+//! completed, and rolled the backend back. No order was repeated, and all routers went on to
+//! request the latest version, which the backend rejected.
 //!
-//! Evidence: in each of three rounds the backends that went back (18, 23 and 21) were among those
-//! whose last order but one had got no answer, and no other backend went back; under one fencing
-//! token, and without any restart. Figures counted each of them as having the newest version to the
-//! end of the day: that an order is done outranked what heartbeats tell, and a router's own record
-//! of a backend's version could only rise.
+//! Evidence: in each of three rounds the backends that were rolled back (18, 23 and 21) were among
+//! those whose last order but one had got no response, and no other backend was; under one fencing
+//! token, and without any restart. The metrics counted each of them as having the latest version to
+//! the end of the day: a completed order outranked heartbeats, and a router's own record of a
+//! backend's version could only rise.
 
 mod common;
 
--- a/router/tests/disk.rs
+++ b/router/tests/disk.rs
@@ -1,5 +1,4 @@
-//! The data directory and the settings file: what is found again, and what is said of what can't be
-//! used.
+//! The data directory and the settings file: recovery, and errors for invalid contents.
 
 use control::changes::Change;
 use control::state::{Position, Update};
--- a/router/tests/failures.rs
+++ b/router/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Backends that fail requests while they say that they are well, and connections that they forget.
+//! Backends that fail requests while they report to be healthy, and stale connections.
 
 mod common;
 
--- a/router/tests/frames.rs
+++ b/router/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between routers: what was written is read, and what is no frame is refused.
+//! Frames between routers: encoding and decoding, and rejection of invalid bytes.
 
 use assert_matches::assert_matches;
 use router::frame::{encode, read_frame, write_frame};
--- a/router/tests/kv_stores.rs
+++ b/router/tests/kv_stores.rs
@@ -1,4 +1,4 @@
-//! Stores of kept prompts, as routers hear of them.
+//! Availability of KV stores, as routers observe it.
 
 use control::configuration::KvStore;
 use router::kv_stores::KvStores;
--- a/router/tests/links.rs
+++ b/router/tests/links.rs
@@ -1,5 +1,5 @@
-//! Questions between routers: each answer reaches the one who asked, whatever comes late, twice,
-//! unasked or not at all.
+//! Calls between routers: each response reaches its caller, whatever is late, duplicated,
+//! unsolicited or missing.
 
 use control::changes::{Change, Outcome, Rejection};
 use router::frame::{read_frame, write_frame};
--- a/router/tests/metrics.rs
+++ b/router/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The page of figures: what it counts, and that each figure is one line of its own.
+//! The metrics page: what it counts, and its format.
 
 mod common;
 
--- a/router/tests/observed_weights.rs
+++ b/router/tests/observed_weights.rs
@@ -1,4 +1,4 @@
-//! What a router knows of a backend's weights, whatever the order in which it hears of them.
+//! The versions that a router observes at a backend, in any order of observations.
 
 use control::directory::{Backend, BackendPhase, Order, OrderPhase};
 use router::proxy::observed_weights::ObservedWeights;
--- a/router/tests/operator_pages.rs
+++ b/router/tests/operator_pages.rs
@@ -1,5 +1,5 @@
-//! The pages that operators and their tools read stay as they were: the names on the metrics page,
-//! the JSON of the status call, and the answers of the control API.
+//! The interfaces of operators and their tools are stable: metric names, the JSON of the status
+//! report, and the responses of the control API.
 
 mod common;
 
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -1,4 +1,4 @@
-//! Requests with prompts: where they go, and what their sends tell backends about kept parts.
+//! Requests with prompts: backend selection, and the KV cache transfers that attempts ask for.
 
 mod common;
 
--- a/router/tests/proxy.rs
+++ b/router/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! Requests of clients before backends that answer, turn away, break off, hang and mix up.
+//! Forwarding to backends that respond, reject, break off, hang, or mix up responses.
 
 mod common;
 
--- a/router/tests/published.rs
+++ b/router/tests/published.rs
@@ -1,4 +1,4 @@
-//! The committed state as routers pass it on: answers that come late or twice change nothing.
+//! Propagation of the committed state: late and duplicate updates change nothing.
 
 use control::changes::Change;
 use control::state::{ControlState, Position, Update};
--- a/router/tests/pulls.rs
+++ b/router/tests/pulls.rs
@@ -1,4 +1,4 @@
-//! Pulls of many routers at the same moment.
+//! Simultaneous pulls of many routers.
 
 mod common;
 
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of backends: where they are sent, and what they change.
+//! Heartbeats of backends: their destinations and effects.
 
 use control::Millis;
 use control::directory::{
--- a/router/tests/response_isolation.rs
+++ b/router/tests/response_isolation.rs
@@ -1,6 +1,6 @@
-//! What crosses on a connection to a backend: an answer before the body was read, bytes that belong
-//! to no request, a backend's failure while a copy is pending, and a stream that outlasts its
-//! route's time.
+//! Responses that get out of step: one that comes before the request body was read, bytes that
+//! belong to no request, a failure while a hedge is in flight, and a stream that outlasts the
+//! deadline of its route.
 
 mod common;
 
--- a/router/tests/rollout.rs
+++ b/router/tests/rollout.rs
@@ -1,12 +1,12 @@
-//! Bringing new weights to backends of which some do not answer.
+//! Rollout of new weights to backends of which some are unresponsive.
 //!
-//! Story: a version was named, and one sound backend got its first order 6.6 s later, after
-//! requests must not begin on older weights any more. Three others had crashed or did not answer.
+//! Incident: a version was announced, and one healthy backend got its first order 6.6 s later,
+//! after the deadline of the rollout. Three others had crashed or were unresponsive.
 //!
-//! Evidence: the log of orders. Two or three orders are given at a time. Those that did not answer
-//! were asked again before others had been asked once, as backends were taken by their ids; and a
-//! backend that crashed after it had taken its order kept its place for 4 s, so that for two
-//! seconds nobody got an order.
+//! Evidence: the log of orders. Two or three orders are sent at a time. Unresponsive backends got a
+//! second order before others had got their first, as backends were ordered by id; and a backend
+//! that crashed after accepting its order occupied a slot for 4 s, so that for two seconds no order
+//! was sent.
 
 mod common;
 
--- a/router/tests/weights_deadline.rs
+++ b/router/tests/weights_deadline.rs
@@ -1,11 +1,11 @@
-//! Until when requests may begin on older weights, as several routers see it.
+//! The time until which requests may start on older weights, as several routers observe it.
 //!
-//! Story: a version of some weights is acknowledged, and requests must not begin on an older one
-//! some seconds later. A router that heard of it late, as it had been cut off or had just started,
-//! still sent requests to a backend with the old weights after that time.
+//! Incident: a version of some weights is acknowledged, and some seconds later requests must not
+//! start on an older one. A router that learned of it late, as it had been partitioned or had just
+//! started, still sent requests to a backend with the old weights after that time.
 //!
-//! Evidence: the time was counted from the first request after the router had heard of the version.
-//! Cause: news told what was named, and not how long ago.
+//! Evidence: the time was counted from the first request after the router had learned of the
+//! version. Cause: updates contained the announced version, but not its age.
 
 mod common;
 
--- a/router/tests/wire_format.rs
+++ b/router/tests/wire_format.rs
@@ -1,8 +1,8 @@
-//! Bytes between routers and on their disks stay as they were: another version of the program sends
+//! The bytes between routers and on their disks are stable: another version of the program sends
 //! and stores the same.
 //!
-//! The fixtures were written by the program as it was before its types were renamed. Each line is
-//! the name of a sample and its bytes in hexadecimal digits.
+//! The fixtures were written by the program before its types were renamed. Each line is the name of
+//! a sample and its bytes in hexadecimal digits.
 
 use control::changes::{Change, Outcome, Rejection};
 use control::digest::{Range, Summary};
--- /dev/null
+++ b/routing/tests/hedging.rs
@@ -0,0 +1,39 @@
+//! When requests are hedged, and how many are.
+
+use routing::hedging::{HedgeBudget, Pace};
+
+const MS: u64 = 1_000_000;
+
+#[test]
+fn hedge_delay_follows_recent_p95() {
+    let mut pace = Pace::starting(1_000 * MS);
+    assert_eq!(pace.p95, 300.0 * MS as f64);
+    for took in 1..=100 {
+        pace.add(took * MS);
+    }
+    assert_eq!(
+        pace.p95,
+        96.0 * MS as f64,
+        "of the last 96 answers: 5 to 100 ms"
+    );
+    for _ in 0..96 {
+        pace.add(7 * MS);
+    }
+    assert_eq!(pace.p95, 7.0 * MS as f64, "what is older is forgotten");
+}
+
+#[test]
+fn hedges_stay_under_ten_percent() {
+    let mut budget = HedgeBudget::default();
+    let (mut sent, mut hedged) = (0, 0);
+    for _ in 0..10_000 {
+        budget.deposit();
+        sent += 1;
+        // Every send is slow.
+        if budget.is_available() {
+            budget.withdraw();
+            hedged += 1;
+        }
+    }
+    assert!(hedged <= sent / 10 + 1, "{hedged} hedges of {sent}");
+}
--- a/routing/tests/stable_hashes.rs
+++ b/routing/tests/stable_hashes.rs
@@ -1,5 +1,5 @@
-//! Keys and owners that every router of a fleet has to compute alike, also while a fleet runs two
-//! versions of the program: their values are pinned.
+//! Hashes that all routers of a fleet have to compute alike, also while two versions of the program
+//! run: their values are pinned.
 
 use routing::hash_ring::HashRing;
 use routing::prefix_index::PrefixKey;
