--- a/router/src/control_api.rs
+++ b/router/src/control_api.rs
@@ -1,7 +1,7 @@
-//! The control interface: heartbeats of backends, calls of operators.
+//! The control API: heartbeats of backends and operators' calls.
 
 use crate::fleet::Fleet;
-use crate::protocol::MOST_HOPS;
+use crate::protocol::MAX_HOPS;
 use crate::sync::lock;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -13,21 +13,21 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// The longest configuration.
-const LONGEST_CONFIGURATION: usize = 8 << 20;
-/// The longest other body.
-const LONGEST_BODY: usize = 64 << 10;
-/// The header that names the version that a configuration builds on.
+/// Maximum size of a configuration.
+const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
+/// Maximum size of any other body.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// The header with the version that a new configuration is based on.
 const BASE_VERSION: &str = "x-base-version";
-/// When to come back where nobody can tell what became of a call.
+/// Retry-After of calls without a known outcome, in seconds.
 const RETRY_AFTER: &str = "0.2";
 
-/// The control interface of a router.
+/// The endpoint of the control API.
 pub struct ControlApi {
     fleet: Arc<Fleet>,
 }
 
-/// A heartbeat as a backend sends it.
+/// A heartbeat as backends send it.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Heartbeat {
@@ -57,7 +57,7 @@
 }
 
 impl ControlApi {
-    /// The interface of a router.
+    /// Creates the endpoint.
     pub fn new(fleet: Arc<Fleet>) -> Self {
         ControlApi { fleet }
     }
@@ -67,22 +67,22 @@
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
         match (request.method().clone(), &parts[..]) {
             (Method::POST, ["v1", "instances", id, "heartbeat"]) => {
-                let body = read_body(&mut request, LONGEST_BODY).await;
+                let body = read_body(&mut request, MAX_BODY_BYTES).await;
                 self.heartbeat(id, body).await
             }
             (Method::POST, ["v1", "instances", id, "deregister"]) => self.deregister(id).await,
             (Method::POST, ["v1", "configuration", "replace"]) => {
                 let base = base_version(request.headers());
-                let body = read_body(&mut request, LONGEST_CONFIGURATION).await;
+                let body = read_body(&mut request, MAX_CONFIGURATION_BYTES).await;
                 self.replace_configuration(base, body).await
             }
             (Method::GET, ["v1", "configuration", "read"]) => self.read_configuration().await,
             (Method::POST, ["v1", "version-put"]) => {
-                let body = read_body(&mut request, LONGEST_BODY).await;
+                let body = read_body(&mut request, MAX_BODY_BYTES).await;
                 self.put_version(body).await
             }
             (Method::GET, ["v1", "status"]) => self.status(),
-            _ => problem(
+            _ => error_response(
                 StatusCode::NOT_FOUND,
                 "there is no such call; the operators' page lists them",
             ),
@@ -96,10 +96,10 @@
         let json = &mut serde_json::Deserializer::from_slice(&body);
         let heartbeat: Heartbeat = match serde_path_to_error::deserialize(json) {
             Ok(heartbeat) => heartbeat,
-            Err(found) => {
-                return problem(
+            Err(error) => {
+                return error_response(
                     StatusCode::BAD_REQUEST,
-                    &format!("{}: {}", found.path(), found.inner()),
+                    &format!("{}: {}", error.path(), error.inner()),
                 );
             }
         };
@@ -135,9 +135,9 @@
 
     async fn deregister(&self, id: &str) -> Response {
         let key = Key::Backend(id.into());
-        let held = match lock(&self.fleet.directory).get(&key) {
+        let current = match lock(&self.fleet.directory).get(&key) {
             Some(Value::Backend(backend)) => backend.clone(),
-            // Nobody here knows it, so nobody sends it anything.
+            // No node here knows the backend, so none sends it requests.
             _ => Backend {
                 service: CompactString::default(),
                 address: SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0),
@@ -153,7 +153,7 @@
         let gone = Backend {
             phase: BackendPhase::Gone,
             sequence: u64::MAX,
-            ..held
+            ..current
         };
         match self.fleet.register(id.into(), gone).await {
             Some(_) => json_answer(StatusCode::OK, serde_json::json!({})),
@@ -166,7 +166,7 @@
             return incomplete();
         };
         let Some(base) = base else {
-            return problem(
+            return error_response(
                 StatusCode::BAD_REQUEST,
                 "X-Base-Version is missing or no whole number: name the version in force",
             );
@@ -190,28 +190,30 @@
                 })
                 .await
             }
-            Err(found) => problem(StatusCode::BAD_REQUEST, &found.to_string()),
+            Err(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
         }
     }
 
     async fn change(&self, change: Change) -> Response {
-        match self.fleet.submit(change, MOST_HOPS).await {
+        match self.fleet.submit(change, MAX_HOPS).await {
             Outcome::Committed => json_answer(StatusCode::OK, serde_json::json!({})),
             Outcome::Rejected(Rejection::VersionConflict { current }) => {
                 let text = format!("version {current} is in force: build on it");
-                problem(StatusCode::PRECONDITION_FAILED, &text)
+                error_response(StatusCode::PRECONDITION_FAILED, &text)
+            }
+            Outcome::Rejected(Rejection::Invalid(text)) => {
+                error_response(StatusCode::BAD_REQUEST, &text)
             }
-            Outcome::Rejected(Rejection::Invalid(text)) => problem(StatusCode::BAD_REQUEST, &text),
             Outcome::Unknown => unavailable(),
         }
     }
 
     async fn read_configuration(&self) -> Response {
-        match self.fleet.read_configuration(MOST_HOPS).await {
+        match self.fleet.read_configuration(MAX_HOPS).await {
             Some(Some(body)) => Response::builder()
                 .content_type("application/json")
                 .body(body),
-            Some(None) => problem(
+            Some(None) => error_response(
                 StatusCode::NOT_FOUND,
                 "there is no configuration yet: send the first one",
             ),
@@ -253,19 +255,19 @@
         .body(Body::from_string(value.to_string()))
 }
 
-fn problem(status: StatusCode, text: &str) -> Response {
+fn error_response(status: StatusCode, text: &str) -> Response {
     json_answer(status, serde_json::json!({"error": text}))
 }
 
 fn incomplete() -> Response {
-    problem(
+    error_response(
         StatusCode::BAD_REQUEST,
         "the body did not come whole, or is too long: send it again",
     )
 }
 
 fn unavailable() -> Response {
-    let mut response = problem(
+    let mut response = error_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "no majority of the control state can be reached from here: ask again, or ask another node",
     );
--- a/router/src/fleet/prefixes.rs
+++ b/router/src/fleet/prefixes.rs
@@ -1,4 +1,4 @@
-//! Answering prefix lookups as the owner of a prefix.
+//! Answers prefix lookups as the owner of a prefix.
 
 use super::Fleet;
 use crate::clock;
@@ -6,31 +6,34 @@
 use compact_str::CompactString;
 use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
 
-/// A question to an owner.
+/// A lookup of a prefix at its owner.
 #[derive(Debug, Clone)]
-pub struct Question {
+pub struct PrefixLookup {
     /// The prefix.
     pub key: PrefixKey,
-    /// Where the request would go if the prefix is kept nowhere.
+    /// The backend that the request would go to if the prefix is cached nowhere.
     pub planned: Placement,
-    /// Whether the prefix is worth saving at the store.
-    pub wants_save: bool,
+    /// Whether the prefix is worth saving to the KV store.
+    pub should_save: bool,
 }
 
 impl Fleet {
-    /// Answers as the owner of a prefix.
-    pub fn locate(&self, question: &Question) -> PrefixLocation {
-        let generation = self.stores.of(question.key).map(|store| store.generation);
-        let Question {
+    /// Looks up a prefix that this router owns.
+    pub fn look_up_prefix(&self, lookup: &PrefixLookup) -> PrefixLocation {
+        let generation = self
+            .stores
+            .store_for(lookup.key)
+            .map(|store| store.generation);
+        let PrefixLookup {
             key,
             planned,
-            wants_save,
-        } = question;
-        lock(&self.locations).look_up(*key, planned, *wants_save, generation, clock::now())
+            should_save,
+        } = lookup;
+        lock(&self.locations).look_up(*key, planned, *should_save, generation, clock::now())
     }
 
-    /// A backend keeps these prefixes no more.
-    pub fn take_evicted(&self, backend: &CompactString, prefixes: &[(PrefixKey, u64)]) {
+    /// Records prefixes that a backend evicted.
+    pub fn record_evictions(&self, backend: &CompactString, prefixes: &[(PrefixKey, u64)]) {
         let mut locations = lock(&self.locations);
         for (key, version) in prefixes {
             locations.record_eviction(
@@ -43,8 +46,8 @@
         }
     }
 
-    /// A store keeps these prefixes no more.
-    pub fn take_evicted_from_store(&self, prefixes: &[(PrefixKey, u64)]) {
+    /// Records prefixes that a store evicted.
+    pub fn record_store_evictions(&self, prefixes: &[(PrefixKey, u64)]) {
         let mut locations = lock(&self.locations);
         prefixes
             .iter()
--- a/router/src/kv_stores.rs
+++ b/router/src/kv_stores.rs
@@ -1,103 +1,97 @@
 //! The KV stores of the configuration, and whether each is available.
 
 use crate::protocol::StoreStatus;
+use crate::rendezvous;
 use crate::sync::lock;
 use control::configuration::KvStore;
 use routing::prefix_index::PrefixKey;
 use std::collections::BTreeMap;
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddrV4;
 use std::sync::Mutex;
 
-/// Whether a store answers, and which life of it.
+/// Availability of a store, as far as this router knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
-    /// Not heard yet.
+enum StoreState {
+    /// Not known yet.
     Unknown,
-    /// It does not answer.
-    Silent,
-    /// It answers; another generation has lost what the one before kept.
-    Answering { generation: u64 },
+    /// The store does not respond.
+    Unresponsive,
+    /// The store responds. A new generation has lost the contents of the previous one.
+    Available { generation: u64 },
 }
 
-/// A store that answers.
+/// An available store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnsweringStore {
-    /// Where it is.
+pub struct AvailableStore {
+    /// Address of the store.
     pub address: SocketAddrV4,
-    /// Its life.
+    /// Generation of its contents.
     pub generation: u64,
 }
 
-/// The stores of the configuration.
+/// Availability of the stores in the configuration.
 #[derive(Default)]
-pub struct Stores {
-    stores: Mutex<BTreeMap<SocketAddrV4, State>>,
+pub struct KvStores {
+    stores: Mutex<BTreeMap<SocketAddrV4, StoreState>>,
 }
 
-impl Stores {
-    /// The store that keeps a prefix: each prefix has one of those that answer.
-    pub fn of(&self, key: PrefixKey) -> Option<AnsweringStore> {
+impl KvStores {
+    /// The store responsible for a prefix: one of the available ones, by rendezvous hashing.
+    pub fn store_for(&self, key: PrefixKey) -> Option<AvailableStore> {
         let stores = lock(&self.stores);
-        let answering = stores.iter().filter_map(|(address, state)| match state {
-            State::Answering { generation } => Some(AnsweringStore {
+        let available = stores.iter().filter_map(|(address, state)| match state {
+            StoreState::Available { generation } => Some(AvailableStore {
                 address: *address,
                 generation: *generation,
             }),
             _ => None,
         });
-        answering.max_by_key(|store| place(&(key, store.address)))
+        available.max_by_key(|store| rendezvous::score(&(key, store.address)))
     }
 
-    /// What this router knows of a store.
+    /// The status of a store, if it is known.
     pub fn status(&self, address: SocketAddrV4) -> Option<StoreStatus> {
         match lock(&self.stores).get(&address)? {
-            State::Unknown => None,
-            State::Silent => Some(StoreStatus { generation: None }),
-            State::Answering { generation } => Some(StoreStatus {
+            StoreState::Unknown => None,
+            StoreState::Unresponsive => Some(StoreStatus { generation: None }),
+            StoreState::Available { generation } => Some(StoreStatus {
                 generation: Some(*generation),
             }),
         }
     }
 
-    /// The one place where what is known of a store changes.
-    fn enter(&self, address: SocketAddrV4, state: State) {
+    /// Records a state; changes are logged.
+    fn set_state(&self, address: SocketAddrV4, state: StoreState) {
         let former = lock(&self.stores).insert(address, state);
         if former != Some(state) {
             log::debug!("store {address}: {state:?}");
         }
     }
 
-    /// A store answers, in this generation.
-    pub fn answers(&self, address: SocketAddrV4, generation: u64) {
-        self.enter(address, State::Answering { generation });
+    /// Records that a store responds in a generation.
+    pub fn mark_available(&self, address: SocketAddrV4, generation: u64) {
+        self.set_state(address, StoreState::Available { generation });
     }
 
-    /// A store has stopped to answer.
-    pub fn is_unresponsive(&self, address: SocketAddrV4) {
-        self.enter(address, State::Silent);
+    /// Records that a store does not respond.
+    pub fn mark_unresponsive(&self, address: SocketAddrV4) {
+        self.set_state(address, StoreState::Unresponsive);
     }
 
-    /// Takes what another router knows of a store.
-    pub fn take_status(&self, address: SocketAddrV4, status: StoreStatus) {
+    /// Applies the status that another router reported.
+    pub fn apply_status(&self, address: SocketAddrV4, status: StoreStatus) {
         match status.generation {
-            Some(generation) => self.answers(address, generation),
-            None => self.is_unresponsive(address),
+            Some(generation) => self.mark_available(address, generation),
+            None => self.mark_unresponsive(address),
         }
     }
 
-    /// Takes the stores of the configuration.
-    pub fn resettle(&self, wanted: &BTreeMap<SocketAddrV4, KvStore>) {
+    /// Replaces the set of stores by that of a configuration.
+    pub fn reconfigure(&self, wanted: &BTreeMap<SocketAddrV4, KvStore>) {
         let mut stores = lock(&self.stores);
         stores.retain(|address, _| wanted.contains_key(address));
         for address in wanted.keys() {
-            stores.entry(*address).or_insert(State::Unknown);
+            stores.entry(*address).or_insert(StoreState::Unknown);
         }
     }
 }
-
-fn place(thing: &impl Hash) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    thing.hash(&mut hasher);
-    hasher.finish()
-}
--- a/router/src/proxy/attempt.rs
+++ b/router/src/proxy/attempt.rs
@@ -1,10 +1,10 @@
-//! One send of a request to one backend, up to the start of its answer.
+//! One attempt: sending a request to one backend, up to the head of its response.
 
-use super::answer::Answer;
-use super::backend::{Backend, Outstanding};
-use super::connection::{Connection, Failure};
+use super::backend::{Backend, InFlightGuard};
+use super::cache_salt::salt;
+use super::connection::{Connection, SendError};
 use super::headers;
-use super::salt::salt;
+use super::response::ReceivedResponse;
 use crate::clock;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -17,129 +17,136 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::Instant;
 
-/// How long a new connection may take.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(1_000);
-/// A reset right after the last answer says more of the backend than of its idle connections.
-const LEAST_REST: Millis = 50;
-/// A connection that is kept ends so long before the backend would close it.
+/// Time limit of connecting to a backend.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Minimum idle time, in milliseconds, after which a reset counts as a stale connection. A reset
+/// right after the previous response is a failure of the backend instead.
+const MIN_STALE_IDLE: Millis = 50;
+/// A pooled connection expires this long before the backend would close it.
 const KEEP_ALIVE_MARGIN_MS: u64 = 500;
 
-/// What a client asked for, as it goes to any backend.
+/// A client's request, as it is sent to any backend.
 #[derive(Debug)]
-pub struct Call {
-    /// The method.
+pub struct UpstreamRequest {
+    /// Request method.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// Path and query of the client, unchanged.
     pub uri: Uri,
-    /// Headers that go along.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
-    /// The id of the client's try.
+    /// Id of the client's attempt.
     pub request_id: String,
     /// When the client stops waiting.
     pub deadline: Instant,
-    /// The prompt, where the request has one.
+    /// Prompt description, if the request has one.
     pub prompt: Option<Prompt>,
-    /// The text under which parts are kept, without the version.
-    pub wall: CompactString,
-    /// Whether the answer is a series of events.
+    /// Namespace of the tenant's prefix cache; see [`CacheSalt`](super::cache_salt::CacheSalt).
+    pub cache_namespace: CompactString,
+    /// Whether the response is an event stream.
     pub streaming: bool,
-    /// Whether it may be sent once more where it may have run.
-    pub is_repeatable: bool,
+    /// Whether the request may be sent again although it may have been executed.
+    pub is_retryable: bool,
 }
 
-/// What a send tells its backend about kept prompts.
+/// KV cache transfers that a backend is asked to make.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Transfer {
-    /// Take missing parts from there.
+pub struct KvTransfer {
+    /// Fetch missing segments from this address.
     pub fetch: Option<SocketAddrV4>,
-    /// Send the parts there once they are read.
+    /// Save the segments to this address after prefill.
     pub save: Option<SocketAddrV4>,
 }
 
-/// How one send differs from another.
+/// Options in which attempts at the same request differ.
 #[derive(Debug, Clone, Default)]
-pub struct Variant {
-    /// The version of weights that the backend is to have.
+pub struct AttemptOptions {
+    /// Version of the weights that the backend is expected to have.
     pub version: Option<u64>,
-    /// Where a stream goes on.
+    /// Id of the last event received, if a stream is resumed.
     pub last_event_id: Option<String>,
-    /// What it tells about stores.
-    pub transfer: Transfer,
-    /// Without the start of an answer for so long, the backend is taken to be at fault.
+    /// KV cache transfers to request.
+    pub kv_transfer: KvTransfer,
+    /// A backend that has not started its response after this time counts as failed.
     pub overdue_after: Duration,
 }
 
-/// The start of an answer that may be passed on.
-pub struct Begun {
-    /// Its head.
+/// The head of a response that may be passed to the client.
+pub struct ResponseStart {
+    /// Headers.
     pub head: HeaderMap,
-    /// Its status.
+    /// Status.
     pub status: StatusCode,
-    /// What is to follow.
-    pub content: Content,
-    /// Where it comes from.
+    /// Body, complete or as a stream.
+    pub content: ResponseBody,
+    /// The backend that sent it.
     pub backend: Arc<Backend>,
-    /// How long it took to come.
+    /// Time from the start of the attempt to the response, or to its end if it was buffered.
     pub took: Duration,
 }
 
-/// The content of an answer.
-pub enum Content {
-    /// All of it.
-    Whole(Bytes),
-    /// Events, of which the first bytes have come.
-    Events(Box<Events>),
+/// The body of a response.
+pub enum ResponseBody {
+    /// A complete body.
+    Buffered(Bytes),
+    /// An event stream whose first bytes have arrived.
+    Stream(Box<EventStream>),
 }
 
-/// A stream of events under way.
-pub struct Events {
-    /// Bytes that have come and were not passed on.
+/// An event stream in progress.
+pub struct EventStream {
+    /// Bytes that arrived and were not passed on yet.
     pub first: Bytes,
-    /// What follows.
+    /// The rest of the body.
     pub rest: Incoming,
-    /// The connection on which they come.
+    /// The connection that carries the body.
     pub connection: Connection,
-    /// Counts the request at its backend.
-    pub outstanding: Outstanding,
-    /// When the connection would end if it were idle from now on.
+    /// Counts the request as in flight at its backend.
+    pub outstanding: InFlightGuard,
+    /// Keep-alive time that the backend announced, in seconds.
     pub keep_alive: Option<u64>,
-    /// Whether the backend closes it behind the answer.
+    /// Whether the backend closes the connection after the response.
     pub closes: bool,
 }
 
-/// How a send ended that brought no answer to pass on.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Ended {
-    /// The backend could not be reached, or nothing was written: it has not run.
+/// Why an attempt brought no response that may be passed on.
+#[derive(Debug, Clone, PartialEq, Error)]
+pub enum AttemptError {
+    /// The backend could not be reached, or nothing was written: the request was not executed.
+    #[error("the backend could not be reached")]
     NotSent,
-    /// The backend turned it away: it has not run.
+    /// The backend rejected the request without executing it.
+    #[error("the backend rejected the request")]
     Rejected {
-        /// The backend's advice, in seconds.
+        /// The backend's Retry-After, in seconds.
         retry_after: Option<f64>,
-        /// It is another incarnation, or has other weights.
+        /// Whether the backend is another instance, or has other weights, than expected.
         misdirected: bool,
     },
-    /// It may have run.
+    /// The connection or the response is broken; the request may have been executed.
+    #[error("the connection or the response is broken")]
     Broken,
-    /// It was withdrawn, as the backend's weights got too old for it to start there. It may have
-    /// run.
+    /// The attempt was cancelled because the backend's weights became too old for the request to
+    /// start there. The request may have been executed.
+    #[error("the backend's weights became too old")]
     Withdrawn,
 }
 
-/// What came of a send.
-pub type Result = std::result::Result<Begun, Ended>;
+/// Outcome of an attempt.
+pub type Result = std::result::Result<ResponseStart, AttemptError>;
 
-/// Whether bytes of a request may have reached a backend. Shared with whoever gives the send up.
+/// Whether a backend may have executed a request. Shared with the owner of the attempt, which reads
+/// it after dropping the attempt.
 #[derive(Debug, Clone, Default)]
-pub struct Sent(Arc<AtomicBool>);
+pub struct ExecutionFlag(Arc<AtomicBool>);
 
-impl Sent {
-    /// Whether the send has come so far that it may run.
-    pub fn may_run(&self) -> bool {
+impl ExecutionFlag {
+    /// Returns whether the attempt has come so far that the backend may execute the request.
+    pub fn may_have_executed(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 
@@ -148,121 +155,140 @@
     }
 }
 
-/// Sends a call to a backend and waits for the start of its answer. A backend that is overdue
-/// without a reason is noted as at fault; it may answer still.
+/// Sends a request to a backend and waits for the head of its response. A backend that is overdue
+/// without reporting a queue is recorded as failed, but its response is still accepted.
 pub async fn send(
-    call: Arc<Call>,
+    upstream_request: Arc<UpstreamRequest>,
     backend: Arc<Backend>,
-    variant: Variant,
-    unread: u64,
-    sent: Sent,
+    options: AttemptOptions,
+    prefill_tokens: u64,
+    sent: ExecutionFlag,
 ) -> Result {
-    let overdue_after = variant.overdue_after;
-    let answered = send_and_judge(call, backend.clone(), variant, unread, sent);
+    let overdue_after = options.overdue_after;
+    let answered = send_and_judge(
+        upstream_request,
+        backend.clone(),
+        options,
+        prefill_tokens,
+        sent,
+    );
     tokio::pin!(answered);
     if let Ok(result) = tokio::time::timeout(overdue_after, &mut answered).await {
         return result;
     }
-    if !backend.load().says_that_requests_wait() {
-        backend.failed();
+    if !backend.load().has_queue() {
+        backend.record_failure();
     }
     answered.await
 }
 
 async fn send_and_judge(
-    call: Arc<Call>,
+    upstream_request: Arc<UpstreamRequest>,
     backend: Arc<Backend>,
-    variant: Variant,
-    unread: u64,
-    sent: Sent,
+    options: AttemptOptions,
+    prefill_tokens: u64,
+    sent: ExecutionFlag,
 ) -> Result {
-    let begun = Instant::now();
-    let outstanding = Outstanding::begin(backend.clone(), unread);
-    let mut connection = connect(&call, &backend).await?;
-    let rested = connection.rested(clock::now());
-    let request = build(&call, &backend, &variant);
+    let started_at = Instant::now();
+    let outstanding = InFlightGuard::begin(backend.clone(), prefill_tokens);
+    let mut connection = connect(&upstream_request, &backend).await?;
+    let idle_time = connection.idle_time(clock::now());
+    let request = build(&upstream_request, &backend, &options);
     sent.set(true);
     let response = match connection.send(request).await {
         Ok(response) => response,
         Err(failure) => {
-            note_failure(&backend, rested);
-            sent.set(failure == Failure::MayHaveRun);
-            return Err(if failure == Failure::NotWritten {
-                Ended::NotSent
+            record_send_failure(&backend, idle_time);
+            sent.set(failure == SendError::MayHaveExecuted);
+            return Err(if failure == SendError::NotWritten {
+                AttemptError::NotSent
             } else {
-                Ended::Broken
+                AttemptError::Broken
             });
         }
     };
-    let expected_version = variant.version;
-    let answer = Answer {
-        call,
+    let expected_version = options.version;
+    let received = ReceivedResponse {
+        upstream_request,
         backend,
         outstanding,
         connection,
-        begun,
+        started_at,
         expected_version,
     };
-    let result = answer.judge(response).await;
-    if matches!(result, Err(Ended::Rejected { .. })) {
+    let result = received.validate(response).await;
+    if matches!(result, Err(AttemptError::Rejected { .. })) {
         sent.set(false);
     }
     result
 }
 
-async fn connect(call: &Call, backend: &Backend) -> std::result::Result<Connection, Ended> {
-    let left = call.deadline.saturating_duration_since(Instant::now());
+async fn connect(
+    upstream_request: &UpstreamRequest,
+    backend: &Backend,
+) -> std::result::Result<Connection, AttemptError> {
+    let left = upstream_request
+        .deadline
+        .saturating_duration_since(Instant::now());
     let connected = backend
-        .connect(left.min(CONNECT_PATIENCE), call.is_repeatable)
+        .connect(left.min(CONNECT_TIMEOUT), upstream_request.is_retryable)
         .await;
-    connected.map_err(|problem| {
-        log::debug!("backend {} can't be reached: {problem}", backend.id);
-        backend.was_out_of_reach();
-        Ended::NotSent
+    connected.map_err(|error| {
+        log::debug!("backend {} can't be reached: {error}", backend.id);
+        backend.record_unreachable();
+        AttemptError::NotSent
     })
 }
 
-/// No answer came on a connection that had rested for so long before the request was sent.
-fn note_failure(backend: &Backend, rested: Millis) {
-    if rested >= LEAST_REST {
-        backend.forgot_connection(rested);
+/// Records a request that got no response, on a connection that was idle for `idle_time` before.
+fn record_send_failure(backend: &Backend, idle_time: Millis) {
+    if idle_time >= MIN_STALE_IDLE {
+        backend.record_stale_connection(idle_time);
     } else {
-        backend.failed();
+        backend.record_failure();
     }
 }
 
-fn build(call: &Call, backend: &Backend, variant: &Variant) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(call.body.clone()));
-    *request.method_mut() = call.method.clone();
-    *request.uri_mut() = call.uri.clone();
-    let mut sent = call.headers.clone();
-    let left = call
+fn build(
+    upstream_request: &UpstreamRequest,
+    backend: &Backend,
+    options: &AttemptOptions,
+) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(upstream_request.body.clone()));
+    *request.method_mut() = upstream_request.method.clone();
+    *request.uri_mut() = upstream_request.uri.clone();
+    let mut sent = upstream_request.headers.clone();
+    let left = upstream_request
         .deadline
         .saturating_duration_since(Instant::now())
         .as_millis()
         .max(1);
     headers::set(&mut sent, headers::DEADLINE_MS, &left.to_string());
     headers::set(&mut sent, headers::EXPECT_INSTANCE, &backend.id);
-    if call.prompt.is_some() {
-        headers::set(&mut sent, headers::SALT, &salt(&call.wall, variant.version));
+    if upstream_request.prompt.is_some() {
+        headers::set(
+            &mut sent,
+            headers::SALT,
+            &salt(&upstream_request.cache_namespace, options.version),
+        );
     }
-    if let Some(version) = variant.version {
+    if let Some(version) = options.version {
         headers::set(&mut sent, headers::EXPECT_VERSION, &version.to_string());
     }
-    if let Some(store) = variant.transfer.fetch {
+    if let Some(store) = options.kv_transfer.fetch {
         headers::set(&mut sent, headers::KV_FETCH, &store.to_string());
     }
-    if let Some(store) = variant.transfer.save {
+    if let Some(store) = options.kv_transfer.save {
         headers::set(&mut sent, headers::KV_SAVE, &store.to_string());
     }
-    if let Some(id) = &variant.last_event_id {
+    if let Some(id) = &options.last_event_id {
         headers::set(&mut sent, headers::LAST_EVENT_ID, id);
     }
     *request.headers_mut() = sent;
     request
 }
 
-/// Keeps a connection whose answer is over, once it is ready for another request.
+/// Returns a connection to the pool after its response, once it is ready for another request.
 pub fn recycle(
     backend: Arc<Backend>,
     mut connection: Connection,
@@ -277,8 +303,8 @@
             clock::now() + (seconds * 1_000).saturating_sub(KEEP_ALIVE_MARGIN_MS);
     }
     tokio::spawn(async move {
-        if connection.becomes_ready().await {
-            backend.keep(connection);
+        if connection.wait_until_ready().await {
+            backend.return_connection(connection);
         }
     });
 }
--- a/router/src/proxy/kept.rs
+++ b/router/src/proxy/cache_watcher.rs
@@ -1,31 +1,31 @@
-//! Reading what backends keep: each backend's events are read by one router of its zone, which
-//! tells the owners of prefixes what has given way.
+//! Watches the prefix caches of backends. One router in the zone of each backend reads its KV
+//! events and notifies the owners of evicted prefixes.
 
-use super::events;
-use super::locator::Locator;
+use super::kv_events;
+use super::prefix_locator::PrefixLocator;
 use crate::fleet::Fleet;
+use crate::rendezvous;
 use crate::sync::lock;
 use compact_str::CompactString;
 use control::directory::{BackendPhase, MemberStatus};
 use std::collections::BTreeMap;
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Time between two looks at which backends this router reads.
+/// Time between two checks which backends this router has to watch.
 const LOOK: Duration = Duration::from_millis(1_000);
-/// Time between two tries at a backend that does not answer.
-const TRY_AGAIN: Duration = Duration::from_millis(1_000);
+/// Time to wait before the events of an unresponsive backend are read again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Keeps reading the backends that fall to this router.
-pub async fn keep_reading(fleet: Arc<Fleet>, locator: Arc<Locator>, client: reqwest::Client) {
+/// Reads the events of the backends that are assigned to this router, for as long as it runs.
+pub async fn run(fleet: Arc<Fleet>, locator: Arc<PrefixLocator>, client: reqwest::Client) {
     let mut tasks: BTreeMap<CompactString, JoinHandle<()>> = BTreeMap::new();
     let mut seen = None;
     loop {
         tokio::time::sleep(LOOK).await;
-        if seen.replace(fleet.changes()) == Some(fleet.changes()) {
+        if seen.replace(fleet.change_count()) == Some(fleet.change_count()) {
             continue;
         }
         let wanted = assigned(&fleet);
@@ -44,8 +44,8 @@
     }
 }
 
-/// The backends with engines whose events this router reads: each has one reader among the routers
-/// of its zone.
+/// The backends whose events this router reads. Each one has one reader among the routers of its
+/// zone, by rendezvous hashing.
 fn assigned(fleet: &Fleet) -> BTreeMap<CompactString, SocketAddrV4> {
     let directory = lock(&fleet.directory);
     let up: Vec<(&CompactString, &CompactString)> = directory
@@ -55,8 +55,11 @@
         .collect();
     let is_assigned = |id: &CompactString, zone: &CompactString| {
         let near = up.iter().filter(|(_, other)| *other == zone);
-        let reader = near.max_by_key(|(name, _)| place(&(id, name)));
-        let reader = reader.or_else(|| up.iter().max_by_key(|(name, _)| place(&(id, name))));
+        let reader = near.max_by_key(|(name, _)| rendezvous::score(&(id, name)));
+        let reader = reader.or_else(|| {
+            up.iter()
+                .max_by_key(|(name, _)| rendezvous::score(&(id, name)))
+        });
         reader.is_some_and(|(name, _)| **name == fleet.settings.node_name)
     };
     let readable = directory.backends().filter(|(_, backend)| {
@@ -67,26 +70,20 @@
         .collect()
 }
 
-fn place(thing: &impl Hash) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    thing.hash(&mut hasher);
-    hasher.finish()
-}
-
 async fn read(
-    locator: Arc<Locator>,
+    locator: Arc<PrefixLocator>,
     id: CompactString,
     address: SocketAddrV4,
     client: reqwest::Client,
 ) {
     loop {
-        let ended = events::follow(address, &client, |_, events| {
-            locator.tell_evicted(&id, &events)
+        let ended = kv_events::follow(address, &client, |_, events| {
+            locator.notify_evictions(&id, &events)
         })
         .await;
-        if let Err(problem) = ended {
-            log::debug!("events of backend {id}: {problem}");
+        if let Err(error) = ended {
+            log::debug!("events of backend {id}: {error}");
         }
-        tokio::time::sleep(TRY_AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- /dev/null
+++ b/router/src/proxy/in_flight.rs
@@ -0,0 +1,332 @@
+//! One request in flight: its first attempt, at most one hedge, retries, and the first response.
+
+use super::attempt::{self, AttemptError, ExecutionFlag, ResponseStart};
+use super::forwarder::{AttemptHistory, ForwardError, ForwardRequest, Forwarder, MAX_REJECTIONS};
+use super::response::is_own_failure;
+use super::selection::SelectedBackend;
+use crate::clock;
+use crate::counters::Event;
+use crate::fleet::PrefixLookup;
+use futures_util::StreamExt;
+use futures_util::stream::FuturesUnordered;
+use routing::admission::InFlightId;
+use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
+use std::time::Duration;
+
+/// Part of the retry budget that hedges leave to retries after failures.
+const RESERVED_FOR_FAILURES: f64 = 0.4;
+/// Retry-After of rejected requests, in seconds.
+const RETRY_AFTER: f64 = 0.15;
+/// Prefixes of fewer tokens are not looked up.
+const MIN_SHARED_TOKENS: u64 = 64;
+/// Minimum ratio of shared tokens for a prefix to be saved: a save transfers the whole prompt to
+/// the store.
+const MIN_SHARED_RATIO_TO_SAVE: f64 = 0.25;
+
+type AttemptFuture<'a> =
+    std::pin::Pin<Box<dyn Future<Output = attempt::Result> + std::marker::Send + 'a>>;
+
+/// A request in flight.
+pub struct InFlightRequest<'a> {
+    forwarder: &'a Forwarder,
+    request: &'a ForwardRequest,
+    history: AttemptHistory,
+    attempts_in_flight: FuturesUnordered<AttemptFuture<'a>>,
+    flags: Vec<ExecutionFlag>,
+    is_hedged: bool,
+    retry_after: Option<f64>,
+    location: Option<PrefixLocation>,
+    admission_id: Option<InFlightId>,
+    /// A backend's own failure, passed to the client if no other attempt succeeds.
+    failure: Option<ResponseStart>,
+}
+
+impl<'a> InFlightRequest<'a> {
+    /// Creates a request without attempts.
+    pub fn new(forwarder: &'a Forwarder, request: &'a ForwardRequest) -> Self {
+        InFlightRequest {
+            forwarder,
+            request,
+            history: AttemptHistory::default(),
+            attempts_in_flight: FuturesUnordered::new(),
+            flags: Vec::new(),
+            is_hedged: false,
+            retry_after: None,
+            location: None,
+            admission_id: None,
+            failure: None,
+        }
+    }
+
+    /// Runs the request until there is a response to pass on, or none can be had.
+    pub async fn run(mut self) -> Result<(ResponseStart, AttemptHistory), ForwardError> {
+        let Some(planned) = self
+            .forwarder
+            .select_with_wait(self.request, &[], None)
+            .await
+        else {
+            return Err(self.abandon(false));
+        };
+        if self.forwarder.should_reject(self.request, &planned) {
+            return Err(ForwardError::NotExecuted {
+                retry_after: overload_retry_after(self.request),
+            });
+        }
+        let selected = self.look_up(planned).await;
+        self.send(selected);
+        self.admission_id = Some(
+            self.forwarder
+                .with_admission(&self.request.service, |admission| {
+                    admission.record_sent(self.request.route.target_latency_ms, clock::now())
+                }),
+        );
+        self.forwarder
+            .with_route_stats(self.request, |route_stats| {
+                route_stats.hedge_budget.deposit()
+            });
+        let hedge_after = self
+            .forwarder
+            .with_route_stats(self.request, |route_stats| route_stats.pace.p95);
+        let hedge = tokio::time::sleep(Duration::from_nanos(hedge_after as u64));
+        tokio::pin!(hedge);
+        let mut may_hedge = self.request.upstream_request.is_retryable;
+        let timed_out = tokio::time::sleep_until(self.request.deadline);
+        tokio::pin!(timed_out);
+        loop {
+            tokio::select! {
+                biased;
+                Some(result) = self.attempts_in_flight.next() => {
+                    let may_continue = match result {
+                        Ok(response) if self.should_retry_response(&response) => {
+                            self.failure = Some(response);
+                            self.history.executions < self.request.route.attempts
+                        }
+                        Ok(response) => return Ok(self.finish(response)),
+                        Err(error) => self.record_failed_attempt(error),
+                    };
+                    if self.attempts_in_flight.is_empty() && !(may_continue && self.retry().await) {
+                        return self.finish_without_response(false);
+                    }
+                }
+                () = &mut hedge, if may_hedge => {
+                    may_hedge = false;
+                    self.hedge();
+                }
+                () = &mut timed_out => return self.finish_without_response(true),
+            }
+        }
+    }
+
+    /// Looks up where the prompt's prefix is cached, and selects a backend again if it is.
+    async fn look_up(&mut self, planned: SelectedBackend) -> SelectedBackend {
+        let Some(lookup) = self.lookup(&planned) else {
+            return planned;
+        };
+        let key = lookup.key;
+        self.location = self.forwarder.locator.look_up(lookup).await;
+        let Some(location) = self
+            .location
+            .as_ref()
+            .filter(|location| !location.replicas.is_empty())
+        else {
+            return planned;
+        };
+        let selected = self
+            .forwarder
+            .select(self.request, &[], Some(location))
+            .unwrap_or(planned);
+        if let Some(placement) = placement(&selected)
+            && !location.is_cached_by(&placement.backend, placement.version)
+        {
+            self.forwarder.locator.notify_placement(key, placement);
+        }
+        selected
+    }
+
+    /// The lookup for the prompt's prefix; `None` if too little of the prompt is shared.
+    fn lookup(&self, planned: &SelectedBackend) -> Option<PrefixLookup> {
+        let upstream_request = &self.request.upstream_request;
+        let prompt = upstream_request.prompt.as_ref()?;
+        let shared: u64 = prompt.shared_tokens();
+        let key = PrefixKey::of_prompt(&upstream_request.cache_namespace, prompt)
+            .filter(|_| shared >= MIN_SHARED_TOKENS)?;
+        let should_save = shared as f64 >= MIN_SHARED_RATIO_TO_SAVE * prompt.input_tokens as f64;
+        Some(PrefixLookup {
+            key,
+            planned: placement(planned)?,
+            should_save,
+        })
+    }
+
+    fn send(&mut self, selected: SelectedBackend) {
+        self.forwarder.count(Event::AttemptSent);
+        self.history.attempted.push(selected.backend.id.clone());
+        self.history.executions += 1;
+        let flag = ExecutionFlag::default();
+        self.flags.push(flag.clone());
+        let (forwarder, request, location) = (self.forwarder, self.request, self.location.clone());
+        let send = async move {
+            forwarder
+                .send(request, selected, None, location.as_ref(), flag)
+                .await
+        };
+        self.attempts_in_flight.push(Box::pin(send));
+    }
+
+    /// Sends a hedge to another backend, if the request has none and the budgets allow it.
+    fn hedge(&mut self) {
+        if self.is_hedged
+            || self.attempts_in_flight.len() != 1
+            || self.history.executions >= self.request.route.attempts
+        {
+            return;
+        }
+        let allowed = self
+            .forwarder
+            .with_route_stats(self.request, |route_stats| {
+                route_stats.hedge_budget.is_available()
+            });
+        if !allowed {
+            return;
+        }
+        let location = self.location.as_ref();
+        let Some(selected) = self
+            .forwarder
+            .select(self.request, &self.history.attempted, location)
+        else {
+            return;
+        };
+        if self
+            .forwarder
+            .withdraw_retry(&self.request.service, RESERVED_FOR_FAILURES)
+        {
+            self.forwarder
+                .with_route_stats(self.request, |route_stats| {
+                    route_stats.hedge_budget.withdraw()
+                });
+            self.is_hedged = true;
+            self.forwarder.count(Event::Hedged);
+            self.send(selected);
+        }
+    }
+
+    /// Records a failed attempt. Returns whether the request may be sent again.
+    fn record_failed_attempt(&mut self, error: AttemptError) -> bool {
+        let route = &self.request.route;
+        match error {
+            AttemptError::NotSent => {
+                self.history.executions -= 1;
+                self.history.rejections += 1;
+                self.history.rejections <= MAX_REJECTIONS
+            }
+            AttemptError::Rejected {
+                retry_after,
+                misdirected,
+            } => {
+                self.forwarder.count(if misdirected {
+                    Event::Misdirected
+                } else {
+                    Event::Rejected
+                });
+                self.history.executions -= 1;
+                self.history.rejections += 1;
+                self.retry_after = retry_after.or(self.retry_after);
+                self.history.rejections <= MAX_REJECTIONS
+            }
+            AttemptError::Broken | AttemptError::Withdrawn => {
+                route.is_idempotent() && self.history.executions < route.attempts
+            }
+        }
+    }
+
+    /// Returns whether a response is a backend's own failure that another attempt, in flight or
+    /// still permitted, may make up for.
+    fn should_retry_response(&self, response: &ResponseStart) -> bool {
+        let is_left = !self.attempts_in_flight.is_empty()
+            || self.history.executions < self.request.route.attempts;
+        is_own_failure(response.status) && self.request.upstream_request.is_retryable && is_left
+    }
+
+    /// Retries the request. Returns false if the budget does not allow it, or no backend is
+    /// eligible.
+    async fn retry(&mut self) -> bool {
+        if !self.forwarder.withdraw_retry(&self.request.service, 0.0) {
+            return false;
+        }
+        let attempted = self.history.attempted.clone();
+        let selected = self
+            .forwarder
+            .select_with_wait(self.request, &attempted, self.location.as_ref())
+            .await;
+        let found = selected.is_some();
+        if let Some(selected) = selected {
+            self.forwarder.count(Event::Retried);
+            self.send(selected);
+        }
+        found
+    }
+
+    /// Passes on a backend's own failure if there is one; otherwise the request fails.
+    fn finish_without_response(
+        &mut self,
+        timed_out: bool,
+    ) -> Result<(ResponseStart, AttemptHistory), ForwardError> {
+        match self.failure.take() {
+            Some(failure) => Ok(self.finish(failure)),
+            None => Err(self.abandon(timed_out)),
+        }
+    }
+
+    /// The first response wins. Dropping the other attempts resets their connections, which cancels
+    /// them.
+    fn finish(&mut self, response: ResponseStart) -> (ResponseStart, AttemptHistory) {
+        self.attempts_in_flight.clear();
+        if let Some(id) = self.admission_id.take() {
+            self.forwarder
+                .with_admission(&self.request.service, |admission| {
+                    admission.record_response(id, clock::now());
+                });
+        }
+        if response.status.is_success() {
+            let took = response.took.as_nanos() as u64;
+            self.forwarder
+                .with_route_stats(self.request, |route_stats| route_stats.pace.add(took));
+        }
+        (response, std::mem::take(&mut self.history))
+    }
+
+    fn abandon(&mut self, timed_out: bool) -> ForwardError {
+        self.attempts_in_flight.clear();
+        if self.flags.iter().any(ExecutionFlag::may_have_executed) {
+            ForwardError::MayHaveExecuted { timed_out }
+        } else {
+            ForwardError::NotExecuted {
+                retry_after: self.retry_after.unwrap_or(RETRY_AFTER),
+            }
+        }
+    }
+}
+
+impl Drop for InFlightRequest<'_> {
+    fn drop(&mut self) {
+        if let Some(id) = self.admission_id.take() {
+            self.forwarder
+                .with_admission(&self.request.service, |admission| admission.discard(id));
+        }
+    }
+}
+
+/// Retry-After of a request rejected for overload, in seconds. Jittered, so that clients do not
+/// come back all at once.
+fn overload_retry_after(request: &ForwardRequest) -> f64 {
+    let latency_target_s = request.route.target_latency_ms as f64 / 1_000.0;
+    latency_target_s * (0.5 + fastrand::f64())
+}
+
+/// The backend and version as the owners of prefixes know them.
+fn placement(selected: &SelectedBackend) -> Option<Placement> {
+    Some(Placement {
+        backend: selected.backend.id.clone(),
+        version: selected.version?,
+    })
+}
--- a/router/src/proxy/events.rs
+++ b/router/src/proxy/kv_events.rs
@@ -1,6 +1,6 @@
-//! Reading the events by which backends and stores tell what they keep.
+//! Reads the KV cache events of backends and stores by long polling.
 
-use super::salt::Salt;
+use super::cache_salt::CacheSalt;
 use compact_str::CompactString;
 use routing::prefix_index::PrefixKey;
 use serde::Deserialize;
@@ -8,39 +8,39 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a call for events may be held.
-const EVENTS_WAIT: Duration = Duration::from_millis(1_000);
-/// Patience beyond the time that a call may be held.
-const CALL_PATIENCE: Duration = Duration::from_millis(600);
-/// Events that come one by one are taken together after this.
-const EVENTS_PAUSE: Duration = Duration::from_millis(250);
+/// How long a poll may be held by the server.
+const LONG_POLL_WAIT: Duration = Duration::from_millis(1_000);
+/// Time limit of a poll beyond that.
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time to wait between polls, so that single events come in batches.
+const BATCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a reading has ended.
+/// Why reading events ended.
 #[derive(Debug, Error)]
 pub enum ReadingError {
-    /// The call failed.
-    #[error("{address} does not answer: {problem}; it is tried again")]
+    /// The request failed.
+    #[error("{address} does not answer: {error}; it is tried again")]
     Unreachable {
         /// The backend or store.
         address: SocketAddrV4,
-        /// What went wrong.
-        problem: reqwest::Error,
+        /// The cause.
+        error: reqwest::Error,
     },
-    /// The answer is none that the protocol knows.
+    /// The response has an unexpected status.
     #[error("{address} answers with {status}; it is tried again")]
-    Refused {
+    Rejection {
         /// The backend or store.
         address: SocketAddrV4,
         /// The status.
         status: u16,
     },
-    /// The answer can't be read.
-    #[error("{address} sends events that can't be read: {problem}; it is tried again")]
+    /// The response can't be parsed.
+    #[error("{address} sends events that can't be read: {error}; it is tried again")]
     Unreadable {
         /// The backend or store.
         address: SocketAddrV4,
-        /// What is wrong.
-        problem: serde_json::Error,
+        /// The cause.
+        error: serde_json::Error,
     },
 }
 
@@ -60,32 +60,31 @@
     )>,
 }
 
-/// What has become of a part.
+/// A cached or evicted segment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeptEvent {
-    /// The prefix that ends with the part.
+pub struct KvEvent {
+    /// The prefix that ends with the segment.
     pub key: PrefixKey,
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: u64,
-    /// Whether it is kept now.
-    pub kept: bool,
+    /// Whether the segment is cached now.
+    pub is_cached: bool,
 }
 
-/// Reads events for as long as they come. `heard` is told the life of whoever sends them with each
-/// page.
+/// Polls for events until an error. `heard` receives each page with the sender's incarnation.
 pub async fn follow(
     address: SocketAddrV4,
     client: &reqwest::Client,
-    heard: impl Fn(u64, Vec<KeptEvent>),
+    heard: impl Fn(u64, Vec<KvEvent>),
 ) -> Result<(), ReadingError> {
     let (mut since, mut epoch) = (0, None);
     loop {
         let page = call(address, client, since).await?;
-        // What was numbered in another life says nothing of this one.
-        let is_same_life = epoch
+        // Event numbers of another incarnation are meaningless.
+        let is_same_incarnation = epoch
             .replace(page.epoch)
             .is_none_or(|former| former == page.epoch);
-        since = if is_same_life {
+        since = if is_same_incarnation {
             page.next_page_token
         } else {
             0
@@ -94,18 +93,18 @@
             .events
             .iter()
             .filter_map(|(_, sign, salt, part, tokens, model)| {
-                let salt = Salt::read(salt)?;
-                let key = PrefixKey::of_segment(salt.wall, model, part);
-                // What is left of a part that gives way in pieces is told with its removal, and is
-                // of no use.
-                Some(KeptEvent {
+                let salt = CacheSalt::parse(salt)?;
+                let key = PrefixKey::of_segment(salt.cache_namespace, model, part);
+                // A segment that is evicted in chunks counts as evicted with the first one: the
+                // rest is announced with its removal and is of no use.
+                Some(KvEvent {
                     key,
                     version: salt.version,
-                    kept: sign == "+" && *tokens > 0,
+                    is_cached: sign == "+" && *tokens > 0,
                 })
             });
         heard(page.epoch, events.collect());
-        tokio::time::sleep(EVENTS_PAUSE).await;
+        tokio::time::sleep(BATCH_INTERVAL).await;
     }
 }
 
@@ -114,21 +113,21 @@
     client: &reqwest::Client,
     since: u64,
 ) -> Result<Page, ReadingError> {
-    let unreachable = |problem| ReadingError::Unreachable { address, problem };
+    let unreachable = |error| ReadingError::Unreachable { address, error };
     let url = format!("http://{address}/v1/kv-events?since={since}");
-    let wait = EVENTS_WAIT.as_millis().to_string();
+    let wait = LONG_POLL_WAIT.as_millis().to_string();
     let call = client
         .get(url)
         .header("wait-ms", wait)
-        .timeout(EVENTS_WAIT + CALL_PATIENCE);
+        .timeout(LONG_POLL_WAIT + CALL_TIMEOUT);
     let answer = call.send().await.map_err(unreachable)?;
     let status = answer.status();
     if !status.is_success() {
-        return Err(ReadingError::Refused {
+        return Err(ReadingError::Rejection {
             address,
             status: status.as_u16(),
         });
     }
     let body = answer.bytes().await.map_err(unreachable)?;
-    serde_json::from_slice(&body).map_err(|problem| ReadingError::Unreadable { address, problem })
+    serde_json::from_slice(&body).map_err(|error| ReadingError::Unreadable { address, error })
 }
--- a/router/tests/leaving_clients.rs
+++ b/router/tests/client_disconnects.rs
@@ -1,14 +1,13 @@
-//! Story: backends went on with the work of clients that had left. In one case a client closed its
-//! connection 0.08 s after its request, the router sent a copy to a second backend 0.19 s later,
-//! passed on the first answer that came, and the run ended in full, 1.2 s after nobody was there to
-//! read it.
+//! Incident: backends continued the work of disconnected clients. In one case a client closed its
+//! connection 0.08 s after its request, the router sent a hedge to a second backend 0.19 s later,
+//! relayed the first response, and the execution ended 1.2 s after nobody was there to read it.
 //!
-//! Evidence: with every read of clients' sockets logged, the end of the connection was read at once
-//! in each of 784 such cases, and in none was the request's own task ended. Cause: the server
-//! library ends the connection's future by an error and then polls it once more, to shut it down in
-//! order; that goes on with the request as if its client were there. What is abandoned had to be
-//! found out by a write that fails, or by the deadline. The test that stood for this waited for
-//! longer than the deadline.
+//! Evidence: with every read of client sockets logged, the end of the connection was read
+//! immediately in each of 784 such cases, and in none was the request's task cancelled. Cause: the
+//! HTTP server library ends the connection's future with an error and then polls it once more for
+//! an orderly shutdown, which continues the request. An abandoned request was only detected by a
+//! failing write or by the deadline. The former test of this behaviour waited for longer than the
+//! deadline.
 
 mod common;
 
@@ -51,18 +50,18 @@
         .expect("it comes about");
 }
 
-async fn is_given_up(backend: &StandIn) -> bool {
+async fn is_given_up(backend: &FakeBackend) -> bool {
     let given_up = tokio::time::timeout(SOON, backend.given_up.acquire()).await;
     given_up.is_ok_and(|permit| permit.map(|permit| permit.forget()).is_ok())
 }
 
 /// Has a client leave while one of its requests waits for the head of an answer.
-async fn leaves_before_the_answer(first: &str, then: Option<&str>) -> bool {
-    let acts = match then {
-        Some(_) => vec![Act::Say(success("ok")), Act::Hang],
-        None => vec![Act::Hang],
+async fn disconnects_before_response(first: &str, then: Option<&str>) -> bool {
+    let actions = match then {
+        Some(_) => vec![Action::Respond(success("ok")), Action::Hang],
+        None => vec![Action::Hang],
     };
-    let backend = StandIn::start(acts).await;
+    let backend = FakeBackend::start(actions).await;
     let router = Router::start_with(&patient_configuration(), &[&backend]).await;
     let mut client = connect(&router).await;
     client.write_all(first.as_bytes()).await.unwrap();
@@ -78,10 +77,10 @@
 }
 
 /// Has a client leave while a copy of its request is on its way too: both sends have to end.
-async fn leaves_with_a_copy_pending() -> bool {
+async fn disconnects_with_hedge_in_flight() -> bool {
     let (first, second) = (
-        StandIn::start(vec![Act::Hang]).await,
-        StandIn::start(vec![Act::Hang]).await,
+        FakeBackend::start(vec![Action::Hang]).await,
+        FakeBackend::start(vec![Action::Hang]).await,
     );
     let router = Router::start_with(&patient_configuration(), &[&first, &second]).await;
     let mut client = connect(&router).await;
@@ -92,13 +91,15 @@
     until(|| first.count() == 1 && second.count() == 1).await;
     drop(client);
     let have_ended = is_given_up(&first).await && is_given_up(&second).await;
-    have_ended && first.count() + second.count() == 2 && router.fleet.counters.get(Event::Sent) == 2
+    have_ended
+        && first.count() + second.count() == 2
+        && router.fleet.counters.get(Event::AttemptSent) == 2
 }
 
 /// Has a client leave in the middle of a stream whose backend says nothing more.
-async fn leaves_in_a_stream() -> bool {
+async fn disconnects_during_stream() -> bool {
     let begun = format!("{STREAM_HEAD}{}", event(1));
-    let backend = StandIn::start(vec![Act::SayAndHang(begun)]).await;
+    let backend = FakeBackend::start(vec![Action::RespondAndHang(begun)]).await;
     let router = Router::start_with(&patient_configuration(), &[&backend]).await;
     let mut client = connect(&router).await;
     client
@@ -113,9 +114,9 @@
 
 /// Has a client leave while its stream, which broke off at one backend, waits for another one to go
 /// on.
-async fn leaves_while_a_stream_is_taken_up() -> bool {
+async fn disconnects_while_stream_resumes() -> bool {
     let half = format!("{STREAM_HEAD}{}", event(1));
-    let backend = StandIn::start(vec![Act::SayAndReset(half), Act::Hang]).await;
+    let backend = FakeBackend::start(vec![Action::RespondAndReset(half), Action::Hang]).await;
     let other = backend.clone();
     let router = Router::start_with(&patient_configuration(), &[&backend, &other]).await;
     let mut client = connect(&router).await;
@@ -129,7 +130,7 @@
 }
 
 #[tokio::test]
-async fn work_for_a_client_ends_when_it_leaves() {
+async fn cancels_work_of_disconnected_clients() {
     let plain = plain_request("/unsafe/");
     let chunked = request(
         "/unsafe/",
@@ -139,21 +140,24 @@
     let outcomes = [
         (
             "it waits for an answer",
-            leaves_before_the_answer(&plain, None).await,
+            disconnects_before_response(&plain, None).await,
         ),
         (
             "its body came in chunks",
-            leaves_before_the_answer(&chunked, None).await,
+            disconnects_before_response(&chunked, None).await,
         ),
         (
             "it is a later request of its connection",
-            leaves_before_the_answer(&plain, Some(&plain)).await,
+            disconnects_before_response(&plain, Some(&plain)).await,
         ),
-        ("a copy is pending", leaves_with_a_copy_pending().await),
-        ("it reads a stream", leaves_in_a_stream().await),
+        (
+            "a copy is pending",
+            disconnects_with_hedge_in_flight().await,
+        ),
+        ("it reads a stream", disconnects_during_stream().await),
         (
             "its stream is taken up elsewhere",
-            leaves_while_a_stream_is_taken_up().await,
+            disconnects_while_stream_resumes().await,
         ),
     ];
     let failed: Vec<&str> = outcomes
--- a/router/tests/common/model_backend.rs
+++ b/router/tests/common/model_backend.rs
@@ -1,7 +1,7 @@
-//! A stand-in of a model backend that takes orders as the published protocol says: a fencing token
-//! that is lower than one it has seen is refused, and so is an order that expects another count of
-//! taken orders. Whatever else comes is done, also an order for an older version. The way to it can
-//! lose the answer to an order and bring the order itself later.
+//! A fake model backend that accepts orders by the published protocol: it rejects an order with a
+//! lower fencing token than one it has seen, and an order conditional on another number of accepted
+//! orders. It carries out all others, including orders for an older version. The path to it can
+//! lose the response to an order, and deliver the order itself later.
 
 use super::{answer, header, read_request, success};
 use serde_json::Value;
@@ -15,10 +15,10 @@
 struct State {
     version: u64,
     taken_orders: u64,
-    highest_fence: u64,
+    highest_fencing_token: u64,
     /// So many of the next orders are held up on their way.
     holds_up: usize,
-    held_up: Vec<String>,
+    delayed: Vec<String>,
     requests: Vec<String>,
 }
 
@@ -36,13 +36,13 @@
         let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
             unreachable!()
         };
-        let (held_up, requests) = (Vec::new(), Vec::new());
+        let (delayed, requests) = (Vec::new(), Vec::new());
         let state = State {
             version,
             taken_orders: 0,
-            highest_fence: 0,
+            highest_fencing_token: 0,
             holds_up: 0,
-            held_up,
+            delayed,
             requests,
         };
         let backend = ModelBackend {
@@ -82,15 +82,17 @@
     }
 
     /// How many orders are held up now.
-    pub fn held_up_orders(&self) -> usize {
-        self.state.lock().unwrap().held_up.len()
+    pub fn delayed_orders(&self) -> usize {
+        self.state.lock().unwrap().delayed.len()
     }
 
     /// What was held up arrives. Returns how each order was answered.
     pub fn deliver_late_orders(&self) -> Vec<u16> {
         let mut state = self.state.lock().unwrap();
-        let late = std::mem::take(&mut state.held_up);
-        late.iter().map(|order| state.take_order(order)).collect()
+        let late = std::mem::take(&mut state.delayed);
+        late.iter()
+            .map(|order| state.observe_order(order))
+            .collect()
     }
 
     async fn serve(self, mut stream: TcpStream) {
@@ -117,11 +119,11 @@
         match path {
             "/v1/order" if state.holds_up > 0 => {
                 state.holds_up -= 1;
-                state.held_up.push(request.to_owned());
+                state.delayed.push(request.to_owned());
                 None
             }
             "/v1/order" => {
-                let status = state.take_order(request);
+                let status = state.observe_order(request);
                 Some(answer(&format!("{status} X"), "", "{}"))
             }
             "/v1/report" => Some(answer("200 OK", "", &state.report())),
@@ -131,7 +133,7 @@
 }
 
 impl State {
-    fn take_order(&mut self, request: &str) -> u16 {
+    fn observe_order(&mut self, request: &str) -> u16 {
         let body = request.split_once("\r\n\r\n").map_or("", |(_, body)| body);
         let order: Value = serde_json::from_str(body).unwrap();
         let (Some(fencing_token), Some(version)) =
@@ -139,10 +141,10 @@
         else {
             return 400;
         };
-        if fencing_token < self.highest_fence {
+        if fencing_token < self.highest_fencing_token {
             return 412;
         }
-        self.highest_fence = fencing_token;
+        self.highest_fencing_token = fencing_token;
         if order["ifRevision"]
             .as_u64()
             .is_some_and(|expected| expected != self.taken_orders)
--- a/router/tests/late_orders.rs
+++ b/router/tests/delayed_orders.rs
@@ -1,18 +1,18 @@
-//! Orders for new weights that were given up and arrive late, and backends that have older weights
+//! Orders for new weights that were abandoned and arrive late, and backends that have older weights
 //! again.
 //!
-//! Story: at the end of a day a fifth of the backends had an older version of their weights, and a
-//! tenth of the requests was refused. All of them had taken the order for the newest version
-//! seconds before, and had begun to serve it. An order for the version before had got no answer in
-//! time from each of them: it was on its way all the while, arrived when the newer one was done,
-//! and took the backend back. Nobody ordered it anew, and all routers went on to ask it for the
-//! newest version, which it turned away.
+//! Incident: at the end of a day a fifth of the backends had an older version of their weights, and
+//! a tenth of the requests was rejected. All of these backends had accepted the order for the
+//! latest version seconds before, and had begun to serve it. The order for the previous version had
+//! got no response in time: it was in transit all the while, arrived when the newer one was
+//! completed, and rolled the backend back. No order was repeated, and all routers went on to
+//! request the latest version, which the backend rejected.
 //!
-//! Evidence: in each of three rounds the backends that went back (18, 23 and 21) were among those
-//! whose last order but one had got no answer, and no other backend went back; under one fencing
-//! token, and without any restart. Figures counted each of them as having the newest version to the
-//! end of the day: that an order is done outranked what heartbeats tell, and a router's own record
-//! of a backend's version could only rise.
+//! Evidence: in each of three rounds the backends that were rolled back (18, 23 and 21) were among
+//! those whose last order but one had got no response, and no other backend was; under one fencing
+//! token, and without any restart. The metrics counted each of them as having the latest version to
+//! the end of the day: a completed order outranked heartbeats, and a router's own record of a
+//! backend's version could only rise.
 
 mod common;
 
@@ -24,8 +24,8 @@
 use control::view::ReplicaId;
 use router::fleet::Fleet;
 use router::protocol::PublishedState;
-use router::replica::handle::{ReplicaHandle, Shown};
-use router::weights::Orders;
+use router::replica::handle::{ReplicaHandle, ReplicaStatus};
+use router::weights::RolloutController;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tokio::task::JoinHandle;
@@ -50,11 +50,11 @@
     let (handle, _) = ReplicaHandle::new(id);
     let current_at = Some(router::clock::now() + 60_000);
     let lease = Some((1, u64::MAX));
-    handle.show(Shown {
+    handle.publish_status(ReplicaStatus {
         lease,
         rollout_ownership: RolloutOwnership::Owned,
         current_at,
-        ..Shown::default()
+        ..ReplicaStatus::default()
     });
     let mut settings = Router::settings();
     settings.heartbeat_interval_ms = HEARTBEAT_MS;
@@ -68,7 +68,7 @@
     fn start() -> Self {
         let (fleet, handle) = node();
         let client = reqwest::Client::builder().no_proxy().build().unwrap();
-        let orders = tokio::spawn(Orders::new(fleet.clone(), handle, client).run());
+        let orders = tokio::spawn(RolloutController::new(fleet.clone(), handle, client).run());
         Leader { fleet, orders }
     }
 
@@ -116,7 +116,7 @@
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().take(named));
+    assert!(fleet.published.lock().unwrap().apply_update(named));
 }
 
 async fn until(what: &str, is_so: impl Fn() -> bool) {
@@ -133,14 +133,14 @@
 /// The order for version 2 is held up on its way, version 3 is named and loaded, and then the first
 /// order arrives.
 #[tokio::test]
-async fn an_order_that_arrives_after_a_newer_one_takes_no_backend_back() {
+async fn late_order_does_not_roll_back_backend() {
     let backend = ModelBackend::start(1).await;
     backend.hold_up_orders(1);
     let leader = Leader::start();
     assert!(heartbeat(&leader.fleet, 0, backend.address, 1, 1).await);
     leader.name_version(2);
     until("the first order is on its way", || {
-        backend.held_up_orders() == 1
+        backend.delayed_orders() == 1
     })
     .await;
     leader.name_version(3);
@@ -157,7 +157,7 @@
 /// Whatever took a backend back, and whether or not its heartbeats had told the newer version in
 /// between: they are believed.
 #[tokio::test]
-async fn a_backend_that_tells_an_older_version_than_it_was_brought_to_gets_an_order_again() {
+async fn reorders_backend_that_reports_older_version() {
     for tells_newer in [true, false] {
         let backend = ModelBackend::start(1).await;
         let leader = Leader::start();
@@ -180,7 +180,7 @@
 /// A router that holds a backend for newer than it is sends it requests that it turns away, for as
 /// long as it does so.
 #[tokio::test]
-async fn requests_go_to_a_backend_by_the_version_that_it_tells_last() {
+async fn routes_by_latest_reported_version() {
     for tells_newer in [true, false] {
         let backend = ModelBackend::start(1).await;
         let router = Router::start_on(node().0, CONFIGURATION, &[]).await;
--- a/router/tests/files.rs
+++ b/router/tests/disk.rs
@@ -1,5 +1,4 @@
-//! The data directory and the settings file: what is found again, and what is said of what can't be
-//! used.
+//! The data directory and the settings file: recovery, and errors for invalid contents.
 
 use control::changes::Change;
 use control::state::{Position, Update};
@@ -71,7 +70,7 @@
 }
 
 #[test]
-fn what_was_stored_is_found_again_after_each_start() {
+fn stored_records_survive_restarts() {
     let folder = Folder::new("again");
     assert!(disk::read(&folder.0).unwrap().is_none());
     write(&folder.0, &disk::empty(7), 1..4, 1);
@@ -96,7 +95,7 @@
 }
 
 #[test]
-fn a_segment_that_has_grown_is_replaced_by_a_snapshot() {
+fn full_segment_is_compacted() {
     let folder = Folder::new("grown");
     write(&folder.0, &disk::empty(7), 1..30, 300_000);
     let bytes: u64 = folder
@@ -111,7 +110,7 @@
 /// A loss of power between any two steps of a snapshot: an unfinished one beside the old files, or
 /// old files that stay.
 #[test]
-fn an_unfinished_snapshot_changes_nothing() {
+fn ignores_incomplete_snapshot() {
     let folder = Folder::new("unfinished");
     write(&folder.0, &disk::empty(7), 1..4, 1);
     let before = disk::read(&folder.0).unwrap();
@@ -127,7 +126,7 @@
 }
 
 #[test]
-fn damage_is_told_with_its_place_and_the_remedy() {
+fn reports_corruption_with_position_and_remedy() {
     let folder = Folder::new("damage");
     write(&folder.0, &disk::empty(7), 1..4, 1);
     let segment = folder.0.join("segment-00000001");
@@ -148,7 +147,7 @@
     // A node that starts there sets the records aside, twice if need be, and begins as one that
     // lost its disk.
     for _ in 0..2 {
-        assert!(disk::read_or_set_aside(&folder.0).unwrap().is_none());
+        assert!(disk::read_or_quarantine(&folder.0).unwrap().is_none());
         assert_eq!(folder.files(), ["damaged"]);
         let mut damaged = Vec::new();
         control::storage::encode(&update(1, 1), &mut damaged);
@@ -157,7 +156,7 @@
 }
 
 #[test]
-fn operators_see_what_a_directory_holds() {
+fn shows_contents_of_data_directory() {
     let folder = Folder::new("show");
     write(&folder.0, &disk::empty(7), 1..4, 1);
     let asked = SystemCall::Storage(cli::StorageCall::Show {
@@ -192,12 +191,12 @@
 /// segment that others follow, was synced and is damage. Nothing that is read is older than what a
 /// cut leaves.
 #[test]
-fn files_that_are_cut_at_any_byte_give_what_was_synced_or_nothing_at_all() {
+fn truncation_loses_only_unsynced_records() {
     let folder = Folder::new("cut");
     write(&folder.0, &disk::empty(7), 1..6, 1);
     let before = disk::read(&folder.0).unwrap().unwrap();
     write(&folder.0, &before, 6..9, 1);
-    let whole = disk::read(&folder.0).unwrap().unwrap();
+    let complete = disk::read(&folder.0).unwrap().unwrap();
     for (path, bytes) in contents(&folder) {
         let is_snapshot = path
             .file_name()
@@ -229,11 +228,11 @@
         }
         fs::write(&path, &bytes).unwrap();
     }
-    assert_eq!(disk::read(&folder.0).unwrap().unwrap(), whole);
+    assert_eq!(disk::read(&folder.0).unwrap().unwrap(), complete);
 }
 
 #[test]
-fn a_segment_that_is_cut_off_before_another_one_is_damage() {
+fn truncated_inner_segment_is_corruption() {
     let folder = Folder::new("followed");
     write(&folder.0, &disk::empty(7), 1..4, 1);
     let segment = folder.0.join("segment-00000001");
@@ -261,7 +260,7 @@
 }
 
 #[test]
-fn records_of_the_former_format_are_read() {
+fn reads_previous_format() {
     let replica = |number: u8| ReplicaId {
         disk: u64::from(number),
         node: format!("n{number}").into(),
@@ -284,25 +283,25 @@
             view: view(epoch),
             previous,
         });
-        let kept = [
+        let stored = [
             Record::Disk { format: 1, disk: 7 },
             Record::VotesV1(VotesV1 { promised, accepted }),
         ];
-        Recovered::replay(kept).unwrap().votes
+        Recovered::replay(stored).unwrap().votes
     };
     let decided = votes(Some((5, number(1))), None, 5);
     assert_eq!(
         (decided.decided, decided.promised, decided.accepted),
         (Some(view(5)), None, None)
     );
-    let under_way = votes(Some((6, number(4))), Some(view(5)), 6);
-    assert_eq!(under_way.decided, Some(view(5)));
+    let in_progress = votes(Some((6, number(4))), Some(view(5)), 6);
+    assert_eq!(in_progress.decided, Some(view(5)));
     assert_eq!(
-        under_way.accepted.map(|proposal| proposal.view),
+        in_progress.accepted.map(|proposal| proposal.view),
         Some(view(6))
     );
     assert_eq!(
-        under_way.promised.map(|number| number.round),
+        in_progress.promised.map(|number| number.round),
         Some(4),
         "the higher one holds"
     );
@@ -326,7 +325,7 @@
 }
 
 #[test]
-fn settings_are_read_and_what_is_wrong_is_named_with_its_place() {
+fn invalid_settings_are_reported_with_path() {
     let settings = Settings::parse(Path::new("node.json"), SETTINGS.as_bytes()).unwrap();
     assert_eq!(
         (settings.node_name.as_str(), settings.bounds.lease_ms),
--- a/router/tests/faults.rs
+++ b/router/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Backends that fail requests while they say that they are well, and connections that they forget.
+//! Backends that fail requests while they report to be healthy, and stale connections.
 
 mod common;
 
@@ -12,9 +12,9 @@
 }
 
 #[tokio::test]
-async fn a_safe_request_that_a_backend_failed_is_answered_by_another() {
-    let failing = StandIn::start(vec![Act::Say(failure())]).await;
-    let sound = StandIn::start(vec![Act::Say(success("ok"))]).await;
+async fn retries_safe_request_after_backend_failure() {
+    let failing = FakeBackend::start(vec![Action::Respond(failure())]).await;
+    let sound = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let router = Router::start(&[&failing, &sound]).await;
     for _ in 0..20 {
         let answer = router.ask("/safe/", KEY).await;
@@ -24,10 +24,10 @@
 }
 
 #[tokio::test]
-async fn where_all_fail_the_first_failure_goes_back_as_it_is() {
+async fn returns_backend_failure_if_all_fail() {
     let (first, second) = (
-        StandIn::start(vec![Act::Say(failure())]).await,
-        StandIn::start(vec![Act::Say(failure())]).await,
+        FakeBackend::start(vec![Action::Respond(failure())]).await,
+        FakeBackend::start(vec![Action::Respond(failure())]).await,
     );
     let router = Router::start(&[&first, &second]).await;
     let answer = router.ask("/safe/", KEY).await;
@@ -41,9 +41,14 @@
 }
 
 #[tokio::test]
-async fn a_failure_then_a_break_goes_back_as_the_failure() {
-    let acts = || vec![Act::Say(failure()), Act::SayAndReset(String::new())];
-    let first = StandIn::start(acts()).await;
+async fn returns_failure_if_retry_breaks() {
+    let actions = || {
+        vec![
+            Action::Respond(failure()),
+            Action::RespondAndReset(String::new()),
+        ]
+    };
+    let first = FakeBackend::start(actions()).await;
     let second = first.clone();
     let router = Router::start(&[&first, &second]).await;
     let answer = router.ask("/safe/", KEY).await;
@@ -51,10 +56,10 @@
 }
 
 #[tokio::test]
-async fn an_unsafe_request_that_a_backend_failed_is_not_sent_again() {
+async fn does_not_retry_unsafe_request_after_failure() {
     let (first, second) = (
-        StandIn::start(vec![Act::Say(failure())]).await,
-        StandIn::start(vec![Act::Say(failure())]).await,
+        FakeBackend::start(vec![Action::Respond(failure())]).await,
+        FakeBackend::start(vec![Action::Respond(failure())]).await,
     );
     let router = Router::start(&[&first, &second]).await;
     assert_eq!(status(&router.ask("/unsafe/", KEY).await), "500");
@@ -62,23 +67,23 @@
 }
 
 #[tokio::test]
-async fn faults_that_routers_saw_make_a_backend_avoided_by_all() {
-    let failing = StandIn::start(vec![Act::Say(failure())]).await;
-    let sound = StandIn::start(vec![Act::Say(success("ok"))]).await;
+async fn reported_failures_make_backend_suspected() {
+    let failing = FakeBackend::start(vec![Action::Respond(failure())]).await;
+    let sound = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let others = [
-        StandIn::start(vec![Act::Say(success("ok"))]).await,
+        FakeBackend::start(vec![Action::Respond(success("ok"))]).await,
         sound.clone(),
         sound.clone(),
     ];
     let router = Router::start(&[&failing, &sound, &others[0], &others[1], &others[2]]).await;
-    let told = [("i-0".into(), 2)];
-    router.fleet.take_faults(&"n2".into(), &told);
+    let reported = [("i-0".into(), 2)];
+    router.fleet.record_failures(&"n2".into(), &reported);
     assert_eq!(
         router.fleet.directory.lock().unwrap().suspicion("i-0"),
         None,
         "one router's word"
     );
-    router.fleet.take_faults(&"n3".into(), &told);
+    router.fleet.record_failures(&"n3".into(), &reported);
     router.table.refresh(&router.fleet);
     for _ in 0..20 {
         assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
@@ -87,36 +92,36 @@
 }
 
 #[tokio::test]
-async fn a_suspected_backend_is_used_where_no_other_is_there() {
-    let only = StandIn::start(vec![Act::Say(success("ok"))]).await;
+async fn uses_suspected_backend_as_last_resort() {
+    let only = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let router = Router::start(&[&only]).await;
     for reporter in ["n2", "n3"] {
         router
             .fleet
-            .take_faults(&reporter.into(), &[("i-0".into(), 2)]);
+            .record_failures(&reporter.into(), &[("i-0".into(), 2)]);
     }
     router.table.refresh(&router.fleet);
     assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
 }
 
 #[tokio::test]
-async fn a_failure_of_a_backend_is_noted_for_its_judge() {
-    let failing = StandIn::start(vec![Act::Say(failure())]).await;
+async fn records_backend_failure() {
+    let failing = FakeBackend::start(vec![Action::Respond(failure())]).await;
     let router = Router::start(&[&failing]).await;
     router.ask("/unsafe/", KEY).await;
     assert_eq!(
-        router.table.faults().take(),
+        router.table.failures().drain(),
         BTreeMap::from([("i-0".into(), 1)])
     );
 }
 
 #[tokio::test]
-async fn a_backend_that_is_overdue_without_a_reason_is_noted_for_its_judge() {
-    let hanging = StandIn::start(vec![Act::Hang]).await;
+async fn records_overdue_backend() {
+    let hanging = FakeBackend::start(vec![Action::Hang]).await;
     let router = Router::start(&[&hanging]).await;
     let client = router.send("/unsafe/", KEY).await;
     let noted = async {
-        while !router.table.faults().take().contains_key("i-0") {
+        while !router.table.failures().drain().contains_key("i-0") {
             tokio::task::yield_now().await;
         }
     };
@@ -127,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn suspicions_are_numbered_on_from_what_another_judge_wrote() {
+async fn suspicion_numbers_continue_across_judges() {
     let router = Router::start(&[]).await;
     let key = Key::Suspicion("i-9".into());
     let former = control::directory::Suspicion {
@@ -138,40 +143,39 @@
     for reporter in ["n2", "n3"] {
         router
             .fleet
-            .take_faults(&reporter.into(), &[("i-9".into(), 2)]);
+            .record_failures(&reporter.into(), &[("i-9".into(), 2)]);
     }
     let newest = router.fleet.directory.lock().unwrap().suspicion("i-9");
     assert_eq!(newest.map(|suspicion| suspicion.number), Some(8));
 }
 
 #[tokio::test]
-async fn after_a_forgotten_connection_what_may_not_be_repeated_is_not_sent_on_one_that_rested_for_long()
- {
-    let backend = StandIn::start(vec![Act::Say(success("ok"))]).await;
+async fn unsafe_request_skips_long_idle_connections_after_stale_one() {
+    let backend = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let router = Router::start(&[&backend]).await;
     let known = router.table.backend("i-0").unwrap();
     let idle = async || {
         let mut connection = known.connect(PATIENCE, true).await.unwrap();
-        assert!(connection.becomes_ready().await);
-        known.keep(connection);
+        assert!(connection.wait_until_ready().await);
+        known.return_connection(connection);
     };
     let much_later = || clock::now() + 1_000;
     idle().await;
     let trusted = known.take_idle(false, much_later());
-    known.keep(trusted.expect("as long as none was forgotten, all are trusted"));
-    known.forgot_connection(400);
+    known.return_connection(trusted.expect("as long as none was forgotten, all are trusted"));
+    known.record_stale_connection(400);
     assert!(
         known.take_idle(true, clock::now()).is_none(),
-        "those that rested as long are dropped"
+        "those that idle_time as long are dropped"
     );
     idle().await;
     assert!(
         known.take_idle(false, much_later()).is_none(),
-        "it rested for longer than 200 ms"
+        "it idle_time for longer than 200 ms"
     );
     assert!(
         known.take_idle(false, clock::now()).is_some(),
-        "it has hardly rested"
+        "it has hardly idle_time"
     );
     idle().await;
     assert!(
--- a/router/tests/links.rs
+++ b/router/tests/links.rs
@@ -1,5 +1,5 @@
-//! Questions between routers: each answer reaches the one who asked, whatever comes late, twice,
-//! unasked or not at all.
+//! Calls between routers: each response reaches its caller, whatever is late, duplicated,
+//! unsolicited or missing.
 
 use control::changes::{Change, Outcome, Rejection};
 use router::frame::{read_frame, write_frame};
@@ -60,7 +60,7 @@
         }
     }
 
-    async fn answer(&self, stream: &mut TcpStream, id: u32, version: u64) {
+    async fn respond(&self, stream: &mut TcpStream, id: u32, version: u64) {
         write_frame(
             stream,
             &Frame::Response(id, answer_to(version)),
@@ -98,16 +98,16 @@
 }
 
 async fn ask(links: &Arc<Links>, peer: &Peer, version: u64, patience: Duration) -> Option<u64> {
-    named(links.ask(peer.address, question(version), patience).await)
+    named(links.call(peer.address, question(version), patience).await)
 }
 
 fn asking(links: &Arc<Links>, peer: &Peer, version: u64) -> tokio::task::JoinHandle<Option<u64>> {
     let (links, address) = (links.clone(), peer.address);
-    tokio::spawn(async move { named(links.ask(address, question(version), PATIENCE).await) })
+    tokio::spawn(async move { named(links.call(address, question(version), PATIENCE).await) })
 }
 
 #[tokio::test]
-async fn answers_in_another_order_reach_those_who_asked() {
+async fn matches_reordered_responses() {
     let (peer, links) = (Peer::start().await, Arc::new(Links::default()));
     let asked: Vec<_> = (1..=20)
         .map(|version| asking(&links, &peer, version))
@@ -123,7 +123,7 @@
         );
     }
     for (id, version) in ids.into_iter().rev() {
-        peer.answer(&mut stream, id, version).await;
+        peer.respond(&mut stream, id, version).await;
     }
     for (asked, version) in asked.into_iter().zip(1..) {
         assert_eq!(asked.await.unwrap(), Some(version));
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_comes_late_or_twice_or_unasked_reaches_nobody_else() {
+async fn drops_late_duplicate_and_unsolicited_responses() {
     let (peer, links) = (Peer::start().await, Arc::new(Links::default()));
     let given_up = ask(&links, &peer, 1, IMPATIENCE);
     let (given_up, mut stream) = tokio::join!(given_up, peer.connection());
@@ -142,21 +142,21 @@
     assert_ne!(first, second);
     // The first answer comes now, twice; so does one that nobody asked for.
     for unasked in [first, first, 0, u32::MAX] {
-        peer.answer(&mut stream, unasked, 77).await;
+        peer.respond(&mut stream, unasked, 77).await;
     }
     assert!(!waiting.is_finished());
-    peer.answer(&mut stream, second, 2).await;
+    peer.respond(&mut stream, second, 2).await;
     assert_eq!(waiting.await.unwrap(), Some(2));
     // What was answered is not answered again by a further answer.
     let next = asking(&links, &peer, 3);
     let (third, _) = peer.question(&mut stream).await;
-    peer.answer(&mut stream, second, 77).await;
-    peer.answer(&mut stream, third, 3).await;
+    peer.respond(&mut stream, second, 77).await;
+    peer.respond(&mut stream, third, 3).await;
     assert_eq!(next.await.unwrap(), Some(3));
 }
 
 #[tokio::test]
-async fn a_connection_that_breaks_between_question_and_answer_ends_the_question_and_not_the_next() {
+async fn broken_connection_fails_only_pending_calls() {
     let (peer, links) = (Peer::start().await, Arc::new(Links::default()));
     let broken = asking(&links, &peer, 1);
     let mut stream = peer.connection().await;
@@ -173,13 +173,13 @@
     let (second, version) = peer.question(&mut stream).await;
     assert_eq!(version, 2, "the first question is not sent again");
     // The answer to the former connection's question comes on this one.
-    peer.answer(&mut stream, first, 77).await;
-    peer.answer(&mut stream, second, 2).await;
+    peer.respond(&mut stream, first, 77).await;
+    peer.respond(&mut stream, second, 2).await;
     assert_eq!(next.await.unwrap(), Some(2));
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_answer_end_the_connection_and_nobody_gets_them() {
+async fn invalid_bytes_close_connection() {
     use tokio::io::AsyncWriteExt;
     let (peer, links) = (Peer::start().await, Arc::new(Links::default()));
     let asked = asking(&links, &peer, 1);
--- a/router/tests/operator_pages.rs
+++ b/router/tests/operator_pages.rs
@@ -1,5 +1,5 @@
-//! The pages that operators and their tools read stay as they were: the names on the metrics page,
-//! the JSON of the status call, and the answers of the control API.
+//! The interfaces of operators and their tools are stable: metric names, the JSON of the status
+//! report, and the responses of the control API.
 
 mod common;
 
@@ -12,9 +12,9 @@
 use router::control_api::ControlApi;
 use router::fleet::Fleet;
 use router::metrics::MetricsPage;
-use router::proxy::table::Table;
-use router::replica::handle::{ReplicaHandle, Shown};
-use router::weights::Orders;
+use router::proxy::backend_table::BackendTable;
+use router::replica::handle::{ReplicaHandle, ReplicaStatus};
+use router::weights::RolloutController;
 use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -45,12 +45,12 @@
 /// A node with a replica that leads, two other members, three backends and a configuration.
 fn fleet() -> (Arc<Fleet>, ReplicaHandle) {
     let (handle, _) = ReplicaHandle::new(replica(1));
-    handle.show(Shown {
+    handle.publish_status(ReplicaStatus {
         lease: Some((1, u64::MAX)),
         rollout_ownership: RolloutOwnership::Owned,
         current_at: Some(router::clock::now() + 60_000),
         status: "Primary in epoch 1, change 1".to_owned(),
-        ..Shown::default()
+        ..ReplicaStatus::default()
     });
     let fleet = Fleet::new(Arc::new(Router::settings()), Some(handle.clone()), 1);
     publish(&fleet, 1, CONFIGURATION);
@@ -67,8 +67,8 @@
         let address = SocketAddrV4::new([10, 2, 0, at as u8].into(), 8080);
         register_at(&fleet, at, address, 1, phase);
     }
-    mark_silent(&fleet, 1);
-    fleet.hear_of_leader(Some((1, replica(1))));
+    mark_unresponsive(&fleet, 1);
+    fleet.observe_leader(Some((1, replica(1))));
     (fleet, handle)
 }
 
@@ -76,9 +76,9 @@
 async fn metric_names_are_stable() {
     let (fleet, handle) = fleet();
     name_version(&fleet);
-    let table = Arc::new(Table::default());
+    let table = Arc::new(BackendTable::default());
     table.refresh(&fleet);
-    let orders = Orders::new(fleet.clone(), handle, reqwest::Client::new());
+    let orders = RolloutController::new(fleet.clone(), handle, reqwest::Client::new());
     let text = MetricsPage::new(fleet, table, Some(orders)).text();
     let names: Vec<&str> = text
         .lines()
@@ -105,10 +105,10 @@
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().take(state));
-    fleet.restore(router::disk::Known {
+    assert!(fleet.published.lock().unwrap().apply_update(state));
+    fleet.restore(router::disk::PersistedFleet {
         records: Vec::new(),
-        named_weights: vec![AnnouncedVersion {
+        announced_weights: vec![AnnouncedVersion {
             model: "m".into(),
             version: 2,
             age_ms: 700,
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -1,14 +1,14 @@
-//! Requests with prompts: where they go, and what their sends tell backends about kept parts.
+//! Requests with prompts: backend selection, and the KV cache transfers that attempts ask for.
 
 mod common;
 
 use common::*;
 use control::configuration::KvStore;
-use router::fleet::Question;
+use router::fleet::PrefixLookup;
 use router::protocol::{Request, Response};
-use router::proxy::events::KeptEvent;
-use router::proxy::locator::Locator;
-use router::proxy::salt::{Salt, salt};
+use router::proxy::cache_salt::{CacheSalt, salt};
+use router::proxy::kv_events::KvEvent;
+use router::proxy::prefix_locator::PrefixLocator;
 use routing::prefix_index::{Placement, PrefixKey};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -18,9 +18,9 @@
     "X-Model-Name: m\r\nX-Token-Counts: 900,10\r\nX-Prompt-Prefix: a:300,b:500,own:100\r\n";
 
 /// Two stand-ins that say nothing of their load, and a router before them.
-async fn two() -> (StandIn, StandIn, Router) {
-    let first = StandIn::start(vec![Act::Say(success("1"))]).await;
-    let second = StandIn::start(vec![Act::Say(success("2"))]).await;
+async fn two() -> (FakeBackend, FakeBackend, Router) {
+    let first = FakeBackend::start(vec![Action::Respond(success("1"))]).await;
+    let second = FakeBackend::start(vec![Action::Respond(success("2"))]).await;
     let router = Router::start(&[&first, &second]).await;
     (first, second, router)
 }
@@ -36,13 +36,13 @@
     router
         .fleet
         .stores
-        .resettle(&BTreeMap::from([(address, store)]));
-    router.fleet.stores.answers(address, 1);
+        .reconfigure(&BTreeMap::from([(address, store)]));
+    router.fleet.stores.mark_available(address, 1);
     address
 }
 
 #[tokio::test]
-async fn requests_that_share_a_start_go_where_it_is_kept() {
+async fn routes_to_cached_prefix() {
     let (first, second, router) = two().await;
     for _ in 0..6 {
         assert_eq!(
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn a_start_that_others_keep_is_taken_from_them_and_one_that_nobody_keeps_is_saved() {
+async fn fetches_cached_and_saves_uncached_prefix() {
     let (first, second, router) = two().await;
     let store = add_store(&router);
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
@@ -72,7 +72,7 @@
         "a miss costs little"
     );
     let salt = header(&sent, "cache-salt").expect("a salt");
-    assert_eq!(Salt::read(&salt).map(|salt| salt.version), Some(1));
+    assert_eq!(CacheSalt::parse(&salt).map(|salt| salt.version), Some(1));
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let again = if first.count() == 2 {
         first.request(1)
@@ -83,14 +83,14 @@
 }
 
 #[tokio::test]
-async fn a_busy_holder_is_asked_for_parts_and_one_that_drains_is_not() {
-    let busy = Act::Say(answer(
+async fn fetches_from_busy_but_not_draining_replica() {
+    let busy = Action::Respond(answer(
         "200 OK",
         "X-Response-Seal: s\r\nX-Server-Load: 4,50,4\r\n",
         "1",
     ));
-    let first = StandIn::start(vec![busy.clone()]).await;
-    let second = StandIn::start(vec![busy]).await;
+    let first = FakeBackend::start(vec![busy.clone()]).await;
+    let second = FakeBackend::start(vec![busy]).await;
     let router = Router::start(&[&first, &second]).await;
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let holder = if first.count() == 1 { 0 } else { 1 };
@@ -111,7 +111,7 @@
     router.table.refresh(&router.fleet);
     let prompt = PROMPT.replace("b:500", "c:500");
     let key = PrefixKey::of_segment("tt1-", "m", "c");
-    let held = Placement {
+    let current = Placement {
         backend: format!("i-{holder}").into(),
         version: 1,
     };
@@ -120,69 +120,69 @@
         .locations
         .lock()
         .unwrap()
-        .record_placement(key, &held, router::clock::now());
+        .record_placement(key, &current, router::clock::now());
     router.ask("/unsafe/", &format!("{KEY}{prompt}")).await;
     assert_eq!(other.count(), 2);
     assert_eq!(header(&other.request(1), "kv-fetch"), None);
 }
 
 #[tokio::test]
-async fn what_an_event_takes_away_is_not_counted_on() {
+async fn evicted_prefix_is_not_used() {
     let (_first, _second, router) = two().await;
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
-    let locator = Locator::new(router.fleet.clone());
+    let locator = PrefixLocator::new(router.fleet.clone());
     let wall = "tt1-";
     let key = PrefixKey::of_segment(wall, "m", "b");
-    let asked = Question {
+    let asked = PrefixLookup {
         key,
         planned: Placement {
             backend: "asker".into(),
             version: 9,
         },
-        wants_save: false,
+        should_save: false,
     };
     let holder = router
         .fleet
-        .locate(&asked)
+        .look_up_prefix(&asked)
         .replicas
         .last()
         .expect("a holder")
         .backend
         .clone();
-    locator.tell_evicted(
+    locator.notify_evictions(
         &holder,
-        &[KeptEvent {
+        &[KvEvent {
             key,
             version: 2,
-            kept: false,
+            is_cached: false,
         }],
     );
     assert!(
-        router.fleet.locate(&asked).is_cached_by(&holder, 1),
+        router.fleet.look_up_prefix(&asked).is_cached_by(&holder, 1),
         "another version gave way"
     );
-    locator.tell_evicted(
+    locator.notify_evictions(
         &holder,
-        &[KeptEvent {
+        &[KvEvent {
             key,
             version: 1,
-            kept: true,
+            is_cached: true,
         }],
     );
-    assert!(router.fleet.locate(&asked).is_cached_by(&holder, 1));
-    locator.tell_evicted(
+    assert!(router.fleet.look_up_prefix(&asked).is_cached_by(&holder, 1));
+    locator.notify_evictions(
         &holder,
-        &[KeptEvent {
+        &[KvEvent {
             key,
             version: 1,
-            kept: false,
+            is_cached: false,
         }],
     );
-    assert!(!router.fleet.locate(&asked).is_cached_by(&holder, 1));
+    assert!(!router.fleet.look_up_prefix(&asked).is_cached_by(&holder, 1));
 }
 
 #[tokio::test]
-async fn owners_answer_other_routers() {
+async fn owner_answers_lookups() {
     let (_first, _second, router) = two().await;
     let service: Arc<router::fleet::Fleet> = router.fleet.clone();
     let placement = |backend: &str| Placement {
@@ -192,13 +192,13 @@
     let ask = |backend: &str| Request::Locate {
         key: PrefixKey(3),
         planned: placement(backend),
-        wants_save: false,
+        should_save: false,
     };
     use router::links::Service;
     let answered = async |request| {
         service
             .clone()
-            .answer(request)
+            .handle(request)
             .await
             .map(|answer| answer.response)
     };
@@ -222,15 +222,15 @@
 }
 
 #[test]
-fn a_salt_names_its_wall_and_its_version() {
+fn salt_round_trips() {
     let text = salt("s0a1b-", Some(12));
     assert_eq!(
-        Salt::read(&text),
-        Some(Salt {
-            wall: "s0a1b-",
+        CacheSalt::parse(&text),
+        Some(CacheSalt {
+            cache_namespace: "s0a1b-",
             version: 12
         })
     );
-    assert_eq!(Salt::read("somebody else's"), None);
+    assert_eq!(CacheSalt::parse("somebody else's"), None);
     assert_ne!(salt("w", Some(1)), salt("w", Some(2)));
 }
--- a/router/tests/pulls.rs
+++ b/router/tests/pulls.rs
@@ -1,4 +1,4 @@
-//! Pulls of many routers at the same moment.
+//! Simultaneous pulls of many routers.
 
 mod common;
 
@@ -7,13 +7,13 @@
 use control::state::Position;
 use futures_util::FutureExt;
 use router::fleet::{Fleet, Pull};
-use router::links::{self, Answer, Service};
+use router::links::{self, Reply, Service};
 use router::protocol::{PullRequest, Request, Response};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// A router that asks; one that knows a configuration names it as its base.
-fn asks(number: u64, base: Option<u64>, wait_ms: u64) -> Request {
+fn pull_request(number: u64, base: Option<u64>, wait_ms: u64) -> Request {
     let member = Member {
         zone: "a".into(),
         internal: "127.0.0.1:7560".parse().unwrap(),
@@ -40,10 +40,10 @@
     })
 }
 
-fn answer_now(fleet: &Arc<Fleet>, request: Request) -> Option<Answer> {
+fn answer_now(fleet: &Arc<Fleet>, request: Request) -> Option<Reply> {
     fleet
         .clone()
-        .answer(request)
+        .handle(request)
         .now_or_never()
         .map(|answer| answer.expect("an answer"))
 }
@@ -59,33 +59,39 @@
 }
 
 #[tokio::test]
-async fn few_answers_with_everything_are_in_memory_at_once() {
+async fn limits_full_responses_in_memory() {
     let router = Router::start(&[]).await;
     large_configuration(&router.fleet);
-    let mut held: Vec<Answer> = Vec::new();
-    while let Some(answer) = answer_now(&router.fleet, asks(held.len() as u64, None, 0)) {
+    let mut current: Vec<Reply> = Vec::new();
+    while let Some(answer) = answer_now(&router.fleet, pull_request(current.len() as u64, None, 0))
+    {
         assert!(matches!(&answer.response, Response::Pulled(pulled) if pulled.state.is_some()));
-        held.push(answer);
-        assert!(held.len() < 12, "there is a bound");
+        current.push(answer);
+        assert!(current.len() < 12, "there is a bound");
     }
-    assert!(held.len() >= 4, "and it lets some through: {}", held.len());
-    let mut waiting = router.fleet.clone().answer(asks(100, None, 0));
+    assert!(
+        current.len() >= 4,
+        "and it lets some through: {}",
+        current.len()
+    );
+    let mut waiting = router.fleet.clone().handle(pull_request(100, None, 0));
     assert!((&mut waiting).now_or_never().is_none());
     // An answer was written.
-    drop(held.pop());
+    drop(current.pop());
     assert!(waiting.now_or_never().is_some(), "the next one is made");
 }
 
 #[tokio::test]
-async fn who_has_the_configuration_is_not_held_up_by_those_who_lack_it() {
+async fn full_responses_do_not_delay_updates() {
     let router = Router::start(&[]).await;
     large_configuration(&router.fleet);
-    let mut held: Vec<Answer> = Vec::new();
-    while let Some(answer) = answer_now(&router.fleet, asks(held.len() as u64, None, 0)) {
-        held.push(answer);
+    let mut current: Vec<Reply> = Vec::new();
+    while let Some(answer) = answer_now(&router.fleet, pull_request(current.len() as u64, None, 0))
+    {
+        current.push(answer);
     }
     let own = router.fleet.directory.lock().unwrap().vector().clone();
-    let Request::Pull(mut informed) = asks(50, Some(2), 0) else {
+    let Request::Pull(mut informed) = pull_request(50, Some(2), 0) else {
         unreachable!()
     };
     informed.vector = own;
@@ -94,12 +100,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn waiting_for_the_first_configuration_holds_nobody_up() {
+async fn waiting_for_first_configuration_takes_no_memory_permit() {
     let fleet = Router::without_configuration();
     let vector = fleet.directory.lock().unwrap().vector().clone();
     let mut waiting: Vec<_> = (0..50)
         .map(|number| {
-            let Request::Pull(mut request) = asks(number, None, 60_000) else {
+            let Request::Pull(mut request) = pull_request(number, None, 60_000) else {
                 unreachable!()
             };
             // Whoever asked before knows the members.
@@ -108,14 +114,14 @@
                 .vector
                 .insert(control::directory::Origin(1), u64::MAX);
             request.epoch = u64::MAX;
-            fleet.clone().answer(Request::Pull(request))
+            fleet.clone().handle(Request::Pull(request))
         })
         .collect();
     for answer in &mut waiting {
         assert!(answer.now_or_never().is_none(), "there is no news yet");
     }
     publish(&fleet, 1, CONFIGURATION);
-    fleet.announce();
+    fleet.notify_change();
     // Answers leave one after the other, as each is written.
     for answer in waiting {
         let answer = answer.await.expect("an answer");
@@ -124,20 +130,20 @@
 }
 
 #[tokio::test]
-async fn a_node_that_never_heard_of_a_primary_says_so() {
+async fn node_without_primary_reports_no_age() {
     let asked = Router::start(&[]).await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!()
     };
     tokio::spawn(links::serve(listener, asked.fleet.clone(), Arc::default()));
-    let asker = Router::without_configuration();
+    let requester = Router::without_configuration();
     assert_eq!(
-        asker.pull(address, Duration::ZERO, || {}).await,
-        Pull::OutOfTouch
+        requester.pull(address, Duration::ZERO, || {}).await,
+        Pull::Stale
     );
     assert_eq!(
-        asker.published.lock().unwrap().version(),
+        requester.published.lock().unwrap().version(),
         Some(1),
         "what it has is taken all the same"
     );
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of backends: where they are sent, and what they change.
+//! Heartbeats of backends: their destinations and effects.
 
 use control::Millis;
 use control::directory::{
@@ -10,7 +10,7 @@
 use router::fleet::Fleet;
 use router::links::Service;
 use router::protocol::{PullRequest, Request};
-use router::replica::handle::{ReplicaHandle, Shown};
+use router::replica::handle::{ReplicaHandle, ReplicaStatus};
 use router::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -60,10 +60,10 @@
         in_sync: witnesses.clone(),
         witnesses,
     };
-    handle.show(Shown {
+    handle.publish_status(ReplicaStatus {
         view: Some(Arc::new(view)),
         current_at,
-        ..Shown::default()
+        ..ReplicaStatus::default()
     });
     let fleet = Fleet::new(Arc::new(settings), Some(handle), 1);
     for (number, zone) in [(2, "a"), (3, "a"), (4, "b"), (5, "b")] {
@@ -94,25 +94,25 @@
     }
 }
 
-async fn beat(fleet: &Fleet, id: &str, zone: &str, sequence: u64) -> SocketAddrV4 {
-    let told = fleet
+async fn heartbeat(fleet: &Fleet, id: &str, zone: &str, sequence: u64) -> SocketAddrV4 {
+    let reported = fleet
         .register(id.into(), backend(zone, sequence, BackendPhase::Ready))
         .await;
-    told.expect("it is acknowledged").expect("an address")
+    reported.expect("it is acknowledged").expect("an address")
 }
 
 async fn spread(fleet: &Fleet, zone: &str) -> BTreeMap<SocketAddrV4, u32> {
     let mut counts = BTreeMap::new();
     for number in 0..300 {
         *counts
-            .entry(beat(fleet, &format!("i-{zone}-{number}"), zone, 1).await)
+            .entry(heartbeat(fleet, &format!("i-{zone}-{number}"), zone, 1).await)
             .or_default() += 1;
     }
     counts
 }
 
 #[tokio::test]
-async fn backends_are_spread_over_the_replicas_of_their_zone() {
+async fn spreads_backends_over_zone_replicas() {
     let fleet = fleet();
     let own = spread(&fleet, "a").await;
     assert_eq!(
@@ -141,16 +141,16 @@
 }
 
 #[tokio::test]
-async fn a_replica_that_is_down_takes_no_backends_and_the_others_keep_theirs() {
+async fn down_replica_gets_no_backends() {
     let fleet = fleet();
     let mut before = BTreeMap::new();
     for number in 0..100 {
         let id = format!("i-{number}");
-        before.insert(id.clone(), beat(&fleet, &id, "a", 1).await);
+        before.insert(id.clone(), heartbeat(&fleet, &id, "a", 1).await);
     }
     put(&fleet, 2, "a", MemberStatus::Down);
     for (id, former) in before {
-        let now = beat(&fleet, &id, "a", 2).await;
+        let now = heartbeat(&fleet, &id, "a", 2).await;
         assert_ne!(now, address(2, 8381));
         assert!(
             former == address(2, 8381) || now == former,
@@ -160,12 +160,12 @@
 }
 
 #[tokio::test]
-async fn only_what_a_heartbeat_says_anew_is_passed_on_and_late_ones_change_nothing() {
+async fn propagates_only_new_heartbeat_content() {
     let fleet = fleet();
-    beat(&fleet, "i", "a", 5).await;
-    let changes = fleet.changes();
-    beat(&fleet, "i", "a", 6).await;
-    assert_eq!(fleet.changes(), changes, "it only counts up");
+    heartbeat(&fleet, "i", "a", 5).await;
+    let changes = fleet.change_count();
+    heartbeat(&fleet, "i", "a", 6).await;
+    assert_eq!(fleet.change_count(), changes, "it only counts up");
     let late = backend("a", 3, BackendPhase::Draining);
     fleet.register("i".into(), late).await;
     let phase = |fleet: &Fleet| match fleet
@@ -185,7 +185,7 @@
     fleet
         .register("i".into(), backend("a", u64::MAX, BackendPhase::Gone))
         .await;
-    beat(&fleet, "i", "a", 9).await;
+    heartbeat(&fleet, "i", "a", 9).await;
     assert_eq!(
         phase(&fleet),
         BackendPhase::Gone,
@@ -205,7 +205,7 @@
         wait_ms: 0,
         missing: Vec::new(),
     });
-    fleet.clone().answer(request).await.expect("an answer");
+    fleet.clone().handle(request).await.expect("an answer");
 }
 
 fn vector_of(fleet: &Fleet) -> VersionVector {
@@ -213,10 +213,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_end_of_a_backend_is_acknowledged_once_a_majority_of_the_replicas_know_it() {
+async fn acknowledges_deregistration_after_majority() {
     for phase in [BackendPhase::Draining, BackendPhase::Gone] {
         let fleet = fleet();
-        beat(&fleet, "i", "a", 1).await;
+        heartbeat(&fleet, "i", "a", 1).await;
         let before = vector_of(&fleet);
         let mut ended = Box::pin(fleet.register("i".into(), backend("a", 2, phase)));
         assert!(
@@ -237,9 +237,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_end_of_a_backend_that_reaches_no_majority_is_not_acknowledged() {
+async fn rejects_deregistration_without_majority() {
     let fleet = fleet();
-    beat(&fleet, "i", "a", 1).await;
+    heartbeat(&fleet, "i", "a", 1).await;
     pulls(&fleet, 2, &vector_of(&fleet)).await;
     let draining = backend("a", 2, BackendPhase::Draining);
     assert_eq!(fleet.register("i".into(), draining.clone()).await, None);
@@ -253,7 +253,7 @@
 /// Another node took the heartbeat first, and this one learned of it by a pull: it is no proof that
 /// a majority knows.
 #[tokio::test(start_paused = true)]
-async fn an_end_that_another_node_wrote_waits_for_a_majority_as_well() {
+async fn foreign_deregistration_waits_for_majority() {
     let fleet = fleet();
     let stamp = Stamp {
         origin: Origin(77),
@@ -284,7 +284,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_is_cut_off_takes_no_heartbeats_unless_half_of_the_others_are_with_it() {
+async fn partitioned_minority_rejects_heartbeats() {
     let fleet = fleet_in_touch_at(None);
     let ready = || backend("a", 1, BackendPhase::Ready);
     assert_eq!(
@@ -306,7 +306,7 @@
 }
 
 /// Whether a backend is marked as silent whose node is down, as far as this node can tell.
-fn marks_silent(fleet: &Fleet) -> bool {
+fn marks_unresponsive(fleet: &Fleet) -> bool {
     let owned = Backend {
         owner: "n2".into(),
         ..backend("a", 7, BackendPhase::Ready)
@@ -332,13 +332,13 @@
 /// backends nor the nodes that hear them, took both for gone, and its word outranked the others'
 /// when it was back.
 #[tokio::test]
-async fn a_node_that_is_cut_off_takes_no_backend_for_silent() {
+async fn partitioned_node_marks_no_backend_unresponsive() {
     assert!(
-        marks_silent(&fleet()),
+        marks_unresponsive(&fleet()),
         "in touch it does, also for a node that is down"
     );
     assert!(
-        !marks_silent(&fleet_in_touch_at(None)),
+        !marks_unresponsive(&fleet_in_touch_at(None)),
         "cut off it can't tell"
     );
 }
@@ -349,13 +349,13 @@
 /// only count up are not written down, so a late one with a lower number than these was taken for
 /// newer than what was written.
 #[tokio::test]
-async fn a_late_heartbeat_is_known_by_newer_ones_that_said_nothing_new() {
+async fn detects_stale_heartbeat_by_sequence() {
     let fleet = fleet();
-    let told = |sequence, version| Backend {
+    let reported = |sequence, version| Backend {
         models: vec![("m".into(), version)],
         ..backend("a", sequence, BackendPhase::Ready)
     };
-    let held = || match fleet
+    let current = || match fleet
         .directory
         .lock()
         .expect("sound")
@@ -364,18 +364,18 @@
         Some(Value::Backend(backend)) => backend.models.clone(),
         other => panic!("{other:?}"),
     };
-    assert!(fleet.register("i".into(), told(1, 1)).await.is_some());
-    assert!(fleet.register("i".into(), told(4, 1)).await.is_some());
+    assert!(fleet.register("i".into(), reported(1, 1)).await.is_some());
+    assert!(fleet.register("i".into(), reported(4, 1)).await.is_some());
     assert!(
-        fleet.register("i".into(), told(3, 2)).await.is_some(),
+        fleet.register("i".into(), reported(3, 2)).await.is_some(),
         "late, and acknowledged all the same"
     );
-    assert_eq!(held(), [("m".into(), 1)]);
-    assert!(fleet.register("i".into(), told(5, 2)).await.is_some());
-    assert_eq!(held(), [("m".into(), 2)]);
+    assert_eq!(current(), [("m".into(), 1)]);
+    assert!(fleet.register("i".into(), reported(5, 2)).await.is_some());
+    assert_eq!(current(), [("m".into(), 2)]);
     let late_end = Backend {
         phase: BackendPhase::Draining,
-        ..told(4, 2)
+        ..reported(4, 2)
     };
     assert_eq!(
         fleet.register("i".into(), late_end).await,
--- a/router/tests/crossing.rs
+++ b/router/tests/response_isolation.rs
@@ -1,6 +1,6 @@
-//! What crosses on a connection to a backend: an answer before the body was read, bytes that belong
-//! to no request, a backend's failure while a copy is pending, and a stream that outlasts its
-//! route's time.
+//! Responses that get out of step: one that comes before the request body was read, bytes that
+//! belong to no request, a failure while a hedge is in flight, and a stream that outlasts the
+//! deadline of its route.
 
 mod common;
 
@@ -37,22 +37,22 @@
 
 /// A backend that answers the first request of each connection before it has read the body, and
 /// goes on reading later.
-async fn answers_early(first: String, next: String) -> (StandIn, Arc<tokio::sync::Semaphore>) {
+async fn answers_early(first: String, next: String) -> (FakeBackend, Arc<tokio::sync::Semaphore>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!()
     };
     // Only its address and its count of requests are used.
-    let mut stand_in = StandIn::start(vec![Act::Hang]).await;
-    stand_in.address = address;
+    let mut backend = FakeBackend::start(vec![Action::Hang]).await;
+    backend.address = address;
     let (requests, sound) = (
-        stand_in.requests.clone(),
+        backend.requests.clone(),
         Arc::new(tokio::sync::Semaphore::new(0)),
     );
-    let whole = sound.clone();
+    let complete = sound.clone();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            let (requests, whole) = (requests.clone(), whole.clone());
+            let (requests, complete) = (requests.clone(), complete.clone());
             let answers = [first.clone(), next.clone()];
             tokio::spawn(async move {
                 for answer in answers.iter().chain(std::iter::repeat(&answers[1])) {
@@ -78,12 +78,12 @@
                         body.iter().all(|byte| *byte == b'b'),
                         "other bytes stand where the body's rest is due"
                     );
-                    whole.add_permits(1);
+                    complete.add_permits(1);
                 }
             });
         }
     });
-    (stand_in, sound)
+    (backend, sound)
 }
 
 /// Sends a request with a body of some length on a connection that is kept.
@@ -109,12 +109,12 @@
 }
 
 #[tokio::test]
-async fn a_backend_that_answers_before_it_has_read_the_body_gets_the_rest_of_it_and_nothing_else() {
+async fn early_response_does_not_truncate_request_body() {
     let early_success = success("early");
     let early_refusal = answer("503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
     for (first, expected) in [(early_success, "200"), (early_refusal, "503")] {
         for length in [READ_EARLY - 1, 20_000, LONG_BODY] {
-            let (backend, whole) = answers_early(first.clone(), success("next")).await;
+            let (backend, complete) = answers_early(first.clone(), success("next")).await;
             let router = Router::start(&[&backend]).await;
             let mut client = TcpStream::connect(router.address).await.unwrap();
             post(&mut client, "/unsafe/", 1, length).await;
@@ -137,16 +137,20 @@
                 );
             }
             // The bodies that were read, each to its end, are those that were sent.
-            let permit = tokio::time::timeout(PATIENCE, whole.acquire_many(2)).await;
+            let permit = tokio::time::timeout(PATIENCE, complete.acquire_many(2)).await;
             permit.expect("bodies are read whole").unwrap().forget();
         }
     }
 }
 
 #[tokio::test]
-async fn a_late_second_answer_in_the_place_of_the_next_one_reaches_no_client() {
+async fn rejects_response_of_another_request() {
     let twice = success("first") + &success("first").replace("{id}", "id-of-another");
-    let backend = StandIn::start(vec![Act::Say(twice.clone()), Act::Say(success("second"))]).await;
+    let backend = FakeBackend::start(vec![
+        Action::Respond(twice.clone()),
+        Action::Respond(success("second")),
+    ])
+    .await;
     let router = Router::start(&[&backend]).await;
     let mut client = TcpStream::connect(router.address).await.unwrap();
     post(&mut client, "/unsafe/", 1, 4).await;
@@ -194,11 +198,11 @@
 }
 
 #[tokio::test]
-async fn a_failure_of_one_backend_waits_for_the_copy_at_another() {
+async fn failure_waits_for_hedge() {
     let address = fails_and_then_succeeds().await;
     let mut backends = [
-        StandIn::start(vec![Act::Hang]).await,
-        StandIn::start(vec![Act::Hang]).await,
+        FakeBackend::start(vec![Action::Hang]).await,
+        FakeBackend::start(vec![Action::Hang]).await,
     ];
     backends
         .iter_mut()
@@ -213,9 +217,9 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_outlasts_the_time_of_its_route_ends_without_looking_complete() {
+async fn stream_past_deadline_is_aborted() {
     let begun = format!("{STREAM_HEAD}{}", event(1));
-    let backend = StandIn::start(vec![Act::Say(begun), Act::Hang]).await;
+    let backend = FakeBackend::start(vec![Action::Respond(begun), Action::Hang]).await;
     let router = Router::start(&[&backend]).await;
     let brief = CONFIGURATION
         .replace("\"version\":1", "\"version\":2")
@@ -240,7 +244,7 @@
 /// A client that resets its connection and comes back from the same port: the end of the former
 /// connection must not take away what breaks the new one.
 #[tokio::test]
-async fn a_connection_from_the_address_of_a_former_one_can_be_broken() {
+async fn reused_client_address_can_be_aborted() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server = listener.local_addr().unwrap();
     let connections = ClientConnections::default();
@@ -264,7 +268,7 @@
     let _second = connect(remote.port()).await;
     let (mut present, ..) = acceptor.accept().await.unwrap();
     drop(former);
-    connections.of(Some(&remote)).break_off();
+    connections.of(Some(&remote)).abort();
     assert!(
         present.write_all(b"the end of an answer").await.is_err(),
         "nothing is written any more"
--- a/router/tests/orders.rs
+++ b/router/tests/rollout.rs
@@ -1,12 +1,12 @@
-//! Bringing new weights to backends of which some do not answer.
+//! Rollout of new weights to backends of which some are unresponsive.
 //!
-//! Story: a version was named, and one sound backend got its first order 6.6 s later, after
-//! requests must not begin on older weights any more. Three others had crashed or did not answer.
+//! Incident: a version was announced, and one healthy backend got its first order 6.6 s later,
+//! after the deadline of the rollout. Three others had crashed or were unresponsive.
 //!
-//! Evidence: the log of orders. Two or three orders are given at a time. Those that did not answer
-//! were asked again before others had been asked once, as backends were taken by their ids; and a
-//! backend that crashed after it had taken its order kept its place for 4 s, so that for two
-//! seconds nobody got an order.
+//! Evidence: the log of orders. Two or three orders are sent at a time. Unresponsive backends got a
+//! second order before others had got their first, as backends were ordered by id; and a backend
+//! that crashed after accepting its order occupied a slot for 4 s, so that for two seconds no order
+//! was sent.
 
 mod common;
 
@@ -18,8 +18,8 @@
 use control::view::ReplicaId;
 use router::fleet::Fleet;
 use router::protocol::PublishedState;
-use router::replica::handle::{ReplicaHandle, Shown};
-use router::weights::Orders;
+use router::replica::handle::{ReplicaHandle, ReplicaStatus};
+use router::weights::RolloutController;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -36,10 +36,10 @@
         address: "127.0.0.1:7560".parse().unwrap(),
     };
     let (handle, _) = ReplicaHandle::new(id);
-    handle.show(Shown {
+    handle.publish_status(ReplicaStatus {
         lease: Some((1, u64::MAX)),
         rollout_ownership: RolloutOwnership::Owned,
-        ..Shown::default()
+        ..ReplicaStatus::default()
     });
     let fleet = Fleet::new(Arc::new(Router::settings()), Some(handle.clone()), 1);
     for (at, address) in backends.iter().enumerate() {
@@ -57,24 +57,24 @@
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().take(named));
+    assert!(fleet.published.lock().unwrap().apply_update(named));
     (fleet, handle)
 }
 
 /// Whether all sound backends get their orders soon, where the first ones behave like this.
-async fn others_are_reached(unsound: &[Act]) -> bool {
+async fn others_are_reached(unsound: &[Action]) -> bool {
     let mut backends = Vec::new();
     for _ in 0..2 {
-        backends.push(StandIn::start(unsound.to_vec()).await);
+        backends.push(FakeBackend::start(unsound.to_vec()).await);
     }
-    let holds = Act::Say(answer("200 OK", "", "{}"));
+    let holds = Action::Respond(answer("200 OK", "", "{}"));
     for _ in 0..3 {
-        backends.push(StandIn::start(vec![holds.clone()]).await);
+        backends.push(FakeBackend::start(vec![holds.clone()]).await);
     }
     let addresses: Vec<SocketAddrV4> = backends.iter().map(|backend| backend.address).collect();
     let (fleet, handle) = leader(&addresses);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(Orders::new(fleet, handle, client).run());
+    let orders = tokio::spawn(RolloutController::new(fleet, handle, client).run());
     let reached = async {
         while backends[2..].iter().any(|backend| backend.count() == 0) {
             tokio::task::yield_now().await;
@@ -86,18 +86,18 @@
 }
 
 #[tokio::test]
-async fn backends_that_do_not_answer_leave_their_places_to_others() {
-    let report = Act::Say(answer(
+async fn unresponsive_backends_do_not_block_rollout() {
+    let report = Action::Respond(answer(
         "200 OK",
         "",
         r#"{"models":[{"name":"m","version":1}],"sequence":0}"#,
     ));
-    let taken = Act::SayAndClose(answer("202 Accepted", "", "{}"));
-    let unresponsive = others_are_reached(&[Act::Hang]).await;
-    let silent_to_orders = others_are_reached(&[report.clone(), Act::Hang]).await;
-    let crashed = others_are_reached(&[report, taken, Act::Hang]).await;
+    let taken = Action::RespondAndClose(answer("202 Accepted", "", "{}"));
+    let unresponsive = others_are_reached(&[Action::Hang]).await;
+    let ignores_orders = others_are_reached(&[report.clone(), Action::Hang]).await;
+    let crashed = others_are_reached(&[report, taken, Action::Hang]).await;
     assert_eq!(
-        (unresponsive, silent_to_orders, crashed),
+        (unresponsive, ignores_orders, crashed),
         (true, true, true),
         "with backends that are silent, that report and are silent to orders, and that crash after an order"
     );
@@ -113,11 +113,11 @@
 /// seconds. Cause: routers had been told that they were about to load, and the order was not given
 /// any more as the lease was lost in between.
 #[tokio::test]
-async fn a_backend_whose_order_was_not_given_gets_requests_again_at_once() {
+async fn withdrawn_order_readmits_backend() {
     let backend = ModelBackend::start(1).await;
     let (fleet, handle) = leader(&[backend.address]);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(Orders::new(fleet.clone(), handle.clone(), client).run());
+    let orders = tokio::spawn(RolloutController::new(fleet.clone(), handle.clone(), client).run());
     let becomes = async |phase| {
         while phase_of(&fleet, 0) != Some(phase) {
             tokio::task::yield_now().await;
@@ -126,7 +126,7 @@
     tokio::time::timeout(PATIENCE, becomes(OrderPhase::InProgress))
         .await
         .expect("it is announced");
-    handle.show(Shown::default());
+    handle.publish_status(ReplicaStatus::default());
     tokio::time::timeout(PATIENCE, becomes(OrderPhase::Withdrawn))
         .await
         .expect("it is taken back");
@@ -143,12 +143,12 @@
 /// service. Cause: silence is told from heartbeats alone, and who was silent got no order, whether
 /// or not it could have been given one.
 #[tokio::test]
-async fn a_backend_whose_heartbeats_stopped_and_that_answers_gets_its_order() {
+async fn orders_backend_without_heartbeats() {
     let backend = ModelBackend::start(1).await;
     let (fleet, handle) = leader(&[backend.address]);
-    mark_silent(&fleet, 0);
+    mark_unresponsive(&fleet, 0);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(Orders::new(fleet, handle, client).run());
+    let orders = tokio::spawn(RolloutController::new(fleet, handle, client).run());
     let brought = async {
         while backend.version() != 2 {
             tokio::task::yield_now().await;
--- a/router/tests/weights_deadline.rs
+++ b/router/tests/weights_deadline.rs
@@ -1,17 +1,17 @@
-//! Until when requests may begin on older weights, as several routers see it.
+//! The time until which requests may start on older weights, as several routers observe it.
 //!
-//! Story: a version of some weights is acknowledged, and requests must not begin on an older one
-//! some seconds later. A router that heard of it late, as it had been cut off or had just started,
-//! still sent requests to a backend with the old weights after that time.
+//! Incident: a version of some weights is acknowledged, and some seconds later requests must not
+//! start on an older one. A router that learned of it late, as it had been partitioned or had just
+//! started, still sent requests to a backend with the old weights after that time.
 //!
-//! Evidence: the time was counted from the first request after the router had heard of the version.
-//! Cause: news told what was named, and not how long ago.
+//! Evidence: the time was counted from the first request after the router had learned of the
+//! version. Cause: updates contained the announced version, but not its age.
 
 mod common;
 
 use common::*;
 use control::state::{Position, WeightsTarget};
-use router::disk::Known;
+use router::disk::PersistedFleet;
 use router::fleet::{Fleet, Pull};
 use router::links;
 use router::protocol::PublishedState;
@@ -59,7 +59,7 @@
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().take(named));
+    assert!(fleet.published.lock().unwrap().apply_update(named));
     serve(&fleet).await
 }
 
@@ -80,8 +80,8 @@
 }
 
 #[tokio::test]
-async fn a_router_that_hears_late_counts_from_when_a_version_was_named() {
-    let old = StandIn::start(vec![Act::Say(success("ok"))]).await;
+async fn late_router_counts_from_announcement() {
+    let old = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let first = Router::start_on(fleet(1), CONFIGURATION, &[&old]).await;
     hears_from(&first, source().await).await;
     assert_eq!(
@@ -106,16 +106,16 @@
 /// Whoever restarts with its disk goes on counting where it was: else versions whose nodes are
 /// killed again and again are never required.
 #[tokio::test]
-async fn a_node_that_is_started_again_goes_on_where_its_time_was() {
-    let old = StandIn::start(vec![Act::Say(success("ok"))]).await;
+async fn deadline_survives_restart() {
+    let old = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let first = Router::start_on(fleet(2), CONFIGURATION, &[&old]).await;
     hears_from(&first, source().await).await;
     while ask(&first).await == "200" {}
 
     let again = Router::start_on(fleet(3), CONFIGURATION, &[&old]).await;
-    let known = Known {
+    let known = PersistedFleet {
         records: Vec::new(),
-        named_weights: first.fleet.named_weights(),
+        announced_weights: first.fleet.announced_weights(),
     };
     again.fleet.restore(known);
     assert_eq!(
@@ -127,11 +127,11 @@
 
 /// Sends one request to the only backend there is, which lets it wait; then a version is named, and
 /// a backend has it.
-async fn waits_at_old_weights(path: &str) -> (String, bool, usize) {
+async fn queues_on_old_weights(path: &str) -> (String, bool, usize) {
     let patient = CONFIGURATION.replace("\"timeoutMs\":3000", "\"timeoutMs\":60000");
     let patient = patient.replace("\"targetLatencyMs\":100", "\"targetLatencyMs\":60000");
-    let old = StandIn::start(vec![Act::Hang]).await;
-    let new = StandIn::start(vec![Act::Say(success("ok"))]).await;
+    let old = FakeBackend::start(vec![Action::Hang]).await;
+    let new = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let router = Router::start_on(fleet(1), &patient, &[&old]).await;
     let headers = format!("{KEY}{PROMPT}");
     let asking = async { status(&router.ask(path, &headers).await).to_owned() };
@@ -154,9 +154,9 @@
 /// the old weights when these must not be used any more. Cause: what is required was looked at only
 /// when a request is sent.
 #[tokio::test]
-async fn what_still_waits_at_old_weights_is_withdrawn_in_time() {
-    let repeatable = tokio::time::timeout(PATIENCE, waits_at_old_weights("/safe/")).await;
-    let other = tokio::time::timeout(PATIENCE, waits_at_old_weights("/unsafe/")).await;
+async fn withdraws_requests_queued_on_old_weights() {
+    let repeatable = tokio::time::timeout(PATIENCE, queues_on_old_weights("/safe/")).await;
+    let other = tokio::time::timeout(PATIENCE, queues_on_old_weights("/unsafe/")).await;
     assert_eq!(
         repeatable.ok(),
         Some(("200".to_owned(), true, 1)),
