--- a/bitternsill/tests/common/fleet.rs
+++ b/bitternsill/tests/common/fleet.rs
@@ -2,8 +2,8 @@
 //! index hosts and discovery, clients and observers.
 
 use super::*;
-use simulation::history::{History, Look};
-use simulation::link::{Link, Way};
+use simulation::history::{History, SessionId};
+use simulation::link::{Flow, Link};
 use simulation::timeline::Fault;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64};
@@ -326,7 +326,10 @@
     pub fn power_on(&mut self, at: usize) {
         self.lives[at] += 1;
         let count = self.counter.count.load(Ordering::SeqCst);
-        self.history.lock().unwrap().writes(&self.key(at), count);
+        self.history
+            .lock()
+            .unwrap()
+            .record_write(&self.key(at), count);
         let members: serde_json::Map<String, Value> = (0..self.stores.len())
             .map(|to| {
                 let address = self
@@ -399,13 +402,13 @@
     pub fn observe(&mut self, at: usize) {
         let (address, over, history) = (self.stores[at], self.over.clone(), self.history.clone());
         self.helpers.push(thread::spawn(move || {
-            for look in (at as Look * 1_000_000).. {
+            for look in (at as SessionId * 1_000_000).. {
                 if over.load(Ordering::SeqCst) {
                     return;
                 }
                 watch(address, Duration::from_millis(400), |key, value| {
                     if let Some(value) = counted(value) {
-                        history.lock().unwrap().shows(at, look, key, value);
+                        history.lock().unwrap().record_read(at, look, key, value);
                     }
                     !over.load(Ordering::SeqCst)
                 });
@@ -468,8 +471,12 @@
     /// All gatherers that run are told one more.
     pub fn count_up(&self) {
         let next = self.counter.count.load(Ordering::SeqCst) + 1;
-        (0..self.lives.len())
-            .for_each(|at| self.history.lock().unwrap().writes(&self.key(at), next));
+        (0..self.lives.len()).for_each(|at| {
+            self.history
+                .lock()
+                .unwrap()
+                .record_write(&self.key(at), next)
+        });
         self.counter.count.store(next, Ordering::SeqCst);
     }
 
@@ -498,19 +505,19 @@
     pub fn heal(&self) {
         self.links
             .values()
-            .for_each(|link| link.set(Way::Open, Way::Open));
+            .for_each(|link| link.set(Flow::Open, Flow::Open));
     }
 
     pub fn befall(&mut self, fault: &Fault) {
         match fault {
             Fault::PowerOff(group) => self.power_off(group),
             Fault::PowerOn(group) => group.iter().for_each(|at| self.power_on(*at)),
-            Fault::Stop(at) => self.programs[*at].as_ref().unwrap().signal("STOP"),
-            Fault::Continue(at) => self.programs[*at].as_ref().unwrap().signal("CONT"),
-            Fault::Cut(from, to) => self.link(*from, *to).set(Way::Stalled, Way::Open),
-            Fault::Slow(from, to, by) => {
+            Fault::Suspend(at) => self.programs[*at].as_ref().unwrap().signal("STOP"),
+            Fault::Resume(at) => self.programs[*at].as_ref().unwrap().signal("CONT"),
+            Fault::Partition(from, to) => self.link(*from, *to).set(Flow::Stalled, Flow::Open),
+            Fault::Delay(from, to, by) => {
                 self.link(*from, *to)
-                    .set(Way::Late(Duration::from_millis(*by)), Way::Open);
+                    .set(Flow::Delayed(Duration::from_millis(*by)), Flow::Open);
             }
             Fault::Reset(one, other) => {
                 self.link(*one, *other).reset();
@@ -533,7 +540,7 @@
 
     /// Whether every member holds at least what anyone was shown, and all the same.
     pub fn is_one(&self) -> bool {
-        let shown = self.history.lock().unwrap().shown().clone();
+        let shown = self.history.lock().unwrap().highest_read().clone();
         let held: Vec<_> = (0..self.stores.len()).map(|at| self.held(at)).collect();
         let enough = |held: &BTreeMap<String, u64>| {
             shown
@@ -559,7 +566,7 @@
             }
             if Instant::now() > until {
                 let held: Vec<_> = (0..self.lives.len()).map(|at| self.held(at)).collect();
-                let shown = self.history.lock().unwrap().shown().clone();
+                let shown = self.history.lock().unwrap().highest_read().clone();
                 return Err(format!(
                     "30 s after the last fault {held:?}; shown was {shown:?}; now {now}"
                 ));
@@ -580,8 +587,8 @@
                 .map_err(|_| "a client or an observer saw what it must not".to_owned())?;
         }
         let history = std::mem::take(&mut *self.history.lock().unwrap());
-        let shown = history.shown().len();
-        let wrong = history.judge(&held);
+        let shown = history.highest_read().len();
+        let wrong = history.check(&held);
         settled?;
         if !wrong.is_empty() {
             return Err(wrong.iter().map(|wrong| format!("{wrong}; ")).collect());
--- a/bitternsill/tests/common/versions.rs
+++ b/bitternsill/tests/common/versions.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::*;
 use super::*;
-use simulation::link::Way;
+use simulation::link::Flow;
 use std::collections::BTreeSet;
 
 /// The validity of a confirmation.
@@ -123,7 +123,7 @@
 }
 
 /// Sets what happens to bytes from one gatherer to all others, and back.
-pub fn partition(fleet: &Fleet, one: usize, ways: [Way; 2]) {
+pub fn partition(fleet: &Fleet, one: usize, ways: [Flow; 2]) {
     for other in (0..fleet.stores.len()).filter(|other| *other != one) {
         fleet.link(one, other).set(ways[0], ways[1]);
         fleet.link(other, one).set(ways[1], ways[0]);
--- a/bitternsill/tests/fleet_audit.rs
+++ b/bitternsill/tests/fleet_audit.rs
@@ -8,7 +8,7 @@
 use common::versions::*;
 use common::*;
 use serde_json::json;
-use simulation::link::{Link, Way};
+use simulation::link::{Flow, Link};
 use simulation::timeline::Fault;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -75,7 +75,7 @@
     let kept = folder("kept");
     // Responses are delayed, so that the collection is killed between two chunks.
     let link = Link::to(fleet.stores[1]).unwrap();
-    link.set(Way::Open, Way::Late(Duration::from_millis(400)));
+    link.set(Flow::Open, Flow::Delayed(Duration::from_millis(400)));
     let mut collector = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
         .args(["fleet", "audit", "--keep"])
         .arg(&kept)
--- a/bitternsill/tests/fleet_recovery.rs
+++ b/bitternsill/tests/fleet_recovery.rs
@@ -25,7 +25,7 @@
         .settle()
         .map_err(|problem| format!("before the first fault: {problem}"))?;
     let begun = Instant::now();
-    for (at, fault) in timeline::draw(seed, count, 4000) {
+    for timeline::Event { at_ms: at, fault } in timeline::draw(seed, count, 4000) {
         while begun.elapsed() < Duration::from_millis(at) {
             fleet.count_up();
             thread::sleep(Duration::from_millis(50));
@@ -66,7 +66,7 @@
 fn a_process_that_slept_through_the_loss_of_power_wakes_among_the_recovered_and_breaks_nothing() {
     let mut fleet = Fleet::start("slept", 3);
     fleet.settle().unwrap();
-    fleet.befall(&Fault::Stop(2));
+    fleet.befall(&Fault::Suspend(2));
     fleet.count_up();
     let both = BTreeSet::from([0, 1]);
     fleet.befall(&Fault::PowerOff(both.clone()));
@@ -86,7 +86,7 @@
     };
     commits(&fleet);
     fleet.befall(&Fault::PowerOff(both.clone()));
-    fleet.befall(&Fault::Continue(2));
+    fleet.befall(&Fault::Resume(2));
     fleet.befall(&Fault::PowerOn(both));
     fleet.judge().unwrap();
 }
@@ -103,9 +103,9 @@
         fleet.befall(&Fault::PowerOff(all.clone()));
         for other in [1, 2] {
             fleet.befall(&if deaf {
-                Fault::Cut(other, 0)
+                Fault::Partition(other, 0)
             } else {
-                Fault::Cut(0, other)
+                Fault::Partition(0, other)
             });
         }
         fleet.befall(&Fault::PowerOn(all));
--- a/bitternsill/tests/fleet_versions.rs
+++ b/bitternsill/tests/fleet_versions.rs
@@ -8,7 +8,7 @@
 use common::versions::*;
 use common::*;
 use serde_json::{Value, json};
-use simulation::link::Way;
+use simulation::link::Flow;
 use simulation::timeline::{self, Fault};
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -81,9 +81,9 @@
 #[test]
 fn partitioned_gatherer_stops_before_it_can_be_excluded() {
     for (name, ways) in [
-        ("cut", [Way::Stalled, Way::Stalled]),
-        ("unheard", [Way::Stalled, Way::Open]),
-        ("deaf", [Way::Open, Way::Stalled]),
+        ("cut", [Flow::Stalled, Flow::Stalled]),
+        ("unheard", [Flow::Stalled, Flow::Open]),
+        ("deaf", [Flow::Open, Flow::Stalled]),
     ] {
         let (fleet, _, out) = with_a_version(name);
         let rest: Vec<usize> = (0..3).filter(|at| *at != out).collect();
@@ -118,7 +118,7 @@
 fn suspended_process_accepts_nothing_under_expired_version() {
     let (mut fleet, _, out) = with_a_version("slept-over");
     let rest: Vec<usize> = (0..3).filter(|at| *at != out).collect();
-    fleet.befall(&Fault::Stop(out));
+    fleet.befall(&Fault::Suspend(out));
     let mut waits = TcpStream::connect(fleet.fronts[out]).unwrap();
     waits
         .set_read_timeout(Some(Duration::from_secs(10)))
@@ -129,7 +129,7 @@
     configure(&fleet, "second", &rest);
     assert!(fleet.call(&["leave-out", &format!("g{out}")], &rest).1);
     activate(&fleet, &rest).unwrap();
-    fleet.befall(&Fault::Continue(out));
+    fleet.befall(&Fault::Resume(out));
     let answer = read_response(&mut waits);
     assert!(!answer.starts_with("HTTP/1.1 200"), "{answer}");
     eventually("it is brought up", || serves(&fleet, out, "second"));
@@ -198,7 +198,9 @@
     eventually("all are current", || current(&fleet));
     let (begun, mut made) = (Instant::now(), 0);
     let all: Vec<usize> = (0..count).collect();
-    for (number, (at, fault)) in timeline::draw(seed, count, 6_000).into_iter().enumerate() {
+    for (number, timeline::Event { at_ms: at, fault }) in
+        timeline::draw(seed, count, 6_000).into_iter().enumerate()
+    {
         while begun.elapsed() < Duration::from_millis(at) {
             std::thread::sleep(Duration::from_millis(20));
         }
--- a/simulation/src/history.rs
+++ b/simulation/src/history.rs
@@ -1,54 +1,54 @@
-//! What observers saw of values that one writer counts up, each under a key of its own: at
-//! whichever process they look, a value that anyone was shown must be there again in the end, and
-//! one look at one process must never go back.
+//! Checks what clients read from the replicas of a store, where one writer per key writes growing
+//! values: no committed value is lost, reads of a session are monotonic, and in the end all replicas
+//! agree.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One observer's look at one process, from connecting to its end.
-pub type Look = u64;
+/// A client's session with one process, from its connection to its end.
+pub type SessionId = u64;
 
-/// What is wrong with what was seen.
+/// A violation of consistency.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Wrong {
-    /// A look saw a value after a higher one of the same key.
-    WentBack {
-        /// The process that was looked at.
+pub enum Violation {
+    /// A session read a value after a higher one of the same key.
+    Regressed {
+        /// The process that was read from.
         process: usize,
         /// The key.
         key: String,
-        /// The value that it had shown, and the one it showed then.
+        /// The first value, and the lower one that was read after it.
         values: (u64, u64),
     },
-    /// A value was shown that nobody ever wrote.
+    /// A value was read that was never written.
     Invented {
-        /// The process that showed it.
+        /// The process that was read from.
         process: usize,
         /// The key.
         key: String,
         /// The value.
         value: u64,
     },
-    /// In the end a process does not hold what some process had shown.
+    /// In the end a process does not have a value that was read before.
     Lost {
         /// The process.
         process: usize,
         /// The key.
         key: String,
-        /// The highest value that was shown, and what this process holds.
+        /// The highest value that was read, and the final one of this process.
         values: (u64, Option<u64>),
     },
-    /// In the end two processes do not hold the same.
-    Differ {
+    /// In the end two processes have different values.
+    Diverged {
         /// The key.
         key: String,
     },
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wrong::WentBack {
+            Violation::Regressed {
                 process,
                 key,
                 values,
@@ -59,7 +59,7 @@
                     values.0, values.1
                 )
             }
-            Wrong::Invented {
+            Violation::Invented {
                 process,
                 key,
                 value,
@@ -69,7 +69,7 @@
                     "process {process} showed {key} as {value}, which nobody wrote"
                 )
             }
-            Wrong::Lost {
+            Violation::Lost {
                 process,
                 key,
                 values,
@@ -80,75 +80,80 @@
                     values.0, values.1
                 )
             }
-            Wrong::Differ { key } => write!(f, "processes end with different values of {key}"),
+            Violation::Diverged { key } => {
+                write!(f, "processes end with different values of {key}")
+            }
         }
     }
 }
 
-/// Everything that was written and seen.
+/// All writes and reads.
 #[derive(Debug, Default)]
 pub struct History {
     written: BTreeMap<String, u64>,
-    /// The last value of each key in each look at a process.
-    looks: BTreeMap<(usize, Look, String), u64>,
-    shown: BTreeMap<String, u64>,
-    wrong: Vec<Wrong>,
+    /// The last value of each key in each session with a process.
+    sessions: BTreeMap<(usize, SessionId, String), u64>,
+    highest_read: BTreeMap<String, u64>,
+    violations: Vec<Violation>,
 }
 
 impl History {
-    /// A writer is about to write a value; values of a key only grow.
-    pub fn writes(&mut self, key: &str, value: u64) {
+    /// A writer is about to write a value. Values of a key only grow.
+    pub fn record_write(&mut self, key: &str, value: u64) {
         let written = self.written.entry(key.to_owned()).or_insert(0);
         *written = (*written).max(value);
     }
 
-    /// A process showed a value in a look.
-    pub fn shows(&mut self, process: usize, look: Look, key: &str, value: u64) {
+    /// A session read a value from a process.
+    pub fn record_read(&mut self, process: usize, session: SessionId, key: &str, value: u64) {
         if self.written.get(key).is_none_or(|written| value > *written) {
-            self.wrong.push(Wrong::Invented {
+            self.violations.push(Violation::Invented {
                 process,
                 key: key.to_owned(),
                 value,
             });
             return;
         }
-        let last = self.looks.insert((process, look, key.to_owned()), value);
+        let last = self
+            .sessions
+            .insert((process, session, key.to_owned()), value);
         if let Some(last) = last.filter(|last| *last > value) {
-            self.wrong.push(Wrong::WentBack {
+            self.violations.push(Violation::Regressed {
                 process,
                 key: key.to_owned(),
                 values: (last, value),
             });
         }
-        let shown = self.shown.entry(key.to_owned()).or_insert(0);
-        *shown = (*shown).max(value);
+        let highest_read = self.highest_read.entry(key.to_owned()).or_insert(0);
+        *highest_read = (*highest_read).max(value);
     }
 
-    /// The highest value of each key that anyone was shown.
-    pub fn shown(&self) -> &BTreeMap<String, u64> {
-        &self.shown
+    /// The highest value of each key that was read.
+    pub fn highest_read(&self) -> &BTreeMap<String, u64> {
+        &self.highest_read
     }
 
-    /// What is wrong, with what each process holds in the end.
-    pub fn judge(mut self, held: &BTreeMap<usize, BTreeMap<String, u64>>) -> Vec<Wrong> {
-        for (key, shown) in &self.shown {
-            for (process, held) in held {
-                let value = held.get(key).copied();
-                if value.is_none_or(|value| value < *shown) {
-                    self.wrong.push(Wrong::Lost {
+    /// All violations, given the final values of each process.
+    pub fn check(mut self, replicas: &BTreeMap<usize, BTreeMap<String, u64>>) -> Vec<Violation> {
+        for (key, highest_read) in &self.highest_read {
+            for (process, values) in replicas {
+                let value = values.get(key).copied();
+                if value.is_none_or(|value| value < *highest_read) {
+                    self.violations.push(Violation::Lost {
                         process: *process,
                         key: key.clone(),
-                        values: (*shown, value),
+                        values: (*highest_read, value),
                     });
                 }
             }
-            let mut values = held.values().map(|held| held.get(key));
+            let mut values = replicas.values().map(|values| values.get(key));
             let first = values.next();
             if values.any(|value| Some(value) != first) {
-                self.wrong.push(Wrong::Differ { key: key.clone() });
+                self.violations
+                    .push(Violation::Diverged { key: key.clone() });
             }
         }
-        self.wrong
+        self.violations
     }
 }
 
--- a/simulation/src/history/tests.rs
+++ b/simulation/src/history/tests.rs
@@ -1,54 +1,54 @@
-//! Tests of `history`.
+//! Tests of the consistency check.
 
 use super::*;
 
-fn held(values: [u64; 2]) -> BTreeMap<usize, BTreeMap<String, u64>> {
+fn replicas(values: [u64; 2]) -> BTreeMap<usize, BTreeMap<String, u64>> {
     (0..2)
         .zip(values)
         .map(|(at, value)| (at, BTreeMap::from([("k".to_owned(), value)])))
         .collect()
 }
 
-fn seen(shows: &[(usize, Look, u64)]) -> History {
+fn history_of(reads: &[(usize, SessionId, u64)]) -> History {
     let mut history = History::default();
-    history.writes("k", 9);
-    shows
+    history.record_write("k", 9);
+    reads
         .iter()
-        .for_each(|(process, look, value)| history.shows(*process, *look, "k", *value));
+        .for_each(|(process, session, value)| history.record_read(*process, *session, "k", *value));
     history
 }
 
 #[test]
-fn each_kind_of_wrong_is_seen_and_what_may_be_seen_is_not() {
-    // Another process, or another look, may be behind.
+fn detects_each_kind_of_violation() {
+    // Another process, or another session, may be behind.
     let fine = [(0, 1, 4), (1, 2, 3), (0, 3, 3), (0, 3, 9)];
-    assert_eq!(seen(&fine).judge(&held([9, 9])), []);
+    assert_eq!(history_of(&fine).check(&replicas([9, 9])), []);
     let key = || "k".to_owned();
     assert_eq!(
-        seen(&[(0, 1, 4), (0, 1, 3)]).judge(&held([9, 9])),
-        [Wrong::WentBack {
+        history_of(&[(0, 1, 4), (0, 1, 3)]).check(&replicas([9, 9])),
+        [Violation::Regressed {
             process: 0,
             key: key(),
             values: (4, 3)
         }]
     );
     assert_eq!(
-        seen(&[(0, 1, 10)]).judge(&held([9, 9])),
-        [Wrong::Invented {
+        history_of(&[(0, 1, 10)]).check(&replicas([9, 9])),
+        [Violation::Invented {
             process: 0,
             key: key(),
             value: 10
         }]
     );
     assert_eq!(
-        seen(&[(0, 1, 4)]).judge(&held([4, 3])),
+        history_of(&[(0, 1, 4)]).check(&replicas([4, 3])),
         [
-            Wrong::Lost {
+            Violation::Lost {
                 process: 1,
                 key: key(),
                 values: (4, Some(3))
             },
-            Wrong::Differ { key: key() }
+            Violation::Diverged { key: key() }
         ]
     );
 }
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,11 +1,15 @@
-//! For development only, and linked into nothing that serves: links between processes that a test
-//! can cut, stall, delay or reset; timelines of faults drawn by a seed; and what observers saw,
-//! checked against what may be seen.
+//! Fault simulation for tests; linked into no program that serves.
+//!
+//! - [`link`]: a relay between two processes that can stall, delay or reset each direction
+//! - [`timeline`]: random sequences of faults for a group of processes
+//! - [`scenarios`]: random scenarios for the deployment's test bench, and the table of their outcomes
+//! - [`history`]: checks what clients read from replicas for consistency
+//! - [`orders`]: all permutations of a few items
 
 #![forbid(unsafe_code)]
 
-pub mod days;
 pub mod history;
 pub mod link;
 pub mod orders;
+pub mod scenarios;
 pub mod timeline;
--- a/simulation/src/link.rs
+++ b/simulation/src/link.rs
@@ -1,5 +1,5 @@
-//! A link: a relay on loopback between two processes, each direction of which a test can hold up by
-//! itself.
+//! A relay on loopback between two processes. A test can stall or delay each direction by itself,
+//! and reset all connections.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,24 +7,24 @@
 use std::thread;
 use std::time::Duration;
 
-/// What becomes of bytes in one direction.
+/// What happens to bytes in one direction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Way {
-    /// They pass.
+pub enum Flow {
+    /// They are forwarded.
     #[default]
     Open,
-    /// They wait, as behind a router that has gone: the connection stays open and silent. What
-    /// waits passes later.
+    /// They are held back, as in a network partition: the connection stays open. They are forwarded
+    /// once the direction is open again.
     Stalled,
-    /// They pass so much later.
-    Late(Duration),
+    /// They are forwarded after this delay.
+    Delayed(Duration),
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// From the one that connects, and back.
-    ways: [Way; 2],
-    /// How often all connections have been reset, and the sockets of those since.
+    /// From the client to the target, and back.
+    flows: [Flow; 2],
+    /// How often all connections have been reset. A connection of an earlier count has ended.
     resets: u64,
     sockets: Vec<TcpStream>,
     ended: bool,
@@ -53,16 +53,16 @@
         self.changed.notify_all();
     }
 
-    /// Waits until bytes of a direction may pass; false where the connections of that time are
-    /// over.
-    fn wait(&self, way: usize, resets: u64) -> bool {
+    /// Waits until bytes of a direction may be forwarded. False if the connection has been reset
+    /// meanwhile.
+    fn wait(&self, direction: usize, resets: u64) -> bool {
         let mut state = self.state();
         loop {
             if state.ended || state.resets != resets {
                 return false;
             }
-            let Way::Late(by) = state.ways[way] else {
-                if state.ways[way] == Way::Open {
+            let Flow::Delayed(delay) = state.flows[direction] else {
+                if state.flows[direction] == Flow::Open {
                     return true;
                 }
                 state = self
@@ -72,23 +72,25 @@
                 continue;
             };
             drop(state);
-            thread::sleep(by);
+            thread::sleep(delay);
             return self.state().resets == resets;
         }
     }
 }
 
-/// A link that listens for the one side and connects to the other.
+/// A relay that listens for clients and connects to the target.
 #[derive(Debug)]
 pub struct Link {
-    /// Where the one side connects.
+    /// Where clients connect.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Link {
-    /// A link to an address, whether or not anybody listens there yet. Errors: no socket can be
-    /// had.
+    /// A link to an address, whether or not a process listens there yet.
+    ///
+    /// # Errors
+    /// The listener cannot be opened.
     pub fn to(target: SocketAddr) -> io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let link = Link {
@@ -106,18 +108,18 @@
                     state.resets
                 };
                 let shared = shared.clone();
-                thread::spawn(move || carry(&shared, resets, socket, target));
+                thread::spawn(move || relay(&shared, resets, socket, target));
             }
         });
         Ok(link)
     }
 
-    /// Says what becomes of bytes from the one that connects, and of those back.
-    pub fn set(&self, there: Way, back: Way) {
-        self.shared.change(|state| state.ways = [there, back]);
+    /// Sets what happens to bytes from clients, and to those back.
+    pub fn set(&self, to_target: Flow, back: Flow) {
+        self.shared.change(|state| state.flows = [to_target, back]);
     }
 
-    /// Resets every connection; new ones are taken.
+    /// Resets all connections; new ones are accepted.
     pub fn reset(&self) {
         self.shared.change(State::reset);
     }
@@ -129,40 +131,40 @@
             state.ended = true;
             state.reset();
         });
-        // The listener's thread looks when somebody comes.
+        // Wakes the listener's thread, which then ends.
         let _ = TcpStream::connect(self.address);
     }
 }
 
-/// Carries one connection for as long as both sides and the link hold.
-fn carry(shared: &Arc<Shared>, resets: u64, one: TcpStream, target: SocketAddr) {
-    let Ok(other) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else {
-        return reset(&one);
+/// Relays one connection until either side or the link ends.
+fn relay(shared: &Arc<Shared>, resets: u64, client: TcpStream, target: SocketAddr) {
+    let Ok(target_stream) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else {
+        return reset(&client);
     };
-    let clones = [&one, &other, &one, &other].map(TcpStream::try_clone);
+    let clones = [&client, &target_stream, &client, &target_stream].map(TcpStream::try_clone);
     let [Ok(a), Ok(b), Ok(c), Ok(d)] = clones else {
-        return reset(&one);
+        return reset(&client);
     };
     {
         let mut state = shared.state();
         if state.ended || state.resets != resets {
-            return reset(&one);
+            return reset(&client);
         }
         state.sockets.extend([a, b]);
     }
     let back = shared.clone();
-    let back = thread::spawn(move || pass(&back, 1, resets, other, c));
-    pass(shared, 0, resets, one, d);
+    let back = thread::spawn(move || forward(&back, 1, resets, target_stream, c));
+    forward(shared, 0, resets, client, d);
     let _ = back.join();
 }
 
-/// Passes bytes of one direction until it ends.
-fn pass(shared: &Shared, way: usize, resets: u64, mut from: TcpStream, mut to: TcpStream) {
+/// Forwards the bytes of one direction until it ends.
+fn forward(shared: &Shared, direction: usize, resets: u64, mut from: TcpStream, mut to: TcpStream) {
     let mut bytes = vec![0; 16 << 10];
     loop {
         let read = from.read(&mut bytes);
-        // The end too waits behind a direction that is stalled.
-        if !shared.wait(way, resets) {
+        // The end of the stream is held back as well while the direction is stalled.
+        if !shared.wait(direction, resets) {
             break;
         }
         match read {
@@ -171,7 +173,7 @@
                 let _ = to.shutdown(Shutdown::Write);
                 return;
             }
-            // A reset on one side is one on the other.
+            // A reset of one side is passed on to the other.
             _ => break,
         }
     }
@@ -180,7 +182,7 @@
 }
 
 fn reset(socket: &TcpStream) {
-    // No time to linger: the close that follows is a reset.
+    // With a linger time of zero the close that follows is an abortive one: a reset.
     let _ = rustix::net::sockopt::set_socket_linger(socket, Some(Duration::ZERO));
     let _ = socket.shutdown(Shutdown::Both);
 }
--- a/simulation/src/orders.rs
+++ b/simulation/src/orders.rs
@@ -1,13 +1,13 @@
-//! Every order of a few things, for tests that try them one by one.
+//! Permutations, for tests that try every order of a few steps.
 
-/// All orders of the items: `n!` of them.
+/// All permutations of the items: `n!` of them.
 pub fn all<T: Clone>(items: &[T]) -> Vec<Vec<T>> {
     if items.is_empty() {
         return vec![Vec::new()];
     }
-    let with_first = |at: usize| {
+    let with_first = |index: usize| {
         let mut rest = items.to_vec();
-        let first = rest.remove(at);
+        let first = rest.remove(index);
         all(&rest).into_iter().map(move |mut order| {
             order.insert(0, first.clone());
             order
--- a/simulation/src/days.rs
+++ b/simulation/src/scenarios.rs
@@ -1,5 +1,6 @@
-//! Days of a fleet drawn at random: planned work and troubles of every kind that a deployment
-//! knows, alone and in pairs that meet; and what came of them, as a table of rules by kinds.
+//! Random scenarios for the deployment's test bench: planned work and faults of every kind that the
+//! bench knows, alone and in overlapping pairs; and the table of violated rules by kind. The bench
+//! calls a scenario a day, in its files as well.
 
 mod kinds;
 mod long;
@@ -7,46 +8,46 @@
 pub use kinds::{KINDS, Kind, Target};
 
 use fastrand::Rng;
-use kinds::{CHOSEN, MEANWHILE};
+use kinds::{CONCURRENT_ACTIONS, SELECTORS};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// How long a usual day lasts, in seconds of traffic.
+/// The length of an ordinary scenario, in seconds of traffic.
 const LENGTH_S: f64 = 60.0;
-/// Nothing begins before this.
+/// Nothing begins before this, in seconds.
 const FIRST_S: f64 = 4.0;
-/// Nothing but the closing trouble begins in the last seconds.
+/// Only the closing fault begins after this, in seconds.
 const LAST_S: f64 = LENGTH_S - 8.0;
-/// Faults of a pair begin within this time of each other.
-const MEETING_S: f64 = 1.5;
+/// The two faults of a pair begin within this time, in seconds.
+const PAIR_GAP_S: f64 = 1.5;
 
-/// What a day may end with.
+/// The closing faults of a scenario.
 const CLOSINGS: &[Option<&str>] = &[
     Some("power_off_all"),
     Some("wipe_after_ack"),
     Some("kill_all"),
     None,
 ];
-/// Variants of that.
+/// Their variants.
 const CLOSING_VARIANTS: &[&str] = &["timed", "taken", "oldest"];
 
-/// What days are drawn from.
+/// What a scenario concentrates on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Focus {
     /// Every kind.
     All,
-    /// What concerns the control state: two more of these, and most of them close together.
+    /// Faults of the control state, with one more overlapping pair.
     Control,
-    /// Every kind, beside series that overlap: versions of weights, configurations, and troubles
-    /// that come again and again while clients leave early.
+    /// Every kind, with overlapping series: versions of weights, configurations, and recurring
+    /// faults while clients give up early.
     Series,
-    /// Long days with hundreds of configurations, versions of weights in series, and a primary that
-    /// is struck again and again.
+    /// Long scenarios with hundreds of configurations, series of versions of weights, and a leader
+    /// that is hit over and over.
     Long,
 }
 
 impl Focus {
-    /// How long a day lasts, in seconds of traffic.
+    /// The length of a scenario, in seconds of traffic.
     fn length_s(self) -> f64 {
         if self == Focus::Long {
             long::LENGTH_S
@@ -56,9 +57,9 @@
     }
 }
 
-/// The kinds known here that a listing of a deployment's kinds names, each on a line of its own
-/// before a colon.
-pub fn listed(listing: &str) -> Vec<Kind> {
+/// The known kinds among those in the bench's listing, which has each on a line of its own before a
+/// colon.
+pub fn kinds_in_listing(listing: &str) -> Vec<Kind> {
     let names: BTreeSet<&str> = listing
         .lines()
         .filter_map(|line| Some(line.split_once(':')?.0.trim()))
@@ -70,10 +71,11 @@
         .collect()
 }
 
-/// A day as a file: mostly drawn at random, with two troubles that meet.
-pub fn draw(kinds: &[Kind], focus: Focus, name: &str, seed: u64) -> String {
+/// Generates a scenario as a file of the bench, with at least one overlapping pair of faults. The
+/// same seed always gives the same file.
+pub fn generate(kinds: &[Kind], focus: Focus, name: &str, seed: u64) -> String {
     let mut rng = Rng::with_seed(seed);
-    let is_in_focus = |kind: &Kind| focus != Focus::Control || kind.is_about_control();
+    let is_in_focus = |kind: &Kind| focus != Focus::Control || kind.concerns_control_state();
     let of = |planned: bool| {
         kinds
             .iter()
@@ -82,17 +84,17 @@
     };
     let mut plan = entries(&of(true), 2..5, &mut rng);
     let mut faults = entries(&of(false), 2..5, &mut rng);
-    faults.extend(pair(&of(false), &mut rng));
+    faults.extend(overlapping_pair(&of(false), &mut rng));
     if focus == Focus::Control {
-        faults.extend(pair(&of(false), &mut rng));
+        faults.extend(overlapping_pair(&of(false), &mut rng));
     }
     if focus == Focus::Series {
         plan.extend(planned_series(kinds, &mut rng));
-        faults.extend(trouble_series(kinds, &mut rng));
+        faults.extend(fault_series(kinds, &mut rng));
     }
     if focus == Focus::Long {
         plan.extend(long::planned(kinds, &mut rng));
-        faults.extend(long::troubles(kinds, &mut rng));
+        faults.extend(long::faults(kinds, &mut rng));
     }
     let closing = closing(&mut rng);
     let length = focus.length_s();
@@ -105,8 +107,8 @@
     )
 }
 
-/// Versions of weights one after the other, so that a newer one is named before the last one is
-/// everywhere, and configurations.
+/// A series of versions of weights, each of which may be announced before the last one is deployed
+/// everywhere, and a series of configurations.
 fn planned_series(kinds: &[Kind], rng: &mut Rng) -> Vec<String> {
     let mut entries = Vec::new();
     if kinds.iter().any(|kind| kind.name == "version_bump") {
@@ -127,9 +129,9 @@
     entries
 }
 
-/// Clients that leave early for most of the day, and two troubles of backends or machines that come
-/// again and again.
-fn trouble_series(kinds: &[Kind], rng: &mut Rng) -> Vec<String> {
+/// Clients that give up early for most of the scenario, and two recurring faults of backends or
+/// machines.
+fn fault_series(kinds: &[Kind], rng: &mut Rng) -> Vec<String> {
     let mut entries = Vec::new();
     if kinds.iter().any(|kind| kind.name == "give_up") {
         let share = 0.1 + 0.4 * rng.f64();
@@ -154,7 +156,7 @@
     entries
 }
 
-/// What the day ends with, as a line of the file.
+/// The closing fault, as a line of the file.
 fn closing(rng: &mut Rng) -> String {
     let Some(kind) = CLOSINGS[rng.usize(..CLOSINGS.len())] else {
         return String::new();
@@ -175,24 +177,24 @@
         .collect()
 }
 
-/// Two troubles that meet.
-fn pair(kinds: &[&Kind], rng: &mut Rng) -> Vec<String> {
+/// Two faults that overlap.
+fn overlapping_pair(kinds: &[&Kind], rng: &mut Rng) -> Vec<String> {
     if kinds.is_empty() {
         return Vec::new();
     }
-    let at = FIRST_S + (LAST_S - MEETING_S - FIRST_S) * rng.f64();
-    let second = at + MEETING_S * rng.f64();
+    let at = FIRST_S + (LAST_S - PAIR_GAP_S - FIRST_S) * rng.f64();
+    let second = at + PAIR_GAP_S * rng.f64();
     vec![entry(kinds, at, rng), entry(kinds, second, rng)]
 }
 
 fn entry(kinds: &[&Kind], at: f64, rng: &mut Rng) -> String {
     let kind = kinds[rng.usize(..kinds.len())];
-    let lasts = 3.0 + 6.0 * rng.f64();
+    let duration = 3.0 + 6.0 * rng.f64();
     let mut text = format!(
-        "{{ at = {at:.1}, kind = \"{}\", for_s = {lasts:.1}",
+        "{{ at = {at:.1}, kind = \"{}\", for_s = {duration:.1}",
         kind.name
     );
-    let how = how(kind, rng);
+    let how = variant(kind, rng);
     if !how.is_empty() {
         let _ = write!(text, ", how = \"{how}\"");
     }
@@ -207,9 +209,9 @@
     text + " }"
 }
 
-/// A variant, and with machines perhaps which of them are meant and what is done meanwhile.
-fn how(kind: &Kind, rng: &mut Rng) -> String {
-    // The usual variant is as likely as each of the others.
+/// A variant, and for machines perhaps a selector and a concurrent action.
+fn variant(kind: &Kind, rng: &mut Rng) -> String {
+    // The default variant is as likely as each of the others.
     let mut how: Vec<&str> = kind
         .variants
         .get(rng.usize(..=kind.variants.len()))
@@ -217,47 +219,54 @@
         .into_iter()
         .collect();
     if kind.target != Target::Other {
-        how.extend(CHOSEN.get(rng.usize(..2 * CHOSEN.len())));
-        how.extend(MEANWHILE.get(rng.usize(..2 * MEANWHILE.len())));
+        how.extend(SELECTORS.get(rng.usize(..2 * SELECTORS.len())));
+        how.extend(CONCURRENT_ACTIONS.get(rng.usize(..2 * CONCURRENT_ACTIONS.len())));
     }
     how.join(" ")
 }
 
-/// A day that was played.
+/// The outcome of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Played {
-    /// The kinds of its planned work and troubles.
+pub struct Outcome {
+    /// The kinds of its planned work and faults.
     pub kinds: BTreeSet<String>,
-    /// The rules that were broken.
-    pub broken: BTreeSet<String>,
+    /// The rules that were violated.
+    pub violated: BTreeSet<String>,
 }
 
-/// A table of rules by kinds: of how many days with that kind the rule was broken on, and how many
-/// were played.
-pub fn table(days: &[Played]) -> String {
-    let mut played: BTreeMap<&str, u32> = BTreeMap::new();
-    let mut broken: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
-    for day in days {
-        for kind in &day.kinds {
-            *played.entry(kind).or_default() += 1;
-            for rule in &day.broken {
-                *broken.entry(rule).or_default().entry(kind).or_default() += 1;
+/// A table of rules by kind: in how many scenarios with that kind the rule was violated, and how
+/// many there were.
+pub fn violation_table(outcomes: &[Outcome]) -> String {
+    let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut violated: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
+    for outcome in outcomes {
+        for kind in &outcome.kinds {
+            *runs.entry(kind).or_default() += 1;
+            for rule in &outcome.violated {
+                *violated.entry(rule).or_default().entry(kind).or_default() += 1;
             }
         }
     }
     let mut text = format!("{:<20} {:>6}", "kind", "days");
-    broken
+    violated
         .keys()
         .for_each(|rule| text.push_str(&format!(" {rule:>9}")));
     text.push('\n');
-    for (kind, days) in &played {
+    for (kind, days) in &runs {
         let _ = write!(text, "{kind:<20} {days:>6}");
-        for by_kind in broken.values() {
+        for by_kind in violated.values() {
             let _ = write!(text, " {:>9}", by_kind.get(kind).copied().unwrap_or(0));
         }
         text.push('\n');
     }
-    let with_break = days.iter().filter(|day| !day.broken.is_empty()).count();
-    let _ = writeln!(text, "{} days, {with_break} with a rule broken", days.len());
+    let with_violation = outcomes
+        .iter()
+        .filter(|outcome| !outcome.violated.is_empty())
+        .count();
+    let _ = writeln!(
+        text,
+        "{} days, {with_violation} with a rule broken",
+        outcomes.len()
+    );
     text
 }
--- a/simulation/src/timeline/tests.rs
+++ b/simulation/src/timeline/tests.rs
@@ -1,17 +1,17 @@
-//! Tests of `timeline`.
+//! Tests of timelines.
 
 use super::*;
 
 #[test]
-fn a_day_is_the_same_for_its_seed_and_ends_with_all_awake_and_in_power() {
+fn same_seed_gives_same_timeline_that_ends_healed() {
     for seed in 0..500 {
         let processes = 3 + seed as usize % 5;
-        let day = draw(seed, processes, 5000);
-        assert_eq!(day, draw(seed, processes, 5000));
-        let (mut off, mut stopped, mut cut) = (BTreeSet::new(), BTreeSet::new(), 0);
+        let timeline = draw(seed, processes, 5000);
+        assert_eq!(timeline, draw(seed, processes, 5000));
+        let (mut off, mut stopped, mut partitions) = (BTreeSet::new(), BTreeSet::new(), 0);
         let mut lost = BTreeSet::new();
         let mut before = 0;
-        for (at, fault) in day {
+        for Event { at_ms: at, fault } in timeline {
             assert!(at >= before, "seed {seed}: in order");
             before = at;
             match fault {
@@ -27,18 +27,21 @@
                     );
                     off.retain(|process| !group.contains(process));
                 }
-                Fault::Stop(one) => assert!(!off.contains(&one) && stopped.insert(one)),
-                Fault::Continue(one) => assert!(stopped.remove(&one), "seed {seed}"),
+                Fault::Suspend(one) => assert!(!off.contains(&one) && stopped.insert(one)),
+                Fault::Resume(one) => assert!(stopped.remove(&one), "seed {seed}"),
                 Fault::LoseFile(one) => {
                     assert!(off.contains(&one));
                     lost.insert(one);
                 }
-                Fault::Heal => cut = 0,
-                _ => cut += 1,
+                Fault::Heal => partitions = 0,
+                _ => partitions += 1,
             }
         }
         assert!(
-            off.is_empty() && stopped.is_empty() && cut == 0 && lost.len() <= (processes - 1) / 2
+            off.is_empty()
+                && stopped.is_empty()
+                && partitions == 0
+                && lost.len() <= (processes - 1) / 2
         );
     }
 }
--- a/simulation/tests/stable_draws.rs
+++ b/simulation/tests/stable_draws.rs
@@ -1,6 +1,6 @@
 //! Pins what seeds draw: a scenario or timeline that failed must be drawn again by later versions.
 
-use simulation::days::{Focus, KINDS, draw};
+use simulation::scenarios::{Focus, KINDS, generate};
 use simulation::timeline;
 use std::fmt::Write;
 
@@ -12,7 +12,7 @@
             let _ = writeln!(
                 text,
                 "# {focus:?} {seed}\n{}",
-                draw(KINDS, focus, "d", seed)
+                generate(KINDS, focus, "d", seed)
             );
         }
     }
