--- a/control/src/node/membership.rs
+++ b/control/src/node/membership.rs
@@ -9,36 +9,36 @@
 use crate::message::Message;
 use crate::proposer::Intent;
 use crate::state::Position;
-use crate::view::{Epoch, FOUNDING_EPOCH, ReplicaId, View};
+use crate::view::{BOOTSTRAP_EPOCH, Epoch, ReplicaId, View};
 use std::collections::BTreeSet;
 
 impl ControlNode {
     /// Has the first view decided by a majority of the electorate: the replicas at the addresses
     /// that every node of a new system was told. Several of them may do this; one view is decided.
-    pub fn found(
+    pub fn bootstrap(
         &mut self,
         electorate: BTreeSet<ReplicaId>,
         replicas: BTreeSet<ReplicaId>,
         now: Millis,
     ) {
-        let Some(current) = View::founding(electorate) else {
+        let Some(current) = View::bootstrap(electorate) else {
             return;
         };
         let Some(primary) = replicas.first().cloned() else {
             return;
         };
-        if !self.identity.may_found || self.view().is_some() || self.attempt.is_some() {
+        if !self.identity.may_bootstrap || self.view().is_some() || self.attempt.is_some() {
             return;
         }
-        let epoch = FOUNDING_EPOCH + 1;
+        let epoch = BOOTSTRAP_EPOCH + 1;
         let wanted = View {
             epoch,
             primary,
             in_sync: replicas.clone(),
             witnesses: replicas,
         };
-        self.attempt_view(current, wanted, Intent::Change, now);
-        self.work(now);
+        self.propose_view(current, wanted, Intent::Change, now);
+        self.process_inbox(now);
     }
 
     /// The process is about to end: a primary hands its role over, and the others are asked to go
@@ -47,20 +47,20 @@
         self.leaving = true;
         self.resign("the process is about to end", now);
         self.join_at = now;
-        self.tick_member(now);
-        self.work(now);
+        self.tick_membership(now);
+        self.process_inbox(now);
     }
 
     /// Whether the process may end without a change waiting for it, or a copy being the last one.
-    pub fn may_end(&self) -> bool {
+    pub fn can_shut_down(&self) -> bool {
         self.view()
             .is_none_or(|view| !view.in_sync.contains(self.id()))
     }
 
     /// A replica that does not store every change asks the primary, or whoever is known, to be
     /// taken in; one whose process is about to end asks to be taken out.
-    pub(super) fn tick_member(&mut self, now: Millis) {
-        if now < self.join_at || self.storage_is_stuck(now) {
+    pub(super) fn tick_membership(&mut self, now: Millis) {
+        if now < self.join_at || self.is_storage_stalled(now) {
             return;
         }
         let is_in_sync = self
@@ -71,14 +71,14 @@
                 epoch: self.epoch(),
             },
             (false, false) => Message::Join {
-                last: self.last(),
+                last: self.last_position(),
                 committed: self.state.position,
             },
             _ => return,
         };
         self.join_at = now + self.timing.join_interval;
         let mut asked = self.view().map(View::participants).unwrap_or_default();
-        asked.extend(self.known.iter().cloned());
+        asked.extend(self.known_replicas.iter().cloned());
         asked.remove(self.id());
         for replica in asked {
             self.send(replica, message.clone());
@@ -105,7 +105,7 @@
         primary.joiners.insert(from.clone(), now);
         primary.leaving.remove(&from);
         self.send(from.clone(), Message::Decided { view });
-        self.on_holds(from, last, committed, now);
+        self.on_stored_positions(from, last, committed, now);
     }
 
     pub(super) fn on_leave(&mut self, from: ReplicaId, epoch: Epoch, now: Millis) {
@@ -121,7 +121,7 @@
     /// Asks for another view where replicas have fallen silent or are leaving, or another one has
     /// caught up.
     pub(super) fn reconsider_view(&mut self, now: Millis) {
-        if self.attempt.is_some() || now < self.retry_at {
+        if self.attempt.is_some() || now < self.next_attempt_at {
             return;
         }
         let Some(view) = self.view().cloned() else {
@@ -130,9 +130,9 @@
         let wanted = self.wanted_view(&view, now);
         // A proposal that was given up may still be decided by others: the next view, even the same
         // one, ends that.
-        let has_open_proposal = !self.required_copies().is_subset(&view.in_sync);
+        let has_open_proposal = !self.required_acks().is_subset(&view.in_sync);
         if wanted != view || has_open_proposal {
-            self.attempt_view(view, wanted, Intent::Change, now);
+            self.propose_view(view, wanted, Intent::Change, now);
         }
     }
 
@@ -142,20 +142,28 @@
         let Role::Primary(primary) = &self.role else {
             return wanted;
         };
-        let (own, silence, witness_silence) =
-            (self.id(), self.timing.silence, self.timing.witness_silence);
-        let silent = primary.unresponsive(view, own, silence, now);
-        let idle = |wanted: &View| primary.silent_witness(wanted, own, witness_silence, now);
-        let joiner = primary.caught_up(self.last(), self.state.position, silence, now);
+        let (own, replica_timeout, witness_timeout) = (
+            self.id(),
+            self.timing.replica_timeout,
+            self.timing.witness_timeout,
+        );
+        let unresponsive = primary.unresponsive(view, own, replica_timeout, now);
+        let idle = |wanted: &View| primary.unresponsive_witness(wanted, own, witness_timeout, now);
+        let joiner = primary.caught_up(
+            self.last_position(),
+            self.state.position,
+            replica_timeout,
+            now,
+        );
         if let Some(joiner) = &joiner {
             wanted.in_sync.insert(joiner.clone());
         }
         let leaving = primary
             .leaving
             .iter()
-            .filter(|member| !silent.contains(*member));
-        for member in silent.iter().chain(leaving) {
-            if wanted.in_sync.len() > self.needed_copies() {
+            .filter(|member| !unresponsive.contains(*member));
+        for member in unresponsive.iter().chain(leaving) {
+            if wanted.in_sync.len() > self.min_in_sync() {
                 wanted.in_sync.remove(member);
             }
         }
@@ -163,7 +171,7 @@
             let idle = idle(&wanted);
             return with_joiner(wanted, joiner, idle);
         }
-        if view.witnesses.len() > self.timing.fewest_witnesses()
+        if view.witnesses.len() > self.timing.min_witnesses()
             && let Some(witness) = idle(&wanted)
         {
             wanted.witnesses.remove(&witness);
--- a/control/src/node/calls.rs
+++ b/control/src/node/pending_calls.rs
@@ -2,18 +2,18 @@
 //!
 //! A change that is stored proves by itself that this replica is the primary: every in-sync replica
 //! has taken it. An answer without one (a refusal, a change made before, the newest configuration)
-//! proves nothing, so it waits for a round of heartbeats that began after the call came, and that a
+//! proves nothing, so it waits for a sequence of heartbeats that began after the call came, and that a
 //! majority of the witnesses granted.
 
 use super::primary::Stage;
 use super::{ControlNode, Effect, Role, Ticket};
 use crate::Millis;
-use crate::changes::{Change, Outcome, Reading};
+use crate::changes::{Change, Outcome, ReadOutcome};
 use std::collections::VecDeque;
 
 /// A change that is not ordered yet.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct PendingChange {
     pub(super) ticket: Ticket,
     pub(super) change: Change,
     since: Millis,
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 enum Answer {
     Outcome(Outcome),
-    Reading,
+    ReadOutcome,
 }
 
 impl Answer {
@@ -33,9 +33,9 @@
                 ticket,
                 outcome: Outcome::Unknown,
             },
-            Answer::Reading => Effect::Read {
+            Answer::ReadOutcome => Effect::Read {
                 ticket,
-                reading: Reading::Unknown,
+                reading: ReadOutcome::Unknown,
             },
         }
     }
@@ -47,20 +47,20 @@
     ticket: Ticket,
     answer: Answer,
     since: Millis,
-    /// The round of heartbeats that confirms it; none where it has not begun.
-    round: Option<u64>,
+    /// The sequence of heartbeats that confirms it; none where it has not begun.
+    sequence: Option<u64>,
 }
 
 /// All callers that wait.
 #[derive(Debug, Default)]
-pub(super) struct Calls {
-    changes: VecDeque<Waiting>,
+pub(super) struct PendingCalls {
+    changes: VecDeque<PendingChange>,
     unconfirmed: Vec<Unconfirmed>,
 }
 
-impl Calls {
+impl PendingCalls {
     pub(super) fn submit(&mut self, ticket: Ticket, change: Change, now: Millis) {
-        self.changes.push_back(Waiting {
+        self.changes.push_back(PendingChange {
             ticket,
             change,
             since: now,
@@ -70,42 +70,43 @@
     pub(super) fn read(&mut self, ticket: Ticket, now: Millis) {
         self.unconfirmed.push(Unconfirmed {
             ticket,
-            answer: Answer::Reading,
+            answer: Answer::ReadOutcome,
             since: now,
-            round: None,
+            sequence: None,
         });
     }
 
     /// A change was judged without being made.
-    pub(super) fn judged(&mut self, waiting: Waiting, outcome: Outcome) {
-        let Waiting { ticket, since, .. } = waiting;
+    pub(super) fn resolve(&mut self, waiting: PendingChange, outcome: Outcome) {
+        let PendingChange { ticket, since, .. } = waiting;
         let answer = Answer::Outcome(outcome);
         self.unconfirmed.push(Unconfirmed {
             ticket,
             answer,
             since,
-            round: None,
+            sequence: None,
         });
     }
 
-    pub(super) fn next_change(&mut self) -> Option<Waiting> {
+    pub(super) fn next_change(&mut self) -> Option<PendingChange> {
         self.changes.pop_front()
     }
 
-    /// Answers that no round of heartbeats has begun for.
-    fn need_a_round(&self) -> bool {
-        self.unconfirmed.iter().any(|call| call.round.is_none())
+    /// Answers that no sequence of heartbeats has begun for.
+    fn needs_heartbeat(&self) -> bool {
+        self.unconfirmed.iter().any(|call| call.sequence.is_none())
     }
 
-    fn wait_for(&mut self, round: u64) {
+    fn await_heartbeat(&mut self, sequence: u64) {
         self.unconfirmed.iter_mut().for_each(|call| {
-            call.round.get_or_insert(round);
+            call.sequence.get_or_insert(sequence);
         });
     }
 
-    /// Takes out those that this round confirms.
+    /// Takes out those that this sequence confirms.
     fn confirmed_by(&mut self, confirmed: u64) -> Vec<Unconfirmed> {
-        let is_confirmed = |call: &Unconfirmed| call.round.is_some_and(|round| round <= confirmed);
+        let is_confirmed =
+            |call: &Unconfirmed| call.sequence.is_some_and(|sequence| sequence <= confirmed);
         let calls = std::mem::take(&mut self.unconfirmed);
         let (confirmed, left) = calls.into_iter().partition(is_confirmed);
         self.unconfirmed = left;
@@ -113,15 +114,15 @@
     }
 
     /// Takes out those that have waited too long, and says what they are told.
-    fn expire(&mut self, now: Millis, patience: Millis) -> Vec<Effect> {
-        let is_late = |since: Millis| now >= since.saturating_add(patience);
+    fn expire(&mut self, now: Millis, timeout: Millis) -> Vec<Effect> {
+        let is_late = |since: Millis| now >= since.saturating_add(timeout);
         let late = self
             .changes
             .iter()
             .take_while(|waiting| is_late(waiting.since))
             .count();
         let late = self.changes.drain(..late);
-        let mut told: Vec<Effect> = late
+        let mut replies: Vec<Effect> = late
             .map(|waiting| Effect::Reply {
                 ticket: waiting.ticket,
                 outcome: Outcome::Unknown,
@@ -132,11 +133,11 @@
             .into_iter()
             .partition(|call| is_late(call.since));
         self.unconfirmed = left;
-        told.extend(
+        replies.extend(
             late.into_iter()
                 .map(|call| Answer::unknown(call.ticket, &call.answer)),
         );
-        told
+        replies
     }
 
     /// Nobody can be told anything here.
@@ -153,22 +154,25 @@
         if !self.knows_what_is_committed() {
             return;
         }
-        if self.calls.need_a_round() {
-            let round = self.send_heartbeats(now);
-            self.calls.wait_for(round);
+        if self.calls.needs_heartbeat() {
+            let sequence = self.send_heartbeats(now);
+            self.calls.await_heartbeat(sequence);
         }
         let Role::Primary(primary) = &self.role else {
             return;
         };
-        let Some(confirmed) = self.view().and_then(|view| primary.lease.confirmed(view)) else {
+        let Some(confirmed) = self
+            .view()
+            .and_then(|view| primary.lease.confirmed_sequence(view))
+        else {
             return;
         };
         for call in self.calls.confirmed_by(confirmed) {
             let ticket = call.ticket;
             let effect = match call.answer {
                 Answer::Outcome(outcome) => Effect::Reply { ticket, outcome },
-                Answer::Reading => {
-                    let reading = Reading::Newest(self.state.configuration.clone());
+                Answer::ReadOutcome => {
+                    let reading = ReadOutcome::Latest(self.state.configuration.clone());
                     Effect::Read { ticket, reading }
                 }
             };
@@ -182,7 +186,7 @@
     }
 
     pub(super) fn expire_calls(&mut self, now: Millis) {
-        let told = self.calls.expire(now, self.timing.call_patience);
-        self.effects.extend(told);
+        let replies = self.calls.expire(now, self.timing.call_timeout);
+        self.effects.extend(replies);
     }
 }
--- a/control/src/storage.rs
+++ b/control/src/storage.rs
@@ -7,7 +7,7 @@
 mod format1;
 mod format2;
 
-pub use format1::{AcceptedV1, BallotV1, VotesV1};
+pub use format1::{AcceptedV1, ProposalNumberV1, VotesV1};
 pub use format2::ControlStateV2;
 
 use crate::state::{ControlState, Update};
@@ -16,9 +16,9 @@
 use thiserror::Error;
 
 /// Bytes before a record: its length and its checksum.
-const HEADER: usize = 8;
+const FRAME_HEADER_BYTES: usize = 8;
 /// The longest record; a longer length can only be damage.
-const LONGEST: usize = 48 << 20;
+const MAX_RECORD_BYTES: usize = 48 << 20;
 /// The format written by this program.
 pub const FORMAT: u32 = 3;
 
@@ -56,12 +56,12 @@
 
 /// Why stored records can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Damage {
+pub enum StorageError {
     /// A record does not match its checksum, or makes no sense.
     #[error(
         "record at byte {offset} is damaged: move the data directory away and start the node again, it then rejoins with an empty disk"
     )]
-    Record {
+    CorruptRecord {
         /// Where it begins.
         offset: usize,
     },
@@ -69,21 +69,21 @@
     #[error(
         "the records are of format {found}, this program reads up to {FORMAT}: start the newer program again"
     )]
-    Format {
+    UnsupportedFormat {
         /// The format found.
         found: u32,
     },
     /// A file that was written and synced as a whole is not whole.
     #[error(
-        "the file ends after byte {sound} though more was stored: move the data directory away and start the node again, it then rejoins with an empty disk"
+        "the file ends after byte {valid_length} though more was stored: move the data directory away and start the node again, it then rejoins with an empty disk"
     )]
-    CutOff {
+    Truncated {
         /// The length of its sound part.
-        sound: usize,
+        valid_length: usize,
     },
     /// There is no first record.
     #[error("the first record is missing: move the data directory away and start the node again")]
-    NoDisk,
+    MissingHeader,
 }
 
 /// Appends a record's frame to `bytes`.
@@ -95,70 +95,78 @@
 }
 
 /// Reads a snapshot, which was written and synced as a whole; its last record is the state.
-pub fn decode_snapshot(bytes: &[u8]) -> Result<Vec<Record>, Damage> {
-    let (records, sound) = decode(bytes)?;
-    let holds_state = matches!(
+pub fn decode_snapshot(bytes: &[u8]) -> Result<Vec<Record>, StorageError> {
+    let (records, valid_length) = decode(bytes)?;
+    let ends_with_state = matches!(
         records.last(),
         Some(Record::Install { .. } | Record::InstallV2 { .. })
     );
-    let is_whole = sound == bytes.len() && holds_state;
-    if is_whole {
+    let is_complete = valid_length == bytes.len() && ends_with_state;
+    if is_complete {
         Ok(records)
     } else {
-        Err(Damage::CutOff { sound })
+        Err(StorageError::Truncated {
+            valid_length: valid_length,
+        })
     }
 }
 
 /// Reads the frames of a file; the second value is the length of its sound part.
-pub fn decode(bytes: &[u8]) -> Result<(Vec<Record>, usize), Damage> {
+pub fn decode(bytes: &[u8]) -> Result<(Vec<Record>, usize), StorageError> {
     let mut records = Vec::new();
     let mut offset = 0;
-    while let Some((record, next)) = frame(bytes, offset)? {
+    while let Some((record, next)) = read_frame(bytes, offset)? {
         records.push(record);
         offset = next;
     }
     Ok((records, offset))
 }
 
-fn number(bytes: &[u8], at: usize) -> Option<usize> {
-    let four: [u8; 4] = bytes.get(at..at + 4)?.try_into().ok()?;
+fn read_u32(bytes: &[u8], position: usize) -> Option<usize> {
+    let four: [u8; 4] = bytes.get(position..position + 4)?.try_into().ok()?;
     Some(u32::from_be_bytes(four) as usize)
 }
 
 /// One frame, and where the next one begins; none where the file ends, be it within a frame.
-fn frame(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, Damage> {
-    let (Some(length), Some(checksum)) = (number(bytes, offset), number(bytes, offset + 4)) else {
+fn read_frame(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, StorageError> {
+    let (Some(length), Some(checksum)) = (read_u32(bytes, offset), read_u32(bytes, offset + 4))
+    else {
         return Ok(None);
     };
-    let next = offset + HEADER + length;
-    let Some(body) = bytes.get(offset + HEADER..next) else {
-        return if length > LONGEST {
-            torn_or_damaged(bytes, offset)
+    let next = offset + FRAME_HEADER_BYTES + length;
+    let Some(body) = bytes.get(offset + FRAME_HEADER_BYTES..next) else {
+        return if length > MAX_RECORD_BYTES {
+            classify_invalid_frame(bytes, offset)
         } else {
             Ok(None)
         };
     };
     if crc32fast::hash(body) as usize != checksum || length == 0 {
-        return torn_or_damaged(bytes, offset);
+        return classify_invalid_frame(bytes, offset);
     }
     match postcard::from_bytes(body) {
         Ok(record) => Ok(Some((record, next))),
-        Err(_) => Err(Damage::Record { offset }),
+        Err(_) => Err(StorageError::CorruptRecord { offset }),
     }
 }
 
 /// A torn write leaves no sound frame behind it; damage in the middle does.
-fn torn_or_damaged(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, Damage> {
-    let sound_frame_at = |at: usize| {
-        let length = number(bytes, at).filter(|length| (1..=LONGEST).contains(length))?;
-        let checksum = number(bytes, at + 4)?;
-        let body = bytes.get(at + HEADER..at + HEADER + length)?;
+fn classify_invalid_frame(
+    bytes: &[u8],
+    offset: usize,
+) -> Result<Option<(Record, usize)>, StorageError> {
+    let valid_frame_at = |position: usize| {
+        let length =
+            read_u32(bytes, position).filter(|length| (1..=MAX_RECORD_BYTES).contains(length))?;
+        let checksum = read_u32(bytes, position + 4)?;
+        let body =
+            bytes.get(position + FRAME_HEADER_BYTES..position + FRAME_HEADER_BYTES + length)?;
         (crc32fast::hash(body) as usize == checksum).then_some(())
     };
-    let sound_behind =
-        (offset + 1..bytes.len().saturating_sub(HEADER)).any(|at| sound_frame_at(at).is_some());
-    if sound_behind {
-        Err(Damage::Record { offset })
+    let has_valid_frame_after = (offset + 1..bytes.len().saturating_sub(FRAME_HEADER_BYTES))
+        .any(|position| valid_frame_at(position).is_some());
+    if has_valid_frame_after {
+        Err(StorageError::CorruptRecord { offset })
     } else {
         Ok(None)
     }
@@ -179,22 +187,22 @@
 
 impl Recovered {
     /// Replays records in their order.
-    pub fn replay(records: impl IntoIterator<Item = Record>) -> Result<Self, Damage> {
+    pub fn replay(records: impl IntoIterator<Item = Record>) -> Result<Self, StorageError> {
         let mut recovered = Recovered::default();
         for record in records {
-            recovered.take(record)?;
+            recovered.apply(record)?;
         }
         if recovered.disk == 0 {
-            Err(Damage::NoDisk)
+            Err(StorageError::MissingHeader)
         } else {
             Ok(recovered)
         }
     }
 
-    fn take(&mut self, record: Record) -> Result<(), Damage> {
+    fn apply(&mut self, record: Record) -> Result<(), StorageError> {
         match record {
             Record::Disk { format, .. } if format > FORMAT => {
-                return Err(Damage::Format { found: format });
+                return Err(StorageError::UnsupportedFormat { found: format });
             }
             Record::Disk { disk, .. } => self.disk = disk,
             Record::VotesV1(votes) => self.votes = votes.into(),
--- a/control/tests/catching_up.rs
+++ b/control/tests/catching_up.rs
@@ -12,16 +12,16 @@
 /// Runs for so long with a change at the primary each `interval`, or until `name` is in sync if
 /// that is wanted.
 fn busy(world: &mut World, lasts: u64, interval: u64, until_in_sync: Option<&str>) -> Option<u64> {
-    let begun = world.now;
-    while world.now < begun + lasts {
-        if (world.now - begun) % interval == 0
+    let started_at = world.now;
+    while world.now < started_at + lasts {
+        if (world.now - started_at) % interval == 0
             && let Some(primary) = world.primary()
         {
             let number = world.asked.len();
             world.submit(&primary, change(&format!("m{number}"), 1));
         }
         if until_in_sync.is_some_and(|name| world.is_in_sync(name)) {
-            return Some(world.now - begun);
+            return Some(world.now - started_at);
         }
         world.run(1);
     }
@@ -79,7 +79,7 @@
     let done = world
         .outcomes
         .values()
-        .filter(|outcome| **outcome == Outcome::Done)
+        .filter(|outcome| **outcome == Outcome::Committed)
         .count();
     assert!(done > 20, "{setting}: {done} changes were made meanwhile");
     world.assert_nothing_lost();
@@ -185,7 +185,11 @@
             let ticket = world.submit(&primary, configuration(version, version + 1, &padding));
             version += 1;
             assert!(world.until(3_500, |world| world.outcomes.contains_key(&ticket)));
-            assert_eq!(world.outcomes[&ticket], Outcome::Done, "{megabytes} MB");
+            assert_eq!(
+                world.outcomes[&ticket],
+                Outcome::Committed,
+                "{megabytes} MB"
+            );
         };
         send(&mut world);
         let away = backup(&world);
--- a/control/tests/order_turns.rs
+++ b/control/tests/order_turns.rs
@@ -15,7 +15,7 @@
 
 use control::Millis;
 use control::changes::Change;
-use control::rollout::OrderTurn;
+use control::rollout::RolloutOwnership;
 use world::{World, configuration};
 
 /// The time that lies between orders of two holders.
@@ -51,7 +51,7 @@
                 self.change();
             }
             if self.world.now % LOOK == 0 {
-                self.look();
+                self.observe();
             }
         }
     }
@@ -70,7 +70,7 @@
             .submit(&primary, configuration(base, self.version, "m"));
     }
 
-    fn look(&mut self) {
+    fn observe(&mut self) {
         let now = self.world.now;
         for name in self.world.names() {
             let machine = &self.world.machines[&name];
@@ -81,11 +81,11 @@
             else {
                 continue;
             };
-            let turn = node.order_turn(now);
-            if turn == OrderTurn::Held {
+            let turn = node.rollout_ownership(now);
+            if turn == RolloutOwnership::Owned {
                 self.orders.push((now, name));
-            } else if turn.may_take(LEASE, now) {
-                let change = Change::OrderHolder {
+            } else if turn.may_claim(LEASE, now) {
+                let change = Change::RolloutOwner {
                     replica: node.id().clone(),
                 };
                 self.world.submit(&name, change);
@@ -125,7 +125,7 @@
         let mut group = Group::founded(seed);
         group.run(5_000);
         for cycle in 0..6 {
-            let begun = group.world.now;
+            let started_at = group.world.now;
             group.strike_primary(|world, name| world.kill(name, 400, false));
             group.run(3_300);
             group.strike_primary(|world, name| {
@@ -134,7 +134,7 @@
             group.run(900);
             group.world.restore_disks();
             group.run(2_400);
-            let ordered = group.ordered_since(begun);
+            let ordered = group.ordered_since(started_at);
             assert!(
                 ordered >= 1_500,
                 "seed {seed}, cycle {cycle}: {ordered} ms of 6,600 ms for orders"
@@ -154,7 +154,7 @@
         // Another primary than the first one, which waits for nobody.
         group.world.kill(&primary, 400, false);
         group.run(8_000);
-        let begun = group.world.now;
+        let started_at = group.world.now;
         let holder = group.world.primary().expect("a primary");
         for _ in 0..8 {
             let backup = group
@@ -170,7 +170,7 @@
             group.world.kill(&backup, 1_200, false);
             group.run(2_500);
         }
-        let ordered = group.ordered_since(begun);
+        let ordered = group.ordered_since(started_at);
         assert!(
             ordered >= 15_000,
             "seed {seed}: {ordered} ms of 20,000 ms for orders"
