--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -31,10 +31,19 @@
 use std::rc::Rc;
 use store::command::Change;
 use store::member::{Reply, Write};
+use thiserror::Error;
 use turned::Turned;
 use versions::audit_log::Entry;
 use versions::status::Status;
 
+/// Why a gatherer can't take other settings while it runs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum ReconfigureError {
+    /// Open queries are still of former classes, and there are too many classes together.
+    #[error("more classes at once than {0}")]
+    TooManyClasses(usize),
+}
+
 /// What connections are told.
 #[derive(Debug)]
 pub enum Message {
@@ -249,7 +258,7 @@
     }
 
     /// Takes other settings, or leaves all as it was.
-    pub fn reconfigure(&mut self, fresh: Fresh, now: Time) -> Result<(), String> {
+    pub fn reconfigure(&mut self, fresh: Fresh, now: Time) -> Result<(), ReconfigureError> {
         let Fresh {
             settings,
             deployment,
@@ -264,7 +273,7 @@
         let taken = self
             .core
             .reconfigure(settings, deployment, limits.clone(), now);
-        taken.map_err(|_| format!("more classes at once than {}", limits.classes))?;
+        taken.map_err(|_| ReconfigureError::TooManyClasses(limits.classes))?;
         self.core
             .update_endpoints(ListKind::Complete, self.hosts.entries());
         self.hosts.retune(connector, limits.clone());
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -124,7 +124,7 @@
             connector,
         })
     };
-    let prepare: Prepare = Box::new(move |json| fresh(json).map_err(|problem| problem.to_string()));
+    let prepare: Prepare = Box::new(fresh.clone());
     run(Plan {
         name: config.name,
         settings,
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -14,8 +14,9 @@
 pub use agent::connect;
 pub use setup::VersionsSetup;
 
+use crate::config::ConfigError;
 use crate::front::signals::Fresh;
-use crate::front::{Gatherer, Message};
+use crate::front::{Gatherer, Message, ReconfigureError};
 use crate::net::{Net, Token};
 use ::recovery::capacity::QueryResult;
 use ::recovery::phase::Phase;
@@ -23,6 +24,7 @@
 use dispatch::interface::Time;
 use serde_json::{Value as Json, json};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use thiserror::Error;
 use versions::Version;
 use versions::audit_log::{Entry, Record, ServedCounter};
 use versions::lease::{Config, VersionLease};
@@ -36,8 +38,22 @@
 /// configuration, and `least`, the fraction of gatherers that serves on without a store.
 pub const FORMAT: u64 = 1;
 
+/// Why a document can't be used by this gatherer.
+#[derive(Debug, Error)]
+enum UnusableDocument {
+    /// It is of a newer format.
+    #[error("it is of format {0}, and this program reads up to {FORMAT}")]
+    Format(u64),
+    /// Its settings can't be used.
+    #[error(transparent)]
+    Settings(#[from] ConfigError),
+    /// The gatherer can't take the settings at present.
+    #[error(transparent)]
+    Reconfigure(#[from] ReconfigureError),
+}
+
 /// Prepares settings for use by this program, or says why they cannot be used.
-pub type Prepare = Box<dyn Fn(&Json) -> Result<Fresh, String>>;
+pub type Prepare = Box<dyn Fn(&Json) -> Result<Fresh, ConfigError>>;
 
 /// The version that this gatherer runs, and whether it may serve under it.
 pub struct Versions {
@@ -188,12 +204,10 @@
     }
 
     /// Prepares a document for use, or says why this program cannot use it.
-    fn prepare(&self, document: &Json) -> Result<Fresh, String> {
+    fn prepare(&self, document: &Json) -> Result<Fresh, UnusableDocument> {
         match document["format"].as_u64().unwrap_or(1) {
-            format if format > FORMAT => Err(format!(
-                "it is of format {format}, and this program reads up to {FORMAT}"
-            )),
-            _ => (self.prepare)(&document["settings"]),
+            format if format > FORMAT => Err(UnusableDocument::Format(format)),
+            _ => Ok((self.prepare)(&document["settings"])?),
         }
     }
 
--- a/bitternsill/src/versions/agent.rs
+++ b/bitternsill/src/versions/agent.rs
@@ -177,7 +177,7 @@
         };
         versions.flush(now, net);
         let prepared = versions.prepare(document);
-        match prepared.and_then(|prepared| self.reconfigure(prepared, now)) {
+        match prepared.and_then(|prepared| Ok(self.reconfigure(prepared, now)?)) {
             Ok(()) => {
                 self.core.set_version(version);
                 let Some(versions) = &mut self.versions else {
@@ -192,6 +192,7 @@
                 versions.record(vec![(now, record)], net);
             }
             Err(problem) => {
+                let problem = problem.to_string();
                 tracing::error!(
                     version,
                     problem,
@@ -206,7 +207,7 @@
     /// This gatherer's vote on a proposal, in its stored form.
     fn vote(&mut self, proposal: u64, document: &Json) -> Json {
         self.voted_on = proposal;
-        let cannot = self.prepare(document).err();
+        let cannot = self.prepare(document).err().map(|error| error.to_string());
         tracing::info!(proposal, cannot, "a version is proposed");
         json!({"to": proposal, "life": self.incarnation, "cannot": cannot})
     }
--- a/bitternsill/src/versions/cli.rs
+++ b/bitternsill/src/versions/cli.rs
@@ -5,11 +5,13 @@
 
 mod activate;
 mod configure;
+mod error;
 mod show;
 
 use super::keys::{EXCLUDED, GATHERERS, ON_HOLD};
 use crate::store::client::{ChangeOutcome, Client};
 use clap::{Args, Subcommand};
+use error::CommandError;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -122,7 +124,7 @@
     };
     match result {
         Ok(text) => (text, true),
-        Err(text) => (text, false),
+        Err(error) => (error.to_string(), false),
     }
 }
 
@@ -134,24 +136,21 @@
 }
 
 /// Sets or deletes a gatherer's key under a prefix.
-fn set_flag(named: &Named, prefix: &str, present: bool) -> Result<String, String> {
+fn set_flag(named: &Named, prefix: &str, present: bool) -> Result<String, CommandError> {
     let client = named.store.client();
     let seen = client.read("")?;
     let name = &named.name;
     if !seen.keys.contains_key(&format!("{GATHERERS}{name}")) {
-        let known: Vec<&str> = seen.names(GATHERERS).collect();
-        return Err(format!(
-            "no gatherer is called {name}; known are {}",
-            known.join(", ")
-        ));
+        return Err(CommandError::UnknownGatherer {
+            name: name.clone(),
+            known: seen.names(GATHERERS).map(str::to_owned).collect(),
+        });
     }
     let key = format!("{prefix}{name}");
     let value = present.then(|| "{}".to_owned());
     match client.change(vec![seen.unchanged(&key)], vec![put(key, value)])? {
         ChangeOutcome::Applied(revision) => Ok(format!("done at revision {revision}")),
-        ChangeOutcome::Rejected(why) => Err(format!("not done: {why}")),
-        ChangeOutcome::Unknown => {
-            Err("not known whether it was done: look with `fleet versions`".to_owned())
-        }
+        ChangeOutcome::Rejected(why) => Err(CommandError::NotDone(why)),
+        ChangeOutcome::Unknown => Err(CommandError::Unknown("done")),
     }
 }
--- a/bitternsill/src/versions/cli/activate.rs
+++ b/bitternsill/src/versions/cli/activate.rs
@@ -2,6 +2,7 @@
 
 use super::super::activation::{self, Blocked, Plan};
 use super::Activate;
+use super::error::CommandError;
 use crate::store::client::ChangeOutcome;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -13,7 +14,7 @@
 /// The time between two attempts while gatherers prevent the activation.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-pub(super) fn run(call: &Activate) -> Result<String, String> {
+pub(super) fn run(call: &Activate) -> Result<String, CommandError> {
     let client = call.store.client();
     let wait = Duration::from_millis(call.wait);
     let started = Instant::now();
@@ -24,13 +25,15 @@
         activation::observe_exclusions(&seen, &mut excluded_since, now);
         let plan = match activation::plan(&seen, &excluded_since, now) {
             Ok(plan) => plan,
-            Err(Blocked::NoProposal(reason)) => return Err(reason),
+            Err(Blocked::NoProposal(reason)) => {
+                return Err(CommandError::NothingToActivate(reason));
+            }
             Err(Blocked::ByGatherers {
                 blockers,
                 exclusion_delay,
             }) => {
                 if is_hopeless(&blockers, exclusion_delay, started.elapsed(), wait) {
-                    return Err(describe(&blockers));
+                    return Err(CommandError::Blocked(blockers));
                 }
                 thread::sleep(POLL_INTERVAL);
                 continue;
@@ -41,14 +44,10 @@
             // A gatherer has voted or restarted since the store was read: it is read again.
             ChangeOutcome::Rejected(_) if started.elapsed() <= wait => {}
             ChangeOutcome::Rejected(why) => {
-                return Err(format!(
-                    "not activated, something has changed meanwhile: {why}"
-                ));
+                return Err(CommandError::NotActivated(why));
             }
             ChangeOutcome::Unknown => {
-                return Err(
-                    "not known whether it was activated: look with `fleet versions`".to_owned(),
-                );
+                return Err(CommandError::Unknown("activated"));
             }
         }
     }
@@ -77,14 +76,6 @@
     elapsed > wait + exclusion_delay || is_permanent && !votes_missing
 }
 
-fn describe(blockers: &BTreeMap<String, Blocker>) -> String {
-    let names: String = blockers
-        .iter()
-        .map(|(name, blocker)| format!("\n  {name} {blocker}"))
-        .collect();
-    format!("not activated; in the way are:{names}")
-}
-
 fn success(version: u64, plan: &Plan, as_json: bool) -> String {
     let autonomous = &plan.autonomous;
     if as_json {
--- a/bitternsill/src/versions/cli/configure.rs
+++ b/bitternsill/src/versions/cli/configure.rs
@@ -2,25 +2,23 @@
 
 use super::super::FORMAT;
 use super::super::keys::{ACTIVE, GATHERERS, HISTORY, PROPOSAL};
+use super::error::CommandError;
 use super::{Configure, put};
 use crate::core::settings;
 use crate::store::client::{ChangeOutcome, ReadResult};
 use serde_json::{Value as Json, json};
 use std::path::Path;
 
-pub(super) fn run(call: &Configure) -> Result<String, String> {
+pub(super) fn run(call: &Configure) -> Result<String, CommandError> {
     if !(0.0..=1.0).contains(&call.least) {
-        return Err(format!(
-            "--least is a share from 0 to 1, not {}",
-            call.least
-        ));
+        return Err(CommandError::Least(call.least));
     }
     let client = call.store.client();
     let seen = client.read("")?;
     let settings = match (&call.file, call.back_to) {
         (Some(file), _) => read_settings(file)?,
         (None, Some(proposal)) => former_settings(&seen, proposal)?,
-        (None, None) => return Err("a file, or --back-to".to_owned()),
+        (None, None) => return Err(CommandError::NoSettings),
     };
     check_format(&seen)?;
     let document = json!({"format": FORMAT, "settings": settings, "least": call.least});
@@ -33,47 +31,46 @@
         ChangeOutcome::Applied(proposal) => Ok(format!(
             "proposed as {proposal}; `fleet activate` has all switch once each has said that it can"
         )),
-        ChangeOutcome::Rejected(why) => Err(format!("not proposed: {why}")),
-        ChangeOutcome::Unknown => {
-            Err("not known whether it was proposed: look with `fleet versions`".to_owned())
-        }
+        ChangeOutcome::Rejected(why) => Err(CommandError::NotProposed(why)),
+        ChangeOutcome::Unknown => Err(CommandError::Unknown("proposed")),
     }
 }
 
 /// The settings in a file, which has only these, or is a configuration.
-fn read_settings(file: &Path) -> Result<Json, String> {
-    let in_file = |problem: &dyn std::fmt::Display| format!("{}: {problem}", file.display());
-    let text = std::fs::read(file).map_err(|problem| in_file(&problem))?;
-    let json: Json = serde_json::from_slice(&text).map_err(|problem| in_file(&problem))?;
+fn read_settings(file: &Path) -> Result<Json, CommandError> {
+    let text = std::fs::read(file).map_err(|problem| CommandError::in_file(file, problem))?;
+    let json: Json =
+        serde_json::from_slice(&text).map_err(|problem| CommandError::in_file(file, problem))?;
     let settings = if json["settings"].is_object() {
         json["settings"].clone()
     } else {
         json
     };
-    settings::read(&settings).map_err(|problem| in_file(&problem))?;
+    settings::read(&settings).map_err(|problem| CommandError::in_file(file, problem))?;
     Ok(settings)
 }
 
-fn former_settings(seen: &ReadResult, proposal: u64) -> Result<Json, String> {
+fn former_settings(seen: &ReadResult, proposal: u64) -> Result<Json, CommandError> {
     let (document, _) = seen
         .json(&format!("{HISTORY}{proposal}"))
-        .ok_or_else(|| format!("proposal {proposal} was not active of late"))?;
+        .ok_or(CommandError::UnknownProposal(proposal))?;
     Ok(document["settings"].clone())
 }
 
 /// A document that some gatherer cannot read is not even proposed. Programs from before the format
 /// was numbered read format 1.
-fn check_format(seen: &ReadResult) -> Result<(), String> {
+fn check_format(seen: &ReadResult) -> Result<(), CommandError> {
     let reads_older = |name: &&str| {
         seen.json(&format!("{GATHERERS}{name}"))
             .is_some_and(|(registration, _)| registration["reads"].as_u64().unwrap_or(1) < FORMAT)
     };
-    let older: Vec<&str> = seen.names(GATHERERS).filter(reads_older).collect();
-    if older.is_empty() {
+    let older = seen.names(GATHERERS).filter(reads_older);
+    let gatherers: Vec<String> = older.map(str::to_owned).collect();
+    if gatherers.is_empty() {
         return Ok(());
     }
-    Err(format!(
-        "not proposed: format {FORMAT} is not read by {}",
-        older.join(", ")
-    ))
+    Err(CommandError::OldPrograms {
+        format: FORMAT,
+        gatherers,
+    })
 }
--- a/bitternsill/src/versions/cli/show.rs
+++ b/bitternsill/src/versions/cli/show.rs
@@ -2,6 +2,7 @@
 
 use super::super::activation::fleet;
 use super::super::keys::{ACTIVE, EXCLUDED, HISTORY, ON_HOLD, PROPOSAL};
+use super::error::CommandError;
 use super::{Diff, StoreArgs};
 use crate::store::client::ReadResult;
 use serde_json::{Value as Json, json};
@@ -93,7 +94,7 @@
     }
 }
 
-pub(super) fn versions(store: &StoreArgs) -> Result<String, String> {
+pub(super) fn versions(store: &StoreArgs) -> Result<String, CommandError> {
     let fleet = FleetVersions::read(&store.client().read("")?);
     Ok(if store.json {
         fleet.to_json().to_string()
@@ -102,7 +103,7 @@
     })
 }
 
-pub(super) fn diff(call: &Diff) -> Result<String, String> {
+pub(super) fn diff(call: &Diff) -> Result<String, CommandError> {
     let seen = call.store.client().read("config/")?;
     let active = seen
         .json(ACTIVE)
@@ -110,8 +111,8 @@
     let (other, _) = match call.with {
         Some(proposal) => seen
             .json(&format!("{HISTORY}{proposal}"))
-            .ok_or("that proposal was not active of late")?,
-        None => seen.json(PROPOSAL).ok_or("nothing is proposed")?,
+            .ok_or(CommandError::UnknownComparison)?,
+        None => seen.json(PROPOSAL).ok_or(CommandError::NoProposal)?,
     };
     let mut differences = Vec::new();
     compare(&active, &other["settings"], "settings", &mut differences);
