--- a/bitternsill/benches/learned.rs
+++ b/bitternsill/benches/learned.rs
@@ -13,9 +13,9 @@
 use dispatch::interface::{
     Action, Class, Entry, Event, ListKind, LoadReport, Outcome, PartId, QueryId, ServerId, Settings,
 };
+use learning::atomic_write;
 use learning::file;
-use learning::picture::{Fleet, HostMemory, Picture};
-use learning::steps;
+use learning::snapshot::{Fleet, HostStats, Snapshot};
 use serde_json::{Value, json};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -178,7 +178,7 @@
 }
 
 /// A folder with one picture, changed.
-fn changed(from: &Path, name: &str, change: impl FnOnce(&mut Picture)) -> PathBuf {
+fn changed(from: &Path, name: &str, change: impl FnOnce(&mut Snapshot)) -> PathBuf {
     // Programs of other seeds that start at this moment hold every descriptor of this process for
     // an instant.
     let folder = loop {
@@ -188,10 +188,14 @@
             Err(problem) => panic!("{problem}"),
         }
     };
-    let (mut picture, ..) = folder.load().picture.expect("a picture");
-    change(&mut picture);
+    let (mut snapshot, ..) = folder.load().snapshot.expect("a picture");
+    change(&mut snapshot);
     let to = new_folder(name);
-    std::fs::write(to.join(steps::name(1)), file::encode(&picture).unwrap()).unwrap();
+    std::fs::write(
+        to.join(atomic_write::file_name(1)),
+        file::encode(&snapshot).unwrap(),
+    )
+    .unwrap();
     to
 }
 
@@ -201,11 +205,11 @@
     play(&hosts, Some(&kept), WARM, seed);
     let old = changed(&kept, &format!("{seed}-old"), |p| {
         let days = 3 * 86_400_000;
-        p.taken -= days;
-        let older = |(uid, host): (&Arc<str>, &HostMemory)| {
+        p.taken_at -= days;
+        let older = |(uid, host): (&Arc<str>, &HostStats)| {
             (
                 uid.clone(),
-                HostMemory {
+                HostStats {
                     judged: host.judged - days,
                     ..host.clone()
                 },
@@ -215,13 +219,13 @@
     });
     let wrong = changed(&kept, &format!("{seed}-wrong"), |p| {
         // Every host is remembered as its next neighbour but two was.
-        let memories: Vec<HostMemory> = p.hosts.values().cloned().collect();
+        let memories: Vec<HostStats> = p.hosts.values().cloned().collect();
         let count = memories.len();
-        let other = |(n, (uid, host)): (usize, (&Arc<str>, &HostMemory))| {
+        let other = |(n, (uid, host)): (usize, (&Arc<str>, &HostStats))| {
             (
                 uid.clone(),
-                HostMemory {
-                    born: host.born,
+                HostStats {
+                    started: host.started,
                     ..memories[(n + 3) % count].clone()
                 },
             )
@@ -338,8 +342,8 @@
             cells: 100,
             reach: 2,
         };
-        let mut picture = Picture::new(fleet);
-        let queue: ArrayQueue<Picture> = ArrayQueue::new(2);
+        let mut snapshot = Snapshot::new(fleet);
+        let queue: ArrayQueue<Snapshot> = ArrayQueue::new(2);
         let (mut turns, mut learns, mut hands) = (Vec::new(), Vec::new(), Vec::new());
         let mut out: Vec<(PartId, u32)> = Vec::new();
         let mut next = 1u64;
@@ -384,8 +388,8 @@
             if keeps && turn % 4 == 0 {
                 let begin = Instant::now();
                 for (id, memory) in aggregator.learned(64).servers {
-                    let host = HostMemory {
-                        born: 0,
+                    let host = HostStats {
+                        started: 0,
                         slowness: memory.slowness.iter().map(|s| *s as f32).collect(),
                         delay: memory.delay as f32,
                         limit: memory.limit as f32,
@@ -393,14 +397,14 @@
                         weight: memory.answers as f32,
                         judged: now / 1_000_000,
                     };
-                    picture
+                    snapshot
                         .hosts
                         .insert(Arc::from(format!("host-{}", id.0)), host);
                 }
                 learns.push(begin.elapsed());
                 if turn % 40 == 0 {
                     let begin = Instant::now();
-                    let _ = queue.push(picture.clone());
+                    let _ = queue.push(snapshot.clone());
                     hands.push(begin.elapsed());
                 }
             }
@@ -431,8 +435,8 @@
         cells: 100,
         reach: 2,
     };
-    let host = |n: u32| HostMemory {
-        born: 0,
+    let host = |n: u32| HostStats {
+        started: 0,
         slowness: (0..CLASSES)
             .map(|c| 1.0 + (n as f32 * 0.37 + c as f32) % 7.0)
             .collect(),
@@ -445,24 +449,24 @@
     let hosts = (0..MANY)
         .map(|n| (Arc::from(format!("host-{n:05}")), host(n)))
         .collect();
-    let picture = Picture {
-        taken: now_ms(),
+    let snapshot = Snapshot {
+        taken_at: now_ms(),
         hosts,
-        ..Picture::new(fleet)
+        ..Snapshot::new(fleet)
     };
     let path = new_folder("scale");
     let folder = Folder::open(&path).unwrap();
     println!("hosts  classes  bytes    encode ms  write and sync ms  load ms");
     for _ in 0..3 {
         let start = Instant::now();
-        let bytes = file::encode(&picture).unwrap();
+        let bytes = file::encode(&snapshot).unwrap();
         let encoded = start.elapsed();
         let start = Instant::now();
         folder.write(&bytes, |_| {}).unwrap();
         let written = start.elapsed();
         let start = Instant::now();
         assert_eq!(
-            folder.load().picture.map(|(p, ..)| p.hosts.len()),
+            folder.load().snapshot.map(|(p, ..)| p.hosts.len()),
             Some(MANY as usize)
         );
         println!(
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -16,7 +16,7 @@
 use crate::admin::Orders;
 use crate::core::Core;
 use crate::core::ports::{Answer, AttemptId, Caller, Clients, Directory, Hosts, Outgoing};
-use crate::learned::Keeper;
+use crate::learned::LearnedState;
 use crate::limits::Limits;
 use crate::net::{Net, Token, World};
 use crate::recovery::RecoveryService;
@@ -25,7 +25,7 @@
 use clients::ClientTable;
 use dispatch::interface::{ListKind, Outcome, ServerId, Time};
 use hosts::{HostTable, Member};
-use learning::picture::Fleet;
+use learning::snapshot::Fleet;
 use signals::Fresh;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -156,7 +156,7 @@
     /// The store, off the request path; absent once its file has failed.
     pub store_service: Option<StoreService>,
     /// What is learned, where it is kept.
-    pub keeper: Option<Keeper>,
+    pub keeper: Option<LearnedState>,
     /// The return after a start, where an operator's file asks for it.
     pub returning: Option<RecoveryService>,
     /// Which version it acts on, where the store has these.
@@ -269,7 +269,7 @@
         self.hosts.retune(connector, limits.clone());
         self.limits = limits;
         if let Some(keeper) = &mut self.keeper {
-            keeper.settle(fleet);
+            keeper.on_settings(fleet);
         }
         Ok(())
     }
@@ -336,7 +336,7 @@
         self.record("members", &known, net);
         if let Some(keeper) = &mut self.keeper {
             keeper.listed(&self.hosts);
-            keeper.recall(&mut self.core, &self.hosts, net.now());
+            keeper.apply_loaded(&mut self.core, &self.hosts, net.now());
         }
     }
 
@@ -386,7 +386,7 @@
             Phase::Finishing(_) if self.core.open_queries() == 0 => Some(now),
             Phase::Finishing(until) => Some(until),
         };
-        let keeper = self.keeper.as_ref().map(Keeper::due);
+        let keeper = self.keeper.as_ref().map(LearnedState::due);
         let waits = self.ready_by.filter(|_| self.said == Some(Wait::FirstList));
         let returning = self
             .returning
--- a/bitternsill/src/learned.rs
+++ b/bitternsill/src/learned.rs
@@ -1,5 +1,5 @@
-//! What is learned, kept in a folder across restarts: off the request path, and off unless an
-//! operator's file names one.
+//! Statistics that are retained across restarts, in a folder of snapshots: off the request path,
+//! and only where an operator's file names a folder.
 
 pub mod cli;
 pub mod folder;
@@ -10,30 +10,30 @@
 use crate::limits::MS;
 use dispatch::interface::{Learned, PaceMemory, ServerMemory, Time};
 use folder::Folder;
-use learning::age::{self, Aged, Rules};
-use learning::picture::{ClassMemory, Fleet, HostMemory, Picture, Wall};
+use learning::age::{self, Aged, AgingConfig};
+use learning::snapshot::{ClassStats, Fleet, HostStats, Snapshot, UnixMillis};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::Arc;
 use writer::Writer;
 
-/// The folder and how often it is written, as an operator's file has them.
+/// The folder of snapshots in an operator's file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LearningSetup {
     /// The folder.
     pub folder: PathBuf,
-    /// Milliseconds between two pictures.
-    #[serde(default = "usual_period")]
+    /// Interval between two snapshots.
+    #[serde(default = "default_period")]
     pub period_ms: Period,
 }
 
-fn usual_period() -> Period {
+fn default_period() -> Period {
     Period(1_000)
 }
 
-/// Milliseconds between two pictures: 100 to 3,600,000.
+/// Interval between two snapshots, in milliseconds: 100 to 3,600,000.
 #[derive(Debug, Clone, Copy)]
 pub struct Period(u64);
 
@@ -48,31 +48,31 @@
     }
 }
 
-fn wall(time: Time) -> Wall {
+fn unix_millis(time: Time) -> UnixMillis {
     time / MS
 }
 
-/// Keeps what is learned.
-pub struct Keeper {
-    picture: Picture,
+/// The retained statistics of a gatherer.
+pub struct LearnedState {
+    snapshot: Snapshot,
     writer: Writer,
     period: Time,
     next_collect: Time,
-    next_picture: Time,
-    /// What was loaded, until there is a list of hosts to hold it against.
-    loaded: Option<Picture>,
-    rules: Rules,
+    next_snapshot: Time,
+    /// The loaded snapshot, until there is an endpoint list to age it against.
+    loaded: Option<Snapshot>,
+    config: AgingConfig,
 }
 
-/// Servers that one turn takes into the picture, at the most.
-const AT_ONCE: usize = 64;
-/// Between two looks at what was judged.
-const COLLECT: Time = 20 * MS;
+/// Maximum number of hosts that one collection updates in the snapshot.
+const MAX_HOSTS_PER_COLLECTION: usize = 64;
+/// Interval between two collections, in nanoseconds.
+const COLLECT_INTERVAL: Time = 20 * MS;
 
-impl Keeper {
-    /// Opens the folder, loads what is in it and starts the writer. A folder that cannot be used is
-    /// told and done without: serving comes first.
-    pub fn open(setup: &LearningSetup, fleet: Fleet, now: Time) -> Option<Keeper> {
+impl LearnedState {
+    /// Opens the folder, loads the newest snapshot and starts the writer. A folder that cannot be
+    /// used is logged, and the gatherer serves without it.
+    pub fn open(setup: &LearningSetup, fleet: Fleet, now: Time) -> Option<LearnedState> {
         let folder = match Folder::open(&setup.folder) {
             Ok(folder) => folder,
             Err(problem) => {
@@ -81,79 +81,80 @@
             }
         };
         let found = folder.load();
-        for (generation, problem) in &found.unsound {
+        for (generation, problem) in &found.unreadable {
             tracing::warn!(
                 generation,
-                problem,
+                problem = problem.to_string(),
                 "a generation of what was learned is passed over"
             );
         }
-        match &found.picture {
-            Some((picture, version, generation)) => tracing::info!(
+        match &found.snapshot {
+            Some((snapshot, version, generation)) => tracing::info!(
                 generation,
                 version,
-                hosts = picture.hosts.len(),
-                age_ms = wall(now).saturating_sub(picture.taken),
+                hosts = snapshot.hosts.len(),
+                age_ms = unix_millis(now).saturating_sub(snapshot.taken_at),
                 "what was learned is loaded"
             ),
             None => tracing::info!("nothing was learned yet"),
         }
         let period = setup.period_ms.0 * MS;
-        Some(Keeper {
-            picture: Picture::new(fleet),
+        Some(LearnedState {
+            snapshot: Snapshot::new(fleet),
             writer: Writer::start(folder),
             period,
             next_collect: now,
-            next_picture: now + period,
-            loaded: found.picture.map(|(picture, ..)| picture),
-            rules: Rules::default(),
+            next_snapshot: now + period,
+            loaded: found.snapshot.map(|(snapshot, ..)| snapshot),
+            config: AgingConfig::default(),
         })
     }
 
-    /// When it wants a turn next.
+    /// When [`LearnedState::turn`] has to be called next.
     pub fn due(&self) -> Time {
-        self.next_picture
+        self.next_snapshot
     }
 
-    /// The settings have changed: what is learned is told by other classes from here on.
-    pub fn settle(&mut self, fleet: Fleet) {
-        let former = std::mem::replace(&mut self.picture.fleet, fleet);
+    /// Moves the hosts' statistics to the classes of new settings.
+    pub fn on_settings(&mut self, fleet: Fleet) {
+        let former = std::mem::replace(&mut self.snapshot.fleet, fleet);
         let same = |name: &String| former.classes.iter().position(|f| f == name);
-        let places: Vec<Option<usize>> = self.picture.fleet.classes.iter().map(same).collect();
-        let hosts = std::mem::take(&mut self.picture.hosts);
-        self.picture.hosts = hosts
+        let former_indexes: Vec<Option<usize>> =
+            self.snapshot.fleet.classes.iter().map(same).collect();
+        let hosts = std::mem::take(&mut self.snapshot.hosts);
+        self.snapshot.hosts = hosts
             .into_iter()
             .map(|(uid, mut host)| {
                 let slow = |at: &Option<usize>| {
                     at.and_then(|at| host.slowness.get(at).copied())
                         .unwrap_or(1.0)
                 };
-                host.slowness = places.iter().map(slow).collect();
+                host.slowness = former_indexes.iter().map(slow).collect();
                 (uid, host)
             })
             .collect();
     }
 
-    /// With the first list that names a host: what was loaded, as far as it still counts.
-    pub fn recall(&mut self, core: &mut Core, hosts: &HostTable, now: Time) {
+    /// Ages the loaded snapshot against the first endpoint list that has a host, and applies it.
+    pub fn apply_loaded(&mut self, core: &mut Core, hosts: &HostTable, now: Time) {
         if self.loaded.is_none() || !hosts.any_active() {
             return;
         }
         let Some(loaded) = self.loaded.take() else {
             return;
         };
-        let listed: BTreeMap<String, Wall> = hosts
+        let listed: BTreeMap<String, UnixMillis> = hosts
             .listed()
-            .map(|(uid, _, born)| (uid.to_owned(), wall(born)))
+            .map(|(uid, _, born)| (uid.to_owned(), unix_millis(born)))
             .collect();
-        let fresh = classes(&self.picture.fleet, &core.learned(0));
+        let fresh = classes(&self.snapshot.fleet, &core.learned(0));
         match age::age(
             &loaded,
-            &self.picture.fleet,
+            &self.snapshot.fleet,
             &fresh,
             &listed,
-            wall(now),
-            &self.rules,
+            unix_millis(now),
+            &self.config,
         ) {
             Ok(aged) => {
                 report(&aged);
@@ -164,7 +165,7 @@
     }
 
     fn learned(&self, aged: &Aged, hosts: &HostTable) -> Learned {
-        let server = |(uid, memory): &(String, HostMemory)| {
+        let server = |(uid, memory): &(String, HostStats)| {
             let id = hosts.id_of(uid)?;
             Some((
                 id,
@@ -177,8 +178,8 @@
                 },
             ))
         };
-        let pace = |of: fn(&ClassMemory) -> (f64, f64)| {
-            let one = |c: &ClassMemory| {
+        let pace = |of: fn(&ClassStats) -> (f64, f64)| {
+            let one = |c: &ClassStats| {
                 let (median, p95) = of(c);
                 PaceMemory {
                     median,
@@ -192,81 +193,81 @@
         Learned {
             servers: aged.hosts.iter().filter_map(server).collect(),
             parts: pace(|c| (c.median, c.p95)),
-            tries: pace(|c| c.tries),
+            tries: pace(|c| c.attempts),
         }
     }
 
-    /// After a turn: takes what was judged into the picture, and hands that over when it is time.
-    /// Neither waits for the disk, and neither grows with the number of hosts.
+    /// Collects updated statistics into the snapshot, and submits that to the writer at intervals.
+    /// Neither waits for the disk nor takes longer with more hosts.
     pub fn turn(&mut self, core: &mut Core, hosts: &HostTable, now: Time) {
         if now >= self.next_collect {
-            self.next_collect = now + COLLECT;
-            let learned = core.learned(AT_ONCE);
+            self.next_collect = now + COLLECT_INTERVAL;
+            let learned = core.learned(MAX_HOSTS_PER_COLLECTION);
             for (id, memory) in &learned.servers {
                 let Some((uid, born)) = hosts.name_of(*id) else {
                     continue;
                 };
-                let host = HostMemory {
-                    born: wall(born),
+                let host = HostStats {
+                    started: unix_millis(born),
                     slowness: memory.slowness.iter().map(|s| *s as f32).collect(),
                     delay: memory.delay as f32,
                     limit: memory.limit as f32,
                     errors: memory.errors as f32,
                     weight: memory.answers as f32,
-                    judged: wall(now),
+                    judged: unix_millis(now),
                 };
-                self.picture.hosts.insert(uid.clone(), host);
+                self.snapshot.hosts.insert(uid.clone(), host);
             }
-            self.picture.classes = classes(&self.picture.fleet, &learned);
+            self.snapshot.classes = classes(&self.snapshot.fleet, &learned);
         }
-        if now >= self.next_picture {
-            self.next_picture = now + self.period;
-            self.hand_over(now);
+        if now >= self.next_snapshot {
+            self.next_snapshot = now + self.period;
+            self.submit_snapshot(now);
         }
     }
 
     /// Forgets hosts that are no longer on the list.
     pub fn listed(&mut self, hosts: &HostTable) {
         let gone: Vec<Arc<str>> = self
-            .picture
+            .snapshot
             .hosts
             .keys()
             .filter(|uid| hosts.id_of(uid).is_none())
             .cloned()
             .collect();
         for uid in gone {
-            self.picture.hosts.remove(&uid);
+            self.snapshot.hosts.remove(&uid);
         }
     }
 
-    fn hand_over(&mut self, now: Time) {
-        self.picture.taken = wall(now);
-        self.writer.hand(self.picture.clone());
+    fn submit_snapshot(&mut self, now: Time) {
+        self.snapshot.taken_at = unix_millis(now);
+        self.writer.submit(self.snapshot.clone());
     }
 
-    /// The last picture; waits for it to be written, as long as there is time.
+    /// Submits the last snapshot and waits until it is written, up to a time-out.
     pub fn finish(
         mut self,
         core: &mut Core,
         hosts: &HostTable,
         now: Time,
-        patience: std::time::Duration,
+        timeout: std::time::Duration,
     ) {
         self.next_collect = 0;
-        self.next_picture = Time::MAX;
+        self.next_snapshot = Time::MAX;
         self.turn(core, hosts, now);
-        self.hand_over(now);
-        self.writer.finish(patience);
+        self.submit_snapshot(now);
+        self.writer.finish(timeout);
     }
 }
 
-fn classes(fleet: &Fleet, learned: &Learned) -> Vec<ClassMemory> {
-    let class = |((name, part), attempt): ((&String, &PaceMemory), &PaceMemory)| ClassMemory {
+fn classes(fleet: &Fleet, learned: &Learned) -> Vec<ClassStats> {
+    let class = |((name, part), attempt): ((&String, &PaceMemory), &PaceMemory)| ClassStats {
         name: name.clone(),
         median: part.median,
         p95: part.p95,
         least: part.least,
-        tries: (attempt.median, attempt.p95),
+        attempts: (attempt.median, attempt.p95),
         weight: part.answers as f64,
     };
     fleet
--- a/bitternsill/src/learned/cli.rs
+++ b/bitternsill/src/learned/cli.rs
@@ -1,10 +1,10 @@
-//! `bitternsill learned`: looks at a file of what was learned, and changes its form.
+//! `bitternsill learned`: inspects, compares and converts snapshot files.
 
 use super::folder;
 use clap::{Subcommand, ValueEnum};
-use learning::age::{self, Rules};
+use learning::age::{self, AgingConfig};
 use learning::file;
-use learning::picture::{ClassMemory, HostMemory, Picture, Wall};
+use learning::snapshot::{ClassStats, HostStats, Snapshot, UnixMillis};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -70,32 +70,32 @@
     },
 }
 
-fn load(path: &Path) -> Result<(Picture, u16), String> {
+fn load(path: &Path) -> Result<(Snapshot, u16), String> {
     folder::read(path).map_err(|problem| format!("{}: {problem}", path.display()))
 }
 
-fn now() -> Wall {
+fn now() -> UnixMillis {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |t| t.as_millis() as Wall)
+        .map_or(0, |t| t.as_millis() as UnixMillis)
 }
 
-fn class_json(class: &ClassMemory) -> Json {
+fn class_json(class: &ClassStats) -> Json {
     json!({
         "class": class.name, "median_ms": class.median / 1e6, "p95_ms": class.p95 / 1e6, "least_ms": class.least / 1e6,
-        "attempts_median_ms": class.tries.0 / 1e6, "attempts_p95_ms": class.tries.1 / 1e6, "answers": class.weight,
+        "attempts_median_ms": class.attempts.0 / 1e6, "attempts_p95_ms": class.attempts.1 / 1e6, "answers": class.weight,
     })
 }
 
-fn host_json(uid: &str, host: &HostMemory) -> Json {
+fn host_json(uid: &str, host: &HostStats) -> Json {
     json!({
-        "host": uid, "started_ms": host.born, "slowness": host.slowness, "delay": host.delay,
+        "host": uid, "started_ms": host.started, "slowness": host.slowness, "delay": host.delay,
         "limit": if host.limit < 1e6 { json!(host.limit) } else { Json::Null },
         "errors": host.errors, "answers": host.weight, "judged_ms": host.judged,
     })
 }
 
-fn host_line(uid: &str, host: &HostMemory) -> String {
+fn host_line(uid: &str, host: &HostStats) -> String {
     let slowness: Vec<String> = host.slowness.iter().map(|s| format!("{s:.2}")).collect();
     let limit = if host.limit < 1e6 {
         format!("{:.1}", host.limit)
@@ -110,33 +110,33 @@
     )
 }
 
-fn show(picture: &Picture, version: u16, format: Format) -> String {
+fn show(snapshot: &Snapshot, version: u16, format: Format) -> String {
     if format == Format::Json {
-        let hosts: Vec<Json> = picture
+        let hosts: Vec<Json> = snapshot
             .hosts
             .iter()
             .map(|(uid, host)| host_json(uid, host))
             .collect();
         let all = json!({
-            "version": version, "taken_ms": picture.taken,
-            "fleet": {"classes": picture.fleet.classes, "cells": picture.fleet.cells, "reach": picture.fleet.reach},
-            "classes": picture.classes.iter().map(class_json).collect::<Vec<_>>(), "hosts": hosts,
+            "version": version, "taken_ms": snapshot.taken_at,
+            "fleet": {"classes": snapshot.fleet.classes, "cells": snapshot.fleet.cells, "reach": snapshot.fleet.reach},
+            "classes": snapshot.classes.iter().map(class_json).collect::<Vec<_>>(), "hosts": hosts,
         });
         return format!("{all:#}");
     }
     let age = now()
-        .checked_sub(picture.taken)
+        .checked_sub(snapshot.taken_at)
         .map_or("from the future".to_owned(), |ms| {
             format!("{} s old", ms / 1000)
         });
     let mut lines = vec![format!(
         "version {version}, {age}, {} classes, {} hosts, {} cells with each shard on {}",
-        picture.classes.len(),
-        picture.hosts.len(),
-        picture.fleet.cells,
-        picture.fleet.reach
+        snapshot.classes.len(),
+        snapshot.hosts.len(),
+        snapshot.fleet.cells,
+        snapshot.fleet.reach
     )];
-    for class in &picture.classes {
+    for class in &snapshot.classes {
         lines.push(format!(
             "{}  median {:.1} ms  p95 {:.1} ms  answers {:.0}",
             class.name,
@@ -145,32 +145,37 @@
             class.weight
         ));
     }
-    lines.extend(picture.hosts.iter().map(|(uid, host)| host_line(uid, host)));
+    lines.extend(
+        snapshot
+            .hosts
+            .iter()
+            .map(|(uid, host)| host_line(uid, host)),
+    );
     lines.join("\n")
 }
 
-fn aged(picture: &Picture, at: Wall, format: Format) -> Result<String, String> {
-    // Held against its own list: what a gatherer would take whose hosts are all still there.
-    let listed: BTreeMap<String, Wall> = picture
+fn aged(snapshot: &Snapshot, at: UnixMillis, format: Format) -> Result<String, String> {
+    // Aged against its own hosts: what a gatherer would use if all of them are still listed.
+    let listed: BTreeMap<String, UnixMillis> = snapshot
         .hosts
         .iter()
-        .map(|(uid, h)| (uid.to_string(), h.born))
+        .map(|(uid, h)| (uid.to_string(), h.started))
         .collect();
-    let fresh: Vec<ClassMemory> = picture
+    let fresh: Vec<ClassStats> = snapshot
         .classes
         .iter()
-        .map(|c| ClassMemory {
+        .map(|c| ClassStats {
             weight: 0.0,
             ..c.clone()
         })
         .collect();
     let aged = age::age(
-        picture,
-        &picture.fleet,
+        snapshot,
+        &snapshot.fleet,
         &fresh,
         &listed,
         at,
-        &Rules::default(),
+        &AgingConfig::default(),
     )
     .map_err(|e| e.to_string())?;
     if format == Format::Json {
@@ -214,7 +219,7 @@
     Ok(lines.join("\n"))
 }
 
-fn diff(one: &Picture, other: &Picture, format: Format) -> (bool, String) {
+fn diff(one: &Snapshot, other: &Snapshot, format: Format) -> (bool, String) {
     let mut entries: Vec<(String, &str)> = Vec::new();
     if one.fleet != other.fleet {
         entries.push(("fleet".to_owned(), "differs"));
@@ -258,11 +263,11 @@
 }
 
 fn convert(file: &Path, to: &Path, version: u16) -> Result<String, String> {
-    let (picture, from) = load(file)?;
+    let (snapshot, from) = load(file)?;
     let bytes = if version == 1 {
-        file::encode_v1(&picture)
+        file::encode_v1(&snapshot)
     } else {
-        file::encode(&picture)
+        file::encode(&snapshot)
     };
     let bytes = bytes.map_err(|problem| problem.to_string())?;
     let mut out = std::fs::OpenOptions::new()
@@ -280,20 +285,20 @@
     ))
 }
 
-/// Carries a call out; the text, and whether it is good news.
+/// Runs a command; returns the text and whether the command counts as successful.
 fn answer(call: Learned) -> Result<(bool, String), String> {
     match call {
         Learned::Show { file, format } => {
-            load(&file).map(|(picture, version)| (true, show(&picture, version, format)))
+            load(&file).map(|(snapshot, version)| (true, show(&snapshot, version, format)))
         }
         Learned::Verify { file } => {
-            let (picture, version) = load(&file)?;
+            let (snapshot, version) = load(&file)?;
             Ok((
                 true,
                 format!(
                     "{}: sound, version {version}, {} hosts",
                     file.display(),
-                    picture.hosts.len()
+                    snapshot.hosts.len()
                 ),
             ))
         }
@@ -305,11 +310,11 @@
             after,
             format,
         } => {
-            let (picture, _) = load(&file)?;
+            let (snapshot, _) = load(&file)?;
             let at = after.map_or_else(now, |s| {
-                picture.taken.saturating_add(s.saturating_mul(1000))
+                snapshot.taken_at.saturating_add(s.saturating_mul(1000))
             });
-            aged(&picture, at, format).map(|text| (true, text))
+            aged(&snapshot, at, format).map(|text| (true, text))
         }
         Learned::Diff {
             file,
@@ -322,7 +327,7 @@
     }
 }
 
-/// Runs a call; exits with 1 where a file is not sound or two differ.
+/// Runs a command and prints its text; fails if a file cannot be read, or if two differ.
 pub fn run(call: Learned, print: impl Fn(&str) -> ExitCode) -> ExitCode {
     match answer(call) {
         Ok((true, text)) => print(&text),
--- a/bitternsill/src/learned/folder.rs
+++ b/bitternsill/src/learned/folder.rs
@@ -1,9 +1,8 @@
-//! The folder: generations of pictures, each written beside, synced and renamed; and a lock on all
-//! of it.
+//! The folder of snapshots: generations that are written atomically, and a lock on the folder.
 
-use learning::file::{self, HEADER, LONGEST};
-use learning::picture::Picture;
-use learning::steps::{self, BESIDE, LOCK, Step};
+use learning::atomic_write::{self, LOCK, Step, TEMPORARY};
+use learning::file::{self, FileError, HEADER_BYTES, MAX_BODY_BYTES};
+use learning::snapshot::Snapshot;
 use rustix::fs::{FlockOperation, OFlags, flock};
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
@@ -14,13 +13,13 @@
 /// A folder that cannot be used.
 #[derive(Debug)]
 pub enum FolderError {
-    /// It is not there.
+    /// It does not exist.
     Missing,
-    /// It is something else.
+    /// It is not a folder.
     NotAFolder,
-    /// Another process keeps its own in it.
+    /// Another process holds the lock.
     Locked,
-    /// The lock cannot be had.
+    /// The lock cannot be acquired.
     Lock(io::Error),
 }
 
@@ -40,9 +39,9 @@
 /// A step of a write that failed.
 #[derive(Debug)]
 pub struct WriteError {
-    /// Which step.
+    /// The step.
     pub step: Step,
-    /// Why.
+    /// The cause.
     pub problem: io::Error,
 }
 
@@ -54,53 +53,92 @@
 
 impl std::error::Error for WriteError {}
 
-/// What a folder holds.
+/// Contents of a folder.
 #[derive(Debug, Default)]
 pub struct Found {
-    /// The newest sound picture, the version of its file and its generation.
-    pub picture: Option<(Picture, u16, u64)>,
-    /// Newer generations that are not sound, and why.
-    pub unsound: Vec<(u64, String)>,
+    /// The newest sound snapshot, the version of its file and its generation.
+    pub snapshot: Option<(Snapshot, u16, u64)>,
+    /// Newer generations that cannot be read, and why.
+    pub unreadable: Vec<(u64, ReadError)>,
 }
 
-/// A folder that this process has for itself, for as long as this is there.
+/// A folder that is locked for this process until this is dropped.
 pub struct Folder {
     path: PathBuf,
     _lock: File,
 }
 
-/// Opens without following a link in the last place: a link there is somebody else's doing.
+/// Options that do not follow a symbolic link at the end of a path: it would not be this program's.
 fn options() -> OpenOptions {
     let mut options = OpenOptions::new();
     options.custom_flags(OFlags::NOFOLLOW.bits() as i32);
     options
 }
 
-/// Reads one file, but never one that is longer than it says or may be.
-pub fn read(path: &Path) -> Result<(Picture, u16), String> {
-    let mut open = options().read(true).open(path).map_err(|e| e.to_string())?;
-    let found = open.metadata().map_err(|e| e.to_string())?;
+/// A file that cannot be read.
+#[derive(Debug)]
+pub enum ReadError {
+    /// The file or folder cannot be read.
+    Io(io::Error),
+    /// The path is no regular file.
+    NotAFile,
+    /// The contents cannot be decoded.
+    File(FileError),
+}
+
+impl fmt::Display for ReadError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ReadError::Io(error) => error.fmt(f),
+            ReadError::NotAFile => f.write_str("that is no file"),
+            ReadError::File(error) => error.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for ReadError {}
+
+impl From<io::Error> for ReadError {
+    fn from(error: io::Error) -> ReadError {
+        ReadError::Io(error)
+    }
+}
+
+impl From<FileError> for ReadError {
+    fn from(error: FileError) -> ReadError {
+        ReadError::File(error)
+    }
+}
+
+/// Reads a file; returns the snapshot and the file's version. A file whose length differs from that
+/// in its header is not read further.
+///
+/// # Errors
+///
+/// [`ReadError`] if the file cannot be read or decoded.
+pub fn read(path: &Path) -> Result<(Snapshot, u16), ReadError> {
+    let mut open = options().read(true).open(path)?;
+    let found = open.metadata()?;
     if !found.is_file() {
-        return Err("that is no file".to_owned());
+        return Err(ReadError::NotAFile);
     }
-    let mut bytes = vec![0; HEADER.min(usize::try_from(found.len()).unwrap_or(HEADER))];
-    open.read_exact(&mut bytes).map_err(|e| e.to_string())?;
-    let wanted = file::length(&bytes).map_err(|e| e.to_string())?;
+    let mut bytes = vec![0; HEADER_BYTES.min(usize::try_from(found.len()).unwrap_or(HEADER_BYTES))];
+    open.read_exact(&mut bytes)?;
+    let wanted = file::length(&bytes)?;
     if wanted != found.len() {
-        let error = file::FileError::Length {
-            wanted,
-            found: found.len(),
-        };
-        return Err(error.to_string());
+        let found = found.len();
+        return Err(FileError::Length { wanted, found }.into());
     }
-    open.take(LONGEST as u64)
-        .read_to_end(&mut bytes)
-        .map_err(|e| e.to_string())?;
-    file::decode(&bytes).map_err(|e| e.to_string())
+    open.take(MAX_BODY_BYTES as u64).read_to_end(&mut bytes)?;
+    Ok(file::decode(&bytes)?)
 }
 
 impl Folder {
     /// Opens and locks a folder.
+    ///
+    /// # Errors
+    ///
+    /// [`FolderError`] if it cannot be used or another process has it.
     pub fn open(path: &Path) -> Result<Folder, FolderError> {
         match fs::metadata(path) {
             Err(problem) if problem.kind() == io::ErrorKind::NotFound => {
@@ -125,47 +163,56 @@
         }
     }
 
-    /// The generations that are there.
+    /// The generations in the folder, in no order.
     pub fn generations(&self) -> io::Result<Vec<u64>> {
         let mut all = Vec::new();
         for entry in fs::read_dir(&self.path)? {
-            all.extend(entry?.file_name().to_str().and_then(steps::generation));
+            all.extend(
+                entry?
+                    .file_name()
+                    .to_str()
+                    .and_then(atomic_write::parse_generation),
+            );
         }
         Ok(all)
     }
 
-    /// The newest sound picture.
+    /// Loads the newest snapshot that can be read.
     pub fn load(&self) -> Found {
         let mut found = Found::default();
         let present = match self.generations() {
             Ok(present) => present,
             Err(problem) => {
-                found.unsound.push((0, problem.to_string()));
+                found.unreadable.push((0, problem.into()));
                 return found;
             }
         };
-        for generation in steps::tried(&present) {
-            match read(&self.path.join(steps::name(generation))) {
-                Ok((picture, version)) => {
-                    found.picture = Some((picture, version, generation));
+        for generation in atomic_write::load_order(&present) {
+            match read(&self.path.join(atomic_write::file_name(generation))) {
+                Ok((snapshot, version)) => {
+                    found.snapshot = Some((snapshot, version, generation));
                     return found;
                 }
-                Err(problem) => found.unsound.push((generation, problem)),
+                Err(problem) => found.unreadable.push((generation, problem)),
             }
         }
         found
     }
 
-    /// Writes a file as the next generation. `before` is told of each step before it is carried
-    /// out, and of a write in its middle too.
+    /// Writes a file as the next generation. `before` is called before each step, and in the middle
+    /// of the write too: tests stop there.
+    ///
+    /// # Errors
+    ///
+    /// [`WriteError`] with the step that failed.
     pub fn write(&self, bytes: &[u8], mut before: impl FnMut(&Step)) -> Result<u64, WriteError> {
         let fail = |step: &Step, problem: io::Error| WriteError {
             step: step.clone(),
             problem,
         };
         let present = self.generations().map_err(|p| fail(&Step::Create, p))?;
-        let (generation, steps) = steps::plan(&present);
-        let beside = self.path.join(BESIDE);
+        let (generation, steps) = atomic_write::plan(&present);
+        let beside = self.path.join(TEMPORARY);
         let mut file: Option<File> = None;
         for step in &steps {
             before(step);
@@ -187,13 +234,17 @@
                     })
                 }
                 Step::SyncFile => file.take().map_or(Ok(()), |f| f.sync_all()),
-                Step::Rename => fs::rename(&beside, self.path.join(steps::name(generation))),
+                Step::Rename => {
+                    fs::rename(&beside, self.path.join(atomic_write::file_name(generation)))
+                }
                 Step::SyncFolder => File::open(&self.path).and_then(|f| f.sync_all()),
-                // One that is gone already is as it should be.
-                Step::Remove(old) => match fs::remove_file(self.path.join(steps::name(*old))) {
-                    Err(problem) if problem.kind() != io::ErrorKind::NotFound => Err(problem),
-                    _ => Ok(()),
-                },
+                // A file that is gone already needs no removal.
+                Step::Remove(old) => {
+                    match fs::remove_file(self.path.join(atomic_write::file_name(*old))) {
+                        Err(problem) if problem.kind() != io::ErrorKind::NotFound => Err(problem),
+                        _ => Ok(()),
+                    }
+                }
             };
             done.map_err(|problem| fail(step, problem))?;
         }
--- a/bitternsill/src/learned/writer.rs
+++ b/bitternsill/src/learned/writer.rs
@@ -1,56 +1,59 @@
-//! The thread that writes pictures: a slow or full disk holds it up, and nothing else.
+//! The thread that writes snapshots, so that a slow or full disk delays nothing else.
 
 use super::folder::Folder;
 use crossbeam_queue::ArrayQueue;
 use learning::file;
-use learning::picture::Picture;
+use learning::snapshot::Snapshot;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Pictures that wait for the disk.
-const WAITING: usize = 2;
+/// Snapshots that may wait for the disk.
+const QUEUE_LEN: usize = 2;
+/// Interval at which [`Writer::finish`] looks whether the thread has ended.
+const FINISH_POLL: Duration = Duration::from_millis(1);
 
+/// Counters shared with the thread, and the signal to end.
 #[derive(Default)]
-struct Counts {
+struct Counters {
     written: AtomicU64,
     failed: AtomicU64,
     dropped: AtomicU64,
     ending: AtomicBool,
 }
 
-/// The writer, as the loop sees it.
+/// Handle of the writer thread.
 pub struct Writer {
-    queue: Arc<ArrayQueue<Picture>>,
-    counts: Arc<Counts>,
+    queue: Arc<ArrayQueue<Snapshot>>,
+    counters: Arc<Counters>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Writer {
     /// Starts the thread.
     pub fn start(folder: Folder) -> Writer {
-        let queue = Arc::new(ArrayQueue::new(WAITING));
-        let counts = Arc::new(Counts::default());
-        let (theirs, tally) = (queue.clone(), counts.clone());
+        let queue = Arc::new(ArrayQueue::new(QUEUE_LEN));
+        let counters = Arc::new(Counters::default());
+        let (thread_queue, thread_counters) = (queue.clone(), counters.clone());
         let thread = thread::Builder::new()
             .name("learned".to_owned())
-            .spawn(move || work(&folder, &theirs, &tally));
+            .spawn(move || work(&folder, &thread_queue, &thread_counters));
         let thread = thread
             .map_err(|problem| tracing::error!(%problem, "what is learned is not written"))
             .ok();
         Writer {
             queue,
-            counts,
+            counters,
             thread,
         }
     }
 
-    /// Hands a picture over. Where two wait already the disk is too slow, and this one is dropped.
-    pub fn hand(&self, picture: Picture) {
-        if self.queue.push(picture).is_err() {
-            let dropped = 1 + self.counts.dropped.fetch_add(1, Ordering::Relaxed);
-            // One slow disk is one line, and then one for each doubling.
+    /// Queues a snapshot. With a full queue the disk is too slow, and the snapshot is dropped.
+    pub fn submit(&self, snapshot: Snapshot) {
+        if self.queue.push(snapshot).is_err() {
+            let dropped = 1 + self.counters.dropped.fetch_add(1, Ordering::Relaxed);
+            // Logged at each doubling only, to keep a slow disk from flooding the log.
             if dropped.is_power_of_two() {
                 tracing::warn!(
                     dropped,
@@ -63,20 +66,20 @@
         }
     }
 
-    /// Lets the thread write what waits and end; waits for so long at the most.
-    pub fn finish(self, patience: Duration) {
-        self.counts.ending.store(true, Ordering::Release);
+    /// Lets the thread write the queue and end; waits for it up to a time-out.
+    pub fn finish(self, timeout: Duration) {
+        self.counters.ending.store(true, Ordering::Release);
         let Some(thread) = self.thread else { return };
         thread.thread().unpark();
-        let until = Instant::now() + patience;
+        let until = Instant::now() + timeout;
         while !thread.is_finished() && Instant::now() < until {
-            thread::sleep(Duration::from_millis(1));
+            thread::sleep(FINISH_POLL);
         }
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let (written, failed, dropped) = (
-            count(&self.counts.written),
-            count(&self.counts.failed),
-            count(&self.counts.dropped),
+            count(&self.counters.written),
+            count(&self.counters.failed),
+            count(&self.counters.dropped),
         );
         if thread.is_finished() {
             tracing::info!(written, failed, dropped, "what was learned is kept");
@@ -91,24 +94,24 @@
     }
 }
 
-fn work(folder: &Folder, queue: &ArrayQueue<Picture>, counts: &Counts) {
+fn work(folder: &Folder, queue: &ArrayQueue<Snapshot>, counters: &Counters) {
     loop {
-        // Read before the queue: what was handed over before the end is written.
-        let ending = counts.ending.load(Ordering::Acquire);
+        // Read before the queue: a snapshot that was queued before the signal is written.
+        let ending = counters.ending.load(Ordering::Acquire);
         let mut newest = None;
-        while let Some(picture) = queue.pop() {
-            newest = Some(picture);
+        while let Some(snapshot) = queue.pop() {
+            newest = Some(snapshot);
         }
         match newest {
-            Some(picture) => write(folder, &picture, counts),
+            Some(snapshot) => write(folder, &snapshot, counters),
             None if ending => return,
             None => thread::park(),
         }
     }
 }
 
-fn write(folder: &Folder, picture: &Picture, counts: &Counts) {
-    let result = file::encode(picture)
+fn write(folder: &Folder, snapshot: &Snapshot, counters: &Counters) {
+    let result = file::encode(snapshot)
         .map_err(|problem| problem.to_string())
         .and_then(|bytes| {
             folder
@@ -117,10 +120,10 @@
         });
     match result {
         Ok(_) => {
-            counts.written.fetch_add(1, Ordering::Relaxed);
+            counters.written.fetch_add(1, Ordering::Relaxed);
         }
         Err(problem) => {
-            let failed = 1 + counts.failed.fetch_add(1, Ordering::Relaxed);
+            let failed = 1 + counters.failed.fetch_add(1, Ordering::Relaxed);
             if failed.is_power_of_two() {
                 tracing::error!(problem, failed, "what is learned cannot be written");
             }
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -22,7 +22,7 @@
 use crate::front::signals::{End, Fresh, ReadAgain, Reload, Reread};
 use crate::front::turned::Turned;
 use crate::front::{Gatherer, Phase, Wait};
-use crate::learned::{Keeper, LearningSetup};
+use crate::learned::{LearnedState, LearningSetup};
 use crate::limits::Limits;
 use crate::net::{self, Clock, Reactor};
 use crate::recovery::{RecoveryService, RecoverySetup};
@@ -32,7 +32,7 @@
 use crate::versions::{self, Prepare, Versions, VersionsSetup};
 use catalogue::session;
 use dispatch::interface::{ListKind, Settings, Time};
-use learning::picture::Fleet;
+use learning::snapshot::Fleet;
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -338,7 +338,7 @@
     let keeper = plan
         .learning
         .as_ref()
-        .and_then(|setup| Keeper::open(setup, fleet, now));
+        .and_then(|setup| LearnedState::open(setup, fleet, now));
     let folder = plan
         .admin
         .and_then(|_| std::env::var_os("TMPDIR"))
--- a/bitternsill/tests/cold_fleet.rs
+++ b/bitternsill/tests/cold_fleet.rs
@@ -20,7 +20,7 @@
 /// Each has a share of a sixth of a part. Rounded up in each it would be 24 at once, where 11 to 12
 /// may be chance.
 #[test]
-fn two_dozen_processes_send_a_cold_host_no_more_than_its_budget_and_chance() {
+fn fleet_keeps_cold_hosts_within_budget() {
     let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
     let noted = arrivals.clone();
     let host = FrameHost::start(move |id| {
--- a/bitternsill/tests/fleet_recovery.rs
+++ b/bitternsill/tests/fleet_recovery.rs
@@ -39,7 +39,7 @@
 /// way, slowed and reset; processes that stand still and wake; files lost. What anyone was shown is
 /// there in the end, everywhere the same.
 #[test]
-fn days_of_faults_lose_nothing_that_was_shown_and_give_each_query_one_answer_or_an_end() {
+fn fault_scenarios_lose_no_commit_and_end_every_query() {
     let seeds = std::env::var("FLEET_SEEDS")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -63,7 +63,7 @@
 /// Power is lost elsewhere while a process stands still; it wakes among those that have come back,
 /// with what it had then.
 #[test]
-fn a_process_that_slept_through_the_loss_of_power_wakes_among_the_recovered_and_breaks_nothing() {
+fn process_suspended_through_power_failure_rejoins_safely() {
     let mut fleet = Fleet::start("slept", 3);
     fleet.settle().unwrap();
     fleet.befall(&Fault::Stop(2));
@@ -94,8 +94,7 @@
 /// Power returns with links cut one way: a member is heard and does not hear, or hears and is not
 /// heard.
 #[test]
-fn with_links_cut_one_way_after_power_returned_the_others_go_on_and_all_are_one_once_they_are_whole()
- {
+fn one_way_partitions_after_power_failure_heal() {
     for deaf in [true, false] {
         let mut fleet = Fleet::start(if deaf { "deaf" } else { "mute" }, 3);
         fleet.settle().unwrap();
@@ -167,7 +166,7 @@
 /// Before, each took every client at once and knew nothing; one that had been away alone is not
 /// held up by the rule.
 #[test]
-fn all_that_return_together_ramp_up_by_worth_and_one_that_was_away_alone_serves_at_once() {
+fn fleet_restart_uses_slow_start_and_single_restart_does_not() {
     let mut fleet = Fleet::with("returns", 3, warming(true));
     eventually("all return", || are_in(&fleet, "returning"));
     let why = phases(&fleet)[0]["answer"]["why"].to_string();
@@ -210,7 +209,7 @@
 /// Power is lost again while all ask, while they have no list, and while they ramp up; half of them
 /// come back late, and one never: the others wait for nobody longer than they say.
 #[test]
-fn power_lost_again_in_each_phase_and_one_that_never_returns_keep_nobody_waiting() {
+fn repeated_power_failures_block_nobody() {
     let mut fleet = Fleet::with("again", 5, warming(true));
     fleet.settle().unwrap();
     let all = BTreeSet::from([0, 1, 2, 3, 4]);
@@ -242,7 +241,7 @@
 /// Discovery is dead as power returns, and each gatherer has only the list from before. Before, all
 /// index hosts of that list were held to be warm, and met everything at once.
 #[test]
-fn with_discovery_dead_hosts_of_the_list_from_before_get_a_cold_hosts_share() {
+fn persisted_hosts_count_as_cold_without_discovery() {
     let sent = [true, false].map(|recovery| {
         let mut set = warming(recovery);
         // Warm for good as far as the list from before says.
--- a/bitternsill/tests/learned.rs
+++ b/bitternsill/tests/learned.rs
@@ -5,9 +5,9 @@
 
 use bitternsill::learned::folder::{Folder, FolderError};
 use common::*;
+use learning::atomic_write;
 use learning::file;
-use learning::picture::{ClassMemory, Fleet, HostMemory, Picture};
-use learning::steps;
+use learning::snapshot::{ClassStats, Fleet, HostStats, Snapshot};
 use serde_json::{Value, json};
 use std::os::unix::fs::symlink;
 use std::path::{Path, PathBuf};
@@ -47,15 +47,15 @@
         .as_millis() as u64
 }
 
-fn picture(number: u64) -> Picture {
+fn snapshot(number: u64) -> Snapshot {
     let fleet = Fleet {
         classes: vec!["search".into()],
         cells: 3,
         reach: 2,
     };
-    Picture {
-        taken: number,
-        ..Picture::new(fleet)
+    Snapshot {
+        taken_at: number,
+        ..Snapshot::new(fleet)
     }
 }
 
@@ -74,8 +74,8 @@
     }
 }
 
-fn newest(folder: &Path) -> Option<Picture> {
-    open(folder).load().picture.map(|(picture, ..)| picture)
+fn newest(folder: &Path) -> Option<Snapshot> {
+    open(folder).load().snapshot.map(|(snapshot, ..)| snapshot)
 }
 
 /// Not a story: the process that is killed in the middle of a write, started by the one below.
@@ -88,11 +88,11 @@
     let folder = open(Path::new(&folder));
     let next = folder
         .load()
-        .picture
-        .map_or(1, |(picture, ..)| picture.taken + 1);
+        .snapshot
+        .map_or(1, |(snapshot, ..)| snapshot.taken_at + 1);
     let mut seen = 0;
     folder
-        .write(&file::encode(&picture(next)).unwrap(), |_| {
+        .write(&file::encode(&snapshot(next)).unwrap(), |_| {
             if seen == die_at {
                 // As kill -9: nothing is flushed, unwound or unlocked by the process.
                 std::process::abort();
@@ -106,14 +106,14 @@
 /// with 0 to 4 generations: what is read is the last whole picture, or the new one, and never
 /// anything else.
 #[test]
-fn a_write_that_is_killed_at_any_step_leaves_the_last_picture_or_the_new_one() {
+fn killed_write_leaves_old_or_new_snapshot() {
     for written in 0..5u64 {
         let mut die_at = 0;
         loop {
             let folder = Temporary::new();
             for number in 1..=written {
                 let open = open(&folder.0);
-                open.write(&file::encode(&picture(number)).unwrap(), |_| {})
+                open.write(&file::encode(&snapshot(number)).unwrap(), |_| {})
                     .unwrap();
             }
             let status = Command::new(std::env::current_exe().unwrap())
@@ -129,17 +129,17 @@
                 .stderr(std::process::Stdio::null())
                 .status()
                 .unwrap();
-            let found = newest(&folder.0).map_or(0, |p| p.taken);
+            let found = newest(&folder.0).map_or(0, |p| p.taken_at);
             assert!(
                 found == written || found == written + 1,
                 "{written} written, killed at {die_at}: {found}"
             );
             // The next process writes on, over whatever was left beside.
             let open = open(&folder.0);
-            open.write(&file::encode(&picture(99)).unwrap(), |_| {})
+            open.write(&file::encode(&snapshot(99)).unwrap(), |_| {})
                 .unwrap();
-            assert_eq!(open.load().picture.map(|(p, ..)| p.taken), Some(99));
-            assert!(open.generations().unwrap().len() <= steps::KEPT + 1);
+            assert_eq!(open.load().snapshot.map(|(p, ..)| p.taken_at), Some(99));
+            assert!(open.generations().unwrap().len() <= atomic_write::RETAINED_GENERATIONS + 1);
             if status.success() {
                 assert!(die_at >= 6 && found == written + 1);
                 break;
@@ -206,7 +206,9 @@
 
 fn show(folder: &Path) -> Value {
     let names: Vec<u64> = open(folder).generations().unwrap();
-    let file = folder.join(steps::name(*names.iter().max().expect("a generation")));
+    let file = folder.join(atomic_write::file_name(
+        *names.iter().max().expect("a generation"),
+    ));
     let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
         .args(["learned", "show", "--format", "json"])
         .arg(file)
@@ -217,7 +219,7 @@
 
 /// A slow host is known after a restart: nothing is sent to it first.
 #[test]
-fn a_restart_does_not_forget_which_host_is_slow() {
+fn restart_remembers_slow_hosts() {
     let folder = Temporary::new();
     let (slow, _) = hosts([120, 1, 1]);
     let platform = start("true", slow, &folder.0);
@@ -254,9 +256,9 @@
     assert!(counts[0].load(Ordering::SeqCst) > 0);
 }
 
-fn memory(slowness: f32, judged: u64) -> HostMemory {
-    HostMemory {
-        born: 0,
+fn memory(slowness: f32, judged: u64) -> HostStats {
+    HostStats {
+        started: 0,
         slowness: vec![slowness; 3],
         delay: 0.0,
         limit: 3.0,
@@ -267,14 +269,14 @@
 }
 
 /// A picture of the stories' fleet.
-fn remembered(taken: u64, slowness: [f32; 3]) -> Picture {
+fn remembered(taken: u64, slowness: [f32; 3]) -> Snapshot {
     let classes = ["search", "page", "shelf"];
-    let class = |name: &&str| ClassMemory {
+    let class = |name: &&str| ClassStats {
         name: (*name).to_owned(),
         median: 2e6,
         p95: 5e6,
         least: 2e6,
-        tries: (2e6, 5e6),
+        attempts: (2e6, 5e6),
         weight: 96.0,
     };
     let fleet = Fleet {
@@ -290,9 +292,9 @@
             )
         })
         .collect();
-    Picture {
+    Snapshot {
         fleet,
-        taken,
+        taken_at: taken,
         classes: classes.iter().map(class).collect(),
         hosts,
     }
@@ -301,7 +303,7 @@
 /// Hard case 3. A memory that says the contrary of what answers say, fresh or three days old:
 /// within twenty queries the answers have won.
 #[test]
-fn answers_win_against_a_wrong_memory() {
+fn answers_override_outdated_statistics() {
     for age in [0, 3 * 86_400_000] {
         let folder = Temporary::new();
         let wrong = remembered(now_ms() - age, [1.0, 8.0, 1.0]);
@@ -326,7 +328,7 @@
 /// Hard case 1. Killed at any moment under load: what is read is sound, and never older than two
 /// periods.
 #[test]
-fn a_program_that_is_killed_at_any_moment_leaves_a_picture_of_its_last_two_periods() {
+fn killed_program_leaves_recent_snapshot() {
     let folder = Temporary::new();
     let mut seed = 7u64;
     // More by hand: LEARNED_ROUNDS=300 cargo test -p bitternsill --test learned
@@ -353,7 +355,7 @@
         let killed = now_ms();
         platform.program.child.wait().unwrap();
         let kept = newest(&folder.0).expect("a sound picture");
-        let old = killed.saturating_sub(kept.taken);
+        let old = killed.saturating_sub(kept.taken_at);
         // Two periods of 100 ms, and what a busy machine takes over one write.
         assert!(old <= 200 + 150, "round {round}: {old} ms old");
     }
@@ -362,7 +364,7 @@
 /// Hard case 2. A folder that is missing, is none, is in use or cannot be written: queries are
 /// served all the same.
 #[test]
-fn a_folder_that_cannot_be_used_keeps_nobody_from_being_served() {
+fn serves_without_usable_folder() {
     let folder = Temporary::new();
     let file = folder.0.join("file");
     std::fs::write(&file, "x").unwrap();
@@ -390,10 +392,10 @@
 /// passed over with its reason, and the newest sound one is taken. What a link points to is never
 /// written.
 #[test]
-fn unsound_generations_are_passed_over() {
+fn skips_unreadable_generations() {
     let folder = Temporary::new();
-    let at = |generation: u64| folder.0.join(steps::name(generation));
-    let sound = file::encode(&picture(7)).unwrap();
+    let at = |generation: u64| folder.0.join(atomic_write::file_name(generation));
+    let sound = file::encode(&snapshot(7)).unwrap();
     std::fs::write(at(1), &sound).unwrap();
     std::fs::write(at(2), &sound[..sound.len() - 3]).unwrap();
     // As large as a disk may give, without a byte of it on the disk.
@@ -408,19 +410,19 @@
     let found = open.load();
     assert_eq!(
         found
-            .picture
-            .map(|(p, _, generation)| (p.taken, generation)),
+            .snapshot
+            .map(|(p, _, generation)| (p.taken_at, generation)),
         Some((7, 1))
     );
     let reasons: Vec<u64> = found
-        .unsound
+        .unreadable
         .iter()
         .map(|(generation, _)| *generation)
         .collect();
     assert_eq!(reasons, [6, 5, 4, 3, 2]);
     let victim = folder.0.join("victim");
     std::fs::write(&victim, "precious").unwrap();
-    symlink(&victim, folder.0.join(steps::BESIDE)).unwrap();
+    symlink(&victim, folder.0.join(atomic_write::TEMPORARY)).unwrap();
     assert!(open.write(&sound, |_| {}).is_err());
     assert_eq!(std::fs::read_to_string(&victim).unwrap(), "precious");
 }
@@ -428,7 +430,7 @@
 /// Hard case 2. A disk on which nothing more fits, and one that never answers: queries are served
 /// as before, and the program ends in its time.
 #[test]
-fn a_full_or_stuck_disk_holds_up_no_query_and_no_end() {
+fn full_or_stuck_disk_delays_no_query_or_shutdown() {
     // A file may have no byte more than none: each write fails as on a full disk.
     let full = Temporary::new();
     let (quick, _) = hosts([1, 1, 1]);
@@ -440,7 +442,7 @@
     let stuck = Temporary::new();
     assert!(
         Command::new("mkfifo")
-            .arg(stuck.0.join(steps::BESIDE))
+            .arg(stuck.0.join(atomic_write::TEMPORARY))
             .status()
             .unwrap()
             .success()
@@ -503,7 +505,7 @@
 /// Hard case 4. A deploy that replaces the gatherer and the hosts at once: new hosts are not held
 /// to be what the old ones were, by their names or by their starts.
 #[test]
-fn hosts_that_were_replaced_with_the_gatherer_begin_anew() {
+fn replaced_hosts_start_without_statistics() {
     let equal = [1, 1, 1];
     assert_eq!(
         queries_to_the_remembered_host(5, false, equal),
@@ -524,7 +526,7 @@
 
 /// The commands, on sound files and on others.
 #[test]
-fn files_can_be_shown_checked_converted_aged_and_compared() {
+fn commands_show_verify_convert_age_and_compare_files() {
     let folder = Temporary::new();
     let at = |name: &str| folder.0.join(name);
     let run = |args: &[&str]| {
--- a/bitternsill/tests/store.rs
+++ b/bitternsill/tests/store.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_member_is_lost_and_comes_back_and_its_file_lets_it_go_on() {
+fn restarted_member_continues_from_its_file() {
     let members = Members::new("lost");
     let mut programs: Vec<Program> = (0..3).map(|i| members.start(i)).collect();
     eventually("every set-up is everywhere", || members.agree_on_set_ups());
@@ -129,7 +129,7 @@
 /// Power lost to all three at one moment, as soon as any watcher was told of a change, four times:
 /// it stays told, by all. The disks take 20 ms over a sync, and what is not synced by then is lost.
 #[test]
-fn what_was_shown_as_committed_outlives_a_loss_of_power_to_all_members() {
+fn committed_changes_survive_power_failure_of_all_members() {
     let members = Members::new("power");
     let log = std::env::temp_dir().join(format!("bitternsill-power-{}", std::process::id()));
     // Each life of a member has a name of its own, so that nobody writes its key again.
@@ -159,7 +159,7 @@
 
 /// Before, such a member started and told its watchers what nobody had ever written.
 #[test]
-fn a_member_whose_file_was_changed_does_not_start_and_says_where_and_what_to_do() {
+fn member_with_corrupt_file_does_not_start() {
     let members = Members::new("changed");
     let programs: Vec<Program> = (0..3).map(|i| members.start(i)).collect();
     eventually("every set-up is everywhere", || members.agree_on_set_ups());
@@ -265,7 +265,7 @@
 /// Before, such a member began the store again where its set-up says that it begins, or voted as if
 /// it never had.
 #[test]
-fn a_member_whose_file_is_gone_takes_no_part_until_it_has_caught_up_with_more_than_half() {
+fn member_without_file_is_inactive_until_caught_up() {
     let (members, logs) = (Members::new("gone"), logs("gone"));
     drop(all_agree(&members, "a", &logs));
     // The member that began the store, and only one other that is sound: nobody can tell what was
@@ -312,7 +312,7 @@
 
 /// Before, it voted by what it had promised long ago.
 #[test]
-fn an_old_copy_of_a_members_file_is_told_from_the_newest_by_the_others() {
+fn detects_restored_old_file() {
     let (members, logs) = (Members::new("old"), logs("old"));
     drop(all_agree(&members, "a", &logs));
     let old = std::fs::read(&members.files[2]).unwrap();
@@ -336,7 +336,7 @@
 /// Before, the members without files began an empty store, which the one with a file was refused
 /// by.
 #[test]
-fn a_majority_without_files_begins_nothing_until_an_operator_says_from_which_file() {
+fn majority_without_files_waits_for_operator_recovery() {
     let (members, logs) = (Members::new("majority"), logs("majority"));
     drop(all_agree(&members, "a", &logs));
     for gone in [0, 2] {
@@ -389,7 +389,7 @@
 
 /// Before, a full disk ended the member.
 #[test]
-fn with_full_disks_what_is_committed_is_told_and_changes_wait_for_room() {
+fn full_disks_delay_changes_but_not_reads() {
     let (members, logs) = (Members::new("full"), logs("full"));
     let programs = all_agree(&members, "a", &logs);
     let marks = [0, 1, 2].map(|i| members.files[i].with_extension("full"));
@@ -430,7 +430,7 @@
 
 /// Before, each sync held up the loop: a query waited for as long as the disk took.
 #[test]
-fn a_disk_that_takes_2_s_over_a_sync_holds_up_no_query() {
+fn slow_sync_delays_no_query() {
     let members = Members::new("slow");
     let log = std::env::temp_dir().join(format!("bitternsill-slow-{}", std::process::id()));
     let _program = members.start_with(0, 2000, &log, "m0");
@@ -460,7 +460,7 @@
 }
 
 #[test]
-fn a_gatherer_of_the_platform_is_a_member_where_its_operators_file_says_so() {
+fn platform_gatherer_joins_configured_store() {
     let members = Members::new("platform");
     let _catalogues = [members.start(0), members.start(1)];
     let beside = std::env::temp_dir().join(format!("bitternsill-beside-{}", std::process::id()));
@@ -529,7 +529,7 @@
 /// Three catalogues that start together take searches by what they are worth while their hosts warm
 /// up: before, the phases were told, and every search was taken.
 #[test]
-fn a_catalogue_that_returns_with_all_refuses_what_is_worth_least_until_it_is_in_full_service() {
+fn recovering_catalogue_rejects_lowest_value_first() {
     let members = Members::new("catalogues");
     let fronts: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
     let programs: Vec<Program> = (0..3)
--- a/learning/src/age.rs
+++ b/learning/src/age.rs
@@ -1,37 +1,38 @@
-//! Ageing: what of a picture still counts, how much, and why the rest does not.
+//! Aging of a snapshot: how much of it still counts, and why the rest is dropped. Weights decay
+//! exponentially, and values are interpolated by their weight towards the defaults of a new
+//! gatherer. A host's statistics can only lower its rating, never raise it above the default.
 
-use crate::picture::{ClassMemory, Fleet, HostMemory, Picture, Wall};
+use crate::snapshot::{ClassStats, Fleet, HostStats, Snapshot, UnixMillis};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How ageing judges.
+/// Configuration of the aging.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rules {
-    /// What is learned of a host counts half after this, in milliseconds.
-    pub host_half_life: Wall,
-    /// What is learned of a class counts half after this.
-    pub class_half_life: Wall,
-    /// So many answers of a class count in full; fewer count for their share.
+pub struct AgingConfig {
+    /// Half-life of a host's statistics, in milliseconds.
+    pub host_half_life: UnixMillis,
+    /// Half-life of a class's statistics, in milliseconds.
+    pub class_half_life: UnixMillis,
+    /// Number of a class's answers that count in full; fewer count proportionally.
     pub class_weight: f64,
-    /// The same of a host. A host that is left out because it is slow is judged by few answers, and
-    /// these say enough.
+    /// The same for a host. It is low, as a host that is ejected for its latency has few answers.
     pub host_weight: f64,
-    /// What counts for less than this counts for nothing.
+    /// Weight below which statistics are dropped.
     pub floor: f64,
-    /// A host this much slower than its peers is held to be slow.
+    /// Relative latency above which a host counts as slow.
     pub slow: f32,
-    /// If more than this share of the hosts is slow, the cause is common.
+    /// If more than this fraction of the hosts is slow, the cause is a common one.
     pub common: f64,
-    /// Nothing is older than this; a clock that says so has jumped.
-    pub oldest: Wall,
-    /// The limit that a host of which nothing is known starts with.
+    /// Maximum age, in milliseconds; beyond it a clock must have jumped.
+    pub oldest: UnixMillis,
+    /// Concurrency limit of an unknown host.
     pub start_limit: f32,
 }
 
-impl Default for Rules {
+impl Default for AgingConfig {
     fn default() -> Self {
-        Rules {
+        AgingConfig {
             host_half_life: 60_000,
             class_half_life: 3_600_000,
             class_weight: 8.0,
@@ -45,19 +46,20 @@
     }
 }
 
-/// Why something of a picture is not taken.
+/// Why a host's statistics are dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// It is not on the list.
+    /// It is not on the endpoint list.
     NotListed,
-    /// It has started since: it is another process, and cold.
+    /// It has restarted since, and is cold.
     Restarted,
     /// Too old, or from too few answers.
-    CountsForNothing,
-    /// Nearly all hosts were slow: not for reasons of their own.
+    #[serde(rename = "counts-for-nothing")]
+    Negligible,
+    /// Most hosts were slow, so the cause was not this host.
     CommonCause,
-    /// It says nothing that a new gatherer would not believe anyway.
+    /// They hardly differ from the defaults.
     Ordinary,
 }
 
@@ -66,94 +68,98 @@
         f.write_str(match self {
             Reason::NotListed => "not on the list",
             Reason::Restarted => "started since",
-            Reason::CountsForNothing => "too old, or from too few answers",
+            Reason::Negligible => "too old, or from too few answers",
             Reason::CommonCause => "nearly all were slow: a common cause",
             Reason::Ordinary => "nothing out of the ordinary",
         })
     }
 }
 
-/// Why a picture is not taken at all.
+/// Why a snapshot is not used at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Unfit {
-    /// It is of another deployment.
+pub enum SnapshotError {
+    /// It belongs to another deployment.
     OtherFleet,
-    /// It is from the future, or older than anything: a clock has jumped.
+    /// It is from the future or too old: a clock has jumped.
     UnknownAge,
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Unfit::OtherFleet => "it is of another deployment",
-            Unfit::UnknownAge => "a clock has jumped: its age is not known",
+            SnapshotError::OtherFleet => "it is of another deployment",
+            SnapshotError::UnknownAge => "a clock has jumped: its age is not known",
         })
     }
 }
 
-/// What of a picture still counts.
+/// An aged snapshot.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Aged {
-    /// How old it is, in milliseconds.
-    pub age: Wall,
-    /// The classes, drawn towards what a new gatherer believes.
-    pub classes: Vec<ClassMemory>,
-    /// The hosts that are taken, drawn towards what is believed of one that is not known.
-    pub hosts: Vec<(String, HostMemory)>,
-    /// Those that are not, and why.
+    /// Its age, in milliseconds.
+    pub age: UnixMillis,
+    /// The classes, interpolated towards the defaults.
+    pub classes: Vec<ClassStats>,
+    /// The hosts that still count, interpolated towards the defaults of an unknown host.
+    pub hosts: Vec<(String, HostStats)>,
+    /// The hosts that are dropped, and why.
     pub dropped: Vec<(String, Reason)>,
 }
 
-/// How much of something is left after a time.
-fn left(age: Wall, half_life: Wall) -> f64 {
+/// Fraction that remains after a time, by exponential decay.
+fn remaining(age: UnixMillis, half_life: UnixMillis) -> f64 {
     0.5f64.powf(age as f64 / half_life.max(1) as f64)
 }
 
-/// Draws a value towards another by how much it counts.
-fn draw(value: f64, towards: f64, counts: f64) -> f64 {
-    towards + (value - towards) * counts
+/// Interpolates from `towards` (weight 0) to `value` (weight 1).
+fn interpolate(value: f64, towards: f64, weight_left: f64) -> f64 {
+    towards + (value - towards) * weight_left
 }
 
-/// Ages a picture. `listed` are the hosts on the present list with their starts; `fresh` what a new
-/// gatherer believes of each class.
+/// Ages a snapshot. `listed` has the hosts on the present endpoint list with their start times;
+/// `fresh` the defaults of each class.
+///
+/// # Errors
+///
+/// [`SnapshotError`] if the snapshot cannot be used at all.
 pub fn age(
-    picture: &Picture,
+    snapshot: &Snapshot,
     fleet: &Fleet,
-    fresh: &[ClassMemory],
-    listed: &BTreeMap<String, Wall>,
-    now: Wall,
-    rules: &Rules,
-) -> Result<Aged, Unfit> {
-    if picture.fleet != *fleet || picture.classes.len() != fresh.len() {
-        return Err(Unfit::OtherFleet);
+    fresh: &[ClassStats],
+    listed: &BTreeMap<String, UnixMillis>,
+    now: UnixMillis,
+    config: &AgingConfig,
+) -> Result<Aged, SnapshotError> {
+    if snapshot.fleet != *fleet || snapshot.classes.len() != fresh.len() {
+        return Err(SnapshotError::OtherFleet);
     }
     let age = now
-        .checked_sub(picture.taken)
-        .filter(|age| *age <= rules.oldest)
-        .ok_or(Unfit::UnknownAge)?;
-    let classes = picture
+        .checked_sub(snapshot.taken_at)
+        .filter(|age| *age <= config.oldest)
+        .ok_or(SnapshotError::UnknownAge)?;
+    let classes = snapshot
         .classes
         .iter()
         .zip(fresh)
-        .map(|(old, fresh)| aged_class(old, fresh, age, rules))
+        .map(|(old, fresh)| aged_class(old, fresh, age, config))
         .collect();
-    let slow = |h: &HostMemory| h.slowness.iter().any(|s| *s > rules.slow);
-    let common = picture.hosts.values().filter(|h| slow(h)).count() as f64
-        > rules.common * picture.hosts.len() as f64;
+    let slow = |h: &HostStats| h.slowness.iter().any(|s| *s > config.slow);
+    let common = snapshot.hosts.values().filter(|h| slow(h)).count() as f64
+        > config.common * snapshot.hosts.len() as f64;
     let mut aged = Aged {
         age,
         classes,
         ..Aged::default()
     };
-    for (uid, host) in &picture.hosts {
+    for (uid, host) in &snapshot.hosts {
         match aged_host(
             host,
             listed.get(&**uid).copied(),
             common,
             now,
             fleet.classes.len(),
-            rules,
+            config,
         ) {
             Ok(host) => aged.hosts.push((uid.to_string(), host)),
             Err(reason) => aged.dropped.push((uid.to_string(), reason)),
@@ -162,86 +168,99 @@
     Ok(aged)
 }
 
-fn aged_class(old: &ClassMemory, fresh: &ClassMemory, age: Wall, rules: &Rules) -> ClassMemory {
-    let counts =
-        left(age, rules.class_half_life) * (old.weight / rules.class_weight).clamp(0.0, 1.0);
-    let sound = [old.median, old.p95, old.least, old.tries.0, old.tries.1]
-        .iter()
-        .all(|v| v.is_finite() && *v > 0.0);
-    if counts < rules.floor || !sound {
-        return ClassMemory {
+fn aged_class(
+    old: &ClassStats,
+    fresh: &ClassStats,
+    age: UnixMillis,
+    config: &AgingConfig,
+) -> ClassStats {
+    let weight_left =
+        remaining(age, config.class_half_life) * (old.weight / config.class_weight).clamp(0.0, 1.0);
+    let sound = [
+        old.median,
+        old.p95,
+        old.least,
+        old.attempts.0,
+        old.attempts.1,
+    ]
+    .iter()
+    .all(|v| v.is_finite() && *v > 0.0);
+    if weight_left < config.floor || !sound {
+        return ClassStats {
             weight: 0.0,
             ..fresh.clone()
         };
     }
-    // Times are drawn by their ratio: half-way between 10 ms and 1 s is 100 ms.
-    let mix = |old: f64, fresh: f64| draw(old.ln(), fresh.max(1.0).ln(), counts).exp();
-    ClassMemory {
+    // Latencies are interpolated geometrically: half-way between 10 ms and 1 s is 100 ms.
+    let mix = |old: f64, fresh: f64| interpolate(old.ln(), fresh.max(1.0).ln(), weight_left).exp();
+    ClassStats {
         name: fresh.name.clone(),
         median: mix(old.median, fresh.median),
         p95: mix(old.p95, fresh.p95),
         least: mix(old.least, fresh.least),
-        tries: (
-            mix(old.tries.0, fresh.tries.0),
-            mix(old.tries.1, fresh.tries.1),
+        attempts: (
+            mix(old.attempts.0, fresh.attempts.0),
+            mix(old.attempts.1, fresh.attempts.1),
         ),
-        weight: old.weight * counts,
+        weight: old.weight * weight_left,
     }
 }
 
 fn aged_host(
-    host: &HostMemory,
-    listed: Option<Wall>,
+    host: &HostStats,
+    listed: Option<UnixMillis>,
     common: bool,
-    now: Wall,
+    now: UnixMillis,
     classes: usize,
-    rules: &Rules,
-) -> Result<HostMemory, Reason> {
-    let born = listed.ok_or(Reason::NotListed)?;
-    if born != host.born {
+    config: &AgingConfig,
+) -> Result<HostStats, Reason> {
+    let started = listed.ok_or(Reason::NotListed)?;
+    if started != host.started {
         return Err(Reason::Restarted);
     }
-    // Judged in the future: the clock has jumped in the middle, and nobody knows when that was.
-    let age = now
-        .checked_sub(host.judged)
-        .ok_or(Reason::CountsForNothing)?;
-    let counts = left(age, rules.host_half_life)
-        * (f64::from(host.weight) / rules.host_weight).clamp(0.0, 1.0);
+    // Statistics from the future: the clock has jumped at an unknown time.
+    let age = now.checked_sub(host.judged).ok_or(Reason::Negligible)?;
+    let weight_left = remaining(age, config.host_half_life)
+        * (f64::from(host.weight) / config.host_weight).clamp(0.0, 1.0);
     let sound = host
         .slowness
         .iter()
         .chain([&host.delay, &host.limit, &host.errors, &host.weight])
         .all(|v| v.is_finite());
-    if counts < rules.floor || !sound || host.slowness.len() != classes {
-        return Err(Reason::CountsForNothing);
+    if weight_left < config.floor || !sound || host.slowness.len() != classes {
+        return Err(Reason::Negligible);
     }
     if common {
         return Err(Reason::CommonCause);
     }
-    // Memory warns and never recommends: what was better than ordinary is ordinary.
+    // Statistics can only lower a host's rating: values better than the default become the default.
     let worse = |value: f32, ordinary: f32| {
-        draw(f64::from(value.max(ordinary)), f64::from(ordinary), counts) as f32
+        interpolate(
+            f64::from(value.max(ordinary)),
+            f64::from(ordinary),
+            weight_left,
+        ) as f32
     };
-    // A limit follows load: it says something of the host itself only where the host was slow or
-    // failing.
-    let bad = host.slowness.iter().any(|s| *s > rules.slow) || f64::from(host.errors) > rules.floor;
+    // The limit also follows the load: it only tells something of a host that was slow or failing.
+    let bad =
+        host.slowness.iter().any(|s| *s > config.slow) || f64::from(host.errors) > config.floor;
     let limit = if bad {
-        host.limit.clamp(1.0, rules.start_limit)
+        host.limit.clamp(1.0, config.start_limit)
     } else {
-        rules.start_limit
+        config.start_limit
     };
-    let aged = HostMemory {
-        born,
+    let aged = HostStats {
+        started,
         slowness: host.slowness.iter().map(|s| worse(*s, 1.0)).collect(),
         delay: worse(host.delay, 0.0),
-        limit: draw(f64::from(limit), f64::from(rules.start_limit), counts) as f32,
+        limit: interpolate(f64::from(limit), f64::from(config.start_limit), weight_left) as f32,
         errors: worse(host.errors.min(1.0), 0.0),
-        weight: (f64::from(host.weight) * counts) as f32,
+        weight: (f64::from(host.weight) * weight_left) as f32,
         judged: host.judged,
     };
     let ordinary = aged.slowness.iter().all(|s| *s < 1.1)
         && aged.errors < 0.01
-        && aged.limit > 0.9 * rules.start_limit;
+        && aged.limit > 0.9 * config.start_limit;
     if ordinary {
         Err(Reason::Ordinary)
     } else {
--- a/learning/src/file.rs
+++ b/learning/src/file.rs
@@ -1,45 +1,46 @@
-//! The file: a header with magic, version, length and checksum, and a body that names its fields.
+//! The file of a snapshot: a header with magic, version, length and checksum, and a body in CBOR
+//! with named fields.
 
-use crate::picture::{ClassMemory, Fleet, HostMemory, Picture, Wall};
+use crate::snapshot::{ClassStats, Fleet, HostStats, Snapshot, UnixMillis};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// What every file begins with.
+/// The first bytes of every file.
 pub const MAGIC: [u8; 8] = *b"BSLEARN\n";
 /// The version that is written.
 pub const VERSION: u16 = 2;
-/// Bytes of the header: magic, version, two spare ones, the body's length and its CRC-32.
-pub const HEADER: usize = 8 + 2 + 2 + 4 + 4;
-/// The longest body that is read or written.
-pub const LONGEST: usize = 64 << 20;
+/// Bytes of the header: magic, version, two reserved ones, the body's length and the CRC-32.
+pub const HEADER_BYTES: usize = 8 + 2 + 2 + 4 + 4;
+/// Maximum length of a body, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// A file that cannot be loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FileError {
-    /// It does not begin as such a file does.
-    NotOne,
-    /// It ends before it should, or goes on behind.
+    /// It has another magic.
+    NotALearnedFile,
+    /// It is truncated, or has bytes behind its end.
     Length {
-        /// How long it should be.
+        /// Length by the header, in bytes.
         wanted: u64,
-        /// How long it is.
+        /// Length found, in bytes.
         found: u64,
     },
-    /// A byte is not what was written.
+    /// The checksum differs: the file is corrupt.
     Checksum,
-    /// A version that this program does not know.
+    /// A version that is not known here.
     Version(u16),
-    /// The checksum is right and the body makes no sense: it was written so.
+    /// The checksum is right, but the body cannot be decoded.
     Body(String),
-    /// More than such a file may hold.
+    /// The body is too long, with its length in bytes.
     TooLong(u64),
 }
 
 impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FileError::NotOne => f.write_str("no file of what was learned"),
+            FileError::NotALearnedFile => f.write_str("no file of what was learned"),
             FileError::Length { wanted, found } => {
                 write!(f, "{found} bytes where {wanted} were written")
             }
@@ -48,7 +49,7 @@
                 write!(f, "version {version}; versions 1 to {VERSION} are read")
             }
             FileError::Body(problem) => write!(f, "a body that makes no sense: {problem}"),
-            FileError::TooLong(bytes) => write!(f, "{bytes} bytes; {LONGEST} at most"),
+            FileError::TooLong(bytes) => write!(f, "{bytes} bytes; {MAX_BODY_BYTES} at most"),
         }
     }
 }
@@ -58,9 +59,10 @@
 #[derive(Serialize, Deserialize)]
 struct Body {
     fleet: Fleet,
-    taken: Wall,
-    classes: Vec<ClassMemory>,
-    hosts: Vec<(String, HostMemory)>,
+    #[serde(rename = "taken")]
+    taken_at: UnixMillis,
+    classes: Vec<ClassStats>,
+    hosts: Vec<(String, HostStats)>,
 }
 
 /// Version 1: slowness alone, and times in whole seconds.
@@ -82,29 +84,30 @@
 #[derive(Serialize, Deserialize)]
 struct Host1 {
     uid: String,
-    born: Wall,
+    #[serde(rename = "born")]
+    started: UnixMillis,
     slowness: Vec<f32>,
     answers: u32,
     judged_s: u64,
 }
 
-impl From<Body1> for Picture {
-    fn from(old: Body1) -> Picture {
+impl From<Body1> for Snapshot {
+    fn from(old: Body1) -> Snapshot {
         let class = |c: Class1| {
             let (median, p95) = (1000.0 * c.median_us, 1000.0 * c.p95_us);
-            // How many answers that was is not told: half of what counts in full.
-            ClassMemory {
+            // Version 1 has no number of answers: half of what counts in full is assumed.
+            ClassStats {
                 name: c.name,
                 median,
                 p95,
                 least: median,
-                tries: (median, p95),
+                attempts: (median, p95),
                 weight: 4.0,
             }
         };
         let host = |h: Host1| {
-            let memory = HostMemory {
-                born: h.born,
+            let memory = HostStats {
+                started: h.started,
                 slowness: h.slowness,
                 delay: 0.0,
                 limit: f32::MAX,
@@ -114,9 +117,9 @@
             };
             (Arc::from(h.uid), memory)
         };
-        Picture {
+        Snapshot {
             fleet: old.fleet,
-            taken: old.taken_s.saturating_mul(1000),
+            taken_at: old.taken_s.saturating_mul(1000),
             classes: old.classes.into_iter().map(class).collect(),
             hosts: old.hosts.into_iter().map(host).collect(),
         }
@@ -126,9 +129,9 @@
 fn frame(version: u16, body: &[u8]) -> Result<Vec<u8>, FileError> {
     let length = u32::try_from(body.len())
         .ok()
-        .filter(|_| body.len() <= LONGEST);
+        .filter(|_| body.len() <= MAX_BODY_BYTES);
     let length = length.ok_or(FileError::TooLong(body.len() as u64))?;
-    let mut out = Vec::with_capacity(HEADER + body.len());
+    let mut out = Vec::with_capacity(HEADER_BYTES + body.len());
     out.extend(MAGIC);
     out.extend(version.to_le_bytes());
     out.extend([0, 0]);
@@ -138,7 +141,8 @@
     Ok(out)
 }
 
-/// Of the version too: a flipped bit there would have the body read as another one's.
+/// The checksum covers the version too: with a flipped bit there the body would be decoded as that
+/// of another version.
 fn checksum(version: u16, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&version.to_le_bytes());
@@ -147,13 +151,17 @@
     hasher.finalize()
 }
 
-/// A picture as a file.
-pub fn encode(picture: &Picture) -> Result<Vec<u8>, FileError> {
+/// Encodes a snapshot.
+///
+/// # Errors
+///
+/// [`FileError::TooLong`] if it exceeds [`MAX_BODY_BYTES`].
+pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>, FileError> {
     let body = Body {
-        fleet: picture.fleet.clone(),
-        taken: picture.taken,
-        classes: picture.classes.clone(),
-        hosts: picture
+        fleet: snapshot.fleet.clone(),
+        taken_at: snapshot.taken_at,
+        classes: snapshot.classes.clone(),
+        hosts: snapshot
             .hosts
             .iter()
             .map(|(uid, host)| (uid.to_string(), host.clone()))
@@ -164,46 +172,58 @@
     frame(VERSION, &bytes)
 }
 
-/// A picture as a file of version 1, for programs before version 2.
-pub fn encode_v1(picture: &Picture) -> Result<Vec<u8>, FileError> {
-    let class = |c: &ClassMemory| Class1 {
+/// Encodes a snapshot in version 1, for older programs.
+///
+/// # Errors
+///
+/// As for [`encode`].
+pub fn encode_v1(snapshot: &Snapshot) -> Result<Vec<u8>, FileError> {
+    let class = |c: &ClassStats| Class1 {
         name: c.name.clone(),
         median_us: c.median / 1000.0,
         p95_us: c.p95 / 1000.0,
     };
-    let host = |(uid, h): (&Arc<str>, &HostMemory)| Host1 {
+    let host = |(uid, h): (&Arc<str>, &HostStats)| Host1 {
         uid: uid.to_string(),
-        born: h.born,
+        started: h.started,
         slowness: h.slowness.clone(),
         answers: h.weight as u32,
         judged_s: h.judged / 1000,
     };
     let body = Body1 {
-        fleet: picture.fleet.clone(),
-        taken_s: picture.taken / 1000,
-        classes: picture.classes.iter().map(class).collect(),
-        hosts: picture.hosts.iter().map(host).collect(),
+        fleet: snapshot.fleet.clone(),
+        taken_s: snapshot.taken_at / 1000,
+        classes: snapshot.classes.iter().map(class).collect(),
+        hosts: snapshot.hosts.iter().map(host).collect(),
     };
     let mut bytes = Vec::new();
     ciborium::into_writer(&body, &mut bytes).map_err(|e| FileError::Body(e.to_string()))?;
     frame(1, &bytes)
 }
 
-/// The length that a file must have, from its header; so that one that is far too long is not read.
+/// The length of a file by its header, so that a file that is too long need not be read.
+///
+/// # Errors
+///
+/// [`FileError::NotALearnedFile`] or [`FileError::TooLong`].
 pub fn length(header: &[u8]) -> Result<u64, FileError> {
-    if header.len() < HEADER || header[..8] != MAGIC {
-        return Err(FileError::NotOne);
+    if header.len() < HEADER_BYTES || header[..8] != MAGIC {
+        return Err(FileError::NotALearnedFile);
     }
     let length = u32::from_le_bytes([header[12], header[13], header[14], header[15]]) as usize;
-    if length > LONGEST {
+    if length > MAX_BODY_BYTES {
         Err(FileError::TooLong(length as u64))
     } else {
-        Ok((HEADER + length) as u64)
+        Ok((HEADER_BYTES + length) as u64)
     }
 }
 
-/// A picture from a file of any version, and which that was.
-pub fn decode(bytes: &[u8]) -> Result<(Picture, u16), FileError> {
+/// Decodes a file of any version; returns the snapshot and the version.
+///
+/// # Errors
+///
+/// [`FileError`] if the file is not sound.
+pub fn decode(bytes: &[u8]) -> Result<(Snapshot, u16), FileError> {
     let wanted = length(bytes)?;
     if wanted != bytes.len() as u64 {
         return Err(FileError::Length {
@@ -212,9 +232,9 @@
         });
     }
     let version = u16::from_le_bytes([bytes[8], bytes[9]]);
-    let body = &bytes[HEADER..];
-    let told = u32::from_le_bytes([bytes[16], bytes[17], bytes[18], bytes[19]]);
-    if checksum(version, body) != told || bytes[10..12] != [0, 0] {
+    let body = &bytes[HEADER_BYTES..];
+    let stored_checksum = u32::from_le_bytes([bytes[16], bytes[17], bytes[18], bytes[19]]);
+    if checksum(version, body) != stored_checksum || bytes[10..12] != [0, 0] {
         return Err(FileError::Checksum);
     }
     let wrong = |e: ciborium::de::Error<std::io::Error>| FileError::Body(e.to_string());
@@ -233,9 +253,9 @@
                 .map(|(uid, host)| (Arc::from(uid), host))
                 .collect();
             Ok((
-                Picture {
+                Snapshot {
                     fleet: body.fleet,
-                    taken: body.taken,
+                    taken_at: body.taken_at,
                     classes: body.classes,
                     hosts,
                 },
--- a/learning/src/lib.rs
+++ b/learning/src/lib.rs
@@ -1,8 +1,10 @@
-//! What a gatherer has learned, kept across its restarts: the picture, its ageing, the file's
-//! format and the steps of writing it. Nothing here opens a file or asks what time it is.
+//! What a gatherer has learned of hosts and query classes, retained across its restarts: the
+//! snapshot, its aging, the file format and the steps of an atomic write. Nothing here opens a file
+//! or reads a clock.
+
 #![forbid(unsafe_code)]
 
 pub mod age;
+pub mod atomic_write;
 pub mod file;
-pub mod picture;
-pub mod steps;
+pub mod snapshot;
--- a/learning/tests/age.rs
+++ b/learning/tests/age.rs
@@ -1,12 +1,12 @@
 //! Ageing: what counts, how much, and that it only ever gets less.
 
-use learning::age::{self, Aged, Reason, Rules, Unfit};
-use learning::picture::{ClassMemory, Fleet, HostMemory, Picture, Wall};
+use learning::age::{self, Aged, AgingConfig, Reason, SnapshotError};
+use learning::snapshot::{ClassStats, Fleet, HostStats, Snapshot, UnixMillis};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const TAKEN: Wall = 1_700_000_000_000;
+const TAKEN: UnixMillis = 1_700_000_000_000;
 
 fn fleet() -> Fleet {
     Fleet {
@@ -16,20 +16,20 @@
     }
 }
 
-fn fresh() -> Vec<ClassMemory> {
-    vec![ClassMemory {
+fn fresh() -> Vec<ClassStats> {
+    vec![ClassStats {
         name: "search".into(),
         median: 1e8,
         p95: 3e8,
         least: 3e8,
-        tries: (1e8, 3e8),
+        attempts: (1e8, 3e8),
         weight: 0.0,
     }]
 }
 
-fn host(slowness: f32, limit: f32, errors: f32, weight: f32) -> HostMemory {
-    HostMemory {
-        born: 5,
+fn host(slowness: f32, limit: f32, errors: f32, weight: f32) -> HostStats {
+    HostStats {
+        started: 5,
         slowness: vec![slowness],
         delay: 0.3,
         limit,
@@ -39,40 +39,40 @@
     }
 }
 
-fn picture(hosts: &[(&str, HostMemory)]) -> Picture {
-    let classes = vec![ClassMemory {
+fn snapshot(hosts: &[(&str, HostStats)]) -> Snapshot {
+    let classes = vec![ClassStats {
         name: "search".into(),
         median: 1e6,
         p95: 4e6,
         least: 1e6,
-        tries: (1e6, 4e6),
+        attempts: (1e6, 4e6),
         weight: 96.0,
     }];
     let hosts = hosts
         .iter()
         .map(|(uid, host)| (Arc::from(*uid), host.clone()))
         .collect();
-    Picture {
+    Snapshot {
         fleet: fleet(),
-        taken: TAKEN,
+        taken_at: TAKEN,
         classes,
         hosts,
     }
 }
 
-fn listed(hosts: &[&str]) -> BTreeMap<String, Wall> {
+fn listed(hosts: &[&str]) -> BTreeMap<String, UnixMillis> {
     hosts.iter().map(|uid| ((*uid).to_owned(), 5)).collect()
 }
 
-fn at(picture: &Picture, after: Wall) -> Aged {
-    let names: Vec<&str> = picture.hosts.keys().map(|uid| &**uid).collect();
+fn at(snapshot: &Snapshot, after: UnixMillis) -> Aged {
+    let names: Vec<&str> = snapshot.hosts.keys().map(|uid| &**uid).collect();
     age::age(
-        picture,
+        snapshot,
         &fleet(),
         &fresh(),
         &listed(&names),
         TAKEN + after,
-        &Rules::default(),
+        &AgingConfig::default(),
     )
     .unwrap()
 }
@@ -85,10 +85,10 @@
 }
 
 #[test]
-fn each_thing_that_is_dropped_has_its_reason() {
+fn reports_reason_of_each_dropped_host() {
     let slow = || host(4.0, 1.0, 0.0, 16.0);
     let mut reborn = slow();
-    reborn.born = 4;
+    reborn.started = 4;
     let mut ahead = slow();
     ahead.judged = TAKEN + 900_000;
     let mut odd = slow();
@@ -96,7 +96,7 @@
     let mut short = slow();
     short.slowness = Vec::new();
     let ordinary = || host(1.0, 3.0, 0.0, 16.0);
-    let all = picture(&[
+    let all = snapshot(&[
         ("slow", slow()),
         ("gone", slow()),
         ("reborn", reborn),
@@ -125,7 +125,7 @@
         &fresh(),
         &listed(&present),
         TAKEN + 1000,
-        &Rules::default(),
+        &AgingConfig::default(),
     )
     .unwrap();
     assert_eq!(
@@ -138,7 +138,7 @@
     assert_eq!(why(&aged, "gone"), Some(Reason::NotListed));
     assert_eq!(why(&aged, "reborn"), Some(Reason::Restarted));
     for uid in ["ahead", "odd", "short", "hardly"] {
-        assert_eq!(why(&aged, uid), Some(Reason::CountsForNothing), "{uid}");
+        assert_eq!(why(&aged, uid), Some(Reason::Negligible), "{uid}");
     }
     assert_eq!(why(&aged, "a"), Some(Reason::Ordinary));
     // Memory never recommends: one that was quicker than its peers is like them.
@@ -146,28 +146,28 @@
 }
 
 #[test]
-fn a_clock_that_jumped_and_another_fleet_are_refused_whole() {
+fn rejects_clock_jumps_and_other_fleets() {
     let plain = || host(1.0, 3.0, 0.0, 16.0);
-    let all = picture(&[
+    let all = snapshot(&[
         ("slow", host(4.0, 1.0, 0.0, 16.0)),
         ("a", plain()),
         ("b", plain()),
     ]);
-    let age = |now: Wall, fleet: &Fleet| {
+    let age = |now: UnixMillis, fleet: &Fleet| {
         age::age(
             &all,
             fleet,
             &fresh(),
             &listed(&["slow"]),
             now,
-            &Rules::default(),
+            &AgingConfig::default(),
         )
         .map(|aged| aged.hosts.len())
     };
-    assert_eq!(age(TAKEN - 1, &fleet()), Err(Unfit::UnknownAge));
+    assert_eq!(age(TAKEN - 1, &fleet()), Err(SnapshotError::UnknownAge));
     assert_eq!(
         age(TAKEN + 400 * 86_400_000, &fleet()),
-        Err(Unfit::UnknownAge)
+        Err(SnapshotError::UnknownAge)
     );
     assert_eq!(
         age(
@@ -177,7 +177,7 @@
                 ..fleet()
             }
         ),
-        Err(Unfit::OtherFleet)
+        Err(SnapshotError::OtherFleet)
     );
     assert_eq!(
         age(
@@ -187,15 +187,15 @@
                 ..fleet()
             }
         ),
-        Err(Unfit::OtherFleet)
+        Err(SnapshotError::OtherFleet)
     );
     assert_eq!(age(TAKEN, &fleet()), Ok(1));
 }
 
 #[test]
-fn where_nearly_all_were_slow_only_times_are_kept() {
+fn common_cause_drops_hosts_but_keeps_classes() {
     let slow = || host(4.0, 1.0, 0.0, 16.0);
-    let all = picture(&[
+    let all = snapshot(&[
         ("a", slow()),
         ("b", slow()),
         ("c", host(1.0, 3.0, 0.0, 16.0)),
@@ -213,8 +213,8 @@
 }
 
 #[test]
-fn three_days_leave_next_to_nothing() {
-    let all = picture(&[
+fn statistics_decay_within_three_days() {
+    let all = snapshot(&[
         ("a", host(8.0, 1.0, 1.0, 16.0)),
         ("b", host(1.0, 3.0, 0.0, 16.0)),
     ]);
@@ -243,9 +243,9 @@
         more in 0u64..200_000,
     ) {
         let names: Vec<String> = (0..hosts.len()).map(|n| format!("h{n:02}")).collect();
-        let memories: Vec<(&str, HostMemory)> = names.iter().map(String::as_str)
+        let memories: Vec<(&str, HostStats)> = names.iter().map(String::as_str)
             .zip(hosts.iter().map(|(s, l, e, w)| host(*s, *l, *e, *w))).collect();
-        let all = picture(&memories);
+        let all = snapshot(&memories);
         let (sooner, later) = (at(&all, early), at(&all, early + more));
         for (uid, old) in &later.hosts {
             let given = &all.hosts[uid.as_str()];
@@ -261,7 +261,7 @@
         prop_assert!(later.classes[0].weight <= sooner.classes[0].weight);
         prop_assert_eq!(sooner.hosts.len() + sooner.dropped.len(), hosts.len());
         // The order in which hosts come makes no difference.
-        let reversed: Vec<(&str, HostMemory)> = memories.iter().rev().cloned().collect();
-        prop_assert_eq!(at(&picture(&reversed), early), sooner);
+        let reversed: Vec<(&str, HostStats)> = memories.iter().rev().cloned().collect();
+        prop_assert_eq!(at(&snapshot(&reversed), early), sooner);
     }
 }
--- a/learning/tests/model.rs
+++ b/learning/tests/model.rs
@@ -1,14 +1,14 @@
 //! The writer, a crash at any moment and the reader, checked in every order by a model checker. The
 //! model walks the same steps that the writer does.
 
-use learning::steps::{self, Step};
+use learning::atomic_write::{self, Step};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 
 /// A file's content: which picture, and whether all of it is on the disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Content {
-    picture: u64,
+    snapshot: u64,
     whole: bool,
     synced: bool,
 }
@@ -56,10 +56,10 @@
 /// What the reader takes.
 fn read(names: &BTreeMap<u64, Content>) -> Option<u64> {
     let present: Vec<u64> = names.keys().copied().collect();
-    steps::tried(&present)
+    atomic_write::load_order(&present)
         .into_iter()
         .find(|g| sound(&names[g]))
-        .map(|g| names[&g].picture)
+        .map(|g| names[&g].snapshot)
 }
 
 impl Model for Disk {
@@ -97,7 +97,7 @@
         match act {
             Act::Begin => {
                 let present: Vec<u64> = state.names.keys().copied().collect();
-                let (generation, mut steps) = steps::plan(&present);
+                let (generation, mut steps) = atomic_write::plan(&present);
                 steps.retain(|step| Some(step) != self.without.as_ref());
                 state.begun += 1;
                 state.writing = Some((generation, steps, 0));
@@ -107,7 +107,7 @@
                 match &steps[at] {
                     Step::Create => {
                         state.beside = Some(Content {
-                            picture: state.begun,
+                            snapshot: state.begun,
                             whole: false,
                             synced: false,
                         })
@@ -166,7 +166,8 @@
             Property::always("few generations stay", |_, state: &State| {
                 // One more while the new one is in place and the old one not yet removed, and one a
                 // crash.
-                state.names.len() <= steps::KEPT + 1 + usize::from(state.crashes)
+                state.names.len()
+                    <= atomic_write::RETAINED_GENERATIONS + 1 + usize::from(state.crashes)
             }),
             Property::sometimes(
                 "a crash in the middle leaves a file that is not sound",
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn no_crash_loses_what_was_promised() {
+fn crashes_lose_no_acknowledged_snapshot() {
     let checker = Disk { without: None }.checker().spawn_bfs().join();
     checker.assert_properties();
     assert!(
@@ -190,7 +191,7 @@
 /// The model is worth something only if it finds the classic mistake: what is named before it is on
 /// the disk.
 #[test]
-fn the_model_finds_a_write_without_its_sync() {
+fn model_finds_missing_sync() {
     let checker = Disk {
         without: Some(Step::SyncFile),
     }
--- a/learning/tests/wire_format.rs
+++ b/learning/tests/wire_format.rs
@@ -1,17 +1,19 @@
 //! Pins the bytes of learned files in both versions. The fixtures were written by the program
 //! before its names changed.
 
+use ciborium::Value;
+use learning::age::{Reason, SnapshotError};
+use learning::atomic_write::{self, Step};
 use learning::file;
-use learning::picture::{ClassMemory, Fleet, HostMemory, Picture};
-use learning::steps::{self, Step};
+use learning::snapshot::{ClassStats, Fleet, HostStats, Snapshot};
 use std::sync::Arc;
 
 const VERSION_1: &[u8] = include_bytes!("fixtures/learned-v1.bin");
 const VERSION_2: &[u8] = include_bytes!("fixtures/learned-v2.bin");
 
-fn picture() -> Picture {
-    let host = |n: u64| HostMemory {
-        born: 7 * n,
+fn snapshot() -> Snapshot {
+    let host = |n: u64| HostStats {
+        started: 7 * n,
         slowness: vec![1.5 * n as f32, 0.5],
         delay: 0.25,
         limit: 2.0,
@@ -19,21 +21,21 @@
         weight: 16.0,
         judged: 1_700_000_000_000,
     };
-    let class = |name: &str| ClassMemory {
+    let class = |name: &str| ClassStats {
         name: name.to_owned(),
         median: 8e6,
         p95: 3e7,
         least: 7e6,
-        tries: (9e6, 4e7),
+        attempts: (9e6, 4e7),
         weight: 96.0,
     };
-    Picture {
+    Snapshot {
         fleet: Fleet {
             classes: vec!["search".to_owned(), "page".to_owned()],
             cells: 6,
             reach: 2,
         },
-        taken: 1_700_000_000_500,
+        taken_at: 1_700_000_000_500,
         classes: vec![class("search"), class("page")],
         hosts: (0..3)
             .map(|n| (Arc::from(format!("s-{n}")), host(n)))
@@ -43,25 +45,28 @@
 
 #[test]
 fn writes_and_reads_version_2() {
-    assert_eq!(file::encode(&picture()).expect("a file"), VERSION_2);
-    assert_eq!(file::decode(VERSION_2), Ok((picture(), 2)));
+    assert_eq!(file::encode(&snapshot()).expect("a file"), VERSION_2);
+    assert_eq!(file::decode(VERSION_2), Ok((snapshot(), 2)));
 }
 
 #[test]
 fn writes_and_reads_version_1() {
-    assert_eq!(file::encode_v1(&picture()).expect("a file"), VERSION_1);
+    assert_eq!(file::encode_v1(&snapshot()).expect("a file"), VERSION_1);
     let (read, version) = file::decode(VERSION_1).expect("a file");
-    assert_eq!((version, read.taken), (1, 1_700_000_000_000));
+    assert_eq!((version, read.taken_at), (1, 1_700_000_000_000));
     assert_eq!(read.hosts["s-2"].slowness, [3.0, 0.5]);
     assert_eq!(read.classes[1].median, 8e6);
 }
 
 #[test]
 fn file_and_step_names_stay() {
-    assert_eq!(steps::name(42), "learned.0000000000000042");
-    assert_eq!(steps::generation("learned.0000000000000042"), Some(42));
+    assert_eq!(atomic_write::file_name(42), "learned.0000000000000042");
     assert_eq!(
-        (steps::BESIDE, steps::LOCK),
+        atomic_write::parse_generation("learned.0000000000000042"),
+        Some(42)
+    );
+    assert_eq!(
+        (atomic_write::TEMPORARY, atomic_write::LOCK),
         ("learned.tmp", "learned.lock")
     );
     let steps = [
@@ -82,3 +87,24 @@
     ];
     assert_eq!(steps.map(|step| step.name()), names);
 }
+
+#[test]
+fn reason_names_are_stable() {
+    for (reason, word) in [
+        (Reason::NotListed, "not-listed"),
+        (Reason::Restarted, "restarted"),
+        (Reason::Negligible, "counts-for-nothing"),
+        (Reason::CommonCause, "common-cause"),
+        (Reason::Ordinary, "ordinary"),
+    ] {
+        let value = Value::serialized(&reason).expect("a value");
+        assert_eq!(value, Value::from(word));
+    }
+    for (error, word) in [
+        (SnapshotError::OtherFleet, "other-fleet"),
+        (SnapshotError::UnknownAge, "unknown-age"),
+    ] {
+        let value = Value::serialized(&error).expect("a value");
+        assert_eq!(value, Value::from(word));
+    }
+}
--- a/recovery/tests/capacity.rs
+++ b/recovery/tests/capacity.rs
@@ -91,7 +91,7 @@
 /// share alone, four in ten of all queries are refused for nothing over those ten seconds. The more
 /// gatherers share the clients the fewer queries each has to judge by, and the later it is sure.
 #[test]
-fn hosts_that_bear_all_that_is_asked_are_soon_asked_for_all_of_it() {
+fn admits_everything_soon_if_hosts_have_capacity() {
     for (seed, gatherers, least, full) in [
         (1, 3, 0.85, RAMP / 3),
         (2, 10, 0.75, RAMP / 2),
@@ -117,7 +117,7 @@
 /// As much is asked as warm hosts bear, and cold ones bear the fifth that the settings say: what is
 /// taken stays near it, the dearest first, and little of it comes to nothing.
 #[test]
-fn hosts_that_bear_no_more_than_the_settings_say_are_not_asked_for_much_more() {
+fn does_not_overload_hosts_at_configured_capacity() {
     for (seed, gatherers) in [(1, 3), (2, 10), (3, 30)] {
         let seen = play(seed, gatherers, 1.0, 0.2, true);
         // Over ten seconds they bear six tenths of what is asked.
--- a/recovery/tests/fleet.rs
+++ b/recovery/tests/fleet.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn nobody_waits_in_a_circle_and_all_serve_in_full_in_the_end() {
+fn no_circular_wait_and_all_serve_in_the_end() {
     for seed in 0..60 {
         play(seed).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
     }
--- a/recovery/tests/wire_format.rs
+++ b/recovery/tests/wire_format.rs
@@ -3,7 +3,7 @@
 use recovery::phase::{Phase, Reason};
 
 #[test]
-fn phases_keep_their_words() {
+fn phase_names_are_stable() {
     for (phase, word) in [
         (Phase::QueryingPeers, "asking"),
         (Phase::AwaitingEndpoints, "listing"),
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn reasons_keep_their_texts() {
+fn reason_texts_are_stable() {
     for (reason, text) in [
         (Reason::PeersPending(2), "2 peers have not answered yet"),
         (Reason::PeersTimedOut(2), "2 peers did not answer in time"),
