--- a/bitternsill/src/learned/cli.rs
+++ b/bitternsill/src/learned/cli.rs
@@ -1,13 +1,14 @@
 //! `bitternsill learned`: inspects, compares and converts snapshot files.
 
-use super::folder;
+use super::folder::{self, ReadError};
 use clap::{Subcommand, ValueEnum};
-use learning::age::{self, AgingConfig};
-use learning::file;
+use learning::age::{self, AgingConfig, SnapshotError};
+use learning::file::{self, FileError};
 use learning::snapshot::{ClassStats, HostStats, Snapshot, UnixMillis};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
-use std::io::Write;
+use std::fmt;
+use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -70,8 +71,34 @@
     },
 }
 
-fn load(path: &Path) -> Result<(Snapshot, u16), String> {
-    folder::read(path).map_err(|problem| format!("{}: {problem}", path.display()))
+/// A command that failed.
+#[derive(Debug)]
+enum LearnedError {
+    /// A file cannot be read.
+    Read(PathBuf, ReadError),
+    /// A file cannot be written.
+    Write(PathBuf, io::Error),
+    /// The snapshot cannot be encoded.
+    Encode(FileError),
+    /// The snapshot cannot be aged.
+    Age(SnapshotError),
+}
+
+impl fmt::Display for LearnedError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LearnedError::Read(path, error) => write!(f, "{}: {error}", path.display()),
+            LearnedError::Write(path, error) => write!(f, "{}: {error}", path.display()),
+            LearnedError::Encode(error) => error.fmt(f),
+            LearnedError::Age(error) => error.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for LearnedError {}
+
+fn load(path: &Path) -> Result<(Snapshot, u16), LearnedError> {
+    folder::read(path).map_err(|error| LearnedError::Read(path.to_owned(), error))
 }
 
 fn now() -> UnixMillis {
@@ -154,7 +181,7 @@
     lines.join("\n")
 }
 
-fn aged(snapshot: &Snapshot, at: UnixMillis, format: Format) -> Result<String, String> {
+fn aged(snapshot: &Snapshot, at: UnixMillis, format: Format) -> Result<String, LearnedError> {
     // Aged against its own hosts: what a gatherer would use if all of them are still listed.
     let listed: BTreeMap<String, UnixMillis> = snapshot
         .hosts
@@ -177,7 +204,7 @@
         at,
         &AgingConfig::default(),
     )
-    .map_err(|e| e.to_string())?;
+    .map_err(LearnedError::Age)?;
     if format == Format::Json {
         let hosts: Vec<Json> = aged
             .hosts
@@ -262,22 +289,23 @@
     (entries.is_empty(), text)
 }
 
-fn convert(file: &Path, to: &Path, version: u16) -> Result<String, String> {
+fn convert(file: &Path, to: &Path, version: u16) -> Result<String, LearnedError> {
     let (snapshot, from) = load(file)?;
     let bytes = if version == 1 {
         file::encode_v1(&snapshot)
     } else {
         file::encode(&snapshot)
     };
-    let bytes = bytes.map_err(|problem| problem.to_string())?;
+    let bytes = bytes.map_err(LearnedError::Encode)?;
+    let failed = |error| LearnedError::Write(to.to_owned(), error);
     let mut out = std::fs::OpenOptions::new()
         .write(true)
         .create_new(true)
         .open(to)
-        .map_err(|problem| format!("{}: {problem}", to.display()))?;
+        .map_err(failed)?;
     out.write_all(&bytes)
         .and_then(|()| out.sync_all())
-        .map_err(|problem| format!("{}: {problem}", to.display()))?;
+        .map_err(failed)?;
     Ok(format!(
         "{}: version {from} written as {version}, {} bytes",
         to.display(),
@@ -286,7 +314,7 @@
 }
 
 /// Runs a command; returns the text and whether the command counts as successful.
-fn answer(call: Learned) -> Result<(bool, String), String> {
+fn answer(call: Learned) -> Result<(bool, String), LearnedError> {
     match call {
         Learned::Show { file, format } => {
             load(&file).map(|(snapshot, version)| (true, show(&snapshot, version, format)))
--- a/store/src/member/proposals.rs
+++ b/store/src/member/proposals.rs
@@ -69,8 +69,8 @@
     }
 
     /// Whether a command is in the log and not applied yet. The commands of entries that another
-    /// leader removed from the log are retained for a while, and are not in flight: if they counted,
-    /// a former leader would never propose its values again.
+    /// leader removed from the log are retained for a while, and are not in flight: if they
+    /// counted, a former leader would never propose its values again.
     fn is_in_flight(&self, command: &Command) -> bool {
         let entries = self.node.log().entries();
         let is_in_log = |position: &Position| {
--- a/store/src/member/tests.rs
+++ b/store/src/member/tests.rs
@@ -1,10 +1,10 @@
-//! Members in one place, over packets as they are written.
+//! Tests of members that exchange encoded messages in one process.
 
 use super::*;
 
 const MS: Time = 1_000_000;
 
-/// Three members in one place; packets reach those that are there.
+/// Members in one process; messages to absent members are lost.
 struct Cluster {
     members: BTreeMap<u64, Store>,
     now: Time,
--- a/store/src/persisted/tests.rs
+++ b/store/src/persisted/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `kept`.
+//! Tests of `persisted`.
 
 use super::*;
 use crate::state::State;
--- a/store/src/rejoin.rs
+++ b/store/src/rejoin.rs
@@ -154,6 +154,46 @@
             ..Peer::default()
         }
     }
+
+    /// Whether this knowledge shows that the asker's file is not its newest, or that another
+    /// incarnation has claimed its generation.
+    fn supersedes(&self, request: &StatusRequest, term: u64) -> bool {
+        // A generation that a third member has reported has no incarnation yet.
+        let other_incarnation = ![0, request.incarnation].contains(&self.incarnation);
+        match request.past {
+            History::None => false,
+            History::Claimed => {
+                let claimed = request.generation == self.generation && other_incarnation;
+                request.generation < self.generation || claimed
+            }
+            History::Intact => {
+                // A request may arrive after messages that the same start sent as an active member.
+                let earlier_start = self.progress_start < request.starts;
+                let (reached_term, reached_last) = self.reached;
+                let behind = earlier_start
+                    && (term < reached_term || request.last.recency() < reached_last.recency());
+                let (known, stated) = (
+                    (self.generation, self.starts),
+                    (request.generation, request.starts),
+                );
+                stated < known || stated == known && other_incarnation || behind
+            }
+        }
+    }
+
+    /// Records what a member states of itself; true if that is new.
+    fn record(&mut self, request: &StatusRequest) -> bool {
+        let known = (self.generation, self.starts, self.incarnation);
+        let stated = (request.generation, request.starts, request.incarnation);
+        if stated == known {
+            return false;
+        }
+        if request.generation > self.generation {
+            *self = Peer::default();
+        }
+        (self.generation, self.starts, self.incarnation) = stated;
+        true
+    }
 }
 
 /// What a response leads to.
@@ -280,7 +320,28 @@
         voted: bool,
         last: Position,
     ) -> (StatusResponse, bool) {
-        let own_status = match self.status {
+        let status = self.own_peer_status(voted);
+        let peer = self.peers.entry(from).or_default();
+        let superseded = peer.supersedes(request, term);
+        // Only a member that will remember the asker may record it. Before anyone has voted there
+        // is nothing to lose.
+        let remembers = voted
+            && matches!(status, PeerStatus::Unverified | PeerStatus::Active)
+            && request.past != History::None
+            && !superseded;
+        let must_persist = remembers && peer.record(request);
+        let response = StatusResponse {
+            incarnation: request.incarnation,
+            status,
+            generation: peer.generation,
+            superseded,
+            last,
+        };
+        (response, must_persist)
+    }
+
+    fn own_peer_status(&self, voted: bool) -> PeerStatus {
+        match self.status {
             Status::Lost => PeerStatus::Lost,
             Status::Empty => PeerStatus::Empty,
             // Nobody may bootstrap another store beside this one.
@@ -288,62 +349,7 @@
             _ if !voted => PeerStatus::Joined,
             Status::Unverified => PeerStatus::Unverified,
             Status::Active => PeerStatus::Active,
-        };
-        let peer = self.peers.entry(from).or_default();
-        let (known, response) = (
-            (peer.generation, peer.starts),
-            (request.generation, request.starts),
-        );
-        let superseded = match request.past {
-            History::None => false,
-            // A generation that a third member has reported has no incarnation yet.
-            History::Claimed => {
-                let taken = request.generation == peer.generation
-                    && ![0, request.incarnation].contains(&peer.incarnation);
-                request.generation < peer.generation || taken
-            }
-            History::Intact => {
-                // A request may arrive after messages that the same start sent as an active member.
-                let before = peer.progress_start < request.starts;
-                let behind = before
-                    && (term < peer.reached.0 || request.last.recency() < peer.reached.1.recency());
-                response < known
-                    || response == known && ![0, request.incarnation].contains(&peer.incarnation)
-                    || behind
-            }
-        };
-        // Only a member that will remember the asker may record it. Before anyone has voted there
-        // is nothing to lose.
-        let remembers = voted
-            && matches!(own_status, PeerStatus::Unverified | PeerStatus::Active)
-            && request.past != History::None
-            && !superseded;
-        let must_persist =
-            remembers && (response, request.incarnation) != (known, peer.incarnation);
-        if must_persist {
-            let past = if request.generation > peer.generation {
-                Peer::default()
-            } else {
-                *peer
-            };
-            *peer = Peer {
-                generation: request.generation,
-                starts: request.starts,
-                incarnation: request.incarnation,
-                ..past
-            };
         }
-        let generation = self.peers[&from].generation;
-        (
-            StatusResponse {
-                incarnation: request.incarnation,
-                status: own_status,
-                generation,
-                superseded,
-                last,
-            },
-            must_persist,
-        )
     }
 
     /// Notes the term and log end that a member has sent in one of its starts. Any newer file of
@@ -407,18 +413,12 @@
                 response,
             },
         );
-        let count = |status: &dyn Fn(&StatusResponse) -> bool| {
-            self.responses
-                .values()
-                .filter(|received| status(&received.response))
-                .count()
-        };
         match self.status {
             Status::Active | Status::Bootstrapping => Verdict::Pending,
             Status::Unverified => {
-                let with_file = count(&|response| {
+                let with_file = self.count(|status| {
                     matches!(
-                        response.status,
+                        status,
                         PeerStatus::Joined | PeerStatus::Unverified | PeerStatus::Active
                     )
                 });
@@ -428,12 +428,7 @@
                 self.status = Status::Active;
                 Verdict::Active
             }
-            Status::Empty
-                if count(&|response| {
-                    matches!(response.status, PeerStatus::Empty | PeerStatus::Joined)
-                }) + 1
-                    == self.members =>
-            {
+            Status::Empty if self.no_store_exists() => {
                 if !self.bootstraps {
                     return Verdict::Pending;
                 }
@@ -444,6 +439,20 @@
         }
     }
 
+    /// Whether every other member has responded, and none belongs to a store that has voted.
+    fn no_store_exists(&self) -> bool {
+        let without = self.count(|status| matches!(status, PeerStatus::Empty | PeerStatus::Joined));
+        without + 1 == self.members
+    }
+
+    /// Number of responders with such a status.
+    fn count(&self, filter: impl Fn(PeerStatus) -> bool) -> usize {
+        self.responses
+            .values()
+            .filter(|received| filter(received.response.status))
+            .count()
+    }
+
     /// Progress of a member without a file by the responses of active members of one store: the
     /// claim of a generation first, then the catch-up bar.
     fn catch_up(&mut self) -> Verdict {
@@ -548,13 +557,8 @@
     /// What the member waits for, as a sentence for operators; `None` if it is active.
     pub fn waiting_for(&self) -> Option<String> {
         let (members, half) = (self.members, self.majority());
-        let of = |status: PeerStatus| {
-            self.responses
-                .values()
-                .filter(|received| received.response.status == status)
-                .count()
-        };
-        let (sound, whole, lost) = (
+        let of = |status: PeerStatus| self.count(|other| other == status);
+        let (active, unverified, lost) = (
             of(PeerStatus::Active),
             of(PeerStatus::Unverified),
             of(PeerStatus::Lost),
@@ -566,17 +570,17 @@
             )),
             Status::Unverified => Some(format!(
                 "{} of {} other members with a file have answered; {lost} have lost theirs",
-                sound + whole,
+                active + unverified,
                 half - 1
             )),
             Status::Empty => Some(format!(
                 "this file has never held a store; of {} others {} say the same, {} are of a store",
                 members - 1,
                 of(PeerStatus::Empty),
-                sound + whole + lost
+                active + unverified + lost
             )),
             Status::Lost => Some(format!(
-                "what this member had promised is lost; {sound} of the {half} sound members that it needs have answered"
+                "what this member had promised is lost; {active} of the {half} sound members that it needs have answered"
             )),
         }
     }
--- a/store/src/rejoin/tests.rs
+++ b/store/src/rejoin/tests.rs
@@ -59,7 +59,7 @@
         ),
         (0, History::Claimed)
     );
-    // Answers from before the generation was taken, or to another life, are none.
+    // Responses from before the claim, or to another incarnation, do not count.
     lost.on_response(2, 9, 3, response(7, PeerStatus::Active, 4, false, end));
     lost.on_response(3, 9, 9, response(8, PeerStatus::Active, 5, false, end));
     lost.on_response(3, 9, 5, response(7, PeerStatus::Active, 5, false, end));
@@ -100,7 +100,7 @@
             Verdict::Pending
         );
     }
-    // One that begins a store itself, as an operator has it do, is no reason to begin another.
+    // A member that bootstraps a store itself keeps others from bootstrapping one.
     let mut second = Rejoin::new(Status::Bootstrapping, 5, false, 8, 0, BTreeMap::new());
     let request = first.status_request(1, Position::default()).unwrap();
     let (answer, _) = second.respond(1, &request, 0, false, Position::default());
--- a/store/tests/load.rs
+++ b/store/tests/load.rs
@@ -1,5 +1,4 @@
-//! A store under many changes beside slow disks, in virtual time: what that costs in commits, and
-//! in leaders.
+//! A store under load with slow disks, in virtual time: commits, messages and changes of leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use store::Time;
@@ -11,13 +10,12 @@
 
 struct Member {
     store: Store,
-    /// Writes that wait for the disk, and those that it is at until a moment: what waits shares one
-    /// sync.
+    /// Queued writes, and those in progress with their completion time: queued writes share a sync.
     waiting: Vec<Write>,
     syncing: Option<(Time, Vec<Write>)>,
 }
 
-/// What came of a stretch of time.
+/// Figures of a time span.
 #[derive(Debug, Default)]
 struct Seen {
     committed: u64,
@@ -27,8 +25,7 @@
     packets: u64,
 }
 
-/// Three members whose disks take so long over each sync, with so many changes a second put at them
-/// in turn.
+/// Three members with this duration of a sync, and this many changes a second at them in turn.
 fn play(sync: Time, changes: u64, length: Time) -> Seen {
     let timing = Timing {
         heartbeat: 150 * MS,
@@ -102,7 +99,7 @@
             }
             member.waiting.extend(member.store.take_writes());
             if member.syncing.is_none() && !member.waiting.is_empty() {
-                // The store has begun before the disks become slow.
+                // The store is bootstrapped before the disks become slow.
                 let sync = if now < settled { 5 * MS } else { sync };
                 member.syncing = Some((now + sync, std::mem::take(&mut member.waiting)));
             }
@@ -139,9 +136,9 @@
     seen
 }
 
-/// Before, each answer that lagged brought all that was lacking once more, and ever more packets
-/// went round; and a leader's heartbeats waited behind its own writes, so that a disk that takes
-/// longer than an election cost it the lead.
+/// Guards against two former faults: each response that lagged caused a resend of all missing
+/// entries, in growing numbers; and heartbeats waited for the leader's own writes, so that a sync
+/// longer than the election timeout deposed it.
 #[test]
 fn leader_with_slow_disk_keeps_leading_under_load() {
     for (sync, changes) in [(25 * MS, 200), (100 * MS, 100), (700 * MS, 2)] {
--- a/store/tests/rejoin_model.rs
+++ b/store/tests/rejoin_model.rs
@@ -1,6 +1,6 @@
-//! The rule by which a member without its past counts again, model-checked: every order in which
-//! messages may come, be lost, late or doubled, every election, and every moment at which a file
-//! may be lost, within bounds on terms, entries and losses. The rule is abstracted from
+//! Model check of the rule by which a member that has lost its file becomes active again: every
+//! order in which messages may be delivered, lost or duplicated, every election, and every moment
+//! at which a file may be lost, within bounds on terms, entries and losses. The rule is abstracted from
 //! `store/src/rejoin.rs`; that the code keeps to it is the simulation's part.
 //!
 //! `REJOIN_MODEL=full cargo test --release -p bitternsill-store --test rejoin_model -- --nocapture`
@@ -9,15 +9,15 @@
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which part of the rule is left out, to see that the check finds it.
+/// Which part of the rule is left out, to show that the check finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Rule {
     Complete,
-    /// A member without its past votes at once.
+    /// A member without its file votes at once.
     VotesImmediately,
-    /// It counts again with whatever some leader has committed.
+    /// It catches up with any leader, whatever that has committed.
     NoCatchUpBar,
-    /// What its earlier lives sent is counted on.
+    /// Messages of its earlier generations still count.
     AcceptsStaleGenerations,
 }
 
@@ -39,8 +39,7 @@
 enum Status {
     Active,
     Lost,
-    /// It has taken its generation, and this is what others answered: their terms and the ends of
-    /// their logs.
+    /// It has claimed its generation; with the terms and log ends in the responses of others.
     Claimed(BTreeMap<u8, (u8, Rank)>),
 }
 
@@ -103,11 +102,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     members: Vec<Member>,
-    /// Whatever was ever sent: it may come at any time, any number of times, or never.
+    /// All messages ever sent: each may be delivered at any time, any number of times, or never.
     sent: BTreeSet<Message>,
     losses: u8,
-    /// What was ever committed, and who led in each term; a second history of either is the
-    /// violation.
+    /// The committed log, and the leader of each term: a conflict in either is the violation.
     committed: Log,
     leaders: BTreeMap<u8, u8>,
     broken: bool,
@@ -162,7 +160,7 @@
         }
     }
 
-    /// Whether a message of this generation of another counts; takes what comes with it.
+    /// Whether a message of this generation counts; learns the generations that it carries.
     fn accepts(&mut self, rule: Rule, from: u8, generation: u8, known: &[u8]) -> bool {
         if rule == Rule::AcceptsStaleGenerations {
             return true;
--- a/store/tests/transactions.rs
+++ b/store/tests/transactions.rs
@@ -1,6 +1,5 @@
-//! Changes of several keys and reads that ask, by seed, under everything that befalls the members:
-//! each change is made once or never, whole, and everything that is answered fits one order that
-//! keeps to real time.
+//! Transactions and reads under faults, by seed: each transaction is applied atomically and at most
+//! once, and the history of all replies is linearizable.
 
 mod world;
 
@@ -13,13 +12,13 @@
 
 const PATIENCE: Time = 800 * MS;
 
-/// What a client does wrong, to see that it would be found.
+/// A fault of the client, to show that the checks would find it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Client {
     Active,
-    /// It takes what the member holds, without having it ask.
+    /// It reads the state of the member without a read index.
     ReadsUnasked,
-    /// What was not answered is asked again under a new number and without its checks.
+    /// It retries a transaction under a new request number and without its checks.
     RetriesAsNewRequest,
 }
 
@@ -31,7 +30,7 @@
     Changing(Txn),
 }
 
-/// One that counts up two keys at once, again and again.
+/// A client that increments two keys in one transaction, repeatedly.
 struct Counter {
     doing: Doing,
     member: u64,
@@ -41,12 +40,12 @@
     request: u64,
 }
 
-/// Something that was answered: from when to when, and which revision it was true at.
+/// A call with its reply: its interval and its revision.
 struct Seen {
     begun: Time,
     ended: Time,
     revision: u64,
-    /// For a read: what the count was.
+    /// For a read: the count.
     count: Option<u64>,
 }
 
@@ -56,7 +55,7 @@
     next: CallId,
     seen: Vec<Seen>,
     applied: u64,
-    /// Changes of sessions that the store had forgotten: nobody can say what came of them.
+    /// Transactions of evicted sessions, whose outcome is unknown.
     lost: u64,
 }
 
@@ -81,7 +80,7 @@
         }
     }
 
-    /// Whether nobody waits for the outcome of a change.
+    /// Whether no transaction is in flight.
     fn is_quiet(&self) -> bool {
         !self
             .counters
@@ -107,7 +106,7 @@
             let own =
                 |(_, call, _): &&(u64, CallId, Reply)| *call == counter.call && counter.call > 0;
             let reply = replies.iter().find(own).map(|(.., reply)| reply.clone());
-            // A member that lost its power answers nothing any more.
+            // A member without power does not reply.
             let delay = world.now > counter.begun + PATIENCE + 50 * MS;
             let reply = reply
                 .or_else(|| (delay && counter.doing != Doing::Nothing).then_some(Reply::Unknown));
@@ -173,7 +172,7 @@
                     .store
                     .as_ref()
                     .ok_or("it has just answered")?;
-                // What is looked at now may be newer than the answer.
+                // The state may be newer by now than the reply.
                 let revision = store.applied().max(answered);
                 let versioned = ["a", "b"].map(|key| store.state().versioned(key).cloned());
                 let [one, other] = &versioned;
@@ -212,8 +211,7 @@
             (Doing::Changing(_), Reply::Txn(Outcome::Applied(revision))) => {
                 counter.doing = Doing::Nothing;
                 self.applied += 1;
-                // An answer that came to an earlier try tells of that: it began no later than this
-                // one did.
+                // The reply may be to an earlier attempt, which started no later than this one.
                 self.seen.push(Seen {
                     begun: 0,
                     ended: now,
@@ -242,8 +240,7 @@
         Ok(())
     }
 
-    /// Whether all that was answered fits one order that keeps to real time, in which each change
-    /// counts one.
+    /// Whether the history is linearizable, with each transaction counted once.
     fn judge(&self, world: &World) -> Result<(), String> {
         let store = world
             .members
@@ -273,7 +270,7 @@
                     seen.ended / MS
                 ));
             }
-            // Where nothing was lost each count is that of the changes up to its revision.
+            // Without unknown outcomes each count is the number of transactions up to its revision.
             let changes = self
                 .seen
                 .iter()
@@ -292,7 +289,7 @@
     }
 }
 
-/// Plays one seed; how many changes were made.
+/// Runs one seed; returns the number of transactions.
 fn play(seed: u64, kind: Client, planted: PlantedFault) -> Result<u64, String> {
     let mut world = World::new(seed, [3, 5][seed as usize % 2], planted);
     let mut clients = Clients::new(kind);
--- a/store/tests/world/mod.rs
+++ b/store/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! Members of a store in virtual time, by seed: packets late, lost, doubled and out of order; links
-//! cut; power and files lost.
+//! Simulation of a store's members in virtual time, by seed: messages are delayed, lost, duplicated
+//! and reordered; links are partitioned; power and files are lost.
 #![allow(dead_code)] // each simulation uses its share
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,29 +15,26 @@
 
 pub const MS: Time = 1_000_000;
 
-/// What the simulation does wrong on purpose, to see that it would be found.
+/// A fault that the simulation plants, to show that its checks would find it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PlantedFault {
     Nothing,
-    /// Writes are said to be done before they are: votes and acknowledgements go out ahead of the
-    /// disk.
+    /// Writes are reported as completed before they are: votes and acknowledgements are sent before
+    /// the disk is synced.
     AcknowledgesBeforeSync,
-    /// A member whose file is lost votes again as if it had never voted: it takes itself for one
-    /// that has just joined.
+    /// A member that has lost its file votes as if it had just joined.
     VotesAfterLoss,
-    /// A restart forgets the vote that its file has.
+    /// A restart forgets the vote in the file.
     ForgetsVote,
-    /// A member that has lost its file counts again with whatever the first leader has committed.
+    /// A member that has lost its file catches up with any leader, whatever that has committed.
     NoCatchUpBar,
-    /// Every candidate's log is taken to be as good as one's own.
+    /// Every candidate's log counts as up to date.
     VotesForAnyone,
-    /// A member that takes itself for the leader answers reads without asking whether it leads
-    /// still.
+    /// A leader answers reads without confirming that it still leads.
     UnconfirmedReads,
 }
 
-/// How long something takes: mostly up to the first, now and then up to the second, in
-/// milliseconds.
+/// A random delay: mostly up to the first bound, at times up to the second, both in milliseconds.
 fn delay(rng: &mut fastrand::Rng, usual: u64, seldom: u64) -> Time {
     let most = if rng.u8(..) < 10 { seldom } else { usual };
     rng.u64(0..=most) * MS
@@ -45,14 +42,14 @@
 
 pub struct Member {
     pub store: Option<Store>,
-    /// What is on the disk.
+    /// Records on the disk.
     disk: Vec<Record>,
-    /// Writes under way, and when each is done.
+    /// Writes in progress, and when each completes.
     pub writes: Vec<(Time, Write)>,
     restart_at: Time,
-    /// Which store a file beside the member's own says that it has voted in.
+    /// Id of the store by the member's identity file.
     voted_in: u64,
-    /// Its file was lost, and it does not count again yet.
+    /// Its file was lost, and it has not caught up yet.
     pub impaired: bool,
 }
 
@@ -62,9 +59,9 @@
     pub now: Time,
     pub members: BTreeMap<u64, Member>,
     in_flight: Vec<(Time, u64, u64, Envelope)>,
-    /// Links that bring nothing, each in one direction.
+    /// Partitioned links, each in one direction.
     partitioned: BTreeSet<(u64, u64)>,
-    /// What any member ever applied at each place.
+    /// Changes that any member ever applied, by index.
     log: BTreeMap<u64, Change>,
     pub furthest: u64,
 }
@@ -100,7 +97,7 @@
     fn boot(&mut self, id: u64) {
         let members: BTreeSet<u64> = self.members.keys().copied().collect();
         let member = self.members.get_mut(&id).expect("a member");
-        // The disk's content goes through its bytes, with what a write cut short leaves behind.
+        // The records are encoded and decoded, with the torn tail of an interrupted write.
         let mut bytes = MAGIC.to_vec();
         let positions = (1..).zip(&member.disk);
         positions.for_each(|(place, record)| bytes.extend(encode(record, place)));
@@ -110,7 +107,7 @@
         if self.planted == PlantedFault::ForgetsVote {
             records.retain(|record| !matches!(record, Record::Vote(_)));
         }
-        // What its settings say stays as it was at the first start.
+        // The settings do not change after the first start.
         let membership = Membership {
             id,
             members,
@@ -149,14 +146,15 @@
         ));
     }
 
-    /// Loses power: what is not synced is gone, and all that is in memory.
+    /// Power failure: the memory and all unsynced writes are lost.
     pub fn crash(&mut self, id: u64, for_: Time) {
         let member = self.members.get_mut(&id).expect("a member");
         (member.store, member.restart_at) = (None, self.now + for_);
         member.writes.clear();
     }
 
-    /// Loses a member's file with its power, as long as fewer than half of them are without theirs.
+    /// Power failure and loss of the file, as long as fewer than half of the members have lost
+    /// theirs.
     fn lose_file(&mut self, id: u64, for_: Time) {
         let impaired = self
             .members
@@ -211,7 +209,7 @@
             }
             if let Some(store) = &mut member.store {
                 store.timer(self.now);
-                // What it has caught up with counts once it is on the disk.
+                // The member has caught up once the snapshot is on its disk.
                 member.impaired &= store.status() != Status::Active || !member.writes.is_empty();
             }
         }
@@ -272,7 +270,7 @@
                     };
                     self.in_flight.push((now + MS, to, from, response));
                 }
-                // A store that never came to be may still be spoken of by who had begun it.
+                // A member may still send messages of a store whose bootstrap has failed.
                 let _ = store.receive(envelope, now);
             }
         }
@@ -282,8 +280,7 @@
         Ok(())
     }
 
-    /// What a member gives out: writes to its disk, packets to the wires, applied entries to the
-    /// history.
+    /// Takes a member's output: writes for its disk, messages to others, and applied changes.
     fn drain(&mut self, id: u64) -> Result<(), String> {
         let Some(member) = self.members.get_mut(&id) else {
             return Ok(());
@@ -305,8 +302,8 @@
             response.entry(revision).or_default().push(change);
         }
         for (revision, changes) in response {
-            // A snapshot tells every key at its own place, and what stands there in the log is
-            // among them.
+            // A snapshot reports every key at its own index; the change of the entry at that index
+            // is among them.
             match self.log.get(&revision) {
                 Some(versioned) if !changes.contains(versioned) => {
                     return Err(format!(
@@ -329,14 +326,14 @@
         Ok(())
     }
 
-    /// Faults for a while, then calm; all must then be one, and have all that anybody was ever
-    /// shown.
+    /// Runs with faults, then without: all members must converge, with every change that any member
+    /// had applied.
     pub fn play(&mut self) -> Result<(), String> {
         self.troubled(3000, |_| Ok(()))?;
         self.calmed()
     }
 
-    /// Faults for so many milliseconds; something may be done after each.
+    /// Runs with faults for this many milliseconds, with a callback after each.
     pub fn troubled(
         &mut self,
         length: u64,
@@ -360,10 +357,10 @@
                     let off = delay(&mut self.rng, away, away);
                     self.crash(id, off);
                 }
-                // Power lost to all at one moment.
+                // Power failure of all members.
                 46..47 => (1..=count).for_each(|id| self.crash(id, 20 * MS)),
                 47..55 => drop(self.partitioned.insert((id, other))),
-                // On some days links stay cut, and members away, for longer than an election takes.
+                // Some partitions and outages last longer than an election.
                 55..75 if !long || self.rng.u8(..) < 50 => self.partitioned.clear(),
                 75..79 => {
                     let off = delay(&mut self.rng, away, away);
@@ -375,7 +372,7 @@
         Ok(())
     }
 
-    /// No faults any more: all must be one in the end.
+    /// Runs without faults until all members have converged.
     fn calmed(&mut self) -> Result<(), String> {
         self.heal();
         for _ in 0..40 {
@@ -401,12 +398,12 @@
         ))
     }
 
-    /// Every link is whole again.
+    /// Heals all partitions.
     pub fn heal(&mut self) {
         self.partitioned.clear();
     }
 
-    /// Whether all members run, hold the same and have all that was ever shown.
+    /// Whether all members run, have equal states, and have every change that was ever applied.
     pub fn is_one(&self) -> bool {
         let stores: Vec<_> = self
             .members
@@ -426,7 +423,7 @@
         .unwrap_or(60)
 }
 
-/// The first seed that fails, of so many, with what failed.
+/// The first failing seed of a range, with its failure.
 pub fn first_failure(
     seeds: u64,
     play: impl Fn(u64) -> Result<(), String> + Sync,
@@ -438,7 +435,7 @@
             let (found, play) = (&found, &play);
             scope.spawn(move || {
                 for seed in (first..seeds).step_by(threads as usize) {
-                    // What is behind the first one found need not be played.
+                    // Seeds behind the first failing one need not be run.
                     if found
                         .lock()
                         .unwrap()
