--- a/bitternsill/src/recovery/cli.rs
+++ b/bitternsill/src/recovery/cli.rs
@@ -1,8 +1,9 @@
 //! `bitternsill fleet phase`: how far each gatherer has come, asked at the store's addresses.
 
-use crate::store::client;
+use crate::store::client::{self, ClientError};
 use clap::{Args, ValueEnum};
 use serde_json::{Value as Json, json};
+use std::fmt;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Duration;
@@ -29,50 +30,75 @@
     Json,
 }
 
-/// What is printed, and whether all have answered.
-pub fn run(call: &Phase) -> (String, bool) {
-    let patience = Duration::from_millis(call.patience);
-    let asked: Vec<_> = call
-        .at
-        .iter()
-        .map(|at| {
-            (*at, {
-                let at = *at;
-                thread::spawn(move || {
-                    client::exchange_line(at, super::ASK, patience).map_err(String::from)
-                })
-            })
-        })
-        .collect();
-    let answers: Vec<(SocketAddr, Result<Json, String>)> = asked
+/// A gatherer whose phase is not known.
+#[derive(Debug)]
+enum PhaseError {
+    Client(ClientError),
+    /// The thread that queried it has panicked.
+    Panicked,
+}
+
+impl fmt::Display for PhaseError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            PhaseError::Client(error) => error.fmt(f),
+            PhaseError::Panicked => f.write_str("could not be asked"),
+        }
+    }
+}
+
+impl std::error::Error for PhaseError {}
+
+/// A gatherer's address and its answer.
+struct Answer {
+    address: SocketAddr,
+    result: Result<Json, PhaseError>,
+}
+
+/// Queries all gatherers at once.
+fn query_all(addresses: &[SocketAddr], timeout: Duration) -> Vec<Answer> {
+    let query = |address: &SocketAddr| {
+        let address = *address;
+        let thread = thread::spawn(move || client::exchange_line(address, super::ASK, timeout));
+        (address, thread)
+    };
+    let queries: Vec<_> = addresses.iter().map(query).collect();
+    queries
         .into_iter()
-        .map(|(at, thread)| {
-            (
-                at,
-                thread
-                    .join()
-                    .unwrap_or_else(|_| Err("could not be asked".to_owned())),
-            )
+        .map(|(address, thread)| Answer {
+            address,
+            result: match thread.join() {
+                Ok(result) => result.map_err(PhaseError::Client),
+                Err(_) => Err(PhaseError::Panicked),
+            },
         })
-        .collect();
-    let all = answers.iter().all(|(_, answer)| answer.is_ok());
+        .collect()
+}
+
+/// Queries the gatherers; returns the text to print, and whether all have answered.
+pub fn run(call: &Phase) -> (String, bool) {
+    let answers = query_all(&call.at, Duration::from_millis(call.patience));
+    let all = answers.iter().all(|answer| answer.result.is_ok());
     let text = match call.format {
         Format::Json => {
-            let line = |(at, answer): &(SocketAddr, Result<Json, String>)| match answer {
-                Ok(answer) => json!({"at": at.to_string(), "answer": answer}),
-                Err(problem) => json!({"at": at.to_string(), "problem": problem}),
+            let line = |answer: &Answer| match &answer.result {
+                Ok(result) => json!({"at": answer.address.to_string(), "answer": result}),
+                Err(error) => {
+                    json!({"at": answer.address.to_string(), "problem": error.to_string()})
+                }
             };
             format!("{:#}", Json::Array(answers.iter().map(line).collect()))
         }
-        Format::Text => answers.iter().map(words).collect::<Vec<_>>().join("\n"),
+        Format::Text => answers.iter().map(describe).collect::<Vec<_>>().join("\n"),
     };
     (text, all)
 }
 
-fn words((at, answer): &(SocketAddr, Result<Json, String>)) -> String {
-    let answer = match answer {
+/// The line that describes an answer.
+fn describe(Answer { address, result }: &Answer) -> String {
+    let answer = match result {
         Ok(answer) => answer,
-        Err(problem) => return format!("{at}: {problem}"),
+        Err(error) => return format!("{address}: {error}"),
     };
     let text = |value: &Json| value.as_str().map(str::to_owned);
     let why = answer["why"]
@@ -81,7 +107,7 @@
         .unwrap_or_default();
     let why: Vec<&str> = why.iter().filter_map(Json::as_str).collect();
     let mut line = format!(
-        "{at}: {}, running for {} s, {}, {} index hosts",
+        "{address}: {}, running for {} s, {}, {} index hosts",
         text(&answer["phase"]).unwrap_or_else(|| "no recovery set up".to_owned()),
         answer["running_ms"].as_u64().unwrap_or(0) / 1_000,
         if answer["ready"] == true {
