--- a/router/src/disk.rs
+++ b/router/src/disk.rs
@@ -7,7 +7,7 @@
 mod writer;
 
 pub use reader::{read, read_fleet, read_or_quarantine};
-pub use writer::{Disk, Done};
+pub use writer::{CompletionSender, Disk};
 
 use control::directory::{Key, Value};
 use control::storage::{FORMAT, Record, Recovered, StorageError};
--- a/router/src/disk/writer.rs
+++ b/router/src/disk/writer.rs
@@ -29,7 +29,7 @@
 }
 
 /// Receives the sequence numbers of completed writes.
-pub type Done = tokio::sync::mpsc::UnboundedSender<u64>;
+pub type CompletionSender = tokio::sync::mpsc::UnboundedSender<u64>;
 
 /// The writer of one data directory.
 #[derive(Debug)]
@@ -40,7 +40,11 @@
 
 impl Disk {
     /// Opens a folder for writing, and begins with a snapshot of its contents.
-    pub fn open(folder: &Path, recovered: &Recovered, done: Done) -> Result<Self, DiskError> {
+    pub fn open(
+        folder: &Path,
+        recovered: &Recovered,
+        done: CompletionSender,
+    ) -> Result<Self, DiskError> {
         let files = list(folder).map_err(io_error(folder))?;
         let newest = files
             .snapshots
@@ -79,7 +83,7 @@
     }
 
     /// Returns whether the segment is large enough for a snapshot.
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.since_snapshot > SEGMENT_BYTES
     }
 
@@ -111,7 +115,7 @@
     number: u64,
     segment: Option<File>,
     length: u64,
-    done: Done,
+    done: CompletionSender,
 }
 
 impl Writer {
--- a/router/src/fleet.rs
+++ b/router/src/fleet.rs
@@ -63,7 +63,7 @@
     /// Availability of the KV stores.
     pub stores: KvStores,
     /// Index of the prompt prefixes that this router owns.
-    pub locations: Mutex<PrefixIndex>,
+    pub prefix_index: Mutex<PrefixIndex>,
     /// Failures of the backends that this node judges.
     outlier_detector: Mutex<OutlierDetector>,
     /// The replica that this node runs, if any.
@@ -102,7 +102,7 @@
             published: Mutex::new(Published::default()),
             version_floors: Mutex::default(),
             stores: KvStores::default(),
-            locations: Mutex::default(),
+            prefix_index: Mutex::default(),
             outlier_detector: Mutex::default(),
             replica,
             incarnation,
--- a/router/src/fleet/announced_weights.rs
+++ b/router/src/fleet/announced_weights.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns whether the deadlines of all versions have passed.
-    pub fn are_weights_settled(&self) -> bool {
+    pub fn all_weights_effective(&self) -> bool {
         lock(&self.version_floors).all_effective(self.settings.bounds.version_ms, clock::now())
     }
 
--- a/router/src/fleet/prefixes.rs
+++ b/router/src/fleet/prefixes.rs
@@ -29,12 +29,12 @@
             planned,
             should_save,
         } = lookup;
-        lock(&self.locations).look_up(*key, planned, *should_save, generation, clock::now())
+        lock(&self.prefix_index).look_up(*key, planned, *should_save, generation, clock::now())
     }
 
     /// Records prefixes that a backend evicted.
     pub fn record_evictions(&self, backend: &CompactString, prefixes: &[(PrefixKey, u64)]) {
-        let mut locations = lock(&self.locations);
+        let mut locations = lock(&self.prefix_index);
         for (key, version) in prefixes {
             locations.record_eviction(
                 *key,
@@ -48,7 +48,7 @@
 
     /// Records prefixes that a store evicted.
     pub fn record_store_evictions(&self, prefixes: &[(PrefixKey, u64)]) {
-        let mut locations = lock(&self.locations);
+        let mut locations = lock(&self.prefix_index);
         prefixes
             .iter()
             .for_each(|(key, version)| locations.record_store_eviction(*key, *version));
--- a/router/src/fleet/request_handler.rs
+++ b/router/src/fleet/request_handler.rs
@@ -91,11 +91,11 @@
                 }
             }
             Request::Placed { key, placement } => {
-                lock(&self.locations).record_placement(key, &placement, clock::now());
+                lock(&self.prefix_index).record_placement(key, &placement, clock::now());
             }
             Request::Evicted { backend, prefixes } => self.record_evictions(&backend, &prefixes),
             Request::EvictedFromStore { prefixes } => self.record_store_evictions(&prefixes),
-            Request::Faults { reporter, faults } => self.record_failures(&reporter, &faults),
+            Request::Failures { reporter, failures } => self.record_failures(&reporter, &failures),
             Request::Pull(_)
             | Request::Submit { .. }
             | Request::ReadConfiguration { .. }
--- a/router/src/fleet/suspicions.rs
+++ b/router/src/fleet/suspicions.rs
@@ -13,9 +13,9 @@
 
 impl Fleet {
     /// Reports failures that this router observed to the judges of the backends.
-    pub fn report_failures(&self, faults: &BTreeMap<CompactString, u32>) {
+    pub fn report_failures(&self, failures: &BTreeMap<CompactString, u32>) {
         let mut by_judge: BTreeMap<SocketAddrV4, Vec<(CompactString, u32)>> = BTreeMap::new();
-        for (backend, count) in faults {
+        for (backend, count) in failures {
             if let Some(judge) = self.judge(backend) {
                 by_judge
                     .entry(judge)
@@ -24,15 +24,15 @@
             }
         }
         let reporter = &self.settings.node_name;
-        for (judge, faults) in by_judge {
+        for (judge, failures) in by_judge {
             if judge == self.settings.internal_address() {
-                self.record_failures(reporter, &faults);
+                self.record_failures(reporter, &failures);
             } else {
                 self.links.send(
                     judge,
-                    Request::Faults {
+                    Request::Failures {
                         reporter: reporter.clone(),
-                        faults,
+                        failures,
                     },
                 );
             }
@@ -51,9 +51,9 @@
     }
 
     /// Records failures that a router observed, and publishes new suspicions.
-    pub fn record_failures(&self, reporter: &CompactString, faults: &[(CompactString, u32)]) {
+    pub fn record_failures(&self, reporter: &CompactString, failures: &[(CompactString, u32)]) {
         let now = clock::now();
-        for (backend, count) in faults {
+        for (backend, count) in failures {
             let suspected =
                 lock(&self.outlier_detector).record_failures(backend, reporter, *count, now);
             if let Some(lasts_ms) = suspected {
--- a/router/src/frame.rs
+++ b/router/src/frame.rs
@@ -84,7 +84,7 @@
 ) -> io::Result<()> {
     let bytes = encode(frame)?;
     writer.write_all(&bytes).await?;
-    traffic.sent(MessageKind::of(frame), bytes.len());
+    traffic.record_sent(MessageKind::of(frame), bytes.len());
     Ok(())
 }
 
@@ -101,6 +101,6 @@
     let mut body = vec![0; length];
     reader.read_exact(&mut body).await?;
     let frame = decode(&body, declared & COMPRESSED != 0)?;
-    traffic.received(MessageKind::of(&frame), size_of::<u32>() + length);
+    traffic.record_received(MessageKind::of(&frame), size_of::<u32>() + length);
     Ok(frame)
 }
--- a/router/src/listener.rs
+++ b/router/src/listener.rs
@@ -88,7 +88,7 @@
 
 impl ClientConnections {
     /// The connection of a client address.
-    pub fn of(&self, remote: Option<&SocketAddr>) -> ClientConnection {
+    pub fn get(&self, remote: Option<&SocketAddr>) -> ClientConnection {
         remote
             .and_then(|remote| lock(&self.0).get(remote).cloned())
             .unwrap_or_default()
--- a/router/src/membership/bootstrap.rs
+++ b/router/src/membership/bootstrap.rs
@@ -53,7 +53,7 @@
             continue;
         }
         log::info!("founding the control state with {} replicas", known.len());
-        replica.found(electorate(&fleet), known.clone());
+        replica.bootstrap(electorate(&fleet), known.clone());
         tokio::time::sleep(BOOTSTRAP_RETRY_INTERVAL).await;
     }
 }
--- a/router/src/protocol.rs
+++ b/router/src/protocol.rs
@@ -92,11 +92,11 @@
         keys: Vec<u64>,
     },
     /// Reports failures that a router observed at backends, with their numbers; one-way.
-    Faults {
+    Failures {
         /// Name of the router.
         reporter: CompactString,
         /// Instance ids and numbers of failures.
-        faults: Vec<(CompactString, u32)>,
+        failures: Vec<(CompactString, u32)>,
     },
 }
 
--- a/router/src/proxy/backend.rs
+++ b/router/src/proxy/backend.rs
@@ -43,7 +43,7 @@
 
 impl ReportedLoad {
     /// Parses the load header.
-    pub fn read(text: &str, at: Millis) -> Option<Self> {
+    pub fn parse(text: &str, at: Millis) -> Option<Self> {
         let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
         Some(ReportedLoad {
             running: numbers.next()??,
--- a/router/src/proxy/cache_watcher.rs
+++ b/router/src/proxy/cache_watcher.rs
@@ -77,7 +77,7 @@
     client: reqwest::Client,
 ) {
     loop {
-        let ended = kv_events::follow(address, &client, |_, events| {
+        let ended = kv_events::poll(address, &client, |_, events| {
             locator.notify_evictions(&id, &events)
         })
         .await;
--- a/router/src/proxy/ingress.rs
+++ b/router/src/proxy/ingress.rs
@@ -71,7 +71,7 @@
 
     async fn handle(&self, request: Request) -> Response {
         self.forwarder.count(Event::RequestReceived);
-        let connection = self.connections.of(request.remote_addr().as_socket_addr());
+        let connection = self.connections.get(request.remote_addr().as_socket_addr());
         // The HTTP server keeps running a request whose client has disconnected. Dropping the
         // future here cancels it with all its attempts.
         let outcome = tokio::select! {
--- a/router/src/proxy/kv_events.rs
+++ b/router/src/proxy/kv_events.rs
@@ -17,7 +17,7 @@
 
 /// Why reading events ended.
 #[derive(Debug, Error)]
-pub enum ReadingError {
+pub enum KvEventsError {
     /// The request failed.
     #[error("{address} does not answer: {error}; it is tried again")]
     Unreachable {
@@ -72,11 +72,11 @@
 }
 
 /// Polls for events until an error. `heard` receives each page with the sender's incarnation.
-pub async fn follow(
+pub async fn poll(
     address: SocketAddrV4,
     client: &reqwest::Client,
     heard: impl Fn(u64, Vec<KvEvent>),
-) -> Result<(), ReadingError> {
+) -> Result<(), KvEventsError> {
     let (mut since, mut epoch) = (0, None);
     loop {
         let page = call(address, client, since).await?;
@@ -112,8 +112,8 @@
     address: SocketAddrV4,
     client: &reqwest::Client,
     since: u64,
-) -> Result<Page, ReadingError> {
-    let unreachable = |error| ReadingError::Unreachable { address, error };
+) -> Result<Page, KvEventsError> {
+    let unreachable = |error| KvEventsError::Unreachable { address, error };
     let url = format!("http://{address}/v1/kv-events?since={since}");
     let wait = LONG_POLL_WAIT.as_millis().to_string();
     let call = client
@@ -123,11 +123,11 @@
     let answer = call.send().await.map_err(unreachable)?;
     let status = answer.status();
     if !status.is_success() {
-        return Err(ReadingError::Rejection {
+        return Err(KvEventsError::Rejection {
             address,
             status: status.as_u16(),
         });
     }
     let body = answer.bytes().await.map_err(unreachable)?;
-    serde_json::from_slice(&body).map_err(|error| ReadingError::Unreadable { address, error })
+    serde_json::from_slice(&body).map_err(|error| KvEventsError::Unreadable { address, error })
 }
--- a/router/src/proxy/kv_store_monitor.rs
+++ b/router/src/proxy/kv_store_monitor.rs
@@ -143,7 +143,7 @@
             fleet.stores.mark_available(address, generation);
             locator.notify_store_evictions(&events);
         };
-        if kv_events::follow(address, &client, heard).await.is_err() {
+        if kv_events::poll(address, &client, heard).await.is_err() {
             fleet.stores.mark_unresponsive(address);
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
--- a/router/src/proxy/prefix_locator.rs
+++ b/router/src/proxy/prefix_locator.rs
@@ -135,7 +135,7 @@
             return;
         };
         if self.is_own(owner.address) {
-            lock(&self.fleet.locations).record_placement(key, &placement, clock::now());
+            lock(&self.fleet.prefix_index).record_placement(key, &placement, clock::now());
         } else {
             self.fleet
                 .links
--- a/router/src/proxy/response.rs
+++ b/router/src/proxy/response.rs
@@ -36,7 +36,7 @@
         let (head, body) = response.into_parts();
         let own = headers::text(&head.headers, &headers::REQUEST_ID);
         let has_load = headers::text(&head.headers, &headers::LOAD);
-        if let Some(reported) = has_load.and_then(|text| ReportedLoad::read(text, clock::now())) {
+        if let Some(reported) = has_load.and_then(|text| ReportedLoad::parse(text, clock::now())) {
             self.backend.record_load(reported);
         }
         if own.is_some_and(|id| id != self.upstream_request.request_id) {
--- a/router/src/replica/handle.rs
+++ b/router/src/replica/handle.rs
@@ -23,7 +23,7 @@
     Message(Box<Envelope>),
     Submit(Change, oneshot::Sender<Outcome>),
     Read(oneshot::Sender<ReadOutcome>),
-    Found {
+    Bootstrap {
         electorate: BTreeSet<ReplicaId>,
         replicas: BTreeSet<ReplicaId>,
     },
@@ -56,7 +56,7 @@
     /// Id of the replica.
     pub id: ReplicaId,
     inputs: mpsc::Sender<Input>,
-    shown: Arc<Mutex<ReplicaStatus>>,
+    status: Arc<Mutex<ReplicaStatus>>,
 }
 
 /// The receiving end of the handle, for [`run`](super::task::run).
@@ -70,20 +70,20 @@
             ReplicaHandle {
                 id,
                 inputs,
-                shown: Arc::default(),
+                status: Arc::default(),
             },
             Inputs(queue),
         )
     }
 
     /// Publishes a new status.
-    pub fn publish_status(&self, shown: ReplicaStatus) {
-        *lock(&self.shown) = shown;
+    pub fn publish_status(&self, status: ReplicaStatus) {
+        *lock(&self.status) = status;
     }
 
     /// The latest decided view that is known here.
     pub(super) fn view(&self) -> Option<Arc<View>> {
-        lock(&self.shown).view.clone()
+        lock(&self.status).view.clone()
     }
 
     /// Passes on a message of another replica; dropped if the queue is full.
@@ -99,7 +99,7 @@
 
     /// The fencing token of the lease, while it is held.
     pub fn fencing_token(&self) -> Option<Epoch> {
-        lock(&self.shown)
+        lock(&self.status)
             .lease
             .filter(|(_, until)| clock::now() < *until)
             .map(|(epoch, _)| epoch)
@@ -108,7 +108,7 @@
     /// The rollout ownership now, which requires the lease.
     pub fn rollout_ownership(&self) -> RolloutOwnership {
         if self.is_leader() {
-            lock(&self.shown).rollout_ownership
+            lock(&self.status).rollout_ownership
         } else {
             RolloutOwnership::NotLeader
         }
@@ -122,14 +122,14 @@
 
     /// When the committed state was last confirmed as the latest.
     pub fn current_at(&self) -> Option<Millis> {
-        lock(&self.shown).current_at
+        lock(&self.status).current_at
     }
 
     /// Returns whether this replica is the primary, also while it still synchronizes its backups:
     /// calls may wait here.
     pub fn is_primary(&self) -> bool {
         matches!(
-            lock(&self.shown).role,
+            lock(&self.status).role,
             Some(RoleName::Primary | RoleName::StartingPrimary)
         )
     }
@@ -149,12 +149,12 @@
     /// Returns whether the process may end: no change waits for this replica, and enough others
     /// have its data.
     pub fn can_shut_down(&self) -> bool {
-        lock(&self.shown).can_shut_down
+        lock(&self.status).can_shut_down
     }
 
     /// Status line for operators.
     pub fn status(&self) -> String {
-        lock(&self.shown).status.clone()
+        lock(&self.status).status.clone()
     }
 
     /// Submits a change and waits for its outcome.
@@ -183,9 +183,9 @@
     }
 
     /// Bootstraps a new system by proposing its first view.
-    pub fn found(&self, electorate: BTreeSet<ReplicaId>, replicas: BTreeSet<ReplicaId>) {
+    pub fn bootstrap(&self, electorate: BTreeSet<ReplicaId>, replicas: BTreeSet<ReplicaId>) {
         // The caller retries as long as there is no view.
-        let _ = self.inputs.try_send(Input::Found {
+        let _ = self.inputs.try_send(Input::Bootstrap {
             electorate,
             replicas,
         });
--- a/router/src/replica/task.rs
+++ b/router/src/replica/task.rs
@@ -85,7 +85,7 @@
                 self.readers.insert(self.tickets, reply);
                 self.node.read(self.tickets, now);
             }
-            Input::Found {
+            Input::Bootstrap {
                 electorate,
                 replicas,
             } => self.node.bootstrap(electorate, replicas, now),
@@ -110,7 +110,7 @@
         }
         self.save_at = now + SAVE;
         let version = self.fleet.change_count();
-        if version != self.saved || !self.fleet.are_weights_settled() {
+        if version != self.saved || !self.fleet.all_weights_effective() {
             self.saved = version;
             let records = lock(&self.fleet.directory).persistent_records();
             self.disk.save_fleet(&PersistedFleet {
@@ -147,7 +147,7 @@
                 }
             }
         }
-        if self.disk.wants_snapshot() {
+        if self.disk.needs_snapshot() {
             self.disk.snapshot(&self.node.snapshot());
         }
         self.show();
--- a/router/src/traffic.rs
+++ b/router/src/traffic.rs
@@ -53,7 +53,7 @@
             | Request::Placed { .. }
             | Request::Evicted { .. }
             | Request::EvictedFromStore { .. } => MessageKind::Locate,
-            Request::Faults { .. } => MessageKind::Faults,
+            Request::Failures { .. } => MessageKind::Faults,
             Request::Compare { .. } | Request::Fetch { .. } => MessageKind::Repair,
         }
     }
@@ -98,7 +98,7 @@
 
 impl Traffic {
     /// Records a frame that was written.
-    pub fn sent(&self, kind: MessageKind, bytes: usize) {
+    pub fn record_sent(&self, kind: MessageKind, bytes: usize) {
         let counter = &self.counters[kind as usize];
         counter.messages_sent.fetch_add(1, Ordering::Relaxed);
         counter
@@ -107,7 +107,7 @@
     }
 
     /// Records a frame that was read.
-    pub fn received(&self, kind: MessageKind, bytes: usize) {
+    pub fn record_received(&self, kind: MessageKind, bytes: usize) {
         let counter = &self.counters[kind as usize];
         counter.messages_received.fetch_add(1, Ordering::Relaxed);
         counter
--- a/router/tests/disk.rs
+++ b/router/tests/disk.rs
@@ -58,7 +58,7 @@
     let last = indexes.end - 1;
     for index in indexes {
         disk.append(index, &[update(index, bytes)]);
-        if disk.wants_snapshot() {
+        if disk.needs_snapshot() {
             let state = Recovered {
                 disk: recovered.disk,
                 ..Recovered::default()
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -52,7 +52,7 @@
     }
     let counts = [first.count(), second.count()];
     assert!(counts.contains(&6), "all at one of them: {counts:?}");
-    assert_eq!(router.fleet.locations.lock().unwrap().len(), 1);
+    assert_eq!(router.fleet.prefix_index.lock().unwrap().len(), 1);
 }
 
 #[tokio::test]
@@ -117,7 +117,7 @@
     };
     router
         .fleet
-        .locations
+        .prefix_index
         .lock()
         .unwrap()
         .record_placement(key, &current, router::clock::now());
--- a/router/tests/response_isolation.rs
+++ b/router/tests/response_isolation.rs
@@ -268,7 +268,7 @@
     let _second = connect(remote.port()).await;
     let (mut present, ..) = acceptor.accept().await.unwrap();
     drop(former);
-    connections.of(Some(&remote)).abort();
+    connections.get(Some(&remote)).abort();
     assert!(
         present.write_all(b"the end of an answer").await.is_err(),
         "nothing is written any more"
--- a/router/tests/wire_format.rs
+++ b/router/tests/wire_format.rs
@@ -313,9 +313,9 @@
         ),
         (
             "faults",
-            Request::Faults {
+            Request::Failures {
                 reporter: "node-1".into(),
-                faults: vec![("i-1".into(), 3)],
+                failures: vec![("i-1".into(), 3)],
             },
         ),
     ]
--- a/routing/src/hedging.rs
+++ b/routing/src/hedging.rs
@@ -1,9 +1,9 @@
 //! Limits how many hedged requests are sent.
 //!
-//! When a request is hedged follows from [`Pace`], the latency estimate that routers share with
+//! When a request is hedged follows from [`LatencyEstimate`], the latency estimate that routers share with
 //! the gatherer ("The Tail at Scale", Dean and Barroso, 2013).
 
-pub use dispatch::dispatcher::Pace;
+pub use dispatch::dispatcher::Pace as LatencyEstimate;
 
 /// Hedges that each first attempt adds to the budget.
 const HEDGES_PER_REQUEST: f64 = 0.1;
