--- a/routing/tests/version_floor.rs
+++ b/routing/tests/version_floor.rs
@@ -48,13 +48,13 @@
     assert_eq!(floors.minimum("m", GRACE_PERIOD, GRACE_PERIOD), Some(2));
 }
 
-/// Story: requests began on version 1 of some weights, 6.1 s after version 2 was acknowledged,
-/// where 6 s are permitted. Versions had been announced at 2.0 s, 5.2 s and 8.5 s; a backend that was
-/// late in the rollout still had version 1, and routers still sent to it.
+/// Incident: requests started on version 1 of some weights, 6.1 s after version 2 was acknowledged,
+/// where 6 s are permitted. Versions had been announced at 2.0 s, 5.2 s and 8.5 s; a backend that
+/// was late in the rollout still had version 1, and routers still sent to it.
 ///
 /// Evidence: each router knew of each version within 10 ms, by its log. Cause: only the newest
-/// version was remembered, and since when, so each newer one let its predecessor's time begin anew;
-/// where versions come faster than that time, none was ever required.
+/// version was stored with its announcement, so each newer one restarted the grace period of its
+/// predecessor; while versions come faster than that period, none was ever required.
 #[test]
 fn newer_versions_do_not_extend_deadline() {
     let mut floors = VersionFloors::default();
@@ -149,15 +149,14 @@
     assert!(floors.all_effective(GRACE_PERIOD, 300 + GRACE_PERIOD));
 }
 
-/// Story: a request began on version 21 of some weights 7.2 s after version 22 was acknowledged,
-/// where 6 s are permitted, and was served. It was held up on its way to a backend that had version
-/// 21; versions were announced each 0.85 s. Seen in 4 of 49 runs of one seed of the soak.
+/// Incident: a request started on version 21 of some weights 7.2 s after version 22 was
+/// acknowledged, where 6 s are permitted, and was served. It was delayed on its way to a backend that
+/// had version 21; versions were announced each 0.85 s. Seen in 4 of 49 runs of one seed of the soak.
 ///
-/// Evidence: the router knew of version 22 at once, and had not withdrawn the request when its time
-/// was over. Cause: requests are withdrawn a second later than backends become ineligible; a
-/// version was forgotten once the next one made backends ineligible, so where versions lie less
-/// than that second apart, the one whose time was about to be over was always forgotten just
-/// before.
+/// Evidence: the router knew of version 22 immediately, and had not withdrawn the request at its
+/// deadline. Cause: requests are withdrawn a second later than backends become ineligible. A version
+/// was pruned once the next one made backends ineligible, so while versions are announced less than
+/// that second apart, the one whose deadline was next was always pruned just before.
 #[test]
 fn start_deadline_is_stable_under_fast_announcements() {
     const LATER: u64 = 1_000;
