--- a/router/tests/abandoned_requests.rs
+++ b/router/tests/abandoned_requests.rs
@@ -17,16 +17,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// A way to a backend that is cut. Once it heals, what was sent arrives, unless its sender has
-/// reset the connection meanwhile.
+/// A partitioned network path to a backend. Once it heals, buffered bytes arrive, unless their
+/// sender has reset the connection.
 struct Delayed {
     address: SocketAddrV4,
-    /// A permit for each connection on which something was sent.
+    /// A permit for each connection on which bytes were sent.
     sent: Arc<Semaphore>,
     /// A permit for each connection that its sender has ended.
     ended: Arc<Semaphore>,
     heals: Arc<Semaphore>,
-    /// A permit for each connection that was carried to its end after the way had healed.
+    /// A permit for each connection that was delivered completely after the path healed.
     carried: Arc<Semaphore>,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Waits until the other side has closed or reset the connection, and reads nothing.
+/// Waits until the peer has closed or reset the connection, without reading.
 async fn has_ended(stream: &TcpStream) {
     while !stream
         .ready(Interest::READABLE)
@@ -86,7 +86,7 @@
     backend.write_all(&bytes).await.unwrap();
     backend.shutdown().await.unwrap();
     let mut answer = Vec::new();
-    // The backend may break off, as its caller has gone.
+    // The backend may abort, as its caller has disconnected.
     let _ = backend.read_to_end(&mut answer).await;
 }
 
--- a/router/tests/client_disconnects.rs
+++ b/router/tests/client_disconnects.rs
@@ -17,10 +17,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Far below the time-outs of routes and requests here: what ends by them is too late.
+/// Far below the time-outs used here: whatever only ends by a time-out is too late.
 const SOON: Duration = Duration::from_secs(1);
 
-/// The usual routes with time-outs that no test waits for.
+/// The usual routes, with time-outs that no test waits for.
 fn patient_configuration() -> String {
     CONFIGURATION.replace("\"timeoutMs\":3000", "\"timeoutMs\":60000")
 }
@@ -55,7 +55,7 @@
     given_up.is_ok_and(|permit| permit.map(|permit| permit.forget()).is_ok())
 }
 
-/// Has a client leave while one of its requests waits for the head of an answer.
+/// Disconnects a client while one of its requests waits for the head of a response.
 async fn disconnects_before_response(first: &str, then: Option<&str>) -> bool {
     let actions = match then {
         Some(_) => vec![Action::Respond(success("ok")), Action::Hang],
@@ -76,7 +76,7 @@
     is_given_up(&backend).await
 }
 
-/// Has a client leave while a copy of its request is on its way too: both sends have to end.
+/// Disconnects a client while its request has a hedge in flight: both attempts have to end.
 async fn disconnects_with_hedge_in_flight() -> bool {
     let (first, second) = (
         FakeBackend::start(vec![Action::Hang]).await,
@@ -96,7 +96,7 @@
         && router.fleet.counters.get(Event::AttemptSent) == 2
 }
 
-/// Has a client leave in the middle of a stream whose backend says nothing more.
+/// Disconnects a client in the middle of a stream whose backend sends nothing more.
 async fn disconnects_during_stream() -> bool {
     let begun = format!("{STREAM_HEAD}{}", event(1));
     let backend = FakeBackend::start(vec![Action::RespondAndHang(begun)]).await;
@@ -112,8 +112,8 @@
     is_given_up(&backend).await
 }
 
-/// Has a client leave while its stream, which broke off at one backend, waits for another one to go
-/// on.
+/// Disconnects a client while its stream, which broke at one backend, waits to be resumed by
+/// another.
 async fn disconnects_while_stream_resumes() -> bool {
     let half = format!("{STREAM_HEAD}{}", event(1));
     let backend = FakeBackend::start(vec![Action::RespondAndReset(half), Action::Hang]).await;
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -39,22 +39,22 @@
  "services":[{"name":"s","healthPath":"/health","connectionLimit":100}],
  "tenants":[{"name":"t1","apiKeys":["key1"],"isolated":true},{"name":"t2","apiKeys":["key2"]}]}"#;
 
-/// What a stand-in does with a request.
+/// How a fake backend handles a request.
 #[derive(Debug, Clone)]
 pub enum Action {
-    /// Sends these bytes; `{id}` stands for the request's id. The connection goes on.
+    /// Sends these bytes, with the request's id in place of `{id}`, and keeps the connection open.
     Respond(String),
-    /// Sends these bytes and closes.
+    /// Sends these bytes and closes the connection.
     RespondAndClose(String),
-    /// Sends these bytes and resets.
+    /// Sends these bytes and resets the connection.
     RespondAndReset(String),
-    /// Sends nothing, until the caller closes.
+    /// Sends nothing until the caller closes the connection.
     Hang,
-    /// Sends these bytes and then nothing, until the caller closes.
+    /// Sends these bytes, and then nothing until the caller closes the connection.
     RespondAndHang(String),
 }
 
-/// An answer of a backend.
+/// A response of a backend.
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nX-Request-Id: {{id}}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -62,7 +62,7 @@
     )
 }
 
-/// A whole success.
+/// A complete successful response.
 pub fn success(body: &str) -> String {
     answer("200 OK", "X-Response-Seal: seal\r\n", body)
 }
@@ -80,18 +80,18 @@
 /// The end of a chunked body.
 pub const END: &str = "0\r\n\r\n";
 
-/// A backend that does with each request what it was told.
+/// A backend that handles each request as configured.
 #[derive(Clone)]
 pub struct FakeBackend {
     pub address: SocketAddrV4,
     pub requests: Arc<Mutex<Vec<String>>>,
-    /// Connections that the caller closed while it waited.
+    /// A permit for each connection that the caller closed while it waited.
     pub given_up: Arc<tokio::sync::Semaphore>,
     actions: Arc<Mutex<Vec<Action>>>,
 }
 
 impl FakeBackend {
-    /// A stand-in that does these things one after the other, and the last one for good.
+    /// Starts a backend that takes these actions in turn, and repeats the last one.
     pub async fn start(actions: Vec<Action>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
@@ -162,7 +162,7 @@
     }
 }
 
-/// A header of a request as it was read.
+/// A header of a raw request.
 pub fn header(request: &str, name: &str) -> Option<String> {
     let lines = request.split("\r\n\r\n").next()?.lines();
     let mut found = lines.filter_map(|line| line.split_once(':'));
@@ -189,7 +189,7 @@
     Some(head + &String::from_utf8_lossy(&body))
 }
 
-/// A router before some backends.
+/// A router with some backends.
 pub struct Router {
     pub address: std::net::SocketAddr,
     pub fleet: Arc<Fleet>,
@@ -197,12 +197,12 @@
 }
 
 impl Router {
-    /// The shared state of a router that knows nothing yet.
+    /// The state of a router that starts.
     pub fn without_configuration() -> Arc<Fleet> {
         Fleet::new(Arc::new(Self::settings()), None, 1)
     }
 
-    /// The settings of all routers here.
+    /// The settings of all routers in these tests.
     pub fn settings() -> Settings {
         Settings::parse(Path::new("settings.json"), SETTINGS.as_bytes()).unwrap()
     }
@@ -211,12 +211,12 @@
         Self::start_with(CONFIGURATION, backends).await
     }
 
-    /// A router with a configuration of its own.
+    /// Starts a router with a configuration of its own.
     pub async fn start_with(configuration: &str, backends: &[&FakeBackend]) -> Self {
         Self::start_on(Self::without_configuration(), configuration, backends).await
     }
 
-    /// A router on a shared state that is there already.
+    /// Starts a router with existing state.
     pub async fn start_on(
         fleet: Arc<Fleet>,
         configuration: &str,
@@ -250,13 +250,13 @@
     pub async fn ask(&self, path: &str, headers: &str) -> String {
         let mut stream = self.send(path, headers).await;
         let mut text = String::new();
-        // A connection that is broken off ends with a reset now and then.
+        // An aborted connection may end with a reset.
         let read = tokio::time::timeout(PATIENCE, stream.read_to_string(&mut text)).await;
         let _ = read.expect("an answer in time");
         text
     }
 
-    /// Sends a request with a body, and leaves the answer to the caller.
+    /// Sends a request with a body, and leaves the response to the caller.
     pub async fn send(&self, path: &str, headers: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         let text = format!(
@@ -311,7 +311,7 @@
     );
 }
 
-/// Marks a backend as one whose heartbeats have stopped.
+/// Marks a backend as unresponsive.
 pub fn mark_unresponsive(fleet: &Fleet, at: usize) {
     let key = Key::Backend(format!("i-{at}").into());
     let current = fleet.directory.lock().unwrap().get(&key).cloned();
@@ -327,7 +327,7 @@
     ));
 }
 
-/// Registers a backend with some version of its weights.
+/// Registers a backend with a version of its weights.
 pub fn register_version(fleet: &Fleet, at: usize, backend: &FakeBackend, version: u64) {
     put(
         fleet,
@@ -339,7 +339,7 @@
     );
 }
 
-/// A heartbeat of a backend, as a node with a replica takes it. False where it is not acknowledged.
+/// Sends a backend's heartbeat to a replica node. Returns false if it is not acknowledged.
 pub async fn heartbeat(
     fleet: &Fleet,
     at: usize,
--- a/router/tests/common/model_backend.rs
+++ b/router/tests/common/model_backend.rs
@@ -10,19 +10,19 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a backend remembers.
+/// The state of a backend.
 #[derive(Debug)]
 struct State {
     version: u64,
     taken_orders: u64,
     highest_fencing_token: u64,
-    /// So many of the next orders are held up on their way.
+    /// Number of the next orders that are delayed in transit.
     holds_up: usize,
     delayed: Vec<String>,
     requests: Vec<String>,
 }
 
-/// The stand-in. All clones are the same one.
+/// The fake backend; clones share their state.
 #[derive(Debug, Clone)]
 pub struct ModelBackend {
     pub address: SocketAddrV4,
@@ -30,7 +30,7 @@
 }
 
 impl ModelBackend {
-    /// A backend with a version of the weights of model `m`.
+    /// Creates a backend with a version of the weights of model `m`.
     pub async fn start(version: u64) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
@@ -71,22 +71,22 @@
         self.state.lock().unwrap().requests.clone()
     }
 
-    /// It has another version of its weights from now on, whatever the cause.
+    /// Changes the version of its weights, whatever the cause.
     pub fn has_version(&self, version: u64) {
         self.state.lock().unwrap().version = version;
     }
 
-    /// The next orders are held up on their way.
+    /// Delays the next orders in transit.
     pub fn hold_up_orders(&self, count: usize) {
         self.state.lock().unwrap().holds_up = count;
     }
 
-    /// How many orders are held up now.
+    /// Number of orders that are delayed now.
     pub fn delayed_orders(&self) -> usize {
         self.state.lock().unwrap().delayed.len()
     }
 
-    /// What was held up arrives. Returns how each order was answered.
+    /// Delivers the delayed orders. Returns the status of each response.
     pub fn deliver_late_orders(&self) -> Vec<u16> {
         let mut state = self.state.lock().unwrap();
         let late = std::mem::take(&mut state.delayed);
@@ -98,7 +98,7 @@
     async fn serve(self, mut stream: TcpStream) {
         while let Some(request) = read_request(&mut stream).await {
             let Some(answer) = self.answer(&request) else {
-                // Its caller gets nothing, and closes.
+                // The caller gets no response, and closes the connection.
                 let _ = read_request(&mut stream).await;
                 return;
             };
--- a/router/tests/delayed_orders.rs
+++ b/router/tests/delayed_orders.rs
@@ -34,13 +34,13 @@
 const PROMPT: &str =
     "X-Model-Name: m\r\nX-Token-Counts: 100,10\r\nX-Prompt-Prefix: aa:50,bb:50\r\n";
 
-/// A node that holds the lease and gives orders.
+/// A node that holds the lease and rolls out weights.
 struct Leader {
     fleet: Arc<Fleet>,
     orders: JoinHandle<()>,
 }
 
-/// A node with a replica, in touch with the primary for as long as a test takes.
+/// A node with a replica that stays current for as long as a test takes.
 fn node() -> (Arc<Fleet>, ReplicaHandle) {
     let id = ReplicaId {
         disk: 1,
@@ -76,7 +76,7 @@
         name_version(&self.fleet, version);
     }
 
-    /// Waits until the directory says that the backend's order for a version is done.
+    /// Waits until the directory states that the backend's order for a version is completed.
     async fn is_done(&self, version: u64) {
         until("the order is done", || {
             self.order().is_some_and(|order| is_done(&order, version))
@@ -130,8 +130,8 @@
         .unwrap_or_else(|_| panic!("in time: {what}"));
 }
 
-/// The order for version 2 is held up on its way, version 3 is named and loaded, and then the first
-/// order arrives.
+/// The order for version 2 is delayed in transit, version 3 is announced and loaded, and then the
+/// first order arrives.
 #[tokio::test]
 async fn late_order_does_not_roll_back_backend() {
     let backend = ModelBackend::start(1).await;
@@ -154,8 +154,8 @@
     );
 }
 
-/// Whatever took a backend back, and whether or not its heartbeats had told the newer version in
-/// between: they are believed.
+/// Heartbeats with an older version are believed, whatever rolled the backend back, and whether or
+/// not they stated the newer version in between.
 #[tokio::test]
 async fn reorders_backend_that_reports_older_version() {
     for tells_newer in [true, false] {
@@ -177,7 +177,7 @@
     }
 }
 
-/// A router that holds a backend for newer than it is sends it requests that it turns away, for as
+/// A router that overestimates the version of a backend sends it requests that it rejects, for as
 /// long as it does so.
 #[tokio::test]
 async fn routes_by_latest_reported_version() {
--- a/router/tests/disk.rs
+++ b/router/tests/disk.rs
@@ -51,7 +51,7 @@
     })
 }
 
-/// Writes some updates, and waits until the last one is on the disk.
+/// Writes some updates, and waits until the last one is synced.
 fn write(folder: &Path, recovered: &Recovered, indexes: std::ops::Range<u64>, bytes: usize) {
     let (done, mut stored) = mpsc::unbounded_channel();
     let mut disk = Disk::open(folder, recovered, done).unwrap();
@@ -107,8 +107,8 @@
     assert_eq!(folder.files().len(), 2);
 }
 
-/// A loss of power between any two steps of a snapshot: an unfinished one beside the old files, or
-/// old files that stay.
+/// A power loss between any two steps of a snapshot: an incomplete snapshot beside the old files,
+/// or old files that remain.
 #[test]
 fn ignores_incomplete_snapshot() {
     let folder = Folder::new("unfinished");
@@ -144,8 +144,8 @@
         folder: folder.0.clone(),
     });
     assert_eq!(cli::ask(&asked).unwrap_err().to_string(), text);
-    // A node that starts there sets the records aside, twice if need be, and begins as one that
-    // lost its disk.
+    // A node that starts there moves the records aside, repeatedly if need be, and rejoins as one
+    // that lost its disk.
     for _ in 0..2 {
         assert!(disk::read_or_quarantine(&folder.0).unwrap().is_none());
         assert_eq!(folder.files(), ["damaged"]);
@@ -179,7 +179,7 @@
     );
 }
 
-/// Everything that a folder holds, for putting it back.
+/// All files of a folder, to restore them.
 fn contents(folder: &Folder) -> Vec<(PathBuf, Vec<u8>)> {
     let paths = folder.files().into_iter().map(|name| folder.0.join(name));
     paths
@@ -187,9 +187,9 @@
         .collect()
 }
 
-/// A loss of power cuts the last write of a segment off; whatever is cut off a snapshot, or off a
-/// segment that others follow, was synced and is damage. Nothing that is read is older than what a
-/// cut leaves.
+/// A power loss truncates the last write of a segment. A truncated snapshot, or a truncated segment
+/// before others, has lost synced data and is corrupt. Nothing that is read is older than what the
+/// truncation leaves.
 #[test]
 fn truncation_loses_only_unsynced_records() {
     let folder = Folder::new("cut");
@@ -238,7 +238,7 @@
     let segment = folder.0.join("segment-00000001");
     let bytes = fs::read(&segment).unwrap();
     fs::write(&segment, &bytes[..bytes.len() - 1]).unwrap();
-    // One that was made for a snapshot which did not come about is empty.
+    // A segment that was created for a snapshot which was not completed is empty.
     fs::write(folder.0.join("segment-00000002"), b"").unwrap();
     assert_eq!(
         disk::read(&folder.0)
@@ -305,7 +305,7 @@
         Some(4),
         "the higher one holds"
     );
-    // The numbers of the records on disk stay what they were.
+    // The indexes of the records on disk are stable.
     assert_eq!(
         postcard::to_stdvec(&Record::VotesV1(VotesV1::default())).unwrap()[0],
         1
--- a/router/tests/kv_stores.rs
+++ b/router/tests/kv_stores.rs
@@ -56,7 +56,7 @@
         requester.store_for(PrefixKey(1)),
         reader.store_for(PrefixKey(1))
     );
-    // It has restarted, and lost what it kept.
+    // The store has restarted, and lost its contents.
     reader.mark_available(address(9), 6);
     requester.apply_status(address(9), reader.status(address(9)).expect("it was heard"));
     assert_eq!(
--- a/router/tests/links.rs
+++ b/router/tests/links.rs
@@ -14,10 +14,10 @@
 
 /// Long enough for anything on loopback; a test that waits for it has failed.
 const PATIENCE: Duration = Duration::from_secs(10);
-/// An asker that gives up soon.
+/// A caller that gives up soon.
 const IMPATIENCE: Duration = Duration::from_millis(20);
 
-/// The other router, played by hand.
+/// The other router, played by the test.
 struct Peer {
     listener: TcpListener,
     address: SocketAddrV4,
@@ -45,7 +45,7 @@
             .0
     }
 
-    /// The next question: its id and the version that it names.
+    /// The next call: its id and the version that it states.
     async fn question(&self, stream: &mut TcpStream) -> (u32, u64) {
         let read = tokio::time::timeout(PATIENCE, read_frame(stream, &self.traffic));
         match read.await.expect("a question").unwrap() {
@@ -81,7 +81,7 @@
     }
 }
 
-/// An answer that names the question.
+/// A response that states the version of its call.
 fn answer_to(version: u64) -> Response {
     Response::Outcome(Outcome::Rejected(Rejection::VersionConflict {
         current: version,
@@ -140,14 +140,14 @@
     let waiting = asking(&links, &peer, 2);
     let (second, _) = peer.question(&mut stream).await;
     assert_ne!(first, second);
-    // The first answer comes now, twice; so does one that nobody asked for.
+    // The first response comes now, twice, and so does an unsolicited one.
     for unasked in [first, first, 0, u32::MAX] {
         peer.respond(&mut stream, unasked, 77).await;
     }
     assert!(!waiting.is_finished());
     peer.respond(&mut stream, second, 2).await;
     assert_eq!(waiting.await.unwrap(), Some(2));
-    // What was answered is not answered again by a further answer.
+    // A duplicate response does not answer another call.
     let next = asking(&links, &peer, 3);
     let (third, _) = peer.question(&mut stream).await;
     peer.respond(&mut stream, second, 77).await;
@@ -172,7 +172,7 @@
     let mut stream = peer.connection().await;
     let (second, version) = peer.question(&mut stream).await;
     assert_eq!(version, 2, "the first question is not sent again");
-    // The answer to the former connection's question comes on this one.
+    // The response to a call on the former connection comes on this one.
     peer.respond(&mut stream, first, 77).await;
     peer.respond(&mut stream, second, 2).await;
     assert_eq!(next.await.unwrap(), Some(2));
--- a/router/tests/observed_weights.rs
+++ b/router/tests/observed_weights.rs
@@ -5,7 +5,7 @@
 
 const MODEL: &str = "m";
 
-/// Something that tells of the weights of a backend, which had version 1, then 2, and has 1 again.
+/// An observation of the weights of a backend, which had version 1, then 2, and has 1 again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Observation {
     Heartbeat { sequence: u64, version: u64 },
@@ -69,7 +69,7 @@
     }
 }
 
-/// The order numbered so among all of `items`.
+/// The permutation of `items` with this number.
 fn permutation(items: &[Observation], mut number: usize) -> Vec<Observation> {
     let mut rest = items.to_vec();
     let mut chosen = Vec::new();
@@ -80,8 +80,8 @@
     chosen
 }
 
-/// In every order of six words, what is known is what the backend has, or it is known to be
-/// refuted, once a request that relied on it was turned away; and the next heartbeat sets it right.
+/// In every order of six observations, the observed version is the actual one, or it is known to be
+/// refuted after a request that relied on it was rejected; and the next heartbeat corrects it.
 #[test]
 fn rejection_and_heartbeat_correct_version_in_any_order() {
     for number in 0..720 {
--- a/router/tests/operator_pages.rs
+++ b/router/tests/operator_pages.rs
@@ -42,7 +42,7 @@
     fleet.put(Key::Member(id.node), Value::Member(member));
 }
 
-/// A node with a replica that leads, two other members, three backends and a configuration.
+/// A node whose replica is the leader, two other members, three backends and a configuration.
 fn fleet() -> (Arc<Fleet>, ReplicaHandle) {
     let (handle, _) = ReplicaHandle::new(replica(1));
     handle.publish_status(ReplicaStatus {
@@ -90,7 +90,7 @@
     );
 }
 
-/// Names a version of weights that the first backend lacks.
+/// Announces a version of weights that the first backend lacks.
 fn name_version(fleet: &Fleet) {
     use control::state::{Position, WeightsTarget};
     let weights = BTreeMap::from([(
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -17,7 +17,7 @@
 const PROMPT: &str =
     "X-Model-Name: m\r\nX-Token-Counts: 900,10\r\nX-Prompt-Prefix: a:300,b:500,own:100\r\n";
 
-/// Two stand-ins that say nothing of their load, and a router before them.
+/// Two backends that report no load, and a router.
 async fn two() -> (FakeBackend, FakeBackend, Router) {
     let first = FakeBackend::start(vec![Action::Respond(success("1"))]).await;
     let second = FakeBackend::start(vec![Action::Respond(success("2"))]).await;
--- a/router/tests/proxy.rs
+++ b/router/tests/proxy.rs
@@ -128,7 +128,7 @@
     let broken = FakeBackend::start(vec![Action::RespondAndReset(String::new())]).await;
     let sound = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let router = Router::start(&[&broken, &sound]).await;
-    // Ties are broken at random: both orders come up.
+    // Ties are broken at random: both orders occur.
     for _ in 0..20 {
         let answer = router.ask("/safe/", KEY).await;
         assert_eq!((status(&answer), body(&answer)), ("200", "ok"), "{answer}");
@@ -192,7 +192,7 @@
 async fn resumes_stream_at_another_backend() {
     let half = format!("{STREAM_HEAD}{}{}a\r\nid: 3\ndata", event(1), event(2));
     let rest = format!("{STREAM_HEAD}{}{END}", event(3)).replace("seal\r\n", "other\r\n");
-    // Whichever is asked first breaks off, the other one goes on.
+    // Whichever gets the first attempt breaks off, and the other one resumes.
     let both = vec![Action::RespondAndReset(half), Action::Respond(rest)];
     let first = FakeBackend::start(both.clone()).await;
     let second = first.clone();
--- a/router/tests/published.rs
+++ b/router/tests/published.rs
@@ -32,7 +32,7 @@
     state.apply(&Update { position, change });
 }
 
-/// What a source has after the configurations 1 to `version`.
+/// The state of a source after the configurations 1 to `version`.
 fn source(version: u64) -> Published {
     let (mut state, mut published) = (ControlState::default(), Published::default());
     for version in 1..=version {
@@ -70,7 +70,7 @@
 
 #[test]
 fn requests_full_text_after_checksum_mismatch() {
-    // This holder's version 1 is not what its source has under that number.
+    // This router's version 1 differs from the source's.
     let mut state = ControlState::default();
     let other = String::from_utf8(body(1))
         .expect("text")
--- a/router/tests/pulls.rs
+++ b/router/tests/pulls.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A router that asks; one that knows a configuration names it as its base.
+/// A pull; a router with a configuration states it as the base.
 fn pull_request(number: u64, base: Option<u64>, wait_ms: u64) -> Request {
     let member = Member {
         zone: "a".into(),
@@ -76,7 +76,7 @@
     );
     let mut waiting = router.fleet.clone().handle(pull_request(100, None, 0));
     assert!((&mut waiting).now_or_never().is_none());
-    // An answer was written.
+    // A response was written.
     drop(current.pop());
     assert!(waiting.now_or_never().is_some(), "the next one is made");
 }
@@ -108,7 +108,7 @@
             let Request::Pull(mut request) = pull_request(number, None, 60_000) else {
                 unreachable!()
             };
-            // Whoever asked before knows the members.
+            // The previous sender knows the members.
             request.vector = vector.clone();
             request
                 .vector
@@ -122,7 +122,7 @@
     }
     publish(&fleet, 1, CONFIGURATION);
     fleet.notify_change();
-    // Answers leave one after the other, as each is written.
+    // Responses are released one after the other, as each is written.
     for answer in waiting {
         let answer = answer.await.expect("an answer");
         assert!(matches!(&answer.response, Response::Pulled(pulled) if pulled.state.is_some()));
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -41,10 +41,9 @@
     }
 }
 
-/// Node 1, in zone a; nodes 2 and 3 are in zone a as well, 4 and 5 in zone b. All hold the control
-/// state.
+/// Node 1 in zone a, with nodes 2 and 3; nodes 4 and 5 are in zone b. All have replicas.
 fn fleet() -> Arc<Fleet> {
-    // In touch with the primary for as long as the test takes.
+    // The node stays current for as long as the test takes.
     fleet_in_touch_at(Some(router::clock::now() + 60_000))
 }
 
@@ -193,7 +192,7 @@
     );
 }
 
-/// A node with a replica pulls, which tells what it knows.
+/// A replica node pulls, which shows what it knows.
 async fn pulls(fleet: &Arc<Fleet>, number: u8, vector: &VersionVector) {
     let request = Request::Pull(PullRequest {
         name: format!("n{number}").into(),
@@ -230,7 +229,7 @@
         pulls(&fleet, 3, &after).await;
         let acknowledged = ended.now_or_never().expect("three of five know");
         assert!(acknowledged.is_some());
-        // It is sent again: what a majority knows is acknowledged at once.
+        // The heartbeat is repeated: what a majority knows is acknowledged immediately.
         let again = fleet.register("i".into(), backend("a", 3, phase));
         assert!(again.now_or_never().is_some_and(|again| again.is_some()));
     }
@@ -250,8 +249,8 @@
     );
 }
 
-/// Another node took the heartbeat first, and this one learned of it by a pull: it is no proof that
-/// a majority knows.
+/// Another node accepted the heartbeat first, and this one learned of it by a pull, which does not
+/// prove that a majority knows.
 #[tokio::test(start_paused = true)]
 async fn foreign_deregistration_waits_for_majority() {
     let fleet = fleet();
@@ -305,7 +304,7 @@
     );
 }
 
-/// Whether a backend is marked as silent whose node is down, as far as this node can tell.
+/// Whether this node marks a backend as unresponsive whose owner is down.
 fn marks_unresponsive(fleet: &Fleet) -> bool {
     let owned = Backend {
         owner: "n2".into(),
@@ -326,11 +325,11 @@
     }
 }
 
-/// Story: a control machine was cut off for some seconds. Once the cut had healed, backends that
-/// had been heard elsewhere all the time were silent for the whole fleet, and got neither requests
-/// nor new weights until their next heartbeats. Cause: a node that is cut off hears neither its
-/// backends nor the nodes that hear them, took both for gone, and its word outranked the others'
-/// when it was back.
+/// Incident: a control machine was partitioned for some seconds. Once the partition had healed,
+/// backends whose heartbeats other nodes had received all the time were unresponsive for the whole
+/// fleet, and got neither requests nor new weights until their next heartbeats. Cause: a
+/// partitioned node receives neither the heartbeats of its backends nor those of the nodes that do,
+/// took both for down, and its records outranked the others' afterwards.
 #[tokio::test]
 async fn partitioned_node_marks_no_backend_unresponsive() {
     assert!(
@@ -343,11 +342,10 @@
     );
 }
 
-/// Found by reading, beside backends that had older weights again; not seen in service. A backend
-/// has other weights for a moment, or takes back that it will leave; a heartbeat of that moment
-/// comes late, and until the next one the fleet holds for true what it says. Cause: heartbeats that
-/// only count up are not written down, so a late one with a lower number than these was taken for
-/// newer than what was written.
+/// Found in review, beside backends that were rolled back; not seen in service. A backend has other
+/// weights for a moment, or revokes its draining. A heartbeat of that moment arrives late, and the
+/// fleet believes it until the next one. Cause: heartbeats with only a new sequence number are not
+/// written to the directory, so a late one with a lower number was taken for newer than the record.
 #[tokio::test]
 async fn detects_stale_heartbeat_by_sequence() {
     let fleet = fleet();
--- a/router/tests/response_isolation.rs
+++ b/router/tests/response_isolation.rs
@@ -13,12 +13,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A body that no socket buffer takes whole.
+/// A body that does not fit into socket buffers.
 const LONG_BODY: usize = 3 << 20;
-/// What a backend reads before it answers a request early.
+/// What a backend reads before it responds early.
 const READ_EARLY: usize = 1_000;
 
-/// Reads the head of a request; the value is the head and how long the body is.
+/// Reads the head of a request. Returns the head and the length of the body.
 async fn read_head(stream: &mut TcpStream) -> Option<(String, usize)> {
     let mut text = Vec::new();
     let mut byte = [0; 1];
@@ -35,14 +35,14 @@
     Some((head, length))
 }
 
-/// A backend that answers the first request of each connection before it has read the body, and
-/// goes on reading later.
+/// A backend that responds to the first request of each connection before it has read the body, and
+/// reads the rest later.
 async fn answers_early(first: String, next: String) -> (FakeBackend, Arc<tokio::sync::Semaphore>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!()
     };
-    // Only its address and its count of requests are used.
+    // Only its address and request count are used.
     let mut backend = FakeBackend::start(vec![Action::Hang]).await;
     backend.address = address;
     let (requests, sound) = (
@@ -69,7 +69,7 @@
                         .write_all(answer.replace("{id}", &id).as_bytes())
                         .await
                         .unwrap();
-                    // The rest of the body is read while the next request may be on its way.
+                    // The rest of the body is read while the next request may be in transit.
                     tokio::task::yield_now().await;
                     if stream.read_exact(&mut body[early..]).await.is_err() {
                         return;
@@ -86,7 +86,7 @@
     (backend, sound)
 }
 
-/// Sends a request with a body of some length on a connection that is kept.
+/// Sends a request with a body on a keep-alive connection.
 async fn post(stream: &mut TcpStream, path: &str, id: u32, length: usize) {
     let head = format!(
         "POST {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: id-{id}\r\nX-Deadline-Ms: 5000\r\n\
@@ -123,8 +123,8 @@
             for id in 2..6 {
                 post(&mut client, "/unsafe/", id, 100).await;
                 let (head, body) = read_answer(&mut client).await;
-                // A connection on which the backend still reads is not used; a new one begins with
-                // an early answer.
+                // A connection on which the backend still reads is not reused; a new one starts
+                // with an early response.
                 let expected_id = format!("id-{id}");
                 assert_eq!(
                     header(&head, "x-request-id").as_deref(),
@@ -136,7 +136,7 @@
                     "{head}"
                 );
             }
-            // The bodies that were read, each to its end, are those that were sent.
+            // The bodies that were read completely are those that were sent.
             let permit = tokio::time::timeout(PATIENCE, complete.acquire_many(2)).await;
             permit.expect("bodies are read whole").unwrap().forget();
         }
@@ -165,8 +165,8 @@
     assert!(backend.count() <= 2, "what may have run is not sent again");
 }
 
-/// Two backends at one address: the first request fails once the second one, its copy, is there,
-/// and the copy succeeds once the failure has been sent for a while.
+/// Two backends at one address: the first request fails once the second one, its hedge, has
+/// arrived, and the hedge succeeds some time after the failure was sent.
 async fn fails_and_then_succeeds() -> std::net::SocketAddrV4 {
     const TURNS: usize = 2_000;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -191,7 +191,7 @@
                 tokio::task::yield_now().await;
             }
         }
-        // Kept open until the caller closes.
+        // Kept open until the caller closes it.
         let _ = streams[1].0.read(&mut [0; 1]).await;
     });
     address
@@ -241,8 +241,8 @@
     );
 }
 
-/// A client that resets its connection and comes back from the same port: the end of the former
-/// connection must not take away what breaks the new one.
+/// A client resets its connection and reconnects from the same port: the end of the former
+/// connection must not remove the state that aborts the new one.
 #[tokio::test]
 async fn reused_client_address_can_be_aborted() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/router/tests/rollout.rs
+++ b/router/tests/rollout.rs
@@ -25,10 +25,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Less than a backend that says nothing could keep a place for, and more than it may.
+/// More than an unresponsive backend may occupy a slot, and less than it could.
 const SOON: Duration = Duration::from_millis(3_200);
 
-/// A node that holds the lease, with these backends, as version 2 is named.
+/// A node that holds the lease, with these backends, when version 2 is announced.
 fn leader(backends: &[SocketAddrV4]) -> (Arc<Fleet>, ReplicaHandle) {
     let id = ReplicaId {
         disk: 1,
@@ -61,7 +61,7 @@
     (fleet, handle)
 }
 
-/// Whether all sound backends get their orders soon, where the first ones behave like this.
+/// Returns whether all healthy backends get their orders soon if the first ones behave like this.
 async fn others_are_reached(unsound: &[Action]) -> bool {
     let mut backends = Vec::new();
     for _ in 0..2 {
@@ -103,15 +103,15 @@
     );
 }
 
-/// What the directory says of the last order to a backend.
+/// The phase of the last order to a backend, by the directory.
 fn phase_of(fleet: &Fleet, at: usize) -> Option<OrderPhase> {
     let directory = fleet.directory.lock().unwrap();
     directory.order(&format!("i-{at}")).map(|order| order.phase)
 }
 
-/// Story: after a change of the primary, backends got neither requests nor an order for three
-/// seconds. Cause: routers had been told that they were about to load, and the order was not given
-/// any more as the lease was lost in between.
+/// Incident: after a change of the primary, backends got neither requests nor an order for three
+/// seconds. Cause: routers had been notified that the backends were about to load, and the orders
+/// were not sent as the lease was lost in between.
 #[tokio::test]
 async fn withdrawn_order_readmits_backend() {
     let backend = ModelBackend::start(1).await;
@@ -138,10 +138,10 @@
     orders.abort();
 }
 
-/// Story: after troubles of the ways between machines, a backend that answered every call stayed on
-/// old weights for as long as its heartbeats did not come through. Found by reading, not seen in
-/// service. Cause: silence is told from heartbeats alone, and who was silent got no order, whether
-/// or not it could have been given one.
+/// Incident: after network faults, a backend that responded to every call stayed on old weights for
+/// as long as its heartbeats were lost. Found in review, not seen in service. Cause: only
+/// heartbeats decide whether a backend is unresponsive, and unresponsive backends got no order,
+/// although they might have accepted it.
 #[tokio::test]
 async fn orders_backend_without_heartbeats() {
     let backend = ModelBackend::start(1).await;
--- a/router/tests/weights_deadline.rs
+++ b/router/tests/weights_deadline.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Long enough that a router which counts it anew is seen to do so.
+/// Long enough to detect a router that restarts the count.
 const VERSION_MS: u64 = 1_800;
 const PROMPT: &str =
     "X-Model-Name: m\r\nX-Token-Counts: 100,10\r\nX-Prompt-Prefix: aa:50,bb:50\r\n";
@@ -33,7 +33,7 @@
     Fleet::new(Arc::new(settings), None, incarnation)
 }
 
-/// Answers other routers.
+/// Serves other routers.
 async fn serve(fleet: &Arc<Fleet>) -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
@@ -43,7 +43,7 @@
     address
 }
 
-/// A node that has heard that version 2 is named.
+/// A node that knows that version 2 is announced.
 async fn source() -> SocketAddrV4 {
     let fleet = fleet(9);
     publish(&fleet, 1, CONFIGURATION);
@@ -103,8 +103,8 @@
     assert_eq!(old.count(), sent, "and nothing is sent there");
 }
 
-/// Whoever restarts with its disk goes on counting where it was: else versions whose nodes are
-/// killed again and again are never required.
+/// A node that restarts with its disk resumes the count. Otherwise versions would never be required
+/// if their nodes are killed again and again.
 #[tokio::test]
 async fn deadline_survives_restart() {
     let old = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
@@ -125,8 +125,8 @@
     );
 }
 
-/// Sends one request to the only backend there is, which lets it wait; then a version is named, and
-/// a backend has it.
+/// Sends one request to the only backend, which lets it wait; then a version is announced, and
+/// another backend has it.
 async fn queues_on_old_weights(path: &str) -> (String, bool, usize) {
     let patient = CONFIGURATION.replace("\"timeoutMs\":3000", "\"timeoutMs\":60000");
     let patient = patient.replace("\"targetLatencyMs\":100", "\"targetLatencyMs\":60000");
@@ -150,9 +150,9 @@
     (status, withdrawn, new.count())
 }
 
-/// Story: requests waited at crowded backends for over two seconds, were sent in time, and began on
-/// the old weights when these must not be used any more. Cause: what is required was looked at only
-/// when a request is sent.
+/// Incident: requests queued at busy backends for over two seconds, were sent in time, and started
+/// on the old weights after the deadline. Cause: the minimum version was checked only when a
+/// request was sent.
 #[tokio::test]
 async fn withdraws_requests_queued_on_old_weights() {
     let repeatable = tokio::time::timeout(PATIENCE, queues_on_old_weights("/safe/")).await;
--- a/router/tests/wire_format.rs
+++ b/router/tests/wire_format.rs
@@ -40,7 +40,7 @@
     (0..digits.len()).step_by(2).map(digit).collect()
 }
 
-/// Fixtures by the names of their samples.
+/// Fixtures by sample name.
 struct Fixtures {
     lines: BTreeMap<&'static str, &'static str>,
     checked: usize,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The sample encodes to the bytes of its fixture, and these are read as the sample.
+    /// Checks that a sample encodes to its fixture, and that the fixture decodes to the sample.
     fn check<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, sample: &T) {
         let bytes = postcard::to_stdvec(sample).unwrap();
         let Some(expected) = self.lines.get(name) else {
@@ -449,7 +449,7 @@
     assert_eq!(hex(&file), include_str!("fixtures/fleet_file.hex").trim());
 }
 
-/// The status call tells what messages are about by these names.
+/// The names of message kinds in the status report.
 #[test]
 fn message_kind_names_are_stable() {
     let mut names: Vec<String> = requests()
