--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -17,7 +17,7 @@
 const PROMPT: &str =
     "X-Model-Name: m\r\nX-Token-Counts: 900,10\r\nX-Prompt-Prefix: a:300,b:500,own:100\r\n";
 
-/// Two stand-ins that say nothing of their load, and a router before them.
+/// Two backends that report no load, and a router.
 async fn two() -> (FakeBackend, FakeBackend, Router) {
     let first = FakeBackend::start(vec![Action::Respond(success("1"))]).await;
     let second = FakeBackend::start(vec![Action::Respond(success("2"))]).await;
@@ -52,7 +52,7 @@
     }
     let counts = [first.count(), second.count()];
     assert!(counts.contains(&6), "all at one of them: {counts:?}");
-    assert_eq!(router.fleet.locations.lock().unwrap().len(), 1);
+    assert_eq!(router.fleet.prefix_index.lock().unwrap().len(), 1);
 }
 
 #[tokio::test]
@@ -117,7 +117,7 @@
     };
     router
         .fleet
-        .locations
+        .prefix_index
         .lock()
         .unwrap()
         .record_placement(key, &current, router::clock::now());
