--- a/bitternsill/src/admin.rs
+++ b/bitternsill/src/admin.rs
@@ -6,22 +6,22 @@
 
 pub mod calls;
 pub mod cli;
-pub mod door;
 pub mod drain;
-pub mod hand;
+pub mod exclusions;
 pub mod handover;
+pub mod listener;
 
 use crate::limits::Limits;
 use dispatch::interface::Time;
 use drain::Drain;
-use hand::Hand;
+use exclusions::Exclusions;
 use handover::Handover;
 
 /// What operators have asked for, and where it is kept for the process that follows.
 #[derive(Debug)]
 pub struct Orders {
     /// Hosts out by hand.
-    pub hand: Hand,
+    pub exclusions: Exclusions,
     /// Whether clients are being sent away.
     pub drain: Drain,
     /// What is shared with another process of this name; absent where there is no folder for it.
@@ -38,14 +38,14 @@
     ) -> Orders {
         let mut shared = folder.map(|folder| Handover::new(folder, name, now, limits));
         let found = shared.as_mut().and_then(Handover::read);
-        let mut hand = found.unwrap_or_else(|| Hand::new(limits.hosts));
-        hand.forget(now, limits.hand_kept);
-        let out = hand.out().count();
-        if out > 0 {
-            tracing::info!(out, "hosts out by hand were taken over");
+        let mut exclusions = found.unwrap_or_else(|| Exclusions::new(limits.hosts));
+        exclusions.forget(now, limits.exclusion_retention);
+        let excluded = exclusions.excluded().count();
+        if excluded > 0 {
+            tracing::info!(excluded, "hosts out by hand were taken over");
         }
         Orders {
-            hand,
+            exclusions,
             drain: Drain::default(),
             shared,
         }
@@ -62,29 +62,34 @@
             return false;
         };
         shared.withdraw();
-        shared.look_at_others(now)
+        shared.check_peers(now)
     }
 
     /// Notes that a host is out, or in again, and tells the other process.
-    pub fn set(&mut self, uid: &str, out: bool, now: Time) -> Result<(), hand::TooMany> {
-        self.hand.set(uid, out, now)?;
+    pub fn set(
+        &mut self,
+        uid: &str,
+        excluded: bool,
+        now: Time,
+    ) -> Result<(), exclusions::TooManyExclusions> {
+        self.exclusions.set(uid, excluded, now)?;
         if let Some(shared) = &mut self.shared {
-            shared.write(&mut self.hand);
+            shared.write(&mut self.exclusions);
         }
         Ok(())
     }
 
     /// Looks at what the other process has noted; true where that changes who is out.
-    pub fn look(&mut self, now: Time) -> bool {
+    pub fn poll(&mut self, now: Time) -> bool {
         let Some(shared) = &mut self.shared else {
             return false;
         };
-        shared.look(&mut self.hand, now)
+        shared.poll(&mut self.exclusions, now)
     }
 
     /// Whether another process of this name serves the same address, as of the last look.
-    pub fn is_followed(&self) -> bool {
-        self.shared.as_ref().is_some_and(Handover::is_followed)
+    pub fn has_successor(&self) -> bool {
+        self.shared.as_ref().is_some_and(Handover::has_successor)
     }
 
     /// When something here is due.
--- a/bitternsill/src/admin/drain/tests.rs
+++ b/bitternsill/src/admin/drain/tests.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn no_connection_outlives_the_time_in_which_clients_may_be_held() {
-    let steps = Steps::of(&Limits::default());
+    let steps = Schedule::from_limits(&Limits::default());
     let mut drain = Drain::default();
     assert!(drain.begin(1_000, steps) && !drain.begin(2_000, steps));
-    assert!(drain.sweep(1_000).is_none() && !drain.says_farewell(1_000));
+    assert!(drain.sweep(1_000).is_none() && !drain.closes_after_answer(1_000));
     // Connections come until 0.2 s after the first no, which is asked for every 0.1 s.
-    assert!(!drain.says_farewell(1_000 + 300_000_000));
+    assert!(!drain.closes_after_answer(1_000 + 300_000_000));
     // What comes at the last moment, and is then idle, is closed well before 2 s are over: from
     // then on a request would be one of the last 2 s when the drain is looked at.
     let (mut at, mut closed) = (1_000, None);
@@ -28,5 +28,5 @@
         "closed at {closed:?}, last look {at}"
     );
     assert!(drain.end() && !drain.is_under_way() && !drain.end());
-    assert!(drain.due().is_none() && !drain.says_farewell(Time::MAX));
+    assert!(drain.due().is_none() && !drain.closes_after_answer(Time::MAX));
 }
--- /dev/null
+++ b/bitternsill/src/admin/exclusions.rs
@@ -0,0 +1,172 @@
+//! Which index hosts are out by hand: a map whose entries are stamped, so that two processes that
+//! both change it agree on the later change of each host, in whatever order they hear of it. No
+//! I/O.
+
+use dispatch::interface::Time;
+use serde_json::{Value as Json, json};
+use std::collections::BTreeMap;
+use std::fmt;
+
+/// The form of the text.
+const VERSION: u64 = 1;
+
+/// One host's last change.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Change {
+    stamp: Time,
+    excluded: bool,
+}
+
+/// As many hosts are out as are kept.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TooManyExclusions;
+
+/// A text that cannot be taken for such a map.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum DecodeError {
+    /// It is cut or changed: the sum does not fit, or there is none.
+    Damaged,
+    /// It is sound and of another version.
+    Version(u64),
+    /// It is sound and another gatherer's.
+    Foreign(String),
+}
+
+impl fmt::Display for DecodeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            DecodeError::Damaged => f.write_str("it is damaged"),
+            DecodeError::Version(version) => {
+                write!(f, "it is of version {version}, and only {VERSION} is known")
+            }
+            DecodeError::Foreign(name) => write!(f, "it is of the gatherer `{name}`"),
+        }
+    }
+}
+
+/// Who is out by hand.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct Exclusions {
+    changes: BTreeMap<String, Change>,
+    capacity: usize,
+}
+
+impl Exclusions {
+    /// Nobody is out; at most so many hosts will be remembered.
+    pub fn new(capacity: usize) -> Self {
+        Exclusions {
+            changes: BTreeMap::new(),
+            capacity,
+        }
+    }
+
+    /// Whether a host is out.
+    pub fn is_excluded(&self, uid: &str) -> bool {
+        self.changes.get(uid).is_some_and(|change| change.excluded)
+    }
+
+    /// The hosts that are out.
+    pub fn excluded(&self) -> impl Iterator<Item = &str> {
+        self.changes
+            .iter()
+            .filter(|(_, change)| change.excluded)
+            .map(|(uid, _)| uid.as_str())
+    }
+
+    /// Takes a host out or back. Its stamp is later than any that this host has had, whatever the
+    /// clock says.
+    pub fn set(&mut self, uid: &str, excluded: bool, now: Time) -> Result<(), TooManyExclusions> {
+        let known = self.changes.get(uid).map(|change| change.stamp);
+        if known.is_none() && self.changes.len() >= self.capacity {
+            // Hosts that are back are remembered for the other process alone.
+            let oldest = self
+                .changes
+                .iter()
+                .filter(|(_, m)| !m.excluded)
+                .min_by_key(|(_, m)| m.stamp);
+            let oldest = oldest
+                .map(|(uid, _)| uid.clone())
+                .ok_or(TooManyExclusions)?;
+            self.changes.remove(&oldest);
+        }
+        let stamp = known.map_or(now, |known| now.max(known + 1));
+        self.changes
+            .insert(uid.to_owned(), Change { stamp, excluded });
+        Ok(())
+    }
+
+    /// Takes the later change of each host; true where that changes who is out.
+    pub fn merge(&mut self, other: &Exclusions) -> bool {
+        let mut changed = false;
+        for (uid, theirs) in &other.changes {
+            let own = self.changes.get(uid).copied();
+            let later = own.is_none_or(|own| own < *theirs);
+            if later && (own.is_some() || self.changes.len() < self.capacity) {
+                changed |= own.is_some_and(|own| own.excluded) != theirs.excluded;
+                self.changes.insert(uid.clone(), *theirs);
+            }
+        }
+        changed
+    }
+
+    /// Drops hosts that have been back for so long that every process has heard of it.
+    pub fn forget(&mut self, now: Time, after: Time) {
+        self.changes
+            .retain(|_, change| change.excluded || change.stamp.saturating_add(after) > now);
+    }
+
+    /// The text that keeps the map for a gatherer: a line that sums up the next, and that.
+    pub fn encode(&self, name: &str) -> String {
+        let changes: Vec<Json> = self
+            .changes
+            .iter()
+            .map(|(uid, m)| json!({"uid": uid, "out": m.excluded, "stamp": m.stamp}))
+            .collect();
+        let body = json!({"version": VERSION, "gatherer": name, "hosts": changes}).to_string();
+        format!("{:08x}\n{body}\n", crc32fast::hash(body.as_bytes()))
+    }
+
+    /// Reads such a text.
+    pub fn decode(text: &[u8], name: &str, capacity: usize) -> Result<Exclusions, DecodeError> {
+        let text = std::str::from_utf8(text).map_err(|_| DecodeError::Damaged)?;
+        let (sum, body) = text.split_once('\n').ok_or(DecodeError::Damaged)?;
+        let body = body.strip_suffix('\n').ok_or(DecodeError::Damaged)?;
+        if sum.len() != 8 || u32::from_str_radix(sum, 16) != Ok(crc32fast::hash(body.as_bytes())) {
+            return Err(DecodeError::Damaged);
+        }
+        let json: Json = serde_json::from_str(body).map_err(|_| DecodeError::Damaged)?;
+        match json["version"].as_u64() {
+            Some(VERSION) => {}
+            Some(other) => return Err(DecodeError::Version(other)),
+            None => return Err(DecodeError::Damaged),
+        }
+        match json["gatherer"].as_str() {
+            Some(gatherer) if gatherer == name => {}
+            gatherer => {
+                return Err(DecodeError::Foreign(
+                    gatherer.unwrap_or_default().to_owned(),
+                ));
+            }
+        }
+        let mut exclusions = Exclusions::new(capacity);
+        for host in json["hosts"].as_array().ok_or(DecodeError::Damaged)? {
+            let (uid, excluded, stamp) = (
+                host["uid"].as_str(),
+                host["out"].as_bool(),
+                host["stamp"].as_u64(),
+            );
+            let (Some(uid), Some(excluded), Some(stamp)) = (uid, excluded, stamp) else {
+                return Err(DecodeError::Damaged);
+            };
+            if exclusions.changes.len() < capacity {
+                exclusions
+                    .changes
+                    .insert(uid.to_owned(), Change { stamp, excluded });
+            }
+        }
+        Ok(exclusions)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/bitternsill/src/admin/handover.rs
+++ b/bitternsill/src/admin/handover.rs
@@ -5,7 +5,7 @@
 //! nothing there outlives the machine. So it is done on the loop's thread, before the call is
 //! answered.
 
-use super::hand::Hand;
+use super::exclusions::Exclusions;
 use crate::limits::Limits;
 use dispatch::interface::Time;
 use rustix::fs::FlockOperation;
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 
 /// What tells one writing of the file from another: its inode, length and time.
-type Seen = (u64, u64, i64, i64);
+type FileVersion = (u64, u64, i64, i64);
 
 /// The shared folder, as one process sees it.
 #[derive(Debug)]
@@ -23,17 +23,17 @@
     stem: PathBuf,
     processes: usize,
     name: String,
-    most: usize,
+    capacity: usize,
     bytes: u64,
-    every: Time,
+    poll_interval: Time,
     next: Time,
     /// Locked for as long as this process serves, and which number that is.
-    alive: Option<File>,
+    alive_lock: Option<File>,
     number: usize,
-    seen: Option<Seen>,
-    followed: bool,
+    file_version: Option<FileVersion>,
+    has_successor: bool,
     /// Told once, until it goes well again.
-    failing: bool,
+    is_failing: bool,
 }
 
 impl Handover {
@@ -52,15 +52,15 @@
             stem: folder.join(format!("bitternsill-{file_name}")),
             processes: limits.handover_processes,
             name: name.to_owned(),
-            most: limits.hosts,
+            capacity: limits.hosts,
             bytes: limits.body_bytes as u64,
-            every: limits.handover_look,
+            poll_interval: limits.handover_poll_interval,
             next: now,
-            alive: None,
+            alive_lock: None,
             number: 0,
-            seen: None,
-            followed: false,
-            failing: false,
+            file_version: None,
+            has_successor: false,
+            is_failing: false,
         }
     }
 
@@ -75,7 +75,7 @@
             lock(&file).then_some((file, n))
         });
         match place {
-            Some((file, n)) => (self.alive, self.number) = (Some(file), n),
+            Some((file, n)) => (self.alive_lock, self.number) = (Some(file), n),
             None => {
                 tracing::warn!(folder = %self.stem.display(), "cannot be written: other processes are not told of this one");
             }
@@ -84,7 +84,7 @@
 
     /// This process ends: the others must not rely on it any more.
     pub fn withdraw(&mut self) {
-        self.alive = None;
+        self.alive_lock = None;
     }
 
     /// Whether the folder is looked at again, and when.
@@ -93,16 +93,16 @@
     }
 
     /// Whether another process of this name lived at the last look.
-    pub fn is_followed(&self) -> bool {
-        self.followed
+    pub fn has_successor(&self) -> bool {
+        self.has_successor
     }
 
     /// What the file says; nothing where there is none, or none that can be used: that never stops
     /// a start.
-    pub fn read(&mut self) -> Option<Hand> {
+    pub fn read(&mut self) -> Option<Exclusions> {
         let path = self.path("hand");
-        self.seen = seen(&path);
-        self.seen?;
+        self.file_version = file_version(&path);
+        self.file_version?;
         let mut text = Vec::new();
         let file = OpenOptions::new()
             .read(true)
@@ -111,8 +111,8 @@
         let read = file.and_then(|file| file.take(self.bytes + 1).read_to_end(&mut text));
         let problem = match read {
             Ok(n) if n as u64 > self.bytes => "it is too large".to_owned(),
-            Ok(_) => match Hand::decode(&text, &self.name, self.most) {
-                Ok(hand) => return Some(hand),
+            Ok(_) => match Exclusions::decode(&text, &self.name, self.capacity) {
+                Ok(exclusions) => return Some(exclusions),
                 Err(problem) => problem.to_string(),
             },
             Err(problem) => problem.to_string(),
@@ -122,23 +122,23 @@
     }
 
     /// Lays this process's changes over the file's, and takes the file's into its own.
-    pub fn write(&mut self, hand: &mut Hand) {
-        let result = self.try_write(hand);
+    pub fn write(&mut self, exclusions: &mut Exclusions) {
+        let result = self.try_write(exclusions);
         match &result {
-            Err(problem) if !self.failing => {
+            Err(problem) if !self.is_failing => {
                 tracing::warn!(%problem, "the hosts out by hand could not be written for another process");
             }
             _ => {}
         }
-        self.failing = result.is_err();
+        self.is_failing = result.is_err();
     }
 
-    fn try_write(&mut self, hand: &mut Hand) -> io::Result<()> {
+    fn try_write(&mut self, exclusions: &mut Exclusions) -> io::Result<()> {
         let guard = create(&self.path("lock"))?;
         // The other holds it for some microseconds. One that was stopped with it must not stop this
         // one: a change that is lost by writing all the same is seen by the next look, and written
         // again.
-        let _locked = (0..LOCK_TRIES).any(|_| {
+        let _locked = (0..MAX_LOCK_ATTEMPTS).any(|_| {
             let locked = lock(&guard);
             if !locked {
                 std::thread::yield_now();
@@ -146,43 +146,45 @@
             locked
         });
         if let Some(theirs) = self.read() {
-            hand.merge(&theirs);
+            exclusions.merge(&theirs);
         }
         let (fresh, path) = (self.path(&format!("new{}", self.number)), self.path("hand"));
         let mut file = create(&fresh)?;
         file.set_len(0)?;
-        file.write_all(hand.encode(&self.name).as_bytes())?;
+        file.write_all(exclusions.encode(&self.name).as_bytes())?;
         std::fs::rename(&fresh, &path)?;
-        self.seen = seen(&path);
+        self.file_version = file_version(&path);
         Ok(())
     }
 
     /// Looks whether another process lives.
-    pub fn look_at_others(&mut self, now: Time) -> bool {
-        (self.followed, self.next) = (self.another_lives(), now + self.every);
-        self.followed
+    pub fn check_peers(&mut self, now: Time) -> bool {
+        (self.has_successor, self.next) = (self.is_peer_alive(), now + self.poll_interval);
+        self.has_successor
     }
 
     /// Looks at the file and at the other processes; true where that changes who is out.
-    pub fn look(&mut self, hand: &mut Hand, now: Time) -> bool {
+    pub fn poll(&mut self, exclusions: &mut Exclusions, now: Time) -> bool {
         if now < self.next {
             return false;
         }
-        self.look_at_others(now);
-        if seen(&self.path("hand")) == self.seen {
+        self.check_peers(now);
+        if file_version(&self.path("hand")) == self.file_version {
             return false;
         }
-        let theirs = self.read().unwrap_or_else(|| Hand::new(self.most));
-        let changed = hand.merge(&theirs);
+        let theirs = self
+            .read()
+            .unwrap_or_else(|| Exclusions::new(self.capacity));
+        let changed = exclusions.merge(&theirs);
         // Something of this process's own is not there: the other had not seen it when it wrote.
-        if *hand != theirs {
-            self.write(hand);
+        if *exclusions != theirs {
+            self.write(exclusions);
         }
         changed
     }
 
-    fn another_lives(&self) -> bool {
-        let others = (0..self.processes).filter(|n| self.alive.is_none() || *n != self.number);
+    fn is_peer_alive(&self) -> bool {
+        let others = (0..self.processes).filter(|n| self.alive_lock.is_none() || *n != self.number);
         let mut files = others.map(|n| File::open(self.path(&format!("alive{n}"))));
         files.any(|file| file.is_ok_and(|file| !lock(&file)))
     }
@@ -190,7 +192,7 @@
 
 const NO_FOLLOW: i32 = rustix::fs::OFlags::NOFOLLOW.bits() as i32;
 /// Some milliseconds at the most, each try giving the other process the processor.
-const LOCK_TRIES: usize = 1_000;
+const MAX_LOCK_ATTEMPTS: usize = 1_000;
 
 fn create(path: &Path) -> io::Result<File> {
     OpenOptions::new()
@@ -206,7 +208,7 @@
     rustix::fs::flock(file, FlockOperation::NonBlockingLockExclusive).is_ok()
 }
 
-fn seen(path: &Path) -> Option<Seen> {
+fn file_version(path: &Path) -> Option<FileVersion> {
     let data = std::fs::symlink_metadata(path).ok()?;
     Some((data.ino(), data.len(), data.mtime(), data.mtime_nsec()))
 }
--- a/bitternsill/src/admin/handover/tests.rs
+++ b/bitternsill/src/admin/handover/tests.rs
@@ -18,12 +18,14 @@
         Folder(path)
     }
 
-    fn process(&self, name: &str) -> (Handover, Hand) {
+    fn process(&self, name: &str) -> (Handover, Exclusions) {
         let limits = Limits::default();
         let mut handover = Handover::new(&self.0, name, 0, &limits);
-        let hand = handover.read().unwrap_or_else(|| Hand::new(limits.hosts));
+        let exclusions = handover
+            .read()
+            .unwrap_or_else(|| Exclusions::new(limits.hosts));
         handover.announce();
-        (handover, hand)
+        (handover, exclusions)
     }
 }
 
@@ -36,14 +38,14 @@
 #[test]
 fn two_processes_that_both_change_it_lose_nothing() {
     let folder = Folder::new();
-    let change = |mark: &'static str, mut process: (Handover, Hand)| {
+    let change = |mark: &'static str, mut process: (Handover, Exclusions)| {
         for n in 0..100u64 {
             process
                 .1
                 .set(&format!("{mark}-{}", n % 50), n < 50, n)
                 .unwrap();
             process.0.write(&mut process.1);
-            process.0.look(&mut process.1, u64::MAX / 2 + n);
+            process.0.poll(&mut process.1, u64::MAX / 2 + n);
         }
         process
     };
@@ -56,25 +58,25 @@
     // Where one wrote without the lock, which the other held while it stood still, the next
     // look mends it.
     for later in [2, 1] {
-        for (handover, hand) in &mut both {
-            handover.look(hand, u64::MAX - 1_000_000_000 * later);
+        for (handover, exclusions) in &mut both {
+            handover.poll(exclusions, u64::MAX - 1_000_000_000 * later);
         }
     }
     let (_, third) = folder.process("n1");
-    for (name, out) in [
+    for (name, excluded) in [
         ("a-0", false),
         ("b-0", false),
         ("a-49", false),
         ("b-49", false),
     ] {
-        assert_eq!(third.is_out(name), out, "{name}");
+        assert_eq!(third.is_excluded(name), excluded, "{name}");
     }
-    assert!(both.iter().all(|(_, hand)| *hand == third));
+    assert!(both.iter().all(|(_, exclusions)| *exclusions == third));
 }
 
 #[test]
 fn a_file_that_cannot_be_used_stops_nothing_and_is_replaced() {
-    let mut foreign = Hand::new(8);
+    let mut foreign = Exclusions::new(8);
     foreign.set("s-1", true, 1).unwrap();
     let text = foreign.encode("n1");
     let other_version = "{\"version\":2}";
@@ -96,41 +98,41 @@
         std::fs::write(folder.0.join("bitternsill-n1.hand"), &case).unwrap();
         // What a process left that was killed while it wrote.
         std::fs::write(folder.0.join("bitternsill-n1.new0"), &case).unwrap();
-        let (mut handover, mut hand) = folder.process("n1");
-        assert_eq!(hand.out().count(), 0);
-        hand.set("s-2", true, 5).unwrap();
-        handover.write(&mut hand);
-        assert!(folder.process("n1").1.is_out("s-2"));
+        let (mut handover, mut exclusions) = folder.process("n1");
+        assert_eq!(exclusions.excluded().count(), 0);
+        exclusions.set("s-2", true, 5).unwrap();
+        handover.write(&mut exclusions);
+        assert!(folder.process("n1").1.is_excluded("s-2"));
     }
     // A link is not followed out of the folder, and a name does not lead there.
     let (folder, outside) = (Folder::new(), Folder::new());
     std::fs::write(outside.0.join("file"), &text).unwrap();
     std::os::unix::fs::symlink(outside.0.join("file"), folder.0.join("bitternsill-n1.hand"))
         .unwrap();
-    assert_eq!(folder.process("n1").1.out().count(), 0);
-    let (mut handover, mut hand) = folder.process("../../n1");
-    hand.set("s-3", true, 5).unwrap();
-    handover.write(&mut hand);
+    assert_eq!(folder.process("n1").1.excluded().count(), 0);
+    let (mut handover, mut exclusions) = folder.process("../../n1");
+    exclusions.set("s-3", true, 5).unwrap();
+    handover.write(&mut exclusions);
     assert!(folder.0.join("bitternsill-______n1.hand").exists());
     // Without a folder each process stands alone.
     let mut alone = Handover::new(Path::new("/nowhere/at/all"), "n1", 0, &Limits::default());
     alone.announce();
-    alone.write(&mut hand);
-    assert!(alone.read().is_none() && !alone.look(&mut hand, 1) && !alone.is_followed());
+    alone.write(&mut exclusions);
+    assert!(alone.read().is_none() && !alone.poll(&mut exclusions, 1) && !alone.has_successor());
 }
 
 #[test]
 fn a_process_is_relied_on_while_it_serves_and_no_longer() {
     let folder = Folder::new();
     let ((mut one, _), (mut two, _)) = (folder.process("n1"), folder.process("n1"));
-    assert!(one.look_at_others(1) && two.look_at_others(1));
+    assert!(one.check_peers(1) && two.check_peers(1));
     assert!(
-        !folder.process("n2").0.look_at_others(1),
+        !folder.process("n2").0.check_peers(1),
         "another gatherer is no process of this one"
     );
     one.withdraw();
-    assert!(!two.look_at_others(2) && one.look_at_others(2));
+    assert!(!two.check_peers(2) && one.check_peers(2));
     // One that is killed gives its lock back with its descriptors.
     drop(two);
-    assert!(!one.look_at_others(3));
+    assert!(!one.check_peers(3));
 }
--- a/bitternsill/src/admin/door.rs
+++ b/bitternsill/src/admin/listener.rs
@@ -2,7 +2,7 @@
 //! are.
 
 use super::calls::{self, Call, Operation};
-use super::drain::Steps;
+use super::drain::Schedule;
 use crate::core::ports::Answer;
 use crate::front::http::{Head, Response};
 use crate::front::server::{Cx, Handled, HttpConnection, Service};
@@ -16,30 +16,30 @@
 use std::net::{SocketAddr, TcpListener};
 
 /// The listener. It owns its callers' places and the descriptors that are kept back for them.
-pub struct Door {
+pub struct AdminListener {
     socket: TcpListener,
     /// Open callers, the longest there first.
-    callers: VecDeque<Token>,
+    connections: VecDeque<Token>,
     /// Each is given up for one caller: clients and hosts may have taken every other descriptor.
-    spares: Vec<File>,
+    reserved: Vec<File>,
 }
 
-impl Door {
+impl AdminListener {
     /// A door on this socket.
     pub fn new(socket: TcpListener, limits: &Limits) -> Self {
-        let mut door = Door {
+        let mut listener = AdminListener {
             socket,
-            callers: VecDeque::new(),
-            spares: Vec::new(),
+            connections: VecDeque::new(),
+            reserved: Vec::new(),
         };
-        door.keep_back(limits);
-        door
+        listener.reserve_descriptors(limits);
+        listener
     }
 
-    fn keep_back(&mut self, limits: &Limits) {
-        while self.spares.len() + self.callers.len() < limits.door_callers {
+    fn reserve_descriptors(&mut self, limits: &Limits) {
+        while self.reserved.len() + self.connections.len() < limits.admin_connections {
             match File::open("/dev/null") {
-                Ok(file) => self.spares.push(file),
+                Ok(file) => self.reserved.push(file),
                 Err(_) => return,
             }
         }
@@ -47,15 +47,15 @@
 
     /// Callers that say nothing must not keep out the next: the one there longest gives way, and
     /// its descriptor with it.
-    fn make_room(&mut self, cx: &mut Cx<'_>) {
-        if let Some(oldest) = self.callers.pop_front() {
-            cx.net.post(oldest, Message::MakeRoom);
+    fn evict_oldest(&mut self, cx: &mut Cx<'_>) {
+        if let Some(oldest) = self.connections.pop_front() {
+            cx.net.post(oldest, Message::Evict);
         }
     }
 
-    fn accept_some(&mut self, cx: &mut Cx<'_>) {
-        for _ in 0..cx.world.limits.door_callers {
-            drop(self.spares.pop());
+    fn accept_ready(&mut self, cx: &mut Cx<'_>) {
+        for _ in 0..cx.world.limits.admin_connections {
+            drop(self.reserved.pop());
             match self.socket.accept() {
                 Ok((socket, peer)) => {
                     if socket
@@ -65,15 +65,15 @@
                     {
                         continue;
                     }
-                    if self.callers.len() >= cx.world.limits.door_callers {
-                        self.make_room(cx);
+                    if self.connections.len() >= cx.world.limits.admin_connections {
+                        self.evict_oldest(cx);
                     }
-                    let service = Box::new(Caller {
-                        door: cx.token,
+                    let service = Box::new(AdminConnection {
+                        listener: cx.token,
                         peer,
                     });
                     let connection = HttpConnection::accept(service, Stream::new(socket), cx.world);
-                    self.callers.push_back(cx.net.open_first(connection));
+                    self.connections.push_back(cx.net.open_first(connection));
                 }
                 Err(problem) => {
                     if !matches!(
@@ -81,51 +81,51 @@
                         io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
                     ) {
                         tracing::warn!(%problem, "an operator's call cannot be accepted");
-                        self.make_room(cx);
+                        self.evict_oldest(cx);
                         let _ = cx.net.rearm(&self.socket, cx.token, Ready::default());
-                        cx.set_timer(cx.now + cx.world.limits.accept_rest);
+                        cx.set_timer(cx.now + cx.world.limits.accept_backoff);
                     }
                     break;
                 }
             }
         }
-        self.keep_back(&cx.world.limits);
+        self.reserve_descriptors(&cx.world.limits);
     }
 }
 
-impl Connection<Gatherer> for Door {
+impl Connection<Gatherer> for AdminListener {
     fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
         cx.net.register(&self.socket, cx.token, Ready::READ)
     }
 
     fn ready(&mut self, cx: &mut Cx<'_>, _ready: Ready) {
-        self.accept_some(cx);
+        self.accept_ready(cx);
     }
 
     fn deliver(&mut self, cx: &mut Cx<'_>, message: Message) {
-        if let Message::CallerLeft(token) = message {
-            self.callers.retain(|caller| *caller != token);
-            self.keep_back(&cx.world.limits);
+        if let Message::AdminConnectionClosed(token) = message {
+            self.connections.retain(|caller| *caller != token);
+            self.reserve_descriptors(&cx.world.limits);
         }
     }
 
     fn timer(&mut self, cx: &mut Cx<'_>) {
-        self.keep_back(&cx.world.limits);
+        self.reserve_descriptors(&cx.world.limits);
         let _ = cx.net.rearm(&self.socket, cx.token, Ready::READ);
     }
 }
 
 /// One operator's call.
-struct Caller {
-    door: Token,
+struct AdminConnection {
+    listener: Token,
     peer: SocketAddr,
 }
 
-impl Service for Caller {
+impl Service for AdminConnection {
     fn request(&mut self, cx: &mut Cx<'_>, head: &Head, body: &[u8]) -> Handled {
         let response = match calls::read(head, body, cx.world.limits.name_bytes) {
             Ok(call) => {
-                let response = operate(cx, &call);
+                let response = execute(cx, &call);
                 // Whether it is ready is asked several times a second.
                 if call.operation != Operation::Ready {
                     tracing::info!(%call, peer = %self.peer, status = response.status, "operator's call");
@@ -152,28 +152,29 @@
     }
 
     fn patience(&self, limits: &Limits) -> Time {
-        limits.door_read
+        limits.admin_read_timeout
     }
 
     fn closed(&mut self, cx: &mut Cx<'_>) {
-        cx.net.post(self.door, Message::CallerLeft(cx.token));
+        cx.net
+            .post(self.listener, Message::AdminConnectionClosed(cx.token));
     }
 }
 
 /// Does what is asked, and only then says so.
-fn operate(cx: &mut Cx<'_>, call: &Call) -> Response {
+fn execute(cx: &mut Cx<'_>, call: &Call) -> Response {
     let serving = cx.world.phase == Phase::Serving;
     match call.operation {
         // What is turned away is told too: a gatherer may be ready and yet serve nobody.
         Operation::Ready => match cx.world.waits(cx.now) {
-            None => Response::text(200, format!("ready{}", cx.world.turned)),
+            None => Response::text(200, format!("ready{}", cx.world.rejections)),
             Some(wait) => Response::text(
                 503,
-                format!("not taking clients: {wait}{}", cx.world.turned),
+                format!("not taking clients: {wait}{}", cx.world.rejections),
             ),
         },
-        Operation::Exclude => stand(cx, &call.member, true),
-        Operation::Include => stand(cx, &call.member, false),
+        Operation::Exclude => set_exclusion(cx, &call.member, true),
+        Operation::Include => set_exclusion(cx, &call.member, false),
         Operation::Evacuate | Operation::Rejoin if !serving => {
             Response::text(503, "this process is ending")
         }
@@ -182,7 +183,7 @@
                 .world
                 .orders
                 .drain
-                .begin(cx.now, Steps::of(&cx.world.limits));
+                .begin(cx.now, Schedule::from_limits(&cx.world.limits));
             Response::text(
                 200,
                 if begins {
@@ -206,18 +207,18 @@
     }
 }
 
-fn stand(cx: &mut Cx<'_>, uid: &str, out: bool) -> Response {
+fn set_exclusion(cx: &mut Cx<'_>, uid: &str, excluded: bool) -> Response {
     let world = &mut *cx.world;
     // A host may be gone from the list while it is out, as it is restarted then.
-    if world.hosts.id_of(uid).is_none() && !world.orders.hand.is_out(uid) {
+    if world.hosts.id_of(uid).is_none() && !world.orders.exclusions.is_excluded(uid) {
         return Response::text(404, format!("no index host `{}`", uid.escape_default()));
     }
-    if world.orders.set(uid, out, cx.now).is_err() {
+    if world.orders.set(uid, excluded, cx.now).is_err() {
         return Response::text(
             507,
             "as many hosts are out as are kept: take one back first",
         );
     }
     world.hold_hosts(cx.net, cx.now);
-    Response::text(200, if out { "out" } else { "in" })
+    Response::text(200, if excluded { "out" } else { "in" })
 }
--- /dev/null
+++ b/bitternsill/src/core/answers.rs
@@ -0,0 +1,177 @@
+//! Final answers: every query gets exactly one, from parts that are in.
+
+use super::Core;
+use super::ports::{Answer, Clients, FailureReason, Hosts, Value};
+use super::state::{FirstStep, Query};
+use crate::limits::MS;
+use dispatch::interface::{Event, QueryId, Time};
+
+/// How much a sum of weights may fall short of what is asked for.
+const ROUNDING: f64 = 0.0001;
+
+/// A query that has had its final answer.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct FinishedQuery {
+    /// When its last byte came.
+    pub arrived: Time,
+    /// How long it took, as a ratio of its class's latency target.
+    pub spent: f64,
+    /// Whether it was answered, and completely.
+    pub complete: bool,
+    /// Its class, by its slot.
+    pub class: usize,
+    /// What became of it: `whole`, `partial`, `refused` or `failed`.
+    pub outcome: &'static str,
+    /// The version of the configuration under which it was accepted.
+    pub version: u64,
+}
+
+impl Core {
+    pub(super) fn answer(&mut self, number: u64, complete: bool, now: Time) {
+        let Some(query) = self.queries.get(&number) else {
+            return;
+        };
+        let class = &self.settings.classes[query.class];
+        let (floor, need, second_step) = (class.floor, class.need, class.second_step as usize);
+        let parts = query.parts.iter().filter_map(|id| self.parts.get(id));
+        let mut within: Vec<(u32, Value)> = parts
+            .clone()
+            .filter_map(|p| Some((p.shard, p.value.clone()?)))
+            .collect();
+        let weight: f64 = parts.filter(|p| p.value.is_some()).map(|p| p.weight).sum();
+        let all = within.len() == query.parts.len();
+        let enough = if query.first_step.is_some() {
+            all
+        } else {
+            weight + ROUNDING >= need
+        };
+        let honest =
+            complete && enough && query.first_step.as_ref().is_none_or(|first| first.complete);
+        if within.is_empty() || weight + ROUNDING < floor {
+            // An answer from less than the class's least share must never go out, whoever asked for
+            // it.
+            tracing::error!(
+                query = &*query.name,
+                weight,
+                "an answer from too few parts was held back"
+            );
+            self.finish(number, Answer::Failed(FailureReason::GivenUp), now);
+            self.events.push(Event::ClientLeft {
+                id: QueryId(number),
+            });
+            return;
+        }
+        if second_step > 0 && query.first_step.is_none() {
+            self.second_step(number, within, honest, second_step);
+            return;
+        }
+        within.sort_by_key(|(shard, _)| *shard);
+        if let Some(query) = self.finish(
+            number,
+            Answer::Served {
+                complete: honest,
+                values: within,
+            },
+            now,
+        ) {
+            tracing::debug!(
+                query = &*query.name,
+                took = now.saturating_sub(query.arrived) / MS,
+                complete = honest,
+                attempts = query.attempts,
+                "answered"
+            );
+        }
+    }
+
+    /// Begins the second step: parts at the shards in with the highest scores, told to the module
+    /// next turn.
+    pub(super) fn second_step(
+        &mut self,
+        number: u64,
+        mut within: Vec<(u32, Value)>,
+        complete: bool,
+        most: usize,
+    ) {
+        within.sort_by_key(|(shard, _)| *shard);
+        let from: Vec<String> = within.iter().map(|(shard, _)| shard.to_string()).collect();
+        within.sort_by(|a, b| b.1.score.total_cmp(&a.1.score).then(a.0.cmp(&b.0)));
+        within.truncate(most);
+        let weight = 1.0 / within.len() as f64;
+        let parts: Vec<u64> = within
+            .iter()
+            .map(|(shard, _)| self.add_part(number, *shard, weight))
+            .collect();
+        if let Some(query) = self.queries.get_mut(&number) {
+            query.first_step = Some(FirstStep {
+                shards: from.join("+").into(),
+                complete,
+            });
+            for old in std::mem::replace(&mut query.parts, parts) {
+                self.parts.remove(&old);
+            }
+        }
+    }
+
+    /// Queries that ended since this was last asked, and whether they are to be noted from now on.
+    pub fn take_finished(&mut self, go_on: bool) -> Vec<FinishedQuery> {
+        std::mem::replace(&mut self.finished, go_on.then(Vec::new)).unwrap_or_default()
+    }
+
+    /// Ends a query with its final answer, which goes out at the end of the turn.
+    pub(super) fn finish(&mut self, number: u64, answer: Answer, now: Time) -> Option<Query> {
+        let query = self.close(number)?;
+        if let Some(finished) = &mut self.finished {
+            let outcome = match answer {
+                Answer::Served { complete: true, .. } => "whole",
+                Answer::Served { .. } => "partial",
+                Answer::Rejected { .. } => "refused",
+                Answer::Failed(_) => "failed",
+            };
+            let Query {
+                arrived,
+                class,
+                version,
+                ..
+            } = query;
+            let latency_target = self.settings.classes[class].latency_target.max(1);
+            let spent = now.saturating_sub(arrived) as f64 / latency_target as f64;
+            finished.push(FinishedQuery {
+                arrived,
+                spent,
+                complete: outcome == "whole",
+                class,
+                outcome,
+                version,
+            });
+        }
+        self.answers.push((query.caller, answer));
+        Some(query)
+    }
+
+    pub(super) fn close(&mut self, number: u64) -> Option<Query> {
+        let query = self.queries.remove(&number)?;
+        self.callers.remove(&query.caller);
+        self.names.remove(&query.name);
+        self.deadlines.remove(&(query.deadline, number));
+        for part in &query.parts {
+            self.parts.remove(part);
+        }
+        Some(query)
+    }
+
+    /// Fails whatever is still open: the program is about to end. What waits to be written is not
+    /// written any more.
+    pub fn fail_all(&mut self, ports: &mut (impl Clients + Hosts)) {
+        for (id, attempt) in self.attempts.drain() {
+            ports.cancel(attempt.host, id);
+        }
+        self.timeouts.clear();
+        self.delayed.clear();
+        while let Some((&number, _)) = self.queries.first_key_value() {
+            if let Some(query) = self.close(number) {
+                ports.answer(query.caller, Answer::Failed(FailureReason::Ending));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/bitternsill/src/core/attempts.rs
@@ -0,0 +1,209 @@
+//! Attempts: sending them, and how they and probes end.
+
+use super::Core;
+use super::ports::{Answer, FailureReason};
+use super::ports::{AttemptId, Hosts, Outgoing, Value};
+use super::state::Attempt;
+use dispatch::interface::{Effect, Event, LoadReport, Outcome, PartId, QueryId, ServerId, Time};
+
+/// Adds a part to the call that goes to its host.
+pub(super) fn add_to_call(
+    calls: &mut Vec<(ServerId, Vec<Outgoing>)>,
+    host: ServerId,
+    part: Outgoing,
+) {
+    match calls.iter_mut().find(|(to, _)| *to == host) {
+        Some((_, parts)) => parts.push(part),
+        None => calls.push((host, vec![part])),
+    }
+}
+
+impl Core {
+    /// The last byte of an attempt's message went out: from here on it may run.
+    pub fn mark_written(&mut self, attempt: AttemptId) {
+        if let Some(attempt) = self.attempts.get_mut(&attempt) {
+            attempt.written = true;
+        }
+    }
+
+    /// An attempt brought its value.
+    pub fn attempt_served(&mut self, attempt: AttemptId, value: Value, now: Time) {
+        if self.attempts.contains_key(&attempt)
+            && let Some(part) = self.parts.get_mut(&attempt.part)
+        {
+            part.value.get_or_insert(value);
+        }
+        self.attempt_ended(attempt, Outcome::Ok, now);
+    }
+
+    /// An attempt ended; a second end of one attempt is dropped, so the module sees exactly one.
+    pub fn attempt_ended(&mut self, id: AttemptId, outcome: Outcome, now: Time) {
+        let Some(attempt) = self.attempts.remove(&id) else {
+            return;
+        };
+        self.timeouts.remove(&(attempt.until, id));
+        tracing::debug!(
+            part = id.part,
+            number = id.number,
+            host = attempt.host.0,
+            ?outcome,
+            "ended"
+        );
+        self.events.push(Event::AttemptEnded {
+            part: PartId(id.part),
+            attempt: id.number,
+            server: attempt.host,
+            outcome,
+            took: now.saturating_sub(attempt.sent),
+            load: LoadReport::default(),
+        });
+    }
+
+    /// A connection broke, or ended: what had been written whole may have run, the rest never did.
+    pub fn connection_broken(&mut self, attempt: AttemptId, now: Time) {
+        self.attempt_interrupted(attempt, Outcome::Reset, now);
+    }
+
+    /// The same with the outcome for what may have run, where more is known than that the
+    /// connection ended.
+    pub fn attempt_interrupted(&mut self, attempt: AttemptId, outcome: Outcome, now: Time) {
+        let written = self.attempts.get(&attempt).is_some_and(|a| a.written);
+        self.attempt_ended(
+            attempt,
+            if written {
+                outcome
+            } else {
+                Outcome::ConnectFailed
+            },
+            now,
+        );
+    }
+
+    /// A probe ended.
+    pub fn probe_ended(&mut self, host: ServerId, outcome: Outcome, now: Time) {
+        if let Some(sent) = self.probes.remove(&host) {
+            let took = now.saturating_sub(sent);
+            self.events.push(Event::ProbeEnded {
+                server: host,
+                outcome,
+                took,
+                load: LoadReport::default(),
+            });
+        }
+    }
+
+    pub(super) fn expire(&mut self, now: Time, ports: &mut impl Hosts) {
+        while let Some(&(at, id)) = self.timeouts.first()
+            && at <= now
+        {
+            self.timeouts.pop_first();
+            let Some(attempt) = self.attempts.get(&id) else {
+                continue;
+            };
+            let outcome = if attempt.written {
+                Outcome::TimedOut
+            } else {
+                Outcome::ConnectFailed
+            };
+            ports.cancel(attempt.host, id);
+            self.attempt_ended(id, outcome, now);
+        }
+        let late: Vec<ServerId> = self
+            .probes
+            .iter()
+            .filter(|p| *p.1 + self.limits.probe <= now)
+            .map(|p| *p.0)
+            .collect();
+        for host in late {
+            self.probe_ended(host, Outcome::TimedOut, now);
+        }
+        // The module ends queries in good time; this guards the rule should it ever not.
+        while let Some(&(at, number)) = self.deadlines.first()
+            && at <= now
+        {
+            self.deadlines.pop_first();
+            if let Some(query) = self.finish(number, Answer::Failed(FailureReason::TimeUp), now) {
+                tracing::warn!(query = &*query.name, "no decision in time");
+                self.events.push(Event::ClientLeft {
+                    id: QueryId(number),
+                });
+            }
+        }
+    }
+
+    pub(super) fn send(
+        &mut self,
+        number: u64,
+        host: ServerId,
+        until: Time,
+        now: Time,
+        calls: &mut Vec<(ServerId, Vec<Outgoing>)>,
+    ) {
+        let Some(part) = self.parts.get_mut(&number) else {
+            return;
+        };
+        let Some(query) = self.queries.get_mut(&part.query) else {
+            return;
+        };
+        let id = AttemptId {
+            part: number,
+            number: part.attempts,
+        };
+        part.attempts += 1;
+        let until = if until == 0 {
+            query.deadline
+        } else {
+            until.min(query.deadline)
+        };
+        self.attempts.insert(
+            id,
+            Attempt {
+                host,
+                sent: now,
+                until,
+                written: false,
+            },
+        );
+        let class = &self.settings.classes[query.class];
+        // Written later than this, a repeat would no longer be dropped by the index host.
+        let first_sent = *part.first_sent.get_or_insert(now);
+        let repeatable_until = match class.effect {
+            Effect::Keyed if id.number > 0 => first_sent + class.key_lifetime,
+            _ => Time::MAX,
+        };
+        let over = part.value.is_some() || part.attempts > class.max_attempts;
+        if over || until.min(repeatable_until) <= now {
+            self.attempt_ended(id, Outcome::Skipped, now);
+            return;
+        }
+        query.attempts += 1;
+        self.timeouts.insert((until, id));
+        let first_step = query.first_step.as_ref();
+        let outgoing = Outgoing {
+            id,
+            name: format!(
+                "{}.{}{}",
+                query.name,
+                part.shard,
+                if first_step.is_some() { ".r" } else { "" }
+            ),
+            shard: part.shard,
+            until,
+            not_after: repeatable_until,
+            key: query.key.clone(),
+            from: first_step.map(|first| first.shards.clone()),
+            text: query.text.clone(),
+            first_step_complete: first_step.map(|first| first.complete),
+        };
+        // The first step ends when the first part of the second arrives, and whoever has not heard
+        // of that by then turns the others down: they follow when the first has had a turn's time.
+        if query.first_step.is_some() {
+            let (first, at) = *query.second_step_opened.get_or_insert((host, now));
+            if at == now && first != host {
+                self.delayed.push((host, outgoing));
+                return;
+            }
+        }
+        add_to_call(calls, host, outgoing);
+    }
+}
--- a/bitternsill/src/core/permitted/tests.rs
+++ b/bitternsill/src/core/bounds/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `core::permitted`.
+//! Tests of `core::bounds`.
 
 use super::*;
 use serde_json::json;
--- a/bitternsill/src/core/schema.rs
+++ b/bitternsill/src/core/schema.rs
@@ -1,6 +1,6 @@
 //! The settings as a JSON schema, from the tables by which they are checked.
 
-use super::permitted::{Allowed, BY_CLASS, CLASS, ONCE};
+use super::bounds::{Allowed, BY_CLASS, CLASS, ONCE};
 use serde_json::{Map, Value, json};
 
 fn of(allowed: Allowed) -> Value {
--- a/bitternsill/src/core/schema/tests.rs
+++ b/bitternsill/src/core/schema/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `core::schema`.
 
-use super::super::permitted::check;
+use super::super::bounds::check;
 use super::*;
 
 fn good() -> Value {
--- a/bitternsill/src/core/settings.rs
+++ b/bitternsill/src/core/settings.rs
@@ -1,6 +1,6 @@
 //! The settings: the module's share is read by the adapter's parser, the program's own share here.
 
-use super::permitted;
+use super::bounds;
 use crate::limits::MS;
 use dispatch::interface::{Effect, Settings, Time};
 use dispatch::wire::read_settings;
@@ -46,7 +46,7 @@
 
 /// Reads both shares of the settings.
 pub fn read(value: &Value) -> Result<(Settings, Deployment), SettingsError> {
-    permitted::check(value)?;
+    bounds::check(value)?;
     let mut settings = read_settings(&value.to_string())
         // Without the path of the simulator's wire, which operators never see.
         .map_err(|problem| {
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -9,9 +9,9 @@
 pub mod listener;
 pub mod overflow;
 pub mod platform;
+pub mod rejections;
 pub mod server;
 pub mod signals;
-pub mod turned;
 
 use crate::admin::Orders;
 use crate::core::Core;
@@ -26,12 +26,12 @@
 use dispatch::interface::{ListKind, Outcome, ServerId, Time};
 use hosts::{HostTable, Member};
 use learning::picture::Fleet;
+use rejections::Rejections;
 use signals::Fresh;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use store::member::{Reply, Write};
 use store::packet::Change;
-use turned::Turned;
 use versions::standing::Standing;
 use versions::trail::Entry;
 
@@ -44,21 +44,21 @@
     /// Send these parts as one call.
     Call(Vec<Outgoing>),
     /// Give an attempt up.
-    GiveUp(AttemptId),
+    CancelAttempt(AttemptId),
     /// Send a probe.
     Probe,
     /// Close if nothing is out.
     CloseIdle,
     /// The host leaves: nothing unsent may go there any more.
-    HostLeaves,
+    HostDraining,
     /// Make room: close if no request is being read or answered.
-    MakeRoom,
+    Evict,
     /// Discovery: begin or end the watch.
     Watch(bool),
     /// Discovery: ask once.
     Fetch,
     /// Discovery: it listens elsewhere now.
-    Moved(SocketAddr),
+    EndpointMoved(SocketAddr),
     /// The store's file: something to be written.
     Write(Write),
     /// A line of the store, for a member or a watcher.
@@ -77,7 +77,7 @@
     /// The program is ending: take no more connections, close what is idle.
     Retire,
     /// The operators' door: a caller's connection has ended.
-    CallerLeft(Token),
+    AdminConnectionClosed(Token),
 }
 
 /// How far the program's end has come.
@@ -164,7 +164,7 @@
     /// When the program started.
     pub started: Time,
     /// What was turned away before it became a query.
-    pub turned: Turned,
+    pub rejections: Rejections,
     /// What the log last said that clients wait for.
     pub said: Option<Wait>,
 }
@@ -219,7 +219,7 @@
 
     /// Notes a request that is no query.
     pub fn turn_away(&mut self, why: &str, asked: &str, now: Time) {
-        if let Some(report) = self.turned.note(why, asked, now, &self.limits) {
+        if let Some(report) = self.rejections.record(why, asked, now, &self.limits) {
             tracing::warn!(
                 why = report.why,
                 count = report.new,
@@ -232,7 +232,7 @@
     /// Whether answers close their connections.
     pub fn is_leaving(&self, now: Time) -> bool {
         match self.phase {
-            Phase::Serving => self.orders.drain.says_farewell(now),
+            Phase::Serving => self.orders.drain.closes_after_answer(now),
             Phase::Leaving(until) => self.followed || until <= now + self.limits.farewell,
             Phase::Finishing(_) | Phase::Done { .. } => true,
         }
@@ -241,7 +241,7 @@
     /// How many connections clients may have: both processes of an upgrade stand under one limit of
     /// descriptors.
     pub fn client_places(&self) -> usize {
-        if self.orders.is_followed() {
+        if self.orders.has_successor() {
             self.limits.clients / 2
         } else {
             self.limits.clients
@@ -278,7 +278,11 @@
     /// Has index hosts stand as operators want them now.
     pub fn hold_hosts(&mut self, net: &mut Net<Self>, now: Time) {
         let entries = self.hosts.hold(
-            self.orders.hand.out().map(str::to_owned).collect(),
+            self.orders
+                .exclusions
+                .excluded()
+                .map(str::to_owned)
+                .collect(),
             net,
             now,
         );
@@ -347,7 +351,7 @@
                 let last = now
                     + self
                         .limits
-                        .last_call
+                        .shutdown_deadline
                         .saturating_sub(self.limits.keep_serving);
                 self.phase = Phase::Finishing(last);
                 self.close_listeners(net);
@@ -424,7 +428,7 @@
         if let Some(keeper) = &mut self.keeper {
             keeper.turn(&mut self.core, &self.hosts, now);
         }
-        if self.orders.look(now) {
+        if self.orders.poll(now) {
             self.hold_hosts(net, now);
         }
         if let Some(sweep) = self.orders.drain.sweep(now) {
--- a/bitternsill/src/front/catalogue.rs
+++ b/bitternsill/src/front/catalogue.rs
@@ -74,7 +74,7 @@
             sets,
             bytes,
             ttl: session.ttl,
-            gone: limits.sets_gone,
+            gone: limits.removed_sets,
         };
         Catalogue {
             database,
--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -73,11 +73,11 @@
     pub fn new(limits: Rc<Limits>, dialect: MakeDialect, slice_database: &str) -> Self {
         let pool = Pool::new(PoolBounds {
             sessions: limits.connections_per_host,
-            rest_least: limits.host_rest.0,
-            rest_most: limits.host_rest.1,
-            learn_for: limits.learn_for,
-            outlive_least: limits.outlive.0,
-            outlive_most: limits.outlive.1,
+            rest_least: limits.host_backoff.0,
+            rest_most: limits.host_backoff.1,
+            learn_for: limits.capability_ttl,
+            outlive_least: limits.abandoned_search_time.0,
+            outlive_most: limits.abandoned_search_time.1,
             hosts: limits.hosts,
         });
         let pool = Rc::new(RefCell::new(pool));
@@ -538,7 +538,7 @@
                 }
                 self.schedule(cx);
             }
-            Message::GiveUp(attempt) => {
+            Message::CancelAttempt(attempt) => {
                 self.cancel(cx, attempt);
                 if self.up && !cx.is_closing() {
                     self.write(cx);
@@ -555,7 +555,7 @@
                 cx.world.core.probe_ended(self.host, outcome, cx.now);
             }
             Message::CloseIdle if self.current.is_none() && self.queue.is_empty() => cx.close(),
-            Message::CloseIdle | Message::HostLeaves => {
+            Message::CloseIdle | Message::HostDraining => {
                 // A session that is still open to a leaving host finishes its part and takes no
                 // other.
                 self.retire(cx);
--- a/bitternsill/src/front/catalogue/session.rs
+++ b/bitternsill/src/front/catalogue/session.rs
@@ -259,7 +259,7 @@
                 });
                 self.read_units(cx);
             }
-            Message::MakeRoom | Message::Retire if !self.is_busy() => {
+            Message::Evict | Message::Retire if !self.is_busy() => {
                 self.close_session(cx, CloseReason::Shutdown, "");
             }
             _ => {}
--- a/bitternsill/src/front/clients.rs
+++ b/bitternsill/src/front/clients.rs
@@ -109,7 +109,7 @@
                 net.post(
                     token,
                     if partial {
-                        Message::MakeRoom
+                        Message::Evict
                     } else {
                         Message::Retire
                     },
@@ -135,12 +135,12 @@
                 .longest(Rest::Once)
                 .filter(|(at, _)| at + limits.partial_grace <= now);
             let Some((_, token)) =
-                oldest.filter(|_| self.counts[Rest::Once as usize] > limits.once_kept)
+                oldest.filter(|_| self.counts[Rest::Once as usize] > limits.single_request_clients)
             else {
                 return;
             };
             self.set_rest(token, None);
-            net.post(token, Message::MakeRoom);
+            net.post(token, Message::Evict);
         }
     }
 
@@ -149,7 +149,7 @@
     /// of them they will soon make room, and spare the kinds below.
     pub fn make_room(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) -> Room {
         let kinds = [
-            (Rest::Silent, limits.silent_grace),
+            (Rest::Silent, limits.unused_grace),
             (Rest::Partial, limits.partial_grace),
             (Rest::Once, limits.partial_grace),
             (Rest::Idle, 0),
@@ -160,7 +160,7 @@
             };
             if at + grace <= now {
                 self.set_rest(token, None);
-                net.post(token, Message::MakeRoom);
+                net.post(token, Message::Evict);
                 return Room::Made;
             }
             if self.counts[rest as usize] * 8 >= self.open.len() {
--- a/bitternsill/src/front/hosts.rs
+++ b/bitternsill/src/front/hosts.rs
@@ -217,7 +217,7 @@
                 host.endpoint = member.endpoint;
                 // Connections to a former address end by themselves; new calls must not use them.
                 for link in host.links.drain(..) {
-                    net.post(link.token, Message::HostLeaves);
+                    net.post(link.token, Message::HostDraining);
                 }
             }
             host.entry = member.entry.clone();
@@ -318,7 +318,7 @@
             .get_mut(&id)
             .and_then(|h| h.attempts.remove(&attempt))
         {
-            net.post(token, Message::GiveUp(attempt));
+            net.post(token, Message::CancelAttempt(attempt));
         }
     }
 
@@ -399,7 +399,7 @@
     /// How long a connection to a host may be mute. Where its connections fall mute one after the
     /// other it is the host that is silent, and each is given twice the time of the one before.
     pub fn mute_after(&self, id: ServerId) -> Time {
-        self.limits.link_mute << self.hosts.get(&id).map_or(0, |h| h.mute.min(4))
+        self.limits.link_unresponsive << self.hosts.get(&id).map_or(0, |h| h.mute.min(4))
     }
 
     /// A connection has fallen mute, or (`false`) something has come on it.
@@ -425,7 +425,7 @@
         } else if self.leaving_since.is_none() {
             self.leaving_since = Some(now);
             for link in &self.links {
-                net.post(link.token, Message::HostLeaves);
+                net.post(link.token, Message::HostDraining);
             }
         }
     }
--- a/bitternsill/src/front/listener.rs
+++ b/bitternsill/src/front/listener.rs
@@ -42,13 +42,13 @@
     /// Closes some connections that have been idle longest, and goes on when they are gone.
     fn make_room(&mut self, cx: &mut Cx<'_>) {
         let limits = cx.world.limits.clone();
-        for _ in 0..limits.room_burst {
+        for _ in 0..limits.eviction_burst {
             if cx.world.clients.make_room(cx.net, cx.now, &limits) != Room::Made {
                 break;
             }
         }
         self.listen(cx, false);
-        cx.set_timer(cx.now + cx.world.limits.accept_rest);
+        cx.set_timer(cx.now + cx.world.limits.accept_backoff);
     }
 
     /// Takes whoever is in the backlog, however many these are, as the close that follows would
@@ -62,7 +62,7 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return cx.close(),
                 Err(_) => {
                     self.listen(cx, false);
-                    return cx.set_timer(cx.now + cx.world.limits.accept_rest);
+                    return cx.set_timer(cx.now + cx.world.limits.accept_backoff);
                 }
             }
         }
--- a/bitternsill/src/front/platform/discovery.rs
+++ b/bitternsill/src/front/platform/discovery.rs
@@ -242,9 +242,9 @@
                 let limits = &cx.world.limits;
                 let refused = self.last == Failure::Refused;
                 let patience = if refused {
-                    limits.discovery_answer
+                    limits.discovery_busy_timeout
                 } else {
-                    limits.discovery_call
+                    limits.discovery_timeout
                 };
                 cx.set_timer(cx.now + patience);
             }
@@ -312,7 +312,7 @@
                 .update_endpoints(ListKind::Partial, Vec::new());
         }
         // Only what is whole breaks the silence: bytes that never make a line tell nothing.
-        cx.set_timer(cx.now + cx.world.limits.watch_silence);
+        cx.set_timer(cx.now + cx.world.limits.watch_timeout);
         told.iter().try_for_each(|json| self.take(cx, json))
     }
 
@@ -341,7 +341,7 @@
             && open.reader.head.is_some()
             && !std::mem::replace(&mut open.begun, true)
         {
-            cx.set_timer(cx.now + cx.world.limits.watch_silence);
+            cx.set_timer(cx.now + cx.world.limits.watch_timeout);
         }
         // A watch that ends instead of telling has been there all the same.
         let failure = if open.begun && !open.answered {
@@ -390,7 +390,7 @@
         let under_way = self.open.as_ref().map(|open| open.call);
         match (message, under_way) {
             (Message::Watch(false), Some(Call::Watch)) => self.end(cx, None, "unwatched"),
-            (Message::Moved(to), _) => self.moved(cx, to),
+            (Message::EndpointMoved(to), _) => self.moved(cx, to),
             (Message::CloseIdle, _) if self.retiring => cx.close(),
             // A retry that was due before discovery moved; the present watch must not be called for
             // twice.
--- a/bitternsill/src/front/platform/link.rs
+++ b/bitternsill/src/front/platform/link.rs
@@ -344,7 +344,7 @@
             let mute = || since + cx.world.hosts.mute_after(self.host);
             cx.set_timer(
                 self.mute
-                    .map_or_else(mute, |at| at + 2 * cx.world.limits.link_mute),
+                    .map_or_else(mute, |at| at + 2 * cx.world.limits.link_unresponsive),
             );
         } else {
             cx.clear_timer();
@@ -412,7 +412,7 @@
     fn deliver(&mut self, cx: &mut Cx<'_>, message: Message) {
         match message {
             Message::Call(parts) => self.take_call(cx, parts),
-            Message::GiveUp(attempt) => self.cancel(cx, attempt),
+            Message::CancelAttempt(attempt) => self.cancel(cx, attempt),
             Message::Probe => {
                 if self.retiring || self.probes.len() >= cx.world.limits.queued_probes {
                     return cx
@@ -429,7 +429,7 @@
                 self.schedule(cx);
             }
             Message::CloseIdle if self.is_idle() => cx.close(),
-            Message::CloseIdle | Message::HostLeaves => self.retire(cx),
+            Message::CloseIdle | Message::HostDraining => self.retire(cx),
             _ => {}
         }
     }
--- a/bitternsill/src/front/turned.rs
+++ b/bitternsill/src/front/rejections.rs
@@ -11,10 +11,10 @@
 
 /// Requests turned away for one reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Kind {
+struct Reason {
     count: u64,
     /// How many of them the log has told of, and when it last did.
-    told: (u64, Time),
+    logged: (u64, Time),
     example: String,
 }
 
@@ -32,55 +32,55 @@
 /// Every reason seen, up to a bound; what comes past that is counted as one more reason. In memory
 /// only: after a restart the counts begin at 0.
 #[derive(Debug, Default)]
-pub struct Turned {
-    kinds: BTreeMap<String, Kind>,
+pub struct Rejections {
+    reasons: BTreeMap<String, Reason>,
 }
 
 /// The reason that stands for all past the bound.
 const OTHERS: &str = "other reasons";
 
-impl Turned {
+impl Rejections {
     /// Notes a request; gives what the log is to say, at once for a new reason and seldom after
     /// that.
-    pub fn note(&mut self, why: &str, asked: &str, now: Time, limits: &Limits) -> Option<Report> {
-        let known = self.kinds.contains_key(why) || self.kinds.len() < limits.turned_reasons;
+    pub fn record(&mut self, why: &str, asked: &str, now: Time, limits: &Limits) -> Option<Report> {
+        let known = self.reasons.contains_key(why) || self.reasons.len() < limits.rejection_reasons;
         let why = if known { why } else { OTHERS };
         let example: String = asked
             .chars()
-            .take(limits.turned_example)
+            .take(limits.rejection_example_chars)
             .flat_map(char::escape_default)
             .collect();
-        let new = || Kind {
+        let new = || Reason {
             count: 0,
-            told: (0, 0),
+            logged: (0, 0),
             example: String::new(),
         };
-        let kind = self.kinds.entry(why.to_owned()).or_insert_with(new);
-        kind.count += 1;
-        kind.example = example;
-        if kind.told.0 > 0 && now < kind.told.1 + limits.turned_repeat {
+        let reason = self.reasons.entry(why.to_owned()).or_insert_with(new);
+        reason.count += 1;
+        reason.example = example;
+        if reason.logged.0 > 0 && now < reason.logged.1 + limits.rejection_log_interval {
             return None;
         }
-        let new = kind.count - kind.told.0;
-        kind.told = (kind.count, now);
+        let new = reason.count - reason.logged.0;
+        reason.logged = (reason.count, now);
         Some(Report {
             why: why.to_owned(),
             new,
-            example: kind.example.clone(),
+            example: reason.example.clone(),
         })
     }
 }
 
-impl fmt::Display for Turned {
+impl fmt::Display for Rejections {
     /// A line for each reason, the most frequent first.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut kinds: Vec<_> = self.kinds.iter().collect();
-        kinds.sort_by_key(|(_, kind)| std::cmp::Reverse(kind.count));
-        for (why, kind) in kinds {
+        let mut reasons: Vec<_> = self.reasons.iter().collect();
+        reasons.sort_by_key(|(_, reason)| std::cmp::Reverse(reason.count));
+        for (why, reason) in reasons {
             write!(
                 f,
                 "\nturned away: {} ({why}), the latest asked for {}",
-                kind.count, kind.example
+                reason.count, reason.example
             )?;
         }
         Ok(())
--- /dev/null
+++ b/bitternsill/src/front/rejections/tests.rs
@@ -0,0 +1,33 @@
+//! Tests of `front::turned`.
+
+use super::*;
+
+#[test]
+fn each_reason_is_told_at_once_then_seldom_with_its_count_and_reasons_are_bounded() {
+    let limits = Limits {
+        rejection_reasons: 2,
+        rejection_log_interval: 100,
+        rejection_example_chars: 4,
+        ..Limits::default()
+    };
+    let mut turned = Rejections::default();
+    let mut record = |why: &str, now| {
+        turned
+            .record(why, "GET\n/long", now, &limits)
+            .map(|r| (r.why, r.new))
+    };
+    assert_eq!(record("no path", 1), Some(("no path".to_owned(), 1)));
+    assert_eq!(
+        [record("no path", 50), record("no path", 100)],
+        [None, None]
+    );
+    assert_eq!(record("no path", 101), Some(("no path".to_owned(), 3)));
+    assert_eq!(record("no class", 101), Some(("no class".to_owned(), 1)));
+    assert_eq!(record("a", 102), Some((OTHERS.to_owned(), 1)));
+    assert_eq!(record("b", 103), None, "past the bound they are one reason");
+    assert_eq!(
+        turned.to_string().lines().nth(1),
+        Some(r"turned away: 4 (no path), the latest asked for GET\n")
+    );
+    assert_eq!(turned.reasons.len(), 3);
+}
--- a/bitternsill/src/front/server.rs
+++ b/bitternsill/src/front/server.rs
@@ -329,7 +329,7 @@
         let idle = if self.requests > 1 {
             cx.world.limits.client_idle
         } else {
-            cx.world.limits.once_idle
+            cx.world.limits.single_request_idle
         };
         cx.set_timer(cx.now + idle);
     }
@@ -452,12 +452,12 @@
                     self.flush(cx);
                 }
             }
-            Message::MakeRoom if matches!(self.state, State::Lingering(_)) => cx.close(),
-            Message::MakeRoom | Message::Retire => {
+            Message::Evict if matches!(self.state, State::Lingering(_)) => cx.close(),
+            Message::Evict | Message::Retire => {
                 if self.state != State::Reading {
                     return;
                 }
-                self.leave_idle(cx, matches!(message, Message::MakeRoom));
+                self.leave_idle(cx, matches!(message, Message::Evict));
             }
             _ => {}
         }
--- a/bitternsill/src/front/signals.rs
+++ b/bitternsill/src/front/signals.rs
@@ -143,7 +143,7 @@
         }
         self.names = names;
         match (discovery, cx.world.directory) {
-            (Some(to), Some(directory)) => cx.net.post(directory, Message::Moved(to)),
+            (Some(to), Some(directory)) => cx.net.post(directory, Message::EndpointMoved(to)),
             _ => {
                 let entries = cx
                     .world
--- a/bitternsill/src/limits.rs
+++ b/bitternsill/src/limits.rs
@@ -52,7 +52,7 @@
     /// How long a result set is kept unused.
     pub set_ttl: Time,
     /// Names of result sets that are gone, remembered to tell them from those that never were.
-    pub sets_gone: usize,
+    pub removed_sets: usize,
     /// Operations of one Z39.50 session at once.
     pub operations: usize,
     /// Bytes of one Z39.50 message to a client.
@@ -64,11 +64,11 @@
     /// Sets that a session to a Z39.50 host keeps there, and how long they are presented from.
     pub host_sets: (usize, Time),
     /// Rests of a catalogue host whose connections fail: the first and the longest.
-    pub host_rest: (Time, Time),
+    pub host_backoff: (Time, Time),
     /// How long what a catalogue host cannot do is held against it.
-    pub learn_for: Time,
+    pub capability_ttl: Time,
     /// How long an abandoned search is outlived: at the least and at the most.
-    pub outlive: (Time, Time),
+    pub abandoned_search_time: (Time, Time),
     /// Queries that wait for no turn where the time between turns is open.
     pub turn_free: usize,
     /// What each further one adds to that time, and its bound.
@@ -88,7 +88,7 @@
     /// Changes that are kept for those who watch from a revision on.
     pub store_history: usize,
     /// How long an answer of the store is waited for by those who ask in lines.
-    pub store_patience: Time,
+    pub store_request_timeout: Time,
     /// Between two heartbeats of the store's leader.
     pub store_heartbeat: Time,
     /// How long a member of the store waits for its leader, at the least.
@@ -98,11 +98,11 @@
     /// Between two attempts to ask a peer for its phase.
     pub recovery_retry: Time,
     /// Between two lines of the log on a member that waits for others.
-    pub store_told: Time,
+    pub store_log_interval: Time,
     /// Between two times that the store is told how far a trail goes.
-    pub trail_told: Time,
+    pub audit_report_interval: Time,
     /// How long a full disk is left alone before the next attempt.
-    pub store_full_rest: Time,
+    pub disk_full_backoff: Time,
     /// Characters of a query's id, of its key and of a catalogue query.
     pub name_bytes: usize,
     /// Bytes of the texts in one call; a part with a longer one travels alone.
@@ -114,7 +114,7 @@
     /// Client connections held at once.
     pub clients: usize,
     /// Client connections kept that have asked once and no more.
-    pub once_kept: usize,
+    pub single_request_clients: usize,
     /// Client connections held at once where catalogue sessions are served.
     pub sessions: usize,
     /// Connections to all index hosts: what clients may not have, less what the program itself
@@ -136,7 +136,7 @@
     /// it is replaced, and more.
     pub hosts: usize,
     /// Idle connections closed at once to make room.
-    pub room_burst: usize,
+    pub eviction_burst: usize,
     /// Connections accepted before others get their turn.
     pub accept_burst: usize,
     /// How long a connection may take to come up.
@@ -145,7 +145,7 @@
     pub host_idle: Time,
     /// A connection on which parts are out and nothing has come for this long takes no more of
     /// them.
-    pub link_mute: Time,
+    pub link_unresponsive: Time,
     /// How long a frame of an index host may be there in part.
     pub frame_read: Time,
     /// How long a probe is awaited.
@@ -156,12 +156,12 @@
     /// How long a connection may stay without a request after its last one.
     pub client_idle: Time,
     /// The same after its only one.
-    pub once_idle: Time,
+    pub single_request_idle: Time,
     /// The same for a catalogue session, whose result sets go with it.
     pub session_idle: Time,
     /// A connection that has said nothing for this long gives way to others before those that have
     /// asked.
-    pub silent_grace: Time,
+    pub unused_grace: Time,
     /// The same for one that has been half-way through a request, or idle after its only one, this
     /// long.
     pub partial_grace: Time,
@@ -170,20 +170,20 @@
     /// How long what a client still sends after its last answer is read and dropped.
     pub drain: Time,
     /// How long accepting rests after descriptors ran out.
-    pub accept_rest: Time,
+    pub accept_backoff: Time,
     /// How long a discovery call may take to be answered. What changes counts as told 6 s after
     /// discovery had it: a silent watch, the wait for the next call, that call given up and the
     /// wait behind it have to fit in. With less patience a large fleet that all calls at once is
     /// answered seldom: its calls are worked on and thrown away.
-    pub discovery_call: Time,
+    pub discovery_timeout: Time,
     /// The same behind a call that was refused, as nothing has been missed until then. A discovery
     /// that has too many callers says so after some 2 s; given up before, a call has been worked on
     /// for nothing.
-    pub discovery_answer: Time,
+    pub discovery_busy_timeout: Time,
     /// A watch silent for this long is broken; an empty line comes every 2 s.
-    pub watch_silence: Time,
+    pub watch_timeout: Time,
     /// Taken off the time the module is told a client will wait.
-    pub patience_margin: Time,
+    pub client_timeout_margin: Time,
     /// An open query is failed this long before its client's time ends.
     pub answer_margin: Time,
     /// How long after a notice new work to a leaving host may go on.
@@ -193,20 +193,20 @@
     /// The last part of that time, in which each answer closes its connection.
     pub farewell: Time,
     /// After SIGTERM: when whatever is left is failed and the program ends.
-    pub last_call: Time,
+    pub shutdown_deadline: Time,
     /// How long the end waits for the last picture of what was learned to be written.
-    pub last_picture: Time,
+    pub final_snapshot_timeout: Time,
     /// How long a start waits for discovery before it reports ready with the list it was given.
-    pub first_list: Time,
+    pub first_endpoints_timeout: Time,
     /// How long after new settings the former names and meanings of classes hold beside the new
     /// ones.
     pub settings_overlap: Time,
     /// Classes held at once, those that only open queries are of included.
     pub classes: usize,
     /// Callers at the operators' door at once; so many descriptors are kept back for them.
-    pub door_callers: usize,
+    pub admin_connections: usize,
     /// How long an operator's call may take to come.
-    pub door_read: Time,
+    pub admin_read_timeout: Time,
     /// A drain: from when on answers close connections, idle ones are closed, and half requests
     /// ended.
     pub drain_times: (Time, Time, Time),
@@ -214,17 +214,17 @@
     /// connection is left alone.
     pub drain_sweep: (Time, Time),
     /// How long it is remembered that a host is back, for the other process.
-    pub hand_kept: Time,
+    pub exclusion_retention: Time,
     /// Between two looks at what the other process has noted.
-    pub handover_look: Time,
+    pub handover_poll_interval: Time,
     /// Processes of one name that can know of each other.
     pub handover_processes: usize,
     /// Reasons for which requests are turned away that are counted apart.
-    pub turned_reasons: usize,
+    pub rejection_reasons: usize,
     /// Between two lines of the log on one such reason.
-    pub turned_repeat: Time,
+    pub rejection_log_interval: Time,
     /// Characters of what such a request asked for that are kept.
-    pub turned_example: usize,
+    pub rejection_example_chars: usize,
 }
 
 impl Default for Limits {
@@ -250,15 +250,15 @@
             result_sets: 32,
             all_sets: (10_000, 32 << 20),
             set_ttl: 300_000 * MS,
-            sets_gone: 1_000,
+            removed_sets: 1_000,
             operations: 64,
             message: 256 << 10,
             output: 1 << 20,
             stalled_reader: 5_000 * MS,
             host_sets: (8, 60_000 * MS),
-            host_rest: (100 * MS, 5_000 * MS),
-            learn_for: 600_000 * MS,
-            outlive: (300 * MS, 3_000 * MS),
+            host_backoff: (100 * MS, 5_000 * MS),
+            capability_ttl: 600_000 * MS,
+            abandoned_search_time: (300 * MS, 3_000 * MS),
             turn_free: 4,
             turn_step: MS / 5,
             turn_most: 5 * MS,
@@ -268,20 +268,20 @@
             store_txn_keys: 256,
             store_calls: 256,
             store_history: 1_024,
-            store_patience: 3_000 * MS,
+            store_request_timeout: 3_000 * MS,
             store_heartbeat: 150 * MS,
             store_election: 600 * MS,
             store_retry: 100 * MS,
             recovery_retry: 200 * MS,
-            store_told: 30_000 * MS,
-            trail_told: 1_000 * MS,
-            store_full_rest: 500 * MS,
+            store_log_interval: 30_000 * MS,
+            audit_report_interval: 1_000 * MS,
+            disk_full_backoff: 500 * MS,
             name_bytes: 256,
             call_bytes: 64 << 10,
             read_burst: 64 << 10,
             descriptors: 1024,
             clients: 512,
-            once_kept: 85,
+            single_request_clients: 85,
             sessions: 4096,
             host_links: 1024,
             connections_per_host: 4,
@@ -291,45 +291,45 @@
             past_parts: 256,
             queued_probes: 16,
             hosts: 1_024,
-            room_burst: 64,
+            eviction_burst: 64,
             accept_burst: 64,
             connect: 250 * MS,
             host_idle: 22_500 * MS,
-            link_mute: 400 * MS,
+            link_unresponsive: 400 * MS,
             frame_read: 400 * MS,
             probe: 250 * MS,
             request_read: 2_200 * MS,
             client_idle: 15_000 * MS,
-            once_idle: 2_000 * MS,
+            single_request_idle: 2_000 * MS,
             session_idle: 120_000 * MS,
-            silent_grace: 50 * MS,
+            unused_grace: 50 * MS,
             partial_grace: 150 * MS,
             linger: 500 * MS,
             drain: 5_000 * MS,
-            accept_rest: 5 * MS,
-            discovery_call: 1_500 * MS,
-            discovery_answer: 2_200 * MS,
-            watch_silence: 2_400 * MS,
-            patience_margin: 15 * MS,
+            accept_backoff: 5 * MS,
+            discovery_timeout: 1_500 * MS,
+            discovery_busy_timeout: 2_200 * MS,
+            watch_timeout: 2_400 * MS,
+            client_timeout_margin: 15 * MS,
             answer_margin: 8 * MS,
             drain_grace: 2_000 * MS,
             keep_serving: 900 * MS,
             farewell: 500 * MS,
-            last_call: 3_300 * MS,
-            last_picture: 90 * MS,
-            first_list: 1_500 * MS,
+            shutdown_deadline: 3_300 * MS,
+            final_snapshot_timeout: 90 * MS,
+            first_endpoints_timeout: 1_500 * MS,
             settings_overlap: 1_250 * MS,
             classes: 64,
-            door_callers: 8,
-            door_read: 5_500 * MS,
+            admin_connections: 8,
+            admin_read_timeout: 5_500 * MS,
             drain_times: (400 * MS, 800 * MS, 1_700 * MS),
             drain_sweep: (100 * MS, 150 * MS),
-            hand_kept: 60_000 * MS,
-            handover_look: 200 * MS,
+            exclusion_retention: 60_000 * MS,
+            handover_poll_interval: 200 * MS,
             handover_processes: 8,
-            turned_reasons: 32,
-            turned_repeat: 60_000 * MS,
-            turned_example: 96,
+            rejection_reasons: 32,
+            rejection_log_interval: 60_000 * MS,
+            rejection_example_chars: 96,
         }
     }
 }
@@ -349,11 +349,11 @@
         // Discovery's two connections, the operators' callers, listeners, signals and files come
         // out of what is left.
         self.host_links = descriptors
-            .saturating_sub(self.clients + 24 + self.door_callers)
+            .saturating_sub(self.clients + 24 + self.admin_connections)
             .max(4);
         // Clients hold a third of the descriptors at most; a quarter of that may be idle after one
         // request.
-        self.once_kept = (descriptors / 12).max(4);
+        self.single_request_clients = (descriptors / 12).max(4);
         self
     }
 
@@ -373,20 +373,25 @@
     /// deadline or later. Clients may have nowhere else to go until another gatherer is back, so
     /// they are served for as long as what they ask at the end is still answered: the module ends
     /// each query at its class's aim.
-    pub fn with_end(mut self, deadline: Time, aim: Time) -> Self {
+    pub fn with_end(mut self, deadline: Time, latency_target: Time) -> Self {
         let kill = deadline.min(3_000 * MS) + 700 * MS;
-        self.last_call = kill.saturating_sub(100 * MS);
-        self.keep_serving = self.keep_serving.max(kill.saturating_sub(aim + 400 * MS));
+        self.shutdown_deadline = kill.saturating_sub(100 * MS);
+        self.keep_serving = self
+            .keep_serving
+            .max(kill.saturating_sub(latency_target + 400 * MS));
         // Where deadlines are short, what is asked last has to be answered before the kill all the
         // same; new connections come for 0.4 s at the most.
-        let latest = self.last_call.saturating_sub(aim + 50 * MS).max(450 * MS);
+        let latest = self
+            .shutdown_deadline
+            .saturating_sub(latency_target + 50 * MS)
+            .max(450 * MS);
         self.keep_serving = self.keep_serving.min(latest);
         self
     }
 
     /// Judges connections by the least time in which an answer is wanted.
-    pub fn with_aim(mut self, aim: Time) -> Self {
-        self.link_mute = (aim / 4).clamp(50 * MS, self.link_mute);
+    pub fn with_latency_target(mut self, latency_target: Time) -> Self {
+        self.link_unresponsive = (latency_target / 4).clamp(50 * MS, self.link_unresponsive);
         self
     }
 
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -1,7 +1,7 @@
 //! Puts the parts together and runs the loop.
 
 use crate::admin::Orders;
-use crate::admin::door::Door;
+use crate::admin::listener::AdminListener;
 use crate::config::{self, Config, ConfigError};
 use crate::core::Core;
 use crate::core::settings::{self, Deployment};
@@ -18,9 +18,9 @@
 use crate::front::platform::client::Platform;
 use crate::front::platform::discovery::{Discovery, Names, read_list};
 use crate::front::platform::link::FrameConnector;
+use crate::front::rejections::Rejections;
 use crate::front::server::HttpConnection;
 use crate::front::signals::{End, Fresh, ReadAgain, Reload, Reread};
-use crate::front::turned::Turned;
 use crate::front::{Gatherer, Phase, Wait};
 use crate::learned::{Keeper, LearningSetup};
 use crate::limits::Limits;
@@ -74,7 +74,7 @@
         .unwrap_or(0);
     let mut limits = Limits::default()
         .with_descriptors(sockets)
-        .with_aim(aims().min().unwrap_or(Time::MAX))
+        .with_latency_target(aims().min().unwrap_or(Time::MAX))
         .with_end(deadline, aims().max().unwrap_or(0));
     limits.parts_per_connection = deployment.parts_per_connection;
     limits.connect = deployment.connect.unwrap_or(limits.connect);
@@ -159,8 +159,8 @@
     let mut limits = limits(&setup.settings, setup.sockets.min(descriptors()));
     limits.clients = limits.clients.min(limits.sessions);
     // A client that asks once for a page is the usual one here.
-    limits.once_kept = limits.clients;
-    limits.once_idle = limits.client_idle;
+    limits.single_request_clients = limits.clients;
+    limits.single_request_idle = limits.client_idle;
     limits.connections_per_host = setup.host_sessions.unwrap_or(limits.host_sessions);
     limits.set_ttl = setup.sets.idle.unwrap_or(limits.set_ttl);
     limits.all_sets.0 = setup.sets.count.unwrap_or(limits.all_sets.0);
@@ -299,7 +299,7 @@
         begins: setup.begins,
         era,
     };
-    let full_rest = std::time::Duration::from_nanos(limits.store_full_rest);
+    let full_rest = std::time::Duration::from_nanos(limits.disk_full_backoff);
     let behaviour = Behaviour {
         sync: setup.test_sync,
         full_while: setup.test_full_while.clone(),
@@ -351,14 +351,14 @@
         directory: None,
         orders: Orders::open(&plan.name, folder.as_deref(), now, &limits),
         followed: false,
-        ready_by: plan.discovery.map(|_| now + limits.first_list),
+        ready_by: plan.discovery.map(|_| now + limits.first_endpoints_timeout),
         listeners: Vec::new(),
         shelf: None,
         keeper,
         returning: None,
         versions: None,
         started: now,
-        turned: Turned::default(),
+        rejections: Rejections::default(),
         // Before the first turn nobody is served.
         said: Some(Wait::FirstList),
     };
@@ -377,7 +377,7 @@
         plan.name.clone(),
         &peers,
         disk,
-        limits.store_told,
+        limits.store_log_interval,
         net,
     ));
     let own = plan.store.as_ref().and_then(|s| s.members.get(&s.member));
@@ -391,7 +391,10 @@
         tracing::info!(name = plan.name, listen = %address, "serving");
     }
     if let Some(address) = plan.admin {
-        net.open_first(Box::new(Door::new(net::listen(address, false)?, &limits)));
+        net.open_first(Box::new(AdminListener::new(
+            net::listen(address, false)?,
+            &limits,
+        )));
         tracing::info!(admin = %address, "operators are answered");
     }
     gatherer.hold_hosts(net, now);
@@ -411,7 +414,7 @@
                 settings,
                 &asked,
                 members,
-                limits.first_list,
+                limits.first_endpoints_timeout,
                 plan.seed,
                 net,
             ));
@@ -450,14 +453,14 @@
     reactor.run()?;
     let (net, gatherer) = reactor.parts();
     if let Some(keeper) = gatherer.keeper.take() {
-        let patience = std::time::Duration::from_nanos(limits.last_picture);
+        let patience = std::time::Duration::from_nanos(limits.final_snapshot_timeout);
         keeper.finish(&mut gatherer.core, &gatherer.hosts, net.now(), patience);
     }
     gatherer.note_ends(net, net.now());
     if let Some(versions) = gatherer.versions.take() {
         versions.finish(
             net.now(),
-            std::time::Duration::from_nanos(limits.last_picture),
+            std::time::Duration::from_nanos(limits.final_snapshot_timeout),
         );
     }
     tracing::info!("ended");
--- a/bitternsill/src/store/links.rs
+++ b/bitternsill/src/store/links.rs
@@ -455,7 +455,7 @@
 
     /// Answers what a line asks, or has it answered.
     fn asked(&mut self, cx: &mut Cx<'_>, line: Line) -> Result<(), packet::NoPacket> {
-        let patience = cx.world.limits.store_patience;
+        let patience = cx.world.limits.store_request_timeout;
         if let Line::Trail {
             token,
             segment,
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -290,13 +290,13 @@
             .take_finished(returning.is_some() || self.versions.is_some());
         for end in ends {
             if let Some(recovery) = &mut returning {
-                recovery.ended(end.taken, Came::after(end.spent, end.complete), now);
+                recovery.ended(end.arrived, Came::after(end.spent, end.complete), now);
             }
             if let Some(versions) = &mut self.versions {
                 let class = self.core.class_name(end.class);
                 versions
                     .ledger
-                    .count(end.version, class, end.outcome, end.taken);
+                    .count(end.version, class, end.outcome, end.arrived);
             }
         }
         if let Some(versions) = self
--- a/bitternsill/src/versions/scribe.rs
+++ b/bitternsill/src/versions/scribe.rs
@@ -139,7 +139,7 @@
                     if cx.now < self.tell_at {
                         continue;
                     }
-                    self.tell_at = cx.now + cx.world.limits.trail_told;
+                    self.tell_at = cx.now + cx.world.limits.audit_report_interval;
                     if let Some(shelf) = &mut cx.world.shelf {
                         let digest = json!({"segment": segment, "length": length, "hash": hash});
                         let key = format!("{}{}/{trail}", super::TRAILS, self.name);
--- a/bitternsill/tests/limits.rs
+++ b/bitternsill/tests/limits.rs
@@ -12,7 +12,7 @@
         for aim in [deadline / 3, deadline / 2, deadline * 3 / 4] {
             let limits = Limits::default().with_end(deadline * MS, aim * MS);
             let kill = deadline.min(3000) * MS + 700 * MS;
-            let (keep, last) = (limits.keep_serving, limits.last_call);
+            let (keep, last) = (limits.keep_serving, limits.shutdown_deadline);
             assert!(
                 last < kill,
                 "{deadline}, {aim}: all is answered before the kill"
@@ -41,7 +41,7 @@
             .with_memory(192);
         let own = descriptors - limits.clients - limits.host_links;
         assert!(
-            own >= 24 + limits.door_callers,
+            own >= 24 + limits.admin_connections,
             "{descriptors}: {own} are left"
         );
         assert!(
@@ -104,9 +104,9 @@
 fn a_watchs_silence_a_calls_wait_and_the_waits_between_fit_in_six_seconds_in_fleets_of_any_size() {
     let limits = Limits::default();
     let (silent, call, answer) = (
-        limits.watch_silence,
-        limits.discovery_call,
-        limits.discovery_answer,
+        limits.watch_timeout,
+        limits.discovery_timeout,
+        limits.discovery_busy_timeout,
     );
     // What is left for the last call to be answered.
     let told = 6_000 * MS - 200 * MS;
