--- a/bitternsill/src/admin.rs
+++ b/bitternsill/src/admin.rs
@@ -1,5 +1,4 @@
-//! Daily operations: the operators' door, hosts out by hand, drains, and the hand-over between two
-//! processes.
+//! Operations: the operators' API, excluded hosts, drains, and the handover between two processes.
 //!
 //! [`calls`], [`hand`] and [`drain`] decide and do no I/O; [`door`] and [`handover`] carry out;
 //! [`Orders`] is where they meet.
@@ -17,19 +16,19 @@
 use exclusions::Exclusions;
 use handover::Handover;
 
-/// What operators have asked for, and where it is kept for the process that follows.
+/// What operators have requested, and where it is stored for the successor process.
 #[derive(Debug)]
 pub struct Orders {
-    /// Hosts out by hand.
+    /// Hosts that operators have excluded.
     pub exclusions: Exclusions,
-    /// Whether clients are being sent away.
+    /// Whether clients are being drained.
     pub drain: Drain,
     /// What is shared with another process of this name; absent where there is no folder for it.
     shared: Option<Handover>,
 }
 
 impl Orders {
-    /// Orders that begin with what an earlier process of this name has left in the folder.
+    /// Begins with what an earlier process of this name has stored in the folder.
     pub fn open(
         name: &str,
         folder: Option<&std::path::Path>,
@@ -51,12 +50,12 @@
         }
     }
 
-    /// This process takes clients from here on.
+    /// Shows other processes that this one takes clients from here on.
     pub fn announce(&mut self) {
         self.shared.iter_mut().for_each(Handover::announce);
     }
 
-    /// This process is to end; says whether another is there to take its clients.
+    /// Shows other processes that this one ends. Returns whether a successor takes its clients.
     pub fn withdraw(&mut self, now: Time) -> bool {
         let Some(shared) = &mut self.shared else {
             return false;
@@ -65,7 +64,11 @@
         shared.check_peers(now)
     }
 
-    /// Notes that a host is out, or in again, and tells the other process.
+    /// Excludes or includes a host, and stores that for the other process.
+    ///
+    /// # Errors
+    ///
+    /// Where as many hosts are excluded as can be stored.
     pub fn set(
         &mut self,
         uid: &str,
@@ -79,7 +82,7 @@
         Ok(())
     }
 
-    /// Looks at what the other process has noted; true where that changes who is out.
+    /// Polls for changes by the other process. Returns whether that changes which hosts are excluded.
     pub fn poll(&mut self, now: Time) -> bool {
         let Some(shared) = &mut self.shared else {
             return false;
@@ -87,7 +90,7 @@
         shared.poll(&mut self.exclusions, now)
     }
 
-    /// Whether another process of this name serves the same address, as of the last look.
+    /// Whether another process of this name served the same address at the last poll.
     pub fn has_successor(&self) -> bool {
         self.shared.as_ref().is_some_and(Handover::has_successor)
     }
--- a/bitternsill/src/admin/drain.rs
+++ b/bitternsill/src/admin/drain.rs
@@ -1,29 +1,29 @@
-//! Sending clients away: a schedule in time. It has no sockets; whoever holds these asks it what to
-//! do now.
+//! Draining: clients are asked to go elsewhere, step by step. A schedule without I/O; whoever holds
+//! the connections asks it what to close.
 
 use crate::limits::Limits;
 use dispatch::interface::Time;
 
-/// The moments of a drain, counted from the call.
+/// The steps of a drain, counted from its start.
 #[derive(Debug, Clone, Copy)]
 pub struct Schedule {
-    /// From here on the front has heard of it and its last connections have come: answers close
-    /// theirs.
+    /// The load balancer in front has noticed, and its last connections have come: answers close
+    /// their connections.
     pub close_after_answer: Time,
-    /// From here on what is idle is closed.
+    /// Idle connections are closed.
     pub close_idle: Time,
-    /// From here on what is half said is ended.
+    /// Requests received in part are aborted.
     pub abort_partial: Time,
-    /// Between two looks at what has become idle.
+    /// The interval between two sweeps for idle connections.
     pub sweep: Time,
-    /// What has been idle for less is left alone: a request may be on its way.
+    /// A connection idle for less is left open: a request may be on its way.
     pub idle_grace: Time,
 }
 
 impl Schedule {
-    /// The steps as the limits have them. A front asks for health every 0.1 s and sends new
-    /// connections for 0.2 s after the first no; 2 s after the call nothing may be left that could
-    /// still take a request.
+    /// The schedule that the limits give. A load balancer checks health every 0.1 s and sends new
+    /// connections for 0.2 s after the first failure; 2 s after the start nothing may be left that
+    /// could still take a request.
     pub fn from_limits(limits: &Limits) -> Schedule {
         let (close_after_answer, close_idle, abort_partial) = limits.drain_times;
         let (sweep, idle_grace) = limits.drain_sweep;
@@ -40,57 +40,69 @@
 /// What to do with the clients' connections at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sweep {
-    /// Those idle since then or before are to be closed.
+    /// Connections idle since then or before are to be closed.
     pub idle_since: Time,
-    /// Those half through a request are to be ended too.
+    /// Requests received in part are to be aborted too.
     pub partial: bool,
 }
 
-/// Whether clients are being sent away, and how far that has come.
+/// A drain that is under way.
+#[derive(Debug, Clone, Copy)]
+struct Progress {
+    started_at: Time,
+    next_sweep: Time,
+    schedule: Schedule,
+}
+
+/// Whether clients are being drained, and how far that has come.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Drain {
-    /// When the call came, and when to look next.
-    started: Option<(Time, Time, Schedule)>,
+    progress: Option<Progress>,
 }
 
 impl Drain {
-    /// The call came; a second one changes nothing.
-    pub fn begin(&mut self, now: Time, steps: Schedule) -> bool {
-        let begins = self.started.is_none();
-        if begins {
-            self.started = Some((now, now + steps.close_idle, steps));
+    /// Starts a drain. Returns false where one is under way already, which goes on unchanged.
+    pub fn begin(&mut self, now: Time, schedule: Schedule) -> bool {
+        if self.progress.is_some() {
+            return false;
         }
-        begins
+        self.progress = Some(Progress {
+            started_at: now,
+            next_sweep: now + schedule.close_idle,
+            schedule,
+        });
+        true
     }
 
-    /// Clients may come again; says whether any had been sent away.
+    /// Ends the drain. Returns whether one was under way.
     pub fn end(&mut self) -> bool {
-        self.started.take().is_some()
+        self.progress.take().is_some()
     }
 
     /// Whether clients should go elsewhere.
     pub fn is_under_way(&self) -> bool {
-        self.started.is_some()
+        self.progress.is_some()
     }
 
     /// Whether an answer is to close its connection.
     pub fn closes_after_answer(&self, now: Time) -> bool {
-        self.started
-            .is_some_and(|(began, _, steps)| now >= began + steps.close_after_answer)
+        self.progress
+            .is_some_and(|p| now >= p.started_at + p.schedule.close_after_answer)
     }
 
-    /// When [`Drain::sweep`] has something to say.
+    /// When the next [`Drain::sweep`] is due.
     pub fn due(&self) -> Option<Time> {
-        self.started.map(|(_, next, _)| next)
+        self.progress.map(|p| p.next_sweep)
     }
 
-    /// What to close now, if that is due.
+    /// What to close now, if a sweep is due.
     pub fn sweep(&mut self, now: Time) -> Option<Sweep> {
-        let (began, next, steps) = self.started.as_mut().filter(|(_, next, _)| *next <= now)?;
-        *next = now + steps.sweep;
+        let progress = self.progress.as_mut().filter(|p| p.next_sweep <= now)?;
+        let schedule = progress.schedule;
+        progress.next_sweep = now + schedule.sweep;
         Some(Sweep {
-            idle_since: now.saturating_sub(steps.idle_grace),
-            partial: now >= *began + steps.abort_partial,
+            idle_since: now.saturating_sub(schedule.idle_grace),
+            partial: now >= progress.started_at + schedule.abort_partial,
         })
     }
 }
--- a/bitternsill/src/admin/exclusions.rs
+++ b/bitternsill/src/admin/exclusions.rs
@@ -1,13 +1,13 @@
-//! Which index hosts are out by hand: a map whose entries are stamped, so that two processes that
-//! both change it agree on the later change of each host, in whatever order they hear of it. No
-//! I/O.
+//! Which index hosts operators have excluded: a last-writer-wins map. Entries are stamped, so that
+//! two processes that both change it converge on the later change of each host, in whatever order
+//! they see the changes. No I/O.
 
 use dispatch::interface::Time;
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The form of the text.
+/// The version of the stored format.
 const VERSION: u64 = 1;
 
 /// One host's last change.
@@ -17,18 +17,18 @@
     excluded: bool,
 }
 
-/// As many hosts are out as are kept.
+/// As many hosts are excluded as can be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooManyExclusions;
 
-/// A text that cannot be taken for such a map.
+/// A stored map that cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is cut or changed: the sum does not fit, or there is none.
+    /// It is truncated or changed: the checksum is missing or does not match.
     Damaged,
-    /// It is sound and of another version.
+    /// It is valid and of another version.
     Version(u64),
-    /// It is sound and another gatherer's.
+    /// It is valid and another gatherer's.
     Foreign(String),
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Who is out by hand.
+/// The excluded hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Exclusions {
     changes: BTreeMap<String, Change>,
@@ -52,7 +52,7 @@
 }
 
 impl Exclusions {
-    /// Nobody is out; at most so many hosts will be remembered.
+    /// An empty map that stores at most `capacity` hosts.
     pub fn new(capacity: usize) -> Self {
         Exclusions {
             changes: BTreeMap::new(),
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Whether a host is out.
+    /// Whether a host is excluded.
     pub fn is_excluded(&self, uid: &str) -> bool {
         self.changes.get(uid).is_some_and(|change| change.excluded)
     }
 
-    /// The hosts that are out.
+    /// The hosts that are excluded.
     pub fn excluded(&self) -> impl Iterator<Item = &str> {
         self.changes
             .iter()
@@ -73,17 +73,23 @@
             .map(|(uid, _)| uid.as_str())
     }
 
-    /// Takes a host out or back. Its stamp is later than any that this host has had, whatever the
-    /// clock says.
+    /// Excludes or includes a host.
+    ///
+    /// The stamp is later than any that this host has had, whatever the clock says: with a clock that
+    /// steps back the other process would take the change for an old one and undo it.
+    ///
+    /// # Errors
+    ///
+    /// Where as many hosts are excluded as can be stored.
     pub fn set(&mut self, uid: &str, excluded: bool, now: Time) -> Result<(), TooManyExclusions> {
         let known = self.changes.get(uid).map(|change| change.stamp);
         if known.is_none() && self.changes.len() >= self.capacity {
-            // Hosts that are back are remembered for the other process alone.
+            // Included hosts are stored only for the other process: the oldest of them is dropped.
             let oldest = self
                 .changes
                 .iter()
-                .filter(|(_, m)| !m.excluded)
-                .min_by_key(|(_, m)| m.stamp);
+                .filter(|(_, change)| !change.excluded)
+                .min_by_key(|(_, change)| change.stamp);
             let oldest = oldest
                 .map(|(uid, _)| uid.clone())
                 .ok_or(TooManyExclusions)?;
@@ -95,7 +101,8 @@
         Ok(())
     }
 
-    /// Takes the later change of each host; true where that changes who is out.
+    /// Takes over the later change of each host. Returns whether that changes which hosts are
+    /// excluded.
     pub fn merge(&mut self, other: &Exclusions) -> bool {
         let mut changed = false;
         for (uid, theirs) in &other.changes {
@@ -109,13 +116,13 @@
         changed
     }
 
-    /// Drops hosts that have been back for so long that every process has heard of it.
+    /// Drops hosts that were included so long ago that every process has seen it.
     pub fn forget(&mut self, now: Time, after: Time) {
         self.changes
             .retain(|_, change| change.excluded || change.stamp.saturating_add(after) > now);
     }
 
-    /// The text that keeps the map for a gatherer: a line that sums up the next, and that.
+    /// The stored form for a gatherer: a line with the CRC-32 of the next line, and a line of JSON.
     pub fn encode(&self, name: &str) -> String {
         let changes: Vec<Json> = self
             .changes
@@ -126,7 +133,11 @@
         format!("{:08x}\n{body}\n", crc32fast::hash(body.as_bytes()))
     }
 
-    /// Reads such a text.
+    /// Decodes the stored form.
+    ///
+    /// # Errors
+    ///
+    /// Where it is damaged, or another version's or gatherer's.
     pub fn decode(text: &[u8], name: &str, capacity: usize) -> Result<Exclusions, DecodeError> {
         let text = std::str::from_utf8(text).map_err(|_| DecodeError::Damaged)?;
         let (sum, body) = text.split_once('\n').ok_or(DecodeError::Damaged)?;
--- a/bitternsill/src/admin/handover.rs
+++ b/bitternsill/src/admin/handover.rs
@@ -1,5 +1,5 @@
-//! What two processes of one gatherer share while one takes over from the other: a file that says
-//! who is out by hand, and a locked file each that says that its process lives.
+//! What two processes of one gatherer share while one takes over from the other: a file with the
+//! excluded hosts, and a locked file for each process that shows that it is alive.
 //!
 //! The folder is `$TMPDIR`, which is memory: a write takes microseconds and is not synced, as
 //! nothing there outlives the machine. So it is done on the loop's thread, before the call is
@@ -14,8 +14,14 @@
 use std::os::unix::fs::{MetadataExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-/// What tells one writing of the file from another: its inode, length and time.
-type FileVersion = (u64, u64, i64, i64);
+/// What tells one version of the file from another.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct FileVersion {
+    inode: u64,
+    length: u64,
+    modified_s: i64,
+    modified_ns: i64,
+}
 
 /// The shared folder, as one process sees it.
 #[derive(Debug)]
@@ -27,12 +33,13 @@
     bytes: u64,
     poll_interval: Time,
     next: Time,
-    /// Locked for as long as this process serves, and which number that is.
+    /// Locked for as long as this process serves. The kernel drops the lock when the process dies, so
+    /// no dead process is taken for a living one.
     alive_lock: Option<File>,
     number: usize,
     file_version: Option<FileVersion>,
     has_successor: bool,
-    /// Told once, until it goes well again.
+    /// The last write failed; a failure is logged once until a write succeeds.
     is_failing: bool,
 }
 
@@ -68,13 +75,13 @@
         self.stem.with_extension(ending)
     }
 
-    /// This process takes clients from here on, and the others may rely on it.
+    /// Shows the other processes that this one takes clients from here on.
     pub fn announce(&mut self) {
-        let place = (0..self.processes).find_map(|n| {
+        let slot = (0..self.processes).find_map(|n| {
             let file = create(&self.path(&format!("alive{n}"))).ok()?;
             lock(&file).then_some((file, n))
         });
-        match place {
+        match slot {
             Some((file, n)) => (self.alive_lock, self.number) = (Some(file), n),
             None => {
                 tracing::warn!(folder = %self.stem.display(), "cannot be written: other processes are not told of this one");
@@ -82,23 +89,23 @@
         }
     }
 
-    /// This process ends: the others must not rely on it any more.
+    /// Shows the other processes that this one ends.
     pub fn withdraw(&mut self) {
         self.alive_lock = None;
     }
 
-    /// Whether the folder is looked at again, and when.
+    /// When the folder is polled next.
     pub fn due(&self) -> Time {
         self.next
     }
 
-    /// Whether another process of this name lived at the last look.
+    /// Whether another process of this name was alive at the last poll.
     pub fn has_successor(&self) -> bool {
         self.has_successor
     }
 
-    /// What the file says; nothing where there is none, or none that can be used: that never stops
-    /// a start.
+    /// The stored exclusions. None where there is no file or an unusable one, which is logged: neither
+    /// may prevent a start.
     pub fn read(&mut self) -> Option<Exclusions> {
         let path = self.path("hand");
         self.file_version = file_version(&path);
@@ -121,7 +128,7 @@
         None
     }
 
-    /// Lays this process's changes over the file's, and takes the file's into its own.
+    /// Merges this process's changes with the file's, both ways.
     pub fn write(&mut self, exclusions: &mut Exclusions) {
         let result = self.try_write(exclusions);
         match &result {
@@ -135,9 +142,9 @@
 
     fn try_write(&mut self, exclusions: &mut Exclusions) -> io::Result<()> {
         let guard = create(&self.path("lock"))?;
-        // The other holds it for some microseconds. One that was stopped with it must not stop this
-        // one: a change that is lost by writing all the same is seen by the next look, and written
-        // again.
+        // The other process holds the lock for some microseconds. One that is stopped while it holds
+        // it must not block this one, so after the last attempt the file is written without it. A
+        // change that this race loses is missed by the next poll, and written again.
         let _locked = (0..MAX_LOCK_ATTEMPTS).any(|_| {
             let locked = lock(&guard);
             if !locked {
@@ -157,13 +164,13 @@
         Ok(())
     }
 
-    /// Looks whether another process lives.
+    /// Checks whether another process is alive.
     pub fn check_peers(&mut self, now: Time) -> bool {
         (self.has_successor, self.next) = (self.is_peer_alive(), now + self.poll_interval);
         self.has_successor
     }
 
-    /// Looks at the file and at the other processes; true where that changes who is out.
+    /// Polls the file and the other processes. Returns whether that changes which hosts are excluded.
     pub fn poll(&mut self, exclusions: &mut Exclusions, now: Time) -> bool {
         if now < self.next {
             return false;
@@ -176,7 +183,7 @@
             .read()
             .unwrap_or_else(|| Exclusions::new(self.capacity));
         let changed = exclusions.merge(&theirs);
-        // Something of this process's own is not there: the other had not seen it when it wrote.
+        // A change of this process is not in it: the other had not seen it when it wrote.
         if *exclusions != theirs {
             self.write(exclusions);
         }
@@ -191,7 +198,7 @@
 }
 
 const NO_FOLLOW: i32 = rustix::fs::OFlags::NOFOLLOW.bits() as i32;
-/// Some milliseconds at the most, each try giving the other process the processor.
+/// Some milliseconds at the most, as each attempt yields the processor to the other process.
 const MAX_LOCK_ATTEMPTS: usize = 1_000;
 
 fn create(path: &Path) -> io::Result<File> {
@@ -210,7 +217,12 @@
 
 fn file_version(path: &Path) -> Option<FileVersion> {
     let data = std::fs::symlink_metadata(path).ok()?;
-    Some((data.ino(), data.len(), data.mtime(), data.mtime_nsec()))
+    Some(FileVersion {
+        inode: data.ino(),
+        length: data.len(),
+        modified_s: data.mtime(),
+        modified_ns: data.mtime_nsec(),
+    })
 }
 
 #[cfg(test)]
--- a/bitternsill/src/admin/listener.rs
+++ b/bitternsill/src/admin/listener.rs
@@ -1,5 +1,5 @@
-//! The operators' door on sockets: few callers, one call each, served however many clients there
-//! are.
+//! The listener of the operators' API: few connections, one call each, served however many clients
+//! are connected.
 
 use super::calls::{self, Call, Operation};
 use super::drain::Schedule;
@@ -15,17 +15,18 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 
-/// The listener. It owns its callers' places and the descriptors that are kept back for them.
+/// The listener. It reserves file descriptors, so that operators can connect when clients and hosts
+/// have used up all others.
 pub struct AdminListener {
     socket: TcpListener,
-    /// Open callers, the longest there first.
+    /// Open connections, the oldest first.
     connections: VecDeque<Token>,
-    /// Each is given up for one caller: clients and hosts may have taken every other descriptor.
+    /// Each is closed to free its descriptor for one connection.
     reserved: Vec<File>,
 }
 
 impl AdminListener {
-    /// A door on this socket.
+    /// A listener on this socket.
     pub fn new(socket: TcpListener, limits: &Limits) -> Self {
         let mut listener = AdminListener {
             socket,
@@ -45,8 +46,7 @@
         }
     }
 
-    /// Callers that say nothing must not keep out the next: the one there longest gives way, and
-    /// its descriptor with it.
+    /// Closes the oldest connection, so that idle ones cannot keep out the next.
     fn evict_oldest(&mut self, cx: &mut Cx<'_>) {
         if let Some(oldest) = self.connections.pop_front() {
             cx.net.post(oldest, Message::Evict);
@@ -115,7 +115,7 @@
     }
 }
 
-/// One operator's call.
+/// The connection of one operator's call.
 struct AdminConnection {
     listener: Token,
     peer: SocketAddr,
@@ -161,7 +161,7 @@
     }
 }
 
-/// Does what is asked, and only then says so.
+/// Executes a call and returns its response.
 fn execute(cx: &mut Cx<'_>, call: &Call) -> Response {
     let serving = cx.world.phase == Phase::Serving;
     match call.operation {
--- a/bitternsill/src/front/rejections.rs
+++ b/bitternsill/src/front/rejections.rs
@@ -1,35 +1,36 @@
-//! What is turned away before it becomes a query, counted by reason and told in the log without
-//! flooding it.
+//! Requests that are rejected before they become queries, counted by reason and logged at a limited
+//! rate.
 //!
-//! A gatherer that is spoken to in a way it does not understand serves nobody and looks idle.
-//! Whoever starts it on a new deployment has to see that from the log and from `ready`.
+//! A gatherer that understands none of its requests serves nobody and looks idle. Whoever starts it
+//! on a new deployment has to see that from the log and from `ready`.
 
 use crate::limits::Limits;
 use dispatch::interface::Time;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Requests turned away for one reason.
+/// Requests rejected for one reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Reason {
     count: u64,
-    /// How many of them the log has told of, and when it last did.
-    logged: (u64, Time),
+    /// How many of them had been counted when this was last logged.
+    logged_count: u64,
+    logged_at: Time,
     example: String,
 }
 
-/// What the log is to say now.
+/// What is to be logged now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// Why they were turned away.
+    /// Why they were rejected.
     pub why: String,
-    /// How many since the log last told of this reason.
+    /// How many since this reason was last logged.
     pub new: u64,
-    /// What the latest of them asked for.
+    /// What the latest of them requested.
     pub example: String,
 }
 
-/// Every reason seen, up to a bound; what comes past that is counted as one more reason. In memory
+/// Rejections by reason, up to a bound on reasons; those past it are counted together. In memory
 /// only: after a restart the counts begin at 0.
 #[derive(Debug, Default)]
 pub struct Rejections {
@@ -40,8 +41,8 @@
 const OTHERS: &str = "other reasons";
 
 impl Rejections {
-    /// Notes a request; gives what the log is to say, at once for a new reason and seldom after
-    /// that.
+    /// Counts a rejected request. Returns what is to be logged: at once for a new reason, and at a
+    /// limited rate after that.
     pub fn record(&mut self, why: &str, asked: &str, now: Time, limits: &Limits) -> Option<Report> {
         let known = self.reasons.contains_key(why) || self.reasons.len() < limits.rejection_reasons;
         let why = if known { why } else { OTHERS };
@@ -52,17 +53,18 @@
             .collect();
         let new = || Reason {
             count: 0,
-            logged: (0, 0),
+            logged_count: 0,
+            logged_at: 0,
             example: String::new(),
         };
         let reason = self.reasons.entry(why.to_owned()).or_insert_with(new);
         reason.count += 1;
         reason.example = example;
-        if reason.logged.0 > 0 && now < reason.logged.1 + limits.rejection_log_interval {
+        if reason.logged_count > 0 && now < reason.logged_at + limits.rejection_log_interval {
             return None;
         }
-        let new = reason.count - reason.logged.0;
-        reason.logged = (reason.count, now);
+        let new = reason.count - reason.logged_count;
+        (reason.logged_count, reason.logged_at) = (reason.count, now);
         Some(Report {
             why: why.to_owned(),
             new,
