--- a/bitternsill/src/admin/listener.rs
+++ b/bitternsill/src/admin/listener.rs
@@ -147,11 +147,11 @@
         Handled::Waiting
     }
 
-    fn keeps(&self) -> bool {
+    fn keeps_alive(&self) -> bool {
         false
     }
 
-    fn patience(&self, limits: &Limits) -> Time {
+    fn read_timeout(&self, limits: &Limits) -> Time {
         limits.admin_read_timeout
     }
 
@@ -166,7 +166,7 @@
     let serving = cx.world.phase == Phase::Serving;
     match call.operation {
         // What is turned away is told too: a gatherer may be ready and yet serve nobody.
-        Operation::Ready => match cx.world.waits(cx.now) {
+        Operation::Ready => match cx.world.waiting_for(cx.now) {
             None => Response::text(200, format!("ready{}", cx.world.rejections)),
             Some(wait) => Response::text(
                 503,
@@ -219,6 +219,6 @@
             "as many hosts are out as are kept: take one back first",
         );
     }
-    world.hold_hosts(cx.net, cx.now);
+    world.apply_exclusions(cx.net, cx.now);
     Response::text(200, if excluded { "out" } else { "in" })
 }
--- a/bitternsill/src/cli.rs
+++ b/bitternsill/src/cli.rs
@@ -11,6 +11,7 @@
 use crate::{config, describe, serve};
 use ::router::cli::SystemCall;
 use clap::{Args, Parser, Subcommand, ValueEnum};
+use serde_json::Value as Json;
 use std::ffi::OsString;
 use std::fmt;
 use std::io::{self, Write};
@@ -134,40 +135,31 @@
 
 /// Runs the program.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let call = match Call::try_parse_from(args) {
-        Ok(call) => call,
+    match parse(args) {
+        Ok(call) => execute(call.command),
+        Err(status) => status,
+    }
+}
+
+/// Parses the command line; a wrong one, and a request for help, are answered here.
+fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Call, ExitCode> {
+    match Call::try_parse_from(args) {
+        Ok(call) => Ok(call),
         Err(problem) if problem.use_stderr() => {
             let text = problem.to_string();
             let text = text.strip_prefix("error: ").unwrap_or(&text);
             eprintln!("bitternsill: {}", text.trim_end());
-            return ExitCode::from(BAD_USAGE);
+            Err(ExitCode::from(BAD_USAGE))
         }
-        Err(help) => return print(format_args!("{}", help.to_string().trim_end())),
-    };
-    match call.command {
+        Err(help) => Err(print(format_args!("{}", help.to_string().trim_end()))),
+    }
+}
+
+fn execute(command: Command) -> ExitCode {
+    match command {
         Command::Version => print(format_args!("bitternsill {}", env!("CARGO_PKG_VERSION"))),
-        Command::Describe {
-            what: Description::OpenApi,
-        } => print(format_args!(
-            "{:#}",
-            describe::openapi::describe(&Limits::default())
-        )),
-        Command::Describe {
-            what: Description::AsyncApi,
-        } => print(format_args!("{:#}", describe::asyncapi::describe())),
-        Command::Describe {
-            what: Description::Settings,
-        } => print(format_args!("{:#}", schema::settings())),
-        Command::Check { file } => {
-            let problems = check(&file);
-            if !problems.is_empty() {
-                for problem in problems {
-                    eprintln!("bitternsill: {}: {problem}", file.display());
-                }
-                return ExitCode::FAILURE;
-            }
-            print(format_args!("{}: fits", file.display()))
-        }
+        Command::Describe { what } => print(format_args!("{:#}", description(&what))),
+        Command::Check { file } => report_check(&file),
         Command::Conform {
             protocol,
             address,
@@ -176,22 +168,13 @@
             patience,
             format,
         } => {
-            let patience = Duration::from_millis(patience);
-            let judged = conform::play(
-                protocol,
-                &Target {
-                    address,
-                    database,
-                    term,
-                    patience,
-                },
-            );
-            match conform::report(&judged, format, &mut io::stdout()) {
-                Ok(true) => ExitCode::SUCCESS,
-                Ok(false) => ExitCode::FAILURE,
-                Err(problem) if problem.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
-                Err(_) => ExitCode::FAILURE,
-            }
+            let target = Target {
+                address,
+                database,
+                term,
+                patience: Duration::from_millis(patience),
+            };
+            conform(protocol, &target, format)
         }
         Command::Serve(Serve {
             catalogue: Some(file),
@@ -235,10 +218,7 @@
         },
         Command::Store(call) => match store_file::run(&call) {
             Ok(words) => print(format_args!("{words}")),
-            Err(problem) => {
-                eprintln!("bitternsill: {problem}");
-                ExitCode::FAILURE
-            }
+            Err(problem) => failed(&problem),
         },
         Command::Fleet(call) => {
             let (words, all) = fleet::run(&call);
@@ -247,15 +227,42 @@
         }
         Command::Admin(call) => match admin::run(call) {
             Ok(words) => print(format_args!("{words}")),
-            Err(problem) => {
-                eprintln!("bitternsill: {problem}");
-                ExitCode::FAILURE
-            }
+            Err(problem) => failed(&problem),
         },
         Command::Learned(call) => learned::run(call, |text| print(format_args!("{text}"))),
     }
 }
 
+fn description(what: &Description) -> Json {
+    match what {
+        Description::OpenApi => describe::openapi::describe(&Limits::default()),
+        Description::AsyncApi => describe::asyncapi::describe(),
+        Description::Settings => schema::settings(),
+    }
+}
+
+/// Plays the conformance cases and prints their report.
+fn conform(protocol: Protocol, target: &Target, format: Format) -> ExitCode {
+    let judged = conform::play(protocol, target);
+    match conform::report(&judged, format, &mut io::stdout()) {
+        Ok(true) => ExitCode::SUCCESS,
+        Ok(false) => ExitCode::FAILURE,
+        Err(problem) if problem.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
+        Err(_) => ExitCode::FAILURE,
+    }
+}
+
+fn report_check(file: &Path) -> ExitCode {
+    let problems = check(file);
+    if problems.is_empty() {
+        return print(format_args!("{}: fits", file.display()));
+    }
+    for problem in problems {
+        eprintln!("bitternsill: {}: {problem}", file.display());
+    }
+    ExitCode::FAILURE
+}
+
 /// Prints a line; a reader that has gone, as `head` does, is no failure of ours.
 fn print(line: fmt::Arguments<'_>) -> ExitCode {
     match writeln!(io::stdout(), "{line}") {
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -27,7 +27,7 @@
 use hosts::{HostTable, Member};
 use learning::picture::Fleet;
 use rejections::Rejections;
-use signals::Fresh;
+use signals::NewSettings;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use store::member::{Reply, Write};
@@ -86,7 +86,7 @@
     /// Serving.
     Serving,
     /// Told to end: still accepting, until this time.
-    Leaving(Time),
+    Draining(Time),
     /// Accepting nothing; finishing what is held, until this time.
     Finishing(Time),
     /// Everything is answered; the last bytes are being written, until this time.
@@ -104,7 +104,7 @@
     /// The program has been told to end.
     Ending,
     /// An operator has clients sent away.
-    SentAway,
+    Drained,
     /// Discovery has not told the list yet, and the time to wait for it is not over.
     FirstList,
     /// No list named an index host that takes work.
@@ -124,7 +124,7 @@
             }
             Wait::Version(_) => "an operator has it held back",
             Wait::Ending => "the program has been told to end",
-            Wait::SentAway => "clients are sent away by an operator",
+            Wait::Drained => "clients are sent away by an operator",
             Wait::FirstList => "discovery has not told the list of index hosts yet",
             Wait::NoHost => "no list has named an active index host",
         })
@@ -146,13 +146,13 @@
     /// The connection that speaks with discovery, where there is one.
     pub directory: Option<Token>,
     /// When to report ready at the latest; `None` once the list has come.
-    pub ready_by: Option<Time>,
+    pub ready_deadline: Option<Time>,
     /// The listeners.
     pub listeners: Vec<Token>,
     /// What operators have asked for.
     pub orders: Orders,
     /// Told to end while another process serves the same address.
-    pub followed: bool,
+    pub has_successor: bool,
     /// The store, off the request path; absent once its file has failed.
     pub shelf: Option<Shelf>,
     /// What is learned, where it is kept.
@@ -166,21 +166,21 @@
     /// What was turned away before it became a query.
     pub rejections: Rejections,
     /// What the log last said that clients wait for.
-    pub said: Option<Wait>,
+    pub last_reported_wait: Option<Wait>,
 }
 
 impl Gatherer {
     /// Whether clients should be sent here.
     pub fn is_ready(&self, now: Time) -> bool {
-        self.waits(now).is_none()
+        self.waiting_for(now).is_none()
     }
 
     /// What keeps clients from being sent here.
-    pub fn waits(&self, now: Time) -> Option<Wait> {
+    pub fn waiting_for(&self, now: Time) -> Option<Wait> {
         if self.phase != Phase::Serving {
             Some(Wait::Ending)
         } else if self.orders.drain.is_under_way() {
-            Some(Wait::SentAway)
+            Some(Wait::Drained)
         } else if let Some(state) = self
             .returning
             .as_ref()
@@ -194,7 +194,7 @@
             .filter(|versions| !versions.may_act(now))
         {
             Some(Wait::Version(versions.standing()))
-        } else if self.ready_by.is_some_and(|by| by > now) {
+        } else if self.ready_deadline.is_some_and(|by| by > now) {
             Some(Wait::FirstList)
         } else if !self.hosts.any_active() {
             Some(Wait::NoHost)
@@ -204,12 +204,12 @@
     }
 
     /// Tells the log whenever what clients wait for has changed.
-    fn say_waits(&mut self, now: Time) {
-        let waits = self.waits(now);
-        if waits == self.said {
+    fn log_wait(&mut self, now: Time) {
+        let waits = self.waiting_for(now);
+        if waits == self.last_reported_wait {
             return;
         }
-        self.said = waits;
+        self.last_reported_wait = waits;
         match waits {
             None => tracing::info!(hosts = self.hosts.active(), "taking clients"),
             Some(Wait::NoHost) => tracing::warn!("not taking clients: {}", Wait::NoHost),
@@ -218,7 +218,7 @@
     }
 
     /// Notes a request that is no query.
-    pub fn turn_away(&mut self, why: &str, asked: &str, now: Time) {
+    pub fn reject_request(&mut self, why: &str, asked: &str, now: Time) {
         if let Some(report) = self.rejections.record(why, asked, now, &self.limits) {
             tracing::warn!(
                 why = report.why,
@@ -230,17 +230,17 @@
     }
 
     /// Whether answers close their connections.
-    pub fn is_leaving(&self, now: Time) -> bool {
+    pub fn closes_connections(&self, now: Time) -> bool {
         match self.phase {
             Phase::Serving => self.orders.drain.closes_after_answer(now),
-            Phase::Leaving(until) => self.followed || until <= now + self.limits.farewell,
+            Phase::Draining(until) => self.has_successor || until <= now + self.limits.farewell,
             Phase::Finishing(_) | Phase::Done { .. } => true,
         }
     }
 
     /// How many connections clients may have: both processes of an upgrade stand under one limit of
     /// descriptors.
-    pub fn client_places(&self) -> usize {
+    pub fn max_clients(&self) -> usize {
         if self.orders.has_successor() {
             self.limits.clients / 2
         } else {
@@ -249,8 +249,8 @@
     }
 
     /// Takes other settings, or leaves all as it was.
-    pub fn reconfigure(&mut self, fresh: Fresh, now: Time) -> Result<(), String> {
-        let Fresh {
+    pub fn reconfigure(&mut self, fresh: NewSettings, now: Time) -> Result<(), String> {
+        let NewSettings {
             settings,
             deployment,
             limits,
@@ -267,7 +267,7 @@
         taken.map_err(|_| format!("more classes at once than {}", limits.classes))?;
         self.core
             .update_endpoints(ListKind::Complete, self.hosts.entries());
-        self.hosts.retune(connector, limits.clone());
+        self.hosts.reconfigure(connector, limits.clone());
         self.limits = limits;
         if let Some(keeper) = &mut self.keeper {
             keeper.settle(fleet);
@@ -276,8 +276,8 @@
     }
 
     /// Has index hosts stand as operators want them now.
-    pub fn hold_hosts(&mut self, net: &mut Net<Self>, now: Time) {
-        let entries = self.hosts.hold(
+    pub fn apply_exclusions(&mut self, net: &mut Net<Self>, now: Time) {
+        let entries = self.hosts.set_excluded(
             self.orders
                 .exclusions
                 .excluded()
@@ -293,16 +293,16 @@
 
     /// Begins the end; what is asked is still served for a while. Where another process serves the
     /// address it gets every new connection from now on.
-    pub fn leave(&mut self, net: &mut Net<Self>, now: Time) {
+    pub fn begin_shutdown(&mut self, net: &mut Net<Self>, now: Time) {
         if self.phase == Phase::Serving {
-            self.followed = self.orders.withdraw(now);
+            self.has_successor = self.orders.withdraw(now);
             tracing::info!(
                 open = self.core.open_queries(),
-                followed = self.followed,
+                followed = self.has_successor,
                 "told to end"
             );
-            self.phase = Phase::Leaving(now + self.limits.keep_serving);
-            if self.followed {
+            self.phase = Phase::Draining(now + self.limits.keep_serving);
+            if self.has_successor {
                 self.close_listeners(net);
             }
         }
@@ -322,8 +322,14 @@
     }
 
     /// Takes a list that discovery has told: the whole of it, or what has changed.
-    pub fn take_list(&mut self, whole: bool, members: Vec<Member>, net: &mut Net<Self>, now: Time) {
-        let kind = if whole {
+    pub fn update_endpoints(
+        &mut self,
+        is_complete: bool,
+        members: Vec<Member>,
+        net: &mut Net<Self>,
+        now: Time,
+    ) {
+        let kind = if is_complete {
             ListKind::Complete
         } else {
             ListKind::Partial
@@ -331,13 +337,13 @@
         let entries = self.hosts.update(kind, members, net, now);
         self.core.update_endpoints(kind, entries);
         self.record_members(net);
-        self.ready_by = None;
+        self.ready_deadline = None;
         self.list_is_there(true, now);
     }
 
     /// Records the index hosts as they are known now.
     pub fn record_members(&mut self, net: &mut Net<Self>) {
-        let known = self.hosts.known().to_string();
+        let known = self.hosts.to_json().to_string();
         self.record("members", &known, net);
         if let Some(keeper) = &mut self.keeper {
             keeper.listed(&self.hosts);
@@ -347,7 +353,7 @@
 
     fn advance(&mut self, net: &mut Net<Self>, now: Time) {
         match self.phase {
-            Phase::Leaving(until) if until <= now => {
+            Phase::Draining(until) if until <= now => {
                 let last = now
                     + self
                         .limits
@@ -361,7 +367,7 @@
             }
             Phase::Finishing(until) => {
                 if until <= now {
-                    let mut desk = Desk::new(&mut self.hosts, net, self.directory, now);
+                    let mut desk = ConnectionPorts::new(&mut self.hosts, net, self.directory, now);
                     self.core.fail_all(&mut desk);
                 }
                 if self.core.open_queries() == 0 {
@@ -387,12 +393,14 @@
     fn due(&self, now: Time) -> Option<Time> {
         let phase = match self.phase {
             Phase::Serving => None,
-            Phase::Leaving(until) | Phase::Done { until, .. } => Some(until),
+            Phase::Draining(until) | Phase::Done { until, .. } => Some(until),
             Phase::Finishing(_) if self.core.open_queries() == 0 => Some(now),
             Phase::Finishing(until) => Some(until),
         };
         let keeper = self.keeper.as_ref().map(Keeper::due);
-        let waits = self.ready_by.filter(|_| self.said == Some(Wait::FirstList));
+        let waits = self
+            .ready_deadline
+            .filter(|_| self.last_reported_wait == Some(Wait::FirstList));
         let returning = self
             .returning
             .as_ref()
@@ -414,7 +422,7 @@
 
     fn turn(&mut self, net: &mut Net<Self>, now: Time) {
         if self.core.due().is_some_and(|at| at <= now) {
-            let mut desk = Desk::new(&mut self.hosts, net, self.directory, now);
+            let mut desk = ConnectionPorts::new(&mut self.hosts, net, self.directory, now);
             self.core.turn(now, &mut desk);
             let (unsent, unprobed) = (desk.unsent, desk.unprobed);
             for attempt in unsent {
@@ -429,7 +437,7 @@
             keeper.turn(&mut self.core, &self.hosts, now);
         }
         if self.orders.poll(now) {
-            self.hold_hosts(net, now);
+            self.apply_exclusions(net, now);
         }
         if let Some(sweep) = self.orders.drain.sweep(now) {
             self.clients.sweep(net, sweep);
@@ -437,7 +445,7 @@
         self.note_ends(net, now);
         self.go_on_returning(net, now);
         self.advance(net, now);
-        self.say_waits(now);
+        self.log_wait(now);
     }
 
     fn undelivered(&mut self, message: Message, now: Time) {
@@ -457,7 +465,7 @@
 }
 
 /// Carries out what the core decides: it looks connections up and posts to them.
-struct Desk<'a> {
+struct ConnectionPorts<'a> {
     hosts: &'a mut HostTable,
     net: &'a mut Net<Gatherer>,
     directory: Option<Token>,
@@ -466,14 +474,14 @@
     unprobed: Vec<ServerId>,
 }
 
-impl<'a> Desk<'a> {
+impl<'a> ConnectionPorts<'a> {
     fn new(
         hosts: &'a mut HostTable,
         net: &'a mut Net<Gatherer>,
         directory: Option<Token>,
         now: Time,
     ) -> Self {
-        Desk {
+        ConnectionPorts {
             hosts,
             net,
             directory,
@@ -484,7 +492,7 @@
     }
 }
 
-impl Clients for Desk<'_> {
+impl Clients for ConnectionPorts<'_> {
     fn answer(&mut self, caller: Caller, answer: Answer) {
         self.net.post(
             Token::from_bits(caller.connection),
@@ -493,7 +501,7 @@
     }
 }
 
-impl Hosts for Desk<'_> {
+impl Hosts for ConnectionPorts<'_> {
     fn call(&mut self, host: ServerId, parts: Vec<Outgoing>) {
         if let Err(parts) = self.hosts.call(host, parts, self.net, self.now) {
             self.unsent.extend(parts.into_iter().map(|part| part.id));
@@ -515,7 +523,7 @@
     }
 }
 
-impl Directory for Desk<'_> {
+impl Directory for ConnectionPorts<'_> {
     fn watch(&mut self, on: bool) {
         if let Some(token) = self.directory {
             self.net.post(token, Message::Watch(on));
--- a/bitternsill/src/front/arrivals.rs
+++ b/bitternsill/src/front/arrivals.rs
@@ -6,13 +6,13 @@
 
 /// Bytes that come within so short a time of each other are held to have come with the first of
 /// them.
-const TOGETHER: Time = 5_000_000;
+const COALESCED_WITHIN: Time = 5_000_000;
 
 /// The times at which one connection's bytes were read.
 #[derive(Debug, Default)]
 pub struct Arrivals {
     /// How many bytes had come in all, and when the last of them had.
-    marks: VecDeque<(u64, Time)>,
+    offsets: VecDeque<(u64, Time)>,
     read: u64,
     parsed: u64,
 }
@@ -21,20 +21,20 @@
     /// So many bytes have been read, that may have come at this time.
     pub fn read(&mut self, bytes: usize, at: Time) {
         self.read += bytes as u64;
-        match self.marks.back_mut() {
+        match self.offsets.back_mut() {
             _ if bytes == 0 => {}
-            Some((end, last)) if at < *last + TOGETHER => *end = self.read,
-            _ => self.marks.push_back((self.read, at)),
+            Some((end, last)) if at < *last + COALESCED_WITHIN => *end = self.read,
+            _ => self.offsets.push_back((self.read, at)),
         }
     }
 
     /// So many of the last bytes that were read are not kept.
     pub fn dropped(&mut self, bytes: usize) {
         self.read -= bytes as u64;
-        while self.marks.len() > 1 && self.marks[self.marks.len() - 2].0 >= self.read {
-            self.marks.pop_back();
+        while self.offsets.len() > 1 && self.offsets[self.offsets.len() - 2].0 >= self.read {
+            self.offsets.pop_back();
         }
-        if let Some((end, _)) = self.marks.back_mut() {
+        if let Some((end, _)) = self.offsets.back_mut() {
             *end = (*end).min(self.read);
         }
     }
@@ -43,12 +43,12 @@
     pub fn parsed(&mut self, bytes: usize) -> Option<Time> {
         self.parsed += bytes as u64;
         while self
-            .marks
+            .offsets
             .front()
             .is_some_and(|(end, _)| *end < self.parsed)
         {
-            self.marks.pop_front();
+            self.offsets.pop_front();
         }
-        self.marks.front().map(|(_, at)| *at)
+        self.offsets.front().map(|(_, at)| *at)
     }
 }
--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -126,7 +126,7 @@
         }))
     }
 
-    fn room_of_connection(&self) -> usize {
+    fn connection_capacity(&self) -> usize {
         1
     }
 
@@ -193,7 +193,7 @@
             *first -= 1;
             if *first == 0 {
                 self.calls.pop_front();
-                cx.world.hosts.room_freed(self.host, cx.token, 1);
+                cx.world.hosts.release_capacity(self.host, cx.token, 1);
             }
         }
     }
@@ -251,7 +251,7 @@
         {
             cx.world.core.mark_written(part.id);
         }
-        let ready = Ready::READ.and_room(self.stream.unwritten() > 0);
+        let ready = Ready::READ.and_writable(self.stream.unwritten() > 0);
         if self.stream.arm(cx.net, cx.token, ready).is_err() {
             cx.close();
         }
@@ -428,7 +428,7 @@
                 let waiting: Vec<usize> = self.calls.drain(..).collect();
                 self.calls.extend(waiting.first().map(|_| 1));
                 for _ in 1..waiting.len() {
-                    cx.world.hosts.room_freed(self.host, cx.token, 1);
+                    cx.world.hosts.release_capacity(self.host, cx.token, 1);
                 }
                 self.move_queue(cx);
                 self.schedule(cx);
--- a/bitternsill/src/front/catalogue/session.rs
+++ b/bitternsill/src/front/catalogue/session.rs
@@ -264,7 +264,7 @@
             }
             _ => {}
         }
-        if cx.world.is_leaving(cx.now) && !self.is_busy() {
+        if cx.world.closes_connections(cx.now) && !self.is_busy() {
             self.close_session(cx, CloseReason::Shutdown, "");
         }
         self.flush(cx);
--- a/bitternsill/src/front/clients.rs
+++ b/bitternsill/src/front/clients.rs
@@ -10,22 +10,22 @@
 
 /// What a connection that the core holds no request of is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Rest {
+enum IdleState {
     /// It has never said anything. Crowds of these come, and nobody misses one.
-    Silent,
+    Unused,
     /// It has said a part of a request. Sound clients say all of it at once.
     Partial,
     /// It has asked once. Many ask once and stay for good.
-    Once,
+    SingleRequest,
     /// It has asked more than once, and is likely to ask again.
     Idle,
 }
 
 /// Whether room could be made for another connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Room {
+pub enum Eviction {
     /// A connection was asked to close.
-    Made,
+    Started,
     /// One will be silent for long enough soon.
     Soon,
     /// All are busy.
@@ -35,8 +35,8 @@
 /// Every client connection, and since when those without a request have been at rest.
 #[derive(Debug, Default)]
 pub struct ClientTable {
-    open: BTreeMap<Token, Option<(Rest, Time)>>,
-    resting: BTreeSet<(Rest, Time, Token)>,
+    open: BTreeMap<Token, Option<(IdleState, Time)>>,
+    idle: BTreeSet<(IdleState, Time, Token)>,
     /// How many there are of each kind.
     counts: [usize; 4],
 }
@@ -45,44 +45,47 @@
     /// A connection was accepted.
     pub fn add(&mut self, token: Token, now: Time) {
         self.open.insert(token, None);
-        self.set_rest(token, Some((Rest::Silent, now)));
+        self.set_idle_state(token, Some((IdleState::Unused, now)));
     }
 
     /// A connection ended.
     pub fn remove(&mut self, token: Token) {
-        self.set_rest(token, None);
+        self.set_idle_state(token, None);
         self.open.remove(&token);
     }
 
     /// A connection has a request.
     pub fn set_busy(&mut self, token: Token) {
-        self.set_rest(token, None);
+        self.set_idle_state(token, None);
     }
 
     /// A connection has been idle since this time, after so many requests.
     pub fn set_idle(&mut self, token: Token, since: Time, requests: u32) {
-        let rest = if requests > 1 { Rest::Idle } else { Rest::Once };
-        self.set_rest(token, Some((rest, since)));
+        let state = if requests > 1 {
+            IdleState::Idle
+        } else {
+            IdleState::SingleRequest
+        };
+        self.set_idle_state(token, Some((state, since)));
     }
 
     /// A connection has begun to say something.
     pub fn set_partial(&mut self, token: Token, since: Time) {
-        self.set_rest(token, Some((Rest::Partial, since)));
+        self.set_idle_state(token, Some((IdleState::Partial, since)));
     }
 
-    fn set_rest(&mut self, token: Token, rest: Option<(Rest, Time)>) {
+    fn set_idle_state(&mut self, token: Token, state: Option<(IdleState, Time)>) {
         let Some(slot) = self.open.get_mut(&token) else {
             return;
         };
-        if let Some((kind, at)) = std::mem::replace(slot, rest) {
-            self.resting.remove(&(kind, at, token));
+        if let Some((kind, at)) = std::mem::replace(slot, state) {
+            self.idle.remove(&(kind, at, token));
             self.counts[kind as usize] -= 1;
         }
-        if let Some((kind, _)) = rest {
+        if let Some((kind, _)) = state {
             self.counts[kind as usize] += 1;
         }
-        self.resting
-            .extend(rest.map(|(kind, at)| (kind, at, token)));
+        self.idle.extend(state.map(|(kind, at)| (kind, at, token)));
     }
 
     /// How many there are.
@@ -103,8 +106,8 @@
     /// Asks the connections that have been at rest since then to close; those half through a
     /// request only where that is wanted.
     pub fn sweep(&self, net: &mut Net<Gatherer>, sweep: Sweep) {
-        for &(rest, since, token) in &self.resting {
-            let partial = rest == Rest::Partial;
+        for &(state, since, token) in &self.idle {
+            let partial = state == IdleState::Partial;
             if since <= sweep.idle_since && (sweep.partial || !partial) {
                 net.post(
                     token,
@@ -119,27 +122,27 @@
     }
 
     /// The connection that has been doing this longest, and since when.
-    fn longest(&self, rest: Rest) -> Option<(Time, Token)> {
-        let first = self.resting.range((rest, 0, Token::from_bits(0))..).next();
+    fn longest(&self, state: IdleState) -> Option<(Time, Token)> {
+        let first = self.idle.range((state, 0, Token::from_bits(0))..).next();
         first
-            .filter(|entry| entry.0 == rest)
+            .filter(|entry| entry.0 == state)
             .map(|&(_, at, token)| (at, token))
     }
 
     /// Asks some connections to close where too many have asked once and stayed: clients may have
     /// only so many connections, and these would take them all long before the table is full.
-    pub fn thin(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) {
+    pub fn evict_single_request(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) {
         // Two at most, for each that comes.
         for _ in 0..2 {
             let oldest = self
-                .longest(Rest::Once)
+                .longest(IdleState::SingleRequest)
                 .filter(|(at, _)| at + limits.partial_grace <= now);
-            let Some((_, token)) =
-                oldest.filter(|_| self.counts[Rest::Once as usize] > limits.single_request_clients)
-            else {
+            let Some((_, token)) = oldest.filter(|_| {
+                self.counts[IdleState::SingleRequest as usize] > limits.single_request_clients
+            }) else {
                 return;
             };
-            self.set_rest(token, None);
+            self.set_idle_state(token, None);
             net.post(token, Message::Evict);
         }
     }
@@ -147,30 +150,30 @@
     /// Asks a connection to close: of the first kind above the one that has been so longest. One
     /// that only just came to be so is left alone, as it may say more at once; where there are many
     /// of them they will soon make room, and spare the kinds below.
-    pub fn make_room(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) -> Room {
+    pub fn evict_one(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) -> Eviction {
         let kinds = [
-            (Rest::Silent, limits.unused_grace),
-            (Rest::Partial, limits.partial_grace),
-            (Rest::Once, limits.partial_grace),
-            (Rest::Idle, 0),
+            (IdleState::Unused, limits.unused_grace),
+            (IdleState::Partial, limits.partial_grace),
+            (IdleState::SingleRequest, limits.partial_grace),
+            (IdleState::Idle, 0),
         ];
-        for (rest, grace) in kinds {
-            let Some((at, token)) = self.longest(rest) else {
+        for (state, grace) in kinds {
+            let Some((at, token)) = self.longest(state) else {
                 continue;
             };
             if at + grace <= now {
-                self.set_rest(token, None);
+                self.set_idle_state(token, None);
                 net.post(token, Message::Evict);
-                return Room::Made;
+                return Eviction::Started;
             }
-            if self.counts[rest as usize] * 8 >= self.open.len() {
-                return Room::Soon;
+            if self.counts[state as usize] * 8 >= self.open.len() {
+                return Eviction::Soon;
             }
         }
-        if self.resting.is_empty() {
-            Room::None
+        if self.idle.is_empty() {
+            Eviction::None
         } else {
-            Room::Soon
+            Eviction::Soon
         }
     }
 }
--- a/bitternsill/src/front/hosts.rs
+++ b/bitternsill/src/front/hosts.rs
@@ -24,10 +24,10 @@
     ) -> io::Result<Box<dyn Connection<Gatherer>>>;
 
     /// How much one connection carries at once.
-    fn room_of_connection(&self) -> usize;
+    fn connection_capacity(&self) -> usize;
 
     /// How much of that a call of so many parts takes.
-    fn room_of_call(&self, _parts: usize) -> usize {
+    fn call_cost(&self, _parts: usize) -> usize {
         1
     }
 
@@ -43,7 +43,7 @@
     ) -> Choice {
         match taken.iter().enumerate().min_by_key(|(_, n)| **n) {
             Some((at, n))
-                if *n == 0 || *n + call <= self.room_of_connection() || taken.len() >= most =>
+                if *n == 0 || *n + call <= self.connection_capacity() || taken.len() >= most =>
             {
                 Choice::Use(at)
             }
@@ -77,7 +77,7 @@
 struct Link {
     token: Token,
     /// How much of its room is taken.
-    taken: usize,
+    used: usize,
 }
 
 struct Host {
@@ -85,11 +85,11 @@
     /// What the list says of it, and whether it is out by hand.
     entry: Endpoint,
     endpoint: Option<SocketAddr>,
-    leaving_since: Option<Time>,
+    draining_since: Option<Time>,
     links: Vec<Link>,
     attempts: BTreeMap<AttemptId, Token>,
     /// Connections that fell mute since the host was last heard.
-    mute: u32,
+    unresponsive: u32,
 }
 
 /// Every index host that any list has named.
@@ -99,7 +99,7 @@
     ids: BTreeMap<String, ServerId>,
     hosts: BTreeMap<ServerId, Host>,
     /// Who is out by hand, known or not: no list brings these back.
-    out: BTreeSet<String>,
+    excluded: BTreeSet<String>,
     next: u32,
 }
 
@@ -111,13 +111,13 @@
             limits,
             ids: BTreeMap::new(),
             hosts: BTreeMap::new(),
-            out: BTreeSet::new(),
+            excluded: BTreeSet::new(),
             next: 1,
         }
     }
 
     /// Takes other bounds, and another way to connect.
-    pub fn retune(&mut self, connector: Box<dyn Connector>, limits: Rc<Limits>) {
+    pub fn reconfigure(&mut self, connector: Box<dyn Connector>, limits: Rc<Limits>) {
         (self.connector, self.limits) = (connector, limits);
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// The hosts that have not left, as the store keeps them.
-    pub fn known(&self) -> Json {
+    pub fn to_json(&self) -> Json {
         let host = |(uid, id): (&String, &ServerId)| {
             let host = self
                 .hosts
@@ -199,7 +199,7 @@
             };
             listed.push(id);
             member.entry.server = id;
-            member.entry.excluded = self.out.contains(&member.uid);
+            member.entry.excluded = self.excluded.contains(&member.uid);
             let new = Host {
                 uid: Arc::from(member.uid.as_str()),
                 entry: Endpoint {
@@ -207,10 +207,10 @@
                     ..Endpoint::default()
                 },
                 endpoint: None,
-                leaving_since: None,
+                draining_since: None,
                 links: Vec::new(),
                 attempts: BTreeMap::new(),
-                mute: 0,
+                unresponsive: 0,
             };
             let host = self.hosts.entry(id).or_insert(new);
             if member.endpoint.is_some() && host.endpoint != member.endpoint {
@@ -221,35 +221,35 @@
                 }
             }
             host.entry = member.entry.clone();
-            host.stand(net, now);
+            host.apply_status(net, now);
             entries.push(member.entry);
         }
         if kind != ListKind::Partial {
             for (id, host) in &mut self.hosts {
                 if !listed.contains(id) {
                     host.entry.status = ServerStatus::Removed;
-                    host.stand(net, now);
+                    host.apply_status(net, now);
                 }
             }
         }
-        self.forget_gone();
+        self.remove_gone();
         entries
     }
 
     /// Has exactly these hosts out by hand, and gives the module's entries of those for which that
     /// is news.
-    pub fn hold(
+    pub fn set_excluded(
         &mut self,
-        out: BTreeSet<String>,
+        excluded: BTreeSet<String>,
         net: &mut Net<Gatherer>,
         now: Time,
     ) -> Vec<Endpoint> {
-        self.out = out;
+        self.excluded = excluded;
         let mut entries = Vec::new();
         for host in self.hosts.values_mut() {
-            let is_out = self.out.contains(&*host.uid);
-            if std::mem::replace(&mut host.entry.excluded, is_out) != is_out {
-                host.stand(net, now);
+            let is_excluded = self.excluded.contains(&*host.uid);
+            if std::mem::replace(&mut host.entry.excluded, is_excluded) != is_excluded {
+                host.apply_status(net, now);
                 entries.push(host.entry.clone());
             }
         }
@@ -271,11 +271,11 @@
 
     /// Drops hosts that have left and hold nothing: hosts are replaced under new ids for as long as
     /// this runs.
-    fn forget_gone(&mut self) {
-        let kept = |h: &Host| {
+    fn remove_gone(&mut self) {
+        let is_used = |h: &Host| {
             h.entry.status != ServerStatus::Removed || !h.links.is_empty() || !h.attempts.is_empty()
         };
-        self.hosts.retain(|_, host| kept(host));
+        self.hosts.retain(|_, host| is_used(host));
         self.ids.retain(|_, id| self.hosts.contains_key(id));
     }
 
@@ -289,23 +289,23 @@
     ) -> Result<(), Vec<Outgoing>> {
         let grace = self.limits.drain_grace / 2;
         let allowed =
-            |h: &Host| !h.entry.excluded && h.leaving_since.is_none_or(|at| now < at + grace);
+            |h: &Host| !h.entry.excluded && h.draining_since.is_none_or(|at| now < at + grace);
         if self.hosts.get(&id).is_none_or(|host| !allowed(host)) {
             return Err(parts);
         }
-        let room = self.connector.room_of_call(parts.len());
-        let most = self.most_links(id, net);
+        let cost = self.connector.call_cost(parts.len());
+        let most = self.max_links(id, net);
         let Some(host) = self.hosts.get_mut(&id) else {
             return Err(parts);
         };
-        let Some(token) = host.link(id, room, self.connector.as_ref(), most, net, now) else {
+        let Some(token) = host.link(id, cost, self.connector.as_ref(), most, net, now) else {
             return Err(parts);
         };
         for part in &parts {
             host.attempts.insert(part.id, token);
         }
         if let Some(link) = host.links.iter_mut().find(|l| l.token == token) {
-            link.taken += room;
+            link.used += cost;
         }
         net.post(token, Message::Call(parts));
         Ok(())
@@ -327,11 +327,11 @@
         if self
             .hosts
             .get(&id)
-            .is_none_or(|host| host.leaving_since.is_some())
+            .is_none_or(|host| host.draining_since.is_some())
         {
             return false;
         }
-        let most = self.most_links(id, net);
+        let most = self.max_links(id, net);
         let Some(host) = self.hosts.get_mut(&id) else {
             return false;
         };
@@ -341,13 +341,13 @@
 
     /// How many connections a host may have now. Where all that hosts may have in sum are there, no
     /// more than it has; one that has none takes the place of one elsewhere that carries nothing.
-    fn most_links(&mut self, id: ServerId, net: &mut Net<Gatherer>) -> usize {
-        let held: usize = self.hosts.values().map(|host| host.links.len()).sum();
-        if held < self.limits.host_links {
+    fn max_links(&mut self, id: ServerId, net: &mut Net<Gatherer>) -> usize {
+        let open: usize = self.hosts.values().map(|host| host.links.len()).sum();
+        if open < self.limits.host_links {
             return self.limits.connections_per_host;
         }
         let own = self.hosts.get(&id).map_or(0, |host| host.links.len());
-        let idle = |host: &Host| host.links.iter().position(|link| link.taken == 0);
+        let idle = |host: &Host| host.links.iter().position(|link| link.used == 0);
         if own == 0
             && let Some((at, host)) = self
                 .hosts
@@ -366,7 +366,7 @@
         };
         // They are out of the table at once, so that the call that follows opens a new one.
         host.links.retain(|link| {
-            let idle = link.taken == 0;
+            let idle = link.used == 0;
             if idle {
                 net.post(link.token, Message::CloseIdle);
             }
@@ -389,23 +389,27 @@
     }
 
     /// What took so much of a connection's room has ended.
-    pub fn room_freed(&mut self, id: ServerId, token: Token, room: usize) {
+    pub fn release_capacity(&mut self, id: ServerId, token: Token, cost: usize) {
         let links = self.hosts.get_mut(&id).map(|h| &mut h.links);
         if let Some(link) = links.and_then(|links| links.iter_mut().find(|l| l.token == token)) {
-            link.taken = link.taken.saturating_sub(room);
+            link.used = link.used.saturating_sub(cost);
         }
     }
 
     /// How long a connection to a host may be mute. Where its connections fall mute one after the
     /// other it is the host that is silent, and each is given twice the time of the one before.
-    pub fn mute_after(&self, id: ServerId) -> Time {
-        self.limits.link_unresponsive << self.hosts.get(&id).map_or(0, |h| h.mute.min(4))
+    pub fn unresponsive_after(&self, id: ServerId) -> Time {
+        self.limits.link_unresponsive << self.hosts.get(&id).map_or(0, |h| h.unresponsive.min(4))
     }
 
     /// A connection has fallen mute, or (`false`) something has come on it.
-    pub fn set_mute(&mut self, id: ServerId, mute: bool) {
+    pub fn set_unresponsive(&mut self, id: ServerId, unresponsive: bool) {
         if let Some(host) = self.hosts.get_mut(&id) {
-            host.mute = if mute { host.mute + 1 } else { 0 };
+            host.unresponsive = if unresponsive {
+                host.unresponsive + 1
+            } else {
+                0
+            };
         }
     }
 
@@ -419,11 +423,11 @@
 
 impl Host {
     /// Does as the list and the operators say, the stricter of the two.
-    fn stand(&mut self, net: &mut Net<Gatherer>, now: Time) {
+    fn apply_status(&mut self, net: &mut Net<Gatherer>, now: Time) {
         if self.entry.status == ServerStatus::Ready && !self.entry.excluded {
-            self.leaving_since = None;
-        } else if self.leaving_since.is_none() {
-            self.leaving_since = Some(now);
+            self.draining_since = None;
+        } else if self.draining_since.is_none() {
+            self.draining_since = Some(now);
             for link in &self.links {
                 net.post(link.token, Message::HostDraining);
             }
@@ -434,14 +438,14 @@
     fn link(
         &mut self,
         id: ServerId,
-        room: usize,
+        cost: usize,
         connector: &dyn Connector,
         most: usize,
         net: &mut Net<Gatherer>,
         now: Time,
     ) -> Option<Token> {
-        let taken: Vec<usize> = self.links.iter().map(|l| l.taken).collect();
-        match connector.choose(id, room, &taken, most, now) {
+        let taken: Vec<usize> = self.links.iter().map(|l| l.used).collect();
+        match connector.choose(id, cost, &taken, most, now) {
             Choice::Use(at) => return self.links.get(at).map(|l| l.token),
             Choice::Open => {}
             Choice::None => return None,
@@ -449,12 +453,12 @@
         match connector.connect(id, self.endpoint?, now) {
             Ok(connection) => {
                 let token = net.open(connection);
-                self.links.push(Link { token, taken: 0 });
+                self.links.push(Link { token, used: 0 });
                 Some(token)
             }
             Err(problem) => {
                 tracing::warn!(host = id.0, %problem, "no connection can be opened");
-                self.links.iter().min_by_key(|l| l.taken).map(|l| l.token)
+                self.links.iter().min_by_key(|l| l.used).map(|l| l.token)
             }
         }
     }
--- a/bitternsill/src/front/listener.rs
+++ b/bitternsill/src/front/listener.rs
@@ -1,6 +1,6 @@
 //! The listeners, whatever their connections speak.
 
-use super::clients::Room;
+use super::clients::Eviction;
 use super::{Gatherer, Message};
 use crate::net::{Connection, Context, Ready, Stream};
 use std::io;
@@ -40,10 +40,10 @@
     }
 
     /// Closes some connections that have been idle longest, and goes on when they are gone.
-    fn make_room(&mut self, cx: &mut Cx<'_>) {
+    fn evict_some(&mut self, cx: &mut Cx<'_>) {
         let limits = cx.world.limits.clone();
         for _ in 0..limits.eviction_burst {
-            if cx.world.clients.make_room(cx.net, cx.now, &limits) != Room::Made {
+            if cx.world.clients.evict_one(cx.net, cx.now, &limits) != Eviction::Started {
                 break;
             }
         }
@@ -57,7 +57,7 @@
     fn accept_all(&mut self, cx: &mut Cx<'_>) {
         loop {
             match self.socket.accept() {
-                Ok((socket, _)) => self.take(cx, socket),
+                Ok((socket, _)) => self.open_connection(cx, socket),
                 Err(e) if is_passing(&e) => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return cx.close(),
                 Err(_) => {
@@ -68,7 +68,7 @@
         }
     }
 
-    fn take(&mut self, cx: &mut Cx<'_>, socket: TcpStream) {
+    fn open_connection(&mut self, cx: &mut Cx<'_>, socket: TcpStream) {
         if let Err(problem) = socket
             .set_nonblocking(true)
             .and_then(|()| socket.set_nodelay(true))
@@ -81,21 +81,21 @@
         cx.world.clients.add(token, cx.now);
     }
 
-    fn accept_some(&mut self, cx: &mut Cx<'_>) {
+    fn accept_ready(&mut self, cx: &mut Cx<'_>) {
         for _ in 0..cx.world.limits.accept_burst {
             // What waits in the backlog counts as taken, so an idle connection gives way to it.
-            if cx.world.clients.len() >= cx.world.client_places() {
-                return self.make_room(cx);
+            if cx.world.clients.len() >= cx.world.max_clients() {
+                return self.evict_some(cx);
             }
             match self.socket.accept() {
-                Ok((socket, _)) => self.take(cx, socket),
+                Ok((socket, _)) => self.open_connection(cx, socket),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if is_passing(&e) => {}
                 Err(problem) => {
                     // Out of descriptors: without a rest the loop would spin on a listener that
                     // stays ready.
                     tracing::warn!(%problem, "cannot accept");
-                    return self.make_room(cx);
+                    return self.evict_some(cx);
                 }
             }
         }
@@ -117,7 +117,7 @@
 
     fn ready(&mut self, cx: &mut Cx<'_>, _ready: Ready) {
         if !self.retiring {
-            self.accept_some(cx);
+            self.accept_ready(cx);
         }
     }
 
--- a/bitternsill/src/front/overflow.rs
+++ b/bitternsill/src/front/overflow.rs
@@ -10,7 +10,7 @@
     reader: Reader,
     /// The begin of the next request, as far as the reader has not taken it.
     input: Vec<u8>,
-    owed: usize,
+    pending_rejections: usize,
     /// Where something that is no request has come, which nothing behind it can be told from.
     problem: Option<HttpError>,
 }
@@ -34,7 +34,7 @@
         Overflow {
             reader,
             input: rest,
-            owed: 0,
+            pending_rejections: 0,
             problem,
         }
     }
@@ -46,7 +46,7 @@
             match self.reader.read(&mut self.input) {
                 Ok(Progress::Whole) => {
                     self.reader.take();
-                    self.owed += 1;
+                    self.pending_rejections += 1;
                 }
                 Ok(Progress::More) => return,
                 Err(problem) => self.problem = Some(problem),
@@ -56,15 +56,18 @@
     }
 
     /// Whether one more refusal is owed; it is held to be given.
-    pub fn refuse_one(&mut self) -> bool {
-        let owes = self.owed > 0;
-        self.owed -= usize::from(owes);
-        owes
+    pub fn take_rejection(&mut self) -> bool {
+        let is_pending_one = self.pending_rejections > 0;
+        self.pending_rejections -= usize::from(is_pending_one);
+        is_pending_one
     }
 
     /// Whether anything that has come is still owed something.
-    pub fn holds_any(&self) -> bool {
-        self.owed > 0 || self.problem.is_some() || !self.input.is_empty() || !self.reader.is_fresh()
+    pub fn is_pending(&self) -> bool {
+        self.pending_rejections > 0
+            || self.problem.is_some()
+            || !self.input.is_empty()
+            || !self.reader.is_fresh()
     }
 
     /// What follows the last of the refusals: the begin of the next request, or what is wrong with
--- a/bitternsill/src/front/platform/client.rs
+++ b/bitternsill/src/front/platform/client.rs
@@ -94,11 +94,11 @@
                 "no such method on this path"
             };
             cx.world
-                .turn_away(why, &format!("{method} {target}"), cx.now);
+                .reject_request(why, &format!("{method} {target}"), cx.now);
             return Handled::Done(Response::no_route(&allowed));
         };
         match route.operation {
-            Operation::Health => Handled::Done(match cx.world.waits(cx.now) {
+            Operation::Health => Handled::Done(match cx.world.waiting_for(cx.now) {
                 None => Response::text(200, "ready"),
                 Some(wait) => Response::text(503, format!("not ready: {wait}")),
             }),
@@ -147,7 +147,7 @@
                         Handled::Done(Response::text(409, "a query of this id is open"))
                     }
                     Err(problem) => {
-                        cx.world.turn_away(
+                        cx.world.reject_request(
                             &problem.to_string(),
                             &format!("{method} {target}"),
                             cx.now,
--- a/bitternsill/src/front/platform/discovery.rs
+++ b/bitternsill/src/front/platform/discovery.rs
@@ -277,7 +277,7 @@
     fn take(&mut self, cx: &mut Cx<'_>, json: &Json) -> Result<(), ListError> {
         let (version, whole, members) = read_list(json, &mut self.names)?;
         tracing::debug!(version, whole, lines = members.len(), "list");
-        cx.world.take_list(whole, members, cx.net, cx.now);
+        cx.world.update_endpoints(whole, members, cx.net, cx.now);
         self.release_former(cx);
         self.version = Some(version);
         Ok(())
--- a/bitternsill/src/front/platform/link.rs
+++ b/bitternsill/src/front/platform/link.rs
@@ -48,12 +48,12 @@
         }))
     }
 
-    fn room_of_connection(&self) -> usize {
+    fn connection_capacity(&self) -> usize {
         self.limits.parts_per_connection
     }
 
     // A host reads no more parts than that from one connection, however many calls they come in.
-    fn room_of_call(&self, parts: usize) -> usize {
+    fn call_cost(&self, parts: usize) -> usize {
         parts
     }
 }
@@ -94,7 +94,7 @@
 
 impl Link {
     fn end_part(&self, cx: &mut Cx<'_>) {
-        cx.world.hosts.room_freed(self.host, cx.token, 1);
+        cx.world.hosts.release_capacity(self.host, cx.token, 1);
     }
 
     /// Hands queued calls to the socket, one frame at a time so that no byte of the next is written
@@ -104,7 +104,7 @@
             if let Err(problem) = self.stream.flush() {
                 tracing::debug!(host = self.host.0, %problem, "a link broke");
                 // What its host had said before that is there to be read, and counts.
-                let _ = self.take_in(cx);
+                let _ = self.read_input(cx);
                 return cx.close();
             }
             if self.stream.unwritten() > 0 {
@@ -133,7 +133,7 @@
         }
         // Only armed here: a flush that finished the frame unseen would leave its parts counted as
         // never run.
-        let ready = Ready::READ.and_room(self.stream.unwritten() > 0);
+        let ready = Ready::READ.and_writable(self.stream.unwritten() > 0);
         if self.stream.arm(cx.net, cx.token, ready).is_err() {
             cx.close();
         }
@@ -292,13 +292,13 @@
     }
 
     /// Reads what the host has said and acts on each whole frame.
-    fn take_in(&mut self, cx: &mut Cx<'_>) -> io::Result<Input> {
+    fn read_input(&mut self, cx: &mut Cx<'_>) -> io::Result<Input> {
         let end = self
             .stream
             .read(&mut self.input, cx.world.limits.read_burst);
         if !self.input.is_empty() {
             (self.mute_since, self.mute) = (Some(cx.now), None);
-            cx.world.hosts.set_mute(self.host, false);
+            cx.world.hosts.set_unresponsive(self.host, false);
         }
         while !cx.is_closing() {
             match frames::read(&mut self.input, cx.world.limits.frame_bytes) {
@@ -341,7 +341,7 @@
             }
             cx.set_timer(self.used + cx.world.limits.host_idle);
         } else if let Some(since) = self.mute_since {
-            let mute = || since + cx.world.hosts.mute_after(self.host);
+            let mute = || since + cx.world.hosts.unresponsive_after(self.host);
             cx.set_timer(
                 self.mute
                     .map_or_else(mute, |at| at + 2 * cx.world.limits.link_unresponsive),
@@ -357,7 +357,7 @@
     fn fall_mute(&mut self, cx: &mut Cx<'_>) {
         tracing::info!(host = self.host.0, out = self.out.len(), "a link is mute");
         self.mute = Some(cx.now);
-        cx.world.hosts.set_mute(self.host, true);
+        cx.world.hosts.set_unresponsive(self.host, true);
         self.retire(cx);
     }
 
@@ -397,7 +397,7 @@
             return self.schedule(cx);
         }
         if ready.readable {
-            let end = self.take_in(cx);
+            let end = self.read_input(cx);
             if cx.is_closing() {
                 return;
             }
--- a/bitternsill/src/front/server.rs
+++ b/bitternsill/src/front/server.rs
@@ -31,12 +31,12 @@
     fn answer(&mut self, cx: &mut Cx<'_>, answer: &Answer) -> Handled;
 
     /// Whether a connection may have more than one request.
-    fn keeps(&self) -> bool {
+    fn keeps_alive(&self) -> bool {
         true
     }
 
     /// How long a connection may take over its first request.
-    fn patience(&self, limits: &Limits) -> Time {
+    fn read_timeout(&self, limits: &Limits) -> Time {
         limits.request_read
     }
 
@@ -103,7 +103,7 @@
 
     /// Reads what is there, and notes when it came: what a pause has kept waiting may have been
     /// there since its begin.
-    fn take_in(&mut self, cx: &Cx<'_>) -> io::Result<Input> {
+    fn read_input(&mut self, cx: &Cx<'_>) -> io::Result<Input> {
         if let Some(overflow) = &mut self.overflow {
             let mut more = Vec::new();
             let end = self.stream.read(&mut more, cx.world.limits.read_burst);
@@ -130,7 +130,7 @@
     }
 
     /// Where more has come behind a request that waits than is kept, drops what is too much.
-    fn keep_little(&mut self, cx: &Cx<'_>) {
+    fn shrink_buffers(&mut self, cx: &Cx<'_>) {
         let (limits, before) = (&cx.world.limits, self.input.len());
         let waits = matches!(self.state, State::Waiting { .. }) && self.overflow.is_none();
         if waits && before >= limits.body_bytes {
@@ -142,16 +142,16 @@
 
     /// Refuses what was not kept, once all before it is answered, and goes on with what follows
     /// that; says whether it did.
-    fn refuse_overflow(&mut self, cx: &mut Cx<'_>) -> bool {
+    fn reject_overflow(&mut self, cx: &mut Cx<'_>) -> bool {
         if !self.input.is_empty() || !self.reader.is_fresh() {
             return false;
         }
         let Some(mut overflow) = self.overflow.take() else {
             return false;
         };
-        if overflow.refuse_one() {
+        if overflow.take_rejection() {
             self.overflow = Some(overflow);
-            cx.world.turn_away(
+            cx.world.reject_request(
                 "too much behind a request that waits",
                 "a request behind others",
                 cx.now,
@@ -173,7 +173,7 @@
                 (self.reader, self.input) = (reader, input);
                 self.arrivals.read(self.input.len(), cx.since);
             }
-            Err(problem) => self.refuse(cx, problem),
+            Err(problem) => self.reject(cx, problem),
         }
         true
     }
@@ -182,7 +182,7 @@
     fn read_requests(&mut self, cx: &mut Cx<'_>) {
         // Who reads no answers gets no more of them: they would pile up here.
         while self.state == State::Reading && self.stream.unwritten() < cx.world.limits.output {
-            if self.refuse_overflow(cx) {
+            if self.reject_overflow(cx) {
                 continue;
             }
             let fresh = self.reader.is_fresh();
@@ -219,15 +219,15 @@
                     return;
                 }
                 Err(problem) => {
-                    self.refuse(cx, problem);
+                    self.reject(cx, problem);
                     return;
                 }
             }
         }
     }
 
-    fn refuse(&mut self, cx: &mut Cx<'_>, problem: HttpError) {
-        cx.world.turn_away(
+    fn reject(&mut self, cx: &mut Cx<'_>, problem: HttpError) {
+        cx.world.reject_request(
             &problem.to_string(),
             "something that is no HTTP request",
             cx.now,
@@ -262,12 +262,13 @@
     fn respond(&mut self, cx: &mut Cx<'_>, response: &Response, keep: bool, with_body: bool) {
         // What came behind a request was taken with it: the last of the answers closes the
         // connection.
-        let keep =
-            keep && self.service.keeps() && (!cx.world.is_leaving(cx.now) || self.has_more(cx));
+        let keep = keep
+            && self.service.keeps_alive()
+            && (!cx.world.closes_connections(cx.now) || self.has_more(cx));
         self.stream.push(&response.encode(!keep, with_body));
         if keep {
             self.state = State::Reading;
-            self.rest(cx);
+            self.become_idle(cx);
         } else {
             self.end_with(cx, cx.world.limits.request_read);
         }
@@ -275,8 +276,8 @@
 
     fn has_more(&mut self, cx: &Cx<'_>) -> bool {
         // An end or a failure shows again at the next event.
-        let _ = self.take_in(cx);
-        !self.input.is_empty() || self.overflow.as_ref().is_some_and(Overflow::holds_any)
+        let _ = self.read_input(cx);
+        !self.input.is_empty() || self.overflow.as_ref().is_some_and(Overflow::is_pending)
     }
 
     /// The one way in which this side ends a connection: what is to be said is written, then the
@@ -305,7 +306,7 @@
         self.flush(cx);
     }
 
-    fn too_slow(&mut self, cx: &mut Cx<'_>) {
+    fn time_out(&mut self, cx: &mut Cx<'_>) {
         // Where clients are sent away another gatherer may still take it.
         let status = if cx.world.orders.drain.is_under_way() {
             503
@@ -322,9 +323,11 @@
     }
 
     /// Between requests: may be closed for room, and is closed after long disuse.
-    fn rest(&mut self, cx: &mut Cx<'_>) {
+    fn become_idle(&mut self, cx: &mut Cx<'_>) {
         cx.world.clients.set_idle(cx.token, cx.now, self.requests);
-        cx.world.clients.thin(cx.net, cx.now, &cx.world.limits);
+        cx.world
+            .clients
+            .evict_single_request(cx.net, cx.now, &cx.world.limits);
         // Clients that ask once and stay would in time hold every place that clients may have.
         let idle = if self.requests > 1 {
             cx.world.limits.client_idle
@@ -336,7 +339,7 @@
 
     /// Writes what is there and sets what the socket is watched for.
     fn flush(&mut self, cx: &mut Cx<'_>) {
-        self.keep_little(cx);
+        self.shrink_buffers(cx);
         // What a client sends that reads no answers waits in the socket, so that it cannot pile up
         // here.
         let stalled = self.stream.unwritten() >= cx.world.limits.output;
@@ -368,8 +371,8 @@
 impl HttpConnection {
     /// Ends a connection between two requests, or half through one where its place is wanted. What
     /// is here already is served: closing on it would lose it.
-    fn leave_idle(&mut self, cx: &mut Cx<'_>, for_room: bool) {
-        match self.take_in(cx) {
+    fn close_if_idle(&mut self, cx: &mut Cx<'_>, for_room: bool) {
+        match self.read_input(cx) {
             Ok(Input::Open) => self.read_requests(cx),
             Ok(Input::Ended) => return self.client_ended(cx),
             Err(_) => return cx.close(),
@@ -380,7 +383,7 @@
             // It may not have read its answers yet, or be asking in this moment.
             (State::Reading, true) => self.end_with(cx, cx.world.limits.linger),
             // Others wait for its place, and it was given longer than any sound client takes.
-            (State::Reading, false) if for_room => return self.too_slow(cx),
+            (State::Reading, false) if for_room => return self.time_out(cx),
             _ => {}
         }
         self.flush(cx);
@@ -413,7 +416,7 @@
 impl Connection<Gatherer> for HttpConnection {
     fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
         // The listener has entered it as silent, and it stays so until its first byte.
-        cx.set_timer(cx.now + self.service.patience(&cx.world.limits));
+        cx.set_timer(cx.now + self.service.read_timeout(&cx.world.limits));
         self.stream.arm(cx.net, cx.token, Ready::READ)
     }
 
@@ -426,7 +429,7 @@
             return cx.close();
         }
         if ready.readable {
-            match self.take_in(cx) {
+            match self.read_input(cx) {
                 Ok(Input::Open) => self.read_requests(cx),
                 Ok(Input::Ended) => return self.client_ended(cx),
                 Err(_) => return cx.close(),
@@ -457,7 +460,7 @@
                 if self.state != State::Reading {
                     return;
                 }
-                self.leave_idle(cx, matches!(message, Message::Evict));
+                self.close_if_idle(cx, matches!(message, Message::Evict));
             }
             _ => {}
         }
@@ -465,8 +468,8 @@
 
     fn timer(&mut self, cx: &mut Cx<'_>) {
         match self.state {
-            State::Reading if !self.reader.is_fresh() => self.too_slow(cx),
-            State::Reading => self.leave_idle(cx, false),
+            State::Reading if !self.reader.is_fresh() => self.time_out(cx),
+            State::Reading => self.close_if_idle(cx, false),
             State::Waiting { .. } => {}
             State::Ending | State::Lingering(_) => cx.close(),
         }
--- a/bitternsill/src/front/signals.rs
+++ b/bitternsill/src/front/signals.rs
@@ -45,23 +45,23 @@
 }
 
 /// Hears that the program is to end.
-pub struct End(Signals);
+pub struct ShutdownSignal(Signals);
 
-impl End {
+impl ShutdownSignal {
     /// Installs the handlers.
     pub fn install() -> io::Result<Self> {
-        Ok(End(Signals::install(&[SIGTERM, SIGINT])?))
+        Ok(ShutdownSignal(Signals::install(&[SIGTERM, SIGINT])?))
     }
 }
 
-impl Connection<Gatherer> for End {
+impl Connection<Gatherer> for ShutdownSignal {
     fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
         self.0.watch(cx)
     }
 
     fn ready(&mut self, cx: &mut Cx<'_>, _ready: Ready) {
         self.0.drain();
-        cx.world.leave(cx.net, cx.now);
+        cx.world.begin_shutdown(cx.net, cx.now);
     }
 
     fn deliver(&mut self, _cx: &mut Cx<'_>, _message: Message) {}
@@ -71,17 +71,17 @@
 
 /// What the file that the program was started with says now, as far as it takes effect without a
 /// restart.
-pub struct Reread {
+pub struct ReloadedConfig {
     /// Where discovery listens.
     pub discovery: Option<SocketAddr>,
     /// Where there is no discovery: the list of index hosts, in its form.
     pub members: Json,
     /// The settings and what follows from them, where these can change in service.
-    pub settings: Option<Fresh>,
+    pub settings: Option<NewSettings>,
 }
 
 /// Settings, and what follows from them.
-pub struct Fresh {
+pub struct NewSettings {
     /// The module's.
     pub settings: Settings,
     /// The program's own.
@@ -93,19 +93,19 @@
 }
 
 /// Reads the file again.
-pub type ReadAgain = Box<dyn Fn() -> Result<Reread, Box<dyn Error>>>;
+pub type ConfigReader = Box<dyn Fn() -> Result<ReloadedConfig, Box<dyn Error>>>;
 
 /// Hears that the file is to be read again. Without a handler SIGHUP would end the program.
-pub struct Reload {
+pub struct ReloadSignal {
     signals: Signals,
-    read: ReadAgain,
+    read: ConfigReader,
     names: Names,
 }
 
-impl Reload {
+impl ReloadSignal {
     /// Installs the handler.
-    pub fn install(read: ReadAgain, names: Names) -> io::Result<Self> {
-        Ok(Reload {
+    pub fn install(read: ConfigReader, names: Names) -> io::Result<Self> {
+        Ok(ReloadSignal {
             signals: Signals::install(&[SIGHUP])?,
             read,
             names,
@@ -113,7 +113,7 @@
     }
 
     fn reload(&mut self, cx: &mut Cx<'_>) -> Result<(), Box<dyn Error>> {
-        let Reread {
+        let ReloadedConfig {
             discovery,
             members,
             settings,
@@ -157,7 +157,7 @@
     }
 }
 
-impl Connection<Gatherer> for Reload {
+impl Connection<Gatherer> for ReloadSignal {
     fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
         self.signals.watch(cx)
     }
--- a/bitternsill/src/net/reactor.rs
+++ b/bitternsill/src/net/reactor.rs
@@ -10,13 +10,13 @@
 use std::os::fd::{AsFd, OwnedFd};
 
 /// The longest that the loop sleeps; not a limit of the service, but how it notices a stall.
-const LONGEST_WAIT: Time = 50_000_000;
+const MAX_WAIT: Time = 50_000_000;
 /// A round that took longer than this began with a stall.
-const STALL: Time = 100_000_000;
+const STALL_THRESHOLD: Time = 100_000_000;
 /// Rounds behind that one in which what came meanwhile may first be read: the one before whose
 /// events the program stood still may not have had the listener's, the next one accepts, and the
 /// one behind that reads.
-const ROUNDS: u8 = 2;
+const STALL_ROUNDS: u8 = 2;
 
 /// Since when what a round reads may have come.
 #[derive(Debug, Default)]
@@ -28,11 +28,11 @@
 impl Stalls {
     /// A round's events are there at `now`; nobody had looked since `asleep`.
     fn since(&mut self, asleep: Time, now: Time) -> Time {
-        let fresh = (now - asleep > STALL).then_some((asleep, ROUNDS));
-        let told = fresh.or(self.last);
+        let new_stall = (now - asleep > STALL_THRESHOLD).then_some((asleep, STALL_ROUNDS));
+        let stall = new_stall.or(self.last);
         let behind = |(at, left): (Time, u8)| Some((at, left.checked_sub(1)?));
-        self.last = told.and_then(behind);
-        told.map_or(now, |(at, _)| at)
+        self.last = stall.and_then(behind);
+        stall.map_or(now, |(at, _)| at)
     }
 }
 
@@ -92,14 +92,14 @@
     };
 
     /// The same, and for room where that is wanted.
-    pub fn and_room(self, wanted: bool) -> Ready {
+    pub fn and_writable(self, wanted: bool) -> Ready {
         Ready {
             writable: self.writable || wanted,
             ..self
         }
     }
 
-    fn told(flags: epoll::EventFlags) -> Ready {
+    fn from_flags(flags: epoll::EventFlags) -> Ready {
         let ended = flags.intersects(ENDED);
         Ready {
             readable: ended || flags.contains(epoll::EventFlags::IN),
@@ -335,9 +335,10 @@
     /// Runs until the world is finished.
     pub fn run(&mut self) -> io::Result<()> {
         let mut events: Vec<epoll::Event> = Vec::with_capacity(256);
-        let (mut interrupted, mut stalls, mut looked) = (None, Stalls::default(), self.net.now());
+        let (mut interrupted, mut stalls, mut last_poll) =
+            (None, Stalls::default(), self.net.now());
         loop {
-            self.settle();
+            self.deliver_pending();
             let now = self.net.now();
             if self.world.finished(now) {
                 return Ok(());
@@ -348,18 +349,21 @@
                 .into_iter()
                 .flatten()
                 .min()
-                .map_or(LONGEST_WAIT, |at| at.saturating_sub(now));
+                .map_or(MAX_WAIT, |at| at.saturating_sub(now));
             let wait = Timespec {
                 tv_sec: 0,
-                tv_nsec: left.min(LONGEST_WAIT) as _,
+                tv_nsec: left.min(MAX_WAIT) as _,
             };
             // A wait that a signal cut short, as it does when the program is made to go on, counts
             // with the next. So does a round that took long, or in which the program was stopped:
             // nobody looked meanwhile.
-            let asleep =
-                interrupted
-                    .take()
-                    .unwrap_or(if now - looked > STALL { looked } else { now });
+            let asleep = interrupted
+                .take()
+                .unwrap_or(if now - last_poll > STALL_THRESHOLD {
+                    last_poll
+                } else {
+                    now
+                });
             events.clear();
             match epoll::wait(&self.net.epoll, spare_capacity(&mut events), Some(&wait)) {
                 Ok(_) => {}
@@ -370,33 +374,13 @@
                 Err(problem) => return Err(problem.into()),
             }
             let now = self.net.now();
-            looked = now;
+            last_poll = now;
             // What is read after a stall may have come at its beginning, and its client has waited
             // since.
             self.net.since = stalls.since(asleep, now);
-            // What has ended goes first: a client that came back by another connection must find
-            // its former request gone.
-            let first = &self.net.first;
-            events.sort_by_key(|event| {
-                let flags = event.flags;
-                (
-                    !first.contains(&Token::from_bits(event.data.u64())),
-                    !flags.intersects(ENDED),
-                )
-            });
-            for event in &events {
-                let ready = Ready::told(event.flags);
-                self.with(Token::from_bits(event.data.u64()), now, |c, cx| {
-                    c.ready(cx, ready)
-                });
-            }
-            while let Some(&(at, token)) = self.net.timers.first()
-                && at <= now
-            {
-                self.net.set_timer(token, None);
-                self.with(token, now, |c, cx| c.timer(cx));
-            }
-            self.settle();
+            self.handle_events(&mut events, now);
+            self.fire_timers(now);
+            self.deliver_pending();
             let now = self.net.now();
             if self.world.due(now).is_some_and(|at| at <= now) {
                 self.world.turn(&mut self.net, now);
@@ -404,8 +388,37 @@
         }
     }
 
+    /// Calls back the connections that are ready.
+    fn handle_events(&mut self, events: &mut [epoll::Event], now: Time) {
+        // What has ended goes first: a client that came back by another connection must find
+        // its former request gone.
+        let first = &self.net.first;
+        events.sort_by_key(|event| {
+            let flags = event.flags;
+            (
+                !first.contains(&Token::from_bits(event.data.u64())),
+                !flags.intersects(ENDED),
+            )
+        });
+        for event in events.iter() {
+            let ready = Ready::from_flags(event.flags);
+            self.with(Token::from_bits(event.data.u64()), now, |c, cx| {
+                c.ready(cx, ready)
+            });
+        }
+    }
+
+    fn fire_timers(&mut self, now: Time) {
+        while let Some(&(at, token)) = self.net.timers.first()
+            && at <= now
+        {
+            self.net.set_timer(token, None);
+            self.with(token, now, |c, cx| c.timer(cx));
+        }
+    }
+
     /// Places what was opened and delivers what was posted, until nothing of either is left.
-    fn settle(&mut self) {
+    fn deliver_pending(&mut self) {
         loop {
             let now = self.net.now();
             if let Some((token, connection)) = self.net.opened.pop_front() {
--- a/bitternsill/src/net/reactor/tests.rs
+++ b/bitternsill/src/net/reactor/tests.rs
@@ -54,7 +54,7 @@
 #[test]
 fn a_stall_speaks_of_the_round_it_is_seen_in_and_of_the_two_in_which_what_came_is_accepted_and_read()
  {
-    let (mut stalls, stall) = (Stalls::default(), 12 * STALL);
+    let (mut stalls, stall) = (Stalls::default(), 12 * STALL_THRESHOLD);
     let mut round = |asleep, now| stalls.since(asleep, now);
     assert_eq!(round(0, 5), 5, "no stall");
     // Seen in a round of other events; the listener's come in the next, the bytes in the one behind
--- a/bitternsill/src/net/stream.rs
+++ b/bitternsill/src/net/stream.rs
@@ -128,7 +128,7 @@
     ) -> io::Result<bool> {
         self.flush()?;
         let pending = self.unwritten() > 0;
-        self.arm(net, token, ready.and_room(pending))?;
+        self.arm(net, token, ready.and_writable(pending))?;
         Ok(pending)
     }
 
--- a/bitternsill/src/recovery.rs
+++ b/bitternsill/src/recovery.rs
@@ -181,7 +181,7 @@
         let line = json!({
             "phase": state.map(|state| state.phase().to_string()), "why": state.map(why),
             "running_ms": now.saturating_sub(self.started) / 1_000_000, "ready": self.is_ready(now),
-            "waits_for": self.waits(now).map(|wait| wait.to_string()), "index_hosts": self.hosts.active(), "store": store,
+            "waits_for": self.waiting_for(now).map(|wait| wait.to_string()), "index_hosts": self.hosts.active(), "store": store,
             "version": self.versions.as_ref().map(|versions| versions.line(now))
         });
         line.to_string() + "\n"
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -20,11 +20,13 @@
 use crate::front::platform::link::FrameConnector;
 use crate::front::rejections::Rejections;
 use crate::front::server::HttpConnection;
-use crate::front::signals::{End, Fresh, ReadAgain, Reload, Reread};
+use crate::front::signals::{
+    ConfigReader, NewSettings, ReloadSignal, ReloadedConfig, ShutdownSignal,
+};
 use crate::front::{Gatherer, Phase, Wait};
 use crate::learned::{Keeper, LearningSetup};
 use crate::limits::Limits;
-use crate::net::{self, Clock, Reactor};
+use crate::net::{self, Clock, Net, Reactor};
 use crate::recovery::{RecoverySetup, Return};
 use crate::store::disk::{Behaviour, Disk};
 use crate::store::links::{Incoming, Shelf};
@@ -54,7 +56,7 @@
     admin: Option<SocketAddr>,
     known: Json,
     listeners: Vec<(SocketAddr, Accept)>,
-    reread: ReadAgain,
+    reread: ConfigReader,
     store: Option<StoreSetup>,
     learning: Option<LearningSetup>,
     recovery: Option<RecoverySetup>,
@@ -109,21 +111,22 @@
     let limits = bounds(&settings);
     let accept: Accept =
         Box::new(|stream, world| HttpConnection::accept(Box::new(Platform), stream, world));
-    let fresh = move |json: &Json| -> Result<Fresh, ConfigError> {
+    let new_settings = move |json: &Json| -> Result<NewSettings, ConfigError> {
         let settings = settings::read(json).map_err(ConfigError::Settings)?;
         let limits = bounds(&settings);
         let connector = Box::new(FrameConnector {
             limits: limits.clone(),
         });
         let (settings, deployment) = settings;
-        Ok(Fresh {
+        Ok(NewSettings {
             settings,
             deployment,
             limits,
             connector,
         })
     };
-    let prepare: Prepare = Box::new(move |json| fresh(json).map_err(|problem| problem.to_string()));
+    let prepare: Prepare =
+        Box::new(move |json| new_settings(json).map_err(|problem| problem.to_string()));
     run(Plan {
         name: config.name,
         settings,
@@ -137,11 +140,12 @@
         known: config.known,
         listeners: vec![(config.listen, accept)],
         reread: Box::new(move || {
-            let (fresh, made) = (config::load(Some(config.path.clone()))?, fresh);
-            fresh.shape.fits(&shape).map_err(ConfigError::Lacks)?;
-            let settings = Some(made(&fresh.settings)?);
-            Ok(Reread {
-                discovery: Some(fresh.discovery),
+            let (reloaded, make_settings) =
+                (config::load(Some(config.path.clone()))?, new_settings);
+            reloaded.shape.fits(&shape).map_err(ConfigError::Lacks)?;
+            let settings = Some(make_settings(&reloaded.settings)?);
+            Ok(ReloadedConfig {
+                discovery: Some(reloaded.discovery),
                 members: Json::Null,
                 settings,
             })
@@ -232,10 +236,10 @@
         known: setup.members,
         listeners,
         reread: Box::new(move || {
-            let fresh = setup::load(&setup.path)?;
-            Ok(Reread {
-                discovery: fresh.discovery,
-                members: fresh.members,
+            let reloaded = setup::load(&setup.path)?;
+            Ok(ReloadedConfig {
+                discovery: reloaded.discovery,
+                members: reloaded.members,
                 settings: None,
             })
         }),
@@ -320,6 +324,7 @@
     Ok((store, peers, Some(disk)))
 }
 
+/// Opens what a plan names, and runs the event loop until the program ends.
 fn run(plan: Plan) -> Result<(), ServeError> {
     let (settings, deployment) = plan.settings;
     let limits = plan.limits;
@@ -350,8 +355,8 @@
         phase: Phase::Serving,
         directory: None,
         orders: Orders::open(&plan.name, folder.as_deref(), now, &limits),
-        followed: false,
-        ready_by: plan.discovery.map(|_| now + limits.first_endpoints_timeout),
+        has_successor: false,
+        ready_deadline: plan.discovery.map(|_| now + limits.first_endpoints_timeout),
         listeners: Vec::new(),
         shelf: None,
         keeper,
@@ -360,18 +365,18 @@
         started: now,
         rejections: Rejections::default(),
         // Before the first turn nobody is served.
-        said: Some(Wait::FirstList),
+        last_reported_wait: Some(Wait::FirstList),
     };
     let (end, reload) = (
-        End::install()?,
-        Reload::install(plan.reread, names.clone())?,
+        ShutdownSignal::install()?,
+        ReloadSignal::install(plan.reread, names.clone())?,
     );
     let mut reactor = Reactor::new(gatherer, clock)?;
     let (net, gatherer) = reactor.parts();
     net.open(Box::new(end));
     net.open(Box::new(reload));
     let (store, peers, disk) = open_store(plan.store.as_ref(), &limits, plan.seed, now)?;
-    let asked = peers.clone();
+    let store_peers = peers.clone();
     gatherer.shelf = Some(Shelf::new(
         store,
         plan.name.clone(),
@@ -382,40 +387,95 @@
     ));
     let own = plan.store.as_ref().and_then(|s| s.members.get(&s.member));
     let store_listener = own.map(|address| (*address, Box::new(Incoming::accept) as Accept));
-    for (address, accept) in plan.listeners.into_iter().chain(store_listener) {
+    let listeners = plan.listeners.into_iter().chain(store_listener);
+    open_listeners(listeners, plan.admin, &plan.name, net, gatherer)?;
+    gatherer.apply_exclusions(net, now);
+    gatherer.orders.announce();
+    let version = restore_endpoints(
+        plan.recovery,
+        &plan.known,
+        &mut names,
+        &store_peers,
+        plan.seed,
+        net,
+        gatherer,
+    );
+    if let Some((setup, prepare)) = plan.versions {
+        let incarnation = random_seed();
+        gatherer.versions = Some(Versions::begin(
+            setup,
+            plan.name.clone(),
+            incarnation,
+            prepare,
+            net,
+        ));
+        versions::connect(gatherer, net);
+    }
+    gatherer.record("setup", &plan.setup.to_string(), net);
+    gatherer.record_members(net);
+    if let Some(address) = plan.discovery {
+        gatherer.directory = Some(net.open(Box::new(Discovery::new(address, names, version))));
+    }
+    reactor.run()?;
+    let (net, gatherer) = reactor.parts();
+    finish(net, gatherer, limits.final_snapshot_timeout);
+    tracing::info!("ended");
+    Ok(())
+}
+
+/// Opens the listeners for clients and the store's members, and the operators'.
+fn open_listeners(
+    listeners: impl Iterator<Item = (SocketAddr, Accept)>,
+    admin: Option<SocketAddr>,
+    name: &str,
+    net: &mut Net<Gatherer>,
+    gatherer: &mut Gatherer,
+) -> Result<(), ServeError> {
+    for (address, accept) in listeners {
         let token = net.open(Box::new(Listener::new(
-            net::listen(address, plan.admin.is_some())?,
+            net::listen(address, admin.is_some())?,
             accept,
         )));
         gatherer.listeners.push(token);
-        tracing::info!(name = plan.name, listen = %address, "serving");
+        tracing::info!(name, listen = %address, "serving");
     }
-    if let Some(address) = plan.admin {
+    if let Some(address) = admin {
         net.open_first(Box::new(AdminListener::new(
             net::listen(address, false)?,
-            &limits,
+            &gatherer.limits,
         )));
         tracing::info!(admin = %address, "operators are answered");
     }
-    gatherer.hold_hosts(net, now);
-    gatherer.orders.announce();
+    Ok(())
+}
+
+/// Begins with the endpoint list from before the start. Returns its version, where there is one.
+fn restore_endpoints(
+    recovery: Option<RecoverySetup>,
+    known: &Json,
+    names: &mut Names,
+    store_peers: &BTreeMap<u64, SocketAddr>,
+    seed: u64,
+    net: &mut Net<Gatherer>,
+    gatherer: &mut Gatherer,
+) -> Option<u64> {
     // The list from before the start may be old, or absent: then the module starts from an empty
     // one.
-    let (version, members) = match read_list(&plan.known, &mut names) {
+    let (version, members) = match read_list(known, names) {
         Ok((version, _, members)) => (Some(version), members),
         Err(_) => (None, Vec::new()),
     };
-    match plan.recovery {
+    match recovery {
         // What that list is worth is known once the peers have been asked.
         Some(setup) => {
             let settings = gatherer.core.settings();
             gatherer.returning = Some(Return::begin(
                 setup,
                 settings,
-                &asked,
+                store_peers,
                 members,
-                limits.first_endpoints_timeout,
-                plan.seed,
+                gatherer.limits.first_endpoints_timeout,
+                seed,
                 net,
             ));
             // The module has its first turn, and asks discovery, whether or not a client comes.
@@ -424,45 +484,28 @@
                 .update_endpoints(ListKind::Persisted, Vec::new());
         }
         None => {
-            let entries = gatherer
-                .hosts
-                .update(ListKind::Persisted, members, net, now);
+            let entries =
+                gatherer
+                    .hosts
+                    .update(ListKind::Persisted, members, net, gatherer.started);
             gatherer.core.update_endpoints(ListKind::Persisted, entries);
         }
     }
     // Other gatherers may be on their way out, so a list from before is good enough to begin with.
     if gatherer.hosts.any_active() {
-        gatherer.ready_by = None;
+        gatherer.ready_deadline = None;
     }
-    if let Some((setup, prepare)) = plan.versions {
-        let life = random_seed();
-        gatherer.versions = Some(Versions::begin(
-            setup,
-            plan.name.clone(),
-            life,
-            prepare,
-            net,
-        ));
-        versions::connect(gatherer, net);
-    }
-    gatherer.record("setup", &plan.setup.to_string(), net);
-    gatherer.record_members(net);
-    if let Some(address) = plan.discovery {
-        gatherer.directory = Some(net.open(Box::new(Discovery::new(address, names, version))));
-    }
-    reactor.run()?;
-    let (net, gatherer) = reactor.parts();
+    version
+}
+
+/// Stores what the next start begins with, once the loop has ended.
+fn finish(net: &mut Net<Gatherer>, gatherer: &mut Gatherer, timeout: Time) {
+    let timeout = std::time::Duration::from_nanos(timeout);
     if let Some(keeper) = gatherer.keeper.take() {
-        let patience = std::time::Duration::from_nanos(limits.final_snapshot_timeout);
-        keeper.finish(&mut gatherer.core, &gatherer.hosts, net.now(), patience);
+        keeper.finish(&mut gatherer.core, &gatherer.hosts, net.now(), timeout);
     }
     gatherer.note_ends(net, net.now());
     if let Some(versions) = gatherer.versions.take() {
-        versions.finish(
-            net.now(),
-            std::time::Duration::from_nanos(limits.final_snapshot_timeout),
-        );
+        versions.finish(net.now(), timeout);
     }
-    tracing::info!("ended");
-    Ok(())
 }
--- a/bitternsill/src/store/links.rs
+++ b/bitternsill/src/store/links.rs
@@ -328,7 +328,7 @@
         };
         let flushed = if self.up { stream.flush() } else { Ok(()) };
         let ready = if self.up {
-            Ready::READ.and_room(stream.unwritten() > 0)
+            Ready::READ.and_writable(stream.unwritten() > 0)
         } else {
             Ready::WRITE
         };
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -8,7 +8,7 @@
 pub mod collect;
 pub mod scribe;
 
-use crate::front::signals::Fresh;
+use crate::front::signals::NewSettings;
 use crate::front::{Gatherer, Message};
 use crate::net::{Connection, Context, Net, Ready, Token};
 use crate::store::asks::Asker;
@@ -89,7 +89,7 @@
 pub const TRAILS: &str = "trail/";
 
 /// Makes of settings what they mean to this program, or says why they cannot be used.
-pub type Prepare = Box<dyn Fn(&Json) -> Result<Fresh, String>>;
+pub type Prepare = Box<dyn Fn(&Json) -> Result<NewSettings, String>>;
 
 /// Which version this gatherer acts on.
 pub struct Versions {
@@ -236,7 +236,7 @@
     }
 
     /// Makes of a document what it means to this program, or says why it cannot be used here.
-    fn usable(&self, document: &Json) -> Result<Fresh, String> {
+    fn usable(&self, document: &Json) -> Result<NewSettings, String> {
         match document["format"].as_u64().unwrap_or(1) {
             format if format > FORMAT => Err(format!(
                 "it is of format {format}, and this program reads up to {FORMAT}"
