--- a/bitternsill/src/admin.rs
+++ b/bitternsill/src/admin.rs
@@ -1,35 +1,34 @@
-//! Daily operations: the operators' door, hosts out by hand, drains, and the hand-over between two
-//! processes.
+//! Operations: the operators' API, excluded hosts, drains, and the handover between two processes.
 //!
 //! [`calls`], [`hand`] and [`drain`] decide and do no I/O; [`door`] and [`handover`] carry out;
 //! [`Orders`] is where they meet.
 
 pub mod calls;
 pub mod cli;
-pub mod door;
 pub mod drain;
-pub mod hand;
+pub mod exclusions;
 pub mod handover;
+pub mod listener;
 
 use crate::limits::Limits;
 use dispatch::interface::Time;
 use drain::Drain;
-use hand::Hand;
+use exclusions::Exclusions;
 use handover::Handover;
 
-/// What operators have asked for, and where it is kept for the process that follows.
+/// What operators have requested, and where it is stored for the successor process.
 #[derive(Debug)]
 pub struct Orders {
-    /// Hosts out by hand.
-    pub hand: Hand,
-    /// Whether clients are being sent away.
+    /// Hosts that operators have excluded.
+    pub exclusions: Exclusions,
+    /// Whether clients are being drained.
     pub drain: Drain,
     /// What is shared with another process of this name; absent where there is no folder for it.
     shared: Option<Handover>,
 }
 
 impl Orders {
-    /// Orders that begin with what an earlier process of this name has left in the folder.
+    /// Begins with what an earlier process of this name has stored in the folder.
     pub fn open(
         name: &str,
         folder: Option<&std::path::Path>,
@@ -38,53 +37,62 @@
     ) -> Orders {
         let mut shared = folder.map(|folder| Handover::new(folder, name, now, limits));
         let found = shared.as_mut().and_then(Handover::read);
-        let mut hand = found.unwrap_or_else(|| Hand::new(limits.hosts));
-        hand.forget(now, limits.hand_kept);
-        let out = hand.out().count();
-        if out > 0 {
-            tracing::info!(out, "hosts out by hand were taken over");
+        let mut exclusions = found.unwrap_or_else(|| Exclusions::new(limits.hosts));
+        exclusions.forget(now, limits.exclusion_retention);
+        let excluded = exclusions.excluded().count();
+        if excluded > 0 {
+            tracing::info!(excluded, "hosts out by hand were taken over");
         }
         Orders {
-            hand,
+            exclusions,
             drain: Drain::default(),
             shared,
         }
     }
 
-    /// This process takes clients from here on.
+    /// Shows other processes that this one takes clients from here on.
     pub fn announce(&mut self) {
         self.shared.iter_mut().for_each(Handover::announce);
     }
 
-    /// This process is to end; says whether another is there to take its clients.
+    /// Shows other processes that this one ends. Returns whether a successor takes its clients.
     pub fn withdraw(&mut self, now: Time) -> bool {
         let Some(shared) = &mut self.shared else {
             return false;
         };
         shared.withdraw();
-        shared.look_at_others(now)
+        shared.check_peers(now)
     }
 
-    /// Notes that a host is out, or in again, and tells the other process.
-    pub fn set(&mut self, uid: &str, out: bool, now: Time) -> Result<(), hand::TooMany> {
-        self.hand.set(uid, out, now)?;
+    /// Excludes or includes a host, and stores that for the other process.
+    ///
+    /// # Errors
+    ///
+    /// Where as many hosts are excluded as can be stored.
+    pub fn set(
+        &mut self,
+        uid: &str,
+        excluded: bool,
+        now: Time,
+    ) -> Result<(), exclusions::TooManyExclusions> {
+        self.exclusions.set(uid, excluded, now)?;
         if let Some(shared) = &mut self.shared {
-            shared.write(&mut self.hand);
+            shared.write(&mut self.exclusions);
         }
         Ok(())
     }
 
-    /// Looks at what the other process has noted; true where that changes who is out.
-    pub fn look(&mut self, now: Time) -> bool {
+    /// Polls for changes by the other process. Returns whether that changes which hosts are excluded.
+    pub fn poll(&mut self, now: Time) -> bool {
         let Some(shared) = &mut self.shared else {
             return false;
         };
-        shared.look(&mut self.hand, now)
+        shared.poll(&mut self.exclusions, now)
     }
 
-    /// Whether another process of this name serves the same address, as of the last look.
-    pub fn is_followed(&self) -> bool {
-        self.shared.as_ref().is_some_and(Handover::is_followed)
+    /// Whether another process of this name served the same address at the last poll.
+    pub fn has_successor(&self) -> bool {
+        self.shared.as_ref().is_some_and(Handover::has_successor)
     }
 
     /// When something here is due.
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -9,9 +9,9 @@
 pub mod listener;
 pub mod overflow;
 pub mod platform;
+pub mod rejections;
 pub mod server;
 pub mod signals;
-pub mod turned;
 
 use crate::admin::Orders;
 use crate::core::Core;
@@ -26,13 +26,13 @@
 use dispatch::interface::{ListKind, Outcome, ServerId, Time};
 use hosts::{HostTable, Member};
 use learning::snapshot::Fleet;
-use signals::Fresh;
+use rejections::Rejections;
+use signals::NewSettings;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use store::command::Change;
 use store::member::{Reply, Write};
 use thiserror::Error;
-use turned::Turned;
 use versions::audit_log::Entry;
 use versions::status::Status;
 
@@ -53,21 +53,21 @@
     /// Send these parts as one call.
     Call(Vec<Outgoing>),
     /// Give an attempt up.
-    GiveUp(AttemptId),
+    CancelAttempt(AttemptId),
     /// Send a probe.
     Probe,
     /// Close if nothing is out.
     CloseIdle,
     /// The host leaves: nothing unsent may go there any more.
-    HostLeaves,
+    HostDraining,
     /// Make room: close if no request is being read or answered.
-    MakeRoom,
+    Evict,
     /// Discovery: begin or end the watch.
     Watch(bool),
     /// Discovery: ask once.
     Fetch,
     /// Discovery: it listens elsewhere now.
-    Moved(SocketAddr),
+    EndpointMoved(SocketAddr),
     /// The store's file: something to be written.
     Write(Write),
     /// A line of the store, for a member or a watcher.
@@ -86,7 +86,7 @@
     /// The program is ending: take no more connections, close what is idle.
     Retire,
     /// The operators' door: a caller's connection has ended.
-    CallerLeft(Token),
+    AdminConnectionClosed(Token),
 }
 
 /// How far the program's end has come.
@@ -95,7 +95,7 @@
     /// Serving.
     Serving,
     /// Told to end: still accepting, until this time.
-    Leaving(Time),
+    Draining(Time),
     /// Accepting nothing; finishing what is held, until this time.
     Finishing(Time),
     /// Everything is answered; the last bytes are being written, until this time.
@@ -113,7 +113,7 @@
     /// The program has been told to end.
     Ending,
     /// An operator has clients sent away.
-    SentAway,
+    Drained,
     /// Discovery has not told the list yet, and the time to wait for it is not over.
     FirstList,
     /// No list named an index host that takes work.
@@ -133,7 +133,7 @@
             }
             Wait::Version(_) => "an operator has it held back",
             Wait::Ending => "the program has been told to end",
-            Wait::SentAway => "clients are sent away by an operator",
+            Wait::Drained => "clients are sent away by an operator",
             Wait::FirstList => "discovery has not told the list of index hosts yet",
             Wait::NoHost => "no list has named an active index host",
         })
@@ -155,13 +155,13 @@
     /// The connection that speaks with discovery, where there is one.
     pub directory: Option<Token>,
     /// When to report ready at the latest; `None` once the list has come.
-    pub ready_by: Option<Time>,
+    pub ready_deadline: Option<Time>,
     /// The listeners.
     pub listeners: Vec<Token>,
     /// What operators have asked for.
     pub orders: Orders,
     /// Told to end while another process serves the same address.
-    pub followed: bool,
+    pub has_successor: bool,
     /// The store, off the request path; absent once its file has failed.
     pub store_service: Option<StoreService>,
     /// What is learned, where it is kept.
@@ -173,23 +173,23 @@
     /// When the program started.
     pub started: Time,
     /// What was turned away before it became a query.
-    pub turned: Turned,
+    pub rejections: Rejections,
     /// What the log last said that clients wait for.
-    pub said: Option<Wait>,
+    pub last_reported_wait: Option<Wait>,
 }
 
 impl Gatherer {
     /// Whether clients should be sent here.
     pub fn is_ready(&self, now: Time) -> bool {
-        self.waits(now).is_none()
+        self.waiting_for(now).is_none()
     }
 
     /// What keeps clients from being sent here.
-    pub fn waits(&self, now: Time) -> Option<Wait> {
+    pub fn waiting_for(&self, now: Time) -> Option<Wait> {
         if self.phase != Phase::Serving {
             Some(Wait::Ending)
         } else if self.orders.drain.is_under_way() {
-            Some(Wait::SentAway)
+            Some(Wait::Drained)
         } else if let Some(state) = self
             .returning
             .as_ref()
@@ -203,7 +203,7 @@
             .filter(|versions| !versions.may_accept(now))
         {
             Some(Wait::Version(versions.status()))
-        } else if self.ready_by.is_some_and(|by| by > now) {
+        } else if self.ready_deadline.is_some_and(|by| by > now) {
             Some(Wait::FirstList)
         } else if !self.hosts.any_active() {
             Some(Wait::NoHost)
@@ -213,12 +213,12 @@
     }
 
     /// Tells the log whenever what clients wait for has changed.
-    fn say_waits(&mut self, now: Time) {
-        let waits = self.waits(now);
-        if waits == self.said {
+    fn log_wait(&mut self, now: Time) {
+        let waits = self.waiting_for(now);
+        if waits == self.last_reported_wait {
             return;
         }
-        self.said = waits;
+        self.last_reported_wait = waits;
         match waits {
             None => tracing::info!(hosts = self.hosts.active(), "taking clients"),
             Some(Wait::NoHost) => tracing::warn!("not taking clients: {}", Wait::NoHost),
@@ -227,8 +227,8 @@
     }
 
     /// Notes a request that is no query.
-    pub fn turn_away(&mut self, why: &str, asked: &str, now: Time) {
-        if let Some(report) = self.turned.note(why, asked, now, &self.limits) {
+    pub fn reject_request(&mut self, why: &str, asked: &str, now: Time) {
+        if let Some(report) = self.rejections.record(why, asked, now, &self.limits) {
             tracing::warn!(
                 why = report.why,
                 count = report.new,
@@ -239,18 +239,18 @@
     }
 
     /// Whether answers close their connections.
-    pub fn is_leaving(&self, now: Time) -> bool {
+    pub fn closes_connections(&self, now: Time) -> bool {
         match self.phase {
-            Phase::Serving => self.orders.drain.says_farewell(now),
-            Phase::Leaving(until) => self.followed || until <= now + self.limits.farewell,
+            Phase::Serving => self.orders.drain.closes_after_answer(now),
+            Phase::Draining(until) => self.has_successor || until <= now + self.limits.farewell,
             Phase::Finishing(_) | Phase::Done { .. } => true,
         }
     }
 
     /// How many connections clients may have: both processes of an upgrade stand under one limit of
     /// descriptors.
-    pub fn client_places(&self) -> usize {
-        if self.orders.is_followed() {
+    pub fn max_clients(&self) -> usize {
+        if self.orders.has_successor() {
             self.limits.clients / 2
         } else {
             self.limits.clients
@@ -258,8 +258,8 @@
     }
 
     /// Takes other settings, or leaves all as it was.
-    pub fn reconfigure(&mut self, fresh: Fresh, now: Time) -> Result<(), ReconfigureError> {
-        let Fresh {
+    pub fn reconfigure(&mut self, fresh: NewSettings, now: Time) -> Result<(), ReconfigureError> {
+        let NewSettings {
             settings,
             deployment,
             limits,
@@ -276,7 +276,7 @@
         taken.map_err(|_| ReconfigureError::TooManyClasses(limits.classes))?;
         self.core
             .update_endpoints(ListKind::Complete, self.hosts.entries());
-        self.hosts.retune(connector, limits.clone());
+        self.hosts.reconfigure(connector, limits.clone());
         self.limits = limits;
         if let Some(keeper) = &mut self.keeper {
             keeper.on_settings(fleet);
@@ -285,9 +285,13 @@
     }
 
     /// Has index hosts stand as operators want them now.
-    pub fn hold_hosts(&mut self, net: &mut Net<Self>, now: Time) {
-        let entries = self.hosts.hold(
-            self.orders.hand.out().map(str::to_owned).collect(),
+    pub fn apply_exclusions(&mut self, net: &mut Net<Self>, now: Time) {
+        let entries = self.hosts.set_excluded(
+            self.orders
+                .exclusions
+                .excluded()
+                .map(str::to_owned)
+                .collect(),
             net,
             now,
         );
@@ -298,16 +302,16 @@
 
     /// Begins the end; what is asked is still served for a while. Where another process serves the
     /// address it gets every new connection from now on.
-    pub fn leave(&mut self, net: &mut Net<Self>, now: Time) {
+    pub fn begin_shutdown(&mut self, net: &mut Net<Self>, now: Time) {
         if self.phase == Phase::Serving {
-            self.followed = self.orders.withdraw(now);
+            self.has_successor = self.orders.withdraw(now);
             tracing::info!(
                 open = self.core.open_queries(),
-                followed = self.followed,
+                followed = self.has_successor,
                 "told to end"
             );
-            self.phase = Phase::Leaving(now + self.limits.keep_serving);
-            if self.followed {
+            self.phase = Phase::Draining(now + self.limits.keep_serving);
+            if self.has_successor {
                 self.close_listeners(net);
             }
         }
@@ -327,8 +331,14 @@
     }
 
     /// Takes a list that discovery has told: the whole of it, or what has changed.
-    pub fn take_list(&mut self, whole: bool, members: Vec<Member>, net: &mut Net<Self>, now: Time) {
-        let kind = if whole {
+    pub fn update_endpoints(
+        &mut self,
+        is_complete: bool,
+        members: Vec<Member>,
+        net: &mut Net<Self>,
+        now: Time,
+    ) {
+        let kind = if is_complete {
             ListKind::Complete
         } else {
             ListKind::Partial
@@ -336,13 +346,13 @@
         let entries = self.hosts.update(kind, members, net, now);
         self.core.update_endpoints(kind, entries);
         self.record_members(net);
-        self.ready_by = None;
+        self.ready_deadline = None;
         self.on_endpoint_list(true, now);
     }
 
     /// Records the index hosts as they are known now.
     pub fn record_members(&mut self, net: &mut Net<Self>) {
-        let known = self.hosts.known().to_string();
+        let known = self.hosts.to_json().to_string();
         self.record("members", &known, net);
         if let Some(keeper) = &mut self.keeper {
             keeper.listed(&self.hosts);
@@ -352,11 +362,11 @@
 
     fn advance(&mut self, net: &mut Net<Self>, now: Time) {
         match self.phase {
-            Phase::Leaving(until) if until <= now => {
+            Phase::Draining(until) if until <= now => {
                 let last = now
                     + self
                         .limits
-                        .last_call
+                        .shutdown_deadline
                         .saturating_sub(self.limits.keep_serving);
                 self.phase = Phase::Finishing(last);
                 self.close_listeners(net);
@@ -366,7 +376,7 @@
             }
             Phase::Finishing(until) => {
                 if until <= now {
-                    let mut desk = Desk::new(&mut self.hosts, net, self.directory, now);
+                    let mut desk = ConnectionPorts::new(&mut self.hosts, net, self.directory, now);
                     self.core.fail_all(&mut desk);
                 }
                 if self.core.open_queries() == 0 {
@@ -392,12 +402,14 @@
     fn due(&self, now: Time) -> Option<Time> {
         let phase = match self.phase {
             Phase::Serving => None,
-            Phase::Leaving(until) | Phase::Done { until, .. } => Some(until),
+            Phase::Draining(until) | Phase::Done { until, .. } => Some(until),
             Phase::Finishing(_) if self.core.open_queries() == 0 => Some(now),
             Phase::Finishing(until) => Some(until),
         };
         let keeper = self.keeper.as_ref().map(LearnedState::due);
-        let waits = self.ready_by.filter(|_| self.said == Some(Wait::FirstList));
+        let waits = self
+            .ready_deadline
+            .filter(|_| self.last_reported_wait == Some(Wait::FirstList));
         let returning = self
             .returning
             .as_ref()
@@ -419,7 +431,7 @@
 
     fn turn(&mut self, net: &mut Net<Self>, now: Time) {
         if self.core.due().is_some_and(|at| at <= now) {
-            let mut desk = Desk::new(&mut self.hosts, net, self.directory, now);
+            let mut desk = ConnectionPorts::new(&mut self.hosts, net, self.directory, now);
             self.core.turn(now, &mut desk);
             let (unsent, unprobed) = (desk.unsent, desk.unprobed);
             for attempt in unsent {
@@ -433,8 +445,8 @@
         if let Some(keeper) = &mut self.keeper {
             keeper.turn(&mut self.core, &self.hosts, now);
         }
-        if self.orders.look(now) {
-            self.hold_hosts(net, now);
+        if self.orders.poll(now) {
+            self.apply_exclusions(net, now);
         }
         if let Some(sweep) = self.orders.drain.sweep(now) {
             self.clients.sweep(net, sweep);
@@ -442,7 +454,7 @@
         self.record_ends(net, now);
         self.advance_recovery(net, now);
         self.advance(net, now);
-        self.say_waits(now);
+        self.log_wait(now);
     }
 
     fn undelivered(&mut self, message: Message, now: Time) {
@@ -462,7 +474,7 @@
 }
 
 /// Carries out what the core decides: it looks connections up and posts to them.
-struct Desk<'a> {
+struct ConnectionPorts<'a> {
     hosts: &'a mut HostTable,
     net: &'a mut Net<Gatherer>,
     directory: Option<Token>,
@@ -471,14 +483,14 @@
     unprobed: Vec<ServerId>,
 }
 
-impl<'a> Desk<'a> {
+impl<'a> ConnectionPorts<'a> {
     fn new(
         hosts: &'a mut HostTable,
         net: &'a mut Net<Gatherer>,
         directory: Option<Token>,
         now: Time,
     ) -> Self {
-        Desk {
+        ConnectionPorts {
             hosts,
             net,
             directory,
@@ -489,7 +501,7 @@
     }
 }
 
-impl Clients for Desk<'_> {
+impl Clients for ConnectionPorts<'_> {
     fn answer(&mut self, caller: Caller, answer: Answer) {
         self.net.post(
             Token::from_bits(caller.connection),
@@ -498,7 +510,7 @@
     }
 }
 
-impl Hosts for Desk<'_> {
+impl Hosts for ConnectionPorts<'_> {
     fn call(&mut self, host: ServerId, parts: Vec<Outgoing>) {
         if let Err(parts) = self.hosts.call(host, parts, self.net, self.now) {
             self.unsent.extend(parts.into_iter().map(|part| part.id));
@@ -520,7 +532,7 @@
     }
 }
 
-impl Directory for Desk<'_> {
+impl Directory for ConnectionPorts<'_> {
     fn watch(&mut self, on: bool) {
         if let Some(token) = self.directory {
             self.net.post(token, Message::Watch(on));
--- a/bitternsill/src/front/catalogue/session.rs
+++ b/bitternsill/src/front/catalogue/session.rs
@@ -259,12 +259,12 @@
                 });
                 self.read_units(cx);
             }
-            Message::MakeRoom | Message::Retire if !self.is_busy() => {
+            Message::Evict | Message::Retire if !self.is_busy() => {
                 self.close_session(cx, CloseReason::Shutdown, "");
             }
             _ => {}
         }
-        if cx.world.is_leaving(cx.now) && !self.is_busy() {
+        if cx.world.closes_connections(cx.now) && !self.is_busy() {
             self.close_session(cx, CloseReason::Shutdown, "");
         }
         self.flush(cx);
--- a/bitternsill/src/learned.rs
+++ b/bitternsill/src/learned.rs
@@ -262,14 +262,15 @@
 }
 
 fn classes(fleet: &Fleet, learned: &Learned) -> Vec<ClassStats> {
-    let class = |((name, part), attempt): ((&String, &LearnedLatency), &LearnedLatency)| ClassStats {
-        name: name.clone(),
-        median: part.median,
-        p95: part.p95,
-        least: part.least,
-        attempts: (attempt.median, attempt.p95),
-        weight: part.answers as f64,
-    };
+    let class =
+        |((name, part), attempt): ((&String, &LearnedLatency), &LearnedLatency)| ClassStats {
+            name: name.clone(),
+            median: part.median,
+            p95: part.p95,
+            least: part.least,
+            attempts: (attempt.median, attempt.p95),
+            weight: part.answers as f64,
+        };
     fleet
         .classes
         .iter()
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -1,7 +1,7 @@
 //! Puts the parts together and runs the loop.
 
 use crate::admin::Orders;
-use crate::admin::door::Door;
+use crate::admin::listener::AdminListener;
 use crate::config::{self, Config, ConfigError};
 use crate::core::Core;
 use crate::core::settings::{self, Deployment};
@@ -18,13 +18,15 @@
 use crate::front::platform::client::Platform;
 use crate::front::platform::discovery::{Discovery, Names, read_list};
 use crate::front::platform::link::FrameConnector;
+use crate::front::rejections::Rejections;
 use crate::front::server::HttpConnection;
-use crate::front::signals::{End, Fresh, ReadAgain, Reload, Reread};
-use crate::front::turned::Turned;
+use crate::front::signals::{
+    ConfigReader, NewSettings, ReloadSignal, ReloadedConfig, ShutdownSignal,
+};
 use crate::front::{Gatherer, Phase, Wait};
 use crate::learned::{LearnedState, LearningSetup};
 use crate::limits::Limits;
-use crate::net::{self, Clock, Reactor};
+use crate::net::{self, Clock, Net, Reactor};
 use crate::recovery::{RecoveryService, RecoverySetup};
 use crate::store::disk::{Disk, DiskOptions};
 use crate::store::server::Incoming;
@@ -55,7 +57,7 @@
     admin: Option<SocketAddr>,
     known: Json,
     listeners: Vec<(SocketAddr, Accept)>,
-    reread: ReadAgain,
+    reread: ConfigReader,
     store: Option<StoreSetup>,
     learning: Option<LearningSetup>,
     recovery: Option<RecoverySetup>,
@@ -75,7 +77,7 @@
         .unwrap_or(0);
     let mut limits = Limits::default()
         .with_descriptors(sockets)
-        .with_aim(aims().min().unwrap_or(Time::MAX))
+        .with_latency_target(aims().min().unwrap_or(Time::MAX))
         .with_end(deadline, aims().max().unwrap_or(0));
     limits.parts_per_connection = deployment.parts_per_connection;
     limits.connect = deployment.connect.unwrap_or(limits.connect);
@@ -110,21 +112,21 @@
     let limits = bounds(&settings);
     let accept: Accept =
         Box::new(|stream, world| HttpConnection::accept(Box::new(Platform), stream, world));
-    let fresh = move |json: &Json| -> Result<Fresh, ConfigError> {
+    let new_settings = move |json: &Json| -> Result<NewSettings, ConfigError> {
         let settings = settings::read(json).map_err(ConfigError::Settings)?;
         let limits = bounds(&settings);
         let connector = Box::new(FrameConnector {
             limits: limits.clone(),
         });
         let (settings, deployment) = settings;
-        Ok(Fresh {
+        Ok(NewSettings {
             settings,
             deployment,
             limits,
             connector,
         })
     };
-    let prepare: Prepare = Box::new(fresh.clone());
+    let prepare: Prepare = Box::new(new_settings.clone());
     run(Plan {
         name: config.name,
         settings,
@@ -138,11 +140,12 @@
         known: config.known,
         listeners: vec![(config.listen, accept)],
         reread: Box::new(move || {
-            let (fresh, made) = (config::load(Some(config.path.clone()))?, fresh);
-            fresh.shape.fits(&shape).map_err(ConfigError::Shape)?;
-            let settings = Some(made(&fresh.settings)?);
-            Ok(Reread {
-                discovery: Some(fresh.discovery),
+            let (reloaded, make_settings) =
+                (config::load(Some(config.path.clone()))?, new_settings);
+            reloaded.shape.fits(&shape).map_err(ConfigError::Shape)?;
+            let settings = Some(make_settings(&reloaded.settings)?);
+            Ok(ReloadedConfig {
+                discovery: Some(reloaded.discovery),
                 members: Json::Null,
                 settings,
             })
@@ -160,8 +163,8 @@
     let mut limits = limits(&setup.settings, setup.sockets.min(descriptors()));
     limits.clients = limits.clients.min(limits.sessions);
     // A client that asks once for a page is the usual one here.
-    limits.once_kept = limits.clients;
-    limits.once_idle = limits.client_idle;
+    limits.single_request_clients = limits.clients;
+    limits.single_request_idle = limits.client_idle;
     limits.connections_per_host = setup.host_sessions.unwrap_or(limits.host_sessions);
     limits.set_ttl = setup.sets.idle.unwrap_or(limits.set_ttl);
     limits.all_sets.0 = setup.sets.count.unwrap_or(limits.all_sets.0);
@@ -233,10 +236,10 @@
         known: setup.members,
         listeners,
         reread: Box::new(move || {
-            let fresh = setup::load(&setup.path)?;
-            Ok(Reread {
-                discovery: fresh.discovery,
-                members: fresh.members,
+            let reloaded = setup::load(&setup.path)?;
+            Ok(ReloadedConfig {
+                discovery: reloaded.discovery,
+                members: reloaded.members,
                 settings: None,
             })
         }),
@@ -300,7 +303,7 @@
         bootstraps: setup.begins,
         era,
     };
-    let full_retry_delay = std::time::Duration::from_nanos(limits.store_full_rest);
+    let full_retry_delay = std::time::Duration::from_nanos(limits.disk_full_backoff);
     let options = DiskOptions {
         extra_sync_delay: setup.test_sync,
         full_marker: setup.test_full_while.clone(),
@@ -321,6 +324,7 @@
     Ok((store, peers, Some(disk)))
 }
 
+/// Opens what a plan names, and runs the event loop until the program ends.
 fn run(plan: Plan) -> Result<(), ServeError> {
     let (settings, deployment) = plan.settings;
     let limits = plan.limits;
@@ -351,69 +355,127 @@
         phase: Phase::Serving,
         directory: None,
         orders: Orders::open(&plan.name, folder.as_deref(), now, &limits),
-        followed: false,
-        ready_by: plan.discovery.map(|_| now + limits.first_list),
+        has_successor: false,
+        ready_deadline: plan.discovery.map(|_| now + limits.first_endpoints_timeout),
         listeners: Vec::new(),
         store_service: None,
         keeper,
         returning: None,
         versions: None,
         started: now,
-        turned: Turned::default(),
+        rejections: Rejections::default(),
         // Before the first turn nobody is served.
-        said: Some(Wait::FirstList),
+        last_reported_wait: Some(Wait::FirstList),
     };
     let (end, reload) = (
-        End::install()?,
-        Reload::install(plan.reread, names.clone())?,
+        ShutdownSignal::install()?,
+        ReloadSignal::install(plan.reread, names.clone())?,
     );
     let mut reactor = Reactor::new(gatherer, clock)?;
     let (net, gatherer) = reactor.parts();
     net.open(Box::new(end));
     net.open(Box::new(reload));
     let (store, peers, disk) = open_store(plan.store.as_ref(), &limits, plan.seed, now)?;
-    let asked = peers.clone();
+    let store_peers = peers.clone();
     gatherer.store_service = Some(StoreService::new(
         store,
         plan.name.clone(),
         &peers,
         disk,
-        limits.store_told,
+        limits.store_log_interval,
         net,
     ));
     let own = plan.store.as_ref().and_then(|s| s.members.get(&s.member));
     let store_listener = own.map(|address| (*address, Box::new(Incoming::accept) as Accept));
-    for (address, accept) in plan.listeners.into_iter().chain(store_listener) {
+    let listeners = plan.listeners.into_iter().chain(store_listener);
+    open_listeners(listeners, plan.admin, &plan.name, net, gatherer)?;
+    gatherer.apply_exclusions(net, now);
+    gatherer.orders.announce();
+    let version = restore_endpoints(
+        plan.recovery,
+        &plan.known,
+        &mut names,
+        &store_peers,
+        plan.seed,
+        net,
+        gatherer,
+    );
+    if let Some((setup, prepare)) = plan.versions {
+        let incarnation = random_seed();
+        gatherer.versions = Some(Versions::start(
+            setup,
+            plan.name.clone(),
+            incarnation,
+            prepare,
+            net,
+        ));
+        versions::connect(gatherer, net);
+    }
+    gatherer.record("setup", &plan.setup.to_string(), net);
+    gatherer.record_members(net);
+    if let Some(address) = plan.discovery {
+        gatherer.directory = Some(net.open(Box::new(Discovery::new(address, names, version))));
+    }
+    reactor.run()?;
+    let (net, gatherer) = reactor.parts();
+    finish(net, gatherer, limits.final_snapshot_timeout);
+    tracing::info!("ended");
+    Ok(())
+}
+
+/// Opens the listeners for clients and the store's members, and the operators'.
+fn open_listeners(
+    listeners: impl Iterator<Item = (SocketAddr, Accept)>,
+    admin: Option<SocketAddr>,
+    name: &str,
+    net: &mut Net<Gatherer>,
+    gatherer: &mut Gatherer,
+) -> Result<(), ServeError> {
+    for (address, accept) in listeners {
         let token = net.open(Box::new(Listener::new(
-            net::listen(address, plan.admin.is_some())?,
+            net::listen(address, admin.is_some())?,
             accept,
         )));
         gatherer.listeners.push(token);
-        tracing::info!(name = plan.name, listen = %address, "serving");
+        tracing::info!(name, listen = %address, "serving");
     }
-    if let Some(address) = plan.admin {
-        net.open_first(Box::new(Door::new(net::listen(address, false)?, &limits)));
+    if let Some(address) = admin {
+        net.open_first(Box::new(AdminListener::new(
+            net::listen(address, false)?,
+            &gatherer.limits,
+        )));
         tracing::info!(admin = %address, "operators are answered");
     }
-    gatherer.hold_hosts(net, now);
-    gatherer.orders.announce();
+    Ok(())
+}
+
+/// Begins with the endpoint list from before the start. Returns its version, where there is one.
+fn restore_endpoints(
+    recovery: Option<RecoverySetup>,
+    known: &Json,
+    names: &mut Names,
+    store_peers: &BTreeMap<u64, SocketAddr>,
+    seed: u64,
+    net: &mut Net<Gatherer>,
+    gatherer: &mut Gatherer,
+) -> Option<u64> {
     // The list from before the start may be old, or absent: then the module starts from an empty
     // one.
-    let (version, members) = match read_list(&plan.known, &mut names) {
+    let (version, members) = match read_list(known, names) {
         Ok((version, _, members)) => (Some(version), members),
         Err(_) => (None, Vec::new()),
     };
-    match plan.recovery {
+    match recovery {
         // What that list is worth is known once the peers have been asked.
         Some(setup) => {
             let settings = gatherer.core.settings();
             gatherer.returning = Some(RecoveryService::start(
                 setup,
                 settings,
-                &asked,
+                store_peers,
                 members,
-                limits.first_list,
-                plan.seed,
+                gatherer.limits.first_endpoints_timeout,
+                seed,
                 net,
             ));
             // The module has its first turn, and asks discovery, whether or not a client comes.
@@ -422,45 +484,28 @@
                 .update_endpoints(ListKind::Persisted, Vec::new());
         }
         None => {
-            let entries = gatherer
-                .hosts
-                .update(ListKind::Persisted, members, net, now);
+            let entries =
+                gatherer
+                    .hosts
+                    .update(ListKind::Persisted, members, net, gatherer.started);
             gatherer.core.update_endpoints(ListKind::Persisted, entries);
         }
     }
     // Other gatherers may be on their way out, so a list from before is good enough to begin with.
     if gatherer.hosts.any_active() {
-        gatherer.ready_by = None;
+        gatherer.ready_deadline = None;
     }
-    if let Some((setup, prepare)) = plan.versions {
-        let incarnation = random_seed();
-        gatherer.versions = Some(Versions::start(
-            setup,
-            plan.name.clone(),
-            incarnation,
-            prepare,
-            net,
-        ));
-        versions::connect(gatherer, net);
-    }
-    gatherer.record("setup", &plan.setup.to_string(), net);
-    gatherer.record_members(net);
-    if let Some(address) = plan.discovery {
-        gatherer.directory = Some(net.open(Box::new(Discovery::new(address, names, version))));
-    }
-    reactor.run()?;
-    let (net, gatherer) = reactor.parts();
+    version
+}
+
+/// Stores what the next start begins with, once the loop has ended.
+fn finish(net: &mut Net<Gatherer>, gatherer: &mut Gatherer, timeout: Time) {
+    let timeout = std::time::Duration::from_nanos(timeout);
     if let Some(keeper) = gatherer.keeper.take() {
-        let patience = std::time::Duration::from_nanos(limits.last_picture);
-        keeper.finish(&mut gatherer.core, &gatherer.hosts, net.now(), patience);
+        keeper.finish(&mut gatherer.core, &gatherer.hosts, net.now(), timeout);
     }
     gatherer.record_ends(net, net.now());
     if let Some(versions) = gatherer.versions.take() {
-        versions.finish(
-            net.now(),
-            std::time::Duration::from_nanos(limits.last_picture),
-        );
+        versions.finish(net.now(), timeout);
     }
-    tracing::info!("ended");
-    Ok(())
 }
--- a/bitternsill/src/store/peer.rs
+++ b/bitternsill/src/store/peer.rs
@@ -43,7 +43,7 @@
             Ok(())
         };
         let ready = if self.connected {
-            Ready::READ.and_room(stream.unwritten() > 0)
+            Ready::READ.and_writable(stream.unwritten() > 0)
         } else {
             Ready::WRITE
         };
--- a/bitternsill/src/store/server.rs
+++ b/bitternsill/src/store/server.rs
@@ -76,7 +76,7 @@
         cx: &mut Cx<'_>,
         request: Request,
     ) -> Result<(), MalformedMessage> {
-        let timeout = cx.world.limits.store_patience;
+        let timeout = cx.world.limits.store_request_timeout;
         if let Request::Trail {
             token,
             segment,
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -15,7 +15,7 @@
 pub use setup::VersionsSetup;
 
 use crate::config::ConfigError;
-use crate::front::signals::Fresh;
+use crate::front::signals::NewSettings;
 use crate::front::{Gatherer, Message, ReconfigureError};
 use crate::net::{Net, Token};
 use ::recovery::capacity::QueryResult;
@@ -53,7 +53,7 @@
 }
 
 /// Prepares settings for use by this program, or says why they cannot be used.
-pub type Prepare = Box<dyn Fn(&Json) -> Result<Fresh, ConfigError>>;
+pub type Prepare = Box<dyn Fn(&Json) -> Result<NewSettings, ConfigError>>;
 
 /// The version that this gatherer runs, and whether it may serve under it.
 pub struct Versions {
@@ -204,7 +204,7 @@
     }
 
     /// Prepares a document for use, or says why this program cannot use it.
-    fn prepare(&self, document: &Json) -> Result<Fresh, UnusableDocument> {
+    fn prepare(&self, document: &Json) -> Result<NewSettings, UnusableDocument> {
         match document["format"].as_u64().unwrap_or(1) {
             format if format > FORMAT => Err(UnusableDocument::Format(format)),
             _ => Ok((self.prepare)(&document["settings"])?),
@@ -259,7 +259,7 @@
         for end in ends {
             if let Some(recovery) = &mut returning {
                 recovery.on_query_completed(
-                    end.taken,
+                    end.arrived,
                     QueryResult::new(end.spent, end.complete),
                     now,
                 );
@@ -268,7 +268,7 @@
                 let class = self.core.class_name(end.class);
                 versions
                     .served
-                    .record(end.version, class, end.outcome, end.taken);
+                    .record(end.version, class, end.outcome, end.arrived);
             }
         }
         if let Some(versions) = self
--- a/bitternsill/src/versions/audit_writer.rs
+++ b/bitternsill/src/versions/audit_writer.rs
@@ -164,7 +164,7 @@
                 if cx.now < self.next_digest_at {
                     return;
                 }
-                self.next_digest_at = cx.now + cx.world.limits.trail_told;
+                self.next_digest_at = cx.now + cx.world.limits.audit_report_interval;
                 if let Some(store_service) = &mut cx.world.store_service {
                     let digest = json!({"segment": segment, "length": length, "hash": hash});
                     let key = format!("{}{}/{log}", super::keys::AUDIT_LOGS, self.name);
