--- a/router/src/cli.rs
+++ b/router/src/cli.rs
@@ -14,21 +14,21 @@
 use thiserror::Error;
 
 /// How long a router may take to answer an operator's question.
-const PATIENCE: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Questions to a router, and to the files that it keeps.
 #[derive(Debug, Subcommand)]
 pub enum SystemCall {
     /// Which configuration, primary and weights a router knows.
-    Status(Asked),
+    Status(RouterArgs),
     /// The members of the fleet, as a router sees them.
-    Members(Asked),
+    Members(RouterArgs),
     /// The backends, as a router sees them.
-    Backends(Asked),
+    Backends(RouterArgs),
     /// Messages and bytes between a router and the others, by what they are about.
-    Traffic(Asked),
+    Traffic(RouterArgs),
     /// The configuration in force, from the primary.
-    Configuration(Asked),
+    Configuration(RouterArgs),
     /// Look at a data directory; works beside a running router.
     #[command(subcommand)]
     Storage(StorageCall),
@@ -36,7 +36,7 @@
 
 /// Which router is asked.
 #[derive(Debug, Args)]
-pub struct Asked {
+pub struct RouterArgs {
     /// The control address of a router.
     #[arg(long, value_name = "ADDRESS")]
     at: SocketAddrV4,
@@ -63,7 +63,7 @@
 /// Why a question has no answer.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The router can't be asked.
+    /// The router does not respond.
     #[error("{at} does not answer: {error}; check the address, or ask another router")]
     Unreachable {
         /// The router.
@@ -95,19 +95,19 @@
 /// Answers a question.
 pub fn ask(call: &SystemCall) -> Result<String, CallError> {
     match call {
-        SystemCall::Status(asked) => status(asked),
-        SystemCall::Members(asked) => table(
-            asked,
+        SystemCall::Status(args) => status(args),
+        SystemCall::Members(args) => table(
+            args,
             "members",
             &["name", "zone", "status", "incarnation", "replica"],
         ),
-        SystemCall::Backends(asked) => table(
-            asked,
+        SystemCall::Backends(args) => table(
+            args,
             "backends",
             &["id", "service", "address", "zone", "phase", "silent"],
         ),
-        SystemCall::Traffic(asked) => table(
-            asked,
+        SystemCall::Traffic(args) => table(
+            args,
             "traffic",
             &[
                 "about",
@@ -117,7 +117,7 @@
                 "bytesReceived",
             ],
         ),
-        SystemCall::Configuration(asked) => get(asked.at, "/v1/configuration/read"),
+        SystemCall::Configuration(args) => get(args.at, "/v1/configuration/read"),
         SystemCall::Storage(StorageCall::Verify { folder }) => verify(folder),
         SystemCall::Storage(StorageCall::Show { folder }) => show(folder),
     }
@@ -131,7 +131,7 @@
     runtime.block_on(async {
         let client = reqwest::Client::builder()
             .no_proxy()
-            .timeout(PATIENCE)
+            .timeout(REQUEST_TIMEOUT)
             .build()
             .map_err(unreachable)?;
         let answer = client
@@ -149,14 +149,14 @@
     })
 }
 
-fn report(asked: &Asked) -> Result<Json, CallError> {
-    let text = get(asked.at, "/v1/status")?;
+fn report(args: &RouterArgs) -> Result<Json, CallError> {
+    let text = get(args.at, "/v1/status")?;
     Ok(serde_json::from_str(&text).unwrap_or(Json::Null))
 }
 
-fn status(asked: &Asked) -> Result<String, CallError> {
-    let report = report(asked)?;
-    if asked.json {
+fn status(args: &RouterArgs) -> Result<String, CallError> {
+    let report = report(args)?;
+    if args.json {
         return Ok(report.to_string());
     }
     let mut text = String::new();
@@ -174,9 +174,9 @@
     Ok(text.trim_end().to_owned())
 }
 
-fn table(asked: &Asked, what: &str, columns: &[&str]) -> Result<String, CallError> {
-    let report = report(asked)?;
-    if asked.json {
+fn table(args: &RouterArgs, what: &str, columns: &[&str]) -> Result<String, CallError> {
+    let report = report(args)?;
+    if args.json {
         return Ok(report[what].to_string());
     }
     let mut text = columns.join("\t");
--- a/router/src/proxy/in_flight.rs
+++ b/router/src/proxy/in_flight.rs
@@ -60,33 +60,10 @@
 
     /// Runs the request until there is a response to pass on, or none can be had.
     pub async fn run(mut self) -> Result<(ResponseStart, AttemptHistory), ForwardError> {
-        let Some(planned) = self
-            .forwarder
-            .select_with_wait(self.request, &[], None)
-            .await
-        else {
-            return Err(self.abandon(false));
-        };
-        if self.forwarder.should_reject(self.request, &planned) {
-            return Err(ForwardError::NotExecuted {
-                retry_after: overload_retry_after(self.request),
-            });
-        }
-        let selected = self.look_up(planned).await;
-        self.send(selected);
-        self.admission_id = Some(
-            self.forwarder
-                .with_admission(&self.request.service, |admission| {
-                    admission.record_sent(self.request.route.target_latency_ms, clock::now())
-                }),
-        );
-        self.forwarder
-            .with_route_stats(self.request, |route_stats| {
-                route_stats.hedge_budget.deposit()
-            });
+        self.start().await?;
         let hedge_after = self
             .forwarder
-            .with_route_stats(self.request, |route_stats| route_stats.latency.p95);
+            .with_route_stats(self.request, |route_stats| route_stats.pace.p95);
         let hedge = tokio::time::sleep(Duration::from_nanos(hedge_after as u64));
         tokio::pin!(hedge);
         let mut may_hedge = self.request.upstream_request.is_retryable;
@@ -117,6 +94,35 @@
         }
     }
 
+    /// Makes the first attempt, unless the service is overloaded or has no eligible backend.
+    async fn start(&mut self) -> Result<(), ForwardError> {
+        let Some(planned) = self
+            .forwarder
+            .select_with_wait(self.request, &[], None)
+            .await
+        else {
+            return Err(self.abandon(false));
+        };
+        if self.forwarder.should_reject(self.request, &planned) {
+            return Err(ForwardError::NotExecuted {
+                retry_after: overload_retry_after(self.request),
+            });
+        }
+        let selected = self.look_up(planned).await;
+        self.send(selected);
+        self.admission_id = Some(
+            self.forwarder
+                .with_admission(&self.request.service, |admission| {
+                    admission.record_sent(self.request.route.target_latency_ms, clock::now())
+                }),
+        );
+        self.forwarder
+            .with_route_stats(self.request, |route_stats| {
+                route_stats.hedge_budget.deposit()
+            });
+        Ok(())
+    }
+
     /// Looks up where the prompt's prefix is cached, and selects a backend again if it is.
     async fn look_up(&mut self, planned: SelectedBackend) -> SelectedBackend {
         let Some(lookup) = self.lookup(&planned) else {
@@ -290,7 +296,7 @@
         if response.status.is_success() {
             let took = response.took.as_nanos() as u64;
             self.forwarder
-                .with_route_stats(self.request, |route_stats| route_stats.latency.add(took));
+                .with_route_stats(self.request, |route_stats| route_stats.pace.add(took));
         }
         (response, std::mem::take(&mut self.history))
     }
--- a/routing/src/hedging.rs
+++ b/routing/src/hedging.rs
@@ -1,9 +1,9 @@
 //! Limits how many hedged requests are sent.
 //!
-//! When a request is hedged follows from [`LatencyEstimate`], which routers share with the gatherer
-//! ("The Tail at Scale", Dean and Barroso, 2013).
+//! When a request is hedged follows from [`Pace`], the latency estimate that routers share with
+//! the gatherer ("The Tail at Scale", Dean and Barroso, 2013).
 
-pub use dispatch::dispatcher::Pace as LatencyEstimate;
+pub use dispatch::dispatcher::Pace;
 
 /// Hedges that each first attempt adds to the budget.
 const HEDGES_PER_REQUEST: f64 = 0.1;
--- a/routing/tests/hedging.rs
+++ b/routing/tests/hedging.rs
@@ -1,25 +1,25 @@
 //! When requests are hedged, and how many are.
 
-use routing::hedging::{HedgeBudget, LatencyEstimate};
+use routing::hedging::{HedgeBudget, Pace};
 
 const MS: u64 = 1_000_000;
 
 #[test]
 fn hedge_delay_follows_recent_p95() {
-    let mut latency = LatencyEstimate::starting(1_000 * MS);
-    assert_eq!(latency.p95, 300.0 * MS as f64);
+    let mut pace = Pace::starting(1_000 * MS);
+    assert_eq!(pace.p95, 300.0 * MS as f64);
     for took in 1..=100 {
-        latency.add(took * MS);
+        pace.add(took * MS);
     }
     assert_eq!(
-        latency.p95,
+        pace.p95,
         96.0 * MS as f64,
         "of the last 96 answers: 5 to 100 ms"
     );
     for _ in 0..96 {
-        latency.add(7 * MS);
+        pace.add(7 * MS);
     }
-    assert_eq!(latency.p95, 7.0 * MS as f64, "what is older is forgotten");
+    assert_eq!(pace.p95, 7.0 * MS as f64, "what is older is forgotten");
 }
 
 #[test]
