--- a/bitternsill/src/core.rs
+++ b/bitternsill/src/core.rs
@@ -37,7 +37,7 @@
     aggregator: Aggregator,
     settings: Settings,
     deployment: Deployment,
-    /// The settings' classes, and those that open queries are still of.
+    /// The classes of the settings, and former ones that open queries still belong to.
     classes: Classes,
     limits: Rc<Limits>,
     queries: BTreeMap<u64, Query>,
@@ -50,22 +50,22 @@
     deadlines: BTreeSet<(Time, u64)>,
     probes: BTreeMap<ServerId, Time>,
     wakes: BTreeSet<Time>,
-    /// Parts of a second step that follow its first by a turn.
+    /// Parts of a second step, sent one turn after its first part.
     delayed: Vec<(ServerId, Outgoing)>,
     events: Vec<Event>,
     actions: Vec<Action>,
-    /// Final answers of this turn: they go out once all that they end has been given up.
+    /// Final answers of this turn. They are sent once the attempts that they end are cancelled.
     answers: Vec<(Caller, Answer)>,
-    /// Queries that ended since this was last asked for, where somebody asks.
+    /// Queries that finished since [`Core::take_finished`] was last called, where anybody calls it.
     finished: Option<Vec<FinishedQuery>>,
-    /// The version of the configuration that queries are taken under; 0 where there are none.
+    /// The version of the configuration that queries are accepted under; 0 where there are none.
     version: u64,
     last_turn: Time,
     last_id: u64,
 }
 
 impl Core {
-    /// A core that holds nothing yet.
+    /// A core without queries.
     pub fn new(settings: Settings, deployment: Deployment, limits: Rc<Limits>, seed: u64) -> Self {
         Core {
             aggregator: Aggregator::new(settings.clone(), seed),
@@ -93,8 +93,12 @@
         }
     }
 
-    /// Takes other settings, or leaves all as it was. What is open keeps its class; the module
-    /// wants the whole list next.
+    /// Takes over new settings, or leaves everything as it was. Open queries keep their class. The
+    /// dispatcher needs the complete endpoint list next.
+    ///
+    /// # Errors
+    ///
+    /// Where there are more classes, former ones that are still in use included, than slots.
     pub fn reconfigure(
         &mut self,
         mut settings: Settings,
@@ -102,15 +106,15 @@
         limits: Rc<Limits>,
         now: Time,
     ) -> Result<(), TooMany> {
-        let held: BTreeSet<usize> = self.queries.values().map(|query| query.class).collect();
-        let (fading, most) = (now + limits.settings_overlap, limits.classes);
-        let held = |slot| held.contains(&slot);
-        let from = self.classes.lay(
+        let in_use: BTreeSet<usize> = self.queries.values().map(|query| query.class).collect();
+        let (valid_until, most) = (now + limits.settings_overlap, limits.classes);
+        let in_use = |slot| in_use.contains(&slot);
+        let from = self.classes.replace(
             &deployment.classes,
             &settings.classes,
-            held,
+            in_use,
             now,
-            fading,
+            valid_until,
             most,
         )?;
         settings.classes = self.classes.table();
@@ -122,14 +126,14 @@
         Ok(())
     }
 
-    /// The class that a client means by a name, and by carrying a key or not, and whether that
-    /// class wants one.
+    /// The class that a client means by a name and by carrying an idempotency key or not, and whether
+    /// that class requires a key.
     pub fn class(&self, name: &str, key: bool, now: Time) -> Option<(usize, bool)> {
         let class = self.classes.find(name, key, now)?;
         Some((class, self.settings.classes[class].effect == Effect::Keyed))
     }
 
-    /// Queries are taken under this version of the configuration from now on.
+    /// Queries are accepted under this version of the configuration from now on.
     pub fn set_version(&mut self, version: u64) {
         self.version = version;
     }
@@ -144,12 +148,12 @@
         &self.deployment
     }
 
-    /// The module's settings, as they are in force.
+    /// The dispatcher's settings, as they are in force.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The longest time to return that clients may be told; 0 where none may.
+    /// The longest retry-after that clients may be sent; 0 where none may.
     pub fn max_retry_after(&self) -> Time {
         self.settings.max_retry_after
     }
@@ -159,20 +163,21 @@
         self.queries.len()
     }
 
-    /// Takes a query. It gets its one answer through [`Clients::answer`], unless it is turned away
-    /// here.
+    /// Accepts a query. Its one final answer is sent by [`Clients::answer`].
+    ///
+    /// # Errors
+    ///
+    /// Where the query is rejected before the dispatcher sees it.
     pub fn submit(&mut self, ask: QueryRequest, now: Time) -> Result<(), Rejection> {
-        // Sent twice on one connection it would have two answers there.
+        // Two queries of one caller would have two answers on its connection.
         if self.callers.contains_key(&ask.caller) {
             return Err(Rejection::Busy);
         }
-        // Two queries of one name could not be told apart on a link: one would be given the other's
-        // values.
+        // Two queries of one name could not be told apart on a link: one would get the other's values.
         if self.names.contains(&ask.name) {
             return Err(Rejection::NameTaken);
         }
-        // The settings' bound on what is held: the simulator turns such a query away unseen, so its
-        // refusal is due.
+        // The settings' bound on open queries and parts: the simulator rejects such a query unseen.
         if self.queries.len() + self.parts.len() >= self.settings.max_open as usize {
             return Err(Rejection::TableFull {
                 retry_after: self.settings.max_retry_after,
@@ -219,7 +224,7 @@
         Ok(())
     }
 
-    /// The client of a query has left; it gets no answer.
+    /// The client of a query has disconnected or cancelled it; it gets no answer.
     pub fn client_left(&mut self, caller: Caller) {
         if let Some(number) = self.callers.get(&caller).copied() {
             self.close(number);
@@ -229,7 +234,7 @@
         }
     }
 
-    /// News of the list of index hosts.
+    /// The endpoint list of the index hosts has changed.
     pub fn update_endpoints(&mut self, kind: ListKind, entries: Vec<Endpoint>) {
         self.events.push(Event::Endpoints {
             kind,
@@ -237,10 +242,10 @@
         });
     }
 
-    /// What the module has learned: of at most so many of the hosts judged since they were last
-    /// told of, and of classes.
+    /// What the dispatcher has learned of classes, and of at most `most` of the hosts with outcomes
+    /// since this last returned them.
     pub fn learned(&mut self, most: usize) -> Learned {
-        // Told by class in the order of the settings: slots are the business of this run alone.
+        // By class in the order of the settings: slots have a meaning in this process only.
         let (order, mut learned) = (self.classes.order(), self.aggregator.learned(most));
         let parts = order
             .iter()
@@ -260,7 +265,8 @@
         learned
     }
 
-    /// What an earlier run had learned, as far as it still counts; after the list that it is about.
+    /// Restores what an earlier incarnation had learned, as far as it is still valid. To be called
+    /// after the endpoint list that it is about.
     pub fn restore(&mut self, learned: Learned) {
         if self
             .classes
@@ -277,14 +283,14 @@
         self.events.push(Event::Restore(Arc::new(learned)));
     }
 
-    /// A discovery call failed, or the watch ended: refused or broken, or left without an answer.
+    /// A discovery call failed or the watch ended: rejected or broken (`refused`), or timed out.
     pub fn discovery_failed(&mut self, refused: bool) {
         self.events.push(Event::DiscoveryFailed { refused });
     }
 
     /// The least time between two turns. Where the settings leave it open, a turn comes as soon as
-    /// there is something to decide, and later the more queries are open: a busy gatherer decides
-    /// for many of them at once.
+    /// there is something to decide, and later the more queries are open: a busy gatherer batches
+    /// decisions.
     fn gap(&self) -> Time {
         if !self.deployment.open_tick {
             return self.settings.tick;
@@ -308,7 +314,7 @@
         Some(times.into_iter().flatten().min()?.max(self.last_turn + gap))
     }
 
-    /// One turn of the module: it is told all that arrived, and what it decides is carried out.
+    /// One turn of the dispatcher: hands it all events, and executes the actions that it returns.
     pub fn turn(&mut self, now: Time, ports: &mut (impl Clients + Hosts + Directory)) {
         self.last_turn = now;
         self.expire(now, ports);
@@ -320,7 +326,7 @@
         }
         let mut calls: Vec<(ServerId, Vec<Outgoing>)> = Vec::new();
         for (host, part) in std::mem::take(&mut self.delayed) {
-            // It may have been called off meanwhile.
+            // It may have been cancelled meanwhile.
             if self.attempts.contains_key(&part.id) {
                 add_to_call(&mut calls, host, part);
             }
@@ -339,11 +345,11 @@
             ports.answer(caller, answer);
         }
         for (host, mut parts) in calls {
-            // Called off in the turn that sent it: its query has its final answer, or its part
-            // another's.
+            // Cancelled in the turn that sent it: its query has its final answer, or its part another
+            // attempt's.
             parts.retain(|part| self.attempts.contains_key(&part.id));
             while !parts.is_empty() {
-                // One frame must not grow with what a client's text holds.
+                // The size of a frame must not depend on what clients send.
                 let fits = (self.limits.call_bytes / parts[0].text.len().max(1)).max(1);
                 let rest =
                     parts.split_off(fits.min(self.settings.call_parts as usize).min(parts.len()));
@@ -383,10 +389,10 @@
             Action::Answer { query, complete } => self.answer(query.0, complete, now),
             Action::Reject { query, retry_after } => {
                 if let Some(query) = self.finish(query.0, Answer::Rejected { retry_after }, now) {
-                    let held = now.saturating_sub(query.arrived) / MS;
+                    let elapsed_ms = now.saturating_sub(query.arrived) / MS;
                     tracing::debug!(
                         query = &*query.name,
-                        held,
+                        elapsed_ms,
                         attempts = query.attempts,
                         "refused"
                     );
--- a/bitternsill/src/core/answers.rs
+++ b/bitternsill/src/core/answers.rs
@@ -48,8 +48,7 @@
         let honest =
             complete && enough && query.first_step.as_ref().is_none_or(|first| first.complete);
         if within.is_empty() || weight + ROUNDING < floor {
-            // An answer from less than the class's least share must never go out, whoever asked for
-            // it.
+            // An answer below the class's floor must never be sent, whatever was decided.
             tracing::error!(
                 query = &*query.name,
                 weight,
@@ -84,8 +83,8 @@
         }
     }
 
-    /// Begins the second step: parts at the shards in with the highest scores, told to the module
-    /// next turn.
+    /// Begins the second step: parts at the answered shards with the highest scores, for the
+    /// dispatcher's next turn.
     pub(super) fn second_step(
         &mut self,
         number: u64,
@@ -113,12 +112,12 @@
         }
     }
 
-    /// Queries that ended since this was last asked, and whether they are to be noted from now on.
+    /// Queries that finished since the last call. They are collected from now on if `go_on` is set.
     pub fn take_finished(&mut self, go_on: bool) -> Vec<FinishedQuery> {
         std::mem::replace(&mut self.finished, go_on.then(Vec::new)).unwrap_or_default()
     }
 
-    /// Ends a query with its final answer, which goes out at the end of the turn.
+    /// Ends a query with its final answer, which is sent at the end of the turn.
     pub(super) fn finish(&mut self, number: u64, answer: Answer, now: Time) -> Option<Query> {
         let query = self.close(number)?;
         if let Some(finished) = &mut self.finished {
@@ -160,8 +159,7 @@
         Some(query)
     }
 
-    /// Fails whatever is still open: the program is about to end. What waits to be written is not
-    /// written any more.
+    /// Fails all open queries, as the program is about to end, and cancels their attempts.
     pub fn fail_all(&mut self, ports: &mut (impl Clients + Hosts)) {
         for (id, attempt) in self.attempts.drain() {
             ports.cancel(attempt.host, id);
--- a/bitternsill/src/core/attempts.rs
+++ b/bitternsill/src/core/attempts.rs
@@ -1,8 +1,7 @@
 //! Attempts: sending them, and how they and probes end.
 
 use super::Core;
-use super::ports::{Answer, FailureReason};
-use super::ports::{AttemptId, Hosts, Outgoing, Value};
+use super::ports::{Answer, AttemptId, FailureReason, Hosts, Outgoing, Value};
 use super::state::Attempt;
 use dispatch::interface::{Effect, Event, LoadReport, Outcome, PartId, QueryId, ServerId, Time};
 
@@ -19,14 +18,14 @@
 }
 
 impl Core {
-    /// The last byte of an attempt's message went out: from here on it may run.
+    /// The last byte of an attempt's message was written: from here on it may run.
     pub fn mark_written(&mut self, attempt: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(&attempt) {
             attempt.written = true;
         }
     }
 
-    /// An attempt brought its value.
+    /// An attempt was answered with its value.
     pub fn attempt_served(&mut self, attempt: AttemptId, value: Value, now: Time) {
         if self.attempts.contains_key(&attempt)
             && let Some(part) = self.parts.get_mut(&attempt.part)
@@ -36,7 +35,8 @@
         self.attempt_ended(attempt, Outcome::Ok, now);
     }
 
-    /// An attempt ended; a second end of one attempt is dropped, so the module sees exactly one.
+    /// An attempt ended. A second end of one attempt is ignored: the dispatcher counts calls by
+    /// attempts in flight, so it must see exactly one end of each.
     pub fn attempt_ended(&mut self, id: AttemptId, outcome: Outcome, now: Time) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
@@ -59,7 +59,8 @@
         });
     }
 
-    /// A connection broke, or ended: what had been written whole may have run, the rest never did.
+    /// A connection broke, or ended: what had been written completely may have run, the rest never
+    /// did.
     pub fn connection_broken(&mut self, attempt: AttemptId, now: Time) {
         self.attempt_interrupted(attempt, Outcome::Reset, now);
     }
@@ -117,7 +118,7 @@
         for host in late {
             self.probe_ended(host, Outcome::TimedOut, now);
         }
-        // The module ends queries in good time; this guards the rule should it ever not.
+        // The dispatcher ends queries in time; this keeps the rule should it ever fail to.
         while let Some(&(at, number)) = self.deadlines.first()
             && at <= now
         {
@@ -165,7 +166,7 @@
             },
         );
         let class = &self.settings.classes[query.class];
-        // Written later than this, a repeat would no longer be dropped by the index host.
+        // An index host no longer drops a repeat that is written later than this.
         let first_sent = *part.first_sent.get_or_insert(now);
         let repeatable_until = match class.effect {
             Effect::Keyed if id.number > 0 => first_sent + class.key_lifetime,
@@ -195,8 +196,8 @@
             text: query.text.clone(),
             first_step_complete: first_step.map(|first| first.complete),
         };
-        // The first step ends when the first part of the second arrives, and whoever has not heard
-        // of that by then turns the others down: they follow when the first has had a turn's time.
+        // The first step ends at a host when the first part of the second arrives. A host that has
+        // not learned of that yet rejects the other parts, so they are sent one turn later.
         if query.first_step.is_some() {
             let (first, at) = *query.second_step_opened.get_or_insert((host, now));
             if at == now && first != host {
--- a/bitternsill/src/core/bounds.rs
+++ b/bitternsill/src/core/bounds.rs
@@ -1,12 +1,12 @@
-//! What each setting may be. Read by this table before anything is taken, so that a wrong value is
-//! told by its path whichever deployment it comes from; what is absent takes the default of whoever
-//! reads it.
+//! The bounds of each setting, as tables. They are checked before any setting is used, so that a
+//! wrong value is reported by its path whichever deployment it comes from. An absent setting takes
+//! the default of its reader.
 
 use super::settings::SettingsError;
 use serde_json::Value;
 use std::fmt;
 
-/// What a value may be.
+/// The values that a setting may have.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Allowed {
     /// A number from one bound to another, both included.
@@ -15,11 +15,11 @@
     Above(f64),
     /// A number above this, up to the other.
     AboveTo(f64, f64),
-    /// A whole number from this.
+    /// An integer from this.
     Whole(u64),
     /// True or false.
     Flag,
-    /// One of these words.
+    /// One of these texts.
     Word(&'static [&'static str]),
     /// Text that is not empty.
     Name,
@@ -160,7 +160,11 @@
     }
 }
 
-/// Checks every setting that is read anywhere; what nobody reads may be anything.
+/// Checks every setting that is read anywhere; unknown settings are ignored.
+///
+/// # Errors
+///
+/// On the first setting that is missing or out of its bounds.
 pub fn check(settings: &Value) -> Result<(), SettingsError> {
     for (group, keys) in ONCE {
         let values = if group.is_empty() {
--- a/bitternsill/src/core/classes.rs
+++ b/bitternsill/src/core/classes.rs
@@ -1,38 +1,67 @@
-//! The classes in force, and those that go on beside them for a while: open queries keep the class
-//! that they began with, and for some time after new settings a name may still mean what it meant.
-//! No I/O, and no clock but what it is told.
+//! The classes in force, and former ones beside them: open queries keep the class that they began
+//! with, and for some time after a change of settings a name may still have its former meaning. No
+//! I/O, and no clock.
 //!
-//! A class stands in a slot whose number open queries and the module hold. A slot never moves; one
-//! that nothing holds any more is used again.
+//! A class has a slot, whose index open queries and the dispatcher keep. A slot never moves, as a
+//! query would change its class with it; one that is no longer in use is reused.
 
 use dispatch::interface::{Class, Effect, Time};
 use std::cmp::Reverse;
 
+/// Whether a class is in force.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum Validity {
+    /// It is in force, with this index in the settings.
+    Current(usize),
+    /// It is a former class, whose name is valid until then.
+    FormerUntil(Time),
+}
+
 #[derive(Debug, Clone, PartialEq)]
 struct Slot {
     name: String,
     class: Class,
-    /// Its place in the settings in force; otherwise until when its name may still mean it.
-    place: Result<usize, Time>,
+    validity: Validity,
 }
 
 /// More classes than there are slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooMany;
 
-/// Every class that something may hold.
+/// Every class that is in use.
 #[derive(Debug, Clone, Default)]
 pub struct Classes {
     slots: Vec<Slot>,
 }
 
+impl Slot {
+    fn index(&self) -> Option<usize> {
+        match self.validity {
+            Validity::Current(index) => Some(index),
+            Validity::FormerUntil(_) => None,
+        }
+    }
+
+    fn is_current(&self) -> bool {
+        self.index().is_some()
+    }
+
+    /// Whether its name may still mean it.
+    fn is_valid(&self, now: Time) -> bool {
+        match self.validity {
+            Validity::Current(_) => true,
+            Validity::FormerUntil(until) => now < until,
+        }
+    }
+}
+
 impl Classes {
     /// The classes that the program starts with.
     pub fn new(names: &[String], classes: &[Class]) -> Self {
-        let slot = |(place, (name, class)): (usize, (&String, &Class))| Slot {
+        let slot = |(index, (name, class)): (usize, (&String, &Class))| Slot {
             name: name.clone(),
             class: class.clone(),
-            place: Ok(place),
+            validity: Validity::Current(index),
         };
         Classes {
             slots: names.iter().zip(classes).enumerate().map(slot).collect(),
@@ -43,7 +72,7 @@
     /// hold, the key tells which settings it goes by; where it does not, the stricter is taken,
     /// which keeps the rules of both.
     pub fn find(&self, name: &str, key: bool, now: Time) -> Option<usize> {
-        let holds = |s: &Slot| s.name == name && s.place.err().is_none_or(|until| now < until);
+        let holds = |s: &Slot| s.name == name && s.is_valid(now);
         let strictness = |class: &Class| {
             let effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe]
                 .iter()
@@ -70,67 +99,70 @@
         self.slots.get(slot).map_or("", |slot| &slot.name)
     }
 
-    /// What the module is to work by: a class for each slot.
+    /// The class of each slot, for the dispatcher.
     pub fn table(&self) -> Vec<Class> {
         let retired = |s: &Slot| Class {
-            retired: s.place.is_err(),
+            retired: !s.is_current(),
             ..s.class.clone()
         };
         self.slots.iter().map(retired).collect()
     }
 
-    /// Where each class of the settings in force stands, in their order.
+    /// The slot of each class in force, in the order of the settings.
     pub fn order(&self) -> Vec<usize> {
         let mut order: Vec<(usize, usize)> = self
             .slots
             .iter()
             .enumerate()
-            .filter_map(|(at, slot)| Some((slot.place.ok()?, at)))
+            .filter_map(|(at, slot)| Some((slot.index()?, at)))
             .collect();
         order.sort_unstable();
         order.into_iter().map(|(_, at)| at).collect()
     }
 
-    /// Lays other classes over the slots. `held` says which of these open queries hold; until
-    /// `fading` the former names and meanings hold beside the new ones. Gives, for each slot, the
-    /// one of before that it goes on from.
-    pub fn lay(
+    /// Replaces the classes. `in_use` says which slots open queries belong to; until `valid_until` the
+    /// former names and meanings are valid beside the new ones. Returns for each slot the former
+    /// slot that its estimates are taken from.
+    ///
+    /// # Errors
+    ///
+    /// Where more than `most` slots would be needed.
+    pub fn replace(
         &mut self,
         names: &[String],
         classes: &[Class],
-        held: impl Fn(usize) -> bool,
+        in_use: impl Fn(usize) -> bool,
         now: Time,
-        fading: Time,
+        valid_until: Time,
         most: usize,
     ) -> Result<Vec<Option<usize>>, TooMany> {
         let mut slots = self.slots.clone();
         let mut from: Vec<Option<usize>> = (0..slots.len()).map(Some).collect();
         let mut left: Vec<(usize, &String, &Class)> = Vec::new();
-        for slot in slots.iter_mut().filter(|slot| slot.place.is_ok()) {
-            slot.place = Err(fading);
+        for slot in slots.iter_mut().filter(|slot| slot.is_current()) {
+            slot.validity = Validity::FormerUntil(valid_until);
         }
-        for (place, (name, class)) in names.iter().zip(classes).enumerate() {
+        for (index, (name, class)) in names.iter().zip(classes).enumerate() {
             let same = self
                 .slots
                 .iter()
-                .position(|s| s.place.is_ok() && s.name == *name && s.class == *class);
+                .position(|s| s.is_current() && s.name == *name && s.class == *class);
             match same {
-                Some(at) => slots[at].place = Ok(place),
-                None => left.push((place, name, class)),
+                Some(at) => slots[at].validity = Validity::Current(index),
+                None => left.push((index, name, class)),
             }
         }
-        for (place, name, class) in left {
+        for (index, name, class) in left {
             let former = self
                 .slots
                 .iter()
-                .position(|s| s.name == *name && s.place.is_ok());
+                .position(|s| s.name == *name && s.is_current());
             let slot = Slot {
                 name: name.clone(),
                 class: class.clone(),
-                place: Ok(place),
+                validity: Validity::Current(index),
             };
-            let free =
-                |(at, s): (usize, &Slot)| s.place.is_err_and(|until| until <= now) && !held(at);
+            let free = |(at, s): (usize, &Slot)| !s.is_valid(now) && !in_use(at);
             match slots.iter().enumerate().position(free) {
                 Some(at) => (slots[at], from[at]) = (slot, former),
                 None if slots.len() < most => {
--- a/bitternsill/src/core/classes/tests.rs
+++ b/bitternsill/src/core/classes/tests.rs
@@ -28,7 +28,7 @@
         &[safe.clone(), keyed.clone(), safe.clone()],
     );
     let from = classes
-        .lay(
+        .replace(
             &names(&["new", "shelf", "page"]),
             &[safe.clone(), safe.clone(), unsafe_.clone()],
             |_| true,
@@ -70,7 +70,7 @@
     for (before, after) in [(2, 4), (4, 2)] {
         let mut classes = Classes::new(&names(&["page"]), &[class(Effect::Safe, before)]);
         classes
-            .lay(
+            .replace(
                 &names(&["page"]),
                 &[class(Effect::Safe, after)],
                 |_| false,
@@ -104,7 +104,7 @@
                 .collect();
             let holds = |at| held.iter().any(|(slot, _)| *slot == at);
             // A slot's number must go on to mean the class for whoever holds it.
-            if let Ok(from) = classes.lay(
+            if let Ok(from) = classes.replace(
                 &names(&chosen),
                 &fresh,
                 holds,
--- a/bitternsill/src/core/ports.rs
+++ b/bitternsill/src/core/ports.rs
@@ -1,9 +1,9 @@
-//! The plain types and small traits by which fronts and index-host links meet the core.
+//! The types and traits between the core and the protocols of clients, index hosts and discovery.
 
 use dispatch::interface::{ServerId, Time};
 use std::rc::Rc;
 
-/// Whoever waits for an answer; the numbers mean something to its front alone.
+/// Where an answer is sent; the numbers have a meaning for the client protocol only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Caller {
     /// The connection.
@@ -31,18 +31,18 @@
     pub number: u32,
 }
 
-/// A query as a front hands it in.
+/// A query as a client protocol submits it.
 #[derive(Debug)]
 pub struct QueryRequest {
-    /// Who waits.
+    /// Where its answer is sent.
     pub caller: Caller,
     /// The client's id for it.
     pub name: Rc<str>,
-    /// Its class, by place in the settings.
+    /// Its class, by slot.
     pub class: usize,
     /// The idempotency key, in a keyed class.
     pub key: Option<Rc<str>>,
-    /// The client says that it asks again.
+    /// The client marked it as a retry.
     pub is_retry: bool,
     /// How long the client waits, counted from `arrived`.
     pub budget: Time,
@@ -54,12 +54,12 @@
     pub parts: Vec<(u32, f64)>,
 }
 
-/// Why a query is turned away before the module sees it.
+/// Why a query is rejected before the dispatcher sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
-    /// As much is held as the settings allow.
+    /// As many queries and parts are open as the settings allow.
     TableFull {
-        /// How long to keep away; 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Time,
     },
     /// The same caller already waits for an answer.
@@ -68,7 +68,7 @@
     NameTaken,
 }
 
-/// What an index host gave for a part.
+/// What an index host answered for a part.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Value {
     /// Its rank among the values of a query.
@@ -77,10 +77,10 @@
     pub body: Rc<str>,
 }
 
-/// A score, kept exact where it is a whole number.
+/// A score, exact where it is an integer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Score {
-    /// A whole number.
+    /// An integer.
     Integer(i128),
     /// Any other number.
     Real(f64),
@@ -98,7 +98,7 @@
         text.parse().ok().map(Score::Integer).or_else(real)
     }
 
-    /// Orders scores; whole ones exactly.
+    /// Orders scores; integers exactly.
     pub fn total_cmp(&self, other: &Self) -> std::cmp::Ordering {
         match (self, other) {
             (Score::Integer(a), Score::Integer(b)) => a.cmp(b),
@@ -119,7 +119,7 @@
 pub enum FailureReason {
     /// Its time ended without a decision.
     TimeUp,
-    /// The module gave it up.
+    /// The dispatcher abandoned it.
     GivenUp,
     /// The program is ending.
     Ending,
@@ -130,17 +130,17 @@
 pub enum Answer {
     /// Served from the parts that are in.
     Served {
-        /// Whether it is marked whole.
+        /// Whether it is marked complete.
         complete: bool,
-        /// Each part that is in, by shard.
+        /// The value of each answered part, by shard.
         values: Vec<(u32, Value)>,
     },
-    /// Turned away; asking again is harmless.
+    /// Rejected; the client may safely retry.
     Rejected {
-        /// How long to keep away; 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Time,
     },
-    /// Given up.
+    /// Failed; it may have taken effect.
     Failed(FailureReason),
 }
 
@@ -159,25 +159,25 @@
     pub not_after: Time,
     /// The idempotency key, in a keyed class.
     pub key: Option<Rc<str>>,
-    /// In a second step: the shards that were in after the first.
+    /// In a second step: the shards that had answered in the first.
     pub from: Option<Rc<str>>,
-    /// In a second step: whether the first was whole.
+    /// In a second step: whether the first was complete.
     pub first_step_complete: Option<bool>,
     /// The query's text.
     pub text: Rc<str>,
 }
 
-/// The fronts, as the core sees them.
+/// The clients' connections, as the core uses them.
 pub trait Clients {
     /// Passes on a query's final answer.
     fn answer(&mut self, caller: Caller, answer: Answer);
 }
 
-/// The links to index hosts, as the core sees them.
+/// The connections to index hosts, as the core uses them.
 pub trait Hosts {
     /// Sends the parts of one call.
     fn call(&mut self, host: ServerId, parts: Vec<Outgoing>);
-    /// Gives an attempt up.
+    /// Cancels an attempt.
     fn cancel(&mut self, host: ServerId, attempt: AttemptId);
     /// Probes a host.
     fn probe(&mut self, host: ServerId);
@@ -185,10 +185,10 @@
     fn close_idle(&mut self, host: ServerId);
 }
 
-/// Discovery, as the core sees it.
+/// Discovery, as the core uses it.
 pub trait Directory {
     /// Begins or ends the watch.
     fn watch(&mut self, on: bool);
-    /// Asks once for the whole list.
+    /// Requests the complete list once.
     fn fetch(&mut self);
 }
--- a/bitternsill/src/core/settings.rs
+++ b/bitternsill/src/core/settings.rs
@@ -1,4 +1,4 @@
-//! The settings: the module's share is read by the adapter's parser, the program's own share here.
+//! The settings: the dispatcher's part is read by [`dispatch::wire`], the program's own part here.
 
 use super::bounds;
 use crate::limits::MS;
@@ -12,23 +12,23 @@
 pub struct Deployment {
     /// The classes' names, in the settings' order.
     pub classes: Vec<String>,
-    /// Which classes carry an idempotency key, as the file says it.
+    /// Which classes carry an idempotency key.
     pub keyed: Vec<bool>,
     /// The time between turns is left open.
     pub open_tick: bool,
     /// How many shards there are.
     pub shards: u32,
-    /// The halls' names.
+    /// The zones' names.
     pub zones: Vec<String>,
     /// The machine kinds' names.
     pub kinds: Vec<String>,
     /// Parts one connection carries at once.
     pub parts_per_connection: usize,
-    /// An idle connection is closed by the index host after this.
+    /// How long an index host leaves an idle connection open.
     pub host_idle: Option<Time>,
     /// How long a connection may take to come up.
     pub connect: Option<Time>,
-    /// How long sends to a leaving host may go on.
+    /// How long attempts may still be sent to a draining host.
     pub drain_grace: Option<Time>,
 }
 
@@ -44,7 +44,11 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Reads both shares of the settings.
+/// Reads both parts of the settings.
+///
+/// # Errors
+///
+/// Where a setting is missing or out of its bounds.
 pub fn read(value: &Value) -> Result<(Settings, Deployment), SettingsError> {
     bounds::check(value)?;
     let mut settings = read_settings(&value.to_string())
@@ -58,10 +62,10 @@
         })?;
     let open_tick = value["tick"].is_null();
     if open_tick {
-        // The module counts some waits in ticks.
+        // The dispatcher counts some waits in ticks.
         settings.tick = MS;
     }
-    let words = |list: &Value| -> Vec<String> {
+    let texts = |list: &Value| -> Vec<String> {
         let items = list.as_array().map(Vec::as_slice).unwrap_or_default();
         items
             .iter()
@@ -95,8 +99,8 @@
             .collect(),
         open_tick,
         shards: number("extra", "ranges").map_or(settings.cells, |n| n as u32),
-        zones: words(&value["zones"]),
-        kinds: words(&value["kinds"]),
+        zones: texts(&value["zones"]),
+        kinds: texts(&value["kinds"]),
         parts_per_connection: number("limits", "streams_per_conn")
             .map_or(1, |n| n.max(1.0) as usize),
         host_idle: number("limits", "conn_idle").map(|n| n as Time),
