--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -126,7 +126,7 @@
             connector,
         })
     };
-    let prepare: Prepare = Box::new(new_settings.clone());
+    let prepare: Prepare = Box::new(new_settings);
     run(Plan {
         name: config.name,
         settings,
