--- a/router/src/membership/bootstrap.rs
+++ b/router/src/membership/bootstrap.rs
@@ -30,9 +30,9 @@
     let (Some(rank), Some(replica), true) = (rank, &fleet.replica, settings.bootstrap) else {
         return;
     };
-    let fewest = Timing::tolerating(settings.fault_tolerance.machines).min_witnesses();
+    let min_witnesses = Timing::tolerating(settings.fault_tolerance.machines).min_witnesses();
     tokio::time::sleep(BOOTSTRAP_STAGGER * rank as u32).await;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut known = BTreeSet::new();
     let mut since = Instant::now();
     loop {
@@ -46,10 +46,10 @@
         if replicas != known {
             (known, since) = (replicas, Instant::now());
         }
-        let is_calm =
-            since.elapsed() > BOOTSTRAP_QUIET_TIME && begun.elapsed() > 2 * BOOTSTRAP_QUIET_TIME;
-        let are_all_here = is_calm && known.len() >= fewest;
-        if !are_all_here && begun.elapsed() < BOOTSTRAP_TIMEOUT {
+        let is_quiet = since.elapsed() > BOOTSTRAP_QUIET_TIME
+            && started_at.elapsed() > 2 * BOOTSTRAP_QUIET_TIME;
+        let may_bootstrap = is_quiet && known.len() >= min_witnesses;
+        if !may_bootstrap && started_at.elapsed() < BOOTSTRAP_TIMEOUT {
             continue;
         }
         log::info!("founding the control state with {} replicas", known.len());
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -48,7 +48,7 @@
     }
     log::info!("SIGTERM: no new clients, open requests are finished");
     let grace = Duration::from_secs_f64(settings.bounds.grace_period_s * GRACE_RATIO);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     fleet.begin_shutdown();
     if let Some(replica) = &fleet.replica {
         replica.begin_shutdown().await;
@@ -57,27 +57,27 @@
     // The receiver is gone if the interface has failed.
     let _ = stop.send(true);
     if let Some(clients) = clients {
-        let left = grace.saturating_sub(begun.elapsed());
+        let left = grace.saturating_sub(started_at.elapsed());
         if tokio::time::timeout(left, clients).await.is_err() {
             log::warn!("the grace period is over and requests are still open");
         }
     }
     if let Some(replica) = &fleet.replica {
-        wait_for_replication(replica, grace.saturating_sub(begun.elapsed())).await;
+        wait_for_replication(replica, grace.saturating_sub(started_at.elapsed())).await;
     }
 }
 
 /// Waits until enough other replicas have this node's data, within the time limit.
-async fn wait_for_replication(replica: &ReplicaHandle, patience: Duration) {
+async fn wait_for_replication(replica: &ReplicaHandle, time_limit: Duration) {
     const LOOK: Duration = Duration::from_millis(50);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     if !replica.can_shut_down() {
         log::info!(
             "this node's copy of the control state is still needed: waiting for another one"
         );
     }
     while !replica.can_shut_down() {
-        if begun.elapsed() >= patience {
+        if started_at.elapsed() >= time_limit {
             log::warn!(
                 "the grace period is over and this node's copy is still needed: start it again soon"
             );
--- a/router/src/upstreams.rs
+++ b/router/src/upstreams.rs
@@ -48,7 +48,7 @@
 
 /// Keeps pulling from the selected nodes, for as long as the process runs.
 pub async fn run(fleet: Arc<Fleet>) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut upstreams: BTreeMap<SocketAddrV4, Upstream> = BTreeMap::new();
     let mut avoided: BTreeMap<SocketAddrV4, Instant> = BTreeMap::new();
     let mut choices = tokio::time::interval(SELECTION_INTERVAL);
@@ -62,7 +62,7 @@
             .filter(|(_, upstream)| upstream.failing.load(Ordering::Relaxed));
         avoided.extend(failing.map(|(address, _)| (*address, now + AVOID_DURATION)));
         let is_avoided = |address: SocketAddrV4| avoided.contains_key(&address);
-        let wanted = choose(&fleet, is_avoided, begun.elapsed() < SEED_FOLLOW_TIME);
+        let wanted = select(&fleet, is_avoided, started_at.elapsed() < SEED_FOLLOW_TIME);
         upstreams.retain(|address, upstream| {
             let is_wanted = wanted.get(address) == Some(&upstream.mode);
             if !is_wanted {
@@ -158,7 +158,7 @@
 
 /// The nodes to pull from. A replica node follows all other ones; the rest follow one and poll
 /// another, preferably in their own zone. Seeds are followed while no other node is known.
-fn choose(
+fn select(
     fleet: &Fleet,
     is_avoided: impl Fn(SocketAddrV4) -> bool,
     is_starting: bool,
@@ -170,7 +170,7 @@
         *name != settings.node_name && member.status != MemberStatus::Left
     });
     sort_by_preference(&mut members, fleet, &is_avoided);
-    let mut chosen: BTreeMap<SocketAddrV4, Mode> = if fleet.replica.is_some() {
+    let mut selected: BTreeMap<SocketAddrV4, Mode> = if fleet.replica.is_some() {
         members
             .iter()
             .map(|(_, member)| (member.internal, Mode::Follow))
@@ -182,16 +182,16 @@
             .zip([Mode::Follow, Mode::Poll])
             .collect()
     };
-    let has_usable = chosen.keys().any(|address| !is_avoided(*address));
-    if !has_usable || is_starting && fleet.replica.is_some() {
+    let is_any_usable = selected.keys().any(|address| !is_avoided(*address));
+    if !is_any_usable || is_starting && fleet.replica.is_some() {
         let seeds = settings
             .seeds
             .iter()
             .map(|seed| settings.internal_address_of(*seed));
-        chosen.extend(seeds.map(|seed| (seed, Mode::Follow)));
+        selected.extend(seeds.map(|seed| (seed, Mode::Follow)));
     }
-    chosen.remove(&own);
-    chosen
+    selected.remove(&own);
+    selected
 }
 
 /// Sorts nodes that are up first, then those of the own zone, then by distance on the ring, which
--- a/router/tests/kv_stores.rs
+++ b/router/tests/kv_stores.rs
@@ -13,11 +13,11 @@
 
 fn stores(ports: &[u16]) -> KvStores {
     let stores = KvStores::default();
-    settle(&stores, ports);
+    configure(&stores, ports);
     stores
 }
 
-fn settle(stores: &KvStores, ports: &[u16]) {
+fn configure(stores: &KvStores, ports: &[u16]) {
     let store = |port: u16| KvStore {
         address: address(port),
         zone: "a".into(),
@@ -89,8 +89,8 @@
     };
     let before = places(&stores);
     for port in [9, 10, 11] {
-        let share = before.iter().filter(|other| **other == port).count();
-        assert!((60..140).contains(&share), "{share} of 300 at {port}");
+        let ratio = before.iter().filter(|other| **other == port).count();
+        assert!((60..140).contains(&ratio), "{ratio} of 300 at {port}");
     }
     stores.mark_unresponsive(address(10));
     let after = places(&stores);
@@ -107,12 +107,12 @@
 fn forgets_removed_store() {
     let stores = stores(&[9, 10]);
     stores.mark_available(address(9), 1);
-    settle(&stores, &[10]);
+    configure(&stores, &[10]);
     assert_eq!(
         (stores.status(address(9)), stores.store_for(PrefixKey(1))),
         (None, None)
     );
-    settle(&stores, &[9, 10]);
+    configure(&stores, &[9, 10]);
     assert_eq!(
         stores.store_for(PrefixKey(1)),
         None,
