--- a/bitternsill/src/admin/drain/tests.rs
+++ b/bitternsill/src/admin/drain/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn no_connection_outlives_the_time_in_which_clients_may_be_held() {
+fn drain_closes_every_connection_in_time() {
     let steps = Schedule::from_limits(&Limits::default());
     let mut drain = Drain::default();
     assert!(drain.begin(1_000, steps) && !drain.begin(2_000, steps));
--- a/bitternsill/src/admin/exclusions/tests.rs
+++ b/bitternsill/src/admin/exclusions/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn changes_of_two_processes_meet_in_any_order() {
+fn merge_converges_in_any_order() {
     // Every order in which four changes of two processes can be heard gives the same map.
     let changes = [
         ("a", true, 5),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_does_not_undo_a_call() {
+fn backward_clock_does_not_undo_change() {
     let mut exclusions = Exclusions::new(8);
     exclusions.set("a", true, 1_000).unwrap();
     let mut other = exclusions.clone();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_text_cut_anywhere_or_changed_in_any_byte_is_not_taken() {
+fn rejects_truncated_or_changed_file() {
     let mut exclusions = Exclusions::new(8);
     exclusions.set("s-1", true, 1).unwrap();
     exclusions.set("s-2", false, 2).unwrap();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn only_so_many_hosts_are_kept_and_those_that_are_back_give_way() {
+fn capacity_evicts_included_hosts_first() {
     let mut exclusions = Exclusions::new(2);
     exclusions.set("a", true, 1).unwrap();
     exclusions.set("b", true, 2).unwrap();
--- a/bitternsill/src/admin/handover/tests.rs
+++ b/bitternsill/src/admin/handover/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn two_processes_that_both_change_it_lose_nothing() {
+fn concurrent_writers_lose_nothing() {
     let folder = Folder::new();
     let change = |mark: &'static str, mut process: (Handover, Exclusions)| {
         for n in 0..100u64 {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_stops_nothing_and_is_replaced() {
+fn unusable_file_is_replaced() {
     let mut foreign = Exclusions::new(8);
     foreign.set("s-1", true, 1).unwrap();
     let text = foreign.encode("n1");
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_process_is_relied_on_while_it_serves_and_no_longer() {
+fn successor_is_known_while_it_serves() {
     let folder = Folder::new();
     let ((mut one, _), (mut two, _)) = (folder.process("n1"), folder.process("n1"));
     assert!(one.check_peers(1) && two.check_peers(1));
--- a/bitternsill/src/core/bounds/tests.rs
+++ b/bitternsill/src/core/bounds/tests.rs
@@ -18,7 +18,7 @@
 /// Each setting of the tables, put to a value that it may not have, is told by its own path;
 /// without it all is well.
 #[test]
-fn every_setting_that_is_read_is_told_by_its_path_when_wrong_and_may_be_absent() {
+fn wrong_setting_is_reported_by_path() {
     assert_eq!(check(&good()), Ok(()));
     let mut cases: Vec<(String, String, bool)> = Vec::new();
     for (group, keys) in ONCE {
--- a/bitternsill/src/core/classes/tests.rs
+++ b/bitternsill/src/core/classes/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_name_means_both_for_a_while_and_open_queries_keep_theirs() {
+fn former_class_stays_valid_for_a_while() {
     let (safe, keyed, unsafe_) = (
         class(Effect::Safe, 4),
         class(Effect::Keyed, 4),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn fewer_attempts_hold_at_once_and_more_only_afterwards() {
+fn stricter_class_wins_while_both_are_valid() {
     for (before, after) in [(2, 4), (4, 2)] {
         let mut classes = Classes::new(&names(&["page"]), &[class(Effect::Safe, before)]);
         classes
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn slots_are_used_again_once_nothing_holds_them_and_no_others() {
+fn reuses_free_slots_only() {
     let mut rng = fastrand::Rng::with_seed(18);
     for _ in 0..200 {
         let mut classes = Classes::new(
--- a/bitternsill/src/core/schema/tests.rs
+++ b/bitternsill/src/core/schema/tests.rs
@@ -15,7 +15,7 @@
 
 /// Whatever stands in any one place: the schema and the check say the same of it.
 #[test]
-fn the_schema_takes_what_the_check_takes() {
+fn schema_agrees_with_check() {
     let schema = jsonschema::validator_for(&settings()).unwrap();
     let mut paths: Vec<(String, String)> = Vec::new();
     for (group, keys) in ONCE {
--- a/bitternsill/src/front/rejections/tests.rs
+++ b/bitternsill/src/front/rejections/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_reason_is_told_at_once_then_seldom_with_its_count_and_reasons_are_bounded() {
+fn logs_each_reason_at_limited_rate() {
     let limits = Limits {
         rejection_reasons: 2,
         rejection_log_interval: 100,
--- a/bitternsill/src/net/reactor/tests.rs
+++ b/bitternsill/src/net/reactor/tests.rs
@@ -52,8 +52,7 @@
 }
 
 #[test]
-fn a_stall_speaks_of_the_round_it_is_seen_in_and_of_the_two_in_which_what_came_is_accepted_and_read()
- {
+fn stall_applies_to_three_rounds() {
     let (mut stalls, stall) = (Stalls::default(), 12 * STALL_THRESHOLD);
     let mut round = |asleep, now| stalls.since(asleep, now);
     assert_eq!(round(0, 5), 5, "no stall");
@@ -73,7 +72,7 @@
 }
 
 #[test]
-fn what_is_meant_for_a_connection_that_is_gone_does_not_reach_the_next_in_its_slot() {
+fn stale_token_does_not_reach_new_connection() {
     let heard = Rc::new(RefCell::new(Vec::new()));
     let mut reactor = Reactor::new(Turns(3, heard.clone()), Clock::start()).unwrap();
     let first = reactor
--- a/dispatch/tests/failing_servers.rs
+++ b/dispatch/tests/failing_servers.rs
@@ -6,7 +6,7 @@
 use dispatch::interface::*;
 
 #[test]
-fn nothing_goes_to_a_server_that_drains_or_is_gone() {
+fn draining_server_gets_nothing() {
     let mut rig = Rig::new(ring(3, 2));
     let drain = Endpoint {
         status: ServerStatus::Draining,
@@ -42,13 +42,13 @@
 /// Found on a day with hosts that failed at once: always idle, they drew every part that found no
 /// room elsewhere.
 #[test]
-fn a_server_that_fails_at_once_is_tried_seldom_and_taken_back_when_it_serves() {
+fn failing_server_is_retried_and_readmitted() {
     fails_at_once(Outcome::Error);
 }
 
 /// Found on the long day: hosts that left ahead of the list turned away part after part.
 #[test]
-fn so_is_a_server_that_turns_everything_away() {
+fn rejecting_server_is_retried_and_readmitted() {
     fails_at_once(Outcome::Rejected);
 }
 
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn servers_replaced_under_new_ids_leave_nothing_behind() {
+fn forgets_replaced_servers() {
     let mut rig = Rig::new(ring(3, 2));
     let mut sizes = Vec::new();
     for generation in 1..=100 {
@@ -134,7 +134,7 @@
 /// A server that swallows parts is set aside once its peers answer and it does not; its parts go
 /// elsewhere.
 #[test]
-fn a_silent_server_is_set_aside_and_tried_with_spare_copies() {
+fn unresponsive_server_is_tried_by_hedges() {
     let mut rig = Rig::new(ring(4, 2));
     rig.warm_up(20 * MS, &[0, 1, 2, 3]);
     let silent = ServerId(100);
@@ -164,7 +164,7 @@
 /// Found on incident i803e72: servers that fail one class at once and serve the other lost all
 /// their work or none.
 #[test]
-fn errors_bar_a_server_from_their_class_alone() {
+fn errors_eject_server_from_their_class_only() {
     let settings = Settings {
         classes: vec![Class::default(), Class::default()],
         ..ring(2, 2)
@@ -218,7 +218,7 @@
 /// Found on incident i3652a3: a server that turns parts away at once has the fewest out and draws
 /// every send.
 #[test]
-fn a_full_server_does_not_draw_every_send() {
+fn full_server_does_not_attract_attempts() {
     let mut rig = Rig::new(ring(2, 2));
     rig.warm_up(20 * MS, &[0, 1]);
     let mut drawn = 0;
@@ -252,7 +252,7 @@
 /// Found on incident i0067be: scattered resets were taken for restarts and starved sound servers
 /// for a whole ramp.
 #[test]
-fn a_reset_does_not_make_a_server_cold() {
+fn reset_starts_no_slow_start() {
     let settings = Settings {
         slow_start: 60_000 * MS,
         overload_window: 2000 * MS,
@@ -291,7 +291,7 @@
 /// Found on mvd-errores-later: a query that kills every server that begins a part, and took 101
 /// servers at once.
 #[test]
-fn a_query_that_kills_its_servers_kills_few() {
+fn crashing_query_crashes_few_servers() {
     let mut rig = Rig::new(ring(20, 2));
     rig.warm_up(20 * MS, &[0, 10]);
     let shards: Vec<u32> = (0..16).collect();
@@ -320,7 +320,7 @@
 /// The other side of it: servers that crash by themselves do not end queries that have been
 /// answered in part.
 #[test]
-fn a_reset_does_not_end_a_query_that_has_answers() {
+fn reset_does_not_end_answered_query() {
     let mut rig = Rig::new(ring(20, 3));
     rig.warm_up(20 * MS, &[0, 10]);
     let number = rig.ask(40 * MS, &[0, 5, 10]);
@@ -359,7 +359,7 @@
 /// Found at full size: an aggregator sees a server every few seconds, and four samples of a quarter
 /// came too late.
 #[test]
-fn two_sparse_failures_leave_a_server_out_and_it_is_tried_again() {
+fn sparse_failures_eject_server_for_a_while() {
     let mut rig = Rig::new(ring(2, 2));
     rig.warm_up(20 * MS, &[0]);
     let slow = ServerId(100);
@@ -393,7 +393,7 @@
 /// New connections fail at every server: that is no server's fault, and work goes out as soon as
 /// they can be made.
 #[test]
-fn when_no_connection_is_made_anywhere_no_server_is_left_out() {
+fn common_connect_failure_ejects_nobody() {
     let mut rig = Rig::new(ring(4, 2));
     rig.warm_up(20 * MS, &[0, 1, 2, 3]);
     for shard in [0, 2].repeat(20) {
@@ -420,7 +420,7 @@
 /// Servers taken away in a wave: what is listed as draining gets nothing, and its cold replacement
 /// little at first.
 #[test]
-fn a_wave_of_drains_moves_work_to_what_is_sound() {
+fn rolling_drain_moves_work() {
     let settings = Settings {
         aggregators: 30,
         slow_start: 20_000 * MS,
@@ -476,7 +476,7 @@
 /// Found on koelabra-prod: idle connections dropped unseen. Their resets were taken for deaths, put
 /// every query in doubt and each server aside.
 #[test]
-fn a_connection_that_breaks_after_disuse_is_no_death() {
+fn idle_reset_is_no_crash() {
     let mut rig = Rig::new(ring(20, 2));
     rig.warm_up(100 * MS, &[0, 10]);
     rig.ask(40 * MS, &[5]);
@@ -521,7 +521,7 @@
 /// The other side of it: where no connection is made after the break, the server died, and the
 /// query is doubted.
 #[test]
-fn a_break_after_which_no_connection_is_made_was_a_death() {
+fn reset_without_reconnect_is_a_crash() {
     let mut rig = Rig::new(ring(20, 1));
     rig.warm_up(100 * MS, &[5]);
     let number = rig.ask(2000 * MS, &[5]);
@@ -543,7 +543,7 @@
 /// its parts, got one part in a quarter of an aim, and nine in ten of the shard's queries were
 /// refused.
 #[test]
-fn a_shards_last_holder_is_used_though_it_fails_some_parts() {
+fn last_replica_is_used_despite_failures() {
     let mut rig = Rig::new(ring(2, 2));
     rig.warm_up(20 * MS, &[0, 1]);
     let out = Endpoint {
--- a/dispatch/tests/fleet.rs
+++ b/dispatch/tests/fleet.rs
@@ -168,7 +168,7 @@
 /// Found on join+vast: of what cold servers could do they were sent a quarter, while the warm ones
 /// were overrun.
 #[test]
-fn many_aggregators_use_cold_servers_as_far_as_the_rule_lets_them() {
+fn aggregators_use_slow_start_budget() {
     let settings = Settings {
         aggregators: AGGREGATORS,
         slow_start: 18_000 * MS,
@@ -251,7 +251,7 @@
 /// A restart in the middle of a release: all aggregators know nothing, most servers are cold and
 /// some never answer.
 #[test]
-fn every_query_ends_once_and_in_time_where_most_servers_are_cold_and_some_silent() {
+fn queries_end_in_time_with_warming_and_unresponsive_servers() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(&settings(), seed);
         let started_at = fleet.now;
@@ -282,7 +282,7 @@
 /// Most of the list is replaced within seconds: what leaves gets nothing more from the moment it is
 /// told.
 #[test]
-fn nothing_goes_to_leaving_servers_while_most_of_the_list_is_replaced() {
+fn draining_servers_get_nothing_during_replacement() {
     let mut fleet = Fleet::new(&settings(), 7);
     fleet.run(2000 * MS);
     for batch in 0..3 {
@@ -326,7 +326,7 @@
 /// A server at its limit of connections refuses all for a while: no storm on it, and no exclusion
 /// once it takes them.
 #[test]
-fn a_server_that_refuses_connections_is_tried_seldom_and_taken_back() {
+fn refusing_server_is_retried_and_readmitted() {
     let mut fleet = Fleet::new(&settings(), 9);
     fleet.run(3000 * MS);
     let usual = fleet
@@ -368,7 +368,7 @@
 /// the first second on, no sound one is flocked to, and a memory that is wrong of every server
 /// brings no storm either.
 #[test]
-fn gatherers_that_restart_together_with_what_they_learned_do_not_flock() {
+fn restarted_gatherers_do_not_herd() {
     let slow: BTreeMap<ServerId, Time> = [104, 111, 117].map(|id| (ServerId(id), 400 * MS)).into();
     for seed in 0..3 {
         let mut before = Fleet::new(&settings(), seed);
@@ -491,7 +491,7 @@
 /// the rest of the day, answered none, and ninety aggregators went on with the list from before the
 /// release.
 #[test]
-fn calls_for_a_first_list_that_fail_for_all_grow_few_and_spread_out() {
+fn first_list_backoff_spreads() {
     for (aggregators, bounds) in [(100, 40..=130), (3, 5..=16)] {
         let (calls, _, mut rigs) = calls_unanswered(aggregators, false);
         let settled: u32 = calls[20..40].iter().sum();
@@ -526,7 +526,7 @@
 /// still grow and spread. How long they may be together with what went before is in
 /// `bitternsill/tests/limits.rs`; that allows a hundred no fewer calls than are told here.
 #[test]
-fn a_known_list_is_asked_for_again_in_time_by_few_at_once() {
+fn known_list_backoff_spreads() {
     for (aggregators, fewest, most, mean, first) in [
         (300, 60, 120, 104, 1600 * MS),
         (100, 20, 45, 35, 1600 * MS),
--- a/dispatch/tests/cold_starts.rs
+++ b/dispatch/tests/fleet_slow_start.rs
@@ -6,7 +6,7 @@
 
 /// A server that the list says has just started gets its share of the told budget and no more.
 #[test]
-fn a_cold_server_is_sent_little_at_first() {
+fn warming_server_is_sent_little() {
     let settings = Settings {
         slow_start: 10_000 * MS,
         overload_window: 1000 * MS,
@@ -48,7 +48,7 @@
 /// Found on reading: with a ramp but no budget told, the share of a budget was no number, and a new
 /// server got nothing.
 #[test]
-fn a_cold_server_for_which_no_budget_is_told_is_used_at_once() {
+fn no_slow_start_without_budget() {
     let mut rig = Rig::new(Settings {
         slow_start: 10_000 * MS,
         ..ring(1, 1)
@@ -72,7 +72,7 @@
 /// Found on full-size days: each aggregator's share of a cold server's budget is under one part,
 /// and all sent theirs at once.
 #[test]
-fn many_aggregators_take_turns_at_a_cold_server() {
+fn aggregators_take_turns_at_warming_server() {
     let all = 40;
     let settings = Settings {
         aggregators: all,
@@ -120,7 +120,7 @@
 /// Found on hand+drain: a shard's last holder came back cold and was sent a third of what it could
 /// bear, as the average host is sent far less than the busiest one shows that a host bears.
 #[test]
-fn a_cold_server_gets_its_share_of_what_the_busiest_sound_one_bears() {
+fn warming_server_share_follows_busiest_server() {
     let settings = Settings {
         aggregators: 2,
         slow_start: 10_000 * MS,
--- a/dispatch/tests/copies.rs
+++ b/dispatch/tests/hedging.rs
@@ -5,7 +5,7 @@
 use dispatch::interface::*;
 
 #[test]
-fn first_sends_take_one_row_and_the_least_loaded() {
+fn first_attempts_take_least_loaded_row() {
     let mut rig = Rig::new(ring(6, 3));
     rig.ask(0, &[0, 3]);
     let first = rig.sends();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_part_pending_at_the_percentile_gets_one_copy_and_the_twin_is_cancelled() {
+fn hedges_once_at_percentile_and_cancels_loser() {
     let mut rig = Rig::new(ring(6, 3));
     rig.warm_up(20 * MS, &[0, 2, 4]);
     rig.ask(MS, &[0]);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_outcome_in_the_timers_turn_is_taken_first() {
+fn handles_outcomes_before_timers() {
     let mut rig = Rig::new(ring(6, 3));
     rig.warm_up(20 * MS, &[0, 2, 4]);
     rig.ask(MS, &[0]);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn copies_stay_near_one_in_ten_even_when_every_timer_is_overdue() {
+fn hedges_stay_near_one_in_ten() {
     let mut rig = Rig::new(ring(30, 3));
     rig.warm_up(20 * MS, &[0, 10, 20]);
     let mut sent = 0;
@@ -76,7 +76,7 @@
 
 /// Found on overloaded days: copies made while parts wait for room push those parts back.
 #[test]
-fn no_copy_is_made_while_parts_wait() {
+fn no_hedge_while_parts_are_blocked() {
     let mut rig = Rig::new(ring(4, 2));
     rig.warm_up(20 * MS, &[0, 1, 2, 3]);
     let mut first = Vec::new();
@@ -97,7 +97,7 @@
 /// Found on incident i8175b1: lost answers stretched the 95th percentile of parts, and silent
 /// servers' parts were rescued only when their queries were over.
 #[test]
-fn lost_answers_do_not_put_off_the_rescue_of_the_next() {
+fn lost_answers_do_not_delay_rescue() {
     let mut rig = Rig::new(ring(200, 3));
     rig.warm_up(100 * MS, &[0, 100]);
     let lost = |server: ServerId| server.0.is_multiple_of(5);
@@ -137,7 +137,7 @@
 /// Found on linen-south, hunted day h8fe4f5: queries of 41 parts were lost by the last one or two,
 /// whose copies had no allowance left.
 #[test]
-fn the_last_parts_of_a_wide_query_are_copied_whatever_was_saved_up() {
+fn hedges_last_parts_without_tokens() {
     let mut rig = Rig::new(ring(400, 3));
     rig.warm_up(100 * MS, &[0, 100, 200]);
     // Many single parts are slow, and use up what was saved.
@@ -172,7 +172,7 @@
 /// Own stall: what came in meanwhile is taken by how long it was out, so neither copies nor
 /// refusals follow.
 #[test]
-fn an_own_stall_is_not_read_as_slow_servers() {
+fn own_stall_is_not_slowness() {
     let mut rig = Rig::new(ring(200, 2));
     rig.warm_up(20 * MS, &[0, 50, 100]);
     for _ in 0..12 {
--- a/dispatch/tests/probes.rs
+++ b/dispatch/tests/probes.rs
@@ -7,7 +7,7 @@
 /// Found on linen-south: one query of a quarter of the servers, in a row, took every holder of most
 /// of its shards.
 #[test]
-fn a_query_wide_enough_to_take_whole_shards_sends_a_scout_for_a_moment() {
+fn wide_query_sends_scout() {
     let mut rig = Rig::new(ring(40, 3));
     rig.warm_up(100 * MS, &[0, 10]);
     let shards: Vec<u32> = (0..10).collect();
@@ -35,7 +35,7 @@
 
 /// False reports: a server that reports no load but answers its probe late is not preferred.
 #[test]
-fn a_probe_that_waits_is_believed_over_its_report() {
+fn slow_probe_outweighs_its_load_report() {
     let settings = Settings {
         can_probe: true,
         tick: 5 * MS,
@@ -82,7 +82,7 @@
 /// Found on linen-south, where no load is reported: servers whose probes were sound stood at the
 /// mark of a failure.
 #[test]
-fn a_sound_probe_without_a_report_is_no_failure() {
+fn probe_without_report_is_no_failure() {
     let mut rig = Rig::new(Settings {
         can_probe: true,
         tick: 5 * MS,
@@ -117,7 +117,7 @@
 /// servers are that far away, and queries of many parts were refused while the answers to their own
 /// probes were awaited.
 #[test]
-fn a_probe_on_its_way_makes_no_server_too_slow_before_its_time_is_over() {
+fn probe_in_flight_does_not_slow_server() {
     let mut rig = Rig::new(Settings {
         can_probe: true,
         tick: 5 * MS,
@@ -174,7 +174,7 @@
 /// Found with 100 aggregators: each has thin evidence for ever, and together they probed the
 /// servers full.
 #[test]
-fn a_probe_that_costs_more_than_lost_work_is_not_sent() {
+fn skips_probe_dearer_than_wasted_work() {
     for (probe_price, waste_price, probed) in [(0.01, 0.03, 2), (0.08, 0.03, 0)] {
         let prices = Settings {
             probe_price,
@@ -204,7 +204,7 @@
 
 /// Found on hobart-office-later: scouts took the time of clients that leave before the aim.
 #[test]
-fn clients_with_little_time_are_not_made_to_wait_for_a_scout() {
+fn short_time_budget_skips_scout() {
     let mut rig = Rig::new(ring(40, 3));
     rig.warm_up(100 * MS, &[0, 10]);
     for _ in 0..40 {
@@ -234,7 +234,7 @@
 /// never answered, and the query's other parts, whose servers were idle, waited for it until the
 /// query's time was over.
 #[test]
-fn a_scout_at_a_silent_server_holds_its_query_up_only_until_the_silence_shows() {
+fn unresponsive_scout_delays_query_briefly() {
     let mut rig = Rig::new(ring(40, 3));
     rig.warm_up(100 * MS, &[0, 10]);
     rig.ask(40 * MS, &(0..30).collect::<Vec<_>>());
@@ -270,7 +270,7 @@
 /// The same day: where a shard's only server was down, the scout was that shard's part, as the
 /// query named it first.
 #[test]
-fn a_scout_goes_to_a_shard_that_has_a_sound_server() {
+fn scout_goes_to_healthy_server() {
     // What can be answered without some parts is not given up for a shard that is down.
     let class = Class {
         floor: 0.6,
@@ -305,7 +305,7 @@
 /// The same day: after a crash queries waited behind their scouts, few answers came because of
 /// that, and what waited was refused as more than so few answers could bear, with the servers idle.
 #[test]
-fn queries_that_wait_for_their_scouts_are_not_refused_as_too_much_work() {
+fn scouting_queries_are_not_shed() {
     let mut rig = Rig::new(ring(40, 3));
     rig.warm_up(100 * MS, &[0, 10]);
     for later in [100, 600] {
--- a/dispatch/tests/query_deadlines.rs
+++ b/dispatch/tests/query_deadlines.rs
@@ -5,7 +5,7 @@
 use dispatch::interface::*;
 
 #[test]
-fn a_query_that_cannot_be_sent_is_refused_before_its_client_leaves() {
+fn rejects_unsendable_query_in_time() {
     let mut rig = Rig::new(ring(3, 1));
     rig.turn(
         0,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_unsafe_part_that_may_have_run_is_not_sent_again_and_its_query_fails() {
+fn unsafe_part_is_not_repeated() {
     let class = Class {
         effect: Effect::Unsafe,
         ..Class::default()
@@ -65,7 +65,7 @@
 
 /// Found on an incident: a query was started on the servers with room and never finished.
 #[test]
-fn a_query_that_needs_every_part_starts_whole_or_not_at_all() {
+fn starts_all_parts_or_none() {
     let mut rig = Rig::new(ring(2, 1));
     while {
         rig.ask(0, &[0]);
@@ -81,7 +81,7 @@
 
 /// Found on overloaded days: a client's repeat was served as if its aim began anew.
 #[test]
-fn a_try_cut_short_by_the_deadline_is_known_to_be_late() {
+fn shortened_retry_is_late() {
     let mut rig = Rig::new(ring(3, 3));
     for _ in 0..20 {
         let (_, events) = rig.query(0, 1800 * MS, &[0]);
@@ -100,7 +100,7 @@
 /// Found on the small twin of an incident: rule 1 broke when a first step was answered at its last
 /// moment.
 #[test]
-fn a_two_step_query_ends_in_time_at_either_step() {
+fn two_step_query_ends_in_time() {
     let class = Class {
         floor: 0.4,
         partial_value: 0.95,
@@ -160,7 +160,7 @@
 /// Found on incident i6064cb: queries waited until just the median was left, were started, and
 /// timed out.
 #[test]
-fn a_query_is_not_started_with_too_little_time_left() {
+fn does_not_start_late_query() {
     let mut rig = Rig::new(ring(4, 2));
     for i in 0..40 {
         // One answer in eight takes 300 ms: the median is 20 ms, the 95th percentile is not.
@@ -190,7 +190,7 @@
 /// Found on incident i6064cb: first tries of clients with a shorter patience were taken for old
 /// repeats.
 #[test]
-fn clients_may_have_more_than_one_usual_patience() {
+fn learns_several_client_timeouts() {
     for retries_marked in [false, true] {
         let mut rig = Rig::new(Settings {
             retries_marked,
@@ -222,7 +222,7 @@
 /// Found on full-size days: time-outs at the holders of a popular shard, and every query that
 /// touched it was lost after its other parts had been served.
 #[test]
-fn a_query_for_a_jammed_shard_is_refused_unsent_where_evidence_is_thin() {
+fn rejects_query_for_hot_shard() {
     let mut rig = Rig::new(ring(200, 2));
     rig.warm_up(20 * MS, &[0, 50, 100]);
     rig.ask(40 * MS, &[10]);
@@ -248,7 +248,7 @@
 /// Clients with little time: a first try is started by a share of its own time, not of its class's
 /// aim.
 #[test]
-fn a_first_try_with_little_time_is_started() {
+fn starts_first_request_with_short_timeout() {
     let mut rig = Rig::new(Settings {
         retries_marked: true,
         ..ring(4, 2)
--- a/dispatch/tests/second.rs
+++ b/dispatch/tests/second_deployment.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn servers_that_pause_out_of_step_draw_copies_of_one_part_in_ten_at_most() {
+fn pausing_servers_cause_few_hedges() {
     let mut world = World::new(paused);
     world.run(60_000 * MS, 6.0);
     let share = f64::from(world.copies) / f64::from(world.parts);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn half_of_the_servers_silent_behind_open_connections_cost_few_of_few_queries() {
+fn half_unresponsive_servers_cost_few_queries() {
     // One server of each set takes parts and never answers, from 10 s on.
     let begin = 11_000 * MS;
     let half = move |server: ServerId, now| {
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_class_with_under_ten_answers_is_rescued_from_a_silent_server_in_its_time() {
+fn rescues_class_with_few_answers() {
     let silent = |server: ServerId, _| {
         if server.0 == 100 {
             Takes::Never
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_list_out_of_reach_for_24_s_stays_in_force_while_servers_go() {
+fn stale_list_stays_in_force() {
     // Two servers of different sets die at 5 s; no list says so until 24 s later.
     let dead = |server: ServerId, now| {
         let gone = [100, 203].contains(&server.0) && now > 6_000 * MS;
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn a_shard_whose_only_sound_server_is_cold_is_served_within_that_servers_budget() {
+fn sole_warming_replica_serves_within_budget() {
     let start = 1_000 * MS;
     let dead = |server: ServerId, _| {
         if server.0 == 100 {
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn a_keyed_part_is_sent_again_at_1400_ms_and_not_at_1600_ms() {
+fn keyed_part_is_repeated_within_key_lifetime() {
     for (later, again) in [(1400 * MS, 1), (1600 * MS, 0)] {
         let mut wide = settings();
         wide.classes[2].latency_target = 4000 * MS;
@@ -407,7 +407,7 @@
 /// what the first of them cost says what the servers bear. Before, that was not known until eight
 /// answers of a class, which a cold server's share by the aim alone does not bring in seconds.
 #[test]
-fn the_first_answers_of_servers_that_all_start_cold_raise_what_each_is_sent() {
+fn answers_raise_slow_start_share() {
     let mut world = World::new(|_, _| Takes::For(20 * MS));
     let started_at = world.rig.now;
     let cells = (0..CELLS).flat_map(|cell| [entry(100 + cell, cell), entry(200 + cell, cell)]);
@@ -441,7 +441,7 @@
 /// to the one of its set that refuses connections, as the other had no room, and its query was
 /// refused. Such a server is idle always.
 #[test]
-fn a_server_that_refuses_connections_uses_up_no_attempts_while_the_other_of_its_set_is_busy() {
+fn refusing_server_uses_up_no_attempts() {
     let dead = |server: ServerId, _| match server.0 {
         100 => Takes::Refuses,
         200 => Takes::For(600 * MS),
@@ -463,7 +463,7 @@
 /// thirds of them: a query that kills what it meets can kill no more, so its scout is trusted after
 /// a part of a median and need not answer first.
 #[test]
-fn a_wide_query_is_as_wide_as_the_servers_that_it_meets() {
+fn query_width_counts_servers() {
     let mut rig = Rig::new(settings());
     let more = (0..CELLS).flat_map(|cell| [entry(200 + cell, cell), entry(300 + cell, cell)]);
     rig.turn(
--- a/dispatch/tests/cold.rs
+++ b/dispatch/tests/slow_start.rs
@@ -113,7 +113,7 @@
 /// Found on reading: with a share of a seventh of a part, each of thirty aggregators had saved two
 /// up over a lull, and a burst sent them all at once.
 #[test]
-fn a_burst_after_a_lull_does_not_find_a_part_saved_up_at_every_aggregator() {
+fn no_saved_parts_after_lull() {
     let (often, then) = (4000 * MS, 100 * MS);
     let cases = [
         (30, 1.0, 2500 * MS),
@@ -131,7 +131,7 @@
 /// Found on reading: where each usually asks for less than its share two parts were saved up at
 /// each, and a burst, however large, or one of half as much again for long, brought them out.
 #[test]
-fn a_burst_does_not_find_parts_saved_up_where_each_asks_seldom_either() {
+fn no_saved_parts_at_rare_queries() {
     let (any, more) = (100 * MS, 2667 * MS);
     let cases = [
         (24, 5.0, 4000 * MS, 2500 * MS, any),
@@ -150,7 +150,7 @@
 /// Found on reading: where a burst of half as much again is too much, each went on sending two
 /// parts that it had saved up.
 #[test]
-fn of_a_burst_too_large_for_a_cold_server_only_a_share_of_a_large_fleet_goes_on() {
+fn large_fleet_limits_burst_in_slow_start() {
     let (lull, often, more) = (2500 * MS, 10_000 * MS, 6667 * MS);
     let cases = [
         (100, 4.0, often, lull, more),
@@ -197,7 +197,7 @@
 /// cold server idle where one query has two parts for it. Of two dozen one part each is within
 /// chance, and two are not.
 #[test]
-fn a_second_part_at_once_is_sent_only_where_it_makes_no_difference_to_what_a_burst_may_do() {
+fn second_part_at_once_only_if_harmless() {
     assert!(sends_two(100, 10.0, 10_000 * MS));
     assert!(!sends_two(24, 5.0, 4000 * MS));
     // Two of each are within chance.
--- a/dispatch/tests/wire.rs
+++ b/dispatch/tests/wire.rs
@@ -44,7 +44,7 @@
 const PART: &str = "ORDER tid=5 slab=0 band=0 size_or_weight=1.0 group_no=1 time_budget=2000000000";
 
 #[test]
-fn a_query_is_sent_and_answered() {
+fn sends_and_answers_query() {
     let mut host = started();
     let reply = feed(
         &mut host,
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn every_outcome_code_is_known_and_others_are_named() {
+fn parses_every_outcome_code() {
     for code in [
         "done",
         "err",
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn stop_and_start_in_one_batch_begin_anew() {
+fn restarts_instance_within_batch() {
     let mut host = started();
     feed(
         &mut host,
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_sheet_number_is_resolved_by_event_order() {
+fn resolves_sheet_in_event_order() {
     let mut host = started();
     let lines = [
         "FRAME now=200 turn=2",
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn malformed_lines_are_named_with_their_field() {
+fn reports_malformed_fields() {
     let cases = [
         ("FRAME now=1", "line 9: FRAME: field `turn` is missing"),
         (
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn input_that_ends_inside_a_batch_is_an_error() {
+fn rejects_unfinished_batch() {
     let mut host = started();
     feed(&mut host, &["FRAME now=1 turn=9"]).unwrap();
     assert_eq!(
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn settings_skip_unknown_keys_and_name_bad_ones() {
+fn settings_skip_unknown_keys() {
     let settings = read_settings(INFO).unwrap();
     assert_eq!(
         (
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn the_host_program_ends_with_a_plain_message() {
+fn host_program_reports_error() {
     use std::io::Write;
     use std::process::{Command, Stdio};
     let mut child = Command::new(env!("CARGO_BIN_EXE_bitternsill-simhost"))
