--- a/bitternsill/tests/soak.rs
+++ b/bitternsill/tests/soak.rs
@@ -33,13 +33,13 @@
         backends: 4,
         clients: 16,
         pause: Duration::from_millis(400),
-        trouble_ms: if series == Series::Primary {
+        fault_ms: if series == Series::Primary {
             20_000
         } else {
             10_000
         },
-        strikes_primary: series == Series::Primary,
-        cuts_ways: series == Series::Ways,
+        leader_faults: series == Series::Primary,
+        partitions: series == Series::Ways,
         folder: std::env::temp_dir().join(format!("soak-test-{}-{seed}", std::process::id())),
     }
 }
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of backends: they register, take orders, run requests and keep a record of each run.
+//! Simulated backends: they register, accept orders, execute requests and record each execution.
 
 mod orders;
 mod running;
@@ -6,9 +6,9 @@
 pub use running::event;
 
 use crate::clock::Clock;
-use crate::history::{Recorder, Stage, Staged};
+use crate::history::{BackendEvent, BackendState, Recorder};
+use crate::link::Link;
 use crate::settings::HEARTBEAT_MS;
-use crate::way::Way;
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
@@ -25,21 +25,21 @@
 use tokio::sync::Semaphore;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Requests that a backend runs at once.
+/// The number of requests that a backend executes concurrently.
 const SLOTS: usize = 6;
-/// Patience for an answer to a heartbeat.
-const HEARTBEAT_PATIENCE: Duration = Duration::from_secs(1);
-/// A draining backend serves on for so long after it was acknowledged.
-const SERVES_ON: Duration = Duration::from_millis(2_200);
-/// The longest that a backend waits for its end to be acknowledged.
-const END_PATIENCE: Duration = Duration::from_secs(12);
-/// Names how long a request works, and how many events its answer has.
+/// The time-out of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a draining backend serves after the acknowledgement.
+const DRAIN_TIME: Duration = Duration::from_millis(2_200);
+/// The time-out of draining and deregistration.
+const END_TIMEOUT: Duration = Duration::from_secs(12);
+/// The header with the duration of the work in milliseconds and the number of events.
 pub const WORK_HEADER: &str = "x-soak-work";
 
 type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// What all incarnations of all backends share.
-pub struct Surroundings {
+/// What all backends of a run share.
+pub struct Environment {
     /// The run's clock.
     pub clock: Clock,
     /// Where runs are recorded.
@@ -50,13 +50,13 @@
     pub client: reqwest::Client,
     /// Where backends listen.
     pub address: Ipv4Addr,
-    /// The newest version of the weights that was named, with which a new backend starts.
+    /// The newest acknowledged version of the weights, with which a new backend starts.
     pub newest_weights: AtomicU64,
     next: AtomicU64,
 }
 
-impl Surroundings {
-    /// Before any backend has started.
+impl Environment {
+    /// The environment before any backend has started.
     pub fn new(
         clock: Clock,
         recorder: Arc<Recorder>,
@@ -65,7 +65,7 @@
         address: Ipv4Addr,
     ) -> Arc<Self> {
         let (newest_weights, next) = (AtomicU64::new(1), AtomicU64::new(1));
-        Arc::new(Surroundings {
+        Arc::new(Environment {
             clock,
             recorder,
             control,
@@ -80,21 +80,21 @@
 /// One incarnation of a backend.
 pub struct Backend {
     state: Arc<State>,
-    way: Way,
-    serving: JoinHandle<()>,
-    beating: JoinHandle<()>,
+    link: Link,
+    server: JoinHandle<()>,
+    heartbeats: JoinHandle<()>,
 }
 
 struct State {
     number: u64,
     address: SocketAddrV4,
-    around: Arc<Surroundings>,
+    environment: Arc<Environment>,
     version: AtomicU64,
     is_loading: AtomicBool,
     is_hanging: AtomicBool,
     has_crashed: AtomicBool,
     is_draining: AtomicBool,
-    highest_fence: Mutex<u64>,
+    highest_fencing_token: Mutex<u64>,
     orders: AtomicU64,
     sequence: AtomicU64,
     slots: Semaphore,
@@ -102,38 +102,38 @@
 
 impl Backend {
     /// Starts an incarnation with the newest weights.
-    pub async fn start(around: Arc<Surroundings>) -> std::io::Result<Self> {
-        let listener = TcpListener::bind((around.address, 0)).await?;
-        let way = Way::to(SocketAddrV4::new(
-            around.address,
+    pub async fn start(environment: Arc<Environment>) -> std::io::Result<Self> {
+        let listener = TcpListener::bind((environment.address, 0)).await?;
+        let link = Link::to(SocketAddrV4::new(
+            environment.address,
             listener.local_addr()?.port(),
         ))
         .await?;
-        let address = way.address;
+        let address = link.address;
         let state = Arc::new(State {
-            number: around.next.fetch_add(1, Ordering::Relaxed),
+            number: environment.next.fetch_add(1, Ordering::Relaxed),
             address,
-            version: AtomicU64::new(around.newest_weights.load(Ordering::Relaxed)),
-            around,
+            version: AtomicU64::new(environment.newest_weights.load(Ordering::Relaxed)),
+            environment,
             is_loading: AtomicBool::new(false),
             is_hanging: AtomicBool::new(false),
             has_crashed: AtomicBool::new(false),
             is_draining: AtomicBool::new(false),
-            highest_fence: Mutex::new(0),
+            highest_fencing_token: Mutex::new(0),
             orders: AtomicU64::new(0),
             sequence: AtomicU64::new(0),
             slots: Semaphore::new(SLOTS),
         });
-        state.note(Stage::Started {
+        state.record(BackendState::Started {
             version: state.version.load(Ordering::Relaxed),
         });
-        let serving = tokio::spawn(serve(listener, state.clone()));
-        let beating = tokio::spawn(beat(state.clone()));
+        let server = tokio::spawn(serve(listener, state.clone()));
+        let heartbeats = tokio::spawn(send_heartbeats(state.clone()));
         Ok(Backend {
             state,
-            way,
-            serving,
-            beating,
+            link,
+            server,
+            heartbeats,
         })
     }
 
@@ -142,50 +142,53 @@
         self.state.version.load(Ordering::Relaxed)
     }
 
-    /// It takes connections and answers nothing, or goes on.
-    pub fn hang(&self, hangs: bool) {
+    /// Accepts connections without responding, or responds again.
+    pub fn set_hanging(&self, hangs: bool) {
         self.state.is_hanging.store(hangs, Ordering::Relaxed);
-        self.state.note(if hangs {
-            Stage::Hanging
+        self.state.record(if hangs {
+            BackendState::Unresponsive
         } else {
-            Stage::Answering
+            BackendState::Responding
         });
     }
 
-    /// The way to it is cut, or heals.
-    pub fn cut(&self, is_cut: bool) {
-        self.way.cut(is_cut);
-        self.state
-            .note(if is_cut { Stage::Cut } else { Stage::Healed });
+    /// Starts or ends a partition of the link to it.
+    pub fn set_partitioned(&self, is_partitioned: bool) {
+        self.link.set_partitioned(is_partitioned);
+        self.state.record(if is_partitioned {
+            BackendState::Partitioned
+        } else {
+            BackendState::Reachable
+        });
     }
 
-    /// It ends at once, with everything that it does.
+    /// Stops at once, with all requests in flight.
     pub fn crash(self) {
         self.state.has_crashed.store(true, Ordering::Relaxed);
-        self.state.note(Stage::Leaving);
+        self.state.record(BackendState::Stopping);
     }
 
-    /// It leaves in order: says so, serves on for a while, and ends.
-    pub async fn leave(self) {
+    /// Shuts down gracefully: reports that it is draining, serves for a while, and deregisters.
+    pub async fn drain(self) {
         self.state.is_draining.store(true, Ordering::Relaxed);
-        self.state.note(Stage::Leaving);
+        self.state.record(BackendState::Stopping);
         let acknowledged = async {
             while !self.state.call("heartbeat").await {}
-            tokio::time::sleep(SERVES_ON).await;
+            tokio::time::sleep(DRAIN_TIME).await;
             while !self.state.call("deregister").await {}
         };
-        // Without an acknowledgement it ends all the same.
-        let _ = tokio::time::timeout(END_PATIENCE, acknowledged).await;
+        // Without an acknowledgement it stops all the same.
+        let _ = tokio::time::timeout(END_TIMEOUT, acknowledged).await;
         self.crash();
     }
 }
 
-/// What a backend does ends with it: else it would go on sending heartbeats to the routers of the
+/// The tasks of a backend end with it: otherwise they would send heartbeats to the routers of the
 /// next run.
 impl Drop for Backend {
     fn drop(&mut self) {
-        self.serving.abort();
-        self.beating.abort();
+        self.server.abort();
+        self.heartbeats.abort();
     }
 }
 
@@ -209,7 +212,7 @@
         .await;
 }
 
-async fn beat(state: Arc<State>) {
+async fn send_heartbeats(state: Arc<State>) {
     loop {
         if !state.is_draining.load(Ordering::Relaxed) && !state.is_hanging.load(Ordering::Relaxed) {
             state.call("heartbeat").await;
@@ -233,13 +236,17 @@
         }
     }
 
-    fn note(&self, stage: Stage) {
-        let at = self.around.clock.now();
-        self.around.recorder.open().backends.push(Staged {
-            backend: self.number,
-            at,
-            stage,
-        });
+    fn record(&self, state: BackendState) {
+        let at = self.environment.clock.now();
+        self.environment
+            .recorder
+            .open()
+            .backends
+            .push(BackendEvent {
+                backend: self.number,
+                at,
+                state,
+            });
     }
 
     async fn hang(&self) {
@@ -248,13 +255,13 @@
         }
     }
 
-    /// Whether a call is meant for another incarnation.
+    /// Whether a request is meant for another incarnation.
     fn is_misdirected(&self, request: &Request<Incoming>) -> bool {
         let expected = request.headers().get("x-expect-instance");
         expected.is_some_and(|expected| expected.as_bytes() != self.id().as_bytes())
     }
 
-    /// Says something of itself to the routers, one after the other. Whether it was acknowledged.
+    /// Sends its state to the routers, one after the other, until one acknowledges it.
     async fn call(&self, what: &str) -> bool {
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
         let state = if self.is_draining.load(Ordering::Relaxed) {
@@ -267,7 +274,7 @@
             "slots": SLOTS, "state": state, "coldRemainingMs": 0, "sequence": sequence, "stage": "both",
             "models": [{"name": "m", "version": self.version.load(Ordering::Relaxed), "adapters": []}],
         });
-        let control = &self.around.control;
+        let control = &self.environment.control;
         let first = fastrand::usize(..control.len());
         for address in control
             .iter()
@@ -277,11 +284,11 @@
         {
             let url = format!("http://{address}/v1/instances/{}/{what}", self.id());
             let call = self
-                .around
+                .environment
                 .client
                 .post(url)
                 .body(body.to_string())
-                .timeout(HEARTBEAT_PATIENCE);
+                .timeout(HEARTBEAT_TIMEOUT);
             if call
                 .send()
                 .await
--- a/soak/src/backend/orders.rs
+++ b/soak/src/backend/orders.rs
@@ -1,7 +1,7 @@
-//! Taking orders for new weights, and reporting of them.
+//! Orders to load weights, and the report on them.
 
 use super::{Body, State, answer};
-use crate::history::{OrderSeen, Stage};
+use crate::history::{BackendState, ReceivedOrder};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -10,12 +10,12 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
-/// How long new weights take.
+/// How long loading weights takes.
 const LOAD: Duration = Duration::from_millis(290);
 
 impl State {
-    /// Takes an order as the published protocol says: also one for an older version, unless it
-    /// expects another state of this backend.
+    /// Accepts an order by the published protocol: also one for an older version, unless it expects
+    /// another state of this backend.
     pub(super) async fn take_order(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         self.hang().await;
         if self.is_misdirected(&request) {
@@ -25,30 +25,30 @@
             return answer(400, Bytes::new());
         };
         let order: serde_json::Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
-        let (Some(holder), Some(fence), Some(version)) = (
+        let (Some(holder), Some(fencing_token), Some(version)) = (
             order["holder"].as_str(),
             order["fenceToken"].as_u64(),
             order["version"].as_u64(),
         ) else {
             return answer(400, Bytes::new());
         };
-        let at = self.around.clock.now();
-        let seen = OrderSeen {
+        let at = self.environment.clock.now();
+        let seen = ReceivedOrder {
             backend: self.number,
             at,
             holder: holder.to_owned(),
-            fence,
+            fencing_token,
         };
-        self.around.recorder.open().orders.push(seen);
+        self.environment.recorder.open().orders.push(seen);
         {
             let mut highest = self
-                .highest_fence
+                .highest_fencing_token
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            if fence < *highest {
+            if fencing_token < *highest {
                 return answer(412, Bytes::new());
             }
-            *highest = fence;
+            *highest = fencing_token;
         }
         let expected = order["ifRevision"].as_u64();
         if expected.is_some_and(|expected| expected != self.orders.load(Ordering::Relaxed)) {
@@ -66,7 +66,7 @@
         tokio::spawn(async move {
             tokio::time::sleep(LOAD).await;
             state.version.store(version, Ordering::Relaxed);
-            state.note(Stage::Loaded { version });
+            state.record(BackendState::Loaded { version });
             state.is_loading.store(false, Ordering::Relaxed);
         });
         answer(202, Bytes::new())
--- a/soak/src/backend/running.rs
+++ b/soak/src/backend/running.rs
@@ -1,4 +1,4 @@
-//! Running requests, each with a record.
+//! Executes requests and records each execution.
 
 use super::{Body, SLOTS, State, WORK_HEADER, answer};
 use crate::history::Run;
@@ -12,10 +12,10 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The pause between two events of a stream.
+/// The time between two events of a stream.
 const EVENT_GAP: Duration = Duration::from_millis(15);
 
-/// A run that is recorded; it ends when this is dropped.
+/// A recorded execution; it ends when this is dropped.
 struct Running {
     state: Arc<State>,
     at: usize,
@@ -27,12 +27,12 @@
             request,
             backend: state.number,
             version: 0,
-            arrived_at: state.around.clock.now(),
+            arrived_at: state.environment.clock.now(),
             begun_at: None,
             ended_at: None,
             broke_off: false,
         };
-        let mut history = state.around.recorder.open();
+        let mut history = state.environment.recorder.open();
         history.runs.push(run);
         Running {
             state: state.clone(),
@@ -41,23 +41,23 @@
     }
 
     fn begin(&self, version: u64) {
-        let now = self.state.around.clock.now();
-        let run = &mut self.state.around.recorder.open().runs[self.at];
+        let now = self.state.environment.clock.now();
+        let run = &mut self.state.environment.recorder.open().runs[self.at];
         (run.version, run.begun_at) = (version, Some(now));
     }
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        let now = self.state.around.clock.now();
-        let run = &mut self.state.around.recorder.open().runs[self.at];
+        let now = self.state.environment.clock.now();
+        let run = &mut self.state.environment.recorder.open().runs[self.at];
         run.ended_at = Some(now);
         run.broke_off = self.state.has_crashed.load(Ordering::Relaxed);
     }
 }
 
-/// What a request's headers ask of a stand-in.
-struct Asked {
+/// What the headers of a request ask for.
+struct RequestHeaders {
     request: u64,
     work_ms: u64,
     events: u64,
@@ -65,7 +65,7 @@
     last_event: u64,
 }
 
-impl Asked {
+impl RequestHeaders {
     fn read(request: &Request<Incoming>) -> Option<Self> {
         let text = |name: &str| {
             request
@@ -74,7 +74,7 @@
                 .and_then(|value| value.to_str().ok())
         };
         let (work_ms, events) = text(WORK_HEADER)?.split_once(',')?;
-        Some(Asked {
+        Some(RequestHeaders {
             request: u64::from_str_radix(text("x-request-id")?, 16).ok()?,
             work_ms: work_ms.parse().ok()?,
             events: events.parse().ok()?,
@@ -88,19 +88,19 @@
 
 impl State {
     pub(super) async fn run(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let Some(asked) = Asked::read(&request) else {
+        let Some(headers) = RequestHeaders::read(&request) else {
             return answer(400, Bytes::new());
         };
         if self.is_misdirected(&request) {
             return answer(421, Bytes::new());
         }
-        let running = Running::arrive(&self, asked.request);
+        let running = Running::arrive(&self, headers.request);
         self.hang().await;
         let Ok(_slot) = self.slots.acquire().await else {
             return answer(503, Bytes::new());
         };
         let version = self.version.load(Ordering::Relaxed);
-        if asked
+        if headers
             .expected_version
             .is_some_and(|expected| expected != version)
         {
@@ -114,17 +114,17 @@
             return response;
         }
         running.begin(version);
-        tokio::time::sleep(Duration::from_millis(asked.work_ms)).await;
-        self.word(asked, version, running)
+        tokio::time::sleep(Duration::from_millis(headers.work_ms)).await;
+        self.respond(headers, version, running)
     }
 
-    fn word(&self, asked: Asked, version: u64, running: Running) -> Response<Body> {
-        let id = asked.request;
-        let mut response = if asked.events == 0 {
+    fn respond(&self, headers: RequestHeaders, version: u64, running: Running) -> Response<Body> {
+        let id = headers.request;
+        let mut response = if headers.events == 0 {
             answer(200, format!("done {id:016x}").into())
         } else {
             let mut response =
-                Response::new(events(id, asked.last_event + 1, asked.events, running));
+                Response::new(events(id, headers.last_event + 1, headers.events, running));
             let kind = hyper::header::HeaderValue::from_static("text/event-stream");
             response.headers_mut().insert("content-type", kind);
             response
@@ -145,7 +145,7 @@
     }
 }
 
-/// The events of a stream from one number to another. The run lasts as long as somebody reads them.
+/// The events of a stream from one number to another. The execution ends when the stream is dropped.
 fn events(id: u64, first: u64, last: u64, running: Running) -> Body {
     let events = stream::unfold((first, running), move |(number, running)| async move {
         if number > last {
--- a/soak/src/check.rs
+++ b/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! Holds what was seen against the rules.
+//! Checks a history against the rules.
 
 mod configurations;
 mod processes;
@@ -6,24 +6,24 @@
 mod weights;
 
 use crate::clock::Millis;
-use crate::history::{Blow, Change, Changed, History, Reply, Request, Struck};
+use crate::history::{Change, ChangeRecord, History, ProcessEvent, Reply, Request, RouterEvent};
 use crate::settings::CONTACT_MS;
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// What scheduling of processes on a busy machine may add to a bound.
+/// What the scheduler of a busy machine may add to a bound.
 const SLACK_MS: Millis = 400;
-/// Of the last requests so many in a hundred have to be served.
+/// The percentage of requests that have to be served after the recovery.
 const SERVED_PERCENT: u32 = 95;
 
-/// A rule that was broken.
+/// A violated rule.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Violation {
     /// The rule.
     pub rule: &'static str,
-    /// When it was seen.
+    /// When it was observed.
     pub at: Millis,
-    /// What was seen.
+    /// What was observed.
     pub what: String,
 }
 
@@ -33,14 +33,14 @@
     }
 }
 
-/// Everything that breaks a rule.
+/// All violations, by time.
 pub fn violations(history: &History) -> Vec<Violation> {
     let checks = [
         requests::answers,
         requests::runs,
-        requests::promises,
+        requests::refusals,
         requests::lost,
-        requests::abandoned,
+        requests::cancelled,
         weights::old_weights,
         weights::left_behind,
         weights::gone_back,
@@ -50,40 +50,42 @@
         weights::holders,
         weights::turns,
         processes::processes,
-        ending,
+        recovery,
     ];
     let mut found: Vec<Violation> = checks.iter().flat_map(|check| check(history)).collect();
     found.sort_by_key(|violation| violation.at);
     found
 }
 
-/// Whether nothing happened to any of some routers from some time before a span to its end.
+/// Whether these routers had no fault in a span, nor within [`CONTACT_MS`] before it.
 fn are_calm(history: &History, routers: impl Fn(usize) -> bool, from: Millis, to: Millis) -> bool {
     let from = from.saturating_sub(CONTACT_MS);
-    let disturbs = |struck: &&Struck| {
-        routers(struck.router) && struck.blow != Blow::HungUp && (from..=to).contains(&struck.at)
+    let disturbs = |event: &&RouterEvent| {
+        routers(event.router)
+            && event.event != ProcessEvent::Reloaded
+            && (from..=to).contains(&event.at)
     };
-    history.struck.iter().find(disturbs).is_none() && !is_stopped(history, routers, from)
+    history.router_events.iter().find(disturbs).is_none() && !is_stopped(history, routers, from)
 }
 
-/// Whether any of some routers stands still at a moment.
+/// Whether any of these routers is suspended at a time.
 fn is_stopped(history: &History, routers: impl Fn(usize) -> bool, at: Millis) -> bool {
     let mut stopped = BTreeSet::new();
-    for struck in history
-        .struck
+    for event in history
+        .router_events
         .iter()
-        .filter(|struck| routers(struck.router) && struck.at <= at)
+        .filter(|event| routers(event.router) && event.at <= at)
     {
-        match struck.blow {
-            Blow::Stopped => stopped.insert(struck.router),
-            Blow::Continued | Blow::Ended(_) => stopped.remove(&struck.router),
+        match event.event {
+            ProcessEvent::Suspended => stopped.insert(event.router),
+            ProcessEvent::Resumed | ProcessEvent::Exited(_) => stopped.remove(&event.router),
             _ => false,
         };
     }
     !stopped.is_empty()
 }
 
-/// Whether the routers with the control state and this one had no trouble.
+/// Whether this router was in contact with the replicas of the control state: none had a fault.
 fn in_touch(history: &History, router: usize, from: Millis, to: Millis) -> bool {
     are_calm(
         history,
@@ -93,15 +95,17 @@
     )
 }
 
-/// Whether a router's process was killed, stood still or came to the end of its grace period in a
-/// span.
-fn was_struck_hard(history: &History, router: usize, from: Millis, to: Millis) -> bool {
-    let hard = |struck: &&Struck| {
-        struck.router == router
-            && matches!(struck.blow, Blow::Killed | Blow::Stopped | Blow::Continued)
-            && (from..=to).contains(&struck.at)
+/// Whether a router's process was killed or suspended in a span.
+fn was_interrupted(history: &History, router: usize, from: Millis, to: Millis) -> bool {
+    let hard = |event: &&RouterEvent| {
+        event.router == router
+            && matches!(
+                event.event,
+                ProcessEvent::Killed | ProcessEvent::Suspended | ProcessEvent::Resumed
+            )
+            && (from..=to).contains(&event.at)
     };
-    history.struck.iter().any(|struck| hard(&struck))
+    history.router_events.iter().any(|event| hard(&event))
         || is_stopped(history, |number| number == router, from)
 }
 
@@ -113,15 +117,15 @@
     Violation { rule, at, what }
 }
 
-fn acknowledged(history: &History) -> impl Iterator<Item = &Changed> {
+fn acknowledged(history: &History) -> impl Iterator<Item = &ChangeRecord> {
     history
         .changes
         .iter()
         .filter(|changed| changed.reply == Reply::Acknowledged)
 }
 
-/// Once trouble is over everything acknowledged is there, and clients are served.
-fn ending(history: &History) -> Vec<Violation> {
+/// After the recovery everything acknowledged is there, and clients are served.
+fn recovery(history: &History) -> Vec<Violation> {
     let at = history
         .requests
         .iter()
--- a/soak/src/check/configurations.rs
+++ b/soak/src/check/configurations.rs
@@ -1,9 +1,9 @@
-//! What concerns configurations: they are in force in time, none goes back, and of two on one
-//! version one wins.
+//! Rules on configurations: they are in force in time, versions are monotonic, and of two changes
+//! on top of one version one succeeds.
 
 use super::{SLACK_MS, Violation, acknowledged, in_touch};
 use crate::clock::Millis;
-use crate::history::{Blow, Change, History};
+use crate::history::{Change, History, ProcessEvent};
 use crate::settings::CONFIG_APPLY_MS;
 use std::collections::BTreeMap;
 
@@ -16,11 +16,11 @@
     })
 }
 
-/// A router in touch has every configuration in force soon after its acknowledgement.
+/// A router in contact has a configuration in force soon after its acknowledgement.
 pub(super) fn in_force(history: &History) -> Vec<Violation> {
     let acks: Vec<(u64, Millis)> = acknowledged_configurations(history).collect();
     let mut found = Vec::new();
-    for seen in &history.seen {
+    for seen in &history.statuses {
         let is_due = |(version, at): &&(u64, Millis)| {
             *version > seen.configuration
                 && seen.asked_at > *at + CONFIG_APPLY_MS + SLACK_MS
@@ -43,17 +43,17 @@
     found
 }
 
-/// Within one life of a process its configuration never gets older.
+/// Within one incarnation of a process its version of the configuration is monotonic.
 pub(super) fn gone_back(history: &History) -> Vec<Violation> {
     let mut newest: BTreeMap<usize, (u64, Millis)> = BTreeMap::new();
     let mut found = Vec::new();
-    for seen in &history.seen {
-        let started = history.struck.iter().filter(|struck| {
-            struck.router == seen.router
-                && struck.blow == Blow::Started
-                && struck.at <= seen.answered_at
+    for seen in &history.statuses {
+        let started = history.router_events.iter().filter(|event| {
+            event.router == seen.router
+                && event.event == ProcessEvent::Started
+                && event.at <= seen.answered_at
         });
-        let life = started.map(|struck| struck.at).max().unwrap_or(0);
+        let life = started.map(|event| event.at).max().unwrap_or(0);
         let before = newest.entry(seen.router).or_default();
         if before.1 < life {
             *before = (0, 0);
--- a/soak/src/check/processes.rs
+++ b/soak/src/check/processes.rs
@@ -1,92 +1,89 @@
-//! What concerns processes: they end when they are told to, in order and in time.
+//! Rules on processes: they shut down gracefully and in time when they are terminated.
 
 use super::Violation;
 use crate::clock::Millis;
-use crate::history::{Blow, Ending, History, Struck};
+use crate::history::{Exit, History, ProcessEvent, RouterEvent};
 use crate::settings::GRACE_MS;
 use std::collections::BTreeMap;
 
-/// A process that has run for less may not have taken its signals yet.
+/// A process that has run for less may not have installed its signal handlers yet.
 const START_MS: Millis = 60;
 
-/// Processes end when they are told to, in order and in time, and not by themselves.
+/// Processes exit when they are terminated, with success and in time, and not by themselves.
 pub(super) fn processes(history: &History) -> Vec<Violation> {
-    let mut told: BTreeMap<usize, Option<Struck>> = BTreeMap::new();
-    let mut lives: BTreeMap<usize, Life> = BTreeMap::new();
+    let mut told: BTreeMap<usize, Option<RouterEvent>> = BTreeMap::new();
+    let mut uptimes: BTreeMap<usize, Uptime> = BTreeMap::new();
     let mut found = Vec::new();
-    for struck in &history.struck {
-        let last = told.entry(struck.router).or_default();
-        let life = lives.entry(struck.router).or_default();
+    for event in &history.router_events {
+        let last = told.entry(event.router).or_default();
+        let life = uptimes.entry(event.router).or_default();
         let mut complain = |what: String| {
             found.push(Violation {
                 rule: "FAULT",
-                at: struck.at,
+                at: event.at,
                 what,
             })
         };
-        match struck.blow {
-            Blow::Started => {
+        match event.event {
+            ProcessEvent::Started => {
                 *last = None;
-                *life = Life {
-                    started: Some(struck.at),
-                    ..Life::default()
+                *life = Uptime {
+                    started: Some(event.at),
+                    ..Uptime::default()
                 };
             }
-            Blow::Terminated => *last = last.or(Some(*struck)),
-            Blow::Killed => {
+            ProcessEvent::Terminated => *last = last.or(Some(*event)),
+            ProcessEvent::Killed => {
                 let grace_is_over = last.is_some_and(|last| {
-                    last.blow == Blow::Terminated && struck.at >= last.at + GRACE_MS
+                    last.event == ProcessEvent::Terminated && event.at >= last.at + GRACE_MS
                 });
-                if grace_is_over && !life.stood_still() {
+                if grace_is_over && !life.was_suspended() {
                     complain(format!(
                         "router {} was still there at the end of its grace period",
-                        struck.router
+                        event.router
                     ));
                 }
-                *last = Some(*struck);
+                *last = Some(*event);
             }
-            Blow::Stopped => life.stopped = life.stopped.or(Some(struck.at)),
-            Blow::Continued => life.go_on(struck.at),
-            Blow::Ended(_) if life.ran(struck.at).is_some_and(|ran| ran < START_MS) => {}
-            Blow::Ended(ending) => match last {
-                None => complain(format!(
-                    "router {} ended by itself: {ending:?}",
-                    struck.router
-                )),
-                Some(last) if last.blow == Blow::Terminated && ending != Ending::InOrder => {
-                    let ran = life.ran(struck.at).unwrap_or(0);
+            ProcessEvent::Suspended => life.stopped = life.stopped.or(Some(event.at)),
+            ProcessEvent::Resumed => life.resume(event.at),
+            ProcessEvent::Exited(_) if life.ran(event.at).is_some_and(|ran| ran < START_MS) => {}
+            ProcessEvent::Exited(exit) => match last {
+                None => complain(format!("router {} ended by itself: {exit:?}", event.router)),
+                Some(last) if last.event == ProcessEvent::Terminated && exit != Exit::Success => {
+                    let ran = life.ran(event.at).unwrap_or(0);
                     complain(format!(
-                        "router {} was told to end, and failed after it had run for {ran} ms: {ending:?}",
-                        struck.router
+                        "router {} was told to end, and failed after it had run for {ran} ms: {exit:?}",
+                        event.router
                     ));
                 }
                 Some(_) => {}
             },
-            Blow::HungUp => {}
+            ProcessEvent::Reloaded => {}
         }
     }
     found
 }
 
-/// How long a process has run. One that was stopped right after its start takes no signals until it
-/// goes on.
+/// How long a process has run. One that was suspended right after its start handles no signals until
+/// it is resumed.
 #[derive(Debug, Clone, Copy, Default)]
-struct Life {
+struct Uptime {
     started: Option<Millis>,
     stopped: Option<Millis>,
     still: Millis,
 }
 
-impl Life {
-    fn stood_still(&self) -> bool {
+impl Uptime {
+    fn was_suspended(&self) -> bool {
         self.stopped.is_some() || self.still > 0
     }
 
-    fn go_on(&mut self, now: Millis) {
+    fn resume(&mut self, now: Millis) {
         self.still += self.stopped.take().map_or(0, |stopped| now - stopped);
     }
 
-    /// How long it has run; none where its start was not seen.
+    /// How long it has run; `None` if its start is not in the history.
     fn ran(&self, now: Millis) -> Option<Millis> {
         let still = self.still + self.stopped.map_or(0, |stopped| now - stopped);
         self.started
--- a/soak/src/check/requests.rs
+++ b/soak/src/check/requests.rs
@@ -1,19 +1,19 @@
-//! What concerns requests: answers are a backend's own and whole, nothing runs that must not, and
-//! nothing is lost or worked on in vain.
+//! Rules on requests: responses are complete and from a backend, no request is executed that must
+//! not be, none is lost, and cancelled ones stop.
 
-use super::{SLACK_MS, Violation, violation, was_struck_hard};
+use super::{SLACK_MS, Violation, violation, was_interrupted};
 use crate::clock::Millis;
-use crate::history::{History, Kind, Outcome, Request, Run, Stage};
+use crate::history::{BackendState, History, Kind, Outcome, Request, Run};
 use crate::settings::ROUTE_TIMEOUT_MS;
 use std::collections::HashMap;
 
-/// Backends may work on for so long for a client that has left.
-const GONE_MS: Millis = 500;
-/// More work than a few requests' for clients that have left breaks the rule.
-const MOST_GONE: usize = 3;
-/// A router ends an answer so long before the time of its route is over, at the most.
+/// How long a backend may work on a cancelled request.
+const CANCEL_MS: Millis = 500;
+/// The number of cancelled requests that may be worked on for longer.
+const TOLERATED_CANCELLED_RUNS: usize = 3;
+/// How long before the time-out of its route a router may end a response.
 const TIME_OUT_MARGIN_MS: Millis = 50;
-/// A connection that ends without an answer has to do so soon after its request.
+/// How long after its request a connection may end without a response.
 const UNANSWERED_MS: Millis = 200;
 
 fn runs_by_request(history: &History) -> HashMap<u64, Vec<&Run>> {
@@ -30,7 +30,7 @@
         .requests
         .iter()
         .filter_map(|request| match request.outcome {
-            Outcome::Spoiled(how) => Some(violation("MIXED", request.ended_at, request, how)),
+            Outcome::Corrupted(how) => Some(violation("MIXED", request.ended_at, request, how)),
             _ => None,
         });
     spoiled.collect()
@@ -45,7 +45,7 @@
     let mut found = Vec::new();
     for (id, runs) in runs_by_request(history) {
         let begun: Vec<&&Run> = runs.iter().filter(|run| run.begun_at.is_some()).collect();
-        // What was under way at the end of the run is not recorded by its client.
+        // A request in flight at the end of the run is not recorded by its client.
         let Some(request) = requests.get(&id) else {
             continue;
         };
@@ -65,19 +65,19 @@
     found
 }
 
-/// 503 and its like promise that the request has not run and will not.
-pub(super) fn promises(history: &History) -> Vec<Violation> {
+/// Statuses like 503 promise that the request was not executed and will not be.
+pub(super) fn refusals(history: &History) -> Vec<Violation> {
     let runs = runs_by_request(history);
-    let is_promise = |outcome| matches!(outcome, Outcome::Status(408 | 421 | 429 | 503));
-    let promised = history
+    let is_refusal = |outcome| matches!(outcome, Outcome::Status(408 | 421 | 429 | 503));
+    let refused = history
         .requests
         .iter()
-        .filter(|request| request.kind == Kind::Unsafe && is_promise(request.outcome));
+        .filter(|request| request.kind == Kind::Unsafe && is_refusal(request.outcome));
     let has_run = |request: &&Request| {
         runs.get(&request.id)
             .is_some_and(|runs| runs.iter().any(|run| run.begun_at.is_some()))
     };
-    promised
+    refused
         .filter(has_run)
         .map(|request| {
             violation(
@@ -95,16 +95,16 @@
     let runs = runs_by_request(history);
     let mut found = Vec::new();
     for request in &history.requests {
-        if !matches!(request.outcome, Outcome::NoAnswer | Outcome::BrokenOff)
-            || was_struck_hard(history, request.router, request.sent_at, request.ended_at)
+        if !matches!(request.outcome, Outcome::NoResponse | Outcome::Truncated)
+            || was_interrupted(history, request.router, request.sent_at, request.ended_at)
         {
             continue;
         }
         let runs = runs.get(&request.id).map_or(&[][..], Vec::as_slice);
-        // A cut way holds the answer up until the time of the route is over, or its backend is
-        // gone.
+        // A partition holds the response back until the time-out of the route, or until its
+        // backend is gone.
         let was_out_of_reach =
-            |run: &&Run| was_cut(history, run.backend, request.sent_at, request.ended_at);
+            |run: &&Run| was_partitioned(history, run.backend, request.sent_at, request.ended_at);
         let took = request.ended_at - request.sent_at;
         let is_over = took + TIME_OUT_MARGIN_MS >= ROUTE_TIMEOUT_MS;
         if is_over
@@ -127,21 +127,21 @@
     found
 }
 
-/// Backends stop working for clients that have left.
-pub(super) fn abandoned(history: &History) -> Vec<Violation> {
+/// Backends stop working on cancelled requests.
+pub(super) fn cancelled(history: &History) -> Vec<Violation> {
     let runs = runs_by_request(history);
     let mut found = Vec::new();
     for request in history
         .requests
         .iter()
-        .filter(|request| request.outcome == Outcome::Left)
+        .filter(|request| request.outcome == Outcome::Cancelled)
     {
-        let until = request.ended_at + GONE_MS + SLACK_MS;
-        if was_struck_hard(history, request.router, request.sent_at, until) {
+        let until = request.ended_at + CANCEL_MS + SLACK_MS;
+        if was_interrupted(history, request.router, request.sent_at, until) {
             continue;
         }
-        // An end that the way to the backend holds up is not known there.
-        let is_known = |run: &Run| !was_cut(history, run.backend, request.sent_at, until);
+        // During a partition the backend does not learn of the cancellation.
+        let is_known = |run: &Run| !was_partitioned(history, run.backend, request.sent_at, until);
         let works_on = |run: &&&Run| {
             run.arrived_at > until
                 || is_known(run) && run.ended_at.is_none_or(|ended| ended > until)
@@ -157,27 +157,27 @@
             found.push(violation("GONE", until, request, &what));
         }
     }
-    if found.len() > MOST_GONE {
+    if found.len() > TOLERATED_CANCELLED_RUNS {
         found
     } else {
         Vec::new()
     }
 }
 
-/// Whether the way to a backend was cut at some moment of a span.
-fn was_cut(history: &History, backend: u64, from: Millis, to: Millis) -> bool {
-    let mut cut_since = None;
-    for staged in history
+/// Whether the link to a backend was partitioned at some time of a span.
+fn was_partitioned(history: &History, backend: u64, from: Millis, to: Millis) -> bool {
+    let mut since = None;
+    for event in history
         .backends
         .iter()
-        .filter(|staged| staged.backend == backend && staged.at <= to)
+        .filter(|event| event.backend == backend && event.at <= to)
     {
-        match staged.stage {
-            Stage::Cut => cut_since = cut_since.or(Some(staged.at)),
-            Stage::Healed if staged.at >= from && cut_since.is_some() => return true,
-            Stage::Healed => cut_since = None,
+        match event.state {
+            BackendState::Partitioned => since = since.or(Some(event.at)),
+            BackendState::Reachable if event.at >= from && since.is_some() => return true,
+            BackendState::Reachable => since = None,
             _ => {}
         }
     }
-    cut_since.is_some()
+    since.is_some()
 }
--- a/soak/src/check/weights.rs
+++ b/soak/src/check/weights.rs
@@ -1,21 +1,23 @@
-//! What concerns weights: no request begins on old ones, no backend is left behind, and orders come
-//! from one router at a time.
+//! Rules on weights: no request is executed on outdated ones, every backend is updated, and only one
+//! router sends orders at a time.
 
 use super::{SLACK_MS, Violation, acknowledged, in_touch, violation};
 use crate::clock::Millis;
-use crate::history::{Blow, Change, Changed, History, OrderSeen, Request, Stage};
+use crate::history::{
+    BackendState, Change, ChangeRecord, History, ProcessEvent, ReceivedOrder, Request,
+};
 use crate::settings::{CONTACT_MS, LEASE_MS, VERSION_MS};
 use std::collections::{BTreeMap, HashMap};
 
-/// Calm times that are shorter don't count.
-const SHORTEST_CALM_MS: Millis = 2_000;
-/// A backend has newer weights after so much calm time altogether.
-const BEHIND_MS: Millis = VERSION_MS * 3 / 2;
-/// Orders so soon after their sender stood still, or the way to their backend was cut, may have
-/// been on their way before.
-const THAW_MS: Millis = 300;
+/// Shorter stretches without faults do not count.
+const MIN_CALM_MS: Millis = 2_000;
+/// The total time without faults after which a backend must have newer weights.
+const DEPLOYMENT_MS: Millis = VERSION_MS * 3 / 2;
+/// Orders so soon after their sender was suspended, or the link to their backend partitioned, may
+/// have been in flight before.
+const IN_FLIGHT_MS: Millis = 300;
 
-/// No request begins on weights that have been replaced for too long.
+/// No request begins on weights that were replaced too long ago.
 pub(super) fn old_weights(history: &History) -> Vec<Violation> {
     let requests: HashMap<u64, &Request> = history
         .requests
@@ -27,7 +29,7 @@
         let (Some(begun), Some(request)) = (run.begun_at, requests.get(&run.request)) else {
             continue;
         };
-        let is_too_old = |changed: &&Changed| match changed.change {
+        let is_too_old = |changed: &&ChangeRecord| match changed.change {
             Change::Weights(version) => {
                 version > run.version
                     && begun > changed.answered_at + VERSION_MS + SLACK_MS
@@ -48,10 +50,10 @@
     found
 }
 
-/// From when to when.
+/// A span of time, from begin to end.
 type Span = (Millis, Millis);
 
-/// Versions of weights with the moments at which they were acknowledged.
+/// The versions of weights with the times of their acknowledgement.
 fn named(history: &History) -> impl Iterator<Item = (u64, Millis)> {
     acknowledged(history).filter_map(|changed| match changed.change {
         Change::Weights(version) => Some((version, changed.answered_at)),
@@ -59,23 +61,23 @@
     })
 }
 
-/// When routers with the control state had trouble, or had had some a moment before.
-fn troubled(history: &History) -> Vec<Span> {
+/// When replicas of the control state had faults, or had them within [`CONTACT_MS`] before.
+fn control_faults(history: &History) -> Vec<Span> {
     let mut open: BTreeMap<usize, Millis> = BTreeMap::new();
     let mut spans = Vec::new();
-    for struck in history
-        .struck
+    for event in history
+        .router_events
         .iter()
-        .filter(|struck| struck.router < history.replicas)
+        .filter(|event| event.router < history.replicas)
     {
-        match struck.blow {
-            Blow::HungUp => continue,
-            Blow::Stopped | Blow::Terminated | Blow::Killed => {
-                open.entry(struck.router).or_insert(struck.at);
+        match event.event {
+            ProcessEvent::Reloaded => continue,
+            ProcessEvent::Suspended | ProcessEvent::Terminated | ProcessEvent::Killed => {
+                open.entry(event.router).or_insert(event.at);
             }
-            Blow::Continued | Blow::Ended(_) | Blow::Started => {
-                let begun = open.remove(&struck.router).unwrap_or(struck.at);
-                spans.push((begun, struck.at + CONTACT_MS));
+            ProcessEvent::Resumed | ProcessEvent::Exited(_) | ProcessEvent::Started => {
+                let begun = open.remove(&event.router).unwrap_or(event.at);
+                spans.push((begun, event.at + CONTACT_MS));
             }
         }
     }
@@ -83,34 +85,39 @@
     spans
 }
 
-/// When a backend was in such a trouble, or had been a moment before.
-fn troubles_of(history: &History, backend: u64, begins: Stage, ends: Stage) -> Vec<Span> {
+/// When a backend was in a faulty state, or had been within [`CONTACT_MS`] before.
+fn backend_faults(
+    history: &History,
+    backend: u64,
+    begins: BackendState,
+    ends: BackendState,
+) -> Vec<Span> {
     let mut spans = Vec::new();
     let mut since = None;
-    for staged in history
+    for event in history
         .backends
         .iter()
-        .filter(|staged| staged.backend == backend)
+        .filter(|event| event.backend == backend)
     {
-        if staged.stage == begins {
-            since = since.or(Some(staged.at));
-        } else if staged.stage == ends {
-            spans.extend(since.take().map(|since| (since, staged.at + CONTACT_MS)));
+        if event.state == begins {
+            since = since.or(Some(event.at));
+        } else if event.state == ends {
+            spans.extend(since.take().map(|since| (since, event.at + CONTACT_MS)));
         }
     }
     spans.extend(since.map(|since| (since, Millis::MAX)));
     spans
 }
 
-/// How much of a span lies outside of others, in stretches that are long enough.
-fn calm_within((from, to): Span, troubles: &[Span]) -> Millis {
-    let mut troubles = troubles.to_vec();
-    troubles.sort_unstable();
+/// How much of a span has no faults, in stretches of at least [`MIN_CALM_MS`].
+fn calm_within((from, to): Span, faults: &[Span]) -> Millis {
+    let mut faults = faults.to_vec();
+    faults.sort_unstable();
     let mut calm = 0;
     let mut begun = from;
-    for (since, until) in troubles.into_iter().chain([(to, Millis::MAX)]) {
+    for (since, until) in faults.into_iter().chain([(to, Millis::MAX)]) {
         let stretch = since.min(to).saturating_sub(begun);
-        if stretch >= SHORTEST_CALM_MS {
+        if stretch >= MIN_CALM_MS {
             calm += stretch;
         }
         begun = begun.max(until);
@@ -118,7 +125,7 @@
     calm
 }
 
-/// Every backend that answers gets newer weights, however often trouble interrupts.
+/// Every backend that responds gets newer weights, however often faults interrupt that.
 pub(super) fn left_behind(history: &History) -> Vec<Violation> {
     let end = history
         .requests
@@ -126,13 +133,13 @@
         .map(|request| request.ended_at)
         .max()
         .unwrap_or(0);
-    let core = troubled(history);
+    let core = control_faults(history);
     let named: Vec<(u64, Millis)> = named(history).collect();
     let starts = history
         .backends
         .iter()
-        .filter_map(|staged| match staged.stage {
-            Stage::Started { version } => Some((staged.backend, staged.at, version)),
+        .filter_map(|event| match event.state {
+            BackendState::Started { version } => Some((event.backend, event.at, version)),
             _ => None,
         });
     let mut found = Vec::new();
@@ -141,21 +148,26 @@
             history
                 .backends
                 .iter()
-                .filter(move |staged| staged.backend == backend)
+                .filter(move |event| event.backend == backend)
         };
         let left = life()
-            .find(|staged| staged.stage == Stage::Leaving)
-            .map_or(end, |staged| staged.at);
-        let mut troubles = core.clone();
-        troubles.extend(troubles_of(
+            .find(|event| event.state == BackendState::Stopping)
+            .map_or(end, |event| event.at);
+        let mut faults = core.clone();
+        faults.extend(backend_faults(
             history,
             backend,
-            Stage::Hanging,
-            Stage::Answering,
+            BackendState::Unresponsive,
+            BackendState::Responding,
         ));
-        troubles.extend(troubles_of(history, backend, Stage::Cut, Stage::Healed));
-        let versions = life().filter_map(|staged| match staged.stage {
-            Stage::Loaded { version } => Some((version, staged.at)),
+        faults.extend(backend_faults(
+            history,
+            backend,
+            BackendState::Partitioned,
+            BackendState::Reachable,
+        ));
+        let versions = life().filter_map(|event| match event.state {
+            BackendState::Loaded { version } => Some((version, event.at)),
             _ => None,
         });
         let versions: Vec<(u64, Millis)> = versions.chain([(first, started)]).collect();
@@ -166,8 +178,8 @@
                 .map(|(_, at)| *at)
                 .min();
             let until = loaded.unwrap_or(left).min(left);
-            let calm = calm_within((started.max(*acknowledged), until), &troubles);
-            if calm > BEHIND_MS + SLACK_MS {
+            let calm = calm_within((started.max(*acknowledged), until), &faults);
+            if calm > DEPLOYMENT_MS + SLACK_MS {
                 let what = format!(
                     "backend {backend} had no version {version} after {calm} ms of calm time"
                 );
@@ -183,23 +195,24 @@
     found
 }
 
-/// No backend gets older weights than it has.
+/// The version of the weights of a backend is monotonic.
 pub(super) fn gone_back(history: &History) -> Vec<Violation> {
     let mut versions: BTreeMap<u64, u64> = BTreeMap::new();
     let mut found = Vec::new();
-    for staged in &history.backends {
-        let (Stage::Started { version } | Stage::Loaded { version }) = staged.stage else {
+    for event in &history.backends {
+        let (BackendState::Started { version } | BackendState::Loaded { version }) = event.state
+        else {
             continue;
         };
-        let former = versions.insert(staged.backend, version).unwrap_or(0);
+        let former = versions.insert(event.backend, version).unwrap_or(0);
         if version < former {
             let what = format!(
                 "backend {} went from version {former} to {version}",
-                staged.backend
+                event.backend
             );
             found.push(Violation {
                 rule: "VERSION",
-                at: staged.at,
+                at: event.at,
                 what,
             });
         }
@@ -212,11 +225,11 @@
     let mut holders: BTreeMap<u64, &str> = BTreeMap::new();
     let mut found = Vec::new();
     for order in &history.orders {
-        let holder = holders.entry(order.fence).or_insert(&order.holder);
+        let holder = holders.entry(order.fencing_token).or_insert(&order.holder);
         if *holder != order.holder {
             let what = format!(
                 "{holder} and {} use fencing token {}",
-                order.holder, order.fence
+                order.holder, order.fencing_token
             );
             found.push(Violation {
                 rule: "ONE",
@@ -228,34 +241,33 @@
     found
 }
 
-/// Orders of two routers lie further apart than a lease.
+/// Orders of two lease holders are at least a lease apart.
 pub(super) fn turns(history: &History) -> Vec<Violation> {
-    let has_just_thawed = |order: &&OrderSeen| {
+    let was_in_flight = |order: &&ReceivedOrder| {
         let thaws = history
-            .struck
+            .router_events
             .iter()
-            .filter(|struck| struck.blow == Blow::Continued);
-        let heals = history
-            .backends
-            .iter()
-            .filter(|staged| staged.backend == order.backend && staged.stage == Stage::Healed);
+            .filter(|event| event.event == ProcessEvent::Resumed);
+        let heals = history.backends.iter().filter(|event| {
+            event.backend == order.backend && event.state == BackendState::Reachable
+        });
         let ends = thaws
-            .map(|struck| struck.at)
-            .chain(heals.map(|staged| staged.at));
+            .map(|event| event.at)
+            .chain(heals.map(|event| event.at));
         ends.into_iter()
-            .any(|at| (at..at + THAW_MS + SLACK_MS).contains(&order.at))
+            .any(|at| (at..at + IN_FLIGHT_MS + SLACK_MS).contains(&order.at))
     };
-    let mut orders: Vec<&OrderSeen> = history
+    let mut orders: Vec<&ReceivedOrder> = history
         .orders
         .iter()
-        .filter(|order| !has_just_thawed(order))
+        .filter(|order| !was_in_flight(order))
         .collect();
     orders.sort_by_key(|order| order.at);
     let pairs = orders
         .windows(2)
         .filter(|pair| pair[0].holder != pair[1].holder);
     let too_close = pairs.filter(|pair| pair[1].at < pair[0].at + LEASE_MS);
-    let tell = |pair: &[&OrderSeen]| {
+    let tell = |pair: &[&ReceivedOrder]| {
         let (one, other) = (pair[0], pair[1]);
         let what = format!(
             "{} orders {} ms after {}",
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each keeps its connection for as long as the other end does, and some leave early.
+//! Clients: each reuses its connection until the other end closes it, and some cancel early.
 
 use crate::backend::{WORK_HEADER, event};
 use crate::clock::Clock;
@@ -16,12 +16,12 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What a client gives its requests.
+/// The deadline of a request.
 const DEADLINE_MS: u64 = 3_000;
-/// And so much longer it waits for an answer that is on its way.
+/// How much longer than the deadline a client waits for a response in flight.
 const DEADLINE_SLACK_MS: u64 = 1_000;
-/// How long a connection may take.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
+/// The time-out of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What all clients share.
 pub struct Clients {
@@ -29,10 +29,10 @@
     pub clock: Clock,
     /// Where requests are recorded.
     pub recorder: Arc<Recorder>,
-    /// Where routers take clients.
+    /// The frontend addresses of the routers.
     pub frontends: Vec<SocketAddrV4>,
-    /// Of a thousand requests, how many are left early.
-    pub leaves: u64,
+    /// The number of cancelled requests in a thousand.
+    pub cancelled_permille: u64,
     /// The number of the next request.
     pub next: AtomicU64,
 }
@@ -50,21 +50,21 @@
     }
 }
 
-/// What a client asks for.
-struct Wish {
+/// What a client requests.
+struct RequestSpec {
     id: u64,
     kind: Kind,
     work_ms: u64,
     events: u64,
 }
 
-impl Wish {
-    /// Clients that leave early ask for work that would last, so that it is seen whether it ends
-    /// with them.
-    fn draw(id: u64, leaves: bool) -> Self {
+impl RequestSpec {
+    /// Requests that will be cancelled ask for long work, so that it can be observed whether the
+    /// work is cancelled too.
+    fn draw(id: u64, cancels: bool) -> Self {
         let kind = [Kind::Unsafe, Kind::Safe, Kind::Resumable][fastrand::usize(..3)];
         let is_long = fastrand::u8(..20) == 0;
-        let work_ms = match (leaves, is_long) {
+        let work_ms = match (cancels, is_long) {
             (true, _) => fastrand::u64(1_200..2_400),
             (false, true) => fastrand::u64(300..900),
             (false, false) => fastrand::u64(2..60),
@@ -74,7 +74,7 @@
         } else {
             0
         };
-        Wish {
+        RequestSpec {
             id,
             kind,
             work_ms,
@@ -103,7 +103,7 @@
         builder.body(Full::new(Bytes::from_static(b"body"))).ok()
     }
 
-    /// The body of a whole answer.
+    /// The body of a complete response.
     fn expected(&self) -> String {
         if self.events == 0 {
             return format!("done {:016x}", self.id);
@@ -115,7 +115,7 @@
 }
 
 impl Clients {
-    /// One client, until it is told to end. It pauses for up to `pause` between two requests.
+    /// Runs one client until the end of the run. It waits up to `pause` between two requests.
     pub async fn run(self: Arc<Self>, pause: Duration, mut ends: watch::Receiver<bool>) {
         let mut connection: Option<Connection> = None;
         while !*ends.borrow_and_update() {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The connection that there is, as long as the other end keeps it, or a new one to any router.
+    /// The existing connection if it is still open, or a new one to any router.
     async fn open(&self, held: Option<Connection>) -> Option<Connection> {
         if let Some(mut held) = held {
             if held.sender.ready().await.is_ok() {
@@ -138,13 +138,13 @@
         }
         let router = fastrand::usize(..self.frontends.len());
         let connecting = TcpStream::connect(self.frontends[router]);
-        let stream = tokio::time::timeout(CONNECT_PATIENCE, connecting)
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
             .await
             .ok()?
             .ok()?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         let task = tokio::spawn(async move {
-            // How it ended is told to whoever waits for an answer on it.
+            // Whoever waits for a response on it learns how it ended.
             let _ = connection.await;
         });
         Some(Connection {
@@ -154,28 +154,28 @@
         })
     }
 
-    /// Sends one request. Whether the connection may be used again.
+    /// Sends one request. Returns whether the connection may be reused.
     async fn ask(&self, connection: &mut Connection) -> bool {
-        let leaves = fastrand::u64(..1_000) < self.leaves;
-        let wish = Wish::draw(self.next.fetch_add(1, Ordering::Relaxed), leaves);
-        let Some(request) = wish.request() else {
+        let cancels = fastrand::u64(..1_000) < self.cancelled_permille;
+        let spec = RequestSpec::draw(self.next.fetch_add(1, Ordering::Relaxed), cancels);
+        let Some(request) = spec.request() else {
             return false;
         };
         let sent_at = self.clock.now();
-        let patience = Duration::from_millis(DEADLINE_MS + DEADLINE_SLACK_MS);
-        let leaves_after = Duration::from_millis(if leaves {
+        let timeout = Duration::from_millis(DEADLINE_MS + DEADLINE_SLACK_MS);
+        let cancel_after = Duration::from_millis(if cancels {
             fastrand::u64(1..250)
         } else {
             u64::from(u32::MAX)
         });
         let outcome = tokio::select! {
-            outcome = exchange(&mut connection.sender, request, &wish) => outcome,
-            () = tokio::time::sleep(leaves_after) => Outcome::Left,
-            () = tokio::time::sleep(patience) => Outcome::TimedOut,
+            outcome = exchange(&mut connection.sender, request, &spec) => outcome,
+            () = tokio::time::sleep(cancel_after) => Outcome::Cancelled,
+            () = tokio::time::sleep(timeout) => Outcome::TimedOut,
         };
         let record = Request {
-            id: wish.id,
-            kind: wish.kind,
+            id: spec.id,
+            kind: spec.kind,
             router: connection.router,
             sent_at,
             ended_at: self.clock.now(),
@@ -189,14 +189,14 @@
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: hyper::Request<Full<Bytes>>,
-    wish: &Wish,
+    spec: &RequestSpec,
 ) -> Outcome {
     let response = match sender.try_send_request(request).await {
         Ok(response) => response,
         Err(mut failure) => {
             let was_sent = failure.take_message().is_none();
             return if was_sent {
-                Outcome::NoAnswer
+                Outcome::NoResponse
             } else {
                 Outcome::NotSent
             };
@@ -210,24 +210,24 @@
             .and_then(|value| value.to_str().ok())
             .unwrap_or("")
     };
-    let id = format!("{:016x}", wish.id);
+    let id = format!("{:016x}", spec.id);
     let (own, seal) = (
         text("x-request-id") == id,
         text("x-response-seal") == format!("seal-{id}"),
     );
     let Some(body) = read(body).await else {
-        return Outcome::BrokenOff;
+        return Outcome::Truncated;
     };
     match status {
-        200 if !own => Outcome::Spoiled("it names another request"),
-        200 if !seal => Outcome::Spoiled("it has no seal of its own"),
-        200 if body != wish.expected() => Outcome::Spoiled("its body is not the backend's"),
+        200 if !own => Outcome::Corrupted("it names another request"),
+        200 if !seal => Outcome::Corrupted("it has no seal of its own"),
+        200 if body != spec.expected() => Outcome::Corrupted("its body is not the backend's"),
         200 => Outcome::Served,
         other => Outcome::Status(other),
     }
 }
 
-/// The whole body; none where it broke off.
+/// The complete body; `None` if it was truncated.
 async fn read(body: Incoming) -> Option<String> {
     let bytes = body.collect().await.ok()?.to_bytes();
     Some(String::from_utf8_lossy(&bytes).into_owned())
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,39 +1,39 @@
-//! What clients, backends, the operator and the signals' sender saw during a run.
+//! The history of a run: what clients, backends, operators and supervisors observed.
 
 use crate::clock::Millis;
 use std::os::unix::process::ExitStatusExt;
 use std::process::ExitStatus;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// What a request may suffer.
+/// How often a request may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run once at most.
+    /// At most once.
     Unsafe,
-    /// It may run more than once.
+    /// More than once: it is idempotent.
     Safe,
-    /// Its answer is a stream that another backend may go on with.
+    /// Its response is a stream that another backend can continue.
     Resumable,
 }
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole success that is proven to be a backend's.
+    /// A complete response with the seal of a backend.
     Served,
-    /// An answer that claims success and is not what the backend sent.
-    Spoiled(&'static str),
-    /// An answer with another status.
+    /// A response with status 200 that is not what the backend sent.
+    Corrupted(&'static str),
+    /// A response with another status.
     Status(u16),
-    /// The connection ended before any of the answer came.
-    NoAnswer,
-    /// The connection ended in the middle of the answer.
-    BrokenOff,
-    /// The client closed its connection on purpose.
-    Left,
-    /// No connection could be had: nothing was sent.
+    /// The connection ended before the response began.
+    NoResponse,
+    /// The connection ended in the middle of the response.
+    Truncated,
+    /// The client cancelled it by closing its connection.
+    Cancelled,
+    /// It was not sent, as there was no connection.
     NotSent,
-    /// The client's time was over.
+    /// The client's deadline had passed.
     TimedOut,
 }
 
@@ -54,7 +54,7 @@
     pub outcome: Outcome,
 }
 
-/// One run of a request at a backend.
+/// One execution of a request at a backend.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
     /// The request's id.
@@ -65,66 +65,66 @@
     pub version: u64,
     /// When it reached the backend.
     pub arrived_at: Millis,
-    /// When it began; none where it was given up while it waited.
+    /// When it began; `None` if it was cancelled in the queue.
     pub begun_at: Option<Millis>,
-    /// When the backend was done with it, or dropped it.
+    /// When the backend completed or dropped it.
     pub ended_at: Option<Millis>,
-    /// Whether the backend broke off by its own fault.
+    /// Whether the backend crashed meanwhile.
     pub broke_off: bool,
 }
 
-/// What a process suffered.
+/// An event of a router process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Blow {
-    /// It was told to end.
+pub enum ProcessEvent {
+    /// It was sent SIGTERM.
     Terminated,
-    /// It was killed.
+    /// It was sent SIGKILL.
     Killed,
-    /// It was stopped.
-    Stopped,
-    /// It went on.
-    Continued,
-    /// It was told that its settings have changed.
-    HungUp,
+    /// It was sent SIGSTOP.
+    Suspended,
+    /// It was sent SIGCONT.
+    Resumed,
+    /// It was sent SIGHUP, to reload its settings.
+    Reloaded,
     /// It has started.
     Started,
-    /// It has ended.
-    Ended(Ending),
+    /// It has exited.
+    Exited(Exit),
 }
 
-/// How a process ended.
+/// How a process exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum Exit {
     /// With success.
-    InOrder,
+    Success,
     /// With another code.
     Failed(i32),
     /// By a signal.
     BySignal(i32),
 }
 
-impl From<ExitStatus> for Ending {
+impl From<ExitStatus> for Exit {
     fn from(status: ExitStatus) -> Self {
         match (status.code(), status.signal()) {
-            (Some(0), _) => Ending::InOrder,
-            (Some(code), _) => Ending::Failed(code),
-            (None, signal) => Ending::BySignal(signal.unwrap_or_default()),
+            (Some(0), _) => Exit::Success,
+            (Some(code), _) => Exit::Failed(code),
+            (None, signal) => Exit::BySignal(signal.unwrap_or_default()),
         }
     }
 }
 
-/// A blow to one router.
+/// An event of one router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Struck {
+pub struct RouterEvent {
     /// The number of the router.
     pub router: usize,
     /// When.
     pub at: Millis,
     /// What.
-    pub blow: Blow,
+    pub event: ProcessEvent,
 }
 
-/// What the operator asked for.
+/// A change by an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// A configuration of this version, on top of another one.
@@ -133,40 +133,40 @@
         base: u64,
         /// Its own.
         version: u64,
-        /// Tells two of one version apart.
+        /// Distinguishes two of one version.
         variant: u64,
     },
     /// A version of the weights.
     Weights(u64),
 }
 
-/// How a change ended for the operator.
+/// The outcome of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
     /// It is acknowledged.
     Acknowledged,
     /// It is refused.
     Refused(u16),
-    /// Nobody knows.
+    /// Its outcome is unknown.
     Unclear,
 }
 
-/// A change by the operator.
+/// A change and its outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Changed {
+pub struct ChangeRecord {
     /// What.
     pub change: Change,
     /// When it was first sent.
     pub sent_at: Millis,
-    /// When its last answer came.
+    /// When the last response came.
     pub answered_at: Millis,
     /// How it ended.
     pub reply: Reply,
 }
 
-/// What a router said of itself.
+/// A poll of a router's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct StatusRecord {
     /// The number of the router.
     pub router: usize,
     /// When it was asked.
@@ -177,22 +177,22 @@
     pub configuration: u64,
 }
 
-/// An order that a backend got.
+/// An order that a backend received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OrderSeen {
+pub struct ReceivedOrder {
     /// The backend's incarnation.
     pub backend: u64,
     /// When it came.
     pub at: Millis,
-    /// Who gave it.
+    /// The lease holder that sent it.
     pub holder: String,
     /// Its fencing token.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
-/// What became of a backend.
+/// A state of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum BackendState {
     /// It has started, with a version of the weights.
     Started {
         /// The version.
@@ -203,36 +203,35 @@
         /// The version.
         version: u64,
     },
-    /// It answers nothing.
-    Hanging,
-    /// It answers again.
-    Answering,
-    /// The way to it is cut.
-    Cut,
-    /// The way to it has healed.
-    Healed,
-    /// It is about to leave, or has crashed.
-    Leaving,
+    /// It does not respond.
+    Unresponsive,
+    /// It responds again.
+    Responding,
+    /// The link to it is partitioned.
+    Partitioned,
+    /// The link to it works again.
+    Reachable,
+    /// It is draining, or has crashed.
+    Stopping,
 }
 
-/// A moment in the life of a backend.
+/// A change of state of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Staged {
+pub struct BackendEvent {
     /// The backend's incarnation.
     pub backend: u64,
     /// When.
     pub at: Millis,
-    /// What became of it.
-    pub stage: Stage,
+    /// The new state.
+    pub state: BackendState,
 }
 
-/// How the fleet stood after the last trouble, once it had had its time.
+/// The state of the fleet after the recovery.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Final {
-    /// The version that a router told when the configuration was read back; none where it told
-    /// none.
+    /// The version of the configuration that was read back, if a router responded.
     pub read_back: Option<u64>,
-    /// Versions in force at routers.
+    /// The versions of the configuration in force at routers.
     pub configurations: Vec<u64>,
     /// Versions of weights at backends.
     pub weights: Vec<u64>,
@@ -240,35 +239,35 @@
     pub requests: (u32, u32),
 }
 
-/// Everything that was seen.
+/// Everything that was observed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct History {
     /// Requests of clients.
     pub requests: Vec<Request>,
     /// Runs at backends.
     pub runs: Vec<Run>,
-    /// Blows to routers.
-    pub struck: Vec<Struck>,
+    /// Events of routers.
+    pub router_events: Vec<RouterEvent>,
     /// Changes by operators.
-    pub changes: Vec<Changed>,
-    /// What routers said.
-    pub seen: Vec<Seen>,
+    pub changes: Vec<ChangeRecord>,
+    /// Polls of the routers' status.
+    pub statuses: Vec<StatusRecord>,
     /// Orders to backends.
-    pub orders: Vec<OrderSeen>,
-    /// What became of backends.
-    pub backends: Vec<Staged>,
-    /// How it ended.
+    pub orders: Vec<ReceivedOrder>,
+    /// Changes of state of backends.
+    pub backends: Vec<BackendEvent>,
+    /// The final state.
     pub end: Final,
-    /// Routers that hold the control state.
+    /// The number of routers with a replica of the control state.
     pub replicas: usize,
 }
 
-/// A history that many write.
+/// A history that is written by several tasks.
 #[derive(Debug, Default)]
 pub struct Recorder(Mutex<History>);
 
 impl Recorder {
-    /// The history, to write or read.
+    /// Locks the history.
     pub fn open(&self) -> MutexGuard<'_, History> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Soaks a router fleet: `soak --program target/release/bitternsill --first 1 --seeds 50`.
+//! Runs soak tests of a router fleet: `soak --program target/release/bitternsill --first 1 --seeds 50`.
 
 use clap::Parser;
 use soak::run::{Plan, Report, run};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Broken rules that are printed of a run.
+/// The number of violations that are printed of a run.
 const PRINTED: usize = 12;
 
 /// Runs routers under signals, restarts and changes that overlap, and checks what was seen.
@@ -42,15 +42,15 @@
     #[arg(long, default_value_t = 300)]
     pause_ms: u64,
     /// Seconds of trouble in each run.
-    #[arg(long, default_value_t = 15)]
-    trouble_s: u64,
+    #[arg(long = "trouble-s", default_value_t = 15)]
+    schedule_s: u64,
     /// The primary is struck again and again while versions of the weights are named.
-    #[arg(long)]
-    strike_primary: bool,
+    #[arg(long = "strike-primary")]
+    leader_faults: bool,
     /// Ways to backends are cut again and again while versions of the weights are named; what was
     /// sent meanwhile arrives later.
-    #[arg(long)]
-    cut_ways: bool,
+    #[arg(long = "cut-ways")]
+    partitions: bool,
     /// Where logs of runs with a broken rule are kept.
     #[arg(long)]
     keep: Option<PathBuf>,
@@ -69,9 +69,9 @@
             backends: self.backends,
             clients: self.clients,
             pause: Duration::from_millis(self.pause_ms),
-            trouble_ms: self.trouble_s * 1_000,
-            strikes_primary: self.strike_primary,
-            cuts_ways: self.cut_ways,
+            fault_ms: self.schedule_s * 1_000,
+            leader_faults: self.leader_faults,
+            partitions: self.partitions,
             folder: self
                 .keep
                 .as_ref()
@@ -80,7 +80,7 @@
     }
 }
 
-/// Prints what came of a run. Whether every rule was kept.
+/// Prints the result of a run. Returns whether there is no violation.
 fn tell(seed: u64, report: &Report) -> bool {
     println!(
         "seed {seed}: {} broken; {}",
@@ -107,16 +107,16 @@
             (seed, folder, run(plan).await)
         });
     }
-    let mut all_kept = true;
+    let mut all_passed = true;
     while let Some(ended) = runs.join_next().await {
-        let is_kept = match ended {
+        let passed = match ended {
             Ok((seed, folder, Ok(report))) => {
-                let is_kept = tell(seed, &report);
-                if is_kept || options.keep.is_none() {
-                    // What is left there harms nobody.
+                let passed = tell(seed, &report);
+                if passed || options.keep.is_none() {
+                    // Files that remain do no harm.
                     let _ = std::fs::remove_dir_all(folder);
                 }
-                is_kept
+                passed
             }
             Ok((seed, _, Err(problem))) => {
                 println!("seed {seed}: {problem}");
@@ -127,13 +127,13 @@
                 false
             }
         };
-        all_kept &= is_kept;
+        all_passed &= passed;
     }
-    all_kept
+    all_passed
 }
 
-/// Comes back on SIGTERM or SIGINT.
-async fn is_told_to_end() {
+/// Returns on SIGTERM or SIGINT.
+async fn terminated() {
     let signals = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -159,15 +159,15 @@
             return ExitCode::FAILURE;
         }
     };
-    let all_kept = runtime.block_on(async {
+    let all_passed = runtime.block_on(async {
         tokio::select! {
-            all_kept = soak(options) => all_kept,
-            // Runs that are dropped end their processes.
-            () = is_told_to_end() => false,
+            all_passed = soak(options) => all_passed,
+            // Dropping the runs kills their processes.
+            () = terminated() => false,
         }
     });
     drop(runtime);
-    if all_kept {
+    if all_passed {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/soak/src/network.rs
+++ b/soak/src/network.rs
@@ -1,15 +1,15 @@
-//! Loopback networks: each run has one of its own, also beside runs of other processes.
+//! Loopback networks: each run has one of its own, also among concurrent runs of other processes.
 
 use crate::settings::Addresses;
 use std::io;
 use std::net::{Ipv4Addr, TcpListener};
 
-/// Networks 127.N with these N.
+/// The second byte of the networks 127.N.0.0/16.
 const NETWORKS: std::ops::RangeInclusive<u8> = 200..=250;
-/// Whoever listens here has the network.
+/// A network is claimed by a listener on this port.
 const CLAIM_PORT: u16 = 7_001;
 
-/// A network that no other run has for as long as this lives.
+/// A network that no other run uses until this is dropped.
 #[derive(Debug)]
 pub struct Network {
     /// Its addresses.
@@ -18,7 +18,10 @@
 }
 
 impl Network {
-    /// The first network that is free.
+    /// Claims the first free network.
+    ///
+    /// # Errors
+    /// All networks are in use.
     pub fn claim() -> io::Result<Self> {
         for network in NETWORKS {
             if let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, network, 255, 1), CLAIM_PORT))
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -1,8 +1,8 @@
-//! Operators: they send configurations and versions of weights, again where the answer is unclear,
-//! to any router.
+//! Operators: they send configurations and versions of weights to any router, and retry while the
+//! outcome is unknown.
 
 use crate::clock::Clock;
-use crate::history::{Change, Changed, Recorder, Reply};
+use crate::history::{Change, ChangeRecord, Recorder, Reply};
 use crate::settings::ROUTE_TIMEOUT_MS;
 use serde_json::json;
 use std::net::SocketAddrV4;
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Patience for one answer.
-const CALL_PATIENCE: Duration = Duration::from_millis(1_200);
-/// How long a change is sent again.
-const CHANGE_PATIENCE: Duration = Duration::from_secs(15);
-/// Pause before a change is sent again.
-const AGAIN: Duration = Duration::from_millis(60);
+/// The time-out of one request.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// How long a change is retried.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(15);
+/// The time between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// An operator.
 pub struct Operator {
@@ -24,11 +24,11 @@
     pub clock: Clock,
     /// Where changes are recorded.
     pub recorder: Arc<Recorder>,
-    /// Where routers take calls.
+    /// The control addresses of the routers.
     pub control: Vec<SocketAddrV4>,
-    /// For calls.
+    /// The HTTP client.
     pub client: reqwest::Client,
-    /// Tells configurations of one version apart.
+    /// Distinguishes configurations of one version.
     pub variants: AtomicU64,
 }
 
@@ -37,7 +37,7 @@
         self.control[fastrand::usize(..self.control.len())]
     }
 
-    /// Sends a configuration on top of a version until there is a clear answer.
+    /// Sends a configuration on top of a version until its outcome is known.
     pub async fn configure(&self, base: u64, version: u64) -> Reply {
         let variant = self.variants.fetch_add(1, Ordering::Relaxed);
         let body = configuration(version, variant);
@@ -59,8 +59,8 @@
         .await
     }
 
-    /// Names a version of the weights until that is acknowledged.
-    pub async fn name_weights(&self, version: u64) -> Reply {
+    /// Announces a version of the weights until that is acknowledged.
+    pub async fn announce_weights(&self, version: u64) -> Reply {
         let body = json!({"model": "m", "version": version}).to_string();
         let send = |address: SocketAddrV4| {
             self.client
@@ -78,18 +78,18 @@
         let sent_at = self.clock.now();
         let begun = Instant::now();
         let mut reply = Reply::Unclear;
-        while reply == Reply::Unclear && begun.elapsed() < CHANGE_PATIENCE {
-            let answer = send(self.anywhere()).timeout(CALL_PATIENCE).send().await;
+        while reply == Reply::Unclear && begun.elapsed() < CHANGE_TIMEOUT {
+            let answer = send(self.anywhere()).timeout(CALL_TIMEOUT).send().await;
             reply = match answer.map(|answer| answer.status().as_u16()) {
                 Ok(200) => Reply::Acknowledged,
                 Ok(status @ (400 | 412)) => Reply::Refused(status),
                 _ => Reply::Unclear,
             };
             if reply == Reply::Unclear {
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
-        let changed = Changed {
+        let changed = ChangeRecord {
             change,
             sent_at,
             answered_at: self.clock.now(),
@@ -99,25 +99,25 @@
         reply
     }
 
-    /// The version of the newest configuration, asked for until a router is sure of it.
-    pub async fn read_back(&self, patience: Duration) -> Option<u64> {
+    /// The version of the newest configuration, by a linearizable read; retried until the time-out.
+    pub async fn read_back(&self, timeout: Duration) -> Option<u64> {
         let begun = Instant::now();
-        while begun.elapsed() < patience {
+        while begun.elapsed() < timeout {
             let url = format!("http://{}/v1/configuration/read", self.anywhere());
-            if let Ok(answer) = self.client.get(url).timeout(CALL_PATIENCE).send().await
+            if let Ok(answer) = self.client.get(url).timeout(CALL_TIMEOUT).send().await
                 && answer.status() == 200
                 && let Ok(body) = answer.bytes().await
                 && let Ok(body) = serde_json::from_slice::<serde_json::Value>(&body)
             {
                 return body["version"].as_u64();
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         None
     }
 }
 
-/// A configuration with a route of every kind, and one by which two of one version differ.
+/// A configuration with a route of every kind, and one route by which two of one version differ.
 fn configuration(version: u64, variant: u64) -> String {
     let route = |name: &str, kind: &str, attempts: u64, resumable: bool| {
         json!({"name": name, "host": "h", "pathPrefix": format!("/{name}/"), "kind": kind, "timeoutMs": ROUTE_TIMEOUT_MS,
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,15 +1,15 @@
-//! One run: everything is started, the schedule is played, and what was seen is checked.
+//! One run: starts everything, executes the schedule, and checks what was observed.
 
-use crate::backend::{Backend, Surroundings};
+use crate::backend::{Backend, Environment};
 use crate::check::{self, Violation};
 use crate::client::Clients;
 use crate::clock::{Clock, Millis};
-use crate::fleet::{self, Keeper, Site, Strike};
-use crate::history::{History, Outcome, Recorder, Reply, Seen};
+use crate::history::{History, Outcome, Recorder, Reply, StatusRecord};
 use crate::network::Network;
 use crate::operator::Operator;
 use crate::schedule::{self, Action, Scope, Step};
 use crate::settings::{Addresses, Size};
+use crate::supervisor::{self, RouterFault, Site, Supervisor};
 use std::collections::BTreeMap;
 use std::fs;
 use std::io;
@@ -21,28 +21,28 @@
 use tokio::sync::{Mutex, watch};
 use tokio::task::JoinSet;
 
-/// How long the first configuration may take.
-const START_PATIENCE: Duration = Duration::from_secs(20);
-/// After the last trouble everything has so long to come back: the longest stop, a grace period and
-/// a restart among it.
-const RETURN: Duration = Duration::from_millis(14_000);
-/// For so long it is seen then how clients are served.
-const CALM: Duration = Duration::from_millis(2_000);
-/// Time between two looks at all routers.
-const LOOK: Duration = Duration::from_millis(400);
-/// Patience for a router to tell its figures.
-const LOOK_PATIENCE: Duration = Duration::from_millis(800);
-/// How long the operator asks for the newest configuration at the end.
-const READ_PATIENCE: Duration = Duration::from_secs(4);
-/// Of a thousand requests, how many are left early.
-const LEAVES: u64 = 80;
+/// The time-out of the first configuration.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// The time for recovery after the schedule: it covers the longest suspension, a grace period and a
+/// restart.
+const RECOVERY_TIME: Duration = Duration::from_millis(14_000);
+/// How long the success of requests is measured after the recovery.
+const MEASURED_TIME: Duration = Duration::from_millis(2_000);
+/// The time between two polls of a router's status.
+const STATUS_INTERVAL: Duration = Duration::from_millis(400);
+/// The time-out of a poll.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(800);
+/// The time-out of the last read of the configuration.
+const READ_TIMEOUT: Duration = Duration::from_secs(4);
+/// The number of cancelled requests in a thousand.
+const CANCELLED_PERMILLE: u64 = 80;
 
-/// What is run.
+/// The parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The router program.
     pub program: PathBuf,
-    /// Decides everything that is drawn but the clients' requests.
+    /// Decides everything random except for the clients' requests.
     pub seed: u64,
     /// The routers.
     pub size: Size,
@@ -52,12 +52,13 @@
     pub clients: usize,
     /// The longest pause of a client between two requests.
     pub pause: Duration,
-    /// How long there is trouble, in milliseconds.
-    pub trouble_ms: Millis,
-    /// Whether the primary is struck again and again while versions of the weights are named.
-    pub strikes_primary: bool,
-    /// Whether ways to backends are cut again and again while versions of the weights are named.
-    pub cuts_ways: bool,
+    /// The length of the schedule, in milliseconds.
+    pub fault_ms: Millis,
+    /// Whether the leader has a series of faults while versions of the weights are announced.
+    pub leader_faults: bool,
+    /// Whether links to backends have a series of partitions while versions of the weights are
+    /// announced.
+    pub partitions: bool,
     /// Where settings, data and logs go.
     pub folder: PathBuf,
 }
@@ -76,12 +77,12 @@
     NoStart(PathBuf),
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// Everything that was seen.
+    /// Everything that was observed.
     pub history: History,
-    /// Rules that were broken.
+    /// The violated rules.
     pub violations: Vec<Violation>,
 }
 
@@ -107,35 +108,38 @@
                 .count()
         };
         format!(
-            "{} requests: {} served, other answers {:?}, {} left, {} without a whole answer, {} in no time; {} blows, {} changes, {} orders",
+            "{} requests: {} served, other answers {:?}, {} left, {} without a whole answer, {} in no time; {} events, {} changes, {} orders",
             self.history.requests.len(),
             count(|outcome| *outcome == Outcome::Served),
             self.statuses(),
-            count(|outcome| *outcome == Outcome::Left),
-            count(|outcome| matches!(outcome, Outcome::NoAnswer | Outcome::BrokenOff)),
+            count(|outcome| *outcome == Outcome::Cancelled),
+            count(|outcome| matches!(outcome, Outcome::NoResponse | Outcome::Truncated)),
             count(|outcome| *outcome == Outcome::TimedOut),
-            self.history.struck.len(),
+            self.history.router_events.len(),
             self.history.changes.len(),
             self.history.orders.len(),
         )
     }
 }
 
-/// Everything that a run has going.
-struct Stage {
+/// A run in progress.
+struct RunningSoak {
     plan: Plan,
     clock: Clock,
     recorder: Arc<Recorder>,
     addresses: Addresses,
-    keepers: Vec<Keeper>,
-    around: Arc<Surroundings>,
+    supervisors: Vec<Supervisor>,
+    environment: Arc<Environment>,
     backends: Vec<Mutex<Option<Backend>>>,
     operator: Operator,
     client: reqwest::Client,
     weights: AtomicU64,
 }
 
-/// Makes a run.
+/// Executes a run.
+///
+/// # Errors
+/// It could not be started: see [`RunError`].
 pub async fn run(plan: Plan) -> Result<Report, RunError> {
     // What another run has left there would be taken for this one's: its disks name addresses that
     // may be in use now.
@@ -154,16 +158,16 @@
         size: plan.size,
         addresses,
     };
-    let (mut keepers, mut kept) = (Vec::new(), Vec::new());
+    let (mut supervisors, mut supervisions) = (Vec::new(), Vec::new());
     for number in 0..plan.size.routers {
-        let (keeper, keeping) = fleet::keep(&site, number, clock, &recorder)?;
-        keepers.push(keeper);
-        kept.push(keeping);
+        let (supervisor, supervision) = supervisor::start(&site, number, clock, &recorder)?;
+        supervisors.push(supervisor);
+        supervisions.push(supervision);
     }
     let control: Vec<_> = (0..plan.size.routers)
         .map(|number| addresses.control(number))
         .collect();
-    let around = Surroundings::new(
+    let environment = Environment::new(
         clock,
         recorder.clone(),
         control.clone(),
@@ -172,7 +176,7 @@
     );
     let mut backends = Vec::new();
     for _ in 0..plan.backends {
-        backends.push(Mutex::new(Some(Backend::start(around.clone()).await?)));
+        backends.push(Mutex::new(Some(Backend::start(environment.clone()).await?)));
     }
     let operator = Operator {
         clock,
@@ -182,29 +186,28 @@
         variants: AtomicU64::new(1),
     };
     let weights = AtomicU64::new(1);
-    let stage = Arc::new(Stage {
+    let soak = Arc::new(RunningSoak {
         plan,
         clock,
         recorder,
         addresses,
-        keepers,
-        around,
+        supervisors,
+        environment,
         backends,
         operator,
         client,
         weights,
     });
-    let played = stage.clone().play().await;
-    stage
-        .keepers
+    let result = soak.clone().execute().await;
+    soak.supervisors
         .iter()
-        .for_each(|keeper| keeper.strike(Strike::End));
-    for keeping in kept {
-        // A keeper that failed has been seen by its router's silence.
-        let _ = keeping.await;
+        .for_each(|supervisor| supervisor.inject(RouterFault::Shutdown));
+    for supervision in supervisions {
+        // A failed supervisor shows in the history, as its router does not respond.
+        let _ = supervision.await;
     }
-    played?;
-    let history = stage.recorder.open().clone();
+    result?;
+    let history = soak.recorder.open().clone();
     let violations = check::violations(&history);
     Ok(Report {
         history,
@@ -212,9 +215,9 @@
     })
 }
 
-impl Stage {
-    async fn play(self: Arc<Self>) -> Result<(), RunError> {
-        let started = tokio::time::timeout(START_PATIENCE, async {
+impl RunningSoak {
+    async fn execute(self: Arc<Self>) -> Result<(), RunError> {
+        let started = tokio::time::timeout(START_TIMEOUT, async {
             while self.operator.configure(0, 1).await != Reply::Acknowledged {}
         });
         started
@@ -227,7 +230,7 @@
             frontends: (0..self.plan.size.routers)
                 .map(|number| self.addresses.frontend(number))
                 .collect(),
-            leaves: LEAVES,
+            cancelled_permille: CANCELLED_PERMILLE,
             next: AtomicU64::new(1),
         });
         let mut tasks = JoinSet::new();
@@ -235,44 +238,44 @@
             tasks.spawn(clients.clone().run(self.plan.pause, ends.clone()));
         }
         for number in 0..self.plan.size.routers {
-            tasks.spawn(self.clone().look(number, ends.clone()));
+            tasks.spawn(self.clone().poll_status(number, ends.clone()));
         }
-        self.clone().play_schedule().await;
-        tokio::time::sleep(RETURN).await;
+        self.clone().execute_schedule().await;
+        tokio::time::sleep(RECOVERY_TIME).await;
         let calm_since = self.clock.now();
-        tokio::time::sleep(CALM).await;
-        self.look_at_the_end(calm_since).await;
-        // Everybody holds a receiver until the run is over.
+        tokio::time::sleep(MEASURED_TIME).await;
+        self.record_final_state(calm_since).await;
+        // All tasks have a receiver until the run is over.
         let _ = end.send(true);
         while tasks.join_next().await.is_some() {}
         Ok(())
     }
 
-    /// The router that leads the control state, as far as one says so.
-    async fn primary(&self) -> Option<usize> {
+    /// The leader of the control state, if a router reports that it is.
+    async fn leader(&self) -> Option<usize> {
         for number in 0..self.plan.size.replicas {
-            if self.figure(number, "control_leads").await == Some(1) {
+            if self.metric(number, "control_leads").await == Some(1) {
                 return Some(number);
             }
         }
         None
     }
 
-    async fn play_schedule(self: Arc<Self>) {
+    async fn execute_schedule(self: Arc<Self>) {
         let Plan {
             size,
             backends,
-            trouble_ms,
-            strikes_primary,
-            cuts_ways,
+            fault_ms,
+            leader_faults,
+            partitions,
             ..
         } = self.plan;
         let scope = Scope {
             size,
             backends,
-            lasts: trouble_ms,
-            strikes_primary,
-            cuts_ways,
+            duration: fault_ms,
+            leader_faults,
+            partitions,
         };
         let begun = tokio::time::Instant::now();
         let mut under_way = JoinSet::new();
@@ -285,36 +288,36 @@
 
     async fn act(self: Arc<Self>, action: Action) {
         match action {
-            Action::Router(number, strike) => self.keepers[number].strike(strike),
-            Action::Primary(strike) => {
-                if let Some(number) = self.primary().await {
-                    self.keepers[number].strike(strike);
+            Action::Router(number, fault) => self.supervisors[number].inject(fault),
+            Action::Leader(fault) => {
+                if let Some(number) = self.leader().await {
+                    self.supervisors[number].inject(fault);
                 }
             }
             Action::Configure { race } => self.configure(race).await,
-            Action::NameWeights => self.name_weights().await,
+            Action::AnnounceWeights => self.announce_weights().await,
             Action::CrashBackend(number) => {
                 let mut place = self.backends[number].lock().await;
                 if let Some(backend) = place.take() {
                     backend.crash();
                 }
-                *place = Backend::start(self.around.clone()).await.ok();
+                *place = Backend::start(self.environment.clone()).await.ok();
             }
-            Action::HangBackend(number, lasts) => {
+            Action::HangBackend(number, duration) => {
                 self.hang(number, true).await;
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.hang(number, false).await;
             }
-            Action::CutBackend(number, lasts) => {
-                self.cut(number, true).await;
-                tokio::time::sleep(lasts).await;
-                self.cut(number, false).await;
+            Action::PartitionBackend(number, duration) => {
+                self.set_partitioned(number, true).await;
+                tokio::time::sleep(duration).await;
+                self.set_partitioned(number, false).await;
             }
             Action::ReplaceBackend(number) => {
-                let new = Backend::start(self.around.clone()).await.ok();
+                let new = Backend::start(self.environment.clone()).await.ok();
                 let old = std::mem::replace(&mut *self.backends[number].lock().await, new);
                 if let Some(old) = old {
-                    old.leave().await;
+                    old.drain().await;
                 }
             }
         }
@@ -322,18 +325,18 @@
 
     async fn hang(&self, number: usize, hangs: bool) {
         if let Some(backend) = self.backends[number].lock().await.as_ref() {
-            backend.hang(hangs);
+            backend.set_hanging(hangs);
         }
     }
 
-    async fn cut(&self, number: usize, is_cut: bool) {
+    async fn set_partitioned(&self, number: usize, is_partitioned: bool) {
         if let Some(backend) = self.backends[number].lock().await.as_ref() {
-            backend.cut(is_cut);
+            backend.set_partitioned(is_partitioned);
         }
     }
 
     async fn configure(&self, race: bool) {
-        let Some(base) = self.operator.read_back(READ_PATIENCE).await else {
+        let Some(base) = self.operator.read_back(READ_TIMEOUT).await else {
             return;
         };
         let version = base + fastrand::u64(1..4);
@@ -347,40 +350,40 @@
         }
     }
 
-    async fn name_weights(&self) {
+    async fn announce_weights(&self) {
         let version = self.weights.fetch_add(1, Ordering::Relaxed) + 1;
-        if self.operator.name_weights(version).await == Reply::Acknowledged {
-            self.around
+        if self.operator.announce_weights(version).await == Reply::Acknowledged {
+            self.environment
                 .newest_weights
                 .fetch_max(version, Ordering::Relaxed);
         }
     }
 
-    /// Keeps asking a router for its configuration.
-    async fn look(self: Arc<Self>, number: usize, mut ends: watch::Receiver<bool>) {
+    /// Polls a router's version of the configuration until the end of the run.
+    async fn poll_status(self: Arc<Self>, number: usize, mut ends: watch::Receiver<bool>) {
         while !*ends.borrow_and_update() {
             let asked_at = self.clock.now();
-            if let Some(configuration) = self.figure(number, "configuration_version").await {
+            if let Some(configuration) = self.metric(number, "configuration_version").await {
                 let answered_at = self.clock.now();
-                let seen = Seen {
+                let seen = StatusRecord {
                     router: number,
                     asked_at,
                     answered_at,
                     configuration,
                 };
-                self.recorder.open().seen.push(seen);
+                self.recorder.open().statuses.push(seen);
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(STATUS_INTERVAL).await;
         }
     }
 
-    /// A figure of a router, as its metrics page tells.
-    async fn figure(&self, number: usize, name: &str) -> Option<u64> {
+    /// The value of a metric of a router.
+    async fn metric(&self, number: usize, name: &str) -> Option<u64> {
         let url = format!("http://{}/metrics", self.addresses.metrics(number));
         let answer = self
             .client
             .get(url)
-            .timeout(LOOK_PATIENCE)
+            .timeout(STATUS_TIMEOUT)
             .send()
             .await
             .ok()?;
@@ -389,12 +392,12 @@
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
-    async fn look_at_the_end(&self, calm_since: Millis) {
-        let read_back = self.operator.read_back(READ_PATIENCE).await;
+    async fn record_final_state(&self, calm_since: Millis) {
+        let read_back = self.operator.read_back(READ_TIMEOUT).await;
         let mut configurations = Vec::new();
         for number in 0..self.plan.size.routers {
             configurations.push(
-                self.figure(number, "configuration_version")
+                self.metric(number, "configuration_version")
                     .await
                     .unwrap_or(0),
             );
@@ -406,7 +409,7 @@
         let mut history = self.recorder.open();
         let owed = history.requests.iter().filter(|request| {
             request.sent_at >= calm_since
-                && request.outcome != Outcome::Left
+                && request.outcome != Outcome::Cancelled
                 && request.outcome != Outcome::NotSent
         });
         let outcomes: Vec<bool> = owed
--- a/soak/src/settings.rs
+++ b/soak/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of the routers of a run, and where everything listens.
+//! Settings of the routers of a run, and all listening addresses.
 
 use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -14,9 +14,9 @@
 pub const VERSION_MS: u64 = 6_000;
 /// Time between orders of two holders of the lease.
 pub const LEASE_MS: u64 = 3_000;
-/// The time of every route.
+/// The time-out of every route.
 pub const ROUTE_TIMEOUT_MS: u64 = 3_000;
-/// Time without trouble after which a router is in touch again.
+/// The time without faults after which a router is in contact with the others again.
 pub const CONTACT_MS: u64 = 3_000;
 
 const FRONTEND_PORT: u16 = 8_388;
@@ -57,17 +57,17 @@
         Ipv4Addr::new(127, self.network, 200, 1)
     }
 
-    /// Where a router takes clients.
+    /// The address for clients.
     pub fn frontend(&self, number: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.router(number), FRONTEND_PORT)
     }
 
-    /// Where a router takes calls of backends and operators.
+    /// The address for backends and operators.
     pub fn control(&self, number: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.router(number), CONTROL_PORT)
     }
 
-    /// Where a router tells its figures.
+    /// The address of the metrics.
     pub fn metrics(&self, number: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.router(number), METRICS_PORT)
     }
--- a/soak/src/fleet.rs
+++ b/soak/src/supervisor.rs
@@ -1,8 +1,8 @@
-//! Routers as processes of their own: started, signalled, and started again by whoever plays the
-//! platform.
+//! Supervises router processes: starts them, injects faults by signals, and restarts them as the
+//! platform would.
 
 use crate::clock::Clock;
-use crate::history::{Blow, Recorder, Struck};
+use crate::history::{ProcessEvent, Recorder, RouterEvent};
 use crate::settings::{self, Addresses, GRACE_MS, Size};
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::{self, File};
@@ -15,27 +15,27 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// A process that ended is started again after this, and up to twice as late.
-const START_AGAIN: Duration = Duration::from_millis(400);
+/// The least delay before a process that ended is restarted; at most it is twice as long.
+const RESTART_DELAY: Duration = Duration::from_millis(400);
 
-/// What is done to a router.
+/// A fault of a router, injected by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Strike {
-    /// SIGTERM; SIGKILL where it is still there at the end of its grace period.
+pub enum RouterFault {
+    /// SIGTERM, and SIGKILL at the end of the grace period.
     Terminate,
     /// SIGKILL.
     Kill,
-    /// SIGKILL, and its disk is empty when it starts again.
+    /// SIGKILL, and its disk is empty after the restart.
     Wipe,
-    /// SIGSTOP, and SIGCONT after so long.
-    Stop(Duration),
+    /// SIGSTOP, and SIGCONT after this time.
+    Suspend(Duration),
     /// SIGHUP.
-    HangUp,
-    /// The run is over: SIGKILL, and it isn't started again.
-    End,
+    Reload,
+    /// SIGKILL without a restart, at the end of the run.
+    Shutdown,
 }
 
-/// What starting a router takes.
+/// What all routers of a run share.
 #[derive(Debug, Clone)]
 pub struct Site {
     /// The program.
@@ -48,7 +48,7 @@
     pub addresses: Addresses,
 }
 
-/// One router, whatever process it is at present.
+/// One router, over all its processes.
 struct Router {
     site: Site,
     number: usize,
@@ -56,26 +56,29 @@
     recorder: Arc<Recorder>,
 }
 
-/// The way to a router's keeper.
+/// A handle to the supervisor of one router.
 #[derive(Debug, Clone)]
-pub struct Keeper(mpsc::UnboundedSender<Strike>);
+pub struct Supervisor(mpsc::UnboundedSender<RouterFault>);
 
-impl Keeper {
-    /// Has something done to the router.
-    pub fn strike(&self, strike: Strike) {
-        // A router that has ended for good takes no more.
-        let _ = self.0.send(strike);
+impl Supervisor {
+    /// Injects a fault.
+    pub fn inject(&self, fault: RouterFault) {
+        // After the shutdown nobody receives faults.
+        let _ = self.0.send(fault);
     }
 }
 
-/// Starts a router and keeps it running until it is told to end.
-pub fn keep(
+/// Starts a router and restarts it until the shutdown.
+///
+/// # Errors
+/// Its files cannot be written, or the process cannot be started.
+pub fn start(
     site: &Site,
     number: usize,
     clock: Clock,
     recorder: &Arc<Recorder>,
-) -> io::Result<(Keeper, tokio::task::JoinHandle<io::Result<()>>)> {
-    let (strikes, queue) = mpsc::unbounded_channel();
+) -> io::Result<(Supervisor, tokio::task::JoinHandle<io::Result<()>>)> {
+    let (faults, queue) = mpsc::unbounded_channel();
     let router = Router {
         site: site.clone(),
         number,
@@ -83,8 +86,8 @@
         recorder: recorder.clone(),
     };
     let child = router.start(true)?;
-    let keeping = tokio::spawn(async move { router.keep(child, queue).await });
-    Ok((Keeper(strikes), keeping))
+    let supervision = tokio::spawn(async move { router.supervise(child, queue).await });
+    Ok((Supervisor(faults), supervision))
 }
 
 impl Router {
@@ -92,13 +95,13 @@
         self.site.folder.join(format!("data-{}", self.number))
     }
 
-    fn note(&self, blow: Blow) {
-        let struck = Struck {
+    fn record(&self, event: ProcessEvent) {
+        let record = RouterEvent {
             router: self.number,
             at: self.clock.now(),
-            blow,
+            event,
         };
-        self.recorder.open().struck.push(struck);
+        self.recorder.open().router_events.push(record);
     }
 
     fn start(&self, bootstrap: bool) -> io::Result<Child> {
@@ -128,75 +131,75 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        self.note(Blow::Started);
+        self.record(ProcessEvent::Started);
         Ok(child)
     }
 
-    async fn keep(
+    async fn supervise(
         self,
         mut child: Child,
-        mut strikes: mpsc::UnboundedReceiver<Strike>,
+        mut faults: mpsc::UnboundedReceiver<RouterFault>,
     ) -> io::Result<()> {
         let mut kill_at: Option<Instant> = None;
-        let mut go_on_at: Option<Instant> = None;
+        let mut resume_at: Option<Instant> = None;
         let mut wipes = false;
         loop {
             tokio::select! {
                 ended = child.wait() => {
-                    self.note(Blow::Ended(ended?.into()));
+                    self.record(ProcessEvent::Exited(ended?.into()));
                     if std::mem::take(&mut wipes) {
                         empty(&self.data())?;
                     }
-                    (kill_at, go_on_at) = (None, None);
-                    tokio::time::sleep(START_AGAIN.mul_f64(1.0 + fastrand::f64())).await;
+                    (kill_at, resume_at) = (None, None);
+                    tokio::time::sleep(RESTART_DELAY.mul_f64(1.0 + fastrand::f64())).await;
                     child = self.start(false)?;
                 }
-                strike = strikes.recv() => match strike {
-                    None | Some(Strike::End) => {
+                fault = faults.recv() => match fault {
+                    None | Some(RouterFault::Shutdown) => {
                         self.signal(&child, Signal::KILL);
                         child.wait().await?;
                         return Ok(());
                     }
-                    Some(Strike::Terminate) => {
+                    Some(RouterFault::Terminate) => {
                         self.signal(&child, Signal::TERM);
                         kill_at.get_or_insert_with(|| Instant::now() + Duration::from_millis(GRACE_MS));
                     }
-                    Some(Strike::Kill) => self.signal(&child, Signal::KILL),
-                    Some(Strike::Wipe) => {
+                    Some(RouterFault::Kill) => self.signal(&child, Signal::KILL),
+                    Some(RouterFault::Wipe) => {
                         wipes = true;
                         self.signal(&child, Signal::KILL);
                     }
-                    Some(Strike::Stop(lasts)) => {
+                    Some(RouterFault::Suspend(duration)) => {
                         self.signal(&child, Signal::STOP);
-                        go_on_at = Some(Instant::now() + lasts);
+                        resume_at = Some(Instant::now() + duration);
                     }
-                    Some(Strike::HangUp) => self.signal(&child, Signal::HUP),
+                    Some(RouterFault::Reload) => self.signal(&child, Signal::HUP),
                 },
                 () = at(kill_at) => {
                     kill_at = None;
                     self.signal(&child, Signal::KILL);
                 }
-                () = at(go_on_at) => {
-                    go_on_at = None;
+                () = at(resume_at) => {
+                    resume_at = None;
                     self.signal(&child, Signal::CONT);
                 }
             }
         }
     }
 
-    /// Sends a signal to the process that this router is at present, and to no other.
+    /// Sends a signal to the current process of this router.
     fn signal(&self, child: &Child, signal: Signal) {
         let id = child.id().and_then(|id| Pid::from_raw(id as i32));
         let Some(id) = id else { return };
-        let blow = match signal {
-            Signal::TERM => Blow::Terminated,
-            Signal::STOP => Blow::Stopped,
-            Signal::CONT => Blow::Continued,
-            Signal::HUP => Blow::HungUp,
-            _ => Blow::Killed,
+        let event = match signal {
+            Signal::TERM => ProcessEvent::Terminated,
+            Signal::STOP => ProcessEvent::Suspended,
+            Signal::CONT => ProcessEvent::Resumed,
+            Signal::HUP => ProcessEvent::Reloaded,
+            _ => ProcessEvent::Killed,
         };
-        self.note(blow);
-        // It may just have ended by itself; then there is nothing to signal.
+        self.record(event);
+        // The process may just have exited by itself.
         let _ = kill_process(id, signal);
     }
 }
--- a/soak/tests/check.rs
+++ b/soak/tests/check.rs
@@ -1,9 +1,9 @@
-//! Every rule is found broken in a history that breaks it, and in none that doesn't.
+//! Every rule is violated by a history that breaks it, and by no other.
 
 use soak::check::violations;
 use soak::history::{
-    Blow, Change, Changed, Ending, Final, History, Kind, OrderSeen, Outcome, Reply, Request, Run,
-    Seen, Stage, Staged, Struck,
+    BackendEvent, BackendState, Change, ChangeRecord, Exit, Final, History, Kind, Outcome,
+    ProcessEvent, ReceivedOrder, Reply, Request, RouterEvent, Run, StatusRecord,
 };
 
 /// A fleet of five routers, three with the control state, that served one request.
@@ -11,11 +11,11 @@
     History {
         requests: vec![request(1, Kind::Unsafe, 20_000, 20_050, Outcome::Served)],
         runs: vec![run(1, 1, 20_010, 20_040)],
-        struck: (0..5)
-            .map(|router| Struck {
+        router_events: (0..5)
+            .map(|router| RouterEvent {
                 router,
                 at: 0,
-                blow: Blow::Started,
+                event: ProcessEvent::Started,
             })
             .collect(),
         changes: vec![configured(0, 1, 1, 5_000, Reply::Acknowledged)],
@@ -53,13 +53,19 @@
     }
 }
 
-fn configured(base: u64, version: u64, variant: u64, answered_at: u64, reply: Reply) -> Changed {
+fn configured(
+    base: u64,
+    version: u64,
+    variant: u64,
+    answered_at: u64,
+    reply: Reply,
+) -> ChangeRecord {
     let change = Change::Configuration {
         base,
         version,
         variant,
     };
-    Changed {
+    ChangeRecord {
         change,
         sent_at: answered_at - 10,
         answered_at,
@@ -67,9 +73,9 @@
     }
 }
 
-fn named(version: u64, answered_at: u64) -> Changed {
+fn named(version: u64, answered_at: u64) -> ChangeRecord {
     let change = Change::Weights(version);
-    Changed {
+    ChangeRecord {
         change,
         sent_at: answered_at - 10,
         answered_at,
@@ -77,8 +83,8 @@
     }
 }
 
-fn seen(router: usize, at: u64, configuration: u64) -> Seen {
-    Seen {
+fn seen(router: usize, at: u64, configuration: u64) -> StatusRecord {
+    StatusRecord {
         router,
         asked_at: at,
         answered_at: at + 5,
@@ -86,8 +92,8 @@
     }
 }
 
-fn struck(router: usize, at: u64, blow: Blow) -> Struck {
-    Struck { router, at, blow }
+fn router_event(router: usize, at: u64, event: ProcessEvent) -> RouterEvent {
+    RouterEvent { router, at, event }
 }
 
 /// The rules that are broken once a sound history is changed.
@@ -105,19 +111,19 @@
 const NONE: [&str; 0] = [];
 
 #[test]
-fn a_sound_history_breaks_nothing() {
+fn accepts_sound_history() {
     assert_eq!(broken(|_| {}), NONE);
 }
 
 #[test]
-fn answers_are_the_backend_s_and_whole() {
+fn detects_corrupted_responses() {
     let spoil =
-        |history: &mut History| history.requests[0].outcome = Outcome::Spoiled("it has no seal");
+        |history: &mut History| history.requests[0].outcome = Outcome::Corrupted("it has no seal");
     assert_eq!(broken(spoil), ["MIXED"]);
 }
 
 #[test]
-fn what_may_run_once_runs_once() {
+fn detects_repeated_execution() {
     let again = |history: &mut History| history.runs.push(run(1, 1, 20_020, 20_030));
     assert_eq!(broken(again), ["TWICE"]);
     assert_eq!(
@@ -138,7 +144,7 @@
 }
 
 #[test]
-fn what_was_never_sent_reaches_no_backend() {
+fn detects_execution_of_unsent_request() {
     assert_eq!(
         broken(|history| history.requests[0].outcome = Outcome::NotSent),
         ["UNASKED"]
@@ -146,7 +152,7 @@
 }
 
 #[test]
-fn a_refusal_promises_that_nothing_has_run() {
+fn detects_execution_of_refused_request() {
     for (status, expected) in [
         (503, vec!["REFUSED"]),
         (429, vec!["REFUSED"]),
@@ -160,21 +166,21 @@
 }
 
 #[test]
-fn a_request_that_was_passed_on_is_answered_unless_its_process_was_killed() {
-    let lost = |history: &mut History| history.requests[0].outcome = Outcome::BrokenOff;
+fn detects_lost_requests() {
+    let lost = |history: &mut History| history.requests[0].outcome = Outcome::Truncated;
     assert_eq!(broken(lost), ["LOST"]);
-    let blows = [
-        (Blow::Killed, true),
-        (Blow::Stopped, true),
-        (Blow::Terminated, false),
-        (Blow::HungUp, false),
+    let events = [
+        (ProcessEvent::Killed, true),
+        (ProcessEvent::Suspended, true),
+        (ProcessEvent::Terminated, false),
+        (ProcessEvent::Reloaded, false),
     ];
-    for (blow, excuses) in blows {
+    for (event, excuses) in events {
         let rules = broken(|history| {
             lost(history);
-            history.struck.push(struck(4, 20_020, blow));
+            history.router_events.push(router_event(4, 20_020, event));
         });
-        assert_eq!(rules.is_empty(), excuses, "{blow:?}");
+        assert_eq!(rules.is_empty(), excuses, "{event:?}");
     }
     let by_the_backend = |history: &mut History| {
         lost(history);
@@ -192,15 +198,15 @@
     let behind_a_cut = |backend: u64, healed_at: u64| {
         broken(|history| {
             lost(history);
-            history.backends.push(Staged {
+            history.backends.push(BackendEvent {
                 backend,
                 at: 15_000,
-                stage: Stage::Cut,
+                state: BackendState::Partitioned,
             });
-            history.backends.push(Staged {
+            history.backends.push(BackendEvent {
                 backend,
                 at: healed_at,
-                stage: Stage::Healed,
+                state: BackendState::Reachable,
             });
         })
     };
@@ -218,12 +224,12 @@
 }
 
 #[test]
-fn a_connection_that_crosses_its_close_ends_soon() {
+fn detects_late_close_without_response() {
     let crossed = |took: u64| {
         broken(|history| {
             history.runs.clear();
             history.requests[0] =
-                request(1, Kind::Unsafe, 20_000, 20_000 + took, Outcome::NoAnswer);
+                request(1, Kind::Unsafe, 20_000, 20_000 + took, Outcome::NoResponse);
         })
     };
     assert_eq!(crossed(50), NONE);
@@ -231,7 +237,7 @@
 }
 
 #[test]
-fn backends_stop_for_clients_that_left() {
+fn detects_work_on_cancelled_requests() {
     let work_on = |count: u64, ended: Option<u64>| {
         broken(|history| {
             history.requests.clear();
@@ -239,7 +245,7 @@
             for id in 1..=count {
                 history
                     .requests
-                    .push(request(id, Kind::Safe, 20_000, 20_100, Outcome::Left));
+                    .push(request(id, Kind::Safe, 20_000, 20_100, Outcome::Cancelled));
                 history.runs.push(Run {
                     ended_at: ended,
                     ..run(id, 1, 20_010, 0)
@@ -255,31 +261,34 @@
 
 /// Four clients left at 20.1 s; their requests had arrived at a backend at `arrived`, to which the
 /// way was cut for a while.
-fn left_behind_a_cut(arrived: u64, stages: &[(u64, Stage)]) -> Vec<&'static str> {
+fn left_behind_a_cut(arrived: u64, states: &[(u64, BackendState)]) -> Vec<&'static str> {
     broken(|history| {
         history.requests.clear();
         history.runs.clear();
         for id in 1..=4 {
             history
                 .requests
-                .push(request(id, Kind::Safe, 20_000, 20_100, Outcome::Left));
+                .push(request(id, Kind::Safe, 20_000, 20_100, Outcome::Cancelled));
             history.runs.push(Run {
                 ended_at: None,
                 ..run(id, 1, arrived, 0)
             });
         }
-        let staged = |(at, stage): &(u64, Stage)| Staged {
+        let staged = |(at, state): &(u64, BackendState)| BackendEvent {
             backend: 1,
             at: *at,
-            stage: *stage,
+            state: *state,
         };
-        history.backends.extend(stages.iter().map(staged));
+        history.backends.extend(states.iter().map(staged));
     })
 }
 
 #[test]
-fn an_end_counts_once_the_way_lets_it_through_and_what_was_withdrawn_never_arrives() {
-    let cut_then = [(20_050, Stage::Cut), (25_000, Stage::Healed)];
+fn cancellation_counts_after_the_partition() {
+    let cut_then = [
+        (20_050, BackendState::Partitioned),
+        (25_000, BackendState::Reachable),
+    ];
     assert_eq!(
         left_behind_a_cut(20_010, &cut_then),
         NONE,
@@ -290,49 +299,58 @@
         ["GONE"],
         "it arrived after all"
     );
-    let cut_before = [(12_000, Stage::Cut), (15_000, Stage::Healed)];
+    let cut_before = [
+        (12_000, BackendState::Partitioned),
+        (15_000, BackendState::Reachable),
+    ];
     assert_eq!(left_behind_a_cut(20_010, &cut_before), ["GONE"]);
-    let cut_after = [(21_500, Stage::Cut), (25_000, Stage::Healed)];
+    let cut_after = [
+        (21_500, BackendState::Partitioned),
+        (25_000, BackendState::Reachable),
+    ];
     assert_eq!(left_behind_a_cut(20_010, &cut_after), ["GONE"]);
 }
 
 #[test]
-fn requests_begin_on_weights_that_are_not_too_old() {
-    let begins = |at: u64, blow: Option<Struck>| {
+fn detects_outdated_weights() {
+    let begins = |at: u64, event: Option<RouterEvent>| {
         broken(|history| {
             history.changes.push(named(2, 10_000));
             history.end.weights = vec![2; 2];
             history.requests[0] = request(1, Kind::Unsafe, at - 20, at + 50, Outcome::Served);
             history.runs[0] = run(1, 1, at, at + 20);
-            history.struck.extend(blow);
+            history.router_events.extend(event);
         })
     };
     assert_eq!(begins(16_300, None), NONE);
     assert_eq!(begins(16_500, None), ["VERSION"]);
     assert_eq!(
-        begins(16_500, Some(struck(3, 12_000, Blow::HungUp))),
+        begins(
+            16_500,
+            Some(router_event(3, 12_000, ProcessEvent::Reloaded))
+        ),
         ["VERSION"]
     );
     assert_eq!(
-        begins(16_500, Some(struck(3, 12_000, Blow::Killed))),
+        begins(16_500, Some(router_event(3, 12_000, ProcessEvent::Killed))),
         ["VERSION"],
         "another router's affair"
     );
     assert_eq!(
-        begins(16_500, Some(struck(0, 12_000, Blow::Killed))),
+        begins(16_500, Some(router_event(0, 12_000, ProcessEvent::Killed))),
         NONE,
         "the core was not stable"
     );
     assert_eq!(
-        begins(16_500, Some(struck(4, 8_000, Blow::Killed))),
+        begins(16_500, Some(router_event(4, 8_000, ProcessEvent::Killed))),
         NONE,
         "the router was out of touch"
     );
 }
 
 #[test]
-fn a_router_in_touch_follows_and_never_goes_back() {
-    let look = |looks: &[Seen], blow: Option<Struck>| {
+fn detects_stale_and_regressed_configurations() {
+    let look = |looks: &[StatusRecord], event: Option<RouterEvent>| {
         broken(|history| {
             history
                 .changes
@@ -342,19 +360,25 @@
                 configurations: vec![3; 5],
                 ..history.end.clone()
             };
-            history.seen.extend_from_slice(looks);
-            history.struck.extend(blow);
+            history.statuses.extend_from_slice(looks);
+            history.router_events.extend(event);
         })
     };
     assert_eq!(look(&[seen(4, 12_300, 1)], None), NONE);
     assert_eq!(look(&[seen(4, 12_500, 1)], None), ["CONFIG"]);
     assert_eq!(
-        look(&[seen(4, 12_500, 1)], Some(struck(0, 9_000, Blow::Killed))),
+        look(
+            &[seen(4, 12_500, 1)],
+            Some(router_event(0, 9_000, ProcessEvent::Killed))
+        ),
         NONE,
         "no stable core"
     );
     assert_eq!(
-        look(&[seen(4, 12_500, 1)], Some(struck(3, 9_000, Blow::Killed))),
+        look(
+            &[seen(4, 12_500, 1)],
+            Some(router_event(3, 9_000, ProcessEvent::Killed))
+        ),
         ["CONFIG"],
         "another router"
     );
@@ -362,7 +386,7 @@
         look(&[seen(4, 9_000, 3), seen(4, 9_400, 1)], None),
         ["CONFIG"]
     );
-    let restarted = Some(struck(4, 9_200, Blow::Started));
+    let restarted = Some(router_event(4, 9_200, ProcessEvent::Started));
     assert_eq!(
         look(&[seen(4, 9_000, 3), seen(4, 9_400, 1)], restarted),
         NONE,
@@ -371,27 +395,27 @@
 }
 
 #[test]
-fn of_two_operators_one_wins() {
+fn detects_two_winners_of_a_race() {
     let race = |reply| broken(|history| history.changes.push(configured(0, 1, 2, 5_010, reply)));
     assert_eq!(race(Reply::Acknowledged), ["CONFIG"]);
     assert_eq!(race(Reply::Refused(412)), NONE);
 }
 
 #[test]
-fn a_fencing_token_has_one_holder() {
-    let order = |holder: &str, fence| OrderSeen {
+fn detects_shared_fencing_token() {
+    let order = |holder: &str, fencing_token| ReceivedOrder {
         backend: 1,
         at: 9_000,
         holder: holder.to_owned(),
-        fence,
+        fencing_token,
     };
     assert_eq!(
         broken(|history| history.orders = vec![order("a", 1), order("b", 1)]),
         ["ONE"]
     );
-    let later = |fence, at| OrderSeen {
+    let later = |fencing_token, at| ReceivedOrder {
         at,
-        ..order("b", fence)
+        ..order("b", fencing_token)
     };
     assert_eq!(
         broken(|history| history.orders = vec![order("a", 1), later(1, 20_000)]),
@@ -404,12 +428,12 @@
 }
 
 #[test]
-fn orders_of_two_routers_lie_a_lease_apart() {
-    let order = |holder: &str, at: u64, fence: u64| OrderSeen {
+fn detects_overlapping_leases() {
+    let order = |holder: &str, at: u64, fencing_token: u64| ReceivedOrder {
         backend: at,
         at,
         holder: holder.to_owned(),
-        fence,
+        fencing_token,
     };
     let orders = |second: u64, third: u64| {
         move |history: &mut History| {
@@ -428,7 +452,9 @@
     );
     let thawed = |history: &mut History| {
         orders(11_999, 12_500)(history);
-        history.struck.push(struck(1, 11_900, Blow::Continued));
+        history
+            .router_events
+            .push(router_event(1, 11_900, ProcessEvent::Resumed));
     };
     assert_eq!(
         broken(thawed),
@@ -438,10 +464,10 @@
     let healed = |backend: u64| {
         move |history: &mut History| {
             orders(11_999, 12_500)(history);
-            history.backends.push(Staged {
+            history.backends.push(BackendEvent {
                 backend,
                 at: 11_900,
-                stage: Stage::Healed,
+                state: BackendState::Reachable,
             });
         }
     };
@@ -458,18 +484,18 @@
 }
 
 #[test]
-fn no_backend_gets_older_weights_than_it_has() {
+fn detects_regressed_weights() {
     let loads = |versions: &'static [(u64, u64)]| {
         broken(move |history| {
-            history.backends.push(Staged {
+            history.backends.push(BackendEvent {
                 backend: 7,
                 at: 1_000,
-                stage: Stage::Started { version: 2 },
+                state: BackendState::Started { version: 2 },
             });
-            let loaded = |(backend, version): &(u64, u64)| Staged {
+            let loaded = |(backend, version): &(u64, u64)| BackendEvent {
                 backend: *backend,
                 at: 2_000,
-                stage: Stage::Loaded { version: *version },
+                state: BackendState::Loaded { version: *version },
             };
             history.backends.extend(versions.iter().map(loaded));
         })
@@ -482,7 +508,7 @@
 
 /// A history of 40 s in which version 2 was acknowledged at 10 s, and a backend started with
 /// version 1 before.
-fn behind(stages: &[(u64, Stage)], blows: &[Struck]) -> Vec<&'static str> {
+fn behind(states: &[(u64, BackendState)], events: &[RouterEvent]) -> Vec<&'static str> {
     broken(|history| {
         history.changes.push(named(2, 10_000));
         history.end.weights = vec![2; 2];
@@ -490,48 +516,48 @@
             .requests
             .push(request(2, Kind::Unsafe, 39_950, 40_000, Outcome::Served));
         history.runs = vec![run(1, 2, 20_010, 20_040), run(2, 2, 39_960, 39_990)];
-        let mut stage = |at, stage| {
-            history.backends.push(Staged {
+        let mut change = |at, state| {
+            history.backends.push(BackendEvent {
                 backend: 7,
                 at,
-                stage,
+                state,
             })
         };
-        stage(1_000, Stage::Started { version: 1 });
-        stages.iter().for_each(|(at, what)| stage(*at, *what));
-        history.struck.extend_from_slice(blows);
+        change(1_000, BackendState::Started { version: 1 });
+        states.iter().for_each(|(at, what)| change(*at, *what));
+        history.router_events.extend_from_slice(events);
     })
 }
 
 #[test]
-fn no_backend_is_left_behind_for_nine_calm_seconds_in_all() {
-    let loaded = Stage::Loaded { version: 2 };
+fn detects_backend_without_newer_weights() {
+    let loaded = BackendState::Loaded { version: 2 };
     assert_eq!(behind(&[(19_400, loaded)], &[]), NONE);
     assert_eq!(behind(&[(19_500, loaded)], &[]), ["VERSION"]);
     assert_eq!(behind(&[], &[]), ["VERSION"], "it never got it");
     assert_eq!(
-        behind(&[(19_400, Stage::Loaded { version: 3 })], &[]),
+        behind(&[(19_400, BackendState::Loaded { version: 3 })], &[]),
         NONE,
         "a newer one serves as well"
     );
     assert_eq!(
-        behind(&[(19_000, Stage::Leaving)], &[]),
+        behind(&[(19_000, BackendState::Stopping)], &[]),
         NONE,
         "it left before"
     );
     let hung = [
-        (11_000, Stage::Hanging),
-        (15_000, Stage::Answering),
+        (11_000, BackendState::Unresponsive),
+        (15_000, BackendState::Responding),
         (26_000, loaded),
     ];
     assert_eq!(behind(&hung, &[]), NONE, "it answered nothing for a while");
     let cut = [
-        (11_000, Stage::Cut),
-        (12_000, Stage::Hanging),
-        (12_500, Stage::Answering),
-        (15_000, Stage::Healed),
+        (11_000, BackendState::Partitioned),
+        (12_000, BackendState::Unresponsive),
+        (12_500, BackendState::Responding),
+        (15_000, BackendState::Reachable),
     ];
-    let cut: Vec<(u64, Stage)> = cut.into_iter().chain([(26_000, loaded)]).collect();
+    let cut: Vec<(u64, BackendState)> = cut.into_iter().chain([(26_000, loaded)]).collect();
     assert_eq!(
         behind(&cut, &[]),
         NONE,
@@ -540,8 +566,8 @@
     assert_eq!(
         behind(
             &[
-                (11_000, Stage::Cut),
-                (12_000, Stage::Healed),
+                (11_000, BackendState::Partitioned),
+                (12_000, BackendState::Reachable),
                 (26_000, loaded)
             ],
             &[]
@@ -551,19 +577,19 @@
 }
 
 #[test]
-fn calm_seconds_between_troubles_add_up() {
+fn calm_time_between_faults_adds_up() {
     // Each 5.5 s a control machine is killed and starts again at once: 2.5 s of each are calm.
-    let kills = |router: usize, every: u64| -> Vec<Struck> {
+    let kills = |router: usize, every: u64| -> Vec<RouterEvent> {
         let at = (0..6).map(|number| 10_000 + number * every);
         at.flat_map(|at| {
             [
-                struck(router, at, Blow::Killed),
-                struck(router, at + 1, Blow::Started),
+                router_event(router, at, ProcessEvent::Killed),
+                router_event(router, at + 1, ProcessEvent::Started),
             ]
         })
         .collect()
     };
-    let loaded = |at| [(at, Stage::Loaded { version: 2 })];
+    let loaded = |at| [(at, BackendState::Loaded { version: 2 })];
     assert_eq!(behind(&loaded(30_000), &kills(0, 5_500)), NONE);
     assert_eq!(behind(&loaded(36_000), &kills(0, 5_500)), ["VERSION"]);
     assert_eq!(
@@ -577,8 +603,8 @@
         "a router without the control state"
     );
     let away = [
-        struck(1, 10_000, Blow::Stopped),
-        struck(1, 36_000, Blow::Continued),
+        router_event(1, 10_000, ProcessEvent::Suspended),
+        router_event(1, 36_000, ProcessEvent::Resumed),
     ];
     assert_eq!(
         behind(&loaded(40_000), &away),
@@ -588,51 +614,57 @@
 }
 
 #[test]
-fn processes_end_when_told_in_order_and_in_time() {
-    let ends = |blows: &[(u64, Blow)]| {
-        let blows = blows
+fn detects_failed_and_late_exits() {
+    let ends = |events: &[(u64, ProcessEvent)]| {
+        let events = events
             .iter()
-            .map(|(at, blow)| struck(3, *at, *blow))
+            .map(|(at, event)| router_event(3, *at, *event))
             .collect::<Vec<_>>();
-        broken(|history| history.struck.extend(blows))
+        broken(|history| history.router_events.extend(events))
     };
     let (in_order, failed) = (
-        Blow::Ended(Ending::InOrder),
-        Blow::Ended(Ending::BySignal(9)),
+        ProcessEvent::Exited(Exit::Success),
+        ProcessEvent::Exited(Exit::BySignal(9)),
     );
     assert_eq!(ends(&[(9_000, failed)]), ["FAULT"], "by itself");
     assert_eq!(ends(&[(30, failed)]), NONE, "it had hardly started");
-    assert_eq!(ends(&[(9_000, Blow::Terminated), (11_000, in_order)]), NONE);
     assert_eq!(
-        ends(&[(9_000, Blow::Terminated), (11_000, failed)]),
+        ends(&[(9_000, ProcessEvent::Terminated), (11_000, in_order)]),
+        NONE
+    );
+    assert_eq!(
+        ends(&[(9_000, ProcessEvent::Terminated), (11_000, failed)]),
         ["FAULT"]
     );
-    assert_eq!(ends(&[(9_000, Blow::Killed), (9_001, failed)]), NONE);
+    assert_eq!(
+        ends(&[(9_000, ProcessEvent::Killed), (9_001, failed)]),
+        NONE
+    );
     assert_eq!(
         ends(&[
-            (9_000, Blow::Terminated),
-            (17_000, Blow::Killed),
+            (9_000, ProcessEvent::Terminated),
+            (17_000, ProcessEvent::Killed),
             (17_001, failed)
         ]),
         ["FAULT"]
     );
-    let stood_still = [
-        (9_000, Blow::Terminated),
-        (9_100, Blow::Stopped),
-        (17_000, Blow::Killed),
+    let was_suspended = [
+        (9_000, ProcessEvent::Terminated),
+        (9_100, ProcessEvent::Suspended),
+        (17_000, ProcessEvent::Killed),
         (17_001, failed),
     ];
-    assert_eq!(ends(&stood_still), NONE);
+    assert_eq!(ends(&was_suspended), NONE);
     // The second process starts at 9 s, is stopped some time later, and told to end before it goes
     // on.
     let stopped_after = |ran: u64| {
         ends(&[
-            (8_000, Blow::Killed),
+            (8_000, ProcessEvent::Killed),
             (8_001, failed),
-            (9_000, Blow::Started),
-            (9_000 + ran, Blow::Stopped),
-            (11_000, Blow::Terminated),
-            (12_000, Blow::Continued),
+            (9_000, ProcessEvent::Started),
+            (9_000 + ran, ProcessEvent::Suspended),
+            (11_000, ProcessEvent::Terminated),
+            (12_000, ProcessEvent::Resumed),
             (12_001, failed),
         ])
     };
@@ -641,7 +673,7 @@
 }
 
 #[test]
-fn in_the_end_everything_acknowledged_is_there_and_clients_are_served() {
+fn detects_incomplete_recovery() {
     assert_eq!(broken(|history| history.end.read_back = None), ["CONFIG"]);
     assert_eq!(broken(|history| history.end.read_back = Some(0)), ["LOST"]);
     assert_eq!(
--- a/soak/tests/ways.rs
+++ b/soak/tests/links.rs
@@ -1,14 +1,14 @@
-//! Ways to backends that are cut: what is sent meanwhile arrives when they heal, and is lost where
-//! its sender has reset the connection.
+//! Partitions of links to backends: bytes sent meanwhile arrive afterwards, except those of reset
+//! connections.
 
-use soak::way::Way;
+use soak::link::Link;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
 use tokio::net::{TcpListener, TcpStream};
 
 /// Nothing in these tests takes longer.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A listener that tells of each connection all that came on it, once it has ended.
 async fn far_side() -> (SocketAddrV4, tokio::sync::mpsc::UnboundedReceiver<Vec<u8>>) {
@@ -33,20 +33,20 @@
     (address, told)
 }
 
-async fn connect(way: &Way) -> TcpStream {
-    TcpStream::connect(way.address).await.unwrap()
+async fn connect(link: &Link) -> TcpStream {
+    TcpStream::connect(link.address).await.unwrap()
 }
 
 async fn answers(stream: &mut TcpStream, count: usize) {
     let mut bytes = vec![0; count];
-    tokio::time::timeout(PATIENCE, stream.read_exact(&mut bytes))
+    tokio::time::timeout(TIMEOUT, stream.read_exact(&mut bytes))
         .await
         .expect("in time")
         .unwrap();
 }
 
 async fn next(told: &mut tokio::sync::mpsc::UnboundedReceiver<Vec<u8>>) -> String {
-    let all = tokio::time::timeout(PATIENCE, told.recv())
+    let all = tokio::time::timeout(TIMEOUT, told.recv())
         .await
         .expect("in time")
         .unwrap();
@@ -54,44 +54,44 @@
 }
 
 #[tokio::test]
-async fn what_is_sent_while_a_way_is_cut_arrives_when_it_heals() {
+async fn forwards_bytes_after_a_partition() {
     let (target, mut told) = far_side().await;
-    let way = Way::to(target).await.unwrap();
-    let mut used = connect(&way).await;
+    let link = Link::to(target).await.unwrap();
+    let mut used = connect(&link).await;
     used.write_all(b"a").await.unwrap();
     answers(&mut used, 1).await;
-    way.cut(true);
+    link.set_partitioned(true);
     used.write_all(b"b").await.unwrap();
     // In order behind both, also on a connection that is made meanwhile.
-    let mut new = connect(&way).await;
+    let mut new = connect(&link).await;
     new.write_all(b"c").await.unwrap();
     new.shutdown().await.unwrap();
     used.shutdown().await.unwrap();
     assert!(used.try_read(&mut [0; 1]).is_err(), "nothing comes back");
-    way.cut(false);
+    link.set_partitioned(false);
     let mut all = [next(&mut told).await, next(&mut told).await];
     all.sort();
     assert_eq!(all, ["ab", "c"]);
 }
 
 #[tokio::test]
-async fn what_its_sender_has_reset_meanwhile_is_lost() {
+async fn drops_bytes_of_reset_connections() {
     let (target, mut told) = far_side().await;
-    let way = Way::to(target).await.unwrap();
-    let mut used = connect(&way).await;
+    let link = Link::to(target).await.unwrap();
+    let mut used = connect(&link).await;
     used.write_all(b"a").await.unwrap();
     answers(&mut used, 1).await;
-    way.cut(true);
-    let mut new = connect(&way).await;
+    link.set_partitioned(true);
+    let mut new = connect(&link).await;
     for stream in [&mut used, &mut new] {
         stream.write_all(b"b").await.unwrap();
         stream.ready(Interest::WRITABLE).await.unwrap();
         stream.set_zero_linger().unwrap();
     }
     drop((used, new));
-    way.cut(false);
+    link.set_partitioned(false);
     assert_eq!(next(&mut told).await, "a");
-    let mut last = connect(&way).await;
+    let mut last = connect(&link).await;
     last.write_all(b"c").await.unwrap();
     answers(&mut last, 1).await;
     drop(last);
--- a/soak/tests/network.rs
+++ b/soak/tests/network.rs
@@ -1,9 +1,9 @@
-//! Networks of runs: each has one of its own, and gives it back.
+//! Each run claims a network of its own, and releases it.
 
 use soak::network::Network;
 
 #[test]
-fn no_two_runs_have_the_same_network_and_one_that_ends_gives_its_own_back() {
+fn claims_distinct_networks_and_releases_them() {
     let networks: Vec<Network> = (0..5).map(|_| Network::claim().unwrap()).collect();
     let mut numbers: Vec<u8> = networks
         .iter()
--- a/soak/tests/schedule.rs
+++ b/soak/tests/schedule.rs
@@ -1,9 +1,9 @@
 //! What a seed draws: always the same, every kind of action, and never more lost disks than are
 //! tolerated.
 
-use soak::fleet::Strike;
 use soak::schedule::{Action, Scope, Step, draw};
 use soak::settings::Size;
+use soak::supervisor::RouterFault;
 
 const SCOPE: Scope = Scope {
     size: Size {
@@ -11,50 +11,53 @@
         replicas: 3,
     },
     backends: 6,
-    lasts: 15_000,
-    strikes_primary: false,
-    cuts_ways: false,
+    duration: 15_000,
+    leader_faults: false,
+    partitions: false,
 };
 
 #[test]
-fn a_seed_always_draws_the_same_in_order_and_within_its_time() {
+fn same_seed_draws_same_ordered_schedule() {
     for seed in 0..300 {
         let steps = draw(SCOPE, seed);
         assert_eq!(steps, draw(SCOPE, seed));
         assert!(steps.is_sorted_by_key(|step| step.at));
-        assert!(steps.iter().all(|step| step.at < SCOPE.lasts), "{steps:?}");
+        assert!(
+            steps.iter().all(|step| step.at < SCOPE.duration),
+            "{steps:?}"
+        );
     }
 }
 
 #[test]
-fn every_kind_of_action_comes_up_and_series_overlap() {
+fn draws_every_action_and_overlapping_series() {
     let all: Vec<Step> = (0..300).flat_map(|seed| draw(SCOPE, seed)).collect();
     let comes_up = |wanted: fn(&Action) -> bool| all.iter().any(|step| wanted(&step.action));
     assert!(comes_up(|action| matches!(
         action,
-        Action::Router(_, Strike::Terminate)
+        Action::Router(_, RouterFault::Terminate)
     )));
     assert!(comes_up(|action| matches!(
         action,
-        Action::Router(_, Strike::Kill)
+        Action::Router(_, RouterFault::Kill)
     )));
     assert!(comes_up(|action| matches!(
         action,
-        Action::Router(_, Strike::Stop(_))
+        Action::Router(_, RouterFault::Suspend(_))
     )));
     assert!(comes_up(|action| matches!(
         action,
-        Action::Router(_, Strike::HangUp)
+        Action::Router(_, RouterFault::Reload)
     )));
     assert!(comes_up(|action| matches!(
         action,
-        Action::Router(_, Strike::Wipe)
+        Action::Router(_, RouterFault::Wipe)
     )));
     assert!(comes_up(|action| matches!(
         action,
         Action::Configure { race: true }
     )));
-    assert!(comes_up(|action| *action == Action::NameWeights));
+    assert!(comes_up(|action| *action == Action::AnnounceWeights));
     assert!(comes_up(|action| matches!(action, Action::CrashBackend(_))));
     assert!(comes_up(|action| matches!(action, Action::HangBackend(..))));
     assert!(comes_up(|action| matches!(
@@ -64,26 +67,29 @@
 }
 
 #[test]
-fn a_disk_is_lost_once_at_the_most() {
+fn loses_at_most_one_disk() {
     for seed in 0..300 {
         let steps = draw(SCOPE, seed);
         let lost = steps
             .iter()
-            .filter(|step| matches!(step.action, Action::Router(_, Strike::Wipe)));
+            .filter(|step| matches!(step.action, Action::Router(_, RouterFault::Wipe)));
         assert!(lost.count() <= 1);
     }
 }
 
 #[test]
-fn the_primary_is_struck_in_series_beside_all_else_while_versions_are_named() {
+fn adds_series_of_leader_faults() {
     let scope = Scope {
-        strikes_primary: true,
+        leader_faults: true,
         ..SCOPE
     };
     for seed in 0..300 {
         let steps = draw(scope, seed);
         assert_eq!(steps, draw(scope, seed));
-        assert!(steps.iter().all(|step| step.at < scope.lasts), "{steps:?}");
+        assert!(
+            steps.iter().all(|step| step.at < scope.duration),
+            "{steps:?}"
+        );
         let without = draw(SCOPE, seed);
         let rest = without.iter().filter(|step| !steps.contains(step));
         assert_eq!(
@@ -93,7 +99,7 @@
         );
         let primary: Vec<&Step> = steps
             .iter()
-            .filter(|step| matches!(step.action, Action::Primary(_)))
+            .filter(|step| matches!(step.action, Action::Leader(_)))
             .collect();
         assert!(primary.len() >= 2, "seed {seed}: {primary:?}");
         let gaps = primary.windows(2).map(|pair| pair[1].at - pair[0].at);
@@ -103,39 +109,47 @@
         );
         let named = steps
             .iter()
-            .filter(|step| step.action == Action::NameWeights);
+            .filter(|step| step.action == Action::AnnounceWeights);
         assert!(named.count() >= 6, "seed {seed}");
     }
 }
 
 #[test]
-fn ways_are_cut_in_series_that_overlap_beside_all_else_while_versions_are_named() {
+fn adds_overlapping_partitions() {
     let scope = Scope {
-        cuts_ways: true,
+        partitions: true,
         ..SCOPE
     };
     let mut overlapping = 0;
     for seed in 0..300 {
         let steps = draw(scope, seed);
         assert_eq!(steps, draw(scope, seed));
-        assert!(steps.iter().all(|step| step.at < scope.lasts), "{steps:?}");
+        assert!(
+            steps.iter().all(|step| step.at < scope.duration),
+            "{steps:?}"
+        );
         let without = draw(SCOPE, seed);
         assert!(
             without.iter().all(|step| steps.contains(step)),
             "seed {seed}: the rest stays as it is"
         );
-        let cuts: Vec<(u64, u64)> = steps
+        let partitions: Vec<(u64, u64)> = steps
             .iter()
             .filter_map(|step| match step.action {
-                Action::CutBackend(_, lasts) => Some((step.at, step.at + lasts.as_millis() as u64)),
+                Action::PartitionBackend(_, duration) => {
+                    Some((step.at, step.at + duration.as_millis() as u64))
+                }
                 _ => None,
             })
             .collect();
-        assert!(cuts.len() >= 8, "seed {seed}: {cuts:?}");
-        overlapping += cuts.windows(2).filter(|pair| pair[1].0 < pair[0].1).count();
+        assert!(partitions.len() >= 8, "seed {seed}: {partitions:?}");
+        overlapping += partitions
+            .windows(2)
+            .filter(|pair| pair[1].0 < pair[0].1)
+            .count();
         let named = steps
             .iter()
-            .filter(|step| step.action == Action::NameWeights);
+            .filter(|step| step.action == Action::AnnounceWeights);
         assert!(named.count() >= 5, "seed {seed}");
     }
     assert!(overlapping > 1_000, "{overlapping}");
