--- a/control/src/node/pending_calls.rs
+++ b/control/src/node/pending_calls.rs
@@ -2,8 +2,8 @@
 //!
 //! A change that is stored proves by itself that this replica is the primary: every in-sync replica
 //! has taken it. An answer without one (a refusal, a change made before, the newest configuration)
-//! proves nothing, so it waits for a sequence of heartbeats that began after the call came, and that a
-//! majority of the witnesses granted.
+//! proves nothing, so it waits for a sequence of heartbeats that began after the call came, and
+//! that a majority of the witnesses granted.
 
 use super::primary::Stage;
 use super::{ControlNode, Effect, Role, Ticket};
--- a/control/src/proposer.rs
+++ b/control/src/proposer.rs
@@ -24,8 +24,8 @@
     /// Those of the wanted view, as it stands.
     Change,
     /// The proposer takes over: in-sync replicas that vote for it stay in sync, and silent ones as
-    /// long as there would be fewer than `replication_factor`. Each of these holds every acknowledged change,
-    /// whether it answers at present or not.
+    /// long as there would be fewer than `replication_factor`. Each of these holds every
+    /// acknowledged change, whether it answers at present or not.
     TakeOver {
         /// How many copies of each change there have to be.
         replication_factor: usize,
--- a/control/src/witness.rs
+++ b/control/src/witness.rs
@@ -75,8 +75,8 @@
 }
 
 impl Witness {
-    /// A witness that starts with what its disk holds. One that `may_bootstrap` started together with
-    /// the system and votes on the first view.
+    /// A witness that starts with what its disk holds. One that `may_bootstrap` started together
+    /// with the system and votes on the first view.
     pub fn new(votes: Votes, may_bootstrap: bool, lease: Millis, now: Millis) -> Self {
         let grant = if votes.decided.is_some() {
             Grant::Unknown { until: now + lease }
--- a/router/src/proxy/forwarder.rs
+++ b/router/src/proxy/forwarder.rs
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub(super) struct RouteStats {
     /// Latency estimate, from which the hedge delay follows.
-    pub(super) pace: LatencyEstimate,
+    pub(super) latency: LatencyEstimate,
     /// Hedges that may still be sent.
     pub(super) hedge_budget: HedgeBudget,
 }
@@ -154,7 +154,7 @@
         let entry = route_stats
             .entry(Self::stats_key(request))
             .or_insert_with(|| RouteStats {
-                pace: LatencyEstimate::starting(request.route.target_latency_ms * 1_000_000),
+                latency: LatencyEstimate::starting(request.route.target_latency_ms * 1_000_000),
                 hedge_budget: HedgeBudget::default(),
             });
         look(entry)
@@ -390,7 +390,7 @@
 
     /// Time after which a backend that has not started its response counts as failed.
     pub(super) fn overdue_after(&self, request: &ForwardRequest) -> Duration {
-        let p95 = self.with_route_stats(request, |route_stats| route_stats.pace.p95);
+        let p95 = self.with_route_stats(request, |route_stats| route_stats.latency.p95);
         let latency_target = Duration::from_millis(request.route.target_latency_ms);
         latency_target.max(OVERDUE_FACTOR * Duration::from_nanos(p95 as u64))
     }
--- a/router/src/proxy/in_flight.rs
+++ b/router/src/proxy/in_flight.rs
@@ -63,7 +63,7 @@
         self.start().await?;
         let hedge_after = self
             .forwarder
-            .with_route_stats(self.request, |route_stats| route_stats.pace.p95);
+            .with_route_stats(self.request, |route_stats| route_stats.latency.p95);
         let hedge = tokio::time::sleep(Duration::from_nanos(hedge_after as u64));
         tokio::pin!(hedge);
         let mut may_hedge = self.request.upstream_request.is_retryable;
@@ -296,7 +296,7 @@
         if response.status.is_success() {
             let took = response.took.as_nanos() as u64;
             self.forwarder
-                .with_route_stats(self.request, |route_stats| route_stats.pace.add(took));
+                .with_route_stats(self.request, |route_stats| route_stats.latency.add(took));
         }
         (response, std::mem::take(&mut self.history))
     }
--- a/routing/src/hedging.rs
+++ b/routing/src/hedging.rs
@@ -1,7 +1,7 @@
 //! Limits how many hedged requests are sent.
 //!
-//! When a request is hedged follows from [`LatencyEstimate`], the latency estimate that routers share with
-//! the gatherer ("The Tail at Scale", Dean and Barroso, 2013).
+//! When a request is hedged follows from [`LatencyEstimate`], the latency estimate that routers
+//! share with the gatherer ("The Tail at Scale", Dean and Barroso, 2013).
 
 pub use dispatch::dispatcher::LatencyEstimate;
 
--- a/routing/tests/version_floor.rs
+++ b/routing/tests/version_floor.rs
@@ -150,13 +150,14 @@
 }
 
 /// Incident: a request started on version 21 of some weights 7.2 s after version 22 was
-/// acknowledged, where 6 s are permitted, and was served. It was delayed on its way to a backend that
-/// had version 21; versions were announced each 0.85 s. Seen in 4 of 49 runs of one seed of the soak.
+/// acknowledged, where 6 s are permitted, and was served. It was delayed on its way to a backend
+/// that had version 21; versions were announced each 0.85 s. Seen in 4 of 49 runs of one seed of
+/// the soak.
 ///
 /// Evidence: the router knew of version 22 immediately, and had not withdrawn the request at its
-/// deadline. Cause: requests are withdrawn a second later than backends become ineligible. A version
-/// was pruned once the next one made backends ineligible, so while versions are announced less than
-/// that second apart, the one whose deadline was next was always pruned just before.
+/// deadline. Cause: requests are withdrawn a second later than backends become ineligible. A
+/// version was pruned once the next one made backends ineligible, so while versions are announced
+/// less than that second apart, the one whose deadline was next was always pruned just before.
 #[test]
 fn start_deadline_is_stable_under_fast_announcements() {
     const LATER: u64 = 1_000;
--- a/store/tests/rejoin_model.rs
+++ b/store/tests/rejoin_model.rs
@@ -1,7 +1,7 @@
 //! Model check of the rule by which a member that has lost its file becomes active again: every
 //! order in which messages may be delivered, lost or duplicated, every election, and every moment
-//! at which a file may be lost, within bounds on terms, entries and losses. The rule is abstracted from
-//! `store/src/rejoin.rs`; that the code keeps to it is the simulation's part.
+//! at which a file may be lost, within bounds on terms, entries and losses. The rule is abstracted
+//! from `store/src/rejoin.rs`; that the code keeps to it is the simulation's part.
 //!
 //! `REJOIN_MODEL=full cargo test --release -p bitternsill-store --test rejoin_model -- --nocapture`
 //! checks the larger bounds.
