--- a/soak/src/check/processes.rs
+++ b/soak/src/check/processes.rs
@@ -11,11 +11,11 @@
 
 /// Processes exit when they are terminated, with success and in time, and not by themselves.
 pub(super) fn processes(history: &History) -> Vec<Violation> {
-    let mut told: BTreeMap<usize, Option<RouterEvent>> = BTreeMap::new();
+    let mut last_signals: BTreeMap<usize, Option<RouterEvent>> = BTreeMap::new();
     let mut uptimes: BTreeMap<usize, Uptime> = BTreeMap::new();
     let mut found = Vec::new();
     for event in &history.router_events {
-        let last = told.entry(event.router).or_default();
+        let last = last_signals.entry(event.router).or_default();
         let life = uptimes.entry(event.router).or_default();
         let mut complain = |what: String| {
             found.push(Violation {
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -29,7 +29,7 @@
     /// Routers in each run.
     #[arg(long, default_value_t = 7)]
     routers: usize,
-    /// Those of them that hold the control state.
+    /// Routers with a replica of the control state.
     #[arg(long, default_value_t = 3)]
     replicas: usize,
     /// Backends in each run.
@@ -41,17 +41,17 @@
     /// The longest pause of a client between two requests, in milliseconds.
     #[arg(long, default_value_t = 300)]
     pause_ms: u64,
-    /// Seconds of trouble in each run.
+    /// The length of the schedule of faults in each run, in seconds.
     #[arg(long = "trouble-s", default_value_t = 15)]
     schedule_s: u64,
-    /// The primary is struck again and again while versions of the weights are named.
+    /// A series of faults of the leader while versions of the weights are announced.
     #[arg(long = "strike-primary")]
     leader_faults: bool,
-    /// Ways to backends are cut again and again while versions of the weights are named; what was
-    /// sent meanwhile arrives later.
+    /// A series of partitions of links to backends while versions of the weights are announced;
+    /// what was sent meanwhile arrives later.
     #[arg(long = "cut-ways")]
     partitions: bool,
-    /// Where logs of runs with a broken rule are kept.
+    /// The folder for logs of runs with violations.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
--- a/soak/tests/check.rs
+++ b/soak/tests/check.rs
@@ -261,7 +261,7 @@
 
 /// Four clients left at 20.1 s; their requests had arrived at a backend at `arrived`, to which the
 /// way was cut for a while.
-fn left_behind_a_cut(arrived: u64, states: &[(u64, BackendState)]) -> Vec<&'static str> {
+fn cancelled_behind_partition(arrived: u64, states: &[(u64, BackendState)]) -> Vec<&'static str> {
     broken(|history| {
         history.requests.clear();
         history.runs.clear();
@@ -290,12 +290,12 @@
         (25_000, BackendState::Reachable),
     ];
     assert_eq!(
-        left_behind_a_cut(20_010, &cut_then),
+        cancelled_behind_partition(20_010, &cut_then),
         NONE,
         "the backend can't know"
     );
     assert_eq!(
-        left_behind_a_cut(25_010, &cut_then),
+        cancelled_behind_partition(25_010, &cut_then),
         ["GONE"],
         "it arrived after all"
     );
@@ -303,12 +303,12 @@
         (12_000, BackendState::Partitioned),
         (15_000, BackendState::Reachable),
     ];
-    assert_eq!(left_behind_a_cut(20_010, &cut_before), ["GONE"]);
+    assert_eq!(cancelled_behind_partition(20_010, &cut_before), ["GONE"]);
     let cut_after = [
         (21_500, BackendState::Partitioned),
         (25_000, BackendState::Reachable),
     ];
-    assert_eq!(left_behind_a_cut(20_010, &cut_after), ["GONE"]);
+    assert_eq!(cancelled_behind_partition(20_010, &cut_after), ["GONE"]);
 }
 
 #[test]
--- a/versions/tests/registration.rs
+++ b/versions/tests/registration.rs
@@ -14,9 +14,9 @@
             for at in 0..length {
                 let who = (order >> at & 1) as usize;
                 let was = processes.clone();
-                let life = processes[who].incarnation();
+                let incarnation = processes[who].incarnation();
                 for (index, process) in processes.iter_mut().enumerate() {
-                    let lost = process.observe_commit(life);
+                    let lost = process.observe_commit(incarnation);
                     assert_eq!(lost, process.is_displaced() && !was[index].is_displaced());
                 }
                 seen[who] = true;
