--- a/simulation/src/history.rs
+++ b/simulation/src/history.rs
@@ -1,6 +1,6 @@
 //! Checks what clients read from the replicas of a store, where one writer per key writes growing
-//! values: no committed value is lost, reads of a session are monotonic, and in the end all replicas
-//! agree.
+//! values: no committed value is lost, reads of a session are monotonic, and in the end all
+//! replicas agree.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`link`]: a relay between two processes that can stall, delay or reset each direction
 //! - [`timeline`]: random sequences of faults for a group of processes
-//! - [`scenarios`]: random scenarios for the deployment's test bench, and the table of their outcomes
+//! - [`scenarios`]: random scenarios for the deployment's test bench, and a table of outcomes
 //! - [`history`]: checks what clients read from replicas for consistency
 //! - [`orders`]: all permutations of a few items
 
--- a/soak/src/backend/running.rs
+++ b/soak/src/backend/running.rs
@@ -145,7 +145,8 @@
     }
 }
 
-/// The events of a stream from one number to another. The execution ends when the stream is dropped.
+/// The events of a stream from one number to another. The execution ends when the stream is
+/// dropped.
 fn events(id: u64, first: u64, last: u64, running: Running) -> Body {
     let events = stream::unfold((first, running), move |(number, running)| async move {
         if number > last {
--- a/soak/src/check/processes.rs
+++ b/soak/src/check/processes.rs
@@ -65,8 +65,8 @@
     found
 }
 
-/// How long a process has run. One that was suspended right after its start handles no signals until
-/// it is resumed.
+/// How long a process has run. One that was suspended right after its start handles no signals
+/// until it is resumed.
 #[derive(Debug, Clone, Copy, Default)]
 struct Uptime {
     started: Option<Millis>,
--- a/soak/src/check/weights.rs
+++ b/soak/src/check/weights.rs
@@ -1,5 +1,5 @@
-//! Rules on weights: no request is executed on outdated ones, every backend is updated, and only one
-//! router sends orders at a time.
+//! Rules on weights: no request is executed on outdated ones, every backend is updated, and only
+//! one router sends orders at a time.
 
 use super::{SLACK_MS, Violation, acknowledged, in_touch, violation};
 use crate::clock::Millis;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs soak tests of a router fleet: `soak --program target/release/bitternsill --first 1 --seeds 50`.
+//! Runs soak tests of a router fleet: `soak --program target/release/bitternsill --first 1 --seeds
+//! 50`.
 
 use clap::Parser;
 use soak::run::{Plan, Report, run};
--- a/versions/src/audit_log.rs
+++ b/versions/src/audit_log.rs
@@ -1,6 +1,6 @@
 //! The audit log that a gatherer writes about itself. Each line carries a hash over all lines
-//! before it, so that a truncated or altered log shows where. Served queries are counted by version,
-//! class and outcome; everything else has an entry of its own.
+//! before it, so that a truncated or altered log shows where. Served queries are counted by
+//! version, class and outcome; everything else has an entry of its own.
 //!
 //! The stored form of the entries must stay readable: logs outlive the program that wrote them.
 
--- a/versions/src/lease.rs
+++ b/versions/src/lease.rs
@@ -2,8 +2,8 @@
 //! when the store last confirmed that version as active.
 //!
 //! Invariant: a gatherer that is not autonomous serves under a version for at most
-//! [`Config::validity`] after it *sent* the last query whose response confirmed the version. Counted
-//! from the response, the lease would outlast an activation that waited for its expiry.
+//! [`Config::validity`] after it *sent* the last query whose response confirmed the version.
+//! Counted from the response, the lease would outlast an activation that waited for its expiry.
 //!
 //! The leases on singleton roles are other ones, in the package `ownership`.
 
--- a/versions/src/lib.rs
+++ b/versions/src/lib.rs
@@ -1,7 +1,7 @@
 //! Versions of the configuration in a fleet of gatherers: which version a gatherer may serve under
 //! ([`lease`]), when the whole fleet may switch ([`rollout`]), and the audit of what was served
-//! under which version ([`audit_log`], [`audit`]). No sockets, clock, files or randomness: times and
-//! responses come in, decisions go out.
+//! under which version ([`audit_log`], [`audit`]). No sockets, clock, files or randomness: times
+//! and responses come in, decisions go out.
 //!
 //! A gatherer serves under a version for a stated time after it last *queried* the store and the
 //! response confirmed the version as active. It measures that time on its own monotonic clock, so
--- a/versions/tests/model.rs
+++ b/versions/tests/model.rs
@@ -28,8 +28,8 @@
     switched: bool,
     /// How long ago it asked what was last answered for what it switched.
     confirmed: u8,
-    /// What it has in_flight: how long ago, and what was true then: whether the new one was active, and
-    /// whether it was left out.
+    /// What it has in_flight: how long ago, and what was true then: whether the new one was active,
+    /// and whether it was left out.
     in_flight: Option<(u8, bool, bool)>,
     voted: bool,
     /// How long ago it was excluded.
