--- a/bitternsill/src/store/client.rs
+++ b/bitternsill/src/store/client.rs
@@ -67,13 +67,6 @@
     }
 }
 
-/// For commands whose errors are texts.
-impl From<ClientError> for String {
-    fn from(error: ClientError) -> String {
-        error.to_string()
-    }
-}
-
 /// The result of a read.
 #[derive(Debug, Clone, Default)]
 pub struct ReadResult {
