--- a/bitternsill/src/admin.rs
+++ b/bitternsill/src/admin.rs
@@ -82,7 +82,8 @@
         Ok(())
     }
 
-    /// Polls for changes by the other process. Returns whether that changes which hosts are excluded.
+    /// Polls for changes by the other process. Returns whether that changes which hosts are
+    /// excluded.
     pub fn poll(&mut self, now: Time) -> bool {
         let Some(shared) = &mut self.shared else {
             return false;
--- a/bitternsill/src/admin/exclusions.rs
+++ b/bitternsill/src/admin/exclusions.rs
@@ -75,8 +75,8 @@
 
     /// Excludes or includes a host.
     ///
-    /// The stamp is later than any that this host has had, whatever the clock says: with a clock that
-    /// steps back the other process would take the change for an old one and undo it.
+    /// The stamp is later than any that this host has had, whatever the clock says: with a clock
+    /// that steps back the other process would take the change for an old one and undo it.
     ///
     /// # Errors
     ///
--- a/bitternsill/src/admin/handover.rs
+++ b/bitternsill/src/admin/handover.rs
@@ -33,8 +33,8 @@
     bytes: u64,
     poll_interval: Time,
     next: Time,
-    /// Locked for as long as this process serves. The kernel drops the lock when the process dies, so
-    /// no dead process is taken for a living one.
+    /// Locked for as long as this process serves. The kernel drops the lock when the process dies,
+    /// so no dead process is taken for a living one.
     alive_lock: Option<File>,
     number: usize,
     file_version: Option<FileVersion>,
@@ -104,8 +104,8 @@
         self.has_successor
     }
 
-    /// The stored exclusions. None where there is no file or an unusable one, which is logged: neither
-    /// may prevent a start.
+    /// The stored exclusions. None where there is no file or an unusable one, which is logged:
+    /// neither may prevent a start.
     pub fn read(&mut self) -> Option<Exclusions> {
         let path = self.path("hand");
         self.file_version = file_version(&path);
@@ -142,9 +142,9 @@
 
     fn try_write(&mut self, exclusions: &mut Exclusions) -> io::Result<()> {
         let guard = create(&self.path("lock"))?;
-        // The other process holds the lock for some microseconds. One that is stopped while it holds
-        // it must not block this one, so after the last attempt the file is written without it. A
-        // change that this race loses is missed by the next poll, and written again.
+        // The other process holds the lock for some microseconds. One that is stopped while it
+        // holds it must not block this one, so after the last attempt the file is written without
+        // it. A change that this race loses is missed by the next poll, and written again.
         let _locked = (0..MAX_LOCK_ATTEMPTS).any(|_| {
             let locked = lock(&guard);
             if !locked {
@@ -170,7 +170,8 @@
         self.has_successor
     }
 
-    /// Polls the file and the other processes. Returns whether that changes which hosts are excluded.
+    /// Polls the file and the other processes. Returns whether that changes which hosts are
+    /// excluded.
     pub fn poll(&mut self, exclusions: &mut Exclusions, now: Time) -> bool {
         if now < self.next {
             return false;
--- a/bitternsill/src/core.rs
+++ b/bitternsill/src/core.rs
@@ -126,8 +126,8 @@
         Ok(())
     }
 
-    /// The class that a client means by a name and by carrying an idempotency key or not, and whether
-    /// that class requires a key.
+    /// The class that a client means by a name and by carrying an idempotency key or not, and
+    /// whether that class requires a key.
     pub fn class(&self, name: &str, key: bool, now: Time) -> Option<(usize, bool)> {
         let class = self.classes.find(name, key, now)?;
         Some((class, self.settings.classes[class].effect == Effect::Keyed))
@@ -173,7 +173,8 @@
         if self.callers.contains_key(&ask.caller) {
             return Err(Rejection::Busy);
         }
-        // Two queries of one name could not be told apart on a link: one would get the other's values.
+        // Two queries of one name could not be told apart on a link: one would get the other's
+        // values.
         if self.names.contains(&ask.name) {
             return Err(Rejection::NameTaken);
         }
@@ -345,8 +346,8 @@
             ports.answer(caller, answer);
         }
         for (host, mut parts) in calls {
-            // Cancelled in the turn that sent it: its query has its final answer, or its part another
-            // attempt's.
+            // Cancelled in the turn that sent it: its query has its final answer, or its part
+            // another attempt's.
             parts.retain(|part| self.attempts.contains_key(&part.id));
             while !parts.is_empty() {
                 // The size of a frame must not depend on what clients send.
--- a/bitternsill/src/core/classes.rs
+++ b/bitternsill/src/core/classes.rs
@@ -120,9 +120,9 @@
         order.into_iter().map(|(_, at)| at).collect()
     }
 
-    /// Replaces the classes. `in_use` says which slots open queries belong to; until `valid_until` the
-    /// former names and meanings are valid beside the new ones. Returns for each slot the former
-    /// slot that its estimates are taken from.
+    /// Replaces the classes. `in_use` says which slots open queries belong to; until `valid_until`
+    /// the former names and meanings are valid beside the new ones. Returns for each slot the
+    /// former slot that its estimates are taken from.
     ///
     /// # Errors
     ///
--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -1,21 +1,25 @@
-//! The fronts: what speaks with clients, index hosts and discovery on one side and with the core on
-//! the other.
+//! The protocols of clients, index hosts and discovery, and the state that all connections share.
 
 pub mod arrivals;
 pub mod catalogue;
 pub mod clients;
+mod connection_ports;
 pub mod hosts;
 pub mod http;
 pub mod listener;
+mod message;
 pub mod overflow;
 pub mod platform;
+mod readiness;
 pub mod rejections;
 pub mod server;
 pub mod signals;
 
+pub use message::Message;
+pub use readiness::{Phase, Wait};
+
 use crate::admin::Orders;
 use crate::core::Core;
-use crate::core::ports::{Answer, AttemptId, Caller, Clients, Directory, Hosts, Outgoing};
 use crate::learned::Keeper;
 use crate::limits::Limits;
 use crate::net::{Net, Token, World};
@@ -23,113 +27,13 @@
 use crate::store::links::Shelf;
 use crate::versions::Versions;
 use clients::ClientTable;
-use dispatch::interface::{ListKind, Outcome, ServerId, Time};
+use connection_ports::ConnectionPorts;
+use dispatch::interface::{ListKind, Outcome, Time};
 use hosts::{HostTable, Member};
 use learning::picture::Fleet;
 use rejections::Rejections;
 use signals::NewSettings;
-use std::net::SocketAddr;
 use std::rc::Rc;
-use store::member::{Reply, Write};
-use store::packet::Change;
-use versions::standing::Standing;
-use versions::trail::Entry;
-
-/// What connections are told.
-#[derive(Debug)]
-pub enum Message {
-    /// The final answer to the query that this connection waits on, and which of its operations
-    /// that is for.
-    Answer(u32, Answer),
-    /// Send these parts as one call.
-    Call(Vec<Outgoing>),
-    /// Give an attempt up.
-    CancelAttempt(AttemptId),
-    /// Send a probe.
-    Probe,
-    /// Close if nothing is out.
-    CloseIdle,
-    /// The host leaves: nothing unsent may go there any more.
-    HostDraining,
-    /// Make room: close if no request is being read or answered.
-    Evict,
-    /// Discovery: begin or end the watch.
-    Watch(bool),
-    /// Discovery: ask once.
-    Fetch,
-    /// Discovery: it listens elsewhere now.
-    EndpointMoved(SocketAddr),
-    /// The store's file: something to be written.
-    Write(Write),
-    /// A line of the store, for a member or a watcher.
-    Line(String),
-    /// When the store's timer is due, or another's.
-    WakeAt(Time),
-    /// What came of something that was asked of the store.
-    Replied(Reply),
-    /// Keys of the store that this object is to be told of have changed: every committed change of
-    /// them, in order.
-    StoreChanged(Vec<Change>),
-    /// A connection wants this gatherer's trail: which segment, and from which byte on.
-    TrailWanted(Token, u64, u64),
-    /// Entries for this gatherer's trail.
-    Noted(Vec<Entry>),
-    /// The program is ending: take no more connections, close what is idle.
-    Retire,
-    /// The operators' door: a caller's connection has ended.
-    AdminConnectionClosed(Token),
-}
-
-/// How far the program's end has come.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
-    /// Serving.
-    Serving,
-    /// Told to end: still accepting, until this time.
-    Draining(Time),
-    /// Accepting nothing; finishing what is held, until this time.
-    Finishing(Time),
-    /// Everything is answered; the last bytes are being written, until this time.
-    Done {
-        /// When the program ends at the latest.
-        until: Time,
-        /// Until when a request that still came on a connection taken before may be worked on.
-        last: Time,
-    },
-}
-
-/// What keeps clients away.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wait {
-    /// The program has been told to end.
-    Ending,
-    /// An operator has clients sent away.
-    Drained,
-    /// Discovery has not told the list yet, and the time to wait for it is not over.
-    FirstList,
-    /// No list named an index host that takes work.
-    NoHost,
-    /// The gatherer returns, and has come no further than this.
-    Returning(recovery::phase::Phase),
-    /// It may not act on the version that it runs, or an operator has it held back.
-    Version(Standing),
-}
-
-impl std::fmt::Display for Wait {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            Wait::Returning(phase) => return write!(f, "the gatherer returns, and is {phase}"),
-            Wait::Version(Standing::ShutOut) => {
-                "the version that it runs is not known to be active"
-            }
-            Wait::Version(_) => "an operator has it held back",
-            Wait::Ending => "the program has been told to end",
-            Wait::Drained => "clients are sent away by an operator",
-            Wait::FirstList => "discovery has not told the list of index hosts yet",
-            Wait::NoHost => "no list has named an active index host",
-        })
-    }
-}
 
 /// What all connections share.
 pub struct Gatherer {
@@ -141,7 +45,7 @@
     pub clients: ClientTable,
     /// Every bound.
     pub limits: Rc<Limits>,
-    /// How far the end has come.
+    /// How far the shutdown has come.
     pub phase: Phase,
     /// The connection that speaks with discovery, where there is one.
     pub directory: Option<Token>,
@@ -149,9 +53,9 @@
     pub ready_deadline: Option<Time>,
     /// The listeners.
     pub listeners: Vec<Token>,
-    /// What operators have asked for.
+    /// What operators have requested.
     pub orders: Orders,
-    /// Told to end while another process serves the same address.
+    /// Shutting down while another process serves the same address.
     pub has_successor: bool,
     /// The store, off the request path; absent once its file has failed.
     pub shelf: Option<Shelf>,
@@ -163,9 +67,9 @@
     pub versions: Option<Versions>,
     /// When the program started.
     pub started: Time,
-    /// What was turned away before it became a query.
+    /// Requests that were rejected before they became queries.
     pub rejections: Rejections,
-    /// What the log last said that clients wait for.
+    /// What was last logged that clients wait for.
     pub last_reported_wait: Option<Wait>,
 }
 
@@ -203,7 +107,7 @@
         }
     }
 
-    /// Tells the log whenever what clients wait for has changed.
+    /// Logs what clients wait for whenever that has changed.
     fn log_wait(&mut self, now: Time) {
         let waits = self.waiting_for(now);
         if waits == self.last_reported_wait {
@@ -217,7 +121,7 @@
         }
     }
 
-    /// Notes a request that is no query.
+    /// Counts a rejected request that is no query, and logs it at a limited rate.
     pub fn reject_request(&mut self, why: &str, asked: &str, now: Time) {
         if let Some(report) = self.rejections.record(why, asked, now, &self.limits) {
             tracing::warn!(
@@ -248,7 +152,7 @@
         }
     }
 
-    /// Takes other settings, or leaves all as it was.
+    /// Takes over new settings, or leaves everything as it was.
     pub fn reconfigure(&mut self, fresh: NewSettings, now: Time) -> Result<(), String> {
         let NewSettings {
             settings,
@@ -275,7 +179,7 @@
         Ok(())
     }
 
-    /// Has index hosts stand as operators want them now.
+    /// Applies the operators' exclusions to the index hosts.
     pub fn apply_exclusions(&mut self, net: &mut Net<Self>, now: Time) {
         let entries = self.hosts.set_excluded(
             self.orders
@@ -291,8 +195,8 @@
         }
     }
 
-    /// Begins the end; what is asked is still served for a while. Where another process serves the
-    /// address it gets every new connection from now on.
+    /// Begins the graceful shutdown; requests are still served for a while. Where another process
+    /// serves the address it gets every new connection from now on.
     pub fn begin_shutdown(&mut self, net: &mut Net<Self>, now: Time) {
         if self.phase == Phase::Serving {
             self.has_successor = self.orders.withdraw(now);
@@ -321,7 +225,7 @@
         }
     }
 
-    /// Takes a list that discovery has told: the whole of it, or what has changed.
+    /// Takes over an endpoint list from discovery: the complete one, or changes.
     pub fn update_endpoints(
         &mut self,
         is_complete: bool,
@@ -341,7 +245,7 @@
         self.list_is_there(true, now);
     }
 
-    /// Records the index hosts as they are known now.
+    /// Stores the index hosts as they are known now.
     pub fn record_members(&mut self, net: &mut Net<Self>) {
         let known = self.hosts.to_json().to_string();
         self.record("members", &known, net);
@@ -377,8 +281,7 @@
                     };
                 }
             }
-            // Who was accepted at the last moment asks only now, and is owed an answer like all
-            // others.
+            // A client accepted at the last moment sends its request only now, and gets an answer.
             Phase::Done { last, .. } if self.core.open_queries() > 0 => {
                 self.phase = Phase::Finishing(last)
             }
@@ -449,7 +352,8 @@
     }
 
     fn undelivered(&mut self, message: Message, now: Time) {
-        // Not a byte of these was written; unsaid, they would hang until their time-out.
+        // Not a byte of these was written; unreported, they would stay in flight until their
+        // time-out.
         if let Message::Call(parts) = message {
             for part in parts {
                 self.hosts.forget_attempt(part.id);
@@ -463,76 +367,3 @@
         matches!(self.phase, Phase::Done { until, .. } if self.clients.is_empty() || until <= now)
     }
 }
-
-/// Carries out what the core decides: it looks connections up and posts to them.
-struct ConnectionPorts<'a> {
-    hosts: &'a mut HostTable,
-    net: &'a mut Net<Gatherer>,
-    directory: Option<Token>,
-    now: Time,
-    unsent: Vec<AttemptId>,
-    unprobed: Vec<ServerId>,
-}
-
-impl<'a> ConnectionPorts<'a> {
-    fn new(
-        hosts: &'a mut HostTable,
-        net: &'a mut Net<Gatherer>,
-        directory: Option<Token>,
-        now: Time,
-    ) -> Self {
-        ConnectionPorts {
-            hosts,
-            net,
-            directory,
-            now,
-            unsent: Vec::new(),
-            unprobed: Vec::new(),
-        }
-    }
-}
-
-impl Clients for ConnectionPorts<'_> {
-    fn answer(&mut self, caller: Caller, answer: Answer) {
-        self.net.post(
-            Token::from_bits(caller.connection),
-            Message::Answer(caller.operation, answer),
-        );
-    }
-}
-
-impl Hosts for ConnectionPorts<'_> {
-    fn call(&mut self, host: ServerId, parts: Vec<Outgoing>) {
-        if let Err(parts) = self.hosts.call(host, parts, self.net, self.now) {
-            self.unsent.extend(parts.into_iter().map(|part| part.id));
-        }
-    }
-
-    fn cancel(&mut self, host: ServerId, attempt: AttemptId) {
-        self.hosts.cancel(host, attempt, self.net);
-    }
-
-    fn probe(&mut self, host: ServerId) {
-        if !self.hosts.probe(host, self.net, self.now) {
-            self.unprobed.push(host);
-        }
-    }
-
-    fn close_idle(&mut self, host: ServerId) {
-        self.hosts.close_idle(host, self.net);
-    }
-}
-
-impl Directory for ConnectionPorts<'_> {
-    fn watch(&mut self, on: bool) {
-        if let Some(token) = self.directory {
-            self.net.post(token, Message::Watch(on));
-        }
-    }
-
-    fn fetch(&mut self) {
-        if let Some(token) = self.directory {
-            self.net.post(token, Message::Fetch);
-        }
-    }
-}
--- a/bitternsill/src/front/arrivals.rs
+++ b/bitternsill/src/front/arrivals.rs
@@ -1,24 +1,23 @@
-//! When the bytes came that wait to be understood: a request behind another one has been waited for
-//! all along.
+//! When the bytes arrived that are still to be parsed: the client of a pipelined request has waited
+//! since then, not since the request before it was answered.
 
 use dispatch::interface::Time;
 use std::collections::VecDeque;
 
-/// Bytes that come within so short a time of each other are held to have come with the first of
-/// them.
+/// Nanoseconds within which reads count as one arrival, at the time of the first.
 const COALESCED_WITHIN: Time = 5_000_000;
 
 /// The times at which one connection's bytes were read.
 #[derive(Debug, Default)]
 pub struct Arrivals {
-    /// How many bytes had come in all, and when the last of them had.
+    /// Offsets in the stream, each with the time at which the bytes before it had arrived.
     offsets: VecDeque<(u64, Time)>,
     read: u64,
     parsed: u64,
 }
 
 impl Arrivals {
-    /// So many bytes have been read, that may have come at this time.
+    /// Records a read of so many bytes, which may have arrived at this time.
     pub fn read(&mut self, bytes: usize, at: Time) {
         self.read += bytes as u64;
         match self.offsets.back_mut() {
@@ -28,7 +27,7 @@
         }
     }
 
-    /// So many of the last bytes that were read are not kept.
+    /// Forgets the last bytes that were read, as they are not stored.
     pub fn dropped(&mut self, bytes: usize) {
         self.read -= bytes as u64;
         while self.offsets.len() > 1 && self.offsets[self.offsets.len() - 2].0 >= self.read {
@@ -39,7 +38,7 @@
         }
     }
 
-    /// So many more have been understood; when the last of these came, if any is known.
+    /// Advances past parsed bytes. Returns when the last of these arrived, if that is known.
     pub fn parsed(&mut self, bytes: usize) -> Option<Time> {
         self.parsed += bytes as u64;
         while self
--- a/bitternsill/src/front/clients.rs
+++ b/bitternsill/src/front/clients.rs
@@ -1,5 +1,5 @@
-//! The table of client connections, whatever they speak: how many there are and which one to close
-//! for room.
+//! The table of client connections, whatever protocol they use: how many there are, and which one
+//! to evict for a new one.
 
 use super::{Gatherer, Message};
 use crate::admin::drain::Sweep;
@@ -8,31 +8,31 @@
 use dispatch::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a connection that the core holds no request of is doing.
+/// What a connection without a request in flight is doing, in the order of eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum IdleState {
-    /// It has never said anything. Crowds of these come, and nobody misses one.
+    /// It has never sent anything. Many of these come, and closing one does no harm.
     Unused,
-    /// It has said a part of a request. Sound clients say all of it at once.
+    /// It has sent a part of a request. Well-behaved clients send all of it at once.
     Partial,
-    /// It has asked once. Many ask once and stay for good.
+    /// It has sent one request. Many send one and stay connected.
     SingleRequest,
-    /// It has asked more than once, and is likely to ask again.
+    /// It has sent more than one request, and is likely to send another.
     Idle,
 }
 
-/// Whether room could be made for another connection.
+/// Whether a connection could be evicted for a new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eviction {
     /// A connection was asked to close.
     Started,
-    /// One will be silent for long enough soon.
+    /// One will have been idle for long enough soon.
     Soon,
     /// All are busy.
     None,
 }
 
-/// Every client connection, and since when those without a request have been at rest.
+/// Every client connection, and since when those without a request have been idle.
 #[derive(Debug, Default)]
 pub struct ClientTable {
     open: BTreeMap<Token, Option<(IdleState, Time)>>,
@@ -69,7 +69,7 @@
         self.set_idle_state(token, Some((state, since)));
     }
 
-    /// A connection has begun to say something.
+    /// A connection has sent a part of a request.
     pub fn set_partial(&mut self, token: Token, since: Time) {
         self.set_idle_state(token, Some((IdleState::Partial, since)));
     }
@@ -103,8 +103,8 @@
         self.open.keys().copied().collect()
     }
 
-    /// Asks the connections that have been at rest since then to close; those half through a
-    /// request only where that is wanted.
+    /// Closes the connections that have been idle since then, and those with a request received in
+    /// part where the sweep says so.
     pub fn sweep(&self, net: &mut Net<Gatherer>, sweep: Sweep) {
         for &(state, since, token) in &self.idle {
             let partial = state == IdleState::Partial;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The connection that has been doing this longest, and since when.
+    /// The connection that has been in a state longest, and since when.
     fn longest(&self, state: IdleState) -> Option<(Time, Token)> {
         let first = self.idle.range((state, 0, Token::from_bits(0))..).next();
         first
@@ -129,8 +129,8 @@
             .map(|&(_, at, token)| (at, token))
     }
 
-    /// Asks some connections to close where too many have asked once and stayed: clients may have
-    /// only so many connections, and these would take them all long before the table is full.
+    /// Evicts some connections where too many have sent one request and stayed: clients may have
+    /// only so many connections, and these would use them up long before the table is full.
     pub fn evict_single_request(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) {
         // Two at most, for each that comes.
         for _ in 0..2 {
@@ -147,9 +147,10 @@
         }
     }
 
-    /// Asks a connection to close: of the first kind above the one that has been so longest. One
-    /// that only just came to be so is left alone, as it may say more at once; where there are many
-    /// of them they will soon make room, and spare the kinds below.
+    /// Evicts a connection: of the first state in the order of eviction the one that has been in it
+    /// longest. One that entered the state only just now is left alone, as it may send more at
+    /// once; where many are in that state one will soon be old enough, which spares the later
+    /// states.
     pub fn evict_one(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) -> Eviction {
         let kinds = [
             (IdleState::Unused, limits.unused_grace),
--- a/bitternsill/src/front/hosts.rs
+++ b/bitternsill/src/front/hosts.rs
@@ -1,4 +1,4 @@
-//! The table of index hosts: where they are, what discovery says of them, and the connections to
+//! The table of index hosts: their addresses, their status by discovery, and the connections to
 //! each.
 
 use super::{Gatherer, Message};
@@ -15,7 +15,7 @@
 
 /// Opens connections in the protocol that an index host speaks.
 pub trait Connector {
-    /// Begins to connect; the connection object tells the table and the core of its fate.
+    /// Begins to connect. The connection reports to the table and the core how that ends.
     fn connect(
         &self,
         host: ServerId,
@@ -23,16 +23,16 @@
         now: Time,
     ) -> io::Result<Box<dyn Connection<Gatherer>>>;
 
-    /// How much one connection carries at once.
+    /// The capacity of one connection, in units of [`Connector::call_cost`].
     fn connection_capacity(&self) -> usize;
 
-    /// How much of that a call of so many parts takes.
+    /// How much of that a call of so many parts uses.
     fn call_cost(&self, _parts: usize) -> usize {
         1
     }
 
-    /// Which connection takes the next call, by how much of its room it needs and how much of each
-    /// is taken: one with room, else a new one, else the least busy.
+    /// Which connection carries the next call, by its cost and how much of each connection is used:
+    /// one with capacity, else a new one, else the least busy.
     fn choose(
         &self,
         _host: ServerId,
@@ -52,43 +52,43 @@
     }
 }
 
-/// Which connection takes the next call.
+/// Which connection carries the next call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
     /// This one.
     Use(usize),
     /// A new one.
     Open,
-    /// None: the host is left in peace.
+    /// None: the host is not to be called now.
     None,
 }
 
-/// One line of the list, as a front reads it.
+/// One host of the endpoint list, as discovery has it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
     /// The host's name; the same at every gatherer.
     pub uid: String,
-    /// Where it listens; absent where a change only says that it left.
+    /// Where it listens; absent where a change only says that it was removed.
     pub endpoint: Option<SocketAddr>,
-    /// The rest, as the module wants it; its `server` is filled in by the table.
+    /// The dispatcher's endpoint; its `server` is filled in by the table.
     pub entry: Endpoint,
 }
 
 struct Link {
     token: Token,
-    /// How much of its room is taken.
+    /// How much of its capacity is used.
     used: usize,
 }
 
 struct Host {
     uid: Arc<str>,
-    /// What the list says of it, and whether it is out by hand.
+    /// Its status by discovery, and whether operators have excluded it.
     entry: Endpoint,
     endpoint: Option<SocketAddr>,
     draining_since: Option<Time>,
     links: Vec<Link>,
     attempts: BTreeMap<AttemptId, Token>,
-    /// Connections that fell mute since the host was last heard.
+    /// Connections that became unresponsive since the host last sent anything.
     unresponsive: u32,
 }
 
@@ -98,7 +98,7 @@
     limits: Rc<Limits>,
     ids: BTreeMap<String, ServerId>,
     hosts: BTreeMap<ServerId, Host>,
-    /// Who is out by hand, known or not: no list brings these back.
+    /// The excluded hosts, known or not: no endpoint list includes them again.
     excluded: BTreeSet<String>,
     next: u32,
 }
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Takes other bounds, and another way to connect.
+    /// Takes over new limits and a new connector.
     pub fn reconfigure(&mut self, connector: Box<dyn Connector>, limits: Rc<Limits>) {
         (self.connector, self.limits) = (connector, limits);
     }
 
-    /// The whole list, as the module is told it.
+    /// The complete endpoint list for the dispatcher.
     pub fn entries(&self) -> Vec<Endpoint> {
         let present = self
             .hosts
@@ -143,7 +143,7 @@
             .count()
     }
 
-    /// The hosts that have not left, as the store keeps them.
+    /// The hosts that were not removed, in the form that the store keeps.
     pub fn to_json(&self) -> Json {
         let host = |(uid, id): (&String, &ServerId)| {
             let host = self
@@ -161,7 +161,7 @@
         Json::Array(self.ids.iter().filter_map(host).collect())
     }
 
-    /// The hosts that have not left: their names, numbers and starts.
+    /// The hosts that were not removed: their names, ids and start times.
     pub fn listed(&self) -> impl Iterator<Item = (&str, ServerId, Time)> {
         let present = self
             .hosts
@@ -182,7 +182,7 @@
             .map(|host| (&host.uid, host.entry.started_at))
     }
 
-    /// Takes the lines of a list and gives the module's entries.
+    /// Applies an endpoint list and returns the dispatcher's entries.
     pub fn update(
         &mut self,
         kind: ListKind,
@@ -236,8 +236,7 @@
         entries
     }
 
-    /// Has exactly these hosts out by hand, and gives the module's entries of those for which that
-    /// is news.
+    /// Excludes exactly these hosts, and returns the dispatcher's entries of those that changed.
     pub fn set_excluded(
         &mut self,
         excluded: BTreeSet<String>,
@@ -269,8 +268,8 @@
         Some(id)
     }
 
-    /// Drops hosts that have left and hold nothing: hosts are replaced under new ids for as long as
-    /// this runs.
+    /// Drops removed hosts without connections or attempts: hosts are replaced under new ids for as
+    /// long as this runs.
     fn remove_gone(&mut self) {
         let is_used = |h: &Host| {
             h.entry.status != ServerStatus::Removed || !h.links.is_empty() || !h.attempts.is_empty()
@@ -279,7 +278,11 @@
         self.ids.retain(|_, id| self.hosts.contains_key(id));
     }
 
-    /// Sends the parts of one call; gives them back where no connection can be had.
+    /// Sends the parts of one call.
+    ///
+    /// # Errors
+    ///
+    /// Returns the parts where no connection can be had.
     pub fn call(
         &mut self,
         id: ServerId,
@@ -311,7 +314,7 @@
         Ok(())
     }
 
-    /// Tells the connection that carries an attempt to give it up.
+    /// Has the connection that carries an attempt cancel it.
     pub fn cancel(&mut self, id: ServerId, attempt: AttemptId, net: &mut Net<Gatherer>) {
         if let Some(token) = self
             .hosts
@@ -339,8 +342,8 @@
         token.map(|token| net.post(token, Message::Probe)).is_some()
     }
 
-    /// How many connections a host may have now. Where all that hosts may have in sum are there, no
-    /// more than it has; one that has none takes the place of one elsewhere that carries nothing.
+    /// How many connections a host may have now. Where the limit for all hosts is reached, no more
+    /// than it has; for a host without any an unused connection to another host is closed.
     fn max_links(&mut self, id: ServerId, net: &mut Net<Gatherer>) -> usize {
         let open: usize = self.hosts.values().map(|host| host.links.len()).sum();
         if open < self.limits.host_links {
@@ -388,7 +391,7 @@
         }
     }
 
-    /// What took so much of a connection's room has ended.
+    /// A call of this cost has ended on a connection.
     pub fn release_capacity(&mut self, id: ServerId, token: Token, cost: usize) {
         let links = self.hosts.get_mut(&id).map(|h| &mut h.links);
         if let Some(link) = links.and_then(|links| links.iter_mut().find(|l| l.token == token)) {
@@ -396,13 +399,13 @@
         }
     }
 
-    /// How long a connection to a host may be mute. Where its connections fall mute one after the
-    /// other it is the host that is silent, and each is given twice the time of the one before.
+    /// After which time a connection to a host counts as unresponsive. Where its connections become
+    /// unresponsive one after the other it is the host that is slow, so the time doubles with each.
     pub fn unresponsive_after(&self, id: ServerId) -> Time {
         self.limits.link_unresponsive << self.hosts.get(&id).map_or(0, |h| h.unresponsive.min(4))
     }
 
-    /// A connection has fallen mute, or (`false`) something has come on it.
+    /// A connection has become unresponsive, or (`false`) something was received on it.
     pub fn set_unresponsive(&mut self, id: ServerId, unresponsive: bool) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.unresponsive = if unresponsive {
@@ -422,7 +425,7 @@
 }
 
 impl Host {
-    /// Does as the list and the operators say, the stricter of the two.
+    /// Applies the status by discovery and the operators' exclusion, the stricter of the two.
     fn apply_status(&mut self, net: &mut Net<Gatherer>, now: Time) {
         if self.entry.status == ServerStatus::Ready && !self.entry.excluded {
             self.draining_since = None;
--- a/bitternsill/src/front/listener.rs
+++ b/bitternsill/src/front/listener.rs
@@ -1,4 +1,4 @@
-//! The listeners, whatever their connections speak.
+//! The listeners for clients, whatever protocol their connections use.
 
 use super::clients::Eviction;
 use super::{Gatherer, Message};
@@ -8,14 +8,14 @@
 
 type Cx<'a> = Context<'a, Gatherer>;
 
-/// What a listener makes of an accepted socket.
+/// Makes a connection of an accepted socket.
 pub type Accept = Box<dyn Fn(Stream, &Gatherer) -> Box<dyn Connection<Gatherer>>>;
 
 /// A listening socket.
 pub struct Listener {
     socket: TcpListener,
     accept: Accept,
-    /// The program ends: it closes once nobody waits in the backlog.
+    /// The program ends: the listener closes once the backlog is empty.
     retiring: bool,
 }
 
@@ -30,8 +30,7 @@
     }
 
     fn listen(&mut self, cx: &mut Cx<'_>, on: bool) {
-        // A rest that cannot be set would spin; the timer below takes the loop out of it all the
-        // same.
+        // A failure here would only make the loop spin until the timer is due.
         let _ = cx.net.rearm(
             &self.socket,
             cx.token,
@@ -39,7 +38,8 @@
         );
     }
 
-    /// Closes some connections that have been idle longest, and goes on when they are gone.
+    /// Evicts some of the connections that have been idle longest, and accepts again after a
+    /// backoff.
     fn evict_some(&mut self, cx: &mut Cx<'_>) {
         let limits = cx.world.limits.clone();
         for _ in 0..limits.eviction_burst {
@@ -51,9 +51,8 @@
         cx.set_timer(cx.now + cx.world.limits.accept_backoff);
     }
 
-    /// Takes whoever is in the backlog, however many these are, as the close that follows would
-    /// reset them; goes on a little later where no descriptor is left, as the idle connections that
-    /// end now give theirs back.
+    /// Accepts the whole backlog, as the close that follows would reset what is left in it. Where
+    /// no descriptor is left it goes on after a backoff, as idle connections are closed meanwhile.
     fn accept_all(&mut self, cx: &mut Cx<'_>) {
         loop {
             match self.socket.accept() {
@@ -83,7 +82,7 @@
 
     fn accept_ready(&mut self, cx: &mut Cx<'_>) {
         for _ in 0..cx.world.limits.accept_burst {
-            // What waits in the backlog counts as taken, so an idle connection gives way to it.
+            // The backlog counts as accepted, so an idle connection is evicted for it.
             if cx.world.clients.len() >= cx.world.max_clients() {
                 return self.evict_some(cx);
             }
@@ -92,7 +91,7 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if is_passing(&e) => {}
                 Err(problem) => {
-                    // Out of descriptors: without a rest the loop would spin on a listener that
+                    // Out of descriptors: without a backoff the loop would spin on a listener that
                     // stays ready.
                     tracing::warn!(%problem, "cannot accept");
                     return self.evict_some(cx);
@@ -102,7 +101,7 @@
     }
 }
 
-/// Whether an accept failed for a reason that concerns one connection, or none.
+/// Whether an accept failed for a transient reason that concerns one connection at most.
 fn is_passing(problem: &io::Error) -> bool {
     matches!(
         problem.kind(),
--- a/bitternsill/src/front/overflow.rs
+++ b/bitternsill/src/front/overflow.rs
@@ -1,23 +1,23 @@
-//! What a client sends behind more than is kept for it while a request of its waits. It is read all
-//! the same, as the client's end stands behind it, and a client that has gone must not have
-//! anything sent for it.
+//! Pipelined requests beyond what is buffered for a client while its request is in flight. They are
+//! read all the same: only behind them the end of the stream can be seen, and nothing may be sent
+//! to index hosts for a client that has disconnected.
 
 use super::http::{HttpError, Progress, Reader};
 
-/// The requests of one connection that were read and not kept. Each is owed a refusal, once those
-/// before it are answered.
+/// The requests of one connection that were read and dropped. Each is rejected once those before it
+/// are answered.
 pub struct Overflow {
     reader: Reader,
-    /// The begin of the next request, as far as the reader has not taken it.
+    /// The beginning of the next request, as far as the reader has not consumed it.
     input: Vec<u8>,
     pending_rejections: usize,
-    /// Where something that is no request has come, which nothing behind it can be told from.
+    /// A malformed request; what follows it cannot be parsed.
     problem: Option<HttpError>,
 }
 
 impl Overflow {
-    /// Begins behind the whole requests in `input`, which stay there; what follows them is taken
-    /// out.
+    /// Begins behind the complete requests in `input`, which stay there; what follows them is
+    /// removed.
     pub fn begin(input: &mut Vec<u8>, mut reader: Reader) -> Self {
         let (mut rest, mut kept) = (input.clone(), 0);
         let problem = loop {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Reads on, and drops what it has read; the bytes are taken out of `input`.
+    /// Parses and drops what is in `input`, and empties it.
     pub fn take(&mut self, input: &mut Vec<u8>) {
         self.input.append(input);
         while self.problem.is_none() {
@@ -55,14 +55,14 @@
         self.input = Vec::new();
     }
 
-    /// Whether one more refusal is owed; it is held to be given.
+    /// Whether one more rejection is to be sent; it counts as sent.
     pub fn take_rejection(&mut self) -> bool {
         let is_pending_one = self.pending_rejections > 0;
         self.pending_rejections -= usize::from(is_pending_one);
         is_pending_one
     }
 
-    /// Whether anything that has come is still owed something.
+    /// Whether anything that was read still needs an answer.
     pub fn is_pending(&self) -> bool {
         self.pending_rejections > 0
             || self.problem.is_some()
@@ -70,7 +70,7 @@
             || !self.reader.is_fresh()
     }
 
-    /// What follows the last of the refusals: the begin of the next request, or what is wrong with
+    /// What follows the last rejection: the beginning of the next request, or what is wrong with
     /// it.
     pub fn end(self) -> Result<(Reader, Vec<u8>), HttpError> {
         self.problem.map_or(Ok((self.reader, self.input)), Err)
--- a/bitternsill/src/front/signals.rs
+++ b/bitternsill/src/front/signals.rs
@@ -38,13 +38,13 @@
         cx.net.register(&self.socket, cx.token, Ready::READ)
     }
 
-    /// Whatever the bytes were, a signal came; several at once are one.
+    /// Drops the bytes; several signals at once count as one.
     fn drain(&mut self) {
         let _ = self.socket.read(&mut [0; 64]);
     }
 }
 
-/// Hears that the program is to end.
+/// Begins the graceful shutdown on SIGTERM and SIGINT.
 pub struct ShutdownSignal(Signals);
 
 impl ShutdownSignal {
@@ -69,8 +69,7 @@
     fn timer(&mut self, _cx: &mut Cx<'_>) {}
 }
 
-/// What the file that the program was started with says now, as far as it takes effect without a
-/// restart.
+/// The configuration file as it is now, as far as it takes effect without a restart.
 pub struct ReloadedConfig {
     /// Where discovery listens.
     pub discovery: Option<SocketAddr>,
@@ -82,20 +81,20 @@
 
 /// Settings, and what follows from them.
 pub struct NewSettings {
-    /// The module's.
+    /// The dispatcher's.
     pub settings: Settings,
     /// The program's own.
     pub deployment: Deployment,
-    /// The bounds by them.
+    /// The limits that follow from them.
     pub limits: Rc<Limits>,
-    /// The way to connect within these bounds.
+    /// The connector for these limits.
     pub connector: Box<dyn Connector>,
 }
 
 /// Reads the file again.
 pub type ConfigReader = Box<dyn Fn() -> Result<ReloadedConfig, Box<dyn Error>>>;
 
-/// Hears that the file is to be read again. Without a handler SIGHUP would end the program.
+/// Reads the configuration file again on SIGHUP, which without a handler would end the program.
 pub struct ReloadSignal {
     signals: Signals,
     read: ConfigReader,
@@ -124,9 +123,10 @@
             (None, None) => read_list(&members, &mut names)?.2,
             _ => return Err("with and without discovery: this takes a restart".into()),
         };
-        // All that could fail has been read by now: the file is taken whole, or not at all.
+        // All that could fail has been read by now: the file takes effect completely, or not at
+        // all.
         match settings {
-            // What the store has made active goes before the file of one gatherer.
+            // The version that the store has activated takes precedence over one gatherer's file.
             Some(_)
                 if cx
                     .world
--- a/bitternsill/src/net/reactor.rs
+++ b/bitternsill/src/net/reactor.rs
@@ -9,24 +9,25 @@
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
 
-/// The longest that the loop sleeps; not a limit of the service, but how it notices a stall.
+/// The longest that the loop sleeps, in nanoseconds. Waits are short so that a long one shows that
+/// the process was stopped.
 const MAX_WAIT: Time = 50_000_000;
-/// A round that took longer than this began with a stall.
+/// A round that took longer than this, in nanoseconds, began with a stall.
 const STALL_THRESHOLD: Time = 100_000_000;
-/// Rounds behind that one in which what came meanwhile may first be read: the one before whose
-/// events the program stood still may not have had the listener's, the next one accepts, and the
-/// one behind that reads.
+/// Rounds after a stall in which bytes that arrived during it may first be read: the stalled round
+/// may have missed the listener's event, the next one accepts, and the one after that reads.
 const STALL_ROUNDS: u8 = 2;
 
-/// Since when what a round reads may have come.
+/// Since when the bytes that a round reads may have waited.
 #[derive(Debug, Default)]
 struct Stalls {
-    /// When the last stall began, and how many rounds it still speaks of.
+    /// When the last stall began, and for how many more rounds it counts.
     last: Option<(Time, u8)>,
 }
 
 impl Stalls {
-    /// A round's events are there at `now`; nobody had looked since `asleep`.
+    /// Since when the events of a round may have waited: it got them at `now`, and the last poll
+    /// was at `asleep`.
     fn since(&mut self, asleep: Time, now: Time) -> Time {
         let new_stall = (now - asleep > STALL_THRESHOLD).then_some((asleep, STALL_ROUNDS));
         let stall = new_stall.or(self.last);
@@ -118,7 +119,7 @@
 
 /// What all connections share, and what happens between them.
 pub trait World: Sized {
-    /// What connections and the world tell each other.
+    /// The messages between connections.
     type Message;
 
     /// When [`World::turn`] wants to run next.
@@ -417,7 +418,7 @@
         }
     }
 
-    /// Places what was opened and delivers what was posted, until nothing of either is left.
+    /// Adds opened connections and delivers posted messages, until none of either is left.
     fn deliver_pending(&mut self) {
         loop {
             let now = self.net.now();
--- a/dispatch/src/calls.rs
+++ b/dispatch/src/calls.rs
@@ -5,8 +5,8 @@
 
 /// Calls by number, with how many of their parts are still in flight.
 ///
-/// Calls are numbered upwards from the time of their turn, so that only attempts of one turn share a
-/// call: a later one would miss the call that is on its way.
+/// Calls are numbered upwards from the time of their turn, so that only attempts of one turn share
+/// a call: a later one would miss the call that is on its way.
 #[derive(Debug, Default)]
 pub struct Calls {
     parts: BTreeMap<u64, u32>,
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -9,8 +9,8 @@
 use crate::interface::{Action, Effect, PartId, ServerId, Time};
 
 impl Aggregator {
-    /// Starts an attempt of a part, unless its class, the limit on attempts or the retry budget forbids
-    /// it. Returns whether it was started.
+    /// Starts an attempt of a part, unless its class, the limit on attempts or the retry budget
+    /// forbids it. Returns whether it was started.
     pub(super) fn start_attempt(
         &mut self,
         id: PartId,
--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -80,8 +80,8 @@
             server.cell = e.cell % self.settings.cells;
             server.ready = e.status == ServerStatus::Ready && !e.excluded;
             server.removed = e.status == ServerStatus::Removed;
-            // A new incarnation begins with slow start, whatever was known of the one before; so does
-            // a server that an operator includes again.
+            // A new incarnation begins with slow start, whatever was known of the one before; so
+            // does a server that an operator includes again.
             let back = std::mem::replace(&mut server.excluded, e.excluded) && !e.excluded;
             if back
                 || e.started_at > 0
--- a/dispatch/src/dispatcher/memory.rs
+++ b/dispatch/src/dispatcher/memory.rs
@@ -6,8 +6,8 @@
 use crate::interface::{Learned, LearnedLatency, LearnedServer};
 
 impl Aggregator {
-    /// What was learned of classes, and of at most `most` servers whose outcomes were recorded since
-    /// this last returned them. Changes are tracked from the first call on.
+    /// What was learned of classes, and of at most `most` servers whose outcomes were recorded
+    /// since this last returned them. Changes are tracked from the first call on.
     pub fn learned(&mut self, most: usize) -> Learned {
         let server = |id| {
             let s: &Server = self.servers.get(&id)?;
--- a/dispatch/src/dispatcher/outlier_detection.rs
+++ b/dispatch/src/dispatcher/outlier_detection.rs
@@ -123,8 +123,8 @@
                 .max(0.0)
     }
 
-    /// Whether a server fails its requests and is not to be retried yet, which is for `ratio` of the
-    /// least latency target.
+    /// Whether a server fails its requests and is not to be retried yet, which is for `ratio` of
+    /// the least latency target.
     pub(super) fn is_failing(&self, server: &Server, ratio: f64) -> bool {
         let again = server.last_error + (ratio * self.latency_target as f64) as Time;
         server.errors > FAILING_ERROR_RATE && (self.now < again || !server.calls.is_empty())
--- a/dispatch/src/dispatcher/probes.rs
+++ b/dispatch/src/dispatcher/probes.rs
@@ -8,8 +8,8 @@
 use crate::interface::{Action, Outcome, ServerId, Time};
 
 impl Aggregator {
-    /// Records how long a probe waited. Its load report is ignored: it says no more of a server than
-    /// the server's answers do.
+    /// Records how long a probe waited. Its load report is ignored: it says no more of a server
+    /// than the server's answers do.
     pub(super) fn probe_ended(&mut self, id: ServerId, outcome: Outcome, took: Time) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
--- a/dispatch/src/dispatcher/replica_selection.rs
+++ b/dispatch/src/dispatcher/replica_selection.rs
@@ -72,8 +72,8 @@
         best.map(|b| b.1).unwrap_or_default()
     }
 
-    /// The replica that a part is sent to outside the row, preferably one not attempted yet. Outliers
-    /// are taken only while idle, and only when the shard has no other replica.
+    /// The replica that a part is sent to outside the row, preferably one not attempted yet.
+    /// Outliers are taken only while idle, and only when the shard has no other replica.
     pub(super) fn select_replica(
         &mut self,
         id: PartId,
--- a/dispatch/src/dispatcher/slow_start.rs
+++ b/dispatch/src/dispatcher/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: how much a server that has just started is sent.
 //!
-//! A warming server crashes when all aggregators together send it more than a stated multiple of its
-//! present capacity over a window. Aggregators do not talk to each other, so each sends its quota
-//! share of that budget; where the share is less than one part, they take turns by chance.
+//! A warming server crashes when all aggregators together send it more than a stated multiple of
+//! its present capacity over a window. Aggregators do not talk to each other, so each sends its
+//! quota share of that budget; where the share is less than one part, they take turns by chance.
 
 use super::Aggregator;
 use super::parameters::{
@@ -18,9 +18,9 @@
             .is_none_or(|from| from + self.settings.slow_start <= self.now)
     }
 
-    /// Whether a server may be sent one more part as far as its slow start is concerned. Its capacity
-    /// is taken to be what a warmed-up server sustains, or one core at the most expensive class that
-    /// has been answered.
+    /// Whether a server may be sent one more part as far as its slow start is concerned. Its
+    /// capacity is taken to be what a warmed-up server sustains, or one core at the most expensive
+    /// class that has been answered.
     pub(super) fn slow_start_allows(&self, server: &Server) -> bool {
         let s = &self.settings;
         let in_slow_start = s.overload_window > 0 && !self.is_warmed_up(server);
@@ -48,9 +48,9 @@
             share * all,
             SLOW_START_BURST * self.mean_answer_rate() * overload_window,
         );
-        // A quota share below one part is rounded up: to one, or to two where two of each aggregator
-        // are chance, or one of each is not any more. Of a burst in which too many would send only
-        // a part of the aggregators goes on, by their turns.
+        // A quota share below one part is rounded up: to one, or to two where two of each
+        // aggregator are chance, or one of each is not any more. Of a burst in which too many would
+        // send only a part of the aggregators goes on, by their turns.
         let (chance, burst) = (
             budget + 2.0 * budget.sqrt() + 2.0,
             all * (2.0 - (2.0 + ask) * (-ask).exp()),
@@ -98,7 +98,8 @@
     /// Parts that a warmed-up server answers on average for this aggregator, in parts a nanosecond.
     pub(super) fn mean_answer_rate(&self) -> f64 {
         let (AnswerRate { rate, last }, s) = (&self.answer_rate, &self.settings);
-        // Soon after the start the average rests on little; one query must not pass for a steady load.
+        // Soon after the start the average rests on little; one query must not pass for a steady
+        // load.
         let known = last
             .saturating_sub(self.started_at.unwrap_or(*last))
             .max(s.overload_window) as f64;
--- a/dispatch/src/interface.rs
+++ b/dispatch/src/interface.rs
@@ -311,11 +311,11 @@
 /// Something that happened at one aggregator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// What an earlier incarnation of this aggregator had learned, as far as it is still valid. Comes
-    /// after the endpoint list.
+    /// What an earlier incarnation of this aggregator had learned, as far as it is still valid.
+    /// Comes after the endpoint list.
     Restore(Arc<Learned>),
-    /// New settings are in force. Classes that open queries belong to keep their index; the complete
-    /// endpoint list follows.
+    /// New settings are in force. Classes that open queries belong to keep their index; the
+    /// complete endpoint list follows.
     Settings {
         /// The settings.
         settings: Arc<Settings>,
--- a/dispatch/tests/rules.rs
+++ b/dispatch/tests/rules.rs
@@ -392,7 +392,8 @@
         let (now, settings) = (self.now, &self.settings);
         let endpoint = self.endpoints.iter().find(|e| e.server == server).unwrap();
         assert!(!endpoint.excluded, "sent to a server that is excluded");
-        // A server of one core, parts of 40 ms, this aggregator's half, and half as much for chance.
+        // A server of one core, parts of 40 ms, this aggregator's half, and half as much for
+        // chance.
         let included_at = self.included_at.get(&server).copied().unwrap_or(0);
         let started_at = endpoint.started_at.max(included_at);
         if started_at > 0 && now < started_at + settings.slow_start {
