--- a/bitternsill/src/store/server.rs
+++ b/bitternsill/src/store/server.rs
@@ -87,7 +87,7 @@
             match versions.and_then(|versions| versions.trail()) {
                 Some(trail) => cx
                     .net
-                    .post(trail, Message::TrailWanted(token, segment, from)),
+                    .post(trail, Message::AuditLogRequested(token, segment, from)),
                 None => self.stream.push(b"{\"trail\":null}\n"),
             }
             return Ok(());
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -177,7 +177,7 @@
     fn record(&self, records: Vec<(Time, Record)>, net: &mut Net<Gatherer>) {
         if let Some(writer) = self.trail().filter(|_| !records.is_empty()) {
             let entries = records.into_iter().map(entry).collect();
-            net.post(writer, Message::Noted(entries));
+            net.post(writer, Message::AuditEntries(entries));
         }
     }
 
--- a/bitternsill/src/versions/audit_writer.rs
+++ b/bitternsill/src/versions/audit_writer.rs
@@ -190,11 +190,11 @@
 
     fn deliver(&mut self, cx: &mut Context<'_, Gatherer>, message: Message) {
         match message {
-            Message::Noted(entries) => {
+            Message::AuditEntries(entries) => {
                 self.backlog.push_back(entries);
                 self.queue_backlog();
             }
-            Message::TrailWanted(reply_to, segment, offset) => {
+            Message::AuditLogRequested(reply_to, segment, offset) => {
                 let command = Command::Read {
                     reply_to,
                     segment,
