--- a/control/src/changes.rs
+++ b/control/src/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the control state, and what comes of them.
+//! Changes of the control state, and their outcomes.
 
 use crate::state::StoredConfiguration;
 use crate::view::ReplicaId;
@@ -6,12 +6,12 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A change that an operator asks for, or a primary.
+/// A change, as submitted by an operator or by the primary itself.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// A whole configuration on top of a version.
+    /// A complete configuration that replaces a version.
     Configuration {
-        /// The version that it builds on; 0 for the first.
+        /// The version that it replaces; 0 for the first.
         base: u64,
         /// The body, byte for byte.
         body: Arc<[u8]>,
@@ -23,8 +23,8 @@
         /// The version.
         version: u64,
     },
-    /// From now on this replica gives orders to backends. The primary asks for it before its first
-    /// order.
+    /// Makes a replica the owner of the weights rollout, which sends orders to backends. The primary
+    /// submits it before its first order.
     RolloutOwner {
         /// The replica.
         replica: ReplicaId,
@@ -32,7 +32,7 @@
 }
 
 impl Change {
-    /// How many bytes it takes, about.
+    /// Its approximate size in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Change::Configuration { body, .. } => body.len(),
@@ -42,35 +42,35 @@
     }
 }
 
-/// Why a change is not made.
+/// Why a change is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
-    /// It builds on a version that is not the current one.
+    /// It replaces a version that is not the current one.
     VersionConflict {
         /// The current version.
         current: u64,
     },
-    /// It is not valid; the text says where and what is allowed.
+    /// It is invalid; the text says where, and what is allowed.
     Invalid(String),
 }
 
-/// What came of a change.
+/// The outcome of a submitted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was made, now or before.
+    /// It was committed, now or by an earlier submission.
     Committed,
-    /// It was not made and never will be.
+    /// It was not and will not be committed.
     Rejected(Rejection),
-    /// Nobody can tell at present: ask again, here or elsewhere.
+    /// It may or may not be committed: retry here or at another router. Retries are idempotent.
     Unknown,
 }
 
-/// What came of a question for the newest configuration.
+/// The outcome of a read of the newest configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The newest configuration; none where there is none yet. At a moment after the question came,
-    /// a majority of the witnesses confirmed that no other replica leads.
+    /// The newest configuration; `None` before the first one. After the read was received, a
+    /// majority of the witnesses confirmed that no other replica leads.
     Latest(Option<StoredConfiguration>),
-    /// Nobody can tell here at present: ask again, or elsewhere.
+    /// Not known here at present: retry here or at another router.
     Unknown,
 }
--- a/control/src/delta.rs
+++ b/control/src/delta.rs
@@ -1,23 +1,24 @@
-//! Differences between two texts of JSON: chunks that stand in the base are named, others are sent.
+//! Deltas between two JSON texts: chunks that occur in the base are copied by reference, others are
+//! included.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A chunk of a text.
+/// One instruction of a delta.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Chunk {
-    /// Bytes of the base.
+    /// Copies bytes of the base.
     Copy {
-        /// Where they begin.
+        /// The offset of the first byte.
         start: u32,
-        /// How many there are.
+        /// The number of bytes.
         length: u32,
     },
-    /// Bytes that the base does not have.
+    /// Inserts bytes that the base does not have.
     Insert(Vec<u8>),
 }
 
-/// Objects begin with a brace; each chunk reaches up to the next one.
+/// Splits a text before each opening brace, so that chunks align with JSON objects.
 fn chunks(text: &[u8]) -> impl Iterator<Item = (usize, &[u8])> {
     let mut start = 0;
     std::iter::from_fn(move || {
@@ -32,7 +33,7 @@
     })
 }
 
-/// What makes `text` of `base`.
+/// The delta that turns `base` into `text`.
 pub fn diff(base: &[u8], text: &[u8]) -> Vec<Chunk> {
     let known: HashMap<&[u8], usize> = chunks(base).map(|(start, chunk)| (chunk, start)).collect();
     let mut result: Vec<Chunk> = Vec::new();
@@ -54,7 +55,7 @@
     result
 }
 
-/// The text that chunks make of `base`; none where they don't fit it.
+/// Applies a delta to `base`; `None` where it refers to bytes beyond the end of `base`.
 pub fn patch(base: &[u8], chunks: &[Chunk]) -> Option<Vec<u8>> {
     let mut text = Vec::new();
     for chunk in chunks {
--- a/control/src/digest.rs
+++ b/control/src/digest.rs
@@ -1,18 +1,18 @@
-//! Range digests: two holders of the same records find the few that differ by comparing digests of
-//! halves of the key space, as in a Merkle tree.
+//! Range digests for anti-entropy: two replicas of a set of records find the few that differ by
+//! comparing digests of ever smaller halves of the key space, as with a Merkle tree.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A range with at most so many records is listed instead of being halved again.
+/// A range with at most this many records is listed instead of being halved again.
 const MAX_LISTED_RECORDS: usize = 8;
 
 /// A range of the hashed key space: all keys whose hash begins with these bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Range {
-    /// The first bits, at the top.
+    /// The first bits, left-aligned.
     pub prefix: u64,
-    /// How many of them count.
+    /// The length of the prefix in bits.
     pub bits: u8,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// What a holder says of a range.
+/// A replica's summary of a range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Summary {
     /// The digest of its records.
@@ -83,7 +83,7 @@
         })
     }
 
-    /// What this holder says of a range.
+    /// This replica's summary of a range.
     pub fn summary(&self, range: Range) -> Summary {
         let few = self.within(range).nth(MAX_LISTED_RECORDS).is_none();
         if few {
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Compares what another holder says of a range: the ranges to go on with, and keys whose
-    /// records differ or are missing here.
+    /// Compares another replica's summary of a range with this one's. Returns the subranges to
+    /// compare next, and the key hashes whose records differ or are missing here.
     pub fn compare(&self, range: Range, remote: &Summary) -> (Vec<Range>, Vec<u64>) {
         match remote {
             Summary::Digest(digest) if *digest == self.digest(range) => (Vec::new(), Vec::new()),
--- a/control/src/failure_detector.rs
+++ b/control/src/failure_detector.rs
@@ -1,12 +1,16 @@
-//! Detecting silence by counted time: time in which the observer itself stood still does not count.
+//! A time-out failure detector that measures only the time in which the observer itself ran.
+//!
+//! After a pause of the observer (a stopped process, a suspended machine) all heartbeats seem
+//! overdue, although it is the observer that did not receive them. Long steps of its clock are
+//! therefore counted as short ones.
 
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// The most that one step of the observer's clock counts for.
+/// The most that one step of the observer's clock counts for, in milliseconds.
 const MAX_STEP_MS: Millis = 250;
 
-/// Notes when things were last heard.
+/// Records the last heartbeat of each monitored key.
 #[derive(Debug, Clone)]
 pub struct FailureDetector<K> {
     observed: Millis,
@@ -15,7 +19,7 @@
 }
 
 impl<K: Ord + Clone> FailureDetector<K> {
-    /// Nothing was heard yet.
+    /// A detector that monitors nothing.
     pub fn new(now: Millis) -> Self {
         FailureDetector {
             observed: 0,
@@ -24,33 +28,33 @@
         }
     }
 
-    /// The observer's clock goes on; to be called several times within each patience.
+    /// Advances the observer's clock; to be called several times within each time-out.
     pub fn advance(&mut self, now: Millis) {
         self.observed += now.saturating_sub(self.now).min(MAX_STEP_MS);
         self.now = now;
     }
 
-    /// Something was heard.
+    /// Records a heartbeat, and monitors its key from now on.
     pub fn record_heartbeat(&mut self, key: K) {
         self.last_heartbeats.insert(key, self.observed);
     }
 
-    /// Something is no longer awaited.
+    /// Stops monitoring a key.
     pub fn remove(&mut self, key: &K) {
         self.last_heartbeats.remove(key);
     }
 
-    /// Goes on awaiting only some.
+    /// Stops monitoring all other keys.
     pub fn retain(&mut self, is_wanted: impl Fn(&K) -> bool) {
         self.last_heartbeats.retain(|key, _| is_wanted(key));
     }
 
-    /// Whether something is awaited.
+    /// Whether a key is monitored.
     pub fn is_monitored(&self, key: &K) -> bool {
         self.last_heartbeats.contains_key(key)
     }
 
-    /// What was not heard for so long.
+    /// The keys without a heartbeat for `timeout`, in observed time.
     pub fn expired(&self, timeout: Millis) -> Vec<K> {
         let unresponsive = self
             .last_heartbeats
--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -1,19 +1,18 @@
-//! The texts of a configuration one after the other: differences that are made once and sent to
-//! every holder that lags.
+//! Successive texts of a configuration: deltas that are computed once and sent to every replica that
+//! lags.
 //!
-//! Each delta names the version that it starts from and the checksum of what it leads to, so that a
-//! holder whose text has moved on since it asked takes from an answer just the deltas that follow
-//! its own text.
+//! Each delta names its base version and the checksum of its result, so that a replica whose text
+//! has advanced since its request applies just the deltas that follow its own version.
 
 use crate::delta::{Chunk, diff, patch};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// The most deltas that are kept for holders which lag.
+/// The most deltas that are retained for replicas that lag.
 const MAX_DELTAS: usize = 32;
 
-/// What leads from one version of a text to the next.
+/// The delta from one version of a text to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     base: u64,
@@ -33,7 +32,7 @@
         }
     }
 
-    /// How many bytes it takes to send, about.
+    /// Its approximate encoded size in bytes.
     fn size(&self) -> usize {
         const CHUNK_OVERHEAD_BYTES: usize = 8;
         let bytes = |chunk: &Chunk| match chunk {
@@ -44,7 +43,7 @@
     }
 }
 
-/// What a holder lacks.
+/// What a replica needs to reach the newest text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TextUpdate {
     /// The newest text itself.
@@ -54,12 +53,12 @@
         /// The text.
         text: Vec<u8>,
     },
-    /// Deltas that lead to the newest text.
+    /// Consecutive deltas that end at the newest text.
     Deltas(Vec<Delta>),
 }
 
 impl TextUpdate {
-    /// The version that it leads to.
+    /// The version that it leads to; `None` for an empty update.
     pub fn version(&self) -> Option<u64> {
         match self {
             TextUpdate::Full { version, .. } => Some(*version),
@@ -71,13 +70,13 @@
 /// Why an update cannot be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ApplyError {
-    /// No delta starts from the text held.
+    /// No delta starts from the current version.
     #[error("no step starts from version {current}: ask again with that version")]
     BaseMismatch {
-        /// The version held; 0 for none.
+        /// The current version; 0 for none.
         current: u64,
     },
-    /// A delta leads to another text than it should.
+    /// The result of a delta does not match its checksum.
     #[error("the text of version {version} does not have its checksum: ask for the whole text")]
     Checksum {
         /// The version.
@@ -85,7 +84,7 @@
     },
 }
 
-/// The newest text with the deltas that led to it.
+/// The newest text, with the most recent deltas that led to it.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     version: u64,
@@ -104,7 +103,7 @@
         &self.text
     }
 
-    /// Takes a newer text.
+    /// Replaces the text with a newer version, and retains the delta between them.
     pub fn advance(&mut self, version: u64, text: Vec<u8>) {
         if self.version > 0 {
             self.retain(Delta::between((self.version, &self.text), version, &text));
@@ -119,8 +118,8 @@
         }
     }
 
-    /// What the holder of version `base` lacks: deltas where these are fewer bytes than the text,
-    /// else the text.
+    /// What a replica with version `base` needs: deltas where these are smaller than the text, else
+    /// the full text; `None` where it has the newest version.
     pub fn update_for(&self, base: u64) -> Option<TextUpdate> {
         if self.version == 0 || base == self.version {
             return None;
@@ -139,7 +138,11 @@
         Some(TextUpdate::Deltas(deltas.cloned().collect()))
     }
 
-    /// Takes what another holder had; unchanged where that does not fit.
+    /// Applies an update from another replica.
+    ///
+    /// # Errors
+    ///
+    /// Where the deltas do not apply to the current text, which is then unchanged.
     pub fn apply(&mut self, update: TextUpdate) -> Result<(), ApplyError> {
         match update {
             TextUpdate::Full { version, text } => self.advance(version, text),
@@ -160,7 +163,7 @@
     }
 }
 
-/// The text that deltas lead to.
+/// Applies deltas one after the other, verifying each result.
 fn apply_deltas(text: &[u8], deltas: &[Delta]) -> Result<Vec<u8>, ApplyError> {
     let mut text = text.to_vec();
     for delta in deltas {
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,9 +1,10 @@
-//! Control state of a router fleet, without I/O, clocks or randomness.
+//! Control state of a router fleet, as state machines without I/O, clocks or randomness.
 //!
 //! The program feeds these types with messages, times and finished disk writes, and carries out the
-//! effects they return. Durable state (configuration, weight versions) is replicated from a primary
-//! to its backups; witnesses store only epochs and decide failover. Soft state (backends, members)
-//! spreads by version vectors.
+//! effects that they return. Durable state (configuration, weight versions) is replicated from a primary
+//! to its backups ([`node`]); witnesses store only their votes and decide failover ([`witness`],
+//! [`proposer`]). Soft state (backends, members) spreads by anti-entropy with version vectors
+//! ([`directory`]).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -26,5 +27,5 @@
 pub mod view;
 pub mod witness;
 
-/// A moment or a duration on a steady clock, in milliseconds.
+/// A moment or a duration on a monotonic clock, in milliseconds.
 pub type Millis = u64;
--- a/control/src/message.rs
+++ b/control/src/message.rs
@@ -6,88 +6,86 @@
 use crate::witness::Vote;
 use serde::{Deserialize, Serialize};
 
-/// A message with its sender.
+/// A message with its sender and receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sent it.
+    /// The sender.
     pub from: ReplicaId,
-    /// In which life of its process.
+    /// The incarnation of the sender's process.
     pub incarnation: Incarnation,
-    /// Who it is for; a replica that lost its disk doesn't take what was sent to the former one.
+    /// The receiver. A replica that lost its disk drops what was sent to its former id.
     pub to: ReplicaId,
-    /// Where it is an answer: in which life the receiver asked. An answer to a former process is
-    /// dropped.
+    /// For a reply, the incarnation of the receiver that sent the request. A reply to a former
+    /// process is dropped.
     pub in_reply_to: Option<Incarnation>,
-    /// What it says.
+    /// The message.
     pub message: Message,
 }
 
-/// A moment on the clock of one life of a replica, as its primary gives it back.
+/// A time on the clock of one incarnation of a replica, as the primary returns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Echo {
-    /// The life.
+    /// The incarnation.
     pub incarnation: Incarnation,
-    /// The moment.
+    /// The time.
     pub at: Millis,
 }
 
-/// What one replica says to another.
+/// The messages between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// The primary is there, and asks for its lease.
+    /// The primary is alive, and asks for its lease.
     Heartbeat {
         /// Its epoch.
         epoch: Epoch,
-        /// Rises with each round of heartbeats of a life, to come back with the reply.
+        /// Rises with each heartbeat of an incarnation; the reply returns it.
         sequence: u64,
-        /// The last change that is committed; none where the primary does not know that it is the
-        /// newest.
+        /// The last committed change; `None` where the primary does not know that it is the newest.
         committed: Option<Position>,
-        /// When the receiver sent the last reply that the primary has got.
+        /// When the receiver sent the last reply that the primary received.
         echo: Option<Echo>,
     },
-    /// The answer to a heartbeat.
+    /// The reply to a heartbeat.
     HeartbeatReply {
         /// The epoch of the heartbeat.
         epoch: Epoch,
-        /// As in the heartbeat.
+        /// The sequence number of the heartbeat.
         sequence: u64,
         /// Whether the lease is granted.
         granted: bool,
-        /// The newest view that the replier knows to be decided, where it is another one than the
-        /// heartbeat's.
+        /// The newest decided view that the replier knows, where it is newer than the heartbeat's.
         other_view: Option<View>,
-        /// Whether the replier does not know the heartbeat's view.
+        /// Whether the replier does not know the heartbeat's view yet.
         wants_view: bool,
         /// The replier's clock.
         sent_at: Millis,
     },
-    /// Asks a witness to promise.
+    /// Paxos phase 1: asks a witness for a promise.
     Prepare {
-        /// The decided view that another one is to follow.
+        /// The decided view that the proposed one is to follow.
         current: View,
-        /// The attempt.
+        /// The proposal number.
         number: ProposalNumber,
     },
-    /// A witness's vote.
+    /// A witness's vote in phase 1.
     PrepareReply {
-        /// The attempt.
+        /// The proposal number.
         number: ProposalNumber,
         /// The vote.
         vote: Vote,
     },
-    /// Asks a witness to accept a view.
+    /// Paxos phase 2: asks a witness to accept a view.
     Accept {
-        /// The decided view that it is to follow.
+        /// The decided view that the proposed one is to follow.
         current: View,
-        /// The view and its attempt.
+        /// The proposed view and its number.
         proposal: Proposal,
     },
-    /// Whether a witness accepted.
+    /// A witness's reply in phase 2.
     AcceptReply {
-        /// The attempt.
+        /// The proposal number.
         number: ProposalNumber,
-        /// Nothing where it was accepted; else the round that the witness has promised to.
+        /// `Ok` where it was accepted; else the round that the witness has promised.
         answer: Result<(), u64>,
     },
     /// A view has been decided.
@@ -95,36 +93,36 @@
         /// The view.
         view: View,
     },
-    /// A new primary asks a backup what it stores.
+    /// A new primary asks a backup which updates it stores.
     Synchronize {
         /// The new epoch.
         epoch: Epoch,
     },
-    /// What a backup, or a replica that asks to be taken in, stores.
+    /// Which updates a backup, or a replica that asks to join, stores.
     StoredPositions {
         /// The epoch of the primary.
         epoch: Epoch,
-        /// The last stored change.
+        /// The last stored update.
         last: Position,
         /// The last change that is known to be committed.
         committed: Position,
     },
-    /// The primary's whole state, to take the place of the receiver's.
+    /// The primary's full state, which replaces the receiver's.
     Install {
         /// The epoch.
         epoch: Epoch,
         /// The committed state.
         state: ControlState,
-        /// A change that is stored and not yet committed.
+        /// The stored update that is not yet committed.
         tail: Option<Update>,
     },
-    /// Changes to be stored, one after the other.
+    /// Consecutive updates to be stored.
     Replicate {
         /// The epoch.
         epoch: Epoch,
-        /// The change before them. Who stores another one there needs other changes first.
+        /// The position before them. A receiver whose log ends elsewhere needs other updates first.
         previous: Position,
-        /// The changes.
+        /// The updates.
         updates: Vec<Update>,
     },
     /// Changes up to this one are committed.
@@ -134,20 +132,20 @@
         /// The last committed change.
         position: Position,
     },
-    /// A replica that does not store every change asks to be taken in.
+    /// A replica outside the in-sync set asks to join it.
     Join {
         /// Its last stored change.
         last: Position,
         /// The last change that it knows to be committed.
         committed: Position,
     },
-    /// A replica whose process is about to end asks to be taken out, so that no change waits for
-    /// it.
+    /// A replica that is shutting down asks to be removed from the in-sync set, so that no change
+    /// waits for it.
     Leave {
         /// The epoch.
         epoch: Epoch,
     },
-    /// The primary gives its lease back and takes no further changes.
+    /// The primary steps down and releases its lease.
     Resign {
         /// Its epoch.
         epoch: Epoch,
--- /dev/null
+++ b/control/src/node/heartbeats.rs
@@ -0,0 +1,183 @@
+//! Heartbeats of the primary, its lease, and handing leadership over.
+//!
+//! The primary renews its lease with every heartbeat that a majority of the witnesses grants
+//! (Gray and Cheriton, "Leases", SOSP 1989). Clocks are only compared with themselves: the lease
+//! counts from when the heartbeat was sent, a grant from when it was received, so the primary stops
+//! before the witnesses may grant the lease to another one.
+
+use super::primary::Contact;
+use super::{ControlNode, Requester, Role};
+use crate::Millis;
+use crate::message::{Echo, Message};
+use crate::state::Position;
+use crate::view::{Epoch, Incarnation, ReplicaId, View};
+
+/// The content of a [`Message::HeartbeatReply`] and the incarnation that sent it.
+pub(super) struct HeartbeatReply {
+    pub(super) sequence: u64,
+    pub(super) granted: bool,
+    pub(super) other_view: Option<View>,
+    pub(super) wants_view: bool,
+    pub(super) sent_at: Millis,
+    pub(super) incarnation: Incarnation,
+}
+
+impl ControlNode {
+    /// Sends a heartbeat to all other participants, which asks the witnesses among them for the
+    /// lease. Returns its sequence number, which the replies carry.
+    pub(super) fn send_heartbeats(&mut self, now: Millis) -> u64 {
+        let (id, epoch) = (self.id().clone(), self.epoch());
+        let committed = self.leading_epoch(now).map(|_| self.state.position);
+        let own = self.witness.grant(&id, epoch, now);
+        let others = self.others();
+        let Role::Primary(primary) = &mut self.role else {
+            return 0;
+        };
+        primary.heartbeat_at = now + self.timing.heartbeat_interval;
+        let sequence = primary.lease.begin(now);
+        if own {
+            primary.lease.record_grant(id, sequence);
+        }
+        let echo = |other: &ReplicaId| {
+            primary
+                .contacts
+                .get(other)
+                .and_then(|contacts| contacts.echo)
+        };
+        let echoes: Vec<Option<Echo>> = others.iter().map(echo).collect();
+        for (other, echo) in others.into_iter().zip(echoes) {
+            self.send(
+                other,
+                Message::Heartbeat {
+                    epoch,
+                    sequence,
+                    committed,
+                    echo,
+                },
+            );
+        }
+        sequence
+    }
+
+    pub(super) fn on_heartbeat(
+        &mut self,
+        from: Requester,
+        epoch: Epoch,
+        sequence: u64,
+        committed: Option<Position>,
+        echo: Option<Echo>,
+        now: Millis,
+    ) {
+        let is_current = self.is_primary_of(&from.replica, epoch);
+        if is_current {
+            self.last_primary_contact = now;
+            if let Some(committed) = committed {
+                self.commit_up_to(committed, now);
+                self.update_freshness(committed, echo);
+            }
+        }
+        let granted = is_current && self.witness.grant(&from.replica, epoch, now);
+        let other_view = self.view().filter(|view| view.epoch > epoch).cloned();
+        let wants_view = self.epoch() < epoch;
+        let reply = Message::HeartbeatReply {
+            epoch,
+            sequence,
+            granted,
+            other_view,
+            wants_view,
+            sent_at: now,
+        };
+        self.reply(from, reply);
+    }
+
+    /// Records the echo as the time up to which the state here is known to be current: the primary
+    /// still led, and knew its state to be the newest, after it had received this replica's reply
+    /// that was sent at that time.
+    fn update_freshness(&mut self, committed: Position, echo: Option<Echo>) {
+        let own = echo.filter(|echo| {
+            echo.incarnation == self.identity.incarnation && self.state.position >= committed
+        });
+        self.current_at = self.current_at.max(own.map(|echo| echo.at));
+    }
+
+    pub(super) fn on_heartbeat_reply(
+        &mut self,
+        from: ReplicaId,
+        epoch: Epoch,
+        answer: HeartbeatReply,
+        now: Millis,
+    ) {
+        if let Some(view) = answer.other_view {
+            return self.learn(view, now);
+        }
+        let view = self.view().filter(|view| view.epoch == epoch).cloned();
+        let (Some(view), Role::Primary(primary)) = (view, &mut self.role) else {
+            return;
+        };
+        let echo = Some(Echo {
+            incarnation: answer.incarnation,
+            at: answer.sent_at,
+        });
+        primary
+            .contacts
+            .insert(from.clone(), Contact { at: now, echo });
+        if answer.granted {
+            primary.lease.record_grant(from.clone(), answer.sequence);
+        }
+        if answer.wants_view {
+            self.send(from, Message::Decided { view });
+        }
+        self.confirm_calls(now);
+        self.replicate_next(now);
+    }
+
+    pub(super) fn tick_primary(&mut self, now: Millis) {
+        if self.is_storage_stalled(now) {
+            return self.resign("the disk does not answer", now);
+        }
+        let Role::Primary(primary) = &self.role else {
+            return;
+        };
+        let is_settled = now >= primary.since + self.timing.lease;
+        let without_lease = is_settled && now >= self.lease_expires_at(primary);
+        if now >= primary.heartbeat_at {
+            self.send_heartbeats(now);
+            self.retransmit(now);
+        }
+        if without_lease {
+            self.attempt = None;
+            self.last_primary_contact = now;
+            return self.transition(Role::Backup, "the lease ended");
+        }
+        self.finish_stage(now);
+        self.reconsider_view(now);
+        self.confirm_calls(now);
+        self.replicate_next(now);
+    }
+
+    /// Steps down, where this replica is primary, and releases the lease so that a backup may take
+    /// over at once. `cause` is logged.
+    pub fn resign(&mut self, cause: &'static str, now: Millis) {
+        if !matches!(self.role, Role::Primary(_)) {
+            return;
+        }
+        let epoch = self.epoch();
+        self.attempt = None;
+        self.transition(Role::Backup, cause);
+        self.last_primary_contact = now + 2 * self.timing.lease;
+        for other in self.others() {
+            self.send(other, Message::Resign { epoch });
+        }
+        let id = self.id().clone();
+        self.witness.release_lease(&id);
+        self.process_inbox(now);
+    }
+
+    pub(super) fn on_resign(&mut self, from: ReplicaId, epoch: Epoch, now: Millis) {
+        if !self.is_primary_of(&from, epoch) {
+            return;
+        }
+        self.witness.release_lease(&from);
+        self.last_primary_contact = now.saturating_sub(self.timing.lease);
+    }
+}
--- a/control/src/node/lease.rs
+++ b/control/src/node/lease.rs
@@ -1,17 +1,18 @@
-//! What a primary knows of its lease: which witness granted which of its heartbeats.
+//! The lease as its holder knows it: which witness granted which heartbeat.
 //!
-//! A grant binds its witness for the time of a lease from when it answered, so it counts from when
-//! the heartbeat was sent. Grants are kept through later views of the same primary, as they bind
-//! the witness and not the view; a view counts those of its own witnesses only.
+//! A grant binds its witness for the duration of a lease from when it replied, so the holder counts
+//! it from when the heartbeat was sent, which was earlier. Grants are kept through later views of
+//! the same primary, as they bind the witness and not the view; each view counts only the grants of
+//! its own witnesses.
 
 use crate::Millis;
 use crate::view::{ReplicaId, View};
 use std::collections::BTreeMap;
 
-/// Rounds of heartbeats that are remembered. Older ones have no lease left in them.
+/// Heartbeats that are tracked. The lease of older ones has expired.
 const MAX_TRACKED_HEARTBEATS: usize = 64;
 
-/// Rounds of heartbeats, and who granted them.
+/// Sent heartbeats, and the newest one that each witness granted.
 #[derive(Debug, Default)]
 pub(super) struct Lease {
     last_sequence: u64,
@@ -20,7 +21,7 @@
 }
 
 impl Lease {
-    /// Begins a sequence of heartbeats.
+    /// Records a new heartbeat and returns its sequence number.
     pub(super) fn begin(&mut self, now: Millis) -> u64 {
         self.last_sequence += 1;
         self.sent.insert(self.last_sequence, now);
@@ -30,14 +31,14 @@
         self.last_sequence
     }
 
-    /// A witness has granted a sequence.
+    /// Records that a witness has granted a heartbeat. Replies may arrive in any order.
     pub(super) fn record_grant(&mut self, from: ReplicaId, sequence: u64) {
         let newest = self.granted.entry(from).or_default();
         *newest = sequence.max(*newest);
     }
 
-    /// The newest sequence that a majority of a view's witnesses has granted, this or a later one
-    /// each.
+    /// The newest heartbeat such that a majority of the view's witnesses has granted it or a later
+    /// one.
     pub(super) fn confirmed_sequence(&self, view: &View) -> Option<u64> {
         let witnesses = view.witnesses.iter();
         let mut sequences: Vec<u64> = witnesses
@@ -47,11 +48,11 @@
         sequences.get(view.majority() - 1).copied()
     }
 
-    /// Until when the lease of so long is held in a view; 0 where it is not known to be held.
-    pub(super) fn expires_at(&self, view: &View, lasts: Millis) -> Millis {
+    /// When a lease of `duration` in this view expires; 0 where it is not known to be held.
+    pub(super) fn expires_at(&self, view: &View, duration: Millis) -> Millis {
         let sent_at = self
             .confirmed_sequence(view)
             .and_then(|sequence| self.sent.get(&sequence));
-        sent_at.map_or(0, |sent_at| sent_at + lasts)
+        sent_at.map_or(0, |sent_at| sent_at + duration)
     }
 }
--- a/control/src/node/membership.rs
+++ b/control/src/node/membership.rs
@@ -1,7 +1,8 @@
-//! Changes of members: founding, joining, leaving, and taking out who has fallen silent.
+//! Membership of the replication group: bootstrap, joining, leaving, and removal of unresponsive
+//! replicas.
 //!
-//! The in-sync set never gets smaller than the number of copies that a change needs: a member goes
-//! only where as many copies stand without it. One joiner is taken in at a time.
+//! Invariant: the in-sync set is never made smaller than the replication factor by the removal of a
+//! member, so an acknowledged change is always stored that often. One joiner is added at a time.
 
 use super::primary::with_joiner;
 use super::{ControlNode, Role};
@@ -13,8 +14,8 @@
 use std::collections::BTreeSet;
 
 impl ControlNode {
-    /// Has the first view decided by a majority of the electorate: the replicas at the addresses
-    /// that every node of a new system was told. Several of them may do this; one view is decided.
+    /// Proposes the first view of a new system to the electorate: the replicas at the addresses in
+    /// every node's settings. Several of them may do so; one view is decided.
     pub fn bootstrap(
         &mut self,
         electorate: BTreeSet<ReplicaId>,
@@ -41,8 +42,8 @@
         self.process_inbox(now);
     }
 
-    /// The process is about to end: a primary hands its role over, and the others are asked to go
-    /// on without this replica.
+    /// Starts a graceful shutdown: a primary steps down, and the others are asked to remove this
+    /// replica from the in-sync set.
     pub fn leave(&mut self, now: Millis) {
         self.leaving = true;
         self.resign("the process is about to end", now);
@@ -51,14 +52,14 @@
         self.process_inbox(now);
     }
 
-    /// Whether the process may end without a change waiting for it, or a copy being the last one.
+    /// Whether the process may end: no change waits for this replica, and its copy is not needed.
     pub fn can_shut_down(&self) -> bool {
         self.view()
             .is_none_or(|view| !view.in_sync.contains(self.id()))
     }
 
-    /// A replica that does not store every change asks the primary, or whoever is known, to be
-    /// taken in; one whose process is about to end asks to be taken out.
+    /// Has a replica outside the in-sync set ask to join, and one that is shutting down ask to
+    /// leave. All known replicas are asked, as it may not know who is primary.
     pub(super) fn tick_membership(&mut self, now: Millis) {
         if now < self.join_at || self.is_storage_stalled(now) {
             return;
@@ -118,8 +119,7 @@
         }
     }
 
-    /// Asks for another view where replicas have fallen silent or are leaving, or another one has
-    /// caught up.
+    /// Proposes another view where replicas are unresponsive or leaving, or a joiner has caught up.
     pub(super) fn reconsider_view(&mut self, now: Millis) {
         if self.attempt.is_some() || now < self.next_attempt_at {
             return;
@@ -128,15 +128,15 @@
             return;
         };
         let wanted = self.wanted_view(&view, now);
-        // A proposal that was given up may still be decided by others: the next view, even the same
-        // one, ends that.
+        // Another proposer may still complete a proposal that was abandoned here. Deciding the
+        // next view, even an equal one, rules that out.
         let has_open_proposal = !self.required_acks().is_subset(&view.in_sync);
         if wanted != view || has_open_proposal {
             self.propose_view(view, wanted, Intent::Change, now);
         }
     }
 
-    /// The view that this primary would work in.
+    /// The view that this primary prefers at present.
     fn wanted_view(&self, view: &View, now: Millis) -> View {
         let mut wanted = view.clone();
         let Role::Primary(primary) = &self.role else {
--- a/control/src/node/pending_calls.rs
+++ b/control/src/node/pending_calls.rs
@@ -1,9 +1,10 @@
-//! Callers that wait: changes that are not ordered yet, and answers that a majority has to confirm.
+//! Pending calls: changes that are not replicated yet, and replies that a majority has to confirm.
 //!
-//! A change that is stored proves by itself that this replica is the primary: every in-sync replica
-//! has taken it. An answer without one (a refusal, a change made before, the newest configuration)
-//! proves nothing, so it waits for a sequence of heartbeats that began after the call came, and that a
-//! majority of the witnesses granted.
+//! A committed change proves by itself that this replica was the primary: every in-sync replica has
+//! stored it. A reply without one (a rejection, a change that was committed before, the newest
+//! configuration) proves nothing: a successor may have been elected meanwhile. It therefore waits
+//! for a heartbeat that was sent after the call was received and that a majority of the witnesses
+//! granted. This is the read-index protocol of Raft (Ongaro, dissertation, section 6.4).
 
 use super::primary::Stage;
 use super::{ControlNode, Effect, Role, Ticket};
@@ -11,7 +12,7 @@
 use crate::changes::{Change, Outcome, ReadOutcome};
 use std::collections::VecDeque;
 
-/// A change that is not ordered yet.
+/// A change that is not replicated yet.
 #[derive(Debug)]
 pub(super) struct PendingChange {
     pub(super) ticket: Ticket,
@@ -19,11 +20,11 @@
     since: Millis,
 }
 
-/// What a caller is told once that is confirmed.
+/// The reply to a caller, to be sent once it is confirmed.
 #[derive(Debug)]
 enum Answer {
     Outcome(Outcome),
-    ReadOutcome,
+    LatestConfiguration,
 }
 
 impl Answer {
@@ -33,7 +34,7 @@
                 ticket,
                 outcome: Outcome::Unknown,
             },
-            Answer::ReadOutcome => Effect::Read {
+            Answer::LatestConfiguration => Effect::Read {
                 ticket,
                 reading: ReadOutcome::Unknown,
             },
@@ -41,17 +42,17 @@
     }
 }
 
-/// An answer that a majority has to confirm.
+/// A reply that a majority has to confirm.
 #[derive(Debug)]
 struct Unconfirmed {
     ticket: Ticket,
     answer: Answer,
     since: Millis,
-    /// The sequence of heartbeats that confirms it; none where it has not begun.
+    /// The heartbeat that confirms it; `None` until one was sent.
     sequence: Option<u64>,
 }
 
-/// All callers that wait.
+/// All pending calls of a primary.
 #[derive(Debug, Default)]
 pub(super) struct PendingCalls {
     changes: VecDeque<PendingChange>,
@@ -70,13 +71,13 @@
     pub(super) fn read(&mut self, ticket: Ticket, now: Millis) {
         self.unconfirmed.push(Unconfirmed {
             ticket,
-            answer: Answer::ReadOutcome,
+            answer: Answer::LatestConfiguration,
             since: now,
             sequence: None,
         });
     }
 
-    /// A change was judged without being made.
+    /// Queues the outcome of a change that needs no replication.
     pub(super) fn resolve(&mut self, waiting: PendingChange, outcome: Outcome) {
         let PendingChange { ticket, since, .. } = waiting;
         let answer = Answer::Outcome(outcome);
@@ -92,7 +93,7 @@
         self.changes.pop_front()
     }
 
-    /// Answers that no sequence of heartbeats has begun for.
+    /// Whether there are replies for which no heartbeat was sent.
     fn needs_heartbeat(&self) -> bool {
         self.unconfirmed.iter().any(|call| call.sequence.is_none())
     }
@@ -103,7 +104,7 @@
         });
     }
 
-    /// Takes out those that this sequence confirms.
+    /// Removes and returns the replies that this heartbeat confirms.
     fn confirmed_by(&mut self, confirmed: u64) -> Vec<Unconfirmed> {
         let is_confirmed =
             |call: &Unconfirmed| call.sequence.is_some_and(|sequence| sequence <= confirmed);
@@ -113,7 +114,7 @@
         confirmed
     }
 
-    /// Takes out those that have waited too long, and says what they are told.
+    /// Removes the calls that have been pending for `timeout`, and returns their replies.
     fn expire(&mut self, now: Millis, timeout: Millis) -> Vec<Effect> {
         let is_late = |since: Millis| now >= since.saturating_add(timeout);
         let late = self
@@ -140,18 +141,18 @@
         replies
     }
 
-    /// Nobody can be told anything here.
+    /// Removes all calls, as after the loss of the primary role, and returns their replies.
     pub(super) fn give_up(&mut self) -> Vec<Effect> {
         self.expire(Millis::MAX, 0)
     }
 }
 
 impl ControlNode {
-    /// Has a majority confirm what is to be answered, and answers what is confirmed.
+    /// Sends a heartbeat for unconfirmed replies, and sends those that are confirmed.
     pub(super) fn confirm_calls(&mut self, now: Millis) {
-        // Until this replica is in step with its backups it does not know what an earlier primary
-        // has acknowledged.
-        if !self.knows_what_is_committed() {
+        // Until its backups are synchronized, this replica does not know which changes an earlier
+        // primary has acknowledged.
+        if !self.is_synchronized_primary() {
             return;
         }
         if self.calls.needs_heartbeat() {
@@ -171,7 +172,7 @@
             let ticket = call.ticket;
             let effect = match call.answer {
                 Answer::Outcome(outcome) => Effect::Reply { ticket, outcome },
-                Answer::ReadOutcome => {
+                Answer::LatestConfiguration => {
                     let reading = ReadOutcome::Latest(self.state.configuration.clone());
                     Effect::Read { ticket, reading }
                 }
@@ -180,8 +181,8 @@
         }
     }
 
-    /// Whether this replica is primary and in step with its backups.
-    pub(super) fn knows_what_is_committed(&self) -> bool {
+    /// Whether this replica is primary and has synchronized its backups.
+    pub(super) fn is_synchronized_primary(&self) -> bool {
         matches!(&self.role, Role::Primary(primary) if !matches!(primary.stage, Stage::Starting { .. }))
     }
 
--- a/control/src/node/primary.rs
+++ b/control/src/node/primary.rs
@@ -1,4 +1,4 @@
-//! What a primary keeps of its backups and witnesses.
+//! What a primary tracks about its backups and witnesses.
 
 use super::lease::Lease;
 use crate::Millis;
@@ -7,67 +7,68 @@
 use crate::view::{ReplicaId, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a primary is doing.
+/// The stage of a primary's work.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Bringing its backups to its own state.
+    /// Synchronizing its backups with its own state.
     Starting {
         since: Millis,
         synced: BTreeSet<ReplicaId>,
     },
-    /// Nothing is under way.
+    /// No change is in flight.
     Ready,
-    /// A change is being stored everywhere.
+    /// One change is in flight.
     Replicating {
         since: Millis,
         stored: BTreeSet<ReplicaId>,
     },
 }
 
-/// What a replica stores, and what it was sent to store more.
+/// The progress of state transfer to a replica.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Transfer {
-    /// Its last stored change, as it said.
+    /// The last update that it reported to store.
     pub(super) stored: Option<Position>,
-    /// The last change that it was sent.
+    /// The last update that it was sent.
     pub(super) sent: Option<Position>,
-    /// When it last stored something more, or was sent what it lacked.
+    /// When it last made progress, or was sent what it lacked.
     pub(super) progressed_at: Millis,
-    /// How many whole states it was sent since it was last in step.
+    /// Full states that it was sent since it last stored the newest update.
     pub(super) installs: u32,
 }
 
-/// When a replica was heard last.
+/// The last message from a replica.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Contact {
-    /// When.
+    /// When it was received.
     pub(super) at: Millis,
-    /// The replica's own clock in its last answer to a heartbeat.
+    /// The replica's own clock in its last heartbeat reply.
     pub(super) echo: Option<Echo>,
 }
 
+/// The state of a primary.
 #[derive(Debug)]
 pub(super) struct Primary {
     pub(super) stage: Stage,
     pub(super) since: Millis,
     pub(super) lease: Lease,
-    pub(super) heard: BTreeMap<ReplicaId, Contact>,
+    pub(super) contacts: BTreeMap<ReplicaId, Contact>,
     pub(super) transfers: BTreeMap<ReplicaId, Transfer>,
-    /// Replicas outside the in-sync set that ask to be taken in, with when they last did.
+    /// Replicas outside the in-sync set that ask to join, with when they last did.
     pub(super) joiners: BTreeMap<ReplicaId, Millis>,
-    /// The in-sync set of the newest view that this primary proposed in the present epoch. As the
-    /// proposal may be decided by whoever finds it, also after it was given up here, nothing is
-    /// acknowledged without these.
+    /// The in-sync set of the newest view that this primary proposed in the current epoch. Another
+    /// proposer may still complete that proposal after it was abandoned here, so no change is
+    /// acknowledged without these replicas.
     pub(super) proposed: BTreeSet<ReplicaId>,
-    /// Replicas whose processes are about to end.
+    /// Replicas whose processes are shutting down.
     pub(super) leaving: BTreeSet<ReplicaId>,
     pub(super) heartbeat_at: Millis,
-    /// Until then no further change is ordered, so that a joiner can catch up.
+    /// No further change is replicated before this time, so that a joiner can catch up.
     pub(super) writes_stalled_until: Millis,
 }
 
 impl Primary {
-    pub(super) fn new(lease: Lease, heard: BTreeMap<ReplicaId, Contact>, now: Millis) -> Self {
+    pub(super) fn new(lease: Lease, contacts: BTreeMap<ReplicaId, Contact>, now: Millis) -> Self {
         Primary {
             stage: Stage::Starting {
                 since: now,
@@ -75,7 +76,7 @@
             },
             since: now,
             lease,
-            heard,
+            contacts,
             transfers: BTreeMap::new(),
             joiners: BTreeMap::new(),
             proposed: BTreeSet::new(),
@@ -86,7 +87,7 @@
     }
 
     pub(super) fn record_contact(&mut self, from: &ReplicaId, now: Millis) {
-        self.heard
+        self.contacts
             .entry(from.clone())
             .or_insert(Contact {
                 at: now,
@@ -96,11 +97,13 @@
     }
 
     pub(super) fn last_contact(&self, replica: &ReplicaId) -> Millis {
-        self.heard.get(replica).map_or(self.since, |heard| heard.at)
+        self.contacts
+            .get(replica)
+            .map_or(self.since, |contacts| contacts.at)
     }
 
-    /// In-sync replicas that were not heard, or have not stored what they were sent, for longer
-    /// than `timeout`.
+    /// In-sync replicas from which nothing was received, or which have not stored what they were
+    /// sent, for `timeout`.
     pub(super) fn unresponsive(
         &self,
         view: &View,
@@ -124,10 +127,10 @@
             .collect()
     }
 
-    /// A replica that asks to be taken in, was heard lately, and stores everything that may have
-    /// been acknowledged. While this primary starts, that is its last change, which an earlier
-    /// primary may have acknowledged; later the last committed one, as what is under way was sent
-    /// to the joiner too.
+    /// A replica that asks to join, is responsive, and stores every change that may have been
+    /// acknowledged. While this primary starts, that includes its tail, which an earlier primary
+    /// may have acknowledged; later the last committed change suffices, as the one in flight was
+    /// sent to the joiner too.
     pub(super) fn caught_up(
         &self,
         last: Position,
@@ -153,7 +156,7 @@
             .map(|(replica, _)| replica.clone())
     }
 
-    /// A witness outside the in-sync set that was not heard for so long, or is about to end.
+    /// A witness outside the in-sync set from which nothing was received for `timeout`.
     pub(super) fn unresponsive_witness(
         &self,
         wanted: &View,
@@ -170,15 +173,15 @@
     }
 }
 
-/// A view with one more in-sync replica. It takes the place of a former disk of the same machine; a
-/// new machine takes that of a witness that has fallen silent, so that the next loss does not meet
-/// a majority that counts the dead.
+/// A view with one more in-sync replica. The joiner replaces a former disk of the same machine; a
+/// new machine replaces an unresponsive witness, so that after the next loss the majority does not
+/// depend on a witness that is gone.
 pub(super) fn with_joiner(
     mut view: View,
     replica: &ReplicaId,
     unresponsive: Option<ReplicaId>,
 ) -> View {
-    // Two processes can't have one address, so the former one has ended and its disk is gone.
+    // Two processes cannot share an address, so the former one has ended and its disk is gone.
     let is_former = |other: &ReplicaId| other.address == replica.address && other != replica;
     let has_place = view
         .witnesses
--- a/control/src/node/recent_updates.rs
+++ b/control/src/node/recent_updates.rs
@@ -1,14 +1,14 @@
-//! The last changes of a replica's state, for others that lack only these.
+//! The most recent updates of a replica's log, for replicas that lag by only these.
 
 use crate::state::{Position, Update};
 use std::collections::VecDeque;
 
-/// The most changes that are kept.
+/// The most updates that are retained.
 const MAX_UPDATES: usize = 512;
-/// The most bytes of changes that are kept.
+/// The most bytes of updates that are retained.
 const MAX_BYTES: usize = 1 << 20;
 
-/// A change with the position of the one before it.
+/// An update with the position of the one before it.
 #[derive(Debug, Clone)]
 pub(super) struct LogEntry {
     pub(super) previous: Position,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Changes one after the other, up to the last one that is stored.
+/// Consecutive updates up to the last one that is stored.
 #[derive(Debug)]
 pub(super) struct RecentUpdates {
     last: Position,
@@ -30,7 +30,7 @@
 }
 
 impl RecentUpdates {
-    /// Nothing is known of the changes up to `last`.
+    /// Retains nothing of the log up to `last`.
     pub(super) fn new(last: Position) -> Self {
         RecentUpdates {
             last,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes the next change.
+    /// Appends the next update and evicts the oldest ones beyond the limits.
     pub(super) fn push(&mut self, update: &Update) {
         let entry = LogEntry {
             previous: self.last,
@@ -48,7 +48,7 @@
         self.last = update.position;
         self.bytes += entry.bytes();
         self.entries.push_back(entry);
-        // The newest one stays whatever its size, as it is still being stored elsewhere.
+        // The newest update stays whatever its size, as other replicas are still storing it.
         while self.entries.len() > 1 && (self.entries.len() > MAX_UPDATES || self.bytes > MAX_BYTES)
         {
             let Some(oldest) = self.entries.pop_front() else {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// What follows on a position, none where that is not known.
+    /// The updates after a position; `None` where they are not all retained.
     pub(super) fn after(&self, position: Position) -> Option<impl Iterator<Item = &LogEntry>> {
         let first = if position == self.last {
             self.entries.len()
--- a/control/src/node/timing.rs
+++ b/control/src/node/timing.rs
@@ -1,39 +1,39 @@
-//! Times and counts of a replica.
+//! Time-outs, intervals and the replication factor of a replica.
 
 use crate::Millis;
 
-/// Times and counts of a replica.
+/// Time-outs and intervals, all in milliseconds, and the replication factor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// How long a grant of the lease lasts.
+    /// Duration of a lease grant, from when the witness grants it.
     pub lease: Millis,
-    /// By how much the holder stops before its lease ends.
+    /// The holder stops this long before its lease expires, to allow for clock drift.
     pub lease_margin: Millis,
     /// Time between two heartbeats of the primary.
     pub heartbeat_interval: Millis,
-    /// A replica that was not heard for so long is taken out of the in-sync set.
+    /// A replica that is unresponsive for this long is removed from the in-sync set.
     pub replica_timeout: Millis,
-    /// A disk write that takes longer makes a primary resign.
+    /// A primary whose disk write takes longer steps down.
     pub storage_timeout: Millis,
-    /// Added to a candidate's wait for each candidate before it.
+    /// Added to a candidate's election time-out for each candidate that precedes it.
     pub election_stagger: Millis,
-    /// Time between two attempts to be taken in.
+    /// Time between two requests to join or to leave.
     pub join_interval: Millis,
-    /// What a replica was sent is sent again after this where no answer came.
+    /// Updates that were not acknowledged are sent again after this time.
     pub retransmit_interval: Millis,
-    /// For how long no change is ordered where a replica can't catch up otherwise.
+    /// For how long writes are stalled where a replica cannot catch up otherwise.
     pub write_stall: Millis,
-    /// A call that waits longer gets no clear answer.
+    /// A call that is pending for longer gets an unknown outcome.
     pub call_timeout: Millis,
-    /// A witness that was not heard for so long is taken out where enough others are left.
+    /// A witness that is unresponsive for this long is removed where enough others are left.
     pub witness_timeout: Millis,
     /// How many replicas have to store a change before it is acknowledged.
     pub replication_factor: usize,
 }
 
 impl Timing {
-    /// The usual times, for a system that bears the loss of `faults` replicas. There are two copies
-    /// at least, as one alone would be lost with its disk.
+    /// The default timing, for a system that tolerates the loss of `faults` replicas. The
+    /// replication factor is at least two, as a single copy would be lost with its disk.
     pub fn tolerating(faults: usize) -> Self {
         Timing {
             lease: 1_000,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// The fewest witnesses that are left when a silent one is taken out: so many that a majority
-    /// outlives the faults.
+    /// The fewest witnesses that remain when an unresponsive one is removed: a majority of them
+    /// survives the tolerated faults.
     pub fn min_witnesses(&self) -> usize {
         2 * self.replication_factor - 1
     }
--- a/control/src/node/views.rs
+++ b/control/src/node/view_change.rs
@@ -1,182 +1,19 @@
-//! Views: heartbeats and the lease, votes, and attempts to have another view decided.
+//! View changes: votes as a witness, and attempts to have another view decided.
+//!
+//! Each view is decided by single-decree Paxos (Lamport, "Paxos Made Simple", 2001) among the
+//! witnesses; the protocol itself is in [`crate::witness`] and [`crate::proposer`]. This module
+//! decides when to propose a view, and enters the decided one.
 
 use super::primary::{Contact, Primary};
 use super::{ControlNode, Requester, Role};
 use crate::Millis;
-use crate::message::{Echo, Message};
+use crate::message::Message;
 use crate::proposer::{Attempt, Intent, Progress};
-use crate::state::Position;
-use crate::view::{Epoch, Incarnation, Proposal, ProposalNumber, ReplicaId, View};
+use crate::view::{Proposal, ProposalNumber, ReplicaId, View};
 use crate::witness::Vote;
 use std::collections::BTreeSet;
 
-/// What came back for a heartbeat.
-pub(super) struct HeartbeatReply {
-    pub(super) sequence: u64,
-    pub(super) granted: bool,
-    pub(super) other_view: Option<View>,
-    pub(super) wants_view: bool,
-    pub(super) sent_at: Millis,
-    pub(super) incarnation: Incarnation,
-}
-
 impl ControlNode {
-    // ---- heartbeats and the lease
-    // --------------------------------------------------------------------------
-
-    /// Asks all others for the lease. The number of the sequence comes back with their answers.
-    pub(super) fn send_heartbeats(&mut self, now: Millis) -> u64 {
-        let (id, epoch) = (self.id().clone(), self.epoch());
-        let committed = self.leading_epoch(now).map(|_| self.state.position);
-        let own = self.witness.grant(&id, epoch, now);
-        let others = self.others();
-        let Role::Primary(primary) = &mut self.role else {
-            return 0;
-        };
-        primary.heartbeat_at = now + self.timing.heartbeat_interval;
-        let sequence = primary.lease.begin(now);
-        if own {
-            primary.lease.record_grant(id, sequence);
-        }
-        let echo = |other: &ReplicaId| primary.heard.get(other).and_then(|heard| heard.echo);
-        let echoes: Vec<Option<Echo>> = others.iter().map(echo).collect();
-        for (other, echo) in others.into_iter().zip(echoes) {
-            self.send(
-                other,
-                Message::Heartbeat {
-                    epoch,
-                    sequence,
-                    committed,
-                    echo,
-                },
-            );
-        }
-        sequence
-    }
-
-    pub(super) fn on_heartbeat(
-        &mut self,
-        from: Requester,
-        epoch: Epoch,
-        sequence: u64,
-        committed: Option<Position>,
-        echo: Option<Echo>,
-        now: Millis,
-    ) {
-        let is_current = self.is_primary_of(&from.replica, epoch);
-        if is_current {
-            self.last_primary_contact = now;
-            if let Some(committed) = committed {
-                self.commit_up_to(committed, now);
-                self.update_freshness(committed, echo);
-            }
-        }
-        let granted = is_current && self.witness.grant(&from.replica, epoch, now);
-        let other_view = self.view().filter(|view| view.epoch > epoch).cloned();
-        let wants_view = self.epoch() < epoch;
-        let reply = Message::HeartbeatReply {
-            epoch,
-            sequence,
-            granted,
-            other_view,
-            wants_view,
-            sent_at: now,
-        };
-        self.reply(from, reply);
-    }
-
-    /// The primary knew its state to be the newest after it had heard what this replica said at the
-    /// moment of the echo.
-    fn update_freshness(&mut self, committed: Position, echo: Option<Echo>) {
-        let own = echo.filter(|echo| {
-            echo.incarnation == self.identity.incarnation && self.state.position >= committed
-        });
-        self.current_at = self.current_at.max(own.map(|echo| echo.at));
-    }
-
-    pub(super) fn on_heartbeat_reply(
-        &mut self,
-        from: ReplicaId,
-        epoch: Epoch,
-        answer: HeartbeatReply,
-        now: Millis,
-    ) {
-        if let Some(view) = answer.other_view {
-            return self.learn(view, now);
-        }
-        let view = self.view().filter(|view| view.epoch == epoch).cloned();
-        let (Some(view), Role::Primary(primary)) = (view, &mut self.role) else {
-            return;
-        };
-        let echo = Some(Echo {
-            incarnation: answer.incarnation,
-            at: answer.sent_at,
-        });
-        primary
-            .heard
-            .insert(from.clone(), Contact { at: now, echo });
-        if answer.granted {
-            primary.lease.record_grant(from.clone(), answer.sequence);
-        }
-        if answer.wants_view {
-            self.send(from, Message::Decided { view });
-        }
-        self.confirm_calls(now);
-        self.replicate_next(now);
-    }
-
-    pub(super) fn tick_primary(&mut self, now: Millis) {
-        if self.is_storage_stalled(now) {
-            return self.resign("the disk does not answer", now);
-        }
-        let Role::Primary(primary) = &self.role else {
-            return;
-        };
-        let is_settled = now >= primary.since + self.timing.lease;
-        let without_lease = is_settled && now >= self.lease_expires_at(primary);
-        if now >= primary.heartbeat_at {
-            self.send_heartbeats(now);
-            self.retransmit_interval(now);
-        }
-        if without_lease {
-            self.attempt = None;
-            self.last_primary_contact = now;
-            return self.transition(Role::Backup, "the lease ended");
-        }
-        self.finish_stage(now);
-        self.reconsider_view(now);
-        self.confirm_calls(now);
-        self.replicate_next(now);
-    }
-
-    /// A primary hands its role over.
-    pub fn resign(&mut self, cause: &'static str, now: Millis) {
-        if !matches!(self.role, Role::Primary(_)) {
-            return;
-        }
-        let epoch = self.epoch();
-        self.attempt = None;
-        self.transition(Role::Backup, cause);
-        self.last_primary_contact = now + 2 * self.timing.lease;
-        for other in self.others() {
-            self.send(other, Message::Resign { epoch });
-        }
-        let id = self.id().clone();
-        self.witness.release_lease(&id);
-        self.process_inbox(now);
-    }
-
-    pub(super) fn on_resign(&mut self, from: ReplicaId, epoch: Epoch, now: Millis) {
-        if !self.is_primary_of(&from, epoch) {
-            return;
-        }
-        self.witness.release_lease(&from);
-        self.last_primary_contact = now.saturating_sub(self.timing.lease);
-    }
-
-    // ---- votes
-    // ---------------------------------------------------------------------------------------------
-
     pub(super) fn on_prepare(
         &mut self,
         from: Requester,
@@ -246,10 +83,8 @@
         }
     }
 
-    // ---- attempts
-    // ------------------------------------------------------------------------------------------
-
-    /// An in-sync backup takes over once the primary has been silent for longer than its lease.
+    /// Has an in-sync backup take over once the primary has been unresponsive for longer than its
+    /// lease. Candidates wait for different times, so that their proposals rarely compete.
     pub(super) fn tick_backup(&mut self, now: Millis) {
         let Some(view) = self.view() else { return };
         if self.attempt.is_some() || now < self.next_attempt_at || !view.in_sync.contains(self.id())
@@ -264,7 +99,7 @@
         } else {
             self.timing.lease + before * self.timing.election_stagger
         };
-        // A process that is about to end is primary again only where nobody else is.
+        // A process that is shutting down becomes primary only where no other replica does.
         let wait = if self.leaving {
             wait + 2 * self.timing.lease
         } else {
@@ -288,7 +123,7 @@
         );
     }
 
-    /// Begins an attempt to have a view decided that follows `current`.
+    /// Proposes a view that is to follow `current`.
     pub(super) fn propose_view(
         &mut self,
         current: View,
@@ -307,7 +142,7 @@
         self.send_attempt(now);
     }
 
-    /// Asks everyone who has not answered in the present phase of the attempt.
+    /// Sends the request of the current phase to all witnesses that have not replied to it.
     fn send_attempt(&mut self, now: Millis) {
         self.retransmit_at = now + self.timing.heartbeat_interval;
         let Some(attempt) = &self.attempt else { return };
@@ -350,8 +185,8 @@
             Progress::Pending => {}
             Progress::Accept(proposal) => {
                 if let Role::Primary(primary) = &mut self.role {
-                    // What was proposed before can't be decided any more, unless it is this very
-                    // view.
+                    // A majority has promised this number, so no view that was proposed before
+                    // can be decided any more, unless it is this one.
                     primary.proposed = proposal.view.in_sync;
                 }
                 self.send_attempt(now);
@@ -380,7 +215,7 @@
         }
     }
 
-    /// A view is known to be decided.
+    /// Enters a view that is known to be decided, unless a newer one is known.
     pub(super) fn learn(&mut self, view: View, now: Millis) {
         if !self.witness.learn(&view) {
             return;
@@ -404,26 +239,25 @@
         }
     }
 
-    /// Begins to work as primary of the present view: tells everyone of it, and brings the backups
-    /// into step.
+    /// Starts to lead the current view: announces it, and synchronizes the backups.
     fn start_leading(&mut self, now: Millis) {
         let former = match &mut self.role {
             Role::Primary(primary) => Some((
                 std::mem::take(&mut primary.lease),
-                std::mem::take(&mut primary.heard),
+                std::mem::take(&mut primary.contacts),
                 std::mem::take(&mut primary.leaving),
             )),
             _ => None,
         };
-        let (lease, mut heard, leaving) = former.unwrap_or_default();
-        // Silence counts from here on, also through later views of the same primary.
+        let (lease, mut contacts, leaving) = former.unwrap_or_default();
+        // Unresponsiveness is measured from here on, through later views of this primary too.
         for replica in self.others() {
-            heard.entry(replica).or_insert(Contact {
+            contacts.entry(replica).or_insert(Contact {
                 at: now,
                 echo: None,
             });
         }
-        let mut primary = Primary::new(lease, heard, now);
+        let mut primary = Primary::new(lease, contacts, now);
         primary.leaving = leaving;
         self.transition(
             Role::Primary(Box::new(primary)),
@@ -435,7 +269,7 @@
             }
         }
         self.send_heartbeats(now);
-        self.retransmit_interval(now);
+        self.retransmit(now);
         self.synchronize_own();
     }
 }
--- a/control/src/proposer.rs
+++ b/control/src/proposer.rs
@@ -1,63 +1,66 @@
-//! Deciding the next view: one attempt of a replica to have it accepted by majorities of the old
-//! and the new witnesses.
+//! The proposer of view changes: one attempt to have a view accepted.
+//!
+//! Phase 1 needs a majority of the current view's witnesses, phase 2 majorities of the current and
+//! of the proposed one, as in joint consensus: so two successive views always have a witness in
+//! common that knows the later one.
 
 use crate::Millis;
 use crate::view::{Epoch, Proposal, ProposalNumber, ReplicaId, View};
 use crate::witness::Vote;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far an attempt has come.
+/// The phase of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Waiting for promises of the present witnesses.
+    /// Paxos phase 1: waiting for promises of the current view's witnesses.
     Preparing {
         promises: BTreeSet<ReplicaId>,
         highest_accepted: Option<Box<Proposal>>,
     },
-    /// Waiting for the view to be accepted.
+    /// Paxos phase 2: waiting for the view to be accepted.
     Accepting { accepts: BTreeSet<ReplicaId> },
 }
 
-/// Which in-sync replicas the wanted view has.
+/// How the in-sync set of the proposed view is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Intent {
-    /// Those of the wanted view, as it stands.
+    /// As proposed.
     Change,
     /// The proposer takes over: in-sync replicas that vote for it stay in sync, and silent ones as
     /// long as there would be fewer than `replication_factor`. Each of these holds every acknowledged change,
     /// whether it answers at present or not.
     TakeOver {
-        /// How many copies of each change there have to be.
+        /// How many replicas have to store each change.
         replication_factor: usize,
     },
 }
 
-/// What came of a vote.
+/// The progress of an attempt after a reply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Progress {
-    /// Nothing yet.
+    /// Further replies are needed.
     Pending,
-    /// The attempt goes into its second phase: ask for acceptance.
+    /// Phase 2 begins: send the accept requests.
     Accept(Proposal),
     /// The view is decided.
     Decided(View),
-    /// The attempt is over; try again later with a higher round than this.
+    /// The attempt failed; retry later with a higher round than this.
     Failed {
         /// The highest round seen.
         round: u64,
     },
-    /// A later view has been decided; start anew from it.
+    /// A later view is already decided; start again from it.
     Superseded(View),
 }
 
-/// One attempt.
+/// One attempt to decide the view after `current`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Attempt {
-    /// Its number.
+    /// Its proposal number.
     pub number: ProposalNumber,
     /// The decided view that the attempt starts from.
     pub current: View,
-    /// When it was begun.
+    /// When it was started.
     pub started_at: Millis,
     target: View,
     intent: Intent,
@@ -89,17 +92,17 @@
         }
     }
 
-    /// The epoch that is being decided.
+    /// The epoch that this attempt is to decide.
     pub fn epoch(&self) -> Epoch {
         self.current.epoch + 1
     }
 
-    /// The view that it is to bring about, as far as it is known now.
+    /// The proposed view. It changes where phase 1 finds an accepted one.
     pub fn target(&self) -> &View {
         &self.target
     }
 
-    /// Who has to be asked in the present phase.
+    /// The witnesses that are asked in the current phase.
     pub fn recipients(&self) -> BTreeSet<ReplicaId> {
         match self.phase {
             Phase::Preparing { .. } => self.current.witnesses.clone(),
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Who has not answered yet in the present phase.
+    /// The witnesses that have not replied in the current phase.
     pub fn pending_recipients(&self) -> BTreeSet<ReplicaId> {
         let answered = match &self.phase {
             Phase::Preparing { promises, .. } => promises,
@@ -127,7 +130,7 @@
             .collect()
     }
 
-    /// The proposal of the second phase; none in the first.
+    /// The proposal of phase 2; `None` in phase 1.
     pub fn proposal(&self) -> Option<Proposal> {
         matches!(self.phase, Phase::Accepting { .. }).then(|| Proposal {
             number: self.number.clone(),
@@ -135,7 +138,7 @@
         })
     }
 
-    /// Takes a witness's answer to the first phase.
+    /// Handles a witness's reply in phase 1.
     pub fn on_vote(&mut self, from: &ReplicaId, vote: Vote) -> Progress {
         let Phase::Preparing {
             promises,
@@ -171,7 +174,8 @@
         self.proposal().map_or(Progress::Pending, Progress::Accept)
     }
 
-    /// What is proposed: a view that an earlier attempt may have had decided is carried on.
+    /// Chooses the view of phase 2. An accepted view may already be decided, so it is completed in
+    /// place of this attempt's own.
     fn choose_view(&mut self, promises: &BTreeSet<ReplicaId>, accepted: Option<View>) {
         if let Some(view) = accepted {
             self.target = view;
@@ -190,8 +194,7 @@
         }
     }
 
-    /// Takes a witness's answer to the second phase; a refusal names the round that it has promised
-    /// to.
+    /// Handles a witness's reply in phase 2; a rejection carries the round that it has promised.
     pub fn on_accept_reply(&mut self, from: &ReplicaId, answer: Result<(), u64>) -> Progress {
         if let Err(round) = answer {
             return self.reject(from, round);
@@ -206,7 +209,7 @@
         Progress::Pending
     }
 
-    /// Notes a refusal; the attempt has failed once a majority can't be had any more.
+    /// Records a rejection. The attempt fails once a majority cannot be reached any more.
     fn reject(&mut self, from: &ReplicaId, round: u64) -> Progress {
         self.rejections.insert(from.clone(), round);
         let reject: BTreeSet<ReplicaId> = self.rejections.keys().cloned().collect();
@@ -219,7 +222,7 @@
         }
     }
 
-    /// The highest round that is known of.
+    /// The highest round that this attempt knows of.
     pub fn highest_round(&self) -> u64 {
         self.rejections
             .values()
@@ -229,8 +232,8 @@
             .max(self.number.round)
     }
 
-    /// Whether a witness has promised to a higher attempt, so that a later one of this proposer may
-    /// go through sooner.
+    /// Whether a witness has promised a higher number, so that this attempt should be abandoned
+    /// early.
     pub fn is_superseded(&self) -> bool {
         self.highest_round() > self.number.round
     }
--- a/control/src/ring.rs
+++ b/control/src/ring.rs
@@ -1,10 +1,10 @@
-//! Who monitors whom: members stand on a ring, and each sends its heartbeats to the few members
-//! that follow it.
+//! Assignment of monitors by consistent hashing: members are ordered on a hash ring, and each sends
+//! its heartbeats to the few members that follow it.
 
 use compact_str::CompactString;
 use std::collections::BTreeSet;
 
-/// A member's place on the ring.
+/// A member's position on the ring.
 fn position(name: &str) -> (u64, &str) {
     // FNV-1a, so that every program and every run agrees.
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
@@ -13,7 +13,7 @@
     (hash, name)
 }
 
-/// Other members in the order of the ring, beginning behind `name`.
+/// The other members in ring order, starting after `name`.
 fn in_ring_order(members: &BTreeSet<CompactString>, name: &str) -> Vec<CompactString> {
     let own = position(name);
     let others = members.iter().filter(|other| *other != name);
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -10,16 +10,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How many accepted configurations are remembered, so that one sent again is known. At a thousand
-/// a day these are four days; what is sent again later gets no clear answer.
+/// Accepted configurations whose fingerprints are retained, so that a retry is recognized. At a
+/// thousand a day this covers four days; a later retry gets [`Outcome::Unknown`].
 pub const RETAINED_CONFIGURATIONS: usize = 4096;
 
-/// The position of a change: who ordered it, and its number.
+/// The position of a change in the log: its index, and the epoch that ordered it.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// The number of the change, from 1.
+    /// The index of the change, from 1.
     pub index: u64,
     /// The epoch in which it was ordered.
     pub epoch: Epoch,
@@ -28,18 +28,19 @@
 /// A change at its position.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Update {
-    /// Its position.
+    /// The position in the log.
     pub position: Position,
-    /// What changes.
+    /// The change.
     pub change: Change,
 }
 
-/// Identifies a configuration together with the version that it builds on.
+/// Identifies a configuration together with the version that it replaces: the idempotency key of
+/// its submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fingerprint([u8; 16]);
 
 impl Fingerprint {
-    /// The fingerprint of a body sent on top of a version.
+    /// The fingerprint of a body that replaces version `base`: the first 128 bits of SHA-256.
     pub fn of(base: u64, body: &[u8]) -> Self {
         let digest = Sha256::new()
             .chain_update(base.to_be_bytes())
@@ -51,7 +52,7 @@
     }
 }
 
-/// A configuration as the operator sent it.
+/// A configuration as the operator submitted it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StoredConfiguration {
     /// Its version.
@@ -60,26 +61,26 @@
     pub body: Arc<[u8]>,
 }
 
-/// The version that a model's weights are to have.
+/// The target version of a model's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct WeightsTarget {
     /// The version.
     pub version: u64,
-    /// The index of the change that named it.
+    /// The index of the change that set it.
     pub index: u64,
 }
 
-/// The durable control state after some number of changes.
+/// The replicated state after a prefix of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ControlState {
-    /// The last change.
+    /// The position of the last applied change.
     pub position: Position,
     /// The configuration in force.
     pub configuration: Option<StoredConfiguration>,
-    /// The newest version of each model's weights that was named.
+    /// The target version of each model's weights.
     pub weights: BTreeMap<CompactString, WeightsTarget>,
     pub(crate) accepted: Vec<(u64, Fingerprint)>,
-    /// Who gives orders to backends, or gave them last; none before the first one.
+    /// The replica that sends orders to backends, or did so last; `None` before the first one.
     pub rollout_owner: Option<ReplicaId>,
 }
 
@@ -91,7 +92,7 @@
             .map_or(0, |configuration| configuration.version)
     }
 
-    /// Whether this very configuration was taken before.
+    /// Whether this very configuration was accepted before.
     fn is_accepted(&self, fingerprint: Fingerprint) -> bool {
         self.accepted
             .iter()
@@ -99,14 +100,15 @@
             .any(|(_, known)| *known == fingerprint)
     }
 
-    /// Whether a configuration that builds on this version may have been taken so long ago that it
-    /// is not remembered.
+    /// Whether a configuration that replaces this version may have been accepted so long ago that its
+    /// fingerprint is no longer retained.
     fn may_have_been_evicted(&self, base: u64) -> bool {
         let oldest = self.accepted.first().map_or(0, |(version, _)| *version);
         self.accepted.len() >= RETAINED_CONFIGURATIONS && base < oldest
     }
 
-    /// What a change would come to now: nothing to do, a refusal, or that it is to be made.
+    /// The outcome of a change that needs no replication: a rejection, or that it was committed
+    /// before. `None` where it has to be replicated and applied.
     pub fn evaluate(&self, change: &Change) -> Option<Outcome> {
         match change {
             Change::Configuration { base, body } => self.evaluate_configuration(*base, body),
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Makes a change that was judged to be made.
+    /// Applies a committed update.
     pub fn apply(&mut self, update: &Update) {
         self.position = update.position;
         match &update.change {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Versions of configurations in the order in which they were accepted.
+    /// The retained versions of configurations, in the order in which they were accepted.
     pub fn history(&self) -> impl Iterator<Item = u64> + '_ {
         self.accepted.iter().map(|(version, _)| *version)
     }
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -1,5 +1,5 @@
-//! Views: which replica is primary in an epoch, which ones hold every acknowledged change, and who
-//! decides the next view.
+//! Views: the configurations of the replication group. A view names the primary of an epoch, the
+//! replicas that store every acknowledged change, and the witnesses that decide the next view.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -12,11 +12,11 @@
 /// A node that lost its disk comes back as another replica.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// Drawn when the disk was first used.
+    /// Drawn at random when the disk was first used.
     pub disk: u64,
     /// The node's name.
     pub node: CompactString,
-    /// Where the node's internal protocol listens.
+    /// The address of the node's internal protocol.
     pub address: SocketAddrV4,
 }
 
@@ -26,30 +26,30 @@
     }
 }
 
-/// The number of a view; each view has the next one.
+/// The number of a view; it rises by one with each view. Also the fencing token of its primary.
 pub type Epoch = u64;
 
-/// The epoch of the electorate that decides the first view; no replica ever works in it.
+/// The epoch of the electorate that decides the first view; no replica is ever primary in it.
 pub const BOOTSTRAP_EPOCH: Epoch = 0;
 
-/// Identifies one run of a process. Drawn at its start.
+/// Identifies one run of a process. Drawn at random when it starts.
 pub type Incarnation = u64;
 
 /// One configuration of the replication group.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// Its number.
+    /// The number of the view.
     pub epoch: Epoch,
-    /// The replica that orders changes.
+    /// The replica that orders all changes.
     pub primary: ReplicaId,
-    /// Replicas that have to store a change before it is acknowledged, the primary among them.
+    /// The replicas that store every acknowledged change, the primary among them.
     pub in_sync: BTreeSet<ReplicaId>,
-    /// Replicas a majority of which decides the next view and grants the primary its lease.
+    /// The replicas a majority of which decides the next view and grants the primary its lease.
     pub witnesses: BTreeSet<ReplicaId>,
 }
 
 impl View {
-    /// The electorate that decides the first view of a new system; none where nobody is in it.
+    /// The electorate that decides the first view of a new system; `None` where it is empty.
     pub fn bootstrap(electorate: BTreeSet<ReplicaId>) -> Option<Self> {
         let primary = electorate.first()?.clone();
         Some(View {
@@ -60,45 +60,45 @@
         })
     }
 
-    /// Whether this is no view to work in, but the electorate of the first one.
+    /// Whether this is not a working view but the electorate of the first one.
     pub fn is_bootstrap(&self) -> bool {
         self.epoch == BOOTSTRAP_EPOCH
     }
 
-    /// Whether `votes` holds a majority of the witnesses.
+    /// Whether `votes` contains a majority of the witnesses.
     pub fn has_majority(&self, votes: &BTreeSet<ReplicaId>) -> bool {
         2 * self.witnesses.intersection(votes).count() > self.witnesses.len()
     }
 
-    /// How many witnesses are a majority.
+    /// The number of witnesses that is a majority.
     pub fn majority(&self) -> usize {
         self.witnesses.len() / 2 + 1
     }
 
-    /// Everyone who takes part in the view.
+    /// The in-sync replicas and the witnesses.
     pub fn participants(&self) -> BTreeSet<ReplicaId> {
         self.in_sync.union(&self.witnesses).cloned().collect()
     }
 }
 
-/// The number of an attempt to decide a view; higher ones win. No two attempts have the same one:
-/// the life tells those of a restarted proposer from those of its former process, whose late
-/// answers must not count.
+/// The proposal number of an attempt to decide a view; higher ones win. No two attempts have the
+/// same number: the incarnation distinguishes those of a restarted proposer from those of its former
+/// process, whose late replies must not count.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProposalNumber {
     /// Rises with each attempt of a process.
     pub round: u64,
-    /// Who attempts it.
+    /// The replica that proposes.
     pub proposer: ReplicaId,
-    /// In which life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
 }
 
-/// A view that is proposed in an attempt.
+/// A proposed view, with the number of its attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The attempt.
+    /// The proposal number.
     pub number: ProposalNumber,
-    /// The view.
+    /// The proposed view.
     pub view: View,
 }
--- a/control/src/witness.rs
+++ b/control/src/witness.rs
@@ -1,26 +1,30 @@
-//! A witness: stores epochs, votes on the next view, and grants the primary's lease.
+//! A witness: the acceptor of view changes, which also grants the primary's lease.
 //!
-//! What it promised or accepted always concerns the epoch behind the newest view that it knows to
-//! be decided. Once it knows that epoch to be decided as well, both are void: whoever still
-//! attempts it is told the decided view instead.
+//! Each epoch is one instance of single-decree Paxos (Lamport, "Paxos Made Simple", 2001). Promises
+//! and acceptances always concern the epoch after the newest decided view that the witness knows.
+//! Once it knows that epoch to be decided as well, both are void: a proposer that still attempts it
+//! gets the decided view instead.
+//!
+//! Invariant: while a grant lasts, the witness neither promises nor grants to another replica. A
+//! restarted witness does not know its former grants, so it waits for the duration of a lease.
 
 use crate::Millis;
 use crate::view::{BOOTSTRAP_EPOCH, Epoch, Proposal, ProposalNumber, ReplicaId, View};
 use serde::{Deserialize, Serialize};
 
-/// What a witness keeps on its disk.
+/// The durable state of a witness.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Votes {
-    /// The newest view that is known to be decided.
+    /// The newest view that it knows to be decided.
     pub decided: Option<View>,
-    /// The highest attempt to decide the next epoch that was promised to.
+    /// The highest promised proposal number for the next epoch.
     pub promised: Option<ProposalNumber>,
-    /// The view for the next epoch that was accepted in the highest attempt.
+    /// The accepted proposal for the next epoch with the highest number.
     pub accepted: Option<Proposal>,
 }
 
 impl Votes {
-    /// The epoch of the newest decided view; that of the founding electorate where there is none.
+    /// The epoch of the newest decided view; [`BOOTSTRAP_EPOCH`] where there is none.
     pub fn epoch(&self) -> Epoch {
         self.decided
             .as_ref()
@@ -28,44 +32,44 @@
     }
 }
 
-/// A witness's answer to a request to prepare.
+/// A witness's reply to a prepare request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Vote {
-    /// No lower attempt will be accepted; carries what was accepted for that epoch.
+    /// No proposal with a lower number will be accepted.
     Promised {
-        /// A view already accepted for the epoch.
+        /// The proposal already accepted for the epoch.
         accepted: Option<Proposal>,
     },
-    /// A higher attempt was promised to.
+    /// A higher number was promised.
     Superseded {
-        /// That attempt.
+        /// That number.
         number: ProposalNumber,
     },
-    /// The epoch has been decided.
+    /// The epoch is already decided.
     AlreadyDecided {
         /// The newest view that is known to be decided.
         decided: View,
     },
     /// Another replica holds the lease.
     Leased,
-    /// This replica did not start together with the system, so it may have forgotten an earlier
-    /// vote on the first view.
+    /// This replica was not started to bootstrap a new system, so it may have lost an earlier vote
+    /// on the first view together with its disk.
     NotEligible,
 }
 
-/// The lease as one witness sees it.
+/// The lease as one witness knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Grant {
-    /// Nobody holds it.
+    /// Granted to no replica.
     Free,
-    /// Held by a replica until a moment of this witness's clock.
+    /// Granted to a replica until a time on this witness's clock.
     Held { holder: ReplicaId, until: Millis },
-    /// Just started: grants of the former process are unknown, so only the primary on file may hold
-    /// it until then.
+    /// After a restart: grants of the former process are unknown, so until then only the recorded
+    /// primary may hold it.
     Unknown { until: Millis },
 }
 
-/// The voting part of a replica.
+/// The acceptor and lease grantor of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Witness {
     votes: Votes,
@@ -91,7 +95,7 @@
         }
     }
 
-    /// What is to be on disk.
+    /// The state that has to be on disk before a reply is sent.
     pub fn votes(&self) -> &Votes {
         &self.votes
     }
@@ -101,7 +105,7 @@
         self.votes.decided.as_ref()
     }
 
-    /// Whether `replica` may take over as far as the lease goes.
+    /// Whether no other replica can hold the lease.
     fn lease_is_available_to(&self, replica: &ReplicaId, now: Millis) -> bool {
         match &self.grant {
             Grant::Free => true,
@@ -113,8 +117,8 @@
         }
     }
 
-    /// Votes on an attempt to have a view follow `current`, which the proposer knows to be decided.
-    /// The second value says whether the votes have to be stored before the answer.
+    /// Paxos phase 1: votes on a proposal that is to follow `current`, which the proposer knows to be
+    /// decided. The second value says whether the votes have to be durable before the reply.
     pub fn prepare(
         &mut self,
         current: &View,
@@ -161,8 +165,11 @@
         )
     }
 
-    /// Accepts a view that is to follow `current`, unless a higher attempt was promised to or the
-    /// epoch has been decided. A refusal names the round that was promised to.
+    /// Paxos phase 2: accepts a view that is to follow `current`.
+    ///
+    /// # Errors
+    ///
+    /// The promised round, where a higher number was promised or the epoch is already decided.
     pub fn accept(&mut self, current: &View, proposal: Proposal) -> Result<(), u64> {
         self.learn(current);
         let promised = self
@@ -181,8 +188,8 @@
         Ok(())
     }
 
-    /// Grants the lease to the primary of the newest decided view, unless a successor is being
-    /// decided.
+    /// Grants or renews the lease of the primary of the newest decided view, unless this witness has
+    /// voted for another replica. Returns whether it did.
     pub fn grant(&mut self, holder: &ReplicaId, epoch: Epoch, now: Millis) -> bool {
         let is_primary = self
             .decided()
@@ -207,7 +214,7 @@
         true
     }
 
-    /// The holder gives its lease back.
+    /// Releases the lease of a holder that steps down.
     pub fn release_lease(&mut self, holder: &ReplicaId) {
         match &self.grant {
             Grant::Held { holder: held, .. } if held == holder => self.grant = Grant::Free,
@@ -218,7 +225,8 @@
         }
     }
 
-    /// Notes a view that is known to be decided. True where that is news to be stored.
+    /// Records a view that is known to be decided. Returns whether it was unknown, so that the votes
+    /// have to be stored.
     pub fn learn(&mut self, view: &View) -> bool {
         if view.epoch <= self.votes.epoch() {
             return false;
