--- a/dispatch/src/bin/bitternsill-simhost.rs
+++ b/dispatch/src/bin/bitternsill-simhost.rs
@@ -1,4 +1,5 @@
-//! Hosts aggregators on the simulator's wire: standard input in, standard output out.
+//! Hosts aggregators for the simulator: reads its line protocol from standard input and writes the
+//! replies to standard output.
 
 use dispatch::wire::Host;
 use std::io::{self, BufRead, Write};
@@ -23,8 +24,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("bitternsill-simhost: {problem}");
+        Err(error) => {
+            eprintln!("bitternsill-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/dispatch/src/calls.rs
+++ b/dispatch/src/calls.rs
@@ -1,50 +1,50 @@
-//! Calls in flight to one server. One call carries several parts (batching).
+//! Calls in flight to one server. A call may carry several parts (batching).
 
 use crate::interface::Time;
 use std::collections::BTreeMap;
 
-/// Calls by number, with how many of their parts are still in flight.
+/// The number of parts still in flight in each call, by call number.
 ///
-/// Calls are numbered upwards from the time of their turn, so that only attempts of one turn share
-/// a call: a later one would miss the call that is on its way.
+/// A turn numbers its calls upwards from its own time. Attempts share a call only within one turn,
+/// as a call has already been sent when a later turn begins.
 #[derive(Debug, Default)]
 pub struct Calls {
-    parts: BTreeMap<u64, u32>,
+    parts_in_flight: BTreeMap<u64, u32>,
 }
 
 impl Calls {
-    /// How many calls are in flight.
     pub fn len(&self) -> usize {
-        self.parts.len()
+        self.parts_in_flight.len()
     }
 
-    /// Whether no call is in flight.
     pub fn is_empty(&self) -> bool {
-        self.parts.is_empty()
+        self.parts_in_flight.is_empty()
     }
 
-    /// Whether a call of this turn takes one more part.
+    /// Whether a call of this turn has room for another part.
     pub fn can_join(&self, now: Time, max_parts: u32) -> bool {
-        self.parts.range(now..).any(|(_, parts)| *parts < max_parts)
+        self.parts_in_flight
+            .range(now..)
+            .any(|(_, parts)| *parts < max_parts)
     }
 
-    /// Adds a part to a call of this turn. Returns the call's number.
+    /// Adds a part to a call of this turn and returns the call's number.
     pub fn begin(&mut self, now: Time, max_parts: u32) -> u64 {
         let mut call = now;
         while self
-            .parts
+            .parts_in_flight
             .get(&call)
             .is_some_and(|parts| *parts >= max_parts)
         {
             call += 1;
         }
-        *self.parts.entry(call).or_insert(0) += 1;
+        *self.parts_in_flight.entry(call).or_insert(0) += 1;
         call
     }
 
-    /// A part of a call has ended.
+    /// Records that a part of a call has ended.
     pub fn end(&mut self, call: u64) {
-        self.parts.retain(|number, parts| {
+        self.parts_in_flight.retain(|number, parts| {
             *parts -= u32::from(*number == call);
             *parts > 0
         });
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -1,10 +1,9 @@
-//! The dispatch decisions of one aggregator, as a state machine without I/O. Its types, events and
-//! actions are in [`crate::interface`].
+//! The dispatch decisions of one aggregator, as a state machine without I/O. Its events and actions
+//! are defined in [`crate::interface`].
 //!
-//! The ordinary path: the first attempts of a query go to the least-loaded row of servers, each
-//! part has one timer at its class's recent 95th percentile, a part still in flight then gets one
-//! hedged request to another replica, and the first answer wins (Dean and Barroso, "The Tail at
-//! Scale", CACM 2013).
+//! Normally the first attempts of a query go to the least-loaded row of servers. A part that is
+//! still in flight after its class's recent 95th percentile is hedged once at another replica, and
+//! the first answer wins (Dean and Barroso, "The Tail at Scale", CACM 2013).
 
 mod admission;
 mod attempts;
@@ -30,11 +29,11 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One aggregator: given events, it returns the actions to carry out.
+/// The state of one aggregator, which turns events into actions.
 #[derive(Debug, Default)]
 pub struct Aggregator {
     settings: Settings,
-    /// The least latency target of all classes.
+    /// The lowest latency target of all classes.
     latency_target: Time,
     rng: fastrand::Rng,
     now: Time,
@@ -43,55 +42,56 @@
     timers: Timers<Timer>,
 
     servers: BTreeMap<ServerId, Server>,
-    /// The ready servers of each cell.
-    holders: Vec<Vec<ServerId>>,
-    /// How many servers are ready.
-    ready: usize,
+    /// The ready servers, indexed by cell.
+    ready_by_cell: Vec<Vec<ServerId>>,
+    ready_count: usize,
     discovery_failures: DiscoveryFailures,
 
     queries: BTreeMap<u64, Query>,
     parts: BTreeMap<PartId, Part>,
     attempts_in_flight: BTreeMap<(PartId, u32), Attempt>,
-    /// Queries with parts that no server has capacity for; not those that wait for a scout or a
-    /// probe.
+    /// Queries with parts that no server has capacity for. Queries that wait for a canary or a
+    /// probe are not included.
     blocked: BTreeSet<u64>,
 
-    /// How long parts take, by class.
+    /// Latencies of parts by class, from the first attempt to the answer.
     part_latency: Vec<LatencyEstimate>,
-    /// How long answered attempts take, by class: lost ones lengthen what parts take, but not this.
+    /// Latencies of answered attempts by class. Unlike [`Self::part_latency`], lost attempts don't
+    /// increase it.
     attempt_latency: Vec<LatencyEstimate>,
-    /// The latest client time-outs, by class.
-    usual_timeouts: Vec<VecDeque<Time>>,
-    /// The recent delay of each shard.
+    /// The most recent client timeouts, by class.
+    recent_timeouts: Vec<VecDeque<Time>>,
+    /// Recent delays, by shard.
     shards: BTreeMap<u32, RecentDelay>,
-    /// When the answers of the last latency target came.
+    /// Times of the answers received within the last latency target.
     recent_answers: VecDeque<Time>,
     answer_rate: AnswerRate,
 
-    /// The oldest attempt at each server: when it was sent, and its class.
+    /// Send time and class of the oldest attempt in flight at each server.
     oldest_attempt: BTreeMap<ServerId, (Time, usize)>,
-    /// Whether so many servers are unresponsive that the fault is common to them.
+    /// Whether so many servers are unresponsive that a common cause is likely, such as the network.
     common_fault: bool,
     /// The median slowness of ready servers, by class.
     median_slowness: Vec<f64>,
     idle_resets: IdleResets,
     last_crash: Time,
-    /// Until when queries send a scout first.
+    /// Until this time queries send a canary first.
     suspect_until: Time,
-    /// Servers judged since [`Aggregator::learned`] was last called; none where nobody calls it.
+    /// Servers with new outcomes since [`Aggregator::learned`] was last called; `None` until it is
+    /// called for the first time.
     changed_servers: Option<BTreeSet<ServerId>>,
 
     hedge_tokens: f64,
-    /// When queries and parts were taken, and attempts beyond the first were sent, in the window of
-    /// the stated budget.
+    /// Times at which queries and parts were admitted, within the window of the retry budget.
     admissions: VecDeque<Time>,
+    /// Times at which attempts beyond a part's first were sent, within the same window.
     retries: VecDeque<Time>,
 }
 
 impl Aggregator {
-    /// An aggregator that has just started and knows only its settings.
+    /// Creates an aggregator that knows no servers yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let start = |c: &Class| LatencyEstimate::starting(c.latency_target);
+        let initial_latency = |c: &Class| LatencyEstimate::starting(c.latency_target);
         Aggregator {
             latency_target: settings
                 .classes
@@ -101,10 +101,10 @@
                 .min()
                 .unwrap_or(1),
             rng: fastrand::Rng::with_seed(seed),
-            holders: vec![Vec::new(); settings.cells as usize],
-            part_latency: settings.classes.iter().map(start).collect(),
-            attempt_latency: settings.classes.iter().map(start).collect(),
-            usual_timeouts: vec![VecDeque::new(); settings.classes.len()],
+            ready_by_cell: vec![Vec::new(); settings.cells as usize],
+            part_latency: settings.classes.iter().map(initial_latency).collect(),
+            attempt_latency: settings.classes.iter().map(initial_latency).collect(),
+            recent_timeouts: vec![VecDeque::new(); settings.classes.len()],
             median_slowness: vec![1.0; settings.classes.len()],
             hedge_tokens: 1.0,
             settings,
@@ -115,21 +115,21 @@
     /// Handles all events up to `now`, then the timers that are due, and appends the resulting
     /// actions to `out`.
     ///
-    /// `now` must not go back. Outcomes are handled before timers, so that an answer that came in
-    /// time is never hedged or given up by a timer of the same turn.
+    /// `now` must not decrease. Events are handled before timers, so that a timer never hedges a
+    /// part or ends a query whose answer is among the events of the same turn.
     pub fn turn(&mut self, now: Time, events: &[Event], out: &mut Vec<Action>) {
         self.now = now;
         let window = self.settings.budget.map_or(0, |b| b.window);
         self.admissions.retain(|at| at + window > now);
         self.retries.retain(|at| at + window >= now);
-        let watches = self.started_at.is_none() && self.settings.discovery_on_request;
-        out.extend(watches.then_some(Action::Watch(true)));
+        let subscribes = self.started_at.is_none() && self.settings.discovery_on_request;
+        out.extend(subscribes.then_some(Action::Watch(true)));
         self.started_at.get_or_insert(now);
         for event in events {
             self.handle(event, out);
         }
         self.update_health_summary();
-        while let Some(timer) = self.timers.due(now) {
+        while let Some(timer) = self.timers.pop_due(now) {
             self.fire(timer, out);
         }
         self.recent_answers
@@ -143,7 +143,6 @@
         out.extend(self.timers.next_wake(now).map(Action::WakeAt));
     }
 
-    /// Applies one event.
     fn handle(&mut self, event: &Event, out: &mut Vec<Action>) {
         match *event {
             Event::Settings {
@@ -207,7 +206,7 @@
         }
     }
 
-    /// Does what a timer that is due was set for.
+    /// Handles a timer that is due.
     fn fire(&mut self, timer: Timer, out: &mut Vec<Action>) {
         match timer {
             Timer::Hedge(id) => self.hedge(id, out),
@@ -231,6 +230,7 @@
         }
     }
 
+    /// The parts of a query's current step.
     fn parts_of<'a>(&'a self, query: &'a Query) -> impl Iterator<Item = (PartId, &'a Part)> {
         query
             .parts
@@ -238,11 +238,12 @@
             .filter_map(|id| Some((*id, self.parts.get(id)?)))
     }
 
+    /// The ready servers that hold a shard.
     fn replicas(&self, shard: u32) -> Vec<ServerId> {
         let cells =
             (0..self.settings.replication_factor).map(|j| (shard + j) % self.settings.cells);
         cells
-            .flat_map(|cell| self.holders[cell as usize].clone())
+            .flat_map(|cell| self.ready_by_cell[cell as usize].clone())
             .collect()
     }
 }
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Starting attempts: first ones, retries after failures, and hedged requests.
+//! Starts attempts: first ones, retries after failures, and hedged requests.
 
 use super::Aggregator;
 use super::parameters::{
@@ -9,8 +9,8 @@
 use crate::interface::{Action, Effect, PartId, ServerId, Time};
 
 impl Aggregator {
-    /// Starts an attempt of a part, unless its class, the limit on attempts or the retry budget
-    /// forbids it. Returns whether it was started.
+    /// Starts an attempt of a part if its class, the limit on attempts and the retry budget allow
+    /// it. Returns whether the attempt was started.
     pub(super) fn start_attempt(
         &mut self,
         id: PartId,
@@ -25,9 +25,10 @@
         };
         let (attempt, is_first) = (part.attempts, part.attempts == 0);
         if !self.may_send(part, query) {
-            // Without a retry budget the part stays pending: it may be sent later.
-            let is_spent = self.is_spent(part, query);
-            self.parts.get_mut(&id).expect("looked up above").pending &= !is_spent;
+            // While only the retry budget is exhausted, the part stays pending and may be sent
+            // later.
+            let is_exhausted = self.is_exhausted(part, query);
+            self.parts.get_mut(&id).expect("looked up above").pending &= !is_exhausted;
             return false;
         }
         let (number, shard, class, until) =
@@ -57,7 +58,7 @@
             self.retries.push_back(self.now);
         }
         let query = self.queries.get_mut(&number).expect("looked up above");
-        query.started = query.scout != Some(id) || query.in_second_step;
+        query.started = query.canary != Some(id) || query.in_second_step;
         let attempt_in_flight = Attempt {
             server: target,
             at: self.now,
@@ -77,49 +78,47 @@
         true
     }
 
-    /// Whether a part can never be sent again: all its attempts are used, or a repeat could take
+    /// Whether a part can never be sent again: all its attempts are used, or a retry could take
     /// effect twice.
-    fn is_spent(&self, part: &Part, query: &Query) -> bool {
+    fn is_exhausted(&self, part: &Part, query: &Query) -> bool {
         let class = &self.settings.classes[query.class];
-        let is_alone = part.in_flight.is_empty();
-        let may_repeat = match class.effect {
+        let none_in_flight = part.in_flight.is_empty();
+        let may_retry = match class.effect {
             Effect::Safe => true,
-            // Servers drop repeats of a key only for its lifetime after the first attempt that may
-            // have run; one sent later would run twice.
+            // Servers discard duplicates of a key only for its lifetime after the first attempt
+            // that may have run; a later one would run again.
             Effect::Keyed => {
-                let is_dropped = |at: Time| self.now < at + class.key_lifetime;
-                is_alone && part.may_have_run.is_none_or(is_dropped)
+                let is_duplicate_discarded = |at: Time| self.now < at + class.key_lifetime;
+                none_in_flight && part.may_have_run.is_none_or(is_duplicate_discarded)
             }
-            Effect::Unsafe => is_alone && part.may_have_run.is_none(),
+            Effect::Unsafe => none_in_flight && part.may_have_run.is_none(),
         };
-        part.attempts >= class.max_attempts || part.attempts > 0 && !may_repeat
+        part.attempts >= class.max_attempts || part.attempts > 0 && !may_retry
     }
 
     fn may_send(&self, part: &Part, query: &Query) -> bool {
-        !self.is_spent(part, query)
+        !self.is_exhausted(part, query)
             && (part.in_flight.is_empty() || self.settings.can_hedge)
             && (part.attempts == 0 || self.has_budget(0.0))
     }
 
-    /// While idle connections break, closes the idle connection to a server that is about to be
-    /// used if it has been idle for as long. Returns how long the connection to be used has been
-    /// idle.
+    /// Closes the connection to a server before use if connections were recently reset after a
+    /// similar idle time. Returns how long the connection that will be used has been idle.
     fn close_if_idle_too_long(&mut self, id: ServerId, out: &mut Vec<Action>) -> Time {
         let server = &self.servers[&id];
         if !server.calls.is_empty() || server.last_used == 0 {
             return 0;
         }
         let idle = self.now - server.last_used;
-        let longest = IDLE_CLOSE_RATIO * self.idle_resets.shortest as f64;
-        if self.idle_connections_reset() && idle as f64 > longest {
+        let max_idle = IDLE_CLOSE_RATIO * self.idle_resets.shortest as f64;
+        if self.idle_connections_reset() && idle as f64 > max_idle {
             out.push(Action::Close(id));
             return 0;
         }
         idle
     }
 
-    /// How long after an attempt its part may be hedged: by the usual allowance, and where its
-    /// server is unresponsive.
+    /// The hedge delays of a class: the regular one, and the one if the server is unresponsive.
     fn hedge_delays(&self, class: usize) -> [f64; 2] {
         [
             self.part_latency[class].p95,
@@ -127,8 +126,8 @@
         ]
     }
 
-    /// Sends one hedged request for a part that is still in flight at its timer. Without a hedge
-    /// token this is done only once its server is found unresponsive.
+    /// Hedges a part that is still in flight when its timer fires. Without a hedge token the part
+    /// is hedged only once its server is unresponsive.
     pub(super) fn hedge(&mut self, id: PartId, out: &mut Vec<Action>) {
         let Some(part) = self.parts.get(&id) else {
             return;
@@ -150,7 +149,8 @@
         let [hedge_at, rescue_at] = self
             .hedge_delays(class)
             .map(|delay| attempt.at + delay as Time);
-        // While parts are blocked a hedge would only delay them: all servers are slow, or too few.
+        // While parts are blocked, all servers are slow or too few; a hedge would delay those
+        // parts.
         let is_allowed = (self.is_almost_done(query) || self.hedge_tokens >= 1.0)
             && self.blocked.is_empty()
             && self.has_budget(BUDGET_RESERVED_FOR_RETRIES);
@@ -170,20 +170,20 @@
         }
     }
 
-    /// Whether a wide query waits for few parts only. These may be hedged without a token, as all
-    /// the other work of the query depends on them.
+    /// Whether a wide query waits for only a few parts. These may be hedged without a token, as the
+    /// work already done for the query is wasted without them.
     fn is_almost_done(&self, query: &Query) -> bool {
         let spare = HEDGES_PER_PART * query.expected as f64;
         spare >= 2.0 && (query.expected - query.done) as f64 <= spare
     }
 
-    /// Whether the stated retry budget allows one more attempt while `reserved` of it, a ratio from
-    /// 0 to 1, stays unused.
+    /// Whether the retry budget, if one is configured, allows another attempt without using the
+    /// ratio `reserved` (0 to 1) of it.
     pub(super) fn has_budget(&self, reserved: f64) -> bool {
         let Some(budget) = self.settings.budget else {
             return true;
         };
-        let all = budget.free as f64 + budget.ratio * self.admissions.len() as f64;
-        self.retries.len() as f64 + 1.0 <= all * (1.0 - reserved)
+        let permitted = budget.free as f64 + budget.ratio * self.admissions.len() as f64;
+        self.retries.len() as f64 + 1.0 <= permitted * (1.0 - reserved)
     }
 }
--- a/dispatch/src/dispatcher/completion.rs
+++ b/dispatch/src/dispatcher/completion.rs
@@ -1,12 +1,12 @@
-//! How queries end: answered complete or in part, rejected, or failed.
+//! Ends queries: with a complete or partial answer, a rejection or a failure.
 
 use super::Aggregator;
 use super::state::Part;
 use crate::interface::{Action, Effect, PartId};
 
 impl Aggregator {
-    /// Answers a query that is complete. When its time is up, answers it from the parts that are in
-    /// or abandons it.
+    /// Answers a query that is complete. If its time is up, answers it from the parts received so
+    /// far, or abandons it.
     pub(super) fn finish_if_complete(&mut self, number: u64, time_up: bool, out: &mut Vec<Action>) {
         let Some(query) = self.queries.get_mut(&number) else {
             return;
@@ -17,16 +17,16 @@
         if !complete && !time_up {
             return;
         }
-        // A first step that ends at the last moment leaves no time for a second: that query is
-        // over.
-        let over = c.second_step > 0 && !query.in_second_step && self.now >= query.useful_until;
-        if over || !(complete || (c.floor < c.need && query.weight >= c.floor)) {
+        // If the first step ends at the deadline, no time is left for the second one.
+        let is_expired =
+            c.second_step > 0 && !query.in_second_step && self.now >= query.useful_until;
+        if is_expired || !(complete || (c.floor < c.need && query.weight >= c.floor)) {
             return self.abandon(number, out);
         }
-        let honest = complete && (!query.in_second_step || query.first_step_complete);
+        let is_complete = complete && (!query.in_second_step || query.first_step_complete);
         out.push(Action::Answer {
             query: query.id,
-            complete: honest,
+            complete: is_complete,
         });
         if c.second_step > 0 && !query.in_second_step {
             (query.in_second_step, query.first_step_complete) = (true, complete);
@@ -38,23 +38,23 @@
         self.remove_query(number, out);
     }
 
-    /// Ends a query that cannot be answered any more: it is failed where a part with side effects
-    /// may have run, as the client must not take a retry for harmless then, and else rejected.
+    /// Ends a query that can no longer be answered. It is rejected, which tells the client that a
+    /// retry is safe, unless a part that is not idempotent may have run; then it fails.
     pub(super) fn abandon(&mut self, number: u64, out: &mut Vec<Action>) {
         let Some(query) = self.queries.get(&number) else {
             return;
         };
-        let unsafe_class = self.settings.classes[query.class].effect == Effect::Unsafe;
-        let ran = |p: &Part| p.done || !p.in_flight.is_empty() || p.may_have_run.is_some();
-        let ran = unsafe_class && self.parts_of(query).any(|(_, p)| ran(p));
-        let rejected = Action::Reject {
+        let is_unsafe = self.settings.classes[query.class].effect == Effect::Unsafe;
+        let may_have_run = |p: &Part| p.done || !p.in_flight.is_empty() || p.may_have_run.is_some();
+        let must_fail = is_unsafe && self.parts_of(query).any(|(_, p)| may_have_run(p));
+        let rejection = Action::Reject {
             query: query.id,
             retry_after: self.settings.max_retry_after,
         };
-        out.push(if ran {
+        out.push(if must_fail {
             Action::Fail { query: query.id }
         } else {
-            rejected
+            rejection
         });
         self.remove_query(number, out);
     }
--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and the settings: what changes when discovery or an operator says so.
+//! Updates of the endpoint list and of the settings.
 
 use super::Aggregator;
 use super::parameters::{DISCOVERY_BACKOFF_MAX, DISCOVERY_BACKOFF_MIN, INITIAL_CONCURRENCY};
@@ -7,10 +7,10 @@
 use std::collections::BTreeSet;
 
 impl Aggregator {
-    /// Sets the timer for the next discovery call, with exponential backoff and jitter.
+    /// Schedules the next discovery call, with exponential backoff and jitter.
     pub(super) fn discovery_failed(&mut self, refused: bool) {
-        // All aggregators fail together and would retry together: the more there are, the more
-        // they spread.
+        // An outage hits all aggregators at once. Larger fleets spread their retries over a longer
+        // time.
         let max_age = self.settings.max_list_age;
         let size = self.settings.aggregators.max(1).ilog2();
         let failures = &mut self.discovery_failures;
@@ -30,36 +30,38 @@
                 refused: 0,
             }
         };
-        let (first, most) = if self.ready > 0 {
+        let (first, max_wait) = if self.ready_count > 0 {
             let first = DISCOVERY_BACKOFF_MIN << size.saturating_sub(4).min(spread);
             (first, DISCOVERY_BACKOFF_MAX)
         } else {
             (max_age >> 4, max_age)
         };
-        let wait = (first << retries.min(size)).min(most);
+        let wait = (first << retries.min(size)).min(max_wait);
         let jitter = self.rng.u64(..1 + wait);
         let at = self.now.saturating_add(wait).saturating_add(jitter);
         self.timers.set(at, Timer::Watch);
     }
 
-    /// Takes other settings: each class goes on from one of before, or starts anew.
+    /// Replaces the settings. `from` names for each class the old class whose estimates it keeps;
+    /// `None` resets them.
     pub(super) fn update_settings(&mut self, settings: &Settings, from: &[Option<usize>]) {
-        fn carry<T: Clone>(old: &mut Vec<T>, new: Vec<T>, from: &[Option<usize>]) {
-            let kept = |(new, from): (T, &Option<usize>)| from.map_or(new, |at| old[at].clone());
-            *old = new.into_iter().zip(from).map(kept).collect();
+        fn remap<T: Clone>(old: &mut Vec<T>, new: Vec<T>, from: &[Option<usize>]) {
+            let old_or_new =
+                |(new, from): (T, &Option<usize>)| from.map_or(new, |at| old[at].clone());
+            *old = new.into_iter().zip(from).map(old_or_new).collect();
         }
         let new = Aggregator::new(settings.clone(), 0);
-        carry(&mut self.part_latency, new.part_latency, from);
-        carry(&mut self.attempt_latency, new.attempt_latency, from);
-        carry(&mut self.usual_timeouts, new.usual_timeouts, from);
-        carry(&mut self.median_slowness, new.median_slowness, from);
+        remap(&mut self.part_latency, new.part_latency, from);
+        remap(&mut self.attempt_latency, new.attempt_latency, from);
+        remap(&mut self.recent_timeouts, new.recent_timeouts, from);
+        remap(&mut self.median_slowness, new.median_slowness, from);
         self.servers
             .values_mut()
-            .for_each(|s| carry(&mut s.slowness, vec![(1.0, 0); from.len()], from));
+            .for_each(|s| remap(&mut s.slowness, vec![(1.0, 0); from.len()], from));
         (self.latency_target, self.settings) = (new.latency_target, new.settings);
     }
 
-    /// Takes an update of the endpoint list and rebuilds the index of ready servers by cell.
+    /// Applies an update of the endpoint list and rebuilds the index of ready servers by cell.
     pub(super) fn update_endpoints(&mut self, kind: ListKind, entries: &[Endpoint]) {
         self.discovery_failures = DiscoveryFailures::default();
         if kind != ListKind::Partial {
@@ -80,10 +82,10 @@
             server.cell = e.cell % self.settings.cells;
             server.ready = e.status == ServerStatus::Ready && !e.excluded;
             server.removed = e.status == ServerStatus::Removed;
-            // A new incarnation begins with slow start, whatever was known of the one before; so
-            // does a server that an operator includes again.
-            let back = std::mem::replace(&mut server.excluded, e.excluded) && !e.excluded;
-            if back
+            // A restarted server begins with slow start, without the statistics of its previous
+            // incarnation. So does a server that an operator includes again.
+            let is_reincluded = std::mem::replace(&mut server.excluded, e.excluded) && !e.excluded;
+            if is_reincluded
                 || e.started_at > 0
                     && server
                         .slow_start_from
@@ -92,18 +94,23 @@
                 server.limit = INITIAL_CONCURRENCY / 2.0;
                 server.slowness.fill((1.0, 0));
                 (server.errors, server.outcomes) = (0.0, 0.0);
-                server.slow_start_from = Some(if back { self.now } else { e.started_at });
+                server.slow_start_from = Some(if is_reincluded {
+                    self.now
+                } else {
+                    e.started_at
+                });
                 server.recent_sends.retain(|at| *at >= e.started_at);
-                server.slow_start_turn = self.rng.f64();
+                server.slow_start_phase = self.rng.f64();
             }
         }
-        // Servers are replaced under new ids for as long as the aggregator runs.
+        // Replacements of servers have new ids, so the map would grow for as long as the process
+        // runs.
         self.servers
             .retain(|_, s| !s.removed || !s.calls.is_empty());
-        self.ready = self.servers.values().filter(|s| s.ready).count();
-        self.holders = vec![Vec::new(); self.settings.cells as usize];
+        self.ready_count = self.servers.values().filter(|s| s.ready).count();
+        self.ready_by_cell = vec![Vec::new(); self.settings.cells as usize];
         for (&id, server) in self.servers.iter().filter(|s| s.1.ready) {
-            self.holders[server.cell as usize].push(id);
+            self.ready_by_cell[server.cell as usize].push(id);
         }
     }
 }
--- a/dispatch/src/dispatcher/memory.rs
+++ b/dispatch/src/dispatcher/memory.rs
@@ -1,4 +1,4 @@
-//! What outlives a restart: exports what was learned of servers and classes, and restores it.
+//! Exports the learned statistics of servers and classes, and restores them after a restart.
 
 use super::parameters::{FAILURE_SLOWNESS, MIN_CONCURRENCY};
 use super::state::Server;
@@ -6,9 +6,9 @@
 use crate::interface::{Learned, LearnedLatency, LearnedServer};
 
 impl Aggregator {
-    /// What was learned of classes, and of at most `most` servers whose outcomes were recorded
-    /// since this last returned them. Changes are tracked from the first call on.
-    pub fn learned(&mut self, most: usize) -> Learned {
+    /// Returns the statistics of all classes, and of at most `max_servers` servers with outcomes
+    /// that no earlier call has returned. Changes are tracked from the first call on.
+    pub fn learned(&mut self, max_servers: usize) -> Learned {
         let server = |id| {
             let s: &Server = self.servers.get(&id)?;
             let slowness = s.slowness.iter().map(|s| s.0).collect();
@@ -25,19 +25,19 @@
             ))
         };
         let mut changed_servers = self.changed_servers.take().unwrap_or_default();
-        let servers = (0..most)
+        let servers = (0..max_servers)
             .map_while(|_| changed_servers.pop_first())
             .filter_map(server)
             .collect();
         self.changed_servers = Some(changed_servers);
-        let part_latency = |p: &LatencyEstimate| LearnedLatency {
-            median: p.median,
-            p95: p.p95,
-            least: p.least,
-            answers: p.recent.len(),
+        let to_learned = |estimate: &LatencyEstimate| LearnedLatency {
+            median: estimate.median,
+            p95: estimate.p95,
+            least: estimate.least,
+            answers: estimate.recent.len(),
         };
         let [parts, attempts] = [&self.part_latency, &self.attempt_latency]
-            .map(|all| all.iter().map(part_latency).collect());
+            .map(|estimates| estimates.iter().map(to_learned).collect());
         Learned {
             servers,
             parts,
@@ -45,21 +45,21 @@
         }
     }
 
-    /// Takes over what an earlier incarnation of this process had learned, as a warning only: no
-    /// server is taken for better than a new one. It counts as recorded one latency target ago, so
-    /// that the first answers that say otherwise have double weight.
+    /// Restores the statistics that an earlier incarnation of this process had learned. They can
+    /// only make a server look worse than an unknown one, never better. They are dated one latency
+    /// target back, so that the first new outcomes have double weight.
     pub(super) fn restore(&mut self, learned: &Learned) {
         let at = self.now.saturating_sub(self.latency_target);
-        for (id, memory) in &learned.servers {
+        for (id, stored) in &learned.servers {
             let Some(server) = self.servers.get_mut(id).filter(|s| s.outcomes == 0.0) else {
                 continue;
             };
-            for (own, slowness) in server.slowness.iter_mut().zip(&memory.slowness) {
+            for (own, slowness) in server.slowness.iter_mut().zip(&stored.slowness) {
                 *own = (slowness.clamp(1.0, FAILURE_SLOWNESS), at);
             }
-            server.limit = memory.limit.clamp(MIN_CONCURRENCY, server.limit);
-            server.delay = memory.delay.clamp(0.0, 1.0);
-            (server.errors, server.last_error) = (memory.errors.clamp(0.0, 1.0), at);
+            server.limit = stored.limit.clamp(MIN_CONCURRENCY, server.limit);
+            server.delay = stored.delay.clamp(0.0, 1.0);
+            (server.errors, server.last_error) = (stored.errors.clamp(0.0, 1.0), at);
         }
         for (own, stored) in [
             (&mut self.part_latency, &learned.parts),
--- a/dispatch/src/dispatcher/outcomes.rs
+++ b/dispatch/src/dispatcher/outcomes.rs
@@ -1,12 +1,11 @@
-//! What follows from the end of an attempt: its part is done or pending again, or its query is
-//! suspected of crashing servers.
+//! Handles the end of an attempt: completes its part, makes it pending again, or suspects its query
+//! of crashing servers.
 
 use super::Aggregator;
 use super::parameters::{CRASH_SUSPICION_TARGETS, MIN_RUN_RATIO};
 use super::state::{AnswerRate, Attempt};
 use crate::interface::{Action, Outcome, PartId, Time};
 
-/// An attempt that has ended.
 pub(super) struct EndedAttempt {
     pub(super) part: PartId,
     pub(super) number: u32,
@@ -15,7 +14,7 @@
 }
 
 impl Aggregator {
-    /// Handles the end of an attempt; one that is not in flight is ignored.
+    /// Handles the end of an attempt. Attempts that are not in flight are ignored.
     pub(super) fn attempt_ended(&mut self, ended: &EndedAttempt, out: &mut Vec<Action>) {
         let key = (ended.part, ended.number);
         let Some(attempt) = self.attempts_in_flight.remove(&key) else {
@@ -55,11 +54,11 @@
         }
     }
 
-    /// Updates the recent delays of the attempt's shard and server, and frees its call.
+    /// Updates the recent delays of the attempt's shard and server, and removes it from its call.
     fn record_delay(&mut self, attempt: &Attempt, ended: &EndedAttempt) {
         let (now, delay) = (self.now, ended.took as f64);
         let is_answer = ended.outcome == Outcome::Ok;
-        // A superseded attempt was slow by its server, not by its shard.
+        // A superseded attempt was slow because of its server, not because of its shard.
         if !attempt.superseded {
             let shard = self.shards.entry(attempt.shard).or_default();
             shard.observe(delay, is_answer, now);
@@ -72,9 +71,9 @@
         }
     }
 
-    /// Whether a connection broke at once when used after a long idle time. That is evidence on the
-    /// connection, not on its server or query: the part is sent there again, and only if no
-    /// connection can be made then was it a crash.
+    /// Whether a connection was reset immediately when used after a long idle time. This is
+    /// evidence about the connection, not about its server or query: the part is sent to the same
+    /// server again, and only if no connection can be made then is it a crash.
     fn is_idle_reset(&self, attempt: &Attempt, ended: &EndedAttempt) -> bool {
         let min_run = MIN_RUN_RATIO * self.part_latency[attempt.class].median;
         ended.outcome == Outcome::Reset
@@ -92,7 +91,7 @@
         self.idle_resets.last = self.now;
     }
 
-    /// Whether an attempt that was no idle reset shows that its server has crashed.
+    /// Whether an attempt shows that its server has crashed, if it was not an idle reset.
     fn is_crash(&self, attempt: &Attempt, ended: &EndedAttempt) -> bool {
         let is_ready = self.servers.get(&attempt.server).is_some_and(|s| s.ready);
         let part = self.parts.get(&ended.part);
@@ -102,8 +101,8 @@
                 || was_resent && ended.outcome == Outcome::ConnectFailed)
     }
 
-    /// Crashes at one moment have an outside cause; crashes that go on have it among the queries,
-    /// so each has to prove itself by a scout for a while.
+    /// Simultaneous crashes have an external cause. If servers keep crashing, a query is the likely
+    /// cause, so for a while every query sends a canary first.
     fn record_crash(&mut self) {
         if self.now <= self.last_crash + self.latency_target / 2 {
             return;
@@ -115,14 +114,15 @@
         self.last_crash = self.now;
     }
 
-    /// The first answer to a part wins: its other attempts are cancelled.
+    /// Records the first answer to a part and cancels its other attempts.
     fn complete_part(&mut self, attempt: &Attempt, ended: &EndedAttempt, out: &mut Vec<Action>) {
         let Some(part) = self.parts.get_mut(&ended.part) else {
             return;
         };
         (part.done, part.pending) = (true, false);
         let (number, weight, others) = (part.number, part.weight, part.in_flight.clone());
-        // From the send on, so that a stall of this process is not taken for slow servers.
+        // Derived from the send times and `took`, so that a stall of this process does not count as
+        // slowness of the servers.
         let took = attempt.at + ended.took - part.first_sent.unwrap_or(attempt.at);
         self.attempt_latency[attempt.class].add(ended.took);
         self.part_latency[attempt.class].add(took);
@@ -143,7 +143,7 @@
         self.finish_if_complete(number, false, out);
     }
 
-    /// Adds an answer to the smoothed rate of answers of each warmed-up server.
+    /// Adds an answer to the smoothed answer rate per warmed-up server.
     fn record_answer(&mut self) {
         let AnswerRate { rate, last } = self.answer_rate;
         let slow_start = (self.settings.slow_start as f64).max(1.0);
@@ -159,8 +159,9 @@
         };
     }
 
-    /// Where no part of a query has been answered when a server crashes under it, the query itself
-    /// is the first suspect: only one of its parts stays in flight as a scout, or it is abandoned.
+    /// Suspects a query of crashing a server if none of its parts has been answered yet. A part
+    /// that is still in flight becomes its canary, and the others wait for it; if none is in
+    /// flight, the query is abandoned.
     fn suspect_query(&mut self, number: u64, out: &mut Vec<Action>) {
         let Some(query) = self.queries.get_mut(&number) else {
             return;
@@ -169,8 +170,8 @@
             return;
         }
         let in_flight = |p: &&PartId| self.parts.get(p).is_some_and(|p| !p.in_flight.is_empty());
-        query.scout = query.parts.iter().find(in_flight).copied();
-        if query.scout.is_none() {
+        query.canary = query.parts.iter().find(in_flight).copied();
+        if query.canary.is_none() {
             self.suspect_until = self.now + CRASH_SUSPICION_TARGETS * self.latency_target;
             self.abandon(number, out);
         }
--- a/dispatch/src/dispatcher/pacing.rs
+++ b/dispatch/src/dispatcher/pacing.rs
@@ -1,4 +1,4 @@
-//! Latency estimates: windowed percentiles that set the delay of hedged requests.
+//! Latency estimates: percentiles over a window, which determine the delay of hedged requests.
 
 use super::parameters::{INITIAL_P95_RATIO, LATENCY_WINDOW};
 use crate::interface::Time;
@@ -15,7 +15,7 @@
 }
 
 impl LatencyEstimate {
-    /// The estimate before any answer: ratios of the latency target.
+    /// Creates the estimate used before any answer, derived from the latency target.
     pub fn starting(latency_target: Time) -> Self {
         let p95 = INITIAL_P95_RATIO * latency_target as f64;
         LatencyEstimate {
@@ -34,7 +34,7 @@
         sorted.sort_unstable();
         let at = |percent: usize| sorted[sorted.len() * percent / 100].max(1) as f64;
         if sorted.len() < LATENCY_WINDOW / 12 {
-            // Too few for percentiles: a part costs the longest seen, at the most.
+            // Too few samples for percentiles; the slowest is an upper bound of a part's work.
             self.least = self.p95.min(at(99));
             return;
         }
--- a/dispatch/src/dispatcher/probes.rs
+++ b/dispatch/src/dispatcher/probes.rs
@@ -1,4 +1,4 @@
-//! Load probes: asking servers how busy they are before a query is sent.
+//! Load probes: measures how fast servers respond before a query is sent.
 
 use super::Aggregator;
 use super::parameters::{
@@ -8,8 +8,8 @@
 use crate::interface::{Action, Outcome, ServerId, Time};
 
 impl Aggregator {
-    /// Records how long a probe waited. Its load report is ignored: it says no more of a server
-    /// than the server's answers do.
+    /// Records the outcome and the latency of a probe. Its load report is ignored, as the server's
+    /// answers say as much.
     pub(super) fn probe_ended(&mut self, id: ServerId, outcome: Outcome, took: Time) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -25,23 +25,24 @@
         server.probed_load += (took / (PROBE_TIMEOUT_TICKS * self.settings.tick).max(1)) as f64;
     }
 
-    /// Where evidence is thin and answers are slow, probes two replicas of each shard (the power of
-    /// two choices) and lets the query wait some ticks for them. A probe that costs more than the
-    /// work which a bad choice wastes is not worth sending: with many aggregators the evidence of
-    /// each is thin all the time.
+    /// While recent answers are few and slow, probes two replicas of each shard (power of two
+    /// choices), and lets the query wait some ticks for their answers. Nothing is probed if a probe
+    /// costs more than wasted work: with many aggregators each of them always has few answers, and
+    /// their probes would overload the servers.
     pub(super) fn send_probes(&mut self, out: &mut Vec<Action>) {
         let s = &self.settings;
-        let tight = |q: &Query| {
+        let is_slow = |q: &Query| {
             self.part_latency[q.class].p95
                 > INITIAL_P95_RATIO * s.classes[q.class].latency_target as f64
         };
         let new = self
             .queries
             .iter()
-            .filter(|q| q.1.probe_until == 0 && tight(q.1));
-        let probing =
-            s.can_probe && s.probe_price <= s.waste_price && self.recent_answers.len() < self.ready;
-        let new: Vec<u64> = new.map(|q| *q.0).filter(|_| probing).collect();
+            .filter(|q| q.1.probe_until == 0 && is_slow(q.1));
+        let may_probe = s.can_probe
+            && s.probe_price <= s.waste_price
+            && self.recent_answers.len() < self.ready_count;
+        let new: Vec<u64> = new.map(|q| *q.0).filter(|_| may_probe).collect();
         for number in new {
             let query = self.queries.get_mut(&number).expect("listed above");
             query.probe_until = self.now + PROBE_TIMEOUT_TICKS * self.settings.tick;
@@ -53,10 +54,10 @@
                 .map(|p| p.shard)
                 .collect::<Vec<_>>()
             {
-                let mut free = self.replicas(shard);
-                free.retain(|id| self.has_capacity(*id, class));
-                self.rng.shuffle(&mut free);
-                for id in free.into_iter().take(2) {
+                let mut available = self.replicas(shard);
+                available.retain(|id| self.has_capacity(*id, class));
+                self.rng.shuffle(&mut available);
+                for id in available.into_iter().take(2) {
                     let server = self.servers.get_mut(&id).expect("a replica is known");
                     if self.now
                         > server.probe_answered_at.max(server.probe_sent_at)
--- a/dispatch/src/dispatcher/replica_selection.rs
+++ b/dispatch/src/dispatcher/replica_selection.rs
@@ -1,26 +1,26 @@
-//! Which replica a part is sent to.
+//! Selects the replica that a part is sent to.
 
 use super::Aggregator;
-use super::parameters::{CLEARLY_FASTER_RATIO, MIN_CONCURRENCY, SOLE_REPLICA_RETRY_RATIO};
+use super::parameters::{CLEARLY_FASTER_RATIO, LAST_RESORT_RETRY_RATIO, MIN_CONCURRENCY};
 use super::state::{PendingPart, Server};
 use crate::interface::{PartId, ServerId};
 use std::collections::BTreeMap;
 
 impl Aggregator {
-    /// Whether a server may be sent one more part of a class now.
+    /// Whether a server may be sent another part of a class now.
     pub(super) fn has_capacity(&self, id: ServerId, class: usize) -> bool {
         let Some(server) = self.servers.get(&id) else {
             return false;
         };
-        let joins = server.calls.can_join(self.now, self.settings.call_parts);
+        let can_join = server.calls.can_join(self.now, self.settings.call_parts);
         server.ready
             && !self.is_outlier(server, class)
             && !self.is_failing(server, 1.0)
-            && (joins || server.calls.len() as f64 + 1.0 <= server.limit)
+            && (can_join || server.calls.len() as f64 + 1.0 <= server.limit)
             && self.slow_start_allows(server)
     }
 
-    /// The server with the fewest calls in flight, then the one expected to be fastest; ties are
+    /// Among the servers with the fewest calls in flight, the one expected to be fastest. Ties are
     /// broken at random, so that aggregators do not all pick the same one.
     pub(super) fn least_loaded(
         &mut self,
@@ -29,22 +29,23 @@
         shard: u32,
     ) -> Option<ServerId> {
         let fewest = ids.iter().map(|id| self.servers[id].calls.len()).min()?;
-        let alike = ids
+        let least_busy = ids
             .iter()
             .filter(|id| self.servers[*id].calls.len() == fewest);
-        let times: Vec<_> = alike
+        let times: Vec<_> = least_busy
             .map(|id| (self.expected_time(*id, class, shard), *id))
             .collect();
-        let quickest = times.iter().map(|t| t.0).fold(f64::MAX, f64::min);
+        let shortest = times.iter().map(|t| t.0).fold(f64::MAX, f64::min);
         let ties: Vec<_> = times
             .iter()
-            .filter(|t| t.0 <= CLEARLY_FASTER_RATIO * quickest)
+            .filter(|t| t.0 <= CLEARLY_FASTER_RATIO * shortest)
             .collect();
         Some(ties[self.rng.usize(0..ties.len())].1)
     }
 
-    /// The least-loaded row of servers. A row holds for each part the replica at one offset of the
-    /// placement rule, so that the parts of a query share as few calls as possible.
+    /// The least-loaded row of servers. A row assigns each part to the replica at the same offset
+    /// from the first cell of its shard, so that the parts of a query share as few calls as
+    /// possible.
     pub(super) fn least_loaded_row(
         &mut self,
         class: usize,
@@ -56,9 +57,9 @@
             for &PendingPart { id, shard, .. } in pending {
                 let cell = ((shard + offset) % self.settings.cells) as usize;
                 if !cells.contains_key(&cell) || self.settings.call_parts == 1 {
-                    let mut free = self.holders[cell].clone();
-                    free.retain(|id| self.has_capacity(*id, class));
-                    let chosen = self.least_loaded(&free, class, shard);
+                    let mut available = self.ready_by_cell[cell].clone();
+                    available.retain(|id| self.has_capacity(*id, class));
+                    let chosen = self.least_loaded(&available, class, shard);
                     load += chosen.map_or(0, |id| self.servers[&id].calls.len());
                     cells.insert(cell, chosen);
                 }
@@ -72,8 +73,9 @@
         best.map(|b| b.1).unwrap_or_default()
     }
 
-    /// The replica that a part is sent to outside the row, preferably one not attempted yet.
-    /// Outliers are taken only while idle, and only when the shard has no other replica.
+    /// The replica that a part is sent to outside the row, preferably one that has not been
+    /// attempted yet (a hedge uses no other). If no replica has capacity, outliers and failing
+    /// servers may be used while they are idle; a sole replica may be used up to its limit.
     pub(super) fn select_replica(
         &mut self,
         id: PartId,
@@ -81,24 +83,25 @@
         shard: u32,
         is_hedge: bool,
     ) -> Option<ServerId> {
-        let mut free = self.replicas(shard);
-        let is_sole = free.len() == 1;
-        let is_idle = |s: &Server| {
+        let mut available = self.replicas(shard);
+        let is_sole = available.len() == 1;
+        let may_use_anyway = |s: &Server| {
             let fits =
                 s.calls.len() as f64 + 1.0 <= if is_sole { s.limit } else { MIN_CONCURRENCY };
-            fits && (is_sole || !self.is_failing(s, SOLE_REPLICA_RETRY_RATIO))
+            fits && (is_sole || !self.is_failing(s, LAST_RESORT_RETRY_RATIO))
                 && self.slow_start_allows(s)
         };
-        let none_has_capacity = !is_hedge && !free.iter().any(|id| self.has_capacity(*id, class));
-        free.retain(|id| {
+        let none_has_capacity =
+            !is_hedge && !available.iter().any(|id| self.has_capacity(*id, class));
+        available.retain(|id| {
             if none_has_capacity {
-                is_idle(&self.servers[id])
+                may_use_anyway(&self.servers[id])
             } else {
                 self.has_capacity(*id, class)
             }
         });
         let attempted = self.parts.get(&id).map_or(&[][..], |p| &p.attempted);
-        let unattempted: Vec<_> = free
+        let unattempted: Vec<_> = available
             .iter()
             .copied()
             .filter(|s| !attempted.contains(s))
@@ -107,7 +110,7 @@
             if is_hedge || !unattempted.is_empty() {
                 &unattempted
             } else {
-                &free
+                &available
             },
             class,
             shard,
--- a/dispatch/src/dispatcher/scheduling.rs
+++ b/dispatch/src/dispatcher/scheduling.rs
@@ -1,36 +1,37 @@
-//! Which pending parts are sent now: the order of queries, queries that start as a whole, and
-//! scouts sent ahead of queries that might crash servers.
+//! Decides which pending parts are sent now: orders the queries, starts queries as a whole, and
+//! sends canary requests ahead of queries that might crash servers (see "The Tail at Scale").
 
 use super::Aggregator;
 use super::parameters::{
-    CLEARLY_FASTER_RATIO, COMMON_FAULT_RATIO, SCOUT_TRUST_MEDIANS, WIDE_QUERY_RATIO,
+    CANARY_TRUST_MEDIANS, CLEARLY_FASTER_RATIO, COMMON_FAULT_RATIO, WIDE_QUERY_RATIO,
 };
 use super::state::{PendingPart, Query, Timer};
 use crate::interface::{Action, PartId, ServerId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of whether a query crashes servers.
-struct Scouting {
+/// Whether a query is trusted not to crash servers.
+struct CanaryStatus {
     /// The ratio of the ready servers that the query reaches.
     reach: f64,
-    /// How long a scout must survive to be trusted.
+    /// Time after which a canary that is still in flight is trusted.
     trust_after: Time,
-    /// A scout is in flight at a server that still responds.
+    /// Whether a canary is in flight at a server that is not unresponsive.
     is_in_flight: bool,
-    /// The query does not crash servers, as far as can be told.
-    is_proved: bool,
+    /// Whether the query is assumed not to crash servers.
+    is_trusted: bool,
 }
 
 impl Aggregator {
-    /// Starts attempts for pending parts, as far as servers have capacity.
+    /// Starts attempts for pending parts while servers have capacity.
     pub(super) fn start_pending(&mut self, out: &mut Vec<Action>) {
         let mut order: Vec<(bool, bool, Time, u64)> = Vec::new();
         for (&number, query) in &self.queries {
             if !self.is_late(query) && self.parts_of(query).any(|p| p.1.pending) {
-                // What can be answered from fewer parts yields until its last step.
-                let yields =
+                // Queries that can be answered from fewer parts come last, except in their second
+                // step.
+                let comes_last =
                     !self.settings.classes[query.class].needs_all() && !query.in_second_step;
-                order.push((yields, !query.started, query.useful_until, number));
+                order.push((comes_last, !query.started, query.useful_until, number));
             }
         }
         order.sort_unstable();
@@ -43,15 +44,15 @@
         self.blocked = blocked;
     }
 
-    /// Starts the pending parts of a query. Returns false where servers lack the capacity for one.
+    /// Starts the pending parts of a query. Returns false if servers lack the capacity for one.
     fn start_parts(&mut self, number: u64, out: &mut Vec<Action>) -> bool {
         let query = &self.queries[&number];
         let class = query.class;
-        let scouting = self.scouting(query);
-        if !scouting.is_proved && (scouting.is_in_flight || self.now < query.probe_until) {
+        let canary = self.canary_status(query);
+        if !canary.is_trusted && (canary.is_in_flight || self.now < query.probe_until) {
             return true;
         }
-        let needs_scout = self.needs_scout(query, &scouting);
+        let needs_canary = self.needs_canary(query, &canary);
         let starts_whole = !query.started && self.settings.classes[class].needs_all();
         let mut pending = self.pending_parts(query);
         let row = if query.started {
@@ -59,27 +60,27 @@
         } else {
             self.least_loaded_row(class, &pending)
         };
-        // A query that needs every part starts only when each has a server with capacity: half
-        // done, it would hold servers that others could use.
+        // A query that needs every part starts only when each has a server with capacity. If it
+        // were started in part, it would occupy servers that other queries could use.
         let mut off_row = pending.iter().filter(|p| !row.contains_key(&p.id));
         if starts_whole
             && off_row.any(|p| self.select_replica(p.id, class, p.shard, false).is_none())
         {
             return false;
         }
-        if needs_scout {
-            // At a server that is unresponsive or an outlier it would prove nothing.
-            let has_sound_replica = |p: &PendingPart| {
+        if needs_canary {
+            // Shards whose replicas are all outliers are avoided, as a canary proves nothing there.
+            let has_healthy_replica = |p: &PendingPart| {
                 self.replicas(p.shard)
                     .iter()
                     .any(|s| !self.is_outlier(&self.servers[s], class))
             };
-            let scout = pending.iter().position(has_sound_replica).unwrap_or(0);
-            pending = vec![pending[scout]];
-            let trusted_at = self.now + scouting.trust_after;
+            let canary_at = pending.iter().position(has_healthy_replica).unwrap_or(0);
+            pending = vec![pending[canary_at]];
+            let trusted_at = self.now + canary.trust_after;
             self.timers.set(trusted_at, Timer::Wake);
             let query = self.queries.get_mut(&number).expect("looked up above");
-            query.scout = Some(pending[0].id);
+            query.canary = Some(pending[0].id);
         }
         let mut all_started = true;
         for part in pending {
@@ -93,7 +94,7 @@
         all_started
     }
 
-    /// The pending parts of a query, those of most weight first.
+    /// The pending parts of a query in order of decreasing weight.
     fn pending_parts(&self, query: &Query) -> Vec<PendingPart> {
         let parts = self.parts_of(query).filter(|p| p.1.pending);
         let mut pending: Vec<_> = parts
@@ -107,53 +108,55 @@
         pending
     }
 
-    /// Whether a query that crashes servers does so as a part begins: a scout that stays alive
-    /// proves the query harmless. A query with a short time budget cannot wait for one.
-    fn scouting(&self, query: &Query) -> Scouting {
-        let calls = if self.settings.call_parts > 1 {
+    /// The canary status of a query. A query that crashes servers does so when a part begins, so a
+    /// canary that is still in flight after a while shows that the query is safe.
+    fn canary_status(&self, query: &Query) -> CanaryStatus {
+        let max_servers = if self.settings.call_parts > 1 {
             self.settings.cells as usize
         } else {
             usize::MAX
         };
-        let reach = query.parts.len().min(calls) as f64 / self.ready.max(1) as f64;
+        let reach = query.parts.len().min(max_servers) as f64 / self.ready_count.max(1) as f64;
         let trust_after =
-            (SCOUT_TRUST_MEDIANS * reach * self.part_latency[query.class].median) as Time;
+            (CANARY_TRUST_MEDIANS * reach * self.part_latency[query.class].median) as Time;
         let is_calm = self.now >= self.suspect_until && reach <= COMMON_FAULT_RATIO;
-        // A scout whose server has become unresponsive proves nothing any more.
-        let is_sound = |part: &PartId| {
+        // A canary proves nothing once its server is unresponsive.
+        let is_responsive = |part: &PartId| {
             self.attempts_in_flight
                 .range((*part, 0)..=(*part, u32::MAX))
                 .any(|(_, a)| !self.is_unresponsive(a.server, a.at, a.class))
         };
-        let scout = query
-            .scout
-            .filter(is_sound)
+        let canary = query
+            .canary
+            .filter(is_responsive)
             .and_then(|part| self.parts.get(&part));
-        let since = scout.and_then(|part| part.first_sent).unwrap_or(self.now);
-        Scouting {
+        let sent_at = canary.and_then(|part| part.first_sent).unwrap_or(self.now);
+        CanaryStatus {
             reach,
             trust_after,
-            is_in_flight: scout.is_some(),
-            is_proved: query.done > 0
+            is_in_flight: canary.is_some(),
+            is_trusted: query.done > 0
                 || query.in_second_step
-                || is_calm && since + trust_after <= self.now,
+                || is_calm && sent_at + trust_after <= self.now,
         }
     }
 
-    fn needs_scout(&self, query: &Query, scouting: &Scouting) -> bool {
+    /// Whether a query sends a canary first. With a short time budget there is no time to wait for
+    /// one, so only very wide queries do, or all while servers crash.
+    fn needs_canary(&self, query: &Query, canary: &CanaryStatus) -> bool {
         let class = &self.settings.classes[query.class];
-        let most = if query.time_budget < class.latency_target {
+        let max_reach = if query.time_budget < class.latency_target {
             COMMON_FAULT_RATIO
         } else {
             WIDE_QUERY_RATIO
         };
-        let is_wide =
-            query.parts.len() > self.settings.replication_factor as usize && scouting.reach > most;
-        !query.started && !scouting.is_proved && (is_wide || self.now < self.suspect_until)
+        let is_wide = query.parts.len() > self.settings.replication_factor as usize
+            && canary.reach > max_reach;
+        !query.started && !canary.is_trusted && (is_wide || self.now < self.suspect_until)
     }
 
-    /// The server that a pending part is sent to: where its idle connection broke, else in its row,
-    /// else any replica.
+    /// The server that a pending part is sent to: the one whose idle connection was reset, else the
+    /// one in its row, else any replica.
     fn target(
         &mut self,
         part: PendingPart,
@@ -168,16 +171,17 @@
             .or(in_row)
             .filter(|s| self.has_capacity(*s, class));
         let target = preferred.or_else(|| self.select_replica(id, class, shard, false));
-        // A part leaves its row for a replica with no more calls in flight that is clearly faster.
+        // A part leaves its row for a replica that is clearly faster and has no more calls in
+        // flight.
         if resend_to.is_none()
             && self.settings.replication_factor > 1
-            && let (Some(here), Some(there)) =
+            && let (Some(current), Some(other)) =
                 (target, self.select_replica(id, class, shard, false))
-            && self.servers[&there].calls.len() <= self.servers[&here].calls.len()
-            && self.expected_time(here, class, shard)
-                > CLEARLY_FASTER_RATIO * self.expected_time(there, class, shard)
+            && self.servers[&other].calls.len() <= self.servers[&current].calls.len()
+            && self.expected_time(current, class, shard)
+                > CLEARLY_FASTER_RATIO * self.expected_time(other, class, shard)
         {
-            return Some(there);
+            return Some(other);
         }
         target
     }
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -1,22 +1,22 @@
-//! The state that decisions rest on: servers, queries, their parts, and attempts in flight.
+//! The state of an aggregator: servers, queries, their parts, and attempts in flight.
 
 use super::parameters::DELAY_DECAY;
 use crate::calls::Calls;
 use crate::interface::{PartId, QueryId, ServerId, Time};
 use std::collections::VecDeque;
 
-/// What a timer is for. The number is the query's.
+/// The purpose of a timer. `u64` values are query numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// A part may need a hedged request.
     Hedge(PartId),
-    /// The first step of a query may be answered from what is in.
+    /// The first step of a query may be answered from the parts received so far.
     PartialAnswer(u64),
-    /// The time of a query is up.
+    /// The deadline of a query.
     Deadline(u64),
-    /// The endpoint list is to be subscribed to again.
+    /// Time to subscribe to the endpoint list again.
     Watch,
-    /// A turn is wanted, for no more than what every turn does.
+    /// Runs a turn, without an action of its own.
     Wake,
 }
 
@@ -28,12 +28,12 @@
 }
 
 impl RecentDelay {
-    /// The delay less what has decayed since.
+    /// The delay, decayed since it was observed.
     pub(super) fn decayed(self, now: Time) -> f64 {
         (self.delay - DELAY_DECAY * (now - self.at) as f64).max(0.0)
     }
 
-    /// Adds an observation. What has decayed completely is no evidence: the next one counts alone.
+    /// Adds an observation. A delay that has decayed completely is replaced, not averaged.
     pub(super) fn observe(&mut self, delay: f64, is_answer: bool, now: Time) {
         let known = self.decayed(now);
         if is_answer || delay > known {
@@ -50,25 +50,25 @@
     }
 }
 
-/// Connections that broke when used after a time without use.
+/// Connections that were reset when used after an idle time.
 #[derive(Debug, Default)]
 pub(super) struct IdleResets {
-    /// The shortest idle time that broke one; 0 before the first.
+    /// The shortest idle time after which one was reset; 0 before the first.
     pub(super) shortest: Time,
-    /// When one last broke.
+    /// When one was last reset.
     pub(super) last: Time,
 }
 
-/// Discovery calls that failed since an endpoint list came.
+/// Discovery calls that failed since the last endpoint list was received.
 #[derive(Debug, Default)]
 pub(super) struct DiscoveryFailures {
     pub(super) unanswered: u32,
-    /// Refused ones, in a row.
+    /// Number of consecutive refused calls.
     pub(super) refused: u32,
 }
 
-/// The rate of answers of each warmed-up server, in answers a nanosecond, smoothed over the slow
-/// start, and when the last came.
+/// The rate of answers per warmed-up server, in answers per nanosecond, smoothed over the duration
+/// of the slow start, and the time of the last answer.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct AnswerRate {
     pub(super) rate: f64,
@@ -80,7 +80,7 @@
     pub(super) cell: u32,
     pub(super) ready: bool,
     pub(super) removed: bool,
-    /// Excluded by an operator, whatever discovery says.
+    /// Excluded by an operator, regardless of its status in the endpoint list.
     pub(super) excluded: bool,
     pub(super) calls: Calls,
     /// The concurrency limit, in calls.
@@ -91,24 +91,24 @@
     pub(super) probe_sent_at: Time,
     pub(super) recent_delay: RecentDelay,
     pub(super) probe_answered_at: Time,
-    /// What the last probe said: 1 is an answer at once, more is slower.
+    /// Load by the last probe: 1 for an immediate answer, higher for a slower one or a failure.
     pub(super) probed_load: f64,
-    /// When its connection last carried something; 0 where it has none.
+    /// When its connection was last used; 0 if it has none.
     pub(super) last_used: Time,
-    /// For each class (1 is like its peers), and when that was last updated.
+    /// Slowness by class (1 is like its peers), and when it was last updated.
     pub(super) slowness: Vec<(f64, Time)>,
-    /// When its slow start began; none where it has been up since before the first list.
+    /// When its slow start began; `None` if it started before the first endpoint list.
     pub(super) slow_start_from: Option<Time>,
-    /// Where in the cycle this aggregator's turn begins to send a warming server a part, from 0
-    /// to 1. Random, so that aggregators do not all send at once.
-    pub(super) slow_start_turn: f64,
-    /// When attempts were last sent to it, the latest first.
+    /// Phase of this aggregator's cycle of sending to the warming server, from 0 to 1. Random, so
+    /// that aggregators do not all send at the same time.
+    pub(super) slow_start_phase: f64,
+    /// When attempts were last sent to it, most recent first.
     pub(super) recent_sends: VecDeque<Time>,
     pub(super) last_answer: Time,
     /// Smoothed error rate.
     pub(super) errors: f64,
     pub(super) last_error: Time,
-    /// Outcomes recorded, up to a bound.
+    /// Number of recorded outcomes, up to a maximum.
     pub(super) outcomes: f64,
 }
 
@@ -120,13 +120,13 @@
     pub(super) call: u64,
     pub(super) class: usize,
     pub(super) shard: u32,
-    /// How long its connection had been idle.
+    /// How long its connection was idle before.
     pub(super) idle: Time,
-    /// Another attempt has answered the part: this one is evidence on its server alone.
+    /// Whether another attempt has answered the part.
     pub(super) superseded: bool,
 }
 
-/// The request to one shard that a query consists of.
+/// A query's request to one shard.
 #[derive(Debug, Default)]
 pub(super) struct Part {
     pub(super) number: u64,
@@ -136,12 +136,12 @@
     pub(super) attempts: u32,
     pub(super) in_flight: Vec<u32>,
     pub(super) attempted: Vec<ServerId>,
-    /// The server whose idle connection broke; the part is sent there once more.
+    /// The server whose idle connection was reset; the part is sent there again.
     pub(super) resend_to: Option<ServerId>,
     pub(super) done: bool,
-    /// Waits to be sent.
+    /// Whether it waits to be sent.
     pub(super) pending: bool,
-    /// When the first attempt started that may have run.
+    /// Send time of the earliest attempt that may have run.
     pub(super) may_have_run: Option<Time>,
 }
 
@@ -155,14 +155,14 @@
     pub(super) weight: f64,
     pub(super) in_second_step: bool,
     pub(super) first_step_complete: bool,
-    /// The time that its client gave a first request; the latency target for a retry.
+    /// The time left at admission of a first request; the latency target for a retry.
     pub(super) time_budget: Time,
-    /// Answers after this are worth nothing.
+    /// Deadline after which an answer has no value.
     pub(super) useful_until: Time,
     pub(super) started: bool,
-    /// The part sent first and alone while servers crash.
-    pub(super) scout: Option<PartId>,
-    /// Until when it waits for answers to probes; 0 where none were sent.
+    /// The part that is sent ahead of the others to find out whether the query crashes servers.
+    pub(super) canary: Option<PartId>,
+    /// Until when it waits for answers to probes; 0 if none were sent.
     pub(super) probe_until: Time,
 }
 
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,8 +1,9 @@
-//! Dispatch decisions of a gatherer: where a query's parts go, when it is hedged, and when
-//! it is rejected.
+//! Dispatch decisions of a gatherer: selects replicas for the parts of a query, hedges them, and
+//! rejects queries under overload.
 //!
-//! No I/O: a program feeds [`Aggregator`] with [`Event`]s and carries out the [`Action`]s it
-//! returns. `bitternsill` does so on sockets, `bitternsill-simhost` on the simulator's wire.
+//! The crate does no I/O. A program passes [`Event`]s to an [`Aggregator`] and executes the
+//! [`Action`]s that it returns: `bitternsill` on sockets, `bitternsill-simhost` on the simulator's
+//! line protocol.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
