--- a/dispatch/src/interface.rs
+++ b/dispatch/src/interface.rs
@@ -1,188 +1,190 @@
-//! The events that an aggregator takes, the actions that it returns, and its settings.
+//! The events that an aggregator handles, the actions that it returns, and its settings.
 //!
-//! All times are nanoseconds of one clock that only moves forward; durations are nanoseconds too.
+//! Points in time are nanoseconds of a monotonic clock.
 
 use std::sync::Arc;
 
-/// A moment or a duration, in nanoseconds.
+/// A point in time or a duration, in nanoseconds.
 pub type Time = u64;
 
-/// The id of a query, never used twice.
+/// The id of a query, never reused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryId(pub u64);
 
-/// The id of one part of a query, never used twice.
+/// The id of a part of a query, never reused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u64);
 
-/// The id of a server; it stays the same when the server's process restarts.
+/// The id of a server, which is kept when the server's process restarts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// What a repeated part of a class does at a server.
+/// The effect of repeating a part at a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// Idempotent: safe to repeat.
+    /// Idempotent.
     #[default]
     Safe,
-    /// Carries an idempotency key: servers drop repeats for the class's `key_lifetime` after the
-    /// first attempt that may have run.
+    /// Carries an idempotency key: servers discard duplicates for the class's `key_lifetime` after
+    /// the first attempt that may have run.
     Keyed,
     /// Not idempotent: sent again only when every earlier attempt is known not to have run.
     Unsafe,
 }
 
-/// One class of query.
+/// A class of queries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// An answer within this time has its full value.
     pub latency_target: Time,
-    /// How long a client waits in all, over its first request and its retries.
+    /// How long a client waits in total, over its first request and its retries.
     pub deadline: Time,
     /// Value of a complete answer.
     pub value: f64,
-    /// Ratio of the value that an answer after the latency target still has.
+    /// Ratio of the value that an answer has after the latency target.
     pub late_value: f64,
-    /// What a repeated part does.
+    /// The effect of repeating a part.
     pub effect: Effect,
-    /// How long servers drop repeats of a part with an idempotency key.
+    /// How long servers discard duplicates of a part with an idempotency key.
     pub key_lifetime: Time,
-    /// Least ratio of the parts' weight that an answer may rest on.
+    /// Ratio of the parts' weight below which a query must not be answered.
     pub floor: f64,
-    /// Ratio of the parts' weight that makes an answer complete.
+    /// Ratio of the parts' weight from which an answer is complete.
     pub need: f64,
-    /// Value of a partial answer, as a multiple of its ratio of the need.
+    /// Value of a partial answer, as a multiple of the ratio of its weight to [`Self::need`].
     pub partial_value: f64,
-    /// Parts of the second step; 0 for a class with one step.
+    /// Number of parts of the second step; 0 for a class with one step.
     pub second_step: u32,
-    /// The most attempts for one part.
+    /// Maximum number of attempts per part.
     pub max_attempts: u32,
-    /// No longer in the settings; only queries that were taken before are still of it.
+    /// Whether it was removed from the settings; only queries admitted before still belong to it.
     pub retired: bool,
 }
 
-/// The stated retry budget: a limit on attempts beyond each part's first.
+/// The retry budget: a limit on attempts beyond each part's first.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
-    /// Attempts permitted however light the traffic.
+    /// Attempts permitted regardless of the traffic.
     pub free: u64,
-    /// Further attempts permitted for each query and part taken.
+    /// Additional attempts permitted per admitted query and part.
     pub ratio: f64,
-    /// The span over which both are counted.
+    /// The sliding window over which attempts, queries and parts are counted.
     pub window: Time,
 }
 
 /// The settings of an aggregator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Number of aggregators in the tier.
+    /// Number of aggregators.
     pub aggregators: u32,
     /// The zone of this aggregator.
     pub zone: u32,
-    /// Shortest gap between two turns.
+    /// Minimum time between two turns.
     pub tick: Time,
-    /// Whether the endpoint list must be requested.
+    /// Whether the endpoint list has to be requested; otherwise it is pushed.
     pub discovery_on_request: bool,
-    /// The classes of query.
+    /// The query classes.
     pub classes: Vec<Class>,
-    /// Number of cells; shard `s` is held by cells `s .. s + reach`, counted round.
+    /// Number of cells. Shard `s` is held by the cells from `s` to `s + replication_factor - 1`,
+    /// modulo the number of cells.
     pub cells: u32,
-    /// Number of cells in a row that hold a shard.
+    /// Number of consecutive cells that hold a shard.
     pub replication_factor: u32,
-    /// The most parts that share one call.
+    /// Maximum number of parts per call.
     pub call_parts: u32,
-    /// Work of a call beside that of its parts, in nanoseconds; 0 where calls cost nothing.
+    /// Work of a call in addition to that of its parts, in nanoseconds.
     pub call_work: Time,
-    /// How many queries and parts may be open.
+    /// Maximum number of open queries and parts.
     pub max_open: u32,
     /// Whether an attempt may be cancelled.
     pub can_cancel: bool,
     /// Whether servers may be probed.
     pub can_probe: bool,
-    /// Price of a probe for each part, in units of a query's value.
+    /// Price of a probe per part, in units of a query's value.
     pub probe_price: f64,
-    /// Price of work that brought no answer, as a ratio of all work, in units of a query's value.
+    /// Price of wasted work, per ratio of all work, in units of a query's value.
     pub waste_price: f64,
     /// Whether a part may have two attempts in flight (hedged requests).
     pub can_hedge: bool,
     /// Whether clients mark retries.
     pub retries_marked: bool,
-    /// The longest retry-after that clients honour; 0 where they are sent none.
+    /// Maximum retry-after that clients honour; 0 if they are sent none.
     pub max_retry_after: Time,
-    /// The oldest endpoint list that an aggregator may work by before it must request a new one.
+    /// Maximum age of the endpoint list before an aggregator has to request a new one.
     pub max_list_age: Time,
-    /// How long attempts may still be started at a draining or removed server.
+    /// How long attempts may still be started at a server after it is draining or removed.
     pub drain_grace: Time,
-    /// Ratio of its capacity that a server starts with.
+    /// Capacity of a server at the beginning of its slow start, as a ratio of its full capacity.
     pub initial_capacity: f64,
-    /// How long the slow start of a server takes.
+    /// Duration of a server's slow start.
     pub slow_start: Time,
-    /// A server in slow start crashes when sent more than this multiple of its present capacity ...
+    /// A server in slow start crashes if it is sent more than this multiple of its current capacity
+    /// within [`Self::overload_window`].
     pub overload_multiple: f64,
-    /// ... over a window of this length.
+    /// The window over which the load of a server in slow start is measured.
     pub overload_window: Time,
-    /// The stated retry budget, if any.
+    /// The retry budget, if any.
     pub budget: Option<Budget>,
 }
 
 /// The status of a server in the endpoint list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ServerStatus {
-    /// Takes work.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes its requests and takes no new ones.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// No longer a server.
+    /// Removed from the deployment.
     Removed,
 }
 
-/// One server of the endpoint list.
+/// A server in the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Endpoint {
-    /// Which server.
+    /// Its id.
     pub server: ServerId,
     /// Its zone.
     pub zone: u32,
-    /// Its machine kind.
+    /// Its machine type.
     pub kind: u32,
     /// Its cell.
     pub cell: u32,
     /// Its status.
     pub status: ServerStatus,
-    /// Its size as registered, unitless.
+    /// Its registered size, a number without a unit.
     pub size: f64,
-    /// When it last started; 0 for long ago.
+    /// When it last started; 0 if that was long ago.
     pub started_at: Time,
-    /// Excluded by an operator, whatever its status.
+    /// Whether an operator has excluded it, regardless of its status.
     pub excluded: bool,
 }
 
-/// How an update relates to the endpoint list known so far.
+/// How an update relates to the known endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what changed.
+    /// Only the changed servers.
     Partial,
-    /// The complete list; a server that is not in it has been removed.
+    /// The complete list; servers that are not in it have been removed.
     Complete,
-    /// The list that was stored before the start, perhaps out of date.
+    /// The list stored by an earlier incarnation, possibly out of date.
     Persisted,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Answered.
     Ok,
-    /// The server replied with an error; it may have run.
+    /// Answered with an error; it may have run.
     Error,
     /// Rejected before it ran.
     Rejected,
-    /// No answer in time; it may have run or be running.
+    /// Not answered in time; it may have run or still be running.
     TimedOut,
-    /// No connection was made; it never ran.
+    /// The connection could not be established; it never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was reset; it may have run.
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
@@ -191,22 +193,22 @@
 }
 
 impl Outcome {
-    /// True where the attempt is known not to have run.
+    /// Whether the attempt is known not to have run.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::Skipped)
     }
 }
 
 impl Class {
-    /// Whether a partial answer has no value.
+    /// Whether the class has no partial answers.
     pub fn needs_all(&self) -> bool {
         self.floor >= self.need
     }
 }
 
 impl Default for Class {
-    /// A class of one step that is safe to repeat and needs every part, with a latency
-    /// target of a second.
+    /// An idempotent class with one step that needs every part, with a latency target of one
+    /// second.
     fn default() -> Self {
         Class {
             latency_target: 1_000_000_000,
@@ -226,8 +228,8 @@
 }
 
 impl Default for Settings {
-    /// A lone aggregator with one class and one cell, where hedging and cancelling are allowed
-    /// and servers have no slow start.
+    /// A single aggregator with one class and one cell. Hedging and cancellation are allowed, and
+    /// servers have no slow start.
     fn default() -> Self {
         Settings {
             aggregators: 1,
@@ -258,21 +260,21 @@
     }
 }
 
-/// What a server reports of its load; late and noisy. A value not reported is absent.
+/// The load that a server reports; delayed and noisy.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in flight.
     pub in_flight: Option<f64>,
-    /// Queued requests.
+    /// Requests in its queue.
     pub queued: Option<f64>,
-    /// Ratio of its cores in use.
+    /// Ratio of its cores that are in use.
     pub busy: Option<f64>,
 }
 
-/// What an aggregator has learned of a server, for its next incarnation.
+/// The learned statistics of a server, which an aggregator hands to its next incarnation.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedServer {
-    /// How slow it is for each class; 1 is like its peers.
+    /// Its slowness by class; 1 is like its peers.
     pub slowness: Vec<f64>,
     /// Its smoothed delay, as a ratio of the latency target.
     pub delay: f64,
@@ -280,163 +282,163 @@
     pub limit: f64,
     /// Its smoothed error rate, from 0 to 1.
     pub errors: f64,
-    /// How many outcomes that rests on, up to a bound.
+    /// Number of outcomes that the statistics are based on, up to a maximum.
     pub answers: f64,
 }
 
-/// What an aggregator has learned of a class's latency, in nanoseconds.
+/// The learned latency of a class, in nanoseconds.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedLatency {
     /// The median.
     pub median: f64,
     /// The 95th percentile.
     pub p95: f64,
-    /// The least recent median.
+    /// The lowest recent median.
     pub least: f64,
-    /// How many answers it rests on; 0 for the initial estimate.
+    /// Number of answers that it is based on; 0 for the initial estimate.
     pub answers: usize,
 }
 
-/// What an aggregator has learned.
+/// The learned statistics of an aggregator.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Learned {
-    /// Servers.
+    /// Statistics of servers.
     pub servers: Vec<(ServerId, LearnedServer)>,
-    /// How long parts take, by class.
+    /// Latencies of parts, by class.
     pub parts: Vec<LearnedLatency>,
-    /// How long answered attempts take, by class.
+    /// Latencies of answered attempts, by class.
     pub attempts: Vec<LearnedLatency>,
 }
 
-/// Something that happened at one aggregator.
+/// An input of an aggregator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// What an earlier incarnation of this aggregator had learned, as far as it is still valid.
-    /// Comes after the endpoint list.
+    /// The statistics of an earlier incarnation of this aggregator, as far as they are still valid.
+    /// Follows the endpoint list.
     Restore(Arc<Learned>),
-    /// New settings are in force. Classes that open queries belong to keep their index; the
-    /// complete endpoint list follows.
+    /// New settings apply. Classes of open queries keep their index. The complete endpoint list
+    /// follows.
     Settings {
         /// The settings.
         settings: Arc<Settings>,
-        /// For each class the index of the former class that its estimates are taken from.
+        /// For each class the index of the old class whose estimates it keeps, if any.
         from: Arc<[Option<usize>]>,
     },
     /// An update of the endpoint list.
     Endpoints {
-        /// How it relates to the list known so far.
+        /// How it relates to the known list.
         kind: ListKind,
         /// The servers.
         entries: Arc<[Endpoint]>,
     },
     /// Requesting the endpoint list failed, or the subscription ended.
     DiscoveryFailed {
-        /// Discovery could not be reached, or rejected the request. Otherwise it timed out, or its
-        /// answer was malformed.
+        /// Whether discovery could not be reached or rejected the request. Otherwise the request
+        /// timed out or its answer was malformed.
         refused: bool,
     },
-    /// A query was taken; its parts follow in the same turn.
+    /// A query arrived; its parts follow in the same turn.
     Query {
-        /// Which query.
+        /// Id of the query.
         id: QueryId,
-        /// Its number at this aggregator; its parts carry the same.
+        /// Its number at this aggregator, which its parts refer to.
         number: u64,
-        /// Its class, by index in the settings.
+        /// Index of its class in the settings.
         class: usize,
-        /// How many parts its first step has.
+        /// Number of parts of its first step.
         parts: u32,
-        /// How long until the client gives this request up.
+        /// Time until the client gives up this request.
         client_timeout: Time,
-        /// The client marked this as a retry.
+        /// Whether the client marked this request as a retry.
         is_retry: bool,
     },
     /// A part of a query.
     Part {
-        /// Which part.
+        /// Id of the part.
         id: PartId,
-        /// The number of its query.
+        /// Number of its query.
         number: u64,
-        /// Which shard it needs.
+        /// Shard that it needs.
         shard: u32,
         /// Its weight among the parts of its step.
         weight: f64,
     },
     /// An attempt ended. Each [`Action::Send`] is followed by exactly one of these.
     AttemptEnded {
-        /// Which part.
+        /// Id of the part.
         part: PartId,
-        /// Which attempt of it, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// Which server.
+        /// Server that it was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
         /// How long it was in flight.
         took: Time,
-        /// The server's load report, where one came along.
+        /// The server's load report, if any.
         load: LoadReport,
     },
     /// The client of a query has disconnected or cancelled it.
     ClientLeft {
-        /// Which query.
+        /// Id of the query.
         id: QueryId,
     },
-    /// A wake-up that was requested is due.
+    /// A requested wake-up is due.
     Wake,
     /// A probe ended.
     ProbeEnded {
-        /// Which server.
+        /// Server that it was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
         took: Time,
-        /// The server's load report, where one came along.
+        /// The server's load report, if any.
         load: LoadReport,
     },
 }
 
-/// Something that the aggregator has decided to do.
+/// An action that the aggregator's program has to execute.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start an attempt for a part.
+    /// Start an attempt of a part.
     Send {
-        /// Which part.
+        /// Id of the part.
         part: PartId,
-        /// To which server; it is a replica of the part's shard.
+        /// A replica of the part's shard.
         server: ServerId,
-        /// Its deadline.
+        /// Deadline of the attempt.
         until: Time,
     },
     /// Stop waiting for an attempt.
     Cancel {
-        /// Which part.
+        /// Id of the part.
         part: PartId,
-        /// Which attempt of it.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Answer a query from the parts that are in.
+    /// Answer a query from the parts received so far.
     Answer {
-        /// Which query.
+        /// Id of the query.
         query: QueryId,
         /// Whether the answer is complete.
         complete: bool,
     },
     /// Reject a query; the client may safely retry.
     Reject {
-        /// Which query.
+        /// Id of the query.
         query: QueryId,
-        /// How long the client should wait before it retries; 0 for no advice.
+        /// How long the client should wait before a retry; 0 if unspecified.
         retry_after: Time,
     },
     /// Fail a query that may have taken effect.
     Fail {
-        /// Which query.
+        /// Id of the query.
         query: QueryId,
     },
     /// Request an [`Event::Wake`] at this time.
     WakeAt(Time),
-    /// Probe a server for its load.
+    /// Send a load probe to a server.
     Probe(ServerId),
     /// Subscribe to updates of the endpoint list, or unsubscribe.
     Watch(bool),
@@ -444,6 +446,6 @@
     Fetch,
     /// Close the idle connections to a server.
     Close(ServerId),
-    /// A line for the operators' log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/dispatch/src/wire.rs
+++ b/dispatch/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's line protocol: a codec, and a host for many aggregators. Translation only; every
-//! decision is made in [`crate::dispatcher`].
+//! The simulator's line protocol: a codec, and a host for many aggregators. All decisions are made
+//! in [`crate::dispatcher`].
 
 mod actions;
 mod error;
--- a/dispatch/src/wire/actions.rs
+++ b/dispatch/src/wire/actions.rs
@@ -1,4 +1,4 @@
-//! Writes actions as lines of the protocol.
+//! Encodes actions as lines of the protocol.
 
 use crate::interface::Action;
 use std::fmt::{self, Write as _};
@@ -6,7 +6,7 @@
 /// Appends a line to the output.
 pub(super) fn write_line(out: &mut String, line: fmt::Arguments<'_>) {
     out.write_fmt(line)
-        .expect("writing to a string cannot fail");
+        .expect("writing to a String does not fail");
     out.push('\n');
 }
 
--- a/dispatch/src/wire/error.rs
+++ b/dispatch/src/wire/error.rs
@@ -2,23 +2,23 @@
 
 use thiserror::Error;
 
-/// A line that the protocol does not allow.
+/// A protocol error and its position.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("line {line}: {problem}")]
 pub struct WireError {
-    /// The number of the line, from 1.
+    /// Number of the line, from 1.
     pub line: u64,
-    /// What is wrong with it.
+    /// The protocol error.
     pub problem: ProtocolError,
 }
 
-/// What is wrong with a line.
+/// A violation of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ProtocolError {
-    /// A line without a message inside a batch.
+    /// An empty line inside a batch.
     #[error("an empty line inside a batch")]
     EmptyLine,
-    /// A batch begins before the last one ended.
+    /// A batch begins before the previous one has ended.
     #[error("FRAME inside a batch: EOF_BATCH is missing")]
     FrameInsideBatch,
     /// A message outside a batch.
@@ -27,16 +27,16 @@
     /// The input ended inside a batch.
     #[error("input ended inside batch {turn}: EOF_BATCH is missing")]
     UnfinishedBatch {
-        /// The turn of the batch.
+        /// Turn of the batch.
         turn: u64,
     },
-    /// A message that the protocol does not have.
+    /// A message with an unknown name.
     #[error("unknown message `{0}`")]
     UnknownMessage(String),
-    /// A message before the instance it is for was selected.
+    /// A message for an instance before one was selected.
     #[error("{0}: no SELECT before it in this batch")]
     NothingSelected(String),
-    /// A message for an instance that was never started.
+    /// A message for an instance that is not running.
     #[error("{message}: unknown instance `{instance}`")]
     UnknownInstance {
         /// The name of the message.
@@ -44,32 +44,32 @@
         /// The name of the instance.
         instance: String,
     },
-    /// An endpoint list with fewer entries than it announced.
-    #[error("{message}: SHEET {sheet} lacks entries")]
+    /// An endpoint list with fewer entries than announced.
+    #[error("{message}: SHEET {sheet} is incomplete")]
     IncompleteSheet {
-        /// The message that came instead of an entry.
+        /// The message received instead of an entry.
         message: String,
         /// The number of the list.
         sheet: usize,
     },
-    /// A list number beyond those that the protocol has.
-    #[error("SHEET: field `sheet` is over {most}: `{sheet}`")]
+    /// The number of an endpoint list is too high.
+    #[error("SHEET: field `sheet` exceeds {max}: `{sheet}`")]
     SheetTooLarge {
         /// The number of the list.
         sheet: usize,
-        /// The highest number.
-        most: usize,
+        /// The maximum number.
+        max: usize,
     },
-    /// A reference to a list that was never sent.
-    #[error("MEMBERSHIP: no SHEET numbered `{0}`")]
+    /// A reference to an endpoint list that was never sent.
+    #[error("MEMBERSHIP: unknown SHEET `{0}`")]
     UnknownSheet(usize),
-    /// A query of a class that the settings lack.
-    #[error("ORDER: field `band` names no class: `{0}`")]
+    /// A query of a class that is not in the settings.
+    #[error("ORDER: field `band` is not the index of a class: `{0}`")]
     UnknownClass(usize),
-    /// A shard number that does not fit 32 bits.
+    /// A shard number that exceeds 32 bits.
     #[error("ORDER: field `slab` is too large")]
     ShardTooLarge,
-    /// A field that is absent.
+    /// A missing field.
     #[error("{message}: field `{field}` is missing")]
     MissingField {
         /// The name of the message.
@@ -77,54 +77,54 @@
         /// The name of the field.
         field: String,
     },
-    /// A field whose value is not allowed.
+    /// A field with an invalid value.
     #[error("{message}: field `{field}` {problem}")]
     InvalidField {
         /// The name of the message.
         message: String,
         /// The name of the field.
         field: String,
-        /// What is wrong with its value.
+        /// The problem with its value.
         problem: FieldProblem,
     },
-    /// Settings that cannot be used.
+    /// Invalid settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// What is wrong with the value of a field.
+/// The problem with the value of a field.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FieldProblem {
-    /// It does not parse as a number of the field's type.
-    #[error("is no such number: `{0}`")]
+    /// Not a number of the field's type.
+    #[error("is not a valid number: `{0}`")]
     NotANumber(String),
-    /// It is infinite or not a number.
+    /// Infinite or NaN.
     #[error("is not finite")]
     NotFinite,
-    /// It has a fraction.
-    #[error("is not whole")]
-    NotWhole,
-    /// It is no flag.
+    /// Not an integer.
+    #[error("is not an integer")]
+    NotAnInteger,
+    /// Not a flag.
     #[error("is neither 0 nor 1: `{0}`")]
     NotAFlag(String),
-    /// It is none of the allowed words.
+    /// Not one of the known values.
     #[error("has an unknown value: `{0}`")]
     Unknown(String),
 }
 
-/// Settings that cannot be used. Paths begin at `boot_info`.
+/// An error in the settings. Paths begin at `boot_info`.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// The text is not JSON.
+    /// The text is not valid JSON.
     #[error("INIT: field `boot_info` is not JSON: {0}")]
     NotJson(String),
-    /// A setting is absent and has no default.
+    /// A required setting is missing.
     #[error("INIT: setting `{0}` is missing")]
     Missing(String),
-    /// A setting that is no number of 0 or more.
-    #[error("INIT: setting `{0}` is no number of 0 or more")]
+    /// A setting that is not a non-negative number.
+    #[error("INIT: setting `{0}` is not a non-negative number")]
     NotANumber(String),
-    /// A setting that is none of the allowed words.
-    #[error("INIT: setting `{0}` is unknown")]
+    /// A setting with an unknown value.
+    #[error("INIT: setting `{0}` has an unknown value")]
     Unknown(String),
 }
--- a/dispatch/src/wire/host.rs
+++ b/dispatch/src/wire/host.rs
@@ -1,4 +1,4 @@
-//! Hosts many aggregators on one pair of streams.
+//! A host of many aggregators, which handles the lines of the protocol.
 
 use super::actions::{write_action, write_line};
 use super::error::{ProtocolError, WireError};
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How many endpoint lists the protocol numbers.
-const SHEETS: usize = 16;
+/// Number of endpoint lists that the protocol can refer to.
+const MAX_SHEETS: usize = 16;
 
 /// An aggregator and the events of the batch being read.
 struct Hosted {
@@ -20,7 +20,6 @@
     events: Vec<Event>,
 }
 
-/// The batch that is being read.
 #[derive(Clone, Copy)]
 struct Batch {
     now: Time,
@@ -28,29 +27,29 @@
 }
 
 /// An endpoint list that is being read.
-struct Sheet {
-    sheet: usize,
+struct PartialSheet {
+    number: usize,
     size: usize,
     entries: Vec<Endpoint>,
 }
 
-/// Hosts many aggregators on one pair of streams.
+/// Hosts many aggregators.
 #[derive(Default)]
 pub struct Host {
     hosted: Vec<Hosted>,
-    /// Where each running instance stands among the hosted ones.
+    /// Indices of the running instances in `hosted`, by name.
     instances: BTreeMap<String, usize>,
-    sheets: [Option<Arc<[Endpoint]>>; SHEETS],
-    unfinished: Option<Sheet>,
+    sheets: [Option<Arc<[Endpoint]>>; MAX_SHEETS],
+    partial_sheet: Option<PartialSheet>,
     batch: Option<Batch>,
     selected: Option<String>,
-    /// The instances that have events in this batch, in the order of their first.
-    acting: Vec<usize>,
+    /// Indices of the instances that take a turn in this batch, in order of their first message.
+    active: Vec<usize>,
     lines: u64,
 }
 
 impl Host {
-    /// A host without aggregators.
+    /// Creates a host without aggregators.
     pub fn new() -> Self {
         Self::default()
     }
@@ -59,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// On a line that the protocol does not allow; the host is not to be used after that.
+    /// If the line violates the protocol. The host must not be used after that.
     pub fn line(&mut self, text: &str) -> Result<Option<String>, WireError> {
         self.lines += 1;
         let line = Line::new(text.trim_end_matches(['\r', '\n']));
@@ -69,11 +68,11 @@
         })
     }
 
-    /// To be called when the input ends.
+    /// Checks that the input is complete.
     ///
     /// # Errors
     ///
-    /// Where the input ended inside a batch.
+    /// If the input ended inside a batch.
     pub fn finish(&self) -> Result<(), WireError> {
         match self.batch {
             None => Ok(()),
@@ -103,7 +102,7 @@
         let Some(Batch { now, turn }) = self.batch else {
             return Err(ProtocolError::OutsideBatch(line.name.to_owned()));
         };
-        if self.unfinished.is_some() {
+        if self.partial_sheet.is_some() {
             self.read_entry(line)?;
             return Ok(None);
         }
@@ -122,17 +121,19 @@
     }
 
     fn begin_sheet(&mut self, line: &Line<'_>) -> Result<(), ProtocolError> {
-        let sheet: usize = line.number("sheet")?;
-        if sheet >= SHEETS {
-            let most = SHEETS - 1;
-            return Err(ProtocolError::SheetTooLarge { sheet, most });
+        let number: usize = line.number("sheet")?;
+        if number >= MAX_SHEETS {
+            return Err(ProtocolError::SheetTooLarge {
+                sheet: number,
+                max: MAX_SHEETS - 1,
+            });
         }
         match line.number("items")? {
-            0 => self.sheets[sheet] = Some(Arc::new([])),
+            0 => self.sheets[number] = Some(Arc::new([])),
             size => {
                 let entries = Vec::new();
-                self.unfinished = Some(Sheet {
-                    sheet,
+                self.partial_sheet = Some(PartialSheet {
+                    number,
                     size,
                     entries,
                 });
@@ -142,19 +143,19 @@
     }
 
     fn read_entry(&mut self, line: &Line<'_>) -> Result<(), ProtocolError> {
-        let Some(list) = &mut self.unfinished else {
+        let Some(list) = &mut self.partial_sheet else {
             return Ok(());
         };
         if line.name != "ENTRY" {
             return Err(ProtocolError::IncompleteSheet {
                 message: line.name.to_owned(),
-                sheet: list.sheet,
+                sheet: list.number,
             });
         }
         list.entries.push(line.entry()?);
         if list.entries.len() == list.size {
-            self.sheets[list.sheet] = Some(list.entries.as_slice().into());
-            self.unfinished = None;
+            self.sheets[list.number] = Some(list.entries.as_slice().into());
+            self.partial_sheet = None;
         }
         Ok(())
     }
@@ -163,14 +164,14 @@
         let index = self.selected_instance(line)?;
         self.instances.retain(|_, other| *other != index);
         self.hosted[index].events.clear();
-        self.acting.retain(|other| *other != index);
+        self.active.retain(|other| *other != index);
         Ok(())
     }
 
     fn queue_event(&mut self, line: &Line<'_>) -> Result<(), ProtocolError> {
         let index = self.selected_instance(line)?;
-        if !self.acting.contains(&index) {
-            self.acting.push(index);
+        if !self.active.contains(&index) {
+            self.active.push(index);
         }
         let Some(event) = self.event(line)? else {
             return Ok(());
@@ -185,7 +186,7 @@
         Ok(())
     }
 
-    /// The name of the instance that the batch's messages are for.
+    /// The name of the selected instance, which messages in the batch are for.
     fn selected(&self, line: &Line<'_>) -> Result<&str, ProtocolError> {
         self.selected
             .as_deref()
@@ -206,27 +207,28 @@
         let settings = read_settings(line.text("boot_info")?)?;
         let classes = settings.classes.len();
         let aggregator = Aggregator::new(settings, line.number("random_seed")?);
-        let fresh = Hosted {
+        let new = Hosted {
             name: name.clone(),
             classes,
             aggregator,
             events: Vec::new(),
         };
-        // A stopped instance's slot is used again, so that restarts do not pile up memory.
-        let known = self.hosted.iter().position(|hosted| hosted.name == name);
-        let index = match known {
+        // The slot of an earlier incarnation is reused, so that restarts don't increase the memory
+        // use.
+        let existing = self.hosted.iter().position(|hosted| hosted.name == name);
+        let index = match existing {
             Some(index) => {
-                self.hosted[index] = fresh;
+                self.hosted[index] = new;
                 index
             }
             None => {
-                self.hosted.push(fresh);
+                self.hosted.push(new);
                 self.hosted.len() - 1
             }
         };
         self.instances.insert(name, index);
-        if !self.acting.contains(&index) {
-            self.acting.push(index);
+        if !self.active.contains(&index) {
+            self.active.push(index);
         }
         Ok(())
     }
@@ -269,7 +271,7 @@
                 id: QueryId(line.number("tid")?),
             },
             "RING" => Event::Wake,
-            // No class here streams its answers and peers send nothing: no decision rests on these.
+            // Ignored: no class streams its answers, and peers send nothing.
             "HEADERS" | "FROM_PEER" => return Ok(None),
             other => return Err(ProtocolError::UnknownMessage(other.to_owned())),
         }))
@@ -278,7 +280,7 @@
     fn reply(&mut self, now: Time, turn: u64) -> String {
         let mut out = String::new();
         let mut actions = Vec::new();
-        for index in std::mem::take(&mut self.acting) {
+        for index in std::mem::take(&mut self.active) {
             let hosted = &mut self.hosted[index];
             hosted.aggregator.turn(now, &hosted.events, &mut actions);
             hosted.events.clear();
--- a/dispatch/src/wire/line.rs
+++ b/dispatch/src/wire/line.rs
@@ -1,9 +1,9 @@
-//! One line of the protocol: a message name and its `key=value` fields.
+//! Parses the lines of the protocol: a message name and its `key=value` fields.
 
 use super::error::{FieldProblem, ProtocolError};
 use crate::interface::{Endpoint, LoadReport, Outcome, ServerId, ServerStatus};
 
-/// One line, split into its message name and its fields.
+/// A line, split into its message name and its fields.
 pub(super) struct Line<'a> {
     pub(super) name: &'a str,
     rest: &'a str,
@@ -22,11 +22,11 @@
         })
     }
 
-    /// A text field: everything from its `=` to the end of the line.
+    /// The value of a text field, which extends to the end of the line.
     pub(super) fn text(&self, field: &str) -> Result<&'a str, ProtocolError> {
         let start = self.rest.split(' ').try_fold(0, |at, pair| {
             match pair.split_once('=') {
-                Some((key, _)) if key == field => Err(at + field.len() + 1), // found
+                Some((key, _)) if key == field => Err(at + field.len() + 1), // stops the fold
                 _ => Ok(at + pair.len() + 1),
             }
         });
@@ -85,13 +85,13 @@
         }
     }
 
-    /// An integer that the protocol types as a number, so `3` and `3.0` are both well formed.
+    /// An integer in a field of type number, where both `3` and `3.0` are valid.
     pub(super) fn integer(&self, field: &str) -> Result<i64, ProtocolError> {
         let value = self.real(field)?;
         if value.fract() == 0.0 && value.abs() < 9e15 {
             Ok(value as i64)
         } else {
-            Err(self.invalid(field, FieldProblem::NotWhole))
+            Err(self.invalid(field, FieldProblem::NotAnInteger))
         }
     }
 
--- a/dispatch/src/wire/settings.rs
+++ b/dispatch/src/wire/settings.rs
@@ -1,10 +1,10 @@
-//! Reads the settings, whose names are those of the simulator's pages.
+//! Reads the settings under the names that the simulator's documentation gives them.
 
 use super::error::SettingsError;
 use crate::interface::{Budget, Class, Effect, Settings, Time};
 use serde_json::Value;
 
-/// A group of the settings, and its path for error messages.
+/// A JSON value in the settings, and its path for error messages.
 struct Group<'a> {
     path: String,
     value: &'a Value,
@@ -61,18 +61,18 @@
     }
 }
 
-/// A number of a list with one value for each class.
+/// The number for a class in a list with one value per class.
 fn number_at(list: &[Group<'_>], index: usize, absent: f64) -> f64 {
     list.get(index)
         .and_then(|item| item.value.as_f64())
         .unwrap_or(absent)
 }
 
-/// Reads the settings that an aggregator starts with; unknown keys are skipped.
+/// Reads the settings that an aggregator starts with. Unknown keys are ignored.
 ///
 /// # Errors
 ///
-/// On text that is not JSON, and on the first setting that is missing or has no allowed value.
+/// If the text is not valid JSON, or a setting is missing or invalid.
 pub fn read_settings(text: &str) -> Result<Settings, SettingsError> {
     let value: Value =
         serde_json::from_str(text).map_err(|e| SettingsError::NotJson(e.to_string()))?;
--- a/dispatch/tests/wire.rs
+++ b/dispatch/tests/wire.rs
@@ -190,7 +190,7 @@
         ),
         (
             "FRAME now=x turn=1",
-            "line 9: FRAME: field `now` is no such number: `x`",
+            "line 9: FRAME: field `now` is not a valid number: `x`",
         ),
         (
             "FRAME now=1 turn=1\nRING label=a",
@@ -206,7 +206,7 @@
         ),
         (
             "FRAME now=1 turn=1\nSELECT who=aggregator_0\nORDER tid=-1 slab=0 size_or_weight=1 group_no=1",
-            "line 11: ORDER: field `tid` is no such number: `-1`",
+            "line 11: ORDER: field `tid` is not a valid number: `-1`",
         ),
         (
             "FRAME now=1 turn=1\nSELECT who=aggregator_0\nORDER tid=1 slab=0 size_or_weight=NaN group_no=1",
@@ -214,15 +214,15 @@
         ),
         (
             "FRAME now=1 turn=1\nSELECT who=aggregator_0\nORDER tid=4 slab=-1 band=8 size_or_weight=1 group_no=1 time_budget=2",
-            "line 11: ORDER: field `band` names no class: `8`",
+            "line 11: ORDER: field `band` is not the index of a class: `8`",
         ),
         (
             "FRAME now=1 turn=1\nSHEET sheet=16 items=0",
-            "line 10: SHEET: field `sheet` is over 15: `16`",
+            "line 10: SHEET: field `sheet` exceeds 15: `16`",
         ),
         (
             "FRAME now=1 turn=1\nSHEET sheet=1 items=2\nENTRY leaf=1 status=ready\nEOF_BATCH",
-            "line 12: EOF_BATCH: SHEET 1 lacks entries",
+            "line 12: EOF_BATCH: SHEET 1 is incomplete",
         ),
         (
             "FRAME now=1 turn=1\nSELECT who=a\nINIT random_seed=1 boot_info={",
@@ -262,7 +262,7 @@
     let bad = INFO.replace("\"target\": 1000000000", "\"target\": \"soon\"");
     assert_eq!(
         read_settings(&bad).unwrap_err().to_string(),
-        "INIT: setting `boot_info.request_classes[0].target` is no number of 0 or more"
+        "INIT: setting `boot_info.request_classes[0].target` is not a non-negative number"
     );
 }
 
