--- a/dispatch/tests/common/mod.rs
+++ b/dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A hand-driven aggregator and its surroundings, for tests of the decisions.
+//! An aggregator whose events and time are provided by a test.
 #![allow(dead_code)]
 
 use dispatch::Aggregator;
@@ -6,15 +6,15 @@
 
 pub const MS: Time = 1_000_000;
 
-/// An aggregator with the time, the actions of its last turn, and the ids handed out.
+/// An aggregator, its time, the actions of its last turn, and the next id.
 pub struct Rig {
     pub aggregator: Aggregator,
     pub now: Time,
     pub actions: Vec<Action>,
-    pub next: u64,
+    pub next_id: u64,
 }
 
-pub fn entry(id: u32, cell: u32) -> Endpoint {
+pub fn endpoint(id: u32, cell: u32) -> Endpoint {
     Endpoint {
         server: ServerId(id),
         cell,
@@ -22,8 +22,8 @@
     }
 }
 
-/// A ring of `cells` cells with one server each, every shard on `reach` of them.
-pub fn ring(cells: u32, replication_factor: u32) -> Settings {
+/// Settings with `cells` cells and each shard in `replication_factor` of them.
+pub fn ring_settings(cells: u32, replication_factor: u32) -> Settings {
     Settings {
         cells,
         replication_factor,
@@ -32,18 +32,18 @@
 }
 
 impl Rig {
-    /// Starts an aggregator whose cells hold one server each, numbered 100 + cell.
+    /// Starts an aggregator with one server per cell, numbered 100 + cell.
     pub fn new(settings: Settings) -> Self {
         Self::seeded(settings, 5)
     }
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
-        let entries: Vec<Endpoint> = (0..settings.cells).map(|c| entry(100 + c, c)).collect();
+        let entries: Vec<Endpoint> = (0..settings.cells).map(|c| endpoint(100 + c, c)).collect();
         let mut rig = Rig {
             aggregator: Aggregator::new(settings, seed),
             now: 1000 * MS,
             actions: Vec::new(),
-            next: 1,
+            next_id: 1,
         };
         rig.turn(
             0,
@@ -55,21 +55,22 @@
         rig
     }
 
-    pub fn turn(&mut self, later: Time, events: &[Event]) {
-        self.now += later;
+    /// Advances the time by `elapsed` and runs a turn.
+    pub fn turn(&mut self, elapsed: Time, events: &[Event]) {
+        self.now += elapsed;
         self.actions.clear();
         self.aggregator.turn(self.now, events, &mut self.actions);
     }
 
-    /// The events of a query of a class on some shards; its parts have the ids after its own.
+    /// The number and the events of a new query. Its parts have the ids that follow its number.
     pub fn query(
         &mut self,
         class: usize,
         client_timeout: Time,
         shards: &[u32],
     ) -> (u64, Vec<Event>) {
-        let number = self.next;
-        self.next += 1 + shards.len() as u64;
+        let number = self.next_id;
+        self.next_id += 1 + shards.len() as u64;
         let parts = shards.len() as u32;
         let id = QueryId(number);
         let mut events = vec![Event::Query {
@@ -92,12 +93,14 @@
         (number, events)
     }
 
-    pub fn ask(&mut self, later: Time, shards: &[u32]) -> u64 {
+    /// Submits a query of the first class after `elapsed` and returns its number.
+    pub fn submit(&mut self, elapsed: Time, shards: &[u32]) -> u64 {
         let (number, events) = self.query(0, 2000 * MS, shards);
-        self.turn(later, &events);
+        self.turn(elapsed, &events);
         number
     }
 
+    /// The attempts that the last turn started, with their deadlines.
     pub fn sends(&self) -> Vec<(PartId, ServerId, Time)> {
         let send = |a: &Action| match *a {
             Action::Send {
@@ -110,11 +113,11 @@
         self.actions.iter().filter_map(send).collect()
     }
 
-    /// Answers queries on `shards` one after the other until the class's pace is learnt.
+    /// Answers queries to `shards` one after the other until the class's latency is learned.
     pub fn warm_up(&mut self, took: Time, shards: &[u32]) {
         for _ in 0..40 {
-            self.ask(MS, shards);
-            // A wide query sends one part ahead of the others.
+            self.submit(MS, shards);
+            // A wide query sends a canary before its other parts.
             while !self.sends().is_empty() {
                 let sends = self.sends();
                 let events: Vec<Event> = sends
--- a/dispatch/tests/fleet.rs
+++ b/dispatch/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many aggregators that share nothing: what is harmless of one and harmful of a hundred.
+//! Fleets of independent aggregators: behavior that is harmless in one and harmful in a hundred.
 
 mod common;
 use common::*;
@@ -7,35 +7,36 @@
 
 const SERVERS: u32 = 20;
 const AGGREGATORS: u32 = 100;
-/// How long a part takes everywhere, and the work in it: less, as most of it is the way there and
-/// back.
-const TOOK: Time = 30 * MS;
-const WORK: f64 = 0.015;
-/// Queries a second of each aggregator, and shards of each.
-const RATE: f64 = 2.0;
-const SHARDS: u32 = 4;
-const PATIENCE: Time = 2000 * MS;
+/// Latency of a part, most of which is the network.
+const LATENCY: Time = 30 * MS;
+/// Work of a part, in seconds.
+const WORK_S: f64 = 0.015;
+/// Rate of queries at each aggregator.
+const QUERIES_PER_SECOND: f64 = 2.0;
+const SHARDS_PER_QUERY: u32 = 4;
+const CLIENT_TIMEOUT: Time = 2000 * MS;
 
-/// A hundred aggregators in step on one clock, before servers that answer all after the same time.
+/// Aggregators with a common clock, and servers that all have the same latency by default.
 struct Fleet {
     rigs: Vec<Rig>,
     rng: fastrand::Rng,
     now: Time,
     due: BTreeSet<(Time, usize, PartId, u32, ServerId, Time)>,
-    legs: BTreeMap<(usize, PartId), u32>,
-    /// When each server was sent something.
+    attempts: BTreeMap<(usize, PartId), u32>,
+    /// Times at which each server was sent an attempt.
     sent: BTreeMap<ServerId, Vec<Time>>,
-    /// Servers that take parts and never answer, and those that refuse every connection.
-    silent: BTreeSet<ServerId>,
+    /// Servers that accept parts and never answer.
+    unresponsive: BTreeSet<ServerId>,
+    /// Servers that refuse every connection.
     refusing: BTreeSet<ServerId>,
-    /// Servers that take longer than the others.
+    /// Latencies of servers that are slower than the others.
     slow: BTreeMap<ServerId, Time>,
-    /// By aggregator and query: when its client gives up, and the share of its parts that is in.
+    /// By aggregator and query: when its client gives up, and how many parts are answered.
     open: BTreeMap<(usize, u64), (Time, u32)>,
     query_of: BTreeMap<(usize, PartId), u64>,
     complete: u32,
     partial: u32,
-    refused: u32,
+    rejected: u32,
 }
 
 impl Fleet {
@@ -50,20 +51,20 @@
             rng,
             now,
             due: BTreeSet::new(),
-            legs: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             sent: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
             refusing: BTreeSet::new(),
             slow: BTreeMap::new(),
             open: BTreeMap::new(),
             query_of: BTreeMap::new(),
             complete: 0,
             partial: 0,
-            refused: 0,
+            rejected: 0,
         }
     }
 
-    fn tell(&mut self, entries: &[Endpoint]) {
+    fn update_endpoints(&mut self, entries: &[Endpoint]) {
         for at in 0..self.rigs.len() {
             self.turn(
                 at,
@@ -79,21 +80,21 @@
         let rig = &mut self.rigs[at];
         rig.turn(self.now - rig.now, &events);
         for (part, server, _) in rig.sends() {
-            let leg = self
-                .legs
+            let attempt = self
+                .attempts
                 .entry((at, part))
-                .and_modify(|leg| *leg += 1)
+                .and_modify(|attempt| *attempt += 1)
                 .or_insert(0);
             self.sent.entry(server).or_default().push(self.now);
-            if !self.silent.contains(&server) {
-                let usual = self.slow.get(&server).copied().unwrap_or(TOOK);
+            if !self.unresponsive.contains(&server) {
+                let usual = self.slow.get(&server).copied().unwrap_or(LATENCY);
                 let took = if self.refusing.contains(&server) {
                     MS
                 } else {
                     usual
                 };
                 self.due
-                    .insert((self.now + took, at, part, *leg, server, took));
+                    .insert((self.now + took, at, part, *attempt, server, took));
             }
         }
         for action in self.rigs[at].actions.clone() {
@@ -106,15 +107,15 @@
                 .open
                 .remove(&(at, query.0))
                 .expect("one final answer to each query");
-            assert!(self.now <= until, "answered in its client's time");
+            assert!(self.now <= until, "answered after its client gave up");
             match kind {
-                Some(true) => assert_eq!(done, SHARDS, "whole only with all parts"),
-                Some(false) => assert!(done * 2 >= SHARDS, "{done} parts are under the floor"),
+                Some(true) => assert_eq!(done, SHARDS_PER_QUERY, "complete without all parts"),
+                Some(false) => assert!(done * 2 >= SHARDS_PER_QUERY, "{done} parts are too few"),
                 None => {}
             }
             self.complete += u32::from(kind == Some(true));
             self.partial += u32::from(kind == Some(false));
-            self.refused += u32::from(kind.is_none());
+            self.rejected += u32::from(kind.is_none());
         }
     }
 
@@ -123,7 +124,7 @@
         while self.now < until {
             self.now += 10 * MS;
             let mut events: BTreeMap<usize, Vec<Event>> = BTreeMap::new();
-            while let Some(&(due, at, part, leg, server, took)) = self.due.first()
+            while let Some(&(due, at, part, attempt, server, took)) = self.due.first()
                 && due <= self.now
             {
                 self.due.pop_first();
@@ -142,19 +143,23 @@
                 events
                     .entry(at)
                     .or_default()
-                    .push(ended(part, leg, server, outcome, took));
+                    .push(ended(part, attempt, server, outcome, took));
             }
             for at in 0..self.rigs.len() {
                 let mut events = events.remove(&at).unwrap_or_default();
-                if self.rng.f64() < RATE * 0.01 {
+                if self.rng.f64() < QUERIES_PER_SECOND * 0.01 {
                     let first = self.rng.u32(..SERVERS);
-                    let shards: Vec<u32> = (first..first + SHARDS).map(|s| s % SERVERS).collect();
-                    let (number, asked) = self.rigs[at].query(0, PATIENCE, &shards);
-                    self.open.insert((at, number), (self.now + PATIENCE, 0));
+                    let shards: Vec<u32> = (first..first + SHARDS_PER_QUERY)
+                        .map(|s| s % SERVERS)
+                        .collect();
+                    let (number, query_events) = self.rigs[at].query(0, CLIENT_TIMEOUT, &shards);
+                    self.open
+                        .insert((at, number), (self.now + CLIENT_TIMEOUT, 0));
                     self.query_of.extend(
-                        (1..=u64::from(SHARDS)).map(|i| ((at, PartId(number + i)), number)),
+                        (1..=u64::from(SHARDS_PER_QUERY))
+                            .map(|i| ((at, PartId(number + i)), number)),
                     );
-                    events.extend(asked);
+                    events.extend(query_events);
                 }
                 if !events.is_empty() || self.now % (50 * MS) == 0 {
                     events.push(Event::Wake);
@@ -165,15 +170,15 @@
     }
 }
 
-/// Found on join+vast: of what cold servers could do they were sent a quarter, while the warm ones
-/// were overrun.
+/// Warming servers used to be sent a quarter of what they could do, while the warm servers were
+/// overloaded.
 #[test]
 fn aggregators_use_slow_start_budget() {
     let settings = Settings {
         aggregators: AGGREGATORS,
         slow_start: 18_000 * MS,
         overload_window: 1000 * MS,
-        ..ring(SERVERS, 2)
+        ..ring_settings(SERVERS, 2)
     };
     let settings = Settings {
         initial_capacity: 0.32,
@@ -183,26 +188,27 @@
     for seed in 0..3 {
         let mut fleet = Fleet::new(&settings, seed);
         fleet.run(6000 * MS);
-        let (started_at, replaced) = (fleet.now, 12);
-        let new = (0..replaced).map(|c| Endpoint {
+        let (started_at, replacements) = (fleet.now, 12);
+        let new = (0..replacements).map(|c| Endpoint {
             started_at,
-            ..entry(200 + c, c)
+            ..endpoint(200 + c, c)
         });
-        let old = (0..replaced).map(|c| Endpoint {
+        let old = (0..replacements).map(|c| Endpoint {
             status: ServerStatus::Removed,
-            ..entry(100 + c, c)
+            ..endpoint(100 + c, c)
         });
         let change: Vec<Endpoint> = old.chain(new).collect();
-        fleet.tell(&change);
+        fleet.update_endpoints(&change);
         fleet.sent.clear();
         fleet.run(6000 * MS);
-        // Warm, a server bears this much, which is no more than all that it can do.
-        let warm = f64::from(AGGREGATORS * SHARDS) * RATE / f64::from(SERVERS);
-        assert!(warm * WORK < 1.0, "the servers are loaded, not overrun");
-        let mut all = 0;
-        for cell in 0..replaced {
+        // Attempts per second that a warm server is sent.
+        let warm_rate =
+            f64::from(AGGREGATORS * SHARDS_PER_QUERY) * QUERIES_PER_SECOND / f64::from(SERVERS);
+        assert!(warm_rate * WORK_S < 1.0, "the servers are overloaded");
+        let mut total = 0;
+        for cell in 0..replacements {
             let sent = &fleet.sent[&ServerId(200 + cell)];
-            all += sent.len();
+            total += sent.len();
             for &at in sent {
                 let within = sent
                     .iter()
@@ -210,14 +216,14 @@
                     .count() as f64;
                 let age = (at - started_at) as f64 / settings.slow_start as f64;
                 let capacity = settings.initial_capacity + (1.0 - settings.initial_capacity) * age;
-                let limit = settings.overload_multiple * capacity / WORK;
+                let limit = settings.overload_multiple * capacity / WORK_S;
                 assert!(
                     within <= limit,
-                    "seed {seed}: {within} in a second to a server good for {limit:.0}"
+                    "seed {seed}: {within} in a second to a server with a limit of {limit:.0}"
                 );
             }
         }
-        let used = all as f64 / f64::from(replaced) / 6.0 / warm;
+        let used = total as f64 / f64::from(replacements) / 6.0 / warm_rate;
         assert!(
             (0.5..=1.2).contains(&used),
             "seed {seed}: {used:.2} of what a warm server is sent"
@@ -225,20 +231,20 @@
     }
 }
 
-/// A class that may be answered from half of its parts.
+/// Settings with a class that may be answered from half of its parts.
 fn settings() -> Settings {
     let class = Class {
         floor: 0.5,
         partial_value: 0.8,
         latency_target: 1000 * MS,
-        deadline: PATIENCE,
+        deadline: CLIENT_TIMEOUT,
         ..Class::default()
     };
     let settings = Settings {
         aggregators: AGGREGATORS,
         slow_start: 18_000 * MS,
         overload_window: 1000 * MS,
-        ..ring(SERVERS, 2)
+        ..ring_settings(SERVERS, 2)
     };
     Settings {
         initial_capacity: 0.32,
@@ -248,63 +254,62 @@
     }
 }
 
-/// A restart in the middle of a release: all aggregators know nothing, most servers are cold and
-/// some never answer.
+/// All aggregators restart during a release: they have learned nothing, most servers are cold and
+/// some are unresponsive.
 #[test]
 fn queries_end_in_time_with_warming_and_unresponsive_servers() {
     for seed in 0..3 {
         let mut fleet = Fleet::new(&settings(), seed);
         let started_at = fleet.now;
-        fleet.tell(
+        fleet.update_endpoints(
             &(0..14)
                 .map(|c| Endpoint {
                     started_at,
-                    ..entry(100 + c, c)
+                    ..endpoint(100 + c, c)
                 })
                 .collect::<Vec<_>>(),
         );
-        fleet.silent = [103, 116].map(ServerId).into();
+        fleet.unresponsive = [103, 116].map(ServerId).into();
         fleet.run(6000 * MS);
-        let asked = fleet.complete + fleet.partial + fleet.refused;
-        assert!(asked > 900, "{asked} queries are enough to mean something");
+        let total = fleet.complete + fleet.partial + fleet.rejected;
+        assert!(total > 900, "{total} queries are too few for this test");
         assert!(
             fleet.open.values().all(|(until, _)| *until > fleet.now),
-            "none is left behind"
+            "a query was not ended in time"
         );
         assert!(
-            fleet.complete * 10 > asked * 5,
-            "seed {seed}: {} of {asked} whole",
+            fleet.complete * 10 > total * 5,
+            "seed {seed}: {} of {total} complete",
             fleet.complete
         );
     }
 }
 
-/// Most of the list is replaced within seconds: what leaves gets nothing more from the moment it is
-/// told.
+/// Most servers are replaced within seconds. A draining server is sent nothing from the update on.
 #[test]
 fn draining_servers_get_nothing_during_replacement() {
     let mut fleet = Fleet::new(&settings(), 7);
     fleet.run(2000 * MS);
     for batch in 0..3 {
-        // Each slice keeps one sound holder, as releases leave it.
+        // Each shard keeps one replica, as in a release.
         let cells = (0..4).map(|i| batch + 5 * i);
         let leaving = cells.clone().map(|c| Endpoint {
             status: ServerStatus::Draining,
-            ..entry(100 + c, c)
+            ..endpoint(100 + c, c)
         });
-        fleet.tell(&leaving.collect::<Vec<_>>());
+        fleet.update_endpoints(&leaving.collect::<Vec<_>>());
         fleet.sent.clear();
         fleet.run(1000 * MS);
         let started_at = fleet.now;
         let gone = cells.clone().map(|c| Endpoint {
             status: ServerStatus::Removed,
-            ..entry(100 + c, c)
+            ..endpoint(100 + c, c)
         });
         let new = cells.clone().map(|c| Endpoint {
             started_at,
-            ..entry(200 + c, c)
+            ..endpoint(200 + c, c)
         });
-        fleet.tell(&gone.chain(new).collect::<Vec<_>>());
+        fleet.update_endpoints(&gone.chain(new).collect::<Vec<_>>());
         fleet.run(1000 * MS);
         let late: usize = cells
             .filter_map(|c| fleet.sent.get(&ServerId(100 + c)))
@@ -312,19 +317,19 @@
             .sum();
         assert_eq!(
             late, 0,
-            "parts to servers of batch {batch} after the notice"
+            "parts sent to servers of batch {batch} after the update"
         );
     }
-    let asked = fleet.complete + fleet.partial + fleet.refused;
+    let total = fleet.complete + fleet.partial + fleet.rejected;
     assert!(
-        fleet.complete * 10 > asked * 9,
-        "{} of {asked} whole",
+        fleet.complete * 10 > total * 9,
+        "{} of {total} complete",
         fleet.complete
     );
 }
 
-/// A server at its limit of connections refuses all for a while: no storm on it, and no exclusion
-/// once it takes them.
+/// A server at its connection limit refuses all connections for a while. It is sent fewer attempts
+/// meanwhile, and is used again once it accepts connections.
 #[test]
 fn refusing_server_is_retried_and_readmitted() {
     let mut fleet = Fleet::new(&settings(), 9);
@@ -343,30 +348,29 @@
         .len();
     assert!(
         tried * 4 < usual * 3,
-        "{tried} attempts while it refuses, {usual} before"
+        "{tried} attempts while it refuses connections, {usual} before"
     );
     fleet.refusing.clear();
-    // Each aggregator hears of it twice a second at most, and believes in it again after several
-    // answers.
+    // Each aggregator tries it at most twice a second and readmits it after several answers.
     fleet.run(27_000 * MS);
     fleet.sent.clear();
     fleet.run(3000 * MS);
-    let back = fleet.sent.get(&ServerId(105)).map_or(0, Vec::len);
+    let readmitted = fleet.sent.get(&ServerId(105)).map_or(0, Vec::len);
     assert!(
-        back * 3 > usual * 2,
-        "{back} parts after it takes them again, {usual} before"
+        readmitted * 3 > usual * 2,
+        "{readmitted} parts after it accepts connections again, {usual} before"
     );
-    let asked = fleet.complete + fleet.partial + fleet.refused;
+    let total = fleet.complete + fleet.partial + fleet.rejected;
     assert!(
-        fleet.refused * 100 < asked,
-        "{} of {asked} refused",
-        fleet.refused
+        fleet.rejected * 100 < total,
+        "{} of {total} rejected",
+        fleet.rejected
     );
 }
 
-/// A hundred that restart together, each with what it had learned itself: the slow are spared from
-/// the first second on, no sound one is flocked to, and a memory that is wrong of every server
-/// brings no storm either.
+/// A hundred aggregators restart together and restore their own statistics. Slow servers are sent
+/// less from the first second on, no healthy server is overloaded, and restored statistics that are
+/// wrong for every server do no harm either.
 #[test]
 fn restarted_gatherers_do_not_herd() {
     let slow: BTreeMap<ServerId, Time> = [104, 111, 117].map(|id| (ServerId(id), 400 * MS)).into();
@@ -383,72 +387,72 @@
             .iter_mut()
             .map(|rig| rig.aggregator.learned(SERVERS as usize))
             .collect();
-        // By what is remembered: the parts that slow servers get in the first second, and the most
-        // that another gets.
+        // Restores the statistics with server ids shifted by `shift`, or nothing. Returns the parts
+        // that slow servers and the busiest other server are sent in the first second, and the
+        // numbers of complete and of all answers.
         let restart = |shift: Option<u32>| {
             let mut fleet = Fleet::new(&settings(), 100 + seed);
             fleet.slow = slow.clone();
-            for (at, memory) in learned.iter().enumerate().filter(|_| shift.is_some()) {
-                let mut memory = memory.clone();
-                for (server, _) in &mut memory.servers {
+            for (at, statistics) in learned.iter().enumerate().filter(|_| shift.is_some()) {
+                let mut statistics = statistics.clone();
+                for (server, _) in &mut statistics.servers {
                     server.0 = 100 + (server.0 - 100 + shift.unwrap_or(0)) % SERVERS;
                 }
-                fleet.turn(at, vec![Event::Restore(std::sync::Arc::new(memory))]);
+                fleet.turn(at, vec![Event::Restore(std::sync::Arc::new(statistics))]);
             }
             fleet.run(1000 * MS);
             let count = |id: &ServerId| fleet.sent.get(id).map_or(0, Vec::len);
-            let spared: usize = slow.keys().map(count).sum();
+            let to_slow: usize = slow.keys().map(count).sum();
             let ids = (0..SERVERS)
                 .map(|c| ServerId(100 + c))
                 .filter(|id| !slow.contains_key(id));
             let most = ids.map(|id| count(&id)).max().unwrap_or(0);
             fleet.run(3000 * MS);
             (
-                spared,
+                to_slow,
                 most,
                 fleet.complete,
-                fleet.complete + fleet.partial + fleet.refused,
+                fleet.complete + fleet.partial + fleet.rejected,
             )
         };
         let (none, own, wrong) = (restart(None), restart(Some(0)), restart(Some(5)));
         eprintln!("seed {seed}: none {none:?}, own {own:?}, wrong {wrong:?}");
         assert!(
             own.0 * 3 < none.0 * 2,
-            "seed {seed}: slow servers get {} parts, {} without memory",
+            "seed {seed}: slow servers are sent {} parts, {} without statistics",
             own.0,
             none.0
         );
-        for told in [own, wrong] {
+        for restored in [own, wrong] {
             assert!(
-                told.1 < 2 * none.1,
-                "seed {seed}: {} parts to one server, {} without memory",
-                told.1,
+                restored.1 < 2 * none.1,
+                "seed {seed}: {} parts to one server, {} without statistics",
+                restored.1,
                 none.1
             );
             let share = |t: (usize, usize, u32, u32)| f64::from(t.2) / f64::from(t.3);
             assert!(
-                share(told) > share(none) - 0.03,
-                "seed {seed}: {told:?} against {none:?}"
+                share(restored) > share(none) - 0.03,
+                "seed {seed}: {restored:?} against {none:?}"
             );
         }
     }
 }
 
-/// What becomes of the calls of so many aggregators when none of them is answered: how many begin
-/// in each second, and the longest that one stays without a call under way. A call that is not
-/// answered takes a second to fail.
-fn calls_unanswered(aggregators: u32, known: bool) -> (Vec<u32>, Time, Vec<Rig>) {
+/// Runs aggregators whose discovery calls all fail after a second. Returns the number of calls that
+/// begin in each second, the longest time of an aggregator between two calls, and the aggregators.
+fn failing_discovery_calls(aggregators: u32, knows_servers: bool) -> (Vec<u32>, Time, Vec<Rig>) {
     let settings = Settings {
         discovery_on_request: true,
         max_list_age: 10_000 * MS,
         aggregators,
-        ..ring(4, 2)
+        ..ring_settings(4, 2)
     };
-    // By aggregator: when its next call fails, and when the last one did.
+    // By aggregator: when its current call fails, if any, and when the last one failed.
     let mut rigs: Vec<(Rig, Option<Time>, Time)> = (0..u64::from(aggregators))
         .map(|seed| {
             let mut rig = Rig::seeded(settings.clone(), seed);
-            if !known {
+            if !knows_servers {
                 rig.turn(
                     0,
                     &[Event::Endpoints {
@@ -487,13 +491,13 @@
     )
 }
 
-/// Found on herd+vast: once its watches were lost discovery was called a hundred times a second for
-/// the rest of the day, answered none, and ninety aggregators went on with the list from before the
-/// release.
+/// After all subscriptions were lost, a hundred aggregators called discovery a hundred times a
+/// second for the rest of the run. It answered none of the calls, and ninety aggregators kept the
+/// endpoint list from before a release.
 #[test]
 fn first_list_backoff_spreads() {
     for (aggregators, bounds) in [(100, 40..=130), (3, 5..=16)] {
-        let (calls, _, mut rigs) = calls_unanswered(aggregators, false);
+        let (calls, _, mut rigs) = failing_discovery_calls(aggregators, false);
         let settled: u32 = calls[20..40].iter().sum();
         assert!(
             calls[20..].iter().max() <= Some(&(aggregators / 4).max(3)),
@@ -503,7 +507,7 @@
             bounds.contains(&(settled / 2)),
             "{settled} calls of {aggregators} in 20 s, not within twice {bounds:?}"
         );
-        // Once the list has come the next failure is the first.
+        // An endpoint list resets the backoff.
         let rig = &mut rigs[0];
         let (kind, entries) = (ListKind::Partial, Vec::new().into());
         rig.turn(
@@ -516,15 +520,15 @@
         rig.turn(1300 * MS, &[Event::Wake]);
         assert!(
             rig.actions.contains(&Action::Watch(true)),
-            "called again within an eighth of the told time"
+            "not called again within an eighth of the maximum list age"
         );
     }
 }
 
-/// Whoever has a list must hear what leaves it 6 s after discovery had it, whatever call failed
-/// before: found on reading, as a fleet of a hundred waited up to 20 s between two calls. The waits
-/// still grow and spread. How long they may be together with what went before is in
-/// `bitternsill/tests/limits.rs`; that allows a hundred no fewer calls than are told here.
+/// Aggregators that have an endpoint list must learn of a removed server within 6 s of discovery,
+/// regardless of failed calls. A fleet of a hundred used to wait up to 20 s between two calls. The
+/// backoff must still grow and spread the calls. `bitternsill/tests/limits.rs` covers the limit of
+/// the total delay, which allows a hundred aggregators no fewer calls than are expected here.
 #[test]
 fn known_list_backoff_spreads() {
     for (aggregators, fewest, most, mean, first) in [
@@ -533,7 +537,7 @@
         (30, 4, 16, 11, 400 * MS),
         (3, 0, 4, 2, 400 * MS),
     ] {
-        let (calls, longest, mut rigs) = calls_unanswered(aggregators, true);
+        let (calls, longest, mut rigs) = failing_discovery_calls(aggregators, true);
         assert!(
             longest <= 2_700 * MS,
             "{aggregators}: {} ms without a call",
@@ -546,10 +550,10 @@
         let least = calls[20..].iter().min().copied().unwrap_or(0);
         assert!(
             least + 1 > fewest / 2,
-            "{aggregators} do not come together: {calls:?}"
+            "{aggregators} aggregators call in bursts: {calls:?}"
         );
-        // A first failure is of a watch, which may have been silent before; a second of a call
-        // behind that.
+        // The first failure is that of the subscription, which may have been unresponsive for a
+        // while before; the second is that of a call after it.
         for rig in &mut rigs {
             rig.turn(
                 MS,
--- a/dispatch/tests/fleet_slow_start.rs
+++ b/dispatch/tests/fleet_slow_start.rs
@@ -1,17 +1,18 @@
-//! Servers that have just started: what each of one aggregator and of many sends them.
+//! What one or many aggregators send to servers that have just started.
 
 mod common;
 use common::*;
 use dispatch::interface::*;
 
-/// A server that the list says has just started gets its share of the told budget and no more.
+/// A server that has just started according to the endpoint list is sent this aggregator's share of
+/// the budget and no more.
 #[test]
 fn warming_server_is_sent_little() {
     let settings = Settings {
         slow_start: 10_000 * MS,
         overload_window: 1000 * MS,
         initial_capacity: 0.2,
-        ..ring(1, 1)
+        ..ring_settings(1, 1)
     };
     let mut rig = Rig::new(Settings {
         overload_multiple: 2.0,
@@ -19,20 +20,20 @@
         ..settings
     });
     rig.warm_up(100 * MS, &[0]);
-    let started_at = Endpoint {
+    let restarted = Endpoint {
         started_at: rig.now,
-        ..entry(100, 0)
+        ..endpoint(100, 0)
     };
     rig.turn(
         0,
         &[Event::Endpoints {
             kind: ListKind::Partial,
-            entries: [started_at].into(),
+            entries: [restarted].into(),
         }],
     );
     let mut sent = 0;
     for _ in 0..9 {
-        rig.ask(MS, &[0]);
+        rig.submit(MS, &[0]);
         sent += rig.sends().len();
         let events: Vec<Event> = rig
             .sends()
@@ -41,36 +42,36 @@
             .collect();
         rig.turn(90 * MS, &events);
     }
-    // 2 x 0.2 x 1 s of work, over two aggregators, is two parts of 100 ms.
+    // 2 x 0.2 x 1 s of work, shared by two aggregators, is two parts of 100 ms.
     assert!((1..=2).contains(&sent), "{sent} parts in its first second");
 }
 
-/// Found on reading: with a ramp but no budget told, the share of a budget was no number, and a new
-/// server got nothing.
+/// With a slow start but no overload window in the settings, the share of the budget was NaN, and a
+/// new server was sent nothing.
 #[test]
 fn no_slow_start_without_budget() {
     let mut rig = Rig::new(Settings {
         slow_start: 10_000 * MS,
-        ..ring(1, 1)
+        ..ring_settings(1, 1)
     });
     rig.warm_up(100 * MS, &[0]);
-    let started_at = Endpoint {
+    let restarted = Endpoint {
         started_at: rig.now,
-        ..entry(100, 0)
+        ..endpoint(100, 0)
     };
     rig.turn(
         0,
         &[Event::Endpoints {
             kind: ListKind::Partial,
-            entries: [started_at].into(),
+            entries: [restarted].into(),
         }],
     );
-    rig.ask(MS, &[0]);
+    rig.submit(MS, &[0]);
     assert_eq!(rig.sends().len(), 1);
 }
 
-/// Found on full-size days: each aggregator's share of a cold server's budget is under one part,
-/// and all sent theirs at once.
+/// In a large fleet each aggregator's share of a cold server's budget is less than one part, and
+/// all aggregators used to send one part at the same time.
 #[test]
 fn aggregators_take_turns_at_warming_server() {
     let all = 40;
@@ -78,7 +79,7 @@
         aggregators: all,
         slow_start: 20_000 * MS,
         overload_window: 1000 * MS,
-        ..ring(1, 1)
+        ..ring_settings(1, 1)
     };
     let settings = Settings {
         initial_capacity: 0.2,
@@ -88,25 +89,25 @@
     let mut sent = 0;
     for seed in 0..u64::from(all) {
         let mut rig = Rig::seeded(settings.clone(), seed);
-        // Together they have the server do ten parts a second.
+        // Together they send the server ten parts a second.
         for _ in 0..12 {
-            rig.ask(3900 * MS, &[0]);
+            rig.submit(3900 * MS, &[0]);
             let (part, server, _) = rig.sends()[0];
             rig.turn(100 * MS, &[ended(part, 0, server, Outcome::Ok, 100 * MS)]);
         }
-        let started_at = Endpoint {
+        let restarted = Endpoint {
             started_at: rig.now,
-            ..entry(100, 0)
+            ..endpoint(100, 0)
         };
         rig.turn(
             0,
             &[Event::Endpoints {
                 kind: ListKind::Partial,
-                entries: [started_at].into(),
+                entries: [restarted].into(),
             }],
         );
         for _ in 0..10 {
-            rig.ask(100 * MS, &[0]);
+            rig.submit(100 * MS, &[0]);
             sent += rig.sends().len();
         }
     }
@@ -117,15 +118,15 @@
     );
 }
 
-/// Found on hand+drain: a shard's last holder came back cold and was sent a third of what it could
-/// bear, as the average host is sent far less than the busiest one shows that a host bears.
+/// A shard's last replica came back cold and was sent a third of its capacity: its share was
+/// derived from the load of the average server, which is far below that of the busiest one.
 #[test]
 fn warming_server_share_follows_busiest_server() {
     let settings = Settings {
         aggregators: 2,
         slow_start: 10_000 * MS,
         overload_window: 1000 * MS,
-        ..ring(8, 1)
+        ..ring_settings(8, 1)
     };
     let settings = Settings {
         initial_capacity: 0.32,
@@ -138,20 +139,20 @@
     let mut sent = 0;
     for round in 0..300 {
         if round == 200 {
-            let started_at = Endpoint {
+            let restarted = Endpoint {
                 started_at: rig.now,
-                ..entry(100, 0)
+                ..endpoint(100, 0)
             };
             rig.turn(
                 0,
                 &[Event::Endpoints {
                     kind: ListKind::Partial,
-                    entries: [started_at].into(),
+                    entries: [restarted].into(),
                 }],
             );
         }
-        // A hundred parts a second at one server; then as many at the one that has just started.
-        rig.ask(5 * MS, &[u32::from(round < 200)]);
+        // A hundred parts a second at one server, then as many at the one that has just started.
+        rig.submit(5 * MS, &[u32::from(round < 200)]);
         let sends = rig.sends();
         sent += if round < 200 { 0 } else { sends.len() };
         let events: Vec<Event> = sends
@@ -160,8 +161,8 @@
             .collect();
         rig.turn(5 * MS, &events);
     }
-    // 3 x 0.32 x 1 s of a hundred a second; one core shared by two, at 105 ms, would be 4 of them,
-    // the average 8.
+    // 3 x 0.32 x 1 s at a hundred a second. One core shared by two aggregators, at 105 ms per part,
+    // would give 4, and the average rate 8.
     assert!(
         (30..=96).contains(&sent),
         "{sent} parts in its first second"
--- a/dispatch/tests/query_deadlines.rs
+++ b/dispatch/tests/query_deadlines.rs
@@ -1,4 +1,4 @@
-//! The time of a query: when it is started, refused or ended.
+//! Deadlines: when queries are started, rejected or ended.
 
 mod common;
 use common::*;
@@ -6,7 +6,7 @@
 
 #[test]
 fn rejects_unsendable_query_in_time() {
-    let mut rig = Rig::new(ring(3, 1));
+    let mut rig = Rig::new(ring_settings(3, 1));
     rig.turn(
         0,
         &[Event::Endpoints {
@@ -14,7 +14,7 @@
             entries: [].into(),
         }],
     );
-    let number = rig.ask(MS, &[0]);
+    let number = rig.submit(MS, &[0]);
     let mut ended = None;
     for _ in 0..2000 {
         rig.turn(MS, &[Event::Wake]);
@@ -29,7 +29,7 @@
     }
     assert!(
         ended.is_some_and(|at| at <= 1001 * MS + 1000 * MS),
-        "ended at its aim: {ended:?}"
+        "not ended within its latency target: {ended:?}"
     );
 }
 
@@ -41,20 +41,20 @@
     };
     let mut rig = Rig::new(Settings {
         classes: vec![class],
-        ..ring(3, 3)
+        ..ring_settings(3, 3)
     });
-    rig.ask(0, &[0]);
+    rig.submit(0, &[0]);
     let (part, server, _) = rig.sends()[0];
     rig.turn(
         5 * MS,
         &[ended(part, 0, server, Outcome::ConnectFailed, 5 * MS)],
     );
-    let (again, second, _) = rig.sends()[0];
-    assert_eq!(again, part, "never ran: another attempt is harmless");
+    let (retried, second, _) = rig.sends()[0];
+    assert_eq!(retried, part, "an attempt that never ran is retried");
     rig.turn(5 * MS, &[ended(part, 1, second, Outcome::Reset, 5 * MS)]);
     assert!(
         rig.actions.iter().any(|a| matches!(a, Action::Fail { .. })),
-        "given up, and said so at once"
+        "the query fails immediately"
     );
     assert!(
         !rig.actions
@@ -63,15 +63,15 @@
     );
 }
 
-/// Found on an incident: a query was started on the servers with room and never finished.
+/// A query used to be started at the servers with capacity and never finished.
 #[test]
 fn starts_all_parts_or_none() {
-    let mut rig = Rig::new(ring(2, 1));
+    let mut rig = Rig::new(ring_settings(2, 1));
     while {
-        rig.ask(0, &[0]);
+        rig.submit(0, &[0]);
         !rig.sends().is_empty()
     } {}
-    rig.ask(0, &[0, 1]);
+    rig.submit(0, &[0, 1]);
     assert_eq!(
         rig.sends(),
         [],
@@ -79,10 +79,10 @@
     );
 }
 
-/// Found on overloaded days: a client's repeat was served as if its aim began anew.
+/// Under overload, clients' retries were served as if their latency target began again.
 #[test]
 fn shortened_retry_is_late() {
-    let mut rig = Rig::new(ring(3, 3));
+    let mut rig = Rig::new(ring_settings(3, 3));
     for _ in 0..20 {
         let (_, events) = rig.query(0, 1800 * MS, &[0]);
         rig.turn(MS, &events);
@@ -97,8 +97,7 @@
     assert_eq!(rig.sends(), []);
 }
 
-/// Found on the small twin of an incident: rule 1 broke when a first step was answered at its last
-/// moment.
+/// A query had no final answer in time if its first step was answered just before the deadline.
 #[test]
 fn two_step_query_ends_in_time() {
     let class = Class {
@@ -110,9 +109,9 @@
     for answered_at in [10 * MS, 997 * MS, 999 * MS] {
         let mut rig = Rig::new(Settings {
             classes: vec![class.clone()],
-            ..ring(3, 2)
+            ..ring_settings(3, 2)
         });
-        let number = rig.ask(0, &[0, 1]);
+        let number = rig.submit(0, &[0, 1]);
         let start = rig.now;
         let sends = rig.sends();
         let mut finals = 0;
@@ -157,14 +156,13 @@
     }
 }
 
-/// Found on incident i6064cb: queries waited until just the median was left, were started, and
-/// timed out.
+/// Queries that waited until only the median latency was left were still started, and timed out.
 #[test]
 fn does_not_start_late_query() {
-    let mut rig = Rig::new(ring(4, 2));
+    let mut rig = Rig::new(ring_settings(4, 2));
     for i in 0..40 {
         // One answer in eight takes 300 ms: the median is 20 ms, the 95th percentile is not.
-        rig.ask(MS, &[i % 4]);
+        rig.submit(MS, &[i % 4]);
         let took = if i % 8 == 0 { 300 * MS } else { 20 * MS };
         let answers: Vec<Event> = rig
             .sends()
@@ -173,7 +171,7 @@
             .collect();
         rig.turn(took, &answers);
     }
-    // A repeat with 1200 of 2000 ms of patience is 800 ms old: 200 ms of its aim are left.
+    // A retry with 1200 ms of the client's 2000 ms is 800 ms old: 200 ms of its target are left.
     let (number, events) = rig.query(0, 1200 * MS, &[0]);
     rig.turn(MS, &events);
     assert_eq!(rig.sends(), []);
@@ -187,16 +185,15 @@
     assert_eq!(rig.sends().len(), 1, "with more time left it is sent");
 }
 
-/// Found on incident i6064cb: first tries of clients with a shorter patience were taken for old
-/// repeats.
+/// First requests of clients with a shorter timeout used to be mistaken for retries.
 #[test]
 fn learns_several_client_timeouts() {
     for retries_marked in [false, true] {
         let mut rig = Rig::new(Settings {
             retries_marked,
-            ..ring(6, 3)
+            ..ring_settings(6, 3)
         });
-        let mut refused = 0;
+        let mut rejected = 0;
         for i in 0..60 {
             let client_timeout = if i >= 20 && i % 3 == 0 {
                 1100 * MS
@@ -205,9 +202,9 @@
             };
             let (number, events) = rig.query(0, client_timeout, &[i % 6]);
             rig.turn(MS, &events);
-            let ended_it =
+            let is_rejection =
                 |a: &Action| matches!(a, Action::Reject { query, .. } if query.0 == number);
-            refused += usize::from(i > 40 && rig.actions.iter().any(ended_it));
+            rejected += usize::from(i > 40 && rig.actions.iter().any(is_rejection));
             let answers: Vec<Event> = rig
                 .sends()
                 .iter()
@@ -215,46 +212,46 @@
                 .collect();
             rig.turn(300 * MS, &answers);
         }
-        assert_eq!(refused, 0, "marked: {retries_marked}");
+        assert_eq!(rejected, 0, "marked: {retries_marked}");
     }
 }
 
-/// Found on full-size days: time-outs at the holders of a popular shard, and every query that
-/// touched it was lost after its other parts had been served.
+/// The replicas of a popular shard timed out, and every query that needed it was lost after its
+/// other parts had been served.
 #[test]
 fn rejects_query_for_hot_shard() {
-    let mut rig = Rig::new(ring(200, 2));
+    let mut rig = Rig::new(ring_settings(200, 2));
     rig.warm_up(20 * MS, &[0, 50, 100]);
-    rig.ask(40 * MS, &[10]);
+    rig.submit(40 * MS, &[10]);
     let (part, server, _) = rig.sends()[0];
     rig.turn(900 * MS, &[ended(part, 0, server, Outcome::Ok, 900 * MS)]);
-    let number = rig.ask(MS, &[10, 60, 110, 160]);
+    let number = rig.submit(MS, &[10, 60, 110, 160]);
     assert_eq!(rig.sends(), []);
     assert!(
         rig.actions
             .iter()
             .any(|a| matches!(a, Action::Reject { query, .. } if query.0 == number))
     );
-    rig.ask(MS, &[60, 110, 160]);
+    rig.submit(MS, &[60, 110, 160]);
     assert_eq!(rig.sends().len(), 3, "other shards are served");
-    rig.ask(4000 * MS, &[10]);
+    rig.submit(4000 * MS, &[10]);
     assert_eq!(
         rig.sends().len(),
         1,
-        "and so is this one when its queue has had time to drain"
+        "the shard is served again when its queue has had time to drain"
     );
 }
 
-/// Clients with little time: a first try is started by a share of its own time, not of its class's
-/// aim.
+/// For clients with a short timeout the time needed to start a first request is a ratio of that
+/// timeout, not of the class's latency target.
 #[test]
 fn starts_first_request_with_short_timeout() {
     let mut rig = Rig::new(Settings {
         retries_marked: true,
-        ..ring(4, 2)
+        ..ring_settings(4, 2)
     });
     for i in 0..40 {
-        rig.ask(MS, &[i % 4]);
+        rig.submit(MS, &[i % 4]);
         let took = if i % 8 == 0 { 300 } else { 60 } * MS;
         let ends: Vec<Event> = rig
             .sends()
--- a/dispatch/tests/rules.rs
+++ b/dispatch/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Arbitrary legal orders of events, from fixed seeds: the six rules hold on every action.
+//! Plays random legal sequences of events, from fixed seeds, and checks every action against the
+//! six rules of the dispatcher.
 
 mod common;
 use common::MS;
@@ -17,7 +18,7 @@
 ];
 /// The id of the first server.
 const FIRST_SERVER: u32 = 50;
-/// How much a sum of weights may fall short of what is asked for.
+/// Tolerance of sums of weights.
 const ROUNDING: f64 = 1e-4;
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
@@ -39,7 +40,7 @@
             class(Effect::Safe, 0.4, 2),
             class(Effect::Keyed, 1.0, 0),
             class(Effect::Unsafe, 1.0, 0),
-            // Any six tenths of the parts make a whole answer.
+            // Any 60 % of the parts are a complete answer.
             Class {
                 need: 0.6,
                 ..class(Effect::Safe, 0.6, 0)
@@ -66,7 +67,6 @@
     }
 }
 
-/// An attempt in flight.
 struct InFlight {
     server: ServerId,
     sent_at: Time,
@@ -88,12 +88,12 @@
     number: u64,
     shard: u32,
     weight: f64,
-    /// When each attempt was sent, and its outcome once it has ended.
+    /// Send time of each attempt, and its outcome once it has ended.
     attempts: Vec<(Time, Option<Outcome>)>,
     is_done: bool,
 }
 
-/// An aggregator among servers and clients that do anything the interface allows. Keeps what is
+/// An aggregator with servers and clients that do anything the interface allows, and the state
 /// needed to check each action against the rules.
 struct Model {
     rng: fastrand::Rng,
@@ -108,16 +108,16 @@
     endpoints: Vec<Endpoint>,
     /// Servers that are draining or removed, and since when.
     draining_since: BTreeMap<ServerId, Time>,
-    /// When an operator last included a server again: its slow start begins then, whatever the
-    /// endpoint list says.
+    /// When an operator last included a server again. Its slow start begins then, regardless of the
+    /// endpoint list.
     included_at: BTreeMap<ServerId, Time>,
     slow_start_sends: BTreeMap<ServerId, VecDeque<Time>>,
     admissions: VecDeque<Time>,
     retries: VecDeque<Time>,
-    /// Queries that were answered in their first step and whose second step follows.
+    /// Queries whose first step was answered and whose second step follows.
     second_steps: Vec<u64>,
-    /// Queries whose clients left in this turn.
-    left: BTreeSet<u64>,
+    /// Queries whose clients disconnected in this turn.
+    disconnected: BTreeSet<u64>,
     final_answers: usize,
 }
 
@@ -127,7 +127,7 @@
         let settings = settings(&mut rng);
         let aggregator = Aggregator::new(settings.clone(), seed);
         let endpoints: Vec<Endpoint> = (0..2 * CELLS)
-            .map(|i| common::entry(FIRST_SERVER + i, i % CELLS))
+            .map(|i| common::endpoint(FIRST_SERVER + i, i % CELLS))
             .collect();
         let events = vec![Event::Endpoints {
             kind: ListKind::Persisted,
@@ -150,7 +150,7 @@
             admissions: VecDeque::new(),
             retries: VecDeque::new(),
             second_steps: Vec::new(),
-            left: BTreeSet::new(),
+            disconnected: BTreeSet::new(),
             final_answers: 0,
         }
     }
@@ -284,7 +284,7 @@
         self.announce(index);
     }
 
-    /// One class changes: its queries keep the index that they know, and new ones get a new one.
+    /// Changes a class. Its open queries keep their index, and new queries get a new one.
     fn reconfigure(&mut self) {
         let classes = &mut self.settings.classes;
         let index = self.rng.usize(0..classes.len());
@@ -313,16 +313,16 @@
             let query = self.queries.get_mut(number).unwrap();
             query.is_over = true;
             self.final_answers += 1;
-            self.left.insert(*number);
+            self.disconnected.insert(*number);
             self.events.push(Event::ClientLeft { id: query.id });
         }
     }
 
-    fn turn(&mut self, takes_queries: bool) {
-        self.left.clear();
+    fn turn(&mut self, begins_queries: bool) {
+        self.disconnected.clear();
         self.end_attempts();
         self.begin_second_steps();
-        if takes_queries && self.rng.u32(0..4) == 0 {
+        if begins_queries && self.rng.u32(0..4) == 0 {
             self.begin_query();
         }
         if self.rng.u32(0..40) == 0 {
@@ -347,7 +347,7 @@
         for query in self.queries.values() {
             assert!(
                 query.is_over || self.now <= query.end,
-                "lost: no final answer in time"
+                "no final answer in time"
             );
         }
         let is_slow_turn = self.rng.u32(0..200) == 0;
@@ -366,17 +366,16 @@
                 self.begin_attempt(part, server, until);
             }
             Action::Cancel { part, attempt } => {
-                assert!(self.settings.can_cancel, "cancels are not allowed");
+                assert!(self.settings.can_cancel, "cancellation is not allowed");
                 if let Some(attempt) = self.in_flight.get_mut(&(part, attempt)) {
                     (attempt.outcome, attempt.ends_at) = (Outcome::Cancelled, self.now);
                 }
             }
-            // The client left in this very turn, after the event that ended the query: too late to
-            // matter.
+            // The client disconnected in the same turn, after the event that ended the query.
             Action::Answer { query, .. }
             | Action::Reject { query, .. }
             | Action::Fail { query }
-                if self.left.contains(&query.0) => {}
+                if self.disconnected.contains(&query.0) => {}
             Action::Answer { query, complete } => self.check_answer(query, complete),
             Action::Reject { query, .. } => {
                 self.end_query(query);
@@ -387,13 +386,13 @@
         }
     }
 
-    /// Whether a server may be sent an attempt now: by its status, and by its slow start.
+    /// Checks that a server may be sent an attempt now, by its status and its slow start.
     fn check_server(&mut self, server: ServerId) {
         let (now, settings) = (self.now, &self.settings);
         let endpoint = self.endpoints.iter().find(|e| e.server == server).unwrap();
-        assert!(!endpoint.excluded, "sent to a server that is excluded");
-        // A server of one core, parts of 40 ms, this aggregator's half, and half as much for
-        // chance.
+        assert!(!endpoint.excluded, "sent to an excluded server");
+        // The server has one core and parts take 40 ms. This aggregator's share is a half, and half
+        // of that is tolerated in addition, for chance.
         let included_at = self.included_at.get(&server).copied().unwrap_or(0);
         let started_at = endpoint.started_at.max(included_at);
         if started_at > 0 && now < started_at + settings.slow_start {
@@ -412,19 +411,22 @@
             );
         }
         let since = self.draining_since.get(&server).copied().unwrap_or(now);
-        assert!(now <= since + settings.drain_grace, "drain");
+        assert!(
+            now <= since + settings.drain_grace,
+            "sent to a draining server"
+        );
     }
 
-    /// Whether a part may be sent now, and to this server.
+    /// Checks that a part may be sent to this server now.
     fn check_attempt(&mut self, id: PartId, server: ServerId, until: Time) {
         let now = self.now;
         let part = &self.parts[&id];
         let query = &self.queries[&part.number];
         assert!(
             !query.is_over && !part.is_done,
-            "lost: a send for something finished"
+            "sent after the part or the query had ended"
         );
-        assert!(until <= query.end, "an attempt outlives its client");
+        assert!(until <= query.end, "the deadline is after the client's");
         let offset = (server.0 - FIRST_SERVER + CELLS - part.shard) % CELLS;
         assert!(
             offset < self.settings.replication_factor,
@@ -436,7 +438,10 @@
         let first_run = part.attempts.iter().find(may_have_run).map(|a| a.0);
         match class.effect {
             Effect::Safe => {}
-            Effect::Keyed => assert!(first_run.is_none_or(|at| now <= at + 150 * MS), "keyed"),
+            Effect::Keyed => assert!(
+                first_run.is_none_or(|at| now <= at + 150 * MS),
+                "key expired"
+            ),
             Effect::Unsafe => assert_eq!(first_run, None, "unsafe part sent twice"),
         }
         let in_flight = part.attempts.iter().filter(|a| a.1.is_none()).count();
@@ -451,7 +456,7 @@
             self.retries.retain(|at| at + budget.window >= now);
             self.admissions.retain(|at| at + budget.window > now);
             let most = budget.free as f64 + budget.ratio * self.admissions.len() as f64;
-            assert!(self.retries.len() as f64 <= most, "budget");
+            assert!(self.retries.len() as f64 <= most, "retry budget exceeded");
         }
     }
 
@@ -483,10 +488,10 @@
         let class = &self.settings.classes[query.class];
         let parts = query.parts.iter().map(|p| &self.parts[p]);
         let weight: f64 = parts.filter(|p| p.is_done).map(|p| p.weight).sum();
-        assert!(weight >= class.floor - ROUNDING, "under the floor");
+        assert!(weight >= class.floor - ROUNDING, "weight below the floor");
         assert!(
             !is_complete || weight >= class.need - ROUNDING,
-            "marked complete and is not"
+            "marked complete but is not"
         );
         assert!(
             !is_complete || query.step == 1 || query.first_step_complete,
@@ -508,7 +513,7 @@
         self.final_answers += 1;
     }
 
-    /// A client takes a rejected query for harmless to retry.
+    /// Checks that a rejected query is safe to retry.
     fn check_rejection(&self, id: QueryId) {
         let query = &self.queries[&id.0];
         if self.settings.classes[query.class].effect != Effect::Unsafe {
@@ -520,12 +525,12 @@
         };
         assert!(
             !query.parts.iter().any(may_have_run),
-            "rejected though a part may have run"
+            "rejected although a part may have run"
         );
     }
 }
 
-/// Plays a run and returns how many queries it had.
+/// Plays a run and returns the number of its queries.
 fn run(seed: u64) -> usize {
     let mut model = Model::new(seed);
     for turn in 0..1500 {
@@ -544,6 +549,6 @@
     let queries: usize = (0..40).map(run).sum();
     assert!(
         queries > 5000,
-        "{queries} queries are enough to mean something"
+        "{queries} queries are too few for this test"
     );
 }
--- a/dispatch/tests/slow_start.rs
+++ b/dispatch/tests/slow_start.rs
@@ -1,190 +1,204 @@
-//! What many aggregators that share nothing send one cold server in all, also after a lull and told
-//! late.
+//! The total that many independent aggregators send to a cold server, also after an idle time and
+//! with a late update of the endpoint list.
 
 mod common;
 use common::*;
 use dispatch::interface::*;
 
-const TOOK: Time = 100 * MS;
-const RAMP: Time = 20_000 * MS;
-const FALL: Time = 1000 * MS;
-const START_CAPACITY: f64 = 0.2;
+const LATENCY: Time = 100 * MS;
+const SLOW_START: Time = 20_000 * MS;
+const OVERLOAD_WINDOW: Time = 1000 * MS;
+const INITIAL_CAPACITY: f64 = 0.2;
 
-/// So many aggregators that have all learned how long a part takes, before one server for all
-/// shards, of which each asks this seldom.
-fn aggregators(all: u32, overload_multiple: f64, every: Time, seed: u64) -> Vec<Rig> {
+/// `count` aggregators that have learned the latency of parts at the only server, each from one
+/// query per `interval`.
+fn aggregators(count: u32, overload_multiple: f64, interval: Time, seed: u64) -> Vec<Rig> {
     let settings = Settings {
-        aggregators: all,
-        slow_start: RAMP,
-        overload_window: FALL,
-        ..ring(1, 1)
+        aggregators: count,
+        slow_start: SLOW_START,
+        overload_window: OVERLOAD_WINDOW,
+        ..ring_settings(1, 1)
     };
     let settings = Settings {
-        initial_capacity: START_CAPACITY,
+        initial_capacity: INITIAL_CAPACITY,
         overload_multiple,
         ..settings
     };
     let rig = |at| {
         let mut rig = Rig::seeded(settings.clone(), seed * 1000 + u64::from(at));
-        // Too seldom to show that a server bears more than one core's work.
+        // Too few to show that a server sustains more than one core's work.
         for _ in 0..12 {
-            rig.ask(every - TOOK, &[0]);
+            rig.submit(interval - LATENCY, &[0]);
             let (part, server, _) = rig.sends()[0];
-            rig.turn(TOOK, &[ended(part, 0, server, Outcome::Ok, TOOK)]);
+            rig.turn(LATENCY, &[ended(part, 0, server, Outcome::Ok, LATENCY)]);
         }
         rig
     };
-    (0..all).map(rig).collect()
+    (0..count).map(rig).collect()
 }
 
-/// The server is back cold, and `later` all learn of it; each then has a query this often, from a
-/// moment of its own on, for three of the told times. When something was sent, counted from the
-/// server's start.
-fn burst(mut rigs: Vec<Rig>, later: Time, every: Time, seed: u64) -> Vec<Time> {
+/// Restarts the server, and lets the aggregators learn of it after half of `idle_time`. After
+/// `idle_time` each of them has a query per `interval`, at a random phase, for three overload
+/// windows. Returns the times of all attempts since the server's start.
+fn burst(mut rigs: Vec<Rig>, idle_time: Time, interval: Time, seed: u64) -> Vec<Time> {
     let (mut sent, mut rng) = (Vec::new(), fastrand::Rng::with_seed(seed));
     for rig in &mut rigs {
         let start = rig.now;
-        let started_at = Endpoint {
+        let restarted = Endpoint {
             started_at: start,
-            ..entry(100, 0)
+            ..endpoint(100, 0)
         };
         rig.turn(
-            later / 2,
+            idle_time / 2,
             &[Event::Endpoints {
                 kind: ListKind::Partial,
-                entries: [started_at].into(),
+                entries: [restarted].into(),
             }],
         );
-        rig.turn(later - later / 2, &[Event::Wake]);
+        rig.turn(idle_time - idle_time / 2, &[Event::Wake]);
         let begin = rig.now;
-        let mut next = rng.u64(..every);
-        while next < 3 * FALL {
-            rig.ask((begin + next).saturating_sub(rig.now), &[0]);
+        let mut next = rng.u64(..interval);
+        while next < 3 * OVERLOAD_WINDOW {
+            rig.submit((begin + next).saturating_sub(rig.now), &[0]);
             let events: Vec<Event> = rig
                 .sends()
                 .iter()
-                .map(|s| ended(s.0, 0, s.1, Outcome::Ok, TOOK))
+                .map(|s| ended(s.0, 0, s.1, Outcome::Ok, LATENCY))
                 .collect();
             sent.extend(rig.sends().iter().map(|_| rig.now - start));
             rig.turn(0, &events);
-            next += every / 2 + rng.u64(..every);
+            next += interval / 2 + rng.u64(..interval);
         }
     }
     sent.sort_unstable();
     sent
 }
 
-/// What is sent within any one of the told times, over what may be chance, at the most; and how
-/// much is sent in all of what is allowed. A case: how many aggregators, the told multiple, how
-/// often each usually asks, the lull, and how often it asks then.
-fn most_and_used(cases: &[(u32, f64, Time, Time, Time)]) -> (f64, f64) {
-    let (mut most, mut total, mut budgets) = (0.0_f64, 0, 0.0);
-    for &(all, overload_multiple, every, lull, then) in cases {
+/// Checks that the attempts within any overload window stay within the budget plus two standard
+/// deviations. Returns the highest ratio of that limit, and the ratio of the total budget that is
+/// used. A case consists of the number of aggregators, the overload multiple, the usual interval of
+/// queries, the idle time, and the interval of queries in the burst.
+fn peak_and_utilization(cases: &[(u32, f64, Time, Time, Time)]) -> (f64, f64) {
+    let (mut peak, mut total, mut budgets) = (0.0_f64, 0, 0.0);
+    for &(count, overload_multiple, interval, idle_time, burst_interval) in cases {
         for seed in 0..8 {
             let sent = burst(
-                aggregators(all, overload_multiple, every, seed),
-                lull,
-                then,
+                aggregators(count, overload_multiple, interval, seed),
+                idle_time,
+                burst_interval,
                 seed,
             );
             for (at, first) in sent.iter().enumerate() {
-                let within = sent[at..].iter().take_while(|t| **t < first + FALL).count() as f64;
-                let age = (first + FALL / 2) as f64 / RAMP as f64;
-                let capacity = START_CAPACITY + (1.0 - START_CAPACITY) * age;
-                let budget = overload_multiple * capacity * (FALL as f64 / TOOK as f64);
+                let within = sent[at..]
+                    .iter()
+                    .take_while(|t| **t < first + OVERLOAD_WINDOW)
+                    .count() as f64;
+                let age = (first + OVERLOAD_WINDOW / 2) as f64 / SLOW_START as f64;
+                let capacity = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age;
+                let budget =
+                    overload_multiple * capacity * (OVERLOAD_WINDOW as f64 / LATENCY as f64);
                 let limit = budget + 2.0 * budget.sqrt() + 2.0;
                 assert!(
                     within <= limit,
-                    "{all} aggregators, {overload_multiple}, seed {seed}: {within} where {limit:.1} may be chance"
+                    "{count} aggregators, seed {seed}: {within} attempts, limit {limit:.1}"
                 );
-                most = most.max(within / limit);
+                peak = peak.max(within / limit);
             }
             total += sent.len();
-            let age = (lull + 1500 * MS) as f64 / RAMP as f64;
-            budgets +=
-                3.0 * overload_multiple * (START_CAPACITY + (1.0 - START_CAPACITY) * age) * 10.0;
+            let age = (idle_time + 1500 * MS) as f64 / SLOW_START as f64;
+            budgets += 3.0
+                * overload_multiple
+                * (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age)
+                * 10.0;
         }
     }
     let used = total as f64 / budgets;
-    println!("used {used:.2} of what is allowed, {most:.2} of the limit at most");
-    (most, used)
+    println!("used {used:.2} of the budget, at most {peak:.2} of the limit");
+    (peak, used)
 }
 
-/// Found on reading: with a share of a seventh of a part, each of thirty aggregators had saved two
-/// up over a lull, and a burst sent them all at once.
+/// With a share of a seventh of a part, each of thirty aggregators saved up two parts while idle,
+/// and all of them sent these in a burst.
 #[test]
-fn no_saved_parts_after_lull() {
-    let (often, then) = (4000 * MS, 100 * MS);
+fn unused_quota_is_not_saved_while_idle() {
+    let (interval, burst_interval) = (4000 * MS, 100 * MS);
     let cases = [
         (30, 1.0, 2500 * MS),
         (30, 1.5, 4000 * MS),
         (20, 0.8, 6000 * MS),
     ];
-    let (_, used) =
-        most_and_used(&cases.map(|(all, multiple, lull)| (all, multiple, often, lull, then)));
+    let (_, used) = peak_and_utilization(&cases.map(|(count, multiple, idle_time)| {
+        (count, multiple, interval, idle_time, burst_interval)
+    }));
     assert!(
         used > 0.35,
-        "a cold server is left idle: {used:.2} of what it is allowed"
+        "a cold server is sent too little: {used:.2} of its budget"
     );
 }
 
-/// Found on reading: where each usually asks for less than its share two parts were saved up at
-/// each, and a burst, however large, or one of half as much again for long, brought them out.
+/// Aggregators that usually send less than their share saved up two parts each, and sent them in a
+/// large burst or in a longer one of 1.5 times the usual rate.
 #[test]
-fn no_saved_parts_at_rare_queries() {
-    let (any, more) = (100 * MS, 2667 * MS);
+fn unused_quota_is_not_saved_at_low_rate() {
+    let (large, higher) = (100 * MS, 2667 * MS);
     let cases = [
-        (24, 5.0, 4000 * MS, 2500 * MS, any),
-        (20, 4.0, 4000 * MS, 4000 * MS, any),
-        (30, 4.0, 4000 * MS, 2500 * MS, more),
-        (30, 3.0, 4000 * MS, 6000 * MS, more),
+        (24, 5.0, 4000 * MS, 2500 * MS, large),
+        (20, 4.0, 4000 * MS, 4000 * MS, large),
+        (30, 4.0, 4000 * MS, 2500 * MS, higher),
+        (30, 3.0, 4000 * MS, 6000 * MS, higher),
     ];
-    let (most, used) = most_and_used(&cases);
+    let (peak, used) = peak_and_utilization(&cases);
     assert!(
         used > 0.35,
-        "a cold server is left idle: {used:.2} of what it is allowed"
+        "a cold server is sent too little: {used:.2} of its budget"
+    );
+    assert!(
+        peak > 0.5,
+        "the burst is too small for this test: {peak:.2} of the limit"
     );
-    assert!(most > 0.5, "nothing was probed: {most:.2} of the limit");
 }
 
-/// Found on reading: where a burst of half as much again is too much, each went on sending two
-/// parts that it had saved up.
+/// In a fleet so large that a burst of 1.5 times the usual rate exceeds the budget, each aggregator
+/// still sent two parts that it had saved up.
 #[test]
 fn large_fleet_limits_burst_in_slow_start() {
-    let (lull, often, more) = (2500 * MS, 10_000 * MS, 6667 * MS);
+    let (idle_time, interval, higher) = (2500 * MS, 10_000 * MS, 6667 * MS);
     let cases = [
-        (100, 4.0, often, lull, more),
-        (100, 3.4, often, lull, more),
-        (100, 3.4, often, 4000 * MS, more),
+        (100, 4.0, interval, idle_time, higher),
+        (100, 3.4, interval, idle_time, higher),
+        (100, 3.4, interval, 4000 * MS, higher),
     ];
-    let (most, used) = most_and_used(&cases);
+    let (peak, used) = peak_and_utilization(&cases);
     assert!(
         used > 0.35,
-        "a cold server is left idle: {used:.2} of what it is allowed"
+        "a cold server is sent too little: {used:.2} of its budget"
+    );
+    assert!(
+        peak > 0.5,
+        "the burst is too small for this test: {peak:.2} of the limit"
     );
-    assert!(most > 0.5, "nothing was probed: {most:.2} of the limit");
 }
 
-/// Whether an aggregator of so many sends a cold server a second part within the told time.
-fn sends_two(all: u32, overload_multiple: f64, every: Time) -> bool {
-    let rig = &mut aggregators(all, overload_multiple, every, 0)[0];
-    let started_at = Endpoint {
+/// Whether one of `count` aggregators sends a cold server a second part within the overload window.
+fn sends_two(count: u32, overload_multiple: f64, interval: Time) -> bool {
+    let rig = &mut aggregators(count, overload_multiple, interval, 0)[0];
+    let restarted = Endpoint {
         started_at: rig.now,
-        ..entry(100, 0)
+        ..endpoint(100, 0)
     };
     rig.turn(
         2500 * MS,
         &[Event::Endpoints {
             kind: ListKind::Partial,
-            entries: [started_at].into(),
+            entries: [restarted].into(),
         }],
     );
     let mut sends = || {
-        rig.ask(TOOK, &[0]);
+        rig.submit(LATENCY, &[0]);
         let events: Vec<_> = rig
             .sends()
             .iter()
-            .map(|s| ended(s.0, 0, s.1, Outcome::Ok, TOOK))
+            .map(|s| ended(s.0, 0, s.1, Outcome::Ok, LATENCY))
             .collect();
         rig.turn(0, &events);
         events.len()
@@ -193,13 +207,14 @@
     sends() == 1
 }
 
-/// Found by playing: a hundred aggregators, of which one part each is no chance already, left a
-/// cold server idle where one query has two parts for it. Of two dozen one part each is within
-/// chance, and two are not.
+/// If one part from each of a hundred aggregators already exceeds the budget plus two standard
+/// deviations, an aggregator may send two, as not all of them send at once. They used to leave the
+/// server idle. With 24 aggregators one part from each is within that limit and two are not, so
+/// each sends only one.
 #[test]
-fn second_part_at_once_only_if_harmless() {
+fn second_part_within_window_only_if_budget_allows() {
     assert!(sends_two(100, 10.0, 10_000 * MS));
     assert!(!sends_two(24, 5.0, 4000 * MS));
-    // Two of each are within chance.
+    // Two parts from each aggregator are within the limit.
     assert!(sends_two(12, 5.2, 2000 * MS));
 }
--- a/dispatch/tests/wire.rs
+++ b/dispatch/tests/wire.rs
@@ -1,8 +1,8 @@
-//! The codec: what is understood, and what is named when a line is malformed.
+//! The codec of the simulator's line protocol: valid lines, and the errors for malformed ones.
 
 use dispatch::wire::{Host, read_settings};
 
-const INFO: &str = r#"{"request_classes": [{"target": 1000000000, "deadline": 2000000000, "effect": "read_like"}],
+const SETTINGS: &str = r#"{"request_classes": [{"target": 1000000000, "deadline": 2000000000, "effect": "read_like"}],
     "extra": {"sets": 2, "in_a_row": 2, "never_heard_of": [1, {"a": null}]}, "limits": {"cancel": true,
     "max_attempts": 3, "second_copies": true, "streams_per_conn": 7}, "guarantees": {}, "tick": 5000000,
     "a_new_key": "skipped"}"#;
@@ -10,7 +10,7 @@
 fn init() -> String {
     format!(
         "INIT random_seed=18446744073709551615 boot_info={}",
-        INFO.replace('\n', " ")
+        SETTINGS.replace('\n', " ")
     )
 }
 
@@ -147,14 +147,14 @@
         "EOF_BATCH",
     ];
     assert_eq!(feed(&mut host, &lines).unwrap(), "READY turn=3\n");
-    let gone = [
+    let after_stop = [
         "FRAME now=400 turn=4",
         "SELECT who=aggregator_0",
         "STOP",
         "RING label=x",
     ];
     assert_eq!(
-        feed(&mut host, &gone).unwrap_err(),
+        feed(&mut host, &after_stop).unwrap_err(),
         "line 23: RING: unknown instance `aggregator_0`"
     );
 }
@@ -229,11 +229,11 @@
             "line 11: INIT: field `boot_info` is not JSON",
         ),
     ];
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let mut host = started();
         let lines: Vec<&str> = text.split('\n').collect();
-        let problem = feed(&mut host, &lines).unwrap_err();
-        assert!(problem.starts_with(wanted), "{text}: {problem}");
+        let error = feed(&mut host, &lines).unwrap_err();
+        assert!(error.starts_with(expected), "{text}: {error}");
     }
 }
 
@@ -249,7 +249,7 @@
 
 #[test]
 fn settings_skip_unknown_keys() {
-    let settings = read_settings(INFO).unwrap();
+    let settings = read_settings(SETTINGS).unwrap();
     assert_eq!(
         (
             settings.cells,
@@ -259,9 +259,9 @@
         (2, 2, 3)
     );
     assert_eq!(settings.budget, None);
-    let bad = INFO.replace("\"target\": 1000000000", "\"target\": \"soon\"");
+    let invalid = SETTINGS.replace("\"target\": 1000000000", "\"target\": \"soon\"");
     assert_eq!(
-        read_settings(&bad).unwrap_err().to_string(),
+        read_settings(&invalid).unwrap_err().to_string(),
         "INIT: setting `boot_info.request_classes[0].target` is not a non-negative number"
     );
 }
--- a/dispatch/tests/wire_format.rs
+++ b/dispatch/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! Pins what stands on the simulator's wire: the settings' names and the form of every reply line.
+//! Pins the names of the settings and the format of every reply line of the simulator's protocol.
 
 use dispatch::interface::{Budget, Effect};
 use dispatch::wire::{Host, read_settings};
@@ -60,12 +60,12 @@
     assert_eq!(unkeyed.effect, Effect::Unsafe);
 }
 
-/// Plays a session against a host. Attempts end in `outcomes` by chance; gives every reply line.
+/// Plays a session with random outcomes against a host. Returns all reply lines.
 fn session(seed: u64, turns: u64) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut host = Host::new();
     let (mut now, mut next_id, mut replies) = (1_000_000_000u64, 1u64, Vec::new());
-    // Attempts in flight, by part and attempt: the server, when sent and when they end.
+    // Attempts in flight, by part and attempt: the server, the send time and the end time.
     let mut in_flight: BTreeMap<(u64, u64), (u64, u64, u64)> = BTreeMap::new();
     let mut attempts: BTreeMap<u64, u64> = BTreeMap::new();
     let mut probed: Vec<u64> = Vec::new();
@@ -137,7 +137,8 @@
                 next_id += 1;
             }
         }
-        // Every other 200 turns are slow, with few queries: evidence is thin and connections idle.
+        // Every other 400 turns have few and slow queries, so that probes are sent and connections
+        // are idle.
         let is_slow = turn / 400 % 2 == 0;
         if turn > 1
             && if is_slow {
@@ -199,7 +200,7 @@
 
 #[test]
 fn reply_lines_keep_their_form() {
-    // Every number as #: what is decided is free, how it is written is not.
+    // Numbers are replaced by #, as only the format is checked and not the decisions.
     let form = |line: &String| -> String {
         let text = line.replace(|c: char| c.is_ascii_digit(), "#");
         let mut short = String::new();
