--- a/dispatch/tests/second_deployment.rs
+++ b/dispatch/tests/second_deployment.rs
@@ -449,8 +449,8 @@
 }
 
 /// A crashed server that is still in the endpoint list refuses connections and is therefore always
-/// idle. As its shard's other server had no capacity, a part was sent there three times within 15
-/// ms, and its query was rejected.
+/// idle. As its shard's other server had no capacity, a part was sent there three times within
+/// 15 ms, and its query was rejected.
 #[test]
 fn refusing_server_uses_up_no_attempts() {
     let dead = |server: ServerId, _| match server.0 {
--- a/routing/src/admission.rs
+++ b/routing/src/admission.rs
@@ -1,37 +1,38 @@
 //! Admission control: rejects requests early when their service is overloaded.
 //!
-//! A router estimates by Little's law how long a request would wait at the service: the work that
-//! was sent there and whose response has not begun, by the rate at which such work began of late.
-//! That follows a surge as soon as more is sent than begins, before any response is late.
+//! A router estimates the wait of a request at the service by Little's law: the outstanding work,
+//! whose responses have not begun, divided by the recent rate at which responses begin. The
+//! estimate rises with a surge as soon as more work is sent than begins, before any response is
+//! late.
 //!
-//! A queue that comes and goes with a short burst is served. Requests are rejected only while a
-//! queue stands, that is while the shortest wait of the last moments is long too, as in CoDel
-//! (Nichols and Jacobson, "Controlling Queue Delay", 2012). All routers observe the same backends,
-//! so they converge without coordination.
+//! Short bursts are absorbed by the queue. Requests are rejected only during a standing queue, that
+//! is while even the shortest recent wait is long, as in CoDel (Nichols and Jacobson, "Controlling
+//! Queue Delay", 2012). All routers observe the same backends, so they converge without
+//! coordination.
 
 use crate::Millis;
 use std::collections::{HashMap, VecDeque};
 
-/// Responses that began within this time determine the rate.
+/// Window over which the rate is measured.
 const RATE_WINDOW: Millis = 1_000;
-/// The highest rate fades with this time constant: after a lull the rate is low as little was sent,
-/// not as the service became slower.
-const RATE_MEMORY: Millis = 4_000;
-/// Fewer requests in flight are no queue.
+/// Time constant with which the highest rate decays. After an idle period the measured rate is low
+/// because little was sent, not because the service became slower.
+const RATE_DECAY_TIME: Millis = 4_000;
+/// With fewer requests in flight the wait is assumed to be zero.
 const MIN_QUEUE: usize = 4;
-/// A request whose wait would be longer than this ratio of its latency target is rejected, if the
-/// queue stands. The rest of the target is for the work itself and for errors of the estimate.
+/// During a standing queue a request is rejected if its wait would exceed this ratio of its latency
+/// target. The rest of the target is left for the work itself and for errors of the estimate.
 const MAX_WAIT_RATIO: f64 = 0.6;
-/// The wait is not estimated to be longer than what was waited of late, times this: the rate of a
-/// router that sent little says little about what the service can do.
-const MAX_GROWTH: f64 = 2.0;
-/// A queue stands while the wait does not fall below this ratio of the latency target.
+/// Upper bound of the estimated wait, as a multiple of the waits observed recently. The measured
+/// rate underestimates the service's capacity if the router sent little.
+const MAX_WAIT_GROWTH: f64 = 2.0;
+/// A queue is standing while the wait does not fall below this ratio of the latency target.
 const STANDING_RATIO: f64 = MAX_WAIT_RATIO / 3.0;
-/// It has stood for long enough after the latency target divided by this: what is to be rejected
-/// should learn so within that time.
+/// A queue must have been standing for the latency target divided by this before requests are
+/// rejected. Clients of rejected requests should be informed within their latency target.
 const STANDING_DIVISOR: Millis = 4;
-/// Waits are remembered for this long.
-const WAIT_MEMORY: Millis = 1_000;
+/// Window over which estimated waits are kept.
+const WAIT_WINDOW: Millis = 1_000;
 
 /// Identifies a request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -44,7 +45,7 @@
     work: u64,
 }
 
-/// A sample at a moment.
+/// A sample with its time.
 #[derive(Debug, Clone, Copy)]
 struct Sample<T> {
     at: Millis,
@@ -66,12 +67,12 @@
     last_latency: Millis,
     /// The highest recent rate, in work per millisecond.
     highest_rate: Option<Sample<f64>>,
-    /// The estimated waits of the last moments, in milliseconds.
+    /// Recent estimates of the wait, in milliseconds.
     waits: VecDeque<Sample<f64>>,
 }
 
 impl AdmissionController {
-    /// Records a request with this much work that was sent.
+    /// Records that a request was sent.
     pub fn record_sent(&mut self, work: u64, now: Millis) -> InFlightId {
         let id = InFlightId(self.next_id);
         self.next_id += 1;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Removes a request that ended without a response that says anything about the load.
+    /// Removes a request that ended without a response that is evidence of the load.
     pub fn discard(&mut self, id: InFlightId) {
         self.remove(id);
     }
@@ -103,19 +104,18 @@
         Some(request)
     }
 
-    /// Whether to reject a request with this much work and latency target: it would wait for too
-    /// long, and the queue stands.
+    /// Returns whether to reject a request, because it would wait too long in a standing queue.
     pub fn should_reject(&mut self, work: u64, latency_target: Millis, now: Millis) -> bool {
         self.record_wait(now);
         let target = latency_target as f64;
-        let stands_since = now.saturating_sub(latency_target / STANDING_DIVISOR);
-        let recent = self.waits.iter().filter(|wait| wait.at >= stands_since);
+        let standing_since = now.saturating_sub(latency_target / STANDING_DIVISOR);
+        let recent = self.waits.iter().filter(|wait| wait.at >= standing_since);
         let shortest = recent.map(|wait| wait.value).fold(f64::INFINITY, f64::min);
         shortest > STANDING_RATIO * target && self.wait(work, now) > MAX_WAIT_RATIO * target
     }
 
     fn record_wait(&mut self, now: Millis) {
-        let oldest = now.saturating_sub(WAIT_MEMORY);
+        let oldest = now.saturating_sub(WAIT_WINDOW);
         while self.waits.front().is_some_and(|wait| wait.at < oldest) {
             self.waits.pop_front();
         }
@@ -123,7 +123,7 @@
         self.waits.push_back(Sample { at: now, value });
     }
 
-    /// The estimated wait of a request with this much work, in milliseconds.
+    /// The estimated wait of a request, in milliseconds.
     fn wait(&mut self, work: u64, now: Millis) -> f64 {
         if self.in_flight.len() < MIN_QUEUE {
             return 0.0;
@@ -134,10 +134,10 @@
             return longest;
         }
         let by_rate = (self.pending_work + work) as f64 / rate;
-        by_rate.min(MAX_GROWTH * longest.max(self.last_latency as f64))
+        by_rate.min(MAX_WAIT_GROWTH * longest.max(self.last_latency as f64))
     }
 
-    /// How much work begins per millisecond.
+    /// The rate at which responses begin, in work per millisecond.
     fn rate(&mut self, now: Millis) -> f64 {
         let oldest = now.saturating_sub(RATE_WINDOW);
         while self.begun.front().is_some_and(|begun| begun.at < oldest) {
@@ -145,17 +145,17 @@
         }
         let begun: u64 = self.begun.iter().map(|begun| begun.value).sum();
         let current = begun as f64 / RATE_WINDOW as f64;
-        let faded = self.highest_rate.map_or(0.0, |highest| {
+        let decayed = self.highest_rate.map_or(0.0, |highest| {
             let age = now.saturating_sub(highest.at) as f64;
-            highest.value * (-age / RATE_MEMORY as f64).exp()
+            highest.value * (-age / RATE_DECAY_TIME as f64).exp()
         });
-        if current >= faded {
+        if current >= decayed {
             self.highest_rate = Some(Sample {
                 at: now,
                 value: current,
             });
         }
-        current.max(faded)
+        current.max(decayed)
     }
 
     /// The age of the oldest request in flight.
--- a/routing/src/hash_ring.rs
+++ b/routing/src/hash_ring.rs
@@ -1,9 +1,9 @@
-//! Consistent hashing (Karger et al., 1997) with virtual nodes: maps keys to members so that each
-//! member owns about as many keys as the others, and a membership change moves few keys.
+//! Consistent hashing (Karger et al., 1997) with virtual nodes: distributes keys evenly over
+//! members, and moves few keys when the membership changes.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Virtual nodes of a member.
+/// Number of virtual nodes per member.
 const VIRTUAL_NODES: u64 = 16;
 
 /// A hash ring. Routers that know the same members compute the same owner for each key.
--- a/routing/src/hedging.rs
+++ b/routing/src/hedging.rs
@@ -1,13 +1,12 @@
-//! Limits how many hedged requests are sent.
+//! Limits the number of hedged requests ("The Tail at Scale", Dean and Barroso, 2013).
 //!
-//! When a request is hedged follows from [`LatencyEstimate`], the latency estimate that routers
-//! share with the gatherer ("The Tail at Scale", Dean and Barroso, 2013).
+//! The hedge delay is determined by [`LatencyEstimate`], which the gatherer uses too.
 
 pub use dispatch::dispatcher::LatencyEstimate;
 
-/// Hedges that each first attempt adds to the budget.
+/// Tokens that each first attempt adds to the budget.
 const HEDGES_PER_REQUEST: f64 = 0.1;
-/// Largest number of hedges that may be saved up.
+/// Maximum number of saved tokens.
 const MAX_SAVED_HEDGES: f64 = 4.0;
 
 /// A token bucket of hedged requests, refilled by first attempts.
@@ -23,7 +22,7 @@
 }
 
 impl HedgeBudget {
-    /// Adds the share of a first attempt.
+    /// Adds the tokens that a first attempt earns.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + HEDGES_PER_REQUEST).min(MAX_SAVED_HEDGES);
     }
--- a/routing/src/idle_limit.rs
+++ b/routing/src/idle_limit.rs
@@ -1,14 +1,14 @@
 //! Limits the idle time of pooled connections that carry non-idempotent requests.
 //!
-//! Backends may drop idle connections without closing them. The next request on such a connection
-//! is reset, and the router can't tell whether it was executed. Once that happens, requests that
-//! must not be retried only use connections that were idle for a shorter time, for a while.
+//! Idle connections may be dropped without being closed. The next request on such a connection is
+//! reset, and the router can't tell whether it was executed. After such a reset, non-idempotent
+//! requests temporarily use only connections that were idle for a shorter time.
 
 use crate::Millis;
 
-/// How long a limit applies after the last stale connection was found.
+/// How long the limit applies after the last stale connection was found.
 const LIMIT_LIFETIME: Millis = 30_000;
-/// Lower bound of the limit, which is half of the shortest idle time that was too long.
+/// Lower bound of the limit, which is half of the shortest idle time of a stale connection.
 const MIN_LIMIT: Millis = 50;
 
 /// The idle limit of one backend, learned from connections that were found stale.
@@ -24,7 +24,7 @@
 }
 
 impl IdleLimit {
-    /// Records that a connection which was idle for `idle` was reset when a request was sent on it.
+    /// Records that a connection was reset when used after it had been idle for `idle`.
     pub fn record_stale(&mut self, idle: Millis, now: Millis) {
         let max_idle = (idle / 2).max(MIN_LIMIT);
         let current = self.limit.filter(|limit| now < limit.expires_at);
--- a/routing/src/outlier_detection.rs
+++ b/routing/src/outlier_detection.rs
@@ -1,8 +1,8 @@
 //! Outlier detection over the failures that several routers observe.
 //!
-//! In a large fleet each router sends a backend too few requests to judge it. One router collects
-//! the failures that all of them observed at a backend and suspects it once enough of them came
-//! from more than one router. A suspicion expires; consecutive suspicions last longer.
+//! In a large fleet each router sends a backend too few requests to judge it. Therefore one router
+//! collects the failures that all routers observed at a backend, and suspects the backend once more
+//! than one router has reported enough of them. Suspicions expire; consecutive ones last longer.
 
 use crate::Millis;
 use compact_str::CompactString;
@@ -10,10 +10,10 @@
 
 /// How long a failure counts.
 const WINDOW: Millis = 2_000;
-/// Failures within the window that make a backend suspected.
+/// Number of failures within the window from which a backend is suspected.
 const SUSPICION_THRESHOLD: u32 = 4;
-/// Failures of one router that count within the window. Below the threshold, so that a single
-/// router with a fault of its own can't make a backend suspected.
+/// Maximum number of failures per router that count within the window. It is below the threshold,
+/// so that a faulty router alone can't cause a suspicion.
 const MAX_FAILURES_PER_REPORTER: u32 = 2;
 /// Duration of the first suspicion.
 const BASE_DURATION: Millis = 1_000;
@@ -122,8 +122,8 @@
     }
 }
 
-/// Returns whether suspicions apply: if more than 30 % of a service's backends are suspected, the
-/// requests or the network are more likely at fault than the backends.
+/// Returns whether suspicions apply. If more than 30 % of a service's backends
+/// are suspected, the requests or the network are more likely at fault than the backends.
 pub fn is_within_ejection_limit(suspected: usize, total: usize) -> bool {
     100 * suspected <= MAX_SUSPECTED_PERCENT * total
 }
--- a/routing/src/prefix_index.rs
+++ b/routing/src/prefix_index.rs
@@ -1,11 +1,11 @@
 //! The index of prefix caches: which backends have the KV cache of a shared prompt prefix, and
 //! whether the KV store has it.
 //!
-//! Each prefix has one owner among the routers, which sees every lookup for it. A lookup names the
+//! Each prefix has one owner among the routers, which handles all lookups of it. A lookup names the
 //! backend that the request would be sent to. If no backend caches the prefix yet, that backend is
-//! recorded at once: a second lookup may come before the first request has filled the cache, and
-//! would otherwise place the same prefix at another backend. Eviction events of backends and stores
-//! remove entries.
+//! recorded immediately. Otherwise a second lookup, before the first request has filled the cache,
+//! would place the same prefix at another backend. Eviction events of backends and stores remove
+//! entries.
 
 use crate::Millis;
 use crate::prompt::Prompt;
@@ -55,12 +55,12 @@
     pub version: u64,
 }
 
-/// Where a prefix is cached, as its owner answers a lookup.
+/// Where a prefix is cached: the owner's answer to a lookup.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixLocation {
     /// Backends that cache the prefix, the most recently used first.
     pub replicas: Vec<Placement>,
-    /// The version of the weights with which the store has it, if any.
+    /// Version of the weights for which the store has it, if any.
     pub stored_version: Option<u64>,
     /// Whether the caller should save it to the store.
     pub should_save: bool,
@@ -108,8 +108,8 @@
 
 impl PrefixIndex {
     /// Looks up a prefix. If no backend caches it for the planned version, the planned backend is
-    /// recorded as the one that will. `generation` is that of the KV store, which changes when the
-    /// store has lost its contents; `None` if the store does not respond.
+    /// recorded as a replica. `generation` is the generation of the KV store, which changes when
+    /// the store loses its contents; `None` if the store does not respond.
     pub fn look_up(
         &mut self,
         key: PrefixKey,
@@ -141,7 +141,7 @@
         location
     }
 
-    /// Records that a request for a prefix is sent to a backend, which caches it from now on.
+    /// Records that a backend caches a prefix, as a request for it is sent there.
     pub fn record_placement(&mut self, key: PrefixKey, placement: &Placement, now: Millis) {
         self.evict_least_recently_used();
         self.prefixes
@@ -176,7 +176,7 @@
         self.prefixes.is_empty()
     }
 
-    /// Evicts the least recently used eighth at once, to amortize the selection.
+    /// Evicts the least recently used eighth of the prefixes together, to amortize the selection.
     fn evict_least_recently_used(&mut self) {
         if self.prefixes.len() < MAX_PREFIXES {
             return;
@@ -223,8 +223,8 @@
         Some(stored.version)
     }
 
-    /// Returns whether the prefix should be saved now: the store lacks it, and no other save of it
-    /// began recently. The save is recorded here, so that of two concurrent lookups only one saves.
+    /// Returns whether the prefix should be saved now: the store lacks it, and no save of it began
+    /// recently. Records the save, so that only one of two concurrent lookups saves it.
     fn begin_save(&mut self, version: u64, generation: Option<u64>, now: Millis) -> bool {
         let Some(generation) = generation else {
             return false;
--- a/routing/src/prompt.rs
+++ b/routing/src/prompt.rs
@@ -16,7 +16,7 @@
 pub struct Prompt {
     /// Name of the model.
     pub model: CompactString,
-    /// Segments in order; the last one belongs to this request or its session alone.
+    /// Segments in order; the last one is private to this request or its session.
     pub segments: Vec<Segment>,
     /// Length of the prompt in tokens.
     pub input_tokens: u64,
--- a/routing/src/retry_budget.rs
+++ b/routing/src/retry_budget.rs
@@ -1,20 +1,20 @@
 //! One router's share of a service's retry budget.
 //!
-//! The budget limits the sum over all routers. Each router spends in proportion to its own requests
-//! plus an equal share of the slack, so the sum stays within the limit without coordination, also
-//! during a network partition.
+//! The budget limits the total of all routers. Each router may retry in proportion to its own
+//! requests and uses an equal share of the slack, so the total stays within the limit without
+//! coordination, even during a network partition.
 
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// Part of the permitted retries that is used; the rest absorbs differences between the clocks and
+/// Ratio of the permitted retries that is used. The rest absorbs differences between the clocks and
 /// windows of routers.
 const UTILIZATION: f64 = 0.8;
 
 /// The retry limits of a deployment, over all routers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryLimits {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
     /// Retries that are permitted regardless of the number of requests.
     pub slack: f64,
@@ -60,8 +60,8 @@
         self.expire(now);
     }
 
-    /// Withdraws one retry if the budget allows it without touching the part `reserved` (0 to 1),
-    /// which is left to other uses. `routers` is the number of routers that share the slack.
+    /// Withdraws one retry if the budget allows it without using the ratio `reserved` (0 to 1),
+    /// which is kept for other uses. `routers` is the number of routers that share the slack.
     pub fn try_withdraw(&mut self, routers: usize, reserved: f64, now: Millis) -> bool {
         self.expire(now);
         let is_starting = now < self.started_at + self.limits.window;
--- a/routing/src/selection.rs
+++ b/routing/src/selection.rs
@@ -8,12 +8,12 @@
 pub struct Candidate {
     /// Load of the backend including the request.
     pub load: f64,
-    /// Whether the backend is only used if there is no other.
+    /// Whether the backend is used only if no other is available.
     pub is_last_resort: bool,
 }
 
-/// Returns the index of a least-loaded candidate. Last resorts are considered only if there are no
-/// other candidates.
+/// Returns the index of the least-loaded candidate, with ties broken at random. Last resorts are
+/// considered only if there are no other candidates.
 pub fn least_loaded(candidates: &[Candidate], rng: &mut fastrand::Rng) -> Option<usize> {
     let only_last_resorts = candidates.iter().all(|candidate| candidate.is_last_resort);
     let eligible = || {
--- a/routing/src/version_floor.rs
+++ b/routing/src/version_floor.rs
@@ -1,9 +1,10 @@
 //! The minimum version of a model's weights that requests may start on.
 //!
 //! Operators announce new versions of weights. Requests may start on older versions for a grace
-//! period after the announcement, wherever and whenever a router learns of it. Updates between
-//! routers therefore carry the age of the announcement, as their clocks differ, and of two reports
-//! of one announcement the earlier one wins: it can only err on the safe side.
+//! period after the announcement, regardless of when a router learns of it. As the clocks of
+//! routers differ, updates between them carry the age of the announcement. If two reports of an
+//! announcement differ, the earlier time is used, as an error can then only shorten the grace
+//! period.
 
 use crate::Millis;
 use compact_str::CompactString;
@@ -21,8 +22,9 @@
     pub age_ms: Millis,
 }
 
-/// How long a superseded version is retained after its grace period. Requests that wait at a
-/// backend are withdrawn later than the backend becomes ineligible, and still need its deadline.
+/// How long a superseded version is retained after its grace period. Requests waiting at a backend
+/// are withdrawn some time after the backend has become ineligible, and need the version's deadline
+/// until then.
 const SUPERSEDED_RETENTION: Millis = 5_000;
 
 /// The announced versions of one model's weights.
@@ -60,8 +62,8 @@
 
 impl VersionFloors {
     /// Records that a version was announced at `at`. Each version keeps the time of its own
-    /// announcement, whatever is announced after it: if a newer version reset the grace period, no
-    /// version would ever be required while announcements come faster than the period.
+    /// announcement. If a newer version reset the grace period, no version would ever be required
+    /// while announcements are more frequent than the period.
     pub fn record(&mut self, model: &str, version: u64, at: Millis) {
         let announced_at = self
             .models
@@ -99,8 +101,9 @@
         self.models.iter().flat_map(of_model).collect()
     }
 
-    /// The minimum version of a model's weights that a request may start on now, if older ones may
-    /// be used for `grace_period` after an announcement; `None` if every version is allowed.
+    /// The minimum version of a model's weights that a request may start on now, given that older
+    /// ones may be used for `grace_period` after an announcement; `None` if every version is
+    /// allowed.
     pub fn minimum(&mut self, model: &str, grace_period: Millis, now: Millis) -> Option<u64> {
         let versions = self.models.get_mut(model)?;
         let is_effective = |announced_at: &Millis| now >= *announced_at + grace_period;
@@ -114,9 +117,9 @@
         Some(minimum)
     }
 
-    /// The time until which requests may start on this version, if older ones may be used for
-    /// `grace_period`; `None` while there is no newer version. The next version determines it, also
-    /// if that one has been superseded since.
+    /// The time until which requests may start on this version, given that older ones may be used
+    /// for `grace_period`; `None` if there is no newer version. It follows from the announcement of
+    /// the next version, even if that version has been superseded since.
     pub fn start_deadline(
         &self,
         model: &str,
--- a/routing/tests/admission.rs
+++ b/routing/tests/admission.rs
@@ -1,18 +1,18 @@
-//! Admission control of a service with one queue, in virtual time, by independent routers.
+//! Admission control by independent routers of a service with one queue, in simulated time.
 
 use routing::admission::{AdmissionController, InFlightId};
 use std::collections::VecDeque;
 
 const LATENCY_TARGET: u64 = 500;
-/// All requests are alike.
+/// Work of every request.
 const WORK: u64 = 1_000;
-/// How many requests the service executes or queues before it counts as busy, doubled.
+/// Number of slots of the service, which counts as busy while half of them are in use.
 const SLOTS: usize = 20;
 
-/// A service that begins one answer after the other, and routers before it.
+/// A service that executes one request at a time, and its routers.
 struct Service {
     rng: fastrand::Rng,
-    /// Milliseconds that one answer takes.
+    /// Milliseconds per request.
     service_time: f64,
     free_at: f64,
     waiting: VecDeque<(usize, InFlightId, f64)>,
@@ -20,7 +20,7 @@
     now: u64,
 }
 
-/// What became of the requests of a stretch of time.
+/// The outcome of the requests in a period.
 #[derive(Debug, Default)]
 struct Outcome {
     requests: u32,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Plays a stretch in which so many requests come in a second.
+    /// Simulates a period with a random rate of requests per second.
     fn run(&mut self, milliseconds: u64, per_second: f64) -> Outcome {
         let mut outcome = Outcome::default();
         for _ in 0..milliseconds {
@@ -72,7 +72,7 @@
                 .front()
                 .is_some_and(|(_, _, begins)| *begins <= self.now as f64)
             {
-                let (at, id, _) = self.waiting.pop_front().expect("it was there");
+                let (at, id, _) = self.waiting.pop_front().expect("the queue is not empty");
                 self.routers[at].record_response(id, self.now);
             }
         }
@@ -83,7 +83,7 @@
         let at = self.rng.usize(0..self.routers.len());
         outcome.requests += 1;
         let would_be_late = self.routers[at].should_reject(WORK, LATENCY_TARGET, self.now);
-        // As in the program, nothing is rejected while half of the slots are free.
+        // Like the router, rejects nothing while more than half of the slots are free.
         let is_busy = 2 * self.waiting.len() >= SLOTS;
         if would_be_late && is_busy {
             outcome.rejected += 1;
@@ -117,9 +117,9 @@
     }
 }
 
-/// Incident: in a burst of 2.5 times the load less was served in time than before it: everything
-/// waited for as long as clients did, and requests were rejected only at its end, after two seconds
-/// of lateness.
+/// During a burst of 2.5 times the load fewer requests were served in time than before. All
+/// requests waited until their clients gave up, and rejections began only after two seconds, at the
+/// end of the burst.
 #[test]
 fn burst_takes_no_goodput() {
     const CALM: f64 = 70.0;
@@ -149,18 +149,18 @@
         assert_eq!(
             service.run(5_000, CALM).rejected,
             0,
-            "seed {seed}: it is over"
+            "seed {seed}: rejected after the burst"
         );
     }
 }
 
-/// Requests of other sizes wait behind each other too, and the large ones are rejected first.
+/// With requests of different sizes, large ones are rejected first.
 #[test]
 fn large_requests_are_rejected_first() {
     const LARGE: u64 = 20 * WORK;
     let mut admission = AdmissionController::default();
     let mut in_flight = VecDeque::new();
-    // One request begins each 10 ms, and the queue grows until one of them is rejected.
+    // One request begins every 10 ms, and the queue grows until both sizes are rejected.
     let (mut small, mut large) = (None, None);
     for now in (1_000..20_000).step_by(10) {
         if let Some(id) = in_flight.pop_front() {
@@ -216,7 +216,7 @@
     }
     assert!(
         never.in_time_ratio() < 0.1,
-        "the comparison that makes the test above worth something"
+        "the overload is too small for the test above"
     );
 }
 
@@ -229,7 +229,7 @@
     assert_eq!(service.run(10_000, 40.0).rejected, 0);
 }
 
-/// A service that stops to respond, or never did, gets few requests.
+/// Few requests are sent to a service that stops responding or never responded.
 #[test]
 fn detects_unresponsive_service_from_in_flight_requests() {
     for has_responded in [false, true] {
--- a/routing/tests/hedging.rs
+++ b/routing/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! When requests are hedged, and how many are.
+//! The delay and the number of hedged requests.
 
 use routing::hedging::{HedgeBudget, LatencyEstimate};
 
@@ -6,20 +6,20 @@
 
 #[test]
 fn hedge_delay_follows_recent_p95() {
-    let mut pace = LatencyEstimate::starting(1_000 * MS);
-    assert_eq!(pace.p95, 300.0 * MS as f64);
+    let mut estimate = LatencyEstimate::starting(1_000 * MS);
+    assert_eq!(estimate.p95, 300.0 * MS as f64);
     for took in 1..=100 {
-        pace.add(took * MS);
+        estimate.add(took * MS);
     }
     assert_eq!(
-        pace.p95,
+        estimate.p95,
         96.0 * MS as f64,
-        "of the last 96 answers: 5 to 100 ms"
+        "of the last 96 latencies, 5 to 100 ms"
     );
     for _ in 0..96 {
-        pace.add(7 * MS);
+        estimate.add(7 * MS);
     }
-    assert_eq!(pace.p95, 7.0 * MS as f64, "what is older is forgotten");
+    assert_eq!(estimate.p95, 7.0 * MS as f64, "older latencies are dropped");
 }
 
 #[test]
@@ -29,7 +29,7 @@
     for _ in 0..10_000 {
         budget.deposit();
         sent += 1;
-        // Every send is slow.
+        // Every request is slow enough to be hedged.
         if budget.is_available() {
             budget.withdraw();
             hedged += 1;
--- a/routing/tests/idle_limit.rs
+++ b/routing/tests/idle_limit.rs
@@ -1,4 +1,4 @@
-//! The idle limit after stale connections were found.
+//! The idle limit of a backend's connections.
 
 use routing::idle_limit::IdleLimit;
 
--- a/routing/tests/outlier_detection.rs
+++ b/routing/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! When the failures that several routers report make a backend suspected, and for how long.
+//! When failures reported by several routers cause a suspicion, and how long it lasts.
 
 use compact_str::CompactString;
 use routing::Millis;
@@ -62,7 +62,7 @@
         assert_eq!(
             record(&mut detector, "n2", 2, now + 1),
             None,
-            "it is suspected already"
+            "already suspected"
         );
         now += expected + 500;
     }
--- a/routing/tests/prefix_index.rs
+++ b/routing/tests/prefix_index.rs
@@ -1,4 +1,4 @@
-//! The index of prefix caches: lookups after all interleavings of a few messages.
+//! The index of prefix caches, including all orders of a few messages.
 
 use routing::hash_ring::HashRing;
 use routing::prefix_index::{Placement, PrefixIndex, PrefixKey};
@@ -19,7 +19,7 @@
 fn replicas(index: &mut PrefixIndex, now: u64) -> Vec<Placement> {
     // A lookup for a version that no backend has does not affect the other lookups.
     index
-        .look_up(KEY, &at("asker", 99), false, None, now)
+        .look_up(KEY, &at("other", 99), false, None, now)
         .replicas
 }
 
@@ -39,7 +39,7 @@
     assert_eq!(
         replicas(&mut index, 12),
         [at("b1", 1)],
-        "the second plan was not needed"
+        "the backend planned by the second lookup is not recorded"
     );
 }
 
@@ -52,7 +52,7 @@
     let next = index.look_up(KEY, &at("b3", 2), false, None, 12);
     assert!(
         next.is_cached_by("b2", 2),
-        "the backend planned for the new weights was recorded"
+        "the backend planned for the new weights is recorded"
     );
 }
 
@@ -124,7 +124,7 @@
     assert_eq!(
         replicas(&mut index, 39_999).len(),
         1,
-        "each use counts anew"
+        "each use renews the expiry"
     );
     assert!(!replicas(&mut index, 40_000).contains(&at("b1", 1)));
 }
@@ -132,46 +132,46 @@
 #[test]
 fn saves_prefix_once_per_store_generation() {
     let mut index = PrefixIndex::default();
-    let ask = |index: &mut PrefixIndex, wants, generation, now| {
+    let look_up = |index: &mut PrefixIndex, wants, generation, now| {
         let location = index.look_up(KEY, &at("b1", 1), wants, generation, now);
         (location.should_save, location.stored_version)
     };
     assert_eq!(
-        ask(&mut index, true, None, 0),
+        look_up(&mut index, true, None, 0),
         (false, None),
-        "no store answers"
+        "the store does not respond"
     );
     assert_eq!(
-        ask(&mut index, false, STORE, 1),
+        look_up(&mut index, false, STORE, 1),
         (false, None),
-        "it is not worth it"
+        "the caller does not want to save it"
     );
-    assert_eq!(ask(&mut index, true, STORE, 2), (true, None));
+    assert_eq!(look_up(&mut index, true, STORE, 2), (true, None));
     assert_eq!(
-        ask(&mut index, true, STORE, 3),
+        look_up(&mut index, true, STORE, 3),
         (false, Some(1)),
-        "somebody else has it saved"
+        "another caller is saving it"
     );
     index.record_store_eviction(KEY, 2);
     assert_eq!(
-        ask(&mut index, true, STORE, 4),
+        look_up(&mut index, true, STORE, 4),
         (false, Some(1)),
-        "another version gave way"
+        "another version was evicted"
     );
     index.record_store_eviction(KEY, 1);
     assert_eq!(
-        ask(&mut index, true, STORE, 5),
+        look_up(&mut index, true, STORE, 5),
         (false, None),
-        "it was saved just now"
+        "it was saved recently"
     );
-    assert_eq!(ask(&mut index, true, STORE, 3_000), (true, None));
+    assert_eq!(look_up(&mut index, true, STORE, 3_000), (true, None));
     assert_eq!(
-        ask(&mut index, true, Some(2), 6_000),
+        look_up(&mut index, true, Some(2), 6_000),
         (true, None),
-        "the store came back empty"
+        "the store has lost its contents"
     );
     let newer = index.look_up(KEY, &at("b1", 2), true, Some(2), 6_001);
-    assert!(newer.should_save, "under new weights it is saved anew");
+    assert!(newer.should_save, "it is saved again for new weights");
 }
 
 #[test]
@@ -241,7 +241,7 @@
             assert_eq!(
                 without.owner(key),
                 Some(owner),
-                "only the keys of who left move"
+                "only the keys of the removed router move"
             );
         }
         *owned.entry(owner.clone()).or_default() += 1;
@@ -250,7 +250,7 @@
     let (least, most) = (owned.values().min().unwrap(), owned.values().max().unwrap());
     assert!(
         *least > 250 && *most < 2_500,
-        "{least} to {most} of 1,000 on the mean"
+        "{least} to {most}, with a mean of 1,000"
     );
     assert_eq!(HashRing::<()>::default().owner(1), None);
 }
--- a/routing/tests/retry_budget.rs
+++ b/routing/tests/retry_budget.rs
@@ -14,7 +14,7 @@
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     let mut rng = fastrand::Rng::with_seed(1);
     for now in 0..60_000_u64 {
-        // A pause in the middle: the retries must not go on with it.
+        // During a pause of requests retries must stop too.
         if !(25_000..35_000).contains(&now) && rng.u8(0..10) == 0 {
             budgets[rng.usize(0..routers)].deposit(now);
             requests.push(now);
@@ -51,7 +51,7 @@
     let mut budget = RetryBudget::new(limits, 0);
     assert!(
         !budget.try_withdraw(5, 0.0, 9_999),
-        "what its former process used is unknown"
+        "the retries of the previous process are unknown"
     );
     assert!(budget.try_withdraw(5, 0.0, 10_001));
 }
--- a/routing/tests/selection.rs
+++ b/routing/tests/selection.rs
@@ -22,14 +22,14 @@
     assert_eq!(
         (chosen[0], chosen[3]),
         (0, 0),
-        "neither the busy one nor the last resort"
+        "neither the loaded backend nor the last resort"
     );
     assert!(chosen[1] > 400 && chosen[2] > 400, "{chosen:?}");
     let all_last_resorts = [candidate(2.0, true), candidate(1.0, true)];
     assert_eq!(
         least_loaded(&all_last_resorts, &mut rng),
         Some(1),
-        "last resorts are used if there is nothing else"
+        "last resorts are used if there are no others"
     );
     assert_eq!(least_loaded(&[], &mut rng), None);
 }
--- a/routing/tests/stable_hashes.rs
+++ b/routing/tests/stable_hashes.rs
@@ -1,5 +1,5 @@
-//! Hashes that all routers of a fleet have to compute alike, also while two versions of the program
-//! run: their values are pinned.
+//! Pins hashes that all routers of a fleet must agree on, even while they run different versions of
+//! the program.
 
 use routing::hash_ring::HashRing;
 use routing::prefix_index::PrefixKey;
--- a/routing/tests/version_floor.rs
+++ b/routing/tests/version_floor.rs
@@ -1,4 +1,4 @@
-//! When older versions of weights may no longer be used.
+//! The versions of weights that requests may start on.
 
 use routing::version_floor::VersionFloors;
 
@@ -26,7 +26,7 @@
     assert_eq!(
         floors.minimum("m", GRACE_PERIOD, GRACE_PERIOD),
         Some(2),
-        "version 2 counts from when 2 was announced"
+        "the period of version 2 begins when 2 is announced"
     );
     assert_eq!(
         floors.minimum("m", GRACE_PERIOD, 4_999 + GRACE_PERIOD),
@@ -35,7 +35,7 @@
     assert_eq!(
         floors.minimum("m", GRACE_PERIOD, 5_000 + GRACE_PERIOD),
         Some(3),
-        "and 3 from when 3 was"
+        "the period of version 3 begins when 3 is announced"
     );
 }
 
@@ -48,13 +48,13 @@
     assert_eq!(floors.minimum("m", GRACE_PERIOD, GRACE_PERIOD), Some(2));
 }
 
-/// Incident: requests started on version 1 of some weights, 6.1 s after version 2 was acknowledged,
-/// where 6 s are permitted. Versions had been announced at 2.0 s, 5.2 s and 8.5 s; a backend that
-/// was late in the rollout still had version 1, and routers still sent to it.
+/// Requests started on version 1 of some weights 6.1 s after version 2 was acknowledged, where 6 s
+/// are permitted, although every router knew of each version within 10 ms. Versions were announced
+/// at 2.0 s, 5.2 s and 8.5 s, and a backend still had version 1.
 ///
-/// Evidence: each router knew of each version within 10 ms, by its log. Cause: only the newest
-/// version was stored with its announcement, so each newer one restarted the grace period of its
-/// predecessor; while versions come faster than that period, none was ever required.
+/// Only the newest version was stored with its announcement, so each newer version restarted the
+/// grace period of its predecessor. While versions were announced faster than that, none was ever
+/// required.
 #[test]
 fn newer_versions_do_not_extend_deadline() {
     let mut floors = VersionFloors::default();
@@ -76,14 +76,14 @@
 
 #[test]
 fn earliest_report_wins_in_any_order() {
-    for accounts in [
+    for reports in [
         [100, 400, 250],
         [400, 100, 250],
         [250, 400, 100],
         [400, 250, 100],
     ] {
         let mut floors = VersionFloors::default();
-        accounts.iter().for_each(|at| floors.record("m", 2, *at));
+        reports.iter().for_each(|at| floors.record("m", 2, *at));
         assert_eq!(floors.minimum("m", GRACE_PERIOD, 99 + GRACE_PERIOD), None);
         assert_eq!(
             floors.minimum("m", GRACE_PERIOD, 100 + GRACE_PERIOD),
@@ -98,7 +98,7 @@
     for (version, at) in [(2, 100), (3, 900), (4, 5_000)] {
         sender.record("m", version, at);
     }
-    // The receiver's clock is another one.
+    // The clocks of sender and receiver differ.
     let (sent_at, received_at) = (6_000, 50_000);
     for announced in sender.announced(sent_at) {
         receiver.record(
@@ -118,7 +118,7 @@
     assert_eq!(
         sender.announced(20_000).len(),
         1,
-        "what is over says nothing any more"
+        "superseded versions are not reported"
     );
 }
 
@@ -149,18 +149,16 @@
     assert!(floors.all_effective(GRACE_PERIOD, 300 + GRACE_PERIOD));
 }
 
-/// Incident: a request started on version 21 of some weights 7.2 s after version 22 was
-/// acknowledged, where 6 s are permitted, and was served. It was delayed on its way to a backend
-/// that had version 21; versions were announced each 0.85 s. Seen in 4 of 49 runs of one seed of
-/// the soak.
+/// A request started on version 21 of some weights 7.2 s after version 22 was acknowledged, where
+/// 6 s are permitted, and was served. It was delayed on its way to a backend that had version 21,
+/// while versions were announced every 0.85 s. Seen in 4 of 49 runs of one seed of the soak test.
 ///
-/// Evidence: the router knew of version 22 immediately, and had not withdrawn the request at its
-/// deadline. Cause: requests are withdrawn a second later than backends become ineligible. A
-/// version was pruned once the next one made backends ineligible, so while versions are announced
-/// less than that second apart, the one whose deadline was next was always pruned just before.
+/// Requests are withdrawn a second after backends become ineligible, but a version was pruned once
+/// the next one made backends ineligible. With announcements less than a second apart, the version
+/// whose deadline came next was always pruned just before it, so the request was not withdrawn.
 #[test]
 fn start_deadline_is_stable_under_fast_announcements() {
-    const LATER: u64 = 1_000;
+    const WITHDRAWAL_DELAY: u64 = 1_000;
     for gap in [100, 850, 1_000, 2_500] {
         let mut floors = VersionFloors::default();
         for now in (0..30_000).step_by(50) {
@@ -168,16 +166,16 @@
                 floors.record("m", 2 + now / gap, now);
             }
             floors.minimum("m", GRACE_PERIOD, now);
-            let last = floors.start_deadline("m", 1, GRACE_PERIOD + LATER);
+            let deadline = floors.start_deadline("m", 1, GRACE_PERIOD + WITHDRAWAL_DELAY);
             assert!(
-                last.is_some_and(|last| last <= GRACE_PERIOD + LATER),
-                "{last:?} at {now}, each {gap} ms"
+                deadline.is_some_and(|deadline| deadline <= GRACE_PERIOD + WITHDRAWAL_DELAY),
+                "{deadline:?} at {now}, every {gap} ms"
             );
-            if now < GRACE_PERIOD + LATER {
+            if now < GRACE_PERIOD + WITHDRAWAL_DELAY {
                 assert_eq!(
-                    last,
-                    Some(GRACE_PERIOD + LATER),
-                    "nor earlier, at {now}, each {gap} ms"
+                    deadline,
+                    Some(GRACE_PERIOD + WITHDRAWAL_DELAY),
+                    "at {now}, every {gap} ms"
                 );
             }
         }
