--- a/router/src/upstreams.rs
+++ b/router/src/upstreams.rs
@@ -1,5 +1,5 @@
-//! Selects the nodes that this router pulls from: it follows one replica node and polls another, in
-//! case the first one falls behind.
+//! Selects the nodes that this router pulls state from, and runs a pull loop for each. A router
+//! without a replica follows one replica node, and polls another in case the first falls behind.
 
 pub mod selector;
 pub mod start_turns;
@@ -20,15 +20,15 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Time between two selections.
+/// Interval at which the set of upstreams is selected again.
 const SELECTION_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between two polls. If the followed node falls silent, updates arrive within twice this by
-/// way of the polled one.
+/// Pause between two polls of the same node. If the followed node stops responding, updates arrive
+/// from the polled node within twice this time.
 const POLL_INTERVAL: Duration = Duration::from_millis(800);
-/// Initial and maximum delay after failed pulls; it doubles with each one.
+/// Initial and maximum delay after a failed pull. The delay doubles with each consecutive failure.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(120);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
-/// A replica node also follows its seeds for this long after its start.
+/// Time after start-up during which a replica node also follows its seeds.
 const SEED_FOLLOW_TIME: Duration = Duration::from_secs(4);
 
 struct Upstream {
@@ -37,15 +37,15 @@
     health: Arc<Mutex<Health>>,
 }
 
-/// Keeps pulling from the selected nodes, for as long as the process runs.
+/// Pulls from the selected nodes until the process exits.
 pub async fn run(fleet: Arc<Fleet>) {
     let started_at = Instant::now();
     let mut upstreams: BTreeMap<SocketAddrV4, Upstream> = BTreeMap::new();
     let mut selector = UpstreamSelector::default();
-    let mut choices = tokio::time::interval(SELECTION_INTERVAL);
+    let mut selection_timer = tokio::time::interval(SELECTION_INTERVAL);
     let failures = Arc::new(watch::Sender::new(0));
     loop {
-        choices.tick().await;
+        selection_timer.tick().await;
         let now = clock::now();
         for (address, upstream) in &upstreams {
             selector.observe(*address, *lock(&upstream.health), now);
@@ -64,17 +64,17 @@
         for (address, mode) in wanted {
             upstreams.entry(address).or_insert_with(|| {
                 let health = Arc::new(Mutex::new(Health::Unknown));
-                let pulling = pull_from(
+                let pull_loop = pull_from(
                     fleet.clone(),
                     address,
                     mode,
                     health.clone(),
                     failures.clone(),
                 );
-                let waiting = turns.wait(address, failures.subscribe());
+                let turn = turns.wait(address, failures.subscribe());
                 let task = tokio::spawn(async move {
-                    waiting.await;
-                    pulling.await;
+                    turn.await;
+                    pull_loop.await;
                 });
                 Upstream { mode, task, health }
             });
@@ -89,7 +89,7 @@
     health: Arc<Mutex<Health>>,
     failures: Arc<watch::Sender<u32>>,
 ) {
-    // The first pull does not wait, so that a new node learns the current state.
+    // The first pull asks for an immediate answer, so that a new node gets the current state.
     let mut wait = Duration::ZERO;
     let mut retry_delay = MIN_RETRY_DELAY;
     loop {
@@ -97,8 +97,8 @@
             .pull(address, wait, || *lock(&health) = Health::Failing)
             .await
         {
-            answered @ (Pull::Current | Pull::Stale) => {
-                *lock(&health) = match answered {
+            outcome @ (Pull::Current | Pull::Stale) => {
+                *lock(&health) = match outcome {
                     Pull::Current => Health::Current,
                     _ => Health::Failing,
                 };
@@ -118,8 +118,8 @@
     }
 }
 
-/// The nodes to pull from. A replica node follows all other ones; the rest leave it to the selector.
-/// Seeds are followed while no other node is usable.
+/// The nodes to pull from. A replica node follows all other replica nodes; any other node uses the
+/// selector. Seeds are followed as well while no other node is usable.
 fn select(
     fleet: &Fleet,
     selector: &UpstreamSelector,
@@ -148,7 +148,7 @@
     selected
 }
 
-/// The other nodes with a replica.
+/// The replica nodes that this router can pull from, without this node and those that have left.
 fn candidates(fleet: &Fleet) -> Vec<Candidate> {
     let settings = &fleet.settings;
     let mut members: Vec<(CompactString, Member)> = fleet.replica_members();
--- a/router/src/upstreams/selector.rs
+++ b/router/src/upstreams/selector.rs
@@ -4,32 +4,33 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// A node that failed or is stale is tried again after this time, which doubles with each further
-/// failure, up to a maximum.
-const MIN_RETRY_TIME: Millis = 3_000;
-const MAX_RETRY_TIME: Millis = 24_000;
-/// A state that is older is not caused by the pauses between pulls: further nodes are asked.
+/// Initial and maximum delay before a failed or stale node is polled again. The delay doubles with
+/// each consecutive failure.
+const MIN_RETRY_DELAY: Millis = 3_000;
+const MAX_RETRY_DELAY: Millis = 24_000;
+/// Additional nodes are polled once the local state is older than this. The pauses between pulls
+/// alone do not let it get so old.
 const WIDEN_STALENESS: Millis = 1_500;
-/// One more node is asked for each such time beyond that.
+/// One more node is polled for each interval by which the staleness exceeds [`WIDEN_STALENESS`].
 const WIDEN_INTERVAL: Millis = 150;
 
-/// How a node is pulled from.
+/// How this router pulls from a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Each pull waits for updates.
+    /// Each pull is held by the node until there are updates.
     Follow,
     /// Each pull is answered immediately; the next one follows after a pause.
     Poll,
 }
 
-/// Whether pulls from a node bring the latest state.
+/// Whether pulls from a node return the latest state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// None was answered yet.
+    /// No pull has been answered yet.
     Unknown,
-    /// The last one did.
+    /// The last pull returned the latest state.
     Current,
-    /// The last one failed, is late, or brought a stale state.
+    /// The last pull failed, is overdue, or returned a stale state.
     Failing,
 }
 
@@ -38,15 +39,15 @@
 pub struct Candidate {
     /// The address of its internal protocol.
     pub address: SocketAddrV4,
-    /// Whether the failure detector takes it for running.
+    /// Whether the failure detector considers it up.
     pub is_up: bool,
     /// Whether it is in the router's own zone.
     pub is_near: bool,
-    /// Its distance from the router on the ring, which spreads routers over the nodes.
+    /// Distance from the router on the ring. Preferring near nodes spreads the routers over them.
     pub distance: usize,
 }
 
-/// The last failures of a node.
+/// Consecutive failures of a node.
 #[derive(Debug, Clone, Copy)]
 struct Failures {
     count: u32,
@@ -54,29 +55,29 @@
 }
 
 impl Failures {
-    fn next(former: Option<&Self>, now: Millis) -> Self {
-        let count = former.map_or(0, |former| former.count);
-        let retry_time = (MIN_RETRY_TIME << count.min(8)).min(MAX_RETRY_TIME);
+    fn next(previous: Option<&Self>, now: Millis) -> Self {
+        let count = previous.map_or(0, |previous| previous.count);
+        let retry_delay = (MIN_RETRY_DELAY << count.min(8)).min(MAX_RETRY_DELAY);
         Failures {
             count: count + 1,
-            retry_at: now + retry_time,
+            retry_at: now + retry_delay,
         }
     }
 }
 
 /// Selects the upstreams of a router without a replica.
 ///
-/// Two nodes are enough while nothing is wrong. One that has failed is tried again beside them, and
-/// takes the place of neither before it has answered. While the state here is older than the pauses
-/// between pulls explain, more and more nodes are asked at once: it depends on how many nodes are
-/// cut off, not on which, how long it takes to find a current one.
+/// Normally two nodes are pulled from. A failed node is retried in addition to those two, and
+/// replaces one of them only after it has answered. While the local state is older than the pauses
+/// between pulls explain, the number of nodes polled at once grows. The time to find a current node
+/// then depends on how many nodes are unreachable, not on which ones.
 #[derive(Debug, Default)]
 pub struct UpstreamSelector {
     failures: BTreeMap<SocketAddrV4, Failures>,
 }
 
 impl UpstreamSelector {
-    /// Records what the pulls from a node bring at present.
+    /// Records the current health of a node.
     pub fn observe(&mut self, address: SocketAddrV4, health: Health, now: Millis) {
         match health {
             Health::Unknown => {}
@@ -84,22 +85,23 @@
                 self.failures.remove(&address);
             }
             Health::Failing => {
-                let former = self.failures.get(&address);
-                if former.is_none_or(|former| now >= former.retry_at) {
-                    let failures = Failures::next(former, now);
+                let previous = self.failures.get(&address);
+                if previous.is_none_or(|previous| now >= previous.retry_at) {
+                    let failures = Failures::next(previous, now);
                     self.failures.insert(address, failures);
                 }
             }
         }
     }
 
-    /// Whether a node has failed, and has not answered since.
+    /// Whether a node has failed and has not returned the latest state since.
     pub fn has_failed(&self, address: SocketAddrV4) -> bool {
         self.failures.contains_key(&address)
     }
 
-    /// The nodes to pull from: it follows one and polls another, preferably in its own zone; others
-    /// are polled beside them. `staleness` is the age of the state here, where there is any.
+    /// The nodes to pull from. One is followed and one is polled, preferably in the router's own
+    /// zone; further nodes are polled as needed. `staleness` is the age of the local state, `None`
+    /// if the router has no state yet.
     pub fn select(
         &self,
         candidates: &[Candidate],
@@ -121,24 +123,25 @@
             .collect();
         others.sort();
         let is_due = |retry_at: Millis| 0 < retry_at && retry_at <= now;
-        let further = further_upstreams(staleness);
+        let additional = additional_upstreams(staleness);
         for (number, (retry_at, address)) in others.into_iter().enumerate() {
-            if number < further || is_due(retry_at) {
+            if number < additional || is_due(retry_at) {
                 selected.insert(address, Mode::Poll);
             }
         }
         selected
     }
 
-    /// When a node that has failed is to be tried again; 0 for one that has not.
+    /// When to retry a failed node; 0 if the node has not failed.
     fn retry_at(&self, address: SocketAddrV4) -> Millis {
         let failures = self.failures.get(&address);
         failures.map_or(0, |failures| failures.retry_at)
     }
 }
 
-/// How many nodes are asked beside the two. A router that has no state yet asks its seeds instead.
-fn further_upstreams(staleness: Option<Millis>) -> usize {
-    let beyond = staleness.and_then(|staleness| staleness.checked_sub(WIDEN_STALENESS));
-    beyond.map_or(0, |beyond| 1 + (beyond / WIDEN_INTERVAL) as usize)
+/// Number of nodes to poll in addition to the two regular ones. A router without any state asks its
+/// seeds instead.
+fn additional_upstreams(staleness: Option<Millis>) -> usize {
+    let excess = staleness.and_then(|staleness| staleness.checked_sub(WIDEN_STALENESS));
+    excess.map_or(0, |excess| 1 + (excess / WIDEN_INTERVAL) as usize)
 }
--- a/router/src/upstreams/start_turns.rs
+++ b/router/src/upstreams/start_turns.rs
@@ -1,7 +1,8 @@
-//! The order in which a router that has no state yet asks for all of it.
+//! Staggers the first pulls of a router that has no state yet.
 //!
-//! After a loss of power all routers start at once, and each needs the full state. If each asked
-//! every seed, the seeds' links would be saturated by as many copies as there are seeds.
+//! After a power failure all routers start at once, and each needs the full state. If every router
+//! asked all seeds at the same time, it would be sent one full copy by each of them, and the copies
+//! would saturate the seeds' links.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -10,16 +11,17 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// An upstream is asked once those before it have failed, or after this time for each of them.
-const TURN: Duration = Duration::from_millis(200);
+/// Maximum wait for each upstream that comes earlier in the order. An upstream is asked sooner if
+/// all earlier ones have failed.
+const STAGGER_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The turns of the upstreams of one router.
+/// The order in which one router first asks its upstreams: the position of each.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartTurns(BTreeMap<SocketAddrV4, u32>);
 
 impl StartTurns {
-    /// The turns at a node of this name. The order differs between nodes, so that no upstream is
-    /// asked by all at once. A node that has state needs updates only, and asks all at once.
+    /// The order at the node with this name. It differs between nodes, so that they do not all ask
+    /// the same upstream first. A node that has state needs only updates, and asks all at once.
     pub fn new(
         node_name: &str,
         upstreams: impl Iterator<Item = SocketAddrV4>,
@@ -37,12 +39,13 @@
         StartTurns(order.into_iter().zip(0..).collect())
     }
 
-    /// How many upstreams are asked before this one.
+    /// Number of upstreams that are asked before this one.
     pub fn position(&self, upstream: SocketAddrV4) -> u32 {
         self.0.get(&upstream).copied().unwrap_or(0)
     }
 
-    /// Completes when it is the turn of an upstream. `failures` counts the failed pulls of all.
+    /// Completes when the upstream is to be asked. `failures` counts the failed pulls from all
+    /// upstreams.
     pub fn wait(
         &self,
         upstream: SocketAddrV4,
@@ -50,10 +53,10 @@
     ) -> impl Future<Output = ()> + Send + 'static {
         let position = self.position(upstream);
         async move {
-            let had_failed = *failures.borrow_and_update();
-            let all_failed = failures.wait_for(|failed| *failed >= had_failed + position);
-            // Either way this upstream is next.
-            let _ = tokio::time::timeout(position * TURN, all_failed).await;
+            let initial_failures = *failures.borrow_and_update();
+            let earlier_failed = failures.wait_for(|count| *count >= initial_failures + position);
+            // After a timeout the upstream is asked although the earlier ones have not failed.
+            let _ = tokio::time::timeout(position * STAGGER_INTERVAL, earlier_failed).await;
         }
     }
 }
--- a/router/tests/upstream_selection.rs
+++ b/router/tests/upstream_selection.rs
@@ -1,48 +1,50 @@
-//! How old the state of a router becomes while some of the nodes that it pulls from are cut off,
-//! in virtual time.
+//! Simulates, in virtual time, how stale the state of a router becomes while some of the nodes that
+//! it pulls from are unreachable.
 //!
-//! Story: a router's followed and its polled node were both cut off, and it went on with an old
-//! state for seconds although other nodes could be reached. Aim: as long as one node has the latest
-//! state and answers, the router's state is never older than 3 s, the time after which the
-//! operators count a machine as in contact with the core again.
+//! Guards against a failure in which both the followed and the polled node were unreachable, and
+//! the router kept an old state for seconds although other nodes could be reached. As long as one
+//! node responds with the latest state, the router's state must not be older than 3 s, the time
+//! after which the operators count a machine as in contact with the core again.
 
 use control::Millis;
 use router::upstreams::selector::{Candidate, Health, Mode, UpstreamSelector};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The state of a router is never older, whichever nodes are cut off, but for one.
+/// Maximum age of a router's state while at least one node is reachable and current.
 const MAX_STALENESS: Millis = 3_000;
-/// The operators' zones.
+/// Number of zones in the operators' deployment.
 const ZONES: usize = 4;
-/// Time between two selections, between two polls, for which a pull waits, after which it is late,
-/// is given up, and is tried again: as in the program.
-const SELECTION: Millis = 150;
-const POLL: Millis = 800;
-const WAIT: Millis = 1_500;
-const LATE: Millis = 900;
-const GIVEN_UP: Millis = 5_000;
-const RETRY: Millis = 120;
+/// Time constants of the pulls, with the same values as in the router: interval between selections,
+/// pause between polls, time for which a pull of the followed node is held, time after that until a
+/// pull is overdue or fails, and delay after a failed pull.
+const SELECTION_INTERVAL: Millis = 150;
+const POLL_INTERVAL: Millis = 800;
+const PULL_WAIT: Millis = 1_500;
+const OVERDUE_AFTER: Millis = 900;
+const RESPONSE_TIMEOUT: Millis = 5_000;
+const RETRY_DELAY: Millis = 120;
 /// Round trip of a message.
 const ROUND_TRIP: Millis = 6;
-/// A node's own state is confirmed as the latest this often.
-const HEARTBEAT: Millis = 200;
-/// A node that is older is stale.
-const STALE: Millis = 1_000;
+/// Interval at which a node's own state is confirmed as the latest.
+const HEARTBEAT_INTERVAL: Millis = 200;
+/// A node is stale if its state was not confirmed for this long.
+const MAX_NODE_STALENESS: Millis = 1_000;
+/// Time step of the simulation.
 const STEP: Millis = 6;
 
-/// What becomes of a node.
+/// How a node behaves once the failure has occurred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum Behavior {
     Reachable,
-    /// Nothing that is sent to it is answered: it is cut off in one direction or both.
-    Silent,
-    /// It answers, and gets no updates itself.
-    Behind,
+    /// Does not answer, as the network is partitioned in one direction or both.
+    Unresponsive,
+    /// Answers, but receives no updates itself.
+    Stale,
 }
 
-/// A pull under way or the pause before the next one.
-struct Pulling {
+/// A pull in progress, or the pause before the next one.
+struct PullState {
     mode: Mode,
     health: Health,
     asked_at: Millis,
@@ -52,10 +54,10 @@
 
 struct Simulation {
     now: Millis,
-    fates: Vec<Fate>,
-    struck_at: Millis,
+    behaviors: Vec<Behavior>,
+    failure_at: Millis,
     selector: UpstreamSelector,
-    pulls: BTreeMap<SocketAddrV4, Pulling>,
+    pulls: BTreeMap<SocketAddrV4, PullState>,
     current_as_of: Millis,
 }
 
@@ -64,27 +66,27 @@
 }
 
 impl Simulation {
-    /// A router that starts with the latest state.
-    fn new(fates: &[Fate], struck_at: Millis) -> Self {
+    /// Creates a router that starts with the latest state.
+    fn new(behaviors: &[Behavior], failure_at: Millis) -> Self {
         Simulation {
             now: 0,
-            fates: fates.to_vec(),
-            struck_at,
+            behaviors: behaviors.to_vec(),
+            failure_at,
             selector: UpstreamSelector::default(),
             pulls: BTreeMap::new(),
             current_as_of: 0,
         }
     }
 
-    fn fate(&self, address: SocketAddrV4) -> Fate {
-        match self.now < self.struck_at {
-            true => Fate::Reachable,
-            false => self.fates[address.ip().octets()[3] as usize],
+    fn behavior(&self, address: SocketAddrV4) -> Behavior {
+        match self.now < self.failure_at {
+            true => Behavior::Reachable,
+            false => self.behaviors[address.ip().octets()[3] as usize],
         }
     }
 
-    /// The failure detector may take everybody for running, also who is cut off from this router
-    /// only.
+    /// All nodes are up for the failure detector, as it may not notice a node that only this router
+    /// cannot reach.
     fn candidates(&self) -> Vec<Candidate> {
         let candidate = |number| Candidate {
             address: address(number),
@@ -92,7 +94,7 @@
             is_near: number % ZONES == 0,
             distance: number,
         };
-        (0..self.fates.len()).map(candidate).collect()
+        (0..self.behaviors.len()).map(candidate).collect()
     }
 
     fn staleness(&self) -> Millis {
@@ -100,16 +102,16 @@
     }
 
     fn select(&mut self) {
-        for (address, pulling) in &self.pulls {
-            self.selector.observe(*address, pulling.health, self.now);
+        for (address, pull) in &self.pulls {
+            self.selector.observe(*address, pull.health, self.now);
         }
         let staleness = Some(self.staleness());
         let candidates = self.candidates();
         let wanted = self.selector.select(&candidates, staleness, self.now);
         self.pulls
-            .retain(|address, pulling| wanted.get(address) == Some(&pulling.mode));
+            .retain(|address, pull| wanted.get(address) == Some(&pull.mode));
         for (address, mode) in wanted {
-            self.pulls.entry(address).or_insert(Pulling {
+            self.pulls.entry(address).or_insert(PullState {
                 mode,
                 health: Health::Unknown,
                 asked_at: self.now,
@@ -121,51 +123,52 @@
 
     /// When a node's state was last confirmed as the latest.
     fn confirmed_at(&self, address: SocketAddrV4) -> Millis {
-        let until = match self.fate(address) {
-            Fate::Behind => self.struck_at,
+        let until = match self.behavior(address) {
+            Behavior::Stale => self.failure_at,
             _ => self.now,
         };
-        until.saturating_sub(HEARTBEAT)
+        until.saturating_sub(HEARTBEAT_INTERVAL)
     }
 
     fn pull(&mut self, address: SocketAddrV4) {
-        let (now, fate, confirmed_at) = (self.now, self.fate(address), self.confirmed_at(address));
-        let pulling = self.pulls.get_mut(&address).expect("a pull");
-        if let Some(next_at) = pulling.next_at {
+        let (now, behavior, confirmed_at) =
+            (self.now, self.behavior(address), self.confirmed_at(address));
+        let pull = self.pulls.get_mut(&address).expect("a pull");
+        if let Some(next_at) = pull.next_at {
             if now >= next_at {
-                (pulling.asked_at, pulling.next_at) = (now, None);
+                (pull.asked_at, pull.next_at) = (now, None);
             }
             return;
         }
-        let waited = now - pulling.asked_at;
-        let answers_at = match pulling.mode {
-            Mode::Follow => pulling.wait + ROUND_TRIP,
+        let waited = now - pull.asked_at;
+        let answers_at = match pull.mode {
+            Mode::Follow => pull.wait + ROUND_TRIP,
             Mode::Poll => ROUND_TRIP,
         };
-        if fate != Fate::Silent && waited >= answers_at {
+        if behavior != Behavior::Unresponsive && waited >= answers_at {
             self.current_as_of = self.current_as_of.max(confirmed_at);
-            pulling.health = match now - confirmed_at < STALE {
+            pull.health = match now - confirmed_at < MAX_NODE_STALENESS {
                 true => Health::Current,
                 false => Health::Failing,
             };
-            pulling.wait = WAIT;
-            let pause = match pulling.mode {
+            pull.wait = PULL_WAIT;
+            let pause = match pull.mode {
                 Mode::Follow => 0,
-                Mode::Poll => POLL,
+                Mode::Poll => POLL_INTERVAL,
             };
-            pulling.next_at = Some(now + pause);
-        } else if waited >= pulling.wait + GIVEN_UP {
-            pulling.next_at = Some(now + RETRY);
-        } else if waited >= pulling.wait + LATE {
-            pulling.health = Health::Failing;
+            pull.next_at = Some(now + pause);
+        } else if waited >= pull.wait + RESPONSE_TIMEOUT {
+            pull.next_at = Some(now + RETRY_DELAY);
+        } else if waited >= pull.wait + OVERDUE_AFTER {
+            pull.health = Health::Failing;
         }
     }
 
-    /// Lets time pass, and returns how old the state became at the most.
+    /// Runs the simulation until `end`, and returns the maximum staleness.
     fn run_until(&mut self, end: Millis) -> Millis {
         let mut oldest = 0;
         while self.now < end {
-            if self.now % SELECTION == 0 {
+            if self.now % SELECTION_INTERVAL == 0 {
                 self.select();
             }
             let addresses: Vec<SocketAddrV4> = self.pulls.keys().copied().collect();
@@ -179,57 +182,57 @@
     }
 }
 
-/// Every choice of nodes that are struck while at least one is not.
-fn every_choice(nodes: usize, struck: Fate) -> impl Iterator<Item = Vec<Fate>> {
-    (0..(1 << nodes) - 1).map(move |choice: usize| {
-        let fate = |node: usize| match choice >> node & 1 {
-            1 => struck,
-            _ => Fate::Reachable,
+/// All combinations of affected nodes in which at least one node is not affected.
+fn all_combinations(nodes: usize, affected: Behavior) -> impl Iterator<Item = Vec<Behavior>> {
+    (0..(1 << nodes) - 1).map(move |combination: usize| {
+        let behavior = |node: usize| match combination >> node & 1 {
+            1 => affected,
+            _ => Behavior::Reachable,
         };
-        (0..nodes).map(fate).collect()
+        (0..nodes).map(behavior).collect()
     })
 }
 
-fn oldest_state(fates: &[Fate], struck_at: Millis) -> Millis {
-    Simulation::new(fates, struck_at).run_until(struck_at + 20_000)
+fn max_staleness(behaviors: &[Behavior], failure_at: Millis) -> Millis {
+    Simulation::new(behaviors, failure_at).run_until(failure_at + 20_000)
 }
 
 #[test]
 fn state_stays_recent_while_one_node_is_current() {
     let mut oldest = (0, Vec::new());
     for nodes in [3, 5, 7, 9] {
-        for struck in [Fate::Silent, Fate::Behind] {
-            for fates in every_choice(nodes, struck) {
-                let staleness = oldest_state(&fates, 5_000);
+        for failure in [Behavior::Unresponsive, Behavior::Stale] {
+            for behaviors in all_combinations(nodes, failure) {
+                let staleness = max_staleness(&behaviors, 5_000);
                 if staleness > oldest.0 {
-                    oldest = (staleness, fates);
+                    oldest = (staleness, behaviors);
                 }
             }
         }
     }
-    println!("at the most {} ms, with {:?}", oldest.0, oldest.1);
+    println!("maximum staleness: {} ms, with {:?}", oldest.0, oldest.1);
     assert!(oldest.0 <= MAX_STALENESS, "{oldest:?}");
 }
 
-/// Half of the nodes are cut off, at each moment within a pull.
+/// Four of seven nodes fail, at each moment within a pull.
 #[test]
-fn state_stays_recent_at_whichever_moment_half_of_the_core_is_lost() {
-    use Fate::{Behind, Reachable, Silent};
-    for struck in [Silent, Behind] {
-        for struck_at in (5_000..7_000).step_by(100) {
-            let fates = [
-                struck, struck, struck, Reachable, Reachable, struck, Reachable,
+fn state_stays_recent_when_four_of_seven_nodes_fail_at_any_moment() {
+    use Behavior::{Reachable, Stale, Unresponsive};
+    for failure in [Unresponsive, Stale] {
+        for failure_at in (5_000..7_000).step_by(100) {
+            let behaviors = [
+                failure, failure, failure, Reachable, Reachable, failure, Reachable,
             ];
-            let staleness = oldest_state(&fates, struck_at);
-            assert!(staleness <= MAX_STALENESS, "{struck:?}: {staleness} ms");
+            let staleness = max_staleness(&behaviors, failure_at);
+            assert!(staleness <= MAX_STALENESS, "{failure:?}: {staleness} ms");
         }
     }
 }
 
-/// While nothing is wrong a router pulls from two nodes only.
+/// A router pulls from only two nodes while all nodes are reachable.
 #[test]
-fn two_upstreams_are_enough_in_calm() {
-    let mut simulation = Simulation::new(&[Fate::Reachable; 5], Millis::MAX);
+fn pulls_from_two_upstreams_while_all_are_reachable() {
+    let mut simulation = Simulation::new(&[Behavior::Reachable; 5], Millis::MAX);
     for second in 1..30 {
         simulation.run_until(second * 1_000);
         let modes: Vec<Mode> = simulation.pulls.values().map(|pull| pull.mode).collect();
