--- a/router/src/client_server.rs
+++ b/router/src/client_server.rs
@@ -1,4 +1,4 @@
-//! The server of the clients' interface.
+//! The HTTP server for clients.
 
 use crate::fleet::Fleet;
 use crate::listener::{ClientAcceptor, ClientConnections, IdleTimeout};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Serves clients until told to stop, and returns once every response is sent.
+/// Serves clients until `stopped` becomes true, and returns once all responses have been sent.
 pub async fn serve_clients(
     listener: tokio::net::TcpListener,
     forwarder: Arc<Forwarder>,
@@ -20,18 +20,18 @@
     let idle_timeout = idle_timeout(forwarder.fleet.clone());
     let acceptor = ClientAcceptor::new(listener, connections.clone(), idle_timeout);
     let stop = async move {
-        // The sender lives until the process ends.
+        // The sender is held until the process exits, so the wait cannot fail.
         let _ = stopped.wait_for(|stopped| *stopped).await;
     };
-    let closed = Server::new_with_acceptor(acceptor)
+    let result = Server::new_with_acceptor(acceptor)
         .run_with_graceful_shutdown(Ingress::new(forwarder, connections), stop, None)
         .await;
-    if let Err(error) = closed {
-        log::error!("clients are taken no more: {error}");
+    if let Err(error) = result {
+        log::error!("client server failed, no further connections are accepted: {error}");
     }
 }
 
-/// `limits.idleTimeoutMs` of the configuration in force, or its default.
+/// Looks up `limits.idleTimeoutMs` in the current configuration; the default if there is none.
 fn idle_timeout(fleet: Arc<Fleet>) -> IdleTimeout {
     Arc::new(move || {
         let published = lock(&fleet.published);
--- a/router/src/kv_stores.rs
+++ b/router/src/kv_stores.rs
@@ -1,4 +1,4 @@
-//! The KV stores of the configuration, and whether each is available.
+//! Availability of the KV stores in the configuration, as far as this router knows.
 
 use crate::protocol::StoreStatus;
 use crate::rendezvous;
@@ -9,14 +9,14 @@
 use std::net::SocketAddrV4;
 use std::sync::Mutex;
 
-/// Availability of a store, as far as this router knows.
+/// Availability of one store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StoreState {
-    /// Not known yet.
+    /// Neither polled by this router nor reported by another one yet.
     Unknown,
     /// The store does not respond.
     Unresponsive,
-    /// The store responds. A new generation has lost the contents of the previous one.
+    /// The store responds. It starts a new generation when it has lost its contents.
     Available { generation: u64 },
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl KvStores {
-    /// The store responsible for a prefix: one of the available ones, by rendezvous hashing.
+    /// The store responsible for a prefix, chosen among the available stores by rendezvous hashing.
     pub fn store_for(&self, key: PrefixKey) -> Option<AvailableStore> {
         let stores = lock(&self.stores);
         let available = stores.iter().filter_map(|(address, state)| match state {
@@ -49,7 +49,7 @@
         available.max_by_key(|store| rendezvous::score(&(key, store.address)))
     }
 
-    /// The status of a store, if it is known.
+    /// The status of a store; `None` if the store or its status is unknown.
     pub fn status(&self, address: SocketAddrV4) -> Option<StoreStatus> {
         match lock(&self.stores).get(&address)? {
             StoreState::Unknown => None,
@@ -60,15 +60,15 @@
         }
     }
 
-    /// Records a state; changes are logged.
+    /// Records a state, and logs it if it has changed.
     fn set_state(&self, address: SocketAddrV4, state: StoreState) {
-        let former = lock(&self.stores).insert(address, state);
-        if former != Some(state) {
-            log::debug!("store {address}: {state:?}");
+        let previous = lock(&self.stores).insert(address, state);
+        if previous != Some(state) {
+            log::debug!("KV store {address} is now {state:?}");
         }
     }
 
-    /// Records that a store responds in a generation.
+    /// Records that a store responds, and its generation.
     pub fn mark_available(&self, address: SocketAddrV4, generation: u64) {
         self.set_state(address, StoreState::Available { generation });
     }
@@ -86,11 +86,11 @@
         }
     }
 
-    /// Replaces the set of stores by that of a configuration.
-    pub fn reconfigure(&self, wanted: &BTreeMap<SocketAddrV4, KvStore>) {
+    /// Adopts the stores of a configuration. Stores that were known before keep their state.
+    pub fn reconfigure(&self, configured: &BTreeMap<SocketAddrV4, KvStore>) {
         let mut stores = lock(&self.stores);
-        stores.retain(|address, _| wanted.contains_key(address));
-        for address in wanted.keys() {
+        stores.retain(|address, _| configured.contains_key(address));
+        for address in configured.keys() {
             stores.entry(*address).or_insert(StoreState::Unknown);
         }
     }
--- a/router/src/listener.rs
+++ b/router/src/listener.rs
@@ -1,10 +1,10 @@
-//! Client connections: detects that a client has disconnected, aborts a connection in the middle of
-//! a response, and closes idle ones.
+//! Client connections: detects disconnected clients, aborts connections in the middle of a
+//! response, and closes idle connections.
 //!
-//! The HTTP server library polls a connection again after it has failed. The request of a
-//! disconnected client would then continue, and a failed body would end as if it were complete.
-//! Therefore each connection has a state of its own, which everything that works for its requests
-//! observes.
+//! The HTTP server library polls a connection again after the connection has failed. The request of
+//! a disconnected client would then continue, and a failed body would end as if it were complete.
+//! Therefore each connection has its own state, which is observed by all tasks that work on its
+//! requests.
 
 use crate::sync::lock;
 use poem::listener::Acceptor;
@@ -29,7 +29,7 @@
     Open,
     /// The client has closed or reset the connection.
     ClientDisconnected,
-    /// This router has aborted the connection: nothing is read or written any more.
+    /// This router has aborted the connection. Reads and writes fail.
     Aborted,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// A request in flight on a connection, which is not idle until this is dropped.
+/// Guard for a request in flight. Its connection does not count as idle until the guard is dropped.
 #[derive(Debug)]
 pub struct RequestInFlight(ClientConnection);
 
@@ -85,36 +85,36 @@
         self.0.requests_in_flight.load(Ordering::Relaxed) > 0
     }
 
-    /// Completes when the connection has ended, by the client or by this router.
+    /// Completes when the client has disconnected or this router has aborted the connection.
     pub async fn closed(&self) {
         let mut state = self.0.state.subscribe();
         let ended = state.wait_for(|state| *state != ConnectionState::Open);
         tokio::select! {
-            // The sender is held here, so the wait ends only by the state.
+            // `self` holds the sender, so the wait cannot fail.
             _ = ended => {}
-            () = self.client_closed() => self.enter(ConnectionState::ClientDisconnected),
+            () = self.client_closed() => self.end(ConnectionState::ClientDisconnected),
         }
     }
 
-    /// Completes when the client has closed the connection, also if bytes that it sent before are
-    /// unread: while a request is in flight, the HTTP server reads only so much of what follows it.
+    /// Completes when the client has closed the connection, even if earlier bytes are still unread:
+    /// while a request is in flight, the HTTP server reads only a limited amount of pipelined data.
     async fn client_closed(&self) {
         let Some(stream) = &self.0.stream else {
             return std::future::pending().await;
         };
-        // Readiness to read would complete at once while there are unread bytes. Waiting for
-        // urgent data, which clients do not send, also completes when the client has closed.
+        // Waiting for readability would complete at once while there are unread bytes. Waiting for
+        // urgent data, which clients do not send, also completes when the client closes.
         let _ = stream.ready(Interest::PRIORITY).await;
     }
 
-    /// Aborts the connection: nothing is read or written any more.
+    /// Aborts the connection. All further reads and writes fail.
     pub fn abort(&self) {
-        self.enter(ConnectionState::Aborted);
+        self.end(ConnectionState::Aborted);
     }
 
-    /// The only transition: an open connection ends once. The client's disconnect and an abort may
-    /// race, and the first one wins.
-    fn enter(&self, state: ConnectionState) {
+    /// Moves an open connection to a final state. A disconnect by the client and an abort may race;
+    /// the first one wins.
+    fn end(&self, state: ConnectionState) {
         self.0.state.send_if_modified(|current| {
             let is_open = *current == ConnectionState::Open;
             if is_open {
@@ -124,7 +124,7 @@
         });
     }
 
-    fn check(&self) -> io::Result<()> {
+    fn ensure_open(&self) -> io::Result<()> {
         match self.state() {
             ConnectionState::Open => Ok(()),
             ConnectionState::ClientDisconnected | ConnectionState::Aborted => {
@@ -139,16 +139,16 @@
 pub struct ClientConnections(Arc<Mutex<HashMap<SocketAddr, ClientConnection>>>);
 
 impl ClientConnections {
-    /// The connection of a client address.
+    /// The connection of a client address, or an unregistered open one if the address is unknown.
     pub fn get(&self, remote: Option<&SocketAddr>) -> ClientConnection {
         remote
             .and_then(|remote| lock(&self.0).get(remote).cloned())
             .unwrap_or_default()
     }
 
-    /// Removes a connection that has ended, unless a newer one has the same address: ports are
-    /// reused.
-    fn forget(&self, remote: &SocketAddr, connection: &ClientConnection) {
+    /// Removes a connection that has ended. A newer connection from the same address is kept, as
+    /// clients reuse ports.
+    fn remove(&self, remote: &SocketAddr, connection: &ClientConnection) {
         let mut connections = lock(&self.0);
         if connections
             .get(remote)
@@ -159,7 +159,7 @@
     }
 }
 
-/// For how long a connection may be idle, by the configuration in force at the moment of the call.
+/// Returns how long a connection may be idle according to the current configuration.
 pub type IdleTimeout = Arc<dyn Fn() -> Duration + Send + Sync>;
 
 /// Accepts client connections.
@@ -170,7 +170,7 @@
 }
 
 impl ClientAcceptor {
-    /// Accepts connections from a listener.
+    /// Creates an acceptor that registers each connection in `connections`.
     pub fn new(
         listener: TcpListener,
         connections: ClientConnections,
@@ -234,15 +234,15 @@
 }
 
 impl ClientStream {
-    /// Records the outcome of a read or write. If it failed, the client has disconnected.
+    /// Records the outcome of a read or write. A failure counts as a disconnect by the client.
     fn record<T>(&mut self, result: &io::Result<T>) {
         match result {
             Ok(_) => self.last_activity = Instant::now(),
-            Err(_) => self.connection.enter(ConnectionState::ClientDisconnected),
+            Err(_) => self.connection.end(ConnectionState::ClientDisconnected),
         }
     }
 
-    /// Reads what is there; pending while there is nothing.
+    /// Reads available bytes, and is pending while there are none.
     fn poll_read_available(
         &mut self,
         context: &mut Context<'_>,
@@ -257,11 +257,11 @@
         }
     }
 
-    /// Ready once the connection has been idle for as long as it may. The limit is looked up again
-    /// whenever the timer expires.
+    /// Ready once the idle timeout has passed. The timeout is looked up again whenever the timer
+    /// expires, as the configuration may have changed.
     fn poll_idle_timeout(&mut self, context: &mut Context<'_>) -> Poll<()> {
         loop {
-            // The server reads on once the response is written.
+            // No timer is needed here: the server reads again once the response is written.
             if self.connection.has_requests_in_flight() {
                 self.last_activity = Instant::now();
                 return Poll::Pending;
@@ -283,7 +283,7 @@
 
 impl Drop for ClientStream {
     fn drop(&mut self) {
-        self.connections.forget(&self.remote, &self.connection);
+        self.connections.remove(&self.remote, &self.connection);
     }
 }
 
@@ -293,15 +293,15 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.connection.check()?;
+        self.connection.ensure_open()?;
         let room = buffer.remaining();
         let Poll::Ready(read) = self.poll_read_available(context, buffer) else {
-            // The server takes an end of input for the client's wish to close the connection.
+            // The server treats an end of input as a regular close by the client.
             return self.poll_idle_timeout(context).map(Ok);
         };
         self.record(&read);
         if read? == 0 && room > 0 {
-            self.connection.enter(ConnectionState::ClientDisconnected);
+            self.connection.end(ConnectionState::ClientDisconnected);
         }
         Poll::Ready(Ok(()))
     }
@@ -321,7 +321,7 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.connection.check()?;
+        self.connection.ensure_open()?;
         loop {
             ready!(self.stream.poll_write_ready(context))?;
             match self.stream.try_write_vectored(parts) {
@@ -339,12 +339,12 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A socket has no buffer of its own here.
-        Poll::Ready(self.connection.check())
+        // Writes go directly to the socket; there is no user-space buffer to flush.
+        Poll::Ready(self.connection.ensure_open())
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.connection.check()?;
+        self.connection.ensure_open()?;
         Poll::Ready(socket2::SockRef::from(&*self.stream).shutdown(Shutdown::Write))
     }
 }
--- a/router/src/traffic.rs
+++ b/router/src/traffic.rs
@@ -6,24 +6,24 @@
 /// The kind of a message. The names of the variants are part of the status report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Replication, failover and leases of the control state.
+    /// Control state: replication, failover and leases.
     Replica,
-    /// Soft state and configurations.
+    /// Pulls of directory updates, configurations and weights.
     Pull,
-    /// Operators' changes and reads.
+    /// Changes and reads requested by operators.
     Operator,
-    /// Registrations of backends.
+    /// Backend registrations.
     Register,
-    /// The index of prompt prefixes.
+    /// Prompt prefix index, and the status of KV stores.
     Locate,
-    /// Failures of backends.
+    /// Reports of backend failures.
     Faults,
-    /// Anti-entropy.
+    /// Anti-entropy repair.
     Repair,
 }
 
 impl MessageKind {
-    /// Every kind, in the order of the counters.
+    /// All kinds, in the order in which [`Traffic`] stores their counters.
     pub const ALL: [MessageKind; 7] = [
         MessageKind::Replica,
         MessageKind::Pull,
