--- a/router/src/proxy.rs
+++ b/router/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The data plane: requests of clients, sent on to backends.
+//! The data plane: forwards client requests to backends and relays the responses.
 
 pub mod attempt;
 pub mod backend;
--- a/router/src/proxy/attempt.rs
+++ b/router/src/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: sending a request to one backend, up to the head of its response.
+//! A single attempt: sends a request to one backend and waits for the head of the response.
 
 use super::backend::{Backend, InFlightGuard};
 use super::cache_salt::salt;
@@ -22,38 +22,38 @@
 
 /// Time limit of connecting to a backend.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Minimum idle time, in milliseconds, after which a reset counts as a stale connection. A reset
-/// right after the previous response is a failure of the backend instead.
+/// Minimum idle time, in milliseconds, before a reset counts as a stale connection. A reset soon
+/// after the previous response counts as a failure of the backend.
 const MIN_STALE_IDLE: Millis = 50;
 /// A pooled connection expires this long before the backend would close it.
 const KEEP_ALIVE_MARGIN_MS: u64 = 500;
 
-/// A client's request, as it is sent to any backend.
+/// The parts of a client's request that are the same for all attempts.
 #[derive(Debug)]
 pub struct UpstreamRequest {
     /// Request method.
     pub method: Method,
-    /// Path and query of the client, unchanged.
+    /// Path and query, unchanged from the client's request.
     pub uri: Uri,
-    /// Headers that are forwarded.
+    /// Headers to forward.
     pub headers: HeaderMap,
     /// Request body.
     pub body: Bytes,
-    /// Id of the client's attempt.
+    /// Request id that the client assigned to this attempt of its own.
     pub request_id: String,
-    /// When the client stops waiting.
+    /// The client's deadline.
     pub deadline: Instant,
     /// Prompt description, if the request has one.
     pub prompt: Option<Prompt>,
     /// Namespace of the tenant's prefix cache; see [`CacheSalt`](super::cache_salt::CacheSalt).
     pub cache_namespace: CompactString,
-    /// Whether the response is an event stream.
+    /// Whether the route allows an event stream as the response.
     pub streaming: bool,
     /// Whether the request may be sent again although it may have been executed.
     pub is_retryable: bool,
 }
 
-/// KV cache transfers that a backend is asked to make.
+/// KV cache transfers requested from a backend.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct KvTransfer {
     /// Fetch missing segments from this address.
@@ -62,7 +62,7 @@
     pub save: Option<SocketAddrV4>,
 }
 
-/// Options in which attempts at the same request differ.
+/// Options that differ between the attempts of a request.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptOptions {
     /// Version of the weights that the backend is expected to have.
@@ -83,10 +83,11 @@
     pub status: StatusCode,
     /// Body, complete or as a stream.
     pub content: ResponseBody,
-    /// The backend that sent it.
+    /// The backend that sent the response.
     pub backend: Arc<Backend>,
-    /// Time from the start of the attempt to the response, or to its end if it was buffered.
-    pub took: Duration,
+    /// Time from the start of the attempt to the start of the response, or to its end if the
+    /// response was buffered.
+    pub latency: Duration,
 }
 
 /// The body of a response.
@@ -99,21 +100,21 @@
 
 /// An event stream in progress.
 pub struct EventStream {
-    /// Bytes that arrived and were not passed on yet.
+    /// Bytes that have arrived but have not been relayed yet.
     pub first: Bytes,
     /// The rest of the body.
     pub rest: Incoming,
     /// The connection that carries the body.
     pub connection: Connection,
     /// Counts the request as in flight at its backend.
-    pub outstanding: InFlightGuard,
+    pub in_flight_guard: InFlightGuard,
     /// Keep-alive time that the backend announced, in seconds.
     pub keep_alive: Option<u64>,
     /// Whether the backend closes the connection after the response.
     pub closes: bool,
 }
 
-/// Why an attempt brought no response that may be passed on.
+/// Why an attempt produced no response that may be passed to the client.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum AttemptError {
     /// The backend could not be reached, or nothing was written: the request was not executed.
@@ -130,22 +131,22 @@
     /// The connection or the response is broken; the request may have been executed.
     #[error("the connection or the response is broken")]
     Broken,
-    /// The attempt was cancelled because the backend's weights became too old for the request to
-    /// start there. The request may have been executed.
+    /// The attempt was cancelled because requests must no longer start on the backend's version of
+    /// the weights. The request may have been executed.
     #[error("the backend's weights became too old")]
-    Withdrawn,
+    WeightsExpired,
 }
 
 /// Outcome of an attempt.
 pub type Result = std::result::Result<ResponseStart, AttemptError>;
 
-/// Whether a backend may have executed a request. Shared with the owner of the attempt, which reads
-/// it after dropping the attempt.
+/// Whether a backend may have executed a request. The flag is shared with the owner of the attempt,
+/// which still reads it after dropping the attempt.
 #[derive(Debug, Clone, Default)]
 pub struct ExecutionFlag(Arc<AtomicBool>);
 
 impl ExecutionFlag {
-    /// Returns whether the attempt has come so far that the backend may execute the request.
+    /// Returns whether the backend may have executed the request.
     pub fn may_have_executed(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
@@ -155,51 +156,51 @@
     }
 }
 
-/// Sends a request to a backend and waits for the head of its response. A backend that is overdue
-/// without reporting a queue is recorded as failed, but its response is still accepted.
+/// Sends a request to a backend and waits for the head of the response. If the response is overdue
+/// and the backend reports no queue, a failure is recorded, but a late response is still accepted.
 pub async fn send(
     upstream_request: Arc<UpstreamRequest>,
     backend: Arc<Backend>,
     options: AttemptOptions,
     prefill_tokens: u64,
-    sent: ExecutionFlag,
+    execution_flag: ExecutionFlag,
 ) -> Result {
     let overdue_after = options.overdue_after;
-    let answered = send_and_judge(
+    let response = send_and_validate(
         upstream_request,
         backend.clone(),
         options,
         prefill_tokens,
-        sent,
+        execution_flag,
     );
-    tokio::pin!(answered);
-    if let Ok(result) = tokio::time::timeout(overdue_after, &mut answered).await {
+    tokio::pin!(response);
+    if let Ok(result) = tokio::time::timeout(overdue_after, &mut response).await {
         return result;
     }
     if !backend.load().has_queue() {
         backend.record_failure();
     }
-    answered.await
+    response.await
 }
 
-async fn send_and_judge(
+async fn send_and_validate(
     upstream_request: Arc<UpstreamRequest>,
     backend: Arc<Backend>,
     options: AttemptOptions,
     prefill_tokens: u64,
-    sent: ExecutionFlag,
+    execution_flag: ExecutionFlag,
 ) -> Result {
     let started_at = Instant::now();
-    let outstanding = InFlightGuard::begin(backend.clone(), prefill_tokens);
+    let in_flight_guard = InFlightGuard::begin(backend.clone(), prefill_tokens);
     let mut connection = connect(&upstream_request, &backend).await?;
     let idle_time = connection.idle_time(clock::now());
-    let request = build(&upstream_request, &backend, &options);
-    sent.set(true);
+    let request = build_request(&upstream_request, &backend, &options);
+    execution_flag.set(true);
     let response = match connection.send(request).await {
         Ok(response) => response,
         Err(failure) => {
             record_send_failure(&backend, idle_time);
-            sent.set(failure == SendError::MayHaveExecuted);
+            execution_flag.set(failure == SendError::MayHaveExecuted);
             return Err(if failure == SendError::NotWritten {
                 AttemptError::NotSent
             } else {
@@ -211,14 +212,14 @@
     let received = ReceivedResponse {
         upstream_request,
         backend,
-        outstanding,
+        in_flight_guard,
         connection,
         started_at,
         expected_version,
     };
     let result = received.validate(response).await;
     if matches!(result, Err(AttemptError::Rejected { .. })) {
-        sent.set(false);
+        execution_flag.set(false);
     }
     result
 }
@@ -227,14 +228,17 @@
     upstream_request: &UpstreamRequest,
     backend: &Backend,
 ) -> std::result::Result<Connection, AttemptError> {
-    let left = upstream_request
+    let remaining = upstream_request
         .deadline
         .saturating_duration_since(Instant::now());
     let connected = backend
-        .connect(left.min(CONNECT_TIMEOUT), upstream_request.is_retryable)
+        .connect(
+            remaining.min(CONNECT_TIMEOUT),
+            upstream_request.is_retryable,
+        )
         .await;
     connected.map_err(|error| {
-        log::debug!("backend {} can't be reached: {error}", backend.id);
+        log::debug!("connecting to backend {} failed: {error}", backend.id);
         backend.record_unreachable();
         AttemptError::NotSent
     })
@@ -249,7 +253,7 @@
     }
 }
 
-fn build(
+fn build_request(
     upstream_request: &UpstreamRequest,
     backend: &Backend,
     options: &AttemptOptions,
@@ -257,38 +261,50 @@
     let mut request = Request::new(Full::new(upstream_request.body.clone()));
     *request.method_mut() = upstream_request.method.clone();
     *request.uri_mut() = upstream_request.uri.clone();
-    let mut sent = upstream_request.headers.clone();
-    let left = upstream_request
+    let mut request_headers = upstream_request.headers.clone();
+    let remaining = upstream_request
         .deadline
         .saturating_duration_since(Instant::now())
         .as_millis()
         .max(1);
-    headers::set(&mut sent, headers::DEADLINE_MS, &left.to_string());
-    headers::set(&mut sent, headers::EXPECT_INSTANCE, &backend.id);
+    headers::set(
+        &mut request_headers,
+        headers::DEADLINE_MS,
+        &remaining.to_string(),
+    );
+    headers::set(&mut request_headers, headers::EXPECT_INSTANCE, &backend.id);
     if upstream_request.prompt.is_some() {
         headers::set(
-            &mut sent,
+            &mut request_headers,
             headers::SALT,
             &salt(&upstream_request.cache_namespace, options.version),
         );
     }
     if let Some(version) = options.version {
-        headers::set(&mut sent, headers::EXPECT_VERSION, &version.to_string());
+        headers::set(
+            &mut request_headers,
+            headers::EXPECT_VERSION,
+            &version.to_string(),
+        );
     }
-    if let Some(store) = options.kv_transfer.fetch {
-        headers::set(&mut sent, headers::KV_FETCH, &store.to_string());
+    if let Some(address) = options.kv_transfer.fetch {
+        headers::set(
+            &mut request_headers,
+            headers::KV_FETCH,
+            &address.to_string(),
+        );
     }
-    if let Some(store) = options.kv_transfer.save {
-        headers::set(&mut sent, headers::KV_SAVE, &store.to_string());
+    if let Some(address) = options.kv_transfer.save {
+        headers::set(&mut request_headers, headers::KV_SAVE, &address.to_string());
     }
     if let Some(id) = &options.last_event_id {
-        headers::set(&mut sent, headers::LAST_EVENT_ID, id);
+        headers::set(&mut request_headers, headers::LAST_EVENT_ID, id);
     }
-    *request.headers_mut() = sent;
+    *request.headers_mut() = request_headers;
     request
 }
 
-/// Returns a connection to the pool after its response, once it is ready for another request.
+/// Returns a connection to the pool once it can take another request, unless it is to be closed.
 pub fn recycle(
     backend: Arc<Backend>,
     mut connection: Connection,
--- a/router/src/proxy/backend.rs
+++ b/router/src/proxy/backend.rs
@@ -1,4 +1,4 @@
-//! A backend as this router observes it: its reported state, load, recent failures and idle
+//! This router's view of a backend: its registered state, load, recent failures and idle
 //! connections.
 
 use super::connection::Connection;
@@ -18,14 +18,14 @@
 
 /// Maximum number of idle connections per backend.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// Backoff after a backend was unreachable or failed, in milliseconds; it doubles with each
-/// consecutive failure, up to the maximum.
+/// Initial and maximum backoff after a backend was unreachable or failed, in milliseconds. The
+/// backoff doubles with each consecutive failure.
 const BASE_BACKOFF: Millis = 400;
 const MAX_BACKOFF: Millis = 3_200;
 /// Maximum age of a load report, in milliseconds.
 const LOAD_MAX_AGE: Millis = 1_500;
-/// An order that was not reported as completed counts as in progress for this long, in
-/// milliseconds.
+/// Time for which an order to load weights counts as in progress, unless it is reported as
+/// completed, in milliseconds.
 const LOADING_TIMEOUT: Millis = 3_000;
 
 /// Load that a backend reported.
@@ -37,19 +37,19 @@
     pub waiting: u32,
     /// Maximum number of requests in execution.
     pub slots: u32,
-    /// Time of the report.
-    pub at: Millis,
+    /// When the report was received.
+    pub received_at: Millis,
 }
 
 impl ReportedLoad {
     /// Parses the load header.
-    pub fn parse(text: &str, at: Millis) -> Option<Self> {
+    pub fn parse(text: &str, received_at: Millis) -> Option<Self> {
         let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
         Some(ReportedLoad {
             running: numbers.next()??,
             waiting: numbers.next()??,
             slots: numbers.next()??,
-            at,
+            received_at,
         })
     }
 }
@@ -63,7 +63,7 @@
     outstanding: u32,
     prefill_tokens: u64,
     reported: Option<ReportedLoad>,
-    failures: u32,
+    consecutive_failures: u32,
     backoff_until: Millis,
     suspicion: u64,
     suspected_until: Millis,
@@ -84,21 +84,21 @@
     pub service: CompactString,
     /// Address for requests.
     pub address: SocketAddrV4,
-    /// Zone.
+    /// Zone of the backend.
     pub zone: CompactString,
     /// Maximum number of requests in execution.
     pub slots: u32,
     service_state: Arc<ServiceState>,
-    failures: Arc<FailureLog>,
+    failure_log: Arc<FailureLog>,
     state: Mutex<State>,
 }
 
 /// A snapshot of a backend's load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests of this router that are in flight there.
+    /// Requests of this router that are in flight at the backend.
     pub outstanding: u32,
-    /// Prompt tokens of this router's requests that wait for prefill there.
+    /// Prompt tokens of this router's requests that wait for prefill at the backend.
     pub prefill_tokens: u64,
     /// The latest load report, unless it is too old.
     pub reported: Option<ReportedLoad>,
@@ -110,8 +110,8 @@
         self.reported.is_some_and(|reported| reported.waiting > 0)
     }
 
-    /// Returns whether, by the latest report, requests are queued or half of the slots are in use.
-    /// True without a report.
+    /// Returns whether the latest report states queued requests, or that at least half of the slots
+    /// are in use. Returns true if there is no report.
     pub fn is_busy(&self) -> bool {
         self.reported
             .is_none_or(|reported| reported.waiting > 0 || 2 * reported.running >= reported.slots)
@@ -121,21 +121,21 @@
 /// Whether a backend may be sent requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eligibility {
-    /// It may.
+    /// Requests may be sent.
     Eligible,
-    /// Only if no other backend is eligible.
+    /// Requests may be sent only if no other backend is eligible.
     LastResort,
-    /// It must not.
+    /// Requests must not be sent.
     Ineligible,
 }
 
 impl Backend {
-    /// Creates the state of a backend that was just discovered.
+    /// Creates a newly discovered backend.
     pub fn new(
         id: CompactString,
         registered: &Registered,
         service_state: Arc<ServiceState>,
-        failures: Arc<FailureLog>,
+        failure_log: Arc<FailureLog>,
     ) -> Self {
         let state = State {
             phase: registered.phase,
@@ -145,7 +145,7 @@
             outstanding: 0,
             prefill_tokens: 0,
             reported: None,
-            failures: 0,
+            consecutive_failures: 0,
             backoff_until: 0,
             suspicion: 0,
             suspected_until: 0,
@@ -158,12 +158,12 @@
             zone: registered.zone.clone(),
             slots: registered.slots,
             service_state,
-            failures,
+            failure_log,
             state: Mutex::new(state),
         }
     }
 
-    /// Applies the backend's records in the directory.
+    /// Applies the current directory records of the backend.
     pub fn update(
         &self,
         registered: &Registered,
@@ -179,8 +179,8 @@
         state.unresponsive = registered.unresponsive;
         state.weights.observe_heartbeat(registered);
         if let Some(order) = order {
-            let updates = state.order.as_ref().is_none_or(|(known, _)| known != order);
-            if updates {
+            let is_new = state.order.as_ref().is_none_or(|(known, _)| known != order);
+            if is_new {
                 state.order = Some((order.clone(), clock::now()));
             }
             state.weights.observe_order(order);
@@ -190,22 +190,23 @@
         }
     }
 
-    /// Returns whether requests for a model and minimum version may be sent here.
+    /// Returns whether requests may be sent to the backend. `model` is the required model and its
+    /// minimum weights version, if any.
     pub fn eligibility(&self, model: Option<(&str, Option<u64>)>) -> Eligibility {
         let now = clock::now();
         let state = lock(&self.state);
         if state.phase != BackendPhase::Ready {
             return Eligibility::Ineligible;
         }
-        if let Some((model, least)) = model {
+        if let Some((model, min_version)) = model {
             if state.is_loading(model, now) || state.weights.is_refuted(model, now) {
                 return Eligibility::Ineligible;
             }
-            if least.is_some_and(|least| {
+            if min_version.is_some_and(|min_version| {
                 state
                     .weights
                     .version(model)
-                    .is_none_or(|version| version < least)
+                    .is_none_or(|version| version < min_version)
             }) {
                 return Eligibility::Ineligible;
             }
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Returns whether several routers observed failures recently.
+    /// Returns whether the backend is suspected, as several routers observed failures recently.
     pub fn is_suspected(&self) -> bool {
         clock::now() < lock(&self.state).suspected_until
     }
@@ -232,13 +233,13 @@
         lock(&self.state).weights.versions()
     }
 
-    /// Records the version stated in a successful response.
+    /// Records the version of a model's weights stated in a response.
     pub fn observe_version(&self, model: &str, version: u64) {
         lock(&self.state).weights.observe_response(model, version);
     }
 
-    /// Records that a request was rejected because it expected a version that the backend does not
-    /// have. `reported` is the actual one, if stated.
+    /// Records that the backend rejected a request because its weights do not have the expected
+    /// version. `reported` is their actual version, if stated.
     pub fn observe_version_mismatch(&self, model: &str, expected: u64, reported: Option<u64>) {
         lock(&self.state)
             .weights
@@ -251,7 +252,7 @@
         let state = lock(&self.state);
         let reported = state
             .reported
-            .filter(|reported| now < reported.at + LOAD_MAX_AGE);
+            .filter(|reported| now < reported.received_at + LOAD_MAX_AGE);
         Load {
             outstanding: state.outstanding,
             prefill_tokens: state.prefill_tokens,
@@ -272,8 +273,8 @@
         Connection::open(self.address, timeout).await
     }
 
-    /// Takes an idle connection. One that exceeds the idle limit is left for retryable requests, as
-    /// a stale connection could fail a request that must not be sent again.
+    /// Takes an idle connection from the pool. Connections that exceed the idle limit are reserved
+    /// for retryable requests: a stale connection could fail a request that must not be sent again.
     pub fn take_idle(&self, is_retryable: bool, now: Millis) -> Option<Connection> {
         let idle_limit = *lock(&self.service_state.idle_limit);
         let mut state = lock(&self.state);
@@ -282,11 +283,11 @@
             is_retryable || idle_limit.allows(connection.idle_time(now), now)
         };
         let usable = |connection: &Connection| connection.is_usable(now) && is_allowed(connection);
-        let at = state.idle.iter().rposition(usable)?;
-        Some(state.idle.remove(at))
+        let index = state.idle.iter().rposition(usable)?;
+        Some(state.idle.remove(index))
     }
 
-    /// Returns a connection to the pool.
+    /// Returns a connection to the pool, unless the pool is full or the backend is not ready.
     pub fn return_connection(&self, mut connection: Connection) {
         let mut state = lock(&self.state);
         if state.phase == BackendPhase::Ready && state.idle.len() < MAX_IDLE_CONNECTIONS {
@@ -295,19 +296,19 @@
         }
     }
 
-    /// Records that the backend could not be reached from here. This is not reported to other
-    /// routers, as it may be a fault of the network path.
+    /// Records that this router could not reach the backend. This is not reported to other routers,
+    /// as the fault may lie in the network path.
     pub fn record_unreachable(&self) {
         self.back_off();
     }
 
-    /// Records a failure of the backend itself.
+    /// Records a failure of the backend itself, which is also reported to other routers.
     pub fn record_failure(&self) {
         self.back_off();
-        self.failures.record(&self.id);
+        self.failure_log.record(&self.id);
     }
 
-    /// Records that a connection was reset when a request was sent on it after it was idle.
+    /// Records that a connection was reset when a request was sent on it after this idle time.
     pub fn record_stale_connection(&self, idle_time: Millis) {
         lock(&self.service_state.idle_limit).record_stale(idle_time, clock::now());
         lock(&self.state).idle.clear();
@@ -317,9 +318,9 @@
         let now = clock::now();
         let mut state = lock(&self.state);
         if now >= state.backoff_until {
-            let longer = BASE_BACKOFF << state.failures.min(3);
-            state.backoff_until = now + longer.min(MAX_BACKOFF);
-            state.failures += 1;
+            let backoff = BASE_BACKOFF << state.consecutive_failures.min(3);
+            state.backoff_until = now + backoff.min(MAX_BACKOFF);
+            state.consecutive_failures += 1;
         }
         state.idle.clear();
     }
@@ -327,7 +328,7 @@
     /// Records a success, which ends the backoff.
     pub fn record_success(&self) {
         let mut state = lock(&self.state);
-        state.failures = 0;
+        state.consecutive_failures = 0;
         state.backoff_until = 0;
     }
 }
@@ -346,14 +347,14 @@
     }
 }
 
-/// Counts a request as in flight at a backend until it is dropped.
+/// Guard that counts a request as in flight at a backend until the guard is dropped.
 pub struct InFlightGuard {
     backend: Arc<Backend>,
     prefill_tokens: u64,
 }
 
 impl InFlightGuard {
-    /// Records a request that is about to be sent with this many prompt tokens to prefill.
+    /// Counts a request that is about to be sent, and the prompt tokens that it has to prefill.
     pub fn begin(backend: Arc<Backend>, prefill_tokens: u64) -> Self {
         let mut state = lock(&backend.state);
         state.outstanding += 1;
@@ -365,7 +366,7 @@
         }
     }
 
-    /// Records that the response began, so prefill is done.
+    /// Records that prefill is finished, as the response has started.
     pub fn prefill_finished(&mut self) {
         lock(&self.backend.state).prefill_tokens -= std::mem::take(&mut self.prefill_tokens);
     }
--- a/router/src/proxy/backend_table.rs
+++ b/router/src/proxy/backend_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: the backends that this router may send to, by service.
+//! The endpoint table: the backends that this router may send requests to, by service.
 
 use super::backend::{Backend, ServiceState};
 use super::failure_log::FailureLog;
@@ -18,7 +18,7 @@
     services: Mutex<Arc<Services>>,
     known: Mutex<HashMap<CompactString, Arc<Backend>>>,
     service_states: Mutex<HashMap<CompactString, Arc<ServiceState>>>,
-    failures: Arc<FailureLog>,
+    failure_log: Arc<FailureLog>,
 }
 
 impl BackendTable {
@@ -33,22 +33,22 @@
         lock(&self.known).get(id).cloned()
     }
 
-    /// The failures that this router observed and has not reported yet.
+    /// The log of backend failures that have not been reported yet.
     pub fn failures(&self) -> Arc<FailureLog> {
-        self.failures.clone()
+        self.failure_log.clone()
     }
 
-    /// Returns whether no backend is known.
+    /// Returns whether there are no backends.
     pub fn is_empty(&self) -> bool {
         lock(&self.services).is_empty()
     }
 
-    /// All backends that may be reachable.
+    /// All backends, of all services, except those that are gone.
     pub fn all(&self) -> Vec<Arc<Backend>> {
         lock(&self.services).values().flatten().cloned().collect()
     }
 
-    /// Updates the table to the contents of the directory.
+    /// Updates the table from the directory.
     pub fn refresh(&self, fleet: &Fleet) {
         let directory = lock(&fleet.directory);
         let mut known = lock(&self.known);
@@ -77,11 +77,16 @@
     fn new_backend(&self, id: &CompactString, registered: &Registered) -> Backend {
         let mut states = lock(&self.service_states);
         let state = states.entry(registered.service.clone()).or_default();
-        Backend::new(id.clone(), registered, state.clone(), self.failures.clone())
+        Backend::new(
+            id.clone(),
+            registered,
+            state.clone(),
+            self.failure_log.clone(),
+        )
     }
 }
 
-/// Updates the table whenever the directory changes.
+/// Updates the table now and whenever the fleet's state changes.
 pub async fn keep_synchronized(table: Arc<BackendTable>, fleet: Arc<Fleet>) {
     let mut updates = fleet.subscribe();
     loop {
--- a/router/src/proxy/cache_salt.rs
+++ b/router/src/proxy/cache_salt.rs
@@ -1,12 +1,12 @@
-//! The cache salt: the text under which backends and stores cache prompt segments. It consists of
-//! the tenant's cache namespace, which keeps tenants apart, and the version of the weights.
+//! The cache salt under which backends and stores cache prompt segments. A salt consists of the
+//! tenant's cache namespace, which isolates tenants, and the version of the weights.
 
 use compact_str::{CompactString, format_compact};
 
-/// Separates the namespace from the version.
+/// Separator between namespace and version.
 const VERSION_SEPARATOR: char = 'v';
 
-/// A cache salt, parsed.
+/// A parsed cache salt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheSalt<'a> {
     /// The tenant's cache namespace.
@@ -16,7 +16,7 @@
 }
 
 impl<'a> CacheSalt<'a> {
-    /// Parses a salt; `None` if it was not made by a router.
+    /// Parses a salt; `None` if it does not have the format that routers write.
     pub fn parse(text: &'a str) -> Option<Self> {
         let (cache_namespace, version) = text.rsplit_once(VERSION_SEPARATOR)?;
         Some(CacheSalt {
--- a/router/src/proxy/cache_watcher.rs
+++ b/router/src/proxy/cache_watcher.rs
@@ -1,6 +1,7 @@
-//! Watches the prefix caches of backends. One router in the zone of each backend reads its KV
-//! events and notifies the owners of evicted prefixes, and, when it begins to read, of those that
-//! the backend caches: after a loss of power no router knows any, and the backends kept running.
+//! Watches the prefix caches of backends. For each backend, one router in the backend's zone reads
+//! the KV events and notifies the owners of evicted prefixes. When it begins to read, it also
+//! notifies the owners of the prefixes that the backend caches: after a power failure the routers
+//! have lost the prefix index, while backends that kept running still have their caches.
 
 use super::kv_events;
 use super::prefix_locator::PrefixLocator;
@@ -15,18 +16,18 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Time between two checks which backends this router has to watch.
+/// Interval at which this router checks which backends are assigned to it.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The same while it watches none, as after its start: what backends still cache is to be known
-/// before many prompts have been sent elsewhere.
+/// Check interval while no backend is assigned, as after start-up. It is short so that the prefixes
+/// that backends still cache become known before many prompts have been sent to other backends.
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time to wait before the events of an unresponsive backend are read again.
+/// Delay before polling a backend again after an error.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Reads the events of the backends that are assigned to this router, for as long as it runs.
+/// Watches the backends that are assigned to this router until the router exits.
 pub async fn run(fleet: Arc<Fleet>, locator: Arc<PrefixLocator>, client: reqwest::Client) {
     let mut tasks: BTreeMap<CompactString, JoinHandle<()>> = BTreeMap::new();
-    let mut seen = None;
+    let mut last_change_count = None;
     loop {
         let interval = if tasks.is_empty() {
             START_CHECK_INTERVAL
@@ -34,28 +35,34 @@
             CHECK_INTERVAL
         };
         tokio::time::sleep(interval).await;
-        if seen.replace(fleet.change_count()) == Some(fleet.change_count()) {
+        if last_change_count.replace(fleet.change_count()) == Some(fleet.change_count()) {
             continue;
         }
-        let wanted = assigned(&fleet);
+        let assigned = assigned_backends(&fleet);
         tasks.retain(|id, task| {
-            let is_wanted = wanted.contains_key(id);
-            if !is_wanted {
+            let is_assigned = assigned.contains_key(id);
+            if !is_assigned {
                 task.abort();
             }
-            is_wanted
+            is_assigned
         });
-        for (id, address) in wanted {
-            let reading =
-                || tokio::spawn(read(locator.clone(), id.clone(), address, client.clone()));
-            tasks.entry(id.clone()).or_insert_with(reading);
+        for (id, address) in assigned {
+            let watch = || {
+                tokio::spawn(watch_backend(
+                    locator.clone(),
+                    id.clone(),
+                    address,
+                    client.clone(),
+                ))
+            };
+            tasks.entry(id.clone()).or_insert_with(watch);
         }
     }
 }
 
-/// The backends whose events this router reads. Each one has one reader among the routers of its
-/// zone, by rendezvous hashing.
-fn assigned(fleet: &Fleet) -> BTreeMap<CompactString, SocketAddrV4> {
+/// The backends whose events this router reads. Rendezvous hashing assigns each backend to a router
+/// in its zone, or to any router if there is none in its zone.
+fn assigned_backends(fleet: &Fleet) -> BTreeMap<CompactString, SocketAddrV4> {
     let directory = lock(&fleet.directory);
     let up: Vec<(&CompactString, &CompactString)> = directory
         .members()
@@ -63,38 +70,39 @@
         .map(|(name, member)| (name, &member.zone))
         .collect();
     let is_assigned = |id: &CompactString, zone: &CompactString| {
-        let near = up.iter().filter(|(_, other)| *other == zone);
-        let reader = near.max_by_key(|(name, _)| rendezvous::score(&(id, name)));
+        let same_zone = up.iter().filter(|(_, other)| *other == zone);
+        let reader = same_zone.max_by_key(|(name, _)| rendezvous::score(&(id, name)));
         let reader = reader.or_else(|| {
             up.iter()
                 .max_by_key(|(name, _)| rendezvous::score(&(id, name)))
         });
         reader.is_some_and(|(name, _)| **name == fleet.settings.node_name)
     };
-    let readable = directory.backends().filter(|(_, backend)| {
+    let watchable = directory.backends().filter(|(_, backend)| {
         backend.phase == BackendPhase::Ready && !backend.unresponsive && !backend.models.is_empty()
     });
-    let own = readable.filter(|(id, backend)| is_assigned(id, &backend.zone));
-    own.map(|(id, backend)| (id.clone(), backend.address))
+    let assigned = watchable.filter(|(id, backend)| is_assigned(id, &backend.zone));
+    assigned
+        .map(|(id, backend)| (id.clone(), backend.address))
         .collect()
 }
 
-async fn read(
+async fn watch_backend(
     locator: Arc<PrefixLocator>,
     id: CompactString,
     address: SocketAddrV4,
     client: reqwest::Client,
 ) {
     loop {
-        let ended = kv_events::poll(address, &client, |page| {
+        let result = kv_events::poll(address, &client, |page| {
             if page.is_first {
                 locator.notify_cached(&id, &page.events);
             }
             locator.notify_evictions(&id, &page.events);
         })
         .await;
-        if let Err(error) = ended {
-            log::debug!("events of backend {id}: {error}");
+        if let Err(error) = result {
+            log::debug!("watching the cache of backend {id}: {error}");
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
--- a/router/src/proxy/connection.rs
+++ b/router/src/proxy/connection.rs
@@ -77,9 +77,9 @@
     written: Arc<AtomicU64>,
     broken: Arc<AtomicBool>,
     task: JoinHandle<()>,
-    /// The backend closes the connection when it has been idle until this time.
+    /// Time until which the connection may be reused; later the backend may close it as idle.
     pub idle_until: Millis,
-    /// Since when the connection has been idle; `None` if it is new.
+    /// When the connection became idle; `None` if it is new.
     pub idle_since: Option<Millis>,
 }
 
@@ -92,12 +92,12 @@
 impl Connection {
     /// Connects to a backend.
     pub async fn open(address: SocketAddrV4, timeout: Duration) -> io::Result<Self> {
-        let late = || io::Error::from(io::ErrorKind::TimedOut);
+        let timed_out = || io::Error::from(io::ErrorKind::TimedOut);
         let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
             .await
-            .map_err(|_| late())??;
+            .map_err(|_| timed_out())??;
         socket::configure(&stream)?;
-        // A graceful close would let the kernel send buffered data for as long as that takes.
+        // Reset on close. In a graceful close the kernel would go on sending buffered data.
         SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
         let written = Arc::new(AtomicU64::new(0));
         let counting = CountingStream {
@@ -112,7 +112,7 @@
         let task = tokio::spawn(async move {
             if let Err(error) = connection.await {
                 broken_flag.store(true, Ordering::Relaxed);
-                log::debug!("a connection to a backend ended: {error}");
+                log::debug!("a connection to a backend failed: {error}");
             }
         });
         Ok(Connection {
@@ -135,8 +135,8 @@
         self.idle_since.map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// Returns whether the connection failed. The body of a failed connection may look complete, so
-    /// this has to be checked at the end of each body without a length.
+    /// Returns whether the connection failed. A body may look complete although its connection
+    /// failed, so this must be checked at the end of each body without a declared length.
     pub fn is_broken(&self) -> bool {
         self.broken.load(Ordering::Relaxed)
     }
@@ -151,12 +151,12 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, SendError> {
-        let before = self.written.load(Ordering::Relaxed);
+        let written_before = self.written.load(Ordering::Relaxed);
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
-                let wrote = self.written.load(Ordering::Relaxed) > before;
+                let wrote = self.written.load(Ordering::Relaxed) > written_before;
                 Err(if unsent || !wrote {
                     SendError::NotWritten
                 } else {
--- a/router/src/proxy/failure_log.rs
+++ b/router/src/proxy/failure_log.rs
@@ -1,4 +1,5 @@
-//! Backend failures that this router observed and has not reported to the judging nodes yet.
+//! Backend failures that this router has observed but not yet reported to the nodes that decide
+//! whether backends are suspected.
 
 use crate::fleet::Fleet;
 use crate::sync::lock;
@@ -9,7 +10,7 @@
 use tokio::sync::Notify;
 
 /// Time for which failures are batched before they are reported.
-const GATHER: Duration = Duration::from_millis(100);
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Number of failures by backend.
 #[derive(Debug, Default)]
@@ -25,17 +26,18 @@
         self.changed.notify_one();
     }
 
-    /// Removes and returns what was recorded.
+    /// Removes and returns all recorded failures.
     pub fn drain(&self) -> BTreeMap<CompactString, u32> {
         std::mem::take(&mut *lock(&self.failures))
     }
 }
 
-/// Reports failures to the nodes that judge the backends, for as long as the router runs.
+/// Reports failures until the router exits. Each failure goes to the node that decides whether the
+/// backend is suspected.
 pub async fn run(log: Arc<FailureLog>, fleet: Arc<Fleet>) {
     loop {
         log.changed.notified().await;
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(BATCH_INTERVAL).await;
         fleet.report_failures(&log.drain());
     }
 }
--- a/router/src/proxy/forwarder.rs
+++ b/router/src/proxy/forwarder.rs
@@ -1,7 +1,7 @@
-//! Forwards clients' requests to backends: the state that requests share, backend selection, and
+//! Forwards client requests to backends: state shared by all requests, backend selection, and
 //! single attempts.
 //!
-//! The life of one request, with its hedge and retries, is in [`in_flight`](super::in_flight).
+//! [`in_flight`](super::in_flight) runs one request with its hedge and retries.
 
 use super::attempt::{
     self, AttemptError, AttemptOptions, ExecutionFlag, KvTransfer, ResponseBody, ResponseStart,
@@ -34,19 +34,19 @@
 /// The header in which a backend states its instance id.
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("x-instance-id");
 
-/// How many rejections a request survives before it fails.
+/// Maximum number of unexecuted attempts after which a request is still retried.
 pub(super) const MAX_REJECTIONS: u32 = 3;
-/// An attempt is overdue after this many times the 95th percentile of its latency, and not before
+/// An attempt is overdue after the 95th percentile of the latency times this factor, but not before
 /// the latency target.
 const OVERDUE_FACTOR: u32 = 4;
-/// Time between two attempts to select a backend while none is eligible.
+/// Interval at which selection is retried while no backend is eligible.
 const SELECTION_RETRY_INTERVAL: Duration = Duration::from_millis(15);
-/// Time between two checks whether newer weights were announced while a request waits.
+/// Interval at which a waiting request checks whether newer weights have been announced.
 const WEIGHTS_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// A request waits for an eligible backend for the latency target divided by this.
 const SELECTION_WAIT_DIVISOR: u32 = 5;
 
-/// Why a request has no response.
+/// Why there is no response for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum ForwardError {
     /// The request was not executed and will not be. The client may retry.
@@ -63,16 +63,16 @@
     },
 }
 
-/// Latency statistics and the hedge budget of similar requests.
+/// Latency statistics and hedge budget, shared by all requests with the same [`RouteStatsKey`].
 #[derive(Debug)]
 pub(super) struct RouteStats {
     /// Latency estimate, from which the hedge delay follows.
     pub(super) latency: LatencyEstimate,
-    /// Hedges that may still be sent.
+    /// Budget for hedges.
     pub(super) hedge_budget: HedgeBudget,
 }
 
-/// Requests that share latency statistics.
+/// Identifies the requests that share latency statistics.
 #[derive(Debug, PartialEq, Eq, Hash)]
 struct RouteStatsKey {
     service: CompactString,
@@ -89,8 +89,8 @@
     /// Looks up where prompt prefixes are cached.
     pub locator: Arc<PrefixLocator>,
     route_stats: Mutex<HashMap<RouteStatsKey, RouteStats>>,
-    budgets: Mutex<HashMap<CompactString, RetryBudget>>,
-    admissions: Mutex<HashMap<CompactString, AdmissionController>>,
+    retry_budgets: Mutex<HashMap<CompactString, RetryBudget>>,
+    admission_controllers: Mutex<HashMap<CompactString, AdmissionController>>,
 }
 
 /// The attempts that were made for a request.
@@ -106,7 +106,7 @@
 
 /// A request to forward, with its route and deadline.
 pub struct ForwardRequest {
-    /// What is sent to backends.
+    /// The request as it is sent to backends.
     pub upstream_request: Arc<UpstreamRequest>,
     /// The matching route.
     pub route: Arc<Route>,
@@ -117,7 +117,7 @@
 }
 
 impl Forwarder {
-    /// Creates the state of a router that starts.
+    /// Creates a forwarder without statistics or budgets of earlier requests.
     pub fn new(
         fleet: Arc<Fleet>,
         table: Arc<BackendTable>,
@@ -128,8 +128,8 @@
             table,
             locator,
             route_stats: Mutex::default(),
-            budgets: Mutex::default(),
-            admissions: Mutex::default(),
+            retry_budgets: Mutex::default(),
+            admission_controllers: Mutex::default(),
         })
     }
 
@@ -148,7 +148,7 @@
     pub(super) fn with_route_stats<T>(
         &self,
         request: &ForwardRequest,
-        look: impl FnOnce(&mut RouteStats) -> T,
+        access: impl FnOnce(&mut RouteStats) -> T,
     ) -> T {
         let mut route_stats = lock(&self.route_stats);
         let entry = route_stats
@@ -157,17 +157,17 @@
                 latency: LatencyEstimate::starting(request.route.target_latency_ms * 1_000_000),
                 hedge_budget: HedgeBudget::default(),
             });
-        look(entry)
+        access(entry)
     }
 
     fn with_retry_budget<T>(
         &self,
         service: &CompactString,
-        look: impl FnOnce(&mut RetryBudget) -> T,
+        access: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let bounds = &self.fleet.settings.bounds;
-        let mut budgets = lock(&self.budgets);
-        let budget = budgets.entry(service.clone()).or_insert_with(|| {
+        let mut retry_budgets = lock(&self.retry_budgets);
+        let budget = retry_budgets.entry(service.clone()).or_insert_with(|| {
             let limits = RetryLimits {
                 ratio: bounds.retry_budget_ratio,
                 slack: bounds.retry_budget_slack,
@@ -175,20 +175,20 @@
             };
             RetryBudget::new(limits, clock::now())
         });
-        look(budget)
+        access(budget)
     }
 
     pub(super) fn with_admission<T>(
         &self,
         service: &CompactString,
-        look: impl FnOnce(&mut AdmissionController) -> T,
+        access: impl FnOnce(&mut AdmissionController) -> T,
     ) -> T {
-        let mut admissions = lock(&self.admissions);
-        look(admissions.entry(service.clone()).or_default())
+        let mut admission_controllers = lock(&self.admission_controllers);
+        access(admission_controllers.entry(service.clone()).or_default())
     }
 
-    /// Decides whether to reject a request because its service is overloaded. Nothing is rejected
-    /// while even the least-loaded backend has spare capacity.
+    /// Returns whether to reject a request because its service is overloaded. `planned` is the
+    /// least-loaded backend; no request is rejected while it has spare capacity.
     pub(super) fn should_reject(
         &self,
         request: &ForwardRequest,
@@ -201,8 +201,8 @@
         would_be_late && planned.backend.load().is_busy()
     }
 
-    /// Withdraws a retry from the service's budget. `reserved` is the part of the budget to leave
-    /// untouched.
+    /// Withdraws a retry from the service's budget. `reserved` is the part of the budget, from 0 to
+    /// 1, that must remain.
     pub(super) fn withdraw_retry(&self, service: &CompactString, reserved: f64) -> bool {
         let routers = self.fleet.members_up();
         self.with_retry_budget(service, |budget| {
@@ -228,8 +228,8 @@
         select_backend(&backends, criteria, attempted)
     }
 
-    /// The KV cache transfers to request from a backend. None if the version of its weights is
-    /// unknown, as only the salt tells the versions of cached segments apart.
+    /// The KV cache transfers to request from a backend. There are none if its weights version is
+    /// unknown, as only the version in the salt tells apart segments of different versions.
     pub(super) fn kv_transfer(
         &self,
         request: &ForwardRequest,
@@ -266,7 +266,7 @@
         } else {
             self.other_replica(&selected.backend, &prompt.model, version, location)
         };
-        // Stores evict less often than backends.
+        // Prefer the store, as stores evict less often than backends.
         let fetch = if location.stored_version == Some(version) {
             store.or(peer)
         } else {
@@ -287,8 +287,8 @@
             .is_some_and(|target| target.version > version)
     }
 
-    /// Another eligible backend that caches the prefix for this version, preferably in the same
-    /// zone.
+    /// Another eligible backend that caches the prefix for this version, preferably in the zone of
+    /// the chosen one.
     fn other_replica(
         &self,
         chosen: &Backend,
@@ -308,7 +308,7 @@
         nearest.map(|backend| backend.address)
     }
 
-    /// Selects a backend, and waits a little if none is eligible.
+    /// Selects a backend. If none is eligible, retries for a fraction of the latency target.
     pub(super) async fn select_with_wait(
         &self,
         request: &ForwardRequest,
@@ -317,19 +317,20 @@
     ) -> Option<SelectedBackend> {
         let timeout =
             Duration::from_millis(request.route.target_latency_ms) / SELECTION_WAIT_DIVISOR;
-        let until = (Instant::now() + timeout).min(request.deadline);
+        let retry_until = (Instant::now() + timeout).min(request.deadline);
         loop {
             if let Some(selected) = self.select(request, attempted, location) {
                 return Some(selected);
             }
-            if Instant::now() + SELECTION_RETRY_INTERVAL > until {
+            if Instant::now() + SELECTION_RETRY_INTERVAL > retry_until {
                 return None;
             }
             tokio::time::sleep(SELECTION_RETRY_INTERVAL).await;
         }
     }
 
-    /// Forwards a request until there is a response to pass on, or none can be had.
+    /// Forwards a request until there is a response for the client, or no further attempt can be
+    /// made.
     pub async fn run(
         &self,
         request: &ForwardRequest,
@@ -338,7 +339,7 @@
         InFlightRequest::new(self, request).run().await
     }
 
-    /// Makes one attempt at the selected backend. A request may queue there before it starts, so
+    /// Makes one attempt at the selected backend. The request may queue there before it starts, so
     /// the attempt is cancelled when requests must no longer start on the backend's version.
     pub(super) async fn send(
         &self,
@@ -369,21 +370,21 @@
         tokio::select! {
             biased;
             result = response => result,
-            () = self.weights_expired(&prompt.model, selected.version.unwrap_or_default()) => Err(AttemptError::Withdrawn),
+            () = self.weights_expired(&prompt.model, selected.version.unwrap_or_default()) => Err(AttemptError::WeightsExpired),
         }
     }
 
     /// Completes when requests must no longer start on this version.
     async fn weights_expired(&self, model: &str, version: u64) {
         loop {
-            let left = match self.fleet.start_deadline(model, version) {
-                Some(last) => Duration::from_millis(last.saturating_sub(clock::now())),
+            let remaining = match self.fleet.start_deadline(model, version) {
+                Some(deadline) => Duration::from_millis(deadline.saturating_sub(clock::now())),
                 None => WEIGHTS_CHECK_INTERVAL,
             };
-            if left.is_zero() {
+            if remaining.is_zero() {
                 return;
             }
-            tokio::time::sleep(left.min(WEIGHTS_CHECK_INTERVAL)).await;
+            tokio::time::sleep(remaining.min(WEIGHTS_CHECK_INTERVAL)).await;
         }
     }
 
@@ -394,7 +395,7 @@
         latency_target.max(OVERDUE_FACTOR * Duration::from_nanos(p95 as u64))
     }
 
-    /// Resumes a broken stream at another backend, after the given event.
+    /// Resumes a broken stream at another backend, after the event with the given id.
     pub async fn resume(
         &self,
         request: &ForwardRequest,
@@ -419,7 +420,7 @@
             );
             match tokio::time::timeout_at(request.deadline, send).await.ok()? {
                 Ok(response) => return Some(response),
-                Err(AttemptError::Broken | AttemptError::Withdrawn) => {}
+                Err(AttemptError::Broken | AttemptError::WeightsExpired) => {}
                 Err(AttemptError::NotSent | AttemptError::Rejected { .. }) => {
                     history.executions -= 1;
                     history.rejections += 1;
@@ -430,7 +431,7 @@
     }
 }
 
-/// Returns whether a response is a stream.
+/// Returns whether a response is an event stream.
 pub fn is_stream(response: &ResponseStart) -> bool {
     matches!(response.content, ResponseBody::Stream(_))
 }
--- a/router/src/proxy/headers.rs
+++ b/router/src/proxy/headers.rs
@@ -1,31 +1,31 @@
-//! Header names, and rules for which headers are forwarded.
+//! Header names, and the rules for forwarding headers.
 
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName, HeaderValue};
 
-/// Id of one attempt of a client.
+/// Id that a client assigns to each of its attempts.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// How long the sender waits, in milliseconds.
+/// Time for which the sender waits for the response, in milliseconds.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
 /// Proves that a response was produced by the backend itself.
 pub const SEAL: HeaderName = HeaderName::from_static("x-response-seal");
-/// Tenant of the API key.
+/// Name of the tenant to which the API key belongs.
 pub const TENANT: HeaderName = HeaderName::from_static("x-tenant-id");
-/// Instance that the request is meant for.
+/// Id of the backend instance that the request is addressed to.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
-/// Version of the weights that the request is meant for.
+/// Version of the weights that the backend is expected to have.
 pub const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-/// Load that a backend reports.
+/// Load reported by a backend.
 pub const LOAD: HeaderName = HeaderName::from_static("x-server-load");
-/// The request was not executed.
+/// States that the backend did not execute the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-/// Name of the model.
+/// Name of the model that the prompt is for.
 pub const MODEL: HeaderName = HeaderName::from_static("x-model-name");
-/// Token counts of the prompt and its answer.
+/// Token count of the prompt, and maximum token count of the output.
 pub const TOKENS: HeaderName = HeaderName::from_static("x-token-counts");
-/// Segments of the prompt.
+/// Ids and lengths of the prompt's segments.
 pub const PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
-/// Cache salt of the prompt's segments.
+/// Salt under which the prompt's segments are cached.
 pub const SALT: HeaderName = HeaderName::from_static("cache-salt");
 /// Address to fetch segments from.
 pub const KV_FETCH: HeaderName = HeaderName::from_static("kv-fetch");
@@ -35,7 +35,7 @@
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
 /// Version of the weights that produced a response.
 pub const VERSIONS: HeaderName = HeaderName::from_static("versions");
-/// Id after which a stream resumes.
+/// Id of the event after which a stream resumes.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 /// Keep-alive parameters of a connection.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
@@ -53,7 +53,8 @@
     header::UPGRADE,
 ];
 
-/// Headers that only routers send to backends; they are removed from clients' requests.
+/// Headers that are removed from client requests. Only routers may send them to backends, and API
+/// keys are not forwarded.
 const ROUTER_ONLY: [HeaderName; 8] = [
     TENANT,
     EXPECT_INSTANCE,
@@ -65,7 +66,7 @@
     header::AUTHORIZATION,
 ];
 
-/// Removes hop-by-hop headers, also those that `Connection` lists.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -96,14 +97,14 @@
     text(headers, name)?.trim().parse().ok()
 }
 
-/// Sets a header; an invalid value is skipped.
+/// Sets a header, unless the value is invalid.
 pub fn set(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// The key of `Authorization: Bearer KEY`.
+/// The API key in `Authorization: Bearer KEY`.
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
     let (scheme, key) = text(headers, &header::AUTHORIZATION)?.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
--- a/router/src/proxy/in_flight.rs
+++ b/router/src/proxy/in_flight.rs
@@ -1,8 +1,8 @@
-//! One request in flight: its first attempt, at most one hedge, retries, and the first response.
+//! Runs one request: its first attempt, at most one hedge, and retries, until the first response.
 
 use super::attempt::{self, AttemptError, ExecutionFlag, ResponseStart};
 use super::forwarder::{AttemptHistory, ForwardError, ForwardRequest, Forwarder, MAX_REJECTIONS};
-use super::response::is_own_failure;
+use super::response::is_backend_failure;
 use super::selection::SelectedBackend;
 use crate::clock;
 use crate::counters::Event;
@@ -13,20 +13,20 @@
 use routing::prefix_index::{Placement, PrefixKey, PrefixLocation};
 use std::time::Duration;
 
-/// Part of the retry budget that hedges leave to retries after failures.
-const RESERVED_FOR_FAILURES: f64 = 0.4;
-/// Retry-After of rejected requests, in seconds.
-const RETRY_AFTER: f64 = 0.15;
-/// Prefixes of fewer tokens are not looked up.
+/// Part of the retry budget that hedges must leave to retries after failures.
+const HEDGE_RESERVED_RATIO: f64 = 0.4;
+/// Retry-After of unexecuted requests for which no backend stated one, in seconds.
+const DEFAULT_RETRY_AFTER_S: f64 = 0.15;
+/// Minimum number of shared tokens for a prefix to be looked up.
 const MIN_SHARED_TOKENS: u64 = 64;
-/// Minimum ratio of shared tokens for a prefix to be saved: a save transfers the whole prompt to
-/// the store.
+/// Minimum ratio of shared tokens to prompt tokens for a prefix to be saved, as a save transfers
+/// the whole prompt to the store.
 const MIN_SHARED_RATIO_TO_SAVE: f64 = 0.25;
 
 type AttemptFuture<'a> =
     std::pin::Pin<Box<dyn Future<Output = attempt::Result> + std::marker::Send + 'a>>;
 
-/// A request in flight.
+/// A request in flight, with its attempts.
 pub struct InFlightRequest<'a> {
     forwarder: &'a Forwarder,
     request: &'a ForwardRequest,
@@ -37,12 +37,13 @@
     retry_after: Option<f64>,
     location: Option<PrefixLocation>,
     admission_id: Option<InFlightId>,
-    /// A backend's own failure, passed to the client if no other attempt succeeds.
-    failure: Option<ResponseStart>,
+    /// A response that states a failure of the backend itself. It is passed to the client if no
+    /// other attempt succeeds.
+    failure_response: Option<ResponseStart>,
 }
 
 impl<'a> InFlightRequest<'a> {
-    /// Creates a request without attempts.
+    /// Creates a request for which no attempt has been made.
     pub fn new(forwarder: &'a Forwarder, request: &'a ForwardRequest) -> Self {
         InFlightRequest {
             forwarder,
@@ -54,11 +55,11 @@
             retry_after: None,
             location: None,
             admission_id: None,
-            failure: None,
+            failure_response: None,
         }
     }
 
-    /// Runs the request until there is a response to pass on, or none can be had.
+    /// Runs the request until there is a response for the client or no further attempt can be made.
     pub async fn run(mut self) -> Result<(ResponseStart, AttemptHistory), ForwardError> {
         self.start().await?;
         let hedge_after = self
@@ -75,7 +76,7 @@
                 Some(result) = self.attempts_in_flight.next() => {
                     let may_continue = match result {
                         Ok(response) if self.should_retry_response(&response) => {
-                            self.failure = Some(response);
+                            self.failure_response = Some(response);
                             self.history.executions < self.request.route.attempts
                         }
                         Ok(response) => return Ok(self.finish(response)),
@@ -124,7 +125,8 @@
         Ok(())
     }
 
-    /// Looks up where the prompt's prefix is cached, and selects a backend again if it is.
+    /// Looks up where the prompt's prefix is cached, and selects a backend again if it is cached
+    /// anywhere.
     async fn look_up(&mut self, planned: SelectedBackend) -> SelectedBackend {
         let Some(lookup) = self.lookup(&planned) else {
             return planned;
@@ -150,7 +152,7 @@
         selected
     }
 
-    /// The lookup for the prompt's prefix; `None` if too little of the prompt is shared.
+    /// The lookup for the prompt's prefix; `None` if the prompt shares too few tokens.
     fn lookup(&self, planned: &SelectedBackend) -> Option<PrefixLookup> {
         let upstream_request = &self.request.upstream_request;
         let prompt = upstream_request.prompt.as_ref()?;
@@ -205,7 +207,7 @@
         };
         if self
             .forwarder
-            .withdraw_retry(&self.request.service, RESERVED_FOR_FAILURES)
+            .withdraw_retry(&self.request.service, HEDGE_RESERVED_RATIO)
         {
             self.forwarder
                 .with_route_stats(self.request, |route_stats| {
@@ -240,18 +242,20 @@
                 self.retry_after = retry_after.or(self.retry_after);
                 self.history.rejections <= MAX_REJECTIONS
             }
-            AttemptError::Broken | AttemptError::Withdrawn => {
+            AttemptError::Broken | AttemptError::WeightsExpired => {
                 route.is_idempotent() && self.history.executions < route.attempts
             }
         }
     }
 
-    /// Returns whether a response is a backend's own failure that another attempt, in flight or
-    /// still permitted, may make up for.
+    /// Returns whether a response states a failure of the backend itself, and another attempt that
+    /// may succeed is in flight or still permitted.
     fn should_retry_response(&self, response: &ResponseStart) -> bool {
-        let is_left = !self.attempts_in_flight.is_empty()
+        let has_alternative = !self.attempts_in_flight.is_empty()
             || self.history.executions < self.request.route.attempts;
-        is_own_failure(response.status) && self.request.upstream_request.is_retryable && is_left
+        is_backend_failure(response.status)
+            && self.request.upstream_request.is_retryable
+            && has_alternative
     }
 
     /// Retries the request. Returns false if the budget does not allow it, or no backend is
@@ -273,19 +277,19 @@
         found
     }
 
-    /// Passes on a backend's own failure if there is one; otherwise the request fails.
+    /// Passes on the failure response of a backend if there is one; otherwise the request fails.
     fn finish_without_response(
         &mut self,
         timed_out: bool,
     ) -> Result<(ResponseStart, AttemptHistory), ForwardError> {
-        match self.failure.take() {
+        match self.failure_response.take() {
             Some(failure) => Ok(self.finish(failure)),
             None => Err(self.abandon(timed_out)),
         }
     }
 
-    /// The first response wins. Dropping the other attempts resets their connections, which cancels
-    /// them.
+    /// Finishes the request with a response. The other attempts are dropped, which resets their
+    /// connections and thereby cancels them at the backends.
     fn finish(&mut self, response: ResponseStart) -> (ResponseStart, AttemptHistory) {
         self.attempts_in_flight.clear();
         if let Some(id) = self.admission_id.take() {
@@ -295,9 +299,9 @@
                 });
         }
         if response.status.is_success() {
-            let took = response.took.as_nanos() as u64;
+            let latency = response.latency.as_nanos() as u64;
             self.forwarder
-                .with_route_stats(self.request, |route_stats| route_stats.latency.add(took));
+                .with_route_stats(self.request, |route_stats| route_stats.latency.add(latency));
         }
         (response, std::mem::take(&mut self.history))
     }
@@ -308,7 +312,7 @@
             ForwardError::MayHaveExecuted { timed_out }
         } else {
             ForwardError::NotExecuted {
-                retry_after: self.retry_after.unwrap_or(RETRY_AFTER),
+                retry_after: self.retry_after.unwrap_or(DEFAULT_RETRY_AFTER_S),
             }
         }
     }
@@ -323,14 +327,14 @@
     }
 }
 
-/// Retry-After of a request rejected for overload, in seconds. Jittered, so that clients do not
-/// come back all at once.
+/// Retry-After of a request rejected because of overload, in seconds. The value is jittered so that
+/// clients do not all retry at once.
 fn overload_retry_after(request: &ForwardRequest) -> f64 {
     let latency_target_s = request.route.target_latency_ms as f64 / 1_000.0;
     latency_target_s * (0.5 + fastrand::f64())
 }
 
-/// The backend and version as the owners of prefixes know them.
+/// The backend and weights version of a selection, as the prefix index records them.
 fn placement(selected: &SelectedBackend) -> Option<Placement> {
     Some(Placement {
         backend: selected.backend.id.clone(),
--- a/router/src/proxy/ingress.rs
+++ b/router/src/proxy/ingress.rs
@@ -1,4 +1,4 @@
-//! The interface for clients: routing, authentication, and writing responses.
+//! The HTTP endpoint for clients: routes and authenticates requests, and builds the responses.
 
 use super::attempt::{ResponseBody, ResponseStart, UpstreamRequest};
 use super::forwarder::{AttemptHistory, ForwardError, ForwardRequest, Forwarder};
@@ -21,15 +21,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Deadline of requests that name none.
+/// Deadline of requests that do not state one, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// The router's own deadline is this long before the client's.
+/// The router's own deadline is this long before the client's deadline or the route's timeout.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
 /// Retry-After while this router has no configuration, in seconds.
-const NOT_READY_RETRY_AFTER: &str = "0.3";
-/// Priority levels of routes for each level of a tenant.
-const RANKS_PER_TENANT_PRIORITY: u8 = 3;
-/// The lowest priority at a backend; larger numbers are less urgent.
+const NOT_READY_RETRY_AFTER_S: &str = "0.3";
+/// Number of route priorities within each tenant priority.
+const ROUTE_PRIORITIES: u8 = 3;
+/// The lowest priority at a backend. Larger numbers are less urgent.
 const LOWEST_PRIORITY: u8 = 9;
 
 /// The endpoint for clients.
@@ -38,24 +38,24 @@
     connections: ClientConnections,
 }
 
-/// Why a request is not forwarded.
+/// Status and Retry-After of a request that gets no response from a backend.
 struct Rejection {
     status: StatusCode,
     retry_after: Option<String>,
 }
 
 impl Rejection {
-    fn with(status: StatusCode) -> Self {
+    fn from_status(status: StatusCode) -> Self {
         Rejection {
             status,
             retry_after: None,
         }
     }
 
-    fn unavailable(seconds: &str) -> Self {
+    fn unavailable(retry_after_s: &str) -> Self {
         Rejection {
             status: StatusCode::SERVICE_UNAVAILABLE,
-            retry_after: Some(seconds.to_owned()),
+            retry_after: Some(retry_after_s.to_owned()),
         }
     }
 }
@@ -73,8 +73,8 @@
         self.forwarder.count(Event::RequestReceived);
         let connection = self.connections.get(request.remote_addr().as_socket_addr());
         let in_flight = connection.begin_request();
-        // The HTTP server keeps running a request whose client has disconnected. Dropping the
-        // future here cancels it with all its attempts.
+        // The HTTP server continues the request of a disconnected client. Dropping the future here
+        // cancels the request and all its attempts.
         let outcome = tokio::select! {
             biased;
             () = connection.closed() => {
@@ -101,31 +101,32 @@
         connection: &ClientConnection,
         in_flight: RequestInFlight,
     ) -> std::result::Result<Response, Rejection> {
-        let arrived = Instant::now();
+        let received_at = Instant::now();
         let configuration = self
             .configuration()
-            .ok_or_else(|| Rejection::unavailable(NOT_READY_RETRY_AFTER))?;
+            .ok_or_else(|| Rejection::unavailable(NOT_READY_RETRY_AFTER_S))?;
         let host = host_of(&request);
         let route = configuration.route(&host, request.uri().path());
-        let route = route.ok_or_else(|| Rejection::with(StatusCode::NOT_FOUND))?;
+        let route = route.ok_or_else(|| Rejection::from_status(StatusCode::NOT_FOUND))?;
         let key = headers::bearer(request.headers());
         let tenant = match configuration.access(route, key) {
             Access::Tenant(tenant) => Some(tenant),
             Access::Open => None,
-            Access::Denied => return Err(Rejection::with(StatusCode::UNAUTHORIZED)),
+            Access::Denied => return Err(Rejection::from_status(StatusCode::UNAUTHORIZED)),
         };
         let max_bytes = configuration.limits.max_body_bytes as usize;
         let body = read_body(&mut request, max_bytes).await?;
-        let request = self.request(&configuration, route, tenant, request, body, arrived)?;
+        let request =
+            self.forward_request(&configuration, route, tenant, request, body, received_at)?;
         match self.forwarder.run(&request).await {
             Ok((response, history)) => {
                 let client = Client {
                     connection: connection.clone(),
                     _in_flight: in_flight,
                 };
-                Ok(self.answer(request, response, history, client))
+                Ok(self.response(request, response, history, client))
             }
-            Err(error) => Err(self.refuse(error)),
+            Err(error) => Err(self.rejection(error)),
         }
     }
 
@@ -135,27 +136,28 @@
             .cloned()
     }
 
-    fn request(
+    fn forward_request(
         &self,
         configuration: &Configuration,
         route: &Route,
         tenant: Option<&Tenant>,
         request: Request,
         body: Bytes,
-        arrived: Instant,
+        received_at: Instant,
     ) -> std::result::Result<ForwardRequest, Rejection> {
         let weights: Vec<u64> = route.split.iter().map(|(_, weight)| *weight).collect();
         let chosen = choose_weighted(&weights, &mut fastrand::Rng::new());
         let (service, _) = chosen
             .and_then(|at| route.split.get(at))
-            .ok_or_else(|| Rejection::with(StatusCode::INTERNAL_SERVER_ERROR))?;
+            .ok_or_else(|| Rejection::from_status(StatusCode::INTERNAL_SERVER_ERROR))?;
         let timeout = headers::number(request.headers(), &headers::DEADLINE_MS)
             .unwrap_or(DEFAULT_DEADLINE_MS);
-        let deadline = arrived + Duration::from_millis(timeout);
+        let deadline = received_at + Duration::from_millis(timeout);
         let router_deadline =
-            deadline.min(arrived + Duration::from_millis(route.timeout_ms)) - RESPONSE_MARGIN;
-        let upstream_request = call_of(request, body, configuration, route, tenant, deadline)
-            .ok_or_else(|| Rejection::with(StatusCode::BAD_REQUEST))?;
+            deadline.min(received_at + Duration::from_millis(route.timeout_ms)) - RESPONSE_MARGIN;
+        let upstream_request =
+            upstream_request(request, body, configuration, route, tenant, deadline)
+                .ok_or_else(|| Rejection::from_status(StatusCode::BAD_REQUEST))?;
         Ok(ForwardRequest {
             upstream_request: Arc::new(upstream_request),
             route: Arc::new(route.clone()),
@@ -164,7 +166,7 @@
         })
     }
 
-    fn refuse(&self, error: ForwardError) -> Rejection {
+    fn rejection(&self, error: ForwardError) -> Rejection {
         match error {
             ForwardError::NotExecuted { retry_after } => {
                 self.forwarder.count(Event::RejectedNotExecuted);
@@ -172,7 +174,7 @@
             }
             ForwardError::MayHaveExecuted { timed_out } => {
                 self.forwarder.count(Event::GivenUp);
-                Rejection::with(if timed_out {
+                Rejection::from_status(if timed_out {
                     StatusCode::GATEWAY_TIMEOUT
                 } else {
                     StatusCode::BAD_GATEWAY
@@ -181,7 +183,7 @@
         }
     }
 
-    fn answer(
+    fn response(
         &self,
         request: ForwardRequest,
         response: ResponseStart,
@@ -228,7 +230,7 @@
     }
 }
 
-/// A response for the HTTP server's sake: on a closed connection it is never written.
+/// A placeholder that the HTTP server requires. It is never written, as the connection is closed.
 fn undeliverable_response() -> Response {
     Response::builder().status(StatusCode::BAD_GATEWAY).finish()
 }
@@ -246,11 +248,11 @@
 }
 
 fn host_of(request: &Request) -> CompactString {
-    let named = request
+    let header = request
         .headers()
         .get(HOST)
         .and_then(|value| value.to_str().ok());
-    let host = named.or(request.uri().host()).unwrap_or_default();
+    let host = header.or(request.uri().host()).unwrap_or_default();
     host.rsplit_once(':')
         .filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()))
         .map_or(host, |(h, _)| h)
@@ -261,20 +263,20 @@
     request: &mut Request,
     max_bytes: usize,
 ) -> std::result::Result<Bytes, Rejection> {
-    let reported = headers::number(request.headers(), &CONTENT_LENGTH);
-    if reported.is_some_and(|length| length > max_bytes as u64) {
-        return Err(Rejection::with(StatusCode::PAYLOAD_TOO_LARGE));
+    let declared = headers::number(request.headers(), &CONTENT_LENGTH);
+    if declared.is_some_and(|length| length > max_bytes as u64) {
+        return Err(Rejection::from_status(StatusCode::PAYLOAD_TOO_LARGE));
     }
     match request.take_body().into_bytes_limit(max_bytes).await {
         Ok(body) => Ok(body),
         Err(poem::error::ReadBodyError::PayloadTooLarge) => {
-            Err(Rejection::with(StatusCode::PAYLOAD_TOO_LARGE))
+            Err(Rejection::from_status(StatusCode::PAYLOAD_TOO_LARGE))
         }
-        Err(_) => Err(Rejection::with(StatusCode::BAD_REQUEST)),
+        Err(_) => Err(Rejection::from_status(StatusCode::BAD_REQUEST)),
     }
 }
 
-fn call_of(
+fn upstream_request(
     request: Request,
     body: Bytes,
     configuration: &Configuration,
@@ -282,27 +284,27 @@
     tenant: Option<&Tenant>,
     deadline: Instant,
 ) -> Option<UpstreamRequest> {
-    let mut sent: HeaderMap = request.headers().clone();
-    headers::remove_hop_by_hop(&mut sent);
-    headers::remove_router_only(&mut sent);
-    sent.remove(CONTENT_LENGTH);
-    sent.remove(HeaderName::from_static("expect"));
-    let request_id = headers::text(&sent, &headers::REQUEST_ID)?.to_owned();
+    let mut forwarded: HeaderMap = request.headers().clone();
+    headers::remove_hop_by_hop(&mut forwarded);
+    headers::remove_router_only(&mut forwarded);
+    forwarded.remove(CONTENT_LENGTH);
+    forwarded.remove(HeaderName::from_static("expect"));
+    let request_id = headers::text(&forwarded, &headers::REQUEST_ID)?.to_owned();
     if let Some(tenant) = tenant {
-        headers::set(&mut sent, headers::TENANT, &tenant.name);
+        headers::set(&mut forwarded, headers::TENANT, &tenant.name);
     }
     let prompt = Prompt::from_headers(
-        headers::text(&sent, &headers::MODEL),
-        headers::text(&sent, &headers::PREFIX),
-        headers::text(&sent, &headers::TOKENS),
+        headers::text(&forwarded, &headers::MODEL),
+        headers::text(&forwarded, &headers::PREFIX),
+        headers::text(&forwarded, &headers::TOKENS),
     );
     if prompt.is_some() {
         let tenant_priority = tenant.map_or(0, |tenant| tenant.priority);
         let priority = tenant_priority
-            .saturating_mul(RANKS_PER_TENANT_PRIORITY)
+            .saturating_mul(ROUTE_PRIORITIES)
             .saturating_add(route.priority)
             .min(LOWEST_PRIORITY);
-        headers::set(&mut sent, headers::PRIORITY, &priority.to_string());
+        headers::set(&mut forwarded, headers::PRIORITY, &priority.to_string());
     }
     let uri = request
         .uri()
@@ -313,7 +315,7 @@
     Some(UpstreamRequest {
         method: request.method().clone(),
         uri,
-        headers: sent,
+        headers: forwarded,
         body,
         request_id,
         deadline,
@@ -324,9 +326,9 @@
     })
 }
 
-/// The namespace of a tenant's cached segments. An isolated tenant has its own. The shared
-/// namespace hashes the names of the isolated tenants, so that segments which a tenant cached
-/// before it was isolated are not found afterwards.
+/// The namespace of a tenant's cached segments. An isolated tenant has its own; the others share
+/// one. The shared namespace contains a hash of the isolated tenants' names, so that segments which
+/// a tenant cached before it was isolated are not found afterwards.
 fn cache_namespace(configuration: &Configuration, tenant: Option<&Tenant>) -> CompactString {
     if let Some(tenant) = tenant.filter(|tenant| tenant.isolated) {
         return compact_str::format_compact!("t{}-", tenant.name);
--- a/router/src/proxy/kv_events.rs
+++ b/router/src/proxy/kv_events.rs
@@ -8,26 +8,26 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a poll may be held by the server.
+/// Maximum time for which the server may hold a poll.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(1_000);
-/// Time limit of a poll beyond that.
-const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time to wait between polls, so that single events come in batches.
+/// A poll times out this long after [`LONG_POLL_WAIT`].
+const POLL_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
+/// Pause between polls, so that events arrive in batches.
 const BATCH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why reading events ended.
+/// Why polling for events stopped.
 #[derive(Debug, Error)]
 pub enum KvEventsError {
     /// The request failed.
-    #[error("{address} does not answer: {error}; it is tried again")]
+    #[error("KV event poll of {address} failed: {error}; retrying")]
     Unreachable {
         /// The backend or store.
         address: SocketAddrV4,
         /// The cause.
         error: reqwest::Error,
     },
-    /// The response has an unexpected status.
-    #[error("{address} answers with {status}; it is tried again")]
+    /// The response status is not a success.
+    #[error("KV event poll of {address} returned status {status}; retrying")]
     Rejection {
         /// The backend or store.
         address: SocketAddrV4,
@@ -35,7 +35,7 @@
         status: u16,
     },
     /// The response can't be parsed.
-    #[error("{address} sends events that can't be read: {error}; it is tried again")]
+    #[error("KV events from {address} can't be parsed: {error}; retrying")]
     Unreadable {
         /// The backend or store.
         address: SocketAddrV4,
@@ -65,57 +65,58 @@
 pub struct KvEvent {
     /// The prefix that ends with the segment.
     pub key: PrefixKey,
-    /// Version of the weights.
+    /// Version of the weights with which the segment was computed.
     pub version: u64,
-    /// Whether the segment is cached now.
+    /// Whether the segment is cached after this event.
     pub is_cached: bool,
 }
 
-/// Events that were sent together.
+/// The events in one response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KvEventPage {
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     pub epoch: u64,
-    /// Whether these are all events that the sender retains: what they say is cached there now.
+    /// Whether the page contains all events that the sender retains. Segments that are cached
+    /// according to these events are cached there now.
     pub is_first: bool,
     /// The events, in order.
     pub events: Vec<KvEvent>,
 }
 
-/// Polls for events until an error. `heard` receives each page.
+/// Polls for events until an error occurs, and passes each page to `on_page`.
 pub async fn poll(
     address: SocketAddrV4,
     client: &reqwest::Client,
-    heard: impl Fn(KvEventPage),
+    on_page: impl Fn(KvEventPage),
 ) -> Result<(), KvEventsError> {
     let (mut since, mut epoch) = (0, None);
     loop {
         let is_first = since == 0;
-        let page = call(address, client, since).await?;
-        // Event numbers of another incarnation are meaningless.
+        let page = fetch_page(address, client, since).await?;
+        // Page tokens are valid within one incarnation only: start over after a restart.
         let is_same_incarnation = epoch
             .replace(page.epoch)
-            .is_none_or(|former| former == page.epoch);
+            .is_none_or(|previous| previous == page.epoch);
         since = if is_same_incarnation {
             page.next_page_token
         } else {
             0
         };
-        let events = page
-            .events
-            .iter()
-            .filter_map(|(_, sign, salt, part, tokens, model)| {
-                let salt = CacheSalt::parse(salt)?;
-                let key = PrefixKey::of_segment(salt.cache_namespace, model, part);
-                // A segment that is evicted in chunks counts as evicted with the first one: the
-                // rest is announced with its removal and is of no use.
-                Some(KvEvent {
-                    key,
-                    version: salt.version,
-                    is_cached: sign == "+" && *tokens > 0,
-                })
-            });
-        heard(KvEventPage {
+        let events =
+            page.events
+                .iter()
+                .filter_map(|(_, operation, salt, segment, tokens, model)| {
+                    let salt = CacheSalt::parse(salt)?;
+                    let key = PrefixKey::of_segment(salt.cache_namespace, model, segment);
+                    // A segment that is evicted in chunks counts as evicted with the first one.
+                    // That event also announces the rest, which is of no use.
+                    Some(KvEvent {
+                        key,
+                        version: salt.version,
+                        is_cached: operation == "+" && *tokens > 0,
+                    })
+                });
+        on_page(KvEventPage {
             epoch: page.epoch,
             is_first,
             events: events.collect(),
@@ -124,7 +125,7 @@
     }
 }
 
-async fn call(
+async fn fetch_page(
     address: SocketAddrV4,
     client: &reqwest::Client,
     since: u64,
@@ -132,18 +133,18 @@
     let unreachable = |error| KvEventsError::Unreachable { address, error };
     let url = format!("http://{address}/v1/kv-events?since={since}");
     let wait = LONG_POLL_WAIT.as_millis().to_string();
-    let call = client
+    let request = client
         .get(url)
         .header("wait-ms", wait)
-        .timeout(LONG_POLL_WAIT + CALL_TIMEOUT);
-    let answer = call.send().await.map_err(unreachable)?;
-    let status = answer.status();
+        .timeout(LONG_POLL_WAIT + POLL_TIMEOUT_MARGIN);
+    let response = request.send().await.map_err(unreachable)?;
+    let status = response.status();
     if !status.is_success() {
         return Err(KvEventsError::Rejection {
             address,
             status: status.as_u16(),
         });
     }
-    let body = answer.bytes().await.map_err(unreachable)?;
+    let body = response.bytes().await.map_err(unreachable)?;
     serde_json::from_slice(&body).map_err(|error| KvEventsError::Unreadable { address, error })
 }
--- a/router/src/proxy/kv_store_monitor.rs
+++ b/router/src/proxy/kv_store_monitor.rs
@@ -1,5 +1,5 @@
-//! Monitors the KV stores of the configuration. One router in each zone reads a store's events; the
-//! others ask it whether the store is available.
+//! Monitors the KV stores in the configuration. In each zone, one router reads the events of a
+//! store, and the other routers ask that one whether the store is available.
 
 use super::kv_events::{self, KvEventPage};
 use super::prefix_locator::PrefixLocator;
@@ -16,30 +16,30 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Part of a store's concurrent calls that routers may use for events.
+/// Part of a store's limit of concurrent calls that routers may use for reading events.
 const READER_CALL_RATIO: f64 = 0.75;
-/// Time to wait before an unavailable store is tried again.
+/// Delay before polling a store again after an error.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// Time between two status requests to the router that reads a store.
+/// Interval between status requests to the router that reads a store's events.
 const STATUS_INTERVAL: Duration = Duration::from_millis(500);
 /// Time limit of a status request.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How this router monitors a store.
+/// The source of this router's information about a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Source {
-    /// It reads the store's events.
+    /// This router reads the store's events.
     Events,
-    /// It asks the router of its zone that does.
+    /// Another router reads the events, preferably one in the same zone, and this one asks it.
     Peer,
 }
 
-/// Monitors the stores of the current configuration, for as long as the router runs.
+/// Monitors the stores in the current configuration until the router exits.
 pub async fn run(fleet: Arc<Fleet>, locator: Arc<PrefixLocator>, client: reqwest::Client) {
     let mut updates = fleet.subscribe();
     let mut tasks: BTreeMap<(SocketAddrV4, Source), JoinHandle<()>> = BTreeMap::new();
     loop {
-        let configured = configured(&fleet);
+        let configured = configured_stores(&fleet);
         fleet.stores.reconfigure(&configured);
         let wanted: BTreeMap<(SocketAddrV4, Source), KvStore> = configured
             .into_values()
@@ -56,13 +56,13 @@
             tasks
                 .entry((address, source))
                 .or_insert_with(|| match source {
-                    Source::Events => tokio::spawn(read(
+                    Source::Events => tokio::spawn(read_events(
                         fleet.clone(),
                         locator.clone(),
                         address,
                         client.clone(),
                     )),
-                    Source::Peer => tokio::spawn(ask(fleet.clone(), store)),
+                    Source::Peer => tokio::spawn(poll_status(fleet.clone(), store)),
                 });
         }
         if updates.changed().await.is_err() {
@@ -71,7 +71,7 @@
     }
 }
 
-fn configured(fleet: &Fleet) -> BTreeMap<SocketAddrV4, KvStore> {
+fn configured_stores(fleet: &Fleet) -> BTreeMap<SocketAddrV4, KvStore> {
     let published = lock(&fleet.published);
     let services = published
         .configuration()
@@ -81,34 +81,39 @@
     stores.map(|store| (store.address, store)).collect()
 }
 
-/// The routers that read a store: one in each zone, as far as the store's call limit allows.
+/// The routers that read a store's events: one in each zone, as far as the store's limit of
+/// concurrent calls allows.
 fn readers(fleet: &Fleet, store: &KvStore) -> BTreeMap<CompactString, (CompactString, Member)> {
-    let most = (f64::from(store.max_concurrent) * READER_CALL_RATIO) as usize;
+    let max_readers = (f64::from(store.max_concurrent) * READER_CALL_RATIO) as usize;
     let directory = lock(&fleet.directory);
-    let mut first: BTreeMap<CompactString, (CompactString, Member)> = BTreeMap::new();
+    let mut readers: BTreeMap<CompactString, (CompactString, Member)> = BTreeMap::new();
     for (name, member) in directory
         .members()
         .filter(|(_, member)| member.status == MemberStatus::Up)
     {
-        let is_first = first.get(&member.zone).is_none_or(|(other, _)| {
+        let is_preferred = readers.get(&member.zone).is_none_or(|(other, _)| {
             rendezvous::score(&(store.address, name)) > rendezvous::score(&(store.address, other))
         });
-        if is_first {
-            first.insert(member.zone.clone(), (name.clone(), member.clone()));
+        if is_preferred {
+            readers.insert(member.zone.clone(), (name.clone(), member.clone()));
         }
     }
-    first.into_iter().take(most).collect()
+    readers.into_iter().take(max_readers).collect()
 }
 
 fn source_of(fleet: &Fleet, store: &KvStore) -> Source {
-    let reads = readers(fleet, store)
+    let is_reader = readers(fleet, store)
         .values()
         .any(|(name, _)| *name == fleet.settings.node_name);
-    if reads { Source::Events } else { Source::Peer }
+    if is_reader {
+        Source::Events
+    } else {
+        Source::Peer
+    }
 }
 
-/// Asks the router that reads a store for its status, until the task is aborted.
-async fn ask(fleet: Arc<Fleet>, store: KvStore) {
+/// Asks the router that reads a store's events for the store's status, until the task is aborted.
+async fn poll_status(fleet: Arc<Fleet>, store: KvStore) {
     loop {
         let readers = readers(&fleet, &store);
         let reader = readers
@@ -118,11 +123,11 @@
             let request = Request::StoreStatus {
                 store: store.address,
             };
-            let asked = fleet
+            let response = fleet
                 .links
                 .call(reader.internal, request, STATUS_TIMEOUT)
                 .await;
-            if let Some(Response::StoreStatus(Some(status))) = asked {
+            if let Some(Response::StoreStatus(Some(status))) = response {
                 fleet.stores.apply_status(store.address, status);
             }
         }
@@ -130,20 +135,20 @@
     }
 }
 
-/// Reads a store's events until the task is aborted, and notifies the owners in this zone of
-/// evictions.
-async fn read(
+/// Reads a store's events until the task is aborted. Records the store's availability and notifies
+/// the prefix owners in this zone of evictions.
+async fn read_events(
     fleet: Arc<Fleet>,
     locator: Arc<PrefixLocator>,
     address: SocketAddrV4,
     client: reqwest::Client,
 ) {
     loop {
-        let heard = |page: KvEventPage| {
+        let on_page = |page: KvEventPage| {
             fleet.stores.mark_available(address, page.epoch);
             locator.notify_store_evictions(&page.events);
         };
-        if kv_events::poll(address, &client, heard).await.is_err() {
+        if kv_events::poll(address, &client, on_page).await.is_err() {
             fleet.stores.mark_unresponsive(address);
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
--- a/router/src/proxy/observed_weights.rs
+++ b/router/src/proxy/observed_weights.rs
@@ -1,18 +1,18 @@
-//! The versions of the weights that a backend has, as this router observes them. The latest
-//! observation wins, whether its version is newer or older.
+//! The versions of a backend's weights, as observed by this router. The latest observation wins,
+//! even if its version is older.
 //!
 //! Heartbeats and orders are numbered, so stale ones are ignored. Responses are not numbered and
-//! may be reordered, so a successful one can only raise a version. A rejection for a version
-//! mismatch was made after the expected version was observed here, and refutes it.
+//! may be reordered, so a successful response can only raise a version. A rejection for a version
+//! mismatch is sent after this router has observed the expected version, and therefore refutes it.
 
 use compact_str::CompactString;
 use control::Millis;
 use control::directory::{Backend, Order, OrderPhase};
 use std::collections::HashMap;
 
-/// A refuted version stays refuted until the next observation, and for this long at most, in
-/// milliseconds: longer than the heartbeat interval.
-const REFUTED_FOR: Millis = 1_500;
+/// Maximum time for which a version stays refuted without a new observation, in milliseconds. It is
+/// longer than the heartbeat interval.
+const MAX_REFUTED_TIME: Millis = 1_500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ObservedVersion {
@@ -33,33 +33,38 @@
 #[derive(Debug, Clone, Default)]
 pub struct ObservedWeights {
     by_model: HashMap<CompactString, ObservedVersion>,
-    heartbeat: Option<u64>,
-    done: Option<(u64, u64)>,
+    last_heartbeat: Option<u64>,
+    /// Fencing token and number of the latest completed order.
+    last_completed_order: Option<(u64, u64)>,
 }
 
 impl ObservedWeights {
-    /// Applies the latest heartbeat.
+    /// Applies a heartbeat, unless it is stale.
     pub fn observe_heartbeat(&mut self, registered: &Backend) {
         if self
-            .heartbeat
-            .is_some_and(|heartbeat| registered.sequence <= heartbeat)
+            .last_heartbeat
+            .is_some_and(|last| registered.sequence <= last)
         {
             return;
         }
-        self.heartbeat = Some(registered.sequence);
+        self.last_heartbeat = Some(registered.sequence);
         for (model, version) in &registered.models {
             self.by_model
                 .insert(model.clone(), ObservedVersion::reported(*version));
         }
     }
 
-    /// Applies the latest order. Orders only raise versions.
+    /// Applies a completed order, unless it is stale. Orders only raise versions.
     pub fn observe_order(&mut self, order: &Order) {
-        let priority = (order.fencing_token, order.number);
-        if order.phase != OrderPhase::Done || self.done.is_some_and(|done| priority <= done) {
+        let order_id = (order.fencing_token, order.number);
+        if order.phase != OrderPhase::Done
+            || self
+                .last_completed_order
+                .is_some_and(|last| order_id <= last)
+        {
             return;
         }
-        self.done = Some(priority);
+        self.last_completed_order = Some(order_id);
         if self
             .version(&order.model)
             .is_none_or(|version| version <= order.version)
@@ -79,8 +84,8 @@
         }
     }
 
-    /// Applies a rejection of a request that expected another version. The response may state the
-    /// actual one.
+    /// Applies a rejection of a request that expected another version. `reported` is the actual
+    /// version, if the response states it.
     pub fn observe_rejection(
         &mut self,
         model: &str,
@@ -107,7 +112,7 @@
     /// Returns whether the observed version was refuted and not observed again since.
     pub fn is_refuted(&self, model: &str, now: Millis) -> bool {
         let refuted_at = self.by_model.get(model).and_then(|known| known.refuted_at);
-        refuted_at.is_some_and(|at| now < at + REFUTED_FOR)
+        refuted_at.is_some_and(|at| now < at + MAX_REFUTED_TIME)
     }
 
     /// Observed versions by model.
--- a/router/src/proxy/prefix_locator.rs
+++ b/router/src/proxy/prefix_locator.rs
@@ -1,4 +1,5 @@
-//! Finds the owners of prompt prefixes, and sends them lookups and notifications.
+//! Client of the distributed prefix index: finds the routers that own prompt prefixes, and sends
+//! them lookups and notifications.
 
 use super::kv_events::KvEvent;
 
@@ -19,10 +20,10 @@
 
 /// Time limit of a lookup: a small part of the time that prefill of a prefix takes.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(12);
-/// An owner that missed the time limit is skipped for this long.
-const BASE_BACKOFF: Millis = 400;
+/// Time for which an owner is skipped after it has missed the time limit.
+const OWNER_BACKOFF: Millis = 400;
 /// Minimum time between two rebuilds of the hash ring.
-const REFRESH: Millis = 200;
+const MIN_REBUILD_INTERVAL: Millis = 200;
 
 /// A router that may own prefixes.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,15 +35,15 @@
 #[derive(Default)]
 struct Ring {
     owners: Arc<HashRing<Owner>>,
-    made_at: Option<Millis>,
-    change: u64,
+    built_at: Option<Millis>,
+    change_count: u64,
 }
 
 /// Client of the distributed prefix index.
 pub struct PrefixLocator {
     fleet: Arc<Fleet>,
     ring: Mutex<Ring>,
-    avoided: Mutex<HashMap<SocketAddrV4, Millis>>,
+    backoff_until: Mutex<HashMap<SocketAddrV4, Millis>>,
 }
 
 impl PrefixLocator {
@@ -51,16 +52,18 @@
         Arc::new(PrefixLocator {
             fleet,
             ring: Mutex::default(),
-            avoided: Mutex::default(),
+            backoff_until: Mutex::default(),
         })
     }
 
     fn owners(&self) -> Arc<HashRing<Owner>> {
         let now = clock::now();
         let mut ring = lock(&self.ring);
-        let is_fresh = ring.made_at.is_some_and(|made_at| now < made_at + REFRESH);
-        let change = self.fleet.change_count();
-        if !is_fresh && (ring.made_at.is_none() || change != ring.change) {
+        let is_fresh = ring
+            .built_at
+            .is_some_and(|built_at| now < built_at + MIN_REBUILD_INTERVAL);
+        let change_count = self.fleet.change_count();
+        if !is_fresh && (ring.built_at.is_none() || change_count != ring.change_count) {
             let directory = lock(&self.fleet.directory);
             let up = directory
                 .members()
@@ -77,23 +80,23 @@
                 .iter()
                 .map(|(name, owner)| (name.as_str(), owner.clone()));
             ring.owners = Arc::new(HashRing::new(named));
-            (ring.made_at, ring.change) = (Some(now), change);
+            (ring.built_at, ring.change_count) = (Some(now), change_count);
         }
         ring.owners.clone()
     }
 
-    fn is_own(&self, address: SocketAddrV4) -> bool {
+    fn is_local(&self, address: SocketAddrV4) -> bool {
         address == self.fleet.settings.internal_address()
     }
 
-    /// Looks up a prefix; `None` if its owner does not answer in time.
+    /// Looks up a prefix. Returns `None` if its owner does not respond in time or is backed off.
     pub async fn look_up(&self, lookup: PrefixLookup) -> Option<PrefixLocation> {
         let owners = self.owners();
         let address = owners.owner(lookup.key.0)?.address;
-        if self.is_own(address) {
+        if self.is_local(address) {
             return Some(self.fleet.look_up_prefix(&lookup));
         }
-        if lock(&self.avoided)
+        if lock(&self.backoff_until)
             .get(&address)
             .is_some_and(|until| clock::now() < *until)
         {
@@ -117,13 +120,13 @@
         {
             Some(Response::Located(location)) => Some(location),
             _ => {
-                lock(&self.avoided).insert(address, clock::now() + BASE_BACKOFF);
+                lock(&self.backoff_until).insert(address, clock::now() + OWNER_BACKOFF);
                 None
             }
         }
     }
 
-    /// The available store that is responsible for a prefix.
+    /// The available KV store that is responsible for a prefix.
     pub fn store_of(&self, key: PrefixKey) -> Option<AvailableStore> {
         self.fleet.stores.store_for(key)
     }
@@ -134,7 +137,7 @@
         let Some(owner) = owners.owner(key.0) else {
             return;
         };
-        if self.is_own(owner.address) {
+        if self.is_local(owner.address) {
             lock(&self.fleet.prefix_index).record_placement(key, &placement, clock::now());
         } else {
             self.fleet
@@ -143,13 +146,12 @@
         }
     }
 
-    /// Notifies the owners of prefixes that a backend caches, according to all events that it
-    /// retains.
+    /// Notifies the owners of the prefixes that a backend caches. `events` are all events that the
+    /// backend retains; only the last one of each prefix counts.
     pub fn notify_cached(&self, backend: &CompactString, events: &[KvEvent]) {
         let last_events = events
             .iter()
             .map(|event| ((event.key, event.version), event.is_cached));
-        // The last event of a prefix counts.
         let last_events: BTreeMap<(PrefixKey, u64), bool> = last_events.collect();
         for ((key, version), _) in last_events.into_iter().filter(|(_, is_cached)| *is_cached) {
             let placement = Placement {
@@ -163,7 +165,7 @@
     /// Notifies the owners of prefixes that a backend evicted.
     pub fn notify_evictions(&self, backend: &CompactString, events: &[KvEvent]) {
         for (address, prefixes) in self.evictions_by_owner(events, |_| true) {
-            if self.is_own(address) {
+            if self.is_local(address) {
                 self.fleet.record_evictions(backend, &prefixes);
             } else {
                 self.fleet.links.send(
@@ -182,7 +184,7 @@
         let own_zone = &self.fleet.settings.zone;
         for (address, prefixes) in self.evictions_by_owner(events, |owner| owner.zone == *own_zone)
         {
-            if self.is_own(address) {
+            if self.is_local(address) {
                 self.fleet.record_store_evictions(&prefixes);
             } else {
                 self.fleet
--- a/router/src/proxy/relay.rs
+++ b/router/src/proxy/relay.rs
@@ -1,4 +1,4 @@
-//! Relays an event stream to a client, in complete events.
+//! Relays an event stream to a client. Only complete events are passed on.
 
 use super::attempt::{EventStream, ResponseBody, ResponseStart, recycle};
 use super::backend::Backend;
@@ -12,18 +12,18 @@
 use std::io;
 use std::sync::Arc;
 
-/// Terminates an event.
+/// Separator after each event.
 const EVENT_END: &[u8] = b"\n\n";
 
 /// The client that a stream is relayed to.
 pub struct Client {
-    /// Its connection.
+    /// Connection of the client.
     pub connection: ClientConnection,
-    /// Keeps the connection from being idle until the stream ends.
+    /// Prevents the idle timeout of the connection until the stream ends.
     pub _in_flight: RequestInFlight,
 }
 
-/// A stream that is being relayed.
+/// An event stream that is being relayed.
 pub struct Relay {
     forwarder: Arc<Forwarder>,
     request: ForwardRequest,
@@ -36,7 +36,7 @@
 }
 
 impl Relay {
-    /// Starts to relay a stream.
+    /// Creates the relay of a stream that has started.
     pub fn new(
         forwarder: Arc<Forwarder>,
         request: ForwardRequest,
@@ -58,12 +58,13 @@
         }
     }
 
-    /// The bytes for the client. An error aborts the response, so that it does not look complete.
+    /// Returns the bytes for the client. An error aborts the client's connection, so that the
+    /// response does not look complete.
     pub fn into_stream(self) -> impl Stream<Item = io::Result<Bytes>> + Send + 'static {
         stream::unfold(Some(self), |relay| async move {
             let mut relay = relay?;
             let connection = relay.client.connection.clone();
-            // Without a write, the server does not notice that the client has disconnected.
+            // The HTTP server detects a disconnected client only when it writes.
             let next = tokio::select! {
                 biased;
                 () = connection.closed() => Err(io::ErrorKind::ConnectionAborted.into()),
@@ -80,20 +81,20 @@
         })
     }
 
-    /// The next complete events; `None` at the end.
+    /// Returns the next complete events, or `None` at the end of the stream.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             if let Some(complete) = self.take_complete_events() {
                 return Ok(Some(complete));
             }
-            let until = self.request.deadline;
+            let deadline = self.request.deadline;
             let Some(events) = &mut self.events else {
                 return Ok(None);
             };
-            let late = |_| io::Error::new(io::ErrorKind::TimedOut, "the time of the route is over");
-            match tokio::time::timeout_at(until, events.rest.frame())
+            let timed_out = |_| io::Error::new(io::ErrorKind::TimedOut, "event stream timed out");
+            match tokio::time::timeout_at(deadline, events.rest.frame())
                 .await
-                .map_err(late)?
+                .map_err(timed_out)?
             {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
@@ -116,7 +117,7 @@
         Some(complete)
     }
 
-    /// Handles the regular end of the backend's response.
+    /// Handles the regular end of the backend's response. Returns the bytes that are left, if any.
     fn end(&mut self) -> Option<Bytes> {
         if let Some(events) = self.events.take() {
             let EventStream {
@@ -127,16 +128,16 @@
             } = *events;
             recycle(self.backend.clone(), connection, closes, keep_alive);
         }
-        let rest = self.buffer.split().freeze();
-        (!rest.is_empty()).then_some(rest)
+        let remaining = self.buffer.split().freeze();
+        (!remaining.is_empty()).then_some(remaining)
     }
 
-    /// Handles a stream that broke: drops the incomplete event and resumes at another backend.
+    /// Drops the incomplete event of a broken stream, and resumes the stream at another backend.
     async fn resume_elsewhere(&mut self) -> io::Result<()> {
         let broken = || {
             io::Error::new(
                 io::ErrorKind::ConnectionReset,
-                "the backend broke its answer off",
+                "the backend broke off the event stream",
             )
         };
         self.backend.record_failure();
@@ -182,7 +183,7 @@
         .rposition(|window| window == wanted)
 }
 
-/// The id of the last event.
+/// The id of the last event that has one.
 fn last_id(events: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(events).ok()?;
     let id = text
--- a/router/src/proxy/response.rs
+++ b/router/src/proxy/response.rs
@@ -17,13 +17,14 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Limit of the size of responses that are no streams, which are buffered.
+/// Maximum size of a buffered response. All responses except streams are buffered.
 const MAX_BUFFERED_BYTES: usize = 8 << 20;
+
 /// A response whose head has arrived.
 pub(super) struct ReceivedResponse {
     pub(super) upstream_request: Arc<UpstreamRequest>,
     pub(super) backend: Arc<Backend>,
-    pub(super) outstanding: InFlightGuard,
+    pub(super) in_flight_guard: InFlightGuard,
     pub(super) connection: Connection,
     pub(super) started_at: Instant,
     /// Version of the weights that the backend was expected to have.
@@ -31,22 +32,22 @@
 }
 
 impl ReceivedResponse {
-    /// Validates the response and returns its start if it may be passed on.
+    /// Validates the response and returns its start if it may be passed to the client.
     pub(super) async fn validate(self, response: Response<Incoming>) -> Result {
         let (head, body) = response.into_parts();
-        let own = headers::text(&head.headers, &headers::REQUEST_ID);
-        let has_load = headers::text(&head.headers, &headers::LOAD);
-        if let Some(reported) = has_load.and_then(|text| ReportedLoad::parse(text, clock::now())) {
+        let request_id = headers::text(&head.headers, &headers::REQUEST_ID);
+        let load = headers::text(&head.headers, &headers::LOAD);
+        if let Some(reported) = load.and_then(|text| ReportedLoad::parse(text, clock::now())) {
             self.backend.record_load(reported);
         }
-        if own.is_some_and(|id| id != self.upstream_request.request_id) {
-            // The response to another request: the connection is out of step, and nothing on it can
-            // be trusted.
+        if request_id.is_some_and(|id| id != self.upstream_request.request_id) {
+            // This is the response to another request. Requests and responses on the connection do
+            // not match any more, so nothing read from it can be trusted.
             self.backend.record_failure();
             return Err(AttemptError::Broken);
         }
-        let not_run = head.headers.contains_key(&headers::NOT_EXECUTED);
-        if not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
+        let not_executed = head.headers.contains_key(&headers::NOT_EXECUTED);
+        if not_executed || head.status == StatusCode::MISDIRECTED_REQUEST {
             return self.reject(head.status, &head.headers, body).await;
         }
         let (sealed, success) = (
@@ -54,9 +55,9 @@
             head.status.is_success(),
         );
         let claims_not_executed = matches!(head.status.as_u16(), 408 | 421 | 429 | 503);
-        if claims_not_executed || (success && !(sealed && own.is_some())) {
-            // A status that claims the request was not executed without the header that proves it,
-            // or a success without proof that it is the backend's own.
+        if claims_not_executed || (success && !(sealed && request_id.is_some())) {
+            // The status means that the request was not executed, but the header that confirms it
+            // is missing; or there is no evidence that the backend itself produced the success.
             self.backend.record_failure();
             return Err(AttemptError::Broken);
         }
@@ -87,9 +88,9 @@
             .get("retry-after")
             .and_then(|value| value.to_str().ok()?.parse().ok());
         let reported = headers::number(head, &headers::VERSIONS);
-        let other = headers::text(head, &INSTANCE_ID).filter(|id| *id != self.backend.id);
+        let other_instance = headers::text(head, &INSTANCE_ID).filter(|id| *id != self.backend.id);
         match (&self.upstream_request.prompt, self.expected_version) {
-            _ if misdirected && other.is_some() => self.backend.record_failure(),
+            _ if misdirected && other_instance.is_some() => self.backend.record_failure(),
             (Some(prompt), Some(expected)) if misdirected => {
                 self.backend
                     .observe_version_mismatch(&prompt.model, expected, reported);
@@ -119,7 +120,7 @@
         })
     }
 
-    /// Waits for the first bytes of a stream.
+    /// Waits for the first bytes of an event stream.
     async fn first_event(
         mut self,
         status: StatusCode,
@@ -143,37 +144,37 @@
                 None => break Bytes::new(),
             }
         };
-        self.outstanding.prefill_finished();
+        self.in_flight_guard.prefill_finished();
         self.backend.record_success();
         let events = EventStream {
             first,
             rest: body,
             connection: self.connection,
-            outstanding: self.outstanding,
+            in_flight_guard: self.in_flight_guard,
             keep_alive: keep_alive(&head),
             closes: headers::closes(&head),
         };
-        let took = self.started_at.elapsed();
+        let latency = self.started_at.elapsed();
         let content = ResponseBody::Stream(Box::new(events));
         Ok(ResponseStart {
             head,
             status,
             content,
             backend: self.backend,
-            took,
+            latency,
         })
     }
 
-    /// Buffers a response, so that a truncated one is never passed on.
+    /// Buffers a response, so that a truncated response is never passed to the client.
     async fn buffered(self, status: StatusCode, head: HeaderMap, body: Incoming) -> Result {
         let collected = Limited::new(body, MAX_BUFFERED_BYTES)
             .collect()
             .await
             .map(Collected::to_bytes);
-        let reported = headers::number(&head, &CONTENT_LENGTH);
+        let declared = headers::number(&head, &CONTENT_LENGTH);
         // Bytes after the response break the connection, but do not affect a response whose length
         // was declared.
-        let is_complete = |bytes: &Bytes| match reported {
+        let is_complete = |bytes: &Bytes| match declared {
             Some(length) => length == bytes.len() as u64,
             None => !self.connection.is_broken(),
         };
@@ -181,13 +182,13 @@
             self.backend.record_failure();
             return Err(AttemptError::Broken);
         };
-        if is_own_failure(status) {
+        if is_backend_failure(status) {
             self.backend.record_failure()
         } else {
             self.backend.record_success()
         }
-        let took = self.started_at.elapsed();
-        drop(self.outstanding);
+        let latency = self.started_at.elapsed();
+        drop(self.in_flight_guard);
         recycle(
             self.backend.clone(),
             self.connection,
@@ -200,7 +201,7 @@
             status,
             content,
             backend: self.backend,
-            took,
+            latency,
         })
     }
 }
@@ -210,7 +211,7 @@
     kind.is_some_and(|kind| kind.trim_start().starts_with("text/event-stream"))
 }
 
-/// The keep-alive time that a backend announces, in seconds.
+/// Keep-alive time announced by a backend, in seconds.
 fn keep_alive(head: &HeaderMap) -> Option<u64> {
     let value = headers::text(head, &headers::KEEP_ALIVE)?;
     value
@@ -218,8 +219,8 @@
         .find_map(|option| option.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
 
-/// Returns whether a response states a failure of the backend itself. A gateway timeout is nobody's
-/// failure.
-pub fn is_own_failure(status: StatusCode) -> bool {
+/// Returns whether a response states a failure of the backend itself. A gateway timeout is not
+/// attributed to the backend.
+pub fn is_backend_failure(status: StatusCode) -> bool {
     status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT
 }
--- a/router/src/proxy/selection.rs
+++ b/router/src/proxy/selection.rs
@@ -1,5 +1,5 @@
-//! Selects the backend of an attempt: the least-loaded one, counting the work that the request
-//! would add there.
+//! Selects the backend for an attempt: the least-loaded backend, where the load includes the work
+//! that the request would add.
 
 use super::backend::{Backend, Eligibility};
 use crate::rendezvous;
@@ -10,17 +10,17 @@
 use routing::selection::{Candidate, least_loaded};
 use std::sync::Arc;
 
-/// Cost of a request in execution at a backend, in prompt tokens.
-const RUNNING_TOKENS: f64 = 60.0;
-/// Cost of a request that is queued at a backend, in prompt tokens.
+/// Cost of a request in flight at a backend, in prompt tokens.
+const IN_FLIGHT_TOKENS: f64 = 60.0;
+/// Additional cost of a request that is queued at a backend, in prompt tokens.
 const WAITING_TOKENS: f64 = 4_000.0;
-/// Cost of crossing zones, in prompt tokens.
-const ZONE_TOKENS: f64 = 1_000.0;
-/// Cost of crossing zones for services without prompts, in slots.
-const ZONE_LOAD: f64 = 0.25;
-/// Ratio of the shared tokens that the affinity backend is expected to cache if the index did not
-/// answer.
-const HOME_CACHED_RATIO: f64 = 0.7;
+/// Cost of a backend in another zone, in prompt tokens.
+const CROSS_ZONE_TOKENS: f64 = 1_000.0;
+/// Cost of a backend in another zone for requests without a prompt, as a share of its slots.
+const CROSS_ZONE_LOAD: f64 = 0.25;
+/// Ratio of the shared tokens that the affinity backend is assumed to cache if the prefix index did
+/// not respond.
+const AFFINITY_CACHED_RATIO: f64 = 0.7;
 
 /// Inputs of a selection.
 #[derive(Clone, Copy)]
@@ -29,7 +29,7 @@
     pub prompt: Option<&'a Prompt>,
     /// The tenant's cache namespace.
     pub cache_namespace: &'a str,
-    /// Minimum version of the weights.
+    /// Minimum version of the weights, if one is required.
     pub min_version: Option<u64>,
     /// Zone of this router.
     pub zone: &'a str,
@@ -37,21 +37,22 @@
     pub location: Option<&'a PrefixLocation>,
 }
 
-/// The selected backend.
+/// Result of a selection.
 pub struct SelectedBackend {
     /// The selected backend.
     pub backend: Arc<Backend>,
     /// Observed version of its weights, if known.
     pub version: Option<u64>,
-    /// Tokens that need prefill there.
+    /// Prompt tokens that the backend has to prefill or fetch.
     pub prefill_tokens: u64,
 }
 
-/// Work of any request beside its prompt, in prompt tokens: it takes a step of the engine at least.
+/// Work of a request in addition to its prompt, in prompt tokens. Each request takes at least one
+/// step of the inference engine.
 const BASE_WORK_TOKENS: u64 = 300;
 
 impl SelectedBackend {
-    /// The work that the request is there, in prompt tokens.
+    /// The work that the request adds at the backend, in prompt tokens.
     pub fn work(&self) -> u64 {
         BASE_WORK_TOKENS + self.prefill_tokens
     }
@@ -98,8 +99,8 @@
         });
         eligible.push(selected);
     }
-    let at = least_loaded(&candidates, &mut fastrand::Rng::new())?;
-    Some(eligible.swap_remove(at))
+    let index = least_loaded(&candidates, &mut fastrand::Rng::new())?;
+    Some(eligible.swap_remove(index))
 }
 
 /// The load that a backend would have with the request.
@@ -113,28 +114,32 @@
         .reported
         .map_or(0, |reported| reported.running + reported.waiting);
     let in_flight = f64::from(load.outstanding.max(reported));
-    let elsewhere = backend.zone != criteria.zone;
+    let is_cross_zone = backend.zone != criteria.zone;
     let Some(prompt) = criteria.prompt else {
         let slots = f64::from(backend.slots.max(1));
-        let zone = if elsewhere { ZONE_LOAD } else { 0.0 };
+        let zone_cost = if is_cross_zone { CROSS_ZONE_LOAD } else { 0.0 };
         let selected = SelectedBackend {
             backend: backend.clone(),
             version: None,
             prefill_tokens: 0,
         };
-        return (in_flight / slots + zone, selected);
+        return (in_flight / slots + zone_cost, selected);
     };
     let version = backend.version(&prompt.model);
     let prefill_tokens = prefill_tokens(backend, criteria, version, prompt, has_affinity);
     let waiting = f64::from(load.reported.map_or(0, |reported| reported.waiting));
-    let zone = if elsewhere { ZONE_TOKENS } else { 0.0 };
-    let weight = load.prefill_tokens as f64
+    let zone_cost = if is_cross_zone {
+        CROSS_ZONE_TOKENS
+    } else {
+        0.0
+    };
+    let load_tokens = load.prefill_tokens as f64
         + prefill_tokens as f64
         + WAITING_TOKENS * waiting
-        + RUNNING_TOKENS * in_flight
-        + zone;
+        + IN_FLIGHT_TOKENS * in_flight
+        + zone_cost;
     (
-        weight,
+        load_tokens,
         SelectedBackend {
             backend: backend.clone(),
             version,
@@ -143,9 +148,9 @@
     )
 }
 
-/// Tokens of a prompt that a backend has to prefill or to fetch: all but the cached ones. Fetching
-/// takes about as long as prefill. Without an answer of the index, the affinity backend is expected
-/// to cache the prefix.
+/// Prompt tokens that a backend has to prefill or fetch: all except the cached ones. Fetching takes
+/// about as long as prefill. If the prefix index did not respond, the affinity backend is assumed
+/// to cache part of the prefix.
 fn prefill_tokens(
     backend: &Backend,
     criteria: SelectionCriteria<'_>,
@@ -156,7 +161,7 @@
     let shared: u64 = prompt.shared_tokens();
     let cached_ratio = match (criteria.location, version) {
         (Some(location), Some(version)) if location.is_cached_by(&backend.id, version) => 1.0,
-        (None, _) if has_affinity => HOME_CACHED_RATIO,
+        (None, _) if has_affinity => AFFINITY_CACHED_RATIO,
         _ => 0.0,
     };
     prompt
