--- a/router/tests/client_disconnects.rs
+++ b/router/tests/client_disconnects.rs
@@ -1,13 +1,11 @@
-//! Incident: backends continued the work of disconnected clients. In one case a client closed its
-//! connection 0.08 s after its request, the router sent a hedge to a second backend 0.19 s later,
-//! relayed the first response, and the execution ended 1.2 s after nobody was there to read it.
+//! Requests of disconnected clients are cancelled at the backends.
 //!
-//! Evidence: with every read of client sockets logged, the end of the connection was read
-//! immediately in each of 784 such cases, and in none was the request's task cancelled. Cause: the
-//! HTTP server library ends the connection's future with an error and then polls it once more for
-//! an orderly shutdown, which continues the request. An abandoned request was only detected by a
-//! failing write or by the deadline. The former test of this behaviour waited for longer than the
-//! deadline.
+//! Guards against a failure in which backends continued the work of disconnected clients, in one
+//! case until 1.2 s after the disconnect and with a hedge sent meanwhile. After a connection has
+//! failed, the HTTP server library polls it once more for an orderly shutdown, which continues the
+//! request. In each of 784 observed cases the router read the end of the connection immediately,
+//! but did not cancel the request: only a failing write or the deadline ended it. A test that waits
+//! for longer than the deadline cannot detect this, so the time limit here is far below it.
 
 mod common;
 
@@ -17,11 +15,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Far below the time-outs used here: whatever only ends by a time-out is too late.
-const SOON: Duration = Duration::from_millis(500);
+/// Time limit for cancelling a request, far below the timeouts of the routes and of the requests.
+const CANCELLATION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The usual routes, with time-outs that no test waits for.
-fn patient_configuration() -> String {
+/// The usual routes with a timeout of 60 s, which no test waits for.
+fn long_timeout_configuration() -> String {
     CONFIGURATION.replace("\"timeoutMs\":3000", "\"timeoutMs\":60000")
 }
 
@@ -39,19 +37,19 @@
     TcpStream::connect(router.address).await.unwrap()
 }
 
-async fn until(mut is_so: impl FnMut() -> bool) {
+async fn wait_until(mut condition: impl FnMut() -> bool) {
     let reached = async {
-        while !is_so() {
+        while !condition() {
             tokio::task::yield_now().await;
         }
     };
     tokio::time::timeout(PATIENCE, reached)
         .await
-        .expect("it comes about");
+        .expect("the condition is met in time");
 }
 
-async fn is_given_up(backend: &FakeBackend) -> bool {
-    let given_up = tokio::time::timeout(SOON, backend.given_up.acquire()).await;
+async fn is_cancelled(backend: &FakeBackend) -> bool {
+    let given_up = tokio::time::timeout(CANCELLATION_TIMEOUT, backend.given_up.acquire()).await;
     given_up.is_ok_and(|permit| permit.map(|permit| permit.forget()).is_ok())
 }
 
@@ -62,7 +60,7 @@
         None => vec![Action::Hang],
     };
     let backend = FakeBackend::start(actions).await;
-    let router = Router::start_with(&patient_configuration(), &[&backend]).await;
+    let router = Router::start_with(&long_timeout_configuration(), &[&backend]).await;
     let mut client = connect(&router).await;
     client.write_all(first.as_bytes()).await.unwrap();
     if let Some(then) = then {
@@ -71,39 +69,39 @@
         client.write_all(then.as_bytes()).await.unwrap();
     }
     let expected = 1 + usize::from(then.is_some());
-    until(|| backend.count() == expected).await;
+    wait_until(|| backend.count() == expected).await;
     drop(client);
-    is_given_up(&backend).await
+    is_cancelled(&backend).await
 }
 
-/// Disconnects a client that has sent the beginning of its next request, or all of it, while its
-/// first one waits for the head of a response.
-async fn disconnects_behind_further_bytes(further: &str) -> bool {
+/// Disconnects a client that has sent further bytes, such as part of its next request, while its
+/// first request waits for the head of a response.
+async fn disconnects_after_pipelined_bytes(pipelined: &str) -> bool {
     let backend = FakeBackend::start(vec![Action::Hang]).await;
-    let router = Router::start_with(&patient_configuration(), &[&backend]).await;
+    let router = Router::start_with(&long_timeout_configuration(), &[&backend]).await;
     let mut client = connect(&router).await;
-    let sent = plain_request("/unsafe/") + further;
+    let sent = plain_request("/unsafe/") + pipelined;
     client.write_all(sent.as_bytes()).await.unwrap();
-    until(|| backend.count() == 1).await;
+    wait_until(|| backend.count() == 1).await;
     drop(client);
-    is_given_up(&backend).await
+    is_cancelled(&backend).await
 }
 
-/// Disconnects a client while its request has a hedge in flight: both attempts have to end.
+/// Disconnects a client while its request has a hedge in flight. Both attempts must be cancelled.
 async fn disconnects_with_hedge_in_flight() -> bool {
     let (first, second) = (
         FakeBackend::start(vec![Action::Hang]).await,
         FakeBackend::start(vec![Action::Hang]).await,
     );
-    let router = Router::start_with(&patient_configuration(), &[&first, &second]).await;
+    let router = Router::start_with(&long_timeout_configuration(), &[&first, &second]).await;
     let mut client = connect(&router).await;
     client
         .write_all(plain_request("/safe/").as_bytes())
         .await
         .unwrap();
-    until(|| first.count() == 1 && second.count() == 1).await;
+    wait_until(|| first.count() == 1 && second.count() == 1).await;
     drop(client);
-    let have_ended = is_given_up(&first).await && is_given_up(&second).await;
+    let have_ended = is_cancelled(&first).await && is_cancelled(&second).await;
     have_ended
         && first.count() + second.count() == 2
         && router.fleet.counters.get(Event::AttemptSent) == 2
@@ -113,7 +111,7 @@
 async fn disconnects_during_stream() -> bool {
     let begun = format!("{STREAM_HEAD}{}", event(1));
     let backend = FakeBackend::start(vec![Action::RespondAndHang(begun)]).await;
-    let router = Router::start_with(&patient_configuration(), &[&backend]).await;
+    let router = Router::start_with(&long_timeout_configuration(), &[&backend]).await;
     let mut client = connect(&router).await;
     client
         .write_all(plain_request("/stream/").as_bytes())
@@ -122,7 +120,7 @@
     let mut answer = [0; 4096];
     assert!(client.read(&mut answer).await.unwrap() > 0);
     drop(client);
-    is_given_up(&backend).await
+    is_cancelled(&backend).await
 }
 
 /// Disconnects a client while its stream, which broke at one backend, waits to be resumed by
@@ -131,15 +129,15 @@
     let half = format!("{STREAM_HEAD}{}", event(1));
     let backend = FakeBackend::start(vec![Action::RespondAndReset(half), Action::Hang]).await;
     let other = backend.clone();
-    let router = Router::start_with(&patient_configuration(), &[&backend, &other]).await;
+    let router = Router::start_with(&long_timeout_configuration(), &[&backend, &other]).await;
     let mut client = connect(&router).await;
     client
         .write_all(plain_request("/resumable/").as_bytes())
         .await
         .unwrap();
-    until(|| backend.count() == 2).await;
+    wait_until(|| backend.count() == 2).await;
     drop(client);
-    is_given_up(&backend).await
+    is_cancelled(&backend).await
 }
 
 #[tokio::test]
@@ -152,36 +150,36 @@
     );
     let outcomes = [
         (
-            "it waits for an answer",
+            "waiting for a response",
             disconnects_before_response(&plain, None).await,
         ),
         (
-            "its body came in chunks",
+            "waiting for a response to a chunked request",
             disconnects_before_response(&chunked, None).await,
         ),
         (
-            "it is a later request of its connection",
+            "waiting for a response to a later request on the connection",
             disconnects_before_response(&plain, Some(&plain)).await,
         ),
         (
-            "it has begun another request",
-            disconnects_behind_further_bytes("POST /uns").await,
+            "part of the next request was sent",
+            disconnects_after_pipelined_bytes("POST /uns").await,
         ),
         (
-            "it has sent another request",
-            disconnects_behind_further_bytes(&plain).await,
+            "the next request was sent",
+            disconnects_after_pipelined_bytes(&plain).await,
         ),
         (
-            "it has sent more than is read ahead",
-            disconnects_behind_further_bytes(&"x".repeat(100_000)).await,
+            "more bytes were sent than the server reads ahead",
+            disconnects_after_pipelined_bytes(&"x".repeat(100_000)).await,
         ),
         (
-            "a copy is pending",
+            "a hedge was in flight",
             disconnects_with_hedge_in_flight().await,
         ),
-        ("it reads a stream", disconnects_during_stream().await),
+        ("relaying a stream", disconnects_during_stream().await),
         (
-            "its stream is taken up elsewhere",
+            "resuming a stream at another backend",
             disconnects_while_stream_resumes().await,
         ),
     ];
@@ -192,6 +190,6 @@
         .collect();
     assert!(
         failed.is_empty(),
-        "work goes on for a client that left while: {failed:?}"
+        "requests were not cancelled after the client disconnected: {failed:?}"
     );
 }
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -1,4 +1,5 @@
-//! Requests with prompts: backend selection, and the KV cache transfers that attempts ask for.
+//! Requests with prompts: backend selection by cached prefix, and the KV cache transfers requested
+//! from backends.
 
 mod common;
 
@@ -19,8 +20,8 @@
 const PROMPT: &str =
     "X-Model-Name: m\r\nX-Token-Counts: 900,10\r\nX-Prompt-Prefix: a:300,b:500,own:100\r\n";
 
-/// Two backends that report no load, and a router.
-async fn two() -> (FakeBackend, FakeBackend, Router) {
+/// Starts two backends that report no load, and a router.
+async fn start_two_backends() -> (FakeBackend, FakeBackend, Router) {
     let first = FakeBackend::start(vec![Action::Respond(success("1"))]).await;
     let second = FakeBackend::start(vec![Action::Respond(success("2"))]).await;
     let router = Router::start(&[&first, &second]).await;
@@ -45,7 +46,7 @@
 
 #[tokio::test]
 async fn routes_to_cached_prefix() {
-    let (first, second, router) = two().await;
+    let (first, second, router) = start_two_backends().await;
     for _ in 0..6 {
         assert_eq!(
             status(&router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await),
@@ -53,13 +54,16 @@
         );
     }
     let counts = [first.count(), second.count()];
-    assert!(counts.contains(&6), "all at one of them: {counts:?}");
+    assert!(
+        counts.contains(&6),
+        "all requests go to one backend: {counts:?}"
+    );
     assert_eq!(router.fleet.prefix_index.lock().unwrap().len(), 1);
 }
 
 #[tokio::test]
 async fn fetches_cached_and_saves_uncached_prefix() {
-    let (first, second, router) = two().await;
+    let (first, second, router) = start_two_backends().await;
     let store = add_store(&router);
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let sent = if first.count() == 1 {
@@ -71,7 +75,7 @@
     assert_eq!(
         header(&sent, "kv-fetch"),
         Some(store.to_string()),
-        "a miss costs little"
+        "the store is lookup even for an unknown prefix, as a miss is cheap"
     );
     let salt = header(&sent, "cache-salt").expect("a salt");
     assert_eq!(CacheSalt::parse(&salt).map(|salt| salt.version), Some(1));
@@ -81,7 +85,11 @@
     } else {
         second.request(1)
     };
-    assert_eq!(header(&again, "kv-save"), None, "it is being saved");
+    assert_eq!(
+        header(&again, "kv-save"),
+        None,
+        "the first request already saves the prefix"
+    );
 }
 
 #[tokio::test]
@@ -96,20 +104,20 @@
     let router = Router::start(&[&first, &second]).await;
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let holder = if first.count() == 1 { 0 } else { 1 };
-    let (holding, other) = if holder == 0 {
+    let (holder_backend, other) = if holder == 0 {
         (&first, &second)
     } else {
         (&second, &first)
     };
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
-    assert_eq!(other.count(), 1, "the holder has told that it is full");
+    assert_eq!(other.count(), 1, "the holder has reported a queue");
     assert_eq!(
         header(&other.request(0), "kv-fetch"),
-        Some(holding.address.to_string())
+        Some(holder_backend.address.to_string())
     );
 
     let draining = control::directory::BackendPhase::Draining;
-    register(&router.fleet, holder, holding, 2, draining);
+    register(&router.fleet, holder, holder_backend, 2, draining);
     router.table.refresh(&router.fleet);
     let prompt = PROMPT.replace("b:500", "c:500");
     let key = PrefixKey::of_segment("tt1-", "m", "c");
@@ -130,12 +138,12 @@
 
 #[tokio::test]
 async fn evicted_prefix_is_not_used() {
-    let (_first, _second, router) = two().await;
+    let (_first, _second, router) = start_two_backends().await;
     router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
     let locator = PrefixLocator::new(router.fleet.clone());
-    let wall = "tt1-";
-    let key = PrefixKey::of_segment(wall, "m", "b");
-    let asked = PrefixLookup {
+    let cache_namespace = "tt1-";
+    let key = PrefixKey::of_segment(cache_namespace, "m", "b");
+    let lookup = PrefixLookup {
         key,
         planned: Placement {
             backend: "asker".into(),
@@ -145,7 +153,7 @@
     };
     let holder = router
         .fleet
-        .look_up_prefix(&asked)
+        .look_up_prefix(&lookup)
         .replicas
         .last()
         .expect("a holder")
@@ -160,8 +168,11 @@
         }],
     );
     assert!(
-        router.fleet.look_up_prefix(&asked).is_cached_by(&holder, 1),
-        "another version gave way"
+        router
+            .fleet
+            .look_up_prefix(&lookup)
+            .is_cached_by(&holder, 1),
+        "only another version was evicted"
     );
     locator.notify_evictions(
         &holder,
@@ -171,7 +182,12 @@
             is_cached: true,
         }],
     );
-    assert!(router.fleet.look_up_prefix(&asked).is_cached_by(&holder, 1));
+    assert!(
+        router
+            .fleet
+            .look_up_prefix(&lookup)
+            .is_cached_by(&holder, 1)
+    );
     locator.notify_evictions(
         &holder,
         &[KvEvent {
@@ -180,14 +196,19 @@
             is_cached: false,
         }],
     );
-    assert!(!router.fleet.look_up_prefix(&asked).is_cached_by(&holder, 1));
+    assert!(
+        !router
+            .fleet
+            .look_up_prefix(&lookup)
+            .is_cached_by(&holder, 1)
+    );
 }
 
-/// Incident: for seconds after power had been lost everywhere, half of the requests were late. The
-/// backends had kept running, with full caches, but no router knew which prefix was where: prompts
-/// went elsewhere and were prefilled again.
+/// Guards against a failure after a power loss of all routers, in which half of the requests were
+/// late for seconds. The backends had kept running with full caches, but the routers had lost the
+/// prefix index, so prompts were sent to other backends and prefilled again.
 #[tokio::test]
-async fn started_router_learns_what_backends_cache() {
+async fn started_router_learns_prefixes_cached_by_backends() {
     let salt = salt("tt1-", Some(1));
     let events = format!(
         r#"{{"epoch":1,"nextPageToken":4,"lost":true,"events":[[1,"+","{salt}","kept",300,"m"],
@@ -227,60 +248,64 @@
         };
         fleet.look_up_prefix(&lookup).replicas
     };
-    let learns = async {
+    let has_learned = async {
         while fleet.prefix_index.lock().unwrap().is_empty() {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, learns)
+    tokio::time::timeout(PATIENCE, has_learned)
         .await
-        .expect("it learns of a prefix");
+        .expect("the router learns of a prefix");
     let expected = Placement {
         backend: "i-0".into(),
         version: 1,
     };
     assert_eq!(cached_by("kept"), [expected]);
-    assert_eq!(cached_by("gone"), [], "it was evicted again");
+    assert_eq!(
+        cached_by("gone"),
+        [],
+        "the segment was evicted after it was cached"
+    );
     watching.abort();
 }
 
 #[tokio::test]
 async fn owner_answers_lookups() {
-    let (_first, _second, router) = two().await;
+    let (_first, _second, router) = start_two_backends().await;
     let service: Arc<router::fleet::Fleet> = router.fleet.clone();
     let placement = |backend: &str| Placement {
         backend: backend.into(),
         version: 1,
     };
-    let ask = |backend: &str| Request::Locate {
+    let lookup = |backend: &str| Request::Locate {
         key: PrefixKey(3),
         planned: placement(backend),
         should_save: false,
     };
     use router::links::Service;
-    let answered = async |request| {
+    let response_to = async |request| {
         service
             .clone()
             .handle(request)
             .await
             .map(|answer| answer.response)
     };
-    let located = async |backend| match answered(ask(backend)).await {
+    let located = async |backend| match response_to(lookup(backend)).await {
         Some(Response::Located(located)) => located.replicas,
         other => panic!("{other:?}"),
     };
     assert!(located("b1").await.is_empty());
     assert_eq!(located("b2").await, [placement("b1")]);
-    let moved = Request::Placed {
+    let placed = Request::Placed {
         key: PrefixKey(3),
         placement: placement("b2"),
     };
-    assert!(answered(moved).await.is_none());
-    let gone = Request::Evicted {
+    assert!(response_to(placed).await.is_none());
+    let evicted = Request::Evicted {
         backend: "b1".into(),
         prefixes: vec![(PrefixKey(3), 1)],
     };
-    assert!(answered(gone).await.is_none());
+    assert!(response_to(evicted).await.is_none());
     assert_eq!(located("b3").await, [placement("b2")]);
 }
 
--- a/router/tests/proxy.rs
+++ b/router/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! Forwarding to backends that respond, reject, break off, hang, or mix up responses.
+//! Forwarding to backends that respond, reject, fail, hang, or mix up responses.
 
 mod common;
 
@@ -29,14 +29,14 @@
     assert_eq!(header(&sent, "x-tenant-id").as_deref(), Some("t1"));
     assert_eq!(header(&sent, "x-expect-instance").as_deref(), Some("i-0"));
     assert_eq!(header(&sent, "x-own").as_deref(), Some("kept"));
-    for own in [
+    for name in [
         "authorization",
         "cache-salt",
         "kv-fetch",
         "priority",
         "connection",
     ] {
-        assert_eq!(header(&sent, own), None, "{own} does not go along");
+        assert_eq!(header(&sent, name), None, "{name} must not be forwarded");
     }
     assert!(
         header(&sent, "x-deadline-ms")
@@ -85,7 +85,7 @@
 
 #[tokio::test]
 async fn possibly_executed_request_is_not_retried() {
-    for act in [
+    for action in [
         Action::RespondAndClose(String::new()),
         Action::RespondAndReset(String::new()),
         Action::RespondAndClose(
@@ -104,11 +104,11 @@
         Action::Respond("this is no answer\r\n\r\n".into()),
     ] {
         let (first, second) =
-            (FakeBackend::start(vec![act.clone()]).await, FakeBackend::start(vec![act.clone()]).await);
+            (FakeBackend::start(vec![action.clone()]).await, FakeBackend::start(vec![action.clone()]).await);
         let router = Router::start(&[&first, &second]).await;
         let answer = router.ask("/unsafe/", KEY).await;
-        assert_eq!(status(&answer), "502", "{act:?}: {answer}");
-        assert_eq!(first.count() + second.count(), 1, "{act:?}");
+        assert_eq!(status(&answer), "502", "{action:?}: {answer}");
+        assert_eq!(first.count() + second.count(), 1, "{action:?}");
         assert_eq!(header(&answer, "x-response-seal"), None);
     }
 }
@@ -147,7 +147,7 @@
     }
     let given_up = tokio::time::timeout(PATIENCE, hanging.given_up.acquire()).await;
     given_up
-        .expect("the losing send is cancelled by closing its connection")
+        .expect("the slower attempt is cancelled by closing its connection")
         .unwrap()
         .forget();
 }
@@ -169,22 +169,22 @@
 #[tokio::test]
 async fn broken_stream_is_aborted() {
     let half = format!("{STREAM_HEAD}{}10\r\nid: 2\ndata: pi", event(1));
-    for act in [
+    for action in [
         Action::RespondAndClose(half.clone()),
         Action::RespondAndReset(half),
     ] {
-        let backend = FakeBackend::start(vec![act]).await;
+        let backend = FakeBackend::start(vec![action]).await;
         let router = Router::start(&[&backend]).await;
         let answer = router.ask("/stream/", KEY).await;
         assert!(
             !answer.ends_with(END),
-            "it ends as if it were whole: {answer}"
+            "a truncated stream looks complete: {answer}"
         );
         assert!(
             !answer.contains("data: pi\r\n"),
-            "half an event is passed on: {answer}"
+            "an incomplete event was relayed: {answer}"
         );
-        assert_eq!(backend.count(), 1, "it may not be resumed");
+        assert_eq!(backend.count(), 1, "the route does not allow resuming");
     }
 }
 
@@ -192,9 +192,9 @@
 async fn resumes_stream_at_another_backend() {
     let half = format!("{STREAM_HEAD}{}{}a\r\nid: 3\ndata", event(1), event(2));
     let rest = format!("{STREAM_HEAD}{}{END}", event(3)).replace("seal\r\n", "other\r\n");
-    // Whichever gets the first attempt breaks off, and the other one resumes.
-    let both = vec![Action::RespondAndReset(half), Action::Respond(rest)];
-    let first = FakeBackend::start(both.clone()).await;
+    // The backend of the first attempt resets the connection, and the other backend resumes.
+    let actions = vec![Action::RespondAndReset(half), Action::Respond(rest)];
+    let first = FakeBackend::start(actions.clone()).await;
     let second = first.clone();
     let router = Router::start(&[&first, &second]).await;
     let answer = router.ask("/resumable/", KEY).await;
--- a/router/tests/response_isolation.rs
+++ b/router/tests/response_isolation.rs
@@ -1,6 +1,6 @@
-//! Responses that get out of step: one that comes before the request body was read, bytes that
-//! belong to no request, a failure while a hedge is in flight, and a stream that outlasts the
-//! deadline of its route.
+//! Responses must not be mixed up, truncated or lost. The cases are a response that is sent before
+//! the request body was read, bytes that belong to no request, a failure while a hedge is in
+//! flight, a stream that exceeds the timeout of its route, and a reused client address.
 
 mod common;
 
@@ -15,8 +15,8 @@
 
 /// A body that does not fit into socket buffers.
 const LONG_BODY: usize = 3 << 20;
-/// What a backend reads before it responds early.
-const READ_EARLY: usize = 1_000;
+/// Bytes of the body that a backend reads before it responds early.
+const BYTES_BEFORE_EARLY_RESPONSE: usize = 1_000;
 
 /// Reads the head of a request. Returns the head and the length of the body.
 async fn read_head(stream: &mut TcpStream) -> Option<(String, usize)> {
@@ -35,21 +35,25 @@
     Some((head, length))
 }
 
-/// A backend that responds to the first request of each connection before it has read the body, and
-/// reads the rest later.
-async fn answers_early(first: String, next: String) -> (FakeBackend, Arc<tokio::sync::Semaphore>) {
+/// Starts a backend that responds to each request before it has read the whole body: with `first`
+/// to the first request of each connection, and with `next` to the following ones. The semaphore
+/// gets a permit for each body that has been read completely.
+async fn start_early_responder(
+    first: String,
+    next: String,
+) -> (FakeBackend, Arc<tokio::sync::Semaphore>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!()
     };
-    // Only its address and request count are used.
+    // Used only for its address and for counting requests.
     let mut backend = FakeBackend::start(vec![Action::Hang]).await;
     backend.address = address;
-    let (requests, sound) = (
+    let (requests, complete_bodies) = (
         backend.requests.clone(),
         Arc::new(tokio::sync::Semaphore::new(0)),
     );
-    let complete = sound.clone();
+    let complete = complete_bodies.clone();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let (requests, complete) = (requests.clone(), complete.clone());
@@ -60,9 +64,12 @@
                         return;
                     };
                     let id = header(&head, "x-request-id").expect("an id");
-                    assert!(head.starts_with("POST /"), "no request begins here: {head}");
+                    assert!(
+                        head.starts_with("POST /"),
+                        "not the start of a request: {head}"
+                    );
                     requests.lock().unwrap().push(head);
-                    let early = length.min(READ_EARLY);
+                    let early = length.min(BYTES_BEFORE_EARLY_RESPONSE);
                     let mut body = vec![0; length];
                     stream.read_exact(&mut body[..early]).await.unwrap();
                     stream
@@ -76,14 +83,14 @@
                     }
                     assert!(
                         body.iter().all(|byte| *byte == b'b'),
-                        "other bytes stand where the body's rest is due"
+                        "bytes that do not belong to the body were received in its place"
                     );
                     complete.add_permits(1);
                 }
             });
         }
     });
-    (backend, sound)
+    (backend, complete_bodies)
 }
 
 /// Sends a request with a body on a keep-alive connection.
@@ -113,8 +120,8 @@
     let early_success = success("early");
     let early_refusal = answer("503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
     for (first, expected) in [(early_success, "200"), (early_refusal, "503")] {
-        for length in [READ_EARLY - 1, 20_000, LONG_BODY] {
-            let (backend, complete) = answers_early(first.clone(), success("next")).await;
+        for length in [BYTES_BEFORE_EARLY_RESPONSE - 1, 20_000, LONG_BODY] {
+            let (backend, complete) = start_early_responder(first.clone(), success("next")).await;
             let router = Router::start(&[&backend]).await;
             let mut client = TcpStream::connect(router.address).await.unwrap();
             post(&mut client, "/unsafe/", 1, length).await;
@@ -123,8 +130,8 @@
             for id in 2..6 {
                 post(&mut client, "/unsafe/", id, 100).await;
                 let (head, body) = read_answer(&mut client).await;
-                // A connection on which the backend still reads is not reused; a new one starts
-                // with an early response.
+                // A connection on which the backend still reads the body is not reused, and a new
+                // connection starts with the `first` response.
                 let expected_id = format!("id-{id}");
                 assert_eq!(
                     header(&head, "x-request-id").as_deref(),
@@ -136,9 +143,12 @@
                     "{head}"
                 );
             }
-            // The bodies that were read completely are those that were sent.
+            // The backend checks the contents of each body that it has read completely.
             let permit = tokio::time::timeout(PATIENCE, complete.acquire_many(2)).await;
-            permit.expect("bodies are read whole").unwrap().forget();
+            permit
+                .expect("bodies are read completely")
+                .unwrap()
+                .forget();
         }
     }
 }
@@ -162,13 +172,17 @@
         status(&head) == "502" && body.is_empty() || body == b"second",
         "{head}"
     );
-    assert!(backend.count() <= 2, "what may have run is not sent again");
+    assert!(
+        backend.count() <= 2,
+        "a request that may have been executed is not sent again"
+    );
 }
 
-/// Two backends at one address: the first request fails once the second one, its hedge, has
-/// arrived, and the hedge succeeds some time after the failure was sent.
-async fn fails_and_then_succeeds() -> std::net::SocketAddrV4 {
-    const TURNS: usize = 2_000;
+/// Starts a server that acts as two backends. Once both the first attempt and its hedge have
+/// arrived, the first attempt fails, and some time later the hedge succeeds.
+async fn start_failing_then_succeeding() -> std::net::SocketAddrV4 {
+    /// Number of scheduler yields between the two responses.
+    const YIELDS: usize = 2_000;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!()
@@ -182,16 +196,16 @@
             streams.push((stream, header(&head, "x-request-id").expect("an id")));
         }
         let failure = answer("500 Internal Server Error", "X-Response-Seal: s\r\n", "why");
-        for ((stream, id), answer) in streams.iter_mut().zip([failure, success("from the copy")]) {
+        for ((stream, id), answer) in streams.iter_mut().zip([failure, success("from the hedge")]) {
             stream
                 .write_all(answer.replace("{id}", id).as_bytes())
                 .await
                 .unwrap();
-            for _ in 0..TURNS {
+            for _ in 0..YIELDS {
                 tokio::task::yield_now().await;
             }
         }
-        // Kept open until the caller closes it.
+        // Keep the connection open until the router closes it.
         let _ = streams[1].0.read(&mut [0; 1]).await;
     });
     address
@@ -199,7 +213,7 @@
 
 #[tokio::test]
 async fn failure_waits_for_hedge() {
-    let address = fails_and_then_succeeds().await;
+    let address = start_failing_then_succeeding().await;
     let mut backends = [
         FakeBackend::start(vec![Action::Hang]).await,
         FakeBackend::start(vec![Action::Hang]).await,
@@ -211,7 +225,7 @@
     let answer = router.ask("/safe/", KEY).await;
     assert_eq!(
         (status(&answer), body(&answer)),
-        ("200", "from the copy"),
+        ("200", "from the hedge"),
         "{answer}"
     );
 }
@@ -221,19 +235,19 @@
     let begun = format!("{STREAM_HEAD}{}", event(1));
     let backend = FakeBackend::start(vec![Action::Respond(begun), Action::Hang]).await;
     let router = Router::start(&[&backend]).await;
-    let brief = CONFIGURATION
+    let short_timeout = CONFIGURATION
         .replace("\"version\":1", "\"version\":2")
         .replace(
             "\"pathPrefix\":\"/stream/\",\"kind\":\"streaming\",\"timeoutMs\":3000",
             "\"pathPrefix\":\"/stream/\",\"kind\":\"streaming\",\"timeoutMs\":300",
         );
-    assert!(brief.contains("\"timeoutMs\":300,"));
-    publish(&router.fleet, 2, &brief);
-    let begun = tokio::time::Instant::now();
+    assert!(short_timeout.contains("\"timeoutMs\":300,"));
+    publish(&router.fleet, 2, &short_timeout);
+    let started_at = tokio::time::Instant::now();
     let answer = router.ask("/stream/", KEY).await;
     assert!(
-        begun.elapsed() < Duration::from_secs(2),
-        "the client's own deadline is later"
+        started_at.elapsed() < Duration::from_secs(2),
+        "the stream ends at the timeout of the route, not at the deadline of the client"
     );
     assert!(
         answer.contains("data: piece 1\n\n") && !answer.ends_with(END),
@@ -241,8 +255,8 @@
     );
 }
 
-/// A client resets its connection and reconnects from the same port: the end of the former
-/// connection must not remove the state that aborts the new one.
+/// A client resets its connection and reconnects from the same port. When the first connection
+/// ends, the state of the second one must be kept, as it is needed to abort that connection.
 #[tokio::test]
 async fn reused_client_address_can_be_aborted() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -263,14 +277,17 @@
     };
     let first = connect(0).await;
     let remote = first.local_addr().unwrap();
-    let (former, ..) = acceptor.accept().await.unwrap();
+    let (first_stream, ..) = acceptor.accept().await.unwrap();
     drop(first);
     let _second = connect(remote.port()).await;
-    let (mut present, ..) = acceptor.accept().await.unwrap();
-    drop(former);
+    let (mut second_stream, ..) = acceptor.accept().await.unwrap();
+    drop(first_stream);
     connections.get(Some(&remote)).abort();
     assert!(
-        present.write_all(b"the end of an answer").await.is_err(),
-        "nothing is written any more"
+        second_stream
+            .write_all(b"the end of a response")
+            .await
+            .is_err(),
+        "an aborted connection must not be written to"
     );
 }
