--- a/router/src/fleet.rs
+++ b/router/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The state of the fleet as this router knows it. Updates come by pulls with version vectors, and
-//! by heartbeats.
+//! The state of the fleet as this router knows it. Updates arrive through pulls with version
+//! vectors, and through heartbeats.
 
 mod announced_weights;
 mod members;
@@ -40,10 +40,10 @@
 use std::time::Duration;
 use tokio::sync::{Semaphore, watch};
 
-/// Time limit of one attempt to reach a replica node.
+/// Time limit of one forwarded call to a replica node.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
-/// A monitored member with its revision: after a member was down and came back, its failure
-/// detector starts over.
+/// A monitored member with its revision. A member that was down and rejoins has a new revision, so
+/// its failure detection starts over.
 pub type MonitoredIncarnation = (CompactString, u64);
 
 /// The state that all parts of a router share.
@@ -64,20 +64,20 @@
     pub stores: KvStores,
     /// Index of the prompt prefixes that this router owns.
     pub prefix_index: Mutex<PrefixIndex>,
-    /// Failures of the backends that this node judges.
+    /// Reported failures of the backends that this node evaluates.
     outlier_detector: Mutex<OutlierDetector>,
     /// The replica that this node runs, if any.
     pub replica: Option<ReplicaHandle>,
     /// Incarnation of this process.
     pub incarnation: u64,
-    /// Members whose heartbeats this node receives.
+    /// Failure detector of the members that send heartbeats to this node.
     pub monitored: Mutex<FailureDetector<MonitoredIncarnation>>,
     monitored_backends: Mutex<FailureDetector<CompactString>>,
     /// The highest sequence number of each backend's heartbeats, including those without new
     /// content.
-    heartbeat_numbers: Mutex<BTreeMap<CompactString, u64>>,
+    heartbeat_sequences: Mutex<BTreeMap<CompactString, u64>>,
     leader: Mutex<Option<(Epoch, ReplicaId)>>,
-    /// When the control state, as pulled from others, was last confirmed as the latest.
+    /// Time as of which the control state pulled from other nodes was the latest.
     current_as_of: Mutex<Option<Millis>>,
     /// When the process started.
     started_at: Millis,
@@ -88,7 +88,7 @@
 }
 
 impl Fleet {
-    /// Creates the state of a router that starts.
+    /// Creates the initial state of a router.
     pub fn new(
         settings: Arc<Settings>,
         replica: Option<ReplicaHandle>,
@@ -108,7 +108,7 @@
             incarnation,
             monitored: Mutex::new(FailureDetector::new(now)),
             monitored_backends: Mutex::new(FailureDetector::new(now)),
-            heartbeat_numbers: Mutex::default(),
+            heartbeat_sequences: Mutex::default(),
             leader: Mutex::new(None),
             current_as_of: Mutex::new(None),
             started_at: now,
@@ -143,9 +143,9 @@
 
     /// Restores the state that a previous process saved. Heartbeats that were received since are
     /// newer.
-    pub fn restore(&self, known: PersistedFleet) {
-        self.restore_announcements(known.announced_weights);
-        for (key, value) in known.records {
+    pub fn restore(&self, saved: PersistedFleet) {
+        self.restore_announcements(saved.announced_weights);
+        for (key, value) in saved.records {
             if key == Key::Member(self.settings.node_name.clone()) {
                 continue;
             }
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Members with replicas, whatever their status.
+    /// Members with replicas, in any status.
     pub fn replica_members(&self) -> Vec<(CompactString, Member)> {
         let directory = lock(&self.directory);
         let members = directory
--- a/router/src/fleet/announced_weights.rs
+++ b/router/src/fleet/announced_weights.rs
@@ -1,4 +1,5 @@
-//! Announced versions of weights: when each was announced, and which requests that rules out.
+//! Announced versions of weights: when each was announced, and the deadlines that follow for
+//! requests on older versions.
 
 use super::Fleet;
 use crate::clock;
@@ -11,13 +12,14 @@
 use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
 
-/// Requests are no longer sent to backends without the new weights this long before these are due
-/// everywhere, in milliseconds: they may queue there before they start.
+/// Routers stop sending requests to backends without the new weights this long before the deadline,
+/// in milliseconds, as requests may queue at a backend before they start.
 const SEND_MARGIN: Millis = 1_300;
-/// Requests that queue at such a backend are withdrawn this long before, in milliseconds.
+/// Requests that still queue at such a backend are withdrawn this long before the deadline, in
+/// milliseconds.
 const START_MARGIN: Millis = 300;
-/// A response that was in transit for longer, in milliseconds, says less about the time of an
-/// announcement than what is known here.
+/// Ages in a response that may have been in transit for longer, in milliseconds, are too inaccurate
+/// to replace known announcement times.
 const MAX_RESPONSE_DELAY: Millis = 500;
 
 /// Bounds of the time at which another router sent a response, on this router's clock.
@@ -29,10 +31,10 @@
     pub(super) latest: Millis,
 }
 
-/// A version that some backend should have and lacks.
+/// A version that some backends still lack.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IncompleteRollout {
-    /// The oldest such version of its model.
+    /// The oldest version of its model that some backend lacks.
     pub announced: AnnouncedVersion,
     /// Number of backends that lack it.
     pub outdated: u64,
@@ -106,7 +108,7 @@
         lock(&self.version_floors).all_effective(self.settings.bounds.version_ms, clock::now())
     }
 
-    /// Restores the announcements that were saved by a previous process. The ages are lower bounds,
+    /// Restores the announcements that a previous process saved. The saved ages are lower bounds,
     /// as time has passed since.
     pub(super) fn restore_announcements(&self, announced: Vec<AnnouncedVersion>) {
         let now = clock::now();
@@ -117,38 +119,40 @@
             age_ms,
         } in announced
         {
-            // Earlier than this start, which distinguishes it from what is recorded from now on.
+            // A time before this start distinguishes restored ages from those recorded from now on.
             floors.record(&model, version, now.saturating_sub(age_ms.max(1)));
         }
     }
 
-    /// Assumes an age for each version that this node has recovered and whose age nobody has told
-    /// since it started at `started_at`: the other nodes have lost it as well.
+    /// Assumes an age for each recovered version whose age no node has reported since this one
+    /// started at `started_at`, which means that the other nodes have lost it as well.
     ///
-    /// How much of its time had passed is unknown, so all of it counts as passed. No time counts
-    /// until the machines have been in contact for a while, however, and for so long requests may
-    /// still start on older versions.
+    /// The elapsed part of such a version's deadline is unknown, so the full time counts as
+    /// elapsed, except for `contact_ms`: bounds apply only once the machines have been in contact
+    /// for that long, and until then requests may still start on older versions.
     pub fn assume_announcements(
         &self,
         recovered: &BTreeMap<CompactString, WeightsTarget>,
         started_at: Millis,
     ) {
         let bounds = &self.settings.bounds;
-        let passed = bounds.version_ms.saturating_sub(bounds.contact_ms);
+        let elapsed_ms = bounds.version_ms.saturating_sub(bounds.contact_ms);
         let mut floors = lock(&self.version_floors);
         for (model, WeightsTarget { version, .. }) in recovered {
             let is_unknown = floors
                 .announced_at(model, *version)
                 .is_some_and(|announced_at| announced_at >= started_at);
             if is_unknown {
-                log::info!("the age of version {version} of {model} is lost");
-                floors.record(model, *version, started_at.saturating_sub(passed));
+                log::info!(
+                    "no node knows when version {version} of {model} was announced: assuming {elapsed_ms} ms before this start"
+                );
+                floors.record(model, *version, started_at.saturating_sub(elapsed_ms));
             }
         }
     }
 
-    /// Merges the announcements that another router reported. The earliest time that its response
-    /// allows counts.
+    /// Merges the announcements that another router reported, with the earliest announcement times
+    /// that its response allows.
     pub(super) fn merge_announcements(
         &self,
         announced: Vec<AnnouncedVersion>,
--- a/router/src/fleet/members.rs
+++ b/router/src/fleet/members.rs
@@ -1,4 +1,5 @@
-//! Membership: what members state about themselves, and which ones their monitors miss.
+//! Membership: records the members that pull from this node, and marks those as down whose monitors
+//! receive no heartbeats.
 
 use super::{Fleet, MonitoredIncarnation};
 use crate::protocol::PullRequest;
@@ -7,7 +8,7 @@
 use control::Millis;
 use control::directory::{Directory, Key, Member, MemberStatus, Value};
 
-/// Time without heartbeats, in milliseconds, after which a monitored member is missed.
+/// Time without heartbeats, in milliseconds, after which a monitored member is missing.
 const MEMBER_TIMEOUT: Millis = 3_500;
 
 impl Fleet {
@@ -29,7 +30,8 @@
         unresponsive.into_iter().filter(is_up).collect()
     }
 
-    /// Records the sender of a pull as a member, and the members that it misses as down.
+    /// Records the sender of a pull as a member, and marks the members as down that it reports as
+    /// missing.
     pub(super) fn observe_member(&self, request: &PullRequest) {
         let key = Key::Member(request.name.clone());
         let current = match lock(&self.directory).get(&key) {
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Marks a member as down whose heartbeats a monitor misses.
+    /// Marks a member as down after a monitor has reported its heartbeats as missing.
     pub fn mark_down(&self, name: &CompactString, revision: u64) {
         let key = Key::Member(name.clone());
         let current = match lock(&self.directory).get(&key) {
@@ -63,7 +65,7 @@
             _ => return,
         };
         if current.revision == revision && current.status == MemberStatus::Up {
-            log::info!("member {name} is down: a monitor misses its heartbeats");
+            log::info!("member {name} is down: a monitor receives no heartbeats from it");
             self.put(
                 key,
                 Value::Member(Member {
--- a/router/src/fleet/peers.rs
+++ b/router/src/fleet/peers.rs
@@ -1,4 +1,5 @@
-//! What the other replica nodes know, by their pulls: whether a record has reached a majority.
+//! Replication progress of the other replica nodes, as stated in their pulls: whether a record has
+//! reached a majority.
 
 use super::Fleet;
 use crate::clock;
@@ -10,34 +11,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A replica node that has not pulled for this long, in milliseconds, is unreachable: each pull
-/// waits for 1.5 s at most.
+/// A replica node is unreachable if it has not pulled for this long, in milliseconds. A pull waits
+/// for at most 1.5 s.
 const PEER_TIMEOUT: Millis = 2_500;
 /// A node that has been isolated from the primary for this long, in milliseconds, accepts
 /// heartbeats again: no other node may be better connected.
 const PROLONGED_ISOLATION: Millis = 30_000;
 
-/// What one replica node knows.
+/// Replication progress of one replica node.
 #[derive(Debug, Clone)]
 struct Peer {
     vector: VersionVector,
     pulled_at: Millis,
 }
 
-/// What the other replica nodes know, by node name.
+/// Replication progress of the other replica nodes, by node name.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peers(BTreeMap<CompactString, Peer>);
 
 impl Peers {
-    fn know(&self, stamp: Stamp) -> impl Iterator<Item = &CompactString> {
-        let knows = move |peer: &Peer| {
+    /// Nodes that have the record version with this stamp.
+    fn with_record(&self, stamp: Stamp) -> impl Iterator<Item = &CompactString> {
+        let has_record = move |peer: &Peer| {
             peer.vector
                 .get(&stamp.origin)
                 .is_some_and(|counter| *counter >= stamp.counter)
         };
         self.0
             .iter()
-            .filter(move |(_, peer)| knows(peer))
+            .filter(move |(_, peer)| has_record(peer))
             .map(|(name, _)| name)
     }
 
@@ -51,7 +53,7 @@
 }
 
 impl Fleet {
-    /// Records what a replica node knows, by its pull.
+    /// Records the replication progress that a replica node states in its pull.
     pub(super) fn observe_peer(&self, request: &PullRequest) {
         if request.member.replica.is_none() {
             return;
@@ -65,8 +67,8 @@
         });
     }
 
-    /// The voters: nodes whose replicas are witnesses of the latest view that is known here.
-    fn electorate(&self) -> BTreeSet<CompactString> {
+    /// The nodes whose replicas are witnesses of the latest view that this node knows.
+    fn voters(&self) -> BTreeSet<CompactString> {
         self.replica
             .as_ref()
             .map(|replica| replica.witness_nodes())
@@ -79,15 +81,16 @@
         let Some(stamp) = lock(&self.directory).stamp(key) else {
             return false;
         };
-        let electorate = self.electorate();
+        let voters = self.voters();
         let own = &self.settings.node_name;
         let is_majority = |peers: &Peers| {
-            let informed: BTreeSet<&CompactString> = peers.know(stamp).chain([own]).collect();
-            let votes = electorate
+            let nodes_with_record: BTreeSet<&CompactString> =
+                peers.with_record(stamp).chain([own]).collect();
+            let votes = voters
                 .iter()
-                .filter(|node| informed.contains(node))
+                .filter(|node| nodes_with_record.contains(node))
                 .count();
-            2 * votes > electorate.len()
+            2 * votes > voters.len()
         };
         let mut peers = self.peers.subscribe();
         let reached = peers.wait_for(is_majority);
@@ -96,10 +99,10 @@
             .is_ok_and(|reached| reached.is_ok())
     }
 
-    /// Returns whether this node accepts heartbeats of backends. What it learns has to reach the
-    /// fleet, so it needs the primary, or half of the voters, as in an even partition. During a
-    /// prolonged isolation the whole system may be without a majority, and any update is better
-    /// than none.
+    /// Returns whether this node accepts heartbeats of backends. Accepted heartbeats have to reach
+    /// the fleet, so the node needs contact with the primary, or with half of the voters, as in an
+    /// even partition. In a prolonged isolation it accepts them regardless: no side may have a
+    /// majority then, and a partial update is better than none.
     pub fn accepts_registrations(&self) -> bool {
         let now = clock::now();
         let isolated_for = self
@@ -108,14 +111,14 @@
         if self.is_current() || isolated_for >= PROLONGED_ISOLATION {
             return true;
         }
-        let electorate = self.electorate();
+        let voters = self.voters();
         let own = &self.settings.node_name;
         let peers = self.peers.borrow();
         let reachable: BTreeSet<&CompactString> = peers.reachable(now).chain([own]).collect();
-        let votes = electorate
+        let votes = voters
             .iter()
             .filter(|node| reachable.contains(node))
             .count();
-        !electorate.is_empty() && 2 * votes >= electorate.len()
+        !voters.is_empty() && 2 * votes >= voters.len()
     }
 }
--- a/router/src/fleet/prefixes.rs
+++ b/router/src/fleet/prefixes.rs
@@ -11,7 +11,7 @@
 pub struct PrefixLookup {
     /// The prefix.
     pub key: PrefixKey,
-    /// The backend that the request would go to if the prefix is cached nowhere.
+    /// The backend that gets the request if no backend has the prefix cached.
     pub planned: Placement,
     /// Whether the prefix is worth saving to the KV store.
     pub should_save: bool,
@@ -34,9 +34,9 @@
 
     /// Records prefixes that a backend evicted.
     pub fn record_evictions(&self, backend: &CompactString, prefixes: &[(PrefixKey, u64)]) {
-        let mut locations = lock(&self.prefix_index);
+        let mut index = lock(&self.prefix_index);
         for (key, version) in prefixes {
-            locations.record_eviction(
+            index.record_eviction(
                 *key,
                 &Placement {
                     backend: backend.clone(),
@@ -48,9 +48,9 @@
 
     /// Records prefixes that a store evicted.
     pub fn record_store_evictions(&self, prefixes: &[(PrefixKey, u64)]) {
-        let mut locations = lock(&self.prefix_index);
+        let mut index = lock(&self.prefix_index);
         prefixes
             .iter()
-            .for_each(|(key, version)| locations.record_store_eviction(*key, *version));
+            .for_each(|(key, version)| index.record_store_eviction(*key, *version));
     }
 }
--- a/router/src/fleet/primary_calls.rs
+++ b/router/src/fleet/primary_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls: handled here if this node has the primary, or forwarded to it.
+//! Operators' calls: handled by the local replica if it is the primary, else forwarded.
 
 use super::{FORWARD_TIMEOUT, Fleet};
 use crate::protocol::{Request, Response};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Fleet {
-    /// Submits an operator's change, here or at the primary. `hops` limits forwarding.
+    /// Submits an operator's change to the primary. `hops` limits how often it may be forwarded.
     pub async fn submit(&self, change: Change, hops: u8) -> Outcome {
         if let Some(replica) = self.local_primary() {
             return replica.submit(change).await;
@@ -32,8 +32,8 @@
         Outcome::Unknown
     }
 
-    /// Reads the latest configuration. The outer `None` means that it can't be determined now, the
-    /// inner one that there is none yet.
+    /// Reads the latest configuration from the primary. The outer `None` means that it can't be
+    /// determined now, the inner one that there is no configuration yet.
     pub async fn read_configuration(&self, hops: u8) -> Option<Option<Vec<u8>>> {
         if let Some(replica) = self.local_primary() {
             let stored = replica.read().await?;
@@ -57,8 +57,8 @@
         self.replica.as_ref().filter(|replica| replica.is_primary())
     }
 
-    /// Addresses to forward a call to: the primary as known here, then a node that may know a newer
-    /// one.
+    /// Addresses to forward a call to: the latest primary that this node knows, then a replica node
+    /// that may know a newer one.
     fn primary_candidates(&self) -> Vec<SocketAddrV4> {
         let own = self.settings.internal_address();
         let leader = self.leader().map(|(_, replica)| replica.address);
@@ -76,7 +76,7 @@
         candidates
     }
 
-    /// Publishes what this node's own replica has committed.
+    /// Publishes the state that this node's own replica has committed.
     pub fn publish_committed(&self, state: &control::state::ControlState) {
         if lock(&self.published).apply_committed(state) {
             self.announce_weights(&state.weights);
--- a/router/src/fleet/pulls.rs
+++ b/router/src/fleet/pulls.rs
@@ -1,4 +1,4 @@
-//! Pulling updates from other nodes, and answering their pulls.
+//! Pulls updates from other nodes, and responds to their pulls.
 
 use super::Fleet;
 use super::announced_weights::SendTimeBounds;
@@ -18,25 +18,27 @@
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(900);
 /// The same for a response with the full state.
 const FULL_STATE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// A late response is given up after this. A connection to a dead peer breaks sooner.
+/// A pull fails after this time beyond the wait. A connection to an unresponsive peer breaks
+/// sooner.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// Updates for routers without replicas are batched, so that large fleets do not get a response for
-/// each backend: for this long per member of the fleet, up to the maximum.
+/// Updates for routers without replicas are batched for this long per member, up to the maximum, as
+/// responses for every changed backend would be too many in a large fleet.
 const BATCH_DELAY_PER_MEMBER: Duration = Duration::from_micros(500);
 const MAX_BATCH_DELAY: Duration = Duration::from_millis(250);
-/// A node whose control state was not confirmed as the latest for this long, in milliseconds, is
-/// stale. The primary's heartbeats come every 0.2 s.
+/// A node is stale if its control state has not been confirmed as the latest for this long, in
+/// milliseconds. The primary sends a heartbeat every 0.2 s.
 const MAX_STALENESS: Millis = 1_000;
 /// Memory limit of full-state responses in progress, in kilobytes.
 pub(super) const FULL_STATE_BUDGET_KB: u32 = 8 << 10;
-/// Estimated size of a record in a response.
+/// Estimated size of a record in a response, in bytes.
 const RECORD_BYTES: usize = 200;
+
 /// Outcome of a pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pull {
     /// A response from a node that is current.
     Current,
-    /// A response from a node that is stale; another node may know more.
+    /// A response from a stale node; another node may have newer state.
     Stale,
     /// No response in time, or a broken connection.
     Failed,
@@ -69,12 +71,12 @@
         }
     }
 
-    /// Pulls from one node once. `is_late` is called if the response is late. The pull goes on
-    /// waiting for it, as another pull would only add to the peer's queue.
+    /// Pulls from one node once. Calls `is_late` if the response is late, and then keeps waiting
+    /// for it, as another pull would only add to the peer's queue.
     pub async fn pull(&self, from: SocketAddrV4, wait: Duration, is_late: impl FnOnce()) -> Pull {
         let request = self.pull_request(wait);
-        let asked_at = clock::now();
-        // A node without state gets all of it, and many may ask for that at once.
+        let requested_at = clock::now();
+        // A node without state gets the full state, which many nodes may request at once.
         let timeout = if request.base.is_none() {
             FULL_STATE_TIMEOUT
         } else {
@@ -96,7 +98,7 @@
         };
         let changed = lock(&self.directory).merge(pulled.records, &pulled.vector);
         let sent_at = SendTimeBounds {
-            earliest: asked_at + pulled.delay_ms,
+            earliest: requested_at + pulled.delay_ms,
             latest: clock::now(),
         };
         self.merge_announcements(pulled.announced_weights, sent_at);
@@ -108,7 +110,7 @@
         if !changed.is_empty() || changes {
             self.notify_change();
         }
-        self.record_staleness(asked_at + pulled.delay_ms, pulled.age_ms);
+        self.record_staleness(requested_at + pulled.delay_ms, pulled.age_ms);
         let is_current = pulled.age_ms.is_some_and(|age| age < MAX_STALENESS);
         if is_current {
             Pull::Current
@@ -117,16 +119,16 @@
         }
     }
 
-    /// Records how stale the control state is that another node sent. `sent_at` is the earliest
-    /// possible time of sending: however long the response was in transit, the state is not taken
-    /// for newer than it is.
+    /// Records how stale the control state of another node's response is. `sent_at` is the earliest
+    /// time at which the response can have been sent, so that the state never counts as newer than
+    /// it is, however long the response was in transit.
     fn record_staleness(&self, sent_at: Millis, age_ms: Option<u64>) {
         let at = age_ms.map(|age| sent_at.saturating_sub(age));
         let mut known = lock(&self.current_as_of);
         *known = (*known).max(at);
     }
 
-    /// How long ago the control state here was last confirmed as the latest, in milliseconds;
+    /// Time since this node's control state was last confirmed as the latest, in milliseconds;
     /// `None` if it never was.
     pub fn staleness(&self) -> Option<Millis> {
         let own = self.replica.as_ref().and_then(ReplicaHandle::current_at);
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Answers a pull as soon as there are updates. Full-state responses are large and may be
-    /// requested by many routers at once, so a semaphore limits those in memory.
+    /// Responds to a pull as soon as there are updates. Full-state responses are large and many
+    /// routers may request them at once, so a semaphore limits how many are in memory.
     pub(super) async fn answer_pull(&self, request: PullRequest) -> Reply {
         self.observe_member(&request);
         let mut changes = self.subscribe();
--- a/router/src/fleet/registration.rs
+++ b/router/src/fleet/registration.rs
@@ -1,4 +1,4 @@
-//! Registration of backends: accepting and forwarding heartbeats, and detecting that they stop.
+//! Registration of backends: accepts or forwards their heartbeats, and detects missing ones.
 
 use super::{FORWARD_TIMEOUT, Fleet};
 use crate::protocol::{Request, Response};
@@ -13,7 +13,7 @@
 
 /// Time limit for a deregistration to reach a majority of the voters.
 const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time limit of handling a heartbeat; its sender goes to another node after a second.
+/// Time limit of handling a heartbeat. The backend tries another node after a second.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Fleet {
@@ -64,9 +64,9 @@
         members
     }
 
-    /// Accepts a heartbeat or deregistration at a replica node. A heartbeat is acknowledged if it
-    /// can reach the fleet. A deregistration is acknowledged only after a majority of the voters
-    /// has it, as the acknowledgement binds all routers.
+    /// Accepts a heartbeat or deregistration at a replica node. A heartbeat is acknowledged if this
+    /// node can propagate it to the fleet. A deregistration is acknowledged only after a majority
+    /// of the voters has it, because all routers have to honour an acknowledged one.
     pub(super) async fn accept_backend(
         &self,
         id: CompactString,
@@ -88,8 +88,8 @@
         if self.is_newest(&id, &backend) {
             self.put_backend(key.clone(), backend);
         }
-        // A deregistration that a newer heartbeat has revoked must not be acknowledged, as no
-        // router would follow it.
+        // A deregistration that a newer heartbeat has revoked must not be acknowledged, as routers
+        // would keep sending requests to the backend.
         if is_deregistration
             && !(self.rejects_requests(&key)
                 && self.reaches_majority(&key, DEREGISTRATION_TIMEOUT).await)
@@ -104,20 +104,21 @@
         matches!(directory.get(key), Some(Value::Backend(backend)) if backend.phase != BackendPhase::Ready)
     }
 
-    /// Returns whether no newer heartbeat was received here. A deregistration always counts.
+    /// Returns whether this node has received no newer heartbeat of the backend. A deregistration
+    /// is always the newest.
     fn is_newest(&self, id: &CompactString, backend: &Backend) -> bool {
         if backend.phase == BackendPhase::Gone {
             return true;
         }
-        let mut numbers = lock(&self.heartbeat_numbers);
-        let newest = numbers.entry(id.clone()).or_default();
+        let mut sequences = lock(&self.heartbeat_sequences);
+        let newest = sequences.entry(id.clone()).or_default();
         *newest = backend.sequence.max(*newest);
         *newest == backend.sequence
     }
 
     /// Writes a backend's record if its content is new. A heartbeat with only a new sequence number
-    /// is not propagated, unless it contradicts a completed order: its number tells the others that
-    /// it is newer than the order.
+    /// is not propagated, unless it contradicts a completed order: then other nodes need the number
+    /// to see that the heartbeat is newer than the order.
     fn put_backend(&self, key: Key, mut backend: Backend) -> bool {
         let mut directory = lock(&self.directory);
         if let Some(Value::Backend(current)) = directory.get(&key) {
@@ -153,15 +154,16 @@
         changed
     }
 
-    /// The address for a backend's heartbeats: a replica node in its zone, by rendezvous hashing.
+    /// The address for a backend's heartbeats: a replica node in its zone, chosen by rendezvous
+    /// hashing, or this node if there is none.
     fn heartbeat_address(&self, id: &str, zone: &str) -> Option<SocketAddrV4> {
         let members = self.replica_members();
-        let reachable = members
+        let candidates = members
             .iter()
             .filter(|(_, m)| m.zone == zone && m.status == MemberStatus::Up);
-        let reachable = reachable.max_by_key(|(name, _)| rendezvous::score(&(id, name.as_str())));
-        let reachable = reachable.and_then(|(_, member)| member.control);
-        reachable.or(self.settings.listen.control_plane)
+        let candidates = candidates.max_by_key(|(name, _)| rendezvous::score(&(id, name.as_str())));
+        let candidates = candidates.and_then(|(_, member)| member.control);
+        candidates.or(self.settings.listen.control_plane)
     }
 
     /// Replica nodes to forward a backend's heartbeat to: those of this node's zone first, each
@@ -178,24 +180,24 @@
     }
 
     /// Marks backends as unresponsive whose heartbeats to this node have stopped. A partitioned
-    /// node can't tell: their heartbeats go to other nodes, and it does not learn which of these
-    /// are up.
+    /// node marks none: backends send their heartbeats to other nodes meanwhile, and it can't tell
+    /// which of these nodes are up.
     pub fn watch_backends(&self, now: Millis) {
         if !self.accepts_registrations() {
             return;
         }
         let timeout = 5 * self.settings.heartbeat_interval_ms / 2;
-        self.forget_heartbeat_numbers();
+        self.prune_heartbeat_sequences();
         let orphans = self.orphaned_backends();
         let unresponsive = {
-            let mut heard = lock(&self.monitored_backends);
-            heard.advance(now);
+            let mut detector = lock(&self.monitored_backends);
+            detector.advance(now);
             for id in orphans {
-                if !heard.is_monitored(&id) {
-                    heard.record_heartbeat(id);
+                if !detector.is_monitored(&id) {
+                    detector.record_heartbeat(id);
                 }
             }
-            heard.expired(timeout)
+            detector.expired(timeout)
         };
         for id in unresponsive {
             lock(&self.monitored_backends).remove(&id);
@@ -204,25 +206,25 @@
     }
 
     /// Removes the sequence numbers of backends that were removed.
-    fn forget_heartbeat_numbers(&self) {
+    fn prune_heartbeat_sequences(&self) {
         let directory = lock(&self.directory);
         let is_known = |id: &CompactString| directory.get(&Key::Backend(id.clone())).is_some();
-        lock(&self.heartbeat_numbers).retain(|id, _| is_known(id));
+        lock(&self.heartbeat_sequences).retain(|id, _| is_known(id));
     }
 
-    /// Backends whose heartbeats went to a node that is down.
+    /// Responsive backends whose heartbeats went to a node that is down.
     fn orphaned_backends(&self) -> Vec<CompactString> {
         let directory = lock(&self.directory);
         let is_up = |name: &CompactString| {
             let member = directory.get(&Key::Member(name.clone()));
             matches!(member, Some(Value::Member(member)) if member.status == MemberStatus::Up)
         };
-        let heard = |backend: &Backend| {
+        let needs_no_monitor = |backend: &Backend| {
             backend.unresponsive || backend.phase == BackendPhase::Gone || is_up(&backend.owner)
         };
         directory
             .backends()
-            .filter(|(_, backend)| !heard(backend))
+            .filter(|(_, backend)| !needs_no_monitor(backend))
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -234,10 +236,10 @@
             _ => return,
         };
         let owner = Key::Member(current.owner.clone());
-        let other_hears = current.owner != self.settings.node_name
+        let other_node_monitors = current.owner != self.settings.node_name
             && matches!(lock(&self.directory).get(&owner), Some(Value::Member(m)) if m.status == MemberStatus::Up);
-        if !current.unresponsive && current.phase != BackendPhase::Gone && !other_hears {
-            log::info!("backend {id} is silent");
+        if !current.unresponsive && current.phase != BackendPhase::Gone && !other_node_monitors {
+            log::info!("backend {id} is unresponsive: its heartbeats have stopped");
             self.put(
                 key,
                 Value::Backend(Backend {
--- a/router/src/fleet/request_handler.rs
+++ b/router/src/fleet/request_handler.rs
@@ -1,4 +1,4 @@
-//! Handles the requests of other nodes.
+//! Handles requests from other nodes.
 
 use super::{Fleet, PrefixLookup};
 use crate::clock;
@@ -26,7 +26,7 @@
 }
 
 impl Fleet {
-    /// Handles the requests whose responses may have to wait for other nodes.
+    /// Handles the requests that may need a call to another node, and passes on all others.
     async fn respond(&self, request: Request) -> Option<Response> {
         match request {
             Request::Submit { change, hops } => {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Handles the requests that this node's own state answers, and one-way requests.
+    /// Handles the requests that need only this node's state, and one-way requests.
     fn respond_locally(&self, request: Request) -> Option<Response> {
         match request {
             Request::Compare { range } => {
@@ -76,14 +76,14 @@
                 Some(Response::Located(self.look_up_prefix(&lookup)))
             }
             one_way => {
-                self.receive(one_way);
+                self.handle_one_way(one_way);
                 None
             }
         }
     }
 
     /// Handles one-way requests.
-    fn receive(&self, request: Request) {
+    fn handle_one_way(&self, request: Request) {
         match request {
             Request::Replica(envelope) => {
                 if let Some(replica) = &self.replica {
--- a/router/src/fleet/suspicions.rs
+++ b/router/src/fleet/suspicions.rs
@@ -1,5 +1,5 @@
-//! Suspected backends: failures are reported to the replica node that judges the backend, and that
-//! node publishes its suspicions.
+//! Suspected backends: routers report failed requests to the replica node that evaluates the
+//! backend, and that node publishes its suspicions.
 
 use super::Fleet;
 use crate::clock;
@@ -12,24 +12,24 @@
 use std::net::SocketAddrV4;
 
 impl Fleet {
-    /// Reports failures that this router observed to the judges of the backends.
+    /// Reports failures that this router observed to the nodes that evaluate the backends.
     pub fn report_failures(&self, failures: &BTreeMap<CompactString, u32>) {
-        let mut by_judge: BTreeMap<SocketAddrV4, Vec<(CompactString, u32)>> = BTreeMap::new();
+        let mut by_evaluator: BTreeMap<SocketAddrV4, Vec<(CompactString, u32)>> = BTreeMap::new();
         for (backend, count) in failures {
-            if let Some(judge) = self.judge(backend) {
-                by_judge
-                    .entry(judge)
+            if let Some(evaluator) = self.evaluator(backend) {
+                by_evaluator
+                    .entry(evaluator)
                     .or_default()
                     .push((backend.clone(), *count));
             }
         }
         let reporter = &self.settings.node_name;
-        for (judge, failures) in by_judge {
-            if judge == self.settings.internal_address() {
+        for (evaluator, failures) in by_evaluator {
+            if evaluator == self.settings.internal_address() {
                 self.record_failures(reporter, &failures);
             } else {
                 self.links.send(
-                    judge,
+                    evaluator,
                     Request::Failures {
                         reporter: reporter.clone(),
                         failures,
@@ -39,13 +39,14 @@
         }
     }
 
-    /// The node that judges a backend, by rendezvous hashing over the replica nodes that are up.
-    fn judge(&self, backend: &str) -> Option<SocketAddrV4> {
+    /// The node that evaluates a backend's failures, chosen by rendezvous hashing from the replica
+    /// nodes that are up.
+    fn evaluator(&self, backend: &str) -> Option<SocketAddrV4> {
         let directory = lock(&self.directory);
-        let judges = directory
+        let candidates = directory
             .members()
             .filter(|(_, member)| member.replica.is_some() && member.status == MemberStatus::Up);
-        judges
+        candidates
             .max_by_key(|(name, _)| rendezvous::score(&(backend, name.as_str())))
             .map(|(_, member)| member.internal)
     }
@@ -67,7 +68,7 @@
         let current = lock(&self.directory).suspicion(backend);
         let number = current.map_or(1, |current| current.number + 1);
         log::info!(
-            "backend {backend} is suspected for {lasts_ms} ms: several routers saw it fail requests"
+            "backend {backend} is suspected for {lasts_ms} ms: several routers reported failed requests"
         );
         self.put(
             Key::Suspicion(backend.clone()),
--- a/router/src/weights.rs
+++ b/router/src/weights.rs
@@ -1,5 +1,5 @@
-//! Rollout of new weights: the node that owns the rollout sends fenced orders to backends, a few at
-//! a time.
+//! Rollout of new weights: the node that owns the rollout sends orders with fencing tokens to a
+//! limited number of backends at a time.
 
 mod backend_client;
 mod deployment;
@@ -21,9 +21,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Time between two checks for work.
+/// Interval between checks for outdated backends.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time limit of a change of the owner in the control state.
+/// Time limit of committing a change of the rollout owner to the control state.
 const OWNER_CHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of heartbeat intervals within which a backend has to confirm a completed order.
 const CONFIRMING_HEARTBEATS: u64 = 3;
@@ -34,12 +34,13 @@
     task: tokio::task::JoinHandle<()>,
 }
 
-/// Rolls out weights while this node owns the rollout, whoever is the primary of the control state.
+/// Rolls out weights while this node owns the rollout. The owner need not be the primary of the
+/// control state.
 pub struct RolloutController {
     fleet: Arc<Fleet>,
     replica: ReplicaHandle,
     backends: BackendClient,
-    fenced: Mutex<RejectedTokens>,
+    rejected_tokens: Mutex<RejectedTokens>,
     queue: Mutex<OrderQueue>,
     ownership: Mutex<RolloutOwnership>,
     confirmations: Mutex<Confirmations>,
@@ -48,7 +49,8 @@
 impl RolloutController {
     /// Creates the controller of a node with a replica.
     pub fn new(fleet: Arc<Fleet>, replica: ReplicaHandle, client: reqwest::Client) -> Arc<Self> {
-        let (fenced, queue, ownership) = (Mutex::default(), Mutex::default(), Mutex::default());
+        let (rejected_tokens, queue, ownership) =
+            (Mutex::default(), Mutex::default(), Mutex::default());
         let backends = BackendClient::new(client);
         let confirmation_time = CONFIRMING_HEARTBEATS * fleet.settings.heartbeat_interval_ms;
         let confirmations = Mutex::new(Confirmations::new(confirmation_time));
@@ -56,14 +58,15 @@
             fleet,
             replica,
             backends,
-            fenced,
+            rejected_tokens,
             queue,
             ownership,
             confirmations,
         })
     }
 
-    /// Checks for outdated backends, for as long as the process runs.
+    /// Checks for outdated backends periodically and starts their deployments, until the process
+    /// ends.
     pub async fn run(self: Arc<Self>) {
         let mut overdue = OverdueAlerts::default();
         let mut active: HashMap<CompactString, ActiveDeployment> = HashMap::new();
@@ -131,15 +134,15 @@
         } in unconfirmed
         {
             log::warn!(
-                "backend {backend} told version {reported_version} of {} after its order for version {} was done; it is asked again",
+                "backend {backend} reported version {reported_version} of {} after its order for version {} had completed; sending another order",
                 order.model,
                 order.version
             );
         }
     }
 
-    /// Has the control state record another owner, where this node may do so: none in place of an
-    /// unresponsive one, or this node once the ownership is free.
+    /// Commits a change of the rollout owner if this node may make one: it clears an unresponsive
+    /// owner, or takes the ownership once there is no owner.
     async fn change_owner(&self, ownership: RolloutOwnership) {
         let (own, lease) = (&self.replica.id, self.fleet.settings.bounds.lease_ms);
         let Some(epoch) = self.replica.leading_epoch() else {
@@ -148,16 +151,16 @@
         let Some(replica) = ownership.next_owner(own, epoch, lease, clock::now()) else {
             return;
         };
-        // A change without a known outcome is repeated by the next check.
+        // If the outcome is unknown, the next check submits the change again.
         let change = Change::RolloutOwner { replica };
         let outcome = tokio::time::timeout(OWNER_CHANGE_TIMEOUT, self.replica.submit(change)).await;
-        log::debug!("orders: this node asked for another owner: {outcome:?}");
+        log::debug!("orders: change of the owner submitted by this node: {outcome:?}");
     }
 
-    /// Records the ownership; changes are logged.
+    /// Records the ownership, and logs a change.
     fn set_ownership(&self, ownership: RolloutOwnership) {
-        let former = std::mem::replace(&mut *lock(&self.ownership), ownership);
-        if former != ownership {
+        let previous = std::mem::replace(&mut *lock(&self.ownership), ownership);
+        if previous != ownership {
             log::info!("orders: {ownership}");
         }
     }
@@ -169,22 +172,24 @@
 
     /// Number of backends that have rejected a fencing token.
     pub fn fenced_backends(&self) -> u64 {
-        lock(&self.fenced).count()
+        lock(&self.rejected_tokens).count()
     }
 
-    /// The outdated backends, without those that have rejected the current fencing token.
+    /// The outdated backends that are due for an order, without those that have rejected the
+    /// current fencing token.
     fn rollout(&self) -> Rollout {
         let published = lock(&self.fleet.published);
         let directory = lock(&self.fleet.directory);
         let mut rollout = Rollout::of(&directory, published.weights(), &lock(&self.confirmations));
-        let mut fenced = lock(&self.fenced);
+        let mut rejected_tokens = lock(&self.rejected_tokens);
         let mut queue = lock(&self.queue);
-        let is_there = |backend: &str| directory.get(&Key::Backend(backend.into())).is_some();
-        fenced.retain(is_there);
-        queue.retain(is_there);
+        let is_registered = |backend: &str| directory.get(&Key::Backend(backend.into())).is_some();
+        rejected_tokens.retain(is_registered);
+        queue.retain(is_registered);
         let fencing_token = self.replica.next_order_fencing_token();
         rollout.outdated.retain(|backend| {
-            fencing_token.is_some_and(|fencing_token| fenced.allows(&backend.id, fencing_token))
+            fencing_token
+                .is_some_and(|fencing_token| rejected_tokens.allows(&backend.id, fencing_token))
         });
         rollout
             .outdated
--- a/router/src/weights/backend_client.rs
+++ b/router/src/weights/backend_client.rs
@@ -11,7 +11,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Time limit of a call.
+/// Time limit of a call to a backend.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 #[derive(Debug, Deserialize)]
@@ -37,7 +37,7 @@
     UpToDate,
     /// The order was accepted and is in progress.
     Accepted,
-    /// Another order is in progress, or was accepted instead.
+    /// Another order is in progress, or was accepted since the report.
     Conflict,
     /// The backend has seen a higher fencing token.
     StaleToken,
@@ -48,7 +48,8 @@
 }
 
 impl fmt::Display for OrderResponse {
-    /// Writes the name by which the operators' page knows the response in log lines.
+    /// Writes the name of the response in log lines. The operators' documentation lists these
+    /// names, so they are stable.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             OrderResponse::UpToDate => "Holds",
@@ -107,13 +108,17 @@
                 OrderResponse::StaleToken
             }
             status => {
-                log::warn!("backend {} answered an order with {status}", backend.id);
+                log::warn!(
+                    "backend {} responded to an order with unexpected status {status}",
+                    backend.id
+                );
                 OrderResponse::Unknown
             }
         }
     }
 
-    /// Reads a backend's report of the model's weights; `None` if there is no report.
+    /// Reads a backend's report of the model's weights; `None` if the call fails or its response is
+    /// not a valid report.
     pub(super) async fn report(&self, backend: &OutdatedBackend) -> Option<ReportedWeights> {
         let url = format!("http://{}/v1/report", backend.address);
         let call = self
--- a/router/src/weights/backend_client/tests.rs
+++ b/router/src/weights/backend_client/tests.rs
@@ -1,4 +1,4 @@
-//! Responses to orders are logged by the names on the operators' page.
+//! Log lines name the responses to orders as the operators' documentation lists them.
 
 use super::OrderResponse;
 
--- a/router/src/weights/deployment.rs
+++ b/router/src/weights/deployment.rs
@@ -12,16 +12,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time between the announcement that a backend is about to load and its order, beyond the batching
-/// delay of updates. Routers stop sending requests to it in this time.
+/// Time from notifying the routers that a backend is about to load until its order is sent, beyond
+/// the batching delay of updates. Within this time routers stop sending requests to the backend.
 const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(40);
-/// Time between two reports.
+/// Interval at which reports are polled.
 const REPORT_INTERVAL: Duration = Duration::from_millis(150);
 /// An order that is not completed within this time is repeated.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
-/// The same if the order got no response.
+/// The same for an order without a response.
 const UNANSWERED_ORDER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Number of consecutive missing reports that ends the wait.
+/// The wait for an order ends after this number of consecutive missing reports.
 const MAX_UNANSWERED_REPORTS: u32 = 2;
 
 /// Outcome of a deployment attempt.
@@ -29,7 +29,7 @@
 enum DeployOutcome {
     /// The backend has the version.
     Completed,
-    /// The backend lacks the version and, as far as is known, loads nothing.
+    /// The backend lacks the version and is not known to be loading.
     NotCompleted {
         /// Whether the backend responded.
         has_responded: bool,
@@ -58,7 +58,7 @@
             DeployOutcome::Completed => {
                 self.publish_order_phase(&backend, fencing_token, OrderPhase::Done)
             }
-            // Otherwise routers would avoid a backend that loads nothing.
+            // Without this, routers would go on avoiding a backend that is not loading.
             DeployOutcome::NotCompleted { .. } if self.is_announced(&backend) => {
                 self.publish_order_phase(&backend, fencing_token, OrderPhase::Withdrawn);
             }
@@ -66,8 +66,8 @@
         }
     }
 
-    /// One attempt. The order is conditional on the reported state: without that, an order delayed
-    /// on its way past a newer one would roll the backend back.
+    /// Makes one attempt. The order is conditional on the reported state: otherwise an order that
+    /// was delayed in transit and arrived after a newer one would roll the backend back.
     async fn try_deploy(&self, backend: &OutdatedBackend, fencing_token: Epoch) -> DeployOutcome {
         let order = match self.next_order(backend).await {
             Ok(order) => order,
@@ -76,7 +76,7 @@
         self.publish_order_phase(backend, fencing_token, OrderPhase::InProgress);
         tokio::time::sleep(ANNOUNCEMENT_DELAY + self.fleet.batch_delay()).await;
         let response = self.order(backend, order).await;
-        self.count(backend, order, response);
+        self.record_response(backend, order, response);
         match response {
             OrderResponse::UpToDate => DeployOutcome::Completed,
             OrderResponse::StaleToken | OrderResponse::LeaseLost => DeployOutcome::NotCompleted {
@@ -114,9 +114,9 @@
         Err(DeployOutcome::Loading)
     }
 
-    /// Polls reports until the order has completed. Only few backends load at a time, so an
-    /// unresponsive one is abandoned soon to make room for others. A report is true whoever leads,
-    /// so the loss of the lease does not end the wait.
+    /// Polls reports until the order has completed. Only a few backends load at a time, so the wait
+    /// for an unresponsive one is short, to free its slot for others. Reports are valid whichever
+    /// node holds the lease, so losing it does not end the wait.
     async fn await_completion(
         &self,
         backend: &OutdatedBackend,
@@ -151,7 +151,7 @@
         outcome
     }
 
-    /// Sends the order.
+    /// Sends the order, and records the fencing token if the backend rejects it as stale.
     async fn order(&self, backend: &OutdatedBackend, order: ConditionalOrder) -> OrderResponse {
         // The fencing token is read right before the call: it is `None` once the lease has ended.
         let Some(fencing_token) = self.replica.order_fencing_token() else {
@@ -167,18 +167,24 @@
             )
             .await;
         if response == OrderResponse::StaleToken {
-            lock(&self.fenced).record(&backend.id, fencing_token);
+            lock(&self.rejected_tokens).record(&backend.id, fencing_token);
         }
         response
     }
 
-    fn count(&self, backend: &OutdatedBackend, order: ConditionalOrder, response: OrderResponse) {
+    /// Logs and counts the response to an order.
+    fn record_response(
+        &self,
+        backend: &OutdatedBackend,
+        order: ConditionalOrder,
+        response: OrderResponse,
+    ) {
         let OutdatedBackend {
             id, model, version, ..
         } = backend;
-        let others = order.if_accepted_orders;
+        let accepted_orders = order.if_accepted_orders;
         log::info!(
-            "order to backend {id} for version {version} of {model}, behind {others} others: {response}"
+            "order to backend {id} for version {version} of {model}, after {accepted_orders} accepted orders: {response}"
         );
         let event = match response {
             OrderResponse::UpToDate | OrderResponse::Accepted => Event::OrderAccepted,
@@ -198,8 +204,8 @@
             .is_some_and(|order| order.phase == OrderPhase::InProgress)
     }
 
-    /// Publishes the phase of a backend's order. Numbers continue from the existing record, which
-    /// may be of a previous process of this node.
+    /// Publishes the phase of a backend's order. Its number continues from the existing record,
+    /// which a previous process of this node may have written.
     fn publish_order_phase(
         &self,
         backend: &OutdatedBackend,
--- a/router/src/weights/overdue_alerts.rs
+++ b/router/src/weights/overdue_alerts.rs
@@ -1,4 +1,4 @@
-//! Warnings about versions that are not deployed everywhere in time.
+//! Warnings about versions whose rollout is not complete by its deadline.
 
 use crate::clock;
 use crate::fleet::{Fleet, IncompleteRollout};
@@ -7,10 +7,10 @@
 use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
 
-/// Time between two checks, in milliseconds.
+/// Interval between checks, in milliseconds.
 const CHECK_INTERVAL: Millis = 1_000;
 
-/// The newest overdue version of each model that was logged.
+/// The newest overdue version of each model that a warning was logged for.
 #[derive(Debug, Default)]
 pub(super) struct OverdueAlerts {
     checked_at: Millis,
@@ -18,7 +18,7 @@
 }
 
 impl OverdueAlerts {
-    /// Logs each overdue version once.
+    /// Logs one warning for each overdue version.
     pub(super) fn check(&mut self, fleet: &Fleet) {
         let now = clock::now();
         if now < self.checked_at + CHECK_INTERVAL {
@@ -43,8 +43,8 @@
                 continue;
             }
             log::warn!(
-                "version {version} of the weights of {model} is not everywhere after {age_ms} ms: {outdated} backends lack it; \
-                 the figures backends_lacking_weights and orders_given_here tell why"
+                "version {version} of the weights of {model} is not deployed everywhere after {age_ms} ms: {outdated} backends lack it; \
+                 check the metrics backends_lacking_weights and orders_given_here for the cause"
             );
             self.alerted.insert(model, version);
         }
