--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -1,4 +1,4 @@
-//! The tasks that keep this node in touch with its fleet.
+//! Background tasks of the fleet's membership: bootstrap, heartbeats and anti-entropy.
 
 pub mod anti_entropy;
 pub mod bootstrap;
--- a/router/src/membership/anti_entropy.rs
+++ b/router/src/membership/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: repairs differences between the directories of nodes, and prunes expired records.
+//! Anti-entropy: repairs differences between the directories of replica nodes, and prunes expired
+//! records.
 
 use crate::fleet::Fleet;
 use crate::protocol::{Request, Response};
@@ -10,18 +11,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Expired records are pruned after one to two times this.
-const PRUNE: Duration = Duration::from_secs(120);
-/// Time between two repairs.
-const REPAIR: Duration = Duration::from_secs(10);
-/// Time limit of a request of a repair.
+/// Interval between prunings. An expired record is removed after one to two intervals.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(120);
+/// Interval between repairs.
+const REPAIR_INTERVAL: Duration = Duration::from_secs(10);
+/// Time limit of each request of a repair.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Compares records with another replica node periodically, and fetches those that differ.
 pub async fn repair(fleet: Arc<Fleet>) {
     let mut position = 0;
     loop {
-        tokio::time::sleep(REPAIR).await;
+        tokio::time::sleep(REPAIR_INTERVAL).await;
         let others = fleet.nearest_replicas();
         if others.is_empty() {
             continue;
@@ -36,22 +37,22 @@
     }
 }
 
-/// Prunes expired records, to bound memory.
+/// Prunes records that were already expired at the previous pruning, to bound memory.
 pub async fn prune(fleet: Arc<Fleet>) {
-    let mut before = BTreeSet::new();
+    let mut previously_expired = BTreeSet::new();
     loop {
-        tokio::time::sleep(PRUNE).await;
+        tokio::time::sleep(PRUNE_INTERVAL).await;
         let mut directory = lock(&fleet.directory);
-        let closed = directory.expired();
-        closed
-            .intersection(&before)
+        let expired = directory.expired();
+        expired
+            .intersection(&previously_expired)
             .for_each(|key| directory.remove(key));
-        before = directory.expired();
+        previously_expired = directory.expired();
     }
 }
 
-/// Key hashes of records that differ at another node; `None` if it does not respond. Descends into
-/// the ranges whose digests differ, like a Merkle tree.
+/// Key hashes of the records that differ from another node's; `None` if that node does not respond.
+/// Descends into the ranges whose digests differ, as in a Merkle tree.
 async fn differing_keys(fleet: &Fleet, other: SocketAddrV4) -> Option<Vec<u64>> {
     let mut ranges = vec![Range::ALL];
     let mut differing = Vec::new();
@@ -71,6 +72,7 @@
     Some(differing)
 }
 
+/// Fetches records from another node and merges them.
 async fn fetch(fleet: &Fleet, other: SocketAddrV4, keys: Vec<u64>) {
     let response = fleet
         .links
@@ -79,7 +81,10 @@
     if let Some(Response::Records(records)) = response {
         let changed = lock(&fleet.directory).merge(records, &VersionVector::new());
         if !changed.is_empty() {
-            log::info!("repair brought {} records", changed.len());
+            log::info!(
+                "anti-entropy repair fetched {} changed records",
+                changed.len()
+            );
             fleet.notify_change();
         }
     }
--- a/router/src/membership/bootstrap.rs
+++ b/router/src/membership/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Bootstrap of a system that starts for the first time.
+//! Bootstrap of the control state when the system starts for the first time.
 
 use crate::fleet::Fleet;
 use crate::sync::lock;
@@ -10,19 +10,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bootstrap waits until no further replica has come up for this long.
+/// Bootstrap waits until the set of known replicas has not changed for this long.
 const BOOTSTRAP_QUIET_TIME: Duration = Duration::from_millis(400);
-/// Maximum wait, so that replicas that never come up do not block the system.
+/// Maximum wait, so that replicas that never start do not block the system.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Time between two bootstrap attempts.
+/// Interval between bootstrap attempts.
 const BOOTSTRAP_RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// Each seed waits this much longer than the previous one.
+/// Each seed waits this much longer than the seed before it in the list.
 const BOOTSTRAP_STAGGER: Duration = Duration::from_millis(1_500);
-/// Time between two looks at which replicas are up.
+/// Interval between checks of the known replicas.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Bootstraps a new system if this node is a seed: proposes the seeds as electorate of the first
-/// view. The first seed acts at once, the others only if it does not.
+/// Bootstraps a new system if this node is a seed: proposes a first view with the seeds as its
+/// electorate. The first seed proposes at once, each of the others only if its predecessors did
+/// not.
 pub async fn run(fleet: Arc<Fleet>) {
     let settings = &fleet.settings;
     let own = settings.listen.control_plane;
@@ -34,7 +35,7 @@
     tokio::time::sleep(BOOTSTRAP_STAGGER * rank as u32).await;
     let started_at = Instant::now();
     let mut known = BTreeSet::new();
-    let mut since = Instant::now();
+    let mut changed_at = Instant::now();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         if fleet.leader().is_some() {
@@ -44,24 +45,27 @@
         let replicas: BTreeSet<ReplicaId> =
             members.into_iter().filter_map(|(_, m)| m.replica).collect();
         if replicas != known {
-            (known, since) = (replicas, Instant::now());
+            (known, changed_at) = (replicas, Instant::now());
         }
-        let is_quiet = since.elapsed() > BOOTSTRAP_QUIET_TIME
+        let is_quiet = changed_at.elapsed() > BOOTSTRAP_QUIET_TIME
             && started_at.elapsed() > 2 * BOOTSTRAP_QUIET_TIME;
         let may_bootstrap = is_quiet && known.len() >= min_witnesses;
         if !may_bootstrap && started_at.elapsed() < BOOTSTRAP_TIMEOUT {
             continue;
         }
-        log::info!("founding the control state with {} replicas", known.len());
+        log::info!(
+            "bootstrapping the control state with {} replicas",
+            known.len()
+        );
         replica.bootstrap(electorate(&fleet), known.clone());
         tokio::time::sleep(BOOTSTRAP_RETRY_INTERVAL).await;
     }
 }
 
-/// The replicas at the seeds' addresses. A seed that was not heard from yet counts under a
-/// placeholder id, so that two nodes never take different electorates for complete.
+/// The replicas at the seeds' addresses. A seed whose member record is unknown is represented by a
+/// placeholder id, so that two nodes never consider different electorates complete.
 fn electorate(fleet: &Fleet) -> BTreeSet<ReplicaId> {
-    const UNHEARD: u64 = 0;
+    const PLACEHOLDER_DISK: u64 = 0;
     let directory = lock(&fleet.directory);
     let seeds = fleet
         .settings
@@ -76,7 +80,7 @@
         match member {
             Some(member) => member.replica.clone(),
             None => Some(ReplicaId {
-                disk: UNHEARD,
+                disk: PLACEHOLDER_DISK,
                 node: CompactString::default(),
                 address,
             }),
--- a/router/src/membership/heartbeats.rs
+++ b/router/src/membership/heartbeats.rs
@@ -12,16 +12,16 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Number of monitors of each member.
-const MONITORS: usize = 3;
-/// Time between two heartbeats to monitors.
-const HEARTBEAT: Duration = Duration::from_millis(1_000);
-/// Time between two checks for backends whose heartbeats have stopped.
+/// Number of other members that monitor each member.
+const MONITORS_PER_MEMBER: usize = 3;
+/// Interval between heartbeats to monitors.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval between checks for backends whose heartbeats have stopped.
 const BACKEND_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Sends heartbeats to this node's monitors, and receives those of the members that it monitors.
 pub async fn monitor(fleet: Arc<Fleet>, socket: UdpSocket) {
-    let mut ticks = tokio::time::interval(HEARTBEAT);
+    let mut ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
     let mut buffer = [0; 512];
     loop {
         tokio::select! {
@@ -32,7 +32,7 @@
             received = socket.recv_from(&mut buffer) => {
                 let Ok((length, _)) = received else { continue };
                 if let Ok(heartbeat) = postcard::from_bytes::<MemberHeartbeat>(&buffer[..length]) {
-                    hear(&fleet, heartbeat);
+                    record_heartbeat(&fleet, heartbeat);
                 }
             }
         }
@@ -40,7 +40,7 @@
 }
 
 /// Records a heartbeat of a monitored member.
-fn hear(fleet: &Fleet, heartbeat: MemberHeartbeat) {
+fn record_heartbeat(fleet: &Fleet, heartbeat: MemberHeartbeat) {
     let current = match lock(&fleet.directory).get(&Key::Member(heartbeat.name.clone())) {
         Some(Value::Member(member)) if member.incarnation == heartbeat.incarnation => {
             member.revision
@@ -73,7 +73,7 @@
     let Ok(bytes) = postcard::to_stdvec(&heartbeat) else {
         return;
     };
-    for monitor in ring::successors(&names, &name, MONITORS) {
+    for monitor in ring::successors(&names, &name, MONITORS_PER_MEMBER) {
         if let Some(member) = members.get(&monitor) {
             // A lost heartbeat is followed by the next one.
             let _ = socket.send_to(&bytes, member.internal).await;
@@ -81,18 +81,18 @@
     }
 }
 
-/// Advances the failure detector of the monitored members. Replica nodes publish which ones are
-/// down.
+/// Advances the failure detector of the monitored members. Replica nodes also mark missing members
+/// as down.
 fn watch_members(fleet: &Fleet) {
     let members = members_up(fleet);
     let names: BTreeSet<CompactString> = members.keys().cloned().collect();
-    let monitored = ring::monitored_by(&names, &fleet.settings.node_name, MONITORS);
+    let monitored = ring::monitored_by(&names, &fleet.settings.node_name, MONITORS_PER_MEMBER);
     let mut detector = lock(&fleet.monitored);
-    // The ring is checked once a second. The detector caps each step, to ignore pauses of this
-    // process, so the second is split.
+    // The detector caps the length of each step, to ignore pauses of this process. This function
+    // runs once a second, which exceeds the cap, so the second is split into steps.
     let now = clock::now();
     for at in (0..4).rev() {
-        detector.advance(now.saturating_sub(at * HEARTBEAT.as_millis() as u64 / 4));
+        detector.advance(now.saturating_sub(at * HEARTBEAT_INTERVAL.as_millis() as u64 / 4));
     }
     let incarnations: BTreeSet<MonitoredIncarnation> = monitored
         .into_iter()
--- a/router/src/replica.rs
+++ b/router/src/replica.rs
@@ -1,4 +1,4 @@
-//! This node's replica of the control state: the handle that others use, and the task that runs it.
+//! This node's replica of the control state: its handle, and the task that runs it.
 
 pub mod handle;
 pub mod task;
--- a/router/src/replica/handle.rs
+++ b/router/src/replica/handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which the rest of the router uses its replica of the control state.
+//! The handle through which the rest of the router uses its replica of the control state.
 
 use crate::clock;
 use crate::sync::lock;
@@ -30,14 +30,14 @@
     Leave,
 }
 
-/// The status of the replica, as other parts of the router see it.
+/// The status of the replica, published for other parts of the router.
 #[derive(Debug, Clone, Default)]
 pub struct ReplicaStatus {
     /// Epoch of the lease, and when the lease ends.
     pub lease: Option<(Epoch, Millis)>,
     /// Whether this node owns the rollout of weights.
     pub rollout_ownership: RolloutOwnership,
-    /// The permission to send orders to backends.
+    /// The grant to send orders to backends.
     pub order_grant: Option<OrderGrant>,
     /// When the committed state was last confirmed as the latest.
     pub current_at: Option<Millis>,
@@ -83,12 +83,12 @@
         *lock(&self.status) = status;
     }
 
-    /// The latest decided view that is known here.
+    /// The latest view that is known to be decided.
     pub(super) fn view(&self) -> Option<Arc<View>> {
         lock(&self.status).view.clone()
     }
 
-    /// Passes on a message of another replica; dropped if the queue is full.
+    /// Queues a message of another replica for the task; dropped if the queue is full.
     pub fn receive(&self, envelope: Box<Envelope>) {
         // The sender retransmits lost messages.
         let _ = self.inputs.try_send(Input::Message(envelope));
@@ -114,7 +114,7 @@
         }
         let published = lock(&self.status).rollout_ownership;
         match published {
-            // The permission has expired since the status was published.
+            // The grant has expired since the status was published.
             RolloutOwnership::Owned => RolloutOwnership::NotLeader,
             ownership if self.is_leader() => ownership,
             _ => RolloutOwnership::NotLeader,
@@ -129,7 +129,8 @@
             .map(|grant| grant.fencing_token)
     }
 
-    /// The fencing token of the next order: the current one, or the one after a claim.
+    /// The fencing token of the next order: the current one, or the one that this node gets by
+    /// taking the ownership.
     pub fn next_order_fencing_token(&self) -> Option<Epoch> {
         let after_claim = || Some(fencing_token(self.leading_epoch()?, true));
         self.order_fencing_token().or_else(after_claim)
@@ -140,8 +141,8 @@
         lock(&self.status).current_at
     }
 
-    /// Returns whether this replica is the primary, also while it still synchronizes its backups:
-    /// calls may wait here.
+    /// Returns whether this replica is the primary, including one that is still synchronizing its
+    /// backups, where calls may wait.
     pub fn is_primary(&self) -> bool {
         matches!(
             lock(&self.status).role,
@@ -187,11 +188,11 @@
     }
 
     /// Reads the latest configuration, after a majority has confirmed that this replica is the
-    /// primary. The outer `None` means that this replica can't tell.
+    /// primary. The outer `None` means that the configuration can't be determined.
     pub async fn read(&self) -> Option<Option<StoredConfiguration>> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         self.inputs.send(Input::Read(reply)).await.ok()?;
-        match answer.await.ok()? {
+        match outcome.await.ok()? {
             ReadOutcome::Latest(configuration) => Some(configuration),
             ReadOutcome::Unknown => None,
         }
@@ -208,7 +209,7 @@
 
     /// Begins a graceful shutdown: hands over the primary role and leaves the view.
     pub async fn begin_shutdown(&self) {
-        // If the task has ended, there is nothing to hand over.
+        // A send error means that the task has ended and there is nothing to hand over.
         let _ = self.inputs.send(Input::Leave).await;
     }
 }
--- a/router/src/replica/task.rs
+++ b/router/src/replica/task.rs
@@ -1,5 +1,5 @@
-//! The task that drives the replica: it feeds the state machine with messages, time and completed
-//! writes, and carries out its effects.
+//! The task that drives the replica: it passes messages, ticks and completed writes to the state
+//! machine, and applies the effects.
 
 use super::handle::{Input, Inputs, ReplicaHandle, ReplicaStatus};
 use crate::clock;
@@ -17,22 +17,22 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time between two ticks of the state machine.
-const TICK: Duration = Duration::from_millis(50);
-/// Time between two saves of the fleet file, in milliseconds.
-const SAVE: Millis = 1_000;
+/// Interval between ticks of the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between saves of the fleet file, in milliseconds.
+const SAVE_INTERVAL: Millis = 1_000;
 
 struct Task {
     node: ControlNode,
     disk: Disk,
     fleet: Arc<Fleet>,
     handle: ReplicaHandle,
-    tickets: u64,
-    callers: HashMap<u64, oneshot::Sender<Outcome>>,
-    readers: HashMap<u64, oneshot::Sender<ReadOutcome>>,
-    saved: u64,
+    last_ticket: u64,
+    pending_changes: HashMap<u64, oneshot::Sender<Outcome>>,
+    pending_reads: HashMap<u64, oneshot::Sender<ReadOutcome>>,
+    saved_change_count: u64,
     saved_versions: BTreeSet<(CompactString, u64)>,
-    save_at: Millis,
+    next_save_at: Millis,
 }
 
 /// Runs the replica for as long as the process lives.
@@ -44,49 +44,50 @@
     handle: ReplicaHandle,
     mut inputs: Inputs,
 ) {
-    let (callers, readers, save_at) = (HashMap::new(), HashMap::new(), clock::now() + SAVE);
+    let (pending_changes, pending_reads, next_save_at) =
+        (HashMap::new(), HashMap::new(), clock::now() + SAVE_INTERVAL);
     let mut task = Task {
         node,
         disk,
         fleet,
         handle,
-        tickets: 0,
-        callers,
-        readers,
-        saved: 0,
+        last_ticket: 0,
+        pending_changes,
+        pending_reads,
+        saved_change_count: 0,
         saved_versions: BTreeSet::new(),
-        save_at,
+        next_save_at,
     };
     task.fleet.publish_committed(task.node.state());
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     loop {
         tokio::select! {
             input = inputs.0.recv() => match input {
-                Some(input) => task.take(input),
+                Some(input) => task.handle_input(input),
                 None => return,
             },
             Some(sequence) = stored.recv() => task.node.on_stored(sequence, clock::now()),
             _ = ticks.tick() => task.tick(),
         }
-        task.carry_out();
+        task.apply_effects();
     }
 }
 
 impl Task {
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = clock::now();
         match input {
             Input::Message(envelope) => self.node.receive(*envelope, now),
             Input::Submit(change, reply) => {
-                self.tickets += 1;
-                self.callers.insert(self.tickets, reply);
-                self.node.submit(self.tickets, change, now);
+                self.last_ticket += 1;
+                self.pending_changes.insert(self.last_ticket, reply);
+                self.node.submit(self.last_ticket, change, now);
             }
             Input::Read(reply) => {
-                self.tickets += 1;
-                self.readers.insert(self.tickets, reply);
-                self.node.read(self.tickets, now);
+                self.last_ticket += 1;
+                self.pending_reads.insert(self.last_ticket, reply);
+                self.node.read(self.last_ticket, now);
             }
             Input::Bootstrap {
                 electorate,
@@ -105,8 +106,8 @@
         self.save_fleet();
     }
 
-    /// Saves the known state of the fleet if it has changed: every now and then, and at once when a
-    /// version of weights was announced, as its age is known nowhere else.
+    /// Saves the known state of the fleet if it has changed: periodically, and immediately when a
+    /// version of weights was announced, as its age is stored nowhere else.
     fn save_fleet(&mut self) {
         let now = clock::now();
         let announced_weights = self.fleet.announced_weights();
@@ -115,13 +116,16 @@
             .map(|announced| (announced.model.clone(), announced.version));
         let announced: BTreeSet<(CompactString, u64)> = announced.collect();
         let has_new_version = !announced.is_subset(&self.saved_versions);
-        if now < self.save_at && !has_new_version {
+        if now < self.next_save_at && !has_new_version {
             return;
         }
-        self.save_at = now + SAVE;
+        self.next_save_at = now + SAVE_INTERVAL;
         let version = self.fleet.change_count();
-        if version != self.saved || has_new_version || !self.fleet.all_weights_effective() {
-            self.saved = version;
+        if version != self.saved_change_count
+            || has_new_version
+            || !self.fleet.all_weights_effective()
+        {
+            self.saved_change_count = version;
             self.saved_versions = announced;
             let records = lock(&self.fleet.directory).persistent_records();
             self.disk.save_fleet(&PersistedFleet {
@@ -131,7 +135,7 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    fn apply_effects(&mut self) {
         let mut committed = false;
         for effect in self.node.take_effects() {
             match effect {
@@ -141,13 +145,13 @@
                 }
                 Effect::Store { sequence, records } => self.disk.append(sequence, &records),
                 Effect::Reply { ticket, outcome } => {
-                    if let Some(caller) = self.callers.remove(&ticket) {
+                    if let Some(caller) = self.pending_changes.remove(&ticket) {
                         // The caller may have given up.
                         let _ = caller.send(outcome);
                     }
                 }
                 Effect::Read { ticket, reading } => {
-                    if let Some(reader) = self.readers.remove(&ticket) {
+                    if let Some(reader) = self.pending_reads.remove(&ticket) {
                         // The caller may have given up.
                         let _ = reader.send(reading);
                     }
@@ -161,7 +165,7 @@
         if self.disk.needs_snapshot() {
             self.disk.snapshot(&self.node.snapshot());
         }
-        self.show();
+        self.publish_status();
         if committed {
             self.fleet.publish_committed(self.node.state());
         }
@@ -172,17 +176,18 @@
         self.fleet.observe_leader(leader);
     }
 
-    fn show(&self) {
+    fn publish_status(&self) {
         let (now, node) = (clock::now(), &self.node);
-        let former = self.handle.view();
-        let is_same = former.as_ref().map(|view| view.epoch) == node.view().map(|view| view.epoch);
+        let previous = self.handle.view();
+        let is_same =
+            previous.as_ref().map(|view| view.epoch) == node.view().map(|view| view.epoch);
         self.handle.publish_status(ReplicaStatus {
             lease: node.lease(now),
             rollout_ownership: node.rollout_ownership(now),
             order_grant: node.order_grant(now),
             current_at: node.current_at(now),
             view: if is_same {
-                former
+                previous
             } else {
                 node.view().cloned().map(Arc::new)
             },
