--- a/router/src/cli.rs
+++ b/router/src/cli.rs
@@ -1,4 +1,4 @@
-//! What the command line calls.
+//! Implementation of the commands that operators run on the command line.
 
 use crate::disk;
 use crate::serve::{self, ServeError};
@@ -13,28 +13,28 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a router may take to answer an operator's question.
+/// Time limit of a request to a router.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Questions to a router, and to the files that it keeps.
+/// Queries to a router and to data directories.
 #[derive(Debug, Subcommand)]
 pub enum SystemCall {
-    /// Which configuration, primary and weights a router knows.
+    /// Show the configuration, primary and weights that a router knows.
     Status(RouterArgs),
-    /// The members of the fleet, as a router sees them.
+    /// List the members of the fleet that a router knows.
     Members(RouterArgs),
-    /// The backends, as a router sees them.
+    /// List the backends that a router knows.
     Backends(RouterArgs),
-    /// Messages and bytes between a router and the others, by what they are about.
+    /// Show the messages and bytes between a router and the others, by message kind.
     Traffic(RouterArgs),
-    /// The configuration in force, from the primary.
+    /// Print the configuration in force, read from the primary.
     Configuration(RouterArgs),
-    /// Look at a data directory; works beside a running router.
+    /// Inspect a data directory; a router may be running on it.
     #[command(subcommand)]
     Storage(StorageCall),
 }
 
-/// Which router is asked.
+/// Arguments of commands that query a router.
 #[derive(Debug, Args)]
 pub struct RouterArgs {
     /// The control address of a router.
@@ -45,54 +45,56 @@
     json: bool,
 }
 
-/// Questions to a data directory.
+/// Queries to a data directory.
 #[derive(Debug, Subcommand)]
 pub enum StorageCall {
-    /// Say whether the records are sound, or where they are not.
+    /// Check the records, and report where they are corrupt.
     Verify {
         /// The data directory.
         folder: PathBuf,
     },
-    /// Print what the records hold.
+    /// Print the contents of the records.
     Show {
         /// The data directory.
         folder: PathBuf,
     },
 }
 
-/// Why a question has no answer.
+/// Why a query failed.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// The router does not respond.
-    #[error("{at} does not answer: {error}; check the address, or ask another router")]
+    #[error("{at} does not respond: {error}; check the address, or query another router")]
     Unreachable {
         /// The router.
         at: SocketAddrV4,
-        /// What went wrong.
+        /// The cause.
         error: reqwest::Error,
     },
-    /// The router has no answer.
-    #[error("{at} answers {status}: {text}")]
+    /// The router responded with an error.
+    #[error("{at} responded with status {status}: {text}")]
     Refused {
         /// The router.
         at: SocketAddrV4,
-        /// The status.
+        /// Status code of the response.
         status: u16,
-        /// What it says.
+        /// Body of the response.
         text: String,
     },
     /// The data directory can't be used.
     #[error(transparent)]
     Disk(#[from] disk::DiskError),
-    /// Nothing was ever written there.
-    #[error("{0} holds no records: check that it is the data directory of a router that counts")]
+    /// The data directory holds no records.
+    #[error(
+        "{0} holds no records: check that it is the data directory of a router that counts for the quorum"
+    )]
     Empty(PathBuf),
-    /// The system refuses something.
+    /// A system resource is unavailable.
     #[error("{0}; check the limits of the process")]
     System(#[from] std::io::Error),
 }
 
-/// Answers a question.
+/// Runs a query and returns its output.
 pub fn ask(call: &SystemCall) -> Result<String, CallError> {
     match call {
         SystemCall::Status(args) => status(args),
@@ -134,13 +136,13 @@
             .timeout(REQUEST_TIMEOUT)
             .build()
             .map_err(unreachable)?;
-        let answer = client
+        let response = client
             .get(format!("http://{at}{path}"))
             .send()
             .await
             .map_err(unreachable)?;
-        let status = answer.status().as_u16();
-        let text = answer.text().await.map_err(unreachable)?;
+        let status = response.status().as_u16();
+        let text = response.text().await.map_err(unreachable)?;
         if status == 200 {
             Ok(text)
         } else {
@@ -174,13 +176,13 @@
     Ok(text.trim_end().to_owned())
 }
 
-fn table(args: &RouterArgs, what: &str, columns: &[&str]) -> Result<String, CallError> {
+fn table(args: &RouterArgs, key: &str, columns: &[&str]) -> Result<String, CallError> {
     let report = report(args)?;
     if args.json {
-        return Ok(report[what].to_string());
+        return Ok(report[key].to_string());
     }
     let mut text = columns.join("\t");
-    for row in report[what].as_array().into_iter().flatten() {
+    for row in report[key].as_array().into_iter().flatten() {
         let cells: Vec<String> = columns.iter().map(|column| plain(&row[column])).collect();
         // Writing to a string does not fail.
         let _ = write!(text, "\n{}", cells.join("\t"));
@@ -199,7 +201,7 @@
 fn verify(folder: &Path) -> Result<String, CallError> {
     let recovered = disk::read(folder)?.ok_or_else(|| CallError::Empty(folder.to_owned()))?;
     Ok(format!(
-        "{} is sound: disk {:016x}, change {}",
+        "{} is valid: disk {:016x}, change {}",
         folder.display(),
         recovered.disk,
         recovered.state.position.index
@@ -245,15 +247,14 @@
     Ok(text.trim_end().to_owned())
 }
 
-/// The settings file: the one that was named, or the environment's.
-fn settings_path(named: Option<PathBuf>) -> Result<PathBuf, SettingsError> {
-    named
+/// Path of the settings file: the given one, or that in the environment variable.
+fn settings_path(given: Option<PathBuf>) -> Result<PathBuf, SettingsError> {
+    given
         .or_else(|| std::env::var_os(PATH_VARIABLE).map(PathBuf::from))
         .ok_or(SettingsError::NoPath)
 }
 
-/// Runs a router until it is told to end; its figures are told on the metrics port, where one is
-/// named.
+/// Runs a router until it is terminated. It serves the metrics page if a metrics port is given.
 pub fn run(settings: Option<PathBuf>, metrics_port: Option<u16>) -> Result<(), ServeError> {
     let level = match std::env::var("BITTERNSILL_LOG").as_deref() {
         Ok("debug") => Level::Debug,
@@ -273,7 +274,7 @@
     let path = settings_path(settings)?;
     let settings = Settings::read(&path)?;
     Ok(format!(
-        "{} is sound: node {} in zone {}",
+        "{} is valid: node {} in zone {}",
         path.display(),
         settings.node_name,
         settings.zone
--- a/router/src/clock.rs
+++ b/router/src/clock.rs
@@ -1,4 +1,4 @@
-//! The monotonic clock, in milliseconds since the process started.
+//! The monotonic clock of the process, in milliseconds.
 
 use control::Millis;
 use std::sync::OnceLock;
@@ -6,7 +6,7 @@
 
 static START: OnceLock<Instant> = OnceLock::new();
 
-/// Milliseconds since the first call, plus an offset, so that times before the start can be
+/// Milliseconds since the first call, plus an offset that allows times before the start to be
 /// represented.
 pub fn now() -> Millis {
     const OFFSET: Millis = 100_000;
--- a/router/src/control_api.rs
+++ b/router/src/control_api.rs
@@ -13,13 +13,13 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Maximum size of a configuration.
+/// Maximum size of a configuration, in bytes.
 const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
-/// Maximum size of any other body.
+/// Maximum size of any other request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// The header with the version that a new configuration is based on.
+/// Header with the version of the configuration that a new one is based on.
 const BASE_VERSION: &str = "x-base-version";
-/// Retry-After of calls without a known outcome, in seconds.
+/// Value of the Retry-After header of calls with an unknown outcome, in seconds.
 const RETRY_AFTER: &str = "0.2";
 
 /// The endpoint of the control API.
@@ -64,8 +64,8 @@
 
     async fn handle(&self, mut request: Request) -> Response {
         let path = request.uri().path().to_owned();
-        let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-        match (request.method().clone(), &parts[..]) {
+        let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+        match (request.method().clone(), &segments[..]) {
             (Method::POST, ["v1", "instances", id, "heartbeat"]) => {
                 let body = read_body(&mut request, MAX_BODY_BYTES).await;
                 self.heartbeat(id, body).await
@@ -91,7 +91,7 @@
 
     async fn heartbeat(&self, id: &str, body: Option<Bytes>) -> Response {
         let Some(body) = body else {
-            return incomplete();
+            return incomplete_body();
         };
         let json = &mut serde_json::Deserializer::from_slice(&body);
         let heartbeat: Heartbeat = match serde_path_to_error::deserialize(json) {
@@ -124,11 +124,11 @@
                 .collect(),
         };
         match self.fleet.register(id.into(), backend).await {
-            Some(Some(address)) => json_answer(
+            Some(Some(address)) => json_response(
                 StatusCode::OK,
                 serde_json::json!({"heartbeatAddress": address.to_string()}),
             ),
-            Some(None) => json_answer(StatusCode::OK, serde_json::json!({})),
+            Some(None) => json_response(StatusCode::OK, serde_json::json!({})),
             None => unavailable(),
         }
     }
@@ -137,7 +137,7 @@
         let key = Key::Backend(id.into());
         let current = match lock(&self.fleet.directory).get(&key) {
             Some(Value::Backend(backend)) => backend.clone(),
-            // No node here knows the backend, so none sends it requests.
+            // The backend is unknown here, so no router sends it requests and only its id matters.
             _ => Backend {
                 service: CompactString::default(),
                 address: SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0),
@@ -156,14 +156,14 @@
             ..current
         };
         match self.fleet.register(id.into(), gone).await {
-            Some(_) => json_answer(StatusCode::OK, serde_json::json!({})),
+            Some(_) => json_response(StatusCode::OK, serde_json::json!({})),
             None => unavailable(),
         }
     }
 
     async fn replace_configuration(&self, base: Option<u64>, body: Option<Bytes>) -> Response {
         let Some(body) = body else {
-            return incomplete();
+            return incomplete_body();
         };
         let Some(base) = base else {
             return error_response(
@@ -180,7 +180,7 @@
 
     async fn put_version(&self, body: Option<Bytes>) -> Response {
         let Some(body) = body else {
-            return incomplete();
+            return incomplete_body();
         };
         match serde_json::from_slice::<VersionPut>(&body) {
             Ok(put) => {
@@ -196,7 +196,7 @@
 
     async fn change(&self, change: Change) -> Response {
         match self.fleet.submit(change, MAX_HOPS).await {
-            Outcome::Committed => json_answer(StatusCode::OK, serde_json::json!({})),
+            Outcome::Committed => json_response(StatusCode::OK, serde_json::json!({})),
             Outcome::Rejected(Rejection::VersionConflict { current }) => {
                 let text = format!("version {current} is in force: build on it");
                 error_response(StatusCode::PRECONDITION_FAILED, &text)
@@ -222,7 +222,7 @@
     }
 
     fn status(&self) -> Response {
-        json_answer(StatusCode::OK, crate::status::report(&self.fleet))
+        json_response(StatusCode::OK, crate::status::report(&self.fleet))
     }
 }
 
@@ -234,8 +234,8 @@
     }
 }
 
-async fn read_body(request: &mut Request, longest: usize) -> Option<Bytes> {
-    request.take_body().into_bytes_limit(longest).await.ok()
+async fn read_body(request: &mut Request, max_bytes: usize) -> Option<Bytes> {
+    request.take_body().into_bytes_limit(max_bytes).await.ok()
 }
 
 fn base_version(headers: &HeaderMap) -> Option<u64> {
@@ -248,7 +248,7 @@
         .ok()
 }
 
-fn json_answer(status: StatusCode, value: serde_json::Value) -> Response {
+fn json_response(status: StatusCode, value: serde_json::Value) -> Response {
     Response::builder()
         .status(status)
         .content_type("application/json")
@@ -256,10 +256,10 @@
 }
 
 fn error_response(status: StatusCode, text: &str) -> Response {
-    json_answer(status, serde_json::json!({"error": text}))
+    json_response(status, serde_json::json!({"error": text}))
 }
 
-fn incomplete() -> Response {
+fn incomplete_body() -> Response {
     error_response(
         StatusCode::BAD_REQUEST,
         "the body did not come whole, or is too long: send it again",
--- a/router/src/counters.rs
+++ b/router/src/counters.rs
@@ -1,5 +1,5 @@
-//! Event counters of one router process. This module depends on no other one of the router, so that
-//! every part of it may count.
+//! Event counters of one router process. This module depends on no other module of the router, so
+//! that all of them can count events.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -20,9 +20,10 @@
     DisconnectedStreaming,
     /// An attempt was sent to a backend: a first one, a hedge or a retry.
     AttemptSent,
-    /// Of the attempts: a hedge of a slow request.
+    /// A sent attempt is a hedge of a slow request; also counted as [`Event::AttemptSent`].
     Hedged,
-    /// Of the attempts: a retry after a failure or a rejection.
+    /// A sent attempt is a retry after a failure or a rejection; also counted as
+    /// [`Event::AttemptSent`].
     Retried,
     /// A backend rejected a request without executing it.
     Rejected,
@@ -39,7 +40,7 @@
 }
 
 impl Event {
-    /// Every event in the order of the counters, with its name on the metrics page.
+    /// Every event with its name on the metrics page, in the order of the counters.
     pub const ALL: [(Event, &'static str); 15] = [
         (Event::RequestReceived, "requests_begun"),
         (Event::ResponseStarted, "answers_begun"),
--- a/router/src/disk.rs
+++ b/router/src/disk.rs
@@ -1,7 +1,7 @@
-//! Persistence of the control state: a log in segments, and a snapshot.
+//! Persistence of the control state: a snapshot, and a log in segments.
 //!
-//! A snapshot is written and synced under a temporary name before it is renamed. The segment with
-//! the same number continues it, and files with lower numbers are obsolete.
+//! A snapshot is written and synced under a temporary name, and then renamed. The segment with the
+//! same number holds the records that follow it; files with lower numbers are obsolete.
 
 mod reader;
 mod writer;
@@ -18,9 +18,9 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// File with the known state of the fleet.
+/// Name of the file with the known state of the fleet.
 const FLEET_FILE: &str = "fleet";
-/// Folder for corrupt records.
+/// Name of the folder for corrupt snapshots and segments.
 const QUARANTINE_FOLDER: &str = "damaged";
 
 /// The known state of the fleet, saved for the next start.
@@ -36,14 +36,14 @@
 #[derive(Debug, Error)]
 pub enum DiskError {
     /// An I/O error.
-    #[error("{path}: {error}; check that the folder exists, can be written and has room")]
+    #[error("{path}: {error}; check that the directory exists, is writable and has free space")]
     Io {
         /// The file or folder.
         path: PathBuf,
         /// The cause.
         error: io::Error,
     },
-    /// The contents are corrupt.
+    /// The records are corrupt.
     #[error("{path}: {damage}")]
     Damaged {
         /// The file.
@@ -58,7 +58,7 @@
     move |error| DiskError::Io { path, error }
 }
 
-/// The files of a data directory, by number.
+/// The numbers of the snapshots and segments in a data directory, in ascending order.
 #[derive(Debug, Default)]
 struct Files {
     snapshots: Vec<u64>,
@@ -86,7 +86,7 @@
     Ok(files)
 }
 
-/// The contents of a new disk.
+/// The contents of a new data directory with this disk id.
 pub fn empty(disk: u64) -> Recovered {
     let record = Record::Disk {
         format: FORMAT,
--- a/router/src/disk/reader.rs
+++ b/router/src/disk/reader.rs
@@ -9,7 +9,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Reads the state of the fleet that the previous process saved; empty if there is none or it is
+/// Reads the state of the fleet that a previous process saved; empty if the file is missing or
 /// corrupt.
 pub fn read_fleet(folder: &Path) -> PersistedFleet {
     let bytes = fs::read(folder.join(FLEET_FILE)).unwrap_or_default();
@@ -22,7 +22,7 @@
     postcard::from_bytes(body).unwrap_or_default()
 }
 
-/// Reads the records of a data directory; `None` if it was never used.
+/// Reads the records of a data directory; `None` if it holds none.
 pub fn read(folder: &Path) -> Result<Option<Recovered>, DiskError> {
     let files = list(folder).map_err(io_error(folder))?;
     let first = files.snapshots.last().copied().unwrap_or(0);
@@ -43,8 +43,8 @@
         .map_err(damaged(folder))
 }
 
-/// Reads the records of consecutive segments. A write that was interrupted by a power loss ends
-/// them: later segments have to be empty.
+/// Reads the records of consecutive segments. A truncated record, as a power loss during a write
+/// leaves it, ends the log: later segments have to be empty.
 fn read_segments(paths: impl Iterator<Item = PathBuf>) -> Result<Vec<Record>, DiskError> {
     let mut records = Vec::new();
     let mut truncated: Option<(PathBuf, usize)> = None;
@@ -73,12 +73,15 @@
     move |damage| DiskError::Damaged { path, damage }
 }
 
-/// Reads a data directory. If its records are corrupt, they are moved aside, and the node rejoins
-/// as one that lost its disk.
+/// Reads a data directory. Corrupt records are moved to the quarantine folder, and the node rejoins
+/// like one that lost its disk.
 pub fn read_or_quarantine(folder: &Path) -> Result<Option<Recovered>, DiskError> {
     match read(folder) {
         Err(DiskError::Damaged { path, damage }) => {
-            log::error!("{}: {damage}; the records are set aside", path.display());
+            log::error!(
+                "{}: {damage}; moving the records to the folder {QUARANTINE_FOLDER}",
+                path.display()
+            );
             quarantine_records(folder).map_err(io_error(folder))?;
             Ok(None)
         }
@@ -86,7 +89,7 @@
     }
 }
 
-/// Moves corrupt records aside, replacing those of an earlier time.
+/// Moves snapshots and segments to the quarantine folder, and deletes its previous contents.
 fn quarantine_records(folder: &Path) -> io::Result<()> {
     let files = list(folder)?;
     let quarantine = folder.join(QUARANTINE_FOLDER);
--- a/router/src/disk/writer.rs
+++ b/router/src/disk/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a data directory.
+//! The thread that writes to a data directory.
 
 use super::{
     DiskError, FLEET_FILE, PersistedFleet, QUARANTINE_FOLDER, io_error, list, segment_path,
@@ -12,17 +12,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// A segment of this size is replaced by a snapshot and a new segment.
+/// A segment that exceeds this size is replaced by a snapshot and a new segment.
 const SEGMENT_BYTES: u64 = 4 << 20;
-/// Time between two attempts to write to a failing disk.
-const RETRY: Duration = Duration::from_millis(150);
+/// Interval between attempts to write to a failing disk.
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Jobs of the thread.
+/// Jobs of the writer thread.
 #[derive(Debug)]
 enum Job {
     /// Appends records and syncs them.
     Append { sequence: u64, bytes: Vec<u8> },
-    /// Replaces everything so far by a snapshot, and continues in a new segment.
+    /// Replaces the snapshot and the segment by a new snapshot and an empty segment.
     Compact { bytes: Vec<u8> },
     /// Replaces the saved state of the fleet.
     Save { bytes: Vec<u8> },
@@ -31,15 +31,16 @@
 /// Receives the sequence numbers of completed writes.
 pub type CompletionSender = tokio::sync::mpsc::UnboundedSender<u64>;
 
-/// The writer of one data directory.
+/// Handle of the writer thread of one data directory.
 #[derive(Debug)]
 pub struct Disk {
     jobs: mpsc::Sender<Job>,
-    since_snapshot: u64,
+    bytes_since_snapshot: u64,
 }
 
 impl Disk {
-    /// Opens a folder for writing, and begins with a snapshot of its contents.
+    /// Starts the writer thread of a data directory, which first writes a snapshot of the recovered
+    /// contents.
     pub fn open(
         folder: &Path,
         recovered: &Recovered,
@@ -67,7 +68,7 @@
         spawned.map_err(io_error(folder))?;
         let disk = Disk {
             jobs,
-            since_snapshot: 0,
+            bytes_since_snapshot: 0,
         };
         disk.compact(recovered);
         Ok(disk)
@@ -77,19 +78,19 @@
     pub fn append(&mut self, sequence: u64, records: &[Record]) {
         let mut bytes = Vec::new();
         records.iter().for_each(|record| encode(record, &mut bytes));
-        self.since_snapshot += bytes.len() as u64;
-        // The thread lives as long as this value.
+        self.bytes_since_snapshot += bytes.len() as u64;
+        // The thread runs for as long as this handle exists.
         let _ = self.jobs.send(Job::Append { sequence, bytes });
     }
 
     /// Returns whether the segment is large enough for a snapshot.
     pub fn needs_snapshot(&self) -> bool {
-        self.since_snapshot > SEGMENT_BYTES
+        self.bytes_since_snapshot > SEGMENT_BYTES
     }
 
-    /// Replaces everything that was appended so far by a snapshot.
+    /// Replaces all records that were appended so far by a snapshot.
     pub fn snapshot(&mut self, recovered: &Recovered) {
-        self.since_snapshot = 0;
+        self.bytes_since_snapshot = 0;
         self.compact(recovered);
     }
 
@@ -123,39 +124,44 @@
         while let Ok(job) = queue.recv() {
             match job {
                 Job::Append { sequence, bytes } => {
-                    self.until_done(|writer| writer.append(&bytes));
-                    // The receiver is gone when the process is about to end.
+                    self.retry_until_ok(|writer| writer.append(&bytes));
+                    // The receiver is dropped only when the process ends.
                     let _ = self.done.send(sequence);
                 }
-                Job::Compact { bytes } => self.until_done(|writer| writer.compact(&bytes)),
+                Job::Compact { bytes } => self.retry_until_ok(|writer| writer.compact(&bytes)),
                 Job::Save { bytes } => {
-                    // The file only speeds up the next start, and the next save follows soon.
+                    // The file only speeds up the next start, and another save follows soon.
                     if let Err(error) = self.save(&bytes) {
-                        log::debug!("what is known of the fleet is not kept: {error}");
+                        log::debug!("the state of the fleet could not be saved: {error}");
                     }
                 }
             }
         }
     }
 
-    fn until_done(&mut self, mut work: impl FnMut(&mut Self) -> io::Result<()>) {
+    /// Repeats `work` until it succeeds.
+    fn retry_until_ok(&mut self, mut work: impl FnMut(&mut Self) -> io::Result<()>) {
         let mut has_warned = false;
         while let Err(error) = work(self) {
             if !std::mem::replace(&mut has_warned, true) {
                 log::warn!(
-                    "{}: {error}; writing is tried again until there is room",
+                    "{}: {error}; retrying the write until it succeeds",
                     self.folder.display()
                 );
                 self.discard_quarantine();
             }
-            thread::sleep(RETRY);
+            thread::sleep(RETRY_INTERVAL);
         }
         if has_warned {
-            log::info!("{}: writing works again", self.folder.display());
+            log::info!(
+                "{}: the write succeeded after retries",
+                self.folder.display()
+            );
         }
     }
 
-    /// Corrupt records are kept for analysis only as long as there is space.
+    /// Deletes the quarantine folder to free space. Corrupt records are kept for analysis only
+    /// while writes succeed.
     fn discard_quarantine(&self) {
         let quarantine = self.folder.join(QUARANTINE_FOLDER);
         if quarantine.exists()
@@ -179,7 +185,8 @@
         File::open(&self.folder)?.sync_all()
     }
 
-    /// Appends to the segment. Overwrites what a failed attempt left after the valid end.
+    /// Appends to the segment, after truncating bytes that a failed attempt left beyond its valid
+    /// length.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let Some(segment) = &mut self.segment else {
             return Err(io::Error::other("no segment is open"));
@@ -192,16 +199,15 @@
         Ok(())
     }
 
-    /// Writes a snapshot under a temporary name, opens a new segment, and only then removes the old
-    /// files.
+    /// Writes a snapshot and a new, empty segment, and only then removes the old files.
     fn compact(&mut self, bytes: &[u8]) -> io::Result<()> {
         let number = self.number + 1;
         let temporary = self.folder.join("snapshot.new");
         let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        // The segment is created first: a snapshot without records after it is valid, but records
-        // without a segment would be lost.
+        // The segment is created before the snapshot is renamed: an empty segment does no harm, but
+        // records that follow a snapshot without a segment would be lost.
         let segment = OpenOptions::new()
             .create(true)
             .write(true)
@@ -211,25 +217,26 @@
         fs::rename(&temporary, snapshot_path(&self.folder, number))?;
         self.sync_folder()?;
         (self.segment, self.length, self.number) = (Some(segment), 0, number);
-        self.remove_older();
+        self.remove_obsolete();
         Ok(())
     }
 
-    /// Old files that remain do no harm: the newest snapshot counts.
-    fn remove_older(&self) {
+    /// Removes obsolete files. Those that can't be removed do no harm, as the newest snapshot
+    /// counts.
+    fn remove_obsolete(&self) {
         let Ok(files) = list(&self.folder) else {
             return;
         };
-        let older = |number: &&u64| **number < self.number;
+        let is_obsolete = |number: &&u64| **number < self.number;
         let snapshots = files
             .snapshots
             .iter()
-            .filter(older)
+            .filter(is_obsolete)
             .map(|at| snapshot_path(&self.folder, *at));
         let segments = files
             .segments
             .iter()
-            .filter(older)
+            .filter(is_obsolete)
             .map(|at| segment_path(&self.folder, *at));
         for path in snapshots.chain(segments) {
             if let Err(error) = fs::remove_file(&path) {
--- a/router/src/frame.rs
+++ b/router/src/frame.rs
@@ -1,8 +1,8 @@
-//! Frames on a connection between routers: a length, and a `postcard` message. Long messages are
-//! compressed, as many routers may ask for everything at once and their links are slow.
+//! Frames on a connection between routers: a length and a `postcard` message. Long messages are
+//! compressed, as many routers may request the full state at once over slow links.
 //!
-//! The length is a big-endian `u32` whose highest bit says that the bytes are compressed (LZ4 block
-//! with its size before it).
+//! The length is a big-endian `u32`. Its highest bit is set if the message is compressed, as an LZ4
+//! block with the uncompressed size before it.
 
 use crate::protocol::{Frame, MAX_MESSAGE_BYTES};
 use crate::traffic::{MessageKind, Traffic};
@@ -12,9 +12,9 @@
 
 /// Flag in the length field: the message is compressed.
 const COMPRESSED: u32 = 1 << 31;
-/// Shorter messages are not compressed.
+/// Messages shorter than this are not compressed.
 const MIN_COMPRESSED_BYTES: usize = 2 << 10;
-/// Size of the length prefix of a compressed block, in bytes.
+/// Length of the uncompressed size before a compressed block, in bytes.
 const SIZE_BYTES: usize = 4;
 
 /// Why bytes are not a valid frame.
@@ -25,7 +25,7 @@
         "a frame of {length} bytes is longer than {MAX_MESSAGE_BYTES}: check that the other end is a router of this fleet"
     )]
     TooLong {
-        /// Its length in bytes.
+        /// Length of the message in bytes.
         length: usize,
     },
     /// The message can't be decompressed.
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,6 +1,6 @@
-//! A router of the fleet. It forwards clients' requests to backends ([`proxy`]), replicates the
-//! fleet's control state together with the other routers ([`fleet`], [`replica`], [`membership`]),
-//! rolls out weights ([`weights`]), and serves operators and backends ([`control_api`]).
+//! A router of the fleet: forwards clients' requests to backends ([`proxy`]), shares the fleet's
+//! state with the other routers ([`fleet`], [`replica`], [`membership`]), rolls out weights
+//! ([`weights`]), and serves the API for operators and backends ([`control_api`]).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/router/src/links.rs
+++ b/router/src/links.rs
@@ -1,5 +1,5 @@
-//! Connections between routers: length-prefixed postcard frames over TCP. Requests with responses
-//! are multiplexed by id; one-way requests have the id 0.
+//! Connections between routers: length-prefixed postcard frames over TCP. Requests that expect a
+//! response are multiplexed by id; one-way requests have the id 0.
 
 use crate::frame::{read_frame, write_frame};
 use crate::protocol::{Frame, Request, Response};
@@ -18,11 +18,11 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::timeout;
 
-/// Time limit of connecting. A peer that is just starting loses the first SYN, which the kernel
-/// retransmits only after a second.
+/// Time limit for establishing a connection. The SYN to a peer that is just starting is lost, and
+/// the kernel retransmits it only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Frames that may queue for a connection; more are dropped.
-const QUEUE: usize = 256;
+/// Capacity of a connection's queue. Requests beyond it are dropped.
+const QUEUE_CAPACITY: usize = 256;
 
 type Pending = Arc<Mutex<HashMap<u32, oneshot::Sender<Response>>>>;
 
@@ -37,7 +37,7 @@
 #[derive(Default)]
 pub struct Links {
     links: Mutex<HashMap<SocketAddrV4, Link>>,
-    next: AtomicU32,
+    next_id: AtomicU32,
     traffic: Arc<Traffic>,
 }
 
@@ -52,7 +52,7 @@
         if let Some(link) = links.get(&address).filter(|link| !link.frames.is_closed()) {
             return link.clone();
         }
-        let (frames, queue) = mpsc::channel(QUEUE);
+        let (frames, queue) = mpsc::channel(QUEUE_CAPACITY);
         let link = Link {
             frames,
             pending: Pending::default(),
@@ -69,24 +69,24 @@
 
     /// Sends a one-way request; dropped if the connection's queue is full.
     pub fn send(&self, address: SocketAddrV4, request: Request) {
-        // The next message reopens a connection that has just ended.
+        // An error is ignored: if the connection has just ended, the next request reopens it.
         let _ = self
             .link(address)
             .frames
             .try_send(Frame::Request(0, request));
     }
 
-    /// Sends a request and waits for its response; `None` if there is none in time.
+    /// Sends a request and waits for its response; `None` if none arrives within the time limit.
     pub async fn call(
         &self,
         address: SocketAddrV4,
         request: Request,
         time_limit: Duration,
     ) -> Option<Response> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed) | 1 << 31;
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed) | 1 << 31;
         let link = self.link(address);
-        let (answer, received) = oneshot::channel();
-        lock(&link.pending).insert(id, answer);
+        let (sender, received) = oneshot::channel();
+        lock(&link.pending).insert(id, sender);
         let response = match link.frames.try_send(Frame::Request(id, request)) {
             Ok(()) => timeout(time_limit, received)
                 .await
@@ -119,10 +119,10 @@
         let read = async {
             loop {
                 if let Frame::Response(id, response) = read_frame(&mut reader, &traffic).await?
-                    && let Some(answer) = lock(&pending).remove(&id)
+                    && let Some(sender) = lock(&pending).remove(&id)
                 {
                     // The caller may have given up.
-                    let _ = answer.send(response);
+                    let _ = sender.send(response);
                 }
             }
             #[expect(unreachable_code, reason = "names the type of the block")]
@@ -137,7 +137,7 @@
     lock(&pending).clear();
 }
 
-/// A response, with resources that are held until it is written.
+/// A response, with the resources that are held until it is written.
 #[derive(Debug)]
 pub struct Reply {
     /// The response.
@@ -164,7 +164,7 @@
     ) -> Pin<Box<dyn Future<Output = Option<Reply>> + Send>>;
 }
 
-/// Serves the connections of other routers.
+/// Accepts and serves connections of other routers.
 pub async fn serve(listener: TcpListener, service: Arc<impl Service>, traffic: Arc<Traffic>) {
     loop {
         match listener.accept().await {
@@ -172,7 +172,7 @@
                 tokio::spawn(serve_connection(stream, service.clone(), traffic.clone()));
             }
             Err(error) => {
-                log::warn!("a connection of another router could not be taken: {error}");
+                log::warn!("a connection of another router could not be accepted: {error}");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -184,7 +184,7 @@
         return;
     }
     let (mut reader, mut writer) = stream.into_split();
-    let (answers, mut queue) = mpsc::channel::<(u32, Reply)>(QUEUE);
+    let (replies, mut queue) = mpsc::channel::<(u32, Reply)>(QUEUE_CAPACITY);
     let write = async {
         while let Some((id, Reply { response, permit })) = queue.recv().await {
             write_frame(&mut writer, &Frame::Response(id, response), &traffic).await?;
@@ -201,11 +201,11 @@
                 service.clone().handle(request).await;
                 continue;
             }
-            let (service, answers) = (service.clone(), answers.clone());
+            let (service, replies) = (service.clone(), replies.clone());
             tokio::spawn(async move {
-                if let Some(answer) = service.handle(request).await {
+                if let Some(reply) = service.handle(request).await {
                     // The caller may have disconnected.
-                    let _ = answers.send((id, answer)).await;
+                    let _ = replies.send((id, reply)).await;
                 }
             });
         }
--- a/router/src/metrics.rs
+++ b/router/src/metrics.rs
@@ -17,24 +17,24 @@
 pub struct MetricsPage {
     fleet: Arc<Fleet>,
     table: Arc<BackendTable>,
-    orders: Option<Arc<RolloutController>>,
+    rollout: Option<Arc<RolloutController>>,
 }
 
 impl MetricsPage {
-    /// Creates the page; a node with a replica has a rollout controller.
+    /// Creates the page. Only a node with a replica has a rollout controller.
     pub fn new(
         fleet: Arc<Fleet>,
         table: Arc<BackendTable>,
-        orders: Option<Arc<RolloutController>>,
+        rollout: Option<Arc<RolloutController>>,
     ) -> Self {
         MetricsPage {
             fleet,
             table,
-            orders,
+            rollout,
         }
     }
 
-    /// The page: one line per metric with its name, labels if any, and value.
+    /// Renders the page: one line per metric, with its name, labels if any, and value.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (event, name) in Event::ALL {
@@ -85,12 +85,15 @@
                 target.version,
             );
         }
-        for named in self.fleet.announced_weights() {
-            let labels = format!("model=\"{}\",version=\"{}\"", named.model, named.version);
+        for announced in self.fleet.announced_weights() {
+            let labels = format!(
+                "model=\"{}\",version=\"{}\"",
+                announced.model, announced.version
+            );
             write_metric(
                 text,
                 &format!("weights_named_ms_ago{{{labels}}}"),
-                named.age_ms,
+                announced.age_ms,
             );
         }
         let mut backends: BTreeMap<(String, u64), u64> = BTreeMap::new();
@@ -109,10 +112,10 @@
     }
 
     fn write_orders(&self, text: &mut String) {
-        if let Some(orders) = &self.orders {
-            let gives = orders.ownership() == RolloutOwnership::Owned;
-            write_metric(text, "orders_given_here", u64::from(gives));
-            write_metric(text, "backends_refusing_fences", orders.fenced_backends());
+        if let Some(rollout) = &self.rollout {
+            let is_owner = rollout.ownership() == RolloutOwnership::Owned;
+            write_metric(text, "orders_given_here", u64::from(is_owner));
+            write_metric(text, "backends_refusing_fences", rollout.fenced_backends());
         }
         for rollout in self.fleet.incomplete_rollouts() {
             let AnnouncedVersion {
@@ -123,8 +126,8 @@
             let labels = format!("model=\"{model}\",version=\"{version}\"");
             write_metric(text, &format!("weights_unfinished_ms{{{labels}}}"), age_ms);
         }
-        for (cause, count) in self.fleet.outdated_by_reason() {
-            let name = cause.name();
+        for (reason, count) in self.fleet.outdated_by_reason() {
+            let name = reason.name();
             write_metric(
                 text,
                 &format!("backends_lacking_weights{{cause=\"{name}\"}}"),
--- a/router/src/protocol.rs
+++ b/router/src/protocol.rs
@@ -1,7 +1,7 @@
 //! Messages between the routers of a fleet.
 //!
-//! They are encoded with postcard: types and fields may be renamed, but variants and fields must
-//! not be reordered, and new variants go last.
+//! Messages are encoded with postcard: types and fields may be renamed, but variants and fields
+//! must not be reordered, and new variants go last.
 
 use compact_str::CompactString;
 use control::changes::{Change, Outcome};
@@ -27,7 +27,7 @@
 pub enum Request {
     /// A message between replicas of the control state; one-way.
     Replica(Box<Envelope>),
-    /// Pulls everything that is newer.
+    /// Pulls all state that is newer than the sender's.
     Pull(PullRequest),
     /// Submits an operator's change.
     Submit {
@@ -62,12 +62,12 @@
     Locate {
         /// The prefix.
         key: PrefixKey,
-        /// The backend that the request would go to if the prefix is cached nowhere.
+        /// The backend that gets the request if no backend has the prefix cached.
         planned: Placement,
         /// Whether the prefix is worth saving to the KV store.
         should_save: bool,
     },
-    /// Notifies the owner of a prefix of the backend that a request goes to; one-way.
+    /// Notifies the owner of a prefix which backend gets a request with it; one-way.
     Placed {
         /// The prefix.
         key: PrefixKey,
@@ -91,7 +91,7 @@
         /// The hashes.
         keys: Vec<u64>,
     },
-    /// Reports failures that a router observed at backends, with their numbers; one-way.
+    /// Reports how many requests a router saw backends fail; one-way.
     Failures {
         /// Name of the router.
         reporter: CompactString,
@@ -103,23 +103,24 @@
 /// A response. New variants go last.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Response {
-    /// To a pull.
+    /// Response to a pull.
     Pulled(Box<Pulled>),
-    /// To a change.
+    /// Outcome of a submitted change.
     Outcome(Outcome),
-    /// To a read of the configuration: the outer `None` means that it can't be determined.
+    /// The latest configuration. The outer `None` means that it can't be determined, the inner one
+    /// that there is none yet.
     Configuration(Option<Option<Vec<u8>>>),
-    /// To a registration that is acknowledged: the address for later heartbeats.
+    /// The registration is acknowledged; the address for later heartbeats.
     Registered(Option<SocketAddrV4>),
-    /// To a status request; `None` if the router does not know.
+    /// Status of the store; `None` if the router does not know it.
     StoreStatus(Option<StoreStatus>),
-    /// To a lookup.
+    /// Location of the prefix.
     Located(PrefixLocation),
-    /// To a comparison.
+    /// Digests of the range.
     Summary(Summary),
-    /// To a fetch.
+    /// The requested records.
     Records(Vec<Record>),
-    /// To a registration that is not acknowledged.
+    /// The registration is not acknowledged.
     NotRegistered,
 }
 
@@ -130,7 +131,7 @@
     pub generation: Option<u64>,
 }
 
-/// Pulls everything that is newer than the sender's state.
+/// A pull of all state that is newer than the sender's.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PullRequest {
     /// Name of the sender.
@@ -151,7 +152,7 @@
     pub missing: Vec<(CompactString, u64)>,
 }
 
-/// Everything that is newer than the state of a pull's sender.
+/// The response to a pull: all state that is newer than the sender's.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Pulled {
     /// Newer records.
--- a/router/src/published.rs
+++ b/router/src/published.rs
@@ -1,4 +1,4 @@
-//! The committed control state as routers use it, and how it is propagated.
+//! The committed control state as routers use it, and its propagation between them.
 
 use crate::protocol::PublishedState;
 use compact_str::CompactString;
@@ -8,14 +8,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The latest committed state that this router knows. Its position never goes back.
+/// The latest committed state that this router knows. Its position never decreases.
 #[derive(Debug, Default)]
 pub struct Published {
     position: Position,
     history: History,
     configuration: Option<Arc<Configuration>>,
     weights: BTreeMap<CompactString, WeightsTarget>,
-    /// Deltas to the current text failed their checksum, so the full text is needed.
+    /// Whether a delta to the current text failed its checksum, so that the full text is needed.
     needs_full_text: bool,
 }
 
@@ -52,7 +52,8 @@
         &self.weights
     }
 
-    /// Applies what this node's own replica has committed. Returns whether anything changed.
+    /// Applies the state that this node's own replica has committed. Returns whether anything
+    /// changed.
     pub fn apply_committed(&mut self, state: &ControlState) -> bool {
         if state.position.index <= self.position.index {
             return false;
@@ -79,9 +80,9 @@
             .filter(|update| update.version() != self.version());
         if let Some(update) = update {
             let mut history = self.history.clone();
-            if let Err(misfit) = history.apply(update) {
-                log::debug!("a configuration is not taken: {misfit}");
-                self.needs_full_text = matches!(misfit, ApplyError::Checksum { .. });
+            if let Err(error) = history.apply(update) {
+                log::debug!("an update of the configuration could not be applied: {error}");
+                self.needs_full_text = matches!(error, ApplyError::Checksum { .. });
                 return false;
             }
             if !self.load(history) {
@@ -93,12 +94,12 @@
         true
     }
 
-    /// Replaces the versions of weights; changes are logged.
+    /// Replaces the versions of weights, and logs changes.
     fn set_weights(&mut self, weights: BTreeMap<CompactString, WeightsTarget>) {
         for (model, target) in &weights {
             if self.weights.get(model) != Some(target) {
                 log::info!(
-                    "version {} of the weights of {model} is named",
+                    "version {} of the weights of {model} is announced",
                     target.version
                 );
             }
@@ -106,25 +107,28 @@
         self.weights = weights;
     }
 
-    /// Replaces the configuration.
+    /// Replaces the configuration. Returns false if the text can't be parsed.
     fn load(&mut self, history: History) -> bool {
         match Configuration::parse(history.text()) {
             Ok(parsed) => {
-                log::info!("configuration {} is in force here", parsed.version);
+                log::info!(
+                    "configuration {} is in force on this router",
+                    parsed.version
+                );
                 self.configuration = Some(Arc::new(parsed));
                 self.history = history;
                 self.needs_full_text = false;
                 true
             }
             Err(error) => {
-                log::error!("a committed configuration can't be read: {error}");
+                log::error!("a committed configuration can't be parsed: {error}");
                 false
             }
         }
     }
 
     /// The update for a router that has the state up to `position` and the configuration version
-    /// `base`; `None` if it has everything.
+    /// `base`; `None` if it is up to date.
     pub fn update_for(&self, position: Position, base: Option<u64>) -> Option<PublishedState> {
         if position.index >= self.position.index {
             return None;
--- a/router/src/readiness.rs
+++ b/router/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Readiness: whether the platform may send clients to this router.
+//! Readiness checks: whether the platform may send clients to this router.
 
 use crate::fleet::Fleet;
 use crate::proxy::backend_table::BackendTable;
@@ -8,14 +8,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A router without backends reports itself ready this long after it has a configuration.
+/// A router that knows no backends reports itself as ready this long after it has a configuration.
 const BACKENDS_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Answers the platform's readiness checks.
+/// The endpoint of readiness checks.
 pub struct Readiness {
     fleet: Arc<Fleet>,
     table: Arc<BackendTable>,
-    configured: Mutex<Option<Instant>>,
+    configured_at: Mutex<Option<Instant>>,
 }
 
 impl Readiness {
@@ -24,7 +24,7 @@
         Readiness {
             fleet,
             table,
-            configured: Mutex::new(None),
+            configured_at: Mutex::new(None),
         }
     }
 
@@ -32,7 +32,7 @@
         if self.fleet.is_shutting_down() || lock(&self.fleet.published).configuration().is_none() {
             return false;
         }
-        let since = *lock(&self.configured).get_or_insert_with(Instant::now);
+        let since = *lock(&self.configured_at).get_or_insert_with(Instant::now);
         !self.table.is_empty() || since.elapsed() > BACKENDS_TIMEOUT
     }
 }
--- a/router/src/rendezvous.rs
+++ b/router/src/rendezvous.rs
@@ -4,7 +4,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// The score of a candidate: the hash of the key together with the candidate. The candidate with
-/// the highest score is chosen. All routers have to compute the same scores.
+/// the highest score is chosen, so all routers have to compute the same scores.
 pub fn score(key_and_candidate: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     key_and_candidate.hash(&mut hasher);
--- a/router/src/serve.rs
+++ b/router/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a router: starts its parts, answers readiness checks, and shuts down gracefully.
+//! Runs a router: starts its components, serves its interfaces, and shuts down gracefully.
 
 use crate::client_server::serve_clients;
 use crate::clock;
@@ -39,7 +39,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// Idle connections to interfaces other than the clients' are closed after this time.
+/// Idle connections are closed after this time, except on the clients' interface.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why a router can't run.
@@ -53,7 +53,7 @@
     Disk(#[from] DiskError),
     /// An address can't be bound.
     #[error(
-        "{address}: {error}; check that the address is this machine's and that no other process has it"
+        "{address}: {error}; check that the address belongs to this machine and that no other process uses it"
     )]
     Listen {
         /// The address.
@@ -61,11 +61,11 @@
         /// The cause.
         error: io::Error,
     },
-    /// A system resource that every process needs is unavailable.
+    /// A system resource is unavailable.
     #[error("{0}; check the limits of the process")]
     System(#[from] io::Error),
     /// The HTTP client can't be created.
-    #[error("calls to backends can't be made: {0}")]
+    #[error("the HTTP client for calls to backends can't be created: {0}")]
     Client(#[from] reqwest::Error),
 }
 
@@ -78,7 +78,7 @@
     runtime.block_on(serve(settings, path.to_owned(), metrics_port))
 }
 
-/// The parts of the replica of a node with a disk.
+/// The components of a node's replica.
 struct Replica {
     node: ControlNode,
     disk: Disk,
@@ -129,7 +129,7 @@
     path: PathBuf,
     metrics_port: Option<u16>,
 ) -> Result<(), ServeError> {
-    // First of all: an earlier signal would terminate the process immediately.
+    // Registered first: before that, a signal terminates the process immediately.
     let signals = Signals::register()?;
     let settings = Arc::new(settings);
     let incarnation = fastrand::u64(1..);
@@ -149,7 +149,7 @@
         .await
         .map_err(failed(internal))?;
     let socket = UdpSocket::bind(internal).await.map_err(failed(internal))?;
-    // The kernel must not retransmit abandoned orders for minutes.
+    // Without this time-out the kernel would retransmit abandoned orders for minutes.
     let client = reqwest::Client::builder()
         .no_proxy()
         .tcp_nodelay(true)
@@ -161,11 +161,11 @@
 
     let traffic = fleet.links.traffic().clone();
     tokio::spawn(links::serve(listener, fleet.clone(), traffic));
-    let orders = replica.map(|replica| start_replica(replica, &fleet, &client));
+    let rollout = replica.map(|replica| start_replica(replica, &fleet, &client));
     spawn_fleet_tasks(&fleet, socket);
     spawn_proxy_tasks(&fleet, &table, locator, client);
 
-    let metrics = MetricsPage::new(fleet.clone(), table.clone(), orders);
+    let metrics = MetricsPage::new(fleet.clone(), table.clone(), rollout);
     let ready = Readiness::new(fleet.clone(), table);
     listen(settings.listen.readiness, ready);
     listen(
@@ -182,13 +182,13 @@
         }
         None => None,
     };
-    // Last, so that the port can't be taken before those of the other interfaces.
+    // Bound last, so that the metrics page can't take the port of another interface.
     listen(
         metrics_port.map(|port| SocketAddrV4::new(settings.ip_address, port)),
         metrics,
     );
     log::info!(
-        "{} serves, with settings from {}",
+        "{} started with settings from {}",
         settings.node_name,
         path.display()
     );
@@ -197,7 +197,7 @@
     Ok(())
 }
 
-/// Starts the tasks that keep this node in touch with its fleet.
+/// Starts the tasks that exchange state and heartbeats with the fleet.
 fn spawn_fleet_tasks(fleet: &Arc<Fleet>, socket: UdpSocket) {
     tokio::spawn(upstreams::run(fleet.clone()));
     tokio::spawn(membership::heartbeats::monitor(fleet.clone(), socket));
@@ -240,18 +240,18 @@
         handle,
         inputs,
     } = replica;
-    let orders = RolloutController::new(fleet.clone(), handle.clone(), client.clone());
+    let rollout = RolloutController::new(fleet.clone(), handle.clone(), client.clone());
     tokio::spawn(assume_announcements(
         fleet.clone(),
         node.state().weights.clone(),
     ));
     tokio::spawn(task::run(node, disk, stored, fleet.clone(), handle, inputs));
-    tokio::spawn(orders.clone().run());
-    orders
+    tokio::spawn(rollout.clone().run());
+    rollout
 }
 
-/// Gives other nodes time to tell the ages of the recovered versions of weights, and assumes those
-/// that nobody knows.
+/// Waits for other nodes to report the ages of the recovered versions of weights, and then assumes
+/// the ages that no node knows.
 async fn assume_announcements(
     fleet: Arc<Fleet>,
     recovered: BTreeMap<CompactString, WeightsTarget>,
@@ -262,13 +262,13 @@
     fleet.assume_announcements(&recovered, started_at);
 }
 
-/// Serves an interface for as long as the process lives.
+/// Serves an interface until the process ends.
 fn listen(address: Option<SocketAddrV4>, endpoint: impl Endpoint<Output = Response> + 'static) {
     let Some(address) = address else { return };
     tokio::spawn(async move {
         let server = Server::new(TcpListener::bind(address.to_string())).idle_timeout(IDLE_TIMEOUT);
         if let Err(error) = server.run(endpoint).await {
-            log::error!("{address}: {error}; check that no other process has the address");
+            log::error!("{address}: {error}; check that no other process uses the address");
         }
     });
 }
--- a/router/src/settings.rs
+++ b/router/src/settings.rs
@@ -7,14 +7,14 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The environment variable with the path of the settings file.
+/// Environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "BITTERNSILL_SETTINGS";
 
 /// Why settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// No path was given.
-    #[error("no settings file is named: set {PATH_VARIABLE} to its path or pass --settings")]
+    #[error("no settings file is given: set {PATH_VARIABLE} to its path or pass --settings")]
     NoPath,
     /// The file can't be read.
     #[error("{path}: {error}; check the path and its permissions")]
@@ -60,7 +60,7 @@
     pub disk_mb: u64,
 }
 
-/// Simultaneous failures that the system has to survive.
+/// Simultaneous failures that the system has to tolerate.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct FaultTolerance {
@@ -72,17 +72,18 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Bounds {
-    /// Time for which a machine has to be undisturbed before bounds apply to it, in milliseconds.
+    /// Time for which a machine has to be in contact with the others without a fault before the
+    /// bounds apply to it, in milliseconds.
     pub contact_ms: u64,
-    /// Time for a configuration to be in force everywhere, in milliseconds.
+    /// Time within which a configuration is in force everywhere, in milliseconds.
     pub config_apply_ms: u64,
-    /// Time for an operator's call to be acknowledged, in milliseconds.
+    /// Time within which an operator's call is acknowledged, in milliseconds.
     pub ack_timeout_ms: u64,
     /// Time within which a draining backend stops getting requests, in milliseconds.
     pub drain_timeout_ms: u64,
     /// Time from SIGTERM to SIGKILL, in seconds.
     pub grace_period_s: f64,
-    /// Retries for each request.
+    /// Retries permitted per request.
     pub retry_budget_ratio: f64,
     /// Window of the retry budget, in seconds.
     pub budget_window_s: f64,
@@ -90,7 +91,7 @@
     pub retry_budget_slack: f64,
     /// Time within which two holders of a lease must not alternate, in milliseconds.
     pub lease_ms: u64,
-    /// Time for new weights to be deployed everywhere, in milliseconds.
+    /// Time within which new weights are deployed everywhere, in milliseconds.
     pub version_ms: u64,
 }
 
@@ -128,7 +129,7 @@
     pub listen: Listen,
     /// First and last port for the protocol between routers.
     pub internal_port_range: (u16, u16),
-    /// Control addresses of some nodes.
+    /// Control addresses of the nodes that a starting node contacts first.
     pub seeds: Vec<SocketAddrV4>,
     /// Whether the whole system starts for the first time.
     #[serde(default)]
@@ -145,7 +146,7 @@
     /// Heartbeat interval of backends, in milliseconds.
     #[serde(default = "default_heartbeat_interval_ms")]
     pub heartbeat_interval_ms: u64,
-    /// Simultaneous failures to survive.
+    /// Simultaneous failures to tolerate.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
     /// Service-level objectives.
@@ -179,16 +180,17 @@
             .map_err(|error| value(error.path().to_string(), error.inner().to_string()))?;
         let (first, last) = settings.internal_port_range;
         if first == 0 || last < first {
-            let error = format!("[{first}, {last}] is no range: give the first and the last port");
+            let error =
+                format!("[{first}, {last}] is not a port range: give the first and the last port");
             return Err(value("internalPortRange".to_owned(), error));
         }
         if settings.seeds.is_empty() {
-            let error = "is empty: name the control address of one node at least".to_owned();
+            let error = "is empty: give the control address of at least one node".to_owned();
             return Err(value("seeds".to_owned(), error));
         }
         if settings.bounds.budget_window_s <= 0.0 {
             let error = format!(
-                "{} is no time: allowed is above 0",
+                "{} is not a valid duration: it must be greater than 0",
                 settings.bounds.budget_window_s
             );
             return Err(value("bounds.budgetWindowS".to_owned(), error));
@@ -201,7 +203,7 @@
         SocketAddrV4::new(self.ip_address, self.internal_port_range.0)
     }
 
-    /// The address for the protocol between routers of the node with this control address: all
+    /// The address for the protocol between routers of the node with this control address. All
     /// nodes use the same port.
     pub fn internal_address_of(&self, control: SocketAddrV4) -> SocketAddrV4 {
         SocketAddrV4::new(*control.ip(), self.internal_port_range.0)
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals of the platform, and graceful shutdown.
+//! Handling of the platform's signals, and graceful shutdown.
 
 use crate::fleet::Fleet;
 use crate::replica::handle::ReplicaHandle;
@@ -9,10 +9,10 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// After SIGTERM new connections are accepted for this long, as the platform takes two readiness
-/// checks to stop sending them.
+/// After SIGTERM new connections are accepted for this long, as the platform stops sending them
+/// only after two readiness checks.
 const DRAIN_DELAY: Duration = Duration::from_millis(2_300);
-/// Part of the grace period within which the shutdown has to complete.
+/// Fraction of the grace period within which the shutdown has to complete.
 const GRACE_RATIO: f64 = 0.9;
 
 /// Signals that the platform sends.
@@ -22,7 +22,7 @@
 }
 
 impl Signals {
-    /// Registers the handlers of the signals.
+    /// Registers the signal handlers.
     pub fn register() -> io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -31,8 +31,9 @@
     }
 }
 
-/// Waits for SIGTERM, keeps serving until the platform stops sending clients, and returns once
-/// every response is sent.
+/// Waits for SIGTERM, keeps accepting connections until the platform stops sending them, and
+/// returns once all responses are sent and other replicas have this node's data, or the grace
+/// period ends.
 pub async fn shut_down(
     fleet: &Fleet,
     settings: &Settings,
@@ -43,10 +44,10 @@
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => break,
-            _ = signals.hangup.recv() => log::info!("SIGHUP: nothing in the settings changes while the process runs"),
+            _ = signals.hangup.recv() => log::info!("SIGHUP is ignored: settings are not reloaded while the process runs"),
         }
     }
-    log::info!("SIGTERM: no new clients, open requests are finished");
+    log::info!("SIGTERM: shutting down, pending requests are completed");
     let grace = Duration::from_secs_f64(settings.bounds.grace_period_s * GRACE_RATIO);
     let started_at = Instant::now();
     fleet.begin_shutdown();
@@ -54,12 +55,12 @@
         replica.begin_shutdown().await;
     }
     tokio::time::sleep(DRAIN_DELAY.min(grace / 2)).await;
-    // The receiver is gone if the interface has failed.
+    // The receiver is dropped if the clients' interface has failed.
     let _ = stop.send(true);
     if let Some(clients) = clients {
-        let left = grace.saturating_sub(started_at.elapsed());
-        if tokio::time::timeout(left, clients).await.is_err() {
-            log::warn!("the grace period is over and requests are still open");
+        let remaining = grace.saturating_sub(started_at.elapsed());
+        if tokio::time::timeout(remaining, clients).await.is_err() {
+            log::warn!("the grace period is over and requests are still pending");
         }
     }
     if let Some(replica) = &fleet.replica {
@@ -67,22 +68,22 @@
     }
 }
 
-/// Waits until enough other replicas have this node's data, within the time limit.
+/// Waits until enough other replicas have this node's data, but no longer than the time limit.
 async fn wait_for_replication(replica: &ReplicaHandle, time_limit: Duration) {
-    const LOOK: Duration = Duration::from_millis(50);
+    const CHECK_INTERVAL: Duration = Duration::from_millis(50);
     let started_at = Instant::now();
     if !replica.can_shut_down() {
         log::info!(
-            "this node's copy of the control state is still needed: waiting for another one"
+            "this node's replica of the control state is still needed: waiting for other replicas to catch up"
         );
     }
     while !replica.can_shut_down() {
         if started_at.elapsed() >= time_limit {
             log::warn!(
-                "the grace period is over and this node's copy is still needed: start it again soon"
+                "the grace period is over and this node's replica is still needed: restart the node soon"
             );
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
--- a/router/src/socket.rs
+++ b/router/src/socket.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A connection fails once sent bytes stay unacknowledged for this long.
+/// A connection fails once sent bytes have been unacknowledged for this long (`TCP_USER_TIMEOUT`).
 pub const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Idle time before the first keep-alive probe, and time between two of them.
+/// Idle time before the first keep-alive probe, and interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Configures a socket to detect an unresponsive peer and to send small frames immediately.
+/// Configures a socket to detect an unresponsive peer, and to send small frames without delay.
 pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -4,7 +4,7 @@
 use crate::sync::lock;
 use serde_json::{Value as Json, json};
 
-/// Builds the report. Its keys are part of the operators' interface.
+/// Builds the report. Its keys are a stable interface for operators' tools.
 pub fn report(fleet: &Fleet) -> Json {
     let published = lock(&fleet.published);
     let directory = lock(&fleet.directory);
--- a/router/tests/disk.rs
+++ b/router/tests/disk.rs
@@ -341,10 +341,10 @@
     );
     assert!(
         problem("[7560,7575]", "[7575,7560]")
-            .contains("internalPortRange: [7575, 7560] is no range")
+            .contains("internalPortRange: [7575, 7560] is not a port range")
     );
     assert!(
-        problem("[\"10.0.0.1:8381\"]", "[]").contains("seeds: is empty: name the control address")
+        problem("[\"10.0.0.1:8381\"]", "[]").contains("seeds: is empty: give the control address")
     );
     assert!(
         problem("{\"leaseMs\":3000}", "{\"budgetWindowS\":0}").contains("bounds.budgetWindowS")
