--- a/bitternsill/src/cli.rs
+++ b/bitternsill/src/cli.rs
@@ -9,7 +9,7 @@
 use crate::limits::Limits;
 use crate::store::cli::{self as store_file, StoreCommand};
 use crate::{config, describe, serve};
-use ::router::cli::SystemCall;
+use ::router::cli::SystemCommand;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use serde_json::Value as Json;
 use std::ffi::OsString;
@@ -57,7 +57,7 @@
     },
     /// Ask a router of a fleet, or look at the files that it keeps.
     #[command(subcommand)]
-    System(SystemCall),
+    System(SystemCommand),
     /// Say whether an operator's file can be used, and where not.
     Check {
         /// A set-up, the platform's configuration, or an OpenAPI or AsyncAPI description in JSON.
@@ -212,7 +212,7 @@
             Ok(()) => ExitCode::SUCCESS,
             Err(problem) => failed(&problem),
         },
-        Command::System(call) => match router::cli::ask(&call) {
+        Command::System(call) => match router::cli::execute(&call) {
             Ok(words) => print(format_args!("{words}")),
             Err(problem) => failed(&problem),
         },
--- a/router/src/cli.rs
+++ b/router/src/cli.rs
@@ -18,7 +18,7 @@
 
 /// Queries to a router and to data directories.
 #[derive(Debug, Subcommand)]
-pub enum SystemCall {
+pub enum SystemCommand {
     /// Show the configuration, primary and weights that a router knows.
     Status(RouterArgs),
     /// List the members of the fleet that a router knows.
@@ -31,7 +31,7 @@
     Configuration(RouterArgs),
     /// Inspect a data directory; a router may be running on it.
     #[command(subcommand)]
-    Storage(StorageCall),
+    Storage(StorageCommand),
 }
 
 /// Arguments of commands that query a router.
@@ -47,7 +47,7 @@
 
 /// Queries to a data directory.
 #[derive(Debug, Subcommand)]
-pub enum StorageCall {
+pub enum StorageCommand {
     /// Check the records, and report where they are corrupt.
     Verify {
         /// The data directory.
@@ -62,7 +62,7 @@
 
 /// Why a query failed.
 #[derive(Debug, Error)]
-pub enum CallError {
+pub enum CommandError {
     /// The router does not respond.
     #[error("{at} does not respond: {error}; check the address, or query another router")]
     Unreachable {
@@ -95,20 +95,20 @@
 }
 
 /// Runs a query and returns its output.
-pub fn ask(call: &SystemCall) -> Result<String, CallError> {
-    match call {
-        SystemCall::Status(args) => status(args),
-        SystemCall::Members(args) => table(
+pub fn execute(command: &SystemCommand) -> Result<String, CommandError> {
+    match command {
+        SystemCommand::Status(args) => status(args),
+        SystemCommand::Members(args) => table(
             args,
             "members",
             &["name", "zone", "status", "incarnation", "replica"],
         ),
-        SystemCall::Backends(args) => table(
+        SystemCommand::Backends(args) => table(
             args,
             "backends",
             &["id", "service", "address", "zone", "phase", "silent"],
         ),
-        SystemCall::Traffic(args) => table(
+        SystemCommand::Traffic(args) => table(
             args,
             "traffic",
             &[
@@ -119,17 +119,17 @@
                 "bytesReceived",
             ],
         ),
-        SystemCall::Configuration(args) => get(args.at, "/v1/configuration/read"),
-        SystemCall::Storage(StorageCall::Verify { folder }) => verify(folder),
-        SystemCall::Storage(StorageCall::Show { folder }) => show(folder),
+        SystemCommand::Configuration(args) => get(args.at, "/v1/configuration/read"),
+        SystemCommand::Storage(StorageCommand::Verify { folder }) => verify(folder),
+        SystemCommand::Storage(StorageCommand::Show { folder }) => show(folder),
     }
 }
 
-fn get(at: SocketAddrV4, path: &str) -> Result<String, CallError> {
+fn get(at: SocketAddrV4, path: &str) -> Result<String, CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let unreachable = |error| CallError::Unreachable { at, error };
+    let unreachable = |error| CommandError::Unreachable { at, error };
     runtime.block_on(async {
         let client = reqwest::Client::builder()
             .no_proxy()
@@ -146,17 +146,17 @@
         if status == 200 {
             Ok(text)
         } else {
-            Err(CallError::Refused { at, status, text })
+            Err(CommandError::Refused { at, status, text })
         }
     })
 }
 
-fn report(args: &RouterArgs) -> Result<Json, CallError> {
+fn report(args: &RouterArgs) -> Result<Json, CommandError> {
     let text = get(args.at, "/v1/status")?;
     Ok(serde_json::from_str(&text).unwrap_or(Json::Null))
 }
 
-fn status(args: &RouterArgs) -> Result<String, CallError> {
+fn status(args: &RouterArgs) -> Result<String, CommandError> {
     let report = report(args)?;
     if args.json {
         return Ok(report.to_string());
@@ -176,7 +176,7 @@
     Ok(text.trim_end().to_owned())
 }
 
-fn table(args: &RouterArgs, key: &str, columns: &[&str]) -> Result<String, CallError> {
+fn table(args: &RouterArgs, key: &str, columns: &[&str]) -> Result<String, CommandError> {
     let report = report(args)?;
     if args.json {
         return Ok(report[key].to_string());
@@ -198,8 +198,8 @@
     }
 }
 
-fn verify(folder: &Path) -> Result<String, CallError> {
-    let recovered = disk::read(folder)?.ok_or_else(|| CallError::Empty(folder.to_owned()))?;
+fn verify(folder: &Path) -> Result<String, CommandError> {
+    let recovered = disk::read(folder)?.ok_or_else(|| CommandError::Empty(folder.to_owned()))?;
     Ok(format!(
         "{} is valid: disk {:016x}, change {}",
         folder.display(),
@@ -208,8 +208,8 @@
     ))
 }
 
-fn show(folder: &Path) -> Result<String, CallError> {
-    let recovered = disk::read(folder)?.ok_or_else(|| CallError::Empty(folder.to_owned()))?;
+fn show(folder: &Path) -> Result<String, CommandError> {
+    let recovered = disk::read(folder)?.ok_or_else(|| CommandError::Empty(folder.to_owned()))?;
     let mut text = format!("disk: {:016x}\n", recovered.disk);
     // Writing to a string does not fail.
     let _ = writeln!(
--- a/router/tests/disk.rs
+++ b/router/tests/disk.rs
@@ -4,7 +4,7 @@
 use control::state::{Position, Update};
 use control::storage::{AcceptedV1, ProposalNumberV1, Record, Recovered, VotesV1};
 use control::view::{ReplicaId, View};
-use router::cli::{self, SystemCall};
+use router::cli::{self, SystemCommand};
 use router::disk::{self, Disk, DiskError};
 use router::settings::{Settings, SettingsError};
 use std::collections::BTreeSet;
@@ -140,10 +140,10 @@
         text.contains("segment-00000001: record at byte 0 is damaged") && text.contains("rejoins"),
         "{text}"
     );
-    let asked = SystemCall::Storage(cli::StorageCall::Verify {
+    let asked = SystemCommand::Storage(cli::StorageCommand::Verify {
         folder: folder.0.clone(),
     });
-    assert_eq!(cli::ask(&asked).unwrap_err().to_string(), text);
+    assert_eq!(cli::execute(&asked).unwrap_err().to_string(), text);
     // A node that starts there moves the records aside, repeatedly if need be, and rejoins as one
     // that lost its disk.
     for _ in 0..2 {
@@ -159,20 +159,20 @@
 fn shows_contents_of_data_directory() {
     let folder = Folder::new("show");
     write(&folder.0, &disk::empty(7), 1..4, 1);
-    let asked = SystemCall::Storage(cli::StorageCall::Show {
+    let asked = SystemCommand::Storage(cli::StorageCommand::Show {
         folder: folder.0.clone(),
     });
-    let text = cli::ask(&asked).unwrap();
+    let text = cli::execute(&asked).unwrap();
     assert!(
         text.contains("change: 2 of epoch 1") && text.contains("weights of m: version 2"),
         "{text}"
     );
     let empty = Folder::new("empty");
-    let asked = SystemCall::Storage(cli::StorageCall::Show {
+    let asked = SystemCommand::Storage(cli::StorageCommand::Show {
         folder: empty.0.clone(),
     });
     assert!(
-        cli::ask(&asked)
+        cli::execute(&asked)
             .unwrap_err()
             .to_string()
             .contains("holds no records")
