--- a/router/tests/abandoned_requests.rs
+++ b/router/tests/abandoned_requests.rs
@@ -1,12 +1,9 @@
-//! Requests that are abandoned while they are delayed on their way to a backend.
+//! Requests that are abandoned while they are delayed in transit to a backend.
 //!
-//! Incident: a backend started a request seconds after its client had disconnected. The network
-//! path to the backend had been partitioned when the request was sent. Once it had healed, the
-//! kernel of the router's machine delivered the buffered bytes and then closed the connection. Late
-//! orders for weights had the same cause: abandoning a call here does not revoke its bytes.
-//!
-//! Evidence: a path that delays bytes, and drops them only if the sender has reset the connection,
-//! delivered the complete request.
+//! Guards against a backend that starts a request seconds after its client has disconnected. If the
+//! path to the backend is partitioned while a request is sent, closing the connection does not
+//! revoke the buffered bytes: the kernel delivers them once the path has healed. Only a reset of
+//! the connection discards them. Late orders for weights had the same cause.
 
 mod common;
 
@@ -19,45 +16,52 @@
 
 /// A partitioned network path to a backend. Once it heals, buffered bytes arrive, unless their
 /// sender has reset the connection.
-struct Delayed {
+struct PartitionedPath {
     address: SocketAddrV4,
     /// A permit for each connection on which bytes were sent.
     sent: Arc<Semaphore>,
     /// A permit for each connection that its sender has ended.
     ended: Arc<Semaphore>,
-    heals: Arc<Semaphore>,
-    /// A permit for each connection that was delivered completely after the path healed.
-    carried: Arc<Semaphore>,
+    /// A permit for each connection on which the path heals.
+    healed: Arc<Semaphore>,
+    /// A permit for each connection whose buffered bytes were delivered or dropped after the path
+    /// healed.
+    delivered: Arc<Semaphore>,
 }
 
-impl Delayed {
-    async fn before(backend: &FakeBackend) -> Self {
+impl PartitionedPath {
+    async fn to(backend: &FakeBackend) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
             unreachable!()
         };
         let permits = || Arc::new(Semaphore::new(0));
-        let path = Delayed {
+        let path = PartitionedPath {
             address,
             sent: permits(),
             ended: permits(),
-            heals: permits(),
-            carried: permits(),
+            healed: permits(),
+            delivered: permits(),
         };
         let (sent, ended) = (path.sent.clone(), path.ended.clone());
-        let (heals, carried, target) = (path.heals.clone(), path.carried.clone(), backend.address);
+        let (healed, delivered, target) =
+            (path.healed.clone(), path.delivered.clone(), backend.address);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (sent, ended, heals, carried) =
-                    (sent.clone(), ended.clone(), heals.clone(), carried.clone());
+                let (sent, ended, healed, delivered) = (
+                    sent.clone(),
+                    ended.clone(),
+                    healed.clone(),
+                    delivered.clone(),
+                );
                 tokio::spawn(async move {
                     stream.readable().await.unwrap();
                     sent.add_permits(1);
                     has_ended(&stream).await;
                     ended.add_permits(1);
-                    heals.acquire().await.unwrap().forget();
+                    healed.acquire().await.unwrap().forget();
                     deliver(stream, target).await;
-                    carried.add_permits(1);
+                    delivered.add_permits(1);
                 });
             }
         });
@@ -101,7 +105,7 @@
 #[tokio::test]
 async fn abandoned_request_never_reaches_backend() {
     let backend = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
-    let path = Delayed::before(&backend).await;
+    let path = PartitionedPath::to(&backend).await;
     let router = Router::start(&[]).await;
     register_at(
         &router.fleet,
@@ -115,7 +119,7 @@
     wait_for(&path.sent).await;
     drop(client);
     wait_for(&path.ended).await;
-    path.heals.add_permits(1);
-    wait_for(&path.carried).await;
+    path.healed.add_permits(1);
+    wait_for(&path.delivered).await;
     assert_eq!(backend.count(), 0, "requests that reached the backend");
 }
--- a/router/tests/common/model_backend.rs
+++ b/router/tests/common/model_backend.rs
@@ -1,7 +1,7 @@
-//! A fake model backend that accepts orders by the published protocol: it rejects an order with a
-//! lower fencing token than one it has seen, and an order conditional on another number of accepted
-//! orders. It carries out all others, including orders for an older version. The path to it can
-//! lose the response to an order, and deliver the order itself later.
+//! A fake model backend that implements the published protocol of orders: it rejects an order with
+//! a lower fencing token than it has seen, and an order that is conditional on another number of
+//! accepted orders. It executes all others, including orders for an older version. It can also
+//! simulate a network that loses the response to an order and delivers the order later.
 
 use super::{answer, header, read_request, success};
 use serde_json::Value;
@@ -14,10 +14,10 @@
 #[derive(Debug)]
 struct State {
     version: u64,
-    taken_orders: u64,
+    accepted_orders: u64,
     highest_fencing_token: u64,
-    /// Number of the next orders that are delayed in transit.
-    holds_up: usize,
+    /// How many of the next orders are delayed in transit.
+    orders_to_delay: usize,
     delayed: Vec<String>,
     requests: Vec<String>,
 }
@@ -30,7 +30,7 @@
 }
 
 impl ModelBackend {
-    /// Creates a backend with a version of the weights of model `m`.
+    /// Starts a backend with a version of the weights of model `m`.
     pub async fn start(version: u64) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
@@ -39,9 +39,9 @@
         let (delayed, requests) = (Vec::new(), Vec::new());
         let state = State {
             version,
-            taken_orders: 0,
+            accepted_orders: 0,
             highest_fencing_token: 0,
-            holds_up: 0,
+            orders_to_delay: 0,
             delayed,
             requests,
         };
@@ -62,8 +62,8 @@
         self.state.lock().unwrap().version
     }
 
-    pub fn taken_orders(&self) -> u64 {
-        self.state.lock().unwrap().taken_orders
+    pub fn accepted_orders(&self) -> u64 {
+        self.state.lock().unwrap().accepted_orders
     }
 
     /// Paths of requests that were neither orders nor reports.
@@ -71,26 +71,27 @@
         self.state.lock().unwrap().requests.clone()
     }
 
-    /// Changes the version of its weights, whatever the cause.
-    pub fn has_version(&self, version: u64) {
+    /// Changes the version of the weights without an order.
+    pub fn set_version(&self, version: u64) {
         self.state.lock().unwrap().version = version;
     }
 
-    /// Delays the next orders in transit.
-    pub fn hold_up_orders(&self, count: usize) {
-        self.state.lock().unwrap().holds_up = count;
+    /// Delays this number of next orders in transit.
+    pub fn delay_orders(&self, count: usize) {
+        self.state.lock().unwrap().orders_to_delay = count;
     }
 
-    /// Number of orders that are delayed now.
+    /// Number of orders that are delayed in transit now.
     pub fn delayed_orders(&self) -> usize {
         self.state.lock().unwrap().delayed.len()
     }
 
     /// Delivers the delayed orders. Returns the status of each response.
-    pub fn deliver_late_orders(&self) -> Vec<u16> {
+    pub fn deliver_delayed_orders(&self) -> Vec<u16> {
         let mut state = self.state.lock().unwrap();
-        let late = std::mem::take(&mut state.delayed);
-        late.iter()
+        let delayed = std::mem::take(&mut state.delayed);
+        delayed
+            .iter()
             .map(|order| state.observe_order(order))
             .collect()
     }
@@ -117,8 +118,8 @@
         let mut state = self.state.lock().unwrap();
         let path = request.split(' ').nth(1).unwrap_or_default();
         match path {
-            "/v1/order" if state.holds_up > 0 => {
-                state.holds_up -= 1;
+            "/v1/order" if state.orders_to_delay > 0 => {
+                state.orders_to_delay -= 1;
                 state.delayed.push(request.to_owned());
                 None
             }
@@ -147,7 +148,7 @@
         self.highest_fencing_token = fencing_token;
         if order["ifRevision"]
             .as_u64()
-            .is_some_and(|expected| expected != self.taken_orders)
+            .is_some_and(|expected| expected != self.accepted_orders)
         {
             return 409;
         }
@@ -155,13 +156,13 @@
             return 200;
         }
         self.version = version;
-        self.taken_orders += 1;
+        self.accepted_orders += 1;
         202
     }
 
     fn report(&self) -> String {
         let models = serde_json::json!([{"name": "m", "version": self.version, "adapters": []}]);
-        serde_json::json!({"models": models, "busy": false, "sequence": self.taken_orders})
+        serde_json::json!({"models": models, "busy": false, "sequence": self.accepted_orders})
             .to_string()
     }
 
--- a/router/tests/delayed_orders.rs
+++ b/router/tests/delayed_orders.rs
@@ -1,18 +1,12 @@
 //! Orders for new weights that were abandoned and arrive late, and backends that have older weights
 //! again.
 //!
-//! Incident: at the end of a day a fifth of the backends had an older version of their weights, and
-//! a tenth of the requests was rejected. All of these backends had accepted the order for the
-//! latest version seconds before, and had begun to serve it. The order for the previous version had
-//! got no response in time: it was in transit all the while, arrived when the newer one was
-//! completed, and rolled the backend back. No order was repeated, and all routers went on to
-//! request the latest version, which the backend rejected.
-//!
-//! Evidence: in each of three rounds the backends that were rolled back (18, 23 and 21) were among
-//! those whose last order but one had got no response, and no other backend was; under one fencing
-//! token, and without any restart. The metrics counted each of them as having the latest version to
-//! the end of the day: a completed order outranked heartbeats, and a router's own record of a
-//! backend's version could only rise.
+//! Guards against backends that stay on an older version and reject requests (a fifth of the
+//! backends and a tenth of the requests in the incident). An order that got no response in time can
+//! still be in transit, arrive under the same fencing token after a newer order has completed, and
+//! roll the backend back. The rollback went unnoticed because a completed order outranked
+//! heartbeats and a router's record of a backend's version could only rise: no order was repeated,
+//! and routers went on requesting the latest version.
 
 mod common;
 
@@ -40,7 +34,7 @@
     orders: JoinHandle<()>,
 }
 
-/// A node with a replica that stays current for as long as a test takes.
+/// A node with a replica that remains current for the whole test.
 fn node() -> (Arc<Fleet>, ReplicaHandle) {
     let id = ReplicaId {
         disk: 1,
@@ -76,13 +70,13 @@
         Leader { fleet, orders }
     }
 
-    fn name_version(&self, version: u64) {
-        name_version(&self.fleet, version);
+    fn announce_version(&self, version: u64) {
+        announce_version(&self.fleet, version);
     }
 
     /// Waits until the directory states that the backend's order for a version is completed.
-    async fn is_done(&self, version: u64) {
-        until("the order is done", || {
+    async fn wait_until_done(&self, version: u64) {
+        wait_until("the order is completed", || {
             self.order().is_some_and(|order| is_done(&order, version))
         })
         .await;
@@ -103,7 +97,7 @@
     order.version == version && order.phase == OrderPhase::Done
 }
 
-fn name_version(fleet: &Fleet, version: u64) {
+fn announce_version(fleet: &Fleet, version: u64) {
     let weights = BTreeMap::from([(
         "m".into(),
         WeightsTarget {
@@ -115,23 +109,23 @@
         index: version,
         epoch: 1,
     };
-    let named = PublishedState {
+    let state = PublishedState {
         position,
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().apply_update(named));
+    assert!(fleet.published.lock().unwrap().apply_update(state));
 }
 
-async fn until(what: &str, is_so: impl Fn() -> bool) {
-    let so = async {
-        while !is_so() {
+async fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let polling = async {
+        while !condition() {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, so)
+    tokio::time::timeout(PATIENCE, polling)
         .await
-        .unwrap_or_else(|_| panic!("in time: {what}"));
+        .unwrap_or_else(|_| panic!("timed out waiting until {description}"));
 }
 
 /// The order for version 2 is delayed in transit, version 3 is announced and loaded, and then the
@@ -139,53 +133,53 @@
 #[tokio::test]
 async fn late_order_does_not_roll_back_backend() {
     let backend = ModelBackend::start(1).await;
-    backend.hold_up_orders(1);
+    backend.delay_orders(1);
     let leader = Leader::start();
     assert!(heartbeat(&leader.fleet, 0, backend.address, 1, 1).await);
-    leader.name_version(2);
-    until("the first order is on its way", || {
+    leader.announce_version(2);
+    wait_until("the first order is in transit", || {
         backend.delayed_orders() == 1
     })
     .await;
-    leader.name_version(3);
-    leader.is_done(3).await;
+    leader.announce_version(3);
+    leader.wait_until_done(3).await;
     assert_eq!(backend.version(), 3);
-    let answers = backend.deliver_late_orders();
+    let answers = backend.deliver_delayed_orders();
     assert_eq!(
         (answers, backend.version()),
         (vec![409], 3),
-        "the late order, and the version behind it"
+        "response to the late order, and the version after it"
     );
 }
 
-/// Heartbeats with an older version are believed, whatever rolled the backend back, and whether or
-/// not they stated the newer version in between.
+/// A heartbeat with an older version leads to another order, whatever rolled the backend back, and
+/// whether or not a heartbeat has reported the newer version in between.
 #[tokio::test]
 async fn reorders_backend_that_reports_older_version() {
-    for tells_newer in [true, false] {
+    for reports_newer in [true, false] {
         let backend = ModelBackend::start(1).await;
         let leader = Leader::start();
         assert!(heartbeat(&leader.fleet, 0, backend.address, 1, 1).await);
-        leader.name_version(2);
-        leader.is_done(2).await;
-        if tells_newer {
+        leader.announce_version(2);
+        leader.wait_until_done(2).await;
+        if reports_newer {
             assert!(heartbeat(&leader.fleet, 0, backend.address, 2, 2).await);
         }
-        backend.has_version(1);
+        backend.set_version(1);
         assert!(heartbeat(&leader.fleet, 0, backend.address, 3, 1).await);
-        until("it is brought to the version again", || {
+        wait_until("the backend has the version again", || {
             backend.version() == 2
         })
         .await;
-        assert_eq!(backend.taken_orders(), 2);
+        assert_eq!(backend.accepted_orders(), 2);
     }
 }
 
-/// A router that overestimates the version of a backend sends it requests that it rejects, for as
-/// long as it does so.
+/// A router that assumes too high a version of a backend sends it requests that the backend
+/// rejects, for as long as the assumption holds.
 #[tokio::test]
 async fn routes_by_latest_reported_version() {
-    for tells_newer in [true, false] {
+    for reports_newer in [true, false] {
         let backend = ModelBackend::start(1).await;
         let router = Router::start_on(node().0, CONFIGURATION, &[]).await;
         let done = Order {
@@ -199,23 +193,23 @@
         router
             .fleet
             .put(Key::Order("i-0".into()), Value::Order(done));
-        backend.has_version(2);
-        if tells_newer {
+        backend.set_version(2);
+        if reports_newer {
             assert!(heartbeat(&router.fleet, 0, backend.address, 2, 2).await);
         }
         router.table.refresh(&router.fleet);
         assert_eq!(
             ask(&router).await,
             "200",
-            "it has the version that its order brought"
+            "the backend has the version of its completed order"
         );
-        backend.has_version(1);
+        backend.set_version(1);
         assert!(heartbeat(&router.fleet, 0, backend.address, 3, 1).await);
         router.table.refresh(&router.fleet);
         assert_eq!(
             ask(&router).await,
             "200",
-            "it has older weights again, and says so"
+            "the backend has older weights again and reports them"
         );
     }
 }
--- a/router/tests/disk.rs
+++ b/router/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The data directory and the settings file: recovery, and errors for invalid contents.
+//! The data directory and the settings file: recovery, and errors about invalid contents.
 
 use control::changes::Change;
 use control::state::{Position, Update};
@@ -140,12 +140,12 @@
         text.contains("segment-00000001: record at byte 0 is damaged") && text.contains("rejoins"),
         "{text}"
     );
-    let asked = SystemCommand::Storage(cli::StorageCommand::Verify {
+    let command = SystemCommand::Storage(cli::StorageCommand::Verify {
         folder: folder.0.clone(),
     });
-    assert_eq!(cli::execute(&asked).unwrap_err().to_string(), text);
-    // A node that starts there moves the records aside, repeatedly if need be, and rejoins as one
-    // that lost its disk.
+    assert_eq!(cli::execute(&command).unwrap_err().to_string(), text);
+    // A node that starts with this directory quarantines the records, also repeatedly, and rejoins
+    // like one that lost its disk.
     for _ in 0..2 {
         assert!(disk::read_or_quarantine(&folder.0).unwrap().is_none());
         assert_eq!(folder.files(), ["damaged"]);
@@ -159,27 +159,27 @@
 fn shows_contents_of_data_directory() {
     let folder = Folder::new("show");
     write(&folder.0, &disk::empty(7), 1..4, 1);
-    let asked = SystemCommand::Storage(cli::StorageCommand::Show {
+    let command = SystemCommand::Storage(cli::StorageCommand::Show {
         folder: folder.0.clone(),
     });
-    let text = cli::execute(&asked).unwrap();
+    let text = cli::execute(&command).unwrap();
     assert!(
         text.contains("change: 2 of epoch 1") && text.contains("weights of m: version 2"),
         "{text}"
     );
     let empty = Folder::new("empty");
-    let asked = SystemCommand::Storage(cli::StorageCommand::Show {
+    let command = SystemCommand::Storage(cli::StorageCommand::Show {
         folder: empty.0.clone(),
     });
     assert!(
-        cli::execute(&asked)
+        cli::execute(&command)
             .unwrap_err()
             .to_string()
             .contains("holds no records")
     );
 }
 
-/// All files of a folder, to restore them.
+/// The contents of all files of a folder.
 fn contents(folder: &Folder) -> Vec<(PathBuf, Vec<u8>)> {
     let paths = folder.files().into_iter().map(|name| folder.0.join(name));
     paths
@@ -188,8 +188,8 @@
 }
 
 /// A power loss truncates the last write of a segment. A truncated snapshot, or a truncated segment
-/// before others, has lost synced data and is corrupt. Nothing that is read is older than what the
-/// truncation leaves.
+/// before others, has lost synced data and is corrupt. Recovery keeps all records before the
+/// truncation.
 #[test]
 fn truncation_loses_only_unsynced_records() {
     let folder = Folder::new("cut");
@@ -208,7 +208,10 @@
             fs::write(&path, &bytes[..length]).unwrap();
             match disk::read(&folder.0) {
                 Ok(Some(found)) => {
-                    assert!(!is_snapshot, "a snapshot of {length} bytes was read");
+                    assert!(
+                        !is_snapshot,
+                        "a truncated snapshot of {length} bytes was accepted"
+                    );
                     let index = found.tail.as_ref().map_or(0, |tail| tail.position.index);
                     assert!(
                         index >= 5 && index >= last,
@@ -217,7 +220,7 @@
                     last = index;
                 }
                 Ok(None) => panic!(
-                    "{} of {length} bytes passes for an empty folder",
+                    "{} truncated to {length} bytes was read as an empty folder",
                     path.display()
                 ),
                 Err(problem) => {
@@ -238,7 +241,7 @@
     let segment = folder.0.join("segment-00000001");
     let bytes = fs::read(&segment).unwrap();
     fs::write(&segment, &bytes[..bytes.len() - 1]).unwrap();
-    // A segment that was created for a snapshot which was not completed is empty.
+    // An empty segment was created for a snapshot that was not completed.
     fs::write(folder.0.join("segment-00000002"), b"").unwrap();
     assert_eq!(
         disk::read(&folder.0)
@@ -303,7 +306,7 @@
     assert_eq!(
         in_progress.promised.map(|number| number.round),
         Some(4),
-        "the higher one holds"
+        "the higher promise counts"
     );
     // The indexes of the records on disk are stable.
     assert_eq!(
@@ -333,7 +336,7 @@
     );
     assert!(
         !settings.has_replica(),
-        "without a data directory it holds no replica"
+        "a node without a data directory has no replica"
     );
     assert!(
         problem("\"10.0.0.1:80\"", "\"here\"")
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of backends: their destinations and effects.
+//! Heartbeats and deregistrations of backends: where they are sent, and their effects.
 
 use control::Millis;
 use control::directory::{
@@ -43,11 +43,11 @@
 
 /// Node 1 in zone a, with nodes 2 and 3; nodes 4 and 5 are in zone b. All have replicas.
 fn fleet() -> Arc<Fleet> {
-    // The node stays current for as long as the test takes.
-    fleet_in_touch_at(Some(router::clock::now() + 60_000))
+    // The node remains current for the whole test.
+    fleet_current_at(Some(router::clock::now() + 60_000))
 }
 
-fn fleet_in_touch_at(current_at: Option<Millis>) -> Arc<Fleet> {
+fn fleet_current_at(current_at: Option<Millis>) -> Arc<Fleet> {
     let text = r#"{"nodeName":"n1","ipAddress":"10.0.0.1","zone":"a","listen":{"controlPlane":"10.0.0.1:8381"},
         "internalPortRange":[7560,7575],"seeds":["10.0.0.1:8381"]}"#;
     let settings = Settings::parse(Path::new("settings.json"), text.as_bytes()).expect("settings");
@@ -97,7 +97,7 @@
     let reported = fleet
         .register(id.into(), backend(zone, sequence, BackendPhase::Ready))
         .await;
-    reported.expect("it is acknowledged").expect("an address")
+    reported.expect("an acknowledgement").expect("an address")
 }
 
 async fn spread(fleet: &Fleet, zone: &str) -> BTreeMap<SocketAddrV4, u32> {
@@ -135,7 +135,7 @@
     assert_eq!(
         nowhere.keys().copied().collect::<Vec<_>>(),
         [address(1, 8381)],
-        "nobody is nearer"
+        "this node, as the zone has no replica"
     );
 }
 
@@ -153,7 +153,7 @@
         assert_ne!(now, address(2, 8381));
         assert!(
             former == address(2, 8381) || now == former,
-            "{id} was moved without need"
+            "{id} was reassigned although its replica is up"
         );
     }
 }
@@ -164,7 +164,11 @@
     heartbeat(&fleet, "i", "a", 5).await;
     let changes = fleet.change_count();
     heartbeat(&fleet, "i", "a", 6).await;
-    assert_eq!(fleet.change_count(), changes, "it only counts up");
+    assert_eq!(
+        fleet.change_count(),
+        changes,
+        "only the sequence number is new"
+    );
     let late = backend("a", 3, BackendPhase::Draining);
     fleet.register("i".into(), late).await;
     let phase = |fleet: &Fleet| match fleet
@@ -179,7 +183,7 @@
     assert_eq!(
         phase(&fleet),
         BackendPhase::Ready,
-        "a later heartbeat is known"
+        "the late heartbeat is ignored"
     );
     fleet
         .register("i".into(), backend("a", u64::MAX, BackendPhase::Gone))
@@ -188,12 +192,12 @@
     assert_eq!(
         phase(&fleet),
         BackendPhase::Gone,
-        "who has left does not come back under its id"
+        "a deregistered backend can't rejoin under the same id"
     );
 }
 
-/// A replica node pulls, which shows what it knows.
-async fn pulls(fleet: &Arc<Fleet>, number: u8, vector: &VersionVector) {
+/// Sends a pull of a replica node, which states the records that it has.
+async fn pull_from(fleet: &Arc<Fleet>, number: u8, vector: &VersionVector) {
     let request = Request::Pull(PullRequest {
         name: format!("n{number}").into(),
         member: member(number, "a", MemberStatus::Up),
@@ -204,7 +208,7 @@
         wait_ms: 0,
         missing: Vec::new(),
     });
-    fleet.clone().handle(request).await.expect("an answer");
+    fleet.clone().handle(request).await.expect("a response");
 }
 
 fn vector_of(fleet: &Fleet) -> VersionVector {
@@ -217,19 +221,24 @@
         let fleet = fleet();
         heartbeat(&fleet, "i", "a", 1).await;
         let before = vector_of(&fleet);
-        let mut ended = Box::pin(fleet.register("i".into(), backend("a", 2, phase)));
+        let mut acknowledgement = Box::pin(fleet.register("i".into(), backend("a", 2, phase)));
         assert!(
-            (&mut ended).now_or_never().is_none(),
-            "this node alone knows"
+            (&mut acknowledgement).now_or_never().is_none(),
+            "only this node has the record"
         );
         let after = vector_of(&fleet);
-        pulls(&fleet, 2, &after).await;
-        pulls(&fleet, 3, &before).await;
-        assert!((&mut ended).now_or_never().is_none(), "two of five know");
-        pulls(&fleet, 3, &after).await;
-        let acknowledged = ended.now_or_never().expect("three of five know");
+        pull_from(&fleet, 2, &after).await;
+        pull_from(&fleet, 3, &before).await;
+        assert!(
+            (&mut acknowledgement).now_or_never().is_none(),
+            "two of five voters have it"
+        );
+        pull_from(&fleet, 3, &after).await;
+        let acknowledged = acknowledgement
+            .now_or_never()
+            .expect("three of five voters have it");
         assert!(acknowledged.is_some());
-        // The heartbeat is repeated: what a majority knows is acknowledged immediately.
+        // A repetition is acknowledged immediately, as a majority has the record.
         let again = fleet.register("i".into(), backend("a", 3, phase));
         assert!(again.now_or_never().is_some_and(|again| again.is_some()));
     }
@@ -239,18 +248,18 @@
 async fn rejects_deregistration_without_majority() {
     let fleet = fleet();
     heartbeat(&fleet, "i", "a", 1).await;
-    pulls(&fleet, 2, &vector_of(&fleet)).await;
+    pull_from(&fleet, 2, &vector_of(&fleet)).await;
     let draining = backend("a", 2, BackendPhase::Draining);
     assert_eq!(fleet.register("i".into(), draining.clone()).await, None);
     assert_eq!(
         fleet.register("i".into(), draining).await,
         None,
-        "neither is the same said again"
+        "nor is its repetition acknowledged"
     );
 }
 
-/// Another node accepted the heartbeat first, and this one learned of it by a pull, which does not
-/// prove that a majority knows.
+/// Another node accepted the deregistration first, and this node got it by a pull, which does not
+/// prove that a majority has it.
 #[tokio::test(start_paused = true)]
 async fn foreign_deregistration_waits_for_majority() {
     let fleet = fleet();
@@ -270,41 +279,41 @@
         .lock()
         .expect("sound")
         .merge(vec![record], &vector);
-    let said_here = Backend {
+    let received_here = Backend {
         owner: "n1".into(),
         ..draining
     };
-    let mut ended = Box::pin(fleet.register("i".into(), said_here));
-    assert!((&mut ended).now_or_never().is_none());
+    let mut acknowledgement = Box::pin(fleet.register("i".into(), received_here));
+    assert!((&mut acknowledgement).now_or_never().is_none());
     let after = vector_of(&fleet);
-    pulls(&fleet, 4, &after).await;
-    pulls(&fleet, 5, &after).await;
-    assert!(ended.await.is_some());
+    pull_from(&fleet, 4, &after).await;
+    pull_from(&fleet, 5, &after).await;
+    assert!(acknowledgement.await.is_some());
 }
 
 #[tokio::test]
 async fn partitioned_minority_rejects_heartbeats() {
-    let fleet = fleet_in_touch_at(None);
+    let fleet = fleet_current_at(None);
     let ready = || backend("a", 1, BackendPhase::Ready);
     assert_eq!(
         fleet.register("i".into(), ready()).await,
         None,
-        "its sender goes to another node"
+        "the backend has to try another node"
     );
-    pulls(&fleet, 2, &VersionVector::new()).await;
+    pull_from(&fleet, 2, &VersionVector::new()).await;
     assert_eq!(
         fleet.register("i".into(), ready()).await,
         None,
-        "two of five"
+        "two of five voters are connected"
     );
-    pulls(&fleet, 4, &VersionVector::new()).await;
+    pull_from(&fleet, 4, &VersionVector::new()).await;
     assert!(
         fleet.register("i".into(), ready()).await.is_some(),
-        "three of five are parted from two"
+        "three of five voters are connected"
     );
 }
 
-/// Whether this node marks a backend as unresponsive whose owner is down.
+/// Returns whether this node marks a backend as unresponsive whose owner is down.
 fn marks_unresponsive(fleet: &Fleet) -> bool {
     let owned = Backend {
         owner: "n2".into(),
@@ -325,27 +334,26 @@
     }
 }
 
-/// Incident: a control machine was partitioned for some seconds. Once the partition had healed,
-/// backends whose heartbeats other nodes had received all the time were unresponsive for the whole
-/// fleet, and got neither requests nor new weights until their next heartbeats. Cause: a
-/// partitioned node receives neither the heartbeats of its backends nor those of the nodes that do,
-/// took both for down, and its records outranked the others' afterwards.
+/// Guards against backends without requests and new weights after a partition has healed. A
+/// partitioned node receives neither its backends' heartbeats nor those of the nodes that now
+/// receive them. If it marks these backends as unresponsive, its records outrank those of the other
+/// nodes afterwards, until the backends' next heartbeats.
 #[tokio::test]
 async fn partitioned_node_marks_no_backend_unresponsive() {
     assert!(
         marks_unresponsive(&fleet()),
-        "in touch it does, also for a node that is down"
+        "a connected node marks it, also if its owner is down"
     );
     assert!(
-        !marks_unresponsive(&fleet_in_touch_at(None)),
-        "cut off it can't tell"
+        !marks_unresponsive(&fleet_current_at(None)),
+        "a partitioned node can't tell"
     );
 }
 
-/// Found in review, beside backends that were rolled back; not seen in service. A backend has other
-/// weights for a moment, or revokes its draining. A heartbeat of that moment arrives late, and the
-/// fleet believes it until the next one. Cause: heartbeats with only a new sequence number are not
-/// written to the directory, so a late one with a lower number was taken for newer than the record.
+/// Guards against a late heartbeat replacing newer content, for example other weights that a
+/// backend had for a moment, or a draining that it revoked. Heartbeats with only a new sequence
+/// number are not written to the directory, so a late one can have a higher number than the record
+/// although it is older than the latest heartbeat.
 #[tokio::test]
 async fn detects_stale_heartbeat_by_sequence() {
     let fleet = fleet();
@@ -366,18 +374,18 @@
     assert!(fleet.register("i".into(), reported(4, 1)).await.is_some());
     assert!(
         fleet.register("i".into(), reported(3, 2)).await.is_some(),
-        "late, and acknowledged all the same"
+        "a late heartbeat is acknowledged as well"
     );
     assert_eq!(current(), [("m".into(), 1)]);
     assert!(fleet.register("i".into(), reported(5, 2)).await.is_some());
     assert_eq!(current(), [("m".into(), 2)]);
-    let late_end = Backend {
+    let late_draining = Backend {
         phase: BackendPhase::Draining,
         ..reported(4, 2)
     };
     assert_eq!(
-        fleet.register("i".into(), late_end).await,
+        fleet.register("i".into(), late_draining).await,
         None,
-        "it has been taken back"
+        "the draining has been revoked"
     );
 }
--- a/router/tests/rollout.rs
+++ b/router/tests/rollout.rs
@@ -1,12 +1,9 @@
 //! Rollout of new weights to backends of which some are unresponsive.
 //!
-//! Incident: a version was announced, and one healthy backend got its first order 6.6 s later,
-//! after the deadline of the rollout. Three others had crashed or were unresponsive.
-//!
-//! Evidence: the log of orders. Two or three orders are sent at a time. Unresponsive backends got a
-//! second order before others had got their first, as backends were ordered by id; and a backend
-//! that crashed after accepting its order occupied a slot for 4 s, so that for two seconds no order
-//! was sent.
+//! Guards against healthy backends that get their first order after the deadline of the rollout
+//! (6.6 s after the announcement in the incident). Only two or three orders are sent at a time.
+//! Ordering backends by id gave unresponsive ones a second order before others had got their first,
+//! and a backend that crashed after accepting its order occupied a slot for 4 s.
 
 mod common;
 
@@ -26,8 +23,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// More than an unresponsive backend may occupy a slot, and less than it could.
-const SOON: Duration = Duration::from_millis(3_200);
+/// Longer than an unresponsive backend may occupy a slot, and shorter than the 4 s for which a
+/// crashed one used to occupy it.
+const ORDER_DEADLINE: Duration = Duration::from_millis(3_200);
 
 /// A node that holds the lease, with these backends, when version 2 is announced.
 fn leader(backends: &[SocketAddrV4]) -> (Arc<Fleet>, ReplicaHandle) {
@@ -62,36 +60,38 @@
             index: 1,
         },
     )]);
-    let named = PublishedState {
+    let state = PublishedState {
         position: Position { index: 1, epoch: 1 },
         configuration: None,
         weights,
     };
-    assert!(fleet.published.lock().unwrap().apply_update(named));
+    assert!(fleet.published.lock().unwrap().apply_update(state));
     (fleet, handle)
 }
 
-/// Returns whether all healthy backends get their orders soon if the first ones behave like this.
-async fn others_are_reached(unsound: &[Action]) -> bool {
+/// Returns whether all healthy backends get their orders in time if the first two behave like this.
+async fn healthy_backends_get_orders(faulty: &[Action]) -> bool {
     let mut backends = Vec::new();
     for _ in 0..2 {
-        backends.push(FakeBackend::start(unsound.to_vec()).await);
+        backends.push(FakeBackend::start(faulty.to_vec()).await);
     }
-    let holds = Action::Respond(answer("200 OK", "", "{}"));
+    let up_to_date = Action::Respond(answer("200 OK", "", "{}"));
     for _ in 0..3 {
-        backends.push(FakeBackend::start(vec![holds.clone()]).await);
+        backends.push(FakeBackend::start(vec![up_to_date.clone()]).await);
     }
     let addresses: Vec<SocketAddrV4> = backends.iter().map(|backend| backend.address).collect();
     let (fleet, handle) = leader(&addresses);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(RolloutController::new(fleet, handle, client).run());
-    let reached = async {
+    let rollout = tokio::spawn(RolloutController::new(fleet, handle, client).run());
+    let all_ordered = async {
         while backends[2..].iter().any(|backend| backend.count() == 0) {
             tokio::task::yield_now().await;
         }
     };
-    let in_time = tokio::time::timeout(SOON, reached).await.is_ok();
-    orders.abort();
+    let in_time = tokio::time::timeout(ORDER_DEADLINE, all_ordered)
+        .await
+        .is_ok();
+    rollout.abort();
     in_time
 }
 
@@ -102,14 +102,14 @@
         "",
         r#"{"models":[{"name":"m","version":1}],"sequence":0}"#,
     ));
-    let taken = Action::RespondAndClose(answer("202 Accepted", "", "{}"));
-    let unresponsive = others_are_reached(&[Action::Hang]).await;
-    let ignores_orders = others_are_reached(&[report.clone(), Action::Hang]).await;
-    let crashed = others_are_reached(&[report, taken, Action::Hang]).await;
+    let accepted = Action::RespondAndClose(answer("202 Accepted", "", "{}"));
+    let unresponsive = healthy_backends_get_orders(&[Action::Hang]).await;
+    let ignores_orders = healthy_backends_get_orders(&[report.clone(), Action::Hang]).await;
+    let crashed = healthy_backends_get_orders(&[report, accepted, Action::Hang]).await;
     assert_eq!(
         (unresponsive, ignores_orders, crashed),
         (true, true, true),
-        "with backends that are silent, that report and are silent to orders, and that crash after an order"
+        "with backends that do not respond, that respond only to report requests, and that crash after an order"
     );
 }
 
@@ -119,15 +119,15 @@
     directory.order(&format!("i-{at}")).map(|order| order.phase)
 }
 
-/// Incident: after a change of the primary, backends got neither requests nor an order for three
-/// seconds. Cause: routers had been notified that the backends were about to load, and the orders
-/// were not sent as the lease was lost in between.
+/// Guards against backends that get neither requests nor an order (for three seconds in the
+/// incident) after a change of the primary. Routers are notified that a backend is about to load,
+/// and then the order is not sent because the lease is lost in between.
 #[tokio::test]
 async fn withdrawn_order_readmits_backend() {
     let backend = ModelBackend::start(1).await;
     let (fleet, handle) = leader(&[backend.address]);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(RolloutController::new(fleet.clone(), handle.clone(), client).run());
+    let rollout = tokio::spawn(RolloutController::new(fleet.clone(), handle.clone(), client).run());
     let becomes = async |phase| {
         while phase_of(&fleet, 0) != Some(phase) {
             tokio::task::yield_now().await;
@@ -135,55 +135,54 @@
     };
     tokio::time::timeout(PATIENCE, becomes(OrderPhase::InProgress))
         .await
-        .expect("it is announced");
+        .expect("the order is in progress");
     handle.publish_status(ReplicaStatus::default());
     tokio::time::timeout(PATIENCE, becomes(OrderPhase::Withdrawn))
         .await
-        .expect("it is taken back");
+        .expect("the order is withdrawn");
     assert_eq!(
-        (backend.taken_orders(), backend.version()),
+        (backend.accepted_orders(), backend.version()),
         (0, 1),
-        "no order was given"
+        "the backend got no order"
     );
-    orders.abort();
+    rollout.abort();
 }
 
-/// Incident: after network faults, a backend that responded to every call stayed on old weights for
-/// as long as its heartbeats were lost. Found in review, not seen in service. Cause: only
-/// heartbeats decide whether a backend is unresponsive, and unresponsive backends got no order,
-/// although they might have accepted it.
+/// Guards against a backend that responds to every call but stays on old weights for as long as its
+/// heartbeats are lost. Only heartbeats decide whether a backend is unresponsive, and unresponsive
+/// backends got no order, although they might accept it.
 #[tokio::test]
 async fn orders_backend_without_heartbeats() {
     let backend = ModelBackend::start(1).await;
     let (fleet, handle) = leader(&[backend.address]);
     mark_unresponsive(&fleet, 0);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(RolloutController::new(fleet, handle, client).run());
-    let brought = async {
+    let rollout = tokio::spawn(RolloutController::new(fleet, handle, client).run());
+    let updated = async {
         while backend.version() != 2 {
             tokio::task::yield_now().await;
         }
     };
-    let in_time = tokio::time::timeout(SOON, brought).await.is_ok();
-    orders.abort();
+    let in_time = tokio::time::timeout(ORDER_DEADLINE, updated).await.is_ok();
+    rollout.abort();
     assert!(in_time, "it has version {}", backend.version());
 }
 
-/// Incident: while the primary of the control state changed every few seconds, backends got orders
-/// in half of the time or less. Cause: only the primary sent orders, and each one waited for the
+/// Guards against orders being sent for only half of the time or less while the primary changes
+/// every few seconds. That was so when only the primary sent orders, and each one waited for the
 /// time of a lease after another had sent any.
 #[tokio::test]
 async fn owner_sends_orders_while_another_node_leads() {
     let backend = ModelBackend::start(1).await;
     let (fleet, handle) = owner(&[backend.address], None);
     let client = reqwest::Client::builder().no_proxy().build().unwrap();
-    let orders = tokio::spawn(RolloutController::new(fleet, handle, client).run());
-    let brought = async {
+    let rollout = tokio::spawn(RolloutController::new(fleet, handle, client).run());
+    let updated = async {
         while backend.version() != 2 {
             tokio::task::yield_now().await;
         }
     };
-    let in_time = tokio::time::timeout(SOON, brought).await.is_ok();
-    orders.abort();
+    let in_time = tokio::time::timeout(ORDER_DEADLINE, updated).await.is_ok();
+    rollout.abort();
     assert!(in_time, "it has version {}", backend.version());
 }
--- a/router/tests/weights_deadline.rs
+++ b/router/tests/weights_deadline.rs
@@ -1,11 +1,8 @@
-//! The time until which requests may start on older weights, as several routers observe it.
+//! The deadline after which requests must not start on older weights, on several routers.
 //!
-//! Incident: a version of some weights is acknowledged, and some seconds later requests must not
-//! start on an older one. A router that learned of it late, as it had been partitioned or had just
-//! started, still sent requests to a backend with the old weights after that time.
-//!
-//! Evidence: the time was counted from the first request after the router had learned of the
-//! version. Cause: updates contained the announced version, but not its age.
+//! Guards against routers that send requests to backends with old weights after the deadline. A
+//! router that learns of a version late, as it was partitioned or has just started, must count from
+//! the announcement, so updates contain the version's age.
 
 mod common;
 
@@ -23,7 +20,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Long enough to detect a router that restarts the count.
+/// Long enough to detect a router that counts from the time when it learns of the version.
 const VERSION_MS: u64 = 1_800;
 const PROMPT: &str =
     "X-Model-Name: m\r\nX-Token-Counts: 100,10\r\nX-Prompt-Prefix: aa:50,bb:50\r\n";
@@ -36,7 +33,7 @@
     Fleet::new(Arc::new(settings), None, incarnation)
 }
 
-/// Serves other routers.
+/// Serves pulls of other routers.
 async fn serve(fleet: &Arc<Fleet>) -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
@@ -46,8 +43,8 @@
     address
 }
 
-/// A node that knows that version 2 is announced.
-async fn source() -> SocketAddrV4 {
+/// Starts a node that knows that version 2 is announced.
+async fn start_source() -> SocketAddrV4 {
     let fleet = fleet(9);
     publish(&fleet, 1, CONFIGURATION);
     let weights = BTreeMap::from([(
@@ -66,7 +63,8 @@
     serve(&fleet).await
 }
 
-async fn hears_from(router: &Router, address: SocketAddrV4) {
+/// Pulls once, after which the router knows version 2.
+async fn pull_version(router: &Router, address: SocketAddrV4) {
     assert_ne!(
         router.fleet.pull(address, Duration::ZERO, || {}).await,
         Pull::Failed
@@ -86,33 +84,33 @@
 async fn late_router_counts_from_announcement() {
     let old = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let first = Router::start_on(fleet(1), CONFIGURATION, &[&old]).await;
-    hears_from(&first, source().await).await;
+    pull_version(&first, start_source().await).await;
     assert_eq!(
         ask(&first).await,
         "200",
-        "older weights may be used for a while"
+        "older weights may be used before the deadline"
     );
     while ask(&first).await == "200" {}
 
     let late = Router::start_on(fleet(2), CONFIGURATION, &[&old]).await;
-    assert_eq!(ask(&late).await, "200", "it has not heard yet");
-    hears_from(&late, serve(&first.fleet).await).await;
-    let sent = old.count();
     assert_eq!(
         ask(&late).await,
-        "503",
-        "the time of the old weights is over"
+        "200",
+        "this router does not know the version yet"
     );
-    assert_eq!(old.count(), sent, "and nothing is sent there");
+    pull_version(&late, serve(&first.fleet).await).await;
+    let sent = old.count();
+    assert_eq!(ask(&late).await, "503", "the deadline has passed");
+    assert_eq!(old.count(), sent, "no request is sent to the old backend");
 }
 
-/// A node that restarts with its disk resumes the count. Otherwise versions would never be required
-/// if their nodes are killed again and again.
+/// A node that restarts with its disk resumes the count. Otherwise repeated kills would postpone
+/// the deadline forever.
 #[tokio::test]
 async fn deadline_survives_restart() {
     let old = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let first = Router::start_on(fleet(2), CONFIGURATION, &[&old]).await;
-    hears_from(&first, source().await).await;
+    pull_version(&first, start_source().await).await;
     while ask(&first).await == "200" {}
 
     let again = Router::start_on(fleet(3), CONFIGURATION, &[&old]).await;
@@ -124,38 +122,39 @@
     assert_eq!(
         ask(&again).await,
         "503",
-        "the time was over before it was started again"
+        "the deadline had passed before the restart"
     );
 }
 
-/// Sends one request to the only backend, which lets it wait; then a version is announced, and
-/// another backend has it.
+/// Sends one request to the only backend, which does not respond. Then a version is announced that
+/// another backend has.
 async fn queues_on_old_weights(path: &str) -> (String, bool, usize) {
-    let patient = CONFIGURATION.replace("\"timeoutMs\":3000", "\"timeoutMs\":60000");
-    let patient = patient.replace("\"targetLatencyMs\":100", "\"targetLatencyMs\":60000");
+    let configuration = CONFIGURATION.replace("\"timeoutMs\":3000", "\"timeoutMs\":60000");
+    let configuration =
+        configuration.replace("\"targetLatencyMs\":100", "\"targetLatencyMs\":60000");
     let old = FakeBackend::start(vec![Action::Hang]).await;
     let new = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
-    let router = Router::start_on(fleet(1), &patient, &[&old]).await;
+    let router = Router::start_on(fleet(1), &configuration, &[&old]).await;
     let headers = format!("{KEY}{PROMPT}");
-    let asking = async { status(&router.ask(path, &headers).await).to_owned() };
-    let then_named = async {
+    let request = async { status(&router.ask(path, &headers).await).to_owned() };
+    let announcement = async {
         while old.count() == 0 {
             tokio::task::yield_now().await;
         }
         register_version(&router.fleet, 1, &new, 2);
-        hears_from(&router, source().await).await;
+        pull_version(&router, start_source().await).await;
         router.table.refresh(&router.fleet);
     };
-    let (status, ()) = tokio::join!(asking, then_named);
+    let (status, ()) = tokio::join!(request, announcement);
     let withdrawn = tokio::time::timeout(PATIENCE, old.given_up.acquire())
         .await
         .is_ok();
     (status, withdrawn, new.count())
 }
 
-/// Incident: requests queued at busy backends for over two seconds, were sent in time, and started
-/// on the old weights after the deadline. Cause: the minimum version was checked only when a
-/// request was sent.
+/// Guards against requests that are sent in time, queue at a busy backend (for over two seconds in
+/// the incident), and start on the old weights after the deadline. Checking the minimum version
+/// only when a request is sent does not prevent that.
 #[tokio::test]
 async fn withdraws_requests_queued_on_old_weights() {
     let repeatable = tokio::time::timeout(PATIENCE, queues_on_old_weights("/safe/")).await;
@@ -163,16 +162,16 @@
     assert_eq!(
         repeatable.ok(),
         Some(("200".to_owned(), true, 1)),
-        "it is repeated at new weights"
+        "retried on a backend with new weights"
     );
     assert_eq!(
         other.ok(),
         Some(("502".to_owned(), true, 0)),
-        "it may have run, so it is not repeated"
+        "not retried, as the request may have been executed"
     );
 }
 
-/// A node whose disk has the announced version, and no age of it.
+/// A node whose disk has the announced version but not its age.
 fn restarted(incarnation: u64) -> (Arc<Fleet>, BTreeMap<CompactString, WeightsTarget>) {
     let fleet = fleet(incarnation);
     let recovered = BTreeMap::from([(
@@ -189,8 +188,8 @@
     (fleet, recovered)
 }
 
-/// All processes and all ages are lost: full disks take no ages, then everything is killed. Each
-/// router would let requests start on old weights for another full period. Found in review.
+/// Guards against another full period on old weights after all ages were lost: with full disks no
+/// age is saved, and then all processes are killed.
 #[tokio::test]
 async fn version_of_unknown_age_binds_once_machines_are_in_contact() {
     let started_at = router::clock::now();
@@ -205,7 +204,7 @@
     assert!(left + 100 > bounds.contact_ms, "{left} ms are left");
 }
 
-/// Where another router knows the age, or a file, that age counts.
+/// An age that another router or the fleet file knows takes precedence.
 #[tokio::test]
 async fn known_age_is_not_replaced_by_assumption() {
     let started_at = router::clock::now();
