--- a/router/tests/client_idle_time.rs
+++ b/router/tests/client_idle_time.rs
@@ -1,7 +1,7 @@
-//! How long a client's connection may be idle: what the configuration in force says.
+//! Clients' connections may be idle for as long as the configuration in force allows.
 //!
-//! Story: operators let clients keep connections for a minute, and routers closed them after 20 s,
-//! also below a request that was on its way.
+//! Guards against routers that close idle connections earlier than configured (after 20 s where a
+//! minute was configured), possibly while a request is in transit.
 
 mod common;
 
@@ -31,7 +31,9 @@
 async fn read_some(client: &mut TcpStream) -> String {
     let mut bytes = [0; 4096];
     let read = tokio::time::timeout(PATIENCE, client.read(&mut bytes)).await;
-    let count = read.expect("an answer or an end in time").unwrap_or(0);
+    let count = read
+        .expect("a response or the end of the connection in time")
+        .unwrap_or(0);
     String::from_utf8_lossy(&bytes[..count]).into_owned()
 }
 
@@ -46,7 +48,7 @@
     tokio::time::pause();
     tokio::time::advance(IDLE).await;
     tokio::time::resume();
-    // Whatever closes the connection gets its turn before the next request.
+    // A task that would close the connection runs before the next request.
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
@@ -74,7 +76,7 @@
         let idle = idle_since.elapsed();
         assert!(
             idle >= Duration::from_millis(IDLE_MS * 4 / 5),
-            "clients may reuse it until then: {idle:?}"
+            "closed before the configured time: {idle:?}"
         );
     }
 }
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A router's client interface on loopback, with fake backends that speak the published protocol.
-#![allow(dead_code)] // each test program uses its share
+//! Fixtures: a router's client interface on loopback, and fake backends that implement the
+//! published protocol.
+#![allow(dead_code)] // each test binary uses only some of the items
 
 pub mod model_backend;
 
@@ -22,7 +23,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Nothing in these tests takes longer; a test that waits for it has failed.
+/// Exceeds the duration of any step in these tests; a test that waits this long has failed.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
 const SETTINGS: &str = r#"{"nodeName":"n1","ipAddress":"127.0.0.1","zone":"a","listen":{},
@@ -79,12 +80,12 @@
 /// The end of a chunked body.
 pub const END: &str = "0\r\n\r\n";
 
-/// A backend that handles each request as configured.
+/// A backend that handles each request with a configured action.
 #[derive(Clone)]
 pub struct FakeBackend {
     pub address: SocketAddrV4,
     pub requests: Arc<Mutex<Vec<String>>>,
-    /// A permit for each connection that the caller closed while it waited.
+    /// A permit for each connection that the caller closed while it waited for a response.
     pub given_up: Arc<tokio::sync::Semaphore>,
     actions: Arc<Mutex<Vec<Action>>>,
 }
@@ -111,7 +112,7 @@
         backend
     }
 
-    fn next_act(&self) -> Action {
+    fn next_action(&self) -> Action {
         let mut actions = self.actions.lock().unwrap();
         if actions.len() > 1 {
             actions.remove(0)
@@ -124,22 +125,22 @@
         while let Some(request) = read_request(&mut stream).await {
             let id = header(&request, "x-request-id").unwrap_or_default();
             self.requests.lock().unwrap().push(request);
-            let reported = |text: String| text.replace("{id}", &id);
-            match self.next_act() {
-                Action::Respond(text) => stream.write_all(reported(text).as_bytes()).await.unwrap(),
+            let with_id = |text: String| text.replace("{id}", &id);
+            match self.next_action() {
+                Action::Respond(text) => stream.write_all(with_id(text).as_bytes()).await.unwrap(),
                 Action::RespondAndClose(text) => {
-                    stream.write_all(reported(text).as_bytes()).await.unwrap();
+                    stream.write_all(with_id(text).as_bytes()).await.unwrap();
                     return;
                 }
                 Action::RespondAndReset(text) => {
-                    stream.write_all(reported(text).as_bytes()).await.unwrap();
+                    stream.write_all(with_id(text).as_bytes()).await.unwrap();
                     stream.flush().await.unwrap();
                     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     return;
                 }
                 Action::Hang => return self.wait_until_closed(stream).await,
                 Action::RespondAndHang(text) => {
-                    stream.write_all(reported(text).as_bytes()).await.unwrap();
+                    stream.write_all(with_id(text).as_bytes()).await.unwrap();
                     return self.wait_until_closed(stream).await;
                 }
             }
@@ -161,7 +162,7 @@
     }
 }
 
-/// A header of a raw request.
+/// The value of a header of a raw request or response.
 pub fn header(request: &str, name: &str) -> Option<String> {
     let lines = request.split("\r\n\r\n").next()?.lines();
     let mut found = lines.filter_map(|line| line.split_once(':'));
@@ -196,7 +197,7 @@
 }
 
 impl Router {
-    /// The state of a router that starts.
+    /// The initial state of a router.
     pub fn without_configuration() -> Arc<Fleet> {
         Fleet::new(Arc::new(Self::settings()), None, 1)
     }
@@ -210,7 +211,7 @@
         Self::start_with(CONFIGURATION, backends).await
     }
 
-    /// Starts a router with a configuration of its own.
+    /// Starts a router with this configuration.
     pub async fn start_with(configuration: &str, backends: &[&FakeBackend]) -> Self {
         Self::start_on(Self::without_configuration(), configuration, backends).await
     }
@@ -252,7 +253,7 @@
         let mut text = String::new();
         // An aborted connection may end with a reset.
         let read = tokio::time::timeout(PATIENCE, stream.read_to_string(&mut text)).await;
-        let _ = read.expect("an answer in time");
+        let _ = read.expect("a response in time");
         text
     }
 
--- a/router/tests/failures.rs
+++ b/router/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Backends that fail requests while they report to be healthy, and stale connections.
+//! Backends that fail requests although they report to be healthy, and stale connections.
 
 mod common;
 
@@ -14,8 +14,8 @@
 #[tokio::test]
 async fn retries_safe_request_after_backend_failure() {
     let failing = FakeBackend::start(vec![Action::Respond(failure())]).await;
-    let sound = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
-    let router = Router::start(&[&failing, &sound]).await;
+    let healthy = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
+    let router = Router::start(&[&failing, &healthy]).await;
     for _ in 0..20 {
         let answer = router.ask("/safe/", KEY).await;
         assert_eq!((status(&answer), body(&answer)), ("200", "ok"), "{answer}");
@@ -69,19 +69,19 @@
 #[tokio::test]
 async fn reported_failures_make_backend_suspected() {
     let failing = FakeBackend::start(vec![Action::Respond(failure())]).await;
-    let sound = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
+    let healthy = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let others = [
         FakeBackend::start(vec![Action::Respond(success("ok"))]).await,
-        sound.clone(),
-        sound.clone(),
+        healthy.clone(),
+        healthy.clone(),
     ];
-    let router = Router::start(&[&failing, &sound, &others[0], &others[1], &others[2]]).await;
+    let router = Router::start(&[&failing, &healthy, &others[0], &others[1], &others[2]]).await;
     let reported = [("i-0".into(), 2)];
     router.fleet.record_failures(&"n2".into(), &reported);
     assert_eq!(
         router.fleet.directory.lock().unwrap().suspicion("i-0"),
         None,
-        "one router's word"
+        "reports of one router do not suffice"
     );
     router.fleet.record_failures(&"n3".into(), &reported);
     router.table.refresh(&router.fleet);
@@ -120,19 +120,19 @@
     let hanging = FakeBackend::start(vec![Action::Hang]).await;
     let router = Router::start(&[&hanging]).await;
     let client = router.send("/unsafe/", KEY).await;
-    let noted = async {
+    let recorded = async {
         while !router.table.failures().drain().contains_key("i-0") {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, noted)
+    tokio::time::timeout(PATIENCE, recorded)
         .await
-        .expect("a fault is noted while the request is pending");
+        .expect("a failure is recorded while the request is pending");
     drop(client);
 }
 
 #[tokio::test]
-async fn suspicion_numbers_continue_across_judges() {
+async fn suspicion_numbers_continue_across_evaluators() {
     let router = Router::start(&[]).await;
     let key = Key::Suspicion("i-9".into());
     let former = control::directory::Suspicion {
@@ -161,25 +161,25 @@
     };
     let much_later = || clock::now() + 1_000;
     idle().await;
-    let trusted = known.take_idle(false, much_later());
-    known.return_connection(trusted.expect("as long as none was forgotten, all are trusted"));
+    let connection = known.take_idle(false, much_later());
+    known.return_connection(connection.expect("idle connections are used until one was stale"));
     known.record_stale_connection(400);
     assert!(
         known.take_idle(true, clock::now()).is_none(),
-        "those that idle_time as long are dropped"
+        "connections that were idle for as long are dropped"
     );
     idle().await;
     assert!(
         known.take_idle(false, much_later()).is_none(),
-        "it idle_time for longer than 200 ms"
+        "the connection was idle for more than 200 ms"
     );
     assert!(
         known.take_idle(false, clock::now()).is_some(),
-        "it has hardly idle_time"
+        "the connection was hardly idle"
     );
     idle().await;
     assert!(
         known.take_idle(true, much_later()).is_some(),
-        "what may be repeated can use it"
+        "repeatable requests may use the connection"
     );
 }
--- a/router/tests/frames.rs
+++ b/router/tests/frames.rs
@@ -72,12 +72,12 @@
 #[tokio::test]
 async fn rejects_invalid_frames_without_allocating() {
     let too_long = MAX_MESSAGE_BYTES as u32 + 1;
-    let liar = [&too_long.to_le_bytes()[..], b"few bytes"].concat();
+    let false_size = [&too_long.to_le_bytes()[..], b"few bytes"].concat();
     for (bytes, reason) in [
         (framed(too_long, b"whatever"), "is longer than"),
         (framed(too_long | COMPRESSED, b"whatever"), "is longer than"),
         (
-            framed(liar.len() as u32 | COMPRESSED, &liar),
+            framed(false_size.len() as u32 | COMPRESSED, &false_size),
             "is longer than",
         ),
         (
@@ -87,11 +87,14 @@
         (framed(3 | COMPRESSED, &[1, 2, 3]), "can't be decompressed"),
         (framed(2, &[255, 255]), "can't be read"),
     ] {
-        let problem = read(&bytes).await.map(|_| ()).expect_err("it is no frame");
-        assert_eq!(problem.kind(), io::ErrorKind::InvalidData, "{bytes:?}");
+        let error = read(&bytes)
+            .await
+            .map(|_| ())
+            .expect_err("an invalid frame");
+        assert_eq!(error.kind(), io::ErrorKind::InvalidData, "{bytes:?}");
         assert!(
-            problem.to_string().contains(reason),
-            "{problem}, and not that it {reason}"
+            error.to_string().contains(reason),
+            "unexpected error: {error}, expected: {reason}"
         );
     }
 }
@@ -102,7 +105,7 @@
     for length in 0..complete.len() {
         assert!(
             read(&complete[..length]).await.is_err(),
-            "cut after {length} of {} bytes",
+            "truncated to {length} of {} bytes",
             complete.len()
         );
     }
--- a/router/tests/kv_stores.rs
+++ b/router/tests/kv_stores.rs
@@ -34,10 +34,10 @@
 #[test]
 fn uses_store_while_available() {
     let (stores, key) = (stores(&[9]), PrefixKey(1));
-    assert_eq!(stores.status(address(9)), None, "it was not heard yet");
+    assert_eq!(stores.status(address(9)), None, "no status is known yet");
     assert_eq!(stores.store_for(key), None);
     stores.mark_available(address(9), 5);
-    let found = stores.store_for(key).expect("it answers");
+    let found = stores.store_for(key).expect("an available store");
     assert_eq!((found.address, found.generation), (address(9), 5));
     stores.mark_unresponsive(address(9));
     assert_eq!(stores.store_for(key), None);
@@ -51,14 +51,20 @@
 fn store_status_is_shared_between_routers() {
     let (reader, requester) = (stores(&[9]), stores(&[9]));
     reader.mark_available(address(9), 5);
-    requester.apply_status(address(9), reader.status(address(9)).expect("it was heard"));
+    requester.apply_status(
+        address(9),
+        reader.status(address(9)).expect("a known status"),
+    );
     assert_eq!(
         requester.store_for(PrefixKey(1)),
         reader.store_for(PrefixKey(1))
     );
     // The store has restarted, and lost its contents.
     reader.mark_available(address(9), 6);
-    requester.apply_status(address(9), reader.status(address(9)).expect("it was heard"));
+    requester.apply_status(
+        address(9),
+        reader.status(address(9)).expect("a known status"),
+    );
     assert_eq!(
         requester
             .store_for(PrefixKey(1))
@@ -66,7 +72,10 @@
         Some(6)
     );
     reader.mark_unresponsive(address(9));
-    requester.apply_status(address(9), reader.status(address(9)).expect("it was heard"));
+    requester.apply_status(
+        address(9),
+        reader.status(address(9)).expect("a known status"),
+    );
     assert_eq!(requester.store_for(PrefixKey(1)), None);
 }
 
@@ -81,7 +90,7 @@
             .map(|key| {
                 stores
                     .store_for(PrefixKey(key))
-                    .expect("one answers")
+                    .expect("an available store")
                     .address
                     .port()
             })
@@ -89,8 +98,8 @@
     };
     let before = places(&stores);
     for port in [9, 10, 11] {
-        let ratio = before.iter().filter(|other| **other == port).count();
-        assert!((60..140).contains(&ratio), "{ratio} of 300 at {port}");
+        let count = before.iter().filter(|other| **other == port).count();
+        assert!((60..140).contains(&count), "{count} of 300 at {port}");
     }
     stores.mark_unresponsive(address(10));
     let after = places(&stores);
@@ -116,6 +125,6 @@
     assert_eq!(
         stores.store_for(PrefixKey(1)),
         None,
-        "it has to be heard anew"
+        "its status is unknown again"
     );
 }
--- a/router/tests/metrics.rs
+++ b/router/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics page: what it counts, and its format.
+//! The metrics page: its values and format.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use routing::version_floor::AnnouncedVersion;
 use std::collections::BTreeMap;
 
-fn figure(text: &str, name: &str) -> Option<u64> {
+fn metric(text: &str, name: &str) -> Option<u64> {
     text.lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
 }
@@ -20,7 +20,7 @@
 fn events_have_distinct_counters() {
     let counters = Counters::default();
     for (at, (event, _)) in Event::ALL.into_iter().enumerate() {
-        assert_eq!(event as usize, at, "{event:?} stands at its place");
+        assert_eq!(event as usize, at, "index of {event:?}");
         counters.count(event);
         assert_eq!(counters.get(event), 1, "{event:?}");
     }
@@ -28,9 +28,12 @@
 
 #[tokio::test]
 async fn page_shows_request_outcomes_and_weights() {
-    let full = answer("503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
-    let backend =
-        FakeBackend::start(vec![Action::Respond(success("ok")), Action::Respond(full)]).await;
+    let overloaded = answer("503 Service Unavailable", "X-Not-Executed: 1\r\n", "");
+    let backend = FakeBackend::start(vec![
+        Action::Respond(success("ok")),
+        Action::Respond(overloaded),
+    ])
+    .await;
     let router = Router::start(&[&backend]).await;
     let page = MetricsPage::new(router.fleet.clone(), router.table.clone(), None);
     assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
@@ -46,7 +49,7 @@
         ("backends_with_weights{model=\"m\",version=\"1\"}", 1),
         ("backends{phase=\"ready\"}", 1),
     ] {
-        assert_eq!(figure(&text, name), Some(expected), "{name}\n{text}");
+        assert_eq!(metric(&text, name), Some(expected), "{name}\n{text}");
     }
     assert!(
         text.lines()
@@ -69,12 +72,12 @@
             index: 2,
         },
     )]);
-    let named = PublishedState {
+    let state = PublishedState {
         position: Position { index: 2, epoch: 1 },
         configuration: None,
         weights,
     };
-    assert!(router.fleet.published.lock().unwrap().apply_update(named));
+    assert!(router.fleet.published.lock().unwrap().apply_update(state));
     router.fleet.restore(PersistedFleet {
         records: Vec::new(),
         announced_weights: vec![AnnouncedVersion {
@@ -92,14 +95,14 @@
         ("backends_lacking_weights{cause=\"draining\"}", 0),
         ("backends_lacking_weights{cause=\"contradicted\"}", 0),
     ] {
-        assert_eq!(figure(&text, name), Some(expected), "{name}\n{text}");
+        assert_eq!(metric(&text, name), Some(expected), "{name}\n{text}");
     }
-    let age = figure(&text, "weights_unfinished_ms{model=\"m\",version=\"2\"}");
+    let age = metric(&text, "weights_unfinished_ms{model=\"m\",version=\"2\"}");
     assert!(age.is_some_and(|age| age >= 700), "{text}");
     register_version(&router.fleet, 0, &backends[0], 2);
     let text = MetricsPage::new(router.fleet.clone(), router.table.clone(), None).text();
     assert!(
         !text.contains("weights_unfinished_ms"),
-        "all have it\n{text}"
+        "all backends have the version\n{text}"
     );
 }
--- a/router/tests/observed_weights.rs
+++ b/router/tests/observed_weights.rs
@@ -1,11 +1,11 @@
-//! The versions that a router observes at a backend, in any order of observations.
+//! The version that a router derives for a backend from observations in any order.
 
 use control::directory::{Backend, BackendPhase, Order, OrderPhase};
 use router::proxy::observed_weights::ObservedWeights;
 
 const MODEL: &str = "m";
 
-/// An observation of the weights of a backend, which had version 1, then 2, and has 1 again.
+/// An observation of a backend whose weights had version 1, then 2, and have 1 again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Observation {
     Heartbeat { sequence: u64, version: u64 },
@@ -49,8 +49,8 @@
     }
 }
 
-fn observe(known: &mut ObservedWeights, word: Observation) {
-    match word {
+fn observe(known: &mut ObservedWeights, observation: Observation) {
+    match observation {
         Observation::Heartbeat { sequence, version } => {
             known.observe_heartbeat(&heartbeat(sequence, version))
         }
@@ -85,13 +85,15 @@
 #[test]
 fn rejection_and_heartbeat_correct_version_in_any_order() {
     for number in 0..720 {
-        let words = permutation(&OBSERVATIONS, number);
+        let observations = permutation(&OBSERVATIONS, number);
         let mut known = ObservedWeights::default();
-        words.iter().for_each(|word| observe(&mut known, *word));
-        let believed = known.version(MODEL).expect("some version");
-        if believed != 1 {
-            known.observe_rejection(MODEL, believed, None, 0);
-            assert!(known.is_refuted(MODEL, 0), "{words:?}");
+        observations
+            .iter()
+            .for_each(|observation| observe(&mut known, *observation));
+        let observed = known.version(MODEL).expect("some version");
+        if observed != 1 {
+            known.observe_rejection(MODEL, observed, None, 0);
+            assert!(known.is_refuted(MODEL, 0), "{observations:?}");
         }
         observe(
             &mut known,
@@ -103,7 +105,7 @@
         assert_eq!(
             (known.version(MODEL), known.is_refuted(MODEL, 0)),
             (Some(1), false),
-            "{words:?}"
+            "{observations:?}"
         );
     }
 }
@@ -150,7 +152,7 @@
     assert_eq!(
         known.version(MODEL),
         Some(3),
-        "the order is no news any more"
+        "the order was observed before"
     );
     observe(
         &mut known,
@@ -162,13 +164,13 @@
     assert_eq!(
         known.version(MODEL),
         Some(3),
-        "orders bring no older weights"
+        "an order does not lower the version"
     );
     observe(&mut known, Observation::Served(2));
     assert_eq!(
         known.version(MODEL),
         Some(3),
-        "nor does an answer that began before"
+        "nor does a response that may have started earlier"
     );
 }
 
@@ -188,7 +190,7 @@
         known
     };
     assert!(!refuted().is_refuted(MODEL, 2_000));
-    for (word, version) in [
+    for (observation, version) in [
         (
             Observation::Heartbeat {
                 sequence: 2,
@@ -206,28 +208,28 @@
         (Observation::Served(3), 3),
     ] {
         let mut known = refuted();
-        observe(&mut known, word);
+        observe(&mut known, observation);
         assert_eq!(
             (known.version(MODEL), known.is_refuted(MODEL, 0)),
             (Some(version), false),
-            "{word:?}"
+            "{observation:?}"
         );
     }
     let mut known = refuted();
     observe(&mut known, Observation::Served(2));
     assert!(
         known.is_refuted(MODEL, 0),
-        "an answer may have begun before"
+        "the response may have started before the rejection"
     );
     known.observe_rejection(MODEL, 2, Some(1), 0);
     assert_eq!(
         (known.version(MODEL), known.is_refuted(MODEL, 0)),
         (Some(1), false),
-        "the answer told it"
+        "the rejection states the version"
     );
     known.observe_rejection(MODEL, 2, None, 0);
     assert!(
         !known.is_refuted(MODEL, 0),
-        "that it has no version 2 is known"
+        "version 2 is already known to be wrong"
     );
 }
--- a/router/tests/operator_pages.rs
+++ b/router/tests/operator_pages.rs
@@ -79,11 +79,11 @@
 #[tokio::test]
 async fn metric_names_are_stable() {
     let (fleet, handle) = fleet();
-    name_version(&fleet);
+    announce_version(&fleet);
     let table = Arc::new(BackendTable::default());
     table.refresh(&fleet);
-    let orders = RolloutController::new(fleet.clone(), handle, reqwest::Client::new());
-    let text = MetricsPage::new(fleet, table, Some(orders)).text();
+    let rollout = RolloutController::new(fleet.clone(), handle, reqwest::Client::new());
+    let text = MetricsPage::new(fleet, table, Some(rollout)).text();
     let names: Vec<&str> = text
         .lines()
         .filter_map(|line| Some(line.split_once(' ')?.0))
@@ -95,7 +95,7 @@
 }
 
 /// Announces a version of weights that the first backend lacks.
-fn name_version(fleet: &Fleet) {
+fn announce_version(fleet: &Fleet) {
     use control::state::{Position, WeightsTarget};
     let weights = BTreeMap::from([(
         "m".into(),
@@ -133,24 +133,24 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    let answer = ControlApi::new(fleet.clone())
+    let response = ControlApi::new(fleet.clone())
         .call(request.body(body.to_owned()))
         .await
         .unwrap();
-    let status = answer.status().as_u16();
-    let retry_after = answer
+    let status = response.status().as_u16();
+    let retry_after = response
         .headers()
         .get("retry-after")
         .map(|value| format!(" (retry-after {})", value.to_str().unwrap()))
         .unwrap_or_default();
-    let text = answer.into_body().into_string().await.unwrap();
+    let text = response.into_body().into_string().await.unwrap();
     format!("{status}{retry_after} {text}")
 }
 
 #[tokio::test]
 async fn status_report_is_stable() {
     let (fleet, _) = fleet();
-    name_version(&fleet);
+    announce_version(&fleet);
     let status = call(&fleet, Method::GET, "/v1/status", &[], "").await;
     assert_eq!(status, include_str!("fixtures/status_report.txt").trim());
 }
@@ -160,7 +160,7 @@
     let (fleet, _) = fleet();
     let heartbeat = r#"{"service":"s","address":"10.2.0.9:80","zone":"a","slots":4,"state":"ready","sequence":9,"models":[{"name":"m","version":1}]}"#;
     let replace = "/v1/configuration/replace";
-    let answers = [
+    let responses = [
         call(&fleet, Method::GET, "/v1/nothing", &[], "").await,
         call(
             &fleet,
@@ -206,7 +206,7 @@
         .await,
     ];
     assert_eq!(
-        answers.join("\n"),
+        responses.join("\n"),
         include_str!("fixtures/control_api_answers.txt").trim()
     );
 }
--- a/router/tests/published.rs
+++ b/router/tests/published.rs
@@ -45,24 +45,24 @@
 #[test]
 fn concurrent_updates_do_not_conflict() {
     for (first, second) in [(2, 4), (4, 2), (3, 3)] {
-        let mut holder = source(1);
-        let (position, base) = (holder.position(), holder.base());
-        let answers = [first, second].map(|version| {
+        let mut receiver = source(1);
+        let (position, base) = (receiver.position(), receiver.base());
+        let updates = [first, second].map(|version| {
             source(version)
                 .update_for(position, base)
-                .expect("there is news")
+                .expect("an update")
         });
-        for answer in answers {
-            holder.apply_update(answer);
+        for update in updates {
+            receiver.apply_update(update);
         }
         let version = first.max(second);
-        if holder.version() != Some(version) {
+        if receiver.version() != Some(version) {
             let update = source(version)
-                .update_for(holder.position(), holder.base())
-                .expect("there is news");
-            assert!(holder.apply_update(update));
+                .update_for(receiver.position(), receiver.base())
+                .expect("an update");
+            assert!(receiver.apply_update(update));
         }
-        let configuration = holder.configuration().expect("a configuration");
+        let configuration = receiver.configuration().expect("a configuration");
         assert_eq!(configuration.version, version);
         assert_eq!(configuration.routes[version as usize].timeout_ms, 2_000);
     }
@@ -83,21 +83,25 @@
         position: Position { index: 1, epoch: 1 },
         change,
     });
-    let mut holder = Published::default();
-    holder.apply_committed(&state);
+    let mut receiver = Published::default();
+    receiver.apply_committed(&state);
 
     let update = source(2)
-        .update_for(holder.position(), holder.base())
-        .expect("there is news");
+        .update_for(receiver.position(), receiver.base())
+        .expect("an update");
     assert!(
-        !holder.apply_update(update),
-        "steps from another text lead astray"
+        !receiver.apply_update(update),
+        "deltas to another text must not be applied"
     );
-    assert_eq!(holder.version(), Some(1), "what is in force stays in force");
-    assert_eq!(holder.base(), None, "the whole text is wanted");
+    assert_eq!(
+        receiver.version(),
+        Some(1),
+        "the configuration in force remains"
+    );
+    assert_eq!(receiver.base(), None, "the full text is requested");
     let update = source(2)
-        .update_for(holder.position(), holder.base())
-        .expect("there is news");
-    assert!(holder.apply_update(update));
-    assert_eq!((holder.version(), holder.base()), (Some(2), Some(2)));
+        .update_for(receiver.position(), receiver.base())
+        .expect("an update");
+    assert!(receiver.apply_update(update));
+    assert_eq!((receiver.version(), receiver.base()), (Some(2), Some(2)));
 }
--- a/router/tests/pulls.rs
+++ b/router/tests/pulls.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A pull; a router with a configuration states it as the base.
+/// A pull of a router. A router with a configuration states its version as the base.
 fn pull_request(number: u64, base: Option<u64>, wait_ms: u64) -> Request {
     let member = Member {
         zone: "a".into(),
@@ -31,7 +31,7 @@
         Position::default()
     };
     Request::Pull(PullRequest {
-        name: format!("asker-{number}").into(),
+        name: format!("requester-{number}").into(),
         member,
         vector: VersionVector::new(),
         position,
@@ -42,12 +42,12 @@
     })
 }
 
-fn answer_now(fleet: &Arc<Fleet>, request: Request) -> Option<Reply> {
+fn respond_now(fleet: &Arc<Fleet>, request: Request) -> Option<Reply> {
     fleet
         .clone()
         .handle(request)
         .now_or_never()
-        .map(|answer| answer.expect("an answer"))
+        .map(|response| response.expect("a response"))
 }
 
 /// A configuration of about a megabyte.
@@ -65,22 +65,26 @@
     let router = Router::start(&[]).await;
     large_configuration(&router.fleet);
     let mut current: Vec<Reply> = Vec::new();
-    while let Some(answer) = answer_now(&router.fleet, pull_request(current.len() as u64, None, 0))
+    while let Some(response) =
+        respond_now(&router.fleet, pull_request(current.len() as u64, None, 0))
     {
-        assert!(matches!(&answer.response, Response::Pulled(pulled) if pulled.state.is_some()));
-        current.push(answer);
-        assert!(current.len() < 12, "there is a bound");
+        assert!(matches!(&response.response, Response::Pulled(pulled) if pulled.state.is_some()));
+        current.push(response);
+        assert!(current.len() < 12, "the number is limited");
     }
     assert!(
         current.len() >= 4,
-        "and it lets some through: {}",
+        "some are answered at once: {}",
         current.len()
     );
     let mut waiting = router.fleet.clone().handle(pull_request(100, None, 0));
     assert!((&mut waiting).now_or_never().is_none());
-    // A response was written.
+    // Writing a response releases its permit.
     drop(current.pop());
-    assert!(waiting.now_or_never().is_some(), "the next one is made");
+    assert!(
+        waiting.now_or_never().is_some(),
+        "the next response is created"
+    );
 }
 
 #[tokio::test]
@@ -88,9 +92,10 @@
     let router = Router::start(&[]).await;
     large_configuration(&router.fleet);
     let mut current: Vec<Reply> = Vec::new();
-    while let Some(answer) = answer_now(&router.fleet, pull_request(current.len() as u64, None, 0))
+    while let Some(response) =
+        respond_now(&router.fleet, pull_request(current.len() as u64, None, 0))
     {
-        current.push(answer);
+        current.push(response);
     }
     let own = router.fleet.directory.lock().unwrap().vector().clone();
     let Request::Pull(mut informed) = pull_request(50, Some(2), 0) else {
@@ -98,7 +103,7 @@
     };
     informed.vector = own;
     informed.position.index = 2;
-    assert!(answer_now(&router.fleet, Request::Pull(informed)).is_some());
+    assert!(respond_now(&router.fleet, Request::Pull(informed)).is_some());
 }
 
 #[tokio::test(start_paused = true)]
@@ -110,7 +115,7 @@
             let Request::Pull(mut request) = pull_request(number, None, 60_000) else {
                 unreachable!()
             };
-            // The previous sender knows the members.
+            // The requester has all records, including those of the requests before.
             request.vector = vector.clone();
             request
                 .vector
@@ -119,26 +124,26 @@
             fleet.clone().handle(Request::Pull(request))
         })
         .collect();
-    for answer in &mut waiting {
-        assert!(answer.now_or_never().is_none(), "there is no news yet");
+    for response in &mut waiting {
+        assert!(response.now_or_never().is_none(), "there is no update yet");
     }
     publish(&fleet, 1, CONFIGURATION);
     fleet.notify_change();
-    // Responses are released one after the other, as each is written.
-    for answer in waiting {
-        let answer = answer.await.expect("an answer");
-        assert!(matches!(&answer.response, Response::Pulled(pulled) if pulled.state.is_some()));
+    // The responses follow one after the other, as dropping each one releases its permit.
+    for response in waiting {
+        let response = response.await.expect("a response");
+        assert!(matches!(&response.response, Response::Pulled(pulled) if pulled.state.is_some()));
     }
 }
 
 #[tokio::test]
 async fn node_without_primary_reports_no_age() {
-    let asked = Router::start(&[]).await;
+    let source = Router::start(&[]).await;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else {
         unreachable!()
     };
-    tokio::spawn(links::serve(listener, asked.fleet.clone(), Arc::default()));
+    tokio::spawn(links::serve(listener, source.fleet.clone(), Arc::default()));
     let requester = Router::without_configuration();
     assert_eq!(
         requester.pull(address, Duration::ZERO, || {}).await,
@@ -147,13 +152,13 @@
     assert_eq!(
         requester.published.lock().unwrap().version(),
         Some(1),
-        "what it has is taken all the same"
+        "its configuration is applied nevertheless"
     );
 }
 
-/// Incident: routers of one zone went on with an old configuration for seconds, as the node that
-/// they followed had been cut off from the rest of the core, and told so only when it had waited
-/// for updates as long as it was asked to.
+/// Guards against routers that keep an old configuration for seconds: the node that they pull from
+/// is partitioned from the other replica nodes, but reports itself as stale only at the end of the
+/// requested wait.
 #[tokio::test]
 async fn node_that_becomes_stale_answers_before_its_wait_is_over() {
     const WAIT_MS: u64 = 60_000;
@@ -172,16 +177,16 @@
     let Request::Pull(mut informed) = pull_request(1, Some(1), WAIT_MS) else {
         unreachable!()
     };
-    // It has everything, also the record of itself that its question brings.
+    // The requester has all records, including its own member record, which its pull states.
     informed.vector = fleet.directory.lock().unwrap().vector().clone();
     informed
         .vector
         .insert(control::directory::Origin(1), u64::MAX);
-    let answer = fleet.handle(Request::Pull(informed));
-    let answer = tokio::time::timeout(PATIENCE, answer).await;
-    let answer = answer.expect("an answer before the wait is over");
-    let Some(Response::Pulled(pulled)) = answer.map(|reply| reply.response) else {
-        panic!("no answer to a pull")
+    let response = fleet.handle(Request::Pull(informed));
+    let response = tokio::time::timeout(PATIENCE, response).await;
+    let response = response.expect("a response before the end of the wait");
+    let Some(Response::Pulled(pulled)) = response.map(|reply| reply.response) else {
+        panic!("no response to a pull")
     };
     assert!(pulled.age_ms.is_some_and(|age| age >= 1_000), "{pulled:?}");
 }
--- a/router/tests/rendezvous.rs
+++ b/router/tests/rendezvous.rs
@@ -1,5 +1,5 @@
-//! Rendezvous scores that all routers of a fleet have to compute alike, also while two versions of
-//! the program run: their values are pinned.
+//! All routers of a fleet have to compute the same rendezvous scores, also while two versions of
+//! the program run, so their values are pinned.
 
 use router::rendezvous;
 use routing::prefix_index::PrefixKey;
--- a/router/tests/start_turns.rs
+++ b/router/tests/start_turns.rs
@@ -1,7 +1,7 @@
-//! Routers that start without any state, as all do after a loss of power everywhere.
+//! Routers that start without any state, as all do after a power loss of the whole system.
 //!
-//! Incident: for 0.6 s after the power returned most requests were rejected: each of 90 routers
-//! asked all three seeds for the full state, 97 KB each, and the seeds' links were saturated.
+//! Guards against saturated links of the seeds: when each of 90 routers requested the full state of
+//! 97 KB from all three seeds, most requests of clients were rejected for 0.6 s.
 
 mod common;
 
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 
 const SEEDS: usize = 3;
-/// Time between the turns of two seeds that do not answer.
+/// Time between the turns of two seeds if the first does not respond.
 const TURN: Duration = Duration::from_millis(200);
 
 fn seeds() -> Vec<SocketAddrV4> {
@@ -27,7 +27,7 @@
     (1..=SEEDS as u8).map(seed).collect()
 }
 
-/// When each seed has its turn, if the pulls fail at these times.
+/// Returns when each seed has its turn if pulls fail at these times.
 async fn turns(failures_at: &[Duration]) -> Vec<Duration> {
     let turns = StartTurns::new("n1", seeds().into_iter(), false);
     let failures = Arc::new(watch::Sender::new(0));
@@ -70,7 +70,7 @@
         let first = seeds().into_iter().find(|seed| turns.position(*seed) == 0);
         *firsts.entry(first.expect("a first seed")).or_default() += 1;
     }
-    // No seed is asked first by more than twice its share.
+    // No seed is the first one of more than twice its share of routers.
     assert_eq!(firsts.len(), SEEDS);
     assert!(
         firsts.values().all(|count| *count <= 2 * ROUTERS / SEEDS),
@@ -78,7 +78,7 @@
     );
 }
 
-/// Three seeds on loopback, on the first internal port of a router's settings.
+/// Three seeds that listen on loopback, and settings of a router with these seeds.
 async fn listening_seeds() -> (Vec<TcpListener>, Settings) {
     let bind = |number: u8, port| {
         TcpListener::bind(SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, number), port))
@@ -100,21 +100,21 @@
     panic!("no port is free on three addresses")
 }
 
-/// Seeds that take connections and never answer are asked one after the other.
+/// Seeds that accept connections and never respond are contacted one after the other.
 #[tokio::test]
 async fn starting_router_asks_one_seed_at_a_time() {
     let (seeds, settings) = listening_seeds().await;
     let fleet = Fleet::new(Arc::new(settings), None, 1);
     let started_at = Instant::now();
     let pulling = tokio::spawn(upstreams::run(fleet));
-    let asked = seeds.iter().map(|seed| async move {
+    let connected = seeds.iter().map(|seed| async move {
         let connection = seed.accept().await.expect("a connection");
         (started_at.elapsed(), connection)
     });
-    let asked = tokio::time::timeout(PATIENCE, futures_util::future::join_all(asked)).await;
+    let connected = tokio::time::timeout(PATIENCE, futures_util::future::join_all(connected)).await;
     pulling.abort();
-    let asked = asked.expect("every seed is asked");
-    let mut times: Vec<Duration> = asked.iter().map(|(at, _)| *at).collect();
+    let connected = connected.expect("a connection to every seed");
+    let mut times: Vec<Duration> = connected.iter().map(|(at, _)| *at).collect();
     times.sort();
     assert!(times[1] - times[0] >= TURN / 2, "{times:?}");
     assert!(times[2] - times[1] >= TURN / 2, "{times:?}");
--- a/router/tests/wire_format.rs
+++ b/router/tests/wire_format.rs
@@ -1,8 +1,8 @@
-//! The bytes between routers and on their disks are stable: another version of the program sends
-//! and stores the same.
+//! The encodings of messages between routers and of stored files are stable, so that different
+//! versions of the program can read each other's.
 //!
-//! The fixtures were written by the program before its types were renamed. Each line is the name of
-//! a sample and its bytes in hexadecimal digits.
+//! The fixtures were written before the types were renamed. Each line holds the name of a sample
+//! and its bytes in hexadecimal digits.
 
 use control::changes::{Change, Outcome, Rejection};
 use control::digest::{Range, Summary};
@@ -33,7 +33,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(digits: &str) -> Vec<u8> {
+fn parse_hex(digits: &str) -> Vec<u8> {
     let digit = |at: usize| {
         u8::from_str_radix(&digits[at..at + 2], 16).expect("a fixture holds hexadecimal digits")
     };
@@ -68,7 +68,7 @@
             return;
         };
         assert_eq!(hex(&bytes), *expected, "{name} is encoded as before");
-        let decoded: T = postcard::from_bytes(&unhex(expected)).unwrap();
+        let decoded: T = postcard::from_bytes(&parse_hex(expected)).unwrap();
         assert_eq!(
             format!("{decoded:?}"),
             format!("{sample:?}"),
@@ -160,7 +160,7 @@
         .collect()
 }
 
-fn named() -> Vec<AnnouncedVersion> {
+fn announced_weights() -> Vec<AnnouncedVersion> {
     vec![AnnouncedVersion {
         model: "daka510000".into(),
         version: 3,
@@ -191,7 +191,7 @@
     }
 }
 
-fn steps() -> TextUpdate {
+fn delta() -> TextUpdate {
     let mut history = History::default();
     history.advance(1, "{\"r\":1}".repeat(40).into_bytes());
     history.advance(
@@ -329,7 +329,7 @@
         leader: Some((5, replica(1))),
         age_ms: Some(40),
         delay_ms: 300,
-        announced_weights: named(),
+        announced_weights: announced_weights(),
     };
     let located = PrefixLocation {
         replicas: vec![Placement {
@@ -340,7 +340,7 @@
         should_save: true,
     };
     let differences = PublishedState {
-        configuration: Some(steps()),
+        configuration: Some(delta()),
         ..published()
     };
     vec![
@@ -431,14 +431,14 @@
 fn fleet_file_is_stable() {
     let known = PersistedFleet {
         records: records(),
-        announced_weights: named(),
+        announced_weights: announced_weights(),
     };
     let folder =
         std::env::temp_dir().join(format!("bitternsill-wire-format-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     fs::write(
         folder.join("fleet"),
-        unhex(include_str!("fixtures/fleet_file.hex").trim()),
+        parse_hex(include_str!("fixtures/fleet_file.hex").trim()),
     )
     .unwrap();
     let found = disk::read_fleet(&folder);
@@ -449,7 +449,7 @@
     assert_eq!(hex(&file), include_str!("fixtures/fleet_file.hex").trim());
 }
 
-/// The names of message kinds in the status report.
+/// Message kinds have stable names, as the status report contains them.
 #[test]
 fn message_kind_names_are_stable() {
     let mut names: Vec<String> = requests()
