--- a/router/tests/abandoned_requests.rs
+++ b/router/tests/abandoned_requests.rs
@@ -95,7 +95,7 @@
 }
 
 async fn wait_for(permits: &Semaphore) {
-    tokio::time::timeout(PATIENCE, permits.acquire())
+    tokio::time::timeout(TEST_TIMEOUT, permits.acquire())
         .await
         .expect("in time")
         .unwrap()
--- a/router/tests/client_disconnects.rs
+++ b/router/tests/client_disconnects.rs
@@ -45,13 +45,13 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, reached)
+    tokio::time::timeout(TEST_TIMEOUT, reached)
         .await
         .expect("it comes about");
 }
 
 async fn is_given_up(backend: &FakeBackend) -> bool {
-    let given_up = tokio::time::timeout(SOON, backend.given_up.acquire()).await;
+    let given_up = tokio::time::timeout(SOON, backend.closed_by_caller.acquire()).await;
     given_up.is_ok_and(|permit| permit.map(|permit| permit.forget()).is_ok())
 }
 
--- a/router/tests/client_idle_time.rs
+++ b/router/tests/client_idle_time.rs
@@ -30,7 +30,7 @@
 
 async fn read_some(client: &mut TcpStream) -> String {
     let mut bytes = [0; 4096];
-    let read = tokio::time::timeout(PATIENCE, client.read(&mut bytes)).await;
+    let read = tokio::time::timeout(TEST_TIMEOUT, client.read(&mut bytes)).await;
     let count = read
         .expect("a response or the end of the connection in time")
         .unwrap_or(0);
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -24,7 +24,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Exceeds the duration of any step in these tests; a test that waits this long has failed.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 const SETTINGS: &str = r#"{"nodeName":"n1","ipAddress":"127.0.0.1","zone":"a","listen":{},
  "internalPortRange":[7560,7575],"seeds":["127.0.0.1:1"],"bounds":{"retryBudgetRatio":5.0,"retryBudgetSlack":50.0}}"#;
@@ -86,7 +86,7 @@
     pub address: SocketAddrV4,
     pub requests: Arc<Mutex<Vec<String>>>,
     /// A permit for each connection that the caller closed while it waited for a response.
-    pub given_up: Arc<tokio::sync::Semaphore>,
+    pub closed_by_caller: Arc<tokio::sync::Semaphore>,
     actions: Arc<Mutex<Vec<Action>>>,
 }
 
@@ -100,7 +100,7 @@
         let backend = FakeBackend {
             address,
             requests: Arc::default(),
-            given_up: Arc::new(tokio::sync::Semaphore::new(0)),
+            closed_by_caller: Arc::new(tokio::sync::Semaphore::new(0)),
             actions: Arc::new(Mutex::new(actions)),
         };
         let serving = backend.clone();
@@ -150,7 +150,7 @@
     async fn wait_until_closed(&self, mut stream: TcpStream) {
         let mut rest = [0; 64];
         while stream.read(&mut rest).await.is_ok_and(|count| count > 0) {}
-        self.given_up.add_permits(1);
+        self.closed_by_caller.add_permits(1);
     }
 
     pub fn count(&self) -> usize {
@@ -252,7 +252,7 @@
         let mut stream = self.send(path, headers).await;
         let mut text = String::new();
         // An aborted connection may end with a reset.
-        let read = tokio::time::timeout(PATIENCE, stream.read_to_string(&mut text)).await;
+        let read = tokio::time::timeout(TEST_TIMEOUT, stream.read_to_string(&mut text)).await;
         let _ = read.expect("a response in time");
         text
     }
--- a/router/tests/delayed_orders.rs
+++ b/router/tests/delayed_orders.rs
@@ -123,7 +123,7 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, polling)
+    tokio::time::timeout(TEST_TIMEOUT, polling)
         .await
         .unwrap_or_else(|_| panic!("timed out waiting until {description}"));
 }
--- a/router/tests/failures.rs
+++ b/router/tests/failures.rs
@@ -125,7 +125,7 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, recorded)
+    tokio::time::timeout(TEST_TIMEOUT, recorded)
         .await
         .expect("a failure is recorded while the request is pending");
     drop(client);
@@ -155,7 +155,7 @@
     let router = Router::start(&[&backend]).await;
     let known = router.table.backend("i-0").unwrap();
     let idle = async || {
-        let mut connection = known.connect(PATIENCE, true).await.unwrap();
+        let mut connection = known.connect(TEST_TIMEOUT, true).await.unwrap();
         assert!(connection.wait_until_ready().await);
         known.return_connection(connection);
     };
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -232,7 +232,7 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, learns)
+    tokio::time::timeout(TEST_TIMEOUT, learns)
         .await
         .expect("it learns of a prefix");
     let expected = Placement {
--- a/router/tests/proxy.rs
+++ b/router/tests/proxy.rs
@@ -145,7 +145,7 @@
         let answer = router.ask("/safe/", KEY).await;
         assert_eq!((status(&answer), body(&answer)), ("200", "ok"), "{answer}");
     }
-    let given_up = tokio::time::timeout(PATIENCE, hanging.given_up.acquire()).await;
+    let given_up = tokio::time::timeout(TEST_TIMEOUT, hanging.closed_by_caller.acquire()).await;
     given_up
         .expect("the losing send is cancelled by closing its connection")
         .unwrap()
--- a/router/tests/pulls.rs
+++ b/router/tests/pulls.rs
@@ -183,7 +183,7 @@
         .vector
         .insert(control::directory::Origin(1), u64::MAX);
     let response = fleet.handle(Request::Pull(informed));
-    let response = tokio::time::timeout(PATIENCE, response).await;
+    let response = tokio::time::timeout(TEST_TIMEOUT, response).await;
     let response = response.expect("a response before the end of the wait");
     let Some(Response::Pulled(pulled)) = response.map(|reply| reply.response) else {
         panic!("no response to a pull")
--- a/router/tests/response_isolation.rs
+++ b/router/tests/response_isolation.rs
@@ -103,7 +103,7 @@
         stream.read_exact(&mut body).await.unwrap();
         (head, body)
     };
-    tokio::time::timeout(PATIENCE, read)
+    tokio::time::timeout(TEST_TIMEOUT, read)
         .await
         .expect("an answer in time")
 }
@@ -137,7 +137,7 @@
                 );
             }
             // The bodies that were read completely are those that were sent.
-            let permit = tokio::time::timeout(PATIENCE, complete.acquire_many(2)).await;
+            let permit = tokio::time::timeout(TEST_TIMEOUT, complete.acquire_many(2)).await;
             permit.expect("bodies are read whole").unwrap().forget();
         }
     }
@@ -248,7 +248,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let server = listener.local_addr().unwrap();
     let connections = ClientConnections::default();
-    let mut acceptor = ClientAcceptor::new(listener, connections.clone(), Arc::new(|| PATIENCE));
+    let mut acceptor =
+        ClientAcceptor::new(listener, connections.clone(), Arc::new(|| TEST_TIMEOUT));
     let connect = |port: u16| async move {
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
         socket.set_reuseaddr(true).unwrap();
--- a/router/tests/rollout.rs
+++ b/router/tests/rollout.rs
@@ -133,11 +133,11 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, becomes(OrderPhase::InProgress))
+    tokio::time::timeout(TEST_TIMEOUT, becomes(OrderPhase::InProgress))
         .await
         .expect("the order is in progress");
     handle.publish_status(ReplicaStatus::default());
-    tokio::time::timeout(PATIENCE, becomes(OrderPhase::Withdrawn))
+    tokio::time::timeout(TEST_TIMEOUT, becomes(OrderPhase::Withdrawn))
         .await
         .expect("the order is withdrawn");
     assert_eq!(
--- a/router/tests/start_turns.rs
+++ b/router/tests/start_turns.rs
@@ -111,7 +111,8 @@
         let connection = seed.accept().await.expect("a connection");
         (started_at.elapsed(), connection)
     });
-    let connected = tokio::time::timeout(PATIENCE, futures_util::future::join_all(connected)).await;
+    let connected =
+        tokio::time::timeout(TEST_TIMEOUT, futures_util::future::join_all(connected)).await;
     pulling.abort();
     let connected = connected.expect("a connection to every seed");
     let mut times: Vec<Duration> = connected.iter().map(|(at, _)| *at).collect();
--- a/router/tests/weights_deadline.rs
+++ b/router/tests/weights_deadline.rs
@@ -146,7 +146,7 @@
         router.table.refresh(&router.fleet);
     };
     let (status, ()) = tokio::join!(request, announcement);
-    let withdrawn = tokio::time::timeout(PATIENCE, old.given_up.acquire())
+    let withdrawn = tokio::time::timeout(TEST_TIMEOUT, old.closed_by_caller.acquire())
         .await
         .is_ok();
     (status, withdrawn, new.count())
@@ -157,8 +157,8 @@
 /// only when a request is sent does not prevent that.
 #[tokio::test]
 async fn withdraws_requests_queued_on_old_weights() {
-    let repeatable = tokio::time::timeout(PATIENCE, queues_on_old_weights("/safe/")).await;
-    let other = tokio::time::timeout(PATIENCE, queues_on_old_weights("/unsafe/")).await;
+    let repeatable = tokio::time::timeout(TEST_TIMEOUT, queues_on_old_weights("/safe/")).await;
+    let other = tokio::time::timeout(TEST_TIMEOUT, queues_on_old_weights("/unsafe/")).await;
     assert_eq!(
         repeatable.ok(),
         Some(("200".to_owned(), true, 1)),
