--- a/router/src/control_api.rs
+++ b/router/src/control_api.rs
@@ -262,7 +262,7 @@
 fn incomplete_body() -> Response {
     error_response(
         StatusCode::BAD_REQUEST,
-        "the body did not come whole, or is too long: send it again",
+        "the request body is incomplete or too long: send it again",
     )
 }
 
--- a/router/src/replica/task.rs
+++ b/router/src/replica/task.rs
@@ -35,7 +35,7 @@
     next_save_at: Millis,
 }
 
-/// Runs the replica for as long as the process lives.
+/// Runs the replica until the process ends.
 pub async fn run(
     node: ControlNode,
     disk: Disk,
--- a/router/tests/registration.rs
+++ b/router/tests/registration.rs
@@ -174,7 +174,7 @@
     let phase = |fleet: &Fleet| match fleet
         .directory
         .lock()
-        .expect("sound")
+        .expect("an unpoisoned lock")
         .get(&Key::Backend("i".into()))
     {
         Some(Value::Backend(backend)) => backend.phase,
@@ -212,7 +212,12 @@
 }
 
 fn vector_of(fleet: &Fleet) -> VersionVector {
-    fleet.directory.lock().expect("sound").vector().clone()
+    fleet
+        .directory
+        .lock()
+        .expect("an unpoisoned lock")
+        .vector()
+        .clone()
 }
 
 #[tokio::test(start_paused = true)]
@@ -277,7 +282,7 @@
     fleet
         .directory
         .lock()
-        .expect("sound")
+        .expect("an unpoisoned lock")
         .merge(vec![record], &vector);
     let received_here = Backend {
         owner: "n1".into(),
@@ -326,7 +331,7 @@
     match fleet
         .directory
         .lock()
-        .expect("sound")
+        .expect("an unpoisoned lock")
         .get(&Key::Backend("i".into()))
     {
         Some(Value::Backend(backend)) => backend.unresponsive,
@@ -364,7 +369,7 @@
     let current = || match fleet
         .directory
         .lock()
-        .expect("sound")
+        .expect("an unpoisoned lock")
         .get(&Key::Backend("i".into()))
     {
         Some(Value::Backend(backend)) => backend.models.clone(),
