--- a/router/tests/client_disconnects.rs
+++ b/router/tests/client_disconnects.rs
@@ -43,13 +43,14 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, reached)
+    tokio::time::timeout(TEST_TIMEOUT, reached)
         .await
         .expect("the condition is met in time");
 }
 
 async fn is_cancelled(backend: &FakeBackend) -> bool {
-    let given_up = tokio::time::timeout(CANCELLATION_TIMEOUT, backend.given_up.acquire()).await;
+    let given_up =
+        tokio::time::timeout(CANCELLATION_TIMEOUT, backend.closed_by_caller.acquire()).await;
     given_up.is_ok_and(|permit| permit.map(|permit| permit.forget()).is_ok())
 }
 
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -253,7 +253,7 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, has_learned)
+    tokio::time::timeout(TEST_TIMEOUT, has_learned)
         .await
         .expect("the router learns of a prefix");
     let expected = Placement {
