--- a/control/src/changes.rs
+++ b/control/src/changes.rs
@@ -23,8 +23,8 @@
         /// The version.
         version: u64,
     },
-    /// Makes a replica the owner of the weights rollout, which sends orders to backends. The
-    /// primary submits it before its first order.
+    /// Makes a replica the owner of the weights rollout, which sends orders to backends. The new
+    /// owner is committed before its first order.
     RolloutOwner {
         /// The replica.
         replica: ReplicaId,
--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -71,13 +71,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ApplyError {
     /// No delta starts from the current version.
-    #[error("no step starts from version {current}: ask again with that version")]
+    #[error("no delta starts from version {current}: request an update from that version")]
     BaseMismatch {
         /// The current version; 0 for none.
         current: u64,
     },
     /// The result of a delta does not match its checksum.
-    #[error("the text of version {version} does not have its checksum: ask for the whole text")]
+    #[error("checksum mismatch in the text of version {version}: request the full text")]
     Checksum {
         /// The version.
         version: u64,
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -52,7 +52,7 @@
 
 #[derive(Debug)]
 enum Role {
-    /// In no view that this replica knows of.
+    /// Not part of the newest view that this replica knows.
     Outside,
     Backup,
     Primary(Box<Primary>),
@@ -80,15 +80,15 @@
     witness: Witness,
     /// The committed state.
     state: ControlState,
-    /// The one stored update that is not known to be committed.
+    /// The stored update that is not known to be committed; there is at most one.
     tail: Option<Update>,
-    /// The caller that submitted the tail, where it did so here.
+    /// The caller that submitted the tail to this replica, if any.
     tail_ticket: Option<Ticket>,
     recent_updates: RecentUpdates,
     role: Role,
-    /// The process is shutting down.
+    /// Whether the process is shutting down.
     leaving: bool,
-    /// The view change that this replica proposes at present.
+    /// The view change that this replica is proposing.
     attempt: Option<Attempt>,
     /// When the attempt's unanswered requests are sent again.
     retransmit_at: Millis,
@@ -101,7 +101,7 @@
     join_at: Millis,
     known_replicas: BTreeSet<ReplicaId>,
     calls: PendingCalls,
-    /// The owner of the rollout that the committed state named last, unless it is vacant.
+    /// The owner of the rollout in the committed state, unless the ownership is vacant.
     last_rollout_owner: Option<ReplicaId>,
     vacancy: Vacancy,
     /// The sequence number of the newest disk write.
@@ -120,8 +120,8 @@
     /// A replica that starts from the records recovered from its disk.
     pub fn new(identity: Identity, recovered: Recovered, timing: Timing, now: Millis) -> Self {
         let view = recovered.votes.decided.as_ref();
-        // The recorded primary tries to resume leadership at once; the others give it time to.
-        let own = view.is_some_and(|view| view.primary == identity.id);
+        // The recorded primary tries to resume leadership at once; the others wait for it to do so.
+        let is_recorded_primary = view.is_some_and(|view| view.primary == identity.id);
         let role = if view.is_some() {
             Role::Backup
         } else {
@@ -144,7 +144,7 @@
             attempt: None,
             retransmit_at: 0,
             proposal_round: 0,
-            last_primary_contact: if own { 0 } else { now },
+            last_primary_contact: if is_recorded_primary { 0 } else { now },
             current_at: None,
             next_attempt_at: 0,
             join_at: 0,
@@ -224,14 +224,14 @@
     }
 
     fn lease_expires_at(&self, primary: &Primary) -> Millis {
-        let lasts = self.timing.lease - self.timing.lease_margin;
+        let duration = self.timing.lease - self.timing.lease_margin;
         self.view()
-            .map_or(0, |view| primary.lease.expires_at(view, lasts))
+            .map_or(0, |view| primary.lease.expires_at(view, duration))
     }
 
-    /// The last moment at which the committed state here was certainly the newest one: this replica
-    /// led then, or its primary did and confirmed the state by a heartbeat. `None` where it never
-    /// was since the start.
+    /// The last time at which the committed state here was certainly the newest one: this replica
+    /// was the leader then, or the leader confirmed the state by a heartbeat. `None` if neither has
+    /// happened since the start.
     pub fn current_at(&self, now: Millis) -> Option<Millis> {
         if self.leading_epoch(now).is_some() {
             Some(now)
@@ -305,7 +305,7 @@
                     outcome: Outcome::Unknown,
                 });
             });
-            self.effects.extend(self.calls.give_up());
+            self.effects.extend(self.calls.cancel_all());
         }
         if self.role() != before {
             self.effects.push(Effect::Entered {
--- a/control/src/node/catch_up.rs
+++ b/control/src/node/catch_up.rs
@@ -1,7 +1,7 @@
 //! State transfer from the primary to replicas that lag.
 //!
-//! A replica is sent the updates that follow its last stored position, up to a window of bytes; one
-//! that lags further than the retained updates reach is sent the whole state.
+//! A replica is sent the updates that follow its last stored position, up to a window of bytes. A
+//! replica that lags behind the oldest retained update is sent the full state.
 
 use super::primary::{Stage, Transfer};
 use super::recent_updates::LogEntry;
@@ -20,8 +20,8 @@
     Nothing,
     /// These updates, in order.
     Entries(Vec<LogEntry>),
-    /// The whole state: the updates that follow its position are not retained.
-    Everything,
+    /// The full state, as the updates that follow the replica's position are no longer retained.
+    FullState,
 }
 
 impl ControlNode {
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Has this replica counted as synchronized once its own log is durable.
+    /// Reports this replica's own stored positions to itself once its log is durable, as a backup
+    /// does.
     pub(super) fn synchronize_own(&mut self) {
         let own = Requester {
             replica: self.id().clone(),
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Sends a replica that stores the updates up to `stored` what it lacks, unless that is already
-    /// in flight.
+    /// Sends a replica the updates after `stored`, or the full state, unless these are already in
+    /// flight.
     pub(super) fn catch_up(&mut self, replica: &ReplicaId, stored: Position, now: Millis) {
         let (epoch, retransmit_interval) = (self.epoch(), self.timing.retransmit_interval);
         if *replica == *self.id() {
@@ -155,7 +156,7 @@
                 );
                 sent
             }
-            Missing::Everything => {
+            Missing::FullState => {
                 self.stall_writes_for(&transfer, now);
                 let (state, tail) = (self.state.clone(), self.tail.clone());
                 self.send(replica.clone(), Message::Install { epoch, state, tail });
@@ -173,7 +174,7 @@
 
     fn missing(&self, stored: Position) -> Missing {
         let Some(entries) = self.recent_updates.after(stored) else {
-            return Missing::Everything;
+            return Missing::FullState;
         };
         let mut left = WINDOW_BYTES;
         let fits = |entry: &&LogEntry| {
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Stalls writes for a while where a replica needs another full state after having been sent
-    /// one: under a steady load of writes it would never catch up.
+    /// Stalls writes for a while where a replica needs another full state after the first one.
+    /// Under a steady load of writes the replica would never catch up.
     fn stall_writes_for(&mut self, transfer: &Transfer, now: Millis) {
         /// The number of full states that are sent before writes are stalled.
         const FREE_INSTALLS: u32 = 1;
--- a/control/src/node/durability.rs
+++ b/control/src/node/durability.rs
@@ -1,8 +1,8 @@
-//! Disk writes under way, and the replies that wait for them.
+//! Pending disk writes, and the replies that wait for them.
 //!
-//! A witness must not be heard to vote, nor a backup to store an update, before that is on its
-//! disk: a crash in between would let it vote twice, or lose an acknowledged change. Such replies
-//! are therefore kept until every write made before them is durable.
+//! A witness must not reply with a vote, nor a backup acknowledge an update, before either is
+//! durable: after a crash in between, the witness could vote twice, or an acknowledged change would
+//! be lost. Such replies are held back until every earlier write is durable.
 
 use super::messaging::Requester;
 use super::{ControlNode, Effect};
--- a/control/src/node/heartbeats.rs
+++ b/control/src/node/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Heartbeats of the primary, its lease, and handing leadership over.
+//! Heartbeats of the primary, its lease, and the handover of leadership.
 //!
-//! The primary renews its lease with every heartbeat that a majority of the witnesses grants
-//! (Gray and Cheriton, "Leases", SOSP 1989). Clocks are only compared with themselves: the lease
-//! counts from when the heartbeat was sent, a grant from when it was received, so the primary stops
-//! before the witnesses may grant the lease to another one.
+//! The primary renews its lease with every heartbeat that a majority of the witnesses grants (Gray
+//! and Cheriton, "Leases", SOSP 1989). Times of different clocks are never compared. The primary
+//! measures its lease from when the heartbeat was sent, a witness its grant from when the heartbeat
+//! was received, so the primary stops before a witness may grant the lease to another one.
 
 use super::primary::Contact;
 use super::{ControlNode, Requester, Role};
@@ -90,9 +90,9 @@
         self.reply(from, reply);
     }
 
-    /// Records the echo as the time up to which the state here is known to be current: the primary
-    /// still led, and knew its state to be the newest, after it had received this replica's reply
-    /// that was sent at that time.
+    /// Records the time of the echo as one at which the state here was current. This replica sent a
+    /// reply at that time, and the primary was still the leader, with the newest state, when the
+    /// reply arrived.
     fn update_freshness(&mut self, committed: Position, echo: Option<Echo>) {
         let own = echo.filter(|echo| {
             echo.incarnation == self.identity.incarnation && self.state.position >= committed
@@ -133,7 +133,7 @@
 
     pub(super) fn tick_primary(&mut self, now: Millis) {
         if self.is_storage_stalled(now) {
-            return self.resign("the disk does not answer", now);
+            return self.resign("a disk write exceeded the storage time-out", now);
         }
         let Role::Primary(primary) = &self.role else {
             return;
@@ -145,8 +145,8 @@
             self.retransmit(now);
         }
         if without_lease {
-            // Some of the others may still hear this replica: they need not wait for their time-out.
-            return self.resign("the lease ended", now);
+            // Replicas that still receive messages from this one need not wait for their time-out.
+            return self.resign("the lease expired", now);
         }
         self.finish_stage(now);
         self.reconsider_view(now);
--- a/control/src/node/lease.rs
+++ b/control/src/node/lease.rs
@@ -1,15 +1,15 @@
-//! The lease as its holder knows it: which witness granted which heartbeat.
+//! The holder's record of its lease: the heartbeats that each witness has granted.
 //!
-//! A grant binds its witness for the duration of a lease from when it replied, so the holder counts
-//! it from when the heartbeat was sent, which was earlier. Grants are kept through later views of
-//! the same primary, as they bind the witness and not the view; each view counts only the grants of
-//! its own witnesses.
+//! A grant binds the witness for the duration of a lease from its reply. The holder measures the
+//! duration from the sending of the heartbeat, which was earlier. Grants stay valid in later views
+//! of the same primary, as they bind the witness independently of the view; each view counts only
+//! the grants of its own witnesses.
 
 use crate::Millis;
 use crate::view::{ReplicaId, View};
 use std::collections::BTreeMap;
 
-/// Heartbeats that are tracked. The lease of older ones has expired.
+/// The most heartbeats that are tracked. The leases of older ones have expired.
 const MAX_TRACKED_HEARTBEATS: usize = 64;
 
 /// Sent heartbeats, and the newest one that each witness granted.
--- a/control/src/node/membership.rs
+++ b/control/src/node/membership.rs
@@ -1,8 +1,8 @@
 //! Membership of the replication group: bootstrap, joining, leaving, and removal of unresponsive
 //! replicas.
 //!
-//! Invariant: the in-sync set is never made smaller than the replication factor by the removal of a
-//! member, so an acknowledged change is always stored that often. One joiner is added at a time.
+//! Invariant: the removal of a member never makes the in-sync set smaller than the replication
+//! factor, so each acknowledged change keeps that many copies. One joiner is added at a time.
 
 use super::primary::with_joiner;
 use super::{ControlNode, Role};
@@ -14,8 +14,9 @@
 use std::collections::BTreeSet;
 
 impl ControlNode {
-    /// Proposes the first view of a new system to the electorate: the replicas at the addresses in
-    /// every node's settings. Several of them may do so; one view is decided.
+    /// Proposes the first view of a new system to the electorate, which consists of the replicas at
+    /// the addresses in every node's settings. Several of them may propose; only one view is
+    /// decided.
     pub fn bootstrap(
         &mut self,
         electorate: BTreeSet<ReplicaId>,
@@ -46,20 +47,20 @@
     /// replica from the in-sync set.
     pub fn leave(&mut self, now: Millis) {
         self.leaving = true;
-        self.resign("the process is about to end", now);
+        self.resign("the process is shutting down", now);
         self.join_at = now;
         self.tick_membership(now);
         self.process_inbox(now);
     }
 
-    /// Whether the process may end: no change waits for this replica, and its copy is not needed.
+    /// Whether the process may exit: no change requires this replica's acknowledgement or its copy.
     pub fn can_shut_down(&self) -> bool {
         self.view()
             .is_none_or(|view| !view.in_sync.contains(self.id()))
     }
 
-    /// Has a replica outside the in-sync set ask to join, and one that is shutting down ask to
-    /// leave. All known replicas are asked, as it may not know who is primary.
+    /// Asks to join if this replica is outside the in-sync set, and to leave if it is shutting
+    /// down. All known replicas are asked, as the primary may not be known here.
     pub(super) fn tick_membership(&mut self, now: Millis) {
         if now < self.join_at || self.is_storage_stalled(now) {
             return;
@@ -128,8 +129,8 @@
             return;
         };
         let wanted = self.wanted_view(&view, now);
-        // Another proposer may still complete a proposal that was abandoned here. Deciding the
-        // next view, even an equal one, rules that out.
+        // Another proposer may still complete a proposal that this replica abandoned. Deciding the
+        // next view, even with the same members, rules that out.
         let has_open_proposal = !self.required_acks().is_subset(&view.in_sync);
         if wanted != view || has_open_proposal {
             self.propose_view(view, wanted, Intent::Change, now);
@@ -144,7 +145,7 @@
         };
         let (own, timing) = (self.id(), &self.timing);
         let unresponsive = primary.unresponsive(view, own, timing, now);
-        let idle =
+        let unresponsive_witness =
             |wanted: &View| primary.unresponsive_witness(wanted, own, timing.witness_timeout, now);
         let joiner = primary.caught_up(
             self.last_position(),
@@ -165,11 +166,11 @@
             }
         }
         if let Some(joiner) = &joiner {
-            let idle = idle(&wanted);
-            return with_joiner(wanted, joiner, idle);
+            let replaced = unresponsive_witness(&wanted);
+            return with_joiner(wanted, joiner, replaced);
         }
         if view.witnesses.len() > self.timing.min_witnesses()
-            && let Some(witness) = idle(&wanted)
+            && let Some(witness) = unresponsive_witness(&wanted)
         {
             wanted.witnesses.remove(&witness);
         }
--- a/control/src/node/messaging.rs
+++ b/control/src/node/messaging.rs
@@ -1,15 +1,15 @@
 //! Messages between replicas: receiving, dispatching to the module that handles them, and sending.
 //!
-//! A replica that is its own witness or backup sends itself messages through the same inbox, so
-//! that one code path serves both.
+//! Messages of a replica to itself, as its own witness or backup, go through the same inbox, so
+//! local and remote requests share one code path.
 
 use super::{ControlNode, Effect, Identity, Role, heartbeats};
 use crate::Millis;
 use crate::message::{Envelope, Message};
 use crate::view::{Incarnation, ReplicaId, View};
 
-/// The sender of a request, to which the reply is addressed. The reply names the incarnation, so
-/// that a restarted process drops replies to what its former one asked.
+/// The sender of a request, to which the reply is addressed. The reply carries the incarnation, so
+/// a restarted process drops replies to requests from before its restart.
 #[derive(Debug, Clone)]
 pub(super) struct Requester {
     pub(super) replica: ReplicaId,
@@ -17,13 +17,13 @@
 }
 
 impl ControlNode {
-    /// Handles a message from another replica. One for a former disk of this machine, or in reply
-    /// to a former process, is dropped.
+    /// Handles a message from another replica. Messages to a former disk of this machine, and
+    /// replies to a former process, are dropped.
     pub fn receive(&mut self, envelope: Envelope, now: Millis) {
-        let is_late = envelope
+        let is_stale = envelope
             .in_reply_to
             .is_some_and(|incarnation| incarnation != self.identity.incarnation);
-        if envelope.to == self.identity.id && !is_late {
+        if envelope.to == self.identity.id && !is_stale {
             self.inbox.push_back(envelope);
             self.process_inbox(now);
         }
@@ -32,7 +32,7 @@
     /// Handles all received messages, and those that this replica has sent itself.
     pub(super) fn process_inbox(&mut self, now: Millis) {
         while let Some(envelope) = self.inbox.pop_front() {
-            // Only a reply shows that the other replica also hears this one.
+            // Only a reply proves that messages get through in both directions.
             if let Role::Primary(primary) = &mut self.role
                 && envelope.in_reply_to.is_some()
             {
--- a/control/src/node/pending_calls.rs
+++ b/control/src/node/pending_calls.rs
@@ -1,8 +1,8 @@
 //! Pending calls: changes that are not replicated yet, and replies that a majority has to confirm.
 //!
-//! A committed change proves by itself that this replica was the primary: every in-sync replica has
-//! stored it. A reply without one (a rejection, a change that was committed before, the newest
-//! configuration) proves nothing: a successor may have been elected meanwhile. It therefore waits
+//! A newly committed change proves that this replica was the primary, as every in-sync replica has
+//! stored the change. Other replies (a rejection, a change that was committed before, the newest
+//! configuration) lack this proof: a successor may have been elected meanwhile. Such a reply waits
 //! for a heartbeat that was sent after the call was received and that a majority of the witnesses
 //! granted. This is the read-index protocol of Raft (Ongaro, dissertation, section 6.4).
 
@@ -48,7 +48,7 @@
     ticket: Ticket,
     answer: Answer,
     since: Millis,
-    /// The heartbeat that confirms it; `None` until one was sent.
+    /// The sequence number of the heartbeat that confirms the reply; `None` until one is sent.
     sequence: Option<u64>,
 }
 
@@ -78,8 +78,8 @@
     }
 
     /// Queues the outcome of a change that needs no replication.
-    pub(super) fn resolve(&mut self, waiting: PendingChange, outcome: Outcome) {
-        let PendingChange { ticket, since, .. } = waiting;
+    pub(super) fn resolve(&mut self, pending: PendingChange, outcome: Outcome) {
+        let PendingChange { ticket, since, .. } = pending;
         let answer = Answer::Outcome(outcome);
         self.unconfirmed.push(Unconfirmed {
             ticket,
@@ -120,12 +120,12 @@
         let late = self
             .changes
             .iter()
-            .take_while(|waiting| is_late(waiting.since))
+            .take_while(|pending| is_late(pending.since))
             .count();
         let late = self.changes.drain(..late);
         let mut replies: Vec<Effect> = late
-            .map(|waiting| Effect::Reply {
-                ticket: waiting.ticket,
+            .map(|pending| Effect::Reply {
+                ticket: pending.ticket,
                 outcome: Outcome::Unknown,
             })
             .collect();
@@ -142,7 +142,7 @@
     }
 
     /// Removes all calls, as after the loss of the primary role, and returns their replies.
-    pub(super) fn give_up(&mut self) -> Vec<Effect> {
+    pub(super) fn cancel_all(&mut self) -> Vec<Effect> {
         self.expire(Millis::MAX, 0)
     }
 }
--- a/control/src/node/primary.rs
+++ b/control/src/node/primary.rs
@@ -28,13 +28,13 @@
 /// The progress of state transfer to a replica.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Transfer {
-    /// The last update that it reported to store.
+    /// The last update that the replica reported as stored.
     pub(super) stored: Option<Position>,
-    /// The last update that it was sent.
+    /// The last update that was sent to the replica.
     pub(super) sent: Option<Position>,
-    /// When it last made progress, or was sent what it lacked.
+    /// When the replica last made progress, or was last sent updates or a full state.
     pub(super) progressed_at: Millis,
-    /// Full states that it was sent since it last stored the newest update.
+    /// The number of full states sent since the replica last stored the newest update.
     pub(super) installs: u32,
 }
 
@@ -132,10 +132,10 @@
             .collect()
     }
 
-    /// A replica that asks to join, is responsive, and stores every change that may have been
-    /// acknowledged. While this primary starts, that includes its tail, which an earlier primary
-    /// may have acknowledged; later the last committed change suffices, as the one in flight was
-    /// sent to the joiner too.
+    /// A responsive joiner that stores every change which may have been acknowledged. While this
+    /// primary starts, these include its tail, which an earlier primary may have acknowledged;
+    /// later the last committed change suffices, as the change in flight was sent to the joiner
+    /// too.
     pub(super) fn caught_up(
         &self,
         last: Position,
@@ -143,9 +143,9 @@
         timeout: Millis,
         now: Millis,
     ) -> Option<ReplicaId> {
-        let is_here = |at: Millis| now < at + timeout;
+        let is_responsive = |at: Millis| now < at + timeout;
         let is_starting = matches!(self.stage, Stage::Starting { .. });
-        let is_in_step = |replica: &ReplicaId| {
+        let is_caught_up = |replica: &ReplicaId| {
             let stored = self
                 .transfers
                 .get(replica)
@@ -155,7 +155,7 @@
         let mut joiners = self
             .joiners
             .iter()
-            .filter(|(replica, at)| is_here(**at) && is_in_step(replica));
+            .filter(|(replica, at)| is_responsive(**at) && is_caught_up(replica));
         joiners
             .find(|(replica, _)| !self.leaving.contains(*replica))
             .map(|(replica, _)| replica.clone())
@@ -169,32 +169,33 @@
         timeout: Millis,
         now: Millis,
     ) -> Option<ReplicaId> {
-        let mut idle = wanted
+        let mut witnesses = wanted
             .witnesses
             .difference(&wanted.in_sync)
             .filter(|witness| *witness != own);
-        idle.find(|witness| now >= self.last_contact(witness) + timeout)
+        witnesses
+            .find(|witness| now >= self.last_contact(witness) + timeout)
             .cloned()
     }
 }
 
-/// A view with one more in-sync replica. The joiner replaces a former disk of the same machine; a
-/// new machine replaces an unresponsive witness, so that after the next loss the majority does not
-/// depend on a witness that is gone.
+/// The view with `replica` added to the in-sync set and the witnesses. The joiner replaces the
+/// replica on a former disk of the same machine. A new machine replaces an unresponsive witness, so
+/// that the majority does not depend on a lost witness when the next replica fails.
 pub(super) fn with_joiner(
     mut view: View,
     replica: &ReplicaId,
     unresponsive: Option<ReplicaId>,
 ) -> View {
-    // Two processes cannot share an address, so the former one has ended and its disk is gone.
+    // Two processes cannot share an address, so the former one has exited and its disk is lost.
     let is_former = |other: &ReplicaId| other.address == replica.address && other != replica;
-    let has_place = view
+    let was_witness = view
         .witnesses
         .iter()
         .any(|other| other == replica || is_former(other));
     view.in_sync.retain(|other| !is_former(other));
     view.witnesses.retain(|other| !is_former(other));
-    if let Some(unresponsive) = unresponsive.filter(|_| !has_place) {
+    if let Some(unresponsive) = unresponsive.filter(|_| !was_witness) {
         view.witnesses.remove(&unresponsive);
     }
     view.in_sync.insert(replica.clone());
--- a/control/src/node/recent_updates.rs
+++ b/control/src/node/recent_updates.rs
@@ -1,4 +1,4 @@
-//! The most recent updates of a replica's log, for replicas that lag by only these.
+//! The most recent updates of a replica's log, retained for replicas that lag slightly.
 
 use crate::state::{Position, Update};
 use std::collections::VecDeque;
@@ -30,7 +30,7 @@
 }
 
 impl RecentUpdates {
-    /// Retains nothing of the log up to `last`.
+    /// Starts empty; `last` is the position of the last update in the log.
     pub(super) fn new(last: Position) -> Self {
         RecentUpdates {
             last,
@@ -48,7 +48,7 @@
         self.last = update.position;
         self.bytes += entry.bytes();
         self.entries.push_back(entry);
-        // The newest update stays whatever its size, as other replicas are still storing it.
+        // The newest update is retained whatever its size, as other replicas are still storing it.
         while self.entries.len() > 1 && (self.entries.len() > MAX_UPDATES || self.bytes > MAX_BYTES)
         {
             let Some(oldest) = self.entries.pop_front() else {
--- a/control/src/node/replica_log.rs
+++ b/control/src/node/replica_log.rs
@@ -1,7 +1,6 @@
 //! The log of one replica, in any role: appending, committing, and installing a state.
 //!
-//! Everything but the last update is committed, so the log beyond the state is one update, the
-//! tail.
+//! All updates but the last are committed and applied to the state. The last one is the tail.
 
 use super::Effect;
 use super::recent_updates::RecentUpdates;
@@ -12,7 +11,7 @@
 use crate::storage::Record;
 use crate::view::Epoch;
 
-/// A request of the primary of a view that is not known yet: messages may overtake each other.
+/// A request from the primary of a view that is not known here yet, as messages may be reordered.
 #[derive(Debug)]
 pub(super) struct EarlySynchronize {
     pub(super) requester: Requester,
@@ -93,12 +92,12 @@
         }
     }
 
-    /// Whether this replica stores an update that the primary of `epoch` ordered after the update at
-    /// `position`.
+    /// Whether this replica stores an update that the primary of `epoch` ordered after the update
+    /// at `position`.
     ///
-    /// Within an epoch the primary's log only grows. A state that ends before such an update was
-    /// sent earlier and delayed on its way: the update may have been acknowledged since. An update
-    /// of an earlier epoch proves nothing, as the primary may lack it.
+    /// Within an epoch the primary's log only grows, so a state that ends before such an update was
+    /// sent earlier and delayed. Installing it could discard an update that has been acknowledged
+    /// since. An update of an earlier epoch proves nothing, as the primary may lack it.
     fn has_later_update_of(&self, epoch: Epoch, position: Position) -> bool {
         let last = self.last_position();
         last.epoch == epoch && position.index < last.index
--- a/control/src/node/replication.rs
+++ b/control/src/node/replication.rs
@@ -1,11 +1,11 @@
 //! Replication by the primary: one change at a time, stored by every required replica before it is
 //! committed and acknowledged.
 //!
-//! Invariant: whoever may become the primary of a later view stores every acknowledged change. The
-//! race that would break it: this primary proposes a view with another in-sync set and gives the
-//! attempt up, while a witness that accepted it has another proposer decide it. So a change needs
-//! the acknowledgements of every view that this primary has proposed, see
-//! [`ControlNode::required_acks`].
+//! Invariant: every replica that may become the primary of a later view stores every acknowledged
+//! change. A view that this primary proposed and then abandoned would break the invariant: if a
+//! witness has accepted that view, another proposer may still have it decided, with its other
+//! in-sync set. A change therefore needs the acknowledgements of every view that this primary has
+//! proposed, see [`ControlNode::required_acks`].
 
 use super::pending_calls::PendingChange;
 use super::primary::Stage;
@@ -56,8 +56,8 @@
         required
     }
 
-    /// Completes the current stage if nothing is missing for it any more, as after an attempt that
-    /// was abandoned.
+    /// Completes the current stage if all required acknowledgements have arrived. Abandoning a view
+    /// change may reduce the required set without a further reply.
     pub(super) fn finish_stage(&mut self, now: Millis) {
         self.finish_start(now);
         self.finish_replication(now);
@@ -82,20 +82,20 @@
             if primary.stage != Stage::Ready || now < primary.writes_stalled_until {
                 return;
             }
-            let Some(waiting) = self.calls.next_change() else {
+            let Some(pending) = self.calls.next_change() else {
                 return;
             };
-            match self.state.evaluate(&waiting.change) {
+            match self.state.evaluate(&pending.change) {
                 Some(outcome) => {
-                    self.calls.resolve(waiting, outcome);
+                    self.calls.resolve(pending, outcome);
                     self.confirm_calls(now);
                 }
-                None => self.replicate(waiting, now),
+                None => self.replicate(pending, now),
             }
         }
     }
 
-    fn replicate(&mut self, waiting: PendingChange, now: Millis) {
+    fn replicate(&mut self, pending: PendingChange, now: Millis) {
         let previous = self.last_position();
         let position = Position {
             index: self.state.position.index + 1,
@@ -103,9 +103,9 @@
         };
         let update = Update {
             position,
-            change: waiting.change,
+            change: pending.change,
         };
-        self.tail_ticket = Some(waiting.ticket);
+        self.tail_ticket = Some(pending.ticket);
         self.append(update, now);
         self.set_stage(
             Stage::Replicating {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The position before the update that is in flight.
+    /// The position before the update that is being replicated.
     pub(super) fn position_before_tail(&self) -> Position {
         self.state.position
     }
@@ -168,7 +168,7 @@
             return;
         };
         if self.required_acks().is_subset(stored) {
-            self.set_stage(Stage::Ready, "the change is stored everywhere");
+            self.set_stage(Stage::Ready, "all required replicas have stored the change");
             self.commit_tail(now);
             self.reconsider_view(now);
             self.replicate_next(now);
--- a/control/src/node/rollout_owner.rs
+++ b/control/src/node/rollout_owner.rs
@@ -1,8 +1,8 @@
 //! Ownership of the weights rollout, as this replica knows it; see [`crate::rollout`].
 //!
-//! Invariant: a replica sends orders only within [`Timing::order_grant`](super::Timing) of a moment
-//! at which it was certainly still named as the owner. A primary learns from heartbeat replies how
-//! late that moment can be, so it knows when the permission of an unresponsive owner has expired.
+//! Invariant: a replica sends orders only within [`Timing::order_grant`](super::Timing) of a time
+//! at which it was certainly still the owner. Heartbeat replies give the primary an upper bound on
+//! that time, so it knows when the grant of an unresponsive owner has expired.
 
 use super::{ControlNode, Role};
 use crate::Millis;
@@ -10,8 +10,8 @@
 use crate::view::ReplicaId;
 
 impl ControlNode {
-    /// Whether this replica owns the rollout, and so may send orders to backends; if not, what it
-    /// may do to become the owner.
+    /// Whether this replica owns the rollout and may send orders to backends; if not, why, and
+    /// whether it may become the owner.
     pub fn rollout_ownership(&self, now: Millis) -> RolloutOwnership {
         if self.order_grant(now).is_some() {
             return RolloutOwnership::Owned;
@@ -51,8 +51,8 @@
         })
     }
 
-    /// The last moment at which the owner may have been confirmed, as far as this primary can tell:
-    /// by itself, or by an earlier primary, whose lease had ended when this one took over.
+    /// An upper bound on the last time at which the owner can have been confirmed: by this primary,
+    /// or by an earlier one, whose lease had expired when this one took over.
     fn last_owner_contact(&self, owner: &ReplicaId) -> Millis {
         let Role::Primary(primary) = &self.role else {
             return Millis::MAX;
@@ -64,7 +64,7 @@
         primary.leading_since.max(reply.map_or(0, |reply| reply.at))
     }
 
-    /// To be called whenever the committed state has changed.
+    /// Updates the vacancy from the committed state; to be called after each change of that state.
     pub(super) fn track_rollout_owner(&mut self, now: Millis) {
         let owner = self.state.rollout_owner.as_ref();
         let former = self.last_rollout_owner.take();
--- a/control/src/node/view_change.rs
+++ b/control/src/node/view_change.rs
@@ -14,7 +14,7 @@
 use crate::witness::Vote;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time from a failed attempt until the next one of the same replica, at the least.
+/// The minimum time between a failed attempt and the next one of the same replica.
 const MIN_BACKOFF: Millis = 50;
 
 impl ControlNode {
@@ -95,8 +95,8 @@
         {
             return;
         }
-        let own = view.primary == *self.id();
-        let wait = if own {
+        let is_recorded_primary = view.primary == *self.id();
+        let wait = if is_recorded_primary {
             0
         } else {
             self.timing.lease + self.preceding_candidates(view) * self.timing.election_stagger
@@ -181,7 +181,7 @@
         self.next_attempt_at = now + MIN_BACKOFF + preceding * self.timing.election_stagger / 2;
     }
 
-    /// The number of in-sync backups that are to become primary rather than this replica.
+    /// The number of in-sync backups that precede this replica in the order of candidates.
     fn preceding_candidates(&self, view: &View) -> u64 {
         let candidates = view.in_sync.iter().filter(|other| **other != view.primary);
         candidates.filter(|other| *other < self.id()).count() as u64
@@ -192,8 +192,8 @@
             Progress::Pending => {}
             Progress::Accept(proposal) => {
                 if let Role::Primary(primary) = &mut self.role {
-                    // A majority has promised this number, so no view that was proposed before
-                    // can be decided any more, unless it is this one.
+                    // A majority has promised this number, so no earlier proposal can be decided
+                    // any more, unless for this same view.
                     primary.proposed = proposal.view.in_sync;
                 }
                 self.send_attempt(now);
@@ -202,10 +202,10 @@
                 let Some(attempt) = self.attempt.take() else {
                     return;
                 };
-                let mut informed = attempt.current.participants();
-                informed.extend(view.participants());
-                informed.remove(self.id());
-                for replica in informed {
+                let mut recipients = attempt.current.participants();
+                recipients.extend(view.participants());
+                recipients.remove(self.id());
+                for replica in recipients {
                     self.send(replica, Message::Decided { view: view.clone() });
                 }
                 self.learn(view, now);
@@ -264,7 +264,8 @@
         };
         let (lease, mut contacts, leaving, leading_since) =
             former.unwrap_or_else(|| (Lease::default(), BTreeMap::new(), BTreeSet::new(), now));
-        // Unresponsiveness is measured from here on, through later views of this primary too.
+        // The time-outs of replicas run from now on, and continue through later views of this
+        // primary.
         for replica in self.others() {
             contacts.entry(replica).or_insert(Contact {
                 at: now,
--- a/control/src/proposer.rs
+++ b/control/src/proposer.rs
@@ -1,8 +1,8 @@
 //! The proposer of view changes: one attempt to have a view accepted.
 //!
-//! Phase 1 needs a majority of the current view's witnesses, phase 2 majorities of the current and
-//! of the proposed one, as in joint consensus: so two successive views always have a witness in
-//! common that knows the later one.
+//! Phase 1 needs a majority of the current view's witnesses. Phase 2 needs majorities of both the
+//! current and the proposed view, as in joint consensus, so any two successive views share a
+//! witness that knows the later one.
 
 use crate::Millis;
 use crate::view::{Epoch, Proposal, ProposalNumber, ReplicaId, View};
@@ -26,9 +26,8 @@
 pub enum Intent {
     /// As proposed.
     Change,
-    /// The proposer takes over: in-sync replicas that vote for it stay in sync, and silent ones as
-    /// long as there would be fewer than `replication_factor`. Each of these holds every
-    /// acknowledged change, whether it answers at present or not.
+    /// The proposer takes over. In-sync replicas that vote for it stay in the set, and unresponsive
+    /// ones only as needed to reach `replication_factor`; they too store every acknowledged change.
     TakeOver {
         /// How many replicas have to store each change.
         replication_factor: usize,
@@ -97,7 +96,7 @@
         self.current.epoch + 1
     }
 
-    /// The proposed view. It changes where phase 1 finds an accepted one.
+    /// The proposed view. Replaced at the end of phase 1 if a witness has already accepted a view.
     pub fn target(&self) -> &View {
         &self.target
     }
@@ -174,8 +173,8 @@
         self.proposal().map_or(Progress::Pending, Progress::Accept)
     }
 
-    /// Chooses the view of phase 2. An accepted view may already be decided, so it is completed in
-    /// place of this attempt's own.
+    /// Chooses the view of phase 2. A view that a witness has accepted may already be decided, so
+    /// it takes the place of this attempt's own.
     fn choose_view(&mut self, promises: &BTreeSet<ReplicaId>, accepted: Option<View>) {
         if let Some(view) = accepted {
             self.target = view;
--- a/control/src/ring.rs
+++ b/control/src/ring.rs
@@ -6,7 +6,7 @@
 
 /// A member's position on the ring.
 fn position(name: &str) -> (u64, &str) {
-    // FNV-1a, so that every program and every run agrees.
+    // FNV-1a gives the same positions in all processes and program versions.
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
     });
@@ -41,7 +41,7 @@
     in_ring_order
 }
 
-/// The members whose heartbeats `name` receives: those that it follows on the ring.
+/// The members whose heartbeats `name` receives: the `count` members before it on the ring.
 pub fn monitored_by(
     members: &BTreeSet<CompactString>,
     name: &str,
--- a/control/src/witness.rs
+++ b/control/src/witness.rs
@@ -57,15 +57,15 @@
     NotEligible,
 }
 
-/// The lease as one witness knows it.
+/// The lease as granted by one witness.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Grant {
     /// Granted to no replica.
     Free,
     /// Granted to a replica until a time on this witness's clock.
     Held { holder: ReplicaId, until: Millis },
-    /// After a restart: grants of the former process are unknown, so until then only the recorded
-    /// primary may hold it.
+    /// After a restart the grants of the former process are unknown, so until this time only the
+    /// recorded primary may hold the lease.
     Unknown { until: Millis },
 }
 
@@ -81,8 +81,8 @@
 }
 
 impl Witness {
-    /// A witness that starts with what its disk holds. One that `may_bootstrap` started together
-    /// with the system and votes on the first view.
+    /// A witness that starts with the votes on its disk. With `may_bootstrap`, it was started
+    /// together with the system and votes on the first view.
     pub fn new(votes: Votes, may_bootstrap: bool, lease: Millis, now: Millis) -> Self {
         let grant = if votes.decided.is_some() {
             Grant::Unknown { until: now + lease }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The state that has to be on disk before a reply is sent.
+    /// The state that has to be durable before a reply is sent.
     pub fn votes(&self) -> &Votes {
         &self.votes
     }
