--- a/control/src/configuration.rs
+++ b/control/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: reading, checking, and looking up routes and keys.
+//! The operators' configuration: parsing, validation, and lookup of routes and API keys.
 
 use compact_str::CompactString;
 use simd_json::OwnedValue;
@@ -7,114 +7,112 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// Why a configuration can't be taken.
+/// Why a configuration is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
-    /// Not JSON, or not all of it.
-    #[error("the body is not whole JSON: {0}; send it again, complete")]
+    /// The body is malformed or truncated JSON.
+    #[error("the body is malformed or truncated JSON: {0}")]
     InvalidJson(String),
-    /// A field is missing or of another type.
-    #[error("{path} is missing or not {wanted}: give it such a value")]
+    /// A field is missing or has the wrong type.
+    #[error("{path} is missing or not {wanted}")]
     Field {
-        /// Where.
+        /// The path of the field.
         path: String,
-        /// What is allowed.
+        /// The allowed values.
         wanted: &'static str,
     },
-    /// A route names a service that there is not.
-    #[error(
-        "routes[{route}] names the service {service}, which is not under services: add it or name another"
-    )]
+    /// A route refers to a service that is not defined.
+    #[error("routes[{route}] refers to the service {service}, which is not listed under services")]
     UnknownService {
         /// The route's name.
         route: CompactString,
         /// The service.
         service: CompactString,
     },
-    /// Two routes have one place.
-    #[error("routes {first} and {second} have the same host and pathPrefix: change one of them")]
+    /// Two routes have the same host and path prefix.
+    #[error("routes {first} and {second} have the same host and pathPrefix")]
     DuplicateRoute {
-        /// One route's name.
+        /// The name of one route.
         first: CompactString,
-        /// The other's.
+        /// The name of the other.
         second: CompactString,
     },
-    /// A route can't be sent anywhere.
+    /// The weights of a traffic split add up to 0.
     #[error(
-        "the weights of routes[{route}].trafficSplit add up to 0: give at least one of them weight"
+        "the weights of routes[{route}].trafficSplit add up to 0: at least one must be positive"
     )]
     ZeroWeight {
         /// The route's name.
         route: CompactString,
     },
-    /// A route gives no time.
-    #[error("routes[{route}].timeoutMs is 0: allowed is 1 and more")]
+    /// The time-out of a route is 0.
+    #[error("routes[{route}].timeoutMs is 0: it must be at least 1")]
     ZeroTimeout {
         /// The route's name.
         route: CompactString,
     },
-    /// The version does not rise.
-    #[error("version {found} is not above the current {current}: send a higher one")]
+    /// The version is not higher than the current one.
+    #[error("version {found} is not above the current {current}")]
     StaleVersion {
-        /// The version found.
+        /// The submitted version.
         found: u64,
-        /// The version in force.
+        /// The current version.
         current: u64,
     },
-    /// Two tenants have one key.
-    #[error("tenants {first} and {second} share a key: give one of them another")]
+    /// Two tenants have the same API key.
+    #[error("tenants {first} and {second} have the same API key")]
     SharedKey {
-        /// One tenant's name.
+        /// The name of one tenant.
         first: CompactString,
-        /// The other's.
+        /// The name of the other.
         second: CompactString,
     },
 }
 
-/// What repeating a request may do.
+/// Whether the requests of a route may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run more than once.
+    /// A request may be executed more than once.
     Safe,
-    /// It may run at most once.
+    /// A request may be executed at most once.
     Unsafe,
-    /// A series of events; as `Unsafe` unless it may be resumed.
+    /// The response is an event stream. Treated as `Unsafe` unless the stream is resumable.
     Streaming,
 }
 
 /// One route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: CompactString,
-    /// The `Host` that it is for.
+    /// The `Host` header that the route matches.
     pub host: CompactString,
-    /// What its paths begin with.
+    /// The path prefix that the route matches.
     pub path_prefix: CompactString,
-    /// What repeating may do.
+    /// Whether requests may be executed more than once.
     pub kind: Kind,
-    /// The longest time that a request is held.
+    /// The time-out of a request.
     pub timeout_ms: u64,
-    /// An answer within this time has its full worth.
+    /// The latency target of a response.
     pub target_latency_ms: u64,
-    /// Its rank; 0 is highest.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Services with their weights.
+    /// The traffic split: services with their weights.
     pub split: Vec<(CompactString, u64)>,
-    /// The most backends that one try may be sent to.
+    /// The most executions of one request, the first one included.
     pub attempts: u32,
-    /// Needs no key.
+    /// Requests need no API key.
     pub public: bool,
-    /// Its requests tell the parts of their prompts.
+    /// Requests carry the segments of their prompts in headers, for cache-aware routing.
     pub sticky: bool,
-    /// A stream may be continued at another backend.
+    /// An event stream may be resumed on another backend.
     pub resumable: bool,
-    /// The longest pause between events.
+    /// The target for the gap between two events of a stream.
     pub gap_target_ms: u64,
 }
 
 impl Route {
-    /// Whether a request on it may run more than once.
+    /// Whether a request may be executed more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             Kind::Safe => true,
@@ -124,59 +122,59 @@
     }
 }
 
-/// What a service's backends are, where they run models.
+/// The inference engine that a service's backends run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests at once on a backend.
+    /// The number of requests that a backend processes concurrently.
     pub slots: u32,
-    /// Tokens that fit into a backend's memory.
+    /// The capacity of a backend's KV cache, in tokens.
     pub kv_capacity: u64,
-    /// Bytes of a token in memory.
+    /// The size of a token in the KV cache, in bytes.
     pub kv_token_bytes: f64,
-    /// Speed of a backend's link.
+    /// The bandwidth of a backend's network link, in Mbit/s.
     pub link_mbps: f64,
-    /// Calls for events that a backend holds at once.
+    /// The most event subscriptions that a backend serves concurrently.
     pub max_concurrent: u32,
-    /// Names of models.
+    /// The names of the models.
     pub models: Vec<CompactString>,
 }
 
-/// A service that keeps parts of prompts.
+/// A store for the KV cache of prompt segments.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KvStore {
-    /// Where it is.
+    /// The address of the store.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The zone of the store.
     pub zone: CompactString,
-    /// Tokens that fit.
+    /// The capacity in tokens.
     pub kv_capacity: u64,
-    /// Calls for events that it holds at once.
+    /// The most event subscriptions that the store serves concurrently.
     pub max_concurrent: u32,
 }
 
 /// One service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Path of its health check.
+    /// The path of the health check.
     pub health_path: CompactString,
-    /// Connections that a backend takes from all callers together.
+    /// The most connections that a backend accepts from all clients together.
     pub connection_limit: u32,
-    /// Its engine, where it runs models.
+    /// The inference engine, where the service runs models.
     pub engine: Option<Engine>,
-    /// The store that it is, where it is one.
+    /// The KV store, where the service is one.
     pub kv_store: Option<KvStore>,
 }
 
-/// Bounds on what clients may send.
+/// Limits on client requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// The most bytes of a request's header section.
     pub max_header_bytes: u64,
-    /// Bytes of a request's body.
+    /// The most bytes of a request's body.
     pub max_body_bytes: u64,
-    /// Time for a head to come.
+    /// The time-out for receiving a header section.
     pub header_timeout_ms: u64,
-    /// Time that a connection may be idle.
+    /// The time after which an idle connection is closed.
     pub idle_timeout_ms: u64,
 }
 
@@ -194,44 +192,47 @@
 /// One tenant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: CompactString,
-    /// Its rank, put before that of a route.
+    /// The priority, which takes precedence over that of a route; 0 is the highest.
     pub priority: u8,
-    /// Shares no part of a prompt with others.
+    /// Cached prompt segments are not shared with other tenants.
     pub isolated: bool,
 }
 
-/// A checked configuration.
+/// A validated configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Configuration {
-    /// Its version.
+    /// The version.
     pub version: u64,
-    /// Its routes.
+    /// The routes.
     pub routes: Vec<Route>,
-    /// Its services by name.
+    /// The services by name.
     pub services: BTreeMap<CompactString, Service>,
-    /// Bounds on what clients may send.
+    /// Limits on client requests.
     pub limits: Limits,
-    /// Its tenants.
+    /// The tenants.
     pub tenants: Vec<Tenant>,
+    /// API keys, each with the index of its tenant.
     keys: HashMap<String, usize>,
+    /// Hosts, each with the indices of its routes, longest path prefix first.
     route_index: HashMap<CompactString, Vec<usize>>,
 }
 
-/// Who may send a request.
+/// The result of checking an API key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access<'a> {
-    /// The key's tenant.
+    /// The key belongs to this tenant.
     Tenant(&'a Tenant),
-    /// Nobody needs a key.
+    /// No key is required.
     Open,
-    /// A key is wanted, and this is none.
+    /// A key is required, and this one is missing or unknown.
     Denied,
 }
 
 impl Configuration {
-    /// Reads and checks a configuration, apart from whether its version rises.
+    /// Parses and validates a configuration. [`ConfigurationError::StaleVersion`] is not checked
+    /// here, as that depends on the current version.
     pub fn parse(body: &[u8]) -> Result<Self, ConfigurationError> {
         let mut bytes = body.to_vec();
         let value: OwnedValue = simd_json::to_owned_value(&mut bytes)
@@ -261,14 +262,14 @@
     fn add_tenant(&mut self, value: &OwnedValue, index: usize) -> Result<(), ConfigurationError> {
         let path = format!("tenants[{index}]");
         let tenant = Tenant {
-            name: text(value, "name").ok_or_else(|| field(&format!("{path}.name"), "a text"))?,
+            name: text(value, "name").ok_or_else(|| field(&format!("{path}.name"), "a string"))?,
             priority: number(value, "priority").unwrap_or(0).min(9) as u8,
             isolated: flag(value, "isolated"),
         };
         for key in list(value, "apiKeys")? {
             let key = key
                 .as_str()
-                .ok_or_else(|| field(&format!("{path}.apiKeys"), "a list of texts"))?;
+                .ok_or_else(|| field(&format!("{path}.apiKeys"), "a list of strings"))?;
             if let Some(other) = self.keys.insert(key.to_owned(), self.tenants.len())
                 && other != self.tenants.len()
             {
@@ -322,14 +323,14 @@
         }
     }
 
-    /// The route of a host and a path: the one with the longest prefix.
+    /// The route of a host and a path: the one with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let candidates = self.route_index.get(host)?;
         let mut routes = candidates.iter().map(|index| &self.routes[*index]);
         routes.find(|route| path.starts_with(route.path_prefix.as_str()))
     }
 
-    /// Who sends a request with this key on this route.
+    /// The access that an API key gives to a route.
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access<'_> {
         let tenant = key
             .and_then(|key| self.keys.get(key))
@@ -398,7 +399,7 @@
     index: usize,
 ) -> Result<(CompactString, Service), ConfigurationError> {
     let name =
-        text(value, "name").ok_or_else(|| field(&format!("services[{index}].name"), "a text"))?;
+        text(value, "name").ok_or_else(|| field(&format!("services[{index}].name"), "a string"))?;
     let engine = value.get("engine").map(|engine| Engine {
         slots: number(engine, "slots").unwrap_or(1).max(1) as u32,
         kv_capacity: number(engine, "kvCapacity").unwrap_or(0),
@@ -438,7 +439,7 @@
 
 fn read_route(value: &OwnedValue, index: usize) -> Result<Route, ConfigurationError> {
     let path = |key: &str| format!("routes[{index}].{key}");
-    let wanted = |key: &str| text(value, key).ok_or_else(|| field(&path(key), "a text"));
+    let wanted = |key: &str| text(value, key).ok_or_else(|| field(&path(key), "a string"));
     let kind = match value.get("kind").and_then(|kind| kind.as_str()) {
         Some("safe") => Kind::Safe,
         Some("streaming") => Kind::Streaming,
--- a/control/src/directory.rs
+++ b/control/src/directory.rs
@@ -1,8 +1,10 @@
-//! Soft state that spreads by version vectors: backends, members, and orders under way.
+//! Soft state that is replicated by anti-entropy with version vectors: backends, members, orders
+//! and suspicions.
 //!
-//! Each life of a node is an origin that numbers its records. A holder tells how far it knows each
-//! origin, and gets the records that are newer. Which of two records of one thing holds is decided
-//! by their rank, not by their order of arrival, so that holders converge whatever the paths.
+//! Each incarnation of a node is an origin that numbers its records. A node sends its version
+//! vector and receives the records that are newer. Conflicts between two records with the same key
+//! are resolved by rank, not by order of arrival, so all nodes converge whichever paths records
+//! take.
 
 mod records;
 
@@ -15,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The records that one node holds.
+/// One node's replica of the records.
 #[derive(Debug)]
 pub struct Directory {
     own: Origin,
@@ -25,7 +27,7 @@
 }
 
 impl Directory {
-    /// An empty directory of a node's new life.
+    /// An empty directory for a new incarnation of a node.
     pub fn new(own: Origin) -> Self {
         Directory {
             own,
@@ -35,32 +37,32 @@
         }
     }
 
-    /// How far each origin is known.
+    /// The version vector: the last known record number of each origin.
     pub fn vector(&self) -> &VersionVector {
         &self.vector
     }
 
-    /// How many records are held.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// What is held about a thing.
+    /// The value of a key.
     pub fn get(&self, key: &Key) -> Option<&Value> {
         self.records.get(key).map(|(_, value)| value)
     }
 
-    /// Who wrote what is held about a thing.
+    /// The stamp of a key's record.
     pub fn stamp(&self, key: &Key) -> Option<Stamp> {
         self.records.get(key).map(|(stamp, _)| *stamp)
     }
 
-    /// Every backend with its id.
+    /// All backends with their instance ids.
     pub fn backends(&self) -> impl Iterator<Item = (&CompactString, &Backend)> {
         self.records
             .iter()
@@ -70,7 +72,7 @@
             })
     }
 
-    /// Every member with its name.
+    /// All members with their node names.
     pub fn members(&self) -> impl Iterator<Item = (&CompactString, &Member)> {
         self.records
             .iter()
@@ -80,7 +82,7 @@
             })
     }
 
-    /// The last order to a backend.
+    /// The last order that was sent to a backend.
     pub fn order(&self, backend: &str) -> Option<&Order> {
         match self.get(&Key::Order(backend.into())) {
             Some(Value::Order(order)) => Some(order),
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Writes a record of this node's own. False where what is held ranks higher or says the same.
+    /// Writes a record with this node as its origin. Returns false where the current record
+    /// outranks or equals the new one.
     pub fn put(&mut self, key: Key, value: Value) -> bool {
         if let Some((_, current)) = self.records.get(&key)
             && !value.outranks(current)
@@ -120,23 +123,24 @@
         self.by_stamp.insert((stamp.origin, stamp.counter), key);
     }
 
-    /// Forgets a record. As its stamp stays covered by the vector, nobody sends it again.
+    /// Removes a record. The version vector still covers its stamp, so no other node sends the
+    /// record again.
     pub fn remove(&mut self, key: &Key) {
         if let Some((stamp, _)) = self.records.remove(key) {
             self.by_stamp.remove(&(stamp.origin, stamp.counter));
         }
     }
 
-    /// Whether there is anything that the holder of `vector` lacks.
+    /// Whether a node with this version vector may lack records.
     pub fn has_records_since(&self, vector: &VersionVector) -> bool {
         self.vector
             .iter()
             .any(|(origin, counter)| vector.get(origin).copied().unwrap_or(0) < *counter)
     }
 
-    /// Everything that the holder of `vector` lacks.
+    /// The records that a node with this version vector lacks.
     pub fn records_since(&self, vector: &VersionVector) -> Vec<Record> {
-        let mut news = Vec::new();
+        let mut records = Vec::new();
         for (origin, newest) in &self.vector {
             let known = vector.get(origin).copied().unwrap_or(0);
             if known >= *newest {
@@ -151,7 +155,7 @@
                         origin: *origin,
                         counter: *counter,
                     };
-                    news.push(Record {
+                    records.push(Record {
                         key: key.clone(),
                         stamp,
                         value: value.clone(),
@@ -159,14 +163,14 @@
                 }
             }
         }
-        news
+        records
     }
 
-    /// Takes everything that a holder had beyond this directory's vector. Returns what has changed
-    /// here.
-    pub fn merge(&mut self, news: Vec<Record>, vector: &VersionVector) -> BTreeSet<Key> {
+    /// Merges all records that another node, whose version vector is `vector`, has and this one
+    /// lacks. Returns the keys whose values changed.
+    pub fn merge(&mut self, records: Vec<Record>, vector: &VersionVector) -> BTreeSet<Key> {
         let mut changed = BTreeSet::new();
-        for record in news {
+        for record in records {
             let current = self.records.get(&record.key);
             if current.is_none_or(|(_, current)| record.value.outranks(current)) {
                 changed.insert(record.key.clone());
@@ -180,8 +184,8 @@
         changed
     }
 
-    /// Keys of what has ended: backends that are gone with their orders and suspicions, and members
-    /// that are not there.
+    /// The keys that can be removed: deregistered backends with their orders and suspicions, and
+    /// members that are down or have left.
     pub fn expired(&self) -> BTreeSet<Key> {
         let is_deregistered = |id: &CompactString| {
             let backend = self.get(&Key::Backend(id.clone()));
@@ -201,7 +205,7 @@
         expired.map(|(key, _)| key.clone()).collect()
     }
 
-    /// Backends and members, to be kept on disk.
+    /// The records that are saved on disk: backends and members.
     pub fn persistent_records(&self) -> Vec<(Key, Value)> {
         let persistent = self
             .records
@@ -212,7 +216,7 @@
             .collect()
     }
 
-    /// Hashes of keys and contents, for comparing with another holder.
+    /// Hashes of keys and values, for comparison with another node.
     pub fn hashes(&self) -> Vec<(u64, u64)> {
         let entries = self.records.iter();
         entries
@@ -220,9 +224,9 @@
             .collect()
     }
 
-    /// The records whose key hashes are named, with their stamps.
+    /// The records whose key hashes are in `wanted`.
     pub fn by_hash(&self, wanted: &BTreeSet<u64>) -> Vec<Record> {
-        let chosen = self
+        let matching = self
             .records
             .iter()
             .filter(|(key, _)| wanted.contains(&hash_of(key)));
@@ -231,12 +235,12 @@
             stamp: *stamp,
             value: value.clone(),
         };
-        chosen.map(record).collect()
+        matching.map(record).collect()
     }
 }
 
-fn hash_of(thing: &impl Hash) -> u64 {
+fn hash_of(value: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
-    thing.hash(&mut hasher);
+    value.hash(&mut hasher);
     hasher.finish()
 }
--- a/control/src/directory/records.rs
+++ b/control/src/directory/records.rs
@@ -1,4 +1,4 @@
-//! What records are about and what they say.
+//! The records of the directory: their keys, values and conflict resolution.
 
 use crate::view::ReplicaId;
 use compact_str::CompactString;
@@ -6,77 +6,77 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// One life of a node.
+/// Identifies one incarnation of a node, which writes records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Origin(pub u64);
 
-/// Who wrote a record, and its number there.
+/// Identifies a write: its origin and its number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Who wrote it.
+    /// The origin of the record.
     pub origin: Origin,
-    /// Its number, from 1.
+    /// The number of the record within its origin, from 1.
     pub counter: u64,
 }
 
-/// How far each origin is known.
+/// The last known record number of each origin.
 pub type VersionVector = BTreeMap<Origin, u64>;
 
-/// What a record is about.
+/// The key of a record.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
     /// A backend, by its instance id.
     Backend(CompactString),
     /// A member of the fleet, by its node name.
     Member(CompactString),
-    /// The last order given to a backend, by its instance id.
+    /// The last order that was sent to a backend, by its instance id.
     Order(CompactString),
-    /// The last time a backend was suspected of failing requests, by its instance id.
+    /// The last suspicion that a backend fails requests, by its instance id.
     Suspicion(CompactString),
 }
 
-/// How a backend stands.
+/// The lifecycle phase of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum BackendPhase {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes what it has.
+    /// Completes its current requests and accepts no others.
     Draining,
-    /// Has left.
+    /// Has deregistered.
     Gone,
 }
 
-/// A backend as it registered.
+/// A registered backend, as of its last heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Backend {
-    /// Its service.
+    /// The name of its service.
     pub service: CompactString,
-    /// Where it takes requests.
+    /// The address that accepts requests.
     pub address: SocketAddrV4,
     /// Its zone.
     pub zone: CompactString,
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// How it stands.
+    /// The lifecycle phase.
     pub phase: BackendPhase,
-    /// The number of the heartbeat that said so.
+    /// The sequence number of the heartbeat that reported this.
     pub sequence: u64,
-    /// Its heartbeats have stopped coming.
+    /// Its heartbeats have stopped.
     pub unresponsive: bool,
-    /// The node that takes its heartbeats.
+    /// The node that receives its heartbeats.
     pub owner: CompactString,
-    /// Version of each model's weights that it has.
+    /// Its models, each with the version of the weights.
     pub models: Vec<(CompactString, u64)>,
 }
 
-/// Whether a member is there.
+/// The status of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// It is.
+    /// Present in the fleet.
     Up,
-    /// A monitor misses its heartbeats.
+    /// A monitor no longer receives its heartbeats.
     Down,
-    /// It has left in order.
+    /// Has left by a graceful shutdown.
     Left,
 }
 
@@ -85,57 +85,57 @@
 pub struct Member {
     /// Its zone.
     pub zone: CompactString,
-    /// Where its internal protocol listens.
+    /// The address of its internal protocol.
     pub internal: SocketAddrV4,
-    /// Where it takes calls of backends and operators.
+    /// The address that accepts calls from backends and operators.
     pub control: Option<SocketAddrV4>,
     /// The replica of the control state that it runs, if any.
     pub replica: Option<ReplicaId>,
-    /// Its present life.
+    /// The current incarnation of its process.
     pub incarnation: u64,
-    /// Rises with each life and each refutation.
+    /// Rises with each incarnation, and each time that the member refutes being down.
     pub revision: u64,
-    /// Whether it is there.
+    /// Whether the member is present.
     pub status: MemberStatus,
 }
 
-/// How far an order has come.
+/// The progress of an order, as routers see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum OrderPhase {
-    /// The backend is about to load weights: send it nothing.
+    /// The backend is about to load weights, so no requests are sent to it.
     InProgress,
-    /// It has the version.
+    /// The backend has the version.
     Done,
-    /// It was not given, or not taken: send requests as before.
+    /// The order was not sent or not accepted, so requests are sent as before.
     Withdrawn,
 }
 
 /// An order to a backend.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing token under which it is given.
+    /// The fencing token of the order.
     pub fencing_token: u64,
-    /// Its number under that token.
+    /// The number of the order under that token.
     pub number: u64,
     /// The model.
     pub model: CompactString,
     /// The version.
     pub version: u64,
-    /// How far it has come.
+    /// The progress of the order.
     pub phase: OrderPhase,
 }
 
-/// Several routers saw a backend fail requests: it is to be avoided for a while, counted from when
-/// this becomes known.
+/// A suspicion, raised by several routers, that a backend fails requests. Each router avoids the
+/// backend for `lasts_ms` from the time at which it learns of the suspicion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Suspicion {
     /// Rises with each suspicion of this backend.
     pub number: u64,
-    /// For how long, in milliseconds.
+    /// How long the backend is avoided, in milliseconds.
     pub lasts_ms: u64,
 }
 
-/// The content of a record.
+/// The value of a record.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Value {
     /// A backend.
@@ -149,25 +149,25 @@
 }
 
 impl Value {
-    /// Whether this holds where another record of the same thing is held. All holders decide alike,
-    /// whatever they heard first: two of equal rank, as of one heartbeat that two nodes have taken,
-    /// are told apart by what they say.
+    /// Whether this value replaces another one of the same key. All nodes decide alike, whichever
+    /// value they received first: values of equal rank, as when two nodes record the same
+    /// heartbeat, are ordered by their content.
     pub(super) fn outranks(&self, other: &Value) -> bool {
         (self.rank(), self) > (other.rank(), other)
     }
 
-    /// Of two records of one thing, the one of the higher rank holds.
+    /// Of two values of one key, the one with the higher rank is kept.
     fn rank(&self) -> (u64, u64) {
         match self {
             Value::Backend(backend) if backend.phase == BackendPhase::Gone => (u64::MAX, 0),
             Value::Backend(backend) => (backend.sequence, u64::from(backend.unresponsive)),
             Value::Member(member) => {
-                let later = match member.status {
+                let status_rank = match member.status {
                     MemberStatus::Up => 0,
                     MemberStatus::Down => 1,
                     MemberStatus::Left => 2,
                 };
-                (member.revision, later)
+                (member.revision, status_rank)
             }
             Value::Order(order) => (order.fencing_token, order.number),
             Value::Suspicion(suspicion) => (suspicion.number, 0),
@@ -175,13 +175,13 @@
     }
 }
 
-/// A record as it travels.
+/// A record as it is sent between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What it is about.
+    /// The key.
     pub key: Key,
-    /// Who wrote it.
+    /// The write that produced the record.
     pub stamp: Stamp,
-    /// What it says.
+    /// The value.
     pub value: Value,
 }
--- a/control/src/rollout.rs
+++ b/control/src/rollout.rs
@@ -1,5 +1,5 @@
-//! Bringing new weights to backends: which ones lack a version, what keeps them from an order, how
-//! many may load at a time, and which node may send orders.
+//! Rollout of model weights to backends: which backends are outdated and why their orders are
+//! pending, how many may load concurrently, and which node may send orders.
 
 mod conditional;
 mod confirmations;
@@ -19,54 +19,54 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// One in so many backends with models may load at the same time.
+/// At most one in this many responsive backends with models may load concurrently.
 const LOADING_DIVISOR: usize = 4;
-/// One in so many of the places may be taken by backends whose heartbeats have stopped.
+/// At most one in this many of the concurrent loads may be of unresponsive backends.
 const UNRESPONSIVE_DIVISOR: usize = 4;
 
-/// A backend that lacks a version.
+/// A backend that does not have the target version of a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutdatedBackend {
-    /// Its instance id.
+    /// The instance id of the backend.
     pub id: CompactString,
-    /// Where it takes orders.
+    /// The address that accepts orders.
     pub address: SocketAddrV4,
     /// The model.
     pub model: CompactString,
-    /// The version that it lacks.
+    /// The target version.
     pub version: u64,
-    /// Its heartbeats have stopped coming. It may take an order all the same.
+    /// Its heartbeats have stopped. The backend may still be able to accept an order.
     pub is_unresponsive: bool,
 }
 
-/// What is to be done.
+/// The outstanding work of a rollout.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Rollout {
-    /// Backends that lack a version.
+    /// Backends that need an order.
     pub outdated: Vec<OutdatedBackend>,
-    /// How many of them may load at the same time.
+    /// The most backends that may load concurrently.
     pub max_concurrent: usize,
-    /// Of these, how many whose heartbeats have stopped.
+    /// The most unresponsive backends among them.
     pub max_concurrent_unresponsive: usize,
 }
 
-/// What keeps a backend that lacks a version from getting an order.
+/// Why an outdated backend has not completed an order for the target version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PendingReason {
-    /// Nothing: its order is due.
+    /// An order can be sent at any time.
     Due,
-    /// An order was given, and it is not known to be done.
+    /// An order was sent and is not known to be done.
     InProgress,
-    /// Its heartbeats have stopped coming; it is asked now and then.
+    /// Its heartbeats have stopped; orders are retried at longer intervals.
     Unresponsive,
-    /// It is about to leave.
+    /// The backend is shutting down.
     Draining,
-    /// Its order is done, and its heartbeats tell an older version still or again.
+    /// Its order is done, but its heartbeats report an older version.
     Contradicted,
 }
 
 impl PendingReason {
-    /// Every cause.
+    /// All reasons.
     pub const ALL: [PendingReason; 5] = [
         PendingReason::Due,
         PendingReason::InProgress,
@@ -75,7 +75,7 @@
         PendingReason::Contradicted,
     ];
 
-    /// The word that operators are told.
+    /// The name in metrics and on the status page.
     pub fn name(self) -> &'static str {
         match self {
             PendingReason::Due => "due",
@@ -86,34 +86,34 @@
         }
     }
 
-    fn of(backend: &Backend, order: Option<&Order>, lacking: &OutdatedBackend) -> Option<Self> {
-        let is_under_way = order.is_some_and(|order| {
-            order.model == lacking.model
-                && order.version == lacking.version
+    fn of(backend: &Backend, order: Option<&Order>, outdated: &OutdatedBackend) -> Option<Self> {
+        let is_in_progress = order.is_some_and(|order| {
+            order.model == outdated.model
+                && order.version == outdated.version
                 && order.phase == OrderPhase::InProgress
         });
         match backend.phase {
             BackendPhase::Gone => None,
             BackendPhase::Draining => Some(PendingReason::Draining),
             BackendPhase::Ready if backend.unresponsive => Some(PendingReason::Unresponsive),
-            BackendPhase::Ready if is_under_way => Some(PendingReason::InProgress),
+            BackendPhase::Ready if is_in_progress => Some(PendingReason::InProgress),
             BackendPhase::Ready => Some(PendingReason::Due),
         }
     }
 }
 
-/// How many backends lack the newest version of some weights, by what keeps them from an order.
+/// Counts the outdated backends by the reason why their orders are pending.
 pub fn outdated_by_reason(
     directory: &Directory,
     targets: &BTreeMap<CompactString, WeightsTarget>,
 ) -> BTreeMap<PendingReason, u64> {
     let mut counts: BTreeMap<PendingReason, u64> =
-        PendingReason::ALL.map(|cause| (cause, 0)).into();
+        PendingReason::ALL.map(|reason| (reason, 0)).into();
     for (id, backend) in directory.backends() {
         let order = directory.order(id);
-        for lacking in outdated(id, backend, done_version(order), targets) {
-            if let Some(cause) = PendingReason::of(backend, order, &lacking) {
-                *counts.entry(cause).or_default() += 1;
+        for outdated in outdated_models(id, backend, done_version(order), targets) {
+            if let Some(reason) = PendingReason::of(backend, order, &outdated) {
+                *counts.entry(reason).or_default() += 1;
             }
         }
         if order.is_some_and(|order| is_contradicted(backend, order)) {
@@ -123,8 +123,7 @@
     counts
 }
 
-/// Whether a backend that takes orders tells an older version than its order, which is done, should
-/// have brought.
+/// Whether a responsive, ready backend reports an older version than that of its completed order.
 pub fn is_contradicted(backend: &Backend, order: &Order) -> bool {
     let is_available = backend.phase == BackendPhase::Ready && !backend.unresponsive;
     is_available
@@ -133,8 +132,9 @@
 }
 
 impl Rollout {
-    /// What is to be done for these versions. Backends that drain or have no models are left alone.
-    /// An order that is done counts for what heartbeats tell only until they contradict it.
+    /// The outstanding work for these target versions. Backends that are draining or have no models
+    /// get no orders. A completed order overrides the version reported by heartbeats until they
+    /// contradict it.
     pub fn of(
         directory: &Directory,
         targets: &BTreeMap<CompactString, WeightsTarget>,
@@ -151,27 +151,29 @@
             .filter(|(_, backend)| !backend.unresponsive)
             .count();
         let max_concurrent = responsive.div_ceil(LOADING_DIVISOR).max(1);
-        let lacking = backends.iter().flat_map(|(id, backend)| {
-            let trusted = directory
+        let outdated = backends.iter().flat_map(|(id, backend)| {
+            let trusted_order = directory
                 .order(id)
                 .filter(|_| !confirmations.is_unconfirmed(id));
-            outdated(id, backend, done_version(trusted), targets)
+            outdated_models(id, backend, done_version(trusted_order), targets)
         });
         Rollout {
-            outdated: lacking.collect(),
+            outdated: outdated.collect(),
             max_concurrent,
             max_concurrent_unresponsive: max_concurrent.div_ceil(UNRESPONSIVE_DIVISOR),
         }
     }
 }
 
-/// The model and version that an order has brought, where it is done.
+/// The model and version of an order that is done.
 fn done_version(order: Option<&Order>) -> Option<(&CompactString, u64)> {
     let done = order.filter(|order| order.phase == OrderPhase::Done);
     done.map(|order| (&order.model, order.version))
 }
 
-fn outdated<'a>(
+/// The models of a backend that are older than their targets, except one that a completed order has
+/// already updated.
+fn outdated_models<'a>(
     id: &'a CompactString,
     backend: &'a Backend,
     done: Option<(&'a CompactString, u64)>,
--- a/control/src/rollout/conditional.rs
+++ b/control/src/rollout/conditional.rs
@@ -1,56 +1,56 @@
-//! Orders that hold only for the state of the backend on which they were decided.
+//! Conditional orders: a backend accepts one only in the state that the order was based on.
 //!
-//! An order that got no answer may be on its way still, and may arrive when a newer one is done.
-//! The fencing token does not tell these apart, as both were given under one lease. A backend
-//! counts the orders that it has taken and tells the count in its reports, so each order names the
-//! count that it was decided on, and is refused once another one has been taken.
+//! An order that got no reply may still be in flight and arrive after a newer one is done. The
+//! fencing token does not distinguish the two, as both were sent under one lease. A backend
+//! therefore counts the orders that it has accepted and reports the count. Each order carries the
+//! count that it was based on and is rejected once another order has been accepted.
 
-/// What a backend reports of one model's weights.
+/// The state of one model's weights, as a backend reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedWeights {
-    /// The version; 0 where it does not have the model.
+    /// The version; 0 where the backend does not have the model.
     pub version: u64,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub is_busy: bool,
-    /// How many orders it has taken.
+    /// The number of orders that the backend has accepted.
     pub accepted_orders: u64,
 }
 
-/// An order to bring a backend to a version.
+/// An order to load a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConditionalOrder {
     /// The version.
     pub version: u64,
-    /// It is to be refused where the backend has not taken just so many orders.
+    /// The backend rejects the order unless its count of accepted orders equals this.
     pub if_accepted_orders: u64,
 }
 
-/// What a backend needs that reports something.
+/// The next step for a backend, given its report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing: it has the version.
+    /// The backend has the version.
     UpToDate,
-    /// Time: another order is under way.
+    /// Wait for the order that is in progress.
     Wait,
-    /// This order.
+    /// Send this order.
     Order(ConditionalOrder),
 }
 
-/// How far an order has come.
+/// The progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderProgress {
     /// The backend has the version, or a newer one.
     Done,
-    /// An order is under way there.
+    /// The backend is executing an order.
     Busy,
-    /// This order has not been taken yet, as far as the report tells, which may be a little old.
+    /// The order has not been accepted as of the report, which may be slightly out of date.
     Pending,
-    /// Another order was taken in its place: this one will be refused.
+    /// Another order was accepted instead, so the backend will reject this one.
     Superseded,
 }
 
 impl ReportedWeights {
-    /// What brings the backend to a version.
+    /// The next step to bring the backend to a version.
     pub fn next_step(&self, version: u64) -> NextStep {
         if self.is_busy {
             NextStep::Wait
@@ -66,7 +66,7 @@
 }
 
 impl ConditionalOrder {
-    /// How far it has come by a later report.
+    /// The progress of this order according to a later report.
     pub fn progress(&self, reported: ReportedWeights) -> OrderProgress {
         if reported.is_busy {
             OrderProgress::Busy
--- a/control/src/rollout/confirmations.rs
+++ b/control/src/rollout/confirmations.rs
@@ -1,26 +1,26 @@
-//! Whether backends bear out by their heartbeats that their orders are done.
+//! Confirmation of completed orders by the heartbeats of their backends.
 //!
-//! That an order is done is a fact of the past: at that moment the backend had the version. What it
-//! has now is told by its heartbeats, a little later. Normally the next one confirms the order.
-//! Where several pass without that, or a backend that had confirmed its order tells an older
-//! version again, it is in doubt whether it still has the version.
+//! A completed order proves only that the backend had the version at that moment. Heartbeats report
+//! the current version slightly later, and normally the next one confirms the order. Where none
+//! does so within a time-out, or a backend reports an older version after it had confirmed the
+//! order, the backend may no longer have the version and the order is unconfirmed.
 
 use crate::Millis;
 use crate::directory::{Backend, Directory, Order, OrderPhase};
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// How an order that is done stands with its backend's heartbeats.
+/// Whether heartbeats have confirmed a completed order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Confirmation {
-    /// None has told the version yet.
+    /// No heartbeat has reported the version yet.
     Pending {
-        /// Since when.
+        /// When the order was first observed as done.
         since: Millis,
     },
-    /// The last one told the version.
+    /// The last heartbeat reported the version.
     Confirmed,
-    /// They tell an older version, and it is not to be expected that they will tell this one.
+    /// Heartbeats report an older version after the time-out or after a confirmation.
     Unconfirmed,
 }
 
@@ -30,18 +30,18 @@
     confirmation: Confirmation,
 }
 
-/// A backend that tells an older version than its last order, which is done, should have brought.
+/// A backend that reports an older version than that of its last order, which is done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnconfirmedOrder {
     /// The backend.
     pub backend: CompactString,
     /// The order.
     pub order: Order,
-    /// The version that its last heartbeat told.
+    /// The version in the last heartbeat of the backend.
     pub reported_version: u64,
 }
 
-/// Follows the orders that are done, as one node learns of them.
+/// Tracks completed orders as one node learns of them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Confirmations {
     timeout: Millis,
@@ -49,7 +49,7 @@
 }
 
 impl Confirmations {
-    /// Heartbeats have so long to confirm an order.
+    /// An order that no heartbeat confirms within `timeout` becomes unconfirmed.
     pub fn new(timeout: Millis) -> Self {
         Confirmations {
             timeout,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes what is known now. Returns what has come into doubt by it.
+    /// Updates the confirmations from the directory. Returns the orders that became unconfirmed.
     pub fn observe(&mut self, directory: &Directory, now: Millis) -> Vec<UnconfirmedOrder> {
         let done = |id: &str| {
             directory
@@ -90,7 +90,7 @@
         unconfirmed
     }
 
-    /// Whether it is in doubt that a backend still has the version of its last order.
+    /// Whether the last order of a backend is unconfirmed.
     pub fn is_unconfirmed(&self, backend: &str) -> bool {
         self.tracked
             .get(backend)
@@ -99,7 +99,7 @@
 }
 
 impl TrackedOrder {
-    /// The one place where a standing changes. Returns the new one where it has.
+    /// The only place where a confirmation changes. Returns the new one if it did.
     fn transition(
         &mut self,
         is_reported: bool,
@@ -116,7 +116,7 @@
     }
 }
 
-/// The version of the order's model that the last heartbeat told; 0 where it told none.
+/// The version of the order's model in the last heartbeat; 0 where the model is not listed.
 pub(super) fn reported_version_of(backend: &Backend, order: &Order) -> u64 {
     let reported_version = backend
         .models
--- a/control/src/rollout/ownership.rs
+++ b/control/src/rollout/ownership.rs
@@ -1,16 +1,17 @@
 //! Which node may send orders to backends, and when another one may.
 //!
-//! Orders of two nodes must lie further apart than the time of a lease. The control state therefore
-//! names one *owner* of the rollout. It stays the owner while other replicas lead: a replica that is
-//! current, see [`ControlNode::current_at`](crate::node::ControlNode::current_at), knows that it is
-//! still named, so a new primary does not interrupt orders.
+//! Orders of two nodes must be separated by more than the duration of a lease. The control state
+//! therefore names one *owner* of the rollout. The owner keeps its role while other replicas lead:
+//! a replica whose state is current
+//! ([`ControlNode::current_at`](crate::node::ControlNode::current_at)) knows that it is still the
+//! owner, so a change of the primary does not interrupt orders.
 //!
-//! An owner that is unresponsive is replaced in two committed steps, so that the time that has to
-//! pass is counted by every replica, and goes on when the primary changes meanwhile:
+//! An unresponsive owner is replaced in two committed steps. Every replica measures the waiting
+//! time between them, so a change of the primary does not restart the wait:
 //!
-//! 1. The primary vacates the ownership. From then on nobody can learn that the former owner is
-//!    still named, so its permission expires.
-//! 2. Once it has expired, and the time of a lease has passed, the primary of that moment claims
+//! 1. The primary vacates the ownership. From then on no replica can learn that the former owner is
+//!    still the owner, so the owner's grant expires.
+//! 2. Once the grant has expired and the duration of a lease has passed, the current primary claims
 //!    the ownership for itself.
 
 use crate::Millis;
@@ -18,8 +19,8 @@
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Beyond the time of a lease, so long passes between the last moment at which a former owner may
-/// have sent an order and the first order of the next.
+/// Added to the lease duration that has to pass between the last possible order of a former owner
+/// and the first order of the next one.
 const TAKEOVER_MARGIN: Millis = 100;
 
 /// Whether a node may send orders.
@@ -34,19 +35,19 @@
     OwnerUnresponsive,
     /// It leads, and the ownership is vacant.
     Vacant {
-        /// From this moment on, or from an earlier one, nobody has sent orders.
+        /// No node has sent orders since this time or longer.
         since: Millis,
     },
-    /// It leads, and nobody has owned the rollout yet.
+    /// It leads, and the rollout has not had an owner yet.
     Unowned,
     /// It owns the rollout.
     Owned,
 }
 
 impl RolloutOwnership {
-    /// The owner that the node should have recorded next, if any: none, in place of an unresponsive
-    /// one, or itself. `epoch` is the current one, and `lease` has to lie between orders of two
-    /// nodes.
+    /// The owner that the node should submit as a change, if any: a vacant one to replace an
+    /// unresponsive owner, or itself. `epoch` is the current one; `lease` is the minimum time
+    /// between orders of two nodes.
     pub fn next_owner(
         &self,
         own: &ReplicaId,
@@ -60,7 +61,7 @@
         self.may_claim(lease, now).then(|| own.clone())
     }
 
-    /// Whether the node may claim the ownership, where `lease` has to lie between orders of two
+    /// Whether the node may claim the ownership. `lease` is the minimum time between orders of two
     /// nodes.
     pub fn may_claim(&self, lease: Millis, now: Millis) -> bool {
         match *self {
@@ -79,23 +80,23 @@
         formatter.write_str(match self {
             RolloutOwnership::NotLeader => "this node does not hold the lease",
             RolloutOwnership::OwnedElsewhere => {
-                "this node holds the lease, and another one gives orders"
+                "this node holds the lease, and another node owns the rollout"
             }
             RolloutOwnership::OwnerUnresponsive => {
-                "this node holds the lease, and the one that gives orders does not respond"
+                "this node holds the lease, and the owner of the rollout is unresponsive"
             }
             RolloutOwnership::Vacant { .. } => {
-                "this node holds the lease, and the one that gave orders last may do so no more"
+                "this node holds the lease, and the ownership of the rollout is vacant"
             }
             RolloutOwnership::Unowned => {
-                "this node holds the lease, and nobody has given orders yet"
+                "this node holds the lease, and the rollout has not had an owner yet"
             }
-            RolloutOwnership::Owned => "this node gives orders",
+            RolloutOwnership::Owned => "this node owns the rollout",
         })
     }
 }
 
-/// The permission to send orders.
+/// Permission to send orders until a point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrderGrant {
     /// The fencing token of the orders.
@@ -104,15 +105,16 @@
     pub expires_at: Millis,
 }
 
-/// The fencing token of orders that a replica sends in an epoch. It rises with the epoch, and that
-/// of the primary is the higher one of an epoch: the primary may claim the ownership from a backup
-/// that has sent orders in the same epoch.
+/// The fencing token of orders that a replica sends in an epoch. Tokens rise with the epoch, and
+/// within one epoch the primary has a higher token than a backup: the primary may claim the
+/// ownership from a backup that has sent orders in the same epoch.
 pub fn fencing_token(epoch: Epoch, is_primary: bool) -> Epoch {
     2 * epoch + Epoch::from(is_primary)
 }
 
-/// The replica that a vacant ownership is recorded under. No two vacancies are equal: the epoch is
-/// that of the primary that vacates it, which may claim it afterwards and does not vacate it again.
+/// The placeholder owner that marks a vacant ownership. Each vacancy has a different one, as
+/// `epoch` is that of the primary that vacates the ownership, and a primary does so at most once:
+/// it may claim the ownership afterwards, but does not vacate its own.
 pub fn vacant_owner(epoch: Epoch) -> ReplicaId {
     ReplicaId {
         disk: epoch,
@@ -121,7 +123,7 @@
     }
 }
 
-/// Whether an owner in the control state stands for a vacant ownership.
+/// Whether an owner in the control state is the placeholder of a vacant ownership.
 pub fn is_vacant(owner: &ReplicaId) -> bool {
     owner.node.is_empty() && owner.address.ip().is_unspecified()
 }
@@ -138,9 +140,9 @@
 }
 
 impl Vacancy {
-    /// Records the owner that the committed state names. `permission_ends` is the latest moment at
-    /// which a former owner may send orders, if the ownership is vacant now.
-    pub fn observe(&mut self, owner: Option<&ReplicaId>, permission_ends: Millis) {
+    /// Records the owner in the committed state. `grant_expires_at` is the latest time at which a
+    /// former owner may send orders, if the ownership is vacant now.
+    pub fn observe(&mut self, owner: Option<&ReplicaId>, grant_expires_at: Millis) {
         let Some(owner) = owner.filter(|owner| is_vacant(owner)) else {
             self.0 = None;
             return;
@@ -148,12 +150,12 @@
         if self.0.as_ref().is_none_or(|known| known.owner != *owner) {
             self.0 = Some(Observed {
                 owner: owner.clone(),
-                since: permission_ends,
+                since: grant_expires_at,
             });
         }
     }
 
-    /// The moment from which on nobody has sent orders; `None` where the ownership is not vacant.
+    /// The time since which no node has sent orders; `None` where the ownership is not vacant.
     pub fn since(&self) -> Option<Millis> {
         self.0.as_ref().map(|observed| observed.since)
     }
--- a/control/src/rollout/queue.rs
+++ b/control/src/rollout/queue.rs
@@ -1,4 +1,4 @@
-//! Which backend gets the next order, and which ones refuse the present fencing token.
+//! The order in which backends get orders, and the fencing tokens that they have rejected.
 
 use super::OutdatedBackend;
 use crate::Millis;
@@ -6,28 +6,30 @@
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// A backend whose heartbeats have stopped is asked again after this.
+/// The minimum time between two orders to an unresponsive backend.
 const UNRESPONSIVE_RETRY_MS: Millis = 2_000;
 
-/// Whom to give the next order: those whose heartbeats come first, then those whose last orders
-/// were answered, and of these the one that has waited for longest. So neither backends that do not
-/// answer nor ever newer versions keep an order from others.
+/// Schedules orders: responsive backends come first, then those with the fewest unanswered orders
+/// in a row, and among equals the one whose last order is the oldest. Thus neither backends that do
+/// not answer nor a rapid succession of versions can starve the others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OrderQueue {
     orders: u64,
     attempts: BTreeMap<CompactString, OrderAttempts>,
 }
 
-/// How a backend's orders went.
+/// The history of a backend's orders.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct OrderAttempts {
+    /// Unanswered orders since the last answered one.
     unanswered: u32,
+    /// The sequence number of the last order among those to all backends.
     last_order: u64,
     last_at: Millis,
 }
 
 impl OrderQueue {
-    /// Sorts backends by who is next.
+    /// Sorts backends by their priority for the next order.
     pub fn sort(&self, outdated: &mut [OutdatedBackend]) {
         outdated.sort_by_key(|backend| {
             let attempts = self.attempts.get(&backend.id).copied().unwrap_or_default();
@@ -39,21 +41,21 @@
         });
     }
 
-    /// Whether a backend may be asked now.
+    /// Whether a backend may be sent an order at `now`.
     pub fn is_due(&self, backend: &OutdatedBackend, now: Millis) -> bool {
         let attempts = self.attempts.get(&backend.id);
         !backend.is_unresponsive
             || attempts.is_none_or(|attempts| now >= attempts.last_at + UNRESPONSIVE_RETRY_MS)
     }
 
-    /// A backend is given an order.
+    /// Records that an order is sent to a backend.
     pub fn record_order(&mut self, backend: &CompactString, now: Millis) {
         self.orders += 1;
         let attempts = self.attempts.entry(backend.clone()).or_default();
         (attempts.last_order, attempts.last_at) = (self.orders, now);
     }
 
-    /// Whether a backend's order came to its end.
+    /// Records whether a backend answered its order.
     pub fn record_result(&mut self, backend: &CompactString, was_answered: bool) {
         let attempts = self.attempts.entry(backend.clone()).or_default();
         attempts.unanswered = if was_answered {
@@ -63,37 +65,37 @@
         };
     }
 
-    /// Forgets backends that are not there any more.
+    /// Removes backends that are no longer registered.
     pub fn retain(&mut self, is_registered: impl Fn(&str) -> bool) {
         self.attempts.retain(|backend, _| is_registered(backend));
     }
 }
 
-/// Fencing tokens that backends have refused as they had seen a higher one.
+/// The highest fencing token that each backend has rejected because it had seen a higher one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RejectedTokens(BTreeMap<CompactString, Epoch>);
 
 impl RejectedTokens {
-    /// A backend has refused an order under this token.
+    /// Records that a backend rejected an order with this token.
     pub fn record(&mut self, backend: &CompactString, fencing_token: Epoch) {
         let highest = self.0.entry(backend.clone()).or_default();
         *highest = fencing_token.max(*highest);
     }
 
-    /// Whether a backend may be given an order under this token: none that it has refused, nor a
-    /// lower one.
+    /// Whether a backend may be sent an order with this token, which has to be higher than any that
+    /// it has rejected.
     pub fn allows(&self, backend: &str, fencing_token: Epoch) -> bool {
         self.0
             .get(backend)
-            .is_none_or(|refused| fencing_token > *refused)
+            .is_none_or(|rejected| fencing_token > *rejected)
     }
 
-    /// Forgets backends that are not there any more.
+    /// Removes backends that are no longer registered.
     pub fn retain(&mut self, is_registered: impl Fn(&str) -> bool) {
         self.0.retain(|backend, _| is_registered(backend));
     }
 
-    /// How many backends have refused one.
+    /// The number of backends that have rejected a token.
     pub fn count(&self) -> u64 {
         self.0.len() as u64
     }
--- a/control/src/state.rs
+++ b/control/src/state.rs
@@ -1,5 +1,5 @@
-//! The durable control state: the configuration in force, the versions of weights, who gives
-//! orders, and what was acknowledged.
+//! The durable control state: the configuration in force, the target versions of weights, the owner
+//! of the rollout, and the fingerprints of accepted configurations.
 
 use crate::changes::{Change, Outcome, Rejection};
 use crate::configuration::{self, Configuration};
@@ -79,6 +79,7 @@
     pub configuration: Option<StoredConfiguration>,
     /// The target version of each model's weights.
     pub weights: BTreeMap<CompactString, WeightsTarget>,
+    /// Versions and fingerprints of the accepted configurations, oldest first.
     pub(crate) accepted: Vec<(u64, Fingerprint)>,
     /// The replica that sends orders to backends, or did so last; `None` before the first one.
     pub rollout_owner: Option<ReplicaId>,
--- a/control/src/storage.rs
+++ b/control/src/storage.rs
@@ -1,8 +1,8 @@
-//! What is kept on disk: records in checksummed frames, in segments with a snapshot beside them.
+//! The format of the log on disk: segments and snapshots of checksummed records.
 //!
-//! A segment is a sequence of frames `length, checksum, record`. A frame that is cut off at the end
-//! of the last segment was never acknowledged and is dropped; any other damage is an error that
-//! names the place and the remedy.
+//! A file is a sequence of frames `length, checksum, record`. A torn frame at the end of the last
+//! segment was never acknowledged and is dropped. Any other damage is an error that names the
+//! position and the remedy.
 
 mod format1;
 mod format2;
@@ -15,28 +15,28 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Bytes before a record: its length and its checksum.
+/// Size of a frame's header: the length and the checksum of the record.
 const FRAME_HEADER_BYTES: usize = 8;
-/// The longest record; a longer length can only be damage.
+/// The largest record. A greater length in a frame is corruption.
 const MAX_RECORD_BYTES: usize = 48 << 20;
-/// The format written by this program.
+/// The format version that this program writes.
 pub const FORMAT: u32 = 3;
 
-/// One record.
+/// One record of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// The first record of a snapshot or of the first segment.
     Disk {
-        /// The format of the records.
+        /// The format version of the records.
         format: u32,
         /// Drawn when the disk was first used.
         disk: u64,
     },
-    /// The witness's votes as format 1 had them.
+    /// The witness's votes in format 1.
     VotesV1(VotesV1),
-    /// A change that is stored and not yet known to be committed.
+    /// A stored change that is not known to be committed.
     Update(Update),
-    /// A state as format 2 had it.
+    /// A full state in format 2.
     InstallV2 {
         /// The committed state.
         state: ControlStateV2,
@@ -45,7 +45,7 @@
     },
     /// The witness's votes.
     Votes(Votes),
-    /// A state that takes the place of all before.
+    /// A full state, which replaces the effect of all earlier updates.
     Install {
         /// The committed state.
         state: ControlState,
@@ -54,34 +54,35 @@
     },
 }
 
-/// Why stored records can't be used.
+/// Why stored records cannot be recovered.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum StorageError {
-    /// A record does not match its checksum, or makes no sense.
+    /// A record does not match its checksum, or cannot be decoded.
     #[error(
         "record at byte {offset} is damaged: move the data directory away and start the node again, it then rejoins with an empty disk"
     )]
     CorruptRecord {
-        /// Where it begins.
+        /// The offset of its frame.
         offset: usize,
     },
-    /// Written by a later program.
+    /// The records were written by a newer program.
     #[error(
         "the records are of format {found}, this program reads up to {FORMAT}: start the newer program again"
     )]
     UnsupportedFormat {
-        /// The format found.
+        /// The format version of the records.
         found: u32,
     },
-    /// A file that was written and synced as a whole is not whole.
+    /// A snapshot is incomplete, or a segment is although later segments hold records. Both are
+    /// synced as a whole before anything that follows.
     #[error(
-        "the file ends after byte {valid_length} though more was stored: move the data directory away and start the node again, it then rejoins with an empty disk"
+        "the file is truncated after byte {valid_length}: move the data directory away and start the node again, it then rejoins with an empty disk"
     )]
     Truncated {
-        /// The length of its sound part.
+        /// The length of its valid prefix.
         valid_length: usize,
     },
-    /// There is no first record.
+    /// There is no [`Record::Disk`].
     #[error("the first record is missing: move the data directory away and start the node again")]
     MissingHeader,
 }
@@ -94,7 +95,8 @@
     bytes.extend(body);
 }
 
-/// Reads a snapshot, which was written and synced as a whole; its last record is the state.
+/// Decodes a snapshot. Unlike a segment, a snapshot is synced before it is used, so a torn end is
+/// an error. The last record of a complete snapshot is the state.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<Vec<Record>, StorageError> {
     let (records, valid_length) = decode(bytes)?;
     let ends_with_state = matches!(
@@ -109,7 +111,7 @@
     }
 }
 
-/// Reads the frames of a file; the second value is the length of its sound part.
+/// Decodes the records of a file. The second value is the length of the valid prefix.
 pub fn decode(bytes: &[u8]) -> Result<(Vec<Record>, usize), StorageError> {
     let mut records = Vec::new();
     let mut offset = 0;
@@ -125,7 +127,8 @@
     Some(u32::from_be_bytes(four) as usize)
 }
 
-/// One frame, and where the next one begins; none where the file ends, be it within a frame.
+/// The record of one frame and the offset of the next frame; `None` at the end of the file, even
+/// where the file ends within a frame.
 fn read_frame(bytes: &[u8], offset: usize) -> Result<Option<(Record, usize)>, StorageError> {
     let (Some(length), Some(checksum)) = (read_u32(bytes, offset), read_u32(bytes, offset + 4))
     else {
@@ -148,7 +151,8 @@
     }
 }
 
-/// A torn write leaves no sound frame behind it; damage in the middle does.
+/// Distinguishes a torn write, which is never followed by a valid frame, from corruption in the
+/// middle of the file. Returns `None` for a torn write.
 fn classify_invalid_frame(
     bytes: &[u8],
     offset: usize,
@@ -170,21 +174,21 @@
     }
 }
 
-/// What a disk holds.
+/// The state recovered from a disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// Drawn when the disk was first used.
     pub disk: u64,
     /// The witness's votes.
     pub votes: Votes,
-    /// The committed state, as far as it is known to be committed.
+    /// The state after all changes that are known to be committed.
     pub state: ControlState,
     /// A stored change that is not known to be committed.
     pub tail: Option<Update>,
 }
 
 impl Recovered {
-    /// Replays records in their order.
+    /// Replays records in the order in which they were written.
     pub fn replay(records: impl IntoIterator<Item = Record>) -> Result<Self, StorageError> {
         let mut recovered = Recovered::default();
         for record in records {
@@ -208,7 +212,7 @@
             Record::InstallV2 { state, tail } => (self.state, self.tail) = (state.into(), tail),
             Record::Install { state, tail } => (self.state, self.tail) = (state, tail),
             Record::Update(update) => {
-                // A change is only ordered once the one before it is committed.
+                // The primary replicates a change only once the one before it is committed.
                 let committed = self
                     .tail
                     .take()
@@ -222,7 +226,7 @@
         Ok(())
     }
 
-    /// The records that a snapshot of this consists of.
+    /// The records of a snapshot of this state.
     pub fn records(&self) -> Vec<Record> {
         vec![
             Record::Disk {
--- a/control/src/storage/format1.rs
+++ b/control/src/storage/format1.rs
@@ -1,38 +1,38 @@
-//! What format 1 kept of a witness, and what becomes of it in the present format.
+//! Storage format 1: the votes of a witness, and their conversion to the current format.
 
 use crate::view::{Epoch, Proposal, ProposalNumber, ReplicaId, View};
 use crate::witness::Votes;
 use serde::{Deserialize, Serialize};
 
-/// Attempts of format 1 did not name the life of their process.
+/// Proposal numbers of format 1 do not contain the incarnation of the proposer.
 const UNKNOWN_INCARNATION: u64 = 0;
 
-/// The number of an attempt.
+/// A proposal number in format 1.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProposalNumberV1 {
-    /// Rises with each attempt.
+    /// Rises with each attempt of the proposer.
     pub round: u64,
-    /// Who attempts it.
+    /// The replica that proposes.
     pub proposer: ReplicaId,
 }
 
-/// A view that a witness accepted.
+/// An accepted view in format 1.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedV1 {
-    /// In which attempt.
+    /// The proposal number.
     pub number: ProposalNumberV1,
     /// The view.
     pub view: View,
-    /// The decided view that it follows; none where the view itself is known to be decided.
+    /// The decided view before it; `None` where the accepted view itself is known to be decided.
     pub previous: Option<View>,
 }
 
-/// What a witness kept.
+/// The durable state of a witness in format 1.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VotesV1 {
-    /// The highest attempt that was promised to, with the epoch that it was to decide.
+    /// The highest promised proposal number, with the epoch that was proposed.
     pub promised: Option<(Epoch, ProposalNumberV1)>,
-    /// The newest accepted view.
+    /// The accepted view of the highest epoch.
     pub accepted: Option<AcceptedV1>,
 }
 
--- a/control/tests/configuration.rs
+++ b/control/tests/configuration.rs
@@ -66,7 +66,7 @@
     let version = problem("\"version\":7", "\"version\":\"seven\"");
     assert_eq!(
         version.to_string(),
-        "version is missing or not a whole number: give it such a value"
+        "version is missing or not a whole number"
     );
 }
 
