--- a/control/src/changes.rs
+++ b/control/src/changes.rs
@@ -45,23 +45,24 @@
 /// Why a change is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
-    /// It replaces a version that is not the current one.
+    /// The configuration replaces a version that is not the current one.
     VersionConflict {
         /// The current version.
         current: u64,
     },
-    /// It is invalid; the text says where, and what is allowed.
+    /// The configuration is invalid. The text names the field and the allowed values.
     Invalid(String),
 }
 
 /// The outcome of a submitted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was committed, now or by an earlier submission.
+    /// The change is committed, by this or by an earlier submission.
     Committed,
-    /// It was not and will not be committed.
+    /// The change was not and will not be committed.
     Rejected(Rejection),
-    /// It may or may not be committed: retry here or at another router. Retries are idempotent.
+    /// The change may or may not be committed: retry here or at another router. Retries are
+    /// idempotent.
     Unknown,
 }
 
@@ -71,6 +72,6 @@
     /// The newest configuration; `None` before the first one. After the read was received, a
     /// majority of the witnesses confirmed that no other replica leads.
     Latest(Option<StoredConfiguration>),
-    /// Not known here at present: retry here or at another router.
+    /// This replica cannot tell at present: retry here or at another router.
     Unknown,
 }
--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// What a replica needs to reach the newest text.
+/// An update that brings a replica to the newest text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TextUpdate {
     /// The newest text itself.
@@ -118,8 +118,8 @@
         }
     }
 
-    /// What a replica with version `base` needs: deltas where these are smaller than the text, else
-    /// the full text; `None` where it has the newest version.
+    /// The update for a replica with version `base`: deltas if these are smaller than the text,
+    /// else the full text; `None` if `base` is the newest version.
     pub fn update_for(&self, base: u64) -> Option<TextUpdate> {
         if self.version == 0 || base == self.version {
             return None;
--- a/control/src/node/catch_up.rs
+++ b/control/src/node/catch_up.rs
@@ -15,7 +15,7 @@
 /// The most bytes of updates that a replica is sent before it has stored them.
 const WINDOW_BYTES: usize = 256 << 10;
 
-/// What a lagging replica has to be sent.
+/// The content that a lagging replica has to be sent.
 enum Missing {
     Nothing,
     /// These updates, in order.
--- a/control/src/rollout/ownership.rs
+++ b/control/src/rollout/ownership.rs
@@ -26,21 +26,21 @@
 /// Whether a node may send orders.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RolloutOwnership {
-    /// It neither owns the rollout nor leads.
+    /// The node neither owns the rollout nor leads.
     #[default]
     NotLeader,
-    /// It leads, and another node owns the rollout.
+    /// The node leads, and another one owns the rollout.
     OwnedElsewhere,
-    /// It leads, and the owner is unresponsive.
+    /// The node leads, and the owner is unresponsive.
     OwnerUnresponsive,
-    /// It leads, and the ownership is vacant.
+    /// The node leads, and the ownership is vacant.
     Vacant {
         /// No node has sent orders since this time or longer.
         since: Millis,
     },
-    /// It leads, and the rollout has not had an owner yet.
+    /// The node leads, and the rollout has not had an owner yet.
     Unowned,
-    /// It owns the rollout.
+    /// The node owns the rollout.
     Owned,
 }
 
@@ -128,7 +128,7 @@
     owner.node.is_empty() && owner.address.ip().is_unspecified()
 }
 
-/// Since when the ownership is vacant, as far as one replica can tell.
+/// The start of the current vacancy of the ownership, as one replica knows it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Vacancy(Option<Observed>);
 
--- a/control/src/witness.rs
+++ b/control/src/witness.rs
@@ -42,7 +42,7 @@
     },
     /// A higher number was promised.
     Superseded {
-        /// That number.
+        /// The promised number.
         number: ProposalNumber,
     },
     /// The epoch is already decided.
