--- a/control/tests/view_model/bounds.rs
+++ b/control/tests/view_model/bounds.rs
@@ -1,10 +1,10 @@
-//! Which states follow on a state, within bounds.
+//! The transitions of the model, within bounds.
 
 use crate::reduction::drop_ineffective;
 use crate::scenarios::Pattern;
 use crate::state::{
-    LEASE, Leading, Message, REPLICATION_FACTOR, Replica, Shared, Stage, State, held_until, id,
-    ids, numbers,
+    LEASE, Leading, Message, REPLICATION_FACTOR, Replica, Shared, Stage, State, id, ids,
+    lease_expires_at, numbers,
 };
 use crate::turn::{Fault, Turn};
 use control::proposer::Intent;
@@ -13,61 +13,61 @@
 use stateright::{Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What has to hold in every state.
-pub const ONE_VIEW: &str = "one view for each epoch";
-pub const NOTHING_LOST: &str = "who leads has what was acknowledged";
-pub const ONE_HOLDER: &str = "one holder of the lease";
+/// The properties that have to hold in every state.
+pub const ONE_VIEW: &str = "at most one view is decided for each epoch";
+pub const NOTHING_LOST: &str = "a primary has all acknowledged changes";
+pub const ONE_LEASE_HOLDER: &str = "at most one replica holds the lease";
 
-/// What happens next.
+/// A transition of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Act {
+pub enum Action {
     TakeOver(usize),
-    Change(usize, View),
-    GiveUp(usize),
-    Order(usize),
-    BringUp(usize, usize),
+    ChangeMembers(usize, View),
+    Abandon(usize),
+    Replicate(usize),
+    SendState(usize, usize),
     SendHeartbeat(usize),
     Tick,
     Restart(usize),
-    Lose(usize),
-    Take(usize, u64),
+    LoseDisk(usize),
+    Deliver(usize, u64),
 }
 
-/// How far the check goes.
+/// The bounds of a check.
 #[derive(Debug, Clone)]
 pub struct Bounds {
     pub fault: Fault,
     pub epochs: u64,
-    /// Attempts of one life of a replica.
+    /// The most proposal rounds of a replica.
     pub rounds: u64,
     pub changes: u8,
     pub ticks: u64,
     pub restarts: u8,
-    /// Replicas that lose their disks.
+    /// The most replicas that lose their disks.
     pub losses: u8,
-    /// Who may try to take over.
+    /// The replicas that may try to take over.
     pub candidates: BTreeSet<usize>,
-    /// Whether a primary may change the members.
+    /// Whether a primary may propose other members.
     pub changes_members: bool,
-    /// How many replicas there are; those behind the third are in no view at first.
+    /// The number of replicas; only the first three are in the first view.
     pub replicas: usize,
-    /// How many of the three are in sync at first.
+    /// The size of the in-sync set of the first view.
     pub in_sync: usize,
-    /// Whether decided views are told to all; else each has to find them.
-    pub tells_decided: bool,
-    /// Whether what a replica asks of itself takes its time like a message, as its disk does.
+    /// Whether decided views are announced; otherwise replicas learn of them by their requests.
+    pub announces_decided: bool,
+    /// Whether requests of a replica to itself are delayed like messages, as by a slow disk.
     pub is_own_disk_slow: bool,
-    /// Whether messages that can't change anything any more are dropped.
+    /// Whether messages that can no longer have an effect are dropped.
     pub drops_ineffective: bool,
-    /// Steps that come first, one way only, so that the check begins where it is interesting.
+    /// Fixed steps that lead to the initial state of the check.
     pub prefix: Vec<Step>,
 }
 
-/// A step that is taken before the check begins.
+/// A step before the initial state.
 #[derive(Debug, Clone)]
 pub enum Step {
-    Do(Act),
-    /// A message reaches a replica.
+    Do(Action),
+    /// Delivers the message that matches a pattern to a replica.
     Deliver(Pattern, usize),
 }
 
@@ -76,14 +76,14 @@
         if self.ticks > 0 { LEASE } else { 0 }
     }
 
-    /// The views that a primary may ask for: a member more, one less, or one in place of another.
+    /// The views that a primary may propose: a member is added, removed, or replaced.
     fn wanted_views(&self, replica: &Replica, at: usize) -> Vec<View> {
         let (Some(view), Some(leading)) = (replica.witness.decided(), &replica.leading) else {
             return Vec::new();
         };
         let in_sync = numbers(&view.in_sync);
         let joiners = (0..self.replicas).filter(|other| !in_sync.contains(other));
-        let joiners = joiners.filter(|other| has_caught_up(replica, leading, *other));
+        let joiners = joiners.filter(|other| is_caught_up(replica, leading, *other));
         let joiners: Vec<Option<usize>> = joiners.map(Some).chain([None]).collect();
         let leavers = in_sync.iter().filter(|other| **other != at).copied();
         let leavers: Vec<Option<usize>> = leavers.map(Some).chain([None]).collect();
@@ -91,7 +91,7 @@
             .iter()
             .flat_map(|joiner| leavers.iter().map(move |leaver| (*joiner, *leaver)));
         let views = pairs.map(|(joiner, leaver)| changed(view, joiner, leaver));
-        // The same members once more, where a proposal that was given up would take others in.
+        // A view with the same members is proposed to rule out an abandoned proposal with others.
         let has_open_proposal = !leading.proposed.is_subset(&in_sync);
         views
             .filter(|wanted| wanted.in_sync != view.in_sync || has_open_proposal)
@@ -100,71 +100,75 @@
     }
 
     fn step(&self, state: &State, step: &Step) -> State {
-        let act = match step {
-            Step::Do(act) => act.clone(),
+        let action = match step {
+            Step::Do(action) => action.clone(),
             Step::Deliver(pattern, to) => {
-                let meant = state
+                let matching = state
                     .sent
                     .iter()
-                    .filter(|(_, message)| pattern.fits(message));
-                let mut meant = meant.filter(|(_, message)| {
+                    .filter(|(_, message)| pattern.matches(message));
+                let mut matching = matching.filter(|(_, message)| {
                     message.receiver().is_none_or(|receiver| receiver == *to)
                 });
-                let (digest, _) = meant
+                let (digest, _) = matching
                     .next()
-                    .unwrap_or_else(|| panic!("{step:?} has no message"));
-                assert!(meant.next().is_none(), "{step:?} has several messages");
-                Act::Take(*to, *digest)
+                    .unwrap_or_else(|| panic!("{step:?} matches no message"));
+                assert!(
+                    matching.next().is_none(),
+                    "{step:?} matches several messages"
+                );
+                Action::Deliver(*to, *digest)
             }
         };
-        self.next_state(state, act)
-            .unwrap_or_else(|| panic!("{step:?} changes nothing"))
+        self.next_state(state, action)
+            .unwrap_or_else(|| panic!("{step:?} has no effect"))
     }
 
-    fn acts_of(&self, state: &State, at: usize, acts: &mut Vec<Act>) {
+    fn replica_actions(&self, state: &State, at: usize, actions: &mut Vec<Action>) {
         let replica = &state.replicas[at];
         let Some(view) = replica.witness.decided().filter(|_| !replica.is_lost) else {
             return;
         };
         let may_attempt =
             replica.attempt.is_none() && replica.round < self.rounds && view.epoch < self.epochs;
-        let may_lead = view.in_sync.contains(&id(at)) || self.fault == Fault::AnyoneTakesOver;
+        let may_lead =
+            view.in_sync.contains(&id(at)) || self.fault == Fault::OutOfSyncReplicaTakesOver;
         if may_attempt && may_lead && replica.leading.is_none() && self.candidates.contains(&at) {
-            acts.push(Act::TakeOver(at));
+            actions.push(Action::TakeOver(at));
         }
-        // A candidate that gives up is like one that is never answered, but where it may try again.
+        // Abandoning an attempt differs from getting no replies only if another attempt may follow.
         if replica.attempt.is_some() && (replica.leading.is_some() || self.rounds > 1) {
-            acts.push(Act::GiveUp(at));
+            actions.push(Action::Abandon(at));
         }
         if let Some(leading) = &replica.leading {
-            self.acts_of_primary(replica, leading, at, may_attempt, acts);
+            self.primary_actions(replica, leading, at, may_attempt, actions);
         }
         if state.restarts < self.restarts {
-            acts.push(Act::Restart(at));
+            actions.push(Action::Restart(at));
         }
         if state.losses < self.losses {
-            acts.push(Act::Lose(at));
+            actions.push(Action::LoseDisk(at));
         }
     }
 
-    fn acts_of_primary(
+    fn primary_actions(
         &self,
         replica: &Replica,
         leading: &Leading,
         at: usize,
         may_attempt: bool,
-        acts: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
         if may_attempt && self.changes_members {
-            acts.extend(
+            actions.extend(
                 self.wanted_views(replica, at)
                     .into_iter()
-                    .map(|view| Act::Change(at, view)),
+                    .map(|view| Action::ChangeMembers(at, view)),
             );
         }
         if leading.stage == Stage::Ready && replica.attempt.is_none() && replica.log < self.changes
         {
-            acts.push(Act::Order(at));
+            actions.push(Action::Replicate(at));
         }
         let in_sync = replica
             .witness
@@ -173,21 +177,21 @@
             .unwrap_or_default();
         let outside =
             (0..self.replicas).filter(|other| !in_sync.contains(other) && self.changes_members);
-        acts.extend(outside.map(|other| Act::BringUp(at, other)));
+        actions.extend(outside.map(|other| Action::SendState(at, other)));
         if self.ticks > 0 {
-            acts.push(Act::SendHeartbeat(at));
+            actions.push(Action::SendHeartbeat(at));
         }
     }
 }
 
-/// Whether a replica stores all that may have been acknowledged, as far as the primary was told.
-fn has_caught_up(replica: &Replica, leading: &Leading, other: usize) -> bool {
+/// Whether a replica has reported to store every change that may have been acknowledged.
+fn is_caught_up(replica: &Replica, leading: &Leading, other: usize) -> bool {
     let committed = match leading.stage {
         Stage::Replicating(_) => replica.log - 1,
         Stage::Starting(_) | Stage::Ready => replica.log,
     };
-    let holds = leading.holds.get(&other);
-    holds.is_some_and(|holds| *holds == replica.log || *holds == committed)
+    let stored = leading.stored.get(&other);
+    stored.is_some_and(|stored| *stored == replica.log || *stored == committed)
 }
 
 fn changed(view: &View, joiner: Option<usize>, leaver: Option<usize>) -> View {
@@ -197,7 +201,7 @@
     if let Some(leaver) = leaver {
         wanted.in_sync.remove(&id(leaver));
     }
-    // A new machine takes the place of the one that has fallen silent.
+    // A new machine replaces the unresponsive one as a witness.
     if let Some(joiner) = joiner.filter(|joiner| !view.witnesses.contains(&id(*joiner))) {
         if let Some(leaver) = leaver {
             wanted.witnesses.remove(&id(leaver));
@@ -209,7 +213,7 @@
 
 impl Model for Bounds {
     type State = State;
-    type Action = Act;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let first = View {
@@ -230,7 +234,7 @@
                 proposed: BTreeSet::new(),
                 granted: BTreeMap::new(),
                 kept_until: 0,
-                holds: BTreeMap::new(),
+                stored: BTreeMap::new(),
             });
             let witness = Witness::new(votes.clone(), false, self.lease(), 0);
             Replica {
@@ -252,12 +256,12 @@
             sent: BTreeMap::new(),
             decided: Shared::new(BTreeMap::from([(1, first.clone())])),
             acknowledged: 0,
-            // The time of a lease has passed since the start.
+            // The duration of a lease has passed since the start.
             now: self.lease(),
             restarts: 0,
             losses: 0,
             has_two_views: false,
-            leads_without: false,
+            primary_lacks_acknowledged: false,
         };
         vec![
             self.prefix
@@ -266,41 +270,41 @@
         ]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Act>) {
-        (0..self.replicas).for_each(|at| self.acts_of(state, at, acts));
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        (0..self.replicas).for_each(|at| self.replica_actions(state, at, actions));
         if state.now < self.lease() + self.ticks {
-            acts.push(Act::Tick);
+            actions.push(Action::Tick);
         }
         for (digest, message) in &state.sent {
             let receivers = message.receiver().map_or(0..self.replicas, |to| to..to + 1);
             let is_own = |to: &usize| message.sender() == Some(*to) && !self.is_own_disk_slow;
             let alive = receivers.filter(|to| !state.replicas[*to].is_lost && !is_own(to));
-            acts.extend(alive.map(|to| Act::Take(to, *digest)));
+            actions.extend(alive.map(|to| Action::Deliver(to, *digest)));
         }
     }
 
-    fn next_state(&self, last: &State, act: Act) -> Option<State> {
+    fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
-        let at = match act {
-            Act::Tick => {
+        let at = match action {
+            Action::Tick => {
                 state.now += 1;
                 return Some(state);
             }
-            Act::TakeOver(at)
-            | Act::Change(at, _)
-            | Act::GiveUp(at)
-            | Act::Order(at)
-            | Act::BringUp(at, _)
-            | Act::SendHeartbeat(at)
-            | Act::Restart(at)
-            | Act::Lose(at)
-            | Act::Take(at, _) => at,
+            Action::TakeOver(at)
+            | Action::ChangeMembers(at, _)
+            | Action::Abandon(at)
+            | Action::Replicate(at)
+            | Action::SendState(at, _)
+            | Action::SendHeartbeat(at)
+            | Action::Restart(at)
+            | Action::LoseDisk(at)
+            | Action::Deliver(at, _) => at,
         };
-        state.restarts += u8::from(matches!(act, Act::Restart(_)));
-        state.losses += u8::from(matches!(act, Act::Lose(_)));
+        state.restarts += u8::from(matches!(action, Action::Restart(_)));
+        state.losses += u8::from(matches!(action, Action::LoseDisk(_)));
         let mut turn = Turn::of(self, &mut state, at);
-        match act {
-            Act::TakeOver(_) => {
+        match action {
+            Action::TakeOver(_) => {
                 let view = turn.replica.witness.decided()?.clone();
                 let wanted = View {
                     epoch: view.epoch + 1,
@@ -315,18 +319,18 @@
                     },
                 );
             }
-            Act::Change(_, view) => turn.begin_attempt(view, Intent::Change),
-            Act::GiveUp(_) => turn.give_up(),
-            Act::Order(_) => turn.order(),
-            Act::BringUp(_, other) => turn.bring_up(other),
-            Act::SendHeartbeat(_) => turn.send_heartbeat(),
-            Act::Restart(_) => turn.restart(self.lease()),
-            Act::Lose(_) => {
+            Action::ChangeMembers(_, view) => turn.begin_attempt(view, Intent::Change),
+            Action::Abandon(_) => turn.abandon_attempt(),
+            Action::Replicate(_) => turn.replicate(),
+            Action::SendState(_, other) => turn.send_state(other),
+            Action::SendHeartbeat(_) => turn.send_heartbeat(),
+            Action::Restart(_) => turn.restart(self.lease()),
+            Action::LoseDisk(_) => {
                 turn.replica.is_lost = true;
                 (turn.replica.attempt, turn.replica.leading) = (None, None);
             }
-            Act::Take(_, digest) => turn.take(Message::clone(&last.sent[&digest])),
-            Act::Tick => {}
+            Action::Deliver(_, digest) => turn.receive(Message::clone(&last.sent[&digest])),
+            Action::Tick => {}
         }
         turn.end();
         if self.drops_ineffective {
@@ -338,10 +342,12 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(ONE_VIEW, |_, state: &State| !state.has_two_views),
-            Property::always(NOTHING_LOST, |_, state: &State| !state.leads_without),
-            Property::always(ONE_HOLDER, |_: &Bounds, state: &State| {
+            Property::always(NOTHING_LOST, |_, state: &State| {
+                !state.primary_lacks_acknowledged
+            }),
+            Property::always(ONE_LEASE_HOLDER, |_: &Bounds, state: &State| {
                 let holds = |leading: &Leading| {
-                    state.now < held_until(leading, &state.decided[&leading.epoch])
+                    state.now < lease_expires_at(leading, &state.decided[&leading.epoch])
                 };
                 let leading = state
                     .replicas
--- a/control/tests/view_model/reduction.rs
+++ b/control/tests/view_model/reduction.rs
@@ -1,23 +1,28 @@
-//! A sound reduction: messages that can't change any state any more are dropped, so that states
-//! which differ in such messages only are one.
+//! A sound reduction of the state space: messages that can no longer change any state are dropped,
+//! so that states which differ only in such messages become equal.
 //!
-//! Why it is sound. What a replica knows to be decided only rises, also through a restart. A number
-//! of an attempt is used once, so an attempt that was given up never comes back. Hence, if a
-//! message changes nothing at any receiver now by one of the rules below, it never will. What a
-//! dropped request would have been answered with is a message that is dropped by the same rules.
-//! The ids of replicas are ordered, and decide between attempts of one round, so exchanging two
-//! replicas is no symmetry, and none is used.
+//! Soundness: the newest decided epoch that a replica knows only rises, even across a restart, and
+//! a proposal number is used once, so an abandoned attempt never resumes. A message that has no
+//! effect on any receiver by the rules below therefore never will, and the replies to a dropped
+//! request would be dropped by the same rules.
+//!
+//! Symmetry reduction is not possible: replica ids are ordered and decide between attempts of one
+//! round, so exchanging two replicas yields a different state.
 
 use crate::state::{Message, Replica, State};
 use crate::turn::Fault;
 use control::view::ProposalNumber;
 
-/// Whether numbers are used once and every vote is on disk: what the rules rest on.
+/// Whether the rules apply: they assume that proposal numbers are used once and all votes are
+/// durable.
 pub fn is_sound_with(fault: Fault) -> bool {
-    !matches!(fault, Fault::BallotsRepeat | Fault::PromiseNotStored)
+    !matches!(
+        fault,
+        Fault::ProposalNumbersReused | Fault::PromiseNotStored
+    )
 }
 
-/// Drops the messages without effect.
+/// Drops the messages that can have no effect.
 pub fn drop_ineffective(state: &mut State) {
     let sent = std::mem::take(&mut state.sent);
     let kept = sent
@@ -35,17 +40,16 @@
             from,
             current,
             number,
-        } => is_open(current.epoch) || attempts(&state.replicas[*from], number),
+        } => is_open(current.epoch) || has_attempt(&state.replicas[*from], number),
         Message::Accept {
             from,
             current,
             proposal,
-        } => is_open(current.epoch) || attempts(&state.replicas[*from], &proposal.number),
-        Message::Vote { to, number, .. } => {
-            receiver(*to).is_some_and(|replica| attempts(replica, number) && !is_accepting(replica))
-        }
+        } => is_open(current.epoch) || has_attempt(&state.replicas[*from], &proposal.number),
+        Message::Vote { to, number, .. } => receiver(*to)
+            .is_some_and(|replica| has_attempt(replica, number) && !is_accepting(replica)),
         Message::Accepted { to, number, .. } => {
-            receiver(*to).is_some_and(|replica| attempts(replica, number))
+            receiver(*to).is_some_and(|replica| has_attempt(replica, number))
         }
         Message::Decided { view } => alive
             .clone()
@@ -64,7 +68,7 @@
     replica.witness.votes().epoch()
 }
 
-fn attempts(replica: &Replica, number: &ProposalNumber) -> bool {
+fn has_attempt(replica: &Replica, number: &ProposalNumber) -> bool {
     let attempt = replica.attempt.as_ref().filter(|_| !replica.is_lost);
     attempt.is_some_and(|attempt| attempt.number == *number)
 }
--- a/control/tests/view_model/scenarios.rs
+++ b/control/tests/view_model/scenarios.rs
@@ -1,14 +1,14 @@
-//! Where a check begins and how far it goes: each scenario leads up, one way only, to a moment at
-//! which much may go wrong.
+//! Scenarios: an initial state, reached by fixed steps, in which faults are likely to violate a
+//! property, and the bounds of the check from there.
 
-use crate::bounds::{Act, Bounds, Step};
+use crate::bounds::{Action, Bounds, Step};
 use crate::reduction;
 use crate::state::{Message, id, ids};
 use crate::turn::Fault;
 use control::view::View;
 use std::collections::BTreeSet;
 
-/// Two replicas that try to take over from a primary that is silent.
+/// Two replicas try to take over from an unresponsive primary.
 pub fn takeovers(fault: Fault) -> Bounds {
     Bounds {
         fault,
@@ -22,14 +22,14 @@
         changes_members: false,
         replicas: 3,
         in_sync: 3,
-        tells_decided: false,
+        announces_decided: false,
         is_own_disk_slow: false,
         drops_ineffective: reduction::is_sound_with(fault),
         prefix: Vec::new(),
     }
 }
 
-/// The same; one of them may restart in the middle.
+/// As [`takeovers`], and a replica may restart.
 pub fn restarts(fault: Fault) -> Bounds {
     Bounds {
         restarts: 1,
@@ -37,28 +37,28 @@
     }
 }
 
-/// A candidate restarts before its own acceptance is on its disk, and tries again with another
+/// A candidate restarts before its own acceptance is durable, and tries again with another
 /// majority.
-pub fn second_life(fault: Fault) -> Bounds {
-    let (first, second) = if fault == Fault::BallotsRepeat {
+pub fn second_incarnation(fault: Fault) -> Bounds {
+    let (first, second) = if fault == Fault::ProposalNumbersReused {
         ((1, 0), (1, 0))
     } else {
         ((1, 1), (2, 2))
     };
     let mut prefix = vec![
-        Step::Do(Act::TakeOver(1)),
+        Step::Do(Action::TakeOver(1)),
         deliver(Kind::Prepare, 1).of(first),
         deliver(Kind::Prepare, 2).of(first),
         deliver(Kind::Vote, 1).from(2).of(first),
         deliver(Kind::Accept, 2).of(first),
-        Step::Do(Act::Restart(1)),
-        Step::Do(Act::TakeOver(1)),
+        Step::Do(Action::Restart(1)),
+        Step::Do(Action::TakeOver(1)),
         deliver(Kind::Prepare, 0).of(second),
         deliver(Kind::Prepare, 1).of(second),
         deliver(Kind::Vote, 1).from(0).of(second),
     ];
-    if fault == Fault::BallotsRepeat {
-        // The answer to the first life counts in the second one.
+    if fault == Fault::ProposalNumbersReused {
+        // The reply to the first incarnation is counted by the second one.
         prefix.extend([
             deliver(Kind::Accept, 0).of(second).with([0, 1]),
             deliver(Kind::Accepted, 1).from(0).of(second),
@@ -78,10 +78,10 @@
 /// A replica that lacks a change tries to take over.
 pub fn lagging(fault: Fault) -> Bounds {
     let prefix = vec![
-        Step::Do(Act::Order(0)),
+        Step::Do(Action::Replicate(0)),
         deliver(Kind::Replicate, 1),
         deliver(Kind::Stored, 0).from(1),
-        Step::Do(Act::Lose(0)),
+        Step::Do(Action::LoseDisk(0)),
     ];
     Bounds {
         changes: 1,
@@ -101,49 +101,49 @@
     }
 }
 
-/// A primary proposed to take a replica in, one witness accepted that, and the primary gave it up;
-/// it orders a change, which one backup stores, and loses its disk.
-pub fn joiners(fault: Fault) -> Bounds {
+/// A primary proposes to add a replica and abandons the proposal after one witness has accepted it.
+/// Then the primary replicates a change to one backup and loses its disk.
+pub fn abandoned_proposal(fault: Fault) -> Bounds {
     let prefix = vec![
-        Step::Do(Act::BringUp(0, 2)),
+        Step::Do(Action::SendState(0, 2)),
         deliver(Kind::Install, 2),
         deliver(Kind::Stored, 0).from(2),
-        Step::Do(Act::Change(0, next_view(0..3))),
+        Step::Do(Action::ChangeMembers(0, next_view(0..3))),
         deliver(Kind::Prepare, 1),
         deliver(Kind::Vote, 0).from(1),
         deliver(Kind::Accept, 1),
-        Step::Do(Act::GiveUp(0)),
-        Step::Do(Act::Order(0)),
+        Step::Do(Action::Abandon(0)),
+        Step::Do(Action::Replicate(0)),
         deliver(Kind::Replicate, 1),
         deliver(Kind::Stored, 0).from(1),
-        Step::Do(Act::Lose(0)),
+        Step::Do(Action::LoseDisk(0)),
     ];
     Bounds {
         epochs: 3,
         changes: 1,
         losses: 1,
         in_sync: 2,
-        tells_decided: true,
+        announces_decided: true,
         prefix,
         ..takeovers(fault)
     }
 }
 
-/// The same with a slow disk: the primary has not accepted its own proposal yet, and has another
-/// view decided for the same epoch, without that replica.
+/// As [`abandoned_proposal`] with a slow disk: the primary has not accepted its own proposal yet,
+/// and has another view without the added replica decided for the same epoch.
 pub fn replaced_proposal(fault: Fault) -> Bounds {
     let (first, second) = ((1, 1), (2, 1));
     let mut prefix = vec![
-        Step::Do(Act::BringUp(0, 2)),
+        Step::Do(Action::SendState(0, 2)),
         deliver(Kind::Install, 2),
         deliver(Kind::Stored, 0).from(2),
-        Step::Do(Act::Change(0, next_view(0..3))),
+        Step::Do(Action::ChangeMembers(0, next_view(0..3))),
         deliver(Kind::Prepare, 0),
         deliver(Kind::Prepare, 1),
         deliver(Kind::Vote, 0).from(1),
         deliver(Kind::Accept, 2).of(first),
-        Step::Do(Act::GiveUp(0)),
-        Step::Do(Act::Change(0, next_view(0..2))),
+        Step::Do(Action::Abandon(0)),
+        Step::Do(Action::ChangeMembers(0, next_view(0..2))),
         deliver(Kind::Prepare, 0).of(second),
         deliver(Kind::Prepare, 1).of(second),
         deliver(Kind::Vote, 0).from(1).of(second),
@@ -153,10 +153,10 @@
         deliver(Kind::Decided, 1),
         deliver(Kind::Install, 1),
         deliver(Kind::Stored, 0).from(1),
-        Step::Do(Act::Order(0)),
+        Step::Do(Action::Replicate(0)),
         deliver(Kind::Replicate, 1),
         deliver(Kind::Stored, 0).from(1).storing(1),
-        Step::Do(Act::Order(0)),
+        Step::Do(Action::Replicate(0)),
     ];
     if fault == Fault::ViewFromHeartbeat {
         prefix.push(deliver(Kind::Replicate, 2).storing(2));
@@ -167,7 +167,7 @@
         changes: 2,
         in_sync: 2,
         candidates: BTreeSet::from([2]),
-        tells_decided: true,
+        announces_decided: true,
         is_own_disk_slow: true,
         prefix,
         ..takeovers(fault)
@@ -179,12 +179,12 @@
     Bounds {
         ticks: 2,
         candidates: BTreeSet::from([1]),
-        tells_decided: true,
+        announces_decided: true,
         ..takeovers(fault)
     }
 }
 
-/// A new machine takes the place of a witness while the lease is held by the word of that witness.
+/// A new machine replaces a witness whose grant the lease depends on.
 pub fn leases_of_new_witnesses(fault: Fault) -> Bounds {
     let swapped = View {
         epoch: 2,
@@ -193,13 +193,13 @@
         witnesses: ids([0, 1, 3]),
     };
     let prefix = vec![
-        Step::Do(Act::BringUp(0, 3)),
+        Step::Do(Action::SendState(0, 3)),
         deliver(Kind::Install, 3),
         deliver(Kind::Stored, 0).from(3),
-        Step::Do(Act::SendHeartbeat(0)),
+        Step::Do(Action::SendHeartbeat(0)),
         deliver(Kind::Heartbeat, 2),
         deliver(Kind::Granted, 0).from(2),
-        Step::Do(Act::Change(0, swapped)),
+        Step::Do(Action::ChangeMembers(0, swapped)),
         deliver(Kind::Prepare, 2),
         deliver(Kind::Vote, 0).from(2),
         deliver(Kind::Accept, 2),
@@ -207,7 +207,7 @@
         deliver(Kind::Accepted, 0).from(2),
         deliver(Kind::Accepted, 0).from(3),
         deliver(Kind::Decided, 1),
-        Step::Do(Act::TakeOver(1)),
+        Step::Do(Action::TakeOver(1)),
         deliver(Kind::Prepare, 3).from(1),
         deliver(Kind::Vote, 1).from(3),
         deliver(Kind::Accept, 3).from(1),
@@ -217,14 +217,14 @@
         ticks: 1,
         candidates: BTreeSet::from([1]),
         replicas: 4,
-        tells_decided: true,
+        announces_decided: true,
         prefix,
         ..takeovers(fault)
     }
 }
 
-/// Two changes of members at the same time as two replicas that try to take over, while a change is
-/// ordered: replicas 0 to 3, of which two are in sync at first.
+/// Membership changes and a takeover compete while a change is replicated. Two of four replicas are
+/// in sync at first.
 pub fn joint_changes(fault: Fault) -> Bounds {
     Bounds {
         epochs: 3,
@@ -233,16 +233,16 @@
         changes_members: true,
         replicas: 4,
         in_sync: 2,
-        tells_decided: true,
+        announces_decided: true,
         ..takeovers(fault)
     }
 }
 
-/// A backup was sent a state, which is delayed, and has stored a change since that is acknowledged.
+/// A full state sent to a backup is delayed, and the backup stores a change that is acknowledged.
 pub fn delayed_state(fault: Fault) -> Bounds {
     let prefix = vec![
-        Step::Do(Act::BringUp(0, 1)),
-        Step::Do(Act::Order(0)),
+        Step::Do(Action::SendState(0, 1)),
+        Step::Do(Action::Replicate(0)),
         deliver(Kind::Replicate, 1),
         deliver(Kind::Stored, 0).from(1).storing(1),
     ];
@@ -256,7 +256,7 @@
     }
 }
 
-/// The same beginning with bounds so wide that most of what follows can only be sampled.
+/// The initial state of a scenario with bounds that are too wide for an exhaustive search.
 pub fn widened(scenario: Bounds) -> Bounds {
     Bounds {
         epochs: scenario.epochs + 5,
@@ -267,7 +267,7 @@
         losses: 1,
         candidates: (0..scenario.replicas).collect(),
         changes_members: true,
-        tells_decided: true,
+        announces_decided: true,
         ..scenario
     }
 }
@@ -287,22 +287,22 @@
     Granted,
 }
 
-/// Which message is meant.
+/// Selects a message.
 #[derive(Debug, Clone, Copy)]
 pub struct Pattern {
     kind: Kind,
     from: Option<usize>,
-    /// Round and life of the attempt.
+    /// The round and the incarnation of the attempt.
     attempt: Option<(u64, u64)>,
-    /// The changes that are stored.
+    /// The number of stored changes.
     log: Option<u8>,
-    /// Who is in sync in the view.
+    /// The in-sync set of the proposed view.
     in_sync: Option<[usize; 2]>,
 }
 
 impl Pattern {
-    /// Whether a message is of this kind, and from whom and of which attempt is meant.
-    pub fn fits(&self, message: &Message) -> bool {
+    /// Whether a message has this kind, and the given sender, attempt, log and in-sync set.
+    pub fn matches(&self, message: &Message) -> bool {
         let (kind, number) = match message {
             Message::Prepare { number, .. } => (Kind::Prepare, Some(number)),
             Message::Vote { number, .. } => (Kind::Vote, Some(number)),
@@ -316,7 +316,7 @@
             Message::Granted { .. } => (Kind::Granted, None),
         };
         let is_from = self.from.is_none_or(|from| message.sender() == Some(from));
-        let is_of = self
+        let is_of_attempt = self
             .attempt
             .is_none_or(|of| number.is_some_and(|number| (number.round, number.incarnation) == of));
         let log = match message {
@@ -331,7 +331,7 @@
             .in_sync
             .is_none_or(|members| in_sync == Some(&ids(members)));
         let is_storing = self.log.is_none_or(|stored| log == Some(stored));
-        kind == self.kind && is_from && is_of && is_with && is_storing
+        kind == self.kind && is_from && is_of_attempt && is_with && is_storing
     }
 }
 
--- a/control/tests/view_model/state.rs
+++ b/control/tests/view_model/state.rs
@@ -1,4 +1,4 @@
-//! The states of the model: replicas, and every message that was ever sent.
+//! The states of the model: the replicas and all messages that were sent.
 
 use control::proposer::Attempt;
 use control::view::{Proposal, ProposalNumber, ReplicaId, View};
@@ -9,14 +9,14 @@
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// How long a witness is bound by a grant, in ticks.
+/// The duration of a grant on the witness, in ticks.
 pub const LEASE: u64 = 2;
-/// For how long the holder counts on it.
-pub const HELD: u64 = 1;
-/// How many replicas have to store a change.
+/// The duration of a lease on its holder, in ticks.
+pub const HOLDER_LEASE: u64 = 1;
+/// The number of replicas that have to store a change.
 pub const REPLICATION_FACTOR: usize = 2;
 
-/// A part of a state that many states share, compared by its digest.
+/// A part of a state that is shared between states and compared by its digest.
 #[derive(Debug, Clone)]
 pub struct Shared<T> {
     pub digest: u64,
@@ -56,13 +56,13 @@
     }
 }
 
-/// What a primary is doing.
+/// The stage of a primary's work.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// In step with these.
+    /// Synchronizing its backups; these replicas are done.
     Starting(BTreeSet<usize>),
     Ready,
-    /// A change is stored by these.
+    /// Replicating a change, which these replicas store.
     Replicating(BTreeSet<usize>),
 }
 
@@ -70,14 +70,14 @@
 pub struct Leading {
     pub epoch: u64,
     pub stage: Stage,
-    /// The in-sync set of its newest proposal.
+    /// The in-sync set of the newest proposal of this primary.
     pub proposed: BTreeSet<usize>,
-    /// The newest heartbeat that each witness granted, by when it was sent.
+    /// The time at which the newest granted heartbeat was sent, by witness.
     pub granted: BTreeMap<usize, u64>,
-    /// Until when the lease was held in earlier views, where a fault keeps it.
+    /// The expiry of the lease of earlier views, where a fault keeps that lease.
     pub kept_until: u64,
-    /// What each replica stores, as it said.
-    pub holds: BTreeMap<usize, u8>,
+    /// The number of changes that each replica reported as stored.
+    pub stored: BTreeMap<usize, u8>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -87,9 +87,9 @@
     pub attempt: Option<Attempt>,
     pub round: u64,
     pub incarnation: u64,
-    /// Changes that are stored.
+    /// The number of stored changes.
     pub log: u8,
-    /// The epoch in which the last one was ordered; 0 where that is not known.
+    /// The epoch in which the last change was ordered; 0 where unknown.
     pub log_epoch: u64,
     pub leading: Option<Leading>,
     pub is_lost: bool,
@@ -155,7 +155,7 @@
 }
 
 impl Message {
-    /// Who sent it; nobody in particular where a view is told.
+    /// The sender; `None` for announcements of decided views.
     pub fn sender(&self) -> Option<usize> {
         match self {
             Message::Prepare { from, .. }
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The one receiver; none where it is for all.
+    /// The receiver; `None` for messages to all replicas.
     pub fn receiver(&self) -> Option<usize> {
         match self {
             Message::Vote { to, .. }
@@ -187,17 +187,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct State {
     pub replicas: Vec<Shared<Replica>>,
-    /// Whatever was sent: it may come at any time, any number of times, or never.
+    /// All sent messages, by digest. Each may arrive at any time, any number of times, or never.
     pub sent: BTreeMap<u64, Shared<Message>>,
     pub decided: Shared<BTreeMap<u64, View>>,
     pub acknowledged: u8,
     pub now: u64,
     pub restarts: u8,
     pub losses: u8,
-    /// Two views were decided for one epoch.
+    /// Whether two views were decided for one epoch.
     pub has_two_views: bool,
-    /// A replica became primary without a change that had been acknowledged.
-    pub leads_without: bool,
+    /// Whether a replica without an acknowledged change became primary.
+    pub primary_lacks_acknowledged: bool,
 }
 
 impl State {
@@ -206,7 +206,7 @@
         self.sent.insert(message.digest, message);
     }
 
-    pub fn note_decided(&mut self, view: &View) {
+    pub fn record_decided(&mut self, view: &View) {
         let mut decided = BTreeMap::clone(&self.decided);
         let first = decided.entry(view.epoch).or_insert_with(|| view.clone());
         self.has_two_views |= first != view;
@@ -214,9 +214,9 @@
     }
 }
 
-/// Until when a primary counts on its lease: a majority of its view's witnesses granted a heartbeat
-/// that it sent so long ago.
-pub fn held_until(leading: &Leading, view: &View) -> u64 {
+/// The expiry of a primary's lease: a majority of the view's witnesses has granted a heartbeat that
+/// was sent `HOLDER_LEASE` ticks earlier.
+pub fn lease_expires_at(leading: &Leading, view: &View) -> u64 {
     let witnesses = numbers(&view.witnesses);
     let granted = leading
         .granted
@@ -224,7 +224,9 @@
         .filter(|(from, _)| witnesses.contains(from));
     let mut sent: Vec<u64> = granted.map(|(_, at)| *at).collect();
     sent.sort_unstable_by(|one, other| other.cmp(one));
-    let granted = sent.get(view.majority() - 1).map_or(0, |at| at + HELD);
+    let granted = sent
+        .get(view.majority() - 1)
+        .map_or(0, |at| at + HOLDER_LEASE);
     granted.max(leading.kept_until)
 }
 
--- a/control/tests/view_model/turn.rs
+++ b/control/tests/view_model/turn.rs
@@ -1,39 +1,40 @@
-//! What one replica does in one step. Votes and attempts are the program's own; what a primary does
-//! with its data and its lease is mirrored from `control::node`.
+//! One step of one replica. Witnesses and attempts are those of the `control` crate; the
+//! replication and the lease of a primary are modelled after `control::node`.
 
 use crate::bounds::Bounds;
 use crate::state::{
-    Leading, Message, REPLICATION_FACTOR, Replica, Shared, Stage, State, held_until, id, numbers,
+    Leading, Message, REPLICATION_FACTOR, Replica, Shared, Stage, State, id, lease_expires_at,
+    numbers,
 };
 use control::proposer::{Attempt, Intent, Progress};
 use control::view::{ProposalNumber, View};
 use control::witness::{Vote, Votes, Witness};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rule that is left out.
+/// An injected fault: a rule of the protocol that is omitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
     None,
-    /// A witness promises to a lower attempt after a higher one.
+    /// A witness promises a lower proposal number after a higher one.
     PromiseOverwritten,
-    /// A promise is answered before it is on disk.
+    /// A witness replies with a promise before the promise is durable.
     PromiseNotStored,
-    /// A restarted proposer counts its attempts anew, and nothing tells its lives apart.
-    BallotsRepeat,
-    /// A candidate does not carry on what an earlier attempt may have had accepted.
-    FoundIgnored,
-    /// A replica takes the view that it accepted for decided once it hears the primary of that
-    /// epoch.
+    /// A restarted proposer reuses proposal numbers, which do not contain the incarnation.
+    ProposalNumbersReused,
+    /// A candidate does not complete a view that witnesses may have accepted in an earlier attempt.
+    AcceptedViewIgnored,
+    /// A replica considers the view that it accepted as decided once it receives a message from the
+    /// primary of that epoch.
     ViewFromHeartbeat,
-    /// Changes are acknowledged without those whom a proposal that was given up would take in.
-    GivenUpProposalForgotten,
+    /// A change is acknowledged without the replicas that an abandoned proposal would have added.
+    AbandonedProposalForgotten,
     /// A candidate need not be in the in-sync set.
-    AnyoneTakesOver,
-    /// A lease that other witnesses granted is kept in a view with new ones.
+    OutOfSyncReplicaTakesOver,
+    /// A lease granted by former witnesses is kept in a view with other witnesses.
     LeaseKeptWithNewWitnesses,
-    /// A witness votes for another replica while its grant holds.
-    GrantNotHeeded,
-    /// A state that was delayed replaces changes that were stored since.
+    /// A witness votes for another replica while its grant lasts.
+    GrantIgnored,
+    /// A delayed full state replaces changes that were stored since.
     DelayedStateInstalled,
 }
 
@@ -58,17 +59,18 @@
         }
     }
 
-    /// Puts the replica back as it is now.
+    /// Writes the replica back to the state.
     pub fn end(self) {
         self.state.replicas[self.at] = Shared::new(self.replica);
     }
 
-    /// Sends a message; what is for this replica too is taken at once, unless its own disk is slow.
+    /// Sends a message. A message to this replica itself is received at once, unless the disk is
+    /// slow.
     fn send(&mut self, message: Message) {
         let receiver = message.receiver();
         let is_for_all = receiver.is_none() && !self.bounds.is_own_disk_slow;
         if is_for_all || receiver == Some(self.at) {
-            self.take(message.clone());
+            self.receive(message.clone());
         }
         if receiver != Some(self.at) {
             self.state.send(message);
@@ -79,8 +81,8 @@
         self.replica.disk = self.replica.witness.votes().clone();
     }
 
-    /// A witness that lacks a rule on purpose.
-    fn spoil(&mut self) {
+    /// Applies the faults that concern the witness.
+    fn apply_witness_fault(&mut self) {
         let votes = self.replica.witness.votes().clone();
         match self.fault {
             Fault::PromiseOverwritten => {
@@ -94,7 +96,7 @@
                     0,
                 );
             }
-            Fault::GrantNotHeeded => self.replica.witness = Witness::new(votes, false, 0, 0),
+            Fault::GrantIgnored => self.replica.witness = Witness::new(votes, false, 0, 0),
             _ => {}
         }
     }
@@ -104,7 +106,7 @@
             return;
         };
         self.replica.round += 1;
-        let incarnation = if self.fault == Fault::BallotsRepeat {
+        let incarnation = if self.fault == Fault::ProposalNumbersReused {
             0
         } else {
             self.replica.incarnation
@@ -147,9 +149,9 @@
             }
             Progress::Decided(view) => {
                 self.replica.attempt = None;
-                self.state.note_decided(&view);
+                self.state.record_decided(&view);
                 self.learn(&view);
-                if self.bounds.tells_decided {
+                if self.bounds.announces_decided {
                     self.send(Message::Decided { view });
                 }
             }
@@ -176,25 +178,25 @@
         }
         let former = self.replica.leading.take();
         if view.primary == id(self.at) {
-            self.lead(view, former);
+            self.start_leading(view, former);
         }
     }
 
-    fn lead(&mut self, view: &View, former: Option<Leading>) {
+    fn start_leading(&mut self, view: &View, former: Option<Leading>) {
         let keeps = self.fault == Fault::LeaseKeptWithNewWitnesses;
         let held = former
             .as_ref()
-            .map(|former| held_until(former, &self.state.decided[&former.epoch]));
+            .map(|former| lease_expires_at(former, &self.state.decided[&former.epoch]));
         self.replica.leading = Some(Leading {
             epoch: view.epoch,
             stage: Stage::Starting(BTreeSet::from([self.at])),
             proposed: BTreeSet::new(),
             granted: former.map(|former| former.granted).unwrap_or_default(),
             kept_until: held.filter(|_| keeps).unwrap_or(0),
-            holds: BTreeMap::new(),
+            stored: BTreeMap::new(),
         });
         let log = self.replica.log;
-        self.state.leads_without |= log < self.state.acknowledged;
+        self.state.primary_lacks_acknowledged |= log < self.state.acknowledged;
         for other in numbers(&view.in_sync)
             .into_iter()
             .filter(|other| *other != self.at)
@@ -206,14 +208,14 @@
                 log,
             });
         }
-        self.finish();
+        self.finish_stage();
     }
 
-    /// Whoever has to store a change before it is acknowledged.
-    fn required(&self) -> BTreeSet<usize> {
+    /// The replicas that have to store a change before it is acknowledged.
+    fn required_acks(&self) -> BTreeSet<usize> {
         let view = self.replica.witness.decided();
         let mut required = view.map(|view| numbers(&view.in_sync)).unwrap_or_default();
-        if self.fault != Fault::GivenUpProposalForgotten
+        if self.fault != Fault::AbandonedProposalForgotten
             && let Some(leading) = &self.replica.leading
         {
             required.extend(&leading.proposed);
@@ -224,8 +226,8 @@
         required
     }
 
-    fn finish(&mut self) {
-        let required = self.required();
+    fn finish_stage(&mut self) {
+        let required = self.required_acks();
         let Some(leading) = &mut self.replica.leading else {
             return;
         };
@@ -239,12 +241,12 @@
         }
     }
 
-    pub fn give_up(&mut self) {
+    pub fn abandon_attempt(&mut self) {
         self.replica.attempt = None;
-        self.finish();
+        self.finish_stage();
     }
 
-    pub fn order(&mut self) {
+    pub fn replicate(&mut self) {
         self.replica.log += 1;
         self.replica.log_epoch = self
             .replica
@@ -263,7 +265,7 @@
         });
     }
 
-    pub fn bring_up(&mut self, other: usize) {
+    pub fn send_state(&mut self, other: usize) {
         let (from, log) = (self.at, self.replica.log);
         if let Some(leading) = &self.replica.leading {
             self.state.send(Message::Install {
@@ -291,12 +293,12 @@
         replica.witness = Witness::new(replica.disk.clone(), false, lease, self.state.now);
         (replica.attempt, replica.leading, replica.incarnation) =
             (None, None, replica.incarnation + 1);
-        if self.fault == Fault::BallotsRepeat {
+        if self.fault == Fault::ProposalNumbersReused {
             replica.round = 0;
         }
     }
 
-    pub fn take(&mut self, message: Message) {
+    pub fn receive(&mut self, message: Message) {
         match message {
             Message::Prepare {
                 from,
@@ -304,7 +306,7 @@
                 number,
             } => {
                 self.learn(&current);
-                self.spoil();
+                self.apply_witness_fault();
                 let (vote, _) = self
                     .replica
                     .witness
@@ -373,7 +375,7 @@
                 self.report(from, epoch);
             }
             Message::Replicate { from, epoch, log } => {
-                self.hear(from, epoch);
+                self.apply_heartbeat_fault(from, epoch);
                 if self.follows(from, epoch)
                     && (self.replica.log == log || self.replica.log + 1 == log)
                 {
@@ -383,13 +385,13 @@
             }
             Message::Stored {
                 from, epoch, log, ..
-            } => self.stored(from, epoch, log),
+            } => self.on_stored(from, epoch, log),
             Message::Heartbeat {
                 from,
                 epoch,
                 sent_at,
             } => {
-                self.hear(from, epoch);
+                self.apply_heartbeat_fault(from, epoch);
                 if self.replica.witness.grant(&id(from), epoch, self.state.now) {
                     self.send(Message::Granted {
                         from: self.at,
@@ -419,7 +421,8 @@
     }
 
     fn attempt_of(&mut self, incarnation: u64, number: &ProposalNumber) -> Option<&mut Attempt> {
-        let is_own = self.fault == Fault::BallotsRepeat || incarnation == self.replica.incarnation;
+        let is_own =
+            self.fault == Fault::ProposalNumbersReused || incarnation == self.replica.incarnation;
         self.replica
             .attempt
             .as_mut()
@@ -428,7 +431,9 @@
 
     fn on_vote(&mut self, from: usize, incarnation: u64, number: &ProposalNumber, vote: Vote) {
         let vote = match (self.fault, vote) {
-            (Fault::FoundIgnored, Vote::Promised { .. }) => Vote::Promised { accepted: None },
+            (Fault::AcceptedViewIgnored, Vote::Promised { .. }) => {
+                Vote::Promised { accepted: None }
+            }
             (_, vote) => vote,
         };
         if let Some(attempt) = self.attempt_of(incarnation, number) {
@@ -437,7 +442,7 @@
         }
     }
 
-    /// Tells the primary which changes are stored.
+    /// Reports the number of stored changes to the primary.
     fn report(&mut self, primary: usize, epoch: u64) {
         let log = self.replica.log;
         self.send(Message::Stored {
@@ -453,8 +458,8 @@
         view.is_some_and(|view| view.epoch == epoch && view.primary == id(primary))
     }
 
-    /// The fault that takes an accepted view for decided.
-    fn hear(&mut self, primary: usize, epoch: u64) {
+    /// Applies [`Fault::ViewFromHeartbeat`].
+    fn apply_heartbeat_fault(&mut self, primary: usize, epoch: u64) {
         let accepted = self
             .replica
             .witness
@@ -462,13 +467,13 @@
             .accepted
             .clone()
             .map(|accepted| accepted.view);
-        let heard = accepted.filter(|view| view.epoch == epoch && view.primary == id(primary));
-        if let Some(view) = heard.filter(|_| self.fault == Fault::ViewFromHeartbeat) {
+        let confirmed = accepted.filter(|view| view.epoch == epoch && view.primary == id(primary));
+        if let Some(view) = confirmed.filter(|_| self.fault == Fault::ViewFromHeartbeat) {
             self.learn(&view);
         }
     }
 
-    fn stored(&mut self, from: usize, epoch: u64, log: u8) {
+    fn on_stored(&mut self, from: usize, epoch: u64, log: u8) {
         let own_log = self.replica.log;
         let Some(leading) = self
             .replica
@@ -478,7 +483,7 @@
         else {
             return;
         };
-        leading.holds.insert(from, log);
+        leading.stored.insert(from, log);
         if log != own_log {
             return;
         }
@@ -488,6 +493,6 @@
             }
             Stage::Ready => {}
         }
-        self.finish();
+        self.finish_stage();
     }
 }
