--- a/control/src/history.rs
+++ b/control/src/history.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// What a replica needs to reach the newest text.
+/// An update that brings a replica to the newest text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TextUpdate {
     /// The newest text itself.
@@ -71,13 +71,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ApplyError {
     /// No delta starts from the current version.
-    #[error("no step starts from version {current}: ask again with that version")]
+    #[error("no delta starts from version {current}: request an update from that version")]
     BaseMismatch {
         /// The current version; 0 for none.
         current: u64,
     },
     /// The result of a delta does not match its checksum.
-    #[error("the text of version {version} does not have its checksum: ask for the whole text")]
+    #[error("checksum mismatch in the text of version {version}: request the full text")]
     Checksum {
         /// The version.
         version: u64,
@@ -118,8 +118,8 @@
         }
     }
 
-    /// What a replica with version `base` needs: deltas where these are smaller than the text, else
-    /// the full text; `None` where it has the newest version.
+    /// The update for a replica with version `base`: deltas if these are smaller than the text,
+    /// else the full text; `None` if `base` is the newest version.
     pub fn update_for(&self, base: u64) -> Option<TextUpdate> {
         if self.version == 0 || base == self.version {
             return None;
