--- a/bitternsill/src/core.rs
+++ b/bitternsill/src/core.rs
@@ -1,8 +1,8 @@
 //! Queries, parts and attempts between the wire protocols and the dispatcher. No I/O.
 //!
-//! What happens is turned into the dispatcher's events, once a turn; its actions are executed
-//! through the traits in [`ports`]. The rules that do not depend on a decision (one final answer,
-//! in time, from parts that are in) are enforced here whatever the dispatcher decides.
+//! Once per turn the collected events are passed to the dispatcher, and the actions that it returns
+//! are executed through the traits in [`ports`]. Whatever the dispatcher decides, the core enforces
+//! that a query gets one final answer, before its deadline, from parts that have been answered.
 
 mod answers;
 mod attempts;
@@ -17,7 +17,7 @@
 
 use crate::limits::{Limits, MS};
 use attempts::add_to_call;
-use classes::{Classes, TooMany};
+use classes::{Classes, TooManyClasses};
 use dispatch::interface::{
     Action, Endpoint, Event, Learned, ListKind, Outcome, PartId, QueryId, ServerId, Settings, Time,
 };
@@ -37,7 +37,7 @@
     aggregator: Aggregator,
     settings: Settings,
     deployment: Deployment,
-    /// The classes of the settings, and former ones that open queries still belong to.
+    /// The classes of the settings, and former classes that open queries still belong to.
     classes: Classes,
     limits: Rc<Limits>,
     queries: BTreeMap<u64, Query>,
@@ -50,22 +50,22 @@
     deadlines: BTreeSet<(Time, u64)>,
     probes: BTreeMap<ServerId, Time>,
     wakes: BTreeSet<Time>,
-    /// Parts of a second step, sent one turn after its first part.
+    /// Parts of a second step, sent one turn after the first part of that step.
     delayed: Vec<(ServerId, Outgoing)>,
     events: Vec<Event>,
     actions: Vec<Action>,
-    /// Final answers of this turn. They are sent once the attempts that they end are cancelled.
+    /// Final answers of this turn, sent after the attempts that they end have been cancelled.
     answers: Vec<(Caller, Answer)>,
-    /// Queries that finished since [`Core::take_finished`] was last called, where anybody calls it.
+    /// Queries finished since the last [`Core::take_finished`]; `None` while nothing collects them.
     finished: Option<Vec<FinishedQuery>>,
-    /// The version of the configuration that queries are accepted under; 0 where there are none.
+    /// The configuration version that queries are accepted under; 0 without versions.
     version: u64,
     last_turn: Time,
     last_id: u64,
 }
 
 impl Core {
-    /// A core without queries.
+    /// Creates a core without queries.
     pub fn new(settings: Settings, deployment: Deployment, limits: Rc<Limits>, seed: u64) -> Self {
         Core {
             aggregator: Aggregator::new(settings.clone(), seed),
@@ -93,21 +93,21 @@
         }
     }
 
-    /// Takes over new settings, or leaves everything as it was. Open queries keep their class. The
-    /// dispatcher needs the complete endpoint list next.
+    /// Applies new settings; on an error nothing changes. Open queries keep their class. The caller
+    /// must pass the complete endpoint list to the dispatcher next.
     ///
     /// # Errors
     ///
-    /// Where there are more classes, former ones that are still in use included, than slots.
+    /// If the new classes and the former classes still in use need more slots than there are.
     pub fn reconfigure(
         &mut self,
         mut settings: Settings,
         deployment: Deployment,
         limits: Rc<Limits>,
         now: Time,
-    ) -> Result<(), TooMany> {
+    ) -> Result<(), TooManyClasses> {
         let in_use: BTreeSet<usize> = self.queries.values().map(|query| query.class).collect();
-        let (valid_until, most) = (now + limits.settings_overlap, limits.classes);
+        let (valid_until, max_slots) = (now + limits.settings_overlap, limits.classes);
         let in_use = |slot| in_use.contains(&slot);
         let from = self.classes.replace(
             &deployment.classes,
@@ -115,7 +115,7 @@
             in_use,
             now,
             valid_until,
-            most,
+            max_slots,
         )?;
         settings.classes = self.classes.table();
         (self.settings, self.deployment, self.limits) = (settings.clone(), deployment, limits);
@@ -126,59 +126,60 @@
         Ok(())
     }
 
-    /// The class that a client means by a name and by carrying an idempotency key or not, and
-    /// whether that class requires a key.
+    /// Finds the class of a request by its class name and by whether the request has an idempotency
+    /// key. Returns the class and whether it requires a key.
     pub fn class(&self, name: &str, key: bool, now: Time) -> Option<(usize, bool)> {
         let class = self.classes.find(name, key, now)?;
         Some((class, self.settings.classes[class].effect == Effect::Keyed))
     }
 
-    /// Queries are accepted under this version of the configuration from now on.
+    /// Sets the configuration version that queries are accepted under from now on.
     pub fn set_version(&mut self, version: u64) {
         self.version = version;
     }
 
-    /// The name of a class, by its slot.
+    /// The name of the class in a slot.
     pub fn class_name(&self, slot: usize) -> &str {
         self.classes.name(slot)
     }
 
-    /// What the program itself needs to know of the deployment.
+    /// The settings that the program itself uses.
     pub fn deployment(&self) -> &Deployment {
         &self.deployment
     }
 
-    /// The dispatcher's settings, as they are in force.
+    /// The dispatcher's current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The longest retry-after that clients may be sent; 0 where none may.
+    /// The longest retry-after that may be sent to clients; 0 if none may be sent.
     pub fn max_retry_after(&self) -> Time {
         self.settings.max_retry_after
     }
 
-    /// Queries that have no final answer yet.
+    /// The number of queries without a final answer.
     pub fn open_queries(&self) -> usize {
         self.queries.len()
     }
 
-    /// Accepts a query. Its one final answer is sent by [`Clients::answer`].
+    /// Accepts a query. Its one final answer is sent through [`Clients::answer`].
     ///
     /// # Errors
     ///
-    /// Where the query is rejected before the dispatcher sees it.
+    /// If the query is rejected before the dispatcher sees it.
     pub fn submit(&mut self, ask: QueryRequest, now: Time) -> Result<(), Rejection> {
-        // Two queries of one caller would have two answers on its connection.
+        // A caller can receive only one answer at a time.
         if self.callers.contains_key(&ask.caller) {
             return Err(Rejection::Busy);
         }
-        // Two queries of one name could not be told apart on a link: one would get the other's
-        // values.
+        // Two open queries with the same name cannot be distinguished on a connection to an index
+        // host: one would get the other's values.
         if self.names.contains(&ask.name) {
             return Err(Rejection::NameTaken);
         }
-        // The settings' bound on open queries and parts: the simulator rejects such a query unseen.
+        // The limit on open queries and parts from the settings; the simulator, too, rejects such a
+        // query before the dispatcher sees it.
         if self.queries.len() + self.parts.len() >= self.settings.max_open as usize {
             return Err(Rejection::TableFull {
                 retry_after: self.settings.max_retry_after,
@@ -190,14 +191,14 @@
             .saturating_add(ask.budget)
             .saturating_sub(margin.min(ask.budget / 4));
         let number = self.next_id();
-        let patience = ask.budget.saturating_sub(now.saturating_sub(ask.arrived));
+        let remaining = ask.budget.saturating_sub(now.saturating_sub(ask.arrived));
         self.events.push(Event::Query {
             id: QueryId(number),
             number,
             class: ask.class,
             parts: ask.parts.len() as u32,
-            client_timeout: patience
-                .saturating_sub(self.limits.client_timeout_margin.min(patience / 2)),
+            client_timeout: remaining
+                .saturating_sub(self.limits.client_timeout_margin.min(remaining / 2)),
             is_retry: ask.is_retry,
         });
         let mut parts = Vec::with_capacity(ask.parts.len());
@@ -225,7 +226,7 @@
         Ok(())
     }
 
-    /// The client of a query has disconnected or cancelled it; it gets no answer.
+    /// Closes a query whose client has disconnected or cancelled it; no answer is sent.
     pub fn client_left(&mut self, caller: Caller) {
         if let Some(number) = self.callers.get(&caller).copied() {
             self.close(number);
@@ -235,7 +236,7 @@
         }
     }
 
-    /// The endpoint list of the index hosts has changed.
+    /// Passes a changed endpoint list of the index hosts to the dispatcher.
     pub fn update_endpoints(&mut self, kind: ListKind, entries: Vec<Endpoint>) {
         self.events.push(Event::Endpoints {
             kind,
@@ -243,20 +244,20 @@
         });
     }
 
-    /// What the dispatcher has learned of classes, and of at most `most` of the hosts with outcomes
-    /// since this last returned them.
-    pub fn learned(&mut self, most: usize) -> Learned {
-        // By class in the order of the settings: slots have a meaning in this process only.
-        let (order, mut learned) = (self.classes.order(), self.aggregator.learned(most));
+    /// Returns the dispatcher's estimates for all classes, and for at most `max_hosts` of the hosts
+    /// that had outcomes since they were last returned.
+    pub fn learned(&mut self, max_hosts: usize) -> Learned {
+        // Estimates are ordered by class as in the settings, as slots are local to this process.
+        let (order, mut learned) = (self.classes.order(), self.aggregator.learned(max_hosts));
         let parts = order
             .iter()
             .filter_map(|slot| learned.parts.get(*slot).cloned())
             .collect();
-        let tries = order
+        let attempts = order
             .iter()
             .filter_map(|slot| learned.attempts.get(*slot).cloned())
             .collect();
-        (learned.parts, learned.attempts) = (parts, tries);
+        (learned.parts, learned.attempts) = (parts, attempts);
         for (_, memory) in &mut learned.servers {
             memory.slowness = order
                 .iter()
@@ -266,8 +267,8 @@
         learned
     }
 
-    /// Restores what an earlier incarnation had learned, as far as it is still valid. To be called
-    /// after the endpoint list that it is about.
+    /// Restores the estimates of an earlier process as far as they are still valid. Must be called
+    /// after the endpoint list that the estimates refer to.
     pub fn restore(&mut self, learned: Learned) {
         if self
             .classes
@@ -276,33 +277,35 @@
             .enumerate()
             .any(|(place, slot)| place != *slot)
         {
-            tracing::warn!(
-                "what was learned is not taken: the settings have changed since the start"
-            );
+            tracing::warn!("learned state not restored: the settings have changed since the start");
             return;
         }
         self.events.push(Event::Restore(Arc::new(learned)));
     }
 
-    /// A discovery call failed or the watch ended: rejected or broken (`refused`), or timed out.
+    /// Reports a failed discovery call or an ended watch: rejected or broken (`refused`), or
+    /// without a usable response.
     pub fn discovery_failed(&mut self, refused: bool) {
         self.events.push(Event::DiscoveryFailed { refused });
     }
 
-    /// The least time between two turns. Where the settings leave it open, a turn comes as soon as
-    /// there is something to decide, and later the more queries are open: a busy gatherer batches
-    /// decisions.
-    fn gap(&self) -> Time {
+    /// The minimum time between two turns. If the settings do not set `tick`, the gap grows with
+    /// the number of open queries, so that an idle gatherer decides at once and a busy one in
+    /// batches.
+    fn min_turn_gap(&self) -> Time {
         if !self.deployment.open_tick {
             return self.settings.tick;
         }
-        let others = self.queries.len().saturating_sub(self.limits.turn_free) as Time;
-        (self.limits.turn_step * others).min(self.limits.turn_most)
+        let excess = self
+            .queries
+            .len()
+            .saturating_sub(self.limits.unbatched_queries) as Time;
+        (self.limits.turn_gap_step * excess).min(self.limits.max_turn_gap)
     }
 
-    /// When the next turn is to run.
+    /// When the next turn is due.
     pub fn due(&self) -> Option<Time> {
-        let gap = self.gap();
+        let gap = self.min_turn_gap();
         if !self.events.is_empty() || !self.delayed.is_empty() {
             return Some(self.last_turn + gap);
         }
@@ -315,7 +318,7 @@
         Some(times.into_iter().flatten().min()?.max(self.last_turn + gap))
     }
 
-    /// One turn of the dispatcher: hands it all events, and executes the actions that it returns.
+    /// Runs one turn: passes all events to the dispatcher and executes the actions that it returns.
     pub fn turn(&mut self, now: Time, ports: &mut (impl Clients + Hosts + Directory)) {
         self.last_turn = now;
         self.expire(now, ports);
@@ -327,7 +330,7 @@
         }
         let mut calls: Vec<(ServerId, Vec<Outgoing>)> = Vec::new();
         for (host, part) in std::mem::take(&mut self.delayed) {
-            // It may have been cancelled meanwhile.
+            // Skip attempts that were cancelled since the last turn.
             if self.attempts.contains_key(&part.id) {
                 add_to_call(&mut calls, host, part);
             }
@@ -346,14 +349,17 @@
             ports.answer(caller, answer);
         }
         for (host, mut parts) in calls {
-            // Cancelled in the turn that sent it: its query has its final answer, or its part
-            // another attempt's.
+            // Drop attempts cancelled in the turn that sent them, as the query was answered or
+            // another attempt answered the part.
             parts.retain(|part| self.attempts.contains_key(&part.id));
             while !parts.is_empty() {
-                // The size of a frame must not depend on what clients send.
-                let fits = (self.limits.call_bytes / parts[0].text.len().max(1)).max(1);
-                let rest =
-                    parts.split_off(fits.min(self.settings.call_parts as usize).min(parts.len()));
+                // Split the call so that its frame is bounded however long the query texts are.
+                let max_parts = (self.limits.call_bytes / parts[0].text.len().max(1)).max(1);
+                let rest = parts.split_off(
+                    max_parts
+                        .min(self.settings.call_parts as usize)
+                        .min(parts.len()),
+                );
                 ports.call(host, std::mem::replace(&mut parts, rest));
             }
         }
@@ -395,7 +401,7 @@
                         query = &*query.name,
                         elapsed_ms,
                         attempts = query.attempts,
-                        "refused"
+                        "query rejected"
                     );
                 }
             }
@@ -413,7 +419,7 @@
             Action::Watch(on) => ports.watch(on),
             Action::Fetch => ports.fetch(),
             Action::Close(host) => ports.close_idle(host),
-            Action::Log(text) => tracing::info!(note = text, "module"),
+            Action::Log(text) => tracing::info!(note = text, "dispatcher"),
         }
     }
 
--- a/bitternsill/src/core/answers.rs
+++ b/bitternsill/src/core/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers: every query gets exactly one, from parts that are in.
+//! Final answers: every query gets exactly one, from parts that have been answered.
 
 use super::Core;
 use super::ports::{Answer, Clients, FailureReason, Hosts, Value};
@@ -6,21 +6,21 @@
 use crate::limits::MS;
 use dispatch::interface::{Event, QueryId, Time};
 
-/// How much a sum of weights may fall short of what is asked for.
-const ROUNDING: f64 = 0.0001;
+/// Tolerance for rounding errors when a sum of weights is compared with a minimum.
+const WEIGHT_TOLERANCE: f64 = 0.0001;
 
-/// A query that has had its final answer.
+/// A query that has received its final answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FinishedQuery {
-    /// When its last byte came.
+    /// When the last byte of the request arrived.
     pub arrived: Time,
-    /// How long it took, as a ratio of its class's latency target.
+    /// Its latency as a ratio of its class's latency target.
     pub spent: f64,
-    /// Whether it was answered, and completely.
+    /// Whether it got a complete answer.
     pub complete: bool,
-    /// Its class, by its slot.
+    /// The slot of its class.
     pub class: usize,
-    /// What became of it: `whole`, `partial`, `refused` or `failed`.
+    /// `whole`, `partial`, `refused` or `failed`.
     pub outcome: &'static str,
     /// The version of the configuration under which it was accepted.
     pub version: u64,
@@ -34,25 +34,26 @@
         let class = &self.settings.classes[query.class];
         let (floor, need, second_step) = (class.floor, class.need, class.second_step as usize);
         let parts = query.parts.iter().filter_map(|id| self.parts.get(id));
-        let mut within: Vec<(u32, Value)> = parts
+        let mut answered: Vec<(u32, Value)> = parts
             .clone()
             .filter_map(|p| Some((p.shard, p.value.clone()?)))
             .collect();
         let weight: f64 = parts.filter(|p| p.value.is_some()).map(|p| p.weight).sum();
-        let all = within.len() == query.parts.len();
+        let all = answered.len() == query.parts.len();
         let enough = if query.first_step.is_some() {
             all
         } else {
-            weight + ROUNDING >= need
+            weight + WEIGHT_TOLERANCE >= need
         };
-        let honest =
+        let is_complete =
             complete && enough && query.first_step.as_ref().is_none_or(|first| first.complete);
-        if within.is_empty() || weight + ROUNDING < floor {
-            // An answer below the class's floor must never be sent, whatever was decided.
+        if answered.is_empty() || weight + WEIGHT_TOLERANCE < floor {
+            // The dispatcher should not decide this: an answer below the class's floor must never
+            // be sent.
             tracing::error!(
                 query = &*query.name,
                 weight,
-                "an answer from too few parts was held back"
+                "query failed: the answer has less weight than the floor of its class"
             );
             self.finish(number, Answer::Failed(FailureReason::GivenUp), now);
             self.events.push(Event::ClientLeft {
@@ -61,43 +62,46 @@
             return;
         }
         if second_step > 0 && query.first_step.is_none() {
-            self.second_step(number, within, honest, second_step);
+            self.second_step(number, answered, is_complete, second_step);
             return;
         }
-        within.sort_by_key(|(shard, _)| *shard);
+        answered.sort_by_key(|(shard, _)| *shard);
         if let Some(query) = self.finish(
             number,
             Answer::Served {
-                complete: honest,
-                values: within,
+                complete: is_complete,
+                values: answered,
             },
             now,
         ) {
             tracing::debug!(
                 query = &*query.name,
                 took = now.saturating_sub(query.arrived) / MS,
-                complete = honest,
+                complete = is_complete,
                 attempts = query.attempts,
-                "answered"
+                "query answered"
             );
         }
     }
 
-    /// Begins the second step: parts at the answered shards with the highest scores, for the
-    /// dispatcher's next turn.
+    /// Starts the second step: adds parts at the answered shards with the highest scores, which the
+    /// dispatcher gets in its next turn.
     pub(super) fn second_step(
         &mut self,
         number: u64,
-        mut within: Vec<(u32, Value)>,
+        mut answered: Vec<(u32, Value)>,
         complete: bool,
-        most: usize,
+        max_shards: usize,
     ) {
-        within.sort_by_key(|(shard, _)| *shard);
-        let from: Vec<String> = within.iter().map(|(shard, _)| shard.to_string()).collect();
-        within.sort_by(|a, b| b.1.score.total_cmp(&a.1.score).then(a.0.cmp(&b.0)));
-        within.truncate(most);
-        let weight = 1.0 / within.len() as f64;
-        let parts: Vec<u64> = within
+        answered.sort_by_key(|(shard, _)| *shard);
+        let from: Vec<String> = answered
+            .iter()
+            .map(|(shard, _)| shard.to_string())
+            .collect();
+        answered.sort_by(|a, b| b.1.score.total_cmp(&a.1.score).then(a.0.cmp(&b.0)));
+        answered.truncate(max_shards);
+        let weight = 1.0 / answered.len() as f64;
+        let parts: Vec<u64> = answered
             .iter()
             .map(|(shard, _)| self.add_part(number, *shard, weight))
             .collect();
@@ -112,12 +116,13 @@
         }
     }
 
-    /// Queries that finished since the last call. They are collected from now on if `go_on` is set.
-    pub fn take_finished(&mut self, go_on: bool) -> Vec<FinishedQuery> {
-        std::mem::replace(&mut self.finished, go_on.then(Vec::new)).unwrap_or_default()
+    /// Returns the queries finished since the last call, and goes on collecting them if `collect`
+    /// is set.
+    pub fn take_finished(&mut self, collect: bool) -> Vec<FinishedQuery> {
+        std::mem::replace(&mut self.finished, collect.then(Vec::new)).unwrap_or_default()
     }
 
-    /// Ends a query with its final answer, which is sent at the end of the turn.
+    /// Closes a query and queues its final answer, which is sent at the end of the turn.
     pub(super) fn finish(&mut self, number: u64, answer: Answer, now: Time) -> Option<Query> {
         let query = self.close(number)?;
         if let Some(finished) = &mut self.finished {
@@ -159,7 +164,7 @@
         Some(query)
     }
 
-    /// Fails all open queries, as the program is about to end, and cancels their attempts.
+    /// Fails all open queries at shutdown and cancels their attempts.
     pub fn fail_all(&mut self, ports: &mut (impl Clients + Hosts)) {
         for (id, attempt) in self.attempts.drain() {
             ports.cancel(attempt.host, id);
--- a/bitternsill/src/core/attempts.rs
+++ b/bitternsill/src/core/attempts.rs
@@ -1,11 +1,11 @@
-//! Attempts: sending them, and how they and probes end.
+//! Sends attempts, and records how attempts and probes end.
 
 use super::Core;
 use super::ports::{Answer, AttemptId, FailureReason, Hosts, Outgoing, Value};
 use super::state::Attempt;
 use dispatch::interface::{Effect, Event, LoadReport, Outcome, PartId, QueryId, ServerId, Time};
 
-/// Adds a part to the call that goes to its host.
+/// Adds a part to the call for its host.
 pub(super) fn add_to_call(
     calls: &mut Vec<(ServerId, Vec<Outgoing>)>,
     host: ServerId,
@@ -18,14 +18,14 @@
 }
 
 impl Core {
-    /// The last byte of an attempt's message was written: from here on it may run.
+    /// Records that the last byte of an attempt's message was written, so that the host may run it.
     pub fn mark_written(&mut self, attempt: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(&attempt) {
             attempt.written = true;
         }
     }
 
-    /// An attempt was answered with its value.
+    /// Records the answer to an attempt.
     pub fn attempt_served(&mut self, attempt: AttemptId, value: Value, now: Time) {
         if self.attempts.contains_key(&attempt)
             && let Some(part) = self.parts.get_mut(&attempt.part)
@@ -35,7 +35,7 @@
         self.attempt_ended(attempt, Outcome::Ok, now);
     }
 
-    /// An attempt ended. A second end of one attempt is ignored: the dispatcher counts calls by
+    /// Ends an attempt. Later calls for the same attempt are ignored: the dispatcher counts
     /// attempts in flight, so it must see exactly one end of each.
     pub fn attempt_ended(&mut self, id: AttemptId, outcome: Outcome, now: Time) {
         let Some(attempt) = self.attempts.remove(&id) else {
@@ -47,7 +47,7 @@
             number = id.number,
             host = attempt.host.0,
             ?outcome,
-            "ended"
+            "attempt ended"
         );
         self.events.push(Event::AttemptEnded {
             part: PartId(id.part),
@@ -59,14 +59,14 @@
         });
     }
 
-    /// A connection broke, or ended: what had been written completely may have run, the rest never
-    /// did.
+    /// Ends an attempt whose connection broke or was closed. If the message was written completely,
+    /// the host may have run it; otherwise it cannot have.
     pub fn connection_broken(&mut self, attempt: AttemptId, now: Time) {
         self.attempt_interrupted(attempt, Outcome::Reset, now);
     }
 
-    /// The same with the outcome for what may have run, where more is known than that the
-    /// connection ended.
+    /// Like [`Self::connection_broken`], with a more specific `outcome` for an attempt that the
+    /// host may have run.
     pub fn attempt_interrupted(&mut self, attempt: AttemptId, outcome: Outcome, now: Time) {
         let written = self.attempts.get(&attempt).is_some_and(|a| a.written);
         self.attempt_ended(
@@ -80,7 +80,7 @@
         );
     }
 
-    /// A probe ended.
+    /// Reports the end of a probe to the dispatcher.
     pub fn probe_ended(&mut self, host: ServerId, outcome: Outcome, now: Time) {
         if let Some(sent) = self.probes.remove(&host) {
             let took = now.saturating_sub(sent);
@@ -118,13 +118,16 @@
         for host in late {
             self.probe_ended(host, Outcome::TimedOut, now);
         }
-        // The dispatcher ends queries in time; this keeps the rule should it ever fail to.
+        // The dispatcher should end each query before its deadline; this is the safeguard.
         while let Some(&(at, number)) = self.deadlines.first()
             && at <= now
         {
             self.deadlines.pop_first();
             if let Some(query) = self.finish(number, Answer::Failed(FailureReason::TimeUp), now) {
-                tracing::warn!(query = &*query.name, "no decision in time");
+                tracing::warn!(
+                    query = &*query.name,
+                    "query failed: no decision before its deadline"
+                );
                 self.events.push(Event::ClientLeft {
                     id: QueryId(number),
                 });
@@ -166,14 +169,14 @@
             },
         );
         let class = &self.settings.classes[query.class];
-        // An index host no longer drops a repeat that is written later than this.
+        // After the key's lifetime an index host no longer recognises a retry as a duplicate.
         let first_sent = *part.first_sent.get_or_insert(now);
         let repeatable_until = match class.effect {
             Effect::Keyed if id.number > 0 => first_sent + class.key_lifetime,
             _ => Time::MAX,
         };
-        let over = part.value.is_some() || part.attempts > class.max_attempts;
-        if over || until.min(repeatable_until) <= now {
+        let exhausted = part.value.is_some() || part.attempts > class.max_attempts;
+        if exhausted || until.min(repeatable_until) <= now {
             self.attempt_ended(id, Outcome::Skipped, now);
             return;
         }
@@ -196,11 +199,12 @@
             text: query.text.clone(),
             first_step_complete: first_step.map(|first| first.complete),
         };
-        // The first step ends at a host when the first part of the second arrives. A host that has
-        // not learned of that yet rejects the other parts, so they are sent one turn later.
+        // The index hosts end the first step when the first part of the second arrives. A host that
+        // has not learned of that yet would reject its part, so the other parts are sent one turn
+        // later.
         if query.first_step.is_some() {
-            let (first, at) = *query.second_step_opened.get_or_insert((host, now));
-            if at == now && first != host {
+            let (first_host, at) = *query.second_step_opened.get_or_insert((host, now));
+            if at == now && first_host != host {
                 self.delayed.push((host, outgoing));
                 return;
             }
--- a/bitternsill/src/core/bounds.rs
+++ b/bitternsill/src/core/bounds.rs
@@ -1,6 +1,6 @@
-//! The bounds of each setting, as tables. They are checked before any setting is used, so that a
-//! wrong value is reported by its path whichever deployment it comes from. An absent setting takes
-//! the default of its reader.
+//! Tables of the values allowed for each setting. All settings are checked before any is used, so
+//! that a wrong value is always reported with its path. An absent setting gets the default of the
+//! code that reads it.
 
 use super::settings::SettingsError;
 use serde_json::Value;
@@ -9,106 +9,109 @@
 /// The values that a setting may have.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Allowed {
-    /// A number from one bound to another, both included.
+    /// A number between two bounds, both inclusive.
     From(f64, f64),
-    /// A number above this.
+    /// A number greater than the bound.
     Above(f64),
-    /// A number above this, up to the other.
+    /// A number greater than the first bound and at most the second.
     AboveTo(f64, f64),
-    /// An integer from this.
-    Whole(u64),
+    /// An integer of at least this value.
+    Integer(u64),
     /// True or false.
-    Flag,
-    /// One of these texts.
-    Word(&'static [&'static str]),
-    /// Text that is not empty.
-    Name,
-    /// A list of texts.
-    Names,
+    Boolean,
+    /// One of these strings.
+    OneOf(&'static [&'static str]),
+    /// A non-empty string.
+    Text,
+    /// A list of non-empty strings.
+    TextList,
 }
 
-use Allowed::{Above, AboveTo, Flag, From, Name, Names, Whole, Word};
+use Allowed::{Above, AboveTo, Boolean, From, Integer, OneOf, Text, TextList};
 
-/// Any amount: times, works, prices.
-const AMOUNT: Allowed = From(0.0, f64::INFINITY);
+/// A non-negative number, such as a time, an amount of work or a price.
+const NON_NEGATIVE: Allowed = From(0.0, f64::INFINITY);
 
-/// Settings that stand once, by group.
-pub(super) const ONCE: &[(&str, &[(&str, Allowed)])] = &[
+/// Settings that do not depend on the class, by group.
+pub(super) const GROUPS: &[(&str, &[(&str, Allowed)])] = &[
     (
         "",
         &[
-            ("group_size", Whole(1)),
-            ("zone", Whole(0)),
-            ("tick", AMOUNT),
-            ("discovery", Word(&["push", "ask"])),
-            ("zones", Names),
-            ("kinds", Names),
+            ("group_size", Integer(1)),
+            ("zone", Integer(0)),
+            ("tick", NON_NEGATIVE),
+            ("discovery", OneOf(&["push", "ask"])),
+            ("zones", TextList),
+            ("kinds", TextList),
         ],
     ),
     (
         "extra",
         &[
-            ("sets", Whole(1)),
-            ("in_a_row", Whole(1)),
-            ("ranges", Whole(1)),
-            ("batch", Whole(1)),
-            ("per_call_work", AMOUNT),
-            ("warm_keys", Flag),
+            ("sets", Integer(1)),
+            ("in_a_row", Integer(1)),
+            ("ranges", Integer(1)),
+            ("batch", Integer(1)),
+            ("per_call_work", NON_NEGATIVE),
+            ("warm_keys", Boolean),
         ],
     ),
     (
         "limits",
         &[
-            ("max_attempts", Whole(1)),
-            ("max_open", Whole(1)),
-            ("streams_per_conn", Whole(1)),
+            ("max_attempts", Integer(1)),
+            ("max_open", Integer(1)),
+            ("streams_per_conn", Integer(1)),
             ("conn_idle", Above(0.0)),
             ("connect_timeout", Above(0.0)),
-            ("max_retry_after", AMOUNT),
-            ("cancel", Flag),
-            ("probes", Flag),
-            ("retry_after", Flag),
-            ("second_copies", Flag),
+            ("max_retry_after", NON_NEGATIVE),
+            ("cancel", Boolean),
+            ("probes", Boolean),
+            ("retry_after", Boolean),
+            ("second_copies", Boolean),
         ],
     ),
     (
         "guarantees",
         &[
             ("ask_within", Above(0.0)),
-            ("drain_grace", AMOUNT),
+            ("drain_grace", NON_NEGATIVE),
             ("start_capacity", AboveTo(0.0, 1.0)),
-            ("ramp_time", AMOUNT),
+            ("ramp_time", NON_NEGATIVE),
             ("tip_multiple", Above(0.0)),
-            ("fall", AMOUNT),
-            ("counted_over", AMOUNT),
-            ("budget_free", AMOUNT),
-            ("repeat_ratio", AMOUNT),
+            ("fall", NON_NEGATIVE),
+            ("counted_over", NON_NEGATIVE),
+            ("budget_free", NON_NEGATIVE),
+            ("repeat_ratio", NON_NEGATIVE),
         ],
     ),
-    ("clients", &[("marks_retry", Flag)]),
-    ("prices", &[("probe", AMOUNT), ("waste", AMOUNT)]),
+    ("clients", &[("marks_retry", Boolean)]),
+    (
+        "prices",
+        &[("probe", NON_NEGATIVE), ("waste", NON_NEGATIVE)],
+    ),
 ];
 
-/// Lists in `extra` with one value for each class.
-pub(super) const BY_CLASS: &[(&str, Allowed)] = &[
+/// Lists in `extra` with one value per class.
+pub(super) const CLASS_LISTS: &[(&str, Allowed)] = &[
     ("floor_by_class", AboveTo(0.0, 1.0)),
     ("class_need", AboveTo(0.0, 1.0)),
-    ("short_worth", AMOUNT),
-    ("class_fetch", Whole(0)),
+    ("short_worth", NON_NEGATIVE),
+    ("class_fetch", Integer(0)),
 ];
 
-/// Settings of each class, and whether they must be there.
+/// Settings of each entry in `request_classes`, and whether they are required.
 pub(super) const CLASS: &[(&str, Allowed, bool)] = &[
-    ("name", Name, true),
+    ("name", Text, true),
     ("target", From(1.0, f64::INFINITY), true),
     ("deadline", From(1.0, f64::INFINITY), true),
     (
         "effect",
-        Word(&["read_like", "idempotency_key", "non_idempotent"]),
+        OneOf(&["read_like", "idempotency_key", "non_idempotent"]),
         true,
     ),
-    ("key_ttl", AMOUNT, false),
-    ("credit", AMOUNT, false),
+    ("key_ttl", NON_NEGATIVE, false),
+    ("credit", NON_NEGATIVE, false),
     ("late_share", From(0.0, 1.0), false),
 ];
 
@@ -116,23 +119,23 @@
     fn fits(self, value: &Value) -> bool {
         let number = |fits: &dyn Fn(f64) -> bool| value.as_f64().is_some_and(fits);
         match self {
-            From(least, most) => number(&|n| (least..=most).contains(&n)),
+            From(min, max) => number(&|n| (min..=max).contains(&n)),
             Above(bound) => number(&|n| n > bound),
-            AboveTo(bound, most) => number(&|n| n > bound && n <= most),
-            // The same number may be written with a point.
-            Whole(least) => number(&|n| n >= least as f64 && n.fract() == 0.0),
-            Flag => value.is_boolean(),
-            Word(words) => value.as_str().is_some_and(|word| words.contains(&word)),
-            Name => value.as_str().is_some_and(|text| !text.is_empty()),
-            Names => value
+            AboveTo(bound, max) => number(&|n| n > bound && n <= max),
+            // JSON may write an integer with a decimal point.
+            Integer(min) => number(&|n| n >= min as f64 && n.fract() == 0.0),
+            Boolean => value.is_boolean(),
+            OneOf(words) => value.as_str().is_some_and(|word| words.contains(&word)),
+            Text => value.as_str().is_some_and(|text| !text.is_empty()),
+            TextList => value
                 .as_array()
-                .is_some_and(|list| list.iter().all(|text| Name.fits(text))),
+                .is_some_and(|list| list.iter().all(|text| Text.fits(text))),
         }
     }
 
-    fn check(self, value: &Value, path: &str, needed: bool) -> Result<(), SettingsError> {
+    fn check(self, value: &Value, path: &str, required: bool) -> Result<(), SettingsError> {
         match value {
-            Value::Null if needed => Err(SettingsError(format!(
+            Value::Null if required => Err(SettingsError(format!(
                 "`{path}` is missing; allowed are {self}"
             ))),
             Value::Null => Ok(()),
@@ -147,26 +150,26 @@
 impl fmt::Display for Allowed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
-            From(least, most) if most.is_infinite() => write!(f, "numbers from {least}"),
-            From(least, most) => write!(f, "numbers from {least} to {most}"),
+            From(min, max) if max.is_infinite() => write!(f, "numbers from {min}"),
+            From(min, max) => write!(f, "numbers from {min} to {max}"),
             Above(bound) => write!(f, "numbers above {bound}"),
-            AboveTo(bound, most) => write!(f, "numbers above {bound} up to {most}"),
-            Whole(least) => write!(f, "whole numbers from {least}"),
-            Flag => f.write_str("true and false"),
-            Word(words) => write!(f, "`{}`", words.join("`, `")),
-            Name => f.write_str("texts that are not empty"),
-            Names => f.write_str("lists of texts that are not empty"),
+            AboveTo(bound, max) => write!(f, "numbers above {bound} up to {max}"),
+            Integer(min) => write!(f, "whole numbers from {min}"),
+            Boolean => f.write_str("true and false"),
+            OneOf(words) => write!(f, "`{}`", words.join("`, `")),
+            Text => f.write_str("texts that are not empty"),
+            TextList => f.write_str("lists of texts that are not empty"),
         }
     }
 }
 
-/// Checks every setting that is read anywhere; unknown settings are ignored.
+/// Checks every known setting; unknown settings are ignored.
 ///
 /// # Errors
 ///
-/// On the first setting that is missing or out of its bounds.
+/// Returns the first setting that is missing or not allowed.
 pub fn check(settings: &Value) -> Result<(), SettingsError> {
-    for (group, keys) in ONCE {
+    for (group, keys) in GROUPS {
         let values = if group.is_empty() {
             settings
         } else {
@@ -196,25 +199,25 @@
         ));
     }
     for (at, class) in classes.iter().enumerate() {
-        for (key, allowed, needed) in CLASS {
+        for (key, allowed, required) in CLASS {
             allowed.check(
                 &class[*key],
                 &format!("request_classes[{at}].{key}"),
-                *needed,
+                *required,
             )?;
         }
     }
-    for (key, allowed) in BY_CLASS {
+    for (key, allowed) in CLASS_LISTS {
         let path = format!("extra.{key}");
         let list = match &settings["extra"][*key] {
             Value::Null => continue,
             Value::Array(list) if list.len() == classes.len() => list,
             other => {
-                let told = other
+                let found = other
                     .as_array()
                     .map_or_else(|| other.to_string(), |l| format!("{} values", l.len()));
                 let problem = format!(
-                    "`{path}` is {told}; allowed is a list of {} values, one a class",
+                    "`{path}` is {found}; allowed is a list of {} values, one a class",
                     classes.len()
                 );
                 return Err(SettingsError(problem));
--- a/bitternsill/src/core/bounds/tests.rs
+++ b/bitternsill/src/core/bounds/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use serde_json::json;
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     json!({
         "request_classes": [
             {"name": "a", "target": 1, "deadline": 2, "effect": "read_like", "late_share": 0.3},
@@ -15,13 +15,13 @@
     })
 }
 
-/// Each setting of the tables, put to a value that it may not have, is told by its own path;
-/// without it all is well.
+/// Sets each setting to values that are not allowed, and checks that the error names its path.
+/// Omitting a setting is an error only if it is required.
 #[test]
 fn wrong_setting_is_reported_by_path() {
-    assert_eq!(check(&good()), Ok(()));
+    assert_eq!(check(&valid_settings()), Ok(()));
     let mut cases: Vec<(String, String, bool)> = Vec::new();
-    for (group, keys) in ONCE {
+    for (group, keys) in GROUPS {
         for (key, _) in *keys {
             let dot = if group.is_empty() {
                 String::new()
@@ -35,25 +35,25 @@
             ));
         }
     }
-    for (key, _, needed) in CLASS {
+    for (key, _, required) in CLASS {
         cases.push((
             format!("/request_classes/1/{key}"),
             format!("`request_classes[1].{key}`"),
-            *needed,
+            *required,
         ));
     }
-    for (key, _) in BY_CLASS {
+    for (key, _) in CLASS_LISTS {
         cases.push((format!("/extra/{key}"), format!("`extra.{key}`"), false));
     }
-    for (pointer, told, needed) in cases {
-        let (above, key) = pointer.rsplit_once('/').unwrap();
-        let put = |value: Option<Value>| {
-            let mut settings = good();
-            if settings.pointer(above).is_none() {
-                settings[&above[1..]] = json!({});
+    for (pointer, reported_path, required) in cases {
+        let (parent, key) = pointer.rsplit_once('/').unwrap();
+        let check_with = |value: Option<Value>| {
+            let mut settings = valid_settings();
+            if settings.pointer(parent).is_none() {
+                settings[&parent[1..]] = json!({});
             }
             let group = settings
-                .pointer_mut(above)
+                .pointer_mut(parent)
                 .unwrap()
                 .as_object_mut()
                 .unwrap();
@@ -64,22 +64,24 @@
             check(&settings)
         };
         for odd in [json!(-1), json!({}), json!([])] {
-            // An empty list of names is one.
+            // An empty list of strings is allowed.
             if !(odd == json!([]) && ["zones", "kinds"].contains(&key)) {
-                let said = put(Some(odd.clone())).map_err(|problem| problem.0);
+                let result = check_with(Some(odd.clone())).map_err(|problem| problem.0);
                 assert!(
-                    said.clone().is_err_and(|said| said.contains(&told)),
-                    "{pointer} {odd}: {said:?}"
+                    result
+                        .clone()
+                        .is_err_and(|result| result.contains(&reported_path)),
+                    "{pointer} {odd}: {result:?}"
                 );
             }
         }
-        assert_eq!(put(None).is_err(), needed, "{pointer} left out");
+        assert_eq!(check_with(None).is_err(), required, "{pointer} left out");
     }
-    let mut settings = good();
+    let mut settings = valid_settings();
     settings["extra"]["floor_by_class"][1] = json!(1.2);
-    let said = check(&settings).unwrap_err().to_string();
+    let result = check(&settings).unwrap_err().to_string();
     assert_eq!(
-        said,
+        result,
         "settings: `extra.floor_by_class[1]` is 1.2; allowed are numbers above 0 up to 1"
     );
 }
--- a/bitternsill/src/core/classes.rs
+++ b/bitternsill/src/core/classes.rs
@@ -1,19 +1,20 @@
-//! The classes in force, and former ones beside them: open queries keep the class that they began
-//! with, and for some time after a change of settings a name may still have its former meaning. No
-//! I/O, and no clock.
+//! The current classes, and former classes that are still in use: open queries keep the class that
+//! they were accepted with, and for some time after a change of settings clients may still use the
+//! former classes by name. No I/O, and no clock.
 //!
-//! A class has a slot, whose index open queries and the dispatcher keep. A slot never moves, as a
-//! query would change its class with it; one that is no longer in use is reused.
+//! Each class has a slot, whose index is stored in open queries and in the dispatcher. A class
+//! never moves to another slot while a query is open, as that would change the query's class. Slots
+//! that are no longer in use are reused.
 
 use dispatch::interface::{Class, Effect, Time};
 use std::cmp::Reverse;
 
-/// Whether a class is in force.
+/// Whether a class is current, or until when a former class can be used by name.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Validity {
-    /// It is in force, with this index in the settings.
+    /// The class has this index in the current settings.
     Current(usize),
-    /// It is a former class, whose name is valid until then.
+    /// The class was replaced; clients may use it by name until this time.
     FormerUntil(Time),
 }
 
@@ -24,11 +25,11 @@
     validity: Validity,
 }
 
-/// More classes than there are slots.
+/// There are more classes in use than slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooMany;
+pub struct TooManyClasses;
 
-/// Every class that is in use.
+/// The current classes and the former ones still in use.
 #[derive(Debug, Clone, Default)]
 pub struct Classes {
     slots: Vec<Slot>,
@@ -46,7 +47,7 @@
         self.index().is_some()
     }
 
-    /// Whether its name may still mean it.
+    /// Whether clients may use the class by name.
     fn is_valid(&self, now: Time) -> bool {
         match self.validity {
             Validity::Current(_) => true,
@@ -56,7 +57,7 @@
 }
 
 impl Classes {
-    /// The classes that the program starts with.
+    /// Creates the table with the classes of the first settings.
     pub fn new(names: &[String], classes: &[Class]) -> Self {
         let slot = |(index, (name, class)): (usize, (&String, &Class))| Slot {
             name: name.clone(),
@@ -68,11 +69,11 @@
         }
     }
 
-    /// The class that a client means by a name, and by carrying a key or not. While two meanings
-    /// hold, the key tells which settings it goes by; where it does not, the stricter is taken,
-    /// which keeps the rules of both.
+    /// Finds a class by its name and by whether the request has an idempotency key. While a name
+    /// has a former and a current class, the key shows which settings the client uses; if both
+    /// classes match, the stricter one is returned, as it satisfies the rules of both.
     pub fn find(&self, name: &str, key: bool, now: Time) -> Option<usize> {
-        let holds = |s: &Slot| s.name == name && s.is_valid(now);
+        let matches = |s: &Slot| s.name == name && s.is_valid(now);
         let strictness = |class: &Class| {
             let effect = [Effect::Safe, Effect::Keyed, Effect::Unsafe]
                 .iter()
@@ -88,18 +89,18 @@
             .slots
             .iter()
             .enumerate()
-            .filter(|(_, slot)| holds(slot));
+            .filter(|(_, slot)| matches(slot));
         found
             .max_by_key(|(_, slot)| strictness(&slot.class))
             .map(|(at, _)| at)
     }
 
-    /// The name that a slot's class has, or had last.
+    /// The name of the class in a slot; empty for an unknown slot.
     pub fn name(&self, slot: usize) -> &str {
         self.slots.get(slot).map_or("", |slot| &slot.name)
     }
 
-    /// The class of each slot, for the dispatcher.
+    /// The class in each slot, for the dispatcher.
     pub fn table(&self) -> Vec<Class> {
         let retired = |s: &Slot| Class {
             retired: !s.is_current(),
@@ -108,7 +109,7 @@
         self.slots.iter().map(retired).collect()
     }
 
-    /// The slot of each class in force, in the order of the settings.
+    /// The slots of the current classes, in the order of the settings.
     pub fn order(&self) -> Vec<usize> {
         let mut order: Vec<(usize, usize)> = self
             .slots
@@ -120,13 +121,13 @@
         order.into_iter().map(|(_, at)| at).collect()
     }
 
-    /// Replaces the classes. `in_use` says which slots open queries belong to; until `valid_until`
-    /// the former names and meanings are valid beside the new ones. Returns for each slot the
-    /// former slot that its estimates are taken from.
+    /// Replaces the classes. `in_use` tells whether an open query belongs to a slot; until
+    /// `valid_until` former classes can still be used by name. Returns for each slot the former
+    /// slot that its estimates are copied from.
     ///
     /// # Errors
     ///
-    /// Where more than `most` slots would be needed.
+    /// If more than `max_slots` slots are needed.
     pub fn replace(
         &mut self,
         names: &[String],
@@ -134,11 +135,11 @@
         in_use: impl Fn(usize) -> bool,
         now: Time,
         valid_until: Time,
-        most: usize,
-    ) -> Result<Vec<Option<usize>>, TooMany> {
+        max_slots: usize,
+    ) -> Result<Vec<Option<usize>>, TooManyClasses> {
         let mut slots = self.slots.clone();
         let mut from: Vec<Option<usize>> = (0..slots.len()).map(Some).collect();
-        let mut left: Vec<(usize, &String, &Class)> = Vec::new();
+        let mut unplaced: Vec<(usize, &String, &Class)> = Vec::new();
         for slot in slots.iter_mut().filter(|slot| slot.is_current()) {
             slot.validity = Validity::FormerUntil(valid_until);
         }
@@ -149,10 +150,10 @@
                 .position(|s| s.is_current() && s.name == *name && s.class == *class);
             match same {
                 Some(at) => slots[at].validity = Validity::Current(index),
-                None => left.push((index, name, class)),
+                None => unplaced.push((index, name, class)),
             }
         }
-        for (index, name, class) in left {
+        for (index, name, class) in unplaced {
             let former = self
                 .slots
                 .iter()
@@ -165,11 +166,11 @@
             let free = |(at, s): (usize, &Slot)| !s.is_valid(now) && !in_use(at);
             match slots.iter().enumerate().position(free) {
                 Some(at) => (slots[at], from[at]) = (slot, former),
-                None if slots.len() < most => {
+                None if slots.len() < max_slots => {
                     slots.push(slot);
                     from.push(former);
                 }
-                None => return Err(TooMany),
+                None => return Err(TooManyClasses),
             }
         }
         self.slots = slots;
--- a/bitternsill/src/core/classes/tests.rs
+++ b/bitternsill/src/core/classes/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const MOST: usize = 8;
+const MAX_SLOTS: usize = 8;
 
 fn names(all: &[&str]) -> Vec<String> {
     all.iter().map(|name| (*name).to_owned()).collect()
@@ -34,30 +34,30 @@
             |_| true,
             0,
             10,
-            MOST,
+            MAX_SLOTS,
         )
         .unwrap();
-    // Nothing moved; the three fresh ones go on from what their names were before.
+    // No class moved, and the new ones take their estimates from the former class of that name.
     assert_eq!(from, [Some(0), Some(1), Some(2), None, Some(1), Some(0)]);
     assert_eq!(classes.order(), [3, 4, 5]);
-    let mean = |name: &str, key, now| classes.find(name, key, now);
-    // The key tells which settings a client goes by.
+    let find = |name: &str, key, now| classes.find(name, key, now);
+    // The key shows which settings a client uses.
     assert_eq!(
-        (mean("shelf", true, 5), mean("shelf", false, 5)),
+        (find("shelf", true, 5), find("shelf", false, 5)),
         (Some(1), Some(4))
     );
-    // Where it does not, what is allowed by both.
-    assert_eq!(mean("page", false, 5), Some(5));
+    // Without that hint the stricter class is found.
+    assert_eq!(find("page", false, 5), Some(5));
     assert_eq!(
-        (mean("old", false, 5), mean("new", false, 0)),
+        (find("old", false, 5), find("new", false, 0)),
         (Some(2), Some(3))
     );
-    // Afterwards the new ones alone.
+    // Once the overlap has ended, only the new classes are found.
     assert_eq!(
         (
-            mean("old", false, 10),
-            mean("shelf", true, 10),
-            mean("page", false, 10)
+            find("old", false, 10),
+            find("shelf", true, 10),
+            find("page", false, 10)
         ),
         (None, Some(4), Some(5))
     );
@@ -76,7 +76,7 @@
                 |_| false,
                 0,
                 10,
-                MOST,
+                MAX_SLOTS,
             )
             .unwrap();
         let attempts =
@@ -102,27 +102,27 @@
                 .iter()
                 .map(|_| class(Effect::Safe, rng.u32(1..3)))
                 .collect();
-            let holds = |at| held.iter().any(|(slot, _)| *slot == at);
-            // A slot's number must go on to mean the class for whoever holds it.
+            let in_use = |at| held.iter().any(|(slot, _)| *slot == at);
+            // A slot must keep its class for as long as an open query belongs to it.
             if let Ok(from) = classes.replace(
                 &names(&chosen),
                 &fresh,
-                holds,
+                in_use,
                 now,
                 now + rng.u64(0..20),
-                MOST,
+                MAX_SLOTS,
             ) {
                 assert!(from.iter().flatten().all(|at| *at < before.len()));
             }
             let table = classes.table();
-            assert!(table.len() <= MOST && table.len() >= before.len());
-            let means = |slot: usize| Class {
+            assert!(table.len() <= MAX_SLOTS && table.len() >= before.len());
+            let current = |slot: usize| Class {
                 retired: false,
                 ..table[slot].clone()
             };
-            assert!(held.iter().all(|(slot, class)| means(*slot) == *class));
+            assert!(held.iter().all(|(slot, class)| current(*slot) == *class));
             if let Some(slot) = classes.find(chosen[0], false, now) {
-                held.push((slot, means(slot)));
+                held.push((slot, current(slot)));
             }
             held.retain(|_| rng.u32(0..3) > 0);
         }
--- a/bitternsill/src/core/ports.rs
+++ b/bitternsill/src/core/ports.rs
@@ -1,19 +1,19 @@
-//! The types and traits between the core and the protocols of clients, index hosts and discovery.
+//! The interface between the core and the protocols of clients, index hosts and discovery.
 
 use dispatch::interface::{ServerId, Time};
 use std::rc::Rc;
 
-/// Where an answer is sent; the numbers have a meaning for the client protocol only.
+/// Where an answer is sent. The core does not interpret the numbers; the client protocol does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Caller {
     /// The connection.
     pub connection: u64,
-    /// Which of its operations; 0 where there is one at a time.
+    /// The operation on that connection; 0 for protocols with one operation at a time.
     pub operation: u32,
 }
 
 impl Caller {
-    /// The one that a connection with one operation at a time stands for.
+    /// The caller on a connection that has one operation at a time.
     pub fn only(connection: u64) -> Caller {
         Caller {
             connection,
@@ -22,33 +22,33 @@
     }
 }
 
-/// One attempt for one part.
+/// Identifies one attempt at a part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The part's number in the core.
     pub part: u64,
-    /// Which attempt of it, from 0.
+    /// The index of the attempt among those of its part, from 0.
     pub number: u32,
 }
 
 /// A query as a client protocol submits it.
 #[derive(Debug)]
 pub struct QueryRequest {
-    /// Where its answer is sent.
+    /// Where the answer is sent.
     pub caller: Caller,
-    /// The client's id for it.
+    /// The query id chosen by the client.
     pub name: Rc<str>,
-    /// Its class, by slot.
+    /// The slot of its class.
     pub class: usize,
     /// The idempotency key, in a keyed class.
     pub key: Option<Rc<str>>,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// How long the client waits, counted from `arrived`.
+    /// How long the client waits from `arrived` on.
     pub budget: Time,
-    /// When the query's last byte came.
+    /// When the last byte of the request arrived.
     pub arrived: Time,
-    /// What every part carries.
+    /// The query text that every part carries.
     pub text: Rc<str>,
     /// Shard and weight of each part.
     pub parts: Vec<(u32, f64)>,
@@ -57,27 +57,27 @@
 /// Why a query is rejected before the dispatcher sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
-    /// As many queries and parts are open as the settings allow.
+    /// The limit on open queries and parts is reached.
     TableFull {
         /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Time,
     },
-    /// The same caller already waits for an answer.
+    /// The caller already has an open query.
     Busy,
-    /// Another query of this name is open.
+    /// Another open query has this name.
     NameTaken,
 }
 
-/// What an index host answered for a part.
+/// The result of a part from an index host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Value {
-    /// Its rank among the values of a query.
+    /// Ranks the shards of a query for its second step.
     pub score: Score,
-    /// The value itself, passed on unchanged.
+    /// The result itself, passed on unchanged.
     pub body: Rc<str>,
 }
 
-/// A score, exact where it is an integer.
+/// A score; integers are kept exactly.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Score {
     /// An integer.
@@ -87,7 +87,7 @@
 }
 
 impl Score {
-    /// Reads a score, if it is a number.
+    /// Parses a score; `None` if the text is not a finite number.
     pub fn parse(text: &str) -> Option<Self> {
         let real = || {
             text.parse()
@@ -98,7 +98,7 @@
         text.parse().ok().map(Score::Integer).or_else(real)
     }
 
-    /// Orders scores; integers exactly.
+    /// Compares two scores; two integers are compared exactly.
     pub fn total_cmp(&self, other: &Self) -> std::cmp::Ordering {
         match (self, other) {
             (Score::Integer(a), Score::Integer(b)) => a.cmp(b),
@@ -117,65 +117,65 @@
 /// Why a query failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureReason {
-    /// Its time ended without a decision.
+    /// The deadline passed without a decision.
     TimeUp,
-    /// The dispatcher abandoned it.
+    /// The dispatcher gave up on the query.
     GivenUp,
-    /// The program is ending.
+    /// The process is shutting down.
     Ending,
 }
 
 /// The one final answer to a query.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// Served from the parts that are in.
+    /// Served from the answered parts.
     Served {
-        /// Whether it is marked complete.
+        /// Whether the answer is marked complete.
         complete: bool,
         /// The value of each answered part, by shard.
         values: Vec<(u32, Value)>,
     },
-    /// Rejected; the client may safely retry.
+    /// Rejected without effect; the client may safely retry.
     Rejected {
         /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Time,
     },
-    /// Failed; it may have taken effect.
+    /// Failed; the query may have taken effect.
     Failed(FailureReason),
 }
 
-/// One part on its way to an index host.
+/// One part to be sent to an index host.
 #[derive(Debug, Clone)]
 pub struct Outgoing {
-    /// Which attempt.
+    /// The attempt that sends it.
     pub id: AttemptId,
     /// The part's id on the wire.
     pub name: String,
-    /// Its shard.
+    /// The shard that it addresses.
     pub shard: u32,
-    /// When the gatherer stops waiting.
+    /// When the gatherer stops waiting for the answer.
     pub until: Time,
-    /// It must not be written later than this.
+    /// The latest time at which the part may be written.
     pub not_after: Time,
     /// The idempotency key, in a keyed class.
     pub key: Option<Rc<str>>,
-    /// In a second step: the shards that had answered in the first.
+    /// In a second step: the shards that answered in the first step.
     pub from: Option<Rc<str>>,
-    /// In a second step: whether the first was complete.
+    /// In a second step: whether the first step was complete.
     pub first_step_complete: Option<bool>,
     /// The query's text.
     pub text: Rc<str>,
 }
 
-/// The clients' connections, as the core uses them.
+/// The client connections, as the core uses them.
 pub trait Clients {
-    /// Passes on a query's final answer.
+    /// Sends a query's final answer.
     fn answer(&mut self, caller: Caller, answer: Answer);
 }
 
 /// The connections to index hosts, as the core uses them.
 pub trait Hosts {
-    /// Sends the parts of one call.
+    /// Sends parts to a host in one call.
     fn call(&mut self, host: ServerId, parts: Vec<Outgoing>);
     /// Cancels an attempt.
     fn cancel(&mut self, host: ServerId, attempt: AttemptId);
@@ -187,8 +187,8 @@
 
 /// Discovery, as the core uses it.
 pub trait Directory {
-    /// Begins or ends the watch.
+    /// Starts or stops watching the endpoint list.
     fn watch(&mut self, on: bool);
-    /// Requests the complete list once.
+    /// Requests the complete endpoint list once.
     fn fetch(&mut self);
 }
--- a/bitternsill/src/core/schema.rs
+++ b/bitternsill/src/core/schema.rs
@@ -1,39 +1,39 @@
-//! The settings as a JSON schema, from the tables by which they are checked.
+//! The JSON schema of the settings, generated from the tables that they are checked with.
 
-use super::bounds::{Allowed, BY_CLASS, CLASS, ONCE};
+use super::bounds::{Allowed, CLASS, CLASS_LISTS, GROUPS};
 use serde_json::{Map, Value, json};
 
-fn of(allowed: Allowed) -> Value {
+fn schema_of(allowed: Allowed) -> Value {
     match allowed {
-        Allowed::From(least, most) if most.is_infinite() => {
-            json!({"type": "number", "minimum": least})
+        Allowed::From(min, max) if max.is_infinite() => {
+            json!({"type": "number", "minimum": min})
         }
-        Allowed::From(least, most) => json!({"type": "number", "minimum": least, "maximum": most}),
+        Allowed::From(min, max) => json!({"type": "number", "minimum": min, "maximum": max}),
         Allowed::Above(bound) => json!({"type": "number", "exclusiveMinimum": bound}),
-        Allowed::AboveTo(bound, most) => {
-            json!({"type": "number", "exclusiveMinimum": bound, "maximum": most})
+        Allowed::AboveTo(bound, max) => {
+            json!({"type": "number", "exclusiveMinimum": bound, "maximum": max})
         }
-        Allowed::Whole(least) => json!({"type": "integer", "minimum": least}),
-        Allowed::Flag => json!({"type": "boolean"}),
-        Allowed::Word(words) => json!({"type": "string", "enum": words}),
-        Allowed::Name => json!({"type": "string", "minLength": 1}),
-        Allowed::Names => json!({"type": "array", "items": of(Allowed::Name)}),
+        Allowed::Integer(min) => json!({"type": "integer", "minimum": min}),
+        Allowed::Boolean => json!({"type": "boolean"}),
+        Allowed::OneOf(words) => json!({"type": "string", "enum": words}),
+        Allowed::Text => json!({"type": "string", "minLength": 1}),
+        Allowed::TextList => json!({"type": "array", "items": schema_of(Allowed::Text)}),
     }
 }
 
-/// What is absent takes its default, and null is absent.
-fn absent_or(schema: Value) -> Value {
+/// Allows null, which means the default, as an absent setting does.
+fn nullable(schema: Value) -> Value {
     json!({"anyOf": [schema, {"type": "null"}]})
 }
 
-/// A schema of the settings. It cannot say that lists by class have one value for each class:
-/// `check` does.
+/// Returns the schema. JSON Schema cannot express that per-class lists have one value per class;
+/// [`check`](super::bounds::check) verifies that.
 pub fn settings() -> Value {
     let mut groups = Map::new();
-    for (group, keys) in ONCE {
+    for (group, keys) in GROUPS {
         let keys: Map<String, Value> = keys
             .iter()
-            .map(|(key, allowed)| ((*key).to_owned(), absent_or(of(*allowed))))
+            .map(|(key, allowed)| ((*key).to_owned(), nullable(schema_of(*allowed))))
             .collect();
         if group.is_empty() {
             groups.extend(keys);
@@ -44,24 +44,24 @@
             );
         }
     }
-    for (key, allowed) in BY_CLASS {
-        let list = json!({"type": "array", "items": of(*allowed), "minItems": 1});
-        groups["extra"]["properties"][*key] = absent_or(list);
+    for (key, allowed) in CLASS_LISTS {
+        let list = json!({"type": "array", "items": schema_of(*allowed), "minItems": 1});
+        groups["extra"]["properties"][*key] = nullable(list);
     }
-    let class = |(key, allowed, needed): &(&str, Allowed, bool)| {
-        let schema = of(*allowed);
+    let class = |(key, allowed, required): &(&str, Allowed, bool)| {
+        let schema = schema_of(*allowed);
         (
             (*key).to_owned(),
-            if *needed { schema } else { absent_or(schema) },
+            if *required { schema } else { nullable(schema) },
         )
     };
     let class: Map<String, Value> = CLASS.iter().map(class).collect();
-    let needed: Vec<&str> = CLASS
+    let required: Vec<&str> = CLASS
         .iter()
-        .filter(|(.., needed)| *needed)
+        .filter(|(.., required)| *required)
         .map(|(key, ..)| *key)
         .collect();
-    let class = json!({"type": "object", "properties": class, "required": needed});
+    let class = json!({"type": "object", "properties": class, "required": required});
     groups.insert(
         "request_classes".to_owned(),
         json!({"type": "array", "items": class, "minItems": 1}),
--- a/bitternsill/src/core/schema/tests.rs
+++ b/bitternsill/src/core/schema/tests.rs
@@ -3,7 +3,7 @@
 use super::super::bounds::check;
 use super::*;
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     json!({
         "request_classes": [
             {"name": "a", "target": 1, "deadline": 2, "effect": "read_like"},
@@ -13,20 +13,20 @@
     })
 }
 
-/// Whatever stands in any one place: the schema and the check say the same of it.
+/// Puts each of a set of values in each place, and checks that the schema and `check` agree.
 #[test]
 fn schema_agrees_with_check() {
     let schema = jsonschema::validator_for(&settings()).unwrap();
     let mut paths: Vec<(String, String)> = Vec::new();
-    for (group, keys) in ONCE {
-        let above = if group.is_empty() {
+    for (group, keys) in GROUPS {
+        let parent = if group.is_empty() {
             String::new()
         } else {
             format!("/{group}")
         };
         paths.extend(
             keys.iter()
-                .map(|(key, _)| (above.clone(), (*key).to_owned())),
+                .map(|(key, _)| (parent.clone(), (*key).to_owned())),
         );
         if !group.is_empty() {
             paths.push((String::new(), (*group).to_owned()));
@@ -38,7 +38,7 @@
             .map(|(key, ..)| ("/request_classes/1".to_owned(), (*key).to_owned())),
     );
     paths.extend(
-        BY_CLASS
+        CLASS_LISTS
             .iter()
             .map(|(key, _)| ("/extra".to_owned(), (*key).to_owned())),
     );
@@ -63,15 +63,15 @@
         [0, 1],
         [null, 1]
     ]);
-    let mut told = [0, 0];
-    for (above, key) in paths {
+    let mut verdicts = [0, 0];
+    for (parent, key) in paths {
         for value in odd.as_array().unwrap().iter().map(Some).chain([None]) {
-            let mut settings = good();
-            if settings.pointer(&above).is_none() {
-                settings[&above[1..]] = json!({});
+            let mut settings = valid_settings();
+            if settings.pointer(&parent).is_none() {
+                settings[&parent[1..]] = json!({});
             }
             let group = settings
-                .pointer_mut(&above)
+                .pointer_mut(&parent)
                 .unwrap()
                 .as_object_mut()
                 .unwrap();
@@ -79,9 +79,9 @@
                 Some(value) => group.insert(key.clone(), value.clone()),
                 None => group.remove(&key),
             };
-            let said = check(&settings);
-            // How many values such a list has is no matter of the schema's.
-            if said
+            let result = check(&settings);
+            // The schema cannot express the length of per-class lists.
+            if result
                 .clone()
                 .is_err_and(|problem| problem.0.contains("one a class"))
             {
@@ -89,11 +89,11 @@
             }
             assert_eq!(
                 schema.is_valid(&settings),
-                said.is_ok(),
-                "{above}/{key} {value:?}: {said:?}"
+                result.is_ok(),
+                "{parent}/{key} {value:?}: {result:?}"
             );
-            told[usize::from(said.is_ok())] += 1;
+            verdicts[usize::from(result.is_ok())] += 1;
         }
     }
-    assert!(told.iter().all(|count| *count > 100), "{told:?}");
+    assert!(verdicts.iter().all(|count| *count > 100), "{verdicts:?}");
 }
--- a/bitternsill/src/core/settings.rs
+++ b/bitternsill/src/core/settings.rs
@@ -1,4 +1,4 @@
-//! The settings: the dispatcher's part is read by [`dispatch::wire`], the program's own part here.
+//! Reads the settings: the dispatcher's through [`dispatch::wire`], the program's own ones here.
 
 use super::bounds;
 use crate::limits::MS;
@@ -7,32 +7,32 @@
 use serde_json::Value;
 use std::fmt;
 
-/// What the program itself needs of the settings.
+/// The settings that the program itself uses.
 #[derive(Debug, Clone, Default)]
 pub struct Deployment {
-    /// The classes' names, in the settings' order.
+    /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Which classes carry an idempotency key.
+    /// Which classes require an idempotency key.
     pub keyed: Vec<bool>,
-    /// The time between turns is left open.
+    /// Whether `tick` is absent, so that the time between turns depends on the load.
     pub open_tick: bool,
-    /// How many shards there are.
+    /// The number of shards.
     pub shards: u32,
-    /// The zones' names.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// The machine kinds' names.
+    /// The names of the machine kinds.
     pub kinds: Vec<String>,
-    /// Parts one connection carries at once.
+    /// The number of parts that one connection carries at once.
     pub parts_per_connection: usize,
-    /// How long an index host leaves an idle connection open.
+    /// How long an index host keeps an idle connection open.
     pub host_idle: Option<Time>,
-    /// How long a connection may take to come up.
+    /// How long a connection attempt may take.
     pub connect: Option<Time>,
     /// How long attempts may still be sent to a draining host.
     pub drain_grace: Option<Time>,
 }
 
-/// Settings that cannot be used.
+/// Settings that are missing or not allowed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -44,15 +44,15 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Reads both parts of the settings.
+/// Checks and reads the settings of the dispatcher and of the program.
 ///
 /// # Errors
 ///
-/// Where a setting is missing or out of its bounds.
+/// If a setting is missing or not allowed.
 pub fn read(value: &Value) -> Result<(Settings, Deployment), SettingsError> {
     bounds::check(value)?;
     let mut settings = read_settings(&value.to_string())
-        // Without the path of the simulator's wire, which operators never see.
+        // Strip the path prefix of the simulator's protocol, which operators never see.
         .map_err(|problem| {
             SettingsError(
                 problem
@@ -62,7 +62,7 @@
         })?;
     let open_tick = value["tick"].is_null();
     if open_tick {
-        // The dispatcher counts some waits in ticks.
+        // The dispatcher counts some waits in ticks, so it needs a value all the same.
         settings.tick = MS;
     }
     let texts = |list: &Value| -> Vec<String> {
@@ -80,14 +80,14 @@
         .iter()
         .map(|class| class["name"].as_str().unwrap_or_default().to_owned())
         .collect();
-    if let Some(twice) = names
+    if let Some(duplicate) = names
         .iter()
         .enumerate()
         .find(|(at, name)| names[..*at].contains(name))
     {
         return Err(SettingsError(format!(
             "the class `{}` stands twice in `request_classes`",
-            twice.1
+            duplicate.1
         )));
     }
     let deployment = Deployment {
--- a/bitternsill/src/core/state.rs
+++ b/bitternsill/src/core/state.rs
@@ -6,7 +6,7 @@
 
 /// How the first step of a query ended.
 pub(super) struct FirstStep {
-    /// The shards that had answered, joined by `+` as the wire has them.
+    /// The shards that answered, joined by `+` as on the wire.
     pub(super) shards: Rc<str>,
     pub(super) complete: bool,
 }
@@ -20,18 +20,18 @@
     pub(super) text: Rc<str>,
     pub(super) deadline: Time,
     pub(super) parts: Vec<u64>,
-    /// How the first step ended; set once there is a second.
+    /// How the first step ended; set once the second step has started.
     pub(super) first_step: Option<FirstStep>,
-    /// The host that is sent the first part of the second step, and when.
+    /// The host that gets the first part of the second step, and when that part was sent.
     pub(super) second_step_opened: Option<(ServerId, Time)>,
-    /// When its last byte came.
+    /// When the last byte of the request arrived.
     pub(super) arrived: Time,
     pub(super) attempts: u32,
-    /// The version of the configuration under which it was taken.
+    /// The configuration version under which the query was accepted.
     pub(super) version: u64,
 }
 
-/// The request to one shard that a query consists of.
+/// The request of a query to one shard.
 pub(super) struct Part {
     pub(super) query: u64,
     pub(super) shard: u32,
@@ -46,6 +46,6 @@
     pub(super) host: ServerId,
     pub(super) sent: Time,
     pub(super) until: Time,
-    /// Its message was written completely: it may have run.
+    /// Whether the message was written completely, so that the host may have run the part.
     pub(super) written: bool,
 }
--- a/bitternsill/src/limits.rs
+++ b/bitternsill/src/limits.rs
@@ -69,12 +69,12 @@
     pub capability_ttl: Time,
     /// How long an abandoned search is outlived: at the least and at the most.
     pub abandoned_search_time: (Time, Time),
-    /// Queries that wait for no turn where the time between turns is open.
-    pub turn_free: usize,
-    /// What each further one adds to that time, and its bound.
-    pub turn_step: Time,
-    /// The longest that time.
-    pub turn_most: Time,
+    /// Number of open queries up to which turns are not delayed, if the settings have no `tick`.
+    pub unbatched_queries: usize,
+    /// How much each further open query adds to the time between turns.
+    pub turn_gap_step: Time,
+    /// Upper bound of that time.
+    pub max_turn_gap: Time,
     /// Entries of the store's log before they are folded into a snapshot.
     pub store_log: usize,
     /// Keys that the store holds.
@@ -258,9 +258,9 @@
     host_backoff: (100 * MS, 5_000 * MS),
     capability_ttl: 600_000 * MS,
     abandoned_search_time: (300 * MS, 3_000 * MS),
-    turn_free: 4,
-    turn_step: MS / 5,
-    turn_most: 5 * MS,
+    unbatched_queries: 4,
+    turn_gap_step: MS / 5,
+    max_turn_gap: 5 * MS,
     store_log: 256,
     store_keys: 1_024,
     store_sessions: 256,
