--- a/bitternsill/src/front/http.rs
+++ b/bitternsill/src/front/http.rs
@@ -1,24 +1,24 @@
-//! HTTP/1.1 messages, read from any split of their bytes, and written.
+//! An incremental parser for HTTP/1.1 messages, and the encoder for responses.
 
 use std::fmt;
 
-/// What is wrong with a message, and the status that says so.
+/// Why a message cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HttpError {
-    /// The message breaks the grammar.
+    /// The message violates the grammar.
     Malformed(&'static str),
     /// The head is longer than the limit.
     HeadTooLarge,
     /// The body is longer than the limit.
     BodyTooLarge,
-    /// A transfer coding other than chunked.
+    /// The transfer coding is not chunked.
     UnknownCoding,
-    /// Not HTTP/1.0 or 1.1.
+    /// The version is not HTTP/1.0 or 1.1.
     Version,
 }
 
 impl HttpError {
-    /// The status of the answer.
+    /// The status code of the response to such a request.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed(_) => 400,
@@ -47,15 +47,15 @@
 /// A start line and headers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Head {
-    /// Method and target, or version and status: the start line's first two words.
+    /// The first two words of the start line: method and target, or version and status.
     pub start: (String, String),
-    /// True for HTTP/1.0.
-    pub old: bool,
+    /// Whether the version is HTTP/1.0.
+    pub is_http10: bool,
     headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The value of a header, if it stands there once; names are compared without case.
+    /// The value of a header that occurs exactly once. Names are compared case-insensitively.
     pub fn get(&self, name: &str) -> Option<&str> {
         let mut all = self
             .headers
@@ -76,13 +76,13 @@
             .any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 
-    /// Whether the connection is to be kept after this message.
+    /// Whether the connection is kept open after this message.
     pub fn keeps_alive(&self) -> bool {
         !self.has_word("Connection", "close")
-            && (!self.old || self.has_word("Connection", "keep-alive"))
+            && (!self.is_http10 || self.has_word("Connection", "keep-alive"))
     }
 
-    /// Whether the sender waits to be told to go on before it sends the body.
+    /// Whether the sender waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
         self.has_word("Expect", "100-continue")
     }
@@ -100,38 +100,40 @@
     Done,
 }
 
-/// How far a message has been read.
+/// The progress of reading a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// More bytes are wanted; the head may be there already.
+    /// More bytes are needed; the head may be complete already.
     More,
-    /// The message is whole.
+    /// The message is complete.
     Whole,
 }
 
-/// Reads one message after the other from a buffer.
+/// Parses consecutive messages from a buffer.
 #[derive(Debug)]
 pub struct Reader {
     state: State,
     response: bool,
+    /// Bytes already searched for the end of the head.
     scanned: usize,
-    spent: usize,
+    /// Bytes of the trailers read so far.
+    trailer_bytes: usize,
     head_limit: usize,
     body_limit: usize,
-    /// The head, once read.
+    /// The head, once complete.
     pub head: Option<Head>,
-    /// The body as far as it has come; a reader of a stream takes from it as it goes.
+    /// The body received so far; the user of a stream may remove bytes as they arrive.
     pub body: Vec<u8>,
 }
 
 impl Reader {
-    /// A reader of requests.
+    /// Creates a reader for requests.
     pub fn requests(head_limit: usize, body_limit: usize) -> Self {
         Reader {
             state: State::Head,
             response: false,
             scanned: 0,
-            spent: 0,
+            trailer_bytes: 0,
             head_limit,
             body_limit,
             head: None,
@@ -139,7 +141,7 @@
         }
     }
 
-    /// A reader of responses.
+    /// Creates a reader for responses.
     pub fn responses(head_limit: usize, body_limit: usize) -> Self {
         Reader {
             response: true,
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Takes the message that was read; the next one begins.
+    /// Returns the message and resets the reader for the next one.
     pub fn take(&mut self) -> (Head, Vec<u8>) {
         let next = Reader {
             response: self.response,
@@ -157,17 +159,17 @@
         (done.head.unwrap_or_default(), done.body)
     }
 
-    /// True where nothing of a message has come yet.
+    /// Whether nothing of the next message has been read.
     pub fn is_fresh(&self) -> bool {
         self.state == State::Head && self.scanned == 0
     }
 
-    /// True where the message ends with its connection.
+    /// Whether the message ends when the connection is closed.
     pub fn ends_with_connection(&self) -> bool {
         self.state == State::UntilEnd
     }
 
-    /// Reads on; what was understood is taken out of `input`.
+    /// Parses `input` and removes the parsed bytes from it.
     pub fn read(&mut self, input: &mut Vec<u8>) -> Result<Progress, HttpError> {
         let mut at = 0;
         let result = self.step(input, &mut at);
@@ -253,8 +255,8 @@
                         return Ok(Progress::More);
                     };
                     *at += line.len() + 2;
-                    self.spent += line.len() + 2;
-                    if self.spent > self.head_limit {
+                    self.trailer_bytes += line.len() + 2;
+                    if self.trailer_bytes > self.head_limit {
                         return Err(HttpError::HeadTooLarge);
                     }
                     if line.is_empty() {
@@ -265,8 +267,8 @@
         }
     }
 
-    /// The head's length with its empty line, once that has come; blank lines before it are skipped
-    /// with it.
+    /// The length of the head including its final empty line and any blank lines before the start
+    /// line; `None` if the head is incomplete.
     fn head_length(&mut self, rest: &[u8]) -> Result<Option<usize>, HttpError> {
         let from = self.scanned.saturating_sub(3);
         let lead = rest
@@ -287,7 +289,7 @@
     }
 
     fn framing(&self, head: &Head) -> Result<State, HttpError> {
-        let named = |name: &str| {
+        let count = |name: &str| {
             head.headers
                 .iter()
                 .filter(|(n, _)| n.eq_ignore_ascii_case(name))
@@ -296,9 +298,9 @@
         if self.response && matches!(head.start.1.as_str(), "204" | "304") {
             return Ok(State::Length(0));
         }
-        if named("Transfer-Encoding") > 0 {
-            // Both framings at once are how requests are smuggled past another reader.
-            if named("Content-Length") > 0 || head.old {
+        if count("Transfer-Encoding") > 0 {
+            // A message with both headers is rejected, as it can be used for request smuggling.
+            if count("Content-Length") > 0 || head.is_http10 {
                 return Err(HttpError::Malformed("two framings"));
             }
             return match head.get("Transfer-Encoding") {
@@ -306,7 +308,7 @@
                 _ => Err(HttpError::UnknownCoding),
             };
         }
-        match named("Content-Length") {
+        match count("Content-Length") {
             0 if self.response => Ok(State::UntilEnd),
             0 => Ok(State::Length(0)),
             1 => {
@@ -332,11 +334,11 @@
     }
 }
 
-/// The bytes before the next line end, if it has come.
-fn line(rest: &[u8], most: usize) -> Result<Option<&[u8]>, HttpError> {
+/// The bytes before the next line end, if that has arrived.
+fn line(rest: &[u8], max_bytes: usize) -> Result<Option<&[u8]>, HttpError> {
     match rest.windows(2).position(|w| w == b"\r\n") {
-        Some(end) if end <= most => Ok(Some(&rest[..end])),
-        None if rest.len() <= most => Ok(None),
+        Some(end) if end <= max_bytes => Ok(Some(&rest[..end])),
+        None if rest.len() <= max_bytes => Ok(None),
         _ => Err(HttpError::Malformed("line too long")),
     }
 }
@@ -360,15 +362,15 @@
         words.next().unwrap_or_default(),
     );
     let version = if response { a } else { c };
-    let old = match version {
+    let is_http10 = match version {
         "HTTP/1.1" => false,
         "HTTP/1.0" => true,
         v if v.starts_with("HTTP/") => return Err(HttpError::Version),
         _ => return Err(HttpError::Malformed("start line")),
     };
-    let status = b.len() == 3 && b.bytes().all(|d| d.is_ascii_digit());
-    let target = !a.is_empty() && a.bytes().all(is_token) && !b.is_empty();
-    if if response { !status } else { !target } {
+    let is_status = b.len() == 3 && b.bytes().all(|d| d.is_ascii_digit());
+    let is_request = !a.is_empty() && a.bytes().all(is_token) && !b.is_empty();
+    if if response { !is_status } else { !is_request } {
         return Err(HttpError::Malformed("start line"));
     }
     let mut headers = Vec::new();
@@ -384,7 +386,7 @@
     }
     Ok(Head {
         start: (a.to_owned(), b.to_owned()),
-        old,
+        is_http10,
         headers,
     })
 }
@@ -393,21 +395,21 @@
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// A response to be written.
+/// An HTTP response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Further header lines, without their line ends.
+    /// Additional header lines, without line ends.
     pub headers: Vec<String>,
-    /// The body's type.
+    /// The content type of the body.
     pub content_type: &'static str,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// A response of plain text.
+    /// A plain-text response.
     pub fn text(status: u16, body: impl Into<String>) -> Self {
         let body: String = body.into();
         Response {
@@ -418,7 +420,7 @@
         }
     }
 
-    /// The answer to a path that is not there, or not with that method.
+    /// The response to an unknown path, or to a method that the path does not allow.
     pub fn no_route(allowed: &[&str]) -> Self {
         if allowed.is_empty() {
             return Response::text(404, "no such path");
@@ -430,7 +432,7 @@
         response
     }
 
-    /// The bytes on the wire; without its body where the request was a `HEAD`.
+    /// Encodes the response, without the body if the request was a `HEAD`.
     pub fn encode(&self, close: bool, with_body: bool) -> Vec<u8> {
         let mut out = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
--- a/bitternsill/src/front/http/tests.rs
+++ b/bitternsill/src/front/http/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn any_split_of_the_bytes_reads_the_same() {
+fn reads_same_message_at_any_split() {
     let whole = b"POST /api HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n\
         3\r\nabc\r\n0a;x=y\r\n0123456789\r\n0\r\nT: u\r\n\r\n";
     for at in 0..whole.len() {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_breaks_the_grammar_or_a_bound_is_named() {
+fn rejects_malformed_and_oversized_requests() {
     let cases: [(&str, u16); 9] = [
         ("POST /api HTTP/1.1\r\nContent-Length: 99\r\n\r\n", 413),
         (
--- a/bitternsill/src/net.rs
+++ b/bitternsill/src/net.rs
@@ -1,5 +1,5 @@
-//! The event loop: epoll, connections as objects with callbacks, timers and buffers. One thread, no
-//! runtime.
+//! A single-threaded event loop on epoll, with callback objects for connections, timers and
+//! buffered sockets. No async runtime.
 
 mod reactor;
 mod stream;
@@ -10,8 +10,8 @@
 use dispatch::interface::Time;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that only moves forward and starts at Unix time, so that a host's start can be set
-/// against it.
+/// A monotonic clock that starts at Unix time, so that it can be compared with the start times of
+/// hosts.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     base: Time,
@@ -19,7 +19,7 @@
 }
 
 impl Clock {
-    /// Reads the system's clock once; from then on only the steady one counts.
+    /// Starts at the current system time. Later changes of the system time have no effect.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The present moment.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.base + self.start.elapsed().as_nanos() as Time
     }
--- a/bitternsill/src/net/reactor.rs
+++ b/bitternsill/src/net/reactor.rs
@@ -1,5 +1,5 @@
-//! The reactor: it owns every connection object and calls it back when something is ready, due or
-//! posted.
+//! The reactor owns all connection objects and calls them when a descriptor is ready, a timer is
+//! due or a message is posted.
 
 use super::Clock;
 use dispatch::interface::Time;
@@ -9,35 +9,36 @@
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
 
-/// The longest that the loop sleeps, in nanoseconds. Waits are short so that a long one shows that
-/// the process was stopped.
+/// The longest wait of the loop, in nanoseconds. Waits are short, so a long one shows that the
+/// process was stopped.
 const MAX_WAIT: Time = 50_000_000;
-/// A round that took longer than this, in nanoseconds, began with a stall.
+/// The time between two polls, in nanoseconds, above which the process counts as stalled.
 const STALL_THRESHOLD: Time = 100_000_000;
-/// Rounds after a stall in which bytes that arrived during it may first be read: the stalled round
-/// may have missed the listener's event, the next one accepts, and the one after that reads.
+/// The number of rounds after a stalled one in which bytes that arrived during the stall may first
+/// be read: the stalled round may have missed the listener's event, the next one accepts the
+/// connection, and the one after that reads from it.
 const STALL_ROUNDS: u8 = 2;
 
-/// Since when the bytes that a round reads may have waited.
+/// Tracks stalls, to determine when the bytes read in a round may have arrived.
 #[derive(Debug, Default)]
 struct Stalls {
-    /// When the last stall began, and for how many more rounds it counts.
+    /// The start of the last stall, and the number of further rounds that it affects.
     last: Option<(Time, u8)>,
 }
 
 impl Stalls {
-    /// Since when the events of a round may have waited: it got them at `now`, and the last poll
-    /// was at `asleep`.
-    fn since(&mut self, asleep: Time, now: Time) -> Time {
-        let new_stall = (now - asleep > STALL_THRESHOLD).then_some((asleep, STALL_ROUNDS));
+    /// The earliest time at which the events of a round may have occurred, if the poll before was
+    /// at `last_poll` and this one returned at `now`.
+    fn since(&mut self, last_poll: Time, now: Time) -> Time {
+        let new_stall = (now - last_poll > STALL_THRESHOLD).then_some((last_poll, STALL_ROUNDS));
         let stall = new_stall.or(self.last);
-        let behind = |(at, left): (Time, u8)| Some((at, left.checked_sub(1)?));
-        self.last = stall.and_then(behind);
+        let next_round = |(at, left): (Time, u8)| Some((at, left.checked_sub(1)?));
+        self.last = stall.and_then(next_round);
         stall.map_or(now, |(at, _)| at)
     }
 }
 
-/// Names one connection; a later connection in the same slot has another generation.
+/// Identifies a connection. A later connection in the same slot has another generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Token {
     index: u32,
@@ -45,12 +46,12 @@
 }
 
 impl Token {
-    /// The token as one number, for epoll and for those who must not know what a connection is.
+    /// The token as an integer, for epoll and for code that must not depend on this module.
     pub fn bits(self) -> u64 {
         u64::from(self.index) << 32 | u64::from(self.generation)
     }
 
-    /// The token that a number stands for.
+    /// The inverse of [`Self::bits`].
     pub fn from_bits(bits: u64) -> Self {
         Token {
             index: (bits >> 32) as u32,
@@ -59,43 +60,41 @@
     }
 }
 
-/// What a descriptor is ready for.
+/// The events that a descriptor is registered or ready for.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// Bytes, an end or a failure can be read.
+    /// Bytes, the end of the stream or an error can be read.
     pub readable: bool,
     /// Bytes can be written, or a connection attempt has ended.
     pub writable: bool,
-    /// The other side has sent its last byte, or the connection broke, whether or not bytes before
-    /// that are still unread.
+    /// The peer has closed its output or the connection broke, even if earlier bytes are unread.
     pub ended: bool,
 }
 
 impl Ready {
-    /// For bytes and their end.
+    /// Input and its end.
     pub const READ: Ready = Ready {
         readable: true,
         writable: false,
         ended: true,
     };
-    /// For room, or for the end of a connection attempt.
+    /// Writability, or the end of a connection attempt.
     pub const WRITE: Ready = Ready {
         readable: false,
         writable: true,
         ended: false,
     };
-    /// For the end alone: bytes that nobody reads for now must not hide that the other side has
-    /// gone.
+    /// Only the end of the input: detects that the peer has disconnected while reading is paused.
     pub const END: Ready = Ready {
         readable: false,
         writable: false,
         ended: true,
     };
 
-    /// The same, and for room where that is wanted.
-    pub fn and_writable(self, wanted: bool) -> Ready {
+    /// Adds writability if `writable` is set.
+    pub fn and_writable(self, writable: bool) -> Ready {
         Ready {
-            writable: self.writable || wanted,
+            writable: self.writable || writable,
             ..self
         }
     }
@@ -112,59 +111,59 @@
     }
 }
 
-/// How the end of the other side's bytes, or of the connection, shows.
+/// The flags for the end of the input or of the connection.
 const ENDED: epoll::EventFlags = epoll::EventFlags::RDHUP
     .union(epoll::EventFlags::ERR)
     .union(epoll::EventFlags::HUP);
 
-/// What all connections share, and what happens between them.
+/// The state shared by all connections, and the work done between callbacks.
 pub trait World: Sized {
     /// The messages between connections.
     type Message;
 
-    /// When [`World::turn`] wants to run next.
+    /// When [`World::turn`] is due next.
     fn due(&self, now: Time) -> Option<Time>;
 
-    /// Runs after the callbacks of one round.
+    /// Runs after the callbacks of a round, if due.
     fn turn(&mut self, net: &mut Net<Self>, now: Time);
 
-    /// A message was posted to a connection that was gone by then.
+    /// Called for a message to a connection that no longer exists.
     fn undelivered(&mut self, message: Self::Message, now: Time);
 
-    /// True once the program may end.
+    /// Whether the loop may end.
     fn finished(&self, now: Time) -> bool;
 }
 
 /// A connection, a listener or any other descriptor with callbacks.
 pub trait Connection<W: World> {
-    /// The connection has its token; it registers its descriptor here.
+    /// Called once the connection has a token; registers the descriptor.
     fn opened(&mut self, cx: &mut Context<'_, W>) -> io::Result<()>;
 
-    /// The descriptor is ready.
+    /// Called when the descriptor is ready.
     fn ready(&mut self, cx: &mut Context<'_, W>, ready: Ready);
 
-    /// Something was posted to this connection.
+    /// Called for each message posted to the connection.
     fn deliver(&mut self, cx: &mut Context<'_, W>, message: W::Message);
 
-    /// The connection's timer is due.
+    /// Called when the connection's timer is due.
     fn timer(&mut self, cx: &mut Context<'_, W>);
 
-    /// The connection is about to be dropped; the last chance to tell the world.
+    /// Called before the connection is dropped, to update the shared state.
     fn closed(&mut self, _cx: &mut Context<'_, W>) {}
 }
 
-/// What a callback may use.
+/// The context of a callback.
 pub struct Context<'a, W: World> {
     /// The shared state.
     pub world: &'a mut W,
-    /// The loop.
+    /// The event loop.
     pub net: &'a mut Net<W>,
-    /// This connection.
+    /// The token of this connection.
     pub token: Token,
     /// The time of this round.
     pub now: Time,
-    /// When what is read in this round may have come at the earliest: before `now` only after a
-    /// stall.
+    /// The earliest time at which bytes read in this round may have arrived; differs from `now`
+    /// only after a stall.
     pub since: Time,
     closing: bool,
 }
@@ -175,23 +174,23 @@
         self.closing = true;
     }
 
-    /// Whether it is to be dropped.
+    /// Whether this connection will be dropped after the callback.
     pub fn is_closing(&self) -> bool {
         self.closing
     }
 
-    /// Sets this connection's one timer; an earlier setting is void.
+    /// Sets this connection's only timer, replacing an earlier setting.
     pub fn set_timer(&mut self, at: Time) {
         self.net.set_timer(self.token, Some(at));
     }
 
-    /// Switches this connection's timer off.
+    /// Clears this connection's timer.
     pub fn clear_timer(&mut self) {
         self.net.set_timer(self.token, None);
     }
 }
 
-/// The part of the loop that callbacks may use: registering, opening, posting, timers.
+/// The part of the event loop that callbacks may use.
 pub struct Net<W: World> {
     epoll: OwnedFd,
     clock: Clock,
@@ -201,18 +200,18 @@
     timers: BTreeSet<(Time, Token)>,
     due: Vec<Option<Time>>,
     opened: VecDeque<(Token, Box<dyn Connection<W>>)>,
-    /// Connections that are served before the others of a round.
+    /// Connections whose events are handled first in each round.
     first: BTreeSet<Token>,
     posted: VecDeque<(Token, W::Message)>,
 }
 
 impl<W: World> Net<W> {
-    /// The present moment.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Hands a new connection to the loop.
+    /// Adds a connection to the loop.
     pub fn open(&mut self, connection: Box<dyn Connection<W>>) -> Token {
         let index = self.free.pop().unwrap_or_else(|| {
             self.generations.push(0);
@@ -227,19 +226,20 @@
         token
     }
 
-    /// Hands a new connection to the loop whose events come before those of all others in a round.
+    /// Adds a connection whose events are handled before those of others in each round.
     pub fn open_first(&mut self, connection: Box<dyn Connection<W>>) -> Token {
         let token = self.open(connection);
         self.first.insert(token);
         token
     }
 
-    /// Posts a message to a connection; it is dropped if the connection is no more.
+    /// Posts a message to a connection. If the connection no longer exists, the message goes to
+    /// [`World::undelivered`].
     pub fn post(&mut self, to: Token, message: W::Message) {
         self.posted.push_back((to, message));
     }
 
-    /// Starts to watch a descriptor.
+    /// Registers a descriptor.
     pub fn register(&self, fd: impl AsFd, token: Token, ready: Ready) -> io::Result<()> {
         Ok(epoll::add(
             &self.epoll,
@@ -249,7 +249,7 @@
         )?)
     }
 
-    /// Changes what a descriptor is watched for.
+    /// Changes the events that a descriptor is registered for.
     pub fn rearm(&self, fd: impl AsFd, token: Token, ready: Ready) -> io::Result<()> {
         Ok(epoll::modify(
             &self.epoll,
@@ -260,7 +260,7 @@
     }
 
     fn set_timer(&mut self, token: Token, at: Option<Time>) {
-        // A token of an earlier connection in the slot must not touch the timer of the present one.
+        // A stale token must not affect the timer of the connection now in its slot.
         if self.generations[token.index as usize] != token.generation {
             return;
         }
@@ -299,7 +299,7 @@
 
 type Slot<W> = (Token, Box<dyn Connection<W>>);
 
-/// The loop itself.
+/// The event loop.
 pub struct Reactor<W: World> {
     net: Net<W>,
     slots: Vec<Option<Slot<W>>>,
@@ -307,7 +307,7 @@
 }
 
 impl<W: World> Reactor<W> {
-    /// A loop without connections.
+    /// Creates a loop without connections.
     pub fn new(world: W, clock: Clock) -> io::Result<Self> {
         let net = Net {
             epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
@@ -328,12 +328,12 @@
         })
     }
 
-    /// The loop's outer side, to open the first connections.
+    /// Access to the loop and the shared state while the loop is not running.
     pub fn parts(&mut self) -> (&mut Net<W>, &mut W) {
         (&mut self.net, &mut self.world)
     }
 
-    /// Runs until the world is finished.
+    /// Runs until [`World::finished`] returns true.
     pub fn run(&mut self) -> io::Result<()> {
         let mut events: Vec<epoll::Event> = Vec::with_capacity(256);
         let (mut interrupted, mut stalls, mut last_poll) =
@@ -345,7 +345,6 @@
                 return Ok(());
             }
             let due = [self.net.timers.first().map(|t| t.0), self.world.due(now)];
-            // Waits are short, so that a long one shows that the whole program stood still.
             let left = due
                 .into_iter()
                 .flatten()
@@ -355,30 +354,31 @@
                 tv_sec: 0,
                 tv_nsec: left.min(MAX_WAIT) as _,
             };
-            // A wait that a signal cut short, as it does when the program is made to go on, counts
-            // with the next. So does a round that took long, or in which the program was stopped:
-            // nobody looked meanwhile.
-            let asleep = interrupted
-                .take()
-                .unwrap_or(if now - last_poll > STALL_THRESHOLD {
-                    last_poll
-                } else {
-                    now
-                });
+            // A wait interrupted by a signal, such as SIGCONT after a stop, counts together with
+            // the next. So does a round that took long or in which the process was stopped, as no
+            // events were polled meanwhile.
+            let unpolled_since =
+                interrupted
+                    .take()
+                    .unwrap_or(if now - last_poll > STALL_THRESHOLD {
+                        last_poll
+                    } else {
+                        now
+                    });
             events.clear();
             match epoll::wait(&self.net.epoll, spare_capacity(&mut events), Some(&wait)) {
                 Ok(_) => {}
                 Err(rustix::io::Errno::INTR) => {
-                    interrupted = Some(asleep);
+                    interrupted = Some(unpolled_since);
                     continue;
                 }
                 Err(problem) => return Err(problem.into()),
             }
             let now = self.net.now();
             last_poll = now;
-            // What is read after a stall may have come at its beginning, and its client has waited
-            // since.
-            self.net.since = stalls.since(asleep, now);
+            // Bytes read after a stall may have arrived when it began, so the waiting time of a
+            // client counts from there.
+            self.net.since = stalls.since(unpolled_since, now);
             self.handle_events(&mut events, now);
             self.fire_timers(now);
             self.deliver_pending();
@@ -389,10 +389,10 @@
         }
     }
 
-    /// Calls back the connections that are ready.
+    /// Calls the connections that are ready.
     fn handle_events(&mut self, events: &mut [epoll::Event], now: Time) {
-        // What has ended goes first: a client that came back by another connection must find
-        // its former request gone.
+        // Ended connections are handled first: when a client reconnects and repeats its request,
+        // the former one must be closed already.
         let first = &self.net.first;
         events.sort_by_key(|event| {
             let flags = event.flags;
@@ -418,7 +418,7 @@
         }
     }
 
-    /// Adds opened connections and delivers posted messages, until none of either is left.
+    /// Adds opened connections and delivers posted messages until none are left.
     fn deliver_pending(&mut self) {
         loop {
             let now = self.net.now();
@@ -430,12 +430,12 @@
                 self.slots[index] = Some((token, connection));
                 self.with(token, now, |c, cx| {
                     if let Err(problem) = c.opened(cx) {
-                        tracing::warn!(%problem, "a connection could not be watched");
+                        tracing::warn!(%problem, "cannot register a connection");
                         cx.close();
                     }
                 });
             } else if let Some((token, message)) = self.net.posted.pop_front() {
-                if self.holds(token) {
+                if self.contains(token) {
                     self.with(token, now, |c, cx| c.deliver(cx, message));
                 } else {
                     self.world.undelivered(message, now);
@@ -446,22 +446,21 @@
         }
     }
 
-    /// Whether a token names a connection that is there.
-    fn holds(&self, token: Token) -> bool {
+    /// Whether the connection of a token exists.
+    fn contains(&self, token: Token) -> bool {
         let slot = self.slots.get(token.index as usize);
         slot.and_then(Option::as_ref)
-            .is_some_and(|(present, _)| *present == token)
+            .is_some_and(|(current, _)| *current == token)
     }
 
-    /// Calls a connection back, if the token still names it: an event of one that is gone is
-    /// dropped.
+    /// Calls `call` with a connection. Does nothing if the connection no longer exists.
     fn with(
         &mut self,
         token: Token,
         now: Time,
         call: impl FnOnce(&mut dyn Connection<W>, &mut Context<'_, W>),
     ) {
-        if !self.holds(token) {
+        if !self.contains(token) {
             return;
         }
         let Some((_, mut connection)) = self.slots[token.index as usize].take() else {
--- a/bitternsill/src/net/reactor/tests.rs
+++ b/bitternsill/src/net/reactor/tests.rs
@@ -1,10 +1,10 @@
-//! The loop's own bookkeeping: stalls, and slots that are used again.
+//! Tests of stall detection and of the reuse of connection slots.
 
 use super::*;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A world that ends after some turns.
+/// A world that ends after a number of turns and records undelivered messages.
 struct Turns(u32, Rc<RefCell<Vec<String>>>);
 
 impl World for Turns {
@@ -19,7 +19,7 @@
     }
 
     fn undelivered(&mut self, message: &'static str, _now: Time) {
-        self.1.borrow_mut().push(format!("nobody hears {message}"));
+        self.1.borrow_mut().push(format!("undelivered: {message}"));
     }
 
     fn finished(&self, _now: Time) -> bool {
@@ -27,9 +27,9 @@
     }
 }
 
-struct Ear(Rc<RefCell<Vec<String>>>, &'static str);
+struct Recorder(Rc<RefCell<Vec<String>>>, &'static str);
 
-impl Connection<Turns> for Ear {
+impl Connection<Turns> for Recorder {
     fn opened(&mut self, _cx: &mut Context<'_, Turns>) -> io::Result<()> {
         Ok(())
     }
@@ -39,7 +39,7 @@
     fn deliver(&mut self, cx: &mut Context<'_, Turns>, message: &'static str) {
         self.0
             .borrow_mut()
-            .push(format!("{} hears {message}", self.1));
+            .push(format!("{} received {message}", self.1));
         if message == "close" {
             cx.set_timer(cx.now + 1);
             cx.close();
@@ -54,10 +54,9 @@
 #[test]
 fn stall_applies_to_three_rounds() {
     let (mut stalls, stall) = (Stalls::default(), 12 * STALL_THRESHOLD);
-    let mut round = |asleep, now| stalls.since(asleep, now);
+    let mut round = |last_poll, now| stalls.since(last_poll, now);
     assert_eq!(round(0, 5), 5, "no stall");
-    // Seen in a round of other events; the listener's come in the next, the bytes in the one behind
-    // that.
+    // The stalled round handles other events; the next one accepts, and the one after that reads.
     let times = [stall + 5, stall + 6, stall + 7, stall + 8];
     let seen = [
         (5, times[0]),
@@ -66,26 +65,26 @@
         (times[2], times[3]),
     ];
     assert_eq!(
-        seen.map(|(asleep, now)| round(asleep, now)),
+        seen.map(|(last_poll, now)| round(last_poll, now)),
         [5, 5, 5, times[3]]
     );
 }
 
 #[test]
 fn stale_token_does_not_reach_new_connection() {
-    let heard = Rc::new(RefCell::new(Vec::new()));
-    let mut reactor = Reactor::new(Turns(3, heard.clone()), Clock::start()).unwrap();
+    let records = Rc::new(RefCell::new(Vec::new()));
+    let mut reactor = Reactor::new(Turns(3, records.clone()), Clock::start()).unwrap();
     let first = reactor
         .parts()
         .0
-        .open(Box::new(Ear(heard.clone(), "first")));
+        .open(Box::new(Recorder(records.clone(), "first")));
     reactor.parts().0.post(first, "close");
     reactor.run().unwrap();
     reactor.parts().1.0 = 3;
     let second = reactor
         .parts()
         .0
-        .open(Box::new(Ear(heard.clone(), "second")));
+        .open(Box::new(Recorder(records.clone(), "second")));
     assert_eq!(
         (first.index, second.index),
         (0, 0),
@@ -95,7 +94,11 @@
     reactor.parts().0.post(second, "now");
     reactor.run().unwrap();
     assert_eq!(
-        *heard.borrow(),
-        ["first hears close", "nobody hears late", "second hears now"]
+        *records.borrow(),
+        [
+            "first received close",
+            "undelivered: late",
+            "second received now"
+        ]
     );
 }
--- a/bitternsill/src/net/stream.rs
+++ b/bitternsill/src/net/stream.rs
@@ -1,31 +1,31 @@
-//! Sockets that never block, with a buffer for what could not be written yet.
+//! Non-blocking sockets with an output buffer.
 
 use super::{Net, Ready, Token, World};
 use rustix::net::{AddressFamily, SocketFlags, SocketType, sockopt};
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 
-/// How a read ended.
+/// The state of the input after a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Input {
-    /// More may come.
+    /// More bytes may arrive.
     Open,
-    /// The other side has sent its last byte.
+    /// The peer has closed its output.
     Ended,
 }
 
-/// How a connection attempt stands.
+/// The state of a connection attempt.
 #[derive(Debug)]
 pub enum Attempt {
-    /// The other side has not answered.
+    /// The peer has not answered.
     Pending,
-    /// The connection is there.
+    /// The connection is established.
     Up,
-    /// There will be none.
+    /// The attempt failed.
     Failed(io::Error),
 }
 
-/// A connected (or connecting) socket and its unwritten bytes.
+/// A connected or connecting socket with its unwritten bytes.
 pub struct Stream {
     socket: TcpStream,
     outgoing: Vec<u8>,
@@ -34,7 +34,7 @@
 }
 
 impl Stream {
-    /// Wraps a socket that does not block.
+    /// Wraps a non-blocking socket.
     pub fn new(socket: TcpStream) -> Self {
         Stream {
             socket,
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Reads what is there, up to `most` bytes.
-    pub fn read(&mut self, into: &mut Vec<u8>, most: usize) -> io::Result<Input> {
+    /// Reads available bytes until at least `max_bytes` are read; may exceed that by one chunk.
+    pub fn read(&mut self, into: &mut Vec<u8>, max_bytes: usize) -> io::Result<Input> {
         let mut chunk = [0; 8192];
         let mut total = 0;
-        while total < most {
+        while total < max_bytes {
             match self.socket.read(&mut chunk) {
                 Ok(0) => return Ok(Input::Ended),
                 Ok(n) => {
@@ -63,11 +63,11 @@
         Ok(Input::Open)
     }
 
-    /// Reads what is there and drops it, up to `most` bytes; says how much that was.
-    pub fn discard(&mut self, most: usize) -> io::Result<(usize, Input)> {
+    /// Like [`Self::read`], but drops the bytes and returns their number.
+    pub fn discard(&mut self, max_bytes: usize) -> io::Result<(usize, Input)> {
         let mut chunk = [0; 32 << 10];
         let mut total = 0;
-        while total < most {
+        while total < max_bytes {
             match self.socket.read(&mut chunk) {
                 Ok(0) => return Ok((total, Input::Ended)),
                 Ok(n) => total += n,
@@ -79,17 +79,17 @@
         Ok((total, Input::Open))
     }
 
-    /// Adds bytes to what is to be written.
+    /// Appends bytes to the output buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.outgoing.extend_from_slice(bytes);
     }
 
-    /// Bytes not yet handed to the system.
+    /// The number of bytes not yet written to the socket.
     pub fn unwritten(&self) -> usize {
         self.outgoing.len() - self.written
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much as the socket accepts.
     pub fn flush(&mut self) -> io::Result<()> {
         while self.written < self.outgoing.len() {
             match self.socket.write(&self.outgoing[self.written..]) {
@@ -102,12 +102,12 @@
         }
         self.outgoing.clear();
         self.written = 0;
-        // One large answer must not pin its buffer for the life of the connection.
+        // Release the memory of a large answer, as the connection may stay open for long.
         self.outgoing.shrink_to(16 << 10);
         Ok(())
     }
 
-    /// Registers the socket, or changes what it is watched for, if that differs.
+    /// Registers the socket, or changes the events that it is registered for.
     pub fn arm<W: World>(&mut self, net: &Net<W>, token: Token, ready: Ready) -> io::Result<()> {
         match self.armed {
             Some(armed) if armed == ready => return Ok(()),
@@ -118,8 +118,8 @@
         Ok(())
     }
 
-    /// Writes what the socket takes and watches it for this, and for room for what is left; says
-    /// whether anything is.
+    /// Flushes the output and registers for `ready`, and for writability if output is left. Returns
+    /// whether output is left.
     pub fn flush_and_arm<W: World>(
         &mut self,
         net: &Net<W>,
@@ -132,7 +132,7 @@
         Ok(pending)
     }
 
-    /// How a connection attempt stands.
+    /// The state of the connection attempt.
     pub fn attempt(&self) -> Attempt {
         match self.socket.take_error().unwrap_or_else(Some) {
             Some(problem) => Attempt::Failed(problem),
@@ -141,14 +141,14 @@
         }
     }
 
-    /// Says that nothing more will be written.
+    /// Closes the output direction.
     pub fn end_output(&self) {
-        // Fails only where the connection is gone already.
+        // Fails only if the connection is already closed.
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 }
 
-/// Begins to connect; the socket becomes writable when that has ended.
+/// Starts to connect; the socket becomes writable when the attempt has ended.
 pub fn connect(to: SocketAddr) -> io::Result<Stream> {
     let family = if to.is_ipv4() {
         AddressFamily::INET
@@ -177,16 +177,16 @@
     Ok(TcpListener::from(socket))
 }
 
-/// A listening socket that does not block. One that is shared can be bound again by another process
-/// of this user, and the system deals connections out among them.
+/// Creates a non-blocking listening socket. A `shared` address can be bound by another process of
+/// the same user, too, and the kernel distributes connections among them.
 pub fn listen(on: SocketAddr, shared: bool) -> io::Result<TcpListener> {
-    // The standard library sets SO_REUSEADDR, so a restart finds its address free.
+    // The standard library sets SO_REUSEADDR, so the address can be bound at once after a restart.
     let listener = if shared {
         bind_shared(on)?
     } else {
         TcpListener::bind(on)?
     };
-    // A request in the backlog counts as taken, but a short backlog turns clients away in a burst.
+    // The shutdown accepts the whole backlog, but with a short one clients are refused in a burst.
     rustix::net::listen(&listener, 4096)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
