--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -1,4 +1,4 @@
-//! The protocols of clients, index hosts and discovery, and the state that all connections share.
+//! The protocols of clients, index hosts and discovery, and the state shared by all connections.
 
 pub mod arrivals;
 pub mod catalogue;
@@ -36,49 +36,49 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Why a gatherer can't take other settings while it runs.
+/// Why new settings cannot be applied at run time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ReconfigureError {
-    /// Open queries are still of former classes, and there are too many classes together.
+    /// The new classes and the former classes of open queries exceed the limit.
     #[error("more classes at once than {0}")]
     TooManyClasses(usize),
 }
 
-/// What all connections share.
+/// The state shared by all connections.
 pub struct Gatherer {
-    /// Queries and decisions.
+    /// The queries and the dispatcher.
     pub core: Core,
     /// The index hosts and the connections to them.
     pub hosts: HostTable,
-    /// The clients' connections.
+    /// The client connections.
     pub clients: ClientTable,
-    /// Every bound.
+    /// The program's limits.
     pub limits: Rc<Limits>,
-    /// How far the shutdown has come.
+    /// The phase of the shutdown.
     pub phase: Phase,
-    /// The connection that speaks with discovery, where there is one.
+    /// The connection to discovery, if there is one.
     pub directory: Option<Token>,
-    /// When to report ready at the latest; `None` once the list has come.
+    /// When to stop waiting for the first endpoint list; `None` once a list has arrived.
     pub ready_deadline: Option<Time>,
     /// The listeners.
     pub listeners: Vec<Token>,
-    /// What operators have requested.
+    /// The requests of operators.
     pub orders: Orders,
-    /// Shutting down while another process serves the same address.
+    /// Whether another process serves the same address during the shutdown.
     pub has_successor: bool,
-    /// The store, off the request path; absent once its file has failed.
+    /// The store, which is not on the request path; `None` once its file has failed.
     pub store_service: Option<StoreService>,
-    /// What is learned, where it is kept.
-    pub keeper: Option<LearnedState>,
-    /// The return after a start, where an operator's file asks for it.
+    /// The persisted estimates, if they are configured.
+    pub learned_state: Option<LearnedState>,
+    /// The recovery after a start, if an operator's file configures it.
     pub returning: Option<RecoveryService>,
-    /// Which version it acts on, where the store has these.
+    /// The active configuration version, if versions are kept in the store.
     pub versions: Option<Versions>,
     /// When the program started.
     pub started: Time,
     /// Requests that were rejected before they became queries.
     pub rejections: Rejections,
-    /// What was last logged that clients wait for.
+    /// The last logged reason for not being ready.
     pub last_reported_wait: Option<Wait>,
 }
 
@@ -88,7 +88,7 @@
         self.waiting_for(now).is_none()
     }
 
-    /// What keeps clients from being sent here.
+    /// Why clients should not be sent here; `None` if the gatherer is ready.
     pub fn waiting_for(&self, now: Time) -> Option<Wait> {
         if self.phase != Phase::Serving {
             Some(Wait::Ending)
@@ -116,23 +116,23 @@
         }
     }
 
-    /// Logs what clients wait for whenever that has changed.
-    fn log_wait(&mut self, now: Time) {
-        let waits = self.waiting_for(now);
-        if waits == self.last_reported_wait {
+    /// Logs changes of readiness and of its reason.
+    fn log_readiness(&mut self, now: Time) {
+        let wait = self.waiting_for(now);
+        if wait == self.last_reported_wait {
             return;
         }
-        self.last_reported_wait = waits;
-        match waits {
-            None => tracing::info!(hosts = self.hosts.active(), "taking clients"),
-            Some(Wait::NoHost) => tracing::warn!("not taking clients: {}", Wait::NoHost),
-            Some(wait) => tracing::info!("not taking clients: {wait}"),
+        self.last_reported_wait = wait;
+        match wait {
+            None => tracing::info!(hosts = self.hosts.active(), "ready"),
+            Some(Wait::NoHost) => tracing::warn!("not ready: {}", Wait::NoHost),
+            Some(wait) => tracing::info!("not ready: {wait}"),
         }
     }
 
-    /// Counts a rejected request that is no query, and logs it at a limited rate.
-    pub fn reject_request(&mut self, why: &str, asked: &str, now: Time) {
-        if let Some(report) = self.rejections.record(why, asked, now, &self.limits) {
+    /// Counts a request that was rejected before it became a query, and logs it at a limited rate.
+    pub fn reject_request(&mut self, why: &str, request: &str, now: Time) {
+        if let Some(report) = self.rejections.record(why, request, now, &self.limits) {
             tracing::warn!(
                 why = report.why,
                 count = report.new,
@@ -142,17 +142,19 @@
         }
     }
 
-    /// Whether answers close their connections.
+    /// Whether connections are closed after their next answer.
     pub fn closes_connections(&self, now: Time) -> bool {
         match self.phase {
             Phase::Serving => self.orders.drain.closes_after_answer(now),
-            Phase::Draining(until) => self.has_successor || until <= now + self.limits.farewell,
+            Phase::Draining(until) => {
+                self.has_successor || until <= now + self.limits.close_after_answer
+            }
             Phase::Finishing(_) | Phase::Done { .. } => true,
         }
     }
 
-    /// How many connections clients may have: both processes of an upgrade stand under one limit of
-    /// descriptors.
+    /// The maximum number of client connections. During an upgrade both processes share one limit
+    /// of descriptors.
     pub fn max_clients(&self) -> usize {
         if self.orders.has_successor() {
             self.limits.clients / 2
@@ -161,34 +163,34 @@
         }
     }
 
-    /// Takes over new settings, or leaves everything as it was.
-    pub fn reconfigure(&mut self, fresh: NewSettings, now: Time) -> Result<(), ReconfigureError> {
+    /// Applies new settings; on an error nothing changes.
+    pub fn reconfigure(&mut self, new: NewSettings, now: Time) -> Result<(), ReconfigureError> {
         let NewSettings {
             settings,
             deployment,
             limits,
             connector,
-        } = fresh;
+        } = new;
         let fleet = Fleet {
             classes: deployment.classes.clone(),
             cells: settings.cells,
             reach: settings.replication_factor,
         };
-        let taken = self
+        let result = self
             .core
             .reconfigure(settings, deployment, limits.clone(), now);
-        taken.map_err(|_| ReconfigureError::TooManyClasses(limits.classes))?;
+        result.map_err(|_| ReconfigureError::TooManyClasses(limits.classes))?;
         self.core
             .update_endpoints(ListKind::Complete, self.hosts.entries());
         self.hosts.reconfigure(connector, limits.clone());
         self.limits = limits;
-        if let Some(keeper) = &mut self.keeper {
-            keeper.on_settings(fleet);
+        if let Some(learned_state) = &mut self.learned_state {
+            learned_state.on_settings(fleet);
         }
         Ok(())
     }
 
-    /// Applies the operators' exclusions to the index hosts.
+    /// Applies the hosts that operators have excluded.
     pub fn apply_exclusions(&mut self, net: &mut Net<Self>, now: Time) {
         let entries = self.hosts.set_excluded(
             self.orders
@@ -204,15 +206,15 @@
         }
     }
 
-    /// Begins the graceful shutdown; requests are still served for a while. Where another process
-    /// serves the address it gets every new connection from now on.
+    /// Starts the graceful shutdown, during which requests are still served for some time. If
+    /// another process serves the same address, that process gets all new connections from now on.
     pub fn begin_shutdown(&mut self, net: &mut Net<Self>, now: Time) {
         if self.phase == Phase::Serving {
             self.has_successor = self.orders.withdraw(now);
             tracing::info!(
-                open = self.core.open_queries(),
-                followed = self.has_successor,
-                "told to end"
+                open_queries = self.core.open_queries(),
+                has_successor = self.has_successor,
+                "shutdown requested"
             );
             self.phase = Phase::Draining(now + self.limits.keep_serving);
             if self.has_successor {
@@ -227,14 +229,14 @@
         }
     }
 
-    /// Records something in the store.
-    pub fn record(&mut self, what: &str, value: &str, net: &mut Net<Self>) {
+    /// Writes a value to the store.
+    pub fn record(&mut self, key: &str, value: &str, net: &mut Net<Self>) {
         if let Some(store_service) = &mut self.store_service {
-            store_service.record(what, value, net);
+            store_service.record(key, value, net);
         }
     }
 
-    /// Takes over an endpoint list from discovery: the complete one, or changes.
+    /// Applies an endpoint list from discovery, either complete or with changes only.
     pub fn update_endpoints(
         &mut self,
         is_complete: bool,
@@ -254,17 +256,18 @@
         self.on_endpoint_list(true, now);
     }
 
-    /// Stores the index hosts as they are known now.
+    /// Stores the current index hosts.
     pub fn record_members(&mut self, net: &mut Net<Self>) {
-        let known = self.hosts.to_json().to_string();
-        self.record("members", &known, net);
-        if let Some(keeper) = &mut self.keeper {
-            keeper.listed(&self.hosts);
-            keeper.apply_loaded(&mut self.core, &self.hosts, net.now());
+        let members = self.hosts.to_json().to_string();
+        self.record("members", &members, net);
+        if let Some(learned_state) = &mut self.learned_state {
+            learned_state.listed(&self.hosts);
+            learned_state.apply_loaded(&mut self.core, &self.hosts, net.now());
         }
     }
 
-    fn advance(&mut self, net: &mut Net<Self>, now: Time) {
+    /// Moves the shutdown to its next phase when that is due.
+    fn advance_shutdown(&mut self, net: &mut Net<Self>, now: Time) {
         match self.phase {
             Phase::Draining(until) if until <= now => {
                 let last = now
@@ -280,8 +283,8 @@
             }
             Phase::Finishing(until) => {
                 if until <= now {
-                    let mut desk = ConnectionPorts::new(&mut self.hosts, net, self.directory, now);
-                    self.core.fail_all(&mut desk);
+                    let mut ports = ConnectionPorts::new(&mut self.hosts, net, self.directory, now);
+                    self.core.fail_all(&mut ports);
                 }
                 if self.core.open_queries() == 0 {
                     self.phase = Phase::Done {
@@ -290,7 +293,8 @@
                     };
                 }
             }
-            // A client accepted at the last moment sends its request only now, and gets an answer.
+            // A client that was accepted last may send its request only now, and still gets an
+            // answer.
             Phase::Done { last, .. } if self.core.open_queries() > 0 => {
                 self.phase = Phase::Finishing(last)
             }
@@ -309,23 +313,23 @@
             Phase::Finishing(_) if self.core.open_queries() == 0 => Some(now),
             Phase::Finishing(until) => Some(until),
         };
-        let keeper = self.keeper.as_ref().map(LearnedState::due);
-        let waits = self
+        let learned_state = self.learned_state.as_ref().map(LearnedState::due);
+        let first_list = self
             .ready_deadline
             .filter(|_| self.last_reported_wait == Some(Wait::FirstList));
         let returning = self
             .returning
             .as_ref()
             .and_then(|returning| returning.recovery().due());
-        let noted = self.versions.as_ref().and_then(Versions::due);
+        let versions = self.versions.as_ref().and_then(Versions::due);
         [
             self.core.due(),
             phase,
-            keeper,
+            learned_state,
             self.orders.due(),
-            waits,
+            first_list,
             returning,
-            noted,
+            versions,
         ]
         .into_iter()
         .flatten()
@@ -334,9 +338,9 @@
 
     fn turn(&mut self, net: &mut Net<Self>, now: Time) {
         if self.core.due().is_some_and(|at| at <= now) {
-            let mut desk = ConnectionPorts::new(&mut self.hosts, net, self.directory, now);
-            self.core.turn(now, &mut desk);
-            let (unsent, unprobed) = (desk.unsent, desk.unprobed);
+            let mut ports = ConnectionPorts::new(&mut self.hosts, net, self.directory, now);
+            self.core.turn(now, &mut ports);
+            let (unsent, unprobed) = (ports.unsent, ports.unprobed);
             for attempt in unsent {
                 self.core
                     .attempt_ended(attempt, Outcome::ConnectFailed, now);
@@ -345,8 +349,8 @@
                 self.core.probe_ended(host, Outcome::ConnectFailed, now);
             }
         }
-        if let Some(keeper) = &mut self.keeper {
-            keeper.turn(&mut self.core, &self.hosts, now);
+        if let Some(learned_state) = &mut self.learned_state {
+            learned_state.turn(&mut self.core, &self.hosts, now);
         }
         if self.orders.poll(now) {
             self.apply_exclusions(net, now);
@@ -356,13 +360,13 @@
         }
         self.record_ends(net, now);
         self.advance_recovery(net, now);
-        self.advance(net, now);
-        self.log_wait(now);
+        self.advance_shutdown(net, now);
+        self.log_readiness(now);
     }
 
     fn undelivered(&mut self, message: Message, now: Time) {
-        // Not a byte of these was written; unreported, they would stay in flight until their
-        // time-out.
+        // The connection is gone and no byte of these parts was written. Without an end their
+        // attempts would stay in flight until they time out.
         if let Message::Call(parts) = message {
             for part in parts {
                 self.hosts.forget_attempt(part.id);
--- a/bitternsill/src/front/arrivals.rs
+++ b/bitternsill/src/front/arrivals.rs
@@ -1,11 +1,12 @@
-//! When the bytes arrived that are still to be parsed: the client of a pipelined request has waited
-//! since then, not since the request before it was answered.
+//! Tracks when unparsed bytes arrived. The waiting time of a pipelined request counts from its
+//! arrival, not from the answer to the request before it.
 
 use dispatch::interface::Time;
 use std::collections::VecDeque;
 
-/// Nanoseconds within which reads count as one arrival, at the time of the first.
-const COALESCED_WITHIN: Time = 5_000_000;
+/// Reads within this time of the first, in nanoseconds, count as one arrival at the time of the
+/// first.
+const COALESCE_WINDOW: Time = 5_000_000;
 
 /// The times at which one connection's bytes were read.
 #[derive(Debug, Default)]
@@ -17,17 +18,17 @@
 }
 
 impl Arrivals {
-    /// Records a read of so many bytes, which may have arrived at this time.
+    /// Records a read of `bytes` bytes that may have arrived at `at` at the earliest.
     pub fn read(&mut self, bytes: usize, at: Time) {
         self.read += bytes as u64;
         match self.offsets.back_mut() {
             _ if bytes == 0 => {}
-            Some((end, last)) if at < *last + COALESCED_WITHIN => *end = self.read,
+            Some((end, last)) if at < *last + COALESCE_WINDOW => *end = self.read,
             _ => self.offsets.push_back((self.read, at)),
         }
     }
 
-    /// Forgets the last bytes that were read, as they are not stored.
+    /// Removes the last `bytes` bytes read, which the connection dropped unparsed.
     pub fn dropped(&mut self, bytes: usize) {
         self.read -= bytes as u64;
         while self.offsets.len() > 1 && self.offsets[self.offsets.len() - 2].0 >= self.read {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Advances past parsed bytes. Returns when the last of these arrived, if that is known.
+    /// Advances past parsed bytes. Returns when the last of them arrived, if known.
     pub fn parsed(&mut self, bytes: usize) -> Option<Time> {
         self.parsed += bytes as u64;
         while self
--- a/bitternsill/src/front/catalogue.rs
+++ b/bitternsill/src/front/catalogue.rs
@@ -168,18 +168,18 @@
     Bounds {
         floor,
         per_part: limits.part_records,
-        page: limits.records as u64,
+        page: limits.page_records as u64,
         reach: limits.sorted_reach,
-        rounds: limits.rounds,
+        rounds: limits.operation_rounds,
     }
 }
 
 /// What bounds an SRU request.
 pub fn request_bounds(limits: &Limits) -> RequestBounds {
     RequestBounds {
-        depth: limits.depth,
-        page: limits.records as u64,
-        terms: limits.terms,
+        depth: limits.query_depth,
+        page: limits.page_records as u64,
+        terms: limits.scan_terms,
         sort_keys: limits.sort_keys,
         facet_values: limits.facets.1,
         facets: limits.facets.0,
--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -94,10 +94,10 @@
 fn host_bounds(limits: &Limits) -> HostBounds {
     HostBounds {
         local_sort: limits.local_sort,
-        message: limits.host_message / 2,
+        message: limits.host_message_bytes / 2,
         named_sets: limits.host_sets.0,
         set_age: limits.host_sets.1,
-        exchanges: limits.exchanges,
+        exchanges: limits.part_exchanges,
     }
 }
 
--- a/bitternsill/src/front/catalogue/sru.rs
+++ b/bitternsill/src/front/catalogue/sru.rs
@@ -297,7 +297,7 @@
         let begun = match request {
             Request::Explain => {
                 let host = head.get("Host").unwrap_or_default();
-                return Handled::Done(self.explain(&form, host, cx.world.limits.records));
+                return Handled::Done(self.explain(&form, host, cx.world.limits.page_records));
             }
             Request::Search(asked) => self.search(&form, asked, cx.now),
             Request::Scan(asked) => self.scan(&asked),
--- a/bitternsill/src/front/catalogue/sru_host.rs
+++ b/bitternsill/src/front/catalogue/sru_host.rs
@@ -95,7 +95,7 @@
         }
         let reader = self
             .reader
-            .get_or_insert_with(|| Reader::responses(limits.head_bytes, limits.host_message));
+            .get_or_insert_with(|| Reader::responses(limits.head_bytes, limits.host_message_bytes));
         match reader.read(input) {
             Ok(Progress::More) => Ok(None),
             Ok(Progress::Whole) => {
--- a/bitternsill/src/front/catalogue/z3950_host.rs
+++ b/bitternsill/src/front/catalogue/z3950_host.rs
@@ -50,7 +50,7 @@
         limits: &Limits,
         now: Time,
     ) -> Result<Option<HostEvent>, Nonsense> {
-        match ber::read(input, limits.host_message, limits.ber_depth) {
+        match ber::read(input, limits.host_message_bytes, limits.ber_depth) {
             Ok(Some(unit)) => self
                 .session
                 .receive(&unit, &self.bounds, learned, now)
--- a/bitternsill/src/front/clients.rs
+++ b/bitternsill/src/front/clients.rs
@@ -1,5 +1,5 @@
-//! The table of client connections, whatever protocol they use: how many there are, and which one
-//! to evict for a new one.
+//! The table of client connections of all protocols, which selects connections to evict when it is
+//! full.
 
 use super::{Gatherer, Message};
 use crate::admin::drain::Sweep;
@@ -8,58 +8,58 @@
 use dispatch::interface::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a connection without a request in flight is doing, in the order of eviction.
+/// The state of a connection without a request in flight, in the order of eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum IdleState {
-    /// It has never sent anything. Many of these come, and closing one does no harm.
+    /// Nothing was received yet. These are frequent, and closing one does no harm.
     Unused,
-    /// It has sent a part of a request. Well-behaved clients send all of it at once.
+    /// A request was received in part. Well-behaved clients send it at once.
     Partial,
-    /// It has sent one request. Many send one and stay connected.
+    /// One request was received. Many clients send one and stay connected.
     SingleRequest,
-    /// It has sent more than one request, and is likely to send another.
+    /// Several requests were received, so another is likely.
     Idle,
 }
 
-/// Whether a connection could be evicted for a new one.
+/// The result of an attempt to evict a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eviction {
-    /// A connection was asked to close.
+    /// A connection is being closed.
     Started,
-    /// One will have been idle for long enough soon.
+    /// No connection has been idle for long enough, but one soon will.
     Soon,
-    /// All are busy.
+    /// All connections are busy.
     None,
 }
 
-/// Every client connection, and since when those without a request have been idle.
+/// All client connections, with the idle time of those without a request in flight.
 #[derive(Debug, Default)]
 pub struct ClientTable {
     open: BTreeMap<Token, Option<(IdleState, Time)>>,
     idle: BTreeSet<(IdleState, Time, Token)>,
-    /// How many there are of each kind.
+    /// The number of connections in each idle state.
     counts: [usize; 4],
 }
 
 impl ClientTable {
-    /// A connection was accepted.
+    /// Adds an accepted connection.
     pub fn add(&mut self, token: Token, now: Time) {
         self.open.insert(token, None);
         self.set_idle_state(token, Some((IdleState::Unused, now)));
     }
 
-    /// A connection ended.
+    /// Removes a closed connection.
     pub fn remove(&mut self, token: Token) {
         self.set_idle_state(token, None);
         self.open.remove(&token);
     }
 
-    /// A connection has a request.
+    /// Marks a connection as having a request in flight.
     pub fn set_busy(&mut self, token: Token) {
         self.set_idle_state(token, None);
     }
 
-    /// A connection has been idle since this time, after so many requests.
+    /// Marks a connection as idle since `since`, after `requests` requests.
     pub fn set_idle(&mut self, token: Token, since: Time, requests: u32) {
         let state = if requests > 1 {
             IdleState::Idle
@@ -69,7 +69,7 @@
         self.set_idle_state(token, Some((state, since)));
     }
 
-    /// A connection has sent a part of a request.
+    /// Marks a connection as having sent a request in part.
     pub fn set_partial(&mut self, token: Token, since: Time) {
         self.set_idle_state(token, Some((IdleState::Partial, since)));
     }
@@ -88,23 +88,23 @@
         self.idle.extend(state.map(|(kind, at)| (kind, at, token)));
     }
 
-    /// How many there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// True where none is left.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// All of them.
+    /// The tokens of all connections.
     pub fn tokens(&self) -> Vec<Token> {
         self.open.keys().copied().collect()
     }
 
-    /// Closes the connections that have been idle since then, and those with a request received in
-    /// part where the sweep says so.
+    /// Closes the connections that became idle at or before the time in `sweep`; those with a
+    /// partial request only if `sweep` includes them.
     pub fn sweep(&self, net: &mut Net<Gatherer>, sweep: Sweep) {
         for &(state, since, token) in &self.idle {
             let partial = state == IdleState::Partial;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The connection that has been in a state longest, and since when.
+    /// The connection that has been in a state longest, with the time it entered the state.
     fn longest(&self, state: IdleState) -> Option<(Time, Token)> {
         let first = self.idle.range((state, 0, Token::from_bits(0))..).next();
         first
@@ -129,10 +129,10 @@
             .map(|&(_, at, token)| (at, token))
     }
 
-    /// Evicts some connections where too many have sent one request and stayed: clients may have
-    /// only so many connections, and these would use them up long before the table is full.
+    /// Evicts idle connections with a single request if there are too many of them. Clients share a
+    /// limited number of connections, and these would exhaust it long before this table is full.
     pub fn evict_single_request(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) {
-        // Two at most, for each that comes.
+        // Two evictions for each new idle connection reduce the excess step by step.
         for _ in 0..2 {
             let oldest = self
                 .longest(IdleState::SingleRequest)
@@ -147,10 +147,10 @@
         }
     }
 
-    /// Evicts a connection: of the first state in the order of eviction the one that has been in it
-    /// longest. One that entered the state only just now is left alone, as it may send more at
-    /// once; where many are in that state one will soon be old enough, which spares the later
-    /// states.
+    /// Evicts the connection that has been longest in the first state in the order of eviction. A
+    /// connection that entered its state recently may be about to send more, so it is kept for a
+    /// grace period. If at least an eighth of all connections are in that state, one of them will
+    /// be past its grace period soon, so no connection in a later state is evicted.
     pub fn evict_one(&mut self, net: &mut Net<Gatherer>, now: Time, limits: &Limits) -> Eviction {
         let kinds = [
             (IdleState::Unused, limits.unused_grace),
--- a/bitternsill/src/front/connection_ports.rs
+++ b/bitternsill/src/front/connection_ports.rs
@@ -1,4 +1,4 @@
-//! The core's ports on connections of the event loop.
+//! Implements the core's ports with the connections of the event loop.
 
 use super::hosts::HostTable;
 use super::{Gatherer, Message};
@@ -6,13 +6,13 @@
 use crate::net::{Net, Token};
 use dispatch::interface::{ServerId, Time};
 
-/// Executes what the core decides: finds the connection and posts a message to it.
+/// Finds the connection for each action of the core and posts a message to it.
 pub(super) struct ConnectionPorts<'a> {
     pub(super) hosts: &'a mut HostTable,
     pub(super) net: &'a mut Net<Gatherer>,
     pub(super) directory: Option<Token>,
     pub(super) now: Time,
-    /// Attempts for which no connection could be had.
+    /// Attempts for which there was no connection.
     pub(super) unsent: Vec<AttemptId>,
     /// Hosts that could not be probed.
     pub(super) unprobed: Vec<ServerId>,
--- a/bitternsill/src/front/hosts.rs
+++ b/bitternsill/src/front/hosts.rs
@@ -1,5 +1,5 @@
-//! The table of index hosts: their addresses, their status by discovery, and the connections to
-//! each.
+//! The table of index hosts, with their addresses, their status in discovery and the connections to
+//! them.
 
 use super::{Gatherer, Message};
 use crate::core::ports::{AttemptId, Outgoing};
@@ -13,9 +13,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Opens connections in the protocol that an index host speaks.
+/// Opens connections in the protocol of the index hosts.
 pub trait Connector {
-    /// Begins to connect. The connection reports to the table and the core how that ends.
+    /// Starts to connect. The connection reports the result to the table and the core.
     fn connect(
         &self,
         host: ServerId,
@@ -26,24 +26,26 @@
     /// The capacity of one connection, in units of [`Connector::call_cost`].
     fn connection_capacity(&self) -> usize;
 
-    /// How much of that a call of so many parts uses.
+    /// The capacity that a call with this number of parts uses.
     fn call_cost(&self, _parts: usize) -> usize {
         1
     }
 
-    /// Which connection carries the next call, by its cost and how much of each connection is used:
-    /// one with capacity, else a new one, else the least busy.
+    /// Selects the connection for a call by its cost and by the used capacity of each connection:
+    /// the least used one if it has capacity left or there are `max_links` already, else a new one.
     fn choose(
         &self,
         _host: ServerId,
-        call: usize,
-        taken: &[usize],
-        most: usize,
+        cost: usize,
+        used: &[usize],
+        max_links: usize,
         _now: Time,
     ) -> Choice {
-        match taken.iter().enumerate().min_by_key(|(_, n)| **n) {
+        match used.iter().enumerate().min_by_key(|(_, n)| **n) {
             Some((at, n))
-                if *n == 0 || *n + call <= self.connection_capacity() || taken.len() >= most =>
+                if *n == 0
+                    || *n + cost <= self.connection_capacity()
+                    || used.len() >= max_links =>
             {
                 Choice::Use(at)
             }
@@ -52,59 +54,60 @@
     }
 }
 
-/// Which connection carries the next call.
+/// The connection selected for a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// This one.
+    /// The connection with this index.
     Use(usize),
-    /// A new one.
+    /// A new connection.
     Open,
-    /// None: the host is not to be called now.
+    /// No connection, as the host must not be called now.
     None,
 }
 
-/// One host of the endpoint list, as discovery has it.
+/// A host in an endpoint list from discovery.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    /// The host's name; the same at every gatherer.
+    /// The host's name, which is the same at every gatherer.
     pub uid: String,
-    /// Where it listens; absent where a change only says that it was removed.
+    /// The host's address; may be absent in a change that removes the host.
     pub endpoint: Option<SocketAddr>,
-    /// The dispatcher's endpoint; its `server` is filled in by the table.
+    /// The entry for the dispatcher; the table fills in `server`.
     pub entry: Endpoint,
 }
 
 struct Link {
     token: Token,
-    /// How much of its capacity is used.
+    /// The used capacity.
     used: usize,
 }
 
 struct Host {
     uid: Arc<str>,
-    /// Its status by discovery, and whether operators have excluded it.
+    /// The entry for the dispatcher, with the host's status and whether operators excluded it.
     entry: Endpoint,
     endpoint: Option<SocketAddr>,
     draining_since: Option<Time>,
     links: Vec<Link>,
     attempts: BTreeMap<AttemptId, Token>,
-    /// Connections that became unresponsive since the host last sent anything.
+    /// The number of connections that became unresponsive since the host last sent anything.
     unresponsive: u32,
 }
 
-/// Every index host that any list has named.
+/// All index hosts that are in the endpoint list or still have connections or attempts.
 pub struct HostTable {
     connector: Box<dyn Connector>,
     limits: Rc<Limits>,
     ids: BTreeMap<String, ServerId>,
     hosts: BTreeMap<ServerId, Host>,
-    /// The excluded hosts, known or not: no endpoint list includes them again.
+    /// The names of excluded hosts. They stay excluded whatever endpoint lists say, and need not be
+    /// in the table.
     excluded: BTreeSet<String>,
     next: u32,
 }
 
 impl HostTable {
-    /// A table without hosts.
+    /// Creates a table without hosts.
     pub fn new(connector: Box<dyn Connector>, limits: Rc<Limits>) -> Self {
         HostTable {
             connector,
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Takes over new limits and a new connector.
+    /// Replaces the limits and the connector.
     pub fn reconfigure(&mut self, connector: Box<dyn Connector>, limits: Rc<Limits>) {
         (self.connector, self.limits) = (connector, limits);
     }
@@ -130,12 +133,12 @@
         present.map(|h| h.entry.clone()).collect()
     }
 
-    /// Whether any host takes work.
+    /// Whether any host is active.
     pub fn any_active(&self) -> bool {
         self.active() > 0
     }
 
-    /// How many take work.
+    /// The number of active hosts.
     pub fn active(&self) -> usize {
         self.hosts
             .values()
@@ -143,7 +146,7 @@
             .count()
     }
 
-    /// The hosts that were not removed, in the form that the store keeps.
+    /// The hosts that were not removed, in the format of the store.
     pub fn to_json(&self) -> Json {
         let host = |(uid, id): (&String, &ServerId)| {
             let host = self
@@ -170,19 +173,19 @@
         present.map(|(id, host)| (&*host.uid, *id, host.entry.started_at))
     }
 
-    /// The number of a host that is known.
+    /// The id of a host, if it is in the table.
     pub fn id_of(&self, uid: &str) -> Option<ServerId> {
         self.ids.get(uid).copied()
     }
 
-    /// The name and the start of a host.
+    /// The name and the start time of a host.
     pub fn name_of(&self, id: ServerId) -> Option<(&Arc<str>, Time)> {
         self.hosts
             .get(&id)
             .map(|host| (&host.uid, host.entry.started_at))
     }
 
-    /// Applies an endpoint list and returns the dispatcher's entries.
+    /// Applies an endpoint list and returns the entries for the dispatcher.
     pub fn update(
         &mut self,
         kind: ListKind,
@@ -194,7 +197,10 @@
         let mut listed = Vec::new();
         for mut member in members {
             let Some(id) = self.id(&member.uid) else {
-                tracing::warn!(uid = member.uid, "more index hosts than the table holds");
+                tracing::warn!(
+                    uid = member.uid,
+                    "index host ignored: the table is full or the name is too long"
+                );
                 continue;
             };
             listed.push(id);
@@ -215,7 +221,8 @@
             let host = self.hosts.entry(id).or_insert(new);
             if member.endpoint.is_some() && host.endpoint != member.endpoint {
                 host.endpoint = member.endpoint;
-                // Connections to a former address end by themselves; new calls must not use them.
+                // Connections to the former address finish their calls; new calls must not use
+                // them.
                 for link in host.links.drain(..) {
                     net.post(link.token, Message::HostDraining);
                 }
@@ -236,7 +243,8 @@
         entries
     }
 
-    /// Excludes exactly these hosts, and returns the dispatcher's entries of those that changed.
+    /// Replaces the set of excluded hosts, and returns the dispatcher's entries of hosts that
+    /// changed.
     pub fn set_excluded(
         &mut self,
         excluded: BTreeSet<String>,
@@ -268,8 +276,8 @@
         Some(id)
     }
 
-    /// Drops removed hosts without connections or attempts: hosts are replaced under new ids for as
-    /// long as this runs.
+    /// Drops removed hosts without connections or attempts. Without this the table would fill up,
+    /// as replaced hosts get new names.
     fn remove_gone(&mut self) {
         let is_used = |h: &Host| {
             h.entry.status != ServerStatus::Removed || !h.links.is_empty() || !h.attempts.is_empty()
@@ -278,11 +286,11 @@
         self.ids.retain(|_, id| self.hosts.contains_key(id));
     }
 
-    /// Sends the parts of one call.
+    /// Sends parts to a host in one call.
     ///
     /// # Errors
     ///
-    /// Returns the parts where no connection can be had.
+    /// Returns the parts if the host must not be called or there is no connection.
     pub fn call(
         &mut self,
         id: ServerId,
@@ -297,11 +305,11 @@
             return Err(parts);
         }
         let cost = self.connector.call_cost(parts.len());
-        let most = self.max_links(id, net);
+        let max_links = self.max_links(id, net);
         let Some(host) = self.hosts.get_mut(&id) else {
             return Err(parts);
         };
-        let Some(token) = host.link(id, cost, self.connector.as_ref(), most, net, now) else {
+        let Some(token) = host.link(id, cost, self.connector.as_ref(), max_links, net, now) else {
             return Err(parts);
         };
         for part in &parts {
@@ -314,7 +322,7 @@
         Ok(())
     }
 
-    /// Has the connection that carries an attempt cancel it.
+    /// Cancels an attempt on the connection that carries it.
     pub fn cancel(&mut self, id: ServerId, attempt: AttemptId, net: &mut Net<Gatherer>) {
         if let Some(token) = self
             .hosts
@@ -325,7 +333,7 @@
         }
     }
 
-    /// Sends a probe; false where no connection can be had.
+    /// Sends a probe. Returns false if the host is draining or there is no connection.
     pub fn probe(&mut self, id: ServerId, net: &mut Net<Gatherer>, now: Time) -> bool {
         if self
             .hosts
@@ -334,16 +342,17 @@
         {
             return false;
         }
-        let most = self.max_links(id, net);
+        let max_links = self.max_links(id, net);
         let Some(host) = self.hosts.get_mut(&id) else {
             return false;
         };
-        let token = host.link(id, 1, self.connector.as_ref(), most, net, now);
+        let token = host.link(id, 1, self.connector.as_ref(), max_links, net, now);
         token.map(|token| net.post(token, Message::Probe)).is_some()
     }
 
-    /// How many connections a host may have now. Where the limit for all hosts is reached, no more
-    /// than it has; for a host without any an unused connection to another host is closed.
+    /// The number of connections that a host may have now. Once the limit for all hosts is reached
+    /// a host gets no further ones, except that a host without any may open one; an idle connection
+    /// to another host is closed for it.
     fn max_links(&mut self, id: ServerId, net: &mut Net<Gatherer>) -> usize {
         let open: usize = self.hosts.values().map(|host| host.links.len()).sum();
         if open < self.limits.host_links {
@@ -362,12 +371,12 @@
         own.max(1)
     }
 
-    /// Closes the connections to a host that carry nothing.
+    /// Closes the idle connections to a host.
     pub fn close_idle(&mut self, id: ServerId, net: &mut Net<Gatherer>) {
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
-        // They are out of the table at once, so that the call that follows opens a new one.
+        // Remove them from the table at once, so that the next call opens a new connection.
         host.links.retain(|link| {
             let idle = link.used == 0;
             if idle {
@@ -377,21 +386,21 @@
         });
     }
 
-    /// An attempt has ended on its connection.
+    /// Removes an attempt that ended on its connection.
     pub fn attempt_ended(&mut self, id: ServerId, attempt: AttemptId) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.attempts.remove(&attempt);
         }
     }
 
-    /// An attempt has ended on a connection that is gone, at whichever host.
+    /// Removes an attempt whose connection, and so whose host, is no longer known.
     pub fn forget_attempt(&mut self, attempt: AttemptId) {
         for host in self.hosts.values_mut() {
             host.attempts.remove(&attempt);
         }
     }
 
-    /// A call of this cost has ended on a connection.
+    /// Releases the capacity of an ended call.
     pub fn release_capacity(&mut self, id: ServerId, token: Token, cost: usize) {
         let links = self.hosts.get_mut(&id).map(|h| &mut h.links);
         if let Some(link) = links.and_then(|links| links.iter_mut().find(|l| l.token == token)) {
@@ -399,13 +408,14 @@
         }
     }
 
-    /// After which time a connection to a host counts as unresponsive. Where its connections become
-    /// unresponsive one after the other it is the host that is slow, so the time doubles with each.
+    /// The time without input after which a connection to a host counts as unresponsive. If one
+    /// connection after the other becomes unresponsive, the host itself is slow, so the time
+    /// doubles with each, up to 16 times.
     pub fn unresponsive_after(&self, id: ServerId) -> Time {
         self.limits.link_unresponsive << self.hosts.get(&id).map_or(0, |h| h.unresponsive.min(4))
     }
 
-    /// A connection has become unresponsive, or (`false`) something was received on it.
+    /// Counts an unresponsive connection, or with `false` resets the count after input.
     pub fn set_unresponsive(&mut self, id: ServerId, unresponsive: bool) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.unresponsive = if unresponsive {
@@ -416,7 +426,7 @@
         }
     }
 
-    /// A connection is to take no more calls, or has ended.
+    /// Removes a connection that has ended or accepts no more calls.
     pub fn link_ended(&mut self, id: ServerId, token: Token) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.links.retain(|l| l.token != token);
@@ -425,7 +435,7 @@
 }
 
 impl Host {
-    /// Applies the status by discovery and the operators' exclusion, the stricter of the two.
+    /// Applies the stricter of the status from discovery and the exclusion by operators.
     fn apply_status(&mut self, net: &mut Net<Gatherer>, now: Time) {
         if self.entry.status == ServerStatus::Ready && !self.entry.excluded {
             self.draining_since = None;
@@ -437,18 +447,19 @@
         }
     }
 
-    /// The connection for the next call: one with room, else a new one, else the least busy.
+    /// Returns the connection that the connector selects for a call, opening it if necessary. If
+    /// that fails, returns the least used connection.
     fn link(
         &mut self,
         id: ServerId,
         cost: usize,
         connector: &dyn Connector,
-        most: usize,
+        max_links: usize,
         net: &mut Net<Gatherer>,
         now: Time,
     ) -> Option<Token> {
-        let taken: Vec<usize> = self.links.iter().map(|l| l.used).collect();
-        match connector.choose(id, cost, &taken, most, now) {
+        let used: Vec<usize> = self.links.iter().map(|l| l.used).collect();
+        match connector.choose(id, cost, &used, max_links, now) {
             Choice::Use(at) => return self.links.get(at).map(|l| l.token),
             Choice::Open => {}
             Choice::None => return None,
@@ -460,7 +471,7 @@
                 Some(token)
             }
             Err(problem) => {
-                tracing::warn!(host = id.0, %problem, "no connection can be opened");
+                tracing::warn!(host = id.0, %problem, "cannot open a connection to index host");
                 self.links.iter().min_by_key(|l| l.used).map(|l| l.token)
             }
         }
--- a/bitternsill/src/front/listener.rs
+++ b/bitternsill/src/front/listener.rs
@@ -1,4 +1,4 @@
-//! The listeners for clients, whatever protocol their connections use.
+//! The listener for client connections of all protocols.
 
 use super::clients::Eviction;
 use super::{Gatherer, Message};
@@ -8,19 +8,19 @@
 
 type Cx<'a> = Context<'a, Gatherer>;
 
-/// Makes a connection of an accepted socket.
+/// Creates the connection object for an accepted socket.
 pub type Accept = Box<dyn Fn(Stream, &Gatherer) -> Box<dyn Connection<Gatherer>>>;
 
 /// A listening socket.
 pub struct Listener {
     socket: TcpListener,
     accept: Accept,
-    /// The program ends: the listener closes once the backlog is empty.
+    /// The process is shutting down: the listener closes once the backlog is empty.
     retiring: bool,
 }
 
 impl Listener {
-    /// A listener whose connections are made by `accept`.
+    /// Creates a listener whose connections are created by `accept`.
     pub fn new(socket: TcpListener, accept: Accept) -> Self {
         Listener {
             socket,
@@ -29,8 +29,8 @@
         }
     }
 
-    fn listen(&mut self, cx: &mut Cx<'_>, on: bool) {
-        // A failure here would only make the loop spin until the timer is due.
+    fn set_listening(&mut self, cx: &mut Cx<'_>, on: bool) {
+        // A failure only makes the event loop spin until the timer fires.
         let _ = cx.net.rearm(
             &self.socket,
             cx.token,
@@ -38,29 +38,28 @@
         );
     }
 
-    /// Evicts some of the connections that have been idle longest, and accepts again after a
-    /// backoff.
-    fn evict_some(&mut self, cx: &mut Cx<'_>) {
+    /// Evicts some idle connections, and accepts again after a backoff.
+    fn evict_and_back_off(&mut self, cx: &mut Cx<'_>) {
         let limits = cx.world.limits.clone();
         for _ in 0..limits.eviction_burst {
             if cx.world.clients.evict_one(cx.net, cx.now, &limits) != Eviction::Started {
                 break;
             }
         }
-        self.listen(cx, false);
+        self.set_listening(cx, false);
         cx.set_timer(cx.now + cx.world.limits.accept_backoff);
     }
 
-    /// Accepts the whole backlog, as the close that follows would reset what is left in it. Where
-    /// no descriptor is left it goes on after a backoff, as idle connections are closed meanwhile.
+    /// Accepts the whole backlog, as closing the listener would reset connections left in it. If no
+    /// descriptors are left it continues after a backoff, as idle connections are being closed.
     fn accept_all(&mut self, cx: &mut Cx<'_>) {
         loop {
             match self.socket.accept() {
                 Ok((socket, _)) => self.open_connection(cx, socket),
-                Err(e) if is_passing(&e) => {}
+                Err(e) if is_transient(&e) => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return cx.close(),
                 Err(_) => {
-                    self.listen(cx, false);
+                    self.set_listening(cx, false);
                     return cx.set_timer(cx.now + cx.world.limits.accept_backoff);
                 }
             }
@@ -72,7 +71,7 @@
             .set_nonblocking(true)
             .and_then(|()| socket.set_nodelay(true))
         {
-            tracing::warn!(%problem, "an accepted socket could not be set up");
+            tracing::warn!(%problem, "cannot configure an accepted socket");
             return;
         }
         let connection = (self.accept)(Stream::new(socket), cx.world);
@@ -82,27 +81,28 @@
 
     fn accept_ready(&mut self, cx: &mut Cx<'_>) {
         for _ in 0..cx.world.limits.accept_burst {
-            // The backlog counts as accepted, so an idle connection is evicted for it.
+            // Clients in the backlog are connected already, so idle connections are evicted for
+            // them.
             if cx.world.clients.len() >= cx.world.max_clients() {
-                return self.evict_some(cx);
+                return self.evict_and_back_off(cx);
             }
             match self.socket.accept() {
                 Ok((socket, _)) => self.open_connection(cx, socket),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(e) if is_passing(&e) => {}
+                Err(e) if is_transient(&e) => {}
                 Err(problem) => {
-                    // Out of descriptors: without a backoff the loop would spin on a listener that
+                    // Out of descriptors. Without a backoff the loop would spin, as the listener
                     // stays ready.
-                    tracing::warn!(%problem, "cannot accept");
-                    return self.evict_some(cx);
+                    tracing::warn!(%problem, "cannot accept a connection");
+                    return self.evict_and_back_off(cx);
                 }
             }
         }
     }
 }
 
-/// Whether an accept failed for a transient reason that concerns one connection at most.
-fn is_passing(problem: &io::Error) -> bool {
+/// Whether an accept error is transient or concerns a single connection only.
+fn is_transient(problem: &io::Error) -> bool {
     matches!(
         problem.kind(),
         io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted
@@ -131,6 +131,6 @@
         if self.retiring {
             return self.accept_all(cx);
         }
-        self.listen(cx, true);
+        self.set_listening(cx, true);
     }
 }
--- a/bitternsill/src/front/message.rs
+++ b/bitternsill/src/front/message.rs
@@ -1,4 +1,4 @@
-//! The messages that the objects of the event loop post to each other.
+//! The messages posted between the connections of the event loop.
 
 use crate::core::ports::{Answer, AttemptId, Outgoing};
 use crate::net::Token;
@@ -8,47 +8,45 @@
 use store::member::{Reply, Write};
 use versions::audit_log::Entry;
 
-/// What connections are told.
+/// A message to a connection.
 #[derive(Debug)]
 pub enum Message {
-    /// The final answer to the query that this connection waits on, and which of its operations
-    /// that is for.
+    /// The final answer to a query of this client connection, and the operation that it is for.
     Answer(u32, Answer),
     /// Send these parts as one call.
     Call(Vec<Outgoing>),
-    /// Give an attempt up.
+    /// Cancel an attempt.
     CancelAttempt(AttemptId),
     /// Send a probe.
     Probe,
-    /// Close if nothing is out.
+    /// Close if nothing is in flight.
     CloseIdle,
-    /// The host leaves: nothing unsent may go there any more.
+    /// The host is draining: send nothing more to it that is still unsent.
     HostDraining,
-    /// Make room: close if no request is being read or answered.
+    /// Close to make room for other connections, unless a query is in flight.
     Evict,
-    /// Discovery: begin or end the watch.
+    /// To discovery: start or stop the watch.
     Watch(bool),
-    /// Discovery: ask once.
+    /// To discovery: request the list once.
     Fetch,
-    /// Discovery: it listens elsewhere now.
+    /// To discovery: its address has changed.
     EndpointMoved(SocketAddr),
-    /// The store's file: something to be written.
+    /// A write to the store's file.
     Write(Write),
-    /// A line of the store, for a member or a watcher.
+    /// A line of the store's protocol, for a member or a watcher.
     Line(String),
-    /// When the store's timer is due, or another's.
+    /// When to wake the store, or another timer.
     WakeAt(Time),
-    /// What came of something that was asked of the store.
+    /// The reply to a request to the store.
     Replied(Reply),
-    /// Keys of the store that this object is to be told of have changed: every committed change of
-    /// them, in order.
+    /// All committed changes to the watched keys of the store, in order.
     StoreChanged(Vec<Change>),
-    /// A connection wants this gatherer's audit log: which segment, and from which byte on.
+    /// A connection requests this gatherer's audit log: the segment and the first byte.
     AuditLogRequested(Token, u64, u64),
     /// Entries for this gatherer's audit log.
     AuditEntries(Vec<Entry>),
-    /// The program is ending: take no more connections, close what is idle.
+    /// The process is shutting down: accept no more connections, and close idle ones.
     Retire,
-    /// The operators' door: a caller's connection has ended.
+    /// To the operators' listener: a connection has ended.
     AdminConnectionClosed(Token),
 }
--- a/bitternsill/src/front/overflow.rs
+++ b/bitternsill/src/front/overflow.rs
@@ -1,23 +1,23 @@
-//! Pipelined requests beyond what is buffered for a client while its request is in flight. They are
-//! read all the same: only behind them the end of the stream can be seen, and nothing may be sent
-//! to index hosts for a client that has disconnected.
+//! Handles pipelined requests that exceed the buffer of a client while its request is in flight.
+//!
+//! These requests are read and dropped, as the end of the stream is only visible after them, and
+//! nothing may be sent to index hosts for a client that has disconnected.
 
 use super::http::{HttpError, Progress, Reader};
 
-/// The requests of one connection that were read and dropped. Each is rejected once those before it
-/// are answered.
+/// The dropped requests of one connection. Each is rejected once the requests before it are
+/// answered.
 pub struct Overflow {
     reader: Reader,
-    /// The beginning of the next request, as far as the reader has not consumed it.
+    /// The start of the next request that the reader has not consumed yet.
     input: Vec<u8>,
     pending_rejections: usize,
-    /// A malformed request; what follows it cannot be parsed.
+    /// The error of a malformed request, after which nothing can be parsed.
     problem: Option<HttpError>,
 }
 
 impl Overflow {
-    /// Begins behind the complete requests in `input`, which stay there; what follows them is
-    /// removed.
+    /// Starts after the complete requests in `input`. These stay there, and the rest is moved here.
     pub fn begin(input: &mut Vec<u8>, mut reader: Reader) -> Self {
         let (mut rest, mut kept) = (input.clone(), 0);
         let problem = loop {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Parses and drops what is in `input`, and empties it.
+    /// Parses and drops the requests in `input`, and empties it.
     pub fn take(&mut self, input: &mut Vec<u8>) {
         self.input.append(input);
         while self.problem.is_none() {
@@ -55,14 +55,14 @@
         self.input = Vec::new();
     }
 
-    /// Whether one more rejection is to be sent; it counts as sent.
+    /// Removes one pending rejection, and returns whether there was one to send.
     pub fn take_rejection(&mut self) -> bool {
-        let is_pending_one = self.pending_rejections > 0;
-        self.pending_rejections -= usize::from(is_pending_one);
-        is_pending_one
+        let is_pending = self.pending_rejections > 0;
+        self.pending_rejections -= usize::from(is_pending);
+        is_pending
     }
 
-    /// Whether anything that was read still needs an answer.
+    /// Whether any dropped or partial request still needs an answer.
     pub fn is_pending(&self) -> bool {
         self.pending_rejections > 0
             || self.problem.is_some()
@@ -70,8 +70,8 @@
             || !self.reader.is_fresh()
     }
 
-    /// What follows the last rejection: the beginning of the next request, or what is wrong with
-    /// it.
+    /// Returns what follows the last rejection: the reader and the rest of the input for the next
+    /// request, or the error in that request.
     pub fn end(self) -> Result<(Reader, Vec<u8>), HttpError> {
         self.problem.map_or(Ok((self.reader, self.input)), Err)
     }
--- a/bitternsill/src/front/platform.rs
+++ b/bitternsill/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: HTTP/1.1 for clients, frames for index hosts, discovery over HTTP. Thin.
+//! The platform's protocols: HTTP/1.1 for clients, frames for index hosts, and discovery over HTTP.
 
 pub mod client;
 pub mod discovery;
--- a/bitternsill/src/front/platform/client.rs
+++ b/bitternsill/src/front/platform/client.rs
@@ -1,4 +1,4 @@
-//! What the platform's clients may ask for.
+//! The HTTP API for the platform's clients.
 
 use super::query;
 use crate::core::ports::{Answer, Caller, Rejection};
@@ -6,47 +6,47 @@
 use crate::front::server::{Cx, Handled, Service};
 use ::recovery::slow_start::Admission;
 
-/// One thing that the HTTP surface offers.
+/// A route of the HTTP API.
 #[derive(Debug, Clone, Copy)]
 pub struct Route {
     /// The method.
     pub method: &'static str,
-    /// The path, compared without its query.
+    /// The path, compared without the query string.
     pub path: &'static str,
-    /// Whether one more segment may follow the path: what the request concerns.
+    /// Whether one more path segment may follow, which names a user or an object.
     pub subject: bool,
-    /// What it does.
+    /// The operation that the route runs.
     pub operation: Operation,
-    /// What it is for, in a line.
+    /// A one-line summary.
     pub summary: &'static str,
-    /// Each status it may answer with, and what that means.
+    /// The possible status codes and their meaning.
     pub answers: &'static [(u16, &'static str)],
 }
 
-/// What a route does.
+/// The operation of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
-    /// Takes a query.
+    /// Runs a query.
     Query,
-    /// Tells whether clients should be sent here.
+    /// Reports whether clients should be sent to this gatherer.
     Health,
 }
 
-/// The HTTP surface: requests are routed by it, and it is what `describe openapi` prints.
+/// The HTTP API: requests are routed by this table, and `describe openapi` prints it.
 pub const ROUTES: &[Route] = &[
     Route {
         method: "POST",
         path: "/api",
         subject: true,
         operation: Operation::Query,
-        summary: "Takes a query and gives its one answer",
+        summary: "Runs a query and returns its answer",
         answers: &[
-            (200, "Served; `total` says whether the answer is whole"),
-            (400, "The request is no query"),
-            (409, "Another query of this id is open"),
+            (200, "Served; `total` tells whether the answer is complete"),
+            (400, "The request is not a valid query"),
+            (409, "Another query with this id is open"),
             (413, "The body is too large"),
             (500, "Failed"),
-            (503, "Refused; trying again is harmless"),
+            (503, "Rejected; the query can safely be retried"),
             (504, "Failed: no answer in time"),
         ],
     },
@@ -55,15 +55,14 @@
         path: "/_health",
         subject: false,
         operation: Operation::Health,
-        summary: "Tells whether clients should be sent here",
-        answers: &[(200, "Ready"), (503, "Not ready, or about to end")],
+        summary: "Reports whether clients should be sent to this gatherer",
+        answers: &[(200, "Ready"), (503, "Not ready, or shutting down")],
     },
 ];
 
 impl Route {
-    /// Whether a path is this route's. What may follow it is one segment that is not empty: it
-    /// names a user or an object.
-    fn fits(&self, path: &str) -> bool {
+    /// Whether the route serves a path.
+    fn matches(&self, path: &str) -> bool {
         let Some(rest) = path.strip_prefix(self.path) else {
             return false;
         };
@@ -74,18 +73,21 @@
     }
 }
 
-/// The platform's service.
+/// The HTTP service for the platform's clients.
 pub struct Platform;
 
 impl Service for Platform {
     fn request(&mut self, cx: &mut Cx<'_>, head: &Head, body: &[u8]) -> Handled {
         let (method, target) = (head.start.0.as_str(), head.start.1.as_str());
         let path = target.split('?').next().unwrap_or_default();
-        let wanted = if method == "HEAD" { "GET" } else { method };
-        let Some(route) = ROUTES.iter().find(|r| r.fits(path) && r.method == wanted) else {
+        let route_method = if method == "HEAD" { "GET" } else { method };
+        let Some(route) = ROUTES
+            .iter()
+            .find(|r| r.matches(path) && r.method == route_method)
+        else {
             let allowed: Vec<&str> = ROUTES
                 .iter()
-                .filter(|r| r.fits(path))
+                .filter(|r| r.matches(path))
                 .map(|r| r.method)
                 .collect();
             let why = if allowed.is_empty() {
@@ -105,7 +107,7 @@
             Operation::Query => {
                 let caller = Caller::only(cx.token.bits());
                 let world = &mut *cx.world;
-                let ask = query::parse(
+                let request = query::parse(
                     head,
                     body,
                     caller,
@@ -114,32 +116,27 @@
                     cx.now,
                     &world.limits,
                 );
-                // Asked with a clock read now: the process may have stood still since this round
-                // began.
-                if let (Ok(_), Some(versions)) = (&ask, &world.versions)
+                // The clock is read again, as the process may have been stopped since this round of
+                // the event loop began.
+                if let (Ok(_), Some(versions)) = (&request, &world.versions)
                     && !versions.may_accept(cx.net.now())
                 {
-                    let hold_off = world.core.max_retry_after();
-                    return Handled::Done(query::respond(&Answer::Rejected {
-                        retry_after: hold_off,
-                    }));
+                    let retry_after = world.core.max_retry_after();
+                    return Handled::Done(query::respond(&Answer::Rejected { retry_after }));
                 }
-                if let (Ok(ask), Some(returning)) = (&ask, &mut world.returning)
-                    && let Admission::RetryAfter(wait) = returning.admit(ask.class, ask.arrived)
+                if let (Ok(request), Some(returning)) = (&request, &mut world.returning)
+                    && let Admission::RetryAfter(wait) =
+                        returning.admit(request.class, request.arrived)
                 {
-                    // Where no time to return may be told, none is.
-                    let hold_off = wait.min(world.core.max_retry_after());
-                    return Handled::Done(query::respond(&Answer::Rejected {
-                        retry_after: hold_off,
-                    }));
+                    // The settings may forbid a retry-after; the maximum is 0 then.
+                    let retry_after = wait.min(world.core.max_retry_after());
+                    return Handled::Done(query::respond(&Answer::Rejected { retry_after }));
                 }
-                match ask.map(|ask| world.core.submit(ask, cx.now)) {
+                match request.map(|request| world.core.submit(request, cx.now)) {
                     Ok(Ok(())) => Handled::Waiting,
-                    Ok(Err(Rejection::TableFull {
-                        retry_after: hold_off,
-                    })) => Handled::Done(query::respond(&Answer::Rejected {
-                        retry_after: hold_off,
-                    })),
+                    Ok(Err(Rejection::TableFull { retry_after })) => {
+                        Handled::Done(query::respond(&Answer::Rejected { retry_after }))
+                    }
                     Ok(Err(Rejection::Busy)) => {
                         Handled::Done(Response::text(400, "a query is under way here"))
                     }
--- a/bitternsill/src/front/platform/discovery.rs
+++ b/bitternsill/src/front/platform/discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery: the snapshot, the watch, and what to do when either is lost.
+//! The discovery client: requests and watches the list of index hosts.
 //!
-//! The module decides when to ask and how long to wait after a failure; this connection object
-//! carries that out, notices silence, and keeps the last list in force meanwhile.
+//! The dispatcher decides when to request the list and how long to wait after a failure. This
+//! module makes the calls and detects unresponsive ones. The last list stays in use until a new one
+//! arrives.
 
 use crate::front::hosts::Member;
 use crate::front::http::{Progress, Reader};
@@ -18,14 +19,14 @@
 /// The path of the list and of its watch.
 pub const MEMBERS: &str = "/catalog/members";
 
-/// The states by their names: the list is read by it, and it is what `describe asyncapi` prints.
+/// The host states by their names in the list; `describe asyncapi` prints this table.
 pub const STATES: &[(&str, ServerStatus)] = &[
     ("active", ServerStatus::Ready),
     ("leaving", ServerStatus::Draining),
     ("left", ServerStatus::Removed),
 ];
 
-/// A list that cannot be read.
+/// A list that cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListError(pub &'static str);
 
@@ -37,17 +38,17 @@
 
 impl std::error::Error for ListError {}
 
-/// Names that the list uses, and the numbers that stand for them.
+/// The names used in the list; the dispatcher identifies each by its index.
 #[derive(Debug, Default, Clone)]
 pub struct Names {
-    /// Halls, as far as they are known.
+    /// The known zones.
     pub zones: Vec<String>,
-    /// Machine kinds, as far as they are known.
+    /// The known machine kinds.
     pub kinds: Vec<String>,
 }
 
-fn place(names: &mut Vec<String>, name: &str) -> u32 {
-    // A name that no setting told gets the next number, up to a bound.
+/// Returns the index of a name. Names that are not in the settings are added, up to a bound.
+fn index_of(names: &mut Vec<String>, name: &str) -> u32 {
     match names.iter().position(|n| n == name) {
         Some(at) => at as u32,
         None if names.len() < 64 => {
@@ -58,22 +59,23 @@
     }
 }
 
-/// Reads a list or a change: its version, whether it is the whole list, and its lines.
+/// Parses a list or a change to it. Returns the version, whether it is the complete list, and its
+/// members.
 pub fn read_list(json: &Json, names: &mut Names) -> Result<(u64, bool, Vec<Member>), ListError> {
     let version = json["rev"].as_u64().ok_or(ListError("no `rev`"))?;
-    let whole = json["all"].as_bool().unwrap_or(false);
+    let is_complete = json["all"].as_bool().unwrap_or(false);
     let targets = json["targets"]
         .as_array()
         .ok_or(ListError("no `targets`"))?;
     let mut members = Vec::with_capacity(targets.len());
     for target in targets {
-        let standing = STATES
+        let status = STATES
             .iter()
             .find(|(name, _)| target["state"] == *name)
             .map(|(_, s)| *s);
-        let standing = standing.ok_or(ListError("unknown `state`"))?;
+        let status = status.ok_or(ListError("unknown `state`"))?;
         let endpoint = target["endpoint"].as_str().and_then(|e| e.parse().ok());
-        if standing == ServerStatus::Ready && endpoint.is_none() {
+        if status == ServerStatus::Ready && endpoint.is_none() {
             return Err(ListError("an active target without `endpoint`"));
         }
         members.push(Member {
@@ -84,13 +86,13 @@
             endpoint,
             entry: Endpoint {
                 server: ServerId(0),
-                zone: place(&mut names.zones, target["az"].as_str().unwrap_or_default()),
-                kind: place(
+                zone: index_of(&mut names.zones, target["az"].as_str().unwrap_or_default()),
+                kind: index_of(
                     &mut names.kinds,
                     target["model"].as_str().unwrap_or_default(),
                 ),
                 cell: target["pod_group"].as_u64().unwrap_or(0) as u32,
-                status: standing,
+                status,
                 size: target["capacity_hint"].as_f64().unwrap_or(1.0),
                 started_at: target["boot_ms"]
                     .as_u64()
@@ -100,20 +102,20 @@
             },
         });
     }
-    Ok((version, whole, members))
+    Ok((version, is_complete, members))
 }
 
-/// The JSON objects that stand whole in `text`, and how much of it they and the space around them
-/// take. An object may be indented, and so stand on many lines.
+/// Parses the complete JSON objects at the start of `text`. Returns them and the number of bytes
+/// that they use, whitespace included. An object may span several lines.
 pub fn read_objects(text: &[u8]) -> Result<(Vec<Json>, usize), ListError> {
     let mut objects = serde_json::Deserializer::from_slice(text).into_iter::<Json>();
-    let (mut told, mut used) = (Vec::new(), 0);
+    let (mut parsed, mut used) = (Vec::new(), 0);
     loop {
         match objects.next() {
-            Some(Ok(json)) => told.push(json),
-            Some(Err(problem)) if problem.is_eof() => return Ok((told, used)),
+            Some(Ok(json)) => parsed.push(json),
+            Some(Err(problem)) if problem.is_eof() => return Ok((parsed, used)),
             Some(Err(_)) => return Err(ListError("not JSON")),
-            None => return Ok((told, text.len())),
+            None => return Ok((parsed, text.len())),
         }
         used = objects.byte_offset();
     }
@@ -130,24 +132,24 @@
     call: Call,
     reader: Reader,
     input: Vec<u8>,
-    up: bool,
-    /// Its head is there.
-    begun: bool,
+    connected: bool,
+    /// Whether the head of the response has arrived.
+    has_head: bool,
+    /// Whether a watch has received data.
     answered: bool,
 }
 
-/// The object that speaks with discovery; its socket comes and goes.
+/// The connection to discovery, which opens a socket per call.
 pub struct Discovery {
     to: SocketAddr,
     names: Names,
     version: Option<u64>,
     open: Option<Open>,
-    /// A call that waits until the one under way has ended.
+    /// A call to be made once the current one has ended.
     next: Option<Call>,
-    /// The object that speaks with the former address, until this one has heard from the present
-    /// one.
+    /// The connection to the former address, kept until this one has received a list.
     former: Option<Token>,
-    /// Discovery has moved: hears its watch out and calls no more.
+    /// Discovery has moved to another address: keep the watch for now, but make no more calls.
     retiring: bool,
     /// How the last call or watch ended.
     last: Failure,
@@ -156,14 +158,14 @@
 /// How a call or a watch failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Failure {
-    /// Discovery could not be reached, or said no.
+    /// Discovery could not be reached, rejected the call, or closed the connection.
     Refused,
-    /// It was there, or may have been, and told nothing that can be used.
-    Untold,
+    /// Discovery may have accepted the call, but sent nothing usable.
+    NoData,
 }
 
 impl Discovery {
-    /// Speaks with discovery at this address; `version` is that of the list held from before, if
+    /// A connection to discovery at an address. `version` is that of the list already known, if
     /// any.
     pub fn new(to: SocketAddr, names: Names, version: Option<u64>) -> Self {
         Discovery {
@@ -174,20 +176,20 @@
             next: None,
             former: None,
             retiring: false,
-            last: Failure::Untold,
+            last: Failure::NoData,
         }
     }
 
-    /// Discovery listens elsewhere: a new object calls there, and this one keeps its watch until
-    /// that has answered, so that no change is missed in between.
+    /// Switches to a new address of discovery. This connection keeps its watch until the new one
+    /// has received a list, so that no change is missed in between.
     fn moved(&mut self, cx: &mut Cx<'_>, to: SocketAddr) {
         if to == self.to || self.retiring {
             return;
         }
         tracing::info!(from = %self.to, %to, "discovery has moved");
         let mut next = Discovery::new(to, self.names.clone(), self.version);
-        // Where this one has no watch of its own, the one before it is still the only one that
-        // hears of changes.
+        // Without a call of its own, this connection's predecessor is still the one that receives
+        // changes, so the new connection takes over the reference to it.
         next.former = if self.open.is_some() {
             Some(cx.token)
         } else {
@@ -202,7 +204,7 @@
         }
     }
 
-    /// What the former address still says is older than what was just heard here.
+    /// Closes the connection to the former address, as its data is older than what arrived here.
     fn release_former(&mut self, cx: &mut Cx<'_>) {
         if let Some(former) = self.former.take() {
             cx.net.post(former, Message::CloseIdle);
@@ -235,27 +237,27 @@
                     call,
                     reader,
                     input: Vec::new(),
-                    up: false,
-                    begun: false,
+                    connected: false,
+                    has_head: false,
                     answered: false,
                 });
                 let limits = &cx.world.limits;
                 let refused = self.last == Failure::Refused;
-                let patience = if refused {
+                let timeout = if refused {
                     limits.discovery_busy_timeout
                 } else {
                     limits.discovery_timeout
                 };
-                cx.set_timer(cx.now + patience);
+                cx.set_timer(cx.now + timeout);
             }
             Err(problem) => {
-                tracing::warn!(%problem, "discovery cannot be called");
+                tracing::warn!(%problem, "cannot connect to discovery");
                 cx.world.core.discovery_failed(false);
             }
         }
     }
 
-    /// Drops the connection; what the list said last stays in force.
+    /// Closes the socket and reports the failure, if any. The last list stays in use.
     fn end(&mut self, cx: &mut Cx<'_>, failure: Option<Failure>, why: &str) {
         if self.open.take().is_some() {
             cx.clear_timer();
@@ -273,47 +275,55 @@
         }
     }
 
-    /// One JSON object of a snapshot or a watch.
-    fn take(&mut self, cx: &mut Cx<'_>, json: &Json) -> Result<(), ListError> {
-        let (version, whole, members) = read_list(json, &mut self.names)?;
-        tracing::debug!(version, whole, lines = members.len(), "list");
-        cx.world.update_endpoints(whole, members, cx.net, cx.now);
+    /// Applies one JSON object of a snapshot or a watch.
+    fn apply(&mut self, cx: &mut Cx<'_>, json: &Json) -> Result<(), ListError> {
+        let (version, is_complete, members) = read_list(json, &mut self.names)?;
+        tracing::debug!(
+            version,
+            is_complete,
+            members = members.len(),
+            "endpoint list received"
+        );
+        cx.world
+            .update_endpoints(is_complete, members, cx.net, cx.now);
         self.release_former(cx);
         self.version = Some(version);
         Ok(())
     }
 
-    /// Takes what the body has brought: the lines of a watch at once, a snapshot when it is whole.
-    fn body(&mut self, cx: &mut Cx<'_>, whole: bool) -> Result<(), ListError> {
+    /// Applies the body received so far: objects of a watch as they arrive, a snapshot once
+    /// complete.
+    fn apply_body(&mut self, cx: &mut Cx<'_>, is_complete: bool) -> Result<(), ListError> {
         let Some(open) = &mut self.open else {
             return Ok(());
         };
         if open.call == Call::Snapshot {
-            if !whole {
+            if !is_complete {
                 return Ok(());
             }
             let body = std::mem::take(&mut open.reader.body);
             let json = serde_json::from_slice(&body).map_err(|_| ListError("not JSON"))?;
-            return self.take(cx, &json);
+            return self.apply(cx, &json);
         }
-        // Up to the last line end: what follows it has come in part.
+        // What follows the last line end has only arrived in part.
         let Some(end) = open.reader.body.iter().rposition(|b| *b == b'\n') else {
             return Ok(());
         };
-        let (told, used) = read_objects(&open.reader.body[..=end])?;
+        let (updates, used) = read_objects(&open.reader.body[..=end])?;
         if used == 0 {
             return Ok(());
         }
         open.reader.body.drain(..used);
-        // Without news it is an answer all the same: the next failure is the first again.
-        if !std::mem::replace(&mut open.answered, true) && told.is_empty() {
+        // An empty line counts as an answer, too: an empty update resets the dispatcher's count of
+        // failures.
+        if !std::mem::replace(&mut open.answered, true) && updates.is_empty() {
             cx.world
                 .core
                 .update_endpoints(ListKind::Partial, Vec::new());
         }
-        // Only what is whole breaks the silence: bytes that never make a line tell nothing.
+        // Only complete lines restart the timer: bytes that never end a line are no sign of life.
         cx.set_timer(cx.now + cx.world.limits.watch_timeout);
-        told.iter().try_for_each(|json| self.take(cx, json))
+        updates.iter().try_for_each(|json| self.apply(cx, json))
     }
 
     fn read(&mut self, cx: &mut Cx<'_>) {
@@ -325,37 +335,38 @@
         if let Some(head) = &open.reader.head
             && head.start.1 != "200"
         {
-            return self.end(cx, Some(Failure::Refused), "refused");
+            return self.end(cx, Some(Failure::Refused), "rejected");
         }
         let ended = !matches!(input, Ok(Input::Open));
-        let whole = match progress {
+        let is_complete = match progress {
             Ok(Progress::Whole) => true,
-            // A reset is no end: an answer without a length may have been cut off anywhere.
+            // A response without a length may be truncated where the connection was reset, so only
+            // an orderly end completes it.
             Ok(Progress::More) => {
                 matches!(input, Ok(Input::Ended)) && open.reader.ends_with_connection()
             }
-            Err(_) => return self.end(cx, Some(Failure::Untold), "not understood"),
+            Err(_) => return self.end(cx, Some(Failure::NoData), "malformed response"),
         };
         let call = open.call;
         if call == Call::Watch
             && open.reader.head.is_some()
-            && !std::mem::replace(&mut open.begun, true)
+            && !std::mem::replace(&mut open.has_head, true)
         {
             cx.set_timer(cx.now + cx.world.limits.watch_timeout);
         }
-        // A watch that ends instead of telling has been there all the same.
-        let failure = if open.begun && !open.answered {
-            Failure::Untold
+        // A watch that ends before any data was nevertheless accepted.
+        let failure = if open.has_head && !open.answered {
+            Failure::NoData
         } else {
             Failure::Refused
         };
-        if let Err(problem) = self.body(cx, whole) {
-            tracing::warn!(%problem, "discovery");
-            return self.end(cx, Some(Failure::Untold), "not understood");
+        if let Err(problem) = self.apply_body(cx, is_complete) {
+            tracing::warn!(%problem, "malformed response from discovery");
+            return self.end(cx, Some(Failure::NoData), "malformed response");
         }
-        if whole || ended {
-            let failed = call == Call::Watch || !whole;
-            self.end(cx, failed.then_some(failure), "closed");
+        if is_complete || ended {
+            let failed = call == Call::Watch || !is_complete;
+            self.end(cx, failed.then_some(failure), "connection closed");
         }
     }
 }
@@ -367,11 +378,13 @@
 
     fn ready(&mut self, cx: &mut Cx<'_>, ready: Ready) {
         let Some(open) = &mut self.open else { return };
-        if !open.up {
+        if !open.connected {
             match open.stream.attempt() {
                 Attempt::Pending => return,
-                Attempt::Up => open.up = true,
-                Attempt::Failed(_) => return self.end(cx, Some(Failure::Refused), "no connection"),
+                Attempt::Up => open.connected = true,
+                Attempt::Failed(_) => {
+                    return self.end(cx, Some(Failure::Refused), "connection failed");
+                }
             }
         }
         if open
@@ -379,7 +392,7 @@
             .flush_and_arm(cx.net, cx.token, Ready::READ)
             .is_err()
         {
-            return self.end(cx, Some(Failure::Refused), "broken");
+            return self.end(cx, Some(Failure::Refused), "connection broken");
         }
         if ready.readable {
             self.read(cx);
@@ -387,19 +400,17 @@
     }
 
     fn deliver(&mut self, cx: &mut Cx<'_>, message: Message) {
-        let under_way = self.open.as_ref().map(|open| open.call);
-        match (message, under_way) {
-            (Message::Watch(false), Some(Call::Watch)) => self.end(cx, None, "unwatched"),
+        let current = self.open.as_ref().map(|open| open.call);
+        match (message, current) {
+            (Message::Watch(false), Some(Call::Watch)) => self.end(cx, None, "watch stopped"),
             (Message::EndpointMoved(to), _) => self.moved(cx, to),
             (Message::CloseIdle, _) if self.retiring => cx.close(),
-            // A retry that was due before discovery moved; the present watch must not be called for
-            // twice.
+            // A retry scheduled before discovery moved: there is a watch already.
             (Message::Watch(true), Some(Call::Watch)) => {}
             (Message::Watch(true), Some(_)) => self.next = Some(Call::Watch),
             (Message::Watch(true), None) => self.begin(cx, Call::Watch),
             (Message::Fetch, None) => self.begin(cx, Call::Snapshot),
-            // A watch brings the whole list where much was missed; one beside a snapshot is asked
-            // for after it.
+            // The snapshot replaces the watch, which is started again after it.
             (Message::Fetch, Some(Call::Watch)) => {
                 self.next = Some(Call::Watch);
                 self.open = None;
@@ -410,7 +421,7 @@
     }
 
     fn timer(&mut self, cx: &mut Cx<'_>) {
-        self.end(cx, Some(Failure::Untold), "silent");
+        self.end(cx, Some(Failure::NoData), "timed out");
     }
 
     fn closed(&mut self, cx: &mut Cx<'_>) {
--- a/bitternsill/src/front/platform/frames.rs
+++ b/bitternsill/src/front/platform/frames.rs
@@ -1,25 +1,26 @@
-//! The frames between gatherers and index hosts: a length, a letter and the rest.
+//! The frames between gatherers and index hosts: a 4-byte little-endian length, a type byte and a
+//! payload.
 
 use crate::core::ports::{Outgoing, Score, Value};
 use dispatch::interface::Time;
 use std::fmt;
 
-/// What an index host sent.
+/// A frame received from an index host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Frame {
-    /// How a part ended.
+    /// The end of a part.
     Ended {
-        /// The part's id.
+        /// The part's id on the wire.
         name: String,
-        /// How.
+        /// How the part ended.
         end: End,
     },
     /// The answer to a probe.
     Probed {
-        /// Whether the host is well.
+        /// Whether the host is healthy.
         good: bool,
     },
-    /// The frame before could not be used; the connection is closed.
+    /// The host could not parse the previous frame, and closes the connection.
     Unusable(String),
 }
 
@@ -27,49 +28,48 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum End {
     /// Served, with its value.
-    Good(Value),
-    /// An error; it may have run.
-    Bad,
-    /// Turned away; it never ran.
-    Later,
-    /// Answered, but not so that anything could be passed on; it has run, and nothing behind it can
-    /// be read.
-    Spoilt,
+    Served(Value),
+    /// Failed; the part may have run.
+    Error,
+    /// Rejected; the part did not run.
+    Rejected,
+    /// The answer is malformed: the part has run, and no frame after this one can be parsed.
+    Malformed,
 }
 
-/// A frame that cannot be used.
+/// A frame that cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameError {
-    /// Its length is over the limit, or nothing.
+    /// The length is 0 or over the limit.
     Length(usize),
-    /// Its letter is none of an index host's.
-    Letter(u8),
-    /// Its line is not as the protocol has it.
+    /// The type is not one that an index host sends.
+    UnknownType(u8),
+    /// The header line is malformed.
     Line,
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::Length(n) => write!(f, "a frame of {n} bytes"),
-            FrameError::Letter(letter) => {
-                write!(f, "a frame with the letter {:?}", char::from(*letter))
+            FrameError::Length(n) => write!(f, "frame length out of bounds: {n} bytes"),
+            FrameError::UnknownType(kind) => {
+                write!(f, "unknown frame type {:?}", char::from(*kind))
             }
-            FrameError::Line => f.write_str("a frame whose line is malformed"),
+            FrameError::Line => f.write_str("malformed header line in a frame"),
         }
     }
 }
 
 impl std::error::Error for FrameError {}
 
-/// Reads the next whole frame and takes it out of `input`; any split of the bytes gives the same
-/// frames.
-pub fn read(input: &mut Vec<u8>, most: usize) -> Result<Option<Frame>, FrameError> {
+/// Parses the next complete frame and removes it from `input`; `None` if it has not arrived
+/// completely.
+pub fn read(input: &mut Vec<u8>, max_bytes: usize) -> Result<Option<Frame>, FrameError> {
     let Some((length, rest)) = input.split_first_chunk::<4>() else {
         return Ok(None);
     };
     let length = u32::from_le_bytes(*length) as usize;
-    if length == 0 || length > most {
+    if length == 0 || length > max_bytes {
         return Err(FrameError::Length(length));
     }
     let Some(body) = rest.get(..length) else {
@@ -81,8 +81,8 @@
 }
 
 fn parse(body: &[u8]) -> Result<Frame, FrameError> {
-    let (letter, rest) = body.split_first().ok_or(FrameError::Length(0))?;
-    match letter {
+    let (kind, rest) = body.split_first().ok_or(FrameError::Length(0))?;
+    match kind {
         b'q' => {
             let end = rest
                 .iter()
@@ -91,20 +91,20 @@
             let mut words = rest[..end]
                 .split(|b| *b == b' ')
                 .map(|word| std::str::from_utf8(word).ok());
-            // The report, behind the score, may be unreadable: nothing here rests on it.
+            // The load report after the score is not used here, so it may be malformed.
             let (Some(Some(name)), end_word, score) = (words.next(), words.next(), words.next())
             else {
                 return Err(FrameError::Line);
             };
             let score = score.flatten().and_then(Score::parse);
             let end = match (end_word.flatten(), score, value(&rest[end + 1..])) {
-                (Some("good"), Some(score), Some(body)) => End::Good(Value {
+                (Some("good"), Some(score), Some(body)) => End::Served(Value {
                     score,
                     body: body.into(),
                 }),
-                (Some("bad"), ..) => End::Bad,
-                (Some("later"), ..) => End::Later,
-                _ => End::Spoilt,
+                (Some("bad"), ..) => End::Error,
+                (Some("later"), ..) => End::Rejected,
+                _ => End::Malformed,
             };
             Ok(Frame::Ended {
                 name: name.to_owned(),
@@ -115,33 +115,33 @@
             good: rest == b"good",
         }),
         b'r' => Ok(Frame::Unusable(String::from_utf8_lossy(rest).into_owned())),
-        other => Err(FrameError::Letter(*other)),
+        other => Err(FrameError::UnknownType(*other)),
     }
 }
 
-/// A value, if it can be one: a length that does not fit takes in the next frame, whose own length
-/// shows as control characters.
+/// Returns the text of a value, or `None` if it is empty or contains control characters: a wrong
+/// frame length makes the value include the next frame, whose length field shows up as such.
 fn value(bytes: &[u8]) -> Option<&str> {
     let text = std::str::from_utf8(bytes).ok()?;
     (!text.is_empty() && !text.chars().any(|c| c.is_control() && !c.is_whitespace()))
         .then_some(text)
 }
 
-fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
+fn frame(kind: u8, rest: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(rest.len() + 5);
     out.extend_from_slice(&(rest.len() as u32 + 1).to_le_bytes());
-    out.push(letter);
+    out.push(kind);
     out.extend_from_slice(rest);
     out
 }
 
-/// One call with its parts.
+/// Encodes a call with its parts.
 pub fn call(parts: &[Outgoing], now: Time) -> Vec<u8> {
     let mut rest = Vec::new();
     for part in parts {
-        // What the host is told to wait for is what is left now that the frame is written.
-        let left = part.until.saturating_sub(now).div_ceil(1_000_000).max(1);
-        let mut list = format!("d={left}");
+        // The deadline sent is the time left when the frame is written, in milliseconds.
+        let left_ms = part.until.saturating_sub(now).div_ceil(1_000_000).max(1);
+        let mut list = format!("d={left_ms}");
         if let Some(key) = &part.key {
             list += &format!(",k={key}");
         }
@@ -158,12 +158,12 @@
     frame(b'm', &rest)
 }
 
-/// A part is given up.
-pub fn give_up(name: &str) -> Vec<u8> {
+/// Encodes the cancellation of a part.
+pub fn cancel(name: &str) -> Vec<u8> {
     frame(b'n', name.as_bytes())
 }
 
-/// A probe.
+/// Encodes a probe.
 pub fn probe() -> Vec<u8> {
     frame(b'o', b"")
 }
--- a/bitternsill/src/front/platform/frames/tests.rs
+++ b/bitternsill/src/front/platform/frames/tests.rs
@@ -4,7 +4,7 @@
 use crate::core::ports::AttemptId;
 
 #[test]
-fn calls_are_written_as_the_protocol_has_them() {
+fn call_is_encoded_per_protocol() {
     let part = Outgoing {
         id: AttemptId { part: 1, number: 0 },
         name: "9b1f.3.r".to_owned(),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn frames_are_read_at_any_split_and_bad_ones_named() {
+fn parses_split_frames_and_rejects_malformed_ones() {
     let whole = frame(b'q', b"a.3 good 18402777190000000001 -\nva\nlue");
     for at in 0..whole.len() {
         let mut input = whole[..at].to_vec();
@@ -47,35 +47,35 @@
             score: Score::Integer(18402777190000000001),
             body: "va\nlue".into(),
         };
-        let wanted = Frame::Ended {
+        let expected = Frame::Ended {
             name: "a.3".to_owned(),
-            end: End::Good(value),
+            end: End::Served(value),
         };
-        assert_eq!(read(&mut input, 100), Ok(Some(wanted)));
+        assert_eq!(read(&mut input, 100), Ok(Some(expected)));
         assert!(input.is_empty());
     }
-    let spoilt = |bytes: &[u8]| {
-        let wanted = Frame::Ended {
+    let expect_malformed = |bytes: &[u8]| {
+        let expected = Frame::Ended {
             name: "a.3".to_owned(),
-            end: End::Spoilt,
+            end: End::Malformed,
         };
         assert_eq!(
             read(&mut frame(b'q', bytes), 100),
-            Ok(Some(wanted)),
+            Ok(Some(expected)),
             "{bytes:?}"
         );
     };
-    spoilt(b"a.3 odd 1 -\n");
-    spoilt(b"a.3 good\nvalue");
-    spoilt(b"a.3 good high -\nvalue");
-    spoilt(b"a.3 good 1 -\nval\xff");
-    spoilt(b"a.3 good 1 -\nvalue\x1c\0\0\0qa.4 good 2 -\nvalue");
+    expect_malformed(b"a.3 odd 1 -\n");
+    expect_malformed(b"a.3 good\nvalue");
+    expect_malformed(b"a.3 good high -\nvalue");
+    expect_malformed(b"a.3 good 1 -\nval\xff");
+    expect_malformed(b"a.3 good 1 -\nvalue\x1c\0\0\0qa.4 good 2 -\nvalue");
     let odd_report = read(&mut frame(b'q', b"a.3 good 1 \xff\xfe\nvalue"), 100);
     assert!(
         matches!(
             odd_report,
             Ok(Some(Frame::Ended {
-                end: End::Good(_),
+                end: End::Served(_),
                 ..
             }))
         ),
@@ -87,7 +87,7 @@
     );
     assert_eq!(
         read(&mut frame(b'z', b""), 100),
-        Err(FrameError::Letter(b'z'))
+        Err(FrameError::UnknownType(b'z'))
     );
     assert_eq!(
         read(&mut vec![255, 255, 255, 255], 100),
--- a/bitternsill/src/front/platform/link.rs
+++ b/bitternsill/src/front/platform/link.rs
@@ -1,4 +1,4 @@
-//! One connection to an index host, in frames.
+//! A connection to an index host that uses the frame protocol.
 
 use super::frames::{self, End, Frame};
 use crate::core::ports::{AttemptId, Outgoing};
@@ -15,9 +15,9 @@
 
 type Cx<'a> = Context<'a, Gatherer>;
 
-/// Opens links in frames.
+/// Opens connections that use the frame protocol.
 pub struct FrameConnector {
-    /// Every bound.
+    /// The program's limits.
     pub limits: Rc<Limits>,
 }
 
@@ -31,18 +31,18 @@
         Ok(Box::new(Link {
             host,
             stream: net::connect(to)?,
-            up: false,
+            connected: false,
             retiring: false,
             connect_by: now + self.limits.connect,
             used: now,
             input: Vec::new(),
             queue: VecDeque::new(),
             writing: None,
-            out: HashMap::new(),
-            past: HashMap::new(),
-            past_order: VecDeque::new(),
-            mute_since: None,
-            mute: None,
+            in_flight: HashMap::new(),
+            closed_ids: HashMap::new(),
+            closed_order: VecDeque::new(),
+            no_input_since: None,
+            unresponsive_since: None,
             partial_since: None,
             probes: VecDeque::new(),
         }))
@@ -52,58 +52,59 @@
         self.limits.parts_per_connection
     }
 
-    // A host reads no more parts than that from one connection, however many calls they come in.
+    // A host limits the parts in flight on a connection, however many calls they are sent in.
     fn call_cost(&self, parts: usize) -> usize {
         parts
     }
 }
 
-/// Why an id is no longer out.
+/// Why a part id is no longer in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Past {
-    GivenUp,
+enum Closed {
+    Cancelled,
     Answered,
 }
 
 struct Link {
     host: ServerId,
     stream: Stream,
-    up: bool,
-    /// Takes no new work; closes once nothing is out.
+    connected: bool,
+    /// Accepts no more calls, and closes once nothing is in flight.
     retiring: bool,
     connect_by: Time,
     used: Time,
     input: Vec<u8>,
-    /// The parts of each call of which no byte is written yet.
+    /// Calls of which no byte has been written yet.
     queue: VecDeque<Vec<Outgoing>>,
-    /// Those of the call whose frame is partly written.
+    /// The parts of the call whose frame is partly written.
     writing: Option<Vec<Outgoing>>,
-    /// What is out here, by the part's id on the wire.
-    out: HashMap<String, AttemptId>,
-    /// Ids given up or answered here, of which an answer may still come, and their order.
-    past: HashMap<String, Past>,
-    past_order: VecDeque<String>,
-    /// Since when parts have been out here and nothing has come.
-    mute_since: Option<Time>,
-    /// When it was taken to have fallen mute.
-    mute: Option<Time>,
-    /// Since when a frame has been there in part.
+    /// The attempts queued or in flight, by the part's id on the wire.
+    in_flight: HashMap<String, AttemptId>,
+    /// Ids cancelled or answered recently, for which an answer may still arrive.
+    closed_ids: HashMap<String, Closed>,
+    /// The keys of `closed_ids`, oldest first.
+    closed_order: VecDeque<String>,
+    /// Since when parts have been in flight and nothing was received.
+    no_input_since: Option<Time>,
+    /// When the connection was declared unresponsive.
+    unresponsive_since: Option<Time>,
+    /// Since when a frame has been received in part.
     partial_since: Option<Time>,
     probes: VecDeque<Time>,
 }
 
 impl Link {
-    fn end_part(&self, cx: &mut Cx<'_>) {
+    fn release_part(&self, cx: &mut Cx<'_>) {
         cx.world.hosts.release_capacity(self.host, cx.token, 1);
     }
 
-    /// Hands queued calls to the socket, one frame at a time so that no byte of the next is written
-    /// early.
+    /// Writes queued calls, one frame at a time: as long as no byte of a frame is written, its
+    /// parts are known not to have run.
     fn write(&mut self, cx: &mut Cx<'_>) {
         loop {
             if let Err(problem) = self.stream.flush() {
-                tracing::debug!(host = self.host.0, %problem, "a link broke");
-                // What its host had said before that is there to be read, and counts.
+                tracing::debug!(host = self.host.0, %problem, "connection to index host broke");
+                // Answers that arrived before the failure are still valid.
                 let _ = self.read_input(cx);
                 return cx.close();
             }
@@ -116,8 +117,8 @@
             let Some(parts) = self.queue.pop_front() else {
                 break;
             };
-            // The host no longer drops a repeat that reaches it too late, so that must not be
-            // written.
+            // After `not_after` the host no longer recognises a retry as a duplicate, so it must
+            // not be sent.
             let (fresh, late): (Vec<_>, Vec<_>) =
                 parts.into_iter().partition(|p| p.not_after > cx.now);
             for part in late {
@@ -128,11 +129,11 @@
             }
             self.stream.push(&frames::call(&fresh, cx.now));
             self.used = cx.now;
-            self.mute_since.get_or_insert(cx.now);
+            self.no_input_since.get_or_insert(cx.now);
             self.writing = Some(fresh);
         }
-        // Only armed here: a flush that finished the frame unseen would leave its parts counted as
-        // never run.
+        // Arm without flushing: a flush here could finish the frame without `mark_written`, and its
+        // parts would count as never run.
         let ready = Ready::READ.and_writable(self.stream.unwritten() > 0);
         if self.stream.arm(cx.net, cx.token, ready).is_err() {
             cx.close();
@@ -140,52 +141,52 @@
     }
 
     fn unsent(&mut self, cx: &mut Cx<'_>, part: &Outgoing, outcome: Outcome) {
-        self.out.remove(&part.name);
+        self.in_flight.remove(&part.name);
         cx.world.hosts.attempt_ended(self.host, part.id);
         cx.world.core.attempt_ended(part.id, outcome, cx.now);
-        self.end_part(cx);
+        self.release_part(cx);
     }
 
-    fn take_call(&mut self, cx: &mut Cx<'_>, parts: Vec<Outgoing>) {
+    fn queue_call(&mut self, cx: &mut Cx<'_>, parts: Vec<Outgoing>) {
         let waiting: usize = self.queue.iter().map(Vec::len).sum();
         let mut taken = Vec::with_capacity(parts.len());
         for part in parts {
-            // Two attempts of one part on one connection could not be told apart.
+            // The answers to two attempts at one part could not be distinguished on one connection.
             if self.retiring
                 || waiting >= cx.world.limits.queued_parts
-                || self.out.contains_key(&part.name)
+                || self.in_flight.contains_key(&part.name)
             {
-                self.unsent_new(cx, &part);
+                self.reject_unsent(cx, &part);
                 continue;
             }
-            self.out.insert(part.name.clone(), part.id);
+            self.in_flight.insert(part.name.clone(), part.id);
             taken.push(part);
         }
         if !taken.is_empty() {
             self.queue.push_back(taken);
         }
-        if self.up {
+        if self.connected {
             self.write(cx);
         }
         self.schedule(cx);
     }
 
-    /// Turns a part away without touching an attempt of the same name that is out.
-    fn unsent_new(&mut self, cx: &mut Cx<'_>, part: &Outgoing) {
+    /// Rejects a part without affecting an attempt with the same name that is in flight.
+    fn reject_unsent(&mut self, cx: &mut Cx<'_>, part: &Outgoing) {
         cx.world.hosts.attempt_ended(self.host, part.id);
         cx.world
             .core
             .attempt_ended(part.id, Outcome::ConnectFailed, cx.now);
-        self.end_part(cx);
+        self.release_part(cx);
     }
 
     fn cancel(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
-        let held = self.out.iter().find(|(_, id)| **id == attempt);
-        let Some(name) = held.map(|(name, _)| name.clone()) else {
+        let found = self.in_flight.iter().find(|(_, id)| **id == attempt);
+        let Some(name) = found.map(|(name, _)| name.clone()) else {
             return;
         };
-        self.out.remove(&name);
-        self.end_part(cx);
+        self.in_flight.remove(&name);
+        self.release_part(cx);
         for queued in &mut self.queue {
             let before = queued.len();
             queued.retain(|p| p.id != attempt);
@@ -193,35 +194,35 @@
                 return;
             }
         }
-        if self.up {
-            self.stream.push(&frames::give_up(&name));
-            self.remember(cx, name, Past::GivenUp);
+        if self.connected {
+            self.stream.push(&frames::cancel(&name));
+            self.remember(cx, name, Closed::Cancelled);
             self.used = cx.now;
             self.write(cx);
         }
         self.schedule(cx);
     }
 
-    fn remember(&mut self, cx: &Cx<'_>, name: String, past: Past) {
-        if self.past.insert(name.clone(), past).is_none() {
-            self.past_order.push_back(name);
+    fn remember(&mut self, cx: &Cx<'_>, name: String, why: Closed) {
+        if self.closed_ids.insert(name.clone(), why).is_none() {
+            self.closed_order.push_back(name);
         }
-        if self.past_order.len() > cx.world.limits.past_parts
-            && let Some(oldest) = self.past_order.pop_front()
+        if self.closed_order.len() > cx.world.limits.recent_part_ids
+            && let Some(oldest) = self.closed_order.pop_front()
         {
-            self.past.remove(&oldest);
+            self.closed_ids.remove(&oldest);
         }
     }
 
-    /// Nothing more can be read here: what is out ends with the connection, and may have run. The
-    /// host lives, so a lone part has had its answer, a bad one, and of several each is called off
-    /// rather than reset: resets would speak of a host that died.
-    fn spoilt(&mut self, cx: &mut Cx<'_>, problem: &dyn fmt::Display) {
+    /// Closes a connection whose input cannot be parsed any further; parts in flight may have run.
+    /// A single part in flight is the one that was answered, so it ends as an error. Several end as
+    /// cancelled: the host is alive, and the dispatcher would take resets for a crash.
+    fn close_malformed(&mut self, cx: &mut Cx<'_>, problem: &dyn fmt::Display) {
         self.input.clear();
-        self.cut_off(
+        self.abandon(
             cx,
             problem,
-            if self.out.len() == 1 {
+            if self.in_flight.len() == 1 {
                 Outcome::Error
             } else {
                 Outcome::Cancelled
@@ -229,9 +230,14 @@
         );
     }
 
-    fn cut_off(&mut self, cx: &mut Cx<'_>, problem: &dyn fmt::Display, outcome: Outcome) {
-        tracing::debug!(host = self.host.0, %problem, out = self.out.len(), "a link is given up");
-        for (_, attempt) in self.out.drain() {
+    fn abandon(&mut self, cx: &mut Cx<'_>, problem: &dyn fmt::Display, outcome: Outcome) {
+        tracing::debug!(
+            host = self.host.0,
+            %problem,
+            in_flight = self.in_flight.len(),
+            "connection to index host abandoned"
+        );
+        for (_, attempt) in self.in_flight.drain() {
             cx.world.hosts.attempt_ended(self.host, attempt);
             cx.world.core.attempt_interrupted(attempt, outcome, cx.now);
         }
@@ -241,37 +247,38 @@
     fn frame(&mut self, cx: &mut Cx<'_>, frame: Frame) {
         match frame {
             Frame::Ended { name, end } => {
-                // An id given up here may be out again: only a value can be told to belong to
-                // either.
-                let doubled = self.past.get(&name) == Some(&Past::GivenUp);
-                let Some(attempt) = self.out.remove(&name) else {
-                    // A second copy, or late; but an id that was never here is somebody's answer,
-                    // spoilt.
-                    if !self.past.contains_key(&name) || end == End::Spoilt {
-                        self.spoilt(cx, &"an unknown id");
+                // After a cancellation the id may be in flight again, and this answer may be to
+                // either attempt. A value is valid for both; a rejection does not prove that the
+                // new attempt did not run.
+                let is_ambiguous = self.closed_ids.get(&name) == Some(&Closed::Cancelled);
+                let Some(attempt) = self.in_flight.remove(&name) else {
+                    // A duplicate or late answer is ignored. An id that was never in flight here
+                    // is the corrupted answer to another part.
+                    if !self.closed_ids.contains_key(&name) || end == End::Malformed {
+                        self.close_malformed(cx, &"answer with an unknown part id");
                     }
                     return;
                 };
                 cx.world.hosts.attempt_ended(self.host, attempt);
-                if !matches!(end, End::Good(_)) {
-                    tracing::debug!(host = self.host.0, name, ?end, "not served");
+                if !matches!(end, End::Served(_)) {
+                    tracing::debug!(host = self.host.0, name, ?end, "part not served");
                 }
-                let is_spoilt = end == End::Spoilt;
+                let is_malformed = end == End::Malformed;
                 match end {
-                    End::Good(value) => cx.world.core.attempt_served(attempt, value, cx.now),
-                    End::Later if !doubled => {
+                    End::Served(value) => cx.world.core.attempt_served(attempt, value, cx.now),
+                    End::Rejected if !is_ambiguous => {
                         cx.world
                             .core
                             .attempt_ended(attempt, Outcome::Rejected, cx.now)
                     }
-                    End::Later | End::Bad | End::Spoilt => {
+                    End::Rejected | End::Error | End::Malformed => {
                         cx.world.core.attempt_ended(attempt, Outcome::Error, cx.now);
                     }
                 }
-                self.end_part(cx);
-                self.remember(cx, name, Past::Answered);
-                if is_spoilt {
-                    self.spoilt(cx, &"a spoilt answer");
+                self.release_part(cx);
+                self.remember(cx, name, Closed::Answered);
+                if is_malformed {
+                    self.close_malformed(cx, &"malformed answer");
                 }
             }
             Frame::Probed { good } => {
@@ -280,24 +287,24 @@
                     cx.world.core.probe_ended(self.host, outcome, cx.now);
                 }
             }
-            Frame::Unusable(words) => {
+            Frame::Unusable(reason) => {
                 tracing::warn!(
                     host = self.host.0,
-                    words,
-                    "an index host could not use a frame"
+                    reason,
+                    "an index host could not parse a frame"
                 );
                 cx.close();
             }
         }
     }
 
-    /// Reads what the host has said and acts on each whole frame.
+    /// Reads from the socket and handles each complete frame.
     fn read_input(&mut self, cx: &mut Cx<'_>) -> io::Result<Input> {
         let end = self
             .stream
             .read(&mut self.input, cx.world.limits.read_burst);
         if !self.input.is_empty() {
-            (self.mute_since, self.mute) = (Some(cx.now), None);
+            (self.no_input_since, self.unresponsive_since) = (Some(cx.now), None);
             cx.world.hosts.set_unresponsive(self.host, false);
         }
         while !cx.is_closing() {
@@ -308,10 +315,10 @@
                     self.frame(cx, frame);
                 }
                 Ok(None) => break,
-                Err(problem) => self.spoilt(cx, &problem),
+                Err(problem) => self.close_malformed(cx, &problem),
             }
         }
-        // Hosts write a frame at once. One that stays in part claims a length that does not fit.
+        // Hosts write a frame at once, so one that stays incomplete has a wrong length.
         self.partial_since = match (self.input.is_empty(), self.partial_since) {
             (true, _) => None,
             (false, since) => Some(since.unwrap_or(cx.now)),
@@ -320,18 +327,19 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.out.is_empty()
+        self.in_flight.is_empty()
             && self.queue.is_empty()
             && self.writing.is_none()
             && self.probes.is_empty()
     }
 
-    /// Sets the timer: to come up in time, or to close before the host does for want of use.
+    /// Sets the timer for what is expected next: the connection, the rest of a frame, any answer,
+    /// or the end of the idle time, which is shorter than the host's own.
     fn schedule(&mut self, cx: &mut Cx<'_>) {
-        if self.out.is_empty() {
-            self.mute_since = None;
+        if self.in_flight.is_empty() {
+            self.no_input_since = None;
         }
-        if !self.up {
+        if !self.connected {
             cx.set_timer(self.connect_by);
         } else if let Some(since) = self.partial_since {
             cx.set_timer(since + cx.world.limits.frame_read);
@@ -340,23 +348,26 @@
                 return cx.close();
             }
             cx.set_timer(self.used + cx.world.limits.host_idle);
-        } else if let Some(since) = self.mute_since {
-            let mute = || since + cx.world.hosts.unresponsive_after(self.host);
-            cx.set_timer(
-                self.mute
-                    .map_or_else(mute, |at| at + 2 * cx.world.limits.link_unresponsive),
-            );
+        } else if let Some(since) = self.no_input_since {
+            let unresponsive_at = || since + cx.world.hosts.unresponsive_after(self.host);
+            cx.set_timer(self.unresponsive_since.map_or_else(unresponsive_at, |at| {
+                at + 2 * cx.world.limits.link_unresponsive
+            }));
         } else {
             cx.clear_timer();
         }
     }
 
-    /// A connection can fall silent while its host lives on, as when a machine on the way forgets
-    /// it: nothing tells so but the silence. New work takes another connection at once; what is out
-    /// is called off a little later.
-    fn fall_mute(&mut self, cx: &mut Cx<'_>) {
-        tracing::info!(host = self.host.0, out = self.out.len(), "a link is mute");
-        self.mute = Some(cx.now);
+    /// Declares the connection unresponsive. A middlebox may have dropped its state while the host
+    /// is alive, and a missing answer is the only sign of that. New calls use another connection at
+    /// once; attempts in flight are cancelled if nothing arrives for some more time.
+    fn set_unresponsive(&mut self, cx: &mut Cx<'_>) {
+        tracing::info!(
+            host = self.host.0,
+            in_flight = self.in_flight.len(),
+            "connection to index host is unresponsive"
+        );
+        self.unresponsive_since = Some(cx.now);
         cx.world.hosts.set_unresponsive(self.host, true);
         self.retire(cx);
     }
@@ -368,7 +379,7 @@
         self.schedule(cx);
     }
 
-    /// Ends what is queued: none of its bytes were written, so it never ran.
+    /// Ends queued attempts, which never ran as none of their bytes were written.
     fn drop_unsent(&mut self, cx: &mut Cx<'_>) {
         for part in std::mem::take(&mut self.queue).iter().flatten() {
             self.unsent(cx, part, Outcome::ConnectFailed);
@@ -383,12 +394,12 @@
     }
 
     fn ready(&mut self, cx: &mut Cx<'_>, ready: Ready) {
-        if !self.up {
+        if !self.connected {
             match self.stream.attempt() {
                 Attempt::Pending => return,
-                Attempt::Up => self.up = true,
+                Attempt::Up => self.connected = true,
                 Attempt::Failed(problem) => {
-                    tracing::debug!(host = self.host.0, %problem, "no connection");
+                    tracing::debug!(host = self.host.0, %problem, "cannot connect to index host");
                     return cx.close();
                 }
             }
@@ -411,7 +422,7 @@
 
     fn deliver(&mut self, cx: &mut Cx<'_>, message: Message) {
         match message {
-            Message::Call(parts) => self.take_call(cx, parts),
+            Message::Call(parts) => self.queue_call(cx, parts),
             Message::CancelAttempt(attempt) => self.cancel(cx, attempt),
             Message::Probe => {
                 if self.retiring || self.probes.len() >= cx.world.limits.queued_probes {
@@ -421,9 +432,9 @@
                         .probe_ended(self.host, Outcome::ConnectFailed, cx.now);
                 }
                 self.probes.push_back(cx.now);
-                // Bytes pushed while connecting are written as soon as the connection is up.
+                // While connecting, the probe is buffered and written once connected.
                 self.stream.push(&frames::probe());
-                if self.up {
+                if self.connected {
                     self.write(cx);
                 }
                 self.schedule(cx);
@@ -436,24 +447,24 @@
 
     fn timer(&mut self, cx: &mut Cx<'_>) {
         if self.partial_since.is_some() {
-            self.spoilt(cx, &"a frame that does not end");
-        } else if !self.up || self.is_idle() {
+            self.close_malformed(cx, &"incomplete frame");
+        } else if !self.connected || self.is_idle() {
             cx.close();
-        } else if self.mute.is_some() {
-            self.cut_off(cx, &"a link stays mute", Outcome::Cancelled);
+        } else if self.unresponsive_since.is_some() {
+            self.abandon(cx, &"connection stays unresponsive", Outcome::Cancelled);
         } else {
-            self.fall_mute(cx);
+            self.set_unresponsive(cx);
         }
     }
 
     fn closed(&mut self, cx: &mut Cx<'_>) {
         cx.world.hosts.link_ended(self.host, cx.token);
-        for (_, attempt) in self.out.drain() {
+        for (_, attempt) in self.in_flight.drain() {
             cx.world.hosts.attempt_ended(self.host, attempt);
             cx.world.core.connection_broken(attempt, cx.now);
         }
         if !self.probes.is_empty() {
-            let outcome = if self.up {
+            let outcome = if self.connected {
                 Outcome::Reset
             } else {
                 Outcome::ConnectFailed
--- a/bitternsill/src/front/platform/query.rs
+++ b/bitternsill/src/front/platform/query.rs
@@ -1,4 +1,4 @@
-//! What a client's request says, and what its answer looks like.
+//! Parses the queries of the platform's clients and builds the responses.
 
 use crate::core::Core;
 use crate::core::ports::{Answer, Caller, FailureReason, QueryRequest};
@@ -9,12 +9,12 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Why a request is not a query.
+/// Why a request is not a valid query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueryError {
-    /// A header is missing, doubled or malformed.
+    /// A header is missing, repeated or malformed.
     Header(&'static str),
-    /// The body is not what a query carries.
+    /// The body is invalid.
     Body(&'static str),
 }
 
@@ -29,21 +29,21 @@
 
 impl std::error::Error for QueryError {}
 
-/// The header that names the query.
+/// The header with the query's id.
 pub const CALL_ID: &str = "X-Call-Id";
-/// The header that names its class.
+/// The header with the name of the query's class.
 pub const CALL_CLASS: &str = "X-Call-Class";
-/// The header that says how long the client waits, in seconds.
+/// The header with the time that the client waits, in seconds.
 pub const BUDGET: &str = "X-Budget";
-/// The header that marks a repeat.
+/// The header that marks a retry.
 pub const AGAIN: &str = "X-Again";
-/// The header that makes a repeat harmless, in a keyed class.
+/// The header with the idempotency key, which makes retries safe in a keyed class.
 pub const KEY: &str = "Idempotency-Key";
 
-/// How far a query's shares may be from 1 in all, as its client rounds them.
-const OFF: f64 = 0.01;
+/// Tolerance for the sum of a query's `portion`s, as clients round them.
+const PORTION_TOLERANCE: f64 = 0.01;
 
-/// Reads a query.
+/// Parses a query.
 pub fn parse(
     head: &Head,
     body: &[u8],
@@ -53,8 +53,8 @@
     now: Time,
     limits: &Limits,
 ) -> Result<QueryRequest, QueryError> {
-    // Ids and keys travel on in the frames' lines, where a space, a comma or a line end would mean
-    // something.
+    // Ids and keys are sent on in the header lines of frames, where spaces, commas, equals signs
+    // and line ends are delimiters.
     let plain = |name: &'static str| {
         let fits = |v: &&str| {
             (1..=limits.name_bytes).contains(&v.len())
@@ -91,7 +91,7 @@
     })
 }
 
-/// Seconds with decimals; more than an hour is taken for an hour.
+/// Parses decimal seconds; values above an hour are reduced to an hour.
 fn seconds(text: &str) -> Option<Time> {
     let digits = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let seconds: f64 = text.parse().ok().filter(|_| digits)?;
@@ -115,9 +115,9 @@
             .ok_or(QueryError::Body("`range` names no shard"))?;
         let weight = range["portion"]
             .as_f64()
-            .filter(|w| *w > 0.0 && *w <= 1.0 + OFF);
+            .filter(|w| *w > 0.0 && *w <= 1.0 + PORTION_TOLERANCE);
         let weight = weight.ok_or(QueryError::Body("`portion` is no share"))?;
-        // Two parts at one shard would have the same id on the wire.
+        // Two parts at the same shard would have the same id on the wire.
         if !seen.insert(shard) {
             return Err(QueryError::Body("a `range` stands twice"));
         }
@@ -126,25 +126,22 @@
     if parts.is_empty() {
         return Err(QueryError::Body("`ranges` is empty"));
     }
-    // An answer's share could not be told by weights that are not shares of one whole.
-    if (parts.iter().map(|(_, weight)| weight).sum::<f64>() - 1.0).abs() > OFF {
+    // The weight of a partial answer is only meaningful if the weights of all parts add up to 1.
+    if (parts.iter().map(|(_, weight)| weight).sum::<f64>() - 1.0).abs() > PORTION_TOLERANCE {
         return Err(QueryError::Body("the `portion`s do not add up to 1"));
     }
     Ok((text.to_owned(), parts))
 }
 
-/// The response that carries an answer.
+/// Builds the response for an answer.
 pub fn respond(answer: &Answer) -> Response {
     match answer {
-        Answer::Served {
-            complete: whole,
-            values,
-        } => {
+        Answer::Served { complete, values } => {
             let answers: Vec<Json> = values
                 .iter()
                 .map(|(shard, value)| serde_json::json!({"range": shard, "blob": &*value.body}))
                 .collect();
-            let body = serde_json::json!({"total": whole, "answers": answers})
+            let body = serde_json::json!({"total": complete, "answers": answers})
                 .to_string()
                 .into_bytes();
             Response {
@@ -154,14 +151,12 @@
                 body,
             }
         }
-        Answer::Rejected {
-            retry_after: hold_off,
-        } => {
+        Answer::Rejected { retry_after } => {
             let mut response = Response::text(503, "refused: ask again later");
-            if *hold_off > 0 {
+            if *retry_after > 0 {
                 response
                     .headers
-                    .push(format!("Retry-After: {:.3}", *hold_off as f64 / 1e9));
+                    .push(format!("Retry-After: {:.3}", *retry_after as f64 / 1e9));
             }
             response
         }
--- a/bitternsill/src/front/readiness.rs
+++ b/bitternsill/src/front/readiness.rs
@@ -1,54 +1,54 @@
-//! Whether the process takes clients: the phases of its shutdown, and what it waits for.
+//! The phases of the shutdown, and the reasons for not being ready for clients.
 
 use dispatch::interface::Time;
 use versions::status::Status;
 
-/// How far the program's end has come.
+/// The phase of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Serving.
+    /// No shutdown was requested.
     Serving,
-    /// Told to end: still accepting, until this time.
+    /// Shutdown was requested; connections are still accepted until this time.
     Draining(Time),
-    /// Accepting nothing; finishing what is held, until this time.
+    /// No connections are accepted; open queries are finished until this time.
     Finishing(Time),
-    /// Everything is answered; the last bytes are being written, until this time.
+    /// All queries are answered, and the last bytes are being written.
     Done {
-        /// When the program ends at the latest.
+        /// When the process ends at the latest.
         until: Time,
-        /// Until when a request that still came on a connection taken before may be worked on.
+        /// The time limit for requests that still arrive on accepted connections.
         last: Time,
     },
 }
 
-/// What keeps clients away.
+/// Why clients should not be sent to this gatherer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wait {
-    /// The program has been told to end.
+    /// The process is shutting down.
     Ending,
-    /// An operator has clients sent away.
+    /// An operator has drained the gatherer.
     Drained,
-    /// Discovery has not told the list yet, and the time to wait for it is not over.
+    /// The first endpoint list has not arrived, and the time to wait for it is not over.
     FirstList,
-    /// No list named an index host that takes work.
+    /// No list has named an active index host.
     NoHost,
-    /// The gatherer returns, and has come no further than this.
+    /// The gatherer is recovering after a start, in this phase.
     Returning(recovery::phase::Phase),
-    /// It may not act on the version that it runs, or an operator has it held back.
+    /// The configuration version in use may not be current, or an operator holds the gatherer back.
     Version(Status),
 }
 
 impl std::fmt::Display for Wait {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Wait::Returning(phase) => return write!(f, "the gatherer returns, and is {phase}"),
+            Wait::Returning(phase) => return write!(f, "recovering after the start: {phase}"),
             Wait::Version(Status::Suspended) => {
-                "the version that it runs is not known to be active"
+                "the configuration version in use is not known to be active"
             }
-            Wait::Version(_) => "an operator has it held back",
+            Wait::Version(_) => "held back by an operator",
             Wait::Ending => "the program has been told to end",
-            Wait::Drained => "clients are sent away by an operator",
-            Wait::FirstList => "discovery has not told the list of index hosts yet",
+            Wait::Drained => "drained by an operator",
+            Wait::FirstList => "no list of index hosts from discovery yet",
             Wait::NoHost => "no list has named an active index host",
         })
     }
--- a/bitternsill/src/front/rejections.rs
+++ b/bitternsill/src/front/rejections.rs
@@ -1,8 +1,7 @@
-//! Requests that are rejected before they become queries, counted by reason and logged at a limited
-//! rate.
+//! Counts requests rejected before they become queries, by reason, and logs them at a limited rate.
 //!
-//! A gatherer that understands none of its requests serves nobody and looks idle. Whoever starts it
-//! on a new deployment has to see that from the log and from `ready`.
+//! A gatherer that rejects all requests, for example in a new deployment, looks idle otherwise. The
+//! operator must be able to see this in the log and in the output of `ready`.
 
 use crate::limits::Limits;
 use dispatch::interface::Time;
@@ -13,40 +12,46 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Reason {
     count: u64,
-    /// How many of them had been counted when this was last logged.
+    /// The value of `count` when the reason was last logged.
     logged_count: u64,
     logged_at: Time,
     example: String,
 }
 
-/// What is to be logged now.
+/// A report to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// Why they were rejected.
+    /// The reason.
     pub why: String,
-    /// How many since this reason was last logged.
+    /// The number of rejections since this reason was last logged.
     pub new: u64,
-    /// What the latest of them requested.
+    /// The latest rejected request.
     pub example: String,
 }
 
-/// Rejections by reason, up to a bound on reasons; those past it are counted together. In memory
-/// only: after a restart the counts begin at 0.
+/// Rejections by reason. The number of reasons is bounded; further ones are counted together. The
+/// counts are not persisted.
 #[derive(Debug, Default)]
 pub struct Rejections {
     reasons: BTreeMap<String, Reason>,
 }
 
-/// The reason that stands for all past the bound.
+/// The reason that combines all reasons past the bound.
 const OTHERS: &str = "other reasons";
 
 impl Rejections {
-    /// Counts a rejected request. Returns what is to be logged: at once for a new reason, and at a
-    /// limited rate after that.
-    pub fn record(&mut self, why: &str, asked: &str, now: Time, limits: &Limits) -> Option<Report> {
+    /// Counts a rejected request. Returns a report at once for a new reason, and at a limited rate
+    /// after that.
+    pub fn record(
+        &mut self,
+        why: &str,
+        request: &str,
+        now: Time,
+        limits: &Limits,
+    ) -> Option<Report> {
         let known = self.reasons.contains_key(why) || self.reasons.len() < limits.rejection_reasons;
         let why = if known { why } else { OTHERS };
-        let example: String = asked
+        let example: String = request
             .chars()
             .take(limits.rejection_example_chars)
             .flat_map(char::escape_default)
@@ -74,7 +79,7 @@
 }
 
 impl fmt::Display for Rejections {
-    /// A line for each reason, the most frequent first.
+    /// Writes a line per reason, the most frequent first.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut reasons: Vec<_> = self.reasons.iter().collect();
         reasons.sort_by_key(|(_, reason)| std::cmp::Reverse(reason.count));
--- a/bitternsill/src/front/rejections/tests.rs
+++ b/bitternsill/src/front/rejections/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `front::turned`.
+//! Tests of `front::rejections`.
 
 use super::*;
 
@@ -10,9 +10,9 @@
         rejection_example_chars: 4,
         ..Limits::default()
     };
-    let mut turned = Rejections::default();
+    let mut rejections = Rejections::default();
     let mut record = |why: &str, now| {
-        turned
+        rejections
             .record(why, "GET\n/long", now, &limits)
             .map(|r| (r.why, r.new))
     };
@@ -24,10 +24,14 @@
     assert_eq!(record("no path", 101), Some(("no path".to_owned(), 3)));
     assert_eq!(record("no class", 101), Some(("no class".to_owned(), 1)));
     assert_eq!(record("a", 102), Some((OTHERS.to_owned(), 1)));
-    assert_eq!(record("b", 103), None, "past the bound they are one reason");
     assert_eq!(
-        turned.to_string().lines().nth(1),
+        record("b", 103),
+        None,
+        "reasons past the bound are combined"
+    );
+    assert_eq!(
+        rejections.to_string().lines().nth(1),
         Some(r"turned away: 4 (no path), the latest asked for GET\n")
     );
-    assert_eq!(turned.reasons.len(), 3);
+    assert_eq!(rejections.reasons.len(), 3);
 }
--- a/bitternsill/src/front/server.rs
+++ b/bitternsill/src/front/server.rs
@@ -1,5 +1,5 @@
-//! The server's side of HTTP/1.1, whatever is served on it: one request at a time, one answer to
-//! each.
+//! The HTTP/1.1 server connection for all services. Requests of a connection are handled one at a
+//! time.
 
 use super::arrivals::Arrivals;
 use super::http::{Head, HttpError, Progress, Reader, Response};
@@ -11,74 +11,74 @@
 use dispatch::interface::Time;
 use std::io;
 
-/// A callback's surroundings.
+/// The context of a callback.
 pub type Cx<'a> = Context<'a, Gatherer>;
 
-/// What became of a request.
+/// The result of handling a request.
 pub enum Handled {
-    /// It is answered.
+    /// The request is answered.
     Done(Response),
-    /// The core has it; its answer will come through [`Service::answer`].
+    /// The core handles the request; its answer is passed to [`Service::answer`].
     Waiting,
 }
 
-/// What is served on a connection.
+/// The service on a connection.
 pub trait Service {
-    /// Takes a whole request.
+    /// Handles a complete request.
     fn request(&mut self, cx: &mut Cx<'_>, head: &Head, body: &[u8]) -> Handled;
 
-    /// Words the core's answer to the request that waits, or asks the core further.
+    /// Turns the core's answer into a response, or submits a further query for the same request.
     fn answer(&mut self, cx: &mut Cx<'_>, answer: &Answer) -> Handled;
 
-    /// Whether a connection may have more than one request.
+    /// Whether a connection may serve more than one request.
     fn keeps_alive(&self) -> bool {
         true
     }
 
-    /// How long a connection may take over its first request.
+    /// The time limit for receiving the first request, from when the client connected.
     fn read_timeout(&self, limits: &Limits) -> Time {
         limits.request_read
     }
 
-    /// Its connection is about to be dropped.
+    /// Called before the connection is dropped.
     fn closed(&mut self, _cx: &mut Cx<'_>) {}
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Between requests, or reading one.
+    /// Idle, or reading a request.
     Reading,
-    /// A query is with the core.
+    /// The core handles the request. `keep` tells whether to keep the connection after the answer.
     Waiting { keep: bool },
     /// The last answer is being written.
     Ending,
-    /// Everything is written; the client's end is awaited until this time at the latest.
+    /// Everything is written; waiting until this time for the client to close the connection.
     Lingering(Time),
 }
 
-/// One client's connection.
+/// A client's HTTP connection.
 pub struct HttpConnection {
     service: Box<dyn Service>,
     stream: Stream,
     input: Vec<u8>,
     reader: Reader,
     state: State,
+    /// Whether `100 Continue` was sent for the current request.
     continued: bool,
-    /// Whole requests that have come.
+    /// The number of complete requests received.
     requests: u32,
-    /// When the bytes of `input` came.
+    /// When the bytes in `input` arrived.
     arrivals: Arrivals,
-    /// What came behind more than is kept while a request waits.
+    /// The pipelined requests beyond those that are buffered while a request is in flight.
     overflow: Option<Overflow>,
-    /// Since when nothing has been read, as the client does not read its answers and enough of what
-    /// it sent waits here.
+    /// Since when reading is paused, as the client does not read its answers and has sent more.
     paused: Option<Time>,
-    /// The client has sent its last byte, and is still told what had been asked before.
-    said_all: bool,
+    /// Whether the client has ended its output; answers are still written.
+    input_ended: bool,
 }
 
 impl HttpConnection {
-    /// The connection object of an accepted socket.
+    /// Creates the connection object for an accepted socket.
     pub fn accept(
         service: Box<dyn Service>,
         stream: Stream,
@@ -97,12 +97,12 @@
             arrivals: Arrivals::default(),
             overflow: None,
             paused: None,
-            said_all: false,
+            input_ended: false,
         })
     }
 
-    /// Reads what is there, and notes when it came: what a pause has kept waiting may have been
-    /// there since its begin.
+    /// Reads from the socket and records when the bytes arrived. After a pause that may have been
+    /// as early as the start of the pause.
     fn read_input(&mut self, cx: &Cx<'_>) -> io::Result<Input> {
         if let Some(overflow) = &mut self.overflow {
             let mut more = Vec::new();
@@ -111,17 +111,16 @@
             return end;
         }
         let (before, limits) = (self.input.len(), &cx.world.limits);
-        // What waits behind a request has room for one more of any size, and no more than that is
-        // kept.
-        let waits = matches!(self.state, State::Waiting { .. });
-        let most = if waits {
+        // While a request is in flight, the buffer has room for one more request of any size.
+        let is_waiting = matches!(self.state, State::Waiting { .. });
+        let max_bytes = if is_waiting {
             limits.body_bytes.saturating_sub(before)
         } else {
             usize::MAX
         };
         let end = self
             .stream
-            .read(&mut self.input, limits.read_burst.min(most));
+            .read(&mut self.input, limits.read_burst.min(max_bytes));
         self.arrivals.read(
             self.input.len() - before,
             self.paused.take().unwrap_or(cx.since),
@@ -129,19 +128,19 @@
         end
     }
 
-    /// Where more has come behind a request that waits than is kept, drops what is too much.
-    fn shrink_buffers(&mut self, cx: &Cx<'_>) {
+    /// If more than the buffer holds arrived while a request is in flight, drops the excess.
+    fn drop_excess_input(&mut self, cx: &Cx<'_>) {
         let (limits, before) = (&cx.world.limits, self.input.len());
-        let waits = matches!(self.state, State::Waiting { .. }) && self.overflow.is_none();
-        if waits && before >= limits.body_bytes {
+        let is_waiting = matches!(self.state, State::Waiting { .. }) && self.overflow.is_none();
+        if is_waiting && before >= limits.body_bytes {
             let reader = Reader::requests(limits.head_bytes, limits.body_bytes);
             self.overflow = Some(Overflow::begin(&mut self.input, reader));
             self.arrivals.dropped(before - self.input.len());
         }
     }
 
-    /// Refuses what was not kept, once all before it is answered, and goes on with what follows
-    /// that; says whether it did.
+    /// Rejects one dropped request once all requests before it are answered, or resumes parsing
+    /// after the last one. Returns whether anything was done.
     fn reject_overflow(&mut self, cx: &mut Cx<'_>) -> bool {
         if !self.input.is_empty() || !self.reader.is_fresh() {
             return false;
@@ -151,11 +150,8 @@
         };
         if overflow.take_rejection() {
             self.overflow = Some(overflow);
-            cx.world.reject_request(
-                "too much behind a request that waits",
-                "a request behind others",
-                cx.now,
-            );
+            cx.world
+                .reject_request("too many pipelined requests", "a pipelined request", cx.now);
             self.respond(
                 cx,
                 &Response {
@@ -178,42 +174,44 @@
         true
     }
 
-    /// Parses what has come and acts on whole requests, one at a time.
+    /// Parses the input and handles complete requests, one at a time.
     fn read_requests(&mut self, cx: &mut Cx<'_>) {
-        // Who reads no answers gets no more of them: they would pile up here.
-        while self.state == State::Reading && self.stream.unwritten() < cx.world.limits.output {
+        // If the client does not read its answers, stop handling requests, as unsent answers would
+        // accumulate.
+        while self.state == State::Reading && self.stream.unwritten() < cx.world.limits.output_bytes
+        {
             if self.reject_overflow(cx) {
                 continue;
             }
             let fresh = self.reader.is_fresh();
             let before = self.input.len();
             let progress = self.reader.read(&mut self.input);
-            let came = self.arrivals.parsed(before - self.input.len());
+            let arrived = self.arrivals.parsed(before - self.input.len());
             match progress {
                 Ok(Progress::Whole) => {
                     let (head, body) = self.reader.take();
                     self.continued = false;
-                    // Its client has waited since its last byte, however long others were answered
-                    // before it.
+                    // The client has waited since the last byte of this request arrived, even if
+                    // earlier requests were being answered meanwhile.
                     let since = cx.since;
-                    cx.since = came.unwrap_or(since);
+                    cx.since = arrived.unwrap_or(since);
                     self.request(cx, &head, &body);
                     cx.since = since;
                 }
                 Ok(Progress::More) => {
                     if fresh && !self.reader.is_fresh() {
                         cx.world.clients.set_partial(cx.token, cx.now);
-                        // A first request's time runs from when its client connected.
+                        // The timer for a first request has run since the client connected.
                         if self.requests > 0 {
                             cx.set_timer(cx.now + cx.world.limits.request_read);
                         }
                     }
-                    let waits = self
+                    let expects_continue = self
                         .reader
                         .head
                         .as_ref()
                         .is_some_and(Head::expects_continue);
-                    if waits && !std::mem::replace(&mut self.continued, true) {
+                    if expects_continue && !std::mem::replace(&mut self.continued, true) {
                         self.stream.push(b"HTTP/1.1 100 Continue\r\n\r\n");
                     }
                     return;
@@ -227,11 +225,8 @@
     }
 
     fn reject(&mut self, cx: &mut Cx<'_>, problem: HttpError) {
-        cx.world.reject_request(
-            &problem.to_string(),
-            "something that is no HTTP request",
-            cx.now,
-        );
+        cx.world
+            .reject_request(&problem.to_string(), "a malformed HTTP request", cx.now);
         self.respond(
             cx,
             &Response::text(problem.status(), problem.to_string()),
@@ -245,8 +240,7 @@
         let with_body = head.start.0 != "HEAD";
         self.requests = self.requests.saturating_add(1);
         match self.service.request(cx, head, body) {
-            // What follows a request that makes no sense may make none either: its length may have
-            // been wrong.
+            // After an invalid request the input may be out of sync, as its length may be wrong.
             Handled::Done(response) => {
                 let keep = keep && !(400..500).contains(&response.status);
                 self.respond(cx, &response, keep, with_body);
@@ -260,8 +254,7 @@
     }
 
     fn respond(&mut self, cx: &mut Cx<'_>, response: &Response, keep: bool, with_body: bool) {
-        // What came behind a request was taken with it: the last of the answers closes the
-        // connection.
+        // Pipelined requests that were received are answered before the connection is closed.
         let keep = keep
             && self.service.keeps_alive()
             && (!cx.world.closes_connections(cx.now) || self.has_more(cx));
@@ -270,29 +263,29 @@
             self.state = State::Reading;
             self.become_idle(cx);
         } else {
-            self.end_with(cx, cx.world.limits.request_read);
+            self.close_after_flush(cx, cx.world.limits.request_read);
         }
     }
 
     fn has_more(&mut self, cx: &Cx<'_>) -> bool {
-        // An end or a failure shows again at the next event.
+        // An end of the stream or an error is reported again by the next read.
         let _ = self.read_input(cx);
         !self.input.is_empty() || self.overflow.as_ref().is_some_and(Overflow::is_pending)
     }
 
-    /// The one way in which this side ends a connection: what is to be said is written, then the
-    /// output is ended, and what still comes is read and dropped for a while, as a close over
-    /// unread bytes would take the answers with it. Nothing that is read from here on is acted on.
-    fn end_with(&mut self, cx: &mut Cx<'_>, patience: Time) {
+    /// Starts to close the connection: writes what is pending, ends the output, and then reads and
+    /// drops input for some time, as a close with unread input would reset the connection before
+    /// the client has read its answers. No further request is handled.
+    fn close_after_flush(&mut self, cx: &mut Cx<'_>, timeout: Time) {
         cx.world.clients.set_busy(cx.token);
         self.state = State::Ending;
         (self.input, self.overflow) = (Vec::new(), None);
-        cx.set_timer(cx.now + patience);
+        cx.set_timer(cx.now + timeout);
     }
 
-    /// The client has closed its connection, and so has gone: nothing more is done for it. What was
-    /// answered before, or could be at once, is still written, as it may have ended its output
-    /// alone.
+    /// Handles the end of the client's output. A query in flight is abandoned. Answers that exist
+    /// or are available at once are still written, as the client may have closed one direction
+    /// only.
     fn client_ended(&mut self, cx: &mut Cx<'_>) {
         self.read_requests(cx);
         if matches!(self.state, State::Waiting { .. }) || self.stream.flush().is_err() {
@@ -301,13 +294,13 @@
         if self.stream.unwritten() == 0 {
             return cx.close();
         }
-        self.said_all = true;
-        self.end_with(cx, cx.world.limits.request_read);
+        self.input_ended = true;
+        self.close_after_flush(cx, cx.world.limits.request_read);
         self.flush(cx);
     }
 
     fn time_out(&mut self, cx: &mut Cx<'_>) {
-        // Where clients are sent away another gatherer may still take it.
+        // During a drain, another gatherer can still serve the request.
         let status = if cx.world.orders.drain.is_under_way() {
             503
         } else {
@@ -322,13 +315,13 @@
         self.flush(cx);
     }
 
-    /// Between requests: may be closed for room, and is closed after long disuse.
+    /// Marks the connection as idle, so that it may be evicted, and starts the idle timer.
     fn become_idle(&mut self, cx: &mut Cx<'_>) {
         cx.world.clients.set_idle(cx.token, cx.now, self.requests);
         cx.world
             .clients
             .evict_single_request(cx.net, cx.now, &cx.world.limits);
-        // Clients that ask once and stay would in time hold every place that clients may have.
+        // Clients that send one request and stay connected would in time use up all connections.
         let idle = if self.requests > 1 {
             cx.world.limits.client_idle
         } else {
@@ -337,31 +330,31 @@
         cx.set_timer(cx.now + idle);
     }
 
-    /// Writes what is there and sets what the socket is watched for.
+    /// Writes pending output and updates the events that the socket is registered for.
     fn flush(&mut self, cx: &mut Cx<'_>) {
-        self.shrink_buffers(cx);
-        // What a client sends that reads no answers waits in the socket, so that it cannot pile up
-        // here.
-        let stalled = self.stream.unwritten() >= cx.world.limits.output;
+        self.drop_excess_input(cx);
+        // If the client does not read its answers, leave its input in the socket, so that it cannot
+        // accumulate here.
+        let stalled = self.stream.unwritten() >= cx.world.limits.output_bytes;
         let reading = matches!(self.state, State::Reading);
         let paused = stalled && reading && self.input.len() >= cx.world.limits.head_bytes;
         self.paused = paused.then(|| self.paused.unwrap_or(cx.now));
-        let ready = match (self.said_all, paused) {
+        let ready = match (self.input_ended, paused) {
             (true, _) => Ready::default(),
             (_, true) => Ready::END,
             _ => Ready::READ,
         };
         match self.stream.flush_and_arm(cx.net, cx.token, ready) {
             Ok(false) if self.state == State::Ending => {
-                // Closing at once could reset the connection before the client has read the answer.
+                // Closing now could reset the connection before the client has read the answer.
                 self.stream.end_output();
-                self.state = State::Lingering(cx.now + cx.world.limits.drain);
+                self.state = State::Lingering(cx.now + cx.world.limits.max_linger);
                 cx.world.clients.set_partial(cx.token, cx.now);
                 cx.set_timer(cx.now + cx.world.limits.linger);
             }
             Ok(_) => {}
             Err(problem) => {
-                tracing::debug!(%problem, "a client's connection broke");
+                tracing::debug!(%problem, "client connection broke");
                 cx.close();
             }
         }
@@ -369,28 +362,28 @@
 }
 
 impl HttpConnection {
-    /// Ends a connection between two requests, or half through one where its place is wanted. What
-    /// is here already is served: closing on it would lose it.
-    fn close_if_idle(&mut self, cx: &mut Cx<'_>, for_room: bool) {
+    /// Closes an idle connection, or with `evict` also one with a partial request. Requests that
+    /// have already arrived are served first, as closing would lose them.
+    fn close_if_idle(&mut self, cx: &mut Cx<'_>, evict: bool) {
         match self.read_input(cx) {
             Ok(Input::Open) => self.read_requests(cx),
             Ok(Input::Ended) => return self.client_ended(cx),
             Err(_) => return cx.close(),
         }
         match (self.state, self.reader.is_fresh()) {
-            // Nothing was ever said here, so nothing is owed, and its place is wanted at once.
-            (State::Reading, true) if for_room && self.requests == 0 => return cx.close(),
-            // It may not have read its answers yet, or be asking in this moment.
-            (State::Reading, true) => self.end_with(cx, cx.world.limits.linger),
-            // Others wait for its place, and it was given longer than any sound client takes.
-            (State::Reading, false) if for_room => return self.time_out(cx),
+            // There is no answer that the client may still have to read.
+            (State::Reading, true) if evict && self.requests == 0 => return cx.close(),
+            // The client may not have read its answers yet, or be sending a request.
+            (State::Reading, true) => self.close_after_flush(cx, cx.world.limits.linger),
+            // The grace period for partial requests is over.
+            (State::Reading, false) if evict => return self.time_out(cx),
             _ => {}
         }
         self.flush(cx);
     }
 
-    /// After the last answer: what still comes is dropped, so that a reset does not take the answer
-    /// with it.
+    /// Drops input after the last answer, so that no reset discards the answer before the client
+    /// has read it.
     fn drain(&mut self, cx: &mut Cx<'_>, ready: Ready) {
         self.input = Vec::new();
         if ready.readable {
@@ -399,12 +392,12 @@
                     return cx.set_timer(until.min(cx.now + cx.world.limits.linger));
                 }
                 (Ok((_, Input::Open)), _) => {}
-                // It said all it had to say, but may still wait for the last answer's bytes.
+                // The client has ended its output, but may still be reading the last answer.
                 (Ok((_, Input::Ended)), State::Ending) => {
                     if self.stream.flush().is_err() || self.stream.unwritten() == 0 {
                         return cx.close();
                     }
-                    self.said_all = true;
+                    self.input_ended = true;
                 }
                 _ => return cx.close(),
             }
@@ -415,7 +408,7 @@
 
 impl Connection<Gatherer> for HttpConnection {
     fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
-        // The listener has entered it as silent, and it stays so until its first byte.
+        // The listener added the connection as unused, and it stays so until its first byte.
         cx.set_timer(cx.now + self.service.read_timeout(&cx.world.limits));
         self.stream.arm(cx.net, cx.token, Ready::READ)
     }
@@ -424,7 +417,7 @@
         if matches!(self.state, State::Ending | State::Lingering(_)) {
             return self.drain(cx, ready);
         }
-        // Behind bytes that wait in the socket the client's end cannot be read, but it is told.
+        // While reading is paused, the end of the stream cannot be read, but epoll reports it.
         if ready.ended && self.paused.is_some() {
             return cx.close();
         }
@@ -438,7 +431,7 @@
         self.flush(cx);
         if ready.writable && (!self.input.is_empty() || self.overflow.is_some()) && !cx.is_closing()
         {
-            // What waited for the client to read.
+            // Continue with the requests that were waiting for the client to read its answers.
             self.read_requests(cx);
             self.flush(cx);
         }
--- a/bitternsill/src/front/signals.rs
+++ b/bitternsill/src/front/signals.rs
@@ -1,5 +1,5 @@
-//! Signals as descriptors of the loop: SIGTERM and SIGINT end the program, SIGHUP has it read its
-//! file again.
+//! Signal handling in the event loop: SIGTERM and SIGINT start the shutdown, SIGHUP reloads the
+//! configuration file.
 
 use super::hosts::Connector;
 use super::platform::discovery::{Names, read_list};
@@ -18,18 +18,18 @@
 
 type Cx<'a> = Context<'a, Gatherer>;
 
-/// The reading end of a pair into which some signals write a byte.
+/// The reading end of a socket pair to which the signal handlers write a byte.
 struct Signals {
     socket: UnixStream,
 }
 
 impl Signals {
     fn install(signals: &[i32]) -> io::Result<Self> {
-        let (socket, tell) = UnixStream::pair()?;
+        let (socket, writer) = UnixStream::pair()?;
         socket.set_nonblocking(true)?;
-        tell.set_nonblocking(true)?;
+        writer.set_nonblocking(true)?;
         for signal in signals {
-            signal_hook::low_level::pipe::register(*signal, tell.try_clone()?)?;
+            signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
         }
         Ok(Signals { socket })
     }
@@ -38,13 +38,13 @@
         cx.net.register(&self.socket, cx.token, Ready::READ)
     }
 
-    /// Drops the bytes; several signals at once count as one.
+    /// Discards the bytes; several signals at once count as one.
     fn drain(&mut self) {
         let _ = self.socket.read(&mut [0; 64]);
     }
 }
 
-/// Begins the graceful shutdown on SIGTERM and SIGINT.
+/// Starts the graceful shutdown on SIGTERM and SIGINT.
 pub struct ShutdownSignal(Signals);
 
 impl ShutdownSignal {
@@ -69,32 +69,32 @@
     fn timer(&mut self, _cx: &mut Cx<'_>) {}
 }
 
-/// The configuration file as it is now, as far as it takes effect without a restart.
+/// The part of the configuration file that can change without a restart.
 pub struct ReloadedConfig {
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: Option<SocketAddr>,
-    /// Where there is no discovery: the list of index hosts, in its form.
+    /// The list of index hosts in the form of discovery, for deployments without discovery.
     pub members: Json,
-    /// The settings and what follows from them, where these can change in service.
+    /// The settings and what is derived from them, if they can change at run time.
     pub settings: Option<NewSettings>,
 }
 
-/// Settings, and what follows from them.
+/// Settings, and what is derived from them.
 pub struct NewSettings {
-    /// The dispatcher's.
+    /// The dispatcher's settings.
     pub settings: Settings,
-    /// The program's own.
+    /// The program's own settings.
     pub deployment: Deployment,
-    /// The limits that follow from them.
+    /// The limits derived from the settings.
     pub limits: Rc<Limits>,
     /// The connector for these limits.
     pub connector: Box<dyn Connector>,
 }
 
-/// Reads the file again.
+/// Reads the configuration file.
 pub type ConfigReader = Box<dyn Fn() -> Result<ReloadedConfig, Box<dyn Error>>>;
 
-/// Reads the configuration file again on SIGHUP, which without a handler would end the program.
+/// Reloads the configuration file on SIGHUP, which without a handler would end the process.
 pub struct ReloadSignal {
     signals: Signals,
     read: ConfigReader,
@@ -121,12 +121,12 @@
         let members = match (discovery, cx.world.directory) {
             (Some(_), Some(_)) => Vec::new(),
             (None, None) => read_list(&members, &mut names)?.2,
-            _ => return Err("with and without discovery: this takes a restart".into()),
+            _ => return Err("adding or removing discovery requires a restart".into()),
         };
-        // All that could fail has been read by now: the file takes effect completely, or not at
-        // all.
+        // The file must take effect completely or not at all. `reconfigure` is the last step that
+        // can fail, and changes nothing if it does.
         match settings {
-            // The version that the store has activated takes precedence over one gatherer's file.
+            // The version activated in the store takes precedence over the file of one gatherer.
             Some(_)
                 if cx
                     .world
@@ -135,10 +135,10 @@
                     .is_some_and(|versions| versions.running() != 0) =>
             {
                 tracing::warn!(
-                    "the file's settings are not taken: the store's version is in force"
+                    "settings in the file ignored: the version from the store is in use"
                 );
             }
-            Some(fresh) => cx.world.reconfigure(fresh, cx.now)?,
+            Some(new) => cx.world.reconfigure(new, cx.now)?,
             None => {}
         }
         self.names = names;
@@ -165,9 +165,9 @@
     fn ready(&mut self, cx: &mut Cx<'_>, _ready: Ready) {
         self.signals.drain();
         match self.reload(cx) {
-            Ok(()) => tracing::info!("the configuration was read again"),
-            // Whatever was in force stays so: a half-written file must not end the service.
-            Err(problem) => tracing::warn!(%problem, "the configuration stays as it was"),
+            Ok(()) => tracing::info!("configuration reloaded"),
+            // Keep the former configuration: a half-written file must not interrupt the service.
+            Err(problem) => tracing::warn!(%problem, "configuration not reloaded"),
         }
     }
 
--- a/bitternsill/src/limits.rs
+++ b/bitternsill/src/limits.rs
@@ -1,73 +1,74 @@
-//! Every size, count and time that bounds the program, in one place.
+//! All limits of the program: sizes, counts and times.
 //!
-//! Filled once at start, from the defaults here and from what the settings say, and handed down by
-//! reference.
+//! They are computed at the start, and when settings are reloaded, from the defaults here and from
+//! the settings.
 
 use dispatch::interface::Time;
 
-/// One millisecond in the clock's unit.
+/// One millisecond in nanoseconds, the unit of [`Time`].
 pub const MS: Time = 1_000_000;
 
-/// The program's bounds.
+/// The program's limits.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Bytes of a message's start line and headers.
+    /// Bytes of the start line and headers of an HTTP message.
     pub head_bytes: usize,
-    /// Bytes of a message's body.
+    /// Bytes of the body of an HTTP message.
     pub body_bytes: usize,
-    /// Bytes of one frame, or of one protocol data unit.
+    /// Bytes of one frame from an index host. Buffers of the store's protocol hold a multiple of
+    /// it.
     pub frame_bytes: usize,
-    /// Bytes of one line of a watch.
+    /// Bytes of one line of a discovery watch.
     pub watch_line_bytes: usize,
-    /// Nesting of a catalogue query.
-    pub depth: usize,
-    /// Nesting of a Z39.50 data unit.
+    /// Nesting depth of a catalogue query.
+    pub query_depth: usize,
+    /// Nesting depth of a Z39.50 data unit.
     pub ber_depth: usize,
-    /// Records of one page.
-    pub records: usize,
-    /// Records that one part asks an index host for.
+    /// Records on one page.
+    pub page_records: usize,
+    /// Records that one part requests from an index host.
     pub part_records: u32,
-    /// Bytes of one catalogue response of an index host.
-    pub host_message: usize,
-    /// Positions of a sorted result that can be reached.
+    /// Bytes of one catalogue response from an index host.
+    pub host_message_bytes: usize,
+    /// Positions that can be reached in a sorted result.
     pub sorted_reach: u64,
-    /// Records that are sorted here for a host that does not sort.
+    /// Records sorted locally for a host that cannot sort.
     pub local_sort: u32,
-    /// Rounds of parts that one client's operation may take.
-    pub rounds: u32,
-    /// Exchanges that one part may take on its session.
-    pub exchanges: u32,
+    /// Rounds of parts in one client operation.
+    pub operation_rounds: u32,
+    /// Exchanges with the index host for one part.
+    pub part_exchanges: u32,
     /// Terms of one scan.
-    pub terms: u32,
-    /// Sort keys.
+    pub scan_terms: u32,
+    /// Sort keys of one search.
     pub sort_keys: usize,
-    /// Facets, and values of each.
+    /// Facets of one search, and values per facet.
     pub facets: (usize, u32),
     /// Clauses of a Z39.50 query.
     pub clauses: usize,
-    /// Result sets that one Z39.50 session keeps.
+    /// Result sets of one Z39.50 session.
     pub result_sets: usize,
-    /// Result sets of all clients, and their bytes.
+    /// Result sets of all clients, and their total bytes.
     pub all_sets: (usize, usize),
-    /// How long a result set is kept unused.
+    /// How long an unused result set is kept.
     pub set_ttl: Time,
-    /// Names of result sets that are gone, remembered to tell them from those that never were.
+    /// Names of removed result sets that are remembered, to distinguish them from unknown names.
     pub removed_sets: usize,
-    /// Operations of one Z39.50 session at once.
+    /// Concurrent operations of one Z39.50 session.
     pub operations: usize,
     /// Bytes of one Z39.50 message to a client.
-    pub message: usize,
-    /// Bytes that wait to be written to one catalogue client.
-    pub output: usize,
-    /// A catalogue client that reads nothing for this long is let go.
+    pub client_message_bytes: usize,
+    /// Bytes of unwritten output to one client, above which no further requests are handled.
+    pub output_bytes: usize,
+    /// How long a Z39.50 client may leave its output unread before it is disconnected.
     pub stalled_reader: Time,
-    /// Sets that a session to a Z39.50 host keeps there, and how long they are presented from.
+    /// Result sets that a session keeps at a Z39.50 host, and how long they are used.
     pub host_sets: (usize, Time),
-    /// Rests of a catalogue host whose connections fail: the first and the longest.
+    /// The first and the longest backoff after failed connections to a catalogue host.
     pub host_backoff: (Time, Time),
-    /// How long what a catalogue host cannot do is held against it.
+    /// How long a missing capability of a catalogue host is remembered.
     pub capability_ttl: Time,
-    /// How long an abandoned search is outlived: at the least and at the most.
+    /// The minimum and maximum wait for the answer to an abandoned search, which frees its session.
     pub abandoned_search_time: (Time, Time),
     /// Number of open queries up to which turns are not delayed, if the settings have no `tick`.
     pub unbatched_queries: usize,
@@ -75,174 +76,170 @@
     pub turn_gap_step: Time,
     /// Upper bound of that time.
     pub max_turn_gap: Time,
-    /// Entries of the store's log before they are folded into a snapshot.
+    /// Entries in the store's log before it is compacted into a snapshot.
     pub store_log: usize,
-    /// Keys that the store holds.
+    /// Keys in the store.
     pub store_keys: usize,
-    /// Sessions that the store holds.
+    /// Sessions in the store.
     pub store_sessions: usize,
-    /// Keys that one change names.
+    /// Keys in one transaction of the store.
     pub store_txn_keys: usize,
-    /// What is asked of the store through one member at once.
+    /// Concurrent requests to the store through one member.
     pub store_calls: usize,
-    /// Changes that are kept for those who watch from a revision on.
+    /// Changes kept for clients that watch the store from an earlier revision on.
     pub store_history: usize,
-    /// How long an answer of the store is waited for by those who ask in lines.
+    /// The timeout of requests to the store over the line protocol.
     pub store_request_timeout: Time,
-    /// Between two heartbeats of the store's leader.
+    /// The interval between heartbeats of the store's leader.
     pub store_heartbeat: Time,
-    /// How long a member of the store waits for its leader, at the least.
+    /// The minimum election timeout of a store member.
     pub store_election: Time,
-    /// Between two attempts to connect to another member.
+    /// The interval between attempts to connect to another store member.
     pub store_retry: Time,
-    /// Between two attempts to ask a peer for its phase.
+    /// The interval between attempts to query the recovery phase of a peer.
     pub recovery_retry: Time,
-    /// Between two lines of the log on a member that waits for others.
+    /// The interval between log lines of a store member that waits for others.
     pub store_log_interval: Time,
-    /// Between two times that the store is told how far a trail goes.
+    /// The interval at which the length of the audit log is reported to the store.
     pub audit_report_interval: Time,
-    /// How long a full disk is left alone before the next attempt.
+    /// The backoff after a write failed because the disk is full.
     pub disk_full_backoff: Time,
-    /// Characters of a query's id, of its key and of a catalogue query.
+    /// Bytes of a query id, an idempotency key, a host name or a catalogue query.
     pub name_bytes: usize,
-    /// Bytes of the texts in one call; a part with a longer one travels alone.
+    /// Bytes of the query texts in one call; a part with a longer text is sent alone.
     pub call_bytes: usize,
-    /// Bytes read from a connection before others get their turn.
+    /// Bytes read from a connection before other connections are served.
     pub read_burst: usize,
-    /// File descriptors the process may hold.
+    /// File descriptors of the process.
     pub descriptors: usize,
-    /// Client connections held at once.
+    /// Client connections.
     pub clients: usize,
-    /// Client connections kept that have asked once and no more.
+    /// Idle client connections that have sent a single request.
     pub single_request_clients: usize,
-    /// Client connections held at once where catalogue sessions are served.
+    /// Client connections of the catalogue.
     pub sessions: usize,
-    /// Connections to all index hosts: what clients may not have, less what the program itself
-    /// needs.
+    /// Connections to all index hosts together.
     pub host_links: usize,
     /// Connections to one index host.
     pub connections_per_host: usize,
-    /// The same where each carries one part at a time.
+    /// Connections to one index host in the catalogue, where a connection carries one part at a
+    /// time.
     pub host_sessions: usize,
     /// Parts in flight on one connection.
     pub parts_per_connection: usize,
-    /// Parts that wait for room on one connection.
+    /// Parts queued on one connection.
     pub queued_parts: usize,
-    /// Ids remembered on one connection after they were given up or answered.
-    pub past_parts: usize,
-    /// Probes that wait for their answer on one connection.
+    /// Ids remembered on one connection after their parts were cancelled or answered.
+    pub recent_part_ids: usize,
+    /// Unanswered probes on one connection.
     pub queued_probes: usize,
-    /// Index hosts held in the table, those that have left included: twice the largest fleet, while
-    /// it is replaced, and more.
+    /// Index hosts in the table, including removed ones that are still in use. More than twice the
+    /// largest fleet, as all hosts may be replaced at once.
     pub hosts: usize,
-    /// Idle connections closed at once to make room.
+    /// Idle connections evicted at once.
     pub eviction_burst: usize,
-    /// Connections accepted before others get their turn.
+    /// Connections accepted before other connections are served.
     pub accept_burst: usize,
-    /// How long a connection may take to come up.
+    /// The timeout of a connection attempt.
     pub connect: Time,
-    /// A connection to an index host idle for this long is closed, before the host does it.
+    /// The idle timeout of a connection to an index host, which is shorter than the host's own.
     pub host_idle: Time,
-    /// A connection on which parts are out and nothing has come for this long takes no more of
-    /// them.
+    /// A connection with parts in flight gets no more calls after this time without input.
     pub link_unresponsive: Time,
-    /// How long a frame of an index host may be there in part.
+    /// How long a frame from an index host may stay incomplete.
     pub frame_read: Time,
-    /// How long a probe is awaited.
+    /// The timeout of a probe.
     pub probe: Time,
-    /// How long a client may take over one request's bytes; over its first, counted from when it
-    /// connected.
+    /// The time limit for receiving a request; for a first request, from when the client connected.
     pub request_read: Time,
-    /// How long a connection may stay without a request after its last one.
+    /// The idle timeout of a client connection after several requests.
     pub client_idle: Time,
-    /// The same after its only one.
+    /// The idle timeout of a client connection after a single request.
     pub single_request_idle: Time,
-    /// The same for a catalogue session, whose result sets go with it.
+    /// The idle timeout of a Z39.50 session, which is long as its result sets are lost with it.
     pub session_idle: Time,
-    /// A connection that has said nothing for this long gives way to others before those that have
-    /// asked.
+    /// How long a connection must have sent nothing before it may be evicted.
     pub unused_grace: Time,
-    /// The same for one that has been half-way through a request, or idle after its only one, this
-    /// long.
+    /// How long a request must have been partial, or a connection idle after a single request,
+    /// before the connection may be evicted.
     pub partial_grace: Time,
-    /// How long a closed connection's next bytes are waited for.
+    /// After the output has ended: how long to wait for further input or the end of the connection.
     pub linger: Time,
-    /// How long what a client still sends after its last answer is read and dropped.
-    pub drain: Time,
-    /// How long accepting rests after descriptors ran out.
+    /// After the output has ended: how long input is read and dropped at most.
+    pub max_linger: Time,
+    /// The backoff after descriptors ran out in accepting connections.
     pub accept_backoff: Time,
-    /// How long a discovery call may take to be answered. What changes counts as told 6 s after
-    /// discovery had it: a silent watch, the wait for the next call, that call given up and the
-    /// wait behind it have to fit in. With less patience a large fleet that all calls at once is
-    /// answered seldom: its calls are worked on and thrown away.
+    /// The timeout of a discovery call. A change must be known 6 s after discovery has it. A watch
+    /// time-out, the wait for the next call, the time-out of that call and the wait after it must
+    /// fit into that. With a shorter timeout a large fleet that calls at once rarely gets answers,
+    /// as discovery works on calls that have been abandoned.
     pub discovery_timeout: Time,
-    /// The same behind a call that was refused, as nothing has been missed until then. A discovery
-    /// that has too many callers says so after some 2 s; given up before, a call has been worked on
-    /// for nothing.
+    /// The timeout of a discovery call after a rejected one, when no change can have been missed
+    /// yet. An overloaded discovery rejects calls after about 2 s; a call abandoned before that has
+    /// cost it work for nothing.
     pub discovery_busy_timeout: Time,
-    /// A watch silent for this long is broken; an empty line comes every 2 s.
+    /// The timeout of a watch without input; discovery sends an empty line every 2 s.
     pub watch_timeout: Time,
-    /// Taken off the time the module is told a client will wait.
+    /// Subtracted from the client timeout that is passed to the dispatcher.
     pub client_timeout_margin: Time,
-    /// An open query is failed this long before its client's time ends.
+    /// How long before the client's timeout an open query is failed.
     pub answer_margin: Time,
-    /// How long after a notice new work to a leaving host may go on.
+    /// How long attempts may still be sent to a draining host.
     pub drain_grace: Time,
-    /// After SIGTERM: how long connections are accepted and kept.
+    /// After SIGTERM: how long connections are accepted and kept open.
     pub keep_serving: Time,
-    /// The last part of that time, in which each answer closes its connection.
-    pub farewell: Time,
-    /// After SIGTERM: when whatever is left is failed and the program ends.
+    /// The last part of `keep_serving`, in which connections are closed after their next answer.
+    pub close_after_answer: Time,
+    /// After SIGTERM: when open queries are failed and the process ends.
     pub shutdown_deadline: Time,
-    /// How long the end waits for the last picture of what was learned to be written.
+    /// The time limit for writing the last snapshot of the learned state at shutdown.
     pub final_snapshot_timeout: Time,
-    /// How long a start waits for discovery before it reports ready with the list it was given.
+    /// How long a start waits for discovery before it becomes ready with a persisted list.
     pub first_endpoints_timeout: Time,
-    /// How long after new settings the former names and meanings of classes hold beside the new
-    /// ones.
+    /// How long former classes can be used by name after new settings took effect.
     pub settings_overlap: Time,
-    /// Classes held at once, those that only open queries are of included.
+    /// Classes, including former ones that open queries still belong to.
     pub classes: usize,
-    /// Callers at the operators' door at once; so many descriptors are kept back for them.
+    /// Connections of operators. As many descriptors are reserved for them.
     pub admin_connections: usize,
-    /// How long an operator's call may take to come.
+    /// The time limit for receiving an operator's request.
     pub admin_read_timeout: Time,
-    /// A drain: from when on answers close connections, idle ones are closed, and half requests
-    /// ended.
+    /// In a drain, the times from which on connections are closed after an answer, idle ones are
+    /// closed, and partial requests are ended.
     pub drain_times: (Time, Time, Time),
-    /// Between two looks for connections that have become idle in a drain, and how long a
-    /// connection is left alone.
+    /// In a drain, the interval between sweeps for idle connections, and how long a connection must
+    /// have been idle.
     pub drain_sweep: (Time, Time),
-    /// How long it is remembered that a host is back, for the other process.
+    /// How long the end of a host's exclusion is kept for the other process of an upgrade.
     pub exclusion_retention: Time,
-    /// Between two looks at what the other process has noted.
+    /// The interval at which the notes of the other process of an upgrade are read.
     pub handover_poll_interval: Time,
-    /// Processes of one name that can know of each other.
+    /// Processes with the same name that can take part in a handover.
     pub handover_processes: usize,
-    /// Reasons for which requests are turned away that are counted apart.
+    /// Rejection reasons that are counted separately.
     pub rejection_reasons: usize,
-    /// Between two lines of the log on one such reason.
+    /// The interval between log lines about the same rejection reason.
     pub rejection_log_interval: Time,
-    /// Characters of what such a request asked for that are kept.
+    /// Characters kept of a rejected request.
     pub rejection_example_chars: usize,
 }
 
-/// The defaults, before settings and machine size are taken into account.
+/// The defaults, before they are adjusted to the settings and to the machine.
 const DEFAULTS: Limits = Limits {
     head_bytes: 16 << 10,
     body_bytes: 64 << 10,
     frame_bytes: 128 << 10,
     watch_line_bytes: 256 << 10,
-    depth: 16,
+    query_depth: 16,
     ber_depth: 128,
-    records: 200,
+    page_records: 200,
     part_records: 100,
-    host_message: 1 << 20,
+    host_message_bytes: 1 << 20,
     sorted_reach: 2_000,
     local_sort: 200,
-    rounds: 12,
-    exchanges: 24,
-    terms: 100,
+    operation_rounds: 12,
+    part_exchanges: 24,
+    scan_terms: 100,
     sort_keys: 4,
     facets: (8, 100),
     clauses: 64,
@@ -251,8 +248,8 @@
     set_ttl: 300_000 * MS,
     removed_sets: 1_000,
     operations: 64,
-    message: 256 << 10,
-    output: 1 << 20,
+    client_message_bytes: 256 << 10,
+    output_bytes: 1 << 20,
     stalled_reader: 5_000 * MS,
     host_sets: (8, 60_000 * MS),
     host_backoff: (100 * MS, 5_000 * MS),
@@ -287,7 +284,7 @@
     host_sessions: 16,
     parts_per_connection: 32,
     queued_parts: 1024,
-    past_parts: 256,
+    recent_part_ids: 256,
     queued_probes: 16,
     hosts: 1_024,
     eviction_burst: 64,
@@ -304,7 +301,7 @@
     unused_grace: 50 * MS,
     partial_grace: 150 * MS,
     linger: 500 * MS,
-    drain: 5_000 * MS,
+    max_linger: 5_000 * MS,
     accept_backoff: 5 * MS,
     discovery_timeout: 1_500 * MS,
     discovery_busy_timeout: 2_200 * MS,
@@ -313,7 +310,7 @@
     answer_margin: 8 * MS,
     drain_grace: 2_000 * MS,
     keep_serving: 900 * MS,
-    farewell: 500 * MS,
+    close_after_answer: 500 * MS,
     shutdown_deadline: 3_300 * MS,
     final_snapshot_timeout: 90 * MS,
     first_endpoints_timeout: 1_500 * MS,
@@ -338,33 +335,32 @@
 }
 
 impl Limits {
-    /// So many milliseconds.
+    /// Converts milliseconds.
     pub fn ms(count: u64) -> Time {
         count.saturating_mul(MS)
     }
 
-    /// Shares out the descriptors: some for the program itself, some for index hosts, the rest for
-    /// clients.
+    /// Divides the descriptors among clients, index hosts and the program itself.
     pub fn with_descriptors(mut self, descriptors: usize) -> Self {
         self.descriptors = descriptors;
         let own = 16 + descriptors / 8;
         self.clients = descriptors.saturating_sub(own).clamp(4, 4096) * 3 / 4;
-        // Discovery's two connections, the operators' callers, listeners, signals and files come
-        // out of what is left.
+        // Reserve descriptors for two connections to discovery, for operators, listeners, signals
+        // and files.
         self.host_links = descriptors
             .saturating_sub(self.clients + 24 + self.admin_connections)
             .max(4);
-        // Clients hold a third of the descriptors at most; a quarter of that may be idle after one
-        // request.
+        // Clients together hold a third of the descriptors at most. A quarter of that may be idle
+        // after a single request.
         self.single_request_clients = (descriptors / 12).max(4);
         self
     }
 
-    /// Sizes what peers can make the program hold by the memory that there is, in MB.
+    /// Limits the memory that peers can make the program use. `memory_mb` is the total in MB.
     pub fn with_memory(mut self, memory_mb: usize) -> Self {
         let bytes = memory_mb << 20;
-        // Half of the memory for what clients have sent in part, an eighth for what index hosts
-        // have.
+        // Half of the memory is for partial requests of clients, and an eighth for partial frames
+        // of index hosts.
         self.read_burst = (bytes >> 11).clamp(8 << 10, self.read_burst);
         self.clients = self.clients.min((bytes / 2 / self.body_bytes).max(4));
         self.frame_bytes = (bytes >> 9).clamp(32 << 10, self.frame_bytes);
@@ -372,18 +368,18 @@
         self
     }
 
-    /// Shares out the time between SIGTERM and SIGKILL, which comes 0.7 s after the longest
-    /// deadline or later. Clients may have nowhere else to go until another gatherer is back, so
-    /// they are served for as long as what they ask at the end is still answered: the module ends
-    /// each query at its class's aim.
+    /// Divides the time between SIGTERM and SIGKILL, which follows 0.7 s after the longest deadline
+    /// or later. Clients may have no other gatherer until one is back, so they are served for as
+    /// long as a last query can still be answered; the dispatcher ends each query at the latency
+    /// target of its class.
     pub fn with_end(mut self, deadline: Time, latency_target: Time) -> Self {
         let kill = deadline.min(3_000 * MS) + 700 * MS;
         self.shutdown_deadline = kill.saturating_sub(100 * MS);
         self.keep_serving = self
             .keep_serving
             .max(kill.saturating_sub(latency_target + 400 * MS));
-        // Where deadlines are short, what is asked last has to be answered before the kill all the
-        // same; new connections come for 0.4 s at the most.
+        // With short deadlines, too, a last query must be answered before SIGKILL. New connections
+        // arrive for up to 0.4 s after SIGTERM.
         let latest = self
             .shutdown_deadline
             .saturating_sub(latency_target + 50 * MS)
@@ -392,14 +388,14 @@
         self
     }
 
-    /// Judges connections by the least time in which an answer is wanted.
+    /// Sets the timeout for unresponsive connections from the lowest latency target.
     pub fn with_latency_target(mut self, latency_target: Time) -> Self {
         self.link_unresponsive = (latency_target / 4).clamp(50 * MS, self.link_unresponsive);
         self
     }
 
-    /// Closing idle connections at three quarters of the host's own limit leaves a request time to
-    /// cross.
+    /// Sets the idle timeout to three quarters of the host's own, so that no request is in transit
+    /// when the host closes the connection.
     pub fn with_host_idle(mut self, host_limit: Time) -> Self {
         self.host_idle = host_limit / 4 * 3;
         self
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and runs the loop.
+//! Assembles a gatherer from its configuration and runs the event loop.
 
 use crate::admin::Orders;
 use crate::admin::listener::AdminListener;
@@ -42,10 +42,10 @@
 use std::rc::Rc;
 use store::member::{Bounds, Membership, Store, Timing};
 
-/// Whatever keeps the program from serving.
+/// An error that prevents the program from serving.
 pub type ServeError = Box<dyn std::error::Error>;
 
-/// What a gatherer is made of, whichever front it has.
+/// The components of a gatherer, for the platform or the catalogue.
 struct Plan {
     name: String,
     settings: (Settings, Deployment),
@@ -53,22 +53,23 @@
     seed: u64,
     connector: Box<dyn Connector>,
     discovery: Option<SocketAddr>,
-    /// Where operators call; with it the clients' address is shared with the process that follows.
+    /// The address for operators. If set, the address for clients is shared with a successor
+    /// process.
     admin: Option<SocketAddr>,
-    known: Json,
+    known_members: Json,
     listeners: Vec<(SocketAddr, Accept)>,
-    reread: ConfigReader,
+    reload: ConfigReader,
     store: Option<StoreSetup>,
     learning: Option<LearningSetup>,
     recovery: Option<RecoverySetup>,
-    /// Which version it acts on, and what makes settings of a document.
+    /// The setup for configuration versions, and the function that makes settings from a document.
     versions: Option<(VersionsSetup, Prepare)>,
-    /// What the store keeps of the front's set-up.
+    /// The description of this gatherer that is written to the store.
     setup: Json,
 }
 
 fn limits((settings, deployment): &(Settings, Deployment), sockets: usize) -> Limits {
-    let aims = || settings.classes.iter().map(|class| class.latency_target);
+    let latency_targets = || settings.classes.iter().map(|class| class.latency_target);
     let deadline = settings
         .classes
         .iter()
@@ -77,8 +78,8 @@
         .unwrap_or(0);
     let mut limits = Limits::default()
         .with_descriptors(sockets)
-        .with_latency_target(aims().min().unwrap_or(Time::MAX))
-        .with_end(deadline, aims().max().unwrap_or(0));
+        .with_latency_target(latency_targets().min().unwrap_or(Time::MAX))
+        .with_end(deadline, latency_targets().max().unwrap_or(0));
     limits.parts_per_connection = deployment.parts_per_connection;
     limits.connect = deployment.connect.unwrap_or(limits.connect);
     limits.drain_grace = deployment.drain_grace.unwrap_or(limits.drain_grace);
@@ -88,8 +89,7 @@
     }
 }
 
-/// How many descriptors the system lets this process have: whatever it was told, clients must leave
-/// some of these.
+/// The system's limit on descriptors. Whatever is configured, clients must not use up all of these.
 fn descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.map_or(usize::MAX, |most| {
@@ -97,9 +97,9 @@
     })
 }
 
-/// Serves the platform until SIGTERM; `beside` is what an installation has that the platform has no
-/// place for.
-pub fn platform(config: Config, beside: Beside) -> Result<(), ServeError> {
+/// Serves the platform until SIGTERM. `operator` holds the settings that the platform's
+/// configuration has no place for.
+pub fn platform(config: Config, operator: Beside) -> Result<(), ServeError> {
     let settings = settings::read(&config.settings).map_err(ConfigError::Settings)?;
     let (sockets, memory_mb, shape) = (
         config.sockets.min(descriptors()),
@@ -137,9 +137,9 @@
         seed: config.seed,
         discovery: Some(config.discovery),
         admin: config.admin,
-        known: config.known,
+        known_members: config.known,
         listeners: vec![(config.listen, accept)],
-        reread: Box::new(move || {
+        reload: Box::new(move || {
             let (reloaded, make_settings) =
                 (config::load(Some(config.path.clone()))?, new_settings);
             reloaded.shape.fits(&shape).map_err(ConfigError::Shape)?;
@@ -150,10 +150,10 @@
                 settings,
             })
         }),
-        store: beside.store,
-        learning: beside.learning,
-        recovery: beside.recovery,
-        versions: beside.versions.map(|setup| (setup, prepare)),
+        store: operator.store,
+        learning: operator.learning,
+        recovery: operator.recovery,
+        versions: operator.versions.map(|setup| (setup, prepare)),
         setup: json!({"front": "platform", "listen": config.listen.to_string()}),
     })
 }
@@ -162,7 +162,7 @@
 pub fn catalogue(setup: Setup) -> Result<(), ServeError> {
     let mut limits = limits(&setup.settings, setup.sockets.min(descriptors()));
     limits.clients = limits.clients.min(limits.sessions);
-    // A client that asks once for a page is the usual one here.
+    // Here most clients send a single request, so their idle connections are not limited further.
     limits.single_request_clients = limits.clients;
     limits.single_request_idle = limits.client_idle;
     limits.connections_per_host = setup.host_sessions.unwrap_or(limits.host_sessions);
@@ -171,7 +171,7 @@
     limits.all_sets.1 = setup.sets.bytes.unwrap_or(limits.all_sets.1);
     let limits = Rc::new(limits);
     let seed = setup.seed.unwrap_or_else(random_seed);
-    let kept = json!({
+    let description = json!({
         "front": "catalogue",
         "database": setup.database,
         "title": setup.title,
@@ -191,10 +191,10 @@
         clauses: limits.clauses,
         sets: limits.result_sets,
         operations: limits.operations,
-        output: limits.output,
+        output: limits.output_bytes,
         name_bytes: limits.name_bytes,
-        message: limits.message,
-        terms: limits.terms,
+        message: limits.client_message_bytes,
+        terms: limits.scan_terms,
         sort_keys: limits.sort_keys,
         ttl: limits.set_ttl,
     };
@@ -233,9 +233,9 @@
         seed,
         discovery: setup.discovery,
         admin: None,
-        known: setup.members,
+        known_members: setup.members,
         listeners,
-        reread: Box::new(move || {
+        reload: Box::new(move || {
             let reloaded = setup::load(&setup.path)?;
             Ok(ReloadedConfig {
                 discovery: reloaded.discovery,
@@ -247,22 +247,22 @@
         learning: setup.learning,
         recovery: setup.recovery,
         versions: None,
-        setup: kept,
+        setup: description,
     })
 }
 
-/// A seed where the file tells none: names of result sets are made from it, and must not be
-/// guessed.
+/// Returns a random seed for configurations without one. The names of result sets are derived from
+/// the seed and must not be guessable.
 pub(crate) fn random_seed() -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
-    // The standard library keys its hash tables from the system's random numbers.
+    // The standard library seeds its hash tables from the system's random numbers.
     RandomState::new().build_hasher().finish()
 }
 
-/// A member of the store, where the others are, and the file of one that keeps any.
+/// A store member, the addresses of its peers, and its file if it is persistent.
 type Member = (Store, BTreeMap<u64, SocketAddr>, Option<Disk>);
 
-/// The store: a lone member in memory, or one of several that keep a file.
+/// Opens the store: without a setup a single member in memory, else one of several with a file.
 fn open_store(
     setup: Option<&StoreSetup>,
     limits: &Limits,
@@ -283,14 +283,14 @@
         history: limits.store_history,
     };
     let Some(setup) = setup else {
-        let lone = Membership {
+        let single = Membership {
             id: 0,
             members: BTreeSet::from([0]),
             bootstraps: true,
             era: 0,
         };
         return Ok((
-            Store::start(&lone, timing, bounds, seed, None, now),
+            Store::start(&single, timing, bounds, seed, None, now),
             BTreeMap::new(),
             None,
         ));
@@ -318,13 +318,18 @@
         Some(persisted),
         now,
     );
-    tracing::info!(member = setup.member, start = store.starts(), store = %format_args!("{:016x}", store.cluster()), "store");
+    tracing::info!(
+        member = setup.member,
+        start = store.starts(),
+        store = %format_args!("{:016x}", store.cluster()),
+        "store opened"
+    );
     let mut peers = setup.members.clone();
     peers.remove(&setup.member);
     Ok((store, peers, Some(disk)))
 }
 
-/// Opens what a plan names, and runs the event loop until the program ends.
+/// Opens the components of a plan and runs the event loop until shutdown.
 fn run(plan: Plan) -> Result<(), ServeError> {
     let (settings, deployment) = plan.settings;
     let limits = plan.limits;
@@ -339,7 +344,7 @@
         cells: settings.cells,
         reach: settings.replication_factor,
     };
-    let keeper = plan
+    let learned_state = plan
         .learning
         .as_ref()
         .and_then(|setup| LearnedState::open(setup, fleet, now));
@@ -359,21 +364,21 @@
         ready_deadline: plan.discovery.map(|_| now + limits.first_endpoints_timeout),
         listeners: Vec::new(),
         store_service: None,
-        keeper,
+        learned_state,
         returning: None,
         versions: None,
         started: now,
         rejections: Rejections::default(),
-        // Before the first turn nobody is served.
+        // The first turn logs the readiness.
         last_reported_wait: Some(Wait::FirstList),
     };
-    let (end, reload) = (
+    let (shutdown, reload) = (
         ShutdownSignal::install()?,
-        ReloadSignal::install(plan.reread, names.clone())?,
+        ReloadSignal::install(plan.reload, names.clone())?,
     );
     let mut reactor = Reactor::new(gatherer, clock)?;
     let (net, gatherer) = reactor.parts();
-    net.open(Box::new(end));
+    net.open(Box::new(shutdown));
     net.open(Box::new(reload));
     let (store, peers, disk) = open_store(plan.store.as_ref(), &limits, plan.seed, now)?;
     let store_peers = peers.clone();
@@ -393,7 +398,7 @@
     gatherer.orders.announce();
     let version = restore_endpoints(
         plan.recovery,
-        &plan.known,
+        &plan.known_members,
         &mut names,
         &store_peers,
         plan.seed,
@@ -419,11 +424,11 @@
     reactor.run()?;
     let (net, gatherer) = reactor.parts();
     finish(net, gatherer, limits.final_snapshot_timeout);
-    tracing::info!("ended");
+    tracing::info!("shutdown complete");
     Ok(())
 }
 
-/// Opens the listeners for clients and the store's members, and the operators'.
+/// Opens the listeners for clients, for store members and for operators.
 fn open_listeners(
     listeners: impl Iterator<Item = (SocketAddr, Accept)>,
     admin: Option<SocketAddr>,
@@ -444,29 +449,28 @@
             net::listen(address, false)?,
             &gatherer.limits,
         )));
-        tracing::info!(admin = %address, "operators are answered");
+        tracing::info!(admin = %address, "serving operators");
     }
     Ok(())
 }
 
-/// Begins with the endpoint list from before the start. Returns its version, where there is one.
+/// Starts with the endpoint list known before the start. Returns its version, if it has one.
 fn restore_endpoints(
     recovery: Option<RecoverySetup>,
-    known: &Json,
+    known_members: &Json,
     names: &mut Names,
     store_peers: &BTreeMap<u64, SocketAddr>,
     seed: u64,
     net: &mut Net<Gatherer>,
     gatherer: &mut Gatherer,
 ) -> Option<u64> {
-    // The list from before the start may be old, or absent: then the module starts from an empty
-    // one.
-    let (version, members) = match read_list(known, names) {
+    // The list may be outdated or absent. Without one the dispatcher starts with an empty list.
+    let (version, members) = match read_list(known_members, names) {
         Ok((version, _, members)) => (Some(version), members),
         Err(_) => (None, Vec::new()),
     };
     match recovery {
-        // What that list is worth is known once the peers have been asked.
+        // The peers must be queried before the list can be trusted.
         Some(setup) => {
             let settings = gatherer.core.settings();
             gatherer.returning = Some(RecoveryService::start(
@@ -478,7 +482,8 @@
                 seed,
                 net,
             ));
-            // The module has its first turn, and asks discovery, whether or not a client comes.
+            // An empty update runs the dispatcher's first turn, which requests the list from
+            // discovery without waiting for a client.
             gatherer
                 .core
                 .update_endpoints(ListKind::Persisted, Vec::new());
@@ -491,18 +496,18 @@
             gatherer.core.update_endpoints(ListKind::Persisted, entries);
         }
     }
-    // Other gatherers may be on their way out, so a list from before is good enough to begin with.
+    // Start serving with a known list at once, as other gatherers may be shutting down.
     if gatherer.hosts.any_active() {
         gatherer.ready_deadline = None;
     }
     version
 }
 
-/// Stores what the next start begins with, once the loop has ended.
+/// Persists the state for the next start, after the event loop has ended.
 fn finish(net: &mut Net<Gatherer>, gatherer: &mut Gatherer, timeout: Time) {
     let timeout = std::time::Duration::from_nanos(timeout);
-    if let Some(keeper) = gatherer.keeper.take() {
-        keeper.finish(&mut gatherer.core, &gatherer.hosts, net.now(), timeout);
+    if let Some(learned_state) = gatherer.learned_state.take() {
+        learned_state.finish(&mut gatherer.core, &gatherer.hosts, net.now(), timeout);
     }
     gatherer.record_ends(net, net.now());
     if let Some(versions) = gatherer.versions.take() {
