--- a/bitternsill/src/cli.rs
+++ b/bitternsill/src/cli.rs
@@ -4,7 +4,7 @@
 use crate::conform::{self, Format, Protocol, Target};
 use crate::core::{schema, settings};
 use crate::fleet::{self, FleetCall};
-use crate::front::catalogue::setup::{self, Beside};
+use crate::front::catalogue::setup::{self, OperatorSetup};
 use crate::learned::cli::{self as learned, Learned};
 use crate::limits::Limits;
 use crate::store::cli::{self as store_file, StoreCommand};
@@ -271,9 +271,9 @@
     }
 }
 
-fn operator_file(path: Option<PathBuf>) -> Result<Beside, serve::ServeError> {
+fn operator_file(path: Option<PathBuf>) -> Result<OperatorSetup, serve::ServeError> {
     let Some(path) = path else {
-        return Ok(Beside::default());
+        return Ok(OperatorSetup::default());
     };
     Ok(setup::read_operator(&setup::load_json(&path)?)?)
 }
--- a/bitternsill/src/front/catalogue/setup.rs
+++ b/bitternsill/src/front/catalogue/setup.rs
@@ -290,7 +290,7 @@
 
 /// What an installation has beside the platform's configuration.
 #[derive(Debug, Default)]
-pub struct Beside {
+pub struct OperatorSetup {
     /// Where what is learned is kept.
     pub learning: Option<LearningSetup>,
     /// This member of the store, and where all of them are.
@@ -302,7 +302,7 @@
 }
 
 /// Reads an operator's file for the platform's front.
-pub fn read_operator(json: &Json) -> Result<Beside, SetupError> {
+pub fn read_operator(json: &Json) -> Result<OperatorSetup, SetupError> {
     let file: Operator = serde_path_to_error::deserialize(json).map_err(|problem| {
         let path = problem.path().to_string();
         bad(
@@ -317,7 +317,7 @@
         .transpose()?;
     let recovery = read_recovery(json, file.recovery, store.as_ref())?;
     let versions = read_versions(json, file.versions, store.as_ref())?;
-    Ok(Beside {
+    Ok(OperatorSetup {
         learning: file.learning,
         store,
         recovery,
--- a/bitternsill/src/limits.rs
+++ b/bitternsill/src/limits.rs
@@ -372,7 +372,7 @@
     /// or later. Clients may have no other gatherer until one is back, so they are served for as
     /// long as a last query can still be answered; the dispatcher ends each query at the latency
     /// target of its class.
-    pub fn with_end(mut self, deadline: Time, latency_target: Time) -> Self {
+    pub fn with_shutdown(mut self, deadline: Time, latency_target: Time) -> Self {
         let kill = deadline.min(3_000 * MS) + 700 * MS;
         self.shutdown_deadline = kill.saturating_sub(100 * MS);
         self.keep_serving = self
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::core::settings::{self, Deployment};
 use crate::front::catalogue::link::{MakeDialect, SerialConnector};
 use crate::front::catalogue::session::SessionConnection;
-use crate::front::catalogue::setup::{self, Beside, Setup, Speaks, StoreSetup};
+use crate::front::catalogue::setup::{self, OperatorSetup, Setup, Speaks, StoreSetup};
 use crate::front::catalogue::sru::Sru;
 use crate::front::catalogue::sru_host::SruHost;
 use crate::front::catalogue::z3950_host::Z3950Host;
@@ -79,7 +79,7 @@
     let mut limits = Limits::default()
         .with_descriptors(sockets)
         .with_latency_target(latency_targets().min().unwrap_or(Time::MAX))
-        .with_end(deadline, latency_targets().max().unwrap_or(0));
+        .with_shutdown(deadline, latency_targets().max().unwrap_or(0));
     limits.parts_per_connection = deployment.parts_per_connection;
     limits.connect = deployment.connect.unwrap_or(limits.connect);
     limits.drain_grace = deployment.drain_grace.unwrap_or(limits.drain_grace);
@@ -99,7 +99,7 @@
 
 /// Serves the platform until SIGTERM. `operator` holds the settings that the platform's
 /// configuration has no place for.
-pub fn platform(config: Config, operator: Beside) -> Result<(), ServeError> {
+pub fn platform(config: Config, operator: OperatorSetup) -> Result<(), ServeError> {
     let settings = settings::read(&config.settings).map_err(ConfigError::Settings)?;
     let (sockets, memory_mb, shape) = (
         config.sockets.min(descriptors()),
--- a/bitternsill/tests/limits.rs
+++ b/bitternsill/tests/limits.rs
@@ -10,7 +10,7 @@
 fn what_is_asked_last_before_the_end_has_its_time_before_the_kill() {
     for deadline in [300, 400, 600, 1000, 1400, 2500, 5000] {
         for aim in [deadline / 3, deadline / 2, deadline * 3 / 4] {
-            let limits = Limits::default().with_end(deadline * MS, aim * MS);
+            let limits = Limits::default().with_shutdown(deadline * MS, aim * MS);
             let kill = deadline.min(3000) * MS + 700 * MS;
             let (keep, last) = (limits.keep_serving, limits.shutdown_deadline);
             assert!(
