--- a/bitternsill/src/core.rs
+++ b/bitternsill/src/core.rs
@@ -168,14 +168,14 @@
     /// # Errors
     ///
     /// If the query is rejected before the dispatcher sees it.
-    pub fn submit(&mut self, ask: QueryRequest, now: Time) -> Result<(), Rejection> {
+    pub fn submit(&mut self, request: QueryRequest, now: Time) -> Result<(), Rejection> {
         // A caller can receive only one answer at a time.
-        if self.callers.contains_key(&ask.caller) {
+        if self.callers.contains_key(&request.caller) {
             return Err(Rejection::Busy);
         }
         // Two open queries with the same name cannot be distinguished on a connection to an index
         // host: one would get the other's values.
-        if self.names.contains(&ask.name) {
+        if self.names.contains(&request.name) {
             return Err(Rejection::NameTaken);
         }
         // The limit on open queries and parts from the settings; the simulator, too, rejects such a
@@ -186,39 +186,41 @@
             });
         }
         let margin = self.limits.answer_margin;
-        let deadline = ask
+        let deadline = request
             .arrived
-            .saturating_add(ask.budget)
-            .saturating_sub(margin.min(ask.budget / 4));
+            .saturating_add(request.budget)
+            .saturating_sub(margin.min(request.budget / 4));
         let number = self.next_id();
-        let remaining = ask.budget.saturating_sub(now.saturating_sub(ask.arrived));
+        let remaining = request
+            .budget
+            .saturating_sub(now.saturating_sub(request.arrived));
         self.events.push(Event::Query {
             id: QueryId(number),
             number,
-            class: ask.class,
-            parts: ask.parts.len() as u32,
+            class: request.class,
+            parts: request.parts.len() as u32,
             client_timeout: remaining
                 .saturating_sub(self.limits.client_timeout_margin.min(remaining / 2)),
-            is_retry: ask.is_retry,
+            is_retry: request.is_retry,
         });
-        let mut parts = Vec::with_capacity(ask.parts.len());
-        for (shard, weight) in ask.parts {
+        let mut parts = Vec::with_capacity(request.parts.len());
+        for (shard, weight) in request.parts {
             parts.push(self.add_part(number, shard, weight));
         }
         self.deadlines.insert((deadline, number));
-        self.callers.insert(ask.caller, number);
-        self.names.insert(ask.name.clone());
+        self.callers.insert(request.caller, number);
+        self.names.insert(request.name.clone());
         let query = Query {
-            caller: ask.caller,
-            name: ask.name,
-            class: ask.class,
-            key: ask.key,
-            text: ask.text,
+            caller: request.caller,
+            name: request.name,
+            class: request.class,
+            key: request.key,
+            text: request.text,
             deadline,
             parts,
             first_step: None,
             second_step_opened: None,
-            arrived: ask.arrived,
+            arrived: request.arrived,
             attempts: 0,
             version: self.version,
         };
--- a/bitternsill/src/core/classes/tests.rs
+++ b/bitternsill/src/core/classes/tests.rs
@@ -93,7 +93,7 @@
             &names(&["a", "b"]),
             &[class(Effect::Safe, 1), class(Effect::Safe, 2)],
         );
-        let mut held: Vec<(usize, Class)> = Vec::new();
+        let mut open_queries: Vec<(usize, Class)> = Vec::new();
         for now in (0..).step_by(10).take(50) {
             let before = classes.table();
             let chosen: Vec<&str> = ["a", "b", "c"].into_iter().filter(|_| rng.bool()).collect();
@@ -102,7 +102,7 @@
                 .iter()
                 .map(|_| class(Effect::Safe, rng.u32(1..3)))
                 .collect();
-            let in_use = |at| held.iter().any(|(slot, _)| *slot == at);
+            let in_use = |at| open_queries.iter().any(|(slot, _)| *slot == at);
             // A slot must keep its class for as long as an open query belongs to it.
             if let Ok(from) = classes.replace(
                 &names(&chosen),
@@ -120,11 +120,15 @@
                 retired: false,
                 ..table[slot].clone()
             };
-            assert!(held.iter().all(|(slot, class)| current(*slot) == *class));
+            assert!(
+                open_queries
+                    .iter()
+                    .all(|(slot, class)| current(*slot) == *class)
+            );
             if let Some(slot) = classes.find(chosen[0], false, now) {
-                held.push((slot, current(slot)));
+                open_queries.push((slot, current(slot)));
             }
-            held.retain(|_| rng.u32(0..3) > 0);
+            open_queries.retain(|_| rng.u32(0..3) > 0);
         }
     }
 }
--- a/bitternsill/src/front/catalogue.rs
+++ b/bitternsill/src/front/catalogue.rs
@@ -1,9 +1,9 @@
-//! The catalogue front: SRU and Z39.50, with readers' clients and with index hosts.
+//! The catalogue front: SRU and Z39.50, both for clients and to index hosts.
 //!
-//! Off on the platform; an operator's file sets it up. What is decided is decided in the package
-//! `catalogue`; here are the sockets, the timers and the way to the core. Each round of an
-//! operation is a query of the core's: one part for each slice that it asks, one final answer, and
-//! what is partial says so.
+//! Not used on the platform; an operator's file configures it. The package `catalogue` makes the
+//! decisions; this module has the sockets and timers and submits queries to the core. Each round of
+//! an operation is one query with a part for each slice. It gets one final answer, and partial
+//! results are marked as such.
 
 pub mod link;
 pub mod session;
@@ -26,7 +26,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The classes of the rounds, by place in the settings.
+/// The classes of the rounds, by their index in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Classes {
     /// A search.
@@ -37,29 +37,29 @@
     pub scan: usize,
 }
 
-/// What the catalogue's connections share.
+/// The state shared by the catalogue's connections.
 #[derive(Debug)]
 pub struct Catalogue {
-    /// The database's name as clients see it.
+    /// The name of the database for clients.
     pub database: String,
-    /// Its title for people.
+    /// The human-readable title of the database.
     pub title: String,
     /// The classes of the rounds.
     pub classes: Classes,
-    /// How long a client is taken to wait.
+    /// How long a client is assumed to wait.
     pub budget: Time,
-    /// Where SRU clients connect, for the explain record.
+    /// The address for SRU clients, for the explain record.
     pub sru: Option<SocketAddr>,
-    /// What Z39.50 sessions are set up with.
+    /// The configuration of Z39.50 sessions.
     pub session: Rc<Config>,
     sets: RefCell<SetTable>,
 }
 
-/// The catalogue as its connections share it.
+/// A shared reference to the catalogue.
 pub type Shared = Rc<Catalogue>;
 
 impl Catalogue {
-    /// A catalogue without result sets.
+    /// Creates a catalogue without result sets.
     pub fn new(
         (database, title): (String, String),
         classes: Classes,
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Every result set. Taken for one step of one operation and given back before the next.
+    /// Borrows the table of result sets, for one step of an operation at a time.
     pub fn sets(&self) -> RefMut<'_, SetTable> {
         self.sets.borrow_mut()
     }
 
-    /// Hands a round to the core: one part for each of its slices, all of the same weight. The
-    /// client's time runs on from when its request came, whichever round this is.
-    pub fn ask(
+    /// Submits a round to the core as a query with one part per slice, all of the same weight. In
+    /// every round the client's time counts from the arrival of its request.
+    pub fn submit_round(
         &self,
         world: &mut Gatherer,
         caller: Caller,
@@ -107,9 +107,10 @@
             Work::Page(_) => self.classes.page,
             Work::Scan(_) => self.classes.scan,
         };
-        // What is under way goes on; what begins has its turn while the gatherer returns.
-        let begins = !matches!(&plan.work, Work::Page(page) if !page.fresh);
-        if let Some(returning) = world.returning.as_mut().filter(|_| begins)
+        // During the recovery after a start, only new operations need admission; further pages of a
+        // result set do not.
+        let is_new = !matches!(&plan.work, Work::Page(page) if !page.fresh);
+        if let Some(returning) = world.returning.as_mut().filter(|_| is_new)
             && let Admission::RetryAfter(wait) = returning.admit(class, arrived)
         {
             return Err(Rejection::TableFull {
@@ -117,7 +118,7 @@
             });
         }
         let weight = 1.0 / plan.slices.len().max(1) as f64;
-        let ask = QueryRequest {
+        let request = QueryRequest {
             caller,
             name: format!("{:016x}-{:x}", caller.connection, caller.operation).into(),
             class,
@@ -128,33 +129,31 @@
             text: plan.work.encode().into(),
             parts: plan.slices.iter().map(|slice| (*slice, weight)).collect(),
         };
-        world.core.submit(ask, now)
+        world.core.submit(request, now)
     }
 }
 
-/// A round that the core did not take.
-pub fn not_taken(refusal: Rejection) -> Round {
-    match refusal {
-        Rejection::TableFull {
-            retry_after: hold_off,
-        } => Round::Refused { hold_off },
+/// The result of a round that the core rejected.
+pub fn rejected_round(rejection: Rejection) -> Round {
+    match rejection {
+        Rejection::TableFull { retry_after } => Round::Refused {
+            hold_off: retry_after,
+        },
         Rejection::Busy | Rejection::NameTaken => Round::Refused { hold_off: 0 },
     }
 }
 
-/// How a round ended, from the core's answer.
-pub fn ended(answer: &Answer) -> Round {
+/// The result of a round that the core answered.
+pub fn answered_round(answer: &Answer) -> Round {
     match answer {
         Answer::Served { values, .. } => {
-            let given = values
+            let results = values
                 .iter()
                 .filter_map(|(slice, value)| Some((*slice, WorkResult::decode(&value.body)?)));
-            Round::Served(given.collect())
+            Round::Served(results.collect())
         }
-        Answer::Rejected {
-            retry_after: hold_off,
-        } => Round::Refused {
-            hold_off: *hold_off,
+        Answer::Rejected { retry_after } => Round::Refused {
+            hold_off: *retry_after,
         },
         Answer::Failed(FailureReason::TimeUp) => Round::Failed(operation::FailureReason::TimeUp),
         Answer::Failed(FailureReason::GivenUp | FailureReason::Ending) => {
@@ -163,7 +162,7 @@
     }
 }
 
-/// What bounds an operation, with the least share of slices that the class allows.
+/// The limits of an operation. `floor` is the minimum share of slices in an answer of its class.
 pub fn operation_bounds(limits: &Limits, floor: f64) -> Bounds {
     Bounds {
         floor,
@@ -174,7 +173,7 @@
     }
 }
 
-/// What bounds an SRU request.
+/// The limits of an SRU request.
 pub fn request_bounds(limits: &Limits) -> RequestBounds {
     RequestBounds {
         depth: limits.query_depth,
@@ -186,7 +185,7 @@
     }
 }
 
-/// A time in whole seconds, rounded up.
+/// Converts a time to seconds, rounded up.
 pub fn seconds(time: Time) -> u64 {
     time.div_ceil(1_000 * MS)
 }
--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -1,4 +1,4 @@
-//! One connection to an index host that takes one part at a time: an SRU connection or a Z39.50
+//! A connection to an index host that handles one part at a time: an SRU connection or a Z39.50
 //! session.
 
 use crate::core::ports::{AttemptId, Outgoing, Score, Value};
@@ -18,16 +18,16 @@
 
 type Cx<'a> = Context<'a, Gatherer>;
 
-/// Bytes from an index host that make no sense.
+/// A reply from an index host that cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Nonsense(pub String);
+pub struct ProtocolError(pub String);
 
-/// A protocol, as spoken to an index host.
-pub trait Dialect {
-    /// What is said first, where the session needs a welcome before it is used.
+/// The client side of a protocol with index hosts, with the state of one connection.
+pub trait HostProtocol {
+    /// The first message, if the session must be initialised before it can be used.
     fn init_request(&mut self) -> Option<Vec<u8>>;
 
-    /// Begins a part; a former one that is not done is forgotten.
+    /// Starts a part; an unfinished one is dropped.
     fn begin(
         &mut self,
         work: &Work,
@@ -37,40 +37,45 @@
         now: Time,
     ) -> Next<Vec<u8>>;
 
-    /// Reads the next whole reply and takes it out of `input`.
+    /// Parses the next complete reply and removes it from `input`.
     fn read(
         &mut self,
         input: &mut Vec<u8>,
         learned: &mut Learned,
         limits: &Limits,
         now: Time,
-    ) -> Result<Option<HostEvent>, Nonsense>;
+    ) -> Result<Option<HostEvent>, ProtocolError>;
 
-    /// The reply that the end of the connection completes, where that is how the protocol has it.
+    /// The reply that is completed by the end of the connection, if there is one.
     fn ended(&mut self, _learned: &mut Learned, _now: Time) -> Option<HostEvent> {
         None
     }
 
-    /// Whether the host closes the connection after the reply that was read last.
+    /// Whether the host has announced that it closes the connection after the last reply.
     fn is_closing(&self) -> bool {
         false
     }
 }
 
-/// Makes the protocol's state for one connection to this address.
-pub type MakeDialect = fn(SocketAddr, HostBounds) -> Box<dyn Dialect>;
+/// Creates the protocol state for a connection to an address.
+pub type CreateHostProtocol = fn(SocketAddr, HostBounds) -> Box<dyn HostProtocol>;
 
-/// Opens such connections.
+/// Opens connections that handle one part at a time.
 pub struct SerialConnector {
     limits: Rc<Limits>,
-    dialect: MakeDialect,
+    create_protocol: CreateHostProtocol,
     slice_database: Rc<str>,
     pool: Rc<RefCell<Pool>>,
 }
 
 impl SerialConnector {
-    /// A connector; the databases' names at index hosts have `{slice}` for the slice's number.
-    pub fn new(limits: Rc<Limits>, dialect: MakeDialect, slice_database: &str) -> Self {
+    /// Creates a connector. `slice_database` is the name of the databases at index hosts, with
+    /// `{slice}` for the number of the slice.
+    pub fn new(
+        limits: Rc<Limits>,
+        create_protocol: CreateHostProtocol,
+        slice_database: &str,
+    ) -> Self {
         let pool = Pool::new(PoolBounds {
             sessions: limits.connections_per_host,
             rest_least: limits.host_backoff.0,
@@ -83,14 +88,14 @@
         let pool = Rc::new(RefCell::new(pool));
         SerialConnector {
             limits,
-            dialect,
+            create_protocol,
             slice_database: slice_database.into(),
             pool,
         }
     }
 }
 
-/// What bounds the exchanges of one part.
+/// The limits of the exchanges with an index host.
 fn host_bounds(limits: &Limits) -> HostBounds {
     HostBounds {
         local_sort: limits.local_sort,
@@ -110,12 +115,12 @@
     ) -> io::Result<Box<dyn Connection<Gatherer>>> {
         Ok(Box::new(SerialLink {
             host,
-            dialect: (self.dialect)(to, host_bounds(&self.limits)),
+            protocol: (self.create_protocol)(to, host_bounds(&self.limits)),
             slice_database: self.slice_database.clone(),
             pool: self.pool.clone(),
             stream: net::connect(to)?,
-            up: false,
-            welcome: false,
+            connected: false,
+            initialised: false,
             retiring: None,
             connect_by: now + self.limits.connect,
             used: now,
@@ -146,49 +151,51 @@
     }
 }
 
-/// What a session is busy with.
+/// The part that a session is handling.
 enum Current {
-    /// A part that somebody waits for.
-    Wanted {
+    /// A part that the core waits for.
+    Active {
         part: Outgoing,
-        /// When its first message was begun.
-        asked: Time,
-        /// The last byte of that was handed over: from here on it may run.
+        /// When its first message was queued.
+        started: Time,
+        /// Whether the first message was written completely, so that the host may have run the
+        /// part.
         written: bool,
     },
-    /// One that nobody waits for any more: its answer is read and dropped, if it comes by then.
-    Outlived { until: Time },
+    /// A cancelled part, whose answer is awaited until this time and dropped.
+    Abandoned { until: Time },
 }
 
 struct SerialLink {
     host: ServerId,
-    dialect: Box<dyn Dialect>,
+    protocol: Box<dyn HostProtocol>,
     slice_database: Rc<str>,
     pool: Rc<RefCell<Pool>>,
     stream: Stream,
-    up: bool,
-    welcome: bool,
-    /// Takes no new work, since then; closes once nothing is out.
+    connected: bool,
+    /// Whether the session can be used.
+    initialised: bool,
+    /// Since when no more calls are accepted; the connection closes once it is idle.
     retiring: Option<Time>,
     connect_by: Time,
     used: Time,
     input: Vec<u8>,
-    /// Parts of which no byte is written yet.
+    /// Parts of which no byte has been written.
     queue: VecDeque<Outgoing>,
     current: Option<Current>,
-    /// How many parts of each call have not ended.
+    /// The number of unfinished parts of each call.
     calls: VecDeque<usize>,
 }
 
 impl SerialLink {
     fn part_ended(&mut self, cx: &mut Cx<'_>, attempt: AttemptId) {
         cx.world.hosts.attempt_ended(self.host, attempt);
-        self.count_down(cx);
+        self.release_part(cx);
     }
 
-    /// One part less is carried.
-    fn count_down(&mut self, cx: &mut Cx<'_>) {
-        // Parts end in the order in which their calls came, or all at once.
+    /// Counts a finished part, and releases the capacity of its call after the last one.
+    fn release_part(&mut self, cx: &mut Cx<'_>) {
+        // Parts end in the order of their calls, or all at once.
         if let Some(first) = self.calls.front_mut() {
             *first -= 1;
             if *first == 0 {
@@ -209,9 +216,9 @@
         }
     }
 
-    /// Starts the next part, if none is under way, and writes.
+    /// Starts the next part if there is no current one, and flushes the output.
     fn write(&mut self, cx: &mut Cx<'_>) {
-        while self.welcome && self.current.is_none() {
+        while self.initialised && self.current.is_none() {
             let Some(part) = self.queue.pop_front() else {
                 break;
             };
@@ -220,7 +227,7 @@
                 continue;
             }
             let Some(work) = Work::decode(&part.text) else {
-                tracing::error!("a part without its work");
+                tracing::error!("cannot decode the request of a part");
                 self.end(cx, part.id, Outcome::Error);
                 continue;
             };
@@ -230,23 +237,23 @@
             let next = {
                 let mut pool = self.pool.borrow_mut();
                 let learned = pool.learned(self.host.0, cx.now);
-                self.dialect
+                self.protocol
                     .begin(&work, part.shard, &database, learned, cx.now)
             };
             self.used = cx.now;
-            self.current = Some(Current::Wanted {
+            self.current = Some(Current::Active {
                 part,
-                asked: cx.now,
+                started: cx.now,
                 written: false,
             });
-            self.next(cx, next);
+            self.advance(cx, next);
         }
         if let Err(problem) = self.stream.flush() {
-            tracing::debug!(host = self.host.0, %problem, "a link broke");
+            tracing::debug!(host = self.host.0, %problem, "connection to index host broke");
             return cx.close();
         }
         if self.stream.unwritten() == 0
-            && let Some(Current::Wanted { part, written, .. }) = &mut self.current
+            && let Some(Current::Active { part, written, .. }) = &mut self.current
             && !std::mem::replace(written, true)
         {
             cx.world.core.mark_written(part.id);
@@ -259,13 +266,13 @@
 
     fn schedule(&mut self, cx: &mut Cx<'_>) {
         let idle = self.current.is_none() && self.queue.is_empty();
-        if !self.up || !self.welcome {
+        if !self.connected || !self.initialised {
             cx.set_timer(self.connect_by);
-        } else if idle && (self.retiring.is_some() || self.dialect.is_closing()) {
+        } else if idle && (self.retiring.is_some() || self.protocol.is_closing()) {
             cx.close();
         } else if idle {
             cx.set_timer(self.used + cx.world.limits.host_idle);
-        } else if let Some(Current::Outlived { until }) = &self.current {
+        } else if let Some(Current::Abandoned { until }) = &self.current {
             cx.set_timer(*until);
         } else {
             cx.clear_timer();
@@ -276,17 +283,21 @@
         self.used = cx.now;
         match host_event {
             HostEvent::Opened => {
-                self.welcome = true;
+                self.initialised = true;
                 self.pool.borrow_mut().connected(self.host.0, cx.now);
             }
             HostEvent::Rejected(problem) => {
-                tracing::info!(host = self.host.0, problem, "no session");
+                tracing::info!(
+                    host = self.host.0,
+                    problem,
+                    "index host rejected the session"
+                );
                 cx.close();
             }
             HostEvent::Closed => {
-                // It says that it ends the session: that is no death, neither of the host nor by
-                // the part.
-                if let Some(Current::Wanted { part, .. }) = self.current.take() {
+                // The host closes the session in an orderly way. This is an error and not a reset,
+                // as neither the host crashed nor did the part cause the end.
+                if let Some(Current::Active { part, .. }) = self.current.take() {
                     cx.world
                         .core
                         .attempt_interrupted(part.id, Outcome::Error, cx.now);
@@ -294,21 +305,21 @@
                 }
                 cx.close();
             }
-            HostEvent::Next(next) => self.next(cx, next),
+            HostEvent::Next(next) => self.advance(cx, next),
         }
     }
 
-    /// What comes next for the part under way.
-    fn next(&mut self, cx: &mut Cx<'_>, next: Next<Vec<u8>>) {
-        if let Some(Current::Outlived { .. }) = self.current {
-            // Whatever it is, nobody waits for it: the session is free again.
+    /// Handles the next step of the current part.
+    fn advance(&mut self, cx: &mut Cx<'_>, next: Next<Vec<u8>>) {
+        if let Some(Current::Abandoned { .. }) = self.current {
+            // The abandoned part has ended, so the session is free again.
             self.current = None;
             self.pool.borrow_mut().outlived(self.host.0, cx.now);
-            return self.count_down(cx);
+            return self.release_part(cx);
         }
-        let Some(Current::Wanted {
+        let Some(Current::Active {
             part,
-            asked,
+            started,
             written,
         }) = self.current.take()
         else {
@@ -316,12 +327,12 @@
         };
         match next {
             Next::Send(bytes) => {
-                // A host that leaves, or that closes behind its reply, is asked nothing more for
-                // this part either.
-                let late = self
+                // Send no further message for the part if the host's drain grace period is over or
+                // the host closes the connection.
+                let drain_over = self
                     .retiring
                     .is_some_and(|at| cx.now >= at + cx.world.limits.drain_grace / 2);
-                if late || self.dialect.is_closing() {
+                if drain_over || self.protocol.is_closing() {
                     cx.world
                         .core
                         .attempt_interrupted(part.id, Outcome::Reset, cx.now);
@@ -329,37 +340,39 @@
                     return cx.close();
                 }
                 self.stream.push(&bytes);
-                self.current = Some(Current::Wanted {
+                self.current = Some(Current::Active {
                     part,
-                    asked,
+                    started,
                     written,
                 });
                 return;
             }
-            Next::Done(given) => {
-                self.pool
-                    .borrow_mut()
-                    .answered(self.host.0, cx.now.saturating_sub(asked), cx.now);
+            Next::Done(result) => {
+                self.pool.borrow_mut().answered(
+                    self.host.0,
+                    cx.now.saturating_sub(started),
+                    cx.now,
+                );
                 cx.world
                     .core
-                    .attempt_served(part.id, self.value(given), cx.now);
+                    .attempt_served(part.id, self.value(result), cx.now);
                 self.part_ended(cx, part.id);
             }
             Next::Later => self.end(cx, part.id, Outcome::Rejected),
             Next::Failed(problem) => {
-                tracing::debug!(host = self.host.0, problem, "a part failed");
+                tracing::debug!(host = self.host.0, problem, "part failed");
                 self.end(cx, part.id, Outcome::Error);
             }
         }
-        if self.dialect.is_closing() {
-            // Nothing further may follow on a connection that the host has said it closes.
+        if self.protocol.is_closing() {
+            // The host has announced that it closes the connection, so queued parts need another.
             self.retire(cx);
             self.move_queue(cx);
         }
     }
 
-    fn value(&self, mut given: WorkResult) -> Value {
-        let score = match &mut given {
+    fn value(&self, mut result: WorkResult) -> Value {
+        let score = match &mut result {
             WorkResult::Found(found) => {
                 found.host = self.host.0;
                 found.hits
@@ -372,17 +385,17 @@
         };
         Value {
             score: Score::Integer(score.into()),
-            body: given.encode().into(),
+            body: result.encode().into(),
         }
     }
 
-    /// Takes this connection out of the table.
+    /// Removes this connection from the table, so that it gets no more calls.
     fn retire(&mut self, cx: &mut Cx<'_>) {
         self.retiring.get_or_insert(cx.now);
         cx.world.hosts.link_ended(self.host, cx.token);
     }
 
-    /// Hands what is queued to other connections of the host.
+    /// Moves queued parts to other connections of the host.
     fn move_queue(&mut self, cx: &mut Cx<'_>) {
         let parts: Vec<Outgoing> = self.queue.drain(..).collect();
         for part in parts {
@@ -403,9 +416,9 @@
             self.part_ended(cx, attempt);
             return self.schedule(cx);
         }
-        let Some(Current::Wanted {
+        let Some(Current::Active {
             part,
-            asked,
+            started,
             written,
         }) = &self.current
         else {
@@ -414,17 +427,20 @@
         if part.id != attempt {
             return;
         }
-        // Neither protocol has a word that every host knows to take a search back. Its session
-        // reads the late answer and goes on, or ends with it, whichever is cheaper.
+        // Neither protocol has a cancel message that all hosts support. The session waits for the
+        // answer and drops it, or is closed, whichever is cheaper.
         let fate = match written {
-            true => self.pool.borrow_mut().abandon(self.host.0, *asked, cx.now),
+            true => self
+                .pool
+                .borrow_mut()
+                .abandon(self.host.0, *started, cx.now),
             false => Fate::End,
         };
         cx.world.hosts.attempt_ended(self.host, attempt);
         match fate {
             Fate::Outlive(until) => {
-                self.current = Some(Current::Outlived { until });
-                // What waits behind it need not wait for it.
+                self.current = Some(Current::Abandoned { until });
+                // Queued parts need not wait for the abandoned one.
                 let waiting: Vec<usize> = self.calls.drain(..).collect();
                 self.calls.extend(waiting.first().map(|_| 1));
                 for _ in 1..waiting.len() {
@@ -454,15 +470,20 @@
                 let limits = cx.world.limits.clone();
                 let mut pool = self.pool.borrow_mut();
                 let learned = pool.learned(self.host.0, cx.now);
-                self.dialect.read(&mut self.input, learned, &limits, cx.now)
+                self.protocol
+                    .read(&mut self.input, learned, &limits, cx.now)
             };
             match host_event {
                 Ok(Some(host_event)) => self.handle_host_event(cx, host_event),
                 Ok(None) => break,
-                Err(Nonsense(problem)) => {
-                    tracing::debug!(host = self.host.0, problem, "a link is given up");
-                    // The part has had its answer, a bad one: the host did not die.
-                    if let Some(Current::Wanted { part, .. }) = self.current.take() {
+                Err(ProtocolError(problem)) => {
+                    tracing::debug!(
+                        host = self.host.0,
+                        problem,
+                        "malformed reply from index host"
+                    );
+                    // The host is alive, so this is an error and not a reset.
+                    if let Some(Current::Active { part, .. }) = self.current.take() {
                         cx.world
                             .core
                             .attempt_interrupted(part.id, Outcome::Error, cx.now);
@@ -478,14 +499,14 @@
                 let host_event = {
                     let mut pool = self.pool.borrow_mut();
                     let learned = pool.learned(self.host.0, cx.now);
-                    self.dialect.ended(learned, cx.now)
+                    self.protocol.ended(learned, cx.now)
                 };
                 if let Some(host_event) = host_event {
                     self.handle_host_event(cx, host_event);
                 }
                 cx.close();
             }
-            // A reset is no end: what has no length may have been cut off anywhere.
+            // A reply without a length may be truncated by a reset, so it counts as incomplete.
             Err(_) => cx.close(),
         }
     }
@@ -498,16 +519,16 @@
     }
 
     fn ready(&mut self, cx: &mut Cx<'_>, ready: Ready) {
-        if !self.up {
+        if !self.connected {
             match self.stream.attempt() {
                 Attempt::Pending => return,
-                Attempt::Up => self.up = true,
+                Attempt::Up => self.connected = true,
                 Attempt::Failed(problem) => {
-                    tracing::debug!(host = self.host.0, %problem, "no connection");
+                    tracing::debug!(host = self.host.0, %problem, "cannot connect to index host");
                     return cx.close();
                 }
             }
-            match self.dialect.init_request() {
+            match self.protocol.init_request() {
                 Some(init_request) => self.stream.push(&init_request),
                 None => self.handle_host_event(cx, HostEvent::Opened),
             }
@@ -533,21 +554,21 @@
                         self.queue.push_back(part);
                     }
                 }
-                if self.up {
+                if self.connected {
                     self.write(cx);
                 }
                 self.schedule(cx);
             }
             Message::CancelAttempt(attempt) => {
                 self.cancel(cx, attempt);
-                if self.up && !cx.is_closing() {
+                if self.connected && !cx.is_closing() {
                     self.write(cx);
                     self.schedule(cx);
                 }
             }
-            // Neither protocol has a probe; what a connection shows is all there is to know.
+            // Neither protocol has a probe, so an established connection counts as success.
             Message::Probe => {
-                let outcome = if self.up {
+                let outcome = if self.connected {
                     Outcome::Ok
                 } else {
                     Outcome::ConnectFailed
@@ -556,8 +577,7 @@
             }
             Message::CloseIdle if self.current.is_none() && self.queue.is_empty() => cx.close(),
             Message::CloseIdle | Message::HostDraining => {
-                // A session that is still open to a leaving host finishes its part and takes no
-                // other.
+                // The session finishes its current part and accepts no others.
                 self.retire(cx);
                 self.drop_unsent(cx);
                 self.schedule(cx);
@@ -567,7 +587,7 @@
     }
 
     fn timer(&mut self, cx: &mut Cx<'_>) {
-        if !matches!(self.current, Some(Current::Wanted { .. })) || !self.welcome {
+        if !matches!(self.current, Some(Current::Active { .. })) || !self.initialised {
             cx.close();
         }
     }
@@ -577,12 +597,12 @@
         let mut parts = std::mem::take(&mut self.queue);
         {
             let mut pool = self.pool.borrow_mut();
-            if !self.welcome {
+            if !self.initialised {
                 pool.failed(self.host.0, cx.now);
             }
             match self.current.take() {
-                Some(Current::Wanted { part, .. }) => parts.push_front(part),
-                Some(Current::Outlived { .. }) => pool.outlived(self.host.0, cx.now),
+                Some(Current::Active { part, .. }) => parts.push_front(part),
+                Some(Current::Abandoned { .. }) => pool.outlived(self.host.0, cx.now),
                 None => {}
             }
         }
--- a/bitternsill/src/front/catalogue/session.rs
+++ b/bitternsill/src/front/catalogue/session.rs
@@ -1,6 +1,6 @@
-//! A Z39.50 session's socket: its bytes, its timers and its operations' way to the core.
+//! The connection of a Z39.50 client: its socket and timers, and the queries of its operations.
 
-use super::{Shared, ended, not_taken};
+use super::{Shared, answered_round, rejected_round};
 use crate::core::ports::{Answer, Caller};
 use crate::front::{Gatherer, Message};
 use crate::net::{Connection, Context, Input, Ready, Stream};
@@ -13,43 +13,42 @@
 
 type Cx<'a> = Context<'a, Gatherer>;
 
-/// One session's connection.
+/// The connection of a Z39.50 session.
 pub struct SessionConnection {
     catalogue: Shared,
     stream: Stream,
     input: Vec<u8>,
     session: Option<Session>,
-    /// When the data unit that is not whole yet began to come, or the session, where there was
-    /// none.
-    begun: Option<Time>,
-    /// When each operation's request came.
-    asked: BTreeMap<u32, Time>,
-    /// Since when the client has read nothing of what waits for it, and how much that was.
+    /// Since when a data unit has been incomplete, or the first one has been awaited.
+    incomplete_since: Option<Time>,
+    /// When the request of each operation arrived.
+    arrivals: BTreeMap<u32, Time>,
+    /// Since when the client has read none of its output, and the number of unread bytes.
     unread: Option<(Time, usize)>,
-    /// When the last request or answer was.
-    used: Time,
-    /// Everything is said; the connection ends when it is written.
-    ending: Option<Time>,
+    /// The time of the last request or answer; 0 before the first.
+    last_used: Time,
+    /// Set once the session has ended: when to close the connection at the latest.
+    close_by: Option<Time>,
 }
 
 impl SessionConnection {
-    /// The connection object of an accepted socket.
+    /// Creates the connection object for an accepted socket.
     pub fn accept(catalogue: Shared, stream: Stream) -> Box<dyn Connection<Gatherer>> {
         Box::new(SessionConnection {
             catalogue,
             stream,
             input: Vec::new(),
             session: None,
-            begun: None,
-            asked: BTreeMap::new(),
+            incomplete_since: None,
+            arrivals: BTreeMap::new(),
             unread: None,
-            used: 0,
-            ending: None,
+            last_used: 0,
+            close_by: None,
         })
     }
 
-    /// Lets the session do something and carries out what comes of it, until nothing more does.
-    fn step(&mut self, cx: &mut Cx<'_>, first: impl FnOnce(&mut Session, &mut SessionContext<'_>)) {
+    /// Calls the session and executes the resulting actions, including those that follow from them.
+    fn step(&mut self, cx: &mut Cx<'_>, call: impl FnOnce(&mut Session, &mut SessionContext<'_>)) {
         let catalogue = self.catalogue.clone();
         let Some(session) = &mut self.session else {
             return;
@@ -58,7 +57,7 @@
         {
             let mut sets = catalogue.sets();
             let unwritten = self.stream.unwritten();
-            first(
+            call(
                 session,
                 &mut SessionContext {
                     sets: &mut sets,
@@ -69,17 +68,19 @@
             );
         }
         let mut at = 0;
-        while let Some(act) = actions.get(at).cloned() {
+        while let Some(action) = actions.get(at).cloned() {
             at += 1;
-            match act {
+            match action {
                 Action::Send(bytes) => self.stream.push(&bytes),
                 Action::Ask { operation, plan } => {
-                    let arrived = *self.asked.entry(operation).or_insert(cx.since);
+                    let arrived = *self.arrivals.entry(operation).or_insert(cx.since);
                     let caller = Caller {
                         connection: cx.token.bits(),
                         operation,
                     };
-                    if let Err(refusal) = catalogue.ask(cx.world, caller, &plan, arrived, cx.now) {
+                    if let Err(rejection) =
+                        catalogue.submit_round(cx.world, caller, &plan, arrived, cx.now)
+                    {
                         let mut sets = catalogue.sets();
                         let unwritten = self.stream.unwritten();
                         let mut context = SessionContext {
@@ -88,7 +89,7 @@
                             now: cx.now,
                             actions: &mut actions,
                         };
-                        session.answered(operation, not_taken(refusal), &mut context);
+                        session.answered(operation, rejected_round(rejection), &mut context);
                     }
                 }
                 Action::Withdraw { operation } => {
@@ -97,17 +98,17 @@
                         operation,
                     };
                     cx.world.core.client_left(caller);
-                    self.asked.remove(&operation);
+                    self.arrivals.remove(&operation);
                 }
-                Action::End => self.ending = Some(cx.now + cx.world.limits.linger),
+                Action::End => self.close_by = Some(cx.now + cx.world.limits.linger),
             }
         }
         let running: Vec<u32> = session.operations().collect();
-        self.asked
+        self.arrivals
             .retain(|operation, _| running.contains(operation));
     }
 
-    /// Reads data units and acts on them, for as long as the session takes further ones.
+    /// Handles complete data units for as long as the session accepts more.
     fn read_units(&mut self, cx: &mut Cx<'_>) {
         while self
             .session
@@ -120,22 +121,22 @@
                 cx.world.limits.ber_depth,
             ) {
                 Ok(Some(unit)) => {
-                    self.used = cx.now;
+                    self.last_used = cx.now;
                     self.step(cx, |session, context| session.unit(&unit, context));
                 }
                 Ok(None) => return,
                 Err(problem) => {
-                    tracing::debug!(%problem, "bad data unit");
-                    let words = problem.to_string();
-                    self.close_session(cx, CloseReason::ProtocolError, &words);
+                    tracing::debug!(%problem, "malformed data unit");
+                    let text = problem.to_string();
+                    self.close_session(cx, CloseReason::ProtocolError, &text);
                 }
             }
         }
     }
 
-    fn close_session(&mut self, cx: &mut Cx<'_>, reason: CloseReason, words: &str) {
+    fn close_session(&mut self, cx: &mut Cx<'_>, reason: CloseReason, text: &str) {
         self.step(cx, |session, context| {
-            session.close(reason, words, context.actions)
+            session.close(reason, text, context.actions)
         });
     }
 
@@ -143,30 +144,32 @@
         self.session.as_ref().is_some_and(Session::is_busy)
     }
 
-    /// Between requests: may be closed for room, and is closed after long disuse, or when it leaves
-    /// a data unit half said or its answers unread.
-    fn rest(&mut self, cx: &mut Cx<'_>) {
+    /// Updates the idle state, so that an idle connection may be evicted, and sets the timer for an
+    /// idle session, an incomplete data unit, unread output or the end of the connection.
+    fn schedule(&mut self, cx: &mut Cx<'_>) {
         let limits = cx.world.limits.clone();
-        let mut due: Vec<Time> = self.ending.into_iter().collect();
+        let mut due: Vec<Time> = self.close_by.into_iter().collect();
         if let Some((since, _)) = self.unread {
             due.push(since + limits.stalled_reader);
         }
-        if self.ending.is_none() {
+        if self.close_by.is_none() {
             if self.is_busy() {
-                self.begun = None;
+                self.incomplete_since = None;
                 cx.world.clients.set_busy(cx.token);
-            } else if self.input.is_empty() && self.used > 0 {
-                self.begun = None;
-                // A session holds result sets, so it is worth more than a connection that asked
-                // once.
-                cx.world.clients.set_idle(cx.token, self.used, u32::MAX);
-                due.push(self.used + limits.session_idle);
+            } else if self.input.is_empty() && self.last_used > 0 {
+                self.incomplete_since = None;
+                // Count a session as having had many requests, so that it is evicted last: its
+                // result sets are lost with it.
+                cx.world
+                    .clients
+                    .set_idle(cx.token, self.last_used, u32::MAX);
+                due.push(self.last_used + limits.session_idle);
             } else if self.stream.unwritten() == 0 {
-                let begun = *self.begun.get_or_insert(cx.now);
+                let since = *self.incomplete_since.get_or_insert(cx.now);
                 if !self.input.is_empty() {
-                    cx.world.clients.set_partial(cx.token, begun);
+                    cx.world.clients.set_partial(cx.token, since);
                 }
-                due.push(begun + limits.request_read);
+                due.push(since + limits.request_read);
             }
         }
         match due.into_iter().min() {
@@ -175,13 +178,13 @@
         }
     }
 
-    /// Whether nothing more is read until the session has taken what is here.
+    /// Whether reading is paused until the session has handled the buffered input.
     fn is_paused(&self, cx: &Cx<'_>) -> bool {
-        self.ending.is_none() && self.input.len() > cx.world.limits.body_bytes
+        self.close_by.is_none() && self.input.len() > cx.world.limits.body_bytes
     }
 
     fn flush(&mut self, cx: &mut Cx<'_>) {
-        // Bytes past what may be taken wait in the socket, so that they cannot pile up here.
+        // While paused, leave input in the socket, so that it cannot accumulate here.
         let before = self.stream.unwritten();
         let ready = if self.is_paused(cx) {
             Ready::END
@@ -191,22 +194,22 @@
         match self.stream.flush_and_arm(cx.net, cx.token, ready) {
             Ok(false) => {
                 self.unread = None;
-                if self.ending.is_some() {
+                if self.close_by.is_some() {
                     self.stream.end_output();
                 }
             }
             Ok(true) => {
                 let left = self.stream.unwritten();
-                let same = self
+                let unchanged = self
                     .unread
                     .is_some_and(|(_, had)| left == had && before == had);
-                if !same {
+                if !unchanged {
                     self.unread = Some((cx.now, left));
                 }
             }
             Err(_) => return cx.close(),
         }
-        self.rest(cx);
+        self.schedule(cx);
     }
 }
 
@@ -216,7 +219,7 @@
             self.catalogue.session.clone(),
             cx.token.bits(),
         ));
-        self.begun = Some(cx.now);
+        self.incomplete_since = Some(cx.now);
         cx.set_timer(cx.now + cx.world.limits.request_read);
         self.stream.arm(cx.net, cx.token, Ready::READ)
     }
@@ -233,14 +236,14 @@
                 Ok(Input::Open) => false,
                 Ok(Input::Ended) | Err(_) => true,
             };
-            if self.ending.is_some() {
+            if self.close_by.is_some() {
                 self.input.clear();
             }
             if ended {
                 return cx.close();
             }
         }
-        // What is written makes room for further requests.
+        // The session accepts further requests only while little output is unwritten.
         if self.stream.flush().is_err() {
             return cx.close();
         }
@@ -251,9 +254,9 @@
     fn deliver(&mut self, cx: &mut Cx<'_>, message: Message) {
         match message {
             Message::Answer(operation, answer) => {
-                let after = matches!(answer, Answer::Served { .. });
-                let round = ended(&answer);
-                self.used = if after { cx.now } else { self.used };
+                let is_served = matches!(answer, Answer::Served { .. });
+                let round = answered_round(&answer);
+                self.last_used = if is_served { cx.now } else { self.last_used };
                 self.step(cx, |session, context| {
                     session.answered(operation, round, context)
                 });
@@ -274,10 +277,10 @@
         let stalled = self
             .unread
             .is_some_and(|(since, _)| since + cx.world.limits.stalled_reader <= cx.now);
-        if stalled || self.ending.is_some_and(|at| at <= cx.now) {
+        if stalled || self.close_by.is_some_and(|at| at <= cx.now) {
             return cx.close();
         }
-        if self.ending.is_none() && !self.is_busy() {
+        if self.close_by.is_none() && !self.is_busy() {
             self.close_session(cx, CloseReason::LackOfActivity, "");
         }
         self.flush(cx);
--- a/bitternsill/src/front/catalogue/setup.rs
+++ b/bitternsill/src/front/catalogue/setup.rs
@@ -1,4 +1,4 @@
-//! The operator's file that sets this front up.
+//! Reads the operator's configuration file for the catalogue, and its counterpart for the platform.
 
 use super::Classes;
 use crate::core::settings::{self, Deployment};
@@ -18,20 +18,20 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Something in the file that cannot be used.
+/// An error in the file.
 #[derive(Debug)]
 pub enum SetupError {
     /// The file cannot be read.
     File(std::io::Error),
-    /// It is not JSON.
+    /// The file is not JSON.
     Json(serde_json::Error),
-    /// A value is missing or malformed: where, what stands there, and what is allowed.
+    /// A value is missing or not allowed.
     Value {
-        /// Its place, by keys and dots.
+        /// The path of the value, with dots between the keys.
         path: String,
-        /// What stands there, in JSON; empty where nothing does.
+        /// The value found, as JSON; empty if there is none.
         found: String,
-        /// What is wrong and what is allowed.
+        /// The problem, with the values allowed.
         problem: String,
     },
 }
@@ -59,25 +59,25 @@
 
 impl std::error::Error for SetupError {}
 
-/// What index hosts speak.
+/// The protocol of the index hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Speaks {
+pub enum HostProtocolName {
     /// SRU.
     Sru,
     /// Z39.50.
     Z3950,
 }
 
-/// A whole number within bounds that the error tells.
+/// An integer within inclusive bounds, which the error message names.
 #[derive(Debug, Clone, Copy)]
-struct Within<const LEAST: u64, const MOST: u64>(u64);
+struct IntegerInRange<const MIN: u64, const MAX: u64>(u64);
 
-impl<'de, const LEAST: u64, const MOST: u64> Deserialize<'de> for Within<LEAST, MOST> {
+impl<'de, const MIN: u64, const MAX: u64> Deserialize<'de> for IntegerInRange<MIN, MAX> {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let allowed = format!("a whole number from {LEAST} to {MOST} is allowed");
+        let allowed = format!("a whole number from {MIN} to {MAX} is allowed");
         match Json::deserialize(from)?.as_u64() {
-            Some(n) if (LEAST..=MOST).contains(&n) => Ok(Within(n)),
+            Some(n) if (MIN..=MAX).contains(&n) => Ok(IntegerInRange(n)),
             _ => Err(de::Error::custom(allowed)),
         }
     }
@@ -99,14 +99,14 @@
     }
 }
 
-/// A text that is not empty.
+/// A non-empty string.
 #[derive(Debug, Clone)]
-struct Word(String);
+struct NonEmptyText(String);
 
-impl<'de> Deserialize<'de> for Word {
+impl<'de> Deserialize<'de> for NonEmptyText {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         match Json::deserialize(from)? {
-            Json::String(text) if !text.is_empty() => Ok(Word(text)),
+            Json::String(text) if !text.is_empty() => Ok(NonEmptyText(text)),
             _ => Err(de::Error::custom("a text that is not empty is allowed")),
         }
     }
@@ -118,14 +118,14 @@
     #[serde(default)]
     name: String,
     seed: Option<u64>,
-    sockets: Option<Within<64, 1_048_576>>,
+    sockets: Option<IntegerInRange<64, 1_048_576>>,
     listen: Listen,
-    database: Word,
-    title: Option<Word>,
-    class: Word,
-    page_class: Option<Word>,
-    scan_class: Option<Word>,
-    budget_ms: Within<1, 3_600_000>,
+    database: NonEmptyText,
+    title: Option<NonEmptyText>,
+    class: NonEmptyText,
+    page_class: Option<NonEmptyText>,
+    scan_class: Option<NonEmptyText>,
+    budget_ms: IntegerInRange<1, 3_600_000>,
     readers: Option<Readers>,
     #[serde(default)]
     result_sets: ResultSets,
@@ -145,7 +145,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum When {
+enum PasswordTime {
     Init,
     Challenge,
 }
@@ -153,27 +153,27 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Readers {
-    ask: When,
-    passwords: BTreeMap<String, Word>,
+    ask: PasswordTime,
+    passwords: BTreeMap<String, NonEmptyText>,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ResultSets {
-    idle_s: Option<Within<1, 86_400>>,
-    count: Option<Within<1, 1_000_000>>,
-    memory_mb: Option<Within<1, 65_536>>,
+    idle_s: Option<IntegerInRange<1, 86_400>>,
+    count: Option<IntegerInRange<1, 1_000_000>>,
+    memory_mb: Option<IntegerInRange<1, 65_536>>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct IndexHosts {
-    speak: Speaks,
-    database: Option<Word>,
+    speak: HostProtocolName,
+    database: Option<NonEmptyText>,
     discovery: Option<Address>,
     #[serde(default)]
     members: Json,
-    sessions: Option<Within<1, 256>>,
+    sessions: Option<IntegerInRange<1, 256>>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -190,82 +190,82 @@
     test_full_while: Option<PathBuf>,
 }
 
-/// A store with several members.
+/// The setup of a store with several members.
 #[derive(Debug, Clone)]
 pub struct StoreSetup {
-    /// This member.
+    /// The id of this member.
     pub member: u64,
-    /// Every member and its address.
+    /// The addresses of all members.
     pub members: BTreeMap<u64, SocketAddr>,
-    /// Whether this member begins the store, where there is none yet.
+    /// Whether this member creates the store if there is none yet.
     pub begins: bool,
-    /// What this member keeps across its restarts.
+    /// The file of this member.
     pub file: PathBuf,
-    /// For tests alone: so much longer each sync takes, and what is not synced is not in the file.
+    /// For tests: an additional delay of each sync, before which data is not in the file.
     pub test_sync: Duration,
-    /// The disk is taken to be full while this is there; for tests.
+    /// For tests: the disk counts as full while this file exists.
     pub test_full_while: Option<PathBuf>,
 }
 
-/// What bounds the result sets, where the file says so.
+/// Limits of the result sets that the file overrides.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SetSizes {
-    /// How long a set is kept unused.
+    /// How long an unused set is kept.
     pub idle: Option<Time>,
-    /// Sets of all clients.
+    /// The number of sets of all clients.
     pub count: Option<usize>,
-    /// Their bytes.
+    /// The total bytes of the sets.
     pub bytes: Option<usize>,
 }
 
-/// The file's content.
+/// The configuration of the catalogue.
 #[derive(Debug)]
 pub struct Setup {
-    /// The file that it was read from; empty where it was none.
+    /// The path of the file; empty if it was not read from one.
     pub path: PathBuf,
     /// The gatherer's name.
     pub name: String,
-    /// For random numbers; told by the file where runs are to be alike.
+    /// The random seed, for reproducible runs.
     pub seed: Option<u64>,
-    /// File descriptors that it may hold.
+    /// The maximum number of file descriptors.
     pub sockets: usize,
-    /// Where SRU clients connect.
+    /// The address for SRU clients.
     pub sru: Option<SocketAddr>,
-    /// Where Z39.50 clients connect.
+    /// The address for Z39.50 clients.
     pub z3950: Option<SocketAddr>,
-    /// Where discovery listens, where there is one.
+    /// The address of discovery, if there is one.
     pub discovery: Option<SocketAddr>,
-    /// The list of index hosts, in discovery's form.
+    /// The list of index hosts, in the format of discovery.
     pub members: Json,
-    /// What they speak.
-    pub speaks: Speaks,
-    /// Sessions to one index host, where the file says so.
+    /// The protocol of the index hosts.
+    pub host_protocol: HostProtocolName,
+    /// The number of sessions per index host, if the file sets it.
     pub host_sessions: Option<usize>,
-    /// The database's name as clients see it.
+    /// The name of the database for clients.
     pub database: String,
-    /// Its title for people.
+    /// The human-readable title of the database.
     pub title: String,
-    /// Its name at index hosts, with `{slice}` for the slice's number.
+    /// The name of the database at index hosts, with `{slice}` for the number of the slice.
     pub slice_database: String,
-    /// The classes of the rounds, by place.
+    /// The classes of the rounds, by their index in the settings.
     pub classes: Classes,
-    /// How long a client is taken to wait.
+    /// How long a client is assumed to wait.
     pub budget: Time,
     /// Who may search.
     pub access: Access,
-    /// What bounds the result sets.
+    /// Limits of the result sets.
     pub sets: SetSizes,
-    /// This member of the store, and where all of them are.
+    /// The store, if it has several members.
     pub store: Option<StoreSetup>,
-    /// Where what is learned is kept.
+    /// The persistence of learned state, if configured.
     pub learning: Option<LearningSetup>,
-    /// How the gatherer returns after a start, where it does by rule.
+    /// The recovery after a start, if configured.
     pub recovery: Option<RecoverySetup>,
-    /// The module's settings and the program's share of them.
+    /// The settings of the dispatcher and of the program.
     pub settings: (Settings, Deployment),
 }
 
-/// Reads the file at a path.
+/// Reads the configuration of the catalogue from a file.
 pub fn load(path: &Path) -> Result<Setup, SetupError> {
     Ok(Setup {
         path: path.to_owned(),
@@ -273,7 +273,7 @@
     })
 }
 
-/// Reads the JSON at a path.
+/// Reads a JSON file.
 pub fn load_json(path: &Path) -> Result<Json, SetupError> {
     let text = std::fs::read(path).map_err(SetupError::File)?;
     serde_json::from_slice(&text).map_err(SetupError::Json)
@@ -288,24 +288,24 @@
     versions: Option<VersionsSetup>,
 }
 
-/// What an installation has beside the platform's configuration.
+/// The operator's settings in addition to the platform's configuration.
 #[derive(Debug, Default)]
 pub struct OperatorSetup {
-    /// Where what is learned is kept.
+    /// The persistence of learned state, if configured.
     pub learning: Option<LearningSetup>,
-    /// This member of the store, and where all of them are.
+    /// The store, if it has several members.
     pub store: Option<StoreSetup>,
-    /// How the gatherer returns after a start, where it does by rule.
+    /// The recovery after a start, if configured.
     pub recovery: Option<RecoverySetup>,
-    /// Which version of the configuration it acts on, where the store has these.
+    /// The configuration versions in the store, if configured.
     pub versions: Option<VersionsSetup>,
 }
 
-/// Reads an operator's file for the platform's front.
+/// Reads an operator's file for the platform.
 pub fn read_operator(json: &Json) -> Result<OperatorSetup, SetupError> {
     let file: Operator = serde_path_to_error::deserialize(json).map_err(|problem| {
         let path = problem.path().to_string();
-        bad(
+        invalid(
             json,
             if path == "." { "file" } else { &path },
             problem.inner().to_string(),
@@ -331,19 +331,21 @@
     store: Option<&StoreSetup>,
 ) -> Result<Option<VersionsSetup>, SetupError> {
     match &versions {
-        Some(_) if store.is_none() => Err(bad(
+        Some(_) if store.is_none() => Err(invalid(
             json,
             "versions",
             "a `store` is wanted beside it: it has them",
         )),
-        Some(setup) if !(1_000..=3_600_000).contains(&setup.validity_ms) => Err(bad(
+        Some(setup) if !(1_000..=3_600_000).contains(&setup.validity_ms) => Err(invalid(
             json,
             "versions.validity_ms",
             "allowed is 1000 to 3600000",
         )),
-        Some(setup) if !(100..=600_000).contains(&setup.note_ms) => {
-            Err(bad(json, "versions.note_ms", "allowed is 100 to 600000"))
-        }
+        Some(setup) if !(100..=600_000).contains(&setup.note_ms) => Err(invalid(
+            json,
+            "versions.note_ms",
+            "allowed is 100 to 600000",
+        )),
         _ => Ok(versions),
     }
 }
@@ -354,7 +356,7 @@
     store: Option<&StoreSetup>,
 ) -> Result<Option<RecoverySetup>, SetupError> {
     match recovery {
-        Some(_) if store.is_none() => Err(bad(
+        Some(_) if store.is_none() => Err(invalid(
             json,
             "recovery",
             "a `store` is wanted beside it: its other members are asked",
@@ -365,7 +367,7 @@
 
 fn read_store(json: &Json, store: Store) -> Result<StoreSetup, SetupError> {
     if !store.members.contains_key(&store.member) {
-        return Err(bad(
+        return Err(invalid(
             json,
             "store.members",
             format!("member {} itself is wanted among them", store.member),
@@ -385,9 +387,9 @@
     })
 }
 
-/// What stands at a path, shortened.
-fn at(json: &Json, path: &str) -> String {
-    // What is wrong with a password is told without it.
+/// The value at a path, truncated for an error message.
+fn value_at(json: &Json, path: &str) -> String {
+    // Error messages must not contain passwords.
     if path.starts_with("readers.passwords") {
         return String::new();
     }
@@ -405,35 +407,35 @@
     }
 }
 
-fn bad(json: &Json, path: &str, problem: impl Into<String>) -> SetupError {
+fn invalid(json: &Json, path: &str, problem: impl Into<String>) -> SetupError {
     SetupError::Value {
         path: path.to_owned(),
-        found: at(json, path),
+        found: value_at(json, path),
         problem: problem.into(),
     }
 }
 
-/// Reads the file's content.
+/// Reads the configuration of the catalogue.
 pub fn read(json: &Json) -> Result<Setup, SetupError> {
     let file: File = serde_path_to_error::deserialize(json).map_err(|problem| {
         let path = match problem.path().to_string() {
             top if top == "." => "file".to_owned(),
             path => path,
         };
-        let words = problem.into_inner().to_string();
-        bad(json, &path, words)
+        let problem = problem.into_inner().to_string();
+        invalid(json, &path, problem)
     })?;
     let (sru, z3950) = (file.listen.sru.map(|a| a.0), file.listen.z3950.map(|a| a.0));
     if sru.is_none() && z3950.is_none() {
-        return Err(bad(json, "listen", "`sru`, `z3950` or both are wanted"));
+        return Err(invalid(json, "listen", "`sru`, `z3950` or both are wanted"));
     }
     let hosts = file.index_hosts;
     let discovery = hosts.discovery.map(|a| a.0);
     if !hosts.members.is_null() {
         read_list(&hosts.members, &mut Names::default())
-            .map_err(|problem| bad(json, "index_hosts.members", problem.to_string()))?;
+            .map_err(|problem| invalid(json, "index_hosts.members", problem.to_string()))?;
     } else if discovery.is_none() {
-        return Err(bad(
+        return Err(invalid(
             json,
             "index_hosts",
             "`members`, `discovery` or both are wanted",
@@ -441,45 +443,46 @@
     }
     let slice_database = hosts.database.map_or("{slice}".to_owned(), |d| d.0);
     if !slice_database.contains("{slice}") {
-        return Err(bad(
+        return Err(invalid(
             json,
             "index_hosts.database",
             "a text with `{slice}` in it is allowed",
         ));
     }
     let mut settings = settings::read(&file.settings)
-        .map_err(|problem| bad(json, "settings", problem.to_string()))?;
-    // Neither protocol carries several parts in one message: each is a call of its own.
+        .map_err(|problem| invalid(json, "settings", problem.to_string()))?;
+    // Neither protocol can send several parts in one message, so each part is a call of its own.
     settings.0.call_parts = 1;
     let class = |name: &str, key: &str| {
-        let place = settings.1.classes.iter().position(|c| *c == name);
+        let index = settings.1.classes.iter().position(|c| *c == name);
         let names = settings.1.classes.join(", ");
-        let place = place.ok_or_else(|| {
-            bad(
+        let index = index.ok_or_else(|| {
+            invalid(
                 json,
                 key,
                 format!("a class of the settings is allowed: {names}"),
             )
         })?;
-        if settings.0.classes[place].second_step > 0 {
-            return Err(bad(
+        if settings.0.classes[index].second_step > 0 {
+            return Err(invalid(
                 json,
                 key,
                 "a class without a second step is allowed (`extra.class_fetch` of 0)",
             ));
         }
-        if settings.1.keyed[place] {
-            return Err(bad(
+        if settings.1.keyed[index] {
+            return Err(invalid(
                 json,
                 key,
                 "a class that is safe to repeat is allowed (`effect` read_like)",
             ));
         }
-        Ok(place)
+        Ok(index)
     };
     let search = class(&file.class.0, "class")?;
-    let other =
-        |name: &Option<Word>, key: &str| name.as_ref().map_or(Ok(search), |n| class(&n.0, key));
+    let other = |name: &Option<NonEmptyText>, key: &str| {
+        name.as_ref().map_or(Ok(search), |n| class(&n.0, key))
+    };
     let classes = Classes {
         search,
         page: other(&file.page_class, "page_class")?,
@@ -489,7 +492,7 @@
         None => Access::Open,
         Some(readers) => {
             if z3950.is_none() {
-                return Err(bad(
+                return Err(invalid(
                     json,
                     "readers",
                     "they are asked by Z39.50 alone, and `listen.z3950` is not there",
@@ -503,8 +506,8 @@
                     password: password.0,
                 });
             match readers.ask {
-                When::Init => Access::AtInit(list.collect()),
-                When::Challenge => Access::Challenge(list.collect()),
+                PasswordTime::Init => Access::AtInit(list.collect()),
+                PasswordTime::Challenge => Access::Challenge(list.collect()),
             }
         }
     };
@@ -522,7 +525,7 @@
         z3950,
         discovery,
         members: hosts.members,
-        speaks: hosts.speak,
+        host_protocol: hosts.speak,
         host_sessions: hosts.sessions.map(|n| n.0 as usize),
         title: file.title.map_or_else(|| file.database.0.clone(), |t| t.0),
         database: file.database.0,
--- a/bitternsill/src/front/catalogue/setup/tests.rs
+++ b/bitternsill/src/front/catalogue/setup/tests.rs
@@ -12,7 +12,8 @@
     serde_json::from_slice(&text).unwrap()
 }
 
-/// A mistake in each setting is answered with its place, what stands there and what is allowed.
+/// Puts a wrong value in each setting, and checks that the error names its path, the value found
+/// and the values allowed.
 #[test]
 fn every_wrong_value_is_named_with_its_place_and_what_is_allowed() {
     let cases = [
@@ -56,7 +57,7 @@
         ("recovery", json!({"ask": 1})),
         ("colour", json!("red")),
     ];
-    let mut said = Vec::new();
+    let mut messages = Vec::new();
     for (path, value) in cases {
         let mut json = sample();
         let mut place = &mut json;
@@ -70,9 +71,9 @@
         *place = value.clone();
         let problem = read(&json)
             .err()
-            .unwrap_or_else(|| panic!("{path} {value} was taken"));
-        said.push(format!("{path} = {value}\n  {problem}"));
+            .unwrap_or_else(|| panic!("{path} {value} was accepted"));
+        messages.push(format!("{path} = {value}\n  {problem}"));
     }
-    insta::assert_snapshot!(said.join("\n"));
+    insta::assert_snapshot!(messages.join("\n"));
     assert!(read(&sample()).is_ok());
 }
--- a/bitternsill/src/front/catalogue/sru.rs
+++ b/bitternsill/src/front/catalogue/sru.rs
@@ -1,6 +1,6 @@
-//! SRU for readers' clients: GET, POST and SOAP on the HTTP server, operations on the core.
+//! The SRU service for clients, over GET, POST and SOAP.
 
-use super::{Shared, ended, not_taken, request_bounds, seconds};
+use super::{Shared, answered_round, rejected_round, request_bounds, seconds};
 use crate::core::ports::{Answer, Caller};
 use crate::front::http::{Head, Response};
 use crate::front::server::{Cx, Handled, Service};
@@ -16,24 +16,24 @@
 const XML: &str = "text/xml; charset=utf-8";
 const SRU_XML: &str = "application/sru+xml; charset=utf-8";
 
-/// An operation under way on a connection.
+/// The current operation of a connection.
 struct Running {
     form: Form,
     operation: Operation,
     arrived: Time,
 }
 
-/// SRU on one connection.
+/// The SRU service on one connection.
 pub struct Sru {
     catalogue: Shared,
     running: Option<Running>,
 }
 
-/// What a request begins with: an operation, or its end at once.
-type Begun = Result<(Operation, Step), Fault>;
+/// A started operation with its first step, or the fault in its request.
+type Started = Result<(Operation, Step), Fault>;
 
 impl Sru {
-    /// The service of one connection.
+    /// Creates the service for one connection.
     pub fn new(catalogue: Shared) -> Self {
         Sru {
             catalogue,
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Follows an operation's steps until the core has a round of it, or it is done.
-    fn follow(&mut self, cx: &mut Cx<'_>, mut running: Running, mut step: Step) -> Handled {
+    /// Runs the steps of an operation until a round is submitted to the core or the operation is
+    /// done.
+    fn run(&mut self, cx: &mut Cx<'_>, mut running: Running, mut step: Step) -> Handled {
         loop {
             match step {
                 Step::Done(outcome) => {
@@ -64,20 +65,24 @@
                 }
                 Step::Ask(plan) => {
                     let caller = Caller::only(cx.token.bits());
-                    match self
-                        .catalogue
-                        .ask(cx.world, caller, &plan, running.arrived, cx.now)
-                    {
+                    match self.catalogue.submit_round(
+                        cx.world,
+                        caller,
+                        &plan,
+                        running.arrived,
+                        cx.now,
+                    ) {
                         Ok(()) => {
                             self.running = Some(running);
                             return Handled::Waiting;
                         }
-                        Err(refusal) => {
+                        Err(rejection) => {
                             let mut sets = self.catalogue.sets();
-                            step =
-                                running
-                                    .operation
-                                    .answered(not_taken(refusal), &mut sets, cx.now);
+                            step = running.operation.answered(
+                                rejected_round(rejection),
+                                &mut sets,
+                                cx.now,
+                            );
                         }
                     }
                 }
@@ -126,8 +131,8 @@
         }
     }
 
-    /// The search that a query stands for: sets in it are what they were made of, and slices that
-    /// one of them lacks are left out.
+    /// Replaces the result sets in a query by the queries that they were made from. Returns the
+    /// query and the slices that are missing in any of the sets, which the search must leave out.
     fn resolve(&self, query: Node, now: Time) -> Result<(Node, Vec<u32>), Fault> {
         let mut sets = self.catalogue.sets();
         let mut left_out = BTreeSet::new();
@@ -140,11 +145,11 @@
         Ok((query, left_out.into_iter().collect()))
     }
 
-    fn search(&self, form: &Form, asked: SearchRequest, now: Time) -> Begun {
+    fn search(&self, form: &Form, request: SearchRequest, now: Time) -> Started {
         let bounds = self.catalogue.session.bounds;
-        let range = (asked.start, asked.most);
-        // A set by its name, in its own order: its records.
-        if let (Node::Set(name), true) = (&asked.query.root, asked.query.sort.is_empty()) {
+        let range = (request.start, request.most);
+        // A result set on its own, without a sort order: return its records.
+        if let (Node::Set(name), true) = (&request.query.root, request.query.sort.is_empty()) {
             let mut sets = self.catalogue.sets();
             let id = sets.by_token(name, now)?;
             return Ok(Operation::page(
@@ -157,11 +162,11 @@
                 now,
             ));
         }
-        let (query, left_out) = self.resolve(asked.query.root, now)?;
+        let (query, left_out) = self.resolve(request.query.root, now)?;
         let known = self
             .catalogue
             .sets()
-            .by_search(&query, &asked.query.sort, now);
+            .by_search(&query, &request.query.sort, now);
         let slices = self
             .catalogue
             .session
@@ -172,18 +177,18 @@
             .collect();
         let search = Search {
             query,
-            sort: asked.query.sort,
+            sort: request.query.sort,
             schema: form.schema,
-            start: asked.start,
-            want: Want::Count(asked.most),
+            start: request.start,
+            want: Want::Count(request.most),
             slices,
             left_out,
-            facets: asked.facets,
+            facets: request.facets,
             owner: Owner::Shared,
-            ttl: asked.ttl.map(|s| s.saturating_mul(1_000_000_000)),
+            ttl: request.ttl.map(|s| s.saturating_mul(1_000_000_000)),
         };
-        // A first page is a new search; a later one goes on in the set that the first one made.
-        match known.filter(|_| asked.start > 1 && search.facets.is_empty()) {
+        // A first page starts a new search; later pages use the result set of the first one.
+        match known.filter(|_| request.start > 1 && search.facets.is_empty()) {
             Some(id) => {
                 let mut sets = self.catalogue.sets();
                 Ok(Operation::page(
@@ -200,12 +205,12 @@
         }
     }
 
-    fn scan(&self, asked: &ScanRequest) -> Begun {
+    fn scan(&self, request: &ScanRequest) -> Started {
         let config = &self.catalogue.session;
         Ok(Operation::scan(
-            &asked.clause,
-            asked.number,
-            asked.position,
+            &request.clause,
+            request.number,
+            request.position,
             config.slices.clone(),
             config.bounds,
         ))
@@ -213,7 +218,7 @@
 
     fn explain(&self, form: &Form, host: &str, page: usize) -> Response {
         let catalogue = &self.catalogue;
-        // The port is told beside it.
+        // The explain record has the port in a separate field.
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let about = explain::About {
             host,
@@ -231,10 +236,10 @@
     }
 }
 
-/// A request's parameters, and the operation that its place names.
+/// The parameters of a request, and the operation if the SOAP envelope names it.
 type Parameters = (Option<Verb>, BTreeMap<String, String>);
 
-/// Takes the parameters from a URL, a form or an envelope.
+/// Reads the parameters from a URL, a form or a SOAP envelope.
 fn parameters(head: &Head, query: &str, body: &[u8]) -> Result<Parameters, Box<Response>> {
     if head.start.0 != "POST" {
         return Ok((None, request::parameters(query)));
@@ -244,8 +249,8 @@
     let kind = kind.split(';').next().unwrap_or_default().trim();
     if kind == "text/xml" || kind == "application/soap+xml" || head.get("SOAPAction").is_some() {
         return match soap::read(&posted) {
-            Ok((verb, given)) => Ok((Some(verb), given)),
-            // SOAP 1.1, section 6.2: a fault travels with status 500.
+            Ok((verb, parameters)) => Ok((Some(verb), parameters)),
+            // SOAP 1.1, section 6.2, requires status 500 for a fault.
             Err(problem) => Err(Box::new(Response {
                 status: 500,
                 headers: Vec::new(),
@@ -264,12 +269,12 @@
         if !matches!(method, "GET" | "HEAD" | "POST") {
             return Handled::Done(Response::no_route(&["GET", "HEAD", "POST"]));
         }
-        let (verb, given) = match parameters(head, query, body) {
+        let (verb, parameters) = match parameters(head, query, body) {
             Ok(read) => read,
             Err(response) => return Handled::Done(*response),
         };
         let bounds = request_bounds(&cx.world.limits);
-        let read = request::read(&given, verb, head.get("Accept"), &bounds);
+        let read = request::read(&parameters, verb, head.get("Accept"), &bounds);
         let form = match &read {
             Ok((form, _)) => form.clone(),
             Err(refused) => refused.form.clone(),
@@ -294,22 +299,22 @@
                 ));
             }
         };
-        let begun = match request {
+        let started = match request {
             Request::Explain => {
                 let host = head.get("Host").unwrap_or_default();
                 return Handled::Done(self.explain(&form, host, cx.world.limits.page_records));
             }
-            Request::Search(asked) => self.search(&form, asked, cx.now),
-            Request::Scan(asked) => self.scan(&asked),
+            Request::Search(request) => self.search(&form, request, cx.now),
+            Request::Scan(request) => self.scan(&request),
         };
-        match begun {
+        match started {
             Ok((operation, step)) => {
                 let running = Running {
                     form,
                     operation,
                     arrived: cx.since,
                 };
-                self.follow(cx, running, step)
+                self.run(cx, running, step)
             }
             Err(fault) => Handled::Done(self.respond(&form, 200, response::refused(&form, &fault))),
         }
@@ -317,11 +322,12 @@
 
     fn answer(&mut self, cx: &mut Cx<'_>, answer: &Answer) -> Handled {
         let Some(mut running) = self.running.take() else {
-            return Handled::Done(Response::text(500, "no search is under way"));
+            return Handled::Done(Response::text(500, "no search in progress"));
         };
-        let step = running
-            .operation
-            .answered(ended(answer), &mut self.catalogue.sets(), cx.now);
-        self.follow(cx, running, step)
+        let step =
+            running
+                .operation
+                .answered(answered_round(answer), &mut self.catalogue.sets(), cx.now);
+        self.run(cx, running, step)
     }
 }
--- a/bitternsill/src/front/catalogue/sru_host.rs
+++ b/bitternsill/src/front/catalogue/sru_host.rs
@@ -1,6 +1,6 @@
-//! SRU as spoken to an index host, on a link's bytes.
+//! The SRU client protocol for index hosts.
 
-use super::link::{Dialect, Nonsense};
+use super::link::{HostProtocol, ProtocolError};
 use crate::front::http::{Head, Progress, Reader};
 use crate::limits::Limits;
 use catalogue::host::sru::{Job, check};
@@ -11,7 +11,7 @@
 use dispatch::interface::Time;
 use std::net::SocketAddr;
 
-/// One connection's state.
+/// The state of one SRU connection to an index host.
 pub struct SruHost {
     to: SocketAddr,
     bounds: HostBounds,
@@ -21,8 +21,8 @@
 }
 
 impl SruHost {
-    /// A connection to this address.
-    pub fn dialect(to: SocketAddr, bounds: HostBounds) -> Box<dyn Dialect> {
+    /// Creates the state for a connection to an address.
+    pub fn create(to: SocketAddr, bounds: HostBounds) -> Box<dyn HostProtocol> {
         Box::new(SruHost {
             to,
             bounds,
@@ -32,9 +32,9 @@
         })
     }
 
-    fn say(&self, learned: &Learned) -> Next<Vec<u8>> {
+    fn request(&self, learned: &Learned) -> Next<Vec<u8>> {
         let Some((job, database)) = &self.job else {
-            return Next::Failed("no search is under way".to_owned());
+            return Next::Failed("no search in progress".to_owned());
         };
         Next::Send(
             format!(
@@ -51,18 +51,18 @@
         let text = String::from_utf8_lossy(body);
         let status = head.start.1.parse().unwrap_or(0);
         let Some((job, _)) = &mut self.job else {
-            return HostEvent::Next(Next::Failed("a response to nothing".to_owned()));
+            return HostEvent::Next(Next::Failed("unexpected response".to_owned()));
         };
         HostEvent::Next(match job.answered(status, &text, &self.bounds, learned) {
-            Next::Send(()) => self.say(learned),
-            Next::Done(given) => Next::Done(given),
+            Next::Send(()) => self.request(learned),
+            Next::Done(result) => Next::Done(result),
             Next::Later => Next::Later,
             Next::Failed(problem) => Next::Failed(problem),
         })
     }
 }
 
-impl Dialect for SruHost {
+impl HostProtocol for SruHost {
     fn init_request(&mut self) -> Option<Vec<u8>> {
         None
     }
@@ -80,7 +80,7 @@
         }
         self.reader = None;
         self.job = Some((Job::new(work.clone(), slice, learned), database.to_owned()));
-        self.say(learned)
+        self.request(learned)
     }
 
     fn read(
@@ -89,7 +89,7 @@
         learned: &mut Learned,
         limits: &Limits,
         _now: Time,
-    ) -> Result<Option<HostEvent>, Nonsense> {
+    ) -> Result<Option<HostEvent>, ProtocolError> {
         if input.is_empty() {
             return Ok(None);
         }
@@ -104,7 +104,7 @@
                 self.reader = None;
                 Ok(Some(self.answered(&head, &body, learned)))
             }
-            Err(problem) => Err(Nonsense(problem.to_string())),
+            Err(problem) => Err(ProtocolError(problem.to_string())),
         }
     }
 
--- a/bitternsill/src/front/catalogue/z3950_host.rs
+++ b/bitternsill/src/front/catalogue/z3950_host.rs
@@ -1,6 +1,6 @@
-//! Z39.50 as spoken to an index host, on a link's bytes.
+//! The Z39.50 client protocol for index hosts.
 
-use super::link::{Dialect, Nonsense};
+use super::link::{HostProtocol, ProtocolError};
 use crate::limits::Limits;
 use catalogue::ber;
 use catalogue::host::z3950::{Session, init_request};
@@ -10,15 +10,15 @@
 use dispatch::interface::Time;
 use std::net::SocketAddr;
 
-/// One session's state; all of it is with the link.
+/// The state of one Z39.50 session with an index host.
 pub struct Z3950Host {
     session: Session,
     bounds: HostBounds,
 }
 
 impl Z3950Host {
-    /// A session with this address.
-    pub fn dialect(_to: SocketAddr, bounds: HostBounds) -> Box<dyn Dialect> {
+    /// Creates the state for a connection.
+    pub fn create(_to: SocketAddr, bounds: HostBounds) -> Box<dyn HostProtocol> {
         Box::new(Z3950Host {
             session: Session::default(),
             bounds,
@@ -26,7 +26,7 @@
     }
 }
 
-impl Dialect for Z3950Host {
+impl HostProtocol for Z3950Host {
     fn init_request(&mut self) -> Option<Vec<u8>> {
         Some(init_request(&self.bounds))
     }
@@ -49,15 +49,15 @@
         learned: &mut Learned,
         limits: &Limits,
         now: Time,
-    ) -> Result<Option<HostEvent>, Nonsense> {
+    ) -> Result<Option<HostEvent>, ProtocolError> {
         match ber::read(input, limits.host_message_bytes, limits.ber_depth) {
             Ok(Some(unit)) => self
                 .session
                 .receive(&unit, &self.bounds, learned, now)
                 .map(Some)
-                .map_err(|problem| Nonsense(problem.to_string())),
+                .map_err(|problem| ProtocolError(problem.to_string())),
             Ok(None) => Ok(None),
-            Err(problem) => Err(Nonsense(problem.to_string())),
+            Err(problem) => Err(ProtocolError(problem.to_string())),
         }
     }
 }
--- a/bitternsill/src/front/platform/frames/tests.rs
+++ b/bitternsill/src/front/platform/frames/tests.rs
@@ -38,11 +38,11 @@
 
 #[test]
 fn parses_split_frames_and_rejects_malformed_ones() {
-    let whole = frame(b'q', b"a.3 good 18402777190000000001 -\nva\nlue");
-    for at in 0..whole.len() {
-        let mut input = whole[..at].to_vec();
+    let bytes = frame(b'q', b"a.3 good 18402777190000000001 -\nva\nlue");
+    for at in 0..bytes.len() {
+        let mut input = bytes[..at].to_vec();
         assert_eq!(read(&mut input, 100), Ok(None));
-        input.extend_from_slice(&whole[at..]);
+        input.extend_from_slice(&bytes[at..]);
         let value = Value {
             score: Score::Integer(18402777190000000001),
             body: "va\nlue".into(),
--- a/bitternsill/src/front/platform/link.rs
+++ b/bitternsill/src/front/platform/link.rs
@@ -149,7 +149,7 @@
 
     fn queue_call(&mut self, cx: &mut Cx<'_>, parts: Vec<Outgoing>) {
         let waiting: usize = self.queue.iter().map(Vec::len).sum();
-        let mut taken = Vec::with_capacity(parts.len());
+        let mut accepted = Vec::with_capacity(parts.len());
         for part in parts {
             // The answers to two attempts at one part could not be distinguished on one connection.
             if self.retiring
@@ -160,10 +160,10 @@
                 continue;
             }
             self.in_flight.insert(part.name.clone(), part.id);
-            taken.push(part);
+            accepted.push(part);
         }
-        if !taken.is_empty() {
-            self.queue.push_back(taken);
+        if !accepted.is_empty() {
+            self.queue.push_back(accepted);
         }
         if self.connected {
             self.write(cx);
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -5,9 +5,9 @@
 use crate::config::{self, Config, ConfigError};
 use crate::core::Core;
 use crate::core::settings::{self, Deployment};
-use crate::front::catalogue::link::{MakeDialect, SerialConnector};
+use crate::front::catalogue::link::{CreateHostProtocol, SerialConnector};
 use crate::front::catalogue::session::SessionConnection;
-use crate::front::catalogue::setup::{self, OperatorSetup, Setup, Speaks, StoreSetup};
+use crate::front::catalogue::setup::{self, HostProtocolName, OperatorSetup, Setup, StoreSetup};
 use crate::front::catalogue::sru::Sru;
 use crate::front::catalogue::sru_host::SruHost;
 use crate::front::catalogue::z3950_host::Z3950Host;
@@ -178,9 +178,9 @@
         "sru": setup.sru.map(|a| a.to_string()),
         "z3950": setup.z3950.map(|a| a.to_string()),
     });
-    let dialect: MakeDialect = match setup.speaks {
-        Speaks::Sru => SruHost::dialect,
-        Speaks::Z3950 => Z3950Host::dialect,
+    let create_protocol: CreateHostProtocol = match setup.host_protocol {
+        HostProtocolName::Sru => SruHost::create,
+        HostProtocolName::Z3950 => Z3950Host::create,
     };
     let (settings, deployment) = &setup.settings;
     let session = session::Config {
@@ -226,7 +226,7 @@
         settings: setup.settings,
         connector: Box::new(SerialConnector::new(
             limits.clone(),
-            dialect,
+            create_protocol,
             &setup.slice_database,
         )),
         limits,
