--- a/store/src/command.rs
+++ b/store/src/command.rs
@@ -1,30 +1,30 @@
-//! Commands that entries of the log hold for the state machine, and their JSON.
+//! State machine commands in log entries, and their JSON encoding.
 
 use serde_json::{Value as Json, json};
 
-/// A command of one entry.
+/// The command of one log entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
     /// Sets or removes a key unconditionally.
     Put(Change),
-    /// Opens a session whose id is the revision of this entry. The nonce tells the caller which
-    /// session is its own.
+    /// Opens a session whose id is the revision of this entry. The caller recognizes its own
+    /// session by the nonce.
     Open(u64),
     /// Changes several keys atomically.
     Txn(Txn),
 }
 
-/// A transaction: all sets are applied if all checks hold, else none is.
+/// A transaction: all sets are applied if all checks hold, otherwise none.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Txn {
     /// Id of the session.
     pub session: u64,
-    /// Number of the request in its session, from 1. A retry has the number of the first attempt,
-    /// which makes it idempotent.
+    /// Number of the request in its session, from 1. Retries are idempotent, as they carry the
+    /// number of the first attempt.
     pub request: u64,
-    /// Preconditions.
+    /// Preconditions; all have to hold.
     pub checks: Vec<Check>,
-    /// Changes.
+    /// Changes, applied together.
     pub sets: Vec<Change>,
 }
 
@@ -33,11 +33,11 @@
 pub struct Check {
     /// The key.
     pub key: String,
-    /// The expectation.
+    /// The expected state of the key.
     pub expects: Expects,
 }
 
-/// Expectation of a key.
+/// Expected state of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expects {
     /// The key does not exist.
@@ -62,7 +62,7 @@
 pub(crate) struct Size {
     /// Bytes of the longest key or value.
     pub longest_bytes: usize,
-    /// Keys that are named.
+    /// Number of keys named in checks and sets.
     pub keys: usize,
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A command from JSON; `None` if it has another form.
+    /// Parses a command from JSON; `None` if the JSON is not a valid command.
     pub fn read(json: &Json) -> Option<Command> {
         if let Some(nonce) = json["open"].as_u64() {
             return Some(Command::Open(nonce));
@@ -87,9 +87,9 @@
         Some(Command::Put(change_from_json(json)?))
     }
 
-    /// Size of the command, for the store's bounds.
+    /// Size of the command, to be checked against the store's bounds.
     pub(crate) fn size(&self) -> Size {
-        let of = |change: &Change| {
+        let change_bytes = |change: &Change| {
             change
                 .key
                 .len()
@@ -97,7 +97,7 @@
         };
         match self {
             Command::Put(change) => Size {
-                longest_bytes: of(change),
+                longest_bytes: change_bytes(change),
                 keys: 1,
             },
             Command::Open(_) => Size::default(),
@@ -106,7 +106,13 @@
                     Expects::Is(value) => check.key.len().max(value.len()),
                     _ => check.key.len(),
                 });
-                let longest = txn.sets.iter().map(of).chain(expected).max().unwrap_or(0);
+                let longest = txn
+                    .sets
+                    .iter()
+                    .map(change_bytes)
+                    .chain(expected)
+                    .max()
+                    .unwrap_or(0);
                 Size {
                     longest_bytes: longest,
                     keys: txn.sets.len() + txn.checks.len(),
@@ -117,8 +123,8 @@
 }
 
 impl Txn {
-    /// The transaction as JSON: `checks` are pairs of a key and its expectation, `sets` pairs of a
-    /// key and its value or null.
+    /// The transaction as JSON: `checks` are pairs of a key and its expected state, `sets` pairs of
+    /// a key and its value or null.
     pub fn json(&self) -> Json {
         let check = |check: &Check| match &check.expects {
             Expects::Absent => json!([check.key, {"absent": true}]),
@@ -134,13 +140,13 @@
         json!({"session": self.session, "request": self.request, "checks": checks, "sets": sets})
     }
 
-    /// A transaction from JSON; `None` if it has another form.
+    /// Parses a transaction from JSON; `None` if the JSON is not a valid transaction.
     pub fn read(json: &Json) -> Option<Txn> {
         let check = |json: &Json| {
             let expects = match &json[1] {
-                wanted if wanted["absent"] == true => Expects::Absent,
-                wanted if wanted["at"].is_u64() => Expects::At(wanted["at"].as_u64()?),
-                wanted => Expects::Is(wanted["is"].as_str()?.to_owned()),
+                expected if expected["absent"] == true => Expects::Absent,
+                expected if expected["at"].is_u64() => Expects::At(expected["at"].as_u64()?),
+                expected => Expects::Is(expected["is"].as_str()?.to_owned()),
             };
             Some(Check {
                 key: json[0].as_str()?.to_owned(),
@@ -174,7 +180,8 @@
     }
 }
 
-/// A change from JSON; `None` if it has another form. A null value removes the key.
+/// Parses a change from JSON; `None` if the JSON is not a valid change. A null value removes the
+/// key.
 fn change_from_json(json: &Json) -> Option<Change> {
     let value = match json.get("value")? {
         Json::Null => None,
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -6,15 +6,16 @@
 //! randomness of its own: time, messages and completions of writes come in; messages, writes and
 //! committed changes go out. So the same code runs in the gatherer and in simulations.
 //!
-//! Invariant that everything else rests on: a member acknowledges, votes or shows something as
+//! Durability invariant: a member acknowledges an entry, grants a vote or reports a change as
 //! committed only after every write that this depends on is on its disk (see
-//! [`member::Store::take_outbox`]). Else a power failure could take back what others count on.
+//! [`member::Store::take_outbox`]). Otherwise a power failure could undo state that other members
+//! rely on.
 //!
 //! - [`member`]: the member, with its client calls, persistence and admission to the store.
-//! - [`rejoin`]: the rule by which a restarted member may vote again, also without its file.
-//! - [`log`], [`command`], [`state`]: entries, what they ask for, and what comes of them.
+//! - [`rejoin`]: the rule by which a restarted member may vote again, even without its file.
+//! - [`log`], [`command`], [`state`]: log entries, their commands, and the state machine.
 //! - [`message`]: messages between members, and their encoding as lines of JSON.
-//! - [`record`], [`persisted`]: the member's file, and the state that is recovered from it.
+//! - [`record`], [`persisted`]: the member's file, and the state recovered from it.
 
 #![forbid(unsafe_code)]
 
--- a/store/src/log.rs
+++ b/store/src/log.rs
@@ -1,5 +1,5 @@
 //! The replicated log: positions, entries and snapshots, their conversion to and from the Raft
-//! library's types, and their JSON, which is the same in files and in messages.
+//! library's types, and their JSON encoding, which is the same in files and in messages.
 
 use crate::command::Command;
 use crate::state::State;
@@ -17,8 +17,8 @@
 }
 
 impl Position {
-    /// Key by which the ends of two logs are compared: the one with the greater key is more up to
-    /// date (Raft, section 5.4.1). The derived order is by index first, for maps of entries.
+    /// Key that compares the ends of two logs: the log with the greater key is more up to date
+    /// (Raft, section 5.4.1). The derived order is by index first, for maps of entries.
     pub fn recency(self) -> (u64, u64) {
         (self.term, self.index)
     }
@@ -27,16 +27,16 @@
 /// The state at a position of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Position of the last entry that is covered.
+    /// Position of the last entry that the snapshot covers.
     pub position: Position,
     /// The members at that position.
     pub members: BTreeSet<u64>,
-    /// The state that the entries up to there make.
+    /// The state after that entry.
     pub state: State,
 }
 
 impl Snapshot {
-    /// The members in the form of the library.
+    /// The members in the library's form.
     pub fn config(&self) -> ClusterConfig {
         ClusterConfig {
             voters: self.members.iter().copied().map(NodeId::new).collect(),
@@ -48,7 +48,7 @@
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Entry {
-    /// A leader has started this term.
+    /// Start of a leader's term.
     Term(u64),
     /// The membership.
     Members(BTreeSet<u64>),
@@ -66,10 +66,10 @@
 }
 
 impl Entries {
-    /// Entries of the library's log with their commands, up to the first command that is not known
-    /// here: the rest can only be replicated once it is.
+    /// Entries of the library's log with their commands. Ends before the first entry whose command
+    /// this member lacks: later entries cannot be replicated until the command is known.
     pub fn new(log: &LogEntries, commands: &BTreeMap<Position, Command>) -> Entries {
-        let mut consecutive = Entries {
+        let mut result = Entries {
             after: log.prev_position().into(),
             entries: Vec::new(),
         };
@@ -84,12 +84,12 @@
                     None => break,
                 },
             };
-            consecutive.entries.push(entry);
+            result.entries.push(entry);
         }
-        consecutive
+        result
     }
 
-    /// The entries in the form of the library.
+    /// The entries in the library's form.
     pub fn to_log(&self) -> LogEntries {
         let mut log = empty_log(self.after);
         for entry in &self.entries {
@@ -142,7 +142,7 @@
     }
 }
 
-/// An empty log behind a position.
+/// An empty log that starts after a position.
 pub(crate) fn empty_log(position: Position) -> LogEntries {
     LogEntries::new(position.into())
 }
@@ -172,7 +172,7 @@
     json!({"after": write_position(entries.after), "entries": list})
 }
 
-/// Entries from JSON; `None` if it has another form.
+/// Parses entries from JSON; `None` if the JSON is not valid.
 pub(crate) fn read_entries(json: &Json) -> Option<Entries> {
     let entry = |json: &Json| {
         if let Some(term) = json["term"].as_u64() {
@@ -199,7 +199,7 @@
     json!({"position": write_position(snapshot.position), "members": snapshot.members, "state": snapshot.state.json()})
 }
 
-/// A snapshot from JSON; `None` if it has another form.
+/// Parses a snapshot from JSON; `None` if the JSON is not valid.
 pub(crate) fn read_snapshot(json: &Json) -> Option<Snapshot> {
     let position = read_position(&json["position"])?;
     let state = State::read(&json["state"], position.index)?;
--- a/store/src/member.rs
+++ b/store/src/member.rs
@@ -1,16 +1,16 @@
 //! A member of the store: Raft's log and elections over the library `raftbare`, and the state
 //! machine that the committed entries drive.
 //!
-//! Invariant: nothing is acknowledged, voted or shown as committed that a power failure could take
-//! back. What has to be durable goes out as numbered writes ([`Store::take_writes`]); each message
-//! waits until the writes before it are completed ([`Store::take_outbox`]), and entries are applied
-//! only once they are on this member's disk. The one exception, entries of a leader, is explained
-//! in `raft_messages`.
+//! Invariant: a power failure cannot undo an acknowledgement, a vote or a change reported as
+//! committed. Durable state is issued as numbered writes ([`Store::take_writes`]). Each message
+//! waits until the writes issued before it are completed ([`Store::take_outbox`]), and entries are
+//! applied only once they are on this member's disk. `raft_messages` explains the one exception, a
+//! leader's entries.
 //!
-//! The module's parts: `client_calls` (sessions, transactions and linearizable reads), `proposals`,
-//! `apply` (state machine, compaction, snapshots), `persistence`, `receive` (messages of other
+//! Submodules: `client_calls` (sessions, transactions and linearizable reads), `proposals`,
+//! `apply` (state machine, compaction, snapshots), `persistence`, `receive` (messages from other
 //! members), `raft_messages` (where the library differs from Raft) and `rejoining` (admission of
-//! members that have just started).
+//! newly started members).
 
 use crate::Time;
 use crate::command::{Change, Command};
@@ -39,27 +39,27 @@
 pub use error::{Compacted, OtherStore, TooLarge, TooManyCalls};
 pub use persistence::Write;
 
-/// A committed change with its revision: the index of its entry.
+/// A committed change with its revision, which is the index of its log entry.
 pub type Revised = (u64, Change);
 
-/// A message that waits for a write before it may be sent.
+/// A message that may be sent once a write is completed.
 struct Outgoing {
     /// Number of the write.
-    after: u64,
+    after_write: u64,
     to: u64,
     envelope: Envelope,
 }
 
-/// When a member was last sent entries that it lacked.
+/// The last time that a member was sent missing entries.
 struct Resend {
     term: u64,
     at: Time,
 }
 
-/// What this member has to catch up to before it may vote again: see [`crate::rejoin`].
+/// State to which this member has to catch up before it may vote again; see [`crate::rejoin`].
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct CatchUpBar {
-    /// Least term of the leader.
+struct CatchUpTarget {
+    /// Lowest term of the leader.
     term: u64,
     /// Position up to which that leader must have committed.
     last: Position,
@@ -71,40 +71,40 @@
     timing: Timing,
     bounds: Bounds,
     rng: fastrand::Rng,
-    /// Commands of the log's entries, which the library does not hold.
+    /// Commands of the log's entries, as the library's log holds none.
     commands: BTreeMap<Position, Command>,
     state: State,
     /// Index of the last applied entry.
     applied: u64,
-    /// Values that this member proposes until they are committed.
+    /// Values that this member proposes again until they are committed.
     wanted: BTreeMap<String, String>,
     /// Id of the store; 0 while it is unknown.
     cluster: u64,
-    /// Which start of this member this is, from 1.
+    /// Number of this start of the member, from 1.
     start: u64,
     persistence: Persistence,
     outbox: VecDeque<Outgoing>,
     resends: BTreeMap<u64, Resend>,
-    /// Committed changes that have not been taken yet.
+    /// Committed changes since the last [`Store::take_committed`].
     committed: VecDeque<Revised>,
     /// When the election or heartbeat timer expires.
     timer_at: Option<Time>,
-    /// When unanswered messages of [`Store::send_status`] are sent again.
+    /// When [`Store::send_status`] sends unanswered messages again.
     status_request_at: Option<Time>,
     members: BTreeSet<u64>,
     era: u64,
     rejoin: Rejoin,
-    /// Members that have accepted the store that this one bootstraps.
+    /// Members that have accepted the store which this one bootstraps.
     accepted: BTreeSet<u64>,
-    /// Whether nobody can have voted in this store yet, as far as this member knows.
+    /// Whether, as far as this member knows, nobody can have voted in this store yet.
     never_voted: bool,
-    catch_up_bar: Option<CatchUpBar>,
+    catch_up_target: Option<CatchUpTarget>,
     calls: client_calls::Calls,
 }
 
 impl Store {
-    /// Starts a member, from what its file holds; with `None` it keeps no file, and everything is
-    /// in memory. `seed` is for election timeouts and the ids of sessions and incarnations.
+    /// Starts a member with the state of its file, or entirely in memory if `persisted` is `None`.
+    /// `seed` is for election timeouts and the ids of stores, sessions and incarnations.
     pub fn start(
         membership: &Membership,
         timing: Timing,
@@ -133,7 +133,7 @@
             Status::Empty => (Node::start(id), Default::default(), BTreeMap::new()),
             _ => persisted.into_node(id),
         };
-        // What was recovered from the file is on the disk.
+        // Entries recovered from the file are on the disk.
         let durable_index = node.log().last_position().index.get();
         let mut store = Store {
             applied: snapshot.position.index,
@@ -157,11 +157,11 @@
             rejoin,
             accepted: BTreeSet::new(),
             never_voted,
-            catch_up_bar: None,
+            catch_up_target: None,
             calls: client_calls::Calls::new(snapshot.position.index),
         };
         store.persist(Record::Start(start));
-        // A lone member has nobody to ask.
+        // A single-member store needs no status responses.
         if status == Status::Empty && bootstraps && store.members.len() == 1 {
             store.bootstrap();
         }
@@ -175,8 +175,8 @@
         &self.state
     }
 
-    /// The last value of a key in this member's log with its revision, committed or not: all that
-    /// a member has to go by that has just started and cannot reach the others.
+    /// The last value of a key in this member's log with its revision, committed or not. A
+    /// restarted member that cannot reach the others has no better knowledge.
     pub fn latest_known(&self, key: &str) -> Option<(u64, &str)> {
         let unapplied = self.unapplied().rev().filter_map(|(position, command)| {
             let sets = match command {
@@ -194,7 +194,7 @@
         unapplied.max().or_else(applied)
     }
 
-    /// Whether this member takes itself for the leader.
+    /// Whether this member regards itself as the leader; a newer leader may exist.
     pub fn is_leader(&self) -> bool {
         self.node.role() == Role::Leader
     }
@@ -204,7 +204,7 @@
         let timer_at = self
             .timer_at
             .filter(|_| self.is_active() && !self.never_voted);
-        // A lone member has nobody to hear from.
+        // A single-member store needs no elections, heartbeats or status requests.
         let others = [timer_at, self.status_request_at]
             .into_iter()
             .flatten()
@@ -213,20 +213,20 @@
         [others, self.calls.due()].into_iter().flatten().min()
     }
 
-    /// Whether this member votes and counts, and if not, why.
+    /// Status of this member, which votes only while active.
     pub fn status(&self) -> Status {
         self.rejoin.status()
     }
 
-    /// What this member waits for before it votes and counts, as a sentence for operators.
+    /// The condition for which this member waits before it votes, as a sentence for operators.
     pub fn waiting_for(&self) -> Option<String> {
-        let bootstrap = || "the member that begins the store has not done so yet".to_owned();
+        let bootstrap = || "the store has not been bootstrapped yet".to_owned();
         self.rejoin
             .waiting_for()
             .or_else(|| (self.never_voted && self.is_active()).then(bootstrap))
     }
 
-    /// How often this member has lost its file.
+    /// This member's generation: the number of times that its file was lost.
     pub fn generation(&self) -> u64 {
         self.rejoin.generation()
     }
@@ -240,7 +240,7 @@
         self.cluster
     }
 
-    /// Which start of this member this is, from 1.
+    /// Number of this start of the member, from 1.
     pub fn starts(&self) -> u64 {
         self.start
     }
@@ -250,12 +250,12 @@
         self.applied
     }
 
-    /// Messages to other members, with their receivers, whose writes are all completed.
+    /// Takes the messages whose writes are completed, with their receivers.
     pub fn take_outbox(&mut self) -> Vec<(u64, Envelope)> {
         let completed = self.persistence.last_completed();
         let (ready, waiting) = std::mem::take(&mut self.outbox)
             .into_iter()
-            .partition::<VecDeque<_>, _>(|outgoing| outgoing.after <= completed);
+            .partition::<VecDeque<_>, _>(|outgoing| outgoing.after_write <= completed);
         self.outbox = waiting;
         ready
             .into_iter()
@@ -263,13 +263,12 @@
             .collect()
     }
 
-    /// Changes committed since this was last called.
+    /// Takes the changes committed since the last call.
     pub fn take_committed(&mut self) -> VecDeque<Revised> {
         std::mem::take(&mut self.committed)
     }
 
-    /// Handles expired timers: heartbeats and elections, calls that have no answer yet, and status
-    /// requests.
+    /// Handles expired timers: heartbeats, elections, unanswered client calls and status requests.
     pub fn timer(&mut self, now: Time) {
         self.retry_calls(now);
         if self.status_request_at.is_some_and(|at| at <= now) {
@@ -282,12 +281,12 @@
         self.process_actions(now);
     }
 
-    /// Carries out the library's actions in their order, then applies what is committed.
+    /// Carries out the library's actions in order, then applies committed entries.
     fn process_actions(&mut self, now: Time) {
         while let Some(action) = self.node.actions_mut().next() {
             self.process_action(action, now);
         }
-        // Messages to a member that is down must not pile up.
+        // The outbox is bounded: messages to a member that is down must not accumulate.
         while self.outbox.len() > self.bounds.log {
             self.outbox.pop_front();
         }
@@ -317,19 +316,19 @@
             Action::BroadcastMessage(message) => {
                 self.calls.on_broadcast(message.seqno().get());
                 let peers: Vec<u64> = self.node.peers().map(NodeId::get).collect();
-                let (after, envelope) = self.gated(&message);
+                let (after_write, envelope) = self.wrap_raft(&message);
                 self.outbox.extend(peers.into_iter().map(|to| Outgoing {
-                    after,
+                    after_write,
                     to,
                     envelope: envelope.clone(),
                 }));
             }
             Action::SendMessage(to, message) => {
-                let (after, envelope) = self.gated(&message);
+                let (after_write, envelope) = self.wrap_raft(&message);
                 let to = to.get();
                 if !self.is_duplicate_resend(to, &envelope, now) {
                     self.outbox.push_back(Outgoing {
-                        after,
+                        after_write,
                         to,
                         envelope,
                     });
@@ -339,7 +338,7 @@
                 if let Some(snapshot) = self.snapshot() {
                     let message = Message::InstallSnapshot {
                         snapshot,
-                        restores: 0,
+                        requested_by: 0,
                     };
                     self.send(to.get(), message);
                 }
@@ -347,11 +346,11 @@
         }
     }
 
-    /// Queues a message behind every write that has been issued.
+    /// Queues a message that waits for every write issued so far.
     fn send(&mut self, to: u64, message: Message) {
         let envelope = self.envelope(message);
         self.outbox.push_back(Outgoing {
-            after: self.persistence.last_issued(),
+            after_write: self.persistence.last_issued(),
             to,
             envelope,
         });
--- a/store/src/member/apply.rs
+++ b/store/src/member/apply.rs
@@ -7,9 +7,9 @@
 use raftbare::{LogEntry, LogIndex};
 
 impl Store {
-    /// Applies entries that are committed and on this member's own disk. The second condition
-    /// matters for the leader, whose own entries the library counts before they are durable: a lone
-    /// member's entry is committed as soon as it is proposed.
+    /// Applies entries that are committed and durable at this member. Durability has to be checked,
+    /// because the library counts the leader's own entries before they are on its disk: in a
+    /// single-member store an entry counts as committed as soon as it is proposed.
     pub(super) fn apply(&mut self) {
         let end = self.node.commit_index().get();
         while self.applied < end.min(self.persistence.durable_index()) {
@@ -50,7 +50,7 @@
         self.calls.complete(completion);
     }
 
-    /// The state at the last applied entry; `None` while the log has no such entry.
+    /// The state at the last applied entry; `None` if the log does not hold that position.
     pub(super) fn snapshot(&self) -> Option<Snapshot> {
         let index = LogIndex::new(self.applied);
         let (position, config) = self.node.log().get_position_and_config(index)?;
@@ -64,8 +64,8 @@
 
     /// Compacts the applied part of the log into a snapshot.
     fn compact(&mut self) {
-        // Not twice at one index: a member that cannot apply anything would replace its whole file
-        // at every event.
+        // Compacts only once per index: a member that cannot apply entries would otherwise replace
+        // its whole file at every event.
         let compacted = self.node.log().snapshot_position().index.get();
         let Some(snapshot) = self
             .snapshot()
@@ -74,12 +74,12 @@
             return;
         };
         if self.install_in_log(&snapshot) {
-            self.forget_commands();
+            self.drop_applied_commands();
             self.replace_file(snapshot);
         }
     }
 
-    /// Installs the leader's snapshot in place of entries that the leader no longer has.
+    /// Installs the leader's snapshot, sent instead of entries that the leader has compacted.
     pub(super) fn install(&mut self, snapshot: Snapshot) {
         if snapshot.position.index > self.applied && self.install_in_log(&snapshot) {
             self.adopt_snapshot(snapshot);
@@ -91,7 +91,7 @@
             .handle_snapshot_installed(snapshot.position.into(), snapshot.config())
     }
 
-    /// Replaces this member's state and file by a snapshot's. Watchers get every key at the
+    /// Replaces this member's state and file by a snapshot. Watchers receive every key at the
     /// snapshot's revision.
     pub(super) fn adopt_snapshot(&mut self, snapshot: Snapshot) {
         let revision = snapshot.position.index;
@@ -106,12 +106,12 @@
         });
         self.committed.extend(changes);
         self.calls.on_snapshot_installed(revision, &self.state);
-        self.forget_commands();
+        self.drop_applied_commands();
         self.replace_file(snapshot);
     }
 
-    /// Drops commands of applied entries.
-    fn forget_commands(&mut self) {
+    /// Drops the commands of applied entries.
+    fn drop_applied_commands(&mut self) {
         self.commands = self.commands.split_off(&Position {
             index: self.applied + 1,
             term: 0,
--- a/store/src/member/client_calls.rs
+++ b/store/src/member/client_calls.rs
@@ -1,13 +1,14 @@
 //! Client calls: sessions, transactions, linearizable reads, and the history for watchers.
 //!
-//! Every member applies every entry, so the member that was called sees the outcome in its own
-//! state, and no response has to be routed back. Until then it submits the command to the leader
-//! again at each heartbeat interval. A command that is committed twice is applied once, by its
-//! session (Raft, dissertation, 6.3). After the call's timeout the outcome is unknown.
+//! Every member applies every entry, so the called member reads the outcome from its own state, and
+//! no response has to be routed back. Until then the member submits the command to the leader again
+//! at each heartbeat interval. A command that is committed twice is applied once, because its
+//! session detects the duplicate (Raft, dissertation, 6.3). After the call's timeout the outcome is
+//! unknown.
 //!
-//! Reads follow Raft's ReadIndex (dissertation, 6.4): the leader notes its commit index, confirms
-//! with a majority that it still leads, and the calling member answers once it has applied up to
-//! that index.
+//! Reads follow Raft's ReadIndex (dissertation, 6.4): the leader records its commit index and
+//! confirms with a majority that it still leads. The called member answers once it has applied the
+//! entries up to that index.
 
 use super::{Compacted, Revised, Store, TooManyCalls};
 use crate::Time;
@@ -26,8 +27,7 @@
     Open,
     /// Applies a transaction.
     Txn(Txn),
-    /// Brings this member's state at least up to whatever was acknowledged to anyone before the
-    /// call.
+    /// Brings this member's state up to date with every change acknowledged before the call.
     Read,
 }
 
@@ -51,10 +51,10 @@
 }
 
 enum PendingKind {
-    /// The nonce that tells the session from others.
+    /// The nonce that identifies the session.
     Open(u64),
     Txn(Txn),
-    /// The read index, once the leader has sent it.
+    /// The read index, once received from the leader.
     Read(Option<u64>),
 }
 
@@ -73,20 +73,20 @@
     }
 }
 
-/// A read at the leader, until a majority has confirmed that it still leads.
+/// A read at the leader that a majority has yet to confirm.
 struct PendingRead {
     /// The member that reads.
     from: u64,
-    /// That member's number for the read, and its incarnation.
+    /// The member's number for the read, and the member's incarnation.
     key: (u64, u64),
     /// The read index.
     index: u64,
-    /// Responses to the leader's message of this sequence number or a later one confirm.
-    after: Option<u64>,
+    /// Responses to messages from this sequence number on confirm the read.
+    confirmed_from: Option<u64>,
     confirmed_by: BTreeSet<u64>,
 }
 
-/// Calls in flight at a member, and reads that it confirms as the leader.
+/// Calls in flight at a member, and reads that the member confirms as the leader.
 pub(super) struct Calls {
     pending: BTreeMap<CallId, Pending>,
     replies: Vec<(CallId, Reply)>,
@@ -114,11 +114,11 @@
         self.retry_at
     }
 
-    /// The leader has sent a message to all members: responses from here on confirm reads that
-    /// came before it.
+    /// Handles the broadcast of a leader's message: responses to this message and later ones
+    /// confirm the reads received before it.
     pub(super) fn on_broadcast(&mut self, sequence: u64) {
         for read in &mut self.reads {
-            read.after.get_or_insert(sequence);
+            read.confirmed_from.get_or_insert(sequence);
         }
     }
 
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Replies to reads whose index is applied.
+    /// Replies to reads whose read index has been applied.
     pub(super) fn on_applied(&mut self, applied: u64) {
         let is_ready = |pending: &Pending| match pending.kind {
             PendingKind::Read(Some(index)) => index <= applied,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Retains what an entry changed, for watchers. Changes of one entry are dropped together.
+    /// Retains the changes of an entry for watchers. Changes of one entry are dropped together.
     pub(super) fn record_history(&mut self, revision: u64, changes: &[Change], limit: usize) {
         self.history
             .extend(changes.iter().map(|change| (revision, change.clone())));
@@ -183,8 +183,8 @@
         }
     }
 
-    /// A snapshot has replaced entries that would have been applied one by one: replies to
-    /// transactions whose outcome it holds.
+    /// Handles a snapshot that replaces entries which would have been applied one by one. Replies
+    /// to transactions whose outcome the snapshot holds.
     pub(super) fn on_snapshot_installed(&mut self, revision: u64, state: &State) {
         self.history.clear();
         self.compacted_to = revision;
@@ -204,11 +204,11 @@
 }
 
 impl Store {
-    /// Starts a call; the reply comes by [`Store::take_replies`] within `timeout` nanoseconds.
+    /// Starts a call. [`Store::take_replies`] returns the reply within `timeout` nanoseconds.
     ///
     /// # Errors
     ///
-    /// [`TooManyCalls`] if as many calls as allowed are in flight.
+    /// [`TooManyCalls`] if the limit of calls in flight is reached.
     pub fn call(
         &mut self,
         id: CallId,
@@ -243,12 +243,12 @@
         Ok(())
     }
 
-    /// Drops a call whose reply nobody waits for. Its command may still be applied.
+    /// Drops a call whose reply is no longer needed. Its command may still be applied.
     pub fn cancel_call(&mut self, id: CallId) {
         self.calls.pending.remove(&id);
     }
 
-    /// Replies since this was last called.
+    /// Takes the replies since the last call.
     pub fn take_replies(&mut self) -> Vec<(CallId, Reply)> {
         std::mem::take(&mut self.calls.replies)
     }
@@ -257,7 +257,7 @@
     ///
     /// # Errors
     ///
-    /// [`Compacted`] if the history does not reach back so far.
+    /// [`Compacted`] if the history no longer covers that revision.
     pub fn changes_since(
         &self,
         revision: u64,
@@ -278,7 +278,7 @@
         size.longest_bytes <= self.bounds.value_bytes && size.keys <= self.bounds.txn_keys
     }
 
-    /// Submits calls without a reply again, and replies to those that timed out.
+    /// Submits unanswered calls again, and replies to calls that have timed out.
     pub(super) fn retry_calls(&mut self, now: Time) {
         if self.calls.retry_at.is_none_or(|at| at > now) {
             return;
@@ -323,18 +323,18 @@
         }
     }
 
-    /// Takes a read of a member, this one included, as the leader. The read index is the commit
-    /// index at this moment, be it on the leader's own disk or not: a former leader may have
-    /// acknowledged entries that are on the disks of others.
+    /// Starts a read of any member, including this one, as the leader. The read index is the
+    /// current commit index, whether or not it is durable here: a former leader may have
+    /// acknowledged entries that are durable on other members.
     pub(super) fn begin_read(&mut self, from: u64, key: (u64, u64), now: Time) {
         let (commit, term) = (self.node.commit_index(), self.node.current_term());
-        // A leader that has committed nothing in its own term may not know yet what its
-        // predecessor acknowledged.
+        // Until a leader has committed an entry of its own term, its commit index may lack entries
+        // that its predecessor acknowledged.
         let knows_commit = self.node.log().entries().get_term(commit) == Some(term);
         if !self.is_leader() || !knows_commit {
             return;
         }
-        // A member repeats its read until it has the index: only the last repetition counts.
+        // Members repeat a read until they receive the index: only the latest repetition is kept.
         self.calls
             .reads
             .retain(|read| (read.from, read.key) != (from, key));
@@ -345,31 +345,31 @@
             from,
             key,
             index: commit.get(),
-            after: None,
+            confirmed_from: None,
             confirmed_by: BTreeSet::from([self.id()]),
         });
-        // Actions that the library has queued are carried out first, so that the heartbeat is a
-        // message of its own.
+        // Carries out queued actions first, so that the heartbeat is a separate message with a
+        // sequence number of its own.
         self.process_actions(now);
         self.node.heartbeat();
         self.process_actions(now);
         self.answer_reads();
     }
 
-    /// A member has responded to the leader's message of this sequence number.
+    /// Handles a member's response to the leader's message with this sequence number.
     pub(super) fn on_append_response(&mut self, from: u64, term: u64, sequence: u64) {
         if !self.is_leader() || term != self.node.current_term().get() {
             return;
         }
         for read in &mut self.calls.reads {
-            if read.after.is_some_and(|after| sequence >= after) {
+            if read.confirmed_from.is_some_and(|first| sequence >= first) {
                 read.confirmed_by.insert(from);
             }
         }
         self.answer_reads();
     }
 
-    /// Sends the index of reads that a majority has confirmed.
+    /// Sends the read index of reads that a majority has confirmed.
     fn answer_reads(&mut self) {
         if !self.is_leader() {
             return self.calls.reads.clear();
@@ -394,7 +394,7 @@
         }
     }
 
-    /// The leader has confirmed a read of this member: it is answered once its index is applied.
+    /// Handles the read index of a read, which is answered once that index is applied.
     pub(super) fn on_read_index(&mut self, number: u64, read_index: u64) {
         if let Some(Pending {
             kind: PendingKind::Read(index),
--- a/store/src/member/config.rs
+++ b/store/src/member/config.rs
@@ -12,25 +12,25 @@
     pub election: Time,
 }
 
-/// The members of the store and this member's place among them.
+/// The members of the store and this member's role among them.
 #[derive(Debug, Clone)]
 pub struct Membership {
     /// Id of this member.
     pub id: u64,
-    /// Ids of all members, this one included.
+    /// Ids of all members, including this one.
     pub members: BTreeSet<u64>,
-    /// Whether this member bootstraps the store where none exists yet.
+    /// Whether this member bootstraps the store if none exists yet.
     pub bootstraps: bool,
-    /// Era of a store that this member bootstraps: seconds of the wall clock, so that it is later
-    /// than the era of any store before it; 0 for no era.
+    /// Era of a store that this member bootstraps; 0 for no era. Wall clock seconds make the era
+    /// later than that of any earlier store.
     pub era: u64,
 }
 
 /// Limits on the store's size and load. Limits on the state have to be equal at all members, as
-/// they decide what comes of an entry.
+/// they decide the outcomes of entries.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Entries in the log before it is compacted into a snapshot, and messages in the outbox.
+    /// Log entries before compaction into a snapshot, and also messages in the outbox.
     pub log: usize,
     /// Keys in the state.
     pub keys: usize,
@@ -40,7 +40,7 @@
     pub sessions: usize,
     /// Keys that one transaction may name in its checks and sets.
     pub txn_keys: usize,
-    /// Client calls in flight at this member; as a leader, it takes as many reads of each member.
+    /// Client calls in flight at this member. A leader also accepts this many reads per member.
     pub calls: usize,
     /// Committed changes that are retained for watchers.
     pub history: usize,
--- a/store/src/member/error.rs
+++ b/store/src/member/error.rs
@@ -15,7 +15,7 @@
 
 impl Error for TooLarge {}
 
-/// A message from a member of another store.
+/// A message from a member of a different store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OtherStore {
     /// The sender.
@@ -31,33 +31,32 @@
         let OtherStore { from, theirs, own } = self;
         write!(
             f,
-            "member {from} is of store {theirs:016x}, and this one of store {own:016x}"
+            "member {from} belongs to store {theirs:016x}, this one to store {own:016x}"
         )
     }
 }
 
 impl Error for OtherStore {}
 
-/// As many client calls are in flight at this member as [`Bounds`](super::Bounds) allows.
+/// This member has reached its limit of client calls in flight; see [`Bounds`](super::Bounds).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooManyCalls;
 
 impl fmt::Display for TooManyCalls {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("too many calls are in flight")
+        f.write_str("too many client calls in flight")
     }
 }
 
 impl Error for TooManyCalls {}
 
-/// The history of changes no longer reaches back to the requested revision; it is complete after
-/// this one.
+/// The history of changes no longer covers the requested revision, but is complete after this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Compacted(pub u64);
 
 impl fmt::Display for Compacted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "changes up to revision {} are compacted", self.0)
+        write!(f, "changes up to revision {} have been compacted", self.0)
     }
 }
 
--- a/store/src/member/persistence.rs
+++ b/store/src/member/persistence.rs
@@ -1,4 +1,4 @@
-//! Numbered writes of a member's file, and which of them are on the disk.
+//! Numbered writes to a member's file, and how far they are durable.
 
 use super::Store;
 use crate::log::{Entries, Snapshot};
@@ -7,7 +7,7 @@
 use raftbare::NodeId;
 use std::collections::VecDeque;
 
-/// Records that have to be on the disk before any message that was queued after them is sent.
+/// Records that have to be on the disk before messages queued after them are sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
     /// Sequence number, from 1; writes are carried out in this order.
@@ -18,29 +18,29 @@
     pub records: Vec<Record>,
 }
 
-/// Where the log ended when a write was issued.
+/// The end of the log when a write was issued.
 struct LogEnd {
     write: u64,
     index: u64,
 }
 
-/// The writes of a member. A member that keeps no file issues none, and everything counts as
-/// durable at once.
+/// The writes of a member. A member without a file issues none, and its whole log counts as
+/// durable.
 pub(super) struct Persistence {
-    /// Writes that have not been taken yet; `None` where no file is kept.
+    /// Writes since the last [`Store::take_writes`]; `None` if the member keeps no file.
     queue: Option<Vec<Write>>,
     last_issued: u64,
     last_completed: u64,
-    /// The last write of anything but log entries: a term, a vote, or what this member is.
+    /// The last write other than log entries: a term, a vote, or the member's status.
     last_vote_write: u64,
-    /// For writes that are not completed.
+    /// Log ends of writes that are not completed.
     log_ends: VecDeque<LogEnd>,
     /// Index up to which the log is on the disk.
     durable_index: u64,
 }
 
 impl Persistence {
-    /// Persistence of a member whose log, as recovered from its file, ends at this index.
+    /// Persistence of a member whose recovered log ends at this index.
     pub(super) fn new(keeps_file: bool, durable_index: u64) -> Persistence {
         Persistence {
             queue: keeps_file.then(Vec::new),
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Number of the last write that was issued; a message that waits for it waits for all.
+    /// Number of the last issued write. Completion of this write implies that of all earlier ones.
     pub(super) fn last_issued(&self) -> u64 {
         self.last_issued
     }
 
-    /// Number of the last write that is on the disk.
+    /// Number of the last write that is durable.
     pub(super) fn last_completed(&self) -> u64 {
         self.last_completed
     }
@@ -108,7 +108,7 @@
 }
 
 impl Store {
-    /// Writes to carry out, in order, since this was last called.
+    /// Takes the writes issued since the last call. They have to be carried out in order.
     pub fn take_writes(&mut self) -> Vec<Write> {
         self.persistence
             .queue
@@ -117,7 +117,7 @@
             .unwrap_or_default()
     }
 
-    /// Notes that every write up to this number is on the disk.
+    /// Handles the completion of every write up to this number.
     pub fn on_written(&mut self, number: u64) {
         self.persistence.complete(number);
         self.apply();
@@ -129,7 +129,7 @@
         self.persistence.issue(false, vec![record], log_end);
     }
 
-    /// Replaces the file by a snapshot and what has to be known beside it.
+    /// Replaces the file by a snapshot, the log after it and the rest of the member's state.
     pub(super) fn replace_file(&mut self, snapshot: Snapshot) {
         let mut records = vec![
             Record::Start(self.start),
--- a/store/src/member/proposals.rs
+++ b/store/src/member/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals: values that this member wants set, and commands on their way into the log.
+//! Proposals of commands, and the values that this member proposes until they are committed.
 
 use super::{Store, TooLarge};
 use crate::Time;
@@ -8,8 +8,8 @@
 use raftbare::{LogIndex, NodeId};
 
 impl Store {
-    /// Wants a key to have a value. It is proposed again until it is committed or replaced by a
-    /// later call for the same key.
+    /// Sets a key. The value is proposed again until it is committed, or replaced by a later call
+    /// for the same key.
     ///
     /// # Errors
     ///
@@ -25,7 +25,8 @@
         Ok(())
     }
 
-    /// Proposes wanted values that are neither set nor in flight, or forwards them to the leader.
+    /// Proposes wanted values that are neither committed nor in flight, or forwards them to the
+    /// leader.
     pub(super) fn propose_wanted(&mut self) {
         self.wanted
             .retain(|key, value| self.state.get(key) != Some(value));
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Proposes a command, as the leader or by it, unless it is in flight already.
+    /// Proposes a command, or forwards it to the leader, unless it is already in flight.
     pub(super) fn submit(&mut self, command: Command) {
         if self.is_in_flight(&command) {
             return;
@@ -68,9 +69,9 @@
         }
     }
 
-    /// Whether a command is in the log and not applied yet. The commands of entries that another
-    /// leader removed from the log are retained for a while, and are not in flight: if they
-    /// counted, a former leader would never propose its values again.
+    /// Whether a command is in the log, but not applied yet. Commands of entries that another
+    /// leader removed from the log are retained for a while. They do not count as in flight, as
+    /// otherwise a former leader would never propose its values again.
     fn is_in_flight(&self, command: &Command) -> bool {
         let entries = self.node.log().entries();
         let is_in_log = |position: &Position| {
@@ -81,7 +82,7 @@
             .any(|(position, unapplied)| unapplied == command && is_in_log(position))
     }
 
-    /// Commands behind the last applied entry, with their positions.
+    /// Commands after the last applied entry, with their positions.
     pub(super) fn unapplied(&self) -> impl DoubleEndedIterator<Item = (&Position, &Command)> {
         let first = Position {
             index: self.applied + 1,
@@ -90,8 +91,8 @@
         self.commands.range(first..)
     }
 
-    /// The other member that this one voted for in the present term: if any member leads now, this
-    /// is the one, as [`Store::adopt_leader`] moves the vote to whoever leads.
+    /// The other member for which this one voted in the current term. If any member leads, it is
+    /// this one, as [`Store::adopt_leader`] moves the vote to the leader.
     pub(super) fn leader(&self) -> Option<u64> {
         self.node
             .voted_for()
--- a/store/src/member/raft_messages.rs
+++ b/store/src/member/raft_messages.rs
@@ -1,5 +1,5 @@
-//! Adaptation of the Raft library `raftbare`: what its messages wait for, and the cases in which it
-//! differs from Raft as published.
+//! Adaptation of the Raft library `raftbare`: the writes that its messages wait for, and the cases
+//! in which the library differs from published Raft.
 
 use super::{Resend, Store};
 use crate::Time;
@@ -7,19 +7,19 @@
 use crate::message::{Envelope, Message};
 use raftbare::{Message as RaftMessage, Node, NodeId, Role};
 
-/// Entries that a member lacks are sent again after this fraction of a heartbeat interval.
+/// Missing entries are sent again after the heartbeat interval divided by this.
 const RESENDS_PER_HEARTBEAT: Time = 4;
 
 impl Store {
     /// Wraps a message of the library, with the number of the write that it has to wait for.
     ///
-    /// Responses state what this member has, so they wait for every write. A leader's entries and
-    /// heartbeats state only that it leads: they wait for its term and vote, and go out while its
-    /// own entries are still being written; else a leader with a slow disk would be deposed. (Raft,
-    /// dissertation, 10.2.1: writing to the leader's disk in parallel.) The library counts the
+    /// Responses depend on this member's log, term and vote, so they wait for every write. Entries
+    /// and heartbeats depend only on the leader's term and vote: they are sent while the leader
+    /// still writes its own entries, as otherwise a leader with a slow disk would be deposed (Raft,
+    /// dissertation, 10.2.1: writing to the leader's disk in parallel). The library counts the
     /// leader's own entries as stored at once, so the commit index in these messages is limited to
-    /// what is on the leader's disk.
-    pub(super) fn gated(&self, message: &RaftMessage) -> (u64, Envelope) {
+    /// entries that are durable at the leader.
+    pub(super) fn wrap_raft(&self, message: &RaftMessage) -> (u64, Envelope) {
         let mut envelope = self.with_sender(Envelope::from_raft(message, &self.commands));
         match &mut envelope.message {
             Message::AppendEntries { commit, .. } => {
@@ -30,9 +30,9 @@
         }
     }
 
-    /// Whether a member was sent the entries that it lacks a moment ago. The library sends them on
+    /// Whether a member was recently sent the entries that it lacks. The library sends them on
     /// every response that lags behind, and under load every response does: each message would
-    /// cause the next, without end and in growing numbers. Lost entries are sent again after a
+    /// cause further ones, without end and in growing numbers. Lost entries are sent again after a
     /// fraction of the heartbeat interval.
     pub(super) fn is_duplicate_resend(&mut self, to: u64, envelope: &Envelope, now: Time) -> bool {
         let Message::AppendEntries { entries, .. } = &envelope.message else {
@@ -52,10 +52,10 @@
         duplicate
     }
 
-    /// Translates the end of a candidate's log for the library, which grants its vote by the
-    /// log's length alone. Raft (section 5.4.1) grants it to a log that is at least as up to date:
-    /// of a later last term, or of the same and at least as long. By length alone a member that
-    /// missed committed entries could become leader and overwrite them.
+    /// Translates the end of a candidate's log for the library, which compares logs by length alone
+    /// before it grants a vote. Raft (section 5.4.1) requires a log that is at least as up to date:
+    /// with a later last term, or with the same one and at least as long. By length alone, a member
+    /// that missed committed entries could become leader and overwrite them.
     pub(super) fn vote_position(&self, last: Position) -> Position {
         let own = self.last();
         let up_to_date = last.recency() >= own.recency();
@@ -69,9 +69,10 @@
         }
     }
 
-    /// Accepts the leader of the present term. In the library a candidate, or a member that voted
-    /// for another one in this term, ignores that leader and starts an election later. Since the
-    /// term has a leader, this vote can no longer elect anyone else: it is safe to move it.
+    /// Accepts the leader of the current term. The library ignores the leader if this member is a
+    /// candidate or voted for another one in this term, and starts an election later. Moving the
+    /// vote to the leader is safe: the term has a leader, so this vote can no longer elect anyone
+    /// else.
     pub(super) fn adopt_leader(&mut self, leader: u64, term: u64) {
         let (leader, own) = (NodeId::new(leader), self.node.current_term());
         let voted_for_other = self.node.voted_for().is_some_and(|vote| vote != leader);
--- a/store/src/member/receive.rs
+++ b/store/src/member/receive.rs
@@ -1,4 +1,4 @@
-//! Messages of other members: checks of the sender, and dispatch to what handles each message.
+//! Messages from other members: validation of the sender, and dispatch by message kind.
 
 use super::{OtherStore, Store};
 use crate::Time;
@@ -7,7 +7,7 @@
 use crate::rejoin::Status;
 use std::collections::BTreeMap;
 
-/// The sender's part of an [`Envelope`].
+/// The fields of an [`Envelope`] that describe its sender.
 struct Sender {
     id: u64,
     cluster: u64,
@@ -17,7 +17,7 @@
 }
 
 impl Store {
-    /// Handles a message of another member.
+    /// Handles a message from another member.
     ///
     /// # Errors
     ///
@@ -47,8 +47,8 @@
                 self.observe_generation(member, generation);
             }
         }
-        // A message of an earlier generation must not count: what that generation acknowledged may
-        // be lost with its file. Only what introduces a member is taken from any generation.
+        // Messages of earlier generations are ignored, as entries that those acknowledged may be
+        // lost with the file. Messages that introduce a member are accepted from any generation.
         let introduces = matches!(
             message,
             Message::StatusRequest(_) | Message::Bootstrap { .. }
@@ -67,9 +67,9 @@
         Ok(())
     }
 
-    /// Whether a message may come from a member of another store: a store that is being
-    /// bootstrapped admits members that have never voted in another, and the bootstrapping member
-    /// has to hear of a store that exists already.
+    /// Whether a message is accepted from a member of another store. A member that has never voted
+    /// may accept the bootstrap of another store, and the bootstrapping member has to learn of a
+    /// store that already exists.
     fn accepts_from_other_store(&self, message: &Message) -> bool {
         match message {
             Message::Bootstrap { .. } => self.never_voted || self.is_active(),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Messages that members send and answer in any status; the rest is for active members.
+    /// Handles messages that members accept in any status; all others are left to active members.
     fn handle(&mut self, sender: &Sender, message: Message, now: Time) {
         let from = sender.id;
         match message {
@@ -104,15 +104,18 @@
                 term,
                 last,
             } => self.send_restore_snapshot(from, incarnation, term, last),
-            Message::InstallSnapshot { snapshot, restores } if restores != 0 => {
-                self.install_restore_snapshot(from, sender.term, restores, snapshot);
+            Message::InstallSnapshot {
+                snapshot,
+                requested_by,
+            } if requested_by != 0 => {
+                self.install_restore_snapshot(from, sender.term, requested_by, snapshot);
             }
             message if self.is_active() => self.handle_as_active(sender, message, now),
             _ => {}
         }
     }
 
-    /// Messages that only a member that votes and counts towards a majority may handle.
+    /// Handles messages that only active members accept.
     fn handle_as_active(&mut self, sender: &Sender, message: Message, now: Time) {
         let from = sender.id;
         match message {
@@ -130,7 +133,7 @@
                 incarnation,
                 index,
             } => {
-                // A later incarnation may have used the number again.
+                // The number may have been reused since an earlier incarnation.
                 if incarnation == self.rejoin.incarnation() {
                     self.on_read_index(number, index);
                 }
@@ -144,7 +147,7 @@
     fn handle_raft(&mut self, sender: &Sender, mut message: Message) {
         let (from, term) = (sender.id, sender.term);
         if self.cluster == 0 && sender.cluster != 0 {
-            // A file of the first format does not say which store it is of.
+            // Files of the first format do not hold the id of the store.
             self.cluster = sender.cluster;
             self.persist(Record::Cluster(sender.cluster));
         }
@@ -174,7 +177,7 @@
         self.propose_wanted();
     }
 
-    /// Wraps a message of the present term for sending.
+    /// Wraps a message of the current term for sending.
     pub(super) fn envelope(&self, message: Message) -> Envelope {
         let term = self.node.current_term().get();
         self.with_sender(Envelope {
@@ -184,7 +187,7 @@
         })
     }
 
-    /// Fills in what this member is and which generations it knows of others.
+    /// Fills in this member as the sender, and the generations of others that it knows of.
     pub(super) fn with_sender(&self, envelope: Envelope) -> Envelope {
         let (from, cluster, generation) = (self.id(), self.cluster, self.rejoin.generation());
         let (starts, generations) = (self.start, self.generations());
@@ -198,8 +201,7 @@
         }
     }
 
-    /// Generations of other members: how often each has lost its file, as far as is known here.
-    /// Members that have lost none are left out.
+    /// Known generations of other members, without members that have never lost their file.
     pub fn generations(&self) -> BTreeMap<u64, u64> {
         let peers = self
             .rejoin
--- a/store/src/member/rejoining.rs
+++ b/store/src/member/rejoining.rs
@@ -1,17 +1,17 @@
-//! Bootstrap of the store, and admission of members that have just started: applies the rule of
+//! Bootstrap of the store, and admission of newly started members: applies the rule of
 //! [`crate::rejoin`] to the log, the file and the messages.
 
-use super::{CatchUpBar, Store};
+use super::{CatchUpTarget, Store};
 use crate::Time;
 use crate::log::{Position, Snapshot, empty_log};
 use crate::message::Message;
 use crate::record::Record;
-use crate::rejoin::{History, Status, StatusRequest, Verdict};
+use crate::rejoin::{FileState, Status, StatusRequest, Verdict};
 use raftbare::{Log, Node, NodeId, Role};
 
 impl Store {
-    /// Sends what this member has to tell the others before it is active, and schedules the next
-    /// time.
+    /// Sends the messages that this member needs answered before it is active, and schedules their
+    /// retransmission.
     pub(super) fn send_status(&mut self, now: Time) {
         let messages = self.status_messages();
         let others: Vec<u64> = self
@@ -25,7 +25,7 @@
                 self.send(*to, message.clone());
             }
         }
-        // With jitter, so that members that restart together do not keep asking together.
+        // Jitter keeps members that restart together from sending their requests together.
         let half = self.timing.election / 2;
         let wait = half + self.rng.u64(0..=half);
         self.status_request_at = (!messages.is_empty()).then_some(now + wait);
@@ -37,11 +37,11 @@
         if let Some(request) = self.rejoin.status_request(self.start, self.last()) {
             messages.push(Message::StatusRequest(request));
         }
-        if let (Status::Lost, Some(bar)) = (self.rejoin.status(), self.catch_up_bar) {
+        if let (Status::Lost, Some(target)) = (self.rejoin.status(), self.catch_up_target) {
             messages.push(Message::SnapshotRequest {
                 incarnation,
-                term: bar.term,
-                last: bar.last,
+                term: target.term,
+                last: target.last,
             });
         }
         if self.rejoin.status() == Status::Bootstrapping
@@ -55,7 +55,7 @@
         messages
     }
 
-    /// Answers a member that has just started.
+    /// Answers the status request of a newly started member.
     pub(super) fn answer_status_request(&mut self, from: u64, request: &StatusRequest, term: u64) {
         let known = self
             .rejoin
@@ -69,13 +69,13 @@
         if must_persist {
             self.persist(Record::Peer(from, self.rejoin.peers()[&from]));
         }
-        if request.past == History::Claimed && response.generation > known {
+        if request.file_state == FileState::Claimed && response.generation > known {
             self.step_down();
         }
         self.send(from, Message::StatusResponse(response));
     }
 
-    /// Acts on what has come of the responses to this member's status request.
+    /// Acts on the result of a status response.
     pub(super) fn apply_verdict(&mut self, verdict: Verdict, now: Time) {
         match verdict {
             Verdict::Pending => return,
@@ -84,14 +84,14 @@
             Verdict::Lost => self.mark_lost(),
             Verdict::ClaimGeneration(generation) => {
                 self.cluster = self.rejoin.majority_store();
-                self.catch_up_bar = None;
+                self.catch_up_target = None;
                 self.persist(Record::Cluster(self.cluster));
                 self.persist(Record::Lost);
                 self.persist(Record::Generation(generation));
             }
             Verdict::CatchUp { term, last } => {
-                let bar = CatchUpBar { term, last };
-                if self.catch_up_bar.replace(bar) == Some(bar) {
+                let target = CatchUpTarget { term, last };
+                if self.catch_up_target.replace(target) == Some(target) {
                     return;
                 }
             }
@@ -99,8 +99,8 @@
         self.send_status(now);
     }
 
-    /// Learns how often a member has lost its file. Votes and acknowledgements of its earlier
-    /// generations no longer count, so a leader or candidate, which may owe its position to them,
+    /// Handles a generation reported for a member. Votes and acknowledgements of the member's
+    /// earlier generations no longer count, so a leader or candidate, which may depend on them,
     /// steps down.
     pub(super) fn observe_generation(&mut self, member: u64, generation: u64) {
         if member == self.id() {
@@ -124,19 +124,19 @@
         }
     }
 
-    /// Marks this member's file as not the newest that it had.
+    /// Marks this member's file as lost or outdated.
     pub(super) fn mark_lost(&mut self) {
         self.step_down();
         if std::mem::take(&mut self.never_voted) {
-            // The store that this member took itself to be of has never come to be.
+            // The bootstrap of the store to which this member seemed to belong has failed.
             self.cluster = 0;
             self.persist(Record::Cluster(0));
         }
-        self.catch_up_bar = None;
+        self.catch_up_target = None;
         self.persist(Record::Lost);
     }
 
-    /// Bootstraps the store. Nobody votes before every member has accepted it.
+    /// Bootstraps the store. No member votes before all members have accepted it.
     pub(super) fn bootstrap(&mut self) {
         self.cluster = self.rng.u64(1..);
         let members = self.members.clone();
@@ -164,7 +164,7 @@
         self.replace_file(snapshot.clone());
     }
 
-    /// Another member bootstraps the store, with this one in it.
+    /// Handles the bootstrap of a store by another member.
     pub(super) fn on_bootstrap(
         &mut self,
         from: u64,
@@ -172,11 +172,11 @@
         incarnation: u64,
         snapshot: Snapshot,
     ) {
-        // Of two members that bootstrap one store, as may happen when an operator recovers it from
-        // a file, the one with the more recent state goes on.
+        // Two members may bootstrap the store at once, for example when an operator recovers it
+        // from a file. The bootstrap with the more recent state prevails.
         let bootstraps = self.rejoin.status() == Status::Bootstrapping;
         let (own, other) = (self.last().recency(), snapshot.position.recency());
-        let gives_way = self.never_voted
+        let other_prevails = self.never_voted
             && if bootstraps {
                 other > own
             } else {
@@ -184,7 +184,7 @@
             };
         let message = if self.never_voted && self.cluster == cluster {
             Message::BootstrapAccepted
-        } else if (gives_way || self.rejoin.status() == Status::Empty)
+        } else if (other_prevails || self.rejoin.status() == Status::Empty)
             && snapshot.members == self.members
         {
             self.cluster = cluster;
@@ -192,7 +192,8 @@
             self.start_log(&snapshot);
             Message::BootstrapAccepted
         } else if !self.is_active() {
-            // It may have voted in a store that it does not remember, or that no longer exists.
+            // This member may have voted in a store whose record it has lost, or that no longer
+            // exists.
             return;
         } else {
             Message::AlreadyBootstrapped { incarnation }
@@ -204,7 +205,7 @@
         self.send(from, message);
     }
 
-    /// A member has accepted the store that this one bootstraps.
+    /// Handles the acceptance of a bootstrap by a member.
     pub(super) fn on_bootstrap_accepted(&mut self, from: u64) {
         if self.rejoin.status() == Status::Bootstrapping && self.accepted.insert(from) {
             let all = self.accepted.len() + 1 >= self.members.len();
@@ -214,7 +215,7 @@
         }
     }
 
-    /// A store exists already, so this member does not go on with its bootstrap.
+    /// Abandons the bootstrap of a store, because one already exists.
     pub(super) fn on_already_bootstrapped(&mut self, incarnation: u64, now: Time) {
         if self.rejoin.on_already_bootstrapped(incarnation) {
             self.mark_lost();
@@ -222,7 +223,8 @@
         }
     }
 
-    /// The store exists: this member starts an election, and never bootstraps it again.
+    /// Completes the bootstrap: this member starts an election, and never bootstraps the store
+    /// again.
     fn finish_bootstrap(&mut self) {
         self.persist(Record::Bootstrapping(false));
         self.rejoin.mark_active();
@@ -231,7 +233,7 @@
         self.node.handle_election_timeout();
     }
 
-    /// Sends the committed state to a member that has lost its file, if it reaches far enough.
+    /// Sends the committed state to a member that has lost its file, if the state reaches `last`.
     pub(super) fn send_restore_snapshot(
         &mut self,
         to: u64,
@@ -247,18 +249,18 @@
         if let Some(snapshot) = snapshot {
             let message = Message::InstallSnapshot {
                 snapshot,
-                restores: incarnation,
+                requested_by: incarnation,
             };
             self.send(to, message);
         }
     }
 
-    /// Installs a leader's committed state in place of what this member has lost, and makes the
-    /// member active again.
+    /// Replaces this member's lost state by a leader's committed state, and makes the member
+    /// active.
     ///
-    /// Invariant: only a snapshot at or beyond the catch-up bar is installed. Below it, this member
-    /// could vote for a candidate that lacks an entry which an earlier generation of this member
-    /// had acknowledged and which was committed by that.
+    /// Invariant: only a snapshot at or beyond the catch-up target is installed. With an earlier
+    /// one, this member could vote for a candidate that lacks a committed entry whose commit
+    /// depended on the acknowledgement of an earlier generation of this member.
     pub(super) fn install_restore_snapshot(
         &mut self,
         from: u64,
@@ -267,17 +269,17 @@
         snapshot: Snapshot,
     ) {
         let lost = self.rejoin.status() == Status::Lost && incarnation == self.rejoin.incarnation();
-        let reaches_bar = self.catch_up_bar.is_some_and(|bar| {
-            term >= bar.term && snapshot.position.recency() >= bar.last.recency()
+        let reaches_target = self.catch_up_target.is_some_and(|target| {
+            term >= target.term && snapshot.position.recency() >= target.last.recency()
         });
-        if !lost || !reaches_bar {
+        if !lost || !reaches_target {
             return;
         }
         let log = Log::new(snapshot.config(), empty_log(snapshot.position));
-        // The vote goes to the leader of this term: a vote of an earlier generation for another
-        // candidate can have had no effect, as that candidate does not lead.
+        // The vote goes to the leader of this term. An earlier generation may have voted for
+        // another candidate, but without effect, as that candidate does not lead.
         self.node = Node::restart(self.node.id(), term.into(), Some(NodeId::new(from)), log);
-        (self.catch_up_bar, self.status_request_at) = (None, None);
+        (self.catch_up_target, self.status_request_at) = (None, None);
         self.never_voted = false;
         self.rejoin.mark_active();
         self.adopt_snapshot(snapshot);
--- a/store/src/member/tests.rs
+++ b/store/src/member/tests.rs
@@ -37,13 +37,13 @@
     fn run(&mut self, time: Time) {
         for _ in 0..time / MS {
             self.now += MS;
-            let mut packets = Vec::new();
+            let mut messages = Vec::new();
             for store in self.members.values_mut() {
                 store.timer(self.now);
-                packets.extend(store.take_outbox());
+                messages.extend(store.take_outbox());
             }
-            for (to, envelope) in packets {
-                // Each packet goes through its line.
+            for (to, envelope) in messages {
+                // Messages are encoded and decoded.
                 let envelope = Envelope::read(envelope.write().as_bytes()).unwrap();
                 if let Some(store) = self.members.get_mut(&to) {
                     store.receive(envelope, self.now).unwrap();
@@ -91,11 +91,11 @@
         others
             .iter()
             .all(|id| cluster.value(*id, "k39") == Some("v")),
-        "two of three commit"
+        "two of three members commit"
     );
-    // The log was folded meanwhile, so the one that comes back needs a snapshot.
-    let folded = cluster.members[&others[0]].node.log().snapshot_position();
-    assert!(folded.index.get() > 8);
+    // The log has been compacted since, so the returning member needs a snapshot.
+    let compacted = cluster.members[&others[0]].node.log().snapshot_position();
+    assert!(compacted.index.get() > 8);
     cluster.members.insert(leader, member(leader, false));
     cluster.run(500 * MS);
     let states: Vec<_> = cluster.members.values().map(Store::state).collect();
@@ -141,14 +141,14 @@
     assert_eq!(store.put("c", "", 0), Err(TooLarge));
     assert!(
         store.node.log().entries().len() <= 9 && store.commands.len() <= 9,
-        "the log is folded"
+        "the log is compacted"
     );
     assert_eq!((store.due(), store.take_outbox().len()), (None, 0));
 }
 
-/// A leader that is cut off proposes a key's value; the others choose another leader and give the
-/// key another value, and the former leader's entry is taken out of its log. What it wants is
-/// proposed again, although nothing else changes any more.
+/// A partitioned leader proposes a value for a key; the others elect a new leader and commit
+/// another value, and the former leader's entry is truncated from its log. The former leader has to
+/// propose its value again, although nothing else changes any more.
 #[test]
 fn proposes_wanted_value_again_after_truncation() {
     let members = (1..=3).map(|id| (id, member(id, id == 1))).collect();
@@ -161,20 +161,23 @@
         .expect("a leader")
         .0;
     let former = cluster.members.remove(&leader).expect("the leader");
-    let mut alone = Cluster {
+    let mut partitioned = Cluster {
         members: BTreeMap::from([(leader, former)]),
         now: cluster.now,
     };
-    // Entries ahead of what the others will ever commit.
+    // Puts the former leader's entry beyond the index that the others will reach.
     for i in 0..4 {
-        alone.put(leader, &format!("alone{i}"), "v");
+        partitioned.put(leader, &format!("alone{i}"), "v");
     }
-    alone.put(leader, "name", "former");
+    partitioned.put(leader, "name", "former");
     cluster.run(500 * MS);
     let other = *cluster.members.keys().next().expect("another member");
     cluster.put(other, "name", "other");
     cluster.run(100 * MS);
-    let mut former = alone.members.remove(&leader).expect("the former leader");
+    let mut former = partitioned
+        .members
+        .remove(&leader)
+        .expect("the former leader");
     former.take_outbox();
     former.wanted.retain(|key, _| key == "name");
     cluster.members.insert(leader, former);
--- a/store/src/message.rs
+++ b/store/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between members: Raft's, and those for proposals, reads and admission. The encoding,
-//! one JSON object a line, is in `codec`.
+//! Messages between members: Raft's own, and messages for proposals, reads and admission. `codec`
+//! encodes them as one JSON object per line.
 
 use crate::command::Command;
 use crate::log::{Entries, Position, Snapshot};
@@ -10,12 +10,12 @@
 
 mod codec;
 
-/// A message. Names of Raft's remote procedure calls are those of the paper.
+/// A message. Raft's remote procedure calls have the names of the paper.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Message {
     /// A candidate requests a vote.
     RequestVote {
-        /// Position of its last entry.
+        /// Position of the candidate's last entry.
         last: Position,
     },
     /// The response to a candidate.
@@ -23,11 +23,11 @@
         /// Whether the vote is granted.
         granted: bool,
     },
-    /// Entries of the leader, or its heartbeat.
+    /// Log entries from the leader, or its heartbeat.
     AppendEntries {
         /// The leader's commit index.
         commit: u64,
-        /// Entries; none in a heartbeat.
+        /// The entries; empty in a heartbeat.
         entries: Entries,
     },
     /// The response to a leader.
@@ -35,56 +35,56 @@
         /// Position of the member's last entry.
         last: Position,
     },
-    /// The leader's state, in place of entries that it has compacted, or for a member that has lost
-    /// its file.
+    /// The leader's state, sent instead of compacted entries, or to a member that has lost its
+    /// file.
     InstallSnapshot {
         /// The state.
         snapshot: Snapshot,
-        /// The incarnation that requested it; 0 if none did.
-        restores: u64,
+        /// The incarnation that requested the snapshot to restore a lost file; 0 if none did.
+        requested_by: u64,
     },
     /// A member asks the leader to propose a command.
     Propose(Command),
     /// A member asks the leader for the read index (Raft, dissertation, 6.4).
     ReadIndex {
-        /// The member's number for the read.
+        /// Number that the member has given the read.
         number: u64,
         /// The member's incarnation.
         incarnation: u64,
     },
-    /// The response, once a majority has confirmed that the leader still leads.
+    /// The response to a read index request, sent once a majority has confirmed the leader.
     ReadIndexResponse {
-        /// The member's number for the read.
+        /// Number that the member has given the read.
         number: u64,
-        /// The incarnation that asked: a later one may have used the number again.
+        /// The incarnation that sent the request: a later one may reuse the number.
         incarnation: u64,
         /// Index up to which the member has to apply.
         index: u64,
     },
-    /// A member that has just started asks what the others know of it.
+    /// A newly started member asks the others what they know about its file.
     StatusRequest(StatusRequest),
     /// The response to a status request.
     StatusResponse(StatusResponse),
-    /// A member bootstraps the store, with the receiver in it.
+    /// A member bootstraps the store, and the receiver belongs to it.
     Bootstrap {
-        /// The incarnation that bootstraps it.
+        /// The incarnation that bootstraps the store.
         incarnation: u64,
-        /// The state that the store starts with.
+        /// The store's initial state.
         snapshot: Snapshot,
     },
-    /// The response to a bootstrap, once it is persisted.
+    /// The response to a bootstrap, sent once it is persisted.
     #[default]
     BootstrapAccepted,
-    /// The other response to a bootstrap: a store exists in which members have voted.
+    /// The negative response to a bootstrap: a store exists whose members may already have voted.
     AlreadyBootstrapped {
         /// The incarnation that was bootstrapping.
         incarnation: u64,
     },
     /// A member that has lost its file asks the leader for its committed state.
     SnapshotRequest {
-        /// The incarnation that asks.
+        /// The incarnation that sends the request.
         incarnation: u64,
-        /// Least term of a leader that may respond.
+        /// Lowest term of a leader that may respond.
         term: u64,
         /// Position up to which that leader must have committed.
         last: Position,
@@ -100,71 +100,71 @@
     pub cluster: u64,
     /// The sender's term.
     pub term: u64,
-    /// Sequence number of the library's message; 0 for others.
+    /// Sequence number of a Raft message; 0 for other messages.
     pub sequence: u64,
-    /// How often the sender has started.
+    /// Number of starts of the sender.
     pub starts: u64,
-    /// The sender's generation: how often it has lost its file.
+    /// The sender's generation: the number of times that its file was lost.
     pub generation: u64,
-    /// Generations of other members, as far as the sender knows.
+    /// Generations of other members that the sender knows of.
     pub generations: BTreeMap<u64, u64>,
     /// The message.
     pub message: Message,
 }
 
-/// A line that is not a valid message; with the field that is missing or wrong.
+/// A line that is not a valid message, with the field that is missing or invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MalformedMessage(pub &'static str);
 
 impl fmt::Display for MalformedMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "no packet: {}", self.0)
+        write!(f, "malformed message: {}", self.0)
     }
 }
 
 impl std::error::Error for MalformedMessage {}
 
-/// Kinds of message in the wire format with their descriptions, for `describe asyncapi`.
+/// Message kinds of the wire format with their descriptions, for `describe asyncapi`.
 pub const KINDS: &[(&str, &str)] = &[
-    ("vote", "A candidate asks for a vote"),
-    ("voted", "The answer to a candidate"),
-    ("append", "The leader's entries, or its heartbeat"),
-    ("appended", "The answer to the leader"),
+    ("vote", "A candidate requests a vote"),
+    ("voted", "The response to a vote request"),
+    ("append", "Log entries from the leader, or its heartbeat"),
+    ("appended", "The response to the leader's entries"),
     (
         "snapshot",
-        "The state in place of entries that the leader no longer has",
+        "The leader's state, sent instead of compacted log entries",
     ),
-    ("put", "A member wants the leader to propose an entry"),
+    ("put", "A member asks the leader to propose an entry"),
     (
         "read",
-        "A member asks the leader up to where it must have applied, to answer a read",
+        "A member asks the leader for the read index: the entry to apply before it answers a read",
     ),
     (
         "read at",
-        "The answer to that, once the leader is known to lead",
+        "The read index, sent once a majority has confirmed the leader",
     ),
     (
         "ask",
-        "A member that has just started asks what others know of it",
+        "A newly started member asks the others what they know about its file",
     ),
-    ("told", "The answer to one that asks"),
+    ("told", "The response to a newly started member"),
     (
         "found",
-        "A member that begins the store says that the receiver is part of it",
+        "A member bootstraps the store, and the receiver belongs to it",
     ),
-    ("joined", "The answer to one that begins the store"),
+    ("joined", "The receiver has accepted the bootstrap"),
     (
         "begun",
-        "Another answer to that: there is a store already, in which others have voted",
+        "The bootstrap is rejected: a store exists whose members may already have voted",
     ),
     (
         "fetch",
-        "A member that has lost its file asks the leader for what is committed",
+        "A member that has lost its file asks the leader for its committed state",
     ),
 ];
 
 impl Message {
-    /// The library's message; `None` for messages that are not Raft's own.
+    /// Converts the message to the library's type; `None` for messages that are not Raft's own.
     pub fn into_raft(self, from: u64, term: u64, sequence: u64) -> Option<RaftMessage> {
         let header = MessageHeader {
             from: NodeId::new(from),
@@ -193,7 +193,7 @@
         })
     }
 
-    /// The kind in the wire format.
+    /// The message kind in the wire format.
     fn kind(&self) -> &'static str {
         match self {
             Message::RequestVote { .. } => "vote",
@@ -215,7 +215,7 @@
 }
 
 impl Envelope {
-    /// Wraps a message of the library. The member fills in the sender.
+    /// Wraps a message of the library. [`Store`](crate::member::Store) fills in the sender.
     pub fn from_raft(raft: &RaftMessage, commands: &BTreeMap<Position, Command>) -> Envelope {
         let message = match raft {
             RaftMessage::RequestVoteCall { last_position, .. } => Message::RequestVote {
--- a/store/src/message/codec.rs
+++ b/store/src/message/codec.rs
@@ -1,18 +1,18 @@
 //! Encoding of messages as lines of JSON.
 //!
-//! Keys and words here are the wire format, which other builds read: they do not follow renames in
-//! the code.
+//! The keys and words are the wire format, which members of other versions read: they stay the same
+//! when code is renamed.
 
 use super::{Envelope, MalformedMessage, Message};
 use crate::command::Command;
 use crate::log::{
     read_entries, read_position, read_snapshot, write_entries, write_position, write_snapshot,
 };
-use crate::rejoin::{History, PeerStatus, StatusRequest, StatusResponse};
+use crate::rejoin::{FileState, PeerStatus, StatusRequest, StatusResponse};
 use serde_json::{Value as Json, json};
 
 impl Message {
-    /// The message's own fields; the envelope's are added to them.
+    /// The fields of the message itself, without those of the envelope.
     fn to_json(&self) -> Json {
         match self {
             Message::RequestVote { last } | Message::AppendEntriesResponse { last } => {
@@ -22,9 +22,12 @@
             Message::AppendEntries { commit, entries } => {
                 json!({"commit": commit, "log": write_entries(entries)})
             }
-            Message::InstallSnapshot { snapshot, restores } => {
+            Message::InstallSnapshot {
+                snapshot,
+                requested_by,
+            } => {
                 let mut json = write_snapshot(snapshot);
-                json["restores"] = (*restores).into();
+                json["restores"] = (*requested_by).into();
                 json
             }
             Message::Propose(command) => command.json(),
@@ -38,7 +41,7 @@
                 index,
             } => json!({"number": number, "life": incarnation, "index": index}),
             Message::StatusRequest(request) => json!({
-                "life": request.incarnation, "past": word_for(HISTORY_WORDS, request.past), "starts": request.starts,
+                "life": request.incarnation, "past": word_for(FILE_STATE_WORDS, request.file_state), "starts": request.starts,
                 "asks_as": request.generation, "last": write_position(request.last)
             }),
             Message::StatusResponse(response) => json!({
@@ -83,7 +86,7 @@
                 "appended" => Message::AppendEntriesResponse { last: last()? },
                 "snapshot" => Message::InstallSnapshot {
                     snapshot: read_snapshot(json).ok_or(MalformedMessage("snapshot"))?,
-                    restores: json["restores"].as_u64().unwrap_or(0),
+                    requested_by: json["restores"].as_u64().unwrap_or(0),
                 },
                 "put" => Message::Propose(Command::read(json).ok_or(MalformedMessage("put"))?),
                 "read" => Message::ReadIndex {
@@ -97,7 +100,8 @@
                 },
                 "ask" => Message::StatusRequest(StatusRequest {
                     incarnation: number("life")?,
-                    past: value_of(HISTORY_WORDS, &json["past"]).ok_or(MalformedMessage("past"))?,
+                    file_state: value_of(FILE_STATE_WORDS, &json["past"])
+                        .ok_or(MalformedMessage("past"))?,
                     generation: number("asks_as")?,
                     starts: number("starts")?,
                     last: last()?,
@@ -130,7 +134,7 @@
 }
 
 impl Envelope {
-    /// The message as a line, with its newline.
+    /// Encodes the message as a line, including the newline.
     pub fn write(&self) -> String {
         let mut json = self.message.to_json();
         json["kind"] = self.message.kind().into();
@@ -146,7 +150,7 @@
             json["generations"] = self
                 .generations
                 .iter()
-                .map(|(id, of)| json!([id, of]))
+                .map(|(id, generation)| json!([id, generation]))
                 .collect();
         }
         json.to_string() + "\n"
@@ -156,12 +160,12 @@
     ///
     /// # Errors
     ///
-    /// [`MalformedMessage`] with the field that is missing or wrong.
+    /// [`MalformedMessage`] with the field that is missing or invalid.
     pub fn read(line: &[u8]) -> Result<Envelope, MalformedMessage> {
         let json: Json = serde_json::from_slice(line).map_err(|_| MalformedMessage("not JSON"))?;
         let number = |key: &'static str| json[key].as_u64().ok_or(MalformedMessage(key));
         let message = Message::from_json(&json)?;
-        // Earlier builds send no store, starts or generations.
+        // Earlier versions send no store id, starts or generations.
         let cluster = json["cluster"].as_u64().unwrap_or(0);
         let (from, term, sequence) = (number("from")?, number("term")?, number("sequence")?);
         let starts = json["started"].as_u64().unwrap_or(0);
@@ -189,14 +193,14 @@
     }
 }
 
-/// Words of [`History`] on the wire.
-const HISTORY_WORDS: &[(History, &str)] = &[
-    (History::None, "none"),
-    (History::Claimed, "claimed"),
-    (History::Intact, "whole"),
+/// Wire words of [`FileState`].
+const FILE_STATE_WORDS: &[(FileState, &str)] = &[
+    (FileState::Missing, "none"),
+    (FileState::Claimed, "claimed"),
+    (FileState::Intact, "whole"),
 ];
 
-/// Words of [`PeerStatus`] on the wire.
+/// Wire words of [`PeerStatus`].
 const PEER_STATUS_WORDS: &[(PeerStatus, &str)] = &[
     (PeerStatus::Empty, "empty"),
     (PeerStatus::Joined, "joined"),
@@ -205,14 +209,16 @@
     (PeerStatus::Active, "sound"),
 ];
 
-fn word_for<T: PartialEq>(all: &[(T, &'static str)], value_of: T) -> &'static str {
-    all.iter()
-        .find(|(value, _)| *value == value_of)
-        .map_or("", |(_, word_for)| word_for)
+fn word_for<T: PartialEq>(words: &[(T, &'static str)], value: T) -> &'static str {
+    words
+        .iter()
+        .find(|(known, _)| *known == value)
+        .map_or("", |(_, word)| word)
 }
 
-fn value_of<T: Copy>(all: &[(T, &'static str)], word_for: &Json) -> Option<T> {
-    all.iter()
-        .find(|(_, known)| word_for == known)
+fn value_of<T: Copy>(words: &[(T, &'static str)], word: &Json) -> Option<T> {
+    words
+        .iter()
+        .find(|(_, known)| word == known)
         .map(|(value, _)| *value)
 }
--- a/store/src/persisted.rs
+++ b/store/src/persisted.rs
@@ -1,4 +1,4 @@
-//! The state of a member as recovered from its file, by replaying the records in order.
+//! The state of a member as recovered from its file by replaying the records in order.
 
 use crate::command::Command;
 use crate::log::{Entries, Position, Snapshot, empty_log};
@@ -11,15 +11,15 @@
 /// State recovered from a member's file.
 #[derive(Debug, Default)]
 pub struct PersistedState {
-    /// How often the member has started.
+    /// Number of starts of the member.
     pub starts: u64,
     /// Id of the store; 0 if the file has none.
     pub cluster: u64,
-    /// The member's generation: how often it has lost its file.
+    /// The member's generation: the number of times that its file was lost.
     pub generation: u64,
-    /// What is known of other members.
+    /// Known generations, starts and incarnations of other members.
     pub peers: BTreeMap<u64, Peer>,
-    /// Whether the member belongs to a store in which it has not voted yet.
+    /// Whether the member belongs to a store, but has not voted in it yet.
     pub joined: bool,
     bootstrapping: bool,
     lost: bool,
@@ -40,7 +40,7 @@
         persisted
     }
 
-    /// State of a member of this store whose file is gone.
+    /// State of a member of this store whose file is missing.
     pub fn lost_file(cluster: u64) -> PersistedState {
         PersistedState {
             cluster,
@@ -59,7 +59,7 @@
         self.term == 0 && self.log.is_none() && !self.lost
     }
 
-    /// Status that the member starts with.
+    /// The member's status at its start.
     pub fn status(&self) -> Status {
         match self {
             PersistedState { lost: true, .. } => Status::Lost,
@@ -72,11 +72,12 @@
         }
     }
 
-    /// Records of a new store of these members, which starts with all that this file holds,
-    /// committed or not. Entries that other members acknowledged and this file lacks are lost.
+    /// Records of a new store of these members, which starts with every entry of this file,
+    /// committed or not. Entries that the file lacks are lost, even if other members have
+    /// acknowledged them.
     ///
-    /// The new era is later than the file's, and not before the wall clock `clock_s` in seconds,
-    /// since one backup may be restored more than once.
+    /// The new era is later than the file's. It is also at least the wall clock `clock_s`, in
+    /// seconds: repeated restores of one backup would otherwise get equal eras.
     pub fn into_new_store(
         mut self,
         cluster: u64,
@@ -85,13 +86,14 @@
     ) -> Vec<Record> {
         let mut snapshot = std::mem::take(&mut self.snapshot);
         let (from, last) = (snapshot.position.index, self.last(&snapshot));
-        // The file still holds commands of entries that a later leader has replaced in the log.
+        // The file also holds commands of entries that a later leader has replaced: only entries of
+        // the log are applied.
         let positions = self
             .log
             .iter()
             .flat_map(|log| log.iter_with_positions())
             .map(|(at, _)| at.into());
-        // Recovery by an operator is not limited by the bounds of the running store.
+        // The bounds of the running store do not limit recovery by an operator.
         let capacity = Capacity {
             keys: usize::MAX,
             sessions: usize::MAX,
@@ -118,7 +120,7 @@
             .map_or(snapshot.position, |log| log.last_position().into())
     }
 
-    /// Members by the latest configuration in the file.
+    /// Members according to the latest configuration in the file.
     pub fn members(&self) -> BTreeSet<u64> {
         match &self.log {
             Some(log) => {
@@ -165,7 +167,7 @@
         let log = self
             .log
             .get_or_insert_with(|| empty_log(Position::default()));
-        // Entries that start inside the log replace its end.
+        // Entries that start inside the log replace its tail.
         let retained = entries
             .after
             .index
@@ -176,7 +178,7 @@
         }
     }
 
-    /// The Raft node as it was, its snapshot, and the commands of the log's entries.
+    /// Restores the Raft node; returns it with the snapshot and the commands of the log's entries.
     pub fn into_node(self, id: NodeId) -> (Node, Snapshot, BTreeMap<Position, Command>) {
         let log = self
             .log
--- a/store/src/persisted/tests.rs
+++ b/store/src/persisted/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::state::State;
 
-/// A backup that is put back, twice or after the store went on, gives an era above all that
-/// were.
+/// A restored backup gets an era above all former ones, also if the backup is restored twice, or
+/// after the store has continued.
 #[test]
 fn new_store_has_a_later_era_than_file_and_clock() {
     let era_after = |before: u64, clock: u64| {
@@ -21,13 +21,13 @@
         let Some(Record::Snapshot(snapshot)) = records.get(1) else {
             panic!("{records:?}")
         };
-        assert_eq!(snapshot.position.index, 9, "places go on");
+        assert_eq!(snapshot.position.index, 9, "indexes continue");
         snapshot.state.era()
     };
     assert_eq!(
         (era_after(5, 0), era_after(5, 4), era_after(5, 1_000)),
         (6, 6, 1_000)
     );
-    // The same backup again: nobody knows of the first time but the clock.
+    // On a second restore of the same backup only the clock tells the eras apart.
     assert!(era_after(5, 1_001) > era_after(5, 1_000));
 }
--- a/store/src/record.rs
+++ b/store/src/record.rs
@@ -2,8 +2,8 @@
 //!
 //! A file is the magic with the format's version, then records. Each record is a header of
 //! 16 bytes (length of the content, ordinal of the record, CRC-32 of both, little-endian), the
-//! content as JSON, and the CRC-32 of the content. With these a file that a crash cut short, whose
-//! torn tail was never acknowledged, can be told from a corrupt one, which must not be used.
+//! content as JSON, and the CRC-32 of the content. The checksums distinguish a file truncated by a
+//! crash, whose torn tail was never acknowledged, from a corrupt file, which must not be used.
 
 use crate::log::{self, Entries, Snapshot};
 use crate::rejoin::Peer;
@@ -13,27 +13,28 @@
 /// A record of a member's file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Record {
-    /// How often the member has started. Written before it votes or acknowledges in that start.
+    /// Number of starts of the member. Written before the member votes or acknowledges in that
+    /// start.
     Start(u64),
     /// Id of the store; 0 for none.
     Cluster(u64),
     /// The current term.
     Term(u64),
-    /// Whom this member has voted for in the current term.
+    /// The member's vote in the current term.
     Vote(Option<u64>),
-    /// Log entries; they replace entries at their positions and all later ones.
+    /// Log entries, which replace all entries from the first of their positions on.
     Append(Entries),
     /// The state up to a position, in place of all earlier entries.
     Snapshot(Snapshot),
-    /// The member's generation: how often it has lost its file.
+    /// The member's generation: the number of times that its file was lost.
     Generation(u64),
-    /// What is known of another member.
+    /// Generation, starts and incarnation of another member.
     Peer(u64, Peer),
     /// The member belongs to a store in which it has not voted yet.
     Joined,
     /// Whether the member is still bootstrapping the store.
     Bootstrapping(bool),
-    /// The records before this one are not all that the member had acknowledged.
+    /// The records before this one do not cover everything that the member has acknowledged.
     Lost,
 }
 
@@ -51,12 +52,12 @@
                 json!({"peer": [id, peer.generation, peer.starts, peer.incarnation]})
             }
             Record::Joined => json!({"joined": true}),
-            Record::Bootstrapping(still) => json!({"founding": still}),
+            Record::Bootstrapping(bootstrapping) => json!({"founding": bootstrapping}),
             Record::Lost => json!({"lost": true}),
         }
     }
 
-    /// A record from its JSON; `None` if it has another form.
+    /// Parses a record from JSON; `None` if the JSON is not a valid record.
     pub fn parse(text: &[u8]) -> Option<Record> {
         let json: Json = serde_json::from_slice(text).ok()?;
         let (kind, value) = json.as_object().filter(|o| o.len() == 1)?.iter().next()?;
@@ -83,18 +84,18 @@
 
 /// The first bytes of a file; the last of them is the version of the format.
 pub const MAGIC: &[u8; 8] = b"bittern\x03";
-/// Magic of the format before, which had no transactions and no sessions. All its records are valid
-/// in this format too.
+/// Magic of the previous format, which had no transactions and no sessions. All its records are
+/// valid in the current format too.
 const PREVIOUS_MAGIC: &[u8; 8] = b"bittern\x02";
 
 /// Bytes of a record's header.
 const HEADER_BYTES: usize = 16;
-/// Bytes of the checksum behind a record's content.
+/// Bytes of the checksum that follows a record's content.
 const CHECKSUM_BYTES: usize = 4;
 /// Maximum length of a record's content, in bytes.
 const MAX_CONTENT_BYTES: usize = 64 << 20;
 
-/// A record as bytes of a file, with its ordinal in that file, from 1.
+/// Encodes a record with its ordinal in the file, from 1.
 pub fn encode(record: &Record, ordinal: u64) -> Vec<u8> {
     let content = record.json().to_string().into_bytes();
     let mut bytes = Vec::with_capacity(HEADER_BYTES + content.len() + CHECKSUM_BYTES);
@@ -109,21 +110,21 @@
 /// Contents of a file.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FileContents {
-    /// Its records.
+    /// All complete records.
     pub records: Vec<Record>,
-    /// Length of the file up to the end of its last complete record, in bytes.
+    /// Length of the file up to the end of the last complete record, in bytes.
     pub valid_bytes: usize,
-    /// Bytes behind that, of a record whose write was never completed.
+    /// Bytes after the last complete record, from a write that was never completed.
     pub torn_bytes: usize,
 }
 
-/// A corrupt file. A member must not start from it: the lost records may hold a vote or an
-/// acknowledgement, and without it the member could vote twice in one term.
+/// A corrupt file. A member must not start from it: the lost records may hold a vote, without which
+/// the member could vote twice in one term, or an acknowledgement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Corruption {
     /// Offset in the file, in bytes.
     pub offset: usize,
-    /// What was found there.
+    /// Description of the corruption.
     pub found: String,
 }
 
@@ -135,7 +136,7 @@
 
 impl std::error::Error for Corruption {}
 
-/// A little-endian number.
+/// Decodes a little-endian number.
 fn number(bytes: &[u8]) -> u32 {
     bytes
         .iter()
@@ -143,7 +144,7 @@
         .fold(0, |sum, byte| sum << 8 | u32::from(*byte))
 }
 
-/// Reads a file of this format or the one before.
+/// Reads a file of the current or the previous format.
 ///
 /// # Errors
 ///
@@ -154,7 +155,7 @@
         .strip_prefix(MAGIC)
         .or_else(|| bytes.strip_prefix(PREVIOUS_MAGIC))
     else {
-        // Nothing was acknowledged from a file whose first bytes were never written.
+        // If the magic was never completely written, no record can have been acknowledged.
         if MAGIC.starts_with(bytes) || PREVIOUS_MAGIC.starts_with(bytes) {
             contents.torn_bytes = bytes.len();
             return Ok(contents);
@@ -168,12 +169,12 @@
             offset: contents.valid_bytes,
             found: format!("record {ordinal}: {found}"),
         })?;
-        let Some((record, behind)) = next else {
+        let Some((record, following)) = next else {
             contents.torn_bytes = rest.len();
             break;
         };
         contents.records.push(record);
-        rest = behind;
+        rest = following;
         contents.valid_bytes = bytes.len() - rest.len();
     }
     Ok(contents)
@@ -185,12 +186,12 @@
         .and_then(|rest| rest.first());
     let found = match version {
         Some(version) => format!("format {version}; this program reads format {}", MAGIC[7]),
-        None => "this is no file of a store".to_owned(),
+        None => "not a store file".to_owned(),
     };
     Corruption { offset: 0, found }
 }
 
-/// What is wrong with a record.
+/// Defect of a record.
 enum RecordError {
     HeaderChecksum,
     Header { ordinal: u64, length: usize },
@@ -201,24 +202,26 @@
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RecordError::HeaderChecksum => f.write_str("its head does not have its checksum"),
+            RecordError::HeaderChecksum => f.write_str("header checksum mismatch"),
             RecordError::Header { ordinal, length } => {
-                write!(f, "it says that it is record {ordinal}, of {length} bytes")
+                write!(f, "its header states record {ordinal} of {length} bytes")
+            }
+            RecordError::ContentChecksum => f.write_str("content checksum mismatch"),
+            RecordError::Content => {
+                f.write_str("valid checksums, but the content is not a known record")
             }
-            RecordError::ContentChecksum => f.write_str("its content does not have its checksum"),
-            RecordError::Content => f.write_str("it is whole and makes no sense"),
         }
     }
 }
 
-/// Reads the first of these bytes' records and gives the bytes behind it; `None` if its write was
-/// never completed.
+/// Reads the first record and returns it with the bytes that follow; `None` if the record's write
+/// was never completed.
 fn read_record(bytes: &[u8], ordinal: u64) -> Result<Option<(Record, &[u8])>, RecordError> {
-    // File systems may extend a file before they write its bytes: the rest is zeros then.
+    // File systems may extend a file before they write its data, which leaves zeros at the end.
     if bytes.len() < HEADER_BYTES || bytes.iter().all(|byte| *byte == 0) {
         return Ok(None);
     }
-    let (header, behind) = bytes.split_at(HEADER_BYTES);
+    let (header, rest) = bytes.split_at(HEADER_BYTES);
     if crc32fast::hash(&header[..12]) != number(&header[12..]) {
         return Err(RecordError::HeaderChecksum);
     }
@@ -230,24 +233,24 @@
             length,
         });
     }
-    // With a valid header and too few bytes behind it, the write was never completed.
-    if behind.len() < length + CHECKSUM_BYTES {
+    // A valid header with too few bytes after it is an incomplete write.
+    if rest.len() < length + CHECKSUM_BYTES {
         return Ok(None);
     }
-    let (content, behind) = behind.split_at(length);
-    if crc32fast::hash(content) != number(&behind[..CHECKSUM_BYTES]) {
+    let (content, rest) = rest.split_at(length);
+    if crc32fast::hash(content) != number(&rest[..CHECKSUM_BYTES]) {
         return Err(RecordError::ContentChecksum);
     }
     let record = Record::parse(content).ok_or(RecordError::Content)?;
-    Ok(Some((record, &behind[CHECKSUM_BYTES..])))
+    Ok(Some((record, &rest[CHECKSUM_BYTES..])))
 }
 
-/// Reads a file of the first format: a line of JSON for each record, without checksums. An
-/// incomplete last line counts as torn.
+/// Reads a file of the first format: one line of JSON per record, without checksums. An incomplete
+/// last line counts as torn.
 ///
 /// # Errors
 ///
-/// [`Corruption`] if a complete line is no record.
+/// [`Corruption`] if a complete line is not a valid record.
 pub fn read_lines(bytes: &[u8]) -> Result<FileContents, Corruption> {
     let mut contents = FileContents::default();
     for line in bytes.split_inclusive(|byte| *byte == b'\n') {
@@ -257,7 +260,7 @@
         }
         let corruption = || Corruption {
             offset: contents.valid_bytes,
-            found: format!("line {} is no record", contents.records.len() + 1),
+            found: format!("line {} is not a valid record", contents.records.len() + 1),
         };
         let record = Record::parse(line).ok_or_else(corruption)?;
         contents.records.push(record);
--- a/store/src/record/tests.rs
+++ b/store/src/record/tests.rs
@@ -48,15 +48,15 @@
     let (bytes, ends) = file();
     for cut in 0..=bytes.len() {
         let read = read(&bytes[..cut]).unwrap();
-        let whole = ends
+        let complete = ends
             .iter()
             .filter(|end| **end <= cut)
             .count()
             .saturating_sub(1);
-        assert_eq!(read.records, records()[..whole], "cut at {cut}");
-        let end = if cut < MAGIC.len() { 0 } else { ends[whole] };
+        assert_eq!(read.records, records()[..complete], "cut at {cut}");
+        let end = if cut < MAGIC.len() { 0 } else { ends[complete] };
         assert_eq!((read.valid_bytes, read.torn_bytes), (end, cut - end));
-        // The same where the file was made longer before its bytes came.
+        // The same if the file system extended the file before it wrote the data.
         if cut >= MAGIC.len() && ends.contains(&cut) {
             let longer = [&bytes[..cut], &[0; 40]].concat();
             assert_eq!(
@@ -68,12 +68,12 @@
     for at in 0..bytes.len() * 8 {
         let mut flipped = bytes.clone();
         flipped[at / 8] ^= 1 << (at % 8);
-        // The format's own number may become that of the one before, which says the same.
+        // The flip may turn the version into the previous one, which has the same records.
         if flipped.starts_with(PREVIOUS_MAGIC) {
             assert_eq!(read(&flipped).unwrap().records, records());
             continue;
         }
-        let damage = read(&flipped).expect_err("a flipped bit is no torn tail");
+        let damage = read(&flipped).expect_err("a flipped bit must not pass for a torn tail");
         assert!(damage.offset <= at / 8, "bit {at}: {damage}");
     }
 }
@@ -85,7 +85,7 @@
     assert_eq!(
         read(&without).unwrap_err().to_string(),
         format!(
-            "at byte {}: record 3: it says that it is record 4, of 10 bytes",
+            "at byte {}: record 3: its header states record 4 of 10 bytes",
             ends[2]
         )
     );
@@ -95,12 +95,12 @@
         read(&future).unwrap_err().to_string(),
         "at byte 0: format 9; this program reads format 3"
     );
-    // The last format is read still.
-    let former = [PREVIOUS_MAGIC, &bytes[8..]].concat();
-    assert_eq!(read(&former).unwrap().records, records());
+    // Files of the previous format remain readable.
+    let previous = [PREVIOUS_MAGIC, &bytes[8..]].concat();
+    assert_eq!(read(&previous).unwrap().records, records());
     assert_eq!(
         read(b"something else").unwrap_err().to_string(),
-        "at byte 0: this is no file of a store"
+        "at byte 0: not a store file"
     );
     assert_eq!(
         read_lines(b"{\"term\":2}\n{\"vote\":1}\n{\"te")
@@ -112,7 +112,7 @@
         read_lines(b"{\"term\":2}\n{\"vot3\":1}\n")
             .unwrap_err()
             .to_string(),
-        "at byte 11: line 2 is no record"
+        "at byte 11: line 2 is not a valid record"
     );
 }
 
--- a/store/src/rejoin.rs
+++ b/store/src/rejoin.rs
@@ -1,48 +1,51 @@
 //! The rule by which a member may vote again after a restart, with or without its file.
 //!
-//! Raft assumes that a member never loses its term, vote and log. A member that did must not vote:
-//! it could vote twice in one term, or for a candidate that lacks an entry which it had
-//! acknowledged. The rule (in the spirit of the recovery of Viewstamped Replication Revisited,
-//! Liskov and Cowling, 2012, section 4.3), with `m` for a majority of all members:
+//! Raft assumes that a member never loses its term, vote and log. A member that has lost them must
+//! not vote: it could vote twice in one term, or for a candidate that lacks an entry which it had
+//! acknowledged. The rule follows the recovery protocol of Viewstamped Replication Revisited
+//! (Liskov and Cowling, 2012, section 4.3). With `m` for a majority of all members:
 //!
-//! - A member with an intact file asks the others. One that knows of a newer file of that member
-//!   says so. With `m - 1` responses of members that have a file too, and none of a newer one, it
-//!   is active: fewer members could not have committed anything together with a newer file.
+//! - A member with an intact file asks the others whether they know of a newer one. The member
+//!   becomes active after `m - 1` responses from members that have a file too, none of which knows
+//!   of a newer one: fewer than `m - 1` others could not have committed anything together with a
+//!   newer file.
 //! - A member that has lost its file claims a new *generation*, above any that `m` active members
-//!   know, and has `m` active members record it. From then on they ignore messages of its earlier
-//!   generations, as does everyone who hears from them.
-//! - With their responses these members send their term and the end of their log. Whatever the
-//!   earlier generations helped to elect or to commit, one of these members helped too. Either it
-//!   did so before its response, which then covers it; or after it, and then its vote or
-//!   acknowledgement carries the new generation, beside which the earlier one's does not count.
-//! - So the member is active again once it has installed what a leader of at least the highest of
-//!   these terms has committed, up to at least the furthest of these ends: the catch-up bar.
-//! - A store is bootstrapped only when every member is there and has never belonged to a store.
+//!   know, and `m` active members record it. From then on they ignore messages of its earlier
+//!   generations, as does every member that hears from them.
+//! - The responses of these members carry their term and the end of their log. Each election or
+//!   commit in which an earlier generation took part also involved one of these members. If that
+//!   member took part before its response, the response covers the election or commit. If it took
+//!   part afterwards, its vote or acknowledgement carries the new generation, which invalidates the
+//!   vote or acknowledgement of the earlier generation.
+//! - The member therefore becomes active once it has installed the committed state of a leader of
+//!   at least the highest of these terms, up to at least the most recent of these log ends: the
+//!   catch-up target.
+//! - A store is bootstrapped only when every member is up and has never belonged to a store.
 //!
-//! No wait can be circular: status requests are answered in any status. The rule is model-checked
-//! in `tests/rejoin_model.rs`, and the code runs in the simulations beside that.
+//! Waits cannot be circular, as members answer status requests in any status. The rule is
+//! model-checked in `tests/rejoin_model.rs`; the simulations test the code.
 
 use crate::log::Position;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Status of a member. Only an active one votes and counts towards a majority.
+/// Status of a member. Only active members vote and count towards a majority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// Its file has never belonged to a store.
+    /// The member's file has never belonged to a store.
     Empty,
-    /// It bootstraps the store, and waits until every other member has accepted it.
+    /// The member bootstraps the store, and waits until every other member has accepted.
     Bootstrapping,
-    /// Its file is intact; it waits for others to confirm that they know of no newer one.
+    /// The file is intact, but others have not yet confirmed that they know of no newer one.
     Unverified,
-    /// It has lost its file, or has an old one, and has to catch up first.
+    /// The file is lost or outdated, and the member has to catch up first.
     Lost,
-    /// It votes and counts.
+    /// The member votes and counts towards a majority.
     Active,
 }
 
 impl Status {
-    /// The word that stands for it in the answers to operators and in their commands' output.
+    /// The status in answers to operators and in the output of their commands.
     pub fn as_str(self) -> &'static str {
         match self {
             Status::Empty => "empty",
@@ -53,7 +56,7 @@
         }
     }
 
-    /// The word that stands for it in log lines, which operators' pages quote.
+    /// The status in log lines, which operator documentation quotes.
     pub fn log_label(self) -> &'static str {
         match self {
             Status::Empty => "Empty",
@@ -71,43 +74,43 @@
     }
 }
 
-/// What a member states of itself when it asks the others.
+/// The state that a newly started member reports when it queries the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatusRequest {
-    /// Random id of this incarnation of the member: responses to an earlier one do not count.
+    /// Random id of this incarnation of the member: responses to an earlier one are ignored.
     pub incarnation: u64,
-    /// What it has of its file.
-    pub past: History,
-    /// Its generation: how often it has lost its file.
+    /// State of the member's file.
+    pub file_state: FileState,
+    /// The member's generation: the number of times that its file was lost.
     pub generation: u64,
-    /// How often it has started.
+    /// Number of starts of the member.
     pub starts: u64,
-    /// Position of its last entry.
+    /// Position of the member's last entry.
     pub last: Position,
 }
 
-/// What a member that asks has of its file.
+/// State of the file of a member that sends a status request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum History {
-    /// Nothing; it has not claimed a generation yet.
-    None,
-    /// Nothing; it claims the generation in its request.
+pub enum FileState {
+    /// No usable file, and no generation claimed yet.
+    Missing,
+    /// No usable file; the request claims its generation.
     Claimed,
-    /// All of it, as far as it knows.
+    /// Complete, as far as the member knows.
     Intact,
 }
 
 /// The response to a [`StatusRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatusResponse {
-    /// The incarnation that asked.
+    /// The incarnation that sent the request.
     pub incarnation: u64,
     /// Status of the responder.
     pub status: PeerStatus,
-    /// Generation of the asker, as the responder knows it.
+    /// Generation of the requester, as the responder knows it.
     pub generation: u64,
-    /// Whether the responder knows of a newer file of the asker, or of another incarnation with the
-    /// claimed generation.
+    /// Whether the responder knows of a newer file of the requester, or of another incarnation that
+    /// has claimed the generation.
     pub superseded: bool,
     /// Position of the responder's last entry.
     pub last: Position,
@@ -116,36 +119,35 @@
 /// Status of a responder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerStatus {
-    /// Its file has never belonged to a store.
+    /// The responder's file has never belonged to a store.
     Empty,
-    /// It belongs to a store in which, as far as it knows, nobody has voted yet.
+    /// The responder belongs to a store in which, as far as it knows, nobody has voted yet.
     Joined,
-    /// It has a file, and may yet learn that there was a newer one.
+    /// The responder has a file, but has not verified that no newer one existed.
     Unverified,
-    /// It has lost its file.
+    /// The responder has lost its file.
     Lost,
-    /// It votes and counts.
+    /// The responder votes and counts towards a majority.
     Active,
 }
 
-/// What this member knows of another.
+/// This member's knowledge of another one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Peer {
-    /// Its highest known generation.
+    /// Highest known generation.
     pub generation: u64,
-    /// Its highest known start in that generation.
+    /// Highest known start in that generation.
     pub starts: u64,
-    /// The incarnation that stated these; 0 if they come from a third member.
+    /// The incarnation that reported these; 0 if a third member did.
     pub incarnation: u64,
-    /// Its highest known term, and the most up-to-date end of its log, in that generation. Not
-    /// persisted.
-    reached: (u64, Position),
-    /// Its latest start in which it sent them.
+    /// Highest known term and most up-to-date log end in that generation. Not persisted.
+    progress: (u64, Position),
+    /// Latest start in which the member reported its progress.
     progress_start: u64,
 }
 
 impl Peer {
-    /// What is persisted of another member.
+    /// The persisted part of the knowledge of another member.
     pub fn known(generation: u64, starts: u64, incarnation: u64) -> Peer {
         Peer {
             generation,
@@ -155,23 +157,23 @@
         }
     }
 
-    /// Whether this knowledge shows that the asker's file is not its newest, or that another
-    /// incarnation has claimed its generation.
+    /// Whether the requester's file is known to be outdated, or its generation to be claimed by
+    /// another incarnation.
     fn supersedes(&self, request: &StatusRequest, term: u64) -> bool {
-        // A generation that a third member has reported has no incarnation yet.
+        // The incarnation is unknown if a third member has reported the generation.
         let other_incarnation = ![0, request.incarnation].contains(&self.incarnation);
-        match request.past {
-            History::None => false,
-            History::Claimed => {
+        match request.file_state {
+            FileState::Missing => false,
+            FileState::Claimed => {
                 let claimed = request.generation == self.generation && other_incarnation;
                 request.generation < self.generation || claimed
             }
-            History::Intact => {
-                // A request may arrive after messages that the same start sent as an active member.
+            FileState::Intact => {
+                // Messages that this start sent as an active member may overtake its request.
                 let earlier_start = self.progress_start < request.starts;
-                let (reached_term, reached_last) = self.reached;
+                let (known_term, known_last) = self.progress;
                 let behind = earlier_start
-                    && (term < reached_term || request.last.recency() < reached_last.recency());
+                    && (term < known_term || request.last.recency() < known_last.recency());
                 let (known, stated) = (
                     (self.generation, self.starts),
                     (request.generation, request.starts),
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Records what a member states of itself; true if that is new.
+    /// Records the state that a member reports of itself; true if it is new.
     fn record(&mut self, request: &StatusRequest) -> bool {
         let known = (self.generation, self.starts, self.incarnation);
         let stated = (request.generation, request.starts, request.incarnation);
@@ -196,7 +198,7 @@
     }
 }
 
-/// What a response leads to.
+/// Result of handling a status response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// Nothing yet: more responses are needed.
@@ -205,20 +207,20 @@
     Active,
     /// No member belongs to a store: this one bootstraps it.
     Bootstrap,
-    /// The member's file is not the newest that it had.
+    /// The member's file is outdated.
     Lost,
     /// The member claims this generation.
     ClaimGeneration(u64),
     /// The member may become active from the committed state of a leader.
     CatchUp {
-        /// Least term of that leader.
+        /// Lowest term of that leader.
         term: u64,
-        /// Position up to which the state has to reach.
+        /// Position that the state has to reach.
         last: Position,
     },
 }
 
-/// A response with what its envelope states of the sender.
+/// A response with the store and term of its sender.
 #[derive(Debug, Clone, Copy)]
 struct Received {
     /// Id of the sender's store; 0 if it has none.
@@ -236,13 +238,13 @@
     incarnation: u64,
     generation: u64,
     claimed: bool,
-    /// The last response of each member.
+    /// The latest response of each member.
     responses: BTreeMap<u64, Received>,
     peers: BTreeMap<u64, Peer>,
 }
 
 impl Rejoin {
-    /// A member that has just started, in a store of this many members.
+    /// A newly started member in a store of this many members.
     pub fn new(
         status: Status,
         members: usize,
@@ -272,7 +274,7 @@
         self.status
     }
 
-    /// How often this member has lost its file.
+    /// This member's generation: the number of times that its file was lost.
     pub fn generation(&self) -> u64 {
         self.generation
     }
@@ -282,7 +284,7 @@
         self.incarnation
     }
 
-    /// What is known of the other members.
+    /// Knowledge of the other members.
     pub fn peers(&self) -> &BTreeMap<u64, Peer> {
         &self.peers
     }
@@ -291,27 +293,28 @@
         self.members / 2 + 1
     }
 
-    /// The request that this member has to send now, if any.
+    /// The status request to send; `None` if the status needs no confirmation by others.
     pub fn status_request(&self, starts: u64, last: Position) -> Option<StatusRequest> {
-        let past = match self.status {
+        let file_state = match self.status {
             Status::Active | Status::Bootstrapping => return None,
-            Status::Empty => History::None,
-            Status::Lost if !self.claimed => History::None,
-            Status::Lost => History::Claimed,
-            Status::Unverified => History::Intact,
+            Status::Empty => FileState::Missing,
+            Status::Lost if !self.claimed => FileState::Missing,
+            Status::Lost => FileState::Claimed,
+            Status::Unverified => FileState::Intact,
         };
         Some(StatusRequest {
             incarnation: self.incarnation,
-            past,
+            file_state,
             generation: self.generation,
             starts,
             last,
         })
     }
 
-    /// Responds to a member that asks; `voted` is whether anyone can have voted in this member's
-    /// store. Returns the response, and whether [`Rejoin::peers`] of the asker has to be persisted
-    /// before the response is sent: the asker counts on this member to remember it.
+    /// Responds to a status request; `voted` is whether anyone may have voted in this member's
+    /// store. Returns the response, and whether the requester's entry in [`Rejoin::peers`] has to
+    /// be persisted before the response is sent: the requester relies on this member to remember
+    /// it.
     pub fn respond(
         &mut self,
         from: u64,
@@ -323,11 +326,11 @@
         let status = self.own_peer_status(voted);
         let peer = self.peers.entry(from).or_default();
         let superseded = peer.supersedes(request, term);
-        // Only a member that will remember the asker may record it. Before anyone has voted there
-        // is nothing to lose.
+        // Only a member with a file can remember the requester. Before anyone has voted there is no
+        // vote or acknowledgement to lose.
         let remembers = voted
             && matches!(status, PeerStatus::Unverified | PeerStatus::Active)
-            && request.past != History::None
+            && request.file_state != FileState::Missing
             && !superseded;
         let must_persist = remembers && peer.record(request);
         let response = StatusResponse {
@@ -344,7 +347,7 @@
         match self.status {
             Status::Lost => PeerStatus::Lost,
             Status::Empty => PeerStatus::Empty,
-            // Nobody may bootstrap another store beside this one.
+            // Keeps other members from bootstrapping a second store.
             Status::Bootstrapping => PeerStatus::Unverified,
             _ if !voted => PeerStatus::Joined,
             Status::Unverified => PeerStatus::Unverified,
@@ -352,15 +355,15 @@
         }
     }
 
-    /// Notes the term and log end that a member has sent in one of its starts. Any newer file of
+    /// Records the term and log end that a member has sent in one of its starts. Any newer file of
     /// that member reaches at least as far.
     pub fn observe_progress(&mut self, from: u64, starts: u64, term: u64, last: Option<Position>) {
         let peer = self.peers.entry(from).or_default();
         peer.progress_start = peer.progress_start.max(starts);
-        let reached = &mut peer.reached;
-        reached.0 = reached.0.max(term);
-        if let Some(last) = last.filter(|last| last.recency() > reached.1.recency()) {
-            reached.1 = last;
+        let (known_term, known_last) = &mut peer.progress;
+        *known_term = (*known_term).max(term);
+        if let Some(last) = last.filter(|last| last.recency() > known_last.recency()) {
+            *known_last = last;
         }
     }
 
@@ -371,7 +374,7 @@
             .is_some_and(|peer| generation < peer.generation)
     }
 
-    /// Notes a member's generation; true if it is a new one, which has to be persisted.
+    /// Records a member's generation; true if it is new and has to be persisted.
     pub fn observe_generation(&mut self, member: u64, generation: u64) -> bool {
         let peer = self.peers.entry(member).or_default();
         let newer = generation > peer.generation;
@@ -384,7 +387,7 @@
         newer
     }
 
-    /// Handles a response from a member of a store (0 if it has none) in a term.
+    /// Handles a response; `store` is the id of the sender's store, 0 if it has none.
     pub fn on_response(
         &mut self,
         from: u64,
@@ -396,7 +399,7 @@
             return Verdict::Pending;
         }
         if response.superseded && self.claimed && self.status == Status::Lost {
-            // Another incarnation has claimed this generation: a higher one is needed.
+            // Another incarnation has claimed this generation, so a higher one is needed.
             self.claimed = false;
             self.responses.clear();
             return Verdict::Pending;
@@ -439,13 +442,14 @@
         }
     }
 
-    /// Whether every other member has responded, and none belongs to a store that has voted.
+    /// Whether every other member has responded, and none belongs to a store whose members have
+    /// voted.
     fn no_store_exists(&self) -> bool {
-        let without = self.count(|status| matches!(status, PeerStatus::Empty | PeerStatus::Joined));
-        without + 1 == self.members
+        let unvoted = self.count(|status| matches!(status, PeerStatus::Empty | PeerStatus::Joined));
+        unvoted + 1 == self.members
     }
 
-    /// Number of responders with such a status.
+    /// Number of responders whose status passes the filter.
     fn count(&self, filter: impl Fn(PeerStatus) -> bool) -> usize {
         self.responses
             .values()
@@ -453,8 +457,8 @@
             .count()
     }
 
-    /// Progress of a member without a file by the responses of active members of one store: the
-    /// claim of a generation first, then the catch-up bar.
+    /// Next step of a member without a file, given the responses of active members of one store:
+    /// first the claim of a generation, then the catch-up target.
     fn catch_up(&mut self) -> Verdict {
         let store = self.majority_store();
         if store == 0 {
@@ -502,7 +506,7 @@
         })
     }
 
-    /// Id of the store of most active responders; 0 if there is none.
+    /// Id of the store to which most active responders belong; 0 if there is none.
     pub fn majority_store(&self) -> u64 {
         let stores = self
             .responses
@@ -514,73 +518,76 @@
             .unwrap_or(0)
     }
 
-    /// Others know of a later generation of this member. True if this incarnation was, or could
-    /// have become, active, which it no longer may.
+    /// Handles the news that others know of a later generation of this member. True if this
+    /// incarnation was active or could have become so, and is now marked as lost.
     pub fn on_replaced(&mut self) -> bool {
-        let thought = matches!(
+        let was_valid = matches!(
             self.status,
             Status::Unverified | Status::Active | Status::Bootstrapping
         );
-        if thought {
+        if was_valid {
             self.mark_lost();
         }
-        thought
+        was_valid
     }
 
-    /// The store that this incarnation was bootstrapping exists already. True if it still was.
+    /// Handles the rejection of a bootstrap, as the store already exists. True if this incarnation
+    /// was still bootstrapping.
     pub fn on_already_bootstrapped(&mut self, incarnation: u64) -> bool {
-        let wanted = self.status == Status::Bootstrapping && incarnation == self.incarnation;
-        if wanted {
+        let was_bootstrapping =
+            self.status == Status::Bootstrapping && incarnation == self.incarnation;
+        if was_bootstrapping {
             self.mark_lost();
         }
-        wanted
+        was_bootstrapping
     }
 
-    /// This member's file is not the newest that it had.
+    /// Marks this member's file as outdated.
     fn mark_lost(&mut self) {
         self.status = Status::Lost;
         self.claimed = false;
         self.responses.clear();
     }
 
-    /// Forgets the peers: this member starts in a new store.
+    /// Discards the knowledge of peers, as this member starts in a new store.
     pub fn clear_peers(&mut self) {
         self.peers.clear();
     }
 
-    /// Makes the member active: it has accepted a store that starts, or has caught up.
+    /// Makes the member active, after it has accepted a new store or has caught up.
     pub fn mark_active(&mut self) {
         self.status = Status::Active;
         self.responses.clear();
     }
 
-    /// What the member waits for, as a sentence for operators; `None` if it is active.
+    /// The responses that the member waits for, as a sentence for operators; `None` if it is
+    /// active.
     pub fn waiting_for(&self) -> Option<String> {
-        let (members, half) = (self.members, self.majority());
-        let of = |status: PeerStatus| self.count(|other| other == status);
+        let (members, majority) = (self.members, self.majority());
+        let count = |status: PeerStatus| self.count(|other| other == status);
         let (active, unverified, lost) = (
-            of(PeerStatus::Active),
-            of(PeerStatus::Unverified),
-            of(PeerStatus::Lost),
+            count(PeerStatus::Active),
+            count(PeerStatus::Unverified),
+            count(PeerStatus::Lost),
         );
         match self.status {
             Status::Active => None,
             Status::Bootstrapping => Some(format!(
-                "the store begins once all {members} members are part of it"
+                "the store starts once all {members} members have accepted it"
             )),
             Status::Unverified => Some(format!(
-                "{} of {} other members with a file have answered; {lost} have lost theirs",
+                "{} of {} required responses from members with a file; {lost} have lost their files",
                 active + unverified,
-                half - 1
+                majority - 1
             )),
             Status::Empty => Some(format!(
-                "this file has never held a store; of {} others {} say the same, {} are of a store",
+                "this file has never belonged to a store; of {} other members, {} report the same and {} belong to a store",
                 members - 1,
-                of(PeerStatus::Empty),
+                count(PeerStatus::Empty),
                 active + unverified + lost
             )),
             Status::Lost => Some(format!(
-                "what this member had promised is lost; {active} of the {half} sound members that it needs have answered"
+                "this member has lost its file; {active} of {majority} required responses from sound members"
             )),
         }
     }
--- a/store/src/rejoin/tests.rs
+++ b/store/src/rejoin/tests.rs
@@ -27,15 +27,15 @@
 }
 
 #[test]
-fn lost_member_claims_generation_and_bar_from_majority() {
+fn lost_member_claims_generation_and_target_from_majority() {
     let mut lost = member(Status::Empty);
     let end = position(4, 2);
     assert_eq!(
         lost.on_response(2, 9, 3, response(7, PeerStatus::Active, 0, false, end)),
         Verdict::Pending
     );
-    // One that has only a file, one that lost its own, and one of another store do not count;
-    // nor does one twice.
+    // Unverified members, members that have lost their file, members of another store and repeated
+    // responses do not count.
     for (from, store, status) in [
         (2, 9, PeerStatus::Active),
         (3, 9, PeerStatus::Unverified),
@@ -55,9 +55,9 @@
     assert_eq!(
         (
             lost.majority_store(),
-            lost.status_request(1, end).unwrap().past
+            lost.status_request(1, end).unwrap().file_state
         ),
-        (0, History::Claimed)
+        (0, FileState::Claimed)
     );
     // Responses from before the claim, or to another incarnation, do not count.
     lost.on_response(2, 9, 3, response(7, PeerStatus::Active, 4, false, end));
@@ -69,21 +69,24 @@
         4,
         response(7, PeerStatus::Active, 5, false, position(2, 3)),
     );
-    let catch_up_bar = lost.on_response(2, 9, 3, response(7, PeerStatus::Active, 5, false, end));
+    let catch_up_target = lost.on_response(2, 9, 3, response(7, PeerStatus::Active, 5, false, end));
     assert_eq!(
-        catch_up_bar,
+        catch_up_target,
         Verdict::CatchUp {
             term: 5,
             last: position(2, 3)
         },
-        "the highest term, and the furthest end by term"
+        "the highest term, and the most recent log end"
     );
-    // Somebody else had taken that generation.
+    // Another incarnation has claimed the generation.
     assert_eq!(
         lost.on_response(5, 9, 3, response(7, PeerStatus::Active, 5, true, end)),
         Verdict::Pending
     );
-    assert_eq!(lost.status_request(1, end).unwrap().past, History::None);
+    assert_eq!(
+        lost.status_request(1, end).unwrap().file_state,
+        FileState::Missing
+    );
 }
 
 #[test]
@@ -100,12 +103,12 @@
             Verdict::Pending
         );
     }
-    // A member that bootstraps a store itself keeps others from bootstrapping one.
+    // A bootstrapping member keeps others from bootstrapping a second store.
     let mut second = Rejoin::new(Status::Bootstrapping, 5, false, 8, 0, BTreeMap::new());
     let request = first.status_request(1, Position::default()).unwrap();
     let (answer, _) = second.respond(1, &request, 0, false, Position::default());
     assert_eq!(first.on_response(5, 3, 0, answer), Verdict::Pending);
-    // One that has lost its file knows that there was a store.
+    // A member that has lost its file belonged to a store.
     assert_eq!(
         first.on_response(
             5,
@@ -128,61 +131,63 @@
 
 #[test]
 fn detects_outdated_files() {
-    let mut sound = member(Status::Active);
+    let mut active = member(Status::Active);
     let request = |incarnation, generation, starts, last| StatusRequest {
         incarnation,
-        past: History::Intact,
+        file_state: FileState::Intact,
         generation,
         starts,
         last,
     };
     let end = position(9, 3);
     assert!(
-        sound.respond(2, &request(1, 0, 5, end), 3, true, end).1,
-        "a new life is noted"
+        active.respond(2, &request(1, 0, 5, end), 3, true, end).1,
+        "a new incarnation is recorded"
     );
-    let (again, must_persist) = sound.respond(2, &request(1, 0, 5, end), 3, true, end);
+    let (again, must_persist) = active.respond(2, &request(1, 0, 5, end), 3, true, end);
     assert!(
         !again.superseded && !must_persist,
-        "the same life asks again"
+        "the same incarnation asks again"
     );
-    sound.observe_progress(2, 5, 4, Some(position(12, 4)));
-    let further = position(12, 4);
+    active.observe_progress(2, 5, 4, Some(position(12, 4)));
+    let newer = position(12, 4);
     for (case, request, term, superseded) in [
-        ("the next start", request(2, 0, 6, further), 4, false),
+        ("the next start", request(2, 0, 6, newer), 4, false),
         (
-            "as many starts by another life",
-            request(3, 0, 6, further),
+            "the same start of another incarnation",
+            request(3, 0, 6, newer),
             4,
             true,
         ),
-        ("fewer starts", request(3, 0, 3, further), 4, true),
-        ("a lower term", request(3, 0, 7, further), 3, true),
+        ("fewer starts", request(3, 0, 3, newer), 4, true),
+        ("a lower term", request(3, 0, 7, newer), 3, true),
         (
-            "a log that ends before",
+            "a less recent log end",
             request(3, 0, 7, position(20, 3)),
             4,
             true,
         ),
-        ("a later generation", request(4, 1, 1, further), 4, false),
-        ("an earlier one", request(5, 0, 9, further), 4, true),
+        ("a later generation", request(4, 1, 1, newer), 4, false),
+        ("an earlier generation", request(5, 0, 9, newer), 4, true),
     ] {
         assert_eq!(
-            sound.respond(2, &request, term, true, end).0.superseded,
+            active.respond(2, &request, term, true, end).0.superseded,
             superseded,
             "{case}"
         );
     }
-    assert!(sound.is_stale(2, 0) && !sound.is_stale(2, 1));
+    assert!(active.is_stale(2, 0) && !active.is_stale(2, 1));
     assert!(
-        sound.observe_generation(2, 3) && !sound.observe_generation(2, 3) && sound.is_stale(2, 2)
+        active.observe_generation(2, 3)
+            && !active.observe_generation(2, 3)
+            && active.is_stale(2, 2)
     );
-    // One that has lost its own file remembers nothing for anybody.
+    // A member that has lost its own file records nothing for others.
     let mut lost = member(Status::Lost);
     let claim = StatusRequest {
-        past: History::Claimed,
+        file_state: FileState::Claimed,
         ..request(6, 4, 1, end)
     };
     assert!(!lost.respond(3, &claim, 3, true, end).1);
-    assert!(sound.respond(3, &claim, 3, true, end).1 && sound.is_stale(3, 3));
+    assert!(active.respond(3, &claim, 3, true, end).1 && active.is_stale(3, 3));
 }
--- a/store/src/state.rs
+++ b/store/src/state.rs
@@ -2,23 +2,23 @@
 //! with the outcomes of their last requests.
 //!
 //! Invariant: [`State::apply`] is deterministic. Every member applies the same entries in the same
-//! order with the same capacity, so all come to the same state.
+//! order with the same capacity, so all members reach the same state.
 
 use crate::command::{Change, Command, Expects, Txn};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Key of the store's era: a store that is recovered from a member's file has a later era than the
-/// store before it.
+/// Key that holds the store's era. A store recovered from a member's file has a later era than the
+/// store that it replaces.
 pub const ERA: &str = "era";
 
-/// Bounds of the state, which have to be equal at all members.
+/// Limits of the state. They have to be equal at all members, as they decide outcomes of entries.
 #[derive(Debug, Clone, Copy)]
 pub struct Capacity {
     /// Maximum number of keys.
     pub keys: usize,
-    /// Maximum number of sessions; the least recently used one is evicted.
+    /// Maximum number of sessions; the least recently used session is evicted first.
     pub sessions: usize,
 }
 
@@ -27,7 +27,7 @@
 pub struct VersionedValue {
     /// The value.
     pub value: String,
-    /// Revision of the last change: the index of its entry.
+    /// Revision of the last change: the index of the log entry that made it.
     pub revision: u64,
 }
 
@@ -36,23 +36,23 @@
 pub enum Outcome {
     /// Applied at this revision.
     Applied(u64),
-    /// Rejected: nothing was changed.
+    /// Rejected, with no effect.
     Rejected(Rejection),
 }
 
 /// Why a transaction was rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Rejection {
-    /// A check on this key failed; with the revision of its last change, if it exists.
+    /// A check on this key failed; with the revision of the key's last change, if the key exists.
     CheckFailed(String, Option<u64>),
     /// The state has no capacity for more keys.
     Full,
-    /// The session does not exist or was evicted: whether an earlier attempt of the request was
-    /// applied is unknown.
+    /// The session does not exist or was evicted, so an earlier attempt of the request may have
+    /// been applied.
     UnknownSession,
-    /// The session has made a later request already.
+    /// The session has already made a later request.
     StaleRequest,
-    /// It names too many keys, or a key or value is too long.
+    /// The transaction names too many keys, or a key or value is too long.
     TooLarge,
 }
 
@@ -62,30 +62,33 @@
             Rejection::CheckFailed(key, Some(revision)) => {
                 write!(
                     f,
-                    "{key} is not as was expected: it was changed at revision {revision}"
+                    "check of {key} failed: last changed at revision {revision}"
                 )
             }
             Rejection::CheckFailed(key, None) => {
-                write!(f, "{key} is not as was expected: it is not there")
+                write!(f, "check of {key} failed: the key does not exist")
+            }
+            Rejection::Full => f.write_str("the store has reached its maximum number of keys"),
+            Rejection::UnknownSession => f.write_str("unknown or evicted session"),
+            Rejection::StaleRequest => f.write_str("the session has already made a later request"),
+            Rejection::TooLarge => {
+                f.write_str("the transaction names too many keys, or a key or value is too long")
             }
-            Rejection::Full => f.write_str("the store has no room for more keys"),
-            Rejection::UnknownSession => f.write_str("the store does not know this session"),
-            Rejection::StaleRequest => f.write_str("the session has made later requests"),
-            Rejection::TooLarge => f.write_str("it names too many keys, or a text is too long"),
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Session {
-    /// Number of its last request, with the outcome; 0 before the first one.
+    /// Number of the last request; 0 before the first one.
     request: u64,
+    /// Outcome of the last request.
     outcome: Outcome,
-    /// Revision of its last use.
-    used: u64,
+    /// Revision at which the session was last used.
+    last_used: u64,
 }
 
-/// What an applied entry completes for a caller.
+/// Completion of a client call by an applied entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Completion {
     /// A session was opened.
@@ -101,7 +104,7 @@
         session: u64,
         /// Number of the request in the session.
         request: u64,
-        /// Its outcome.
+        /// Outcome of the transaction.
         outcome: Outcome,
     },
 }
@@ -114,7 +117,7 @@
 }
 
 impl State {
-    /// Sets the era, in the state that a store starts with.
+    /// Sets the era in the initial state of a store.
     pub fn begin_era(&mut self, era: u64) {
         self.keys.insert(
             ERA.to_owned(),
@@ -167,14 +170,14 @@
         self.keys.is_empty()
     }
 
-    /// Outcome of a session's request, if that is its last one.
+    /// Outcome of a session's request; `None` unless it is the session's last request.
     pub fn outcome(&self, session: u64, request: u64) -> Option<&Outcome> {
         let last = self.sessions.get(&session)?;
         (last.request == request && request > 0).then_some(&last.outcome)
     }
 
-    /// Applies the command of the entry with this index; returns what changed, and what is
-    /// completed for a caller.
+    /// Applies the command of the entry with this index. Returns the changes, and the completion
+    /// of a client call, if any.
     pub fn apply(
         &mut self,
         revision: u64,
@@ -182,7 +185,7 @@
         capacity: Capacity,
     ) -> (Vec<Change>, Option<Completion>) {
         match command {
-            // Members propose a value until it is set: setting it again is no change.
+            // Members propose a value until it is set, so the same value may be committed again.
             Command::Put(change) if self.get(&change.key) == change.value.as_deref() => {
                 (Vec::new(), None)
             }
@@ -217,15 +220,18 @@
         let session = Session {
             request: 0,
             outcome: Outcome::Rejected(Rejection::StaleRequest),
-            used: revision,
+            last_used: revision,
         };
         self.sessions.insert(revision, session);
         while self.sessions.len() > capacity.sessions {
-            let oldest = self.sessions.iter().min_by_key(|(_, session)| session.used);
-            let Some(oldest) = oldest.map(|(id, _)| *id) else {
+            let least_recent = self
+                .sessions
+                .iter()
+                .min_by_key(|(_, session)| session.last_used);
+            let Some(least_recent) = least_recent.map(|(id, _)| *id) else {
                 break;
             };
-            self.sessions.remove(&oldest);
+            self.sessions.remove(&least_recent);
         }
         Completion::SessionOpened {
             nonce,
@@ -234,11 +240,11 @@
     }
 
     fn transact(&mut self, revision: u64, txn: &Txn, capacity: Capacity) -> (Vec<Change>, Outcome) {
-        let rejected = |why| (Vec::new(), Outcome::Rejected(why));
+        let rejected = |rejection| (Vec::new(), Outcome::Rejected(rejection));
         let Some(session) = self.sessions.get_mut(&txn.session) else {
             return rejected(Rejection::UnknownSession);
         };
-        session.used = revision;
+        session.last_used = revision;
         // A retry of the last request gets the outcome of its first attempt.
         if txn.request == session.request && txn.request > 0 {
             return (Vec::new(), session.outcome.clone());
@@ -247,7 +253,7 @@
             return rejected(Rejection::StaleRequest);
         }
         let (changes, outcome) = match self.rejection(txn, capacity) {
-            Some(why) => rejected(why),
+            Some(rejection) => rejected(rejection),
             None => (self.set(&txn.sets, revision), Outcome::Applied(revision)),
         };
         if let Some(session) = self.sessions.get_mut(&txn.session) {
@@ -305,21 +311,27 @@
         changes
     }
 
-    /// The state as JSON, as in snapshots.
+    /// The state as JSON, in the form used by snapshots.
     pub fn json(&self) -> Json {
         let keys: Vec<Json> = self
             .keys
             .iter()
             .map(|(key, versioned)| json!([key, versioned.value, versioned.revision]))
             .collect();
-        let session =
-            |(id, of): (&u64, &Session)| json!([id, of.request, of.outcome.json(), of.used]);
+        let session = |(id, session): (&u64, &Session)| {
+            json!([
+                id,
+                session.request,
+                session.outcome.json(),
+                session.last_used
+            ])
+        };
         let sessions: Vec<Json> = self.sessions.iter().map(session).collect();
         json!({"keys": keys, "sessions": sessions})
     }
 
-    /// A state from JSON; `None` if it has another form. In the first version's form, which had
-    /// neither revisions nor sessions, keys count as changed at the revision `at`.
+    /// Parses a state from JSON; `None` if the JSON is not a valid state. The first version of the
+    /// format has neither revisions nor sessions: its keys count as changed at the revision `at`.
     pub fn read(json: &Json, at: u64) -> Option<State> {
         let mut state = State::default();
         if !json["keys"].is_array() {
@@ -342,14 +354,15 @@
             };
             state.keys.insert(key[0].as_str()?.to_owned(), versioned);
         }
-        for of in json["sessions"].as_array()? {
-            let (request, used) = (of[1].as_u64()?, of[3].as_u64()?);
+        for session in json["sessions"].as_array()? {
+            let (request, last_used) = (session[1].as_u64()?, session[3].as_u64()?);
+            let id = session[0].as_u64()?;
             let session = Session {
                 request,
-                outcome: Outcome::read(&of[2])?,
-                used,
+                outcome: Outcome::read(&session[2])?,
+                last_used,
             };
-            state.sessions.insert(of[0].as_u64()?, session);
+            state.sessions.insert(id, session);
         }
         Some(state)
     }
@@ -363,17 +376,17 @@
             Outcome::Rejected(Rejection::CheckFailed(key, found)) => {
                 json!({"refused": "differs", "key": key, "found": found})
             }
-            Outcome::Rejected(why) => {
+            Outcome::Rejected(rejection) => {
                 let word = REJECTION_WORDS
                     .iter()
-                    .find(|(known, _)| known == why)
+                    .find(|(known, _)| known == rejection)
                     .map(|(_, word)| *word);
                 json!({"refused": word})
             }
         }
     }
 
-    /// An outcome from JSON; `None` if it has another form.
+    /// Parses an outcome from JSON; `None` if the JSON is not a valid outcome.
     pub fn read(json: &Json) -> Option<Outcome> {
         if let Some(revision) = json["applied"].as_u64() {
             return Some(Outcome::Applied(revision));
@@ -386,12 +399,12 @@
                 json["found"].as_u64(),
             )));
         }
-        let why = REJECTION_WORDS.iter().find(|(_, known)| *known == word)?;
-        Some(Outcome::Rejected(why.0.clone()))
+        let (rejection, _) = REJECTION_WORDS.iter().find(|(_, known)| *known == word)?;
+        Some(Outcome::Rejected(rejection.clone()))
     }
 }
 
-/// Words of rejections in JSON, other than that of a failed check.
+/// Words of rejections in JSON, except for failed checks.
 const REJECTION_WORDS: &[(Rejection, &str)] = &[
     (Rejection::Full, "full"),
     (Rejection::UnknownSession, "no session"),
--- a/store/src/state/tests.rs
+++ b/store/src/state/tests.rs
@@ -67,8 +67,8 @@
         Outcome::Rejected(Rejection::Full)
     );
     assert_eq!(state.len(), 2);
-    let gone = txn(1, 4, vec![("a", Expects::At(2))], vec![("a", None)]);
-    assert_eq!(outcome(&mut state, 5, &gone), Outcome::Applied(5));
+    let removal = txn(1, 4, vec![("a", Expects::At(2))], vec![("a", None)]);
+    assert_eq!(outcome(&mut state, 5, &removal), Outcome::Applied(5));
     assert_eq!(state.get("a"), None);
 }
 
@@ -89,7 +89,7 @@
     assert_eq!(
         outcome(&mut state, 4, &one),
         Outcome::Applied(2),
-        "what came of it then"
+        "a retry gets the outcome of the first attempt"
     );
     assert_eq!(state.get("a"), Some("2"));
     assert_eq!(
@@ -100,7 +100,7 @@
         outcome(&mut state, 6, &one),
         Outcome::Rejected(Rejection::StaleRequest)
     );
-    // Two further sessions: the one that was not heard of for longest goes.
+    // Two more sessions exceed the limit: the least recently used one is evicted.
     state.apply(7, &Command::Open(8), CAPACITY);
     state.apply(8, &Command::Open(9), CAPACITY);
     assert_eq!(
@@ -111,8 +111,7 @@
 }
 
 proptest! {
-    /// Whatever comes in whatever order: a state and the one that went through its text go on
-    /// alike.
+    /// For any sequence of commands, a state decoded from JSON continues like the original one.
     #[test]
     fn state_round_trips_through_json(
         steps in prop::collection::vec((0u8..4, 0u64..12, 0u64..4, 0u8..3), 0..60), cut in 0usize..60
@@ -121,7 +120,7 @@
         let mut other = state.clone();
         for (at, (kind, session, request, key)) in steps.into_iter().enumerate() {
             if at == cut {
-                other = State::read(&other.json(), 0).expect("its own text");
+                other = State::read(&other.json(), 0).expect("a valid state");
             }
             let (revision, key) = (at as u64 + 1, format!("k{key}"));
             let command = match kind {
@@ -130,7 +129,7 @@
                 2 => txn(session, request, vec![(&key, Expects::Absent)], vec![(&key, Some("t"))]),
                 _ => txn(session, request, vec![], vec![(&key, None)]),
             };
-            let read = Command::read(&command.json()).expect("its own text");
+            let read = Command::read(&command.json()).expect("a valid command");
             prop_assert_eq!(&read, &command);
             prop_assert_eq!(state.apply(revision, &command, CAPACITY), other.apply(revision, &read, CAPACITY));
             prop_assert!(state.len() <= CAPACITY.keys && state.sessions.len() <= CAPACITY.sessions);
--- a/store/tests/wire_format.rs
+++ b/store/tests/wire_format.rs
@@ -1,6 +1,6 @@
-//! Pins the stored and sent bytes: the records of a member's file in its three formats and the
-//! packets between members. The fixtures were written by the program before its names changed; a
-//! renamed type or field must leave them as they are.
+//! Pins the bytes of stored records, in the three formats of a member's file, and of messages
+//! between members. An earlier version of the program wrote the fixtures; renamed types or fields
+//! must not change them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use store::command::{Change, Check, Command, Expects, Txn};
@@ -8,12 +8,12 @@
 use store::message::{Envelope, KINDS, Message};
 use store::persisted::PersistedState;
 use store::record::{MAGIC, Record, encode, read, read_lines};
-use store::rejoin::{History, Peer, PeerStatus, StatusRequest, StatusResponse};
+use store::rejoin::{FileState, Peer, PeerStatus, StatusRequest, StatusResponse};
 use store::state::{Capacity, Outcome, Rejection, State};
 
 const FILE: &[u8] = include_bytes!("fixtures/file-v3.bin");
 const LINES: &str = include_str!("fixtures/file-v1.jsonl");
-const PACKETS: &str = include_str!("fixtures/packets.jsonl");
+const MESSAGES: &str = include_str!("fixtures/packets.jsonl");
 const SUMMARY: &str = include_str!("fixtures/summary.txt");
 
 fn change(key: &str, value: Option<&str>) -> Change {
@@ -54,7 +54,7 @@
     }
 }
 
-/// A state with keys and with sessions, one for each outcome that a session can have.
+/// A state with keys, and with one session for each outcome that a session can have.
 fn state() -> State {
     let capacity = Capacity {
         keys: 2,
@@ -116,18 +116,18 @@
     ]
 }
 
-fn packets() -> Vec<Envelope> {
+fn envelopes() -> Vec<Envelope> {
     let last = Position { index: 9, term: 3 };
-    let asks = [History::None, History::Claimed, History::Intact].map(|past| {
+    let requests = [FileState::Missing, FileState::Claimed, FileState::Intact].map(|file_state| {
         Message::StatusRequest(StatusRequest {
             incarnation: 11,
-            past,
+            file_state,
             generation: 2,
             starts: 6,
             last,
         })
     });
-    let answers = [
+    let responses = [
         PeerStatus::Empty,
         PeerStatus::Joined,
         PeerStatus::Unverified,
@@ -153,7 +153,7 @@
         Message::AppendEntriesResponse { last },
         Message::InstallSnapshot {
             snapshot: snapshot(),
-            restores: 11,
+            requested_by: 11,
         },
         Message::Propose(Command::Txn(txn())),
         Message::Propose(Command::Put(change("k", Some("v")))),
@@ -179,8 +179,8 @@
             last,
         },
     ];
-    messages.extend(asks);
-    messages.extend(answers);
+    messages.extend(requests);
+    messages.extend(responses);
     let envelope = |(at, message)| Envelope {
         from: 2,
         cluster: 7,
@@ -191,13 +191,13 @@
         generations: BTreeMap::from([(1, 2), (3, 1)]),
         message,
     };
-    let mut packets: Vec<Envelope> = messages.into_iter().enumerate().map(envelope).collect();
-    // Of a member that has lost no file and knows of none that has.
-    packets.push(Envelope {
+    let mut envelopes: Vec<Envelope> = messages.into_iter().enumerate().map(envelope).collect();
+    // Envelopes without generations omit these fields.
+    envelopes.push(Envelope {
         from: 1,
         ..Envelope::default()
     });
-    packets
+    envelopes
 }
 
 #[test]
@@ -212,9 +212,9 @@
 
 #[test]
 fn reads_the_second_format() {
-    let mut former = FILE.to_vec();
-    former[..8].copy_from_slice(b"bittern\x02");
-    assert_eq!(read(&former).expect("a file").records, records());
+    let mut second = FILE.to_vec();
+    second[..8].copy_from_slice(b"bittern\x02");
+    assert_eq!(read(&second).expect("a file").records, records());
 }
 
 #[test]
@@ -236,32 +236,32 @@
 }
 
 #[test]
-fn writes_and_reads_packets() {
-    let written: String = packets().iter().map(Envelope::write).collect();
-    assert_eq!(written, PACKETS);
-    let read: Vec<Envelope> = PACKETS
+fn writes_and_reads_messages() {
+    let written: String = envelopes().iter().map(Envelope::write).collect();
+    assert_eq!(written, MESSAGES);
+    let read: Vec<Envelope> = MESSAGES
         .lines()
-        .map(|line| Envelope::read(line.as_bytes()).expect("a packet"))
+        .map(|line| Envelope::read(line.as_bytes()).expect("a message"))
         .collect();
-    assert_eq!(read, packets());
+    assert_eq!(read, envelopes());
     for (kind, _) in KINDS {
-        let sent = PACKETS.contains(&format!("\"kind\":\"{kind}\""));
-        assert!(sent, "no packet of kind {kind}");
+        let covered = MESSAGES.contains(&format!("\"kind\":\"{kind}\""));
+        assert!(covered, "no message of kind {kind}");
     }
 }
 
 #[test]
 fn writes_and_reads_outcomes() {
-    let rejected = |why| Outcome::Rejected(why);
-    let differs = |found| rejected(Rejection::CheckFailed("k".to_owned(), found));
+    let rejected = |rejection| Outcome::Rejected(rejection);
+    let check_failed = |found| rejected(Rejection::CheckFailed("k".to_owned(), found));
     for (outcome, text) in [
         (Outcome::Applied(4), r#"{"applied":4}"#),
         (
-            differs(Some(3)),
+            check_failed(Some(3)),
             r#"{"found":3,"key":"k","refused":"differs"}"#,
         ),
         (
-            differs(None),
+            check_failed(None),
             r#"{"found":null,"key":"k","refused":"differs"}"#,
         ),
         (rejected(Rejection::Full), r#"{"refused":"full"}"#),
