--- a/store/tests/rejoin_model.rs
+++ b/store/tests/rejoin_model.rs
@@ -1,7 +1,7 @@
-//! Model check of the rule by which a member that has lost its file becomes active again: every
-//! order in which messages may be delivered, lost or duplicated, every election, and every moment
-//! at which a file may be lost, within bounds on terms, entries and losses. The rule is abstracted
-//! from `store/src/rejoin.rs`; that the code keeps to it is the simulation's part.
+//! Model check of the rule by which a member that has lost its file becomes active again. Covers
+//! every order of message delivery, loss and duplication, every election and every file loss,
+//! within bounds on terms, entries and losses. The model abstracts the rule of
+//! `store/src/rejoin.rs`; the simulations test that the code follows the rule.
 //!
 //! `REJOIN_MODEL=full cargo test --release -p bitternsill-store --test rejoin_model -- --nocapture`
 //! checks the larger bounds.
@@ -9,29 +9,37 @@
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which part of the rule is left out, to show that the check finds it.
+/// Safety property: at most one leader per term, and no committed entry is lost.
+const SAFE: &str = "at most one leader per term, and no committed entry is lost";
+/// Reachability property, which shows that the model exercises the rule.
+const REJOINED: &str = "a member that lost its file becomes active again";
+
+/// The part of the rule that is left out, to show that the check detects its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Rule {
     Complete,
-    /// A member without its file votes at once.
+    /// A member that has lost its file votes at once.
     VotesImmediately,
-    /// It catches up with any leader, whatever that has committed.
-    NoCatchUpBar,
-    /// Messages of its earlier generations still count.
+    /// A member that has lost its file accepts any leader's state, however old.
+    NoCatchUpTarget,
+    /// Messages of a member's earlier generations still count.
     AcceptsStaleGenerations,
 }
 
 type Log = Vec<u8>;
-type Rank = (u8, u8);
+/// Last term and length of a log: the greater, the more up to date.
+type Recency = (u8, u8);
 
-fn recency(log: &Log) -> Rank {
+fn recency(log: &Log) -> Recency {
     (log.last().copied().unwrap_or(0), log.len() as u8)
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Role {
     Follower,
+    /// With the members whose votes were received.
     Candidate(BTreeSet<u8>),
+    /// With the log length that each member has acknowledged.
     Leader(BTreeMap<u8, u8>),
 }
 
@@ -39,8 +47,8 @@
 enum Status {
     Active,
     Lost,
-    /// It has claimed its generation; with the terms and log ends in the responses of others.
-    Claimed(BTreeMap<u8, (u8, Rank)>),
+    /// The member has claimed its generation; with the terms and log ends of the responses.
+    Claimed(BTreeMap<u8, (u8, Recency)>),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -51,6 +59,7 @@
     role: Role,
     status: Status,
     generation: u8,
+    /// Known generation of each member.
     known: Vec<u8>,
 }
 
@@ -59,7 +68,7 @@
     RequestVote {
         from: u8,
         term: u8,
-        last: Rank,
+        last: Recency,
     },
     RequestVoteResponse {
         from: u8,
@@ -90,7 +99,7 @@
         to: u8,
         generation: u8,
         term: u8,
-        last: Rank,
+        last: Recency,
     },
     Committed {
         from: u8,
@@ -105,10 +114,12 @@
     /// All messages ever sent: each may be delivered at any time, any number of times, or never.
     sent: BTreeSet<Message>,
     losses: u8,
-    /// The committed log, and the leader of each term: a conflict in either is the violation.
+    /// The committed log.
     committed: Log,
+    /// The leader of each term.
     leaders: BTreeMap<u8, u8>,
-    broken: bool,
+    /// Whether committed logs or leaders of one term have conflicted.
+    violated: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -127,7 +138,7 @@
     terms: u8,
     entries: usize,
     losses: u8,
-    /// So many of the members, from the first on, may lose their files.
+    /// Number of members, from the first one, that may lose their files.
     losable_members: u8,
 }
 
@@ -142,7 +153,7 @@
 }
 
 impl Member {
-    fn fresh(members: usize) -> Member {
+    fn new(members: usize) -> Member {
         Member {
             term: 0,
             vote: None,
@@ -160,7 +171,7 @@
         }
     }
 
-    /// Whether a message of this generation counts; learns the generations that it carries.
+    /// Whether a message of this generation is accepted. Learns the generations that it carries.
     fn accepts(&mut self, rule: Rule, from: u8, generation: u8, known: &[u8]) -> bool {
         if rule == Rule::AcceptsStaleGenerations {
             return true;
@@ -184,12 +195,12 @@
 impl State {
     fn initial(members: usize) -> State {
         State {
-            members: vec![Member::fresh(members); members],
+            members: vec![Member::new(members); members],
             sent: BTreeSet::new(),
             losses: 0,
             committed: Vec::new(),
             leaders: BTreeMap::new(),
-            broken: false,
+            violated: false,
         }
     }
 
@@ -199,7 +210,7 @@
         } else {
             (&self.committed[..], log)
         };
-        self.broken |= !long.starts_with(short);
+        self.violated |= !long.starts_with(short);
         if log.len() > self.committed.len() {
             self.committed = log.to_vec();
         }
@@ -211,9 +222,9 @@
         match message {
             Message::RequestVote { from, term, last } if active => {
                 member.advance_term(*term);
-                let free = member.vote.is_none_or(|vote| vote == *from);
+                let may_vote = member.vote.is_none_or(|vote| vote == *from);
                 if *term == member.term
-                    && free
+                    && may_vote
                     && *last >= recency(&member.log)
                     && member.role == Role::Follower
                 {
@@ -241,7 +252,7 @@
                 {
                     votes.insert(*from);
                     if votes.len() >= bounds.majority() {
-                        self.broken |= self
+                        self.violated |= self
                             .leaders
                             .insert(member.term, to)
                             .is_some_and(|other| other != to);
@@ -288,11 +299,13 @@
                     *ack = (*ack).max(*length);
                     let acked =
                         |n: usize| acks.values().filter(|ack| **ack as usize >= n).count() + 1;
-                    let most = (1..=member.log.len())
+                    let majority_length = (1..=member.log.len())
                         .rev()
                         .find(|n| acked(*n) >= bounds.majority());
-                    if let Some(most) = most.filter(|n| member.log[n - 1] == member.term) {
-                        let log = member.log[..most].to_vec();
+                    if let Some(length) =
+                        majority_length.filter(|n| member.log[n - 1] == member.term)
+                    {
+                        let log = member.log[..length].to_vec();
                         self.commit(&log);
                         self.sent.insert(Message::Committed {
                             from: to,
@@ -332,16 +345,16 @@
                 }
             }
             Message::Committed { from, term, log } => {
-                let catch_up_bar = match &member.status {
+                let catch_up_target = match &member.status {
                     Status::Claimed(received) if received.len() >= bounds.majority() => {
                         let terms = received.values().map(|received| received.0).max();
                         terms.zip(received.values().map(|received| received.1).max())
                     }
                     _ => None,
                 };
-                let enough = |(least, last): (u8, Rank)| *term >= least && recency(log) >= last;
-                if catch_up_bar.is_some_and(|catch_up_bar| {
-                    enough(catch_up_bar) || bounds.rule == Rule::NoCatchUpBar
+                let reaches = |(least, last): (u8, Recency)| *term >= least && recency(log) >= last;
+                if catch_up_target.is_some_and(|catch_up_target| {
+                    reaches(catch_up_target) || bounds.rule == Rule::NoCatchUpTarget
                 }) {
                     (member.term, member.vote, member.log) = (*term, Some(*from), log.clone());
                     member.status = Status::Active;
@@ -361,7 +374,7 @@
         vec![self.start.clone()]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Action>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         let count = state.members.len();
         let impaired = state
             .members
@@ -372,20 +385,20 @@
             match &member.status {
                 Status::Active => {
                     if member.term < self.terms && !matches!(member.role, Role::Leader(_)) {
-                        acts.push(Action::StartElection(at));
+                        actions.push(Action::StartElection(at));
                     }
                     if matches!(member.role, Role::Leader(_)) && member.log.len() < self.entries {
-                        acts.push(Action::Propose(at));
+                        actions.push(Action::Propose(at));
                     }
                     if at < self.losable_members
                         && state.losses < self.losses
                         && impaired < count - self.majority()
                     {
-                        acts.push(Action::LoseFile(at));
+                        actions.push(Action::LoseFile(at));
                     }
                 }
                 Status::Lost => {
-                    // Any m sound others may be those that were asked.
+                    // The responses may come from any majority of active members.
                     let others: Vec<u8> = (0..count as u8)
                         .filter(|other| Self::is_active(&state.members[*other as usize].status))
                         .collect();
@@ -393,7 +406,7 @@
                         if chosen.count_ones() as usize == self.majority() {
                             let is_in = |n: &usize| chosen >> n & 1 == 1;
                             let set = (0..others.len()).filter(is_in).map(|n| others[n]).collect();
-                            acts.push(Action::ClaimGeneration(at, set));
+                            actions.push(Action::ClaimGeneration(at, set));
                         }
                     }
                 }
@@ -413,16 +426,16 @@
                     vec![*to]
                 }
             };
-            acts.extend(
+            actions.extend(
                 to.into_iter()
                     .map(|to| Action::Deliver(to, message.clone())),
             );
         }
     }
 
-    fn next_state(&self, state: &State, act: Action) -> Option<State> {
+    fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
-        match act {
+        match action {
             Action::StartElection(at) => {
                 let member = &mut next.members[at as usize];
                 (member.term, member.vote) = (member.term + 1, Some(at));
@@ -453,11 +466,11 @@
                 };
                 next.members[at as usize] = Member {
                     status,
-                    ..Member::fresh(state.members.len())
+                    ..Member::new(state.members.len())
                 };
             }
-            Action::ClaimGeneration(at, asked) => {
-                let known = asked
+            Action::ClaimGeneration(at, responders) => {
+                let known = responders
                     .iter()
                     .map(|other| state.members[*other as usize].known[at as usize])
                     .max();
@@ -477,23 +490,17 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(
-                "one leader a term, and nothing committed is lost",
-                |_, state: &State| !state.broken,
-            ),
-            Property::sometimes(
-                "a member that had lost its past counts again",
-                |_, state: &State| {
-                    let again = |m: &Member| m.generation > 0 && m.status == Status::Active;
-                    state.members.iter().any(again) && !state.committed.is_empty()
-                },
-            ),
+            Property::always(SAFE, |_, state: &State| !state.violated),
+            Property::sometimes(REJOINED, |_, state: &State| {
+                let rejoined = |m: &Member| m.generation > 0 && m.status == Status::Active;
+                state.members.iter().any(rejoined) && !state.committed.is_empty()
+            }),
         ]
     }
 }
 
-/// Three members from the begin; any of them may lose its file.
-fn three(rule: Rule, terms: u8, entries: usize, losses: u8) -> Bounds {
+/// Three members from the initial state; any of them may lose its file.
+fn three_members(rule: Rule, terms: u8, entries: usize, losses: u8) -> Bounds {
     Bounds {
         rule,
         start: State::initial(3),
@@ -504,9 +511,9 @@
     }
 }
 
-/// Three members, the second of which leads in the first term with the vote of the first; the third
-/// has heard of nothing. The first may lose its file.
-fn led(rule: Rule) -> Bounds {
+/// Three members. The second leads the first term by the vote of the first; the third has received
+/// no message. The first may lose its file.
+fn three_members_with_leader(rule: Rule) -> Bounds {
     let mut start = State::initial(3);
     for at in [0, 1] {
         let member = &mut start.members[at];
@@ -538,10 +545,10 @@
     }
 }
 
-/// Five members, the third of which leads in the first term and has committed an entry with the
-/// fourth and fifth; the first has given the second its vote for the second term, which is on its
-/// way.
-fn five(rule: Rule) -> Bounds {
+/// Five members. The third leads the first term and has committed an entry with the fourth and
+/// fifth. The first has voted for the second in the second term, the vote is in flight, and the
+/// first has since lost its file.
+fn five_members_with_vote_in_flight(rule: Rule) -> Bounds {
     let mut start = State::initial(5);
     for at in [2, 3, 4] {
         let member = &mut start.members[at];
@@ -572,10 +579,10 @@
         generation,
         known,
     });
-    // Only the first may lose its file; the bound on losses sees to that with the standing below.
+    // The first member has already lost its file; the bounds below allow no further loss.
     start.members[0] = Member {
         status: Status::Lost,
-        ..Member::fresh(5)
+        ..Member::new(5)
     };
     Bounds {
         rule,
@@ -591,37 +598,42 @@
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     let rule = bounds.rule;
     let checker = bounds.checker().threads(threads).spawn_bfs().join();
-    let broken = checker
-        .discovery("one leader a term, and nothing committed is lost")
-        .is_some();
+    let violated = checker.discovery(SAFE).is_some();
     let (unique, depth) = (checker.unique_state_count(), checker.max_depth());
     println!(
         "{name}, {rule:?}: {unique} states, depth {depth}, {}",
-        if broken { "broken" } else { "kept" }
+        if violated { "violated" } else { "safe" }
     );
     if rule == Rule::Complete {
         assert!(
-            checker
-                .discovery("a member that had lost its past counts again")
-                .is_some(),
-            "{name}: nothing was checked"
+            checker.discovery(REJOINED).is_some(),
+            "{name}: no member that lost its file became active again"
         );
     }
-    !broken
+    !violated
 }
 
 #[test]
 fn rejoin_rule_is_safe_and_every_part_is_needed() {
-    assert!(check("three members, led", led(Rule::Complete)));
-    assert!(!check("three members, led", led(Rule::VotesImmediately)));
-    assert!(!check("three members, led", led(Rule::NoCatchUpBar)));
+    let with_leader = |rule| {
+        check(
+            "three members with a leader",
+            three_members_with_leader(rule),
+        )
+    };
+    assert!(with_leader(Rule::Complete));
+    assert!(!with_leader(Rule::VotesImmediately));
+    assert!(!with_leader(Rule::NoCatchUpTarget));
     if std::env::var("REJOIN_MODEL").is_ok_and(|which| which == "full") {
-        // With three members whoever stands for election is among those that answered; with five it
-        // need not be.
-        assert!(!check("five members", five(Rule::AcceptsStaleGenerations)));
+        // With three members every candidate is among those that responded to the claim. With five
+        // a candidate need not be, so only five members show that stale generations are unsafe.
+        assert!(!check(
+            "five members, vote in flight",
+            five_members_with_vote_in_flight(Rule::AcceptsStaleGenerations)
+        ));
         assert!(check(
-            "three members from the begin",
-            three(Rule::Complete, 2, 1, 1)
+            "three members",
+            three_members(Rule::Complete, 2, 1, 1)
         ));
     }
 }
--- a/store/tests/simulation.rs
+++ b/store/tests/simulation.rs
@@ -1,45 +1,49 @@
-//! Members under lost, late and doubled packets, one-way cuts, crashes that lose what was not
-//! synced, and lost files; by seed, so that a seed that fails does so again. `STORE_SEEDS=10000
-//! cargo test --release -p bitternsill-store --test simulation` plays as many.
+//! Simulation of members under lost, delayed and duplicated messages, one-way partitions, crashes
+//! that lose unsynced writes, and lost files. Runs are reproducible by seed. More seeds are run by
+//! `STORE_SEEDS=10000 cargo test --release -p bitternsill-store --test simulation`.
 
 mod world;
 
-use world::{PlantedFault, World, first_failure, seeds};
+use world::{InjectedFault, World, first_failure, seeds};
 
 #[test]
 fn committed_changes_survive_faults() {
     let failed = first_failure(seeds(), |seed| {
-        World::new(seed, [3, 5, 7][seed as usize % 3], PlantedFault::Nothing).play()
+        World::new(seed, [3, 5, 7][seed as usize % 3], InjectedFault::None).run()
     });
     assert_eq!(failed, None);
-    let mut world = World::new(0, 3, PlantedFault::Nothing);
-    world.play().unwrap();
-    assert!(world.furthest > 5, "hardly anything was committed");
+    let mut world = World::new(0, 3, InjectedFault::None);
+    world.run().unwrap();
+    assert!(
+        world.max_applied > 5,
+        "too few entries were committed: {}",
+        world.max_applied
+    );
 }
 
-/// Each fault is found, from a seed on that is known to find it, so that a few are enough; with
-/// `STORE_SEEDS` from 0 on.
+/// Each injected fault is detected. The search starts at a seed that is known to detect the fault,
+/// so that a few seeds suffice; with `STORE_SEEDS` above 60 it starts at seed 0.
 #[test]
-fn finds_planted_faults() {
-    for (planted, count, known) in [
-        (PlantedFault::AcknowledgesBeforeSync, 7, 0),
-        (PlantedFault::VotesAfterLoss, 5, 1),
-        (PlantedFault::ForgetsVote, 3, 17_880),
-        (PlantedFault::NoCatchUpBar, 5, 62_062),
-        (PlantedFault::VotesForAnyone, 3, 0),
+fn detects_injected_faults() {
+    for (fault, count, known_seed) in [
+        (InjectedFault::AcknowledgesBeforeSync, 7, 0),
+        (InjectedFault::VotesAfterLoss, 5, 1),
+        (InjectedFault::ForgetsVote, 3, 17_880),
+        (InjectedFault::NoCatchUpTarget, 5, 62_062),
+        (InjectedFault::VotesForAnyone, 3, 0),
     ] {
         let (from, seeds) = if seeds() > 60 {
             (0, 80_000)
         } else {
-            (known, 300)
+            (known_seed, 300)
         };
-        let found = first_failure(seeds, |seed| World::new(from + seed, count, planted).play());
-        let (seed, problem) = found.unwrap_or_else(|| panic!("{planted:?} went unnoticed"));
-        // The same seed without the fault is no failure.
-        let world = || World::new(from + seed, count, PlantedFault::Nothing);
-        assert_eq!(world().play(), Ok(()), "{planted:?}: seed {}", from + seed);
+        let found = first_failure(seeds, |seed| World::new(from + seed, count, fault).run());
+        let (seed, failure) = found.unwrap_or_else(|| panic!("{fault:?} was not detected"));
+        // The same seed passes without the fault.
+        let world = || World::new(from + seed, count, InjectedFault::None);
+        assert_eq!(world().run(), Ok(()), "{fault:?}: seed {}", from + seed);
         println!(
-            "{planted:?}: {count} members, seed {}: {problem}",
+            "{fault:?}: {count} members, seed {}: {failure}",
             from + seed
         );
     }
--- a/store/tests/transactions.rs
+++ b/store/tests/transactions.rs
@@ -1,94 +1,93 @@
-//! Transactions and reads under faults, by seed: each transaction is applied atomically and at most
-//! once, and the history of all replies is linearizable.
+//! Simulation of transactions and reads under faults, reproducible by seed: each transaction is
+//! applied atomically and at most once, and the history of all replies is linearizable.
 
 mod world;
 
 use store::Time;
 use store::command::{Change, Check, Expects, Txn};
 use store::member::{Call, CallId, Reply};
-
 use store::state::{Outcome, Rejection};
-use world::{MS, PlantedFault, World, first_failure, seeds};
+use world::{InjectedFault, MS, World, first_failure, seeds};
 
-const PATIENCE: Time = 800 * MS;
+const CALL_TIMEOUT: Time = 800 * MS;
 
-/// A fault of the client, to show that the checks would find it.
+/// A fault in the clients that the simulation injects, to show that the checks detect the fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Client {
-    Active,
-    /// It reads the state of the member without a read index.
-    ReadsUnasked,
-    /// It retries a transaction under a new request number and without its checks.
+enum ClientFault {
+    None,
+    /// Clients read a member's state without a read index.
+    ReadsWithoutReadIndex,
+    /// Clients retry a transaction under a new request number and without its checks.
     RetriesAsNewRequest,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum Doing {
-    Nothing,
-    Opening,
-    PendingRead,
-    Changing(Txn),
+enum ClientState {
+    Idle,
+    OpeningSession,
+    Reading,
+    Committing(Txn),
 }
 
-/// A client that increments two keys in one transaction, repeatedly.
-struct Counter {
-    doing: Doing,
+/// A client that repeatedly increments two keys in one transaction.
+struct Client {
+    state: ClientState,
     member: u64,
     call: CallId,
-    begun: Time,
+    started: Time,
     session: Option<u64>,
     request: u64,
 }
 
-/// A call with its reply: its interval and its revision.
-struct Seen {
-    begun: Time,
+/// A completed call, with its time span and revision.
+struct CompletedCall {
+    started: Time,
     ended: Time,
     revision: u64,
-    /// For a read: the count.
+    /// The counter value of a read; `None` for a transaction.
     count: Option<u64>,
 }
 
 struct Clients {
-    kind: Client,
-    counters: Vec<Counter>,
-    next: CallId,
-    seen: Vec<Seen>,
+    fault: ClientFault,
+    clients: Vec<Client>,
+    last_call: CallId,
+    history: Vec<CompletedCall>,
     applied: u64,
-    /// Transactions of evicted sessions, whose outcome is unknown.
-    lost: u64,
+    /// Transactions of evicted sessions, whose outcomes are unknown.
+    unknown: u64,
 }
 
 impl Clients {
-    fn new(kind: Client) -> Clients {
-        let counter = |_| Counter {
-            doing: Doing::Nothing,
+    fn new(fault: ClientFault) -> Clients {
+        let client = |_| Client {
+            state: ClientState::Idle,
             member: 1,
             call: 0,
-            begun: 0,
+            started: 0,
             session: None,
             request: 0,
         };
-        let counters = (0..4).map(counter).collect();
+        let clients = (0..4).map(client).collect();
         Clients {
-            kind,
-            counters,
-            next: 0,
-            seen: Vec::new(),
+            fault,
+            clients,
+            last_call: 0,
+            history: Vec::new(),
             applied: 0,
-            lost: 0,
+            unknown: 0,
         }
     }
 
     /// Whether no transaction is in flight.
-    fn is_quiet(&self) -> bool {
+    fn is_quiescent(&self) -> bool {
         !self
-            .counters
+            .clients
             .iter()
-            .any(|counter| matches!(counter.doing, Doing::Changing(_)))
+            .any(|client| matches!(client.state, ClientState::Committing(_)))
     }
 
-    fn step(&mut self, world: &mut World, begin: bool) -> Result<(), String> {
+    fn step(&mut self, world: &mut World, starts_calls: bool) -> Result<(), String> {
         let count = world.members.len() as u64;
         let mut replies = Vec::new();
         for (id, member) in &mut world.members {
@@ -101,92 +100,89 @@
                 );
             }
         }
-        for at in 0..self.counters.len() {
-            let counter = &self.counters[at];
+        for at in 0..self.clients.len() {
+            let client = &self.clients[at];
             let own =
-                |(_, call, _): &&(u64, CallId, Reply)| *call == counter.call && counter.call > 0;
+                |(_, call, _): &&(u64, CallId, Reply)| *call == client.call && client.call > 0;
             let reply = replies.iter().find(own).map(|(.., reply)| reply.clone());
-            // A member without power does not reply.
-            let delay = world.now > counter.begun + PATIENCE + 50 * MS;
-            let reply = reply
-                .or_else(|| (delay && counter.doing != Doing::Nothing).then_some(Reply::Unknown));
+            // A member without power does not reply, so the client times out too.
+            let timed_out = world.now > client.started + CALL_TIMEOUT + 50 * MS;
+            let reply = reply.or_else(|| {
+                (timed_out && client.state != ClientState::Idle).then_some(Reply::Unknown)
+            });
             if let Some(reply) = reply {
-                self.answered(at, reply, world)?;
+                self.on_reply(at, reply, world)?;
             }
-            let counter = &self.counters[at];
-            if counter.doing == Doing::Nothing && begin && world.rng.u8(..) < 20 {
+            let client = &self.clients[at];
+            if client.state == ClientState::Idle && starts_calls && world.rng.u8(..) < 20 {
                 let member = 1 + world.rng.u64(0..count);
-                let doing = if counter.session.is_none() {
-                    Doing::Opening
+                let state = if client.session.is_none() {
+                    ClientState::OpeningSession
                 } else {
-                    Doing::PendingRead
+                    ClientState::Reading
                 };
-                self.ask(at, member, doing, world);
+                self.start_call(at, member, state, world);
             }
         }
         Ok(())
     }
 
-    fn ask(&mut self, at: usize, member: u64, doing: Doing, world: &mut World) {
-        self.next += 1;
-        let counter = &mut self.counters[at];
-        let again = matches!(
-            (&counter.doing, &doing),
-            (Doing::Changing(_), Doing::Changing(_))
-        );
-        (counter.member, counter.call, counter.doing) = (member, self.next, doing);
-        counter.begun = world.now;
-        let _ = again;
-        let call = match &counter.doing {
-            Doing::Nothing => return,
-            Doing::Opening => Call::Open,
-            Doing::PendingRead => Call::Read,
-            Doing::Changing(txn) => Call::Txn(txn.clone()),
+    fn start_call(&mut self, at: usize, member: u64, state: ClientState, world: &mut World) {
+        self.last_call += 1;
+        let client = &mut self.clients[at];
+        (client.member, client.call, client.state) = (member, self.last_call, state);
+        client.started = world.now;
+        let call = match &client.state {
+            ClientState::Idle => return,
+            ClientState::OpeningSession => Call::Open,
+            ClientState::Reading => Call::Read,
+            ClientState::Committing(txn) => Call::Txn(txn.clone()),
         };
-        let unasked = self.kind == Client::ReadsUnasked && call == Call::Read;
-        let (now, id) = (world.now, self.next);
+        let skips_read_index =
+            self.fault == ClientFault::ReadsWithoutReadIndex && call == Call::Read;
+        let (now, id) = (world.now, self.last_call);
         if let Some(store) = world
             .members
             .get_mut(&member)
             .and_then(|member| member.store.as_mut())
         {
-            if unasked {
+            if skips_read_index {
                 let revision = store.applied();
-                let _ = self.answered(at, Reply::Read(revision), world);
+                let _ = self.on_reply(at, Reply::Read(revision), world);
                 return;
             }
-            let _ = store.call(id, call, PATIENCE, now);
+            let _ = store.call(id, call, CALL_TIMEOUT, now);
         }
     }
 
-    fn answered(&mut self, at: usize, reply: Reply, world: &mut World) -> Result<(), String> {
-        let (begun, now) = (self.counters[at].begun, world.now);
-        let counter = &mut self.counters[at];
-        match (counter.doing.clone(), reply) {
-            (Doing::Opening, Reply::Opened(session)) => {
-                (counter.session, counter.request, counter.doing) =
-                    (Some(session), 0, Doing::Nothing);
+    fn on_reply(&mut self, at: usize, reply: Reply, world: &mut World) -> Result<(), String> {
+        let (started, now) = (self.clients[at].started, world.now);
+        let client = &mut self.clients[at];
+        match (client.state.clone(), reply) {
+            (ClientState::OpeningSession, Reply::Opened(session)) => {
+                (client.session, client.request, client.state) =
+                    (Some(session), 0, ClientState::Idle);
             }
-            (Doing::PendingRead, Reply::Read(answered)) => {
-                let store = world.members[&counter.member]
+            (ClientState::Reading, Reply::Read(read_revision)) => {
+                let store = world.members[&client.member]
                     .store
                     .as_ref()
-                    .ok_or("it has just answered")?;
-                // The state may be newer by now than the reply.
-                let revision = store.applied().max(answered);
+                    .ok_or("the member that replied is down")?;
+                // The state may be newer than the reply by now.
+                let revision = store.applied().max(read_revision);
                 let versioned = ["a", "b"].map(|key| store.state().versioned(key).cloned());
                 let [one, other] = &versioned;
                 if one != other {
-                    return Err(format!("half of a change is seen: {versioned:?}"));
+                    return Err(format!("partially applied transaction: {versioned:?}"));
                 }
-                let counted = one
+                let count = one
                     .as_ref()
                     .map_or(0, |versioned| versioned.value.parse().unwrap_or(0));
-                self.seen.push(Seen {
-                    begun,
+                self.history.push(CompletedCall {
+                    started,
                     ended: now,
                     revision,
-                    count: Some(counted),
+                    count: Some(count),
                 });
                 let check = |key: &str| Check {
                     key: key.to_owned(),
@@ -196,92 +192,96 @@
                 };
                 let set = |key: &str| Change {
                     key: key.to_owned(),
-                    value: Some((counted + 1).to_string()),
+                    value: Some((count + 1).to_string()),
                 };
-                counter.request += 1;
+                client.request += 1;
                 let txn = Txn {
-                    session: counter.session.unwrap_or(0),
-                    request: counter.request,
+                    session: client.session.unwrap_or(0),
+                    request: client.request,
                     checks: ["a", "b"].map(check).to_vec(),
                     sets: ["a", "b"].map(set).to_vec(),
                 };
-                let member = counter.member;
-                self.ask(at, member, Doing::Changing(txn), world);
+                let member = client.member;
+                self.start_call(at, member, ClientState::Committing(txn), world);
             }
-            (Doing::Changing(_), Reply::Txn(Outcome::Applied(revision))) => {
-                counter.doing = Doing::Nothing;
+            (ClientState::Committing(_), Reply::Txn(Outcome::Applied(revision))) => {
+                client.state = ClientState::Idle;
                 self.applied += 1;
-                // The reply may be to an earlier attempt, which started no later than this one.
-                self.seen.push(Seen {
-                    begun: 0,
+                // The reply may belong to an earlier attempt, whose start is not recorded.
+                self.history.push(CompletedCall {
+                    started: 0,
                     ended: now,
                     revision,
                     count: None,
                 });
             }
-            (Doing::Changing(_), Reply::Txn(Outcome::Rejected(Rejection::UnknownSession))) => {
-                (counter.doing, counter.session) = (Doing::Nothing, None);
-                self.lost += 1;
+            (
+                ClientState::Committing(_),
+                Reply::Txn(Outcome::Rejected(Rejection::UnknownSession)),
+            ) => {
+                (client.state, client.session) = (ClientState::Idle, None);
+                self.unknown += 1;
             }
-            (Doing::Changing(_), Reply::Txn(Outcome::Rejected(_))) => {
-                counter.doing = Doing::Nothing
+            (ClientState::Committing(_), Reply::Txn(Outcome::Rejected(_))) => {
+                client.state = ClientState::Idle
             }
-            (Doing::Changing(mut txn), Reply::Unknown) => {
-                if self.kind == Client::RetriesAsNewRequest {
-                    counter.request += 1;
-                    (txn.request, txn.checks) = (counter.request, Vec::new());
+            (ClientState::Committing(mut txn), Reply::Unknown) => {
+                if self.fault == ClientFault::RetriesAsNewRequest {
+                    client.request += 1;
+                    (txn.request, txn.checks) = (client.request, Vec::new());
                 }
                 let member = 1 + world.rng.u64(0..world.members.len() as u64);
-                self.ask(at, member, Doing::Changing(txn), world);
+                self.start_call(at, member, ClientState::Committing(txn), world);
             }
-            (_, Reply::Unknown) => counter.doing = Doing::Nothing,
-            (doing, reply) => return Err(format!("{reply:?} to {doing:?}")),
+            (_, Reply::Unknown) => client.state = ClientState::Idle,
+            (state, reply) => return Err(format!("unexpected reply {reply:?} in state {state:?}")),
         }
         Ok(())
     }
 
-    /// Whether the history is linearizable, with each transaction counted once.
-    fn judge(&self, world: &World) -> Result<(), String> {
+    /// Checks that the history is linearizable, and that each transaction was applied once.
+    fn check_history(&self, world: &World) -> Result<(), String> {
         let store = world
             .members
             .values()
             .find_map(|member| member.store.as_ref())
-            .ok_or("nobody is up")?;
-        let counted: u64 = store
+            .ok_or("no member is up")?;
+        let count: u64 = store
             .state()
             .get("a")
             .map_or(0, |value| value.parse().unwrap_or(0));
-        let made = self.applied..=self.applied + self.lost;
-        if !made.contains(&counted) {
+        let possible_counts = self.applied..=self.applied + self.unknown;
+        if !possible_counts.contains(&count) {
             return Err(format!(
-                "{} changes were made, and the count is {counted}",
+                "{} transactions were acknowledged, but the count is {count}",
                 self.applied
             ));
         }
-        let mut by_end: Vec<&Seen> = self.seen.iter().collect();
-        by_end.sort_by_key(|seen| seen.ended);
-        for seen in &self.seen {
-            let before = by_end.iter().take_while(|other| other.ended < seen.begun);
+        let mut by_end: Vec<&CompletedCall> = self.history.iter().collect();
+        by_end.sort_by_key(|call| call.ended);
+        for call in &self.history {
+            let before = by_end.iter().take_while(|other| other.ended < call.started);
             let newest = before.map(|other| other.revision).max().unwrap_or(0);
-            if newest > seen.revision {
+            if newest > call.revision {
                 return Err(format!(
-                    "revision {} was told after {newest} had been, at {} ms",
-                    seen.revision,
-                    seen.ended / MS
+                    "revision {} was returned at {} ms, after revision {newest}",
+                    call.revision,
+                    call.ended / MS
                 ));
             }
-            // Without unknown outcomes each count is the number of transactions up to its revision.
-            let changes = self
-                .seen
+            // Without unknown outcomes, each count equals the number of transactions up to its
+            // revision.
+            let transactions = self
+                .history
                 .iter()
-                .filter(|s| s.count.is_none() && s.revision <= seen.revision)
+                .filter(|other| other.count.is_none() && other.revision <= call.revision)
                 .count();
-            if let Some(count) = seen.count.filter(|_| self.lost == 0)
-                && count != changes as u64
+            if let Some(count) = call.count.filter(|_| self.unknown == 0)
+                && count != transactions as u64
             {
                 return Err(format!(
-                    "{count} was read at {}, after {changes} changes",
-                    seen.revision
+                    "count {count} was read at revision {}, after {transactions} transactions",
+                    call.revision
                 ));
             }
         }
@@ -289,57 +289,62 @@
     }
 }
 
-/// Runs one seed; returns the number of transactions.
-fn play(seed: u64, kind: Client, planted: PlantedFault) -> Result<u64, String> {
-    let mut world = World::new(seed, [3, 5][seed as usize % 2], planted);
-    let mut clients = Clients::new(kind);
-    world.troubled(6000, |world| clients.step(world, true))?;
+/// Runs one seed; returns the number of acknowledged transactions.
+fn run(seed: u64, client_fault: ClientFault, fault: InjectedFault) -> Result<u64, String> {
+    let mut world = World::new(seed, [3, 5][seed as usize % 2], fault);
+    let mut clients = Clients::new(client_fault);
+    world.run_with_faults(6000, |world| clients.step(world, true))?;
     world.heal();
     for _ in 0..20_000 {
         world.step()?;
         clients.step(&mut world, false)?;
-        if clients.is_quiet() && world.is_one() {
-            clients.judge(&world)?;
+        if clients.is_quiescent() && world.has_converged() {
+            clients.check_history(&world)?;
             return Ok(clients.applied);
         }
     }
-    Err("after 20 s of calm some change has no outcome, or members differ".to_owned())
+    Err("20 s after the last fault, a transaction has no outcome or members differ".to_owned())
 }
 
 #[test]
 fn transactions_apply_once_and_reads_are_linearizable() {
     let failed = first_failure(seeds(), |seed| {
-        play(seed, Client::Active, PlantedFault::Nothing).map(drop)
+        run(seed, ClientFault::None, InjectedFault::None).map(drop)
     });
     assert_eq!(failed, None);
-    let made: u64 = (0..6)
-        .map(|seed| play(seed, Client::Active, PlantedFault::Nothing).unwrap())
+    let transactions: u64 = (0..6)
+        .map(|seed| run(seed, ClientFault::None, InjectedFault::None).unwrap())
         .sum();
-    assert!(made > 15, "hardly anything was changed: {made}");
+    assert!(transactions > 15, "too few transactions: {transactions}");
 }
 
-/// Each fault is found within a few seeds from one on that is known to find it; with `STORE_SEEDS`
-/// from 0 on.
+/// Each injected fault is detected. The search starts at a seed that is known to detect the fault,
+/// so that a few seeds suffice; with `STORE_SEEDS` above 60 it starts at seed 0.
 #[test]
-fn finds_planted_faults_of_reads_and_retries() {
-    for (kind, planted, known) in [
-        (Client::ReadsUnasked, PlantedFault::Nothing, 0),
-        (Client::RetriesAsNewRequest, PlantedFault::Nothing, 0),
-        (Client::Active, PlantedFault::UnconfirmedReads, 0),
+fn detects_injected_faults_of_reads_and_retries() {
+    for (client_fault, fault, known_seed) in [
+        (ClientFault::ReadsWithoutReadIndex, InjectedFault::None, 0),
+        (ClientFault::RetriesAsNewRequest, InjectedFault::None, 0),
+        (ClientFault::None, InjectedFault::UnconfirmedReads, 0),
     ] {
         let (from, seeds) = if seeds() > 60 {
             (0, 5000)
         } else {
-            (known, 200)
+            (known_seed, 200)
         };
-        let found = first_failure(seeds, |seed| play(from + seed, kind, planted).map(drop));
-        let (seed, problem) =
-            found.unwrap_or_else(|| panic!("{kind:?} with {planted:?} went unnoticed"));
+        let found = first_failure(seeds, |seed| {
+            run(from + seed, client_fault, fault).map(drop)
+        });
+        let (seed, failure) =
+            found.unwrap_or_else(|| panic!("{client_fault:?} with {fault:?} was not detected"));
         assert!(
-            play(from + seed, Client::Active, PlantedFault::Nothing).is_ok(),
+            run(from + seed, ClientFault::None, InjectedFault::None).is_ok(),
             "seed {}",
             from + seed
         );
-        println!("{kind:?}, {planted:?}: seed {}: {problem}", from + seed);
+        println!(
+            "{client_fault:?}, {fault:?}: seed {}: {failure}",
+            from + seed
+        );
     }
 }
--- a/store/tests/world/mod.rs
+++ b/store/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! Simulation of a store's members in virtual time, by seed: messages are delayed, lost, duplicated
-//! and reordered; links are partitioned; power and files are lost.
-#![allow(dead_code)] // each simulation uses its share
+//! Simulation of a store's members in virtual time, reproducible by seed. Messages are delayed,
+//! lost, duplicated and reordered; links are partitioned; members lose power and files.
+#![allow(dead_code)] // each simulation uses only a part
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Mutex;
@@ -15,59 +15,64 @@
 
 pub const MS: Time = 1_000_000;
 
-/// A fault that the simulation plants, to show that its checks would find it.
+/// A fault in the members that the simulation injects, to show that its checks detect the fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum PlantedFault {
-    Nothing,
-    /// Writes are reported as completed before they are: votes and acknowledgements are sent before
-    /// the disk is synced.
+pub enum InjectedFault {
+    None,
+    /// Writes are reported as completed too early: votes and acknowledgements are sent before the
+    /// disk is synced.
     AcknowledgesBeforeSync,
-    /// A member that has lost its file votes as if it had just joined.
+    /// A member that has lost its file votes as if it had newly joined.
     VotesAfterLoss,
     /// A restart forgets the vote in the file.
     ForgetsVote,
-    /// A member that has lost its file catches up with any leader, whatever that has committed.
-    NoCatchUpBar,
-    /// Every candidate's log counts as up to date.
+    /// A member that has lost its file accepts any leader's state, however old.
+    NoCatchUpTarget,
+    /// A member votes for candidates whose log is out of date.
     VotesForAnyone,
     /// A leader answers reads without confirming that it still leads.
     UnconfirmedReads,
 }
 
-/// A random delay: mostly up to the first bound, at times up to the second, both in milliseconds.
-fn delay(rng: &mut fastrand::Rng, usual: u64, seldom: u64) -> Time {
-    let most = if rng.u8(..) < 10 { seldom } else { usual };
-    rng.u64(0..=most) * MS
+/// A random delay, usually up to the first limit and rarely up to the second, both in milliseconds.
+fn delay(rng: &mut fastrand::Rng, usual_limit: u64, rare_limit: u64) -> Time {
+    let limit = if rng.u8(..) < 10 {
+        rare_limit
+    } else {
+        usual_limit
+    };
+    rng.u64(0..=limit) * MS
 }
 
 pub struct Member {
     pub store: Option<Store>,
-    /// Records on the disk.
+    /// Durable records of the file.
     disk: Vec<Record>,
     /// Writes in progress, and when each completes.
     pub writes: Vec<(Time, Write)>,
     restart_at: Time,
-    /// Id of the store by the member's identity file.
+    /// Id of the store in the member's identity file.
     voted_in: u64,
-    /// Its file was lost, and it has not caught up yet.
+    /// Whether the file was lost and the member has not caught up yet.
     pub impaired: bool,
 }
 
 pub struct World {
     pub rng: fastrand::Rng,
-    pub planted: PlantedFault,
+    pub fault: InjectedFault,
     pub now: Time,
     pub members: BTreeMap<u64, Member>,
     in_flight: Vec<(Time, u64, u64, Envelope)>,
     /// Partitioned links, each in one direction.
     partitioned: BTreeSet<(u64, u64)>,
-    /// Changes that any member ever applied, by index.
+    /// Changes that any member has ever applied, by index.
     log: BTreeMap<u64, Change>,
-    pub furthest: u64,
+    /// Highest index that any member has ever applied.
+    pub max_applied: u64,
 }
 
 impl World {
-    pub fn new(seed: u64, count: u64, planted: PlantedFault) -> World {
+    pub fn new(seed: u64, count: u64, fault: InjectedFault) -> World {
         let member = |id| {
             let (disk, writes) = (Vec::new(), Vec::new());
             (
@@ -84,27 +89,27 @@
         };
         World {
             rng: fastrand::Rng::with_seed(seed),
-            planted,
+            fault,
             now: 0,
             members: (1..=count).map(member).collect(),
             in_flight: Vec::new(),
             partitioned: BTreeSet::new(),
             log: BTreeMap::new(),
-            furthest: 0,
+            max_applied: 0,
         }
     }
 
-    fn boot(&mut self, id: u64) {
+    fn start_member(&mut self, id: u64) {
         let members: BTreeSet<u64> = self.members.keys().copied().collect();
         let member = self.members.get_mut(&id).expect("a member");
-        // The records are encoded and decoded, with the torn tail of an interrupted write.
+        // The records are encoded and decoded, with zeros after them as left by an interrupted
+        // write.
         let mut bytes = MAGIC.to_vec();
         let positions = (1..).zip(&member.disk);
         positions.for_each(|(place, record)| bytes.extend(encode(record, place)));
-        bytes.truncate(bytes.len());
         bytes.extend(std::iter::repeat_n(0u8, self.rng.usize(0..15)));
-        let mut records = read(&bytes).expect("a torn tail is no damage").records;
-        if self.planted == PlantedFault::ForgetsVote {
+        let mut records = read(&bytes).expect("a torn tail is not corruption").records;
+        if self.fault == InjectedFault::ForgetsVote {
             records.retain(|record| !matches!(record, Record::Vote(_)));
         }
         // The settings do not change after the first start.
@@ -128,10 +133,10 @@
             history: 40,
         };
         let seed = self.rng.u64(..);
-        let gone = records.is_empty()
+        let file_lost = records.is_empty()
             && member.voted_in != 0
-            && self.planted != PlantedFault::VotesAfterLoss;
-        let persisted = if gone {
+            && self.fault != InjectedFault::VotesAfterLoss;
+        let persisted = if file_lost {
             PersistedState::lost_file(member.voted_in)
         } else {
             PersistedState::from_records(records)
@@ -146,16 +151,16 @@
         ));
     }
 
-    /// Power failure: the memory and all unsynced writes are lost.
-    pub fn crash(&mut self, id: u64, for_: Time) {
+    /// Simulates a power failure: the memory and all unsynced writes are lost.
+    pub fn crash(&mut self, id: u64, downtime: Time) {
         let member = self.members.get_mut(&id).expect("a member");
-        (member.store, member.restart_at) = (None, self.now + for_);
+        (member.store, member.restart_at) = (None, self.now + downtime);
         member.writes.clear();
     }
 
-    /// Power failure and loss of the file, as long as fewer than half of the members have lost
-    /// theirs.
-    fn lose_file(&mut self, id: u64, for_: Time) {
+    /// Simulates a power failure with loss of the file, unless half or more of the members would
+    /// then be impaired.
+    fn lose_file(&mut self, id: u64, downtime: Time) {
         let impaired = self
             .members
             .values()
@@ -164,19 +169,19 @@
         if impaired + 1 > (self.members.len() - 1) / 2 {
             return;
         }
-        self.crash(id, for_);
-        let keeps_beside = self.rng.bool();
+        self.crash(id, downtime);
+        let keeps_identity_file = self.rng.bool();
         let members = self.members.keys().copied().collect();
         let member = self.members.get_mut(&id).expect("a member");
         (member.disk, member.impaired) = (Vec::new(), true);
-        if self.planted == PlantedFault::VotesAfterLoss && member.voted_in != 0 {
+        if self.fault == InjectedFault::VotesAfterLoss && member.voted_in != 0 {
             let snapshot = Snapshot {
                 members,
                 ..Snapshot::default()
             };
             let (cluster, started) = (Record::Cluster(member.voted_in), Record::Start(1 << 20));
             member.disk = vec![cluster, started, Record::Snapshot(snapshot), Record::Joined];
-        } else if !keeps_beside {
+        } else if !keeps_identity_file {
             member.voted_in = 0;
         }
     }
@@ -187,7 +192,7 @@
         for id in &ids {
             let member = &self.members[id];
             if member.store.is_none() && member.restart_at <= self.now {
-                self.boot(*id);
+                self.start_member(*id);
             }
             let member = self.members.get_mut(id).expect("a member");
             while member.writes.first().is_some_and(|(at, _)| *at <= self.now) {
@@ -209,14 +214,14 @@
             }
             if let Some(store) = &mut member.store {
                 store.timer(self.now);
-                // The member has caught up once the snapshot is on its disk.
+                // The member has caught up once the snapshot is durable.
                 member.impaired &= store.status() != Status::Active || !member.writes.is_empty();
             }
         }
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|w| w.0 <= now);
+            .partition(|(at, ..)| *at <= now);
         self.in_flight = later;
         for (_, from, to, envelope) in due {
             if !self.partitioned.contains(&(from, to))
@@ -224,22 +229,22 @@
             {
                 let mut envelope = Envelope::read(envelope.write().as_bytes())
                     .map_err(|problem| problem.to_string())?;
-                match (self.planted, &mut envelope.message) {
+                match (self.fault, &mut envelope.message) {
                     (
-                        PlantedFault::NoCatchUpBar,
+                        InjectedFault::NoCatchUpTarget,
                         Message::StatusResponse(StatusResponse { last, .. }),
                     ) if store.status() == Status::Lost => {
                         (*last, envelope.term) = (Position::default(), 0);
                     }
                     (
-                        PlantedFault::VotesAfterLoss,
+                        InjectedFault::VotesAfterLoss,
                         Message::StatusResponse(StatusResponse {
                             status, superseded, ..
                         }),
                     ) if store.status() == Status::Unverified => {
                         (*status, *superseded) = (PeerStatus::Unverified, false);
                     }
-                    (PlantedFault::VotesForAnyone, Message::RequestVote { last }) => {
+                    (InjectedFault::VotesForAnyone, Message::RequestVote { last }) => {
                         *last = Position {
                             index: last.index,
                             term: u64::MAX,
@@ -248,13 +253,13 @@
                     _ => {}
                 }
                 if let (
-                    PlantedFault::UnconfirmedReads,
+                    InjectedFault::UnconfirmedReads,
                     Message::ReadIndex {
                         number,
                         incarnation,
                     },
                     true,
-                ) = (self.planted, &envelope.message, store.is_leader())
+                ) = (self.fault, &envelope.message, store.is_leader())
                 {
                     let message = Message::ReadIndexResponse {
                         number: *number,
@@ -275,13 +280,13 @@
             }
         }
         for id in ids {
-            self.drain(id)?;
+            self.take_output(id)?;
         }
         Ok(())
     }
 
-    /// Takes a member's output: writes for its disk, messages to others, and applied changes.
-    fn drain(&mut self, id: u64) -> Result<(), String> {
+    /// Handles a member's output: writes, messages to other members, and applied changes.
+    fn take_output(&mut self, id: u64) -> Result<(), String> {
         let Some(member) = self.members.get_mut(&id) else {
             return Ok(());
         };
@@ -293,28 +298,28 @@
             let at = after + delay(&mut self.rng, 4, 60);
             let number = write.number;
             member.writes.push((at, write));
-            if self.planted == PlantedFault::AcknowledgesBeforeSync {
+            if self.fault == InjectedFault::AcknowledgesBeforeSync {
                 store.on_written(number);
             }
         }
-        let mut response: BTreeMap<u64, Vec<Change>> = BTreeMap::new();
+        let mut committed: BTreeMap<u64, Vec<Change>> = BTreeMap::new();
         for (revision, change) in store.take_committed() {
-            response.entry(revision).or_default().push(change);
+            committed.entry(revision).or_default().push(change);
         }
-        for (revision, changes) in response {
+        for (revision, changes) in committed {
             // A snapshot reports every key at its own index; the change of the entry at that index
             // is among them.
             match self.log.get(&revision) {
-                Some(versioned) if !changes.contains(versioned) => {
+                Some(applied) if !changes.contains(applied) => {
                     return Err(format!(
-                        "at {revision} member {id} has {changes:?}, where {versioned:?} was shown"
+                        "revision {revision}: member {id} applied {changes:?}, but {applied:?} was applied before"
                     ));
                 }
                 None if changes.len() == 1 => drop(self.log.insert(revision, changes[0].clone())),
                 _ => {}
             }
         }
-        self.furthest = self.furthest.max(store.applied());
+        self.max_applied = self.max_applied.max(store.applied());
         for (to, envelope) in store.take_outbox() {
             for _ in 0..if self.rng.u8(..) < 10 { 2 } else { 1 } {
                 if self.rng.u8(..) >= 12 {
@@ -326,23 +331,23 @@
         Ok(())
     }
 
-    /// Runs with faults, then without: all members must converge, with every change that any member
-    /// had applied.
-    pub fn play(&mut self) -> Result<(), String> {
-        self.troubled(3000, |_| Ok(()))?;
-        self.calmed()
+    /// Runs with faults, then without. All members have to converge to a state that includes every
+    /// change that any member had applied.
+    pub fn run(&mut self) -> Result<(), String> {
+        self.run_with_faults(3000, |_| Ok(()))?;
+        self.run_until_converged()
     }
 
-    /// Runs with faults for this many milliseconds, with a callback after each.
-    pub fn troubled(
+    /// Runs with faults for this many milliseconds, and calls back after each.
+    pub fn run_with_faults(
         &mut self,
-        length: u64,
+        duration_ms: u64,
         mut each: impl FnMut(&mut World) -> Result<(), String>,
     ) -> Result<(), String> {
         let count = self.members.len() as u64;
-        let (mut number, long) = (0, self.rng.bool());
-        let away = if long { 900 } else { 120 };
-        for _ in 0..length {
+        let (mut number, long_faults) = (0, self.rng.bool());
+        let max_downtime_ms = if long_faults { 900 } else { 120 };
+        for _ in 0..duration_ms {
             self.step()?;
             each(self)?;
             let (id, other) = (self.rng.u64(1..=count), self.rng.u64(1..=count));
@@ -354,17 +359,17 @@
                     }
                 }
                 40..46 => {
-                    let off = delay(&mut self.rng, away, away);
-                    self.crash(id, off);
+                    let downtime = delay(&mut self.rng, max_downtime_ms, max_downtime_ms);
+                    self.crash(id, downtime);
                 }
                 // Power failure of all members.
                 46..47 => (1..=count).for_each(|id| self.crash(id, 20 * MS)),
                 47..55 => drop(self.partitioned.insert((id, other))),
-                // Some partitions and outages last longer than an election.
-                55..75 if !long || self.rng.u8(..) < 50 => self.partitioned.clear(),
+                // With long faults, some partitions outlast an election.
+                55..75 if !long_faults || self.rng.u8(..) < 50 => self.partitioned.clear(),
                 75..79 => {
-                    let off = delay(&mut self.rng, away, away);
-                    self.lose_file(id, off);
+                    let downtime = delay(&mut self.rng, max_downtime_ms, max_downtime_ms);
+                    self.lose_file(id, downtime);
                 }
                 _ => {}
             }
@@ -373,13 +378,13 @@
     }
 
     /// Runs without faults until all members have converged.
-    fn calmed(&mut self) -> Result<(), String> {
+    fn run_until_converged(&mut self) -> Result<(), String> {
         self.heal();
         for _ in 0..40 {
             for _ in 0..500 {
                 self.step()?;
             }
-            if self.is_one() {
+            if self.has_converged() {
                 return Ok(());
             }
         }
@@ -393,8 +398,8 @@
             .map(|s| (s.applied(), s.status(), s.waiting_for(), s.state()))
             .collect();
         Err(format!(
-            "entry {} was shown, and after 20 s of calm members hold {states:?}",
-            self.furthest
+            "no convergence 20 s after the last fault: entry {} was applied; members: {states:?}",
+            self.max_applied
         ))
     }
 
@@ -403,19 +408,21 @@
         self.partitioned.clear();
     }
 
-    /// Whether all members run, have equal states, and have every change that was ever applied.
-    pub fn is_one(&self) -> bool {
+    /// Whether all members run, and have equal states with every change that was ever applied.
+    pub fn has_converged(&self) -> bool {
         let stores: Vec<_> = self
             .members
             .values()
             .filter_map(|m| m.store.as_ref())
             .collect();
-        let same =
-            |store: &&Store| store.applied() >= self.furthest && store.state() == stores[0].state();
-        stores.len() == self.members.len() && stores.iter().all(same)
+        let is_current = |store: &&Store| {
+            store.applied() >= self.max_applied && store.state() == stores[0].state()
+        };
+        stores.len() == self.members.len() && stores.iter().all(is_current)
     }
 }
 
+/// Number of seeds to run: `STORE_SEEDS`, or 60.
 pub fn seeds() -> u64 {
     std::env::var("STORE_SEEDS")
         .ok()
@@ -423,19 +430,19 @@
         .unwrap_or(60)
 }
 
-/// The first failing seed of a range, with its failure.
+/// Runs the seeds in parallel; returns the lowest failing seed, with its failure.
 pub fn first_failure(
     seeds: u64,
-    play: impl Fn(u64) -> Result<(), String> + Sync,
+    run: impl Fn(u64) -> Result<(), String> + Sync,
 ) -> Option<(u64, String)> {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     let found = Mutex::new(None::<(u64, String)>);
     std::thread::scope(|scope| {
         for first in 0..threads {
-            let (found, play) = (&found, &play);
+            let (found, run) = (&found, &run);
             scope.spawn(move || {
                 for seed in (first..seeds).step_by(threads as usize) {
-                    // Seeds behind the first failing one need not be run.
+                    // Seeds above a failing one need not be run.
                     if found
                         .lock()
                         .unwrap()
@@ -444,10 +451,10 @@
                     {
                         return;
                     }
-                    if let Err(problem) = play(seed) {
+                    if let Err(failure) = run(seed) {
                         let mut found = found.lock().unwrap();
                         if found.as_ref().is_none_or(|(earlier, _)| seed < *earlier) {
-                            *found = Some((seed, problem));
+                            *found = Some((seed, failure));
                         }
                         return;
                     }
