--- a/catalogue/src/operation.rs
+++ b/catalogue/src/operation.rs
@@ -1,6 +1,7 @@
-//! A client's operation as rounds of parts: which slices are asked for what, and when it is done.
+//! Runs a client's operation as a sequence of rounds: which slices receive which request, and when
+//! the operation is complete.
 //!
-//! Each round is one query to the core, with parts, a class and one final answer of its own. An
+//! Each round is one query to the dispatch core, with its own parts, class and final answer. An
 //! operation ends in exactly one [`Outcome`], after at most [`Bounds::rounds`] rounds.
 
 mod page_assembly;
@@ -14,163 +15,164 @@
 use crate::work::{Found, PageWork, ScanWork, Work, WorkResult};
 use page_assembly::{PageAssembly, PageError, extend, first_plan, missing_rows, take};
 
-/// How much a sum of weights may fall short of what is asked for.
+/// Tolerance for floating-point error when a fraction of slices is compared with the floor.
 const ROUNDING: f64 = 0.0001;
 
-/// What bounds an operation.
+/// Limits of an operation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// The least share of the slices that an answer may be made of: the class's floor.
+    /// The class's floor: the smallest fraction of slices that may form an answer.
     pub floor: f64,
-    /// Records that one part asks for.
+    /// Maximum records that one part requests.
     pub per_part: u32,
-    /// Records of one page.
+    /// Maximum records of one page.
     pub page: u64,
-    /// Positions of a sorted set that can be reached.
+    /// Highest readable position of a sorted set.
     pub reach: u64,
-    /// Rounds of one operation.
+    /// Maximum rounds of one operation.
     pub rounds: u32,
 }
 
-/// One round: a query to the core with a part for each slice.
+/// One round: a query to the dispatch core with one part per slice.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// What every part carries.
+    /// The work sent in every part.
     pub work: Work,
-    /// The slices.
+    /// The slices to query.
     pub slices: Vec<u32>,
 }
 
-/// How a round ended.
+/// The result of a round.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Round {
-    /// What each slice that is in gave.
+    /// The result of each slice that answered.
     Served(Vec<(u32, WorkResult)>),
-    /// Turned away; asking again is harmless.
+    /// Rejected before it ran, so a retry is safe.
     Refused {
-        /// How long to keep away; 0 for no advice.
+        /// Suggested delay before a retry; 0 if there is none.
         hold_off: Time,
     },
-    /// Given up.
+    /// The round failed.
     Failed(FailureReason),
 }
 
-/// Why something was given up.
+/// Why an operation or a round failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureReason {
-    /// Its time ended.
+    /// The deadline passed.
     TimeUp,
-    /// The module gave it up, or too few slices were in.
+    /// The dispatch module abandoned the request, or too few slices answered.
     GivenUp,
 }
 
-/// What comes next.
+/// The next step of an operation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Another round.
+    /// Run another round.
     Ask(Plan),
-    /// The end.
+    /// The operation is complete.
     Done(Outcome),
 }
 
-/// How an operation ended.
+/// The result of an operation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// A result set, and records of it.
+    /// A result set and some of its records.
     Page(Box<Page>),
-    /// Terms.
+    /// The terms of a scan.
     Scan(Scanned),
-    /// Turned away; asking again is harmless.
+    /// Rejected before it ran, so a retry is safe.
     Refused {
-        /// How long to keep away; 0 for no advice.
+        /// Suggested delay before a retry; 0 if there is none.
         hold_off: Time,
     },
-    /// Given up.
+    /// The operation failed.
     Failed(FailureReason),
     /// The request cannot be served.
     Fault(Fault),
 }
 
-/// A result set, and records of it.
+/// A result set and some of its records.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Page {
-    /// The set.
+    /// The result set.
     pub set: SetId,
-    /// Its name towards SRU clients.
+    /// The result set's identifier for SRU clients.
     pub token: String,
-    /// Its hits.
+    /// The number of hits.
     pub count: Count,
-    /// Whether every slice is in the set.
+    /// Whether the set includes every slice.
     pub complete: bool,
-    /// The position of the first record.
+    /// The position of the first record, from 1.
     pub start: u64,
-    /// The records from there on, without a gap.
+    /// Consecutive records from `start`, without gaps.
     pub records: Vec<Record>,
-    /// How many there should have been.
+    /// The number of records that the page should have.
     pub wanted: u64,
-    /// Why there are fewer.
+    /// Why the page has fewer records than wanted.
     pub short: Option<ShortReason>,
-    /// The set stands in the place of one that has changed.
+    /// Whether this set replaces one whose slices have changed.
     pub replaced: bool,
-    /// What else is to be said.
+    /// Further diagnostics for the client.
     pub diagnostics: Vec<Fault>,
-    /// The facets.
+    /// The merged facets.
     pub facets: Vec<MergedFacet>,
 }
 
 impl Page {
-    /// The position behind the last record, if there is one.
+    /// The position after the last record, if the set has one.
     pub fn next(&self) -> Option<u64> {
         let next = self.start + self.records.len() as u64;
         (next <= self.count.hits).then_some(next)
     }
 }
 
-/// Why a page has fewer records than it should.
+/// Why a page has fewer records than wanted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShortReason {
-    /// Turned away; asking again is harmless.
+    /// Rejected before it ran, so a retry is safe.
     Refused {
-        /// How long to keep away.
+        /// Suggested delay before a retry; 0 if there is none.
         hold_off: Time,
     },
-    /// Given up, or a slice did not answer.
+    /// The round failed, or a slice did not answer.
     Failed(FailureReason),
-    /// Further than such sets can be read.
+    /// The page lies further on than one operation can read.
     Reach,
 }
 
-/// Terms.
+/// The terms of a scan.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scanned {
-    /// In order.
+    /// The terms in index order.
     pub terms: Vec<Term>,
-    /// Where the starting point stands, from 1.
+    /// Position of the starting point in the list, from 1.
     pub position: u64,
-    /// Whether every slice is in.
+    /// Whether every slice answered.
     pub complete: bool,
-    /// What else is to be said.
+    /// Further diagnostics for the client.
     pub diagnostics: Vec<Fault>,
 }
 
-/// How many records are wanted with a search.
+/// How many records a search should return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Want {
-    /// So many.
+    /// A fixed number.
     Count(u64),
-    /// As Z39.50 has it: all of a small set, none of a large one, so many of others.
+    /// The Z39.50 bounds: all records of a small set, none of a large set, and a fixed number of
+    /// any other set.
     Sized {
-        /// At most so many hits are a small set.
+        /// Most hits of a small set (small-set-upper-bound).
         small: u64,
-        /// At least so many are a large one.
+        /// Fewest hits of a large set (large-set-lower-bound).
         large: u64,
-        /// So many of others.
+        /// Records of a set between the two (medium-set-present-number).
         medium: u64,
     },
 }
 
 impl Want {
-    /// The most that may be wanted.
+    /// The largest number of records that any hit count can lead to.
     fn most(self) -> u64 {
         match self {
             Want::Count(n) => n,
@@ -182,7 +184,7 @@
         }
     }
 
-    /// How many are wanted of a set with so many hits.
+    /// The number of records for a set with `hits` hits.
     pub fn of(self, hits: u64) -> u64 {
         match self {
             Want::Count(n) => n,
@@ -193,28 +195,28 @@
     }
 }
 
-/// A search.
+/// A search request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Search {
-    /// What is searched; sets in it are resolved.
+    /// The query, with references to result sets already resolved.
     pub query: Node,
-    /// The order; none for the slices' own, one slice behind the other.
+    /// The sort keys; if empty, the slices follow one another, each in its own order.
     pub sort: Vec<SortKey>,
-    /// The schema that records are wanted in.
+    /// The requested record schema.
     pub schema: Schema,
-    /// The first position that is wanted.
+    /// The first requested position, from 1.
     pub start: u64,
-    /// How many records are.
+    /// How many records to return.
     pub want: Want,
-    /// The slices that are asked.
+    /// The slices to query.
     pub slices: Vec<u32>,
-    /// Slices that are left out, as a set in the query is without them.
+    /// Slices to skip, because a result set named in the query lacks them.
     pub left_out: Vec<u32>,
-    /// Facets that are wanted.
+    /// The requested facets.
     pub facets: Vec<FacetAsk>,
-    /// Whose the set will be.
+    /// The owner of the new result set.
     pub owner: Owner,
-    /// How long it is wanted.
+    /// The requested lifetime of the result set.
     pub ttl: Option<Time>,
 }
 
@@ -233,7 +235,7 @@
     },
 }
 
-/// An operation under way.
+/// A running operation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operation {
     bounds: Bounds,
@@ -242,7 +244,7 @@
 }
 
 impl Operation {
-    /// Begins a search.
+    /// Starts a search.
     pub fn search(search: Search, bounds: Bounds) -> (Operation, Step) {
         let step = Step::Ask(first_plan(&search, &bounds));
         (
@@ -258,8 +260,8 @@
         )
     }
 
-    /// Begins to fetch records of a set. Where the set has changed, `again` is searched anew;
-    /// without one the operation ends with the diagnostic that the set is gone.
+    /// Starts to fetch records of a set. If the set has changed, the operation repeats the search
+    /// in `again`, or ends with the diagnostic that the set is gone if there is none.
     pub fn page(
         set: SetId,
         (start, count): (u64, u64),
@@ -296,7 +298,7 @@
         (operation, step)
     }
 
-    /// Begins a scan.
+    /// Starts a scan.
     pub fn scan(
         clause: &Clause,
         number: u32,
@@ -329,7 +331,7 @@
         )
     }
 
-    /// A round has ended.
+    /// Processes the result of a round and returns the next step.
     pub fn answered(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
         match &self.state {
             State::Searching { .. } => self.searched(round, sets, now),
@@ -389,7 +391,7 @@
             .of(hits)
             .min((hits + 1).saturating_sub(search.start));
         let mut rows: Vec<Option<Record>> = vec![None; wanted.min(self.bounds.page) as usize];
-        // What came with the search: the slices' first records.
+        // A search response already contains the first records of each slice.
         for (slice, one) in found {
             let Some(at) = set.slices.iter().position(|s| s.slice == slice) else {
                 continue;
@@ -413,7 +415,8 @@
                         *row = Some(record);
                     }
                 }
-                // Only the last one counts, and telling it from others takes reading it.
+                // The next page is checked only against the last record, so only that one is parsed
+                // for its fingerprint.
                 if let Some(offset) = last
                     && let Some(Some(record)) =
                         rows.get((before + offset + 1 - search.start) as usize)
@@ -441,7 +444,7 @@
         self.fill(sets, now)
     }
 
-    /// Asks for what the page lacks, or ends.
+    /// Requests the rows that the page lacks, or completes the operation.
     fn fill(&mut self, sets: &mut SetTable, now: Time) -> Step {
         let State::PageAssembly(page) = &mut self.state else {
             return given_up();
@@ -488,7 +491,7 @@
         }
         let mut records = Vec::new();
         for row in std::mem::take(&mut page.rows) {
-            // Behind a gap nothing is delivered: it would seem to stand where the gap is.
+            // Records after a gap are not delivered: clients would take them for the missing ones.
             let Some(record) = row else { break };
             records.push(record);
         }
@@ -516,7 +519,7 @@
         };
         let values = match round {
             Round::Served(values) => values,
-            // What is there already is still good.
+            // The records received so far remain valid.
             Round::Refused { hold_off } => {
                 page.short = Some(ShortReason::Refused { hold_off });
                 return self.fill(sets, now);
@@ -560,7 +563,8 @@
         self.fill(sets, now)
     }
 
-    /// The set is not what it was: its positions mean nothing any more.
+    /// Handles a changed set. Its positions are no longer valid, so the search is repeated if
+    /// possible.
     fn changed(&mut self, slice: u32, sets: &mut SetTable) -> Step {
         let State::PageAssembly(page) = &mut self.state else {
             return given_up();
@@ -626,8 +630,8 @@
     Step::Done(Outcome::Failed(FailureReason::GivenUp))
 }
 
-/// An answer from less than the class's floor is never given: what the core counted as in may have
-/// been a refusal.
+/// Rejects an answer from fewer slices than the class's floor. The dispatch core may have counted a
+/// refusal as an answer, so its own check is not sufficient.
 fn below_floor(have: usize, asked: usize, faults: &[(u32, Fault)], floor: f64) -> Option<Step> {
     if have > 0 && have as f64 / asked.max(1) as f64 + ROUNDING >= floor {
         return None;
--- a/catalogue/src/operation/page_assembly.rs
+++ b/catalogue/src/operation/page_assembly.rs
@@ -1,4 +1,5 @@
-//! What a page lacks, who is asked for it, and what becomes of what they give.
+//! Decides which rows a page still needs, requests them from slices, and adds the results to the
+//! page.
 
 use super::{Bounds, Plan, Search, ShortReason};
 use crate::fault::{Fault, Kind};
@@ -7,7 +8,7 @@
 use crate::sets::{Changed, ResultSet, SetId, SliceRange};
 use crate::work::{Found, PageWork, Range, Work};
 
-/// A page's state.
+/// A page under construction.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct PageAssembly {
     pub(super) set: SetId,
@@ -15,27 +16,27 @@
     pub(super) wanted: u64,
     pub(super) schema: Schema,
     pub(super) rows: Vec<Option<Record>>,
-    /// What is asked for in the round under way.
+    /// The ranges requested in the current round.
     pub(super) asked: Vec<SliceRange>,
-    /// Whether that extends the known order of a sorted set.
+    /// Whether the current round extends the known order of a sorted set.
     pub(super) extends: bool,
     pub(super) lost: Vec<u32>,
     pub(super) short: Option<ShortReason>,
     pub(super) replaced: bool,
     pub(super) diagnostics: Vec<Fault>,
     pub(super) facets: Vec<MergedFacet>,
-    /// The search to begin again with, where the set has changed.
+    /// The search to repeat if the set has changed.
     pub(super) again: Option<Search>,
 }
 
-/// Why what a slice gave ends the page.
+/// Why a slice's result ends the page.
 pub(super) enum PageError {
     Changed(Changed),
     Fault(Fault),
 }
 
-/// What is asked first. An unsorted set's first page mostly lies in its first slice, so the others
-/// are asked for their share only.
+/// Plans the first round of a search. The first page of an unsorted set mostly lies in its first
+/// slice, so the other slices are asked only for their share.
 pub(super) fn first_plan(search: &Search, bounds: &Bounds) -> Plan {
     let slices = search.slices.len().max(1) as u64;
     let want = search.want.most().min(bounds.page);
@@ -44,7 +45,7 @@
         _ if want == 0 => 0,
         (true, 1) if first => want.min(per_part),
         (true, 1) => want.div_ceil(slices).min(per_part),
-        // Where a later position stands is known only when the counts are.
+        // Later positions cannot be located until the slices' hit counts are known.
         (true, _) => 0,
         (false, start) => chunk(start - 1 + want, slices, per_part),
     };
@@ -77,12 +78,13 @@
     }
 }
 
-/// How many records each slice is asked for so that so many more can be merged.
+/// How many records to request from each slice so that `need` more can be merged.
 fn chunk(need: u64, slices: u64, per_part: u64) -> u64 {
     (need.div_ceil(slices) + 2).min(per_part)
 }
 
-/// In a sorted set: merges what is here up to the page's end, and says what is wanted for more.
+/// Merges the buffered rows of a sorted set up to the end of the page. Returns the ranges to fetch
+/// if rows run out first.
 pub(super) fn extend(
     page: &mut PageAssembly,
     set: &mut ResultSet,
@@ -135,7 +137,7 @@
     Ok(None)
 }
 
-/// Asks for the rows that are not here, where it is known where they stand.
+/// Requests the missing rows whose position in a slice is known.
 pub(super) fn missing_rows(
     page: &mut PageAssembly,
     set: &ResultSet,
@@ -143,7 +145,7 @@
 ) -> Option<Vec<Range>> {
     page.extends = false;
     page.asked.clear();
-    // Rows that are here stand before those that are not within a slice, or behind them: one range
+    // Within a slice, the rows already present lie before or after the missing ones, so one range
     // covers the gap.
     for (position, place) in set.locate(page.start, page.rows.len() as u64) {
         if page.rows[(position - page.start) as usize].is_some() {
@@ -166,7 +168,7 @@
     (!ranges.is_empty()).then_some(ranges)
 }
 
-/// Takes what a slice gave.
+/// Adds a slice's result to the page.
 pub(super) fn take(
     page: &mut PageAssembly,
     set: &mut ResultSet,
@@ -183,7 +185,7 @@
             return Ok(());
         };
         let source = &mut merged.sources[place.at];
-        // Another operation on the set may have fetched the same meanwhile.
+        // Another operation on the same set may have fetched these records in the meantime.
         let have = source.next_offset().saturating_sub(place.offset) as usize;
         let last = source.ahead.back().map(|row| row.record.fingerprint());
         for (at, record) in found.records.into_iter().enumerate().skip(have) {
--- a/catalogue/src/session.rs
+++ b/catalogue/src/session.rs
@@ -1,5 +1,5 @@
-//! A Z39.50 session with a client: data units and rounds' ends come in, data units and rounds go
-//! out.
+//! A Z39.50 session with a client. Its inputs are data units and the results of rounds, its outputs
+//! are data units and new rounds.
 
 mod answers;
 mod requests;
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Challenges that a client may fail.
+/// Failed challenges after which the session is closed.
 const CHALLENGES: u32 = 3;
 
 /// Who may search.
@@ -24,16 +24,17 @@
     /// Anyone.
     #[default]
     Open,
-    /// Those who say at Init who they are.
+    /// Clients that authenticate in the Init request.
     AtInit(Vec<Reader>),
-    /// The same, or those who answer the challenge that comes with their first operation.
+    /// Clients that authenticate in the Init request or in reply to a challenge, which is sent with
+    /// their first operation.
     Challenge(Vec<Reader>),
 }
 
-/// Somebody who may search.
+/// The credentials of a client that may search.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Reader {
-    /// The name.
+    /// The user name.
     pub name: String,
     /// The password.
     pub password: String,
@@ -41,7 +42,7 @@
 
 impl std::fmt::Debug for Reader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Passwords must not reach a log by way of a debug print.
+        // Passwords must not reach the log through debug output.
         f.debug_struct("Reader")
             .field("name", &self.name)
             .finish_non_exhaustive()
@@ -56,8 +57,7 @@
         let Identity::User { name, password } = identity else {
             return Err(Kind::AUTHENTICATION.of(""));
         };
-        // Every reader is compared in full, so that the time taken tells neither names nor
-        // passwords.
+        // Every entry is compared in full, so that timing reveals neither names nor passwords.
         let same = |a: &str, b: &str| {
             a.len() == b.len()
                 && a.bytes()
@@ -76,67 +76,67 @@
     }
 }
 
-/// What a session is set up with.
+/// The configuration of a session.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The database's name.
+    /// The name of the database.
     pub database: String,
-    /// The slices.
+    /// The slices to query.
     pub slices: Vec<u32>,
     /// Who may search.
     pub access: Access,
-    /// What bounds an operation.
+    /// Limits of an operation.
     pub bounds: operation::Bounds,
-    /// Clauses of a query.
+    /// Maximum clauses of a query.
     pub clauses: usize,
-    /// Named sets of one session.
+    /// Maximum named result sets of a session.
     pub sets: usize,
-    /// Operations at once.
+    /// Maximum concurrent operations.
     pub operations: usize,
-    /// Bytes that wait to be written to one client.
+    /// Maximum unwritten bytes for one client.
     pub output: usize,
-    /// Bytes of a set's name or of a reference.
+    /// Maximum bytes of a result set's name or of a reference id.
     pub name_bytes: usize,
-    /// Bytes of a message, at the most.
+    /// Maximum bytes of a message.
     pub message: usize,
-    /// Terms of one scan.
+    /// Maximum terms of a scan.
     pub terms: u32,
-    /// Sort keys.
+    /// Maximum sort keys.
     pub sort_keys: usize,
-    /// How long sets are kept.
+    /// How long an unused result set is kept.
     pub ttl: Time,
 }
 
-/// What is to be done.
+/// An action for the caller to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Write this.
+    /// Write these bytes to the client.
     Send(Vec<u8>),
-    /// Hand a round to the core.
+    /// Hand a round to the dispatch core.
     Ask {
-        /// Which operation it is for.
+        /// The operation that needs the round.
         operation: u32,
         /// The round.
         plan: Plan,
     },
-    /// Nobody waits for this operation's round any more.
+    /// Cancel the operation's round: its result is no longer needed.
     Withdraw {
-        /// Which operation.
+        /// The operation.
         operation: u32,
     },
-    /// End the connection when everything is written.
+    /// Close the connection after all output has been written.
     End,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Init has not come.
+    /// No Init request has arrived yet.
     Fresh,
     Open,
     Closing,
 }
 
-/// How records are wanted.
+/// The requested form of records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Form {
     syntax: Syntax,
@@ -168,38 +168,38 @@
     operation: Operation,
 }
 
-/// A session.
+/// A Z39.50 session.
 #[derive(Debug)]
 pub struct Session {
     config: Rc<Config>,
-    /// Whose sets are its own.
+    /// The owner of the session's result sets.
     owner: u64,
     state: State,
     abilities: Abilities,
     limits: SegmentLimits,
     admitted: bool,
     failed_challenges: u32,
-    /// Requests that wait for a challenge to be answered.
+    /// Requests that wait until the client has answered a challenge.
     held: Vec<Item>,
     sets: BTreeMap<String, SetId>,
     running: BTreeMap<u32, Running>,
     next: u32,
 }
 
-/// Where a request is taken and answered: what all of a session's doings need.
+/// The state from outside the session that handling a request needs.
 pub struct SessionContext<'a> {
-    /// Every result set.
+    /// All result sets.
     pub sets: &'a mut SetTable,
-    /// Bytes that wait to be written to the client.
+    /// Bytes not yet written to the client.
     pub unwritten: usize,
-    /// The present moment.
+    /// The current time.
     pub now: Time,
-    /// What is to be done.
+    /// Receives the resulting actions.
     pub actions: &'a mut Vec<Action>,
 }
 
 impl Session {
-    /// A session of which nothing has come; its sets are kept under `owner`.
+    /// Creates a session that awaits its Init request; `owner` owns its result sets.
     pub fn new(config: Rc<Config>, owner: u64) -> Session {
         Session {
             config,
@@ -220,8 +220,8 @@
         }
     }
 
-    /// Whether the next data unit may be taken: operations run side by side only where that was
-    /// agreed on, and a client that does not read its answers gets no further ones.
+    /// Whether the next data unit may be read. Operations run concurrently only if that was
+    /// negotiated, and a client that does not read its responses gets no further ones.
     pub fn may_read(&self, unwritten: usize) -> bool {
         let most = if self.abilities.has(Ability::ConcurrentOperations) {
             self.config.operations
@@ -233,22 +233,22 @@
             && unwritten < self.config.output / 2
     }
 
-    /// Whether operations are under way.
+    /// Whether operations are running.
     pub fn is_busy(&self) -> bool {
         !self.running.is_empty()
     }
 
-    /// Whether its end is being written.
+    /// Whether the session is closing.
     pub fn is_closing(&self) -> bool {
         self.state == State::Closing
     }
 
-    /// The operations under way.
+    /// The running operations.
     pub fn operations(&self) -> impl Iterator<Item = u32> {
         self.running.keys().copied()
     }
 
-    /// Ends the session: whatever is under way is withdrawn.
+    /// Closes the session and cancels its running operations.
     pub fn close(&mut self, reason: CloseReason, words: &str, actions: &mut Vec<Action>) {
         if self.state == State::Closing {
             return;
@@ -262,7 +262,7 @@
         actions.push(Action::End);
     }
 
-    /// A whole data unit has come.
+    /// Handles a complete data unit.
     pub fn unit(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
         if self.state == State::Closing {
             return;
@@ -313,11 +313,12 @@
         if !challenge {
             abilities = abilities.without(Ability::AccessControl);
         }
-        // A wrong password is no better than none, but it is not challenged either: it was wrong.
+        // A client with a wrong password is refused at once; only anonymous clients are challenged.
         let later =
             challenge && abilities.has(Ability::AccessControl) && identity == Identity::Anonymous;
         let fault = admitted.as_ref().err().filter(|_| !later).cloned();
-        // Versions 2 and 3 are spoken; a client that has neither is told so and let go.
+        // Versions 2 and 3 are supported. A client that offers neither gets a refusal and is
+        // closed.
         let known = two || three;
         let size = |tag| {
             unit.get(tag)
@@ -360,7 +361,7 @@
         }
     }
 
-    /// Takes an operation's request: it is answered at once or begins to run.
+    /// Handles the request of an operation, which is answered at once or starts to run.
     fn operate(
         &mut self,
         service: Service,
@@ -397,7 +398,7 @@
                 return context.actions.push(Action::Send(z3950::unit(
                     tag::RESOURCE_REPORT_RESPONSE,
                     reference.as_deref(),
-                    // Failure: none is kept.
+                    // Status: failure, as no reports are kept.
                     |w| w.integer(50, 2),
                 )));
             }
@@ -424,7 +425,7 @@
         }
     }
 
-    /// A round of an operation has ended.
+    /// Handles the result of an operation's round.
     pub fn answered(&mut self, operation: u32, round: Round, context: &mut SessionContext<'_>) {
         let Some(running) = self.running.get_mut(&operation) else {
             return;
@@ -460,7 +461,7 @@
         }
     }
 
-    /// TriggerResourceControl (section 3.2.6.4): only taking an operation back means anything here.
+    /// Handles TriggerResourceControl (section 3.2.6.4). Only the cancel action is supported.
     fn trigger(&mut self, unit: &Item, reference: Option<&[u8]>, context: &mut SessionContext<'_>) {
         const CANCEL: i64 = 3;
         if unit.get(tag::REQUESTED_ACTION).and_then(Item::integer) != Some(CANCEL) {
@@ -481,7 +482,7 @@
         }
     }
 
-    /// Asks who is there before an operation is taken (section 3.2.5.1).
+    /// Challenges the client before its operation is accepted (section 3.2.5.1).
     fn challenge(&mut self, unit: &Item, reference: Option<&[u8]>, actions: &mut Vec<Action>) {
         if self.held.len() >= self.config.operations {
             return self.close(
@@ -538,7 +539,7 @@
         }
     }
 
-    /// Deletes sets (section 3.2.4).
+    /// Deletes result sets (section 3.2.4).
     fn delete(&mut self, unit: &Item, reference: Option<&[u8]>, table: &mut SetTable) -> Vec<u8> {
         const ALL: i64 = 1;
         const SUCCESS: i64 = 0;
@@ -598,7 +599,7 @@
         })
     }
 
-    /// What a set's status says of one that is whole or not.
+    /// The result set status of a complete or partial set.
     fn set_status(complete: bool) -> Option<SetStatus> {
         (!complete).then_some(SetStatus::Subset)
     }
--- a/catalogue/src/session/answers.rs
+++ b/catalogue/src/session/answers.rs
@@ -1,4 +1,4 @@
-//! Operations' ends, in the protocol's words.
+//! Writes the result of an operation as Z39.50 responses.
 
 use super::{Form, Purpose, Running, Session};
 use crate::fault::{Fault, Kind};
@@ -9,20 +9,20 @@
 use crate::z3950::sort::SortStatus;
 use crate::z3950::{self, Service, SetStatus, scan, sort, tag};
 
-/// A present's status (section 3.2.3.1.10).
+/// Present-status (section 3.2.3.1.10).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PresentStatus {
     Success = 0,
-    /// Not all fit into the message.
+    /// Not all records fit into the message.
     MessageSize = 2,
-    /// The client took the operation back.
+    /// Cancelled by the client.
     ByOrigin = 3,
-    /// Some are missing, by this side's doing.
+    /// Some records are missing for a reason on the server's side.
     ByTarget = 4,
     Failure = 5,
 }
 
-/// Ends an operation that never began or came to nothing.
+/// The response for an operation that never started or failed.
 pub fn failure(service: Service, reference: Option<&[u8]>, fault: &Fault) -> Vec<u8> {
     match service {
         Service::Search => search_failed(reference, fault),
@@ -33,7 +33,7 @@
         Service::Sort => z3950::unit(tag::SORT_RESPONSE, reference, |w| {
             sort::write_response(w, SortStatus::Failure, Some(fault));
         }),
-        // Done, and failed.
+        // Status: done, with failure.
         _ => z3950::unit(tag::EXTENDED_RESPONSE, reference, |w| {
             w.integer(3, 3);
             w.inside(4, |all| {
@@ -71,7 +71,7 @@
     })
 }
 
-/// An operation that the client took back.
+/// The response for an operation that the client cancelled.
 pub fn cancelled(running: &Running) -> Vec<u8> {
     let reference = running.reference.as_deref();
     let fault = Kind::TIME.of("taken back");
@@ -101,7 +101,7 @@
     }
 }
 
-/// What an operation ends with: segments, if there are any, and the response.
+/// The messages that end an operation: any segments, then the response.
 pub fn answer(
     running: &Running,
     outcome: Outcome,
@@ -174,7 +174,8 @@
     }
     match record.to_bytes(form.syntax, form.schema, form.brief) {
         Ok(bytes) => Ok(bytes),
-        // A schema that is not known here passes as it is, where that is what XML was asked for.
+        // A record in an unknown schema is delivered unchanged if XML in the default schema was
+        // requested.
         Err(_)
             if record.schema.is_none()
                 && form.syntax == Syntax::Xml
@@ -258,7 +259,7 @@
     limits: SegmentLimits,
     left: usize,
 ) -> Vec<Vec<u8>> {
-    // A search response has no segments: what does not fit is presented later.
+    // A search response cannot be segmented. The client presents the records that do not fit.
     let divided = divided(
         page,
         form,
@@ -278,7 +279,7 @@
         );
         w.integer(tag::RETURNED, divided.delivered as i64);
         w.integer(tag::NEXT_POSITION, next_position(page, divided.delivered));
-        // A search in which slices are missing did not succeed; its set is a valid subset.
+        // A search with missing slices counts as failed, but its result set is a valid subset.
         w.boolean(tag::SEARCH_STATUS, page.complete);
         if let Some(set) = Session::set_status(page.complete) {
             w.integer(tag::SET_STATUS, set as i64);
--- a/catalogue/src/session/requests.rs
+++ b/catalogue/src/session/requests.rs
@@ -1,4 +1,4 @@
-//! Requests for operations, checked and begun.
+//! Validates requests and starts their operations.
 
 use super::{Form, Purpose, Session, SessionContext};
 use crate::ber::Item;
@@ -23,13 +23,13 @@
     given.ok_or_else(|| Kind::SYNTAX.of(format!("{what} is missing")))
 }
 
-/// The schema and brevity that an element set name asks for; the first of `tags` that is there
-/// counts.
+/// The schema and brevity that the request's element set name selects. The first of `tags` present
+/// in the request counts.
 fn elements(unit: &Item, tags: &[u32]) -> Result<(Schema, bool), Fault> {
     let given = tags.iter().find_map(|tag| unit.get(*tag));
     let name = match given {
         None => return Ok((Schema::Dc, false)),
-        // ElementSetNames: generic, or by database.
+        // ElementSetNames: generic, or per database.
         Some(names) => names
             .get(0)
             .and_then(Item::text)
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether a set of this name may be made.
+    /// Checks whether a result set of this name may be created.
     fn check_set(&self, name: &str, replace: bool) -> Result<(), Fault> {
         if name.is_empty() || name.len() > self.config.name_bytes {
             return Err(Kind::SET_NAME.of(""));
@@ -66,7 +66,8 @@
         if name != "default" && !self.abilities.has(Ability::NamedResultSets) {
             return Err(Kind { bib1: 22, sru: 50 }.of(name));
         }
-        // Two operations that make the same set would leave it to chance which one it is.
+        // If two running operations created the same set, the outcome would depend on which
+        // finished last.
         let taken = self.running.values().any(
             |r| matches!(&r.purpose, Purpose::Search { set, .. } | Purpose::Sort { set } if set == name),
         );
@@ -86,8 +87,8 @@
         Ok(())
     }
 
-    /// The search that a query stands for: sets in it are what they were made of, and slices that
-    /// one of them lacks are left out.
+    /// Replaces result sets in the query by the queries that created them. Also returns the slices
+    /// that at least one of these sets lacks.
     fn resolve(
         &self,
         query: Node,
@@ -160,7 +161,7 @@
             .get(tag::QUERY)
             .ok_or_else(|| Kind::SYNTAX.of("the query is missing"))?;
         let (query, left_out) = self.resolve(rpn::read(query, self.config.clauses)?, context)?;
-        // Records in a form that is not given do not keep the search from being done.
+        // An unsupported record form does not prevent the search itself.
         let form = elements(unit, &[tag::SMALL_ELEMENTS, tag::MEDIUM_ELEMENTS]).and_then(
             |(schema, brief)| {
                 Ok(Form {
@@ -190,7 +191,7 @@
                 medium,
             }
         };
-        // A set that is replaced is gone, whatever becomes of the new one (section 3.2.2.1.3).
+        // The replaced set is deleted even if the new search fails (section 3.2.2.1.3).
         if let Some(old) = self.sets.remove(&set) {
             context.sets.remove(old);
         }
@@ -217,7 +218,7 @@
             .get(&name)
             .ok_or_else(|| Kind::NO_SET.of(name.as_str()))?;
         let Some(set) = context.sets.get(id, context.now) else {
-            // It stays known by name, so that the client is told what became of it, each time.
+            // The name is kept, so that every later request also reports that the set is gone.
             return Err(Kind::SET_GONE.of(name));
         };
         let hits = set.count().hits;
@@ -292,7 +293,7 @@
         };
         self.check_set(&request.output, true)?;
         let (query, left_out) = self.resolve(Node::Set(input.clone()), context)?;
-        // One record of each slice shows whether its host can sort.
+        // One record of each slice is enough to show whether its host can sort.
         let search = self.build_search(query, left_out, request.keys, Schema::Dc, Want::Count(1));
         let (operation, step) = Operation::search(search, self.config.bounds);
         Ok((
