--- a/catalogue/src/fault.rs
+++ b/catalogue/src/fault.rs
@@ -1,24 +1,24 @@
-//! What can be wrong with a request, in the numbers of both protocols.
+//! Diagnostics for requests, with their numbers in both protocols.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A diagnostic: its number in Bib-1 (Z39.50, appendix DIAG) and in SRU's set
-/// (`info:srw/diagnostic/1`), and what it is about.
+/// A diagnostic: its kind, with the numbers in Bib-1 (Z39.50, appendix DIAG) and in SRU's set
+/// (`info:srw/diagnostic/1`), and its details.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// What is wrong.
+    /// The kind of diagnostic.
     pub kind: Kind,
-    /// What it is about; the standards call it addinfo and details.
+    /// The details, which the standards call addinfo and details.
     pub about: String,
 }
 
-/// What is wrong.
+/// The kind of a diagnostic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Kind {
-    /// Its number in Bib-1.
+    /// The number in Bib-1.
     pub bib1: u16,
-    /// Its number in SRU's set.
+    /// The number in SRU's set.
     pub sru: u16,
 }
 
@@ -27,133 +27,133 @@
         impl Kind {
             $($(#[$doc])* pub const $name: Kind = Kind { bib1: $bib1, sru: $sru };)*
         }
-        /// Every kind that is used, with SRU's words for it; the first of a number is what it is
-        /// read as.
+        /// All kinds in use, with SRU's messages. If several share a number, that number is read as
+        /// the first of them.
         const KINDS: &[(Kind, &str)] = &[$((Kind::$name, $words)),*];
     };
 }
 
 kinds! {
-    /// Something failed that the client cannot help.
+    /// An internal failure that the client cannot resolve.
     GENERAL = 1, 1, "General system error";
-    /// Too much is asked at present.
+    /// The service is overloaded.
     BUSY = 2, 2, "System temporarily unavailable";
-    /// No answer within the time.
+    /// No answer within the time limit.
     TIME = 31, 1, "General system error";
-    /// A service or an operation that is not offered.
+    /// An unsupported service or operation.
     OPERATION = 3, 4, "Unsupported operation";
-    /// A version that is not spoken.
+    /// An unsupported protocol version.
     VERSION = 1, 5, "Unsupported version";
-    /// A parameter with a value that cannot be used.
+    /// An unsupported parameter value.
     VALUE = 108, 6, "Unsupported parameter value";
-    /// A parameter that must be there.
+    /// A missing mandatory parameter.
     MISSING = 108, 7, "Mandatory parameter not supplied";
-    /// A parameter that is not known.
+    /// An unknown parameter.
     PARAMETER = 108, 8, "Unsupported parameter";
-    /// A query that breaks its grammar.
+    /// A query with a syntax error.
     SYNTAX = 108, 10, "Query syntax error";
-    /// A query language other than those offered.
+    /// An unsupported query language.
     QUERY_TYPE = 107, 6, "Unsupported parameter value";
-    /// A context set of CQL, or an attribute set of a type-1 query.
+    /// An unsupported CQL context set, or attribute set of a type-1 query.
     SET_OF_NAMES = 121, 15, "Unsupported context set";
-    /// An index, or a use attribute.
+    /// An unsupported index or use attribute.
     INDEX = 114, 16, "Unsupported index";
-    /// A relation.
+    /// An unsupported relation.
     RELATION = 117, 19, "Unsupported relation";
-    /// A relation modifier, or the structure attribute that stands for it.
+    /// An unsupported relation modifier, or the structure attribute that corresponds to it.
     MODIFIER = 118, 20, "Unsupported relation modifier";
-    /// An index that does not go with this relation.
+    /// An unsupported combination of relation and index.
     COMBINATION = 123, 22, "Unsupported combination of relation and index";
-    /// A term of another form than the index has.
+    /// A term in the wrong format for its index.
     TERM = 125, 36, "Term in invalid format for index or relation";
-    /// A term without text.
+    /// An empty term.
     EMPTY_TERM = 125, 27, "Empty term unsupported";
-    /// Masking of characters.
+    /// Unsupported masking characters.
     MASKING = 120, 28, "Masking character not supported";
-    /// Anchoring.
+    /// Unsupported anchoring.
     ANCHOR = 119, 31, "Anchoring character not supported";
-    /// A boolean, or an operator.
+    /// An unsupported boolean or operator.
     BOOLEAN = 110, 37, "Unsupported boolean operator";
     /// More booleans than the limit.
     TOO_COMPLEX = 5, 38, "Too many boolean operators in query";
-    /// Proximity.
+    /// Unsupported proximity.
     PROXIMITY = 201, 39, "Proximity not supported";
-    /// The unit of a proximity.
+    /// An unsupported proximity unit.
     PROXIMITY_UNIT = 132, 42, "Unsupported proximity unit";
-    /// A boolean's modifier.
+    /// An unsupported boolean modifier.
     BOOLEAN_MODIFIER = 110, 46, "Unsupported boolean modifier";
-    /// A feature of the language.
+    /// An unsupported feature of the query language.
     FEATURE = 3, 48, "Query feature unsupported";
-    /// A set of that name was never made, or ended with its session.
+    /// A result set that never existed or ended with its session.
     NO_SET = 30, 51, "Result set does not exist";
-    /// A set that was there is gone: expired, evicted or changed.
+    /// A result set that expired, was evicted, or has changed.
     SET_GONE = 27, 51, "Result set does not exist";
-    /// The name of a set that may not be replaced.
+    /// A result set name in use, without permission to replace the set.
     SET_EXISTS = 21, 1, "General system error";
-    /// More sets than are kept.
+    /// More result sets than the limit.
     TOO_MANY_SETS = 112, 52, "Result set temporarily unavailable";
-    /// A set whose name cannot be used.
+    /// An invalid result set name.
     SET_NAME = 128, 51, "Result set does not exist";
-    /// Slices are missing; what is there is right.
+    /// Slices are missing; the results present are valid.
     PARTIAL = 33, 59, "Result set created with valid partial results available";
-    /// A position outside the set.
+    /// A position outside the result set.
     RANGE = 13, 61, "First record position out of range";
-    /// Records in a schema that is not offered.
+    /// An unsupported record schema.
     SCHEMA = 25, 66, "Unknown schema for retrieval";
-    /// A record that does not exist in the schema that is wanted.
+    /// A record that is not available in the requested schema.
     NOT_IN_SCHEMA = 238, 67, "Record not available in this schema";
-    /// A record syntax that is not offered.
+    /// An unsupported record syntax.
     RECORD_SYNTAX = 239, 67, "Record not available in this schema";
-    /// A record longer than the client takes.
+    /// A record longer than the client accepts.
     RECORD_TOO_LONG = 17, 70, "Record too large to send";
-    /// A record longer than one message may be.
+    /// A record that exceeds one message.
     RECORD_OVER_MESSAGE = 16, 70, "Record too large to send";
-    /// A packing other than xml and string.
+    /// A record packing other than xml and string.
     PACKING = 108, 71, "Unsupported record packing";
-    /// XPath.
+    /// XPath retrieval, which is unsupported.
     XPATH = 108, 72, "XPath retrieval unsupported";
-    /// Sorting, at hosts that cannot.
+    /// Sorting is not supported by the host.
     SORT = 207, 80, "Sort not supported";
-    /// A sort key that cannot be sorted by.
+    /// An unsupported sort key.
     SORT_KEY = 207, 81, "Unsupported sort type";
-    /// More records than are sorted.
+    /// More records than can be sorted.
     SORT_TOO_MANY = 230, 83, "Too many records to sort";
-    /// More keys than are sorted by.
+    /// More sort keys than the limit.
     SORT_KEYS = 211, 84, "Too many sort keys to sort";
-    /// A record without the key, where none may lack it.
+    /// A record lacks a sort key that is mandatory.
     SORT_MISSING = 237, 93, "Sort ended due to missing value";
-    /// An action for missing values that is not offered.
+    /// An unsupported action for missing values.
     SORT_MISSING_ACTION = 213, 92, "Unsupported missing value action";
-    /// A style sheet.
+    /// A style sheet, which is unsupported.
     STYLESHEET = 108, 110, "Stylesheets not supported";
-    /// A scan with another step than 0.
+    /// A scan with a step size other than 0.
     SCAN_STEP = 205, 6, "Unsupported parameter value";
-    /// A scan that is not offered, or not for this index.
+    /// A scan that is unsupported, in general or for the index.
     SCAN = 232, 4, "Unsupported operation";
-    /// A scan's position out of its list.
+    /// A scan position outside the list.
     SCAN_POSITION = 233, 120, "Response position out of range";
-    /// More terms than a scan gives.
+    /// More terms than the limit of a scan.
     SCAN_TOO_MANY = 234, 121, "Too many terms requested";
-    /// A database that is not there.
+    /// An unknown database.
     DATABASE = 235, 235, "Database does not exist";
-    /// A database that is there but not for this.
+    /// A known database that does not support the request.
     DATABASE_CLOSED = 109, 235, "Database does not exist";
-    /// More databases, or other ones together, than are searched at once.
+    /// An unsupported combination of databases.
     DATABASES = 23, 235, "Database does not exist";
-    /// The client has not said who it is.
+    /// The client did not authenticate.
     AUTHENTICATION = 1010, 3, "Authentication error";
-    /// The client is not who it says.
+    /// Wrong credentials.
     PASSWORD = 1011, 3, "Authentication error";
-    /// An extended service.
+    /// An extended service, which is unsupported.
     EXTENDED_SERVICE = 221, 4, "Unsupported operation";
-    /// An attribute type.
+    /// An unsupported attribute type.
     ATTRIBUTE_TYPE = 113, 48, "Query feature unsupported";
-    /// A term's type.
+    /// An unsupported term type.
     TERM_TYPE = 229, 36, "Term in invalid format for index or relation";
 }
 
 impl Kind {
-    /// SRU's words for it.
+    /// The message of SRU's set.
     pub fn words(self) -> &'static str {
         let exact = KINDS.iter().find(|(kind, _)| *kind == self);
         exact
@@ -161,8 +161,7 @@
             .map_or("", |(_, words)| words)
     }
 
-    /// What a Bib-1 number stands for; an unknown one keeps its number and is a general error in
-    /// SRU.
+    /// The kind for a Bib-1 number. An unknown number is kept, and maps to a general error in SRU.
     pub fn from_bib1(number: u16) -> Kind {
         let known = KINDS.iter().find(|(kind, _)| kind.bib1 == number);
         known.map_or(
@@ -174,8 +173,8 @@
         )
     }
 
-    /// What a number of SRU's set stands for; an unknown one keeps its number and is a general
-    /// error in Bib-1.
+    /// The kind for a number of SRU's set. An unknown number is kept, and maps to a general error
+    /// in Bib-1.
     pub fn from_sru(number: u16) -> Kind {
         let known = KINDS.iter().find(|(kind, _)| kind.sru == number);
         known.map_or(
@@ -187,13 +186,13 @@
         )
     }
 
-    /// Whether another host, or the same one later, may well answer: it speaks of the server, not
-    /// of the request.
+    /// Whether the fault concerns the server and not the request, so that another host, or the same
+    /// one later, may succeed.
     pub fn is_of_the_server(self) -> bool {
         matches!(self.bib1, 1 | 2 | 31) && matches!(self.sru, 1 | 2)
     }
 
-    /// As the fault of something.
+    /// Creates a diagnostic of this kind with details.
     pub fn of(self, about: impl Into<String>) -> Fault {
         Fault {
             kind: self,
--- a/catalogue/src/host.rs
+++ b/catalogue/src/host.rs
@@ -1,6 +1,7 @@
-//! One part as exchanges with one index host, and the way round what the host lacks.
+//! Runs one part as one or more exchanges with an index host, and works around features that the
+//! host lacks.
 //!
-//! To the core a part is one attempt, however many exchanges it takes on its session.
+//! To the dispatch core a part is one attempt, regardless of the number of exchanges.
 
 pub mod sru;
 pub mod z3950;
@@ -11,48 +12,48 @@
 use crate::sort::{self, SortKey};
 use crate::work::{Found, Range};
 
-/// What bounds the exchanges of one part.
+/// Limits of the exchanges of one part.
 #[derive(Debug, Clone, Copy)]
 pub struct HostBounds {
-    /// Records that are sorted here for a host that does not sort.
+    /// Maximum records sorted locally for a host that does not sort.
     pub local_sort: u32,
-    /// Bytes of one message.
+    /// Maximum bytes of one message.
     pub message: usize,
-    /// Sets that a Z39.50 session keeps at its host.
+    /// Result sets that a Z39.50 session keeps at its host.
     pub named_sets: usize,
-    /// How long such a set is presented from before it is searched again.
+    /// Age after which such a set is searched again instead of presented.
     pub set_age: crate::sets::Time,
-    /// Exchanges of one part.
+    /// Maximum exchanges of one part.
     pub exchanges: u32,
 }
 
-/// What comes next on a session.
+/// The next step of a part.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Next<Message> {
-    /// Say this and wait.
+    /// Send this and wait for the response.
     Send(Message),
-    /// The part is done.
+    /// The part is complete.
     Done(crate::work::WorkResult),
-    /// The host turned the part away unseen.
+    /// The host rejected the part without running it.
     Later,
-    /// It failed; it may have run.
+    /// The part failed and may have run.
     Failed(String),
 }
 
-/// What something that a host said means.
+/// The meaning of a message from a host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HostEvent {
-    /// The session may be used.
+    /// The session is open.
     Opened,
-    /// The host does not take the session.
+    /// The host refused the session.
     Rejected(String),
-    /// The host ends it.
+    /// The host closed the session.
     Closed,
-    /// What comes next for the part under way.
+    /// The next step of the current part.
     Next(Next<Vec<u8>>),
 }
 
-/// What a host's diagnostic means for the part.
+/// Maps a host's diagnostic to the next step of the part.
 fn refused<M>(fault: Fault) -> Next<M> {
     match fault.kind {
         kind if kind.bib1 == 2 => Next::Later,
@@ -61,7 +62,7 @@
     }
 }
 
-/// Sorts a host's records here and cuts the range out: for a host that does not sort itself.
+/// Sorts the records of a host that does not sort itself, and returns the requested range.
 fn sort_locally(
     keys: &[SortKey],
     records: Vec<Record>,
@@ -72,7 +73,8 @@
         .map(|record| Row::new(record, keys))
         .collect::<Option<Vec<_>>>();
     let mut rows = rows.ok_or_else(|| Kind::SORT_MISSING.of(""))?;
-    // Stable, so that equal ones keep the host's order on every page.
+    // A stable sort keeps the host's order among equal records, so that it is the same on every
+    // page.
     rows.sort_by(|a, b| sort::compare(keys, &a.values, &b.values));
     let cut = rows
         .into_iter()
@@ -88,13 +90,13 @@
     ))
 }
 
-/// Records as they come, until as many as were asked for are here.
+/// Collects records until as many as requested have arrived.
 #[derive(Debug, Clone, Default)]
 struct RecordBuffer {
     records: Vec<Record>,
-    /// The first place that is wanted, from 0.
+    /// Offset of the first requested record, from 0.
     from: u64,
-    /// How many in all.
+    /// Total number of requested records.
     want: u64,
 }
 
@@ -108,7 +110,7 @@
         }
     }
 
-    /// What is still to be asked for: the place of the first, from 0, and how many.
+    /// The offset of the next record to request, from 0, and how many are still missing.
     fn rest(&self) -> (u64, u64) {
         let have = self.records.len() as u64;
         (self.from + have, self.want.saturating_sub(have))
--- a/catalogue/src/host/sru.rs
+++ b/catalogue/src/host/sru.rs
@@ -1,5 +1,5 @@
-//! SRU with an index host: its version is learned, and what it refuses is asked for otherwise or
-//! said so.
+//! SRU with an index host. It learns the host's version and works around unsupported features, or
+//! reports them.
 
 use super::{HostBounds, Next, RecordBuffer, found, refused, sort_locally, too_many_to_sort};
 use crate::cql::{self, write_sort};
@@ -12,17 +12,17 @@
 use crate::sru::{ReadResponse, Version, read_response};
 use crate::work::{Found, PageWork, ScanWork, Work, WorkResult};
 
-/// The order in which versions are tried with a host that is not known.
+/// The order in which versions are tried with an unknown host.
 const VERSION_ORDER: [Version; 3] = [Version::V12, Version::V11, Version::V20];
 
-/// One part under way.
+/// A running part.
 #[derive(Debug, Clone)]
 pub struct Job {
     work: Work,
     slice: u32,
     version: Version,
     tried: Vec<Version>,
-    /// Sorted here, as the host does not.
+    /// Whether records are sorted locally because the host does not sort.
     local: bool,
     buffer: Option<RecordBuffer>,
     first: Option<(u64, bool, Option<Vec<crate::merge::Facet>>)>,
@@ -30,7 +30,7 @@
 }
 
 impl Job {
-    /// A part for one slice.
+    /// Creates a part for one slice.
     pub fn new(work: Work, slice: u32, learned: &Learned) -> Job {
         let version = learned.version.unwrap_or(VERSION_ORDER[0]);
         let local = learned.no_sort && matches!(&work, Work::Page(page) if !page.sort.is_empty());
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The query of the URL to ask for.
+    /// The query component of the next request's URL.
     pub fn ask(&self, bounds: &HostBounds, learned: &Learned) -> String {
         let mut pairs: Vec<(&str, String)> = Vec::new();
         let old = self.version != Version::V20;
@@ -96,7 +96,7 @@
                 (range.offset, u64::from(range.count))
             }
         };
-        // A place that is not asked for must not be out of range.
+        // The start must be in range even if no record is requested.
         pairs.push((
             "startRecord",
             if count == 0 { 1 } else { from + 1 }.to_string(),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The host has answered.
+    /// Handles the host's response.
     pub fn answered(
         &mut self,
         status: u16,
@@ -131,12 +131,13 @@
         learned: &mut Learned,
     ) -> Next<()> {
         self.exchanges += 1;
-        // A gateway in front of the host may word it so too: the request was not looked at.
+        // These statuses may also come from a gateway in front of the host. In both cases the
+        // request was not processed.
         if status == 503 || status == 429 {
             return Next::Later;
         }
         let response = match read_response(body) {
-            // Some servers give a status of their own to what their diagnostics say.
+            // Some servers send diagnostics with a status other than 200.
             Ok(response) if status == 200 || !response.faults.is_empty() => response,
             Ok(_) => return Next::Failed(format!("status {status}")),
             Err(problem) => return Next::Failed(format!("status {status}: {problem}")),
@@ -157,7 +158,8 @@
         next
     }
 
-    /// Whether the fault is one that another way of asking gets round; the way is taken.
+    /// Changes the request to avoid the fault, if possible. Returns whether to send the request
+    /// again.
     fn round(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
         let Work::Page(page) = &self.work else {
             return self.other_version(fault, learned);
@@ -206,7 +208,7 @@
         true
     }
 
-    /// The version that the host turned out to answer in.
+    /// Remembers the version in which the host responded.
     fn learn(&self, response: &ReadResponse, learned: &mut Learned) {
         let said = response.version.as_deref().and_then(Version::named);
         learned.version = Some(said.unwrap_or(self.version));
@@ -266,11 +268,11 @@
             .records
             .extend(response.records.into_iter().take(limits));
         if !buffer.is_done() && buffer.records.len() > before {
-            // The host gives fewer at once than it was asked for.
+            // The host returned fewer records than requested.
             return Next::Send(());
         }
-        // Fewer than there should be: the set has changed under the page, which its counts will
-        // show.
+        // If records are missing here, the set changed while it was read, and its count will reveal
+        // that.
         let records = std::mem::take(&mut buffer.records);
         let (hits, exact, facets) = self.first.take().unwrap_or((hits, exact, None));
         let records = if self.local && range.count > 0 {
@@ -310,9 +312,9 @@
     }
 }
 
-/// A query that travels in CQL must be in the host's version of it: 1.1 has no sortBy and no
-/// prefixes, which are never written into it. What is left is checked here, so that a fault in it
-/// is this program's and not the host's.
+/// Checks that a query can be sent as CQL. Version 1.1 has neither `sortBy` nor prefix assignments,
+/// which are never written into the text. Errors found here are errors of this program and not of
+/// the host.
 pub fn check(work: &Work) -> Result<(), Fault> {
     let text = match work {
         Work::Page(page) => &page.query,
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -1,5 +1,5 @@
-//! Z39.50 with an index host: one session, one part at a time, with the sets that the host still
-//! has for it.
+//! A Z39.50 session with an index host. It runs one part at a time and tracks the result sets that
+//! the host keeps for it.
 
 use super::{
     HostBounds, HostEvent, Next, RecordBuffer, found, refused, sort_locally, too_many_to_sort,
@@ -17,10 +17,10 @@
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// The syntaxes in the order in which they are asked for.
+/// Record syntaxes in order of preference.
 const SYNTAXES: [Syntax; 4] = [Syntax::Xml, Syntax::Usmarc, Syntax::Grs1, Syntax::Sutrs];
 
-/// A set that the host has for this session.
+/// A result set that the host keeps for this session.
 #[derive(Debug, Clone)]
 struct HostSet {
     key: String,
@@ -47,14 +47,14 @@
     phase: JobPhase,
     set: Option<HostSet>,
     buffer: RecordBuffer,
-    /// Sorted here, as the host does not.
+    /// Whether records are sorted locally because the host does not sort.
     local: bool,
-    /// The set was gone once and was searched again.
+    /// Whether the search was already repeated because the host had dropped its set.
     again: bool,
     exchanges: u32,
 }
 
-/// A session.
+/// A session with one index host.
 #[derive(Debug, Default)]
 pub struct Session {
     abilities: Abilities,
@@ -63,27 +63,27 @@
     job: Option<Job>,
 }
 
-/// Why a session can't go on: the host sent what the protocol does not have at this point.
+/// A protocol violation by the host, after which the session cannot continue.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SessionError {
-    /// A data unit of another kind than the one that is due.
+    /// A data unit of another type than expected.
     #[error("a data unit with the tag {0}")]
     UnexpectedUnit(u32),
-    /// A response, and no request is in flight.
+    /// A response while no request is in flight.
     #[error("a response to nothing")]
     NoJob,
-    /// A mandatory field of a search response is missing.
+    /// A search response lacks its mandatory search status.
     #[error("a search response without its status")]
     NoSearchStatus,
-    /// A mandatory field of a search response is missing.
+    /// A search response lacks its mandatory result count.
     #[error("a search response without its count")]
     NoResultCount,
-    /// The records can't be read.
+    /// The records cannot be decoded.
     #[error(transparent)]
     Records(#[from] RecordError),
 }
 
-/// The first thing that is said.
+/// The Init request that opens a session.
 pub fn init_request(bounds: &HostBounds) -> Vec<u8> {
     z3950::unit(tag::INIT_REQUEST, None, |w| {
         init::introduce(
@@ -98,12 +98,12 @@
 }
 
 impl Session {
-    /// What the host offered at the start.
+    /// The options that the host offered in its Init response.
     pub fn abilities(&self) -> Abilities {
         self.abilities
     }
 
-    /// Begins a part: what to say, or how it ends at once.
+    /// Starts a part. Returns the first message, or the result if none is needed.
     pub fn begin(
         &mut self,
         work: &Work,
@@ -128,7 +128,8 @@
         learned: &Learned,
         now: Time,
     ) -> Next<Vec<u8>> {
-        // The text was parsed when it came in; here it is only nested as deep as it was written.
+        // The query was validated when the client sent it. This limit only allows any nesting that
+        // passed then.
         let query = match cql::parse(&page.query, 256) {
             Ok(query) => query.root,
             Err(fault) => return Next::Done(WorkResult::Refused(fault)),
@@ -214,7 +215,7 @@
         Next::Send(unit)
     }
 
-    /// A data unit has come. An error says why the session cannot go on.
+    /// Handles a data unit from the host. After an error the session cannot continue.
     pub fn receive(
         &mut self,
         unit: &Item,
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Says the search.
+    /// Sends the search request.
     fn search(&mut self, bounds: &HostBounds, learned: &Learned, now: Time) -> Next<Vec<u8>> {
         let named = self.abilities.has(Ability::NamedResultSets);
         let name = if named {
@@ -297,7 +298,7 @@
             exact: true,
             made: now,
         });
-        // The first records come with the response, where nothing has to be sorted before.
+        // The first records come with the search response unless the set must be sorted first.
         let along = if job.page.sort.is_empty() && job.range.offset == 0 {
             job.range.count
         } else {
@@ -309,7 +310,8 @@
         let mut written = Ok(());
         let (syntax, schema) = (syntax(learned), schema(&job.page, learned));
         let unit = z3950::unit(tag::SEARCH_REQUEST, None, |w| {
-            // Every result is of medium size, so that the first records come along.
+            // These bounds make every result set medium-sized, so that its first records are
+            // included.
             w.integer(tag::SMALL_SET, 0);
             w.integer(
                 tag::LARGE_SET,
@@ -401,7 +403,7 @@
         Ok(self.present(learned))
     }
 
-    /// What is to be gathered of so many hits.
+    /// The records to collect from a set with `hits` hits.
     fn wanted(&self, hits: u64, bounds: &HostBounds) -> Result<RecordBuffer, Fault> {
         let Some(job) = &self.job else {
             return Ok(RecordBuffer::default());
@@ -436,7 +438,7 @@
                 job.phase = JobPhase::Sorting;
                 Next::Send(unit)
             }
-            // The service has no words for it, so the records are sorted here.
+            // The Sort service cannot express these keys, so the records are sorted locally.
             Err(_) => {
                 job.local = true;
                 self.present(learned)
@@ -451,7 +453,7 @@
         learned: &mut Learned,
     ) -> Result<Next<Vec<u8>>, SessionError> {
         if sort::read_response(unit).is_err() {
-            // Whatever it says: its records are sorted here, if there are not too many.
+            // Whatever the diagnostic, the records are sorted locally if there are not too many.
             learned.no_sort = true;
             let Some(job) = &mut self.job else {
                 return Err(SessionError::NoJob);
@@ -470,7 +472,7 @@
         Ok(self.present(learned))
     }
 
-    /// Asks for the records that are not here yet.
+    /// Requests the records that have not arrived yet.
     fn present(&mut self, learned: &Learned) -> Next<Vec<u8>> {
         let Some(job) = &mut self.job else {
             return Next::Failed(String::new());
@@ -512,13 +514,14 @@
             return Ok(self.finish());
         }
         match z3950::response_fault(unit) {
-            // The host gives fewer at once than it was asked for.
+            // The host returned fewer records than requested, so the rest is requested again.
             None if some => Ok(self.present(learned)),
             None => Ok(Next::Failed(
                 "a present response without records".to_owned(),
             )),
             Some(fault) if other_form(&fault, &job.page, learned) => Ok(self.present(learned)),
-            // The set has fewer than it said: what is here is all, which its counts will show.
+            // The set is smaller than its count. The records so far are all there is, and the count
+            // will reveal the change.
             Some(fault) if fault.kind.bib1 == 13 => Ok(self.finish()),
             Some(fault) if matches!(fault.kind.bib1, 27 | 30) && !job.again => {
                 job.again = true;
@@ -558,7 +561,7 @@
 }
 
 fn key_of(job: &Job) -> String {
-    // A set that was sorted is another one than the same unsorted.
+    // A sorted set is distinct from the unsorted set of the same query.
     let sort = if job.local {
         String::new()
     } else {
@@ -574,13 +577,13 @@
         .unwrap_or(Syntax::Xml)
 }
 
-/// The element set that names the schema; Dublin Core is what hosts give unasked.
+/// The element set name for the schema; none for Dublin Core, which hosts return by default.
 fn schema(page: &PageWork, learned: &Learned) -> Option<Schema> {
     Some(page.schema).filter(|s| *s != Schema::Dc && !learned.no_schema.contains(s))
 }
 
-/// Whether the fault is about the form of records and another form is left to ask for; the one
-/// refused is noted.
+/// Records that the host rejected the record syntax or schema. Returns whether another one is left
+/// to request.
 fn other_form(fault: &Fault, page: &PageWork, learned: &mut Learned) -> bool {
     match fault.kind.bib1 {
         25 if schema(page, learned).is_some() => learned.no_schema.push(page.schema),
--- a/catalogue/src/merge.rs
+++ b/catalogue/src/merge.rs
@@ -1,31 +1,31 @@
-//! Slices' answers as one: order, counts with what they are worth, lists of terms, facets.
+//! Merges the results of slices: record order, counts with their precision, term lists and facets.
 
 use crate::record::Record;
 use crate::sort::{self, SortKey, Value};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a count is worth.
+/// The precision of a count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Precision {
-    /// It is the count.
+    /// The count is exact.
     Exact,
-    /// A host stopped counting there: there may be more.
+    /// A host stopped counting, so there may be more.
     AtLeast,
-    /// Slices are missing: there may be more.
+    /// Slices are missing, so there may be more.
     Partial,
 }
 
 /// A count of hits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Count {
-    /// How many.
+    /// The number of hits.
     pub hits: u64,
-    /// What that is worth.
+    /// The precision of the number.
     pub precision: Precision,
 }
 
-/// Adds up the slices that are in; `missing` says whether others are not.
+/// Adds up the counts of the slices that answered; `missing` says whether others did not.
 pub fn count(slices: impl IntoIterator<Item = (u64, bool)>, missing: bool) -> Count {
     let first = if missing {
         Precision::Partial
@@ -48,17 +48,17 @@
     )
 }
 
-/// A record with what it is ordered by.
+/// A record with its sort values.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// The record.
     pub record: Record,
-    /// Its value for each key.
+    /// The record's value for each sort key.
     pub values: Vec<Value>,
 }
 
 impl Row {
-    /// A record's row; `None` where it lacks a key that none may lack.
+    /// Creates a row; `None` if the record lacks a key that is mandatory.
     pub fn new(record: Record, keys: &[SortKey]) -> Option<Row> {
         let value = |key: &SortKey| sort::value(key, record.value(&key.index).as_deref());
         let values = keys.iter().map(value).collect::<Option<Vec<_>>>()?;
@@ -66,21 +66,21 @@
     }
 }
 
-/// One slice's records, in its host's order, as far as they are here.
+/// The records of one slice, in the order its host returned them.
 #[derive(Debug, Clone, Default)]
 pub struct Source {
-    /// Those not yet placed.
+    /// Records fetched but not yet merged.
     pub ahead: VecDeque<Row>,
-    /// How many are placed.
+    /// Number of records already merged.
     pub placed: u64,
-    /// How many the slice has.
+    /// Number of records in the slice.
     pub hits: u64,
-    /// The values of the last one placed.
+    /// Sort values of the last merged record.
     last: Option<Vec<Value>>,
 }
 
 impl Source {
-    /// A slice with so many hits, of which none is here.
+    /// A slice with `hits` records, none of which has been fetched.
     pub fn new(hits: u64) -> Source {
         Source {
             hits,
@@ -88,32 +88,32 @@
         }
     }
 
-    /// How many are not here.
+    /// The number of records not yet fetched.
     pub fn behind(&self) -> u64 {
         self.hits
             .saturating_sub(self.placed + self.ahead.len() as u64)
     }
 
-    /// The place of the next one that is not here, counted from 0.
+    /// The offset of the next record to fetch, from 0.
     pub fn next_offset(&self) -> u64 {
         self.placed + self.ahead.len() as u64
     }
 }
 
-/// The next record of all.
+/// The outcome of a merge step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Pull {
-    /// It is this one, of the slice at this place; and whether it stands behind one that it should
-    /// precede.
+    /// The next record: the index of its slice, the row, and whether the slice's previous record
+    /// should have come after it.
     Row(usize, Row, bool),
-    /// That cannot be said before more of these slices' records are here.
+    /// More records of these slices are needed to determine the next one.
     Dry(Vec<usize>),
-    /// There is none.
+    /// All records have been merged.
     End,
 }
 
-/// Takes the next record of all. Equal ones come by slice, so that the same slices always give the
-/// same order.
+/// Takes the next record in merged order. Ties are broken by slice, so that the order is
+/// reproducible.
 pub fn pull(keys: &[SortKey], sources: &mut [Source]) -> Pull {
     let dry: Vec<usize> = (0..sources.len())
         .filter(|at| sources[*at].ahead.is_empty() && sources[*at].behind() > 0)
@@ -125,7 +125,7 @@
         .iter()
         .enumerate()
         .filter_map(|(at, s)| Some((at, s.ahead.front()?)));
-    // `min_by` keeps the first of equals.
+    // `min_by` returns the first of equal elements.
     let least = heads
         .min_by(|a, b| sort::compare(keys, &a.1.values, &b.1.values))
         .map(|(at, _)| at);
@@ -148,28 +148,29 @@
 pub struct Term {
     /// The term.
     pub text: String,
-    /// How it is shown, where that differs.
+    /// Display form of the term, if it differs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub display: Option<String>,
-    /// How many records have it.
+    /// The number of records with the term.
     pub count: u64,
 }
 
-/// One slice's list of terms.
+/// The term list of one slice.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Terms {
-    /// In their order.
+    /// The terms in index order.
     pub terms: Vec<Term>,
-    /// Which host gave them.
+    /// The host that returned the list.
     pub host: u32,
 }
 
-/// Merges slices' lists around a starting point: `number` terms, of which that point, or the first
-/// behind it, stands at `position` (from 1; 0 for just before the list, `number + 1` for just
-/// behind it). Gives them and where the point came to stand.
+/// Merges the term lists of slices around a starting point. The result has `number` terms, and the
+/// starting point or the first term after it is at `position`: from 1, with 0 for just before the
+/// list and `number + 1` for just after it. Returns the terms and the actual position.
 ///
-/// Each slice was asked for the same: a term among the first so many of all is among the first so
-/// many of each slice that has it, so its count is right for the slices that are in.
+/// Every slice received the same request. A term among the first `number` of all is also among the
+/// first `number` of each slice that contains it, so its count is correct for the slices that
+/// answered.
 pub fn scan(lists: &[Terms], seed: &str, number: usize, position: usize) -> (Vec<Term>, usize) {
     let seed = sort::fold(seed, false);
     let mut all: BTreeMap<String, Term> = BTreeMap::new();
@@ -187,7 +188,7 @@
     } else {
         number - wanted_before
     };
-    // The point itself stands outside the list where its place is 0.
+    // With position 0 the starting point itself is not part of the list.
     let behind = behind
         .into_iter()
         .skip(usize::from(position == 0))
@@ -198,39 +199,40 @@
     (terms, if position == 0 { 0 } else { kept_before + 1 })
 }
 
-/// What is counted by the values of one index.
+/// A request for a facet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FacetAsk {
-    /// The index's name.
+    /// The name of the index.
     pub index: String,
-    /// How many values.
+    /// Maximum number of values.
     pub limit: u32,
 }
 
-/// The values of one index and how many records of a result have each.
+/// The values of one index and the number of matching records for each.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Facet {
-    /// The index's name.
+    /// The name of the index.
     pub index: String,
-    /// The values, most records first.
+    /// The values, in descending order of their counts.
     pub values: Vec<(String, u64)>,
 }
 
-/// A merged facet, and whether its counts are exact.
+/// A merged facet and whether its counts are exact.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MergedFacet {
     /// The facet.
     pub facet: Facet,
-    /// Each value's count is right: no slice left one out that it may have.
+    /// Whether every count is exact, that is, no slice can have omitted one of these values.
     pub exact: bool,
 }
 
-/// How many values a slice is asked for, so that its list is rarely cut above one that matters.
+/// The number of values to request from each slice. Asking for more than `limit` makes it unlikely
+/// that a slice omits a relevant value.
 pub fn facet_ask(limit: u32) -> u32 {
     limit.saturating_mul(2).saturating_add(10)
 }
 
-/// Adds up one facet over the slices; `lists` holds `None` for a slice that gave none.
+/// Adds up one facet over all slices; `lists` has `None` for a slice that returned none.
 pub fn facets(ask: &FacetAsk, lists: &[Option<&Facet>]) -> MergedFacet {
     let asked = facet_ask(ask.limit) as usize;
     let mut all: BTreeMap<&str, u64> = BTreeMap::new();
@@ -238,10 +240,10 @@
         *all.entry(value).or_insert(0) += count;
     }
     let mut values: Vec<(String, u64)> = all.into_iter().map(|(v, n)| (v.to_owned(), n)).collect();
-    // By count, then by value, which is their order so far.
+    // A stable sort: equal counts remain ordered by value.
     values.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
     values.truncate(ask.limit as usize);
-    // A list that was cut may hide up to its last count of any value that it does not show.
+    // A truncated list may omit any value whose count is at most that of its last entry.
     let sure = |facet: &Facet| {
         facet.values.len() < asked
             || values
--- a/catalogue/src/pool.rs
+++ b/catalogue/src/pool.rs
@@ -1,67 +1,67 @@
-//! Sessions to index hosts: which one takes the next part, when one more is opened, when a host is
-//! left in peace, what becomes of a search that nobody waits for any more, and what a host is held
-//! able to do.
+//! Manages sessions with index hosts: chooses the session for each part, opens new ones, backs off
+//! from failing hosts, handles abandoned searches, and remembers features that a host lacks.
 
 use crate::record::{Schema, Syntax};
 use crate::sru::Version;
 use std::collections::BTreeMap;
 
-/// Nanoseconds of one clock.
+/// Nanoseconds on a monotonic clock.
 pub type Time = u64;
 
-/// What bounds the pool.
+/// Limits of the pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolBounds {
-    /// Sessions to one host.
+    /// Maximum sessions per host.
     pub sessions: usize,
-    /// Rest after a first failed connection; doubled by each that follows.
+    /// Backoff after the first failed connection, doubled after each further failure.
     pub rest_least: Time,
-    /// The longest rest.
+    /// Maximum backoff.
     pub rest_most: Time,
-    /// How long what a host cannot do is held against it.
+    /// How long a feature that a host lacks is not requested again.
     pub learn_for: Time,
-    /// An abandoned search is outlived for so long, whatever the host usually takes.
+    /// Minimum time to wait for the response to an abandoned search, however fast the host usually
+    /// is.
     pub outlive_least: Time,
-    /// And never longer than this.
+    /// Maximum time to wait for the response to an abandoned search.
     pub outlive_most: Time,
-    /// Hosts remembered.
+    /// Maximum number of hosts to remember.
     pub hosts: usize,
 }
 
-/// Which session takes the next part.
+/// The session for the next part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// This one, which is idle.
+    /// Use this idle session.
     Use(usize),
-    /// A new one.
+    /// Open a new session.
     Open,
-    /// This one, behind what it carries.
+    /// Queue the part on this session.
     Wait(usize),
-    /// None: the host failed lately, and there is no session to it.
+    /// None: the host is in backoff and has no open session.
     Rest,
 }
 
-/// What becomes of a search that nobody waits for.
+/// What to do with the session of an abandoned search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
-    /// Its session reads the late answer and goes on, unless it takes longer than until then.
+    /// Keep it open and discard the late response, unless that takes until after this time.
     Outlive(Time),
-    /// Its session ends.
+    /// Close it.
     End,
 }
 
-/// What a host was found not to do.
+/// Features that a host was found to lack.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Learned {
-    /// The version of SRU that it answers.
+    /// The SRU version in which the host responds.
     pub version: Option<Version>,
-    /// It does not sort.
+    /// The host does not sort.
     pub no_sort: bool,
-    /// Schemas that it does not give.
+    /// Schemas that the host does not offer.
     pub no_schema: Vec<Schema>,
-    /// Record syntaxes that it does not give.
+    /// Record syntaxes that the host does not offer.
     pub no_syntax: Vec<Syntax>,
-    /// It does not count facets.
+    /// The host does not count facets.
     pub no_facets: bool,
 }
 
@@ -69,16 +69,16 @@
 struct Host {
     failures: u32,
     rest_until: Time,
-    /// What an answer usually takes: a mean in which the last ones weigh most; 0 before the first.
+    /// Moving average of response times, weighted towards recent ones; 0 before the first response.
     usual: Time,
-    /// Sessions that outlive an abandoned search.
+    /// Sessions that wait for the response to an abandoned search.
     outliving: usize,
     learned: Learned,
     learned_at: Option<Time>,
     used: Time,
 }
 
-/// The pool's memory of each host.
+/// The state of each host.
 #[derive(Debug)]
 pub struct Pool {
     bounds: PoolBounds,
@@ -86,7 +86,7 @@
 }
 
 impl Pool {
-    /// A pool that knows no host.
+    /// Creates an empty pool.
     pub fn new(bounds: PoolBounds) -> Pool {
         Pool {
             bounds,
@@ -95,7 +95,8 @@
     }
 
     fn host(&mut self, host: u32, now: Time) -> &mut Host {
-        // Hosts come and go under new numbers for as long as this runs.
+        // New hosts get new numbers for as long as the process runs, so the least recently used
+        // entry is dropped.
         if !self.hosts.contains_key(&host)
             && self.hosts.len() >= self.bounds.hosts
             && let Some(oldest) = self
@@ -111,8 +112,8 @@
         entry
     }
 
-    /// Which of a host's sessions takes the next part; `carried` says how many each has, an
-    /// abandoned one included.
+    /// Chooses the session for the next part. `carried` holds the number of requests on each of the
+    /// host's sessions, including abandoned ones.
     pub fn choose(&mut self, host: u32, carried: &[usize], now: Time) -> Choice {
         let most = self.bounds.sessions;
         let known = self.host(host, now);
@@ -125,25 +126,25 @@
             .min_by_key(|(_, n)| **n)
             .map(|(at, _)| at);
         match least {
-            // A host that turned connections away is not asked for more of them while one works.
+            // While one session works, no further ones are opened to a host in backoff.
             Some(at) if carried.len() >= most || known.rest_until > now => Choice::Wait(at),
             None if known.rest_until > now => Choice::Rest,
             _ => Choice::Open,
         }
     }
 
-    /// A session is up.
+    /// Records that a session was opened.
     pub fn connected(&mut self, host: u32, now: Time) {
         let host = self.host(host, now);
         host.failures = 0;
         host.rest_until = 0;
     }
 
-    /// A session never came up, or was refused.
+    /// Records that a session could not be opened or was refused.
     pub fn failed(&mut self, host: u32, now: Time) {
         let (least, most) = (self.bounds.rest_least, self.bounds.rest_most);
         let host = self.host(host, now);
-        // Several that were begun together count as one failure.
+        // Several concurrent attempts count as one failure.
         if host.rest_until <= now {
             host.rest_until =
                 now.saturating_add(least.saturating_mul(1 << host.failures.min(20)).min(most));
@@ -151,7 +152,7 @@
         }
     }
 
-    /// An answer came, so long after it was asked for.
+    /// Records the response time of a request.
     pub fn answered(&mut self, host: u32, took: Time, now: Time) {
         let host = self.host(host, now);
         host.usual = if host.usual == 0 {
@@ -161,15 +162,15 @@
         };
     }
 
-    /// Nobody waits any more for what a session was asked at `asked`.
+    /// Decides what to do with the session of an abandoned request that was sent at `asked`.
     pub fn abandon(&mut self, host: u32, asked: Time, now: Time) -> Fate {
         let bounds = self.bounds;
         let known = self.host(host, now);
         let patience =
             (known.usual.saturating_mul(8)).clamp(bounds.outlive_least, bounds.outlive_most);
         let until = asked.saturating_add(patience);
-        // Half of the sessions at most wait for nothing: the others are needed for what somebody
-        // waits for.
+        // At most half of the sessions may wait for abandoned searches; the others are needed for
+        // active ones.
         if until <= now || known.outliving + 1 > bounds.sessions.div_ceil(2) {
             return Fate::End;
         }
@@ -177,13 +178,14 @@
         Fate::Outlive(until)
     }
 
-    /// A session that outlived a search has read its answer, or has ended.
+    /// Records that a session has read the response to an abandoned search, or was closed.
     pub fn outlived(&mut self, host: u32, now: Time) {
         let host = self.host(host, now);
         host.outliving = host.outliving.saturating_sub(1);
     }
 
-    /// What a host is held not to do; after so long it is asked again.
+    /// The features that a host was found to lack. They are forgotten after a time, so that the
+    /// host is asked again.
     pub fn learned(&mut self, host: u32, now: Time) -> &mut Learned {
         let lasts = self.bounds.learn_for;
         let host = self.host(host, now);
--- a/catalogue/src/sets.rs
+++ b/catalogue/src/sets.rs
@@ -1,4 +1,4 @@
-//! Result sets: what one remembers, which ones are kept, and when one has changed.
+//! Result sets: their contents, the table that keeps them, and the detection of changes in slices.
 
 use crate::cql::Node;
 use crate::fault::{Fault, Kind};
@@ -8,23 +8,23 @@
 use crate::work::{Found, Range};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Nanoseconds of one clock.
+/// Nanoseconds on a monotonic clock.
 pub type Time = u64;
 
-/// Names a set for as long as the program runs; never used again.
+/// Identifies a result set for the lifetime of the process; identifiers are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SetId(pub u64);
 
-/// Whose a set is.
+/// The owner of a result set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Owner {
-    /// A Z39.50 session's; it ends with the session.
+    /// A Z39.50 session; the set is deleted when the session ends.
     Session(u64),
-    /// Any SRU client's that knows its name.
+    /// Every SRU client that knows the set's token.
     Shared,
 }
 
-/// The last record of a slice that was delivered: what a following page is checked against.
+/// The last delivered record of a slice, against which the next page is checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Anchor {
     offset: u64,
@@ -32,47 +32,47 @@
     schema: Option<Schema>,
 }
 
-/// What one slice gave.
+/// The result of one slice.
 #[derive(Debug, Clone)]
 pub struct SliceSet {
     /// The slice.
     pub slice: u32,
-    /// How many hits.
+    /// The number of hits.
     pub hits: u64,
-    /// Whether that is all of them.
+    /// Whether `hits` is the full count.
     pub exact: bool,
-    /// Which host said so.
+    /// The host that returned the result.
     pub host: u32,
-    /// When.
+    /// When the result arrived.
     pub as_of: Time,
     anchor: Option<Anchor>,
 }
 
-/// The merged order of a sorted set, as far as it is known.
+/// The known prefix of a sorted set's merged order.
 #[derive(Debug, Clone)]
 pub struct Merged {
-    /// For each known position, the place of its slice among the set's.
+    /// For each known position, the index of its slice in [`ResultSet::slices`].
     pub order: Vec<u16>,
-    /// Each slice's records that are fetched and not placed.
+    /// For each slice, the records fetched but not yet merged.
     pub sources: Vec<Source>,
-    /// A slice's host gives another order than was asked for.
+    /// A slice whose host returned records in another order than requested.
     pub disorder: Option<u32>,
 }
 
 /// A result set.
 #[derive(Debug, Clone)]
 pub struct ResultSet {
-    /// The search.
+    /// The query.
     pub query: Node,
-    /// The order.
+    /// The sort keys.
     pub sort: Vec<SortKey>,
-    /// The slices that are in, by number.
+    /// The slices that answered, by number.
     pub slices: Vec<SliceSet>,
-    /// Those that are not.
+    /// The slices that did not answer.
     pub missing: Vec<u32>,
-    /// The merged order, in a sorted set.
+    /// The merged order, if the set is sorted.
     pub merged: Option<Merged>,
-    /// Its name towards SRU clients.
+    /// The result set's identifier for SRU clients.
     pub token: String,
     owner: Owner,
     key: String,
@@ -81,28 +81,28 @@
     bytes: usize,
 }
 
-/// A page's positions as places in slices.
+/// A range of records in one slice.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SliceRange {
-    /// The place of the slice among the set's.
+    /// The index of the slice in [`ResultSet::slices`].
     pub at: usize,
     /// The slice.
     pub slice: u32,
-    /// The first place in it, from 0.
+    /// The offset of the first record in the slice, from 0.
     pub offset: u64,
-    /// How many.
+    /// The number of records.
     pub count: u64,
 }
 
-/// A slice is not what it was.
+/// A slice's results differ from those seen before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Changed {
-    /// Which.
+    /// The changed slice.
     pub slice: u32,
 }
 
 impl ResultSet {
-    /// A set of what the slices gave; those of `asked` that gave nothing are missing.
+    /// Creates a set from the slices' results. Slices in `asked` without a result are missing.
     pub fn new(
         query: Node,
         sort: Vec<SortKey>,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// How many hits it has.
+    /// The total number of hits.
     pub fn count(&self) -> Count {
         merge::count(
             self.slices.iter().map(|s| (s.hits, s.exact)),
@@ -153,9 +153,9 @@
         )
     }
 
-    /// Where positions `start` (from 1) and on stand: the place of the slice among the set's, and
-    /// the place in the slice. The slices follow one another by number, or as they were merged; of
-    /// a sorted set only the known positions can be told.
+    /// Locates the positions from `start` (counted from 1): for each, the index of its slice in the
+    /// set and the offset in the slice. Unsorted sets list the slices in order of their numbers,
+    /// sorted sets in merged order. In a sorted set only known positions can be located.
     pub fn locate(&self, start: u64, count: u64) -> Vec<(u64, (usize, u64))> {
         let (first, end) = (
             start.saturating_sub(1),
@@ -185,8 +185,8 @@
         located
     }
 
-    /// What is asked of a slice for a place in it: the records, and the one before them where that
-    /// was delivered, so that a change is seen.
+    /// The range to request from a slice. It includes the record before the range if that was the
+    /// last one delivered, so that changes can be detected.
     pub fn ask(&self, place: &SliceRange) -> Range {
         let anchored = self.slices[place.at]
             .anchor
@@ -199,12 +199,12 @@
         }
     }
 
-    /// Holds what a slice gave for such a range against what it gave before; takes the checking
-    /// record off.
+    /// Compares a slice's result for a range with earlier results and removes the extra record that
+    /// was requested for the check.
     pub fn check(&self, place: &SliceRange, found: &mut Found) -> Result<(), Changed> {
         let slice = &self.slices[place.at];
         let changed = Err(Changed { slice: slice.slice });
-        // A count that was cut may well be cut elsewhere.
+        // A capped count may be capped at another value next time.
         if slice.exact && found.exact && found.hits != slice.hits {
             return changed;
         }
@@ -213,7 +213,7 @@
                 return changed;
             }
             let first = found.records.remove(0);
-            // Two forms of one record cannot be held against each other.
+            // Fingerprints are comparable only within the same schema.
             if first.schema == anchor.schema && first.fingerprint() != anchor.fingerprint {
                 return changed;
             }
@@ -225,7 +225,7 @@
         Ok(())
     }
 
-    /// A record was delivered: the next page of this slice is checked against it.
+    /// Remembers a delivered record, against which the slice's next page is checked.
     pub fn delivered(&mut self, at: usize, offset: u64, record: &crate::record::Record) {
         let anchor = Anchor {
             offset,
@@ -235,7 +235,7 @@
         self.slices[at].anchor = Some(anchor);
     }
 
-    /// About how much memory it holds.
+    /// An estimate of the set's memory use in bytes.
     fn measure(&self) -> usize {
         let rows = |row: &Row| row.record.xml.len() + 96;
         let merged = self.merged.as_ref().map_or(0, |m| {
@@ -250,26 +250,25 @@
     }
 }
 
-/// What bounds the table.
+/// Limits of the table.
 #[derive(Debug, Clone, Copy)]
 pub struct SetBounds {
-    /// Sets at once.
+    /// Maximum number of sets.
     pub sets: usize,
-    /// Bytes of all of them.
+    /// Maximum bytes of all sets.
     pub bytes: usize,
-    /// How long a set is kept that is not used, at the most; also what a client gets that asks for
-    /// none.
+    /// Longest time that an unused set is kept, also the default for clients that request none.
     pub ttl: Time,
-    /// Names of sets that are gone, kept to tell them from those that never were.
+    /// Tokens of deleted sets to remember, which distinguishes them from tokens that never existed.
     pub gone: usize,
 }
 
-/// Every result set.
+/// All result sets.
 #[derive(Debug)]
 pub struct SetTable {
     bounds: SetBounds,
     sets: HashMap<SetId, ResultSet>,
-    /// By when they end, if they are not used.
+    /// When each set expires if it is not used before.
     ends: BTreeSet<(Time, SetId)>,
     tokens: HashMap<String, SetId>,
     keys: HashMap<String, SetId>,
@@ -278,12 +277,12 @@
     bytes: usize,
     next: u64,
     secret: u64,
-    /// Sets that gave way to others.
+    /// Sets evicted to make room for others.
     pub evicted: u64,
 }
 
 impl SetTable {
-    /// An empty table. The seed keeps names from being guessed.
+    /// Creates an empty table. The seed makes tokens hard to guess.
     pub fn new(bounds: SetBounds, seed: u64) -> SetTable {
         SetTable {
             bounds,
@@ -300,13 +299,13 @@
         }
     }
 
-    /// How many there are, and how many bytes they hold.
+    /// The number of sets and their memory use in bytes.
     pub fn size(&self) -> (usize, usize) {
         (self.sets.len(), self.bytes)
     }
 
-    /// Keeps a set. A shared one of the same search and order takes the place of the former as the
-    /// one that pages without a set's name continue; whoever knows the former by name still has it.
+    /// Stores a set. A shared set replaces an earlier one of the same query and order for requests
+    /// that do not name a set. The earlier set remains available under its token.
     pub fn insert(
         &mut self,
         mut set: ResultSet,
@@ -335,8 +334,8 @@
         }
         self.sets.insert(id, set);
         self.expire(now);
-        // The least recently used give way; the new one itself never does, or a large one could not
-        // be made at all.
+        // Evicts the least recently used sets, but never the new one, as otherwise a large set
+        // could not be created at all.
         while (self.sets.len() > self.bounds.sets || self.bytes > self.bounds.bytes)
             && let Some((_, oldest)) = self.ends.iter().find(|(_, other)| *other != id).copied()
         {
@@ -346,7 +345,7 @@
         id
     }
 
-    /// A set, for as long as it is there; using it keeps it.
+    /// Returns a set and renews its lifetime.
     pub fn get(&mut self, id: SetId, now: Time) -> Option<&mut ResultSet> {
         self.expire(now);
         let set = self.sets.get_mut(&id)?;
@@ -356,7 +355,7 @@
         Some(set)
     }
 
-    /// Counts a set's memory anew after it was changed.
+    /// Updates the memory use of a set after a change.
     pub fn remeasure(&mut self, id: SetId) {
         if let Some(set) = self.sets.get_mut(&id) {
             let bytes = set.measure();
@@ -365,7 +364,7 @@
         }
     }
 
-    /// The shared set of a name.
+    /// The shared set with this token.
     pub fn by_token(&mut self, token: &str, now: Time) -> Result<SetId, Fault> {
         self.expire(now);
         match self.tokens.get(token) {
@@ -375,13 +374,13 @@
         }
     }
 
-    /// The shared set that a page without a set's name continues.
+    /// The shared set that a request without a token continues.
     pub fn by_search(&mut self, query: &Node, sort: &[SortKey], now: Time) -> Option<SetId> {
         self.expire(now);
         self.keys.get(&search_key(query, sort)).copied()
     }
 
-    /// Ends a set.
+    /// Deletes a set.
     pub fn remove(&mut self, id: SetId) {
         let Some(set) = self.sets.remove(&id) else {
             return;
@@ -410,14 +409,14 @@
         }
     }
 
-    /// Ends a session's sets.
+    /// Deletes the sets of a session.
     pub fn remove_all(&mut self, session: u64) {
         for id in self.owned.remove(&session).unwrap_or_default() {
             self.remove(id);
         }
     }
 
-    /// Ends what was not used for its time.
+    /// Deletes expired sets.
     pub fn expire(&mut self, now: Time) {
         while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
             self.remove(id);
@@ -429,7 +428,7 @@
     format!("{query} {}", crate::cql::write_sort(sort))
 }
 
-/// One step of splitmix64: spreads a counter so that neighbours have nothing in common.
+/// One step of splitmix64, which makes consecutive counter values look unrelated.
 fn mix(n: u64) -> u64 {
     let n = n.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let n = (n ^ n >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/catalogue/src/work.rs
+++ b/catalogue/src/work.rs
@@ -1,4 +1,4 @@
-//! What a part carries to an index host, and what it brings back, as it travels through the core.
+//! The request and result of a part, in the form in which they pass through the dispatch core.
 
 use crate::fault::Fault;
 use crate::merge::{Facet, FacetAsk, Terms};
@@ -6,11 +6,11 @@
 use crate::sort::SortKey;
 use serde::{Deserialize, Serialize};
 
-/// What one slice is asked for. All parts of a query carry the same text; each takes its own range
-/// from it.
+/// The request to one slice. All parts of a query carry the same text, in which each slice finds
+/// its own range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Work {
-    /// Hits, and records of them.
+    /// A hit count and records.
     Page(PageWork),
     /// Terms of an index.
     Scan(ScanWork),
@@ -21,26 +21,26 @@
 pub struct Range {
     /// The slice.
     pub slice: u32,
-    /// The first place, counted from 0.
+    /// The offset of the first record, from 0.
     pub offset: u64,
-    /// How many.
+    /// The number of records.
     pub count: u32,
 }
 
-/// Hits, and records of them.
+/// A request for a hit count and records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageWork {
     /// The search, in CQL.
     pub query: String,
-    /// The order; none for the host's own.
+    /// The sort keys; if empty, the host's own order applies.
     pub sort: Vec<SortKey>,
-    /// The schema that records are wanted in, if the host has it.
+    /// The requested record schema, used if the host offers it.
     pub schema: Schema,
-    /// A new search: what a session remembers of the same one earlier does not count.
+    /// Whether to run a new search even if the session has a result set for the same query.
     pub fresh: bool,
-    /// What is asked of which slice; slices without a range are asked for their count.
+    /// The range to fetch from each slice; slices without a range return only their hit count.
     pub ranges: Vec<Range>,
-    /// Facets that are wanted.
+    /// The requested facets.
     pub facets: Vec<FacetAsk>,
 }
 
@@ -56,63 +56,63 @@
     }
 }
 
-/// Terms of an index.
+/// A request for terms of an index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScanWork {
-    /// The index and the starting point, as a clause of CQL.
+    /// The index and the starting point, as a CQL clause.
     pub clause: String,
-    /// How many terms.
+    /// The number of terms.
     pub number: u32,
-    /// Where the starting point stands among them, from 1.
+    /// Position of the starting point in the list, from 1.
     pub position: u32,
 }
 
-/// What a slice found.
+/// The search result of a slice.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Found {
-    /// How many records match.
+    /// The number of matching records.
     pub hits: u64,
-    /// Whether that is all of them.
+    /// Whether `hits` is the full count.
     pub exact: bool,
     /// The records of the range, in the slice's order.
     pub records: Vec<Record>,
-    /// The facets, where the host counts them.
+    /// The facets, if the host counts them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub facets: Option<Vec<Facet>>,
-    /// Which host gave them, by its number in the table of hosts.
+    /// The host that returned the result, by its number in the host table.
     pub host: u32,
 }
 
-/// What a slice gave.
+/// The result of a part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WorkResult {
-    /// Hits.
+    /// A hit count and records.
     Found(Found),
-    /// Terms.
+    /// Terms of an index.
     Scanned(Terms),
-    /// A diagnostic about the request itself: another holder would say the same.
+    /// A diagnostic about the request itself, which every holder of the slice would return.
     Refused(Fault),
 }
 
 impl Work {
-    /// As the text of a part.
+    /// Encodes the request as the text of a part.
     pub fn encode(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// From such a text.
+    /// Decodes the text of a part.
     pub fn decode(text: &str) -> Option<Work> {
         serde_json::from_str(text).ok()
     }
 }
 
 impl WorkResult {
-    /// As a part's value.
+    /// Encodes the result as the value of a part.
     pub fn encode(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// From such a value.
+    /// Decodes the value of a part.
     pub fn decode(text: &str) -> Option<WorkResult> {
         serde_json::from_str(text).ok()
     }
