--- a/catalogue/src/ber.rs
+++ b/catalogue/src/ber.rs
@@ -1,28 +1,28 @@
-//! The Basic Encoding Rules, as far as Z39.50 needs them; length and depth are bounded.
+//! The Basic Encoding Rules, as far as Z39.50 needs them, with limits on length and depth.
 
 use thiserror::Error;
 
 /// The class of a tag.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
-    /// ASN.1's own types.
+    /// Universal.
     Universal,
-    /// Told by the context.
+    /// Context-specific.
     Context,
-    /// Anything else.
+    /// Any other class.
     Other,
 }
 
-/// An encoding that cannot be read.
+/// An invalid encoding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum BerError {
-    /// Longer than the limit.
+    /// The encoding exceeds the length limit.
     #[error("an encoding over the length limit")]
     TooLong,
-    /// Nested deeper than the limit.
+    /// The encoding exceeds the depth limit.
     #[error("an encoding nested too deep")]
     TooDeep,
-    /// It breaks the rules.
+    /// The encoding violates the rules.
     #[error("a malformed encoding")]
     Malformed,
 }
@@ -30,24 +30,24 @@
 /// A decoded value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// The tag's class.
+    /// The class of the tag.
     pub class: Class,
-    /// The tag's number.
+    /// The number of the tag.
     pub tag: u32,
-    /// What it holds.
+    /// The content.
     pub content: Content,
 }
 
-/// What a value holds.
+/// The content of a value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Content {
     /// Bytes.
     Primitive(Vec<u8>),
-    /// Further values.
+    /// Nested values.
     Constructed(Vec<Item>),
 }
 
-/// Universal tags that are used.
+/// The universal tags in use.
 pub mod universal {
     /// INTEGER.
     pub const INTEGER: u32 = 2;
@@ -70,14 +70,14 @@
 }
 
 impl Item {
-    /// The first value inside with this context tag.
+    /// The first nested value with this context tag.
     pub fn get(&self, tag: u32) -> Option<&Item> {
         self.items()
             .iter()
             .find(|item| item.class == Class::Context && item.tag == tag)
     }
 
-    /// The values inside; none in a primitive.
+    /// The nested values; none for a primitive.
     pub fn items(&self) -> &[Item] {
         match &self.content {
             Content::Constructed(items) => items,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The bytes, joined where a string came in pieces.
+    /// The bytes; segments of a constructed string are joined.
     pub fn bytes(&self) -> Vec<u8> {
         match &self.content {
             Content::Primitive(bytes) => bytes.clone(),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The text, where it is text.
+    /// The text, if it is valid UTF-8.
     pub fn text(&self) -> Option<String> {
         String::from_utf8(self.bytes()).ok()
     }
@@ -110,7 +110,7 @@
         Some(bytes.iter().fold(start, |n, b| n << 8 | i64::from(*b)))
     }
 
-    /// The truth value.
+    /// The boolean value.
     pub fn boolean(&self) -> Option<bool> {
         match &self.content {
             Content::Primitive(bytes) if bytes.len() == 1 => Some(bytes[0] != 0),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The object identifier, in dots.
+    /// The object identifier in dotted notation.
     pub fn oid(&self) -> Option<String> {
         let Content::Primitive(bytes) = &self.content else {
             return None;
@@ -152,8 +152,8 @@
     }
 }
 
-/// Reads the next whole value and takes it out of `input`; any split of the bytes gives the same
-/// values.
+/// Reads the next complete value and removes it from `input`. The result does not depend on how the
+/// bytes were split into reads.
 pub fn read(input: &mut Vec<u8>, most: usize, depth: usize) -> Result<Option<Item>, BerError> {
     let mut at = 0;
     match decode(input, &mut at, depth) {
@@ -167,8 +167,8 @@
     }
 }
 
-/// Why a value was not read: more bytes are wanted (so many in all, as far as is known), or it is
-/// wrong.
+/// Why decoding stopped: more bytes are needed (at least this many in total), or the encoding is
+/// invalid.
 enum ShortReason {
     More(usize),
     Wrong(BerError),
@@ -253,7 +253,7 @@
     }
     let mut items = Vec::new();
     while *at < end {
-        // A value inside that wants more than its surroundings hold is wrong, not late.
+        // A nested value that extends beyond its container is malformed and not incomplete.
         items.push(decode(body, at, depth - 1).map_err(|short| match short {
             ShortReason::More(_) => MALFORMED,
             wrong => wrong,
@@ -266,24 +266,24 @@
     })
 }
 
-/// Writes values; every length is definite.
+/// Encodes values, always with definite lengths.
 #[derive(Debug, Default)]
 pub struct Writer {
     out: Vec<u8>,
 }
 
 impl Writer {
-    /// The bytes written.
+    /// Returns the encoded bytes.
     pub fn finish(self) -> Vec<u8> {
         self.out
     }
 
-    /// Bytes that are values already.
+    /// Appends encoded values.
     pub fn raw(&mut self, bytes: &[u8]) {
         self.out.extend_from_slice(bytes);
     }
 
-    /// A value that was read.
+    /// Encodes a decoded value again.
     pub fn item(&mut self, item: &Item) {
         match &item.content {
             Content::Primitive(bytes) => {
@@ -298,7 +298,7 @@
         }
     }
 
-    /// What another one wrote.
+    /// Appends the output of another writer.
     pub fn append(&mut self, mut other: Writer) {
         self.out.append(&mut other.out);
     }
@@ -327,29 +327,29 @@
         }
     }
 
-    /// Bytes under a context tag.
+    /// Writes bytes with a context tag.
     pub fn bytes(&mut self, tag: u32, bytes: &[u8]) {
         self.header(Class::Context, false, tag, bytes.len());
         self.out.extend_from_slice(bytes);
     }
 
-    /// Bytes under a universal tag.
+    /// Writes bytes with a universal tag.
     pub fn universal(&mut self, tag: u32, bytes: &[u8]) {
         self.header(Class::Universal, false, tag, bytes.len());
         self.out.extend_from_slice(bytes);
     }
 
-    /// A number under a context tag.
+    /// Writes a number with a context tag.
     pub fn integer(&mut self, tag: u32, number: i64) {
         self.bytes(tag, &integer(number));
     }
 
-    /// A truth value under a context tag.
+    /// Writes a boolean with a context tag.
     pub fn boolean(&mut self, tag: u32, value: bool) {
         self.bytes(tag, &[if value { 0xff } else { 0 }]);
     }
 
-    /// A bit string under a context tag: the bits that are set, by number.
+    /// Writes a bit string with a context tag, given the numbers of the set bits.
     pub fn bits(&mut self, tag: u32, set: impl IntoIterator<Item = usize>) {
         let mut bytes = vec![0u8];
         for bit in set {
@@ -361,22 +361,22 @@
         self.bytes(tag, &bytes);
     }
 
-    /// An object identifier under a context tag.
+    /// Writes an object identifier with a context tag.
     pub fn oid_as(&mut self, tag: u32, dotted: &str) {
         self.bytes(tag, &oid(dotted));
     }
 
-    /// An object identifier under a universal tag.
+    /// Writes an object identifier with its universal tag.
     pub fn oid(&mut self, dotted: &str) {
         self.universal(universal::OID, &oid(dotted));
     }
 
-    /// Values inside a context tag.
+    /// Writes nested values in a context tag.
     pub fn inside(&mut self, tag: u32, fill: impl FnOnce(&mut Writer)) {
         self.within(Class::Context, tag, fill);
     }
 
-    /// Values inside a universal tag.
+    /// Writes nested values in a universal tag.
     pub fn inside_universal(&mut self, tag: u32, fill: impl FnOnce(&mut Writer)) {
         self.within(Class::Universal, tag, fill);
     }
@@ -389,7 +389,7 @@
     }
 }
 
-/// A number's bytes.
+/// Encodes a number.
 pub fn integer(number: i64) -> Vec<u8> {
     let bytes = number.to_be_bytes();
     let spare = |i: &usize| {
@@ -400,7 +400,7 @@
     bytes[skip..].to_vec()
 }
 
-/// An object identifier's bytes.
+/// Encodes an object identifier.
 pub fn oid(dotted: &str) -> Vec<u8> {
     let arcs: Vec<u64> = dotted
         .split('.')
--- a/catalogue/src/cql.rs
+++ b/catalogue/src/cql.rs
@@ -1,4 +1,4 @@
-//! The Contextual Query Language 1.2: a tree that both protocols share, read and written.
+//! The Contextual Query Language 1.2: parser, writer, and the query tree that both protocols share.
 
 mod parse;
 pub mod term;
@@ -9,18 +9,18 @@
 use crate::sort::{Missing, SortKey};
 use std::fmt;
 
-/// How an index and a term are compared (CQL 1.2, "Relation").
+/// A relation between an index and a term (CQL 1.2, "Relation").
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Relation {
-    /// `=`: the server's choice; here words in a row, as `adj`.
+    /// `=`: the server's choice; here adjacent words, as with `adj`.
     Equal,
     /// `==`: the whole field.
     Exact,
     /// `<>`
     NotEqual,
-    /// `any`: one word at least.
+    /// `any`: at least one of the words.
     Any,
-    /// `all`: every word.
+    /// `all`: all words.
     All,
     /// `<`
     Less,
@@ -30,9 +30,9 @@
     GreaterOrEqual,
     /// `>`
     Greater,
-    /// `within`: between the term's two values.
+    /// `within`: between the two values in the term.
     Within,
-    /// `encloses`: a range that holds the term.
+    /// `encloses`: a range that contains the term.
     Encloses,
 }
 
@@ -63,7 +63,7 @@
             .map(|(_, relation)| *relation)
     }
 
-    /// Its name in CQL.
+    /// The name in CQL.
     pub fn name(self) -> &'static str {
         Self::NAMES
             .iter()
@@ -72,43 +72,42 @@
     }
 }
 
-/// How a term is understood (CQL context set 1.2, "Relation modifiers"): those that change what is
-/// found.
+/// Relation modifiers that affect which records match (CQL context set 1.2, "Relation modifiers").
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Modifier {
-    /// Words of the same stem.
+    /// Words with the same stem.
     Stem,
-    /// Whatever seems relevant.
+    /// Records that the server considers relevant.
     Relevant,
     /// Words that sound alike.
     Phonetic,
-    /// Words that are nearly so.
+    /// Similar words.
     Fuzzy,
-    /// The term is words.
+    /// The term consists of words.
     Word,
-    /// The term is one string.
+    /// The term is a single string.
     String,
-    /// The term is a date of ISO 8601.
+    /// The term is an ISO 8601 date.
     IsoDate,
     /// The term is a number.
     Number,
     /// The term is a URI.
     Uri,
-    /// Case does not matter.
+    /// Ignore case.
     IgnoreCase,
-    /// Case matters.
+    /// Respect case.
     RespectCase,
-    /// Accents do not matter.
+    /// Ignore accents.
     IgnoreAccents,
-    /// Accents matter.
+    /// Respect accents.
     RespectAccents,
-    /// `*`, `?` and `^` mask; they do so anyway.
+    /// `*`, `?` and `^` are masking characters; this is the default.
     Masked,
-    /// `*`, `?` and `^` are characters.
+    /// `*`, `?` and `^` are literal characters.
     Unmasked,
 }
 
-/// The modifiers by their names; explain lists them.
+/// The modifiers by name. The explain record lists them.
 pub const MODIFIERS: &[(&str, Modifier)] = &[
     ("stem", Modifier::Stem),
     ("relevant", Modifier::Relevant),
@@ -136,7 +135,7 @@
             .map(|(_, m)| *m)
     }
 
-    /// Its name in CQL.
+    /// The name in CQL.
     pub fn name(self) -> &'static str {
         MODIFIERS
             .iter()
@@ -145,20 +144,20 @@
     }
 }
 
-/// One index, one term.
+/// A search clause: one index and one term.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Clause {
-    /// What is searched.
+    /// The index.
     pub index: Index,
-    /// How.
+    /// The relation.
     pub relation: Relation,
-    /// How the term is understood.
+    /// The relation modifiers.
     pub modifiers: Vec<Modifier>,
-    /// For what; masking characters are those that are not escaped.
+    /// The term, in which unescaped masking characters mask.
     pub term: String,
 }
 
-/// What is counted between two terms.
+/// The unit of a proximity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unit {
     /// Words.
@@ -193,7 +192,7 @@
             .map_or("word", |(name, ..)| name)
     }
 
-    /// Its known unit code in a type-1 query.
+    /// The KnownProximityUnit code in a type-1 query.
     pub fn code(self) -> i64 {
         Self::NAMES
             .iter()
@@ -201,7 +200,7 @@
             .map_or(2, |(.., code)| *code)
     }
 
-    /// The unit of such a code.
+    /// The unit with this code.
     pub fn of_code(code: i64) -> Option<Unit> {
         Self::NAMES
             .iter()
@@ -210,21 +209,21 @@
     }
 }
 
-/// How near two terms must stand (CQL 1.2, "Proximity").
+/// How close two terms must be (CQL 1.2, "Proximity").
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Proximity {
-    /// How the distance compares: `<`, `<=`, `=`, `>=`, `>` or `<>`.
+    /// The comparison of the distance: `<`, `<=`, `=`, `>=`, `>` or `<>`.
     pub relation: Relation,
-    /// How far.
+    /// The distance.
     pub distance: u32,
-    /// In what.
+    /// The unit of the distance.
     pub unit: Unit,
-    /// Whether the first must stand first.
+    /// Whether the order of the terms matters.
     pub ordered: bool,
 }
 
 impl Proximity {
-    /// What `prox` alone means.
+    /// The meaning of `prox` without modifiers.
     pub const NEXT: Proximity = Proximity {
         relation: Relation::LessOrEqual,
         distance: 1,
@@ -233,39 +232,39 @@
     };
 }
 
-/// How two searches are joined.
+/// A boolean operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Boolean {
-    /// Both.
+    /// Records that match both operands.
     And,
-    /// Either.
+    /// Records that match at least one operand.
     Or,
-    /// The first and not the second.
+    /// Records that match only the left operand.
     Not,
-    /// Both, near one another.
+    /// Records in which both operands match close to each other.
     Prox(Proximity),
 }
 
-/// A search.
+/// A node of the query tree.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Node {
-    /// One index, one term.
+    /// A search clause.
     Clause(Clause),
-    /// The records of a set.
+    /// The records of a result set.
     Set(String),
-    /// Two searches.
+    /// Two operands joined by a boolean.
     Joined {
-        /// How they are joined.
+        /// The operator.
         boolean: Boolean,
-        /// The one.
+        /// The left operand.
         left: Box<Node>,
-        /// The other.
+        /// The right operand.
         right: Box<Node>,
     },
 }
 
 impl Node {
-    /// The names of the sets in it.
+    /// The names of the result sets in the query.
     pub fn sets(&self) -> Vec<&str> {
         match self {
             Node::Clause(_) => Vec::new(),
@@ -274,7 +273,7 @@
         }
     }
 
-    /// With each set in it replaced by the search that it was made of.
+    /// Replaces each result set by the query that created it.
     pub fn resolve<E>(self, set: &mut impl FnMut(&str) -> Result<Node, E>) -> Result<Node, E> {
         Ok(match self {
             Node::Set(name) => set(&name)?,
@@ -291,7 +290,7 @@
         })
     }
 
-    /// How many clauses it has.
+    /// The number of clauses.
     pub fn clauses(&self) -> usize {
         match self {
             Node::Joined { left, right, .. } => left.clauses() + right.clauses(),
@@ -300,18 +299,18 @@
     }
 }
 
-/// A search and the order of what it finds.
+/// A query with its sort keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Query {
-    /// The search.
+    /// The query tree.
     pub root: Node,
-    /// `sortBy`, if there is one.
+    /// The keys of `sortBy`, if present.
     pub sort: Vec<SortKey>,
 }
 
 fn quote(term: &str) -> String {
-    // A quotation mark is the only character that quoting itself has to guard; escapes of masks
-    // stay as they are.
+    // Within quotes only the quotation mark needs an escape; existing escapes of masking characters
+    // remain.
     let mut out = String::with_capacity(term.len() + 2);
     out.push('"');
     for c in term.chars() {
@@ -320,7 +319,7 @@
         }
         out.push(c);
     }
-    // A word may end in a lone escape, which would take the closing mark with it.
+    // A single backslash at the end would escape the closing quote.
     if term.chars().rev().take_while(|c| *c == '\\').count() % 2 == 1 {
         out.push('\\');
     }
@@ -356,7 +355,7 @@
                         if p.ordered { "ordered" } else { "unordered" }
                     ),
                 };
-                // Booleans are read from the left, so only what stands on the right needs
+                // Booleans are left-associative, so only a compound right operand needs
                 // parentheses.
                 match **right {
                     Node::Joined { .. } => write!(f, "{left} {word} ({right})"),
@@ -367,7 +366,7 @@
     }
 }
 
-/// Writes `sortBy` with its keys.
+/// Writes `sortBy` and its keys.
 pub fn write_sort(keys: &[SortKey]) -> String {
     let mut out = String::new();
     for key in keys {
--- a/catalogue/src/cql/parse.rs
+++ b/catalogue/src/cql/parse.rs
@@ -1,4 +1,5 @@
-//! The parser. Depth and length are bounded, so that no query costs more than its bytes.
+//! The CQL parser. Nesting depth and the number of clauses are limited, so that the cost of a query
+//! is bounded by its length.
 
 use super::{Boolean, Clause, Modifier, Node, Proximity, Query, Relation, Unit};
 use crate::fault::{Fault, Kind};
@@ -6,7 +7,7 @@
 use crate::sort::{Missing, SortKey};
 use std::collections::BTreeMap;
 
-/// The most keys that `sortBy` may have.
+/// Maximum number of keys in `sortBy`.
 const SORT_KEYS: usize = 8;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -53,7 +54,8 @@
             '"' => return Ok((term, &text[at + 1..])),
             '\\' => match chars.next() {
                 Some((_, '"')) => term.push('"'),
-                // Other escapes stay, as they tell characters from masks.
+                // Other escapes are kept, because they distinguish literal characters from masking
+                // characters.
                 Some((_, other)) => term.extend(['\\', other]),
                 None => break,
             },
@@ -65,15 +67,15 @@
 
 struct Parser {
     tokens: std::iter::Peekable<std::vec::IntoIter<Token>>,
-    /// Context sets by the prefixes that the query assigns; the empty one is what bare names are
-    /// in.
+    /// Context sets by the prefixes that the query assigns. The empty prefix applies to names
+    /// without one.
     prefixes: BTreeMap<String, &'static str>,
     depth: usize,
     most: usize,
     clauses: usize,
 }
 
-/// Parses a query nested no deeper than `most`, with at most four times as many clauses.
+/// Parses a query with at most `most` levels of nesting and four times as many clauses.
 pub fn parse(text: &str, most: usize) -> Result<Query, Fault> {
     let tokens = tokens(text)?.into_iter().peekable();
     let mut parser = Parser {
@@ -142,13 +144,13 @@
                 right: Box::new(right),
             };
         }
-        // A prefix holds for the query that it stands before, and no further.
+        // A prefix applies only within the query that it precedes.
         self.prefixes = outer;
         self.depth -= 1;
         Ok(left)
     }
 
-    /// `> name = "identifier"` or `> "identifier"`, the first sign of which is read.
+    /// Parses `> name = "identifier"` or `> "identifier"` after the `>`.
     fn prefix(&mut self) -> Result<(), Fault> {
         let first = self.text("a prefix")?;
         let (name, identifier) = if self.symbol("=") {
@@ -203,7 +205,8 @@
     }
 
     fn clause(&mut self) -> Result<Node, Fault> {
-        // A long chain of clauses makes a tree as deep as it is long.
+        // Operators nest to the left, so the tree of a long chain of clauses is as deep as the
+        // chain is long.
         self.clauses += 1;
         if self.clauses > 4 * self.most {
             return Err(Kind::TOO_COMPLEX.of((4 * self.most).to_string()));
@@ -224,14 +227,14 @@
         }
     }
 
-    /// A first word is an index where a relation follows it, else the term itself.
+    /// The first word is an index if a relation follows, otherwise the term.
     fn after_operand(&mut self, first: String, quoted: bool) -> Result<Node, Fault> {
         let named = match self.tokens.peek() {
             Some(Token::Symbol(symbol)) if !matches!(*symbol, "(" | ")" | "/") => {
                 Some((*symbol).to_owned())
             }
             Some(Token::Word(word)) => (Relation::named(word).is_some()
-                // A relation of another context set has a dot, which no boolean has.
+                // The relation of another context set contains a dot, unlike any boolean.
                 || word.contains('.') && !quoted)
                 .then(|| word.clone()),
             _ => None,
@@ -288,7 +291,7 @@
         index::by_name(full.as_deref().unwrap_or(name)).ok_or_else(|| Kind::INDEX.of(name))
     }
 
-    /// `sortBy` and its keys (CQL 1.2, "Sorting").
+    /// Parses `sortBy` and its keys (CQL 1.2, "Sorting").
     fn sort_by(&mut self) -> Result<Vec<SortKey>, Fault> {
         self.tokens.next();
         let mut keys: Vec<SortKey> = Vec::new();
--- a/catalogue/src/cql/term.rs
+++ b/catalogue/src/cql/term.rs
@@ -1,43 +1,43 @@
-//! Terms of CQL, as they are written: with masking characters and their escapes.
+//! CQL terms with masking characters and escapes.
 
 /// Where a term is masked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Mask {
-    /// Nowhere.
+    /// No masking.
     None,
-    /// Anything may follow it.
+    /// At the end of the term.
     Right,
-    /// Anything may stand before it.
+    /// At the start of the term.
     Left,
-    /// Both.
+    /// At both ends.
     Both,
-    /// Within it; `*` is any number of characters, `?` one.
+    /// Within the term, where `*` is any number of characters and `?` a single one.
     Inside,
 }
 
-/// A term taken apart.
+/// A parsed term.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Parts {
-    /// The characters, with `None` for any number of any, and `Some(None)` for any one.
+    /// The text and masks, in order.
     pub fragments: Vec<Fragment>,
-    /// The term begins its field.
+    /// Whether the term is anchored to the start of the field.
     pub first: bool,
-    /// The term ends its field.
+    /// Whether the term is anchored to the end of the field.
     pub last: bool,
 }
 
-/// One piece of a term.
+/// A piece of a term.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fragment {
-    /// These characters.
+    /// Literal text.
     Text(String),
-    /// Any number of any characters.
+    /// Any number of characters.
     Any,
-    /// Any one character.
+    /// One character.
     One,
 }
 
-/// Takes a term apart: masks and anchors that are not escaped.
+/// Parses a term into text, unescaped masks and anchors.
 pub fn parts(term: &str) -> Parts {
     let mut fragments = Vec::new();
     let mut text = String::new();
@@ -73,7 +73,7 @@
 }
 
 impl Parts {
-    /// Where it is masked.
+    /// The position of the masks.
     pub fn mask(&self) -> Mask {
         match self.fragments.as_slice() {
             [] | [Fragment::Text(_)] => Mask::None,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The characters alone.
+    /// The literal text without masks.
     pub fn plain(&self) -> String {
         let text = |fragment: &Fragment| match fragment {
             Fragment::Text(text) => text.clone(),
@@ -93,7 +93,8 @@
         self.fragments.iter().map(text).collect()
     }
 
-    /// With the masks of Z39.58 as Bib-1's truncation 104 has them: `?` any number, `#` one.
+    /// The term with Z39.58 masks as in Bib-1's truncation 104: `?` for any number of characters,
+    /// `#` for one.
     pub fn z3958(&self) -> String {
         let word = |fragment: &Fragment| match fragment {
             Fragment::Text(text) => text.clone(),
@@ -104,7 +105,7 @@
     }
 }
 
-/// Characters as a term: what would mask is escaped.
+/// Escapes masking characters so that the text is taken literally.
 pub fn literal(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
--- a/catalogue/src/index.rs
+++ b/catalogue/src/index.rs
@@ -1,18 +1,18 @@
-//! The indexes, in both protocols' terms. Queries are read by this table, and explain is made from
-//! it.
+//! The indexes, as named in both protocols. Query parsing and the explain record both use this
+//! table.
 
-/// What is searched.
+/// A searchable index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Index {
-    /// Its name in CQL, with the short name of its context set.
+    /// The CQL name, with the short name of the context set.
     pub name: &'static str,
-    /// Its title for people.
+    /// The title for display.
     pub title: &'static str,
-    /// Its use attribute in the Bib-1 attribute set.
+    /// The use attribute in the Bib-1 attribute set.
     pub use_attribute: i64,
-    /// Whether its terms can be listed.
+    /// Whether its terms can be scanned.
     pub scan: bool,
-    /// Whether results can be sorted by it: the field's value must stand in the record.
+    /// Whether results can be sorted by it. This requires the field's value in the record.
     pub sort: bool,
 }
 
@@ -32,11 +32,11 @@
     }
 }
 
-/// Any field: what a bare term searches.
+/// Any field, the index of a term without an explicit one.
 pub const ANY: Index = index("cql.serverChoice", "Any field", 1016, true, false);
 
-/// Every index; one that shares a use attribute with an earlier one is read as that one from
-/// Z39.50.
+/// All indexes. If two share a use attribute, Z39.50 requests with that attribute refer to the
+/// first.
 pub const INDEXES: &[Index] = &[
     ANY,
     index("dc.title", "Title", 4, true, true),
@@ -71,8 +71,7 @@
     ("sort", "info:srw/cql-context-set/1/sort-v1.0"),
 ];
 
-/// The short name of a context set that is named by its identifier; the version at its end may
-/// differ.
+/// The short name for a context set's identifier, regardless of the version at its end.
 pub fn context_set(identifier: &str) -> Option<&'static str> {
     let stem = |full: &str| {
         full.trim_end_matches(|c: char| c.is_ascii_digit() || matches!(c, '.' | '-' | 'v'))
@@ -85,7 +84,7 @@
         .map(|(short, _)| *short)
 }
 
-/// The index of a name, with or without its context set; names are compared without case.
+/// The index of this name, with or without its context set, regardless of case.
 pub fn by_name(name: &str) -> Option<Index> {
     let plain = |full: &'static str| full.rsplit('.').next().unwrap_or_default();
     let name = name.to_ascii_lowercase();
@@ -100,8 +99,8 @@
     }
 }
 
-/// The index of a Bib-1 use attribute. Some that mean nearly the same as one that is kept are read
-/// as that one.
+/// The index of a Bib-1 use attribute. Attributes with nearly the same meaning as a supported one
+/// are mapped to that one.
 pub fn by_use(value: i64) -> Option<Index> {
     let value = match value {
         1 | 1004 | 1005 | 1006 => 1003,
--- a/catalogue/src/lib.rs
+++ b/catalogue/src/lib.rs
@@ -1,8 +1,9 @@
-//! SRU and Z39.50 without sockets: codecs, queries, records, result sets, merging, and the choice
-//! of sessions.
+//! SRU and Z39.50 without I/O: codecs, queries, records, result sets, merging, and session
+//! selection.
 //!
-//! Nothing here opens, waits, or asks what time it is: bytes, events and times come in, and what to
-//! say or do goes out. The program's catalogue front puts it on sockets.
+//! This crate opens no connections, does not block, and reads no clock. Callers pass in bytes,
+//! events and times, and perform the returned actions. The catalogue front of the main program
+//! connects it to sockets.
 #![forbid(unsafe_code)]
 
 pub mod ber;
@@ -22,7 +23,7 @@
 pub mod work;
 pub mod z3950;
 
-/// Text as XML has it.
+/// Escapes text for XML.
 pub fn escape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
@@ -31,7 +32,7 @@
             '<' => out.push_str("&lt;"),
             '>' => out.push_str("&gt;"),
             '"' => out.push_str("&quot;"),
-            // XML 1.0 has no way to write the other control characters.
+            // XML 1.0 cannot represent the other control characters.
             c if c < ' ' && !matches!(c, '\t' | '\n' | '\r') => out.push(' '),
             c => out.push(c),
         }
--- a/catalogue/src/record.rs
+++ b/catalogue/src/record.rs
@@ -1,7 +1,7 @@
-//! Records: what index hosts give, in the schemas and syntaxes that clients ask for.
+//! Records and their conversion between schemas and syntaxes.
 //!
-//! A record travels as XML in the schema its host gave it in. It is converted only when it is
-//! delivered, and only where another schema or syntax is asked for.
+//! A record is kept as XML in the schema that its host returned. It is converted on delivery, and
+//! only if the client requested another schema or syntax.
 
 pub mod grs1;
 pub mod marc;
@@ -23,22 +23,22 @@
     MarcXml,
 }
 
-/// What a schema is called.
+/// The names of a schema.
 #[derive(Debug, Clone, Copy)]
 pub struct SchemaNames {
     /// The schema.
     pub schema: Schema,
-    /// Its short name in SRU.
+    /// The short name in SRU.
     pub short: &'static str,
-    /// Its identifier; what explain gives.
+    /// The identifier in the explain record.
     pub identifier: &'static str,
-    /// Others that are understood.
+    /// Other accepted identifiers.
     pub others: &'static [&'static str],
-    /// Its title for people.
+    /// The title for display.
     pub title: &'static str,
 }
 
-/// The schemas: requests are read by it, and explain is made from it. The first is the default.
+/// The supported schemas, used for requests and the explain record. The first is the default.
 pub const SCHEMAS: &[SchemaNames] = &[
     SchemaNames {
         schema: Schema::Dc,
@@ -68,14 +68,14 @@
 ];
 
 impl Schema {
-    /// The schema of a short name or an identifier.
+    /// The schema with this short name or identifier.
     pub fn named(name: &str) -> Option<Schema> {
         let known =
             |s: &&SchemaNames| s.short == name || s.identifier == name || s.others.contains(&name);
         SCHEMAS.iter().find(known).map(|s| s.schema)
     }
 
-    /// What it is called.
+    /// The names of the schema.
     pub fn names(self) -> &'static SchemaNames {
         SCHEMAS
             .iter()
@@ -89,9 +89,9 @@
 pub enum Syntax {
     /// XML.
     Xml,
-    /// MARC 21, which Z39.50 still calls USMARC.
+    /// MARC 21, which Z39.50 calls USMARC.
     Usmarc,
-    /// Lines of text.
+    /// Unstructured text.
     Sutrs,
     /// Generic records.
     Grs1,
@@ -106,9 +106,9 @@
 ];
 
 impl Syntax {
-    /// The syntax of an identifier.
+    /// The syntax with this object identifier.
     pub fn of_oid(oid: &str) -> Option<Syntax> {
-        // Some clients ask for text/xml by its place in the tree of MIME types.
+        // Some clients request text/xml by the identifier of its MIME type.
         let oid = if oid == "1.2.840.10003.5.109.11" {
             SYNTAXES[0].1
         } else {
@@ -120,7 +120,7 @@
             .map(|(syntax, _)| *syntax)
     }
 
-    /// Its identifier.
+    /// The object identifier.
     pub fn oid(self) -> &'static str {
         SYNTAXES
             .iter()
@@ -129,34 +129,34 @@
     }
 }
 
-/// A record as it travels.
+/// A record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its schema; `None` for one that is not known here, which passes only as it is.
+    /// The schema; `None` for an unknown one, whose records can only be delivered unchanged.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub schema: Option<Schema>,
     /// The XML.
     pub xml: String,
-    /// Why there is none: a diagnostic in the record's place.
+    /// The surrogate diagnostic, if there is no record.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fault: Option<crate::fault::Fault>,
 }
 
-/// A record that cannot be read, or not be written as asked for.
+/// A record that cannot be read, or cannot be written as requested.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// It breaks its format.
+    /// The record violates its format.
     #[error("a malformed record: {0}")]
     Malformed(&'static str),
-    /// Its schema is not known, so it passes only as it is.
+    /// The schema is unknown, so the record can only be delivered unchanged.
     #[error("a record in a schema that is not known")]
     UnknownSchema,
-    /// Longer than its format can say.
+    /// The record exceeds the length limit of its format.
     #[error("a record longer than its format allows")]
     TooLong,
 }
 
-/// A field, by its Dublin Core element: what all schemas have in common.
+/// A field that all schemas share, named after its Dublin Core element.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[allow(missing_docs)]
 pub enum Field {
@@ -174,7 +174,7 @@
     Rights,
 }
 
-/// The fields by their names in Dublin Core, and their tags in tag set G of GRS-1.
+/// The fields with their Dublin Core names and their tags in GRS-1's tag set G.
 pub const FIELDS: &[(Field, &str, i64)] = &[
     (Field::Title, "title", 1),
     (Field::Creator, "creator", 2),
@@ -191,7 +191,7 @@
 ];
 
 impl Field {
-    /// Its name.
+    /// The Dublin Core name.
     pub fn name(self) -> &'static str {
         FIELDS
             .iter()
@@ -207,12 +207,12 @@
     }
 }
 
-/// A record's fields in order: what conversions that lose detail go through.
+/// The fields of a record in order, the intermediate form of lossy conversions.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fields(pub Vec<(Field, String)>);
 
 impl Fields {
-    /// The first text of a field.
+    /// The first value of a field.
     pub fn first(&self, field: Field) -> Option<&str> {
         self.0
             .iter()
@@ -234,7 +234,7 @@
         }
     }
 
-    /// What a brief record keeps (element set name B).
+    /// The fields of a brief record (element set name B).
     fn brief(&self) -> Fields {
         let kept = [Field::Title, Field::Creator, Field::Date, Field::Identifier];
         Fields(
@@ -248,7 +248,7 @@
 }
 
 impl Record {
-    /// A record from its XML; its schema is told by its root.
+    /// A record from its XML. The root element determines the schema.
     pub fn new(xml: String) -> Record {
         let schema =
             tree::root(&xml).and_then(|(name, namespace)| schemas::of_root(&name, &namespace));
@@ -259,7 +259,7 @@
         }
     }
 
-    /// A diagnostic in a record's place.
+    /// A surrogate diagnostic.
     pub fn refused(fault: crate::fault::Fault) -> Record {
         Record {
             schema: None,
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Its fields.
+    /// The fields of the record.
     pub fn fields(&self) -> Result<Fields, RecordError> {
         let root = tree::read(&self.xml)?;
         match self.schema {
@@ -279,13 +279,13 @@
         }
     }
 
-    /// The first text of the field that an index names.
+    /// The first value of the field that corresponds to an index.
     pub fn value(&self, index: &str) -> Option<String> {
         let field = Field::named(index.strip_prefix("dc.")?)?;
         self.fields().ok()?.first(field).map(str::to_owned)
     }
 
-    /// As XML in a schema; what is in it already stays as it is, unless it is to be brief.
+    /// The record as XML in a schema. A full record already in that schema is returned unchanged.
     pub fn to_xml(&self, schema: Schema, brief: bool) -> Result<String, RecordError> {
         if self.schema == Some(schema) && !brief {
             return Ok(self.xml.clone());
@@ -301,7 +301,7 @@
         })
     }
 
-    /// In a syntax of Z39.50: the bytes of the record; GRS-1 is written by [`grs1::write`].
+    /// Encodes the record in a Z39.50 syntax.
     pub fn to_bytes(
         &self,
         syntax: Syntax,
@@ -326,14 +326,14 @@
         Ok(if brief { fields.brief() } else { fields })
     }
 
-    /// A record from a syntax of Z39.50.
+    /// Decodes a record from a Z39.50 syntax.
     pub fn from_bytes(syntax: Syntax, bytes: &[u8]) -> Result<Record, RecordError> {
         match syntax {
             Syntax::Xml => {
                 let xml =
                     std::str::from_utf8(bytes).map_err(|_| RecordError::Malformed("no UTF-8"))?;
-                // A declaration may stand only at a document's beginning, which a record is not any
-                // more.
+                // An XML declaration is only valid at the start of a document, and the record
+                // becomes part of one.
                 let xml = match xml.trim_start().strip_prefix("<?xml") {
                     Some(rest) => rest.split_once("?>").map_or("", |(_, xml)| xml),
                     None => xml,
@@ -372,11 +372,11 @@
         }
     }
 
-    /// What tells it from others, whatever prefixes and white space its host writes: a hash of its
-    /// text.
+    /// A hash of the text, which does not depend on the prefixes and white space that the host
+    /// uses.
     pub fn fingerprint(&self) -> u64 {
         let text = tree::read(&self.xml).map_or_else(|_| self.xml.clone(), |root| root.full_text());
-        // FNV-1a: the same on every machine, and no secret depends on it.
+        // FNV-1a gives the same result on every machine. The hash protects no secret.
         text.split_whitespace()
             .flat_map(|word| word.bytes().chain([b' ']))
             .fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -385,7 +385,7 @@
     }
 }
 
-/// One line a field.
+/// The SUTRS form: one line per field.
 fn sutrs(fields: &Fields) -> String {
     fields
         .0
--- a/catalogue/src/record/grs1.rs
+++ b/catalogue/src/record/grs1.rs
@@ -1,13 +1,13 @@
-//! GRS-1 (appendix 5, RecordSyntax-generic), with the elements of tag set G (type 2) and names
-//! (type 3).
+//! GRS-1 records (appendix 5, RecordSyntax-generic). Elements are identified by tag set G (type 2)
+//! or by name (type 3).
 
 use super::{FIELDS, Field, Fields, RecordError};
 use crate::ber::{self, Class, Content, Item, Writer, universal};
 
-/// Tag set G.
+/// The type number of tag set G.
 const TAG_SET_G: i64 = 2;
 
-/// Writes the record's elements: what stands inside a single-ASN1-type.
+/// Writes the elements of a record, the content of a single-ASN1-type.
 pub fn write(fields: &Fields) -> Vec<u8> {
     let mut writer = Writer::default();
     writer.inside_universal(universal::SEQUENCE, |elements| {
@@ -18,7 +18,7 @@
                 .map_or(0, |(.., tag)| *tag);
             elements.inside_universal(universal::SEQUENCE, |tagged| {
                 tagged.integer(1, TAG_SET_G);
-                // StringOrNumeric, as a number.
+                // StringOrNumeric as a number.
                 tagged.inside(2, |value| value.integer(2, tag));
                 tagged.inside(4, |content| {
                     content.universal(universal::GENERAL, text.as_bytes())
@@ -29,7 +29,7 @@
     writer.finish()
 }
 
-/// Reads such elements; those that no field stands for are passed over.
+/// Reads the elements of a record; elements that correspond to no field are ignored.
 pub fn read(bytes: &[u8]) -> Result<Fields, RecordError> {
     let most = bytes.len();
     let item = ber::read(&mut bytes.to_vec(), most.max(1), 32)
@@ -63,7 +63,7 @@
     Ok(fields)
 }
 
-/// The text of an element, whichever type it has.
+/// The text of an element of any type.
 fn words(content: &Item) -> String {
     match (&content.content, content.class, content.tag) {
         (Content::Primitive(_), Class::Universal, universal::INTEGER) => content
--- a/catalogue/src/record/marc.rs
+++ b/catalogue/src/record/marc.rs
@@ -7,7 +7,7 @@
 const END_OF_RECORD: u8 = 0x1d;
 const END_OF_FIELD: u8 = 0x1e;
 const SUBFIELD: u8 = 0x1f;
-/// The leader's length, and a directory entry's.
+/// The lengths of the leader and of a directory entry.
 const LEADER: usize = 24;
 const ENTRY: usize = 12;
 
@@ -22,10 +22,10 @@
     pub subfields: Vec<(char, String)>,
 }
 
-/// A record.
+/// A MARC record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Marc {
-    /// The leader; empty for the usual one.
+    /// The leader, or empty for the default one.
     pub leader: String,
     /// Control fields: tags and texts.
     pub control: Vec<(String, String)>,
@@ -55,7 +55,7 @@
         });
     }
 
-    /// Reads the exchange format. Lengths are held against what is there.
+    /// Reads the exchange format and validates its lengths.
     pub fn from_bytes(bytes: &[u8]) -> Result<Marc, RecordError> {
         let leader = bytes
             .get(..LEADER)
@@ -135,8 +135,8 @@
         if length > 99_999 {
             return Err(RecordError::TooLong);
         }
-        // What the leader says of the record itself stays; its lengths and its coding (UTF-8) are
-        // this one's.
+        // Only the leader's description of the record is kept. Lengths and character coding (UTF-8)
+        // are set for the new encoding.
         let given = |range: std::ops::Range<usize>, usual: &str| {
             self.leader
                 .get(range.clone())
@@ -227,7 +227,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Without the format's own separators: a text that holds one would end its field.
+/// Removes the format's separators, which would end the field early.
 fn clean(text: &str) -> String {
     text.chars()
         .filter(|c| !matches!(*c, '\u{1d}'..='\u{1f}'))
--- a/catalogue/src/record/schemas.rs
+++ b/catalogue/src/record/schemas.rs
@@ -1,5 +1,5 @@
-//! The schemas' ways to say the common fields (crosswalks of the Library of Congress, as far as
-//! those fields go).
+//! Conversion of the common fields from and to each schema, based on the crosswalks of the Library
+//! of Congress.
 
 use super::marc::Marc;
 use super::tree::Element;
@@ -9,7 +9,7 @@
 /// The schema of a root element.
 pub fn of_root(name: &str, namespace: &str) -> Option<Schema> {
     match (name, namespace) {
-        // The wrappers of SRU and OAI, or none at all.
+        // Any namespace is accepted: SRU and OAI use different ones, and some hosts none.
         ("dc" | "srw_dc" | "oai_dc", _) => Some(Schema::Dc),
         ("mods", "" | "http://www.loc.gov/mods/v3" | "http://www.loc.gov/mods/") => {
             Some(Schema::Mods)
@@ -124,7 +124,7 @@
     out + "</mods>"
 }
 
-/// Where each field stands in MARC 21: tag, indicators and subfields that are joined.
+/// The position of each field in MARC 21: tag, and the subfields to join.
 const PLACES: &[(&str, &str, Field)] = &[
     ("245", "ab", Field::Title),
     ("100", "a", Field::Creator),
@@ -154,7 +154,7 @@
 
 pub fn from_marc(marc: &Marc) -> Fields {
     let mut fields = Fields::default();
-    // A record without any other identifier has its control number.
+    // The control number serves as identifier if there is no other.
     let mut identified = false;
     for data in &marc.data {
         for (_, codes, field) in PLACES.iter().filter(|(tag, ..)| *tag == data.tag) {
@@ -162,7 +162,7 @@
                 .subfields
                 .iter()
                 .filter(|(code, _)| codes.contains(*code))
-                // Punctuation of cards stands at the end of subfields.
+                // Catalogue card punctuation at the end of subfields is removed.
                 .map(|(_, text)| text.trim_end_matches([' ', '/', ':', ',', ';']))
                 .collect();
             identified |= *field == Field::Identifier;
--- a/catalogue/src/record/tree.rs
+++ b/catalogue/src/record/tree.rs
@@ -1,24 +1,24 @@
-//! A small XML tree, for records alone: bounded in depth and in elements.
+//! A small XML tree for records, with limits on depth and number of elements.
 
 use super::RecordError;
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::reader::Reader;
 
-/// The deepest nesting of a record.
+/// Maximum nesting of a record.
 const DEPTH: usize = 32;
-/// The most elements of a record.
+/// Maximum number of elements in a record.
 const ELEMENTS: usize = 20_000;
 
-/// An element.
+/// An XML element.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Element {
-    /// Its name without its prefix.
+    /// The local name.
     pub name: String,
-    /// Its attributes, by their names without prefixes.
+    /// The attributes, by local name.
     pub attributes: Vec<(String, String)>,
-    /// The elements in it.
+    /// The child elements.
     pub children: Vec<Element>,
-    /// The text directly in it.
+    /// The text directly inside the element.
     pub text: String,
 }
 
@@ -31,12 +31,12 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The elements in it of this name.
+    /// The child elements with this name.
     pub fn all<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a Element> + use<'a, 'n> {
         self.children.iter().filter(move |child| child.name == name)
     }
 
-    /// The first element of this name, at any depth.
+    /// The first element with this name, at any depth.
     pub fn find(&self, name: &str) -> Option<&Element> {
         if self.name == name {
             return Some(self);
@@ -44,7 +44,7 @@
         self.children.iter().find_map(|child| child.find(name))
     }
 
-    /// All the text in it.
+    /// All text inside the element.
     pub fn full_text(&self) -> String {
         let mut out = self.text.clone();
         for child in &self.children {
@@ -73,7 +73,7 @@
     })
 }
 
-/// Reads a document.
+/// Parses a document.
 pub fn read(xml: &str) -> Result<Element, RecordError> {
     let mut reader = Reader::from_str(xml);
     let mut stack: Vec<Element> = Vec::new();
@@ -146,7 +146,7 @@
     }
 }
 
-/// The root's name without its prefix, and the namespace that it is in.
+/// The local name and the namespace of the root element.
 pub fn root(xml: &str) -> Option<(String, String)> {
     let mut reader = Reader::from_str(xml);
     loop {
--- a/catalogue/src/rpn.rs
+++ b/catalogue/src/rpn.rs
@@ -1,5 +1,5 @@
-//! Z39.50's type-1 and type-101 queries (appendix 3, RPNQuery) and the Bib-1 attributes, read into
-//! the tree of CQL and written from it.
+//! Conversion between the CQL tree and Z39.50 type-1 and type-101 queries (appendix 3, RPNQuery)
+//! with Bib-1 attributes.
 
 use crate::ber::{Class, Item, Writer, universal};
 use crate::cql::term::{self, Mask};
@@ -10,21 +10,21 @@
 /// The Bib-1 attribute set.
 pub const BIB1: &str = "1.2.840.10003.3.1";
 
-/// Tags of the query.
+/// Tags in a query.
 pub mod tag {
     /// Attributes and a term.
     pub const OPERAND: u32 = 102;
-    /// The attributes.
+    /// A list of attributes.
     pub const ATTRIBUTES: u32 = 44;
-    /// An attribute's type.
+    /// The type of an attribute.
     pub const TYPE: u32 = 120;
-    /// An attribute's value, where it is a number.
+    /// The value of an attribute, if numeric.
     pub const VALUE: u32 = 121;
-    /// A term of bytes.
+    /// A term as octets.
     pub const TERM: u32 = 45;
-    /// A term that is a number.
+    /// A numeric term.
     pub const TERM_NUMBER: u32 = 215;
-    /// A term of characters.
+    /// A term as characters.
     pub const TERM_TEXT: u32 = 216;
     /// The name of a result set.
     pub const SET: u32 = 31;
@@ -36,8 +36,8 @@
     Kind::SYNTAX.of("a malformed type-1 query")
 }
 
-/// Reads the query of a search request: the value inside its tag. The search has at most `most`
-/// clauses.
+/// Reads the query of a search request with at most `most` clauses. `query` is the field that
+/// contains it.
 pub fn read(query: &Item, most: usize) -> Result<Node, Fault> {
     let rpn = match query.items().first() {
         Some(item) if item.class == Class::Context && matches!(item.tag, 1 | 101) => item,
@@ -52,7 +52,7 @@
     structure_of(structure, &mut left)
 }
 
-/// Reads attributes and a term, as a scan has them (APDU ScanRequest, termListAndStartPoint).
+/// Reads the attributes and term of a scan (APDU ScanRequest, termListAndStartPoint).
 pub fn read_clause(set: Option<&Item>, operand: &Item) -> Result<Clause, Fault> {
     set.map_or(Ok(()), bib1)?;
     clause(operand)
@@ -133,13 +133,13 @@
     match item.tag {
         tag::OPERAND => Ok(Node::Clause(clause(item)?)),
         tag::SET => Ok(Node::Set(item.text().ok_or_else(malformed)?)),
-        // A set restricted by attributes.
+        // A result set restricted by attributes.
         214 => Err(Kind::FEATURE.of("a result set with attributes")),
         _ => Err(malformed()),
     }
 }
 
-/// What the attributes of one term say.
+/// The attributes of a term.
 #[derive(Default)]
 struct Attributes {
     index: Option<Index>,
@@ -194,7 +194,7 @@
             (3, 1 | 2) => self.first = true,
             (3, 3) => {}
             (3, _) => return unsupported(Kind::ANCHOR),
-            // Phrase, word, key, name and string: how the index has it.
+            // Phrase, word, key, name and string: the index decides.
             (4, 1 | 2 | 3 | 101 | 102) => {}
             (4, 4 | 5 | 100) => self.modifiers.push(Modifier::IsoDate),
             (4, 6 | 105 | 106) => self.words = true,
@@ -208,7 +208,7 @@
             (6, 1 | 2) => {}
             (6, 3) => self.complete = true,
             (6, _) => return Err(Kind { bib1: 122, sru: 48 }.of(value.to_string())),
-            // Hints on sorting are not part of the search.
+            // Sort hints are not part of the search.
             (7, _) => return Err(Kind::ATTRIBUTE_TYPE.of("7: use the sort service")),
             (other, _) => return Err(Kind::ATTRIBUTE_TYPE.of(other.to_string())),
         }
@@ -222,7 +222,7 @@
             Some(1) => format!("{literal}*"),
             Some(2) => format!("*{literal}"),
             Some(3) => format!("*{literal}*"),
-            // `#` is any number here, as attribute 101 has it, and one character as 104 has it.
+            // `#` is any number of characters in truncation 101, but one character in 104.
             Some(101) => literal.replace('#', "*"),
             Some(104) => text
                 .chars()
@@ -256,7 +256,7 @@
             (_, true) => Relation::All,
             _ => Relation::Equal,
         });
-    // Always matches: whatever has this field.
+    // Always-matches: any record that has the field.
     let term = if attributes.always {
         "*".to_owned()
     } else {
@@ -270,10 +270,10 @@
     })
 }
 
-/// Writes a type-1 query inside the tag of a search request's query; a fault where Bib-1 has no
-/// words for it.
+/// Writes a type-1 query into the query field of a search request. Fails if Bib-1 cannot express
+/// it.
 pub fn write(node: &Node, out: &mut Writer) -> Result<(), Fault> {
-    // Into a writer of its own: a fault in the middle must leave nothing behind.
+    // A separate writer, so that nothing is written if the query cannot be expressed.
     let mut rpn = Writer::default();
     write_structure(node, &mut rpn)?;
     out.inside(1, |inner| {
@@ -283,7 +283,7 @@
     Ok(())
 }
 
-/// Writes attributes and a term inside the tag that a scan has for them.
+/// Writes attributes and a term into a scan request.
 pub fn write_clause(clause: &Clause, out: &mut Writer) -> Result<(), Fault> {
     let (attributes, term) = attributes_of(clause)?;
     out.inside(tag::OPERAND, |operand| {
@@ -358,7 +358,7 @@
     }
 }
 
-/// Relations that Bib-1 has no attribute for, as joined searches that mean the same.
+/// Rewrites relations without a Bib-1 attribute as equivalent boolean queries.
 fn expand(clause: &Clause) -> Option<Node> {
     let words: Vec<&str> = clause.term.split_whitespace().collect();
     let with = |relation, term: &str| {
@@ -413,8 +413,8 @@
             Modifier::Uri => structure = 104,
             Modifier::Unmasked => unmasked = true,
             Modifier::Masked => {}
-            // Bib-1 says nothing of these; left out, the host would find something else than was
-            // asked for.
+            // Bib-1 cannot express the other modifiers. Without them the host would run another
+            // search than requested.
             other => return Err(Kind::MODIFIER.of(other.name())),
         }
     }
--- a/catalogue/src/sort.rs
+++ b/catalogue/src/sort.rs
@@ -1,38 +1,38 @@
-//! Sort keys, as both protocols have them, and the order that they give.
+//! Sort keys of both protocols, and the resulting order.
 
 use crate::fault::{Fault, Kind};
 use crate::index::{self, Index};
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 
-/// What a record without the key is held to have.
+/// How a record without the sort key is handled.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Missing {
-    /// None may lack it: the sort ends.
+    /// The sort fails.
     Fail,
-    /// Less than any value.
+    /// The record sorts below all values.
     Low,
-    /// More than any value.
+    /// The record sorts above all values.
     High,
-    /// This value.
+    /// The record sorts by this value.
     Constant(String),
 }
 
-/// One key.
+/// A sort key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SortKey {
-    /// The index's name.
+    /// The name of the index.
     pub index: String,
-    /// From the least to the greatest.
+    /// Whether the order is ascending.
     pub ascending: bool,
-    /// Whether `A` and `a` differ.
+    /// Whether the comparison is case-sensitive.
     pub case: bool,
-    /// What is held of records without it.
+    /// How records without the key are handled.
     pub missing: Missing,
 }
 
 impl SortKey {
-    /// A key by this index: ascending, without case, and what lacks it last.
+    /// A key for this index: ascending, case-insensitive, and records without the key last.
     pub fn by(index: &Index) -> SortKey {
         SortKey {
             index: index.name.to_owned(),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A key by the name of its index.
+    /// A key for the index of this name.
     pub fn named(name: &str) -> Result<SortKey, Fault> {
         let index = index::by_name(name)
             .filter(|i| i.sort)
@@ -51,25 +51,25 @@
     }
 }
 
-/// A record's value for a key: one that is there, or where those without it stand.
+/// A record's value for a sort key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Value {
-    /// Before all.
+    /// Below all values.
     Low,
-    /// This one, folded as the key says.
+    /// A value, normalized as the key requires.
     Is(String),
-    /// After all.
+    /// Above all values.
     High,
 }
 
-/// A field's text as it is compared.
+/// Normalizes a field's text for comparison.
 pub fn fold(text: &str, case: bool) -> String {
     let spaced = text.split_whitespace().collect::<Vec<_>>().join(" ");
     if case { spaced } else { spaced.to_lowercase() }
 }
 
-/// The value of a record whose first text for the key is this; `None` where it lacks one and none
-/// may.
+/// The value of a record whose first text for the key is `text`; `None` if the key is mandatory and
+/// there is no text.
 pub fn value(key: &SortKey, text: Option<&str>) -> Option<Value> {
     match (text.map(str::trim).filter(|t| !t.is_empty()), &key.missing) {
         (Some(text), _) => Some(Value::Is(fold(text, key.case))),
@@ -80,7 +80,7 @@
     }
 }
 
-/// Compares two records' values, key by key.
+/// Compares the values of two records, key by key.
 pub fn compare(keys: &[SortKey], a: &[Value], b: &[Value]) -> Ordering {
     for ((key, a), b) in keys.iter().zip(a).zip(b) {
         let order = if key.ascending { a.cmp(b) } else { b.cmp(a) };
@@ -91,8 +91,8 @@
     Ordering::Equal
 }
 
-/// Reads SRU's `sortKeys` (1.1, "Sort Parameters"):
-/// `path,schema,ascending,caseSensitive,missingValue`, by spaces.
+/// Parses SRU's `sortKeys` (1.1, "Sort Parameters"):
+/// `path,schema,ascending,caseSensitive,missingValue`, separated by spaces.
 pub fn read_sort_keys(text: &str, most: usize) -> Result<Vec<SortKey>, Fault> {
     let mut keys = Vec::new();
     for word in text.split_whitespace() {
--- a/catalogue/src/sru.rs
+++ b/catalogue/src/sru.rs
@@ -1,5 +1,5 @@
-//! SRU: versions, requests and responses (Library of Congress 1.1 and 1.2, OASIS searchRetrieve
-//! 2.0), without HTTP.
+//! SRU without HTTP: versions, requests and responses (Library of Congress 1.1 and 1.2, OASIS
+//! searchRetrieve 2.0).
 
 mod error;
 pub mod explain;
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A version of the protocol.
+/// A protocol version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Version {
     /// 1.1
@@ -25,15 +25,15 @@
 }
 
 impl Version {
-    /// All, the newest first.
+    /// All versions, newest first.
     pub const ALL: [Version; 3] = [Version::V20, Version::V12, Version::V11];
 
-    /// The version of a name.
+    /// The version with this name.
     pub fn named(name: &str) -> Option<Version> {
         Self::ALL.into_iter().find(|v| v.name() == name)
     }
 
-    /// Its name.
+    /// The name of the version.
     pub fn name(self) -> &'static str {
         match self {
             Version::V11 => "1.1",
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The namespace of its responses.
+    /// The namespace of responses.
     pub fn namespace(self) -> &'static str {
         match self {
             Version::V20 => "http://docs.oasis-open.org/ns/search-ws/sruResponse",
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The namespace of its scan responses.
+    /// The namespace of scan responses.
     pub fn scan_namespace(self) -> &'static str {
         match self {
             Version::V20 => "http://docs.oasis-open.org/ns/search-ws/scan",
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The namespace of its diagnostics.
+    /// The namespace of diagnostics.
     pub fn diagnostics(self) -> &'static str {
         match self {
             Version::V20 => "http://docs.oasis-open.org/ns/search-ws/diagnostic",
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What it calls the form of records.
+    /// The name of the parameter and element for record packing.
     pub fn packing(self) -> &'static str {
         if self == Version::V20 {
             "recordXMLEscaping"
@@ -76,19 +76,19 @@
     }
 }
 
-/// An operation of the protocol.
+/// An operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
-    /// A search, answered with records.
+    /// A search, which returns records.
     SearchRetrieve,
     /// Terms of an index.
     Scan,
-    /// What the server offers.
+    /// A description of the server.
     Explain,
 }
 
 impl Operation {
-    /// Its response's root.
+    /// The root element of the response.
     pub fn response(self) -> &'static str {
         match self {
             Operation::SearchRetrieve => "searchRetrieveResponse",
@@ -98,15 +98,14 @@
     }
 }
 
-/// The operations by their names: requests are routed by it, and it is what `describe openapi`
-/// prints.
+/// The operations by name. Requests are dispatched by this table, and `describe openapi` prints it.
 pub const OPERATIONS: &[(&str, Operation)] = &[
     ("searchRetrieve", Operation::SearchRetrieve),
     ("scan", Operation::Scan),
     ("explain", Operation::Explain),
 ];
 
-/// Each status that a response may have, and what that means.
+/// Each status that a response may have, and its meaning.
 pub const STATUSES: &[(u16, &str)] = &[
     (
         200,
--- a/catalogue/src/sru/error.rs
+++ b/catalogue/src/sru/error.rs
@@ -1,23 +1,23 @@
-//! Why a response of an index host can't be used.
+//! Errors in the responses of index hosts.
 
 use thiserror::Error;
 
-/// A response that is not the XML of the protocol.
+/// A response that is not valid XML of the protocol.
 #[derive(Debug, Error)]
 pub enum ResponseError {
-    /// It is no well-formed XML.
+    /// The XML is not well-formed.
     #[error(transparent)]
     Xml(#[from] quick_xml::Error),
-    /// A text in it has another encoding than it says.
+    /// Text does not match the declared encoding.
     #[error(transparent)]
     Encoding(#[from] quick_xml::encoding::EncodingError),
-    /// A record is no UTF-8.
+    /// A record is not UTF-8.
     #[error(transparent)]
     Utf8(#[from] std::string::FromUtf8Error),
-    /// A record can't be copied.
+    /// A record cannot be copied.
     #[error(transparent)]
     Copy(#[from] std::io::Error),
-    /// Elements are nested deeper than any response of the protocol.
+    /// Elements are nested too deep.
     #[error("nested too deep")]
     TooDeep,
     /// An end tag has no start tag.
@@ -29,10 +29,10 @@
     /// The text ends within a record.
     #[error("recordData is not closed")]
     OpenRecord,
-    /// An element that holds a count holds something else.
+    /// An element that should hold a count does not.
     #[error("{0} is no number")]
     NotANumber(String),
-    /// An entity is none of the predefined ones.
+    /// An entity is not one of the predefined ones.
     #[error("the entity {0} is not known")]
     UnknownEntity(String),
 }
--- a/catalogue/src/sru/explain.rs
+++ b/catalogue/src/sru/explain.rs
@@ -1,4 +1,4 @@
-//! The explain record (ZeeRex 2.0), made from the tables that requests are read by.
+//! The explain record (ZeeRex 2.0), generated from the tables that request parsing uses.
 
 use super::Version;
 use crate::cql::MODIFIERS;
@@ -7,24 +7,24 @@
 use crate::record::SCHEMAS;
 use std::fmt::Write as _;
 
-/// What is told of the server.
+/// The server properties in the explain record.
 #[derive(Debug, Clone)]
 pub struct About<'a> {
-    /// The host as the client called it.
+    /// The host name in the client's request.
     pub host: &'a str,
     /// The port.
     pub port: u16,
-    /// The database's name.
+    /// The name of the database.
     pub database: &'a str,
-    /// Its title for people.
+    /// The title of the database.
     pub title: &'a str,
-    /// Records of one page.
+    /// Maximum records of a page.
     pub page: u64,
-    /// Seconds that a set is kept unused.
+    /// How long an unused result set is kept, in seconds.
     pub idle: u64,
 }
 
-/// The record.
+/// Writes the explain record.
 pub fn record(version: Version, about: &About<'_>) -> String {
     let mut out = format!(
         "<explain xmlns=\"http://explain.z3950.org/dtd/2.0/\">\
--- a/catalogue/src/sru/request.rs
+++ b/catalogue/src/sru/request.rs
@@ -1,4 +1,5 @@
-//! Requests: parameters from a URL, a form or a SOAP body, checked by the version that they are in.
+//! Parses requests. Parameters come from a URL, a form or a SOAP body and are checked against the
+//! request's version.
 
 use super::{OPERATIONS, Operation, Version};
 use crate::cql::{self, Clause, Node, Query, Relation};
@@ -9,8 +10,8 @@
 use crate::sort::{self, SortKey};
 use std::collections::BTreeMap;
 
-/// The parameters that are understood, the versions that have each (1.1, 1.2, 2.0), and what each
-/// is for: requests are checked by it, and it is what `describe openapi` prints.
+/// The supported parameters: name, the versions that define it (1.1, 1.2, 2.0), and a description.
+/// Requests are checked against this table, and `describe openapi` prints it.
 pub const PARAMETERS: &[(&str, [bool; 3], &str)] = &[
     (
         "operation",
@@ -95,65 +96,65 @@
     ("recordXPath", [true, true, false], "Refused"),
 ];
 
-/// What bounds a request.
+/// Limits of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestBounds {
-    /// Nesting of a query.
+    /// Maximum nesting of a query.
     pub depth: usize,
-    /// Records of one page.
+    /// Maximum records of one page.
     pub page: u64,
-    /// Terms of one scan.
+    /// Maximum terms of one scan.
     pub terms: u32,
-    /// Sort keys.
+    /// Maximum sort keys.
     pub sort_keys: usize,
-    /// Values of one facet.
+    /// Maximum values of one facet.
     pub facet_values: u32,
-    /// Facets.
+    /// Maximum number of facets.
     pub facets: usize,
 }
 
-/// How a response is written.
+/// The form of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Form {
-    /// The version.
+    /// The protocol version.
     pub version: Version,
     /// The operation.
     pub operation: Operation,
-    /// Records as text in place of XML.
+    /// Whether records are packed as escaped text instead of XML.
     pub as_text: bool,
-    /// The schema of records.
+    /// The record schema.
     pub schema: Schema,
-    /// A style sheet.
+    /// The style sheet to reference.
     pub stylesheet: Option<String>,
-    /// Inside a SOAP envelope.
+    /// Whether the response is wrapped in a SOAP envelope.
     pub soap: bool,
-    /// `application/sru+xml` was asked for by name.
+    /// Whether the client accepts `application/sru+xml` by name.
     pub sru_xml: bool,
 }
 
-/// What is searched.
+/// A search request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SearchRequest {
-    /// The search and its order.
+    /// The query and its sort keys.
     pub query: Query,
-    /// The first position.
+    /// The first requested position, from 1.
     pub start: u64,
-    /// How many records.
+    /// Maximum number of records to return.
     pub most: u64,
-    /// How long the set is wanted, in seconds.
+    /// The requested lifetime of the result set, in seconds.
     pub ttl: Option<u64>,
-    /// Facets that are wanted.
+    /// The requested facets.
     pub facets: Vec<FacetAsk>,
 }
 
-/// What is scanned.
+/// A scan request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScanRequest {
-    /// The index, and where the list starts.
+    /// The index and the starting point.
     pub clause: Clause,
-    /// Where that stands in the list, from 1.
+    /// Position of the starting point in the list, from 1.
     pub position: u32,
-    /// How many terms.
+    /// The number of terms.
     pub number: u32,
 }
 
@@ -164,22 +165,22 @@
     Search(SearchRequest),
     /// A scan.
     Scan(ScanRequest),
-    /// What is offered.
+    /// A description of the server.
     Explain,
 }
 
-/// A request that cannot be served, and how to say so.
+/// A rejected request and the form of its response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refused {
-    /// How the response is written.
+    /// The form of the response.
     pub form: Form,
-    /// What is wrong.
+    /// The reason.
     pub fault: Fault,
-    /// The status of the response.
+    /// The HTTP status of the response.
     pub status: u16,
 }
 
-/// The parameters of a URL's query or of a form; a name given twice keeps its first value.
+/// Parses the query of a URL or the body of a form. If a name is repeated, the first value counts.
 pub fn parameters(query: &str) -> BTreeMap<String, String> {
     let mut given = BTreeMap::new();
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
@@ -216,7 +217,7 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// A text as a URL has it.
+/// Percent-encodes a text for use in a URL.
 pub fn percent(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
@@ -261,14 +262,14 @@
         }
     }
 
-    /// Every parameter must be one of the version's own, or an extension.
+    /// Checks that the version defines every parameter, apart from extensions.
     fn check_names(&self) -> Result<(), Fault> {
         for name in self.given.keys() {
             let known = PARAMETERS.iter().find(|(known, ..)| known == name);
             match known {
                 _ if name == "recordXPath" => return Err(Kind::XPATH.of("")),
                 Some((_, versions, _)) if versions[self.version as usize] => {}
-                // Extensions may be passed over by a server that does not know them.
+                // Servers may ignore extensions that they do not know.
                 None if name.starts_with("x-") => {}
                 _ => return Err(Kind::PARAMETER.of(name.as_str())),
             }
@@ -280,7 +281,7 @@
         if let Some(name) = self.get("recordSchema").filter(|n| !n.is_empty()) {
             form.schema = Schema::named(name).ok_or_else(|| Kind::SCHEMA.of(name))?;
         }
-        // Version 2.0 gave the old name another meaning.
+        // Version 2.0 gave the name `recordPacking` another meaning.
         if self.version == Version::V20 {
             self.one_of("recordPacking", &["packed", "unpacked", "xml", "string"])?;
         }
@@ -296,7 +297,7 @@
             }
         }
         if let Some(sheet) = self.get("stylesheet").filter(|s| !s.is_empty()) {
-            // It stands in a processing instruction, which its end must not close.
+            // The value is written into a processing instruction and must not terminate it.
             if sheet.contains("?>") || sheet.contains(['"', '<', '\n', '\r']) {
                 return Err(Kind::VALUE.of("stylesheet"));
             }
@@ -308,7 +309,7 @@
 
     fn sort(&self, query: &Query) -> Result<Vec<SortKey>, Fault> {
         match self.get("sortKeys").filter(|k| !k.trim().is_empty()) {
-            // Of the two ways to say it the query's own counts (1.2, "sortKeys").
+            // `sortBy` in the query takes precedence over this parameter (1.2, "sortKeys").
             Some(keys) if query.sort.is_empty() => {
                 sort::read_sort_keys(keys, self.bounds.sort_keys)
             }
@@ -337,8 +338,9 @@
         })
     }
 
-    /// `facetLimit` (2.0, "Facet Parameters"): `10:dc.subject,5:dc.date`; a bare number is for
-    /// every facet, and there are none by default.
+    /// Parses `facetLimit` (2.0, "Facet Parameters"), such as `10:dc.subject,5:dc.date`. The
+    /// standard's bare number, a limit for every facet, is rejected because no facets are counted
+    /// by default.
     fn facets(&self) -> Result<Vec<FacetAsk>, Fault> {
         let Some(limits) = self.get("facetLimit") else {
             return Ok(Vec::new());
@@ -394,7 +396,8 @@
     }
 }
 
-/// Whether one of the media types can be given, and whether it is SRU's own.
+/// Returns `None` if no media type in the list is supported, otherwise whether SRU's own type is in
+/// the list.
 fn accepts(list: &str) -> Option<bool> {
     let types = || {
         list.split(',')
@@ -415,8 +418,8 @@
     types().any(|t| plain.contains(&t)).then_some(false)
 }
 
-/// Reads a request. `named` is an operation that its place tells, as SOAP does; `accept` the
-/// client's header.
+/// Parses a request. `named` is the operation if the transport names it, as SOAP does; `accept` is
+/// the client's Accept header.
 pub fn read(
     given: &BTreeMap<String, String>,
     named: Option<Operation>,
@@ -437,7 +440,7 @@
     let asked = given.get("version").map(String::as_str);
     let version = match asked {
         Some(name) => Version::named(name),
-        // Before 2.0 an operation had to be named.
+        // Versions before 2.0 require the `operation` parameter.
         None if word.is_some() || named.is_some() => Some(Version::V12),
         None => Some(Version::V20),
     };
@@ -476,7 +479,8 @@
         bounds,
         version,
     };
-    // Only 2.0 lets the header choose; browsers send it to older ones without meaning it.
+    // Only version 2.0 defines negotiation by this header. Browsers send it with requests of older
+    // versions as well.
     if version == Version::V20 && !given.contains_key("httpAccept") {
         match accept.map(accepts) {
             Some(None) => return Err(refuse(&form, Kind::VALUE.of("Accept"), 406)),
--- a/catalogue/src/sru/response.rs
+++ b/catalogue/src/sru/response.rs
@@ -1,4 +1,4 @@
-//! Responses, written in each version's words.
+//! Writes responses in the form of each version.
 
 use super::request::Form;
 use super::{Operation, Version};
@@ -9,10 +9,10 @@
 use crate::record::{Record, Schema};
 use std::fmt::Write as _;
 
-/// The schema of diagnostics that stand in a record's place.
+/// The schema of surrogate diagnostics.
 const DIAGNOSTICS_SCHEMA: &str = "info:srw/schema/1/diagnostics-v1.1";
 
-/// A diagnostic.
+/// Writes a diagnostic.
 pub fn diagnostic(version: Version, fault: &Fault, out: &mut String) {
     let _ = write!(
         out,
@@ -42,7 +42,7 @@
         _ => form.version.namespace(),
     };
     let _ = write!(out, "<{} xmlns=\"{namespace}\">", form.operation.response());
-    // Version 2.0's responses carry no version element.
+    // Responses of version 2.0 have no version element.
     if form.version != Version::V20 {
         let _ = write!(out, "<version>{}</version>", form.version.name());
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// A response that carries nothing but a diagnostic.
+/// A response with only a diagnostic.
 pub fn refused(form: &Form, fault: &Fault) -> String {
     let mut out = begin(form);
     if form.operation == Operation::SearchRetrieve {
@@ -78,7 +78,8 @@
     end(form, out)
 }
 
-/// What a page is answered with: notes that this version says by diagnostics, in their order.
+/// The diagnostics of a page, in order of output. Versions differ in what they report as a
+/// diagnostic.
 fn page_faults(form: &Form, page: &Page) -> Vec<Fault> {
     let mut faults = Vec::new();
     if page.replaced {
@@ -87,7 +88,7 @@
             page.token
         )));
     }
-    // In 2.0 the count's precision says that slices are missing.
+    // Version 2.0 reports missing slices through the precision of the count.
     let said = |fault: &&Fault| fault.kind != Kind::PARTIAL || form.version != Version::V20;
     faults.extend(page.diagnostics.iter().filter(said).cloned());
     if page.count.hits > 0 && page.start > page.count.hits && page.wanted == 0 {
@@ -106,7 +107,7 @@
     let packing = form.version.packing();
     let (schema, xml) = match (&record.fault, record.to_xml(form.schema, false)) {
         (None, Ok(xml)) => (form.schema.names().identifier, xml),
-        // A schema that is not known here passes as the default.
+        // A record in an unknown schema is delivered unchanged if the default schema was requested.
         (None, Err(_)) if record.schema.is_none() && form.schema == Schema::Dc => {
             (form.schema.names().identifier, record.xml.clone())
         }
@@ -159,7 +160,7 @@
     out.push_str("</facets></facetedResults>");
 }
 
-/// A search's response. `idle` is how long the set is kept when it is not used, in seconds.
+/// A search response. `idle` is the lifetime of the unused set in seconds.
 pub fn page(form: &Form, page: &Page, idle: u64) -> String {
     let mut out = begin(form);
     let _ = write!(
@@ -184,8 +185,8 @@
         }
         out.push_str("</records>");
     }
-    // Behind an empty page the next position is the one that was asked for: it could not be had, or
-    // was not wanted.
+    // No next position is given after an empty page. It would equal the requested one, whose record
+    // was unavailable or not wanted.
     if let Some(next) = page.next().filter(|_| !page.records.is_empty()) {
         let _ = write!(out, "<nextRecordPosition>{next}</nextRecordPosition>");
     }
@@ -206,7 +207,7 @@
     end(form, out)
 }
 
-/// A scan's response.
+/// A scan response.
 pub fn scan(form: &Form, scanned: &Scanned) -> String {
     let mut out = begin(form);
     if !scanned.terms.is_empty() {
@@ -229,7 +230,7 @@
     end(form, out)
 }
 
-/// An explain response around its record.
+/// An explain response that contains `record`.
 pub fn explain(form: &Form, record: &str) -> String {
     let mut out = begin(form);
     let packing = form.version.packing();
--- a/catalogue/src/sru/soap.rs
+++ b/catalogue/src/sru/soap.rs
@@ -1,14 +1,14 @@
-//! SRU over SOAP 1.1 (the former SRW): requests in an envelope's body, responses in another's.
+//! SRU over SOAP 1.1 (formerly SRW).
 
 use super::Operation;
 use crate::escape;
 use crate::record::tree::{self, Element};
 use std::collections::BTreeMap;
 
-/// The envelope's namespace.
+/// The namespace of the envelope.
 const NAMESPACE: &str = "http://schemas.xmlsoap.org/soap/envelope/";
 
-/// Puts a response into an envelope.
+/// Wraps a response in an envelope.
 pub fn wrap(response: &str) -> String {
     format!(
         "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<SOAP:Envelope xmlns:SOAP=\"{NAMESPACE}\"><SOAP:Body>\
@@ -16,7 +16,7 @@
     )
 }
 
-/// What a client that sent no request is told.
+/// The fault response to an invalid request.
 pub fn fault(code: &str, words: &str) -> String {
     wrap(&format!(
         "<SOAP:Fault><faultcode>SOAP:{code}</faultcode><faultstring>{}</faultstring></SOAP:Fault>",
@@ -24,14 +24,14 @@
     ))
 }
 
-/// Reads an envelope: the operation, and its parameters by name.
+/// Parses an envelope into the operation and its parameters by name.
 pub fn read(body: &str) -> Result<(Operation, BTreeMap<String, String>), String> {
     let root = tree::read(body).map_err(|problem| problem.to_string())?;
     let namespace = tree::root(body).map(|(_, namespace)| namespace);
     if root.name != "Envelope" || namespace.as_deref() != Some(NAMESPACE) {
         return Err("no envelope of SOAP 1.1".to_owned());
     }
-    // A header that must be understood is not.
+    // No header is supported, so a mandatory one is an error.
     let must = |e: &Element| {
         e.attribute("mustUnderstand")
             .is_some_and(|v| v == "1" || v == "true")
--- a/catalogue/src/sru/xml.rs
+++ b/catalogue/src/sru/xml.rs
@@ -1,4 +1,4 @@
-//! Responses of index hosts, read whatever their version, prefixes and packing.
+//! Parses the responses of index hosts, regardless of version, namespace prefixes and packing.
 
 use crate::fault::{Fault, Kind};
 use crate::merge::{Facet, Term};
@@ -8,35 +8,35 @@
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::reader::Reader;
 
-/// What a response says.
+/// A parsed response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReadResponse {
-    /// The root's name.
+    /// The local name of the root element.
     pub root: String,
-    /// `version`, where it is told.
+    /// `version`, if present.
     pub version: Option<String>,
     /// `numberOfRecords` of the search.
     pub hits: Option<u64>,
-    /// The count is one that the host vouches for.
+    /// Whether the host reports the count as exact.
     pub exact: bool,
-    /// The records, in order; a diagnostic in a record's place is one that has a fault.
+    /// The records in order; a surrogate diagnostic becomes a record with a fault.
     pub records: Vec<Record>,
-    /// The diagnostics of the whole.
+    /// The non-surrogate diagnostics.
     pub faults: Vec<Fault>,
-    /// A scan's terms.
+    /// The terms of a scan.
     pub terms: Vec<Term>,
-    /// Facets, where the host counts them.
+    /// The facets, if the host counts them.
     pub facets: Option<Vec<Facet>>,
 }
 
-/// Deeper than any response of the protocol, records apart.
+/// Maximum nesting outside records, more than any response of the protocol needs.
 const DEPTH: usize = 64;
 
 #[derive(Default)]
 struct State {
     response: ReadResponse,
     path: Vec<String>,
-    /// Namespace declarations of each open element, for records that rely on them.
+    /// The namespace declarations of each open element, which records may rely on.
     declared: Vec<Vec<(String, String)>>,
     fault: Option<(String, String)>,
     term: Option<Term>,
@@ -44,7 +44,7 @@
     facet_term: (String, u64),
 }
 
-/// Reads a response.
+/// Parses a response.
 pub fn read_response(text: &str) -> Result<ReadResponse, ResponseError> {
     let mut reader = Reader::from_str(text);
     let mut state = State::default();
@@ -184,7 +184,7 @@
     }
 }
 
-/// A diagnostic by its identifier; one of another set is a general fault.
+/// A diagnostic from its identifier. One of another set becomes a general fault.
 fn fault(uri: &str, details: &str) -> Fault {
     let number = uri
         .strip_prefix("info:srw/diagnostic/1/")
@@ -223,7 +223,7 @@
         .ok_or_else(|| ResponseError::UnknownEntity(name.into_owned()))
 }
 
-/// The record inside `recordData`: XML as it stands, or text that is XML.
+/// Reads the record in `recordData`, which is either XML or escaped XML.
 fn record(
     reader: &mut Reader<&[u8]>,
     start: &BytesStart<'_>,
@@ -246,7 +246,7 @@
         }
         if let Event::Start(e) | Event::Empty(e) = &mut event {
             elements += 1;
-            // Prefixes that were declared outside go with the record.
+            // Prefixes declared outside the record are copied into it.
             if depth == 0 {
                 let own: Vec<String> = declarations(e)
                     .into_iter()
@@ -273,7 +273,7 @@
     }
     let xml = String::from_utf8(writer.into_inner())?;
     let xml = without_idle_declarations(xml.trim(), declared);
-    // A diagnostic in the record's place.
+    // A surrogate diagnostic.
     if let Some((name, _)) = crate::record::tree::root(&xml)
         && name == "diagnostic"
         && let Ok(root) = crate::record::tree::read(&xml)
@@ -287,7 +287,7 @@
     Ok(Record::new(xml))
 }
 
-/// Takes off declarations that came from outside and that the record does not use.
+/// Removes copied namespace declarations that the record does not use.
 fn without_idle_declarations(xml: &str, declared: &[Vec<(String, String)>]) -> String {
     let mut out = xml.to_owned();
     for (prefix, uri) in declared.iter().flatten() {
--- a/catalogue/src/z3950.rs
+++ b/catalogue/src/z3950.rs
@@ -1,4 +1,4 @@
-//! Z39.50's data units (ANSI/NISO Z39.50-2003, section 4), as far as both sides need them.
+//! Z39.50 data units (ANSI/NISO Z39.50-2003, section 4), as far as client and server need them.
 
 pub mod init;
 pub mod records;
@@ -11,34 +11,34 @@
 /// The Bib-1 diagnostic set.
 pub const DIAGNOSTICS: &str = "1.2.840.10003.4.1";
 
-/// A service, by the tag of its request.
+/// A service, identified by the tag of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Service {
-    /// Begins a session.
+    /// Opens a session.
     Init,
-    /// Makes a result set.
+    /// Creates a result set.
     Search,
-    /// Gives its records.
+    /// Returns records of a result set.
     Present,
-    /// Ends result sets.
+    /// Deletes result sets.
     Delete,
     /// Answers a challenge.
     AccessControl,
-    /// Takes an operation back.
+    /// Cancels an operation.
     TriggerResourceControl,
-    /// Asks what an operation has cost.
+    /// Reports the resources used by an operation.
     ResourceReport,
-    /// Lists terms.
+    /// Lists terms of an index.
     Scan,
-    /// Orders a result set.
+    /// Sorts a result set.
     Sort,
-    /// Anything beside retrieval; refused.
+    /// Extended services, which are refused.
     Extended,
-    /// Ends a session.
+    /// Closes a session.
     Close,
 }
 
-/// The services by the tags of their requests: data units are routed by it.
+/// The services by the tags of their requests; incoming data units are dispatched by this table.
 pub const SERVICES: &[(u32, Service)] = &[
     (tag::INIT_REQUEST, Service::Init),
     (tag::SEARCH_REQUEST, Service::Search),
@@ -53,7 +53,7 @@
     (tag::CLOSE, Service::Close),
 ];
 
-/// The service that a data unit asks for.
+/// The service that a data unit requests.
 pub fn service(unit: &Item) -> Option<Service> {
     let known = SERVICES
         .iter()
@@ -61,7 +61,7 @@
     known.map(|(_, service)| *service)
 }
 
-/// Tags of data units and of their parts.
+/// Tags of data units and their fields.
 pub mod tag {
     #![allow(missing_docs)]
     pub const INIT_REQUEST: u32 = 20;
@@ -130,27 +130,28 @@
 /// Why a session is closed (section 3.2.11.1.1).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It is over.
+    /// The session is finished.
     Finished = 0,
-    /// The program ends.
+    /// The server shuts down.
     Shutdown = 1,
-    /// Something here failed.
+    /// An internal failure.
     SystemProblem = 2,
-    /// It cost too much.
+    /// The cost limit was exceeded.
     CostLimit = 3,
-    /// Too much is held.
+    /// Resources are exhausted.
     Resources = 4,
-    /// Who is there is not known.
+    /// The client is not authenticated.
     Security = 5,
-    /// The peer broke the protocol.
+    /// The peer violated the protocol.
     ProtocolError = 6,
-    /// Nothing was asked for, or taken, for long.
+    /// The peer was inactive for too long.
     LackOfActivity = 7,
-    /// The peer closes too.
+    /// Reply to a close by the peer.
     ResponseToPeer = 8,
 }
 
-/// A result set's standing where a search or a sort did not succeed in full (section 3.2.2.1.11).
+/// The status of a result set after a search or sort that did not fully succeed (section
+/// 3.2.2.1.11).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SetStatus {
     /// Partial, valid results.
@@ -159,7 +160,7 @@
     None = 3,
 }
 
-/// One data unit, with the reference of the request it answers.
+/// Encodes a data unit, with the reference id of the request that it answers.
 pub fn unit(tag: u32, reference: Option<&[u8]>, fill: impl FnOnce(&mut Writer)) -> Vec<u8> {
     let mut writer = Writer::default();
     writer.inside(tag, |w| {
@@ -171,7 +172,7 @@
     writer.finish()
 }
 
-/// The end of a session.
+/// Encodes a Close.
 pub fn close(reference: Option<&[u8]>, reason: CloseReason, words: &str) -> Vec<u8> {
     unit(tag::CLOSE, reference, |w| {
         w.integer(tag::CLOSE_REASON, reason as i64);
@@ -181,7 +182,7 @@
     })
 }
 
-/// A diagnostic's parts, in the default form (DefaultDiagFormat).
+/// Writes the fields of a diagnostic in the default format (DefaultDiagFormat).
 pub fn write_fault(w: &mut Writer, fault: &Fault) {
     w.oid(DIAGNOSTICS);
     w.universal(
@@ -191,7 +192,7 @@
     w.universal(universal::VISIBLE, fault.about.as_bytes());
 }
 
-/// Reads a diagnostic in the default form; one of another set or form is a general fault.
+/// Reads a diagnostic in the default format. One of another set or format becomes a general fault.
 pub fn read_fault(item: &Item) -> Fault {
     match item.items() {
         [set, condition, rest @ ..] if set.oid().as_deref() == Some(DIAGNOSTICS) => {
@@ -203,12 +204,12 @@
     }
 }
 
-/// The diagnostic that a search or present response carries in place of records.
+/// The diagnostic that a search or present response carries instead of records.
 pub fn response_fault(response: &Item) -> Option<Fault> {
     if let Some(fault) = response.get(tag::DIAGNOSTIC) {
         return Some(read_fault(fault));
     }
-    // Several at once: the first says enough.
+    // Of several diagnostics, only the first is used.
     response.get(205).map(|many| {
         let first = many.items().first();
         first.map_or(Kind::GENERAL.of(""), |f| {
--- a/catalogue/src/z3950/init.rs
+++ b/catalogue/src/z3950/init.rs
@@ -1,10 +1,10 @@
-//! The Init service (section 3.2.1): versions, options and who is there.
+//! The Init service (section 3.2.1): versions, options and authentication.
 
 use super::tag;
 use crate::ber::{Item, Writer, universal};
 use crate::fault::Fault;
 
-/// What a session may offer, by its bit (section 3.2.1.1.4).
+/// A negotiable option, by its bit (section 3.2.1.1.4).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[allow(missing_docs)]
 pub enum Ability {
@@ -23,7 +23,7 @@
     NamedResultSets = 14,
 }
 
-/// What is offered to clients.
+/// Options offered to clients.
 pub const OFFERED: &[Ability] = &[
     Ability::Search,
     Ability::Present,
@@ -38,7 +38,7 @@
     Ability::NamedResultSets,
 ];
 
-/// What is asked of index hosts.
+/// Options requested from index hosts.
 pub const WANTED: &[Ability] = &[
     Ability::Search,
     Ability::Present,
@@ -47,17 +47,17 @@
     Ability::NamedResultSets,
 ];
 
-/// Abilities, as a set.
+/// A set of options.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Abilities(u32);
 
 impl Abilities {
-    /// These.
+    /// A set of these options.
     pub fn of(all: &[Ability]) -> Self {
         Abilities(all.iter().fold(0, |bits, a| bits | 1 << *a as u32))
     }
 
-    /// Those of an options field.
+    /// Reads an options field.
     pub fn read(options: &Item) -> Self {
         Abilities(
             (0..32)
@@ -66,17 +66,17 @@
         )
     }
 
-    /// Whether this one is there.
+    /// Whether the set contains an option.
     pub fn has(self, ability: Ability) -> bool {
         self.0 >> ability as u32 & 1 == 1
     }
 
-    /// Those in both.
+    /// The options in both sets.
     pub fn both(self, other: Abilities) -> Self {
         Abilities(self.0 & other.0)
     }
 
-    /// Without one.
+    /// The set without one option.
     pub fn without(self, ability: Ability) -> Self {
         Abilities(self.0 & !(1 << ability as u32))
     }
@@ -86,14 +86,14 @@
     }
 }
 
-/// Who a client says it is.
+/// The identity that a client claims.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Identity {
-    /// Nobody in particular.
+    /// No identity given.
     Anonymous,
-    /// A name and a password.
+    /// A user name and password.
     User {
-        /// The name.
+        /// The user name.
         name: String,
         /// The password.
         password: String,
@@ -123,7 +123,7 @@
     }
 }
 
-/// Reads `user/password`, as `open` and simple challenges have it.
+/// Reads `user/password`, the form used by `open` and by replies to simple challenges.
 pub fn read_open(text: &str) -> Identity {
     let words: Vec<&str> = text.split('/').collect();
     match words.as_slice() {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Writes idAuthentication with a name and a password.
+/// Writes idAuthentication with a user name and password.
 pub fn write_identity(w: &mut Writer, name: &str, password: &str) {
     w.inside(tag::AUTHENTICATION, |choice| {
         choice.inside_universal(universal::SEQUENCE, |id| {
@@ -149,13 +149,13 @@
     });
 }
 
-/// The versions of a request or response, by bit: 0 for version 1, 1 for 2, 2 for 3.
+/// The protocol versions in a request or response, by bit: 0 for version 1, 1 for 2, 2 for 3.
 pub fn versions(unit: &Item) -> [bool; 3] {
     let field = unit.get(tag::VERSION);
     [0, 1, 2].map(|bit| field.is_some_and(|v| v.bit(bit)))
 }
 
-/// What a side says of itself in Init.
+/// Writes the versions, options and message sizes of an Init request or response.
 pub fn introduce(
     w: &mut Writer,
     version3: bool,
@@ -169,7 +169,7 @@
     w.integer(tag::EXCEPTIONAL_SIZE, exceptional as i64);
 }
 
-/// What both sides call themselves.
+/// Writes the name and version of this implementation.
 pub fn name_self(w: &mut Writer) {
     w.bytes(tag::IMPLEMENTATION_ID, b"bitternsill");
     w.bytes(tag::IMPLEMENTATION_NAME, b"bitternsill");
@@ -179,9 +179,9 @@
     );
 }
 
-/// Why a session is refused: the init diagnostic format in the user information
-/// (1.2.840.10003.10.1000.1 is a private form; the default diagnostic under userInformationField is
-/// what clients print).
+/// Writes the reason for a refused session into the user information. The init diagnostic format
+/// (1.2.840.10003.10.1000.1) is a private form; clients print the default diagnostic under
+/// userInformationField.
 pub fn write_refusal(w: &mut Writer, fault: &Fault) {
     w.inside(tag::USER_INFORMATION, |external| {
         external.inside_universal(universal::EXTERNAL, |e| {
--- a/catalogue/src/z3950/records.rs
+++ b/catalogue/src/z3950/records.rs
@@ -1,17 +1,17 @@
-//! Records in responses (NamePlusRecord), and their division into segments (section 3.3).
+//! Records in responses (NamePlusRecord) and their segmentation (section 3.3).
 
 use super::{Fault, tag, write_fault};
 use crate::ber::{Class, Item, Writer, universal};
 use crate::record::{Record, RecordError, Schema, Syntax};
 
-/// One record, ready to be sent: its bytes, or why there are none.
+/// An encoded record, or the diagnostic in its place.
 pub type Ready = Result<Vec<u8>, Fault>;
 
 fn external(w: &mut Writer, syntax: Syntax, bytes: &[u8]) {
     w.inside_universal(universal::EXTERNAL, |external| {
         external.oid(syntax.oid());
         match syntax {
-            // Types of ASN.1 stand as they are, everything else as bytes.
+            // ASN.1 types are embedded directly, all others as octets.
             Syntax::Grs1 => external.inside(0, |single| single.raw(bytes)),
             Syntax::Sutrs => {
                 external.inside(0, |single| single.universal(universal::GENERAL, bytes))
@@ -21,7 +21,7 @@
     });
 }
 
-/// How a record stands in a list.
+/// The role of an entry in a list of records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fragment {
     Whole = 1,
@@ -38,7 +38,7 @@
             (Ok(bytes), Fragment::Whole) => {
                 choice.inside(1, |retrieval| external(retrieval, syntax, bytes))
             }
-            // A fragment is bytes and no record: notExternallyTagged.
+            // A fragment is raw bytes and not a record: notExternallyTagged.
             (Ok(bytes), fragment) => choice.inside(fragment as u32, |f| f.bytes(0, bytes)),
             (Err(fault), _) => choice.inside(2, |surrogate| {
                 surrogate.inside_universal(universal::SEQUENCE, |d| write_fault(d, fault));
@@ -48,31 +48,32 @@
     w.finish()
 }
 
-/// What a client takes.
+/// The message sizes and segmentation that a client accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SegmentLimits {
-    /// Bytes of a message's records.
+    /// Preferred maximum bytes of the records in a message.
     pub preferred: usize,
-    /// Bytes of the one record that may be longer.
+    /// Maximum bytes of a single record that exceeds the preferred size.
     pub exceptional: usize,
-    /// 0 for none, 1 for whole records in several messages, 2 for parts of records too.
+    /// Segmentation level: 0 for none, 1 for whole records in several messages, 2 for fragments of
+    /// records as well.
     pub segmentation: u8,
 }
 
-/// Records as they are sent.
+/// Records divided into messages.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Divided {
-    /// The segments before the response: records in each, and their bytes.
+    /// The segments sent before the response: the number of records in each, and their bytes.
     pub segments: Vec<(usize, Vec<u8>)>,
-    /// The records of the response itself.
+    /// The records in the response itself.
     pub last: (usize, Vec<u8>),
-    /// How many records these are.
+    /// The total number of records.
     pub delivered: usize,
-    /// Some would not fit.
+    /// Whether some records did not fit.
     pub short: bool,
 }
 
-/// Divides records into messages; `most` bytes are sent in all.
+/// Divides records into messages of at most `most` bytes in total.
 pub fn divide(
     database: &str,
     syntax: Syntax,
@@ -86,7 +87,7 @@
     for mut record in records {
         let mut bytes = entry(database, Fragment::Whole, syntax, &record);
         if bytes.len() > limits.preferred && limits.segmentation < 2 {
-            // Alone in its message it may be as long as the exceptional size.
+            // A record alone in its message may reach the exceptional size.
             if bytes.len() > limits.exceptional {
                 record = Err(Kind::RECORD_TOO_LONG.of(bytes.len().to_string()));
                 bytes = entry(database, Fragment::Whole, syntax, &record);
@@ -111,7 +112,7 @@
         if let (Ok(complete), 2) = (&record, limits.segmentation)
             && bytes.len() > limits.preferred
         {
-            // Parts travel one a message; the last of them stays open for what follows.
+            // Each message carries one fragment. The last one leaves room for further records.
             let step = limits
                 .preferred
                 .saturating_sub(64 + database.len())
@@ -142,7 +143,7 @@
     out
 }
 
-/// A segment (section 3.2.3.2).
+/// Encodes a segment (section 3.2.3.2).
 pub fn segment(reference: Option<&[u8]>, count: usize, bytes: &[u8]) -> Vec<u8> {
     super::unit(tag::SEGMENT, reference, |w| {
         w.integer(tag::RETURNED, count as i64);
@@ -150,14 +151,14 @@
     })
 }
 
-/// The records in a response.
+/// Writes the records of a response.
 pub fn write(w: &mut Writer, bytes: &[u8]) {
     if !bytes.is_empty() {
         w.inside(tag::RECORDS, |list| list.raw(bytes));
     }
 }
 
-/// Records of a database in one piece, as a server without limits writes them.
+/// Writes all records of a database into one message, as a server without size limits does.
 pub fn write_all(w: &mut Writer, database: &str, syntax: Syntax, records: &[Vec<u8>]) {
     let all: Vec<u8> = records
         .iter()
@@ -169,7 +170,7 @@
 /// A record of a response, or the diagnostic in its place.
 pub type WorkResult = Result<Record, Fault>;
 
-/// The records of a response or segment. An error for one that makes no sense at all.
+/// Reads the records of a response or segment. Fails if an entry is malformed.
 pub fn read(response: &Item, list_tag: u32) -> Result<Vec<WorkResult>, RecordError> {
     let Some(list) = response.get(list_tag) else {
         return Ok(Vec::new());
@@ -196,7 +197,7 @@
         .and_then(Item::oid)
         .unwrap_or_default();
     let syntax = Syntax::of_oid(&oid).ok_or(RecordError::Malformed("an unknown syntax"))?;
-    // Some servers wrap bytes as a single type all the same.
+    // Some servers wrap octets as a single ASN.1 type.
     let bytes = match (external.get(1), external.get(0)) {
         (Some(octets), _) => octets.bytes(),
         (None, Some(single)) => {
@@ -215,25 +216,24 @@
     Record::from_bytes(syntax, &bytes).map(Ok)
 }
 
-/// A decoded value's bytes again.
+/// Encodes a decoded value again.
 fn encode(item: &Item) -> Vec<u8> {
     let mut w = Writer::default();
     w.item(item);
     w.finish()
 }
 
-/// The schema that an element set name asks for, and whether records are to be brief (section
-/// 3.6.2).
+/// The schema for an element set name, and whether records are to be brief (section 3.6.2).
 pub fn element_set(name: &str) -> Option<(Schema, bool)> {
     match name {
         "F" | "f" => Some((Schema::Dc, false)),
         "B" | "b" => Some((Schema::Dc, true)),
-        // With XML it is common to name the schema here.
+        // In XML requests the element set name commonly is a schema.
         other => Schema::named(other).map(|schema| (schema, false)),
     }
 }
 
-/// Whether an item is an EXTERNAL: what tells a record from a fragment.
+/// Whether an item is an EXTERNAL, which distinguishes a record from a fragment.
 pub fn is_external(item: &Item) -> bool {
     item.class == Class::Universal && item.tag == universal::EXTERNAL
 }
--- a/catalogue/src/z3950/scan.rs
+++ b/catalogue/src/z3950/scan.rs
@@ -7,29 +7,29 @@
 use crate::merge::{Term, Terms};
 use crate::rpn;
 
-/// A scan's status.
+/// The status of a scan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ScanStatus {
-    /// As many as were asked for.
+    /// As many terms as requested.
     Success = 0,
-    /// Not all, as slices are missing.
+    /// Incomplete, because slices are missing.
     Partial = 4,
-    /// The list ends before that many.
+    /// The list ends before the requested number.
     EndOfList = 5,
-    /// None.
+    /// The scan failed.
     Failure = 6,
 }
 
-/// What is asked for.
+/// A scan request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScanRequest {
-    /// The databases.
+    /// The database names.
     pub databases: Vec<String>,
-    /// The index, and where the list starts.
+    /// The index and the starting point.
     pub clause: Clause,
-    /// How many terms.
+    /// The number of terms.
     pub number: u64,
-    /// Where the starting point stands among them, from 1.
+    /// Position of the starting point in the list, from 1.
     pub position: u64,
 }
 
@@ -65,7 +65,7 @@
     })
 }
 
-/// Writes a scan request's parts.
+/// Writes the fields of a scan request.
 pub fn write_request(
     w: &mut Writer,
     database: &str,
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Writes a scan response's parts; a fault stands beside whatever terms there are.
+/// Writes the fields of a scan response; a diagnostic may accompany terms.
 pub fn write_response(
     w: &mut Writer,
     status: ScanStatus,
@@ -134,7 +134,7 @@
         .map(Item::items)
         .unwrap_or_default();
     let term = |entry: &Item| {
-        // An entry may be a diagnostic in place of a term.
+        // An entry may be a diagnostic instead of a term.
         if entry.tag != 1 {
             return None;
         }
--- a/catalogue/src/z3950/sort.rs
+++ b/catalogue/src/z3950/sort.rs
@@ -7,25 +7,25 @@
 use crate::rpn;
 use crate::sort::{Missing, SortKey};
 
-/// A sort's status.
+/// The status of a sort.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SortStatus {
-    /// All are in order.
+    /// All records are sorted.
     Success = 0,
     /// Slices are missing.
     Partial = 1,
-    /// Nothing is sorted.
+    /// The sort failed.
     Failure = 2,
 }
 
-/// What is asked for.
+/// A sort request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SortRequest {
-    /// The sets whose records are sorted.
+    /// The result sets to sort.
     pub input: Vec<String>,
-    /// The set that they make.
+    /// The result set to create.
     pub output: String,
-    /// By what.
+    /// The sort keys.
     pub keys: Vec<SortKey>,
 }
 
@@ -33,7 +33,7 @@
     Kind::SYNTAX.of(what)
 }
 
-/// Reads a sort request with at most so many keys.
+/// Reads a sort request with at most `most` keys.
 pub fn read_request(unit: &Item, most: usize) -> Result<SortRequest, Fault> {
     let input: Option<Vec<String>> = unit
         .get(3)
@@ -62,13 +62,12 @@
 }
 
 fn read_key(spec: &Item) -> Result<SortKey, Fault> {
-    // SortKeySpec: the element, and behind it the relation, the case and what becomes of missing
-    // values. The element's own tag is the relation's too, so that only their order tells them
-    // apart.
+    // SortKeySpec: the element, then the relation, the case and the action for missing values. The
+    // element and the relation have the same tag, so only their order distinguishes them.
     let [element, rest @ ..] = spec.items() else {
         return Err(malformed("a sort key without its element"));
     };
-    // SortElement: generic [1], or for each database [2].
+    // SortElement: generic [1] or per database [2].
     let generic = Some(element)
         .filter(|e| e.tag == 1)
         .ok_or_else(|| Kind::SORT_KEY.of("a key for each database"))?;
@@ -77,7 +76,7 @@
         .first()
         .ok_or_else(|| malformed("an empty sort element"))?;
     let mut key = match choice.tag {
-        // A field by its name.
+        // A field name.
         0 => SortKey::named(&choice.text().unwrap_or_default())?,
         2 => {
             let list = choice.items().iter().find(|i| {
@@ -122,11 +121,11 @@
     Ok(key)
 }
 
-/// Writes a sort request's parts: one set, sorted in its place. A fault where the service has no
-/// words for a key.
+/// Writes the fields of a sort request that sorts one set in place. Fails if the service cannot
+/// express a key.
 pub fn write_request(w: &mut Writer, set: &str, keys: &[SortKey]) -> Result<(), Fault> {
     for key in keys {
-        // What the service calls null is neither least nor greatest by any rule that it states.
+        // The standard does not define whether the null action sorts below or above other values.
         if key.missing == Missing::Low {
             return Err(Kind::SORT_MISSING_ACTION.of("lowValue"));
         }
@@ -161,7 +160,7 @@
     Ok(())
 }
 
-/// Writes a sort response's parts.
+/// Writes the fields of a sort response.
 pub fn write_response(w: &mut Writer, status: SortStatus, fault: Option<&Fault>) {
     w.integer(3, status as i64);
     match status {
