--- a/catalogue/src/ber.rs
+++ b/catalogue/src/ber.rs
@@ -17,13 +17,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum BerError {
     /// The encoding exceeds the length limit.
-    #[error("an encoding over the length limit")]
+    #[error("encoding exceeds the length limit")]
     TooLong,
     /// The encoding exceeds the depth limit.
-    #[error("an encoding nested too deep")]
+    #[error("encoding nested too deep")]
     TooDeep,
     /// The encoding violates the rules.
-    #[error("a malformed encoding")]
+    #[error("malformed encoding")]
     Malformed,
 }
 
--- a/catalogue/src/host.rs
+++ b/catalogue/src/host.rs
@@ -85,7 +85,7 @@
 
 fn too_many_to_sort(hits: u64, bounds: &HostBounds) -> Fault {
     Kind::SORT_TOO_MANY.of(format!(
-        "the host does not sort, and {hits} are more than {}",
+        "the host does not sort, and {hits} records exceed the local limit of {}",
         bounds.local_sort
     ))
 }
--- a/catalogue/src/host/sru.rs
+++ b/catalogue/src/host/sru.rs
@@ -153,7 +153,7 @@
             }
         };
         if matches!(next, Next::Send(())) && self.exchanges >= bounds.exchanges {
-            return Next::Failed("more exchanges than one part may take".to_owned());
+            return Next::Failed("too many exchanges for one part".to_owned());
         }
         next
     }
@@ -234,7 +234,7 @@
             };
         }
         let Some(hits) = response.hits else {
-            return Next::Failed("no numberOfRecords".to_owned());
+            return Next::Failed("search response without numberOfRecords".to_owned());
         };
         self.learn(&response, learned);
         let exact = response.exact
@@ -303,7 +303,7 @@
             };
         }
         if !response.root.starts_with("scan") {
-            return Next::Failed("no scan response".to_owned());
+            return Next::Failed("not a scan response".to_owned());
         }
         self.learn(&response, learned);
         let mut terms = response.terms;
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -67,16 +67,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SessionError {
     /// A data unit of another type than expected.
-    #[error("a data unit with the tag {0}")]
+    #[error("unexpected data unit with tag {0}")]
     UnexpectedUnit(u32),
     /// A response while no request is in flight.
-    #[error("a response to nothing")]
+    #[error("response without a request in flight")]
     NoJob,
     /// A search response lacks its mandatory search status.
-    #[error("a search response without its status")]
+    #[error("search response without a status")]
     NoSearchStatus,
     /// A search response lacks its mandatory result count.
-    #[error("a search response without its count")]
+    #[error("search response without a result count")]
     NoResultCount,
     /// The records cannot be decoded.
     #[error(transparent)]
@@ -230,7 +230,7 @@
             tag::INIT_RESPONSE if self.job.is_none() => {
                 if unit.get(tag::RESULT).and_then(Item::boolean) != Some(true) {
                     return Ok(HostEvent::Rejected(
-                        "the host does not take the session".to_owned(),
+                        "the host refused the session".to_owned(),
                     ));
                 }
                 let told = unit
@@ -264,7 +264,7 @@
                 };
                 let next = match next? {
                     Next::Send(_) if too_many => {
-                        Next::Failed("more exchanges than one part may take".to_owned())
+                        Next::Failed("too many exchanges for one part".to_owned())
                     }
                     next => next,
                 };
@@ -516,9 +516,7 @@
         match z3950::response_fault(unit) {
             // The host returned fewer records than requested, so the rest is requested again.
             None if some => Ok(self.present(learned)),
-            None => Ok(Next::Failed(
-                "a present response without records".to_owned(),
-            )),
+            None => Ok(Next::Failed("present response without records".to_owned())),
             Some(fault) if other_form(&fault, &job.page, learned) => Ok(self.present(learned)),
             // The set is smaller than its count. The records so far are all there is, and the count
             // will reveal the change.
--- a/catalogue/src/operation.rs
+++ b/catalogue/src/operation.rs
@@ -450,7 +450,9 @@
             return given_up();
         };
         let Some(set) = sets.get(page.set, now) else {
-            return Step::Done(Outcome::Fault(Kind::SET_GONE.of("it gave way to others")));
+            return Step::Done(Outcome::Fault(
+                Kind::SET_GONE.of("the result set was evicted"),
+            ));
         };
         let mut plan = None;
         if page.short.is_none() && page.rows.iter().any(Option::is_none) {
@@ -486,8 +488,9 @@
             page.short = Some(ShortReason::Reach);
         }
         if let Some(slice) = disorder {
-            page.diagnostics
-                .push(Kind::SORT.of(format!("the host of slice {slice} gives another order")));
+            page.diagnostics.push(Kind::SORT.of(format!(
+                "the host of slice {slice} returned records out of order"
+            )));
         }
         let mut records = Vec::new();
         for row in std::mem::take(&mut page.rows) {
@@ -530,7 +533,9 @@
             }
         };
         let Some(set) = sets.get(page.set, now) else {
-            return Step::Done(Outcome::Fault(Kind::SET_GONE.of("it gave way to others")));
+            return Step::Done(Outcome::Fault(
+                Kind::SET_GONE.of("the result set was evicted"),
+            ));
         };
         let mut given: Vec<(u32, WorkResult)> = values;
         for place in std::mem::take(&mut page.asked) {
@@ -682,7 +687,8 @@
     };
     let merged: Vec<MergedFacet> = requests.iter().map(one).collect();
     if lists.iter().any(Option::is_none) && !requests.is_empty() {
-        diagnostics.push(Kind::FEATURE.of("facets: some hosts count none, so counts are too low"));
+        diagnostics
+            .push(Kind::FEATURE.of("facets: some hosts do not count them, so counts are too low"));
     }
     merged
 }
--- a/catalogue/src/operation/page_assembly.rs
+++ b/catalogue/src/operation/page_assembly.rs
@@ -96,7 +96,7 @@
     };
     if end > bounds.reach {
         return Err(Kind::SORT_TOO_MANY.of(format!(
-            "sorted sets are read up to position {}",
+            "sorted sets can be read up to position {}",
             bounds.reach
         )));
     }
--- a/catalogue/src/record.rs
+++ b/catalogue/src/record.rs
@@ -146,13 +146,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RecordError {
     /// The record violates its format.
-    #[error("a malformed record: {0}")]
+    #[error("malformed record: {0}")]
     Malformed(&'static str),
     /// The schema is unknown, so the record can only be delivered unchanged.
-    #[error("a record in a schema that is not known")]
+    #[error("unknown record schema")]
     UnknownSchema,
     /// The record exceeds the length limit of its format.
-    #[error("a record longer than its format allows")]
+    #[error("record exceeds the length limit of its format")]
     TooLong,
 }
 
@@ -330,8 +330,8 @@
     pub fn from_bytes(syntax: Syntax, bytes: &[u8]) -> Result<Record, RecordError> {
         match syntax {
             Syntax::Xml => {
-                let xml =
-                    std::str::from_utf8(bytes).map_err(|_| RecordError::Malformed("no UTF-8"))?;
+                let xml = std::str::from_utf8(bytes)
+                    .map_err(|_| RecordError::Malformed("not valid UTF-8"))?;
                 // An XML declaration is only valid at the start of a document, and the record
                 // becomes part of one.
                 let xml = match xml.trim_start().strip_prefix("<?xml") {
--- a/catalogue/src/record/grs1.rs
+++ b/catalogue/src/record/grs1.rs
@@ -35,7 +35,7 @@
     let item = ber::read(&mut bytes.to_vec(), most.max(1), 32)
         .ok()
         .flatten();
-    let item = item.ok_or(RecordError::Malformed("no GRS-1"))?;
+    let item = item.ok_or(RecordError::Malformed("not valid GRS-1"))?;
     let mut fields = Fields::default();
     for element in item.items() {
         let Some(value) = element.get(2) else {
--- a/catalogue/src/record/marc.rs
+++ b/catalogue/src/record/marc.rs
@@ -42,7 +42,7 @@
         .ok()
         .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
     text.and_then(|t| t.parse().ok())
-        .ok_or(malformed("a length that is no number"))
+        .ok_or(malformed("non-numeric length"))
 }
 
 impl Marc {
@@ -62,13 +62,15 @@
             .ok_or(malformed("shorter than a leader"))?;
         let (length, base) = (number(&leader[..5])?, number(&leader[12..17])?);
         if length != bytes.len() || base < LEADER + 1 || base > length {
-            return Err(malformed("its length is not its own"));
+            return Err(malformed(
+                "length or base address does not match the record",
+            ));
         }
         let directory = bytes
             .get(LEADER..base - 1)
-            .ok_or(malformed("a directory"))?;
+            .ok_or(malformed("invalid directory"))?;
         if directory.len() % ENTRY != 0 || bytes[base - 1] != END_OF_FIELD {
-            return Err(malformed("a directory"));
+            return Err(malformed("invalid directory"));
         }
         let mut marc = Marc {
             leader: text(leader),
@@ -79,10 +81,10 @@
             let (length, start) = (number(&entry[3..7])?, base + number(&entry[7..12])?);
             let field = bytes
                 .get(start..start + length)
-                .ok_or(malformed("a field outside the record"))?;
+                .ok_or(malformed("field outside the record"))?;
             let field = field
                 .strip_suffix(&[END_OF_FIELD])
-                .ok_or(malformed("a field without its end"))?;
+                .ok_or(malformed("field without terminator"))?;
             if tag.starts_with("00") {
                 marc.control.push((tag, text(field)));
                 continue;
@@ -180,7 +182,7 @@
                         subfields: child.all("subfield").filter_map(subfield).collect(),
                     });
                 }
-                _ => return Err(malformed("an element that MARCXML does not have")),
+                _ => return Err(malformed("unexpected element in MARCXML")),
             }
         }
         Ok(marc)
--- a/catalogue/src/record/tree.rs
+++ b/catalogue/src/record/tree.rs
@@ -59,11 +59,11 @@
     let name = String::from_utf8_lossy(start.local_name().as_ref()).into_owned();
     let mut attributes = Vec::new();
     for attribute in start.attributes() {
-        let attribute = attribute.map_err(|_| RecordError::Malformed("an attribute"))?;
+        let attribute = attribute.map_err(|_| RecordError::Malformed("invalid attribute"))?;
         let key = String::from_utf8_lossy(attribute.key.local_name().as_ref()).into_owned();
         let value = attribute
             .normalized_value(quick_xml::XmlVersion::Implicit1_0)
-            .map_err(|_| RecordError::Malformed("an attribute"))?;
+            .map_err(|_| RecordError::Malformed("invalid attribute"))?;
         attributes.push((key, value.into_owned()));
     }
     Ok(Element {
@@ -81,7 +81,7 @@
     loop {
         let event = reader
             .read_event()
-            .map_err(|_| RecordError::Malformed("no XML"))?;
+            .map_err(|_| RecordError::Malformed("not well-formed XML"))?;
         let done = match event {
             Event::Start(start) => {
                 count += 1;
@@ -102,16 +102,20 @@
             }
             Event::End(_) => stack
                 .pop()
-                .ok_or(RecordError::Malformed("an end without its beginning"))?,
+                .ok_or(RecordError::Malformed("end tag without a start tag"))?,
             Event::Text(text) => {
-                let text = text.decode().map_err(|_| RecordError::Malformed("text"))?;
+                let text = text
+                    .decode()
+                    .map_err(|_| RecordError::Malformed("invalid text encoding"))?;
                 if let Some(top) = stack.last_mut() {
                     top.text.push_str(&text);
                 }
                 continue;
             }
             Event::CData(text) => {
-                let text = text.decode().map_err(|_| RecordError::Malformed("text"))?;
+                let text = text
+                    .decode()
+                    .map_err(|_| RecordError::Malformed("invalid text encoding"))?;
                 if let Some(top) = stack.last_mut() {
                     top.text.push_str(&text);
                 }
@@ -123,20 +127,20 @@
                     Ok(None) => {
                         let name = reference
                             .decode()
-                            .map_err(|_| RecordError::Malformed("a reference"))?;
+                            .map_err(|_| RecordError::Malformed("invalid reference"))?;
                         let known = quick_xml::escape::resolve_predefined_entity(&name);
                         known
-                            .ok_or(RecordError::Malformed("an entity that is not known"))?
+                            .ok_or(RecordError::Malformed("unknown entity"))?
                             .to_owned()
                     }
-                    Err(_) => return Err(RecordError::Malformed("a reference")),
+                    Err(_) => return Err(RecordError::Malformed("invalid reference")),
                 };
                 if let Some(top) = stack.last_mut() {
                     top.text.push_str(&resolved);
                 }
                 continue;
             }
-            Event::Eof => return Err(RecordError::Malformed("no root, or one that is not closed")),
+            Event::Eof => return Err(RecordError::Malformed("missing or unclosed root element")),
             _ => continue,
         };
         match stack.last_mut() {
--- a/catalogue/src/rpn.rs
+++ b/catalogue/src/rpn.rs
@@ -248,7 +248,7 @@
         number if number.tag == tag::TERM_NUMBER => number.integer().map(|n| n.to_string()),
         text => text.text(),
     };
-    let text = text.ok_or_else(|| Kind::TERM.of("no text in UTF-8"))?;
+    let text = text.ok_or_else(|| Kind::TERM.of("not valid UTF-8"))?;
     let relation = attributes
         .relation
         .unwrap_or(match (attributes.complete, attributes.words) {
--- a/catalogue/src/session.rs
+++ b/catalogue/src/session.rs
@@ -274,7 +274,7 @@
         {
             return self.close(
                 CloseReason::ProtocolError,
-                "a reference that is too long",
+                "the reference id is too long",
                 context.actions,
             );
         }
@@ -289,7 +289,7 @@
             (Some(Service::Init), _) | (None, _) | (_, State::Fresh) => {
                 self.close(
                     CloseReason::ProtocolError,
-                    "no such service, or out of order",
+                    "unknown service, or request out of sequence",
                     context.actions,
                 );
             }
@@ -373,7 +373,7 @@
         if self.running.values().any(same) {
             return self.close(
                 CloseReason::ProtocolError,
-                "the reference is in use",
+                "the reference id is in use",
                 context.actions,
             );
         }
@@ -507,7 +507,7 @@
         if self.admitted || self.held.is_empty() {
             return self.close(
                 CloseReason::ProtocolError,
-                "nobody was challenged",
+                "no challenge is pending",
                 context.actions,
             );
         }
--- a/catalogue/src/session/answers.rs
+++ b/catalogue/src/session/answers.rs
@@ -74,7 +74,7 @@
 /// The response for an operation that the client cancelled.
 pub fn cancelled(running: &Running) -> Vec<u8> {
     let reference = running.reference.as_deref();
-    let fault = Kind::TIME.of("taken back");
+    let fault = Kind::TIME.of("cancelled by the client");
     match running.purpose {
         Purpose::Search { .. } => search_failed(reference, &fault),
         Purpose::Present { .. } => present_failed(reference, PresentStatus::ByOrigin, None),
@@ -97,7 +97,7 @@
         ShortReason::Refused { .. } => Kind::BUSY.of("ask again later"),
         ShortReason::Failed(FailureReason::TimeUp) => Kind::TIME.of("no answer in time"),
         ShortReason::Failed(FailureReason::GivenUp) => Kind::BUSY.of("a slice did not answer"),
-        ShortReason::Reach => Kind::RANGE.of("too far in one step"),
+        ShortReason::Reach => Kind::RANGE.of("position not reachable in one operation"),
     }
 }
 
@@ -116,7 +116,9 @@
         Outcome::Failed(FailureReason::TimeUp) => {
             return failed(&Kind::TIME.of("no answer in time"));
         }
-        Outcome::Failed(FailureReason::GivenUp) => return failed(&Kind::TIME.of("given up")),
+        Outcome::Failed(FailureReason::GivenUp) => {
+            return failed(&Kind::TIME.of("the operation failed"));
+        }
         Outcome::Fault(fault) => return failed(&fault),
         Outcome::Scan(scanned) => return vec![scan_done(reference, &scanned)],
         Outcome::Page(page) => page,
@@ -241,7 +243,7 @@
         if status == PresentStatus::Failure {
             let fault = page
                 .short
-                .map_or_else(|| Kind::BUSY.of("too much waits to be read"), why);
+                .map_or_else(|| Kind::BUSY.of("too many unread responses"), why);
             w.inside(tag::DIAGNOSTIC, |d| z3950::write_fault(d, &fault));
         } else {
             records::write(w, &divided.last.1);
--- a/catalogue/src/session/requests.rs
+++ b/catalogue/src/session/requests.rs
@@ -33,7 +33,7 @@
         Some(names) => names
             .get(0)
             .and_then(Item::text)
-            .ok_or_else(|| Kind::SCHEMA.of("an element set for each database"))?,
+            .ok_or_else(|| Kind::SCHEMA.of("element set names per database"))?,
     };
     records::element_set(&name).ok_or_else(|| Kind::SCHEMA.of(name))
 }
@@ -49,12 +49,10 @@
     fn check_databases(&self, names: &[String]) -> Result<(), Fault> {
         match names {
             [name] if name.eq_ignore_ascii_case(&self.config.database) => Ok(()),
-            [name] if name == "IR-Explain-1" => {
-                Err(Kind::DATABASE_CLOSED
-                    .of("Explain is not kept here; SRU explain tells the same"))
-            }
+            [name] if name == "IR-Explain-1" => Err(Kind::DATABASE_CLOSED
+                .of("no Explain database; SRU explain has the same information")),
             [name] => Err(Kind::DATABASE.of(name.as_str())),
-            _ => Err(Kind::DATABASES.of("one at a time")),
+            _ => Err(Kind::DATABASES.of("one database at a time")),
         }
     }
 
@@ -266,7 +264,7 @@
             return Err(Kind::SCAN.of(request.clause.index.name));
         }
         if request.number == 0 {
-            return Err(Kind::SYNTAX.of("no terms are asked for"));
+            return Err(Kind::SYNTAX.of("the number of terms is 0"));
         }
         if request.number > u64::from(self.config.terms) {
             return Err(Kind::SCAN_TOO_MANY.of(self.config.terms.to_string()));
--- a/catalogue/src/sru/error.rs
+++ b/catalogue/src/sru/error.rs
@@ -18,21 +18,21 @@
     #[error(transparent)]
     Copy(#[from] std::io::Error),
     /// Elements are nested too deep.
-    #[error("nested too deep")]
+    #[error("elements nested too deep")]
     TooDeep,
     /// An end tag has no start tag.
-    #[error("an end without its beginning")]
+    #[error("end tag without a start tag")]
     UnmatchedEnd,
     /// The text ends within the response.
-    #[error("the response is not whole")]
+    #[error("the response is truncated")]
     Incomplete,
     /// The text ends within a record.
     #[error("recordData is not closed")]
     OpenRecord,
     /// An element that should hold a count does not.
-    #[error("{0} is no number")]
+    #[error("{0} is not a number")]
     NotANumber(String),
     /// An entity is not one of the predefined ones.
-    #[error("the entity {0} is not known")]
+    #[error("unknown entity {0}")]
     UnknownEntity(String),
 }
--- a/catalogue/src/sru/response.rs
+++ b/catalogue/src/sru/response.rs
@@ -84,7 +84,7 @@
     let mut faults = Vec::new();
     if page.replaced {
         faults.push(Kind::SET_GONE.of(format!(
-            "the former set has changed; this is {}",
+            "the previous result set has changed; it is replaced by {}",
             page.token
         )));
     }
@@ -96,7 +96,7 @@
     }
     if page.short.is_some() && !page.records.is_empty() {
         faults.push(Kind::BUSY.of(format!(
-            "the records from {} on are not here now",
+            "records from position {} are temporarily unavailable",
             page.start + page.records.len() as u64
         )));
     }
--- a/catalogue/src/sru/soap.rs
+++ b/catalogue/src/sru/soap.rs
@@ -29,7 +29,7 @@
     let root = tree::read(body).map_err(|problem| problem.to_string())?;
     let namespace = tree::root(body).map(|(_, namespace)| namespace);
     if root.name != "Envelope" || namespace.as_deref() != Some(NAMESPACE) {
-        return Err("no envelope of SOAP 1.1".to_owned());
+        return Err("not a SOAP 1.1 envelope".to_owned());
     }
     // No header is supported, so a mandatory one is an error.
     let must = |e: &Element| {
@@ -37,18 +37,18 @@
             .is_some_and(|v| v == "1" || v == "true")
     };
     if root.all("Header").flat_map(|h| &h.children).any(must) {
-        return Err("a header that must be understood".to_owned());
+        return Err("unsupported header with mustUnderstand".to_owned());
     }
     let request = root
         .all("Body")
         .next()
         .and_then(|b| b.children.first())
-        .ok_or("an empty body")?;
+        .ok_or("the SOAP body is empty")?;
     let operation = match request.name.as_str() {
         "searchRetrieveRequest" => Operation::SearchRetrieve,
         "scanRequest" => Operation::Scan,
         "explainRequest" => Operation::Explain,
-        other => return Err(format!("no request: {other}")),
+        other => return Err(format!("not an SRU request: {other}")),
     };
     let mut given = BTreeMap::new();
     for parameter in &request.children {
--- a/catalogue/src/z3950.rs
+++ b/catalogue/src/z3950.rs
@@ -200,7 +200,7 @@
             let number = condition.integer().and_then(|n| u16::try_from(n).ok());
             number.map_or(Kind::GENERAL, Kind::from_bib1).of(about)
         }
-        _ => Kind::GENERAL.of("a diagnostic of another set"),
+        _ => Kind::GENERAL.of("diagnostic of an unknown set"),
     }
 }
 
--- a/catalogue/src/z3950/records.rs
+++ b/catalogue/src/z3950/records.rs
@@ -179,24 +179,26 @@
 }
 
 fn read_entry(named: &Item) -> Result<WorkResult, RecordError> {
-    let choice = named.get(1).ok_or(RecordError::Malformed("no record"))?;
+    let choice = named
+        .get(1)
+        .ok_or(RecordError::Malformed("record missing"))?;
     if let Some(surrogate) = choice.get(2) {
         let fault = surrogate
             .items()
             .first()
-            .ok_or(RecordError::Malformed("no diagnostic"))?;
+            .ok_or(RecordError::Malformed("diagnostic missing"))?;
         return Ok(Err(super::read_fault(fault)));
     }
     let external = choice
         .get(1)
         .and_then(|r| r.items().first())
-        .ok_or(RecordError::Malformed("no record"))?;
+        .ok_or(RecordError::Malformed("record missing"))?;
     let oid = external
         .items()
         .first()
         .and_then(Item::oid)
         .unwrap_or_default();
-    let syntax = Syntax::of_oid(&oid).ok_or(RecordError::Malformed("an unknown syntax"))?;
+    let syntax = Syntax::of_oid(&oid).ok_or(RecordError::Malformed("unknown record syntax"))?;
     // Some servers wrap octets as a single ASN.1 type.
     let bytes = match (external.get(1), external.get(0)) {
         (Some(octets), _) => octets.bytes(),
@@ -204,14 +206,14 @@
             let inner = single
                 .items()
                 .first()
-                .ok_or(RecordError::Malformed("an empty record"))?;
+                .ok_or(RecordError::Malformed("empty record"))?;
             if syntax == Syntax::Grs1 {
                 encode(inner)
             } else {
                 inner.bytes()
             }
         }
-        _ => return Err(RecordError::Malformed("no record")),
+        _ => return Err(RecordError::Malformed("record missing")),
     };
     Record::from_bytes(syntax, &bytes).map(Ok)
 }
--- a/catalogue/src/z3950/scan.rs
+++ b/catalogue/src/z3950/scan.rs
@@ -41,7 +41,7 @@
             .and_then(|n| u64::try_from(n).ok())
     };
     if number(5).is_some_and(|step| step != 0) {
-        return Err(Kind::SCAN_STEP.of("only step size 0"));
+        return Err(Kind::SCAN_STEP.of("step size must be 0"));
     }
     let databases = unit
         .get(3)
@@ -56,11 +56,11 @@
         .find(|i| i.tag == universal::OID && i.class == crate::ber::Class::Universal);
     let operand = unit
         .get(rpn::tag::OPERAND)
-        .ok_or_else(|| Kind::SYNTAX.of("no starting point"))?;
+        .ok_or_else(|| Kind::SYNTAX.of("the starting point is missing"))?;
     Ok(ScanRequest {
         databases,
         clause: rpn::read_clause(set, operand)?,
-        number: number(6).ok_or_else(|| Kind::SYNTAX.of("how many terms?"))?,
+        number: number(6).ok_or_else(|| Kind::SYNTAX.of("the number of terms is missing"))?,
         position: number(7).unwrap_or(1),
     })
 }
@@ -121,7 +121,7 @@
     let status = unit
         .get(4)
         .and_then(Item::integer)
-        .ok_or_else(|| Kind::GENERAL.of("no scan status"))?;
+        .ok_or_else(|| Kind::GENERAL.of("scan response without a status"))?;
     let entries = unit.get(7);
     if status == ScanStatus::Failure as i64 {
         let fault = entries
--- a/catalogue/src/z3950/sort.rs
+++ b/catalogue/src/z3950/sort.rs
@@ -45,17 +45,17 @@
     let output = unit
         .get(4)
         .and_then(Item::text)
-        .ok_or_else(|| malformed("no set for the sorted records"))?;
+        .ok_or_else(|| malformed("the output set is missing"))?;
     let specs = unit.get(5).map(Item::items).unwrap_or_default();
     if specs.len() > most {
         return Err(Kind::SORT_KEYS.of(most.to_string()));
     }
     let keys = specs.iter().map(read_key).collect::<Result<Vec<_>, _>>()?;
     if keys.is_empty() {
-        return Err(malformed("no sort key"));
+        return Err(malformed("the sort keys are missing"));
     }
     Ok(SortRequest {
-        input: input.ok_or_else(|| malformed("a set's name"))?,
+        input: input.ok_or_else(|| malformed("invalid name of an input set"))?,
         output,
         keys,
     })
@@ -65,16 +65,16 @@
     // SortKeySpec: the element, then the relation, the case and the action for missing values. The
     // element and the relation have the same tag, so only their order distinguishes them.
     let [element, rest @ ..] = spec.items() else {
-        return Err(malformed("a sort key without its element"));
+        return Err(malformed("sort key without an element"));
     };
     // SortElement: generic [1] or per database [2].
     let generic = Some(element)
         .filter(|e| e.tag == 1)
-        .ok_or_else(|| Kind::SORT_KEY.of("a key for each database"))?;
+        .ok_or_else(|| Kind::SORT_KEY.of("sort elements per database"))?;
     let choice = generic
         .items()
         .first()
-        .ok_or_else(|| malformed("an empty sort element"))?;
+        .ok_or_else(|| malformed("empty sort element"))?;
     let mut key = match choice.tag {
         // A field name.
         0 => SortKey::named(&choice.text().unwrap_or_default())?,
@@ -82,7 +82,7 @@
             let list = choice.items().iter().find(|i| {
                 matches!(i.tag, 44) || i.tag == universal::SEQUENCE && i.class == Class::Universal
             });
-            let list = list.ok_or_else(|| malformed("no sort attributes"))?;
+            let list = list.ok_or_else(|| malformed("the sort attributes are missing"))?;
             let number = |i: &Item, tag| i.get(tag).and_then(Item::integer);
             let wanted = list
                 .items()
@@ -90,7 +90,7 @@
                 .find(|a| number(a, rpn::tag::TYPE) == Some(1));
             let value = wanted
                 .and_then(|a| number(a, rpn::tag::VALUE))
-                .ok_or_else(|| Kind::SORT_KEY.of("no use attribute"))?;
+                .ok_or_else(|| Kind::SORT_KEY.of("the use attribute is missing"))?;
             let index = index::by_use(value)
                 .filter(|i| i.sort)
                 .ok_or_else(|| Kind::SORT_KEY.of(value.to_string()))?;
