--- a/catalogue/src/ber.rs
+++ b/catalogue/src/ber.rs
@@ -154,36 +154,41 @@
 
 /// Reads the next complete value and removes it from `input`. The result does not depend on how the
 /// bytes were split into reads.
-pub fn read(input: &mut Vec<u8>, most: usize, depth: usize) -> Result<Option<Item>, BerError> {
+pub fn read(input: &mut Vec<u8>, max_bytes: usize, depth: usize) -> Result<Option<Item>, BerError> {
     let mut at = 0;
     match decode(input, &mut at, depth) {
-        Ok(item) if at <= most => {
+        Ok(item) if at <= max_bytes => {
             input.drain(..at);
             Ok(Some(item))
         }
-        Err(ShortReason::More(total)) if input.len() <= most && total <= most => Ok(None),
-        Ok(_) | Err(ShortReason::More(_)) => Err(BerError::TooLong),
-        Err(ShortReason::Wrong(problem)) => Err(problem),
+        Err(DecodeError::Incomplete(total)) if input.len() <= max_bytes && total <= max_bytes => {
+            Ok(None)
+        }
+        Ok(_) | Err(DecodeError::Incomplete(_)) => Err(BerError::TooLong),
+        Err(DecodeError::Invalid(problem)) => Err(problem),
     }
 }
 
 /// Why decoding stopped: more bytes are needed (at least this many in total), or the encoding is
 /// invalid.
-enum ShortReason {
-    More(usize),
-    Wrong(BerError),
+enum DecodeError {
+    Incomplete(usize),
+    Invalid(BerError),
 }
 
-const MALFORMED: ShortReason = ShortReason::Wrong(BerError::Malformed);
+const MALFORMED: DecodeError = DecodeError::Invalid(BerError::Malformed);
 
-fn decode(bytes: &[u8], at: &mut usize, depth: usize) -> Result<Item, ShortReason> {
+fn decode(bytes: &[u8], at: &mut usize, depth: usize) -> Result<Item, DecodeError> {
     if depth == 0 {
-        return Err(ShortReason::Wrong(BerError::TooDeep));
+        return Err(DecodeError::Invalid(BerError::TooDeep));
     }
     let next = |at: &mut usize| {
-        let byte = bytes.get(*at).copied().ok_or(ShortReason::More(*at + 1))?;
+        let byte = bytes
+            .get(*at)
+            .copied()
+            .ok_or(DecodeError::Incomplete(*at + 1))?;
         *at += 1;
-        Ok::<u8, ShortReason>(byte)
+        Ok::<u8, DecodeError>(byte)
     };
     let first = next(at)?;
     let class = match first >> 6 {
@@ -214,7 +219,7 @@
             let mut length = 0usize;
             for _ in 0..long & 0x7f {
                 if length > usize::MAX >> 16 {
-                    return Err(ShortReason::Wrong(BerError::TooLong));
+                    return Err(DecodeError::Invalid(BerError::TooLong));
                 }
                 length = length << 8 | usize::from(next(at)?);
             }
@@ -225,7 +230,7 @@
         let mut items = Vec::new();
         while bytes.get(*at..*at + 2) != Some(&[0, 0]) {
             if bytes.len() < *at + 2 {
-                return Err(ShortReason::More(*at + 2));
+                return Err(DecodeError::Incomplete(*at + 2));
             }
             items.push(decode(bytes, at, depth - 1)?);
         }
@@ -238,9 +243,9 @@
     };
     let end = at
         .checked_add(length)
-        .ok_or(ShortReason::Wrong(BerError::TooLong))?;
+        .ok_or(DecodeError::Invalid(BerError::TooLong))?;
     let Some(body) = bytes.get(..end) else {
-        return Err(ShortReason::More(end));
+        return Err(DecodeError::Incomplete(end));
     };
     if !constructed {
         let content = Content::Primitive(body[*at..].to_vec());
@@ -254,9 +259,9 @@
     let mut items = Vec::new();
     while *at < end {
         // A nested value that extends beyond its container is malformed and not incomplete.
-        items.push(decode(body, at, depth - 1).map_err(|short| match short {
-            ShortReason::More(_) => MALFORMED,
-            wrong => wrong,
+        items.push(decode(body, at, depth - 1).map_err(|error| match error {
+            DecodeError::Incomplete(_) => MALFORMED,
+            invalid => invalid,
         })?);
     }
     Ok(Item {
--- a/catalogue/src/cql/parse.rs
+++ b/catalogue/src/cql/parse.rs
@@ -71,18 +71,18 @@
     /// without one.
     prefixes: BTreeMap<String, &'static str>,
     depth: usize,
-    most: usize,
+    max_depth: usize,
     clauses: usize,
 }
 
-/// Parses a query with at most `most` levels of nesting and four times as many clauses.
-pub fn parse(text: &str, most: usize) -> Result<Query, Fault> {
+/// Parses a query with at most `max_depth` levels of nesting and four times as many clauses.
+pub fn parse(text: &str, max_depth: usize) -> Result<Query, Fault> {
     let tokens = tokens(text)?.into_iter().peekable();
     let mut parser = Parser {
         tokens,
         prefixes: BTreeMap::new(),
         depth: 0,
-        most,
+        max_depth,
         clauses: 0,
     };
     let root = parser.query()?;
@@ -117,8 +117,8 @@
 
     fn query(&mut self) -> Result<Node, Fault> {
         self.depth += 1;
-        if self.depth > self.most {
-            return Err(Kind::TOO_COMPLEX.of(self.most.to_string()));
+        if self.depth > self.max_depth {
+            return Err(Kind::TOO_COMPLEX.of(self.max_depth.to_string()));
         }
         let outer = self.prefixes.clone();
         while self.symbol(">") {
@@ -159,7 +159,7 @@
             (String::new(), first)
         };
         let set =
-            index::context_set(&identifier).ok_or_else(|| Kind::SET_OF_NAMES.of(identifier))?;
+            index::context_set(&identifier).ok_or_else(|| Kind::CONTEXT_SET.of(identifier))?;
         if self.prefixes.len() >= 32 {
             return Err(Kind::TOO_COMPLEX.of("prefixes"));
         }
@@ -208,8 +208,8 @@
         // Operators nest to the left, so the tree of a long chain of clauses is as deep as the
         // chain is long.
         self.clauses += 1;
-        if self.clauses > 4 * self.most {
-            return Err(Kind::TOO_COMPLEX.of((4 * self.most).to_string()));
+        if self.clauses > 4 * self.max_depth {
+            return Err(Kind::TOO_COMPLEX.of((4 * self.max_depth).to_string()));
         }
         match self.tokens.next() {
             Some(Token::Symbol("(")) => {
@@ -220,15 +220,15 @@
                     Err(syntax("a parenthesis is not closed"))
                 }
             }
-            Some(Token::Quoted(term)) => self.after_operand(term, true),
-            Some(Token::Word(word)) => self.after_operand(word, false),
+            Some(Token::Quoted(term)) => self.clause_from_first_word(term, true),
+            Some(Token::Word(word)) => self.clause_from_first_word(word, false),
             Some(Token::Symbol(other)) => Err(syntax(format!("unexpected {other}"))),
             None => Err(syntax("a search term is missing")),
         }
     }
 
     /// The first word is an index if a relation follows, otherwise the term.
-    fn after_operand(&mut self, first: String, quoted: bool) -> Result<Node, Fault> {
+    fn clause_from_first_word(&mut self, first: String, quoted: bool) -> Result<Node, Fault> {
         let named = match self.tokens.peek() {
             Some(Token::Symbol(symbol)) if !matches!(*symbol, "(" | ")" | "/") => {
                 Some((*symbol).to_owned())
@@ -269,7 +269,7 @@
         let relation = Relation::named(&named).ok_or(Kind::RELATION.of(named))?;
         let term = self.text("a search term")?;
         if first.eq_ignore_ascii_case("cql.resultSetId") {
-            return Ok(Node::Set(super::term::parts(&term).plain()));
+            return Ok(Node::Set(super::term::parse(&term).plain()));
         }
         let index = self.index(&first)?;
         Ok(Node::Clause(Clause {
--- a/catalogue/src/cql/term.rs
+++ b/catalogue/src/cql/term.rs
@@ -17,13 +17,13 @@
 
 /// A parsed term.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Parts {
+pub struct ParsedTerm {
     /// The text and masks, in order.
     pub fragments: Vec<Fragment>,
     /// Whether the term is anchored to the start of the field.
-    pub first: bool,
+    pub anchored_start: bool,
     /// Whether the term is anchored to the end of the field.
-    pub last: bool,
+    pub anchored_end: bool,
 }
 
 /// A piece of a term.
@@ -38,10 +38,10 @@
 }
 
 /// Parses a term into text, unescaped masks and anchors.
-pub fn parts(term: &str) -> Parts {
+pub fn parse(term: &str) -> ParsedTerm {
     let mut fragments = Vec::new();
     let mut text = String::new();
-    let (mut first, mut last) = (false, false);
+    let (mut anchored_start, mut anchored_end) = (false, false);
     let mut chars = term.char_indices().peekable();
     let flush = |text: &mut String, fragments: &mut Vec<Fragment>| {
         if !text.is_empty() {
@@ -59,20 +59,20 @@
                 flush(&mut text, &mut fragments);
                 fragments.push(Fragment::One);
             }
-            '^' if at == 0 => first = true,
-            '^' if chars.peek().is_none() => last = true,
+            '^' if at == 0 => anchored_start = true,
+            '^' if chars.peek().is_none() => anchored_end = true,
             c => text.push(c),
         }
     }
     flush(&mut text, &mut fragments);
-    Parts {
+    ParsedTerm {
         fragments,
-        first,
-        last,
+        anchored_start,
+        anchored_end,
     }
 }
 
-impl Parts {
+impl ParsedTerm {
     /// The position of the masks.
     pub fn mask(&self) -> Mask {
         match self.fragments.as_slice() {
--- a/catalogue/src/cql/term/tests.rs
+++ b/catalogue/src/cql/term/tests.rs
@@ -15,21 +15,25 @@
         (r"5\*", Mask::None),
     ];
     for (term, mask) in cases {
-        assert_eq!(parts(term).mask(), mask, "{term}");
+        assert_eq!(parse(term).mask(), mask, "{term}");
     }
-    assert_eq!(parts(r"what\? mo?n*").z3958(), "what? mo#n?");
-    let anchored = parts("^the moon^");
+    assert_eq!(parse(r"what\? mo?n*").z3958(), "what? mo#n?");
+    let anchored = parse("^the moon^");
     assert_eq!(
-        (anchored.first, anchored.last, anchored.plain()),
+        (
+            anchored.anchored_start,
+            anchored.anchored_end,
+            anchored.plain()
+        ),
         (true, true, "the moon".to_owned())
     );
     for text in ["a*b", "^x", r"back\slash", "what?"] {
         assert_eq!(
-            parts(&literal(text)),
-            Parts {
+            parse(&literal(text)),
+            ParsedTerm {
                 fragments: vec![Fragment::Text(text.into())],
-                first: false,
-                last: false
+                anchored_start: false,
+                anchored_end: false
             }
         );
     }
--- a/catalogue/src/fault.rs
+++ b/catalogue/src/fault.rs
@@ -55,7 +55,7 @@
     /// An unsupported query language.
     QUERY_TYPE = 107, 6, "Unsupported parameter value";
     /// An unsupported CQL context set, or attribute set of a type-1 query.
-    SET_OF_NAMES = 121, 15, "Unsupported context set";
+    CONTEXT_SET = 121, 15, "Unsupported context set";
     /// An unsupported index or use attribute.
     INDEX = 114, 16, "Unsupported index";
     /// An unsupported relation.
@@ -154,7 +154,7 @@
 
 impl Kind {
     /// The message of SRU's set.
-    pub fn words(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         let exact = KINDS.iter().find(|(kind, _)| *kind == self);
         exact
             .or_else(|| KINDS.iter().find(|(kind, _)| kind.sru == self.sru))
@@ -188,7 +188,7 @@
 
     /// Whether the fault concerns the server and not the request, so that another host, or the same
     /// one later, may succeed.
-    pub fn is_of_the_server(self) -> bool {
+    pub fn is_server_fault(self) -> bool {
         matches!(self.bib1, 1 | 2 | 31) && matches!(self.sru, 1 | 2)
     }
 
@@ -203,7 +203,7 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let words = self.kind.words().to_lowercase();
+        let words = self.kind.message().to_lowercase();
         match self.about.as_str() {
             "" => f.write_str(&words),
             about => write!(f, "{words}: {about}"),
--- a/catalogue/src/fault/tests.rs
+++ b/catalogue/src/fault/tests.rs
@@ -13,9 +13,9 @@
     assert_eq!(Kind::from_sru(16), Kind::INDEX);
     assert_eq!(Kind::from_bib1(114), Kind::INDEX);
     assert!(KINDS.iter().all(|(_, words)| !words.is_empty()));
-    assert!(Kind::from_bib1(2).is_of_the_server() && !Kind::INDEX.is_of_the_server());
+    assert!(Kind::from_bib1(2).is_server_fault() && !Kind::INDEX.is_server_fault());
     assert!(
-        !Kind::from_bib1(999).is_of_the_server(),
+        !Kind::from_bib1(999).is_server_fault(),
         "what is not understood is no reason to ask again"
     );
 }
--- a/catalogue/src/host.rs
+++ b/catalogue/src/host.rs
@@ -54,10 +54,10 @@
 }
 
 /// Maps a host's diagnostic to the next step of the part.
-fn refused<M>(fault: Fault) -> Next<M> {
+fn step_for_diagnostic<M>(fault: Fault) -> Next<M> {
     match fault.kind {
         kind if kind.bib1 == 2 => Next::Later,
-        kind if kind.is_of_the_server() => Next::Failed(fault.to_string()),
+        kind if kind.is_server_fault() => Next::Failed(fault.to_string()),
         _ => Next::Done(crate::work::WorkResult::Refused(fault)),
     }
 }
@@ -111,13 +111,13 @@
     }
 
     /// The offset of the next record to request, from 0, and how many are still missing.
-    fn rest(&self) -> (u64, u64) {
+    fn remaining(&self) -> (u64, u64) {
         let have = self.records.len() as u64;
         (self.from + have, self.want.saturating_sub(have))
     }
 
     fn is_done(&self) -> bool {
-        self.rest().1 == 0
+        self.remaining().1 == 0
     }
 }
 
--- a/catalogue/src/host/sru.rs
+++ b/catalogue/src/host/sru.rs
@@ -1,7 +1,9 @@
 //! SRU with an index host. It learns the host's version and works around unsupported features, or
 //! reports them.
 
-use super::{HostBounds, Next, RecordBuffer, found, refused, sort_locally, too_many_to_sort};
+use super::{
+    HostBounds, Next, RecordBuffer, found, sort_locally, step_for_diagnostic, too_many_to_sort,
+};
 use crate::cql::{self, write_sort};
 use crate::fault::{Fault, Kind};
 use crate::merge::Terms;
@@ -9,7 +11,7 @@
 use crate::record::Schema;
 use crate::sort::write_sort_keys;
 use crate::sru::request::percent;
-use crate::sru::{ReadResponse, Version, read_response};
+use crate::sru::{ParsedResponse, Version, read_response};
 use crate::work::{Found, PageWork, ScanWork, Work, WorkResult};
 
 /// The order in which versions are tried with an unknown host.
@@ -23,9 +25,9 @@
     version: Version,
     tried: Vec<Version>,
     /// Whether records are sorted locally because the host does not sort.
-    local: bool,
+    sort_here: bool,
     buffer: Option<RecordBuffer>,
-    first: Option<(u64, bool, Option<Vec<crate::merge::Facet>>)>,
+    first_response: Option<(u64, bool, Option<Vec<crate::merge::Facet>>)>,
     exchanges: u32,
 }
 
@@ -33,15 +35,16 @@
     /// Creates a part for one slice.
     pub fn new(work: Work, slice: u32, learned: &Learned) -> Job {
         let version = learned.version.unwrap_or(VERSION_ORDER[0]);
-        let local = learned.no_sort && matches!(&work, Work::Page(page) if !page.sort.is_empty());
+        let sort_here =
+            learned.no_sort && matches!(&work, Work::Page(page) if !page.sort.is_empty());
         Job {
             work,
             slice,
             version,
             tried: vec![version],
-            local,
+            sort_here,
             buffer: None,
-            first: None,
+            first_response: None,
             exchanges: 0,
         }
     }
@@ -49,12 +52,14 @@
     /// The query component of the next request's URL.
     pub fn ask(&self, bounds: &HostBounds, learned: &Learned) -> String {
         let mut pairs: Vec<(&str, String)> = Vec::new();
-        let old = self.version != Version::V20;
-        if old {
+        let before_v20 = self.version != Version::V20;
+        if before_v20 {
             pairs.push(("version", self.version.name().to_owned()));
         }
         match &self.work {
-            Work::Page(page) => self.ask_page(page, old, bounds, learned, &mut pairs),
+            Work::Page(page) => {
+                self.add_page_parameters(page, before_v20, bounds, learned, &mut pairs)
+            }
             Work::Scan(scan) => {
                 pairs.push(("operation", "scan".to_owned()));
                 pairs.push(("scanClause", scan.clause.clone()));
@@ -69,26 +74,26 @@
         words.join("&")
     }
 
-    fn ask_page(
+    fn add_page_parameters(
         &self,
         page: &PageWork,
-        old: bool,
+        before_v20: bool,
         bounds: &HostBounds,
         learned: &Learned,
         pairs: &mut Vec<(&str, String)>,
     ) {
-        let sorted = !page.sort.is_empty() && !self.local;
-        if old {
+        let sorted = !page.sort.is_empty() && !self.sort_here;
+        if before_v20 {
             pairs.push(("operation", "searchRetrieve".to_owned()));
         }
-        let query = match sorted && !old {
+        let query = match sorted && !before_v20 {
             true => format!("{} {}", page.query, write_sort(&page.sort)),
             false => page.query.clone(),
         };
         pairs.push(("query", query));
         let (from, count) = match &self.buffer {
-            Some(buffer) => buffer.rest(),
-            None if self.local && page.range(self.slice).count > 0 => {
+            Some(buffer) => buffer.remaining(),
+            None if self.sort_here && page.range(self.slice).count > 0 => {
                 (0, u64::from(bounds.local_sort))
             }
             None => {
@@ -109,10 +114,10 @@
             pairs.push(("recordSchema", schema.names().short.to_owned()));
         }
         pairs.push((self.version.packing(), "xml".to_owned()));
-        if sorted && old {
+        if sorted && before_v20 {
             pairs.push(("sortKeys", write_sort_keys(&page.sort)));
         }
-        if !old && !page.facets.is_empty() && !learned.no_facets {
+        if !before_v20 && !page.facets.is_empty() && !learned.no_facets {
             let words: Vec<String> = page
                 .facets
                 .iter()
@@ -160,9 +165,9 @@
 
     /// Changes the request to avoid the fault, if possible. Returns whether to send the request
     /// again.
-    fn round(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
+    fn work_around(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
         let Work::Page(page) = &self.work else {
-            return self.other_version(fault, learned);
+            return self.try_other_version(fault, learned);
         };
         match fault.kind.sru {
             66 | 67 => {
@@ -177,19 +182,19 @@
             }
             8 | 80..=92
                 if !page.sort.is_empty()
-                    && !self.local
+                    && !self.sort_here
                     && (fault.kind.sru != 8 || fault.about.contains("sort")) =>
             {
                 learned.no_sort = true;
-                self.local = true;
+                self.sort_here = true;
                 self.buffer = None;
                 true
             }
-            _ => self.other_version(fault, learned),
+            _ => self.try_other_version(fault, learned),
         }
     }
 
-    fn other_version(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
+    fn try_other_version(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
         let about = fault.kind.sru == 5
             || fault.kind.sru == 8
                 && ["version", "operation", "recordPacking"]
@@ -209,7 +214,7 @@
     }
 
     /// Remembers the version in which the host responded.
-    fn learn(&self, response: &ReadResponse, learned: &mut Learned) {
+    fn learn(&self, response: &ParsedResponse, learned: &mut Learned) {
         let said = response.version.as_deref().and_then(Version::named);
         learned.version = Some(said.unwrap_or(self.version));
     }
@@ -217,7 +222,7 @@
     fn page(
         &mut self,
         page: &PageWork,
-        response: ReadResponse,
+        response: ParsedResponse,
         bounds: &HostBounds,
         learned: &mut Learned,
     ) -> Next<()> {
@@ -227,10 +232,10 @@
             .iter()
             .find(|f| !partial(f) && f.kind.sru != 61);
         if let Some(fault) = fatal.filter(|_| response.hits.unwrap_or(0) == 0) {
-            return if self.round(fault, learned) {
+            return if self.work_around(fault, learned) {
                 Next::Send(())
             } else {
-                refused(fault.clone())
+                step_for_diagnostic(fault.clone())
             };
         }
         let Some(hits) = response.hits else {
@@ -244,10 +249,10 @@
                 .any(|f| matches!(f.kind.sru, 58 | 59));
         let range = page.range(self.slice);
         if self.buffer.is_none() {
-            if self.local && range.count > 0 && hits > u64::from(bounds.local_sort) {
+            if self.sort_here && range.count > 0 && hits > u64::from(bounds.local_sort) {
                 return Next::Done(WorkResult::Refused(too_many_to_sort(hits, bounds)));
             }
-            let wanted = if self.local && range.count > 0 {
+            let wanted = if self.sort_here && range.count > 0 {
                 crate::work::Range {
                     slice: self.slice,
                     offset: 0,
@@ -257,13 +262,13 @@
                 range
             };
             self.buffer = Some(RecordBuffer::of(wanted, hits));
-            self.first = Some((hits, exact, response.facets));
+            self.first_response = Some((hits, exact, response.facets));
         }
         let Some(buffer) = &mut self.buffer else {
             return Next::Failed(String::new());
         };
         let before = buffer.records.len();
-        let limits = buffer.rest().1 as usize;
+        let limits = buffer.remaining().1 as usize;
         buffer
             .records
             .extend(response.records.into_iter().take(limits));
@@ -274,8 +279,8 @@
         // If records are missing here, the set changed while it was read, and its count will reveal
         // that.
         let records = std::mem::take(&mut buffer.records);
-        let (hits, exact, facets) = self.first.take().unwrap_or((hits, exact, None));
-        let records = if self.local && range.count > 0 {
+        let (hits, exact, facets) = self.first_response.take().unwrap_or((hits, exact, None));
+        let records = if self.sort_here && range.count > 0 {
             match sort_locally(&page.sort, records, range) {
                 Ok(records) => records,
                 Err(fault) => return Next::Done(WorkResult::Refused(fault)),
@@ -290,16 +295,21 @@
         }))
     }
 
-    fn scan(&mut self, scan: &ScanWork, response: ReadResponse, learned: &mut Learned) -> Next<()> {
+    fn scan(
+        &mut self,
+        scan: &ScanWork,
+        response: ParsedResponse,
+        learned: &mut Learned,
+    ) -> Next<()> {
         if let Some(fault) = response
             .faults
             .first()
             .filter(|_| response.terms.is_empty())
         {
-            return if self.round(fault, learned) {
+            return if self.work_around(fault, learned) {
                 Next::Send(())
             } else {
-                refused(fault.clone())
+                step_for_diagnostic(fault.clone())
             };
         }
         if !response.root.starts_with("scan") {
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -2,7 +2,8 @@
 //! the host keeps for it.
 
 use super::{
-    HostBounds, HostEvent, Next, RecordBuffer, found, refused, sort_locally, too_many_to_sort,
+    HostBounds, HostEvent, Next, RecordBuffer, found, sort_locally, step_for_diagnostic,
+    too_many_to_sort,
 };
 use crate::ber::{Class, Item};
 use crate::cql::{self, Node};
@@ -48,9 +49,9 @@
     set: Option<HostSet>,
     buffer: RecordBuffer,
     /// Whether records are sorted locally because the host does not sort.
-    local: bool,
+    sort_here: bool,
     /// Whether the search was already repeated because the host had dropped its set.
-    again: bool,
+    search_repeated: bool,
     exchanges: u32,
 }
 
@@ -93,7 +94,7 @@
             bounds.message,
             bounds.message,
         );
-        init::name_self(w);
+        init::write_implementation(w);
     })
 }
 
@@ -143,22 +144,23 @@
             phase: JobPhase::Searching,
             set: None,
             buffer: RecordBuffer::default(),
-            local: !page.sort.is_empty() && !sorts,
-            again: false,
+            sort_here: !page.sort.is_empty() && !sorts,
+            search_repeated: false,
             exchanges: 0,
         };
-        let key = key_of(&job);
-        let fit = |set: &&HostSet| set.key == key && set.made.saturating_add(bounds.set_age) > now;
+        let key = set_key(&job);
+        let usable =
+            |set: &&HostSet| set.key == key && set.made.saturating_add(bounds.set_age) > now;
         let known = self
             .sets
             .iter()
-            .find(fit)
+            .find(usable)
             .filter(|_| !page.fresh && job.range.count > 0)
             .cloned();
         self.job = Some(job);
         match known {
             Some(set) => {
-                let buffer = self.wanted(set.hits, bounds);
+                let buffer = self.records_to_collect(set.hits, bounds);
                 if let (Some(job), Ok(buffer)) = (&mut self.job, buffer) {
                     job.buffer = buffer;
                     job.set = Some(set);
@@ -208,8 +210,8 @@
             phase: JobPhase::Scanning,
             set: None,
             buffer: RecordBuffer::default(),
-            local: false,
-            again: false,
+            sort_here: false,
+            search_repeated: false,
             exchanges: 1,
         });
         Next::Send(unit)
@@ -236,7 +238,7 @@
                 let told = unit
                     .get(tag::OPTIONS)
                     .map_or_else(Abilities::default, Abilities::read);
-                self.abilities = told.both(Abilities::of(WANTED));
+                self.abilities = told.intersection(Abilities::of(WANTED));
                 Ok(HostEvent::Opened)
             }
             tag::CLOSE => Ok(HostEvent::Closed),
@@ -257,7 +259,7 @@
                     (JobPhase::Scanning, tag::SCAN_RESPONSE) => {
                         Ok(match scan::read_response(unit) {
                             Ok(terms) => Next::Done(WorkResult::Scanned(terms)),
-                            Err(fault) => refused(fault),
+                            Err(fault) => step_for_diagnostic(fault),
                         })
                     }
                     (_, other) => return Err(SessionError::UnexpectedUnit(other)),
@@ -290,7 +292,7 @@
             return Next::Failed(String::new());
         };
         job.phase = JobPhase::Searching;
-        let key = key_of(job);
+        let key = set_key(job);
         job.set = Some(HostSet {
             key,
             name: name.clone(),
@@ -299,7 +301,7 @@
             made: now,
         });
         // The first records come with the search response unless the set must be sorted first.
-        let along = if job.page.sort.is_empty() && job.range.offset == 0 {
+        let included = if job.page.sort.is_empty() && job.range.offset == 0 {
             job.range.count
         } else {
             0
@@ -315,9 +317,9 @@
             w.integer(tag::SMALL_SET, 0);
             w.integer(
                 tag::LARGE_SET,
-                if along > 0 { i64::from(i32::MAX) } else { 1 },
+                if included > 0 { i64::from(i32::MAX) } else { 1 },
             );
-            w.integer(tag::MEDIUM_SET, i64::from(along));
+            w.integer(tag::MEDIUM_SET, i64::from(included));
             w.boolean(tag::REPLACE, true);
             w.bytes(tag::SET_NAME, name.as_bytes());
             w.inside(tag::DATABASES, |names| {
@@ -362,7 +364,7 @@
             unit.get(tag::SET_STATUS).and_then(Item::integer) == Some(SetStatus::Subset as i64);
         let fault = z3950::response_fault(unit);
         if !ok && !subset {
-            return Ok(refused(
+            return Ok(step_for_diagnostic(
                 fault.unwrap_or_else(|| Kind::GENERAL.of("the search failed")),
             ));
         }
@@ -379,7 +381,7 @@
         while self.sets.len() > bounds.named_sets {
             self.sets.pop_front();
         }
-        let buffer = match self.wanted(hits, bounds) {
+        let buffer = match self.records_to_collect(hits, bounds) {
             Ok(buffer) => buffer,
             Err(fault) => return Ok(Next::Done(WorkResult::Refused(fault))),
         };
@@ -387,28 +389,28 @@
             return Err(SessionError::NoJob);
         };
         job.buffer = buffer;
-        job.take(given);
+        job.add_records(given);
         if job.buffer.is_done() {
             return Ok(self.finish());
         }
-        if !job.page.sort.is_empty() && !job.local {
+        if !job.page.sort.is_empty() && !job.sort_here {
             return Ok(self.sort(learned));
         }
         if let Some(fault) = &fault
-            && !other_form(fault, &job.page, learned)
+            && !reject_form(fault, &job.page, learned)
             && !matches!(fault.kind.bib1, 14 | 16 | 33)
         {
-            return Ok(refused(fault.clone()));
+            return Ok(step_for_diagnostic(fault.clone()));
         }
         Ok(self.present(learned))
     }
 
     /// The records to collect from a set with `hits` hits.
-    fn wanted(&self, hits: u64, bounds: &HostBounds) -> Result<RecordBuffer, Fault> {
+    fn records_to_collect(&self, hits: u64, bounds: &HostBounds) -> Result<RecordBuffer, Fault> {
         let Some(job) = &self.job else {
             return Ok(RecordBuffer::default());
         };
-        if !job.local || job.range.count == 0 {
+        if !job.sort_here || job.range.count == 0 {
             return Ok(RecordBuffer::of(job.range, hits));
         }
         if hits > u64::from(bounds.local_sort) {
@@ -440,7 +442,7 @@
             }
             // The Sort service cannot express these keys, so the records are sorted locally.
             Err(_) => {
-                job.local = true;
+                job.sort_here = true;
                 self.present(learned)
             }
         }
@@ -458,9 +460,9 @@
             let Some(job) = &mut self.job else {
                 return Err(SessionError::NoJob);
             };
-            job.local = true;
+            job.sort_here = true;
             let hits = job.set.as_ref().map_or(0, |s| s.hits);
-            match self.wanted(hits, bounds) {
+            match self.records_to_collect(hits, bounds) {
                 Ok(buffer) => {
                     if let Some(job) = &mut self.job {
                         job.buffer = buffer;
@@ -477,7 +479,7 @@
         let Some(job) = &mut self.job else {
             return Next::Failed(String::new());
         };
-        let (from, count) = job.buffer.rest();
+        let (from, count) = job.buffer.remaining();
         if count == 0 {
             return self.finish();
         }
@@ -509,7 +511,7 @@
             return Err(SessionError::NoJob);
         };
         let some = !given.is_empty();
-        job.take(given);
+        job.add_records(given);
         if job.buffer.is_done() {
             return Ok(self.finish());
         }
@@ -517,16 +519,16 @@
             // The host returned fewer records than requested, so the rest is requested again.
             None if some => Ok(self.present(learned)),
             None => Ok(Next::Failed("present response without records".to_owned())),
-            Some(fault) if other_form(&fault, &job.page, learned) => Ok(self.present(learned)),
+            Some(fault) if reject_form(&fault, &job.page, learned) => Ok(self.present(learned)),
             // The set is smaller than its count. The records so far are all there is, and the count
             // will reveal the change.
             Some(fault) if fault.kind.bib1 == 13 => Ok(self.finish()),
-            Some(fault) if matches!(fault.kind.bib1, 27 | 30) && !job.again => {
-                job.again = true;
+            Some(fault) if matches!(fault.kind.bib1, 27 | 30) && !job.search_repeated => {
+                job.search_repeated = true;
                 job.buffer = RecordBuffer::default();
                 Ok(self.search(bounds, learned, now))
             }
-            Some(fault) => Ok(refused(fault)),
+            Some(fault) => Ok(step_for_diagnostic(fault)),
         }
     }
 
@@ -535,7 +537,7 @@
             return Next::Failed(String::new());
         };
         let (hits, exact) = job.set.as_ref().map_or((0, true), |s| (s.hits, s.exact));
-        let records = if job.local && job.range.count > 0 {
+        let records = if job.sort_here && job.range.count > 0 {
             match sort_locally(&job.page.sort, job.buffer.records, job.range) {
                 Ok(records) => records,
                 Err(fault) => return Next::Done(WorkResult::Refused(fault)),
@@ -548,19 +550,19 @@
 }
 
 impl Job {
-    fn take(&mut self, given: Vec<records::WorkResult>) {
-        let limits = self.buffer.rest().1 as usize;
+    fn add_records(&mut self, given: Vec<records::RecordResult>) {
+        let limits = self.buffer.remaining().1 as usize;
         let record =
-            |given: records::WorkResult| given.unwrap_or_else(crate::record::Record::refused);
+            |given: records::RecordResult| given.unwrap_or_else(crate::record::Record::refused);
         self.buffer
             .records
             .extend(given.into_iter().take(limits).map(record));
     }
 }
 
-fn key_of(job: &Job) -> String {
+fn set_key(job: &Job) -> String {
     // A sorted set is distinct from the unsorted set of the same query.
-    let sort = if job.local {
+    let sort = if job.sort_here {
         String::new()
     } else {
         cql::write_sort(&job.page.sort)
@@ -582,7 +584,7 @@
 
 /// Records that the host rejected the record syntax or schema. Returns whether another one is left
 /// to request.
-fn other_form(fault: &Fault, page: &PageWork, learned: &mut Learned) -> bool {
+fn reject_form(fault: &Fault, page: &PageWork, learned: &mut Learned) -> bool {
     match fault.kind.bib1 {
         25 if schema(page, learned).is_some() => learned.no_schema.push(page.schema),
         238 | 239 if learned.no_syntax.len() + 1 < SYNTAXES.len() => {
--- a/catalogue/src/merge.rs
+++ b/catalogue/src/merge.rs
@@ -70,9 +70,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct Source {
     /// Records fetched but not yet merged.
-    pub ahead: VecDeque<Row>,
+    pub buffered: VecDeque<Row>,
     /// Number of records already merged.
-    pub placed: u64,
+    pub merged_count: u64,
     /// Number of records in the slice.
     pub hits: u64,
     /// Sort values of the last merged record.
@@ -89,58 +89,60 @@
     }
 
     /// The number of records not yet fetched.
-    pub fn behind(&self) -> u64 {
+    pub fn unfetched(&self) -> u64 {
         self.hits
-            .saturating_sub(self.placed + self.ahead.len() as u64)
+            .saturating_sub(self.merged_count + self.buffered.len() as u64)
     }
 
     /// The offset of the next record to fetch, from 0.
     pub fn next_offset(&self) -> u64 {
-        self.placed + self.ahead.len() as u64
+        self.merged_count + self.buffered.len() as u64
     }
 }
 
 /// The outcome of a merge step.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Pull {
+pub enum MergeStep {
     /// The next record: the index of its slice, the row, and whether the slice's previous record
     /// should have come after it.
     Row(usize, Row, bool),
     /// More records of these slices are needed to determine the next one.
-    Dry(Vec<usize>),
+    NeedMore(Vec<usize>),
     /// All records have been merged.
     End,
 }
 
 /// Takes the next record in merged order. Ties are broken by slice, so that the order is
 /// reproducible.
-pub fn pull(keys: &[SortKey], sources: &mut [Source]) -> Pull {
-    let dry: Vec<usize> = (0..sources.len())
-        .filter(|at| sources[*at].ahead.is_empty() && sources[*at].behind() > 0)
+pub fn next_row(keys: &[SortKey], sources: &mut [Source]) -> MergeStep {
+    let exhausted: Vec<usize> = (0..sources.len())
+        .filter(|at| sources[*at].buffered.is_empty() && sources[*at].unfetched() > 0)
         .collect();
-    if !dry.is_empty() {
-        return Pull::Dry(dry);
+    if !exhausted.is_empty() {
+        return MergeStep::NeedMore(exhausted);
     }
     let heads = sources
         .iter()
         .enumerate()
-        .filter_map(|(at, s)| Some((at, s.ahead.front()?)));
+        .filter_map(|(at, s)| Some((at, s.buffered.front()?)));
     // `min_by` returns the first of equal elements.
-    let least = heads
+    let first = heads
         .min_by(|a, b| sort::compare(keys, &a.1.values, &b.1.values))
         .map(|(at, _)| at);
-    let Some(at) = least else { return Pull::End };
+    let Some(at) = first else {
+        return MergeStep::End;
+    };
     let source = &mut sources[at];
-    let Some(row) = source.ahead.pop_front() else {
-        return Pull::End;
+    let Some(row) = source.buffered.pop_front() else {
+        return MergeStep::End;
     };
-    source.placed += 1;
+    source.merged_count += 1;
     let disorder = source
         .last
         .as_ref()
         .is_some_and(|last| sort::compare(keys, last, &row.values).is_gt());
     source.last = Some(row.values.clone());
-    Pull::Row(at, row, disorder)
+    MergeStep::Row(at, row, disorder)
 }
 
 /// A term of an index.
@@ -201,7 +203,7 @@
 
 /// A request for a facet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FacetAsk {
+pub struct FacetRequest {
     /// The name of the index.
     pub index: String,
     /// Maximum number of values.
@@ -228,13 +230,13 @@
 
 /// The number of values to request from each slice. Asking for more than `limit` makes it unlikely
 /// that a slice omits a relevant value.
-pub fn facet_ask(limit: u32) -> u32 {
+pub fn facet_request_limit(limit: u32) -> u32 {
     limit.saturating_mul(2).saturating_add(10)
 }
 
 /// Adds up one facet over all slices; `lists` has `None` for a slice that returned none.
-pub fn facets(ask: &FacetAsk, lists: &[Option<&Facet>]) -> MergedFacet {
-    let asked = facet_ask(ask.limit) as usize;
+pub fn facets(request: &FacetRequest, lists: &[Option<&Facet>]) -> MergedFacet {
+    let requested = facet_request_limit(request.limit) as usize;
     let mut all: BTreeMap<&str, u64> = BTreeMap::new();
     for (value, count) in lists.iter().flatten().flat_map(|f| &f.values) {
         *all.entry(value).or_insert(0) += count;
@@ -242,18 +244,18 @@
     let mut values: Vec<(String, u64)> = all.into_iter().map(|(v, n)| (v.to_owned(), n)).collect();
     // A stable sort: equal counts remain ordered by value.
     values.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    values.truncate(ask.limit as usize);
+    values.truncate(request.limit as usize);
     // A truncated list may omit any value whose count is at most that of its last entry.
-    let sure = |facet: &Facet| {
-        facet.values.len() < asked
+    let complete = |facet: &Facet| {
+        facet.values.len() < requested
             || values
                 .iter()
                 .all(|(v, _)| facet.values.iter().any(|(known, _)| known == v))
     };
-    let exact = lists.iter().all(|list| list.is_some_and(sure));
+    let exact = lists.iter().all(|list| list.is_some_and(complete));
     MergedFacet {
         facet: Facet {
-            index: ask.index.clone(),
+            index: request.index.clone(),
             values,
         },
         exact,
--- a/catalogue/src/merge/tests.rs
+++ b/catalogue/src/merge/tests.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_cut_list_of_facets_makes_the_counts_inexact_only_where_it_may_hide_one() {
-    let ask = FacetAsk {
+    let ask = FacetRequest {
         index: "dc.subject".into(),
         limit: 1,
     };
--- a/catalogue/src/operation.rs
+++ b/catalogue/src/operation.rs
@@ -8,12 +8,12 @@
 
 use crate::cql::{Clause, Node};
 use crate::fault::{Fault, Kind};
-use crate::merge::{self, Count, FacetAsk, MergedFacet, Row, Term};
+use crate::merge::{self, Count, FacetRequest, MergedFacet, Row, Term};
 use crate::record::{Record, Schema};
 use crate::sets::{Changed, Owner, ResultSet, SetId, SetTable, Time};
 use crate::sort::SortKey;
 use crate::work::{Found, PageWork, ScanWork, Work, WorkResult};
-use page_assembly::{PageAssembly, PageError, extend, first_plan, missing_rows, take};
+use page_assembly::{PageAssembly, PageError, add_result, extend_order, first_plan, missing_rows};
 
 /// Tolerance for floating-point error when a fraction of slices is compared with the floor.
 const ROUNDING: f64 = 0.0001;
@@ -173,7 +173,7 @@
 
 impl Want {
     /// The largest number of records that any hit count can lead to.
-    fn most(self) -> u64 {
+    fn max_records(self) -> u64 {
         match self {
             Want::Count(n) => n,
             Want::Sized {
@@ -213,7 +213,7 @@
     /// Slices to skip, because a result set named in the query lacks them.
     pub left_out: Vec<u32>,
     /// The requested facets.
-    pub facets: Vec<FacetAsk>,
+    pub facets: Vec<FacetRequest>,
     /// The owner of the new result set.
     pub owner: Owner,
     /// The requested lifetime of the result set.
@@ -261,12 +261,12 @@
     }
 
     /// Starts to fetch records of a set. If the set has changed, the operation repeats the search
-    /// in `again`, or ends with the diagnostic that the set is gone if there is none.
+    /// in `repeat_search`, or ends with the diagnostic that the set is gone if there is none.
     pub fn page(
         set: SetId,
         (start, count): (u64, u64),
         schema: Schema,
-        again: Option<Search>,
+        repeat_search: Option<Search>,
         bounds: Bounds,
         sets: &mut SetTable,
         now: Time,
@@ -280,21 +280,21 @@
             wanted,
             schema,
             rows: vec![None; wanted.min(bounds.page) as usize],
-            asked: Vec::new(),
-            extends: false,
-            lost: Vec::new(),
+            requested: Vec::new(),
+            extends_order: false,
+            failed_slices: Vec::new(),
             short: None,
             replaced: false,
             diagnostics: Vec::new(),
             facets: Vec::new(),
-            again,
+            repeat_search,
         };
         let mut operation = Operation {
             bounds,
             rounds: 0,
             state: State::PageAssembly(page_assembly),
         };
-        let step = operation.fill(sets, now);
+        let step = operation.continue_page(sets, now);
         (operation, step)
     }
 
@@ -315,7 +315,7 @@
             work,
             slices: slices.clone(),
         });
-        let seed = crate::cql::term::parts(&clause.term).plain();
+        let seed = crate::cql::term::parse(&clause.term).plain();
         (
             Operation {
                 bounds,
@@ -334,15 +334,15 @@
     /// Processes the result of a round and returns the next step.
     pub fn answered(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
         match &self.state {
-            State::Searching { .. } => self.searched(round, sets, now),
-            State::PageAssembly(_) => self.filled(round, sets, now),
-            State::Scanning { .. } => self.scanned(round),
+            State::Searching { .. } => self.search_answered(round, sets, now),
+            State::PageAssembly(_) => self.page_answered(round, sets, now),
+            State::Scanning { .. } => self.scan_answered(round),
         }
     }
 
-    fn searched(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
+    fn search_answered(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
         let State::Searching { search, replaced } = &self.state else {
-            return given_up();
+            return failed();
         };
         let (search, replaced) = (search.clone(), *replaced);
         let values = match round {
@@ -352,8 +352,8 @@
         };
         let mut found: Vec<(u32, Found)> = Vec::new();
         let mut faults: Vec<(u32, Fault)> = Vec::new();
-        for (slice, given) in values {
-            match given {
+        for (slice, result) in values {
+            match result {
                 WorkResult::Found(one) => found.push((slice, one)),
                 WorkResult::Refused(fault) => faults.push((slice, fault)),
                 WorkResult::Scanned(_) => {}
@@ -399,7 +399,7 @@
             if let Some(merged) = &mut set.merged {
                 for record in one.records {
                     match Row::new(record, &search.sort) {
-                        Some(row) => merged.sources[at].ahead.push_back(row),
+                        Some(row) => merged.sources[at].buffered.push_back(row),
                         None => return Step::Done(Outcome::Fault(Kind::SORT_MISSING.of(""))),
                     }
                 }
@@ -421,7 +421,7 @@
                     && let Some(Some(record)) =
                         rows.get((before + offset + 1 - search.start) as usize)
                 {
-                    set.delivered(at, offset, record);
+                    set.record_delivered(at, offset, record);
                 }
             }
         }
@@ -432,22 +432,22 @@
             wanted,
             schema: search.schema,
             rows,
-            asked: Vec::new(),
-            extends: false,
-            lost: Vec::new(),
+            requested: Vec::new(),
+            extends_order: false,
+            failed_slices: Vec::new(),
             short: None,
             replaced,
             diagnostics,
             facets,
-            again: Some(search),
+            repeat_search: Some(search),
         });
-        self.fill(sets, now)
+        self.continue_page(sets, now)
     }
 
     /// Requests the rows that the page lacks, or completes the operation.
-    fn fill(&mut self, sets: &mut SetTable, now: Time) -> Step {
+    fn continue_page(&mut self, sets: &mut SetTable, now: Time) -> Step {
         let State::PageAssembly(page) = &mut self.state else {
-            return given_up();
+            return failed();
         };
         let Some(set) = sets.get(page.set, now) else {
             return Step::Done(Outcome::Fault(
@@ -456,7 +456,7 @@
         };
         let mut plan = None;
         if page.short.is_none() && page.rows.iter().any(Option::is_none) {
-            plan = match extend(page, set, &self.bounds) {
+            plan = match extend_order(page, set, &self.bounds) {
                 Ok(plan) => plan.or_else(|| missing_rows(page, set, &self.bounds)),
                 Err(fault) => return Step::Done(Outcome::Fault(fault)),
             };
@@ -516,20 +516,20 @@
         })))
     }
 
-    fn filled(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
+    fn page_answered(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
         let State::PageAssembly(page) = &mut self.state else {
-            return given_up();
+            return failed();
         };
         let values = match round {
             Round::Served(values) => values,
             // The records received so far remain valid.
             Round::Refused { hold_off } => {
                 page.short = Some(ShortReason::Refused { hold_off });
-                return self.fill(sets, now);
+                return self.continue_page(sets, now);
             }
             Round::Failed(why) => {
                 page.short = Some(ShortReason::Failed(why));
-                return self.fill(sets, now);
+                return self.continue_page(sets, now);
             }
         };
         let Some(set) = sets.get(page.set, now) else {
@@ -537,45 +537,47 @@
                 Kind::SET_GONE.of("the result set was evicted"),
             ));
         };
-        let mut given: Vec<(u32, WorkResult)> = values;
-        for place in std::mem::take(&mut page.asked) {
-            let at = given.iter().position(|(slice, _)| *slice == place.slice);
-            let taken = match at.map(|at| given.swap_remove(at).1) {
-                Some(WorkResult::Found(found)) => take(page, set, &place, found),
+        let mut results: Vec<(u32, WorkResult)> = values;
+        for range in std::mem::take(&mut page.requested) {
+            let at = results.iter().position(|(slice, _)| *slice == range.slice);
+            let added = match at.map(|at| results.swap_remove(at).1) {
+                Some(WorkResult::Found(found)) => add_result(page, set, &range, found),
                 Some(WorkResult::Refused(fault)) => {
                     page.diagnostics.push(
                         fault
                             .kind
-                            .of(format!("slice {}: {}", place.slice, fault.about)),
+                            .of(format!("slice {}: {}", range.slice, fault.about)),
                     );
-                    page.lost.push(place.slice);
+                    page.failed_slices.push(range.slice);
                     Ok(())
                 }
                 _ => {
-                    page.lost.push(place.slice);
+                    page.failed_slices.push(range.slice);
                     Ok(())
                 }
             };
-            match taken {
+            match added {
                 Ok(()) => {}
                 Err(PageError::Fault(fault)) => return Step::Done(Outcome::Fault(fault)),
-                Err(PageError::Changed(Changed { slice })) => return self.changed(slice, sets),
+                Err(PageError::Changed(Changed { slice })) => {
+                    return self.restart_search(slice, sets);
+                }
             }
         }
-        if !page.lost.is_empty() {
+        if !page.failed_slices.is_empty() {
             page.short = Some(ShortReason::Failed(FailureReason::GivenUp));
         }
-        self.fill(sets, now)
+        self.continue_page(sets, now)
     }
 
     /// Handles a changed set. Its positions are no longer valid, so the search is repeated if
     /// possible.
-    fn changed(&mut self, slice: u32, sets: &mut SetTable) -> Step {
+    fn restart_search(&mut self, slice: u32, sets: &mut SetTable) -> Step {
         let State::PageAssembly(page) = &mut self.state else {
-            return given_up();
+            return failed();
         };
         sets.remove(page.set);
-        match page.again.take() {
+        match page.repeat_search.take() {
             Some(search) if self.rounds < self.bounds.rounds => {
                 self.rounds += 1;
                 let step = Step::Ask(first_plan(&search, &self.bounds));
@@ -591,7 +593,7 @@
         }
     }
 
-    fn scanned(&mut self, round: Round) -> Step {
+    fn scan_answered(&mut self, round: Round) -> Step {
         let State::Scanning {
             number,
             position,
@@ -599,7 +601,7 @@
             slices,
         } = &self.state
         else {
-            return given_up();
+            return failed();
         };
         let values = match round {
             Round::Served(values) => values,
@@ -607,8 +609,8 @@
             Round::Failed(why) => return Step::Done(Outcome::Failed(why)),
         };
         let (mut lists, mut faults, mut missing) = (Vec::new(), Vec::new(), slices.clone());
-        for (slice, given) in values {
-            match given {
+        for (slice, result) in values {
+            match result {
                 WorkResult::Scanned(terms) => {
                     missing.retain(|s| *s != slice);
                     lists.push(terms);
@@ -631,7 +633,7 @@
     }
 }
 
-fn given_up() -> Step {
+fn failed() -> Step {
     Step::Done(Outcome::Failed(FailureReason::GivenUp))
 }
 
@@ -667,21 +669,21 @@
 }
 
 fn merged_facets(
-    requests: &[FacetAsk],
+    requests: &[FacetRequest],
     lists: &[Option<Vec<merge::Facet>>],
     missing: bool,
     diagnostics: &mut Vec<Fault>,
 ) -> Vec<MergedFacet> {
-    let one = |ask: &FacetAsk| {
+    let one = |request: &FacetRequest| {
         let of = |list: &'_ Option<Vec<merge::Facet>>| {
             list.as_ref()
-                .and_then(|facets| facets.iter().position(|f| f.index == ask.index))
+                .and_then(|facets| facets.iter().position(|f| f.index == request.index))
         };
         let own: Vec<Option<&merge::Facet>> = lists
             .iter()
             .map(|l| of(l).and_then(|at| l.as_ref().map(|facets| &facets[at])))
             .collect();
-        let mut merged = merge::facets(ask, &own);
+        let mut merged = merge::facets(request, &own);
         merged.exact &= !missing;
         merged
     };
--- a/catalogue/src/operation/page_assembly.rs
+++ b/catalogue/src/operation/page_assembly.rs
@@ -3,7 +3,7 @@
 
 use super::{Bounds, Plan, Search, ShortReason};
 use crate::fault::{Fault, Kind};
-use crate::merge::{self, FacetAsk, MergedFacet, Pull, Row};
+use crate::merge::{self, FacetRequest, MergeStep, MergedFacet, Row};
 use crate::record::{Record, Schema};
 use crate::sets::{Changed, ResultSet, SetId, SliceRange};
 use crate::work::{Found, PageWork, Range, Work};
@@ -17,16 +17,16 @@
     pub(super) schema: Schema,
     pub(super) rows: Vec<Option<Record>>,
     /// The ranges requested in the current round.
-    pub(super) asked: Vec<SliceRange>,
+    pub(super) requested: Vec<SliceRange>,
     /// Whether the current round extends the known order of a sorted set.
-    pub(super) extends: bool,
-    pub(super) lost: Vec<u32>,
+    pub(super) extends_order: bool,
+    pub(super) failed_slices: Vec<u32>,
     pub(super) short: Option<ShortReason>,
     pub(super) replaced: bool,
     pub(super) diagnostics: Vec<Fault>,
     pub(super) facets: Vec<MergedFacet>,
     /// The search to repeat if the set has changed.
-    pub(super) again: Option<Search>,
+    pub(super) repeat_search: Option<Search>,
 }
 
 /// Why a slice's result ends the page.
@@ -39,7 +39,7 @@
 /// slice, so the other slices are asked only for their share.
 pub(super) fn first_plan(search: &Search, bounds: &Bounds) -> Plan {
     let slices = search.slices.len().max(1) as u64;
-    let want = search.want.most().min(bounds.page);
+    let want = search.want.max_records().min(bounds.page);
     let per_part = u64::from(bounds.per_part);
     let count = |first: bool| match (search.sort.is_empty(), search.start) {
         _ if want == 0 => 0,
@@ -47,16 +47,16 @@
         (true, 1) => want.div_ceil(slices).min(per_part),
         // Later positions cannot be located until the slices' hit counts are known.
         (true, _) => 0,
-        (false, start) => chunk(start - 1 + want, slices, per_part),
+        (false, start) => records_per_slice(start - 1 + want, slices, per_part),
     };
     let range = |(at, slice): (usize, &u32)| Range {
         slice: *slice,
         offset: 0,
         count: count(at == 0) as u32,
     };
-    let facet = |ask: &FacetAsk| FacetAsk {
-        index: ask.index.clone(),
-        limit: merge::facet_ask(ask.limit),
+    let facet = |request: &FacetRequest| FacetRequest {
+        index: request.index.clone(),
+        limit: merge::facet_request_limit(request.limit),
     };
     let work = PageWork {
         query: search.query.to_string(),
@@ -79,13 +79,13 @@
 }
 
 /// How many records to request from each slice so that `need` more can be merged.
-fn chunk(need: u64, slices: u64, per_part: u64) -> u64 {
+fn records_per_slice(need: u64, slices: u64, per_part: u64) -> u64 {
     (need.div_ceil(slices) + 2).min(per_part)
 }
 
 /// Merges the buffered rows of a sorted set up to the end of the page. Returns the ranges to fetch
 /// if rows run out first.
-pub(super) fn extend(
+pub(super) fn extend_order(
     page: &mut PageAssembly,
     set: &mut ResultSet,
     bounds: &Bounds,
@@ -102,9 +102,9 @@
     }
     let slices = merged.sources.iter().filter(|s| s.hits > 0).count().max(1) as u64;
     while (merged.order.len() as u64) < end {
-        match merge::pull(&set.sort, &mut merged.sources) {
-            Pull::End => break,
-            Pull::Row(at, row, disorder) => {
+        match merge::next_row(&set.sort, &mut merged.sources) {
+            MergeStep::End => break,
+            MergeStep::Row(at, row, disorder) => {
                 let position = merged.order.len() as u64 + 1;
                 merged.order.push(at as u16);
                 if disorder {
@@ -114,23 +114,23 @@
                     page.rows[slot as usize] = Some(row.record);
                 }
             }
-            Pull::Dry(dry) => {
+            MergeStep::NeedMore(exhausted) => {
                 let need = end - merged.order.len() as u64;
-                let count = chunk(need, slices, u64::from(bounds.per_part));
-                let place = |at: usize| SliceRange {
+                let count = records_per_slice(need, slices, u64::from(bounds.per_part));
+                let slice_range = |at: usize| SliceRange {
                     at,
                     slice: set.slices[at].slice,
                     offset: merged.sources[at].next_offset(),
-                    count: count.min(merged.sources[at].behind()),
+                    count: count.min(merged.sources[at].unfetched()),
                 };
-                page.asked = dry.into_iter().map(place).collect();
-                page.extends = true;
+                page.requested = exhausted.into_iter().map(slice_range).collect();
+                page.extends_order = true;
                 let range = |p: &SliceRange| Range {
                     slice: p.slice,
                     offset: p.offset,
                     count: p.count as u32,
                 };
-                return Ok(Some(page.asked.iter().map(range).collect()));
+                return Ok(Some(page.requested.iter().map(range).collect()));
             }
         }
     }
@@ -143,40 +143,44 @@
     set: &ResultSet,
     bounds: &Bounds,
 ) -> Option<Vec<Range>> {
-    page.extends = false;
-    page.asked.clear();
+    page.extends_order = false;
+    page.requested.clear();
     // Within a slice, the rows already present lie before or after the missing ones, so one range
     // covers the gap.
-    for (position, place) in set.locate(page.start, page.rows.len() as u64) {
+    for (position, (at, offset)) in set.locate(page.start, page.rows.len() as u64) {
         if page.rows[(position - page.start) as usize].is_some() {
             continue;
         }
-        match page.asked.iter_mut().find(|p| p.at == place.0) {
-            Some(ask) if place.1 < ask.offset + u64::from(bounds.per_part) => {
-                ask.count = place.1 + 1 - ask.offset
+        match page.requested.iter_mut().find(|p| p.at == at) {
+            Some(range) if offset < range.offset + u64::from(bounds.per_part) => {
+                range.count = offset + 1 - range.offset
             }
             Some(_) => {}
-            None => page.asked.push(SliceRange {
-                at: place.0,
-                slice: set.slices[place.0].slice,
-                offset: place.1,
+            None => page.requested.push(SliceRange {
+                at,
+                slice: set.slices[at].slice,
+                offset,
                 count: 1,
             }),
         }
     }
-    let ranges: Vec<Range> = page.asked.iter().map(|p| set.ask(p)).collect();
+    let ranges: Vec<Range> = page
+        .requested
+        .iter()
+        .map(|p| set.range_to_fetch(p))
+        .collect();
     (!ranges.is_empty()).then_some(ranges)
 }
 
 /// Adds a slice's result to the page.
-pub(super) fn take(
+pub(super) fn add_result(
     page: &mut PageAssembly,
     set: &mut ResultSet,
-    place: &SliceRange,
+    range: &SliceRange,
     mut found: Found,
 ) -> Result<(), PageError> {
-    if page.extends {
-        let slice = &set.slices[place.at];
+    if page.extends_order {
+        let slice = &set.slices[range.at];
         let changed = PageError::Changed(Changed { slice: slice.slice });
         if slice.exact && found.exact && slice.hits != found.hits || found.records.is_empty() {
             return Err(changed);
@@ -184,28 +188,28 @@
         let Some(merged) = &mut set.merged else {
             return Ok(());
         };
-        let source = &mut merged.sources[place.at];
+        let source = &mut merged.sources[range.at];
         // Another operation on the same set may have fetched these records in the meantime.
-        let have = source.next_offset().saturating_sub(place.offset) as usize;
-        let last = source.ahead.back().map(|row| row.record.fingerprint());
+        let have = source.next_offset().saturating_sub(range.offset) as usize;
+        let last = source.buffered.back().map(|row| row.record.fingerprint());
         for (at, record) in found.records.into_iter().enumerate().skip(have) {
             if at == have && last == Some(record.fingerprint()) {
                 return Err(changed);
             }
             let row = Row::new(record, &set.sort)
                 .ok_or_else(|| PageError::Fault(Kind::SORT_MISSING.of("")))?;
-            source.ahead.push_back(row);
+            source.buffered.push_back(row);
         }
         return Ok(());
     }
-    set.check(place, &mut found).map_err(PageError::Changed)?;
+    set.verify(range, &mut found).map_err(PageError::Changed)?;
     let located = set.locate(page.start, page.rows.len() as u64);
     let mut last = None;
     for (position, (at, offset)) in located {
         let row = &mut page.rows[(position - page.start) as usize];
-        if at == place.at
+        if at == range.at
             && row.is_none()
-            && let Some(index) = offset.checked_sub(place.offset)
+            && let Some(index) = offset.checked_sub(range.offset)
             && let Some(record) = found.records.get(index as usize)
         {
             last = Some((offset, record.clone()));
@@ -213,7 +217,7 @@
         }
     }
     if let Some((offset, record)) = last {
-        set.delivered(place.at, offset, &record);
+        set.record_delivered(range.at, offset, &record);
     }
     Ok(())
 }
--- a/catalogue/src/record/schemas.rs
+++ b/catalogue/src/record/schemas.rs
@@ -125,7 +125,7 @@
 }
 
 /// The position of each field in MARC 21: tag, and the subfields to join.
-const PLACES: &[(&str, &str, Field)] = &[
+const MARC_FIELDS: &[(&str, &str, Field)] = &[
     ("245", "ab", Field::Title),
     ("100", "a", Field::Creator),
     ("110", "a", Field::Creator),
@@ -157,7 +157,7 @@
     // The control number serves as identifier if there is no other.
     let mut identified = false;
     for data in &marc.data {
-        for (_, codes, field) in PLACES.iter().filter(|(tag, ..)| *tag == data.tag) {
+        for (_, codes, field) in MARC_FIELDS.iter().filter(|(tag, ..)| *tag == data.tag) {
             let texts: Vec<&str> = data
                 .subfields
                 .iter()
--- a/catalogue/src/rpn.rs
+++ b/catalogue/src/rpn.rs
@@ -36,9 +36,9 @@
     Kind::SYNTAX.of("a malformed type-1 query")
 }
 
-/// Reads the query of a search request with at most `most` clauses. `query` is the field that
+/// Reads the query of a search request with at most `max_clauses` clauses. `query` is the field that
 /// contains it.
-pub fn read(query: &Item, most: usize) -> Result<Node, Fault> {
+pub fn read(query: &Item, max_clauses: usize) -> Result<Node, Fault> {
     let rpn = match query.items().first() {
         Some(item) if item.class == Class::Context && matches!(item.tag, 1 | 101) => item,
         Some(item) => return Err(Kind::QUERY_TYPE.of(format!("type-{}", item.tag))),
@@ -47,28 +47,28 @@
     let [set, structure] = rpn.items() else {
         return Err(malformed());
     };
-    bib1(set)?;
-    let mut left = most;
-    structure_of(structure, &mut left)
+    require_bib1(set)?;
+    let mut clauses_left = max_clauses;
+    read_structure(structure, &mut clauses_left)
 }
 
 /// Reads the attributes and term of a scan (APDU ScanRequest, termListAndStartPoint).
 pub fn read_clause(set: Option<&Item>, operand: &Item) -> Result<Clause, Fault> {
-    set.map_or(Ok(()), bib1)?;
+    set.map_or(Ok(()), require_bib1)?;
     clause(operand)
 }
 
-fn bib1(set: &Item) -> Result<(), Fault> {
+fn require_bib1(set: &Item) -> Result<(), Fault> {
     match set.oid() {
         Some(oid) if oid == BIB1 => Ok(()),
-        other => Err(Kind::SET_OF_NAMES.of(other.unwrap_or_default())),
+        other => Err(Kind::CONTEXT_SET.of(other.unwrap_or_default())),
     }
 }
 
-fn structure_of(item: &Item, left: &mut usize) -> Result<Node, Fault> {
+fn read_structure(item: &Item, clauses_left: &mut usize) -> Result<Node, Fault> {
     match item.tag {
         0 => {
-            *left = left
+            *clauses_left = clauses_left
                 .checked_sub(1)
                 .ok_or_else(|| Kind::TOO_COMPLEX.of(""))?;
             operand(item.items().first().ok_or_else(malformed)?)
@@ -85,7 +85,10 @@
                 3 => Boolean::Prox(proximity(operator)?),
                 other => return Err(Kind::BOOLEAN.of(other.to_string())),
             };
-            let (one, other) = (structure_of(one, left)?, structure_of(other, left)?);
+            let (one, other) = (
+                read_structure(one, clauses_left)?,
+                read_structure(other, clauses_left)?,
+            );
             Ok(Node::Joined {
                 boolean,
                 left: Box::new(one),
@@ -162,18 +165,18 @@
         {
             let number = |tag| attribute.get(tag).and_then(Item::integer);
             if let Some(set) = attribute.get(1) {
-                bib1(set)?;
+                require_bib1(set)?;
             }
             let kind = number(tag::TYPE).ok_or_else(malformed)?;
             let Some(value) = number(tag::VALUE) else {
                 return Err(Kind::ATTRIBUTE_TYPE.of(format!("type {kind} with a complex value")));
             };
-            all.take(kind, value)?;
+            all.add(kind, value)?;
         }
         Ok(all)
     }
 
-    fn take(&mut self, kind: i64, value: i64) -> Result<(), Fault> {
+    fn add(&mut self, kind: i64, value: i64) -> Result<(), Fault> {
         let unsupported = |kind: Kind| Err(kind.of(value.to_string()));
         match (kind, value) {
             (1, _) => match index::by_use(value) {
@@ -388,7 +391,7 @@
 
 fn attributes_of(clause: &Clause) -> Result<(Vec<(i64, i64)>, String), Fault> {
     let mut attributes = vec![(1, clause.index.use_attribute)];
-    let parts = term::parts(&clause.term);
+    let parsed = term::parse(&clause.term);
     let (mut relation, mut structure) = match clause.relation {
         Relation::Equal => (3, 1),
         Relation::Exact => (3, 1),
@@ -422,20 +425,20 @@
     if unmasked {
         return Ok((attributes, clause.term.clone()));
     }
-    if parts.last {
+    if parsed.anchored_end {
         return Err(Kind::ANCHOR.of("at the end of a field"));
     }
-    if parts.first {
+    if parsed.anchored_start {
         attributes.push((3, 1));
     }
     if clause.relation == Relation::Exact {
         attributes.push((6, 3));
     }
-    let term = match parts.mask() {
-        Mask::None => parts.plain(),
+    let term = match parsed.mask() {
+        Mask::None => parsed.plain(),
         Mask::Inside => {
             attributes.push((5, 104));
-            parts.z3958()
+            parsed.z3958()
         }
         mask => {
             attributes.push((
@@ -446,7 +449,7 @@
                     _ => 3,
                 },
             ));
-            parts.plain()
+            parsed.plain()
         }
     };
     Ok((attributes, term))
--- a/catalogue/src/session.rs
+++ b/catalogue/src/session.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 /// Failed challenges after which the session is closed.
-const CHALLENGES: u32 = 3;
+const MAX_FAILED_CHALLENGES: u32 = 3;
 
 /// Who may search.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -131,7 +131,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     /// No Init request has arrived yet.
-    Fresh,
+    AwaitingInit,
     Open,
     Closing,
 }
@@ -149,7 +149,7 @@
     Search {
         set: String,
         form: Form,
-        formless: Option<Fault>,
+        form_fault: Option<Fault>,
     },
     Present {
         form: Form,
@@ -180,10 +180,10 @@
     admitted: bool,
     failed_challenges: u32,
     /// Requests that wait until the client has answered a challenge.
-    held: Vec<Item>,
+    unauthenticated: Vec<Item>,
     sets: BTreeMap<String, SetId>,
     running: BTreeMap<u32, Running>,
-    next: u32,
+    last_operation: u32,
 }
 
 /// The state from outside the session that handling a request needs.
@@ -204,7 +204,7 @@
         Session {
             config,
             owner,
-            state: State::Fresh,
+            state: State::AwaitingInit,
             abilities: Abilities::default(),
             limits: SegmentLimits {
                 preferred: 1 << 10,
@@ -213,10 +213,10 @@
             },
             admitted: false,
             failed_challenges: 0,
-            held: Vec::new(),
+            unauthenticated: Vec::new(),
             sets: BTreeMap::new(),
             running: BTreeMap::new(),
-            next: 0,
+            last_operation: 0,
         }
     }
 
@@ -257,7 +257,7 @@
             actions.push(Action::Withdraw { operation });
         }
         self.state = State::Closing;
-        self.held.clear();
+        self.unauthenticated.clear();
         actions.push(Action::Send(z3950::close(None, reason, words)));
         actions.push(Action::End);
     }
@@ -283,10 +283,10 @@
             (Some(Service::Close), _) => {
                 self.close(CloseReason::ResponseToPeer, "", context.actions)
             }
-            (Some(Service::Init), State::Fresh) => {
+            (Some(Service::Init), State::AwaitingInit) => {
                 self.init(unit, reference.as_deref(), context.actions)
             }
-            (Some(Service::Init), _) | (None, _) | (_, State::Fresh) => {
+            (Some(Service::Init), _) | (None, _) | (_, State::AwaitingInit) => {
                 self.close(
                     CloseReason::ProtocolError,
                     "unknown service, or request out of sequence",
@@ -294,10 +294,10 @@
                 );
             }
             (Some(Service::TriggerResourceControl), _) => {
-                self.trigger(unit, reference.as_deref(), context)
+                self.resource_control(unit, reference.as_deref(), context)
             }
-            (Some(Service::AccessControl), _) => self.challenged(unit, context),
-            (Some(service), _) => self.operate(service, unit, reference, context),
+            (Some(Service::AccessControl), _) => self.challenge_answered(unit, context),
+            (Some(service), _) => self.start_operation(service, unit, reference, context),
         }
     }
 
@@ -306,7 +306,7 @@
         let wanted = unit
             .get(tag::OPTIONS)
             .map_or_else(Abilities::default, Abilities::read);
-        let mut abilities = wanted.both(Abilities::of(OFFERED));
+        let mut abilities = wanted.intersection(Abilities::of(OFFERED));
         let identity = init::read_identity(unit);
         let admitted = self.config.access.admits(&identity);
         let challenge = matches!(self.config.access, Access::Challenge(_));
@@ -314,9 +314,13 @@
             abilities = abilities.without(Ability::AccessControl);
         }
         // A client with a wrong password is refused at once; only anonymous clients are challenged.
-        let later =
+        let challenge_later =
             challenge && abilities.has(Ability::AccessControl) && identity == Identity::Anonymous;
-        let fault = admitted.as_ref().err().filter(|_| !later).cloned();
+        let fault = admitted
+            .as_ref()
+            .err()
+            .filter(|_| !challenge_later)
+            .cloned();
         // Versions 2 and 3 are supported. A client that offers neither gets a refusal and is
         // closed.
         let known = two || three;
@@ -340,20 +344,20 @@
         };
         self.abilities = abilities;
         self.admitted = admitted.is_ok();
-        let taken = known && fault.is_none();
+        let accepted = known && fault.is_none();
         actions.push(Action::Send(z3950::unit(
             tag::INIT_RESPONSE,
             reference,
             |w| {
                 init::introduce(w, three, abilities, preferred, exceptional);
-                w.boolean(tag::RESULT, taken);
-                init::name_self(w);
+                w.boolean(tag::RESULT, accepted);
+                init::write_implementation(w);
                 if let Some(fault) = &fault {
                     init::write_refusal(w, fault);
                 }
             },
         )));
-        if taken {
+        if accepted {
             self.state = State::Open;
         } else {
             self.state = State::Closing;
@@ -362,7 +366,7 @@
     }
 
     /// Handles the request of an operation, which is answered at once or starts to run.
-    fn operate(
+    fn start_operation(
         &mut self,
         service: Service,
         unit: &Item,
@@ -385,14 +389,14 @@
         {
             return self.challenge(unit, reference.as_deref(), context.actions);
         }
-        let begun = match service {
+        let started = match service {
             Service::Search => self.search(unit, context),
             Service::Present => self.present(unit, context),
             Service::Scan => self.scan(unit),
             Service::Sort => self.sort(unit, context),
             Service::Delete => {
-                let said = self.delete(unit, reference.as_deref(), context.sets);
-                return context.actions.push(Action::Send(said));
+                let response = self.delete(unit, reference.as_deref(), context.sets);
+                return context.actions.push(Action::Send(response));
             }
             Service::ResourceReport => {
                 return context.actions.push(Action::Send(z3950::unit(
@@ -404,10 +408,10 @@
             }
             _ => Err(Kind::EXTENDED_SERVICE.of("")),
         };
-        match begun {
+        match started {
             Ok((purpose, operation, step)) => {
-                self.next = self.next.wrapping_add(1);
-                let number = self.next;
+                self.last_operation = self.last_operation.wrapping_add(1);
+                let number = self.last_operation;
                 self.running.insert(
                     number,
                     Running {
@@ -416,11 +420,11 @@
                         operation,
                     },
                 );
-                self.follow(number, step, context);
+                self.apply_step(number, step, context);
             }
             Err(fault) => {
-                let said = answers::failure(service, reference.as_deref(), &fault);
-                context.actions.push(Action::Send(said));
+                let response = answers::failure(service, reference.as_deref(), &fault);
+                context.actions.push(Action::Send(response));
             }
         }
     }
@@ -431,10 +435,10 @@
             return;
         };
         let step = running.operation.answered(round, context.sets, context.now);
-        self.follow(operation, step, context);
+        self.apply_step(operation, step, context);
     }
 
-    fn follow(&mut self, number: u32, step: Step, context: &mut SessionContext<'_>) {
+    fn apply_step(&mut self, number: u32, step: Step, context: &mut SessionContext<'_>) {
         match step {
             Step::Ask(plan) => context.actions.push(Action::Ask {
                 operation: number,
@@ -456,13 +460,19 @@
             context.sets.remove(old);
         }
         let left = self.config.output.saturating_sub(context.unwritten);
-        for said in answers::answer(&running, outcome, &self.config.database, self.limits, left) {
-            context.actions.push(Action::Send(said));
+        for response in answers::answer(&running, outcome, &self.config.database, self.limits, left)
+        {
+            context.actions.push(Action::Send(response));
         }
     }
 
     /// Handles TriggerResourceControl (section 3.2.6.4). Only the cancel action is supported.
-    fn trigger(&mut self, unit: &Item, reference: Option<&[u8]>, context: &mut SessionContext<'_>) {
+    fn resource_control(
+        &mut self,
+        unit: &Item,
+        reference: Option<&[u8]>,
+        context: &mut SessionContext<'_>,
+    ) {
         const CANCEL: i64 = 3;
         if unit.get(tag::REQUESTED_ACTION).and_then(Item::integer) != Some(CANCEL) {
             return;
@@ -484,15 +494,15 @@
 
     /// Challenges the client before its operation is accepted (section 3.2.5.1).
     fn challenge(&mut self, unit: &Item, reference: Option<&[u8]>, actions: &mut Vec<Action>) {
-        if self.held.len() >= self.config.operations {
+        if self.unauthenticated.len() >= self.config.operations {
             return self.close(
                 CloseReason::Security,
                 "too many operations before the challenge was answered",
                 actions,
             );
         }
-        self.held.push(unit.clone());
-        if self.held.len() == 1 {
+        self.unauthenticated.push(unit.clone());
+        if self.unauthenticated.len() == 1 {
             actions.push(Action::Send(z3950::unit(
                 tag::ACCESS_REQUEST,
                 reference,
@@ -503,8 +513,8 @@
         }
     }
 
-    fn challenged(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
-        if self.admitted || self.held.is_empty() {
+    fn challenge_answered(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
+        if self.admitted || self.unauthenticated.is_empty() {
             return self.close(
                 CloseReason::ProtocolError,
                 "no challenge is pending",
@@ -517,13 +527,13 @@
             .unwrap_or_default();
         let result = self.config.access.admits(&init::read_open(&given));
         self.admitted = result.is_ok();
-        for held in std::mem::take(&mut self.held) {
-            let reference = held.get(tag::REFERENCE).map(Item::bytes);
-            let Some(service) = z3950::service(&held) else {
+        for request in std::mem::take(&mut self.unauthenticated) {
+            let reference = request.get(tag::REFERENCE).map(Item::bytes);
+            let Some(service) = z3950::service(&request) else {
                 continue;
             };
             match &result {
-                Ok(()) => self.operate(service, &held, reference, context),
+                Ok(()) => self.start_operation(service, &request, reference, context),
                 Err(fault) => context.actions.push(Action::Send(answers::failure(
                     service,
                     reference.as_deref(),
@@ -533,7 +543,7 @@
         }
         if result.is_err() {
             self.failed_challenges += 1;
-            if self.failed_challenges >= CHALLENGES {
+            if self.failed_challenges >= MAX_FAILED_CHALLENGES {
                 self.close(CloseReason::Security, "", context.actions);
             }
         }
--- a/catalogue/src/session/answers.rs
+++ b/catalogue/src/session/answers.rs
@@ -4,7 +4,7 @@
 use crate::fault::{Fault, Kind};
 use crate::operation::{FailureReason, Outcome, Page, Scanned, ShortReason};
 use crate::record::{Record, Schema, Syntax};
-use crate::z3950::records::{self, Divided, Ready, SegmentLimits};
+use crate::z3950::records::{self, EncodedRecord, SegmentLimits, SegmentedRecords};
 use crate::z3950::scan::ScanStatus;
 use crate::z3950::sort::SortStatus;
 use crate::z3950::{self, Service, SetStatus, scan, sort, tag};
@@ -92,7 +92,7 @@
     }
 }
 
-fn why(short: ShortReason) -> Fault {
+fn short_fault(short: ShortReason) -> Fault {
     match short {
         ShortReason::Refused { .. } => Kind::BUSY.of("ask again later"),
         ShortReason::Failed(FailureReason::TimeUp) => Kind::TIME.of("no answer in time"),
@@ -124,11 +124,13 @@
         Outcome::Page(page) => page,
     };
     match &running.purpose {
-        Purpose::Search { form, formless, .. } => searched(
+        Purpose::Search {
+            form, form_fault, ..
+        } => searched(
             reference,
             &page,
             *form,
-            formless.as_ref(),
+            form_fault.as_ref(),
             database,
             limits,
             left,
@@ -170,7 +172,7 @@
     })
 }
 
-fn ready(record: &Record, form: Form) -> Ready {
+fn encode(record: &Record, form: Form) -> EncodedRecord {
     if let Some(fault) = &record.fault {
         return Err(fault.clone());
     }
@@ -189,19 +191,25 @@
     }
 }
 
-fn divided(page: &Page, form: Form, database: &str, limits: SegmentLimits, left: usize) -> Divided {
+fn segmented(
+    page: &Page,
+    form: Form,
+    database: &str,
+    limits: SegmentLimits,
+    left: usize,
+) -> SegmentedRecords {
     let records = page
         .records
         .iter()
-        .map(|record| ready(record, form))
+        .map(|record| encode(record, form))
         .collect();
-    records::divide(database, form.syntax, records, limits, left)
+    records::segment_records(database, form.syntax, records, limits, left)
 }
 
-fn status_of(page: &Page, divided: &Divided, clipped: bool) -> PresentStatus {
-    match divided.delivered {
+fn status_of(page: &Page, segmented: &SegmentedRecords, clipped: bool) -> PresentStatus {
+    match segmented.delivered {
         0 if page.wanted > 0 => PresentStatus::Failure,
-        _ if divided.short => PresentStatus::MessageSize,
+        _ if segmented.truncated => PresentStatus::MessageSize,
         _ if clipped || page.short.is_some() || !page.complete => PresentStatus::ByTarget,
         _ => PresentStatus::Success,
     }
@@ -216,8 +224,8 @@
     }
 }
 
-fn segments(reference: Option<&[u8]>, divided: &Divided) -> Vec<Vec<u8>> {
-    divided
+fn segments(reference: Option<&[u8]>, segmented: &SegmentedRecords) -> Vec<Vec<u8>> {
+    segmented
         .segments
         .iter()
         .map(|(count, bytes)| records::segment(reference, *count, bytes))
@@ -233,36 +241,36 @@
     limits: SegmentLimits,
     left: usize,
 ) -> Vec<Vec<u8>> {
-    let divided = divided(page, form, database, limits, left);
-    let status = status_of(page, &divided, clipped);
-    let mut said = segments(reference, &divided);
-    said.push(z3950::unit(tag::PRESENT_RESPONSE, reference, |w| {
-        w.integer(tag::RETURNED, divided.delivered as i64);
-        w.integer(tag::NEXT_POSITION, next_position(page, divided.delivered));
+    let segmented = segmented(page, form, database, limits, left);
+    let status = status_of(page, &segmented, clipped);
+    let mut messages = segments(reference, &segmented);
+    messages.push(z3950::unit(tag::PRESENT_RESPONSE, reference, |w| {
+        w.integer(tag::RETURNED, segmented.delivered as i64);
+        w.integer(tag::NEXT_POSITION, next_position(page, segmented.delivered));
         w.integer(tag::PRESENT_STATUS, status as i64);
         if status == PresentStatus::Failure {
             let fault = page
                 .short
-                .map_or_else(|| Kind::BUSY.of("too many unread responses"), why);
+                .map_or_else(|| Kind::BUSY.of("too many unread responses"), short_fault);
             w.inside(tag::DIAGNOSTIC, |d| z3950::write_fault(d, &fault));
         } else {
-            records::write(w, &divided.last.1);
+            records::write(w, &segmented.last.1);
         }
     }));
-    said
+    messages
 }
 
 fn searched(
     reference: Option<&[u8]>,
     page: &Page,
     form: Form,
-    formless: Option<&Fault>,
+    form_fault: Option<&Fault>,
     database: &str,
     limits: SegmentLimits,
     left: usize,
 ) -> Vec<Vec<u8>> {
     // A search response cannot be segmented. The client presents the records that do not fit.
-    let divided = divided(
+    let segmented = segmented(
         page,
         form,
         database,
@@ -272,22 +280,22 @@
         },
         left,
     );
-    let status = status_of(page, &divided, false);
-    let shown = page.wanted > 0 || formless.is_some();
+    let status = status_of(page, &segmented, false);
+    let shown = page.wanted > 0 || form_fault.is_some();
     vec![z3950::unit(tag::SEARCH_RESPONSE, reference, |w| {
         w.integer(
             tag::RESULT_COUNT,
             i64::try_from(page.count.hits).unwrap_or(i64::MAX),
         );
-        w.integer(tag::RETURNED, divided.delivered as i64);
-        w.integer(tag::NEXT_POSITION, next_position(page, divided.delivered));
+        w.integer(tag::RETURNED, segmented.delivered as i64);
+        w.integer(tag::NEXT_POSITION, next_position(page, segmented.delivered));
         // A search with missing slices counts as failed, but its result set is a valid subset.
         w.boolean(tag::SEARCH_STATUS, page.complete);
         if let Some(set) = Session::set_status(page.complete) {
             w.integer(tag::SET_STATUS, set as i64);
         }
         if shown {
-            let status = if formless.is_some() {
+            let status = if form_fault.is_some() {
                 PresentStatus::Failure
             } else {
                 status
@@ -295,10 +303,10 @@
             w.integer(tag::PRESENT_STATUS, status as i64);
         }
         let partial = page.diagnostics.iter().find(|f| f.kind == Kind::PARTIAL);
-        let short = page.short.map(why);
-        if divided.delivered > 0 {
-            records::write(w, &divided.last.1);
-        } else if let Some(fault) = formless.or(partial).or(short.as_ref()) {
+        let short = page.short.map(short_fault);
+        if segmented.delivered > 0 {
+            records::write(w, &segmented.last.1);
+        } else if let Some(fault) = form_fault.or(partial).or(short.as_ref()) {
             w.inside(tag::DIAGNOSTIC, |d| z3950::write_fault(d, fault));
         }
     })]
--- a/catalogue/src/session/requests.rs
+++ b/catalogue/src/session/requests.rs
@@ -13,7 +13,7 @@
 use crate::z3950::{records, scan, sort, tag};
 use std::collections::BTreeSet;
 
-type Begun = Result<(Purpose, Operation, Step), Fault>;
+type Started = Result<(Purpose, Operation, Step), Fault>;
 
 fn number(unit: &Item, tag: u32, what: &str) -> Result<u64, Fault> {
     let given = unit
@@ -137,7 +137,7 @@
         }
     }
 
-    pub(super) fn search(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Begun {
+    pub(super) fn search(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Started {
         let small = number(unit, tag::SMALL_SET, "small-set-upper-bound")?;
         let large = number(unit, tag::LARGE_SET, "large-set-lower-bound")?;
         let medium = number(unit, tag::MEDIUM_SET, "medium-set-present-number")?;
@@ -169,7 +169,7 @@
                 })
             },
         );
-        let (form, formless) = match form {
+        let (form, form_fault) = match form {
             Ok(form) => (form, None),
             Err(fault) => (
                 Form {
@@ -180,7 +180,7 @@
                 Some(fault),
             ),
         };
-        let want = if formless.is_some() {
+        let want = if form_fault.is_some() {
             Want::Count(0)
         } else {
             Want::Sized {
@@ -199,14 +199,14 @@
             Purpose::Search {
                 set,
                 form,
-                formless,
+                form_fault,
             },
             operation,
             step,
         ))
     }
 
-    pub(super) fn present(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Begun {
+    pub(super) fn present(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Started {
         let name = unit
             .get(tag::SET_ID)
             .and_then(Item::text)
@@ -257,7 +257,7 @@
         ))
     }
 
-    pub(super) fn scan(&mut self, unit: &Item) -> Begun {
+    pub(super) fn scan(&mut self, unit: &Item) -> Started {
         let request = scan::read_request(unit)?;
         self.check_databases(&request.databases)?;
         if !request.clause.index.scan {
@@ -284,7 +284,7 @@
         Ok((Purpose::Scan, operation, step))
     }
 
-    pub(super) fn sort(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Begun {
+    pub(super) fn sort(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Started {
         let request = sort::read_request(unit, self.config.sort_keys)?;
         let [input] = request.input.as_slice() else {
             return Err(Kind::SORT_TOO_MANY.of("one result set at a time"));
--- a/catalogue/src/sets.rs
+++ b/catalogue/src/sets.rs
@@ -187,28 +187,28 @@
 
     /// The range to request from a slice. It includes the record before the range if that was the
     /// last one delivered, so that changes can be detected.
-    pub fn ask(&self, place: &SliceRange) -> Range {
-        let anchored = self.slices[place.at]
+    pub fn range_to_fetch(&self, range: &SliceRange) -> Range {
+        let anchored = self.slices[range.at]
             .anchor
-            .is_some_and(|a| a.offset + 1 == place.offset);
+            .is_some_and(|a| a.offset + 1 == range.offset);
         let back = u64::from(anchored);
         Range {
-            slice: place.slice,
-            offset: place.offset - back,
-            count: (place.count + back) as u32,
+            slice: range.slice,
+            offset: range.offset - back,
+            count: (range.count + back) as u32,
         }
     }
 
     /// Compares a slice's result for a range with earlier results and removes the extra record that
     /// was requested for the check.
-    pub fn check(&self, place: &SliceRange, found: &mut Found) -> Result<(), Changed> {
-        let slice = &self.slices[place.at];
+    pub fn verify(&self, range: &SliceRange, found: &mut Found) -> Result<(), Changed> {
+        let slice = &self.slices[range.at];
         let changed = Err(Changed { slice: slice.slice });
         // A capped count may be capped at another value next time.
         if slice.exact && found.exact && found.hits != slice.hits {
             return changed;
         }
-        if let Some(anchor) = slice.anchor.filter(|a| a.offset + 1 == place.offset) {
+        if let Some(anchor) = slice.anchor.filter(|a| a.offset + 1 == range.offset) {
             if found.records.is_empty() {
                 return changed;
             }
@@ -218,15 +218,15 @@
                 return changed;
             }
         }
-        if (found.records.len() as u64) < place.count {
+        if (found.records.len() as u64) < range.count {
             return changed;
         }
-        found.records.truncate(place.count as usize);
+        found.records.truncate(range.count as usize);
         Ok(())
     }
 
     /// Remembers a delivered record, against which the slice's next page is checked.
-    pub fn delivered(&mut self, at: usize, offset: u64, record: &crate::record::Record) {
+    pub fn record_delivered(&mut self, at: usize, offset: u64, record: &crate::record::Record) {
         let anchor = Anchor {
             offset,
             fingerprint: record.fingerprint(),
@@ -242,7 +242,7 @@
             2 * m.order.len()
                 + m.sources
                     .iter()
-                    .flat_map(|s| &s.ahead)
+                    .flat_map(|s| &s.buffered)
                     .map(rows)
                     .sum::<usize>()
         });
@@ -269,11 +269,11 @@
     bounds: SetBounds,
     sets: HashMap<SetId, ResultSet>,
     /// When each set expires if it is not used before.
-    ends: BTreeSet<(Time, SetId)>,
+    expirations: BTreeSet<(Time, SetId)>,
     tokens: HashMap<String, SetId>,
-    keys: HashMap<String, SetId>,
+    latest_by_search: HashMap<String, SetId>,
     owned: BTreeMap<u64, BTreeSet<SetId>>,
-    gone: VecDeque<String>,
+    deleted_tokens: VecDeque<String>,
     bytes: usize,
     next: u64,
     secret: u64,
@@ -287,11 +287,11 @@
         SetTable {
             bounds,
             sets: HashMap::new(),
-            ends: BTreeSet::new(),
+            expirations: BTreeSet::new(),
             tokens: HashMap::new(),
-            keys: HashMap::new(),
+            latest_by_search: HashMap::new(),
             owned: BTreeMap::new(),
-            gone: VecDeque::new(),
+            deleted_tokens: VecDeque::new(),
             bytes: 0,
             next: 1,
             secret: seed,
@@ -319,17 +319,17 @@
         set.ttl = ttl.unwrap_or(self.bounds.ttl).min(self.bounds.ttl);
         set.used = now;
         set.key = search_key(&set.query, &set.sort);
-        set.token = format!("{:016x}{:x}", mix(self.secret ^ id.0), id.0);
+        set.token = format!("{:016x}{:x}", splitmix64(self.secret ^ id.0), id.0);
         set.bytes = set.measure();
         self.bytes += set.bytes;
-        self.ends.insert((now.saturating_add(set.ttl), id));
+        self.expirations.insert((now.saturating_add(set.ttl), id));
         match owner {
             Owner::Session(session) => {
                 self.owned.entry(session).or_default().insert(id);
             }
             Owner::Shared => {
                 self.tokens.insert(set.token.clone(), id);
-                self.keys.insert(set.key.clone(), id);
+                self.latest_by_search.insert(set.key.clone(), id);
             }
         }
         self.sets.insert(id, set);
@@ -337,7 +337,11 @@
         // Evicts the least recently used sets, but never the new one, as otherwise a large set
         // could not be created at all.
         while (self.sets.len() > self.bounds.sets || self.bytes > self.bounds.bytes)
-            && let Some((_, oldest)) = self.ends.iter().find(|(_, other)| *other != id).copied()
+            && let Some((_, oldest)) = self
+                .expirations
+                .iter()
+                .find(|(_, other)| *other != id)
+                .copied()
         {
             self.evicted += 1;
             self.remove(oldest);
@@ -349,9 +353,10 @@
     pub fn get(&mut self, id: SetId, now: Time) -> Option<&mut ResultSet> {
         self.expire(now);
         let set = self.sets.get_mut(&id)?;
-        self.ends.remove(&(set.used.saturating_add(set.ttl), id));
+        self.expirations
+            .remove(&(set.used.saturating_add(set.ttl), id));
         set.used = now;
-        self.ends.insert((now.saturating_add(set.ttl), id));
+        self.expirations.insert((now.saturating_add(set.ttl), id));
         Some(set)
     }
 
@@ -369,7 +374,9 @@
         self.expire(now);
         match self.tokens.get(token) {
             Some(id) => Ok(*id),
-            None if self.gone.iter().any(|gone| gone == token) => Err(Kind::SET_GONE.of(token)),
+            None if self.deleted_tokens.iter().any(|deleted| deleted == token) => {
+                Err(Kind::SET_GONE.of(token))
+            }
             None => Err(Kind::NO_SET.of(token)),
         }
     }
@@ -377,7 +384,7 @@
     /// The shared set that a request without a token continues.
     pub fn by_search(&mut self, query: &Node, sort: &[SortKey], now: Time) -> Option<SetId> {
         self.expire(now);
-        self.keys.get(&search_key(query, sort)).copied()
+        self.latest_by_search.get(&search_key(query, sort)).copied()
     }
 
     /// Deletes a set.
@@ -386,7 +393,8 @@
             return;
         };
         self.bytes -= set.bytes;
-        self.ends.remove(&(set.used.saturating_add(set.ttl), id));
+        self.expirations
+            .remove(&(set.used.saturating_add(set.ttl), id));
         match set.owner {
             Owner::Session(session) => {
                 if let Some(owned) = self.owned.get_mut(&session) {
@@ -398,12 +406,12 @@
             }
             Owner::Shared => {
                 self.tokens.remove(&set.token);
-                if self.keys.get(&set.key) == Some(&id) {
-                    self.keys.remove(&set.key);
+                if self.latest_by_search.get(&set.key) == Some(&id) {
+                    self.latest_by_search.remove(&set.key);
                 }
-                self.gone.push_back(set.token);
-                if self.gone.len() > self.bounds.gone {
-                    self.gone.pop_front();
+                self.deleted_tokens.push_back(set.token);
+                if self.deleted_tokens.len() > self.bounds.gone {
+                    self.deleted_tokens.pop_front();
                 }
             }
         }
@@ -418,7 +426,12 @@
 
     /// Deletes expired sets.
     pub fn expire(&mut self, now: Time) {
-        while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
+        while let Some((_, id)) = self
+            .expirations
+            .first()
+            .copied()
+            .filter(|(at, _)| *at <= now)
+        {
             self.remove(id);
         }
     }
@@ -429,7 +442,7 @@
 }
 
 /// One step of splitmix64, which makes consecutive counter values look unrelated.
-fn mix(n: u64) -> u64 {
+fn splitmix64(n: u64) -> u64 {
     let n = n.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let n = (n ^ n >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let n = (n ^ n >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/catalogue/src/sets/tests.rs
+++ b/catalogue/src/sets/tests.rs
@@ -71,7 +71,7 @@
         records: numbers.iter().map(|n| record(*n)).collect(),
         ..Found::default()
     };
-    set.delivered(0, 1, &record(1));
+    set.record_delivered(0, 1, &record(1));
     let place = SliceRange {
         at: 0,
         slice: 0,
@@ -79,7 +79,7 @@
         count: 2,
     };
     assert_eq!(
-        set.ask(&place),
+        set.range_to_fetch(&place),
         Range {
             slice: 0,
             offset: 1,
@@ -87,22 +87,22 @@
         }
     );
     let mut good = page(5, &[1, 2, 3]);
-    assert_eq!(set.check(&place, &mut good), Ok(()));
+    assert_eq!(set.verify(&place, &mut good), Ok(()));
     assert_eq!(
         good.records,
         [record(2), record(3)],
         "the record before is taken off"
     );
     assert!(
-        set.check(&place, &mut page(6, &[1, 2, 3])).is_err(),
+        set.verify(&place, &mut page(6, &[1, 2, 3])).is_err(),
         "one more"
     );
     assert!(
-        set.check(&place, &mut page(5, &[0, 1, 2])).is_err(),
+        set.verify(&place, &mut page(5, &[0, 1, 2])).is_err(),
         "another order"
     );
     assert!(
-        set.check(&place, &mut page(5, &[1, 2])).is_err(),
+        set.verify(&place, &mut page(5, &[1, 2])).is_err(),
         "one too few"
     );
     let elsewhere = SliceRange {
@@ -112,7 +112,7 @@
         count: 1,
     };
     assert_eq!(
-        set.ask(&elsewhere),
+        set.range_to_fetch(&elsewhere),
         Range {
             slice: 0,
             offset: 4,
--- a/catalogue/src/sort.rs
+++ b/catalogue/src/sort.rs
@@ -93,14 +93,14 @@
 
 /// Parses SRU's `sortKeys` (1.1, "Sort Parameters"):
 /// `path,schema,ascending,caseSensitive,missingValue`, separated by spaces.
-pub fn read_sort_keys(text: &str, most: usize) -> Result<Vec<SortKey>, Fault> {
+pub fn read_sort_keys(text: &str, max_keys: usize) -> Result<Vec<SortKey>, Fault> {
     let mut keys = Vec::new();
     for word in text.split_whitespace() {
         let parts: Vec<&str> = word.split(',').collect();
         let part = |at: usize| parts.get(at).copied().unwrap_or_default();
         let mut key = SortKey::named(part(0))?;
-        let flag = |at: usize, absent: bool| match part(at) {
-            "" => Ok(absent),
+        let flag = |at: usize, default: bool| match part(at) {
+            "" => Ok(default),
             "1" | "true" => Ok(true),
             "0" | "false" => Ok(false),
             other => Err(Kind::SORT_KEY.of(other)),
@@ -116,8 +116,8 @@
         };
         keys.push(key);
     }
-    if keys.len() > most {
-        Err(Kind::SORT_KEYS.of(most.to_string()))
+    if keys.len() > max_keys {
+        Err(Kind::SORT_KEYS.of(max_keys.to_string()))
     } else {
         Ok(keys)
     }
--- a/catalogue/src/sru.rs
+++ b/catalogue/src/sru.rs
@@ -9,7 +9,7 @@
 mod xml;
 
 pub use error::ResponseError;
-pub use xml::{ReadResponse, read_response};
+pub use xml::{ParsedResponse, read_response};
 
 use serde::{Deserialize, Serialize};
 
--- a/catalogue/src/sru/request.rs
+++ b/catalogue/src/sru/request.rs
@@ -5,7 +5,7 @@
 use crate::cql::{self, Clause, Node, Query, Relation};
 use crate::fault::{Fault, Kind};
 use crate::index;
-use crate::merge::FacetAsk;
+use crate::merge::FacetRequest;
 use crate::record::Schema;
 use crate::sort::{self, SortKey};
 use std::collections::BTreeMap;
@@ -144,7 +144,7 @@
     /// The requested lifetime of the result set, in seconds.
     pub ttl: Option<u64>,
     /// The requested facets.
-    pub facets: Vec<FacetAsk>,
+    pub facets: Vec<FacetRequest>,
 }
 
 /// A scan request.
@@ -230,26 +230,26 @@
     out
 }
 
-struct Reader<'a> {
+struct ParameterReader<'a> {
     given: &'a BTreeMap<String, String>,
     bounds: &'a RequestBounds,
     version: Version,
 }
 
-impl Reader<'_> {
+impl ParameterReader<'_> {
     fn get(&self, name: &str) -> Option<&str> {
         self.given.get(name).map(String::as_str)
     }
 
-    fn number(&self, name: &str, least: u64, absent: u64) -> Result<u64, Fault> {
+    fn number(&self, name: &str, min: u64, default: u64) -> Result<u64, Fault> {
         match self.get(name) {
             Some(text) => text
                 .trim()
                 .parse()
                 .ok()
-                .filter(|n| *n >= least)
+                .filter(|n| *n >= min)
                 .ok_or_else(|| Kind::VALUE.of(name)),
-            None => Ok(absent),
+            None => Ok(default),
         }
     }
 
@@ -341,29 +341,29 @@
     /// Parses `facetLimit` (2.0, "Facet Parameters"), such as `10:dc.subject,5:dc.date`. The
     /// standard's bare number, a limit for every facet, is rejected because no facets are counted
     /// by default.
-    fn facets(&self) -> Result<Vec<FacetAsk>, Fault> {
+    fn facets(&self) -> Result<Vec<FacetRequest>, Fault> {
         let Some(limits) = self.get("facetLimit") else {
             return Ok(Vec::new());
         };
         self.one_of("facetSort", &["recordCount"])?;
         self.one_of("facetStart", &["1"])?;
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         for part in limits.split(',').filter(|p| !p.trim().is_empty()) {
             let bad = || Kind::VALUE.of(format!("facetLimit: {part}"));
             let (limit, name) = part.split_once(':').ok_or_else(bad)?;
             let limit: u32 = limit.trim().parse().map_err(|_| bad())?;
             let index = index::by_name(name.trim()).ok_or_else(|| Kind::INDEX.of(name.trim()))?;
-            asks.push(FacetAsk {
+            requests.push(FacetRequest {
                 index: index.name.to_owned(),
                 limit: limit.min(self.bounds.facet_values),
             });
         }
-        if asks.len() > self.bounds.facets {
+        if requests.len() > self.bounds.facets {
             return Err(
                 Kind::VALUE.of(format!("facetLimit: {} facets at most", self.bounds.facets))
             );
         }
-        Ok(asks)
+        Ok(requests)
     }
 
     fn scan(&self) -> Result<ScanRequest, Fault> {
@@ -426,12 +426,12 @@
     accept: Option<&str>,
     bounds: &RequestBounds,
 ) -> Result<(Form, Request), Box<Refused>> {
-    let word = given.get("operation").map(String::as_str);
-    let guess = match (named, word) {
+    let operation_name = given.get("operation").map(String::as_str);
+    let operation = match (named, operation_name) {
         (Some(operation), _) => Some(operation),
-        (None, Some(word)) => OPERATIONS
+        (None, Some(operation_name)) => OPERATIONS
             .iter()
-            .find(|(known, _)| *known == word)
+            .find(|(known, _)| *known == operation_name)
             .map(|(_, o)| *o),
         (None, None) if given.contains_key("query") => Some(Operation::SearchRetrieve),
         (None, None) if given.contains_key("scanClause") => Some(Operation::Scan),
@@ -441,12 +441,12 @@
     let version = match asked {
         Some(name) => Version::named(name),
         // Versions before 2.0 require the `operation` parameter.
-        None if word.is_some() || named.is_some() => Some(Version::V12),
+        None if operation_name.is_some() || named.is_some() => Some(Version::V12),
         None => Some(Version::V20),
     };
     let mut form = Form {
         version: version.unwrap_or(Version::V12),
-        operation: guess.unwrap_or(Operation::SearchRetrieve),
+        operation: operation.unwrap_or(Operation::SearchRetrieve),
         as_text: false,
         schema: Schema::Dc,
         stylesheet: None,
@@ -467,14 +467,14 @@
         ));
         return Err(refuse(&form, fault, 200));
     };
-    let Some(operation) = guess else {
+    let Some(operation) = operation else {
         return Err(refuse(
             &form,
-            Kind::OPERATION.of(word.unwrap_or_default()),
+            Kind::OPERATION.of(operation_name.unwrap_or_default()),
             200,
         ));
     };
-    let reader = Reader {
+    let reader = ParameterReader {
         given,
         bounds,
         version,
--- a/catalogue/src/sru/response.rs
+++ b/catalogue/src/sru/response.rs
@@ -21,7 +21,7 @@
         version.diagnostics(),
         fault.kind.sru,
         escape(&fault.about),
-        escape(fault.kind.words()),
+        escape(fault.kind.message()),
     );
 }
 
--- a/catalogue/src/sru/xml.rs
+++ b/catalogue/src/sru/xml.rs
@@ -10,7 +10,7 @@
 
 /// A parsed response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ReadResponse {
+pub struct ParsedResponse {
     /// The local name of the root element.
     pub root: String,
     /// `version`, if present.
@@ -34,7 +34,7 @@
 
 #[derive(Default)]
 struct State {
-    response: ReadResponse,
+    response: ParsedResponse,
     path: Vec<String>,
     /// The namespace declarations of each open element, which records may rely on.
     declared: Vec<Vec<(String, String)>>,
@@ -45,7 +45,7 @@
 }
 
 /// Parses a response.
-pub fn read_response(text: &str) -> Result<ReadResponse, ResponseError> {
+pub fn read_response(text: &str) -> Result<ParsedResponse, ResponseError> {
     let mut reader = Reader::from_str(text);
     let mut state = State::default();
     state.response.exact = true;
@@ -272,7 +272,7 @@
         return Ok(Record::new(text.trim().to_owned()));
     }
     let xml = String::from_utf8(writer.into_inner())?;
-    let xml = without_idle_declarations(xml.trim(), declared);
+    let xml = without_unused_declarations(xml.trim(), declared);
     // A surrogate diagnostic.
     if let Some((name, _)) = crate::record::tree::root(&xml)
         && name == "diagnostic"
@@ -288,7 +288,7 @@
 }
 
 /// Removes copied namespace declarations that the record does not use.
-fn without_idle_declarations(xml: &str, declared: &[Vec<(String, String)>]) -> String {
+fn without_unused_declarations(xml: &str, declared: &[Vec<(String, String)>]) -> String {
     let mut out = xml.to_owned();
     for (prefix, uri) in declared.iter().flatten() {
         let used = out.contains(&format!("<{prefix}:")) || out.contains(&format!(" {prefix}:"));
--- a/catalogue/src/work.rs
+++ b/catalogue/src/work.rs
@@ -1,7 +1,7 @@
 //! The request and result of a part, in the form in which they pass through the dispatch core.
 
 use crate::fault::Fault;
-use crate::merge::{Facet, FacetAsk, Terms};
+use crate::merge::{Facet, FacetRequest, Terms};
 use crate::record::{Record, Schema};
 use crate::sort::SortKey;
 use serde::{Deserialize, Serialize};
@@ -41,7 +41,7 @@
     /// The range to fetch from each slice; slices without a range return only their hit count.
     pub ranges: Vec<Range>,
     /// The requested facets.
-    pub facets: Vec<FacetAsk>,
+    pub facets: Vec<FacetRequest>,
 }
 
 impl PageWork {
--- a/catalogue/src/z3950/init.rs
+++ b/catalogue/src/z3950/init.rs
@@ -72,7 +72,7 @@
     }
 
     /// The options in both sets.
-    pub fn both(self, other: Abilities) -> Self {
+    pub fn intersection(self, other: Abilities) -> Self {
         Abilities(self.0 & other.0)
     }
 
@@ -170,7 +170,7 @@
 }
 
 /// Writes the name and version of this implementation.
-pub fn name_self(w: &mut Writer) {
+pub fn write_implementation(w: &mut Writer) {
     w.bytes(tag::IMPLEMENTATION_ID, b"bitternsill");
     w.bytes(tag::IMPLEMENTATION_NAME, b"bitternsill");
     w.bytes(
--- a/catalogue/src/z3950/records.rs
+++ b/catalogue/src/z3950/records.rs
@@ -5,7 +5,7 @@
 use crate::record::{Record, RecordError, Schema, Syntax};
 
 /// An encoded record, or the diagnostic in its place.
-pub type Ready = Result<Vec<u8>, Fault>;
+pub type EncodedRecord = Result<Vec<u8>, Fault>;
 
 fn external(w: &mut Writer, syntax: Syntax, bytes: &[u8]) {
     w.inside_universal(universal::EXTERNAL, |external| {
@@ -30,7 +30,7 @@
     Last = 5,
 }
 
-fn entry(database: &str, fragment: Fragment, syntax: Syntax, record: &Ready) -> Vec<u8> {
+fn entry(database: &str, fragment: Fragment, syntax: Syntax, record: &EncodedRecord) -> Vec<u8> {
     let mut w = Writer::default();
     w.inside_universal(universal::SEQUENCE, |named| {
         named.bytes(0, database.as_bytes());
@@ -62,7 +62,7 @@
 
 /// Records divided into messages.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Divided {
+pub struct SegmentedRecords {
     /// The segments sent before the response: the number of records in each, and their bytes.
     pub segments: Vec<(usize, Vec<u8>)>,
     /// The records in the response itself.
@@ -70,20 +70,20 @@
     /// The total number of records.
     pub delivered: usize,
     /// Whether some records did not fit.
-    pub short: bool,
+    pub truncated: bool,
 }
 
-/// Divides records into messages of at most `most` bytes in total.
-pub fn divide(
+/// Divides records into messages of at most `max_bytes` bytes in total.
+pub fn segment_records(
     database: &str,
     syntax: Syntax,
-    records: Vec<Ready>,
+    records: Vec<EncodedRecord>,
     limits: SegmentLimits,
-    most: usize,
-) -> Divided {
+    max_bytes: usize,
+) -> SegmentedRecords {
     use crate::fault::Kind;
-    let mut out = Divided::default();
-    let (mut open, mut spent): ((usize, Vec<u8>), usize) = ((0, Vec::new()), 0);
+    let mut out = SegmentedRecords::default();
+    let (mut current, mut total_bytes): ((usize, Vec<u8>), usize) = ((0, Vec::new()), 0);
     for mut record in records {
         let mut bytes = entry(database, Fragment::Whole, syntax, &record);
         if bytes.len() > limits.preferred && limits.segmentation < 2 {
@@ -91,23 +91,23 @@
             if bytes.len() > limits.exceptional {
                 record = Err(Kind::RECORD_TOO_LONG.of(bytes.len().to_string()));
                 bytes = entry(database, Fragment::Whole, syntax, &record);
-            } else if limits.segmentation == 0 && open.0 > 0 {
+            } else if limits.segmentation == 0 && current.0 > 0 {
                 record = Err(Kind::RECORD_OVER_MESSAGE.of(bytes.len().to_string()));
                 bytes = entry(database, Fragment::Whole, syntax, &record);
             }
         }
-        if spent + bytes.len() > most {
-            out.short = true;
+        if total_bytes + bytes.len() > max_bytes {
+            out.truncated = true;
             break;
         }
-        spent += bytes.len();
-        let fits = open.1.len() + bytes.len() <= limits.preferred;
-        if !fits && limits.segmentation == 0 && open.0 > 0 {
-            out.short = true;
+        total_bytes += bytes.len();
+        let fits = current.1.len() + bytes.len() <= limits.preferred;
+        if !fits && limits.segmentation == 0 && current.0 > 0 {
+            out.truncated = true;
             break;
         }
-        if !fits && open.0 > 0 {
-            out.segments.push(std::mem::take(&mut open));
+        if !fits && current.0 > 0 {
+            out.segments.push(std::mem::take(&mut current));
         }
         if let (Ok(complete), 2) = (&record, limits.segmentation)
             && bytes.len() > limits.preferred
@@ -130,16 +130,16 @@
                 if at + 1 < count {
                     out.segments.push((1, part));
                 } else {
-                    open = (1, part);
+                    current = (1, part);
                 }
             }
         } else {
-            open.0 += 1;
-            open.1.extend(bytes);
+            current.0 += 1;
+            current.1.extend(bytes);
         }
         out.delivered += 1;
     }
-    out.last = open;
+    out.last = current;
     out
 }
 
@@ -168,17 +168,17 @@
 }
 
 /// A record of a response, or the diagnostic in its place.
-pub type WorkResult = Result<Record, Fault>;
+pub type RecordResult = Result<Record, Fault>;
 
 /// Reads the records of a response or segment. Fails if an entry is malformed.
-pub fn read(response: &Item, list_tag: u32) -> Result<Vec<WorkResult>, RecordError> {
+pub fn read(response: &Item, list_tag: u32) -> Result<Vec<RecordResult>, RecordError> {
     let Some(list) = response.get(list_tag) else {
         return Ok(Vec::new());
     };
     list.items().iter().map(read_entry).collect()
 }
 
-fn read_entry(named: &Item) -> Result<WorkResult, RecordError> {
+fn read_entry(named: &Item) -> Result<RecordResult, RecordError> {
     let choice = named
         .get(1)
         .ok_or(RecordError::Malformed("record missing"))?;
--- a/catalogue/src/z3950/records/tests.rs
+++ b/catalogue/src/z3950/records/tests.rs
@@ -3,16 +3,16 @@
 use super::*;
 use crate::ber;
 
-fn records(sizes: &[usize]) -> Vec<Ready> {
+fn records(sizes: &[usize]) -> Vec<EncodedRecord> {
     sizes
         .iter()
         .map(|n| Ok(format!("<dc><title>{}</title></dc>", "x".repeat(*n)).into_bytes()))
         .collect()
 }
 
-fn read_back(divided: &Divided) -> Vec<WorkResult> {
+fn read_back(segmented: &SegmentedRecords) -> Vec<RecordResult> {
     let mut all = Vec::new();
-    for (count, bytes) in divided.segments.iter().chain([&divided.last]) {
+    for (count, bytes) in segmented.segments.iter().chain([&segmented.last]) {
         let item = ber::read(&mut segment(None, *count, bytes), 1 << 24, 16)
             .unwrap()
             .expect("a segment");
@@ -31,7 +31,7 @@
         exceptional: 3000,
         segmentation: 0,
     };
-    let divided = divide(
+    let segmented = segment_records(
         "d",
         Syntax::Xml,
         records(&[300, 300, 300, 300]),
@@ -39,14 +39,18 @@
         1 << 20,
     );
     assert_eq!(
-        (divided.delivered, divided.short, divided.segments.len()),
+        (
+            segmented.delivered,
+            segmented.truncated,
+            segmented.segments.len()
+        ),
         (2, true, 0)
     );
     // The first may be exceptional, a longer one is said to be too long in its place.
-    let divided = divide("d", Syntax::Xml, records(&[2000, 300]), limits, 1 << 20);
-    assert_eq!((divided.delivered, divided.short), (1, true));
-    let divided = divide("d", Syntax::Xml, records(&[4000, 300]), limits, 1 << 20);
-    let given = read_back(&divided);
+    let segmented = segment_records("d", Syntax::Xml, records(&[2000, 300]), limits, 1 << 20);
+    assert_eq!((segmented.delivered, segmented.truncated), (1, true));
+    let segmented = segment_records("d", Syntax::Xml, records(&[4000, 300]), limits, 1 << 20);
+    let given = read_back(&segmented);
     assert_eq!(
         (
             given.len(),
@@ -54,9 +58,9 @@
         ),
         (2, Some(17))
     );
-    let divided = divide("d", Syntax::Xml, records(&[10, 2000, 10]), limits, 1 << 20);
+    let segmented = segment_records("d", Syntax::Xml, records(&[10, 2000, 10]), limits, 1 << 20);
     assert_eq!(
-        read_back(&divided)[1]
+        read_back(&segmented)[1]
             .as_ref()
             .map_err(|f| f.kind.bib1)
             .err(),
@@ -71,7 +75,7 @@
         exceptional: 3000,
         segmentation: 1,
     };
-    let divided = divide(
+    let segmented = segment_records(
         "d",
         Syntax::Xml,
         records(&[300, 300, 2000, 300, 300, 300]),
@@ -79,11 +83,15 @@
         1 << 20,
     );
     assert_eq!(
-        (divided.delivered, divided.short, read_back(&divided).len()),
+        (
+            segmented.delivered,
+            segmented.truncated,
+            read_back(&segmented).len()
+        ),
         (6, false, 6)
     );
     assert!(
-        divided
+        segmented
             .segments
             .iter()
             .all(|(_, bytes)| bytes.len() <= 2200)
@@ -92,29 +100,29 @@
         segmentation: 2,
         ..limits
     };
-    let divided = divide(
+    let segmented = segment_records(
         "d",
         Syntax::Xml,
         records(&[300, 9000, 300]),
         limits,
         1 << 20,
     );
-    assert_eq!((divided.delivered, divided.short), (3, false));
+    assert_eq!((segmented.delivered, segmented.truncated), (3, false));
     assert!(
-        divided
+        segmented
             .segments
             .iter()
             .all(|(_, bytes)| bytes.len() <= 1000),
         "each within the preferred size"
     );
-    let parts = divided
+    let parts = segmented
         .segments
         .iter()
-        .chain([&divided.last])
+        .chain([&segmented.last])
         .filter(|(n, _)| *n == 1)
         .count();
     assert!(parts >= 10);
     // Whatever is asked for, no more than the bound is held for one client.
-    let divided = divide("d", Syntax::Xml, records(&[500; 100]), limits, 5000);
-    assert!(divided.short && divided.delivered < 10);
+    let segmented = segment_records("d", Syntax::Xml, records(&[500; 100]), limits, 5000);
+    assert!(segmented.truncated && segmented.delivered < 10);
 }
--- a/catalogue/src/z3950/sort.rs
+++ b/catalogue/src/z3950/sort.rs
@@ -33,8 +33,8 @@
     Kind::SYNTAX.of(what)
 }
 
-/// Reads a sort request with at most `most` keys.
-pub fn read_request(unit: &Item, most: usize) -> Result<SortRequest, Fault> {
+/// Reads a sort request with at most `max_keys` keys.
+pub fn read_request(unit: &Item, max_keys: usize) -> Result<SortRequest, Fault> {
     let input: Option<Vec<String>> = unit
         .get(3)
         .map(Item::items)
@@ -47,8 +47,8 @@
         .and_then(Item::text)
         .ok_or_else(|| malformed("the output set is missing"))?;
     let specs = unit.get(5).map(Item::items).unwrap_or_default();
-    if specs.len() > most {
-        return Err(Kind::SORT_KEYS.of(most.to_string()));
+    if specs.len() > max_keys {
+        return Err(Kind::SORT_KEYS.of(max_keys.to_string()));
     }
     let keys = specs.iter().map(read_key).collect::<Result<Vec<_>, _>>()?;
     if keys.is_empty() {
