--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -7,7 +7,7 @@
 use crate::limits::Limits;
 use crate::net::{self, Attempt, Connection, Context, Input, Ready, Stream};
 use catalogue::host::{HostBounds, HostEvent, Next};
-use catalogue::pool::{self, Fate, Learned, Pool, PoolBounds};
+use catalogue::pool::{self, AbandonedAction, HostCapabilities, Pool, PoolBounds};
 use catalogue::work::{Work, WorkResult};
 use dispatch::interface::{Outcome, ServerId, Time};
 use std::cell::RefCell;
@@ -33,7 +33,7 @@
         work: &Work,
         slice: u32,
         database: &str,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Next<Vec<u8>>;
 
@@ -41,13 +41,13 @@
     fn read(
         &mut self,
         input: &mut Vec<u8>,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         limits: &Limits,
         now: Time,
     ) -> Result<Option<HostEvent>, Nonsense>;
 
     /// The reply that the end of the connection completes, where that is how the protocol has it.
-    fn ended(&mut self, _learned: &mut Learned, _now: Time) -> Option<HostEvent> {
+    fn ended(&mut self, _capabilities: &mut HostCapabilities, _now: Time) -> Option<HostEvent> {
         None
     }
 
@@ -73,11 +73,11 @@
     pub fn new(limits: Rc<Limits>, dialect: MakeDialect, slice_database: &str) -> Self {
         let pool = Pool::new(PoolBounds {
             sessions: limits.connections_per_host,
-            rest_least: limits.host_backoff.0,
-            rest_most: limits.host_backoff.1,
-            learn_for: limits.capability_ttl,
-            outlive_least: limits.abandoned_search_time.0,
-            outlive_most: limits.abandoned_search_time.1,
+            backoff_min: limits.host_backoff.0,
+            backoff_max: limits.host_backoff.1,
+            capability_ttl: limits.capability_ttl,
+            abandoned_time_min: limits.abandoned_search_time.0,
+            abandoned_time_max: limits.abandoned_search_time.1,
             hosts: limits.hosts,
         });
         let pool = Rc::new(RefCell::new(pool));
@@ -141,7 +141,7 @@
         match self.pool.borrow_mut().choose(host.0, calls, now) {
             pool::Choice::Use(at) | pool::Choice::Wait(at) => Choice::Use(at),
             pool::Choice::Open => Choice::Open,
-            pool::Choice::Rest => Choice::None,
+            pool::Choice::Backoff => Choice::None,
         }
     }
 }
@@ -157,7 +157,7 @@
         written: bool,
     },
     /// One that nobody waits for any more: its answer is read and dropped, if it comes by then.
-    Outlived { until: Time },
+    Draining { until: Time },
 }
 
 struct SerialLink {
@@ -229,9 +229,9 @@
                 .replace("{slice}", &part.shard.to_string());
             let next = {
                 let mut pool = self.pool.borrow_mut();
-                let learned = pool.learned(self.host.0, cx.now);
+                let capabilities = pool.capabilities(self.host.0, cx.now);
                 self.dialect
-                    .begin(&work, part.shard, &database, learned, cx.now)
+                    .begin(&work, part.shard, &database, capabilities, cx.now)
             };
             self.used = cx.now;
             self.current = Some(Current::Wanted {
@@ -265,7 +265,7 @@
             cx.close();
         } else if idle {
             cx.set_timer(self.used + cx.world.limits.host_idle);
-        } else if let Some(Current::Outlived { until }) = &self.current {
+        } else if let Some(Current::Draining { until }) = &self.current {
             cx.set_timer(*until);
         } else {
             cx.clear_timer();
@@ -300,10 +300,10 @@
 
     /// What comes next for the part under way.
     fn next(&mut self, cx: &mut Cx<'_>, next: Next<Vec<u8>>) {
-        if let Some(Current::Outlived { .. }) = self.current {
+        if let Some(Current::Draining { .. }) = self.current {
             // Whatever it is, nobody waits for it: the session is free again.
             self.current = None;
-            self.pool.borrow_mut().outlived(self.host.0, cx.now);
+            self.pool.borrow_mut().drained(self.host.0, cx.now);
             return self.count_down(cx);
         }
         let Some(Current::Wanted {
@@ -416,14 +416,14 @@
         }
         // Neither protocol has a word that every host knows to take a search back. Its session
         // reads the late answer and goes on, or ends with it, whichever is cheaper.
-        let fate = match written {
+        let action = match written {
             true => self.pool.borrow_mut().abandon(self.host.0, *asked, cx.now),
-            false => Fate::End,
+            false => AbandonedAction::Close,
         };
         cx.world.hosts.attempt_ended(self.host, attempt);
-        match fate {
-            Fate::Outlive(until) => {
-                self.current = Some(Current::Outlived { until });
+        match action {
+            AbandonedAction::Drain(until) => {
+                self.current = Some(Current::Draining { until });
                 // What waits behind it need not wait for it.
                 let waiting: Vec<usize> = self.calls.drain(..).collect();
                 self.calls.extend(waiting.first().map(|_| 1));
@@ -433,7 +433,7 @@
                 self.move_queue(cx);
                 self.schedule(cx);
             }
-            Fate::End => {
+            AbandonedAction::Close => {
                 self.current = None;
                 self.retire(cx);
                 self.move_queue(cx);
@@ -453,8 +453,9 @@
             let host_event = {
                 let limits = cx.world.limits.clone();
                 let mut pool = self.pool.borrow_mut();
-                let learned = pool.learned(self.host.0, cx.now);
-                self.dialect.read(&mut self.input, learned, &limits, cx.now)
+                let capabilities = pool.capabilities(self.host.0, cx.now);
+                self.dialect
+                    .read(&mut self.input, capabilities, &limits, cx.now)
             };
             match host_event {
                 Ok(Some(host_event)) => self.handle_host_event(cx, host_event),
@@ -477,8 +478,8 @@
             Ok(Input::Ended) => {
                 let host_event = {
                     let mut pool = self.pool.borrow_mut();
-                    let learned = pool.learned(self.host.0, cx.now);
-                    self.dialect.ended(learned, cx.now)
+                    let capabilities = pool.capabilities(self.host.0, cx.now);
+                    self.dialect.ended(capabilities, cx.now)
                 };
                 if let Some(host_event) = host_event {
                     self.handle_host_event(cx, host_event);
@@ -582,7 +583,7 @@
             }
             match self.current.take() {
                 Some(Current::Wanted { part, .. }) => parts.push_front(part),
-                Some(Current::Outlived { .. }) => pool.outlived(self.host.0, cx.now),
+                Some(Current::Draining { .. }) => pool.drained(self.host.0, cx.now),
                 None => {}
             }
         }
--- a/bitternsill/src/front/catalogue/sru_host.rs
+++ b/bitternsill/src/front/catalogue/sru_host.rs
@@ -5,7 +5,7 @@
 use crate::limits::Limits;
 use catalogue::host::sru::{Job, check};
 use catalogue::host::{HostBounds, HostEvent, Next};
-use catalogue::pool::Learned;
+use catalogue::pool::HostCapabilities;
 use catalogue::sru::request::percent;
 use catalogue::work::{Work, WorkResult};
 use dispatch::interface::Time;
@@ -32,7 +32,7 @@
         })
     }
 
-    fn say(&self, learned: &Learned) -> Next<Vec<u8>> {
+    fn say(&self, capabilities: &HostCapabilities) -> Next<Vec<u8>> {
         let Some((job, database)) = &self.job else {
             return Next::Failed("no search is under way".to_owned());
         };
@@ -40,25 +40,32 @@
             format!(
                 "GET /{}?{} HTTP/1.1\r\nHost: {}\r\nAccept: application/sru+xml, text/xml\r\n\r\n",
                 percent(database),
-                job.ask(&self.bounds, learned),
+                job.ask(&self.bounds, capabilities),
                 self.to
             )
             .into_bytes(),
         )
     }
 
-    fn answered(&mut self, head: &Head, body: &[u8], learned: &mut Learned) -> HostEvent {
+    fn answered(
+        &mut self,
+        head: &Head,
+        body: &[u8],
+        capabilities: &mut HostCapabilities,
+    ) -> HostEvent {
         let text = String::from_utf8_lossy(body);
         let status = head.start.1.parse().unwrap_or(0);
         let Some((job, _)) = &mut self.job else {
             return HostEvent::Next(Next::Failed("a response to nothing".to_owned()));
         };
-        HostEvent::Next(match job.answered(status, &text, &self.bounds, learned) {
-            Next::Send(()) => self.say(learned),
-            Next::Done(given) => Next::Done(given),
-            Next::Later => Next::Later,
-            Next::Failed(problem) => Next::Failed(problem),
-        })
+        HostEvent::Next(
+            match job.answered(status, &text, &self.bounds, capabilities) {
+                Next::Send(()) => self.say(capabilities),
+                Next::Done(given) => Next::Done(given),
+                Next::Later => Next::Later,
+                Next::Failed(problem) => Next::Failed(problem),
+            },
+        )
     }
 }
 
@@ -72,21 +79,24 @@
         work: &Work,
         slice: u32,
         database: &str,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         _now: Time,
     ) -> Next<Vec<u8>> {
         if let Err(fault) = check(work) {
             return Next::Done(WorkResult::Refused(fault));
         }
         self.reader = None;
-        self.job = Some((Job::new(work.clone(), slice, learned), database.to_owned()));
-        self.say(learned)
+        self.job = Some((
+            Job::new(work.clone(), slice, capabilities),
+            database.to_owned(),
+        ));
+        self.say(capabilities)
     }
 
     fn read(
         &mut self,
         input: &mut Vec<u8>,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         limits: &Limits,
         _now: Time,
     ) -> Result<Option<HostEvent>, Nonsense> {
@@ -102,17 +112,17 @@
                 let (head, body) = reader.take();
                 self.closing |= !head.keeps_alive();
                 self.reader = None;
-                Ok(Some(self.answered(&head, &body, learned)))
+                Ok(Some(self.answered(&head, &body, capabilities)))
             }
             Err(problem) => Err(Nonsense(problem.to_string())),
         }
     }
 
-    fn ended(&mut self, learned: &mut Learned, _now: Time) -> Option<HostEvent> {
+    fn ended(&mut self, capabilities: &mut HostCapabilities, _now: Time) -> Option<HostEvent> {
         let mut reader = self.reader.take().filter(Reader::ends_with_connection)?;
         self.closing = true;
         let (head, body) = reader.take();
-        Some(self.answered(&head, &body, learned))
+        Some(self.answered(&head, &body, capabilities))
     }
 
     fn is_closing(&self) -> bool {
--- a/bitternsill/src/front/catalogue/z3950_host.rs
+++ b/bitternsill/src/front/catalogue/z3950_host.rs
@@ -5,7 +5,7 @@
 use catalogue::ber;
 use catalogue::host::z3950::{Session, init_request};
 use catalogue::host::{HostBounds, HostEvent, Next};
-use catalogue::pool::Learned;
+use catalogue::pool::HostCapabilities;
 use catalogue::work::Work;
 use dispatch::interface::Time;
 use std::net::SocketAddr;
@@ -36,24 +36,24 @@
         work: &Work,
         slice: u32,
         database: &str,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Next<Vec<u8>> {
         self.session
-            .begin(work, slice, database, &self.bounds, learned, now)
+            .begin(work, slice, database, &self.bounds, capabilities, now)
     }
 
     fn read(
         &mut self,
         input: &mut Vec<u8>,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         limits: &Limits,
         now: Time,
     ) -> Result<Option<HostEvent>, Nonsense> {
         match ber::read(input, limits.host_message, limits.ber_depth) {
             Ok(Some(unit)) => self
                 .session
-                .receive(&unit, &self.bounds, learned, now)
+                .receive(&unit, &self.bounds, capabilities, now)
                 .map(Some)
                 .map_err(|problem| Nonsense(problem.to_string())),
             Ok(None) => Ok(None),
--- a/catalogue/src/host/sru.rs
+++ b/catalogue/src/host/sru.rs
@@ -7,7 +7,7 @@
 use crate::cql::{self, write_sort};
 use crate::fault::{Fault, Kind};
 use crate::merge::Terms;
-use crate::pool::Learned;
+use crate::pool::HostCapabilities;
 use crate::record::Schema;
 use crate::sort::write_sort_keys;
 use crate::sru::request::percent;
@@ -33,10 +33,10 @@
 
 impl Job {
     /// Creates a part for one slice.
-    pub fn new(work: Work, slice: u32, learned: &Learned) -> Job {
-        let version = learned.version.unwrap_or(VERSION_ORDER[0]);
+    pub fn new(work: Work, slice: u32, capabilities: &HostCapabilities) -> Job {
+        let version = capabilities.version.unwrap_or(VERSION_ORDER[0]);
         let sort_here =
-            learned.no_sort && matches!(&work, Work::Page(page) if !page.sort.is_empty());
+            capabilities.no_sort && matches!(&work, Work::Page(page) if !page.sort.is_empty());
         Job {
             work,
             slice,
@@ -50,7 +50,7 @@
     }
 
     /// The query component of the next request's URL.
-    pub fn ask(&self, bounds: &HostBounds, learned: &Learned) -> String {
+    pub fn ask(&self, bounds: &HostBounds, capabilities: &HostCapabilities) -> String {
         let mut pairs: Vec<(&str, String)> = Vec::new();
         let before_v20 = self.version != Version::V20;
         if before_v20 {
@@ -58,7 +58,7 @@
         }
         match &self.work {
             Work::Page(page) => {
-                self.add_page_parameters(page, before_v20, bounds, learned, &mut pairs)
+                self.add_page_parameters(page, before_v20, bounds, capabilities, &mut pairs)
             }
             Work::Scan(scan) => {
                 pairs.push(("operation", "scan".to_owned()));
@@ -79,7 +79,7 @@
         page: &PageWork,
         before_v20: bool,
         bounds: &HostBounds,
-        learned: &Learned,
+        capabilities: &HostCapabilities,
         pairs: &mut Vec<(&str, String)>,
     ) {
         let sorted = !page.sort.is_empty() && !self.sort_here;
@@ -109,7 +109,7 @@
         pairs.push(("maximumRecords", count.to_string()));
         let schema = [page.schema, Schema::Dc]
             .into_iter()
-            .find(|s| !learned.no_schema.contains(s));
+            .find(|s| !capabilities.no_schema.contains(s));
         if let Some(schema) = schema {
             pairs.push(("recordSchema", schema.names().short.to_owned()));
         }
@@ -117,7 +117,7 @@
         if sorted && before_v20 {
             pairs.push(("sortKeys", write_sort_keys(&page.sort)));
         }
-        if !before_v20 && !page.facets.is_empty() && !learned.no_facets {
+        if !before_v20 && !page.facets.is_empty() && !capabilities.no_facets {
             let words: Vec<String> = page
                 .facets
                 .iter()
@@ -133,7 +133,7 @@
         status: u16,
         body: &str,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
     ) -> Next<()> {
         self.exchanges += 1;
         // These statuses may also come from a gateway in front of the host. In both cases the
@@ -150,11 +150,11 @@
         let next = match &self.work {
             Work::Page(page) => {
                 let page = page.clone();
-                self.page(&page, response, bounds, learned)
+                self.page(&page, response, bounds, capabilities)
             }
             Work::Scan(scan) => {
                 let scan = scan.clone();
-                self.scan(&scan, response, learned)
+                self.scan(&scan, response, capabilities)
             }
         };
         if matches!(next, Next::Send(())) && self.exchanges >= bounds.exchanges {
@@ -165,19 +165,20 @@
 
     /// Changes the request to avoid the fault, if possible. Returns whether to send the request
     /// again.
-    fn work_around(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
+    fn work_around(&mut self, fault: &Fault, capabilities: &mut HostCapabilities) -> bool {
         let Work::Page(page) = &self.work else {
-            return self.try_other_version(fault, learned);
+            return self.try_other_version(fault, capabilities);
         };
         match fault.kind.sru {
             66 | 67 => {
                 let next = [page.schema, Schema::Dc]
                     .into_iter()
-                    .find(|s| !learned.no_schema.contains(s));
-                next.map(|schema| learned.no_schema.push(schema)).is_some()
+                    .find(|s| !capabilities.no_schema.contains(s));
+                next.map(|schema| capabilities.no_schema.push(schema))
+                    .is_some()
             }
-            8 if fault.about.contains("facet") && !learned.no_facets => {
-                learned.no_facets = true;
+            8 if fault.about.contains("facet") && !capabilities.no_facets => {
+                capabilities.no_facets = true;
                 true
             }
             8 | 80..=92
@@ -185,16 +186,16 @@
                     && !self.sort_here
                     && (fault.kind.sru != 8 || fault.about.contains("sort")) =>
             {
-                learned.no_sort = true;
+                capabilities.no_sort = true;
                 self.sort_here = true;
                 self.buffer = None;
                 true
             }
-            _ => self.try_other_version(fault, learned),
+            _ => self.try_other_version(fault, capabilities),
         }
     }
 
-    fn try_other_version(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
+    fn try_other_version(&mut self, fault: &Fault, capabilities: &mut HostCapabilities) -> bool {
         let about = fault.kind.sru == 5
             || fault.kind.sru == 8
                 && ["version", "operation", "recordPacking"]
@@ -207,16 +208,16 @@
         else {
             return false;
         };
-        learned.version = None;
+        capabilities.version = None;
         self.version = next;
         self.tried.push(next);
         true
     }
 
     /// Remembers the version in which the host responded.
-    fn learn(&self, response: &ParsedResponse, learned: &mut Learned) {
+    fn remember_version(&self, response: &ParsedResponse, capabilities: &mut HostCapabilities) {
         let said = response.version.as_deref().and_then(Version::named);
-        learned.version = Some(said.unwrap_or(self.version));
+        capabilities.version = Some(said.unwrap_or(self.version));
     }
 
     fn page(
@@ -224,7 +225,7 @@
         page: &PageWork,
         response: ParsedResponse,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
     ) -> Next<()> {
         let partial = |f: &&Fault| matches!(f.kind.sru, 58 | 59);
         let fatal = response
@@ -232,7 +233,7 @@
             .iter()
             .find(|f| !partial(f) && f.kind.sru != 61);
         if let Some(fault) = fatal.filter(|_| response.hits.unwrap_or(0) == 0) {
-            return if self.work_around(fault, learned) {
+            return if self.work_around(fault, capabilities) {
                 Next::Send(())
             } else {
                 step_for_diagnostic(fault.clone())
@@ -241,7 +242,7 @@
         let Some(hits) = response.hits else {
             return Next::Failed("search response without numberOfRecords".to_owned());
         };
-        self.learn(&response, learned);
+        self.remember_version(&response, capabilities);
         let exact = response.exact
             && !response
                 .faults
@@ -299,14 +300,14 @@
         &mut self,
         scan: &ScanWork,
         response: ParsedResponse,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
     ) -> Next<()> {
         if let Some(fault) = response
             .faults
             .first()
             .filter(|_| response.terms.is_empty())
         {
-            return if self.work_around(fault, learned) {
+            return if self.work_around(fault, capabilities) {
                 Next::Send(())
             } else {
                 step_for_diagnostic(fault.clone())
@@ -315,7 +316,7 @@
         if !response.root.starts_with("scan") {
             return Next::Failed("not a scan response".to_owned());
         }
-        self.learn(&response, learned);
+        self.remember_version(&response, capabilities);
         let mut terms = response.terms;
         terms.truncate(scan.number as usize);
         Next::Done(WorkResult::Scanned(Terms { terms, host: 0 }))
--- a/catalogue/src/host/sru/tests.rs
+++ b/catalogue/src/host/sru/tests.rs
@@ -12,7 +12,7 @@
     exchanges: 6,
 };
 
-fn job(learned: &Learned, sort: bool, offset: u64, count: u32) -> Job {
+fn job(capabilities: &HostCapabilities, sort: bool, offset: u64, count: u32) -> Job {
     let work = Work::Page(PageWork {
         query: "cql.serverChoice = \"moon\"".into(),
         sort: if sort {
@@ -29,7 +29,7 @@
         }],
         facets: Vec::new(),
     });
-    Job::new(work, 3, learned)
+    Job::new(work, 3, capabilities)
 }
 
 fn refusal(number: u16, details: &str) -> String {
@@ -61,17 +61,17 @@
 /// A host that speaks 2.0 alone refuses the older ones; the next part asks it in 2.0 at once.
 #[test]
 fn a_hosts_version_is_found_and_remembered() {
-    let mut learned = Learned::default();
-    let mut one = job(&learned, false, 0, 1);
+    let mut capabilities = HostCapabilities::default();
+    let mut one = job(&capabilities, false, 0, 1);
     let mut asked = Vec::new();
     loop {
-        let ask = one.ask(&BOUNDS, &learned);
+        let ask = one.ask(&BOUNDS, &capabilities);
         asked.push(ask.split('&').next().unwrap().to_owned());
         if !ask.contains("version=") {
             break;
         }
         assert_eq!(
-            one.answered(200, &refusal(5, ""), &BOUNDS, &mut learned),
+            one.answered(200, &refusal(5, ""), &BOUNDS, &mut capabilities),
             Next::Send(())
         );
     }
@@ -84,24 +84,23 @@
         ]
     );
     assert_eq!(
-        titles(one.answered(200, &records(1, &["a"]), &BOUNDS, &mut learned)),
+        titles(one.answered(200, &records(1, &["a"]), &BOUNDS, &mut capabilities)),
         ["a"]
     );
     assert!(
-        !job(&learned, false, 0, 1)
-            .ask(&BOUNDS, &learned)
+        !job(&capabilities, false, 0, 1)
+            .ask(&BOUNDS, &capabilities)
             .contains("version=")
     );
     // One that speaks none ends after each was tried once.
-    let mut learned = Learned::default();
-    let mut none = job(&learned, false, 0, 1);
-    let ends =
-        (0..4).find_map(
-            |_| match none.answered(200, &refusal(5, "x"), &BOUNDS, &mut learned) {
-                Next::Send(()) => None,
-                other => Some(other),
-            },
-        );
+    let mut capabilities = HostCapabilities::default();
+    let mut none = job(&capabilities, false, 0, 1);
+    let ends = (0..4).find_map(|_| {
+        match none.answered(200, &refusal(5, "x"), &BOUNDS, &mut capabilities) {
+            Next::Send(()) => None,
+            other => Some(other),
+        }
+    });
     assert_eq!(
         ends,
         Some(Next::Done(WorkResult::Refused(Kind::VERSION.of("x"))))
@@ -110,48 +109,48 @@
 
 #[test]
 fn a_host_without_a_schema_or_sorting_is_asked_round_it() {
-    let mut learned = Learned::default();
-    let mut one = job(&learned, true, 1, 2);
-    let ask = one.ask(&BOUNDS, &learned);
+    let mut capabilities = HostCapabilities::default();
+    let mut one = job(&capabilities, true, 1, 2);
+    let ask = one.ask(&BOUNDS, &capabilities);
     assert!(
         ask.contains("recordSchema=mods") && ask.contains("sortKeys=title"),
         "{ask}"
     );
     assert_eq!(
-        one.answered(200, &refusal(66, "mods"), &BOUNDS, &mut learned),
+        one.answered(200, &refusal(66, "mods"), &BOUNDS, &mut capabilities),
         Next::Send(())
     );
-    assert!(one.ask(&BOUNDS, &learned).contains("recordSchema=dc"));
+    assert!(one.ask(&BOUNDS, &capabilities).contains("recordSchema=dc"));
     assert_eq!(
-        one.answered(200, &refusal(80, ""), &BOUNDS, &mut learned),
+        one.answered(200, &refusal(80, ""), &BOUNDS, &mut capabilities),
         Next::Send(())
     );
-    let ask = one.ask(&BOUNDS, &learned);
+    let ask = one.ask(&BOUNDS, &capabilities);
     assert!(
         !ask.contains("sortKeys") && ask.contains("startRecord=1&maximumRecords=4"),
         "{ask}"
     );
     // It gives two at once; they are gathered, sorted here, and the range is cut out.
     assert_eq!(
-        one.answered(200, &records(3, &["c", "a"]), &BOUNDS, &mut learned),
+        one.answered(200, &records(3, &["c", "a"]), &BOUNDS, &mut capabilities),
         Next::Send(())
     );
     assert!(
-        one.ask(&BOUNDS, &learned)
+        one.ask(&BOUNDS, &capabilities)
             .contains("startRecord=3&maximumRecords=1")
     );
     assert_eq!(
-        titles(one.answered(200, &records(3, &["b"]), &BOUNDS, &mut learned)),
+        titles(one.answered(200, &records(3, &["b"]), &BOUNDS, &mut capabilities)),
         ["b", "c"]
     );
     // The next part knows, and says so where there are too many.
-    let mut next = job(&learned, true, 0, 1);
-    assert!(!next.ask(&BOUNDS, &learned).contains("sortKeys"));
+    let mut next = job(&capabilities, true, 0, 1);
+    assert!(!next.ask(&BOUNDS, &capabilities).contains("sortKeys"));
     match next.answered(
         200,
         &records(5, &["a", "b", "c", "d"]),
         &BOUNDS,
-        &mut learned,
+        &mut capabilities,
     ) {
         Next::Done(WorkResult::Refused(fault)) => assert_eq!(fault.kind, Kind::SORT_TOO_MANY),
         other => panic!("{other:?}"),
@@ -161,8 +160,8 @@
 #[test]
 fn what_speaks_of_the_server_fails_and_what_speaks_of_the_query_is_an_answer() {
     let say = |status, body: &str| {
-        let mut learned = Learned::default();
-        job(&learned, false, 0, 1).answered(status, body, &BOUNDS, &mut learned)
+        let mut capabilities = HostCapabilities::default();
+        job(&capabilities, false, 0, 1).answered(status, body, &BOUNDS, &mut capabilities)
     };
     assert_eq!(say(503, ""), Next::Later);
     assert_eq!(say(200, &refusal(2, "")), Next::Later);
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -8,7 +8,7 @@
 use crate::ber::{Class, Item};
 use crate::cql::{self, Node};
 use crate::fault::{Fault, Kind};
-use crate::pool::Learned;
+use crate::pool::HostCapabilities;
 use crate::record::{RecordError, Schema, Syntax};
 use crate::rpn;
 use crate::sets::Time;
@@ -111,11 +111,11 @@
         slice: u32,
         database: &str,
         bounds: &HostBounds,
-        learned: &Learned,
+        capabilities: &HostCapabilities,
         now: Time,
     ) -> Next<Vec<u8>> {
         match work {
-            Work::Page(page) => self.begin_page(page, slice, database, bounds, learned, now),
+            Work::Page(page) => self.begin_page(page, slice, database, bounds, capabilities, now),
             Work::Scan(scan) => self.begin_scan(scan, slice, database),
         }
     }
@@ -126,7 +126,7 @@
         slice: u32,
         database: &str,
         bounds: &HostBounds,
-        learned: &Learned,
+        capabilities: &HostCapabilities,
         now: Time,
     ) -> Next<Vec<u8>> {
         // The query was validated when the client sent it. This limit only allows any nesting that
@@ -135,7 +135,7 @@
             Ok(query) => query.root,
             Err(fault) => return Next::Done(WorkResult::Refused(fault)),
         };
-        let sorts = self.abilities.has(Ability::Sort) && !learned.no_sort;
+        let sorts = self.abilities.has(Ability::Sort) && !capabilities.no_sort;
         let job = Job {
             query: Some(query),
             range: page.range(slice),
@@ -165,9 +165,9 @@
                     job.buffer = buffer;
                     job.set = Some(set);
                 }
-                self.present(learned)
+                self.present(capabilities)
             }
-            None => self.search(bounds, learned, now),
+            None => self.search(bounds, capabilities, now),
         }
     }
 
@@ -222,7 +222,7 @@
         &mut self,
         unit: &Item,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Result<HostEvent, SessionError> {
         if unit.class != Class::Context {
@@ -250,11 +250,13 @@
                 let too_many = job.exchanges > bounds.exchanges;
                 let next = match (&job.phase, unit.tag) {
                     (JobPhase::Searching, tag::SEARCH_RESPONSE) => {
-                        self.searched(unit, bounds, learned, now)
+                        self.searched(unit, bounds, capabilities, now)
+                    }
+                    (JobPhase::Sorting, tag::SORT_RESPONSE) => {
+                        self.sorted(unit, bounds, capabilities)
                     }
-                    (JobPhase::Sorting, tag::SORT_RESPONSE) => self.sorted(unit, bounds, learned),
                     (JobPhase::Presenting, tag::PRESENT_RESPONSE) => {
-                        self.presented(unit, bounds, learned, now)
+                        self.presented(unit, bounds, capabilities, now)
                     }
                     (JobPhase::Scanning, tag::SCAN_RESPONSE) => {
                         Ok(match scan::read_response(unit) {
@@ -279,7 +281,12 @@
     }
 
     /// Sends the search request.
-    fn search(&mut self, bounds: &HostBounds, learned: &Learned, now: Time) -> Next<Vec<u8>> {
+    fn search(
+        &mut self,
+        bounds: &HostBounds,
+        capabilities: &HostCapabilities,
+        now: Time,
+    ) -> Next<Vec<u8>> {
         let named = self.abilities.has(Ability::NamedResultSets);
         let name = if named {
             self.next_name = (self.next_name + 1) % bounds.named_sets.max(1);
@@ -310,7 +317,7 @@
             return Next::Failed(String::new());
         };
         let mut written = Ok(());
-        let (syntax, schema) = (syntax(learned), schema(&job.page, learned));
+        let (syntax, schema) = (syntax(capabilities), schema(&job.page, capabilities));
         let unit = z3950::unit(tag::SEARCH_REQUEST, None, |w| {
             // These bounds make every result set medium-sized, so that its first records are
             // included.
@@ -348,7 +355,7 @@
         &mut self,
         unit: &Item,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Result<Next<Vec<u8>>, SessionError> {
         let ok = unit
@@ -394,15 +401,15 @@
             return Ok(self.finish());
         }
         if !job.page.sort.is_empty() && !job.sort_here {
-            return Ok(self.sort(learned));
+            return Ok(self.sort(capabilities));
         }
         if let Some(fault) = &fault
-            && !reject_form(fault, &job.page, learned)
+            && !reject_form(fault, &job.page, capabilities)
             && !matches!(fault.kind.bib1, 14 | 16 | 33)
         {
             return Ok(step_for_diagnostic(fault.clone()));
         }
-        Ok(self.present(learned))
+        Ok(self.present(capabilities))
     }
 
     /// The records to collect from a set with `hits` hits.
@@ -426,7 +433,7 @@
         ))
     }
 
-    fn sort(&mut self, learned: &mut Learned) -> Next<Vec<u8>> {
+    fn sort(&mut self, capabilities: &mut HostCapabilities) -> Next<Vec<u8>> {
         let Some(job) = &mut self.job else {
             return Next::Failed(String::new());
         };
@@ -443,7 +450,7 @@
             // The Sort service cannot express these keys, so the records are sorted locally.
             Err(_) => {
                 job.sort_here = true;
-                self.present(learned)
+                self.present(capabilities)
             }
         }
     }
@@ -452,11 +459,11 @@
         &mut self,
         unit: &Item,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
     ) -> Result<Next<Vec<u8>>, SessionError> {
         if sort::read_response(unit).is_err() {
             // Whatever the diagnostic, the records are sorted locally if there are not too many.
-            learned.no_sort = true;
+            capabilities.no_sort = true;
             let Some(job) = &mut self.job else {
                 return Err(SessionError::NoJob);
             };
@@ -471,11 +478,11 @@
                 Err(fault) => return Ok(Next::Done(WorkResult::Refused(fault))),
             }
         }
-        Ok(self.present(learned))
+        Ok(self.present(capabilities))
     }
 
     /// Requests the records that have not arrived yet.
-    fn present(&mut self, learned: &Learned) -> Next<Vec<u8>> {
+    fn present(&mut self, capabilities: &HostCapabilities) -> Next<Vec<u8>> {
         let Some(job) = &mut self.job else {
             return Next::Failed(String::new());
         };
@@ -485,7 +492,7 @@
         }
         job.phase = JobPhase::Presenting;
         let name = job.set.as_ref().map_or("default", |s| s.name.as_str());
-        let (syntax, schema) = (syntax(learned), schema(&job.page, learned));
+        let (syntax, schema) = (syntax(capabilities), schema(&job.page, capabilities));
         Next::Send(z3950::unit(tag::PRESENT_REQUEST, None, |w| {
             w.bytes(tag::SET_ID, name.as_bytes());
             w.integer(tag::START, from as i64 + 1);
@@ -503,7 +510,7 @@
         &mut self,
         unit: &Item,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Result<Next<Vec<u8>>, SessionError> {
         let given = records::read(unit, tag::RECORDS)?;
@@ -517,16 +524,18 @@
         }
         match z3950::response_fault(unit) {
             // The host returned fewer records than requested, so the rest is requested again.
-            None if some => Ok(self.present(learned)),
+            None if some => Ok(self.present(capabilities)),
             None => Ok(Next::Failed("present response without records".to_owned())),
-            Some(fault) if reject_form(&fault, &job.page, learned) => Ok(self.present(learned)),
+            Some(fault) if reject_form(&fault, &job.page, capabilities) => {
+                Ok(self.present(capabilities))
+            }
             // The set is smaller than its count. The records so far are all there is, and the count
             // will reveal the change.
             Some(fault) if fault.kind.bib1 == 13 => Ok(self.finish()),
             Some(fault) if matches!(fault.kind.bib1, 27 | 30) && !job.search_repeated => {
                 job.search_repeated = true;
                 job.buffer = RecordBuffer::default();
-                Ok(self.search(bounds, learned, now))
+                Ok(self.search(bounds, capabilities, now))
             }
             Some(fault) => Ok(step_for_diagnostic(fault)),
         }
@@ -570,26 +579,26 @@
     format!("{} {} {sort}", job.database, job.page.query)
 }
 
-fn syntax(learned: &Learned) -> Syntax {
+fn syntax(capabilities: &HostCapabilities) -> Syntax {
     SYNTAXES
         .into_iter()
-        .find(|s| !learned.no_syntax.contains(s))
+        .find(|s| !capabilities.no_syntax.contains(s))
         .unwrap_or(Syntax::Xml)
 }
 
 /// The element set name for the schema; none for Dublin Core, which hosts return by default.
-fn schema(page: &PageWork, learned: &Learned) -> Option<Schema> {
-    Some(page.schema).filter(|s| *s != Schema::Dc && !learned.no_schema.contains(s))
+fn schema(page: &PageWork, capabilities: &HostCapabilities) -> Option<Schema> {
+    Some(page.schema).filter(|s| *s != Schema::Dc && !capabilities.no_schema.contains(s))
 }
 
 /// Records that the host rejected the record syntax or schema. Returns whether another one is left
 /// to request.
-fn reject_form(fault: &Fault, page: &PageWork, learned: &mut Learned) -> bool {
+fn reject_form(fault: &Fault, page: &PageWork, capabilities: &mut HostCapabilities) -> bool {
     match fault.kind.bib1 {
-        25 if schema(page, learned).is_some() => learned.no_schema.push(page.schema),
-        238 | 239 if learned.no_syntax.len() + 1 < SYNTAXES.len() => {
-            let refused = syntax(learned);
-            learned.no_syntax.push(refused);
+        25 if schema(page, capabilities).is_some() => capabilities.no_schema.push(page.schema),
+        238 | 239 if capabilities.no_syntax.len() + 1 < SYNTAXES.len() => {
+            let refused = syntax(capabilities);
+            capabilities.no_syntax.push(refused);
         }
         _ => return false,
     }
--- a/catalogue/src/host/z3950/tests.rs
+++ b/catalogue/src/host/z3950/tests.rs
@@ -116,7 +116,7 @@
 
 struct Play {
     session: Session,
-    learned: Learned,
+    capabilities: HostCapabilities,
     now: Time,
 }
 
@@ -124,7 +124,7 @@
     fn open(host: &mut Host) -> Play {
         let mut play = Play {
             session: Session::default(),
-            learned: Learned::default(),
+            capabilities: HostCapabilities::default(),
             now: 0,
         };
         let init_request = ber::read(&mut init_request(&BOUNDS), 1 << 16, 32)
@@ -135,7 +135,7 @@
             .expect("a unit");
         let receive = play
             .session
-            .receive(&welcome, &BOUNDS, &mut play.learned, 0);
+            .receive(&welcome, &BOUNDS, &mut play.capabilities, 0);
         assert_eq!(receive, Ok(HostEvent::Opened));
         host.said.clear();
         play
@@ -167,7 +167,7 @@
         });
         let mut next = self
             .session
-            .begin(&work, 0, "d", &BOUNDS, &self.learned, self.now);
+            .begin(&work, 0, "d", &BOUNDS, &self.capabilities, self.now);
         while let Next::Send(bytes) = next {
             let unit = ber::read(&mut bytes.clone(), 1 << 16, 32)
                 .unwrap()
@@ -177,7 +177,7 @@
                 .expect("a unit");
             next = match self
                 .session
-                .receive(&reply, &BOUNDS, &mut self.learned, self.now)
+                .receive(&reply, &BOUNDS, &mut self.capabilities, self.now)
             {
                 Ok(HostEvent::Next(next)) => next,
                 other => panic!("{other:?}"),
@@ -245,13 +245,13 @@
     let mut play = Play::open(&mut host);
     assert_eq!(play.titles(&mut host, true, true, 1, 3), (5, "bcd".into()));
     assert_eq!(play.titles(&mut host, false, true, 1, 3), (5, "abe".into()));
-    assert_eq!(play.learned.no_syntax, [Syntax::Xml]);
+    assert_eq!(play.capabilities.no_syntax, [Syntax::Xml]);
     // One that says it sorts and then does not.
     let mut host = Host::new(&["c", "a", "b"], ALL);
     host.sorts = false;
     let mut play = Play::open(&mut host);
     assert_eq!(play.titles(&mut host, true, true, 0, 3), (3, "abc".into()));
-    assert!(play.learned.no_sort);
+    assert!(play.capabilities.no_sort);
     let mut many = Host::new(
         &["g", "f", "e", "d", "c", "b", "a"],
         &[Ability::Search, Ability::Present],
--- a/catalogue/src/pool.rs
+++ b/catalogue/src/pool.rs
@@ -14,16 +14,16 @@
     /// Maximum sessions per host.
     pub sessions: usize,
     /// Backoff after the first failed connection, doubled after each further failure.
-    pub rest_least: Time,
+    pub backoff_min: Time,
     /// Maximum backoff.
-    pub rest_most: Time,
+    pub backoff_max: Time,
     /// How long a feature that a host lacks is not requested again.
-    pub learn_for: Time,
+    pub capability_ttl: Time,
     /// Minimum time to wait for the response to an abandoned search, however fast the host usually
     /// is.
-    pub outlive_least: Time,
+    pub abandoned_time_min: Time,
     /// Maximum time to wait for the response to an abandoned search.
-    pub outlive_most: Time,
+    pub abandoned_time_max: Time,
     /// Maximum number of hosts to remember.
     pub hosts: usize,
 }
@@ -38,21 +38,21 @@
     /// Queue the part on this session.
     Wait(usize),
     /// None: the host is in backoff and has no open session.
-    Rest,
+    Backoff,
 }
 
 /// What to do with the session of an abandoned search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum AbandonedAction {
     /// Keep it open and discard the late response, unless that takes until after this time.
-    Outlive(Time),
+    Drain(Time),
     /// Close it.
-    End,
+    Close,
 }
 
 /// Features that a host was found to lack.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Learned {
+pub struct HostCapabilities {
     /// The SRU version in which the host responds.
     pub version: Option<Version>,
     /// The host does not sort.
@@ -68,13 +68,13 @@
 #[derive(Debug, Clone, Default)]
 struct Host {
     failures: u32,
-    rest_until: Time,
+    backoff_until: Time,
     /// Moving average of response times, weighted towards recent ones; 0 before the first response.
-    usual: Time,
+    mean_response_time: Time,
     /// Sessions that wait for the response to an abandoned search.
-    outliving: usize,
-    learned: Learned,
-    learned_at: Option<Time>,
+    draining: usize,
+    capabilities: HostCapabilities,
+    capabilities_since: Option<Time>,
     used: Time,
 }
 
@@ -127,8 +127,8 @@
             .map(|(at, _)| at);
         match least {
             // While one session works, no further ones are opened to a host in backoff.
-            Some(at) if carried.len() >= most || known.rest_until > now => Choice::Wait(at),
-            None if known.rest_until > now => Choice::Rest,
+            Some(at) if carried.len() >= most || known.backoff_until > now => Choice::Wait(at),
+            None if known.backoff_until > now => Choice::Backoff,
             _ => Choice::Open,
         }
     }
@@ -137,17 +137,17 @@
     pub fn connected(&mut self, host: u32, now: Time) {
         let host = self.host(host, now);
         host.failures = 0;
-        host.rest_until = 0;
+        host.backoff_until = 0;
     }
 
     /// Records that a session could not be opened or was refused.
     pub fn failed(&mut self, host: u32, now: Time) {
-        let (least, most) = (self.bounds.rest_least, self.bounds.rest_most);
+        let (min, max) = (self.bounds.backoff_min, self.bounds.backoff_max);
         let host = self.host(host, now);
         // Several concurrent attempts count as one failure.
-        if host.rest_until <= now {
-            host.rest_until =
-                now.saturating_add(least.saturating_mul(1 << host.failures.min(20)).min(most));
+        if host.backoff_until <= now {
+            host.backoff_until =
+                now.saturating_add(min.saturating_mul(1 << host.failures.min(20)).min(max));
             host.failures += 1;
         }
     }
@@ -155,48 +155,48 @@
     /// Records the response time of a request.
     pub fn answered(&mut self, host: u32, took: Time, now: Time) {
         let host = self.host(host, now);
-        host.usual = if host.usual == 0 {
+        host.mean_response_time = if host.mean_response_time == 0 {
             took
         } else {
-            host.usual - host.usual / 8 + took / 8
+            host.mean_response_time - host.mean_response_time / 8 + took / 8
         };
     }
 
     /// Decides what to do with the session of an abandoned request that was sent at `asked`.
-    pub fn abandon(&mut self, host: u32, asked: Time, now: Time) -> Fate {
+    pub fn abandon(&mut self, host: u32, asked: Time, now: Time) -> AbandonedAction {
         let bounds = self.bounds;
         let known = self.host(host, now);
-        let patience =
-            (known.usual.saturating_mul(8)).clamp(bounds.outlive_least, bounds.outlive_most);
-        let until = asked.saturating_add(patience);
+        let wait = (known.mean_response_time.saturating_mul(8))
+            .clamp(bounds.abandoned_time_min, bounds.abandoned_time_max);
+        let until = asked.saturating_add(wait);
         // At most half of the sessions may wait for abandoned searches; the others are needed for
         // active ones.
-        if until <= now || known.outliving + 1 > bounds.sessions.div_ceil(2) {
-            return Fate::End;
+        if until <= now || known.draining + 1 > bounds.sessions.div_ceil(2) {
+            return AbandonedAction::Close;
         }
-        known.outliving += 1;
-        Fate::Outlive(until)
+        known.draining += 1;
+        AbandonedAction::Drain(until)
     }
 
     /// Records that a session has read the response to an abandoned search, or was closed.
-    pub fn outlived(&mut self, host: u32, now: Time) {
+    pub fn drained(&mut self, host: u32, now: Time) {
         let host = self.host(host, now);
-        host.outliving = host.outliving.saturating_sub(1);
+        host.draining = host.draining.saturating_sub(1);
     }
 
     /// The features that a host was found to lack. They are forgotten after a time, so that the
     /// host is asked again.
-    pub fn learned(&mut self, host: u32, now: Time) -> &mut Learned {
-        let lasts = self.bounds.learn_for;
+    pub fn capabilities(&mut self, host: u32, now: Time) -> &mut HostCapabilities {
+        let lasts = self.bounds.capability_ttl;
         let host = self.host(host, now);
         if host
-            .learned_at
+            .capabilities_since
             .is_none_or(|at| at.saturating_add(lasts) <= now)
         {
-            host.learned = Learned::default();
-            host.learned_at = Some(now);
+            host.capabilities = HostCapabilities::default();
+            host.capabilities_since = Some(now);
         }
-        &mut host.learned
+        &mut host.capabilities
     }
 }
 
