--- a/bitternsill/src/front/catalogue.rs
+++ b/bitternsill/src/front/catalogue.rs
@@ -74,7 +74,7 @@
             sets,
             bytes,
             ttl: session.ttl,
-            gone: limits.removed_sets,
+            deleted_tokens: limits.removed_sets,
         };
         Catalogue {
             database,
--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -345,7 +345,7 @@
                     .attempt_served(part.id, self.value(given), cx.now);
                 self.part_ended(cx, part.id);
             }
-            Next::Later => self.end(cx, part.id, Outcome::Rejected),
+            Next::Rejected => self.end(cx, part.id, Outcome::Rejected),
             Next::Failed(problem) => {
                 tracing::debug!(host = self.host.0, problem, "a part failed");
                 self.end(cx, part.id, Outcome::Error);
--- a/bitternsill/src/front/catalogue/session.rs
+++ b/bitternsill/src/front/catalogue/session.rs
@@ -121,7 +121,7 @@
             ) {
                 Ok(Some(unit)) => {
                     self.used = cx.now;
-                    self.step(cx, |session, context| session.unit(&unit, context));
+                    self.step(cx, |session, context| session.receive(&unit, context));
                 }
                 Ok(None) => return,
                 Err(problem) => {
--- a/bitternsill/src/front/catalogue/sru.rs
+++ b/bitternsill/src/front/catalogue/sru.rs
@@ -142,7 +142,7 @@
 
     fn search(&self, form: &Form, asked: SearchRequest, now: Time) -> Begun {
         let bounds = self.catalogue.session.bounds;
-        let range = (asked.start, asked.most);
+        let range = (asked.start, asked.max_records);
         // A set by its name, in its own order: its records.
         if let (Node::Set(name), true) = (&asked.query.root, asked.query.sort.is_empty()) {
             let mut sets = self.catalogue.sets();
@@ -175,7 +175,7 @@
             sort: asked.query.sort,
             schema: form.schema,
             start: asked.start,
-            want: Want::Count(asked.most),
+            want: Want::Count(asked.max_records),
             slices,
             left_out,
             facets: asked.facets,
--- a/bitternsill/src/front/catalogue/sru_host.rs
+++ b/bitternsill/src/front/catalogue/sru_host.rs
@@ -40,7 +40,7 @@
             format!(
                 "GET /{}?{} HTTP/1.1\r\nHost: {}\r\nAccept: application/sru+xml, text/xml\r\n\r\n",
                 percent(database),
-                job.ask(&self.bounds, capabilities),
+                job.query_string(&self.bounds, capabilities),
                 self.to
             )
             .into_bytes(),
@@ -62,7 +62,7 @@
             match job.answered(status, &text, &self.bounds, capabilities) {
                 Next::Send(()) => self.say(capabilities),
                 Next::Done(given) => Next::Done(given),
-                Next::Later => Next::Later,
+                Next::Rejected => Next::Rejected,
                 Next::Failed(problem) => Next::Failed(problem),
             },
         )
--- a/bitternsill/tests/common/standins.rs
+++ b/bitternsill/tests/common/standins.rs
@@ -227,7 +227,7 @@
         Some(match unit.tag {
             tag::INIT_REQUEST => z3950::unit(tag::INIT_RESPONSE, None, |w| {
                 let abilities = Abilities::of(&self.abilities.lock().unwrap());
-                init::introduce(w, true, abilities, 1 << 16, 1 << 16);
+                init::write_negotiation(w, true, abilities, 1 << 16, 1 << 16);
                 w.boolean(tag::RESULT, true);
             }),
             tag::SEARCH_REQUEST => {
@@ -602,7 +602,7 @@
             .set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
         let welcome = reader.ask(z3950::unit(tag::INIT_REQUEST, Some(b"ref"), |w| {
-            init::introduce(w, true, Abilities::of(abilities), size, size);
+            init::write_negotiation(w, true, Abilities::of(abilities), size, size);
             more(w);
         }));
         (reader, welcome)
--- a/catalogue/src/host.rs
+++ b/catalogue/src/host.rs
@@ -35,7 +35,7 @@
     /// The part is complete.
     Done(crate::work::WorkResult),
     /// The host rejected the part without running it.
-    Later,
+    Rejected,
     /// The part failed and may have run.
     Failed(String),
 }
@@ -56,7 +56,7 @@
 /// Maps a host's diagnostic to the next step of the part.
 fn step_for_diagnostic<M>(fault: Fault) -> Next<M> {
     match fault.kind {
-        kind if kind.bib1 == 2 => Next::Later,
+        kind if kind.bib1 == 2 => Next::Rejected,
         kind if kind.is_server_fault() => Next::Failed(fault.to_string()),
         _ => Next::Done(crate::work::WorkResult::Refused(fault)),
     }
--- a/catalogue/src/host/sru.rs
+++ b/catalogue/src/host/sru.rs
@@ -50,7 +50,7 @@
     }
 
     /// The query component of the next request's URL.
-    pub fn ask(&self, bounds: &HostBounds, capabilities: &HostCapabilities) -> String {
+    pub fn query_string(&self, bounds: &HostBounds, capabilities: &HostCapabilities) -> String {
         let mut pairs: Vec<(&str, String)> = Vec::new();
         let before_v20 = self.version != Version::V20;
         if before_v20 {
@@ -139,7 +139,7 @@
         // These statuses may also come from a gateway in front of the host. In both cases the
         // request was not processed.
         if status == 503 || status == 429 {
-            return Next::Later;
+            return Next::Rejected;
         }
         let response = match read_response(body) {
             // Some servers send diagnostics with a status other than 200.
--- a/catalogue/src/host/sru/tests.rs
+++ b/catalogue/src/host/sru/tests.rs
@@ -65,7 +65,7 @@
     let mut one = job(&capabilities, false, 0, 1);
     let mut asked = Vec::new();
     loop {
-        let ask = one.ask(&BOUNDS, &capabilities);
+        let ask = one.query_string(&BOUNDS, &capabilities);
         asked.push(ask.split('&').next().unwrap().to_owned());
         if !ask.contains("version=") {
             break;
@@ -89,7 +89,7 @@
     );
     assert!(
         !job(&capabilities, false, 0, 1)
-            .ask(&BOUNDS, &capabilities)
+            .query_string(&BOUNDS, &capabilities)
             .contains("version=")
     );
     // One that speaks none ends after each was tried once.
@@ -111,7 +111,7 @@
 fn a_host_without_a_schema_or_sorting_is_asked_round_it() {
     let mut capabilities = HostCapabilities::default();
     let mut one = job(&capabilities, true, 1, 2);
-    let ask = one.ask(&BOUNDS, &capabilities);
+    let ask = one.query_string(&BOUNDS, &capabilities);
     assert!(
         ask.contains("recordSchema=mods") && ask.contains("sortKeys=title"),
         "{ask}"
@@ -120,12 +120,15 @@
         one.answered(200, &refusal(66, "mods"), &BOUNDS, &mut capabilities),
         Next::Send(())
     );
-    assert!(one.ask(&BOUNDS, &capabilities).contains("recordSchema=dc"));
+    assert!(
+        one.query_string(&BOUNDS, &capabilities)
+            .contains("recordSchema=dc")
+    );
     assert_eq!(
         one.answered(200, &refusal(80, ""), &BOUNDS, &mut capabilities),
         Next::Send(())
     );
-    let ask = one.ask(&BOUNDS, &capabilities);
+    let ask = one.query_string(&BOUNDS, &capabilities);
     assert!(
         !ask.contains("sortKeys") && ask.contains("startRecord=1&maximumRecords=4"),
         "{ask}"
@@ -136,7 +139,7 @@
         Next::Send(())
     );
     assert!(
-        one.ask(&BOUNDS, &capabilities)
+        one.query_string(&BOUNDS, &capabilities)
             .contains("startRecord=3&maximumRecords=1")
     );
     assert_eq!(
@@ -145,7 +148,11 @@
     );
     // The next part knows, and says so where there are too many.
     let mut next = job(&capabilities, true, 0, 1);
-    assert!(!next.ask(&BOUNDS, &capabilities).contains("sortKeys"));
+    assert!(
+        !next
+            .query_string(&BOUNDS, &capabilities)
+            .contains("sortKeys")
+    );
     match next.answered(
         200,
         &records(5, &["a", "b", "c", "d"]),
@@ -163,8 +170,8 @@
         let mut capabilities = HostCapabilities::default();
         job(&capabilities, false, 0, 1).answered(status, body, &BOUNDS, &mut capabilities)
     };
-    assert_eq!(say(503, ""), Next::Later);
-    assert_eq!(say(200, &refusal(2, "")), Next::Later);
+    assert_eq!(say(503, ""), Next::Rejected);
+    assert_eq!(say(200, &refusal(2, "")), Next::Rejected);
     assert!(matches!(say(200, &refusal(1, "")), Next::Failed(_)));
     assert!(matches!(say(500, "oops"), Next::Failed(_)));
     assert!(matches!(say(500, &records(1, &["a"])), Next::Failed(_)));
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -87,7 +87,7 @@
 /// The Init request that opens a session.
 pub fn init_request(bounds: &HostBounds) -> Vec<u8> {
     z3950::unit(tag::INIT_REQUEST, None, |w| {
-        init::introduce(
+        init::write_negotiation(
             w,
             true,
             Abilities::of(WANTED),
--- a/catalogue/src/host/z3950/tests.rs
+++ b/catalogue/src/host/z3950/tests.rs
@@ -58,7 +58,7 @@
         let number = |tag| unit.get(tag).and_then(Item::integer).unwrap_or(0) as usize;
         match unit.tag {
             tag::INIT_REQUEST => z3950::unit(tag::INIT_RESPONSE, None, |w| {
-                init::introduce(w, true, Abilities::of(&self.abilities), 1000, 1000);
+                init::write_negotiation(w, true, Abilities::of(&self.abilities), 1000, 1000);
                 w.boolean(tag::RESULT, true);
             }),
             tag::SEARCH_REQUEST => {
--- a/catalogue/src/session.rs
+++ b/catalogue/src/session.rs
@@ -263,7 +263,7 @@
     }
 
     /// Handles a complete data unit.
-    pub fn unit(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
+    pub fn receive(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
         if self.state == State::Closing {
             return;
         }
@@ -349,7 +349,7 @@
             tag::INIT_RESPONSE,
             reference,
             |w| {
-                init::introduce(w, three, abilities, preferred, exceptional);
+                init::write_negotiation(w, three, abilities, preferred, exceptional);
                 w.boolean(tag::RESULT, accepted);
                 init::write_implementation(w);
                 if let Some(fault) = &fault {
--- a/catalogue/src/sets.rs
+++ b/catalogue/src/sets.rs
@@ -260,7 +260,7 @@
     /// Longest time that an unused set is kept, also the default for clients that request none.
     pub ttl: Time,
     /// Tokens of deleted sets to remember, which distinguishes them from tokens that never existed.
-    pub gone: usize,
+    pub deleted_tokens: usize,
 }
 
 /// All result sets.
@@ -410,7 +410,7 @@
                     self.latest_by_search.remove(&set.key);
                 }
                 self.deleted_tokens.push_back(set.token);
-                if self.deleted_tokens.len() > self.bounds.gone {
+                if self.deleted_tokens.len() > self.bounds.deleted_tokens {
                     self.deleted_tokens.pop_front();
                 }
             }
--- a/catalogue/src/sets/tests.rs
+++ b/catalogue/src/sets/tests.rs
@@ -8,7 +8,7 @@
     sets: 4,
     bytes: 1 << 20,
     ttl: 100,
-    gone: 8,
+    deleted_tokens: 8,
 };
 
 fn set(text: &str, hits: &[u64]) -> ResultSet {
--- a/catalogue/src/sru/request.rs
+++ b/catalogue/src/sru/request.rs
@@ -140,7 +140,7 @@
     /// The first requested position, from 1.
     pub start: u64,
     /// Maximum number of records to return.
-    pub most: u64,
+    pub max_records: u64,
     /// The requested lifetime of the result set, in seconds.
     pub ttl: Option<u64>,
     /// The requested facets.
@@ -332,7 +332,7 @@
         Ok(SearchRequest {
             query: Query { sort, ..query },
             start: self.number("startRecord", 1, 1)?,
-            most: self.number("maximumRecords", 0, 10)?.min(self.bounds.page),
+            max_records: self.number("maximumRecords", 0, 10)?.min(self.bounds.page),
             ttl,
             facets: self.facets()?,
         })
--- a/catalogue/src/sru/request/tests.rs
+++ b/catalogue/src/sru/request/tests.rs
@@ -18,7 +18,7 @@
             form.version.name(),
             s.query,
             s.start,
-            s.most,
+            s.max_records,
             s.ttl,
             s.facets.len(),
             form.as_text,
--- a/catalogue/src/z3950/init.rs
+++ b/catalogue/src/z3950/init.rs
@@ -156,7 +156,7 @@
 }
 
 /// Writes the versions, options and message sizes of an Init request or response.
-pub fn introduce(
+pub fn write_negotiation(
     w: &mut Writer,
     version3: bool,
     abilities: Abilities,
--- a/catalogue/tests/operation.rs
+++ b/catalogue/tests/operation.rs
@@ -160,7 +160,7 @@
             sets: 16,
             bytes: 1 << 22,
             ttl: 1000,
-            gone: 16,
+            deleted_tokens: 16,
         },
         1,
     )
