--- a/catalogue/src/ber/tests.rs
+++ b/catalogue/src/ber/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn values_come_back_as_written_at_any_split() {
+fn values_round_trip_at_any_split() {
     let mut writer = Writer::default();
     writer.inside(212, |w| {
         w.integer(23, -129);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn length_and_depth_are_bounded_and_nonsense_is_named() {
+fn limits_are_enforced_and_malformed_input_is_rejected() {
     assert_eq!(
         read(&mut vec![0xa0, 0x84, 0xff, 0xff, 0xff, 0xff], 1000, 4),
         Err(BerError::TooLong)
--- a/catalogue/src/cql/parse/tests.rs
+++ b/catalogue/src/cql/parse/tests.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn queries_are_read_and_written_and_faults_named() {
-    let say = |text: &str| match parse(text, 8) {
+    let describe = |text: &str| match parse(text, 8) {
         Ok(query) => {
-            // What is written is read as the same tree.
+            // The written query parses to the same tree.
             assert_eq!(parse(&query.to_string(), 16), Ok(query.clone()));
             query.to_string()
         }
@@ -45,14 +45,14 @@
     ];
     let said: Vec<String> = cases
         .iter()
-        .map(|case| format!("{case} -> {}", say(case)))
+        .map(|case| format!("{case} -> {}", describe(case)))
         .collect();
     insta::assert_snapshot!(said.join("\n"));
 }
 
-/// Recursion and work are bounded by the limits, whatever is sent.
+/// The limits bound recursion and work for any input.
 #[test]
-fn hostile_length_and_depth_end_in_a_diagnostic() {
+fn very_long_or_deep_queries_are_rejected() {
     for text in [
         "(".repeat(100_000),
         "a and ".repeat(50_000) + "a",
--- a/catalogue/src/cql/term/tests.rs
+++ b/catalogue/src/cql/term/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn masks_are_told_from_characters() {
+fn distinguishes_masks_and_anchors_from_literal_characters() {
     let cases = [
         ("moon", Mask::None),
         ("moon*", Mask::Right),
--- a/catalogue/src/fault/tests.rs
+++ b/catalogue/src/fault/tests.rs
@@ -2,10 +2,9 @@
 
 use super::*;
 
-/// A number read from one protocol must come out as that number again where it is passed on in
-/// the same one.
+/// A number read from a protocol must be written unchanged in the same protocol.
 #[test]
-fn numbers_survive_the_way_through() {
+fn diagnostic_numbers_round_trip_in_each_protocol() {
     for number in 1..300 {
         assert_eq!(Kind::from_bib1(number).bib1, number);
         assert_eq!(Kind::from_sru(number).sru, number);
@@ -16,6 +15,6 @@
     assert!(Kind::from_bib1(2).is_server_fault() && !Kind::INDEX.is_server_fault());
     assert!(
         !Kind::from_bib1(999).is_server_fault(),
-        "what is not understood is no reason to ask again"
+        "an unknown diagnostic is not retried"
     );
 }
--- a/catalogue/src/host/sru/tests.rs
+++ b/catalogue/src/host/sru/tests.rs
@@ -32,7 +32,7 @@
     Job::new(work, 3, capabilities)
 }
 
-fn refusal(number: u16, details: &str) -> String {
+fn diagnostic(number: u16, details: &str) -> String {
     format!(
         "<r><version>1.1</version><diagnostics><diagnostic><uri>info:srw/diagnostic/1/{number}</uri>\
          <details>{details}</details></diagnostic></diagnostics></r>"
@@ -58,25 +58,25 @@
     }
 }
 
-/// A host that speaks 2.0 alone refuses the older ones; the next part asks it in 2.0 at once.
+/// A host that supports only version 2.0 refuses older ones. The next part uses 2.0 at once.
 #[test]
-fn a_hosts_version_is_found_and_remembered() {
+fn negotiates_and_remembers_host_version() {
     let mut capabilities = HostCapabilities::default();
     let mut one = job(&capabilities, false, 0, 1);
-    let mut asked = Vec::new();
+    let mut queries = Vec::new();
     loop {
-        let ask = one.query_string(&BOUNDS, &capabilities);
-        asked.push(ask.split('&').next().unwrap().to_owned());
-        if !ask.contains("version=") {
+        let query = one.query_string(&BOUNDS, &capabilities);
+        queries.push(query.split('&').next().unwrap().to_owned());
+        if !query.contains("version=") {
             break;
         }
         assert_eq!(
-            one.answered(200, &refusal(5, ""), &BOUNDS, &mut capabilities),
+            one.answered(200, &diagnostic(5, ""), &BOUNDS, &mut capabilities),
             Next::Send(())
         );
     }
     assert_eq!(
-        asked,
+        queries,
         [
             "version=1.2",
             "version=1.1",
@@ -92,11 +92,11 @@
             .query_string(&BOUNDS, &capabilities)
             .contains("version=")
     );
-    // One that speaks none ends after each was tried once.
+    // For a host that supports no version, the part ends after one attempt with each.
     let mut capabilities = HostCapabilities::default();
     let mut none = job(&capabilities, false, 0, 1);
     let ends = (0..4).find_map(|_| {
-        match none.answered(200, &refusal(5, "x"), &BOUNDS, &mut capabilities) {
+        match none.answered(200, &diagnostic(5, "x"), &BOUNDS, &mut capabilities) {
             Next::Send(()) => None,
             other => Some(other),
         }
@@ -108,16 +108,16 @@
 }
 
 #[test]
-fn a_host_without_a_schema_or_sorting_is_asked_round_it() {
+fn works_around_missing_schema_and_sorting() {
     let mut capabilities = HostCapabilities::default();
     let mut one = job(&capabilities, true, 1, 2);
-    let ask = one.query_string(&BOUNDS, &capabilities);
+    let query = one.query_string(&BOUNDS, &capabilities);
     assert!(
-        ask.contains("recordSchema=mods") && ask.contains("sortKeys=title"),
-        "{ask}"
+        query.contains("recordSchema=mods") && query.contains("sortKeys=title"),
+        "{query}"
     );
     assert_eq!(
-        one.answered(200, &refusal(66, "mods"), &BOUNDS, &mut capabilities),
+        one.answered(200, &diagnostic(66, "mods"), &BOUNDS, &mut capabilities),
         Next::Send(())
     );
     assert!(
@@ -125,15 +125,16 @@
             .contains("recordSchema=dc")
     );
     assert_eq!(
-        one.answered(200, &refusal(80, ""), &BOUNDS, &mut capabilities),
+        one.answered(200, &diagnostic(80, ""), &BOUNDS, &mut capabilities),
         Next::Send(())
     );
-    let ask = one.query_string(&BOUNDS, &capabilities);
+    let query = one.query_string(&BOUNDS, &capabilities);
     assert!(
-        !ask.contains("sortKeys") && ask.contains("startRecord=1&maximumRecords=4"),
-        "{ask}"
+        !query.contains("sortKeys") && query.contains("startRecord=1&maximumRecords=4"),
+        "{query}"
     );
-    // It gives two at once; they are gathered, sorted here, and the range is cut out.
+    // The host returns two records at a time. They are collected and sorted locally, and the range
+    // is returned.
     assert_eq!(
         one.answered(200, &records(3, &["c", "a"]), &BOUNDS, &mut capabilities),
         Next::Send(())
@@ -146,7 +147,7 @@
         titles(one.answered(200, &records(3, &["b"]), &BOUNDS, &mut capabilities)),
         ["b", "c"]
     );
-    // The next part knows, and says so where there are too many.
+    // The next part sorts locally at once and is refused if there are too many records.
     let mut next = job(&capabilities, true, 0, 1);
     assert!(
         !next
@@ -165,29 +166,29 @@
 }
 
 #[test]
-fn what_speaks_of_the_server_fails_and_what_speaks_of_the_query_is_an_answer() {
-    let say = |status, body: &str| {
+fn server_faults_fail_the_part_and_query_faults_are_results() {
+    let answer = |status, body: &str| {
         let mut capabilities = HostCapabilities::default();
         job(&capabilities, false, 0, 1).answered(status, body, &BOUNDS, &mut capabilities)
     };
-    assert_eq!(say(503, ""), Next::Rejected);
-    assert_eq!(say(200, &refusal(2, "")), Next::Rejected);
-    assert!(matches!(say(200, &refusal(1, "")), Next::Failed(_)));
-    assert!(matches!(say(500, "oops"), Next::Failed(_)));
-    assert!(matches!(say(500, &records(1, &["a"])), Next::Failed(_)));
+    assert_eq!(answer(503, ""), Next::Rejected);
+    assert_eq!(answer(200, &diagnostic(2, "")), Next::Rejected);
+    assert!(matches!(answer(200, &diagnostic(1, "")), Next::Failed(_)));
+    assert!(matches!(answer(500, "oops"), Next::Failed(_)));
+    assert!(matches!(answer(500, &records(1, &["a"])), Next::Failed(_)));
     assert_eq!(
-        say(200, &refusal(16, "x")),
+        answer(200, &diagnostic(16, "x")),
         Next::Done(WorkResult::Refused(Kind::INDEX.of("x")))
     );
     assert_eq!(
-        say(400, &refusal(10, "x")),
+        answer(400, &diagnostic(10, "x")),
         Next::Done(WorkResult::Refused(Kind::SYNTAX.of("x")))
     );
     let partial = records(2, &["a"]).replace(
         "</r>",
         "<diagnostics><diagnostic><uri>info:srw/diagnostic/1/59</uri></diagnostic></diagnostics></r>",
     );
-    match say(200, &partial) {
+    match answer(200, &partial) {
         Next::Done(WorkResult::Found(found)) => assert!(!found.exact && found.hits == 2),
         other => panic!("{other:?}"),
     }
--- a/catalogue/src/host/z3950/tests.rs
+++ b/catalogue/src/host/z3950/tests.rs
@@ -13,26 +13,26 @@
     exchanges: 12,
 };
 
-/// A modelled host: its titles, and what it can do.
-struct Host {
+/// A simulated host with its titles and capabilities.
+struct SimulatedHost {
     titles: Vec<&'static str>,
     abilities: Vec<Ability>,
     syntax: Syntax,
-    most: usize,
+    max_records: usize,
     sets: std::collections::BTreeMap<String, Vec<&'static str>>,
-    said: Vec<u32>,
+    received_tags: Vec<u32>,
     sorts: bool,
 }
 
-impl Host {
-    fn new(titles: &[&'static str], abilities: &[Ability]) -> Host {
-        Host {
+impl SimulatedHost {
+    fn new(titles: &[&'static str], abilities: &[Ability]) -> SimulatedHost {
+        SimulatedHost {
             titles: titles.to_vec(),
             abilities: abilities.to_vec(),
             syntax: Syntax::Xml,
-            most: 100,
+            max_records: 100,
             sets: Default::default(),
-            said: Vec::new(),
+            received_tags: Vec::new(),
             sorts: true,
         }
     }
@@ -47,8 +47,8 @@
     }
 
     fn answer(&mut self, unit: &Item) -> Vec<u8> {
-        self.said.push(unit.tag);
-        let wrong = unit
+        self.received_tags.push(unit.tag);
+        let wrong_syntax = unit
             .get(tag::SYNTAX)
             .is_some_and(|s| s.oid().as_deref() != Some(self.syntax.oid()));
         let diagnostic = |w: &mut ber::Writer, kind: Kind| {
@@ -68,16 +68,16 @@
                     "{name}"
                 );
                 self.sets.insert(name, self.titles.clone());
-                let along = number(tag::MEDIUM_SET)
+                let included = number(tag::MEDIUM_SET)
                     .min(self.titles.len())
-                    .min(self.most);
+                    .min(self.max_records);
                 z3950::unit(tag::SEARCH_RESPONSE, None, |w| {
                     w.integer(tag::RESULT_COUNT, self.titles.len() as i64);
                     w.boolean(tag::SEARCH_STATUS, true);
-                    if along > 0 && wrong {
+                    if included > 0 && wrong_syntax {
                         diagnostic(w, Kind::RECORD_SYNTAX);
                     } else {
-                        self.records(w, &self.titles[..along]);
+                        self.records(w, &self.titles[..included]);
                     }
                 })
             }
@@ -101,29 +101,29 @@
                 };
                 let (from, count) = (
                     number(tag::START) - 1,
-                    number(tag::REQUESTED).min(self.most),
+                    number(tag::REQUESTED).min(self.max_records),
                 );
                 match set.get(from..(from + count).min(set.len())) {
-                    _ if wrong => diagnostic(w, Kind::RECORD_SYNTAX),
+                    _ if wrong_syntax => diagnostic(w, Kind::RECORD_SYNTAX),
                     Some(titles) => self.records(w, titles),
                     None => diagnostic(w, Kind::RANGE),
                 }
             }),
-            other => panic!("a data unit {other}"),
+            other => panic!("unexpected data unit {other}"),
         }
     }
 }
 
-struct Play {
-    session: Session,
+struct TestSession {
+    inner: Session,
     capabilities: HostCapabilities,
     now: Time,
 }
 
-impl Play {
-    fn open(host: &mut Host) -> Play {
-        let mut play = Play {
-            session: Session::default(),
+impl TestSession {
+    fn open(host: &mut SimulatedHost) -> TestSession {
+        let mut session = TestSession {
+            inner: Session::default(),
             capabilities: HostCapabilities::default(),
             now: 0,
         };
@@ -133,17 +133,17 @@
         let welcome = ber::read(&mut host.answer(&init_request), 1 << 16, 32)
             .unwrap()
             .expect("a unit");
-        let receive = play
-            .session
-            .receive(&welcome, &BOUNDS, &mut play.capabilities, 0);
+        let receive = session
+            .inner
+            .receive(&welcome, &BOUNDS, &mut session.capabilities, 0);
         assert_eq!(receive, Ok(HostEvent::Opened));
-        host.said.clear();
-        play
+        host.received_tags.clear();
+        session
     }
 
     fn page(
         &mut self,
-        host: &mut Host,
+        host: &mut SimulatedHost,
         sort: bool,
         fresh: bool,
         offset: u64,
@@ -166,7 +166,7 @@
             facets: Vec::new(),
         });
         let mut next = self
-            .session
+            .inner
             .begin(&work, 0, "d", &BOUNDS, &self.capabilities, self.now);
         while let Next::Send(bytes) = next {
             let unit = ber::read(&mut bytes.clone(), 1 << 16, 32)
@@ -176,7 +176,7 @@
                 .unwrap()
                 .expect("a unit");
             next = match self
-                .session
+                .inner
                 .receive(&reply, &BOUNDS, &mut self.capabilities, self.now)
             {
                 Ok(HostEvent::Next(next)) => next,
@@ -188,7 +188,7 @@
 
     fn titles(
         &mut self,
-        host: &mut Host,
+        host: &mut SimulatedHost,
         sort: bool,
         fresh: bool,
         offset: u64,
@@ -216,58 +216,83 @@
 ];
 
 #[test]
-fn a_page_costs_one_exchange_where_it_can_and_a_set_is_used_again() {
-    let mut host = Host::new(&["c", "a", "b", "e", "d"], ALL);
-    let mut play = Play::open(&mut host);
-    assert_eq!(play.titles(&mut host, false, true, 0, 2), (5, "ca".into()));
-    assert_eq!(play.titles(&mut host, false, false, 2, 2), (5, "be".into()));
-    assert_eq!(play.titles(&mut host, true, true, 1, 3), (5, "bcd".into()));
+fn reuses_host_sets_and_minimizes_exchanges() {
+    let mut host = SimulatedHost::new(&["c", "a", "b", "e", "d"], ALL);
+    let mut session = TestSession::open(&mut host);
     assert_eq!(
-        play.titles(&mut host, false, false, 4, 9),
+        session.titles(&mut host, false, true, 0, 2),
+        (5, "ca".into())
+    );
+    assert_eq!(
+        session.titles(&mut host, false, false, 2, 2),
+        (5, "be".into())
+    );
+    assert_eq!(
+        session.titles(&mut host, true, true, 1, 3),
+        (5, "bcd".into())
+    );
+    assert_eq!(
+        session.titles(&mut host, false, false, 4, 9),
         (5, "d".into()),
-        "both sets are there"
+        "the host still has both sets"
     );
     let (s, p, o) = (tag::SEARCH_REQUEST, tag::PRESENT_REQUEST, tag::SORT_REQUEST);
-    assert_eq!(host.said, [s, p, s, o, p, p]);
-    play.now = 100;
-    play.titles(&mut host, false, false, 0, 1);
-    assert_eq!(host.said.last(), Some(&s), "an old set is searched anew");
+    assert_eq!(host.received_tags, [s, p, s, o, p, p]);
+    session.now = 100;
+    session.titles(&mut host, false, false, 0, 1);
+    assert_eq!(
+        host.received_tags.last(),
+        Some(&s),
+        "an old set is searched again"
+    );
 }
 
 #[test]
-fn hosts_without_named_sets_sorting_xml_or_patience_are_asked_round_it() {
-    let mut host = Host::new(
+fn works_around_missing_named_sets_sorting_xml_and_small_responses() {
+    let mut host = SimulatedHost::new(
         &["c", "a", "b", "e", "d"],
         &[Ability::Search, Ability::Present],
     );
     host.syntax = Syntax::Usmarc;
-    host.most = 2;
-    let mut play = Play::open(&mut host);
-    assert_eq!(play.titles(&mut host, true, true, 1, 3), (5, "bcd".into()));
-    assert_eq!(play.titles(&mut host, false, true, 1, 3), (5, "abe".into()));
-    assert_eq!(play.capabilities.no_syntax, [Syntax::Xml]);
-    // One that says it sorts and then does not.
-    let mut host = Host::new(&["c", "a", "b"], ALL);
+    host.max_records = 2;
+    let mut session = TestSession::open(&mut host);
+    assert_eq!(
+        session.titles(&mut host, true, true, 1, 3),
+        (5, "bcd".into())
+    );
+    assert_eq!(
+        session.titles(&mut host, false, true, 1, 3),
+        (5, "abe".into())
+    );
+    assert_eq!(session.capabilities.no_syntax, [Syntax::Xml]);
+    // A host that offers sorting but fails to sort.
+    let mut host = SimulatedHost::new(&["c", "a", "b"], ALL);
     host.sorts = false;
-    let mut play = Play::open(&mut host);
-    assert_eq!(play.titles(&mut host, true, true, 0, 3), (3, "abc".into()));
-    assert!(play.capabilities.no_sort);
-    let mut many = Host::new(
+    let mut session = TestSession::open(&mut host);
+    assert_eq!(
+        session.titles(&mut host, true, true, 0, 3),
+        (3, "abc".into())
+    );
+    assert!(session.capabilities.no_sort);
+    let mut many = SimulatedHost::new(
         &["g", "f", "e", "d", "c", "b", "a"],
         &[Ability::Search, Ability::Present],
     );
-    let mut play = Play::open(&mut many);
-    match play.page(&mut many, true, true, 0, 3) {
+    let mut session = TestSession::open(&mut many);
+    match session.page(&mut many, true, true, 0, 3) {
         Next::Done(WorkResult::Refused(fault)) => assert_eq!(fault.kind, Kind::SORT_TOO_MANY),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_set_that_the_host_dropped_is_made_again() {
-    let mut host = Host::new(&["c", "a", "b"], ALL);
-    let mut play = Play::open(&mut host);
-    play.titles(&mut host, false, true, 0, 1);
+fn repeats_search_when_host_dropped_the_set() {
+    let mut host = SimulatedHost::new(&["c", "a", "b"], ALL);
+    let mut session = TestSession::open(&mut host);
+    session.titles(&mut host, false, true, 0, 1);
     host.sets.clear();
-    assert_eq!(play.titles(&mut host, false, false, 1, 2), (3, "ab".into()));
+    assert_eq!(
+        session.titles(&mut host, false, false, 1, 2),
+        (3, "ab".into())
+    );
 }
--- a/catalogue/src/index/tests.rs
+++ b/catalogue/src/index/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn names_sets_and_attributes_lead_to_the_same_index() {
+fn names_context_sets_and_use_attributes_are_consistent() {
     for index in INDEXES {
         assert_eq!(by_name(index.name), Some(*index));
         assert_eq!(by_use(index.use_attribute), Some(*index));
--- a/catalogue/src/merge/tests.rs
+++ b/catalogue/src/merge/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn said(merged: &(Vec<Term>, usize)) -> String {
+fn describe(merged: &(Vec<Term>, usize)) -> String {
     let words: Vec<String> = merged
         .0
         .iter()
@@ -24,49 +24,49 @@
 }
 
 #[test]
-fn lists_of_terms_add_up_and_stand_around_their_starting_point() {
+fn term_lists_are_merged_around_the_starting_point() {
     let lists = [
         terms(&[("ant", 1), ("bee", 2), ("cat", 1)]),
         terms(&[("bee", 3), ("Cat", 4), ("dog", 9)]),
     ];
-    assert_eq!(said(&scan(&lists, "bee", 2, 1)), "bee:5 cat:5 @1");
-    assert_eq!(said(&scan(&lists, "bee", 3, 2)), "ant:1 bee:5 cat:5 @2");
-    assert_eq!(said(&scan(&lists, "bea", 2, 1)), "bee:5 cat:5 @1");
-    assert_eq!(said(&scan(&lists, "bee", 2, 0)), "cat:5 dog:9 @0");
-    assert_eq!(said(&scan(&lists, "dog", 2, 3)), "bee:5 cat:5 @3");
-    // Fewer stand before than were asked for: the point stands further up.
-    assert_eq!(said(&scan(&lists, "ant", 3, 3)), "ant:1 @1");
-    assert_eq!(said(&scan(&lists, "zebra", 2, 1)), " @1");
+    assert_eq!(describe(&scan(&lists, "bee", 2, 1)), "bee:5 cat:5 @1");
+    assert_eq!(describe(&scan(&lists, "bee", 3, 2)), "ant:1 bee:5 cat:5 @2");
+    assert_eq!(describe(&scan(&lists, "bea", 2, 1)), "bee:5 cat:5 @1");
+    assert_eq!(describe(&scan(&lists, "bee", 2, 0)), "cat:5 dog:9 @0");
+    assert_eq!(describe(&scan(&lists, "dog", 2, 3)), "bee:5 cat:5 @3");
+    // Fewer terms precede the starting point than requested, so its position is lower.
+    assert_eq!(describe(&scan(&lists, "ant", 3, 3)), "ant:1 @1");
+    assert_eq!(describe(&scan(&lists, "zebra", 2, 1)), " @1");
 }
 
 #[test]
-fn counts_say_what_they_are_worth() {
-    let say = |slices: &[(u64, bool)], missing| count(slices.iter().copied(), missing);
+fn merged_count_reports_its_precision() {
+    let count_of = |slices: &[(u64, bool)], missing| count(slices.iter().copied(), missing);
     assert_eq!(
-        say(&[(3, true), (4, true)], false),
+        count_of(&[(3, true), (4, true)], false),
         Count {
             hits: 7,
             precision: Precision::Exact
         }
     );
     assert_eq!(
-        say(&[(3, true), (4, false)], false).precision,
+        count_of(&[(3, true), (4, false)], false).precision,
         Precision::AtLeast
     );
     assert_eq!(
-        say(&[(3, true), (4, false)], true).precision,
+        count_of(&[(3, true), (4, false)], true).precision,
         Precision::Partial
     );
     assert_eq!(
-        say(&[(u64::MAX, true), (4, true)], false).hits,
+        count_of(&[(u64::MAX, true), (4, true)], false).hits,
         u64::MAX,
-        "no wrap"
+        "the sum saturates"
     );
 }
 
 #[test]
-fn a_cut_list_of_facets_makes_the_counts_inexact_only_where_it_may_hide_one() {
-    let ask = FacetRequest {
+fn truncated_facet_list_is_inexact_only_if_it_may_omit_a_value() {
+    let request = FacetRequest {
         index: "dc.subject".into(),
         limit: 1,
     };
@@ -75,7 +75,7 @@
         values: values.iter().map(|(v, n)| ((*v).to_owned(), *n)).collect(),
     };
     let (a, b) = (list(&[("moon", 5), ("sun", 4)]), list(&[("sun", 3)]));
-    let merged = facets(&ask, &[Some(&a), Some(&b)]);
+    let merged = facets(&request, &[Some(&a), Some(&b)]);
     assert_eq!(
         (merged.facet.values, merged.exact),
         (vec![("sun".to_owned(), 7)], true)
@@ -83,8 +83,8 @@
     let names: Vec<String> = (0..12).map(|n| format!("v{n:02}")).collect();
     let full: Vec<(&str, u64)> = names.iter().map(|n| (n.as_str(), 1)).collect();
     assert!(
-        !facets(&ask, &[Some(&a), Some(&list(&full))]).exact,
-        "moon may be in the rest of it"
+        !facets(&request, &[Some(&a), Some(&list(&full))]).exact,
+        "the list may omit moon"
     );
-    assert!(!facets(&ask, &[Some(&a), None]).exact);
+    assert!(!facets(&request, &[Some(&a), None]).exact);
 }
--- a/catalogue/src/pool/tests.rs
+++ b/catalogue/src/pool/tests.rs
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn an_idle_session_is_used_before_one_more_is_opened_and_none_beyond_the_bound() {
+fn idle_session_is_preferred_and_session_count_is_bounded() {
     let mut pool = Pool::new(BOUNDS);
     assert_eq!(pool.choose(1, &[], 0), Choice::Open);
     assert_eq!(pool.choose(1, &[1, 0], 0), Choice::Use(1));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_host_that_fails_is_left_in_peace_for_longer_each_time_but_not_for_ever() {
+fn backoff_doubles_up_to_maximum_and_resets_on_success() {
     let mut pool = Pool::new(BOUNDS);
     let mut now = 0;
     for backoff in [100, 200, 400, 800, 1000, 1000] {
@@ -32,7 +32,7 @@
         assert_eq!(
             pool.choose(1, &[2], now + backoff - 1),
             Choice::Wait(0),
-            "what is up still works"
+            "open sessions remain in use"
         );
         now += backoff;
         assert_eq!(pool.choose(1, &[], now), Choice::Open);
@@ -42,34 +42,34 @@
     assert_eq!(
         pool.choose(1, &[], now + 100),
         Choice::Open,
-        "after a success it begins anew"
+        "a success resets the backoff"
     );
     assert_eq!(
         pool.choose(2, &[], now),
         Choice::Open,
-        "another host has no part in it"
+        "other hosts are not affected"
     );
 }
 
 #[test]
-fn an_abandoned_search_is_outlived_as_long_as_that_is_cheaper() {
+fn abandoned_search_is_drained_within_time_and_session_limits() {
     let mut pool = Pool::new(BOUNDS);
     pool.answered(1, 100, 0);
     assert_eq!(
         pool.abandon(1, 1000, 1200),
         AbandonedAction::Drain(1800),
-        "eight times what it usually takes"
+        "eight times the mean response time"
     );
     assert_eq!(
         pool.abandon(1, 1000, 1800),
         AbandonedAction::Close,
-        "it has had its time"
+        "the time for it has passed"
     );
     assert_eq!(pool.abandon(1, 1000, 1200), AbandonedAction::Drain(1800));
     assert_eq!(
         pool.abandon(1, 1000, 1200),
         AbandonedAction::Close,
-        "half of the sessions wait for nothing"
+        "half of the sessions wait for abandoned searches"
     );
     pool.drained(1, 1300);
     assert_eq!(pool.abandon(1, 1000, 1300), AbandonedAction::Drain(1800));
@@ -80,12 +80,12 @@
     assert_eq!(
         pool.abandon(1, 2000, 2000),
         AbandonedAction::Drain(4000),
-        "never longer than the bound"
+        "limited by the maximum"
     );
 }
 
 #[test]
-fn what_a_host_cannot_do_is_asked_again_after_a_while_and_the_memory_is_bounded() {
+fn missing_capabilities_expire_and_remembered_hosts_are_bounded() {
     let mut pool = Pool::new(BOUNDS);
     pool.capabilities(1, 0).no_sort = true;
     assert!(pool.capabilities(1, 4999).no_sort);
--- a/catalogue/src/record/marc/tests.rs
+++ b/catalogue/src/record/marc/tests.rs
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn both_forms_bring_back_what_was_written() {
+fn exchange_format_and_marcxml_round_trip() {
     let marc = sample();
     let bytes = marc.to_bytes().unwrap();
     let mut back = Marc::from_bytes(&bytes).unwrap();
     assert_eq!(
         back.to_bytes().unwrap(),
         bytes,
-        "what was read is written alike"
+        "decoding and encoding again changes nothing"
     );
     back.leader.clear();
     assert_eq!(back, marc);
@@ -28,19 +28,19 @@
     assert_eq!((xml.control, xml.data), (marc.control, marc.data));
 }
 
-/// Every truncation and every changed byte is refused or read, and never read past the record's
-/// end.
+/// Any truncated record is refused. A record with a changed byte is refused or read without access
+/// beyond its end.
 #[test]
-fn spoilt_bytes_are_refused_or_read_within_their_bounds() {
+fn corrupted_records_are_refused_or_read_within_bounds() {
     let bytes = sample().to_bytes().unwrap();
     for cut in 0..bytes.len() {
         assert!(Marc::from_bytes(&bytes[..cut]).is_err(), "{cut}");
     }
     for at in 0..bytes.len() {
         for value in [0, b'9', 0x1e, 0xff] {
-            let mut spoilt = bytes.clone();
-            spoilt[at] = value;
-            let _ = Marc::from_bytes(&spoilt);
+            let mut corrupted = bytes.clone();
+            corrupted[at] = value;
+            let _ = Marc::from_bytes(&corrupted);
         }
     }
     let mut long = sample();
--- a/catalogue/src/record/tests.rs
+++ b/catalogue/src/record/tests.rs
@@ -8,7 +8,7 @@
     <dc:identifier>c-17</dc:identifier><dc:language>eng</dc:language></oai_dc:dc>";
 
 #[test]
-fn a_record_keeps_its_fields_through_every_schema_and_syntax() {
+fn fields_survive_every_schema_and_syntax() {
     let record = Record::new(DC.to_owned());
     let fields = record.fields().unwrap();
     assert_eq!(fields.0.len(), 6);
@@ -38,19 +38,19 @@
 }
 
 #[test]
-fn a_brief_record_is_shorter_and_an_unknown_schema_passes_only_as_it_is() {
+fn brief_records_are_reduced_and_unknown_schemas_are_not_converted() {
     let record = Record::new(DC.to_owned());
     let brief = record.to_xml(Schema::Dc, true).unwrap();
     assert!(
         brief.contains("Rabbit") && !brief.contains("subject"),
         "{brief}"
     );
-    let odd = Record::new("<odd><title>x</title></odd>".to_owned());
+    let unknown = Record::new("<odd><title>x</title></odd>".to_owned());
     assert_eq!(
-        (odd.schema, odd.to_xml(Schema::Mods, false)),
+        (unknown.schema, unknown.to_xml(Schema::Mods, false)),
         (None, Err(RecordError::UnknownSchema))
     );
-    // Dublin Core without any namespace, as small servers give it.
+    // Some small servers return Dublin Core without a namespace.
     assert_eq!(
         Record::new("<dc><title>x</title></dc>".to_owned()).schema,
         Some(Schema::Dc)
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_fingerprint_sees_text_and_nothing_else() {
+fn fingerprint_depends_only_on_text() {
     let same = Record::new(DC.replace("dc:", "x:"));
     let record = Record::new(DC.to_owned());
     assert_eq!(
--- a/catalogue/src/rpn/tests.rs
+++ b/catalogue/src/rpn/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::{ber, cql};
 
-fn through(text: &str) -> Result<Node, Fault> {
+fn round_trip(text: &str) -> Result<Node, Fault> {
     let node = cql::parse(text, 8).unwrap().root;
     let mut writer = Writer::default();
     let mut inner = Writer::default();
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_search_means_the_same_in_both_languages() {
+fn cql_round_trips_through_rpn() {
     for text in [
         "title == \"moon\" and (creator all \"a b\" or date <= 2001) not isbn = 7",
         "title = moon* or title = *moon or title = *moon* or title = m?o*n",
@@ -26,7 +26,7 @@
         "cql.resultSetId = \"A\" and moon",
     ] {
         assert_eq!(
-            through(text),
+            round_trip(text),
             Ok(cql::parse(text, 8).unwrap().root),
             "{text}"
         );
@@ -34,8 +34,9 @@
 }
 
 #[test]
-fn what_bib1_has_no_attribute_for_is_said_otherwise_or_refused() {
-    let same = |a: &str, b: &str| assert_eq!(through(a), Ok(cql::parse(b, 8).unwrap().root), "{a}");
+fn relations_without_bib1_attribute_are_rewritten_or_refused() {
+    let same =
+        |a: &str, b: &str| assert_eq!(round_trip(a), Ok(cql::parse(b, 8).unwrap().root), "{a}");
     same("title any \"a b c\"", "title = a or title = b or title = c");
     same("date within \"1990 2000\"", "date >= 1990 and date <= 2000");
     for (text, kind) in [
@@ -44,12 +45,12 @@
         ("title =/respectCase moon", Kind::MODIFIER),
         ("title = moon^", Kind::ANCHOR),
     ] {
-        assert_eq!(through(text).map_err(|f| f.kind), Err(kind), "{text}");
+        assert_eq!(round_trip(text).map_err(|f| f.kind), Err(kind), "{text}");
     }
 }
 
 #[test]
-fn attributes_that_are_not_known_are_refused_by_their_own_number() {
+fn unknown_attributes_are_refused_with_specific_diagnostics() {
     for (kind, value, condition) in [
         (1, 9999, 114),
         (2, 77, 117),
--- a/catalogue/src/sets/tests.rs
+++ b/catalogue/src/sets/tests.rs
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn a_page_asks_only_the_slices_that_hold_it() {
+fn page_is_located_only_in_slices_that_contain_it() {
     let set = set("moon", &[5, 0, 12, 3]);
-    let say = |start, count| -> Vec<(u32, u64, u64)> {
+    let ranges_of = |start, count| -> Vec<(u32, u64, u64)> {
         let mut ranges: Vec<(u32, u64, u64)> = Vec::new();
         for (_, (at, offset)) in set.locate(start, count) {
             let slice = set.slices[at].slice;
@@ -50,11 +50,11 @@
         }
         ranges
     };
-    assert_eq!(say(1, 5), [(0, 0, 5)]);
-    assert_eq!(say(4, 4), [(0, 3, 2), (2, 0, 2)]);
-    assert_eq!(say(17, 10), [(2, 11, 1), (3, 0, 3)]);
-    assert_eq!(say(21, 1), []);
-    assert_eq!(say(1, 1 << 40).iter().map(|p| p.2).sum::<u64>(), 20);
+    assert_eq!(ranges_of(1, 5), [(0, 0, 5)]);
+    assert_eq!(ranges_of(4, 4), [(0, 3, 2), (2, 0, 2)]);
+    assert_eq!(ranges_of(17, 10), [(2, 11, 1), (3, 0, 3)]);
+    assert_eq!(ranges_of(21, 1), []);
+    assert_eq!(ranges_of(1, 1 << 40).iter().map(|p| p.2).sum::<u64>(), 20);
     assert_eq!(
         (set.missing.as_slice(), set.count().precision),
         (&[4][..], merge::Precision::Partial)
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_changed_slice_is_seen_by_its_count_or_by_the_record_before_the_page() {
+fn slice_change_is_detected_by_count_or_previous_record() {
     let mut set = set("moon", &[5]);
     let record = |n: u32| Record::new(format!("<dc><title>{n}</title></dc>"));
     let page = |hits, numbers: &[u32]| Found {
@@ -72,14 +72,14 @@
         ..Found::default()
     };
     set.record_delivered(0, 1, &record(1));
-    let place = SliceRange {
+    let range = SliceRange {
         at: 0,
         slice: 0,
         offset: 2,
         count: 2,
     };
     assert_eq!(
-        set.range_to_fetch(&place),
+        set.range_to_fetch(&range),
         Range {
             slice: 0,
             offset: 1,
@@ -87,51 +87,51 @@
         }
     );
     let mut good = page(5, &[1, 2, 3]);
-    assert_eq!(set.verify(&place, &mut good), Ok(()));
+    assert_eq!(set.verify(&range, &mut good), Ok(()));
     assert_eq!(
         good.records,
         [record(2), record(3)],
-        "the record before is taken off"
+        "the previous record is removed"
     );
     assert!(
-        set.verify(&place, &mut page(6, &[1, 2, 3])).is_err(),
-        "one more"
+        set.verify(&range, &mut page(6, &[1, 2, 3])).is_err(),
+        "the count differs"
     );
     assert!(
-        set.verify(&place, &mut page(5, &[0, 1, 2])).is_err(),
-        "another order"
+        set.verify(&range, &mut page(5, &[0, 1, 2])).is_err(),
+        "the previous record differs"
     );
     assert!(
-        set.verify(&place, &mut page(5, &[1, 2])).is_err(),
-        "one too few"
+        set.verify(&range, &mut page(5, &[1, 2])).is_err(),
+        "a record is missing"
     );
-    let elsewhere = SliceRange {
+    let other_range = SliceRange {
         at: 0,
         slice: 0,
         offset: 4,
         count: 1,
     };
     assert_eq!(
-        set.range_to_fetch(&elsewhere),
+        set.range_to_fetch(&other_range),
         Range {
             slice: 0,
             offset: 4,
             count: 1
         },
-        "nothing to check against"
+        "no previous record is known"
     );
 }
 
 #[test]
-fn sets_expire_give_way_and_end_with_their_session() {
+fn sets_expire_are_evicted_and_end_with_their_session() {
     let mut table = SetTable::new(BOUNDS, 7);
     let first = table.insert(set("a", &[1]), Owner::Shared, None, 0);
     let token = table.get(first, 0).unwrap().token.clone();
     assert_eq!(table.by_token(&token, 50), Ok(first));
-    assert!(table.get(first, 90).is_some(), "use keeps it");
+    assert!(table.get(first, 90).is_some(), "use extends the lifetime");
     assert!(
         table.get(first, 189).is_some() && table.get(first, 289).is_none(),
-        "and disuse ends it"
+        "an unused set expires"
     );
     assert_eq!(
         table.by_token(&token, 300).map_err(|f| f.kind),
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn the_memory_of_all_sets_is_bounded_and_a_search_is_continued_by_its_last_set() {
+fn memory_is_bounded_and_latest_set_continues_a_search() {
     let mut table = SetTable::new(
         SetBounds {
             bytes: 20_000,
--- a/catalogue/src/sort/tests.rs
+++ b/catalogue/src/sort/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn keys_are_read_written_and_refused() {
+fn sort_keys_round_trip_and_invalid_ones_are_refused() {
     let keys = read_sort_keys("title,,0,1,lowValue date dc.creator,dc,1,,\"x\"", 3).unwrap();
     assert_eq!(read_sort_keys(&write_sort_keys(&keys), 3), Ok(keys.clone()));
     assert_eq!(
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_lacks_the_key_stands_where_the_key_says() {
+fn missing_values_sort_as_the_key_specifies() {
     let mut key = SortKey::named("title").unwrap();
     let at = |key: &SortKey, text| value(key, text);
     assert!(at(&key, None) > at(&key, Some("zzz")));
@@ -35,7 +35,7 @@
     assert!(at(&key, Some(" ")) < at(&key, Some("a")));
     key.missing = Missing::Fail;
     assert_eq!(at(&key, None), None);
-    // Descending turns the missing ones round with the rest: high stands first.
+    // Descending order reverses missing values as well, so High sorts first.
     let down = SortKey {
         ascending: false,
         missing: Missing::High,
--- a/catalogue/src/sru/request/tests.rs
+++ b/catalogue/src/sru/request/tests.rs
@@ -11,7 +11,7 @@
     facets: 4,
 };
 
-fn say(query: &str) -> String {
+fn describe(query: &str) -> String {
     match read(&parameters(query), None, None, &BOUNDS) {
         Ok((form, Request::Search(s))) => format!(
             "{} search {} from {} at most {} ttl {:?} facets {} text {} schema {:?}",
@@ -78,13 +78,13 @@
     ];
     let said: Vec<String> = cases
         .iter()
-        .map(|case| format!("{case}\n  {}", say(case)))
+        .map(|case| format!("{case}\n  {}", describe(case)))
         .collect();
     insta::assert_snapshot!(said.join("\n"));
 }
 
 #[test]
-fn a_header_that_takes_nothing_here_is_refused_in_the_version_that_has_it() {
+fn unsupported_accept_header_is_rejected_only_in_version_2_0() {
     let given = parameters("query=a");
     assert_eq!(
         read(&given, None, Some("image/png"), &BOUNDS)
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn text_comes_back_from_a_url_as_it_was() {
+fn percent_encoding_round_trips() {
     for text in ["a b", "ü=&+%", "\"x\" and y"] {
         assert_eq!(
             parameters(&format!("query={}", percent(text)))["query"],
             text
         );
     }
-    assert_eq!(unescape("%zz%4"), "%zz%4", "what is no escape stays");
+    assert_eq!(unescape("%zz%4"), "%zz%4", "invalid escapes are kept");
 }
--- a/catalogue/src/sru/soap/tests.rs
+++ b/catalogue/src/sru/soap/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn requests_are_read_from_envelopes_of_this_version_alone() {
+fn parses_soap_1_1_envelopes_and_rejects_others() {
     let envelope = |namespace: &str, inner: &str| {
         format!("<s:Envelope xmlns:s=\"{namespace}\"><s:Body>{inner}</s:Body></s:Envelope>")
     };
--- a/catalogue/src/sru/xml/tests.rs
+++ b/catalogue/src/sru/xml/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 #[test]
-fn responses_of_every_kind_are_read() {
-    let said = read_response(
+fn parses_search_scan_and_facet_responses() {
+    let response = read_response(
         "<?xml version=\"1.0\"?><z:searchRetrieveResponse xmlns:z=\"http://www.loc.gov/zing/srw/\" \
          xmlns:dc=\"http://purl.org/dc/elements/1.1/\"><z:version>1.1</z:version>\
          <z:numberOfRecords>7</z:numberOfRecords><z:records><z:record><z:recordData>\
@@ -17,26 +17,34 @@
     )
     .unwrap();
     assert_eq!(
-        (said.hits, said.exact, said.version.as_deref()),
+        (response.hits, response.exact, response.version.as_deref()),
         (Some(7), true, Some("1.1"))
     );
-    let titles: Vec<Option<String>> = said.records.iter().map(|r| r.value("dc.title")).collect();
+    let titles: Vec<Option<String>> = response
+        .records
+        .iter()
+        .map(|r| r.value("dc.title"))
+        .collect();
     assert_eq!(titles, [Some("A & B".into()), Some("C".into()), None]);
     assert!(
-        said.records[0].xml.contains("xmlns:dc=") && !said.records[0].xml.contains("xmlns:z"),
+        response.records[0].xml.contains("xmlns:dc=")
+            && !response.records[0].xml.contains("xmlns:z"),
         "{:?}",
-        said.records[0]
+        response.records[0]
     );
-    assert_eq!(said.records[2].fault.as_ref().map(|f| f.kind.sru), Some(67));
-    assert_eq!(said.faults, [Kind::PARTIAL.of("half")]);
+    assert_eq!(
+        response.records[2].fault.as_ref().map(|f| f.kind.sru),
+        Some(67)
+    );
+    assert_eq!(response.faults, [Kind::PARTIAL.of("half")]);
 
-    let said = read_response(
+    let response = read_response(
         "<scanResponse><terms><term><value>moon</value><numberOfRecords>3</numberOfRecords>\
          <displayTerm>Moon</displayTerm></term></terms></scanResponse>",
     )
     .unwrap();
     assert_eq!(
-        said.terms,
+        response.terms,
         [Term {
             text: "moon".into(),
             display: Some("Moon".into()),
@@ -44,7 +52,7 @@
         }]
     );
 
-    let said = read_response(
+    let response = read_response(
         "<searchRetrieveResponse><numberOfRecords>2</numberOfRecords><resultCountPrecision>\
          info:srw/vocabulary/resultCountPrecision/1/minimum</resultCountPrecision><facetedResults><facets>\
          <facet><index>subject</index><terms><term><actualTerm>moon</actualTerm><count>2</count></term></terms>\
@@ -55,11 +63,14 @@
         index: "dc.subject".into(),
         values: vec![("moon".into(), 2)],
     };
-    assert_eq!((said.exact, said.facets), (false, Some(vec![facet])));
+    assert_eq!(
+        (response.exact, response.facets),
+        (false, Some(vec![facet]))
+    );
 }
 
 #[test]
-fn what_is_cut_short_or_no_number_is_no_response() {
+fn rejects_truncated_deep_and_non_numeric_responses() {
     let complete = "<r><numberOfRecords>7</numberOfRecords><records><record><recordData><a/></recordData></record></records></r>";
     for cut in 0..complete.len() {
         assert!(
--- a/catalogue/src/z3950/records/tests.rs
+++ b/catalogue/src/z3950/records/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn without_segmentation_only_what_fits_is_sent_and_at_least_one() {
+fn without_segmentation_sends_records_that_fit_and_at_least_one() {
     let limits = SegmentLimits {
         preferred: 1000,
         exceptional: 3000,
@@ -46,7 +46,7 @@
         ),
         (2, true, 0)
     );
-    // The first may be exceptional, a longer one is said to be too long in its place.
+    // The first record may reach the exceptional size. A longer one is replaced by a diagnostic.
     let segmented = segment_records("d", Syntax::Xml, records(&[2000, 300]), limits, 1 << 20);
     assert_eq!((segmented.delivered, segmented.truncated), (1, true));
     let segmented = segment_records("d", Syntax::Xml, records(&[4000, 300]), limits, 1 << 20);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn level_1_sends_all_whole_records_and_level_2_parts_too() {
+fn segmentation_level_1_sends_whole_records_and_level_2_fragments() {
     let limits = SegmentLimits {
         preferred: 1000,
         exceptional: 3000,
@@ -122,7 +122,7 @@
         .filter(|(n, _)| *n == 1)
         .count();
     assert!(parts >= 10);
-    // Whatever is asked for, no more than the bound is held for one client.
+    // The total size is limited regardless of the number of records requested.
     let segmented = segment_records("d", Syntax::Xml, records(&[500; 100]), limits, 5000);
     assert!(segmented.truncated && segmented.delivered < 10);
 }
--- a/catalogue/src/z3950/sort/tests.rs
+++ b/catalogue/src/z3950/sort/tests.rs
@@ -4,7 +4,7 @@
 use crate::ber;
 
 #[test]
-fn keys_come_back_as_they_were_written() {
+fn sort_keys_round_trip() {
     let mut keys = vec![
         SortKey::named("title").unwrap(),
         SortKey::named("date").unwrap(),
--- a/catalogue/tests/operation.rs
+++ b/catalogue/tests/operation.rs
@@ -1,5 +1,5 @@
-//! Operations over modelled slices: what pages add up to, whatever is missing, late or changed, and
-//! what they cost.
+//! Operations on a simulated index: which records the pages contain when slices are missing, late
+//! or changed, and how many records are fetched for them.
 
 use catalogue::cql;
 use catalogue::fault::Kind;
@@ -21,9 +21,9 @@
     rounds: 12,
 };
 
-/// Slices as their hosts hold them: titles, each in its slice's order.
+/// A simulated index: the titles of each slice, in the order of its host.
 #[derive(Debug, Clone)]
-struct World {
+struct SimulatedIndex {
     slices: Vec<Vec<String>>,
     missing: BTreeSet<u32>,
     fetched: u64,
@@ -33,8 +33,8 @@
     Record::new(format!("<dc><title>{title}</title></dc>"))
 }
 
-impl World {
-    fn new(slices: &[Vec<u16>], sorted: bool) -> World {
+impl SimulatedIndex {
+    fn new(slices: &[Vec<u16>], sorted: bool) -> SimulatedIndex {
         let titles = |(at, slice): (usize, &Vec<u16>)| {
             let mut titles: Vec<String> = slice
                 .iter()
@@ -47,20 +47,20 @@
             titles
         };
         let slices = slices.iter().enumerate().map(titles).collect();
-        World {
+        SimulatedIndex {
             slices,
             missing: BTreeSet::new(),
             fetched: 0,
         }
     }
 
-    fn numbers(&self) -> Vec<u32> {
+    fn slice_numbers(&self) -> Vec<u32> {
         (0..self.slices.len() as u32).collect()
     }
 
     fn answer(&mut self, plan: &Plan) -> Round {
         let Work::Page(page) = &plan.work else {
-            panic!("no page")
+            panic!("not a page request")
         };
         let mut values = Vec::new();
         for slice in &plan.slices {
@@ -84,7 +84,7 @@
             };
             values.push((*slice, WorkResult::Found(found)));
         }
-        // The core gives no answer under the class's floor.
+        // The dispatch core returns no answer below the class's floor.
         if values.is_empty() || (values.len() as f64) < BOUNDS.floor * plan.slices.len() as f64 {
             return Round::Failed(FailureReason::GivenUp);
         }
@@ -102,8 +102,8 @@
                 Step::Done(outcome) => return outcome,
                 Step::Ask(plan) => {
                     rounds += 1;
-                    assert!(rounds <= BOUNDS.rounds, "an operation ends");
-                    assert!(!plan.slices.is_empty(), "a query has parts");
+                    assert!(rounds <= BOUNDS.rounds, "too many rounds");
+                    assert!(!plan.slices.is_empty(), "no slices in the plan");
                     let round = self.answer(&plan);
                     step = operation.answered(round, sets, 0);
                 }
@@ -122,7 +122,7 @@
             schema: Schema::Dc,
             start,
             want: Want::Count(count),
-            slices: self.numbers(),
+            slices: self.slice_numbers(),
             left_out: Vec::new(),
             facets: Vec::new(),
             owner: Owner::Shared,
@@ -130,20 +130,20 @@
         }
     }
 
-    fn first(&mut self, sorted: bool, count: u64, sets: &mut SetTable) -> Outcome {
+    fn first_page(&mut self, sorted: bool, count: u64, sets: &mut SetTable) -> Outcome {
         let search = self.search(sorted, 1, count);
         self.run(Operation::search(search, BOUNDS), sets)
     }
 
     fn page(&mut self, set: SetId, start: u64, count: u64, sets: &mut SetTable) -> Outcome {
-        let begun = Operation::page(set, (start, count), Schema::Dc, None, BOUNDS, sets, 0);
-        self.run(begun, sets)
+        let started = Operation::page(set, (start, count), Schema::Dc, None, BOUNDS, sets, 0);
+        self.run(started, sets)
     }
 
-    /// What a set without the missing slices holds, in order.
+    /// The contents of a set without the missing slices, in order.
     fn expected(&self, sorted: bool) -> Vec<String> {
         let kept = self
-            .numbers()
+            .slice_numbers()
             .into_iter()
             .filter(|s| !self.missing.contains(s));
         let mut all: Vec<String> = kept.flat_map(|s| self.slices[s as usize].clone()).collect();
@@ -173,7 +173,7 @@
         .collect()
 }
 
-fn served(outcome: Outcome) -> Box<Page> {
+fn expect_page(outcome: Outcome) -> Box<Page> {
     match outcome {
         Outcome::Page(page) => page,
         other => panic!("{other:?}"),
@@ -183,85 +183,85 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Pages read one behind the other are the whole set: none twice, none left out, in the merged
-    /// order; and behind page one hardly a record is fetched that is not delivered.
+    /// Consecutive pages contain each record of the set exactly once, in merged order. After the
+    /// first page, hardly any record is fetched without being delivered.
     #[test]
-    fn pages_add_up_to_the_set_and_cost_little_more_than_they_deliver(
+    fn pages_cover_the_set_exactly_and_fetch_little_extra(
         slices in prop::collection::vec(prop::collection::vec(0u16..300, 0..60), 1..7),
         sorted: bool,
         count in 1u64..30,
         late in 0u32..7,
     ) {
-        let mut world = World::new(&slices, sorted);
+        let mut index = SimulatedIndex::new(&slices, sorted);
         let mut sets = table();
-        if world.slices.len() > 2 && (late as usize) < world.slices.len() {
-            world.missing.insert(late);
+        if index.slices.len() > 2 && (late as usize) < index.slices.len() {
+            index.missing.insert(late);
         }
-        let page = served(world.first(sorted, count, &mut sets));
-        let expected = world.expected(sorted);
+        let page = expect_page(index.first_page(sorted, count, &mut sets));
+        let expected = index.expected(sorted);
         prop_assert_eq!(page.count.hits as usize, expected.len());
-        prop_assert_eq!(page.complete, world.missing.is_empty());
+        prop_assert_eq!(page.complete, index.missing.is_empty());
         prop_assert_eq!(page.diagnostics.iter().any(|f| f.kind == Kind::PARTIAL), !page.complete);
         let mut read = titles(&page);
         let mut next = page.next();
-        let first_cost = world.fetched;
-        let late_slice = std::mem::take(&mut world.missing);
+        let first_cost = index.fetched;
+        let late_slice = std::mem::take(&mut index.missing);
         while let Some(start) = next {
-            // The slice that was late is there again; the set stays what it was.
-            let more = served(world.page(page.set, start, count, &mut sets));
+            // The missing slice is available again, but the set must not change.
+            let more = expect_page(index.page(page.set, start, count, &mut sets));
             prop_assert!(!more.records.is_empty());
             read.extend(titles(&more));
             next = more.next();
         }
-        world.missing = late_slice;
+        index.missing = late_slice;
         prop_assert_eq!(&read, &expected);
         let delivered = expected.len().saturating_sub(count as usize) as u64;
-        let fetched = world.fetched - first_cost;
-        let slack = if sorted { 0 } else { world.slices.len() as u64 };
-        // One record to check by for each slice that a page continues.
+        let fetched = index.fetched - first_cost;
+        let slack = if sorted { 0 } else { index.slices.len() as u64 };
+        // One extra record is fetched as a check for each slice that a page continues.
         prop_assert!(fetched <= delivered + delivered.div_ceil(count) + slack + 1, "{fetched} for {delivered}");
     }
 
-    /// Whatever slices are lost while a page is fetched: it ends before the gap, and asking again
-    /// goes on there.
+    /// If slices fail while a page is fetched, the page ends before the gap, and the next request
+    /// continues there.
     #[test]
-    fn a_lost_slice_leaves_no_gap(
+    fn page_ends_before_a_failed_slice_and_resumes_there(
         slices in prop::collection::vec(prop::collection::vec(0u16..300, 0..40), 2..6),
         sorted: bool,
         count in 1u64..40,
         lost in prop::collection::vec(prop::option::of(0u32..6), 1..60),
     ) {
-        let mut world = World::new(&slices, sorted);
+        let mut index = SimulatedIndex::new(&slices, sorted);
         let mut sets = table();
-        let page = served(world.first(sorted, 0, &mut sets));
-        let expected = world.expected(sorted);
+        let page = expect_page(index.first_page(sorted, 0, &mut sets));
+        let expected = index.expected(sorted);
         let mut read: Vec<String> = Vec::new();
         let mut lost = lost.into_iter();
         while read.len() < expected.len() {
-            world.missing = lost.next().flatten().into_iter().collect();
-            let more = served(world.page(page.set, read.len() as u64 + 1, count, &mut sets));
-            prop_assert!(!more.records.is_empty() || more.short.is_some(), "an empty page says why");
+            index.missing = lost.next().flatten().into_iter().collect();
+            let more = expect_page(index.page(page.set, read.len() as u64 + 1, count, &mut sets));
+            prop_assert!(!more.records.is_empty() || more.short.is_some(), "empty page without a reason");
             read.extend(titles(&more));
         }
         prop_assert_eq!(&read, &expected);
     }
 
-    /// A record that comes, goes or moves between two pages: the set says that it is gone, or the
-    /// page is right.
+    /// A record is added, removed or moved between two pages. Either the set is reported as gone,
+    /// or the page is correct.
     #[test]
-    fn a_change_between_pages_is_never_passed_over(
+    fn change_between_pages_is_detected_or_harmless(
         slices in prop::collection::vec(prop::collection::vec(0u16..300, 3..20), 1..5),
         count in 2u64..9,
         slice in 0usize..5,
         at in 0usize..20,
         kind in 0u8..3,
     ) {
-        let mut world = World::new(&slices, false);
+        let mut index = SimulatedIndex::new(&slices, false);
         let mut sets = table();
-        let page = served(world.first(false, count, &mut sets));
-        let before = world.expected(false);
-        let slice = slice % world.slices.len();
-        let titles_of = &mut world.slices[slice];
+        let page = expect_page(index.first_page(false, count, &mut sets));
+        let before = index.expected(false);
+        let slice = slice % index.slices.len();
+        let titles_of = &mut index.slices[slice];
         let at = at % titles_of.len();
         match kind {
             0 => titles_of.insert(at, "new".to_owned()),
@@ -269,11 +269,11 @@
             _ => titles_of.rotate_left(1),
         }
         let Some(start) = page.next() else { return Ok(()) };
-        match world.page(page.set, start, count, &mut sets) {
+        match index.page(page.set, start, count, &mut sets) {
             Outcome::Fault(fault) => prop_assert_eq!(fault.kind, Kind::SET_GONE),
             Outcome::Page(more) => {
-                // It read slices that have not changed, or (moved, unseen before) ones never
-                // delivered from.
+                // The page read only unchanged slices, or records moved in a slice of which none
+                // had been delivered, so the change could not be detected.
                 let wanted: Vec<String> = before.iter().skip(start as usize - 1).take(count as usize).cloned().collect();
                 let same = titles(&more) == wanted;
                 let untouched = !titles(&page).iter().any(|t| t.contains(&format!(" {slice}-")));
@@ -285,31 +285,31 @@
 }
 
 #[test]
-fn a_continued_search_whose_set_has_changed_begins_anew_and_says_so() {
-    let mut world = World::new(&[vec![1, 2, 3, 4, 5], vec![6, 7]], false);
+fn continued_search_on_changed_set_is_repeated_and_marked() {
+    let mut index = SimulatedIndex::new(&[vec![1, 2, 3, 4, 5], vec![6, 7]], false);
     let mut sets = table();
-    let page = served(world.first(false, 2, &mut sets));
-    world.slices[0].remove(0);
-    let again = world.search(false, 3, 2);
-    let begun = Operation::page(
+    let page = expect_page(index.first_page(false, 2, &mut sets));
+    index.slices[0].remove(0);
+    let repeat_search = index.search(false, 3, 2);
+    let started = Operation::page(
         page.set,
         (3, 2),
         Schema::Dc,
-        Some(again),
+        Some(repeat_search),
         BOUNDS,
         &mut sets,
         0,
     );
-    let more = served(world.run(begun, &mut sets));
+    let more = expect_page(index.run(started, &mut sets));
     assert!(more.replaced && more.set != page.set && more.token != page.token);
     assert_eq!((titles(&more).len(), more.count.hits), (2, 6));
 }
 
 #[test]
-fn a_host_that_sorts_otherwise_is_told_of() {
-    let mut world = World::new(&[vec![1, 5, 9], vec![2, 3]], true);
-    world.slices[0].reverse();
-    let page = served(world.first(true, 5, &mut table()));
+fn reports_host_that_sorts_differently() {
+    let mut index = SimulatedIndex::new(&[vec![1, 5, 9], vec![2, 3]], true);
+    index.slices[0].reverse();
+    let page = expect_page(index.first_page(true, 5, &mut table()));
     assert!(
         page.diagnostics
             .iter()
@@ -317,18 +317,18 @@
         "{:?}",
         page.diagnostics
     );
-    assert_eq!(page.records.len(), 5, "and nothing is lost by it");
+    assert_eq!(page.records.len(), 5, "no record is lost");
 }
 
 #[test]
-fn too_few_slices_are_no_answer_even_if_the_core_took_refusals_for_answers() {
-    let world = World::new(&[vec![1], vec![2], vec![3]], false);
+fn floor_is_enforced_when_refusals_were_counted_as_answers() {
+    let index = SimulatedIndex::new(&[vec![1], vec![2], vec![3]], false);
     let mut sets = table();
     let bounds = Bounds {
         floor: 0.6,
         ..BOUNDS
     };
-    let (mut operation, _) = Operation::search(world.search(false, 1, 1), bounds);
+    let (mut operation, _) = Operation::search(index.search(false, 1, 1), bounds);
     let refused = || WorkResult::Refused(Kind::INDEX.of("title"));
     let found = WorkResult::Found(Found {
         hits: 1,
@@ -341,13 +341,13 @@
         Step::Done(Outcome::Fault(Kind::INDEX.of("title")))
     );
     assert_eq!(sets.size().0, 0);
-    // With the floor kept, the refusal is told beside the partial result.
-    let (mut operation, _) = Operation::search(world.search(false, 1, 0), bounds);
+    // If the floor is met, the refusal is reported with the partial result.
+    let (mut operation, _) = Operation::search(index.search(false, 1, 0), bounds);
     let round = Round::Served(vec![(0, found.clone()), (1, found), (2, refused())]);
     let Step::Done(outcome) = operation.answered(round, &mut sets, 0) else {
-        panic!("one round")
+        panic!("more than one round")
     };
-    let page = served(outcome);
+    let page = expect_page(outcome);
     let kinds: Vec<Kind> = page.diagnostics.iter().map(|f| f.kind).collect();
     assert_eq!(
         (page.complete, kinds),
@@ -355,22 +355,23 @@
     );
 }
 
-/// What a page costs at positions 1, 41 and 491 of six slices; the operators' page quotes it.
+/// The number of records fetched for pages at positions 1, 41 and 491 of six slices, which the
+/// operations manual quotes.
 #[test]
-fn a_far_page_costs_what_it_delivers() {
+fn records_fetched_for_near_and_far_pages_stay_bounded() {
     for (sorted, least) in [(false, [20, 11, 10]), (true, [27, 100, 500])] {
         let slices: Vec<Vec<u16>> = (0..6u16)
             .map(|s| (0..200u16).map(|n| n * 7 % 211 * 6 + s).collect())
             .collect();
-        let mut world = World::new(&slices, sorted);
+        let mut index = SimulatedIndex::new(&slices, sorted);
         let mut sets = table();
-        let page = served(world.first(sorted, 10, &mut sets));
-        let mut costs = vec![world.fetched];
+        let page = expect_page(index.first_page(sorted, 10, &mut sets));
+        let mut costs = vec![index.fetched];
         for start in [41, 491] {
-            let before = world.fetched;
-            let more = served(world.page(page.set, start, 10, &mut sets));
+            let before = index.fetched;
+            let more = expect_page(index.page(page.set, start, 10, &mut sets));
             assert_eq!(more.records.len(), 10);
-            costs.push(world.fetched - before);
+            costs.push(index.fetched - before);
         }
         for (cost, least) in costs.iter().zip(least) {
             assert!(*cost <= least, "sorted {sorted}: {costs:?}");
