--- a/catalogue/src/ber.rs
+++ b/catalogue/src/ber.rs
@@ -137,8 +137,8 @@
                 arc = 0;
             }
         }
-        let words: Vec<String> = arcs.iter().map(u64::to_string).collect();
-        (!words.is_empty()).then(|| words.join("."))
+        let numbers: Vec<String> = arcs.iter().map(u64::to_string).collect();
+        (!numbers.is_empty()).then(|| numbers.join("."))
     }
 
     /// Whether a bit of a BIT STRING is set.
--- a/catalogue/src/fault.rs
+++ b/catalogue/src/fault.rs
@@ -23,13 +23,13 @@
 }
 
 macro_rules! kinds {
-    ($($(#[$doc:meta])* $name:ident = $bib1:literal, $sru:literal, $words:literal;)*) => {
+    ($($(#[$doc:meta])* $name:ident = $bib1:literal, $sru:literal, $message:literal;)*) => {
         impl Kind {
             $($(#[$doc])* pub const $name: Kind = Kind { bib1: $bib1, sru: $sru };)*
         }
         /// All kinds in use, with SRU's messages. If several share a number, that number is read as
         /// the first of them.
-        const KINDS: &[(Kind, &str)] = &[$((Kind::$name, $words)),*];
+        const KINDS: &[(Kind, &str)] = &[$((Kind::$name, $message)),*];
     };
 }
 
@@ -158,7 +158,7 @@
         let exact = KINDS.iter().find(|(kind, _)| *kind == self);
         exact
             .or_else(|| KINDS.iter().find(|(kind, _)| kind.sru == self.sru))
-            .map_or("", |(_, words)| words)
+            .map_or("", |(_, message)| message)
     }
 
     /// The kind for a Bib-1 number. An unknown number is kept, and maps to a general error in SRU.
@@ -203,10 +203,10 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let words = self.kind.message().to_lowercase();
+        let message = self.kind.message().to_lowercase();
         match self.about.as_str() {
-            "" => f.write_str(&words),
-            about => write!(f, "{words}: {about}"),
+            "" => f.write_str(&message),
+            about => write!(f, "{message}: {about}"),
         }
     }
 }
--- a/catalogue/src/fault/tests.rs
+++ b/catalogue/src/fault/tests.rs
@@ -11,7 +11,7 @@
     }
     assert_eq!(Kind::from_sru(16), Kind::INDEX);
     assert_eq!(Kind::from_bib1(114), Kind::INDEX);
-    assert!(KINDS.iter().all(|(_, words)| !words.is_empty()));
+    assert!(KINDS.iter().all(|(_, message)| !message.is_empty()));
     assert!(Kind::from_bib1(2).is_server_fault() && !Kind::INDEX.is_server_fault());
     assert!(
         !Kind::from_bib1(999).is_server_fault(),
--- a/catalogue/src/host/sru.rs
+++ b/catalogue/src/host/sru.rs
@@ -67,11 +67,11 @@
                 pairs.push(("maximumTerms", scan.number.to_string()));
             }
         }
-        let words: Vec<String> = pairs
+        let fields: Vec<String> = pairs
             .iter()
             .map(|(name, value)| format!("{name}={}", percent(value)))
             .collect();
-        words.join("&")
+        fields.join("&")
     }
 
     fn add_page_parameters(
@@ -118,12 +118,12 @@
             pairs.push(("sortKeys", write_sort_keys(&page.sort)));
         }
         if !before_v20 && !page.facets.is_empty() && !capabilities.no_facets {
-            let words: Vec<String> = page
+            let fields: Vec<String> = page
                 .facets
                 .iter()
                 .map(|f| format!("{}:{}", f.limit, f.index))
                 .collect();
-            pairs.push(("facetLimit", words.join(",")));
+            pairs.push(("facetLimit", fields.join(",")));
         }
     }
 
@@ -216,8 +216,8 @@
 
     /// Remembers the version in which the host responded.
     fn remember_version(&self, response: &ParsedResponse, capabilities: &mut HostCapabilities) {
-        let said = response.version.as_deref().and_then(Version::named);
-        capabilities.version = Some(said.unwrap_or(self.version));
+        let stated = response.version.as_deref().and_then(Version::named);
+        capabilities.version = Some(stated.unwrap_or(self.version));
     }
 
     fn page(
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -235,10 +235,10 @@
                         "the host refused the session".to_owned(),
                     ));
                 }
-                let told = unit
+                let offered = unit
                     .get(tag::OPTIONS)
                     .map_or_else(Abilities::default, Abilities::read);
-                self.abilities = told.intersection(Abilities::of(WANTED));
+                self.abilities = offered.intersection(Abilities::of(WANTED));
                 Ok(HostEvent::Opened)
             }
             tag::CLOSE => Ok(HostEvent::Closed),
@@ -375,7 +375,7 @@
                 fault.unwrap_or_else(|| Kind::GENERAL.of("the search failed")),
             ));
         }
-        let given = records::read(unit, tag::RECORDS)?;
+        let records = records::read(unit, tag::RECORDS)?;
         let Some(job) = &mut self.job else {
             return Err(SessionError::NoJob);
         };
@@ -396,7 +396,7 @@
             return Err(SessionError::NoJob);
         };
         job.buffer = buffer;
-        job.add_records(given);
+        job.add_records(records);
         if job.buffer.is_done() {
             return Ok(self.finish());
         }
@@ -513,18 +513,18 @@
         capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Result<Next<Vec<u8>>, SessionError> {
-        let given = records::read(unit, tag::RECORDS)?;
+        let records = records::read(unit, tag::RECORDS)?;
         let Some(job) = &mut self.job else {
             return Err(SessionError::NoJob);
         };
-        let some = !given.is_empty();
-        job.add_records(given);
+        let has_records = !records.is_empty();
+        job.add_records(records);
         if job.buffer.is_done() {
             return Ok(self.finish());
         }
         match z3950::response_fault(unit) {
             // The host returned fewer records than requested, so the rest is requested again.
-            None if some => Ok(self.present(capabilities)),
+            None if has_records => Ok(self.present(capabilities)),
             None => Ok(Next::Failed("present response without records".to_owned())),
             Some(fault) if reject_form(&fault, &job.page, capabilities) => {
                 Ok(self.present(capabilities))
@@ -559,13 +559,13 @@
 }
 
 impl Job {
-    fn add_records(&mut self, given: Vec<records::RecordResult>) {
+    fn add_records(&mut self, records: Vec<records::RecordResult>) {
         let limits = self.buffer.remaining().1 as usize;
         let record =
-            |given: records::RecordResult| given.unwrap_or_else(crate::record::Record::refused);
+            |result: records::RecordResult| result.unwrap_or_else(crate::record::Record::refused);
         self.buffer
             .records
-            .extend(given.into_iter().take(limits).map(record));
+            .extend(records.into_iter().take(limits).map(record));
     }
 }
 
--- a/catalogue/src/operation.rs
+++ b/catalogue/src/operation.rs
@@ -364,7 +364,7 @@
         {
             return step;
         }
-        let asked: Vec<u32> = search
+        let requested: Vec<u32> = search
             .slices
             .iter()
             .chain(&search.left_out)
@@ -373,7 +373,7 @@
         let mut set = ResultSet::new(
             search.query.clone(),
             search.sort.clone(),
-            &asked,
+            &requested,
             &found,
             now,
         );
@@ -639,8 +639,13 @@
 
 /// Rejects an answer from fewer slices than the class's floor. The dispatch core may have counted a
 /// refusal as an answer, so its own check is not sufficient.
-fn below_floor(have: usize, asked: usize, faults: &[(u32, Fault)], floor: f64) -> Option<Step> {
-    if have > 0 && have as f64 / asked.max(1) as f64 + ROUNDING >= floor {
+fn below_floor(
+    answered: usize,
+    requested: usize,
+    faults: &[(u32, Fault)],
+    floor: f64,
+) -> Option<Step> {
+    if answered > 0 && answered as f64 / requested.max(1) as f64 + ROUNDING >= floor {
         return None;
     }
     Some(Step::Done(match faults.first() {
@@ -652,13 +657,13 @@
 fn diagnostics_of(missing: &[u32], faults: Vec<(u32, Fault)>) -> Vec<Fault> {
     let mut diagnostics = Vec::new();
     if !missing.is_empty() {
-        let words: Vec<String> = missing.iter().map(u32::to_string).collect();
+        let numbers: Vec<String> = missing.iter().map(u32::to_string).collect();
         let plural = if missing.len() == 1 {
             "slice"
         } else {
             "slices"
         };
-        diagnostics.push(Kind::PARTIAL.of(format!("without {plural} {}", words.join(", "))));
+        diagnostics.push(Kind::PARTIAL.of(format!("without {plural} {}", numbers.join(", "))));
     }
     diagnostics.extend(
         faults
@@ -674,20 +679,20 @@
     missing: bool,
     diagnostics: &mut Vec<Fault>,
 ) -> Vec<MergedFacet> {
-    let one = |request: &FacetRequest| {
-        let of = |list: &'_ Option<Vec<merge::Facet>>| {
+    let merge_one = |request: &FacetRequest| {
+        let position = |list: &'_ Option<Vec<merge::Facet>>| {
             list.as_ref()
                 .and_then(|facets| facets.iter().position(|f| f.index == request.index))
         };
-        let own: Vec<Option<&merge::Facet>> = lists
+        let per_slice: Vec<Option<&merge::Facet>> = lists
             .iter()
-            .map(|l| of(l).and_then(|at| l.as_ref().map(|facets| &facets[at])))
+            .map(|l| position(l).and_then(|at| l.as_ref().map(|facets| &facets[at])))
             .collect();
-        let mut merged = merge::facets(request, &own);
+        let mut merged = merge::facets(request, &per_slice);
         merged.exact &= !missing;
         merged
     };
-    let merged: Vec<MergedFacet> = requests.iter().map(one).collect();
+    let merged: Vec<MergedFacet> = requests.iter().map(merge_one).collect();
     if lists.iter().any(Option::is_none) && !requests.is_empty() {
         diagnostics
             .push(Kind::FEATURE.of("facets: some hosts do not count them, so counts are too low"));
--- a/catalogue/src/pool.rs
+++ b/catalogue/src/pool.rs
@@ -112,22 +112,22 @@
         entry
     }
 
-    /// Chooses the session for the next part. `carried` holds the number of requests on each of the
+    /// Chooses the session for the next part. `load` holds the number of requests on each of the
     /// host's sessions, including abandoned ones.
-    pub fn choose(&mut self, host: u32, carried: &[usize], now: Time) -> Choice {
-        let most = self.bounds.sessions;
+    pub fn choose(&mut self, host: u32, load: &[usize], now: Time) -> Choice {
+        let max_sessions = self.bounds.sessions;
         let known = self.host(host, now);
-        if let Some(idle) = carried.iter().position(|n| *n == 0) {
+        if let Some(idle) = load.iter().position(|n| *n == 0) {
             return Choice::Use(idle);
         }
-        let least = carried
+        let least_loaded = load
             .iter()
             .enumerate()
             .min_by_key(|(_, n)| **n)
             .map(|(at, _)| at);
-        match least {
+        match least_loaded {
             // While one session works, no further ones are opened to a host in backoff.
-            Some(at) if carried.len() >= most || known.backoff_until > now => Choice::Wait(at),
+            Some(at) if load.len() >= max_sessions || known.backoff_until > now => Choice::Wait(at),
             None if known.backoff_until > now => Choice::Backoff,
             _ => Choice::Open,
         }
@@ -162,13 +162,13 @@
         };
     }
 
-    /// Decides what to do with the session of an abandoned request that was sent at `asked`.
-    pub fn abandon(&mut self, host: u32, asked: Time, now: Time) -> AbandonedAction {
+    /// Decides what to do with the session of a request that was sent at `sent_at` and abandoned.
+    pub fn abandon(&mut self, host: u32, sent_at: Time, now: Time) -> AbandonedAction {
         let bounds = self.bounds;
         let known = self.host(host, now);
         let wait = (known.mean_response_time.saturating_mul(8))
             .clamp(bounds.abandoned_time_min, bounds.abandoned_time_max);
-        let until = asked.saturating_add(wait);
+        let until = sent_at.saturating_add(wait);
         // At most half of the sessions may wait for abandoned searches; the others are needed for
         // active ones.
         if until <= now || known.draining + 1 > bounds.sessions.div_ceil(2) {
@@ -187,11 +187,11 @@
     /// The features that a host was found to lack. They are forgotten after a time, so that the
     /// host is asked again.
     pub fn capabilities(&mut self, host: u32, now: Time) -> &mut HostCapabilities {
-        let lasts = self.bounds.capability_ttl;
+        let ttl = self.bounds.capability_ttl;
         let host = self.host(host, now);
         if host
             .capabilities_since
-            .is_none_or(|at| at.saturating_add(lasts) <= now)
+            .is_none_or(|at| at.saturating_add(ttl) <= now)
         {
             host.capabilities = HostCapabilities::default();
             host.capabilities_since = Some(now);
--- a/catalogue/src/record.rs
+++ b/catalogue/src/record.rs
@@ -33,7 +33,7 @@
     /// The identifier in the explain record.
     pub identifier: &'static str,
     /// Other accepted identifiers.
-    pub others: &'static [&'static str],
+    pub aliases: &'static [&'static str],
     /// The title for display.
     pub title: &'static str,
 }
@@ -44,7 +44,7 @@
         schema: Schema::Dc,
         short: "dc",
         identifier: "info:srw/schema/1/dc-v1.1",
-        others: &[
+        aliases: &[
             "http://purl.org/dc/elements/1.1/",
             "http://www.openarchives.org/OAI/2.0/oai_dc/",
             "oai_dc",
@@ -55,14 +55,14 @@
         schema: Schema::Mods,
         short: "mods",
         identifier: "info:srw/schema/1/mods-v3.3",
-        others: &["http://www.loc.gov/mods/v3", "info:srw/schema/1/mods-v3.0"],
+        aliases: &["http://www.loc.gov/mods/v3", "info:srw/schema/1/mods-v3.0"],
         title: "MODS",
     },
     SchemaNames {
         schema: Schema::MarcXml,
         short: "marcxml",
         identifier: "info:srw/schema/1/marcxml-v1.1",
-        others: &["http://www.loc.gov/MARC21/slim"],
+        aliases: &["http://www.loc.gov/MARC21/slim"],
         title: "MARC 21 in XML",
     },
 ];
@@ -71,7 +71,7 @@
     /// The schema with this short name or identifier.
     pub fn named(name: &str) -> Option<Schema> {
         let known =
-            |s: &&SchemaNames| s.short == name || s.identifier == name || s.others.contains(&name);
+            |s: &&SchemaNames| s.short == name || s.identifier == name || s.aliases.contains(&name);
         SCHEMAS.iter().find(known).map(|s| s.schema)
     }
 
--- a/catalogue/src/record/grs1.rs
+++ b/catalogue/src/record/grs1.rs
@@ -31,8 +31,8 @@
 
 /// Reads the elements of a record; elements that correspond to no field are ignored.
 pub fn read(bytes: &[u8]) -> Result<Fields, RecordError> {
-    let most = bytes.len();
-    let item = ber::read(&mut bytes.to_vec(), most.max(1), 32)
+    let length = bytes.len();
+    let item = ber::read(&mut bytes.to_vec(), length.max(1), 32)
         .ok()
         .flatten();
     let item = item.ok_or(RecordError::Malformed("not valid GRS-1"))?;
@@ -44,10 +44,10 @@
         let choice = value.items().first();
         let field = match choice {
             Some(number) if number.tag == 2 => {
-                let wanted = number.integer().unwrap_or(0);
+                let tag_number = number.integer().unwrap_or(0);
                 FIELDS
                     .iter()
-                    .find(|(.., tag)| *tag == wanted)
+                    .find(|(.., tag)| *tag == tag_number)
                     .map(|(f, ..)| *f)
             }
             Some(name) => name
@@ -57,14 +57,14 @@
         };
         let content = element.get(4).and_then(|c| c.items().first());
         if let (Some(field), Some(content)) = (field, content) {
-            fields.add(field, &words(content));
+            fields.add(field, &element_text(content));
         }
     }
     Ok(fields)
 }
 
 /// The text of an element of any type.
-fn words(content: &Item) -> String {
+fn element_text(content: &Item) -> String {
     match (&content.content, content.class, content.tag) {
         (Content::Primitive(_), Class::Universal, universal::INTEGER) => content
             .integer()
--- a/catalogue/src/record/marc.rs
+++ b/catalogue/src/record/marc.rs
@@ -109,7 +109,7 @@
     pub fn to_bytes(&self) -> Result<Vec<u8>, RecordError> {
         let mut body: Vec<u8> = Vec::new();
         let mut directory = String::new();
-        let mut enter = |tag: &str, field: Vec<u8>, body: &mut Vec<u8>| {
+        let mut add_field = |tag: &str, field: Vec<u8>, body: &mut Vec<u8>| {
             if field.len() > 9_999 || body.len() > 99_999 || tag.len() != 3 {
                 return Err(RecordError::TooLong);
             }
@@ -118,19 +118,19 @@
             Ok(())
         };
         for (tag, text) in &self.control {
-            let mut field = clean(text).into_bytes();
+            let mut field = without_separators(text).into_bytes();
             field.push(END_OF_FIELD);
-            enter(tag, field, &mut body)?;
+            add_field(tag, field, &mut body)?;
         }
         for data in &self.data {
-            let mut field = format!("{:2}", clean(&data.indicators)).into_bytes();
+            let mut field = format!("{:2}", without_separators(&data.indicators)).into_bytes();
             for (code, text) in &data.subfields {
                 field.push(SUBFIELD);
                 field.extend(code.to_string().bytes());
-                field.extend(clean(text).bytes());
+                field.extend(without_separators(text).bytes());
             }
             field.push(END_OF_FIELD);
-            enter(&data.tag, field, &mut body)?;
+            add_field(&data.tag, field, &mut body)?;
         }
         let base = LEADER + directory.len() + 1;
         let length = base + body.len() + 1;
@@ -139,7 +139,7 @@
         }
         // Only the leader's description of the record is kept. Lengths and character coding (UTF-8)
         // are set for the new encoding.
-        let given = |range: std::ops::Range<usize>, usual: &str| {
+        let from_leader = |range: std::ops::Range<usize>, usual: &str| {
             self.leader
                 .get(range.clone())
                 .filter(|t| t.len() == range.len())
@@ -148,8 +148,8 @@
         };
         let leader = format!(
             "{length:05}{}a22{base:05}{}4500",
-            given(5..9, "nam "),
-            given(17..20, " a ")
+            from_leader(5..9, "nam "),
+            from_leader(17..20, " a ")
         );
         let mut out = leader.into_bytes();
         out.extend(directory.bytes());
@@ -230,7 +230,7 @@
 }
 
 /// Removes the format's separators, which would end the field early.
-fn clean(text: &str) -> String {
+fn without_separators(text: &str) -> String {
     text.chars()
         .filter(|c| !matches!(*c, '\u{1d}'..='\u{1f}'))
         .collect()
--- a/catalogue/src/rpn.rs
+++ b/catalogue/src/rpn.rs
@@ -149,7 +149,7 @@
     relation: Option<Relation>,
     modifiers: Vec<Modifier>,
     first: bool,
-    words: bool,
+    word_list: bool,
     complete: bool,
     truncation: Option<i64>,
     always: bool,
@@ -200,7 +200,7 @@
             // Phrase, word, key, name and string: the index decides.
             (4, 1 | 2 | 3 | 101 | 102) => {}
             (4, 4 | 5 | 100) => self.modifiers.push(Modifier::IsoDate),
-            (4, 6 | 105 | 106) => self.words = true,
+            (4, 6 | 105 | 106) => self.word_list = true,
             (4, 104) => self.modifiers.push(Modifier::Uri),
             (4, 108) => self.modifiers.push(Modifier::String),
             (4, 107 | 109) => self.modifiers.push(Modifier::Number),
@@ -243,22 +243,23 @@
 
 fn clause(item: &Item) -> Result<Clause, Fault> {
     let attributes = Attributes::read(item)?;
-    let given = item
+    let term = item
         .items()
         .iter()
         .find(|i| matches!(i.tag, tag::TERM | tag::TERM_NUMBER | tag::TERM_TEXT));
-    let text = match given.ok_or_else(|| Kind::TERM_TYPE.of(""))? {
+    let text = match term.ok_or_else(|| Kind::TERM_TYPE.of(""))? {
         number if number.tag == tag::TERM_NUMBER => number.integer().map(|n| n.to_string()),
         text => text.text(),
     };
     let text = text.ok_or_else(|| Kind::TERM.of("not valid UTF-8"))?;
-    let relation = attributes
-        .relation
-        .unwrap_or(match (attributes.complete, attributes.words) {
-            (true, _) => Relation::Exact,
-            (_, true) => Relation::All,
-            _ => Relation::Equal,
-        });
+    let relation =
+        attributes
+            .relation
+            .unwrap_or(match (attributes.complete, attributes.word_list) {
+                (true, _) => Relation::Exact,
+                (_, true) => Relation::All,
+                _ => Relation::Equal,
+            });
     // Always-matches: any record that has the field.
     let term = if attributes.always {
         "*".to_owned()
--- a/catalogue/src/session.rs
+++ b/catalogue/src/session.rs
@@ -223,13 +223,13 @@
     /// Whether the next data unit may be read. Operations run concurrently only if that was
     /// negotiated, and a client that does not read its responses gets no further ones.
     pub fn may_read(&self, unwritten: usize) -> bool {
-        let most = if self.abilities.has(Ability::ConcurrentOperations) {
+        let max_operations = if self.abilities.has(Ability::ConcurrentOperations) {
             self.config.operations
         } else {
             1
         };
         self.state != State::Closing
-            && self.running.len() < most
+            && self.running.len() < max_operations
             && unwritten < self.config.output / 2
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// Closes the session and cancels its running operations.
-    pub fn close(&mut self, reason: CloseReason, words: &str, actions: &mut Vec<Action>) {
+    pub fn close(&mut self, reason: CloseReason, message: &str, actions: &mut Vec<Action>) {
         if self.state == State::Closing {
             return;
         }
@@ -258,7 +258,7 @@
         }
         self.state = State::Closing;
         self.unauthenticated.clear();
-        actions.push(Action::Send(z3950::close(None, reason, words)));
+        actions.push(Action::Send(z3950::close(None, reason, message)));
         actions.push(Action::End);
     }
 
@@ -303,10 +303,10 @@
 
     fn init(&mut self, unit: &Item, reference: Option<&[u8]>, actions: &mut Vec<Action>) {
         let [_, two, three] = init::versions(unit);
-        let wanted = unit
+        let requested = unit
             .get(tag::OPTIONS)
             .map_or_else(Abilities::default, Abilities::read);
-        let mut abilities = wanted.intersection(Abilities::of(OFFERED));
+        let mut abilities = requested.intersection(Abilities::of(OFFERED));
         let identity = init::read_identity(unit);
         let admitted = self.config.access.admits(&identity);
         let challenge = matches!(self.config.access, Access::Challenge(_));
@@ -323,7 +323,7 @@
             .cloned();
         // Versions 2 and 3 are supported. A client that offers neither gets a refusal and is
         // closed.
-        let known = two || three;
+        let supported = two || three;
         let size = |tag| {
             unit.get(tag)
                 .and_then(Item::integer)
@@ -344,7 +344,7 @@
         };
         self.abilities = abilities;
         self.admitted = admitted.is_ok();
-        let accepted = known && fault.is_none();
+        let accepted = supported && fault.is_none();
         actions.push(Action::Send(z3950::unit(
             tag::INIT_RESPONSE,
             reference,
@@ -459,9 +459,14 @@
         {
             context.sets.remove(old);
         }
-        let left = self.config.output.saturating_sub(context.unwritten);
-        for response in answers::answer(&running, outcome, &self.config.database, self.limits, left)
-        {
+        let output_left = self.config.output.saturating_sub(context.unwritten);
+        for response in answers::answer(
+            &running,
+            outcome,
+            &self.config.database,
+            self.limits,
+            output_left,
+        ) {
             context.actions.push(Action::Send(response));
         }
     }
@@ -521,11 +526,11 @@
                 context.actions,
             );
         }
-        let given = unit
+        let credentials = unit
             .get(tag::SIMPLE_RESPONSE)
             .and_then(Item::text)
             .unwrap_or_default();
-        let result = self.config.access.admits(&init::read_open(&given));
+        let result = self.config.access.admits(&init::read_open(&credentials));
         self.admitted = result.is_ok();
         for request in std::mem::take(&mut self.unauthenticated) {
             let reference = request.get(tag::REFERENCE).map(Item::bytes);
--- a/catalogue/src/session/answers.rs
+++ b/catalogue/src/session/answers.rs
@@ -107,7 +107,7 @@
     outcome: Outcome,
     database: &str,
     limits: SegmentLimits,
-    left: usize,
+    output_left: usize,
 ) -> Vec<Vec<u8>> {
     let reference = running.reference.as_deref();
     let failed = |fault: &Fault| vec![failure(service(&running.purpose), reference, fault)];
@@ -133,11 +133,17 @@
             form_fault.as_ref(),
             database,
             limits,
-            left,
+            output_left,
+        ),
+        Purpose::Present { form, clipped } => presented(
+            reference,
+            &page,
+            *form,
+            *clipped,
+            database,
+            limits,
+            output_left,
         ),
-        Purpose::Present { form, clipped } => {
-            presented(reference, &page, *form, *clipped, database, limits, left)
-        }
         Purpose::Sort { .. } => vec![sort_done(reference, &page)],
         Purpose::Scan => Vec::new(),
     }
@@ -196,14 +202,14 @@
     form: Form,
     database: &str,
     limits: SegmentLimits,
-    left: usize,
+    output_left: usize,
 ) -> SegmentedRecords {
     let records = page
         .records
         .iter()
         .map(|record| encode(record, form))
         .collect();
-    records::segment_records(database, form.syntax, records, limits, left)
+    records::segment_records(database, form.syntax, records, limits, output_left)
 }
 
 fn status_of(page: &Page, segmented: &SegmentedRecords, clipped: bool) -> PresentStatus {
@@ -239,9 +245,9 @@
     clipped: bool,
     database: &str,
     limits: SegmentLimits,
-    left: usize,
+    output_left: usize,
 ) -> Vec<Vec<u8>> {
-    let segmented = segmented(page, form, database, limits, left);
+    let segmented = segmented(page, form, database, limits, output_left);
     let status = status_of(page, &segmented, clipped);
     let mut messages = segments(reference, &segmented);
     messages.push(z3950::unit(tag::PRESENT_RESPONSE, reference, |w| {
@@ -267,7 +273,7 @@
     form_fault: Option<&Fault>,
     database: &str,
     limits: SegmentLimits,
-    left: usize,
+    output_left: usize,
 ) -> Vec<Vec<u8>> {
     // A search response cannot be segmented. The client presents the records that do not fit.
     let segmented = segmented(
@@ -278,10 +284,10 @@
             segmentation: 0,
             ..limits
         },
-        left,
+        output_left,
     );
     let status = status_of(page, &segmented, false);
-    let shown = page.wanted > 0 || form_fault.is_some();
+    let records_requested = page.wanted > 0 || form_fault.is_some();
     vec![z3950::unit(tag::SEARCH_RESPONSE, reference, |w| {
         w.integer(
             tag::RESULT_COUNT,
@@ -294,7 +300,7 @@
         if let Some(set) = Session::set_status(page.complete) {
             w.integer(tag::SET_STATUS, set as i64);
         }
-        if shown {
+        if records_requested {
             let status = if form_fault.is_some() {
                 PresentStatus::Failure
             } else {
--- a/catalogue/src/session/requests.rs
+++ b/catalogue/src/session/requests.rs
@@ -16,18 +16,18 @@
 type Started = Result<(Purpose, Operation, Step), Fault>;
 
 fn number(unit: &Item, tag: u32, what: &str) -> Result<u64, Fault> {
-    let given = unit
+    let value = unit
         .get(tag)
         .and_then(Item::integer)
         .and_then(|n| u64::try_from(n).ok());
-    given.ok_or_else(|| Kind::SYNTAX.of(format!("{what} is missing")))
+    value.ok_or_else(|| Kind::SYNTAX.of(format!("{what} is missing")))
 }
 
 /// The schema and brevity that the request's element set name selects. The first of `tags` present
 /// in the request counts.
 fn elements(unit: &Item, tags: &[u32]) -> Result<(Schema, bool), Fault> {
-    let given = tags.iter().find_map(|tag| unit.get(*tag));
-    let name = match given {
+    let value = tags.iter().find_map(|tag| unit.get(*tag));
+    let name = match value {
         None => return Ok((Schema::Dc, false)),
         // ElementSetNames: generic, or per database.
         Some(names) => names
@@ -66,10 +66,10 @@
         }
         // If two running operations created the same set, the outcome would depend on which
         // finished last.
-        let taken = self.running.values().any(
+        let in_progress = self.running.values().any(
             |r| matches!(&r.purpose, Purpose::Search { set, .. } | Purpose::Sort { set } if set == name),
         );
-        if taken {
+        if in_progress {
             return Err(Kind { bib1: 28, sru: 52 }.of(name));
         }
         if self.sets.contains_key(name) {
@@ -237,10 +237,10 @@
         if start == 0 || count == 0 || start.saturating_add(count) - 1 > hits {
             return Err(Kind::RANGE.of(format!("{start}+{count} of {hits}")));
         }
-        let most = self.config.bounds.page;
+        let max_records = self.config.bounds.page;
         let (operation, step) = Operation::page(
             id,
-            (start, count.min(most)),
+            (start, count.min(max_records)),
             form.schema,
             None,
             self.config.bounds,
@@ -250,7 +250,7 @@
         Ok((
             Purpose::Present {
                 form,
-                clipped: count > most,
+                clipped: count > max_records,
             },
             operation,
             step,
--- a/catalogue/src/sru/request.rs
+++ b/catalogue/src/sru/request.rs
@@ -182,14 +182,14 @@
 
 /// Parses the query of a URL or the body of a form. If a name is repeated, the first value counts.
 pub fn parameters(query: &str) -> BTreeMap<String, String> {
-    let mut given = BTreeMap::new();
+    let mut parameters = BTreeMap::new();
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        given
+        parameters
             .entry(unescape(name))
             .or_insert_with(|| unescape(value));
     }
-    given
+    parameters
 }
 
 fn unescape(text: &str) -> String {
@@ -231,14 +231,14 @@
 }
 
 struct ParameterReader<'a> {
-    given: &'a BTreeMap<String, String>,
+    parameters: &'a BTreeMap<String, String>,
     bounds: &'a RequestBounds,
     version: Version,
 }
 
 impl ParameterReader<'_> {
     fn get(&self, name: &str) -> Option<&str> {
-        self.given.get(name).map(String::as_str)
+        self.parameters.get(name).map(String::as_str)
     }
 
     fn number(&self, name: &str, min: u64, default: u64) -> Result<u64, Fault> {
@@ -264,7 +264,7 @@
 
     /// Checks that the version defines every parameter, apart from extensions.
     fn check_names(&self) -> Result<(), Fault> {
-        for name in self.given.keys() {
+        for name in self.parameters.keys() {
             let known = PARAMETERS.iter().find(|(known, ..)| known == name);
             match known {
                 _ if name == "recordXPath" => return Err(Kind::XPATH.of("")),
@@ -421,24 +421,24 @@
 /// Parses a request. `named` is the operation if the transport names it, as SOAP does; `accept` is
 /// the client's Accept header.
 pub fn read(
-    given: &BTreeMap<String, String>,
+    parameters: &BTreeMap<String, String>,
     named: Option<Operation>,
     accept: Option<&str>,
     bounds: &RequestBounds,
 ) -> Result<(Form, Request), Box<Refused>> {
-    let operation_name = given.get("operation").map(String::as_str);
+    let operation_name = parameters.get("operation").map(String::as_str);
     let operation = match (named, operation_name) {
         (Some(operation), _) => Some(operation),
         (None, Some(operation_name)) => OPERATIONS
             .iter()
             .find(|(known, _)| *known == operation_name)
             .map(|(_, o)| *o),
-        (None, None) if given.contains_key("query") => Some(Operation::SearchRetrieve),
-        (None, None) if given.contains_key("scanClause") => Some(Operation::Scan),
+        (None, None) if parameters.contains_key("query") => Some(Operation::SearchRetrieve),
+        (None, None) if parameters.contains_key("scanClause") => Some(Operation::Scan),
         (None, None) => Some(Operation::Explain),
     };
-    let asked = given.get("version").map(String::as_str);
-    let version = match asked {
+    let version_name = parameters.get("version").map(String::as_str);
+    let version = match version_name {
         Some(name) => Version::named(name),
         // Versions before 2.0 require the `operation` parameter.
         None if operation_name.is_some() || named.is_some() => Some(Version::V12),
@@ -463,7 +463,7 @@
     let Some(version) = version else {
         let fault = Kind::VERSION.of(format!(
             "{}; the highest here is 2.0",
-            asked.unwrap_or_default()
+            version_name.unwrap_or_default()
         ));
         return Err(refuse(&form, fault, 200));
     };
@@ -475,13 +475,13 @@
         ));
     };
     let reader = ParameterReader {
-        given,
+        parameters,
         bounds,
         version,
     };
     // Only version 2.0 defines negotiation by this header. Browsers send it with requests of older
     // versions as well.
-    if version == Version::V20 && !given.contains_key("httpAccept") {
+    if version == Version::V20 && !parameters.contains_key("httpAccept") {
         match accept.map(accepts) {
             Some(None) => return Err(refuse(&form, Kind::VALUE.of("Accept"), 406)),
             Some(Some(own)) => form.sru_xml |= own,
--- a/catalogue/src/sru/response.rs
+++ b/catalogue/src/sru/response.rs
@@ -89,8 +89,8 @@
         )));
     }
     // Version 2.0 reports missing slices through the precision of the count.
-    let said = |fault: &&Fault| fault.kind != Kind::PARTIAL || form.version != Version::V20;
-    faults.extend(page.diagnostics.iter().filter(said).cloned());
+    let reported = |fault: &&Fault| fault.kind != Kind::PARTIAL || form.version != Version::V20;
+    faults.extend(page.diagnostics.iter().filter(reported).cloned());
     if page.count.hits > 0 && page.start > page.count.hits && page.wanted == 0 {
         faults.push(Kind::RANGE.of(page.start.to_string()));
     }
--- a/catalogue/src/sru/soap.rs
+++ b/catalogue/src/sru/soap.rs
@@ -17,10 +17,10 @@
 }
 
 /// The fault response to an invalid request.
-pub fn fault(code: &str, words: &str) -> String {
+pub fn fault(code: &str, message: &str) -> String {
     wrap(&format!(
         "<SOAP:Fault><faultcode>SOAP:{code}</faultcode><faultstring>{}</faultstring></SOAP:Fault>",
-        escape(words)
+        escape(message)
     ))
 }
 
@@ -32,11 +32,15 @@
         return Err("not a SOAP 1.1 envelope".to_owned());
     }
     // No header is supported, so a mandatory one is an error.
-    let must = |e: &Element| {
+    let must_understand = |e: &Element| {
         e.attribute("mustUnderstand")
             .is_some_and(|v| v == "1" || v == "true")
     };
-    if root.all("Header").flat_map(|h| &h.children).any(must) {
+    if root
+        .all("Header")
+        .flat_map(|h| &h.children)
+        .any(must_understand)
+    {
         return Err("unsupported header with mustUnderstand".to_owned());
     }
     let request = root
@@ -50,13 +54,13 @@
         "explainRequest" => Operation::Explain,
         other => return Err(format!("not an SRU request: {other}")),
     };
-    let mut given = BTreeMap::new();
+    let mut parameters = BTreeMap::new();
     for parameter in &request.children {
-        given
+        parameters
             .entry(parameter.name.clone())
             .or_insert_with(|| parameter.text.clone());
     }
-    Ok((operation, given))
+    Ok((operation, parameters))
 }
 
 #[cfg(test)]
--- a/catalogue/src/z3950.rs
+++ b/catalogue/src/z3950.rs
@@ -173,11 +173,11 @@
 }
 
 /// Encodes a Close.
-pub fn close(reference: Option<&[u8]>, reason: CloseReason, words: &str) -> Vec<u8> {
+pub fn close(reference: Option<&[u8]>, reason: CloseReason, message: &str) -> Vec<u8> {
     unit(tag::CLOSE, reference, |w| {
         w.integer(tag::CLOSE_REASON, reason as i64);
-        if !words.is_empty() {
-            w.bytes(3, words.as_bytes());
+        if !message.is_empty() {
+            w.bytes(3, message.as_bytes());
         }
     })
 }
--- a/catalogue/tests/operation.rs
+++ b/catalogue/tests/operation.rs
@@ -356,7 +356,7 @@
 }
 
 /// The number of records fetched for pages at positions 1, 41 and 491 of six slices, which the
-/// operations manual quotes.
+/// operators' documentation quotes.
 #[test]
 fn records_fetched_for_near_and_far_pages_stay_bounded() {
     for (sorted, least) in [(false, [20, 11, 10]), (true, [27, 100, 500])] {
