--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -129,8 +129,8 @@
         capabilities: &HostCapabilities,
         now: Time,
     ) -> Next<Vec<u8>> {
-        // The query was validated when the client sent it. This limit only allows any nesting that
-        // passed then.
+        // The query was validated with the client's limits, so this depth only has to admit what was
+        // valid there.
         let query = match cql::parse(&page.query, 256) {
             Ok(query) => query.root,
             Err(fault) => return Next::Done(WorkResult::Refused(fault)),
--- a/catalogue/src/rpn.rs
+++ b/catalogue/src/rpn.rs
@@ -36,8 +36,7 @@
     Kind::SYNTAX.of("a malformed type-1 query")
 }
 
-/// Reads the query of a search request with at most `max_clauses` clauses. `query` is the field that
-/// contains it.
+/// Reads the query field of a search request, with at most `max_clauses` clauses.
 pub fn read(query: &Item, max_clauses: usize) -> Result<Node, Fault> {
     let rpn = match query.items().first() {
         Some(item) if item.class == Class::Context && matches!(item.tag, 1 | 101) => item,
