--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -7,7 +7,7 @@
 use crate::limits::Limits;
 use crate::net::{self, Attempt, Connection, Context, Input, Ready, Stream};
 use catalogue::host::{HostBounds, HostEvent, Next};
-use catalogue::pool::{self, Fate, Learned, Pool, PoolBounds};
+use catalogue::pool::{self, AbandonedAction, HostCapabilities, Pool, PoolBounds};
 use catalogue::work::{Work, WorkResult};
 use dispatch::interface::{Outcome, ServerId, Time};
 use std::cell::RefCell;
@@ -33,7 +33,7 @@
         work: &Work,
         slice: u32,
         database: &str,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Next<Vec<u8>>;
 
@@ -41,13 +41,13 @@
     fn read(
         &mut self,
         input: &mut Vec<u8>,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         limits: &Limits,
         now: Time,
     ) -> Result<Option<HostEvent>, ProtocolError>;
 
     /// The reply that is completed by the end of the connection, if there is one.
-    fn ended(&mut self, _learned: &mut Learned, _now: Time) -> Option<HostEvent> {
+    fn ended(&mut self, _capabilities: &mut HostCapabilities, _now: Time) -> Option<HostEvent> {
         None
     }
 
@@ -78,11 +78,11 @@
     ) -> Self {
         let pool = Pool::new(PoolBounds {
             sessions: limits.connections_per_host,
-            rest_least: limits.host_backoff.0,
-            rest_most: limits.host_backoff.1,
-            learn_for: limits.capability_ttl,
-            outlive_least: limits.abandoned_search_time.0,
-            outlive_most: limits.abandoned_search_time.1,
+            backoff_min: limits.host_backoff.0,
+            backoff_max: limits.host_backoff.1,
+            capability_ttl: limits.capability_ttl,
+            abandoned_time_min: limits.abandoned_search_time.0,
+            abandoned_time_max: limits.abandoned_search_time.1,
             hosts: limits.hosts,
         });
         let pool = Rc::new(RefCell::new(pool));
@@ -146,7 +146,7 @@
         match self.pool.borrow_mut().choose(host.0, calls, now) {
             pool::Choice::Use(at) | pool::Choice::Wait(at) => Choice::Use(at),
             pool::Choice::Open => Choice::Open,
-            pool::Choice::Rest => Choice::None,
+            pool::Choice::Backoff => Choice::None,
         }
     }
 }
@@ -236,9 +236,9 @@
                 .replace("{slice}", &part.shard.to_string());
             let next = {
                 let mut pool = self.pool.borrow_mut();
-                let learned = pool.learned(self.host.0, cx.now);
+                let capabilities = pool.capabilities(self.host.0, cx.now);
                 self.protocol
-                    .begin(&work, part.shard, &database, learned, cx.now)
+                    .begin(&work, part.shard, &database, capabilities, cx.now)
             };
             self.used = cx.now;
             self.current = Some(Current::Active {
@@ -314,7 +314,7 @@
         if let Some(Current::Abandoned { .. }) = self.current {
             // The abandoned part has ended, so the session is free again.
             self.current = None;
-            self.pool.borrow_mut().outlived(self.host.0, cx.now);
+            self.pool.borrow_mut().drained(self.host.0, cx.now);
             return self.release_part(cx);
         }
         let Some(Current::Active {
@@ -358,7 +358,7 @@
                     .attempt_served(part.id, self.value(result), cx.now);
                 self.part_ended(cx, part.id);
             }
-            Next::Later => self.end(cx, part.id, Outcome::Rejected),
+            Next::Rejected => self.end(cx, part.id, Outcome::Rejected),
             Next::Failed(problem) => {
                 tracing::debug!(host = self.host.0, problem, "part failed");
                 self.end(cx, part.id, Outcome::Error);
@@ -429,16 +429,16 @@
         }
         // Neither protocol has a cancel message that all hosts support. The session waits for the
         // answer and drops it, or is closed, whichever is cheaper.
-        let fate = match written {
+        let action = match written {
             true => self
                 .pool
                 .borrow_mut()
                 .abandon(self.host.0, *started, cx.now),
-            false => Fate::End,
+            false => AbandonedAction::Close,
         };
         cx.world.hosts.attempt_ended(self.host, attempt);
-        match fate {
-            Fate::Outlive(until) => {
+        match action {
+            AbandonedAction::Drain(until) => {
                 self.current = Some(Current::Abandoned { until });
                 // Queued parts need not wait for the abandoned one.
                 let waiting: Vec<usize> = self.calls.drain(..).collect();
@@ -449,7 +449,7 @@
                 self.move_queue(cx);
                 self.schedule(cx);
             }
-            Fate::End => {
+            AbandonedAction::Close => {
                 self.current = None;
                 self.retire(cx);
                 self.move_queue(cx);
@@ -469,9 +469,9 @@
             let host_event = {
                 let limits = cx.world.limits.clone();
                 let mut pool = self.pool.borrow_mut();
-                let learned = pool.learned(self.host.0, cx.now);
+                let capabilities = pool.capabilities(self.host.0, cx.now);
                 self.protocol
-                    .read(&mut self.input, learned, &limits, cx.now)
+                    .read(&mut self.input, capabilities, &limits, cx.now)
             };
             match host_event {
                 Ok(Some(host_event)) => self.handle_host_event(cx, host_event),
@@ -498,8 +498,8 @@
             Ok(Input::Ended) => {
                 let host_event = {
                     let mut pool = self.pool.borrow_mut();
-                    let learned = pool.learned(self.host.0, cx.now);
-                    self.protocol.ended(learned, cx.now)
+                    let capabilities = pool.capabilities(self.host.0, cx.now);
+                    self.protocol.ended(capabilities, cx.now)
                 };
                 if let Some(host_event) = host_event {
                     self.handle_host_event(cx, host_event);
@@ -602,7 +602,7 @@
             }
             match self.current.take() {
                 Some(Current::Active { part, .. }) => parts.push_front(part),
-                Some(Current::Abandoned { .. }) => pool.outlived(self.host.0, cx.now),
+                Some(Current::Abandoned { .. }) => pool.drained(self.host.0, cx.now),
                 None => {}
             }
         }
--- a/bitternsill/src/front/catalogue/sru.rs
+++ b/bitternsill/src/front/catalogue/sru.rs
@@ -147,7 +147,7 @@
 
     fn search(&self, form: &Form, request: SearchRequest, now: Time) -> Started {
         let bounds = self.catalogue.session.bounds;
-        let range = (request.start, request.most);
+        let range = (request.start, request.max_records);
         // A result set on its own, without a sort order: return its records.
         if let (Node::Set(name), true) = (&request.query.root, request.query.sort.is_empty()) {
             let mut sets = self.catalogue.sets();
@@ -180,7 +180,7 @@
             sort: request.query.sort,
             schema: form.schema,
             start: request.start,
-            want: Want::Count(request.most),
+            want: Want::Count(request.max_records),
             slices,
             left_out,
             facets: request.facets,
--- a/catalogue/src/host/sru.rs
+++ b/catalogue/src/host/sru.rs
@@ -1,60 +1,65 @@
-//! SRU with an index host: its version is learned, and what it refuses is asked for otherwise or
-//! said so.
+//! SRU with an index host. It learns the host's version and works around unsupported features, or
+//! reports them.
 
-use super::{HostBounds, Next, RecordBuffer, found, refused, sort_locally, too_many_to_sort};
+use super::{
+    HostBounds, Next, RecordBuffer, found, sort_locally, step_for_diagnostic, too_many_to_sort,
+};
 use crate::cql::{self, write_sort};
 use crate::fault::{Fault, Kind};
 use crate::merge::Terms;
-use crate::pool::Learned;
+use crate::pool::HostCapabilities;
 use crate::record::Schema;
 use crate::sort::write_sort_keys;
 use crate::sru::request::percent;
-use crate::sru::{ReadResponse, Version, read_response};
+use crate::sru::{ParsedResponse, Version, read_response};
 use crate::work::{Found, PageWork, ScanWork, Work, WorkResult};
 
-/// The order in which versions are tried with a host that is not known.
+/// The order in which versions are tried with an unknown host.
 const VERSION_ORDER: [Version; 3] = [Version::V12, Version::V11, Version::V20];
 
-/// One part under way.
+/// A running part.
 #[derive(Debug, Clone)]
 pub struct Job {
     work: Work,
     slice: u32,
     version: Version,
     tried: Vec<Version>,
-    /// Sorted here, as the host does not.
-    local: bool,
+    /// Whether records are sorted locally because the host does not sort.
+    sort_here: bool,
     buffer: Option<RecordBuffer>,
-    first: Option<(u64, bool, Option<Vec<crate::merge::Facet>>)>,
+    first_response: Option<(u64, bool, Option<Vec<crate::merge::Facet>>)>,
     exchanges: u32,
 }
 
 impl Job {
-    /// A part for one slice.
-    pub fn new(work: Work, slice: u32, learned: &Learned) -> Job {
-        let version = learned.version.unwrap_or(VERSION_ORDER[0]);
-        let local = learned.no_sort && matches!(&work, Work::Page(page) if !page.sort.is_empty());
+    /// Creates a part for one slice.
+    pub fn new(work: Work, slice: u32, capabilities: &HostCapabilities) -> Job {
+        let version = capabilities.version.unwrap_or(VERSION_ORDER[0]);
+        let sort_here =
+            capabilities.no_sort && matches!(&work, Work::Page(page) if !page.sort.is_empty());
         Job {
             work,
             slice,
             version,
             tried: vec![version],
-            local,
+            sort_here,
             buffer: None,
-            first: None,
+            first_response: None,
             exchanges: 0,
         }
     }
 
-    /// The query of the URL to ask for.
-    pub fn ask(&self, bounds: &HostBounds, learned: &Learned) -> String {
+    /// The query component of the next request's URL.
+    pub fn query_string(&self, bounds: &HostBounds, capabilities: &HostCapabilities) -> String {
         let mut pairs: Vec<(&str, String)> = Vec::new();
-        let old = self.version != Version::V20;
-        if old {
+        let before_v20 = self.version != Version::V20;
+        if before_v20 {
             pairs.push(("version", self.version.name().to_owned()));
         }
         match &self.work {
-            Work::Page(page) => self.ask_page(page, old, bounds, learned, &mut pairs),
+            Work::Page(page) => {
+                self.add_page_parameters(page, before_v20, bounds, capabilities, &mut pairs)
+            }
             Work::Scan(scan) => {
                 pairs.push(("operation", "scan".to_owned()));
                 pairs.push(("scanClause", scan.clause.clone()));
@@ -62,33 +67,33 @@
                 pairs.push(("maximumTerms", scan.number.to_string()));
             }
         }
-        let words: Vec<String> = pairs
+        let fields: Vec<String> = pairs
             .iter()
             .map(|(name, value)| format!("{name}={}", percent(value)))
             .collect();
-        words.join("&")
+        fields.join("&")
     }
 
-    fn ask_page(
+    fn add_page_parameters(
         &self,
         page: &PageWork,
-        old: bool,
+        before_v20: bool,
         bounds: &HostBounds,
-        learned: &Learned,
+        capabilities: &HostCapabilities,
         pairs: &mut Vec<(&str, String)>,
     ) {
-        let sorted = !page.sort.is_empty() && !self.local;
-        if old {
+        let sorted = !page.sort.is_empty() && !self.sort_here;
+        if before_v20 {
             pairs.push(("operation", "searchRetrieve".to_owned()));
         }
-        let query = match sorted && !old {
+        let query = match sorted && !before_v20 {
             true => format!("{} {}", page.query, write_sort(&page.sort)),
             false => page.query.clone(),
         };
         pairs.push(("query", query));
         let (from, count) = match &self.buffer {
-            Some(buffer) => buffer.rest(),
-            None if self.local && page.range(self.slice).count > 0 => {
+            Some(buffer) => buffer.remaining(),
+            None if self.sort_here && page.range(self.slice).count > 0 => {
                 (0, u64::from(bounds.local_sort))
             }
             None => {
@@ -96,7 +101,7 @@
                 (range.offset, u64::from(range.count))
             }
         };
-        // A place that is not asked for must not be out of range.
+        // The start must be in range even if no record is requested.
         pairs.push((
             "startRecord",
             if count == 0 { 1 } else { from + 1 }.to_string(),
@@ -104,39 +109,40 @@
         pairs.push(("maximumRecords", count.to_string()));
         let schema = [page.schema, Schema::Dc]
             .into_iter()
-            .find(|s| !learned.no_schema.contains(s));
+            .find(|s| !capabilities.no_schema.contains(s));
         if let Some(schema) = schema {
             pairs.push(("recordSchema", schema.names().short.to_owned()));
         }
         pairs.push((self.version.packing(), "xml".to_owned()));
-        if sorted && old {
+        if sorted && before_v20 {
             pairs.push(("sortKeys", write_sort_keys(&page.sort)));
         }
-        if !old && !page.facets.is_empty() && !learned.no_facets {
-            let words: Vec<String> = page
+        if !before_v20 && !page.facets.is_empty() && !capabilities.no_facets {
+            let fields: Vec<String> = page
                 .facets
                 .iter()
                 .map(|f| format!("{}:{}", f.limit, f.index))
                 .collect();
-            pairs.push(("facetLimit", words.join(",")));
+            pairs.push(("facetLimit", fields.join(",")));
         }
     }
 
-    /// The host has answered.
+    /// Handles the host's response.
     pub fn answered(
         &mut self,
         status: u16,
         body: &str,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
     ) -> Next<()> {
         self.exchanges += 1;
-        // A gateway in front of the host may word it so too: the request was not looked at.
+        // These statuses may also come from a gateway in front of the host. In both cases the
+        // request was not processed.
         if status == 503 || status == 429 {
-            return Next::Later;
+            return Next::Rejected;
         }
         let response = match read_response(body) {
-            // Some servers give a status of their own to what their diagnostics say.
+            // Some servers send diagnostics with a status other than 200.
             Ok(response) if status == 200 || !response.faults.is_empty() => response,
             Ok(_) => return Next::Failed(format!("status {status}")),
             Err(problem) => return Next::Failed(format!("status {status}: {problem}")),
@@ -144,50 +150,52 @@
         let next = match &self.work {
             Work::Page(page) => {
                 let page = page.clone();
-                self.page(&page, response, bounds, learned)
+                self.page(&page, response, bounds, capabilities)
             }
             Work::Scan(scan) => {
                 let scan = scan.clone();
-                self.scan(&scan, response, learned)
+                self.scan(&scan, response, capabilities)
             }
         };
         if matches!(next, Next::Send(())) && self.exchanges >= bounds.exchanges {
-            return Next::Failed("more exchanges than one part may take".to_owned());
+            return Next::Failed("too many exchanges for one part".to_owned());
         }
         next
     }
 
-    /// Whether the fault is one that another way of asking gets round; the way is taken.
-    fn round(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
+    /// Changes the request to avoid the fault, if possible. Returns whether to send the request
+    /// again.
+    fn work_around(&mut self, fault: &Fault, capabilities: &mut HostCapabilities) -> bool {
         let Work::Page(page) = &self.work else {
-            return self.other_version(fault, learned);
+            return self.try_other_version(fault, capabilities);
         };
         match fault.kind.sru {
             66 | 67 => {
                 let next = [page.schema, Schema::Dc]
                     .into_iter()
-                    .find(|s| !learned.no_schema.contains(s));
-                next.map(|schema| learned.no_schema.push(schema)).is_some()
+                    .find(|s| !capabilities.no_schema.contains(s));
+                next.map(|schema| capabilities.no_schema.push(schema))
+                    .is_some()
             }
-            8 if fault.about.contains("facet") && !learned.no_facets => {
-                learned.no_facets = true;
+            8 if fault.about.contains("facet") && !capabilities.no_facets => {
+                capabilities.no_facets = true;
                 true
             }
             8 | 80..=92
                 if !page.sort.is_empty()
-                    && !self.local
+                    && !self.sort_here
                     && (fault.kind.sru != 8 || fault.about.contains("sort")) =>
             {
-                learned.no_sort = true;
-                self.local = true;
+                capabilities.no_sort = true;
+                self.sort_here = true;
                 self.buffer = None;
                 true
             }
-            _ => self.other_version(fault, learned),
+            _ => self.try_other_version(fault, capabilities),
         }
     }
 
-    fn other_version(&mut self, fault: &Fault, learned: &mut Learned) -> bool {
+    fn try_other_version(&mut self, fault: &Fault, capabilities: &mut HostCapabilities) -> bool {
         let about = fault.kind.sru == 5
             || fault.kind.sru == 8
                 && ["version", "operation", "recordPacking"]
@@ -200,24 +208,24 @@
         else {
             return false;
         };
-        learned.version = None;
+        capabilities.version = None;
         self.version = next;
         self.tried.push(next);
         true
     }
 
-    /// The version that the host turned out to answer in.
-    fn learn(&self, response: &ReadResponse, learned: &mut Learned) {
-        let said = response.version.as_deref().and_then(Version::named);
-        learned.version = Some(said.unwrap_or(self.version));
+    /// Remembers the version in which the host responded.
+    fn remember_version(&self, response: &ParsedResponse, capabilities: &mut HostCapabilities) {
+        let stated = response.version.as_deref().and_then(Version::named);
+        capabilities.version = Some(stated.unwrap_or(self.version));
     }
 
     fn page(
         &mut self,
         page: &PageWork,
-        response: ReadResponse,
+        response: ParsedResponse,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
     ) -> Next<()> {
         let partial = |f: &&Fault| matches!(f.kind.sru, 58 | 59);
         let fatal = response
@@ -225,16 +233,16 @@
             .iter()
             .find(|f| !partial(f) && f.kind.sru != 61);
         if let Some(fault) = fatal.filter(|_| response.hits.unwrap_or(0) == 0) {
-            return if self.round(fault, learned) {
+            return if self.work_around(fault, capabilities) {
                 Next::Send(())
             } else {
-                refused(fault.clone())
+                step_for_diagnostic(fault.clone())
             };
         }
         let Some(hits) = response.hits else {
-            return Next::Failed("no numberOfRecords".to_owned());
+            return Next::Failed("search response without numberOfRecords".to_owned());
         };
-        self.learn(&response, learned);
+        self.remember_version(&response, capabilities);
         let exact = response.exact
             && !response
                 .faults
@@ -242,10 +250,10 @@
                 .any(|f| matches!(f.kind.sru, 58 | 59));
         let range = page.range(self.slice);
         if self.buffer.is_none() {
-            if self.local && range.count > 0 && hits > u64::from(bounds.local_sort) {
+            if self.sort_here && range.count > 0 && hits > u64::from(bounds.local_sort) {
                 return Next::Done(WorkResult::Refused(too_many_to_sort(hits, bounds)));
             }
-            let wanted = if self.local && range.count > 0 {
+            let wanted = if self.sort_here && range.count > 0 {
                 crate::work::Range {
                     slice: self.slice,
                     offset: 0,
@@ -255,25 +263,25 @@
                 range
             };
             self.buffer = Some(RecordBuffer::of(wanted, hits));
-            self.first = Some((hits, exact, response.facets));
+            self.first_response = Some((hits, exact, response.facets));
         }
         let Some(buffer) = &mut self.buffer else {
             return Next::Failed(String::new());
         };
         let before = buffer.records.len();
-        let limits = buffer.rest().1 as usize;
+        let limits = buffer.remaining().1 as usize;
         buffer
             .records
             .extend(response.records.into_iter().take(limits));
         if !buffer.is_done() && buffer.records.len() > before {
-            // The host gives fewer at once than it was asked for.
+            // The host returned fewer records than requested.
             return Next::Send(());
         }
-        // Fewer than there should be: the set has changed under the page, which its counts will
-        // show.
+        // If records are missing here, the set changed while it was read, and its count will reveal
+        // that.
         let records = std::mem::take(&mut buffer.records);
-        let (hits, exact, facets) = self.first.take().unwrap_or((hits, exact, None));
-        let records = if self.local && range.count > 0 {
+        let (hits, exact, facets) = self.first_response.take().unwrap_or((hits, exact, None));
+        let records = if self.sort_here && range.count > 0 {
             match sort_locally(&page.sort, records, range) {
                 Ok(records) => records,
                 Err(fault) => return Next::Done(WorkResult::Refused(fault)),
@@ -288,31 +296,36 @@
         }))
     }
 
-    fn scan(&mut self, scan: &ScanWork, response: ReadResponse, learned: &mut Learned) -> Next<()> {
+    fn scan(
+        &mut self,
+        scan: &ScanWork,
+        response: ParsedResponse,
+        capabilities: &mut HostCapabilities,
+    ) -> Next<()> {
         if let Some(fault) = response
             .faults
             .first()
             .filter(|_| response.terms.is_empty())
         {
-            return if self.round(fault, learned) {
+            return if self.work_around(fault, capabilities) {
                 Next::Send(())
             } else {
-                refused(fault.clone())
+                step_for_diagnostic(fault.clone())
             };
         }
         if !response.root.starts_with("scan") {
-            return Next::Failed("no scan response".to_owned());
+            return Next::Failed("not a scan response".to_owned());
         }
-        self.learn(&response, learned);
+        self.remember_version(&response, capabilities);
         let mut terms = response.terms;
         terms.truncate(scan.number as usize);
         Next::Done(WorkResult::Scanned(Terms { terms, host: 0 }))
     }
 }
 
-/// A query that travels in CQL must be in the host's version of it: 1.1 has no sortBy and no
-/// prefixes, which are never written into it. What is left is checked here, so that a fault in it
-/// is this program's and not the host's.
+/// Checks that a query can be sent as CQL. Version 1.1 has neither `sortBy` nor prefix assignments,
+/// which are never written into the text. Errors found here are errors of this program and not of
+/// the host.
 pub fn check(work: &Work) -> Result<(), Fault> {
     let text = match work {
         Work::Page(page) => &page.query,
--- a/catalogue/src/host/z3950.rs
+++ b/catalogue/src/host/z3950.rs
@@ -1,13 +1,14 @@
-//! Z39.50 with an index host: one session, one part at a time, with the sets that the host still
-//! has for it.
+//! A Z39.50 session with an index host. It runs one part at a time and tracks the result sets that
+//! the host keeps for it.
 
 use super::{
-    HostBounds, HostEvent, Next, RecordBuffer, found, refused, sort_locally, too_many_to_sort,
+    HostBounds, HostEvent, Next, RecordBuffer, found, sort_locally, step_for_diagnostic,
+    too_many_to_sort,
 };
 use crate::ber::{Class, Item};
 use crate::cql::{self, Node};
 use crate::fault::{Fault, Kind};
-use crate::pool::Learned;
+use crate::pool::HostCapabilities;
 use crate::record::{RecordError, Schema, Syntax};
 use crate::rpn;
 use crate::sets::Time;
@@ -17,10 +18,10 @@
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// The syntaxes in the order in which they are asked for.
+/// Record syntaxes in order of preference.
 const SYNTAXES: [Syntax; 4] = [Syntax::Xml, Syntax::Usmarc, Syntax::Grs1, Syntax::Sutrs];
 
-/// A set that the host has for this session.
+/// A result set that the host keeps for this session.
 #[derive(Debug, Clone)]
 struct HostSet {
     key: String,
@@ -47,14 +48,14 @@
     phase: JobPhase,
     set: Option<HostSet>,
     buffer: RecordBuffer,
-    /// Sorted here, as the host does not.
-    local: bool,
-    /// The set was gone once and was searched again.
-    again: bool,
+    /// Whether records are sorted locally because the host does not sort.
+    sort_here: bool,
+    /// Whether the search was already repeated because the host had dropped its set.
+    search_repeated: bool,
     exchanges: u32,
 }
 
-/// A session.
+/// A session with one index host.
 #[derive(Debug, Default)]
 pub struct Session {
     abilities: Abilities,
@@ -63,58 +64,58 @@
     job: Option<Job>,
 }
 
-/// Why a session can't go on: the host sent what the protocol does not have at this point.
+/// A protocol violation by the host, after which the session cannot continue.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SessionError {
-    /// A data unit of another kind than the one that is due.
-    #[error("a data unit with the tag {0}")]
+    /// A data unit of another type than expected.
+    #[error("unexpected data unit with tag {0}")]
     UnexpectedUnit(u32),
-    /// A response, and no request is in flight.
-    #[error("a response to nothing")]
+    /// A response while no request is in flight.
+    #[error("response without a request in flight")]
     NoJob,
-    /// A mandatory field of a search response is missing.
-    #[error("a search response without its status")]
+    /// A search response lacks its mandatory search status.
+    #[error("search response without a status")]
     NoSearchStatus,
-    /// A mandatory field of a search response is missing.
-    #[error("a search response without its count")]
+    /// A search response lacks its mandatory result count.
+    #[error("search response without a result count")]
     NoResultCount,
-    /// The records can't be read.
+    /// The records cannot be decoded.
     #[error(transparent)]
     Records(#[from] RecordError),
 }
 
-/// The first thing that is said.
+/// The Init request that opens a session.
 pub fn init_request(bounds: &HostBounds) -> Vec<u8> {
     z3950::unit(tag::INIT_REQUEST, None, |w| {
-        init::introduce(
+        init::write_negotiation(
             w,
             true,
             Abilities::of(WANTED),
             bounds.message,
             bounds.message,
         );
-        init::name_self(w);
+        init::write_implementation(w);
     })
 }
 
 impl Session {
-    /// What the host offered at the start.
+    /// The options that the host offered in its Init response.
     pub fn abilities(&self) -> Abilities {
         self.abilities
     }
 
-    /// Begins a part: what to say, or how it ends at once.
+    /// Starts a part. Returns the first message, or the result if none is needed.
     pub fn begin(
         &mut self,
         work: &Work,
         slice: u32,
         database: &str,
         bounds: &HostBounds,
-        learned: &Learned,
+        capabilities: &HostCapabilities,
         now: Time,
     ) -> Next<Vec<u8>> {
         match work {
-            Work::Page(page) => self.begin_page(page, slice, database, bounds, learned, now),
+            Work::Page(page) => self.begin_page(page, slice, database, bounds, capabilities, now),
             Work::Scan(scan) => self.begin_scan(scan, slice, database),
         }
     }
@@ -125,15 +126,16 @@
         slice: u32,
         database: &str,
         bounds: &HostBounds,
-        learned: &Learned,
+        capabilities: &HostCapabilities,
         now: Time,
     ) -> Next<Vec<u8>> {
-        // The text was parsed when it came in; here it is only nested as deep as it was written.
+        // The query was validated with the client's limits, so this depth only has to admit what was
+        // valid there.
         let query = match cql::parse(&page.query, 256) {
             Ok(query) => query.root,
             Err(fault) => return Next::Done(WorkResult::Refused(fault)),
         };
-        let sorts = self.abilities.has(Ability::Sort) && !learned.no_sort;
+        let sorts = self.abilities.has(Ability::Sort) && !capabilities.no_sort;
         let job = Job {
             query: Some(query),
             range: page.range(slice),
@@ -142,29 +144,30 @@
             phase: JobPhase::Searching,
             set: None,
             buffer: RecordBuffer::default(),
-            local: !page.sort.is_empty() && !sorts,
-            again: false,
+            sort_here: !page.sort.is_empty() && !sorts,
+            search_repeated: false,
             exchanges: 0,
         };
-        let key = key_of(&job);
-        let fit = |set: &&HostSet| set.key == key && set.made.saturating_add(bounds.set_age) > now;
+        let key = set_key(&job);
+        let usable =
+            |set: &&HostSet| set.key == key && set.made.saturating_add(bounds.set_age) > now;
         let known = self
             .sets
             .iter()
-            .find(fit)
+            .find(usable)
             .filter(|_| !page.fresh && job.range.count > 0)
             .cloned();
         self.job = Some(job);
         match known {
             Some(set) => {
-                let buffer = self.wanted(set.hits, bounds);
+                let buffer = self.records_to_collect(set.hits, bounds);
                 if let (Some(job), Ok(buffer)) = (&mut self.job, buffer) {
                     job.buffer = buffer;
                     job.set = Some(set);
                 }
-                self.present(learned)
+                self.present(capabilities)
             }
-            None => self.search(bounds, learned, now),
+            None => self.search(bounds, capabilities, now),
         }
     }
 
@@ -207,19 +210,19 @@
             phase: JobPhase::Scanning,
             set: None,
             buffer: RecordBuffer::default(),
-            local: false,
-            again: false,
+            sort_here: false,
+            search_repeated: false,
             exchanges: 1,
         });
         Next::Send(unit)
     }
 
-    /// A data unit has come. An error says why the session cannot go on.
+    /// Handles a data unit from the host. After an error the session cannot continue.
     pub fn receive(
         &mut self,
         unit: &Item,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Result<HostEvent, SessionError> {
         if unit.class != Class::Context {
@@ -229,13 +232,13 @@
             tag::INIT_RESPONSE if self.job.is_none() => {
                 if unit.get(tag::RESULT).and_then(Item::boolean) != Some(true) {
                     return Ok(HostEvent::Rejected(
-                        "the host does not take the session".to_owned(),
+                        "the host refused the session".to_owned(),
                     ));
                 }
-                let told = unit
+                let offered = unit
                     .get(tag::OPTIONS)
                     .map_or_else(Abilities::default, Abilities::read);
-                self.abilities = told.both(Abilities::of(WANTED));
+                self.abilities = offered.intersection(Abilities::of(WANTED));
                 Ok(HostEvent::Opened)
             }
             tag::CLOSE => Ok(HostEvent::Closed),
@@ -247,23 +250,25 @@
                 let too_many = job.exchanges > bounds.exchanges;
                 let next = match (&job.phase, unit.tag) {
                     (JobPhase::Searching, tag::SEARCH_RESPONSE) => {
-                        self.searched(unit, bounds, learned, now)
+                        self.searched(unit, bounds, capabilities, now)
+                    }
+                    (JobPhase::Sorting, tag::SORT_RESPONSE) => {
+                        self.sorted(unit, bounds, capabilities)
                     }
-                    (JobPhase::Sorting, tag::SORT_RESPONSE) => self.sorted(unit, bounds, learned),
                     (JobPhase::Presenting, tag::PRESENT_RESPONSE) => {
-                        self.presented(unit, bounds, learned, now)
+                        self.presented(unit, bounds, capabilities, now)
                     }
                     (JobPhase::Scanning, tag::SCAN_RESPONSE) => {
                         Ok(match scan::read_response(unit) {
                             Ok(terms) => Next::Done(WorkResult::Scanned(terms)),
-                            Err(fault) => refused(fault),
+                            Err(fault) => step_for_diagnostic(fault),
                         })
                     }
                     (_, other) => return Err(SessionError::UnexpectedUnit(other)),
                 };
                 let next = match next? {
                     Next::Send(_) if too_many => {
-                        Next::Failed("more exchanges than one part may take".to_owned())
+                        Next::Failed("too many exchanges for one part".to_owned())
                     }
                     next => next,
                 };
@@ -275,8 +280,13 @@
         }
     }
 
-    /// Says the search.
-    fn search(&mut self, bounds: &HostBounds, learned: &Learned, now: Time) -> Next<Vec<u8>> {
+    /// Sends the search request.
+    fn search(
+        &mut self,
+        bounds: &HostBounds,
+        capabilities: &HostCapabilities,
+        now: Time,
+    ) -> Next<Vec<u8>> {
         let named = self.abilities.has(Ability::NamedResultSets);
         let name = if named {
             self.next_name = (self.next_name + 1) % bounds.named_sets.max(1);
@@ -289,7 +299,7 @@
             return Next::Failed(String::new());
         };
         job.phase = JobPhase::Searching;
-        let key = key_of(job);
+        let key = set_key(job);
         job.set = Some(HostSet {
             key,
             name: name.clone(),
@@ -297,8 +307,8 @@
             exact: true,
             made: now,
         });
-        // The first records come with the response, where nothing has to be sorted before.
-        let along = if job.page.sort.is_empty() && job.range.offset == 0 {
+        // The first records come with the search response unless the set must be sorted first.
+        let included = if job.page.sort.is_empty() && job.range.offset == 0 {
             job.range.count
         } else {
             0
@@ -307,15 +317,16 @@
             return Next::Failed(String::new());
         };
         let mut written = Ok(());
-        let (syntax, schema) = (syntax(learned), schema(&job.page, learned));
+        let (syntax, schema) = (syntax(capabilities), schema(&job.page, capabilities));
         let unit = z3950::unit(tag::SEARCH_REQUEST, None, |w| {
-            // Every result is of medium size, so that the first records come along.
+            // These bounds make every result set medium-sized, so that its first records are
+            // included.
             w.integer(tag::SMALL_SET, 0);
             w.integer(
                 tag::LARGE_SET,
-                if along > 0 { i64::from(i32::MAX) } else { 1 },
+                if included > 0 { i64::from(i32::MAX) } else { 1 },
             );
-            w.integer(tag::MEDIUM_SET, i64::from(along));
+            w.integer(tag::MEDIUM_SET, i64::from(included));
             w.boolean(tag::REPLACE, true);
             w.bytes(tag::SET_NAME, name.as_bytes());
             w.inside(tag::DATABASES, |names| {
@@ -344,7 +355,7 @@
         &mut self,
         unit: &Item,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Result<Next<Vec<u8>>, SessionError> {
         let ok = unit
@@ -360,11 +371,11 @@
             unit.get(tag::SET_STATUS).and_then(Item::integer) == Some(SetStatus::Subset as i64);
         let fault = z3950::response_fault(unit);
         if !ok && !subset {
-            return Ok(refused(
+            return Ok(step_for_diagnostic(
                 fault.unwrap_or_else(|| Kind::GENERAL.of("the search failed")),
             ));
         }
-        let given = records::read(unit, tag::RECORDS)?;
+        let records = records::read(unit, tag::RECORDS)?;
         let Some(job) = &mut self.job else {
             return Err(SessionError::NoJob);
         };
@@ -377,7 +388,7 @@
         while self.sets.len() > bounds.named_sets {
             self.sets.pop_front();
         }
-        let buffer = match self.wanted(hits, bounds) {
+        let buffer = match self.records_to_collect(hits, bounds) {
             Ok(buffer) => buffer,
             Err(fault) => return Ok(Next::Done(WorkResult::Refused(fault))),
         };
@@ -385,28 +396,28 @@
             return Err(SessionError::NoJob);
         };
         job.buffer = buffer;
-        job.take(given);
+        job.add_records(records);
         if job.buffer.is_done() {
             return Ok(self.finish());
         }
-        if !job.page.sort.is_empty() && !job.local {
-            return Ok(self.sort(learned));
+        if !job.page.sort.is_empty() && !job.sort_here {
+            return Ok(self.sort(capabilities));
         }
         if let Some(fault) = &fault
-            && !other_form(fault, &job.page, learned)
+            && !reject_form(fault, &job.page, capabilities)
             && !matches!(fault.kind.bib1, 14 | 16 | 33)
         {
-            return Ok(refused(fault.clone()));
+            return Ok(step_for_diagnostic(fault.clone()));
         }
-        Ok(self.present(learned))
+        Ok(self.present(capabilities))
     }
 
-    /// What is to be gathered of so many hits.
-    fn wanted(&self, hits: u64, bounds: &HostBounds) -> Result<RecordBuffer, Fault> {
+    /// The records to collect from a set with `hits` hits.
+    fn records_to_collect(&self, hits: u64, bounds: &HostBounds) -> Result<RecordBuffer, Fault> {
         let Some(job) = &self.job else {
             return Ok(RecordBuffer::default());
         };
-        if !job.local || job.range.count == 0 {
+        if !job.sort_here || job.range.count == 0 {
             return Ok(RecordBuffer::of(job.range, hits));
         }
         if hits > u64::from(bounds.local_sort) {
@@ -422,7 +433,7 @@
         ))
     }
 
-    fn sort(&mut self, learned: &mut Learned) -> Next<Vec<u8>> {
+    fn sort(&mut self, capabilities: &mut HostCapabilities) -> Next<Vec<u8>> {
         let Some(job) = &mut self.job else {
             return Next::Failed(String::new());
         };
@@ -436,10 +447,10 @@
                 job.phase = JobPhase::Sorting;
                 Next::Send(unit)
             }
-            // The service has no words for it, so the records are sorted here.
+            // The Sort service cannot express these keys, so the records are sorted locally.
             Err(_) => {
-                job.local = true;
-                self.present(learned)
+                job.sort_here = true;
+                self.present(capabilities)
             }
         }
     }
@@ -448,17 +459,17 @@
         &mut self,
         unit: &Item,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
     ) -> Result<Next<Vec<u8>>, SessionError> {
         if sort::read_response(unit).is_err() {
-            // Whatever it says: its records are sorted here, if there are not too many.
-            learned.no_sort = true;
+            // Whatever the diagnostic, the records are sorted locally if there are not too many.
+            capabilities.no_sort = true;
             let Some(job) = &mut self.job else {
                 return Err(SessionError::NoJob);
             };
-            job.local = true;
+            job.sort_here = true;
             let hits = job.set.as_ref().map_or(0, |s| s.hits);
-            match self.wanted(hits, bounds) {
+            match self.records_to_collect(hits, bounds) {
                 Ok(buffer) => {
                     if let Some(job) = &mut self.job {
                         job.buffer = buffer;
@@ -467,21 +478,21 @@
                 Err(fault) => return Ok(Next::Done(WorkResult::Refused(fault))),
             }
         }
-        Ok(self.present(learned))
+        Ok(self.present(capabilities))
     }
 
-    /// Asks for the records that are not here yet.
-    fn present(&mut self, learned: &Learned) -> Next<Vec<u8>> {
+    /// Requests the records that have not arrived yet.
+    fn present(&mut self, capabilities: &HostCapabilities) -> Next<Vec<u8>> {
         let Some(job) = &mut self.job else {
             return Next::Failed(String::new());
         };
-        let (from, count) = job.buffer.rest();
+        let (from, count) = job.buffer.remaining();
         if count == 0 {
             return self.finish();
         }
         job.phase = JobPhase::Presenting;
         let name = job.set.as_ref().map_or("default", |s| s.name.as_str());
-        let (syntax, schema) = (syntax(learned), schema(&job.page, learned));
+        let (syntax, schema) = (syntax(capabilities), schema(&job.page, capabilities));
         Next::Send(z3950::unit(tag::PRESENT_REQUEST, None, |w| {
             w.bytes(tag::SET_ID, name.as_bytes());
             w.integer(tag::START, from as i64 + 1);
@@ -499,33 +510,34 @@
         &mut self,
         unit: &Item,
         bounds: &HostBounds,
-        learned: &mut Learned,
+        capabilities: &mut HostCapabilities,
         now: Time,
     ) -> Result<Next<Vec<u8>>, SessionError> {
-        let given = records::read(unit, tag::RECORDS)?;
+        let records = records::read(unit, tag::RECORDS)?;
         let Some(job) = &mut self.job else {
             return Err(SessionError::NoJob);
         };
-        let some = !given.is_empty();
-        job.take(given);
+        let has_records = !records.is_empty();
+        job.add_records(records);
         if job.buffer.is_done() {
             return Ok(self.finish());
         }
         match z3950::response_fault(unit) {
-            // The host gives fewer at once than it was asked for.
-            None if some => Ok(self.present(learned)),
-            None => Ok(Next::Failed(
-                "a present response without records".to_owned(),
-            )),
-            Some(fault) if other_form(&fault, &job.page, learned) => Ok(self.present(learned)),
-            // The set has fewer than it said: what is here is all, which its counts will show.
+            // The host returned fewer records than requested, so the rest is requested again.
+            None if has_records => Ok(self.present(capabilities)),
+            None => Ok(Next::Failed("present response without records".to_owned())),
+            Some(fault) if reject_form(&fault, &job.page, capabilities) => {
+                Ok(self.present(capabilities))
+            }
+            // The set is smaller than its count. The records so far are all there is, and the count
+            // will reveal the change.
             Some(fault) if fault.kind.bib1 == 13 => Ok(self.finish()),
-            Some(fault) if matches!(fault.kind.bib1, 27 | 30) && !job.again => {
-                job.again = true;
+            Some(fault) if matches!(fault.kind.bib1, 27 | 30) && !job.search_repeated => {
+                job.search_repeated = true;
                 job.buffer = RecordBuffer::default();
-                Ok(self.search(bounds, learned, now))
+                Ok(self.search(bounds, capabilities, now))
             }
-            Some(fault) => Ok(refused(fault)),
+            Some(fault) => Ok(step_for_diagnostic(fault)),
         }
     }
 
@@ -534,7 +546,7 @@
             return Next::Failed(String::new());
         };
         let (hits, exact) = job.set.as_ref().map_or((0, true), |s| (s.hits, s.exact));
-        let records = if job.local && job.range.count > 0 {
+        let records = if job.sort_here && job.range.count > 0 {
             match sort_locally(&job.page.sort, job.buffer.records, job.range) {
                 Ok(records) => records,
                 Err(fault) => return Next::Done(WorkResult::Refused(fault)),
@@ -547,19 +559,19 @@
 }
 
 impl Job {
-    fn take(&mut self, given: Vec<records::WorkResult>) {
-        let limits = self.buffer.rest().1 as usize;
+    fn add_records(&mut self, records: Vec<records::RecordResult>) {
+        let limits = self.buffer.remaining().1 as usize;
         let record =
-            |given: records::WorkResult| given.unwrap_or_else(crate::record::Record::refused);
+            |result: records::RecordResult| result.unwrap_or_else(crate::record::Record::refused);
         self.buffer
             .records
-            .extend(given.into_iter().take(limits).map(record));
+            .extend(records.into_iter().take(limits).map(record));
     }
 }
 
-fn key_of(job: &Job) -> String {
-    // A set that was sorted is another one than the same unsorted.
-    let sort = if job.local {
+fn set_key(job: &Job) -> String {
+    // A sorted set is distinct from the unsorted set of the same query.
+    let sort = if job.sort_here {
         String::new()
     } else {
         cql::write_sort(&job.page.sort)
@@ -567,26 +579,26 @@
     format!("{} {} {sort}", job.database, job.page.query)
 }
 
-fn syntax(learned: &Learned) -> Syntax {
+fn syntax(capabilities: &HostCapabilities) -> Syntax {
     SYNTAXES
         .into_iter()
-        .find(|s| !learned.no_syntax.contains(s))
+        .find(|s| !capabilities.no_syntax.contains(s))
         .unwrap_or(Syntax::Xml)
 }
 
-/// The element set that names the schema; Dublin Core is what hosts give unasked.
-fn schema(page: &PageWork, learned: &Learned) -> Option<Schema> {
-    Some(page.schema).filter(|s| *s != Schema::Dc && !learned.no_schema.contains(s))
+/// The element set name for the schema; none for Dublin Core, which hosts return by default.
+fn schema(page: &PageWork, capabilities: &HostCapabilities) -> Option<Schema> {
+    Some(page.schema).filter(|s| *s != Schema::Dc && !capabilities.no_schema.contains(s))
 }
 
-/// Whether the fault is about the form of records and another form is left to ask for; the one
-/// refused is noted.
-fn other_form(fault: &Fault, page: &PageWork, learned: &mut Learned) -> bool {
+/// Records that the host rejected the record syntax or schema. Returns whether another one is left
+/// to request.
+fn reject_form(fault: &Fault, page: &PageWork, capabilities: &mut HostCapabilities) -> bool {
     match fault.kind.bib1 {
-        25 if schema(page, learned).is_some() => learned.no_schema.push(page.schema),
-        238 | 239 if learned.no_syntax.len() + 1 < SYNTAXES.len() => {
-            let refused = syntax(learned);
-            learned.no_syntax.push(refused);
+        25 if schema(page, capabilities).is_some() => capabilities.no_schema.push(page.schema),
+        238 | 239 if capabilities.no_syntax.len() + 1 < SYNTAXES.len() => {
+            let refused = syntax(capabilities);
+            capabilities.no_syntax.push(refused);
         }
         _ => return false,
     }
--- a/catalogue/src/operation.rs
+++ b/catalogue/src/operation.rs
@@ -1,177 +1,179 @@
-//! A client's operation as rounds of parts: which slices are asked for what, and when it is done.
+//! Runs a client's operation as a sequence of rounds: which slices receive which request, and when
+//! the operation is complete.
 //!
-//! Each round is one query to the core, with parts, a class and one final answer of its own. An
+//! Each round is one query to the dispatch core, with its own parts, class and final answer. An
 //! operation ends in exactly one [`Outcome`], after at most [`Bounds::rounds`] rounds.
 
 mod page_assembly;
 
 use crate::cql::{Clause, Node};
 use crate::fault::{Fault, Kind};
-use crate::merge::{self, Count, FacetAsk, MergedFacet, Row, Term};
+use crate::merge::{self, Count, FacetRequest, MergedFacet, Row, Term};
 use crate::record::{Record, Schema};
 use crate::sets::{Changed, Owner, ResultSet, SetId, SetTable, Time};
 use crate::sort::SortKey;
 use crate::work::{Found, PageWork, ScanWork, Work, WorkResult};
-use page_assembly::{PageAssembly, PageError, extend, first_plan, missing_rows, take};
+use page_assembly::{PageAssembly, PageError, add_result, extend_order, first_plan, missing_rows};
 
-/// How much a sum of weights may fall short of what is asked for.
+/// Tolerance for floating-point error when a fraction of slices is compared with the floor.
 const ROUNDING: f64 = 0.0001;
 
-/// What bounds an operation.
+/// Limits of an operation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// The least share of the slices that an answer may be made of: the class's floor.
+    /// The class's floor: the smallest fraction of slices that may form an answer.
     pub floor: f64,
-    /// Records that one part asks for.
+    /// Maximum records that one part requests.
     pub per_part: u32,
-    /// Records of one page.
+    /// Maximum records of one page.
     pub page: u64,
-    /// Positions of a sorted set that can be reached.
+    /// Highest readable position of a sorted set.
     pub reach: u64,
-    /// Rounds of one operation.
+    /// Maximum rounds of one operation.
     pub rounds: u32,
 }
 
-/// One round: a query to the core with a part for each slice.
+/// One round: a query to the dispatch core with one part per slice.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// What every part carries.
+    /// The work sent in every part.
     pub work: Work,
-    /// The slices.
+    /// The slices to query.
     pub slices: Vec<u32>,
 }
 
-/// How a round ended.
+/// The result of a round.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Round {
-    /// What each slice that is in gave.
+    /// The result of each slice that answered.
     Served(Vec<(u32, WorkResult)>),
-    /// Turned away; asking again is harmless.
+    /// Rejected before it ran, so a retry is safe.
     Refused {
-        /// How long to keep away; 0 for no advice.
+        /// Suggested delay before a retry; 0 if there is none.
         hold_off: Time,
     },
-    /// Given up.
+    /// The round failed.
     Failed(FailureReason),
 }
 
-/// Why something was given up.
+/// Why an operation or a round failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureReason {
-    /// Its time ended.
+    /// The deadline passed.
     TimeUp,
-    /// The module gave it up, or too few slices were in.
+    /// The dispatch module abandoned the request, or too few slices answered.
     GivenUp,
 }
 
-/// What comes next.
+/// The next step of an operation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Another round.
+    /// Run another round.
     Ask(Plan),
-    /// The end.
+    /// The operation is complete.
     Done(Outcome),
 }
 
-/// How an operation ended.
+/// The result of an operation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// A result set, and records of it.
+    /// A result set and some of its records.
     Page(Box<Page>),
-    /// Terms.
+    /// The terms of a scan.
     Scan(Scanned),
-    /// Turned away; asking again is harmless.
+    /// Rejected before it ran, so a retry is safe.
     Refused {
-        /// How long to keep away; 0 for no advice.
+        /// Suggested delay before a retry; 0 if there is none.
         hold_off: Time,
     },
-    /// Given up.
+    /// The operation failed.
     Failed(FailureReason),
     /// The request cannot be served.
     Fault(Fault),
 }
 
-/// A result set, and records of it.
+/// A result set and some of its records.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Page {
-    /// The set.
+    /// The result set.
     pub set: SetId,
-    /// Its name towards SRU clients.
+    /// The result set's identifier for SRU clients.
     pub token: String,
-    /// Its hits.
+    /// The number of hits.
     pub count: Count,
-    /// Whether every slice is in the set.
+    /// Whether the set includes every slice.
     pub complete: bool,
-    /// The position of the first record.
+    /// The position of the first record, from 1.
     pub start: u64,
-    /// The records from there on, without a gap.
+    /// Consecutive records from `start`, without gaps.
     pub records: Vec<Record>,
-    /// How many there should have been.
+    /// The number of records that the page should have.
     pub wanted: u64,
-    /// Why there are fewer.
+    /// Why the page has fewer records than wanted.
     pub short: Option<ShortReason>,
-    /// The set stands in the place of one that has changed.
+    /// Whether this set replaces one whose slices have changed.
     pub replaced: bool,
-    /// What else is to be said.
+    /// Further diagnostics for the client.
     pub diagnostics: Vec<Fault>,
-    /// The facets.
+    /// The merged facets.
     pub facets: Vec<MergedFacet>,
 }
 
 impl Page {
-    /// The position behind the last record, if there is one.
+    /// The position after the last record, if the set has one.
     pub fn next(&self) -> Option<u64> {
         let next = self.start + self.records.len() as u64;
         (next <= self.count.hits).then_some(next)
     }
 }
 
-/// Why a page has fewer records than it should.
+/// Why a page has fewer records than wanted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShortReason {
-    /// Turned away; asking again is harmless.
+    /// Rejected before it ran, so a retry is safe.
     Refused {
-        /// How long to keep away.
+        /// Suggested delay before a retry; 0 if there is none.
         hold_off: Time,
     },
-    /// Given up, or a slice did not answer.
+    /// The round failed, or a slice did not answer.
     Failed(FailureReason),
-    /// Further than such sets can be read.
+    /// The page lies further on than one operation can read.
     Reach,
 }
 
-/// Terms.
+/// The terms of a scan.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scanned {
-    /// In order.
+    /// The terms in index order.
     pub terms: Vec<Term>,
-    /// Where the starting point stands, from 1.
+    /// Position of the starting point in the list, from 1.
     pub position: u64,
-    /// Whether every slice is in.
+    /// Whether every slice answered.
     pub complete: bool,
-    /// What else is to be said.
+    /// Further diagnostics for the client.
     pub diagnostics: Vec<Fault>,
 }
 
-/// How many records are wanted with a search.
+/// How many records a search should return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Want {
-    /// So many.
+    /// A fixed number.
     Count(u64),
-    /// As Z39.50 has it: all of a small set, none of a large one, so many of others.
+    /// The Z39.50 bounds: all records of a small set, none of a large set, and a fixed number of
+    /// any other set.
     Sized {
-        /// At most so many hits are a small set.
+        /// Most hits of a small set (small-set-upper-bound).
         small: u64,
-        /// At least so many are a large one.
+        /// Fewest hits of a large set (large-set-lower-bound).
         large: u64,
-        /// So many of others.
+        /// Records of a set between the two (medium-set-present-number).
         medium: u64,
     },
 }
 
 impl Want {
-    /// The most that may be wanted.
-    fn most(self) -> u64 {
+    /// The largest number of records that any hit count can lead to.
+    fn max_records(self) -> u64 {
         match self {
             Want::Count(n) => n,
             Want::Sized {
@@ -182,7 +184,7 @@
         }
     }
 
-    /// How many are wanted of a set with so many hits.
+    /// The number of records for a set with `hits` hits.
     pub fn of(self, hits: u64) -> u64 {
         match self {
             Want::Count(n) => n,
@@ -193,28 +195,28 @@
     }
 }
 
-/// A search.
+/// A search request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Search {
-    /// What is searched; sets in it are resolved.
+    /// The query, with references to result sets already resolved.
     pub query: Node,
-    /// The order; none for the slices' own, one slice behind the other.
+    /// The sort keys; if empty, the slices follow one another, each in its own order.
     pub sort: Vec<SortKey>,
-    /// The schema that records are wanted in.
+    /// The requested record schema.
     pub schema: Schema,
-    /// The first position that is wanted.
+    /// The first requested position, from 1.
     pub start: u64,
-    /// How many records are.
+    /// How many records to return.
     pub want: Want,
-    /// The slices that are asked.
+    /// The slices to query.
     pub slices: Vec<u32>,
-    /// Slices that are left out, as a set in the query is without them.
+    /// Slices to skip, because a result set named in the query lacks them.
     pub left_out: Vec<u32>,
-    /// Facets that are wanted.
-    pub facets: Vec<FacetAsk>,
-    /// Whose the set will be.
+    /// The requested facets.
+    pub facets: Vec<FacetRequest>,
+    /// The owner of the new result set.
     pub owner: Owner,
-    /// How long it is wanted.
+    /// The requested lifetime of the result set.
     pub ttl: Option<Time>,
 }
 
@@ -233,7 +235,7 @@
     },
 }
 
-/// An operation under way.
+/// A running operation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operation {
     bounds: Bounds,
@@ -242,7 +244,7 @@
 }
 
 impl Operation {
-    /// Begins a search.
+    /// Starts a search.
     pub fn search(search: Search, bounds: Bounds) -> (Operation, Step) {
         let step = Step::Ask(first_plan(&search, &bounds));
         (
@@ -258,13 +260,13 @@
         )
     }
 
-    /// Begins to fetch records of a set. Where the set has changed, `again` is searched anew;
-    /// without one the operation ends with the diagnostic that the set is gone.
+    /// Starts to fetch records of a set. If the set has changed, the operation repeats the search
+    /// in `repeat_search`, or ends with the diagnostic that the set is gone if there is none.
     pub fn page(
         set: SetId,
         (start, count): (u64, u64),
         schema: Schema,
-        again: Option<Search>,
+        repeat_search: Option<Search>,
         bounds: Bounds,
         sets: &mut SetTable,
         now: Time,
@@ -278,25 +280,25 @@
             wanted,
             schema,
             rows: vec![None; wanted.min(bounds.page) as usize],
-            asked: Vec::new(),
-            extends: false,
-            lost: Vec::new(),
+            requested: Vec::new(),
+            extends_order: false,
+            failed_slices: Vec::new(),
             short: None,
             replaced: false,
             diagnostics: Vec::new(),
             facets: Vec::new(),
-            again,
+            repeat_search,
         };
         let mut operation = Operation {
             bounds,
             rounds: 0,
             state: State::PageAssembly(page_assembly),
         };
-        let step = operation.fill(sets, now);
+        let step = operation.continue_page(sets, now);
         (operation, step)
     }
 
-    /// Begins a scan.
+    /// Starts a scan.
     pub fn scan(
         clause: &Clause,
         number: u32,
@@ -313,7 +315,7 @@
             work,
             slices: slices.clone(),
         });
-        let seed = crate::cql::term::parts(&clause.term).plain();
+        let seed = crate::cql::term::parse(&clause.term).plain();
         (
             Operation {
                 bounds,
@@ -329,18 +331,18 @@
         )
     }
 
-    /// A round has ended.
+    /// Processes the result of a round and returns the next step.
     pub fn answered(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
         match &self.state {
-            State::Searching { .. } => self.searched(round, sets, now),
-            State::PageAssembly(_) => self.filled(round, sets, now),
-            State::Scanning { .. } => self.scanned(round),
+            State::Searching { .. } => self.search_answered(round, sets, now),
+            State::PageAssembly(_) => self.page_answered(round, sets, now),
+            State::Scanning { .. } => self.scan_answered(round),
         }
     }
 
-    fn searched(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
+    fn search_answered(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
         let State::Searching { search, replaced } = &self.state else {
-            return given_up();
+            return failed();
         };
         let (search, replaced) = (search.clone(), *replaced);
         let values = match round {
@@ -350,8 +352,8 @@
         };
         let mut found: Vec<(u32, Found)> = Vec::new();
         let mut faults: Vec<(u32, Fault)> = Vec::new();
-        for (slice, given) in values {
-            match given {
+        for (slice, result) in values {
+            match result {
                 WorkResult::Found(one) => found.push((slice, one)),
                 WorkResult::Refused(fault) => faults.push((slice, fault)),
                 WorkResult::Scanned(_) => {}
@@ -362,7 +364,7 @@
         {
             return step;
         }
-        let asked: Vec<u32> = search
+        let requested: Vec<u32> = search
             .slices
             .iter()
             .chain(&search.left_out)
@@ -371,7 +373,7 @@
         let mut set = ResultSet::new(
             search.query.clone(),
             search.sort.clone(),
-            &asked,
+            &requested,
             &found,
             now,
         );
@@ -389,7 +391,7 @@
             .of(hits)
             .min((hits + 1).saturating_sub(search.start));
         let mut rows: Vec<Option<Record>> = vec![None; wanted.min(self.bounds.page) as usize];
-        // What came with the search: the slices' first records.
+        // A search response already contains the first records of each slice.
         for (slice, one) in found {
             let Some(at) = set.slices.iter().position(|s| s.slice == slice) else {
                 continue;
@@ -397,7 +399,7 @@
             if let Some(merged) = &mut set.merged {
                 for record in one.records {
                     match Row::new(record, &search.sort) {
-                        Some(row) => merged.sources[at].ahead.push_back(row),
+                        Some(row) => merged.sources[at].buffered.push_back(row),
                         None => return Step::Done(Outcome::Fault(Kind::SORT_MISSING.of(""))),
                     }
                 }
@@ -413,12 +415,13 @@
                         *row = Some(record);
                     }
                 }
-                // Only the last one counts, and telling it from others takes reading it.
+                // The next page is checked only against the last record, so only that one is parsed
+                // for its fingerprint.
                 if let Some(offset) = last
                     && let Some(Some(record)) =
                         rows.get((before + offset + 1 - search.start) as usize)
                 {
-                    set.delivered(at, offset, record);
+                    set.record_delivered(at, offset, record);
                 }
             }
         }
@@ -429,29 +432,31 @@
             wanted,
             schema: search.schema,
             rows,
-            asked: Vec::new(),
-            extends: false,
-            lost: Vec::new(),
+            requested: Vec::new(),
+            extends_order: false,
+            failed_slices: Vec::new(),
             short: None,
             replaced,
             diagnostics,
             facets,
-            again: Some(search),
+            repeat_search: Some(search),
         });
-        self.fill(sets, now)
+        self.continue_page(sets, now)
     }
 
-    /// Asks for what the page lacks, or ends.
-    fn fill(&mut self, sets: &mut SetTable, now: Time) -> Step {
+    /// Requests the rows that the page lacks, or completes the operation.
+    fn continue_page(&mut self, sets: &mut SetTable, now: Time) -> Step {
         let State::PageAssembly(page) = &mut self.state else {
-            return given_up();
+            return failed();
         };
         let Some(set) = sets.get(page.set, now) else {
-            return Step::Done(Outcome::Fault(Kind::SET_GONE.of("it gave way to others")));
+            return Step::Done(Outcome::Fault(
+                Kind::SET_GONE.of("the result set was evicted"),
+            ));
         };
         let mut plan = None;
         if page.short.is_none() && page.rows.iter().any(Option::is_none) {
-            plan = match extend(page, set, &self.bounds) {
+            plan = match extend_order(page, set, &self.bounds) {
                 Ok(plan) => plan.or_else(|| missing_rows(page, set, &self.bounds)),
                 Err(fault) => return Step::Done(Outcome::Fault(fault)),
             };
@@ -483,12 +488,13 @@
             page.short = Some(ShortReason::Reach);
         }
         if let Some(slice) = disorder {
-            page.diagnostics
-                .push(Kind::SORT.of(format!("the host of slice {slice} gives another order")));
+            page.diagnostics.push(Kind::SORT.of(format!(
+                "the host of slice {slice} returned records out of order"
+            )));
         }
         let mut records = Vec::new();
         for row in std::mem::take(&mut page.rows) {
-            // Behind a gap nothing is delivered: it would seem to stand where the gap is.
+            // Records after a gap are not delivered: clients would take them for the missing ones.
             let Some(record) = row else { break };
             records.push(record);
         }
@@ -510,63 +516,68 @@
         })))
     }
 
-    fn filled(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
+    fn page_answered(&mut self, round: Round, sets: &mut SetTable, now: Time) -> Step {
         let State::PageAssembly(page) = &mut self.state else {
-            return given_up();
+            return failed();
         };
         let values = match round {
             Round::Served(values) => values,
-            // What is there already is still good.
+            // The records received so far remain valid.
             Round::Refused { hold_off } => {
                 page.short = Some(ShortReason::Refused { hold_off });
-                return self.fill(sets, now);
+                return self.continue_page(sets, now);
             }
             Round::Failed(why) => {
                 page.short = Some(ShortReason::Failed(why));
-                return self.fill(sets, now);
+                return self.continue_page(sets, now);
             }
         };
         let Some(set) = sets.get(page.set, now) else {
-            return Step::Done(Outcome::Fault(Kind::SET_GONE.of("it gave way to others")));
+            return Step::Done(Outcome::Fault(
+                Kind::SET_GONE.of("the result set was evicted"),
+            ));
         };
-        let mut given: Vec<(u32, WorkResult)> = values;
-        for place in std::mem::take(&mut page.asked) {
-            let at = given.iter().position(|(slice, _)| *slice == place.slice);
-            let taken = match at.map(|at| given.swap_remove(at).1) {
-                Some(WorkResult::Found(found)) => take(page, set, &place, found),
+        let mut results: Vec<(u32, WorkResult)> = values;
+        for range in std::mem::take(&mut page.requested) {
+            let at = results.iter().position(|(slice, _)| *slice == range.slice);
+            let added = match at.map(|at| results.swap_remove(at).1) {
+                Some(WorkResult::Found(found)) => add_result(page, set, &range, found),
                 Some(WorkResult::Refused(fault)) => {
                     page.diagnostics.push(
                         fault
                             .kind
-                            .of(format!("slice {}: {}", place.slice, fault.about)),
+                            .of(format!("slice {}: {}", range.slice, fault.about)),
                     );
-                    page.lost.push(place.slice);
+                    page.failed_slices.push(range.slice);
                     Ok(())
                 }
                 _ => {
-                    page.lost.push(place.slice);
+                    page.failed_slices.push(range.slice);
                     Ok(())
                 }
             };
-            match taken {
+            match added {
                 Ok(()) => {}
                 Err(PageError::Fault(fault)) => return Step::Done(Outcome::Fault(fault)),
-                Err(PageError::Changed(Changed { slice })) => return self.changed(slice, sets),
+                Err(PageError::Changed(Changed { slice })) => {
+                    return self.restart_search(slice, sets);
+                }
             }
         }
-        if !page.lost.is_empty() {
+        if !page.failed_slices.is_empty() {
             page.short = Some(ShortReason::Failed(FailureReason::GivenUp));
         }
-        self.fill(sets, now)
+        self.continue_page(sets, now)
     }
 
-    /// The set is not what it was: its positions mean nothing any more.
-    fn changed(&mut self, slice: u32, sets: &mut SetTable) -> Step {
+    /// Handles a changed set. Its positions are no longer valid, so the search is repeated if
+    /// possible.
+    fn restart_search(&mut self, slice: u32, sets: &mut SetTable) -> Step {
         let State::PageAssembly(page) = &mut self.state else {
-            return given_up();
+            return failed();
         };
         sets.remove(page.set);
-        match page.again.take() {
+        match page.repeat_search.take() {
             Some(search) if self.rounds < self.bounds.rounds => {
                 self.rounds += 1;
                 let step = Step::Ask(first_plan(&search, &self.bounds));
@@ -582,7 +593,7 @@
         }
     }
 
-    fn scanned(&mut self, round: Round) -> Step {
+    fn scan_answered(&mut self, round: Round) -> Step {
         let State::Scanning {
             number,
             position,
@@ -590,7 +601,7 @@
             slices,
         } = &self.state
         else {
-            return given_up();
+            return failed();
         };
         let values = match round {
             Round::Served(values) => values,
@@ -598,8 +609,8 @@
             Round::Failed(why) => return Step::Done(Outcome::Failed(why)),
         };
         let (mut lists, mut faults, mut missing) = (Vec::new(), Vec::new(), slices.clone());
-        for (slice, given) in values {
-            match given {
+        for (slice, result) in values {
+            match result {
                 WorkResult::Scanned(terms) => {
                     missing.retain(|s| *s != slice);
                     lists.push(terms);
@@ -622,14 +633,19 @@
     }
 }
 
-fn given_up() -> Step {
+fn failed() -> Step {
     Step::Done(Outcome::Failed(FailureReason::GivenUp))
 }
 
-/// An answer from less than the class's floor is never given: what the core counted as in may have
-/// been a refusal.
-fn below_floor(have: usize, asked: usize, faults: &[(u32, Fault)], floor: f64) -> Option<Step> {
-    if have > 0 && have as f64 / asked.max(1) as f64 + ROUNDING >= floor {
+/// Rejects an answer from fewer slices than the class's floor. The dispatch core may have counted a
+/// refusal as an answer, so its own check is not sufficient.
+fn below_floor(
+    answered: usize,
+    requested: usize,
+    faults: &[(u32, Fault)],
+    floor: f64,
+) -> Option<Step> {
+    if answered > 0 && answered as f64 / requested.max(1) as f64 + ROUNDING >= floor {
         return None;
     }
     Some(Step::Done(match faults.first() {
@@ -641,13 +657,13 @@
 fn diagnostics_of(missing: &[u32], faults: Vec<(u32, Fault)>) -> Vec<Fault> {
     let mut diagnostics = Vec::new();
     if !missing.is_empty() {
-        let words: Vec<String> = missing.iter().map(u32::to_string).collect();
+        let numbers: Vec<String> = missing.iter().map(u32::to_string).collect();
         let plural = if missing.len() == 1 {
             "slice"
         } else {
             "slices"
         };
-        diagnostics.push(Kind::PARTIAL.of(format!("without {plural} {}", words.join(", "))));
+        diagnostics.push(Kind::PARTIAL.of(format!("without {plural} {}", numbers.join(", "))));
     }
     diagnostics.extend(
         faults
@@ -658,27 +674,28 @@
 }
 
 fn merged_facets(
-    requests: &[FacetAsk],
+    requests: &[FacetRequest],
     lists: &[Option<Vec<merge::Facet>>],
     missing: bool,
     diagnostics: &mut Vec<Fault>,
 ) -> Vec<MergedFacet> {
-    let one = |ask: &FacetAsk| {
-        let of = |list: &'_ Option<Vec<merge::Facet>>| {
+    let merge_one = |request: &FacetRequest| {
+        let position = |list: &'_ Option<Vec<merge::Facet>>| {
             list.as_ref()
-                .and_then(|facets| facets.iter().position(|f| f.index == ask.index))
+                .and_then(|facets| facets.iter().position(|f| f.index == request.index))
         };
-        let own: Vec<Option<&merge::Facet>> = lists
+        let per_slice: Vec<Option<&merge::Facet>> = lists
             .iter()
-            .map(|l| of(l).and_then(|at| l.as_ref().map(|facets| &facets[at])))
+            .map(|l| position(l).and_then(|at| l.as_ref().map(|facets| &facets[at])))
             .collect();
-        let mut merged = merge::facets(ask, &own);
+        let mut merged = merge::facets(request, &per_slice);
         merged.exact &= !missing;
         merged
     };
-    let merged: Vec<MergedFacet> = requests.iter().map(one).collect();
+    let merged: Vec<MergedFacet> = requests.iter().map(merge_one).collect();
     if lists.iter().any(Option::is_none) && !requests.is_empty() {
-        diagnostics.push(Kind::FEATURE.of("facets: some hosts count none, so counts are too low"));
+        diagnostics
+            .push(Kind::FEATURE.of("facets: some hosts do not count them, so counts are too low"));
     }
     merged
 }
--- a/catalogue/src/pool.rs
+++ b/catalogue/src/pool.rs
@@ -1,84 +1,84 @@
-//! Sessions to index hosts: which one takes the next part, when one more is opened, when a host is
-//! left in peace, what becomes of a search that nobody waits for any more, and what a host is held
-//! able to do.
+//! Manages sessions with index hosts: chooses the session for each part, opens new ones, backs off
+//! from failing hosts, handles abandoned searches, and remembers features that a host lacks.
 
 use crate::record::{Schema, Syntax};
 use crate::sru::Version;
 use std::collections::BTreeMap;
 
-/// Nanoseconds of one clock.
+/// Nanoseconds on a monotonic clock.
 pub type Time = u64;
 
-/// What bounds the pool.
+/// Limits of the pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolBounds {
-    /// Sessions to one host.
+    /// Maximum sessions per host.
     pub sessions: usize,
-    /// Rest after a first failed connection; doubled by each that follows.
-    pub rest_least: Time,
-    /// The longest rest.
-    pub rest_most: Time,
-    /// How long what a host cannot do is held against it.
-    pub learn_for: Time,
-    /// An abandoned search is outlived for so long, whatever the host usually takes.
-    pub outlive_least: Time,
-    /// And never longer than this.
-    pub outlive_most: Time,
-    /// Hosts remembered.
+    /// Backoff after the first failed connection, doubled after each further failure.
+    pub backoff_min: Time,
+    /// Maximum backoff.
+    pub backoff_max: Time,
+    /// How long a feature that a host lacks is not requested again.
+    pub capability_ttl: Time,
+    /// Minimum time to wait for the response to an abandoned search, however fast the host usually
+    /// is.
+    pub abandoned_time_min: Time,
+    /// Maximum time to wait for the response to an abandoned search.
+    pub abandoned_time_max: Time,
+    /// Maximum number of hosts to remember.
     pub hosts: usize,
 }
 
-/// Which session takes the next part.
+/// The session for the next part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Choice {
-    /// This one, which is idle.
+    /// Use this idle session.
     Use(usize),
-    /// A new one.
+    /// Open a new session.
     Open,
-    /// This one, behind what it carries.
+    /// Queue the part on this session.
     Wait(usize),
-    /// None: the host failed lately, and there is no session to it.
-    Rest,
+    /// None: the host is in backoff and has no open session.
+    Backoff,
 }
 
-/// What becomes of a search that nobody waits for.
+/// What to do with the session of an abandoned search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// Its session reads the late answer and goes on, unless it takes longer than until then.
-    Outlive(Time),
-    /// Its session ends.
-    End,
+pub enum AbandonedAction {
+    /// Keep it open and discard the late response, unless that takes until after this time.
+    Drain(Time),
+    /// Close it.
+    Close,
 }
 
-/// What a host was found not to do.
+/// Features that a host was found to lack.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Learned {
-    /// The version of SRU that it answers.
+pub struct HostCapabilities {
+    /// The SRU version in which the host responds.
     pub version: Option<Version>,
-    /// It does not sort.
+    /// The host does not sort.
     pub no_sort: bool,
-    /// Schemas that it does not give.
+    /// Schemas that the host does not offer.
     pub no_schema: Vec<Schema>,
-    /// Record syntaxes that it does not give.
+    /// Record syntaxes that the host does not offer.
     pub no_syntax: Vec<Syntax>,
-    /// It does not count facets.
+    /// The host does not count facets.
     pub no_facets: bool,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Host {
     failures: u32,
-    rest_until: Time,
-    /// What an answer usually takes: a mean in which the last ones weigh most; 0 before the first.
-    usual: Time,
-    /// Sessions that outlive an abandoned search.
-    outliving: usize,
-    learned: Learned,
-    learned_at: Option<Time>,
+    backoff_until: Time,
+    /// Moving average of response times, weighted towards recent ones; 0 before the first response.
+    mean_response_time: Time,
+    /// Sessions that wait for the response to an abandoned search.
+    draining: usize,
+    capabilities: HostCapabilities,
+    capabilities_since: Option<Time>,
     used: Time,
 }
 
-/// The pool's memory of each host.
+/// The state of each host.
 #[derive(Debug)]
 pub struct Pool {
     bounds: PoolBounds,
@@ -86,7 +86,7 @@
 }
 
 impl Pool {
-    /// A pool that knows no host.
+    /// Creates an empty pool.
     pub fn new(bounds: PoolBounds) -> Pool {
         Pool {
             bounds,
@@ -95,7 +95,8 @@
     }
 
     fn host(&mut self, host: u32, now: Time) -> &mut Host {
-        // Hosts come and go under new numbers for as long as this runs.
+        // New hosts get new numbers for as long as the process runs, so the least recently used
+        // entry is dropped.
         if !self.hosts.contains_key(&host)
             && self.hosts.len() >= self.bounds.hosts
             && let Some(oldest) = self
@@ -111,90 +112,91 @@
         entry
     }
 
-    /// Which of a host's sessions takes the next part; `carried` says how many each has, an
-    /// abandoned one included.
-    pub fn choose(&mut self, host: u32, carried: &[usize], now: Time) -> Choice {
-        let most = self.bounds.sessions;
+    /// Chooses the session for the next part. `load` holds the number of requests on each of the
+    /// host's sessions, including abandoned ones.
+    pub fn choose(&mut self, host: u32, load: &[usize], now: Time) -> Choice {
+        let max_sessions = self.bounds.sessions;
         let known = self.host(host, now);
-        if let Some(idle) = carried.iter().position(|n| *n == 0) {
+        if let Some(idle) = load.iter().position(|n| *n == 0) {
             return Choice::Use(idle);
         }
-        let least = carried
+        let least_loaded = load
             .iter()
             .enumerate()
             .min_by_key(|(_, n)| **n)
             .map(|(at, _)| at);
-        match least {
-            // A host that turned connections away is not asked for more of them while one works.
-            Some(at) if carried.len() >= most || known.rest_until > now => Choice::Wait(at),
-            None if known.rest_until > now => Choice::Rest,
+        match least_loaded {
+            // While one session works, no further ones are opened to a host in backoff.
+            Some(at) if load.len() >= max_sessions || known.backoff_until > now => Choice::Wait(at),
+            None if known.backoff_until > now => Choice::Backoff,
             _ => Choice::Open,
         }
     }
 
-    /// A session is up.
+    /// Records that a session was opened.
     pub fn connected(&mut self, host: u32, now: Time) {
         let host = self.host(host, now);
         host.failures = 0;
-        host.rest_until = 0;
+        host.backoff_until = 0;
     }
 
-    /// A session never came up, or was refused.
+    /// Records that a session could not be opened or was refused.
     pub fn failed(&mut self, host: u32, now: Time) {
-        let (least, most) = (self.bounds.rest_least, self.bounds.rest_most);
+        let (min, max) = (self.bounds.backoff_min, self.bounds.backoff_max);
         let host = self.host(host, now);
-        // Several that were begun together count as one failure.
-        if host.rest_until <= now {
-            host.rest_until =
-                now.saturating_add(least.saturating_mul(1 << host.failures.min(20)).min(most));
+        // Several concurrent attempts count as one failure.
+        if host.backoff_until <= now {
+            host.backoff_until =
+                now.saturating_add(min.saturating_mul(1 << host.failures.min(20)).min(max));
             host.failures += 1;
         }
     }
 
-    /// An answer came, so long after it was asked for.
+    /// Records the response time of a request.
     pub fn answered(&mut self, host: u32, took: Time, now: Time) {
         let host = self.host(host, now);
-        host.usual = if host.usual == 0 {
+        host.mean_response_time = if host.mean_response_time == 0 {
             took
         } else {
-            host.usual - host.usual / 8 + took / 8
+            host.mean_response_time - host.mean_response_time / 8 + took / 8
         };
     }
 
-    /// Nobody waits any more for what a session was asked at `asked`.
-    pub fn abandon(&mut self, host: u32, asked: Time, now: Time) -> Fate {
+    /// Decides what to do with the session of a request that was sent at `sent_at` and abandoned.
+    pub fn abandon(&mut self, host: u32, sent_at: Time, now: Time) -> AbandonedAction {
         let bounds = self.bounds;
         let known = self.host(host, now);
-        let patience =
-            (known.usual.saturating_mul(8)).clamp(bounds.outlive_least, bounds.outlive_most);
-        let until = asked.saturating_add(patience);
-        // Half of the sessions at most wait for nothing: the others are needed for what somebody
-        // waits for.
-        if until <= now || known.outliving + 1 > bounds.sessions.div_ceil(2) {
-            return Fate::End;
+        let wait = (known.mean_response_time.saturating_mul(8))
+            .clamp(bounds.abandoned_time_min, bounds.abandoned_time_max);
+        let until = sent_at.saturating_add(wait);
+        // At most half of the sessions may wait for abandoned searches; the others are needed for
+        // active ones.
+        if until <= now || known.draining + 1 > bounds.sessions.div_ceil(2) {
+            return AbandonedAction::Close;
         }
-        known.outliving += 1;
-        Fate::Outlive(until)
+        known.draining += 1;
+        AbandonedAction::Drain(until)
     }
 
-    /// A session that outlived a search has read its answer, or has ended.
-    pub fn outlived(&mut self, host: u32, now: Time) {
+    /// Records that a session has read the response to an abandoned search, or was closed.
+    pub fn drained(&mut self, host: u32, now: Time) {
         let host = self.host(host, now);
-        host.outliving = host.outliving.saturating_sub(1);
+        host.draining = host.draining.saturating_sub(1);
     }
 
-    /// What a host is held not to do; after so long it is asked again.
-    pub fn learned(&mut self, host: u32, now: Time) -> &mut Learned {
-        let lasts = self.bounds.learn_for;
+    /// The features that a host was found to lack. They are forgotten after a time, so that the
+    /// host is asked again.
+    pub fn capabilities(&mut self, host: u32, now: Time) -> &mut HostCapabilities {
+        let ttl = self.bounds.capability_ttl;
         let host = self.host(host, now);
         if host
-            .learned_at
-            .is_none_or(|at| at.saturating_add(lasts) <= now)
+            .capabilities_since
+            .is_none_or(|at| at.saturating_add(ttl) <= now)
         {
-            host.learned = Learned::default();
-            host.learned_at = Some(now);
+            host.capabilities = HostCapabilities::default();
+            host.capabilities_since = Some(now);
         }
-        &mut host.learned
+        &mut host.capabilities
     }
 }
 
--- a/catalogue/src/record/marc.rs
+++ b/catalogue/src/record/marc.rs
@@ -7,7 +7,7 @@
 const END_OF_RECORD: u8 = 0x1d;
 const END_OF_FIELD: u8 = 0x1e;
 const SUBFIELD: u8 = 0x1f;
-/// The leader's length, and a directory entry's.
+/// The lengths of the leader and of a directory entry.
 const LEADER: usize = 24;
 const ENTRY: usize = 12;
 
@@ -22,10 +22,10 @@
     pub subfields: Vec<(char, String)>,
 }
 
-/// A record.
+/// A MARC record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Marc {
-    /// The leader; empty for the usual one.
+    /// The leader, or empty for the default one.
     pub leader: String,
     /// Control fields: tags and texts.
     pub control: Vec<(String, String)>,
@@ -42,7 +42,7 @@
         .ok()
         .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
     text.and_then(|t| t.parse().ok())
-        .ok_or(malformed("a length that is no number"))
+        .ok_or(malformed("non-numeric length"))
 }
 
 impl Marc {
@@ -55,20 +55,22 @@
         });
     }
 
-    /// Reads the exchange format. Lengths are held against what is there.
+    /// Reads the exchange format and validates its lengths.
     pub fn from_bytes(bytes: &[u8]) -> Result<Marc, RecordError> {
         let leader = bytes
             .get(..LEADER)
             .ok_or(malformed("shorter than a leader"))?;
         let (length, base) = (number(&leader[..5])?, number(&leader[12..17])?);
         if length != bytes.len() || base < LEADER + 1 || base > length {
-            return Err(malformed("its length is not its own"));
+            return Err(malformed(
+                "length or base address does not match the record",
+            ));
         }
         let directory = bytes
             .get(LEADER..base - 1)
-            .ok_or(malformed("a directory"))?;
+            .ok_or(malformed("invalid directory"))?;
         if directory.len() % ENTRY != 0 || bytes[base - 1] != END_OF_FIELD {
-            return Err(malformed("a directory"));
+            return Err(malformed("invalid directory"));
         }
         let mut marc = Marc {
             leader: text(leader),
@@ -79,10 +81,10 @@
             let (length, start) = (number(&entry[3..7])?, base + number(&entry[7..12])?);
             let field = bytes
                 .get(start..start + length)
-                .ok_or(malformed("a field outside the record"))?;
+                .ok_or(malformed("field outside the record"))?;
             let field = field
                 .strip_suffix(&[END_OF_FIELD])
-                .ok_or(malformed("a field without its end"))?;
+                .ok_or(malformed("field without terminator"))?;
             if tag.starts_with("00") {
                 marc.control.push((tag, text(field)));
                 continue;
@@ -107,7 +109,7 @@
     pub fn to_bytes(&self) -> Result<Vec<u8>, RecordError> {
         let mut body: Vec<u8> = Vec::new();
         let mut directory = String::new();
-        let mut enter = |tag: &str, field: Vec<u8>, body: &mut Vec<u8>| {
+        let mut add_field = |tag: &str, field: Vec<u8>, body: &mut Vec<u8>| {
             if field.len() > 9_999 || body.len() > 99_999 || tag.len() != 3 {
                 return Err(RecordError::TooLong);
             }
@@ -116,28 +118,28 @@
             Ok(())
         };
         for (tag, text) in &self.control {
-            let mut field = clean(text).into_bytes();
+            let mut field = without_separators(text).into_bytes();
             field.push(END_OF_FIELD);
-            enter(tag, field, &mut body)?;
+            add_field(tag, field, &mut body)?;
         }
         for data in &self.data {
-            let mut field = format!("{:2}", clean(&data.indicators)).into_bytes();
+            let mut field = format!("{:2}", without_separators(&data.indicators)).into_bytes();
             for (code, text) in &data.subfields {
                 field.push(SUBFIELD);
                 field.extend(code.to_string().bytes());
-                field.extend(clean(text).bytes());
+                field.extend(without_separators(text).bytes());
             }
             field.push(END_OF_FIELD);
-            enter(&data.tag, field, &mut body)?;
+            add_field(&data.tag, field, &mut body)?;
         }
         let base = LEADER + directory.len() + 1;
         let length = base + body.len() + 1;
         if length > 99_999 {
             return Err(RecordError::TooLong);
         }
-        // What the leader says of the record itself stays; its lengths and its coding (UTF-8) are
-        // this one's.
-        let given = |range: std::ops::Range<usize>, usual: &str| {
+        // Only the leader's description of the record is kept. Lengths and character coding (UTF-8)
+        // are set for the new encoding.
+        let from_leader = |range: std::ops::Range<usize>, usual: &str| {
             self.leader
                 .get(range.clone())
                 .filter(|t| t.len() == range.len())
@@ -146,8 +148,8 @@
         };
         let leader = format!(
             "{length:05}{}a22{base:05}{}4500",
-            given(5..9, "nam "),
-            given(17..20, " a ")
+            from_leader(5..9, "nam "),
+            from_leader(17..20, " a ")
         );
         let mut out = leader.into_bytes();
         out.extend(directory.bytes());
@@ -180,7 +182,7 @@
                         subfields: child.all("subfield").filter_map(subfield).collect(),
                     });
                 }
-                _ => return Err(malformed("an element that MARCXML does not have")),
+                _ => return Err(malformed("unexpected element in MARCXML")),
             }
         }
         Ok(marc)
@@ -227,8 +229,8 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Without the format's own separators: a text that holds one would end its field.
-fn clean(text: &str) -> String {
+/// Removes the format's separators, which would end the field early.
+fn without_separators(text: &str) -> String {
     text.chars()
         .filter(|c| !matches!(*c, '\u{1d}'..='\u{1f}'))
         .collect()
--- a/catalogue/src/session.rs
+++ b/catalogue/src/session.rs
@@ -1,5 +1,5 @@
-//! A Z39.50 session with a client: data units and rounds' ends come in, data units and rounds go
-//! out.
+//! A Z39.50 session with a client. Its inputs are data units and the results of rounds, its outputs
+//! are data units and new rounds.
 
 mod answers;
 mod requests;
@@ -15,8 +15,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Challenges that a client may fail.
-const CHALLENGES: u32 = 3;
+/// Failed challenges after which the session is closed.
+const MAX_FAILED_CHALLENGES: u32 = 3;
 
 /// Who may search.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -24,16 +24,17 @@
     /// Anyone.
     #[default]
     Open,
-    /// Those who say at Init who they are.
+    /// Clients that authenticate in the Init request.
     AtInit(Vec<Reader>),
-    /// The same, or those who answer the challenge that comes with their first operation.
+    /// Clients that authenticate in the Init request or in reply to a challenge, which is sent with
+    /// their first operation.
     Challenge(Vec<Reader>),
 }
 
-/// Somebody who may search.
+/// The credentials of a client that may search.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Reader {
-    /// The name.
+    /// The user name.
     pub name: String,
     /// The password.
     pub password: String,
@@ -41,7 +42,7 @@
 
 impl std::fmt::Debug for Reader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Passwords must not reach a log by way of a debug print.
+        // Passwords must not reach the log through debug output.
         f.debug_struct("Reader")
             .field("name", &self.name)
             .finish_non_exhaustive()
@@ -56,8 +57,7 @@
         let Identity::User { name, password } = identity else {
             return Err(Kind::AUTHENTICATION.of(""));
         };
-        // Every reader is compared in full, so that the time taken tells neither names nor
-        // passwords.
+        // Every entry is compared in full, so that timing reveals neither names nor passwords.
         let same = |a: &str, b: &str| {
             a.len() == b.len()
                 && a.bytes()
@@ -76,67 +76,67 @@
     }
 }
 
-/// What a session is set up with.
+/// The configuration of a session.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The database's name.
+    /// The name of the database.
     pub database: String,
-    /// The slices.
+    /// The slices to query.
     pub slices: Vec<u32>,
     /// Who may search.
     pub access: Access,
-    /// What bounds an operation.
+    /// Limits of an operation.
     pub bounds: operation::Bounds,
-    /// Clauses of a query.
+    /// Maximum clauses of a query.
     pub clauses: usize,
-    /// Named sets of one session.
+    /// Maximum named result sets of a session.
     pub sets: usize,
-    /// Operations at once.
+    /// Maximum concurrent operations.
     pub operations: usize,
-    /// Bytes that wait to be written to one client.
+    /// Maximum unwritten bytes for one client.
     pub output: usize,
-    /// Bytes of a set's name or of a reference.
+    /// Maximum bytes of a result set's name or of a reference id.
     pub name_bytes: usize,
-    /// Bytes of a message, at the most.
+    /// Maximum bytes of a message.
     pub message: usize,
-    /// Terms of one scan.
+    /// Maximum terms of a scan.
     pub terms: u32,
-    /// Sort keys.
+    /// Maximum sort keys.
     pub sort_keys: usize,
-    /// How long sets are kept.
+    /// How long an unused result set is kept.
     pub ttl: Time,
 }
 
-/// What is to be done.
+/// An action for the caller to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Write this.
+    /// Write these bytes to the client.
     Send(Vec<u8>),
-    /// Hand a round to the core.
+    /// Hand a round to the dispatch core.
     Ask {
-        /// Which operation it is for.
+        /// The operation that needs the round.
         operation: u32,
         /// The round.
         plan: Plan,
     },
-    /// Nobody waits for this operation's round any more.
+    /// Cancel the operation's round: its result is no longer needed.
     Withdraw {
-        /// Which operation.
+        /// The operation.
         operation: u32,
     },
-    /// End the connection when everything is written.
+    /// Close the connection after all output has been written.
     End,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Init has not come.
-    Fresh,
+    /// No Init request has arrived yet.
+    AwaitingInit,
     Open,
     Closing,
 }
 
-/// How records are wanted.
+/// The requested form of records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Form {
     syntax: Syntax,
@@ -149,7 +149,7 @@
     Search {
         set: String,
         form: Form,
-        formless: Option<Fault>,
+        form_fault: Option<Fault>,
     },
     Present {
         form: Form,
@@ -168,43 +168,43 @@
     operation: Operation,
 }
 
-/// A session.
+/// A Z39.50 session.
 #[derive(Debug)]
 pub struct Session {
     config: Rc<Config>,
-    /// Whose sets are its own.
+    /// The owner of the session's result sets.
     owner: u64,
     state: State,
     abilities: Abilities,
     limits: SegmentLimits,
     admitted: bool,
     failed_challenges: u32,
-    /// Requests that wait for a challenge to be answered.
-    held: Vec<Item>,
+    /// Requests that wait until the client has answered a challenge.
+    unauthenticated: Vec<Item>,
     sets: BTreeMap<String, SetId>,
     running: BTreeMap<u32, Running>,
-    next: u32,
+    last_operation: u32,
 }
 
-/// Where a request is taken and answered: what all of a session's doings need.
+/// The state from outside the session that handling a request needs.
 pub struct SessionContext<'a> {
-    /// Every result set.
+    /// All result sets.
     pub sets: &'a mut SetTable,
-    /// Bytes that wait to be written to the client.
+    /// Bytes not yet written to the client.
     pub unwritten: usize,
-    /// The present moment.
+    /// The current time.
     pub now: Time,
-    /// What is to be done.
+    /// Receives the resulting actions.
     pub actions: &'a mut Vec<Action>,
 }
 
 impl Session {
-    /// A session of which nothing has come; its sets are kept under `owner`.
+    /// Creates a session that awaits its Init request; `owner` owns its result sets.
     pub fn new(config: Rc<Config>, owner: u64) -> Session {
         Session {
             config,
             owner,
-            state: State::Fresh,
+            state: State::AwaitingInit,
             abilities: Abilities::default(),
             limits: SegmentLimits {
                 preferred: 1 << 10,
@@ -213,43 +213,43 @@
             },
             admitted: false,
             failed_challenges: 0,
-            held: Vec::new(),
+            unauthenticated: Vec::new(),
             sets: BTreeMap::new(),
             running: BTreeMap::new(),
-            next: 0,
+            last_operation: 0,
         }
     }
 
-    /// Whether the next data unit may be taken: operations run side by side only where that was
-    /// agreed on, and a client that does not read its answers gets no further ones.
+    /// Whether the next data unit may be read. Operations run concurrently only if that was
+    /// negotiated, and a client that does not read its responses gets no further ones.
     pub fn may_read(&self, unwritten: usize) -> bool {
-        let most = if self.abilities.has(Ability::ConcurrentOperations) {
+        let max_operations = if self.abilities.has(Ability::ConcurrentOperations) {
             self.config.operations
         } else {
             1
         };
         self.state != State::Closing
-            && self.running.len() < most
+            && self.running.len() < max_operations
             && unwritten < self.config.output / 2
     }
 
-    /// Whether operations are under way.
+    /// Whether operations are running.
     pub fn is_busy(&self) -> bool {
         !self.running.is_empty()
     }
 
-    /// Whether its end is being written.
+    /// Whether the session is closing.
     pub fn is_closing(&self) -> bool {
         self.state == State::Closing
     }
 
-    /// The operations under way.
+    /// The running operations.
     pub fn operations(&self) -> impl Iterator<Item = u32> {
         self.running.keys().copied()
     }
 
-    /// Ends the session: whatever is under way is withdrawn.
-    pub fn close(&mut self, reason: CloseReason, words: &str, actions: &mut Vec<Action>) {
+    /// Closes the session and cancels its running operations.
+    pub fn close(&mut self, reason: CloseReason, message: &str, actions: &mut Vec<Action>) {
         if self.state == State::Closing {
             return;
         }
@@ -257,13 +257,13 @@
             actions.push(Action::Withdraw { operation });
         }
         self.state = State::Closing;
-        self.held.clear();
-        actions.push(Action::Send(z3950::close(None, reason, words)));
+        self.unauthenticated.clear();
+        actions.push(Action::Send(z3950::close(None, reason, message)));
         actions.push(Action::End);
     }
 
-    /// A whole data unit has come.
-    pub fn unit(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
+    /// Handles a complete data unit.
+    pub fn receive(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
         if self.state == State::Closing {
             return;
         }
@@ -274,7 +274,7 @@
         {
             return self.close(
                 CloseReason::ProtocolError,
-                "a reference that is too long",
+                "the reference id is too long",
                 context.actions,
             );
         }
@@ -283,42 +283,47 @@
             (Some(Service::Close), _) => {
                 self.close(CloseReason::ResponseToPeer, "", context.actions)
             }
-            (Some(Service::Init), State::Fresh) => {
+            (Some(Service::Init), State::AwaitingInit) => {
                 self.init(unit, reference.as_deref(), context.actions)
             }
-            (Some(Service::Init), _) | (None, _) | (_, State::Fresh) => {
+            (Some(Service::Init), _) | (None, _) | (_, State::AwaitingInit) => {
                 self.close(
                     CloseReason::ProtocolError,
-                    "no such service, or out of order",
+                    "unknown service, or request out of sequence",
                     context.actions,
                 );
             }
             (Some(Service::TriggerResourceControl), _) => {
-                self.trigger(unit, reference.as_deref(), context)
+                self.resource_control(unit, reference.as_deref(), context)
             }
-            (Some(Service::AccessControl), _) => self.challenged(unit, context),
-            (Some(service), _) => self.operate(service, unit, reference, context),
+            (Some(Service::AccessControl), _) => self.challenge_answered(unit, context),
+            (Some(service), _) => self.start_operation(service, unit, reference, context),
         }
     }
 
     fn init(&mut self, unit: &Item, reference: Option<&[u8]>, actions: &mut Vec<Action>) {
         let [_, two, three] = init::versions(unit);
-        let wanted = unit
+        let requested = unit
             .get(tag::OPTIONS)
             .map_or_else(Abilities::default, Abilities::read);
-        let mut abilities = wanted.both(Abilities::of(OFFERED));
+        let mut abilities = requested.intersection(Abilities::of(OFFERED));
         let identity = init::read_identity(unit);
         let admitted = self.config.access.admits(&identity);
         let challenge = matches!(self.config.access, Access::Challenge(_));
         if !challenge {
             abilities = abilities.without(Ability::AccessControl);
         }
-        // A wrong password is no better than none, but it is not challenged either: it was wrong.
-        let later =
+        // A client with a wrong password is refused at once; only anonymous clients are challenged.
+        let challenge_later =
             challenge && abilities.has(Ability::AccessControl) && identity == Identity::Anonymous;
-        let fault = admitted.as_ref().err().filter(|_| !later).cloned();
-        // Versions 2 and 3 are spoken; a client that has neither is told so and let go.
-        let known = two || three;
+        let fault = admitted
+            .as_ref()
+            .err()
+            .filter(|_| !challenge_later)
+            .cloned();
+        // Versions 2 and 3 are supported. A client that offers neither gets a refusal and is
+        // closed.
+        let supported = two || three;
         let size = |tag| {
             unit.get(tag)
                 .and_then(Item::integer)
@@ -339,20 +344,20 @@
         };
         self.abilities = abilities;
         self.admitted = admitted.is_ok();
-        let taken = known && fault.is_none();
+        let accepted = supported && fault.is_none();
         actions.push(Action::Send(z3950::unit(
             tag::INIT_RESPONSE,
             reference,
             |w| {
-                init::introduce(w, three, abilities, preferred, exceptional);
-                w.boolean(tag::RESULT, taken);
-                init::name_self(w);
+                init::write_negotiation(w, three, abilities, preferred, exceptional);
+                w.boolean(tag::RESULT, accepted);
+                init::write_implementation(w);
                 if let Some(fault) = &fault {
                     init::write_refusal(w, fault);
                 }
             },
         )));
-        if taken {
+        if accepted {
             self.state = State::Open;
         } else {
             self.state = State::Closing;
@@ -360,8 +365,8 @@
         }
     }
 
-    /// Takes an operation's request: it is answered at once or begins to run.
-    fn operate(
+    /// Handles the request of an operation, which is answered at once or starts to run.
+    fn start_operation(
         &mut self,
         service: Service,
         unit: &Item,
@@ -372,7 +377,7 @@
         if self.running.values().any(same) {
             return self.close(
                 CloseReason::ProtocolError,
-                "the reference is in use",
+                "the reference id is in use",
                 context.actions,
             );
         }
@@ -384,29 +389,29 @@
         {
             return self.challenge(unit, reference.as_deref(), context.actions);
         }
-        let begun = match service {
+        let started = match service {
             Service::Search => self.search(unit, context),
             Service::Present => self.present(unit, context),
             Service::Scan => self.scan(unit),
             Service::Sort => self.sort(unit, context),
             Service::Delete => {
-                let said = self.delete(unit, reference.as_deref(), context.sets);
-                return context.actions.push(Action::Send(said));
+                let response = self.delete(unit, reference.as_deref(), context.sets);
+                return context.actions.push(Action::Send(response));
             }
             Service::ResourceReport => {
                 return context.actions.push(Action::Send(z3950::unit(
                     tag::RESOURCE_REPORT_RESPONSE,
                     reference.as_deref(),
-                    // Failure: none is kept.
+                    // Status: failure, as no reports are kept.
                     |w| w.integer(50, 2),
                 )));
             }
             _ => Err(Kind::EXTENDED_SERVICE.of("")),
         };
-        match begun {
+        match started {
             Ok((purpose, operation, step)) => {
-                self.next = self.next.wrapping_add(1);
-                let number = self.next;
+                self.last_operation = self.last_operation.wrapping_add(1);
+                let number = self.last_operation;
                 self.running.insert(
                     number,
                     Running {
@@ -415,25 +420,25 @@
                         operation,
                     },
                 );
-                self.follow(number, step, context);
+                self.apply_step(number, step, context);
             }
             Err(fault) => {
-                let said = answers::failure(service, reference.as_deref(), &fault);
-                context.actions.push(Action::Send(said));
+                let response = answers::failure(service, reference.as_deref(), &fault);
+                context.actions.push(Action::Send(response));
             }
         }
     }
 
-    /// A round of an operation has ended.
+    /// Handles the result of an operation's round.
     pub fn answered(&mut self, operation: u32, round: Round, context: &mut SessionContext<'_>) {
         let Some(running) = self.running.get_mut(&operation) else {
             return;
         };
         let step = running.operation.answered(round, context.sets, context.now);
-        self.follow(operation, step, context);
+        self.apply_step(operation, step, context);
     }
 
-    fn follow(&mut self, number: u32, step: Step, context: &mut SessionContext<'_>) {
+    fn apply_step(&mut self, number: u32, step: Step, context: &mut SessionContext<'_>) {
         match step {
             Step::Ask(plan) => context.actions.push(Action::Ask {
                 operation: number,
@@ -454,14 +459,25 @@
         {
             context.sets.remove(old);
         }
-        let left = self.config.output.saturating_sub(context.unwritten);
-        for said in answers::answer(&running, outcome, &self.config.database, self.limits, left) {
-            context.actions.push(Action::Send(said));
+        let output_left = self.config.output.saturating_sub(context.unwritten);
+        for response in answers::answer(
+            &running,
+            outcome,
+            &self.config.database,
+            self.limits,
+            output_left,
+        ) {
+            context.actions.push(Action::Send(response));
         }
     }
 
-    /// TriggerResourceControl (section 3.2.6.4): only taking an operation back means anything here.
-    fn trigger(&mut self, unit: &Item, reference: Option<&[u8]>, context: &mut SessionContext<'_>) {
+    /// Handles TriggerResourceControl (section 3.2.6.4). Only the cancel action is supported.
+    fn resource_control(
+        &mut self,
+        unit: &Item,
+        reference: Option<&[u8]>,
+        context: &mut SessionContext<'_>,
+    ) {
         const CANCEL: i64 = 3;
         if unit.get(tag::REQUESTED_ACTION).and_then(Item::integer) != Some(CANCEL) {
             return;
@@ -481,17 +497,17 @@
         }
     }
 
-    /// Asks who is there before an operation is taken (section 3.2.5.1).
+    /// Challenges the client before its operation is accepted (section 3.2.5.1).
     fn challenge(&mut self, unit: &Item, reference: Option<&[u8]>, actions: &mut Vec<Action>) {
-        if self.held.len() >= self.config.operations {
+        if self.unauthenticated.len() >= self.config.operations {
             return self.close(
                 CloseReason::Security,
                 "too many operations before the challenge was answered",
                 actions,
             );
         }
-        self.held.push(unit.clone());
-        if self.held.len() == 1 {
+        self.unauthenticated.push(unit.clone());
+        if self.unauthenticated.len() == 1 {
             actions.push(Action::Send(z3950::unit(
                 tag::ACCESS_REQUEST,
                 reference,
@@ -502,27 +518,27 @@
         }
     }
 
-    fn challenged(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
-        if self.admitted || self.held.is_empty() {
+    fn challenge_answered(&mut self, unit: &Item, context: &mut SessionContext<'_>) {
+        if self.admitted || self.unauthenticated.is_empty() {
             return self.close(
                 CloseReason::ProtocolError,
-                "nobody was challenged",
+                "no challenge is pending",
                 context.actions,
             );
         }
-        let given = unit
+        let credentials = unit
             .get(tag::SIMPLE_RESPONSE)
             .and_then(Item::text)
             .unwrap_or_default();
-        let result = self.config.access.admits(&init::read_open(&given));
+        let result = self.config.access.admits(&init::read_open(&credentials));
         self.admitted = result.is_ok();
-        for held in std::mem::take(&mut self.held) {
-            let reference = held.get(tag::REFERENCE).map(Item::bytes);
-            let Some(service) = z3950::service(&held) else {
+        for request in std::mem::take(&mut self.unauthenticated) {
+            let reference = request.get(tag::REFERENCE).map(Item::bytes);
+            let Some(service) = z3950::service(&request) else {
                 continue;
             };
             match &result {
-                Ok(()) => self.operate(service, &held, reference, context),
+                Ok(()) => self.start_operation(service, &request, reference, context),
                 Err(fault) => context.actions.push(Action::Send(answers::failure(
                     service,
                     reference.as_deref(),
@@ -532,13 +548,13 @@
         }
         if result.is_err() {
             self.failed_challenges += 1;
-            if self.failed_challenges >= CHALLENGES {
+            if self.failed_challenges >= MAX_FAILED_CHALLENGES {
                 self.close(CloseReason::Security, "", context.actions);
             }
         }
     }
 
-    /// Deletes sets (section 3.2.4).
+    /// Deletes result sets (section 3.2.4).
     fn delete(&mut self, unit: &Item, reference: Option<&[u8]>, table: &mut SetTable) -> Vec<u8> {
         const ALL: i64 = 1;
         const SUCCESS: i64 = 0;
@@ -598,7 +614,7 @@
         })
     }
 
-    /// What a set's status says of one that is whole or not.
+    /// The result set status of a complete or partial set.
     fn set_status(complete: bool) -> Option<SetStatus> {
         (!complete).then_some(SetStatus::Subset)
     }
--- a/catalogue/src/session/answers.rs
+++ b/catalogue/src/session/answers.rs
@@ -1,28 +1,28 @@
-//! Operations' ends, in the protocol's words.
+//! Writes the result of an operation as Z39.50 responses.
 
 use super::{Form, Purpose, Running, Session};
 use crate::fault::{Fault, Kind};
 use crate::operation::{FailureReason, Outcome, Page, Scanned, ShortReason};
 use crate::record::{Record, Schema, Syntax};
-use crate::z3950::records::{self, Divided, Ready, SegmentLimits};
+use crate::z3950::records::{self, EncodedRecord, SegmentLimits, SegmentedRecords};
 use crate::z3950::scan::ScanStatus;
 use crate::z3950::sort::SortStatus;
 use crate::z3950::{self, Service, SetStatus, scan, sort, tag};
 
-/// A present's status (section 3.2.3.1.10).
+/// Present-status (section 3.2.3.1.10).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PresentStatus {
     Success = 0,
-    /// Not all fit into the message.
+    /// Not all records fit into the message.
     MessageSize = 2,
-    /// The client took the operation back.
+    /// Cancelled by the client.
     ByOrigin = 3,
-    /// Some are missing, by this side's doing.
+    /// Some records are missing for a reason on the server's side.
     ByTarget = 4,
     Failure = 5,
 }
 
-/// Ends an operation that never began or came to nothing.
+/// The response for an operation that never started or failed.
 pub fn failure(service: Service, reference: Option<&[u8]>, fault: &Fault) -> Vec<u8> {
     match service {
         Service::Search => search_failed(reference, fault),
@@ -33,7 +33,7 @@
         Service::Sort => z3950::unit(tag::SORT_RESPONSE, reference, |w| {
             sort::write_response(w, SortStatus::Failure, Some(fault));
         }),
-        // Done, and failed.
+        // Status: done, with failure.
         _ => z3950::unit(tag::EXTENDED_RESPONSE, reference, |w| {
             w.integer(3, 3);
             w.inside(4, |all| {
@@ -71,10 +71,10 @@
     })
 }
 
-/// An operation that the client took back.
+/// The response for an operation that the client cancelled.
 pub fn cancelled(running: &Running) -> Vec<u8> {
     let reference = running.reference.as_deref();
-    let fault = Kind::TIME.of("taken back");
+    let fault = Kind::TIME.of("cancelled by the client");
     match running.purpose {
         Purpose::Search { .. } => search_failed(reference, &fault),
         Purpose::Present { .. } => present_failed(reference, PresentStatus::ByOrigin, None),
@@ -92,22 +92,22 @@
     }
 }
 
-fn why(short: ShortReason) -> Fault {
+fn short_fault(short: ShortReason) -> Fault {
     match short {
         ShortReason::Refused { .. } => Kind::BUSY.of("ask again later"),
         ShortReason::Failed(FailureReason::TimeUp) => Kind::TIME.of("no answer in time"),
         ShortReason::Failed(FailureReason::GivenUp) => Kind::BUSY.of("a slice did not answer"),
-        ShortReason::Reach => Kind::RANGE.of("too far in one step"),
+        ShortReason::Reach => Kind::RANGE.of("position not reachable in one operation"),
     }
 }
 
-/// What an operation ends with: segments, if there are any, and the response.
+/// The messages that end an operation: any segments, then the response.
 pub fn answer(
     running: &Running,
     outcome: Outcome,
     database: &str,
     limits: SegmentLimits,
-    left: usize,
+    output_left: usize,
 ) -> Vec<Vec<u8>> {
     let reference = running.reference.as_deref();
     let failed = |fault: &Fault| vec![failure(service(&running.purpose), reference, fault)];
@@ -116,24 +116,34 @@
         Outcome::Failed(FailureReason::TimeUp) => {
             return failed(&Kind::TIME.of("no answer in time"));
         }
-        Outcome::Failed(FailureReason::GivenUp) => return failed(&Kind::TIME.of("given up")),
+        Outcome::Failed(FailureReason::GivenUp) => {
+            return failed(&Kind::TIME.of("the operation failed"));
+        }
         Outcome::Fault(fault) => return failed(&fault),
         Outcome::Scan(scanned) => return vec![scan_done(reference, &scanned)],
         Outcome::Page(page) => page,
     };
     match &running.purpose {
-        Purpose::Search { form, formless, .. } => searched(
+        Purpose::Search {
+            form, form_fault, ..
+        } => searched(
             reference,
             &page,
             *form,
-            formless.as_ref(),
+            form_fault.as_ref(),
             database,
             limits,
-            left,
+            output_left,
+        ),
+        Purpose::Present { form, clipped } => presented(
+            reference,
+            &page,
+            *form,
+            *clipped,
+            database,
+            limits,
+            output_left,
         ),
-        Purpose::Present { form, clipped } => {
-            presented(reference, &page, *form, *clipped, database, limits, left)
-        }
         Purpose::Sort { .. } => vec![sort_done(reference, &page)],
         Purpose::Scan => Vec::new(),
     }
@@ -168,13 +178,14 @@
     })
 }
 
-fn ready(record: &Record, form: Form) -> Ready {
+fn encode(record: &Record, form: Form) -> EncodedRecord {
     if let Some(fault) = &record.fault {
         return Err(fault.clone());
     }
     match record.to_bytes(form.syntax, form.schema, form.brief) {
         Ok(bytes) => Ok(bytes),
-        // A schema that is not known here passes as it is, where that is what XML was asked for.
+        // A record in an unknown schema is delivered unchanged if XML in the default schema was
+        // requested.
         Err(_)
             if record.schema.is_none()
                 && form.syntax == Syntax::Xml
@@ -186,19 +197,25 @@
     }
 }
 
-fn divided(page: &Page, form: Form, database: &str, limits: SegmentLimits, left: usize) -> Divided {
+fn segmented(
+    page: &Page,
+    form: Form,
+    database: &str,
+    limits: SegmentLimits,
+    output_left: usize,
+) -> SegmentedRecords {
     let records = page
         .records
         .iter()
-        .map(|record| ready(record, form))
+        .map(|record| encode(record, form))
         .collect();
-    records::divide(database, form.syntax, records, limits, left)
+    records::segment_records(database, form.syntax, records, limits, output_left)
 }
 
-fn status_of(page: &Page, divided: &Divided, clipped: bool) -> PresentStatus {
-    match divided.delivered {
+fn status_of(page: &Page, segmented: &SegmentedRecords, clipped: bool) -> PresentStatus {
+    match segmented.delivered {
         0 if page.wanted > 0 => PresentStatus::Failure,
-        _ if divided.short => PresentStatus::MessageSize,
+        _ if segmented.truncated => PresentStatus::MessageSize,
         _ if clipped || page.short.is_some() || !page.complete => PresentStatus::ByTarget,
         _ => PresentStatus::Success,
     }
@@ -213,8 +230,8 @@
     }
 }
 
-fn segments(reference: Option<&[u8]>, divided: &Divided) -> Vec<Vec<u8>> {
-    divided
+fn segments(reference: Option<&[u8]>, segmented: &SegmentedRecords) -> Vec<Vec<u8>> {
+    segmented
         .segments
         .iter()
         .map(|(count, bytes)| records::segment(reference, *count, bytes))
@@ -228,38 +245,38 @@
     clipped: bool,
     database: &str,
     limits: SegmentLimits,
-    left: usize,
+    output_left: usize,
 ) -> Vec<Vec<u8>> {
-    let divided = divided(page, form, database, limits, left);
-    let status = status_of(page, &divided, clipped);
-    let mut said = segments(reference, &divided);
-    said.push(z3950::unit(tag::PRESENT_RESPONSE, reference, |w| {
-        w.integer(tag::RETURNED, divided.delivered as i64);
-        w.integer(tag::NEXT_POSITION, next_position(page, divided.delivered));
+    let segmented = segmented(page, form, database, limits, output_left);
+    let status = status_of(page, &segmented, clipped);
+    let mut messages = segments(reference, &segmented);
+    messages.push(z3950::unit(tag::PRESENT_RESPONSE, reference, |w| {
+        w.integer(tag::RETURNED, segmented.delivered as i64);
+        w.integer(tag::NEXT_POSITION, next_position(page, segmented.delivered));
         w.integer(tag::PRESENT_STATUS, status as i64);
         if status == PresentStatus::Failure {
             let fault = page
                 .short
-                .map_or_else(|| Kind::BUSY.of("too much waits to be read"), why);
+                .map_or_else(|| Kind::BUSY.of("too many unread responses"), short_fault);
             w.inside(tag::DIAGNOSTIC, |d| z3950::write_fault(d, &fault));
         } else {
-            records::write(w, &divided.last.1);
+            records::write(w, &segmented.last.1);
         }
     }));
-    said
+    messages
 }
 
 fn searched(
     reference: Option<&[u8]>,
     page: &Page,
     form: Form,
-    formless: Option<&Fault>,
+    form_fault: Option<&Fault>,
     database: &str,
     limits: SegmentLimits,
-    left: usize,
+    output_left: usize,
 ) -> Vec<Vec<u8>> {
-    // A search response has no segments: what does not fit is presented later.
-    let divided = divided(
+    // A search response cannot be segmented. The client presents the records that do not fit.
+    let segmented = segmented(
         page,
         form,
         database,
@@ -267,24 +284,24 @@
             segmentation: 0,
             ..limits
         },
-        left,
+        output_left,
     );
-    let status = status_of(page, &divided, false);
-    let shown = page.wanted > 0 || formless.is_some();
+    let status = status_of(page, &segmented, false);
+    let records_requested = page.wanted > 0 || form_fault.is_some();
     vec![z3950::unit(tag::SEARCH_RESPONSE, reference, |w| {
         w.integer(
             tag::RESULT_COUNT,
             i64::try_from(page.count.hits).unwrap_or(i64::MAX),
         );
-        w.integer(tag::RETURNED, divided.delivered as i64);
-        w.integer(tag::NEXT_POSITION, next_position(page, divided.delivered));
-        // A search in which slices are missing did not succeed; its set is a valid subset.
+        w.integer(tag::RETURNED, segmented.delivered as i64);
+        w.integer(tag::NEXT_POSITION, next_position(page, segmented.delivered));
+        // A search with missing slices counts as failed, but its result set is a valid subset.
         w.boolean(tag::SEARCH_STATUS, page.complete);
         if let Some(set) = Session::set_status(page.complete) {
             w.integer(tag::SET_STATUS, set as i64);
         }
-        if shown {
-            let status = if formless.is_some() {
+        if records_requested {
+            let status = if form_fault.is_some() {
                 PresentStatus::Failure
             } else {
                 status
@@ -292,10 +309,10 @@
             w.integer(tag::PRESENT_STATUS, status as i64);
         }
         let partial = page.diagnostics.iter().find(|f| f.kind == Kind::PARTIAL);
-        let short = page.short.map(why);
-        if divided.delivered > 0 {
-            records::write(w, &divided.last.1);
-        } else if let Some(fault) = formless.or(partial).or(short.as_ref()) {
+        let short = page.short.map(short_fault);
+        if segmented.delivered > 0 {
+            records::write(w, &segmented.last.1);
+        } else if let Some(fault) = form_fault.or(partial).or(short.as_ref()) {
             w.inside(tag::DIAGNOSTIC, |d| z3950::write_fault(d, fault));
         }
     })]
--- a/catalogue/src/session/requests.rs
+++ b/catalogue/src/session/requests.rs
@@ -1,4 +1,4 @@
-//! Requests for operations, checked and begun.
+//! Validates requests and starts their operations.
 
 use super::{Form, Purpose, Session, SessionContext};
 use crate::ber::Item;
@@ -13,27 +13,27 @@
 use crate::z3950::{records, scan, sort, tag};
 use std::collections::BTreeSet;
 
-type Begun = Result<(Purpose, Operation, Step), Fault>;
+type Started = Result<(Purpose, Operation, Step), Fault>;
 
 fn number(unit: &Item, tag: u32, what: &str) -> Result<u64, Fault> {
-    let given = unit
+    let value = unit
         .get(tag)
         .and_then(Item::integer)
         .and_then(|n| u64::try_from(n).ok());
-    given.ok_or_else(|| Kind::SYNTAX.of(format!("{what} is missing")))
+    value.ok_or_else(|| Kind::SYNTAX.of(format!("{what} is missing")))
 }
 
-/// The schema and brevity that an element set name asks for; the first of `tags` that is there
-/// counts.
+/// The schema and brevity that the request's element set name selects. The first of `tags` present
+/// in the request counts.
 fn elements(unit: &Item, tags: &[u32]) -> Result<(Schema, bool), Fault> {
-    let given = tags.iter().find_map(|tag| unit.get(*tag));
-    let name = match given {
+    let value = tags.iter().find_map(|tag| unit.get(*tag));
+    let name = match value {
         None => return Ok((Schema::Dc, false)),
-        // ElementSetNames: generic, or by database.
+        // ElementSetNames: generic, or per database.
         Some(names) => names
             .get(0)
             .and_then(Item::text)
-            .ok_or_else(|| Kind::SCHEMA.of("an element set for each database"))?,
+            .ok_or_else(|| Kind::SCHEMA.of("element set names per database"))?,
     };
     records::element_set(&name).ok_or_else(|| Kind::SCHEMA.of(name))
 }
@@ -49,16 +49,14 @@
     fn check_databases(&self, names: &[String]) -> Result<(), Fault> {
         match names {
             [name] if name.eq_ignore_ascii_case(&self.config.database) => Ok(()),
-            [name] if name == "IR-Explain-1" => {
-                Err(Kind::DATABASE_CLOSED
-                    .of("Explain is not kept here; SRU explain tells the same"))
-            }
+            [name] if name == "IR-Explain-1" => Err(Kind::DATABASE_CLOSED
+                .of("no Explain database; SRU explain has the same information")),
             [name] => Err(Kind::DATABASE.of(name.as_str())),
-            _ => Err(Kind::DATABASES.of("one at a time")),
+            _ => Err(Kind::DATABASES.of("one database at a time")),
         }
     }
 
-    /// Whether a set of this name may be made.
+    /// Checks whether a result set of this name may be created.
     fn check_set(&self, name: &str, replace: bool) -> Result<(), Fault> {
         if name.is_empty() || name.len() > self.config.name_bytes {
             return Err(Kind::SET_NAME.of(""));
@@ -66,11 +64,12 @@
         if name != "default" && !self.abilities.has(Ability::NamedResultSets) {
             return Err(Kind { bib1: 22, sru: 50 }.of(name));
         }
-        // Two operations that make the same set would leave it to chance which one it is.
-        let taken = self.running.values().any(
+        // If two running operations created the same set, the outcome would depend on which
+        // finished last.
+        let in_progress = self.running.values().any(
             |r| matches!(&r.purpose, Purpose::Search { set, .. } | Purpose::Sort { set } if set == name),
         );
-        if taken {
+        if in_progress {
             return Err(Kind { bib1: 28, sru: 52 }.of(name));
         }
         if self.sets.contains_key(name) {
@@ -86,8 +85,8 @@
         Ok(())
     }
 
-    /// The search that a query stands for: sets in it are what they were made of, and slices that
-    /// one of them lacks are left out.
+    /// Replaces result sets in the query by the queries that created them. Also returns the slices
+    /// that at least one of these sets lacks.
     fn resolve(
         &self,
         query: Node,
@@ -138,7 +137,7 @@
         }
     }
 
-    pub(super) fn search(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Begun {
+    pub(super) fn search(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Started {
         let small = number(unit, tag::SMALL_SET, "small-set-upper-bound")?;
         let large = number(unit, tag::LARGE_SET, "large-set-lower-bound")?;
         let medium = number(unit, tag::MEDIUM_SET, "medium-set-present-number")?;
@@ -160,7 +159,7 @@
             .get(tag::QUERY)
             .ok_or_else(|| Kind::SYNTAX.of("the query is missing"))?;
         let (query, left_out) = self.resolve(rpn::read(query, self.config.clauses)?, context)?;
-        // Records in a form that is not given do not keep the search from being done.
+        // An unsupported record form does not prevent the search itself.
         let form = elements(unit, &[tag::SMALL_ELEMENTS, tag::MEDIUM_ELEMENTS]).and_then(
             |(schema, brief)| {
                 Ok(Form {
@@ -170,7 +169,7 @@
                 })
             },
         );
-        let (form, formless) = match form {
+        let (form, form_fault) = match form {
             Ok(form) => (form, None),
             Err(fault) => (
                 Form {
@@ -181,7 +180,7 @@
                 Some(fault),
             ),
         };
-        let want = if formless.is_some() {
+        let want = if form_fault.is_some() {
             Want::Count(0)
         } else {
             Want::Sized {
@@ -190,7 +189,7 @@
                 medium,
             }
         };
-        // A set that is replaced is gone, whatever becomes of the new one (section 3.2.2.1.3).
+        // The replaced set is deleted even if the new search fails (section 3.2.2.1.3).
         if let Some(old) = self.sets.remove(&set) {
             context.sets.remove(old);
         }
@@ -200,14 +199,14 @@
             Purpose::Search {
                 set,
                 form,
-                formless,
+                form_fault,
             },
             operation,
             step,
         ))
     }
 
-    pub(super) fn present(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Begun {
+    pub(super) fn present(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Started {
         let name = unit
             .get(tag::SET_ID)
             .and_then(Item::text)
@@ -217,7 +216,7 @@
             .get(&name)
             .ok_or_else(|| Kind::NO_SET.of(name.as_str()))?;
         let Some(set) = context.sets.get(id, context.now) else {
-            // It stays known by name, so that the client is told what became of it, each time.
+            // The name is kept, so that every later request also reports that the set is gone.
             return Err(Kind::SET_GONE.of(name));
         };
         let hits = set.count().hits;
@@ -238,10 +237,10 @@
         if start == 0 || count == 0 || start.saturating_add(count) - 1 > hits {
             return Err(Kind::RANGE.of(format!("{start}+{count} of {hits}")));
         }
-        let most = self.config.bounds.page;
+        let max_records = self.config.bounds.page;
         let (operation, step) = Operation::page(
             id,
-            (start, count.min(most)),
+            (start, count.min(max_records)),
             form.schema,
             None,
             self.config.bounds,
@@ -251,21 +250,21 @@
         Ok((
             Purpose::Present {
                 form,
-                clipped: count > most,
+                clipped: count > max_records,
             },
             operation,
             step,
         ))
     }
 
-    pub(super) fn scan(&mut self, unit: &Item) -> Begun {
+    pub(super) fn scan(&mut self, unit: &Item) -> Started {
         let request = scan::read_request(unit)?;
         self.check_databases(&request.databases)?;
         if !request.clause.index.scan {
             return Err(Kind::SCAN.of(request.clause.index.name));
         }
         if request.number == 0 {
-            return Err(Kind::SYNTAX.of("no terms are asked for"));
+            return Err(Kind::SYNTAX.of("the number of terms is 0"));
         }
         if request.number > u64::from(self.config.terms) {
             return Err(Kind::SCAN_TOO_MANY.of(self.config.terms.to_string()));
@@ -285,14 +284,14 @@
         Ok((Purpose::Scan, operation, step))
     }
 
-    pub(super) fn sort(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Begun {
+    pub(super) fn sort(&mut self, unit: &Item, context: &mut SessionContext<'_>) -> Started {
         let request = sort::read_request(unit, self.config.sort_keys)?;
         let [input] = request.input.as_slice() else {
             return Err(Kind::SORT_TOO_MANY.of("one result set at a time"));
         };
         self.check_set(&request.output, true)?;
         let (query, left_out) = self.resolve(Node::Set(input.clone()), context)?;
-        // One record of each slice shows whether its host can sort.
+        // One record of each slice is enough to show whether its host can sort.
         let search = self.build_search(query, left_out, request.keys, Schema::Dc, Want::Count(1));
         let (operation, step) = Operation::search(search, self.config.bounds);
         Ok((
--- a/catalogue/src/sru/request.rs
+++ b/catalogue/src/sru/request.rs
@@ -1,16 +1,17 @@
-//! Requests: parameters from a URL, a form or a SOAP body, checked by the version that they are in.
+//! Parses requests. Parameters come from a URL, a form or a SOAP body and are checked against the
+//! request's version.
 
 use super::{OPERATIONS, Operation, Version};
 use crate::cql::{self, Clause, Node, Query, Relation};
 use crate::fault::{Fault, Kind};
 use crate::index;
-use crate::merge::FacetAsk;
+use crate::merge::FacetRequest;
 use crate::record::Schema;
 use crate::sort::{self, SortKey};
 use std::collections::BTreeMap;
 
-/// The parameters that are understood, the versions that have each (1.1, 1.2, 2.0), and what each
-/// is for: requests are checked by it, and it is what `describe openapi` prints.
+/// The supported parameters: name, the versions that define it (1.1, 1.2, 2.0), and a description.
+/// Requests are checked against this table, and `describe openapi` prints it.
 pub const PARAMETERS: &[(&str, [bool; 3], &str)] = &[
     (
         "operation",
@@ -95,65 +96,65 @@
     ("recordXPath", [true, true, false], "Refused"),
 ];
 
-/// What bounds a request.
+/// Limits of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestBounds {
-    /// Nesting of a query.
+    /// Maximum nesting of a query.
     pub depth: usize,
-    /// Records of one page.
+    /// Maximum records of one page.
     pub page: u64,
-    /// Terms of one scan.
+    /// Maximum terms of one scan.
     pub terms: u32,
-    /// Sort keys.
+    /// Maximum sort keys.
     pub sort_keys: usize,
-    /// Values of one facet.
+    /// Maximum values of one facet.
     pub facet_values: u32,
-    /// Facets.
+    /// Maximum number of facets.
     pub facets: usize,
 }
 
-/// How a response is written.
+/// The form of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Form {
-    /// The version.
+    /// The protocol version.
     pub version: Version,
     /// The operation.
     pub operation: Operation,
-    /// Records as text in place of XML.
+    /// Whether records are packed as escaped text instead of XML.
     pub as_text: bool,
-    /// The schema of records.
+    /// The record schema.
     pub schema: Schema,
-    /// A style sheet.
+    /// The style sheet to reference.
     pub stylesheet: Option<String>,
-    /// Inside a SOAP envelope.
+    /// Whether the response is wrapped in a SOAP envelope.
     pub soap: bool,
-    /// `application/sru+xml` was asked for by name.
+    /// Whether the client accepts `application/sru+xml` by name.
     pub sru_xml: bool,
 }
 
-/// What is searched.
+/// A search request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SearchRequest {
-    /// The search and its order.
+    /// The query and its sort keys.
     pub query: Query,
-    /// The first position.
+    /// The first requested position, from 1.
     pub start: u64,
-    /// How many records.
-    pub most: u64,
-    /// How long the set is wanted, in seconds.
+    /// Maximum number of records to return.
+    pub max_records: u64,
+    /// The requested lifetime of the result set, in seconds.
     pub ttl: Option<u64>,
-    /// Facets that are wanted.
-    pub facets: Vec<FacetAsk>,
+    /// The requested facets.
+    pub facets: Vec<FacetRequest>,
 }
 
-/// What is scanned.
+/// A scan request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScanRequest {
-    /// The index, and where the list starts.
+    /// The index and the starting point.
     pub clause: Clause,
-    /// Where that stands in the list, from 1.
+    /// Position of the starting point in the list, from 1.
     pub position: u32,
-    /// How many terms.
+    /// The number of terms.
     pub number: u32,
 }
 
@@ -164,31 +165,31 @@
     Search(SearchRequest),
     /// A scan.
     Scan(ScanRequest),
-    /// What is offered.
+    /// A description of the server.
     Explain,
 }
 
-/// A request that cannot be served, and how to say so.
+/// A rejected request and the form of its response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refused {
-    /// How the response is written.
+    /// The form of the response.
     pub form: Form,
-    /// What is wrong.
+    /// The reason.
     pub fault: Fault,
-    /// The status of the response.
+    /// The HTTP status of the response.
     pub status: u16,
 }
 
-/// The parameters of a URL's query or of a form; a name given twice keeps its first value.
+/// Parses the query of a URL or the body of a form. If a name is repeated, the first value counts.
 pub fn parameters(query: &str) -> BTreeMap<String, String> {
-    let mut given = BTreeMap::new();
+    let mut parameters = BTreeMap::new();
     for pair in query.split('&').filter(|pair| !pair.is_empty()) {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        given
+        parameters
             .entry(unescape(name))
             .or_insert_with(|| unescape(value));
     }
-    given
+    parameters
 }
 
 fn unescape(text: &str) -> String {
@@ -216,7 +217,7 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// A text as a URL has it.
+/// Percent-encodes a text for use in a URL.
 pub fn percent(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
@@ -229,26 +230,26 @@
     out
 }
 
-struct Reader<'a> {
-    given: &'a BTreeMap<String, String>,
+struct ParameterReader<'a> {
+    parameters: &'a BTreeMap<String, String>,
     bounds: &'a RequestBounds,
     version: Version,
 }
 
-impl Reader<'_> {
+impl ParameterReader<'_> {
     fn get(&self, name: &str) -> Option<&str> {
-        self.given.get(name).map(String::as_str)
+        self.parameters.get(name).map(String::as_str)
     }
 
-    fn number(&self, name: &str, least: u64, absent: u64) -> Result<u64, Fault> {
+    fn number(&self, name: &str, min: u64, default: u64) -> Result<u64, Fault> {
         match self.get(name) {
             Some(text) => text
                 .trim()
                 .parse()
                 .ok()
-                .filter(|n| *n >= least)
+                .filter(|n| *n >= min)
                 .ok_or_else(|| Kind::VALUE.of(name)),
-            None => Ok(absent),
+            None => Ok(default),
         }
     }
 
@@ -261,14 +262,14 @@
         }
     }
 
-    /// Every parameter must be one of the version's own, or an extension.
+    /// Checks that the version defines every parameter, apart from extensions.
     fn check_names(&self) -> Result<(), Fault> {
-        for name in self.given.keys() {
+        for name in self.parameters.keys() {
             let known = PARAMETERS.iter().find(|(known, ..)| known == name);
             match known {
                 _ if name == "recordXPath" => return Err(Kind::XPATH.of("")),
                 Some((_, versions, _)) if versions[self.version as usize] => {}
-                // Extensions may be passed over by a server that does not know them.
+                // Servers may ignore extensions that they do not know.
                 None if name.starts_with("x-") => {}
                 _ => return Err(Kind::PARAMETER.of(name.as_str())),
             }
@@ -280,7 +281,7 @@
         if let Some(name) = self.get("recordSchema").filter(|n| !n.is_empty()) {
             form.schema = Schema::named(name).ok_or_else(|| Kind::SCHEMA.of(name))?;
         }
-        // Version 2.0 gave the old name another meaning.
+        // Version 2.0 gave the name `recordPacking` another meaning.
         if self.version == Version::V20 {
             self.one_of("recordPacking", &["packed", "unpacked", "xml", "string"])?;
         }
@@ -296,7 +297,7 @@
             }
         }
         if let Some(sheet) = self.get("stylesheet").filter(|s| !s.is_empty()) {
-            // It stands in a processing instruction, which its end must not close.
+            // The value is written into a processing instruction and must not terminate it.
             if sheet.contains("?>") || sheet.contains(['"', '<', '\n', '\r']) {
                 return Err(Kind::VALUE.of("stylesheet"));
             }
@@ -308,7 +309,7 @@
 
     fn sort(&self, query: &Query) -> Result<Vec<SortKey>, Fault> {
         match self.get("sortKeys").filter(|k| !k.trim().is_empty()) {
-            // Of the two ways to say it the query's own counts (1.2, "sortKeys").
+            // `sortBy` in the query takes precedence over this parameter (1.2, "sortKeys").
             Some(keys) if query.sort.is_empty() => {
                 sort::read_sort_keys(keys, self.bounds.sort_keys)
             }
@@ -331,37 +332,38 @@
         Ok(SearchRequest {
             query: Query { sort, ..query },
             start: self.number("startRecord", 1, 1)?,
-            most: self.number("maximumRecords", 0, 10)?.min(self.bounds.page),
+            max_records: self.number("maximumRecords", 0, 10)?.min(self.bounds.page),
             ttl,
             facets: self.facets()?,
         })
     }
 
-    /// `facetLimit` (2.0, "Facet Parameters"): `10:dc.subject,5:dc.date`; a bare number is for
-    /// every facet, and there are none by default.
-    fn facets(&self) -> Result<Vec<FacetAsk>, Fault> {
+    /// Parses `facetLimit` (2.0, "Facet Parameters"), such as `10:dc.subject,5:dc.date`. The
+    /// standard's bare number, a limit for every facet, is rejected because no facets are counted
+    /// by default.
+    fn facets(&self) -> Result<Vec<FacetRequest>, Fault> {
         let Some(limits) = self.get("facetLimit") else {
             return Ok(Vec::new());
         };
         self.one_of("facetSort", &["recordCount"])?;
         self.one_of("facetStart", &["1"])?;
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         for part in limits.split(',').filter(|p| !p.trim().is_empty()) {
             let bad = || Kind::VALUE.of(format!("facetLimit: {part}"));
             let (limit, name) = part.split_once(':').ok_or_else(bad)?;
             let limit: u32 = limit.trim().parse().map_err(|_| bad())?;
             let index = index::by_name(name.trim()).ok_or_else(|| Kind::INDEX.of(name.trim()))?;
-            asks.push(FacetAsk {
+            requests.push(FacetRequest {
                 index: index.name.to_owned(),
                 limit: limit.min(self.bounds.facet_values),
             });
         }
-        if asks.len() > self.bounds.facets {
+        if requests.len() > self.bounds.facets {
             return Err(
                 Kind::VALUE.of(format!("facetLimit: {} facets at most", self.bounds.facets))
             );
         }
-        Ok(asks)
+        Ok(requests)
     }
 
     fn scan(&self) -> Result<ScanRequest, Fault> {
@@ -394,7 +396,8 @@
     }
 }
 
-/// Whether one of the media types can be given, and whether it is SRU's own.
+/// Returns `None` if no media type in the list is supported, otherwise whether SRU's own type is in
+/// the list.
 fn accepts(list: &str) -> Option<bool> {
     let types = || {
         list.split(',')
@@ -415,35 +418,35 @@
     types().any(|t| plain.contains(&t)).then_some(false)
 }
 
-/// Reads a request. `named` is an operation that its place tells, as SOAP does; `accept` the
-/// client's header.
+/// Parses a request. `named` is the operation if the transport names it, as SOAP does; `accept` is
+/// the client's Accept header.
 pub fn read(
-    given: &BTreeMap<String, String>,
+    parameters: &BTreeMap<String, String>,
     named: Option<Operation>,
     accept: Option<&str>,
     bounds: &RequestBounds,
 ) -> Result<(Form, Request), Box<Refused>> {
-    let word = given.get("operation").map(String::as_str);
-    let guess = match (named, word) {
+    let operation_name = parameters.get("operation").map(String::as_str);
+    let operation = match (named, operation_name) {
         (Some(operation), _) => Some(operation),
-        (None, Some(word)) => OPERATIONS
+        (None, Some(operation_name)) => OPERATIONS
             .iter()
-            .find(|(known, _)| *known == word)
+            .find(|(known, _)| *known == operation_name)
             .map(|(_, o)| *o),
-        (None, None) if given.contains_key("query") => Some(Operation::SearchRetrieve),
-        (None, None) if given.contains_key("scanClause") => Some(Operation::Scan),
+        (None, None) if parameters.contains_key("query") => Some(Operation::SearchRetrieve),
+        (None, None) if parameters.contains_key("scanClause") => Some(Operation::Scan),
         (None, None) => Some(Operation::Explain),
     };
-    let asked = given.get("version").map(String::as_str);
-    let version = match asked {
+    let version_name = parameters.get("version").map(String::as_str);
+    let version = match version_name {
         Some(name) => Version::named(name),
-        // Before 2.0 an operation had to be named.
-        None if word.is_some() || named.is_some() => Some(Version::V12),
+        // Versions before 2.0 require the `operation` parameter.
+        None if operation_name.is_some() || named.is_some() => Some(Version::V12),
         None => Some(Version::V20),
     };
     let mut form = Form {
         version: version.unwrap_or(Version::V12),
-        operation: guess.unwrap_or(Operation::SearchRetrieve),
+        operation: operation.unwrap_or(Operation::SearchRetrieve),
         as_text: false,
         schema: Schema::Dc,
         stylesheet: None,
@@ -460,24 +463,25 @@
     let Some(version) = version else {
         let fault = Kind::VERSION.of(format!(
             "{}; the highest here is 2.0",
-            asked.unwrap_or_default()
+            version_name.unwrap_or_default()
         ));
         return Err(refuse(&form, fault, 200));
     };
-    let Some(operation) = guess else {
+    let Some(operation) = operation else {
         return Err(refuse(
             &form,
-            Kind::OPERATION.of(word.unwrap_or_default()),
+            Kind::OPERATION.of(operation_name.unwrap_or_default()),
             200,
         ));
     };
-    let reader = Reader {
-        given,
+    let reader = ParameterReader {
+        parameters,
         bounds,
         version,
     };
-    // Only 2.0 lets the header choose; browsers send it to older ones without meaning it.
-    if version == Version::V20 && !given.contains_key("httpAccept") {
+    // Only version 2.0 defines negotiation by this header. Browsers send it with requests of older
+    // versions as well.
+    if version == Version::V20 && !parameters.contains_key("httpAccept") {
         match accept.map(accepts) {
             Some(None) => return Err(refuse(&form, Kind::VALUE.of("Accept"), 406)),
             Some(Some(own)) => form.sru_xml |= own,
--- a/catalogue/src/z3950/scan.rs
+++ b/catalogue/src/z3950/scan.rs
@@ -7,29 +7,29 @@
 use crate::merge::{Term, Terms};
 use crate::rpn;
 
-/// A scan's status.
+/// The status of a scan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ScanStatus {
-    /// As many as were asked for.
+    /// As many terms as requested.
     Success = 0,
-    /// Not all, as slices are missing.
+    /// Incomplete, because slices are missing.
     Partial = 4,
-    /// The list ends before that many.
+    /// The list ends before the requested number.
     EndOfList = 5,
-    /// None.
+    /// The scan failed.
     Failure = 6,
 }
 
-/// What is asked for.
+/// A scan request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScanRequest {
-    /// The databases.
+    /// The database names.
     pub databases: Vec<String>,
-    /// The index, and where the list starts.
+    /// The index and the starting point.
     pub clause: Clause,
-    /// How many terms.
+    /// The number of terms.
     pub number: u64,
-    /// Where the starting point stands among them, from 1.
+    /// Position of the starting point in the list, from 1.
     pub position: u64,
 }
 
@@ -41,7 +41,7 @@
             .and_then(|n| u64::try_from(n).ok())
     };
     if number(5).is_some_and(|step| step != 0) {
-        return Err(Kind::SCAN_STEP.of("only step size 0"));
+        return Err(Kind::SCAN_STEP.of("step size must be 0"));
     }
     let databases = unit
         .get(3)
@@ -56,16 +56,16 @@
         .find(|i| i.tag == universal::OID && i.class == crate::ber::Class::Universal);
     let operand = unit
         .get(rpn::tag::OPERAND)
-        .ok_or_else(|| Kind::SYNTAX.of("no starting point"))?;
+        .ok_or_else(|| Kind::SYNTAX.of("the starting point is missing"))?;
     Ok(ScanRequest {
         databases,
         clause: rpn::read_clause(set, operand)?,
-        number: number(6).ok_or_else(|| Kind::SYNTAX.of("how many terms?"))?,
+        number: number(6).ok_or_else(|| Kind::SYNTAX.of("the number of terms is missing"))?,
         position: number(7).unwrap_or(1),
     })
 }
 
-/// Writes a scan request's parts.
+/// Writes the fields of a scan request.
 pub fn write_request(
     w: &mut Writer,
     database: &str,
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Writes a scan response's parts; a fault stands beside whatever terms there are.
+/// Writes the fields of a scan response; a diagnostic may accompany terms.
 pub fn write_response(
     w: &mut Writer,
     status: ScanStatus,
@@ -121,7 +121,7 @@
     let status = unit
         .get(4)
         .and_then(Item::integer)
-        .ok_or_else(|| Kind::GENERAL.of("no scan status"))?;
+        .ok_or_else(|| Kind::GENERAL.of("scan response without a status"))?;
     let entries = unit.get(7);
     if status == ScanStatus::Failure as i64 {
         let fault = entries
@@ -134,7 +134,7 @@
         .map(Item::items)
         .unwrap_or_default();
     let term = |entry: &Item| {
-        // An entry may be a diagnostic in place of a term.
+        // An entry may be a diagnostic instead of a term.
         if entry.tag != 1 {
             return None;
         }
