--- a/ownership/src/election.rs
+++ b/ownership/src/election.rs
@@ -1,5 +1,5 @@
-//! The order in which gatherers try to acquire a role. Every gatherer computes it alone, and a
-//! gatherer that joins or leaves does not change the order of the others.
+//! The order in which gatherers try to acquire a role. Every gatherer computes the order
+//! independently; gatherers that join or leave do not change the order of the others.
 
 use crate::role::Role;
 use std::collections::BTreeMap;
@@ -7,13 +7,13 @@
 /// Orders the candidates by weighted rendezvous hashing (Thaler and Ravishankar, "Using name-based
 /// mappings to increase hit rates", 1998; weights by the logarithmic method).
 ///
-/// Of two candidates, one with twice the weight comes first in two cases of three. Candidates with
-/// a weight of 0 are left out.
+/// A candidate with twice the weight of another ranks before it in two cases of three. Candidates
+/// with weight 0 are omitted.
 pub fn rank(role: Role, candidates: &BTreeMap<String, f64>) -> Vec<&str> {
     let score = |name: &str, weight: f64| {
         // Strictly between 0 and 1, so that the logarithm is finite.
-        let draw = ((hash(role, name) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-        -draw.ln() / weight
+        let uniform = ((hash(role, name) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
+        -uniform.ln() / weight
     };
     let mut ranked: Vec<(f64, &str)> = candidates
         .iter()
@@ -29,7 +29,7 @@
     1.0 / (1.0 + owned_roles as f64)
 }
 
-/// FNV-1a over role and name with a finalizer. Its result must be the same in every build, as
+/// FNV-1a over role and name with a finalizer. The result must be the same in every build, because
 /// gatherers of different versions have to agree on the order.
 fn hash(role: Role, name: &str) -> u64 {
     let bytes = role.name().bytes().chain([0]).chain(name.bytes());
--- a/ownership/src/failure_detector.rs
+++ b/ownership/src/failure_detector.rs
@@ -1,24 +1,24 @@
-//! Detects gatherers that have failed for good: those whose entry in the store has not changed for
-//! a time-out, measured by the clock of an owner that observed it throughout.
+//! Detects gatherers that have failed permanently: their entry in the store has not changed for a
+//! time-out, on the clock of an owner that observed the entry throughout.
 
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The last revision of one gatherer's entry, and since when it has been the same.
+/// The last revision of one gatherer's entry, and when that revision was first observed.
 #[derive(Debug, Clone, Copy)]
 struct LastChange {
     revision: u64,
     since: Time,
 }
 
-/// What one owner has observed of the gatherers' entries.
+/// One owner's observations of the gatherers' entries.
 #[derive(Debug, Default)]
 pub struct FailureDetector {
     observed: BTreeMap<String, LastChange>,
 }
 
 impl FailureDetector {
-    /// Takes the current revision of each gatherer's entry.
+    /// Records the current revision of each gatherer's entry.
     pub fn observe<'a>(&mut self, revisions: impl Iterator<Item = (&'a str, u64)>, now: Time) {
         let mut before = std::mem::take(&mut self.observed);
         for (name, revision) in revisions {
@@ -34,8 +34,8 @@
     }
 
     /// The gatherers whose entry has not changed for `timeout`, each with the revision of the
-    /// entry. A member of `autonomous` never expires: it serves on without a store, so its silence
-    /// does not show that it has failed.
+    /// entry. Members of `autonomous` never expire: they keep serving without a store, so an
+    /// unchanged entry does not show that they have failed.
     pub fn expired<'a>(
         &'a self,
         timeout: Time,
@@ -50,7 +50,7 @@
             .map(|(name, last_change)| (name.as_str(), last_change.revision))
     }
 
-    /// When the next gatherer may expire.
+    /// The earliest time at which a gatherer may expire.
     pub fn next_expiry(&self, timeout: Time) -> Option<Time> {
         self.observed
             .values()
@@ -58,8 +58,8 @@
             .min()
     }
 
-    /// Forgets all observations, as the role has moved to another owner: entries may change unseen
-    /// from now on, so the time-outs have to start anew.
+    /// Removes all observations; called when the role has moved to another owner. Entries may then
+    /// change unobserved, so the time-outs have to restart.
     pub fn clear(&mut self) {
         self.observed.clear();
     }
--- a/ownership/src/health_check.rs
+++ b/ownership/src/health_check.rs
@@ -1,20 +1,20 @@
-//! Health checks by one owner for the whole fleet: which suspected hosts the owner checks when, and
-//! how a gatherer uses the published verdicts.
+//! Health checks by one owner for the whole fleet: the owner's schedule for suspected hosts, and
+//! the use of published verdicts by the other gatherers.
 
 use crate::{Time, Token};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 
-/// The bounds of a deployment.
+/// Configuration of the health checks.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// The time between two checks of one host.
+    /// The interval between two checks of a host.
     pub period: Time,
-    /// How long a verdict can stand in for a check by the gatherer itself.
+    /// How long a verdict can replace a check by the gatherer itself.
     pub verdict_ttl: Time,
-    /// The largest number of hosts that are suspected at once.
+    /// The maximum number of suspected hosts.
     pub max_suspects: usize,
-    /// The number of successful checks in a row after which a host is no longer suspected.
+    /// The number of consecutive successful checks that clear a host of suspicion.
     pub healthy_threshold: u32,
 }
 
@@ -23,12 +23,12 @@
 pub struct Verdict {
     /// The owner's fencing token.
     pub token: Token,
-    /// The number of the check under that token. It makes every verdict a change of the store, also
-    /// where the result is the same.
+    /// The sequence number of the check under that token. The number makes every verdict a change
+    /// of the store, even if the result is the same.
     pub sequence: u64,
     /// Whether the host answered correctly.
     pub healthy: bool,
-    /// How long the check took.
+    /// The duration of the check.
     pub latency: Time,
 }
 
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Reads the stored form; `None` if it is not a verdict.
+    /// Parses the stored form; `None` if `text` is not a verdict.
     pub fn parse(text: &str) -> Option<Verdict> {
         let json: Json = serde_json::from_str(text).ok()?;
         Some(Verdict {
@@ -65,9 +65,9 @@
 /// A finished check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Finished {
-    /// What is to be published.
+    /// The verdict to publish.
     pub verdict: Verdict,
-    /// Whether the host is no longer suspected.
+    /// Whether the check cleared the host of suspicion.
     pub cleared: bool,
 }
 
@@ -79,8 +79,7 @@
 }
 
 impl Scheduler {
-    /// Replaces the set of suspected hosts. Hosts that stay keep their schedule; hosts that are
-    /// missing are forgotten.
+    /// Replaces the set of suspected hosts. Hosts in both sets keep their schedule.
     pub fn set_suspects<'a>(
         &mut self,
         names: impl Iterator<Item = &'a str>,
@@ -98,7 +97,7 @@
         }
     }
 
-    /// The next host to be checked now.
+    /// A host that is due for a check.
     pub fn due(&self, now: Time) -> Option<&str> {
         let (name, _) = self
             .suspects
@@ -107,7 +106,7 @@
         Some(name)
     }
 
-    /// When the next check is due.
+    /// The time of the next check.
     pub fn due_at(&self) -> Option<Time> {
         self.suspects
             .values()
@@ -116,14 +115,14 @@
             .min()
     }
 
-    /// A check of this host was sent.
+    /// Records that a check of this host was sent.
     pub fn start(&mut self, name: &str) {
         if let Some(suspect) = self.suspects.get_mut(name) {
             suspect.in_flight = true;
         }
     }
 
-    /// A check of this host has finished. `None` if the host is no longer suspected.
+    /// Records the result of a check. `None` if the host is no longer suspected.
     pub fn finish(
         &mut self,
         name: &str,
@@ -151,7 +150,7 @@
         Some(Finished { verdict, cleared })
     }
 
-    /// Forgets all suspects, as the role has moved to another owner.
+    /// Removes all suspects; called when the role has moved to another owner.
     pub fn clear(&mut self) {
         self.suspects.clear();
     }
@@ -183,19 +182,19 @@
 }
 
 impl VerdictCache {
-    /// The owner's lease was renewed or granted under this token.
+    /// Records that the owner's lease was granted or renewed under this token.
     pub fn observe_token(&mut self, token: Token) {
         self.token = self.token.max(token);
     }
 
-    /// A verdict was published. Returns `false`, and counts it, if its token is stale.
+    /// Handles a published verdict. A verdict with a stale token is counted and returns `false`.
     pub fn observe(&mut self, name: &str, verdict: Verdict, now: Time) -> bool {
         if verdict.token < self.token {
             self.rejected += 1;
             return false;
         }
         self.token = verdict.token;
-        // A verdict that is seen again keeps its age.
+        // A verdict that is received again keeps its age.
         let is_known = self.verdicts.get(name).is_some_and(|known| {
             known.verdict.token == verdict.token && known.verdict.sequence == verdict.sequence
         });
@@ -206,13 +205,13 @@
         true
     }
 
-    /// Drops the verdicts on hosts for which `is_present` is false.
+    /// Keeps only the verdicts on hosts for which `is_present` is true.
     pub fn retain(&mut self, is_present: impl Fn(&str) -> bool) {
         self.verdicts.retain(|name, _| is_present(name));
     }
 
-    /// The verdict that can stand in for a check by this gatherer, with its weight: 1 when it has
-    /// just arrived, falling linearly to 0 at [`Config::verdict_ttl`].
+    /// The verdict that can replace a check by this gatherer, with its weight: 1 on arrival,
+    /// falling linearly to 0 at [`Config::verdict_ttl`].
     pub fn weighted(&self, name: &str, config: &Config, now: Time) -> Option<(Verdict, f64)> {
         let received = self.verdicts.get(name)?;
         let age = now.saturating_sub(received.at);
--- a/ownership/src/job.rs
+++ b/ownership/src/job.rs
@@ -1,5 +1,5 @@
-//! Jobs: sequences of steps whose progress is in the store, so that a new owner continues where the
-//! previous one stopped. Attempts at a step are counted, so that a step which kills its owners is
+//! Jobs: sequences of steps whose progress is stored, so that a new owner continues where the
+//! previous one stopped. Attempts at a step are counted, so that a step that crashes its owners is
 //! not attempted forever.
 
 use crate::Token;
@@ -7,15 +7,15 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// How often a step may be begun without being completed before the job is parked.
+/// The maximum number of attempts at a step; one more parks the job.
 pub const MAX_ATTEMPTS: u64 = 3;
 
 /// A step of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// All gatherers switch to a proposal.
+    /// Switch all gatherers to a proposal.
     Activate(u64),
-    /// These gatherers shut down gracefully; a supervisor outside starts them again.
+    /// Shut these gatherers down gracefully; an external supervisor starts them again.
     Restart(Vec<String>),
 }
 
@@ -51,15 +51,15 @@
 /// The status of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Status {
-    /// It is being executed.
+    /// The job is being executed.
     Open,
-    /// It waits for an operator, as the fleet is not in the expected state.
+    /// The job waits for an operator, because the fleet is not in the expected state.
     Paused(String),
-    /// It waits for an operator, as its owners failed while they executed it.
+    /// The job waits for an operator, because its owners failed while they executed it.
     Parked(String),
     /// All steps are complete.
     Done,
-    /// An operator cancelled it.
+    /// An operator cancelled the job.
     Cancelled,
 }
 
@@ -101,28 +101,28 @@
     }
 }
 
-/// A job.
+/// A sequence of steps and its progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// Its steps.
+    /// The steps, in order of execution.
     pub steps: Vec<Step>,
     /// The index of the current step.
     pub position: usize,
-    /// How often the current step was begun.
+    /// The number of attempts at the current step.
     pub attempts: u64,
-    /// The token of the owner that last began it.
+    /// The token of the owner that made the last attempt.
     pub attempted_by: Option<Token>,
-    /// The gatherers that the current step has ordered to restart, each with the incarnation that
-    /// the order is for.
+    /// The gatherers that the current step has ordered to restart, each with the incarnation to
+    /// which the order applies.
     pub restarted: BTreeMap<String, u64>,
-    /// How many gatherers may be out of service at once.
+    /// The maximum number of gatherers out of service at once.
     pub max_unavailable: usize,
-    /// Its status.
+    /// The status.
     pub status: Status,
 }
 
 impl Job {
-    /// A job that has not been begun.
+    /// A new job.
     pub fn new(steps: Vec<Step>, max_unavailable: usize) -> Job {
         Job {
             steps,
@@ -142,10 +142,10 @@
             .filter(|_| self.status == Status::Open)
     }
 
-    /// The job with its current step begun by the owner of this token. After an owner that released
-    /// the role in an orderly way this is no new attempt.
+    /// The job with an attempt at its current step by the owner with this token. After an orderly
+    /// release by the previous owner this does not count as a new attempt.
     ///
-    /// A step that was begun [`MAX_ATTEMPTS`] times already parks the job.
+    /// The job is parked if its step has been attempted [`MAX_ATTEMPTS`] times already.
     pub fn begin_attempt(&self, by: Token, orderly: bool) -> Job {
         let attempts = if orderly {
             self.attempts.max(1)
@@ -216,7 +216,7 @@
         })
     }
 
-    /// Reads the stored form; `None` if it is not a job.
+    /// Parses the stored form; `None` if `text` is not a job.
     pub fn parse(text: &str) -> Option<Job> {
         let json: Json = serde_json::from_str(text).ok()?;
         let number = |key: &str| json[key].as_u64();
--- a/ownership/src/lease.rs
+++ b/ownership/src/lease.rs
@@ -4,16 +4,16 @@
 //! Invariant: at most one gatherer of the fleet has a valid token at a time. It rests on these
 //! rules:
 //!
-//! - The owner counts its lease from when it *sent* the request that was committed. Counted from
-//!   the response, it would exceed the lease by the delay of the response.
-//! - Other gatherers count from when they *observed* the last change, and wait longer by the most
-//!   that two clocks can drift apart ([`Config::takeover_delay`]).
+//! - The owner's lease starts when the owner *sent* the request that was committed. Counted from
+//!   the response, the lease would be too long by the delay of the response.
+//! - Other gatherers count from when they *observed* the last change, and wait longer by the
+//!   largest drift between two clocks ([`Config::takeover_delay`]).
 //! - An acquisition checks that neither grant nor renewal has changed since they were read. So a
 //!   renewal that is committed while an acquisition is in flight makes the acquisition fail.
-//! - A new incarnation of a process does not inherit the lease of the one before it, which may
-//!   still be running.
+//! - A new incarnation of a process does not inherit the lease of the previous one, which may still
+//!   be running.
 //!
-//! `tests/model.rs` checks that the invariant breaks without any one of them.
+//! `tests/model.rs` checks that the invariant needs each of these rules.
 
 mod event;
 mod record;
@@ -30,41 +30,40 @@
 use request::Intent;
 use store::command::{Check, Expects};
 
-/// The number of renewals after which the lease of a new owner counts as stable.
+/// Renewals after which the lease of a new owner counts as stable.
 const STABLE_RENEWALS: u64 = 3;
-/// The number of owners in a row that fail before their lease is stable, at which the role is
-/// parked.
+/// The role is parked after this many consecutive owners failed before their lease was stable.
 const MAX_CONSECUTIVE_FAILURES: u64 = 3;
-/// How long an owner with fault reports does not acquire the role again, in lease durations.
+/// Cooldown of an owner that released the role because of fault reports, in lease durations.
 const FAULT_COOLDOWN_LEASES: u64 = 8;
-/// How long an owner does not acquire the role again after a transfer, in takeover delays.
+/// Cooldown of an owner after a transfer of the role, in takeover delays.
 const TRANSFER_COOLDOWN_DELAYS: u64 = 2;
-/// A lease is renewed this many times within its duration.
+/// Renewals within the duration of a lease.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// Failed requests are repeated this many times within the lease duration.
+/// Attempts of a failing request within the duration of a lease.
 const ATTEMPTS_PER_LEASE: u64 = 16;
-/// The largest number of fault reports that is required for an owner to release the role.
+/// Upper bound of the number of fault reports at which an owner releases the role.
 const MAX_FAULT_REPORT_QUORUM: usize = 2;
-/// A larger clock drift than this is not computed with, in parts of a thousand.
+/// Upper bound of the clock drift in [`Config::takeover_delay`], per mille.
 const MAX_DRIFT_PERMILLE: u64 = 900;
 
 /// The time bounds of a lease; they must be the same at every gatherer.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// How long a grant or renewal is valid, on its owner's clock.
+    /// The validity of a grant or renewal, on its owner's clock.
     pub duration: Time,
-    /// By how much any clock may run fast or slow, in parts of a thousand; below 1000.
+    /// The maximum drift of any clock, per mille; below 1000.
     pub drift_permille: u64,
-    /// How much sooner than its end an owner stops using the lease: the time between a permit and
-    /// its side effect.
+    /// How long before the end of the lease its owner stops using it: covers the time between a
+    /// permit and its side effect.
     pub safety_margin: Time,
-    /// The delay between two gatherers that would acquire the role one after the other.
+    /// The delay between the acquisition attempts of candidates of consecutive ranks.
     pub stagger: Time,
 }
 
 impl Config {
-    /// How long other gatherers wait after the last change that they observed from an owner: the
-    /// owner's clock may be slow, and the observer's fast.
+    /// How long other gatherers wait after the last change that they observed from an owner, where
+    /// the owner's clock is slow and the observer's fast.
     pub fn takeover_delay(&self) -> Time {
         let drift = self.drift_permille.min(MAX_DRIFT_PERMILLE);
         self.duration
@@ -92,9 +91,9 @@
     name: String,
     incarnation: u64,
     view: View,
-    /// When grant or renewal was last observed to change.
+    /// When a change of the grant or the renewal was last observed.
     last_change_at: Time,
-    /// Whether such a change was observed by this incarnation.
+    /// Whether this incarnation has observed such a change.
     change_observed: bool,
     /// Whether the store has been observed at all.
     initialized: bool,
@@ -105,7 +104,7 @@
     /// The request in flight and when it was sent.
     in_flight: Option<(Intent, Time)>,
     next_request_at: Time,
-    /// This gatherer's rank among the candidates; `None` where it is no candidate.
+    /// This gatherer's rank among the candidates; `None` if it is not a candidate.
     rank: Option<usize>,
     cooldown_until: Time,
     successes: u64,
@@ -115,7 +114,7 @@
 }
 
 impl Lease {
-    /// The lease at a process that has just started and owns nothing.
+    /// The lease at a process that has just started and does not own the role.
     pub fn new(role: Role, config: Config, name: &str, incarnation: u64, now: Time) -> Lease {
         Lease {
             role,
@@ -139,7 +138,7 @@
         }
     }
 
-    /// Takes the current state of the store.
+    /// Handles the current state of the store.
     pub fn observe(&mut self, view: View, now: Time) {
         let revisions = |view: &View| (view.grant_revision(), view.renewal_revision());
         if !self.initialized {
@@ -162,7 +161,7 @@
         self.check_expiry(now);
     }
 
-    /// Whether the store's state requires this owner to release the role.
+    /// Why the store's state requires this owner to release the role; `None` if it does not.
     fn requested_release(&self) -> Option<ReleaseReason> {
         if self.view.excluded {
             return Some(ReleaseReason::Excluded);
@@ -174,10 +173,10 @@
         (*to != self.name).then(|| ReleaseReason::Transfer(to.clone()))
     }
 
-    /// Sets this gatherer's rank among the candidates, `None` where it is none, and their number.
+    /// Sets this gatherer's rank among the candidates, `None` if it is not one, and their number.
     pub fn set_rank(&mut self, rank: Option<usize>, candidates: usize, now: Time) {
         self.rank = rank;
-        // The report of a single gatherer is enough only where there is no second one to ask.
+        // A single report is enough only if no second gatherer could report.
         self.fault_report_quorum = candidates
             .saturating_sub(1)
             .clamp(1, MAX_FAULT_REPORT_QUORUM);
@@ -185,7 +184,7 @@
         self.check_expiry(now);
     }
 
-    /// Starts to release the role, if this gatherer owns it and is not releasing it already.
+    /// Starts the release of the role, unless this gatherer does not own it or is releasing it.
     fn begin_release(&mut self, reason: Option<ReleaseReason>, now: Time) {
         if self.tenure.is_some() && self.release_reason.is_none() && reason.is_some() {
             self.release_reason = reason;
@@ -193,17 +192,17 @@
         }
     }
 
-    /// Counts a success of the role's work; the count is published with the next renewal.
+    /// Counts a success of the role's work. The next renewal publishes the count.
     pub fn record_success(&mut self) {
         self.successes += 1;
     }
 
-    /// Says whether none of the role's work is in flight. A release waits for that.
+    /// Sets whether none of the role's work is in flight. A release waits until then.
     pub fn set_idle(&mut self, idle: bool) {
         self.idle = idle;
     }
 
-    /// The permission for one side effect. `now` must have been read right before the effect.
+    /// Issues the permit for one side effect. `now` must be read right before the effect.
     pub fn permit(&self, target: Target, now: Time) -> Option<Permit> {
         Permit::new(self.role, target, self.valid_token(now)?)
     }
@@ -215,7 +214,7 @@
         is_valid.then_some(tenure.token)
     }
 
-    /// The check that fences a store transaction: it fails once another grant was committed.
+    /// The check that fences a store transaction: the check fails once another grant is committed.
     pub fn fencing_check(&self, permit: &Permit) -> Check {
         Check {
             key: keys::owner(self.role),
@@ -223,7 +222,7 @@
         }
     }
 
-    /// The state of the store, as last observed.
+    /// The state of the role in the store, as last observed.
     pub fn view(&self) -> &View {
         &self.view
     }
@@ -243,7 +242,7 @@
         [expiry, self.request_due()].into_iter().flatten().min()
     }
 
-    /// When the next request is to be sent.
+    /// When the next request is due.
     fn request_due(&self) -> Option<Time> {
         if self.in_flight.is_some() {
             return None;
@@ -257,7 +256,7 @@
         }
     }
 
-    /// The request to be submitted now, if any. At most one is in flight.
+    /// The request to submit now, if any. At most one is in flight.
     pub fn poll(&mut self, now: Time) -> Option<Request> {
         self.check_expiry(now);
         if self.in_flight.is_some() || now < self.next_request_at || !self.initialized {
@@ -295,14 +294,14 @@
                 self.renewed(token, count, sent_at, now);
             }
             (Intent::Park, Response::Committed(_)) => {
-                let reason = "its owners died one after the other".to_owned();
+                let reason = "consecutive owners failed before their lease was stable".to_owned();
                 self.events.push(Event::Parked(reason));
             }
             (Intent::Release(reason), Response::Committed(_)) => self.released(reason, now),
-            // Something the release rested on has changed: it is decided anew.
+            // An entry that the release depends on has changed, so the release is decided again.
             (Intent::Release(_), Response::Rejected) => self.release_reason = None,
-            // A lost race shows in the store. An unknown outcome counts for nothing; the request
-            // is repeated.
+            // The next observation shows a lost race. An unknown outcome changes nothing, and the
+            // request is repeated.
             _ => {}
         }
         self.check_expiry(now);
@@ -326,8 +325,8 @@
 
     fn renewed(&mut self, token: Token, count: u64, sent_at: Time, now: Time) {
         let expires_at = self.expiry(sent_at);
-        // Where there is no tenure yet, the response to the acquisition was lost.
-        let found_out_late = self.tenure.is_none();
+        // Without a tenure: the response to the acquisition was lost.
+        let acquisition_response_lost = self.tenure.is_none();
         let tenure = self.tenure.get_or_insert(Tenure {
             token,
             expires_at,
@@ -337,8 +336,8 @@
         tenure.expires_at = expires_at;
         tenure.renewals = count;
         let resumed = std::mem::take(&mut tenure.expired);
-        if found_out_late {
-            let reason = "taken, as was found out later".to_owned();
+        if acquisition_response_lost {
+            let reason = "acquired; the response to the request was lost".to_owned();
             self.events.push(Event::Acquired(token, reason));
         }
         self.events.push(Event::Renewed(token, sent_at));
@@ -361,7 +360,7 @@
         self.release_reason = None;
     }
 
-    /// When a lease expires whose request was sent at this time.
+    /// The expiry of a lease that was requested at this time.
     fn expiry(&self, sent_at: Time) -> Time {
         let usable = self
             .config
@@ -384,14 +383,14 @@
         }
     }
 
-    /// Whether the store has this incarnation as the owner.
+    /// Whether this incarnation is the owner according to the store.
     fn is_owner(&self) -> bool {
         self.view.grant.as_ref().is_some_and(|(_, grant)| {
             grant.owner.as_ref() == Some(&self.name) && grant.incarnation == Some(self.incarnation)
         })
     }
 
-    /// The revision of the grant that is to be released now, and why.
+    /// The revision of the grant to release now, and the reason.
     fn pending_release(&self) -> Option<(u64, ReleaseReason)> {
         let reason = self
             .release_reason
@@ -400,7 +399,7 @@
         Some((self.view.grant_revision()?, reason))
     }
 
-    /// From when on this gatherer may acquire the role.
+    /// The earliest time at which this gatherer may acquire the role.
     fn acquire_at(&self) -> Option<Time> {
         let rank = self.rank?;
         if self.view.excluded || !self.initialized || self.is_owner() {
@@ -412,14 +411,14 @@
             .as_ref()
             .is_some_and(|(_, to)| *to == self.name);
         let rank = if is_preferred { 0 } else { rank };
-        let turn = (rank as Time).saturating_mul(self.config.stagger);
+        let rank_delay = (rank as Time).saturating_mul(self.config.stagger);
         let delay = match &self.view.grant {
-            None => turn,
+            None => rank_delay,
             Some((_, grant)) if grant.parked.is_some() => return None,
             Some((_, grant)) => match (&grant.owner, grant.incarnation) {
-                (None, _) => turn,
+                (None, _) => rank_delay,
                 (Some(owner), None) if *owner == self.name => 0,
-                _ => self.config.takeover_delay().saturating_add(turn),
+                _ => self.config.takeover_delay().saturating_add(rank_delay),
             },
         };
         Some(
--- a/ownership/src/lease/event.rs
+++ b/ownership/src/lease/event.rs
@@ -1,4 +1,4 @@
-//! What a lease reports for logs, and why an owner releases a role.
+//! State changes of a lease, and reasons for releasing a role.
 
 use crate::{Time, Token};
 use std::fmt;
@@ -6,19 +6,19 @@
 /// Why an owner releases the role.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReleaseReason {
-    /// The gatherer is draining, or its status is not good enough.
+    /// The owner is draining, or its status makes it ineligible.
     Ineligible,
-    /// An operator has excluded it from the role.
+    /// An operator has excluded the owner from the role.
     Excluded,
     /// An operator wants the role transferred to this gatherer.
     Transfer(String),
-    /// Other gatherers can do what it fails to do.
+    /// Other gatherers reported that the owner's work fails while their own attempts succeed.
     FaultReported,
 }
 
 impl fmt::Display for ReleaseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // These texts are stored in grants.
+        // These texts are stored in grants and must not change.
         f.write_str(match self {
             ReleaseReason::Ineligible => "given up: it drains, or does not stand well",
             ReleaseReason::Excluded => "given up: an operator has forbidden it",
@@ -31,9 +31,9 @@
 /// A change in the state of a lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The role was acquired under this token; the text says how.
+    /// The role was acquired under this token, for this reason.
     Acquired(Token, String),
-    /// A renewal was committed that had been requested at this time.
+    /// A renewal that was requested at this time was committed.
     Renewed(Token, Time),
     /// The lease expired before a renewal was committed.
     Expired(Token),
@@ -43,6 +43,6 @@
     Lost(Token),
     /// The role was released.
     Released(Token, ReleaseReason),
-    /// The role was parked: no gatherer may acquire it.
+    /// The role was parked for this reason: no gatherer may acquire it.
     Parked(String),
 }
--- a/ownership/src/lease/record.rs
+++ b/ownership/src/lease/record.rs
@@ -8,11 +8,11 @@
 pub struct Grant {
     /// The owner; `None` after the role was released.
     pub owner: Option<String>,
-    /// The incarnation of the owner; `None` where the role is offered and not acquired yet.
+    /// The incarnation of the owner; `None` while the role is offered but not yet acquired.
     pub incarnation: Option<u64>,
-    /// How many owners in a row failed before their lease was stable.
+    /// The number of consecutive owners that failed before their lease was stable.
     pub failures: u64,
-    /// Why no gatherer may acquire the role, where it is parked.
+    /// Why the role is parked: no gatherer may acquire it. `None` if it is not parked.
     pub parked: Option<String>,
     /// How the grant came about.
     pub reason: String,
@@ -33,8 +33,8 @@
         })
     }
 
-    /// Reads the stored form. A grant that cannot be read counts as parked: an owner of another
-    /// version of the program may be acting on it.
+    /// Parses the stored form. A grant that cannot be parsed counts as parked: an owner that runs
+    /// another version of the program may be using it.
     pub fn parse(text: &str) -> Grant {
         Grant::try_parse(text).unwrap_or_else(|| Grant {
             parked: Some("its entry cannot be read".to_owned()),
@@ -61,9 +61,9 @@
 pub struct Renewal {
     /// The token of the grant.
     pub token: Token,
-    /// How often the grant was renewed.
+    /// The number of renewals of the grant.
     pub count: u64,
-    /// How often the owner's work has succeeded.
+    /// The number of successes of the owner's work.
     pub successes: u64,
 }
 
--- a/ownership/src/lease/request.rs
+++ b/ownership/src/lease/request.rs
@@ -1,5 +1,5 @@
-//! The store transactions of a lease. Each checks that what it was decided on is unchanged, so that
-//! of two gatherers that race for a role only one succeeds.
+//! The store transactions of a lease. Each checks that the entries it is based on are unchanged, so
+//! that only one of two gatherers that race for a role succeeds.
 
 use super::event::ReleaseReason;
 use super::record::{Grant, Renewal};
@@ -9,19 +9,19 @@
 use store::command::Change;
 use store::command::{Check, Expects};
 
-/// A transaction to be submitted to the store.
+/// A transaction to submit to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// What has to hold for it to be committed.
+    /// The preconditions of the commit.
     pub checks: Vec<Check>,
-    /// What it writes.
+    /// The entries to write.
     pub changes: Vec<Change>,
 }
 
 /// The store's response to a [`Request`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Response {
-    /// It was committed at this revision.
+    /// The transaction was committed at this revision.
     Committed(u64),
     /// A check failed.
     Rejected,
@@ -34,7 +34,7 @@
 pub(super) enum Intent {
     Acquire,
     Park,
-    /// Renews the grant of this token for the n-th time.
+    /// Renews the grant with this token; the number counts its renewals.
     Renew(Token, u64),
     Release(ReleaseReason),
 }
@@ -44,8 +44,8 @@
         let grant = self.view.grant.as_ref().map(|(_, grant)| grant);
         let checks = vec![
             unchanged(keys::owner(self.role), self.view.grant_revision()),
-            // Without this check an owner whose renewal arrives while this request is in flight
-            // would go on although the role was acquired from it.
+            // Without this check an owner whose renewal is committed while this request is in
+            // flight would keep using its lease after the role has moved.
             unchanged(keys::renewal(self.role), self.view.renewal_revision()),
             unchanged(keys::exclusion(self.role, &self.name), None),
         ];
@@ -91,7 +91,7 @@
         (intent, self.fulfil_transfer(&self.name, request))
     }
 
-    /// How many owners in a row have failed, if the role is acquired now.
+    /// The number of consecutive failed owners, if the role is acquired now.
     fn failures_before_acquisition(&self) -> u64 {
         let Some((_, grant)) = &self.view.grant else {
             return 0;
@@ -103,8 +103,8 @@
         if is_stable {
             return 0;
         }
-        // A gatherer that has just started cannot tell an owner killed by its work from a power
-        // loss that stopped all.
+        // Only a gatherer that observed a change counts a failure: one that has just started cannot
+        // distinguish an owner that its work crashed from a power loss of the whole fleet.
         let owner_failed =
             grant.owner.is_some() && grant.incarnation.is_some() && self.change_observed;
         grant.failures + u64::from(owner_failed)
@@ -166,7 +166,7 @@
         (Intent::Release(reason), request)
     }
 
-    /// Removes the operator's transfer in the same transaction, where it was to this gatherer.
+    /// Removes the operator's transfer request in the same transaction, if it names `to`.
     fn fulfil_transfer(&self, to: &str, mut request: Request) -> Request {
         let transfer = self.view.transfer.as_ref();
         if let Some((revision, _)) = transfer.filter(|(_, target)| target == to) {
@@ -178,7 +178,7 @@
     }
 }
 
-/// Checks that an entry is as it was read; `None` where there was none.
+/// The check that an entry is still at this revision; `None` if it was absent.
 fn unchanged(key: String, revision: Option<u64>) -> Check {
     Check {
         key,
--- a/ownership/src/lease/view.rs
+++ b/ownership/src/lease/view.rs
@@ -1,12 +1,12 @@
-//! What one gatherer reads from the store about a role.
+//! The state of a role in the store, as read by one gatherer.
 
 use super::record::{Grant, Renewal};
 use crate::role::Role;
 use crate::{Token, keys};
 use store::state::State;
 
-/// The state of a role in the store, as one gatherer sees it. Records come with the revision at
-/// which they were written.
+/// The state of a role in the store, as one gatherer reads it. Each record is paired with the
+/// revision at which it was written.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct View {
     /// The store's era.
@@ -19,12 +19,12 @@
     pub excluded: bool,
     /// The gatherer to which an operator wants the role transferred.
     pub transfer: Option<(u64, String)>,
-    /// How many other gatherers report that they can do what the present owner fails to do.
+    /// Reports of other gatherers that the owner's work fails while their own attempts succeed.
     pub fault_reports: usize,
 }
 
 impl View {
-    /// Reads the view of the gatherer with this name.
+    /// Reads the view of the gatherer with this name from a state of the store.
     pub fn of(state: &State, role: Role, name: &str) -> View {
         let entry = |key: &str| {
             state
@@ -54,7 +54,7 @@
         })
     }
 
-    /// The last renewal, if it is of the present grant.
+    /// The last renewal, if it belongs to the current grant.
     pub fn current_renewal(&self) -> Option<Renewal> {
         let (_, renewal) = self.renewal.as_ref()?;
         (Some(renewal.token) == self.token()).then_some(*renewal)
@@ -69,7 +69,7 @@
     }
 }
 
-/// The number of reports against the owner of this token; reports on earlier owners do not count.
+/// The number of reports on the owner with this token; reports on earlier owners do not count.
 fn fault_reports(state: &State, role: Role, token: Token) -> usize {
     let reported = |text: &str| Token::from_json(&serde_json::from_str(text).ok()?);
     state
--- a/ownership/src/lib.rs
+++ b/ownership/src/lib.rs
@@ -1,16 +1,16 @@
 //! Singleton roles of a gatherer fleet: leases with fencing tokens, the election order, and the
-//! work that the owner of each role does. No sockets, clock, files or randomness: the time, the
-//! state of the replicated store and its responses come in; store transactions and permits for side
-//! effects go out.
+//! work that the owner of each role does. The package does no I/O and reads no clock or random
+//! numbers: its inputs are the time, the state of the replicated store and the store's responses,
+//! its outputs are store transactions and permits for side effects.
 //!
 //! These leases are entries in the replicated store of the gatherers (package `bitternsill-store`).
-//! The router fleet has leases and rollouts of its own over its control state; those are in the
-//! package `control` and share no code or data with these.
+//! The leases and rollouts of the router fleet are in the package `control`, and share no code or
+//! data with these.
 //!
 //! A lease expires on its owner's own monotonic clock before any other gatherer can acquire it. An
-//! owner that was suspended notices when it asks for a [`role::Permit`] right before a side effect.
-//! Which side effects cannot be fenced where they land, and how many can be late, is stated by
-//! [`role::Target::guard`].
+//! owner that was suspended notices when it requests a [`role::Permit`] right before a side effect.
+//! [`role::Target::guard`] states which targets cannot reject late side effects by the fencing
+//! token, and how many of these can arrive there.
 
 #![forbid(unsafe_code)]
 
@@ -24,16 +24,16 @@
 pub mod role;
 pub mod rollout;
 
-/// A moment or a duration, in nanoseconds of a monotonic clock.
+/// A point in time or a duration, in nanoseconds of a monotonic clock.
 pub type Time = u64;
 
 /// A fencing token: each grant of a role has a higher one than every grant before it.
 ///
-/// The derived order is part of the contract: the era goes before the revision.
+/// The derived order is part of the contract: eras are compared before revisions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token {
-    /// The store's era. An operator who restores the store from a backup starts a later era, as
-    /// revisions then repeat.
+    /// The store's era. An operator who restores the store from a backup starts a later era,
+    /// because revisions repeat after a restore.
     pub era: u64,
     /// The store revision at which the grant was committed.
     pub revision: u64,
@@ -51,7 +51,7 @@
         serde_json::json!([self.era, self.revision])
     }
 
-    /// Reads the stored form; `None` if it is not a token.
+    /// Parses the stored form; `None` if `json` is not a token.
     pub fn from_json(json: &serde_json::Value) -> Option<Token> {
         Some(Token {
             era: json[0].as_u64()?,
--- a/ownership/src/observer.rs
+++ b/ownership/src/observer.rs
@@ -1,24 +1,24 @@
-//! How one gatherer follows the list of index hosts: it observes the owner's publications while
-//! they are fresh, and polls discovery itself, in its turn, when they are not.
+//! How one gatherer follows the list of index hosts: by the owner's publications while they are
+//! fresh, otherwise by polling the discovery service itself, staggered by its rank.
 
 use crate::{Time, Token};
 
-/// The time bounds of a deployment.
+/// The time bounds of an observer.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// How old a published list may be, counted from the last renewal that showed that the owner
-    /// had reached discovery.
+    /// The maximum age of a published list, counted from the last renewal that showed that the
+    /// owner had reached the discovery service.
     pub max_age: Time,
-    /// The delay between two gatherers that start to poll discovery one after the other.
+    /// The delay between gatherers of consecutive ranks before they start polling.
     pub stagger: Time,
 }
 
 /// Why a published list is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejected {
-    /// It was published under a lower fencing token than one seen already.
+    /// The list was published under a lower fencing token than one seen before.
     StaleToken,
-    /// Its version is not newer than the current one.
+    /// The version of the list is not newer than the current one.
     NotNewer,
 }
 
@@ -26,11 +26,11 @@
 #[derive(Debug, Clone)]
 pub struct Observer {
     config: Config,
-    /// The highest token that anything was published under.
+    /// The highest token seen in a publication or renewal.
     token: Token,
     /// The token and version of the current list.
     current: Option<(Token, u64)>,
-    /// When the owner was last seen to have reached discovery.
+    /// When a renewal last showed that the owner had reached the discovery service.
     fresh_at: Time,
     /// The token and success count of the last renewal.
     successes: (Token, u64),
@@ -39,7 +39,7 @@
 }
 
 impl Observer {
-    /// An observer that starts now: until [`Config::max_age`] has passed it waits for an owner.
+    /// An observer that starts now, and waits [`Config::max_age`] for an owner before polling.
     pub fn new(config: Config, now: Time) -> Observer {
         Observer {
             config,
@@ -52,12 +52,13 @@
         }
     }
 
-    /// Sets this gatherer's rank among those that would poll discovery.
+    /// Sets this gatherer's rank in the polling order.
     pub fn set_rank(&mut self, rank: usize) {
         self.rank = rank;
     }
 
-    /// The owner renewed its lease; `successes` counts how often it has reached discovery.
+    /// Handles a renewal of the owner's lease; `successes` is how often the owner has reached the
+    /// discovery service.
     ///
     /// Only a changed count refreshes the list: a renewal shows that the owner is alive, not that
     /// its list is up to date.
@@ -72,18 +73,18 @@
         self.successes = (token, successes);
     }
 
-    /// A list was published.
+    /// Handles a published list.
     ///
     /// # Errors
-    /// [`Rejected::StaleToken`], which is counted: the publication came from an owner that was
+    /// [`Rejected::StaleToken`], which is counted, for a publication by an owner that was
     /// suspended, or from a store that was restored. [`Rejected::NotNewer`] for a repetition.
     pub fn observe_publication(&mut self, token: Token, version: u64) -> Result<(), Rejected> {
         if token < self.token {
             self.rejected += 1;
             return Err(Rejected::StaleToken);
         }
-        // Versions of different owners cannot be compared: each may have asked another discovery
-        // server, which counts on its own.
+        // Versions of different owners are not comparable: each may have queried another discovery
+        // server, and every server has its own counter.
         if self
             .current
             .is_some_and(|(owner, current)| owner == token && version <= current)
@@ -95,25 +96,25 @@
         Ok(())
     }
 
-    /// Whether the published list is fresh enough to be followed.
+    /// Whether the published list is fresh enough to use.
     pub fn is_fresh(&self, now: Time) -> bool {
         now < self.fresh_at.saturating_add(self.config.max_age)
     }
 
-    /// Whether this gatherer has to poll discovery itself now.
+    /// Whether this gatherer has to poll the discovery service itself now.
     pub fn should_poll(&self, now: Time) -> bool {
         now >= self.poll_at()
     }
 
-    /// From when on this gatherer polls discovery itself, if no fresher list comes.
+    /// When this gatherer starts polling the discovery service, unless a fresher list arrives.
     pub fn poll_at(&self) -> Time {
-        let turn = self.config.stagger.saturating_mul(self.rank as Time);
+        let rank_delay = self.config.stagger.saturating_mul(self.rank as Time);
         self.fresh_at
             .saturating_add(self.config.max_age)
-            .saturating_add(turn)
+            .saturating_add(rank_delay)
     }
 
-    /// The age of the published list, as far as this gatherer knows.
+    /// The age of the published list, as observed by this gatherer.
     pub fn age(&self, now: Time) -> Time {
         now.saturating_sub(self.fresh_at)
     }
--- a/ownership/src/role.rs
+++ b/ownership/src/role.rs
@@ -1,5 +1,5 @@
-//! The singleton roles, where the side effects of each land, and what protects those places from a
-//! former owner.
+//! The singleton roles, the targets of their side effects, and the protection of each target from
+//! late side effects of a former owner.
 
 use crate::Token;
 use std::fmt;
@@ -7,36 +7,36 @@
 /// A role that at most one gatherer of the fleet owns at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
-    /// Watches discovery and publishes the endpoint list.
+    /// Watches the discovery service and publishes the endpoint list.
     Hosts,
     /// Runs health checks on suspected index hosts.
     HealthChecks,
     /// Executes jobs step by step.
     Rollout,
-    /// Removes the entries of gatherers that have failed for good.
+    /// Removes the entries of gatherers that have failed permanently.
     Cleanup,
 }
 
-/// Where a side effect lands.
+/// The target of a side effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
     /// A transaction of the store.
     Store,
-    /// A request to discovery.
+    /// A request to the discovery service.
     Discovery,
     /// A health check of an index host.
     IndexHosts,
 }
 
-/// What protects a target from the late side effects of a former owner.
+/// How a target is protected from late side effects of a former owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guard {
-    /// The target rejects them by the fencing token, however late they come.
+    /// The target rejects them by the fencing token, however late they arrive.
     Fenced,
-    /// The target accepts them; the effect is idempotent.
+    /// The target accepts them; they are idempotent.
     Idempotent,
-    /// The target accepts them; at most this many can arrive after the lease has expired, as each
-    /// needs a permit of its own.
+    /// The target accepts them; at most this many can arrive after the lease has expired, because
+    /// each needs its own permit.
     Bounded(u32),
 }
 
@@ -49,8 +49,8 @@
         Role::Cleanup,
     ];
 
-    /// The targets that the role may affect. The match is exhaustive, so that a new role has to
-    /// state its targets.
+    /// The targets that the role may affect. The exhaustive match makes a new role state its
+    /// targets.
     pub const fn targets(self) -> &'static [Target] {
         match self {
             Role::Hosts => &[Target::Store, Target::Discovery],
@@ -82,7 +82,7 @@
 }
 
 impl Target {
-    /// What protects this target.
+    /// How this target is protected.
     pub const fn guard(self) -> Guard {
         match self {
             Target::Store => Guard::Fenced,
@@ -92,7 +92,7 @@
     }
 }
 
-/// The permission for one side effect. It has to be requested right before the effect, with a
+/// The permission for one side effect. A permit has to be requested right before the effect, with a
 /// current reading of the clock: a process that was suspended between an earlier check and the
 /// effect would act on an expired lease.
 #[derive(Debug, PartialEq, Eq)]
@@ -104,7 +104,7 @@
 }
 
 impl Permit {
-    /// Only a [`crate::lease::Lease`] issues permits, and only for the targets of its role.
+    /// A permit if the role may affect the target. Only [`crate::lease::Lease`] issues permits.
     pub(crate) fn new(role: Role, target: Target, token: Token) -> Option<Permit> {
         role.targets().contains(&target).then_some(Permit {
             role,
@@ -113,12 +113,12 @@
         })
     }
 
-    /// The role on whose behalf the effect is made.
+    /// The role that the effect is part of.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Where the effect lands.
+    /// The target of the effect.
     pub fn target(&self) -> Target {
         self.target
     }
--- a/ownership/src/rollout.rs
+++ b/ownership/src/rollout.rs
@@ -1,7 +1,7 @@
 //! Decides the next step of a [`Job`] from the observed state of the fleet.
 //!
-//! Every side effect is part of the store transaction that advances the job. So it is made exactly
-//! once, whichever owner makes it and however often the transaction is attempted.
+//! Every side effect is part of the store transaction that advances the job. So each takes effect
+//! exactly once, whichever owner commits it and however often the transaction is attempted.
 //!
 //! This is the rollout of the gatherers; the router fleet's rollout is in the package `control`.
 
@@ -9,36 +9,36 @@
 use crate::{Time, Token};
 use std::collections::BTreeMap;
 
-/// What a gatherer publishes about itself.
+/// The state that a gatherer publishes about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Presence {
-    /// The incarnation of its process.
+    /// The incarnation of the process.
     pub incarnation: u64,
-    /// Whether it accepts clients under the active version.
+    /// Whether the gatherer accepts clients under the active version.
     pub serving: bool,
 }
 
-/// Whether a proposal can be made active.
+/// Whether a proposal can be activated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Activation {
-    /// It is active already.
+    /// The proposal is active already.
     Active,
     /// No gatherer prevents it.
     Ready,
-    /// Some gatherer has not voted yet; the text says which.
+    /// Some gatherers have not voted yet; the text names them.
     Waiting(String),
-    /// Some gatherer cannot use it, or it is no longer the proposal.
+    /// A gatherer cannot use the proposal, or the proposal has been replaced.
     Impossible(String),
 }
 
 /// The state of the fleet as one owner observes it.
 #[derive(Debug, Clone)]
 pub struct Observation<'a> {
-    /// Every gatherer's presence, by name.
+    /// The presence of every gatherer, by name.
     pub members: &'a BTreeMap<String, Presence>,
-    /// The state of the activation, where the step is one.
+    /// The state of the activation, if the step is one.
     pub activation: Activation,
-    /// Since when this owner has observed the job unchanged.
+    /// The time since which this owner has observed no change of the job.
     pub unchanged_since: Time,
     /// The current time.
     pub now: Time,
@@ -47,34 +47,34 @@
 /// The time-outs of a rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// For a restarted gatherer to serve again.
+    /// Maximum time for a restarted gatherer to serve again.
     pub restart_timeout: Time,
-    /// For the gatherers to vote on a proposal.
+    /// Maximum time for the gatherers to vote on a proposal.
     pub vote_timeout: Time,
 }
 
-/// What is to be done for a job.
+/// The next action for a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing until the observation changes, or until this moment.
+    /// Wait until the observation changes, at the latest until this time.
     Wait(Time),
-    /// The job is to be stored in this form, together with the effect.
+    /// Store the job in this form, together with the effect.
     Update(Job, Effect),
 }
 
-/// What is changed in the same transaction as the job.
+/// A change in the same transaction as the job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// No change.
     None,
-    /// These gatherers are ordered to restart, by name, each in this incarnation only.
+    /// Order these gatherers to restart, by name; each order is for this incarnation only.
     Restart(BTreeMap<String, u64>),
-    /// This proposal is made active.
+    /// Activate this proposal.
     Activate(u64),
 }
 
-/// Decides for a job under the owner's token. `orderly` says whether the previous owner released
-/// the role by itself. `None` if the job is not open.
+/// Decides the next action for a job under the owner's token; `None` if the job is not open.
+/// `orderly` is whether the previous owner released the role itself.
 pub fn decide(
     job: &Job,
     token: Token,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Restarts gatherers in waves, so that no more than [`Job::max_unavailable`] are out of service.
+/// Restarts gatherers in waves of at most [`Job::max_unavailable`] out of service at once.
 fn restart(
     job: &Job,
     names: &[String],
@@ -152,8 +152,8 @@
     if remaining.is_empty() && restarting.is_empty() {
         return update(job.complete_step());
     }
-    // A gatherer that is out of service for another reason counts too: the bound is on how many
-    // serve.
+    // A gatherer that is out of service for another reason counts too: the bound protects the
+    // number of those in service.
     let unavailable: Vec<&str> = members
         .iter()
         .filter(|(name, member)| !member.serving || restarting.contains(name))
