--- a/versions/src/audit.rs
+++ b/versions/src/audit.rs
@@ -1,9 +1,9 @@
-//! The audit: whether any gatherer served under a version that was no longer valid, by the
-//! gatherers' own audit logs.
+//! The audit: checks the gatherers' audit logs for queries served under a version that was no
+//! longer valid.
 //!
-//! Every log is audited on its own clock, as clocks of different machines cannot be compared:
-//! queries may be accepted under a version within the validity after the gatherer sent the last
-//! query that confirmed the version.
+//! Queries may be accepted under a version within the validity after the gatherer sent the last
+//! query that confirmed the version. Every log is audited on its own clock, because clocks of
+//! different machines are not comparable.
 
 mod finding;
 mod overlap;
@@ -22,13 +22,13 @@
 /// The segments of one log, by their number.
 pub type Segments = BTreeMap<u64, String>;
 
-/// A stretch of time over which a gatherer served under a version, on its own clock.
+/// A period in which a gatherer served under a version, on its own clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Span {
     /// The incarnation.
     pub incarnation: u64,
-    /// The wall clock less the gatherer's own clock at the start of the incarnation, in
-    /// milliseconds: what converts its times for display.
+    /// The wall clock minus the gatherer's own clock at the start of the incarnation, in
+    /// milliseconds; converts the gatherer's times for display.
     pub wall_offset_ms: i64,
     /// The version.
     pub version: Version,
@@ -53,33 +53,33 @@
 /// A command of an operator that the gatherer executed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperatorCall {
-    /// When, by the wall clock, in milliseconds.
+    /// The wall clock time of execution, in milliseconds.
     pub wall_ms: i64,
-    /// The version under which it was executed.
+    /// The version under which the command was executed.
     pub version: Version,
     /// The command.
     pub call: String,
 }
 
-/// The result for one gatherer.
+/// The result of the audit for one gatherer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Report {
-    /// When it served under which version, in order.
+    /// The periods of service, in order of their start.
     pub spans: Vec<Span>,
-    /// The commands of operators.
+    /// The commands of operators, in order of their execution.
     pub calls: Vec<OperatorCall>,
-    /// What was found.
+    /// The findings.
     pub findings: Vec<Finding>,
-    /// The incarnation that was still running at the end of the log, and how long it had been
-    /// running at its last entry.
+    /// The incarnation that was still running at the end of the log, and its running time at its
+    /// last entry.
     pub running: Option<(u64, Time)>,
 }
 
 /// Audits all logs of one gatherer, each from the oldest segment that is left.
 ///
-/// `fetched` is the log that was fetched from the gatherer just now: only there an incarnation may
-/// still be running. `digests` has every log that the gatherer ever reported to the store, by its
-/// number; `active` every version that the store ever made active.
+/// `fetched` is the log that was just fetched from the gatherer; only in this log an incarnation
+/// may still be running. `digests` has every log that the gatherer ever reported to the store, by
+/// log number. `active` has every version that the store remembers as active, now or formerly.
 pub fn audit_gatherer(
     logs: &[Segments],
     fetched: Option<u64>,
--- a/versions/src/audit/finding.rs
+++ b/versions/src/audit/finding.rs
@@ -1,10 +1,10 @@
-//! What an audit finds.
+//! The findings of an audit.
 
 use crate::audit_log::Corruption;
 use crate::{NANOS_PER_MS, Time, Version};
 use std::fmt;
 
-/// A finding of the audit. Counts are upper bounds, as queries are recorded by stretches of time.
+/// A finding of the audit. Counts are upper bounds, because queries are recorded in batches.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Finding {
     /// Queries were accepted under a version after its validity had expired, by a gatherer that is
@@ -14,47 +14,47 @@
         version: Version,
         /// The class of the queries.
         class: String,
-        /// How long after the expiry the last one was accepted.
+        /// How long after the expiry the last query was accepted.
         overrun: Time,
-        /// How many there may have been.
+        /// The maximum number of such queries.
         count: u64,
     },
-    /// The same by an autonomous gatherer, which may do so.
+    /// Queries were accepted after the validity by an autonomous gatherer, which is permitted.
     ServedAutonomously {
         /// The version.
         version: Version,
-        /// How long after the expiry the last one was accepted.
+        /// How long after the expiry the last query was accepted.
         overrun: Time,
-        /// How many there may have been.
+        /// The maximum number of such queries.
         count: u64,
     },
-    /// The log has a confirmation of a version that the store never made active.
+    /// The log confirms a version that the store never made active.
     NeverActive(Version),
-    /// The log has a confirmation of an earlier version after a later one.
+    /// The log confirms an earlier version after a later one.
     Regressed {
         /// The later version, confirmed first.
         from: Version,
         /// The earlier version, confirmed after it.
         to: Version,
     },
-    /// An incarnation has no last entry, as after a power loss: what it did after the last one is
-    /// unknown.
+    /// The log does not record the end of an incarnation, as after a power loss. The queries served
+    /// after its last entry are unknown.
     EndMissing {
         /// The incarnation.
         incarnation: u64,
-        /// How long it had been running at its last entry.
+        /// The running time of the incarnation at its last entry.
         after: Time,
     },
     /// This many entries could not be written, as on a full disk.
     EntriesLost(u64),
-    /// The log is corrupt: what it had from there on is unknown.
+    /// The log is corrupt. The entries from there on are unknown.
     Corrupt(Corruption),
-    /// There is no log.
+    /// The gatherer has no log.
     NoLog,
 }
 
 impl Finding {
-    /// Whether it is a violation; `None` where that is unknown.
+    /// Whether the finding is a violation; `None` if that is unknown.
     pub fn is_violation(&self) -> Option<bool> {
         match self {
             Finding::ServedExpired { .. } | Finding::NeverActive(_) | Finding::Regressed { .. } => {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Its label in reports.
+    /// The label in reports.
     pub fn label(&self) -> &'static str {
         match (self.is_violation(), self) {
             (Some(true), _) => "WRONG",
--- a/versions/src/audit/overlap.rs
+++ b/versions/src/audit/overlap.rs
@@ -1,4 +1,4 @@
-//! For how long two versions were in service at the same time, for display.
+//! How long two versions were in service at the same time, for display.
 
 use super::Report;
 use crate::Version;
@@ -11,7 +11,7 @@
     pub earlier: Version,
     /// The later version.
     pub later: Version,
-    /// For how long, in milliseconds of the gatherers' wall clocks.
+    /// The duration of the overlap, in milliseconds of the gatherers' wall clocks.
     pub duration_ms: u64,
 }
 
--- a/versions/src/audit/replay.rs
+++ b/versions/src/audit/replay.rs
@@ -6,7 +6,8 @@
 use crate::{Time, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Audits the entries of one log. `active` has every version that the store ever made active.
+/// Audits the entries of one log. `active` has every version that the store remembers as active,
+/// now or formerly.
 pub fn replay(
     entries: &[Entry],
     corruption: Option<Corruption>,
@@ -24,20 +25,20 @@
     replay.finish(corruption)
 }
 
-/// What the log says of the current incarnation.
+/// The state of the current incarnation according to the log.
 #[derive(Default)]
 struct Incarnation {
     id: u64,
     wall_offset_ms: i64,
     validity: Time,
-    /// When the last query was sent that confirmed a version.
+    /// When the last query that confirmed each version was sent.
     confirmed_at: BTreeMap<Version, Time>,
-    /// The versions under which it is autonomous.
+    /// The versions under which the incarnation is autonomous.
     autonomous: BTreeSet<Version>,
     /// The latest version that was confirmed.
     latest_confirmed: Version,
     running: Version,
-    /// Whether it has recorded that it serves autonomously.
+    /// Whether the log has recorded that the incarnation serves autonomously.
     declared_autonomous: bool,
 }
 
@@ -125,7 +126,7 @@
 
     fn confirmed(&mut self, queried_at: Time, version: Version) {
         self.incarnation.confirm(version, queried_at);
-        // The store forgets old versions: of one before the oldest it knows nothing can be said.
+        // The store forgets old versions, so one before the oldest it has may have been active.
         let is_remembered = self.active.first().is_none_or(|oldest| version > *oldest);
         if version != 0 && is_remembered && !self.active.contains(&version) {
             self.report.findings.push(Finding::NeverActive(version));
@@ -147,7 +148,8 @@
         } else {
             incarnation.autonomous.remove(&version);
         }
-        // The new version became active after the last moment for which the former was confirmed.
+        // The new version became active after the last confirmation of the former one, so that
+        // confirmation is valid for the new version as well.
         let former = std::mem::replace(&mut incarnation.running, version);
         if let Some(confirmed_at) = incarnation.confirmed_at.get(&former).copied() {
             incarnation.confirm(version, confirmed_at);
@@ -214,14 +216,15 @@
         *confirmed_at = (*confirmed_at).max(queried_at);
     }
 
-    /// 0 for a version that was never confirmed.
+    /// When the validity of a version ends; 0 if the version was never confirmed.
     fn valid_until(&self, version: Version) -> Time {
         self.confirmed_at
             .get(&version)
             .map_or(0, |confirmed_at| confirmed_at.saturating_add(self.validity))
     }
 
-    /// Autonomous service counts as such only once the gatherer has recorded it.
+    /// Whether queries after the validity count as autonomous service, which the gatherer must have
+    /// recorded before.
     fn may_serve_autonomously(&self, version: Version) -> bool {
         self.declared_autonomous && self.autonomous.contains(&version)
     }
--- a/versions/src/audit/segments.rs
+++ b/versions/src/audit/segments.rs
@@ -4,18 +4,18 @@
 use crate::audit_log::{Corruption, Defect, Entry, Record, Segment};
 use std::collections::BTreeMap;
 
-/// The digest of a log in the store: the hash of a line.
+/// The digest of a log in the store: the hash of one of its lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogDigest {
-    /// The segment.
+    /// The segment of the line.
     pub segment: u64,
-    /// The number of lines up to and including the hashed one.
+    /// The number of the line in the segment, from 1.
     pub length: u64,
-    /// The hash of the last of these lines.
+    /// The hash of the line.
     pub hash: String,
 }
 
-/// The number of a log, which is in its first line.
+/// The number of a log, from its first line.
 pub(super) fn log_number(segments: &Segments) -> Option<u64> {
     let first_segment = segments.values().next()?;
     let first_line = first_segment.split_inclusive('\n').next()?;
@@ -27,8 +27,8 @@
 
 /// The entries of a log from the oldest segment that is left, up to the first corruption.
 ///
-/// It is a corruption as well if a segment does not continue the one before it, or if the log is
-/// shorter than its digest.
+/// A segment that does not continue the previous one, or a log that is shorter than its digest, is
+/// a corruption as well.
 pub(super) fn join(
     segments: &Segments,
     digests: &BTreeMap<u64, LogDigest>,
@@ -94,7 +94,7 @@
         })
 }
 
-/// The hash at the begin of a line, counted from 1.
+/// The hash at the start of a line; lines are counted from 1.
 fn hash_of_line(text: &str, line: u64) -> Option<&str> {
     let index = usize::try_from(line).ok()?.checked_sub(1)?;
     let (hash, _) = text.lines().nth(index)?.split_once(' ')?;
--- a/versions/src/audit_log.rs
+++ b/versions/src/audit_log.rs
@@ -1,6 +1,6 @@
-//! The audit log that a gatherer writes about itself. Each line carries a hash over all lines
-//! before it, so that a truncated or altered log shows where. Served queries are counted by
-//! version, class and outcome; everything else has an entry of its own.
+//! The audit log that a gatherer writes about itself. Each line has a hash over itself and all
+//! lines before it, which shows where a log is truncated or altered. Served queries are counted by
+//! version, class and outcome; every other event has an entry of its own.
 //!
 //! The stored form of the entries must stay readable: logs outlive the program that wrote them.
 
@@ -11,20 +11,20 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// The bytes of a line's hash: half of a SHA-256, which is plenty to detect a change.
+/// The bytes of a line's hash: half of a SHA-256, which is enough to detect a change.
 const HASH_BYTES: usize = 16;
 
-/// What an entry records.
+/// The content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Record {
     /// A segment of the log begins.
     SegmentStarted {
-        /// A random number that all segments of one log share, so that a log that was lost is not
-        /// taken for the next one.
+        /// A random number that all segments of one log share, so that a lost log and the next one
+        /// are not confused.
         log: u64,
         /// The number of the segment, from 0.
         segment: u64,
-        /// The hash of the last line of the segment before; empty for the first one.
+        /// The hash of the last line of the previous segment; empty for the first segment.
         previous_hash: String,
     },
     /// An incarnation of the gatherer started.
@@ -33,14 +33,14 @@
         name: String,
         /// A random number that identifies the incarnation.
         incarnation: u64,
-        /// The wall clock, in milliseconds since the Unix epoch. For display only.
+        /// The wall clock time, in milliseconds since the Unix epoch. For display only.
         wall_ms: u64,
-        /// The validity of a confirmation.
+        /// How long a confirmation is valid.
         validity: Time,
     },
     /// The store confirmed a version as active.
     Confirmed {
-        /// When the query was sent.
+        /// When the query to the store was sent.
         queried_at: Time,
         /// The version.
         version: Version,
@@ -49,49 +49,49 @@
     Switched {
         /// The version.
         version: Version,
-        /// Whether it serves on under the version without a store.
+        /// Whether the gatherer is autonomous under the version: it keeps serving without a store.
         autonomous: bool,
     },
-    /// Its status changed.
+    /// The status of the gatherer changed.
     StatusChanged {
         /// The new status.
         status: Status,
     },
-    /// Queries were served: a count for one version, class and outcome.
+    /// The count of served queries for one version, class and outcome.
     Served {
-        /// The version under which they were accepted.
+        /// The version under which the queries were accepted.
         version: Version,
-        /// Their class.
+        /// The class of the queries.
         class: String,
-        /// Their outcome.
+        /// The outcome of the queries.
         outcome: String,
-        /// When the first and the last one were accepted.
+        /// When the first and the last query were accepted.
         accepted: (Time, Time),
-        /// How many.
+        /// The number of queries.
         count: u64,
     },
-    /// A command of an operator was executed.
+    /// An operator's command was executed.
     OperatorCall {
-        /// The version under which it was executed.
+        /// The version under which the command was executed.
         version: Version,
         /// The command.
         call: String,
     },
     /// Entries before this one could not be written.
     EntriesLost {
-        /// How many.
+        /// The number of lost entries.
         count: u64,
     },
-    /// The incarnation shut down gracefully; it did nothing after this.
+    /// The incarnation shut down gracefully, and did nothing after this entry.
     Stopped,
 }
 
 /// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// When it was made, on the gatherer's own clock.
+    /// When the entry was made, on the gatherer's own clock.
     pub at: Time,
-    /// What it records.
+    /// The content.
     pub record: Record,
 }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Reads the stored form. A record is identified by the key that only its kind has.
+    /// Parses the stored form. Each kind of record is identified by a key that no other kind has.
     fn from_json(json: &Json) -> Option<Record> {
         let number = |key: &str| json[key].as_u64();
         let text = |key: &str| json[key].as_str().map(str::to_owned);
@@ -206,7 +206,7 @@
     }
 }
 
-/// The hash chain of a segment: what its next line is bound to.
+/// The state of a segment's hash chain, from which the hash of the next line is computed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HashChain {
     /// The number of lines.
@@ -216,7 +216,7 @@
 }
 
 impl HashChain {
-    /// The line of an entry, without its line end.
+    /// Appends an entry; returns its line without the line end.
     pub fn append(&mut self, entry: &Entry) -> String {
         let text = entry.to_json().to_string();
         self.extend(&text);
@@ -238,7 +238,7 @@
     }
 }
 
-/// What is wrong with a log.
+/// A kind of corruption of a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Defect {
     /// The last line has no line end.
@@ -247,49 +247,49 @@
     /// A line does not begin with a hash.
     #[error("it has no hash")]
     NoHash,
-    /// The hash of a line is not that of its text and the lines before it.
+    /// The hash of a line does not match its text and the lines before it.
     #[error("it does not follow from those before it")]
     HashMismatch,
-    /// The text of a line is no entry.
+    /// The text of a line is not an entry.
     #[error("it makes no sense")]
     NoEntry,
-    /// A segment does not continue the one before it.
+    /// A segment does not continue the previous one.
     #[error("its segment does not follow from the one before it")]
     SegmentMismatch,
-    /// The log differs from the digest in the store.
+    /// The log does not match its digest in the store.
     #[error("it is not what the store was told of it")]
     DigestMismatch,
     /// Segments up to the digest in the store are missing.
     #[error("segments that the store was told of are missing")]
     SegmentsMissing,
-    /// A log of which the store has a digest is missing.
+    /// A log that has a digest in the store is missing.
     #[error("an earlier trail that the store was told of is gone")]
     LogMissing,
 }
 
-/// Where a log is corrupt.
+/// A corruption of a log, and its place.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {defect}")]
 pub struct Corruption {
-    /// The line, from 1; 0 where the defect is not in a line.
+    /// The line, from 1; 0 if the defect is not in a line.
     pub line: usize,
-    /// What is wrong.
+    /// The kind of corruption.
     pub defect: Defect,
 }
 
-/// What was read from a segment.
+/// The readable part of a segment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Segment {
-    /// The entries before the corruption, if there is one.
+    /// The entries, up to the corruption if there is one.
     pub entries: Vec<Entry>,
     /// The hash chain over these entries.
     pub chain: HashChain,
-    /// The first corruption. What comes after it is not read.
+    /// The first corruption. The rest of the segment is not read.
     pub corruption: Option<Corruption>,
 }
 
 impl Segment {
-    /// Reads a segment from its first line on, up to the first corruption.
+    /// Reads a segment up to the first corruption.
     pub fn read(text: &str) -> Segment {
         let mut segment = Segment::default();
         for (index, line) in text.split_inclusive('\n').enumerate() {
@@ -341,8 +341,8 @@
         outcome: &'static str,
         accepted_at: Time,
     ) {
-        // A search in place of a lookup by key: the key would need an allocation, and this is on
-        // the path of every query.
+        // A linear search instead of a lookup by key: building the key would allocate, and this
+        // runs for every query.
         let known = self
             .tallies
             .iter_mut()
@@ -363,7 +363,7 @@
         );
     }
 
-    /// The entries for all counts, which start anew.
+    /// Takes all counts as entries, and starts counting from 0.
     pub fn drain(&mut self, at: Time) -> Vec<Entry> {
         std::mem::take(&mut self.tallies)
             .into_iter()
--- a/versions/src/lease.rs
+++ b/versions/src/lease.rs
@@ -1,35 +1,35 @@
-//! One gatherer's lease on its version: whether it may serve under the version that it runs, by
-//! when the store last confirmed that version as active.
+//! One gatherer's lease on its version: whether the gatherer may serve under the version that it
+//! runs, depending on when the store last confirmed that version as active.
 //!
 //! Invariant: a gatherer that is not autonomous serves under a version for at most
 //! [`Config::validity`] after it *sent* the last query whose response confirmed the version.
 //! Counted from the response, the lease would outlast an activation that waited for its expiry.
 //!
-//! The leases on singleton roles are other ones, in the package `ownership`.
+//! The leases on singleton roles are in the package `ownership`.
 
 use crate::status::{Status, StatusChange};
 use crate::{Time, Version};
 
-/// The store is queried this many times within the validity.
+/// Queries to the store within the validity.
 const QUERIES_PER_VALIDITY: Time = 8;
-/// A confirmation older than this fraction of the validity was missed.
+/// A confirmation older than the validity divided by this counts as missed.
 const GAPS_PER_VALIDITY: Time = 4;
-/// The first backoff after a query without a response, as a fraction of the validity.
+/// The first backoff after a query without a response is the validity divided by this.
 const BACKOFFS_PER_VALIDITY: Time = 64;
-/// The backoff is doubled no more often than this.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// The time bounds of a deployment.
+/// The time bounds of a lease.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
     /// How long a gatherer serves after it sent the last query that confirmed its version.
     pub validity: Time,
-    /// How long responses must have come without a gap before a suspended gatherer serves again.
+    /// How long responses must arrive without a gap before a suspended gatherer serves again.
     pub recovery: Time,
 }
 
 impl Config {
-    /// The age at which a confirmation counts as missed: twice the period of the queries.
+    /// The age at which a confirmation counts as missed: two query periods.
     fn gap(&self) -> Time {
         self.validity / GAPS_PER_VALIDITY
     }
@@ -50,22 +50,22 @@
     config: Config,
     started_at: Time,
     running: Version,
-    /// Whether it serves on without a store.
+    /// Whether the gatherer keeps serving without a store.
     autonomous: bool,
     last_response: Option<Confirmation>,
     /// When the last query was sent whose response confirmed the running version, or the version
-    /// that ran before the switch to it. A response that names another version renews nothing.
+    /// before the switch. A response that names another version does not renew the lease.
     confirmed_at: Option<Time>,
     /// When the query in flight was sent.
     in_flight: Option<Time>,
     next_query_at: Time,
-    /// Queries without a response in a row.
+    /// The number of consecutive queries without a response.
     timeouts: u32,
-    /// Whether it is suspended, and has not recovered yet.
+    /// Whether the gatherer is suspended and has not recovered yet.
     suspended: bool,
-    /// Since when responses have come without a gap; `None` where they have not.
+    /// Since when responses have arrived without a gap; `None` if the last ones are missing.
     answering_since: Option<Time>,
-    /// Whether an operator has put it on hold.
+    /// Whether an operator has put the gatherer on hold.
     on_hold: bool,
     status: Status,
     changes: Vec<StatusChange>,
@@ -74,8 +74,8 @@
 impl VersionLease {
     /// The lease of a process that starts now with this version.
     ///
-    /// It serves only after the first response, or, if it is autonomous, after its validity has
-    /// passed without any: the version that it starts with may be long outdated.
+    /// The process serves only after the first response, because the version that it starts with
+    /// may be outdated. An autonomous one also serves once the validity has passed without any.
     pub fn new(config: Config, running: Version, autonomous: bool, now: Time) -> VersionLease {
         VersionLease {
             config,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The version that it runs.
+    /// The version that the gatherer runs.
     pub fn running(&self) -> Version {
         self.running
     }
@@ -105,13 +105,14 @@
         self.last_response
     }
 
-    /// Until when it serves under the version that it runs; `None` if that was never confirmed.
+    /// When the lease on the running version expires; `None` if it was never confirmed.
     pub fn valid_until(&self) -> Option<Time> {
         Some(self.confirmed_at?.saturating_add(self.config.validity))
     }
 
-    /// Begins a query if one is due: the caller then has to ask the store for the active version
-    /// and pass the outcome to one of the `handle_` methods. At most one query is in flight.
+    /// Begins a query if one is due. On `true` the caller has to query the store for the active
+    /// version and pass the outcome to one of the `handle_` methods. At most one query is in
+    /// flight.
     pub fn begin_query(&mut self, now: Time) -> bool {
         if now < self.next_query_at || self.in_flight.is_some() {
             return false;
@@ -120,7 +121,7 @@
         true
     }
 
-    /// When the lease has to be updated next.
+    /// When the lease next needs an update or a query.
     pub fn due(&self) -> Time {
         let next_query = if self.in_flight.is_some() {
             Time::MAX
@@ -139,7 +140,7 @@
             .flatten()
             .chain(recovered)
             .chain([first_expiry])
-            // Moments in the past are handled with the next query.
+            // Times in the past are handled with the next query.
             .filter(|at| *at > self.last_change_at())
             .chain([next_query])
             .min()
@@ -152,7 +153,7 @@
             .map_or(self.started_at, |change| change.at)
     }
 
-    /// The store has responded that this version is active.
+    /// Handles the store's response that this version is active.
     pub fn handle_response(&mut self, active: Version, now: Time) {
         let Some(queried_at) = self.in_flight.take() else {
             return;
@@ -161,7 +162,7 @@
         self.next_query_at = queried_at
             .saturating_add(self.config.validity / QUERIES_PER_VALIDITY)
             .max(now);
-        // A response that took longer than the validity confirms nothing.
+        // A response that took longer than the validity is discarded.
         if now.saturating_sub(queried_at) <= self.config.validity {
             self.last_response = Some(Confirmation { queried_at, active });
             if active == self.running {
@@ -172,17 +173,17 @@
         self.update(now);
     }
 
-    /// The store has responded that this gatherer is excluded from the next activation. That
-    /// renews nothing: the activation waits for the validity to expire.
+    /// Handles the store's response that this gatherer is excluded from the next activation. The
+    /// response does not renew the lease: the activation waits for the validity to expire.
     pub fn handle_exclusion(&mut self, now: Time) {
         self.handle_timeout(now);
     }
 
-    /// The query in flight has no response.
+    /// Handles a query in flight that got no response.
     pub fn handle_timeout(&mut self, now: Time) {
         if self.in_flight.take().is_some() {
-            // Exponential backoff, so that a store that returns is not overloaded; capped at the
-            // gap, so that its return is noticed.
+            // Exponential backoff avoids overloading a store that recovers; the cap at the gap
+            // makes the recovery noticed in time.
             let initial = self.config.validity / BACKOFFS_PER_VALIDITY;
             let backoff = initial << self.timeouts.min(MAX_BACKOFF_DOUBLINGS);
             self.timeouts += 1;
@@ -191,10 +192,10 @@
         self.update(now);
     }
 
-    /// The gatherer has switched to a version, under which it is autonomous or not.
+    /// Handles the gatherer's switch to a version, under which it is autonomous or not.
     pub fn switch(&mut self, to: Version, autonomous: bool, now: Time) {
-        // The new version became active after the last moment for which the former was confirmed,
-        // so that confirmation holds for the new one as well.
+        // The new version became active after the last confirmation of the former one, so that
+        // confirmation is valid for the new version as well.
         let confirmed = self
             .last_response
             .filter(|response| response.active == to)
@@ -205,13 +206,13 @@
         self.update(now);
     }
 
-    /// An operator has put the gatherer on hold, or released it.
+    /// Puts the gatherer on hold, or releases it; done by an operator.
     pub fn set_on_hold(&mut self, on_hold: bool, now: Time) {
         self.on_hold = on_hold;
         self.update(now);
     }
 
-    /// Whether a query of a client may be accepted. `now` must have been read right before: the
+    /// Whether a client's query may be accepted. `now` must be read right before the call: the
     /// process may have been suspended since the last update.
     pub fn may_accept(&self, now: Time) -> bool {
         if self.on_hold {
@@ -226,7 +227,7 @@
         }
     }
 
-    /// The status at the last update.
+    /// The status as of the last update.
     pub fn status(&self) -> Status {
         self.status
     }
@@ -236,7 +237,7 @@
         self.on_hold
     }
 
-    /// The changes of status since the last call.
+    /// Takes the changes of status since the last call.
     pub fn take_changes(&mut self) -> Vec<StatusChange> {
         std::mem::take(&mut self.changes)
     }
@@ -254,14 +255,14 @@
         let gap = self.config.gap();
         let since = |at: Option<Time>| at.map_or(Time::MAX, |at| now.saturating_sub(at));
         if since(self.last_response.map(|response| response.queried_at)) > 2 * gap {
-            // Responses have been missing for so long that the recovery starts anew.
+            // After such a gap in the responses the recovery starts again.
             self.answering_since = None;
         }
         let age = since(self.confirmed_at);
         if age >= self.config.validity {
             return self.expired_status(now);
         }
-        // The switch may have come after the response.
+        // The gatherer may have switched after the response, so a later version counts too.
         let runs_active = self
             .last_response
             .is_some_and(|response| response.active <= self.running);
@@ -285,18 +286,18 @@
             self.suspended = true;
             return Status::Suspended;
         }
-        let waited_once = now.saturating_sub(self.started_at) >= self.config.validity;
-        if waited_once {
+        let startup_wait_over = now.saturating_sub(self.started_at) >= self.config.validity;
+        if startup_wait_over {
             Status::Autonomous
         } else {
             Status::Suspended
         }
     }
 
-    /// Whether a suspended gatherer may serve again. Without this delay a flapping link would have
-    /// it accept and reject clients in turn.
+    /// Whether a suspended gatherer may serve again. Without this delay, a gatherer on a flapping
+    /// link would alternately accept and reject clients.
     fn has_recovered(&self, now: Time) -> bool {
-        // A process that has just started has not flapped: its first response is enough.
+        // A process that has just started cannot have flapped: its first response is enough.
         let just_started =
             self.last_change_at() == self.started_at && self.status == Status::Suspended;
         let since = self.answering_since.unwrap_or(now);
--- a/versions/src/registration.rs
+++ b/versions/src/registration.rs
@@ -1,13 +1,13 @@
 //! Detects that another process has registered under a gatherer's name.
 
-/// The state of a process's registration.
+/// The state of a process's registration of its gatherer's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Its own registration has not been committed yet.
+    /// The process's own registration has not been committed yet.
     Pending,
-    /// Its own registration was committed, and no other one after it.
+    /// The process's own registration is the last one that was committed.
     Registered,
-    /// Another process registered after it. This state is final.
+    /// Another process registered after this one. This state is final.
     Displaced,
 }
 
@@ -19,7 +19,7 @@
 }
 
 impl Registration {
-    /// A process of this incarnation that has not registered yet.
+    /// The registration of a process that has not registered yet.
     pub fn new(incarnation: u64) -> Self {
         Registration {
             incarnation,
@@ -27,21 +27,22 @@
         }
     }
 
-    /// The incarnation that registers.
+    /// The incarnation of the process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Whether another process has taken the name.
+    /// Whether another process has taken over the name.
     pub fn is_displaced(&self) -> bool {
         self.state == State::Displaced
     }
 
-    /// A registration of the name was committed. Returns `true` if this process lost the name by
-    /// it.
+    /// Handles a committed registration of the name. Returns `true` if this process loses the name
+    /// to it.
     ///
-    /// Every committed registration has to be passed, in order: of two processes that register at
-    /// the same time each may find only the other's registration when it reads the store.
+    /// The caller has to pass every committed registration, in order. The current content of the
+    /// store is not enough: of two processes that register at the same time, each may read only the
+    /// other's registration.
     pub fn observe_commit(&mut self, incarnation: u64) -> bool {
         let next = match self.state {
             State::Pending | State::Registered if incarnation == self.incarnation => {
--- a/versions/src/rollout.rs
+++ b/versions/src/rollout.rs
@@ -1,9 +1,8 @@
-//! When the whole fleet may switch to a proposed version, and which gatherers prevent it.
+//! When the whole fleet may switch to a proposed version, and which gatherers block the switch.
 //!
-//! This is a vote of all gatherers on one proposal (an atomic commitment, in which a gatherer that
-//! cannot vote may be excluded once it has provably stopped). It is not the rollout of the router
-//! fleet, which is in the package `control`, nor the restart of gatherers in waves, which is in the
-//! package `ownership`.
+//! All gatherers vote on one proposal (an atomic commitment, in which a gatherer that cannot vote
+//! may be excluded once it has provably stopped). The rollout of the router fleet is in the package
+//! `control`, the restart of gatherers in waves in the package `ownership`.
 
 use crate::{NANOS_PER_MS, Time, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,33 +11,34 @@
 /// A gatherer's vote on a proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Vote {
-    /// The proposal, by its revision.
+    /// The store revision of the proposal.
     pub proposal: u64,
-    /// Why the gatherer cannot use it; `None` for a vote in favour.
+    /// Why the gatherer cannot use the proposal; `None` for a vote in favour.
     pub objection: Option<String>,
 }
 
-/// A gatherer as the store has it.
+/// The state of a gatherer in the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Member {
-    /// The version that it runs.
+    /// The version that the gatherer runs.
     pub running: Version,
-    /// Its last vote.
+    /// The gatherer's last vote.
     pub vote: Option<Vote>,
-    /// Since when it has been seen to be excluded by an operator, on the clock of whoever decides.
+    /// When the exclusion by an operator was first observed, on the clock of the process that
+    /// decides on the activation.
     pub excluded_since: Option<Time>,
 }
 
-/// Why a gatherer prevents an activation.
+/// Why a gatherer blocks an activation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Blocker {
-    /// It has not voted on this proposal.
+    /// The gatherer has not voted on this proposal.
     NoVote,
-    /// It cannot use the proposal.
+    /// The gatherer cannot use the proposal, for this reason.
     Objection(String),
-    /// It was excluded, but may still serve under the former version for this long.
+    /// The gatherer was excluded, but may still serve under the former version for this long.
     StillValid(Time),
-    /// It serves without a store, so it cannot be excluded.
+    /// The gatherer is autonomous: it keeps serving without a store, so it cannot be excluded.
     Autonomous,
 }
 
@@ -61,16 +61,16 @@
     }
 }
 
-/// The number of autonomous gatherers for a fraction (0 to 1) of the fleet that has to stay in
+/// The number of autonomous gatherers in a fleet of which this fraction (0 to 1) has to stay in
 /// service without a store.
 pub fn autonomous_count(fleet_size: usize, fraction: f64) -> usize {
     ((fleet_size as f64 * fraction.clamp(0.0, 1.0)).ceil() as usize).min(fleet_size)
 }
 
-/// Selects the gatherers that serve on under a version without a store.
+/// Selects the autonomous gatherers, which keep serving under a version without a store.
 ///
-/// They are the first by a hash of name and proposal: no gatherer is always one of them, and each
-/// can compute the selection alone.
+/// Gatherers are ordered by a hash of name and proposal, so that the selection rotates with the
+/// proposal and every gatherer can compute it independently.
 pub fn autonomous_members<'a>(
     names: impl IntoIterator<Item = &'a str>,
     proposal: u64,
@@ -89,8 +89,8 @@
         .collect()
 }
 
-/// FNV-1a over proposal and name with a finalizer. Its result must be the same in every build, as
-/// gatherers of different versions of the program have to agree on the selection.
+/// FNV-1a over proposal and name with a finalizer. The result must be the same in every build,
+/// because gatherers of different versions of the program have to agree on the selection.
 fn hash(name: &str, proposal: u64) -> u64 {
     let bytes = proposal.to_le_bytes();
     let mixed = bytes
@@ -99,17 +99,17 @@
         .fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
             (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
         });
-    // Without the finalizer names that differ at their end only would be ordered by their last
+    // Without the finalizer, names that differ only at their end would be ordered by their last
     // bytes.
     (mixed ^ mixed >> 32).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// The gatherers that prevent the activation of a proposal; it may be activated if there is none.
+/// The gatherers that block the activation of a proposal, which may be activated if there are none.
 ///
 /// Invariant: once a version is activated, no gatherer that did not vote for it serves under the
-/// former one, unless that one was confirmed before. So a gatherer has either voted in favour, or
-/// it has been excluded for longer than `exclusion_delay`, after which its validity has expired by
-/// any clock. `autonomous` names the gatherers to which the second rule does not apply.
+/// former version, unless that one was confirmed before. So every gatherer must either have voted
+/// in favour, or have been excluded for longer than `exclusion_delay`, after which its validity has
+/// expired on any clock. The second alternative does not apply to the `autonomous` gatherers.
 pub fn blockers<'a>(
     fleet: &'a BTreeMap<String, Member>,
     proposal: u64,
@@ -145,8 +145,8 @@
         .collect()
 }
 
-/// How long an excluded gatherer may still serve: its validity, and what two clocks can drift apart
-/// over it (in parts of a thousand).
+/// How long an excluded gatherer may still serve: its validity plus the maximum drift between two
+/// clocks over that time. `drift_permille` is per mille.
 pub fn exclusion_delay(validity: Time, drift_permille: u64) -> Time {
     validity.saturating_add(validity / 1_000 * drift_permille)
 }
--- a/versions/src/status.rs
+++ b/versions/src/status.rs
@@ -1,4 +1,4 @@
-//! The status of a gatherer towards the active version.
+//! The status of a gatherer in relation to the active version.
 
 use crate::Time;
 use std::fmt;
@@ -6,21 +6,21 @@
 /// A gatherer's status. The order is from best to worst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Status {
-    /// It runs the active version, confirmed recently.
+    /// The gatherer runs the active version, which was confirmed recently.
     Current,
-    /// It runs the version that was active when last confirmed, some time ago. It serves.
+    /// A confirmation of the running version was missed. The gatherer serves.
     Behind,
-    /// It knows that it does not run the active version, or half of the validity has passed without
-    /// a confirmation. It serves, and is to be brought up to date.
+    /// Another version is known to be active, or half of the validity has passed without a
+    /// confirmation. The gatherer serves, and should be updated.
     Straggler,
-    /// Its validity has expired, and it serves on as an autonomous gatherer.
+    /// The validity has expired, and the gatherer keeps serving because it is autonomous.
     Autonomous,
-    /// Its validity has expired: it rejects clients and completes what is in flight.
+    /// The validity has expired: the gatherer rejects clients and completes queries in flight.
     Suspended,
 }
 
 impl Status {
-    /// Every status, from best to worst.
+    /// All statuses, from best to worst.
     pub const ALL: [Status; 5] = [
         Status::Current,
         Status::Behind,
@@ -29,7 +29,7 @@
         Status::Suspended,
     ];
 
-    /// The word for it in logs, status responses and the audit log.
+    /// The name in logs, status responses and the audit log.
     pub const fn name(self) -> &'static str {
         match self {
             Status::Current => "current",
@@ -59,6 +59,6 @@
     pub from: Status,
     /// The status now.
     pub to: Status,
-    /// When it changed.
+    /// When the status changed.
     pub at: Time,
 }
