--- a/bitternsill/tests/learned.rs
+++ b/bitternsill/tests/learned.rs
@@ -555,7 +555,8 @@
     );
     let (code, text) = run(&["verify", "spoilt"]);
     assert!(
-        code == Some(1) && text.starts_with("bitternsill: spoilt: 90 bytes where "),
+        code == Some(1)
+            && text.starts_with("bitternsill: spoilt: wrong length: 90 bytes, expected "),
         "{text}"
     );
     assert_eq!(run(&["convert", "new", "old", "--version", "1"]).0, Some(0));
@@ -580,8 +581,7 @@
     );
     let aged = run(&["age", "new", "--after", "60"]).1;
     assert!(
-        aged.contains("s-0  slowness 4.50")
-            && aged.contains("s-1  dropped: nothing out of the ordinary"),
+        aged.contains("s-0  slowness 4.50") && aged.contains("s-1  dropped: close to the defaults"),
         "{aged}"
     );
     let late: Value =
--- a/learning/src/age.rs
+++ b/learning/src/age.rs
@@ -1,12 +1,20 @@
-//! Aging of a snapshot: how much of it still counts, and why the rest is dropped. Weights decay
-//! exponentially, and values are interpolated by their weight towards the defaults of a new
-//! gatherer. A host's statistics can only lower its rating, never raise it above the default.
+//! Aging of a snapshot: which statistics are still used, with which weight, and why others are
+//! dropped. Weights decay exponentially, and values are interpolated by their weight towards the
+//! defaults of a new gatherer. A host's statistics can only lower its rating, never raise it above
+//! the default.
 
 use crate::snapshot::{ClassStats, Fleet, HostStats, Snapshot, UnixMillis};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fmt;
 
+/// Relative latency below which a host counts as close to the default.
+const NEAR_DEFAULT_SLOWNESS: f32 = 1.1;
+/// Error rate below which a host counts as close to the default.
+const NEAR_DEFAULT_ERRORS: f32 = 0.01;
+/// Fraction of the default concurrency limit above which a host counts as close to the default.
+const NEAR_DEFAULT_LIMIT: f32 = 0.9;
+
 /// Configuration of the aging.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AgingConfig {
@@ -14,20 +22,20 @@
     pub host_half_life: UnixMillis,
     /// Half-life of a class's statistics, in milliseconds.
     pub class_half_life: UnixMillis,
-    /// Number of a class's answers that count in full; fewer count proportionally.
-    pub class_weight: f64,
-    /// The same for a host. It is low, as a host that is ejected for its latency has few answers.
-    pub host_weight: f64,
+    /// Number of answers from which a class has full weight; fewer weigh proportionally less.
+    pub class_full_weight: f64,
+    /// The same for a host; low, because a host that is ejected for its latency has few answers.
+    pub host_full_weight: f64,
     /// Weight below which statistics are dropped.
-    pub floor: f64,
+    pub min_weight: f64,
     /// Relative latency above which a host counts as slow.
-    pub slow: f32,
-    /// If more than this fraction of the hosts is slow, the cause is a common one.
-    pub common: f64,
-    /// Maximum age, in milliseconds; beyond it a clock must have jumped.
-    pub oldest: UnixMillis,
+    pub slow_threshold: f32,
+    /// If more than this fraction of the hosts is slow, a common cause is assumed.
+    pub common_cause_fraction: f64,
+    /// Maximum age, in milliseconds; a snapshot that seems older shows that a clock has jumped.
+    pub max_age: UnixMillis,
     /// Concurrency limit of an unknown host.
-    pub start_limit: f32,
+    pub default_limit: f32,
 }
 
 impl Default for AgingConfig {
@@ -35,13 +43,13 @@
         AgingConfig {
             host_half_life: 60_000,
             class_half_life: 3_600_000,
-            class_weight: 8.0,
-            host_weight: 2.0,
-            floor: 0.05,
-            slow: 2.0,
-            common: 0.5,
-            oldest: 366 * 86_400_000,
-            start_limit: 3.0,
+            class_full_weight: 8.0,
+            host_full_weight: 2.0,
+            min_weight: 0.05,
+            slow_threshold: 2.0,
+            common_cause_fraction: 0.5,
+            max_age: 366 * 86_400_000,
+            default_limit: 3.0,
         }
     }
 }
@@ -50,27 +58,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// It is not on the endpoint list.
+    /// The host is not on the endpoint list.
     NotListed,
-    /// It has restarted since, and is cold.
+    /// The host has restarted since the snapshot, and has cold caches.
     Restarted,
-    /// Too old, or from too few answers.
+    /// The statistics are too old, from too few answers, or invalid.
     #[serde(rename = "counts-for-nothing")]
     Negligible,
     /// Most hosts were slow, so the cause was not this host.
     CommonCause,
-    /// They hardly differ from the defaults.
+    /// The statistics hardly differ from the defaults.
     Ordinary,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::NotListed => "not on the list",
-            Reason::Restarted => "started since",
-            Reason::Negligible => "too old, or from too few answers",
-            Reason::CommonCause => "nearly all were slow: a common cause",
-            Reason::Ordinary => "nothing out of the ordinary",
+            Reason::NotListed => "not on the endpoint list",
+            Reason::Restarted => "restarted since the snapshot",
+            Reason::Negligible => "too old, from too few answers, or invalid",
+            Reason::CommonCause => "most hosts were slow: a common cause",
+            Reason::Ordinary => "close to the defaults",
         })
     }
 }
@@ -79,17 +87,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SnapshotError {
-    /// It belongs to another deployment.
+    /// The snapshot belongs to another deployment.
     OtherFleet,
-    /// It is from the future or too old: a clock has jumped.
+    /// The snapshot is from the future or too old: a clock has jumped.
     UnknownAge,
 }
 
 impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            SnapshotError::OtherFleet => "it is of another deployment",
-            SnapshotError::UnknownAge => "a clock has jumped: its age is not known",
+            SnapshotError::OtherFleet => "the snapshot belongs to another deployment",
+            SnapshotError::UnknownAge => "a clock has jumped: the age of the snapshot is unknown",
         })
     }
 }
@@ -97,28 +105,28 @@
 /// An aged snapshot.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Aged {
-    /// Its age, in milliseconds.
+    /// The age, in milliseconds.
     pub age: UnixMillis,
     /// The classes, interpolated towards the defaults.
     pub classes: Vec<ClassStats>,
-    /// The hosts that still count, interpolated towards the defaults of an unknown host.
+    /// The retained hosts, interpolated towards the defaults of an unknown host.
     pub hosts: Vec<(String, HostStats)>,
-    /// The hosts that are dropped, and why.
+    /// The dropped hosts, with the reasons.
     pub dropped: Vec<(String, Reason)>,
 }
 
-/// Fraction that remains after a time, by exponential decay.
+/// The fraction that remains at this age, by exponential decay.
 fn remaining(age: UnixMillis, half_life: UnixMillis) -> f64 {
     0.5f64.powf(age as f64 / half_life.max(1) as f64)
 }
 
-/// Interpolates from `towards` (weight 0) to `value` (weight 1).
-fn interpolate(value: f64, towards: f64, weight_left: f64) -> f64 {
-    towards + (value - towards) * weight_left
+/// Interpolates from `default` (weight 0) to `value` (weight 1).
+fn interpolate(value: f64, default: f64, weight: f64) -> f64 {
+    default + (value - default) * weight
 }
 
-/// Ages a snapshot. `listed` has the hosts on the present endpoint list with their start times;
-/// `fresh` the defaults of each class.
+/// Ages a snapshot. `defaults` are the statistics of each class at a new gatherer; `listed` has the
+/// hosts on the current endpoint list with their start times.
 ///
 /// # Errors
 ///
@@ -126,27 +134,27 @@
 pub fn age(
     snapshot: &Snapshot,
     fleet: &Fleet,
-    fresh: &[ClassStats],
+    defaults: &[ClassStats],
     listed: &BTreeMap<String, UnixMillis>,
     now: UnixMillis,
     config: &AgingConfig,
 ) -> Result<Aged, SnapshotError> {
-    if snapshot.fleet != *fleet || snapshot.classes.len() != fresh.len() {
+    if snapshot.fleet != *fleet || snapshot.classes.len() != defaults.len() {
         return Err(SnapshotError::OtherFleet);
     }
     let age = now
         .checked_sub(snapshot.taken_at)
-        .filter(|age| *age <= config.oldest)
+        .filter(|age| *age <= config.max_age)
         .ok_or(SnapshotError::UnknownAge)?;
     let classes = snapshot
         .classes
         .iter()
-        .zip(fresh)
-        .map(|(old, fresh)| aged_class(old, fresh, age, config))
+        .zip(defaults)
+        .map(|(old, default)| aged_class(old, default, age, config))
         .collect();
-    let slow = |h: &HostStats| h.slowness.iter().any(|s| *s > config.slow);
-    let common = snapshot.hosts.values().filter(|h| slow(h)).count() as f64
-        > config.common * snapshot.hosts.len() as f64;
+    let is_slow = |h: &HostStats| h.slowness.iter().any(|s| *s > config.slow_threshold);
+    let common_cause = snapshot.hosts.values().filter(|h| is_slow(h)).count() as f64
+        > config.common_cause_fraction * snapshot.hosts.len() as f64;
     let mut aged = Aged {
         age,
         classes,
@@ -156,7 +164,7 @@
         match aged_host(
             host,
             listed.get(&**uid).copied(),
-            common,
+            common_cause,
             now,
             fleet.classes.len(),
             config,
@@ -170,13 +178,13 @@
 
 fn aged_class(
     old: &ClassStats,
-    fresh: &ClassStats,
+    default: &ClassStats,
     age: UnixMillis,
     config: &AgingConfig,
 ) -> ClassStats {
-    let weight_left =
-        remaining(age, config.class_half_life) * (old.weight / config.class_weight).clamp(0.0, 1.0);
-    let sound = [
+    let remaining_weight = remaining(age, config.class_half_life)
+        * (old.weight / config.class_full_weight).clamp(0.0, 1.0);
+    let is_valid = [
         old.median,
         old.p95,
         old.least,
@@ -185,31 +193,33 @@
     ]
     .iter()
     .all(|v| v.is_finite() && *v > 0.0);
-    if weight_left < config.floor || !sound {
+    if remaining_weight < config.min_weight || !is_valid {
         return ClassStats {
             weight: 0.0,
-            ..fresh.clone()
+            ..default.clone()
         };
     }
-    // Latencies are interpolated geometrically: half-way between 10 ms and 1 s is 100 ms.
-    let mix = |old: f64, fresh: f64| interpolate(old.ln(), fresh.max(1.0).ln(), weight_left).exp();
+    // Latencies are interpolated geometrically: 100 ms is half-way between 10 ms and 1 s.
+    let mix = |old: f64, default: f64| {
+        interpolate(old.ln(), default.max(1.0).ln(), remaining_weight).exp()
+    };
     ClassStats {
-        name: fresh.name.clone(),
-        median: mix(old.median, fresh.median),
-        p95: mix(old.p95, fresh.p95),
-        least: mix(old.least, fresh.least),
+        name: default.name.clone(),
+        median: mix(old.median, default.median),
+        p95: mix(old.p95, default.p95),
+        least: mix(old.least, default.least),
         attempts: (
-            mix(old.attempts.0, fresh.attempts.0),
-            mix(old.attempts.1, fresh.attempts.1),
+            mix(old.attempts.0, default.attempts.0),
+            mix(old.attempts.1, default.attempts.1),
         ),
-        weight: old.weight * weight_left,
+        weight: old.weight * remaining_weight,
     }
 }
 
 fn aged_host(
     host: &HostStats,
     listed: Option<UnixMillis>,
-    common: bool,
+    common_cause: bool,
     now: UnixMillis,
     classes: usize,
     config: &AgingConfig,
@@ -218,50 +228,54 @@
     if started != host.started {
         return Err(Reason::Restarted);
     }
-    // Statistics from the future: the clock has jumped at an unknown time.
+    // Statistics from the future mean that the clock has jumped at an unknown time.
     let age = now.checked_sub(host.judged).ok_or(Reason::Negligible)?;
-    let weight_left = remaining(age, config.host_half_life)
-        * (f64::from(host.weight) / config.host_weight).clamp(0.0, 1.0);
-    let sound = host
+    let remaining_weight = remaining(age, config.host_half_life)
+        * (f64::from(host.weight) / config.host_full_weight).clamp(0.0, 1.0);
+    let is_valid = host
         .slowness
         .iter()
         .chain([&host.delay, &host.limit, &host.errors, &host.weight])
         .all(|v| v.is_finite());
-    if weight_left < config.floor || !sound || host.slowness.len() != classes {
+    if remaining_weight < config.min_weight || !is_valid || host.slowness.len() != classes {
         return Err(Reason::Negligible);
     }
-    if common {
+    if common_cause {
         return Err(Reason::CommonCause);
     }
     // Statistics can only lower a host's rating: values better than the default become the default.
-    let worse = |value: f32, ordinary: f32| {
+    let no_better = |value: f32, default: f32| {
         interpolate(
-            f64::from(value.max(ordinary)),
-            f64::from(ordinary),
-            weight_left,
+            f64::from(value.max(default)),
+            f64::from(default),
+            remaining_weight,
         ) as f32
     };
-    // The limit also follows the load: it only tells something of a host that was slow or failing.
-    let bad =
-        host.slowness.iter().any(|s| *s > config.slow) || f64::from(host.errors) > config.floor;
-    let limit = if bad {
-        host.limit.clamp(1.0, config.start_limit)
+    // The limit also follows the load, so a low one is meaningful only for a slow or failing host.
+    let is_degraded = host.slowness.iter().any(|s| *s > config.slow_threshold)
+        || f64::from(host.errors) > config.min_weight;
+    let limit = if is_degraded {
+        host.limit.clamp(1.0, config.default_limit)
     } else {
-        config.start_limit
+        config.default_limit
     };
     let aged = HostStats {
         started,
-        slowness: host.slowness.iter().map(|s| worse(*s, 1.0)).collect(),
-        delay: worse(host.delay, 0.0),
-        limit: interpolate(f64::from(limit), f64::from(config.start_limit), weight_left) as f32,
-        errors: worse(host.errors.min(1.0), 0.0),
-        weight: (f64::from(host.weight) * weight_left) as f32,
+        slowness: host.slowness.iter().map(|s| no_better(*s, 1.0)).collect(),
+        delay: no_better(host.delay, 0.0),
+        limit: interpolate(
+            f64::from(limit),
+            f64::from(config.default_limit),
+            remaining_weight,
+        ) as f32,
+        errors: no_better(host.errors.min(1.0), 0.0),
+        weight: (f64::from(host.weight) * remaining_weight) as f32,
         judged: host.judged,
     };
-    let ordinary = aged.slowness.iter().all(|s| *s < 1.1)
-        && aged.errors < 0.01
-        && aged.limit > 0.9 * config.start_limit;
-    if ordinary {
+    let is_near_default = aged.slowness.iter().all(|s| *s < NEAR_DEFAULT_SLOWNESS)
+        && aged.errors < NEAR_DEFAULT_ERRORS
+        && aged.limit > NEAR_DEFAULT_LIMIT * config.default_limit;
+    if is_near_default {
         Err(Reason::Ordinary)
     } else {
         Ok(aged)
--- a/learning/src/atomic_write.rs
+++ b/learning/src/atomic_write.rs
@@ -1,13 +1,13 @@
 //! Atomic replacement of a snapshot, as steps: the next generation is written to a temporary file,
 //! synced, and renamed; older generations are removed last.
 //!
-//! The writer carries out these steps one by one. Tests that kill it at each step, and the model
-//! checker, run the same list.
+//! The writer, the tests that kill it at each step, and the model checker execute the same list of
+//! steps.
 
 /// Number of generations that are retained.
 pub const RETAINED_GENERATIONS: usize = 3;
 
-/// One step.
+/// One step of a write.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Step {
     /// Create the temporary file, or truncate one that a crash left.
@@ -16,7 +16,7 @@
     Write,
     /// Sync the file.
     SyncFile,
-    /// Rename it to its generation's name.
+    /// Rename the file to the name of its generation.
     Rename,
     /// Sync the folder, which makes the rename durable.
     SyncFolder,
@@ -25,7 +25,7 @@
 }
 
 impl Step {
-    /// Its name, for fault points and the log.
+    /// The name, for fault points and logs.
     pub fn name(&self) -> &'static str {
         match self {
             Step::Create => "create",
@@ -48,14 +48,15 @@
     format!("learned.{generation:016}")
 }
 
-/// The generation of a file name; `None` if it is another file.
+/// The generation of a file name; `None` if the file is not a generation.
 pub fn parse_generation(name: &str) -> Option<u64> {
     let digits = name.strip_prefix("learned.")?;
     (digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_digit()))
         .then(|| digits.parse().ok())?
 }
 
-/// Plans the write of the next generation, with these in the folder: its number and the steps.
+/// Plans the write of the next generation; returns its number and the steps. `present` has the
+/// generations in the folder.
 pub fn plan(present: &[u64]) -> (u64, Vec<Step>) {
     let mut present = present.to_vec();
     present.sort_unstable();
@@ -67,10 +68,10 @@
         Step::Rename,
         Step::SyncFolder,
     ];
-    // Old generations are removed only after the new one's rename is synced: until then a crash
-    // could leave no sound generation at all.
-    let spare = (present.len() + 1).saturating_sub(RETAINED_GENERATIONS);
-    steps.extend(present.iter().take(spare).map(|old| Step::Remove(*old)));
+    // Old generations are removed only after the rename of the new one is synced: before that, a
+    // crash could leave no valid generation at all.
+    let excess = (present.len() + 1).saturating_sub(RETAINED_GENERATIONS);
+    steps.extend(present.iter().take(excess).map(|old| Step::Remove(*old)));
     (next, steps)
 }
 
--- a/learning/src/file.rs
+++ b/learning/src/file.rs
@@ -1,55 +1,66 @@
-//! The file of a snapshot: a header with magic, version, length and checksum, and a body in CBOR
-//! with named fields.
+//! The file format of a snapshot: a header with magic, version, length and checksum, and a body in
+//! CBOR with named fields.
 
 use crate::snapshot::{ClassStats, Fleet, HostStats, Snapshot, UnixMillis};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// The first bytes of every file.
+/// The first bytes of every snapshot file.
 pub const MAGIC: [u8; 8] = *b"BSLEARN\n";
 /// The version that is written.
 pub const VERSION: u16 = 2;
-/// Bytes of the header: magic, version, two reserved ones, the body's length and the CRC-32.
+/// Bytes of the header: magic, version, two reserved bytes, length of the body and CRC-32.
 pub const HEADER_BYTES: usize = 8 + 2 + 2 + 4 + 4;
 /// Maximum length of a body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 20;
+/// Number of answers assumed for a class of version 1, which does not store it: half of the number
+/// that counts in full.
+const V1_CLASS_WEIGHT: f64 = 4.0;
 
-/// A file that cannot be loaded.
+/// Why a snapshot file cannot be encoded or decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FileError {
-    /// It has another magic.
-    NotALearnedFile,
-    /// It is truncated, or has bytes behind its end.
+    /// The file does not start with [`MAGIC`].
+    BadMagic,
+    /// The file is truncated, or has trailing bytes.
     Length {
-        /// Length by the header, in bytes.
+        /// Length according to the header, in bytes.
         wanted: u64,
-        /// Length found, in bytes.
+        /// Actual length, in bytes.
         found: u64,
     },
-    /// The checksum differs: the file is corrupt.
+    /// The checksum does not match: the file is corrupt.
     Checksum,
-    /// A version that is not known here.
+    /// The version is not supported.
     Version(u16),
-    /// The checksum is right, but the body cannot be decoded.
+    /// The checksum matches, but the body cannot be decoded.
     Body(String),
-    /// The body is too long, with its length in bytes.
+    /// The body exceeds [`MAX_BODY_BYTES`]; contains the length in bytes.
     TooLong(u64),
 }
 
 impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FileError::NotALearnedFile => f.write_str("no file of what was learned"),
+            FileError::BadMagic => f.write_str("not a file of learned statistics"),
             FileError::Length { wanted, found } => {
-                write!(f, "{found} bytes where {wanted} were written")
+                write!(f, "wrong length: {found} bytes, expected {wanted}")
             }
-            FileError::Checksum => f.write_str("the checksum does not fit"),
+            FileError::Checksum => f.write_str("checksum mismatch"),
             FileError::Version(version) => {
-                write!(f, "version {version}; versions 1 to {VERSION} are read")
+                write!(
+                    f,
+                    "unsupported version {version}; versions 1 to {VERSION} are supported"
+                )
+            }
+            FileError::Body(problem) => write!(f, "invalid body: {problem}"),
+            FileError::TooLong(bytes) => {
+                write!(
+                    f,
+                    "body of {bytes} bytes exceeds the maximum of {MAX_BODY_BYTES}"
+                )
             }
-            FileError::Body(problem) => write!(f, "a body that makes no sense: {problem}"),
-            FileError::TooLong(bytes) => write!(f, "{bytes} bytes; {MAX_BODY_BYTES} at most"),
         }
     }
 }
@@ -65,24 +76,24 @@
     hosts: Vec<(String, HostStats)>,
 }
 
-/// Version 1: slowness alone, and times in whole seconds.
+/// The body of version 1: of a host only slowness, and times in whole seconds.
 #[derive(Serialize, Deserialize)]
-struct Body1 {
+struct BodyV1 {
     fleet: Fleet,
     taken_s: u64,
-    classes: Vec<Class1>,
-    hosts: Vec<Host1>,
+    classes: Vec<ClassV1>,
+    hosts: Vec<HostV1>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Class1 {
+struct ClassV1 {
     name: String,
     median_us: f64,
     p95_us: f64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Host1 {
+struct HostV1 {
     uid: String,
     #[serde(rename = "born")]
     started: UnixMillis,
@@ -91,22 +102,21 @@
     judged_s: u64,
 }
 
-impl From<Body1> for Snapshot {
-    fn from(old: Body1) -> Snapshot {
-        let class = |c: Class1| {
+impl From<BodyV1> for Snapshot {
+    fn from(old: BodyV1) -> Snapshot {
+        let class = |c: ClassV1| {
             let (median, p95) = (1000.0 * c.median_us, 1000.0 * c.p95_us);
-            // Version 1 has no number of answers: half of what counts in full is assumed.
             ClassStats {
                 name: c.name,
                 median,
                 p95,
                 least: median,
                 attempts: (median, p95),
-                weight: 4.0,
+                weight: V1_CLASS_WEIGHT,
             }
         };
-        let host = |h: Host1| {
-            let memory = HostStats {
+        let host = |h: HostV1| {
+            let stats = HostStats {
                 started: h.started,
                 slowness: h.slowness,
                 delay: 0.0,
@@ -115,7 +125,7 @@
                 weight: h.answers as f32,
                 judged: h.judged_s.saturating_mul(1000),
             };
-            (Arc::from(h.uid), memory)
+            (Arc::from(h.uid), stats)
         };
         Snapshot {
             fleet: old.fleet,
@@ -141,8 +151,8 @@
     Ok(out)
 }
 
-/// The checksum covers the version too: with a flipped bit there the body would be decoded as that
-/// of another version.
+/// The checksum of version, length and body. Without the version, a flipped bit there would decode
+/// the body as another version's.
 fn checksum(version: u16, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&version.to_le_bytes());
@@ -172,25 +182,25 @@
     frame(VERSION, &bytes)
 }
 
-/// Encodes a snapshot in version 1, for older programs.
+/// Encodes a snapshot in version 1, for older releases of the program.
 ///
 /// # Errors
 ///
 /// As for [`encode`].
 pub fn encode_v1(snapshot: &Snapshot) -> Result<Vec<u8>, FileError> {
-    let class = |c: &ClassStats| Class1 {
+    let class = |c: &ClassStats| ClassV1 {
         name: c.name.clone(),
         median_us: c.median / 1000.0,
         p95_us: c.p95 / 1000.0,
     };
-    let host = |(uid, h): (&Arc<str>, &HostStats)| Host1 {
+    let host = |(uid, h): (&Arc<str>, &HostStats)| HostV1 {
         uid: uid.to_string(),
         started: h.started,
         slowness: h.slowness.clone(),
         answers: h.weight as u32,
         judged_s: h.judged / 1000,
     };
-    let body = Body1 {
+    let body = BodyV1 {
         fleet: snapshot.fleet.clone(),
         taken_s: snapshot.taken_at / 1000,
         classes: snapshot.classes.iter().map(class).collect(),
@@ -201,14 +211,14 @@
     frame(1, &bytes)
 }
 
-/// The length of a file by its header, so that a file that is too long need not be read.
+/// The length of a file according to its header, so that a file that is too long is not read.
 ///
 /// # Errors
 ///
-/// [`FileError::NotALearnedFile`] or [`FileError::TooLong`].
+/// [`FileError::BadMagic`] or [`FileError::TooLong`].
 pub fn length(header: &[u8]) -> Result<u64, FileError> {
     if header.len() < HEADER_BYTES || header[..8] != MAGIC {
-        return Err(FileError::NotALearnedFile);
+        return Err(FileError::BadMagic);
     }
     let length = u32::from_le_bytes([header[12], header[13], header[14], header[15]]) as usize;
     if length > MAX_BODY_BYTES {
@@ -218,11 +228,11 @@
     }
 }
 
-/// Decodes a file of any version; returns the snapshot and the version.
+/// Decodes a file of any supported version; returns the snapshot and the version.
 ///
 /// # Errors
 ///
-/// [`FileError`] if the file is not sound.
+/// [`FileError`] if the file is invalid.
 pub fn decode(bytes: &[u8]) -> Result<(Snapshot, u16), FileError> {
     let wanted = length(bytes)?;
     if wanted != bytes.len() as u64 {
@@ -237,16 +247,16 @@
     if checksum(version, body) != stored_checksum || bytes[10..12] != [0, 0] {
         return Err(FileError::Checksum);
     }
-    let wrong = |e: ciborium::de::Error<std::io::Error>| FileError::Body(e.to_string());
+    let invalid_body = |e: ciborium::de::Error<std::io::Error>| FileError::Body(e.to_string());
     match version {
         1 => Ok((
-            ciborium::from_reader::<Body1, _>(body)
-                .map_err(wrong)?
+            ciborium::from_reader::<BodyV1, _>(body)
+                .map_err(invalid_body)?
                 .into(),
             1,
         )),
         2 => {
-            let body: Body = ciborium::from_reader(body).map_err(wrong)?;
+            let body: Body = ciborium::from_reader(body).map_err(invalid_body)?;
             let hosts = body
                 .hosts
                 .into_iter()
--- a/learning/src/lib.rs
+++ b/learning/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a gatherer has learned of hosts and query classes, retained across its restarts: the
-//! snapshot, its aging, the file format and the steps of an atomic write. Nothing here opens a file
-//! or reads a clock.
+//! Statistics that a gatherer has learned about hosts and query classes, retained across restarts:
+//! the snapshot, its aging, the file format and the steps of an atomic write. The package does no
+//! I/O and reads no clock.
 
 #![forbid(unsafe_code)]
 
--- a/learning/src/snapshot.rs
+++ b/learning/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot of what a gatherer has learned of each host and of each query class.
+//! The snapshot of a gatherer's statistics of each host and each query class.
 //!
 //! Field names in files are fixed: a renamed field keeps its stored name by `serde(rename)`.
 
@@ -23,17 +23,17 @@
     /// Median and 95th percentile of answered attempts alone.
     #[serde(rename = "tries")]
     pub attempts: (f64, f64),
-    /// Number of answers behind these, at most those of a window.
+    /// Number of answers in these statistics, at most those of a window.
     pub weight: f64,
 }
 
 /// Statistics of a host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HostStats {
-    /// When it last started, by the endpoint list; 0 for long ago.
+    /// When the host last started, by the endpoint list; 0 for long ago.
     #[serde(rename = "born")]
     pub started: UnixMillis,
-    /// Latency for each class, relative to its peers.
+    /// Latency for each class, relative to the peers of the host.
     pub slowness: Vec<f32>,
     /// Smoothed delay, as a fraction of the latency target.
     pub delay: f32,
@@ -41,7 +41,7 @@
     pub limit: f32,
     /// Smoothed error rate.
     pub errors: f32,
-    /// Number of answers behind these; older ones count for less.
+    /// Number of answers in these statistics, where older ones count less.
     pub weight: f32,
     /// When these were last updated.
     pub judged: UnixMillis,
@@ -58,12 +58,12 @@
     pub reach: u32,
 }
 
-/// Everything learned. The hosts are in a persistent map: a clone shares them.
+/// All learned statistics. A clone shares the hosts, which are in a persistent map.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Snapshot {
     /// The deployment.
     pub fleet: Fleet,
-    /// When it was taken.
+    /// When the snapshot was taken.
     pub taken_at: UnixMillis,
     /// The classes, in the order of the fleet.
     pub classes: Vec<ClassStats>,
--- a/learning/tests/file.rs
+++ b/learning/tests/file.rs
@@ -69,8 +69,8 @@
 #[test]
 fn distinguishes_other_files_and_versions() {
     let bytes = file::encode(&snapshot(1)).unwrap();
-    assert_eq!(file::decode(&[0; 4096]), Err(FileError::NotALearnedFile));
-    assert_eq!(file::decode(b"BSLEARN\n"), Err(FileError::NotALearnedFile));
+    assert_eq!(file::decode(&[0; 4096]), Err(FileError::BadMagic));
+    assert_eq!(file::decode(b"BSLEARN\n"), Err(FileError::BadMagic));
     // One from the future is sound, and says so: its checksum is of its own version.
     let mut future = bytes.clone();
     future[8..10].copy_from_slice(&(VERSION + 1).to_le_bytes());
