--- a/ownership/src/election/tests.rs
+++ b/ownership/src/election/tests.rs
@@ -19,33 +19,33 @@
     assert!(distinct.len() >= 3, "{firsts:?}");
     for role in Role::ALL {
         let before = rank(role, &all);
-        for gone in ["gatherer-3", before[0], before[30]] {
-            let mut left = all.clone();
-            left.remove(gone);
+        for removed in ["gatherer-3", before[0], before[30]] {
+            let mut remaining = all.clone();
+            remaining.remove(removed);
             let expected: Vec<&str> = before
                 .iter()
                 .copied()
-                .filter(|name| *name != gone)
+                .filter(|name| *name != removed)
                 .collect();
-            assert_eq!(rank(role, &left), expected, "without {gone}");
+            assert_eq!(rank(role, &remaining), expected, "without {removed}");
         }
     }
 }
 
 #[test]
 fn ranks_busy_candidates_lower() {
-    let (mut first, mut all) = (0, 0);
-    for fleet_of in 0..500 {
-        let names = [0, 1].map(|n| format!("{fleet_of}-{n}"));
+    let (mut busy_first, mut total) = (0, 0);
+    for fleet in 0..500 {
+        let names = [0, 1].map(|n| format!("{fleet}-{n}"));
         let weights =
             BTreeMap::from([(names[0].clone(), weight(1)), (names[1].clone(), weight(0))]);
         for role in Role::ALL {
-            all += 1;
-            first += usize::from(rank(role, &weights)[0] == names[0]);
+            total += 1;
+            busy_first += usize::from(rank(role, &weights)[0] == names[0]);
         }
     }
-    let share = first as f64 / all as f64;
-    assert!((0.28..0.39).contains(&share), "a third: {share}");
+    let share = busy_first as f64 / total as f64;
+    assert!((0.28..0.39).contains(&share), "expected a third: {share}");
     let none = BTreeMap::from([("a".to_owned(), 0.0)]);
     assert_eq!(rank(Role::Hosts, &none), Vec::<&str>::new());
 }
--- a/ownership/src/failure_detector/tests.rs
+++ b/ownership/src/failure_detector/tests.rs
@@ -21,7 +21,7 @@
         [("a".to_owned(), 1), ("b".to_owned(), 9)]
     );
     assert_eq!(detector.next_expiry(60), Some(160));
-    // One that owns the work again begins to count anew.
+    // After a change of owners the time-outs restart.
     detector.clear();
     detector.observe([("a", 1)].into_iter(), 300);
     assert_eq!(expired(&detector, 359), []);
--- a/ownership/src/health_check/tests.rs
+++ b/ownership/src/health_check/tests.rs
@@ -22,7 +22,7 @@
     let (mut scheduler, config) = (Scheduler::default(), config());
     let names = ["a", "b", "c", "d"];
     scheduler.set_suspects(names.into_iter(), &config, 0);
-    assert_eq!(scheduler.len(), 3, "no more than are held");
+    assert_eq!(scheduler.len(), 3, "limited to max_suspects");
     let mut sent = Vec::new();
     while let Some(name) = scheduler.due(0).map(str::to_owned) {
         scheduler.start(&name);
@@ -50,10 +50,10 @@
             .finish("a", token(3), true, 7, &config, 120 * MS)
             .unwrap()
             .cleared,
-        "sound often enough"
+        "enough consecutive successes"
     );
-    // One that fails goes on being probed; one that nobody suspects any more is forgotten, its
-    // answer too.
+    // A host that fails is checked again. For a host that is no longer suspected a pending result
+    // is dropped.
     assert!(
         !scheduler
             .finish("b", token(3), false, 7, &config, 130 * MS)
@@ -70,7 +70,7 @@
 
 #[test]
 fn weighs_verdicts_by_age_and_rejects_stale_tokens() {
-    let (mut all, config) = (VerdictCache::default(), config());
+    let (mut cache, config) = (VerdictCache::default(), config());
     let verdict = Verdict {
         token: token(3),
         sequence: 1,
@@ -81,24 +81,25 @@
         Verdict::parse(&verdict.to_json().to_string()),
         Some(verdict)
     );
-    assert!(all.observe("a", verdict, 100 * MS));
-    // The same one, seen again, is no younger for it.
-    assert!(all.observe("a", verdict, 150 * MS));
-    let weight = |all: &VerdictCache, at| all.weighted("a", &config, at).map(|(_, weight)| weight);
-    assert_eq!(weight(&all, 200 * MS), Some(0.5));
-    assert_eq!(weight(&all, 300 * MS), None);
-    all.observe_token(token(8));
+    assert!(cache.observe("a", verdict, 100 * MS));
+    // A verdict that is received again keeps its age.
+    assert!(cache.observe("a", verdict, 150 * MS));
+    let weight =
+        |cache: &VerdictCache, at| cache.weighted("a", &config, at).map(|(_, weight)| weight);
+    assert_eq!(weight(&cache, 200 * MS), Some(0.5));
+    assert_eq!(weight(&cache, 300 * MS), None);
+    cache.observe_token(token(8));
     assert!(
-        !all.observe(
+        !cache.observe(
             "a",
             Verdict {
                 sequence: 2,
                 ..verdict
             },
             310 * MS
-        ) && all.rejected() == 1
+        ) && cache.rejected() == 1
     );
-    assert_eq!(weight(&all, 310 * MS), None);
-    all.retain(|name| name != "a");
-    assert_eq!(weight(&all, 100 * MS), None);
+    assert_eq!(weight(&cache, 310 * MS), None);
+    cache.retain(|name| name != "a");
+    assert_eq!(weight(&cache, 100 * MS), None);
 }
--- a/ownership/src/job/tests.rs
+++ b/ownership/src/job/tests.rs
@@ -19,19 +19,24 @@
     assert_eq!(
         job.complete_step().attempts,
         0,
-        "the next step is another matter"
+        "the count restarts with the next step"
     );
     let parked = job.begin_attempt(token(4), false);
-    assert!(matches!(&parked.status, Status::Parked(why) if why.contains("activate proposal 7")));
+    assert!(
+        matches!(&parked.status, Status::Parked(reason) if reason.contains("activate proposal 7"))
+    );
     assert_eq!(parked.current_step(), None);
     assert_eq!(
         Job::parse(&parked.to_json().to_string()).as_ref(),
         Some(&parked)
     );
-    let again = parked.with_status(Status::Open);
+    let reopened = parked.with_status(Status::Open);
     assert_eq!(
-        (again.current_step(), again.attempts),
+        (reopened.current_step(), reopened.attempts),
         (Some(&Step::Activate(7)), 0)
     );
-    assert_eq!(again.complete_step().complete_step().status, Status::Done);
+    assert_eq!(
+        reopened.complete_step().complete_step().status,
+        Status::Done
+    );
 }
--- a/ownership/src/lease/tests.rs
+++ b/ownership/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lease beside a store in one process.
+//! Tests of leases on a replicated state machine, in one process.
 
 use super::*;
 use store::command::Change;
@@ -15,24 +15,32 @@
 const ROLE: Role = Role::Hosts;
 
 /// A store, and gatherers that share a clock.
-struct World {
+struct Fixture {
     state: State,
     revision: u64,
     now: Time,
-    all: Vec<(Lease, u64, u64)>,
+    gatherers: Vec<Member>,
 }
 
-impl World {
-    fn new(count: usize) -> World {
-        let mut world = World {
+/// A gatherer's lease and its session at the store.
+struct Member {
+    lease: Lease,
+    session: u64,
+    /// The number of requests sent in the session.
+    requests: u64,
+}
+
+impl Fixture {
+    fn new(count: usize) -> Fixture {
+        let mut fixture = Fixture {
             state: State::default(),
             revision: 0,
             now: 10 * S,
-            all: Vec::new(),
+            gatherers: Vec::new(),
         };
-        world.put(keys::ERA, Some("1"));
-        (0..count).for_each(|at| world.start(at));
-        world
+        fixture.put(keys::ERA, Some("1"));
+        (0..count).for_each(|at| fixture.start(at));
+        fixture
     }
 
     fn apply(&mut self, command: &Command) -> Option<Completion> {
@@ -67,54 +75,64 @@
             100 + self.revision,
             self.now,
         );
-        let one = (lease, self.revision, 0);
-        if at < self.all.len() {
-            self.all[at] = one
+        let member = Member {
+            lease,
+            session: self.revision,
+            requests: 0,
+        };
+        if at < self.gatherers.len() {
+            self.gatherers[at] = member
         } else {
-            self.all.push(one)
+            self.gatherers.push(member)
         }
     }
 
-    /// Runs these gatherers for some time; they are ranked by their numbers.
-    fn run(&mut self, time: Time, who: &[usize]) {
-        let until = self.now + time;
+    /// Runs these gatherers for a duration. Each one's rank is its index.
+    fn run(&mut self, duration: Time, running: &[usize]) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += S / 20;
-            for at in who {
-                self.turn(*at);
+            for at in running {
+                self.step(*at);
             }
         }
     }
 
-    fn turn(&mut self, at: usize) {
+    fn step(&mut self, at: usize) {
         let now = self.now;
-        let (lease, session, request) = &mut self.all[at];
+        let Member {
+            lease,
+            session,
+            requests,
+        } = &mut self.gatherers[at];
         lease.observe(View::of(&self.state, ROLE, &format!("g{at}")), now);
         lease.set_rank(Some(at), 3, now);
-        let Some(ask) = lease.poll(now) else { return };
-        *request += 1;
+        let Some(request) = lease.poll(now) else {
+            return;
+        };
+        *requests += 1;
         let txn = Txn {
             session: *session,
-            request: *request,
-            checks: ask.checks,
-            sets: ask.changes,
+            request: *requests,
+            checks: request.checks,
+            sets: request.changes,
         };
-        let done = self.apply(&Command::Txn(txn));
-        let answer = match done {
+        let completion = self.apply(&Command::Txn(txn));
+        let response = match completion {
             Some(Completion::Txn {
                 outcome: Outcome::Applied(revision),
                 ..
             }) => Response::Committed(revision),
             _ => Response::Rejected,
         };
-        let lease = &mut self.all[at].0;
+        let lease = &mut self.gatherers[at].lease;
         lease.observe(View::of(&self.state, ROLE, &format!("g{at}")), now);
-        lease.handle_response(answer, now);
+        lease.handle_response(response, now);
     }
 
     fn owner(&self) -> Option<usize> {
-        let owners: Vec<usize> = (0..self.all.len())
-            .filter(|at| self.all[*at].0.valid_token(self.now).is_some())
+        let owners: Vec<usize> = (0..self.gatherers.len())
+            .filter(|at| self.gatherers[*at].lease.valid_token(self.now).is_some())
             .collect();
         assert!(owners.len() <= 1, "{owners:?}");
         owners.first().copied()
@@ -127,137 +145,141 @@
 
 #[test]
 fn next_candidate_acquires_after_takeover_delay() {
-    let mut world = World::new(3);
-    world.run(S / 2, &[0, 1, 2]);
-    assert_eq!(world.owner(), Some(0));
-    let first = world.all[0].0.valid_token(world.now).unwrap();
-    world.run(30 * S, &[0, 1, 2]);
+    let mut fixture = Fixture::new(3);
+    fixture.run(S / 2, &[0, 1, 2]);
+    assert_eq!(fixture.owner(), Some(0));
+    let first = fixture.gatherers[0].lease.valid_token(fixture.now).unwrap();
+    fixture.run(30 * S, &[0, 1, 2]);
     assert_eq!(
-        world.all[0].0.valid_token(world.now),
+        fixture.gatherers[0].lease.valid_token(fixture.now),
         Some(first),
-        "it stays"
+        "the owner keeps the role"
     );
-    // It is suspended. By its own clock its lease expires before another gatherer acquires.
-    let stopped = world.now;
-    let mut taken = None;
+    // The owner is suspended. On its own clock the lease expires before another gatherer acquires.
+    let suspended_at = fixture.now;
+    let mut acquired_at = None;
     for _ in 0..400 {
-        world.run(S / 20, &[1, 2]);
-        if world.owner() == Some(1) {
-            taken.get_or_insert(world.now);
+        fixture.run(S / 20, &[1, 2]);
+        if fixture.owner() == Some(1) {
+            acquired_at.get_or_insert(fixture.now);
         }
     }
-    let wait = taken.expect("somebody took it") - stopped;
-    // From the last renewal, at most a quarter of a lease before: the takeover delay and the
-    // stagger of the second candidate.
+    let wait = acquired_at.expect("another gatherer acquires the role") - suspended_at;
+    // The takeover delay and the stagger of the second candidate count from the last renewal, at
+    // most a quarter of a lease earlier.
     assert!(
         wait <= CONFIG.takeover_delay() + CONFIG.stagger + S / 4 && wait > CONFIG.duration,
         "{wait}"
     );
-    let second = world.all[1].0.valid_token(world.now).unwrap();
+    let second = fixture.gatherers[1].lease.valid_token(fixture.now).unwrap();
     assert!(second > first);
-    // It resumes: permits are refused at once, and its transactions are rejected.
-    let late = &world.all[0].0;
-    assert_eq!(late.permit(Target::Store, world.now), None);
+    // The former owner resumes: it gets no permits, and its transactions are rejected.
+    let former = &fixture.gatherers[0].lease;
+    assert_eq!(former.permit(Target::Store, fixture.now), None);
     let permit = Permit::new(ROLE, Target::Store, first).unwrap();
-    let checks = vec![late.fencing_check(&permit)];
-    let session = world.all[0].1;
+    let checks = vec![former.fencing_check(&permit)];
+    let session = fixture.gatherers[0].session;
     let sets = vec![Change {
         key: "effect".to_owned(),
         value: Some(String::new()),
     }];
-    let done = world.apply(&Command::Txn(Txn {
+    let completion = fixture.apply(&Command::Txn(Txn {
         session,
         request: 999,
         checks,
         sets,
     }));
     assert!(matches!(
-        done,
+        completion,
         Some(Completion::Txn {
             outcome: Outcome::Rejected(_),
             ..
         })
     ));
-    world.run(S, &[0, 1, 2]);
-    let events = world.all[0].0.take_events();
+    fixture.run(S, &[0, 1, 2]);
+    let events = fixture.gatherers[0].lease.take_events();
     assert!(events.contains(&Event::Lost(first)), "{events:?}");
     assert_eq!(
-        world.owner(),
+        fixture.owner(),
         Some(1),
-        "a better place in the order moves nothing"
+        "a candidate of a better rank does not take over"
     );
 }
 
 #[test]
 fn new_incarnation_does_not_inherit_the_lease() {
-    let mut world = World::new(1);
-    world.run(S, &[0]);
-    let before = world.all[0].0.valid_token(world.now).unwrap();
-    world.start(0);
-    world.run(S, &[0]);
+    let mut fixture = Fixture::new(1);
+    fixture.run(S, &[0]);
+    let before = fixture.gatherers[0].lease.valid_token(fixture.now).unwrap();
+    fixture.start(0);
+    fixture.run(S, &[0]);
     assert_eq!(
-        world.owner(),
+        fixture.owner(),
         None,
-        "its own former life might be acting still"
+        "the previous incarnation may still be running"
     );
-    world.run(CONFIG.takeover_delay(), &[0]);
-    assert!(world.all[0].0.valid_token(world.now).unwrap() > before);
+    fixture.run(CONFIG.takeover_delay(), &[0]);
+    assert!(fixture.gatherers[0].lease.valid_token(fixture.now).unwrap() > before);
 }
 
 #[test]
 fn operator_transfers_and_excludes() {
-    let mut world = World::new(3);
-    world.run(S, &[0, 1, 2]);
-    world.all[0].0.set_idle(false);
-    world.put(&keys::transfer(ROLE), Some("g2"));
-    world.run(S / 2, &[0, 1, 2]);
-    assert_eq!(world.owner(), None, "it has stopped");
+    let mut fixture = Fixture::new(3);
+    fixture.run(S, &[0, 1, 2]);
+    fixture.gatherers[0].lease.set_idle(false);
+    fixture.put(&keys::transfer(ROLE), Some("g2"));
+    fixture.run(S / 2, &[0, 1, 2]);
     assert_eq!(
-        world.grant().owner.as_deref(),
+        fixture.owner(),
+        None,
+        "the owner has stopped using the lease"
+    );
+    assert_eq!(
+        fixture.grant().owner.as_deref(),
         Some("g0"),
-        "and waits until all has come to rest"
+        "the release waits until no work is in flight"
     );
-    world.all[0].0.set_idle(true);
-    world.run(S / 2, &[0, 1, 2]);
+    fixture.gatherers[0].lease.set_idle(true);
+    fixture.run(S / 2, &[0, 1, 2]);
     assert_eq!(
-        (world.owner(), world.grant().reason.as_str()),
+        (fixture.owner(), fixture.grant().reason.as_str()),
         (Some(2), "taken: it was offered")
     );
     assert_eq!(
-        world.state.get(&keys::transfer(ROLE)),
+        fixture.state.get(&keys::transfer(ROLE)),
         None,
-        "it has come about"
+        "the transfer request is removed"
     );
-    world.put(&keys::exclusion(ROLE, "g2"), Some(""));
-    world.run(S, &[0, 1, 2]);
-    // The last owner has a cooldown, so that the role does not move back at once.
-    assert_eq!(world.owner(), Some(1));
-    // Offered to a gatherer that is not there, it is acquired by another in time, and the
-    // transfer is not repeated.
-    world.put(&keys::transfer(ROLE), Some("nobody"));
-    world.run(S / 2, &[0, 1, 2]);
+    fixture.put(&keys::exclusion(ROLE, "g2"), Some(""));
+    fixture.run(S, &[0, 1, 2]);
+    // The former owner has a cooldown, so that the role does not move back immediately.
+    assert_eq!(fixture.owner(), Some(1));
+    // A role offered to an absent gatherer is acquired by another one after the takeover delay, and
+    // the transfer is not repeated.
+    fixture.put(&keys::transfer(ROLE), Some("nobody"));
+    fixture.run(S / 2, &[0, 1, 2]);
     assert_eq!(
-        (world.owner(), world.grant().owner.as_deref()),
+        (fixture.owner(), fixture.grant().owner.as_deref()),
         (None, Some("nobody"))
     );
     // Both gatherers that may own it have a cooldown.
-    world.run(2 * CONFIG.takeover_delay(), &[0, 1, 2]);
-    assert!(world.owner().is_some());
-    let owner = world.owner();
-    world.run(20 * S, &[0, 1, 2]);
-    assert_eq!(world.owner(), owner);
+    fixture.run(2 * CONFIG.takeover_delay(), &[0, 1, 2]);
+    assert!(fixture.owner().is_some());
+    let owner = fixture.owner();
+    fixture.run(20 * S, &[0, 1, 2]);
+    assert_eq!(fixture.owner(), owner);
 }
 
 #[test]
 fn releases_after_quorum_of_fault_reports() {
-    let mut world = World::new(3);
-    world.run(S, &[0, 1, 2]);
-    let token = world.all[0].0.valid_token(world.now).unwrap();
-    world.put(
+    let mut fixture = Fixture::new(3);
+    fixture.run(S, &[0, 1, 2]);
+    let token = fixture.gatherers[0].lease.valid_token(fixture.now).unwrap();
+    fixture.put(
         &keys::fault_report(ROLE, "g1"),
         Some(&token.to_json().to_string()),
     );
-    world.put(
+    fixture.put(
         &keys::fault_report(ROLE, "g2"),
         Some(
             &Token {
@@ -268,101 +290,111 @@
             .to_string(),
         ),
     );
-    world.run(2 * S, &[0, 1, 2]);
-    assert_eq!(world.owner(), Some(0), "one word, and one of another time");
-    world.put(
+    fixture.run(2 * S, &[0, 1, 2]);
+    assert_eq!(
+        fixture.owner(),
+        Some(0),
+        "one report, and one on another grant"
+    );
+    fixture.put(
         &keys::fault_report(ROLE, "g2"),
         Some(&token.to_json().to_string()),
     );
-    world.run(2 * S, &[0, 1, 2]);
-    assert_eq!((world.owner(), world.grant().failures), (Some(1), 0));
-    // It has a long cooldown though it ranks first: after the next release another acquires.
-    world.put(&keys::exclusion(ROLE, "g1"), Some(""));
-    world.run(2 * S, &[0, 1, 2]);
-    assert_eq!(world.owner(), Some(2));
+    fixture.run(2 * S, &[0, 1, 2]);
+    assert_eq!((fixture.owner(), fixture.grant().failures), (Some(1), 0));
+    // The former owner has a long cooldown although it ranks first: a third gatherer acquires.
+    fixture.put(&keys::exclusion(ROLE, "g1"), Some(""));
+    fixture.run(2 * S, &[0, 1, 2]);
+    assert_eq!(fixture.owner(), Some(2));
 }
 
 #[test]
 fn parks_after_failed_owners_but_not_after_power_loss() {
-    let mut world = World::new(5);
-    let mut died = Vec::new();
-    // The first grant was made before the others observed the store: its owner's failure might
-    // be a power loss of all.
+    let mut fixture = Fixture::new(5);
+    let mut failed = Vec::new();
+    // The first grant predates the other gatherers' first observation, so the failure of its owner
+    // may be a power loss of the whole fleet and does not count.
     for _ in 0..4 {
-        let left: Vec<usize> = (0..5).filter(|at| !died.contains(at)).collect();
-        let mut waited = 0;
-        while world.owner().is_none_or(|owner| died.contains(&owner)) {
-            world.run(S / 20, &left);
-            waited += 1;
-            assert!(waited < 400);
+        let running: Vec<usize> = (0..5).filter(|at| !failed.contains(at)).collect();
+        let mut rounds = 0;
+        while fixture.owner().is_none_or(|owner| failed.contains(&owner)) {
+            fixture.run(S / 20, &running);
+            rounds += 1;
+            assert!(rounds < 400);
         }
-        died.push(world.owner().unwrap());
+        failed.push(fixture.owner().unwrap());
     }
-    let last: Vec<usize> = (0..5).filter(|at| !died.contains(at)).collect();
-    world.run(20 * S, &last);
-    let grant = world.grant();
+    let last: Vec<usize> = (0..5).filter(|at| !failed.contains(at)).collect();
+    fixture.run(20 * S, &last);
+    let grant = fixture.grant();
     assert_eq!(
-        (world.owner(), grant.owner.as_deref(), grant.failures),
+        (fixture.owner(), grant.owner.as_deref(), grant.failures),
         (None, None, 3)
     );
     assert!(
         grant
             .parked
-            .is_some_and(|why| why.contains("3 owners in a row died"))
+            .is_some_and(|reason| reason.contains("3 owners in a row died"))
     );
     // An operator unparks it.
-    world.put(
+    fixture.put(
         &keys::owner(ROLE),
         Some(&Grant::default().to_json().to_string()),
     );
-    world.run(CONFIG.stagger * 5, &last);
-    assert_eq!(world.owner(), Some(last[0]));
-    // All lose power repeatedly: none of them has observed another fail.
+    fixture.run(CONFIG.stagger * 5, &last);
+    assert_eq!(fixture.owner(), Some(last[0]));
+    // After repeated power losses of all gatherers none has observed a failure.
     for _ in 0..5 {
-        (0..5).for_each(|at| world.start(at));
-        world.run(CONFIG.takeover_delay() + CONFIG.stagger, &[0, 1, 2, 3, 4]);
-        assert!(world.owner().is_some());
+        (0..5).for_each(|at| fixture.start(at));
+        fixture.run(CONFIG.takeover_delay() + CONFIG.stagger, &[0, 1, 2, 3, 4]);
+        assert!(fixture.owner().is_some());
     }
-    assert_eq!(world.grant().failures, 0);
-    // A grant that cannot be read may have an owner.
-    world.put(&keys::owner(ROLE), Some("{\"own"));
-    world.run(20 * S, &[0, 1, 2, 3, 4]);
-    assert!(world.owner().is_none() && world.grant().parked.is_some());
+    assert_eq!(fixture.grant().failures, 0);
+    // A grant that cannot be parsed may have an owner, so the role counts as parked.
+    fixture.put(&keys::owner(ROLE), Some("{\"own"));
+    fixture.run(20 * S, &[0, 1, 2, 3, 4]);
+    assert!(fixture.owner().is_none() && fixture.grant().parked.is_some());
 }
 
 #[test]
 fn unknown_outcome_counts_for_nothing_until_observed() {
-    let mut world = World::new(1);
-    let now = world.now;
-    let (lease, session, _) = &mut world.all[0];
-    lease.observe(View::of(&world.state, ROLE, "g0"), now);
+    let mut fixture = Fixture::new(1);
+    let now = fixture.now;
+    let Member { lease, session, .. } = &mut fixture.gatherers[0];
+    lease.observe(View::of(&fixture.state, ROLE, "g0"), now);
     lease.set_rank(Some(0), 1, now);
-    let ask = lease.poll(now).expect("it takes it");
-    assert_eq!(lease.poll(now), None, "one thing at a time");
+    let request = lease.poll(now).expect("an acquisition");
+    assert_eq!(lease.poll(now), None, "one request in flight");
     let txn = Txn {
         session: *session,
         request: 1,
-        checks: ask.checks,
-        sets: ask.changes,
+        checks: request.checks,
+        sets: request.changes,
     };
-    world.apply(&Command::Txn(txn));
-    world.all[0].2 = 1;
-    world.now += S;
-    let now = world.now;
-    world.all[0].0.handle_response(Response::Unknown, now);
-    assert_eq!(world.owner(), None);
-    world.run(S / 2, &[0]);
-    assert_eq!(world.owner(), Some(0), "found in the store, and renewed");
-    // Renewals without responses: the lease expires in time, and resumes if nobody took over.
-    let token = world.all[0].0.valid_token(world.now);
-    world.now += CONFIG.duration;
-    assert_eq!(world.owner(), None);
-    world.run(S, &[0]);
-    assert_eq!(world.all[0].0.valid_token(world.now), token);
-    let events = world.all[0].0.take_events();
-    let lapsed = Event::Expired(token.unwrap());
+    fixture.apply(&Command::Txn(txn));
+    fixture.gatherers[0].requests = 1;
+    fixture.now += S;
+    let now = fixture.now;
+    fixture.gatherers[0]
+        .lease
+        .handle_response(Response::Unknown, now);
+    assert_eq!(fixture.owner(), None);
+    fixture.run(S / 2, &[0]);
+    assert_eq!(
+        fixture.owner(),
+        Some(0),
+        "the grant is found in the store and renewed"
+    );
+    // Without responses to renewals the lease expires, and resumes if no gatherer took over.
+    let token = fixture.gatherers[0].lease.valid_token(fixture.now);
+    fixture.now += CONFIG.duration;
+    assert_eq!(fixture.owner(), None);
+    fixture.run(S, &[0]);
+    assert_eq!(fixture.gatherers[0].lease.valid_token(fixture.now), token);
+    let events = fixture.gatherers[0].lease.take_events();
+    let expired = Event::Expired(token.unwrap());
     assert!(
-        events.contains(&lapsed) && events.contains(&Event::Resumed(token.unwrap())),
+        events.contains(&expired) && events.contains(&Event::Resumed(token.unwrap())),
         "{events:?}"
     );
 }
--- a/ownership/src/observer/tests.rs
+++ b/ownership/src/observer/tests.rs
@@ -23,7 +23,7 @@
     let mut observer = observer();
     observer.set_rank(3);
     assert_eq!(observer.observe_publication(token(5), 8), Ok(()));
-    // Renewed, but nothing heard of discovery: a sign of the owner's life, and no more.
+    // The owner is alive, but has not reached the discovery service: the list is not refreshed.
     observer.observe_renewal(token(5), 0, 12 * S);
     assert_eq!(
         (observer.is_fresh(13 * S), observer.is_fresh(14 * S)),
@@ -33,7 +33,7 @@
     observer.observe_renewal(token(5), 1, 16 * S);
     assert!(
         observer.is_fresh(17 * S - 1) && !observer.is_fresh(17 * S),
-        "the same word again says nothing"
+        "an unchanged count does not refresh the list"
     );
     assert_eq!(
         (
@@ -43,7 +43,7 @@
         (false, true)
     );
     observer.observe_renewal(token(5), 2, 19 * S);
-    assert!(!observer.should_poll(19 * S), "it goes back to following");
+    assert!(!observer.should_poll(19 * S), "a fresh list ends polling");
 }
 
 #[test]
@@ -62,12 +62,12 @@
     assert_eq!(
         observer.observe_publication(token(9), 9),
         Err(Rejected::StaleToken),
-        "the next one was heard of by its renewal"
+        "a renewal raised the token"
     );
     observer.observe_renewal(token(9), 7, 20 * S);
     assert!(
         !observer.is_fresh(15 * S),
-        "nor does it count as a sign of life"
+        "a stale renewal does not refresh the list"
     );
     assert_eq!(
         (
@@ -76,7 +76,7 @@
         ),
         (Ok(()), 2)
     );
-    // A store that was begun anew: its tokens are higher whatever its revisions.
+    // After a restore of the store tokens are higher, whatever their revisions.
     let later = Token {
         era: 2,
         revision: 1,
