--- a/bitternsill/benches/learned.rs
+++ b/bitternsill/benches/learned.rs
@@ -211,7 +211,7 @@
             (
                 uid.clone(),
                 HostStats {
-                    judged: host.judged - days,
+                    updated_at: host.updated_at - days,
                     ..host.clone()
                 },
             )
@@ -396,7 +396,7 @@
                         limit: memory.limit as f32,
                         errors: memory.errors as f32,
                         weight: memory.answers as f32,
-                        judged: now / 1_000_000,
+                        updated_at: now / 1_000_000,
                     };
                     snapshot
                         .hosts
@@ -445,7 +445,7 @@
         limit: 3.0,
         errors: 0.01,
         weight: 16.0,
-        judged: now_ms(),
+        updated_at: now_ms(),
     };
     let hosts = (0..MANY)
         .map(|n| (Arc::from(format!("host-{n:05}")), host(n)))
--- a/bitternsill/src/learned.rs
+++ b/bitternsill/src/learned.rs
@@ -214,7 +214,7 @@
                     limit: memory.limit as f32,
                     errors: memory.errors as f32,
                     weight: memory.answers as f32,
-                    judged: unix_millis(now),
+                    updated_at: unix_millis(now),
                 };
                 self.snapshot.hosts.insert(uid.clone(), host);
             }
--- a/bitternsill/src/learned/cli.rs
+++ b/bitternsill/src/learned/cli.rs
@@ -118,7 +118,7 @@
     json!({
         "host": uid, "started_ms": host.started, "slowness": host.slowness, "delay": host.delay,
         "limit": if host.limit < 1e6 { json!(host.limit) } else { Json::Null },
-        "errors": host.errors, "answers": host.weight, "judged_ms": host.judged,
+        "errors": host.errors, "answers": host.weight, "judged_ms": host.updated_at,
     })
 }
 
--- a/bitternsill/tests/learned.rs
+++ b/bitternsill/tests/learned.rs
@@ -256,7 +256,7 @@
     assert!(counts[0].load(Ordering::SeqCst) > 0);
 }
 
-fn memory(slowness: f32, judged: u64) -> HostStats {
+fn memory(slowness: f32, updated_at: u64) -> HostStats {
     HostStats {
         started: 0,
         slowness: vec![slowness; 3],
@@ -264,7 +264,7 @@
         limit: 3.0,
         errors: 0.0,
         weight: 16.0,
-        judged,
+        updated_at,
     }
 }
 
--- a/learning/src/age.rs
+++ b/learning/src/age.rs
@@ -229,7 +229,7 @@
         return Err(Reason::Restarted);
     }
     // Statistics from the future mean that the clock has jumped at an unknown time.
-    let age = now.checked_sub(host.judged).ok_or(Reason::Negligible)?;
+    let age = now.checked_sub(host.updated_at).ok_or(Reason::Negligible)?;
     let remaining_weight = remaining(age, config.host_half_life)
         * (f64::from(host.weight) / config.host_full_weight).clamp(0.0, 1.0);
     let is_valid = host
@@ -270,7 +270,7 @@
         ) as f32,
         errors: no_better(host.errors.min(1.0), 0.0),
         weight: (f64::from(host.weight) * remaining_weight) as f32,
-        judged: host.judged,
+        updated_at: host.updated_at,
     };
     let is_near_default = aged.slowness.iter().all(|s| *s < NEAR_DEFAULT_SLOWNESS)
         && aged.errors < NEAR_DEFAULT_ERRORS
--- a/learning/src/file.rs
+++ b/learning/src/file.rs
@@ -123,7 +123,7 @@
                 limit: f32::MAX,
                 errors: 0.0,
                 weight: h.answers as f32,
-                judged: h.judged_s.saturating_mul(1000),
+                updated_at: h.judged_s.saturating_mul(1000),
             };
             (Arc::from(h.uid), stats)
         };
@@ -198,7 +198,7 @@
         started: h.started,
         slowness: h.slowness.clone(),
         answers: h.weight as u32,
-        judged_s: h.judged / 1000,
+        judged_s: h.updated_at / 1000,
     };
     let body = BodyV1 {
         fleet: snapshot.fleet.clone(),
--- a/learning/src/snapshot.rs
+++ b/learning/src/snapshot.rs
@@ -44,7 +44,8 @@
     /// Number of answers in these statistics, where older ones count less.
     pub weight: f32,
     /// When these were last updated.
-    pub judged: UnixMillis,
+    #[serde(rename = "judged")]
+    pub updated_at: UnixMillis,
 }
 
 /// The deployment that a snapshot belongs to.
--- a/learning/tests/age.rs
+++ b/learning/tests/age.rs
@@ -35,7 +35,7 @@
         limit,
         errors,
         weight,
-        judged: TAKEN,
+        updated_at: TAKEN,
     }
 }
 
@@ -90,7 +90,7 @@
     let mut reborn = slow();
     reborn.started = 4;
     let mut ahead = slow();
-    ahead.judged = TAKEN + 900_000;
+    ahead.updated_at = TAKEN + 900_000;
     let mut odd = slow();
     odd.slowness = vec![f32::NAN];
     let mut short = slow();
--- a/learning/tests/file.rs
+++ b/learning/tests/file.rs
@@ -15,7 +15,7 @@
         limit: 2.0,
         errors: 0.125,
         weight: 16.0,
-        judged: 1_700_000_000_000,
+        updated_at: 1_700_000_000_000,
     }
 }
 
--- a/learning/tests/wire_format.rs
+++ b/learning/tests/wire_format.rs
@@ -19,7 +19,7 @@
         limit: 2.0,
         errors: 0.125,
         weight: 16.0,
-        judged: 1_700_000_000_000,
+        updated_at: 1_700_000_000_000,
     };
     let class = |name: &str| ClassStats {
         name: name.to_owned(),
