--- a/ownership/tests/model.rs
+++ b/ownership/tests/model.rs
@@ -3,38 +3,39 @@
 
 use stateright::{Checker, Model, Property};
 
-/// Steps of time that a lease holds, on its owner's clock; by how many steps two clocks can differ
-/// over that.
+/// The duration of a lease on its owner's clock, in time steps.
 const LEASE: u8 = 2;
+/// The maximum difference of two clocks over a lease, in time steps.
 const DRIFT: u8 = 1;
-/// Ages stop counting here: nothing tells older ones apart.
+/// Ages are capped here, as the protocol does not distinguish older ones.
 const MAX_AGE: u8 = LEASE + DRIFT;
-/// Grants and renewals that are looked at.
-const GRANTS: u8 = 2;
-const RENEWALS: u8 = 1;
+/// Maximum number of grants in the model.
+const MAX_GRANTS: u8 = 2;
+/// Maximum number of renewals of a grant in the model.
+const MAX_RENEWALS: u8 = 1;
 
-/// A part of the protocol that is left out, to show that the properties need it.
+/// A part of the protocol that is omitted, to show that the properties need it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ablation {
     None,
     /// Check and write of an effect are two steps.
     Fencing,
-    /// Tokens are counted in memory and start anew with each incarnation.
+    /// Tokens are counted in memory and restart with each incarnation.
     TokenFromRevision,
-    /// A lease counts from the response instead of the request.
+    /// A lease starts at the response instead of the request.
     LeaseFromSend,
     /// The takeover delay has no margin for clock drift.
     DriftMargin,
-    /// An acquisition does not check that no renewal was committed meanwhile.
+    /// An acquisition does not check that no renewal has been committed since.
     RenewalCheck,
-    /// An incarnation goes on with the lease of the one before it.
+    /// An incarnation inherits the lease of the previous one.
     Incarnation,
 }
 
 /// A request to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Request {
-    /// Takes the work, if grant and renewals are as they were observed.
+    /// Acquires the role, if grant and renewals are as observed.
     Acquire { grant: u8, renewals: u8 },
     /// Renews this grant.
     Renew { grant: u8 },
@@ -43,44 +44,48 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Gatherer {
     incarnation: u8,
-    /// What it has seen of the store, and how long ago that changed.
+    /// The grant and the number of renewals that it has observed.
     observed: (u8, u8),
+    /// The time since the observation changed.
     observed_age: u8,
-    /// The grant that it holds, and how long ago it asked what was answered.
+    /// The grant that it owns, and the age of the request that was committed last.
     lease: Option<(u8, u8)>,
-    /// What it has asked, how long ago, whether it has reached the store, and whether that took it.
+    /// The request in flight, its age, and, once the store has processed it, whether it was
+    /// committed.
     in_flight: Option<(Request, u8, Option<bool>)>,
-    /// An effect for which leave was given, by its token: it lands at any time.
+    /// The token of an effect that has a permit and may reach its target at any time.
     effect: Option<u8>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    /// The grant, whose it is (who, in which incarnation), and how often it was renewed.
+    /// The number of the grant.
     grant: u8,
+    /// The index and the incarnation of the owner.
     owner: Option<(usize, u8)>,
+    /// The number of renewals of the grant.
     renewals: u8,
-    all: [Gatherer; 2],
-    /// The token of the last effect that landed, and whether an older one landed behind it.
-    landed: u8,
-    stale_landed: bool,
-    /// By how much the first gatherer's clock is ahead of true time; the second's is behind by as
-    /// much.
+    gatherers: [Gatherer; 2],
+    /// The highest token of an accepted effect.
+    highest_token: u8,
+    /// Whether an effect of a former owner, or under a lower token, was accepted.
+    stale_accepted: bool,
+    /// How far the first gatherer's clock is ahead of the second's.
     clock_skew: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Action {
     Time,
-    /// Time passes for the slow clock only when it is due: this one it does not.
-    TimeForTheFast,
+    /// Time passes on the fast clock only.
+    TimeOnFastClock,
     Observe(usize),
     Send(usize),
     Commit(usize),
     Respond(usize),
     Lose(usize),
     Permit(usize),
-    Land(usize),
+    DeliverEffect(usize),
     Restart(usize),
 }
 
@@ -97,27 +102,27 @@
         }
     }
 
-    fn is_owner(one: &Gatherer) -> bool {
-        one.lease.is_some_and(|(_, age)| age < LEASE)
+    fn is_owner(gatherer: &Gatherer) -> bool {
+        gatherer.lease.is_some_and(|(_, age)| age < LEASE)
     }
 
-    /// The token that an owner writes by.
-    fn token(&self, one: &Gatherer, grant: u8) -> u8 {
+    /// The fencing token of an owner's effects.
+    fn token(&self, gatherer: &Gatherer, grant: u8) -> u8 {
         if self.ablation == Ablation::TokenFromRevision {
-            one.incarnation
+            gatherer.incarnation
         } else {
             grant
         }
     }
 
     fn next_request(state: &State, at: usize, takeover_delay: u8) -> Option<Request> {
-        let one = &state.all[at];
-        let (grant, renewals) = one.observed;
-        if let Some((held, _)) = one.lease.filter(|(held, _)| *held == grant) {
-            return (renewals < RENEWALS).then_some(Request::Renew { grant: held });
+        let gatherer = &state.gatherers[at];
+        let (grant, renewals) = gatherer.observed;
+        if let Some((held, _)) = gatherer.lease.filter(|(held, _)| *held == grant) {
+            return (renewals < MAX_RENEWALS).then_some(Request::Renew { grant: held });
         }
-        let free = grant == 0 || one.observed_age >= takeover_delay;
-        (free && grant < GRANTS).then_some(Request::Acquire { grant, renewals })
+        let may_acquire = grant == 0 || gatherer.observed_age >= takeover_delay;
+        (may_acquire && grant < MAX_GRANTS).then_some(Request::Acquire { grant, renewals })
     }
 }
 
@@ -126,7 +131,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let one = Gatherer {
+        let gatherer = Gatherer {
             incarnation: 1,
             observed: (0, 0),
             observed_age: 0,
@@ -134,14 +139,15 @@
             in_flight: None,
             effect: None,
         };
-        let (grant, owner, renewals, landed, stale_landed, clock_skew) = (0, None, 0, 0, false, 0);
+        let (grant, owner, renewals, highest_token, stale_accepted, clock_skew) =
+            (0, None, 0, 0, false, 0);
         vec![State {
             grant,
             owner,
             renewals,
-            all: [one; 2],
-            landed,
-            stale_landed,
+            gatherers: [gatherer; 2],
+            highest_token,
+            stale_accepted,
             clock_skew,
         }]
     }
@@ -149,13 +155,13 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.push(Action::Time);
         if state.clock_skew < DRIFT {
-            actions.push(Action::TimeForTheFast);
+            actions.push(Action::TimeOnFastClock);
         }
-        for (at, one) in state.all.iter().enumerate() {
-            if one.observed != (state.grant, state.renewals) {
+        for (at, gatherer) in state.gatherers.iter().enumerate() {
+            if gatherer.observed != (state.grant, state.renewals) {
                 actions.push(Action::Observe(at));
             }
-            match one.in_flight {
+            match gatherer.in_flight {
                 None if LeaseProtocol::next_request(state, at, self.takeover_delay()).is_some() => {
                     actions.push(Action::Send(at))
                 }
@@ -163,13 +169,13 @@
                 Some((.., None)) => actions.extend([Action::Commit(at), Action::Lose(at)]),
                 Some((.., Some(_))) => actions.extend([Action::Respond(at), Action::Lose(at)]),
             }
-            if one.effect.is_none() && LeaseProtocol::is_owner(one) {
+            if gatherer.effect.is_none() && LeaseProtocol::is_owner(gatherer) {
                 actions.push(Action::Permit(at));
             }
-            if one.effect.is_some() {
-                actions.push(Action::Land(at));
+            if gatherer.effect.is_some() {
+                actions.push(Action::DeliverEffect(at));
             }
-            if at == 0 && one.incarnation < 2 && one.lease.is_some() {
+            if at == 0 && gatherer.incarnation < 2 && gatherer.lease.is_some() {
                 actions.push(Action::Restart(at));
             }
         }
@@ -178,115 +184,115 @@
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         let older = |age: u8| (age + 1).min(MAX_AGE);
-        // Expired leases and responses that came too late are dropped from the state.
-        let pass = |one: &mut Gatherer| {
-            one.observed_age = older(one.observed_age);
-            one.lease = one
+        // Expired leases are dropped from the state, and the age of requests is capped at LEASE.
+        let advance = |gatherer: &mut Gatherer| {
+            gatherer.observed_age = older(gatherer.observed_age);
+            gatherer.lease = gatherer
                 .lease
                 .map(|(grant, age)| (grant, age + 1))
                 .filter(|(_, age)| *age < LEASE);
-            one.in_flight = one
+            gatherer.in_flight = gatherer
                 .in_flight
-                .map(|(ask, age, reached)| (ask, (age + 1).min(LEASE), reached));
+                .map(|(request, age, committed)| (request, (age + 1).min(LEASE), committed));
         };
         match action {
-            Action::Time => next.all.iter_mut().for_each(pass),
-            Action::TimeForTheFast => {
+            Action::Time => next.gatherers.iter_mut().for_each(advance),
+            Action::TimeOnFastClock => {
                 // The first gatherer's clock runs fast, within the drift allowed over a lease.
-                pass(&mut next.all[0]);
+                advance(&mut next.gatherers[0]);
                 next.clock_skew += 1;
             }
             Action::Observe(at) => {
-                let one = &mut next.all[at];
-                (one.observed, one.observed_age) = ((state.grant, state.renewals), 0);
-                one.lease = one.lease.filter(|(held, _)| *held == state.grant);
+                let gatherer = &mut next.gatherers[at];
+                (gatherer.observed, gatherer.observed_age) = ((state.grant, state.renewals), 0);
+                gatherer.lease = gatherer.lease.filter(|(held, _)| *held == state.grant);
             }
             Action::Send(at) => {
-                let ask = LeaseProtocol::next_request(state, at, self.takeover_delay())?;
-                next.all[at].in_flight = Some((ask, 0, None));
+                let request = LeaseProtocol::next_request(state, at, self.takeover_delay())?;
+                next.gatherers[at].in_flight = Some((request, 0, None));
             }
             Action::Commit(at) => {
-                let one = &mut next.all[at];
-                let (ask, age, _) = one.in_flight?;
-                let made = match ask {
+                let gatherer = &mut next.gatherers[at];
+                let (request, age, _) = gatherer.in_flight?;
+                let committed = match request {
                     Request::Acquire { grant, renewals } => {
-                        let as_seen = (grant, renewals) == (state.grant, state.renewals);
-                        as_seen || self.ablation == Ablation::RenewalCheck && grant == state.grant
+                        let unchanged = (grant, renewals) == (state.grant, state.renewals);
+                        unchanged || self.ablation == Ablation::RenewalCheck && grant == state.grant
                     }
                     Request::Renew { grant } => grant == state.grant,
                 };
-                one.in_flight = Some((ask, age, Some(made)));
-                if !made {
-                    one.in_flight = None;
+                gatherer.in_flight = Some((request, age, Some(committed)));
+                if !committed {
+                    gatherer.in_flight = None;
                 }
-                let incarnation = one.incarnation;
-                match ask {
-                    Request::Acquire { .. } if made => {
+                let incarnation = gatherer.incarnation;
+                match request {
+                    Request::Acquire { .. } if committed => {
                         (next.grant, next.owner, next.renewals) =
                             (state.grant + 1, Some((at, incarnation)), 0);
                     }
-                    Request::Renew { .. } if made => next.renewals += 1,
+                    Request::Renew { .. } if committed => next.renewals += 1,
                     _ => {}
                 }
             }
             Action::Respond(at) => {
-                let one = &mut next.all[at];
-                let (ask, age, made) = one.in_flight.take()?;
+                let gatherer = &mut next.gatherers[at];
+                let (request, age, committed) = gatherer.in_flight.take()?;
                 let age = if self.ablation == Ablation::LeaseFromSend {
                     0
                 } else {
                     age
                 };
                 // The member that responds has applied the transaction.
-                if made == Some(true) {
-                    let grant = match ask {
+                if committed == Some(true) {
+                    let grant = match request {
                         Request::Acquire { grant, .. } => grant + 1,
                         Request::Renew { grant } => grant,
                     };
                     if grant == state.grant && age < LEASE {
-                        one.lease = Some((grant, age));
+                        gatherer.lease = Some((grant, age));
                     }
                 }
-                if one.observed != (state.grant, state.renewals) {
-                    (one.observed, one.observed_age) = ((state.grant, state.renewals), 0);
+                if gatherer.observed != (state.grant, state.renewals) {
+                    (gatherer.observed, gatherer.observed_age) = ((state.grant, state.renewals), 0);
                 }
             }
-            Action::Lose(at) => next.all[at].in_flight = None,
+            Action::Lose(at) => next.gatherers[at].in_flight = None,
             Action::Permit(at) => {
-                let one = next.all[at];
-                let (grant, _) = one.lease?;
-                next.all[at].effect = Some(self.token(&one, grant));
-                // Without fencing the owner is checked now, and the effect is written later.
+                let gatherer = next.gatherers[at];
+                let (grant, _) = gatherer.lease?;
+                next.gatherers[at].effect = Some(self.token(&gatherer, grant));
+                // Without fencing the owner checks the grant now, and the effect is written later.
                 if self.ablation == Ablation::Fencing && grant != state.grant {
-                    next.all[at].effect = None;
+                    next.gatherers[at].effect = None;
                 }
             }
-            Action::Land(at) => {
-                let token = next.all[at].effect.take()?;
-                let fenced = match self.ablation {
+            Action::DeliverEffect(at) => {
+                let token = next.gatherers[at].effect.take()?;
+                let accepted = match self.ablation {
                     Ablation::Fencing => true,
-                    // A store that can only compare with the highest token that it has seen.
-                    Ablation::TokenFromRevision => token >= state.landed,
+                    // Stands for a store that compares with the highest token that it has seen.
+                    Ablation::TokenFromRevision => token >= state.highest_token,
                     _ => token == state.grant,
                 };
-                if fenced {
-                    let by_grant = state.owner.is_some_and(|(owner, incarnation)| {
-                        owner == at && incarnation == next.all[at].incarnation
+                if accepted {
+                    let by_owner = state.owner.is_some_and(|(owner, incarnation)| {
+                        owner == at && incarnation == next.gatherers[at].incarnation
                     });
-                    next.stale_landed |= !by_grant || token < state.landed;
-                    next.landed = next.landed.max(token);
+                    next.stale_accepted |= !by_owner || token < state.highest_token;
+                    next.highest_token = next.highest_token.max(token);
                 }
             }
             Action::Restart(at) => {
-                let one = &mut next.all[at];
-                one.incarnation += 1;
-                (one.in_flight, one.effect) = (None, None);
-                (one.observed, one.observed_age) = ((state.grant, state.renewals), 0);
+                let gatherer = &mut next.gatherers[at];
+                gatherer.incarnation += 1;
+                (gatherer.in_flight, gatherer.effect) = (None, None);
+                (gatherer.observed, gatherer.observed_age) = ((state.grant, state.renewals), 0);
                 if self.ablation == Ablation::Incarnation {
-                    // It resumes the lease of its former incarnation, with a new expiry.
-                    one.lease = one.lease.map(|(grant, _)| (grant, 0));
+                    // The incarnation resumes the lease of the previous one, with a new expiry.
+                    gatherer.lease = gatherer.lease.map(|(grant, _)| (grant, 0));
                 } else {
-                    one.lease = None;
+                    gatherer.lease = None;
                 }
             }
         }
@@ -295,27 +301,28 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never two owners", |_: &LeaseProtocol, state: &State| {
+            Property::always("at most one owner", |_: &LeaseProtocol, state: &State| {
                 state
-                    .all
+                    .gatherers
                     .iter()
-                    .filter(|one| LeaseProtocol::is_owner(one))
+                    .filter(|gatherer| LeaseProtocol::is_owner(gatherer))
                     .count()
                     <= 1
             }),
             Property::always(
-                "nothing lands under an old token",
-                |_: &LeaseProtocol, state: &State| !state.stale_landed,
+                "no effect is accepted under a stale token",
+                |_: &LeaseProtocol, state: &State| !state.stale_accepted,
             ),
             Property::sometimes(
-                "the work changes hands",
-                |_: &LeaseProtocol, state: &State| state.grant >= 2 && state.landed >= 2,
+                "the role changes owners",
+                |_: &LeaseProtocol, state: &State| state.grant >= 2 && state.highest_token >= 2,
             ),
         ]
     }
 }
 
-/// Checks as far as this many steps from the begin, or to the end.
+/// Checks all states within `depth` steps from the initial state, or all reachable states. Returns
+/// the number of states and the violated properties.
 fn check(ablation: Ablation, depth: Option<usize>) -> (usize, Vec<&'static str>) {
     let checker = LeaseProtocol { ablation }.checker().threads(2);
     let checker = match depth {
@@ -323,18 +330,21 @@
         None => checker,
     };
     let checker = checker.spawn_bfs().join();
-    let broken = ["never two owners", "nothing lands under an old token"];
-    let broken = broken
+    let properties = [
+        "at most one owner",
+        "no effect is accepted under a stale token",
+    ];
+    let violated = properties
         .into_iter()
         .filter(|name| checker.discovery(name).is_some())
         .collect();
     if ablation == Ablation::None {
-        assert!(checker.discovery("the work changes hands").is_some());
+        assert!(checker.discovery("the role changes owners").is_some());
     }
-    (checker.unique_state_count(), broken)
+    (checker.unique_state_count(), violated)
 }
 
-/// `OWNERSHIP_MODEL=all` goes to the end, which takes minutes.
+/// `OWNERSHIP_MODEL=all` checks all reachable states, which takes minutes.
 #[test]
 fn holds_and_needs_each_part() {
     let depth = if std::env::var_os("OWNERSHIP_MODEL").is_some() {
@@ -342,9 +352,9 @@
     } else {
         Some(18)
     };
-    let (states, broken) = check(Ablation::None, depth);
-    println!("two gatherers: {states} states, kept");
-    assert_eq!(broken, Vec::<&str>::new());
+    let (states, violated) = check(Ablation::None, depth);
+    println!("two gatherers: {states} states, no violation");
+    assert_eq!(violated, Vec::<&str>::new());
     for ablation in [
         Ablation::Fencing,
         Ablation::TokenFromRevision,
@@ -353,8 +363,8 @@
         Ablation::RenewalCheck,
         Ablation::Incarnation,
     ] {
-        let (states, broken) = check(ablation, depth);
-        println!("without {ablation:?}: {states} states, broken: {broken:?}");
-        assert!(!broken.is_empty(), "without {ablation:?} nothing breaks");
+        let (states, violated) = check(ablation, depth);
+        println!("without {ablation:?}: {states} states, violated: {violated:?}");
+        assert!(!violated.is_empty(), "no violation without {ablation:?}");
     }
 }
--- a/ownership/tests/simulation.rs
+++ b/ownership/tests/simulation.rs
@@ -1,6 +1,6 @@
 //! Simulation of gatherers and a store with clock drift, process suspensions, network partitions,
 //! power losses and restored backups; deterministic by seed. `OWNERSHIP_SEEDS=10000 cargo test
-//! --release -p bitternsill-ownership --test simulation -- --nocapture` runs that many.
+//! --release -p bitternsill-ownership --test simulation -- --nocapture` runs that many seeds.
 
 use ownership::lease::{Config, Event, Lease, Request, Response, View};
 use ownership::role::{Role, Target};
@@ -19,15 +19,15 @@
     sessions: 500,
 };
 
-/// A part of the protocol that is left out, to show that the simulation notices.
+/// A part of the protocol that is omitted, to show that the simulation detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ablation {
     None,
-    /// An acquisition does not check that no renewal was committed meanwhile.
+    /// An acquisition does not check that no renewal has been committed since.
     RenewalCheck,
-    /// Fencing check and write are not one transaction.
+    /// Fencing check and write are not in one transaction.
     Fencing,
-    /// A lease counts from the response instead of the request.
+    /// A lease starts at the response instead of the request.
     LeaseFromSend,
     /// The takeover delay has no margin for clock drift.
     DriftMargin,
@@ -38,11 +38,12 @@
 }
 
 /// A command in flight to the store.
-struct Sent {
-    at: Time,
+struct InFlight {
+    arrives_at: Time,
     command: Command,
 }
 
+/// A request without a response yet, and its time-out.
 struct Awaited {
     request: u64,
     until: Time,
@@ -52,9 +53,10 @@
     name: String,
     incarnation: u64,
     lease: Lease,
-    /// This gatherer's clock: how it runs, and what it shows at a true time.
+    /// The rate of this gatherer's clock relative to true time, and its reading at true time 0.
     rate: f64,
     offset: Time,
+    /// This member's copy of the store, and the number of commands applied to it.
     state: State,
     applied: usize,
     session: u64,
@@ -63,10 +65,11 @@
     up: bool,
     suspended_until: Time,
     partitioned: bool,
-    /// An effect whose permit was issued right before the process was suspended: it lands when
-    /// the process resumes.
+    /// An effect that has a permit: token, fencing check, and whether it is outside the store. The
+    /// process may be suspended before it makes the effect.
     pending_effect: Option<(Token, Check, bool)>,
-    lag: Time,
+    /// How long after its commit a command is applied here.
+    replication_lag: Time,
 }
 
 impl Gatherer {
@@ -75,74 +78,79 @@
     }
 }
 
-struct World {
+struct Simulation {
     rng: fastrand::Rng,
     ablation: Ablation,
     now: Time,
-    /// How far clocks run apart, in parts of a thousand.
+    /// The maximum drift of a clock, per mille.
     drift: u64,
-    /// Whether anything goes wrong.
+    /// Whether faults are injected.
     faults: bool,
     log: Vec<(Time, Command)>,
-    /// The truth: everything of the log applied.
-    truth: State,
-    in_flight: Vec<Sent>,
-    all: Vec<Gatherer>,
+    /// The state after all commands of the log.
+    committed: State,
+    in_flight: Vec<InFlight>,
+    gatherers: Vec<Gatherer>,
     incarnations: u64,
-    /// Effects in the store, by the token that they were made under, in order; and those outside,
-    /// each with whether it was late.
-    fenced: Vec<Token>,
-    outside: u64,
-    late: u64,
-    owned: u64,
+    /// The tokens of the effects in the store, in order.
+    store_effects: Vec<Token>,
+    /// The number of effects outside the store, and of the late ones among them.
+    outside_effects: u64,
+    late_effects: u64,
+    /// The number of acquisitions.
+    acquisitions: u64,
     backup: Option<State>,
-    /// Who is held to own the work by which token, as they say so.
+    /// The session of the gatherer that reported the acquisition of each token.
     tokens: BTreeMap<Token, u64>,
-    /// How often a process was suspended between a permit and its effect.
+    /// The number of suspensions between a permit and its effect.
     suspensions: u64,
 }
 
-impl World {
-    fn new(seed: u64, ablation: Ablation) -> World {
+impl Simulation {
+    fn new(seed: u64, ablation: Ablation) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (count, drift) = (rng.usize(3..=6), [50, 200][rng.usize(0..2)]);
-        let namesakes = rng.u8(0..4) == 0;
-        let mut world = World {
+        let has_duplicate_name = rng.u8(0..4) == 0;
+        let mut simulation = Simulation {
             ablation,
             drift,
             now: 0,
             faults: true,
             log: Vec::new(),
-            truth: State::default(),
+            committed: State::default(),
             in_flight: Vec::new(),
-            all: Vec::new(),
+            gatherers: Vec::new(),
             incarnations: 0,
-            fenced: Vec::new(),
-            outside: 0,
-            late: 0,
-            owned: 0,
+            store_effects: Vec::new(),
+            outside_effects: 0,
+            late_effects: 0,
+            acquisitions: 0,
             backup: None,
             tokens: BTreeMap::new(),
             suspensions: 0,
             rng,
         };
-        world.append(Command::Put(Change {
+        simulation.append(Command::Put(Change {
             key: keys::ERA.to_owned(),
             value: Some("1".to_owned()),
         }));
         for at in 0..count {
-            // As far apart as the configuration allows.
-            let apart = drift as f64 / 1_000.0;
-            let between = 1.0 - apart + 2.0 * apart * world.rng.f64();
-            let rate = [1.0 - apart, 1.0 + apart, between][world.rng.usize(0..3)];
-            // Two processes of one gatherer, as in an upgrade.
-            let number = if namesakes && at + 1 == count { 0 } else { at };
+            // Often as far apart as the configuration allows.
+            let max_drift = drift as f64 / 1_000.0;
+            let between = 1.0 - max_drift + 2.0 * max_drift * simulation.rng.f64();
+            let rate = [1.0 - max_drift, 1.0 + max_drift, between][simulation.rng.usize(0..3)];
+            // Two processes of one gatherer, as during an upgrade.
+            let number = if has_duplicate_name && at + 1 == count {
+                0
+            } else {
+                at
+            };
             let gatherer = Gatherer {
                 name: format!("g{number}"),
                 incarnation: 0,
-                lease: Lease::new(ROLE, world.config(), "", 0, 0),
+                lease: Lease::new(ROLE, simulation.config(), "", 0, 0),
                 rate,
-                offset: world.rng.u64(0..1 << 40),
+                offset: simulation.rng.u64(0..1 << 40),
                 state: State::default(),
                 applied: 0,
                 session: 0,
@@ -152,12 +160,12 @@
                 suspended_until: 0,
                 partitioned: false,
                 pending_effect: None,
-                lag: world.rng.u64(0..30) * MS,
+                replication_lag: simulation.rng.u64(0..30) * MS,
             };
-            world.all.push(gatherer);
-            world.start(at);
+            simulation.gatherers.push(gatherer);
+            simulation.start(at);
         }
-        world
+        simulation
     }
 
     fn config(&self) -> Config {
@@ -177,12 +185,12 @@
     fn append(&mut self, command: Command) {
         self.log.push((self.now, command.clone()));
         let revision = self.log.len() as u64;
-        let (changes, _) = self.truth.apply(revision, &command, CAPACITY);
-        // Every effect carries the token under which it was made.
+        let (changes, _) = self.committed.apply(revision, &command, CAPACITY);
+        // The value of an effect has the token under which it was made.
         for change in changes.iter().filter(|change| change.key == "effect") {
             let json: serde_json::Value =
                 serde_json::from_str(change.value.as_deref().unwrap()).unwrap();
-            self.fenced.push(Token::from_json(&json[0]).unwrap());
+            self.store_effects.push(Token::from_json(&json[0]).unwrap());
         }
     }
 
@@ -191,45 +199,50 @@
         let nonce = self.incarnations;
         self.append(Command::Open(nonce));
         let (session, config) = (self.log.len() as u64, self.config());
-        let one = &mut self.all[at];
-        one.incarnation = if self.ablation == Ablation::Incarnation {
+        let gatherer = &mut self.gatherers[at];
+        gatherer.incarnation = if self.ablation == Ablation::Incarnation {
             1
         } else {
             nonce
         };
-        let now = one.clock(self.now);
-        one.lease = Lease::new(ROLE, config, &one.name, one.incarnation, now);
-        (one.session, one.requests, one.awaited, one.pending_effect) = (session, 0, None, None);
-        (one.up, one.suspended_until) = (true, 0);
+        let now = gatherer.clock(self.now);
+        gatherer.lease = Lease::new(ROLE, config, &gatherer.name, gatherer.incarnation, now);
+        (
+            gatherer.session,
+            gatherer.requests,
+            gatherer.awaited,
+            gatherer.pending_effect,
+        ) = (session, 0, None, None);
+        (gatherer.up, gatherer.suspended_until) = (true, 0);
     }
 
     /// Sends a transaction; it may be lost or delayed.
-    fn send(&mut self, at: usize, ask: Request, awaited: bool) {
-        let late = self.faults && self.rng.u8(0..20) == 0;
-        let delay = if late {
+    fn send(&mut self, at: usize, request: Request, awaited: bool) {
+        let is_delayed = self.faults && self.rng.u8(0..20) == 0;
+        let delay = if is_delayed {
             self.rng.u64(0..2_000)
         } else {
             self.rng.u64(1..40)
         } * MS;
         let lost = self.faults && self.rng.u8(0..25) == 0;
-        let one = &mut self.all[at];
-        one.requests += 1;
-        let request = one.requests;
+        let gatherer = &mut self.gatherers[at];
+        gatherer.requests += 1;
+        let number = gatherer.requests;
         let txn = Txn {
-            session: one.session,
-            request,
-            checks: ask.checks,
-            sets: ask.changes,
+            session: gatherer.session,
+            request: number,
+            checks: request.checks,
+            sets: request.changes,
         };
         if awaited {
-            one.awaited = Some(Awaited {
-                request,
-                until: one.clock(self.now) + LEASE / 4,
+            gatherer.awaited = Some(Awaited {
+                request: number,
+                until: gatherer.clock(self.now) + LEASE / 4,
             });
         }
-        if !lost && !one.partitioned {
-            self.in_flight.push(Sent {
-                at: self.now + delay,
+        if !lost && !gatherer.partitioned {
+            self.in_flight.push(InFlight {
+                arrives_at: self.now + delay,
                 command: Command::Txn(txn),
             });
         }
@@ -238,125 +251,137 @@
     /// Applies committed commands at a member and delivers the responses.
     fn receive(&mut self, at: usize) {
         let (now, log) = (self.now, &self.log);
-        let one = &mut self.all[at];
-        if one.partitioned {
+        let gatherer = &mut self.gatherers[at];
+        if gatherer.partitioned {
             return;
         }
-        let mut answers = Vec::new();
-        while one.applied < log.len() && log[one.applied].0 + one.lag <= now {
-            let (_, command) = &log[one.applied];
-            one.applied += 1;
-            let (_, done) = one.state.apply(one.applied as u64, command, CAPACITY);
+        let mut responses = Vec::new();
+        while gatherer.applied < log.len()
+            && log[gatherer.applied].0 + gatherer.replication_lag <= now
+        {
+            let (_, command) = &log[gatherer.applied];
+            gatherer.applied += 1;
+            let (_, completion) = gatherer
+                .state
+                .apply(gatherer.applied as u64, command, CAPACITY);
             if let Some(Completion::Txn {
                 session,
                 request,
                 outcome,
-            }) = done
-                && session == one.session
-                && one
+            }) = completion
+                && session == gatherer.session
+                && gatherer
                     .awaited
                     .as_ref()
                     .is_some_and(|awaited| awaited.request == request)
             {
-                one.awaited = None;
-                answers.push(match outcome {
+                gatherer.awaited = None;
+                responses.push(match outcome {
                     Outcome::Applied(revision) => Response::Committed(revision),
                     Outcome::Rejected(_) => Response::Rejected,
                 });
             }
         }
-        let clock = one.clock(now);
-        let view = View::of(&one.state, ROLE, &one.name);
-        one.lease.observe(view, clock);
-        answers
+        let clock = gatherer.clock(now);
+        let view = View::of(&gatherer.state, ROLE, &gatherer.name);
+        gatherer.lease.observe(view, clock);
+        responses
             .into_iter()
-            .for_each(|answer| one.lease.handle_response(answer, clock));
+            .for_each(|response| gatherer.lease.handle_response(response, clock));
     }
 
     fn step(&mut self, at: usize) {
         self.receive(at);
         let now = self.now;
-        let one = &mut self.all[at];
-        let clock = one.clock(now);
-        if one
+        let gatherer = &mut self.gatherers[at];
+        let clock = gatherer.clock(now);
+        if gatherer
             .awaited
             .take_if(|awaited| awaited.until <= clock)
             .is_some()
         {
-            one.lease.handle_response(Response::Unknown, clock);
+            gatherer.lease.handle_response(Response::Unknown, clock);
         }
-        let candidates: BTreeMap<String, f64> = (0..self.all.len())
+        let candidates: BTreeMap<String, f64> = (0..self.gatherers.len())
             .map(|n| (format!("g{n}"), 1.0))
             .collect();
         let order = election::rank(ROLE, &candidates);
-        let one = &mut self.all[at];
-        let rank = order.iter().position(|name| *name == one.name);
-        one.lease.set_rank(rank, order.len(), clock);
-        // Counted from the response, a lease would be longer by the round trip.
-        let asked = if self.ablation == Ablation::LeaseFromSend {
+        let gatherer = &mut self.gatherers[at];
+        let rank = order.iter().position(|name| *name == gatherer.name);
+        gatherer.lease.set_rank(rank, order.len(), clock);
+        // Stands for a lease that starts at the response: longer by the round trip.
+        let sent_at = if self.ablation == Ablation::LeaseFromSend {
             clock + LEASE / 4
         } else {
             clock
         };
-        if let Some(mut ask) = one.lease.poll(asked) {
+        if let Some(mut request) = gatherer.lease.poll(sent_at) {
             if self.ablation == Ablation::RenewalCheck {
-                ask.checks.retain(|check| check.key != keys::renewal(ROLE));
+                request
+                    .checks
+                    .retain(|check| check.key != keys::renewal(ROLE));
             }
-            self.send(at, ask, true);
+            self.send(at, request, true);
         }
-        let one = &mut self.all[at];
-        for event in one.lease.take_events() {
+        let gatherer = &mut self.gatherers[at];
+        for event in gatherer.lease.take_events() {
             if let Event::Acquired(token, _) = event {
-                self.owned += 1;
-                let known = self.tokens.insert(token, one.session);
+                self.acquisitions += 1;
+                let known = self.tokens.insert(token, gatherer.session);
                 assert!(
-                    known.is_none_or(|who| who == one.session),
-                    "one token, two owners: {token}"
+                    known.is_none_or(|session| session == gatherer.session),
+                    "two owners with the same token: {token}"
                 );
             }
         }
         // A permit is requested right before an effect; the process may be suspended right after.
-        if one.pending_effect.is_none() && self.rng.u8(0..10) == 0 {
+        if gatherer.pending_effect.is_none() && self.rng.u8(0..10) == 0 {
             let outside = self.rng.bool();
             let target = if outside {
                 Target::IndexHosts
             } else {
                 Target::Store
             };
-            let clock = one.clock(self.now);
-            if let Some(permit) = one.lease.permit(target, clock) {
-                one.pending_effect =
-                    Some((permit.token(), one.lease.fencing_check(&permit), outside));
+            let clock = gatherer.clock(self.now);
+            if let Some(permit) = gatherer.lease.permit(target, clock) {
+                gatherer.pending_effect = Some((
+                    permit.token(),
+                    gatherer.lease.fencing_check(&permit),
+                    outside,
+                ));
                 if self.faults && self.rng.u8(0..12) == 0 {
                     self.suspensions += 1;
-                    one.suspended_until = self.now + self.rng.u64(100..5_000) * MS;
+                    gatherer.suspended_until = self.now + self.rng.u64(100..5_000) * MS;
                     return;
                 }
             }
         }
-        self.land(at);
+        self.make_pending_effect(at);
     }
 
-    /// An effect whose permit was issued lands.
-    fn land(&mut self, at: usize) {
-        let Some((token, fence, outside)) = self.all[at].pending_effect.take() else {
+    /// Makes the effect whose permit was issued.
+    fn make_pending_effect(&mut self, at: usize) {
+        let Some((token, fence, outside)) = self.gatherers[at].pending_effect.take() else {
             return;
         };
         if outside {
-            self.outside += 1;
-            self.late += u64::from(
-                self.all[at].lease.valid_token(self.all[at].clock(self.now)) != Some(token),
+            self.outside_effects += 1;
+            self.late_effects += u64::from(
+                self.gatherers[at]
+                    .lease
+                    .valid_token(self.gatherers[at].clock(self.now))
+                    != Some(token),
             );
             return;
         }
-        // Without fencing an owner checks first, and then writes.
+        // Without fencing an owner checks its own copy of the store first, and writes later.
         let Expects::At(revision) = fence.expects else {
-            panic!("a fence is a revision")
+            panic!("a fencing check expects a revision")
         };
-        let looks = self.all[at]
+        let seems_owner = self.gatherers[at]
             .state
             .versioned(&fence.key)
-            .is_some_and(|held| held.revision == revision);
+            .is_some_and(|entry| entry.revision == revision);
         let value = Some(serde_json::json!([token.to_json(), self.now]).to_string());
         let sets = vec![Change {
             key: "effect".to_owned(),
@@ -367,7 +392,7 @@
         } else {
             vec![fence]
         };
-        if self.ablation != Ablation::Fencing || looks {
+        if self.ablation != Ablation::Fencing || seems_owner {
             self.send(
                 at,
                 Request {
@@ -380,13 +405,14 @@
     }
 
     fn owners(&self) -> Vec<(usize, Token)> {
-        let holds =
-            |(at, one): (usize, &Gatherer)| Some((at, one.lease.valid_token(one.clock(self.now))?));
-        self.all
+        let valid_token = |(at, gatherer): (usize, &Gatherer)| {
+            Some((at, gatherer.lease.valid_token(gatherer.clock(self.now))?))
+        };
+        self.gatherers
             .iter()
             .enumerate()
-            .filter(|(_, one)| one.up)
-            .filter_map(holds)
+            .filter(|(_, gatherer)| gatherer.up)
+            .filter_map(valid_token)
             .collect()
     }
 
@@ -394,29 +420,30 @@
     fn tick(&mut self) {
         self.now += TICK;
         let now = self.now;
-        let (due, later): (Vec<Sent>, Vec<Sent>) = std::mem::take(&mut self.in_flight)
+        let (due, later): (Vec<InFlight>, Vec<InFlight>) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|sent| sent.at <= now);
+            .partition(|message| message.arrives_at <= now);
         self.in_flight = later;
-        due.into_iter().for_each(|sent| self.append(sent.command));
+        due.into_iter()
+            .for_each(|message| self.append(message.command));
         if self.faults {
             self.inject_fault();
         }
-        for at in 0..self.all.len() {
-            let one = &self.all[at];
-            if one.up && one.suspended_until <= now {
+        for at in 0..self.gatherers.len() {
+            let gatherer = &self.gatherers[at];
+            if gatherer.up && gatherer.suspended_until <= now {
                 self.step(at);
             }
         }
         let owners = self.owners();
         assert!(
             owners.len() <= 1,
-            "two owners at one time: {owners:?} at {} ms",
+            "two owners at the same time: {owners:?} at {} ms",
             now / MS
         );
         assert!(
-            self.fenced.windows(2).all(|two| two[0] <= two[1]),
-            "an effect under an old token landed"
+            self.store_effects.windows(2).all(|pair| pair[0] <= pair[1]),
+            "the store accepted an effect under a stale token"
         );
     }
 
@@ -424,40 +451,44 @@
         if self.rng.u16(0..60) != 0 {
             return;
         }
-        let at = self.rng.usize(0..self.all.len());
+        let at = self.rng.usize(0..self.gatherers.len());
         let owner = self.owners().first().map_or(at, |(at, _)| *at);
         match self.rng.u8(0..14) {
             0..=3 => {
-                // The owner is struck more often than others.
+                // Owners are suspended more often than others.
                 let at = if self.rng.bool() { owner } else { at };
-                self.all[at].suspended_until = self.now + self.rng.u64(100..4_000) * MS;
+                self.gatherers[at].suspended_until = self.now + self.rng.u64(100..4_000) * MS;
             }
-            4..=6 => self.all[at].partitioned = true,
-            7 | 8 => self.all.iter_mut().for_each(|one| one.partitioned = false),
-            9 => self.all[owner].up = false,
+            4..=6 => self.gatherers[at].partitioned = true,
+            7 | 8 => self
+                .gatherers
+                .iter_mut()
+                .for_each(|gatherer| gatherer.partitioned = false),
+            9 => self.gatherers[owner].up = false,
             10 | 11 => {
-                for at in 0..self.all.len() {
-                    if !self.all[at].up {
+                for at in 0..self.gatherers.len() {
+                    if !self.gatherers[at].up {
                         self.start(at);
                     }
                 }
             }
             12 if self.rng.u8(0..3) == 0 => {
-                // All lose power.
-                (0..self.all.len()).for_each(|at| self.start(at));
+                // All gatherers lose power.
+                (0..self.gatherers.len()).for_each(|at| self.start(at));
             }
             13 if self.rng.u8(0..3) == 0 => match self.backup.take() {
-                None => self.backup = Some(self.truth.clone()),
+                None => self.backup = Some(self.committed.clone()),
                 Some(state) => self.restore(state),
             },
             _ => {}
         }
     }
 
-    /// The store is lost and restored from a backup at every member. What was in flight is lost.
+    /// Restores the store from a backup at every member. Messages in flight are lost.
     fn restore(&mut self, mut state: State) {
         let era: u64 = state.get(keys::ERA).unwrap().parse().unwrap();
-        // The operator's clock is part of the era, so that two restores of one backup differ.
+        // The operator's clock is part of the era, so that two restores of one backup get different
+        // eras.
         let era = if self.ablation == Ablation::Era {
             era
         } else {
@@ -468,94 +499,92 @@
             value: Some(era.to_string()),
         };
         state.apply(self.log.len() as u64, &Command::Put(change), CAPACITY);
-        self.truth = state.clone();
+        self.committed = state.clone();
         self.in_flight.clear();
         // Revisions continue from the end of the backup.
         if self.ablation == Ablation::Era {
             let last = state
                 .keys()
-                .map(|(_, held)| held.revision)
+                .map(|(_, entry)| entry.revision)
                 .max()
                 .unwrap_or(0) as usize;
             self.log.truncate(last);
         }
         let applied = self.log.len();
-        for at in 0..self.all.len() {
-            (self.all[at].state, self.all[at].applied) = (state.clone(), applied);
+        for at in 0..self.gatherers.len() {
+            (self.gatherers[at].state, self.gatherers[at].applied) = (state.clone(), applied);
         }
-        (0..self.all.len()).for_each(|at| self.start(at));
+        (0..self.gatherers.len()).for_each(|at| self.start(at));
     }
 }
 
-/// Runs one seed: the numbers of grants, effects and late effects, or the violated property.
-fn play(seed: u64, ablation: Ablation) -> Result<(u64, u64, u64), String> {
-    let played = std::panic::catch_unwind(|| {
-        let mut world = World::new(seed, ablation);
-        while world.now < 20_000 * MS {
-            world.tick();
+/// Runs one seed; returns the numbers of grants, effects and late effects, or the violated
+/// property.
+fn run_seed(seed: u64, ablation: Ablation) -> Result<(u64, u64, u64), String> {
+    let result = std::panic::catch_unwind(|| {
+        let mut simulation = Simulation::new(seed, ablation);
+        while simulation.now < 20_000 * MS {
+            simulation.tick();
         }
-        // After the faults the role gets an owner before long, and keeps it.
-        world
-            .all
+        // After the faults end the role gets an owner within a bounded time, and keeps it.
+        simulation
+            .gatherers
             .iter_mut()
-            .for_each(|one| (one.partitioned, one.suspended_until) = (false, 0));
-        (0..world.all.len()).for_each(|at| {
-            if !world.all[at].up {
-                world.start(at)
+            .for_each(|gatherer| (gatherer.partitioned, gatherer.suspended_until) = (false, 0));
+        (0..simulation.gatherers.len()).for_each(|at| {
+            if !simulation.gatherers[at].up {
+                simulation.start(at)
             }
         });
-        let healed = world.now;
-        world.faults = false;
-        let parked = |world: &World| {
-            View::of(&world.truth, ROLE, "")
+        let faults_ended_at = simulation.now;
+        simulation.faults = false;
+        let parked = |simulation: &Simulation| {
+            View::of(&simulation.committed, ROLE, "")
                 .grant
                 .is_some_and(|(_, grant)| grant.parked.is_some())
         };
-        while world.owners().is_empty() && !parked(&world) {
-            world.tick();
+        while simulation.owners().is_empty() && !parked(&simulation) {
+            simulation.tick();
             assert!(
-                world.now < healed + 8 * LEASE,
-                "nobody owns the work long after all is well"
+                simulation.now < faults_ended_at + 8 * LEASE,
+                "the role still has no owner long after the faults ended"
             );
         }
-        let owned = world.owned;
-        let until = world.now + 3_000 * MS;
-        while world.now < until {
-            world.tick();
+        let acquisitions = simulation.acquisitions;
+        let until = simulation.now + 3_000 * MS;
+        while simulation.now < until {
+            simulation.tick();
         }
         assert!(
-            world.owned <= owned + 1,
-            "it changes hands though all is well"
+            simulation.acquisitions <= acquisitions + 1,
+            "the role changes owners without faults"
         );
-        // A permit is for one effect: no more effects outside can be late than processes were
-        // suspended.
+        // A permit is for one effect, so each suspension can delay only one effect outside the
+        // store.
         assert!(
-            world.late <= world.suspensions,
-            "{} late effects, {} pauses",
-            world.late,
-            world.suspensions
+            simulation.late_effects <= simulation.suspensions,
+            "{} late effects, {} suspensions",
+            simulation.late_effects,
+            simulation.suspensions
         );
         (
-            world.owned,
-            world.fenced.len() as u64 + world.outside,
-            world.late,
+            simulation.acquisitions,
+            simulation.store_effects.len() as u64 + simulation.outside_effects,
+            simulation.late_effects,
         )
     });
-    played.map_err(|problem| {
-        let text = problem.downcast_ref::<String>().cloned();
-        text.or_else(|| {
-            problem
-                .downcast_ref::<&str>()
-                .map(|text| (*text).to_owned())
-        })
-        .unwrap_or_default()
+    result.map_err(|panic| {
+        let text = panic.downcast_ref::<String>().cloned();
+        text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()))
+            .unwrap_or_default()
     })
 }
 
-fn quietly<T>(play: impl FnOnce() -> T) -> T {
+/// Runs a closure without printing the messages of its panics.
+fn without_panic_output<T>(run: impl FnOnce() -> T) -> T {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
-    let result = play();
+    let result = run();
     std::panic::set_hook(hook);
     result
 }
@@ -572,12 +601,12 @@
         .unwrap_or(0);
     let mut total = (0, 0, 0);
     for seed in first..first + seeds {
-        let (owned, effects, late) =
-            play(seed, Ablation::None).unwrap_or_else(|p| panic!("seed {seed}: {p}"));
-        total = (total.0 + owned, total.1 + effects, total.2 + late);
+        let (grants, effects, late) =
+            run_seed(seed, Ablation::None).unwrap_or_else(|p| panic!("seed {seed}: {p}"));
+        total = (total.0 + grants, total.1 + effects, total.2 + late);
     }
     println!(
-        "{seeds} seeds: {} grants, {} effects, {} of them late outside",
+        "{seeds} seeds: {} grants, {} effects, {} of them late outside the store",
         total.0, total.1, total.2
     );
     assert!(total.0 > 3 * seeds && total.2 > 0, "{total:?}");
@@ -585,7 +614,7 @@
 
 #[test]
 fn detects_each_ablation() {
-    let of = [
+    let ablations = [
         Ablation::RenewalCheck,
         Ablation::Fencing,
         Ablation::LeaseFromSend,
@@ -593,14 +622,17 @@
         Ablation::Incarnation,
         Ablation::Era,
     ];
-    quietly(|| {
-        for ablation in of {
-            let found = (0..3_000)
-                .find_map(|seed| play(seed, ablation).err().map(|problem| (seed, problem)));
+    without_panic_output(|| {
+        for ablation in ablations {
+            let found = (0..3_000).find_map(|seed| {
+                run_seed(seed, ablation)
+                    .err()
+                    .map(|problem| (seed, problem))
+            });
             println!("without {ablation:?}: {found:?}");
             assert!(
                 found.is_some(),
-                "without {ablation:?} nothing is found in 3000 seeds"
+                "no violation without {ablation:?} in 3000 seeds"
             );
         }
     });
--- a/ownership/tests/stored_format.rs
+++ b/ownership/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Pins what this package stores: keys and JSON, as written by the program before its types were
-//! renamed. A difference here means that an older or newer gatherer of the fleet cannot read it.
+//! Pins the stored keys and JSON of this package. A difference here means that gatherers of an
+//! older or newer version cannot read them.
 
 use ownership::health_check::Verdict;
 use ownership::job::{Job, Status, Step};
@@ -95,7 +95,7 @@
     );
 }
 
-/// The changes that a lease asks for, as key and value.
+/// The changes in the request of a lease, as key and value.
 fn requested(lease: &mut Lease, now: u64) -> Vec<(String, Option<String>)> {
     let request = lease.poll(now).expect("a request is due");
     request
@@ -166,11 +166,19 @@
             r#"{{"at":1,"by":[3,41],"ordered":{{"g1":9}},"out":1,"stands":{status},"steps":[{{"activate":7}},{{"restart":["g1","g2"]}}],"tries":2}}"#
         )
     };
-    let why = || "why".to_owned();
+    let reason = || "why".to_owned();
     for (status, stored, shown) in [
         (Status::Open, r#""open""#, "open"),
-        (Status::Paused(why()), r#"{"paused":"why"}"#, "paused: why"),
-        (Status::Parked(why()), r#"{"parked":"why"}"#, "parked: why"),
+        (
+            Status::Paused(reason()),
+            r#"{"paused":"why"}"#,
+            "paused: why",
+        ),
+        (
+            Status::Parked(reason()),
+            r#"{"parked":"why"}"#,
+            "parked: why",
+        ),
         (Status::Done, r#""done""#, "done"),
         (Status::Cancelled, r#""cancelled""#, "called off"),
     ] {
