--- a/versions/src/audit/tests.rs
+++ b/versions/src/audit/tests.rs
@@ -8,7 +8,7 @@
 const MS: Time = 1_000_000;
 
 fn entries(records: Vec<(u64, Record)>) -> Vec<Entry> {
-    let began = Record::Started {
+    let started = Record::Started {
         name: "g".to_owned(),
         incarnation: 1,
         wall_ms: 50_000,
@@ -16,7 +16,7 @@
     };
     let first = Entry {
         at: 10 * MS,
-        record: began,
+        record: started,
     };
     let rest = records.into_iter().map(|(at, record)| Entry {
         at: at * MS,
@@ -25,7 +25,8 @@
     [first].into_iter().chain(rest).collect()
 }
 
-fn acts(version: Version, first: u64, last: u64) -> Record {
+/// Nine queries that were accepted in this period, in milliseconds.
+fn served(version: Version, first: u64, last: u64) -> Record {
     let (class, outcome) = ("page".to_owned(), "whole".to_owned());
     Record::Served {
         version,
@@ -36,37 +37,38 @@
     }
 }
 
-fn proved(queried_at: u64, version: Version) -> Record {
+/// A confirmation by a query that was sent at this time, in milliseconds.
+fn confirmed(queried_at: u64, version: Version) -> Record {
     Record::Confirmed {
         queried_at: queried_at * MS,
         version,
     }
 }
 
-fn found(records: Vec<(u64, Record)>) -> Vec<Finding> {
+/// The findings in a log with these records, where the store made versions 5 and 9 active.
+fn findings(records: Vec<(u64, Record)>) -> Vec<Finding> {
     replay(&entries(records), None, &BTreeSet::from([5, 9])).findings
 }
 
 #[test]
 fn reports_queries_after_the_validity() {
-    let fine = vec![
-        (20, proved(15, 5)),
-        (900, proved(800, 5)),
-        (1500, acts(5, 20, 1700)),
+    let valid = vec![
+        (20, confirmed(15, 5)),
+        (900, confirmed(800, 5)),
+        (1500, served(5, 20, 1700)),
     ];
-    assert_eq!(found(fine), []);
-    // Told of the next version, it serves on under the former one until that one's validity is
-    // over.
-    let straggles = vec![
-        (20, proved(15, 5)),
-        (300, proved(300, 9)),
-        (1100, acts(5, 20, 1014)),
+    assert_eq!(findings(valid), []);
+    // A straggler may serve under the former version until the validity of that one ends.
+    let straggler = vec![
+        (20, confirmed(15, 5)),
+        (300, confirmed(300, 9)),
+        (1100, served(5, 20, 1014)),
     ];
-    assert_eq!(found(straggles), []);
-    let beyond = vec![
-        (20, proved(15, 5)),
-        (300, proved(300, 9)),
-        (1100, acts(5, 20, 1015)),
+    assert_eq!(findings(straggler), []);
+    let late = vec![
+        (20, confirmed(15, 5)),
+        (300, confirmed(300, 9)),
+        (1100, served(5, 20, 1015)),
     ];
     let finding = Finding::ServedExpired {
         version: 5,
@@ -74,59 +76,66 @@
         overrun: 0,
         count: 9,
     };
-    assert_eq!(found(beyond), [finding]);
-    // It switches before it has asked again: what held of the former holds of this.
-    let runs = |version| Record::Switched {
+    assert_eq!(findings(late), [finding]);
+    // After a switch the confirmation of the former version is valid for the new one.
+    let switched_to = |version| Record::Switched {
         version,
         autonomous: false,
     };
-    let switches = vec![
-        (20, proved(15, 5)),
-        (21, runs(5)),
-        (300, runs(9)),
-        (1100, acts(9, 301, 1014)),
+    let switched = vec![
+        (20, confirmed(15, 5)),
+        (21, switched_to(5)),
+        (300, switched_to(9)),
+        (1100, served(9, 301, 1014)),
     ];
-    assert_eq!(found(switches), []);
-    let never = vec![(20, acts(5, 20, 21))];
+    assert_eq!(findings(switched), []);
+    let unconfirmed = vec![(20, served(5, 20, 21))];
     assert_eq!(
-        found(never)[0].is_violation(),
+        findings(unconfirmed)[0].is_violation(),
         Some(true),
-        "it was never told"
+        "the version was never confirmed"
     );
 }
 
 #[test]
 fn autonomous_service_must_be_recorded() {
-    let runs = Record::Switched {
+    let switched = Record::Switched {
         version: 5,
         autonomous: true,
     };
-    let kept = Record::StatusChanged {
+    let declared = Record::StatusChanged {
         status: Status::Autonomous,
     };
-    let go_on = vec![
-        (20, proved(15, 5)),
-        (21, runs.clone()),
-        (1020, kept),
-        (2000, acts(5, 20, 1990)),
+    let recorded = vec![
+        (20, confirmed(15, 5)),
+        (21, switched.clone()),
+        (1020, declared),
+        (2000, served(5, 20, 1990)),
     ];
     assert_eq!(
-        found(go_on),
+        findings(recorded),
         [Finding::ServedAutonomously {
             version: 5,
             overrun: 975 * MS,
             count: 9
         }]
     );
-    let silent = vec![(20, proved(15, 5)), (21, runs), (2000, acts(5, 20, 1990))];
-    assert_eq!(found(silent)[0].is_violation(), Some(true));
+    let unrecorded = vec![
+        (20, confirmed(15, 5)),
+        (21, switched),
+        (2000, served(5, 20, 1990)),
+    ];
+    assert_eq!(findings(unrecorded)[0].is_violation(), Some(true));
 }
 
 #[test]
 fn tells_violations_from_unknowns() {
-    assert_eq!(found(vec![(20, proved(15, 7))]), [Finding::NeverActive(7)]);
     assert_eq!(
-        found(vec![(20, proved(15, 9)), (30, proved(25, 5))]),
+        findings(vec![(20, confirmed(15, 7))]),
+        [Finding::NeverActive(7)]
+    );
+    assert_eq!(
+        findings(vec![(20, confirmed(15, 9)), (30, confirmed(25, 5))]),
         [Finding::Regressed { from: 9, to: 5 }]
     );
     let corruption = Corruption {
@@ -148,15 +157,15 @@
             segment,
             previous_hash: hash.clone(),
         };
-        let begins = Entry {
+        let first = Entry {
             at: segment,
             record,
         };
-        let acts = Entry {
+        let second = Entry {
             at: 10 + segment,
-            record: acts(5, 1, 2),
+            record: served(5, 1, 2),
         };
-        let text = chain.append(&begins) + "\n" + &chain.append(&acts) + "\n";
+        let text = chain.append(&first) + "\n" + &chain.append(&second) + "\n";
         hash = chain.hash;
         segments.insert(segment, text);
     }
@@ -167,16 +176,16 @@
     };
     let mut digests = BTreeMap::from([(77, digest)]);
     assert_eq!(join(&segments, &digests).1, None);
-    let without = |gone: u64| {
-        let mut left = segments.clone();
-        left.remove(&gone);
-        join(&left, &digests)
+    let without = |removed: u64| {
+        let mut remaining = segments.clone();
+        remaining.remove(&removed);
+        join(&remaining, &digests)
     };
-    assert_eq!(without(0).1, None, "the oldest may have been let go");
+    assert_eq!(without(0).1, None, "the oldest may have been deleted");
     assert_eq!(without(1).1.map(|corruption| corruption.line), Some(1));
     assert_eq!(without(2).1.unwrap().defect, Defect::SegmentsMissing);
-    let mut cut = segments.clone();
-    cut.insert(
+    let mut truncated = segments.clone();
+    truncated.insert(
         2,
         segments[&2]
             .split_inclusive('\n')
@@ -184,9 +193,9 @@
             .unwrap()
             .to_owned(),
     );
-    let (held, corruption) = join(&cut, &digests);
+    let (entries, corruption) = join(&truncated, &digests);
     assert_eq!(
-        (held.len(), corruption.unwrap().defect),
+        (entries.len(), corruption.unwrap().defect),
         (5, Defect::DigestMismatch)
     );
     assert_eq!(join(&BTreeMap::new(), &BTreeMap::new()), (vec![], None));
@@ -195,20 +204,19 @@
         audit_gatherer(&[], None, &digests, &none).findings,
         [Finding::NoLog]
     );
-    let gone = Finding::Corrupt(Corruption {
+    let log_missing = Finding::Corrupt(Corruption {
         line: 0,
         defect: Defect::LogMissing,
     });
-    let found = |trails: &[BTreeMap<u64, String>]| {
-        audit_gatherer(trails, Some(77), &digests, &none).findings
-    };
+    let audit =
+        |logs: &[BTreeMap<u64, String>]| audit_gatherer(logs, Some(77), &digests, &none).findings;
     assert!(
-        found(&[BTreeMap::new()]).contains(&gone),
-        "all of it is gone"
+        audit(&[BTreeMap::new()]).contains(&log_missing),
+        "the whole log is missing"
     );
-    // One that was lost with its disk, and one that was kept elsewhere.
+    // Log 78 is lost with its disk; or a copy of it is retained elsewhere.
     let mut chain = HashChain::default();
-    let begins = Entry {
+    let first_entry = Entry {
         at: 1,
         record: Record::SegmentStarted {
             log: 78,
@@ -216,7 +224,7 @@
             previous_hash: String::new(),
         },
     };
-    let other = BTreeMap::from([(0, chain.append(&begins) + "\n")]);
+    let other = BTreeMap::from([(0, chain.append(&first_entry) + "\n")]);
     digests.insert(
         78,
         LogDigest {
@@ -229,31 +237,32 @@
         audit_gatherer(&[segments.clone()], Some(77), &digests, &none)
             .findings
             .last(),
-        Some(&gone)
+        Some(&log_missing)
     );
     let both = audit_gatherer(&[other, segments], Some(77), &digests, &none);
     assert!(
-        !both.findings.contains(&gone) && both.spans.len() == 1,
+        !both.findings.contains(&log_missing) && both.spans.len() == 1,
         "{both:?}"
     );
-    // Kept from a life that nobody saw the end of; and from one that goes on.
+    // The log ends without a last entry: in a retained copy that is a finding, in a fetched log the
+    // incarnation is still running.
     let mut chain = HashChain::default();
-    let began = Record::Started {
+    let started = Record::Started {
         name: "g".to_owned(),
         incarnation: 6,
         wall_ms: 0,
         validity: 1,
     };
     let text = [
-        begins,
+        first_entry,
         Entry {
             at: 2,
-            record: began,
+            record: started,
         },
     ]
     .map(|entry| chain.append(&entry) + "\n")
     .concat();
-    let alone = [BTreeMap::from([(0, text)])];
+    let single_log = [BTreeMap::from([(0, text)])];
     let digests = BTreeMap::from([(
         78,
         LogDigest {
@@ -262,23 +271,23 @@
             hash: chain.hash,
         },
     )]);
-    let cut_off = Finding::EndMissing {
+    let end_missing = Finding::EndMissing {
         incarnation: 6,
         after: 0,
     };
     assert_eq!(
-        audit_gatherer(&alone, None, &digests, &none).findings,
-        [cut_off]
+        audit_gatherer(&single_log, None, &digests, &none).findings,
+        [end_missing]
     );
     assert_eq!(
-        audit_gatherer(&alone, Some(78), &digests, &none).findings,
+        audit_gatherer(&single_log, Some(78), &digests, &none).findings,
         []
     );
 }
 
 #[test]
 fn reports_lost_entries_and_operator_calls() {
-    let began = |incarnation| Record::Started {
+    let started = |incarnation| Record::Started {
         name: "g".to_owned(),
         incarnation,
         wall_ms: 60_000,
@@ -290,13 +299,14 @@
     };
     let records = vec![
         (30, call),
-        (700, began(2)),
+        (700, started(2)),
         (710, Record::Stopped),
-        (800, began(3)),
+        (800, started(3)),
         (810, Record::EntriesLost { count: 4 }),
     ];
     let report = replay(&entries(records), None, &BTreeSet::new());
-    // The first life ended without a word, the second in order, the third goes on.
+    // The end of the first incarnation is missing, the second one stopped, the third one is still
+    // running.
     assert_eq!(
         report.findings,
         [
@@ -307,19 +317,19 @@
             Finding::EntriesLost(4)
         ]
     );
-    let words: Vec<&str> = report.findings.iter().map(Finding::label).collect();
-    assert_eq!(words, ["gap", "NOT KNOWN"]);
+    let labels: Vec<&str> = report.findings.iter().map(Finding::label).collect();
+    assert_eq!(labels, ["gap", "NOT KNOWN"]);
     assert_eq!(report.calls[0].wall_ms, 50_020);
 }
 
 #[test]
 fn reports_overlapping_versions() {
-    let of = |records| replay(&entries(records), None, &BTreeSet::from([5, 9]));
-    let early = of(vec![(20, proved(15, 9)), (600, acts(9, 400, 590))]);
-    let late = of(vec![
-        (20, proved(15, 5)),
-        (600, acts(5, 20, 550)),
-        (650, acts(9, 560, 640)),
+    let report = |records| replay(&entries(records), None, &BTreeSet::from([5, 9]));
+    let early = report(vec![(20, confirmed(15, 9)), (600, served(9, 400, 590))]);
+    let late = report(vec![
+        (20, confirmed(15, 5)),
+        (600, served(5, 20, 550)),
+        (650, served(9, 560, 640)),
     ]);
     assert_eq!(late.spans.len(), 2);
     let reports = BTreeMap::from([("a".to_owned(), early), ("b".to_owned(), late)]);
--- a/versions/src/audit_log/tests.rs
+++ b/versions/src/audit_log/tests.rs
@@ -36,7 +36,7 @@
     let mut counter = ServedCounter::default();
     [12, 19, 14]
         .into_iter()
-        .for_each(|taken| counter.record(5, "page", "whole", taken));
+        .for_each(|accepted_at| counter.record(5, "page", "whole", accepted_at));
     counter.record(4, "page", "whole", 2);
     entries.extend(counter.drain(20));
     assert_eq!(counter.drain(21), []);
@@ -62,7 +62,7 @@
         panic!("{entries:?}")
     };
     assert_eq!((*accepted, *count), ((12, 19), 3));
-    // Any byte altered, in any line: everything before it holds, and nothing from there on.
+    // If any byte is altered, the lines before it are read, and none from there on.
     for at in 0..text.len() {
         let mut altered = text.clone().into_bytes();
         altered[at] = if altered[at] == b'0' { b'1' } else { b'0' };
@@ -73,7 +73,7 @@
         let corruption = segment.corruption.expect("it is detected");
         assert_eq!(corruption.line, line + 1, "byte {at}");
     }
-    // A line left out, or the end.
+    // A line is missing, or the end is truncated.
     let lines: Vec<&str> = text.split_inclusive('\n').collect();
     let without: String = lines[..3].iter().chain(&lines[4..]).copied().collect();
     assert_eq!(
--- a/versions/src/lease/tests.rs
+++ b/versions/src/lease/tests.rs
@@ -16,7 +16,7 @@
     )
 }
 
-/// Asks and is answered at once.
+/// Queries the store and gets the response immediately.
 fn renew(lease: &mut VersionLease, active: Version, now: Time) {
     lease.next_query_at = now;
     assert!(lease.begin_query(now));
@@ -34,7 +34,10 @@
 #[test]
 fn degrades_to_suspended_without_responses() {
     let mut lease = new_lease(false);
-    assert!(!lease.may_accept(100 * S), "what it starts with may be old");
+    assert!(
+        !lease.may_accept(100 * S),
+        "the initial version may be outdated"
+    );
     renew(&mut lease, 5, 101 * S);
     assert_eq!(
         (lease.status(), lease.may_accept(101 * S)),
@@ -53,12 +56,15 @@
             Status::Suspended
         ]
     );
-    // Counted from when it had asked; and also where nothing has looked since, as in a process
-    // that stood still.
-    let mut slept = new_lease(false);
-    renew(&mut slept, 5, 101 * S);
-    assert!(slept.may_accept(109 * S - 1) && !slept.may_accept(109 * S));
-    assert_eq!(slept.status(), Status::Current, "it has not been looked at");
+    // The validity counts from the query, and ends without an update, as in a suspended process.
+    let mut suspended = new_lease(false);
+    renew(&mut suspended, 5, 101 * S);
+    assert!(suspended.may_accept(109 * S - 1) && !suspended.may_accept(109 * S));
+    assert_eq!(
+        suspended.status(),
+        Status::Current,
+        "the status was not updated"
+    );
 }
 
 #[test]
@@ -66,7 +72,7 @@
     let mut lease = new_lease(false);
     assert!(
         lease.begin_query(100 * S) && !lease.begin_query(100 * S),
-        "one question at a time"
+        "at most one query in flight"
     );
     lease.handle_response(5, 106 * S);
     assert_eq!(
@@ -80,7 +86,7 @@
     assert_eq!(
         lease.valid_until(),
         Some(108 * S),
-        "an answer that nobody asked for"
+        "a response without a query"
     );
 }
 
@@ -90,7 +96,7 @@
     renew(&mut lease, 5, 100 * S);
     lease.update(108 * S);
     assert_eq!(lease.status(), Status::Suspended);
-    // A link that is whole for a moment every few seconds.
+    // A link that works for a moment every few seconds.
     for round in 0..20 {
         renew(&mut lease, 5, (110 + 5 * round) * S);
         assert_eq!(lease.status(), Status::Suspended, "round {round}");
@@ -100,8 +106,8 @@
         renew(&mut lease, 5, (300 + second) * S);
     }
     assert_eq!(lease.status(), Status::Current);
-    let swings = lease.take_changes().len();
-    assert_eq!(swings, 3, "in, out and in again");
+    let changes = lease.take_changes().len();
+    assert_eq!(changes, 3, "current, suspended and current");
 }
 
 #[test]
@@ -113,30 +119,35 @@
         (lease.status(), lease.may_accept(101 * S)),
         (Status::Straggler, true)
     );
-    // Told again and again of what it does not run, it renews nothing by that.
-    let mut cannot = lease.clone();
-    (102..108).for_each(|second| renew(&mut cannot, 9, second * S));
-    assert!(cannot.may_accept(108 * S - 1) && !cannot.may_accept(108 * S));
-    // One that switches as the store's news come, before it has asked again, is not shut out
-    // for that.
-    let mut quick = new_lease(false);
-    renew(&mut quick, 5, 100 * S);
-    quick.switch(9, false, 101 * S);
+    // Responses that name another version do not renew the lease.
+    let mut unswitched = lease.clone();
+    (102..108).for_each(|second| renew(&mut unswitched, 9, second * S));
+    assert!(unswitched.may_accept(108 * S - 1) && !unswitched.may_accept(108 * S));
+    // A gatherer that switches before its next query is not suspended for that.
+    let mut switched = new_lease(false);
+    renew(&mut switched, 5, 100 * S);
+    switched.switch(9, false, 101 * S);
     assert_eq!(
-        (quick.may_accept(108 * S - 1), quick.may_accept(108 * S)),
+        (
+            switched.may_accept(108 * S - 1),
+            switched.may_accept(108 * S)
+        ),
         (true, false)
     );
-    assert_ne!(quick.status(), Status::Suspended);
+    assert_ne!(switched.status(), Status::Suspended);
     lease.switch(9, true, 102 * S);
     assert_eq!(lease.status(), Status::Current);
-    // It is a keeper now: its validity ends, and it goes on.
+    // The gatherer is autonomous now, and keeps serving after its validity.
     lease.update(109 * S);
     assert_eq!(
         (lease.status(), lease.may_accept(200 * S)),
         (Status::Autonomous, true)
     );
     lease.set_on_hold(true, 110 * S);
-    assert!(!lease.may_accept(110 * S), "an operator's word goes before");
+    assert!(
+        !lease.may_accept(110 * S),
+        "the hold applies to autonomous gatherers too"
+    );
 }
 
 #[test]
@@ -156,23 +167,26 @@
 
 #[test]
 fn backs_off_up_to_the_gap() {
-    let (mut lease, mut now, mut asked) = (new_lease(false), 100 * S, Vec::new());
+    let (mut lease, mut now, mut query_times) = (new_lease(false), 100 * S, Vec::new());
     while now < 160 * S {
         if lease.begin_query(now) {
-            asked.push(now);
+            query_times.push(now);
             lease.handle_timeout(now + S / 100);
         }
         now += S / 100;
     }
-    let waits: Vec<Time> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    let backoffs: Vec<Time> = query_times
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .collect();
     assert!(
-        waits[0] < S / 4 && waits.windows(2).all(|pair| pair[0] <= pair[1]),
-        "{waits:?}"
+        backoffs[0] < S / 4 && backoffs.windows(2).all(|pair| pair[0] <= pair[1]),
+        "{backoffs:?}"
     );
     assert!(
-        waits
+        backoffs
             .last()
-            .is_some_and(|wait| (2 * S..2 * S + S / 10).contains(wait)),
-        "{waits:?}"
+            .is_some_and(|backoff| (2 * S..2 * S + S / 10).contains(backoff)),
+        "{backoffs:?}"
     );
 }
--- a/versions/src/rollout/tests.rs
+++ b/versions/src/rollout/tests.rs
@@ -27,7 +27,7 @@
     .map(|(name, member)| (name.to_owned(), member))
     .into();
     let autonomous = BTreeSet::from(["f".to_owned()]);
-    let named = blockers(&fleet, 7, &autonomous, 100, 210);
+    let found = blockers(&fleet, 7, &autonomous, 100, 210);
     let expected = [
         ("b", Blocker::NoVote),
         ("c", Blocker::Objection("no such effect".to_owned())),
@@ -35,25 +35,25 @@
         ("f", Blocker::Autonomous),
         ("g", Blocker::NoVote),
     ];
-    assert_eq!(named, BTreeMap::from(expected));
+    assert_eq!(found, BTreeMap::from(expected));
     assert_eq!(exclusion_delay(8_000, 50), 8_400);
 }
 
 #[test]
 fn autonomous_members_rotate_with_the_proposal() {
     let names: Vec<String> = (0..60).map(|n| format!("gatherer-{n}")).collect();
-    let of = |proposal| autonomous_members(names.iter().map(String::as_str), proposal, 0.25);
-    let mut often: BTreeMap<&str, u32> = BTreeMap::new();
+    let selected = |proposal| autonomous_members(names.iter().map(String::as_str), proposal, 0.25);
+    let mut selections: BTreeMap<&str, u32> = BTreeMap::new();
     for proposal in 1..=200 {
-        assert_eq!(of(proposal).len(), 15);
-        of(proposal)
+        assert_eq!(selected(proposal).len(), 15);
+        selected(proposal)
             .into_iter()
-            .for_each(|name| *often.entry(name).or_default() += 1);
+            .for_each(|name| *selections.entry(name).or_default() += 1);
     }
-    assert_eq!(often.len(), 60, "each is one at times");
+    assert_eq!(selections.len(), 60, "each is selected sometimes");
     assert!(
-        often.values().all(|times| (20..=85).contains(times)),
-        "{often:?}"
+        selections.values().all(|count| (20..=85).contains(count)),
+        "{selections:?}"
     );
     assert_eq!(
         (
--- a/versions/tests/model.rs
+++ b/versions/tests/model.rs
@@ -1,20 +1,21 @@
-//! Model check of activation and validity: discrete time and every order of queries, responses that
-//! are delayed or lost, votes, exclusions and the switch.
+//! Model check of activation and validity: discrete time, and every order of queries, delayed or
+//! lost responses, votes, exclusions and switches.
 
 use stateright::{Checker, Model, Property};
 
-/// Steps of time that an answer holds, and how long an activation waits for those it leaves out.
+/// The validity of a confirmation, and how long an activation waits for excluded gatherers, in time
+/// steps.
 const VALIDITY: u8 = 3;
-/// Ages stop counting here: nothing tells older ones apart.
+/// Ages are capped here, as the protocol does not distinguish older ones.
 const MAX_AGE: u8 = VALIDITY + 2;
 
-/// A part of the protocol that is left out.
+/// A part of the protocol that is omitted, to show that the properties need it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ablation {
     None,
     /// An activation does not wait for excluded gatherers to stop.
     ExclusionDelay,
-    /// A validity counts from the response instead of the query.
+    /// The validity counts from the response instead of the query.
     ValidityFromQuery,
     /// An excluded gatherer renews its validity.
     ExclusionResponse,
@@ -26,20 +27,20 @@
 struct Gatherer {
     /// Whether it runs the new version.
     switched: bool,
-    /// How long ago it asked what was last answered for what it switched.
-    confirmed: u8,
-    /// What it has in_flight: how long ago, and what was true then: whether the new one was active,
-    /// and whether it was left out.
+    /// The age of the last query that confirmed its version.
+    confirmation_age: u8,
+    /// The query in flight: its age, and whether at that time the new version was active and the
+    /// gatherer excluded.
     in_flight: Option<(u8, bool, bool)>,
     voted: bool,
-    /// How long ago it was excluded.
+    /// The time since it was excluded.
     excluded: Option<u8>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    all: Vec<Gatherer>,
-    /// How long ago the new version was made active, and who had been left out of that.
+    gatherers: Vec<Gatherer>,
+    /// The time since the new version was activated, and which gatherers had not voted for it.
     active: Option<(u8, Vec<bool>)>,
 }
 
@@ -61,8 +62,8 @@
 }
 
 impl ActivationProtocol {
-    fn may_accept(one: &Gatherer) -> bool {
-        one.confirmed < VALIDITY
+    fn may_accept(gatherer: &Gatherer) -> bool {
+        gatherer.confirmation_age < VALIDITY
     }
 }
 
@@ -71,39 +72,40 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let one = Gatherer {
+        let gatherer = Gatherer {
             switched: false,
-            confirmed: MAX_AGE,
+            confirmation_age: MAX_AGE,
             in_flight: None,
             voted: false,
             excluded: None,
         };
         vec![State {
-            all: vec![one; self.gatherers],
+            gatherers: vec![gatherer; self.gatherers],
             active: None,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.push(Action::Time);
-        for (at, one) in state.all.iter().enumerate() {
-            match one.in_flight {
+        for (at, gatherer) in state.gatherers.iter().enumerate() {
+            match gatherer.in_flight {
                 None => actions.push(Action::Query(at)),
                 Some(_) => actions.extend([Action::Respond(at), Action::Lose(at)]),
             }
             if state.active.is_none() {
                 actions.push(Action::Vote(at));
                 actions.push(Action::Exclude(at));
-            } else if !one.switched {
+            } else if !gatherer.switched {
                 actions.push(Action::Switch(at));
             }
         }
-        let waited = |out: u8| out >= VALIDITY || self.ablation == Ablation::ExclusionDelay;
+        let has_stopped =
+            |excluded: u8| excluded >= VALIDITY || self.ablation == Ablation::ExclusionDelay;
         if state.active.is_none()
             && state
-                .all
+                .gatherers
                 .iter()
-                .all(|one| one.voted || one.excluded.is_some_and(waited))
+                .all(|gatherer| gatherer.voted || gatherer.excluded.is_some_and(has_stopped))
         {
             actions.push(Action::Activate);
         }
@@ -114,44 +116,54 @@
         let older = |age: u8| (age + 1).min(MAX_AGE);
         match action {
             Action::Time => {
-                for one in &mut next.all {
-                    one.confirmed = older(one.confirmed);
-                    one.in_flight = one
+                for gatherer in &mut next.gatherers {
+                    gatherer.confirmation_age = older(gatherer.confirmation_age);
+                    gatherer.in_flight = gatherer
                         .in_flight
-                        .map(|(age, active, out)| (older(age), active, out));
-                    one.excluded = one.excluded.map(older);
+                        .map(|(age, active, excluded)| (older(age), active, excluded));
+                    gatherer.excluded = gatherer.excluded.map(older);
                 }
-                next.active = next.active.map(|(age, out)| (older(age), out));
+                next.active = next.active.map(|(age, excluded)| (older(age), excluded));
             }
             Action::Query(at) => {
-                let one = &mut next.all[at];
-                one.in_flight = Some((
+                let gatherer = &mut next.gatherers[at];
+                gatherer.in_flight = Some((
                     0,
                     state.active.is_some(),
-                    state.active.is_none() && one.excluded.is_some(),
+                    state.active.is_none() && gatherer.excluded.is_some(),
                 ));
             }
             Action::Respond(at) => {
-                let one = &mut next.all[at];
-                let (age, active, out) = one.in_flight.take()?;
+                let gatherer = &mut next.gatherers[at];
+                let (age, active, excluded) = gatherer.in_flight.take()?;
                 let age = if self.ablation == Ablation::ValidityFromQuery {
                     0
                 } else {
                     age
                 };
-                let own = active == one.switched || self.ablation == Ablation::VersionMatch;
-                if own && (!out || self.ablation == Ablation::ExclusionResponse) {
-                    one.confirmed = one.confirmed.min(age);
+                let confirms =
+                    active == gatherer.switched || self.ablation == Ablation::VersionMatch;
+                if confirms && (!excluded || self.ablation == Ablation::ExclusionResponse) {
+                    gatherer.confirmation_age = gatherer.confirmation_age.min(age);
                 }
             }
-            Action::Lose(at) => next.all[at].in_flight = None,
-            Action::Vote(at) => next.all[at].voted = true,
-            Action::Exclude(at) => next.all[at].excluded = next.all[at].excluded.or(Some(0)),
+            Action::Lose(at) => next.gatherers[at].in_flight = None,
+            Action::Vote(at) => next.gatherers[at].voted = true,
+            Action::Exclude(at) => {
+                next.gatherers[at].excluded = next.gatherers[at].excluded.or(Some(0))
+            }
             Action::Activate => {
-                // Whoever has given its word meanwhile takes part.
-                next.active = Some((0, state.all.iter().map(|one| !one.voted).collect()));
+                // An excluded gatherer that has voted since takes part.
+                next.active = Some((
+                    0,
+                    state
+                        .gatherers
+                        .iter()
+                        .map(|gatherer| !gatherer.voted)
+                        .collect(),
+                ));
             }
-            Action::Switch(at) => next.all[at].switched = true,
+            Action::Switch(at) => next.gatherers[at].switched = true,
         }
         (next != *state).then_some(next)
     }
@@ -159,41 +171,46 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "whoever was left out has stopped",
+                "excluded gatherers have stopped",
                 |_: &ActivationProtocol, state: &State| {
-                    let Some((_, out)) = &state.active else {
+                    let Some((_, excluded)) = &state.active else {
                         return true;
                     };
-                    state.all.iter().zip(out).all(|(one, out)| {
-                        one.switched || !out || !ActivationProtocol::may_accept(one)
-                    })
+                    state
+                        .gatherers
+                        .iter()
+                        .zip(excluded)
+                        .all(|(gatherer, excluded)| {
+                            gatherer.switched
+                                || !excluded
+                                || !ActivationProtocol::may_accept(gatherer)
+                        })
                 },
             ),
             Property::always(
-                "nobody acts beyond the bound",
+                "no gatherer serves beyond the validity",
                 |_: &ActivationProtocol, state: &State| {
                     let Some((age, _)) = &state.active else {
                         return true;
                     };
                     *age < VALIDITY
-                        || state
-                            .all
-                            .iter()
-                            .all(|one| one.switched || !ActivationProtocol::may_accept(one))
+                        || state.gatherers.iter().all(|gatherer| {
+                            gatherer.switched || !ActivationProtocol::may_accept(gatherer)
+                        })
                 },
             ),
             Property::sometimes(
-                "one is left out, and all the others switch",
+                "gatherer gatherer is excluded, and all others switch",
                 |_: &ActivationProtocol, state: &State| {
-                    let Some((_, out)) = &state.active else {
+                    let Some((_, excluded)) = &state.active else {
                         return false;
                     };
-                    out.contains(&true)
+                    excluded.contains(&true)
                         && state
-                            .all
+                            .gatherers
                             .iter()
-                            .zip(out)
-                            .all(|(one, out)| *out || one.switched)
+                            .zip(excluded)
+                            .all(|(gatherer, excluded)| *excluded || gatherer.switched)
                 },
             ),
         ]
@@ -206,37 +223,37 @@
         ablation,
     };
     let checker = protocol.checker().threads(2).spawn_bfs().join();
-    let broken = [
-        "whoever was left out has stopped",
-        "nobody acts beyond the bound",
+    let properties = [
+        "excluded gatherers have stopped",
+        "no gatherer serves beyond the validity",
     ];
-    let broken = broken
+    let violated = properties
         .into_iter()
         .filter(|name| checker.discovery(name).is_some())
         .collect();
     if ablation == Ablation::None {
         assert!(
             checker
-                .discovery("one is left out, and all the others switch")
+                .discovery("gatherer gatherer is excluded, and all others switch")
                 .is_some()
         );
     }
-    (checker.unique_state_count(), broken)
+    (checker.unique_state_count(), violated)
 }
 
 #[test]
 fn holds_and_needs_each_part() {
-    let (states, broken) = check(2, Ablation::None);
-    println!("two gatherers: {states} states, kept");
-    assert_eq!(broken, Vec::<&str>::new());
+    let (states, violated) = check(2, Ablation::None);
+    println!("two gatherers: {states} states, no violation");
+    assert_eq!(violated, Vec::<&str>::new());
     for ablation in [
         Ablation::ExclusionDelay,
         Ablation::ValidityFromQuery,
         Ablation::ExclusionResponse,
         Ablation::VersionMatch,
     ] {
-        let (states, broken) = check(2, ablation);
-        println!("without {ablation:?}: {states} states, broken: {broken:?}");
-        assert!(!broken.is_empty(), "without {ablation:?} nothing breaks");
+        let (states, violated) = check(2, ablation);
+        println!("without {ablation:?}: {states} states, violated: {violated:?}");
+        assert!(!violated.is_empty(), "no violation without {ablation:?}");
     }
 }
--- a/versions/tests/stored_format.rs
+++ b/versions/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Pins the lines of the audit trail with their hash chain, and the words of status and findings,
-//! as written by the program before its types were renamed: trails on disk stay readable.
+//! Pins the lines of the audit log with their hash chain, and the texts of statuses, findings,
+//! blockers and defects. A difference in the lines means that logs on disk cannot be read.
 
 use versions::audit::Finding;
 use versions::audit_log::{Corruption, Defect, Entry, HashChain, Record, Segment};
@@ -138,7 +138,7 @@
         Blocker::Autonomous,
     ];
     assert_eq!(
-        all.map(|why| why.to_string()),
+        all.map(|blocker| blocker.to_string()),
         [
             "has not said that it can use this",
             "cannot use this: why",
