--- a/learning/src/age.rs
+++ b/learning/src/age.rs
@@ -26,7 +26,8 @@
     pub class_full_weight: f64,
     /// The same for a host; low, because a host that is ejected for its latency has few answers.
     pub host_full_weight: f64,
-    /// Weight below which statistics are dropped.
+    /// Weight below which statistics are dropped; also the error rate above which a host counts as
+    /// failing.
     pub min_weight: f64,
     /// Relative latency above which a host counts as slow.
     pub slow_threshold: f32,
--- a/learning/src/file.rs
+++ b/learning/src/file.rs
@@ -76,7 +76,8 @@
     hosts: Vec<(String, HostStats)>,
 }
 
-/// The body of version 1: of a host only slowness, and times in whole seconds.
+/// The body of version 1: a host has only slowness and the number of answers, and times are in
+/// whole seconds.
 #[derive(Serialize, Deserialize)]
 struct BodyV1 {
     fleet: Fleet,
--- a/learning/tests/file.rs
+++ b/learning/tests/file.rs
@@ -94,7 +94,7 @@
     );
 }
 
-/// Version 1 has only the slowness of a host, and times in seconds.
+/// Version 1 lacks most statistics of a host, and has times in seconds.
 #[test]
 fn reads_version_1() {
     let new = snapshot(3);
--- a/ownership/src/lease.rs
+++ b/ownership/src/lease.rs
@@ -1,8 +1,8 @@
 //! One gatherer's state machine for the lease on one role (Gray and Cheriton, "Leases: an efficient
 //! fault-tolerant mechanism for distributed file cache consistency", 1989).
 //!
-//! Invariant: at most one gatherer of the fleet has a valid token at a time. It rests on these
-//! rules:
+//! Invariant: at most one gatherer of the fleet has a valid token at a time. These rules ensure the
+//! invariant:
 //!
 //! - The owner's lease starts when the owner *sent* the request that was committed. Counted from
 //!   the response, the lease would be too long by the delay of the response.
--- a/ownership/tests/model.rs
+++ b/ownership/tests/model.rs
@@ -346,7 +346,7 @@
 
 /// `OWNERSHIP_MODEL=all` checks all reachable states, which takes minutes.
 #[test]
-fn holds_and_needs_each_part() {
+fn properties_hold_and_fail_without_each_rule() {
     let depth = if std::env::var_os("OWNERSHIP_MODEL").is_some() {
         None
     } else {
--- a/versions/tests/model.rs
+++ b/versions/tests/model.rs
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn holds_and_needs_each_part() {
+fn properties_hold_and_fail_without_each_rule() {
     let (states, violated) = check(2, Ablation::None);
     println!("two gatherers: {states} states, no violation");
     assert_eq!(violated, Vec::<&str>::new());
