--- a/bitternsill/tests/learned.rs
+++ b/bitternsill/tests/learned.rs
@@ -256,7 +256,7 @@
     assert!(counts[0].load(Ordering::SeqCst) > 0);
 }
 
-fn memory(slowness: f32, judged: u64) -> HostStats {
+fn memory(slowness: f32, updated_at: u64) -> HostStats {
     HostStats {
         started: 0,
         slowness: vec![slowness; 3],
@@ -264,7 +264,7 @@
         limit: 3.0,
         errors: 0.0,
         weight: 16.0,
-        judged,
+        updated_at,
     }
 }
 
@@ -555,7 +555,8 @@
     );
     let (code, text) = run(&["verify", "spoilt"]);
     assert!(
-        code == Some(1) && text.starts_with("bitternsill: spoilt: 90 bytes where "),
+        code == Some(1)
+            && text.starts_with("bitternsill: spoilt: wrong length: 90 bytes, expected "),
         "{text}"
     );
     assert_eq!(run(&["convert", "new", "old", "--version", "1"]).0, Some(0));
@@ -580,8 +581,7 @@
     );
     let aged = run(&["age", "new", "--after", "60"]).1;
     assert!(
-        aged.contains("s-0  slowness 4.50")
-            && aged.contains("s-1  dropped: nothing out of the ordinary"),
+        aged.contains("s-0  slowness 4.50") && aged.contains("s-1  dropped: close to the defaults"),
         "{aged}"
     );
     let late: Value =
