--- a/bitternsill/tests/catalogue.rs
+++ b/bitternsill/tests/catalogue.rs
@@ -1,5 +1,4 @@
-//! Stories on the catalogue front: what SRU and Z39.50 clients use, over stand-in index hosts of
-//! both protocols.
+//! SRU and Z39.50 as clients use them, over stand-in index hosts of both protocols.
 
 mod common;
 
@@ -49,7 +48,7 @@
     );
 }
 
-/// A browser, a form and SOAP: the same search in each.
+/// The same search by GET, form POST and SOAP.
 #[test]
 fn sru_travels_by_get_post_and_soap() {
     let catalogue = Catalogue::start("sru");
@@ -106,7 +105,8 @@
 #[test]
 fn a_partial_sru_search_says_so_in_each_version() {
     let catalogue = Catalogue::start("sru");
-    // A wide query's first part goes out alone and proves it harmless; its host must answer.
+    // The first part of a wide query is sent ahead on its own to show that the query is harmless;
+    // its host must answer.
     on(&catalogue.scripts[2].silent, true);
     let start = Instant::now();
     let old = catalogue.body("/comics?version=1.2&operation=searchRetrieve&query=moon");
@@ -116,8 +116,8 @@
     );
     let new = catalogue.body("/comics?query=moon&maximumRecords=0");
     insta::assert_snapshot!(format!("{old}\n{new}"));
-    // Without another slice too little is in: that is no answer, and it is said at once that it is
-    // none.
+    // Without a second slice the weight is too low for a partial answer, and the search is rejected
+    // at once.
     on(&catalogue.scripts[1].silent, true);
     let refused = catalogue.sru("/comics?query=moon");
     assert!(
@@ -137,7 +137,7 @@
         reader.search("comics", "moon", 10),
         reader.search("elsewhere", "moon", 0),
         reader.search("IR-Explain-1", "moon", 0),
-        // The set of a search that failed before it began is kept: the client has not replaced it.
+        // A search that fails before it begins leaves the result set unchanged.
         reader.present(1, 1),
     ];
     let set = |name: &str| {
@@ -247,7 +247,7 @@
     insta::assert_snapshot!(said.join("\n"));
 }
 
-/// Each record syntax, brief and full, and what is refused.
+/// Each record syntax, brief and full, and the unsupported ones.
 #[test]
 fn records_come_in_the_syntax_that_is_asked_for() {
     let catalogue = Catalogue::start("sru");
@@ -282,8 +282,9 @@
     assert_eq!(condition(&ask("1.2.840.10003.5.10", Some("Q"))), Some(25));
 }
 
-/// With the second level a record longer than a message travels in pieces; with the first one whole
-/// records do, in several messages; without either the client gets what fits and asks for the rest.
+/// With level 2 segmentation, a record longer than a message is split; with level 1, whole records
+/// are spread over several messages; without either, the client gets what fits and presents the
+/// rest later.
 #[test]
 fn long_answers_are_divided_as_was_agreed_at_init() {
     let long: Vec<String> = (0..6).map(|n| format!("{n}{}", "x".repeat(1500))).collect();
@@ -335,7 +336,7 @@
     assert_eq!(said, [(0, 1, 2, 2), (5, 6, 0, 0), (11, 6, 0, 0)]);
 }
 
-/// The bytes of a record, or of a piece of one.
+/// The content of a record or of a fragment.
 fn whole_or_piece(named: &Item) -> String {
     let choice = &named.get(1).expect("a record").items()[0];
     match choice.tag {
@@ -404,8 +405,8 @@
     let mut early = TcpStream::connect(catalogue.z3950).unwrap();
     let mut strange = Writer::default();
     strange.inside_universal(universal::SEQUENCE, |w| w.integer(1, 1));
-    // A bomb of nested values, a length that would fill the memory, a tag that never ends, no data
-    // unit at all.
+    // Deeply nested values, a length that would exhaust memory, an endless tag, and no data unit at
+    // all.
     let hostile = [
         [0xb6, 0x80].repeat(200),
         vec![0xb4, 0x84, 0x7f, 0xff, 0xff, 0xff],
@@ -423,8 +424,8 @@
         .unwrap();
     let closed = read_unit(&mut early, &mut Vec::new()).expect("a close");
     assert_eq!(say(&closed), "unit 48, reason 6");
-    // Indefinite lengths are sound, and a query of more clauses than are taken is refused and
-    // nothing else.
+    // Indefinite lengths are valid, and a query with too many clauses fails without any effect on
+    // the session.
     let mut indefinite = search_unit(None, "default", "comics", "moon", 0);
     assert_eq!(indefinite[..1], [0xb6]);
     let body = indefinite.split_off(if indefinite[1] < 0x80 {
--- a/bitternsill/tests/catalogue_faults.rs
+++ b/bitternsill/tests/catalogue_faults.rs
@@ -1,5 +1,5 @@
-//! Stories on the catalogue front under failure: hosts that drain, die, change, lack something or
-//! are slow, and clients that ask too much at once, leave in the middle or do not read.
+//! The catalogue front under faults: hosts that drain, die, change, lack features or are slow, and
+//! clients that send too much at once, leave during an operation or do not read.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const EVERYTHING: [&str; 6] = ["0.0", "1.0", "1.1", "2.0", "2.1", "2.2"];
 
-/// Three slices, each on two of three hosts that hold them all.
+/// Three slices, each on two of three hosts; every host has the titles of all slices.
 fn replicated(speak: &str) -> Catalogue {
     let scripts = (0..3).map(|_| Arc::default()).collect();
     Catalogue::start_with(speak, scripts, catalogue_settings(2), json!({}))
@@ -28,16 +28,16 @@
         .unwrap_or_default()
 }
 
-/// Hard case 1. The host of an open session begins to leave while a page is being fetched from it
-/// and another waits: nothing new goes there after 2 s, and both pages come from the other holder,
-/// with the same records.
+/// The host of an open session starts to leave while one page is being fetched from it and another
+/// waits. After 2 s it gets no new requests, and both pages come from the other host, with the same
+/// records.
 #[test]
 fn a_host_that_leaves_in_the_middle_of_a_page_changes_nothing_for_the_reader() {
     let catalogue = replicated("z3950");
     let mut reader = Reader::open(catalogue.z3950);
     assert!(reader.search("comics", "moon", 0).contains("count 6"));
     let leaving = &catalogue.scripts[0];
-    // It searches and presents no more, whichever of the two a page takes there.
+    // It answers neither search nor present, so a page waits there whichever it uses.
     on(&leaving.holds, true);
     on(&leaving.deaf, true);
     let work = || count(&leaving.searches) + count(&leaving.presents);
@@ -72,7 +72,7 @@
     eventually("its sessions are closed", || count(&leaving.open) == 0);
 }
 
-/// The same host while nothing is asked of it: its sessions are closed and none is opened again.
+/// Sessions to a leaving host are closed when idle and not reopened.
 #[test]
 fn an_idle_session_to_a_leaving_host_is_closed() {
     let catalogue = replicated("z3950");
@@ -92,8 +92,8 @@
     assert_eq!(count(&leaving.connections), before);
 }
 
-/// Hard case 2. A slice that was late on page one stays out of the set: page two goes on where page
-/// one ended.
+/// A slice that was late for the first page stays out of the result set, so the second page
+/// continues where the first ended.
 #[test]
 fn a_slice_that_was_late_on_page_one_moves_nothing_on_page_two() {
     let catalogue = Catalogue::start("sru");
@@ -116,12 +116,12 @@
             "{second}"
         );
     }
-    // A first page is a new search, and has it all.
+    // A new search for the first page is complete.
     assert_eq!(catalogue.titles("/comics?query=moon"), EVERYTHING);
 }
 
-/// Hard case 3. A slice with one record more, and one whose host gives another order: the set is
-/// replaced, which is said, or gone, which is said too.
+/// A slice gets another record, or its host returns a different order. The result set is replaced
+/// or dropped, and the response says which.
 #[test]
 fn a_set_that_has_changed_is_replaced_or_gone_and_says_so() {
     let catalogue = Catalogue::start("sru");
@@ -171,8 +171,8 @@
     }
 }
 
-/// Hard case 4. The host that was searched has forgotten its set, and then it dies: the page is
-/// searched again, there or elsewhere.
+/// After the searched host has dropped its result set or has died, the page is fetched by a new
+/// search, on the same or another host.
 #[test]
 fn a_set_outlives_the_host_that_made_it() {
     let catalogue = replicated("z3950");
@@ -182,14 +182,13 @@
     let page = reader.present(1, 6);
     assert!(page.ends_with(&EVERYTHING.join(", ")), "{page}");
     for dead in 0..3 {
-        // Each on a new program: the module leaves hosts that have failed alone for a while.
+        // Each with a new program, since hosts that have failed are avoided for a while.
         let catalogue = replicated("z3950");
         let mut reader = Reader::open(catalogue.z3950);
         reader.search("comics", "moon", 0);
         on(&catalogue.scripts[dead].dead, true);
-        // A query of which nothing was answered when its host died may be what killed it, so the
-        // module refuses it once: asking again is harmless, and served by the other holder. No page
-        // is ever a wrong one.
+        // A query whose host died before any answer may have caused the crash, so it is refused
+        // once. A repeat is harmless and served by the other host. No page may have wrong records.
         for (start, count, wanted) in [(4, 3, &EVERYTHING[3..]), (1, 6, &EVERYTHING[..])] {
             let mut refusals = 0;
             loop {
@@ -234,8 +233,8 @@
     })
 }
 
-/// Hard case 5. A slice that does not answer, or answers with a diagnostic, is missing from scans
-/// and sorts, and every version says so.
+/// A slice that does not answer, or answers with a diagnostic, is missing from scans and sorts, and
+/// every protocol version reports the partial result.
 #[test]
 fn scans_and_sorts_without_a_slice_are_partial_and_say_so() {
     let catalogue = Catalogue::start("sru");
@@ -281,23 +280,22 @@
     assert!(reader.present(1, 3).ends_with("1.1, 1.0, 0.0"));
 }
 
-/// Settings under which many operations are open at once.
+/// Settings with this limit of open operations.
 fn roomy(replicas: u32, open: u32) -> Value {
     let mut settings = catalogue_settings(replicas);
     settings["limits"]["max_open"] = json!(open);
     settings
 }
 
-/// Hard case 6. Many operations on one session, whose answers come as they are ready: each gets
-/// one.
+/// Many operations on one session, answered as they complete: each gets exactly one answer.
 #[test]
 fn sixty_four_operations_of_one_session_get_one_answer_each_in_any_order() {
     let scripts: Vec<Arc<Script>> = (0..3).map(|_| Arc::default()).collect();
     let catalogue = Catalogue::start_with("z3950", scripts, roomy(1, 600), json!({}));
     let mut reader = Reader::open(catalogue.z3950);
     reader.search("comics", "moon", 0);
-    // Pages of the first slice are quick, those of the last one slow: the answers overtake one
-    // another.
+    // Pages of the first slice are quick and those of the last slow, so that answers overtake each
+    // other.
     catalogue.scripts[2]
         .delay
         .store(15, std::sync::atomic::Ordering::SeqCst);
@@ -314,20 +312,21 @@
     let alike: BTreeSet<&String> = heard.iter().collect();
     assert_eq!((alike.len(), alike), (64, asked.iter().collect()));
     assert_ne!(heard, asked, "out of order");
-    // A reference that is in use is a protocol error; so is none while one without is under way.
+    // A reference that is in use is a protocol error, and so is a second operation without a
+    // reference while one is open.
     on(&catalogue.scripts[2].silent, true);
     reader.say(&present_unit(Some(b"same"), "default", 6, 1));
     reader.say(&present_unit(Some(b"same"), "default", 6, 1));
     assert_eq!(say(&reader.hear().expect("a close")), "unit 48, reason 6");
 }
 
-/// Hard case 6. Clients that leave in the middle, in each way: what they asked for is called off,
-/// so that others find room at once.
+/// Clients leave during their operations in different ways. The operations are cancelled, so that
+/// others find room at once.
 #[test]
 fn what_a_client_left_behind_is_called_off_at_once() {
     let scripts: Vec<Arc<Script>> = (0..3).map(|_| Arc::default()).collect();
-    // Room for three operations with a part each, which one client asks for: whoever else comes is
-    // turned away for as long as they are held.
+    // Room for three operations of one part each, which one client uses; any other is rejected
+    // while they are open.
     let catalogue = Catalogue::start_with("z3950", scripts, roomy(1, 6), json!({}));
     let ways: [&dyn Fn(&mut Reader); 4] = [
         &|reader| {
@@ -379,7 +378,7 @@
             "there is no room"
         );
         leave(&mut reader);
-        // At once, and not when what was left behind has had its time.
+        // At once, not only at the deadline of the abandoned operations.
         let start = Instant::now();
         let mut served = false;
         on(&catalogue.scripts[0].holds, false);
@@ -391,8 +390,8 @@
     }
 }
 
-/// Hard case 6. A reader that asks for a lot and reads nothing holds a bounded amount and is let
-/// go.
+/// A client that requests much and reads nothing uses a bounded amount of memory and is
+/// disconnected.
 #[test]
 fn a_reader_that_stalls_in_the_middle_of_segments_is_let_go_and_holds_little() {
     let long: Vec<String> = (0..150)
@@ -426,7 +425,8 @@
     ];
     let (mut reader, _) = Reader::init(catalogue.z3950, &all, 1 << 16, |_| {});
     reader.search("comics", "moon", 0);
-    // What the system holds for it is no matter of the program's: that is to be full soon.
+    // A small receive buffer, since buffers of the system are not the subject here and should fill
+    // soon.
     rustix::net::sockopt::set_socket_recv_buffer_size(&reader.socket, 4096).unwrap();
     let before = memory();
     let start = Instant::now();
@@ -437,7 +437,7 @@
         reader.socket.write_all(&unit).is_ok()
     };
     (0..40).for_each(|_| assert!(ask(&mut reader)));
-    // Others are answered meanwhile; where the hosts are busy with its pages, by a refusal.
+    // Others are answered meanwhile, with a rejection if the hosts are busy with these pages.
     while ask(&mut reader) {
         assert!(start.elapsed() < Duration::from_secs(20), "never let go");
         let answer = catalogue.sru("/comics?query=moon&maximumRecords=0");
@@ -455,8 +455,8 @@
     });
 }
 
-/// Hard case 7. Hosts of one version only, and hosts without named sets, sorting or scanning: the
-/// same answers, or a diagnostic where there is no way round.
+/// Hosts with a single SRU version, or without named result sets, sort or scan: clients get the
+/// same answers, or a diagnostic if there is no alternative.
 #[test]
 fn hosts_that_lack_something_are_answered_round_it_or_it_is_said() {
     let sorted = "/comics?version=1.2&operation=searchRetrieve&query=moon&sortKeys=title,,0&maximumRecords=4";
@@ -476,7 +476,8 @@
             ["2.2", "2.1", "2.0", "1.1"],
             "{version}"
         );
-        // Each session learned it from the first answer: no further search is refused.
+        // Each session has learned the version from the first answer, so no further search is
+        // refused.
         let before: usize = catalogue.scripts.iter().map(|s| count(&s.searches)).sum();
         catalogue.titles("/comics?query=moon&maximumRecords=0");
         assert_eq!(
@@ -510,15 +511,15 @@
     );
 }
 
-/// A copy that wins leaves its twin's session open: the late answer is read and dropped, and nobody
-/// connects again.
+/// If a hedged copy wins, the session of the slower request stays open: its late answer is read and
+/// dropped, and no new connection is made.
 #[test]
 fn a_search_that_lost_to_its_copy_does_not_cost_its_session() {
     let catalogue = replicated("z3950");
     for _ in 0..20 {
         catalogue.titles("/comics?query=moon&maximumRecords=0");
     }
-    // Slow enough for copies, quick enough to be outlived.
+    // Slow enough for hedging, but not for a time-out.
     catalogue.scripts[1]
         .delay
         .store(120, std::sync::atomic::Ordering::SeqCst);
@@ -531,7 +532,8 @@
     };
     let searches = |n: usize| count(&catalogue.scripts[n].searches);
     let (before, slow) = (connections(), searches(1));
-    // Which host is asked first is chance: on average one of forty searches begins at the slow one.
+    // The first host of a search is random: on average one of forty searches starts at the slow
+    // one.
     let mut searched = 0;
     eventually("the slow host has answered", || {
         assert_eq!(catalogue.titles("/comics?query=moon"), EVERYTHING);
@@ -539,8 +541,8 @@
         searched >= 40 && searches(1) > slow
     });
     let more = connections() - before;
-    // Sessions are opened while others outlive a search, up to the pool's bound, and none is opened
-    // in place of another.
+    // Sessions may be opened while others still wait for a late answer, up to the limit of the
+    // pool, but never as a replacement.
     assert!(more <= 16, "{more} connections for {searched} searches");
     assert!(
         catalogue
@@ -551,7 +553,7 @@
     );
 }
 
-/// A request that is cut off in the middle, and one that asks while a search is under way, in SRU.
+/// SRU clients that disconnect during their searches must not keep others waiting.
 #[test]
 fn an_sru_client_that_hangs_up_ends_its_search() {
     let scripts: Vec<Arc<Script>> = (0..3).map(|_| Arc::default()).collect();
--- a/bitternsill/tests/cli.rs
+++ b/bitternsill/tests/cli.rs
@@ -1,4 +1,4 @@
-//! Stories on the command line.
+//! The command line.
 
 use std::process::{Command, Stdio};
 
@@ -77,7 +77,7 @@
     std::fs::remove_dir_all(&directory).unwrap();
 }
 
-/// Found by hand: `describe asyncapi | head` ended in a panic.
+/// Guards against a panic when standard output closes early, as in `describe asyncapi | head`.
 #[test]
 fn a_reader_that_goes_away_is_no_failure() {
     let program = env!("CARGO_BIN_EXE_bitternsill");
--- a/bitternsill/tests/cold_fleet.rs
+++ b/bitternsill/tests/cold_fleet.rs
@@ -1,4 +1,4 @@
-//! Many gatherers, each a process, before one cold index host: what all of them send it together.
+//! Load that many gatherers, each a process, send together to one cold index host.
 
 mod common;
 
@@ -11,14 +11,15 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const GATHERERS: usize = 24;
-/// What a part takes the index host, and what the settings allow it of that as long as it is cold.
+/// Service time of a part on the index host, and the capacity share and multiple that the settings
+/// allow while it is cold.
 const WORK: Duration = Duration::from_millis(200);
 const START: f64 = 0.25;
 const MULTIPLE: f64 = 4.0;
 const RAMP: Duration = Duration::from_secs(60);
 
-/// Each has a share of a sixth of a part. Rounded up in each it would be 24 at once, where 11 to 12
-/// may be chance.
+/// Each gatherer may use a sixth of a part. If each rounded that up, 24 parts would arrive at once,
+/// where 11 to 12 may be chance.
 #[test]
 fn fleet_keeps_cold_hosts_within_budget() {
     let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
@@ -67,7 +68,7 @@
             })
         });
     }
-    // All are asked at once, and again as soon as they have answered.
+    // All gatherers get a query at once, and the next as soon as they have answered.
     let asked = Instant::now();
     let clients: Vec<_> = gatherers
         .iter()
--- a/bitternsill/tests/common/fleet.rs
+++ b/bitternsill/tests/common/fleet.rs
@@ -1,5 +1,5 @@
-//! The rig for stories of whole fleets: programs, links between them that a test can fail one way,
-//! index hosts and discovery, clients and observers.
+//! Test harness for fleets: gatherer processes, links between them that fail in one direction,
+//! stand-in index hosts and discovery, clients, and store watchers.
 
 use super::*;
 use simulation::history::{History, SessionId};
@@ -10,14 +10,14 @@
 use std::thread::JoinHandle;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Discovery that tells whoever watches the whole list, whenever it has changed. One entry of it is
-/// counted up.
+/// A discovery stand-in that sends the whole target list to each watcher whenever the list changes.
+/// The port of one entry carries a counter.
 pub struct Counter {
     pub address: SocketAddr,
     pub count: Arc<AtomicU64>,
-    /// When it says that the index hosts were started, in milliseconds of the wall clock.
+    /// Start time that the list gives for the index hosts, in milliseconds since the Unix epoch.
     pub boot_ms: Arc<AtomicU64>,
-    /// Whoever calls hears nothing, and neither does whoever watches.
+    /// While set, neither new calls nor open watches receive data.
     pub mute: Arc<AtomicBool>,
 }
 
@@ -51,7 +51,7 @@
                 let list = if now == told {
                     "\n".to_owned()
                 } else {
-                    // Nothing is sent to one that leaves: its port says how far the count is.
+                    // Nothing is sent to a leaving host, so its port can carry the counter.
                     let entry = json!({"uid": "counted", "endpoint": format!("127.0.0.1:{}", 10_000 + now),
                                        "pod_group": 0, "state": "leaving"});
                     let targets: Vec<&Value> = hosts.iter().chain([&entry]).collect();
@@ -70,7 +70,7 @@
     }
 }
 
-/// How far a list that the store keeps had counted.
+/// The counter value in a target list from the store.
 pub fn counted(value: &str) -> Option<u64> {
     let list: Value = serde_json::from_str(value).ok()?;
     let entry = list
@@ -86,7 +86,7 @@
     port.checked_sub(10_000)
 }
 
-/// What became of clients' queries.
+/// Outcomes of the client queries.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Asked {
     pub whole: u32,
@@ -95,25 +95,25 @@
     pub worst: Duration,
 }
 
-/// How the gatherers of a fleet are set up.
+/// Options of the gatherers in a fleet.
 pub struct Set {
     pub settings: Value,
-    /// What stands under `recovery`, where anything does.
+    /// The `recovery` section of the operator file.
     pub recovery: Option<Value>,
-    /// Whether they have the list of index hosts from before.
+    /// Whether the configuration contains the target list as `known`.
     pub known: bool,
-    /// The index hosts' warmth, where they are ever cold.
+    /// Warm-up state of the index hosts; `None` for hosts that are always warm.
     pub warmth: Option<Arc<Warmth>>,
-    /// Whether what is learned is kept over a gatherer's lives.
+    /// Whether learned statistics persist across restarts.
     pub learning: bool,
-    /// Whether discovery says nothing, from the begin.
+    /// Whether discovery is silent from the start.
     pub mute: bool,
-    /// What stands under `versions`, where anything does: then each keeps its name and its trail
-    /// over its lives.
+    /// The `versions` section of the operator file. With it, a gatherer keeps its name and audit
+    /// log across restarts.
     pub versions: Option<Value>,
-    /// Whether operators have a door.
+    /// Whether each gatherer has an admin address.
     pub doors: bool,
-    /// Gatherers that have another one's name.
+    /// Gatherers that run under the name of another one.
     pub named_as: BTreeMap<usize, usize>,
 }
 
@@ -135,11 +135,10 @@
     }
 }
 
-/// What a part costs a warm index host, which does one at a time.
+/// Service time of a part on a warm index host, which serves one part at a time.
 pub const WORK: Duration = Duration::from_millis(4);
 
-/// When index hosts were started last, where they have been: what they can do then grows from a
-/// fifth over 10 s.
+/// Last start of the index hosts. After a start, capacity grows from a fifth to full over 10 s.
 #[derive(Debug, Default)]
 pub struct Warmth {
     since: Mutex<Option<Instant>>,
@@ -147,7 +146,6 @@
 }
 
 impl Warmth {
-    /// All of them start anew, at this moment.
     pub fn restart(&self) {
         *self.since.lock().unwrap() = Some(Instant::now());
     }
@@ -156,14 +154,15 @@
         *self.since.lock().unwrap()
     }
 
-    /// How often one of them was given so much that it fell.
+    /// How often a host failed from overload.
     pub fn falls(&self) -> u64 {
         self.falls.load(Ordering::SeqCst)
     }
 }
 
-/// An index host that warms up as the settings say, and that falls as they say: given twice what it
-/// bears for a second it turns everything away for two, and is cold again.
+/// An index host that warms up and fails from overload as the settings describe: after more than
+/// twice its capacity within one second, it turns everything away for two seconds and is cold
+/// again.
 pub fn warming_host(warmth: Arc<Warmth>) -> FrameHost {
     let desk = Mutex::new(());
     let state = Mutex::new((warmth.since(), VecDeque::<Instant>::new()));
@@ -199,8 +198,8 @@
     })
 }
 
-/// Some gatherers of the platform, each a member of the store, with a link for each that speaks to
-/// each.
+/// Gatherers that are all members of one store, with a separate link for each direction between two
+/// of them.
 pub struct Fleet {
     pub name: String,
     pub stores: Vec<SocketAddr>,
@@ -283,13 +282,12 @@
         }
     }
 
-    /// Each life of a gatherer writes under a name of its own: what it wrote is written by nobody
-    /// again.
+    /// Without versions, each start of a gatherer has its own name, so that no later start
+    /// overwrites its key.
     pub fn key(&self, at: usize) -> String {
         format!("members/{}", self.gatherer(at))
     }
 
-    /// A gatherer's name.
     pub fn gatherer(&self, at: usize) -> String {
         let name = self.set.named_as.get(&at).unwrap_or(&at);
         if self.set.versions.is_some() {
@@ -299,13 +297,13 @@
         }
     }
 
-    /// Where a gatherer keeps its trail.
+    /// The folder of a gatherer's audit log.
     pub fn trail(&self, at: usize) -> PathBuf {
         self.files[at].with_extension("trail")
     }
 
-    /// Calls `bitternsill fleet` with these words at these gatherers; what it prints and whether it
-    /// exits with 0.
+    /// Runs `bitternsill fleet` against these gatherers; returns the output and whether the exit
+    /// code was 0.
     pub fn call(&self, words: &[&str], at: &[usize]) -> (String, bool) {
         let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
             .arg("fleet")
@@ -378,7 +376,7 @@
         self.programs[at] = Some(Program::start_in(&shell, "--config", &config, &more));
     }
 
-    /// Kills these at one moment, as far as signals are one.
+    /// Kills these gatherers with a single `kill` command, so as close together as signals allow.
     pub fn power_off(&mut self, group: &BTreeSet<usize>) {
         let off: Vec<Program> = group
             .iter()
@@ -398,7 +396,7 @@
         );
     }
 
-    /// Notes what a member tells a watcher, for as long as the day goes on.
+    /// Starts a thread that records what a member sends to a watcher, until the test stops.
     pub fn observe(&mut self, at: usize) {
         let (address, over, history) = (self.stores[at], self.over.clone(), self.history.clone());
         self.helpers.push(thread::spawn(move || {
@@ -417,8 +415,8 @@
         }));
     }
 
-    /// Asks a gatherer one query after the other: each has one answer in its time, or its
-    /// connection ends.
+    /// Starts a thread that sends one query after another. Each must get exactly one response in
+    /// time, or its connection must end.
     pub fn ask(&mut self, at: usize) {
         let (address, over, asked) = (self.fronts[at], self.over.clone(), self.asked.clone());
         self.helpers.push(thread::spawn(move || {
@@ -462,13 +460,13 @@
         }));
     }
 
-    /// Queries that have had their answer since this was last set to nothing.
+    /// Queries with a response since the counts were last reset.
     pub fn answered(&self) -> u32 {
         let asked = self.asked.lock().unwrap();
         asked.whole + asked.refused
     }
 
-    /// All gatherers that run are told one more.
+    /// Increments the counter that discovery publishes to all running gatherers.
     pub fn count_up(&self) {
         let next = self.counter.count.load(Ordering::SeqCst) + 1;
         (0..self.lives.len()).for_each(|at| {
@@ -484,8 +482,8 @@
         &self.links[&(from, to)]
     }
 
-    /// Power is lost to everything, gatherers and index hosts, and has returned; discovery knows,
-    /// where it says anything.
+    /// A power failure of all gatherers and index hosts, and the restart. Discovery, unless silent,
+    /// publishes the new start time.
     pub fn blackout(&mut self) {
         let all: BTreeSet<usize> = (0..self.stores.len()).collect();
         self.power_off(&all);
@@ -501,7 +499,6 @@
         all.into_iter().for_each(|at| self.power_on(at));
     }
 
-    /// All links are whole again.
     pub fn heal(&self) {
         self.links
             .values()
@@ -528,7 +525,7 @@
         }
     }
 
-    /// What a member holds now.
+    /// The counter values that a member holds.
     pub fn held(&self, at: usize) -> BTreeMap<String, u64> {
         let mut held = BTreeMap::new();
         watch(self.stores[at], Duration::from_millis(150), |key, value| {
@@ -538,7 +535,7 @@
         held
     }
 
-    /// Whether every member holds at least what anyone was shown, and all the same.
+    /// Whether all members hold the same values, none below the highest that a watcher has seen.
     pub fn is_one(&self) -> bool {
         let shown = self.history.lock().unwrap().highest_read().clone();
         let held: Vec<_> = (0..self.stores.len()).map(|at| self.held(at)).collect();
@@ -550,7 +547,7 @@
         held.iter().all(enough) && held.iter().all(|other| *other == held[0])
     }
 
-    /// Waits until the last count of every gatherer that runs is held by all.
+    /// Waits until all members hold the latest counter value of every gatherer.
     pub fn settle(&self) -> Result<(), String> {
         self.count_up();
         let now = self.counter.count.load(Ordering::SeqCst);
@@ -574,7 +571,8 @@
         }
     }
 
-    /// Ends the day, and says what was wrong with it.
+    /// Stops clients and watchers and checks the recorded history; returns the query counts or the
+    /// violations.
     pub fn judge(mut self) -> Result<Asked, String> {
         let settled = self.settle();
         self.over.store(true, Ordering::SeqCst);
@@ -604,7 +602,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.over.store(true, Ordering::SeqCst);
-        // A process that stands still ends no sooner for that, but must not outlive the test.
+        // A stopped process (SIGSTOP) must not outlive the test.
         self.programs.clear();
         if thread::panicking() {
             eprintln!("the files of {} are left beside their logs", self.name);
@@ -612,8 +610,8 @@
     }
 }
 
-/// Hears a watcher's lines until the connection ends, nothing more comes for so long, or enough was
-/// heard.
+/// Reads watch lines until the connection ends, nothing arrives for `quiet`, or `hear` returns
+/// false.
 pub fn watch(address: SocketAddr, quiet: Duration, mut hear: impl FnMut(&str, &str) -> bool) {
     let Ok(mut socket) = TcpStream::connect(address) else {
         return;
@@ -626,7 +624,7 @@
         let Ok(line) = serde_json::from_str::<Value>(&line) else {
             return;
         };
-        // A key that is gone has no value.
+        // A deleted key has no value.
         let (Some(key), Some(value)) = (line["key"].as_str(), line["value"].as_str()) else {
             continue;
         };
--- a/bitternsill/tests/common/mod.rs
+++ b/bitternsill/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The program as a process, and scripted peers on loopback sockets.
-#![allow(dead_code)] // each story uses its share
+//! Runs the program as a process, with scripted peers on loopback sockets.
+#![allow(dead_code)] // each test uses only part of this module
 
 pub mod fleet;
 pub mod standins;
@@ -18,10 +18,9 @@
 
 static SERIAL: AtomicU32 = AtomicU32::new(0);
 
-/// A free address of this machine: a loopback address that no other test has, so that its port
-/// stays free. The socket that finds the port never listens: a program that another test starts
-/// just then has a copy of it for a moment, and a copy that listened would take connections and
-/// reset them.
+/// A free loopback address that no other test uses, so that its port stays free. The socket that
+/// finds the port never listens: a process that another test starts at that moment inherits a copy
+/// of it, and a listening copy would accept connections and reset them.
 pub fn free_address() -> SocketAddr {
     let (pid, serial) = (std::process::id(), SERIAL.fetch_add(1, Ordering::Relaxed));
     let address = format!(
@@ -44,7 +43,7 @@
         .unwrap()
 }
 
-/// Accepts for as long as the test runs, each connection on a thread of its own.
+/// Accepts connections until the test ends, each on its own thread.
 pub fn accept(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -58,7 +57,7 @@
     address
 }
 
-/// Waits for something to become true.
+/// Waits up to 30 s for a condition.
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
@@ -67,25 +66,25 @@
     }
 }
 
-/// The program, ended with the test.
+/// A running process of the program, killed on drop.
 pub struct Program {
     pub child: Child,
-    /// The file that it was started with.
+    /// The configuration file.
     pub file: PathBuf,
 }
 
 impl Program {
-    /// Starts the program with a file of this content after `option`.
+    /// Starts the program with a file of this content as the value of `option`.
     pub fn start(option: &str, content: &Value) -> Program {
         Self::start_with(option, content, 1024)
     }
 
-    /// The same with so many descriptors.
+    /// Like `start`, with this descriptor limit.
     pub fn start_with(option: &str, content: &Value, descriptors: u32) -> Program {
         Self::start_in(&format!("ulimit -n {descriptors}"), option, content, &[])
     }
 
-    /// The same after some words of shell, and with further arguments.
+    /// Like `start`, after these shell commands and with further arguments.
     pub fn start_in(shell: &str, option: &str, content: &Value, more: &[String]) -> Program {
         let name = format!(
             "bitternsill-{}-{}",
@@ -96,7 +95,7 @@
         std::fs::write(&path, content.to_string()).unwrap();
         let child = Command::new("sh")
             .args(["-c", &format!("{shell}; exec \"$0\" serve \"$@\"")])
-            // A measurement may play an earlier build.
+            // Benchmarks can run an earlier build.
             .arg(
                 std::env::var("BITTERNSILL_PROGRAM")
                     .unwrap_or(env!("CARGO_BIN_EXE_bitternsill").into()),
@@ -114,7 +113,6 @@
         Program { child, file: path }
     }
 
-    /// Sends a signal.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(
@@ -134,7 +132,7 @@
     }
 }
 
-/// The settings of a small deployment: three cells in a ring, each shard on two of them.
+/// Settings of a small deployment: three cells in a ring, each shard on two of them.
 pub fn settings() -> Value {
     json!({
         "request_classes": [
@@ -154,13 +152,13 @@
     })
 }
 
-/// One line of the list.
+/// One entry of the target list.
 pub fn target(cell: usize, address: SocketAddr, state: &str) -> Value {
     json!({"uid": format!("s-{cell}"), "endpoint": address.to_string(), "az": "hall-a", "model": "std",
            "pod_group": cell, "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// A stand-in for discovery: the list it gives, and a way to tell changes to whoever watches.
+/// A stand-in for discovery that serves a target list and can send changes to its watchers.
 pub struct Discovery {
     pub address: SocketAddr,
     watchers: Arc<Mutex<Vec<mpsc::Sender<String>>>>,
@@ -172,7 +170,7 @@
         Self::start_beating(targets, Duration::from_millis(500))
     }
 
-    /// The same with so long between the empty lines.
+    /// Like `start`, with this interval between the empty lines.
     pub fn start_beating(targets: Vec<Value>, beat: Duration) -> Discovery {
         let asked: Arc<AtomicU32> = Arc::default();
         let count = asked.clone();
@@ -198,7 +196,7 @@
                     Err(mpsc::RecvTimeoutError::Timeout) => "\n".to_owned(),
                     Err(_) => return,
                 };
-                // A line may come in pieces; the chunk below is cut in the middle of it.
+                // Cut in the middle, since a line may arrive in several chunks.
                 let (a, b) = text.split_at(text.len() / 2);
                 for piece in [a, b].into_iter().filter(|p| !p.is_empty()) {
                     if write!(socket, "{:x}\r\n{piece}\r\n", piece.len()).is_err() {
@@ -214,7 +212,7 @@
         }
     }
 
-    /// Tells every watcher of a change.
+    /// Sends a change to every watcher.
     pub fn tell(&self, version: u64, targets: Vec<Value>) {
         let text = json!({"rev": version, "all": false, "targets": targets}).to_string();
         self.watchers
@@ -228,7 +226,7 @@
         self.watchers.lock().unwrap().clear();
     }
 
-    /// How often a watch was asked for.
+    /// Number of watch requests received.
     pub fn asked(&self) -> u32 {
         self.asked.load(Ordering::SeqCst)
     }
@@ -238,23 +236,23 @@
     }
 }
 
-/// What a scripted index host does with a part.
+/// How a scripted index host answers a part.
 pub enum Say {
     Good(u64, String),
     Bad,
     Later,
     Nothing,
     HangUp,
-    /// These bytes as they are.
+    /// These bytes, unchanged.
     Raw(Vec<u8>),
 }
 
-/// A stand-in for an index host that speaks in frames.
+/// A stand-in for an index host that speaks the frame protocol.
 pub struct FrameHost {
     pub address: SocketAddr,
-    /// Each line of a part that came, without its `d`, and each id given up.
+    /// Each part line received, without its `d`, and each cancelled id.
     pub seen: Arc<Mutex<Vec<String>>>,
-    /// Bytes of the longest frame.
+    /// Size of the longest frame in bytes.
     pub longest: Arc<AtomicU32>,
 }
 
@@ -263,7 +261,7 @@
         Self::start_by_connection(move |_, id| say(id))
     }
 
-    /// The same where it matters on which connection, counted from 0, a part comes.
+    /// Like `start`, where the answer depends on the connection, counted from 0.
     pub fn start_by_connection(
         say: impl Fn(u32, &str) -> Say + Send + Sync + 'static,
     ) -> FrameHost {
@@ -336,7 +334,7 @@
     Some((letter, body))
 }
 
-/// The bytes of a frame.
+/// Encodes a frame.
 pub fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
     let mut bytes = (rest.len() as u32 + 1).to_le_bytes().to_vec();
     bytes.push(letter);
@@ -345,11 +343,11 @@
 }
 
 fn write_frame(socket: &mut TcpStream, letter: u8, rest: &[u8]) {
-    // A gatherer that has hung up needs no answer.
+    // Fails only if the gatherer has closed the connection.
     let _ = socket.write_all(&frame(letter, rest));
 }
 
-/// The platform with scripted index hosts, one in each cell.
+/// The program with scripted index hosts, one in each cell.
 pub struct Platform {
     pub program: Program,
     pub address: SocketAddr,
@@ -363,7 +361,8 @@
         Self::start_with(settings, hosts, 256, 1024)
     }
 
-    /// Starts with so many descriptors told by the configuration, and so many there.
+    /// Starts with this `sockets` limit in the configuration and this descriptor limit in the
+    /// system.
     pub fn start_with(settings: Value, hosts: Vec<FrameHost>, told: u32, there: u32) -> Platform {
         let targets = hosts
             .iter()
@@ -396,7 +395,7 @@
         )
     }
 
-    /// Starts after some words of shell, and with further arguments.
+    /// Starts after these shell commands and with further arguments.
     pub fn start_in(
         shell: &str,
         settings: Value,
@@ -428,13 +427,12 @@
         platform
     }
 
-    /// Replaces the program's file and tells it to read that.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, content: &str) {
         std::fs::write(&self.program.file, content).unwrap();
         self.program.signal("HUP");
     }
 
-    /// A connection on which a test says what it likes.
     pub fn connect(&self) -> TcpStream {
         let socket = TcpStream::connect(self.address).unwrap();
         socket
@@ -443,20 +441,20 @@
         socket
     }
 
-    /// Says something on a new connection and gives all that comes back.
+    /// Sends a request on a new connection and returns the response.
     pub fn say(&self, text: &str) -> String {
         let mut socket = self.connect();
         socket.write_all(text.as_bytes()).unwrap();
         read_response(&mut socket)
     }
 
-    /// Asks for some shards; the answer's status and body.
+    /// Sends a query for these shards and returns the response.
     pub fn ask(&self, id: &str, class: &str, shards: &[u32]) -> String {
         self.say(&query(id, class, shards, "Connection: close\r\n"))
     }
 }
 
-/// The bytes of a query.
+/// Encodes a query.
 pub fn query(id: &str, class: &str, shards: &[u32], more: &str) -> String {
     let portion = 1.0 / shards.len() as f64;
     let ranges: Vec<Value> = shards
@@ -471,12 +469,12 @@
     )
 }
 
-/// One response, as far as its length goes.
+/// Reads one response, up to its content length.
 pub fn read_response(socket: &mut TcpStream) -> String {
     read_next_response(&mut BufReader::new(socket))
 }
 
-/// The same of several that may come together.
+/// Like `read_response`, for several responses on one reader.
 pub fn read_next_response(reader: &mut impl BufRead) -> String {
     let (mut text, mut length) = (String::new(), 0);
     loop {
@@ -498,19 +496,19 @@
     text + &String::from_utf8(body).unwrap()
 }
 
-/// Closes a connection at once. Dropped alone, it would stay open for as long as a program that
-/// another test is starting has a copy of it.
+/// Shuts a connection down at once. A drop alone would leave the connection open while a process
+/// that another test is starting holds a copy of the socket.
 pub fn close(socket: TcpStream) {
-    // Fails only where the connection is gone already.
+    // Fails only if the connection is already gone.
     let _ = socket.shutdown(Shutdown::Both);
 }
 
-/// A host's sound answer with this score.
+/// Answers every part with success and this score.
 pub fn good(score: u64) -> impl Fn(&str) -> Say + Send + Sync + 'static {
     move |id| Say::Good(score, format!("value of {id}"))
 }
 
-/// Three sound hosts.
+/// Three hosts that answer every part.
 pub fn three() -> Vec<FrameHost> {
     (1..=3).map(|score| FrameHost::start(good(score))).collect()
 }
--- a/bitternsill/tests/common/standins.rs
+++ b/bitternsill/tests/common/standins.rs
@@ -1,5 +1,4 @@
-//! Index hosts that speak SRU or Z39.50, and readers' clients of both, for stories on the catalogue
-//! front.
+//! Stand-in index hosts for SRU and Z39.50, and clients of both, for the catalogue tests.
 
 use super::*;
 use catalogue::ber::{self, Item, Writer};
@@ -14,38 +13,38 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize};
 
-/// What an index host holds and how it behaves; shared by the hosts of a slice, or not.
+/// Content and behaviour of a stand-in index host. The hosts of a slice may share one.
 pub struct Script {
     /// Titles of each slice, in the host's order.
     pub titles: Mutex<BTreeMap<usize, Vec<String>>>,
-    /// While set, it answers nothing.
+    /// While set, no request is answered except Init.
     pub silent: AtomicBool,
-    /// While set, it answers no search, but presents.
+    /// While set, searches are not answered.
     pub deaf: AtomicBool,
-    /// While set, it presents nothing.
+    /// While set, presents are not answered.
     pub holds: AtomicBool,
-    /// While set, its connections end as soon as something comes on them.
+    /// While set, a connection closes as soon as a request arrives.
     pub dead: AtomicBool,
-    /// How long it waits before it answers, in milliseconds.
+    /// Delay before each answer, in milliseconds.
     pub delay: AtomicUsize,
-    /// Every so many-th search takes so many milliseconds more.
+    /// Every n-th search takes this many milliseconds longer.
     pub hiccup: Mutex<(usize, u64)>,
-    /// It stands still until then.
+    /// No request is answered before this time.
     pub frozen: Mutex<Option<Instant>>,
-    /// It forgets its sets at once.
+    /// While set, result sets are dropped before each present.
     pub forgets: AtomicBool,
-    /// What its sessions offer.
+    /// Abilities offered in the Init response.
     pub abilities: Mutex<Vec<Ability>>,
-    /// The version of SRU that it speaks.
+    /// The one SRU version that the host speaks.
     pub version: Mutex<&'static str>,
-    /// Its answers over HTTP have no length and end with their connection: in order, or (`true`) by
-    /// a reset.
+    /// HTTP responses have no length and end with the connection: closed in order, or reset if
+    /// `true`.
     pub lengthless: Mutex<Option<bool>>,
-    /// It answers scans with a diagnostic.
+    /// While set, scans get a diagnostic.
     pub no_scan: AtomicBool,
     pub searches: AtomicUsize,
     pub presents: AtomicUsize,
-    /// Records that it gave.
+    /// Number of records sent.
     pub given: AtomicUsize,
     pub open: AtomicUsize,
     pub connections: AtomicUsize,
@@ -54,7 +53,7 @@
 
 impl Default for Script {
     fn default() -> Self {
-        // Slices with one, two, three … hits.
+        // Slice n has n + 1 titles.
         let titles = |slice: usize| (0..=slice).map(|i| format!("{slice}.{i}")).collect();
         Script {
             titles: Mutex::new((0..3).map(|slice| (slice, titles(slice))).collect()),
@@ -120,7 +119,7 @@
 }
 
 impl Script {
-    /// A host with these titles in every slice that is named.
+    /// A host with these titles in each named slice.
     pub fn with(titles: &[(usize, &[&str])]) -> Arc<Script> {
         let own = |(slice, titles): &(usize, &[&str])| {
             (*slice, titles.iter().map(|t| (*t).to_owned()).collect())
@@ -163,7 +162,7 @@
         titles[from.min(to)..to].iter().map(term).collect()
     }
 
-    /// How slow a host is; not a way to wait for something.
+    /// Simulates a slow host.
     fn take_time(&self) {
         let frozen = *self.frozen.lock().unwrap();
         if let Some(left) = frozen.and_then(|until| until.checked_duration_since(Instant::now())) {
@@ -181,7 +180,6 @@
         }
     }
 
-    /// Serves Z39.50 on a new address.
     pub fn z3950(self: &Arc<Self>) -> SocketAddr {
         let script = self.clone();
         accept(move |mut socket| {
@@ -306,7 +304,6 @@
         })
     }
 
-    /// Serves SRU on a new address.
     pub fn sru(self: &Arc<Self>) -> SocketAddr {
         let script = self.clone();
         accept(move |socket| {
@@ -438,12 +435,12 @@
     pub hosts: Vec<SocketAddr>,
 }
 
-/// The settings of three slices, each on so many hosts.
+/// Settings for three slices, each on this many hosts.
 pub fn catalogue_settings(replicas: u32) -> Value {
     sliced_settings(3, replicas)
 }
 
-/// The settings of so many slices, each on so many of as many hosts.
+/// Settings for this many slices, each on `replicas` of as many hosts.
 pub fn sliced_settings(slices: u32, replicas: u32) -> Value {
     let mut settings = settings();
     settings["extra"]["sets"] = json!(slices);
@@ -456,13 +453,13 @@
 }
 
 impl Catalogue {
-    /// Three slices, each on one host, so that a silent host leaves exactly its slice out.
+    /// Three slices on one host each, so that a silent host leaves out exactly its own slice.
     pub fn start(speak: &str) -> Catalogue {
         let scripts = (0..3).map(|_| Arc::default()).collect();
         Self::start_with(speak, scripts, catalogue_settings(1), json!({}))
     }
 
-    /// One host in each cell, with further keys of the file.
+    /// One host per cell, with further keys in the configuration file.
     pub fn start_with(
         speak: &str,
         scripts: Vec<Arc<Script>>,
@@ -513,7 +510,7 @@
         catalogue
     }
 
-    /// One SRU request; everything that comes back until the end of the connection.
+    /// Sends one SRU request and reads until the connection ends.
     pub fn sru(&self, target: &str) -> String {
         self.http(&format!(
             "GET {target} HTTP/1.1\r\nHost: localhost\r\nConnection: close\r\n\r\n"
@@ -536,7 +533,7 @@
         answer.replace('\r', "")
     }
 
-    /// The response's body, with names of sets made alike.
+    /// The response body, with the result set id replaced by a fixed one.
     pub fn body(&self, target: &str) -> String {
         let body = self.sru(target).split_once("\n\n").unwrap().1.to_owned();
         match between(&body, "<resultSetId>", "</resultSetId>") {
@@ -564,7 +561,7 @@
     Some(rest.split_once(end)?.0.to_owned())
 }
 
-/// A stand-in for a Z39.50 client.
+/// A Z39.50 client.
 pub struct Reader {
     pub socket: TcpStream,
     pub input: Vec<u8>,
@@ -614,7 +611,7 @@
     }
 
     pub fn say(&mut self, bytes: &[u8]) {
-        // In two pieces, as a network may have it.
+        // Sent in two pieces, as a network may deliver them.
         let (a, b) = bytes.split_at(bytes.len() / 2);
         self.socket.write_all(a).unwrap();
         self.socket.write_all(b).unwrap();
@@ -662,7 +659,7 @@
     })
 }
 
-/// A diagnostic's condition, wherever it stands.
+/// The condition of the first diagnostic in a unit.
 pub fn condition(unit: &Item) -> Option<i64> {
     let is_integer = unit.class == ber::Class::Universal && unit.tag == ber::universal::INTEGER;
     if is_integer {
@@ -672,7 +669,7 @@
     }
 }
 
-/// What a response says, in words.
+/// Summary of a response as text.
 pub fn say(unit: &Item) -> String {
     let number = |tag| unit.get(tag).and_then(Item::integer);
     let mut words = vec![format!("unit {}", unit.tag)];
--- a/bitternsill/tests/common/versions.rs
+++ b/bitternsill/tests/common/versions.rs
@@ -1,14 +1,14 @@
-//! Helpers of the tests on versions of the configuration.
+//! Helpers for tests of configuration versions.
 
 use super::fleet::*;
 use super::*;
 use simulation::link::Flow;
 use std::collections::BTreeSet;
 
-/// The validity of a confirmation.
+/// How long a confirmation is valid.
 pub const VALIDITY: Duration = Duration::from_millis(2_000);
 
-/// The setup of gatherers with versions.
+/// Options for gatherers with versions.
 pub fn setup() -> Set {
     Set {
         known: true,
@@ -19,7 +19,7 @@
     }
 }
 
-/// The settings with one more class, of this name.
+/// The settings with one more class of this name.
 pub fn with_class(name: &str) -> Value {
     let mut settings = settings();
     let mut class = settings["request_classes"][1].clone();
@@ -39,7 +39,7 @@
     settings
 }
 
-/// Settings in a file.
+/// Writes settings to a file.
 pub fn file(fleet: &Fleet, name: &str, settings: &Value) -> PathBuf {
     let path = std::env::temp_dir().join(format!(
         "bitternsill-{}-{}-{name}.json",
@@ -50,7 +50,7 @@
     path
 }
 
-/// Proposes settings with a class of this name, at some members.
+/// Proposes settings with a class of this name through some members; returns the proposal's number.
 pub fn configure(fleet: &Fleet, class: &str, at: &[usize]) -> u64 {
     let path = file(fleet, class, &with_class(class));
     let (text, done) = fleet.call(
@@ -68,7 +68,7 @@
     said["proposal"].as_u64().unwrap()
 }
 
-/// Activates the proposal; the version and the autonomous gatherers.
+/// Activates the proposal; returns the version and the autonomous gatherers.
 pub fn activate(fleet: &Fleet, at: &[usize]) -> Result<(u64, BTreeSet<String>), String> {
     let (text, done) = fleet.call(&["activate", "--json", "--wait", "3000"], at);
     let said: Value = serde_json::from_str(&text).map_err(|_| text.clone())?;
@@ -81,7 +81,7 @@
     Ok((said["version"].as_u64().unwrap(), autonomous.collect()))
 }
 
-/// The status of a gatherer's response to a query of a class.
+/// The status code of a gatherer's response to a query of this class.
 pub fn ask(fleet: &Fleet, at: usize, class: &str) -> Option<String> {
     let mut socket = TcpStream::connect(fleet.fronts[at]).ok()?;
     socket
@@ -97,32 +97,31 @@
     read_response(&mut socket).get(9..12).map(str::to_owned)
 }
 
-/// Whether a gatherer answers queries of a class.
+/// Whether a gatherer answers queries of this class.
 pub fn serves(fleet: &Fleet, at: usize, class: &str) -> bool {
     ask(fleet, at, class).as_deref() == Some("200")
 }
 
-/// The part of a gatherer's status response about versions.
+/// The version section of a gatherer's status.
 pub fn version(fleet: &Fleet, at: usize) -> Value {
     let (text, _) = fleet.call(&["phase", "--format", "json"], &[at]);
     let said: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
     said[0]["answer"]["version"].clone()
 }
 
-/// Whether a gatherer reports this status.
 pub fn has_status(fleet: &Fleet, at: usize, wanted: &str) -> bool {
     version(fleet, at)["standing"] == wanted
 }
 
-/// Audits all gatherers: the text, and whether there is no violation and everything is known.
+/// Audits all gatherers; returns the report and whether everything is known and free of violations.
 pub fn audit(fleet: &Fleet) -> (String, bool) {
     let all: Vec<usize> = (0..fleet.stores.len()).collect();
-    // The last queries are in the audit logs once they have been flushed.
+    // The audit logs contain the last queries only after a flush.
     std::thread::sleep(Duration::from_millis(300));
     fleet.call(&["audit", "--patience", "4000"], &all)
 }
 
-/// Sets what happens to bytes from one gatherer to all others, and back.
+/// Sets the flow of bytes from one gatherer to all others, and back.
 pub fn partition(fleet: &Fleet, one: usize, ways: [Flow; 2]) {
     for other in (0..fleet.stores.len()).filter(|other| *other != one) {
         fleet.link(one, other).set(ways[0], ways[1]);
@@ -130,12 +129,13 @@
     }
 }
 
-/// Whether all report that they are current.
+/// Whether all gatherers report that they are current.
 pub fn current(fleet: &Fleet) -> bool {
     (0..fleet.stores.len()).all(|at| has_status(fleet, at, "current"))
 }
 
-/// A fleet that runs its first version, its autonomous gatherers, and one that is not.
+/// A fleet that runs its first version; returns its autonomous gatherers and one that is not
+/// autonomous.
 pub fn with_a_version(name: &str) -> (Fleet, BTreeSet<String>, usize) {
     let fleet = Fleet::with(name, 3, setup());
     eventually("all are current", || current(&fleet));
--- a/bitternsill/tests/conform.rs
+++ b/bitternsill/tests/conform.rs
@@ -1,5 +1,5 @@
-//! The conformance suite against the program, over index hosts of the other protocol, and against
-//! servers that fail it.
+//! The conformance suite against the program, over index hosts of either protocol, and against
+//! servers that violate the standards.
 
 mod common;
 
@@ -43,7 +43,7 @@
         .collect()
 }
 
-/// Three slices with four titles each, so that pages cross from one to the next.
+/// Three slices with four titles each, so that pages span slices.
 fn shelves() -> Vec<Arc<Script>> {
     let titles = [
         ["ant", "dog", "gnu", "jay"],
@@ -53,7 +53,7 @@
     (0..3).map(|n| Script::with(&[(n, &titles[n])])).collect()
 }
 
-/// Nothing is skipped but what these hosts do not do: every case says something.
+/// No case may be skipped or fail.
 #[test]
 fn the_program_conforms_over_hosts_of_either_protocol() {
     for speak in ["sru", "z3950"] {
@@ -77,7 +77,7 @@
     }
 }
 
-/// A server that knows no faults and pages as it likes: the suite must see it.
+/// The suite must detect a server that reports no faults and pages arbitrarily.
 #[test]
 fn a_server_that_breaks_the_clauses_fails_the_suite() {
     let host = Script::with(&[(0, &["gnu", "ant", "dog"])]);
--- a/bitternsill/tests/contract.rs
+++ b/bitternsill/tests/contract.rs
@@ -1,6 +1,6 @@
-//! The protocol page field by field: what stands in each message that the program sends, and what
-//! it makes of each that it is sent, seen from the other end of a loopback socket. Stories about
-//! faults stand in `platform_clients.rs`, `platform_hosts.rs` and `platform_discovery.rs`.
+//! The protocol description field by field: the content of each message that the program sends, and
+//! its reaction to each that it receives, observed at the other end of a loopback socket. Tests of
+//! faults are in `platform_clients.rs`, `platform_hosts.rs` and `platform_discovery.rs`.
 
 mod common;
 
@@ -13,19 +13,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A frame as it came: the connection that it came on, counted from 0, its letter and its rest.
+/// A received frame: connection number from 0, letter, and body.
 type Frame = (u32, u8, Vec<u8>);
 
-/// An index host that keeps each frame as it came. What a test makes of one is said in bytes;
-/// `None` hangs up.
+/// An index host that records each frame. The test supplies the bytes of the answer; `None` closes
+/// the connection.
 struct Host {
     address: SocketAddr,
     seen: Arc<Mutex<Vec<Frame>>>,
-    /// When each connection ended.
+    /// End time of each connection.
     ended: Arc<Mutex<Vec<Instant>>>,
 }
 
-/// One part of a call.
 #[derive(Debug, Clone, PartialEq)]
 struct Part {
     id: String,
@@ -34,7 +33,7 @@
     text: Vec<u8>,
 }
 
-/// The parts of a frame `m`, each byte of which must be as the page has it.
+/// Decodes the parts of an `m` frame and checks its format.
 fn parts(mut rest: &[u8]) -> Vec<Part> {
     let mut parts = Vec::new();
     while !rest.is_empty() {
@@ -89,8 +88,7 @@
         }
     }
 
-    /// Answers each part of a call with an end, and what is given up or asked otherwise with
-    /// nothing.
+    /// Answers each part of a call with this end, and all other frames with nothing.
     fn ending(end: &'static str) -> Host {
         Host::start(move |letter, rest| {
             Some(if letter == b'm' {
@@ -117,7 +115,7 @@
     }
 }
 
-/// Frames that answer the parts of a call, the last first.
+/// Frames that answer the parts of a call in reverse order.
 fn answers(call: &[u8], end: &str) -> Vec<u8> {
     let line = |part: &Part| {
         let value = if end == "good" {
@@ -133,8 +131,8 @@
     parts(call).iter().rev().flat_map(line).collect()
 }
 
-/// One set, no overlap, ten shards; three classes: partial, keyed, and one whose parts may run once
-/// only.
+/// One set without overlap and ten shards; three classes: partial answers, idempotency key, and not
+/// idempotent.
 fn small() -> Value {
     let mut settings = settings();
     let classes = [
@@ -154,7 +152,7 @@
     settings
 }
 
-/// The program before these index hosts, all of one set.
+/// The program in front of index hosts that form a single set.
 struct Deployment {
     _program: Program,
     address: SocketAddr,
@@ -191,7 +189,7 @@
         )
     }
 
-    /// Sends a query with these headers for these shards of equal portions.
+    /// Sends a query with these headers for these shards in equal portions.
     fn ask(&self, headers: &str, shards: &[u32]) -> String {
         let portion = 1.0 / shards.len() as f64;
         let ranges: Vec<Value> = shards
@@ -213,7 +211,7 @@
     }
 }
 
-/// What the parts of every query carry: quotes, a line's end and letters of several bytes.
+/// The text of every query, with quotes, a line feed and multi-byte characters.
 const TEXT: &str = "c41e \"77\"\nd=1,k=2 é";
 
 fn entry(uid: &str, address: SocketAddr, state: &str) -> Value {
@@ -225,7 +223,7 @@
     format!("X-Call-Id: {id}\r\nX-Call-Class: {class}\r\nX-Budget: 1.500\r\n{more}")
 }
 
-/// `d` of the first part with an id that begins so, in milliseconds.
+/// The `d` of the first part whose id has this prefix, in milliseconds.
 fn allowed(host: &Host, id: &str) -> u64 {
     host.parts()
         .iter()
@@ -246,7 +244,7 @@
         &shards,
     );
     let calls = host.frames(b'm');
-    // Parts of one frame make one call up to the number in the settings.
+    // Parts are combined into calls up to the configured number.
     assert!(
         calls.iter().all(|call| parts(call).len() <= 8) && calls.len() >= 2,
         "{}",
@@ -284,7 +282,7 @@
             "as the index host gave it"
         );
     }
-    // A class without a key carries none.
+    // A class without a key sends none.
     assert!(
         deployment
             .ask(&headers("plain", "rank", ""), &[3])
@@ -297,12 +295,11 @@
     );
 }
 
-/// Found on reading: a request that had waited behind another on its connection was given its whole
-/// time anew.
+/// Guards against a full new budget for a request that has waited behind another on its connection.
 #[test]
 fn a_request_behind_another_one_tells_its_index_host_only_what_its_client_has_left() {
-    // The first is never answered, and its client's time runs out; what it waits for is one of two
-    // sends at most.
+    // The first query is never answered and runs to its deadline: the wait before the last of at
+    // most two attempts, or the client's budget.
     let say = |letter: u8, rest: &[u8]| match letter {
         b'm' if rest.starts_with(b"held") => Some(Vec::new()),
         b'm' => Some(answers(rest, "good")),
@@ -330,7 +327,8 @@
 
 #[test]
 fn each_end_of_a_part_has_the_outcome_that_the_page_gives_it_and_the_attempts_it_allows() {
-    // What comes back, whether it may have run, and what a frame `r` or a connection's end means.
+    // The end of the part and whether it may have run; "r" is an `r` frame and "" the end of the
+    // connection.
     let ends: [(&str, bool); 4] = [("bad", true), ("later", false), ("r", true), ("", true)];
     for (end, may_have_run) in ends {
         let say = move |letter: u8, rest: &[u8]| match (letter, end) {
@@ -365,7 +363,7 @@
         let once = deployment.ask(&headers("once", "stamp", ""), &[1]);
         let sent = attempts("once.1").len();
         if may_have_run {
-            // Trying that again would not be harmless: it has failed, and is not sent again.
+            // A retry would not be harmless, so the query fails without one.
             assert!(
                 sent == 1 && once.starts_with("HTTP/1.1 5") && !once.starts_with("HTTP/1.1 503"),
                 "{end}: {once}"
@@ -381,7 +379,7 @@
 
 #[test]
 fn what_the_settings_leave_out_is_not_used_and_what_they_name_is() {
-    // Told to come back only where the settings allow it, whatever the longest such time.
+    // `Retry-After` depends on this setting only, not on the longest time allowed for it.
     for told in [true, false] {
         let mut settings = small();
         settings["limits"]["retry_after"] = told.into();
@@ -392,7 +390,7 @@
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
         assert_eq!(answer.contains("Retry-After: "), told, "{answer}");
     }
-    // A marked retry has less of its time left than a first try.
+    // A marked retry gets a smaller share of the time than a first attempt.
     let mut marking = small();
     marking["clients"] = json!({"marks_retry": true});
     let host = Host::ending("good");
@@ -401,8 +399,8 @@
     deployment.ask(&headers("again", "rank", "X-Again: 1\r\n"), &[0]);
     let (first, again) = (allowed(&host, "first"), allowed(&host, "again"));
     assert!(again + 200 < first, "{first} ms, then {again} ms");
-    // A cancelled part is told of only where the settings have that; the connection stays either
-    // way.
+    // Cancellations are sent only if the settings allow them; the connection stays open in either
+    // case.
     for cancels in [true, false] {
         let mut settings = small();
         settings["limits"]["cancel"] = cancels.into();
@@ -433,7 +431,7 @@
     let mut settings = small();
     settings["limits"]["streams_per_conn"] = 8.into();
     settings["limits"]["conn_idle"] = 2_000_000_000u64.into();
-    // The first part alone is answered: a query of so many parts sends one ahead.
+    // Only the first part is answered: for a query of this many parts, one is sent ahead.
     let met = AtomicUsize::new(0);
     let host = Host::start(move |letter, rest| {
         let first = letter == b'm' && met.fetch_add(1, Ordering::SeqCst) == 0;
@@ -454,7 +452,7 @@
             0
         };
     }
-    // Eight that are open at once, and the one that was answered before.
+    // Eight open at once, and the one answered before.
     assert!(
         by_connection.values().all(|parts| *parts <= 9),
         "parts by connection: {by_connection:?}"
@@ -463,7 +461,7 @@
         by_connection.values().sum::<usize>() > 8,
         "more than the first was sent: {by_connection:?}"
     );
-    // Written to after the host's own limit, a connection would end as a reset.
+    // A part written after the host's own idle limit would meet a reset.
     let last = Instant::now();
     eventually("the idle ones are closed", || {
         host.ended.lock().unwrap().len() == by_connection.len()
@@ -502,8 +500,7 @@
         socket
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .unwrap();
-        // What is to be told, each once, and between two of them an empty line; one that says so
-        // ends the watch.
+        // Sends each line once, with an empty line in between; "end" closes the watch.
         let mut at = 0;
         loop {
             let next = told.lock().unwrap().get(at).cloned();
@@ -521,7 +518,7 @@
     });
     let deployment = Deployment::start(&small(), discovery);
     let number = AtomicUsize::new(0);
-    // Which host the next query's part goes to, -1 where it is answered by none.
+    // The host that got the part of the next query, if any, and whether the query was served.
     let reached = || {
         let before: Vec<usize> = hosts.iter().map(|host| host.parts().len()).collect();
         let id = format!("q{}", number.fetch_add(1, Ordering::SeqCst));
@@ -534,10 +531,10 @@
     };
     let tell = |rev, targets| lines.lock().unwrap().push(change(rev, false, targets));
     assert_eq!(reached(), (true, Some(0)));
-    // The same host at another address: all goes there.
+    // The host has a new address, which now gets all parts.
     tell(43, vec![entry("s-0", hosts[1].address, "active")]);
     eventually("its new address is known", || reached() == (true, Some(1)));
-    // One that is not known is said to have left, which is nothing; another comes.
+    // The removal of an unknown host is ignored; another host is added.
     tell(
         44,
         vec![
--- a/bitternsill/tests/core.rs
+++ b/bitternsill/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core before ports that write down what it does, in its order.
+//! The core with ports that record its actions in order.
 
 use bitternsill::core::Core;
 use bitternsill::core::ports::{
@@ -9,7 +9,7 @@
 use dispatch::interface::*;
 use std::rc::Rc;
 
-/// What the core did.
+/// An action of the core.
 #[derive(Debug, Clone, PartialEq)]
 enum Did {
     Answered(u64, Answer),
@@ -45,8 +45,7 @@
     fn fetch(&mut self) {}
 }
 
-/// One set of six hosts that hold three shards; one class that needs every part, with two attempts
-/// for each.
+/// One set of six hosts with three shards; one class that needs every part, with two attempts each.
 fn core() -> Core {
     let class = Class {
         latency_target: 1_000 * MS,
@@ -110,7 +109,7 @@
     ports.0
 }
 
-/// Every attempt that calls carry.
+/// All attempts in the calls.
 fn sent(did: &[Did]) -> Vec<AttemptId> {
     let parts = did.iter().filter_map(|did| {
         if let Did::Called(_, parts) = did {
@@ -122,13 +121,13 @@
     parts.flatten().map(|(_, id)| *id).collect()
 }
 
-/// On a day of a bench a part was written after its query's refusal: one part of a query was sent
-/// again in the turn in which another part of it, without attempts left, ended the query.
+/// Guards against a part that is written after its query was rejected. This happened when one part
+/// was retried in the same turn in which another part, out of attempts, ended the query.
 #[test]
 fn what_a_turn_sends_and_calls_off_is_not_sent_after_the_final_answer() {
     let (mut core, mut now) = (core(), 10_000 * MS);
     ask(&mut core, now, &[0, 1, 2]);
-    // Of a query of so many parts one is sent ahead; once it is served the others follow.
+    // For a query of this many parts, one is sent ahead; the others follow once it is served.
     let ahead = sent(&turn(&mut core, now));
     assert_eq!(ahead.len(), 1);
     now += 6 * MS;
@@ -142,8 +141,7 @@
     );
     let both = sent(&turn(&mut core, now));
     assert_eq!(both.len(), 2);
-    // One of them is turned away and sent again, its last time; then both are turned away in one
-    // turn.
+    // One part is turned away and retried for the last time; then both are turned away in one turn.
     now += 6 * MS;
     core.attempt_ended(both[0], Outcome::ConnectFailed, now);
     let again = sent(&turn(&mut core, now));
@@ -158,8 +156,7 @@
     core.attempt_ended(again[0], Outcome::ConnectFailed, now);
     core.attempt_ended(both[1], Outcome::ConnectFailed, now);
     let did = turn(&mut core, now);
-    // A link writes what is queued whenever it is given something to do: it is told what is given
-    // up first.
+    // A link writes its queue at the next action, so it must be given the cancellation first.
     let given_up = Did::GaveUp(AttemptId {
         number: 1,
         ..both[1]
@@ -174,7 +171,7 @@
     );
 }
 
-/// Before, what was queued for a host at the end of the program was written behind the answer.
+/// Guards against parts that were queued for a host at shutdown and written after the final answer.
 #[test]
 fn at_the_end_all_that_is_out_is_given_up_before_it_is_answered() {
     let (mut core, now) = (core(), 10_000 * MS);
--- a/bitternsill/tests/endings_clients.rs
+++ b/bitternsill/tests/endings_clients.rs
@@ -1,5 +1,5 @@
-//! What is still owed when a client's connection, or the program, ends: each crossing forced by the
-//! order of bytes on loopback sockets. `docs/design/endings.md` has the table.
+//! Responses still due when a client connection or the program ends. Each race is forced by the
+//! order of bytes on loopback sockets; `docs/design/endings.md` lists the cases.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Holds an index host's answers until it is opened.
+/// Blocks the answers of index hosts until it is opened.
 #[derive(Clone, Default)]
 struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -29,7 +29,8 @@
     }
 }
 
-/// Index hosts that hold the answer to each query whose id begins with `held` until the gate opens.
+/// Index hosts that block the answer to each query whose id begins with `held` until the gate
+/// opens.
 fn held_by(gate: &Gate) -> Vec<FrameHost> {
     let host = |_| {
         let gate = gate.clone();
@@ -61,7 +62,7 @@
     socket.write_all(text.as_bytes()).unwrap();
 }
 
-/// Until the program takes no connections any more, as it does once it has closed its listener.
+/// Waits until the program has closed its listener.
 fn until_it_accepts_nobody(platform: &Platform) {
     eventually("it takes no more connections", || {
         TcpStream::connect(platform.address).is_err()
@@ -78,18 +79,18 @@
         if by_signal {
             platform.program.signal("TERM");
         }
-        // Ended by the program, which is told to end or finds it idle for long.
+        // Closed by the program, either for its shutdown or after a long idle time.
         assert_eq!(
             kept.read(&mut [0; 64]).unwrap(),
             0,
             "its end, and nothing before it"
         );
-        // This is what a client does that had begun to ask before it saw the end. On a socket that
-        // was closed it makes a reset.
+        // A client may have started its next request before it sees the end of the connection. On a
+        // closed socket these bytes would cause a reset.
         say(&mut kept, &query("behind", "page", &[0], ""));
         assert_eq!(kept.read(&mut [0; 64]).unwrap(), 0, "no reset");
         if by_signal {
-            // It does not wait for this client's own end for long.
+            // It waits only briefly for this client to close.
             assert!(platform.program.child.wait().unwrap().success());
         } else {
             assert!(
@@ -144,10 +145,10 @@
     let (begin, rest) = text.split_at(text.len() - 20);
     say(&mut socket, begin);
     platform.program.signal("TERM");
-    // By now nothing is held, and the program only waits for its last connections.
+    // No query is open now; the program only waits for its last connections.
     until_it_accepts_nobody(&platform);
     say(&mut socket, rest);
-    // No index host answers, so its time has to be waited out, which is longer than the wait for
+    // No index host answers, so the query runs to its deadline, which is later than the wait for
     // connections.
     let answer = read_response(&mut socket);
     assert!(
@@ -163,14 +164,15 @@
     let platform = Platform::start(settings(), silent());
     let mut socket = platform.connect();
     say(&mut socket, &query("gone", "search", &[0, 1], ""));
-    // More than is read while a query is held.
+    // More than the program reads while a query is open.
     let more: String = (0..240)
         .map(|n| query(&format!("p{n}"), "page", &[0], ""))
         .collect();
     assert!(more.len() > 32 << 10, "{} bytes", more.len());
     say(&mut socket, &more);
     eventually("it is out", || is_out(&platform, "gone"));
-    // Whoever asks behind that is answered once it has been read as far as it is.
+    // When this request has its response, the program has read as much of the first connection as
+    // it will.
     assert!(
         platform
             .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
@@ -183,7 +185,7 @@
             .iter()
             .any(|line| line.starts_with("given up gone."))
     });
-    // Its own time would end it after 2.5 s.
+    // Its own deadline would end it only after 2.5 s.
     assert!(
         start.elapsed() < Duration::from_millis(600),
         "{:?}",
@@ -195,8 +197,7 @@
     );
 }
 
-/// More than the system's buffers hold, so that the client's end comes only where all of it is
-/// read.
+/// The client sends more than the system buffers, so its end is seen only after all of it is read.
 #[test]
 fn a_client_that_sends_without_end_behind_its_request_and_goes_has_its_parts_given_up_at_once() {
     let platform = Platform::start(settings(), silent());
@@ -210,7 +211,7 @@
     );
     (0..400).for_each(|_| say(&mut socket, &one));
     close(socket);
-    // Its own time would end it after 2.5 s, and then all would be read.
+    // The query's own deadline would end it only after 2.5 s, and then everything would be read.
     assert!(
         start.elapsed() < Duration::from_secs(2),
         "written after {:?}",
@@ -229,13 +230,12 @@
     );
 }
 
-/// What is asked on a connection that is not read, as its client does not read its answers, is not
-/// sent on once that client has ended its output: it would be asked for one that has gone, as soon
-/// as there is room for answers again.
+/// Requests on a connection whose client reads no responses must not be sent to index hosts after
+/// the client has ended its output. Otherwise they would be sent for a client that has gone, as
+/// soon as there is room for responses again.
 #[test]
 fn a_client_that_reads_no_answers_and_ends_has_nothing_more_sent_on_however_much_it_reads_then() {
-    // Values so large that the answers do not fit what the system buffers for a client that reads
-    // nothing.
+    // Too large for the system's buffers of a client that does not read.
     let large = |_| FrameHost::start(|_| Say::Good(1, "x".repeat(60_000)));
     let platform = Platform::start(settings(), (0..3).map(large).collect());
     let mut socket = platform.connect();
@@ -256,7 +256,7 @@
         }
         last.0 > 0 && last.1.elapsed() > Duration::from_millis(700)
     });
-    // So much waits in the program that it reads nothing more.
+    // So many responses wait in the program that it stops reading.
     assert!(last.0 < 600, "{} parts asked", last.0);
     socket.shutdown(Shutdown::Write).unwrap();
     let mut answers = Vec::new();
@@ -270,8 +270,8 @@
     assert_eq!(asked(), last.0, "sent on for a client that has gone");
 }
 
-/// The client closes its connection while the program stands still, and the answer that it waits
-/// for comes in the same moment.
+/// The client closes its connection while the program is stopped, and the awaited answer arrives at
+/// the same moment.
 #[test]
 fn a_client_that_goes_as_its_answer_comes_has_nothing_behind_it_sent_on() {
     for _ in 0..8 {
@@ -290,8 +290,8 @@
         platform.program.signal("STOP");
         close(socket);
         gate.open();
-        // The host writes its answer while the signal is on its way; either order of the two must
-        // end the same.
+        // The host writes its answer while the signal is delivered; the result must be the same in
+        // either order.
         platform.program.signal("CONT");
         let beside = platform.ask("beside", "page", &[0, 1, 2]);
         assert!(beside.starts_with("HTTP/1.1 200"), "{beside}");
@@ -302,8 +302,8 @@
     }
 }
 
-/// A second small answer behind a first that the client has not acknowledged yet is written at
-/// once: held back it comes with the acknowledgement, 40 ms later each time.
+/// A second small response must be written at once, even if the client has not acknowledged the
+/// first. A delayed one arrives with the acknowledgement, 40 ms later each time.
 #[test]
 fn a_small_answer_behind_another_is_not_held_back() {
     let platform = Platform::start(settings(), held_by(&Gate::default()));
@@ -318,8 +318,8 @@
         assert!(read_next_response(&mut reader).starts_with("HTTP/1.1 200"));
         late += u32::from(first.elapsed() > Duration::from_millis(35));
     }
-    // A busy machine delays some of them, the system's clock for acknowledgements all but the first
-    // few.
+    // A busy machine delays some of them; a delay until the acknowledgement affects all but the
+    // first few.
     assert!(late < 20, "{late} of 30");
 }
 
@@ -336,7 +336,7 @@
     let (last, rest) = all[199].split_at(50);
     say(&mut socket, &(all[..199].concat() + last));
     eventually("it is out", || is_out(&platform, "held"));
-    // Whoever asks behind that is answered once it has been read.
+    // When these requests have their responses, the program has read the first connection.
     for _ in 0..20 {
         assert!(
             platform
@@ -351,7 +351,7 @@
     let (mut kept, mut refused) = (0, 0);
     for n in 0..199 {
         let answer = next();
-        // What is refused unread has no body, unlike what the module answers.
+        // A request refused unread gets no body, unlike a rejected query.
         if answer.starts_with("HTTP/1.1 503") && answer.contains("Content-Length: 0") {
             refused += 1;
             continue;
@@ -377,7 +377,7 @@
     );
 }
 
-/// One alone is kept whatever its size.
+/// A single waiting request is kept whatever its size.
 #[test]
 fn a_request_as_large_as_may_be_behind_one_that_waits_is_served() {
     let gate = Gate::default();
@@ -392,7 +392,7 @@
     let (begin, rest) = large.split_at(30_000);
     say(&mut socket, &(query("held", "page", &[0], "") + begin));
     eventually("the first is out", || is_out(&platform, "held"));
-    // Whoever asks behind that is answered once it has been read.
+    // When this request has its response, the program has read the first connection.
     assert!(
         platform
             .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
@@ -406,7 +406,8 @@
     assert!(answer.contains("value of large.0"), "{answer}");
 }
 
-/// What is no request behind more than is kept is told so, in its turn, and the connection ends.
+/// Bytes that are not a request, after more requests than the program keeps, are answered in their
+/// turn, and the connection ends.
 #[test]
 fn what_makes_no_sense_behind_more_than_is_kept_is_said_to_once_all_before_it_is_answered() {
     let gate = Gate::default();
@@ -452,7 +453,8 @@
         let answer = read_response(&mut socket);
         assert!(answer.starts_with(wanted), "{text}: {answer:?}");
     }
-    // By the protocol page a client has gone once its end has come: nothing is sent for it.
+    // According to the protocol a client whose end has arrived has gone, so nothing is sent for its
+    // query.
     let mut socket = platform.connect();
     platform.program.signal("STOP");
     say(&mut socket, &query("left", "page", &[0], ""));
@@ -474,7 +476,7 @@
     let (mut first, mut second) = (platform.connect(), platform.connect());
     say(&mut first, &query("held", "page", &[0], ""));
     eventually("it is out", || is_out(&platform, "held"));
-    // The program finds both in one round, and the second connection's bytes before the end of the
+    // The program sees both in one round, and the second connection's bytes before the end of the
     // first.
     let text = query("held", "page", &[1], "");
     let (begin, rest) = text.split_at(30);
@@ -490,7 +492,7 @@
 
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_index_hosts_however_many_the_system_gives() {
-    // Told more than the system lets it have.
+    // The configuration states more descriptors than the system allows.
     let platform = Platform::start_with(settings(), held_by(&Gate::default()), 1024, 120);
     let folder = format!("/proc/{}/fd", platform.program.child.id());
     let held = || std::fs::read_dir(&folder).unwrap().count();
@@ -533,7 +535,7 @@
     );
 }
 
-/// A search for all three shards.
+/// Sends a search for all three shards.
 fn say_all(socket: &mut TcpStream, id: &str) {
     say(socket, &query(id, "search", &[0, 1, 2], ""));
 }
@@ -549,8 +551,8 @@
     platform
         .discovery
         .tell(2, vec![target(0, platform.hosts[0].address, "leaving")]);
-    // It is still served, and what it says comes behind the news once it has been asked whether it
-    // is ready.
+    // The connection is still served. Its health response reports the shutdown only after the
+    // program has read the signal.
     eventually("it says that it ends", || {
         say(&mut kept, "GET /_health HTTP/1.1\r\n\r\n");
         read_response(&mut kept).contains("told to end")
@@ -569,8 +571,8 @@
     assert!(platform.program.child.wait().unwrap().success());
 }
 
-/// While the program ends, more wait in the backlog than it has descriptors for: they are taken as
-/// others are answered.
+/// During shutdown, more connections wait in the backlog than the program has descriptors for. They
+/// are accepted as others finish.
 #[test]
 fn whoever_waits_in_the_backlog_without_a_descriptor_left_is_answered_before_the_end() {
     let gate = Gate::default();
--- a/bitternsill/tests/endings_discovery.rs
+++ b/bitternsill/tests/endings_discovery.rs
@@ -1,5 +1,5 @@
-//! What is still owed when discovery's answers and watches end or fall silent, and what may not
-//! keep a dead one alive.
+//! Behaviour when responses or watches of discovery end or fall silent, and what must not keep a
+//! dead watch alive.
 
 mod common;
 
@@ -12,8 +12,8 @@
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A discovery whose calls a test answers byte by byte: each comes with the line that asks and its
-/// socket.
+/// A discovery whose calls a test answers byte by byte. Each call is delivered with its request
+/// line and socket.
 struct Scripted {
     address: SocketAddr,
     calls: Receiver<(String, TcpStream)>,
@@ -38,7 +38,6 @@
         Scripted { address, calls }
     }
 
-    /// The next call.
     fn call(&self) -> (String, TcpStream) {
         self.calls
             .recv_timeout(Duration::from_secs(20))
@@ -67,7 +66,7 @@
         Self::start_with(discovery, 1024)
     }
 
-    /// The same with so many descriptors.
+    /// Like `start`, with this descriptor limit.
     fn start_with(discovery: SocketAddr, descriptors: u32) -> Scene {
         let say = |id: &str| {
             if id.starts_with("held") {
@@ -79,7 +78,7 @@
         let hosts: Vec<FrameHost> = (0..3).map(|_| FrameHost::start(say)).collect();
         let address = free_address();
         let mut settings = settings();
-        // A deployment that would have calls failed for long be seldom repeated.
+        // A long limit, under which failed calls would otherwise be repeated rarely.
         settings["guarantees"]["ask_within"] = json!(20_000_000_000u64);
         settings["group_size"] = json!(5);
         settings["limits"]["max_open"] = json!(1000);
@@ -122,7 +121,7 @@
         read_response(&mut socket)
     }
 
-    /// Whether it takes clients. By the time of the answer it has read what it was told before.
+    /// Whether the program accepts clients. It has read all earlier messages before it responds.
     fn is_ready(&self) -> bool {
         let mut socket = TcpStream::connect(self.address).unwrap();
         socket
@@ -135,8 +134,8 @@
         eventually("ready", || self.is_ready());
     }
 
-    /// Until of six queries in a row none goes to this host, which holds shard `cell` with the next
-    /// one; all are served.
+    /// Waits until none of six consecutive queries uses this host, which shares shard `cell` with
+    /// the next one. All queries must succeed.
     fn until_spared(&self, cell: usize) {
         let mut round = 0;
         eventually("nothing goes to that host", || {
@@ -151,7 +150,7 @@
     }
 }
 
-/// A gatherer that watches and has just been told its first list.
+/// A gatherer with an open watch and its first list.
 fn watched() -> (Scripted, Scene, TcpStream) {
     let discovery = Scripted::start();
     let scene = Scene::start(discovery.address);
@@ -170,8 +169,8 @@
     assert!(line.contains("index=1"), "{line}");
     let (_, mut next) = discovery.call();
     let took = silent.elapsed();
-    // What the silent watch has missed counts as told 6 s after it fell silent, and the answer
-    // takes its time too.
+    // Changes missed on a silent watch must be known 6 s after it fell silent, and the response
+    // takes time too.
     assert!(took < Duration::from_millis(5_400), "{took:?}");
     next.write_all(HEAD).unwrap();
     chunk(&mut next, &(list(2, false, &[scene.leaving(0)]) + "\n"));
@@ -188,7 +187,7 @@
     let (discovery, scene, mut watch) = watched();
     scene.until_ready();
     let start = Instant::now();
-    // One byte of the next line after the other, until somebody calls again.
+    // Sends one byte of an unfinished line at a time until the program calls again.
     let next = loop {
         let _ = watch.write_all(b"1\r\n{\r\n");
         match discovery.calls.recv_timeout(Duration::from_millis(100)) {
@@ -217,7 +216,7 @@
     let indented = serde_json::to_string_pretty(&whole).unwrap() + "\n";
     for piece in indented.as_bytes().chunks(97) {
         chunk(&mut watch, std::str::from_utf8(piece).unwrap());
-        // It reads one piece after the other.
+        // It reads the pieces one by one.
         scene.is_ready();
     }
     chunk(&mut watch, "\n");
@@ -231,7 +230,7 @@
     chunk(&mut watch, begin);
     scene.is_ready();
     chunk(&mut watch, rest);
-    // Shard 0 is on the hosts of cells 0 and 1, which both leave: nobody is left for it.
+    // Shard 0 is on the hosts of cells 0 and 1, so no host is left for it.
     eventually("both are known to leave", || {
         let before = [0, 1].map(|cell| scene.hosts[cell].seen().len());
         let answer = scene.ask("b", 0);
@@ -249,7 +248,7 @@
         assert!(scene.ask("a", 0).starts_with("HTTP/1.1 200"));
         !scene.hosts[0].seen().is_empty()
     });
-    // The watch ends instead of telling, and the next one begins with the whole list.
+    // The watch ends without an update, and the next one begins with a complete list.
     close(watch);
     let (line, mut watch) = discovery.call();
     assert!(line.contains("index=1"), "{line}");
@@ -265,7 +264,7 @@
         before,
         "nothing goes there once the list is known"
     );
-    // It comes back under its old address and another name, and serves again.
+    // A host at the old address with a new id is used again.
     let mut back = scene.targets()[0].clone();
     back["uid"] = json!("s-new");
     chunk(&mut watch, &(list(8, false, &[back]) + "\n"));
@@ -274,7 +273,7 @@
         assert!(scene.ask("c", 0).starts_with("HTTP/1.1 200"));
         scene.hosts[0].seen().len() > before
     });
-    // A whole list of nobody leaves nobody.
+    // An empty complete list removes all hosts.
     chunk(&mut watch, &(list(9, true, &[]) + "\n"));
     assert!(!scene.is_ready());
 }
@@ -283,8 +282,8 @@
 fn the_watch_that_is_there_is_kept_until_a_discovery_that_has_moved_twice_answers() {
     let (_discovery, scene, mut watch) = watched();
     scene.until_ready();
-    // To an address at which nobody listens, and from there to one that takes calls and answers
-    // none.
+    // Discovery moves to an address without a listener, and then to one that accepts calls but does
+    // not answer.
     let nobody = free_address();
     let mute = Scripted::start();
     for to in [nobody, mute.address] {
@@ -292,15 +291,15 @@
         config["discovery"] = to.to_string().into();
         std::fs::write(&scene.file, config.to_string()).unwrap();
         scene.program.signal("HUP");
-        // A query is answered behind the signal: the file has been read by then, and the call there
-        // refused.
+        // The program reads the signal before the query, so by now it has read the file and its
+        // call has been refused.
         assert!(scene.ask("h", 1).starts_with("HTTP/1.1 200"));
     }
     let (line, _held) = mute.call();
     assert!(line.contains("index=1"), "{line}");
     chunk(&mut watch, &(list(2, false, &[scene.leaving(0)]) + "\n"));
     scene.until_spared(0);
-    // The new one answers, and the former watch ends.
+    // The new discovery answers, and the previous watch ends.
     let (_, mut there) = mute.call();
     chunk(&mut watch, "\n");
     there.write_all(HEAD).unwrap();
@@ -319,14 +318,15 @@
     );
 }
 
-/// Found on reading: after an outage a watch without news left the waits as long as they had grown.
+/// Guards against retry delays that stay as long as they had grown in an outage if the next watch
+/// has no changes.
 #[test]
 fn a_watch_without_news_and_new_settings_make_the_next_failure_the_first_again() {
     let (discovery, scene, watch) = watched();
     scene.until_ready();
     close(watch);
-    // Four calls are dropped, each after a longer wait; the fifth is answered by an empty line
-    // alone.
+    // Four calls are dropped, each after a longer delay; the fifth is answered by an empty line
+    // only.
     (0..4).for_each(|_| drop(discovery.call()));
     let (_, mut watch) = discovery.call();
     watch.write_all(HEAD).unwrap();
@@ -337,11 +337,11 @@
     drop(discovery.call());
     let first = start.elapsed();
     assert!(first < Duration::from_millis(600), "{first:?}");
-    // A reload is another beginning, too: what moved is told 4 s later.
+    // A reload resets the delays too, since the new address must be known within 4 s.
     (0..4).for_each(|_| drop(discovery.call()));
     scene.program.signal("HUP");
     let start = Instant::now();
-    // The wait under way goes on; those behind it begin anew.
+    // The current delay runs on; the following ones start from the beginning.
     (0..3).for_each(|_| drop(discovery.call()));
     assert!(
         start.elapsed() < Duration::from_millis(4_500),
@@ -350,8 +350,8 @@
     );
 }
 
-/// Discovery goes while clients take every place there is, each with a query that nobody answers,
-/// and comes back with a host that was not there before.
+/// Discovery goes away while clients use all client connections, each with a query that gets no
+/// answer, and returns with a new host.
 #[test]
 fn clients_that_take_every_place_keep_neither_discovery_nor_a_new_host_out() {
     let discovery = Scripted::start();
@@ -375,7 +375,7 @@
     let start = Instant::now();
     close(watch);
     let (_, mut watch) = discovery.call();
-    // The first of them have their answers, and are idle, after 1.5 s.
+    // After 1.5 s the first of them get their responses and become idle.
     assert!(
         start.elapsed() < Duration::from_secs(1),
         "{:?}",
--- a/bitternsill/tests/endings_hosts.rs
+++ b/bitternsill/tests/endings_hosts.rs
@@ -1,4 +1,4 @@
-//! What is still owed when a connection to an index host ends, or none can be had.
+//! Behaviour when a connection to an index host ends or cannot be made.
 
 mod common;
 
@@ -29,15 +29,15 @@
             most = most.max(std::fs::read_dir(&folder).unwrap().count());
         }
     }
-    // Of 100 descriptors 54 are the clients' and 14 the index hosts'.
+    // Of 100 descriptors, clients may use 54 and index hosts 14.
     assert!(
         most <= 14 + 26,
         "{most} descriptors for index hosts and the program itself"
     );
 }
 
-/// An index host that takes a part on each connection, says all but the last bytes of its answer,
-/// and then does this with the connection; it tells which parts it took.
+/// An index host that accepts one part per connection, sends all but the last bytes of the answer,
+/// and then calls `then` with the connection. The receiver yields the ids of the parts.
 fn host_that_says_half(
     mut then: impl FnMut(TcpStream) + Send + 'static,
 ) -> (SocketAddr, Receiver<String>) {
@@ -66,11 +66,11 @@
     (address, taken)
 }
 
-/// A host takes a part, says half of its answer and resets; the part may have run, and is sent
-/// elsewhere where that may be.
+/// A host accepts a part, sends half of its answer and resets the connection. The part may have
+/// run, so it is retried elsewhere only if that is harmless.
 #[test]
 fn half_an_answer_that_is_reset_is_none() {
-    // Closed over bytes that nobody reads: the probe or part that may follow makes it a reset.
+    // Closing with unread data (a probe or a part may follow) also causes a reset.
     let reset = |socket: TcpStream| {
         rustix::net::sockopt::set_socket_linger(&socket, Some(Duration::ZERO)).unwrap();
     };
@@ -97,8 +97,8 @@
     assert!(!met.is_empty(), "the host was met");
 }
 
-/// A host says half a line and nothing more, on a connection that stays: the attempt has failed,
-/// and soon.
+/// A host sends half a line and nothing more on a connection that stays open: the attempt must fail
+/// soon.
 #[test]
 fn half_an_answer_that_stays_is_a_failed_attempt_long_before_its_link_is_mute() {
     let mut kept = Vec::new();
@@ -131,11 +131,11 @@
     assert!(met, "the host was met");
 }
 
-/// Connections come up so late that the host is taken from the list before: what waited for one
-/// goes elsewhere.
+/// A host leaves the list before a connection to it comes up: parts that wait for the connection
+/// are sent elsewhere.
 #[test]
 fn what_waits_for_a_connection_to_a_host_that_leaves_goes_elsewhere_at_once() {
-    // A listener whose backlog is full answers no further connection.
+    // A listener with a full backlog accepts no further connection.
     let deaf = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&deaf, 0).unwrap();
     let address = deaf.local_addr().unwrap();
@@ -154,7 +154,7 @@
     let mut hosts: Vec<FrameHost> = (0..3).map(host).collect();
     hosts[0].address = address;
     let mut settings = settings();
-    // Longer than any query waits, so that only the news can end the attempt.
+    // Longer than any query waits, so that only the list change can end the attempt.
     settings["limits"]["connect_timeout"] = json!(5_000_000_000u64);
     settings["limits"]["second_copies"] = json!(false);
     let platform = Platform::start(settings, hosts);
@@ -165,7 +165,7 @@
             .write_all(query(&format!("q{at}"), "shelf", &[0], more).as_bytes())
             .unwrap();
     }
-    // Some were sent to host 1, which answers; the others wait for a connection to host 0.
+    // Some queries went to host 1, which answers; the others wait for a connection to host 0.
     eventually("some are answered", || served.load(Ordering::SeqCst) > 0);
     let start = Instant::now();
     platform
@@ -183,8 +183,8 @@
     drop(fill);
 }
 
-/// An answer without a length is whole where its connection ends in order. A reset is no end,
-/// however much came before it.
+/// An answer without a length is complete if its connection ends in order. After a reset it is
+/// incomplete, however much was received.
 #[test]
 fn an_answer_without_length_that_is_reset_is_none() {
     let catalogue = Catalogue::start("sru");
@@ -205,7 +205,7 @@
 
 #[test]
 fn a_list_of_more_hosts_than_a_fleet_has_at_once_is_taken_whole() {
-    // While a fleet is replaced the list has its former and its new hosts.
+    // While a fleet is replaced, the list contains both its old and its new hosts.
     let host = FrameHost::start(|id| Say::Good(1, format!("value of {id}")));
     let mut settings = settings();
     (settings["extra"]["sets"], settings["extra"]["ranges"]) = (json!(400), json!(400));
--- a/bitternsill/tests/fleet_audit.rs
+++ b/bitternsill/tests/fleet_audit.rs
@@ -1,5 +1,5 @@
-//! Audit logs under faults: full and lost disks, collections that are killed, names registered
-//! twice, documents of a later format. Several processes each.
+//! Audit logs under faults, with several processes each: full and lost disks, killed collections,
+//! names registered twice, and documents of a later format.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use store::command::Change;
 
-/// An empty folder of the test's own.
+/// An empty folder for one test.
 fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("bitternsill-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
@@ -31,8 +31,8 @@
     files.sum()
 }
 
-/// An audit log that cannot be written costs no query; the missing entries are reported as unknown
-/// once it can be written again.
+/// While the audit log cannot be written, queries are still served; afterwards the audit reports
+/// the missing entries as unknown.
 #[test]
 fn full_disk_costs_no_query_and_is_reported() {
     let full = folder("full").join("full");
@@ -58,8 +58,8 @@
     });
 }
 
-/// A collection is killed in the middle of a log; the next one continues from there. Later the
-/// gatherer's disk is lost: what was collected is still known, and what came after is not.
+/// A collection is killed in the middle of a log, and the next one continues from there. After a
+/// loss of the gatherer's disk, collected entries are still known and later ones are not.
 #[test]
 fn killed_collection_continues_and_outlives_the_disk() {
     let mut set = setup();
@@ -73,7 +73,7 @@
             > 50_000
     });
     let kept = folder("kept");
-    // Responses are delayed, so that the collection is killed between two chunks.
+    // Responses are delayed so that the kill falls between two chunks.
     let link = Link::to(fleet.stores[1]).unwrap();
     link.set(Flow::Open, Flow::Delayed(Duration::from_millis(400)));
     let mut collector = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
@@ -99,15 +99,14 @@
     let (text, sound) = fleet.call(&words, &[0, 1, 2]);
     assert!(sound, "{text}");
     assert!(bytes_in(&kept) > 50_000);
-    // Its disk is lost with all entries.
+    // The loss of the disk takes all entries.
     let one = BTreeSet::from([1]);
     fleet.befall(&Fault::PowerOff(one.clone()));
     std::fs::remove_dir_all(fleet.trail(1)).unwrap();
     fleet.befall(&Fault::PowerOn(one));
     eventually("all are current", || current(&fleet));
     eventually("it serves", || serves(&fleet, 1, "page"));
-    // What it has just answered it notes a moment later: the audit is asked once that has been
-    // written down.
+    // A query is recorded a moment after its response, so the audit waits for the entry.
     eventually("its second life has noted a query", || {
         std::fs::read_to_string(fleet.trail(1).join("g1.000000.trail"))
             .unwrap()
@@ -119,8 +118,8 @@
         .nth(1)
         .and_then(|rest| rest.split("\ng2").next())
         .unwrap();
-    // What it noted after that was told to the store, or not yet; what it did last it had not
-    // noted.
+    // The store may or may not have been told of entries after the collection; the last actions had
+    // not been recorded.
     assert!(
         own.contains("NOT KNOWN") || own.contains("gap: life"),
         "{text}"
@@ -136,8 +135,8 @@
     );
 }
 
-/// A second process starts under a name that is registered: the earlier one rejects clients and
-/// says why.
+/// When a second process registers under a name already in use, the first one rejects clients and
+/// gives the reason.
 #[test]
 fn earlier_process_of_a_name_rejects_clients() {
     let mut set = setup();
@@ -152,7 +151,7 @@
     let (out, on) = if first { (1, 2) } else { (2, 1) };
     eventually("the other serves", || serves(&fleet, on, "page"));
     assert!(!serves(&fleet, out, "page"));
-    // Restarted, it takes the name back.
+    // A restarted process takes the name back.
     let one = BTreeSet::from([out]);
     fleet.befall(&Fault::PowerOff(one.clone()));
     fleet.befall(&Fault::PowerOn(one));
@@ -161,8 +160,7 @@
     });
 }
 
-/// A document of a later format, from an operator with a newer program: each gatherer says that it
-/// cannot read it.
+/// Gatherers reject a document of a later format, as a newer program would write it, and say why.
 #[test]
 fn rejects_document_of_later_format() {
     let (fleet, ..) = with_a_version("later");
@@ -190,7 +188,8 @@
     assert!((0..3).all(|at| serves(&fleet, at, "first") && !serves(&fleet, at, "later")));
 }
 
-/// Operator calls are in the audit log, with the version under which they were executed.
+/// The audit log contains operator calls with the version in force at the time, and tells a
+/// graceful shutdown from a kill.
 #[test]
 fn reports_operator_calls_and_graceful_shutdown() {
     let mut set = setup();
@@ -203,7 +202,7 @@
         .output()
         .unwrap();
     assert!(admin.status.success(), "{admin:?}");
-    // One shuts down gracefully, another does not.
+    // Gatherer 2 shuts down gracefully; gatherer 0 is killed.
     let mut program = fleet.programs[2].take().unwrap();
     program.signal("TERM");
     program.child.wait().unwrap();
--- a/bitternsill/tests/fleet_recovery.rs
+++ b/bitternsill/tests/fleet_recovery.rs
@@ -1,7 +1,7 @@
-//! The whole fleet through losses of power: several programs, links between them that are cut one
-//! way, slowed or reset, processes that stand still and wake, files that are lost. Days are drawn
-//! by a seed; `FLEET_SEEDS=200 cargo test --release -p bitternsill --test fleet_recovery days --
-//! --nocapture` plays as many.
+//! Fleets under power failures: several processes, with links that are cut in one direction,
+//! delayed or reset, suspended processes, and lost files. Scenarios are drawn from a seed;
+//! `FLEET_SEEDS=200 cargo test --release -p bitternsill --test fleet_recovery scenarios --
+//! --nocapture` runs that many.
 
 mod common;
 
@@ -35,9 +35,9 @@
     fleet.judge()
 }
 
-/// Power lost to all, to a group or to one, in the middle of commits and under load; links cut one
-/// way, slowed and reset; processes that stand still and wake; files lost. What anyone was shown is
-/// there in the end, everywhere the same.
+/// Power failures of all, some or one of the gatherers during commits and under load, combined with
+/// link faults, suspended processes and lost files. Whatever a watcher has seen must be held by all
+/// members at the end.
 #[test]
 fn fault_scenarios_lose_no_commit_and_end_every_query() {
     let seeds = std::env::var("FLEET_SEEDS")
@@ -60,8 +60,8 @@
     assert!(total.whole > 0);
 }
 
-/// Power is lost elsewhere while a process stands still; it wakes among those that have come back,
-/// with what it had then.
+/// A process is suspended while the others lose power; it resumes with stale state among the
+/// restarted ones.
 #[test]
 fn process_suspended_through_power_failure_rejoins_safely() {
     let mut fleet = Fleet::start("slept", 3);
@@ -71,7 +71,7 @@
     let both = BTreeSet::from([0, 1]);
     fleet.befall(&Fault::PowerOff(both.clone()));
     fleet.befall(&Fault::PowerOn(both.clone()));
-    // Two of three go on without it; then they lose power again, and it wakes alone.
+    // The other two commit without it and lose power again; then it resumes before them.
     let commits = |fleet: &Fleet| {
         fleet.count_up();
         let now = fleet.counter.count.load(Ordering::SeqCst);
@@ -91,8 +91,8 @@
     fleet.judge().unwrap();
 }
 
-/// Power returns with links cut one way: a member is heard and does not hear, or hears and is not
-/// heard.
+/// After a power failure, links fail in one direction: a member can send but not receive, or
+/// receive but not send.
 #[test]
 fn one_way_partitions_after_power_failure_heal() {
     for deaf in [true, false] {
@@ -130,7 +130,7 @@
     }
 }
 
-/// A fleet whose index hosts warm up over 3 s, with or without the return by rule.
+/// A fleet whose index hosts warm up over 3 s, with or without the recovery procedure.
 fn warming(recovery: bool) -> Set {
     let mut settings = settings();
     settings["guarantees"]["start_capacity"] = json!(0.2);
@@ -147,7 +147,7 @@
     }
 }
 
-/// What `bitternsill fleet phase` says of each gatherer.
+/// The status of each gatherer, from `bitternsill fleet phase`.
 fn phases(fleet: &Fleet) -> Vec<Value> {
     let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
         .args(["fleet", "phase", "--format", "json", "--at"])
@@ -163,16 +163,16 @@
         .all(|said| said["answer"]["phase"] == wanted)
 }
 
-/// Before, each took every client at once and knew nothing; one that had been away alone is not
-/// held up by the rule.
+/// Guards against gatherers that take every client at once after a restart of the whole fleet. A
+/// single restarted gatherer must not be slowed down.
 #[test]
 fn fleet_restart_uses_slow_start_and_single_restart_does_not() {
     let mut fleet = Fleet::with("returns", 3, warming(true));
     eventually("all return", || are_in(&fleet, "returning"));
     let why = phases(&fleet)[0]["answer"]["why"].to_string();
     assert!(why.contains("started with this gatherer"), "{why}");
-    // At a fifth of what the hosts bear warm, three fifths of the dearest class of three, and none
-    // of the least.
+    // At a fifth of the warm capacity, three fifths of the most valuable of three classes are
+    // admitted, and none of the least valuable.
     let socket = || TcpStream::connect(fleet.fronts[0]).unwrap();
     let ask = |class: &str| {
         let mut socket = socket();
@@ -206,8 +206,8 @@
     fleet.judge().unwrap();
 }
 
-/// Power is lost again while all ask, while they have no list, and while they ramp up; half of them
-/// come back late, and one never: the others wait for nobody longer than they say.
+/// Power fails again while gatherers ask each other, while they have no list, and during the ramp.
+/// Some return late and one never does; the others wait no longer than their time limit.
 #[test]
 fn repeated_power_failures_block_nobody() {
     let mut fleet = Fleet::with("again", 5, warming(true));
@@ -215,8 +215,8 @@
     let all = BTreeSet::from([0, 1, 2, 3, 4]);
     for phase in ["asking", "returning"] {
         fleet.befall(&Fault::PowerOff(all.clone()));
-        // Asking lasts until all have answered: one that is away keeps the others at it until its
-        // time is over.
+        // Gatherers ask until all have answered, so one that is away keeps the others in this phase
+        // until its time limit.
         let back = if phase == "asking" {
             BTreeSet::from([0, 1, 2, 3])
         } else {
@@ -238,20 +238,20 @@
     fleet.judge().unwrap();
 }
 
-/// Discovery is dead as power returns, and each gatherer has only the list from before. Before, all
-/// index hosts of that list were held to be warm, and met everything at once.
+/// Discovery is unavailable after a power failure, and gatherers have only the persisted list.
+/// Guards against treating the hosts of that list as warm and sending them the full load.
 #[test]
 fn persisted_hosts_count_as_cold_without_discovery() {
     let sent = [true, false].map(|recovery| {
         let mut set = warming(recovery);
-        // Warm for good as far as the list from before says.
+        // The persisted list describes the hosts as warm.
         set.known = true;
         set.settings["guarantees"]["ramp_time"] = json!(30_000_000_000u64);
-        // The dearest of three classes is taken whole; what bounds it is what a cold host is told
-        // to bear.
+        // The most valuable of three classes is fully admitted, so only the load limit for a cold
+        // host bounds the load.
         set.settings["guarantees"]["start_capacity"] = json!(0.4);
-        // So little that a machine on which queries follow each other slowly asks for many times as
-        // much.
+        // Low enough that the load exceeds it many times even on a machine that runs queries
+        // slowly.
         set.settings["guarantees"]["tip_multiple"] = json!(0.05);
         set.settings["request_classes"][1]["target"] = json!(400_000_000u64);
         let mut fleet = Fleet::with(if recovery { "cold" } else { "warm" }, 3, set);
@@ -278,14 +278,14 @@
     assert!(with < without / 2.0, "{with} and {without} parts a query");
 }
 
-/// A query's class, when it began, and how long until it was answered whole, if it was.
+/// Class, start time and, if the query succeeded, its duration.
 type Played = (&'static str, Duration, Option<Duration>);
 
-/// For how long a client waits in all, its repeats included.
+/// How long a client waits in total, retries included.
 const PATIENCE: Duration = Duration::from_secs(3);
 
-/// One query with its repeats, as a client sends it: each says how long the client waits still.
-/// When it began and, if it was, when it was answered whole.
+/// Sends a query with up to two retries, each with the remaining budget; returns the time to
+/// success.
 fn try_three_times(fronts: &[SocketAddr], number: usize, class: &str) -> Option<Duration> {
     let begun = Instant::now();
     for again in 0..3 {
@@ -322,7 +322,7 @@
     None
 }
 
-/// What is measured of a return.
+/// Measurements of one recovery.
 #[derive(Default, Clone)]
 struct Figures {
     first: Duration,
@@ -332,7 +332,7 @@
     falls: u64,
 }
 
-/// Queries at six tenths of what three warm hosts can do, for so long; what came of them.
+/// Offers six tenths of the capacity of three warm hosts for `length`.
 fn load(fronts: &[SocketAddr], seed: u64, length: Duration) -> Vec<Played> {
     let (mut rng, rate) = (
         fastrand::Rng::with_seed(seed),
@@ -356,7 +356,7 @@
         .collect()
 }
 
-/// A fleet that has served warm hosts for a while, and loses power with all of them.
+/// A fleet that has served warm hosts for a while and then loses power together with them.
 fn measured(count: usize, seed: u64, rule: bool, mute: bool) -> Figures {
     let mut set = warming(rule);
     set.settings["extra"]["class_fetch"] = json!([0, 0, 0]);
@@ -406,7 +406,7 @@
     }
 }
 
-/// A mean and the half width of its 95 % interval, by Student's t over as many plays.
+/// Mean and half-width of the 95 % confidence interval, by Student's t over the runs.
 fn interval(of: &[f64]) -> (f64, f64) {
     let n = of.len() as f64;
     let mean = of.iter().sum::<f64>() / n;
@@ -415,10 +415,11 @@
     (mean, t.unwrap_or(&2.0) * spread / n.sqrt())
 }
 
-/// Measures the first 30 s after power returned to gatherers and index hosts, with the return by
-/// rule and what was learned before, and without both: `FLEET_MEASURE=3x10 cargo test --release -p
-/// bitternsill --test fleet_recovery measure -- --nocapture` plays three gatherers with ten seeds;
-/// with `FLEET_MUTE=1` discovery says nothing from then on. Without the first it does nothing.
+/// Measures the first 30 s after a power failure of gatherers and index hosts, with the recovery
+/// procedure and learned statistics, and without both. `FLEET_MEASURE=3x10 cargo test --release -p
+/// bitternsill --test fleet_recovery measure -- --nocapture` runs three gatherers with ten seeds;
+/// `FLEET_MUTE=1` silences discovery after the failure. Without `FLEET_MEASURE` the test does
+/// nothing.
 #[test]
 fn measure_the_return_of_a_fleet() {
     let Some(wanted) = std::env::var("FLEET_MEASURE").ok() else {
--- a/bitternsill/tests/fleet_versions.rs
+++ b/bitternsill/tests/fleet_versions.rs
@@ -1,5 +1,5 @@
-//! Versions of the configuration in a fleet of several processes, under network partitions,
-//! suspensions, power losses and lost audit logs. `VERSIONS_SEEDS=200 cargo test --release -p
+//! Configuration versions in a fleet of several processes under network partitions, suspended
+//! processes, power failures and lost audit logs. `VERSIONS_SEEDS=200 cargo test --release -p
 //! bitternsill --test fleet_versions random -- --nocapture` runs that many random scenarios.
 
 mod common;
@@ -30,7 +30,7 @@
     eventually("all serve the new class", || {
         (0..3).all(|at| serves(&fleet, at, "extra"))
     });
-    // One that cannot be used is named by everybody, and nothing changes.
+    // Every gatherer names an unusable proposal, and nothing changes.
     let mut wrong = with_class("other");
     wrong["limits"]["max_attempts"] = json!(2.5);
     let (text, done) = fleet.call(
@@ -46,7 +46,7 @@
         (0..3).all(|at| serves(&fleet, at, "second"))
     });
     eventually("the first is over", || !serves(&fleet, 0, "extra"));
-    // Back to the first, as a version of its own.
+    // A return to the first settings is a version of its own.
     let first = fleet.call(&["versions", "--json"], &[0]).0;
     assert!(first.contains(&second.to_string()), "{first}");
     let (text, done) = fleet.call(&["hold", "g1"], &[0]);
@@ -76,8 +76,8 @@
     assert!(asked.closed == 0 && asked.whole > 100, "{asked:?}");
 }
 
-/// A gatherer is partitioned before it can vote: the activation names it, and can exclude it only
-/// once it has stopped by itself. The same holds for asymmetric partitions.
+/// A gatherer is partitioned before it can vote. The activation names it and can exclude it only
+/// after it has stopped by itself. The same holds for partitions in one direction.
 #[test]
 fn partitioned_gatherer_stops_before_it_can_be_excluded() {
     for (name, ways) in [
@@ -91,7 +91,7 @@
         configure(&fleet, "second", &rest);
         let refused = activate(&fleet, &rest).unwrap_err();
         assert!(refused.contains(&format!("g{out}")), "{refused}");
-        // It has stopped by now, or does so by its own clock.
+        // By now it has stopped, or it stops by its own clock.
         assert!(fleet.call(&["leave-out", &format!("g{out}")], &rest).1);
         let (_, autonomous) = activate(&fleet, &rest).unwrap();
         assert!(
@@ -112,8 +112,8 @@
     }
 }
 
-/// A process that is suspended over a switch accepts nothing under the former version when it
-/// resumes, though a query has been waiting for it.
+/// A process that is suspended during a switch accepts nothing under the previous version when it
+/// resumes, not even a query that has been waiting for it.
 #[test]
 fn suspended_process_accepts_nothing_under_expired_version() {
     let (mut fleet, _, out) = with_a_version("slept-over");
@@ -137,8 +137,8 @@
     assert!(sound, "{text}");
 }
 
-/// The store loses its quorum: autonomous gatherers serve on, others stop by themselves, and all
-/// are current again afterwards.
+/// While the store has no quorum, autonomous gatherers continue to serve and the others stop by
+/// themselves; afterwards all are current again.
 #[test]
 fn autonomous_fraction_serves_without_a_store() {
     let (mut fleet, autonomous, other) = with_a_version("storeless");
@@ -150,7 +150,7 @@
         fleet.befall(&Fault::PowerOff(off.clone()));
         eventually(wanted, || has_status(&fleet, alone, wanted));
         assert_eq!(serves(&fleet, alone, "first"), wanted == "kept");
-        // It loses its power as well: what it has on its disk is all that it knows.
+        // It also loses power, so it knows only what is on its disk.
         fleet.befall(&Fault::PowerOff(BTreeSet::from([alone])));
         fleet.befall(&Fault::PowerOn(BTreeSet::from([alone])));
         if wanted == "kept" {
@@ -167,7 +167,7 @@
     assert!(sound && text.contains("kept in service"), "{text}");
 }
 
-/// Altered and missing audit logs are unknown; they never pass the audit.
+/// The audit reports altered and missing audit logs as unknown and never passes them.
 #[test]
 fn altered_or_lost_audit_log_is_unknown() {
     let mut fleet = Fleet::with("altered", 3, setup());
@@ -190,8 +190,8 @@
     );
 }
 
-/// One scenario: rollouts one after the other while power, links and processes fail. In the end all
-/// run one version, and nothing was served under an expired one.
+/// One scenario: successive rollouts while power, links and processes fail. At the end all run one
+/// version, and nothing was served under an expired one.
 fn play(seed: u64) -> Result<u32, String> {
     let count = 3;
     let mut fleet = Fleet::with(&format!("versions{seed}"), count, setup());
@@ -204,7 +204,7 @@
         while begun.elapsed() < Duration::from_millis(at) {
             std::thread::sleep(Duration::from_millis(20));
         }
-        // A member that loses its file has scenarios of its own.
+        // Lost files have their own tests.
         if !matches!(fault, Fault::LoseFile(_)) {
             fleet.befall(&fault);
         }
@@ -228,7 +228,8 @@
         }
     }
     let until = Instant::now() + Duration::from_secs(30);
-    // An activation whose caller gave up may yet be made: all have to be one after that.
+    // An activation may still take effect after its caller timed out, and all must agree after that
+    // too.
     let runs = || {
         all.iter()
             .map(|at| version(&fleet, *at)["runs"].as_u64())
@@ -265,7 +266,7 @@
     println!("{seeds} days from seed {first}: {made} activations");
 }
 
-/// The processor time of a process, in seconds.
+/// Processor time of a process in seconds.
 fn processor_time(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let behind = stat.rsplit(") ").next().unwrap();
@@ -278,9 +279,9 @@
     (ticks[0] + ticks[1]) as f64 / 100.0
 }
 
-/// Measures what versions and audit log cost queries, with and without them in turn:
+/// Measures the cost of versions and audit log per query, with and without them in turn.
 /// `VERSIONS_COST=3 cargo test --release -p bitternsill --test fleet_versions measure --
-/// --nocapture` runs three rounds of each. Without the variable it does nothing.
+/// --nocapture` runs three rounds of each. Without the variable the test does nothing.
 #[test]
 fn measure_cost_of_versions_and_audit_log() {
     let Some(rounds) = std::env::var("VERSIONS_COST")
@@ -302,7 +303,7 @@
         };
         let fleet = Fleet::with(&format!("cost{round}"), 3, set);
         eventually("it serves", || serves(&fleet, 0, "page"));
-        // The rig's own clients are not measured, and load all alike.
+        // The harness's own clients are not measured; their load is the same in all rounds.
         let pid = fleet.programs[0].as_ref().unwrap().child.id();
         let (mut took, begun, before) = (
             hdrhistogram::Histogram::<u64>::new(3).unwrap(),
@@ -315,7 +316,7 @@
             assert!(serves(&fleet, 0, "page"));
             took.record(at.elapsed().as_micros() as u64).unwrap();
         }
-        // A third of the rig's clients ask this gatherer.
+        // A third of the harness's clients use this gatherer.
         let queries = took.len() + u64::from(fleet.asked.lock().unwrap().whole - answered) / 3;
         let used = (processor_time(pid) - before) / queries as f64 * 1e6;
         let trail =
--- a/bitternsill/tests/harness.rs
+++ b/bitternsill/tests/harness.rs
@@ -1,5 +1,4 @@
-//! What the other tests rest on: an address that is said to be free takes no connection, whatever
-//! else is started meanwhile.
+//! The test harness: a free address accepts no connection, whatever processes start meanwhile.
 
 mod common;
 
@@ -10,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// Found in CI: a program that another test had just started held the socket that had found the
-/// port, and it listened; a connection there came up and was reset.
+/// Guards against a port search with a listening socket. A process that another test had just
+/// started held a copy of that socket; a connection to the address was accepted and then reset.
 #[test]
 fn a_free_address_takes_no_connection_while_programs_are_started() {
     let over = Arc::new(AtomicBool::new(false));
@@ -31,7 +30,7 @@
             TcpStream::connect(address).is_err(),
             "at try {tried} somebody listened at {address}"
         );
-        // Whoever it was found for can listen there at once.
+        // The caller can listen there at once.
         drop(TcpListener::bind(address).unwrap());
     }
     over.store(true, Ordering::Relaxed);
--- a/bitternsill/tests/learned.rs
+++ b/bitternsill/tests/learned.rs
@@ -1,5 +1,5 @@
-//! Stories on what is learned and kept: restarts, kills at each step and at any moment, spoilt
-//! folders, slow and full disks, wrong memories.
+//! Persistence of learned statistics: restarts, kills during and between writes, damaged folders,
+//! slow and full disks, and outdated statistics.
 
 mod common;
 
@@ -18,7 +18,7 @@
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// A folder that goes with its test.
+/// A folder that is removed on drop.
 struct Temporary(PathBuf);
 
 impl Temporary {
@@ -59,8 +59,8 @@
     }
 }
 
-/// Opens a folder. The lock of a process that was killed may take a moment to go, and other
-/// stories' children hold every descriptor of this process for a moment when they start.
+/// Opens a folder. The lock of a killed process may take a moment to be released, and processes
+/// that other tests start briefly inherit every descriptor of this one.
 fn open(folder: &Path) -> Folder {
     let start = Instant::now();
     loop {
@@ -78,7 +78,8 @@
     open(folder).load().snapshot.map(|(snapshot, ..)| snapshot)
 }
 
-/// Not a story: the process that is killed in the middle of a write, started by the one below.
+/// Not a test of its own: the process that `killed_write_leaves_old_or_new_snapshot` starts and
+/// that dies in the middle of a write.
 #[test]
 fn child_that_writes_and_dies() {
     let Ok(folder) = std::env::var("LEARNED_CHILD") else {
@@ -94,7 +95,7 @@
     folder
         .write(&file::encode(&snapshot(next)).unwrap(), |_| {
             if seen == die_at {
-                // As kill -9: nothing is flushed, unwound or unlocked by the process.
+                // Like kill -9: the process flushes, unwinds and unlocks nothing.
                 std::process::abort();
             }
             seen += 1;
@@ -102,9 +103,8 @@
         .unwrap();
 }
 
-/// Hard case 1. Killed before each system call of a write, and in the middle of one, over folders
-/// with 0 to 4 generations: what is read is the last whole picture, or the new one, and never
-/// anything else.
+/// A process is killed before each system call of a write and in the middle of one, with 0 to 4
+/// generations in the folder. The next load yields the last complete snapshot or the new one.
 #[test]
 fn killed_write_leaves_old_or_new_snapshot() {
     for written in 0..5u64 {
@@ -134,7 +134,7 @@
                 found == written || found == written + 1,
                 "{written} written, killed at {die_at}: {found}"
             );
-            // The next process writes on, over whatever was left beside.
+            // The next process can write despite any temporary file left behind.
             let open = open(&folder.0);
             open.write(&file::encode(&snapshot(99)).unwrap(), |_| {})
                 .unwrap();
@@ -149,15 +149,14 @@
     }
 }
 
-/// Three cells in a ring; the hosts answer after so many milliseconds, and count what comes to
-/// them.
+/// Three cells in a ring; each host counts its parts and answers after its delay in milliseconds.
 fn hosts(delays: [u64; 3]) -> (Vec<FrameHost>, Vec<Arc<AtomicUsize>>) {
     let counts: Vec<Arc<AtomicUsize>> = (0..3).map(|_| Arc::default()).collect();
     let host = |(delay, count): (u64, &Arc<AtomicUsize>)| {
         let count = count.clone();
         FrameHost::start(move |_| {
             count.fetch_add(1, Ordering::SeqCst);
-            // How slow a host is, not a way to wait for something.
+            // Simulates a slow host.
             std::thread::sleep(Duration::from_millis(delay));
             Say::Good(1, "x".to_owned())
         })
@@ -188,7 +187,7 @@
     )
 }
 
-/// Asks for slice 0, which the first two hosts hold, one query after the other.
+/// Sends consecutive queries for slice 0, which the first two hosts hold.
 fn ask(platform: &Platform, first: usize, count: usize) {
     for n in first..first + count {
         let answer = platform.ask(&format!("{n:016x}"), "page", &[0]);
@@ -217,14 +216,14 @@
     serde_json::from_slice(&output.stdout).expect("JSON")
 }
 
-/// A slow host is known after a restart: nothing is sent to it first.
+/// After a restart a slow host is known, and the first queries avoid it.
 #[test]
 fn restart_remembers_slow_hosts() {
     let folder = Temporary::new();
     let (slow, _) = hosts([120, 1, 1]);
     let platform = start("true", slow, &folder.0);
-    // Over two seconds, as the module lets a host that was slow a moment ago rest before it is
-    // tried again.
+    // Over two seconds, because a host that was slow a moment ago is left alone for a while before
+    // it is tried again.
     for n in 0..130 {
         ask(&platform, n, 1);
         std::thread::sleep(Duration::from_millis(15));
@@ -248,7 +247,7 @@
     let first = counts[0].load(Ordering::SeqCst);
     assert_eq!(first, 0, "parts sent to the slow host");
     end(platform);
-    // Without the folder's memory some of the first queries find it out.
+    // Without stored statistics, some of the first queries go to the slow host.
     let forgotten = Temporary::new();
     let (slow, counts) = hosts([120, 1, 1]);
     let platform = start("true", slow, &forgotten.0);
@@ -268,7 +267,7 @@
     }
 }
 
-/// A picture of the stories' fleet.
+/// A snapshot of the test fleet.
 fn remembered(taken: u64, slowness: [f32; 3]) -> Snapshot {
     let classes = ["search", "page", "shelf"];
     let class = |name: &&str| ClassStats {
@@ -300,8 +299,8 @@
     }
 }
 
-/// Hard case 3. A memory that says the contrary of what answers say, fresh or three days old:
-/// within twenty queries the answers have won.
+/// Stored statistics contradict the hosts' actual speed, either fresh or three days old. After
+/// twenty queries the answers must outweigh them.
 #[test]
 fn answers_override_outdated_statistics() {
     for age in [0, 3 * 86_400_000] {
@@ -325,14 +324,13 @@
     }
 }
 
-/// Hard case 1. Killed at any moment under load: what is read is sound, and never older than two
-/// periods.
+/// Killed at any moment under load, the program leaves a sound snapshot that is at most two periods
+/// old.
 #[test]
 fn killed_program_leaves_recent_snapshot() {
     let folder = Temporary::new();
     let mut seed = 7u64;
-    // More by hand: LEARNED_ROUNDS=300 cargo test -p bitternsill --test learned
-    // killed_at_any_moment
+    // More rounds: LEARNED_ROUNDS=300 cargo test -p bitternsill --test learned killed_program
     let rounds = std::env::var("LEARNED_ROUNDS")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -341,7 +339,7 @@
         let (quick, _) = hosts([1, 1, 1]);
         let mut platform = start("true", quick, &folder.0);
         ask(&platform, 100 * round, 1);
-        // Long enough for a first picture, and then any time within two periods.
+        // Long enough for a first snapshot, then any time within two periods.
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
@@ -356,13 +354,12 @@
         platform.program.child.wait().unwrap();
         let kept = newest(&folder.0).expect("a sound picture");
         let old = killed.saturating_sub(kept.taken_at);
-        // Two periods of 100 ms, and what a busy machine takes over one write.
+        // Two periods of 100 ms, and an allowance for one write on a busy machine.
         assert!(old <= 200 + 150, "round {round}: {old} ms old");
     }
 }
 
-/// Hard case 2. A folder that is missing, is none, is in use or cannot be written: queries are
-/// served all the same.
+/// Queries are served when the folder is missing, not a folder, locked or not writable.
 #[test]
 fn serves_without_usable_folder() {
     let folder = Temporary::new();
@@ -371,7 +368,7 @@
     let missing = folder.0.join("missing");
     assert!(matches!(Folder::open(&missing), Err(FolderError::Missing)));
     assert!(matches!(Folder::open(&file), Err(FolderError::NotAFolder)));
-    // Nothing can be created there by anybody.
+    // No user can create a file here.
     assert!(matches!(
         Folder::open(Path::new("/proc/self")),
         Err(FolderError::Lock(_))
@@ -388,8 +385,8 @@
     assert_eq!(open(&folder.0).generations().unwrap(), [0u64; 0]);
 }
 
-/// Hard case 2. Links, zeros, truncations and other fleets' files among the generations: each is
-/// passed over with its reason, and the newest sound one is taken. What a link points to is never
+/// Symbolic links, empty and truncated files, and a sparse file among the generations are skipped
+/// with a reason, and the newest sound one is loaded. The target of a symbolic link is never
 /// written.
 #[test]
 fn skips_unreadable_generations() {
@@ -398,7 +395,7 @@
     let sound = file::encode(&snapshot(7)).unwrap();
     std::fs::write(at(1), &sound).unwrap();
     std::fs::write(at(2), &sound[..sound.len() - 3]).unwrap();
-    // As large as a disk may give, without a byte of it on the disk.
+    // A sparse file that uses no disk space.
     std::fs::File::create(at(3))
         .unwrap()
         .set_len(100 << 20)
@@ -427,18 +424,18 @@
     assert_eq!(std::fs::read_to_string(&victim).unwrap(), "precious");
 }
 
-/// Hard case 2. A disk on which nothing more fits, and one that never answers: queries are served
-/// as before, and the program ends in its time.
+/// With a full disk, or one that never answers, queries are served as usual and the shutdown is in
+/// time.
 #[test]
 fn full_or_stuck_disk_delays_no_query_or_shutdown() {
-    // A file may have no byte more than none: each write fails as on a full disk.
+    // The file size limit is zero, so each write fails as on a full disk.
     let full = Temporary::new();
     let (quick, _) = hosts([1, 1, 1]);
     let platform = start("trap '' XFSZ; ulimit -f 0", quick, &full.0);
     ask(&platform, 0, 50);
     end(platform);
     assert_eq!(newest(&full.0), None);
-    // A pipe that nobody reads from: whoever opens it to write waits for ever.
+    // A pipe without a reader blocks every open for writing.
     let stuck = Temporary::new();
     assert!(
         Command::new("mkfifo")
@@ -464,8 +461,8 @@
     );
 }
 
-/// Starts a gatherer that remembers its first host as slow, and counts what of its first queries
-/// goes there.
+/// Starts a gatherer whose statistics mark the first host as slow; returns how many of the first
+/// queries use that host.
 fn queries_to_the_remembered_host(count: usize, was_replaced: bool, delays: [u64; 3]) -> usize {
     let folder = Temporary::new();
     let open = open(&folder.0);
@@ -485,7 +482,7 @@
         .map(|(i, h)| target(i, h.address, "active"))
         .collect();
     if was_replaced {
-        // The first host has started since.
+        // The first host has restarted since.
         targets[0]["boot_ms"] = json!(taken - 60_000);
         targets[2]["uid"] = json!("s-new");
     }
@@ -502,8 +499,8 @@
     counts[0].load(Ordering::SeqCst)
 }
 
-/// Hard case 4. A deploy that replaces the gatherer and the hosts at once: new hosts are not held
-/// to be what the old ones were, by their names or by their starts.
+/// A deployment replaces the gatherer and the hosts together. Statistics of the old hosts must not
+/// apply to the new ones, whether these have a new name or only a new start time.
 #[test]
 fn replaced_hosts_start_without_statistics() {
     let equal = [1, 1, 1];
@@ -524,7 +521,7 @@
     );
 }
 
-/// The commands, on sound files and on others.
+/// The `learned` subcommands on sound and damaged files.
 #[test]
 fn commands_show_verify_convert_age_and_compare_files() {
     let folder = Temporary::new();
--- a/bitternsill/tests/limits.rs
+++ b/bitternsill/tests/limits.rs
@@ -1,11 +1,11 @@
-//! The bounds that follow from what a deployment tells.
+//! Limits derived from the deployment settings.
 
 use bitternsill::limits::{Limits, MS};
 use dispatch::Aggregator;
 use dispatch::interface::{Action, Endpoint, Event, ListKind, ServerId, Settings, Time};
 
-/// Found on reading: with deadlines under half a second what was asked last had 0.1 s, and was
-/// failed at the end.
+/// Guards against too short a shutdown: with deadlines under half a second, the last queries had
+/// only 0.1 s and then failed.
 #[test]
 fn what_is_asked_last_before_the_end_has_its_time_before_the_kill() {
     for deadline in [300, 400, 600, 1000, 1400, 2500, 5000] {
@@ -52,8 +52,8 @@
     }
 }
 
-/// How long an aggregator that has a list waits before it calls again, after each of these failures
-/// in a row; true for one that was refused.
+/// The delays of an aggregator with a list before its next call, after each of these consecutive
+/// failures; `true` for a refused call.
 fn waits(aggregators: u32, refused: &[bool], seed: u64) -> Vec<Time> {
     let settings = Settings {
         aggregators,
@@ -97,9 +97,9 @@
     refused.iter().map(&mut wait).collect()
 }
 
-/// What changes counts as told 6 s after discovery had it and could be reached, whatever failed.
-/// Found on reading: in a fleet of a hundred a silent watch and the next call given up took 8.9 s,
-/// and a call given up behind refused ones 10 s.
+/// A change must be known 6 s after discovery had it and could be reached, whatever failed before.
+/// Guards against two cases in a fleet of a hundred: a silent watch followed by a timed-out call
+/// took 8.9 s, and a timed-out call after refused ones 10 s.
 #[test]
 fn a_watchs_silence_a_calls_wait_and_the_waits_between_fit_in_six_seconds_in_fleets_of_any_size() {
     let limits = Limits::default();
@@ -108,16 +108,16 @@
         limits.discovery_timeout,
         limits.discovery_busy_timeout,
     );
-    // What is left for the last call to be answered.
+    // Leaves 200 ms for the response to the last call.
     let told = 6_000 * MS - 200 * MS;
     for aggregators in [1, 3, 10, 30, 60, 100, 300, 1000] {
         for seed in 0..40 {
-            // A watch falls silent, and the call after that is given up.
+            // A watch falls silent, and the next call times out.
             let after = waits(aggregators, &[false, false], seed);
             let took = silent + after[0] + call + after[1];
             assert!(took <= told, "{aggregators}: {} ms", took / MS);
-            // Discovery comes back just behind a call that it refused: the next one is given up, or
-            // its watch is silent from the start, or it ends instead of telling.
+            // Discovery returns just after it refused a call; then the next call times out, or its
+            // watch is silent from the start, or it ends without an update.
             for refusals in 1..12 {
                 let failures: Vec<bool> = (0..=refusals).map(|at| at < refusals).collect();
                 let after = waits(aggregators, &failures, seed);
--- a/bitternsill/tests/operations.rs
+++ b/bitternsill/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Stories of daily operations: the door, hosts out by hand, drains and upgrades, on loopback.
+//! Operations: the admin address, excluded hosts, drains, reloads and upgrades.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A gatherer with a door, and a folder that its processes share.
+/// A gatherer with an admin address and a folder that its processes share.
 struct Served {
     platform: Platform,
     door: SocketAddr,
@@ -73,7 +73,8 @@
 }
 
 impl Served {
-    /// A second process beside the first, with a door of its own; returns once it takes clients.
+    /// Starts a second process next to the first, with its own admin address; returns once it
+    /// accepts clients.
     fn upgrade(&self) -> (Program, SocketAddr) {
         let mut config = self.platform.config.clone();
         let door = free_address();
@@ -97,7 +98,7 @@
     )
 }
 
-/// Makes a call; the answer, or nothing where there is no door.
+/// Sends an admin request; returns the response, or an empty string if the connection is refused.
 fn call(door: SocketAddr, method: &str, path: &str, body: &str) -> String {
     let Ok(mut socket) = TcpStream::connect(door) else {
         return String::new();
@@ -120,8 +121,7 @@
     let served = start(settings(), hosts(), 256);
     let pid = served.platform.program.child.id();
     let crowd: Vec<TcpStream> = (0..30).map(|_| served.platform.connect()).collect();
-    // The calls that asked whether it was ready are gone by then, and leave no descriptor to be
-    // had.
+    // By then the connections of the readiness checks are closed and leave no free descriptor.
     let count = || {
         std::fs::read_dir(format!("/proc/{pid}/fd"))
             .unwrap()
@@ -134,7 +134,7 @@
         }
         still.1.elapsed() > Duration::from_millis(700)
     });
-    // From here on it gets no descriptor that it does not hold already.
+    // From here on the process can open no further descriptor.
     let held = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap();
     let held: Vec<u32> = held
         .filter_map(|fd| fd.ok()?.file_name().to_str()?.parse().ok())
@@ -179,7 +179,7 @@
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
         socket.write_all(&whole.as_bytes()[..at]).unwrap();
-        // The gatherer has read the first piece once it answers another call.
+        // By the time it answers another request, the gatherer has read the first piece.
         assert!(call(served.door, "GET", "ready", "").starts_with("HTTP/1.1 200"));
         socket.write_all(&whole.as_bytes()[at..]).unwrap();
         let answer = read_response(&mut socket);
@@ -225,7 +225,7 @@
         &format!("{{\"member\":\"{}\"}}", "x".repeat(100_000)),
     );
     assert!(huge.starts_with("HTTP/1.1 413"), "{huge}");
-    // A refused length is answered before the rest comes; one without a length has no body.
+    // A refused length is answered before the body arrives; a request without a length has no body.
     let program = env!("CARGO_BIN_EXE_bitternsill");
     let cli = |args: &[&str]| {
         let run = Command::new(program)
@@ -265,7 +265,8 @@
     for i in 0..12 {
         assert!(ask(&format!("b{i}"), i % 3).starts_with("HTTP/1.1 200"));
     }
-    // It leaves, comes back under the same id, started anew: none of that is a call back.
+    // The host leaves and returns under the same id with a new start time. None of this includes it
+    // again.
     let line = |state: &str, boot: u64| {
         let mut line = target(1, served.platform.hosts[1].address, state);
         line["boot_ms"] = json!(boot);
@@ -285,7 +286,8 @@
             assert!(ask(&format!("c{version}{i}"), i % 3).starts_with("HTTP/1.1 200"));
         }
     }
-    // Nor is an upgrade; and the process that follows answers the call back for both.
+    // An upgrade does not include it either, and an include call to the new process applies to
+    // both.
     let (next, door) = served.upgrade();
     for i in 0..24 {
         assert!(ask(&format!("d{i}"), i % 3).starts_with("HTTP/1.1 200"));
@@ -306,7 +308,7 @@
         ask(&format!("e{:?}", start.elapsed()), 0);
     }
     drop(next);
-    // The first process has heard of it as well.
+    // The first process has received the call as well.
     let before = served.seen(1);
     let start = Instant::now();
     while served.seen(1) == before {
@@ -320,8 +322,8 @@
 
 #[test]
 fn work_that_waits_for_a_connection_does_not_reach_a_host_taken_out_meanwhile() {
-    // The host of cell 0 answers nothing at first, so that copies and further attempts are due;
-    // then it is taken out.
+    // The host of cell 0 does not answer at first, so that hedges and further attempts are due;
+    // then it is excluded.
     let mut all = hosts();
     all[0] = FrameHost::start(|_| Say::Nothing);
     let served = start(settings(), all, 256);
@@ -389,8 +391,8 @@
         call(served.door, "POST", "evacuate", "").starts_with("HTTP/1.1 200"),
         "twice is once"
     );
-    // A client that asks on and on is served until its connection is closed with an answer, and
-    // never without one.
+    // A client with consecutive requests is served until a response closes its connection; the
+    // connection never closes without a response.
     let mut asked = 0;
     loop {
         asked += 1;
@@ -402,7 +404,7 @@
             break;
         }
     }
-    // New connections are still served, one request each.
+    // New connections are still served, with one request each.
     let late = served.platform.ask("late", "page", &[0]);
     assert!(late.starts_with("HTTP/1.1 200"), "{late}");
     let closed = |mut socket: TcpStream| {
@@ -437,8 +439,9 @@
     );
 }
 
-/// Asks on new connections, one after the other, until told to stop; how many were served, and how
-/// many met a connection that was refused, reset or closed without an answer.
+/// Sends queries on new connections, one after another, until `stop` is set. Counts the served ones
+/// in `all`; returns one entry for each connection that was refused, reset or closed without a
+/// response.
 fn knock(address: SocketAddr, name: String, stop: &AtomicBool, all: &AtomicU32) -> Vec<String> {
     let (mut served, mut met) = (0, Vec::new());
     while !stop.load(Ordering::SeqCst) {
@@ -489,7 +492,7 @@
             some_more();
             let (next, _) = served.upgrade();
             running.last().unwrap().signal("TERM");
-            // The one told to end is left to do so.
+            // Kept, so that the drop does not kill the process during its shutdown.
             running.push(next);
             upgrades += 1;
         }
@@ -514,8 +517,8 @@
     let served = start(settings(), hosts(), 512);
     let old = &served.platform.program;
     let (next, _) = served.upgrade();
-    // While it stands still a good half of two hundred connections gathers in its queue: more than
-    // one round accepts.
+    // While the process is stopped, about half of two hundred connections collect in its backlog:
+    // more than one round accepts.
     old.signal("STOP");
     let mut waiting: Vec<TcpStream> = (0..200).map(|_| served.platform.connect()).collect();
     for (n, socket) in waiting.iter_mut().enumerate() {
@@ -536,7 +539,7 @@
 
 #[test]
 fn new_settings_are_taken_whole_or_not_at_all_and_what_is_open_keeps_its_class() {
-    // The hosts hold their answers to one query back until the test lets them go.
+    // The hosts delay their answers to one query until the test opens the gate.
     let gate = std::sync::Arc::new(AtomicBool::new(false));
     let host = |score| {
         let open = gate.clone();
@@ -560,8 +563,8 @@
             "Idempotency-Key: k\r\nConnection: close\r\n",
         )))
     };
-    // What is broken is not taken, discovery included: nobody listens where these files send the
-    // program.
+    // An invalid file is rejected as a whole, including its discovery address, where nothing
+    // listens.
     let good = platform.config.clone();
     let mut broken = vec![
         String::new(),
@@ -609,7 +612,7 @@
     let watches = platform.discovery.asked();
     for (n, file) in broken.iter().enumerate() {
         platform.reload(file);
-        // A signal is read before what is asked behind it.
+        // A signal is handled before any request sent after it.
         assert_eq!(ask(&format!("b{n}"), "leaf"), "400", "{file}");
         assert_eq!(ask(&format!("c{n}"), "page"), "200", "{file}");
     }
@@ -617,7 +620,7 @@
         (platform.discovery.watches(), platform.discovery.asked()),
         (1, watches)
     );
-    // A query is open while its class goes, and another changes its meaning.
+    // A query is open while its class is removed and another class changes its effect.
     let mut waiting = platform.connect();
     waiting
         .write_all(query("w", "page", &[1], "").as_bytes())
@@ -669,8 +672,8 @@
         (ask("k3", "shelf"), ask("n2", "leaf")),
         ("200".into(), "200".into())
     );
-    // Changed to and fro, it neither grows nor forgets: 64 classes may be held, and each change
-    // brings some.
+    // Repeated changes neither accumulate classes nor lose them: at most 64 classes may be kept,
+    // and each change adds some.
     for n in 0..60 {
         platform.reload(&if n % 2 == 0 { &good } else { &fresh }.to_string());
         ask(&format!("f{n}"), "search");
@@ -681,7 +684,7 @@
     });
 }
 
-/// The ports of the other ends of a process's connections, by the system's tables.
+/// The remote ports of a process's TCP connections, from `/proc`.
 fn connected_ports(process: u32) -> BTreeSet<u16> {
     let descriptors = std::fs::read_dir(format!("/proc/{process}/fd")).unwrap();
     let links = descriptors
@@ -706,8 +709,7 @@
 
 #[test]
 fn a_client_that_never_reads_does_not_hold_a_drain_and_sigterm_ends_it_in_order() {
-    // Values so large that an answer does not fit what the system buffers for a client that reads
-    // nothing.
+    // Too large for the system's buffers of a client that does not read.
     let large = |score| FrameHost::start(move |_| Say::Good(score, "x".repeat(60_000)));
     let mut served = start(settings(), (1..=3).map(large).collect(), 256);
     let process = served.platform.program.child.id();
@@ -723,7 +725,7 @@
             }
         }
     }
-    // Nothing more is asked of the hosts for them, and what they hold of the memory is bounded.
+    // The hosts get no further parts for these clients, and the memory held for them is bounded.
     let asked = || (0..3).map(|host| served.seen(host)).sum::<usize>();
     let mut last = (asked(), Instant::now());
     eventually("no more is asked for the deaf", || {
@@ -746,7 +748,7 @@
             .ask("beside", "page", &[0])
             .starts_with("HTTP/1.1 200")
     );
-    // It may hold connections to its hosts, but none of the deaf.
+    // The process may keep connections to its hosts, but none to these clients.
     eventually("the deaf are let go", || !deaf.iter().any(is_held));
     assert!(
         began.elapsed() < Duration::from_secs(4),
--- a/bitternsill/tests/platform_clients.rs
+++ b/bitternsill/tests/platform_clients.rs
@@ -1,4 +1,4 @@
-//! Stories of the program on the platform: clients, their connections and its own end.
+//! Client connections and shutdown of the program in platform mode.
 
 mod common;
 
@@ -15,7 +15,7 @@
         socket.write_all(&[byte]).unwrap();
     }
     let page = read_response(&mut socket);
-    // The connection stays, and a body may come in chunks.
+    // The connection stays open. A body may be sent in chunks.
     let body = r#"{"ranges":[{"range":0,"portion":0.4},{"range":1,"portion":0.3},{"range":2,"portion":0.3}],"predicate":"q"}"#;
     write!(
         socket,
@@ -27,7 +27,7 @@
     )
     .unwrap();
     let search = read_response(&mut socket);
-    // Two parts of the second step, sent with the shards that were in.
+    // Two parts of the second step carry the shards that answered in the first.
     let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
     let second: Vec<&String> = seen.iter().filter(|line| line.contains(".r ")).collect();
     assert_eq!(second.len(), 2, "{seen:?}");
@@ -115,7 +115,7 @@
         "it may have nowhere else to go"
     );
     std::thread::sleep(Duration::from_millis(500));
-    // New connections and kept ones are still served, and told to close.
+    // New and kept connections are still served, with `Connection: close`.
     assert!(
         platform
             .ask("new", "page", &[1])
@@ -169,7 +169,7 @@
     eventually("the part is given up", || {
         seen().contains(&"given up gone.0".to_owned())
     });
-    // Its own time would end it after 1.5 s.
+    // Its own deadline would end it only after 1.5 s.
     assert!(
         start.elapsed() < Duration::from_millis(600),
         "{:?}",
@@ -179,10 +179,10 @@
 
 #[test]
 fn more_clients_than_descriptors_are_served_by_closing_idle_connections() {
-    // As many as it was told it may hold; and fewer than that, so that accepting fails.
+    // Once as many as configured, and once fewer, so that accept fails.
     for (told, there) in [(256, 1024), (1024, 120)] {
         let platform = Platform::start_with(settings(), three(), told, there);
-        // Every connection stays open and idle after its answer.
+        // Every connection stays open and idle after its response.
         let mut idle = Vec::new();
         for i in 0..300 {
             let mut socket = platform.connect();
@@ -202,7 +202,7 @@
     let platform = Platform::start(settings(), hosts);
     let text = query("q", "page", &[0], "").replace("X-Budget: 3.0", "X-Budget: 2.0");
     platform.program.signal("STOP");
-    // Its connection too comes while the program stands still, and is accepted before anything on
+    // The connection also arrives while the program is stopped, and is accepted before anything on
     // it is read.
     let mut socket = platform.connect();
     let start = Instant::now();
@@ -242,7 +242,7 @@
     );
 }
 
-/// What a client that says this hears until the connection ends, and how long that takes.
+/// Sends these bytes; returns everything received until the connection ends, and the time taken.
 fn hear(platform: &Platform, said: &[u8]) -> (String, Duration) {
     let mut socket = platform.connect();
     let start = Instant::now();
@@ -269,7 +269,7 @@
         ("HTTP/1.1 408", b"POST /api HTTP/1.1\r\nX-Call"),
         ("HTTP/1.1 408", &whole.as_bytes()[..whole.len() - 9]),
         ("HTTP/1.1 431", &[b'x'; 40_000]),
-        // All of it is read, or a reset would take the answer with it.
+        // The program must read all of it, or a reset would discard the response.
         ("HTTP/1.1 413", &huge),
         (
             "HTTP/1.1 400",
@@ -346,11 +346,11 @@
     kept.write_all(query("a", "page", &[0], "").as_bytes())
         .unwrap();
     assert!(read_response(&mut kept).starts_with("HTTP/1.1 200"));
-    /// A connection that is ended the long way keeps its place for this time.
+    /// How long a connection that is closed in stages keeps its descriptor.
     const LINGER: Duration = Duration::from_millis(500);
     let crowd: Vec<TcpStream> = (0..600).map(|_| platform.connect()).collect();
     let start = Instant::now();
-    // Whoever comes behind the crowd is served, and so is the connection that was there before it.
+    // A client after the crowd is served, and so is the connection opened before it.
     assert!(platform.ask("b", "page", &[0]).starts_with("HTTP/1.1 200"));
     assert!(start.elapsed() < LINGER, "{:?}", start.elapsed());
     kept.write_all(query("c", "page", &[1], "").as_bytes())
@@ -399,7 +399,7 @@
 
 #[test]
 fn clients_that_ask_once_and_stay_do_not_take_every_place_that_clients_may_have() {
-    // A client may have a third of the 256 descriptors; of those a quarter may be idle after one
+    // Clients may use a third of the 256 descriptors; a quarter of these may be idle after a single
     // request.
     let platform = Platform::start(settings(), three());
     let mut kept = platform.connect();
@@ -464,7 +464,7 @@
             .say("GET /api/7f3a HTTP/1.1\r\n\r\n")
             .starts_with("HTTP/1.1 405")
     );
-    // Of four requests of one kind the log tells once, with what the first asked for.
+    // Four requests of the same kind are logged once, with the path of the first.
     let said = std::fs::read_to_string(&log).unwrap();
     assert_eq!(said.matches("no such path").count(), 1, "{said}");
     assert!(
--- a/bitternsill/tests/platform_discovery.rs
+++ b/bitternsill/tests/platform_discovery.rs
@@ -1,4 +1,4 @@
-//! Stories of the program on the platform: discovery, its lists and new configurations.
+//! Discovery, target lists and configuration reloads of the program in platform mode.
 
 mod common;
 
@@ -15,7 +15,7 @@
     platform
         .discovery
         .tell(2, vec![target(0, platform.hosts[0].address, "leaving")]);
-    // The change takes a moment to arrive; from then on shard 0 is served by cell 1 alone.
+    // Once the change has arrived, only cell 1 serves shard 0.
     eventually("the change is known", || {
         let before = platform.hosts[0].seen().len();
         for i in 0..6 {
@@ -66,7 +66,7 @@
     let mut held = platform.connect();
     held.write_all(query("slow", "page", &[0], "").as_bytes())
         .unwrap();
-    // What cannot be read changes nothing: the present watch goes on.
+    // An unreadable file changes nothing; the current watch continues.
     platform.reload("{\"name\": ");
     assert!(platform.ask("a", "page", &[1]).starts_with("HTTP/1.1 200"));
     assert_eq!(
@@ -94,7 +94,7 @@
         }
         platform.hosts[0].seen().len() == before
     });
-    // The connection that was there before is still served.
+    // The earlier connection is still served.
     held.write_all(query("c", "page", &[1], "").as_bytes())
         .unwrap();
     assert!(read_response(&mut held).starts_with("HTTP/1.1 200"));
@@ -128,8 +128,8 @@
     assert!(read_response(&mut socket).contains("value of q.0"));
 }
 
-/// Found with 100 gatherers: discovery that turns calls down was called without rest, and answered
-/// nobody any more.
+/// Guards against a program that calls a refusing discovery without pause. With 100 gatherers,
+/// discovery could then answer nobody any more.
 #[test]
 fn discovery_that_turns_calls_down_or_resets_them_is_called_ever_less_while_queries_go_on() {
     let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
@@ -137,7 +137,7 @@
     let overbooked = accept(move |mut socket| {
         let mut calls = log.lock().unwrap();
         calls.push(Instant::now());
-        // Every other call is dropped without a word.
+        // Every other call is closed without a response.
         if calls.len() % 2 == 1 {
             let _ =
                 socket.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
@@ -157,8 +157,8 @@
     });
     let _program = Program::start("--config", &config);
     eventually("it listens", || TcpStream::connect(address).is_ok());
-    // Waits of 0.8 to 1.6 s at first in a fleet of a hundred, as what changes must be heard in
-    // time, then twice, four times as long.
+    // In a fleet of a hundred, the first delay is 0.8 to 1.6 s, so that changes are known in time;
+    // the next ones are twice and four times as long.
     eventually("four calls", || calls.lock().unwrap().len() >= 4);
     let mut socket = TcpStream::connect(address).unwrap();
     socket
@@ -182,8 +182,8 @@
 
 #[test]
 fn reports_and_list_entries_of_other_fields_more_or_fewer_change_nothing() {
-    // As the protocol page has it, as the second deployment has it, more, fewer, none, and no
-    // report at all.
+    // As in the protocol description, as in the second deployment, with more fields, with fewer,
+    // empty, and malformed.
     let reports = [
         "inflight=7,util=0.61",
         "qps=4.2,util=0.61,queue=2",
--- a/bitternsill/tests/platform_hosts.rs
+++ b/bitternsill/tests/platform_hosts.rs
@@ -1,4 +1,4 @@
-//! Stories of the program on the platform: index hosts and their answers.
+//! Index hosts and their answers to the program in platform mode.
 
 mod common;
 
@@ -11,8 +11,7 @@
 
 #[test]
 fn a_part_that_never_ran_is_sent_elsewhere_and_a_keyed_one_keeps_its_key() {
-    // Shard 1 is on the hosts of cells 1 and 2: the one turns everything away, the other accepts no
-    // connection.
+    // Shard 1 is on the hosts of cells 1 and 2; the first turns every part away.
     let mut hosts = three();
     hosts[1] = FrameHost::start(|_| Say::Later);
     let platform = Platform::start(settings(), hosts);
@@ -41,7 +40,7 @@
     let platform = Platform::start(settings(), hosts);
     let mut served = 0;
     for i in 0..12 {
-        // The part may have run: the module serves it elsewhere or refuses, and nothing else.
+        // The part may have run, so the query is either served by another host or rejected.
         let answer = platform.ask(&format!("q{i}"), "page", &[0]);
         let whole =
             answer.starts_with("HTTP/1.1 200") && answer.contains(&format!("value of q{i}.0"));
@@ -58,7 +57,7 @@
 
 #[test]
 fn a_host_to_which_no_connection_comes_up_costs_only_the_connect_time() {
-    // Two connections that nobody accepts fill this listener; what follows gets no answer at all.
+    // Two unaccepted connections fill this listener; further ones get no answer at all.
     let deaf = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&deaf, 0).unwrap();
     let address = deaf.local_addr().unwrap();
@@ -92,7 +91,7 @@
 
 #[test]
 fn an_answer_short_of_whole_says_so_and_names_only_the_shards_that_are_in() {
-    // Shard 1 is on the hosts of cells 1 and 2, which take parts of it and answer none.
+    // Shard 1 is on the hosts of cells 1 and 2, which do not answer its parts.
     let say = |id: &str| {
         let lost = id.ends_with(".1") || id.ends_with(".1.r");
         if lost {
@@ -122,8 +121,7 @@
             "s.2.r 2 [from=0+2,whole=0] c41e77d0"
         ]
     );
-    // A page needs every part: without one there is no answer, and that is said in the client's
-    // time.
+    // A page needs every part. Without one, the query is rejected within the client's budget.
     let start = Instant::now();
     let answer = platform.ask("p", "page", &[0, 1]);
     assert!(
@@ -134,7 +132,7 @@
 
 #[test]
 fn a_spoilt_answer_is_one_failed_attempt_and_what_is_good_is_passed_on_whatever_lies_behind_it() {
-    // Each way to spoil an answer, by the first letter of the query's id.
+    // A malformed answer of each kind, selected by the first character of the query's id.
     let spoilt = |id: &str| -> Vec<u8> {
         let answer = |name: &str, end: &str| {
             frame(b'q', format!("{name} {end}\nvalue of {name}").as_bytes())
@@ -144,13 +142,13 @@
             "1" => answer(id, "well 7 -"),
             "2" => frame(b'z', b"?"),
             "3" => vec![0, 0, 0, 192, b'q'],
-            // A length that takes in what follows it.
+            // The length includes the bytes that follow the frame.
             "4" => {
                 let mut long = answer(id, "good 7 -");
                 long[0] += 60;
                 [long, vec![0; 60]].concat()
             }
-            // A length of which the rest never comes.
+            // The rest of the announced length never arrives.
             _ => vec![200, 0, 0, 0, b'q', b'x'],
         }
     };
@@ -158,7 +156,7 @@
         let mut hosts = three();
         hosts[0] = FrameHost::start(move |id| Say::Raw(spoilt(id)));
         let platform = Platform::start(settings(), hosts);
-        // Shard 0 is held by the first two hosts, and only the first of them spoils.
+        // Shard 0 is on the first two hosts, and only the first sends malformed answers.
         for i in 0.. {
             let (id, start) = (format!("{way}f{i}"), Instant::now());
             let answer = platform.ask(&id, "page", &[0]);
@@ -175,7 +173,7 @@
             }
         }
     }
-    // Good answers with more than belongs to them: a second copy, noise, an unreadable report.
+    // Valid answers with extra data: a second copy, random bytes, an unreadable report.
     let say = |id: &str| {
         let good = frame(b'q', format!("{id} good 7 -\nvalue of {id}").as_bytes());
         Say::Raw(match &id[..1] {
@@ -202,8 +200,8 @@
 
 #[test]
 fn a_connection_that_falls_silent_takes_no_more_work_while_its_host_lives_on() {
-    // The first connection to each host goes silent after its first answer, as one that a machine
-    // forgot.
+    // The first connection to each host goes silent after its first answer, as if a middlebox had
+    // dropped its state.
     let hosts = (0..3).map(|_| {
         let first = Arc::new(AtomicU32::new(0));
         FrameHost::start_by_connection(move |number, id| {
@@ -219,14 +217,14 @@
     for i in 0..40 {
         let more = "Idempotency-Key: k\r\nConnection: close\r\n";
         let answer = platform.say(&query(&format!("q{i}"), "shelf", &[i % 3], more));
-        // What is out when the connection falls silent is called off in time for another attempt.
+        // Parts on a connection that goes silent are cancelled in time for another attempt.
         assert!(answer.starts_with("HTTP/1.1 200"), "{i}: {answer}");
     }
 }
 
 #[test]
 fn the_parts_of_a_second_step_follow_the_one_that_begins_it() {
-    // A host that has not heard that the first step is over turns a part of the second down.
+    // A host that has not been told of the end of the first step rejects a part of the second.
     let begun: Arc<Mutex<HashMap<String, (usize, Instant)>>> = Arc::default();
     let hosts = (0..3).map(|host| {
         let begun = begun.clone();
@@ -249,8 +247,8 @@
         assert!(answer.contains("\"total\":true"), "{answer}");
     }
     let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
-    // Told at once, nearly each of 12 would be turned down once; a host's own thread may be late
-    // now and then.
+    // If all parts of the second step were sent at once, nearly each of 12 queries would have one
+    // rejected; a thread of a host may still be late now and then.
     let sent = seen.iter().filter(|line| line.contains(".r ")).count();
     assert!((24..=29).contains(&sent), "{sent} parts for 24: {seen:?}");
 }
@@ -286,7 +284,7 @@
     let mut settings = settings();
     settings["extra"]["class_fetch"] = serde_json::json!([0, 0, 0]);
     settings["extra"]["floor_by_class"] = serde_json::json!([0.7, 1.0, 1.0]);
-    // Shard 2 is on the hosts of cells 2 and 0, and only there a part of it is left unanswered.
+    // Shard 2 is on the hosts of cells 2 and 0, which do not answer its parts.
     let hosts = |_| {
         FrameHost::start(|id: &str| {
             if id.ends_with(".2") {
--- a/bitternsill/tests/router_signals.rs
+++ b/bitternsill/tests/router_signals.rs
@@ -1,9 +1,9 @@
 //! Signals that reach a router while it is still starting.
 //!
-//! Story: a router was restarted and told in the same moment that its settings had changed. It
-//! ended at once, as if killed; told to end instead, it did so without finishing anything.
-//! Evidence: soak runs in which signals come in series, seeds 1 and 3. Cause: the signals were
-//! taken last, after the disk had been read and every interface was up.
+//! Guards against signal handlers that are installed only after the disk has been read and every
+//! interface is up. A router that was restarted and then sent SIGHUP, for changed settings, exited
+//! at once as if killed; sent SIGTERM, it exited without finishing its requests. Seen in soak runs
+//! with overlapping signals, seeds 1 and 3.
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::json;
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 const PATIENCE: Duration = Duration::from_secs(20);
-/// Starts, as each one is a little different.
+/// Several starts, since the timing of each differs.
 const STARTS: usize = 8;
 
 struct Started {
@@ -25,16 +25,16 @@
 
 impl Drop for Started {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Starts a router, and comes back as soon as it has begun to use its disk, which is long before it
-/// serves. It has an address of its own: a port that was found free at an address that others use
-/// may be taken again before the router listens there.
+/// Starts a router; returns as soon as it uses its disk, long before it serves. The router has an
+/// address of its own, because a free port on a shared address may be taken before the router
+/// listens there.
 fn start(name: &str, address: Ipv4Addr) -> Started {
     let folder = std::env::temp_dir().join(format!("router-signals-{}-{name}", std::process::id()));
     fs::create_dir_all(folder.join("data")).unwrap();
--- a/bitternsill/tests/soak.rs
+++ b/bitternsill/tests/soak.rs
@@ -1,20 +1,20 @@
-//! A short soak by seed: real router processes under signals, restarts and changes in series that
-//! overlap, while clients keep using their connections until the process behind them is gone. The
-//! long one is started by hand: see `soak/src/main.rs`.
+//! A short soak with fixed seeds: real router processes under overlapping signals, restarts and
+//! configuration changes, while clients keep their connections until the process behind them has
+//! gone. The long one is started by hand; see `soak/src/main.rs`.
 
 use soak::run::{Plan, Report, run};
 use soak::settings::Size;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Seeds that are run two at a time.
+/// Seeds, run two at a time.
 const SEEDS: [[u64; 2]; 2] = [[1, 3], [6, 11]];
-/// The same, with a primary that is struck again and again.
+/// Seeds of runs with repeated faults of the leader.
 const PRIMARY_SEEDS: [u64; 2] = [21, 22];
-/// The same, with ways to backends that are cut again and again.
+/// Seeds of runs with repeated partitions from the backends.
 const WAY_SEEDS: [u64; 2] = [31, 32];
 
-/// What comes in series beside what each seed draws.
+/// Additional faults of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Series {
     None,
@@ -44,7 +44,7 @@
     }
 }
 
-/// What was broken in a run; its logs stay where something was.
+/// Violations of a run; its logs are kept if there are any.
 async fn broken(seed: u64, series: Series) -> Vec<String> {
     let plan = plan(seed, series);
     let folder = plan.folder.clone();
@@ -58,7 +58,7 @@
         history.requests.len()
     );
     if violations.is_empty() {
-        // What is left there harms nobody.
+        // A leftover folder does no harm.
         let _ = std::fs::remove_dir_all(folder);
     }
     violations
--- a/bitternsill/tests/store.rs
+++ b/bitternsill/tests/store.rs
@@ -1,4 +1,4 @@
-//! Stories on the store: three programs on loopback sockets, and watchers of theirs.
+//! Integration tests of the store: three processes on loopback sockets, and their watchers.
 
 mod common;
 
@@ -50,7 +50,7 @@
         self.start_with(member, 0, &log, &format!("m{member}"))
     }
 
-    /// Starts a member whose disk takes so much longer over each sync; the log goes to a file.
+    /// Starts a member whose disk takes `sync_ms` longer for each sync; its log goes to a file.
     fn start_with(&self, member: usize, sync_ms: u64, log: &Path, name: &str) -> Program {
         let content = self.content(member, sync_ms, name, free_address());
         Program::start_in(
@@ -61,7 +61,7 @@
         )
     }
 
-    /// What a member is started with.
+    /// The configuration of a member.
     fn content(&self, member: usize, sync_ms: u64, name: &str, sru: SocketAddr) -> Value {
         let mut settings = settings();
         settings["extra"]["class_fetch"] = json!([0, 0, 0]);
@@ -80,7 +80,7 @@
         (0..3).all(|at| (0..3).all(|of| self.told(at, &format!("setup/m{of}"), "catalogue")))
     }
 
-    /// Every member's address, by its number.
+    /// Addresses of all members by number.
     fn addresses(&self) -> serde_json::Map<String, Value> {
         self.stores
             .iter()
@@ -89,7 +89,7 @@
             .collect()
     }
 
-    /// Whether a watcher of a member is told that a key has a value with this in it.
+    /// Whether a watch on a member shows a key with a value that contains `has`.
     fn told(&self, member: usize, key: &str, has: &str) -> bool {
         let Ok(mut socket) = TcpStream::connect(self.stores[member]) else {
             return false;
@@ -126,13 +126,13 @@
     members.clear();
 }
 
-/// Power lost to all three at one moment, as soon as any watcher was told of a change, four times:
-/// it stays told, by all. The disks take 20 ms over a sync, and what is not synced by then is lost.
+/// Four times, all three members lose power as soon as any watcher has seen a change. Later all
+/// members must show that change. A sync takes 20 ms, and data not yet synced is lost.
 #[test]
 fn committed_changes_survive_power_failure_of_all_members() {
     let members = Members::new("power");
     let log = std::env::temp_dir().join(format!("bitternsill-power-{}", std::process::id()));
-    // Each life of a member has a name of its own, so that nobody writes its key again.
+    // Each start of a member has its own name, so that its key is never written again.
     let key = |round: usize| format!("setup/m1-{round}");
     for round in 0..4 {
         let programs: Vec<Program> = (0..3)
@@ -157,7 +157,8 @@
     std::fs::remove_file(log).unwrap();
 }
 
-/// Before, such a member started and told its watchers what nobody had ever written.
+/// Guards against a member that starts from a corrupt file and sends its watchers values that
+/// nobody wrote.
 #[test]
 fn member_with_corrupt_file_does_not_start() {
     let members = Members::new("changed");
@@ -176,7 +177,7 @@
     let log = std::env::temp_dir().join(format!("bitternsill-changed-{}", std::process::id()));
     let others: Vec<Program> = (0..2).map(|i| members.start(i)).collect();
     let mut third = members.start_with(2, 0, &log, "m2");
-    // One that starts after all must fail the story, not hold it up.
+    // A member that starts after all must fail the test, not block it.
     let mut ended = None;
     eventually("it ends", || {
         ended = third.child.try_wait().unwrap();
@@ -193,7 +194,7 @@
         assert!(said.contains(words), "`{words}` in {said}");
     }
     assert!(!store_says(&["verify", file.to_str().unwrap()]).0);
-    // The others go on, and the file put back lets the third go on too.
+    // The other two continue, and the third does too once its file is restored.
     eventually("two of three are one", || {
         (0..2).all(|at| members.told(at, "setup/m2", "catalogue"))
     });
@@ -209,8 +210,7 @@
         members.told(2, "setup/m0", "catalogue")
     });
     drop((others, third));
-    // A last record cut short is what a loss of power leaves: it is cut off and told, and nothing
-    // else is.
+    // A power failure leaves a truncated last record: only this is cut off, with a message.
     let length = std::fs::metadata(file).unwrap().len();
     std::fs::OpenOptions::new()
         .write(true)
@@ -228,7 +228,8 @@
     std::fs::remove_file(log).unwrap();
 }
 
-/// Starts all, and waits until each tells what each wrote under this life's name.
+/// Starts all members and waits until each shows the keys that all wrote under the names of this
+/// start.
 fn all_agree(members: &Members, life: &str, logs: &[PathBuf; 3]) -> Vec<Program> {
     let programs: Vec<Program> = (0..3)
         .map(|i| members.start_with(i, 0, &logs[i], &format!("m{i}-{life}")))
@@ -250,7 +251,7 @@
     std::fs::read_to_string(log).unwrap()
 }
 
-/// What a member's file keeps.
+/// The content of a member's file.
 fn shown(members: &Members, member: usize) -> String {
     let (well, text) = store_says(&["show", members.files[member].to_str().unwrap()]);
     assert!(well, "{text}");
@@ -262,14 +263,14 @@
         .for_each(|log| std::fs::remove_file(log).unwrap());
 }
 
-/// Before, such a member began the store again where its set-up says that it begins, or voted as if
-/// it never had.
+/// Guards against a member that, without its file, initialises the store again or votes as if it
+/// had no earlier promises.
 #[test]
 fn member_without_file_is_inactive_until_caught_up() {
     let (members, logs) = (Members::new("gone"), logs("gone"));
     drop(all_agree(&members, "a", &logs));
-    // The member that began the store, and only one other that is sound: nobody can tell what was
-    // promised.
+    // With the initial member's file lost and only one other member up, nobody can know what the
+    // lost file promised.
     std::fs::remove_file(&members.files[0]).unwrap();
     let first = members.start_with(0, 0, &logs[0], "m0-b");
     let second = members.start_with(1, 0, &logs[1], "m1-b");
@@ -278,7 +279,7 @@
     });
     let until = Instant::now() + Duration::from_millis(2500);
     while Instant::now() < until {
-        // Four times as long as an election takes at the least.
+        // Four times the minimum election time.
         assert!(
             !(0..2).any(|at| members.told(at, "setup/m1-b", "")),
             "two members, one of which is without a past"
@@ -296,7 +297,8 @@
         "{}",
         shown(&members, 0)
     );
-    // The same for one of which nothing at all is left, not even that it was of a store.
+    // The same for a member that has lost its id file too, the last sign that it belonged to a
+    // store.
     for gone in [&members.files[2], &members.files[2].with_extension("id")] {
         std::fs::remove_file(gone).unwrap();
     }
@@ -310,7 +312,7 @@
     forget(&logs);
 }
 
-/// Before, it voted by what it had promised long ago.
+/// Guards against a member with a restored old file that votes by its outdated promises.
 #[test]
 fn detects_restored_old_file() {
     let (members, logs) = (Members::new("old"), logs("old"));
@@ -333,8 +335,8 @@
     forget(&logs);
 }
 
-/// Before, the members without files began an empty store, which the one with a file was refused
-/// by.
+/// Guards against members without files that form an empty store and reject the one that still has
+/// its file.
 #[test]
 fn majority_without_files_waits_for_operator_recovery() {
     let (members, logs) = (Members::new("majority"), logs("majority"));
@@ -387,7 +389,7 @@
     forget(&logs);
 }
 
-/// Before, a full disk ended the member.
+/// Guards against a member that exits when its disk is full.
 #[test]
 fn full_disks_delay_changes_but_not_reads() {
     let (members, logs) = (Members::new("full"), logs("full"));
@@ -428,7 +430,8 @@
     forget(&logs);
 }
 
-/// Before, each sync held up the loop: a query waited for as long as the disk took.
+/// Guards against a sync that blocks the event loop and delays queries for as long as the disk
+/// takes.
 #[test]
 fn slow_sync_delays_no_query() {
     let members = Members::new("slow");
@@ -444,7 +447,7 @@
         for _ in 0..10 {
             let start = Instant::now();
             let mut socket = TcpStream::connect(members.stores[0]).unwrap();
-            // A watch is answered by the same loop; what it shows is not the point here.
+            // The same loop answers a watch; the content of the answer does not matter here.
             socket.write_all(b"no packet\n").unwrap();
             let mut rest = Vec::new();
             let _ = socket.read_to_end(&mut rest);
@@ -515,7 +518,7 @@
     std::fs::remove_file(beside).unwrap();
 }
 
-/// What `bitternsill store` says of a file, and whether it is well.
+/// Runs `bitternsill store`; returns whether it succeeded, and its output.
 fn store_says(args: &[&str]) -> (bool, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
         .arg("store")
@@ -526,8 +529,8 @@
     (output.status.success(), text.into_owned())
 }
 
-/// Three catalogues that start together take searches by what they are worth while their hosts warm
-/// up: before, the phases were told, and every search was taken.
+/// Three catalogues start together and, while their hosts warm up, admit searches by value. Guards
+/// against a catalogue that reports the recovery phases but admits every search.
 #[test]
 fn recovering_catalogue_rejects_lowest_value_first() {
     let members = Members::new("catalogues");
@@ -565,8 +568,8 @@
         serde_json::from_str::<Value>(&line).map_or(Value::Null, |json| json["phase"].clone())
     };
     eventually("it returns", || phase() == "returning");
-    // The host answers nothing: a search that is taken is refused when its time is over, and one
-    // that is not, at once.
+    // The host does not answer: an admitted search is refused at its deadline, and a rejected one
+    // at once.
     let timed = || {
         let begun = Instant::now();
         (search(), begun.elapsed())
