--- a/bitternsill/benches/catalogue.rs
+++ b/bitternsill/benches/catalogue.rs
@@ -24,7 +24,7 @@
 const TICK: u64 = 5_000_000;
 
 /// Hosts that hold every slice, with so many titles in each.
-fn hosts(titles: usize) -> Vec<Arc<Script>> {
+fn hosts(titles: usize) -> Vec<Arc<HostScript>> {
     let own = |slice: usize| {
         (0..titles)
             .map(|n| format!("{:05} {slice}", n * 7919 % 99_991))
@@ -39,7 +39,7 @@
             .collect();
         let borrowed: Vec<(usize, &[&str])> =
             titles.iter().map(|(n, t)| (*n, t.as_slice())).collect();
-        let script = Script::with(&borrowed);
+        let script = HostScript::with(&borrowed);
         // The version that every build speaks.
         *script.version.lock().unwrap() = "1.1";
         script
@@ -172,7 +172,7 @@
             catalogue
                 .scripts
                 .iter()
-                .map(|s| count(&s.given))
+                .map(|s| count(&s.records_sent))
                 .sum::<usize>()
         };
         // Read one after the other, and then by a jump.
@@ -214,7 +214,9 @@
             json!({"sockets": 8192}),
         ));
         let before = memory(&catalogue);
-        let mut readers: Vec<Reader> = (0..OPEN).map(|_| Reader::open(catalogue.z3950)).collect();
+        let mut readers: Vec<Z3950Client> = (0..OPEN)
+            .map(|_| Z3950Client::open(catalogue.z3950))
+            .collect();
         for reader in &mut readers {
             assert!(reader.search("comics", "moon", 0).contains("unit 23"));
         }
@@ -226,7 +228,7 @@
                 while !stop.load(Ordering::Relaxed) {
                     let until = Instant::now() + Duration::from_millis(500);
                     for host in [1, 4] {
-                        *catalogue.scripts[host].frozen.lock().unwrap() = Some(until);
+                        *catalogue.scripts[host].paused_until.lock().unwrap() = Some(until);
                     }
                     thread::sleep(Duration::from_secs(2));
                 }
@@ -313,7 +315,7 @@
         let hosts = hosts(20);
         hosts
             .iter()
-            .for_each(|h| *h.hiccup.lock().unwrap() = (50, 120));
+            .for_each(|h| *h.periodic_delay.lock().unwrap() = (50, 120));
         let catalogue = Arc::new(Catalogue::start_with(
             speak,
             hosts,
@@ -358,7 +360,7 @@
 
 /// The platform's front: what a program of this build takes before anything is asked.
 fn idle() {
-    let host = FrameHost::start(|_| Say::Good(1, "x".to_owned()));
+    let host = FrameHost::start(|_| PartReply::Good(1, "x".to_owned()));
     let platform = Platform::start(common::settings(), vec![host]);
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", platform.program.child.id())).unwrap();
--- a/bitternsill/benches/learned.rs
+++ b/bitternsill/benches/learned.rs
@@ -61,7 +61,7 @@
                 () => 8,
             };
             thread::sleep(Duration::from_millis(delay));
-            Say::Good(1, "x".to_owned())
+            PartReply::Good(1, "x".to_owned())
         })
         .address
     };
@@ -138,7 +138,7 @@
                     let shard = ((n.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ seed) >> 33) as u32
                         % HOSTS as u32;
                     let shards = [shard, (shard + 1) % HOSTS as u32];
-                    let answer = platform.ask(&format!("{:016x}", n + 1), "page", &shards);
+                    let answer = platform.send_query(&format!("{:016x}", n + 1), "page", &shards);
                     let took = begin.elapsed() - due;
                     if took > Duration::from_millis(AIM_MS) || !answer.starts_with("HTTP/1.1 200") {
                         late.lock().unwrap().push(due);
--- a/bitternsill/tests/catalogue.rs
+++ b/bitternsill/tests/catalogue.rs
@@ -41,7 +41,7 @@
         .collect();
     let port = catalogue.sru.port().to_string();
     insta::assert_snapshot!(said.join("\n\n").replace(&port, "PORT"));
-    let seen = catalogue.scripts[1].seen.lock().unwrap().clone();
+    let seen = catalogue.scripts[1].received.lock().unwrap().clone();
     assert!(
         seen.contains(&"comics-1: dc.title = \"moon\"".to_owned()),
         "{seen:?}"
@@ -50,7 +50,7 @@
 
 /// The same search by GET, form POST and SOAP.
 #[test]
-fn sru_travels_by_get_post_and_soap() {
+fn sru_accepts_get_post_and_soap() {
     let catalogue = Catalogue::start("sru");
     let post = |kind: &str, body: &str| {
         catalogue.http(&format!(
@@ -107,18 +107,18 @@
     let catalogue = Catalogue::start("sru");
     // The first part of a wide query is sent ahead on its own to show that the query is harmless;
     // its host must answer.
-    on(&catalogue.scripts[2].silent, true);
+    set_flag(&catalogue.scripts[2].silent, true);
     let start = Instant::now();
     let old = catalogue.body("/comics?version=1.2&operation=searchRetrieve&query=moon");
     assert!(
         start.elapsed() < Duration::from_secs(4),
-        "inside the client's time"
+        "response after the client's time limit"
     );
     let new = catalogue.body("/comics?query=moon&maximumRecords=0");
     insta::assert_snapshot!(format!("{old}\n{new}"));
     // Without a second slice the weight is too low for a partial answer, and the search is rejected
     // at once.
-    on(&catalogue.scripts[1].silent, true);
+    set_flag(&catalogue.scripts[1].silent, true);
     let refused = catalogue.sru("/comics?query=moon");
     assert!(
         refused.starts_with("HTTP/1.1 503") && refused.contains("info:srw/diagnostic/1/2"),
@@ -129,16 +129,16 @@
 #[test]
 fn a_z3950_session_does_what_clients_use_over_sru_hosts() {
     let catalogue = Catalogue::start("sru");
-    let mut reader = Reader::open(catalogue.z3950);
+    let mut client = Z3950Client::open(catalogue.z3950);
     let mut said = vec![
-        reader.search("comics", "title = moon and creator all \"a b\"", 0),
-        reader.present(2, 3),
-        reader.present(6, 9),
-        reader.search("comics", "moon", 10),
-        reader.search("elsewhere", "moon", 0),
-        reader.search("IR-Explain-1", "moon", 0),
+        client.search("comics", "title = moon and creator all \"a b\"", 0),
+        client.present(2, 3),
+        client.present(6, 9),
+        client.search("comics", "moon", 10),
+        client.search("elsewhere", "moon", 0),
+        client.search("IR-Explain-1", "moon", 0),
         // A search that fails before it begins leaves the result set unchanged.
-        reader.present(1, 1),
+        client.present(1, 1),
     ];
     let set = |name: &str| {
         search_unit(
@@ -149,10 +149,10 @@
             0,
         )
     };
-    said.push(say(&reader.ask(set("A"))));
+    said.push(describe(&client.request(set("A"))));
     said.push(format!(
         "unknown operand: {}",
-        say(&reader.ask(search_unit(None, "B", "comics", "cql.resultSetId = Z", 0)))
+        describe(&client.request(search_unit(None, "B", "comics", "cql.resultSetId = Z", 0)))
     ));
     let sort = |ascending: i64| {
         z3950::unit(tag::SORT_REQUEST, Some(b"s"), |w| {
@@ -167,9 +167,12 @@
             });
         })
     };
-    said.push(say(&reader.ask(sort(1))));
-    said.push(say(&reader.ask(present_unit(None, "S", 1, 6))));
-    said.push(format!("another relation: {}", say(&reader.ask(sort(9)))));
+    said.push(describe(&client.request(sort(1))));
+    said.push(describe(&client.request(present_unit(None, "S", 1, 6))));
+    said.push(format!(
+        "another relation: {}",
+        describe(&client.request(sort(9)))
+    ));
     let scan = |number: i64, position: i64, use_attribute: i64| {
         z3950::unit(tag::SCAN_REQUEST, Some(b"c"), |w| {
             w.inside(3, |names| names.bytes(tag::DATABASE, b"comics"));
@@ -192,7 +195,7 @@
         scan(3, 1, 62),
         scan(5000, 1, 4),
     ] {
-        let reply = reader.ask(unit);
+        let reply = client.request(unit);
         let terms: Vec<String> = reply
             .get(7)
             .and_then(|l| l.get(1))
@@ -223,38 +226,38 @@
         delete(false, &["A", "S"]),
         delete(true, &[]),
     ] {
-        let reply = reader.ask(unit);
+        let reply = client.request(unit);
         said.push(format!(
             "delete {:?} undone {:?}",
             reply.get(0).and_then(Item::integer),
             reply.get(34).and_then(Item::integer)
         ));
     }
-    said.push(format!("after delete: {}", reader.present(1, 1)));
-    said.push(say(&reader.ask(z3950::unit(
+    said.push(format!("after delete: {}", client.present(1, 1)));
+    said.push(describe(&client.request(z3950::unit(
         tag::EXTENDED_REQUEST,
         Some(b"x"),
         |w| w.integer(3, 1),
     ))));
-    on(&catalogue.scripts[2].silent, true);
-    said.push(format!("partial: {}", reader.search("comics", "moon", 0)));
-    said.push(say(&reader.ask(z3950::close(
+    set_flag(&catalogue.scripts[2].silent, true);
+    said.push(format!("partial: {}", client.search("comics", "moon", 0)));
+    said.push(describe(&client.request(z3950::close(
         None,
         z3950::CloseReason::Finished,
         "",
     ))));
-    assert_eq!(reader.hear(), None, "nothing follows the close");
+    assert_eq!(client.receive(), None, "data after the close");
     insta::assert_snapshot!(said.join("\n"));
 }
 
 /// Each record syntax, brief and full, and the unsupported ones.
 #[test]
-fn records_come_in_the_syntax_that_is_asked_for() {
+fn records_use_the_requested_syntax() {
     let catalogue = Catalogue::start("sru");
-    let mut reader = Reader::open(catalogue.z3950);
-    reader.search("comics", "moon", 0);
+    let mut client = Z3950Client::open(catalogue.z3950);
+    client.search("comics", "moon", 0);
     let mut ask = |oid: &str, elements: Option<&str>| {
-        reader.ask(z3950::unit(tag::PRESENT_REQUEST, None, |w| {
+        client.request(z3950::unit(tag::PRESENT_REQUEST, None, |w| {
             w.bytes(tag::SET_ID, b"default");
             w.integer(tag::START, 2);
             w.integer(tag::REQUESTED, 1);
@@ -286,58 +289,62 @@
 /// are spread over several messages; without either, the client gets what fits and presents the
 /// rest later.
 #[test]
-fn long_answers_are_divided_as_was_agreed_at_init() {
+fn long_responses_are_segmented_as_negotiated() {
     let long: Vec<String> = (0..6).map(|n| format!("{n}{}", "x".repeat(1500))).collect();
     let titles: Vec<&str> = long.iter().map(String::as_str).collect();
     let scripts = (0..3)
-        .map(|n| Script::with(&[(n, &titles[2 * n..2 * n + 2])]))
+        .map(|n| HostScript::with(&[(n, &titles[2 * n..2 * n + 2])]))
         .collect();
     let catalogue = Catalogue::start_with("sru", scripts, catalogue_settings(1), json!({}));
     let plain = [Ability::Search, Ability::Present];
-    let mut said = Vec::new();
+    let mut results = Vec::new();
     for (size, more) in [
         (2200, None),
         (2200, Some(Ability::Level1Segmentation)),
         (1024, Some(Ability::Level2Segmentation)),
     ] {
         let abilities: Vec<Ability> = plain.iter().copied().chain(more).collect();
-        let (mut reader, _) = Reader::init(catalogue.z3950, &abilities, size, |_| {});
-        reader.search("comics", "moon", 0);
-        reader.say(&present_unit(None, "default", 1, 6));
-        let (mut segments, mut pieces) = (0, Vec::new());
+        let (mut client, _) = Z3950Client::init(catalogue.z3950, &abilities, size, |_| {});
+        client.search("comics", "moon", 0);
+        client.send(&present_unit(None, "default", 1, 6));
+        let (mut segments, mut fragments) = (0, Vec::new());
         let last = loop {
-            let unit = reader.hear().expect("a segment or the response");
+            let unit = client.receive().expect("a segment or the response");
             let list = unit.get(if unit.tag == tag::SEGMENT {
                 0
             } else {
                 tag::RECORDS
             });
-            pieces.extend(
+            fragments.extend(
                 list.map(Item::items)
                     .unwrap_or_default()
                     .iter()
-                    .map(whole_or_piece),
+                    .map(record_or_fragment),
             );
             if unit.tag != tag::SEGMENT {
                 break unit;
             }
             segments += 1;
         };
-        let sent: Vec<String> = common::standins::titles(&pieces.concat());
-        assert_eq!(sent, titles[..sent.len()], "every byte in its place");
+        let sent: Vec<String> = common::standins::titles(&fragments.concat());
+        assert_eq!(
+            sent,
+            titles[..sent.len()],
+            "titles out of order or incomplete"
+        );
         let number = |tag| last.get(tag).and_then(Item::integer).unwrap_or(-1);
-        said.push((
+        results.push((
             segments,
             number(tag::RETURNED),
             number(tag::NEXT_POSITION),
             number(tag::PRESENT_STATUS),
         ));
     }
-    assert_eq!(said, [(0, 1, 2, 2), (5, 6, 0, 0), (11, 6, 0, 0)]);
+    assert_eq!(results, [(0, 1, 2, 2), (5, 6, 0, 0), (11, 6, 0, 0)]);
 }
 
 /// The content of a record or of a fragment.
-fn whole_or_piece(named: &Item) -> String {
+fn record_or_fragment(named: &Item) -> String {
     let choice = &named.get(1).expect("a record").items()[0];
     match choice.tag {
         1 => choice.items()[0].get(1).and_then(Item::text).expect("XML"),
@@ -346,7 +353,7 @@
 }
 
 #[test]
-fn readers_say_who_they_are_at_init_or_when_they_are_asked() {
+fn clients_authenticate_at_init_or_by_challenge() {
     let start = |ask: &str| {
         let readers = json!({"readers": {"ask": ask, "passwords": {"ann": "moon"}}});
         let scripts = (0..3).map(|_| Arc::default()).collect();
@@ -355,53 +362,56 @@
     let identify = |name: &'static str, password: &'static str| {
         move |w: &mut Writer| init::write_identity(w, name, password)
     };
-    let taken = |welcome: &Item| welcome.get(tag::RESULT).and_then(Item::boolean).unwrap();
+    let is_accepted = |response: &Item| response.get(tag::RESULT).and_then(Item::boolean).unwrap();
     let plain = [Ability::Search, Ability::Present];
     let catalogue = start("init");
-    let (mut ann, welcome) =
-        Reader::init(catalogue.z3950, &plain, 1 << 16, identify("ann", "moon"));
-    assert!(taken(&welcome) && ann.search("comics", "moon", 0).contains("success true"));
+    let (mut ann, response) =
+        Z3950Client::init(catalogue.z3950, &plain, 1 << 16, identify("ann", "moon"));
+    assert!(is_accepted(&response) && ann.search("comics", "moon", 0).contains("success true"));
     for (name, password) in [("ann", "sun"), ("bob", "moon"), ("", "")] {
-        let (mut refused, welcome) =
-            Reader::init(catalogue.z3950, &plain, 1 << 16, identify(name, password));
+        let (mut refused, response) =
+            Z3950Client::init(catalogue.z3950, &plain, 1 << 16, identify(name, password));
         assert!(
-            !taken(&welcome) && condition(&welcome) == Some(1011),
+            !is_accepted(&response) && condition(&response) == Some(1011),
             "{name}"
         );
-        assert_eq!(refused.hear(), None, "and is let go");
+        assert_eq!(refused.receive(), None, "connection not closed");
     }
-    let (_, nobody) = Reader::init(catalogue.z3950, &plain, 1 << 16, |_| {});
-    assert_eq!((taken(&nobody), condition(&nobody)), (false, Some(1010)));
+    let (_, nobody) = Z3950Client::init(catalogue.z3950, &plain, 1 << 16, |_| {});
+    assert_eq!(
+        (is_accepted(&nobody), condition(&nobody)),
+        (false, Some(1010))
+    );
 
     let catalogue = start("challenge");
-    let asked = [Ability::Search, Ability::Present, Ability::AccessControl];
-    let (mut reader, welcome) = Reader::init(catalogue.z3950, &asked, 1 << 16, |_| {});
-    assert!(taken(&welcome));
+    let abilities = [Ability::Search, Ability::Present, Ability::AccessControl];
+    let (mut client, response) = Z3950Client::init(catalogue.z3950, &abilities, 1 << 16, |_| {});
+    assert!(is_accepted(&response));
     let answer = |words: &'static [u8]| {
         z3950::unit(tag::ACCESS_RESPONSE, None, |w| {
             w.bytes(tag::SIMPLE_RESPONSE, words)
         })
     };
-    let challenge = reader.ask(search_unit(None, "default", "comics", "moon", 0));
+    let challenge = client.request(search_unit(None, "default", "comics", "moon", 0));
     assert_eq!(challenge.tag, tag::ACCESS_REQUEST);
-    assert_eq!(condition(&reader.ask(answer(b"ann/sun"))), Some(1011));
+    assert_eq!(condition(&client.request(answer(b"ann/sun"))), Some(1011));
     assert_eq!(
-        reader
-            .ask(search_unit(None, "default", "comics", "moon", 0))
+        client
+            .request(search_unit(None, "default", "comics", "moon", 0))
             .tag,
         tag::ACCESS_REQUEST
     );
     assert!(
-        say(&reader.ask(answer(b"ann/moon"))).contains("success true"),
-        "the search goes on"
+        describe(&client.request(answer(b"ann/moon"))).contains("success true"),
+        "search not continued after authentication"
     );
-    assert!(reader.present(1, 1).contains("0.0"));
+    assert!(client.present(1, 1).contains("0.0"));
 }
 
 #[test]
-fn what_breaks_z3950_closes_that_session_alone() {
+fn malformed_z3950_closes_only_its_session() {
     let catalogue = Catalogue::start("sru");
-    let mut sound = Reader::open(catalogue.z3950);
+    let mut sound = Z3950Client::open(catalogue.z3950);
     let mut early = TcpStream::connect(catalogue.z3950).unwrap();
     let mut strange = Writer::default();
     strange.inside_universal(universal::SEQUENCE, |w| w.integer(1, 1));
@@ -417,13 +427,13 @@
         let mut socket = TcpStream::connect(catalogue.z3950).unwrap();
         socket.write_all(&bytes).unwrap();
         let closed = read_unit(&mut socket, &mut Vec::new()).expect("a close");
-        assert_eq!(say(&closed).split(", ").next(), Some("unit 48"));
+        assert_eq!(describe(&closed).split(", ").next(), Some("unit 48"));
     }
     early
         .write_all(&present_unit(None, "default", 1, 1))
         .unwrap();
     let closed = read_unit(&mut early, &mut Vec::new()).expect("a close");
-    assert_eq!(say(&closed), "unit 48, reason 6");
+    assert_eq!(describe(&closed), "unit 48, reason 6");
     // Indefinite lengths are valid, and a query with too many clauses fails without any effect on
     // the session.
     let mut indefinite = search_unit(None, "default", "comics", "moon", 0);
@@ -434,7 +444,7 @@
         2 + usize::from(indefinite[1] & 0x7f)
     });
     let unit = [&[0xb6, 0x80], body.as_slice(), &[0, 0]].concat();
-    assert!(say(&sound.ask(unit)).contains("success true"));
+    assert!(describe(&sound.request(unit)).contains("success true"));
     let many = (0..70).map(|n| format!("t{n}")).collect::<Vec<_>>();
     let many: Vec<Vec<&str>> = many
         .chunks(35)
@@ -450,7 +460,7 @@
 }
 
 #[test]
-fn an_http_client_that_asks_once_may_come_back_later() {
+fn http_connection_is_reusable() {
     let catalogue = Catalogue::start("sru");
     let mut socket = TcpStream::connect(catalogue.sru).unwrap();
     for _ in 0..2 {
--- a/bitternsill/tests/cli.rs
+++ b/bitternsill/tests/cli.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn bad_usage_ends_with_2_and_says_what_is_wrong() {
+fn bad_usage_exits_with_2_and_a_message() {
     for args in [
         &[][..],
         &["fly"],
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn check_takes_the_operators_file_and_the_descriptions_that_describe_prints() {
+fn check_accepts_valid_files_and_rejects_broken_ones() {
     let deploy = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/catalogue.json");
     assert_eq!(run(&["check", deploy]).0, Some(0));
     let directory = std::env::temp_dir().join(format!("bitternsill-check-{}", std::process::id()));
@@ -79,7 +79,7 @@
 
 /// Guards against a panic when standard output closes early, as in `describe asyncapi | head`.
 #[test]
-fn a_reader_that_goes_away_is_no_failure() {
+fn closed_stdout_is_no_failure() {
     let program = env!("CARGO_BIN_EXE_bitternsill");
     let mut child = Command::new(program)
         .args(["describe", "openapi"])
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn check_tells_what_is_wrong_with_a_configuration_before_it_is_sent_for() {
+fn check_reports_invalid_configuration_values() {
     let good = serde_json::json!({
         "name": "n0", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:8500", "admin": "127.0.0.1:9901", "seed": "8c1f",
         "limits": {"sockets": 256, "memory_mb": 48},
@@ -106,11 +106,11 @@
         std::env::temp_dir().join(format!("bitternsill-configuration-{}", std::process::id()));
     let check = |config: &serde_json::Value| {
         std::fs::write(&file, config.to_string()).unwrap();
-        let (status, out, problems) = run(&["check", file.to_str().unwrap()]);
-        (status, out + &problems)
+        let (status, out, errors) = run(&["check", file.to_str().unwrap()]);
+        (status, out + &errors)
     };
     assert_eq!(check(&good).0, Some(0));
-    for (path, value, told) in [
+    for (path, value, expected) in [
         (
             "/admin",
             serde_json::json!("door"),
@@ -134,8 +134,11 @@
     ] {
         let mut bad = good.clone();
         *bad.pointer_mut(path).unwrap() = value;
-        let (status, said) = check(&bad);
-        assert!(status == Some(1) && said.contains(told), "{path}: {said}");
+        let (status, output) = check(&bad);
+        assert!(
+            status == Some(1) && output.contains(expected),
+            "{path}: {output}"
+        );
     }
     std::fs::remove_file(&file).unwrap();
 }
--- a/bitternsill/tests/cold_fleet.rs
+++ b/bitternsill/tests/cold_fleet.rs
@@ -13,21 +13,21 @@
 const GATHERERS: usize = 24;
 /// Service time of a part on the index host, and the capacity share and multiple that the settings
 /// allow while it is cold.
-const WORK: Duration = Duration::from_millis(200);
-const START: f64 = 0.25;
-const MULTIPLE: f64 = 4.0;
-const RAMP: Duration = Duration::from_secs(60);
+const PART_DURATION: Duration = Duration::from_millis(200);
+const START_CAPACITY: f64 = 0.25;
+const TIP_MULTIPLE: f64 = 4.0;
+const RAMP_TIME: Duration = Duration::from_secs(60);
 
 /// Each gatherer may use a sixth of a part. If each rounded that up, 24 parts would arrive at once,
 /// where 11 to 12 may be chance.
 #[test]
 fn fleet_keeps_cold_hosts_within_budget() {
     let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let noted = arrivals.clone();
+    let recorded = arrivals.clone();
     let host = FrameHost::start(move |id| {
-        noted.lock().unwrap().push(Instant::now());
-        thread::sleep(WORK);
-        Say::Good(1, format!("value of {id}"))
+        recorded.lock().unwrap().push(Instant::now());
+        thread::sleep(PART_DURATION);
+        PartReply::Good(1, format!("value of {id}"))
     });
     let begin = Instant::now();
     let mut cold = target(0, host.address, "active");
@@ -40,9 +40,9 @@
     }
     settings["group_size"] = json!(GATHERERS);
     for (key, value) in [
-        ("start_capacity", json!(START)),
-        ("ramp_time", json!(RAMP.as_nanos() as u64)),
-        ("tip_multiple", json!(MULTIPLE)),
+        ("start_capacity", json!(START_CAPACITY)),
+        ("ramp_time", json!(RAMP_TIME.as_nanos() as u64)),
+        ("tip_multiple", json!(TIP_MULTIPLE)),
         ("fall", json!(1_000_000_000u64)),
     ] {
         settings["guarantees"][key] = value;
@@ -59,7 +59,7 @@
         })
         .collect();
     for (_, address) in &gatherers {
-        eventually("ready", || {
+        wait_until("ready", || {
             TcpStream::connect(address).is_ok_and(|mut socket| {
                 socket
                     .write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
@@ -69,14 +69,14 @@
         });
     }
     // All gatherers get a query at once, and the next as soon as they have answered.
-    let asked = Instant::now();
+    let started = Instant::now();
     let clients: Vec<_> = gatherers
         .iter()
         .map(|(_, address)| {
             let address = *address;
             thread::spawn(move || {
                 let mut answers = Vec::new();
-                while asked.elapsed() < Duration::from_secs(4) {
+                while started.elapsed() < Duration::from_secs(4) {
                     let mut socket = TcpStream::connect(address).unwrap();
                     let id = format!("q{}", answers.len());
                     socket
@@ -105,14 +105,14 @@
             .iter()
             .take_while(|t| **t < *first + second)
             .count() as f64;
-        let age = (*first + second - begin).as_secs_f64() / RAMP.as_secs_f64();
-        let budget = MULTIPLE * (START + (1.0 - START) * age) / WORK.as_secs_f64();
+        let age = (*first + second - begin).as_secs_f64() / RAMP_TIME.as_secs_f64();
+        let budget = TIP_MULTIPLE * (START_CAPACITY + (1.0 - START_CAPACITY) * age)
+            / PART_DURATION.as_secs_f64();
         let limit = budget + 2.0 * budget.sqrt() + 2.0;
-        assert!(within <= limit, "{within} where {limit:.1} may be chance");
+        assert!(
+            within <= limit,
+            "{within} parts within a second; limit {limit:.1}"
+        );
     }
-    assert!(
-        arrivals.len() >= 4,
-        "{} parts in 4 s: it is left idle",
-        arrivals.len()
-    );
+    assert!(arrivals.len() >= 4, "only {} parts in 4 s", arrivals.len());
 }
--- a/bitternsill/tests/common/fleet.rs
+++ b/bitternsill/tests/common/fleet.rs
@@ -12,7 +12,7 @@
 
 /// A discovery stand-in that sends the whole target list to each watcher whenever the list changes.
 /// The port of one entry carries a counter.
-pub struct Counter {
+pub struct CountingDiscovery {
     pub address: SocketAddr,
     pub count: Arc<AtomicU64>,
     /// Start time that the list gives for the index hosts, in milliseconds since the Unix epoch.
@@ -21,34 +21,34 @@
     pub mute: Arc<AtomicBool>,
 }
 
-impl Counter {
-    pub fn start(hosts: &[FrameHost]) -> Counter {
+impl CountingDiscovery {
+    pub fn start(hosts: &[FrameHost]) -> CountingDiscovery {
         let count: Arc<AtomicU64> = Arc::new(AtomicU64::new(1));
         let entry = |(at, host): (usize, &FrameHost)| target(at, host.address, "active");
         let hosts: Vec<Value> = hosts.iter().enumerate().map(entry).collect();
         let (mute, boot_ms): (Arc<AtomicBool>, Arc<AtomicU64>) = Default::default();
-        let (counted, silent, booted) = (count.clone(), mute.clone(), boot_ms.clone());
+        let (counter, muted, boot_time) = (count.clone(), mute.clone(), boot_ms.clone());
         let address = accept(move |mut socket| {
             let mut line = String::new();
             BufReader::new(socket.try_clone().unwrap())
                 .read_line(&mut line)
                 .unwrap();
-            let mut told = 0;
-            while silent.load(Ordering::SeqCst) {
+            let mut sent = 0;
+            while muted.load(Ordering::SeqCst) {
                 thread::sleep(Duration::from_millis(10));
             }
             let mut text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned();
             while socket.write_all(text.as_bytes()).is_ok() {
                 thread::sleep(Duration::from_millis(10));
-                while silent.load(Ordering::SeqCst) {
+                while muted.load(Ordering::SeqCst) {
                     thread::sleep(Duration::from_millis(10));
                 }
-                let now = counted.load(Ordering::SeqCst);
+                let now = counter.load(Ordering::SeqCst);
                 let mut hosts = hosts.clone();
                 for host in &mut hosts {
-                    host["boot_ms"] = booted.load(Ordering::SeqCst).into();
+                    host["boot_ms"] = boot_time.load(Ordering::SeqCst).into();
                 }
-                let list = if now == told {
+                let list = if now == sent {
                     "\n".to_owned()
                 } else {
                     // Nothing is sent to a leaving host, so its port can carry the counter.
@@ -57,11 +57,11 @@
                     let targets: Vec<&Value> = hosts.iter().chain([&entry]).collect();
                     json!({"rev": now, "all": true, "targets": targets}).to_string() + "\n"
                 };
-                told = now;
+                sent = now;
                 text = format!("{:x}\r\n{list}\r\n", list.len());
             }
         });
-        Counter {
+        CountingDiscovery {
             address,
             count,
             boot_ms,
@@ -71,7 +71,7 @@
 }
 
 /// The counter value in a target list from the store.
-pub fn counted(value: &str) -> Option<u64> {
+pub fn counter_value(value: &str) -> Option<u64> {
     let list: Value = serde_json::from_str(value).ok()?;
     let entry = list
         .as_array()?
@@ -88,22 +88,22 @@
 
 /// Outcomes of the client queries.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Asked {
-    pub whole: u32,
-    pub refused: u32,
+pub struct QueryCounts {
+    pub complete: u32,
+    pub rejected: u32,
     pub closed: u32,
-    pub worst: Duration,
+    pub max_latency: Duration,
 }
 
 /// Options of the gatherers in a fleet.
-pub struct Set {
+pub struct FleetOptions {
     pub settings: Value,
     /// The `recovery` section of the operator file.
     pub recovery: Option<Value>,
     /// Whether the configuration contains the target list as `known`.
     pub known: bool,
     /// Warm-up state of the index hosts; `None` for hosts that are always warm.
-    pub warmth: Option<Arc<Warmth>>,
+    pub warmup: Option<Arc<HostWarmup>>,
     /// Whether learned statistics persist across restarts.
     pub learning: bool,
     /// Whether discovery is silent from the start.
@@ -112,40 +112,40 @@
     /// log across restarts.
     pub versions: Option<Value>,
     /// Whether each gatherer has an admin address.
-    pub doors: bool,
+    pub has_admin: bool,
     /// Gatherers that run under the name of another one.
     pub named_as: BTreeMap<usize, usize>,
 }
 
-impl Default for Set {
-    fn default() -> Set {
-        let (settings, known, learning, mute, doors) = (settings(), false, false, false, false);
-        let (recovery, warmth, versions, named_as) = (None, None, None, BTreeMap::new());
-        Set {
+impl Default for FleetOptions {
+    fn default() -> FleetOptions {
+        let (settings, known, learning, mute, has_admin) = (settings(), false, false, false, false);
+        let (recovery, warmup, versions, named_as) = (None, None, None, BTreeMap::new());
+        FleetOptions {
             settings,
             recovery,
             known,
-            warmth,
+            warmup,
             learning,
             mute,
             versions,
-            doors,
+            has_admin,
             named_as,
         }
     }
 }
 
 /// Service time of a part on a warm index host, which serves one part at a time.
-pub const WORK: Duration = Duration::from_millis(4);
+pub const PART_DURATION: Duration = Duration::from_millis(4);
 
 /// Last start of the index hosts. After a start, capacity grows from a fifth to full over 10 s.
 #[derive(Debug, Default)]
-pub struct Warmth {
+pub struct HostWarmup {
     since: Mutex<Option<Instant>>,
-    falls: AtomicU64,
+    overloads: AtomicU64,
 }
 
-impl Warmth {
+impl HostWarmup {
     pub fn restart(&self) {
         *self.since.lock().unwrap() = Some(Instant::now());
     }
@@ -155,17 +155,17 @@
     }
 
     /// How often a host failed from overload.
-    pub fn falls(&self) -> u64 {
-        self.falls.load(Ordering::SeqCst)
+    pub fn overloads(&self) -> u64 {
+        self.overloads.load(Ordering::SeqCst)
     }
 }
 
 /// An index host that warms up and fails from overload as the settings describe: after more than
 /// twice its capacity within one second, it turns everything away for two seconds and is cold
 /// again.
-pub fn warming_host(warmth: Arc<Warmth>) -> FrameHost {
-    let desk = Mutex::new(());
-    let state = Mutex::new((warmth.since(), VecDeque::<Instant>::new()));
+pub fn warming_host(warmup: Arc<HostWarmup>) -> FrameHost {
+    let server = Mutex::new(());
+    let state = Mutex::new((warmup.since(), VecDeque::<Instant>::new()));
     let speed = |since: Option<Instant>| {
         since.map_or(1.0, |since| {
             (0.2 + 0.8 * since.elapsed().as_secs_f64() / 10.0).min(1.0)
@@ -173,28 +173,28 @@
     };
     FrameHost::start(move |id| {
         let since = {
-            let (since, met) = &mut *state.lock().unwrap();
-            *since = (*since).max(warmth.since());
-            met.push_back(Instant::now());
-            while met
+            let (since, arrivals) = &mut *state.lock().unwrap();
+            *since = (*since).max(warmup.since());
+            arrivals.push_back(Instant::now());
+            while arrivals
                 .front()
                 .is_some_and(|at| at.elapsed() > Duration::from_secs(1))
             {
-                met.pop_front();
+                arrivals.pop_front();
             }
             let up = since.is_none_or(|since| since <= Instant::now());
-            if up && met.len() as f64 > 2.0 * speed(*since) / WORK.as_secs_f64() {
+            if up && arrivals.len() as f64 > 2.0 * speed(*since) / PART_DURATION.as_secs_f64() {
                 *since = Some(Instant::now() + Duration::from_secs(2));
-                warmth.falls.fetch_add(1, Ordering::SeqCst);
+                warmup.overloads.fetch_add(1, Ordering::SeqCst);
             }
             if since.is_some_and(|since| since > Instant::now()) {
-                return Say::Later;
+                return PartReply::Later;
             }
             *since
         };
-        let _turn = desk.lock().unwrap();
-        thread::sleep(WORK.div_f64(speed(since)));
-        Say::Good(1, format!("value of {id}"))
+        let _turn = server.lock().unwrap();
+        thread::sleep(PART_DURATION.div_f64(speed(since)));
+        PartReply::Good(1, format!("value of {id}"))
     })
 }
 
@@ -203,30 +203,30 @@
 pub struct Fleet {
     pub name: String,
     pub stores: Vec<SocketAddr>,
-    pub fronts: Vec<SocketAddr>,
-    pub doors: Vec<SocketAddr>,
+    pub client_addresses: Vec<SocketAddr>,
+    pub admin_addresses: Vec<SocketAddr>,
     pub links: BTreeMap<(usize, usize), Link>,
     pub programs: Vec<Option<Program>>,
-    pub lives: Vec<u32>,
+    pub starts: Vec<u32>,
     pub files: Vec<PathBuf>,
-    pub counter: Counter,
+    pub discovery: CountingDiscovery,
     pub hosts: Vec<FrameHost>,
-    pub set: Set,
+    pub options: FleetOptions,
     pub history: Arc<Mutex<History>>,
-    pub over: Arc<AtomicBool>,
-    pub helpers: Vec<JoinHandle<()>>,
-    pub asked: Arc<Mutex<Asked>>,
+    pub stopped: Arc<AtomicBool>,
+    pub threads: Vec<JoinHandle<()>>,
+    pub query_counts: Arc<Mutex<QueryCounts>>,
 }
 
 impl Fleet {
     pub fn start(name: &str, count: usize) -> Fleet {
-        Self::with(name, count, Set::default())
+        Self::with(name, count, FleetOptions::default())
     }
 
-    pub fn with(name: &str, count: usize, set: Set) -> Fleet {
-        let host = |_| match &set.warmth {
-            Some(warmth) => warming_host(warmth.clone()),
-            None => FrameHost::start(|id| Say::Good(1, format!("value of {id}"))),
+    pub fn with(name: &str, count: usize, options: FleetOptions) -> Fleet {
+        let host = |_| match &options.warmup {
+            Some(warmup) => warming_host(warmup.clone()),
+            None => FrameHost::start(|id| PartReply::Good(1, format!("value of {id}"))),
         };
         let hosts: Vec<FrameHost> = (0..3).map(host).collect();
         let stores: Vec<SocketAddr> = (0..count).map(|_| free_address()).collect();
@@ -243,29 +243,32 @@
             links: pairs
                 .map(|(a, b)| ((a, b), Link::to(stores[b]).unwrap()))
                 .collect(),
-            fronts: (0..count).map(|_| free_address()).collect(),
-            doors: (0..count).map(|_| free_address()).collect(),
+            client_addresses: (0..count).map(|_| free_address()).collect(),
+            admin_addresses: (0..count).map(|_| free_address()).collect(),
             stores,
             programs: (0..count).map(|_| None).collect(),
-            lives: vec![0; count],
+            starts: vec![0; count],
             files: (0..count).map(file).collect(),
-            counter: Counter::start(&hosts),
+            discovery: CountingDiscovery::start(&hosts),
             hosts,
-            set,
+            options,
             history: Arc::default(),
-            over: Arc::default(),
-            helpers: Vec::new(),
-            asked: Arc::default(),
+            stopped: Arc::default(),
+            threads: Vec::new(),
+            query_counts: Arc::default(),
         };
         fleet.clear();
-        fleet.counter.mute.store(fleet.set.mute, Ordering::SeqCst);
+        fleet
+            .discovery
+            .mute
+            .store(fleet.options.mute, Ordering::SeqCst);
         (0..count).for_each(|at| fleet.power_on(at));
-        if fleet.set.warmth.is_none() {
+        if fleet.options.warmup.is_none() {
             for at in 0..count {
-                if fleet.set.versions.is_none() {
-                    fleet.observe(at);
+                if fleet.options.versions.is_none() {
+                    fleet.start_watcher(at);
                 }
-                fleet.ask(at);
+                fleet.start_client(at);
             }
         }
         fleet
@@ -284,27 +287,27 @@
 
     /// Without versions, each start of a gatherer has its own name, so that no later start
     /// overwrites its key.
-    pub fn key(&self, at: usize) -> String {
-        format!("members/{}", self.gatherer(at))
+    pub fn member_key(&self, at: usize) -> String {
+        format!("members/{}", self.gatherer_name(at))
     }
 
-    pub fn gatherer(&self, at: usize) -> String {
-        let name = self.set.named_as.get(&at).unwrap_or(&at);
-        if self.set.versions.is_some() {
+    pub fn gatherer_name(&self, at: usize) -> String {
+        let name = self.options.named_as.get(&at).unwrap_or(&at);
+        if self.options.versions.is_some() {
             format!("g{name}")
         } else {
-            format!("g{name}-{}", self.lives[at])
+            format!("g{name}-{}", self.starts[at])
         }
     }
 
     /// The folder of a gatherer's audit log.
-    pub fn trail(&self, at: usize) -> PathBuf {
+    pub fn audit_folder(&self, at: usize) -> PathBuf {
         self.files[at].with_extension("trail")
     }
 
     /// Runs `bitternsill fleet` against these gatherers; returns the output and whether the exit
     /// code was 0.
-    pub fn call(&self, words: &[&str], at: &[usize]) -> (String, bool) {
+    pub fn run_command(&self, words: &[&str], at: &[usize]) -> (String, bool) {
         let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
             .arg("fleet")
             .args(words)
@@ -322,12 +325,12 @@
     }
 
     pub fn power_on(&mut self, at: usize) {
-        self.lives[at] += 1;
-        let count = self.counter.count.load(Ordering::SeqCst);
+        self.starts[at] += 1;
+        let count = self.discovery.count.load(Ordering::SeqCst);
         self.history
             .lock()
             .unwrap()
-            .record_write(&self.key(at), count);
+            .record_write(&self.member_key(at), count);
         let members: serde_json::Map<String, Value> = (0..self.stores.len())
             .map(|to| {
                 let address = self
@@ -337,41 +340,41 @@
                 (to.to_string(), json!(address.to_string()))
             })
             .collect();
-        let beside = self.files[at].with_extension("beside");
-        let mut installed = json!({"store": {"member": at, "members": members, "begins": at == 0,
+        let operator_file = self.files[at].with_extension("beside");
+        let mut operator_config = json!({"store": {"member": at, "members": members, "begins": at == 0,
                                              "file": self.files[at], "test_sync_ms": 25}});
-        if let Some(recovery) = &self.set.recovery {
-            installed["recovery"] = recovery.clone();
+        if let Some(recovery) = &self.options.recovery {
+            operator_config["recovery"] = recovery.clone();
         }
-        if self.set.learning {
+        if self.options.learning {
             let folder = self.files[at].with_extension("learned");
             std::fs::create_dir_all(&folder).unwrap();
-            installed["learning"] = json!({"folder": folder, "period_ms": 500});
+            operator_config["learning"] = json!({"folder": folder, "period_ms": 500});
         }
-        if let Some(versions) = &self.set.versions {
-            installed["versions"] = versions.clone();
-            installed["versions"]["trail"] = json!(self.trail(at));
+        if let Some(versions) = &self.options.versions {
+            operator_config["versions"] = versions.clone();
+            operator_config["versions"]["trail"] = json!(self.audit_folder(at));
         }
-        std::fs::write(&beside, installed.to_string()).unwrap();
+        std::fs::write(&operator_file, operator_config.to_string()).unwrap();
         let entry = |(cell, host): (usize, &FrameHost)| target(cell, host.address, "active");
         let targets: Vec<Value> = self.hosts.iter().enumerate().map(entry).collect();
-        let known = if self.set.known {
+        let known = if self.options.known {
             json!({"rev": 1, "all": true, "targets": targets})
         } else {
             Value::Null
         };
-        let door = if self.set.doors {
-            json!(self.doors[at].to_string())
+        let admin = if self.options.has_admin {
+            json!(self.admin_addresses[at].to_string())
         } else {
             Value::Null
         };
         let config = json!({
-            "name": self.gatherer(at), "listen": self.fronts[at].to_string(), "admin": door,
-            "discovery": self.counter.address.to_string(), "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "known": known, "settings": self.set.settings
+            "name": self.gatherer_name(at), "listen": self.client_addresses[at].to_string(), "admin": admin,
+            "discovery": self.discovery.address.to_string(), "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "known": known, "settings": self.options.settings
         });
         let log = self.files[at].with_extension("log");
-        let more = ["--operator".to_owned(), beside.display().to_string()];
+        let more = ["--operator".to_owned(), operator_file.display().to_string()];
         let shell = format!("export BITTERNSILL_LOG=info; exec 2>>{}", log.display());
         self.programs[at] = Some(Program::start_in(&shell, "--config", &config, &more));
     }
@@ -397,18 +400,19 @@
     }
 
     /// Starts a thread that records what a member sends to a watcher, until the test stops.
-    pub fn observe(&mut self, at: usize) {
-        let (address, over, history) = (self.stores[at], self.over.clone(), self.history.clone());
-        self.helpers.push(thread::spawn(move || {
-            for look in (at as SessionId * 1_000_000).. {
-                if over.load(Ordering::SeqCst) {
+    pub fn start_watcher(&mut self, at: usize) {
+        let (address, stopped, history) =
+            (self.stores[at], self.stopped.clone(), self.history.clone());
+        self.threads.push(thread::spawn(move || {
+            for session in (at as SessionId * 1_000_000).. {
+                if stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 watch(address, Duration::from_millis(400), |key, value| {
-                    if let Some(value) = counted(value) {
-                        history.lock().unwrap().record_read(at, look, key, value);
+                    if let Some(value) = counter_value(value) {
+                        history.lock().unwrap().record_read(at, session, key, value);
                     }
-                    !over.load(Ordering::SeqCst)
+                    !stopped.load(Ordering::SeqCst)
                 });
                 thread::sleep(Duration::from_millis(5));
             }
@@ -417,14 +421,18 @@
 
     /// Starts a thread that sends one query after another. Each must get exactly one response in
     /// time, or its connection must end.
-    pub fn ask(&mut self, at: usize) {
-        let (address, over, asked) = (self.fronts[at], self.over.clone(), self.asked.clone());
-        self.helpers.push(thread::spawn(move || {
+    pub fn start_client(&mut self, at: usize) {
+        let (address, stopped, query_counts) = (
+            self.client_addresses[at],
+            self.stopped.clone(),
+            self.query_counts.clone(),
+        );
+        self.threads.push(thread::spawn(move || {
             for number in 0.. {
-                if over.load(Ordering::SeqCst) {
+                if stopped.load(Ordering::SeqCst) {
                     return;
                 }
-                let begun = Instant::now();
+                let started = Instant::now();
                 let answer = (|| {
                     let mut socket = TcpStream::connect(address)?;
                     socket.set_read_timeout(Some(Duration::from_secs(30)))?;
@@ -440,21 +448,24 @@
                     std::io::Result::Ok(answer)
                 })();
                 let text = answer.unwrap_or_default();
-                assert!(text.matches("HTTP/1.1 ").count() <= 1, "one answer: {text}");
-                let mut asked = asked.lock().unwrap();
+                assert!(
+                    text.matches("HTTP/1.1 ").count() <= 1,
+                    "more than one response: {text}"
+                );
+                let mut query_counts = query_counts.lock().unwrap();
                 match text.get(9..12) {
                     Some("200") => {
                         assert!(
                             text.contains("\"total\":true")
                                 && text.contains(&format!("value of q{at}-{number}.2"))
                         );
-                        asked.whole += 1;
-                        asked.worst = asked.worst.max(begun.elapsed());
+                        query_counts.complete += 1;
+                        query_counts.max_latency = query_counts.max_latency.max(started.elapsed());
                     }
-                    Some(_) => asked.refused += 1,
-                    None => asked.closed += 1,
+                    Some(_) => query_counts.rejected += 1,
+                    None => query_counts.closed += 1,
                 }
-                drop(asked);
+                drop(query_counts);
                 thread::sleep(Duration::from_millis(4));
             }
         }));
@@ -462,20 +473,20 @@
 
     /// Queries with a response since the counts were last reset.
     pub fn answered(&self) -> u32 {
-        let asked = self.asked.lock().unwrap();
-        asked.whole + asked.refused
+        let query_counts = self.query_counts.lock().unwrap();
+        query_counts.complete + query_counts.rejected
     }
 
     /// Increments the counter that discovery publishes to all running gatherers.
-    pub fn count_up(&self) {
-        let next = self.counter.count.load(Ordering::SeqCst) + 1;
-        (0..self.lives.len()).for_each(|at| {
+    pub fn increment(&self) {
+        let next = self.discovery.count.load(Ordering::SeqCst) + 1;
+        (0..self.starts.len()).for_each(|at| {
             self.history
                 .lock()
                 .unwrap()
-                .record_write(&self.key(at), next)
+                .record_write(&self.member_key(at), next)
         });
-        self.counter.count.store(next, Ordering::SeqCst);
+        self.discovery.count.store(next, Ordering::SeqCst);
     }
 
     pub fn link(&self, from: usize, to: usize) -> &Link {
@@ -484,17 +495,17 @@
 
     /// A power failure of all gatherers and index hosts, and the restart. Discovery, unless silent,
     /// publishes the new start time.
-    pub fn blackout(&mut self) {
+    pub fn power_cycle_all(&mut self) {
         let all: BTreeSet<usize> = (0..self.stores.len()).collect();
         self.power_off(&all);
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap()
             .as_millis() as u64;
-        self.counter.boot_ms.store(now, Ordering::SeqCst);
-        self.count_up();
-        if let Some(warmth) = &self.set.warmth {
-            warmth.restart();
+        self.discovery.boot_ms.store(now, Ordering::SeqCst);
+        self.increment();
+        if let Some(warmup) = &self.options.warmup {
+            warmup.restart();
         }
         all.into_iter().for_each(|at| self.power_on(at));
     }
@@ -505,7 +516,7 @@
             .for_each(|link| link.set(Flow::Open, Flow::Open));
     }
 
-    pub fn befall(&mut self, fault: &Fault) {
+    pub fn inject(&mut self, fault: &Fault) {
         match fault {
             Fault::PowerOff(group) => self.power_off(group),
             Fault::PowerOn(group) => group.iter().for_each(|at| self.power_on(*at)),
@@ -526,19 +537,21 @@
     }
 
     /// The counter values that a member holds.
-    pub fn held(&self, at: usize) -> BTreeMap<String, u64> {
+    pub fn counter_values(&self, at: usize) -> BTreeMap<String, u64> {
         let mut held = BTreeMap::new();
         watch(self.stores[at], Duration::from_millis(150), |key, value| {
-            held.extend(counted(value).map(|value| (key.to_owned(), value)));
+            held.extend(counter_value(value).map(|value| (key.to_owned(), value)));
             true
         });
         held
     }
 
     /// Whether all members hold the same values, none below the highest that a watcher has seen.
-    pub fn is_one(&self) -> bool {
+    pub fn is_consistent(&self) -> bool {
         let shown = self.history.lock().unwrap().highest_read().clone();
-        let held: Vec<_> = (0..self.stores.len()).map(|at| self.held(at)).collect();
+        let held: Vec<_> = (0..self.stores.len())
+            .map(|at| self.counter_values(at))
+            .collect();
         let enough = |held: &BTreeMap<String, u64>| {
             shown
                 .iter()
@@ -548,24 +561,28 @@
     }
 
     /// Waits until all members hold the latest counter value of every gatherer.
-    pub fn settle(&self) -> Result<(), String> {
-        self.count_up();
-        let now = self.counter.count.load(Ordering::SeqCst);
+    pub fn wait_until_consistent(&self) -> Result<(), String> {
+        self.increment();
+        let now = self.discovery.count.load(Ordering::SeqCst);
         let until = Instant::now() + Duration::from_secs(30);
         loop {
             let all = |at: usize| {
-                let held = self.held(at);
-                (0..self.lives.len())
-                    .all(|of| held.get(&self.key(of)).is_some_and(|held| *held >= now))
+                let held = self.counter_values(at);
+                (0..self.starts.len()).all(|of| {
+                    held.get(&self.member_key(of))
+                        .is_some_and(|held| *held >= now)
+                })
             };
-            if (0..self.lives.len()).all(all) && self.is_one() {
+            if (0..self.starts.len()).all(all) && self.is_consistent() {
                 return Ok(());
             }
             if Instant::now() > until {
-                let held: Vec<_> = (0..self.lives.len()).map(|at| self.held(at)).collect();
+                let held: Vec<_> = (0..self.starts.len())
+                    .map(|at| self.counter_values(at))
+                    .collect();
                 let shown = self.history.lock().unwrap().highest_read().clone();
                 return Err(format!(
-                    "30 s after the last fault {held:?}; shown was {shown:?}; now {now}"
+                    "members differ 30 s after the last fault: {held:?}; watchers saw {shown:?}; counter {now}"
                 ));
             }
         }
@@ -573,50 +590,57 @@
 
     /// Stops clients and watchers and checks the recorded history; returns the query counts or the
     /// violations.
-    pub fn judge(mut self) -> Result<Asked, String> {
-        let settled = self.settle();
-        self.over.store(true, Ordering::SeqCst);
+    pub fn finish(mut self) -> Result<QueryCounts, String> {
+        let settled = self.wait_until_consistent();
+        self.stopped.store(true, Ordering::SeqCst);
         let held = (0..self.stores.len())
-            .map(|at| (at, self.held(at)))
+            .map(|at| (at, self.counter_values(at)))
             .collect();
-        for helper in self.helpers.drain(..) {
-            helper
+        for thread in self.threads.drain(..) {
+            thread
                 .join()
-                .map_err(|_| "a client or an observer saw what it must not".to_owned())?;
+                .map_err(|_| "a client or watcher thread failed".to_owned())?;
         }
         let history = std::mem::take(&mut *self.history.lock().unwrap());
         let shown = history.highest_read().len();
-        let wrong = history.check(&held);
+        let violations = history.check(&held);
         settled?;
-        if !wrong.is_empty() {
-            return Err(wrong.iter().map(|wrong| format!("{wrong}; ")).collect());
+        if !violations.is_empty() {
+            return Err(violations
+                .iter()
+                .map(|violation| format!("{violation}; "))
+                .collect());
         }
-        assert!(shown >= self.stores.len(), "hardly anything was shown");
-        let asked = *self.asked.lock().unwrap();
+        assert!(shown >= self.stores.len(), "watchers saw only {shown} keys");
+        let query_counts = *self.query_counts.lock().unwrap();
         self.programs.clear();
         self.clear();
-        Ok(asked)
+        Ok(query_counts)
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stopped.store(true, Ordering::SeqCst);
         // A stopped process (SIGSTOP) must not outlive the test.
         self.programs.clear();
         if thread::panicking() {
-            eprintln!("the files of {} are left beside their logs", self.name);
+            eprintln!("files and logs of {} are kept for inspection", self.name);
         }
     }
 }
 
-/// Reads watch lines until the connection ends, nothing arrives for `quiet`, or `hear` returns
-/// false.
-pub fn watch(address: SocketAddr, quiet: Duration, mut hear: impl FnMut(&str, &str) -> bool) {
+/// Reads watch lines until the connection ends, nothing arrives for `idle_timeout`, or `on_value`
+/// returns false.
+pub fn watch(
+    address: SocketAddr,
+    idle_timeout: Duration,
+    mut on_value: impl FnMut(&str, &str) -> bool,
+) {
     let Ok(mut socket) = TcpStream::connect(address) else {
         return;
     };
-    socket.set_read_timeout(Some(quiet)).unwrap();
+    socket.set_read_timeout(Some(idle_timeout)).unwrap();
     if socket.write_all(b"watch\n").is_err() {
         return;
     }
@@ -628,7 +652,7 @@
         let (Some(key), Some(value)) = (line["key"].as_str(), line["value"].as_str()) else {
             continue;
         };
-        if !hear(key, value) {
+        if !on_value(key, value) {
             return;
         }
     }
--- a/bitternsill/tests/common/mod.rs
+++ b/bitternsill/tests/common/mod.rs
@@ -58,10 +58,13 @@
 }
 
 /// Waits up to 30 s for a condition.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < Duration::from_secs(30), "never: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < Duration::from_secs(30),
+            "timed out waiting for: {what}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -70,7 +73,7 @@
 pub struct Program {
     pub child: Child,
     /// The configuration file.
-    pub file: PathBuf,
+    pub config_path: PathBuf,
 }
 
 impl Program {
@@ -85,7 +88,7 @@
     }
 
     /// Like `start`, after these shell commands and with further arguments.
-    pub fn start_in(shell: &str, option: &str, content: &Value, more: &[String]) -> Program {
+    pub fn start_in(shell: &str, option: &str, content: &Value, arguments: &[String]) -> Program {
         let name = format!(
             "bitternsill-{}-{}",
             std::process::id(),
@@ -102,7 +105,7 @@
             )
             .arg(option)
             .arg(&path)
-            .args(more)
+            .args(arguments)
             .env(
                 "BITTERNSILL_LOG",
                 std::env::var("BITTERNSILL_LOG").unwrap_or("warn".into()),
@@ -110,7 +113,10 @@
             .stdin(Stdio::null())
             .spawn()
             .unwrap();
-        Program { child, file: path }
+        Program {
+            child,
+            config_path: path,
+        }
     }
 
     pub fn signal(&self, name: &str) {
@@ -162,18 +168,18 @@
 pub struct Discovery {
     pub address: SocketAddr,
     watchers: Arc<Mutex<Vec<mpsc::Sender<String>>>>,
-    asked: Arc<AtomicU32>,
+    watch_requests: Arc<AtomicU32>,
 }
 
 impl Discovery {
     pub fn start(targets: Vec<Value>) -> Discovery {
-        Self::start_beating(targets, Duration::from_millis(500))
+        Self::start_with_interval(targets, Duration::from_millis(500))
     }
 
     /// Like `start`, with this interval between the empty lines.
-    pub fn start_beating(targets: Vec<Value>, beat: Duration) -> Discovery {
-        let asked: Arc<AtomicU32> = Arc::default();
-        let count = asked.clone();
+    pub fn start_with_interval(targets: Vec<Value>, interval: Duration) -> Discovery {
+        let watch_requests: Arc<AtomicU32> = Arc::default();
+        let count = watch_requests.clone();
         let watchers: Arc<Mutex<Vec<mpsc::Sender<String>>>> = Arc::default();
         let shared = watchers.clone();
         let first = json!({"rev": 1, "all": true, "targets": targets}).to_string();
@@ -184,14 +190,14 @@
                 .unwrap();
             assert!(line.starts_with("GET /catalog/members?stream=1"), "{line}");
             count.fetch_add(1, Ordering::SeqCst);
-            let (tell, told) = mpsc::channel();
-            tell.send(first.clone()).unwrap();
-            shared.lock().unwrap().push(tell);
+            let (sender, receiver) = mpsc::channel();
+            sender.send(first.clone()).unwrap();
+            shared.lock().unwrap().push(sender);
             socket
                 .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 .unwrap();
             loop {
-                let text = match told.recv_timeout(beat) {
+                let text = match receiver.recv_timeout(interval) {
                     Ok(text) => text + "\n",
                     Err(mpsc::RecvTimeoutError::Timeout) => "\n".to_owned(),
                     Err(_) => return,
@@ -208,12 +214,12 @@
         Discovery {
             address,
             watchers,
-            asked,
+            watch_requests,
         }
     }
 
     /// Sends a change to every watcher.
-    pub fn tell(&self, version: u64, targets: Vec<Value>) {
+    pub fn publish(&self, version: u64, targets: Vec<Value>) {
         let text = json!({"rev": version, "all": false, "targets": targets}).to_string();
         self.watchers
             .lock()
@@ -222,27 +228,27 @@
     }
 
     /// Ends every watch.
-    pub fn hang_up(&self) {
+    pub fn close_watches(&self) {
         self.watchers.lock().unwrap().clear();
     }
 
     /// Number of watch requests received.
-    pub fn asked(&self) -> u32 {
-        self.asked.load(Ordering::SeqCst)
+    pub fn watch_requests(&self) -> u32 {
+        self.watch_requests.load(Ordering::SeqCst)
     }
 
-    pub fn watches(&self) -> usize {
+    pub fn open_watches(&self) -> usize {
         self.watchers.lock().unwrap().len()
     }
 }
 
 /// How a scripted index host answers a part.
-pub enum Say {
+pub enum PartReply {
     Good(u64, String),
     Bad,
     Later,
-    Nothing,
-    HangUp,
+    NoReply,
+    Close,
     /// These bytes, unchanged.
     Raw(Vec<u8>),
 }
@@ -251,33 +257,33 @@
 pub struct FrameHost {
     pub address: SocketAddr,
     /// Each part line received, without its `d`, and each cancelled id.
-    pub seen: Arc<Mutex<Vec<String>>>,
+    pub received: Arc<Mutex<Vec<String>>>,
     /// Size of the longest frame in bytes.
-    pub longest: Arc<AtomicU32>,
+    pub longest_frame: Arc<AtomicU32>,
 }
 
 impl FrameHost {
-    pub fn start(say: impl Fn(&str) -> Say + Send + Sync + 'static) -> FrameHost {
-        Self::start_by_connection(move |_, id| say(id))
+    pub fn start(reply: impl Fn(&str) -> PartReply + Send + Sync + 'static) -> FrameHost {
+        Self::start_by_connection(move |_, id| reply(id))
     }
 
     /// Like `start`, where the answer depends on the connection, counted from 0.
     pub fn start_by_connection(
-        say: impl Fn(u32, &str) -> Say + Send + Sync + 'static,
+        reply: impl Fn(u32, &str) -> PartReply + Send + Sync + 'static,
     ) -> FrameHost {
-        let seen: Arc<Mutex<Vec<String>>> = Arc::default();
-        let log = seen.clone();
-        let longest: Arc<AtomicU32> = Arc::default();
-        let measured = longest.clone();
+        let received: Arc<Mutex<Vec<String>>> = Arc::default();
+        let log = received.clone();
+        let longest_frame: Arc<AtomicU32> = Arc::default();
+        let frame_size = longest_frame.clone();
         let connections = AtomicU32::new(0);
         let address = accept(move |mut socket| {
             let number = connections.fetch_add(1, Ordering::SeqCst);
             while let Some((letter, rest)) = read_frame(&mut socket) {
-                measured.fetch_max(rest.len() as u32, Ordering::SeqCst);
+                frame_size.fetch_max(rest.len() as u32, Ordering::SeqCst);
                 if letter == b'n' {
                     log.lock()
                         .unwrap()
-                        .push(format!("given up {}", String::from_utf8_lossy(&rest)));
+                        .push(format!("cancelled {}", String::from_utf8_lossy(&rest)));
                     continue;
                 }
                 let mut rest = rest.as_slice();
@@ -298,13 +304,15 @@
                         words[1],
                         list.join(",")
                     ));
-                    let reply = match say(number, words[0]) {
-                        Say::Good(score, value) => format!("{} good {score} -\n{value}", words[0]),
-                        Say::Bad => format!("{} bad - -\n", words[0]),
-                        Say::Later => format!("{} later - -\n", words[0]),
-                        Say::Nothing => continue,
-                        Say::HangUp => return,
-                        Say::Raw(bytes) => {
+                    let reply = match reply(number, words[0]) {
+                        PartReply::Good(score, value) => {
+                            format!("{} good {score} -\n{value}", words[0])
+                        }
+                        PartReply::Bad => format!("{} bad - -\n", words[0]),
+                        PartReply::Later => format!("{} later - -\n", words[0]),
+                        PartReply::NoReply => continue,
+                        PartReply::Close => return,
+                        PartReply::Raw(bytes) => {
                             let _ = socket.write_all(&bytes);
                             continue;
                         }
@@ -315,13 +323,13 @@
         });
         FrameHost {
             address,
-            seen,
-            longest,
+            received,
+            longest_frame,
         }
     }
 
-    pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    pub fn received(&self) -> Vec<String> {
+        self.received.lock().unwrap().clone()
     }
 }
 
@@ -363,18 +371,29 @@
 
     /// Starts with this `sockets` limit in the configuration and this descriptor limit in the
     /// system.
-    pub fn start_with(settings: Value, hosts: Vec<FrameHost>, told: u32, there: u32) -> Platform {
+    pub fn start_with(
+        settings: Value,
+        hosts: Vec<FrameHost>,
+        configured_descriptors: u32,
+        descriptor_limit: u32,
+    ) -> Platform {
         let targets = hosts
             .iter()
             .enumerate()
             .map(|(i, h)| target(i, h.address, "active"))
             .collect();
-        Self::start_at(settings, hosts, Discovery::start(targets), told, there)
+        Self::start_at(
+            settings,
+            hosts,
+            Discovery::start(targets),
+            configured_descriptors,
+            descriptor_limit,
+        )
     }
 
     /// Starts with a discovery that falls silent after its list.
     pub fn start_silent(settings: Value, host: FrameHost, targets: Vec<Value>) -> Platform {
-        let discovery = Discovery::start_beating(targets, Duration::from_secs(60));
+        let discovery = Discovery::start_with_interval(targets, Duration::from_secs(60));
         Self::start_at(settings, vec![host], discovery, 256, 1024)
     }
 
@@ -382,15 +401,15 @@
         settings: Value,
         hosts: Vec<FrameHost>,
         discovery: Discovery,
-        told: u32,
-        there: u32,
+        configured_descriptors: u32,
+        descriptor_limit: u32,
     ) -> Platform {
         Self::start_in(
-            &format!("ulimit -n {there}"),
+            &format!("ulimit -n {descriptor_limit}"),
             settings,
             hosts,
             discovery,
-            told,
+            configured_descriptors,
             &[],
         )
     }
@@ -401,16 +420,16 @@
         settings: Value,
         hosts: Vec<FrameHost>,
         discovery: Discovery,
-        told: u32,
-        more: &[String],
+        configured_descriptors: u32,
+        arguments: &[String],
     ) -> Platform {
         let address = free_address();
         let config = json!({
             "name": "n0", "listen": address.to_string(), "discovery": discovery.address.to_string(),
-            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": told},
+            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": configured_descriptors},
             "known": null, "settings": settings
         });
-        let program = Program::start_in(shell, "--config", &config, more);
+        let program = Program::start_in(shell, "--config", &config, arguments);
         let platform = Platform {
             program,
             address,
@@ -418,10 +437,10 @@
             hosts,
             config,
         };
-        eventually("ready", || {
+        wait_until("ready", || {
             TcpStream::connect(address).is_ok()
                 && platform
-                    .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+                    .send_request("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
                     .starts_with("HTTP/1.1 200")
         });
         platform
@@ -429,7 +448,7 @@
 
     /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, content: &str) {
-        std::fs::write(&self.program.file, content).unwrap();
+        std::fs::write(&self.program.config_path, content).unwrap();
         self.program.signal("HUP");
     }
 
@@ -442,20 +461,20 @@
     }
 
     /// Sends a request on a new connection and returns the response.
-    pub fn say(&self, text: &str) -> String {
+    pub fn send_request(&self, text: &str) -> String {
         let mut socket = self.connect();
         socket.write_all(text.as_bytes()).unwrap();
         read_response(&mut socket)
     }
 
     /// Sends a query for these shards and returns the response.
-    pub fn ask(&self, id: &str, class: &str, shards: &[u32]) -> String {
-        self.say(&query(id, class, shards, "Connection: close\r\n"))
+    pub fn send_query(&self, id: &str, class: &str, shards: &[u32]) -> String {
+        self.send_request(&query(id, class, shards, "Connection: close\r\n"))
     }
 }
 
 /// Encodes a query.
-pub fn query(id: &str, class: &str, shards: &[u32], more: &str) -> String {
+pub fn query(id: &str, class: &str, shards: &[u32], headers: &str) -> String {
     let portion = 1.0 / shards.len() as f64;
     let ranges: Vec<Value> = shards
         .iter()
@@ -464,7 +483,7 @@
     let body = json!({"ranges": ranges, "predicate": "c41e77d0"}).to_string();
     format!(
         "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\n\
-         X-Budget: 3.0\r\n{more}Content-Length: {}\r\n\r\n{body}",
+         X-Budget: 3.0\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
@@ -504,11 +523,13 @@
 }
 
 /// Answers every part with success and this score.
-pub fn good(score: u64) -> impl Fn(&str) -> Say + Send + Sync + 'static {
-    move |id| Say::Good(score, format!("value of {id}"))
+pub fn good_reply(score: u64) -> impl Fn(&str) -> PartReply + Send + Sync + 'static {
+    move |id| PartReply::Good(score, format!("value of {id}"))
 }
 
 /// Three hosts that answer every part.
-pub fn three() -> Vec<FrameHost> {
-    (1..=3).map(|score| FrameHost::start(good(score))).collect()
+pub fn three_hosts() -> Vec<FrameHost> {
+    (1..=3)
+        .map(|score| FrameHost::start(good_reply(score)))
+        .collect()
 }
--- a/bitternsill/tests/common/standins.rs
+++ b/bitternsill/tests/common/standins.rs
@@ -14,57 +14,57 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize};
 
 /// Content and behaviour of a stand-in index host. The hosts of a slice may share one.
-pub struct Script {
+pub struct HostScript {
     /// Titles of each slice, in the host's order.
     pub titles: Mutex<BTreeMap<usize, Vec<String>>>,
     /// While set, no request is answered except Init.
     pub silent: AtomicBool,
     /// While set, searches are not answered.
-    pub deaf: AtomicBool,
+    pub ignores_searches: AtomicBool,
     /// While set, presents are not answered.
-    pub holds: AtomicBool,
+    pub ignores_presents: AtomicBool,
     /// While set, a connection closes as soon as a request arrives.
-    pub dead: AtomicBool,
+    pub closes_connections: AtomicBool,
     /// Delay before each answer, in milliseconds.
     pub delay: AtomicUsize,
     /// Every n-th search takes this many milliseconds longer.
-    pub hiccup: Mutex<(usize, u64)>,
+    pub periodic_delay: Mutex<(usize, u64)>,
     /// No request is answered before this time.
-    pub frozen: Mutex<Option<Instant>>,
+    pub paused_until: Mutex<Option<Instant>>,
     /// While set, result sets are dropped before each present.
-    pub forgets: AtomicBool,
+    pub drops_result_sets: AtomicBool,
     /// Abilities offered in the Init response.
     pub abilities: Mutex<Vec<Ability>>,
     /// The one SRU version that the host speaks.
     pub version: Mutex<&'static str>,
     /// HTTP responses have no length and end with the connection: closed in order, or reset if
     /// `true`.
-    pub lengthless: Mutex<Option<bool>>,
+    pub without_length: Mutex<Option<bool>>,
     /// While set, scans get a diagnostic.
     pub no_scan: AtomicBool,
     pub searches: AtomicUsize,
     pub presents: AtomicUsize,
     /// Number of records sent.
-    pub given: AtomicUsize,
-    pub open: AtomicUsize,
+    pub records_sent: AtomicUsize,
+    pub open_connections: AtomicUsize,
     pub connections: AtomicUsize,
-    pub seen: Mutex<Vec<String>>,
+    pub received: Mutex<Vec<String>>,
 }
 
-impl Default for Script {
+impl Default for HostScript {
     fn default() -> Self {
         // Slice n has n + 1 titles.
         let titles = |slice: usize| (0..=slice).map(|i| format!("{slice}.{i}")).collect();
-        Script {
+        HostScript {
             titles: Mutex::new((0..3).map(|slice| (slice, titles(slice))).collect()),
             silent: AtomicBool::default(),
-            deaf: AtomicBool::default(),
-            holds: AtomicBool::default(),
-            dead: AtomicBool::default(),
+            ignores_searches: AtomicBool::default(),
+            ignores_presents: AtomicBool::default(),
+            closes_connections: AtomicBool::default(),
             delay: AtomicUsize::default(),
-            hiccup: Mutex::default(),
-            frozen: Mutex::default(),
-            forgets: AtomicBool::default(),
+            periodic_delay: Mutex::default(),
+            paused_until: Mutex::default(),
+            drops_result_sets: AtomicBool::default(),
             abilities: Mutex::new(vec![
                 Ability::Search,
                 Ability::Present,
@@ -73,19 +73,19 @@
                 Ability::NamedResultSets,
             ]),
             version: Mutex::new("1.2"),
-            lengthless: Mutex::default(),
+            without_length: Mutex::default(),
             no_scan: AtomicBool::default(),
             searches: AtomicUsize::default(),
             presents: AtomicUsize::default(),
-            given: AtomicUsize::default(),
-            open: AtomicUsize::default(),
+            records_sent: AtomicUsize::default(),
+            open_connections: AtomicUsize::default(),
             connections: AtomicUsize::default(),
-            seen: Mutex::default(),
+            received: Mutex::default(),
         }
     }
 }
 
-pub fn on(flag: &AtomicBool, value: bool) {
+pub fn set_flag(flag: &AtomicBool, value: bool) {
     flag.store(value, Ordering::SeqCst);
 }
 
@@ -118,15 +118,15 @@
     }
 }
 
-impl Script {
+impl HostScript {
     /// A host with these titles in each named slice.
-    pub fn with(titles: &[(usize, &[&str])]) -> Arc<Script> {
+    pub fn with(titles: &[(usize, &[&str])]) -> Arc<HostScript> {
         let own = |(slice, titles): &(usize, &[&str])| {
             (*slice, titles.iter().map(|t| (*t).to_owned()).collect())
         };
-        Arc::new(Script {
+        Arc::new(HostScript {
             titles: Mutex::new(titles.iter().map(own).collect()),
-            ..Script::default()
+            ..HostScript::default()
         })
     }
 
@@ -139,8 +139,8 @@
             .unwrap_or_default()
     }
 
-    fn note(&self, what: String) {
-        self.seen.lock().unwrap().push(what);
+    fn record(&self, entry: String) {
+        self.received.lock().unwrap().push(entry);
     }
 
     fn terms(&self, database: &str, seed: &str, number: usize, position: usize) -> Vec<Term> {
@@ -163,18 +163,20 @@
     }
 
     /// Simulates a slow host.
-    fn take_time(&self) {
-        let frozen = *self.frozen.lock().unwrap();
-        if let Some(left) = frozen.and_then(|until| until.checked_duration_since(Instant::now())) {
+    fn apply_delay(&self) {
+        let paused_until = *self.paused_until.lock().unwrap();
+        if let Some(left) =
+            paused_until.and_then(|until| until.checked_duration_since(Instant::now()))
+        {
             thread::sleep(left);
         }
-        let (every, more) = *self.hiccup.lock().unwrap();
-        let hiccup = if every > 0 && count(&self.searches) % every == every - 1 {
-            more
+        let (every, delay) = *self.periodic_delay.lock().unwrap();
+        let extra = if every > 0 && count(&self.searches) % every == every - 1 {
+            delay
         } else {
             0
         };
-        let wait = count(&self.delay) as u64 + hiccup;
+        let wait = count(&self.delay) as u64 + extra;
         if wait > 0 {
             thread::sleep(Duration::from_millis(wait));
         }
@@ -184,13 +186,13 @@
         let script = self.clone();
         accept(move |mut socket| {
             script.connections.fetch_add(1, Ordering::SeqCst);
-            script.open.fetch_add(1, Ordering::SeqCst);
+            script.open_connections.fetch_add(1, Ordering::SeqCst);
             let (mut input, mut sets) = (Vec::new(), BTreeMap::new());
             while let Some(unit) = read_unit(&mut socket, &mut input) {
-                if script.dead.load(Ordering::SeqCst) {
+                if script.closes_connections.load(Ordering::SeqCst) {
                     break;
                 }
-                script.take_time();
+                script.apply_delay();
                 let Some(reply) = script.z3950_reply(&unit, &mut sets) else {
                     continue;
                 };
@@ -198,7 +200,7 @@
                     break;
                 }
             }
-            script.open.fetch_sub(1, Ordering::SeqCst);
+            script.open_connections.fetch_sub(1, Ordering::SeqCst);
         })
     }
 
@@ -210,7 +212,7 @@
         let text = |tag| unit.get(tag).and_then(Item::text).unwrap_or_default();
         let number = |tag| unit.get(tag).and_then(Item::integer).unwrap_or(0) as usize;
         let given = |w: &mut Writer, database: &str, titles: &[String]| {
-            self.given.fetch_add(titles.len(), Ordering::SeqCst);
+            self.records_sent.fetch_add(titles.len(), Ordering::SeqCst);
             let record = |t: &String| {
                 Record::new(xml(t))
                     .to_bytes(Syntax::Xml, Schema::Dc, false)
@@ -232,8 +234,8 @@
                 let database = unit.get(tag::DATABASES)?.items()[0].text()?;
                 let node = rpn::read(unit.get(tag::QUERY)?, 64).unwrap();
                 self.searches.fetch_add(1, Ordering::SeqCst);
-                self.note(format!("{database}: {node}"));
-                if self.deaf.load(Ordering::SeqCst) {
+                self.record(format!("{database}: {node}"));
+                if self.ignores_searches.load(Ordering::SeqCst) {
                     return None;
                 }
                 let name = text(tag::SET_NAME);
@@ -244,7 +246,7 @@
                     .contains(&Ability::NamedResultSets);
                 assert!(
                     named || name == "default",
-                    "a host without named sets was given {name}"
+                    "result set {name} sent to a host without named sets"
                 );
                 let titles = self.titles(&database);
                 let along = number(tag::MEDIUM_SET).min(titles.len());
@@ -269,10 +271,10 @@
             }
             tag::PRESENT_REQUEST => {
                 self.presents.fetch_add(1, Ordering::SeqCst);
-                if self.forgets.load(Ordering::SeqCst) {
+                if self.drops_result_sets.load(Ordering::SeqCst) {
                     sets.clear();
                 }
-                if self.holds.load(Ordering::SeqCst) {
+                if self.ignores_presents.load(Ordering::SeqCst) {
                     return None;
                 }
                 let set = sets.get(&text(tag::SET_ID));
@@ -300,7 +302,7 @@
                     }
                 })
             }
-            other => panic!("a data unit {other}"),
+            other => panic!("unexpected data unit {other}"),
         })
     }
 
@@ -308,19 +310,19 @@
         let script = self.clone();
         accept(move |socket| {
             script.connections.fetch_add(1, Ordering::SeqCst);
-            script.open.fetch_add(1, Ordering::SeqCst);
+            script.open_connections.fetch_add(1, Ordering::SeqCst);
             let mut reader = BufReader::new(socket.try_clone().unwrap());
             let mut socket = socket;
             let mut line = String::new();
             while reader.read_line(&mut line).unwrap_or(0) > 0 {
                 if line.starts_with("GET /") {
-                    script.take_time();
+                    script.apply_delay();
                 }
                 if let Some(target) = line.strip_prefix("GET /")
                     && let Some(body) = script.sru_reply(target.split(' ').next().unwrap())
                 {
-                    let lengthless = *script.lengthless.lock().unwrap();
-                    if let Some(reset) = lengthless {
+                    let without_length = *script.without_length.lock().unwrap();
+                    if let Some(reset) = without_length {
                         let _ =
                             socket.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{body}").as_bytes());
                         let linger = reset.then_some(Duration::ZERO);
@@ -337,28 +339,28 @@
                 }
                 line.clear();
             }
-            script.open.fetch_sub(1, Ordering::SeqCst);
+            script.open_connections.fetch_sub(1, Ordering::SeqCst);
         })
     }
 
     fn sru_reply(&self, target: &str) -> Option<String> {
         let (database, query) = target.split_once('?').unwrap();
-        let given = parameters(query);
-        let number = |name: &str| given.get(name).and_then(|n| n.parse::<usize>().ok());
-        let spoken = *self.version.lock().unwrap();
-        let asked = given.get("version").map_or("2.0", String::as_str);
-        if asked != spoken {
+        let fields = parameters(query);
+        let number = |name: &str| fields.get(name).and_then(|n| n.parse::<usize>().ok());
+        let version = *self.version.lock().unwrap();
+        let requested = fields.get("version").map_or("2.0", String::as_str);
+        if requested != version {
             return Some(format!(
                 "<r xmlns:d=\"x\"><d:diagnostics><d:diagnostic><d:uri>info:srw/diagnostic/1/5</d:uri>\
-                 <d:details>{spoken}</d:details></d:diagnostic></d:diagnostics></r>"
+                 <d:details>{version}</d:details></d:diagnostic></d:diagnostics></r>"
             ));
         }
         if self.silent.load(Ordering::SeqCst) {
-            self.note(format!("{database}: not answered"));
+            self.record(format!("{database}: not answered"));
             self.searches.fetch_add(1, Ordering::SeqCst);
             return None;
         }
-        if let Some(clause) = given.get("scanClause") {
+        if let Some(clause) = fields.get("scanClause") {
             if self.no_scan.load(Ordering::SeqCst) {
                 return Some(
                     "<scanResponse><diagnostics><diagnostic><uri>info:srw/diagnostic/1/4</uri>\
@@ -389,24 +391,24 @@
             ));
         }
         self.searches.fetch_add(1, Ordering::SeqCst);
-        self.note(format!("{database}: {}", given["query"]));
-        if self.deaf.load(Ordering::SeqCst) {
+        self.record(format!("{database}: {}", fields["query"]));
+        if self.ignores_searches.load(Ordering::SeqCst) {
             return None;
         }
         let mut titles = self.titles(database);
-        let sorted = given.contains_key("sortKeys") || given["query"].contains(" sortBy ");
+        let sorted = fields.contains_key("sortKeys") || fields["query"].contains(" sortBy ");
         if sorted {
             titles.sort();
         }
-        let down = given.get("sortKeys").is_some_and(|k| k.contains(",,0"))
-            || given["query"].contains("descending");
+        let down = fields.get("sortKeys").is_some_and(|k| k.contains(",,0"))
+            || fields["query"].contains("descending");
         if sorted && down {
             titles.reverse();
         }
         let start = number("startRecord").unwrap_or(1) - 1;
         let wanted = number("maximumRecords").unwrap_or(10);
         let kept: Vec<&String> = titles.iter().skip(start).take(wanted).collect();
-        self.given.fetch_add(kept.len(), Ordering::SeqCst);
+        self.records_sent.fetch_add(kept.len(), Ordering::SeqCst);
         let records: String = kept
             .iter()
             .map(|t| {
@@ -418,7 +420,7 @@
             .collect();
         Some(format!(
             "<?xml version=\"1.0\"?><s:searchRetrieveResponse xmlns:s=\"http://www.loc.gov/zing/srw/\">\
-             <s:version>{spoken}</s:version><s:numberOfRecords>{}</s:numberOfRecords>\
+             <s:version>{version}</s:version><s:numberOfRecords>{}</s:numberOfRecords>\
              <s:records>{records}</s:records></s:searchRetrieveResponse>",
             titles.len()
         ))
@@ -431,7 +433,7 @@
     pub sru: SocketAddr,
     pub z3950: SocketAddr,
     pub discovery: Discovery,
-    pub scripts: Vec<Arc<Script>>,
+    pub scripts: Vec<Arc<HostScript>>,
     pub hosts: Vec<SocketAddr>,
 }
 
@@ -462,7 +464,7 @@
     /// One host per cell, with further keys in the configuration file.
     pub fn start_with(
         speak: &str,
-        scripts: Vec<Arc<Script>>,
+        scripts: Vec<Arc<HostScript>>,
         settings: Value,
         more: Value,
     ) -> Catalogue {
@@ -497,12 +499,12 @@
             scripts,
             hosts,
         };
-        eventually("listening", || {
+        wait_until("listening", || {
             TcpStream::connect(sru).is_ok()
                 && TcpStream::connect(z3950).is_ok()
-                && catalogue.discovery.watches() == 1
+                && catalogue.discovery.open_watches() == 1
         });
-        eventually("serving", || {
+        wait_until("serving", || {
             catalogue
                 .sru("/comics?query=moon")
                 .starts_with("HTTP/1.1 200")
@@ -528,7 +530,7 @@
         assert_eq!(
             answer.matches("HTTP/1.1 ").count(),
             1,
-            "one final answer: {answer}"
+            "not exactly one response: {answer}"
         );
         answer.replace('\r', "")
     }
@@ -562,25 +564,28 @@
 }
 
 /// A Z39.50 client.
-pub struct Reader {
+pub struct Z3950Client {
     pub socket: TcpStream,
     pub input: Vec<u8>,
 }
 
-impl Reader {
-    pub fn open(address: SocketAddr) -> Reader {
+impl Z3950Client {
+    pub fn open(address: SocketAddr) -> Z3950Client {
         let all: Vec<Ability> = OFFERED
             .iter()
             .copied()
             .filter(|a| !matches!(a, Ability::Level1Segmentation | Ability::Level2Segmentation))
             .collect();
-        let (reader, welcome) = Self::init(address, &all, 1 << 16, |_| {});
-        assert_eq!(welcome.get(tag::RESULT).and_then(Item::boolean), Some(true));
+        let (client, response) = Self::init(address, &all, 1 << 16, |_| {});
         assert_eq!(
-            welcome.get(tag::REFERENCE).map(Item::bytes),
+            response.get(tag::RESULT).and_then(Item::boolean),
+            Some(true)
+        );
+        assert_eq!(
+            response.get(tag::REFERENCE).map(Item::bytes),
             Some(b"ref".to_vec())
         );
-        reader
+        client
     }
 
     pub fn init(
@@ -588,45 +593,45 @@
         abilities: &[Ability],
         size: usize,
         more: impl FnOnce(&mut Writer),
-    ) -> (Reader, Item) {
-        let mut reader = Reader {
+    ) -> (Z3950Client, Item) {
+        let mut client = Z3950Client {
             socket: TcpStream::connect(address).unwrap(),
             input: Vec::new(),
         };
-        reader.socket.set_nodelay(true).unwrap();
-        reader
+        client.socket.set_nodelay(true).unwrap();
+        client
             .socket
             .set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
-        let welcome = reader.ask(z3950::unit(tag::INIT_REQUEST, Some(b"ref"), |w| {
+        let response = client.request(z3950::unit(tag::INIT_REQUEST, Some(b"ref"), |w| {
             init::introduce(w, true, Abilities::of(abilities), size, size);
             more(w);
         }));
-        (reader, welcome)
+        (client, response)
     }
 
-    pub fn ask(&mut self, bytes: Vec<u8>) -> Item {
-        self.say(&bytes);
-        self.hear().expect("an answer")
+    pub fn request(&mut self, bytes: Vec<u8>) -> Item {
+        self.send(&bytes);
+        self.receive().expect("an answer")
     }
 
-    pub fn say(&mut self, bytes: &[u8]) {
+    pub fn send(&mut self, bytes: &[u8]) {
         // Sent in two pieces, as a network may deliver them.
         let (a, b) = bytes.split_at(bytes.len() / 2);
         self.socket.write_all(a).unwrap();
         self.socket.write_all(b).unwrap();
     }
 
-    pub fn hear(&mut self) -> Option<Item> {
+    pub fn receive(&mut self) -> Option<Item> {
         read_unit(&mut self.socket, &mut self.input)
     }
 
     pub fn search(&mut self, database: &str, query: &str, small: i64) -> String {
-        say(&self.ask(search_unit(None, "default", database, query, small)))
+        describe(&self.request(search_unit(None, "default", database, query, small)))
     }
 
     pub fn present(&mut self, start: i64, count: i64) -> String {
-        say(&self.ask(present_unit(None, "default", start, count)))
+        describe(&self.request(present_unit(None, "default", start, count)))
     }
 }
 
@@ -670,7 +675,7 @@
 }
 
 /// Summary of a response as text.
-pub fn say(unit: &Item) -> String {
+pub fn describe(unit: &Item) -> String {
     let number = |tag| unit.get(tag).and_then(Item::integer);
     let mut words = vec![format!("unit {}", unit.tag)];
     let named = [
--- a/bitternsill/tests/conform.rs
+++ b/bitternsill/tests/conform.rs
@@ -44,20 +44,23 @@
 }
 
 /// Three slices with four titles each, so that pages span slices.
-fn shelves() -> Vec<Arc<Script>> {
+fn hosts_with_titles() -> Vec<Arc<HostScript>> {
     let titles = [
         ["ant", "dog", "gnu", "jay"],
         ["bee", "elk", "hen", "kid"],
         ["cat", "fox", "ibex", "lynx"],
     ];
-    (0..3).map(|n| Script::with(&[(n, &titles[n])])).collect()
+    (0..3)
+        .map(|n| HostScript::with(&[(n, &titles[n])]))
+        .collect()
 }
 
 /// No case may be skipped or fail.
 #[test]
-fn the_program_conforms_over_hosts_of_either_protocol() {
+fn program_conforms_over_hosts_of_either_protocol() {
     for speak in ["sru", "z3950"] {
-        let catalogue = Catalogue::start_with(speak, shelves(), catalogue_settings(1), json!({}));
+        let catalogue =
+            Catalogue::start_with(speak, hosts_with_titles(), catalogue_settings(1), json!({}));
         for (protocol, address, least) in
             [("sru", catalogue.sru, 65), ("z3950", catalogue.z3950, 63)]
         {
@@ -79,8 +82,8 @@
 
 /// The suite must detect a server that reports no faults and pages arbitrarily.
 #[test]
-fn a_server_that_breaks_the_clauses_fails_the_suite() {
-    let host = Script::with(&[(0, &["gnu", "ant", "dog"])]);
+fn suite_fails_nonconforming_servers() {
+    let host = HostScript::with(&[(0, &["gnu", "ant", "dog"])]);
     *host.version.lock().unwrap() = "1.1";
     let (code, report) = conform("sru", host.sru(), "comics-0", 150);
     assert_eq!(code, Some(1));
--- a/bitternsill/tests/contract.rs
+++ b/bitternsill/tests/contract.rs
@@ -20,7 +20,7 @@
 /// the connection.
 struct Host {
     address: SocketAddr,
-    seen: Arc<Mutex<Vec<Frame>>>,
+    received: Arc<Mutex<Vec<Frame>>>,
     /// End time of each connection.
     ended: Arc<Mutex<Vec<Instant>>>,
 }
@@ -40,10 +40,10 @@
         let end = rest
             .iter()
             .position(|b| *b == b'\n')
-            .expect("a line that ends in LF");
+            .expect("no LF after the part line");
         let line = std::str::from_utf8(&rest[..end]).unwrap();
         let words: Vec<&str> = line.split(' ').collect();
-        assert_eq!(words.len(), 4, "ID SHARD LIST LENGTH, and not {line}");
+        assert_eq!(words.len(), 4, "expected ID SHARD LIST LENGTH, got {line}");
         let list = words[2]
             .split(',')
             .map(|item| item.split_once('=').expect("a name and a value"));
@@ -62,10 +62,10 @@
 }
 
 impl Host {
-    fn start(say: impl Fn(u8, &[u8]) -> Option<Vec<u8>> + Send + Sync + 'static) -> Host {
-        let seen: Arc<Mutex<Vec<Frame>>> = Arc::default();
+    fn start(reply: impl Fn(u8, &[u8]) -> Option<Vec<u8>> + Send + Sync + 'static) -> Host {
+        let received: Arc<Mutex<Vec<Frame>>> = Arc::default();
         let ended: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let (log, ends, connections) = (seen.clone(), ended.clone(), AtomicUsize::new(0));
+        let (log, ends, connections) = (received.clone(), ended.clone(), AtomicUsize::new(0));
         let address = accept(move |mut socket| {
             let connection = connections.fetch_add(1, Ordering::SeqCst) as u32;
             let mut length = [0; 4];
@@ -74,7 +74,7 @@
                 socket.read_exact(&mut body).unwrap();
                 let letter = body.remove(0);
                 log.lock().unwrap().push((connection, letter, body.clone()));
-                match say(letter, &body) {
+                match reply(letter, &body) {
                     Some(bytes) => socket.write_all(&bytes).unwrap(),
                     None => break,
                 }
@@ -83,16 +83,16 @@
         });
         Host {
             address,
-            seen,
+            received,
             ended,
         }
     }
 
     /// Answers each part of a call with this end, and all other frames with nothing.
-    fn ending(end: &'static str) -> Host {
+    fn answering(end: &'static str) -> Host {
         Host::start(move |letter, rest| {
             Some(if letter == b'm' {
-                answers(rest, end)
+                answer_frames(rest, end)
             } else {
                 Vec::new()
             })
@@ -100,8 +100,9 @@
     }
 
     fn frames(&self, wanted: u8) -> Vec<Vec<u8>> {
-        let seen = self.seen.lock().unwrap();
-        seen.iter()
+        let received = self.received.lock().unwrap();
+        received
+            .iter()
             .filter(|(_, letter, _)| *letter == wanted)
             .map(|(.., rest)| rest.clone())
             .collect()
@@ -116,7 +117,7 @@
 }
 
 /// Frames that answer the parts of a call in reverse order.
-fn answers(call: &[u8], end: &str) -> Vec<u8> {
+fn answer_frames(call: &[u8], end: &str) -> Vec<u8> {
     let line = |part: &Part| {
         let value = if end == "good" {
             format!("é\"{}\"\n", part.id)
@@ -133,7 +134,7 @@
 
 /// One set without overlap and ten shards; three classes: partial answers, idempotency key, and not
 /// idempotent.
-fn small() -> Value {
+fn contract_settings() -> Value {
     let mut settings = settings();
     let classes = [
         ("rank", "read_like"),
@@ -167,7 +168,7 @@
             "known": null, "settings": settings
         });
         let program = Program::start("--config", &config);
-        eventually("ready", || {
+        wait_until("ready", || {
             TcpStream::connect(address).is_ok_and(|mut socket| {
                 socket
                     .write_all(b"GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
@@ -181,7 +182,7 @@
         }
     }
 
-    fn before(settings: &Value, hosts: &[&Host]) -> Deployment {
+    fn with_hosts(settings: &Value, hosts: &[&Host]) -> Deployment {
         let entry = |(at, host): (usize, &&Host)| entry(&format!("s-{at}"), host.address, "active");
         Self::start(
             settings,
@@ -190,7 +191,7 @@
     }
 
     /// Sends a query with these headers for these shards in equal portions.
-    fn ask(&self, headers: &str, shards: &[u32]) -> String {
+    fn send_query(&self, headers: &str, shards: &[u32]) -> String {
         let portion = 1.0 / shards.len() as f64;
         let ranges: Vec<Value> = shards
             .iter()
@@ -224,22 +225,22 @@
 }
 
 /// The `d` of the first part whose id has this prefix, in milliseconds.
-fn allowed(host: &Host, id: &str) -> u64 {
+fn sent_budget_ms(host: &Host, id: &str) -> u64 {
     host.parts()
         .iter()
         .find(|part| part.id.starts_with(id))
-        .expect("it was sent")
+        .expect("part not sent")
         .list["d"]
         .parse()
         .unwrap()
 }
 
 #[test]
-fn each_field_of_a_query_reaches_its_index_host_and_each_of_an_answer_its_client() {
-    let host = Host::ending("good");
-    let deployment = Deployment::before(&small(), &[&host]);
+fn query_and_answer_fields_are_passed_on() {
+    let host = Host::answering("good");
+    let deployment = Deployment::with_hosts(&contract_settings(), &[&host]);
     let shards: Vec<u32> = (0..10).collect();
-    let answer = deployment.ask(
+    let answer = deployment.send_query(
         &headers("9b1f03aa", "entry", "Idempotency-Key: 5c0f6e1a\r\n"),
         &shards,
     );
@@ -255,17 +256,17 @@
     assert_eq!(
         seen.iter().map(|part| part.shard).collect::<Vec<_>>(),
         shards,
-        "each part once"
+        "not every part exactly once"
     );
     for part in &seen {
         assert_eq!(part.id, format!("9b1f03aa.{}", part.shard));
-        assert_eq!(part.text, TEXT.as_bytes(), "the query's text unchanged");
+        assert_eq!(part.text, TEXT.as_bytes(), "query text changed");
         assert_eq!(part.list.keys().collect::<Vec<_>>(), ["d", "k"]);
         assert_eq!(part.list["k"], "5c0f6e1a");
         let until: u64 = part.list["d"].parse().unwrap();
         assert!(
             (1..=1500).contains(&until),
-            "no longer than the client waits: {until}"
+            "more than the client's budget: {until}"
         );
     }
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
@@ -279,13 +280,13 @@
         assert_eq!(
             value.unwrap()["blob"],
             format!("é\"9b1f03aa.{shard}\"\n"),
-            "as the index host gave it"
+            "value changed"
         );
     }
     // A class without a key sends none.
     assert!(
         deployment
-            .ask(&headers("plain", "rank", ""), &[3])
+            .send_query(&headers("plain", "rank", ""), &[3])
             .starts_with("HTTP/1.1 200")
     );
     let last = host.parts().pop().unwrap();
@@ -297,16 +298,16 @@
 
 /// Guards against a full new budget for a request that has waited behind another on its connection.
 #[test]
-fn a_request_behind_another_one_tells_its_index_host_only_what_its_client_has_left() {
-    // The first query is never answered and runs to its deadline: the wait before the last of at
-    // most two attempts, or the client's budget.
-    let say = |letter: u8, rest: &[u8]| match letter {
+fn pipelined_request_sends_remaining_budget() {
+    // The first query is never answered and fails after at most two attempts, when its client's
+    // budget runs out.
+    let reply = |letter: u8, rest: &[u8]| match letter {
         b'm' if rest.starts_with(b"held") => Some(Vec::new()),
-        b'm' => Some(answers(rest, "good")),
+        b'm' => Some(answer_frames(rest, "good")),
         _ => Some(Vec::new()),
     };
-    let host = Host::start(say);
-    let deployment = Deployment::before(&small(), &[&host]);
+    let host = Host::start(reply);
+    let deployment = Deployment::with_hosts(&contract_settings(), &[&host]);
     let request = |id: &str, budget: &str| query(id, "rank", &[0], "").replace("3.0", budget);
     let mut socket = TcpStream::connect(deployment.address).unwrap();
     socket
@@ -318,29 +319,29 @@
     assert!(read_response(&mut socket).starts_with("HTTP/1.1 5"));
     let waited = start.elapsed().as_millis() as u64;
     assert!(read_response(&mut socket).starts_with("HTTP/1.1 200"));
-    let told = allowed(&host, "behind");
+    let budget = sent_budget_ms(&host, "behind");
     assert!(
-        waited >= 400 && told + waited <= 1250,
-        "{told} ms told after {waited} of 1200"
+        waited >= 400 && budget + waited <= 1250,
+        "budget of {budget} ms sent after {waited} of 1200 ms"
     );
 }
 
 #[test]
-fn each_end_of_a_part_has_the_outcome_that_the_page_gives_it_and_the_attempts_it_allows() {
+fn part_ends_map_to_outcomes_and_attempts() {
     // The end of the part and whether it may have run; "r" is an `r` frame and "" the end of the
     // connection.
     let ends: [(&str, bool); 4] = [("bad", true), ("later", false), ("r", true), ("", true)];
     for (end, may_have_run) in ends {
-        let say = move |letter: u8, rest: &[u8]| match (letter, end) {
+        let reply = move |letter: u8, rest: &[u8]| match (letter, end) {
             (b'm', "r") => Some(frame(b'r', b"that could not be used")),
             (b'm', "") => None,
-            (b'm', end) => Some(answers(rest, end)),
+            (b'm', end) => Some(answer_frames(rest, end)),
             _ => Some(Vec::new()),
         };
-        let mut settings = small();
+        let mut settings = contract_settings();
         settings["limits"]["max_attempts"] = 2.into();
-        let hosts: Vec<Host> = (0..4).map(|_| Host::start(say)).collect();
-        let deployment = Deployment::before(&settings, &hosts.iter().collect::<Vec<_>>());
+        let hosts: Vec<Host> = (0..4).map(|_| Host::start(reply)).collect();
+        let deployment = Deployment::with_hosts(&settings, &hosts.iter().collect::<Vec<_>>());
         let attempts = |id: &str| -> Vec<Part> {
             hosts
                 .iter()
@@ -348,7 +349,8 @@
                 .filter(|part| part.id == id)
                 .collect()
         };
-        let keyed = deployment.ask(&headers("keyed", "entry", "Idempotency-Key: k7\r\n"), &[1]);
+        let keyed =
+            deployment.send_query(&headers("keyed", "entry", "Idempotency-Key: k7\r\n"), &[1]);
         assert!(keyed.starts_with("HTTP/1.1 503"), "{end}: {keyed}");
         let sent = attempts("keyed.1");
         assert!(
@@ -358,9 +360,9 @@
         );
         assert!(
             sent.iter().all(|part| part.list["k"] == "k7"),
-            "{end}: a repeat keeps its key"
+            "{end}: retry without its key"
         );
-        let once = deployment.ask(&headers("once", "stamp", ""), &[1]);
+        let once = deployment.send_query(&headers("once", "stamp", ""), &[1]);
         let sent = attempts("once.1").len();
         if may_have_run {
             // A retry would not be harmless, so the query fails without one.
@@ -378,34 +380,37 @@
 }
 
 #[test]
-fn what_the_settings_leave_out_is_not_used_and_what_they_name_is() {
+fn optional_features_follow_settings() {
     // `Retry-After` depends on this setting only, not on the longest time allowed for it.
-    for told in [true, false] {
-        let mut settings = small();
-        settings["limits"]["retry_after"] = told.into();
+    for retry_after in [true, false] {
+        let mut settings = contract_settings();
+        settings["limits"]["retry_after"] = retry_after.into();
         settings["limits"]["max_retry_after"] = 1_000_000_000u64.into();
-        let host = Host::ending("later");
-        let deployment = Deployment::before(&settings, &[&host]);
-        let answer = deployment.ask(&headers("q", "rank", ""), &[0]);
+        let host = Host::answering("later");
+        let deployment = Deployment::with_hosts(&settings, &[&host]);
+        let answer = deployment.send_query(&headers("q", "rank", ""), &[0]);
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-        assert_eq!(answer.contains("Retry-After: "), told, "{answer}");
+        assert_eq!(answer.contains("Retry-After: "), retry_after, "{answer}");
     }
     // A marked retry gets a smaller share of the time than a first attempt.
-    let mut marking = small();
+    let mut marking = contract_settings();
     marking["clients"] = json!({"marks_retry": true});
-    let host = Host::ending("good");
-    let deployment = Deployment::before(&marking, &[&host]);
-    deployment.ask(&headers("first", "rank", ""), &[0]);
-    deployment.ask(&headers("again", "rank", "X-Again: 1\r\n"), &[0]);
-    let (first, again) = (allowed(&host, "first"), allowed(&host, "again"));
+    let host = Host::answering("good");
+    let deployment = Deployment::with_hosts(&marking, &[&host]);
+    deployment.send_query(&headers("first", "rank", ""), &[0]);
+    deployment.send_query(&headers("again", "rank", "X-Again: 1\r\n"), &[0]);
+    let (first, again) = (
+        sent_budget_ms(&host, "first"),
+        sent_budget_ms(&host, "again"),
+    );
     assert!(again + 200 < first, "{first} ms, then {again} ms");
     // Cancellations are sent only if the settings allow them; the connection stays open in either
     // case.
     for cancels in [true, false] {
-        let mut settings = small();
+        let mut settings = contract_settings();
         settings["limits"]["cancel"] = cancels.into();
         let host = Host::start(|_, _| Some(Vec::new()));
-        let deployment = Deployment::before(&settings, &[&host]);
+        let deployment = Deployment::with_hosts(&settings, &[&host]);
         let mut socket = TcpStream::connect(deployment.address).unwrap();
         socket
             .write_all(
@@ -414,38 +419,39 @@
                     .as_bytes(),
             )
             .unwrap();
-        eventually("it is sent", || !host.frames(b'm').is_empty());
+        wait_until("part sent", || !host.frames(b'm').is_empty());
         drop(socket);
         assert!(
             deployment
-                .ask(&headers("next", "rank", "").replace("1.500", "0.600"), &[0])
+                .send_query(&headers("next", "rank", "").replace("1.500", "0.600"), &[0])
                 .contains(" 503")
         );
-        let given_up = host.frames(b'n').iter().any(|rest| rest == b"gone.0");
-        assert_eq!(given_up, cancels, "{:?}", host.seen.lock().unwrap());
+        let cancelled = host.frames(b'n').iter().any(|rest| rest == b"gone.0");
+        assert_eq!(cancelled, cancels, "{:?}", host.received.lock().unwrap());
     }
 }
 
 #[test]
-fn a_connection_carries_no_more_than_the_settings_say_and_is_closed_before_its_host_does_it() {
-    let mut settings = small();
+fn host_connections_respect_stream_and_idle_limits() {
+    let mut settings = contract_settings();
     settings["limits"]["streams_per_conn"] = 8.into();
     settings["limits"]["conn_idle"] = 2_000_000_000u64.into();
     // Only the first part is answered: for a query of this many parts, one is sent ahead.
-    let met = AtomicUsize::new(0);
+    let calls = AtomicUsize::new(0);
     let host = Host::start(move |letter, rest| {
-        let first = letter == b'm' && met.fetch_add(1, Ordering::SeqCst) == 0;
+        let first = letter == b'm' && calls.fetch_add(1, Ordering::SeqCst) == 0;
         Some(if first {
-            answers(rest, "good")
+            answer_frames(rest, "good")
         } else {
             Vec::new()
         })
     });
-    let deployment = Deployment::before(&settings, &[&host]);
-    let answer = deployment.ask(&headers("wide", "rank", ""), &(0..10).collect::<Vec<u32>>());
+    let deployment = Deployment::with_hosts(&settings, &[&host]);
+    let answer =
+        deployment.send_query(&headers("wide", "rank", ""), &(0..10).collect::<Vec<u32>>());
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     let mut by_connection: BTreeMap<u32, usize> = BTreeMap::new();
-    for (connection, letter, rest) in host.seen.lock().unwrap().iter() {
+    for (connection, letter, rest) in host.received.lock().unwrap().iter() {
         *by_connection.entry(*connection).or_default() += if *letter == b'm' {
             parts(rest).len()
         } else {
@@ -459,11 +465,11 @@
     );
     assert!(
         by_connection.values().sum::<usize>() > 8,
-        "more than the first was sent: {by_connection:?}"
+        "only the first part was sent: {by_connection:?}"
     );
     // A part written after the host's own idle limit would meet a reset.
     let last = Instant::now();
-    eventually("the idle ones are closed", || {
+    wait_until("idle connections closed", || {
         host.ended.lock().unwrap().len() == by_connection.len()
     });
     assert!(
@@ -474,8 +480,8 @@
 }
 
 #[test]
-fn a_watch_names_the_version_that_is_known_and_each_state_and_endpoint_is_taken_at_its_word() {
-    let hosts: Vec<Host> = (0..3).map(|_| Host::ending("good")).collect();
+fn watch_sends_known_revision_and_applies_changes() {
+    let hosts: Vec<Host> = (0..3).map(|_| Host::answering("good")).collect();
     let calls: Arc<Mutex<Vec<String>>> = Arc::default();
     let lines: Arc<Mutex<Vec<(u64, String)>>> = Arc::default();
     let change = |rev: u64, all: bool, targets: Vec<Value>| {
@@ -489,13 +495,13 @@
         true,
         vec![entry("s-0", hosts[0].address, "active")],
     )];
-    let (asked, told) = (calls.clone(), lines.clone());
+    let (requests, updates) = (calls.clone(), lines.clone());
     let discovery = accept(move |socket| {
         let mut line = String::new();
         BufReader::new(socket.try_clone().unwrap())
             .read_line(&mut line)
             .unwrap();
-        asked.lock().unwrap().push(line);
+        requests.lock().unwrap().push(line);
         let mut socket = socket;
         socket
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -503,10 +509,10 @@
         // Sends each line once, with an empty line in between; "end" closes the watch.
         let mut at = 0;
         loop {
-            let next = told.lock().unwrap().get(at).cloned();
+            let next = updates.lock().unwrap().get(at).cloned();
             let text = next.map(|(_, text)| text).unwrap_or_default();
             if text == "end" {
-                told.lock().unwrap().clear();
+                updates.lock().unwrap().clear();
                 return;
             }
             at += usize::from(!text.is_empty());
@@ -516,42 +522,43 @@
             std::thread::sleep(Duration::from_millis(20));
         }
     });
-    let deployment = Deployment::start(&small(), discovery);
+    let deployment = Deployment::start(&contract_settings(), discovery);
     let number = AtomicUsize::new(0);
     // The host that got the part of the next query, if any, and whether the query was served.
     let reached = || {
         let before: Vec<usize> = hosts.iter().map(|host| host.parts().len()).collect();
         let id = format!("q{}", number.fetch_add(1, Ordering::SeqCst));
-        let answer = deployment.ask(&headers(&id, "rank", "").replace("1.500", "0.300"), &[4]);
+        let answer =
+            deployment.send_query(&headers(&id, "rank", "").replace("1.500", "0.300"), &[4]);
         let at = hosts
             .iter()
             .zip(&before)
             .position(|(host, before)| host.parts().len() > *before);
         (answer.starts_with("HTTP/1.1 200"), at)
     };
-    let tell = |rev, targets| lines.lock().unwrap().push(change(rev, false, targets));
+    let publish = |rev, targets| lines.lock().unwrap().push(change(rev, false, targets));
     assert_eq!(reached(), (true, Some(0)));
     // The host has a new address, which now gets all parts.
-    tell(43, vec![entry("s-0", hosts[1].address, "active")]);
-    eventually("its new address is known", || reached() == (true, Some(1)));
+    publish(43, vec![entry("s-0", hosts[1].address, "active")]);
+    wait_until("new address in use", || reached() == (true, Some(1)));
     // The removal of an unknown host is ignored; another host is added.
-    tell(
+    publish(
         44,
         vec![
             entry("s-9", hosts[0].address, "left"),
             entry("s-2", hosts[2].address, "active"),
         ],
     );
-    eventually("the other is known", || reached() == (true, Some(2)));
-    tell(45, vec![entry("s-0", hosts[1].address, "left")]);
+    wait_until("new host in use", || reached() == (true, Some(2)));
+    publish(45, vec![entry("s-0", hosts[1].address, "left")]);
     let none_to_it = || (0..6).all(|_| reached() == (true, Some(2)));
-    eventually("the one that left gets nothing", none_to_it);
-    tell(46, vec![entry("s-2", hosts[2].address, "leaving")]);
-    eventually("one that leaves takes nothing new", || {
+    wait_until("removed host gets no parts", none_to_it);
+    publish(46, vec![entry("s-2", hosts[2].address, "leaving")]);
+    wait_until("leaving host gets no new parts", || {
         reached() == (false, None)
     });
     lines.lock().unwrap().push((0, "end".to_owned()));
-    eventually("a second watch", || calls.lock().unwrap().len() == 2);
+    wait_until("a second watch", || calls.lock().unwrap().len() == 2);
     let calls = calls.lock().unwrap();
     assert!(
         calls[0].starts_with("GET /catalog/members?stream=1"),
--- a/bitternsill/tests/core.rs
+++ b/bitternsill/tests/core.rs
@@ -11,30 +11,30 @@
 
 /// An action of the core.
 #[derive(Debug, Clone, PartialEq)]
-enum Did {
+enum PortCall {
     Answered(u64, Answer),
     Called(ServerId, Vec<(String, AttemptId)>),
-    GaveUp(AttemptId),
+    Cancelled(AttemptId),
 }
 
 #[derive(Default)]
-struct Ports(Vec<Did>);
+struct Ports(Vec<PortCall>);
 
 impl Clients for Ports {
     fn answer(&mut self, caller: Caller, answer: Answer) {
-        self.0.push(Did::Answered(caller.connection, answer));
+        self.0.push(PortCall::Answered(caller.connection, answer));
     }
 }
 
 impl Hosts for Ports {
     fn call(&mut self, host: ServerId, parts: Vec<Outgoing>) {
-        self.0.push(Did::Called(
+        self.0.push(PortCall::Called(
             host,
             parts.into_iter().map(|part| (part.name, part.id)).collect(),
         ));
     }
     fn cancel(&mut self, _host: ServerId, attempt: AttemptId) {
-        self.0.push(Did::GaveUp(attempt));
+        self.0.push(PortCall::Cancelled(attempt));
     }
     fn probe(&mut self, _host: ServerId) {}
     fn close_idle(&mut self, _host: ServerId) {}
@@ -85,8 +85,8 @@
     core
 }
 
-fn ask(core: &mut Core, now: Time, shards: &[u32]) {
-    let ask = QueryRequest {
+fn submit_query(core: &mut Core, now: Time, shards: &[u32]) {
+    let request = QueryRequest {
         caller: Caller::only(1),
         name: "q".into(),
         class: 0,
@@ -100,19 +100,19 @@
             .map(|shard| (*shard, 1.0 / shards.len() as f64))
             .collect(),
     };
-    core.submit(ask, now).unwrap();
+    core.submit(request, now).unwrap();
 }
 
-fn turn(core: &mut Core, now: Time) -> Vec<Did> {
+fn turn(core: &mut Core, now: Time) -> Vec<PortCall> {
     let mut ports = Ports::default();
     core.turn(now, &mut ports);
     ports.0
 }
 
 /// All attempts in the calls.
-fn sent(did: &[Did]) -> Vec<AttemptId> {
-    let parts = did.iter().filter_map(|did| {
-        if let Did::Called(_, parts) = did {
+fn sent(calls: &[PortCall]) -> Vec<AttemptId> {
+    let parts = calls.iter().filter_map(|call| {
+        if let PortCall::Called(_, parts) = call {
             Some(parts)
         } else {
             None
@@ -124,9 +124,9 @@
 /// Guards against a part that is written after its query was rejected. This happened when one part
 /// was retried in the same turn in which another part, out of attempts, ended the query.
 #[test]
-fn what_a_turn_sends_and_calls_off_is_not_sent_after_the_final_answer() {
+fn attempt_cancelled_in_its_turn_is_not_sent() {
     let (mut core, mut now) = (core(), 10_000 * MS);
-    ask(&mut core, now, &[0, 1, 2]);
+    submit_query(&mut core, now, &[0, 1, 2]);
     // For a query of this many parts, one is sent ahead; the others follow once it is served.
     let ahead = sent(&turn(&mut core, now));
     assert_eq!(ahead.len(), 1);
@@ -155,34 +155,34 @@
     now += 6 * MS;
     core.attempt_ended(again[0], Outcome::ConnectFailed, now);
     core.attempt_ended(both[1], Outcome::ConnectFailed, now);
-    let did = turn(&mut core, now);
+    let calls = turn(&mut core, now);
     // A link writes its queue at the next action, so it must be given the cancellation first.
-    let given_up = Did::GaveUp(AttemptId {
+    let cancelled = PortCall::Cancelled(AttemptId {
         number: 1,
         ..both[1]
     });
     assert_eq!(
-        did,
+        calls,
         [
-            given_up,
-            Did::Answered(1, Answer::Rejected { retry_after: 0 })
+            cancelled,
+            PortCall::Answered(1, Answer::Rejected { retry_after: 0 })
         ],
-        "and nothing is sent"
+        "attempt sent after its cancellation"
     );
 }
 
 /// Guards against parts that were queued for a host at shutdown and written after the final answer.
 #[test]
-fn at_the_end_all_that_is_out_is_given_up_before_it_is_answered() {
+fn shutdown_cancels_attempts_before_answering() {
     let (mut core, now) = (core(), 10_000 * MS);
-    ask(&mut core, now, &[0]);
+    submit_query(&mut core, now, &[0]);
     let out = sent(&turn(&mut core, now));
     assert_eq!(out.len(), 1);
     let mut ports = Ports::default();
     core.fail_all(&mut ports);
-    assert_eq!(ports.0[0], Did::GaveUp(out[0]));
+    assert_eq!(ports.0[0], PortCall::Cancelled(out[0]));
     assert!(
-        matches!(ports.0[1], Did::Answered(1, Answer::Failed(_))),
+        matches!(ports.0[1], PortCall::Answered(1, Answer::Failed(_))),
         "{:?}",
         ports.0
     );
--- a/bitternsill/tests/fleet_audit.rs
+++ b/bitternsill/tests/fleet_audit.rs
@@ -36,23 +36,23 @@
 #[test]
 fn full_disk_costs_no_query_and_is_reported() {
     let full = folder("full").join("full");
-    let mut set = setup();
-    set.versions.as_mut().unwrap()["test_full_while"] = json!(full);
-    let fleet = Fleet::with("trail-full", 3, set);
-    eventually("all are current", || current(&fleet));
+    let mut options = options_with_versions();
+    options.versions.as_mut().unwrap()["test_full_while"] = json!(full);
+    let fleet = Fleet::with("trail-full", 3, options);
+    wait_until("all are current", || all_current(&fleet));
     std::fs::write(&full, "").unwrap();
-    *fleet.asked.lock().unwrap() = Asked::default();
+    *fleet.query_counts.lock().unwrap() = QueryCounts::default();
     let log = |at: usize| std::fs::read_to_string(fleet.files[at].with_extension("log")).unwrap();
-    eventually("each has said so", || {
+    wait_until("every gatherer has logged the failure", || {
         (0..3).all(|at| log(at).contains("the trail cannot be written"))
     });
-    eventually("queries are answered all the while", || {
-        fleet.asked.lock().unwrap().whole > 100
+    wait_until("queries served", || {
+        fleet.query_counts.lock().unwrap().complete > 100
     });
-    let asked = *fleet.asked.lock().unwrap();
-    assert_eq!((asked.refused, asked.closed), (0, 0), "{asked:?}");
+    let counts = *fleet.query_counts.lock().unwrap();
+    assert_eq!((counts.rejected, counts.closed), (0, 0), "{counts:?}");
     std::fs::remove_file(&full).unwrap();
-    eventually("the audit says what is not known", || {
+    wait_until("audit reports missing entries", || {
         let (text, sound) = audit(&fleet);
         !sound && text.matches("entries could not be written").count() == 3
     });
@@ -62,12 +62,12 @@
 /// loss of the gatherer's disk, collected entries are still known and later ones are not.
 #[test]
 fn killed_collection_continues_and_outlives_the_disk() {
-    let mut set = setup();
-    set.versions.as_mut().unwrap()["note_ms"] = json!(100);
-    let mut fleet = Fleet::with("collect", 3, set);
-    eventually("all are current", || current(&fleet));
-    eventually("a long trail", || {
-        std::fs::metadata(fleet.trail(1).join("g1.000000.trail"))
+    let mut options = options_with_versions();
+    options.versions.as_mut().unwrap()["note_ms"] = json!(100);
+    let mut fleet = Fleet::with("collect", 3, options);
+    wait_until("all are current", || all_current(&fleet));
+    wait_until("long audit log", || {
+        std::fs::metadata(fleet.audit_folder(1).join("g1.000000.trail"))
             .unwrap()
             .len()
             > 50_000
@@ -83,11 +83,14 @@
         .stdout(std::process::Stdio::null())
         .spawn()
         .unwrap();
-    eventually("a piece was kept", || bytes_in(&kept) > 0);
+    wait_until("chunk stored", || bytes_in(&kept) > 0);
     collector.kill().unwrap();
     collector.wait().unwrap();
     let before = bytes_in(&kept);
-    assert!(before < 50_000, "it was killed in the middle: {before}");
+    assert!(
+        before < 50_000,
+        "collection was complete before the kill: {before} bytes"
+    );
     assert!(serves(&fleet, 1, "page"));
     let words = [
         "audit",
@@ -96,24 +99,24 @@
         "--keep",
         kept.to_str().unwrap(),
     ];
-    let (text, sound) = fleet.call(&words, &[0, 1, 2]);
+    let (text, sound) = fleet.run_command(&words, &[0, 1, 2]);
     assert!(sound, "{text}");
     assert!(bytes_in(&kept) > 50_000);
     // The loss of the disk takes all entries.
     let one = BTreeSet::from([1]);
-    fleet.befall(&Fault::PowerOff(one.clone()));
-    std::fs::remove_dir_all(fleet.trail(1)).unwrap();
-    fleet.befall(&Fault::PowerOn(one));
-    eventually("all are current", || current(&fleet));
-    eventually("it serves", || serves(&fleet, 1, "page"));
+    fleet.inject(&Fault::PowerOff(one.clone()));
+    std::fs::remove_dir_all(fleet.audit_folder(1)).unwrap();
+    fleet.inject(&Fault::PowerOn(one));
+    wait_until("all are current", || all_current(&fleet));
+    wait_until("serving", || serves(&fleet, 1, "page"));
     // A query is recorded a moment after its response, so the audit waits for the entry.
-    eventually("its second life has noted a query", || {
-        std::fs::read_to_string(fleet.trail(1).join("g1.000000.trail"))
+    wait_until("query recorded after the restart", || {
+        std::fs::read_to_string(fleet.audit_folder(1).join("g1.000000.trail"))
             .unwrap()
             .contains("\"acts\":")
     });
-    let (text, _) = fleet.call(&words, &[0, 1, 2]);
-    let own = text
+    let (text, _) = fleet.run_command(&words, &[0, 1, 2]);
+    let report = text
         .split("\ng1")
         .nth(1)
         .and_then(|rest| rest.split("\ng2").next())
@@ -121,14 +124,14 @@
     // The store may or may not have been told of entries after the collection; the last actions had
     // not been recorded.
     assert!(
-        own.contains("NOT KNOWN") || own.contains("gap: life"),
+        report.contains("NOT KNOWN") || report.contains("gap: life"),
         "{text}"
     );
     assert!(
-        own.matches("version 0 from").count() >= 2,
-        "both lives: {text}"
+        report.matches("version 0 from").count() >= 2,
+        "not both starts reported: {text}"
     );
-    let (text, _) = fleet.call(&words[..3], &[0, 1, 2]);
+    let (text, _) = fleet.run_command(&words[..3], &[0, 1, 2]);
     assert!(
         text.contains("an earlier trail that the store was told of is gone"),
         "{text}"
@@ -139,31 +142,31 @@
 /// gives the reason.
 #[test]
 fn earlier_process_of_a_name_rejects_clients() {
-    let mut set = setup();
-    set.named_as = BTreeMap::from([(2, 1)]);
-    let mut fleet = Fleet::with("namesakes", 3, set);
-    let both = |fleet: &Fleet| [1, 2].map(|at| version(fleet, at)["displaced"] == true);
-    eventually("one of the two is displaced", || {
+    let mut options = options_with_versions();
+    options.named_as = BTreeMap::from([(2, 1)]);
+    let mut fleet = Fleet::with("namesakes", 3, options);
+    let both = |fleet: &Fleet| [1, 2].map(|at| version_status(fleet, at)["displaced"] == true);
+    wait_until("one of the two displaced", || {
         let both = both(&fleet);
         both[0] != both[1]
     });
     let [first, _] = both(&fleet);
-    let (out, on) = if first { (1, 2) } else { (2, 1) };
-    eventually("the other serves", || serves(&fleet, on, "page"));
-    assert!(!serves(&fleet, out, "page"));
+    let (displaced, serving) = if first { (1, 2) } else { (2, 1) };
+    wait_until("other gatherer serving", || serves(&fleet, serving, "page"));
+    assert!(!serves(&fleet, displaced, "page"));
     // A restarted process takes the name back.
-    let one = BTreeSet::from([out]);
-    fleet.befall(&Fault::PowerOff(one.clone()));
-    fleet.befall(&Fault::PowerOn(one));
-    eventually("they have changed places", || {
-        serves(&fleet, out, "page") && !serves(&fleet, on, "page")
+    let one = BTreeSet::from([displaced]);
+    fleet.inject(&Fault::PowerOff(one.clone()));
+    fleet.inject(&Fault::PowerOn(one));
+    wait_until("roles exchanged", || {
+        serves(&fleet, displaced, "page") && !serves(&fleet, serving, "page")
     });
 }
 
 /// Gatherers reject a document of a later format, as a newer program would write it, and say why.
 #[test]
 fn rejects_document_of_later_format() {
-    let (fleet, ..) = with_a_version("later");
+    let (fleet, ..) = fleet_with_first_version("later");
     let client = Client {
         addresses: fleet.stores.clone(),
         timeout: Duration::from_secs(10),
@@ -192,13 +195,13 @@
 /// graceful shutdown from a kill.
 #[test]
 fn reports_operator_calls_and_graceful_shutdown() {
-    let mut set = setup();
-    set.doors = true;
-    let mut fleet = Fleet::with("by-hand", 3, set);
-    eventually("all are current", || current(&fleet));
-    let door = fleet.doors[1].to_string();
+    let mut options = options_with_versions();
+    options.has_admin = true;
+    let mut fleet = Fleet::with("by-hand", 3, options);
+    wait_until("all are current", || all_current(&fleet));
+    let admin_address = fleet.admin_addresses[1].to_string();
     let admin = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
-        .args(["admin", "exclude", "s-0", "--at", &door])
+        .args(["admin", "exclude", "s-0", "--at", &admin_address])
         .output()
         .unwrap();
     assert!(admin.status.success(), "{admin:?}");
@@ -206,17 +209,17 @@
     let mut program = fleet.programs[2].take().unwrap();
     program.signal("TERM");
     program.child.wait().unwrap();
-    fleet.befall(&Fault::PowerOff(BTreeSet::from([0])));
-    fleet.befall(&Fault::PowerOn(BTreeSet::from([0, 2])));
-    eventually("all are current", || current(&fleet));
+    fleet.inject(&Fault::PowerOff(BTreeSet::from([0])));
+    fleet.inject(&Fault::PowerOn(BTreeSet::from([0, 2])));
+    wait_until("all are current", || all_current(&fleet));
     let (text, sound) = audit(&fleet);
-    let own: Vec<&str> = text.split("\ng").collect();
+    let report: Vec<&str> = text.split("\ng").collect();
     assert!(
-        sound && own[2].contains("under version 0: Exclude s-0"),
+        sound && report[2].contains("under version 0: Exclude s-0"),
         "{text}"
     );
     assert!(
-        own[1].contains("gap: life") && !own[3].contains("gap"),
+        report[1].contains("gap: life") && !report[3].contains("gap"),
         "{text}"
     );
 }
--- a/bitternsill/tests/fleet_recovery.rs
+++ b/bitternsill/tests/fleet_recovery.rs
@@ -18,21 +18,21 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn play(seed: u64) -> Result<Asked, String> {
+fn run_scenario(seed: u64) -> Result<QueryCounts, String> {
     let count = [3, 3, 5][seed as usize % 3];
     let mut fleet = Fleet::start(&format!("day{seed}"), count);
     fleet
-        .settle()
+        .wait_until_consistent()
         .map_err(|problem| format!("before the first fault: {problem}"))?;
-    let begun = Instant::now();
+    let start = Instant::now();
     for timeline::Event { at_ms: at, fault } in timeline::draw(seed, count, 4000) {
-        while begun.elapsed() < Duration::from_millis(at) {
-            fleet.count_up();
+        while start.elapsed() < Duration::from_millis(at) {
+            fleet.increment();
             thread::sleep(Duration::from_millis(50));
         }
-        fleet.befall(&fault);
+        fleet.inject(&fault);
     }
-    fleet.judge()
+    fleet.finish()
 }
 
 /// Power failures of all, some or one of the gatherers during commits and under load, combined with
@@ -48,16 +48,16 @@
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(0);
-    let mut total = Asked::default();
+    let mut total = QueryCounts::default();
     for seed in first..first + seeds {
-        let asked = play(seed).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
-        total.whole += asked.whole;
-        total.refused += asked.refused;
-        total.closed += asked.closed;
-        total.worst = total.worst.max(asked.worst);
+        let counts = run_scenario(seed).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
+        total.complete += counts.complete;
+        total.rejected += counts.rejected;
+        total.closed += counts.closed;
+        total.max_latency = total.max_latency.max(counts.max_latency);
     }
-    println!("{seeds} days from seed {first}: {total:?}");
-    assert!(total.whole > 0);
+    println!("{seeds} scenarios from seed {first}: {total:?}");
+    assert!(total.complete > 0);
 }
 
 /// A process is suspended while the others lose power; it resumes with stale state among the
@@ -65,73 +65,73 @@
 #[test]
 fn process_suspended_through_power_failure_rejoins_safely() {
     let mut fleet = Fleet::start("slept", 3);
-    fleet.settle().unwrap();
-    fleet.befall(&Fault::Suspend(2));
-    fleet.count_up();
+    fleet.wait_until_consistent().unwrap();
+    fleet.inject(&Fault::Suspend(2));
+    fleet.increment();
     let both = BTreeSet::from([0, 1]);
-    fleet.befall(&Fault::PowerOff(both.clone()));
-    fleet.befall(&Fault::PowerOn(both.clone()));
+    fleet.inject(&Fault::PowerOff(both.clone()));
+    fleet.inject(&Fault::PowerOn(both.clone()));
     // The other two commit without it and lose power again; then it resumes before them.
     let commits = |fleet: &Fleet| {
-        fleet.count_up();
-        let now = fleet.counter.count.load(Ordering::SeqCst);
-        eventually("two commit", || {
+        fleet.increment();
+        let now = fleet.discovery.count.load(Ordering::SeqCst);
+        wait_until("commit by two members", || {
             (0..2).all(|at| {
                 fleet
-                    .held(at)
-                    .get(&fleet.key(0))
+                    .counter_values(at)
+                    .get(&fleet.member_key(0))
                     .is_some_and(|held| *held >= now)
             })
         });
     };
     commits(&fleet);
-    fleet.befall(&Fault::PowerOff(both.clone()));
-    fleet.befall(&Fault::Resume(2));
-    fleet.befall(&Fault::PowerOn(both));
-    fleet.judge().unwrap();
+    fleet.inject(&Fault::PowerOff(both.clone()));
+    fleet.inject(&Fault::Resume(2));
+    fleet.inject(&Fault::PowerOn(both));
+    fleet.finish().unwrap();
 }
 
 /// After a power failure, links fail in one direction: a member can send but not receive, or
 /// receive but not send.
 #[test]
 fn one_way_partitions_after_power_failure_heal() {
-    for deaf in [true, false] {
-        let mut fleet = Fleet::start(if deaf { "deaf" } else { "mute" }, 3);
-        fleet.settle().unwrap();
+    for cannot_receive in [true, false] {
+        let mut fleet = Fleet::start(if cannot_receive { "deaf" } else { "mute" }, 3);
+        fleet.wait_until_consistent().unwrap();
         let all = BTreeSet::from([0, 1, 2]);
-        fleet.befall(&Fault::PowerOff(all.clone()));
+        fleet.inject(&Fault::PowerOff(all.clone()));
         for other in [1, 2] {
-            fleet.befall(&if deaf {
+            fleet.inject(&if cannot_receive {
                 Fault::Partition(other, 0)
             } else {
                 Fault::Partition(0, other)
             });
         }
-        fleet.befall(&Fault::PowerOn(all));
-        fleet.count_up();
-        let now = fleet.counter.count.load(Ordering::SeqCst);
-        eventually("the other two commit", || {
+        fleet.inject(&Fault::PowerOn(all));
+        fleet.increment();
+        let now = fleet.discovery.count.load(Ordering::SeqCst);
+        wait_until("commit by the other two members", || {
             (1..3).all(|at| {
                 fleet
-                    .held(at)
-                    .get(&fleet.key(1))
+                    .counter_values(at)
+                    .get(&fleet.member_key(1))
                     .is_some_and(|held| *held >= now)
             })
         });
         assert!(
             fleet
-                .held(0)
-                .get(&fleet.key(0))
+                .counter_values(0)
+                .get(&fleet.member_key(0))
                 .is_none_or(|held| *held < now),
-            "nothing passes it by"
+            "partitioned member has new values"
         );
-        fleet.befall(&Fault::Heal);
-        fleet.judge().unwrap();
+        fleet.inject(&Fault::Heal);
+        fleet.finish().unwrap();
     }
 }
 
 /// A fleet whose index hosts warm up over 3 s, with or without the recovery procedure.
-fn warming(recovery: bool) -> Set {
+fn warming_options(recovery: bool) -> FleetOptions {
     let mut settings = settings();
     settings["guarantees"]["start_capacity"] = json!(0.2);
     settings["guarantees"]["ramp_time"] = json!(3_000_000_000u64);
@@ -140,10 +140,10 @@
     for (class, credit) in [(0, 1.0), (1, 9.0), (2, 3.0)] {
         settings["request_classes"][class]["credit"] = json!(credit);
     }
-    Set {
+    FleetOptions {
         settings,
         recovery: recovery.then(|| json!({"ask_ms": 1500, "together_s": 2})),
-        ..Set::default()
+        ..FleetOptions::default()
     }
 }
 
@@ -157,23 +157,25 @@
     serde_json::from_slice(&output.stdout).unwrap()
 }
 
-fn are_in(fleet: &Fleet, wanted: &str) -> bool {
+fn all_in_phase(fleet: &Fleet, wanted: &str) -> bool {
     phases(fleet)
         .iter()
-        .all(|said| said["answer"]["phase"] == wanted)
+        .all(|status| status["answer"]["phase"] == wanted)
 }
 
 /// Guards against gatherers that take every client at once after a restart of the whole fleet. A
 /// single restarted gatherer must not be slowed down.
 #[test]
 fn fleet_restart_uses_slow_start_and_single_restart_does_not() {
-    let mut fleet = Fleet::with("returns", 3, warming(true));
-    eventually("all return", || are_in(&fleet, "returning"));
+    let mut fleet = Fleet::with("returns", 3, warming_options(true));
+    wait_until("all gatherers in phase returning", || {
+        all_in_phase(&fleet, "returning")
+    });
     let why = phases(&fleet)[0]["answer"]["why"].to_string();
     assert!(why.contains("started with this gatherer"), "{why}");
     // At a fifth of the warm capacity, three fifths of the most valuable of three classes are
     // admitted, and none of the least valuable.
-    let socket = || TcpStream::connect(fleet.fronts[0]).unwrap();
+    let socket = || TcpStream::connect(fleet.client_addresses[0]).unwrap();
     let ask = |class: &str| {
         let mut socket = socket();
         socket
@@ -186,56 +188,56 @@
         least.starts_with("HTTP/1.1 503") && least.contains("Retry-After: "),
         "{least}"
     );
-    eventually("some of the dearest are taken", || {
+    wait_until("queries of the most valuable class admitted", || {
         ask("page").starts_with("HTTP/1.1 200")
     });
-    eventually("full service", || are_in(&fleet, "full"));
+    wait_until("full service", || all_in_phase(&fleet, "full"));
     assert!(ask("search").starts_with("HTTP/1.1 200"));
-    fleet.settle().unwrap();
+    fleet.wait_until_consistent().unwrap();
     let one = BTreeSet::from([2]);
-    fleet.befall(&Fault::PowerOff(one.clone()));
-    fleet.befall(&Fault::PowerOn(one));
-    eventually("it is back", || {
+    fleet.inject(&Fault::PowerOff(one.clone()));
+    fleet.inject(&Fault::PowerOn(one));
+    wait_until("gatherer ready", || {
         phases(&fleet)[2]["answer"]["ready"] == true
     });
-    let said = &phases(&fleet)[2]["answer"];
+    let status = &phases(&fleet)[2]["answer"];
     assert!(
-        said["phase"] == "full" && said["why"].to_string().contains("alone was away"),
-        "{said}"
+        status["phase"] == "full" && status["why"].to_string().contains("alone was away"),
+        "{status}"
     );
-    fleet.judge().unwrap();
+    fleet.finish().unwrap();
 }
 
 /// Power fails again while gatherers ask each other, while they have no list, and during the ramp.
 /// Some return late and one never does; the others wait no longer than their time limit.
 #[test]
 fn repeated_power_failures_block_nobody() {
-    let mut fleet = Fleet::with("again", 5, warming(true));
-    fleet.settle().unwrap();
+    let mut fleet = Fleet::with("again", 5, warming_options(true));
+    fleet.wait_until_consistent().unwrap();
     let all = BTreeSet::from([0, 1, 2, 3, 4]);
     for phase in ["asking", "returning"] {
-        fleet.befall(&Fault::PowerOff(all.clone()));
+        fleet.inject(&Fault::PowerOff(all.clone()));
         // Gatherers ask until all have answered, so one that is away keeps the others in this phase
         // until its time limit.
-        let back = if phase == "asking" {
+        let restarted = if phase == "asking" {
             BTreeSet::from([0, 1, 2, 3])
         } else {
             all.clone()
         };
-        fleet.befall(&Fault::PowerOn(back.clone()));
-        eventually(phase, || phases(&fleet)[0]["answer"]["phase"] == phase);
-        fleet.befall(&Fault::PowerOff(back));
+        fleet.inject(&Fault::PowerOn(restarted.clone()));
+        wait_until(phase, || phases(&fleet)[0]["answer"]["phase"] == phase);
+        fleet.inject(&Fault::PowerOff(restarted));
     }
-    fleet.befall(&Fault::PowerOn(BTreeSet::from([1, 2])));
-    fleet.befall(&Fault::PowerOn(BTreeSet::from([3])));
+    fleet.inject(&Fault::PowerOn(BTreeSet::from([1, 2])));
+    fleet.inject(&Fault::PowerOn(BTreeSet::from([3])));
     let three = |wanted: &str| (1..4).all(|at| phases(&fleet)[at]["answer"]["phase"] == wanted);
-    eventually("three of five return", || {
+    wait_until("three of five gatherers recovering", || {
         three("returning") || three("full")
     });
     let log = std::fs::read_to_string(fleet.files[1].with_extension("log")).unwrap();
     assert!(log.contains("peers did not answer in time"), "{log}");
-    fleet.befall(&Fault::PowerOn(BTreeSet::from([0, 4])));
-    fleet.judge().unwrap();
+    fleet.inject(&Fault::PowerOn(BTreeSet::from([0, 4])));
+    fleet.finish().unwrap();
 }
 
 /// Discovery is unavailable after a power failure, and gatherers have only the persisted list.
@@ -243,58 +245,61 @@
 #[test]
 fn persisted_hosts_count_as_cold_without_discovery() {
     let sent = [true, false].map(|recovery| {
-        let mut set = warming(recovery);
+        let mut options = warming_options(recovery);
         // The persisted list describes the hosts as warm.
-        set.known = true;
-        set.settings["guarantees"]["ramp_time"] = json!(30_000_000_000u64);
+        options.known = true;
+        options.settings["guarantees"]["ramp_time"] = json!(30_000_000_000u64);
         // The most valuable of three classes is fully admitted, so only the load limit for a cold
         // host bounds the load.
-        set.settings["guarantees"]["start_capacity"] = json!(0.4);
+        options.settings["guarantees"]["start_capacity"] = json!(0.4);
         // Low enough that the load exceeds it many times even on a machine that runs queries
         // slowly.
-        set.settings["guarantees"]["tip_multiple"] = json!(0.05);
-        set.settings["request_classes"][1]["target"] = json!(400_000_000u64);
-        let mut fleet = Fleet::with(if recovery { "cold" } else { "warm" }, 3, set);
-        fleet.counter.mute.store(true, Ordering::SeqCst);
+        options.settings["guarantees"]["tip_multiple"] = json!(0.05);
+        options.settings["request_classes"][1]["target"] = json!(400_000_000u64);
+        let mut fleet = Fleet::with(if recovery { "cold" } else { "warm" }, 3, options);
+        fleet.discovery.mute.store(true, Ordering::SeqCst);
         let all = BTreeSet::from([0, 1, 2]);
-        fleet.befall(&Fault::PowerOff(all.clone()));
+        fleet.inject(&Fault::PowerOff(all.clone()));
         let seen = |fleet: &Fleet| {
             fleet
                 .hosts
                 .iter()
-                .map(|host| host.seen().len())
+                .map(|host| host.received().len())
                 .sum::<usize>()
         };
         let before = seen(&fleet);
-        *fleet.asked.lock().unwrap() = Asked::default();
-        fleet.befall(&Fault::PowerOn(all));
-        eventually("so many have had an answer, and something was sent", || {
+        *fleet.query_counts.lock().unwrap() = QueryCounts::default();
+        fleet.inject(&Fault::PowerOn(all));
+        wait_until("45 responses and at least one part", || {
             fleet.answered() >= 45 && seen(&fleet) > before
         });
         (seen(&fleet) - before, fleet.answered())
     });
-    println!("parts sent and queries asked, with and without: {sent:?}");
+    println!("parts and queries, with and without recovery: {sent:?}");
     let [with, without] = sent.map(|(parts, queries)| parts as f64 / queries as f64);
-    assert!(with < without / 2.0, "{with} and {without} parts a query");
+    assert!(
+        with < without / 2.0,
+        "{with} parts per query with recovery, {without} without"
+    );
 }
 
 /// Class, start time and, if the query succeeded, its duration.
-type Played = (&'static str, Duration, Option<Duration>);
+type QueryResult = (&'static str, Duration, Option<Duration>);
 
 /// How long a client waits in total, retries included.
-const PATIENCE: Duration = Duration::from_secs(3);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Sends a query with up to two retries, each with the remaining budget; returns the time to
 /// success.
-fn try_three_times(fronts: &[SocketAddr], number: usize, class: &str) -> Option<Duration> {
-    let begun = Instant::now();
+fn query_with_retries(addresses: &[SocketAddr], number: usize, class: &str) -> Option<Duration> {
+    let start = Instant::now();
     for again in 0..3 {
-        let left = PATIENCE
-            .checked_sub(begun.elapsed())
+        let left = CLIENT_TIMEOUT
+            .checked_sub(start.elapsed())
             .filter(|left| *left > Duration::from_millis(10))?;
-        let front = fronts[(number + again) % fronts.len()];
+        let address = addresses[(number + again) % addresses.len()];
         let answer = (|| {
-            let mut socket = TcpStream::connect_timeout(&front, Duration::from_millis(300))?;
+            let mut socket = TcpStream::connect_timeout(&address, Duration::from_millis(300))?;
             socket.set_read_timeout(Some(left))?;
             let more = if again == 0 { "" } else { "X-Again: 1\r\n" };
             let more = format!("{more}Connection: close\r\n");
@@ -312,42 +317,42 @@
         })()
         .unwrap_or_default();
         if answer.starts_with("HTTP/1.1 200") {
-            return Some(begun.elapsed());
+            return Some(start.elapsed());
         }
-        let told = answer
+        let retry_after = answer
             .lines()
             .find_map(|line| line.strip_prefix("Retry-After: ")?.parse::<f64>().ok());
-        thread::sleep(Duration::from_secs_f64(told.unwrap_or(0.1).min(3.0)));
+        thread::sleep(Duration::from_secs_f64(retry_after.unwrap_or(0.1).min(3.0)));
     }
     None
 }
 
 /// Measurements of one recovery.
 #[derive(Default, Clone)]
-struct Figures {
-    first: Duration,
-    ninety: Option<u64>,
-    late: f64,
-    share: f64,
-    falls: u64,
+struct Measurement {
+    first_success: Duration,
+    recovered_after_s: Option<u64>,
+    late_share: f64,
+    success_share: f64,
+    overloads: u64,
 }
 
 /// Offers six tenths of the capacity of three warm hosts for `length`.
-fn load(fronts: &[SocketAddr], seed: u64, length: Duration) -> Vec<Played> {
+fn offer_load(addresses: &[SocketAddr], seed: u64, length: Duration) -> Vec<QueryResult> {
     let (mut rng, rate) = (
         fastrand::Rng::with_seed(seed),
-        0.6 * 3.0 / WORK.as_secs_f64(),
+        0.6 * 3.0 / PART_DURATION.as_secs_f64(),
     );
-    let (begun, mut at, mut number, mut clients) = (Instant::now(), 0.0, 0, Vec::new());
+    let (start, mut at, mut number, mut clients) = (Instant::now(), 0.0, 0, Vec::new());
     while at < length.as_secs_f64() {
         at += -(1.0 - rng.f64()).ln() / rate;
         number += 1;
         let class = if rng.bool() { "page" } else { "search" };
-        thread::sleep(Duration::from_secs_f64(at).saturating_sub(begun.elapsed()));
-        let fronts = fronts.to_vec();
+        thread::sleep(Duration::from_secs_f64(at).saturating_sub(start.elapsed()));
+        let addresses = addresses.to_vec();
         clients.push(thread::spawn(move || {
-            let since = begun.elapsed();
-            (class, since, try_three_times(&fronts, number, class))
+            let since = start.elapsed();
+            (class, since, query_with_retries(&addresses, number, class))
         }));
     }
     clients
@@ -357,52 +362,54 @@
 }
 
 /// A fleet that has served warm hosts for a while and then loses power together with them.
-fn measured(count: usize, seed: u64, rule: bool, mute: bool) -> Figures {
-    let mut set = warming(rule);
-    set.settings["extra"]["class_fetch"] = json!([0, 0, 0]);
-    set.settings["guarantees"]["ramp_time"] = json!(10_000_000_000u64);
-    set.settings["guarantees"]["fall"] = json!(1_000_000_000u64);
-    set.settings["guarantees"]["tip_multiple"] = json!(2.0);
-    set.settings["request_classes"][0]["target"] = json!(1_500_000_000u64);
+fn measure_recovery(count: usize, seed: u64, recovery: bool, mute: bool) -> Measurement {
+    let mut options = warming_options(recovery);
+    options.settings["extra"]["class_fetch"] = json!([0, 0, 0]);
+    options.settings["guarantees"]["ramp_time"] = json!(10_000_000_000u64);
+    options.settings["guarantees"]["fall"] = json!(1_000_000_000u64);
+    options.settings["guarantees"]["tip_multiple"] = json!(2.0);
+    options.settings["request_classes"][0]["target"] = json!(1_500_000_000u64);
     for class in 0..3 {
-        set.settings["request_classes"][class]["deadline"] = json!(PATIENCE.as_nanos() as u64);
+        options.settings["request_classes"][class]["deadline"] =
+            json!(CLIENT_TIMEOUT.as_nanos() as u64);
     }
-    let warmth: Arc<Warmth> = Arc::default();
-    (set.known, set.warmth, set.learning) = (true, Some(warmth.clone()), rule);
-    set.recovery = rule.then(|| json!({"ask_ms": 1000, "together_s": 30}));
-    let mut fleet = Fleet::with(&format!("measure{seed}"), count, set);
-    eventually("all serve", || {
+    let warmup: Arc<HostWarmup> = Arc::default();
+    (options.known, options.warmup, options.learning) = (true, Some(warmup.clone()), recovery);
+    options.recovery = recovery.then(|| json!({"ask_ms": 1000, "together_s": 30}));
+    let mut fleet = Fleet::with(&format!("measure{seed}"), count, options);
+    wait_until("all serve", || {
         fleet
-            .fronts
+            .client_addresses
             .iter()
-            .all(|front| TcpStream::connect(front).is_ok())
+            .all(|address| TcpStream::connect(address).is_ok())
     });
-    load(&fleet.fronts, seed, Duration::from_secs(6));
-    fleet.counter.mute.store(mute, Ordering::SeqCst);
-    fleet.blackout();
+    offer_load(&fleet.client_addresses, seed, Duration::from_secs(6));
+    fleet.discovery.mute.store(mute, Ordering::SeqCst);
+    fleet.power_cycle_all();
     let length = Duration::from_secs(30);
-    let results = load(&fleet.fronts, seed + 1000, length);
-    let whole =
+    let results = offer_load(&fleet.client_addresses, seed + 1000, length);
+    let on_time =
         |took: &Option<Duration>| took.is_some_and(|took| took <= Duration::from_millis(1_500));
-    let share = |of: &dyn Fn(&&Played) -> bool| {
+    let share = |of: &dyn Fn(&&QueryResult) -> bool| {
         let of: Vec<_> = results.iter().filter(of).collect();
-        of.iter().filter(|(.., took)| whole(took)).count() as f64 / of.len().max(1) as f64
+        of.iter().filter(|(.., took)| on_time(took)).count() as f64 / of.len().max(1) as f64
     };
     let late = results
         .iter()
-        .filter(|(.., took)| took.is_some() && !whole(took))
+        .filter(|(.., took)| took.is_some() && !on_time(took))
         .count();
     fleet.clear();
-    Figures {
-        first: results
+    Measurement {
+        first_success: results
             .iter()
             .filter_map(|(_, at, took)| Some(*at + (*took)?))
             .min()
             .unwrap_or(length),
-        ninety: (0..length.as_secs()).find(|n| share(&|result| result.1.as_secs() == *n) >= 0.9),
-        late: late as f64 / results.len() as f64,
-        share: share(&|_| true),
-        falls: warmth.falls(),
+        recovered_after_s: (0..length.as_secs())
+            .find(|n| share(&|result| result.1.as_secs() == *n) >= 0.9),
+        late_share: late as f64 / results.len() as f64,
+        success_share: share(&|_| true),
+        overloads: warmup.overloads(),
     }
 }
 
@@ -410,9 +417,10 @@
 fn interval(of: &[f64]) -> (f64, f64) {
     let n = of.len() as f64;
     let mean = of.iter().sum::<f64>() / n;
-    let spread = (of.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0)).sqrt();
+    let deviation =
+        (of.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0)).sqrt();
     let t = [12.7, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26].get(of.len().saturating_sub(2));
-    (mean, t.unwrap_or(&2.0) * spread / n.sqrt())
+    (mean, t.unwrap_or(&2.0) * deviation / n.sqrt())
 }
 
 /// Measures the first 30 s after a power failure of gatherers and index hosts, with the recovery
@@ -421,43 +429,43 @@
 /// `FLEET_MUTE=1` silences discovery after the failure. Without `FLEET_MEASURE` the test does
 /// nothing.
 #[test]
-fn measure_the_return_of_a_fleet() {
+fn measure_recovery_after_power_failure() {
     let Some(wanted) = std::env::var("FLEET_MEASURE").ok() else {
         return;
     };
     let (count, seeds) = wanted.split_once('x').expect("COUNTxSEEDS");
     let (count, seeds): (usize, u64) = (count.parse().unwrap(), seeds.parse().unwrap());
     let mute = std::env::var_os("FLEET_MUTE").is_some();
-    let name = |rule| if rule { "with" } else { "without" };
+    let name = |recovery| if recovery { "with" } else { "without" };
     let mut all = [(true, Vec::new()), (false, Vec::new())];
     for seed in 0..seeds {
-        for (rule, all) in &mut all {
-            let one = measured(count, seed, *rule, mute);
+        for (recovery, all) in &mut all {
+            let one = measure_recovery(count, seed, *recovery, mute);
             println!(
                 "{count} {seed} {}: first whole {:.2} s, 90 % of a second {:?} s, late {:.3}, whole {:.3}, {} falls",
-                name(*rule),
-                one.first.as_secs_f64(),
-                one.ninety,
-                one.late,
-                one.share,
-                one.falls
+                name(*recovery),
+                one.first_success.as_secs_f64(),
+                one.recovered_after_s,
+                one.late_share,
+                one.success_share,
+                one.overloads
             );
             all.push(one);
         }
     }
-    for (rule, all) in &all {
-        let of = |figure: &dyn Fn(&Figures) -> f64| {
-            let (mean, half) = interval(&all.iter().map(figure).collect::<Vec<_>>());
-            format!("{mean:.3} ± {half:.3}")
+    for (recovery, all) in &all {
+        let of = |figure: &dyn Fn(&Measurement) -> f64| {
+            let (mean, half_width) = interval(&all.iter().map(figure).collect::<Vec<_>>());
+            format!("{mean:.3} ± {half_width:.3}")
         };
         println!(
             "{count} gatherers, {seeds} seeds, {}: first whole {} s, 90 % {} s, late {}, whole {}, falls {}",
-            name(*rule),
-            of(&|one| one.first.as_secs_f64()),
-            of(&|one| one.ninety.map_or(30.0, |second| second as f64)),
-            of(&|one| one.late),
-            of(&|one| one.share),
-            of(&|one| one.falls as f64)
+            name(*recovery),
+            of(&|one| one.first_success.as_secs_f64()),
+            of(&|one| one.recovered_after_s.map_or(30.0, |second| second as f64)),
+            of(&|one| one.late_share),
+            of(&|one| one.success_share),
+            of(&|one| one.overloads as f64)
         );
     }
 }
--- a/bitternsill/tests/fleet_versions.rs
+++ b/bitternsill/tests/fleet_versions.rs
@@ -17,45 +17,50 @@
 
 #[test]
 fn switches_all_at_one_revision_without_losing_queries() {
-    let fleet = Fleet::with("rollout", 3, setup());
-    eventually("all are current", || current(&fleet));
-    *fleet.asked.lock().unwrap() = Asked::default();
+    let fleet = Fleet::with("rollout", 3, options_with_versions());
+    wait_until("all are current", || all_current(&fleet));
+    *fleet.query_counts.lock().unwrap() = QueryCounts::default();
     configure(&fleet, "extra", &[1]);
     let (version, autonomous) = activate(&fleet, &[2]).unwrap();
     assert_eq!(
         autonomous.len(),
         2,
-        "a third of three, and no less than a share says"
+        "unexpected number of autonomous gatherers"
     );
-    eventually("all serve the new class", || {
+    wait_until("all gatherers serve the new class", || {
         (0..3).all(|at| serves(&fleet, at, "extra"))
     });
     // Every gatherer names an unusable proposal, and nothing changes.
-    let mut wrong = with_class("other");
-    wrong["limits"]["max_attempts"] = json!(2.5);
-    let (text, done) = fleet.call(
-        &["configure", file(&fleet, "wrong", &wrong).to_str().unwrap()],
+    let mut invalid = with_class("other");
+    invalid["limits"]["max_attempts"] = json!(2.5);
+    let (text, done) = fleet.run_command(
+        &[
+            "configure",
+            write_settings(&fleet, "wrong", &invalid).to_str().unwrap(),
+        ],
         &[0],
     );
     assert!(!done, "{text}");
     let second = configure(&fleet, "second", &[0]);
-    let (differs, _) = fleet.call(&["diff"], &[1]);
+    let (differs, _) = fleet.run_command(&["diff"], &[1]);
     assert!(differs.contains("becomes"), "{differs}");
     activate(&fleet, &[0]).unwrap();
-    eventually("all serve the second", || {
+    wait_until("all gatherers serve the second version", || {
         (0..3).all(|at| serves(&fleet, at, "second"))
     });
-    eventually("the first is over", || !serves(&fleet, 0, "extra"));
+    wait_until("first version no longer served", || {
+        !serves(&fleet, 0, "extra")
+    });
     // A return to the first settings is a version of its own.
-    let first = fleet.call(&["versions", "--json"], &[0]).0;
+    let first = fleet.run_command(&["versions", "--json"], &[0]).0;
     assert!(first.contains(&second.to_string()), "{first}");
-    let (text, done) = fleet.call(&["hold", "g1"], &[0]);
+    let (text, done) = fleet.run_command(&["hold", "g1"], &[0]);
     assert!(done, "{text}");
-    eventually("one is held back", || {
-        ask(&fleet, 1, "page").as_deref() == Some("503")
+    wait_until("one gatherer held", || {
+        query_status(&fleet, 1, "page").as_deref() == Some("503")
     });
-    assert!(fleet.call(&["release", "g1"], &[2]).1);
-    eventually("and released", || serves(&fleet, 1, "page"));
+    assert!(fleet.run_command(&["release", "g1"], &[2]).1);
+    wait_until("gatherer released", || serves(&fleet, 1, "page"));
     let (text, sound) = audit(&fleet);
     assert!(
         sound && text.contains(&format!("version {version} from")),
@@ -64,7 +69,7 @@
     let page = std::env::temp_dir().join(format!("bitternsill-audit-{}.html", std::process::id()));
     assert!(
         fleet
-            .call(&["audit", "--html", page.to_str().unwrap()], &[0, 1, 2])
+            .run_command(&["audit", "--html", page.to_str().unwrap()], &[0, 1, 2])
             .1
     );
     let text = std::fs::read_to_string(&page).unwrap();
@@ -72,40 +77,44 @@
         text.contains("<svg") && (0..3).all(|at| text.contains(&format!(">g{at}</text>"))),
         "{text}"
     );
-    let asked = *fleet.asked.lock().unwrap();
-    assert!(asked.closed == 0 && asked.whole > 100, "{asked:?}");
+    let counts = *fleet.query_counts.lock().unwrap();
+    assert!(counts.closed == 0 && counts.complete > 100, "{counts:?}");
 }
 
 /// A gatherer is partitioned before it can vote. The activation names it and can exclude it only
 /// after it has stopped by itself. The same holds for partitions in one direction.
 #[test]
 fn partitioned_gatherer_stops_before_it_can_be_excluded() {
-    for (name, ways) in [
+    for (name, flows) in [
         ("cut", [Flow::Stalled, Flow::Stalled]),
         ("unheard", [Flow::Stalled, Flow::Open]),
         ("deaf", [Flow::Open, Flow::Stalled]),
     ] {
-        let (fleet, _, out) = with_a_version(name);
-        let rest: Vec<usize> = (0..3).filter(|at| *at != out).collect();
-        partition(&fleet, out, ways);
+        let (fleet, _, partitioned) = fleet_with_first_version(name);
+        let rest: Vec<usize> = (0..3).filter(|at| *at != partitioned).collect();
+        partition(&fleet, partitioned, flows);
         configure(&fleet, "second", &rest);
         let refused = activate(&fleet, &rest).unwrap_err();
-        assert!(refused.contains(&format!("g{out}")), "{refused}");
+        assert!(refused.contains(&format!("g{partitioned}")), "{refused}");
         // By now it has stopped, or it stops by its own clock.
-        assert!(fleet.call(&["leave-out", &format!("g{out}")], &rest).1);
+        assert!(
+            fleet
+                .run_command(&["leave-out", &format!("g{partitioned}")], &rest)
+                .1
+        );
         let (_, autonomous) = activate(&fleet, &rest).unwrap();
         assert!(
-            !serves(&fleet, out, "first"),
-            "{name}: it serves under what has ended"
+            !serves(&fleet, partitioned, "first"),
+            "{name}: served under an expired version"
         );
-        assert!(has_status(&fleet, out, "shut out"));
-        assert!(!autonomous.contains(&format!("g{out}")));
-        eventually("the others serve the second", || {
+        assert!(has_status(&fleet, partitioned, "shut out"));
+        assert!(!autonomous.contains(&format!("g{partitioned}")));
+        wait_until("other gatherers serve the second version", || {
             rest.iter().all(|at| serves(&fleet, *at, "second"))
         });
         fleet.heal();
-        eventually("it is brought up", || {
-            has_status(&fleet, out, "current") && serves(&fleet, out, "second")
+        wait_until("gatherer updated", || {
+            has_status(&fleet, partitioned, "current") && serves(&fleet, partitioned, "second")
         });
         let (text, sound) = audit(&fleet);
         assert!(sound, "{text}");
@@ -116,23 +125,27 @@
 /// resumes, not even a query that has been waiting for it.
 #[test]
 fn suspended_process_accepts_nothing_under_expired_version() {
-    let (mut fleet, _, out) = with_a_version("slept-over");
-    let rest: Vec<usize> = (0..3).filter(|at| *at != out).collect();
-    fleet.befall(&Fault::Suspend(out));
-    let mut waits = TcpStream::connect(fleet.fronts[out]).unwrap();
-    waits
+    let (mut fleet, _, suspended) = fleet_with_first_version("slept-over");
+    let rest: Vec<usize> = (0..3).filter(|at| *at != suspended).collect();
+    fleet.inject(&Fault::Suspend(suspended));
+    let mut waiting = TcpStream::connect(fleet.client_addresses[suspended]).unwrap();
+    waiting
         .set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
-    waits
+    waiting
         .write_all(query("asleep", "first", &[0], "Connection: close\r\n").as_bytes())
         .unwrap();
     configure(&fleet, "second", &rest);
-    assert!(fleet.call(&["leave-out", &format!("g{out}")], &rest).1);
+    assert!(
+        fleet
+            .run_command(&["leave-out", &format!("g{suspended}")], &rest)
+            .1
+    );
     activate(&fleet, &rest).unwrap();
-    fleet.befall(&Fault::Resume(out));
-    let answer = read_response(&mut waits);
+    fleet.inject(&Fault::Resume(suspended));
+    let answer = read_response(&mut waiting);
     assert!(!answer.starts_with("HTTP/1.1 200"), "{answer}");
-    eventually("it is brought up", || serves(&fleet, out, "second"));
+    wait_until("gatherer updated", || serves(&fleet, suspended, "second"));
     let (text, sound) = audit(&fleet);
     assert!(sound, "{text}");
 }
@@ -141,26 +154,26 @@
 /// themselves; afterwards all are current again.
 #[test]
 fn autonomous_fraction_serves_without_a_store() {
-    let (mut fleet, autonomous, other) = with_a_version("storeless");
+    let (mut fleet, autonomous, other) = fleet_with_first_version("storeless");
     let autonomous_one = (0..3)
         .find(|at| autonomous.contains(&format!("g{at}")))
         .unwrap();
     for (alone, wanted) in [(autonomous_one, "kept"), (other, "shut out")] {
         let off: BTreeSet<usize> = (0..3).filter(|at| *at != alone).collect();
-        fleet.befall(&Fault::PowerOff(off.clone()));
-        eventually(wanted, || has_status(&fleet, alone, wanted));
+        fleet.inject(&Fault::PowerOff(off.clone()));
+        wait_until(wanted, || has_status(&fleet, alone, wanted));
         assert_eq!(serves(&fleet, alone, "first"), wanted == "kept");
-        // It also loses power, so it knows only what is on its disk.
-        fleet.befall(&Fault::PowerOff(BTreeSet::from([alone])));
-        fleet.befall(&Fault::PowerOn(BTreeSet::from([alone])));
+        // After a power failure the gatherer knows only what is on its disk.
+        fleet.inject(&Fault::PowerOff(BTreeSet::from([alone])));
+        fleet.inject(&Fault::PowerOn(BTreeSet::from([alone])));
         if wanted == "kept" {
-            eventually("it goes on by its own file", || {
+            wait_until("serving from its own file", || {
                 serves(&fleet, alone, "first")
             });
         }
-        fleet.befall(&Fault::PowerOn(off));
-        eventually("all are current", || {
-            current(&fleet) && (0..3).all(|at| serves(&fleet, at, "first"))
+        fleet.inject(&Fault::PowerOn(off));
+        wait_until("all are current", || {
+            all_current(&fleet) && (0..3).all(|at| serves(&fleet, at, "first"))
         });
     }
     let (text, sound) = audit(&fleet);
@@ -170,18 +183,18 @@
 /// The audit reports altered and missing audit logs as unknown and never passes them.
 #[test]
 fn altered_or_lost_audit_log_is_unknown() {
-    let mut fleet = Fleet::with("altered", 3, setup());
-    eventually("all are current", || current(&fleet));
-    eventually("all serve", || (0..3).all(|at| serves(&fleet, at, "page")));
+    let mut fleet = Fleet::with("altered", 3, options_with_versions());
+    wait_until("all are current", || all_current(&fleet));
+    wait_until("all serve", || (0..3).all(|at| serves(&fleet, at, "page")));
     let (text, sound) = audit(&fleet);
     assert!(sound, "{text}");
-    fleet.befall(&Fault::PowerOff(BTreeSet::from([1, 2])));
-    let segment = fleet.trail(1).join("g1.000000.trail");
+    fleet.inject(&Fault::PowerOff(BTreeSet::from([1, 2])));
+    let segment = fleet.audit_folder(1).join("g1.000000.trail");
     let whole = std::fs::read_to_string(&segment).unwrap();
     std::fs::write(&segment, whole.replacen("\"count\":", "\"count\":1", 1)).unwrap();
-    std::fs::remove_dir_all(fleet.trail(2)).unwrap();
-    fleet.befall(&Fault::PowerOn(BTreeSet::from([1, 2])));
-    eventually("all are current", || current(&fleet));
+    std::fs::remove_dir_all(fleet.audit_folder(2)).unwrap();
+    fleet.inject(&Fault::PowerOn(BTreeSet::from([1, 2])));
+    wait_until("all are current", || all_current(&fleet));
     let (text, sound) = audit(&fleet);
     assert!(!sound && text.matches("NOT KNOWN").count() == 2, "{text}");
     assert!(
@@ -192,24 +205,24 @@
 
 /// One scenario: successive rollouts while power, links and processes fail. At the end all run one
 /// version, and nothing was served under an expired one.
-fn play(seed: u64) -> Result<u32, String> {
+fn run_scenario(seed: u64) -> Result<u32, String> {
     let count = 3;
-    let mut fleet = Fleet::with(&format!("versions{seed}"), count, setup());
-    eventually("all are current", || current(&fleet));
-    let (begun, mut made) = (Instant::now(), 0);
+    let mut fleet = Fleet::with(&format!("versions{seed}"), count, options_with_versions());
+    wait_until("all are current", || all_current(&fleet));
+    let (start, mut activated) = (Instant::now(), 0);
     let all: Vec<usize> = (0..count).collect();
     for (number, timeline::Event { at_ms: at, fault }) in
         timeline::draw(seed, count, 6_000).into_iter().enumerate()
     {
-        while begun.elapsed() < Duration::from_millis(at) {
+        while start.elapsed() < Duration::from_millis(at) {
             std::thread::sleep(Duration::from_millis(20));
         }
         // Lost files have their own tests.
         if !matches!(fault, Fault::LoseFile(_)) {
-            fleet.befall(&fault);
+            fleet.inject(&fault);
         }
         if number % 3 == 0 {
-            let path = file(&fleet, "day", &with_class(&format!("class{number}")));
+            let path = write_settings(&fleet, "day", &with_class(&format!("class{number}")));
             let words = [
                 "configure",
                 path.to_str().unwrap(),
@@ -218,13 +231,13 @@
                 "--patience",
                 "600",
             ];
-            fleet.call(&words, &all);
+            fleet.run_command(&words, &all);
         } else if number % 3 == 1
             && fleet
-                .call(&["activate", "--wait", "300", "--patience", "600"], &all)
+                .run_command(&["activate", "--wait", "300", "--patience", "600"], &all)
                 .1
         {
-            made += 1;
+            activated += 1;
         }
     }
     let until = Instant::now() + Duration::from_secs(30);
@@ -232,20 +245,22 @@
     // too.
     let runs = || {
         all.iter()
-            .map(|at| version(&fleet, *at)["runs"].as_u64())
+            .map(|at| version_status(&fleet, *at)["runs"].as_u64())
             .collect::<BTreeSet<_>>()
     };
-    while !(current(&fleet) && runs().len() == 1) {
+    while !(all_current(&fleet) && runs().len() == 1) {
         if Instant::now() > until {
-            let said: Vec<Value> = all.iter().map(|at| version(&fleet, *at)).collect();
-            return Err(format!("30 s after the last fault they stand {said:?}"));
+            let statuses: Vec<Value> = all.iter().map(|at| version_status(&fleet, *at)).collect();
+            return Err(format!(
+                "versions differ 30 s after the last fault: {statuses:?}"
+            ));
         }
     }
     let (text, _) = audit(&fleet);
     if text.contains("WRONG") || text.contains("no trail") {
         Err(text)
     } else {
-        Ok(made)
+        Ok(activated)
     }
 }
 
@@ -259,11 +274,11 @@
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(0);
-    let mut made = 0;
+    let mut activated = 0;
     for seed in first..first + seeds {
-        made += play(seed).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
+        activated += run_scenario(seed).unwrap_or_else(|problem| panic!("seed {seed}: {problem}"));
     }
-    println!("{seeds} days from seed {first}: {made} activations");
+    println!("{seeds} scenarios from seed {first}: {activated} activations");
 }
 
 /// Processor time of a process in seconds.
@@ -295,33 +310,34 @@
     );
     for round in 0..2 * rounds {
         let on = (round / 2 + round) % 2 == 0;
-        let mut set = setup();
-        set.versions = if on {
+        let mut options = options_with_versions();
+        options.versions = if on {
             Some(json!({"validity_ms": 10_000}))
         } else {
             None
         };
-        let fleet = Fleet::with(&format!("cost{round}"), 3, set);
-        eventually("it serves", || serves(&fleet, 0, "page"));
+        let fleet = Fleet::with(&format!("cost{round}"), 3, options);
+        wait_until("serving", || serves(&fleet, 0, "page"));
         // The harness's own clients are not measured; their load is the same in all rounds.
         let pid = fleet.programs[0].as_ref().unwrap().child.id();
-        let (mut took, begun, before) = (
+        let (mut took, start, before) = (
             hdrhistogram::Histogram::<u64>::new(3).unwrap(),
             Instant::now(),
             processor_time(pid),
         );
-        let answered = fleet.asked.lock().unwrap().whole;
-        while begun.elapsed() < Duration::from_secs(8) {
+        let answered = fleet.query_counts.lock().unwrap().complete;
+        while start.elapsed() < Duration::from_secs(8) {
             let at = Instant::now();
             assert!(serves(&fleet, 0, "page"));
             took.record(at.elapsed().as_micros() as u64).unwrap();
         }
         // A third of the harness's clients use this gatherer.
-        let queries = took.len() + u64::from(fleet.asked.lock().unwrap().whole - answered) / 3;
+        let queries =
+            took.len() + u64::from(fleet.query_counts.lock().unwrap().complete - answered) / 3;
         let used = (processor_time(pid) - before) / queries as f64 * 1e6;
-        let trail =
-            std::fs::metadata(fleet.trail(0).join("g0.000000.trail")).map_or(0, |file| file.len());
-        let hour = trail as f64 / begun.elapsed().as_secs_f64() * 3600.0;
+        let trail = std::fs::metadata(fleet.audit_folder(0).join("g0.000000.trail"))
+            .map_or(0, |file| file.len());
+        let hour = trail as f64 / start.elapsed().as_secs_f64() * 3600.0;
         let (p50, p99) = (took.value_at_quantile(0.5), took.value_at_quantile(0.99));
         println!(
             "{}: {queries}, {p50}, {p99}, {used:.0}, {hour:.0}",
--- a/bitternsill/tests/harness.rs
+++ b/bitternsill/tests/harness.rs
@@ -12,28 +12,28 @@
 /// Guards against a port search with a listening socket. A process that another test had just
 /// started held a copy of that socket; a connection to the address was accepted and then reset.
 #[test]
-fn a_free_address_takes_no_connection_while_programs_are_started() {
-    let over = Arc::new(AtomicBool::new(false));
+fn free_address_accepts_no_connection() {
+    let stop = Arc::new(AtomicBool::new(false));
     let starters: Vec<_> = (0..4)
         .map(|_| {
-            let over = over.clone();
+            let stop = stop.clone();
             thread::spawn(move || {
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     assert!(Command::new("true").status().unwrap().success());
                 }
             })
         })
         .collect();
-    for tried in 0..4_000 {
+    for attempt in 0..4_000 {
         let address = free_address();
         assert!(
             TcpStream::connect(address).is_err(),
-            "at try {tried} somebody listened at {address}"
+            "attempt {attempt}: {address} has a listener"
         );
         // The caller can listen there at once.
         drop(TcpListener::bind(address).unwrap());
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     starters
         .into_iter()
         .for_each(|starter| starter.join().unwrap());
--- a/bitternsill/tests/learned.rs
+++ b/bitternsill/tests/learned.rs
@@ -19,10 +19,10 @@
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
 /// A folder that is removed on drop.
-struct Temporary(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Temporary {
-    fn new() -> Temporary {
+impl TempFolder {
+    fn new() -> TempFolder {
         let name = format!(
             "learned-{}-{}",
             std::process::id(),
@@ -30,11 +30,11 @@
         );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path).unwrap();
-        Temporary(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Temporary {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -81,7 +81,7 @@
 /// Not a test of its own: the process that `killed_write_leaves_old_or_new_snapshot` starts and
 /// that dies in the middle of a write.
 #[test]
-fn child_that_writes_and_dies() {
+fn child_process_aborts_during_write() {
     let Ok(folder) = std::env::var("LEARNED_CHILD") else {
         return;
     };
@@ -110,7 +110,7 @@
     for written in 0..5u64 {
         let mut die_at = 0;
         loop {
-            let folder = Temporary::new();
+            let folder = TempFolder::new();
             for number in 1..=written {
                 let open = open(&folder.0);
                 open.write(&file::encode(&snapshot(number)).unwrap(), |_| {})
@@ -119,7 +119,7 @@
             let status = Command::new(std::env::current_exe().unwrap())
                 .args([
                     "--exact",
-                    "child_that_writes_and_dies",
+                    "child_process_aborts_during_write",
                     "--test-threads",
                     "1",
                 ])
@@ -150,7 +150,7 @@
 }
 
 /// Three cells in a ring; each host counts its parts and answers after its delay in milliseconds.
-fn hosts(delays: [u64; 3]) -> (Vec<FrameHost>, Vec<Arc<AtomicUsize>>) {
+fn slow_hosts(delays: [u64; 3]) -> (Vec<FrameHost>, Vec<Arc<AtomicUsize>>) {
     let counts: Vec<Arc<AtomicUsize>> = (0..3).map(|_| Arc::default()).collect();
     let host = |(delay, count): (u64, &Arc<AtomicUsize>)| {
         let count = count.clone();
@@ -158,7 +158,7 @@
             count.fetch_add(1, Ordering::SeqCst);
             // Simulates a slow host.
             std::thread::sleep(Duration::from_millis(delay));
-            Say::Good(1, "x".to_owned())
+            PartReply::Good(1, "x".to_owned())
         })
     };
     (delays.into_iter().zip(&counts).map(host).collect(), counts)
@@ -188,14 +188,14 @@
 }
 
 /// Sends consecutive queries for slice 0, which the first two hosts hold.
-fn ask(platform: &Platform, first: usize, count: usize) {
+fn send_queries(platform: &Platform, first: usize, count: usize) {
     for n in first..first + count {
-        let answer = platform.ask(&format!("{n:016x}"), "page", &[0]);
+        let answer = platform.send_query(&format!("{n:016x}"), "page", &[0]);
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
 }
 
-fn end(mut platform: Platform) -> Duration {
+fn terminate(mut platform: Platform) -> Duration {
     let start = Instant::now();
     platform.program.signal("TERM");
     let status = platform.program.child.wait().unwrap();
@@ -206,7 +206,7 @@
 fn show(folder: &Path) -> Value {
     let names: Vec<u64> = open(folder).generations().unwrap();
     let file = folder.join(atomic_write::file_name(
-        *names.iter().max().expect("a generation"),
+        *names.iter().max().expect("no generation"),
     ));
     let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
         .args(["learned", "show", "--format", "json"])
@@ -219,16 +219,16 @@
 /// After a restart a slow host is known, and the first queries avoid it.
 #[test]
 fn restart_remembers_slow_hosts() {
-    let folder = Temporary::new();
-    let (slow, _) = hosts([120, 1, 1]);
+    let folder = TempFolder::new();
+    let (slow, _) = slow_hosts([120, 1, 1]);
     let platform = start("true", slow, &folder.0);
     // Over two seconds, because a host that was slow a moment ago is left alone for a while before
     // it is tried again.
     for n in 0..130 {
-        ask(&platform, n, 1);
+        send_queries(&platform, n, 1);
         std::thread::sleep(Duration::from_millis(15));
     }
-    end(platform);
+    terminate(platform);
     let kept = show(&folder.0);
     let slowness = |uid: &str| {
         let all = kept["hosts"].as_array().unwrap();
@@ -241,21 +241,21 @@
         "{kept:#}"
     );
     assert_eq!(kept["classes"][1]["class"], "page");
-    let (slow, counts) = hosts([120, 1, 1]);
+    let (slow, counts) = slow_hosts([120, 1, 1]);
     let platform = start("true", slow, &folder.0);
-    ask(&platform, 100, 15);
+    send_queries(&platform, 100, 15);
     let first = counts[0].load(Ordering::SeqCst);
     assert_eq!(first, 0, "parts sent to the slow host");
-    end(platform);
+    terminate(platform);
     // Without stored statistics, some of the first queries go to the slow host.
-    let forgotten = Temporary::new();
-    let (slow, counts) = hosts([120, 1, 1]);
-    let platform = start("true", slow, &forgotten.0);
-    ask(&platform, 200, 15);
+    let empty = TempFolder::new();
+    let (slow, counts) = slow_hosts([120, 1, 1]);
+    let platform = start("true", slow, &empty.0);
+    send_queries(&platform, 200, 15);
     assert!(counts[0].load(Ordering::SeqCst) > 0);
 }
 
-fn memory(slowness: f32, judged: u64) -> HostStats {
+fn host_stats(slowness: f32, judged: u64) -> HostStats {
     HostStats {
         started: 0,
         slowness: vec![slowness; 3],
@@ -268,7 +268,7 @@
 }
 
 /// A snapshot of the test fleet.
-fn remembered(taken: u64, slowness: [f32; 3]) -> Snapshot {
+fn stored_snapshot(taken: u64, slowness: [f32; 3]) -> Snapshot {
     let classes = ["search", "page", "shelf"];
     let class = |name: &&str| ClassStats {
         name: (*name).to_owned(),
@@ -287,7 +287,7 @@
         .map(|n| {
             (
                 Arc::from(format!("s-{n}").as_str()),
-                memory(slowness[n], taken),
+                host_stats(slowness[n], taken),
             )
         })
         .collect();
@@ -304,22 +304,23 @@
 #[test]
 fn answers_override_outdated_statistics() {
     for age in [0, 3 * 86_400_000] {
-        let folder = Temporary::new();
-        let wrong = remembered(now_ms() - age, [1.0, 8.0, 1.0]);
+        let folder = TempFolder::new();
+        let outdated = stored_snapshot(now_ms() - age, [1.0, 8.0, 1.0]);
         let open = open(&folder.0);
-        open.write(&file::encode(&wrong).unwrap(), |_| {}).unwrap();
+        open.write(&file::encode(&outdated).unwrap(), |_| {})
+            .unwrap();
         drop(open);
-        let (slow, counts) = hosts([60, 1, 1]);
+        let (slow, counts) = slow_hosts([60, 1, 1]);
         let platform = start("true", slow, &folder.0);
-        ask(&platform, 0, 20);
-        let before = counts[1].load(Ordering::SeqCst);
-        let wasted = counts[0].load(Ordering::SeqCst);
-        ask(&platform, 100, 20);
-        let right = counts[1].load(Ordering::SeqCst) - before;
-        let wrong = counts[0].load(Ordering::SeqCst) - wasted;
+        send_queries(&platform, 0, 20);
+        let fast_before = counts[1].load(Ordering::SeqCst);
+        let slow_before = counts[0].load(Ordering::SeqCst);
+        send_queries(&platform, 100, 20);
+        let fast_parts = counts[1].load(Ordering::SeqCst) - fast_before;
+        let slow_parts = counts[0].load(Ordering::SeqCst) - slow_before;
         assert!(
-            right >= 18 && wrong <= 4,
-            "{age} ms old: {right} to the quick host, {wrong} to the slow one"
+            fast_parts >= 18 && slow_parts <= 4,
+            "statistics {age} ms old: {fast_parts} parts to the fast host, {slow_parts} to the slow one"
         );
     }
 }
@@ -328,7 +329,7 @@
 /// old.
 #[test]
 fn killed_program_leaves_recent_snapshot() {
-    let folder = Temporary::new();
+    let folder = TempFolder::new();
     let mut seed = 7u64;
     // More rounds: LEARNED_ROUNDS=300 cargo test -p bitternsill --test learned killed_program
     let rounds = std::env::var("LEARNED_ROUNDS")
@@ -336,9 +337,9 @@
         .and_then(|n| n.parse().ok())
         .unwrap_or(12);
     for round in 0..rounds {
-        let (quick, _) = hosts([1, 1, 1]);
+        let (quick, _) = slow_hosts([1, 1, 1]);
         let mut platform = start("true", quick, &folder.0);
-        ask(&platform, 100 * round, 1);
+        send_queries(&platform, 100 * round, 1);
         // Long enough for a first snapshot, then any time within two periods.
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -346,13 +347,13 @@
         let until = Instant::now() + Duration::from_millis(230 + (seed >> 33) % 200);
         let mut n = 100 * round + 1;
         while Instant::now() < until {
-            ask(&platform, n, 1);
+            send_queries(&platform, n, 1);
             n += 1;
         }
         platform.program.child.kill().unwrap();
         let killed = now_ms();
         platform.program.child.wait().unwrap();
-        let kept = newest(&folder.0).expect("a sound picture");
+        let kept = newest(&folder.0).expect("no sound snapshot");
         let old = killed.saturating_sub(kept.taken_at);
         // Two periods of 100 ms, and an allowance for one write on a busy machine.
         assert!(old <= 200 + 150, "round {round}: {old} ms old");
@@ -362,7 +363,7 @@
 /// Queries are served when the folder is missing, not a folder, locked or not writable.
 #[test]
 fn serves_without_usable_folder() {
-    let folder = Temporary::new();
+    let folder = TempFolder::new();
     let file = folder.0.join("file");
     std::fs::write(&file, "x").unwrap();
     let missing = folder.0.join("missing");
@@ -376,10 +377,10 @@
     let held = open(&folder.0);
     assert!(matches!(Folder::open(&folder.0), Err(FolderError::Locked)));
     for path in [&missing, &file, &folder.0] {
-        let (quick, _) = hosts([1, 1, 1]);
+        let (quick, _) = slow_hosts([1, 1, 1]);
         let platform = start("true", quick, path);
-        ask(&platform, 0, 3);
-        end(platform);
+        send_queries(&platform, 0, 3);
+        terminate(platform);
     }
     drop(held);
     assert_eq!(open(&folder.0).generations().unwrap(), [0u64; 0]);
@@ -390,7 +391,7 @@
 /// written.
 #[test]
 fn skips_unreadable_generations() {
-    let folder = Temporary::new();
+    let folder = TempFolder::new();
     let at = |generation: u64| folder.0.join(atomic_write::file_name(generation));
     let sound = file::encode(&snapshot(7)).unwrap();
     std::fs::write(at(1), &sound).unwrap();
@@ -429,14 +430,14 @@
 #[test]
 fn full_or_stuck_disk_delays_no_query_or_shutdown() {
     // The file size limit is zero, so each write fails as on a full disk.
-    let full = Temporary::new();
-    let (quick, _) = hosts([1, 1, 1]);
+    let full = TempFolder::new();
+    let (quick, _) = slow_hosts([1, 1, 1]);
     let platform = start("trap '' XFSZ; ulimit -f 0", quick, &full.0);
-    ask(&platform, 0, 50);
-    end(platform);
+    send_queries(&platform, 0, 50);
+    terminate(platform);
     assert_eq!(newest(&full.0), None);
     // A pipe without a reader blocks every open for writing.
-    let stuck = Temporary::new();
+    let stuck = TempFolder::new();
     assert!(
         Command::new("mkfifo")
             .arg(stuck.0.join(atomic_write::TEMPORARY))
@@ -444,36 +445,36 @@
             .unwrap()
             .success()
     );
-    let (quick, _) = hosts([1, 1, 1]);
+    let (quick, _) = slow_hosts([1, 1, 1]);
     let platform = start("true", quick, &stuck.0);
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_millis(600) {
-        let asked = Instant::now();
-        ask(&platform, 1000 + begin.elapsed().as_micros() as usize, 1);
+        let query_start = Instant::now();
+        send_queries(&platform, 1000 + begin.elapsed().as_micros() as usize, 1);
         assert!(
-            asked.elapsed() < Duration::from_millis(400),
-            "a query waited for the disk"
+            query_start.elapsed() < Duration::from_millis(400),
+            "query delayed by the disk"
         );
     }
     assert!(
-        end(platform) < Duration::from_millis(4_500),
-        "the end waited for the disk"
+        terminate(platform) < Duration::from_millis(4_500),
+        "shutdown delayed by the disk"
     );
 }
 
 /// Starts a gatherer whose statistics mark the first host as slow; returns how many of the first
 /// queries use that host.
-fn queries_to_the_remembered_host(count: usize, was_replaced: bool, delays: [u64; 3]) -> usize {
-    let folder = Temporary::new();
+fn queries_to_slow_host(count: usize, was_replaced: bool, delays: [u64; 3]) -> usize {
+    let folder = TempFolder::new();
     let open = open(&folder.0);
     let taken = now_ms();
     open.write(
-        &file::encode(&remembered(taken, [8.0, 1.0, 1.0])).unwrap(),
+        &file::encode(&stored_snapshot(taken, [8.0, 1.0, 1.0])).unwrap(),
         |_| {},
     )
     .unwrap();
     drop(open);
-    let (hosts, counts) = hosts(delays);
+    let (hosts, counts) = slow_hosts(delays);
     let file = folder.0.with_extension("json");
     std::fs::write(&file, json!({"learning": {"folder": folder.0}}).to_string()).unwrap();
     let mut targets: Vec<Value> = hosts
@@ -495,7 +496,7 @@
         256,
         &more,
     );
-    ask(&platform, 0, count);
+    send_queries(&platform, 0, count);
     counts[0].load(Ordering::SeqCst)
 }
 
@@ -505,26 +506,26 @@
 fn replaced_hosts_start_without_statistics() {
     let equal = [1, 1, 1];
     assert_eq!(
-        queries_to_the_remembered_host(5, false, equal),
+        queries_to_slow_host(5, false, equal),
         0,
-        "a host that is the same is spared"
+        "slow host used despite its statistics"
     );
     assert!(
-        queries_to_the_remembered_host(5, true, equal) > 0,
-        "one that began anew is tried at once"
+        queries_to_slow_host(5, true, equal) > 0,
+        "restarted host not used"
     );
     let other_is_slow = [1, 30, 1];
-    let used = queries_to_the_remembered_host(20, true, other_is_slow);
+    let used = queries_to_slow_host(20, true, other_is_slow);
     assert!(
         used > 10,
-        "and used like any other: {used} of 20 queries where it is the quicker one"
+        "faster restarted host got only {used} of 20 queries"
     );
 }
 
 /// The `learned` subcommands on sound and damaged files.
 #[test]
 fn commands_show_verify_convert_age_and_compare_files() {
-    let folder = Temporary::new();
+    let folder = TempFolder::new();
     let at = |name: &str| folder.0.join(name);
     let run = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
@@ -541,7 +542,7 @@
     };
     std::fs::write(
         at("new"),
-        file::encode(&remembered(now_ms(), [8.0, 1.0, 1.0])).unwrap(),
+        file::encode(&stored_snapshot(now_ms(), [8.0, 1.0, 1.0])).unwrap(),
     )
     .unwrap();
     std::fs::write(at("spoilt"), &std::fs::read(at("new")).unwrap()[..90]).unwrap();
@@ -564,7 +565,7 @@
     let (code, text) = run(&["convert", "new", "old"]);
     assert!(
         code == Some(1) && text.contains("old"),
-        "what is there is not written over: {text}"
+        "existing file overwritten: {text}"
     );
     let (code, text) = run(&["diff", "new", "old"]);
     assert!(
--- a/bitternsill/tests/limits.rs
+++ b/bitternsill/tests/limits.rs
@@ -7,7 +7,7 @@
 /// Guards against too short a shutdown: with deadlines under half a second, the last queries had
 /// only 0.1 s and then failed.
 #[test]
-fn what_is_asked_last_before_the_end_has_its_time_before_the_kill() {
+fn shutdown_leaves_time_for_last_queries() {
     for deadline in [300, 400, 600, 1000, 1400, 2500, 5000] {
         for aim in [deadline / 3, deadline / 2, deadline * 3 / 4] {
             let limits = Limits::default().with_shutdown(deadline * MS, aim * MS);
@@ -15,11 +15,11 @@
             let (keep, last) = (limits.keep_serving, limits.shutdown_deadline);
             assert!(
                 last < kill,
-                "{deadline}, {aim}: all is answered before the kill"
+                "{deadline}, {aim}: shutdown deadline after the kill"
             );
             assert!(
                 keep >= 450 * MS,
-                "{deadline}, {aim}: connections come for 0.4 s"
+                "{deadline}, {aim}: accepts connections for less than 0.45 s"
             );
             let fits = keep + aim * MS <= last || keep == 450 * MS;
             assert!(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn clients_and_index_hosts_together_leave_descriptors_for_the_program_itself() {
+fn client_and_host_limits_reserve_descriptors() {
     for descriptors in [120, 256, 512, 1024, 4096] {
         let limits = Limits::default()
             .with_descriptors(descriptors)
@@ -42,7 +42,7 @@
         let own = descriptors - limits.clients - limits.host_links;
         assert!(
             own >= 24 + limits.admin_connections,
-            "{descriptors}: {own} are left"
+            "{descriptors}: only {own} reserved"
         );
         assert!(
             limits.host_links >= descriptors / 10,
@@ -54,7 +54,7 @@
 
 /// The delays of an aggregator with a list before its next call, after each of these consecutive
 /// failures; `true` for a refused call.
-fn waits(aggregators: u32, refused: &[bool], seed: u64) -> Vec<Time> {
+fn retry_delays(aggregators: u32, refused: &[bool], seed: u64) -> Vec<Time> {
     let settings = Settings {
         aggregators,
         discovery_on_request: true,
@@ -88,10 +88,13 @@
             Action::WakeAt(at) => Some(*at),
             _ => None,
         });
-        let before = std::mem::replace(&mut now, due.expect("it wants to call again"));
+        let before = std::mem::replace(&mut now, due.expect("no further call scheduled"));
         out.clear();
         module.turn(now, &[Event::Wake], &mut out);
-        assert!(out.contains(&Action::Watch(true)), "it calls then");
+        assert!(
+            out.contains(&Action::Watch(true)),
+            "no call at the scheduled time"
+        );
         now - before
     };
     refused.iter().map(&mut wait).collect()
@@ -101,7 +104,7 @@
 /// Guards against two cases in a fleet of a hundred: a silent watch followed by a timed-out call
 /// took 8.9 s, and a timed-out call after refused ones 10 s.
 #[test]
-fn a_watchs_silence_a_calls_wait_and_the_waits_between_fit_in_six_seconds_in_fleets_of_any_size() {
+fn discovery_delays_fit_in_six_seconds_for_any_fleet_size() {
     let limits = Limits::default();
     let (silent, call, answer) = (
         limits.watch_timeout,
@@ -109,23 +112,23 @@
         limits.discovery_busy_timeout,
     );
     // Leaves 200 ms for the response to the last call.
-    let told = 6_000 * MS - 200 * MS;
+    let time_limit = 6_000 * MS - 200 * MS;
     for aggregators in [1, 3, 10, 30, 60, 100, 300, 1000] {
         for seed in 0..40 {
             // A watch falls silent, and the next call times out.
-            let after = waits(aggregators, &[false, false], seed);
+            let after = retry_delays(aggregators, &[false, false], seed);
             let took = silent + after[0] + call + after[1];
-            assert!(took <= told, "{aggregators}: {} ms", took / MS);
+            assert!(took <= time_limit, "{aggregators}: {} ms", took / MS);
             // Discovery returns just after it refused a call; then the next call times out, or its
             // watch is silent from the start, or it ends without an update.
             for refusals in 1..12 {
                 let failures: Vec<bool> = (0..=refusals).map(|at| at < refusals).collect();
-                let after = waits(aggregators, &failures, seed);
-                let (back, again) = (after[refusals - 1], after[refusals]);
+                let after = retry_delays(aggregators, &failures, seed);
+                let (before_return, after_return) = (after[refusals - 1], after[refusals]);
                 for lost in [answer, silent] {
-                    let took = back + lost + again;
+                    let took = before_return + lost + after_return;
                     assert!(
-                        took <= told,
+                        took <= time_limit,
                         "{aggregators}, {refusals} refusals: {} ms",
                         took / MS
                     );
