--- a/bitternsill/tests/operations.rs
+++ b/bitternsill/tests/operations.rs
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 /// A gatherer with an admin address and a folder that its processes share.
-struct Served {
+struct Gatherer {
     platform: Platform,
-    door: SocketAddr,
+    admin: SocketAddr,
     folder: PathBuf,
 }
 
-impl Drop for Served {
+impl Drop for Gatherer {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -28,26 +28,26 @@
 
 fn hosts() -> Vec<FrameHost> {
     (1..=3)
-        .map(|score| FrameHost::start(move |id| Say::Good(score, format!("value of {id}"))))
+        .map(|score| FrameHost::start(move |id| PartReply::Good(score, format!("value of {id}"))))
         .collect()
 }
 
-fn start(settings: Value, hosts: Vec<FrameHost>, descriptors: u32) -> Served {
+fn start(settings: Value, hosts: Vec<FrameHost>, descriptors: u32) -> Gatherer {
     let targets = hosts
         .iter()
         .enumerate()
         .map(|(i, h)| target(i, h.address, "active"))
         .collect();
-    let (address, door, discovery) = (free_address(), free_address(), Discovery::start(targets));
+    let (address, admin, discovery) = (free_address(), free_address(), Discovery::start(targets));
     let folder = std::env::temp_dir().join(format!("bitternsill-shared-{}", address.ip()));
     std::fs::create_dir_all(&folder).unwrap();
     let config = json!({
         "name": "n0", "listen": address.to_string(), "discovery": discovery.address.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 48, "sockets": descriptors},
-        "admin": door.to_string(), "known": null, "settings": settings
+        "admin": admin.to_string(), "known": null, "settings": settings
     });
     let program = run(&config, &folder, descriptors);
-    let served = Served {
+    let gatherer = Gatherer {
         platform: Platform {
             program,
             address,
@@ -55,13 +55,13 @@
             hosts,
             config,
         },
-        door,
+        admin,
         folder,
     };
-    eventually("ready", || {
-        call(door, "GET", "ready", "").starts_with("HTTP/1.1 200")
+    wait_until("ready", || {
+        admin_call(admin, "GET", "ready", "").starts_with("HTTP/1.1 200")
     });
-    served
+    gatherer
 }
 
 fn run(config: &Value, folder: &std::path::Path, descriptors: u32) -> Program {
@@ -72,26 +72,26 @@
     Program::start_in(&shell, "--config", config, &[])
 }
 
-impl Served {
+impl Gatherer {
     /// Starts a second process next to the first, with its own admin address; returns once it
     /// accepts clients.
     fn upgrade(&self) -> (Program, SocketAddr) {
         let mut config = self.platform.config.clone();
-        let door = free_address();
-        config["admin"] = json!(door.to_string());
+        let admin = free_address();
+        config["admin"] = json!(admin.to_string());
         let program = run(&config, &self.folder, 256);
-        eventually("the next is ready", || {
-            call(door, "GET", "ready", "").starts_with("HTTP/1.1 200")
+        wait_until("next process ready", || {
+            admin_call(admin, "GET", "ready", "").starts_with("HTTP/1.1 200")
         });
-        (program, door)
+        (program, admin)
     }
 
-    fn seen(&self, host: usize) -> usize {
-        self.platform.hosts[host].seen().len()
+    fn received(&self, host: usize) -> usize {
+        self.platform.hosts[host].received().len()
     }
 }
 
-fn text(method: &str, path: &str, body: &str) -> String {
+fn admin_request(method: &str, path: &str, body: &str) -> String {
     format!(
         "{method} /api/{path} HTTP/1.1\r\nHost: door\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -99,40 +99,40 @@
 }
 
 /// Sends an admin request; returns the response, or an empty string if the connection is refused.
-fn call(door: SocketAddr, method: &str, path: &str, body: &str) -> String {
-    let Ok(mut socket) = TcpStream::connect(door) else {
+fn admin_call(admin: SocketAddr, method: &str, path: &str, body: &str) -> String {
+    let Ok(mut socket) = TcpStream::connect(admin) else {
         return String::new();
     };
     socket
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
     socket
-        .write_all(text(method, path, body).as_bytes())
+        .write_all(admin_request(method, path, body).as_bytes())
         .unwrap();
     read_response(&mut socket)
 }
 
-fn post(door: SocketAddr, path: &str, member: &str) -> String {
-    call(door, "POST", path, &json!({"member": member}).to_string())
+fn post_member(admin: SocketAddr, path: &str, member: &str) -> String {
+    admin_call(admin, "POST", path, &json!({"member": member}).to_string())
 }
 
 #[test]
-fn the_door_answers_while_callers_say_nothing_and_clients_hold_every_descriptor() {
-    let served = start(settings(), hosts(), 256);
-    let pid = served.platform.program.child.id();
-    let crowd: Vec<TcpStream> = (0..30).map(|_| served.platform.connect()).collect();
+fn admin_address_answers_without_free_descriptors() {
+    let gatherer = start(settings(), hosts(), 256);
+    let pid = gatherer.platform.program.child.id();
+    let crowd: Vec<TcpStream> = (0..30).map(|_| gatherer.platform.connect()).collect();
     // By then the connections of the readiness checks are closed and leave no free descriptor.
     let count = || {
         std::fs::read_dir(format!("/proc/{pid}/fd"))
             .unwrap()
             .count()
     };
-    let mut still = (0, Instant::now());
-    eventually("nothing closes any more", || {
-        if count() != still.0 {
-            still = (count(), Instant::now());
+    let mut last_change = (0, Instant::now());
+    wait_until("descriptor count stable", || {
+        if count() != last_change.0 {
+            last_change = (count(), Instant::now());
         }
-        still.1.elapsed() > Duration::from_millis(700)
+        last_change.1.elapsed() > Duration::from_millis(700)
     });
     // From here on the process can open no further descriptor.
     let held = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap();
@@ -145,11 +145,11 @@
         .status();
     assert!(lowered.unwrap().success());
     let mute: Vec<TcpStream> = (0..20)
-        .map(|_| TcpStream::connect(served.door).unwrap())
+        .map(|_| TcpStream::connect(gatherer.admin).unwrap())
         .collect();
     for round in 0..20 {
         let start = Instant::now();
-        let answer = call(served.door, "GET", "ready", "");
+        let answer = admin_call(gatherer.admin, "GET", "ready", "");
         assert!(
             answer.starts_with("HTTP/1.1 200"),
             "round {round}: {answer}"
@@ -161,26 +161,26 @@
         );
     }
     drop((crowd, mute));
-    eventually("clients are served again", || {
-        served
+    wait_until("clients served again", || {
+        gatherer
             .platform
-            .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .send_request("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
             .starts_with("HTTP/1.1 200")
     });
 }
 
 #[test]
 fn a_call_is_understood_from_any_split_of_its_bytes_and_what_is_none_is_told_why() {
-    let served = start(settings(), hosts(), 256);
-    let whole = text("POST", "exclude", r#"{"member":"s-1"}"#);
+    let gatherer = start(settings(), hosts(), 256);
+    let whole = admin_request("POST", "exclude", r#"{"member":"s-1"}"#);
     for at in 1..whole.len() {
-        let mut socket = TcpStream::connect(served.door).unwrap();
+        let mut socket = TcpStream::connect(gatherer.admin).unwrap();
         socket
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
         socket.write_all(&whole.as_bytes()[..at]).unwrap();
         // By the time it answers another request, the gatherer has read the first piece.
-        assert!(call(served.door, "GET", "ready", "").starts_with("HTTP/1.1 200"));
+        assert!(admin_call(gatherer.admin, "GET", "ready", "").starts_with("HTTP/1.1 200"));
         socket.write_all(&whole.as_bytes()[at..]).unwrap();
         let answer = read_response(&mut socket);
         assert!(answer.starts_with("HTTP/1.1 200"), "cut at {at}: {answer}");
@@ -202,7 +202,7 @@
         ("POST", "rejoin", ""),
     ];
     let said = calls.map(|(method, path, body)| {
-        let answer = call(served.door, method, path, body);
+        let answer = admin_call(gatherer.admin, method, path, body);
         let line = answer.lines().next().unwrap_or_default().to_owned();
         let allow = answer
             .lines()
@@ -218,8 +218,8 @@
         format!("{method} {path} {body}: {line} {allow} {words}")
     });
     insta::assert_snapshot!(said.join("\n"));
-    let huge = call(
-        served.door,
+    let huge = admin_call(
+        gatherer.admin,
         "POST",
         "exclude",
         &format!("{{\"member\":\"{}\"}}", "x".repeat(100_000)),
@@ -238,7 +238,7 @@
             .to_owned();
         (run.status.success(), words)
     };
-    let at = format!("--at={}", served.door);
+    let at = format!("--at={}", gatherer.admin);
     assert_eq!(cli(&["exclude", "s-2", &at]), (true, "out".to_owned()));
     assert_eq!(
         cli(&["exclude", "s-7", &at]),
@@ -249,26 +249,26 @@
 }
 
 #[test]
-fn a_host_out_by_hand_gets_nothing_new_whatever_discovery_says_and_then_serves_again() {
-    let served = start(settings(), hosts(), 256);
-    let ask = |id: &str, shard: u32| served.platform.ask(id, "page", &[shard]);
+fn excluded_host_gets_nothing_until_included() {
+    let gatherer = start(settings(), hosts(), 256);
+    let ask = |id: &str, shard: u32| gatherer.platform.send_query(id, "page", &[shard]);
     for i in 0..12 {
         assert!(ask(&format!("a{i}"), i % 3).starts_with("HTTP/1.1 200"));
     }
-    assert!(served.seen(1) > 0);
-    assert!(post(served.door, "exclude", "s-1").starts_with("HTTP/1.1 200"));
+    assert!(gatherer.received(1) > 0);
+    assert!(post_member(gatherer.admin, "exclude", "s-1").starts_with("HTTP/1.1 200"));
     assert!(
-        post(served.door, "exclude", "s-1").starts_with("HTTP/1.1 200"),
-        "the call may come twice"
+        post_member(gatherer.admin, "exclude", "s-1").starts_with("HTTP/1.1 200"),
+        "repeated exclude rejected"
     );
-    let before = served.seen(1);
+    let before = gatherer.received(1);
     for i in 0..12 {
         assert!(ask(&format!("b{i}"), i % 3).starts_with("HTTP/1.1 200"));
     }
     // The host leaves and returns under the same id with a new start time. None of this includes it
     // again.
     let line = |state: &str, boot: u64| {
-        let mut line = target(1, served.platform.hosts[1].address, state);
+        let mut line = target(1, gatherer.platform.hosts[1].address, state);
         line["boot_ms"] = json!(boot);
         line
     };
@@ -278,74 +278,77 @@
         (4, "leaving", 0),
         (5, "active", 0),
     ] {
-        served
+        gatherer
             .platform
             .discovery
-            .tell(version, vec![line(state, boot)]);
+            .publish(version, vec![line(state, boot)]);
         for i in 0..6 {
             assert!(ask(&format!("c{version}{i}"), i % 3).starts_with("HTTP/1.1 200"));
         }
     }
     // An upgrade does not include it either, and an include call to the new process applies to
     // both.
-    let (next, door) = served.upgrade();
+    let (next, admin) = gatherer.upgrade();
     for i in 0..24 {
         assert!(ask(&format!("d{i}"), i % 3).starts_with("HTTP/1.1 200"));
     }
     assert_eq!(
-        served.seen(1),
+        gatherer.received(1),
         before,
         "{:?}",
-        served.platform.hosts[1].seen()
+        gatherer.platform.hosts[1].received()
     );
     assert!(
-        post(door, "include", "s-1").starts_with("HTTP/1.1 200"),
-        "one call undoes both"
+        post_member(admin, "include", "s-1").starts_with("HTTP/1.1 200"),
+        "include rejected"
     );
     let start = Instant::now();
-    while served.seen(1) == before {
-        assert!(start.elapsed() < Duration::from_secs(5), "not used again");
+    while gatherer.received(1) == before {
+        assert!(
+            start.elapsed() < Duration::from_secs(5),
+            "host not used again"
+        );
         ask(&format!("e{:?}", start.elapsed()), 0);
     }
     drop(next);
     // The first process has received the call as well.
-    let before = served.seen(1);
+    let before = gatherer.received(1);
     let start = Instant::now();
-    while served.seen(1) == before {
+    while gatherer.received(1) == before {
         assert!(
             start.elapsed() < Duration::from_secs(5),
-            "not used again by the first"
+            "host not used again by the first process"
         );
         ask(&format!("f{:?}", start.elapsed()), 0);
     }
 }
 
 #[test]
-fn work_that_waits_for_a_connection_does_not_reach_a_host_taken_out_meanwhile() {
+fn waiting_parts_do_not_reach_excluded_host() {
     // The host of cell 0 does not answer at first, so that hedges and further attempts are due;
     // then it is excluded.
     let mut all = hosts();
-    all[0] = FrameHost::start(|_| Say::Nothing);
-    let served = start(settings(), all, 256);
-    let (address, answers) = (served.platform.address, std::sync::mpsc::channel());
+    all[0] = FrameHost::start(|_| PartReply::NoReply);
+    let gatherer = start(settings(), all, 256);
+    let (address, answers) = (gatherer.platform.address, std::sync::mpsc::channel());
     for i in 0..8 {
-        let tell = answers.0.clone();
+        let sender = answers.0.clone();
         thread::spawn(move || {
             let mut socket = TcpStream::connect(address).unwrap();
             socket
                 .write_all(query(&format!("q{i}"), "page", &[0, 2], "").as_bytes())
                 .unwrap();
-            let _ = tell.send(read_response(&mut socket));
+            let _ = sender.send(read_response(&mut socket));
         });
     }
-    eventually("parts are out", || served.seen(0) > 0);
-    assert!(post(served.door, "exclude", "s-0").starts_with("HTTP/1.1 200"));
+    wait_until("parts sent", || gatherer.received(0) > 0);
+    assert!(post_member(gatherer.admin, "exclude", "s-0").starts_with("HTTP/1.1 200"));
     let parts = |seen: Vec<String>| {
         seen.iter()
-            .filter(|line| !line.starts_with("given up"))
+            .filter(|line| !line.starts_with("cancelled"))
             .count()
     };
-    let before = parts(served.platform.hosts[0].seen());
+    let before = parts(gatherer.platform.hosts[0].received());
     for _ in 0..8 {
         let answer = answers.1.recv_timeout(Duration::from_secs(5)).unwrap();
         assert!(
@@ -354,25 +357,25 @@
         );
     }
     assert_eq!(
-        parts(served.platform.hosts[0].seen()),
+        parts(gatherer.platform.hosts[0].received()),
         before,
         "{:?}",
-        served.platform.hosts[0].seen()
+        gatherer.platform.hosts[0].received()
     );
 }
 
 #[test]
-fn a_drain_lets_every_request_end_holds_no_client_and_is_undone() {
-    let served = start(settings(), hosts(), 256);
+fn drain_finishes_requests_and_can_be_undone() {
+    let gatherer = start(settings(), hosts(), 256);
     let health = || {
-        served
+        gatherer
             .platform
-            .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+            .send_request("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
     };
-    let mut kept = served.platform.connect();
-    let mut served_once = served.platform.connect();
-    let mut half = served.platform.connect();
-    let mute = served.platform.connect();
+    let mut kept = gatherer.platform.connect();
+    let mut served_once = gatherer.platform.connect();
+    let mut half = gatherer.platform.connect();
+    let mute = gatherer.platform.connect();
     kept.write_all(query("k1", "page", &[0], "").as_bytes())
         .unwrap();
     assert!(!read_response(&mut kept).contains("Connection: close"));
@@ -381,22 +384,22 @@
         .unwrap();
     read_response(&mut served_once);
     half.write_all(b"POST /api HTTP/1.1\r\nX-Call").unwrap();
-    assert!(call(served.door, "POST", "evacuate", "").starts_with("HTTP/1.1 200"));
+    assert!(admin_call(gatherer.admin, "POST", "evacuate", "").starts_with("HTTP/1.1 200"));
     let began = Instant::now();
     assert!(
         health().starts_with("HTTP/1.1 503"),
-        "health says no at once"
+        "health still reports ready"
     );
     assert!(
-        call(served.door, "POST", "evacuate", "").starts_with("HTTP/1.1 200"),
-        "twice is once"
+        admin_call(gatherer.admin, "POST", "evacuate", "").starts_with("HTTP/1.1 200"),
+        "repeated evacuate rejected"
     );
     // A client with consecutive requests is served until a response closes its connection; the
     // connection never closes without a response.
-    let mut asked = 0;
+    let mut sent = 0;
     loop {
-        asked += 1;
-        kept.write_all(query(&format!("l{asked}"), "page", &[0], "").as_bytes())
+        sent += 1;
+        kept.write_all(query(&format!("l{sent}"), "page", &[0], "").as_bytes())
             .unwrap();
         let answer = read_response(&mut kept);
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
@@ -405,47 +408,56 @@
         }
     }
     // New connections are still served, with one request each.
-    let late = served.platform.ask("late", "page", &[0]);
+    let late = gatherer.platform.send_query("late", "page", &[0]);
     assert!(late.starts_with("HTTP/1.1 200"), "{late}");
     let closed = |mut socket: TcpStream| {
         let mut rest = String::new();
         socket.read_to_string(&mut rest).map(|_| rest)
     };
-    assert_eq!(closed(served_once).unwrap(), "", "an idle one is closed");
+    assert_eq!(
+        closed(served_once).unwrap(),
+        "",
+        "data on an idle connection"
+    );
     assert_eq!(closed(mute).unwrap(), "");
-    let told = closed(half).unwrap();
+    let response = closed(half).unwrap();
     assert!(
-        told.starts_with("HTTP/1.1 503"),
-        "half a request may be sent elsewhere: {told}"
+        response.starts_with("HTTP/1.1 503"),
+        "incomplete request not rejected: {response}"
     );
     assert!(
         began.elapsed() < Duration::from_secs(2),
         "held for {:?}",
         began.elapsed()
     );
-    assert!(call(served.door, "GET", "ready", "").starts_with("HTTP/1.1 503"));
-    assert!(call(served.door, "POST", "rejoin", "").starts_with("HTTP/1.1 200"));
+    assert!(admin_call(gatherer.admin, "GET", "ready", "").starts_with("HTTP/1.1 503"));
+    assert!(admin_call(gatherer.admin, "POST", "rejoin", "").starts_with("HTTP/1.1 200"));
     assert!(
         health().starts_with("HTTP/1.1 200"),
-        "health says yes at once"
+        "health does not report ready"
     );
-    let mut again = served.platform.connect();
+    let mut again = gatherer.platform.connect();
     again
         .write_all(query("again", "page", &[0], "").as_bytes())
         .unwrap();
     assert!(
         !read_response(&mut again).contains("Connection: close"),
-        "connections are kept again"
+        "connection closed after rejoin"
     );
 }
 
 /// Sends queries on new connections, one after another, until `stop` is set. Counts the served ones
 /// in `all`; returns one entry for each connection that was refused, reset or closed without a
 /// response.
-fn knock(address: SocketAddr, name: String, stop: &AtomicBool, all: &AtomicU32) -> Vec<String> {
-    let (mut served, mut met) = (0, Vec::new());
+fn query_repeatedly(
+    address: SocketAddr,
+    name: String,
+    stop: &AtomicBool,
+    all: &AtomicU32,
+) -> Vec<String> {
+    let (mut served, mut failures) = (0, Vec::new());
     while !stop.load(Ordering::SeqCst) {
-        let asked = TcpStream::connect(address).and_then(|mut socket| {
+        let result = TcpStream::connect(address).and_then(|mut socket| {
             socket.set_read_timeout(Some(Duration::from_secs(5)))?;
             socket.write_all(query(&format!("{name}-{served}"), "page", &[0], "").as_bytes())?;
             let answer = read_response(&mut socket);
@@ -455,42 +467,43 @@
                 Err(ErrorKind::UnexpectedEof.into())
             }
         });
-        match asked {
+        match result {
             Ok(()) => {
                 served += 1;
                 all.fetch_add(1, Ordering::SeqCst);
             }
-            Err(problem) => met.push(format!("{name}-{served}: {problem}")),
+            Err(problem) => failures.push(format!("{name}-{served}: {problem}")),
         }
     }
-    met
+    failures
 }
 
 #[test]
-fn upgrades_under_load_leave_no_connection_behind() {
-    let served = start(settings(), hosts(), 256);
+fn upgrades_under_load_lose_no_connection() {
+    let gatherer = start(settings(), hosts(), 256);
     let (address, stop, all) = (
-        served.platform.address,
+        gatherer.platform.address,
         AtomicBool::new(false),
         AtomicU32::new(0),
     );
-    let (mut met, mut upgrades) = (Vec::new(), 0);
+    let (mut failures, mut upgrades) = (Vec::new(), 0);
     thread::scope(|scope| {
         let (stop, all) = (&stop, &all);
-        let knock = |n| scope.spawn(move || knock(address, format!("k{n}"), stop, all));
-        let knocking: Vec<_> = (0..16).map(knock).collect();
+        let start_client =
+            |n| scope.spawn(move || query_repeatedly(address, format!("k{n}"), stop, all));
+        let clients: Vec<_> = (0..16).map(start_client).collect();
         let some_more = || {
             let before = all.load(Ordering::SeqCst);
-            eventually("more are served", || {
+            wait_until("more queries served", || {
                 all.load(Ordering::SeqCst) > before + 100
             });
         };
         some_more();
-        let mut running = vec![served.upgrade().0];
-        served.platform.program.signal("TERM");
+        let mut running = vec![gatherer.upgrade().0];
+        gatherer.platform.program.signal("TERM");
         for _ in 0..8 {
             some_more();
-            let (next, _) = served.upgrade();
+            let (next, _) = gatherer.upgrade();
             running.last().unwrap().signal("TERM");
             // Kept, so that the drop does not kill the process during its shutdown.
             running.push(next);
@@ -498,29 +511,29 @@
         }
         some_more();
         stop.store(true, Ordering::SeqCst);
-        met.extend(
-            knocking
+        failures.extend(
+            clients
                 .into_iter()
-                .flat_map(|knocker| knocker.join().unwrap()),
+                .flat_map(|client| client.join().unwrap()),
         );
     });
     let all = all.into_inner();
     assert!(
-        met.len() <= 1,
-        "{upgrades} upgrades, {all} served, {} met a closed door: {met:?}",
-        met.len()
+        failures.len() <= 1,
+        "{upgrades} upgrades, {all} served, {} failed: {failures:?}",
+        failures.len()
     );
 }
 
 #[test]
-fn whoever_waits_in_the_queue_of_a_process_told_to_end_is_answered() {
-    let served = start(settings(), hosts(), 512);
-    let old = &served.platform.program;
-    let (next, _) = served.upgrade();
+fn backlog_of_terminating_process_is_answered() {
+    let gatherer = start(settings(), hosts(), 512);
+    let old = &gatherer.platform.program;
+    let (next, _) = gatherer.upgrade();
     // While the process is stopped, about half of two hundred connections collect in its backlog:
     // more than one round accepts.
     old.signal("STOP");
-    let mut waiting: Vec<TcpStream> = (0..200).map(|_| served.platform.connect()).collect();
+    let mut waiting: Vec<TcpStream> = (0..200).map(|_| gatherer.platform.connect()).collect();
     for (n, socket) in waiting.iter_mut().enumerate() {
         socket
             .write_all(query(&format!("w{n}"), "page", &[0], "").as_bytes())
@@ -533,30 +546,30 @@
         .iter()
         .filter(|answer| !answer.starts_with("HTTP/1.1 "))
         .count();
-    assert_eq!(unread, 0, "of 200 that had connected");
+    assert_eq!(unread, 0, "connections without a response, of 200");
     drop(next);
 }
 
 #[test]
-fn new_settings_are_taken_whole_or_not_at_all_and_what_is_open_keeps_its_class() {
+fn reload_is_atomic_and_open_queries_keep_their_class() {
     // The hosts delay their answers to one query until the test opens the gate.
     let gate = std::sync::Arc::new(AtomicBool::new(false));
     let host = |score| {
         let open = gate.clone();
         FrameHost::start(move |id| {
-            eventually("the gate opens", || {
+            wait_until("gate open", || {
                 !id.starts_with("w.") || open.load(Ordering::SeqCst)
             });
-            Say::Good(score, format!("value of {id}"))
+            PartReply::Good(score, format!("value of {id}"))
         })
     };
     let all = (1..=3).map(host).collect();
-    let served = start(settings(), all, 256);
-    let platform = &served.platform;
+    let gatherer = start(settings(), all, 256);
+    let platform = &gatherer.platform;
     let status = |answer: String| answer.split(' ').nth(1).unwrap_or_default().to_owned();
-    let ask = |id: &str, class: &str| status(platform.ask(id, class, &[0]));
+    let ask = |id: &str, class: &str| status(platform.send_query(id, class, &[0]));
     let keyed = |id: &str, class: &str| {
-        status(platform.say(&query(
+        status(platform.send_request(&query(
             id,
             class,
             &[0],
@@ -609,7 +622,7 @@
             .map(drop)
             .unwrap()
     });
-    let watches = platform.discovery.asked();
+    let watches = platform.discovery.watch_requests();
     for (n, file) in broken.iter().enumerate() {
         platform.reload(file);
         // A signal is handled before any request sent after it.
@@ -617,7 +630,10 @@
         assert_eq!(ask(&format!("c{n}"), "page"), "200", "{file}");
     }
     assert_eq!(
-        (platform.discovery.watches(), platform.discovery.asked()),
+        (
+            platform.discovery.open_watches(),
+            platform.discovery.watch_requests()
+        ),
         (1, watches)
     );
     // A query is open while its class is removed and another class changes its effect.
@@ -625,8 +641,8 @@
     waiting
         .write_all(query("w", "page", &[1], "").as_bytes())
         .unwrap();
-    let out = |host: &FrameHost| host.seen().iter().any(|line| line.starts_with("w."));
-    eventually("its part is out", || platform.hosts.iter().any(out));
+    let was_sent = |host: &FrameHost| host.received().iter().any(|line| line.starts_with("w."));
+    wait_until("part sent", || platform.hosts.iter().any(was_sent));
     let mut fresh = good.clone();
     let classes = fresh["settings"]["request_classes"].as_array_mut().unwrap();
     classes[1]["name"] = json!("leaf");
@@ -641,18 +657,18 @@
     }
     platform.reload(&fresh.to_string());
     let began = Instant::now();
-    eventually("the new class is served", || {
+    wait_until("new class served", || {
         ask(&format!("n{:?}", began.elapsed()), "leaf") == "200"
     });
     assert_eq!(
         (ask("o1", "page"), ask("n1", "note")),
         ("200".into(), "200".into()),
-        "both namings hold for a while"
+        "old and new class names are not both accepted"
     );
     assert_eq!(
         (keyed("k1", "shelf"), ask("k2", "shelf")),
         ("200".into(), "200".into()),
-        "and both meanings"
+        "old and new effects are not both accepted"
     );
     gate.store(true, Ordering::SeqCst);
     let answer = read_response(&mut waiting);
@@ -660,7 +676,7 @@
         answer.starts_with("HTTP/1.1 200") && answer.contains("value of w.1"),
         "{answer}"
     );
-    eventually("the former naming ends", || {
+    wait_until("previous class removed", || {
         ask(&format!("e{:?}", began.elapsed()), "page") == "400"
     });
     assert!(
@@ -678,7 +694,7 @@
         platform.reload(&if n % 2 == 0 { &good } else { &fresh }.to_string());
         ask(&format!("f{n}"), "search");
     }
-    eventually("the last settings are taken in the end", || {
+    wait_until("last settings applied", || {
         platform.reload(&fresh.to_string());
         ask(&format!("l{:?}", began.elapsed()), "note") == "200"
     });
@@ -708,53 +724,55 @@
 }
 
 #[test]
-fn a_client_that_never_reads_does_not_hold_a_drain_and_sigterm_ends_it_in_order() {
+fn non_reading_client_blocks_neither_drain_nor_sigterm() {
     // Too large for the system's buffers of a client that does not read.
-    let large = |score| FrameHost::start(move |_| Say::Good(score, "x".repeat(60_000)));
-    let mut served = start(settings(), (1..=3).map(large).collect(), 256);
-    let process = served.platform.program.child.id();
-    let mut deaf: Vec<TcpStream> = (0..2).map(|_| served.platform.connect()).collect();
-    for (n, socket) in deaf.iter_mut().enumerate() {
+    let large = |score| FrameHost::start(move |_| PartReply::Good(score, "x".repeat(60_000)));
+    let mut gatherer = start(settings(), (1..=3).map(large).collect(), 256);
+    let process = gatherer.platform.program.child.id();
+    let mut non_reading: Vec<TcpStream> = (0..2).map(|_| gatherer.platform.connect()).collect();
+    for (n, socket) in non_reading.iter_mut().enumerate() {
         for m in 0..200 {
-            let asked = query(&format!("d{n}-{m}"), "page", &[0, 1, 2], "");
+            let request = query(&format!("d{n}-{m}"), "page", &[0, 1, 2], "");
             socket
                 .set_write_timeout(Some(Duration::from_millis(50)))
                 .unwrap();
-            if socket.write_all(asked.as_bytes()).is_err() {
+            if socket.write_all(request.as_bytes()).is_err() {
                 break;
             }
         }
     }
     // The hosts get no further parts for these clients, and the memory held for them is bounded.
-    let asked = || (0..3).map(|host| served.seen(host)).sum::<usize>();
-    let mut last = (asked(), Instant::now());
-    eventually("no more is asked for the deaf", || {
-        if asked() > last.0 {
-            last = (asked(), Instant::now());
+    let parts_sent = || (0..3).map(|host| gatherer.received(host)).sum::<usize>();
+    let mut last = (parts_sent(), Instant::now());
+    wait_until("no more parts for non-reading clients", || {
+        if parts_sent() > last.0 {
+            last = (parts_sent(), Instant::now());
         }
         last.1.elapsed() > Duration::from_millis(700)
     });
-    assert!(last.0 < 2 * 200 * 3 / 2, "{} parts asked", last.0);
+    assert!(last.0 < 2 * 200 * 3 / 2, "{} parts sent", last.0);
     let is_held = |socket: &TcpStream| {
         let port = socket.local_addr().unwrap().port();
         connected_ports(process).contains(&port)
     };
-    assert!(deaf.iter().all(is_held));
+    assert!(non_reading.iter().all(is_held));
     let began = Instant::now();
-    assert!(call(served.door, "POST", "evacuate", "").starts_with("HTTP/1.1 200"));
+    assert!(admin_call(gatherer.admin, "POST", "evacuate", "").starts_with("HTTP/1.1 200"));
     assert!(
-        served
+        gatherer
             .platform
-            .ask("beside", "page", &[0])
+            .send_query("beside", "page", &[0])
             .starts_with("HTTP/1.1 200")
     );
     // The process may keep connections to its hosts, but none to these clients.
-    eventually("the deaf are let go", || !deaf.iter().any(is_held));
+    wait_until("non-reading clients disconnected", || {
+        !non_reading.iter().any(is_held)
+    });
     assert!(
         began.elapsed() < Duration::from_secs(4),
         "held for {:?}",
         began.elapsed()
     );
-    served.platform.program.signal("TERM");
-    assert!(served.platform.program.child.wait().unwrap().success());
+    gatherer.platform.program.signal("TERM");
+    assert!(gatherer.platform.program.child.wait().unwrap().success());
 }
--- a/bitternsill/tests/platform_clients.rs
+++ b/bitternsill/tests/platform_clients.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_query_is_served_whatever_the_split_of_its_bytes_and_a_second_step_follows() {
-    let platform = Platform::start(settings(), three());
+    let platform = Platform::start(settings(), three_hosts());
     let mut socket = platform.connect();
     for byte in query("one", "page", &[0, 1], "").bytes() {
         socket.write_all(&[byte]).unwrap();
@@ -28,9 +28,16 @@
     .unwrap();
     let search = read_response(&mut socket);
     // Two parts of the second step carry the shards that answered in the first.
-    let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
-    let second: Vec<&String> = seen.iter().filter(|line| line.contains(".r ")).collect();
-    assert_eq!(second.len(), 2, "{seen:?}");
+    let received: Vec<String> = platform
+        .hosts
+        .iter()
+        .flat_map(FrameHost::received)
+        .collect();
+    let second: Vec<&String> = received
+        .iter()
+        .filter(|line| line.contains(".r "))
+        .collect();
+    assert_eq!(second.len(), 2, "{received:?}");
     assert!(
         second
             .iter()
@@ -47,7 +54,7 @@
 
 #[test]
 fn what_is_no_query_gets_a_4xx_and_the_program_lives_on() {
-    let platform = Platform::start(settings(), three());
+    let platform = Platform::start(settings(), three_hosts());
     let whole = query("id", "page", &[0], "Connection: close\r\n");
     let cases = [
         "GET / HTTP/1.1\r\n\r\n".to_owned(),
@@ -69,7 +76,7 @@
     let said: Vec<String> = cases
         .iter()
         .map(|case| {
-            let answer = platform.say(case);
+            let answer = platform.send_request(case);
             let body = answer
                 .split("\n\n")
                 .nth(1)
@@ -82,18 +89,18 @@
     insta::assert_snapshot!(said.join("\n"));
     assert!(
         platform
-            .ask("after", "page", &[0])
+            .send_query("after", "page", &[0])
             .starts_with("HTTP/1.1 200")
     );
 }
 
 #[test]
-fn sigterm_finishes_what_is_held_and_exits_with_0() {
+fn sigterm_finishes_open_requests_and_exits_with_0() {
     let slow = |id: &str| {
         if id.starts_with("slow") {
             std::thread::sleep(Duration::from_millis(1200));
         }
-        Say::Good(1, "late".to_owned())
+        PartReply::Good(1, "late".to_owned())
     };
     let mut platform =
         Platform::start(settings(), (0..3).map(|_| FrameHost::start(slow)).collect());
@@ -112,13 +119,13 @@
         .unwrap();
     assert!(
         !read_response(&mut kept).contains("Connection: close"),
-        "it may have nowhere else to go"
+        "connection closed too early in the shutdown"
     );
     std::thread::sleep(Duration::from_millis(500));
     // New and kept connections are still served, with `Connection: close`.
     assert!(
         platform
-            .ask("new", "page", &[1])
+            .send_query("new", "page", &[1])
             .starts_with("HTTP/1.1 200")
     );
     kept.write_all(query("k3", "page", &[1], "").as_bytes())
@@ -136,38 +143,40 @@
     assert_eq!(
         held.read(&mut [0; 1]).unwrap(),
         0,
-        "nothing follows the one answer"
+        "data after the response"
     );
     let status = platform.program.child.wait().unwrap();
     assert!(status.success(), "{status}");
     assert!(
         start.elapsed() > Duration::from_millis(700),
-        "it served on for a while"
+        "exit without a grace period"
     );
 }
 
 #[test]
-fn a_client_that_leaves_has_its_parts_given_up() {
-    let hosts = (0..3).map(|_| FrameHost::start(|_| Say::Nothing)).collect();
+fn disconnect_cancels_parts() {
+    let hosts = (0..3)
+        .map(|_| FrameHost::start(|_| PartReply::NoReply))
+        .collect();
     let platform = Platform::start(settings(), hosts);
     let mut socket = platform.connect();
     socket
         .write_all(query("gone", "page", &[0], "").as_bytes())
         .unwrap();
-    let seen = || {
+    let received = || {
         platform
             .hosts
             .iter()
-            .flat_map(FrameHost::seen)
+            .flat_map(FrameHost::received)
             .collect::<Vec<_>>()
     };
-    eventually("the part is out", || {
-        seen().iter().any(|line| line.starts_with("gone.0"))
+    wait_until("part sent", || {
+        received().iter().any(|line| line.starts_with("gone.0"))
     });
     let start = Instant::now();
     close(socket);
-    eventually("the part is given up", || {
-        seen().contains(&"given up gone.0".to_owned())
+    wait_until("part cancelled", || {
+        received().contains(&"cancelled gone.0".to_owned())
     });
     // Its own deadline would end it only after 1.5 s.
     assert!(
@@ -180,8 +189,8 @@
 #[test]
 fn more_clients_than_descriptors_are_served_by_closing_idle_connections() {
     // Once as many as configured, and once fewer, so that accept fails.
-    for (told, there) in [(256, 1024), (1024, 120)] {
-        let platform = Platform::start_with(settings(), three(), told, there);
+    for (configured, available) in [(256, 1024), (1024, 120)] {
+        let platform = Platform::start_with(settings(), three_hosts(), configured, available);
         // Every connection stays open and idle after its response.
         let mut idle = Vec::new();
         for i in 0..300 {
@@ -190,15 +199,20 @@
                 .write_all(query(&format!("q{i}"), "page", &[i % 3], "").as_bytes())
                 .unwrap();
             let answer = read_response(&mut socket);
-            assert!(answer.starts_with("HTTP/1.1 200"), "{told}, {i}: {answer}");
+            assert!(
+                answer.starts_with("HTTP/1.1 200"),
+                "{configured}, {i}: {answer}"
+            );
             idle.push(socket);
         }
     }
 }
 
 #[test]
-fn a_query_that_waited_out_a_stall_is_answered_in_its_clients_time() {
-    let hosts = (0..3).map(|_| FrameHost::start(|_| Say::Nothing)).collect();
+fn query_after_stall_is_answered_within_client_budget() {
+    let hosts = (0..3)
+        .map(|_| FrameHost::start(|_| PartReply::NoReply))
+        .collect();
     let platform = Platform::start(settings(), hosts);
     let text = query("q", "page", &[0], "").replace("X-Budget: 3.0", "X-Budget: 2.0");
     platform.program.signal("STOP");
@@ -214,50 +228,52 @@
     let took = start.elapsed();
     assert!(
         took < Duration::from_millis(2400),
-        "answered after {took:?}"
+        "response after {took:?}"
     );
 }
 
 #[test]
-fn with_as_much_held_as_the_settings_allow_a_query_is_turned_away_and_told_when_to_come_back() {
+fn query_over_limit_is_rejected_with_retry_after() {
     let mut settings = settings();
     settings["limits"]["max_open"] = 2.into();
-    let hosts = (0..3).map(|_| FrameHost::start(|_| Say::Nothing)).collect();
+    let hosts = (0..3)
+        .map(|_| FrameHost::start(|_| PartReply::NoReply))
+        .collect();
     let platform = Platform::start(settings, hosts);
     let mut held = platform.connect();
     held.write_all(query("held", "page", &[0], "").as_bytes())
         .unwrap();
-    let out = || platform.hosts.iter().any(|h| !h.seen().is_empty());
-    eventually("the first is out", out);
+    let any_sent = || platform.hosts.iter().any(|h| !h.received().is_empty());
+    wait_until("first part sent", any_sent);
     let start = Instant::now();
-    let answer = platform.ask("more", "page", &[0]);
+    let answer = platform.send_query("more", "page", &[0]);
     assert!(
         answer.starts_with("HTTP/1.1 503") && answer.contains("Retry-After: 2.000"),
         "{answer}"
     );
     assert!(
         start.elapsed() < Duration::from_millis(1000),
-        "at once: {:?}",
+        "rejected only after {:?}",
         start.elapsed()
     );
 }
 
 /// Sends these bytes; returns everything received until the connection ends, and the time taken.
-fn hear(platform: &Platform, said: &[u8]) -> (String, Duration) {
+fn exchange(platform: &Platform, request: &[u8]) -> (String, Duration) {
     let mut socket = platform.connect();
     let start = Instant::now();
-    let _ = socket.write_all(said);
-    let mut heard = Vec::new();
-    let _ = socket.read_to_end(&mut heard);
+    let _ = socket.write_all(request);
+    let mut response = Vec::new();
+    let _ = socket.read_to_end(&mut response);
     (
-        String::from_utf8_lossy(&heard).into_owned(),
+        String::from_utf8_lossy(&response).into_owned(),
         start.elapsed(),
     )
 }
 
 #[test]
-fn clients_that_never_finish_or_send_too_much_are_told_so_or_closed_in_time() {
-    let platform = Platform::start(settings(), three());
+fn incomplete_and_oversized_requests_are_rejected_in_time() {
+    let platform = Platform::start(settings(), three_hosts());
     let whole = query("half", "page", &[0], "");
     let huge = [
         &b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"[..],
@@ -278,12 +294,12 @@
     ];
     let platform = &platform;
     std::thread::scope(|scope| {
-        for (wanted, said) in cases {
+        for (wanted, request) in cases {
             scope.spawn(move || {
-                let (heard, took) = hear(platform, said);
+                let (response, took) = exchange(platform, request);
                 assert!(
-                    heard.starts_with(wanted) && heard.is_empty() == wanted.is_empty(),
-                    "{wanted}: {heard}"
+                    response.starts_with(wanted) && response.is_empty() == wanted.is_empty(),
+                    "{wanted}: {response}"
                 );
                 assert!(took < Duration::from_millis(2900), "{wanted}: {took:?}");
             });
@@ -297,51 +313,51 @@
 }
 
 #[test]
-fn nothing_behind_a_request_that_makes_no_sense_is_read() {
-    let platform = Platform::start(settings(), three());
+fn nothing_is_read_after_malformed_request() {
+    let platform = Platform::start(settings(), three_hosts());
     let hidden = query("hidden", "page", &[0], "");
     let both =
         "POST /api HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     let short = query("short", "page", &[0], "").replace("Content-Length: ", "Content-Length: 0");
     for cover in [both, &short[..short.len() - 40]] {
-        let (heard, _) = hear(&platform, format!("{cover}{hidden}").as_bytes());
+        let (response, _) = exchange(&platform, format!("{cover}{hidden}").as_bytes());
         assert!(
-            heard.starts_with("HTTP/1.1 400") && heard.matches("HTTP/1.1").count() == 1,
-            "{heard}"
+            response.starts_with("HTTP/1.1 400") && response.matches("HTTP/1.1").count() == 1,
+            "{response}"
         );
     }
-    assert!(platform.hosts.iter().all(|h| h.seen().is_empty()));
+    assert!(platform.hosts.iter().all(|h| h.received().is_empty()));
 }
 
 #[test]
-fn the_id_of_an_open_query_is_taken_and_free_again_after_its_answer() {
+fn id_of_open_query_is_rejected_until_answered() {
     let slow = |id: &str| {
         std::thread::sleep(Duration::from_millis(400));
-        Say::Good(1, format!("value of {id}"))
+        PartReply::Good(1, format!("value of {id}"))
     };
     let platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(slow)).collect());
     let mut first = platform.connect();
     first
         .write_all(query("same", "page", &[0], "").as_bytes())
         .unwrap();
-    let out = || platform.hosts.iter().any(|h| !h.seen().is_empty());
-    eventually("the first is out", out);
+    let any_sent = || platform.hosts.iter().any(|h| !h.received().is_empty());
+    wait_until("first part sent", any_sent);
     assert!(
         platform
-            .ask("same", "page", &[1])
+            .send_query("same", "page", &[1])
             .starts_with("HTTP/1.1 409")
     );
     assert!(read_response(&mut first).contains("value of same.0"));
     assert!(
         platform
-            .ask("same", "page", &[1])
+            .send_query("same", "page", &[1])
             .contains("value of same.1")
     );
 }
 
 #[test]
-fn a_crowd_of_silent_connections_does_not_cost_a_client_its_idle_one() {
-    let platform = Platform::start(settings(), three());
+fn silent_connections_do_not_evict_idle_client() {
+    let platform = Platform::start(settings(), three_hosts());
     let mut kept = platform.connect();
     kept.write_all(query("a", "page", &[0], "").as_bytes())
         .unwrap();
@@ -351,7 +367,11 @@
     let crowd: Vec<TcpStream> = (0..600).map(|_| platform.connect()).collect();
     let start = Instant::now();
     // A client after the crowd is served, and so is the connection opened before it.
-    assert!(platform.ask("b", "page", &[0]).starts_with("HTTP/1.1 200"));
+    assert!(
+        platform
+            .send_query("b", "page", &[0])
+            .starts_with("HTTP/1.1 200")
+    );
     assert!(start.elapsed() < LINGER, "{:?}", start.elapsed());
     kept.write_all(query("c", "page", &[1], "").as_bytes())
         .unwrap();
@@ -360,26 +380,26 @@
 }
 
 #[test]
-fn crowds_that_say_half_a_request_or_ask_once_and_stay_keep_nobody_waiting() {
-    let platform = Platform::start(settings(), three());
+fn partial_and_one_time_clients_delay_nobody() {
+    let platform = Platform::start(settings(), three_hosts());
     let mut kept = platform.connect();
     let mut ask = |id: &str| {
         kept.write_all(query(id, "page", &[0], "").as_bytes())
             .unwrap();
         assert!(
             read_response(&mut kept).starts_with("HTTP/1.1 200"),
-            "the connection that asks often stays"
+            "active connection closed"
         );
     };
     ask("a");
     ask("b");
-    let crowd = |said: &str| -> Vec<TcpStream> {
-        let say = |_| {
+    let crowd = |text: &str| -> Vec<TcpStream> {
+        let open = |_| {
             let mut socket = platform.connect();
-            socket.write_all(said.as_bytes()).unwrap();
+            socket.write_all(text.as_bytes()).unwrap();
             socket
         };
-        (0..400).map(say).collect()
+        (0..400).map(open).collect()
     };
     let crowds = [
         crowd("POST /api HTTP/1.1\r\nX-Ca"),
@@ -387,7 +407,11 @@
         crowd(""),
     ];
     let start = Instant::now();
-    assert!(platform.ask("c", "page", &[0]).starts_with("HTTP/1.1 200"));
+    assert!(
+        platform
+            .send_query("c", "page", &[0])
+            .starts_with("HTTP/1.1 200")
+    );
     assert!(
         start.elapsed() < Duration::from_millis(2500),
         "{:?}",
@@ -398,10 +422,10 @@
 }
 
 #[test]
-fn clients_that_ask_once_and_stay_do_not_take_every_place_that_clients_may_have() {
+fn one_time_clients_do_not_fill_client_limit() {
     // Clients may use a third of the 256 descriptors; a quarter of these may be idle after a single
     // request.
-    let platform = Platform::start(settings(), three());
+    let platform = Platform::start(settings(), three_hosts());
     let mut kept = platform.connect();
     let ask = |socket: &mut TcpStream, id: &str| {
         socket
@@ -411,27 +435,27 @@
     };
     ask(&mut kept, "a");
     ask(&mut kept, "b");
-    let once = |i: u32| {
+    let query_once = |i: u32| {
         let mut socket = platform.connect();
         ask(&mut socket, &format!("q{i}"));
         std::thread::sleep(Duration::from_millis(10));
         socket
     };
-    let stayed: Vec<TcpStream> = (0..70).map(once).collect();
+    let stayed: Vec<TcpStream> = (0..70).map(query_once).collect();
     let open = stayed.iter().filter(|socket| {
         socket.set_nonblocking(true).unwrap();
         let mut socket = *socket;
         !matches!(socket.read(&mut [0; 1]), Ok(0))
     });
     let open = open.count();
-    assert!((15..=40).contains(&open), "{open} of 70 are open");
+    assert!((15..=40).contains(&open), "{open} of 70 connections open");
     ask(&mut kept, "c");
 }
 
 #[test]
-fn a_path_that_names_what_a_query_concerns_is_served_and_what_is_turned_away_is_told_in_the_log() {
+fn accepts_path_parameter_and_logs_rejections_once() {
     let log = std::env::temp_dir().join(format!("bitternsill-turned-{}", std::process::id()));
-    let hosts = three();
+    let hosts = three_hosts();
     let targets = hosts
         .iter()
         .enumerate()
@@ -446,30 +470,33 @@
         256,
         &[],
     );
-    let about = |path: &str, id: &str| {
+    let query_path = |path: &str, id: &str| {
         let query = query(id, "page", &[0, 1], "Connection: close\r\n");
-        platform.say(&query.replace("POST /api ", &format!("POST {path} ")))
+        platform.send_request(&query.replace("POST /api ", &format!("POST {path} ")))
     };
-    let answer = about("/api/7f3a9c21e0b4d655", "one");
+    let answer = query_path("/api/7f3a9c21e0b4d655", "one");
     assert!(
         answer.starts_with("HTTP/1.1 200") && answer.contains("value of one.1"),
         "{answer}"
     );
-    assert!(about("/api/7f3a?x=1", "two").starts_with("HTTP/1.1 200"));
+    assert!(query_path("/api/7f3a?x=1", "two").starts_with("HTTP/1.1 200"));
     for path in ["/api/", "/api/a/b", "/apis/7f3a", "/search/7f3a"] {
-        assert!(about(path, "odd").starts_with("HTTP/1.1 404"), "{path}");
+        assert!(
+            query_path(path, "odd").starts_with("HTTP/1.1 404"),
+            "{path}"
+        );
     }
     assert!(
         platform
-            .say("GET /api/7f3a HTTP/1.1\r\n\r\n")
+            .send_request("GET /api/7f3a HTTP/1.1\r\n\r\n")
             .starts_with("HTTP/1.1 405")
     );
     // Four requests of the same kind are logged once, with the path of the first.
-    let said = std::fs::read_to_string(&log).unwrap();
-    assert_eq!(said.matches("no such path").count(), 1, "{said}");
+    let log_text = std::fs::read_to_string(&log).unwrap();
+    assert_eq!(log_text.matches("no such path").count(), 1, "{log_text}");
     assert!(
-        said.contains("requests turned away") && said.contains("POST /api/"),
-        "{said}"
+        log_text.contains("requests turned away") && log_text.contains("POST /api/"),
+        "{log_text}"
     );
     std::fs::remove_file(&log).unwrap();
 }
--- a/bitternsill/tests/platform_discovery.rs
+++ b/bitternsill/tests/platform_discovery.rs
@@ -10,57 +10,66 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn nothing_new_goes_to_a_leaving_host_and_the_list_outlives_its_watch() {
-    let platform = Platform::start(settings(), three());
+fn leaving_host_gets_nothing_new_and_list_survives_watch() {
+    let platform = Platform::start(settings(), three_hosts());
     platform
         .discovery
-        .tell(2, vec![target(0, platform.hosts[0].address, "leaving")]);
+        .publish(2, vec![target(0, platform.hosts[0].address, "leaving")]);
     // Once the change has arrived, only cell 1 serves shard 0.
-    eventually("the change is known", || {
-        let before = platform.hosts[0].seen().len();
+    wait_until("list change applied", || {
+        let before = platform.hosts[0].received().len();
         for i in 0..6 {
-            platform.ask(&format!("a{i}"), "page", &[0]);
+            platform.send_query(&format!("a{i}"), "page", &[0]);
         }
-        platform.hosts[0].seen().len() == before
+        platform.hosts[0].received().len() == before
     });
-    let (before, watches) = (platform.hosts[0].seen().len(), platform.discovery.watches());
-    platform.discovery.hang_up();
+    let (before, watches) = (
+        platform.hosts[0].received().len(),
+        platform.discovery.open_watches(),
+    );
+    platform.discovery.close_watches();
     for i in 0..10 {
-        let answer = platform.ask(&format!("b{i}"), "page", &[0]);
+        let answer = platform.send_query(&format!("b{i}"), "page", &[0]);
         assert!(
             answer.starts_with("HTTP/1.1 200"),
-            "the last list stays in force: {answer}"
+            "not served from the last list: {answer}"
         );
     }
-    assert_eq!((platform.hosts[0].seen().len(), watches), (before, 1));
-    eventually("a new watch", || platform.discovery.watches() == 1);
+    assert_eq!((platform.hosts[0].received().len(), watches), (before, 1));
+    wait_until("a new watch", || platform.discovery.open_watches() == 1);
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_given_up_while_its_list_stays_in_force() {
-    let host = FrameHost::start(good(1));
+fn silent_watch_is_replaced_and_list_kept() {
+    let host = FrameHost::start(good_reply(1));
     let targets = vec![target(0, host.address, "active")];
     let mut settings = settings();
     settings["extra"]["sets"] = 1.into();
     settings["extra"]["in_a_row"] = 1.into();
     let platform = Platform::start_silent(settings, host, targets);
     let start = Instant::now();
-    eventually("a second watch", || platform.discovery.asked() == 2);
+    wait_until("a second watch", || {
+        platform.discovery.watch_requests() == 2
+    });
     assert!(
         start.elapsed() < Duration::from_secs(6),
         "{:?}",
         start.elapsed()
     );
-    assert!(platform.ask("q", "page", &[0]).starts_with("HTTP/1.1 200"));
+    assert!(
+        platform
+            .send_query("q", "page", &[0])
+            .starts_with("HTTP/1.1 200")
+    );
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_loses_no_query_list_or_connection() {
+fn reload_moves_discovery_without_loss() {
     let slow = |id: &str| {
         if id.starts_with("slow") {
             std::thread::sleep(Duration::from_millis(800));
         }
-        Say::Good(1, format!("value of {id}"))
+        PartReply::Good(1, format!("value of {id}"))
     };
     let platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(slow)).collect());
     let mut held = platform.connect();
@@ -68,44 +77,51 @@
         .unwrap();
     // An unreadable file changes nothing; the current watch continues.
     platform.reload("{\"name\": ");
-    assert!(platform.ask("a", "page", &[1]).starts_with("HTTP/1.1 200"));
+    assert!(
+        platform
+            .send_query("a", "page", &[1])
+            .starts_with("HTTP/1.1 200")
+    );
     assert_eq!(
-        (platform.discovery.asked(), platform.discovery.watches()),
+        (
+            platform.discovery.watch_requests(),
+            platform.discovery.open_watches()
+        ),
         (1, 1)
     );
-    let there = Discovery::start(vec![
+    let moved = Discovery::start(vec![
         target(0, platform.hosts[0].address, "leaving"),
         target(1, platform.hosts[1].address, "active"),
         target(2, platform.hosts[2].address, "active"),
     ]);
     let mut config = platform.config.clone();
-    config["discovery"] = there.address.to_string().into();
+    config["discovery"] = moved.address.to_string().into();
     platform.reload(&config.to_string());
-    eventually("a watch at the new address", || there.asked() == 1);
+    wait_until("a watch at the new address", || moved.watch_requests() == 1);
     assert!(read_response(&mut held).contains("value of slow.0"));
-    eventually("the new list is known", || {
-        let before = platform.hosts[0].seen().len();
+    wait_until("new list applied", || {
+        let before = platform.hosts[0].received().len();
         for i in 0..6 {
             assert!(
                 platform
-                    .ask(&format!("b{i}"), "page", &[0])
+                    .send_query(&format!("b{i}"), "page", &[0])
                     .starts_with("HTTP/1.1 200")
             );
         }
-        platform.hosts[0].seen().len() == before
+        platform.hosts[0].received().len() == before
     });
     // The earlier connection is still served.
     held.write_all(query("c", "page", &[1], "").as_bytes())
         .unwrap();
     assert!(read_response(&mut held).starts_with("HTTP/1.1 200"));
-    assert_eq!(platform.discovery.asked(), 1);
+    assert_eq!(platform.discovery.watch_requests(), 1);
 }
 
 #[test]
-fn with_a_list_from_before_the_start_is_not_held_up_by_discovery() {
+fn start_with_known_list_does_not_wait_for_discovery() {
     let (silent, hosts) = (
         accept(|_| std::thread::sleep(Duration::from_secs(9))),
-        three(),
+        three_hosts(),
     );
     let targets: Vec<_> = hosts
         .iter()
@@ -118,7 +134,7 @@
         "known": {"rev": 3, "all": true, "targets": targets}, "settings": settings()
     });
     let _program = Program::start("--config", &config);
-    eventually("it listens", || TcpStream::connect(address).is_ok());
+    wait_until("listening", || TcpStream::connect(address).is_ok());
     let mut socket = TcpStream::connect(address).unwrap();
     socket.write_all(b"GET /_health HTTP/1.1\r\n\r\n").unwrap();
     assert!(read_response(&mut socket).starts_with("HTTP/1.1 200"));
@@ -131,10 +147,10 @@
 /// Guards against a program that calls a refusing discovery without pause. With 100 gatherers,
 /// discovery could then answer nobody any more.
 #[test]
-fn discovery_that_turns_calls_down_or_resets_them_is_called_ever_less_while_queries_go_on() {
+fn refused_discovery_calls_back_off() {
     let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let (log, hosts) = (calls.clone(), three());
-    let overbooked = accept(move |mut socket| {
+    let (log, hosts) = (calls.clone(), three_hosts());
+    let refusing = accept(move |mut socket| {
         let mut calls = log.lock().unwrap();
         calls.push(Instant::now());
         // Every other call is closed without a response.
@@ -152,36 +168,36 @@
     let mut settings = settings();
     settings["group_size"] = 100.into();
     let config = serde_json::json!({
-        "name": "n0", "listen": address.to_string(), "discovery": overbooked.to_string(), "seed": "1",
+        "name": "n0", "listen": address.to_string(), "discovery": refusing.to_string(), "seed": "1",
         "known": {"rev": 3, "all": true, "targets": targets}, "settings": settings
     });
     let _program = Program::start("--config", &config);
-    eventually("it listens", || TcpStream::connect(address).is_ok());
+    wait_until("listening", || TcpStream::connect(address).is_ok());
     // In a fleet of a hundred, the first delay is 0.8 to 1.6 s, so that changes are known in time;
     // the next ones are twice and four times as long.
-    eventually("four calls", || calls.lock().unwrap().len() >= 4);
+    wait_until("four calls", || calls.lock().unwrap().len() >= 4);
     let mut socket = TcpStream::connect(address).unwrap();
     socket
         .write_all(query("q", "page", &[0], "").as_bytes())
         .unwrap();
     assert!(
         read_response(&mut socket).contains("value of q.0"),
-        "the last list stays in force"
+        "not served from the last list"
     );
     let calls = calls.lock().unwrap();
     let waits: Vec<Duration> = calls.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(
         waits[2] >= Duration::from_millis(500),
-        "the third wait is four times the first: {waits:?}"
+        "delays do not grow: {waits:?}"
     );
     assert!(
         waits.iter().all(|wait| *wait < Duration::from_secs(4)),
-        "a change is heard in time: {waits:?}"
+        "delay too long for changes: {waits:?}"
     );
 }
 
 #[test]
-fn reports_and_list_entries_of_other_fields_more_or_fewer_change_nothing() {
+fn tolerates_unknown_and_missing_fields() {
     // As in the protocol description, as in the second deployment, with more fields, with fewer,
     // empty, and malformed.
     let reports = [
@@ -194,12 +210,12 @@
         "util=high",
     ];
     let turn = AtomicU32::new(0);
-    let told = Arc::new(turn);
+    let reported = Arc::new(turn);
     let host = |_| {
-        let told = told.clone();
+        let reported = reported.clone();
         FrameHost::start(move |id| {
-            let report = reports[told.fetch_add(1, Ordering::SeqCst) as usize % reports.len()];
-            Say::Raw(frame(
+            let report = reports[reported.fetch_add(1, Ordering::SeqCst) as usize % reports.len()];
+            PartReply::Raw(frame(
                 b'q',
                 format!("{id} good 1 {report}\nvalue of {id}").as_bytes(),
             ))
@@ -225,11 +241,14 @@
         &[],
     );
     for i in 0..14 {
-        let answer = platform.ask(&format!("q{i}"), "page", &[0, 1, 2]);
+        let answer = platform.send_query(&format!("q{i}"), "page", &[0, 1, 2]);
         assert!(
             answer.starts_with("HTTP/1.1 200") && answer.contains("\"total\":true"),
             "{answer}"
         );
     }
-    assert!(told.load(Ordering::SeqCst) >= 42, "every report was met");
+    assert!(
+        reported.load(Ordering::SeqCst) >= 42,
+        "not every report was sent"
+    );
 }
--- a/bitternsill/tests/platform_hosts.rs
+++ b/bitternsill/tests/platform_hosts.rs
@@ -10,14 +10,14 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_part_that_never_ran_is_sent_elsewhere_and_a_keyed_one_keeps_its_key() {
+fn part_that_never_ran_is_retried_with_its_key() {
     // Shard 1 is on the hosts of cells 1 and 2; the first turns every part away.
-    let mut hosts = three();
-    hosts[1] = FrameHost::start(|_| Say::Later);
+    let mut hosts = three_hosts();
+    hosts[1] = FrameHost::start(|_| PartReply::Later);
     let platform = Platform::start(settings(), hosts);
     for i in 0..6 {
         let id = format!("q{i}");
-        let answer = platform.say(&query(
+        let answer = platform.send_request(&query(
             &id,
             "shelf",
             &[1],
@@ -25,7 +25,7 @@
         ));
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
-    let served = platform.hosts[2].seen();
+    let served = platform.hosts[2].received();
     assert_eq!(served.len(), 6);
     assert!(
         served.iter().all(|line| line.contains("[k=k1]")),
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn a_connection_that_breaks_gives_one_final_answer_and_its_host_is_left_alone() {
-    let mut hosts = three();
-    hosts[0] = FrameHost::start(|_| Say::HangUp);
+fn broken_connection_gives_one_answer_and_avoids_host() {
+    let mut hosts = three_hosts();
+    hosts[0] = FrameHost::start(|_| PartReply::Close);
     let platform = Platform::start(settings(), hosts);
     let mut served = 0;
     for i in 0..12 {
         // The part may have run, so the query is either served by another host or rejected.
-        let answer = platform.ask(&format!("q{i}"), "page", &[0]);
+        let answer = platform.send_query(&format!("q{i}"), "page", &[0]);
         let whole =
             answer.starts_with("HTTP/1.1 200") && answer.contains(&format!("value of q{i}.0"));
         assert!(whole || answer.starts_with("HTTP/1.1 503"), "{answer}");
@@ -49,29 +49,29 @@
     }
     assert!(served >= 6, "{served} of 12 served");
     assert!(
-        platform.hosts[0].seen().len() <= 6,
+        platform.hosts[0].received().len() <= 6,
         "{:?}",
-        platform.hosts[0].seen()
+        platform.hosts[0].received()
     );
 }
 
 #[test]
-fn a_host_to_which_no_connection_comes_up_costs_only_the_connect_time() {
+fn unreachable_host_costs_only_connect_timeout() {
     // Two unaccepted connections fill this listener; further ones get no answer at all.
-    let deaf = TcpListener::bind("127.0.0.1:0").unwrap();
-    rustix::net::listen(&deaf, 0).unwrap();
-    let address = deaf.local_addr().unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    rustix::net::listen(&listener, 0).unwrap();
+    let address = listener.local_addr().unwrap();
     let fill: Vec<_> = (0..4)
         .map(|_| TcpStream::connect_timeout(&address, Duration::from_millis(100)))
         .collect();
-    assert!(fill.last().unwrap().is_err(), "the listener is full");
-    let mut hosts = three();
+    assert!(fill.last().unwrap().is_err(), "listener not full");
+    let mut hosts = three_hosts();
     hosts[0].address = address;
     let platform = Platform::start(settings(), hosts);
     for i in 0..6 {
         let id = format!("q{i}");
         let start = Instant::now();
-        let answer = platform.say(&query(
+        let answer = platform.send_request(&query(
             &id,
             "shelf",
             &[0],
@@ -79,7 +79,7 @@
         ));
         assert!(
             answer.starts_with("HTTP/1.1 200"),
-            "it never ran, so it is sent elsewhere: {answer}"
+            "part not retried on another host: {answer}"
         );
         assert!(
             start.elapsed() < Duration::from_millis(1200),
@@ -90,24 +90,31 @@
 }
 
 #[test]
-fn an_answer_short_of_whole_says_so_and_names_only_the_shards_that_are_in() {
+fn partial_answer_names_only_answered_shards() {
     // Shard 1 is on the hosts of cells 1 and 2, which do not answer its parts.
-    let say = |id: &str| {
+    let reply = |id: &str| {
         let lost = id.ends_with(".1") || id.ends_with(".1.r");
         if lost {
-            Say::Nothing
+            PartReply::NoReply
         } else {
-            Say::Good(7, format!("value of {id}"))
+            PartReply::Good(7, format!("value of {id}"))
         }
     };
-    let platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(say)).collect());
-    let answer = platform.ask("s", "search", &[0, 1, 2]);
+    let platform = Platform::start(
+        settings(),
+        (0..3).map(|_| FrameHost::start(reply)).collect(),
+    );
+    let answer = platform.send_query("s", "search", &[0, 1, 2]);
     assert!(
         answer.starts_with("HTTP/1.1 200") && answer.contains("\"total\":false"),
         "{answer}"
     );
-    let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
-    let mut second: Vec<&str> = seen
+    let received: Vec<String> = platform
+        .hosts
+        .iter()
+        .flat_map(FrameHost::received)
+        .collect();
+    let mut second: Vec<&str> = received
         .iter()
         .filter(|line| line.contains(".r "))
         .map(String::as_str)
@@ -123,7 +130,7 @@
     );
     // A page needs every part. Without one, the query is rejected within the client's budget.
     let start = Instant::now();
-    let answer = platform.ask("p", "page", &[0, 1]);
+    let answer = platform.send_query("p", "page", &[0, 1]);
     assert!(
         answer.starts_with("HTTP/1.1 503") && start.elapsed() < Duration::from_secs(3),
         "{answer}"
@@ -131,9 +138,9 @@
 }
 
 #[test]
-fn a_spoilt_answer_is_one_failed_attempt_and_what_is_good_is_passed_on_whatever_lies_behind_it() {
+fn malformed_answer_is_one_failed_attempt() {
     // A malformed answer of each kind, selected by the first character of the query's id.
-    let spoilt = |id: &str| -> Vec<u8> {
+    let malformed = |id: &str| -> Vec<u8> {
         let answer = |name: &str, end: &str| {
             frame(b'q', format!("{name} {end}\nvalue of {name}").as_bytes())
         };
@@ -152,14 +159,14 @@
             _ => vec![200, 0, 0, 0, b'q', b'x'],
         }
     };
-    for way in 0..6 {
-        let mut hosts = three();
-        hosts[0] = FrameHost::start(move |id| Say::Raw(spoilt(id)));
+    for kind in 0..6 {
+        let mut hosts = three_hosts();
+        hosts[0] = FrameHost::start(move |id| PartReply::Raw(malformed(id)));
         let platform = Platform::start(settings(), hosts);
         // Shard 0 is on the first two hosts, and only the first sends malformed answers.
         for i in 0.. {
-            let (id, start) = (format!("{way}f{i}"), Instant::now());
-            let answer = platform.ask(&id, "page", &[0]);
+            let (id, start) = (format!("{kind}f{i}"), Instant::now());
+            let answer = platform.send_query(&id, "page", &[0]);
             let whole = answer.starts_with("HTTP/1.1 200")
                 && answer.contains(&format!("\"value of {id}.0\""));
             assert!(whole, "{answer}");
@@ -168,15 +175,15 @@
                 "{id}: {:?}",
                 start.elapsed()
             );
-            if !platform.hosts[0].seen().is_empty() {
+            if !platform.hosts[0].received().is_empty() {
                 break;
             }
         }
     }
     // Valid answers with extra data: a second copy, random bytes, an unreadable report.
-    let say = |id: &str| {
+    let reply = |id: &str| {
         let good = frame(b'q', format!("{id} good 7 -\nvalue of {id}").as_bytes());
-        Say::Raw(match &id[..1] {
+        PartReply::Raw(match &id[..1] {
             "0" => good.repeat(2),
             "1" => [good, b"\xff\xff\xff\xffnoise".to_vec()].concat(),
             _ => frame(
@@ -185,21 +192,28 @@
             ),
         })
     };
-    let platform = Platform::start(settings(), (0..3).map(|_| FrameHost::start(say)).collect());
+    let platform = Platform::start(
+        settings(),
+        (0..3).map(|_| FrameHost::start(reply)).collect(),
+    );
     for i in 0..9 {
         let id = format!("{}q{i}", i % 3);
-        let answer = platform.ask(&id, "page", &[i % 2]);
+        let answer = platform.send_query(&id, "page", &[i % 2]);
         assert!(
             answer.contains(&format!("value of {id}.{}", i % 2)),
             "{answer}"
         );
     }
-    let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
-    assert_eq!(seen.len(), 9, "each was sent once: {seen:?}");
+    let received: Vec<String> = platform
+        .hosts
+        .iter()
+        .flat_map(FrameHost::received)
+        .collect();
+    assert_eq!(received.len(), 9, "not one attempt per part: {received:?}");
 }
 
 #[test]
-fn a_connection_that_falls_silent_takes_no_more_work_while_its_host_lives_on() {
+fn silent_connection_gets_no_more_parts() {
     // The first connection to each host goes silent after its first answer, as if a middlebox had
     // dropped its state.
     let hosts = (0..3).map(|_| {
@@ -207,61 +221,68 @@
         FrameHost::start_by_connection(move |number, id| {
             let answered = number == 0 && first.fetch_add(1, Ordering::SeqCst) > 0;
             if answered {
-                Say::Nothing
+                PartReply::NoReply
             } else {
-                Say::Good(1, format!("value of {id}"))
+                PartReply::Good(1, format!("value of {id}"))
             }
         })
     });
     let platform = Platform::start(settings(), hosts.collect());
     for i in 0..40 {
         let more = "Idempotency-Key: k\r\nConnection: close\r\n";
-        let answer = platform.say(&query(&format!("q{i}"), "shelf", &[i % 3], more));
+        let answer = platform.send_request(&query(&format!("q{i}"), "shelf", &[i % 3], more));
         // Parts on a connection that goes silent are cancelled in time for another attempt.
         assert!(answer.starts_with("HTTP/1.1 200"), "{i}: {answer}");
     }
 }
 
 #[test]
-fn the_parts_of_a_second_step_follow_the_one_that_begins_it() {
+fn second_step_parts_follow_its_first_part() {
     // A host that has not been told of the end of the first step rejects a part of the second.
-    let begun: Arc<Mutex<HashMap<String, (usize, Instant)>>> = Arc::default();
+    let first_parts: Arc<Mutex<HashMap<String, (usize, Instant)>>> = Arc::default();
     let hosts = (0..3).map(|host| {
-        let begun = begun.clone();
+        let first_parts = first_parts.clone();
         FrameHost::start(move |id| {
             if let Some((query, _)) = id.strip_suffix(".r").and_then(|id| id.split_once('.')) {
-                let mut begun = begun.lock().unwrap();
-                let (first, at) = *begun
+                let mut first_parts = first_parts.lock().unwrap();
+                let (first, at) = *first_parts
                     .entry(query.to_owned())
                     .or_insert((host, Instant::now()));
                 if first != host && at.elapsed() < Duration::from_millis(2) {
-                    return Say::Bad;
+                    return PartReply::Bad;
                 }
             }
-            Say::Good(7, format!("value of {id}"))
+            PartReply::Good(7, format!("value of {id}"))
         })
     });
     let platform = Platform::start(settings(), hosts.collect());
     for i in 0..12 {
-        let answer = platform.ask(&format!("s{i}"), "search", &[0, 1, 2]);
+        let answer = platform.send_query(&format!("s{i}"), "search", &[0, 1, 2]);
         assert!(answer.contains("\"total\":true"), "{answer}");
     }
-    let seen: Vec<String> = platform.hosts.iter().flat_map(FrameHost::seen).collect();
+    let received: Vec<String> = platform
+        .hosts
+        .iter()
+        .flat_map(FrameHost::received)
+        .collect();
     // If all parts of the second step were sent at once, nearly each of 12 queries would have one
     // rejected; a thread of a host may still be late now and then.
-    let sent = seen.iter().filter(|line| line.contains(".r ")).count();
-    assert!((24..=29).contains(&sent), "{sent} parts for 24: {seen:?}");
+    let sent = received.iter().filter(|line| line.contains(".r ")).count();
+    assert!(
+        (24..=29).contains(&sent),
+        "{sent} parts for 24: {received:?}"
+    );
 }
 
 #[test]
-fn a_long_text_is_passed_on_in_frames_of_a_bounded_size() {
-    let platform = Platform::start(settings(), three());
+fn long_text_is_sent_in_bounded_frames() {
+    let platform = Platform::start(settings(), three_hosts());
     let text = "x".repeat(40_000);
     let ranges =
         r#"[{"range":0,"portion":0.4},{"range":1,"portion":0.3},{"range":2,"portion":0.3}]"#;
     let body = format!(r#"{{"ranges":{ranges},"predicate":"{text}"}}"#);
     for i in 0..8 {
-        let answer = platform.say(&format!(
+        let answer = platform.send_request(&format!(
             "POST /api HTTP/1.1\r\nX-Call-Id: q{i}\r\nX-Call-Class: page\r\nX-Budget: 3.0\r\n\
              Connection: close\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -271,7 +292,7 @@
     let longest = platform
         .hosts
         .iter()
-        .map(|h| h.longest.load(Ordering::SeqCst))
+        .map(|h| h.longest_frame.load(Ordering::SeqCst))
         .max();
     assert!(
         longest.is_some_and(|bytes| bytes < 65_000),
@@ -280,7 +301,7 @@
 }
 
 #[test]
-fn an_answer_from_070_of_the_weight_is_given_as_partial_and_one_from_069_is_not() {
+fn partial_answer_requires_minimum_weight() {
     let mut settings = settings();
     settings["extra"]["class_fetch"] = serde_json::json!([0, 0, 0]);
     settings["extra"]["floor_by_class"] = serde_json::json!([0.7, 1.0, 1.0]);
@@ -288,9 +309,9 @@
     let hosts = |_| {
         FrameHost::start(|id: &str| {
             if id.ends_with(".2") {
-                Say::Nothing
+                PartReply::NoReply
             } else {
-                good(1)(id)
+                good_reply(1)(id)
             }
         })
     };
@@ -300,7 +321,7 @@
             r#"{{"ranges":[{{"range":1,"portion":{}}},{{"range":2,"portion":{}}}],"predicate":"q"}}"#,
             portions[0], portions[1]
         );
-        platform.say(&format!(
+        platform.send_request(&format!(
             "POST /api/k HTTP/1.1\r\nX-Call-Id: {id}\r\nX-Call-Class: search\r\nX-Budget: 3\r\n\
              Connection: close\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
--- a/bitternsill/tests/router_signals.rs
+++ b/bitternsill/tests/router_signals.rs
@@ -14,16 +14,16 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Several starts, since the timing of each differs.
 const STARTS: usize = 8;
 
-struct Started {
+struct StartingRouter {
     child: Child,
     folder: PathBuf,
 }
 
-impl Drop for Started {
+impl Drop for StartingRouter {
     fn drop(&mut self) {
         // The process may have exited already.
         let _ = self.child.kill();
@@ -35,7 +35,7 @@
 /// Starts a router; returns as soon as it uses its disk, long before it serves. The router has an
 /// address of its own, because a free port on a shared address may be taken before the router
 /// listens there.
-fn start(name: &str, address: Ipv4Addr) -> Started {
+fn start(name: &str, address: Ipv4Addr) -> StartingRouter {
     let folder = std::env::temp_dir().join(format!("router-signals-{}-{name}", std::process::id()));
     fs::create_dir_all(folder.join("data")).unwrap();
     let at = |port: u16| format!("{address}:{port}");
@@ -55,24 +55,19 @@
         .stderr(log)
         .spawn()
         .unwrap();
-    let mut started = Started { child, folder };
-    until(&mut started, |folder| {
+    let mut router = StartingRouter { child, folder };
+    wait_for(&mut router, |folder| {
         fs::read_dir(folder.join("data")).is_ok_and(|mut files| files.next().is_some())
     });
-    started
+    router
 }
 
-fn until(started: &mut Started, is_so: impl Fn(&Path) -> bool) {
-    let begun = Instant::now();
-    while !is_so(&started.folder) {
-        assert!(begun.elapsed() < PATIENCE, "it does not come about");
-        let ended = started.child.try_wait().unwrap();
-        assert_eq!(
-            ended,
-            None,
-            "the process has ended: {}",
-            log(&started.folder)
-        );
+fn wait_for(router: &mut StartingRouter, condition: impl Fn(&Path) -> bool) {
+    let start_time = Instant::now();
+    while !condition(&router.folder) {
+        assert!(start_time.elapsed() < TIMEOUT, "timed out");
+        let ended = router.child.try_wait().unwrap();
+        assert_eq!(ended, None, "router exited: {}", log(&router.folder));
         std::thread::yield_now();
     }
 }
@@ -81,39 +76,37 @@
     fs::read_to_string(folder.join("log")).unwrap_or_default()
 }
 
-fn signal(started: &Started, signal: Signal) {
-    kill_process(Pid::from_raw(started.child.id() as i32).unwrap(), signal).unwrap();
+fn signal(router: &StartingRouter, signal: Signal) {
+    kill_process(Pid::from_raw(router.child.id() as i32).unwrap(), signal).unwrap();
 }
 
-fn end(started: &mut Started) -> ExitStatus {
-    let begun = Instant::now();
+fn wait_for_exit(router: &mut StartingRouter) -> ExitStatus {
+    let start_time = Instant::now();
     loop {
-        if let Some(status) = started.child.try_wait().unwrap() {
+        if let Some(status) = router.child.try_wait().unwrap() {
             return status;
         }
         assert!(
-            begun.elapsed() < PATIENCE,
-            "it does not end: {}",
-            log(&started.folder)
+            start_time.elapsed() < TIMEOUT,
+            "router does not exit: {}",
+            log(&router.folder)
         );
         std::thread::yield_now();
     }
 }
 
 #[test]
-fn a_router_that_is_starting_takes_signals_as_one_that_serves() {
+fn starting_router_handles_signals() {
     let network = Network::claim().unwrap();
     for number in 0..STARTS {
-        let address = |place: usize| network.addresses.router(2 * number + place);
-        let mut told_of_settings = start(&format!("hangup-{number}"), address(0));
-        signal(&told_of_settings, Signal::HUP);
-        until(&mut told_of_settings, |folder| {
-            log(folder).contains("SIGHUP")
-        });
+        let address = |slot: usize| network.addresses.router(2 * number + slot);
+        let mut reloaded = start(&format!("hangup-{number}"), address(0));
+        signal(&reloaded, Signal::HUP);
+        wait_for(&mut reloaded, |folder| log(folder).contains("SIGHUP"));
 
-        let mut told_to_end = start(&format!("terminate-{number}"), address(1));
-        signal(&told_to_end, Signal::TERM);
-        let status = end(&mut told_to_end);
-        assert!(status.success(), "{status}: {}", log(&told_to_end.folder));
+        let mut terminated = start(&format!("terminate-{number}"), address(1));
+        signal(&terminated, Signal::TERM);
+        let status = wait_for_exit(&mut terminated);
+        assert!(status.success(), "{status}: {}", log(&terminated.folder));
     }
 }
--- a/bitternsill/tests/soak.rs
+++ b/bitternsill/tests/soak.rs
@@ -10,16 +10,16 @@
 /// Seeds, run two at a time.
 const SEEDS: [[u64; 2]; 2] = [[1, 3], [6, 11]];
 /// Seeds of runs with repeated faults of the leader.
-const PRIMARY_SEEDS: [u64; 2] = [21, 22];
-/// Seeds of runs with repeated partitions from the backends.
-const WAY_SEEDS: [u64; 2] = [31, 32];
+const LEADER_SEEDS: [u64; 2] = [21, 22];
+/// Seeds of runs with repeated partitions between routers and backends.
+const PARTITION_SEEDS: [u64; 2] = [31, 32];
 
 /// Additional faults of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Series {
     None,
-    Primary,
-    Ways,
+    Leader,
+    Partitions,
 }
 
 fn plan(seed: u64, series: Series) -> Plan {
@@ -33,25 +33,25 @@
         backends: 4,
         clients: 16,
         pause: Duration::from_millis(400),
-        fault_ms: if series == Series::Primary {
+        fault_ms: if series == Series::Leader {
             20_000
         } else {
             10_000
         },
-        leader_faults: series == Series::Primary,
-        partitions: series == Series::Ways,
+        leader_faults: series == Series::Leader,
+        partitions: series == Series::Partitions,
         folder: std::env::temp_dir().join(format!("soak-test-{}-{seed}", std::process::id())),
     }
 }
 
 /// Violations of a run; its logs are kept if there are any.
-async fn broken(seed: u64, series: Series) -> Vec<String> {
+async fn violations_of(seed: u64, series: Series) -> Vec<String> {
     let plan = plan(seed, series);
     let folder = plan.folder.clone();
     let Report {
         violations,
         history,
-    } = run(plan).await.expect("a run");
+    } = run(plan).await.expect("soak run failed to start");
     assert!(
         history.requests.len() > 500,
         "only {} requests were made",
@@ -68,19 +68,23 @@
 }
 
 #[test]
-fn a_short_soak_keeps_every_rule() {
+fn short_soak_has_no_violations() {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("no tokio runtime");
     let mut found = Vec::new();
-    let series = [(PRIMARY_SEEDS, Series::Primary), (WAY_SEEDS, Series::Ways)];
+    let series = [
+        (LEADER_SEEDS, Series::Leader),
+        (PARTITION_SEEDS, Series::Partitions),
+    ];
     for ([first, second], series) in SEEDS
         .map(|seeds| (seeds, Series::None))
         .into_iter()
         .chain(series)
     {
-        let both = async { tokio::join!(broken(first, series), broken(second, series)) };
+        let both =
+            async { tokio::join!(violations_of(first, series), violations_of(second, series)) };
         let (first, second) = runtime.block_on(both);
         found.extend(first.into_iter().chain(second));
     }
--- a/bitternsill/tests/store.rs
+++ b/bitternsill/tests/store.rs
@@ -19,7 +19,7 @@
 
 impl Members {
     fn new(name: &str) -> Members {
-        let host = FrameHost::start(|_| Say::Nothing);
+        let host = FrameHost::start(|_| PartReply::NoReply);
         let file = |i| {
             std::env::temp_dir().join(format!(
                 "bitternsill-{name}-{}-{i}.store",
@@ -39,8 +39,8 @@
     fn clear(&self) {
         for file in &self.files {
             let _ = std::fs::remove_file(file);
-            for beside in ["lock", "id", "former", "new", "full"] {
-                let _ = std::fs::remove_file(file.with_extension(beside));
+            for extension in ["lock", "id", "former", "new", "full"] {
+                let _ = std::fs::remove_file(file.with_extension(extension));
             }
         }
     }
@@ -76,8 +76,8 @@
         })
     }
 
-    fn agree_on_set_ups(&self) -> bool {
-        (0..3).all(|at| (0..3).all(|of| self.told(at, &format!("setup/m{of}"), "catalogue")))
+    fn all_show_setups(&self) -> bool {
+        (0..3).all(|at| (0..3).all(|of| self.shows(at, &format!("setup/m{of}"), "catalogue")))
     }
 
     /// Addresses of all members by number.
@@ -90,7 +90,7 @@
     }
 
     /// Whether a watch on a member shows a key with a value that contains `has`.
-    fn told(&self, member: usize, key: &str, has: &str) -> bool {
+    fn shows(&self, member: usize, key: &str, has: &str) -> bool {
         let Ok(mut socket) = TcpStream::connect(self.stores[member]) else {
             return false;
         };
@@ -111,17 +111,17 @@
 fn restarted_member_continues_from_its_file() {
     let members = Members::new("lost");
     let mut programs: Vec<Program> = (0..3).map(|i| members.start(i)).collect();
-    eventually("every set-up is everywhere", || members.agree_on_set_ups());
+    wait_until("all members show all setups", || members.all_show_setups());
     drop(programs.pop());
     members
         .discovery
-        .tell(2, vec![target(0, members.host.address, "leaving")]);
-    eventually("two of three commit", || {
-        members.told(1, "members/m0", "leaving")
+        .publish(2, vec![target(0, members.host.address, "leaving")]);
+    wait_until("commit by two of three members", || {
+        members.shows(1, "members/m0", "leaving")
     });
     programs.push(members.start(2));
-    eventually("the third catches up", || {
-        members.told(2, "members/m0", "leaving")
+    wait_until("third member caught up", || {
+        members.shows(2, "members/m0", "leaving")
     });
     members.clear();
 }
@@ -139,17 +139,17 @@
             .map(|i| members.start_with(i, 20, &log, &format!("m{i}-{round}")))
             .collect();
         for before in 0..round {
-            eventually("all tell what one had told before", || {
-                (0..3).all(|at| members.told(at, &key(before), "catalogue"))
+            wait_until("all members show the earlier change", || {
+                (0..3).all(|at| members.shows(at, &key(before), "catalogue"))
             });
         }
-        eventually("one tells it", || {
-            (0..3).any(|at| members.told(at, &key(round), "catalogue"))
+        wait_until("a member shows the change", || {
+            (0..3).any(|at| members.shows(at, &key(round), "catalogue"))
         });
         programs.iter().for_each(|program| program.signal("KILL"));
         drop(programs);
         for file in &members.files {
-            let kept = store_says(&["verify", file.to_str().unwrap()]);
+            let kept = run_store_command(&["verify", file.to_str().unwrap()]);
             assert!(kept.0, "{}", kept.1);
         }
     }
@@ -163,14 +163,14 @@
 fn member_with_corrupt_file_does_not_start() {
     let members = Members::new("changed");
     let programs: Vec<Program> = (0..3).map(|i| members.start(i)).collect();
-    eventually("every set-up is everywhere", || members.agree_on_set_ups());
+    wait_until("all members show all setups", || members.all_show_setups());
     drop(programs);
     let file = &members.files[2];
     let sound = std::fs::read(file).unwrap();
     let at = sound
         .windows(9)
         .position(|w| w == b"catalogue")
-        .expect("the text of a set-up");
+        .expect("no setup in the file");
     let mut changed = sound.clone();
     changed[at] = b'k';
     std::fs::write(file, &changed).unwrap();
@@ -179,35 +179,38 @@
     let mut third = members.start_with(2, 0, &log, "m2");
     // A member that starts after all must fail the test, not block it.
     let mut ended = None;
-    eventually("it ends", || {
+    wait_until("member exited", || {
         ended = third.child.try_wait().unwrap();
         ended.is_some()
     });
-    assert!(!ended.unwrap().success(), "it does not serve");
-    let said = std::fs::read_to_string(&log).unwrap();
+    assert!(
+        !ended.unwrap().success(),
+        "member started from a corrupt file"
+    );
+    let log_text = std::fs::read_to_string(&log).unwrap();
     for words in [
         "at byte",
         "its content does not have its checksum",
         "put the file back",
         "store recover",
     ] {
-        assert!(said.contains(words), "`{words}` in {said}");
+        assert!(log_text.contains(words), "`{words}` in {log_text}");
     }
-    assert!(!store_says(&["verify", file.to_str().unwrap()]).0);
+    assert!(!run_store_command(&["verify", file.to_str().unwrap()]).0);
     // The other two continue, and the third does too once its file is restored.
-    eventually("two of three are one", || {
-        (0..2).all(|at| members.told(at, "setup/m2", "catalogue"))
+    wait_until("two of three members consistent", || {
+        (0..2).all(|at| members.shows(at, "setup/m2", "catalogue"))
     });
     std::fs::write(file, &sound).unwrap();
-    let whole = store_says(&["show", file.to_str().unwrap()]);
+    let whole = run_store_command(&["show", file.to_str().unwrap()]);
     assert!(
         whole.0 && whole.1.contains("starts: 1") && whole.1.contains("setup/m2"),
         "{}",
         whole.1
     );
     let third = members.start(2);
-    eventually("the third is back", || {
-        members.told(2, "setup/m0", "catalogue")
+    wait_until("third member restarted", || {
+        members.shows(2, "setup/m0", "catalogue")
     });
     drop((others, third));
     // A power failure leaves a truncated last record: only this is cut off, with a message.
@@ -218,11 +221,11 @@
         .unwrap()
         .set_len(length - 3)
         .unwrap();
-    let said = store_says(&["verify", file.to_str().unwrap()]);
+    let output = run_store_command(&["verify", file.to_str().unwrap()]);
     assert!(
-        said.0 && said.1.contains("of a record that was never finished"),
+        output.0 && output.1.contains("of a record that was never finished"),
         "{}",
-        said.1
+        output.1
     );
     members.clear();
     std::fs::remove_file(log).unwrap();
@@ -230,35 +233,35 @@
 
 /// Starts all members and waits until each shows the keys that all wrote under the names of this
 /// start.
-fn all_agree(members: &Members, life: &str, logs: &[PathBuf; 3]) -> Vec<Program> {
+fn start_until_consistent(members: &Members, start: &str, logs: &[PathBuf; 3]) -> Vec<Program> {
     let programs: Vec<Program> = (0..3)
-        .map(|i| members.start_with(i, 0, &logs[i], &format!("m{i}-{life}")))
+        .map(|i| members.start_with(i, 0, &logs[i], &format!("m{i}-{start}")))
         .collect();
-    let key = |of: usize| format!("setup/m{of}-{life}");
-    eventually("all tell what all wrote", || {
-        (0..3).all(|at| (0..3).all(|of| members.told(at, &key(of), "catalogue")))
+    let key = |of: usize| format!("setup/m{of}-{start}");
+    wait_until("all members show all changes", || {
+        (0..3).all(|at| (0..3).all(|of| members.shows(at, &key(of), "catalogue")))
     });
     programs
 }
 
-fn logs(name: &str) -> [PathBuf; 3] {
+fn log_files(name: &str) -> [PathBuf; 3] {
     [0, 1, 2].map(|i| {
         std::env::temp_dir().join(format!("bitternsill-{name}-{}-{i}.log", std::process::id()))
     })
 }
 
-fn said(log: &Path) -> String {
+fn read_log(log: &Path) -> String {
     std::fs::read_to_string(log).unwrap()
 }
 
 /// The content of a member's file.
-fn shown(members: &Members, member: usize) -> String {
-    let (well, text) = store_says(&["show", members.files[member].to_str().unwrap()]);
-    assert!(well, "{text}");
+fn show_file(members: &Members, member: usize) -> String {
+    let (succeeded, text) = run_store_command(&["show", members.files[member].to_str().unwrap()]);
+    assert!(succeeded, "{text}");
     text
 }
 
-fn forget(logs: &[PathBuf; 3]) {
+fn remove_logs(logs: &[PathBuf; 3]) {
     logs.iter()
         .for_each(|log| std::fs::remove_file(log).unwrap());
 }
@@ -267,80 +270,80 @@
 /// had no earlier promises.
 #[test]
 fn member_without_file_is_inactive_until_caught_up() {
-    let (members, logs) = (Members::new("gone"), logs("gone"));
-    drop(all_agree(&members, "a", &logs));
+    let (members, logs) = (Members::new("gone"), log_files("gone"));
+    drop(start_until_consistent(&members, "a", &logs));
     // With the initial member's file lost and only one other member up, nobody can know what the
     // lost file promised.
     std::fs::remove_file(&members.files[0]).unwrap();
     let first = members.start_with(0, 0, &logs[0], "m0-b");
     let second = members.start_with(1, 0, &logs[1], "m1-b");
-    eventually("it says so", || {
-        said(&logs[0]).contains("what it had promised there is lost")
+    wait_until("member reports the loss of its file", || {
+        read_log(&logs[0]).contains("what it had promised there is lost")
     });
     let until = Instant::now() + Duration::from_millis(2500);
     while Instant::now() < until {
         // Four times the minimum election time.
         assert!(
-            !(0..2).any(|at| members.told(at, "setup/m1-b", "")),
-            "two members, one of which is without a past"
+            !(0..2).any(|at| members.shows(at, "setup/m1-b", "")),
+            "commit by two members, one of them without its file"
         );
     }
     let third = members.start_with(2, 0, &logs[2], "m2-b");
-    eventually("all are one again", || {
+    wait_until("all members consistent", || {
         let both =
-            |at: usize| members.told(at, "setup/m0-b", "") && members.told(at, "setup/m2-a", "");
+            |at: usize| members.shows(at, "setup/m0-b", "") && members.shows(at, "setup/m2-a", "");
         (0..3).all(both)
     });
     drop((first, second, third));
     assert!(
-        shown(&members, 0).contains("files lost before: 1"),
+        show_file(&members, 0).contains("files lost before: 1"),
         "{}",
-        shown(&members, 0)
+        show_file(&members, 0)
     );
     // The same for a member that has lost its id file too, the last sign that it belonged to a
     // store.
     for gone in [&members.files[2], &members.files[2].with_extension("id")] {
         std::fs::remove_file(gone).unwrap();
     }
-    drop(all_agree(&members, "c", &logs));
-    let shown = shown(&members, 2);
+    drop(start_until_consistent(&members, "c", &logs));
+    let shown = show_file(&members, 2);
     assert!(
         shown.contains("files lost before: 1") && shown.contains("m0-a"),
         "{shown}"
     );
     members.clear();
-    forget(&logs);
+    remove_logs(&logs);
 }
 
 /// Guards against a member with a restored old file that votes by its outdated promises.
 #[test]
 fn detects_restored_old_file() {
-    let (members, logs) = (Members::new("old"), logs("old"));
-    drop(all_agree(&members, "a", &logs));
+    let (members, logs) = (Members::new("old"), log_files("old"));
+    drop(start_until_consistent(&members, "a", &logs));
     let old = std::fs::read(&members.files[2]).unwrap();
-    drop(all_agree(&members, "b", &logs));
+    drop(start_until_consistent(&members, "b", &logs));
     std::fs::write(&members.files[2], old).unwrap();
-    drop(all_agree(&members, "c", &logs));
+    drop(start_until_consistent(&members, "c", &logs));
     assert!(
-        said(&logs[2]).contains("standing=Lost"),
+        read_log(&logs[2]).contains("standing=Lost"),
         "{}",
-        said(&logs[2])
+        read_log(&logs[2])
     );
     assert!(
-        shown(&members, 2).contains("files lost before: 1"),
+        show_file(&members, 2).contains("files lost before: 1"),
         "{}",
-        shown(&members, 2)
+        show_file(&members, 2)
     );
     members.clear();
-    forget(&logs);
+    remove_logs(&logs);
 }
 
 /// Guards against members without files that form an empty store and reject the one that still has
 /// its file.
 #[test]
 fn majority_without_files_waits_for_operator_recovery() {
-    let (members, logs) = (Members::new("majority"), logs("majority"));
-    drop(all_agree(&members, "a", &logs));
+    let (members, logs) = (Members::new("majority"), log_files("majority"));
+    drop(start_until_consistent(&members, "a", &logs));
     for gone in [0, 2] {
         std::fs::remove_file(&members.files[gone]).unwrap();
     }
@@ -350,21 +353,25 @@
     let until = Instant::now() + Duration::from_millis(2500);
     while Instant::now() < until {
         assert!(
-            !(0..3).any(|at| members.told(at, "setup/m0-b", "")),
-            "nothing is committed"
+            !(0..3).any(|at| members.shows(at, "setup/m0-b", "")),
+            "commit without a majority of files"
         );
     }
     drop(programs);
     let file = members.files[1].to_str().unwrap();
     let before = std::fs::read(file).unwrap();
-    let asked = store_says(&["recover", file]);
+    let refused = run_store_command(&["recover", file]);
     assert!(
-        !asked.0 && asked.1.contains("Lost is whatever") && asked.1.contains("--accept-loss"),
+        !refused.0 && refused.1.contains("Lost is whatever") && refused.1.contains("--accept-loss"),
         "{}",
-        asked.1
+        refused.1
+    );
+    assert_eq!(
+        std::fs::read(file).unwrap(),
+        before,
+        "file changed without confirmation"
     );
-    assert_eq!(std::fs::read(file).unwrap(), before, "nothing is changed");
-    let done = store_says(&["recover", file, "--accept-loss"]);
+    let done = run_store_command(&["recover", file, "--accept-loss"]);
     assert!(done.0 && done.1.contains("move away"), "{}", done.1);
     assert_eq!(
         std::fs::read(members.files[1].with_extension("former")).unwrap(),
@@ -378,56 +385,56 @@
             let _ = std::fs::remove_file(gone);
         }
     }
-    let programs = all_agree(&members, "c", &logs);
-    assert!((0..3).all(|at| (0..3).all(|of| members.told(
+    let programs = start_until_consistent(&members, "c", &logs);
+    assert!((0..3).all(|at| (0..3).all(|of| members.shows(
         at,
         &format!("setup/m{of}-a"),
         "catalogue"
     ))));
     drop(programs);
     members.clear();
-    forget(&logs);
+    remove_logs(&logs);
 }
 
 /// Guards against a member that exits when its disk is full.
 #[test]
 fn full_disks_delay_changes_but_not_reads() {
-    let (members, logs) = (Members::new("full"), logs("full"));
-    let programs = all_agree(&members, "a", &logs);
-    let marks = [0, 1, 2].map(|i| members.files[i].with_extension("full"));
-    marks
+    let (members, logs) = (Members::new("full"), log_files("full"));
+    let programs = start_until_consistent(&members, "a", &logs);
+    let full_markers = [0, 1, 2].map(|i| members.files[i].with_extension("full"));
+    full_markers
         .iter()
-        .for_each(|mark| std::fs::write(mark, "").unwrap());
+        .for_each(|marker| std::fs::write(marker, "").unwrap());
     members
         .discovery
-        .tell(2, vec![target(0, members.host.address, "leaving")]);
-    eventually("the leader says so", || {
+        .publish(2, vec![target(0, members.host.address, "leaving")]);
+    wait_until("leader reports the full disk", || {
         logs.iter()
-            .any(|log| said(log).contains("the disk is full"))
+            .any(|log| read_log(log).contains("the disk is full"))
     });
     for at in 0..3 {
         assert!(
-            members.told(at, "setup/m0-a", "catalogue"),
-            "what was committed is told"
+            members.shows(at, "setup/m0-a", "catalogue"),
+            "committed value not shown"
         );
         assert!(
-            !members.told(at, "members/m0-a", "leaving"),
-            "what is not on the disks is not"
+            !members.shows(at, "members/m0-a", "leaving"),
+            "uncommitted value shown"
         );
     }
-    marks
+    full_markers
         .iter()
-        .for_each(|mark| std::fs::remove_file(mark).unwrap());
-    eventually("with room again the change is taken", || {
-        (0..3).all(|at| members.told(at, "members/m0-a", "leaving"))
+        .for_each(|marker| std::fs::remove_file(marker).unwrap());
+    wait_until("change committed after space is available", || {
+        (0..3).all(|at| members.shows(at, "members/m0-a", "leaving"))
     });
     drop(programs);
     members
         .files
         .iter()
-        .for_each(|file| assert!(store_says(&["verify", file.to_str().unwrap()]).0));
+        .for_each(|file| assert!(run_store_command(&["verify", file.to_str().unwrap()]).0));
     members.clear();
-    forget(&logs);
+    remove_logs(&logs);
 }
 
 /// Guards against a sync that blocks the event loop and delays queries for as long as the disk
@@ -437,13 +444,13 @@
     let members = Members::new("slow");
     let log = std::env::temp_dir().join(format!("bitternsill-slow-{}", std::process::id()));
     let _program = members.start_with(0, 2000, &log, "m0");
-    eventually("it serves", || {
+    wait_until("member listening", || {
         TcpStream::connect(members.stores[0]).is_ok()
     });
     for state in ["leaving", "active", "leaving"] {
         members
             .discovery
-            .tell(2, vec![target(0, members.host.address, state)]);
+            .publish(2, vec![target(0, members.host.address, state)]);
         for _ in 0..10 {
             let start = Instant::now();
             let mut socket = TcpStream::connect(members.stores[0]).unwrap();
@@ -453,7 +460,7 @@
             let _ = socket.read_to_end(&mut rest);
             assert!(
                 start.elapsed() < Duration::from_millis(900),
-                "the loop stood still for {:?}",
+                "event loop blocked for {:?}",
                 start.elapsed()
             );
         }
@@ -466,13 +473,14 @@
 fn platform_gatherer_joins_configured_store() {
     let members = Members::new("platform");
     let _catalogues = [members.start(0), members.start(1)];
-    let beside = std::env::temp_dir().join(format!("bitternsill-beside-{}", std::process::id()));
+    let operator_file =
+        std::env::temp_dir().join(format!("bitternsill-beside-{}", std::process::id()));
     let store =
         json!({"store": {"member": 2, "members": members.addresses(), "file": members.files[2]}});
-    std::fs::write(&beside, store.to_string()).unwrap();
+    std::fs::write(&operator_file, store.to_string()).unwrap();
     let check = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
         .arg("check")
-        .arg(&beside)
+        .arg(&operator_file)
         .output()
         .unwrap();
     assert!(
@@ -482,14 +490,14 @@
     );
     let start = || {
         let hosts: Vec<FrameHost> = (0..3)
-            .map(|_| FrameHost::start(|_| Say::Good(1, "v".to_owned())))
+            .map(|_| FrameHost::start(|_| PartReply::Good(1, "v".to_owned())))
             .collect();
         let targets = hosts
             .iter()
             .enumerate()
             .map(|(i, h)| target(i, h.address, "active"))
             .collect();
-        let more = ["--operator".to_owned(), beside.display().to_string()];
+        let more = ["--operator".to_owned(), operator_file.display().to_string()];
         Platform::start_in(
             "ulimit -n 1024",
             settings(),
@@ -500,26 +508,26 @@
         )
     };
     let platform = start();
-    eventually("all know its set-up", || {
-        (0..3).all(|at| members.told(at, "setup/n0", "platform"))
+    wait_until("all members show the setup", || {
+        (0..3).all(|at| members.shows(at, "setup/n0", "platform"))
     });
     assert!(
         platform
-            .ask("q", "page", &[0, 1])
+            .send_query("q", "page", &[0, 1])
             .starts_with("HTTP/1.1 200"),
-        "it serves beside that"
+        "query not served"
     );
     drop(platform);
     let _again = start();
-    eventually("it goes on from its file", || {
-        members.told(2, "setup/m0", "catalogue")
+    wait_until("member restarted from its file", || {
+        members.shows(2, "setup/m0", "catalogue")
     });
     members.clear();
-    std::fs::remove_file(beside).unwrap();
+    std::fs::remove_file(operator_file).unwrap();
 }
 
 /// Runs `bitternsill store`; returns whether it succeeded, and its output.
-fn store_says(args: &[&str]) -> (bool, String) {
+fn run_store_command(args: &[&str]) -> (bool, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
         .arg("store")
         .args(args)
@@ -552,11 +560,11 @@
             return String::new();
         };
         let target = "/comics?operation=searchRetrieve&version=1.2&query=moon";
-        let asked = format!("GET {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+        let request = format!("GET {target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         socket
             .set_read_timeout(Some(Duration::from_secs(8)))
             .unwrap();
-        let _ = socket.write_all(asked.as_bytes());
+        let _ = socket.write_all(request.as_bytes());
         read_response(&mut socket)
     };
     let phase = || {
@@ -567,12 +575,12 @@
         }
         serde_json::from_str::<Value>(&line).map_or(Value::Null, |json| json["phase"].clone())
     };
-    eventually("it returns", || phase() == "returning");
+    wait_until("phase returning", || phase() == "returning");
     // The host does not answer: an admitted search is refused at its deadline, and a rejected one
     // at once.
     let timed = || {
-        let begun = Instant::now();
-        (search(), begun.elapsed())
+        let start = Instant::now();
+        (search(), start.elapsed())
     };
     let (answer, took) = timed();
     assert!(
@@ -581,13 +589,13 @@
     );
     assert!(
         took < Duration::from_millis(700),
-        "refused only after {took:?}"
+        "rejected only after {took:?}"
     );
-    eventually("full service", || phase() == "full");
+    wait_until("full service", || phase() == "full");
     let (answer, took) = timed();
     assert!(
         took > Duration::from_millis(700),
-        "it is tried now: {took:?}, {answer}"
+        "search not admitted: {took:?}, {answer}"
     );
     drop(programs);
     members.clear();
