--- a/bitternsill/tests/common/fleet.rs
+++ b/bitternsill/tests/common/fleet.rs
@@ -95,7 +95,6 @@
     pub max_latency: Duration,
 }
 
-/// Options of the gatherers in a fleet.
 pub struct FleetOptions {
     pub settings: Value,
     /// The `recovery` section of the operator file.
@@ -111,7 +110,6 @@
     /// The `versions` section of the operator file. With it, a gatherer keeps its name and audit
     /// log across restarts.
     pub versions: Option<Value>,
-    /// Whether each gatherer has an admin address.
     pub has_admin: bool,
     /// Gatherers that run under the name of another one.
     pub named_as: BTreeMap<usize, usize>,
--- a/bitternsill/tests/common/mod.rs
+++ b/bitternsill/tests/common/mod.rs
@@ -227,7 +227,6 @@
             .retain(|watcher| watcher.send(text.clone()).is_ok());
     }
 
-    /// Ends every watch.
     pub fn close_watches(&self) {
         self.watchers.lock().unwrap().clear();
     }
@@ -342,7 +341,6 @@
     Some((letter, body))
 }
 
-/// Encodes a frame.
 pub fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
     let mut bytes = (rest.len() as u32 + 1).to_le_bytes().to_vec();
     bytes.push(letter);
@@ -473,7 +471,6 @@
     }
 }
 
-/// Encodes a query.
 pub fn query(id: &str, class: &str, shards: &[u32], headers: &str) -> String {
     let portion = 1.0 / shards.len() as f64;
     let ranges: Vec<Value> = shards
--- a/bitternsill/tests/common/standins.rs
+++ b/bitternsill/tests/common/standins.rs
@@ -44,7 +44,6 @@
     pub no_scan: AtomicBool,
     pub searches: AtomicUsize,
     pub presents: AtomicUsize,
-    /// Number of records sent.
     pub records_sent: AtomicUsize,
     pub open_connections: AtomicUsize,
     pub connections: AtomicUsize,
@@ -563,7 +562,6 @@
     Some(rest.split_once(end)?.0.to_owned())
 }
 
-/// A Z39.50 client.
 pub struct Z3950Client {
     pub socket: TcpStream,
     pub input: Vec<u8>,
--- a/bitternsill/tests/common/versions.rs
+++ b/bitternsill/tests/common/versions.rs
@@ -129,7 +129,6 @@
     }
 }
 
-/// Whether all gatherers report that they are current.
 pub fn all_current(fleet: &Fleet) -> bool {
     (0..fleet.stores.len()).all(|at| has_status(fleet, at, "current"))
 }
--- a/bitternsill/tests/contract.rs
+++ b/bitternsill/tests/contract.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Answers each part of a call with this end, and all other frames with nothing.
+    /// Decodes the parts of an `m` frame, each byte of which must follow the protocol description.
     fn answering(end: &'static str) -> Host {
         Host::start(move |letter, rest| {
             Some(if letter == b'm' {
--- a/bitternsill/tests/core.rs
+++ b/bitternsill/tests/core.rs
@@ -9,7 +9,7 @@
 use dispatch::interface::*;
 use std::rc::Rc;
 
-/// An action of the core.
+/// A call of the core on one of its ports.
 #[derive(Debug, Clone, PartialEq)]
 enum PortCall {
     Answered(u64, Answer),
--- a/bitternsill/tests/endings_discovery.rs
+++ b/bitternsill/tests/endings_discovery.rs
@@ -356,7 +356,7 @@
     drop(discovery.call());
     let first = start.elapsed();
     assert!(first < Duration::from_millis(600), "{first:?}");
-    // A reload resets the delays too, since the new address must be known within 4 s.
+    // A reload resets the delays too, since a moved discovery must be known 4 s later.
     (0..4).for_each(|_| drop(discovery.call()));
     gatherer.program.signal("HUP");
     let start = Instant::now();
--- a/bitternsill/tests/platform_discovery.rs
+++ b/bitternsill/tests/platform_discovery.rs
@@ -199,7 +199,7 @@
 #[test]
 fn tolerates_unknown_and_missing_fields() {
     // As in the protocol description, as in the second deployment, with more fields, with fewer,
-    // empty, and malformed.
+    // with none, without any report, and malformed.
     let reports = [
         "inflight=7,util=0.61",
         "qps=4.2,util=0.61,queue=2",
--- a/bitternsill/tests/store.rs
+++ b/bitternsill/tests/store.rs
@@ -266,8 +266,8 @@
         .for_each(|log| std::fs::remove_file(log).unwrap());
 }
 
-/// Guards against a member that, without its file, initialises the store again or votes as if it
-/// had no earlier promises.
+/// Guards against a member that, without its file, initialises the store again because its
+/// configuration says that it begins, or votes as if it had no earlier promises.
 #[test]
 fn member_without_file_is_inactive_until_caught_up() {
     let (members, logs) = (Members::new("gone"), log_files("gone"));
