--- a/bitternsill/tests/common/mod.rs
+++ b/bitternsill/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The program as a process, and scripted peers on loopback sockets.
-#![allow(dead_code)] // each story uses its share
+//! Runs the program as a process, with scripted peers on loopback sockets.
+#![allow(dead_code)] // each test uses only part of this module
 
 pub mod fleet;
 pub mod standins;
@@ -18,10 +18,9 @@
 
 static SERIAL: AtomicU32 = AtomicU32::new(0);
 
-/// A free address of this machine: a loopback address that no other test has, so that its port
-/// stays free. The socket that finds the port never listens: a program that another test starts
-/// just then has a copy of it for a moment, and a copy that listened would take connections and
-/// reset them.
+/// A free loopback address that no other test uses, so that its port stays free. The socket that
+/// finds the port never listens: a process that another test starts at that moment inherits a copy
+/// of it, and a listening copy would accept connections and reset them.
 pub fn free_address() -> SocketAddr {
     let (pid, serial) = (std::process::id(), SERIAL.fetch_add(1, Ordering::Relaxed));
     let address = format!(
@@ -44,7 +43,7 @@
         .unwrap()
 }
 
-/// Accepts for as long as the test runs, each connection on a thread of its own.
+/// Accepts connections until the test ends, each on its own thread.
 pub fn accept(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -58,35 +57,38 @@
     address
 }
 
-/// Waits for something to become true.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits up to 30 s for a condition.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < Duration::from_secs(30), "never: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < Duration::from_secs(30),
+            "timed out waiting for: {what}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The program, ended with the test.
+/// A running process of the program, killed on drop.
 pub struct Program {
     pub child: Child,
-    /// The file that it was started with.
-    pub file: PathBuf,
+    /// The configuration file.
+    pub config_path: PathBuf,
 }
 
 impl Program {
-    /// Starts the program with a file of this content after `option`.
+    /// Starts the program with a file of this content as the value of `option`.
     pub fn start(option: &str, content: &Value) -> Program {
         Self::start_with(option, content, 1024)
     }
 
-    /// The same with so many descriptors.
+    /// Like `start`, with this descriptor limit.
     pub fn start_with(option: &str, content: &Value, descriptors: u32) -> Program {
         Self::start_in(&format!("ulimit -n {descriptors}"), option, content, &[])
     }
 
-    /// The same after some words of shell, and with further arguments.
-    pub fn start_in(shell: &str, option: &str, content: &Value, more: &[String]) -> Program {
+    /// Like `start`, after these shell commands and with further arguments.
+    pub fn start_in(shell: &str, option: &str, content: &Value, arguments: &[String]) -> Program {
         let name = format!(
             "bitternsill-{}-{}",
             std::process::id(),
@@ -96,14 +98,14 @@
         std::fs::write(&path, content.to_string()).unwrap();
         let child = Command::new("sh")
             .args(["-c", &format!("{shell}; exec \"$0\" serve \"$@\"")])
-            // A measurement may play an earlier build.
+            // Benchmarks can run an earlier build.
             .arg(
                 std::env::var("BITTERNSILL_PROGRAM")
                     .unwrap_or(env!("CARGO_BIN_EXE_bitternsill").into()),
             )
             .arg(option)
             .arg(&path)
-            .args(more)
+            .args(arguments)
             .env(
                 "BITTERNSILL_LOG",
                 std::env::var("BITTERNSILL_LOG").unwrap_or("warn".into()),
@@ -111,10 +113,12 @@
             .stdin(Stdio::null())
             .spawn()
             .unwrap();
-        Program { child, file: path }
+        Program {
+            child,
+            config_path: path,
+        }
     }
 
-    /// Sends a signal.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(
@@ -134,7 +138,7 @@
     }
 }
 
-/// The settings of a small deployment: three cells in a ring, each shard on two of them.
+/// Settings of a small deployment: three cells in a ring, each shard on two of them.
 pub fn settings() -> Value {
     json!({
         "request_classes": [
@@ -154,28 +158,28 @@
     })
 }
 
-/// One line of the list.
+/// One entry of the target list.
 pub fn target(cell: usize, address: SocketAddr, state: &str) -> Value {
     json!({"uid": format!("s-{cell}"), "endpoint": address.to_string(), "az": "hall-a", "model": "std",
            "pod_group": cell, "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// A stand-in for discovery: the list it gives, and a way to tell changes to whoever watches.
+/// A stand-in for discovery that serves a target list and can send changes to its watchers.
 pub struct Discovery {
     pub address: SocketAddr,
     watchers: Arc<Mutex<Vec<mpsc::Sender<String>>>>,
-    asked: Arc<AtomicU32>,
+    watch_requests: Arc<AtomicU32>,
 }
 
 impl Discovery {
     pub fn start(targets: Vec<Value>) -> Discovery {
-        Self::start_beating(targets, Duration::from_millis(500))
+        Self::start_with_interval(targets, Duration::from_millis(500))
     }
 
-    /// The same with so long between the empty lines.
-    pub fn start_beating(targets: Vec<Value>, beat: Duration) -> Discovery {
-        let asked: Arc<AtomicU32> = Arc::default();
-        let count = asked.clone();
+    /// Like `start`, with this interval between the empty lines.
+    pub fn start_with_interval(targets: Vec<Value>, interval: Duration) -> Discovery {
+        let watch_requests: Arc<AtomicU32> = Arc::default();
+        let count = watch_requests.clone();
         let watchers: Arc<Mutex<Vec<mpsc::Sender<String>>>> = Arc::default();
         let shared = watchers.clone();
         let first = json!({"rev": 1, "all": true, "targets": targets}).to_string();
@@ -186,19 +190,19 @@
                 .unwrap();
             assert!(line.starts_with("GET /catalog/members?stream=1"), "{line}");
             count.fetch_add(1, Ordering::SeqCst);
-            let (tell, told) = mpsc::channel();
-            tell.send(first.clone()).unwrap();
-            shared.lock().unwrap().push(tell);
+            let (sender, receiver) = mpsc::channel();
+            sender.send(first.clone()).unwrap();
+            shared.lock().unwrap().push(sender);
             socket
                 .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 .unwrap();
             loop {
-                let text = match told.recv_timeout(beat) {
+                let text = match receiver.recv_timeout(interval) {
                     Ok(text) => text + "\n",
                     Err(mpsc::RecvTimeoutError::Timeout) => "\n".to_owned(),
                     Err(_) => return,
                 };
-                // A line may come in pieces; the chunk below is cut in the middle of it.
+                // Cut in the middle, since a line may arrive in several chunks.
                 let (a, b) = text.split_at(text.len() / 2);
                 for piece in [a, b].into_iter().filter(|p| !p.is_empty()) {
                     if write!(socket, "{:x}\r\n{piece}\r\n", piece.len()).is_err() {
@@ -210,12 +214,12 @@
         Discovery {
             address,
             watchers,
-            asked,
+            watch_requests,
         }
     }
 
-    /// Tells every watcher of a change.
-    pub fn tell(&self, version: u64, targets: Vec<Value>) {
+    /// Sends a change to every watcher.
+    pub fn publish(&self, version: u64, targets: Vec<Value>) {
         let text = json!({"rev": version, "all": false, "targets": targets}).to_string();
         self.watchers
             .lock()
@@ -223,63 +227,62 @@
             .retain(|watcher| watcher.send(text.clone()).is_ok());
     }
 
-    /// Ends every watch.
-    pub fn hang_up(&self) {
+    pub fn close_watches(&self) {
         self.watchers.lock().unwrap().clear();
     }
 
-    /// How often a watch was asked for.
-    pub fn asked(&self) -> u32 {
-        self.asked.load(Ordering::SeqCst)
+    /// Number of watch requests received.
+    pub fn watch_requests(&self) -> u32 {
+        self.watch_requests.load(Ordering::SeqCst)
     }
 
-    pub fn watches(&self) -> usize {
+    pub fn open_watches(&self) -> usize {
         self.watchers.lock().unwrap().len()
     }
 }
 
-/// What a scripted index host does with a part.
-pub enum Say {
+/// How a scripted index host answers a part.
+pub enum PartReply {
     Good(u64, String),
     Bad,
     Later,
-    Nothing,
-    HangUp,
-    /// These bytes as they are.
+    NoReply,
+    Close,
+    /// These bytes, unchanged.
     Raw(Vec<u8>),
 }
 
-/// A stand-in for an index host that speaks in frames.
+/// A stand-in for an index host that speaks the frame protocol.
 pub struct FrameHost {
     pub address: SocketAddr,
-    /// Each line of a part that came, without its `d`, and each id given up.
-    pub seen: Arc<Mutex<Vec<String>>>,
-    /// Bytes of the longest frame.
-    pub longest: Arc<AtomicU32>,
+    /// Each part line received, without its `d`, and each cancelled id.
+    pub received: Arc<Mutex<Vec<String>>>,
+    /// Size of the longest frame in bytes.
+    pub longest_frame: Arc<AtomicU32>,
 }
 
 impl FrameHost {
-    pub fn start(say: impl Fn(&str) -> Say + Send + Sync + 'static) -> FrameHost {
-        Self::start_by_connection(move |_, id| say(id))
+    pub fn start(reply: impl Fn(&str) -> PartReply + Send + Sync + 'static) -> FrameHost {
+        Self::start_by_connection(move |_, id| reply(id))
     }
 
-    /// The same where it matters on which connection, counted from 0, a part comes.
+    /// Like `start`, where the answer depends on the connection, counted from 0.
     pub fn start_by_connection(
-        say: impl Fn(u32, &str) -> Say + Send + Sync + 'static,
+        reply: impl Fn(u32, &str) -> PartReply + Send + Sync + 'static,
     ) -> FrameHost {
-        let seen: Arc<Mutex<Vec<String>>> = Arc::default();
-        let log = seen.clone();
-        let longest: Arc<AtomicU32> = Arc::default();
-        let measured = longest.clone();
+        let received: Arc<Mutex<Vec<String>>> = Arc::default();
+        let log = received.clone();
+        let longest_frame: Arc<AtomicU32> = Arc::default();
+        let frame_size = longest_frame.clone();
         let connections = AtomicU32::new(0);
         let address = accept(move |mut socket| {
             let number = connections.fetch_add(1, Ordering::SeqCst);
             while let Some((letter, rest)) = read_frame(&mut socket) {
-                measured.fetch_max(rest.len() as u32, Ordering::SeqCst);
+                frame_size.fetch_max(rest.len() as u32, Ordering::SeqCst);
                 if letter == b'n' {
                     log.lock()
                         .unwrap()
-                        .push(format!("given up {}", String::from_utf8_lossy(&rest)));
+                        .push(format!("cancelled {}", String::from_utf8_lossy(&rest)));
                     continue;
                 }
                 let mut rest = rest.as_slice();
@@ -300,13 +303,15 @@
                         words[1],
                         list.join(",")
                     ));
-                    let reply = match say(number, words[0]) {
-                        Say::Good(score, value) => format!("{} good {score} -\n{value}", words[0]),
-                        Say::Bad => format!("{} bad - -\n", words[0]),
-                        Say::Later => format!("{} later - -\n", words[0]),
-                        Say::Nothing => continue,
-                        Say::HangUp => return,
-                        Say::Raw(bytes) => {
+                    let reply = match reply(number, words[0]) {
+                        PartReply::Good(score, value) => {
+                            format!("{} good {score} -\n{value}", words[0])
+                        }
+                        PartReply::Bad => format!("{} bad - -\n", words[0]),
+                        PartReply::Later => format!("{} later - -\n", words[0]),
+                        PartReply::NoReply => continue,
+                        PartReply::Close => return,
+                        PartReply::Raw(bytes) => {
                             let _ = socket.write_all(&bytes);
                             continue;
                         }
@@ -317,13 +322,13 @@
         });
         FrameHost {
             address,
-            seen,
-            longest,
+            received,
+            longest_frame,
         }
     }
 
-    pub fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    pub fn received(&self) -> Vec<String> {
+        self.received.lock().unwrap().clone()
     }
 }
 
@@ -336,7 +341,6 @@
     Some((letter, body))
 }
 
-/// The bytes of a frame.
 pub fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
     let mut bytes = (rest.len() as u32 + 1).to_le_bytes().to_vec();
     bytes.push(letter);
@@ -345,11 +349,11 @@
 }
 
 fn write_frame(socket: &mut TcpStream, letter: u8, rest: &[u8]) {
-    // A gatherer that has hung up needs no answer.
+    // Fails only if the gatherer has closed the connection.
     let _ = socket.write_all(&frame(letter, rest));
 }
 
-/// The platform with scripted index hosts, one in each cell.
+/// The program with scripted index hosts, one in each cell.
 pub struct Platform {
     pub program: Program,
     pub address: SocketAddr,
@@ -363,19 +367,31 @@
         Self::start_with(settings, hosts, 256, 1024)
     }
 
-    /// Starts with so many descriptors told by the configuration, and so many there.
-    pub fn start_with(settings: Value, hosts: Vec<FrameHost>, told: u32, there: u32) -> Platform {
+    /// Starts with this `sockets` limit in the configuration and this descriptor limit in the
+    /// system.
+    pub fn start_with(
+        settings: Value,
+        hosts: Vec<FrameHost>,
+        configured_descriptors: u32,
+        descriptor_limit: u32,
+    ) -> Platform {
         let targets = hosts
             .iter()
             .enumerate()
             .map(|(i, h)| target(i, h.address, "active"))
             .collect();
-        Self::start_at(settings, hosts, Discovery::start(targets), told, there)
+        Self::start_at(
+            settings,
+            hosts,
+            Discovery::start(targets),
+            configured_descriptors,
+            descriptor_limit,
+        )
     }
 
     /// Starts with a discovery that falls silent after its list.
     pub fn start_silent(settings: Value, host: FrameHost, targets: Vec<Value>) -> Platform {
-        let discovery = Discovery::start_beating(targets, Duration::from_secs(60));
+        let discovery = Discovery::start_with_interval(targets, Duration::from_secs(60));
         Self::start_at(settings, vec![host], discovery, 256, 1024)
     }
 
@@ -383,35 +399,35 @@
         settings: Value,
         hosts: Vec<FrameHost>,
         discovery: Discovery,
-        told: u32,
-        there: u32,
+        configured_descriptors: u32,
+        descriptor_limit: u32,
     ) -> Platform {
         Self::start_in(
-            &format!("ulimit -n {there}"),
+            &format!("ulimit -n {descriptor_limit}"),
             settings,
             hosts,
             discovery,
-            told,
+            configured_descriptors,
             &[],
         )
     }
 
-    /// Starts after some words of shell, and with further arguments.
+    /// Starts after these shell commands and with further arguments.
     pub fn start_in(
         shell: &str,
         settings: Value,
         hosts: Vec<FrameHost>,
         discovery: Discovery,
-        told: u32,
-        more: &[String],
+        configured_descriptors: u32,
+        arguments: &[String],
     ) -> Platform {
         let address = free_address();
         let config = json!({
             "name": "n0", "listen": address.to_string(), "discovery": discovery.address.to_string(),
-            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": told},
+            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": configured_descriptors},
             "known": null, "settings": settings
         });
-        let program = Program::start_in(shell, "--config", &config, more);
+        let program = Program::start_in(shell, "--config", &config, arguments);
         let platform = Platform {
             program,
             address,
@@ -419,22 +435,21 @@
             hosts,
             config,
         };
-        eventually("ready", || {
+        wait_until("ready", || {
             TcpStream::connect(address).is_ok()
                 && platform
-                    .say("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
+                    .send_request("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n")
                     .starts_with("HTTP/1.1 200")
         });
         platform
     }
 
-    /// Replaces the program's file and tells it to read that.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, content: &str) {
-        std::fs::write(&self.program.file, content).unwrap();
+        std::fs::write(&self.program.config_path, content).unwrap();
         self.program.signal("HUP");
     }
 
-    /// A connection on which a test says what it likes.
     pub fn connect(&self) -> TcpStream {
         let socket = TcpStream::connect(self.address).unwrap();
         socket
@@ -443,21 +458,20 @@
         socket
     }
 
-    /// Says something on a new connection and gives all that comes back.
-    pub fn say(&self, text: &str) -> String {
+    /// Sends a request on a new connection and returns the response.
+    pub fn send_request(&self, text: &str) -> String {
         let mut socket = self.connect();
         socket.write_all(text.as_bytes()).unwrap();
         read_response(&mut socket)
     }
 
-    /// Asks for some shards; the answer's status and body.
-    pub fn ask(&self, id: &str, class: &str, shards: &[u32]) -> String {
-        self.say(&query(id, class, shards, "Connection: close\r\n"))
+    /// Sends a query for these shards and returns the response.
+    pub fn send_query(&self, id: &str, class: &str, shards: &[u32]) -> String {
+        self.send_request(&query(id, class, shards, "Connection: close\r\n"))
     }
 }
 
-/// The bytes of a query.
-pub fn query(id: &str, class: &str, shards: &[u32], more: &str) -> String {
+pub fn query(id: &str, class: &str, shards: &[u32], headers: &str) -> String {
     let portion = 1.0 / shards.len() as f64;
     let ranges: Vec<Value> = shards
         .iter()
@@ -466,17 +480,17 @@
     let body = json!({"ranges": ranges, "predicate": "c41e77d0"}).to_string();
     format!(
         "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: {id}\r\nX-Call-Class: {class}\r\n\
-         X-Budget: 3.0\r\n{more}Content-Length: {}\r\n\r\n{body}",
+         X-Budget: 3.0\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// One response, as far as its length goes.
+/// Reads one response, up to its content length.
 pub fn read_response(socket: &mut TcpStream) -> String {
     read_next_response(&mut BufReader::new(socket))
 }
 
-/// The same of several that may come together.
+/// Like `read_response`, for several responses on one reader.
 pub fn read_next_response(reader: &mut impl BufRead) -> String {
     let (mut text, mut length) = (String::new(), 0);
     loop {
@@ -498,19 +512,21 @@
     text + &String::from_utf8(body).unwrap()
 }
 
-/// Closes a connection at once. Dropped alone, it would stay open for as long as a program that
-/// another test is starting has a copy of it.
+/// Shuts a connection down at once. A drop alone would leave the connection open while a process
+/// that another test is starting holds a copy of the socket.
 pub fn close(socket: TcpStream) {
-    // Fails only where the connection is gone already.
+    // Fails only if the connection is already gone.
     let _ = socket.shutdown(Shutdown::Both);
 }
 
-/// A host's sound answer with this score.
-pub fn good(score: u64) -> impl Fn(&str) -> Say + Send + Sync + 'static {
-    move |id| Say::Good(score, format!("value of {id}"))
+/// Answers every part with success and this score.
+pub fn good_reply(score: u64) -> impl Fn(&str) -> PartReply + Send + Sync + 'static {
+    move |id| PartReply::Good(score, format!("value of {id}"))
 }
 
-/// Three sound hosts.
-pub fn three() -> Vec<FrameHost> {
-    (1..=3).map(|score| FrameHost::start(good(score))).collect()
+/// Three hosts that answer every part.
+pub fn three_hosts() -> Vec<FrameHost> {
+    (1..=3)
+        .map(|score| FrameHost::start(good_reply(score)))
+        .collect()
 }
--- a/bitternsill/tests/common/standins.rs
+++ b/bitternsill/tests/common/standins.rs
@@ -1,5 +1,4 @@
-//! Index hosts that speak SRU or Z39.50, and readers' clients of both, for stories on the catalogue
-//! front.
+//! Stand-in index hosts for SRU and Z39.50, and clients of both, for the catalogue tests.
 
 use super::*;
 use catalogue::ber::{self, Item, Writer};
@@ -14,58 +13,57 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize};
 
-/// What an index host holds and how it behaves; shared by the hosts of a slice, or not.
-pub struct Script {
+/// Content and behaviour of a stand-in index host. The hosts of a slice may share one.
+pub struct HostScript {
     /// Titles of each slice, in the host's order.
     pub titles: Mutex<BTreeMap<usize, Vec<String>>>,
-    /// While set, it answers nothing.
+    /// While set, no request is answered except Init.
     pub silent: AtomicBool,
-    /// While set, it answers no search, but presents.
-    pub deaf: AtomicBool,
-    /// While set, it presents nothing.
-    pub holds: AtomicBool,
-    /// While set, its connections end as soon as something comes on them.
-    pub dead: AtomicBool,
-    /// How long it waits before it answers, in milliseconds.
+    /// While set, searches are not answered.
+    pub ignores_searches: AtomicBool,
+    /// While set, presents are not answered.
+    pub ignores_presents: AtomicBool,
+    /// While set, a connection closes as soon as a request arrives.
+    pub closes_connections: AtomicBool,
+    /// Delay before each answer, in milliseconds.
     pub delay: AtomicUsize,
-    /// Every so many-th search takes so many milliseconds more.
-    pub hiccup: Mutex<(usize, u64)>,
-    /// It stands still until then.
-    pub frozen: Mutex<Option<Instant>>,
-    /// It forgets its sets at once.
-    pub forgets: AtomicBool,
-    /// What its sessions offer.
+    /// Every n-th search takes this many milliseconds longer.
+    pub periodic_delay: Mutex<(usize, u64)>,
+    /// No request is answered before this time.
+    pub paused_until: Mutex<Option<Instant>>,
+    /// While set, result sets are dropped before each present.
+    pub drops_result_sets: AtomicBool,
+    /// Abilities offered in the Init response.
     pub abilities: Mutex<Vec<Ability>>,
-    /// The version of SRU that it speaks.
+    /// The one SRU version that the host speaks.
     pub version: Mutex<&'static str>,
-    /// Its answers over HTTP have no length and end with their connection: in order, or (`true`) by
-    /// a reset.
-    pub lengthless: Mutex<Option<bool>>,
-    /// It answers scans with a diagnostic.
+    /// HTTP responses have no length and end with the connection: closed in order, or reset if
+    /// `true`.
+    pub without_length: Mutex<Option<bool>>,
+    /// While set, scans get a diagnostic.
     pub no_scan: AtomicBool,
     pub searches: AtomicUsize,
     pub presents: AtomicUsize,
-    /// Records that it gave.
-    pub given: AtomicUsize,
-    pub open: AtomicUsize,
+    pub records_sent: AtomicUsize,
+    pub open_connections: AtomicUsize,
     pub connections: AtomicUsize,
-    pub seen: Mutex<Vec<String>>,
+    pub received: Mutex<Vec<String>>,
 }
 
-impl Default for Script {
+impl Default for HostScript {
     fn default() -> Self {
-        // Slices with one, two, three … hits.
+        // Slice n has n + 1 titles.
         let titles = |slice: usize| (0..=slice).map(|i| format!("{slice}.{i}")).collect();
-        Script {
+        HostScript {
             titles: Mutex::new((0..3).map(|slice| (slice, titles(slice))).collect()),
             silent: AtomicBool::default(),
-            deaf: AtomicBool::default(),
-            holds: AtomicBool::default(),
-            dead: AtomicBool::default(),
+            ignores_searches: AtomicBool::default(),
+            ignores_presents: AtomicBool::default(),
+            closes_connections: AtomicBool::default(),
             delay: AtomicUsize::default(),
-            hiccup: Mutex::default(),
-            frozen: Mutex::default(),
-            forgets: AtomicBool::default(),
+            periodic_delay: Mutex::default(),
+            paused_until: Mutex::default(),
+            drops_result_sets: AtomicBool::default(),
             abilities: Mutex::new(vec![
                 Ability::Search,
                 Ability::Present,
@@ -74,19 +72,19 @@
                 Ability::NamedResultSets,
             ]),
             version: Mutex::new("1.2"),
-            lengthless: Mutex::default(),
+            without_length: Mutex::default(),
             no_scan: AtomicBool::default(),
             searches: AtomicUsize::default(),
             presents: AtomicUsize::default(),
-            given: AtomicUsize::default(),
-            open: AtomicUsize::default(),
+            records_sent: AtomicUsize::default(),
+            open_connections: AtomicUsize::default(),
             connections: AtomicUsize::default(),
-            seen: Mutex::default(),
+            received: Mutex::default(),
         }
     }
 }
 
-pub fn on(flag: &AtomicBool, value: bool) {
+pub fn set_flag(flag: &AtomicBool, value: bool) {
     flag.store(value, Ordering::SeqCst);
 }
 
@@ -119,15 +117,15 @@
     }
 }
 
-impl Script {
-    /// A host with these titles in every slice that is named.
-    pub fn with(titles: &[(usize, &[&str])]) -> Arc<Script> {
+impl HostScript {
+    /// A host with these titles in each named slice.
+    pub fn with(titles: &[(usize, &[&str])]) -> Arc<HostScript> {
         let own = |(slice, titles): &(usize, &[&str])| {
             (*slice, titles.iter().map(|t| (*t).to_owned()).collect())
         };
-        Arc::new(Script {
+        Arc::new(HostScript {
             titles: Mutex::new(titles.iter().map(own).collect()),
-            ..Script::default()
+            ..HostScript::default()
         })
     }
 
@@ -140,8 +138,8 @@
             .unwrap_or_default()
     }
 
-    fn note(&self, what: String) {
-        self.seen.lock().unwrap().push(what);
+    fn record(&self, entry: String) {
+        self.received.lock().unwrap().push(entry);
     }
 
     fn terms(&self, database: &str, seed: &str, number: usize, position: usize) -> Vec<Term> {
@@ -163,36 +161,37 @@
         titles[from.min(to)..to].iter().map(term).collect()
     }
 
-    /// How slow a host is; not a way to wait for something.
-    fn take_time(&self) {
-        let frozen = *self.frozen.lock().unwrap();
-        if let Some(left) = frozen.and_then(|until| until.checked_duration_since(Instant::now())) {
+    /// Simulates a slow host.
+    fn apply_delay(&self) {
+        let paused_until = *self.paused_until.lock().unwrap();
+        if let Some(left) =
+            paused_until.and_then(|until| until.checked_duration_since(Instant::now()))
+        {
             thread::sleep(left);
         }
-        let (every, more) = *self.hiccup.lock().unwrap();
-        let hiccup = if every > 0 && count(&self.searches) % every == every - 1 {
-            more
+        let (every, delay) = *self.periodic_delay.lock().unwrap();
+        let extra = if every > 0 && count(&self.searches) % every == every - 1 {
+            delay
         } else {
             0
         };
-        let wait = count(&self.delay) as u64 + hiccup;
+        let wait = count(&self.delay) as u64 + extra;
         if wait > 0 {
             thread::sleep(Duration::from_millis(wait));
         }
     }
 
-    /// Serves Z39.50 on a new address.
     pub fn z3950(self: &Arc<Self>) -> SocketAddr {
         let script = self.clone();
         accept(move |mut socket| {
             script.connections.fetch_add(1, Ordering::SeqCst);
-            script.open.fetch_add(1, Ordering::SeqCst);
+            script.open_connections.fetch_add(1, Ordering::SeqCst);
             let (mut input, mut sets) = (Vec::new(), BTreeMap::new());
             while let Some(unit) = read_unit(&mut socket, &mut input) {
-                if script.dead.load(Ordering::SeqCst) {
+                if script.closes_connections.load(Ordering::SeqCst) {
                     break;
                 }
-                script.take_time();
+                script.apply_delay();
                 let Some(reply) = script.z3950_reply(&unit, &mut sets) else {
                     continue;
                 };
@@ -200,7 +199,7 @@
                     break;
                 }
             }
-            script.open.fetch_sub(1, Ordering::SeqCst);
+            script.open_connections.fetch_sub(1, Ordering::SeqCst);
         })
     }
 
@@ -212,7 +211,7 @@
         let text = |tag| unit.get(tag).and_then(Item::text).unwrap_or_default();
         let number = |tag| unit.get(tag).and_then(Item::integer).unwrap_or(0) as usize;
         let given = |w: &mut Writer, database: &str, titles: &[String]| {
-            self.given.fetch_add(titles.len(), Ordering::SeqCst);
+            self.records_sent.fetch_add(titles.len(), Ordering::SeqCst);
             let record = |t: &String| {
                 Record::new(xml(t))
                     .to_bytes(Syntax::Xml, Schema::Dc, false)
@@ -234,8 +233,8 @@
                 let database = unit.get(tag::DATABASES)?.items()[0].text()?;
                 let node = rpn::read(unit.get(tag::QUERY)?, 64).unwrap();
                 self.searches.fetch_add(1, Ordering::SeqCst);
-                self.note(format!("{database}: {node}"));
-                if self.deaf.load(Ordering::SeqCst) {
+                self.record(format!("{database}: {node}"));
+                if self.ignores_searches.load(Ordering::SeqCst) {
                     return None;
                 }
                 let name = text(tag::SET_NAME);
@@ -246,7 +245,7 @@
                     .contains(&Ability::NamedResultSets);
                 assert!(
                     named || name == "default",
-                    "a host without named sets was given {name}"
+                    "result set {name} sent to a host without named sets"
                 );
                 let titles = self.titles(&database);
                 let along = number(tag::MEDIUM_SET).min(titles.len());
@@ -271,10 +270,10 @@
             }
             tag::PRESENT_REQUEST => {
                 self.presents.fetch_add(1, Ordering::SeqCst);
-                if self.forgets.load(Ordering::SeqCst) {
+                if self.drops_result_sets.load(Ordering::SeqCst) {
                     sets.clear();
                 }
-                if self.holds.load(Ordering::SeqCst) {
+                if self.ignores_presents.load(Ordering::SeqCst) {
                     return None;
                 }
                 let set = sets.get(&text(tag::SET_ID));
@@ -302,28 +301,27 @@
                     }
                 })
             }
-            other => panic!("a data unit {other}"),
+            other => panic!("unexpected data unit {other}"),
         })
     }
 
-    /// Serves SRU on a new address.
     pub fn sru(self: &Arc<Self>) -> SocketAddr {
         let script = self.clone();
         accept(move |socket| {
             script.connections.fetch_add(1, Ordering::SeqCst);
-            script.open.fetch_add(1, Ordering::SeqCst);
+            script.open_connections.fetch_add(1, Ordering::SeqCst);
             let mut reader = BufReader::new(socket.try_clone().unwrap());
             let mut socket = socket;
             let mut line = String::new();
             while reader.read_line(&mut line).unwrap_or(0) > 0 {
                 if line.starts_with("GET /") {
-                    script.take_time();
+                    script.apply_delay();
                 }
                 if let Some(target) = line.strip_prefix("GET /")
                     && let Some(body) = script.sru_reply(target.split(' ').next().unwrap())
                 {
-                    let lengthless = *script.lengthless.lock().unwrap();
-                    if let Some(reset) = lengthless {
+                    let without_length = *script.without_length.lock().unwrap();
+                    if let Some(reset) = without_length {
                         let _ =
                             socket.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{body}").as_bytes());
                         let linger = reset.then_some(Duration::ZERO);
@@ -340,28 +338,28 @@
                 }
                 line.clear();
             }
-            script.open.fetch_sub(1, Ordering::SeqCst);
+            script.open_connections.fetch_sub(1, Ordering::SeqCst);
         })
     }
 
     fn sru_reply(&self, target: &str) -> Option<String> {
         let (database, query) = target.split_once('?').unwrap();
-        let given = parameters(query);
-        let number = |name: &str| given.get(name).and_then(|n| n.parse::<usize>().ok());
-        let spoken = *self.version.lock().unwrap();
-        let asked = given.get("version").map_or("2.0", String::as_str);
-        if asked != spoken {
+        let fields = parameters(query);
+        let number = |name: &str| fields.get(name).and_then(|n| n.parse::<usize>().ok());
+        let version = *self.version.lock().unwrap();
+        let requested = fields.get("version").map_or("2.0", String::as_str);
+        if requested != version {
             return Some(format!(
                 "<r xmlns:d=\"x\"><d:diagnostics><d:diagnostic><d:uri>info:srw/diagnostic/1/5</d:uri>\
-                 <d:details>{spoken}</d:details></d:diagnostic></d:diagnostics></r>"
+                 <d:details>{version}</d:details></d:diagnostic></d:diagnostics></r>"
             ));
         }
         if self.silent.load(Ordering::SeqCst) {
-            self.note(format!("{database}: not answered"));
+            self.record(format!("{database}: not answered"));
             self.searches.fetch_add(1, Ordering::SeqCst);
             return None;
         }
-        if let Some(clause) = given.get("scanClause") {
+        if let Some(clause) = fields.get("scanClause") {
             if self.no_scan.load(Ordering::SeqCst) {
                 return Some(
                     "<scanResponse><diagnostics><diagnostic><uri>info:srw/diagnostic/1/4</uri>\
@@ -392,24 +390,24 @@
             ));
         }
         self.searches.fetch_add(1, Ordering::SeqCst);
-        self.note(format!("{database}: {}", given["query"]));
-        if self.deaf.load(Ordering::SeqCst) {
+        self.record(format!("{database}: {}", fields["query"]));
+        if self.ignores_searches.load(Ordering::SeqCst) {
             return None;
         }
         let mut titles = self.titles(database);
-        let sorted = given.contains_key("sortKeys") || given["query"].contains(" sortBy ");
+        let sorted = fields.contains_key("sortKeys") || fields["query"].contains(" sortBy ");
         if sorted {
             titles.sort();
         }
-        let down = given.get("sortKeys").is_some_and(|k| k.contains(",,0"))
-            || given["query"].contains("descending");
+        let down = fields.get("sortKeys").is_some_and(|k| k.contains(",,0"))
+            || fields["query"].contains("descending");
         if sorted && down {
             titles.reverse();
         }
         let start = number("startRecord").unwrap_or(1) - 1;
         let wanted = number("maximumRecords").unwrap_or(10);
         let kept: Vec<&String> = titles.iter().skip(start).take(wanted).collect();
-        self.given.fetch_add(kept.len(), Ordering::SeqCst);
+        self.records_sent.fetch_add(kept.len(), Ordering::SeqCst);
         let records: String = kept
             .iter()
             .map(|t| {
@@ -421,7 +419,7 @@
             .collect();
         Some(format!(
             "<?xml version=\"1.0\"?><s:searchRetrieveResponse xmlns:s=\"http://www.loc.gov/zing/srw/\">\
-             <s:version>{spoken}</s:version><s:numberOfRecords>{}</s:numberOfRecords>\
+             <s:version>{version}</s:version><s:numberOfRecords>{}</s:numberOfRecords>\
              <s:records>{records}</s:records></s:searchRetrieveResponse>",
             titles.len()
         ))
@@ -434,16 +432,16 @@
     pub sru: SocketAddr,
     pub z3950: SocketAddr,
     pub discovery: Discovery,
-    pub scripts: Vec<Arc<Script>>,
+    pub scripts: Vec<Arc<HostScript>>,
     pub hosts: Vec<SocketAddr>,
 }
 
-/// The settings of three slices, each on so many hosts.
+/// Settings for three slices, each on this many hosts.
 pub fn catalogue_settings(replicas: u32) -> Value {
     sliced_settings(3, replicas)
 }
 
-/// The settings of so many slices, each on so many of as many hosts.
+/// Settings for this many slices, each on `replicas` of as many hosts.
 pub fn sliced_settings(slices: u32, replicas: u32) -> Value {
     let mut settings = settings();
     settings["extra"]["sets"] = json!(slices);
@@ -456,16 +454,16 @@
 }
 
 impl Catalogue {
-    /// Three slices, each on one host, so that a silent host leaves exactly its slice out.
+    /// Three slices on one host each, so that a silent host leaves out exactly its own slice.
     pub fn start(speak: &str) -> Catalogue {
         let scripts = (0..3).map(|_| Arc::default()).collect();
         Self::start_with(speak, scripts, catalogue_settings(1), json!({}))
     }
 
-    /// One host in each cell, with further keys of the file.
+    /// One host per cell, with further keys in the configuration file.
     pub fn start_with(
         speak: &str,
-        scripts: Vec<Arc<Script>>,
+        scripts: Vec<Arc<HostScript>>,
         settings: Value,
         more: Value,
     ) -> Catalogue {
@@ -500,12 +498,12 @@
             scripts,
             hosts,
         };
-        eventually("listening", || {
+        wait_until("listening", || {
             TcpStream::connect(sru).is_ok()
                 && TcpStream::connect(z3950).is_ok()
-                && catalogue.discovery.watches() == 1
+                && catalogue.discovery.open_watches() == 1
         });
-        eventually("serving", || {
+        wait_until("serving", || {
             catalogue
                 .sru("/comics?query=moon")
                 .starts_with("HTTP/1.1 200")
@@ -513,7 +511,7 @@
         catalogue
     }
 
-    /// One SRU request; everything that comes back until the end of the connection.
+    /// Sends one SRU request and reads until the connection ends.
     pub fn sru(&self, target: &str) -> String {
         self.http(&format!(
             "GET {target} HTTP/1.1\r\nHost: localhost\r\nConnection: close\r\n\r\n"
@@ -531,12 +529,12 @@
         assert_eq!(
             answer.matches("HTTP/1.1 ").count(),
             1,
-            "one final answer: {answer}"
+            "not exactly one response: {answer}"
         );
         answer.replace('\r', "")
     }
 
-    /// The response's body, with names of sets made alike.
+    /// The response body, with the result set id replaced by a fixed one.
     pub fn body(&self, target: &str) -> String {
         let body = self.sru(target).split_once("\n\n").unwrap().1.to_owned();
         match between(&body, "<resultSetId>", "</resultSetId>") {
@@ -564,26 +562,28 @@
     Some(rest.split_once(end)?.0.to_owned())
 }
 
-/// A stand-in for a Z39.50 client.
-pub struct Reader {
+pub struct Z3950Client {
     pub socket: TcpStream,
     pub input: Vec<u8>,
 }
 
-impl Reader {
-    pub fn open(address: SocketAddr) -> Reader {
+impl Z3950Client {
+    pub fn open(address: SocketAddr) -> Z3950Client {
         let all: Vec<Ability> = OFFERED
             .iter()
             .copied()
             .filter(|a| !matches!(a, Ability::Level1Segmentation | Ability::Level2Segmentation))
             .collect();
-        let (reader, welcome) = Self::init(address, &all, 1 << 16, |_| {});
-        assert_eq!(welcome.get(tag::RESULT).and_then(Item::boolean), Some(true));
+        let (client, response) = Self::init(address, &all, 1 << 16, |_| {});
         assert_eq!(
-            welcome.get(tag::REFERENCE).map(Item::bytes),
+            response.get(tag::RESULT).and_then(Item::boolean),
+            Some(true)
+        );
+        assert_eq!(
+            response.get(tag::REFERENCE).map(Item::bytes),
             Some(b"ref".to_vec())
         );
-        reader
+        client
     }
 
     pub fn init(
@@ -591,45 +591,45 @@
         abilities: &[Ability],
         size: usize,
         more: impl FnOnce(&mut Writer),
-    ) -> (Reader, Item) {
-        let mut reader = Reader {
+    ) -> (Z3950Client, Item) {
+        let mut client = Z3950Client {
             socket: TcpStream::connect(address).unwrap(),
             input: Vec::new(),
         };
-        reader.socket.set_nodelay(true).unwrap();
-        reader
+        client.socket.set_nodelay(true).unwrap();
+        client
             .socket
             .set_read_timeout(Some(Duration::from_secs(10)))
             .unwrap();
-        let welcome = reader.ask(z3950::unit(tag::INIT_REQUEST, Some(b"ref"), |w| {
+        let response = client.request(z3950::unit(tag::INIT_REQUEST, Some(b"ref"), |w| {
             init::write_negotiation(w, true, Abilities::of(abilities), size, size);
             more(w);
         }));
-        (reader, welcome)
+        (client, response)
     }
 
-    pub fn ask(&mut self, bytes: Vec<u8>) -> Item {
-        self.say(&bytes);
-        self.hear().expect("an answer")
+    pub fn request(&mut self, bytes: Vec<u8>) -> Item {
+        self.send(&bytes);
+        self.receive().expect("an answer")
     }
 
-    pub fn say(&mut self, bytes: &[u8]) {
-        // In two pieces, as a network may have it.
+    pub fn send(&mut self, bytes: &[u8]) {
+        // Sent in two pieces, as a network may deliver them.
         let (a, b) = bytes.split_at(bytes.len() / 2);
         self.socket.write_all(a).unwrap();
         self.socket.write_all(b).unwrap();
     }
 
-    pub fn hear(&mut self) -> Option<Item> {
+    pub fn receive(&mut self) -> Option<Item> {
         read_unit(&mut self.socket, &mut self.input)
     }
 
     pub fn search(&mut self, database: &str, query: &str, small: i64) -> String {
-        say(&self.ask(search_unit(None, "default", database, query, small)))
+        describe(&self.request(search_unit(None, "default", database, query, small)))
     }
 
     pub fn present(&mut self, start: i64, count: i64) -> String {
-        say(&self.ask(present_unit(None, "default", start, count)))
+        describe(&self.request(present_unit(None, "default", start, count)))
     }
 }
 
@@ -662,7 +662,7 @@
     })
 }
 
-/// A diagnostic's condition, wherever it stands.
+/// The condition of the first diagnostic in a unit.
 pub fn condition(unit: &Item) -> Option<i64> {
     let is_integer = unit.class == ber::Class::Universal && unit.tag == ber::universal::INTEGER;
     if is_integer {
@@ -672,8 +672,8 @@
     }
 }
 
-/// What a response says, in words.
-pub fn say(unit: &Item) -> String {
+/// Summary of a response as text.
+pub fn describe(unit: &Item) -> String {
     let number = |tag| unit.get(tag).and_then(Item::integer);
     let mut words = vec![format!("unit {}", unit.tag)];
     let named = [
--- a/bitternsill/tests/conform.rs
+++ b/bitternsill/tests/conform.rs
@@ -1,5 +1,5 @@
-//! The conformance suite against the program, over index hosts of the other protocol, and against
-//! servers that fail it.
+//! The conformance suite against the program, over index hosts of either protocol, and against
+//! servers that violate the standards.
 
 mod common;
 
@@ -43,21 +43,24 @@
         .collect()
 }
 
-/// Three slices with four titles each, so that pages cross from one to the next.
-fn shelves() -> Vec<Arc<Script>> {
+/// Three slices with four titles each, so that pages span slices.
+fn hosts_with_titles() -> Vec<Arc<HostScript>> {
     let titles = [
         ["ant", "dog", "gnu", "jay"],
         ["bee", "elk", "hen", "kid"],
         ["cat", "fox", "ibex", "lynx"],
     ];
-    (0..3).map(|n| Script::with(&[(n, &titles[n])])).collect()
+    (0..3)
+        .map(|n| HostScript::with(&[(n, &titles[n])]))
+        .collect()
 }
 
-/// Nothing is skipped but what these hosts do not do: every case says something.
+/// No case may be skipped or fail.
 #[test]
-fn the_program_conforms_over_hosts_of_either_protocol() {
+fn program_conforms_over_hosts_of_either_protocol() {
     for speak in ["sru", "z3950"] {
-        let catalogue = Catalogue::start_with(speak, shelves(), catalogue_settings(1), json!({}));
+        let catalogue =
+            Catalogue::start_with(speak, hosts_with_titles(), catalogue_settings(1), json!({}));
         for (protocol, address, least) in
             [("sru", catalogue.sru, 65), ("z3950", catalogue.z3950, 63)]
         {
@@ -77,10 +80,10 @@
     }
 }
 
-/// A server that knows no faults and pages as it likes: the suite must see it.
+/// The suite must detect a server that reports no faults and pages arbitrarily.
 #[test]
-fn a_server_that_breaks_the_clauses_fails_the_suite() {
-    let host = Script::with(&[(0, &["gnu", "ant", "dog"])]);
+fn suite_fails_nonconforming_servers() {
+    let host = HostScript::with(&[(0, &["gnu", "ant", "dog"])]);
     *host.version.lock().unwrap() = "1.1";
     let (code, report) = conform("sru", host.sru(), "comics-0", 150);
     assert_eq!(code, Some(1));
--- a/bitternsill/tests/harness.rs
+++ b/bitternsill/tests/harness.rs
@@ -1,5 +1,4 @@
-//! What the other tests rest on: an address that is said to be free takes no connection, whatever
-//! else is started meanwhile.
+//! The test harness: a free address accepts no connection, whatever processes start meanwhile.
 
 mod common;
 
@@ -10,31 +9,31 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// Found in CI: a program that another test had just started held the socket that had found the
-/// port, and it listened; a connection there came up and was reset.
+/// Guards against a port search with a listening socket. A process that another test had just
+/// started held a copy of that socket; a connection to the address was accepted and then reset.
 #[test]
-fn a_free_address_takes_no_connection_while_programs_are_started() {
-    let over = Arc::new(AtomicBool::new(false));
+fn free_address_accepts_no_connection() {
+    let stop = Arc::new(AtomicBool::new(false));
     let starters: Vec<_> = (0..4)
         .map(|_| {
-            let over = over.clone();
+            let stop = stop.clone();
             thread::spawn(move || {
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     assert!(Command::new("true").status().unwrap().success());
                 }
             })
         })
         .collect();
-    for tried in 0..4_000 {
+    for attempt in 0..4_000 {
         let address = free_address();
         assert!(
             TcpStream::connect(address).is_err(),
-            "at try {tried} somebody listened at {address}"
+            "attempt {attempt}: {address} has a listener"
         );
-        // Whoever it was found for can listen there at once.
+        // The caller can listen there at once.
         drop(TcpListener::bind(address).unwrap());
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     starters
         .into_iter()
         .for_each(|starter| starter.join().unwrap());
--- a/bitternsill/tests/learned.rs
+++ b/bitternsill/tests/learned.rs
@@ -1,5 +1,5 @@
-//! Stories on what is learned and kept: restarts, kills at each step and at any moment, spoilt
-//! folders, slow and full disks, wrong memories.
+//! Persistence of learned statistics: restarts, kills during and between writes, damaged folders,
+//! slow and full disks, and outdated statistics.
 
 mod common;
 
@@ -18,11 +18,11 @@
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// A folder that goes with its test.
-struct Temporary(PathBuf);
+/// A folder that is removed on drop.
+struct TempFolder(PathBuf);
 
-impl Temporary {
-    fn new() -> Temporary {
+impl TempFolder {
+    fn new() -> TempFolder {
         let name = format!(
             "learned-{}-{}",
             std::process::id(),
@@ -30,11 +30,11 @@
         );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path).unwrap();
-        Temporary(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Temporary {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -59,8 +59,8 @@
     }
 }
 
-/// Opens a folder. The lock of a process that was killed may take a moment to go, and other
-/// stories' children hold every descriptor of this process for a moment when they start.
+/// Opens a folder. The lock of a killed process may take a moment to be released, and processes
+/// that other tests start briefly inherit every descriptor of this one.
 fn open(folder: &Path) -> Folder {
     let start = Instant::now();
     loop {
@@ -78,9 +78,10 @@
     open(folder).load().snapshot.map(|(snapshot, ..)| snapshot)
 }
 
-/// Not a story: the process that is killed in the middle of a write, started by the one below.
+/// Not a test of its own: the process that `killed_write_leaves_old_or_new_snapshot` starts and
+/// that dies in the middle of a write.
 #[test]
-fn child_that_writes_and_dies() {
+fn child_process_aborts_during_write() {
     let Ok(folder) = std::env::var("LEARNED_CHILD") else {
         return;
     };
@@ -94,7 +95,7 @@
     folder
         .write(&file::encode(&snapshot(next)).unwrap(), |_| {
             if seen == die_at {
-                // As kill -9: nothing is flushed, unwound or unlocked by the process.
+                // Like kill -9: the process flushes, unwinds and unlocks nothing.
                 std::process::abort();
             }
             seen += 1;
@@ -102,15 +103,14 @@
         .unwrap();
 }
 
-/// Hard case 1. Killed before each system call of a write, and in the middle of one, over folders
-/// with 0 to 4 generations: what is read is the last whole picture, or the new one, and never
-/// anything else.
+/// A process is killed before each system call of a write and in the middle of one, with 0 to 4
+/// generations in the folder. The next load yields the last complete snapshot or the new one.
 #[test]
 fn killed_write_leaves_old_or_new_snapshot() {
     for written in 0..5u64 {
         let mut die_at = 0;
         loop {
-            let folder = Temporary::new();
+            let folder = TempFolder::new();
             for number in 1..=written {
                 let open = open(&folder.0);
                 open.write(&file::encode(&snapshot(number)).unwrap(), |_| {})
@@ -119,7 +119,7 @@
             let status = Command::new(std::env::current_exe().unwrap())
                 .args([
                     "--exact",
-                    "child_that_writes_and_dies",
+                    "child_process_aborts_during_write",
                     "--test-threads",
                     "1",
                 ])
@@ -134,7 +134,7 @@
                 found == written || found == written + 1,
                 "{written} written, killed at {die_at}: {found}"
             );
-            // The next process writes on, over whatever was left beside.
+            // The next process can write despite any temporary file left behind.
             let open = open(&folder.0);
             open.write(&file::encode(&snapshot(99)).unwrap(), |_| {})
                 .unwrap();
@@ -149,17 +149,16 @@
     }
 }
 
-/// Three cells in a ring; the hosts answer after so many milliseconds, and count what comes to
-/// them.
-fn hosts(delays: [u64; 3]) -> (Vec<FrameHost>, Vec<Arc<AtomicUsize>>) {
+/// Three cells in a ring; each host counts its parts and answers after its delay in milliseconds.
+fn slow_hosts(delays: [u64; 3]) -> (Vec<FrameHost>, Vec<Arc<AtomicUsize>>) {
     let counts: Vec<Arc<AtomicUsize>> = (0..3).map(|_| Arc::default()).collect();
     let host = |(delay, count): (u64, &Arc<AtomicUsize>)| {
         let count = count.clone();
         FrameHost::start(move |_| {
             count.fetch_add(1, Ordering::SeqCst);
-            // How slow a host is, not a way to wait for something.
+            // Simulates a slow host.
             std::thread::sleep(Duration::from_millis(delay));
-            Say::Good(1, "x".to_owned())
+            PartReply::Good(1, "x".to_owned())
         })
     };
     (delays.into_iter().zip(&counts).map(host).collect(), counts)
@@ -188,15 +187,15 @@
     )
 }
 
-/// Asks for slice 0, which the first two hosts hold, one query after the other.
-fn ask(platform: &Platform, first: usize, count: usize) {
+/// Sends consecutive queries for slice 0, which the first two hosts hold.
+fn send_queries(platform: &Platform, first: usize, count: usize) {
     for n in first..first + count {
-        let answer = platform.ask(&format!("{n:016x}"), "page", &[0]);
+        let answer = platform.send_query(&format!("{n:016x}"), "page", &[0]);
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     }
 }
 
-fn end(mut platform: Platform) -> Duration {
+fn terminate(mut platform: Platform) -> Duration {
     let start = Instant::now();
     platform.program.signal("TERM");
     let status = platform.program.child.wait().unwrap();
@@ -207,7 +206,7 @@
 fn show(folder: &Path) -> Value {
     let names: Vec<u64> = open(folder).generations().unwrap();
     let file = folder.join(atomic_write::file_name(
-        *names.iter().max().expect("a generation"),
+        *names.iter().max().expect("no generation"),
     ));
     let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
         .args(["learned", "show", "--format", "json"])
@@ -217,19 +216,19 @@
     serde_json::from_slice(&output.stdout).expect("JSON")
 }
 
-/// A slow host is known after a restart: nothing is sent to it first.
+/// After a restart a slow host is known, and the first queries avoid it.
 #[test]
 fn restart_remembers_slow_hosts() {
-    let folder = Temporary::new();
-    let (slow, _) = hosts([120, 1, 1]);
+    let folder = TempFolder::new();
+    let (slow, _) = slow_hosts([120, 1, 1]);
     let platform = start("true", slow, &folder.0);
-    // Over two seconds, as the module lets a host that was slow a moment ago rest before it is
-    // tried again.
+    // Over two seconds, because a host that was slow a moment ago is left alone for a while before
+    // it is tried again.
     for n in 0..130 {
-        ask(&platform, n, 1);
+        send_queries(&platform, n, 1);
         std::thread::sleep(Duration::from_millis(15));
     }
-    end(platform);
+    terminate(platform);
     let kept = show(&folder.0);
     let slowness = |uid: &str| {
         let all = kept["hosts"].as_array().unwrap();
@@ -242,21 +241,21 @@
         "{kept:#}"
     );
     assert_eq!(kept["classes"][1]["class"], "page");
-    let (slow, counts) = hosts([120, 1, 1]);
+    let (slow, counts) = slow_hosts([120, 1, 1]);
     let platform = start("true", slow, &folder.0);
-    ask(&platform, 100, 15);
+    send_queries(&platform, 100, 15);
     let first = counts[0].load(Ordering::SeqCst);
     assert_eq!(first, 0, "parts sent to the slow host");
-    end(platform);
-    // Without the folder's memory some of the first queries find it out.
-    let forgotten = Temporary::new();
-    let (slow, counts) = hosts([120, 1, 1]);
-    let platform = start("true", slow, &forgotten.0);
-    ask(&platform, 200, 15);
+    terminate(platform);
+    // Without stored statistics, some of the first queries go to the slow host.
+    let empty = TempFolder::new();
+    let (slow, counts) = slow_hosts([120, 1, 1]);
+    let platform = start("true", slow, &empty.0);
+    send_queries(&platform, 200, 15);
     assert!(counts[0].load(Ordering::SeqCst) > 0);
 }
 
-fn memory(slowness: f32, updated_at: u64) -> HostStats {
+fn host_stats(slowness: f32, updated_at: u64) -> HostStats {
     HostStats {
         started: 0,
         slowness: vec![slowness; 3],
@@ -268,8 +267,8 @@
     }
 }
 
-/// A picture of the stories' fleet.
-fn remembered(taken: u64, slowness: [f32; 3]) -> Snapshot {
+/// A snapshot of the test fleet.
+fn stored_snapshot(taken: u64, slowness: [f32; 3]) -> Snapshot {
     let classes = ["search", "page", "shelf"];
     let class = |name: &&str| ClassStats {
         name: (*name).to_owned(),
@@ -288,7 +287,7 @@
         .map(|n| {
             (
                 Arc::from(format!("s-{n}").as_str()),
-                memory(slowness[n], taken),
+                host_stats(slowness[n], taken),
             )
         })
         .collect();
@@ -300,78 +299,77 @@
     }
 }
 
-/// Hard case 3. A memory that says the contrary of what answers say, fresh or three days old:
-/// within twenty queries the answers have won.
+/// Stored statistics contradict the hosts' actual speed, either fresh or three days old. After
+/// twenty queries the answers must outweigh them.
 #[test]
 fn answers_override_outdated_statistics() {
     for age in [0, 3 * 86_400_000] {
-        let folder = Temporary::new();
-        let wrong = remembered(now_ms() - age, [1.0, 8.0, 1.0]);
+        let folder = TempFolder::new();
+        let outdated = stored_snapshot(now_ms() - age, [1.0, 8.0, 1.0]);
         let open = open(&folder.0);
-        open.write(&file::encode(&wrong).unwrap(), |_| {}).unwrap();
+        open.write(&file::encode(&outdated).unwrap(), |_| {})
+            .unwrap();
         drop(open);
-        let (slow, counts) = hosts([60, 1, 1]);
+        let (slow, counts) = slow_hosts([60, 1, 1]);
         let platform = start("true", slow, &folder.0);
-        ask(&platform, 0, 20);
-        let before = counts[1].load(Ordering::SeqCst);
-        let wasted = counts[0].load(Ordering::SeqCst);
-        ask(&platform, 100, 20);
-        let right = counts[1].load(Ordering::SeqCst) - before;
-        let wrong = counts[0].load(Ordering::SeqCst) - wasted;
+        send_queries(&platform, 0, 20);
+        let fast_before = counts[1].load(Ordering::SeqCst);
+        let slow_before = counts[0].load(Ordering::SeqCst);
+        send_queries(&platform, 100, 20);
+        let fast_parts = counts[1].load(Ordering::SeqCst) - fast_before;
+        let slow_parts = counts[0].load(Ordering::SeqCst) - slow_before;
         assert!(
-            right >= 18 && wrong <= 4,
-            "{age} ms old: {right} to the quick host, {wrong} to the slow one"
+            fast_parts >= 18 && slow_parts <= 4,
+            "statistics {age} ms old: {fast_parts} parts to the fast host, {slow_parts} to the slow one"
         );
     }
 }
 
-/// Hard case 1. Killed at any moment under load: what is read is sound, and never older than two
-/// periods.
+/// Killed at any moment under load, the program leaves a sound snapshot that is at most two periods
+/// old.
 #[test]
 fn killed_program_leaves_recent_snapshot() {
-    let folder = Temporary::new();
+    let folder = TempFolder::new();
     let mut seed = 7u64;
-    // More by hand: LEARNED_ROUNDS=300 cargo test -p bitternsill --test learned
-    // killed_at_any_moment
+    // More rounds: LEARNED_ROUNDS=300 cargo test -p bitternsill --test learned killed_program
     let rounds = std::env::var("LEARNED_ROUNDS")
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(12);
     for round in 0..rounds {
-        let (quick, _) = hosts([1, 1, 1]);
+        let (quick, _) = slow_hosts([1, 1, 1]);
         let mut platform = start("true", quick, &folder.0);
-        ask(&platform, 100 * round, 1);
-        // Long enough for a first picture, and then any time within two periods.
+        send_queries(&platform, 100 * round, 1);
+        // Long enough for a first snapshot, then any time within two periods.
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         let until = Instant::now() + Duration::from_millis(230 + (seed >> 33) % 200);
         let mut n = 100 * round + 1;
         while Instant::now() < until {
-            ask(&platform, n, 1);
+            send_queries(&platform, n, 1);
             n += 1;
         }
         platform.program.child.kill().unwrap();
         let killed = now_ms();
         platform.program.child.wait().unwrap();
-        let kept = newest(&folder.0).expect("a sound picture");
+        let kept = newest(&folder.0).expect("no sound snapshot");
         let old = killed.saturating_sub(kept.taken_at);
-        // Two periods of 100 ms, and what a busy machine takes over one write.
+        // Two periods of 100 ms, and an allowance for one write on a busy machine.
         assert!(old <= 200 + 150, "round {round}: {old} ms old");
     }
 }
 
-/// Hard case 2. A folder that is missing, is none, is in use or cannot be written: queries are
-/// served all the same.
+/// Queries are served when the folder is missing, not a folder, locked or not writable.
 #[test]
 fn serves_without_usable_folder() {
-    let folder = Temporary::new();
+    let folder = TempFolder::new();
     let file = folder.0.join("file");
     std::fs::write(&file, "x").unwrap();
     let missing = folder.0.join("missing");
     assert!(matches!(Folder::open(&missing), Err(FolderError::Missing)));
     assert!(matches!(Folder::open(&file), Err(FolderError::NotAFolder)));
-    // Nothing can be created there by anybody.
+    // No user can create a file here.
     assert!(matches!(
         Folder::open(Path::new("/proc/self")),
         Err(FolderError::Lock(_))
@@ -379,26 +377,26 @@
     let held = open(&folder.0);
     assert!(matches!(Folder::open(&folder.0), Err(FolderError::Locked)));
     for path in [&missing, &file, &folder.0] {
-        let (quick, _) = hosts([1, 1, 1]);
+        let (quick, _) = slow_hosts([1, 1, 1]);
         let platform = start("true", quick, path);
-        ask(&platform, 0, 3);
-        end(platform);
+        send_queries(&platform, 0, 3);
+        terminate(platform);
     }
     drop(held);
     assert_eq!(open(&folder.0).generations().unwrap(), [0u64; 0]);
 }
 
-/// Hard case 2. Links, zeros, truncations and other fleets' files among the generations: each is
-/// passed over with its reason, and the newest sound one is taken. What a link points to is never
+/// Symbolic links, empty and truncated files, and a sparse file among the generations are skipped
+/// with a reason, and the newest sound one is loaded. The target of a symbolic link is never
 /// written.
 #[test]
 fn skips_unreadable_generations() {
-    let folder = Temporary::new();
+    let folder = TempFolder::new();
     let at = |generation: u64| folder.0.join(atomic_write::file_name(generation));
     let sound = file::encode(&snapshot(7)).unwrap();
     std::fs::write(at(1), &sound).unwrap();
     std::fs::write(at(2), &sound[..sound.len() - 3]).unwrap();
-    // As large as a disk may give, without a byte of it on the disk.
+    // A sparse file that uses no disk space.
     std::fs::File::create(at(3))
         .unwrap()
         .set_len(100 << 20)
@@ -427,19 +425,19 @@
     assert_eq!(std::fs::read_to_string(&victim).unwrap(), "precious");
 }
 
-/// Hard case 2. A disk on which nothing more fits, and one that never answers: queries are served
-/// as before, and the program ends in its time.
+/// With a full disk, or one that never answers, queries are served as usual and the shutdown is in
+/// time.
 #[test]
 fn full_or_stuck_disk_delays_no_query_or_shutdown() {
-    // A file may have no byte more than none: each write fails as on a full disk.
-    let full = Temporary::new();
-    let (quick, _) = hosts([1, 1, 1]);
+    // The file size limit is zero, so each write fails as on a full disk.
+    let full = TempFolder::new();
+    let (quick, _) = slow_hosts([1, 1, 1]);
     let platform = start("trap '' XFSZ; ulimit -f 0", quick, &full.0);
-    ask(&platform, 0, 50);
-    end(platform);
+    send_queries(&platform, 0, 50);
+    terminate(platform);
     assert_eq!(newest(&full.0), None);
-    // A pipe that nobody reads from: whoever opens it to write waits for ever.
-    let stuck = Temporary::new();
+    // A pipe without a reader blocks every open for writing.
+    let stuck = TempFolder::new();
     assert!(
         Command::new("mkfifo")
             .arg(stuck.0.join(atomic_write::TEMPORARY))
@@ -447,36 +445,36 @@
             .unwrap()
             .success()
     );
-    let (quick, _) = hosts([1, 1, 1]);
+    let (quick, _) = slow_hosts([1, 1, 1]);
     let platform = start("true", quick, &stuck.0);
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_millis(600) {
-        let asked = Instant::now();
-        ask(&platform, 1000 + begin.elapsed().as_micros() as usize, 1);
+        let query_start = Instant::now();
+        send_queries(&platform, 1000 + begin.elapsed().as_micros() as usize, 1);
         assert!(
-            asked.elapsed() < Duration::from_millis(400),
-            "a query waited for the disk"
+            query_start.elapsed() < Duration::from_millis(400),
+            "query delayed by the disk"
         );
     }
     assert!(
-        end(platform) < Duration::from_millis(4_500),
-        "the end waited for the disk"
+        terminate(platform) < Duration::from_millis(4_500),
+        "shutdown delayed by the disk"
     );
 }
 
-/// Starts a gatherer that remembers its first host as slow, and counts what of its first queries
-/// goes there.
-fn queries_to_the_remembered_host(count: usize, was_replaced: bool, delays: [u64; 3]) -> usize {
-    let folder = Temporary::new();
+/// Starts a gatherer whose statistics mark the first host as slow; returns how many of the first
+/// queries use that host.
+fn queries_to_slow_host(count: usize, was_replaced: bool, delays: [u64; 3]) -> usize {
+    let folder = TempFolder::new();
     let open = open(&folder.0);
     let taken = now_ms();
     open.write(
-        &file::encode(&remembered(taken, [8.0, 1.0, 1.0])).unwrap(),
+        &file::encode(&stored_snapshot(taken, [8.0, 1.0, 1.0])).unwrap(),
         |_| {},
     )
     .unwrap();
     drop(open);
-    let (hosts, counts) = hosts(delays);
+    let (hosts, counts) = slow_hosts(delays);
     let file = folder.0.with_extension("json");
     std::fs::write(&file, json!({"learning": {"folder": folder.0}}).to_string()).unwrap();
     let mut targets: Vec<Value> = hosts
@@ -485,7 +483,7 @@
         .map(|(i, h)| target(i, h.address, "active"))
         .collect();
     if was_replaced {
-        // The first host has started since.
+        // The first host has restarted since.
         targets[0]["boot_ms"] = json!(taken - 60_000);
         targets[2]["uid"] = json!("s-new");
     }
@@ -498,36 +496,36 @@
         256,
         &more,
     );
-    ask(&platform, 0, count);
+    send_queries(&platform, 0, count);
     counts[0].load(Ordering::SeqCst)
 }
 
-/// Hard case 4. A deploy that replaces the gatherer and the hosts at once: new hosts are not held
-/// to be what the old ones were, by their names or by their starts.
+/// A deployment replaces the gatherer and the hosts together. Statistics of the old hosts must not
+/// apply to the new ones, whether these have a new name or only a new start time.
 #[test]
 fn replaced_hosts_start_without_statistics() {
     let equal = [1, 1, 1];
     assert_eq!(
-        queries_to_the_remembered_host(5, false, equal),
+        queries_to_slow_host(5, false, equal),
         0,
-        "a host that is the same is spared"
+        "slow host used despite its statistics"
     );
     assert!(
-        queries_to_the_remembered_host(5, true, equal) > 0,
-        "one that began anew is tried at once"
+        queries_to_slow_host(5, true, equal) > 0,
+        "restarted host not used"
     );
     let other_is_slow = [1, 30, 1];
-    let used = queries_to_the_remembered_host(20, true, other_is_slow);
+    let used = queries_to_slow_host(20, true, other_is_slow);
     assert!(
         used > 10,
-        "and used like any other: {used} of 20 queries where it is the quicker one"
+        "faster restarted host got only {used} of 20 queries"
     );
 }
 
-/// The commands, on sound files and on others.
+/// The `learned` subcommands on sound and damaged files.
 #[test]
 fn commands_show_verify_convert_age_and_compare_files() {
-    let folder = Temporary::new();
+    let folder = TempFolder::new();
     let at = |name: &str| folder.0.join(name);
     let run = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_bitternsill"))
@@ -544,7 +542,7 @@
     };
     std::fs::write(
         at("new"),
-        file::encode(&remembered(now_ms(), [8.0, 1.0, 1.0])).unwrap(),
+        file::encode(&stored_snapshot(now_ms(), [8.0, 1.0, 1.0])).unwrap(),
     )
     .unwrap();
     std::fs::write(at("spoilt"), &std::fs::read(at("new")).unwrap()[..90]).unwrap();
@@ -568,7 +566,7 @@
     let (code, text) = run(&["convert", "new", "old"]);
     assert!(
         code == Some(1) && text.contains("old"),
-        "what is there is not written over: {text}"
+        "existing file overwritten: {text}"
     );
     let (code, text) = run(&["diff", "new", "old"]);
     assert!(
