--- a/simulation/examples/scenarios.rs
+++ b/simulation/examples/scenarios.rs
@@ -1,9 +1,9 @@
-//! Generates scenarios for a deployment's test bench, and sums up the outcomes of those that ran.
+//! Generates scenarios for a deployment's test bench, and summarizes the outcomes of runs.
 //!
 //! `scenarios draw LISTING FOLDER SEED COUNT [control|series|long]` writes COUNT scenarios; LISTING
-//! is a file with the bench's kinds of faults. `control` has faults of the control state only,
-//! `series` adds overlapping series, `long` makes long scenarios with hundreds of changes and a
-//! leader that is hit over and over. `scenarios table ENTRY...` prints the table of violated rules
+//! is a file with the bench's kinds. `control` generates only kinds that concern the control state,
+//! `series` adds overlapping series, `long` generates long scenarios with hundreds of changes and
+//! repeated faults of the leader. `scenarios table ENTRY...` prints the table of violated rules
 //! by kind from the journal entries of runs.
 
 use serde_json::Value;
@@ -15,7 +15,8 @@
 const USAGE: &str = "usage: scenarios draw LISTING FOLDER SEED COUNT [control|series|long] \
                      | scenarios table ENTRY...";
 
-/// Keeps the seeds of the scenarios of different runs apart.
+/// The distance between the scenario seeds of consecutive values of SEED, so that they do not
+/// overlap.
 const SEED_STRIDE: u64 = 1_000_003;
 
 fn main() -> Result<(), Box<dyn Error>> {
--- a/simulation/src/history.rs
+++ b/simulation/src/history.rs
@@ -1,27 +1,27 @@
-//! Checks what clients read from the replicas of a store, where one writer per key writes growing
-//! values: no committed value is lost, reads of a session are monotonic, and in the end all
-//! replicas agree.
+//! Consistency check of a replicated store in which each key has one writer and its values only
+//! increase: no value that was read is lost, reads within a session are monotonic, and all replicas
+//! have the same values at the end.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A client's session with one process, from its connection to its end.
+/// Identifies one connection of a client to a process.
 pub type SessionId = u64;
 
 /// A violation of consistency.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// A session read a value after a higher one of the same key.
+    /// A session read a lower value of a key than it had read before.
     Regressed {
         /// The process that was read from.
         process: usize,
         /// The key.
         key: String,
-        /// The first value, and the lower one that was read after it.
+        /// The earlier value, and the lower value that was read afterwards.
         values: (u64, u64),
     },
     /// A value was read that was never written.
-    Invented {
+    Unwritten {
         /// The process that was read from.
         process: usize,
         /// The key.
@@ -29,16 +29,16 @@
         /// The value.
         value: u64,
     },
-    /// In the end a process does not have a value that was read before.
+    /// The final value of a process is lower than one that was read before.
     Lost {
         /// The process.
         process: usize,
         /// The key.
         key: String,
-        /// The highest value that was read, and the final one of this process.
+        /// The highest value that was read, and the final value of the process.
         values: (u64, Option<u64>),
     },
-    /// In the end two processes have different values.
+    /// Two processes have different final values.
     Diverged {
         /// The key.
         key: String,
@@ -55,18 +55,18 @@
             } => {
                 write!(
                     f,
-                    "process {process} showed {key} as {} and then as {}",
+                    "process {process} returned {key} = {} and later {}",
                     values.0, values.1
                 )
             }
-            Violation::Invented {
+            Violation::Unwritten {
                 process,
                 key,
                 value,
             } => {
                 write!(
                     f,
-                    "process {process} showed {key} as {value}, which nobody wrote"
+                    "process {process} returned {key} = {value}, which was never written"
                 )
             }
             Violation::Lost {
@@ -76,38 +76,38 @@
             } => {
                 write!(
                     f,
-                    "{key} was shown as {}, and process {process} ends with {:?}",
+                    "{key} was read as {}, but the final value of process {process} is {:?}",
                     values.0, values.1
                 )
             }
             Violation::Diverged { key } => {
-                write!(f, "processes end with different values of {key}")
+                write!(f, "processes have different final values of {key}")
             }
         }
     }
 }
 
-/// All writes and reads.
+/// The writes and reads of one test.
 #[derive(Debug, Default)]
 pub struct History {
     written: BTreeMap<String, u64>,
-    /// The last value of each key in each session with a process.
+    /// The last value of each key that each session read from a process.
     sessions: BTreeMap<(usize, SessionId, String), u64>,
     highest_read: BTreeMap<String, u64>,
     violations: Vec<Violation>,
 }
 
 impl History {
-    /// A writer is about to write a value. Values of a key only grow.
+    /// Records that a writer is about to write a value, higher than its earlier values of the key.
     pub fn record_write(&mut self, key: &str, value: u64) {
         let written = self.written.entry(key.to_owned()).or_insert(0);
         *written = (*written).max(value);
     }
 
-    /// A session read a value from a process.
+    /// Records a value that a session read from a process.
     pub fn record_read(&mut self, process: usize, session: SessionId, key: &str, value: u64) {
         if self.written.get(key).is_none_or(|written| value > *written) {
-            self.violations.push(Violation::Invented {
+            self.violations.push(Violation::Unwritten {
                 process,
                 key: key.to_owned(),
                 value,
@@ -128,12 +128,12 @@
         *highest_read = (*highest_read).max(value);
     }
 
-    /// The highest value of each key that was read.
+    /// The highest value of each key that any session has read.
     pub fn highest_read(&self) -> &BTreeMap<String, u64> {
         &self.highest_read
     }
 
-    /// All violations, given the final values of each process.
+    /// Returns all violations, given the final values of each process.
     pub fn check(mut self, replicas: &BTreeMap<usize, BTreeMap<String, u64>>) -> Vec<Violation> {
         for (key, highest_read) in &self.highest_read {
             for (process, values) in replicas {
--- a/simulation/src/history/tests.rs
+++ b/simulation/src/history/tests.rs
@@ -5,7 +5,7 @@
 fn replicas(values: [u64; 2]) -> BTreeMap<usize, BTreeMap<String, u64>> {
     (0..2)
         .zip(values)
-        .map(|(at, value)| (at, BTreeMap::from([("k".to_owned(), value)])))
+        .map(|(process, value)| (process, BTreeMap::from([("k".to_owned(), value)])))
         .collect()
 }
 
@@ -20,9 +20,9 @@
 
 #[test]
 fn detects_each_kind_of_violation() {
-    // Another process, or another session, may be behind.
-    let fine = [(0, 1, 4), (1, 2, 3), (0, 3, 3), (0, 3, 9)];
-    assert_eq!(history_of(&fine).check(&replicas([9, 9])), []);
+    // Only reads of one session from one process have to be monotonic.
+    let consistent = [(0, 1, 4), (1, 2, 3), (0, 3, 3), (0, 3, 9)];
+    assert_eq!(history_of(&consistent).check(&replicas([9, 9])), []);
     let key = || "k".to_owned();
     assert_eq!(
         history_of(&[(0, 1, 4), (0, 1, 3)]).check(&replicas([9, 9])),
@@ -34,7 +34,7 @@
     );
     assert_eq!(
         history_of(&[(0, 1, 10)]).check(&replicas([9, 9])),
-        [Violation::Invented {
+        [Violation::Unwritten {
             process: 0,
             key: key(),
             value: 10
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,10 +1,10 @@
-//! Fault simulation for tests; linked into no program that serves.
+//! Fault simulation for tests; not part of any production binary.
 //!
 //! - [`link`]: a relay between two processes that can stall, delay or reset each direction
 //! - [`timeline`]: random sequences of faults for a group of processes
-//! - [`scenarios`]: random scenarios for the deployment's test bench, and a table of outcomes
-//! - [`history`]: checks what clients read from replicas for consistency
-//! - [`orders`]: all permutations of a few items
+//! - [`scenarios`]: random scenarios for the deployment's test bench, and a table of their outcomes
+//! - [`history`]: consistency check of the values that clients read from replicas
+//! - [`orders`]: all permutations of a list
 
 #![forbid(unsafe_code)]
 
--- a/simulation/src/link.rs
+++ b/simulation/src/link.rs
@@ -1,5 +1,5 @@
-//! A relay on loopback between two processes. A test can stall or delay each direction by itself,
-//! and reset all connections.
+//! A TCP relay on loopback between two processes. A test can stall or delay each direction
+//! separately, and reset all connections.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,27 +7,27 @@
 use std::thread;
 use std::time::Duration;
 
-/// What happens to bytes in one direction.
+/// How a link treats the bytes of one direction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// They are forwarded.
+    /// Bytes are forwarded at once.
     #[default]
     Open,
-    /// They are held back, as in a network partition: the connection stays open. They are forwarded
+    /// Bytes are held back as in a network partition, with the connection still open, and forwarded
     /// once the direction is open again.
     Stalled,
-    /// They are forwarded after this delay.
+    /// Bytes are forwarded after this delay.
     Delayed(Duration),
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// From the client to the target, and back.
+    /// The flow from the client to the target, and the flow back.
     flows: [Flow; 2],
-    /// How often all connections have been reset. A connection of an earlier count has ended.
+    /// The number of resets. A connection that was accepted at a lower number has been reset.
     resets: u64,
     sockets: Vec<TcpStream>,
-    ended: bool,
+    is_closed: bool,
 }
 
 impl State {
@@ -48,17 +48,17 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn change(&self, change: impl FnOnce(&mut State)) {
-        change(&mut self.state());
+    fn update(&self, update: impl FnOnce(&mut State)) {
+        update(&mut self.state());
         self.changed.notify_all();
     }
 
-    /// Waits until bytes of a direction may be forwarded. False if the connection has been reset
-    /// meanwhile.
-    fn wait(&self, direction: usize, resets: u64) -> bool {
+    /// Waits until bytes of a direction may be forwarded. Returns false if the connection was reset
+    /// in the meantime.
+    fn wait_to_forward(&self, direction: usize, resets: u64) -> bool {
         let mut state = self.state();
         loop {
-            if state.ended || state.resets != resets {
+            if state.is_closed || state.resets != resets {
                 return false;
             }
             let Flow::Delayed(delay) = state.flows[direction] else {
@@ -87,7 +87,7 @@
 }
 
 impl Link {
-    /// A link to an address, whether or not a process listens there yet.
+    /// Creates a link to an address, at which no process needs to listen yet.
     ///
     /// # Errors
     /// The listener cannot be opened.
@@ -102,7 +102,7 @@
             for socket in listener.incoming().map_while(Result::ok) {
                 let resets = {
                     let state = shared.state();
-                    if state.ended {
+                    if state.is_closed {
                         return;
                     }
                     state.resets
@@ -114,29 +114,29 @@
         Ok(link)
     }
 
-    /// Sets what happens to bytes from clients, and to those back.
+    /// Sets the flow from clients to the target, and the flow back.
     pub fn set(&self, to_target: Flow, back: Flow) {
-        self.shared.change(|state| state.flows = [to_target, back]);
+        self.shared.update(|state| state.flows = [to_target, back]);
     }
 
-    /// Resets all connections; new ones are accepted.
+    /// Resets all current connections. The link still accepts new ones.
     pub fn reset(&self) {
-        self.shared.change(State::reset);
+        self.shared.update(State::reset);
     }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.shared.change(|state| {
-            state.ended = true;
+        self.shared.update(|state| {
+            state.is_closed = true;
             state.reset();
         });
-        // Wakes the listener's thread, which then ends.
+        // Unblocks the accept call of the listener's thread, which then ends.
         let _ = TcpStream::connect(self.address);
     }
 }
 
-/// Relays one connection until either side or the link ends.
+/// Relays one connection until both directions have ended or the connection is reset.
 fn relay(shared: &Arc<Shared>, resets: u64, client: TcpStream, target: SocketAddr) {
     let Ok(target_stream) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else {
         return reset(&client);
@@ -147,7 +147,7 @@
     };
     {
         let mut state = shared.state();
-        if state.ended || state.resets != resets {
+        if state.is_closed || state.resets != resets {
             return reset(&client);
         }
         state.sockets.extend([a, b]);
@@ -158,13 +158,13 @@
     let _ = back.join();
 }
 
-/// Forwards the bytes of one direction until it ends.
+/// Forwards the bytes of one direction until the end of the stream or a reset.
 fn forward(shared: &Shared, direction: usize, resets: u64, mut from: TcpStream, mut to: TcpStream) {
     let mut bytes = vec![0; 16 << 10];
     loop {
         let read = from.read(&mut bytes);
-        // The end of the stream is held back as well while the direction is stalled.
-        if !shared.wait(direction, resets) {
+        // Stalls and delays apply to the end of the stream as well as to data.
+        if !shared.wait_to_forward(direction, resets) {
             break;
         }
         match read {
@@ -173,7 +173,7 @@
                 let _ = to.shutdown(Shutdown::Write);
                 return;
             }
-            // A reset of one side is passed on to the other.
+            // An error on one side resets both, so that the peer sees a reset as well.
             _ => break,
         }
     }
@@ -182,7 +182,7 @@
 }
 
 fn reset(socket: &TcpStream) {
-    // With a linger time of zero the close that follows is an abortive one: a reset.
+    // With SO_LINGER at zero, closing the socket sends a reset (RST) instead of a FIN.
     let _ = rustix::net::sockopt::set_socket_linger(socket, Some(Duration::ZERO));
     let _ = socket.shutdown(Shutdown::Both);
 }
--- a/simulation/src/link/tests.rs
+++ b/simulation/src/link/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the link.
+//! Tests of the relay.
 
 use super::*;
 use std::sync::mpsc;
 
-/// The chunks that arrive at the target of a link.
-fn far_side() -> (SocketAddr, mpsc::Receiver<(String, TcpStream)>) {
+/// Starts a target for a link. Returns its address, and each received chunk with its socket.
+fn start_target() -> (SocketAddr, mpsc::Receiver<(String, TcpStream)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (send, received) = mpsc::channel();
@@ -26,30 +26,30 @@
 }
 
 #[test]
-fn stalls_one_direction_and_forwards_later() {
-    let (target, received) = far_side();
+fn stalled_direction_forwards_once_open() {
+    let (target, received) = start_target();
     let link = Link::to(target).unwrap();
-    let mut near = TcpStream::connect(link.address).unwrap();
-    near.write_all(b"one").unwrap();
-    let (text, mut far) = received.recv().unwrap();
+    let mut client = TcpStream::connect(link.address).unwrap();
+    client.write_all(b"one").unwrap();
+    let (text, mut target_socket) = received.recv().unwrap();
     assert_eq!(text, "one");
     link.set(Flow::Stalled, Flow::Open);
-    near.write_all(b"two").unwrap();
-    far.write_all(b"back").unwrap();
+    client.write_all(b"two").unwrap();
+    target_socket.write_all(b"back").unwrap();
     let mut bytes = [0; 4];
-    near.read_exact(&mut bytes).unwrap();
+    client.read_exact(&mut bytes).unwrap();
     assert_eq!((&bytes, received.try_recv().is_err()), (b"back", true));
     link.set(Flow::Open, Flow::Stalled);
     assert_eq!(received.recv().unwrap().0, "two");
     link.set(Flow::Open, Flow::Open);
     link.reset();
-    let ended = near.read(&mut bytes);
+    let ended = client.read(&mut bytes);
     assert!(matches!(ended, Ok(0) | Err(_)), "{ended:?}");
-    let mut again = TcpStream::connect(link.address).unwrap();
-    again.write_all(b"new").unwrap();
+    let mut new_client = TcpStream::connect(link.address).unwrap();
+    new_client.write_all(b"new").unwrap();
     let texts = || received.recv().unwrap().0;
     assert!(
         (0..3).any(|_| texts() == "new"),
-        "a new connection is carried"
+        "a connection after the reset is relayed"
     );
 }
--- a/simulation/src/orders.rs
+++ b/simulation/src/orders.rs
@@ -1,17 +1,19 @@
-//! Permutations, for tests that try every order of a few steps.
+//! Permutations, for tests that apply a few steps in every order.
 
-/// All permutations of the items: `n!` of them.
+/// Returns all `n!` permutations of `n` items.
 pub fn all<T: Clone>(items: &[T]) -> Vec<Vec<T>> {
     if items.is_empty() {
         return vec![Vec::new()];
     }
-    let with_first = |index: usize| {
+    let permutations_starting_at = |index: usize| {
         let mut rest = items.to_vec();
         let first = rest.remove(index);
-        all(&rest).into_iter().map(move |mut order| {
-            order.insert(0, first.clone());
-            order
+        all(&rest).into_iter().map(move |mut permutation| {
+            permutation.insert(0, first.clone());
+            permutation
         })
     };
-    (0..items.len()).flat_map(with_first).collect()
+    (0..items.len())
+        .flat_map(permutations_starting_at)
+        .collect()
 }
--- a/simulation/src/scenarios.rs
+++ b/simulation/src/scenarios.rs
@@ -1,6 +1,6 @@
-//! Random scenarios for the deployment's test bench: planned work and faults of every kind that the
-//! bench knows, alone and in overlapping pairs; and the table of violated rules by kind. The bench
-//! calls a scenario a day, in its files as well.
+//! Random scenarios for the deployment's test bench, with planned work and faults of the kinds that
+//! the bench supports, single and in overlapping pairs; and a table of violated rules by kind. The
+//! bench and its files call a scenario a "day".
 
 mod kinds;
 mod long;
@@ -12,37 +12,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// The length of an ordinary scenario, in seconds of traffic.
+/// The length of a scenario with any focus but [`Focus::Long`], in seconds of traffic.
 const LENGTH_S: f64 = 60.0;
-/// Nothing begins before this, in seconds.
-const FIRST_S: f64 = 4.0;
-/// Only the closing fault begins after this, in seconds.
-const LAST_S: f64 = LENGTH_S - 8.0;
-/// The two faults of a pair begin within this time, in seconds.
-const PAIR_GAP_S: f64 = 1.5;
+/// The earliest start of planned work or a fault other than early cancellation, in seconds.
+const EARLIEST_START_S: f64 = 4.0;
+/// The latest start of planned work or a fault other than the closing one, in seconds.
+const LATEST_START_S: f64 = LENGTH_S - 8.0;
+/// The longest time between the starts of the two faults of a pair, in seconds.
+const MAX_PAIR_GAP_S: f64 = 1.5;
 
-/// The closing faults of a scenario.
+/// The possible closing faults of a scenario.
 const CLOSINGS: &[Option<&str>] = &[
     Some("power_off_all"),
     Some("wipe_after_ack"),
     Some("kill_all"),
     None,
 ];
-/// Their variants.
+/// The variants of the closing faults.
 const CLOSING_VARIANTS: &[&str] = &["timed", "taken", "oldest"];
 
-/// What a scenario concentrates on.
+/// The emphasis of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Focus {
-    /// Every kind.
+    /// All kinds.
     All,
-    /// Faults of the control state, with one more overlapping pair.
+    /// Only kinds that concern the control state, with a second overlapping pair.
     Control,
-    /// Every kind, with overlapping series: versions of weights, configurations, and recurring
-    /// faults while clients give up early.
+    /// All kinds, with overlapping series of weight versions, configurations and recurring faults
+    /// while clients cancel early.
     Series,
-    /// Long scenarios with hundreds of configurations, series of versions of weights, and a leader
-    /// that is hit over and over.
+    /// Long scenarios with hundreds of configurations, series of weight versions, and repeated
+    /// faults of the leader.
     Long,
 }
 
@@ -57,8 +57,8 @@
     }
 }
 
-/// The known kinds among those in the bench's listing, which has each on a line of its own before a
-/// colon.
+/// Returns the kinds of [`KINDS`] that occur in the bench's listing, which has one kind a line,
+/// before a colon.
 pub fn kinds_in_listing(listing: &str) -> Vec<Kind> {
     let names: BTreeSet<&str> = listing
         .lines()
@@ -71,22 +71,22 @@
         .collect()
 }
 
-/// Generates a scenario as a file of the bench, with at least one overlapping pair of faults. The
-/// same seed always gives the same file.
+/// Generates a scenario file for the bench, with at least one overlapping pair of faults. The same
+/// arguments always give the same file.
 pub fn generate(kinds: &[Kind], focus: Focus, name: &str, seed: u64) -> String {
     let mut rng = Rng::with_seed(seed);
     let is_in_focus = |kind: &Kind| focus != Focus::Control || kind.concerns_control_state();
-    let of = |planned: bool| {
+    let kinds_in_focus = |planned: bool| {
         kinds
             .iter()
             .filter(|kind| kind.planned == planned && is_in_focus(kind))
             .collect::<Vec<_>>()
     };
-    let mut plan = entries(&of(true), 2..5, &mut rng);
-    let mut faults = entries(&of(false), 2..5, &mut rng);
-    faults.extend(overlapping_pair(&of(false), &mut rng));
+    let mut plan = random_entries(&kinds_in_focus(true), 2..5, &mut rng);
+    let mut faults = random_entries(&kinds_in_focus(false), 2..5, &mut rng);
+    faults.extend(random_pair(&kinds_in_focus(false), &mut rng));
     if focus == Focus::Control {
-        faults.extend(overlapping_pair(&of(false), &mut rng));
+        faults.extend(random_pair(&kinds_in_focus(false), &mut rng));
     }
     if focus == Focus::Series {
         plan.extend(planned_series(kinds, &mut rng));
@@ -96,7 +96,7 @@
         plan.extend(long::planned(kinds, &mut rng));
         faults.extend(long::faults(kinds, &mut rng));
     }
-    let closing = closing(&mut rng);
+    let closing = random_closing(&mut rng);
     let length = focus.length_s();
     format!(
         "[[day]]\nname = \"{name}\"\nslot = 1\nseed = {}\nlength_s = {length}\none = 0.9\nzero = 0.2\n\
@@ -107,20 +107,20 @@
     )
 }
 
-/// A series of versions of weights, each of which may be announced before the last one is deployed
+/// A series of weight versions, each of which may be announced before the previous one is deployed
 /// everywhere, and a series of configurations.
 fn planned_series(kinds: &[Kind], rng: &mut Rng) -> Vec<String> {
     let mut entries = Vec::new();
     if kinds.iter().any(|kind| kind.name == "version_bump") {
         let gap = 0.5 + 4.5 * rng.f64();
-        let first = FIRST_S + 10.0 * rng.f64();
-        let bumps = (0..rng.usize(3..9)).map(|number| first + gap * number as f64);
+        let first = EARLIEST_START_S + 10.0 * rng.f64();
+        let start_times = (0..rng.usize(3..9)).map(|number| first + gap * number as f64);
         entries.extend(
-            bumps.map(|at| format!("{{ at = {at:.1}, kind = \"version_bump\", count = 0 }}")),
+            start_times.map(|at| format!("{{ at = {at:.1}, kind = \"version_bump\", count = 0 }}")),
         );
     }
     if kinds.iter().any(|kind| kind.name == "config_storm") {
-        let at = FIRST_S + 20.0 * rng.f64();
+        let at = EARLIEST_START_S + 20.0 * rng.f64();
         let gap = 0.08 + 0.8 * rng.f64();
         entries.push(format!(
             "{{ at = {at:.1}, kind = \"config_storm\", for_s = 20, gap_s = {gap:.2} }}"
@@ -129,7 +129,7 @@
     entries
 }
 
-/// Clients that give up early for most of the scenario, and two recurring faults of backends or
+/// Clients that cancel early for most of the scenario, and two recurring faults of backends or
 /// machines.
 fn fault_series(kinds: &[Kind], rng: &mut Rng) -> Vec<String> {
     let mut entries = Vec::new();
@@ -148,16 +148,16 @@
             continue;
         };
         let gap = 2.0 + 4.0 * rng.f64();
-        let first = FIRST_S + 15.0 * rng.f64();
+        let first = EARLIEST_START_S + 15.0 * rng.f64();
         for number in 0..rng.usize(3..6) {
-            entries.push(entry(&[*kind], first + gap * number as f64, rng));
+            entries.push(random_entry(&[*kind], first + gap * number as f64, rng));
         }
     }
     entries
 }
 
-/// The closing fault, as a line of the file.
-fn closing(rng: &mut Rng) -> String {
+/// A random closing fault, or none, as a line of the file.
+fn random_closing(rng: &mut Rng) -> String {
     let Some(kind) = CLOSINGS[rng.usize(..CLOSINGS.len())] else {
         return String::new();
     };
@@ -167,34 +167,43 @@
     format!("closing = {{ kind = \"{kind}\", down_s = {down:.1}{how} }}\n")
 }
 
-fn entries(kinds: &[&Kind], count: std::ops::Range<usize>, rng: &mut Rng) -> Vec<String> {
+fn random_entries(kinds: &[&Kind], count: std::ops::Range<usize>, rng: &mut Rng) -> Vec<String> {
     if kinds.is_empty() {
         return Vec::new();
     }
     let count = rng.usize(count);
     (0..count)
-        .map(|_| entry(kinds, FIRST_S + (LAST_S - FIRST_S) * rng.f64(), rng))
+        .map(|_| {
+            random_entry(
+                kinds,
+                EARLIEST_START_S + (LATEST_START_S - EARLIEST_START_S) * rng.f64(),
+                rng,
+            )
+        })
         .collect()
 }
 
-/// Two faults that overlap.
-fn overlapping_pair(kinds: &[&Kind], rng: &mut Rng) -> Vec<String> {
+/// Two faults that start within [`MAX_PAIR_GAP_S`] and overlap.
+fn random_pair(kinds: &[&Kind], rng: &mut Rng) -> Vec<String> {
     if kinds.is_empty() {
         return Vec::new();
     }
-    let at = FIRST_S + (LAST_S - PAIR_GAP_S - FIRST_S) * rng.f64();
-    let second = at + PAIR_GAP_S * rng.f64();
-    vec![entry(kinds, at, rng), entry(kinds, second, rng)]
+    let at = EARLIEST_START_S + (LATEST_START_S - MAX_PAIR_GAP_S - EARLIEST_START_S) * rng.f64();
+    let second = at + MAX_PAIR_GAP_S * rng.f64();
+    vec![
+        random_entry(kinds, at, rng),
+        random_entry(kinds, second, rng),
+    ]
 }
 
-fn entry(kinds: &[&Kind], at: f64, rng: &mut Rng) -> String {
+fn random_entry(kinds: &[&Kind], at: f64, rng: &mut Rng) -> String {
     let kind = kinds[rng.usize(..kinds.len())];
     let duration = 3.0 + 6.0 * rng.f64();
     let mut text = format!(
         "{{ at = {at:.1}, kind = \"{}\", for_s = {duration:.1}",
         kind.name
     );
-    let how = variant(kind, rng);
+    let how = random_how(kind, rng);
     if !how.is_empty() {
         let _ = write!(text, ", how = \"{how}\"");
     }
@@ -209,9 +218,9 @@
     text + " }"
 }
 
-/// A variant, and for machines perhaps a selector and a concurrent action.
-fn variant(kind: &Kind, rng: &mut Rng) -> String {
-    // The default variant is as likely as each of the others.
+/// The value of `how`: possibly a variant and, for machines, a selector and a concurrent action.
+fn random_how(kind: &Kind, rng: &mut Rng) -> String {
+    // Index `len` selects no variant, which makes the default as likely as each variant.
     let mut how: Vec<&str> = kind
         .variants
         .get(rng.usize(..=kind.variants.len()))
@@ -228,20 +237,20 @@
 /// The outcome of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// The kinds of its planned work and faults.
+    /// The kinds of planned work and faults in the scenario.
     pub kinds: BTreeSet<String>,
-    /// The rules that were violated.
+    /// The violated rules.
     pub violated: BTreeSet<String>,
 }
 
-/// A table of rules by kind: in how many scenarios with that kind the rule was violated, and how
-/// many there were.
+/// Formats a table with a line for each kind: the number of scenarios with that kind, and for each
+/// rule the number of these that violated it.
 pub fn violation_table(outcomes: &[Outcome]) -> String {
-    let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut scenarios: BTreeMap<&str, u32> = BTreeMap::new();
     let mut violated: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
     for outcome in outcomes {
         for kind in &outcome.kinds {
-            *runs.entry(kind).or_default() += 1;
+            *scenarios.entry(kind).or_default() += 1;
             for rule in &outcome.violated {
                 *violated.entry(rule).or_default().entry(kind).or_default() += 1;
             }
@@ -252,8 +261,8 @@
         .keys()
         .for_each(|rule| text.push_str(&format!(" {rule:>9}")));
     text.push('\n');
-    for (kind, days) in &runs {
-        let _ = write!(text, "{kind:<20} {days:>6}");
+    for (kind, count) in &scenarios {
+        let _ = write!(text, "{kind:<20} {count:>6}");
         for by_kind in violated.values() {
             let _ = write!(text, " {:>9}", by_kind.get(kind).copied().unwrap_or(0));
         }
--- a/simulation/src/scenarios/kinds.rs
+++ b/simulation/src/scenarios/kinds.rs
@@ -1,33 +1,33 @@
-//! The kinds of planned work and faults of the test bench, with the parameters that each can have.
-//! Their names and variants are those of the bench.
+//! The kinds of planned work and faults of the test bench, and the parameters of each. Names and
+//! variants are defined by the bench.
 
 /// A kind of planned work or fault.
 #[derive(Debug, Clone, Copy)]
 pub struct Kind {
-    /// Its name.
+    /// The bench's name of the kind.
     pub name: &'static str,
-    /// Whether it is planned work; otherwise it is a fault.
+    /// Whether the kind is planned work and not a fault.
     pub planned: bool,
     /// The variants other than the default one.
     pub variants: &'static [&'static str],
-    /// What it affects.
+    /// The affected part of the system.
     pub target: Target,
 }
 
-/// What a kind affects, which decides on its other parameters.
+/// The part of the system that a kind affects, which determines the parameters it can have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
-    /// Machines of the system: some of them can be selected, with actions at the same time.
+    /// Machines, which can be chosen by a selector and combined with a concurrent action.
     Machines,
-    /// Only machines with a replica of the control state.
+    /// Machines with a replica of the control state, which can be chosen in the same way.
     Core,
-    /// Anything else.
+    /// Any other part, without a selector or a concurrent action.
     Other,
 }
 
 impl Kind {
-    /// Whether it concerns the control state: its replicas, their disks, and the calls that change
-    /// it.
+    /// Whether the kind concerns the control state: its replicas, their disks, or the calls that
+    /// change it.
     pub fn concerns_control_state(&self) -> bool {
         const CONTROL_CALLS: &[&str] = &[
             "ack_lost",
@@ -45,9 +45,9 @@
     }
 }
 
-/// Selectors of machines; without one any machine is affected.
+/// Selectors of machines. Without a selector any machine can be affected.
 pub const SELECTORS: &[&str] = &["turn", "leader", "reader", "giver", "seed"];
-/// Actions while a machine is affected, or as it returns.
+/// Actions while a machine is affected, or when it recovers.
 pub const CONCURRENT_ACTIONS: &[&str] = &["meet", "race", "hard", "drain"];
 
 const fn planned(name: &'static str, variants: &'static [&'static str]) -> Kind {
@@ -68,7 +68,7 @@
     }
 }
 
-const fn targeting(target: Target, kind: Kind) -> Kind {
+const fn with_target(target: Target, kind: Kind) -> Kind {
     Kind { target, ..kind }
 }
 
@@ -84,28 +84,28 @@
     planned("config_storm", &[]),
     planned("hup", &[]),
     planned("release", &[]),
-    targeting(
+    with_target(
         Target::Core,
         planned("replace_core", &["oldest", "planned"]),
     ),
     planned("revoke", &["last"]),
-    targeting(Target::Machines, planned("roll_term", &["remove", "busy"])),
+    with_target(Target::Machines, planned("roll_term", &["remove", "busy"])),
     planned("scale_in", &["spot"]),
     planned("scale_out", &[]),
     planned("seed_turnover", &[]),
     planned("version_bump", &["adapter"]),
     fault("ack_lost", &[]),
-    targeting(
+    with_target(
         Target::Core,
         fault("after_ack_kill", &["kill", "timed", "taken"]),
     ),
-    targeting(Target::Core, fault("after_ack_wipe", &["oldest"])),
+    with_target(Target::Core, fault("after_ack_wipe", &["oldest"])),
     fault("answer_lost", &[]),
     fault("bad_config", &[]),
     fault("burst", &[]),
-    targeting(Target::Machines, fault("clock_step", &["back", "ahead"])),
+    with_target(Target::Machines, fault("clock_step", &["back", "ahead"])),
     fault("config_race", &[]),
-    targeting(
+    with_target(
         Target::Core,
         fault(
             "core_cut",
@@ -115,24 +115,24 @@
             ],
         ),
     ),
-    targeting(Target::Core, fault("disk_full", &[])),
-    targeting(Target::Core, fault("disk_slow", &[])),
-    targeting(Target::Core, fault("disk_stall", &[])),
+    with_target(Target::Core, fault("disk_full", &[])),
+    with_target(Target::Core, fault("disk_slow", &[])),
+    with_target(Target::Core, fault("disk_stall", &[])),
     fault("events_gap", &[]),
     fault("garble", &["extra", "unframed", "early", "rot"]),
     fault("give_up", &[]),
-    targeting(
+    with_target(
         Target::Machines,
         fault("herd_kill", &["power", "off", "taken"]),
     ),
     fault("hot_key", &[]),
     fault("idle_race", &[]),
-    targeting(Target::Machines, fault("node_cut", &["all", "servers"])),
-    targeting(Target::Machines, fault("node_freeze", &[])),
-    targeting(Target::Machines, fault("node_kill", &["power"])),
-    targeting(Target::Machines, fault("node_slow", &[])),
+    with_target(Target::Machines, fault("node_cut", &["all", "servers"])),
+    with_target(Target::Machines, fault("node_freeze", &[])),
+    with_target(Target::Machines, fault("node_kill", &["power"])),
+    with_target(Target::Machines, fault("node_slow", &[])),
     fault("replace_with_reuse", &["drain", "dark"]),
-    targeting(Target::Machines, fault("reset_conns", &[])),
+    with_target(Target::Machines, fault("reset_conns", &[])),
     fault("retry_abuse", &[]),
     fault("srv_crash", &["dark", "gone", "domain"]),
     fault("srv_cut", &["fronts", "some", "one_way", "reset"]),
--- a/simulation/src/timeline.rs
+++ b/simulation/src/timeline.rs
@@ -1,84 +1,88 @@
-//! Random timelines of faults for a group of processes, deterministic by seed, so that a run that
-//! failed can be repeated.
+//! Random timelines of faults for a group of processes. The same seed gives the same timeline, so
+//! that a failed run can be repeated.
 
 use std::collections::BTreeSet;
 
-/// A fault, or its end. Processes are numbered from 0.
+/// The start or end of a fault. Processes are numbered from 0.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// These processes lose their power at the same time.
+    /// These processes lose power at the same time.
     PowerOff(BTreeSet<usize>),
     /// These processes start again.
     PowerOn(BTreeSet<usize>),
     /// A process is suspended (SIGSTOP).
     Suspend(usize),
-    /// It is resumed (SIGCONT).
+    /// A suspended process is resumed (SIGCONT).
     Resume(usize),
-    /// Messages from the first to the second are held back.
+    /// Messages from the first process to the second are held back.
     Partition(usize, usize),
-    /// Messages from the first to the second are delayed by this many milliseconds.
+    /// Messages from the first process to the second are delayed by this many milliseconds.
     Delay(usize, usize, u64),
-    /// All connections between the two are reset.
+    /// All connections between two processes are reset.
     Reset(usize, usize),
-    /// All links work again.
+    /// All partitions and delays end.
     Heal,
-    /// A process without power loses its file.
+    /// A process without power loses its data file.
     LoseFile(usize),
 }
 
 /// A fault and its time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// When it happens, in milliseconds from the start.
+    /// The time in milliseconds since the start of the timeline.
     pub at_ms: u64,
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
 }
 
 /// Draws a timeline of `length_ms` for a number of processes.
 ///
-/// At its end all processes have power, run, and reach each other. Fewer than half of the processes
-/// ever lose their file: with more, a store with a quorum of them could not keep its promises.
+/// At the end all processes have power, run, and reach each other. Fewer than half of the processes
+/// ever lose their file: a store that commits on a majority loses data when more files are lost.
 pub fn draw(seed: u64, processes: usize, length_ms: u64) -> Vec<Event> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut timeline = Vec::new();
-    let (mut off, mut stopped) = (BTreeSet::new(), BTreeSet::new());
-    let mut lost = BTreeSet::new();
+    let (mut powered_off, mut suspended) = (BTreeSet::new(), BTreeSet::new());
+    let mut file_losses = BTreeSet::new();
     let mut at = rng.u64(50..300);
     while at < length_ms {
         let (one, other) = (rng.usize(0..processes), rng.usize(0..processes));
         match rng.u8(0..12) {
-            0..=2 if off.is_empty() => {
-                // All, a group, or one.
-                let most = [processes, processes, processes.div_ceil(2), 1][rng.usize(0..4)];
+            0..=2 if powered_off.is_empty() => {
+                // All processes, half of them, or one.
+                let count = [processes, processes, processes.div_ceil(2), 1][rng.usize(0..4)];
                 let mut all: Vec<usize> = (0..processes).collect();
                 rng.shuffle(&mut all);
-                off = all.into_iter().take(most).collect();
-                stopped.retain(|process| !off.contains(process));
-                timeline.push(event(at, Fault::PowerOff(off.clone())));
-                let victim = off.iter().copied().find(|_| rng.u8(0..3) == 0);
-                if let Some(victim) = victim
-                    .filter(|victim| lost.contains(victim) || lost.len() < (processes - 1) / 2)
-                {
-                    lost.insert(victim);
+                powered_off = all.into_iter().take(count).collect();
+                suspended.retain(|process| !powered_off.contains(process));
+                timeline.push(event(at, Fault::PowerOff(powered_off.clone())));
+                let victim = powered_off.iter().copied().find(|_| rng.u8(0..3) == 0);
+                if let Some(victim) = victim.filter(|victim| {
+                    file_losses.contains(victim) || file_losses.len() < (processes - 1) / 2
+                }) {
+                    file_losses.insert(victim);
                     timeline.push(event(at, Fault::LoseFile(victim)));
                 }
             }
-            3..=5 if !off.is_empty() => {
-                // All return together, or in two groups.
-                let back: BTreeSet<usize> = if rng.bool() {
-                    off.clone()
+            3..=5 if !powered_off.is_empty() => {
+                // All are powered on together, or in two groups.
+                let powered_on: BTreeSet<usize> = if rng.bool() {
+                    powered_off.clone()
                 } else {
-                    off.iter().copied().take(off.len().div_ceil(2)).collect()
+                    powered_off
+                        .iter()
+                        .copied()
+                        .take(powered_off.len().div_ceil(2))
+                        .collect()
                 };
-                off.retain(|process| !back.contains(process));
-                timeline.push(event(at, Fault::PowerOn(back)));
+                powered_off.retain(|process| !powered_on.contains(process));
+                timeline.push(event(at, Fault::PowerOn(powered_on)));
             }
-            6 if !off.contains(&one) && stopped.insert(one) => {
+            6 if !powered_off.contains(&one) && suspended.insert(one) => {
                 timeline.push(event(at, Fault::Suspend(one)))
             }
             7 => {
-                if let Some(one) = stopped.pop_first() {
+                if let Some(one) = suspended.pop_first() {
                     timeline.push(event(at, Fault::Resume(one)));
                 }
             }
@@ -94,12 +98,12 @@
     }
     timeline.push(event(length_ms, Fault::Heal));
     timeline.extend(
-        stopped
+        suspended
             .into_iter()
             .map(|one| event(length_ms, Fault::Resume(one))),
     );
-    if !off.is_empty() {
-        timeline.push(event(length_ms, Fault::PowerOn(off)));
+    if !powered_off.is_empty() {
+        timeline.push(event(length_ms, Fault::PowerOn(powered_off)));
     }
     timeline
 }
--- a/simulation/tests/orders.rs
+++ b/simulation/tests/orders.rs
@@ -1,20 +1,23 @@
-//! Every order comes up once.
+//! Tests of permutations.
 
 use simulation::orders::all;
 use std::collections::BTreeSet;
 
 #[test]
-fn every_order_comes_up_once() {
-    for (count, orders) in [(0, 1), (1, 1), (3, 6), (5, 120)] {
+fn yields_each_permutation_once() {
+    for (count, expected) in [(0, 1), (1, 1), (3, 6), (5, 120)] {
         let items: Vec<u32> = (0..count).collect();
-        let found = all(&items);
+        let permutations = all(&items);
         assert_eq!(
-            (found.len(), found.iter().collect::<BTreeSet<_>>().len()),
-            (orders, orders)
+            (
+                permutations.len(),
+                permutations.iter().collect::<BTreeSet<_>>().len()
+            ),
+            (expected, expected)
         );
-        for mut order in found {
-            order.sort_unstable();
-            assert_eq!(order, items);
+        for mut permutation in permutations {
+            permutation.sort_unstable();
+            assert_eq!(permutation, items);
         }
     }
 }
--- a/simulation/tests/scenarios.rs
+++ b/simulation/tests/scenarios.rs
@@ -1,11 +1,11 @@
-//! Random scenarios, and the table of their outcomes.
+//! Tests of random scenarios and of the table of their outcomes.
 
 use simulation::scenarios::{Focus, KINDS, Outcome, generate, kinds_in_listing, violation_table};
 use std::collections::BTreeSet;
 
 const LISTING: &str = "Each entry has 'at' and 'kind'.\n\nhot_key: share\nhup: share\n\nthese may come too:\nburst: x times\n";
 
-fn names_kind(text: &str, name: &str) -> bool {
+fn contains_kind(text: &str, name: &str) -> bool {
     text.contains(&format!("kind = \"{name}\""))
 }
 
@@ -17,25 +17,25 @@
     for seed in 0..200 {
         let scenario = generate(&kinds, Focus::All, "d", seed);
         for kind in KINDS.iter().filter(|kind| !names.contains(&kind.name)) {
-            assert!(!names_kind(&scenario, kind.name), "{scenario}");
+            assert!(!contains_kind(&scenario, kind.name), "{scenario}");
         }
     }
 }
 
 #[test]
 fn same_seed_gives_same_scenario() {
-    let mut drawn = BTreeSet::new();
+    let mut generated = BTreeSet::new();
     for seed in 0..400 {
         let scenario = generate(KINDS, Focus::All, "d", seed);
         assert_eq!(scenario, generate(KINDS, Focus::All, "d", seed));
-        drawn.extend(
+        generated.extend(
             KINDS
                 .iter()
                 .map(|kind| kind.name)
-                .filter(|name| names_kind(&scenario, name)),
+                .filter(|name| contains_kind(&scenario, name)),
         );
     }
-    assert_eq!(drawn.len(), KINDS.len());
+    assert_eq!(generated.len(), KINDS.len());
 }
 
 #[test]
@@ -47,14 +47,14 @@
         for kind in KINDS {
             let other = if kind.planned { faults } else { plan };
             assert!(
-                !names_kind(other, kind.name),
+                !contains_kind(other, kind.name),
                 "{} in the wrong list of {scenario}",
                 kind.name
             );
         }
         assert!(
             faults.matches("kind = ").count() >= 4,
-            "two faults and a pair: {faults}"
+            "fewer than two single faults and one pair: {faults}"
         );
     }
 }
@@ -66,16 +66,16 @@
         let scenario = generate(KINDS, Focus::Control, "d", seed);
         for kind in KINDS.iter().filter(|kind| !kind.concerns_control_state()) {
             assert!(
-                !names_kind(&scenario, kind.name),
+                !contains_kind(&scenario, kind.name),
                 "{} in {scenario}",
                 kind.name
             );
         }
-        let cuts = scenario
+        let partitions = scenario
             .split("kind = \"core_cut\"")
             .skip(1)
             .filter_map(|entry| entry.split('}').next());
-        variants.extend(cuts.flat_map(|entry| {
+        variants.extend(partitions.flat_map(|entry| {
             entry
                 .split(['"', ' '])
                 .map(str::to_owned)
@@ -119,21 +119,21 @@
             "{scenario}"
         );
         assert!(
-            names_kind(&scenario, "config_storm") && names_kind(&scenario, "give_up"),
+            contains_kind(&scenario, "config_storm") && contains_kind(&scenario, "give_up"),
             "{scenario}"
         );
         assert_eq!(scenario, generate(KINDS, Focus::Series, "d", seed));
     }
-    // Kinds that the bench does not list are left out.
+    // Kinds that the bench does not list are omitted.
     let scenario = generate(&kinds_in_listing(LISTING), Focus::Series, "d", 1);
     assert!(
-        !names_kind(&scenario, "version_bump") && !names_kind(&scenario, "give_up"),
+        !contains_kind(&scenario, "version_bump") && !contains_kind(&scenario, "give_up"),
         "{scenario}"
     );
 }
 
 #[test]
-fn long_scenarios_change_and_hit_the_leader_to_the_end() {
+fn long_scenarios_contain_changes_and_leader_faults() {
     for seed in 0..50 {
         let scenario = generate(KINDS, Focus::Long, "d", seed);
         assert_eq!(scenario, generate(KINDS, Focus::Long, "d", seed));
@@ -158,6 +158,6 @@
     let scenario = generate(&kinds_in_listing(LISTING), Focus::Long, "d", 1);
     assert!(
         !scenario.contains("version_bump"),
-        "only kinds that the deployment knows: {scenario}"
+        "kind that the bench does not list: {scenario}"
     );
 }
--- a/simulation/tests/stable_draws.rs
+++ b/simulation/tests/stable_draws.rs
@@ -1,11 +1,11 @@
-//! Pins what seeds draw: a scenario or timeline that failed must be drawn again by later versions.
+//! Pins the output of seeds: later versions must be able to repeat a failed scenario or timeline.
 
 use simulation::scenarios::{Focus, KINDS, generate};
 use simulation::timeline;
 use std::fmt::Write;
 
 #[test]
-fn seeds_draw_the_same_as_ever() {
+fn seeds_generate_pinned_output() {
     let mut text = String::new();
     for focus in [Focus::All, Focus::Control, Focus::Series, Focus::Long] {
         for seed in [1, 7] {
@@ -18,7 +18,7 @@
     }
     let timeline = timeline::draw(5, 5, 20_000);
     let _ = writeln!(text, "# timeline of {} events", timeline.len());
-    // Of each event its time and what is in it, whatever the names of the types are.
+    // Only the numbers of each event, so that types and variants can be renamed.
     for event in timeline {
         let debug = format!("{event:?}");
         let numbers: Vec<&str> = debug
