--- a/simulation/src/link/tests.rs
+++ b/simulation/src/link/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn stalled_direction_forwards_once_open() {
+fn stalls_one_direction_and_forwards_later() {
     let (target, received) = start_target();
     let link = Link::to(target).unwrap();
     let mut client = TcpStream::connect(link.address).unwrap();
--- a/simulation/src/timeline/tests.rs
+++ b/simulation/src/timeline/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn timeline_is_repeatable_and_ends_without_faults() {
+fn same_seed_gives_same_timeline_that_ends_healed() {
     for seed in 0..500 {
         let processes = 3 + seed as usize % 5;
         let timeline = draw(seed, processes, 5000);
--- a/simulation/tests/orders.rs
+++ b/simulation/tests/orders.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn yields_each_permutation_once() {
+fn every_order_comes_up_once() {
     for (count, expected) in [(0, 1), (1, 1), (3, 6), (5, 120)] {
         let items: Vec<u32> = (0..count).collect();
         let permutations = all(&items);
