--- a/soak/src/clock.rs
+++ b/soak/src/clock.rs
@@ -1,21 +1,21 @@
-//! The clock of a run.
+//! The clock of a soak run.
 
 use std::time::Instant;
 
-/// Milliseconds since a run began.
+/// Milliseconds since the start of a run.
 pub type Millis = u64;
 
-/// Tells the time since a run began.
+/// Measures the time since the start of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A run begins now.
+    /// Starts the clock at 0.
     pub fn start() -> Self {
         Clock(Instant::now())
     }
 
-    /// Now.
+    /// The time since the start.
     pub fn now(&self) -> Millis {
         self.0.elapsed().as_millis() as Millis
     }
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,7 +1,7 @@
 //! The link from routers to one backend: a relay that can be partitioned for a while.
 //!
-//! Bytes that are sent during a partition are held back and arrive after it, as from the send
-//! buffers of an operating system. Those of a connection that was reset meanwhile are lost.
+//! Bytes that are sent during a partition are held back and arrive afterwards, as from the send
+//! buffers of an operating system. Bytes on a connection that is reset in the meantime are lost.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -11,20 +11,20 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// The bytes that are read at once.
+/// The maximum number of bytes in one read.
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// A link. Its connections end when it is dropped.
+/// A link. Dropping it closes its connections.
 #[derive(Debug)]
 pub struct Link {
-    /// Where routers connect.
+    /// The address that routers connect to.
     pub address: SocketAddrV4,
     is_partitioned: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
 impl Link {
-    /// A link to a listener, from another port of the same address.
+    /// Creates a link to a listener, on another port of the same IP address.
     ///
     /// # Errors
     /// The listener cannot be opened.
@@ -66,7 +66,7 @@
     target: SocketAddrV4,
     partitions: watch::Receiver<bool>,
 ) {
-    if !reachable(&mut partitions.clone()).await || was_reset(&router) {
+    if !wait_until_reachable(&mut partitions.clone()).await || was_reset(&router) {
         return;
     }
     let Ok(mut backend) = TcpStream::connect(target).await else {
@@ -83,8 +83,8 @@
     }
 }
 
-/// Forwards the bytes of one direction until the sender ends the connection. During a partition
-/// nothing is read, not even the end.
+/// Forwards the bytes of one direction until the sender closes the connection. During a partition
+/// neither data nor the end of the stream is read.
 async fn forward(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
@@ -93,7 +93,7 @@
     let mut bytes = vec![0; BUFFER_BYTES];
     loop {
         if from.readable().await.is_err()
-            || !reachable(&mut partitions).await
+            || !wait_until_reachable(&mut partitions).await
             || was_reset(from.as_ref())
         {
             return;
@@ -105,15 +105,15 @@
     }
 }
 
-/// Returns once the link is not partitioned. False if the link has been dropped.
-async fn reachable(partitions: &mut watch::Receiver<bool>) -> bool {
+/// Waits until the link is not partitioned. Returns false if the link has been dropped.
+async fn wait_until_reachable(partitions: &mut watch::Receiver<bool>) -> bool {
     partitions
         .wait_for(|is_partitioned| !*is_partitioned)
         .await
         .is_ok()
 }
 
-/// Whether the other side has reset the connection: its bytes in flight are lost.
+/// Whether the peer has reset the connection, so that its bytes in flight are lost.
 fn was_reset(stream: &TcpStream) -> bool {
     !matches!(stream.take_error(), Ok(None))
 }
--- a/soak/src/network.rs
+++ b/soak/src/network.rs
@@ -1,18 +1,18 @@
-//! Loopback networks: each run has one of its own, also among concurrent runs of other processes.
+//! Loopback networks. Concurrent runs use different ones, also across processes.
 
 use crate::settings::Addresses;
 use std::io;
 use std::net::{Ipv4Addr, TcpListener};
 
-/// The second byte of the networks 127.N.0.0/16.
+/// The values of N for the networks 127.N.0.0/16.
 const NETWORKS: std::ops::RangeInclusive<u8> = 200..=250;
-/// A network is claimed by a listener on this port.
+/// A run claims a network by listening on this port.
 const CLAIM_PORT: u16 = 7_001;
 
 /// A network that no other run uses until this is dropped.
 #[derive(Debug)]
 pub struct Network {
-    /// Its addresses.
+    /// The addresses of the network.
     pub addresses: Addresses,
     _claim: TcpListener,
 }
@@ -33,7 +33,7 @@
             }
         }
         Err(io::Error::other(
-            "every loopback network is in use: end other soaks first",
+            "all loopback networks are in use by other soak runs",
         ))
     }
 }
--- a/soak/src/schedule.rs
+++ b/soak/src/schedule.rs
@@ -1,5 +1,4 @@
-//! The schedule of a run, drawn by its seed: overlapping series of signals, restarts, losses and
-//! changes.
+//! The random schedule of a run: overlapping series of signals, restarts, disk losses and changes.
 
 use crate::clock::Millis;
 use crate::settings::Size;
@@ -11,74 +10,74 @@
 /// An action of the schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// A fault of a router.
+    /// Injects a fault into a router.
     Router(usize, RouterFault),
-    /// A fault of the leader of the control state.
+    /// Injects a fault into the leader of the control state.
     Leader(RouterFault),
-    /// A configuration is sent, or two concurrent ones on top of the same version.
+    /// Sends a configuration, or two concurrent ones that replace the same version.
     Configure {
-        /// Whether there are two.
+        /// Whether two are sent.
         race: bool,
     },
-    /// A version of the weights is announced.
+    /// Announces a version of the weights.
     AnnounceWeights,
-    /// A backend crashes, and another one starts in its place.
+    /// Crashes a backend and starts another one in its place.
     CrashBackend(usize),
-    /// A backend does not respond for this time.
+    /// Makes a backend unresponsive for this time.
     HangBackend(usize, Duration),
-    /// The link to a backend is partitioned for this time.
+    /// Partitions the link to a backend for this time.
     PartitionBackend(usize, Duration),
-    /// A backend drains, and another one starts in its place.
+    /// Starts another backend in place of this one, and drains this one.
     ReplaceBackend(usize),
 }
 
 /// An action and its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// When, in milliseconds from the start of the schedule.
+    /// The time in milliseconds since the start of the schedule.
     pub at: Millis,
-    /// What.
+    /// The action.
     pub action: Action,
 }
 
-/// What a schedule is drawn for.
+/// The parameters of a schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Scope {
-    /// The routers.
+    /// The number of routers.
     pub size: Size,
-    /// The backends.
+    /// The number of backends.
     pub backends: usize,
-    /// The length of the schedule.
+    /// The length of the schedule in milliseconds.
     pub duration: Millis,
-    /// Whether the leader has a series of faults while versions of the weights are announced.
+    /// Whether to add a series of faults of the leader while versions of the weights are announced.
     pub leader_faults: bool,
-    /// Whether links to backends have a series of partitions while versions of the weights are
+    /// Whether to add a series of partitions of links to backends while versions of the weights are
     /// announced.
     pub partitions: bool,
 }
 
-/// Draws overlapping series, sorted by time. A seed always draws the same.
+/// Draws the steps of overlapping series, sorted by time. The same seed gives the same steps.
 pub fn draw(scope: Scope, seed: u64) -> Vec<Step> {
     let mut rng = Rng::with_seed(seed);
     let mut steps = Vec::new();
     steps.extend(configurations(scope, &mut rng));
     steps.extend(weights(scope, &mut rng));
-    // In a third of the runs the replicas of the control state have no faults: only then the bounds
-    // of time hold throughout.
-    let replicas_are_spared = rng.u8(..3) == 0;
-    let struck = if replicas_are_spared {
+    // The time limits of the checks hold only while the replicas of the control state have no
+    // faults: a third of the runs spares them, so that the limits hold throughout.
+    let replicas_have_no_faults = rng.u8(..3) == 0;
+    let targets = if replicas_have_no_faults {
         scope.size.replicas..scope.size.routers
     } else {
         0..scope.size.routers
     };
     for _ in 0..rng.usize(2..5) {
-        steps.extend(router_series(scope, struck.clone(), &mut rng));
+        steps.extend(router_series(scope, targets.clone(), &mut rng));
     }
     for _ in 0..rng.usize(1..4) {
         steps.extend(backend_series(scope, &mut rng));
     }
-    if !replicas_are_spared && rng.bool() {
-        steps.extend(control_loss(scope, &mut rng));
+    if !replicas_have_no_faults && rng.bool() {
+        steps.extend(control_state_loss(scope, &mut rng));
     }
     if scope.leader_faults {
         steps.extend(leader_series(scope, &mut rng));
@@ -90,28 +89,28 @@
     steps
 }
 
-/// Overlapping partitions of links to backends, with versions of the weights announced meanwhile.
+/// Overlapping partitions of links to backends, while versions of the weights are announced.
 fn partition_series(scope: Scope, rng: &mut Rng) -> Vec<Step> {
     let mut steps = Vec::new();
     let gap = rng.u64(300..1_500);
-    let longest = rng.u64(1_000..6_000);
+    let max_duration = rng.u64(1_000..6_000);
     for at in (0..scope.duration / gap).map(|number| number * gap) {
-        let duration = Duration::from_millis(rng.u64(200..longest));
+        let duration = Duration::from_millis(rng.u64(200..max_duration));
         steps.push(Step {
             at,
             action: Action::PartitionBackend(rng.usize(..scope.backends), duration),
         });
     }
     let gap = rng.u64(500..2_500);
-    let names = (0..scope.duration / gap).map(|number| Step {
+    let announcements = (0..scope.duration / gap).map(|number| Step {
         at: number * gap,
         action: Action::AnnounceWeights,
     });
-    steps.extend(names);
+    steps.extend(announcements);
     steps
 }
 
-/// Faults of the leader every few seconds, with versions of the weights announced meanwhile.
+/// Faults of the leader every few seconds, while versions of the weights are announced.
 fn leader_series(scope: Scope, rng: &mut Rng) -> Vec<Step> {
     let mut steps = Vec::new();
     let gap = rng.u64(3_000..7_000);
@@ -129,16 +128,21 @@
         at += gap * rng.u64(80..120) / 100;
     }
     let gap = rng.u64(700..2_500);
-    let names = (0..scope.duration / gap).map(|number| Step {
+    let announcements = (0..scope.duration / gap).map(|number| Step {
         at: number * gap,
         action: Action::AnnounceWeights,
     });
-    steps.extend(names);
+    steps.extend(announcements);
     steps
 }
 
-/// The times of a series: `count` with a gap, starting in the first two thirds of the schedule.
-fn times(scope: Scope, count: usize, gap: Millis, rng: &mut Rng) -> impl Iterator<Item = Millis> {
+/// Up to `count` times with a gap, of which the first is in the first two thirds of the schedule.
+fn series_times(
+    scope: Scope,
+    count: usize,
+    gap: Millis,
+    rng: &mut Rng,
+) -> impl Iterator<Item = Millis> {
     let first = rng.u64(..scope.duration * 2 / 3);
     (0..count as u64)
         .map(move |number| first + gap * number)
@@ -161,7 +165,7 @@
 
 fn weights(scope: Scope, rng: &mut Rng) -> Vec<Step> {
     let (count, gap) = (rng.usize(1..6), rng.u64(400..4_000));
-    times(scope, count, gap, rng)
+    series_times(scope, count, gap, rng)
         .map(|at| Step {
             at,
             action: Action::AnnounceWeights,
@@ -169,14 +173,14 @@
         .collect()
 }
 
-/// One kind of fault, at one router after the other or at random ones.
-fn router_series(scope: Scope, struck: Range<usize>, rng: &mut Rng) -> Vec<Step> {
+/// Faults of one kind, at successive or random routers.
+fn router_series(scope: Scope, targets: Range<usize>, rng: &mut Rng) -> Vec<Step> {
     let count = rng.usize(2..8);
     let gap = rng.u64(150..2_500);
     let kind = rng.u8(..4);
     let in_turn = rng.bool();
-    let mut number = rng.usize(struck.clone());
-    let times: Vec<Millis> = times(scope, count, gap, rng).collect();
+    let mut router = rng.usize(targets.clone());
+    let times: Vec<Millis> = series_times(scope, count, gap, rng).collect();
     let mut steps = Vec::new();
     for at in times {
         let fault = match kind {
@@ -187,12 +191,12 @@
         };
         steps.push(Step {
             at,
-            action: Action::Router(number, fault),
+            action: Action::Router(router, fault),
         });
-        number = match number + 1 {
-            next if in_turn && next < struck.end => next,
-            _ if in_turn => struck.start,
-            _ => rng.usize(struck.clone()),
+        router = match router + 1 {
+            next if in_turn && next < targets.end => next,
+            _ if in_turn => targets.start,
+            _ => rng.usize(targets.clone()),
         };
     }
     steps
@@ -202,23 +206,23 @@
     let count = rng.usize(1..5);
     let gap = rng.u64(300..3_000);
     let kind = rng.u8(..3);
-    let times: Vec<Millis> = times(scope, count, gap, rng).collect();
+    let times: Vec<Millis> = series_times(scope, count, gap, rng).collect();
     let mut steps = Vec::new();
     for at in times {
-        let number = rng.usize(..scope.backends);
+        let backend = rng.usize(..scope.backends);
         let action = match kind {
-            0 => Action::CrashBackend(number),
-            1 => Action::HangBackend(number, Duration::from_millis(rng.u64(500..3_000))),
-            _ => Action::ReplaceBackend(number),
+            0 => Action::CrashBackend(backend),
+            1 => Action::HangBackend(backend, Duration::from_millis(rng.u64(500..3_000))),
+            _ => Action::ReplaceBackend(backend),
         };
         steps.push(Step { at, action });
     }
     steps
 }
 
-/// All replicas of the control state are killed at once, or one of them loses its disk. That is as
-/// much as is tolerated, once a run.
-fn control_loss(scope: Scope, rng: &mut Rng) -> Vec<Step> {
+/// Kills all replicas of the control state at once, or wipes the disk of one. The fleet tolerates
+/// only one such loss, so that a run has at most one.
+fn control_state_loss(scope: Scope, rng: &mut Rng) -> Vec<Step> {
     let at = rng.u64(scope.duration / 4..scope.duration * 3 / 4);
     if rng.bool() {
         let kill = |number| Step {
--- a/soak/tests/network.rs
+++ b/soak/tests/network.rs
@@ -1,4 +1,4 @@
-//! Each run claims a network of its own, and releases it.
+//! Concurrent runs claim different networks, and release them.
 
 use soak::network::Network;
 
--- a/soak/tests/schedule.rs
+++ b/soak/tests/schedule.rs
@@ -1,5 +1,5 @@
-//! What a seed draws: always the same, every kind of action, and never more lost disks than are
-//! tolerated.
+//! Schedules are repeatable, contain all kinds of actions, and wipe no more disks than the fleet
+//! tolerates.
 
 use soak::schedule::{Action, Scope, Step, draw};
 use soak::settings::Size;
@@ -32,35 +32,35 @@
 #[test]
 fn draws_every_action_and_overlapping_series() {
     let all: Vec<Step> = (0..300).flat_map(|seed| draw(SCOPE, seed)).collect();
-    let comes_up = |wanted: fn(&Action) -> bool| all.iter().any(|step| wanted(&step.action));
-    assert!(comes_up(|action| matches!(
+    let contains = |wanted: fn(&Action) -> bool| all.iter().any(|step| wanted(&step.action));
+    assert!(contains(|action| matches!(
         action,
         Action::Router(_, RouterFault::Terminate)
     )));
-    assert!(comes_up(|action| matches!(
+    assert!(contains(|action| matches!(
         action,
         Action::Router(_, RouterFault::Kill)
     )));
-    assert!(comes_up(|action| matches!(
+    assert!(contains(|action| matches!(
         action,
         Action::Router(_, RouterFault::Suspend(_))
     )));
-    assert!(comes_up(|action| matches!(
+    assert!(contains(|action| matches!(
         action,
         Action::Router(_, RouterFault::Reload)
     )));
-    assert!(comes_up(|action| matches!(
+    assert!(contains(|action| matches!(
         action,
         Action::Router(_, RouterFault::Wipe)
     )));
-    assert!(comes_up(|action| matches!(
+    assert!(contains(|action| matches!(
         action,
         Action::Configure { race: true }
     )));
-    assert!(comes_up(|action| *action == Action::AnnounceWeights));
-    assert!(comes_up(|action| matches!(action, Action::CrashBackend(_))));
-    assert!(comes_up(|action| matches!(action, Action::HangBackend(..))));
-    assert!(comes_up(|action| matches!(
+    assert!(contains(|action| *action == Action::AnnounceWeights));
+    assert!(contains(|action| matches!(action, Action::CrashBackend(_))));
+    assert!(contains(|action| matches!(action, Action::HangBackend(..))));
+    assert!(contains(|action| matches!(
         action,
         Action::ReplaceBackend(_)
     )));
@@ -70,10 +70,10 @@
 fn loses_at_most_one_disk() {
     for seed in 0..300 {
         let steps = draw(SCOPE, seed);
-        let lost = steps
+        let wipes = steps
             .iter()
             .filter(|step| matches!(step.action, Action::Router(_, RouterFault::Wipe)));
-        assert!(lost.count() <= 1);
+        assert!(wipes.count() <= 1);
     }
 }
 
@@ -91,26 +91,26 @@
             "{steps:?}"
         );
         let without = draw(SCOPE, seed);
-        let rest = without.iter().filter(|step| !steps.contains(step));
+        let missing = without.iter().filter(|step| !steps.contains(step));
         assert_eq!(
-            rest.count(),
+            missing.count(),
             0,
-            "seed {seed}: what is drawn without stays as it is"
+            "seed {seed}: the leader series changes other steps"
         );
-        let primary: Vec<&Step> = steps
+        let leader_faults: Vec<&Step> = steps
             .iter()
             .filter(|step| matches!(step.action, Action::Leader(_)))
             .collect();
-        assert!(primary.len() >= 2, "seed {seed}: {primary:?}");
-        let gaps = primary.windows(2).map(|pair| pair[1].at - pair[0].at);
+        assert!(leader_faults.len() >= 2, "seed {seed}: {leader_faults:?}");
+        let gaps = leader_faults.windows(2).map(|pair| pair[1].at - pair[0].at);
         assert!(
             gaps.into_iter().all(|gap| (2_400..8_400).contains(&gap)),
-            "seed {seed}: {primary:?}"
+            "seed {seed}: {leader_faults:?}"
         );
-        let named = steps
+        let announcements = steps
             .iter()
             .filter(|step| step.action == Action::AnnounceWeights);
-        assert!(named.count() >= 6, "seed {seed}");
+        assert!(announcements.count() >= 6, "seed {seed}");
     }
 }
 
@@ -131,7 +131,7 @@
         let without = draw(SCOPE, seed);
         assert!(
             without.iter().all(|step| steps.contains(step)),
-            "seed {seed}: the rest stays as it is"
+            "seed {seed}: the partition series changes other steps"
         );
         let partitions: Vec<(u64, u64)> = steps
             .iter()
@@ -147,10 +147,10 @@
             .windows(2)
             .filter(|pair| pair[1].0 < pair[0].1)
             .count();
-        let named = steps
+        let announcements = steps
             .iter()
             .filter(|step| step.action == Action::AnnounceWeights);
-        assert!(named.count() >= 5, "seed {seed}");
+        assert!(announcements.count() >= 5, "seed {seed}");
     }
     assert!(overlapping > 1_000, "{overlapping}");
 }
