--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -1,9 +1,9 @@
-//! Simulated backends: they register, accept orders, execute requests and record each execution.
+//! Simulated backends, which register, accept orders, and execute and record requests.
 
+mod execution;
 mod orders;
-mod running;
 
-pub use running::event;
+pub use execution::event;
 
 use crate::clock::Clock;
 use crate::history::{BackendEvent, BackendState, Recorder};
@@ -29,34 +29,34 @@
 const SLOTS: usize = 6;
 /// The time-out of a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a draining backend serves after the acknowledgement.
+/// How long a draining backend continues to serve after a router has acknowledged its state.
 const DRAIN_TIME: Duration = Duration::from_millis(2_200);
 /// The time-out of draining and deregistration.
-const END_TIMEOUT: Duration = Duration::from_secs(12);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(12);
 /// The header with the duration of the work in milliseconds and the number of events.
 pub const WORK_HEADER: &str = "x-soak-work";
 
 type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// What all backends of a run share.
+/// The state that all backends of a run share.
 pub struct Environment {
     /// The run's clock.
     pub clock: Clock,
-    /// Where runs are recorded.
+    /// The recorder for executions, orders and states.
     pub recorder: Arc<Recorder>,
-    /// Where routers take heartbeats.
+    /// The control addresses of the routers.
     pub control: Vec<SocketAddrV4>,
-    /// For heartbeats.
+    /// The HTTP client for calls to routers.
     pub client: reqwest::Client,
-    /// Where backends listen.
+    /// The IP address of all backends.
     pub address: Ipv4Addr,
-    /// The newest acknowledged version of the weights, with which a new backend starts.
+    /// The newest acknowledged version of the weights. New backends start with it.
     pub newest_weights: AtomicU64,
-    next: AtomicU64,
+    next_number: AtomicU64,
 }
 
 impl Environment {
-    /// The environment before any backend has started.
+    /// Creates the environment of a run without backends.
     pub fn new(
         clock: Clock,
         recorder: Arc<Recorder>,
@@ -64,7 +64,7 @@
         client: reqwest::Client,
         address: Ipv4Addr,
     ) -> Arc<Self> {
-        let (newest_weights, next) = (AtomicU64::new(1), AtomicU64::new(1));
+        let (newest_weights, next_number) = (AtomicU64::new(1), AtomicU64::new(1));
         Arc::new(Environment {
             clock,
             recorder,
@@ -72,7 +72,7 @@
             client,
             address,
             newest_weights,
-            next,
+            next_number,
         })
     }
 }
@@ -101,7 +101,7 @@
 }
 
 impl Backend {
-    /// Starts an incarnation with the newest weights.
+    /// Starts an incarnation with the newest acknowledged weights.
     pub async fn start(environment: Arc<Environment>) -> std::io::Result<Self> {
         let listener = TcpListener::bind((environment.address, 0)).await?;
         let link = Link::to(SocketAddrV4::new(
@@ -111,7 +111,7 @@
         .await?;
         let address = link.address;
         let state = Arc::new(State {
-            number: environment.next.fetch_add(1, Ordering::Relaxed),
+            number: environment.next_number.fetch_add(1, Ordering::Relaxed),
             address,
             version: AtomicU64::new(environment.newest_weights.load(Ordering::Relaxed)),
             environment,
@@ -137,22 +137,22 @@
         })
     }
 
-    /// The version of its weights.
+    /// The version of the loaded weights.
     pub fn version(&self) -> u64 {
         self.state.version.load(Ordering::Relaxed)
     }
 
-    /// Accepts connections without responding, or responds again.
-    pub fn set_hanging(&self, hangs: bool) {
-        self.state.is_hanging.store(hangs, Ordering::Relaxed);
-        self.state.record(if hangs {
+    /// Sets whether the backend accepts connections without responding.
+    pub fn set_hanging(&self, is_hanging: bool) {
+        self.state.is_hanging.store(is_hanging, Ordering::Relaxed);
+        self.state.record(if is_hanging {
             BackendState::Unresponsive
         } else {
             BackendState::Responding
         });
     }
 
-    /// Starts or ends a partition of the link to it.
+    /// Starts or ends a partition of the link to the backend.
     pub fn set_partitioned(&self, is_partitioned: bool) {
         self.link.set_partitioned(is_partitioned);
         self.state.record(if is_partitioned {
@@ -162,29 +162,29 @@
         });
     }
 
-    /// Stops at once, with all requests in flight.
+    /// Stops the backend at once and drops all requests in flight.
     pub fn crash(self) {
         self.state.has_crashed.store(true, Ordering::Relaxed);
         self.state.record(BackendState::Stopping);
     }
 
-    /// Shuts down gracefully: reports that it is draining, serves for a while, and deregisters.
+    /// Shuts down gracefully: reports the draining state, serves for a while, and deregisters.
     pub async fn drain(self) {
         self.state.is_draining.store(true, Ordering::Relaxed);
         self.state.record(BackendState::Stopping);
-        let acknowledged = async {
-            while !self.state.call("heartbeat").await {}
+        let shutdown = async {
+            while !self.state.call_routers("heartbeat").await {}
             tokio::time::sleep(DRAIN_TIME).await;
-            while !self.state.call("deregister").await {}
+            while !self.state.call_routers("deregister").await {}
         };
-        // Without an acknowledgement it stops all the same.
-        let _ = tokio::time::timeout(END_TIMEOUT, acknowledged).await;
+        // The backend also stops if no router acknowledges.
+        let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, shutdown).await;
         self.crash();
     }
 }
 
-/// The tasks of a backend end with it: otherwise they would send heartbeats to the routers of the
-/// next run.
+/// Stops the tasks of the backend, which would otherwise send heartbeats to the routers of the next
+/// run.
 impl Drop for Backend {
     fn drop(&mut self) {
         self.server.abort();
@@ -206,7 +206,7 @@
         async move { Ok::<_, Infallible>(state.handle(request).await) }
     });
     let builder = hyper::server::conn::http1::Builder::new();
-    // The caller may have closed; what it asked for is dropped with the connection.
+    // An error means that the caller closed the connection, which drops its requests.
     let _ = builder
         .serve_connection(TokioIo::new(stream), service)
         .await;
@@ -215,7 +215,7 @@
 async fn send_heartbeats(state: Arc<State>) {
     loop {
         if !state.is_draining.load(Ordering::Relaxed) && !state.is_hanging.load(Ordering::Relaxed) {
-            state.call("heartbeat").await;
+            state.call_routers("heartbeat").await;
         }
         tokio::time::sleep(Duration::from_millis(HEARTBEAT_MS)).await;
     }
@@ -231,8 +231,8 @@
         match path.as_str() {
             "/v1/order" => self.take_order(request).await,
             "/v1/report" => self.report().await,
-            "/health" => answer(200, Bytes::new()),
-            _ => self.run(request).await,
+            "/health" => response(200, Bytes::new()),
+            _ => self.execute(request).await,
         }
     }
 
@@ -240,7 +240,7 @@
         let at = self.environment.clock.now();
         self.environment
             .recorder
-            .open()
+            .lock()
             .backends
             .push(BackendEvent {
                 backend: self.number,
@@ -249,7 +249,8 @@
             });
     }
 
-    async fn hang(&self) {
+    /// Waits forever if the backend hangs.
+    async fn wait_if_hanging(&self) {
         if self.is_hanging.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
@@ -261,8 +262,8 @@
         expected.is_some_and(|expected| expected.as_bytes() != self.id().as_bytes())
     }
 
-    /// Sends its state to the routers, one after the other, until one acknowledges it.
-    async fn call(&self, what: &str) -> bool {
+    /// Sends the state of the backend to up to four routers, until one acknowledges.
+    async fn call_routers(&self, operation: &str) -> bool {
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
         let state = if self.is_draining.load(Ordering::Relaxed) {
             "draining"
@@ -282,7 +283,7 @@
             .skip(first)
             .take(control.len().min(4))
         {
-            let url = format!("http://{address}/v1/instances/{}/{what}", self.id());
+            let url = format!("http://{address}/v1/instances/{}/{operation}", self.id());
             let call = self
                 .environment
                 .client
@@ -292,7 +293,7 @@
             if call
                 .send()
                 .await
-                .is_ok_and(|answer| answer.status().is_success())
+                .is_ok_and(|response| response.status().is_success())
             {
                 return true;
             }
@@ -301,7 +302,7 @@
     }
 }
 
-fn answer(status: u16, body: Bytes) -> Response<Body> {
+fn response(status: u16, body: Bytes) -> Response<Body> {
     let mut response = Response::new(Full::new(body).boxed_unsync());
     *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
     response
--- a/soak/src/backend/running.rs
+++ b/soak/src/backend/execution.rs
@@ -1,7 +1,7 @@
 //! Executes requests and records each execution.
 
-use super::{Body, SLOTS, State, WORK_HEADER, answer};
-use crate::history::Run;
+use super::{Body, SLOTS, State, WORK_HEADER, response};
+use crate::history::Execution;
 use bytes::Bytes;
 use futures_util::stream;
 use http_body_util::{BodyExt, StreamBody};
@@ -12,51 +12,52 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The time between two events of a stream.
+/// The interval between events of a stream.
 const EVENT_GAP: Duration = Duration::from_millis(15);
 
-/// A recorded execution; it ends when this is dropped.
-struct Running {
+/// A guard of a recorded execution, whose end is recorded on drop.
+struct ExecutionGuard {
     state: Arc<State>,
-    at: usize,
+    /// The index in the history.
+    index: usize,
 }
 
-impl Running {
-    fn arrive(state: &Arc<State>, request: u64) -> Self {
-        let run = Run {
+impl ExecutionGuard {
+    fn record_arrival(state: &Arc<State>, request: u64) -> Self {
+        let execution = Execution {
             request,
             backend: state.number,
             version: 0,
             arrived_at: state.environment.clock.now(),
-            begun_at: None,
+            started_at: None,
             ended_at: None,
-            broke_off: false,
+            backend_crashed: false,
         };
-        let mut history = state.environment.recorder.open();
-        history.runs.push(run);
-        Running {
+        let mut history = state.environment.recorder.lock();
+        history.executions.push(execution);
+        ExecutionGuard {
             state: state.clone(),
-            at: history.runs.len() - 1,
+            index: history.executions.len() - 1,
         }
     }
 
-    fn begin(&self, version: u64) {
+    fn record_start(&self, version: u64) {
         let now = self.state.environment.clock.now();
-        let run = &mut self.state.environment.recorder.open().runs[self.at];
-        (run.version, run.begun_at) = (version, Some(now));
+        let execution = &mut self.state.environment.recorder.lock().executions[self.index];
+        (execution.version, execution.started_at) = (version, Some(now));
     }
 }
 
-impl Drop for Running {
+impl Drop for ExecutionGuard {
     fn drop(&mut self) {
         let now = self.state.environment.clock.now();
-        let run = &mut self.state.environment.recorder.open().runs[self.at];
-        run.ended_at = Some(now);
-        run.broke_off = self.state.has_crashed.load(Ordering::Relaxed);
+        let execution = &mut self.state.environment.recorder.lock().executions[self.index];
+        execution.ended_at = Some(now);
+        execution.backend_crashed = self.state.has_crashed.load(Ordering::Relaxed);
     }
 }
 
-/// What the headers of a request ask for.
+/// The parameters in the headers of a request.
 struct RequestHeaders {
     request: u64,
     work_ms: u64,
@@ -66,7 +67,7 @@
 }
 
 impl RequestHeaders {
-    fn read(request: &Request<Incoming>) -> Option<Self> {
+    fn parse(request: &Request<Incoming>) -> Option<Self> {
         let text = |name: &str| {
             request
                 .headers()
@@ -87,44 +88,53 @@
 }
 
 impl State {
-    pub(super) async fn run(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        let Some(headers) = RequestHeaders::read(&request) else {
-            return answer(400, Bytes::new());
+    pub(super) async fn execute(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+        let Some(headers) = RequestHeaders::parse(&request) else {
+            return response(400, Bytes::new());
         };
         if self.is_misdirected(&request) {
-            return answer(421, Bytes::new());
+            return response(421, Bytes::new());
         }
-        let running = Running::arrive(&self, headers.request);
-        self.hang().await;
+        let guard = ExecutionGuard::record_arrival(&self, headers.request);
+        self.wait_if_hanging().await;
         let Ok(_slot) = self.slots.acquire().await else {
-            return answer(503, Bytes::new());
+            return response(503, Bytes::new());
         };
         let version = self.version.load(Ordering::Relaxed);
         if headers
             .expected_version
             .is_some_and(|expected| expected != version)
         {
-            let mut response = answer(421, Bytes::new());
+            let mut response = response(421, Bytes::new());
             response.headers_mut().insert("versions", version.into());
             return response;
         }
         if self.is_loading.load(Ordering::Relaxed) {
-            let mut response = answer(503, Bytes::new());
+            let mut response = response(503, Bytes::new());
             response.headers_mut().insert("x-not-executed", 1.into());
             return response;
         }
-        running.begin(version);
+        guard.record_start(version);
         tokio::time::sleep(Duration::from_millis(headers.work_ms)).await;
-        self.respond(headers, version, running)
+        self.respond(headers, version, guard)
     }
 
-    fn respond(&self, headers: RequestHeaders, version: u64, running: Running) -> Response<Body> {
+    fn respond(
+        &self,
+        headers: RequestHeaders,
+        version: u64,
+        guard: ExecutionGuard,
+    ) -> Response<Body> {
         let id = headers.request;
         let mut response = if headers.events == 0 {
-            answer(200, format!("done {id:016x}").into())
+            response(200, format!("done {id:016x}").into())
         } else {
-            let mut response =
-                Response::new(events(id, headers.last_event + 1, headers.events, running));
+            let mut response = Response::new(event_stream(
+                id,
+                headers.last_event + 1,
+                headers.events,
+                guard,
+            ));
             let kind = hyper::header::HeaderValue::from_static("text/event-stream");
             response.headers_mut().insert("content-type", kind);
             response
@@ -145,10 +155,9 @@
     }
 }
 
-/// The events of a stream from one number to another. The execution ends when the stream is
-/// dropped.
-fn events(id: u64, first: u64, last: u64, running: Running) -> Body {
-    let events = stream::unfold((first, running), move |(number, running)| async move {
+/// A stream of the events from number `first` to `last`. Dropping the stream ends the execution.
+fn event_stream(id: u64, first: u64, last: u64, guard: ExecutionGuard) -> Body {
+    let events = stream::unfold((first, guard), move |(number, guard)| async move {
         if number > last {
             return None;
         }
@@ -158,7 +167,7 @@
         let text = event(id, number);
         Some((
             Ok::<_, Infallible>(Frame::data(Bytes::from(text))),
-            (number + 1, running),
+            (number + 1, guard),
         ))
     });
     StreamBody::new(events).boxed_unsync()
--- a/soak/src/check.rs
+++ b/soak/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a history against the rules.
+//! Checks the history of a run against the rules.
 
 mod configurations;
 mod processes;
@@ -7,49 +7,53 @@
 
 use crate::clock::Millis;
 use crate::history::{Change, ChangeRecord, History, ProcessEvent, Reply, Request, RouterEvent};
-use crate::settings::CONTACT_MS;
+use crate::settings::RECONNECT_MS;
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// What the scheduler of a busy machine may add to a bound.
+/// The delay that scheduling on a busy machine may add to a time limit.
 const SLACK_MS: Millis = 400;
-/// The percentage of requests that have to be served after the recovery.
-const SERVED_PERCENT: u32 = 95;
+/// The percentage of requests that must be served after recovery.
+const MIN_SERVED_PERCENT: u32 = 95;
 
 /// A violated rule.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Violation {
-    /// The rule.
+    /// The name of the rule.
     pub rule: &'static str,
-    /// When it was observed.
+    /// When the violation was observed.
     pub at: Millis,
-    /// What was observed.
-    pub what: String,
+    /// The observation, as text.
+    pub details: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{} at {} ms: {}", self.rule, self.at, self.what)
+        write!(
+            formatter,
+            "{} at {} ms: {}",
+            self.rule, self.at, self.details
+        )
     }
 }
 
-/// All violations, by time.
+/// Returns all violations, sorted by time.
 pub fn violations(history: &History) -> Vec<Violation> {
     let checks = [
-        requests::answers,
-        requests::runs,
-        requests::refusals,
-        requests::lost,
-        requests::cancelled,
-        weights::old_weights,
-        weights::left_behind,
-        weights::gone_back,
-        configurations::in_force,
-        configurations::gone_back,
-        configurations::races,
-        weights::holders,
-        weights::turns,
-        processes::processes,
+        requests::corrupted_responses,
+        requests::forbidden_executions,
+        requests::executed_refusals,
+        requests::lost_requests,
+        requests::late_cancellations,
+        weights::outdated_executions,
+        weights::missing_updates,
+        weights::regressions,
+        configurations::late_configurations,
+        configurations::regressions,
+        configurations::conflicting_changes,
+        weights::shared_fencing_tokens,
+        weights::overlapping_leases,
+        processes::failed_exits,
         recovery,
     ];
     let mut found: Vec<Violation> = checks.iter().flat_map(|check| check(history)).collect();
@@ -57,37 +61,44 @@
     found
 }
 
-/// Whether these routers had no fault in a span, nor within [`CONTACT_MS`] before it.
-fn are_calm(history: &History, routers: impl Fn(usize) -> bool, from: Millis, to: Millis) -> bool {
-    let from = from.saturating_sub(CONTACT_MS);
-    let disturbs = |event: &&RouterEvent| {
+/// Whether the selected routers had no faults in a period and in the [`RECONNECT_MS`] before it.
+fn had_no_faults(
+    history: &History,
+    routers: impl Fn(usize) -> bool,
+    from: Millis,
+    to: Millis,
+) -> bool {
+    let from = from.saturating_sub(RECONNECT_MS);
+    let is_fault = |event: &&RouterEvent| {
         routers(event.router)
             && event.event != ProcessEvent::Reloaded
             && (from..=to).contains(&event.at)
     };
-    history.router_events.iter().find(disturbs).is_none() && !is_stopped(history, routers, from)
+    history.router_events.iter().find(is_fault).is_none()
+        && !is_any_suspended(history, routers, from)
 }
 
-/// Whether any of these routers is suspended at a time.
-fn is_stopped(history: &History, routers: impl Fn(usize) -> bool, at: Millis) -> bool {
-    let mut stopped = BTreeSet::new();
+/// Whether any of the selected routers was suspended at a time.
+fn is_any_suspended(history: &History, routers: impl Fn(usize) -> bool, at: Millis) -> bool {
+    let mut suspended = BTreeSet::new();
     for event in history
         .router_events
         .iter()
         .filter(|event| routers(event.router) && event.at <= at)
     {
         match event.event {
-            ProcessEvent::Suspended => stopped.insert(event.router),
-            ProcessEvent::Resumed | ProcessEvent::Exited(_) => stopped.remove(&event.router),
+            ProcessEvent::Suspended => suspended.insert(event.router),
+            ProcessEvent::Resumed | ProcessEvent::Exited(_) => suspended.remove(&event.router),
             _ => false,
         };
     }
-    !stopped.is_empty()
+    !suspended.is_empty()
 }
 
-/// Whether this router was in contact with the replicas of the control state: none had a fault.
-fn in_touch(history: &History, router: usize, from: Millis, to: Millis) -> bool {
-    are_calm(
+/// Whether a router is assumed to have been connected to the replicas of the control state: neither
+/// the router nor any of the replicas had faults.
+fn was_connected(history: &History, router: usize, from: Millis, to: Millis) -> bool {
+    had_no_faults(
         history,
         |number| number < history.replicas || number == router,
         from,
@@ -95,9 +106,9 @@
     )
 }
 
-/// Whether a router's process was killed or suspended in a span.
+/// Whether a router's process was killed or suspended in a period.
 fn was_interrupted(history: &History, router: usize, from: Millis, to: Millis) -> bool {
-    let hard = |event: &&RouterEvent| {
+    let is_interruption = |event: &&RouterEvent| {
         event.router == router
             && matches!(
                 event.event,
@@ -105,26 +116,30 @@
             )
             && (from..=to).contains(&event.at)
     };
-    history.router_events.iter().any(|event| hard(&event))
-        || is_stopped(history, |number| number == router, from)
+    history
+        .router_events
+        .iter()
+        .any(|event| is_interruption(&event))
+        || is_any_suspended(history, |number| number == router, from)
 }
 
-fn violation(rule: &'static str, at: Millis, request: &Request, what: &str) -> Violation {
-    let what = format!(
-        "request {:016x} ({:?}) at router {}: {what}",
+/// A violation that concerns one request.
+fn violation(rule: &'static str, at: Millis, request: &Request, details: &str) -> Violation {
+    let details = format!(
+        "request {:016x} ({:?}) at router {}: {details}",
         request.id, request.kind, request.router
     );
-    Violation { rule, at, what }
+    Violation { rule, at, details }
 }
 
 fn acknowledged(history: &History) -> impl Iterator<Item = &ChangeRecord> {
     history
         .changes
         .iter()
-        .filter(|changed| changed.reply == Reply::Acknowledged)
+        .filter(|change_record| change_record.reply == Reply::Acknowledged)
 }
 
-/// After the recovery everything acknowledged is there, and clients are served.
+/// After recovery all acknowledged changes are in force, and clients are served.
 fn recovery(history: &History) -> Vec<Violation> {
     let at = history
         .requests
@@ -133,56 +148,63 @@
         .max()
         .unwrap_or(0);
     let mut found = Vec::new();
-    let mut complain = |rule, what| found.push(Violation { rule, at, what });
+    let mut report = |rule, details| found.push(Violation { rule, at, details });
     let newest = configurations::acknowledged_configurations(history)
         .map(|(version, _)| version)
         .max()
         .unwrap_or(0);
-    match history.end.read_back {
-        None => complain(
+    match history.final_state.read_back {
+        None => report(
             "CONFIG",
-            "no router tells the newest configuration".to_owned(),
+            "no router returned the newest configuration".to_owned(),
         ),
         Some(version) if version < newest => {
-            complain(
+            report(
                 "LOST",
-                format!("version {newest} was acknowledged, and {version} is read back"),
+                format!(
+                    "configuration version {newest} was acknowledged, but {version} was read after recovery"
+                ),
             );
         }
         Some(version) => {
-            let others = history
-                .end
+            let outdated = history
+                .final_state
                 .configurations
                 .iter()
-                .filter(|other| **other != version)
+                .filter(|configuration| **configuration != version)
                 .count();
-            if others > 0 {
-                complain(
+            if outdated > 0 {
+                report(
                     "CONFIG",
-                    format!("{others} routers do not have version {version} in force"),
+                    format!(
+                        "{outdated} routers do not have configuration version {version} in force"
+                    ),
                 );
             }
         }
     }
-    let named = acknowledged(history).filter_map(|changed| match changed.change {
+    let announced = acknowledged(history).filter_map(|change_record| match change_record.change {
         Change::Weights(version) => Some(version),
         Change::Configuration { .. } => None,
     });
-    let named = named.max().unwrap_or(1);
-    let old = history
-        .end
+    let newest_weights = announced.max().unwrap_or(1);
+    let outdated = history
+        .final_state
         .weights
         .iter()
-        .filter(|version| **version < named)
+        .filter(|version| **version < newest_weights)
         .count();
-    if old > 0 {
-        complain("VERSION", format!("{old} backends lack version {named}"));
+    if outdated > 0 {
+        report(
+            "VERSION",
+            format!("{outdated} backends do not have version {newest_weights} of the weights"),
+        );
     }
-    let (sent, served) = history.end.requests;
-    if served * 100 < sent * SERVED_PERCENT || sent == 0 {
-        complain(
+    let (sent, served) = history.final_state.requests;
+    if served * 100 < sent * MIN_SERVED_PERCENT || sent == 0 {
+        report(
             "RECOVER",
-            format!("{served} of {sent} requests are served after the last trouble"),
+            format!("{served} of {sent} requests were served after recovery"),
         );
     }
     found
--- a/soak/src/check/configurations.rs
+++ b/soak/src/check/configurations.rs
@@ -1,7 +1,7 @@
-//! Rules on configurations: they are in force in time, versions are monotonic, and of two changes
-//! on top of one version one succeeds.
+//! Rules on configurations: each is in force in time, versions are monotonic, and at most one
+//! change to the same base version succeeds.
 
-use super::{SLACK_MS, Violation, acknowledged, in_touch};
+use super::{SLACK_MS, Violation, acknowledged, was_connected};
 use crate::clock::Millis;
 use crate::history::{Change, History, ProcessEvent};
 use crate::settings::CONFIG_APPLY_MS;
@@ -10,91 +10,94 @@
 pub(super) fn acknowledged_configurations(
     history: &History,
 ) -> impl Iterator<Item = (u64, Millis)> {
-    acknowledged(history).filter_map(|changed| match changed.change {
-        Change::Configuration { version, .. } => Some((version, changed.answered_at)),
+    acknowledged(history).filter_map(|change_record| match change_record.change {
+        Change::Configuration { version, .. } => Some((version, change_record.answered_at)),
         Change::Weights(_) => None,
     })
 }
 
-/// A router in contact has a configuration in force soon after its acknowledgement.
-pub(super) fn in_force(history: &History) -> Vec<Violation> {
-    let acks: Vec<(u64, Millis)> = acknowledged_configurations(history).collect();
+/// A connected router has a configuration in force [`CONFIG_APPLY_MS`] after its acknowledgement.
+pub(super) fn late_configurations(history: &History) -> Vec<Violation> {
+    let acknowledged: Vec<(u64, Millis)> = acknowledged_configurations(history).collect();
     let mut found = Vec::new();
-    for seen in &history.statuses {
+    for status in &history.statuses {
         let is_due = |(version, at): &&(u64, Millis)| {
-            *version > seen.configuration
-                && seen.asked_at > *at + CONFIG_APPLY_MS + SLACK_MS
-                && in_touch(history, seen.router, *at, seen.answered_at)
+            *version > status.configuration
+                && status.asked_at > *at + CONFIG_APPLY_MS + SLACK_MS
+                && was_connected(history, status.router, *at, status.answered_at)
         };
-        if let Some((version, at)) = acks.iter().find(is_due) {
-            let what = format!(
-                "router {} had version {} still, {} ms after {version} was acknowledged",
-                seen.router,
-                seen.configuration,
-                seen.asked_at - at
+        if let Some((version, at)) = acknowledged.iter().find(is_due) {
+            let details = format!(
+                "router {} still had version {}, {} ms after {version} was acknowledged",
+                status.router,
+                status.configuration,
+                status.asked_at - at
             );
             found.push(Violation {
                 rule: "CONFIG",
-                at: seen.asked_at,
-                what,
+                at: status.asked_at,
+                details,
             });
         }
     }
     found
 }
 
-/// Within one incarnation of a process its version of the configuration is monotonic.
-pub(super) fn gone_back(history: &History) -> Vec<Violation> {
+/// While a process runs, the version of its configuration is monotonic.
+pub(super) fn regressions(history: &History) -> Vec<Violation> {
     let mut newest: BTreeMap<usize, (u64, Millis)> = BTreeMap::new();
     let mut found = Vec::new();
-    for seen in &history.statuses {
-        let started = history.router_events.iter().filter(|event| {
-            event.router == seen.router
+    for status in &history.statuses {
+        let starts = history.router_events.iter().filter(|event| {
+            event.router == status.router
                 && event.event == ProcessEvent::Started
-                && event.at <= seen.answered_at
+                && event.at <= status.answered_at
         });
-        let life = started.map(|event| event.at).max().unwrap_or(0);
-        let before = newest.entry(seen.router).or_default();
-        if before.1 < life {
-            *before = (0, 0);
+        let started_at = starts.map(|event| event.at).max().unwrap_or(0);
+        let previous = newest.entry(status.router).or_default();
+        if previous.1 < started_at {
+            *previous = (0, 0);
         }
-        if seen.configuration < before.0 && before.1 <= seen.asked_at && life < before.1 {
-            let what = format!(
-                "router {} went from version {} to {}",
-                seen.router, before.0, seen.configuration
+        if status.configuration < previous.0
+            && previous.1 <= status.asked_at
+            && started_at < previous.1
+        {
+            let details = format!(
+                "router {} regressed from version {} to {}",
+                status.router, previous.0, status.configuration
             );
             found.push(Violation {
                 rule: "CONFIG",
-                at: seen.answered_at,
-                what,
+                at: status.answered_at,
+                details,
             });
         }
-        if seen.configuration >= before.0 {
-            *before = (seen.configuration, seen.answered_at);
+        if status.configuration >= previous.0 {
+            *previous = (status.configuration, status.answered_at);
         }
     }
     found
 }
 
-/// Of two changes on top of one version at most one is acknowledged.
-pub(super) fn races(history: &History) -> Vec<Violation> {
-    let mut taken: BTreeMap<u64, u64> = BTreeMap::new();
+/// At most one change to the same base version is acknowledged.
+pub(super) fn conflicting_changes(history: &History) -> Vec<Violation> {
+    let mut variants: BTreeMap<u64, u64> = BTreeMap::new();
     let mut found = Vec::new();
-    for changed in acknowledged(history) {
-        let Change::Configuration { base, variant, .. } = changed.change else {
+    for change_record in acknowledged(history) {
+        let Change::Configuration { base, variant, .. } = change_record.change else {
             continue;
         };
-        if let Some(other) = taken
+        if let Some(other) = variants
             .insert(base, variant)
             .filter(|other| *other != variant)
         {
-            let what = format!(
-                "variants {other} and {variant} are both acknowledged on top of version {base}"
+            let details = format!(
+                "variants {other} and {variant} were both acknowledged as changes to version {base}"
             );
             found.push(Violation {
                 rule: "CONFIG",
-                at: changed.answered_at,
-                what,
+                at: change_record.answered_at,
+                details,
             });
         }
     }
--- a/soak/src/check/processes.rs
+++ b/soak/src/check/processes.rs
@@ -1,33 +1,34 @@
-//! Rules on processes: they shut down gracefully and in time when they are terminated.
+//! Rules on processes: each shuts down successfully and in time on SIGTERM.
 
 use super::Violation;
 use crate::clock::Millis;
 use crate::history::{Exit, History, ProcessEvent, RouterEvent};
-use crate::settings::GRACE_MS;
+use crate::settings::GRACE_PERIOD_MS;
 use std::collections::BTreeMap;
 
-/// A process that has run for less may not have installed its signal handlers yet.
-const START_MS: Millis = 60;
+/// Exits before this running time are not checked: the process may not have installed its signal
+/// handlers yet.
+const STARTUP_MS: Millis = 60;
 
-/// Processes exit when they are terminated, with success and in time, and not by themselves.
-pub(super) fn processes(history: &History) -> Vec<Violation> {
+/// Processes exit only on a signal, and on SIGTERM with success within the grace period.
+pub(super) fn failed_exits(history: &History) -> Vec<Violation> {
     let mut last_signals: BTreeMap<usize, Option<RouterEvent>> = BTreeMap::new();
     let mut uptimes: BTreeMap<usize, Uptime> = BTreeMap::new();
     let mut found = Vec::new();
     for event in &history.router_events {
         let last = last_signals.entry(event.router).or_default();
-        let life = uptimes.entry(event.router).or_default();
-        let mut complain = |what: String| {
+        let uptime = uptimes.entry(event.router).or_default();
+        let mut report = |details: String| {
             found.push(Violation {
                 rule: "FAULT",
                 at: event.at,
-                what,
+                details,
             })
         };
         match event.event {
             ProcessEvent::Started => {
                 *last = None;
-                *life = Uptime {
+                *uptime = Uptime {
                     started: Some(event.at),
                     ..Uptime::default()
                 };
@@ -35,25 +36,33 @@
             ProcessEvent::Terminated => *last = last.or(Some(*event)),
             ProcessEvent::Killed => {
                 let grace_is_over = last.is_some_and(|last| {
-                    last.event == ProcessEvent::Terminated && event.at >= last.at + GRACE_MS
+                    last.event == ProcessEvent::Terminated && event.at >= last.at + GRACE_PERIOD_MS
                 });
-                if grace_is_over && !life.was_suspended() {
-                    complain(format!(
-                        "router {} was still there at the end of its grace period",
+                if grace_is_over && !uptime.was_suspended() {
+                    report(format!(
+                        "router {} was still running at the end of its grace period",
                         event.router
                     ));
                 }
                 *last = Some(*event);
             }
-            ProcessEvent::Suspended => life.stopped = life.stopped.or(Some(event.at)),
-            ProcessEvent::Resumed => life.resume(event.at),
-            ProcessEvent::Exited(_) if life.ran(event.at).is_some_and(|ran| ran < START_MS) => {}
+            ProcessEvent::Suspended => {
+                uptime.suspended_since = uptime.suspended_since.or(Some(event.at))
+            }
+            ProcessEvent::Resumed => uptime.resume(event.at),
+            ProcessEvent::Exited(_)
+                if uptime
+                    .running_ms(event.at)
+                    .is_some_and(|ran| ran < STARTUP_MS) => {}
             ProcessEvent::Exited(exit) => match last {
-                None => complain(format!("router {} ended by itself: {exit:?}", event.router)),
+                None => report(format!(
+                    "router {} exited without a signal: {exit:?}",
+                    event.router
+                )),
                 Some(last) if last.event == ProcessEvent::Terminated && exit != Exit::Success => {
-                    let ran = life.ran(event.at).unwrap_or(0);
-                    complain(format!(
-                        "router {} was told to end, and failed after it had run for {ran} ms: {exit:?}",
+                    let ran = uptime.running_ms(event.at).unwrap_or(0);
+                    report(format!(
+                        "router {} failed on SIGTERM after a running time of {ran} ms: {exit:?}",
                         event.router
                     ));
                 }
@@ -65,28 +74,28 @@
     found
 }
 
-/// How long a process has run. One that was suspended right after its start handles no signals
-/// until it is resumed.
+/// The running time of a process without the time in which it was suspended: a process that is
+/// suspended right after its start cannot install signal handlers until it is resumed.
 #[derive(Debug, Clone, Copy, Default)]
 struct Uptime {
     started: Option<Millis>,
-    stopped: Option<Millis>,
-    still: Millis,
+    suspended_since: Option<Millis>,
+    suspended_ms: Millis,
 }
 
 impl Uptime {
     fn was_suspended(&self) -> bool {
-        self.stopped.is_some() || self.still > 0
+        self.suspended_since.is_some() || self.suspended_ms > 0
     }
 
     fn resume(&mut self, now: Millis) {
-        self.still += self.stopped.take().map_or(0, |stopped| now - stopped);
+        self.suspended_ms += self.suspended_since.take().map_or(0, |since| now - since);
     }
 
-    /// How long it has run; `None` if its start is not in the history.
-    fn ran(&self, now: Millis) -> Option<Millis> {
-        let still = self.still + self.stopped.map_or(0, |stopped| now - stopped);
+    /// The running time until now; `None` if the start is not in the history.
+    fn running_ms(&self, now: Millis) -> Option<Millis> {
+        let suspended_ms = self.suspended_ms + self.suspended_since.map_or(0, |since| now - since);
         self.started
-            .map(|started| (now - started).saturating_sub(still))
+            .map(|started| (now - started).saturating_sub(suspended_ms))
     }
 }
--- a/soak/src/check/requests.rs
+++ b/soak/src/check/requests.rs
@@ -1,98 +1,111 @@
-//! Rules on requests: responses are complete and from a backend, no request is executed that must
-//! not be, none is lost, and cancelled ones stop.
+//! Rules on requests: responses are complete and from a backend, refused and unsent requests are
+//! not executed, requests that are not idempotent are not repeated, none is lost, and work on
+//! cancelled ones stops.
 
 use super::{SLACK_MS, Violation, violation, was_interrupted};
 use crate::clock::Millis;
-use crate::history::{BackendState, History, Kind, Outcome, Request, Run};
+use crate::history::{BackendState, Execution, History, Kind, Outcome, Request};
 use crate::settings::ROUTE_TIMEOUT_MS;
 use std::collections::HashMap;
 
-/// How long a backend may work on a cancelled request.
-const CANCEL_MS: Millis = 500;
-/// The number of cancelled requests that may be worked on for longer.
-const TOLERATED_CANCELLED_RUNS: usize = 3;
-/// How long before the time-out of its route a router may end a response.
-const TIME_OUT_MARGIN_MS: Millis = 50;
-/// How long after its request a connection may end without a response.
-const UNANSWERED_MS: Millis = 200;
+/// The longest time that a backend may work on a request after its cancellation.
+const MAX_CANCEL_MS: Millis = 500;
+/// The number of cancelled requests in a run that may exceed [`MAX_CANCEL_MS`].
+const TOLERATED_LATE_CANCELLATIONS: usize = 3;
+/// How long before the route's time-out a router may end a response.
+const ROUTE_TIMEOUT_MARGIN_MS: Millis = 50;
+/// How long after sending a request its connection may close without a response, because a close by
+/// the router can cross the request.
+const MAX_CROSSING_MS: Millis = 200;
 
-fn runs_by_request(history: &History) -> HashMap<u64, Vec<&Run>> {
-    let mut runs: HashMap<u64, Vec<&Run>> = HashMap::new();
-    history
-        .runs
-        .iter()
-        .for_each(|run| runs.entry(run.request).or_default().push(run));
-    runs
+fn executions_by_request(history: &History) -> HashMap<u64, Vec<&Execution>> {
+    let mut executions: HashMap<u64, Vec<&Execution>> = HashMap::new();
+    history.executions.iter().for_each(|execution| {
+        executions
+            .entry(execution.request)
+            .or_default()
+            .push(execution)
+    });
+    executions
 }
 
-pub(super) fn answers(history: &History) -> Vec<Violation> {
-    let spoiled = history
+/// Responses with status 200 are exactly as the backend sent them.
+pub(super) fn corrupted_responses(history: &History) -> Vec<Violation> {
+    let corrupted = history
         .requests
         .iter()
         .filter_map(|request| match request.outcome {
             Outcome::Corrupted(how) => Some(violation("MIXED", request.ended_at, request, how)),
             _ => None,
         });
-    spoiled.collect()
+    corrupted.collect()
 }
 
-pub(super) fn runs(history: &History) -> Vec<Violation> {
+/// Requests that are not idempotent are executed at most once, and unsent ones never.
+pub(super) fn forbidden_executions(history: &History) -> Vec<Violation> {
     let requests: HashMap<u64, &Request> = history
         .requests
         .iter()
         .map(|request| (request.id, request))
         .collect();
     let mut found = Vec::new();
-    for (id, runs) in runs_by_request(history) {
-        let begun: Vec<&&Run> = runs.iter().filter(|run| run.begun_at.is_some()).collect();
-        // A request in flight at the end of the run is not recorded by its client.
+    for (id, executions) in executions_by_request(history) {
+        let started: Vec<&&Execution> = executions
+            .iter()
+            .filter(|execution| execution.started_at.is_some())
+            .collect();
+        // Clients do not record requests that are in flight at the end of the soak run.
         let Some(request) = requests.get(&id) else {
             continue;
         };
-        if request.kind == Kind::Unsafe && begun.len() > 1 {
-            let what = format!("it ran {} times", begun.len());
-            found.push(violation("TWICE", request.ended_at, request, &what));
+        if request.kind == Kind::Unsafe && started.len() > 1 {
+            let details = format!("executed {} times although not idempotent", started.len());
+            found.push(violation("TWICE", request.ended_at, request, &details));
         }
-        if request.outcome == Outcome::NotSent && !runs.is_empty() {
+        if request.outcome == Outcome::NotSent && !executions.is_empty() {
             found.push(violation(
                 "UNASKED",
                 request.ended_at,
                 request,
-                "it was never sent, and reached a backend",
+                "not sent by its client, but received by a backend",
             ));
         }
     }
     found
 }
 
-/// Statuses like 503 promise that the request was not executed and will not be.
-pub(super) fn refusals(history: &History) -> Vec<Violation> {
-    let runs = runs_by_request(history);
+/// A status like 503 guarantees that the request was not executed and will not be.
+pub(super) fn executed_refusals(history: &History) -> Vec<Violation> {
+    let executions = executions_by_request(history);
     let is_refusal = |outcome| matches!(outcome, Outcome::Status(408 | 421 | 429 | 503));
     let refused = history
         .requests
         .iter()
         .filter(|request| request.kind == Kind::Unsafe && is_refusal(request.outcome));
-    let has_run = |request: &&Request| {
-        runs.get(&request.id)
-            .is_some_and(|runs| runs.iter().any(|run| run.begun_at.is_some()))
+    let was_executed = |request: &&Request| {
+        executions.get(&request.id).is_some_and(|executions| {
+            executions
+                .iter()
+                .any(|execution| execution.started_at.is_some())
+        })
     };
     refused
-        .filter(has_run)
+        .filter(was_executed)
         .map(|request| {
             violation(
                 "REFUSED",
                 request.ended_at,
                 request,
-                "it was refused, and has run",
+                "refused, but executed",
             )
         })
         .collect()
 }
 
-/// A process that has read a whole request answers it, whatever it was told meanwhile.
-pub(super) fn lost(history: &History) -> Vec<Violation> {
-    let runs = runs_by_request(history);
+/// A process responds to every request that it has received, also when it is terminated or reloads
+/// its settings in the meantime.
+pub(super) fn lost_requests(history: &History) -> Vec<Violation> {
+    let executions = executions_by_request(history);
     let mut found = Vec::new();
     for request in &history.requests {
         if !matches!(request.outcome, Outcome::NoResponse | Outcome::Truncated)
@@ -100,71 +113,83 @@
         {
             continue;
         }
-        let runs = runs.get(&request.id).map_or(&[][..], Vec::as_slice);
-        // A partition holds the response back until the time-out of the route, or until its
-        // backend is gone.
-        let was_out_of_reach =
-            |run: &&Run| was_partitioned(history, run.backend, request.sent_at, request.ended_at);
+        let executions = executions.get(&request.id).map_or(&[][..], Vec::as_slice);
+        // During a partition the response is held back until the route's time-out, or until the
+        // backend has stopped.
+        let was_unreachable = |execution: &&Execution| {
+            was_partitioned(
+                history,
+                execution.backend,
+                request.sent_at,
+                request.ended_at,
+            )
+        };
         let took = request.ended_at - request.sent_at;
-        let is_over = took + TIME_OUT_MARGIN_MS >= ROUTE_TIMEOUT_MS;
-        if is_over
-            || runs
+        let has_timed_out = took + ROUTE_TIMEOUT_MARGIN_MS >= ROUTE_TIMEOUT_MS;
+        if has_timed_out
+            || executions
                 .iter()
-                .any(|run| run.broke_off || was_out_of_reach(run))
+                .any(|execution| execution.backend_crashed || was_unreachable(execution))
         {
             continue;
         }
-        if runs.iter().any(|run| run.begun_at.is_some()) {
-            let what = format!(
-                "it was passed on, and its connection ended without a whole answer after {took} ms: {runs:?}"
+        if executions
+            .iter()
+            .any(|execution| execution.started_at.is_some())
+        {
+            let details = format!(
+                "forwarded to a backend, but the connection closed without a complete response after {took} ms: {executions:?}"
             );
-            found.push(violation("LOST", request.ended_at, request, &what));
-        } else if took > UNANSWERED_MS + SLACK_MS {
-            let what = format!("its connection ended without an answer after {took} ms");
-            found.push(violation("LOST", request.ended_at, request, &what));
+            found.push(violation("LOST", request.ended_at, request, &details));
+        } else if took > MAX_CROSSING_MS + SLACK_MS {
+            let details = format!("the connection closed without a response after {took} ms");
+            found.push(violation("LOST", request.ended_at, request, &details));
         }
     }
     found
 }
 
-/// Backends stop working on cancelled requests.
-pub(super) fn cancelled(history: &History) -> Vec<Violation> {
-    let runs = runs_by_request(history);
+/// Backends stop working on a request soon after its cancellation.
+pub(super) fn late_cancellations(history: &History) -> Vec<Violation> {
+    let executions = executions_by_request(history);
     let mut found = Vec::new();
     for request in history
         .requests
         .iter()
         .filter(|request| request.outcome == Outcome::Cancelled)
     {
-        let until = request.ended_at + CANCEL_MS + SLACK_MS;
-        if was_interrupted(history, request.router, request.sent_at, until) {
+        let deadline = request.ended_at + MAX_CANCEL_MS + SLACK_MS;
+        if was_interrupted(history, request.router, request.sent_at, deadline) {
             continue;
         }
-        // During a partition the backend does not learn of the cancellation.
-        let is_known = |run: &Run| !was_partitioned(history, run.backend, request.sent_at, until);
-        let works_on = |run: &&&Run| {
-            run.arrived_at > until
-                || is_known(run) && run.ended_at.is_none_or(|ended| ended > until)
+        // During a partition the backend cannot be notified of the cancellation.
+        let was_reachable = |execution: &Execution| {
+            !was_partitioned(history, execution.backend, request.sent_at, deadline)
+        };
+        let exceeds_deadline = |execution: &&&Execution| {
+            execution.arrived_at > deadline
+                || was_reachable(execution)
+                    && execution.ended_at.is_none_or(|ended| ended > deadline)
         };
-        if let Some(run) = runs
+        if let Some(execution) = executions
             .get(&request.id)
-            .and_then(|runs| runs.iter().find(works_on))
+            .and_then(|executions| executions.iter().find(exceeds_deadline))
         {
-            let what = format!(
-                "its client left at {} ms, and backend {} worked on",
-                request.ended_at, run.backend
+            let details = format!(
+                "cancelled at {} ms, but backend {} continued to work on it",
+                request.ended_at, execution.backend
             );
-            found.push(violation("GONE", until, request, &what));
+            found.push(violation("GONE", deadline, request, &details));
         }
     }
-    if found.len() > TOLERATED_CANCELLED_RUNS {
+    if found.len() > TOLERATED_LATE_CANCELLATIONS {
         found
     } else {
         Vec::new()
     }
 }
 
-/// Whether the link to a backend was partitioned at some time of a span.
+/// Whether the link to a backend was partitioned at any time in a period.
 fn was_partitioned(history: &History, backend: u64, from: Millis, to: Millis) -> bool {
     let mut since = None;
     for event in history
--- a/soak/src/check/weights.rs
+++ b/soak/src/check/weights.rs
@@ -1,70 +1,79 @@
-//! Rules on weights: no request is executed on outdated ones, every backend is updated, and only
+//! Rules on weights: no request is executed on outdated weights, every backend is updated, and only
 //! one router sends orders at a time.
 
-use super::{SLACK_MS, Violation, acknowledged, in_touch, violation};
+use super::{SLACK_MS, Violation, acknowledged, violation, was_connected};
 use crate::clock::Millis;
 use crate::history::{
     BackendState, Change, ChangeRecord, History, ProcessEvent, ReceivedOrder, Request,
 };
-use crate::settings::{CONTACT_MS, LEASE_MS, VERSION_MS};
+use crate::settings::{LEASE_MS, RECONNECT_MS, WEIGHTS_APPLY_MS};
 use std::collections::{BTreeMap, HashMap};
 
-/// Shorter stretches without faults do not count.
-const MIN_CALM_MS: Millis = 2_000;
-/// The total time without faults after which a backend must have newer weights.
-const DEPLOYMENT_MS: Millis = VERSION_MS * 3 / 2;
-/// Orders so soon after their sender was suspended, or the link to their backend partitioned, may
-/// have been in flight before.
+/// The shortest period without faults that counts as time for a deployment.
+const MIN_FAULT_FREE_MS: Millis = 2_000;
+/// The total time without faults after which a backend must have loaded newer weights.
+const DEPLOYMENT_MS: Millis = WEIGHTS_APPLY_MS * 3 / 2;
+/// Orders that are received within this time after a router is resumed, or after a partition of the
+/// link to their backend ends, may have been sent before.
 const IN_FLIGHT_MS: Millis = 300;
 
-/// No request begins on weights that were replaced too long ago.
-pub(super) fn old_weights(history: &History) -> Vec<Violation> {
+/// No request starts on a version of the weights if a newer one was acknowledged more than
+/// [`WEIGHTS_APPLY_MS`] before.
+pub(super) fn outdated_executions(history: &History) -> Vec<Violation> {
     let requests: HashMap<u64, &Request> = history
         .requests
         .iter()
         .map(|request| (request.id, request))
         .collect();
     let mut found = Vec::new();
-    for run in &history.runs {
-        let (Some(begun), Some(request)) = (run.begun_at, requests.get(&run.request)) else {
+    for execution in &history.executions {
+        let (Some(started_at), Some(request)) =
+            (execution.started_at, requests.get(&execution.request))
+        else {
             continue;
         };
-        let is_too_old = |changed: &&ChangeRecord| match changed.change {
+        let is_too_old = |change_record: &&ChangeRecord| match change_record.change {
             Change::Weights(version) => {
-                version > run.version
-                    && begun > changed.answered_at + VERSION_MS + SLACK_MS
-                    && in_touch(history, request.router, changed.answered_at, begun)
+                version > execution.version
+                    && started_at > change_record.answered_at + WEIGHTS_APPLY_MS + SLACK_MS
+                    && was_connected(
+                        history,
+                        request.router,
+                        change_record.answered_at,
+                        started_at,
+                    )
             }
             Change::Configuration { .. } => false,
         };
-        if let Some(changed) = acknowledged(history).find(is_too_old) {
-            let what = format!(
-                "it began on version {}, {} ms after {:?} was acknowledged: {request:?}, {run:?}",
-                run.version,
-                begun - changed.answered_at,
-                changed.change
+        if let Some(change_record) = acknowledged(history).find(is_too_old) {
+            let details = format!(
+                "started on version {}, {} ms after {:?} was acknowledged: {request:?}, {execution:?}",
+                execution.version,
+                started_at - change_record.answered_at,
+                change_record.change
             );
-            found.push(violation("VERSION", begun, request, &what));
+            found.push(violation("VERSION", started_at, request, &details));
         }
     }
     found
 }
 
-/// A span of time, from begin to end.
-type Span = (Millis, Millis);
+/// A period of time, from start to end.
+type Period = (Millis, Millis);
 
-/// The versions of weights with the times of their acknowledgement.
-fn named(history: &History) -> impl Iterator<Item = (u64, Millis)> {
-    acknowledged(history).filter_map(|changed| match changed.change {
-        Change::Weights(version) => Some((version, changed.answered_at)),
+/// The versions of the weights with the times of their acknowledgement.
+fn acknowledged_versions(history: &History) -> impl Iterator<Item = (u64, Millis)> {
+    acknowledged(history).filter_map(|change_record| match change_record.change {
+        Change::Weights(version) => Some((version, change_record.answered_at)),
         Change::Configuration { .. } => None,
     })
 }
 
-/// When replicas of the control state had faults, or had them within [`CONTACT_MS`] before.
-fn control_faults(history: &History) -> Vec<Span> {
-    let mut open: BTreeMap<usize, Millis> = BTreeMap::new();
-    let mut spans = Vec::new();
+/// The periods in which replicas of the control state had faults, or had them at most
+/// [`RECONNECT_MS`] before.
+fn control_faults(history: &History) -> Vec<Period> {
+    let mut faulty_since: BTreeMap<usize, Millis> = BTreeMap::new();
+    let mut periods = Vec::new();
     for event in history
         .router_events
         .iter()
@@ -73,68 +82,70 @@
         match event.event {
             ProcessEvent::Reloaded => continue,
             ProcessEvent::Suspended | ProcessEvent::Terminated | ProcessEvent::Killed => {
-                open.entry(event.router).or_insert(event.at);
+                faulty_since.entry(event.router).or_insert(event.at);
             }
             ProcessEvent::Resumed | ProcessEvent::Exited(_) | ProcessEvent::Started => {
-                let begun = open.remove(&event.router).unwrap_or(event.at);
-                spans.push((begun, event.at + CONTACT_MS));
+                let since = faulty_since.remove(&event.router).unwrap_or(event.at);
+                periods.push((since, event.at + RECONNECT_MS));
             }
         }
     }
-    spans.extend(open.into_values().map(|begun| (begun, Millis::MAX)));
-    spans
+    periods.extend(faulty_since.into_values().map(|since| (since, Millis::MAX)));
+    periods
 }
 
-/// When a backend was in a faulty state, or had been within [`CONTACT_MS`] before.
+/// The periods in which a backend was in a faulty state, or had been at most [`RECONNECT_MS`]
+/// before.
 fn backend_faults(
     history: &History,
     backend: u64,
-    begins: BackendState,
-    ends: BackendState,
-) -> Vec<Span> {
-    let mut spans = Vec::new();
+    faulty: BackendState,
+    recovered: BackendState,
+) -> Vec<Period> {
+    let mut periods = Vec::new();
     let mut since = None;
     for event in history
         .backends
         .iter()
         .filter(|event| event.backend == backend)
     {
-        if event.state == begins {
+        if event.state == faulty {
             since = since.or(Some(event.at));
-        } else if event.state == ends {
-            spans.extend(since.take().map(|since| (since, event.at + CONTACT_MS)));
+        } else if event.state == recovered {
+            periods.extend(since.take().map(|since| (since, event.at + RECONNECT_MS)));
         }
     }
-    spans.extend(since.map(|since| (since, Millis::MAX)));
-    spans
+    periods.extend(since.map(|since| (since, Millis::MAX)));
+    periods
 }
 
-/// How much of a span has no faults, in stretches of at least [`MIN_CALM_MS`].
-fn calm_within((from, to): Span, faults: &[Span]) -> Millis {
+/// The time without faults in a period, summed over stretches of at least [`MIN_FAULT_FREE_MS`].
+fn fault_free_ms((from, to): Period, faults: &[Period]) -> Millis {
     let mut faults = faults.to_vec();
     faults.sort_unstable();
-    let mut calm = 0;
-    let mut begun = from;
+    let mut total = 0;
+    let mut fault_free_since = from;
     for (since, until) in faults.into_iter().chain([(to, Millis::MAX)]) {
-        let stretch = since.min(to).saturating_sub(begun);
-        if stretch >= MIN_CALM_MS {
-            calm += stretch;
+        let stretch = since.min(to).saturating_sub(fault_free_since);
+        if stretch >= MIN_FAULT_FREE_MS {
+            total += stretch;
         }
-        begun = begun.max(until);
+        fault_free_since = fault_free_since.max(until);
     }
-    calm
+    total
 }
 
-/// Every backend that responds gets newer weights, however often faults interrupt that.
-pub(super) fn left_behind(history: &History) -> Vec<Violation> {
+/// Every backend that responds is updated to newer weights, however often faults interrupt the
+/// deployment.
+pub(super) fn missing_updates(history: &History) -> Vec<Violation> {
     let end = history
         .requests
         .iter()
         .map(|request| request.ended_at)
         .max()
         .unwrap_or(0);
-    let core = control_faults(history);
-    let named: Vec<(u64, Millis)> = named(history).collect();
+    let control_faults = control_faults(history);
+    let announced: Vec<(u64, Millis)> = acknowledged_versions(history).collect();
     let starts = history
         .backends
         .iter()
@@ -143,17 +154,17 @@
             _ => None,
         });
     let mut found = Vec::new();
-    for (backend, started, first) in starts {
-        let life = || {
+    for (backend, started_at, first_version) in starts {
+        let events = || {
             history
                 .backends
                 .iter()
                 .filter(move |event| event.backend == backend)
         };
-        let left = life()
+        let stopped_at = events()
             .find(|event| event.state == BackendState::Stopping)
             .map_or(end, |event| event.at);
-        let mut faults = core.clone();
+        let mut faults = control_faults.clone();
         faults.extend(backend_faults(
             history,
             backend,
@@ -166,27 +177,27 @@
             BackendState::Partitioned,
             BackendState::Reachable,
         ));
-        let versions = life().filter_map(|event| match event.state {
+        let versions = events().filter_map(|event| match event.state {
             BackendState::Loaded { version } => Some((version, event.at)),
             _ => None,
         });
-        let versions: Vec<(u64, Millis)> = versions.chain([(first, started)]).collect();
-        for (version, acknowledged) in &named {
-            let loaded = versions
+        let versions: Vec<(u64, Millis)> = versions.chain([(first_version, started_at)]).collect();
+        for (version, acknowledged_at) in &announced {
+            let loaded_at = versions
                 .iter()
-                .filter(|(held, _)| held >= version)
+                .filter(|(loaded, _)| loaded >= version)
                 .map(|(_, at)| *at)
                 .min();
-            let until = loaded.unwrap_or(left).min(left);
-            let calm = calm_within((started.max(*acknowledged), until), &faults);
-            if calm > DEPLOYMENT_MS + SLACK_MS {
-                let what = format!(
-                    "backend {backend} had no version {version} after {calm} ms of calm time"
+            let until = loaded_at.unwrap_or(stopped_at).min(stopped_at);
+            let fault_free = fault_free_ms((started_at.max(*acknowledged_at), until), &faults);
+            if fault_free > DEPLOYMENT_MS + SLACK_MS {
+                let details = format!(
+                    "backend {backend} did not load version {version} in {fault_free} ms without faults"
                 );
                 found.push(Violation {
                     rule: "VERSION",
                     at: until,
-                    what,
+                    details,
                 });
                 break;
             }
@@ -195,8 +206,8 @@
     found
 }
 
-/// The version of the weights of a backend is monotonic.
-pub(super) fn gone_back(history: &History) -> Vec<Violation> {
+/// The version of the weights of each backend is monotonic.
+pub(super) fn regressions(history: &History) -> Vec<Violation> {
     let mut versions: BTreeMap<u64, u64> = BTreeMap::new();
     let mut found = Vec::new();
     for event in &history.backends {
@@ -204,57 +215,58 @@
         else {
             continue;
         };
-        let former = versions.insert(event.backend, version).unwrap_or(0);
-        if version < former {
-            let what = format!(
-                "backend {} went from version {former} to {version}",
+        let previous = versions.insert(event.backend, version).unwrap_or(0);
+        if version < previous {
+            let details = format!(
+                "backend {} regressed from version {previous} to {version}",
                 event.backend
             );
             found.push(Violation {
                 rule: "VERSION",
                 at: event.at,
-                what,
+                details,
             });
         }
     }
     found
 }
 
-/// One fencing token has one holder.
-pub(super) fn holders(history: &History) -> Vec<Violation> {
+/// A fencing token has only one holder.
+pub(super) fn shared_fencing_tokens(history: &History) -> Vec<Violation> {
     let mut holders: BTreeMap<u64, &str> = BTreeMap::new();
     let mut found = Vec::new();
     for order in &history.orders {
         let holder = holders.entry(order.fencing_token).or_insert(&order.holder);
         if *holder != order.holder {
-            let what = format!(
-                "{holder} and {} use fencing token {}",
+            let details = format!(
+                "{holder} and {} both use fencing token {}",
                 order.holder, order.fencing_token
             );
             found.push(Violation {
                 rule: "ONE",
                 at: order.at,
-                what,
+                details,
             });
         }
     }
     found
 }
 
-/// Orders of two lease holders are at least a lease apart.
-pub(super) fn turns(history: &History) -> Vec<Violation> {
+/// Consecutive orders of different lease holders are at least [`LEASE_MS`] apart.
+pub(super) fn overlapping_leases(history: &History) -> Vec<Violation> {
     let was_in_flight = |order: &&ReceivedOrder| {
-        let thaws = history
+        let resumes = history
             .router_events
             .iter()
             .filter(|event| event.event == ProcessEvent::Resumed);
-        let heals = history.backends.iter().filter(|event| {
+        let recoveries = history.backends.iter().filter(|event| {
             event.backend == order.backend && event.state == BackendState::Reachable
         });
-        let ends = thaws
+        let fault_ends = resumes
             .map(|event| event.at)
-            .chain(heals.map(|event| event.at));
-        ends.into_iter()
+            .chain(recoveries.map(|event| event.at));
+        fault_ends
+            .into_iter()
             .any(|at| (at..at + IN_FLIGHT_MS + SLACK_MS).contains(&order.at))
     };
     let mut orders: Vec<&ReceivedOrder> = history
@@ -267,19 +279,19 @@
         .windows(2)
         .filter(|pair| pair[0].holder != pair[1].holder);
     let too_close = pairs.filter(|pair| pair[1].at < pair[0].at + LEASE_MS);
-    let tell = |pair: &[&ReceivedOrder]| {
-        let (one, other) = (pair[0], pair[1]);
-        let what = format!(
-            "{} orders {} ms after {}",
-            other.holder,
-            other.at - one.at,
-            one.holder
+    let to_violation = |pair: &[&ReceivedOrder]| {
+        let (first, second) = (pair[0], pair[1]);
+        let details = format!(
+            "{} sent an order {} ms after one from {}",
+            second.holder,
+            second.at - first.at,
+            first.holder
         );
         Violation {
             rule: "ONE",
-            at: other.at,
-            what,
+            at: second.at,
+            details,
         }
     };
-    too_close.map(tell).collect()
+    too_close.map(to_violation).collect()
 }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each reuses its connection until the other end closes it, and some cancel early.
+//! Clients, which reuse connections until the router closes them, and sometimes cancel early.
 
 use crate::backend::{WORK_HEADER, event};
 use crate::clock::Clock;
@@ -16,28 +16,28 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// The deadline of a request.
+/// The deadline that a client sends with each request.
 const DEADLINE_MS: u64 = 3_000;
-/// How much longer than the deadline a client waits for a response in flight.
+/// How long a client waits after the deadline for a response in flight.
 const DEADLINE_SLACK_MS: u64 = 1_000;
 /// The time-out of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all clients share.
+/// The state that all clients share.
 pub struct Clients {
     /// The run's clock.
     pub clock: Clock,
-    /// Where requests are recorded.
+    /// The recorder for requests.
     pub recorder: Arc<Recorder>,
     /// The frontend addresses of the routers.
     pub frontends: Vec<SocketAddrV4>,
-    /// The number of cancelled requests in a thousand.
+    /// The number of cancelled requests per thousand.
     pub cancelled_permille: u64,
-    /// The number of the next request.
-    pub next: AtomicU64,
+    /// The id of the next request.
+    pub next_id: AtomicU64,
 }
 
-/// A connection to a router. It is closed when it is dropped.
+/// A connection to a router, closed on drop.
 struct Connection {
     router: usize,
     sender: SendRequest<Full<Bytes>>,
@@ -50,7 +50,7 @@
     }
 }
 
-/// What a client requests.
+/// The parameters of one request.
 struct RequestSpec {
     id: u64,
     kind: Kind,
@@ -59,12 +59,12 @@
 }
 
 impl RequestSpec {
-    /// Requests that will be cancelled ask for long work, so that it can be observed whether the
-    /// work is cancelled too.
-    fn draw(id: u64, cancels: bool) -> Self {
+    /// Draws a random request. A request that will be cancelled asks for long work, so that the
+    /// backend's history shows whether the work is cancelled as well.
+    fn draw(id: u64, will_cancel: bool) -> Self {
         let kind = [Kind::Unsafe, Kind::Safe, Kind::Resumable][fastrand::usize(..3)];
         let is_long = fastrand::u8(..20) == 0;
-        let work_ms = match (cancels, is_long) {
+        let work_ms = match (will_cancel, is_long) {
             (true, _) => fastrand::u64(1_200..2_400),
             (false, true) => fastrand::u64(300..900),
             (false, false) => fastrand::u64(2..60),
@@ -104,7 +104,7 @@
     }
 
     /// The body of a complete response.
-    fn expected(&self) -> String {
+    fn expected_body(&self) -> String {
         if self.events == 0 {
             return format!("done {:016x}", self.id);
         }
@@ -115,25 +115,26 @@
 }
 
 impl Clients {
-    /// Runs one client until the end of the run. It waits up to `pause` between two requests.
-    pub async fn run(self: Arc<Self>, pause: Duration, mut ends: watch::Receiver<bool>) {
+    /// Runs one client until `stopped` is true, with a random pause of up to `pause` before each
+    /// request.
+    pub async fn run(self: Arc<Self>, pause: Duration, mut stopped: watch::Receiver<bool>) {
         let mut connection: Option<Connection> = None;
-        while !*ends.borrow_and_update() {
+        while !*stopped.borrow_and_update() {
             tokio::time::sleep(pause.mul_f64(fastrand::f64())).await;
-            let Some(mut open) = self.open(connection.take()).await else {
+            let Some(mut current) = self.reuse_or_connect(connection.take()).await else {
                 continue;
             };
-            if self.ask(&mut open).await {
-                connection = Some(open);
+            if self.send_request(&mut current).await {
+                connection = Some(current);
             }
         }
     }
 
-    /// The existing connection if it is still open, or a new one to any router.
-    async fn open(&self, held: Option<Connection>) -> Option<Connection> {
-        if let Some(mut held) = held {
-            if held.sender.ready().await.is_ok() {
-                return Some(held);
+    /// Returns the existing connection if it is still open, or else a new one to a random router.
+    async fn reuse_or_connect(&self, existing: Option<Connection>) -> Option<Connection> {
+        if let Some(mut existing) = existing {
+            if existing.sender.ready().await.is_ok() {
+                return Some(existing);
             }
         }
         let router = fastrand::usize(..self.frontends.len());
@@ -144,7 +145,7 @@
             .ok()?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         let task = tokio::spawn(async move {
-            // Whoever waits for a response on it learns how it ended.
+            // A connection error is returned by the pending request.
             let _ = connection.await;
         });
         Some(Connection {
@@ -154,16 +155,16 @@
         })
     }
 
-    /// Sends one request. Returns whether the connection may be reused.
-    async fn ask(&self, connection: &mut Connection) -> bool {
-        let cancels = fastrand::u64(..1_000) < self.cancelled_permille;
-        let spec = RequestSpec::draw(self.next.fetch_add(1, Ordering::Relaxed), cancels);
+    /// Sends one request and records it. Returns whether the connection may be reused.
+    async fn send_request(&self, connection: &mut Connection) -> bool {
+        let will_cancel = fastrand::u64(..1_000) < self.cancelled_permille;
+        let spec = RequestSpec::draw(self.next_id.fetch_add(1, Ordering::Relaxed), will_cancel);
         let Some(request) = spec.request() else {
             return false;
         };
         let sent_at = self.clock.now();
         let timeout = Duration::from_millis(DEADLINE_MS + DEADLINE_SLACK_MS);
-        let cancel_after = Duration::from_millis(if cancels {
+        let cancel_after = Duration::from_millis(if will_cancel {
             fastrand::u64(1..250)
         } else {
             u64::from(u32::MAX)
@@ -181,11 +182,12 @@
             ended_at: self.clock.now(),
             outcome,
         };
-        self.recorder.open().requests.push(record);
+        self.recorder.lock().requests.push(record);
         matches!(outcome, Outcome::Served | Outcome::Status(_))
     }
 }
 
+/// Sends a request and checks the response.
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: hyper::Request<Full<Bytes>>,
@@ -211,24 +213,28 @@
             .unwrap_or("")
     };
     let id = format!("{:016x}", spec.id);
-    let (own, seal) = (
+    let (id_matches, seal_matches) = (
         text("x-request-id") == id,
         text("x-response-seal") == format!("seal-{id}"),
     );
-    let Some(body) = read(body).await else {
+    let Some(body) = read_body(body).await else {
         return Outcome::Truncated;
     };
     match status {
-        200 if !own => Outcome::Corrupted("it names another request"),
-        200 if !seal => Outcome::Corrupted("it has no seal of its own"),
-        200 if body != spec.expected() => Outcome::Corrupted("its body is not the backend's"),
+        200 if !id_matches => Outcome::Corrupted("the response has the id of another request"),
+        200 if !seal_matches => {
+            Outcome::Corrupted("the response has no seal or that of another request")
+        }
+        200 if body != spec.expected_body() => {
+            Outcome::Corrupted("the body differs from the one that the backend sent")
+        }
         200 => Outcome::Served,
         other => Outcome::Status(other),
     }
 }
 
-/// The complete body; `None` if it was truncated.
-async fn read(body: Incoming) -> Option<String> {
+/// Returns the complete body, or `None` if it was truncated.
+async fn read_body(body: Incoming) -> Option<String> {
     let bytes = body.collect().await.ok()?.to_bytes();
     Some(String::from_utf8_lossy(&bytes).into_owned())
 }
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a run: what clients, backends, operators and supervisors observed.
+//! The history of a run: the observations of clients, backends, operators and supervisors.
 
 use crate::clock::Millis;
 use std::os::unix::process::ExitStatusExt;
@@ -8,11 +8,11 @@
 /// How often a request may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// At most once.
+    /// Not idempotent: at most once.
     Unsafe,
-    /// More than once: it is idempotent.
+    /// Idempotent: any number of times.
     Safe,
-    /// Its response is a stream that another backend can continue.
+    /// Idempotent, with a stream as the response that another backend can continue.
     Resumable,
 }
 
@@ -21,7 +21,7 @@
 pub enum Outcome {
     /// A complete response with the seal of a backend.
     Served,
-    /// A response with status 200 that is not what the backend sent.
+    /// A response with status 200 that differs from the backend's, and the difference.
     Corrupted(&'static str),
     /// A response with another status.
     Status(u16),
@@ -29,78 +29,78 @@
     NoResponse,
     /// The connection ended in the middle of the response.
     Truncated,
-    /// The client cancelled it by closing its connection.
+    /// The client cancelled the request by closing its connection.
     Cancelled,
-    /// It was not sent, as there was no connection.
+    /// The request was not sent, as the connection had been closed.
     NotSent,
-    /// The client's deadline had passed.
+    /// The client's time-out expired.
     TimedOut,
 }
 
 /// One request of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Its id.
+    /// The id of the request.
     pub id: u64,
-    /// What it may suffer.
+    /// How often the request may be executed.
     pub kind: Kind,
-    /// The number of the router that it was sent to.
+    /// The number of the router that received the request.
     pub router: usize,
-    /// When it was sent.
+    /// When the client sent the request.
     pub sent_at: Millis,
-    /// When it ended for the client.
+    /// When the exchange ended for the client.
     pub ended_at: Millis,
-    /// How it ended.
+    /// The result for the client.
     pub outcome: Outcome,
 }
 
 /// One execution of a request at a backend.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Run {
+pub struct Execution {
     /// The request's id.
     pub request: u64,
-    /// The backend's incarnation.
+    /// The number of the backend's incarnation.
     pub backend: u64,
-    /// The version of the weights on which it began.
+    /// The version of the weights at its start; 0 before.
     pub version: u64,
-    /// When it reached the backend.
+    /// When the request reached the backend.
     pub arrived_at: Millis,
-    /// When it began; `None` if it was cancelled in the queue.
-    pub begun_at: Option<Millis>,
-    /// When the backend completed or dropped it.
+    /// When the execution started; `None` if the request was cancelled or turned away before.
+    pub started_at: Option<Millis>,
+    /// When the backend completed or dropped the request.
     pub ended_at: Option<Millis>,
-    /// Whether the backend crashed meanwhile.
-    pub broke_off: bool,
+    /// Whether the backend had crashed by then.
+    pub backend_crashed: bool,
 }
 
 /// An event of a router process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessEvent {
-    /// It was sent SIGTERM.
+    /// SIGTERM was sent to the process.
     Terminated,
-    /// It was sent SIGKILL.
+    /// SIGKILL was sent to the process.
     Killed,
-    /// It was sent SIGSTOP.
+    /// SIGSTOP was sent to the process.
     Suspended,
-    /// It was sent SIGCONT.
+    /// SIGCONT was sent to the process.
     Resumed,
-    /// It was sent SIGHUP, to reload its settings.
+    /// SIGHUP was sent to the process, which reloads its settings.
     Reloaded,
-    /// It has started.
+    /// The process has started.
     Started,
-    /// It has exited.
+    /// The process has exited.
     Exited(Exit),
 }
 
 /// How a process exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// With success.
+    /// With exit code 0.
     Success,
-    /// With another code.
+    /// With another exit code.
     Failed(i32),
-    /// By a signal.
-    BySignal(i32),
+    /// Terminated by this signal.
+    Signaled(i32),
 }
 
 impl From<ExitStatus> for Exit {
@@ -108,7 +108,7 @@
         match (status.code(), status.signal()) {
             (Some(0), _) => Exit::Success,
             (Some(code), _) => Exit::Failed(code),
-            (None, signal) => Exit::BySignal(signal.unwrap_or_default()),
+            (None, signal) => Exit::Signaled(signal.unwrap_or_default()),
         }
     }
 }
@@ -118,49 +118,49 @@
 pub struct RouterEvent {
     /// The number of the router.
     pub router: usize,
-    /// When.
+    /// The time of the event.
     pub at: Millis,
-    /// What.
+    /// The event.
     pub event: ProcessEvent,
 }
 
 /// A change by an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// A configuration of this version, on top of another one.
+    /// A configuration that replaces the one of version `base`.
     Configuration {
-        /// The version that it builds on.
+        /// The version that is replaced.
         base: u64,
-        /// Its own.
+        /// The new version.
         version: u64,
-        /// Distinguishes two of one version.
+        /// Distinguishes configurations with the same version.
         variant: u64,
     },
-    /// A version of the weights.
+    /// An announced version of the weights.
     Weights(u64),
 }
 
 /// The outcome of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
-    /// It is acknowledged.
+    /// The change is acknowledged.
     Acknowledged,
-    /// It is refused.
+    /// The change is refused with this status.
     Refused(u16),
-    /// Its outcome is unknown.
-    Unclear,
+    /// No response with the outcome was received in time.
+    Unknown,
 }
 
 /// A change and its outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChangeRecord {
-    /// What.
+    /// The change.
     pub change: Change,
-    /// When it was first sent.
+    /// When the change was first sent.
     pub sent_at: Millis,
-    /// When the last response came.
+    /// When the last attempt ended.
     pub answered_at: Millis,
-    /// How it ended.
+    /// The outcome.
     pub reply: Reply,
 }
 
@@ -169,83 +169,83 @@
 pub struct StatusRecord {
     /// The number of the router.
     pub router: usize,
-    /// When it was asked.
+    /// When the poll was sent.
     pub asked_at: Millis,
-    /// When it answered.
+    /// When the response was received.
     pub answered_at: Millis,
-    /// The version of its configuration; 0 where it has none.
+    /// The version of the router's configuration; 0 if it has none.
     pub configuration: u64,
 }
 
 /// An order that a backend received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedOrder {
-    /// The backend's incarnation.
+    /// The number of the backend's incarnation.
     pub backend: u64,
-    /// When it came.
+    /// When the order was received.
     pub at: Millis,
-    /// The lease holder that sent it.
+    /// The lease holder that sent the order.
     pub holder: String,
-    /// Its fencing token.
+    /// The fencing token of the order.
     pub fencing_token: u64,
 }
 
 /// A state of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendState {
-    /// It has started, with a version of the weights.
+    /// The backend has started with a version of the weights.
     Started {
         /// The version.
         version: u64,
     },
-    /// It has loaded a version of the weights.
+    /// The backend has loaded a version of the weights.
     Loaded {
         /// The version.
         version: u64,
     },
-    /// It does not respond.
+    /// The backend does not respond.
     Unresponsive,
-    /// It responds again.
+    /// The backend responds again.
     Responding,
-    /// The link to it is partitioned.
+    /// The link to the backend is partitioned.
     Partitioned,
-    /// The link to it works again.
+    /// The link to the backend works again.
     Reachable,
-    /// It is draining, or has crashed.
+    /// The backend is draining, or has crashed.
     Stopping,
 }
 
 /// A change of state of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackendEvent {
-    /// The backend's incarnation.
+    /// The number of the backend's incarnation.
     pub backend: u64,
-    /// When.
+    /// The time of the change.
     pub at: Millis,
     /// The new state.
     pub state: BackendState,
 }
 
-/// The state of the fleet after the recovery.
+/// The state of the fleet after recovery.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Final {
-    /// The version of the configuration that was read back, if a router responded.
+pub struct FinalState {
+    /// The version of the configuration from a linearizable read, if a router responded.
     pub read_back: Option<u64>,
-    /// The versions of the configuration in force at routers.
+    /// For each router the version of the configuration in force; 0 if unknown.
     pub configurations: Vec<u64>,
-    /// Versions of weights at backends.
+    /// For each backend the version of its weights.
     pub weights: Vec<u64>,
-    /// Requests sent, and how many were served.
+    /// The number of requests sent after recovery, and the number of those that were served.
     pub requests: (u32, u32),
 }
 
-/// Everything that was observed.
+/// All observations of a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct History {
     /// Requests of clients.
     pub requests: Vec<Request>,
-    /// Runs at backends.
-    pub runs: Vec<Run>,
+    /// Executions at backends.
+    pub executions: Vec<Execution>,
     /// Events of routers.
     pub router_events: Vec<RouterEvent>,
     /// Changes by operators.
@@ -257,18 +257,18 @@
     /// Changes of state of backends.
     pub backends: Vec<BackendEvent>,
     /// The final state.
-    pub end: Final,
+    pub final_state: FinalState,
     /// The number of routers with a replica of the control state.
     pub replicas: usize,
 }
 
-/// A history that is written by several tasks.
+/// A history that several tasks write to.
 #[derive(Debug, Default)]
 pub struct Recorder(Mutex<History>);
 
 impl Recorder {
     /// Locks the history.
-    pub fn open(&self) -> MutexGuard<'_, History> {
+    pub fn lock(&self) -> MutexGuard<'_, History> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,10 +1,10 @@
 //! For development only: a soak test of the router fleet.
 //!
-//! A run starts routers as processes of their own on loopback addresses, in front of backends that
-//! speak the published protocol. Its seed decides which signals, restarts, losses and configuration
-//! changes happen, in overlapping series. Clients reuse their connections until the process at the
-//! other end is gone, and some cancel early. Everything observed is recorded in a
-//! [`history::History`], which [`check::violations`] checks against the rules.
+//! A run starts router processes on loopback addresses, in front of simulated backends that speak
+//! the published protocol. The seed determines overlapping series of signals, restarts, disk losses
+//! and configuration changes. Clients reuse their connections until the router closes them, and
+//! sometimes cancel early. All observations are recorded in a [`history::History`], which
+//! [`check::violations`] checks against the rules.
 
 #![forbid(unsafe_code)]
 
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs soak tests of a router fleet: `soak --program target/release/bitternsill --first 1 --seeds
-//! 50`.
+//! Runs soak tests of a router fleet, for example
+//! `soak --program target/release/bitternsill --first 1 --seeds 50`.
 
 use clap::Parser;
 use soak::run::{Plan, Report, run};
@@ -9,34 +9,34 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The number of violations that are printed of a run.
-const PRINTED: usize = 12;
+/// The largest number of violations that are printed for a run.
+const MAX_PRINTED_VIOLATIONS: usize = 12;
 
-/// Runs routers under signals, restarts and changes that overlap, and checks what was seen.
+/// Runs routers under overlapping signals, restarts and changes, and checks all observations.
 #[derive(Debug, Parser)]
 struct Options {
-    /// The program whose routers are run.
+    /// The router program.
     #[arg(long, default_value = "target/release/bitternsill")]
     program: PathBuf,
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// How many seeds.
+    /// The number of consecutive seeds, with one run each.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How many runs at the same time.
+    /// The number of concurrent runs.
     #[arg(long, default_value_t = 1)]
     jobs: usize,
-    /// Routers in each run.
+    /// The number of routers in each run.
     #[arg(long, default_value_t = 7)]
     routers: usize,
-    /// Routers with a replica of the control state.
+    /// The number of routers with a replica of the control state.
     #[arg(long, default_value_t = 3)]
     replicas: usize,
-    /// Backends in each run.
+    /// The number of backends in each run.
     #[arg(long, default_value_t = 6)]
     backends: usize,
-    /// Clients in each run.
+    /// The number of clients in each run.
     #[arg(long, default_value_t = 30)]
     clients: usize,
     /// The longest pause of a client between two requests, in milliseconds.
@@ -45,11 +45,11 @@
     /// The length of the schedule of faults in each run, in seconds.
     #[arg(long = "trouble-s", default_value_t = 15)]
     schedule_s: u64,
-    /// A series of faults of the leader while versions of the weights are announced.
+    /// Adds a series of faults of the leader while versions of the weights are announced.
     #[arg(long = "strike-primary")]
     leader_faults: bool,
-    /// A series of partitions of links to backends while versions of the weights are announced;
-    /// what was sent meanwhile arrives later.
+    /// Adds a series of partitions of links to backends while versions of the weights are
+    /// announced; bytes sent during a partition arrive after it.
     #[arg(long = "cut-ways")]
     partitions: bool,
     /// The folder for logs of runs with violations.
@@ -81,22 +81,22 @@
     }
 }
 
-/// Prints the result of a run. Returns whether there is no violation.
-fn tell(seed: u64, report: &Report) -> bool {
+/// Prints the result of a run. Returns true if there are no violations.
+fn print_report(seed: u64, report: &Report) -> bool {
     println!(
-        "seed {seed}: {} broken; {}",
+        "seed {seed}: {} violations; {}",
         report.violations.len(),
-        report.figures()
+        report.summary()
     );
     report
         .violations
         .iter()
-        .take(PRINTED)
+        .take(MAX_PRINTED_VIOLATIONS)
         .for_each(|violation| println!("  {violation}"));
     report.violations.is_empty()
 }
 
-async fn soak(options: Options) -> bool {
+async fn run_all(options: Options) -> bool {
     let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(options.jobs.max(1)));
     let mut runs = tokio::task::JoinSet::new();
     for seed in options.first..options.first + options.seeds {
@@ -112,19 +112,19 @@
     while let Some(ended) = runs.join_next().await {
         let passed = match ended {
             Ok((seed, folder, Ok(report))) => {
-                let passed = tell(seed, &report);
+                let passed = print_report(seed, &report);
                 if passed || options.keep.is_none() {
-                    // Files that remain do no harm.
+                    // Leftover files in the temporary folder are harmless.
                     let _ = std::fs::remove_dir_all(folder);
                 }
                 passed
             }
-            Ok((seed, _, Err(problem))) => {
-                println!("seed {seed}: {problem}");
+            Ok((seed, _, Err(error))) => {
+                println!("seed {seed}: {error}");
                 false
             }
-            Err(problem) => {
-                println!("a run broke off: {problem}");
+            Err(error) => {
+                println!("a run failed: {error}");
                 false
             }
         };
@@ -133,8 +133,8 @@
     all_passed
 }
 
-/// Returns on SIGTERM or SIGINT.
-async fn terminated() {
+/// Returns when SIGTERM or SIGINT is received.
+async fn termination_signal() {
     let signals = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -155,16 +155,16 @@
         .build()
     {
         Ok(runtime) => runtime,
-        Err(problem) => {
-            eprintln!("soak: {problem}");
+        Err(error) => {
+            eprintln!("soak: {error}");
             return ExitCode::FAILURE;
         }
     };
     let all_passed = runtime.block_on(async {
         tokio::select! {
-            all_passed = soak(options) => all_passed,
-            // Dropping the runs kills their processes.
-            () = terminated() => false,
+            all_passed = run_all(options) => all_passed,
+            // Dropping the runs kills their router processes.
+            () = termination_signal() => false,
         }
     });
     drop(runtime);
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: they send configurations and versions of weights to any router, and retry while the
+//! Operators, which send configurations and weight versions to random routers, and retry while the
 //! outcome is unknown.
 
 use crate::clock::Clock;
@@ -13,7 +13,7 @@
 
 /// The time-out of one request.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How long a change is retried.
+/// The longest time in which a change is retried.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(15);
 /// The time between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
@@ -28,16 +28,17 @@
     pub control: Vec<SocketAddrV4>,
     /// The HTTP client.
     pub client: reqwest::Client,
-    /// Distinguishes configurations of one version.
+    /// The next number to distinguish configurations with the same version.
     pub variants: AtomicU64,
 }
 
 impl Operator {
-    fn anywhere(&self) -> SocketAddrV4 {
+    fn random_router(&self) -> SocketAddrV4 {
         self.control[fastrand::usize(..self.control.len())]
     }
 
-    /// Sends a configuration on top of a version until its outcome is known.
+    /// Sends a configuration that replaces version `base`, and retries until the outcome is known
+    /// or the time-out.
     pub async fn configure(&self, base: u64, version: u64) -> Reply {
         let variant = self.variants.fetch_add(1, Ordering::Relaxed);
         let body = configuration(version, variant);
@@ -59,7 +60,7 @@
         .await
     }
 
-    /// Announces a version of the weights until that is acknowledged.
+    /// Announces a version of the weights, and retries until the outcome is known or the time-out.
     pub async fn announce_weights(&self, version: u64) -> Reply {
         let body = json!({"model": "m", "version": version}).to_string();
         let send = |address: SocketAddrV4| {
@@ -76,37 +77,41 @@
         send: impl Fn(SocketAddrV4) -> reqwest::RequestBuilder,
     ) -> Reply {
         let sent_at = self.clock.now();
-        let begun = Instant::now();
-        let mut reply = Reply::Unclear;
-        while reply == Reply::Unclear && begun.elapsed() < CHANGE_TIMEOUT {
-            let answer = send(self.anywhere()).timeout(CALL_TIMEOUT).send().await;
-            reply = match answer.map(|answer| answer.status().as_u16()) {
+        let started_at = Instant::now();
+        let mut reply = Reply::Unknown;
+        while reply == Reply::Unknown && started_at.elapsed() < CHANGE_TIMEOUT {
+            let response = send(self.random_router())
+                .timeout(CALL_TIMEOUT)
+                .send()
+                .await;
+            reply = match response.map(|response| response.status().as_u16()) {
                 Ok(200) => Reply::Acknowledged,
                 Ok(status @ (400 | 412)) => Reply::Refused(status),
-                _ => Reply::Unclear,
+                _ => Reply::Unknown,
             };
-            if reply == Reply::Unclear {
+            if reply == Reply::Unknown {
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
-        let changed = ChangeRecord {
+        let record = ChangeRecord {
             change,
             sent_at,
             answered_at: self.clock.now(),
             reply,
         };
-        self.recorder.open().changes.push(changed);
+        self.recorder.lock().changes.push(record);
         reply
     }
 
-    /// The version of the newest configuration, by a linearizable read; retried until the time-out.
+    /// Returns the version of the newest configuration from a linearizable read, retried until the
+    /// time-out.
     pub async fn read_back(&self, timeout: Duration) -> Option<u64> {
-        let begun = Instant::now();
-        while begun.elapsed() < timeout {
-            let url = format!("http://{}/v1/configuration/read", self.anywhere());
-            if let Ok(answer) = self.client.get(url).timeout(CALL_TIMEOUT).send().await
-                && answer.status() == 200
-                && let Ok(body) = answer.bytes().await
+        let started_at = Instant::now();
+        while started_at.elapsed() < timeout {
+            let url = format!("http://{}/v1/configuration/read", self.random_router());
+            if let Ok(response) = self.client.get(url).timeout(CALL_TIMEOUT).send().await
+                && response.status() == 200
+                && let Ok(body) = response.bytes().await
                 && let Ok(body) = serde_json::from_slice::<serde_json::Value>(&body)
             {
                 return body["version"].as_u64();
@@ -117,7 +122,8 @@
     }
 }
 
-/// A configuration with a route of every kind, and one route by which two of one version differ.
+/// A configuration with a route of each kind, and a route that distinguishes configurations with
+/// the same version.
 fn configuration(version: u64, variant: u64) -> String {
     let route = |name: &str, kind: &str, attempts: u64, resumable: bool| {
         json!({"name": name, "host": "h", "pathPrefix": format!("/{name}/"), "kind": kind, "timeoutMs": ROUTE_TIMEOUT_MS,
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts everything, executes the schedule, and checks what was observed.
+//! One run: starts routers, backends and clients, executes the schedule, and checks the history.
 
 use crate::backend::{Backend, Environment};
 use crate::check::{self, Violation};
@@ -9,7 +9,7 @@
 use crate::operator::Operator;
 use crate::schedule::{self, Action, Scope, Step};
 use crate::settings::{Addresses, Size};
-use crate::supervisor::{self, RouterFault, Site, Supervisor};
+use crate::supervisor::{self, FleetConfig, RouterFault, Supervisor};
 use std::collections::BTreeMap;
 use std::fs;
 use std::io;
@@ -21,20 +21,20 @@
 use tokio::sync::{Mutex, watch};
 use tokio::task::JoinSet;
 
-/// The time-out of the first configuration.
+/// The time-out of the first configuration, which includes the start of the routers.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time for recovery after the schedule: it covers the longest suspension, a grace period and a
-/// restart.
+/// The time for recovery after the schedule, enough for the longest suspension, a grace period and
+/// a restart.
 const RECOVERY_TIME: Duration = Duration::from_millis(14_000);
-/// How long the success of requests is measured after the recovery.
+/// How long the share of served requests is measured after recovery.
 const MEASURED_TIME: Duration = Duration::from_millis(2_000);
-/// The time between two polls of a router's status.
+/// The interval between polls of a router's status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(400);
-/// The time-out of a poll.
+/// The time-out of one poll.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(800);
-/// The time-out of the last read of the configuration.
+/// The time-out of a linearizable read of the configuration.
 const READ_TIMEOUT: Duration = Duration::from_secs(4);
-/// The number of cancelled requests in a thousand.
+/// The number of cancelled requests per thousand.
 const CANCELLED_PERMILLE: u64 = 80;
 
 /// The parameters of a run.
@@ -42,52 +42,54 @@
 pub struct Plan {
     /// The router program.
     pub program: PathBuf,
-    /// Decides everything random except for the clients' requests.
+    /// The seed of the schedule. Other random choices differ between runs with the same seed.
     pub seed: u64,
-    /// The routers.
+    /// The number of routers.
     pub size: Size,
-    /// The backends.
+    /// The number of backends.
     pub backends: usize,
-    /// The clients.
+    /// The number of clients.
     pub clients: usize,
     /// The longest pause of a client between two requests.
     pub pause: Duration,
     /// The length of the schedule, in milliseconds.
     pub fault_ms: Millis,
-    /// Whether the leader has a series of faults while versions of the weights are announced.
+    /// Whether to add a series of faults of the leader while versions of the weights are announced.
     pub leader_faults: bool,
-    /// Whether links to backends have a series of partitions while versions of the weights are
+    /// Whether to add a series of partitions of links to backends while versions of the weights are
     /// announced.
     pub partitions: bool,
-    /// Where settings, data and logs go.
+    /// The folder for settings, data and logs. Its former contents are deleted.
     pub folder: PathBuf,
 }
 
-/// Why a run could not be made.
+/// The reason why a run could not be executed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The system refuses something.
-    #[error("{0}; check the program's path, free ports and the limits of the machine")]
+    /// An operation of the system failed.
+    #[error("{0}; check the path of the program, free ports and resource limits")]
     System(#[from] io::Error),
-    /// A client for calls can't be made.
-    #[error("calls can't be made: {0}")]
+    /// The HTTP client cannot be created.
+    #[error("HTTP client cannot be created: {0}")]
     Client(#[from] reqwest::Error),
-    /// Nobody took the first configuration.
-    #[error("no router took the first configuration; their logs are in {0}")]
-    NoStart(PathBuf),
+    /// No router accepted the first configuration.
+    #[error(
+        "no router accepted the first configuration within {START_TIMEOUT:?}; their logs are in {0}"
+    )]
+    NotStarted(PathBuf),
 }
 
 /// The result of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// Everything that was observed.
+    /// All observations.
     pub history: History,
     /// The violated rules.
     pub violations: Vec<Violation>,
 }
 
 impl Report {
-    /// How many answers had another status than 200, by status.
+    /// The number of responses for each status other than 200.
     fn statuses(&self) -> BTreeMap<u16, usize> {
         let mut statuses = BTreeMap::new();
         for request in &self.history.requests {
@@ -98,8 +100,8 @@
         statuses
     }
 
-    /// A line with the figures of the run.
-    pub fn figures(&self) -> String {
+    /// A line with the counts of requests, events, changes and orders.
+    pub fn summary(&self) -> String {
         let count = |wanted: fn(&Outcome) -> bool| {
             self.history
                 .requests
@@ -108,7 +110,7 @@
                 .count()
         };
         format!(
-            "{} requests: {} served, other answers {:?}, {} left, {} without a whole answer, {} in no time; {} events, {} changes, {} orders",
+            "{} requests: {} served, other statuses {:?}, {} cancelled, {} without a complete response, {} timed out; {} router events, {} changes, {} orders",
             self.history.requests.len(),
             count(|outcome| *outcome == Outcome::Served),
             self.statuses(),
@@ -139,20 +141,20 @@
 /// Executes a run.
 ///
 /// # Errors
-/// It could not be started: see [`RunError`].
+/// The run could not be started: see [`RunError`].
 pub async fn run(plan: Plan) -> Result<Report, RunError> {
-    // What another run has left there would be taken for this one's: its disks name addresses that
-    // may be in use now.
+    // The data folders of an earlier run must not be reused: they contain router addresses that
+    // may belong to another run now.
     match fs::remove_dir_all(&plan.folder) {
-        Err(problem) if problem.kind() != io::ErrorKind::NotFound => return Err(problem.into()),
+        Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error.into()),
         _ => fs::create_dir_all(&plan.folder)?,
     }
     let network = Network::claim()?;
     let addresses = network.addresses;
     let (clock, recorder) = (Clock::start(), Arc::new(Recorder::default()));
-    recorder.open().replicas = plan.size.replicas;
+    recorder.lock().replicas = plan.size.replicas;
     let client = reqwest::Client::builder().no_proxy().build()?;
-    let site = Site {
+    let fleet = FleetConfig {
         program: plan.program.clone(),
         folder: plan.folder.clone(),
         size: plan.size,
@@ -160,7 +162,7 @@
     };
     let (mut supervisors, mut supervisions) = (Vec::new(), Vec::new());
     for number in 0..plan.size.routers {
-        let (supervisor, supervision) = supervisor::start(&site, number, clock, &recorder)?;
+        let (supervisor, supervision) = supervisor::start(&fleet, number, clock, &recorder)?;
         supervisors.push(supervisor);
         supervisions.push(supervision);
     }
@@ -203,11 +205,11 @@
         .iter()
         .for_each(|supervisor| supervisor.inject(RouterFault::Shutdown));
     for supervision in supervisions {
-        // A failed supervisor shows in the history, as its router does not respond.
+        // If a supervisor has failed, its router does not respond, which the checks report.
         let _ = supervision.await;
     }
     result?;
-    let history = soak.recorder.open().clone();
+    let history = soak.recorder.lock().clone();
     let violations = check::violations(&history);
     Ok(Report {
         history,
@@ -222,8 +224,8 @@
         });
         started
             .await
-            .map_err(|_| RunError::NoStart(self.plan.folder.clone()))?;
-        let (end, ends) = watch::channel(false);
+            .map_err(|_| RunError::NotStarted(self.plan.folder.clone()))?;
+        let (stop, stopped) = watch::channel(false);
         let clients = Arc::new(Clients {
             clock: self.clock,
             recorder: self.recorder.clone(),
@@ -231,27 +233,27 @@
                 .map(|number| self.addresses.frontend(number))
                 .collect(),
             cancelled_permille: CANCELLED_PERMILLE,
-            next: AtomicU64::new(1),
+            next_id: AtomicU64::new(1),
         });
         let mut tasks = JoinSet::new();
         for _ in 0..self.plan.clients {
-            tasks.spawn(clients.clone().run(self.plan.pause, ends.clone()));
+            tasks.spawn(clients.clone().run(self.plan.pause, stopped.clone()));
         }
         for number in 0..self.plan.size.routers {
-            tasks.spawn(self.clone().poll_status(number, ends.clone()));
+            tasks.spawn(self.clone().poll_status(number, stopped.clone()));
         }
         self.clone().execute_schedule().await;
         tokio::time::sleep(RECOVERY_TIME).await;
-        let calm_since = self.clock.now();
+        let recovered_at = self.clock.now();
         tokio::time::sleep(MEASURED_TIME).await;
-        self.record_final_state(calm_since).await;
-        // All tasks have a receiver until the run is over.
-        let _ = end.send(true);
+        self.record_final_state(recovered_at).await;
+        // Sending cannot fail, as `stopped` is still in scope.
+        let _ = stop.send(true);
         while tasks.join_next().await.is_some() {}
         Ok(())
     }
 
-    /// The leader of the control state, if a router reports that it is.
+    /// The leader of the control state, if a router reports to be the leader.
     async fn leader(&self) -> Option<usize> {
         for number in 0..self.plan.size.replicas {
             if self.metric(number, "control_leads").await == Some(1) {
@@ -277,16 +279,16 @@
             leader_faults,
             partitions,
         };
-        let begun = tokio::time::Instant::now();
-        let mut under_way = JoinSet::new();
+        let started_at = tokio::time::Instant::now();
+        let mut actions = JoinSet::new();
         for Step { at, action } in schedule::draw(scope, self.plan.seed) {
-            tokio::time::sleep_until(begun + Duration::from_millis(at)).await;
-            under_way.spawn(self.clone().act(action));
+            tokio::time::sleep_until(started_at + Duration::from_millis(at)).await;
+            actions.spawn(self.clone().execute_action(action));
         }
-        while under_way.join_next().await.is_some() {}
+        while actions.join_next().await.is_some() {}
     }
 
-    async fn act(self: Arc<Self>, action: Action) {
+    async fn execute_action(self: Arc<Self>, action: Action) {
         match action {
             Action::Router(number, fault) => self.supervisors[number].inject(fault),
             Action::Leader(fault) => {
@@ -297,16 +299,16 @@
             Action::Configure { race } => self.configure(race).await,
             Action::AnnounceWeights => self.announce_weights().await,
             Action::CrashBackend(number) => {
-                let mut place = self.backends[number].lock().await;
-                if let Some(backend) = place.take() {
+                let mut current = self.backends[number].lock().await;
+                if let Some(backend) = current.take() {
                     backend.crash();
                 }
-                *place = Backend::start(self.environment.clone()).await.ok();
+                *current = Backend::start(self.environment.clone()).await.ok();
             }
             Action::HangBackend(number, duration) => {
-                self.hang(number, true).await;
+                self.set_hanging(number, true).await;
                 tokio::time::sleep(duration).await;
-                self.hang(number, false).await;
+                self.set_hanging(number, false).await;
             }
             Action::PartitionBackend(number, duration) => {
                 self.set_partitioned(number, true).await;
@@ -323,9 +325,9 @@
         }
     }
 
-    async fn hang(&self, number: usize, hangs: bool) {
+    async fn set_hanging(&self, number: usize, is_hanging: bool) {
         if let Some(backend) = self.backends[number].lock().await.as_ref() {
-            backend.set_hanging(hangs);
+            backend.set_hanging(is_hanging);
         }
     }
 
@@ -359,19 +361,19 @@
         }
     }
 
-    /// Polls a router's version of the configuration until the end of the run.
-    async fn poll_status(self: Arc<Self>, number: usize, mut ends: watch::Receiver<bool>) {
-        while !*ends.borrow_and_update() {
+    /// Polls the version of a router's configuration until `stopped` is true.
+    async fn poll_status(self: Arc<Self>, number: usize, mut stopped: watch::Receiver<bool>) {
+        while !*stopped.borrow_and_update() {
             let asked_at = self.clock.now();
             if let Some(configuration) = self.metric(number, "configuration_version").await {
                 let answered_at = self.clock.now();
-                let seen = StatusRecord {
+                let status = StatusRecord {
                     router: number,
                     asked_at,
                     answered_at,
                     configuration,
                 };
-                self.recorder.open().statuses.push(seen);
+                self.recorder.lock().statuses.push(status);
             }
             tokio::time::sleep(STATUS_INTERVAL).await;
         }
@@ -380,19 +382,19 @@
     /// The value of a metric of a router.
     async fn metric(&self, number: usize, name: &str) -> Option<u64> {
         let url = format!("http://{}/metrics", self.addresses.metrics(number));
-        let answer = self
+        let response = self
             .client
             .get(url)
             .timeout(STATUS_TIMEOUT)
             .send()
             .await
             .ok()?;
-        let text = String::from_utf8(answer.bytes().await.ok()?.to_vec()).ok()?;
+        let text = String::from_utf8(response.bytes().await.ok()?.to_vec()).ok()?;
         text.lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
     }
 
-    async fn record_final_state(&self, calm_since: Millis) {
+    async fn record_final_state(&self, recovered_at: Millis) {
         let read_back = self.operator.read_back(READ_TIMEOUT).await;
         let mut configurations = Vec::new();
         for number in 0..self.plan.size.routers {
@@ -406,18 +408,22 @@
         for backend in &self.backends {
             weights.push(backend.lock().await.as_ref().map_or(0, Backend::version));
         }
-        let mut history = self.recorder.open();
-        let owed = history.requests.iter().filter(|request| {
-            request.sent_at >= calm_since
+        let mut history = self.recorder.lock();
+        let expected = history.requests.iter().filter(|request| {
+            request.sent_at >= recovered_at
                 && request.outcome != Outcome::Cancelled
                 && request.outcome != Outcome::NotSent
         });
-        let outcomes: Vec<bool> = owed
+        let outcomes: Vec<bool> = expected
             .map(|request| request.outcome == Outcome::Served)
             .collect();
         let served = outcomes.iter().filter(|served| **served).count();
-        let end = &mut history.end;
-        end.requests = (outcomes.len() as u32, served as u32);
-        (end.read_back, end.configurations, end.weights) = (read_back, configurations, weights);
+        let final_state = &mut history.final_state;
+        final_state.requests = (outcomes.len() as u32, served as u32);
+        (
+            final_state.read_back,
+            final_state.configurations,
+            final_state.weights,
+        ) = (read_back, configurations, weights);
     }
 }
--- a/soak/src/settings.rs
+++ b/soak/src/settings.rs
@@ -1,23 +1,24 @@
-//! Settings of the routers of a run, and all listening addresses.
+//! Settings of the routers of a run, and the addresses of all listeners.
 
 use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
 
-/// Time between two heartbeats of a backend.
+/// The interval between heartbeats of a backend.
 pub const HEARTBEAT_MS: u64 = 400;
-/// From SIGTERM to SIGKILL.
-pub const GRACE_MS: u64 = 8_000;
-/// Time for a configuration to be in force everywhere.
+/// The time from SIGTERM to SIGKILL.
+pub const GRACE_PERIOD_MS: u64 = 8_000;
+/// The longest time from the acknowledgement of a configuration until all routers apply it.
 pub const CONFIG_APPLY_MS: u64 = 2_000;
-/// Time after which no request begins on older weights.
-pub const VERSION_MS: u64 = 6_000;
-/// Time between orders of two holders of the lease.
+/// The longest time after the acknowledgement of a weight version in which requests may still
+/// start on older weights.
+pub const WEIGHTS_APPLY_MS: u64 = 6_000;
+/// The least time between orders of two lease holders.
 pub const LEASE_MS: u64 = 3_000;
 /// The time-out of every route.
 pub const ROUTE_TIMEOUT_MS: u64 = 3_000;
-/// The time without faults after which a router is in contact with the others again.
-pub const CONTACT_MS: u64 = 3_000;
+/// The time without faults after which a router is considered connected to the others again.
+pub const RECONNECT_MS: u64 = 3_000;
 
 const FRONTEND_PORT: u16 = 8_388;
 const READINESS_PORT: u16 = 8_384;
@@ -25,16 +26,16 @@
 const INTERNAL_PORTS: (u16, u16) = (7_560, 7_575);
 const METRICS_PORT: u16 = 9_464;
 
-/// How many routers there are.
+/// The number of routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size {
-    /// All of them.
+    /// All routers.
     pub routers: usize,
-    /// Those with a disk, which come first.
+    /// Routers with a replica of the control state on disk. They have the lowest numbers.
     pub replicas: usize,
 }
 
-/// Loopback addresses of one run. Runs beside each other differ in their network.
+/// The loopback addresses of one run. Concurrent runs differ in their network.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
     /// The second byte of every address.
@@ -52,34 +53,34 @@
         )
     }
 
-    /// Where backends listen, on ports of their own.
+    /// The address of all backends, which differ in their port.
     pub fn backends(&self) -> Ipv4Addr {
         Ipv4Addr::new(127, self.network, 200, 1)
     }
 
-    /// The address for clients.
+    /// The address of a router for clients.
     pub fn frontend(&self, number: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.router(number), FRONTEND_PORT)
     }
 
-    /// The address for backends and operators.
+    /// The address of a router for backends and operators.
     pub fn control(&self, number: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.router(number), CONTROL_PORT)
     }
 
-    /// The address of the metrics.
+    /// The address of a router's metrics.
     pub fn metrics(&self, number: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.router(number), METRICS_PORT)
     }
 }
 
-/// The port of the metrics page, for the command line.
+/// The metrics port, as a command-line argument.
 pub fn metrics_port() -> String {
     METRICS_PORT.to_string()
 }
 
-/// The settings file of a router.
-pub fn of_router(
+/// The contents of a router's settings file.
+pub fn router_settings(
     size: Size,
     addresses: Addresses,
     number: usize,
@@ -106,7 +107,7 @@
         "heartbeatIntervalMs": HEARTBEAT_MS,
         "faultTolerance": {"machines": (size.replicas - 1) / 2, "zones": 0, "regions": 0},
         "bounds": {"configApplyMs": CONFIG_APPLY_MS, "ackTimeoutMs": 4_000, "drainTimeoutMs": 2_000,
-                   "gracePeriodS": GRACE_MS / 1_000, "retryBudgetRatio": 0.2, "retryBudgetSlack": 60,
-                   "budgetWindowS": 10, "leaseMs": LEASE_MS, "versionMs": VERSION_MS},
+                   "gracePeriodS": GRACE_PERIOD_MS / 1_000, "retryBudgetRatio": 0.2, "retryBudgetSlack": 60,
+                   "budgetWindowS": 10, "leaseMs": LEASE_MS, "versionMs": WEIGHTS_APPLY_MS},
     })
 }
--- a/soak/src/supervisor.rs
+++ b/soak/src/supervisor.rs
@@ -1,9 +1,9 @@
-//! Supervises router processes: starts them, injects faults by signals, and restarts them as the
-//! platform would.
+//! Supervises router processes: starts them, injects faults by signals, and restarts them as a
+//! process manager would.
 
 use crate::clock::Clock;
 use crate::history::{ProcessEvent, Recorder, RouterEvent};
-use crate::settings::{self, Addresses, GRACE_MS, Size};
+use crate::settings::{self, Addresses, GRACE_PERIOD_MS, Size};
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::{self, File};
 use std::io;
@@ -15,17 +15,17 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// The least delay before a process that ended is restarted; at most it is twice as long.
-const RESTART_DELAY: Duration = Duration::from_millis(400);
+/// The minimum delay before an exited process is restarted; the maximum is twice as long.
+const MIN_RESTART_DELAY: Duration = Duration::from_millis(400);
 
 /// A fault of a router, injected by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouterFault {
-    /// SIGTERM, and SIGKILL at the end of the grace period.
+    /// SIGTERM, and SIGKILL if the process still runs at the end of the grace period.
     Terminate,
     /// SIGKILL.
     Kill,
-    /// SIGKILL, and its disk is empty after the restart.
+    /// SIGKILL, and a restart with an empty data folder.
     Wipe,
     /// SIGSTOP, and SIGCONT after this time.
     Suspend(Duration),
@@ -35,22 +35,22 @@
     Shutdown,
 }
 
-/// What all routers of a run share.
+/// The settings that all routers of a run share.
 #[derive(Debug, Clone)]
-pub struct Site {
-    /// The program.
+pub struct FleetConfig {
+    /// The router program.
     pub program: PathBuf,
     /// The folder of the run: settings, data and logs.
     pub folder: PathBuf,
-    /// How many routers there are.
+    /// The number of routers.
     pub size: Size,
-    /// Their addresses.
+    /// The addresses of the routers.
     pub addresses: Addresses,
 }
 
-/// One router, over all its processes.
+/// One router, across restarts of its process.
 struct Router {
-    site: Site,
+    fleet: FleetConfig,
     number: usize,
     clock: Clock,
     recorder: Arc<Recorder>,
@@ -63,24 +63,24 @@
 impl Supervisor {
     /// Injects a fault.
     pub fn inject(&self, fault: RouterFault) {
-        // After the shutdown nobody receives faults.
+        // The queue is closed after the shutdown.
         let _ = self.0.send(fault);
     }
 }
 
-/// Starts a router and restarts it until the shutdown.
+/// Starts a router, and restarts its process until the shutdown.
 ///
 /// # Errors
-/// Its files cannot be written, or the process cannot be started.
+/// Files cannot be written, or the process cannot be started.
 pub fn start(
-    site: &Site,
+    fleet: &FleetConfig,
     number: usize,
     clock: Clock,
     recorder: &Arc<Recorder>,
 ) -> io::Result<(Supervisor, tokio::task::JoinHandle<io::Result<()>>)> {
     let (faults, queue) = mpsc::unbounded_channel();
     let router = Router {
-        site: site.clone(),
+        fleet: fleet.clone(),
         number,
         clock,
         recorder: recorder.clone(),
@@ -91,8 +91,8 @@
 }
 
 impl Router {
-    fn data(&self) -> PathBuf {
-        self.site.folder.join(format!("data-{}", self.number))
+    fn data_folder(&self) -> PathBuf {
+        self.fleet.folder.join(format!("data-{}", self.number))
     }
 
     fn record(&self, event: ProcessEvent) {
@@ -101,27 +101,30 @@
             at: self.clock.now(),
             event,
         };
-        self.recorder.open().router_events.push(record);
+        self.recorder.lock().router_events.push(record);
     }
 
     fn start(&self, bootstrap: bool) -> io::Result<Child> {
-        let data = self.data();
+        let data = self.data_folder();
         fs::create_dir_all(&data)?;
         let file = self
-            .site
+            .fleet
             .folder
             .join(format!("settings-{}.json", self.number));
-        let settings = settings::of_router(
-            self.site.size,
-            self.site.addresses,
+        let settings = settings::router_settings(
+            self.fleet.size,
+            self.fleet.addresses,
             self.number,
             &data,
             bootstrap,
         );
         fs::write(&file, settings.to_string())?;
-        let log = self.site.folder.join(format!("router-{}.log", self.number));
+        let log = self
+            .fleet
+            .folder
+            .join(format!("router-{}.log", self.number));
         let log = File::options().append(true).create(true).open(log)?;
-        let child = Command::new(&self.site.program)
+        let child = Command::new(&self.fleet.program)
             .arg("router")
             .arg("--settings")
             .arg(&file)
@@ -142,16 +145,16 @@
     ) -> io::Result<()> {
         let mut kill_at: Option<Instant> = None;
         let mut resume_at: Option<Instant> = None;
-        let mut wipes = false;
+        let mut wipe_on_exit = false;
         loop {
             tokio::select! {
-                ended = child.wait() => {
-                    self.record(ProcessEvent::Exited(ended?.into()));
-                    if std::mem::take(&mut wipes) {
-                        empty(&self.data())?;
+                exited = child.wait() => {
+                    self.record(ProcessEvent::Exited(exited?.into()));
+                    if std::mem::take(&mut wipe_on_exit) {
+                        clear_folder(&self.data_folder())?;
                     }
                     (kill_at, resume_at) = (None, None);
-                    tokio::time::sleep(RESTART_DELAY.mul_f64(1.0 + fastrand::f64())).await;
+                    tokio::time::sleep(MIN_RESTART_DELAY.mul_f64(1.0 + fastrand::f64())).await;
                     child = self.start(false)?;
                 }
                 fault = faults.recv() => match fault {
@@ -162,11 +165,11 @@
                     }
                     Some(RouterFault::Terminate) => {
                         self.signal(&child, Signal::TERM);
-                        kill_at.get_or_insert_with(|| Instant::now() + Duration::from_millis(GRACE_MS));
+                        kill_at.get_or_insert_with(|| Instant::now() + Duration::from_millis(GRACE_PERIOD_MS));
                     }
                     Some(RouterFault::Kill) => self.signal(&child, Signal::KILL),
                     Some(RouterFault::Wipe) => {
-                        wipes = true;
+                        wipe_on_exit = true;
                         self.signal(&child, Signal::KILL);
                     }
                     Some(RouterFault::Suspend(duration)) => {
@@ -175,11 +178,11 @@
                     }
                     Some(RouterFault::Reload) => self.signal(&child, Signal::HUP),
                 },
-                () = at(kill_at) => {
+                () = wait_until(kill_at) => {
                     kill_at = None;
                     self.signal(&child, Signal::KILL);
                 }
-                () = at(resume_at) => {
+                () = wait_until(resume_at) => {
                     resume_at = None;
                     self.signal(&child, Signal::CONT);
                 }
@@ -199,19 +202,20 @@
             _ => ProcessEvent::Killed,
         };
         self.record(event);
-        // The process may just have exited by itself.
+        // The process may have exited in the meantime.
         let _ = kill_process(id, signal);
     }
 }
 
-async fn at(moment: Option<Instant>) {
-    match moment {
-        Some(moment) => tokio::time::sleep_until(moment).await,
+/// Waits until a time; forever if there is none.
+async fn wait_until(time: Option<Instant>) {
+    match time {
+        Some(time) => tokio::time::sleep_until(time).await,
         None => std::future::pending().await,
     }
 }
 
-fn empty(folder: &Path) -> io::Result<()> {
+fn clear_folder(folder: &Path) -> io::Result<()> {
     fs::remove_dir_all(folder)?;
     fs::create_dir_all(folder)
 }
--- a/soak/tests/check.rs
+++ b/soak/tests/check.rs
@@ -1,16 +1,17 @@
-//! Every rule is violated by a history that breaks it, and by no other.
+//! Each rule detects histories that violate it, and accepts others.
 
 use soak::check::violations;
 use soak::history::{
-    BackendEvent, BackendState, Change, ChangeRecord, Exit, Final, History, Kind, Outcome,
-    ProcessEvent, ReceivedOrder, Reply, Request, RouterEvent, Run, StatusRecord,
+    BackendEvent, BackendState, Change, ChangeRecord, Execution, Exit, FinalState, History, Kind,
+    Outcome, ProcessEvent, ReceivedOrder, Reply, Request, RouterEvent, StatusRecord,
 };
 
-/// A fleet of five routers, three with the control state, that served one request.
-fn sound() -> History {
+/// The history of five routers, of which three have a replica of the control state, with one served
+/// request and no violations.
+fn valid_history() -> History {
     History {
         requests: vec![request(1, Kind::Unsafe, 20_000, 20_050, Outcome::Served)],
-        runs: vec![run(1, 1, 20_010, 20_040)],
+        executions: vec![execution(1, 1, 20_010, 20_040)],
         router_events: (0..5)
             .map(|router| RouterEvent {
                 router,
@@ -18,8 +19,8 @@
                 event: ProcessEvent::Started,
             })
             .collect(),
-        changes: vec![configured(0, 1, 1, 5_000, Reply::Acknowledged)],
-        end: Final {
+        changes: vec![configuration_change(0, 1, 1, 5_000, Reply::Acknowledged)],
+        final_state: FinalState {
             read_back: Some(1),
             configurations: vec![1; 5],
             weights: vec![1; 2],
@@ -41,19 +42,19 @@
     }
 }
 
-fn run(request: u64, version: u64, begun: u64, ended: u64) -> Run {
-    Run {
+fn execution(request: u64, version: u64, started_at: u64, ended_at: u64) -> Execution {
+    Execution {
         request,
         backend: 1,
         version,
-        arrived_at: begun,
-        begun_at: Some(begun),
-        ended_at: Some(ended),
-        broke_off: false,
+        arrived_at: started_at,
+        started_at: Some(started_at),
+        ended_at: Some(ended_at),
+        backend_crashed: false,
     }
 }
 
-fn configured(
+fn configuration_change(
     base: u64,
     version: u64,
     variant: u64,
@@ -73,7 +74,7 @@
     }
 }
 
-fn named(version: u64, answered_at: u64) -> ChangeRecord {
+fn weights_change(version: u64, answered_at: u64) -> ChangeRecord {
     let change = Change::Weights(version);
     ChangeRecord {
         change,
@@ -83,7 +84,7 @@
     }
 }
 
-fn seen(router: usize, at: u64, configuration: u64) -> StatusRecord {
+fn status(router: usize, at: u64, configuration: u64) -> StatusRecord {
     StatusRecord {
         router,
         asked_at: at,
@@ -96,9 +97,9 @@
     RouterEvent { router, at, event }
 }
 
-/// The rules that are broken once a sound history is changed.
-fn broken(change: impl FnOnce(&mut History)) -> Vec<&'static str> {
-    let mut history = sound();
+/// The rules that a valid history violates after a change.
+fn violated(change: impl FnOnce(&mut History)) -> Vec<&'static str> {
+    let mut history = valid_history();
     change(&mut history);
     let mut rules: Vec<_> = violations(&history)
         .iter()
@@ -111,42 +112,42 @@
 const NONE: [&str; 0] = [];
 
 #[test]
-fn accepts_sound_history() {
-    assert_eq!(broken(|_| {}), NONE);
+fn accepts_valid_history() {
+    assert_eq!(violated(|_| {}), NONE);
 }
 
 #[test]
 fn detects_corrupted_responses() {
-    let spoil =
+    let corrupt =
         |history: &mut History| history.requests[0].outcome = Outcome::Corrupted("it has no seal");
-    assert_eq!(broken(spoil), ["MIXED"]);
+    assert_eq!(violated(corrupt), ["MIXED"]);
 }
 
 #[test]
 fn detects_repeated_execution() {
-    let again = |history: &mut History| history.runs.push(run(1, 1, 20_020, 20_030));
-    assert_eq!(broken(again), ["TWICE"]);
+    let repeat = |history: &mut History| history.executions.push(execution(1, 1, 20_020, 20_030));
+    assert_eq!(violated(repeat), ["TWICE"]);
     assert_eq!(
-        broken(|history| {
-            again(history);
+        violated(|history| {
+            repeat(history);
             history.requests[0].kind = Kind::Safe;
         }),
         NONE
     );
     assert_eq!(
-        broken(|history| {
-            again(history);
-            history.runs[1].begun_at = None;
+        violated(|history| {
+            repeat(history);
+            history.executions[1].started_at = None;
         }),
         NONE,
-        "it was turned away there"
+        "the second backend did not start the execution"
     );
 }
 
 #[test]
 fn detects_execution_of_unsent_request() {
     assert_eq!(
-        broken(|history| history.requests[0].outcome = Outcome::NotSent),
+        violated(|history| history.requests[0].outcome = Outcome::NotSent),
         ["UNASKED"]
     );
 }
@@ -159,7 +160,7 @@
         (502, vec![]),
     ] {
         assert_eq!(
-            broken(|history| history.requests[0].outcome = Outcome::Status(status)),
+            violated(|history| history.requests[0].outcome = Outcome::Status(status)),
             expected
         );
     }
@@ -167,37 +168,41 @@
 
 #[test]
 fn detects_lost_requests() {
-    let lost = |history: &mut History| history.requests[0].outcome = Outcome::Truncated;
-    assert_eq!(broken(lost), ["LOST"]);
+    let truncate = |history: &mut History| history.requests[0].outcome = Outcome::Truncated;
+    assert_eq!(violated(truncate), ["LOST"]);
     let events = [
         (ProcessEvent::Killed, true),
         (ProcessEvent::Suspended, true),
         (ProcessEvent::Terminated, false),
         (ProcessEvent::Reloaded, false),
     ];
-    for (event, excuses) in events {
-        let rules = broken(|history| {
-            lost(history);
+    for (event, is_accepted) in events {
+        let rules = violated(|history| {
+            truncate(history);
             history.router_events.push(router_event(4, 20_020, event));
         });
-        assert_eq!(rules.is_empty(), excuses, "{event:?}");
+        assert_eq!(rules.is_empty(), is_accepted, "{event:?}");
     }
-    let by_the_backend = |history: &mut History| {
-        lost(history);
-        history.runs[0].broke_off = true;
+    let by_backend_crash = |history: &mut History| {
+        truncate(history);
+        history.executions[0].backend_crashed = true;
     };
-    assert_eq!(broken(by_the_backend), NONE);
-    let after = |took: u64| {
-        broken(move |history| {
-            lost(history);
+    assert_eq!(violated(by_backend_crash), NONE);
+    let truncated_after = |took: u64| {
+        violated(move |history| {
+            truncate(history);
             history.requests[0].ended_at = history.requests[0].sent_at + took;
         })
     };
-    assert_eq!(after(2_981), NONE, "the time of its route was over");
-    assert_eq!(after(2_900), ["LOST"]);
-    let behind_a_cut = |backend: u64, healed_at: u64| {
-        broken(|history| {
-            lost(history);
+    assert_eq!(
+        truncated_after(2_981),
+        NONE,
+        "the route's time-out has expired"
+    );
+    assert_eq!(truncated_after(2_900), ["LOST"]);
+    let during_partition = |backend: u64, ends_at: u64| {
+        violated(|history| {
+            truncate(history);
             history.backends.push(BackendEvent {
                 backend,
                 at: 15_000,
@@ -205,198 +210,218 @@
             });
             history.backends.push(BackendEvent {
                 backend,
-                at: healed_at,
+                at: ends_at,
                 state: BackendState::Reachable,
             });
         })
     };
     assert_eq!(
-        behind_a_cut(1, 20_020),
+        during_partition(1, 20_020),
         NONE,
-        "the way to its backend was cut meanwhile"
+        "the link to its backend was partitioned"
     );
-    assert_eq!(behind_a_cut(1, 19_990), ["LOST"], "it had healed before");
     assert_eq!(
-        behind_a_cut(2, 20_020),
+        during_partition(1, 19_990),
         ["LOST"],
-        "the way to another backend was cut"
+        "the partition ended before the request"
+    );
+    assert_eq!(
+        during_partition(2, 20_020),
+        ["LOST"],
+        "the link to another backend was partitioned"
     );
 }
 
 #[test]
 fn detects_late_close_without_response() {
-    let crossed = |took: u64| {
-        broken(|history| {
-            history.runs.clear();
+    let closed_after = |took: u64| {
+        violated(|history| {
+            history.executions.clear();
             history.requests[0] =
                 request(1, Kind::Unsafe, 20_000, 20_000 + took, Outcome::NoResponse);
         })
     };
-    assert_eq!(crossed(50), NONE);
-    assert_eq!(crossed(700), ["LOST"]);
+    assert_eq!(closed_after(50), NONE);
+    assert_eq!(closed_after(700), ["LOST"]);
 }
 
 #[test]
 fn detects_work_on_cancelled_requests() {
-    let work_on = |count: u64, ended: Option<u64>| {
-        broken(|history| {
+    let cancelled = |count: u64, ended_at: Option<u64>| {
+        violated(|history| {
             history.requests.clear();
-            history.runs.clear();
+            history.executions.clear();
             for id in 1..=count {
                 history
                     .requests
                     .push(request(id, Kind::Safe, 20_000, 20_100, Outcome::Cancelled));
-                history.runs.push(Run {
-                    ended_at: ended,
-                    ..run(id, 1, 20_010, 0)
+                history.executions.push(Execution {
+                    ended_at,
+                    ..execution(id, 1, 20_010, 0)
                 });
             }
         })
     };
-    assert_eq!(work_on(4, Some(20_900)), NONE);
-    assert_eq!(work_on(4, Some(21_200)), ["GONE"; 1]);
-    assert_eq!(work_on(4, None), ["GONE"; 1]);
-    assert_eq!(work_on(3, None), NONE, "a few are permitted");
+    assert_eq!(cancelled(4, Some(20_900)), NONE);
+    assert_eq!(cancelled(4, Some(21_200)), ["GONE"; 1]);
+    assert_eq!(cancelled(4, None), ["GONE"; 1]);
+    assert_eq!(
+        cancelled(3, None),
+        NONE,
+        "three late cancellations are tolerated"
+    );
 }
 
-/// Four clients left at 20.1 s; their requests had arrived at a backend at `arrived`, to which the
-/// way was cut for a while.
+/// The violated rules after four requests were cancelled at 20.1 s and reached a backend at
+/// `arrived`, with a partition of the link to the backend in `states`.
 fn cancelled_behind_partition(arrived: u64, states: &[(u64, BackendState)]) -> Vec<&'static str> {
-    broken(|history| {
+    violated(|history| {
         history.requests.clear();
-        history.runs.clear();
+        history.executions.clear();
         for id in 1..=4 {
             history
                 .requests
                 .push(request(id, Kind::Safe, 20_000, 20_100, Outcome::Cancelled));
-            history.runs.push(Run {
+            history.executions.push(Execution {
                 ended_at: None,
-                ..run(id, 1, arrived, 0)
+                ..execution(id, 1, arrived, 0)
             });
         }
-        let staged = |(at, state): &(u64, BackendState)| BackendEvent {
+        let to_event = |(at, state): &(u64, BackendState)| BackendEvent {
             backend: 1,
             at: *at,
             state: *state,
         };
-        history.backends.extend(states.iter().map(staged));
+        history.backends.extend(states.iter().map(to_event));
     })
 }
 
 #[test]
-fn cancellation_counts_after_the_partition() {
-    let cut_then = [
+fn tolerates_late_cancellation_only_during_partition() {
+    let partition_during = [
         (20_050, BackendState::Partitioned),
         (25_000, BackendState::Reachable),
     ];
     assert_eq!(
-        cancelled_behind_partition(20_010, &cut_then),
+        cancelled_behind_partition(20_010, &partition_during),
         NONE,
-        "the backend can't know"
+        "the cancellation cannot reach the backend"
     );
     assert_eq!(
-        cancelled_behind_partition(25_010, &cut_then),
+        cancelled_behind_partition(25_010, &partition_during),
         ["GONE"],
-        "it arrived after all"
+        "a request that was cancelled long before arrives"
     );
-    let cut_before = [
+    let partition_before = [
         (12_000, BackendState::Partitioned),
         (15_000, BackendState::Reachable),
     ];
-    assert_eq!(cancelled_behind_partition(20_010, &cut_before), ["GONE"]);
-    let cut_after = [
+    assert_eq!(
+        cancelled_behind_partition(20_010, &partition_before),
+        ["GONE"]
+    );
+    let partition_after = [
         (21_500, BackendState::Partitioned),
         (25_000, BackendState::Reachable),
     ];
-    assert_eq!(cancelled_behind_partition(20_010, &cut_after), ["GONE"]);
+    assert_eq!(
+        cancelled_behind_partition(20_010, &partition_after),
+        ["GONE"]
+    );
 }
 
 #[test]
 fn detects_outdated_weights() {
-    let begins = |at: u64, event: Option<RouterEvent>| {
-        broken(|history| {
-            history.changes.push(named(2, 10_000));
-            history.end.weights = vec![2; 2];
+    let starts = |at: u64, event: Option<RouterEvent>| {
+        violated(|history| {
+            history.changes.push(weights_change(2, 10_000));
+            history.final_state.weights = vec![2; 2];
             history.requests[0] = request(1, Kind::Unsafe, at - 20, at + 50, Outcome::Served);
-            history.runs[0] = run(1, 1, at, at + 20);
+            history.executions[0] = execution(1, 1, at, at + 20);
             history.router_events.extend(event);
         })
     };
-    assert_eq!(begins(16_300, None), NONE);
-    assert_eq!(begins(16_500, None), ["VERSION"]);
+    assert_eq!(starts(16_300, None), NONE);
+    assert_eq!(starts(16_500, None), ["VERSION"]);
     assert_eq!(
-        begins(
+        starts(
             16_500,
             Some(router_event(3, 12_000, ProcessEvent::Reloaded))
         ),
         ["VERSION"]
     );
     assert_eq!(
-        begins(16_500, Some(router_event(3, 12_000, ProcessEvent::Killed))),
+        starts(16_500, Some(router_event(3, 12_000, ProcessEvent::Killed))),
         ["VERSION"],
-        "another router's affair"
+        "a fault of an unrelated router"
     );
     assert_eq!(
-        begins(16_500, Some(router_event(0, 12_000, ProcessEvent::Killed))),
+        starts(16_500, Some(router_event(0, 12_000, ProcessEvent::Killed))),
         NONE,
-        "the core was not stable"
+        "a replica of the control state had a fault"
     );
     assert_eq!(
-        begins(16_500, Some(router_event(4, 8_000, ProcessEvent::Killed))),
+        starts(16_500, Some(router_event(4, 8_000, ProcessEvent::Killed))),
         NONE,
-        "the router was out of touch"
+        "the router had a fault shortly before"
     );
 }
 
 #[test]
 fn detects_stale_and_regressed_configurations() {
-    let look = |looks: &[StatusRecord], event: Option<RouterEvent>| {
-        broken(|history| {
+    let poll = |statuses: &[StatusRecord], event: Option<RouterEvent>| {
+        violated(|history| {
             history
                 .changes
-                .push(configured(1, 3, 2, 10_000, Reply::Acknowledged));
-            history.end = Final {
+                .push(configuration_change(1, 3, 2, 10_000, Reply::Acknowledged));
+            history.final_state = FinalState {
                 read_back: Some(3),
                 configurations: vec![3; 5],
-                ..history.end.clone()
+                ..history.final_state.clone()
             };
-            history.statuses.extend_from_slice(looks);
+            history.statuses.extend_from_slice(statuses);
             history.router_events.extend(event);
         })
     };
-    assert_eq!(look(&[seen(4, 12_300, 1)], None), NONE);
-    assert_eq!(look(&[seen(4, 12_500, 1)], None), ["CONFIG"]);
+    assert_eq!(poll(&[status(4, 12_300, 1)], None), NONE);
+    assert_eq!(poll(&[status(4, 12_500, 1)], None), ["CONFIG"]);
     assert_eq!(
-        look(
-            &[seen(4, 12_500, 1)],
+        poll(
+            &[status(4, 12_500, 1)],
             Some(router_event(0, 9_000, ProcessEvent::Killed))
         ),
         NONE,
-        "no stable core"
+        "a replica of the control state had a fault"
     );
     assert_eq!(
-        look(
-            &[seen(4, 12_500, 1)],
+        poll(
+            &[status(4, 12_500, 1)],
             Some(router_event(3, 9_000, ProcessEvent::Killed))
         ),
         ["CONFIG"],
-        "another router"
+        "a fault of an unrelated router"
     );
     assert_eq!(
-        look(&[seen(4, 9_000, 3), seen(4, 9_400, 1)], None),
+        poll(&[status(4, 9_000, 3), status(4, 9_400, 1)], None),
         ["CONFIG"]
     );
     let restarted = Some(router_event(4, 9_200, ProcessEvent::Started));
     assert_eq!(
-        look(&[seen(4, 9_000, 3), seen(4, 9_400, 1)], restarted),
+        poll(&[status(4, 9_000, 3), status(4, 9_400, 1)], restarted),
         NONE,
-        "another life"
+        "the process has restarted"
     );
 }
 
 #[test]
 fn detects_two_winners_of_a_race() {
-    let race = |reply| broken(|history| history.changes.push(configured(0, 1, 2, 5_010, reply)));
+    let race = |reply| {
+        violated(|history| {
+            history
+                .changes
+                .push(configuration_change(0, 1, 2, 5_010, reply))
+        })
+    };
     assert_eq!(race(Reply::Acknowledged), ["CONFIG"]);
     assert_eq!(race(Reply::Refused(412)), NONE);
 }
@@ -410,7 +435,7 @@
         fencing_token,
     };
     assert_eq!(
-        broken(|history| history.orders = vec![order("a", 1), order("b", 1)]),
+        violated(|history| history.orders = vec![order("a", 1), order("b", 1)]),
         ["ONE"]
     );
     let later = |fencing_token, at| ReceivedOrder {
@@ -418,11 +443,11 @@
         ..order("b", fencing_token)
     };
     assert_eq!(
-        broken(|history| history.orders = vec![order("a", 1), later(1, 20_000)]),
+        violated(|history| history.orders = vec![order("a", 1), later(1, 20_000)]),
         ["ONE"]
     );
     assert_eq!(
-        broken(|history| history.orders = vec![order("a", 1), later(2, 20_000)]),
+        violated(|history| history.orders = vec![order("a", 1), later(2, 20_000)]),
         NONE
     );
 }
@@ -444,24 +469,24 @@
             ];
         }
     };
-    assert_eq!(broken(orders(11_999, 12_500)), ["ONE"]);
+    assert_eq!(violated(orders(11_999, 12_500)), ["ONE"]);
     assert_eq!(
-        broken(orders(12_000, 12_500)),
+        violated(orders(12_000, 12_500)),
         NONE,
-        "one router goes on under another token"
+        "the same holder continues with a new token"
     );
-    let thawed = |history: &mut History| {
+    let resumed = |history: &mut History| {
         orders(11_999, 12_500)(history);
         history
             .router_events
             .push(router_event(1, 11_900, ProcessEvent::Resumed));
     };
     assert_eq!(
-        broken(thawed),
+        violated(resumed),
         NONE,
-        "it may have been on its way before its sender stood still"
+        "the order may have been sent before the router was suspended"
     );
-    let healed = |backend: u64| {
+    let reachable_again = |backend: u64| {
         move |history: &mut History| {
             orders(11_999, 12_500)(history);
             history.backends.push(BackendEvent {
@@ -472,21 +497,21 @@
         }
     };
     assert_eq!(
-        broken(healed(11_999)),
+        violated(reachable_again(11_999)),
         NONE,
-        "it may have been held up on its way"
+        "the order may have been held back by the partition"
     );
     assert_eq!(
-        broken(healed(3)),
+        violated(reachable_again(3)),
         ["ONE"],
-        "the way to another backend has healed"
+        "the partition was of another link"
     );
 }
 
 #[test]
 fn detects_regressed_weights() {
     let loads = |versions: &'static [(u64, u64)]| {
-        broken(move |history| {
+        violated(move |history| {
             history.backends.push(BackendEvent {
                 backend: 7,
                 at: 1_000,
@@ -506,16 +531,19 @@
     assert_eq!(loads(&[(7, 4), (7, 3)]), ["VERSION"]);
 }
 
-/// A history of 40 s in which version 2 was acknowledged at 10 s, and a backend started with
-/// version 1 before.
-fn behind(states: &[(u64, BackendState)], events: &[RouterEvent]) -> Vec<&'static str> {
-    broken(|history| {
-        history.changes.push(named(2, 10_000));
-        history.end.weights = vec![2; 2];
+/// The violated rules of a history of 40 s in which version 2 of the weights was acknowledged at
+/// 10 s, with a backend that had started with version 1.
+fn violated_by_update(states: &[(u64, BackendState)], events: &[RouterEvent]) -> Vec<&'static str> {
+    violated(|history| {
+        history.changes.push(weights_change(2, 10_000));
+        history.final_state.weights = vec![2; 2];
         history
             .requests
             .push(request(2, Kind::Unsafe, 39_950, 40_000, Outcome::Served));
-        history.runs = vec![run(1, 2, 20_010, 20_040), run(2, 2, 39_960, 39_990)];
+        history.executions = vec![
+            execution(1, 2, 20_010, 20_040),
+            execution(2, 2, 39_960, 39_990),
+        ];
         let mut change = |at, state| {
             history.backends.push(BackendEvent {
                 backend: 7,
@@ -524,7 +552,7 @@
             })
         };
         change(1_000, BackendState::Started { version: 1 });
-        states.iter().for_each(|(at, what)| change(*at, *what));
+        states.iter().for_each(|(at, state)| change(*at, *state));
         history.router_events.extend_from_slice(events);
     })
 }
@@ -532,39 +560,48 @@
 #[test]
 fn detects_backend_without_newer_weights() {
     let loaded = BackendState::Loaded { version: 2 };
-    assert_eq!(behind(&[(19_400, loaded)], &[]), NONE);
-    assert_eq!(behind(&[(19_500, loaded)], &[]), ["VERSION"]);
-    assert_eq!(behind(&[], &[]), ["VERSION"], "it never got it");
+    assert_eq!(violated_by_update(&[(19_400, loaded)], &[]), NONE);
+    assert_eq!(violated_by_update(&[(19_500, loaded)], &[]), ["VERSION"]);
+    assert_eq!(
+        violated_by_update(&[], &[]),
+        ["VERSION"],
+        "the backend never loaded the version"
+    );
     assert_eq!(
-        behind(&[(19_400, BackendState::Loaded { version: 3 })], &[]),
+        violated_by_update(&[(19_400, BackendState::Loaded { version: 3 })], &[]),
         NONE,
-        "a newer one serves as well"
+        "a newer version is sufficient"
     );
     assert_eq!(
-        behind(&[(19_000, BackendState::Stopping)], &[]),
+        violated_by_update(&[(19_000, BackendState::Stopping)], &[]),
         NONE,
-        "it left before"
+        "the backend stopped in time"
     );
-    let hung = [
+    let unresponsive = [
         (11_000, BackendState::Unresponsive),
         (15_000, BackendState::Responding),
         (26_000, loaded),
     ];
-    assert_eq!(behind(&hung, &[]), NONE, "it answered nothing for a while");
-    let cut = [
+    assert_eq!(
+        violated_by_update(&unresponsive, &[]),
+        NONE,
+        "the backend was unresponsive for a while"
+    );
+    let partitioned = [
         (11_000, BackendState::Partitioned),
         (12_000, BackendState::Unresponsive),
         (12_500, BackendState::Responding),
         (15_000, BackendState::Reachable),
     ];
-    let cut: Vec<(u64, BackendState)> = cut.into_iter().chain([(26_000, loaded)]).collect();
+    let partitioned: Vec<(u64, BackendState)> =
+        partitioned.into_iter().chain([(26_000, loaded)]).collect();
     assert_eq!(
-        behind(&cut, &[]),
+        violated_by_update(&partitioned, &[]),
         NONE,
-        "the way to it was cut, and within that time it answered nothing"
+        "the link was partitioned, and the backend unresponsive for part of that time"
     );
     assert_eq!(
-        behind(
+        violated_by_update(
             &[
                 (11_000, BackendState::Partitioned),
                 (12_000, BackendState::Reachable),
@@ -577,8 +614,9 @@
 }
 
 #[test]
-fn calm_time_between_faults_adds_up() {
-    // Each 5.5 s a control machine is killed and starts again at once: 2.5 s of each are calm.
+fn sums_fault_free_time_between_faults() {
+    // A router is killed at an interval and restarts at once. The first 3 s of each interval count
+    // as faulty, so that 2.5 s of 5.5 s are free of faults.
     let kills = |router: usize, every: u64| -> Vec<RouterEvent> {
         let at = (0..6).map(|number| 10_000 + number * every);
         at.flat_map(|at| {
@@ -590,58 +628,65 @@
         .collect()
     };
     let loaded = |at| [(at, BackendState::Loaded { version: 2 })];
-    assert_eq!(behind(&loaded(30_000), &kills(0, 5_500)), NONE);
-    assert_eq!(behind(&loaded(36_000), &kills(0, 5_500)), ["VERSION"]);
+    assert_eq!(violated_by_update(&loaded(30_000), &kills(0, 5_500)), NONE);
     assert_eq!(
-        behind(&loaded(25_000), &kills(0, 4_500)),
+        violated_by_update(&loaded(36_000), &kills(0, 5_500)),
+        ["VERSION"]
+    );
+    assert_eq!(
+        violated_by_update(&loaded(25_000), &kills(0, 4_500)),
         NONE,
-        "stretches under two seconds don't count"
+        "fault-free stretches under two seconds do not count"
     );
     assert_eq!(
-        behind(&loaded(30_000), &kills(4, 5_500)),
+        violated_by_update(&loaded(30_000), &kills(4, 5_500)),
         ["VERSION"],
-        "a router without the control state"
+        "a router without a replica of the control state"
     );
-    let away = [
+    let suspended = [
         router_event(1, 10_000, ProcessEvent::Suspended),
         router_event(1, 36_000, ProcessEvent::Resumed),
     ];
     assert_eq!(
-        behind(&loaded(40_000), &away),
+        violated_by_update(&loaded(40_000), &suspended),
         NONE,
-        "one of them stood still"
+        "a replica of the control state was suspended"
     );
 }
 
 #[test]
 fn detects_failed_and_late_exits() {
-    let ends = |events: &[(u64, ProcessEvent)]| {
+    let with_events = |events: &[(u64, ProcessEvent)]| {
         let events = events
             .iter()
             .map(|(at, event)| router_event(3, *at, *event))
             .collect::<Vec<_>>();
-        broken(|history| history.router_events.extend(events))
+        violated(|history| history.router_events.extend(events))
     };
-    let (in_order, failed) = (
+    let (succeeded, failed) = (
         ProcessEvent::Exited(Exit::Success),
-        ProcessEvent::Exited(Exit::BySignal(9)),
+        ProcessEvent::Exited(Exit::Signaled(9)),
+    );
+    assert_eq!(
+        with_events(&[(9_000, failed)]),
+        ["FAULT"],
+        "exit without a signal"
     );
-    assert_eq!(ends(&[(9_000, failed)]), ["FAULT"], "by itself");
-    assert_eq!(ends(&[(30, failed)]), NONE, "it had hardly started");
+    assert_eq!(with_events(&[(30, failed)]), NONE, "exit during startup");
     assert_eq!(
-        ends(&[(9_000, ProcessEvent::Terminated), (11_000, in_order)]),
+        with_events(&[(9_000, ProcessEvent::Terminated), (11_000, succeeded)]),
         NONE
     );
     assert_eq!(
-        ends(&[(9_000, ProcessEvent::Terminated), (11_000, failed)]),
+        with_events(&[(9_000, ProcessEvent::Terminated), (11_000, failed)]),
         ["FAULT"]
     );
     assert_eq!(
-        ends(&[(9_000, ProcessEvent::Killed), (9_001, failed)]),
+        with_events(&[(9_000, ProcessEvent::Killed), (9_001, failed)]),
         NONE
     );
     assert_eq!(
-        ends(&[
+        with_events(&[
             (9_000, ProcessEvent::Terminated),
             (17_000, ProcessEvent::Killed),
             (17_001, failed)
@@ -654,11 +699,11 @@
         (17_000, ProcessEvent::Killed),
         (17_001, failed),
     ];
-    assert_eq!(ends(&was_suspended), NONE);
-    // The second process starts at 9 s, is stopped some time later, and told to end before it goes
-    // on.
-    let stopped_after = |ran: u64| {
-        ends(&[
+    assert_eq!(with_events(&was_suspended), NONE);
+    // The second process starts at 9 s, is suspended `ran` ms later, and gets SIGTERM before it is
+    // resumed.
+    let suspended_after = |ran: u64| {
+        with_events(&[
             (8_000, ProcessEvent::Killed),
             (8_001, failed),
             (9_000, ProcessEvent::Started),
@@ -668,25 +713,34 @@
             (12_001, failed),
         ])
     };
-    assert_eq!(stopped_after(10), NONE, "it had hardly run");
-    assert_eq!(stopped_after(100), ["FAULT"]);
+    assert_eq!(suspended_after(10), NONE, "suspended during startup");
+    assert_eq!(suspended_after(100), ["FAULT"]);
 }
 
 #[test]
 fn detects_incomplete_recovery() {
-    assert_eq!(broken(|history| history.end.read_back = None), ["CONFIG"]);
-    assert_eq!(broken(|history| history.end.read_back = Some(0)), ["LOST"]);
     assert_eq!(
-        broken(|history| history.end.configurations[2] = 0),
+        violated(|history| history.final_state.read_back = None),
         ["CONFIG"]
     );
     assert_eq!(
-        broken(|history| history.changes.push(named(2, 15_000))),
+        violated(|history| history.final_state.read_back = Some(0)),
+        ["LOST"]
+    );
+    assert_eq!(
+        violated(|history| history.final_state.configurations[2] = 0),
+        ["CONFIG"]
+    );
+    assert_eq!(
+        violated(|history| history.changes.push(weights_change(2, 15_000))),
         ["VERSION"]
     );
     assert_eq!(
-        broken(|history| history.end.requests = (100, 94)),
+        violated(|history| history.final_state.requests = (100, 94)),
+        ["RECOVER"]
+    );
+    assert_eq!(
+        violated(|history| history.final_state.requests = (0, 0)),
         ["RECOVER"]
     );
-    assert_eq!(broken(|history| history.end.requests = (0, 0)), ["RECOVER"]);
 }
