--- a/control/src/configuration.rs
+++ b/control/src/configuration.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigurationError {
     /// The body is malformed or truncated JSON.
-    #[error("the body is malformed or truncated JSON: {0}")]
+    #[error("the body is malformed or truncated JSON: {0}; send the whole body again")]
     InvalidJson(String),
     /// A field is missing or has the wrong type.
     #[error("{path} is missing or not {wanted}")]
@@ -22,7 +22,10 @@
         wanted: &'static str,
     },
     /// A route refers to a service that is not defined.
-    #[error("routes[{route}] refers to the service {service}, which is not listed under services")]
+    #[error(
+        "routes[{route}] refers to the service {service}, which is not listed under services; \
+         add it there, or refer to a listed service"
+    )]
     UnknownService {
         /// The route's name.
         route: CompactString,
@@ -30,7 +33,7 @@
         service: CompactString,
     },
     /// Two routes have the same host and path prefix.
-    #[error("routes {first} and {second} have the same host and pathPrefix")]
+    #[error("routes {first} and {second} have the same host and pathPrefix; change one of them")]
     DuplicateRoute {
         /// The name of one route.
         first: CompactString,
@@ -39,20 +42,20 @@
     },
     /// The weights of a traffic split add up to 0.
     #[error(
-        "the weights of routes[{route}].trafficSplit add up to 0: at least one must be positive"
+        "the weights of routes[{route}].trafficSplit add up to 0; at least one must be positive"
     )]
     ZeroWeight {
         /// The route's name.
         route: CompactString,
     },
     /// The time-out of a route is 0.
-    #[error("routes[{route}].timeoutMs is 0: it must be at least 1")]
+    #[error("routes[{route}].timeoutMs is 0; it must be at least 1")]
     ZeroTimeout {
         /// The route's name.
         route: CompactString,
     },
     /// The version is not higher than the current one.
-    #[error("version {found} is not above the current {current}")]
+    #[error("version {found} is not above the current {current}; send a higher version")]
     StaleVersion {
         /// The submitted version.
         found: u64,
@@ -60,7 +63,7 @@
         current: u64,
     },
     /// Two tenants have the same API key.
-    #[error("tenants {first} and {second} have the same API key")]
+    #[error("tenants {first} and {second} have the same API key; give one of them another key")]
     SharedKey {
         /// The name of one tenant.
         first: CompactString,
