--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -207,7 +207,7 @@
     }
 
     /// The current epoch where this replica is the primary, has synchronized its backups and holds
-    /// the lease at `now`. Singleton work may then be done with the epoch as its fencing token.
+    /// the lease at `now`. Singleton work may then be done.
     pub fn leading_epoch(&self, now: Millis) -> Option<Epoch> {
         self.lease(now).map(|(epoch, _)| epoch)
     }
--- a/control/src/rollout/ownership.rs
+++ b/control/src/rollout/ownership.rs
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrderGrant {
     /// The fencing token of the orders.
-    pub fencing_token: Epoch,
+    pub fencing_token: u64,
     /// When it expires, unless it is renewed.
     pub expires_at: Millis,
 }
@@ -108,8 +108,8 @@
 /// The fencing token of orders that a replica sends in an epoch. Tokens rise with the epoch, and
 /// within one epoch the primary has a higher token than a backup: the primary may claim the
 /// ownership from a backup that has sent orders in the same epoch.
-pub fn fencing_token(epoch: Epoch, is_primary: bool) -> Epoch {
-    2 * epoch + Epoch::from(is_primary)
+pub fn fencing_token(epoch: Epoch, is_primary: bool) -> u64 {
+    2 * epoch + u64::from(is_primary)
 }
 
 /// The placeholder owner that marks a vacant ownership. Each vacancy has a different one, as
--- a/control/src/rollout/queue.rs
+++ b/control/src/rollout/queue.rs
@@ -2,7 +2,6 @@
 
 use super::OutdatedBackend;
 use crate::Millis;
-use crate::view::Epoch;
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
@@ -73,18 +72,18 @@
 
 /// The highest fencing token that each backend has rejected because it had seen a higher one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RejectedTokens(BTreeMap<CompactString, Epoch>);
+pub struct RejectedTokens(BTreeMap<CompactString, u64>);
 
 impl RejectedTokens {
     /// Records that a backend rejected an order with this token.
-    pub fn record(&mut self, backend: &CompactString, fencing_token: Epoch) {
+    pub fn record(&mut self, backend: &CompactString, fencing_token: u64) {
         let highest = self.0.entry(backend.clone()).or_default();
         *highest = fencing_token.max(*highest);
     }
 
     /// Whether a backend may be sent an order with this token, which has to be higher than any that
     /// it has rejected.
-    pub fn allows(&self, backend: &str, fencing_token: Epoch) -> bool {
+    pub fn allows(&self, backend: &str, fencing_token: u64) -> bool {
         self.0
             .get(backend)
             .is_none_or(|rejected| fencing_token > *rejected)
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -26,7 +26,8 @@
     }
 }
 
-/// The number of a view; it rises by one with each view. Also the fencing token of its primary.
+/// The number of a view; it rises by one with each view. The fencing token of an order is derived
+/// from it, see [`fencing_token`](crate::rollout::fencing_token).
 pub type Epoch = u64;
 
 /// The epoch of the electorate that decides the first view; no replica is ever primary in it.
--- a/router/src/replica/handle.rs
+++ b/router/src/replica/handle.rs
@@ -122,7 +122,7 @@
     }
 
     /// The fencing token for orders to backends, while this node owns the rollout.
-    pub fn order_fencing_token(&self) -> Option<Epoch> {
+    pub fn order_fencing_token(&self) -> Option<u64> {
         lock(&self.status)
             .order_grant
             .filter(|grant| clock::now() < grant.expires_at)
@@ -131,7 +131,7 @@
 
     /// The fencing token of the next order: the current one, or the one that this node gets by
     /// taking the ownership.
-    pub fn next_order_fencing_token(&self) -> Option<Epoch> {
+    pub fn next_order_fencing_token(&self) -> Option<u64> {
         let after_claim = || Some(fencing_token(self.leading_epoch()?, true));
         self.order_fencing_token().or_else(after_claim)
     }
--- a/router/src/weights/backend_client.rs
+++ b/router/src/weights/backend_client.rs
@@ -6,7 +6,6 @@
 use crate::proxy::headers::EXPECT_INSTANCE;
 use compact_str::CompactString;
 use control::rollout::{ConditionalOrder, OutdatedBackend, ReportedWeights};
-use control::view::Epoch;
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
@@ -78,7 +77,7 @@
         backend: &OutdatedBackend,
         order: ConditionalOrder,
         holder: &str,
-        fencing_token: Epoch,
+        fencing_token: u64,
     ) -> OrderResponse {
         let body = serde_json::json!({
             "operation": "version", "model": backend.model.as_str(), "version": order.version, "method": "retain",
--- a/router/src/weights/deployment.rs
+++ b/router/src/weights/deployment.rs
@@ -8,7 +8,6 @@
 use crate::sync::lock;
 use control::directory::{Key, Order, OrderPhase, Value};
 use control::rollout::{ConditionalOrder, NextStep, OrderProgress, OutdatedBackend};
-use control::view::Epoch;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -68,7 +67,7 @@
 
     /// Makes one attempt. The order is conditional on the reported state: otherwise an order that
     /// was delayed in transit and arrived after a newer one would roll the backend back.
-    async fn try_deploy(&self, backend: &OutdatedBackend, fencing_token: Epoch) -> DeployOutcome {
+    async fn try_deploy(&self, backend: &OutdatedBackend, fencing_token: u64) -> DeployOutcome {
         let order = match self.next_order(backend).await {
             Ok(order) => order,
             Err(outcome) => return outcome,
@@ -209,7 +208,7 @@
     fn publish_order_phase(
         &self,
         backend: &OutdatedBackend,
-        fencing_token: Epoch,
+        fencing_token: u64,
         phase: OrderPhase,
     ) {
         let current = lock(&self.fleet.directory).order(&backend.id).cloned();
