--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -75,7 +75,7 @@
     assert_eq!(
         header(&sent, "kv-fetch"),
         Some(store.to_string()),
-        "the store is lookup even for an unknown prefix, as a miss is cheap"
+        "the prefix is looked up in the store even if it is unknown, as a miss is cheap"
     );
     let salt = header(&sent, "cache-salt").expect("a salt");
     assert_eq!(CacheSalt::parse(&salt).map(|salt| salt.version), Some(1));
