--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -9,10 +9,10 @@
 mod attempts;
 mod completion;
 mod endpoints;
-mod memory;
+mod latency_estimate;
+mod learned_state;
 mod outcomes;
 mod outlier_detection;
-mod pacing;
 mod parameters;
 mod probes;
 mod replica_selection;
@@ -22,8 +22,8 @@
 
 use crate::interface::{Action, Class, Event, PartId, ServerId, Settings, Time};
 use crate::timers::Timers;
+pub use latency_estimate::LatencyEstimate;
 use outcomes::EndedAttempt;
-pub use pacing::LatencyEstimate;
 use state::{
     AnswerRate, Attempt, DiscoveryFailures, IdleResets, Part, Query, RecentDelay, Server, Timer,
 };
