--- a/router/src/fleet/prefixes.rs
+++ b/router/src/fleet/prefixes.rs
@@ -12,7 +12,7 @@
     /// The prefix.
     pub key: PrefixKey,
     /// The backend that gets the request if no backend has the prefix cached.
-    pub planned: Placement,
+    pub fallback: Placement,
     /// Whether the prefix is worth saving to the KV store.
     pub should_save: bool,
 }
@@ -26,10 +26,10 @@
             .map(|store| store.generation);
         let PrefixLookup {
             key,
-            planned,
+            fallback,
             should_save,
         } = lookup;
-        lock(&self.prefix_index).look_up(*key, planned, *should_save, generation, clock::now())
+        lock(&self.prefix_index).look_up(*key, fallback, *should_save, generation, clock::now())
     }
 
     /// Records prefixes that a backend evicted.
--- a/router/src/fleet/request_handler.rs
+++ b/router/src/fleet/request_handler.rs
@@ -70,7 +70,7 @@
             } => {
                 let lookup = PrefixLookup {
                     key,
-                    planned,
+                    fallback: planned,
                     should_save,
                 };
                 Some(Response::Located(self.look_up_prefix(&lookup)))
--- a/router/src/proxy/forwarder.rs
+++ b/router/src/proxy/forwarder.rs
@@ -187,18 +187,18 @@
         access(admission_controllers.entry(service.clone()).or_default())
     }
 
-    /// Returns whether to reject a request because its service is overloaded. `planned` is the
-    /// least-loaded backend; no request is rejected while it has spare capacity.
+    /// Returns whether to reject a request because its service is overloaded. `least_loaded`
+    /// is the least-loaded backend; no request is rejected while it has spare capacity.
     pub(super) fn should_reject(
         &self,
         request: &ForwardRequest,
-        planned: &SelectedBackend,
+        least_loaded: &SelectedBackend,
     ) -> bool {
         let latency_target = request.route.target_latency_ms;
         let would_be_late = self.with_admission(&request.service, |admission| {
-            admission.should_reject(planned.work(), latency_target, clock::now())
+            admission.should_reject(least_loaded.work(), latency_target, clock::now())
         });
-        would_be_late && planned.backend.load().is_busy()
+        would_be_late && least_loaded.backend.load().is_busy()
     }
 
     /// Withdraws a retry from the service's budget. `reserved` is the part of the budget, from 0 to
--- a/router/src/proxy/in_flight.rs
+++ b/router/src/proxy/in_flight.rs
@@ -32,9 +32,12 @@
     request: &'a ForwardRequest,
     history: AttemptHistory,
     attempts_in_flight: FuturesUnordered<AttemptFuture<'a>>,
-    flags: Vec<ExecutionFlag>,
+    /// For each attempt, whether it may have been executed.
+    execution_flags: Vec<ExecutionFlag>,
     is_hedged: bool,
+    /// The last Retry-After that a backend stated, in seconds.
     retry_after: Option<f64>,
+    /// Where the prompt's prefix is cached, if its owner answered.
     location: Option<PrefixLocation>,
     admission_id: Option<InFlightId>,
     /// A response that states a failure of the backend itself. It is passed to the client if no
@@ -50,7 +53,7 @@
             request,
             history: AttemptHistory::default(),
             attempts_in_flight: FuturesUnordered::new(),
-            flags: Vec::new(),
+            execution_flags: Vec::new(),
             is_hedged: false,
             retry_after: None,
             location: None,
@@ -65,11 +68,11 @@
         let hedge_after = self
             .forwarder
             .with_route_stats(self.request, |route_stats| route_stats.latency.p95);
-        let hedge = tokio::time::sleep(Duration::from_nanos(hedge_after as u64));
-        tokio::pin!(hedge);
+        let hedge_timer = tokio::time::sleep(Duration::from_nanos(hedge_after as u64));
+        tokio::pin!(hedge_timer);
         let mut may_hedge = self.request.upstream_request.is_retryable;
-        let timed_out = tokio::time::sleep_until(self.request.deadline);
-        tokio::pin!(timed_out);
+        let deadline = tokio::time::sleep_until(self.request.deadline);
+        tokio::pin!(deadline);
         loop {
             tokio::select! {
                 biased;
@@ -82,34 +85,34 @@
                         Ok(response) => return Ok(self.finish(response)),
                         Err(error) => self.record_failed_attempt(error),
                     };
-                    if self.attempts_in_flight.is_empty() && !(may_continue && self.retry().await) {
+                    if self.attempts_in_flight.is_empty() && !(may_continue && self.try_retry().await) {
                         return self.finish_without_response(false);
                     }
                 }
-                () = &mut hedge, if may_hedge => {
+                () = &mut hedge_timer, if may_hedge => {
                     may_hedge = false;
-                    self.hedge();
+                    self.try_hedge();
                 }
-                () = &mut timed_out => return self.finish_without_response(true),
+                () = &mut deadline => return self.finish_without_response(true),
             }
         }
     }
 
-    /// Makes the first attempt, unless the service is overloaded or has no eligible backend.
+    /// Starts the first attempt. Fails if the service is overloaded or has no eligible backend.
     async fn start(&mut self) -> Result<(), ForwardError> {
-        let Some(planned) = self
+        let Some(initial) = self
             .forwarder
             .select_with_wait(self.request, &[], None)
             .await
         else {
             return Err(self.abandon(false));
         };
-        if self.forwarder.should_reject(self.request, &planned) {
+        if self.forwarder.should_reject(self.request, &initial) {
             return Err(ForwardError::NotExecuted {
                 retry_after: overload_retry_after(self.request),
             });
         }
-        let selected = self.look_up(planned).await;
+        let selected = self.select_by_prefix(initial).await;
         let work = selected.work();
         self.send(selected);
         self.admission_id = Some(
@@ -125,11 +128,11 @@
         Ok(())
     }
 
-    /// Looks up where the prompt's prefix is cached, and selects a backend again if it is cached
-    /// anywhere.
-    async fn look_up(&mut self, planned: SelectedBackend) -> SelectedBackend {
-        let Some(lookup) = self.lookup(&planned) else {
-            return planned;
+    /// Looks up where the prompt's prefix is cached. If it is cached anywhere, selects a backend
+    /// again; otherwise returns the initial selection.
+    async fn select_by_prefix(&mut self, initial: SelectedBackend) -> SelectedBackend {
+        let Some(lookup) = self.prefix_lookup(&initial) else {
+            return initial;
         };
         let key = lookup.key;
         self.location = self.forwarder.locator.look_up(lookup).await;
@@ -138,12 +141,12 @@
             .as_ref()
             .filter(|location| !location.replicas.is_empty())
         else {
-            return planned;
+            return initial;
         };
         let selected = self
             .forwarder
             .select(self.request, &[], Some(location))
-            .unwrap_or(planned);
+            .unwrap_or(initial);
         if let Some(placement) = placement(&selected)
             && !location.is_cached_by(&placement.backend, placement.version)
         {
@@ -153,7 +156,7 @@
     }
 
     /// The lookup for the prompt's prefix; `None` if the prompt shares too few tokens.
-    fn lookup(&self, planned: &SelectedBackend) -> Option<PrefixLookup> {
+    fn prefix_lookup(&self, initial: &SelectedBackend) -> Option<PrefixLookup> {
         let upstream_request = &self.request.upstream_request;
         let prompt = upstream_request.prompt.as_ref()?;
         let shared: u64 = prompt.shared_tokens();
@@ -162,7 +165,7 @@
         let should_save = shared as f64 >= MIN_SHARED_RATIO_TO_SAVE * prompt.input_tokens as f64;
         Some(PrefixLookup {
             key,
-            planned: placement(planned)?,
+            fallback: placement(initial)?,
             should_save,
         })
     }
@@ -172,7 +175,7 @@
         self.history.attempted.push(selected.backend.id.clone());
         self.history.executions += 1;
         let flag = ExecutionFlag::default();
-        self.flags.push(flag.clone());
+        self.execution_flags.push(flag.clone());
         let (forwarder, request, location) = (self.forwarder, self.request, self.location.clone());
         let send = async move {
             forwarder
@@ -183,7 +186,7 @@
     }
 
     /// Sends a hedge to another backend, if the request has none and the budgets allow it.
-    fn hedge(&mut self) {
+    fn try_hedge(&mut self) {
         if self.is_hedged
             || self.attempts_in_flight.len() != 1
             || self.history.executions >= self.request.route.attempts
@@ -248,8 +251,8 @@
         }
     }
 
-    /// Returns whether a response states a failure of the backend itself, and another attempt that
-    /// may succeed is in flight or still permitted.
+    /// Returns whether a response states a failure of the backend itself, and another attempt is in
+    /// flight or still permitted.
     fn should_retry_response(&self, response: &ResponseStart) -> bool {
         let has_alternative = !self.attempts_in_flight.is_empty()
             || self.history.executions < self.request.route.attempts;
@@ -258,9 +261,9 @@
             && has_alternative
     }
 
-    /// Retries the request. Returns false if the budget does not allow it, or no backend is
+    /// Starts a retry. Returns false if the budget does not allow it, or no backend is
     /// eligible.
-    async fn retry(&mut self) -> bool {
+    async fn try_retry(&mut self) -> bool {
         if !self.forwarder.withdraw_retry(&self.request.service, 0.0) {
             return false;
         }
@@ -277,7 +280,8 @@
         found
     }
 
-    /// Passes on the failure response of a backend if there is one; otherwise the request fails.
+    /// Ends the request without a successful response. Returns the failure response of a backend if
+    /// there is one.
     fn finish_without_response(
         &mut self,
         timed_out: bool,
@@ -308,7 +312,11 @@
 
     fn abandon(&mut self, timed_out: bool) -> ForwardError {
         self.attempts_in_flight.clear();
-        if self.flags.iter().any(ExecutionFlag::may_have_executed) {
+        if self
+            .execution_flags
+            .iter()
+            .any(ExecutionFlag::may_have_executed)
+        {
             ForwardError::MayHaveExecuted { timed_out }
         } else {
             ForwardError::NotExecuted {
--- a/router/src/proxy/prefix_locator.rs
+++ b/router/src/proxy/prefix_locator.rs
@@ -104,12 +104,12 @@
         }
         let PrefixLookup {
             key,
-            planned,
+            fallback,
             should_save,
         } = lookup;
         let request = Request::Locate {
             key,
-            planned,
+            planned: fallback,
             should_save,
         };
         match self
--- a/router/src/upstreams.rs
+++ b/router/src/upstreams.rs
@@ -1,8 +1,8 @@
 //! Selects the nodes that this router pulls state from, and runs a pull loop for each. A router
 //! without a replica follows one replica node, and polls another in case the first falls behind.
 
+pub mod initial_pull_order;
 pub mod selector;
-pub mod start_turns;
 
 use crate::clock;
 use crate::fleet::{Fleet, PULL_WAIT, Pull};
@@ -11,8 +11,8 @@
 use control::Millis;
 use control::directory::{Member, MemberStatus};
 use control::ring;
+use initial_pull_order::InitialPullOrder;
 use selector::{Candidate, Health, Mode, UpstreamSelector};
-use start_turns::StartTurns;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
@@ -60,7 +60,8 @@
             is_wanted
         });
         let has_state = fleet.replica.is_some() || lock(&fleet.published).version().is_some();
-        let turns = StartTurns::new(&fleet.settings.node_name, wanted.keys().copied(), has_state);
+        let pull_order =
+            InitialPullOrder::new(&fleet.settings.node_name, wanted.keys().copied(), has_state);
         for (address, mode) in wanted {
             upstreams.entry(address).or_insert_with(|| {
                 let health = Arc::new(Mutex::new(Health::Unknown));
@@ -71,7 +72,7 @@
                     health.clone(),
                     failures.clone(),
                 );
-                let turn = turns.wait(address, failures.subscribe());
+                let turn = pull_order.wait_for_turn(address, failures.subscribe());
                 let task = tokio::spawn(async move {
                     turn.await;
                     pull_loop.await;
--- a/router/src/upstreams/start_turns.rs
+++ b/router/src/upstreams/initial_pull_order.rs
@@ -1,7 +1,7 @@
 //! Staggers the first pulls of a router that has no state yet.
 //!
 //! After a power failure all routers start at once, and each needs the full state. If every router
-//! asked all seeds at the same time, it would be sent one full copy by each of them, and the copies
+//! pulled from all seeds at the same time, each seed would send it one full copy, and the copies
 //! would saturate the seeds' links.
 
 use std::collections::BTreeMap;
@@ -11,24 +11,25 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Maximum wait for each upstream that comes earlier in the order. An upstream is asked sooner if
-/// all earlier ones have failed.
+/// Maximum wait for each upstream that comes earlier in the order. The wait ends sooner if all
+/// earlier upstreams have failed.
 const STAGGER_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The order in which one router first asks its upstreams: the position of each.
+/// The order in which one router first pulls from its upstreams: the position of each.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StartTurns(BTreeMap<SocketAddrV4, u32>);
+pub struct InitialPullOrder(BTreeMap<SocketAddrV4, u32>);
 
-impl StartTurns {
-    /// The order at the node with this name. It differs between nodes, so that they do not all ask
-    /// the same upstream first. A node that has state needs only updates, and asks all at once.
+impl InitialPullOrder {
+    /// The order at the node with this name. It differs between nodes, so that they do not all pull
+    /// from the same upstream first. A node that has state needs only updates, and pulls from all
+    /// upstreams at once.
     pub fn new(
         node_name: &str,
         upstreams: impl Iterator<Item = SocketAddrV4>,
         has_state: bool,
     ) -> Self {
         if has_state {
-            return StartTurns(BTreeMap::new());
+            return InitialPullOrder(BTreeMap::new());
         }
         let mut order: Vec<SocketAddrV4> = upstreams.collect();
         order.sort_by_key(|address| {
@@ -36,17 +37,17 @@
             (node_name, address).hash(&mut hasher);
             hasher.finish()
         });
-        StartTurns(order.into_iter().zip(0..).collect())
+        InitialPullOrder(order.into_iter().zip(0..).collect())
     }
 
-    /// Number of upstreams that are asked before this one.
+    /// Number of upstreams that precede this one.
     pub fn position(&self, upstream: SocketAddrV4) -> u32 {
         self.0.get(&upstream).copied().unwrap_or(0)
     }
 
-    /// Completes when the upstream is to be asked. `failures` counts the failed pulls from all
-    /// upstreams.
-    pub fn wait(
+    /// Completes when the first pull from the upstream may start. `failures` counts the failed
+    /// pulls from all upstreams.
+    pub fn wait_for_turn(
         &self,
         upstream: SocketAddrV4,
         mut failures: watch::Receiver<u32>,
@@ -55,7 +56,7 @@
         async move {
             let initial_failures = *failures.borrow_and_update();
             let earlier_failed = failures.wait_for(|count| *count >= initial_failures + position);
-            // After a timeout the upstream is asked although the earlier ones have not failed.
+            // After a timeout the pull starts although the earlier ones have not failed.
             let _ = tokio::time::timeout(position * STAGGER_INTERVAL, earlier_failed).await;
         }
     }
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -247,8 +247,8 @@
         }
     }
 
-    /// Sends a request, and reads until the connection closes.
-    pub async fn ask(&self, path: &str, headers: &str) -> String {
+    /// Sends a request and returns the raw response, read until the connection closes.
+    pub async fn response_to(&self, path: &str, headers: &str) -> String {
         let mut stream = self.send(path, headers).await;
         let mut text = String::new();
         // An aborted connection may end with a reset.
--- a/router/tests/delayed_orders.rs
+++ b/router/tests/delayed_orders.rs
@@ -199,7 +199,7 @@
         }
         router.table.refresh(&router.fleet);
         assert_eq!(
-            ask(&router).await,
+            request_status(&router).await,
             "200",
             "the backend has the version of its completed order"
         );
@@ -207,14 +207,16 @@
         assert!(heartbeat(&router.fleet, 0, backend.address, 3, 1).await);
         router.table.refresh(&router.fleet);
         assert_eq!(
-            ask(&router).await,
+            request_status(&router).await,
             "200",
             "the backend has older weights again and reports them"
         );
     }
 }
 
-async fn ask(router: &Router) -> String {
-    let answer = router.ask("/safe/", &format!("{KEY}{PROMPT}")).await;
+async fn request_status(router: &Router) -> String {
+    let answer = router
+        .response_to("/safe/", &format!("{KEY}{PROMPT}"))
+        .await;
     status(&answer).to_owned()
 }
--- a/router/tests/failures.rs
+++ b/router/tests/failures.rs
@@ -17,7 +17,7 @@
     let healthy = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let router = Router::start(&[&failing, &healthy]).await;
     for _ in 0..20 {
-        let answer = router.ask("/safe/", KEY).await;
+        let answer = router.response_to("/safe/", KEY).await;
         assert_eq!((status(&answer), body(&answer)), ("200", "ok"), "{answer}");
     }
     assert!(failing.count() >= 1);
@@ -30,7 +30,7 @@
         FakeBackend::start(vec![Action::Respond(failure())]).await,
     );
     let router = Router::start(&[&first, &second]).await;
-    let answer = router.ask("/safe/", KEY).await;
+    let answer = router.response_to("/safe/", KEY).await;
     assert_eq!((status(&answer), body(&answer)), ("500", "why"));
     assert_eq!(header(&answer, "x-response-seal").as_deref(), Some("s"));
     assert_eq!(
@@ -51,7 +51,7 @@
     let first = FakeBackend::start(actions()).await;
     let second = first.clone();
     let router = Router::start(&[&first, &second]).await;
-    let answer = router.ask("/safe/", KEY).await;
+    let answer = router.response_to("/safe/", KEY).await;
     assert_eq!((status(&answer), body(&answer)), ("500", "why"));
 }
 
@@ -62,7 +62,7 @@
         FakeBackend::start(vec![Action::Respond(failure())]).await,
     );
     let router = Router::start(&[&first, &second]).await;
-    assert_eq!(status(&router.ask("/unsafe/", KEY).await), "500");
+    assert_eq!(status(&router.response_to("/unsafe/", KEY).await), "500");
     assert_eq!(first.count() + second.count(), 1);
 }
 
@@ -86,7 +86,7 @@
     router.fleet.record_failures(&"n3".into(), &reported);
     router.table.refresh(&router.fleet);
     for _ in 0..20 {
-        assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
+        assert_eq!(status(&router.response_to("/unsafe/", KEY).await), "200");
     }
     assert_eq!(failing.count(), 0);
 }
@@ -101,14 +101,14 @@
             .record_failures(&reporter.into(), &[("i-0".into(), 2)]);
     }
     router.table.refresh(&router.fleet);
-    assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
+    assert_eq!(status(&router.response_to("/unsafe/", KEY).await), "200");
 }
 
 #[tokio::test]
 async fn records_backend_failure() {
     let failing = FakeBackend::start(vec![Action::Respond(failure())]).await;
     let router = Router::start(&[&failing]).await;
-    router.ask("/unsafe/", KEY).await;
+    router.response_to("/unsafe/", KEY).await;
     assert_eq!(
         router.table.failures().drain(),
         BTreeMap::from([("i-0".into(), 1)])
--- a/router/tests/start_turns.rs
+++ b/router/tests/initial_pull_order.rs
@@ -8,7 +8,7 @@
 use common::*;
 use router::fleet::Fleet;
 use router::settings::Settings;
-use router::upstreams::{self, start_turns::StartTurns};
+use router::upstreams::{self, initial_pull_order::InitialPullOrder};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
@@ -19,17 +19,17 @@
 use tokio::time::Instant;
 
 const SEEDS: usize = 3;
-/// Time between the turns of two seeds if the first does not respond.
-const TURN: Duration = Duration::from_millis(200);
+/// Time between the first pulls from two seeds if the first seed does not respond.
+const STAGGER_INTERVAL: Duration = Duration::from_millis(200);
 
 fn seeds() -> Vec<SocketAddrV4> {
     let seed = |number| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7560);
     (1..=SEEDS as u8).map(seed).collect()
 }
 
-/// Returns when each seed has its turn if pulls fail at these times.
-async fn turns(failures_at: &[Duration]) -> Vec<Duration> {
-    let turns = StartTurns::new("n1", seeds().into_iter(), false);
+/// Returns when the first pull from each seed may start if pulls fail at these times.
+async fn start_times(failures_at: &[Duration]) -> Vec<Duration> {
+    let pull_order = InitialPullOrder::new("n1", seeds().into_iter(), false);
     let failures = Arc::new(watch::Sender::new(0));
     let started_at = Instant::now();
     for at in failures_at.iter().copied() {
@@ -40,7 +40,7 @@
         });
     }
     let waiting = seeds().into_iter().map(|seed| {
-        let turn = turns.wait(seed, failures.subscribe());
+        let turn = pull_order.wait_for_turn(seed, failures.subscribe());
         async move {
             turn.await;
             started_at.elapsed()
@@ -54,11 +54,11 @@
 #[tokio::test(start_paused = true)]
 async fn next_seed_has_its_turn_after_failure_or_silence() {
     let millis = |times: [u64; SEEDS]| times.map(Duration::from_millis).to_vec();
-    assert_eq!(turns(&[]).await, millis([0, 200, 400]));
+    assert_eq!(start_times(&[]).await, millis([0, 200, 400]));
     let one = Duration::from_millis(30);
-    assert_eq!(turns(&[one]).await, millis([0, 30, 400]));
+    assert_eq!(start_times(&[one]).await, millis([0, 30, 400]));
     let two = Duration::from_millis(50);
-    assert_eq!(turns(&[one, two]).await, millis([0, 30, 50]));
+    assert_eq!(start_times(&[one, two]).await, millis([0, 30, 50]));
 }
 
 #[test]
@@ -66,8 +66,10 @@
     const ROUTERS: usize = 300;
     let mut firsts: BTreeMap<SocketAddrV4, usize> = BTreeMap::new();
     for router in 0..ROUTERS {
-        let turns = StartTurns::new(&format!("n{router}"), seeds().into_iter(), false);
-        let first = seeds().into_iter().find(|seed| turns.position(*seed) == 0);
+        let pull_order = InitialPullOrder::new(&format!("n{router}"), seeds().into_iter(), false);
+        let first = seeds()
+            .into_iter()
+            .find(|seed| pull_order.position(*seed) == 0);
         *firsts.entry(first.expect("a first seed")).or_default() += 1;
     }
     // No seed is the first one of more than twice its share of routers.
@@ -117,6 +119,6 @@
     let connected = connected.expect("a connection to every seed");
     let mut times: Vec<Duration> = connected.iter().map(|(at, _)| *at).collect();
     times.sort();
-    assert!(times[1] - times[0] >= TURN / 2, "{times:?}");
-    assert!(times[2] - times[1] >= TURN / 2, "{times:?}");
+    assert!(times[1] - times[0] >= STAGGER_INTERVAL / 2, "{times:?}");
+    assert!(times[2] - times[1] >= STAGGER_INTERVAL / 2, "{times:?}");
 }
--- a/router/tests/metrics.rs
+++ b/router/tests/metrics.rs
@@ -36,8 +36,8 @@
     .await;
     let router = Router::start(&[&backend]).await;
     let page = MetricsPage::new(router.fleet.clone(), router.table.clone(), None);
-    assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
-    assert_eq!(status(&router.ask("/unsafe/", KEY).await), "503");
+    assert_eq!(status(&router.response_to("/unsafe/", KEY).await), "200");
+    assert_eq!(status(&router.response_to("/unsafe/", KEY).await), "503");
     let text = page.text();
     for (name, expected) in [
         ("requests_begun_total", 2),
--- a/router/tests/prefixes.rs
+++ b/router/tests/prefixes.rs
@@ -49,7 +49,11 @@
     let (first, second, router) = start_two_backends().await;
     for _ in 0..6 {
         assert_eq!(
-            status(&router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await),
+            status(
+                &router
+                    .response_to("/unsafe/", &format!("{KEY}{PROMPT}"))
+                    .await
+            ),
             "200"
         );
     }
@@ -65,7 +69,9 @@
 async fn fetches_cached_and_saves_uncached_prefix() {
     let (first, second, router) = start_two_backends().await;
     let store = add_store(&router);
-    router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
+    router
+        .response_to("/unsafe/", &format!("{KEY}{PROMPT}"))
+        .await;
     let sent = if first.count() == 1 {
         first.request(0)
     } else {
@@ -79,7 +85,9 @@
     );
     let salt = header(&sent, "cache-salt").expect("a salt");
     assert_eq!(CacheSalt::parse(&salt).map(|salt| salt.version), Some(1));
-    router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
+    router
+        .response_to("/unsafe/", &format!("{KEY}{PROMPT}"))
+        .await;
     let again = if first.count() == 2 {
         first.request(1)
     } else {
@@ -102,14 +110,18 @@
     let first = FakeBackend::start(vec![busy.clone()]).await;
     let second = FakeBackend::start(vec![busy]).await;
     let router = Router::start(&[&first, &second]).await;
-    router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
+    router
+        .response_to("/unsafe/", &format!("{KEY}{PROMPT}"))
+        .await;
     let holder = if first.count() == 1 { 0 } else { 1 };
     let (holder_backend, other) = if holder == 0 {
         (&first, &second)
     } else {
         (&second, &first)
     };
-    router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
+    router
+        .response_to("/unsafe/", &format!("{KEY}{PROMPT}"))
+        .await;
     assert_eq!(other.count(), 1, "the holder has reported a queue");
     assert_eq!(
         header(&other.request(0), "kv-fetch"),
@@ -131,7 +143,9 @@
         .lock()
         .unwrap()
         .record_placement(key, &current, router::clock::now());
-    router.ask("/unsafe/", &format!("{KEY}{prompt}")).await;
+    router
+        .response_to("/unsafe/", &format!("{KEY}{prompt}"))
+        .await;
     assert_eq!(other.count(), 2);
     assert_eq!(header(&other.request(1), "kv-fetch"), None);
 }
@@ -139,14 +153,16 @@
 #[tokio::test]
 async fn evicted_prefix_is_not_used() {
     let (_first, _second, router) = start_two_backends().await;
-    router.ask("/unsafe/", &format!("{KEY}{PROMPT}")).await;
+    router
+        .response_to("/unsafe/", &format!("{KEY}{PROMPT}"))
+        .await;
     let locator = PrefixLocator::new(router.fleet.clone());
     let cache_namespace = "tt1-";
     let key = PrefixKey::of_segment(cache_namespace, "m", "b");
     let lookup = PrefixLookup {
         key,
-        planned: Placement {
-            backend: "asker".into(),
+        fallback: Placement {
+            backend: "fallback".into(),
             version: 9,
         },
         should_save: false,
@@ -240,7 +256,7 @@
     let cached_by = |segment: &str| {
         let lookup = PrefixLookup {
             key: PrefixKey::of_segment("tt1-", "m", segment),
-            planned: Placement {
+            fallback: Placement {
                 backend: "other".into(),
                 version: 1,
             },
--- a/router/tests/proxy.rs
+++ b/router/tests/proxy.rs
@@ -11,7 +11,7 @@
     let router = Router::start(&[&backend]).await;
     let spoofed = "X-Tenant-Id: other\r\nCache-Salt: mine\r\nKv-Fetch: 1.2.3.4:5\r\nPriority: 0\r\nX-Own: kept\r\n";
     let answer = router
-        .ask("/unsafe/a%20b?q=1", &format!("{KEY}{spoofed}"))
+        .response_to("/unsafe/a%20b?q=1", &format!("{KEY}{spoofed}"))
         .await;
     assert_eq!(
         (status(&answer), body(&answer)),
@@ -51,18 +51,18 @@
 async fn rejects_unauthorized_and_unknown_without_attempt() {
     let backend = FakeBackend::start(vec![Action::Respond(success(""))]).await;
     let router = Router::start(&[&backend]).await;
-    assert_eq!(status(&router.ask("/unsafe/", "").await), "401");
+    assert_eq!(status(&router.response_to("/unsafe/", "").await), "401");
     assert_eq!(
         status(
             &router
-                .ask("/unsafe/", "Authorization: Bearer none\r\n")
+                .response_to("/unsafe/", "Authorization: Bearer none\r\n")
                 .await
         ),
         "401"
     );
-    assert_eq!(status(&router.ask("/none/", KEY).await), "404");
+    assert_eq!(status(&router.response_to("/none/", KEY).await), "404");
     assert_eq!(backend.count(), 0);
-    assert_eq!(status(&router.ask("/open/", "").await), "200");
+    assert_eq!(status(&router.response_to("/open/", "").await), "200");
 }
 
 #[tokio::test]
@@ -77,7 +77,7 @@
         FakeBackend::start(vec![full]).await,
     );
     let router = Router::start(&[&first, &second]).await;
-    let answer = router.ask("/unsafe/", KEY).await;
+    let answer = router.response_to("/unsafe/", KEY).await;
     assert_eq!(status(&answer), "503", "{answer}");
     assert_eq!(header(&answer, "retry-after").as_deref(), Some("0.40"));
     assert_eq!((first.count(), second.count()), (1, 1));
@@ -106,7 +106,7 @@
         let (first, second) =
             (FakeBackend::start(vec![action.clone()]).await, FakeBackend::start(vec![action.clone()]).await);
         let router = Router::start(&[&first, &second]).await;
-        let answer = router.ask("/unsafe/", KEY).await;
+        let answer = router.response_to("/unsafe/", KEY).await;
         assert_eq!(status(&answer), "502", "{action:?}: {answer}");
         assert_eq!(first.count() + second.count(), 1, "{action:?}");
         assert_eq!(header(&answer, "x-response-seal"), None);
@@ -118,7 +118,7 @@
     let failure = answer("500 Internal Server Error", "X-Response-Seal: s\r\n", "why");
     let backend = FakeBackend::start(vec![Action::Respond(failure)]).await;
     let router = Router::start(&[&backend]).await;
-    let answer = router.ask("/unsafe/", KEY).await;
+    let answer = router.response_to("/unsafe/", KEY).await;
     assert_eq!((status(&answer), body(&answer)), ("500", "why"));
     assert_eq!(header(&answer, "x-response-seal").as_deref(), Some("s"));
 }
@@ -130,7 +130,7 @@
     let router = Router::start(&[&broken, &sound]).await;
     // Ties are broken at random: both orders occur.
     for _ in 0..20 {
-        let answer = router.ask("/safe/", KEY).await;
+        let answer = router.response_to("/safe/", KEY).await;
         assert_eq!((status(&answer), body(&answer)), ("200", "ok"), "{answer}");
     }
     assert!(broken.count() >= 1);
@@ -142,7 +142,7 @@
     let sound = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let router = Router::start(&[&hanging, &sound]).await;
     while hanging.count() == 0 {
-        let answer = router.ask("/safe/", KEY).await;
+        let answer = router.response_to("/safe/", KEY).await;
         assert_eq!((status(&answer), body(&answer)), ("200", "ok"), "{answer}");
     }
     let given_up = tokio::time::timeout(TEST_TIMEOUT, hanging.closed_by_caller.acquire()).await;
@@ -157,7 +157,7 @@
     let text = format!("{STREAM_HEAD}{}{}{END}", event(1), event(2));
     let backend = FakeBackend::start(vec![Action::Respond(text)]).await;
     let router = Router::start(&[&backend]).await;
-    let answer = router.ask("/stream/", KEY).await;
+    let answer = router.response_to("/stream/", KEY).await;
     assert_eq!(status(&answer), "200");
     assert!(
         answer.contains("data: piece 1\n\n") && answer.contains("data: piece 2\n\n"),
@@ -175,7 +175,7 @@
     ] {
         let backend = FakeBackend::start(vec![action]).await;
         let router = Router::start(&[&backend]).await;
-        let answer = router.ask("/stream/", KEY).await;
+        let answer = router.response_to("/stream/", KEY).await;
         assert!(
             !answer.ends_with(END),
             "a truncated stream looks complete: {answer}"
@@ -197,7 +197,7 @@
     let first = FakeBackend::start(actions.clone()).await;
     let second = first.clone();
     let router = Router::start(&[&first, &second]).await;
-    let answer = router.ask("/resumable/", KEY).await;
+    let answer = router.response_to("/resumable/", KEY).await;
     assert_eq!(header(&answer, "x-response-seal").as_deref(), Some("seal"));
     for piece in 1..=3 {
         assert_eq!(
@@ -217,10 +217,10 @@
 async fn draining_backend_gets_no_requests() {
     let backend = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let router = Router::start(&[&backend]).await;
-    assert_eq!(status(&router.ask("/unsafe/", KEY).await), "200");
+    assert_eq!(status(&router.response_to("/unsafe/", KEY).await), "200");
     register(&router.fleet, 0, &backend, 2, BackendPhase::Draining);
     router.table.refresh(&router.fleet);
-    let answer = router.ask("/unsafe/", KEY).await;
+    let answer = router.response_to("/unsafe/", KEY).await;
     assert_eq!(status(&answer), "503", "{answer}");
     assert!(header(&answer, "retry-after").is_some());
     assert_eq!(backend.count(), 1);
--- a/router/tests/response_isolation.rs
+++ b/router/tests/response_isolation.rs
@@ -222,7 +222,7 @@
         .iter_mut()
         .for_each(|backend| backend.address = address);
     let router = Router::start(&[&backends[0], &backends[1]]).await;
-    let answer = router.ask("/safe/", KEY).await;
+    let answer = router.response_to("/safe/", KEY).await;
     assert_eq!(
         (status(&answer), body(&answer)),
         ("200", "from the hedge"),
@@ -244,7 +244,7 @@
     assert!(short_timeout.contains("\"timeoutMs\":300,"));
     publish(&router.fleet, 2, &short_timeout);
     let started_at = tokio::time::Instant::now();
-    let answer = router.ask("/stream/", KEY).await;
+    let answer = router.response_to("/stream/", KEY).await;
     assert!(
         started_at.elapsed() < Duration::from_secs(2),
         "the stream ends at the timeout of the route, not at the deadline of the client"
--- a/router/tests/weights_deadline.rs
+++ b/router/tests/weights_deadline.rs
@@ -75,8 +75,10 @@
     );
 }
 
-async fn ask(router: &Router) -> String {
-    let answer = router.ask("/safe/", &format!("{KEY}{PROMPT}")).await;
+async fn request_status(router: &Router) -> String {
+    let answer = router
+        .response_to("/safe/", &format!("{KEY}{PROMPT}"))
+        .await;
     status(&answer).to_owned()
 }
 
@@ -86,21 +88,25 @@
     let first = Router::start_on(fleet(1), CONFIGURATION, &[&old]).await;
     pull_version(&first, start_source().await).await;
     assert_eq!(
-        ask(&first).await,
+        request_status(&first).await,
         "200",
         "older weights may be used before the deadline"
     );
-    while ask(&first).await == "200" {}
+    while request_status(&first).await == "200" {}
 
     let late = Router::start_on(fleet(2), CONFIGURATION, &[&old]).await;
     assert_eq!(
-        ask(&late).await,
+        request_status(&late).await,
         "200",
         "this router does not know the version yet"
     );
     pull_version(&late, serve(&first.fleet).await).await;
     let sent = old.count();
-    assert_eq!(ask(&late).await, "503", "the deadline has passed");
+    assert_eq!(
+        request_status(&late).await,
+        "503",
+        "the deadline has passed"
+    );
     assert_eq!(old.count(), sent, "no request is sent to the old backend");
 }
 
@@ -111,7 +117,7 @@
     let old = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let first = Router::start_on(fleet(2), CONFIGURATION, &[&old]).await;
     pull_version(&first, start_source().await).await;
-    while ask(&first).await == "200" {}
+    while request_status(&first).await == "200" {}
 
     let again = Router::start_on(fleet(3), CONFIGURATION, &[&old]).await;
     let known = PersistedFleet {
@@ -120,7 +126,7 @@
     };
     again.fleet.restore(known);
     assert_eq!(
-        ask(&again).await,
+        request_status(&again).await,
         "503",
         "the deadline had passed before the restart"
     );
@@ -136,7 +142,7 @@
     let new = FakeBackend::start(vec![Action::Respond(success("ok"))]).await;
     let router = Router::start_on(fleet(1), &configuration, &[&old]).await;
     let headers = format!("{KEY}{PROMPT}");
-    let request = async { status(&router.ask(path, &headers).await).to_owned() };
+    let request = async { status(&router.response_to(path, &headers).await).to_owned() };
     let announcement = async {
         while old.count() == 0 {
             tokio::task::yield_now().await;
--- a/routing/src/prefix_index.rs
+++ b/routing/src/prefix_index.rs
@@ -107,14 +107,14 @@
 }
 
 impl PrefixIndex {
-    /// Looks up a prefix. If no backend caches it for the planned version, the planned backend is
-    /// recorded as a replica. `generation` is the generation of the KV store, which changes when
-    /// the store loses its contents; `None` if the store does not respond.
+    /// Looks up a prefix. If no backend caches it for the version of `fallback`, the request goes to
+    /// that backend, which is recorded as a replica. `generation` is the generation of the KV store,
+    /// which changes when the store loses its contents; `None` if the store does not respond.
     pub fn look_up(
         &mut self,
         key: PrefixKey,
-        planned: &Placement,
-        wants_save: bool,
+        fallback: &Placement,
+        should_save: bool,
         generation: Option<u64>,
         now: Millis,
     ) -> PrefixLocation {
@@ -129,14 +129,14 @@
                 .map(|replica| replica.placement.clone())
                 .collect(),
             stored_version: entry.use_stored(now),
-            should_save: wants_save && entry.begin_save(planned.version, generation, now),
+            should_save: should_save && entry.begin_save(fallback.version, generation, now),
         };
         if !location
             .replicas
             .iter()
-            .any(|replica| replica.version == planned.version)
+            .any(|replica| replica.version == fallback.version)
         {
-            entry.record_use(planned, now);
+            entry.record_use(fallback, now);
         }
         location
     }
--- a/routing/tests/prefix_index.rs
+++ b/routing/tests/prefix_index.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn first_planned_backend_is_recorded() {
+fn first_fallback_is_recorded() {
     let mut index = PrefixIndex::default();
     assert!(
         index
@@ -39,7 +39,7 @@
     assert_eq!(
         replicas(&mut index, 12),
         [at("b1", 1)],
-        "the backend planned by the second lookup is not recorded"
+        "the fallback of the second lookup is not recorded"
     );
 }
 
@@ -52,7 +52,7 @@
     let next = index.look_up(KEY, &at("b3", 2), false, None, 12);
     assert!(
         next.is_cached_by("b2", 2),
-        "the backend planned for the new weights is recorded"
+        "the fallback for the new weights is recorded"
     );
 }
 
