--- a/control/src/configuration.rs
+++ b/control/src/configuration.rs
@@ -14,12 +14,12 @@
     #[error("the body is malformed or truncated JSON: {0}; send the whole body again")]
     InvalidJson(String),
     /// A field is missing or has the wrong type.
-    #[error("{path} is missing or not {wanted}")]
+    #[error("{path} is missing or not {expected}")]
     Field {
         /// The path of the field.
         path: String,
-        /// The allowed values.
-        wanted: &'static str,
+        /// The expected type or values.
+        expected: &'static str,
     },
     /// A route refers to a service that is not defined.
     #[error(
@@ -346,10 +346,10 @@
     }
 }
 
-fn field(path: &str, wanted: &'static str) -> ConfigurationError {
+fn field(path: &str, expected: &'static str) -> ConfigurationError {
     ConfigurationError::Field {
         path: path.to_owned(),
-        wanted,
+        expected,
     }
 }
 
@@ -442,7 +442,7 @@
 
 fn read_route(value: &OwnedValue, index: usize) -> Result<Route, ConfigurationError> {
     let path = |key: &str| format!("routes[{index}].{key}");
-    let wanted = |key: &str| text(value, key).ok_or_else(|| field(&path(key), "a string"));
+    let required = |key: &str| text(value, key).ok_or_else(|| field(&path(key), "a string"));
     let kind = match value.get("kind").and_then(|kind| kind.as_str()) {
         Some("safe") => Kind::Safe,
         Some("streaming") => Kind::Streaming,
@@ -458,14 +458,14 @@
                 Ok((service, number(part, "weight").unwrap_or(0)))
             })
             .collect::<Result<Vec<_>, ConfigurationError>>()?,
-        None => vec![(wanted("service")?, 1)],
+        None => vec![(required("service")?, 1)],
     };
     let timeout =
         number(value, "timeoutMs").ok_or_else(|| field(&path("timeoutMs"), "a whole number"))?;
     Ok(Route {
         name: text(value, "name").unwrap_or_default(),
-        host: wanted("host")?,
-        path_prefix: wanted("pathPrefix")?,
+        host: required("host")?,
+        path_prefix: required("pathPrefix")?,
         kind,
         timeout_ms: timeout,
         target_latency_ms: number(value, "targetLatencyMs").unwrap_or(timeout),
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -94,10 +94,13 @@
     retransmit_at: Millis,
     /// The highest proposal round that this replica has used or seen.
     proposal_round: u64,
+    /// When the primary was last heard from. Shifted to postpone or hasten a takeover.
     last_primary_contact: Millis,
     /// See [`ControlNode::current_at`].
     current_at: Option<Millis>,
+    /// No view is proposed before this time.
     next_attempt_at: Millis,
+    /// When the next request to join or leave is sent.
     join_at: Millis,
     known_replicas: BTreeSet<ReplicaId>,
     calls: PendingCalls,
@@ -108,6 +111,7 @@
     last_write: u64,
     /// The sequence number of the newest write known to be on disk.
     last_durable_write: u64,
+    /// When the disk last finished a write, or was given one while none was pending.
     write_pending_since: Millis,
     /// Replies in order, each with the write that has to be durable before it is sent.
     pending_replies: VecDeque<(u64, Envelope)>,
--- a/control/src/node/catch_up.rs
+++ b/control/src/node/catch_up.rs
@@ -176,12 +176,12 @@
         let Some(entries) = self.recent_updates.after(stored) else {
             return Missing::FullState;
         };
-        let mut left = WINDOW_BYTES;
+        let mut bytes_left = WINDOW_BYTES;
         let fits = |entry: &&LogEntry| {
-            let is_first = left == WINDOW_BYTES;
+            let is_first = bytes_left == WINDOW_BYTES;
             let bytes = entry.update.change.bytes();
-            let fits = is_first || bytes <= left;
-            left = left.saturating_sub(bytes.max(1));
+            let fits = is_first || bytes <= bytes_left;
+            bytes_left = bytes_left.saturating_sub(bytes.max(1));
             fits
         };
         let entries: Vec<LogEntry> = entries.take_while(fits).cloned().collect();
@@ -192,10 +192,10 @@
         }
     }
 
-    /// Stalls writes for a while where a replica needs another full state after the first one.
-    /// Under a steady load of writes the replica would never catch up.
+    /// Stalls writes for a while where a replica has been sent several full states and has not
+    /// caught up. Without the stall, it would never do so under a steady load of writes.
     fn stall_writes_for(&mut self, transfer: &Transfer, now: Millis) {
-        /// The number of full states that are sent before writes are stalled.
+        /// Writes are stalled for a replica that has been sent more full states than this.
         const FREE_INSTALLS: u32 = 1;
         let write_stall = self.timing.write_stall;
         if let Role::Primary(primary) = &mut self.role
--- a/control/src/node/heartbeats.rs
+++ b/control/src/node/heartbeats.rs
@@ -28,22 +28,17 @@
     pub(super) fn send_heartbeats(&mut self, now: Millis) -> u64 {
         let (id, epoch) = (self.id().clone(), self.epoch());
         let committed = self.leading_epoch(now).map(|_| self.state.position);
-        let own = self.witness.grant(&id, epoch, now);
+        let is_granted_here = self.witness.grant(&id, epoch, now);
         let others = self.others();
         let Role::Primary(primary) = &mut self.role else {
             return 0;
         };
         primary.heartbeat_at = now + self.timing.heartbeat_interval;
         let sequence = primary.lease.begin(now);
-        if own {
+        if is_granted_here {
             primary.lease.record_grant(id, sequence);
         }
-        let echo = |other: &ReplicaId| {
-            primary
-                .contacts
-                .get(other)
-                .and_then(|contacts| contacts.echo)
-        };
+        let echo = |other: &ReplicaId| primary.contacts.get(other).and_then(|contact| contact.echo);
         let echoes: Vec<Option<Echo>> = others.iter().map(echo).collect();
         for (other, echo) in others.into_iter().zip(echoes) {
             self.send(
@@ -94,20 +89,20 @@
     /// reply at that time, and the primary was still the leader, with the newest state, when the
     /// reply arrived.
     fn update_freshness(&mut self, committed: Position, echo: Option<Echo>) {
-        let own = echo.filter(|echo| {
+        let own_echo = echo.filter(|echo| {
             echo.incarnation == self.identity.incarnation && self.state.position >= committed
         });
-        self.current_at = self.current_at.max(own.map(|echo| echo.at));
+        self.current_at = self.current_at.max(own_echo.map(|echo| echo.at));
     }
 
     pub(super) fn on_heartbeat_reply(
         &mut self,
         from: ReplicaId,
         epoch: Epoch,
-        answer: HeartbeatReply,
+        reply: HeartbeatReply,
         now: Millis,
     ) {
-        if let Some(view) = answer.other_view {
+        if let Some(view) = reply.other_view {
             return self.learn(view, now);
         }
         let view = self.view().filter(|view| view.epoch == epoch).cloned();
@@ -115,16 +110,16 @@
             return;
         };
         let echo = Some(Echo {
-            incarnation: answer.incarnation,
-            at: answer.sent_at,
+            incarnation: reply.incarnation,
+            at: reply.sent_at,
         });
         primary
             .contacts
             .insert(from.clone(), Contact { at: now, echo });
-        if answer.granted {
-            primary.lease.record_grant(from.clone(), answer.sequence);
+        if reply.granted {
+            primary.lease.record_grant(from.clone(), reply.sequence);
         }
-        if answer.wants_view {
+        if reply.wants_view {
             self.send(from, Message::Decided { view });
         }
         self.confirm_calls(now);
@@ -139,12 +134,12 @@
             return;
         };
         let is_settled = now >= primary.since + self.timing.lease;
-        let without_lease = is_settled && now >= self.lease_expires_at(primary);
+        let has_lost_lease = is_settled && now >= self.lease_expires_at(primary);
         if now >= primary.heartbeat_at {
             self.send_heartbeats(now);
             self.retransmit(now);
         }
-        if without_lease {
+        if has_lost_lease {
             // Replicas that still receive messages from this one need not wait for their time-out.
             return self.resign("the lease expired", now);
         }
--- a/control/src/node/lease.rs
+++ b/control/src/node/lease.rs
@@ -44,7 +44,7 @@
         let mut sequences: Vec<u64> = witnesses
             .filter_map(|witness| self.granted.get(witness).copied())
             .collect();
-        sequences.sort_unstable_by(|one, other| other.cmp(one));
+        sequences.sort_unstable_by(|a, b| b.cmp(a));
         sequences.get(view.majority() - 1).copied()
     }
 
--- a/control/src/node/pending_calls.rs
+++ b/control/src/node/pending_calls.rs
@@ -109,8 +109,8 @@
         let is_confirmed =
             |call: &Unconfirmed| call.sequence.is_some_and(|sequence| sequence <= confirmed);
         let calls = std::mem::take(&mut self.unconfirmed);
-        let (confirmed, left) = calls.into_iter().partition(is_confirmed);
-        self.unconfirmed = left;
+        let (confirmed, remaining) = calls.into_iter().partition(is_confirmed);
+        self.unconfirmed = remaining;
         confirmed
     }
 
@@ -130,10 +130,10 @@
             })
             .collect();
         let unconfirmed = std::mem::take(&mut self.unconfirmed);
-        let (late, left): (Vec<_>, Vec<_>) = unconfirmed
+        let (late, remaining): (Vec<_>, Vec<_>) = unconfirmed
             .into_iter()
             .partition(|call| is_late(call.since));
-        self.unconfirmed = left;
+        self.unconfirmed = remaining;
         replies.extend(
             late.into_iter()
                 .map(|call| Answer::unknown(call.ticket, &call.answer)),
--- a/control/src/node/primary.rs
+++ b/control/src/node/primary.rs
@@ -104,7 +104,7 @@
     pub(super) fn last_contact(&self, replica: &ReplicaId) -> Millis {
         self.contacts
             .get(replica)
-            .map_or(self.since, |contacts| contacts.at)
+            .map_or(self.since, |contact| contact.at)
     }
 
     /// In-sync replicas that do not reply, or have not stored what they were sent, for too long.
--- a/control/src/node/rollout_owner.rs
+++ b/control/src/node/rollout_owner.rs
@@ -57,11 +57,13 @@
         let Role::Primary(primary) = &self.role else {
             return Millis::MAX;
         };
-        let reply = primary
+        let contact = primary
             .contacts
             .get(owner)
             .filter(|contact| contact.echo.is_some());
-        primary.leading_since.max(reply.map_or(0, |reply| reply.at))
+        primary
+            .leading_since
+            .max(contact.map_or(0, |contact| contact.at))
     }
 
     /// Updates the vacancy from the committed state; to be called after each change of that state.
--- a/control/src/node/view_change.rs
+++ b/control/src/node/view_change.rs
@@ -28,8 +28,8 @@
         if !current.is_bootstrap() {
             self.learn(current.clone(), now);
         }
-        let (vote, has_to_be_stored) = self.witness.prepare(&current, &number, now);
-        if has_to_be_stored {
+        let (vote, must_store) = self.witness.prepare(&current, &number, now);
+        if must_store {
             self.store_votes(now);
         }
         self.reply_when_durable(from, Message::PrepareReply { number, vote });
