--- a/store/src/member.rs
+++ b/store/src/member.rs
@@ -77,7 +77,7 @@
     /// Index of the last applied entry.
     applied: u64,
     /// Values that this member proposes again until they are committed.
-    wanted: BTreeMap<String, String>,
+    pending_puts: BTreeMap<String, String>,
     /// Id of the store; 0 while it is unknown.
     cluster: u64,
     /// Number of this start of the member, from 1.
@@ -96,7 +96,7 @@
     rejoin: Rejoin,
     /// Members that have accepted the store which this one bootstraps.
     accepted: BTreeSet<u64>,
-    /// Whether, as far as this member knows, nobody can have voted in this store yet.
+    /// Whether, as far as this member knows, no member can have voted in this store yet.
     never_voted: bool,
     catch_up_target: Option<CatchUpTarget>,
     calls: client_calls::Calls,
@@ -143,7 +143,7 @@
             bounds,
             rng,
             commands,
-            wanted: BTreeMap::new(),
+            pending_puts: BTreeMap::new(),
             cluster,
             start,
             persistence: Persistence::new(keeps_file, durable_index),
@@ -175,8 +175,8 @@
         &self.state
     }
 
-    /// The last value of a key in this member's log with its revision, committed or not. A
-    /// restarted member that cannot reach the others has no better knowledge.
+    /// The last value of a key in this member's log with its revision, committed or not. For a
+    /// restarted member that cannot reach the others this is the best available value.
     pub fn latest_known(&self, key: &str) -> Option<(u64, &str)> {
         let unapplied = self.unapplied().rev().filter_map(|(position, command)| {
             let sets = match command {
@@ -205,12 +205,15 @@
             .timer_at
             .filter(|_| self.is_active() && !self.never_voted);
         // A single-member store needs no elections, heartbeats or status requests.
-        let others = [timer_at, self.status_request_at]
+        let member_timers = [timer_at, self.status_request_at]
             .into_iter()
             .flatten()
             .min()
             .filter(|_| self.members.len() > 1);
-        [others, self.calls.due()].into_iter().flatten().min()
+        [member_timers, self.calls.due()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Status of this member, which votes only while active.
@@ -276,7 +279,7 @@
         }
         if self.is_active() && !self.never_voted && self.timer_at.is_some_and(|at| at <= now) {
             self.node.handle_election_timeout();
-            self.propose_wanted();
+            self.propose_pending_puts();
         }
         self.process_actions(now);
     }
@@ -361,7 +364,7 @@
     }
 
     /// Position of the log's last entry.
-    fn last(&self) -> Position {
+    fn last_position(&self) -> Position {
         self.node.log().last_position().into()
     }
 }
--- a/store/src/member/apply.rs
+++ b/store/src/member/apply.rs
@@ -11,8 +11,8 @@
     /// because the library counts the leader's own entries before they are on its disk: in a
     /// single-member store an entry counts as committed as soon as it is proposed.
     pub(super) fn apply(&mut self) {
-        let end = self.node.commit_index().get();
-        while self.applied < end.min(self.persistence.durable_index()) {
+        let commit_index = self.node.commit_index().get();
+        while self.applied < commit_index.min(self.persistence.durable_index()) {
             let index = LogIndex::new(self.applied + 1);
             let entries = self.node.log().entries();
             let (Some(entry), Some(term)) = (entries.get_entry(index), entries.get_term(index))
--- a/store/src/member/client_calls.rs
+++ b/store/src/member/client_calls.rs
@@ -269,7 +269,7 @@
             .calls
             .history
             .iter()
-            .filter(move |(at, _)| *at > revision))
+            .filter(move |(changed_at, _)| *changed_at > revision))
     }
 
     /// Whether a command is within the store's bounds.
--- a/store/src/member/persistence.rs
+++ b/store/src/member/persistence.rs
@@ -125,7 +125,7 @@
 
     /// Appends a record to the file.
     pub(super) fn persist(&mut self, record: Record) {
-        let log_end = self.last().index;
+        let log_end = self.last_position().index;
         self.persistence.issue(false, vec![record], log_end);
     }
 
@@ -149,7 +149,7 @@
             _ if self.never_voted => records.push(Record::Joined),
             _ => {}
         }
-        let log_end = self.last().index;
+        let log_end = self.last_position().index;
         self.persistence.issue(true, records, log_end);
     }
 }
--- a/store/src/member/proposals.rs
+++ b/store/src/member/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals of commands, and the values that this member proposes until they are committed.
+//! Proposals of commands, and the values that this member proposes again until they are committed.
 
 use super::{Store, TooLarge};
 use crate::Time;
@@ -19,16 +19,16 @@
         if full || value.len() > self.bounds.value_bytes || key.len() > self.bounds.value_bytes {
             return Err(TooLarge);
         }
-        self.wanted.insert(key.to_owned(), value.to_owned());
-        self.propose_wanted();
+        self.pending_puts.insert(key.to_owned(), value.to_owned());
+        self.propose_pending_puts();
         self.process_actions(now);
         Ok(())
     }
 
-    /// Proposes wanted values that are neither committed nor in flight, or forwards them to the
-    /// leader.
-    pub(super) fn propose_wanted(&mut self) {
-        self.wanted
+    /// Proposes the values of [`Store::put`] that are neither committed nor in flight, or forwards
+    /// them to the leader.
+    pub(super) fn propose_pending_puts(&mut self) {
+        self.pending_puts
             .retain(|key, value| self.state.get(key) != Some(value));
         let put = |(key, value): (&String, &String)| {
             Command::Put(Change {
@@ -36,7 +36,7 @@
                 value: Some(value.clone()),
             })
         };
-        let commands: Vec<Command> = self.wanted.iter().map(put).collect();
+        let commands: Vec<Command> = self.pending_puts.iter().map(put).collect();
         for command in commands {
             self.submit(command);
         }
--- a/store/src/member/raft_messages.rs
+++ b/store/src/member/raft_messages.rs
@@ -57,7 +57,7 @@
     /// with a later last term, or with the same one and at least as long. By length alone, a member
     /// that missed committed entries could become leader and overwrite them.
     pub(super) fn vote_position(&self, last: Position) -> Position {
-        let own = self.last();
+        let own = self.last_position();
         let up_to_date = last.recency() >= own.recency();
         Position {
             index: if up_to_date {
--- a/store/src/member/receive.rs
+++ b/store/src/member/receive.rs
@@ -174,7 +174,7 @@
         if let Some(message) = message.into_raft(from, term, sender.sequence) {
             self.node.handle_message(message);
         }
-        self.propose_wanted();
+        self.propose_pending_puts();
     }
 
     /// Wraps a message of the current term for sending.
--- a/store/src/member/rejoining.rs
+++ b/store/src/member/rejoining.rs
@@ -34,7 +34,7 @@
     fn status_messages(&self) -> Vec<Message> {
         let incarnation = self.rejoin.incarnation();
         let mut messages = Vec::new();
-        if let Some(request) = self.rejoin.status_request(self.start, self.last()) {
+        if let Some(request) = self.rejoin.status_request(self.start, self.last_position()) {
             messages.push(Message::StatusRequest(request));
         }
         if let (Status::Lost, Some(target)) = (self.rejoin.status(), self.catch_up_target) {
@@ -62,7 +62,7 @@
             .peers()
             .get(&from)
             .map_or(0, |peer| peer.generation);
-        let last = self.last();
+        let last = self.last_position();
         let (response, must_persist) =
             self.rejoin
                 .respond(from, request, term, !self.never_voted, last);
@@ -174,10 +174,10 @@
     ) {
         // Two members may bootstrap the store at once, for example when an operator recovers it
         // from a file. The bootstrap with the more recent state prevails.
-        let bootstraps = self.rejoin.status() == Status::Bootstrapping;
-        let (own, other) = (self.last().recency(), snapshot.position.recency());
+        let is_bootstrapping = self.rejoin.status() == Status::Bootstrapping;
+        let (own, other) = (self.last_position().recency(), snapshot.position.recency());
         let other_prevails = self.never_voted
-            && if bootstraps {
+            && if is_bootstrapping {
                 other > own
             } else {
                 other >= own
@@ -208,8 +208,8 @@
     /// Handles the acceptance of a bootstrap by a member.
     pub(super) fn on_bootstrap_accepted(&mut self, from: u64) {
         if self.rejoin.status() == Status::Bootstrapping && self.accepted.insert(from) {
-            let all = self.accepted.len() + 1 >= self.members.len();
-            if all {
+            let all_accepted = self.accepted.len() + 1 >= self.members.len();
+            if all_accepted {
                 self.finish_bootstrap();
             }
         }
@@ -268,11 +268,12 @@
         incarnation: u64,
         snapshot: Snapshot,
     ) {
-        let lost = self.rejoin.status() == Status::Lost && incarnation == self.rejoin.incarnation();
+        let is_lost =
+            self.rejoin.status() == Status::Lost && incarnation == self.rejoin.incarnation();
         let reaches_target = self.catch_up_target.is_some_and(|target| {
             term >= target.term && snapshot.position.recency() >= target.last.recency()
         });
-        if !lost || !reaches_target {
+        if !is_lost || !reaches_target {
             return;
         }
         let log = Log::new(snapshot.config(), empty_log(snapshot.position));
--- a/store/src/member/tests.rs
+++ b/store/src/member/tests.rs
@@ -179,7 +179,7 @@
         .remove(&leader)
         .expect("the former leader");
     former.take_outbox();
-    former.wanted.retain(|key, _| key == "name");
+    former.pending_puts.retain(|key, _| key == "name");
     cluster.members.insert(leader, former);
     cluster.run(500 * MS);
     assert!(
--- a/store/src/rejoin.rs
+++ b/store/src/rejoin.rs
@@ -5,10 +5,12 @@
 //! acknowledged. The rule follows the recovery protocol of Viewstamped Replication Revisited
 //! (Liskov and Cowling, 2012, section 4.3). With `m` for a majority of all members:
 //!
-//! - A member with an intact file asks the others whether they know of a newer one. The member
-//!   becomes active after `m - 1` responses from members that have a file too, none of which knows
-//!   of a newer one: fewer than `m - 1` others could not have committed anything together with a
-//!   newer file.
+//! - A member with an intact file asks the others whether they know of a newer one, as the file may
+//!   be an older copy. The member becomes active after `m - 1` responses from members that have a
+//!   file too, none of which knows of a newer one. With an even number of members, `m - 2` others
+//!   remain, too few to have committed anything together with a newer file. With an odd number,
+//!   `m - 1` others remain, which would have been enough: a newer file that only they know of goes
+//!   undetected.
 //! - A member that has lost its file claims a new *generation*, above any that `m` active members
 //!   know, and `m` active members record it. From then on they ignore messages of its earlier
 //!   generations, as does every member that hears from them.
@@ -237,6 +239,7 @@
     bootstraps: bool,
     incarnation: u64,
     generation: u64,
+    /// Whether this incarnation has claimed the generation, after the loss of its file.
     claimed: bool,
     /// The latest response of each member.
     responses: BTreeMap<u64, Received>,
