--- a/bitternsill/src/front/catalogue/link.rs
+++ b/bitternsill/src/front/catalogue/link.rs
@@ -135,18 +135,18 @@
         1
     }
 
-    fn choose(
+    fn choose_link(
         &self,
         host: ServerId,
-        _call: usize,
-        calls: &[usize],
-        _most: usize,
+        _cost: usize,
+        used: &[usize],
+        _max_links: usize,
         now: Time,
     ) -> Choice {
-        match self.pool.borrow_mut().choose(host.0, calls, now) {
-            pool::Choice::Use(at) | pool::Choice::Wait(at) => Choice::Use(at),
+        match self.pool.borrow_mut().choose(host.0, used, now) {
+            pool::Choice::Use(index) | pool::Choice::Wait(index) => Choice::Use(index),
             pool::Choice::Open => Choice::Open,
-            pool::Choice::Backoff => Choice::None,
+            pool::Choice::Backoff => Choice::Unavailable,
         }
     }
 }
--- a/bitternsill/src/front/catalogue/sru.rs
+++ b/bitternsill/src/front/catalogue/sru.rs
@@ -63,7 +63,7 @@
                 Step::Done(outcome) => {
                     return Handled::Done(self.finish(&running.form, outcome));
                 }
-                Step::Ask(plan) => {
+                Step::Query(plan) => {
                     let caller = Caller::only(cx.token.bits());
                     match self.catalogue.submit_round(
                         cx.world,
--- a/bitternsill/src/front/hosts.rs
+++ b/bitternsill/src/front/hosts.rs
@@ -33,7 +33,7 @@
 
     /// Selects the connection for a call by its cost and by the used capacity of each connection:
     /// the least used one if it has capacity left or there are `max_links` already, else a new one.
-    fn choose(
+    fn choose_link(
         &self,
         _host: ServerId,
         cost: usize,
@@ -41,13 +41,17 @@
         max_links: usize,
         _now: Time,
     ) -> Choice {
-        match used.iter().enumerate().min_by_key(|(_, n)| **n) {
-            Some((at, n))
-                if *n == 0
-                    || *n + cost <= self.connection_capacity()
+        match used
+            .iter()
+            .enumerate()
+            .min_by_key(|(_, used_capacity)| **used_capacity)
+        {
+            Some((index, used_capacity))
+                if *used_capacity == 0
+                    || *used_capacity + cost <= self.connection_capacity()
                     || used.len() >= max_links =>
             {
-                Choice::Use(at)
+                Choice::Use(index)
             }
             _ => Choice::Open,
         }
@@ -62,7 +66,7 @@
     /// A new connection.
     Open,
     /// No connection, as the host must not be called now.
-    None,
+    Unavailable,
 }
 
 /// A host in an endpoint list from discovery.
@@ -89,6 +93,7 @@
     endpoint: Option<SocketAddr>,
     draining_since: Option<Time>,
     links: Vec<Link>,
+    /// The attempts in flight, each with its connection.
     attempts: BTreeMap<AttemptId, Token>,
     /// The number of connections that became unresponsive since the host last sent anything.
     unresponsive: u32,
@@ -103,7 +108,7 @@
     /// The names of excluded hosts. They stay excluded whatever endpoint lists say, and need not be
     /// in the table.
     excluded: BTreeSet<String>,
-    next: u32,
+    next_id: u32,
 }
 
 impl HostTable {
@@ -115,7 +120,7 @@
             ids: BTreeMap::new(),
             hosts: BTreeMap::new(),
             excluded: BTreeSet::new(),
-            next: 1,
+            next_id: 1,
         }
     }
 
@@ -196,7 +201,7 @@
         let mut entries = Vec::with_capacity(members.len());
         let mut listed = Vec::new();
         for mut member in members {
-            let Some(id) = self.id(&member.uid) else {
+            let Some(id) = self.find_or_assign_id(&member.uid) else {
                 tracing::warn!(
                     uid = member.uid,
                     "index host ignored: the table is full or the name is too long"
@@ -206,7 +211,7 @@
             listed.push(id);
             member.entry.server = id;
             member.entry.excluded = self.excluded.contains(&member.uid);
-            let new = Host {
+            let new_host = Host {
                 uid: Arc::from(member.uid.as_str()),
                 entry: Endpoint {
                     status: ServerStatus::Removed,
@@ -218,7 +223,7 @@
                 attempts: BTreeMap::new(),
                 unresponsive: 0,
             };
-            let host = self.hosts.entry(id).or_insert(new);
+            let host = self.hosts.entry(id).or_insert(new_host);
             if member.endpoint.is_some() && host.endpoint != member.endpoint {
                 host.endpoint = member.endpoint;
                 // Connections to the former address finish their calls; new calls must not use
@@ -239,7 +244,7 @@
                 }
             }
         }
-        self.remove_gone();
+        self.remove_unused();
         entries
     }
 
@@ -263,22 +268,24 @@
         entries
     }
 
-    fn id(&mut self, uid: &str) -> Option<ServerId> {
+    /// The id of a host, which is assigned if the host is new. `None` if the table is full or the
+    /// name is too long.
+    fn find_or_assign_id(&mut self, uid: &str) -> Option<ServerId> {
         if let Some(id) = self.ids.get(uid) {
             return Some(*id);
         }
         if self.ids.len() >= self.limits.hosts || uid.len() > self.limits.name_bytes {
             return None;
         }
-        let id = ServerId(self.next);
-        self.next += 1;
+        let id = ServerId(self.next_id);
+        self.next_id += 1;
         self.ids.insert(uid.to_owned(), id);
         Some(id)
     }
 
-    /// Drops removed hosts without connections or attempts. Without this the table would fill up,
-    /// as replaced hosts get new names.
-    fn remove_gone(&mut self) {
+    /// Drops removed hosts without connections or attempts. Otherwise the table would fill up, as a
+    /// host that replaces another one has a new name.
+    fn remove_unused(&mut self) {
         let is_used = |h: &Host| {
             h.entry.status != ServerStatus::Removed || !h.links.is_empty() || !h.attempts.is_empty()
         };
@@ -299,9 +306,10 @@
         now: Time,
     ) -> Result<(), Vec<Outgoing>> {
         let grace = self.limits.drain_grace / 2;
-        let allowed =
-            |h: &Host| !h.entry.excluded && h.draining_since.is_none_or(|at| now < at + grace);
-        if self.hosts.get(&id).is_none_or(|host| !allowed(host)) {
+        let may_call = |h: &Host| {
+            !h.entry.excluded && h.draining_since.is_none_or(|since| now < since + grace)
+        };
+        if self.hosts.get(&id).is_none_or(|host| !may_call(host)) {
             return Err(parts);
         }
         let cost = self.connector.call_cost(parts.len());
@@ -358,17 +366,17 @@
         if open < self.limits.host_links {
             return self.limits.connections_per_host;
         }
-        let own = self.hosts.get(&id).map_or(0, |host| host.links.len());
-        let idle = |host: &Host| host.links.iter().position(|link| link.used == 0);
-        if own == 0
-            && let Some((at, host)) = self
+        let own_links = self.hosts.get(&id).map_or(0, |host| host.links.len());
+        let idle_link = |host: &Host| host.links.iter().position(|link| link.used == 0);
+        if own_links == 0
+            && let Some((index, host)) = self
                 .hosts
                 .values_mut()
-                .find_map(|host| Some((idle(host)?, host)))
+                .find_map(|host| Some((idle_link(host)?, host)))
         {
-            net.post(host.links.remove(at).token, Message::CloseIdle);
+            net.post(host.links.remove(index).token, Message::CloseIdle);
         }
-        own.max(1)
+        own_links.max(1)
     }
 
     /// Closes the idle connections to a host.
@@ -378,11 +386,11 @@
         };
         // Remove them from the table at once, so that the next call opens a new connection.
         host.links.retain(|link| {
-            let idle = link.used == 0;
-            if idle {
+            let is_idle = link.used == 0;
+            if is_idle {
                 net.post(link.token, Message::CloseIdle);
             }
-            !idle
+            !is_idle
         });
     }
 
@@ -393,7 +401,7 @@
         }
     }
 
-    /// Removes an attempt whose connection, and so whose host, is no longer known.
+    /// Removes an attempt whose connection, and therefore host, is no longer known.
     pub fn forget_attempt(&mut self, attempt: AttemptId) {
         for host in self.hosts.values_mut() {
             host.attempts.remove(&attempt);
@@ -415,7 +423,8 @@
         self.limits.link_unresponsive << self.hosts.get(&id).map_or(0, |h| h.unresponsive.min(4))
     }
 
-    /// Counts an unresponsive connection, or with `false` resets the count after input.
+    /// Counts a connection that became unresponsive, or with `false` resets the count because the
+    /// host has sent something.
     pub fn set_unresponsive(&mut self, id: ServerId, unresponsive: bool) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.unresponsive = if unresponsive {
@@ -459,10 +468,10 @@
         now: Time,
     ) -> Option<Token> {
         let used: Vec<usize> = self.links.iter().map(|l| l.used).collect();
-        match connector.choose(id, cost, &used, max_links, now) {
-            Choice::Use(at) => return self.links.get(at).map(|l| l.token),
+        match connector.choose_link(id, cost, &used, max_links, now) {
+            Choice::Use(index) => return self.links.get(index).map(|l| l.token),
             Choice::Open => {}
-            Choice::None => return None,
+            Choice::Unavailable => return None,
         }
         match connector.connect(id, self.endpoint?, now) {
             Ok(connection) => {
--- a/bitternsill/src/front/server.rs
+++ b/bitternsill/src/front/server.rs
@@ -101,20 +101,20 @@
         })
     }
 
-    /// Reads from the socket and records when the bytes arrived. After a pause that may have been
-    /// as early as the start of the pause.
+    /// Reads from the socket and records when the bytes arrived. Bytes that are read after a pause
+    /// may have arrived as early as the start of the pause.
     fn read_input(&mut self, cx: &Cx<'_>) -> io::Result<Input> {
         if let Some(overflow) = &mut self.overflow {
-            let mut more = Vec::new();
-            let end = self.stream.read(&mut more, cx.world.limits.read_burst);
-            overflow.take(&mut more);
+            let mut excess = Vec::new();
+            let end = self.stream.read(&mut excess, cx.world.limits.read_burst);
+            overflow.take(&mut excess);
             return end;
         }
-        let (before, limits) = (self.input.len(), &cx.world.limits);
+        let (buffered, limits) = (self.input.len(), &cx.world.limits);
         // While a request is in flight, the buffer has room for one more request of any size.
         let is_waiting = matches!(self.state, State::Waiting { .. });
         let max_bytes = if is_waiting {
-            limits.body_bytes.saturating_sub(before)
+            limits.body_bytes.saturating_sub(buffered)
         } else {
             usize::MAX
         };
@@ -122,7 +122,7 @@
             .stream
             .read(&mut self.input, limits.read_burst.min(max_bytes));
         self.arrivals.read(
-            self.input.len() - before,
+            self.input.len() - buffered,
             self.paused.take().unwrap_or(cx.since),
         );
         end
@@ -130,12 +130,12 @@
 
     /// If more than the buffer holds arrived while a request is in flight, drops the excess.
     fn drop_excess_input(&mut self, cx: &Cx<'_>) {
-        let (limits, before) = (&cx.world.limits, self.input.len());
+        let (limits, buffered) = (&cx.world.limits, self.input.len());
         let is_waiting = matches!(self.state, State::Waiting { .. }) && self.overflow.is_none();
-        if is_waiting && before >= limits.body_bytes {
+        if is_waiting && buffered >= limits.body_bytes {
             let reader = Reader::requests(limits.head_bytes, limits.body_bytes);
             self.overflow = Some(Overflow::begin(&mut self.input, reader));
-            self.arrivals.dropped(before - self.input.len());
+            self.arrivals.dropped(buffered - self.input.len());
         }
     }
 
@@ -183,10 +183,10 @@
             if self.reject_overflow(cx) {
                 continue;
             }
-            let fresh = self.reader.is_fresh();
-            let before = self.input.len();
+            let was_fresh = self.reader.is_fresh();
+            let buffered = self.input.len();
             let progress = self.reader.read(&mut self.input);
-            let arrived = self.arrivals.parsed(before - self.input.len());
+            let arrived = self.arrivals.parsed(buffered - self.input.len());
             match progress {
                 Ok(Progress::Whole) => {
                     let (head, body) = self.reader.take();
@@ -199,7 +199,7 @@
                     cx.since = since;
                 }
                 Ok(Progress::More) => {
-                    if fresh && !self.reader.is_fresh() {
+                    if was_fresh && !self.reader.is_fresh() {
                         cx.world.clients.set_partial(cx.token, cx.now);
                         // The timer for a first request has run since the client connected.
                         if self.requests > 0 {
@@ -257,7 +257,7 @@
         // Pipelined requests that were received are answered before the connection is closed.
         let keep = keep
             && self.service.keeps_alive()
-            && (!cx.world.closes_connections(cx.now) || self.has_more(cx));
+            && (!cx.world.closes_connections(cx.now) || self.has_unhandled_input(cx));
         self.stream.push(&response.encode(!keep, with_body));
         if keep {
             self.state = State::Reading;
@@ -267,7 +267,8 @@
         }
     }
 
-    fn has_more(&mut self, cx: &Cx<'_>) -> bool {
+    /// Whether the client has sent anything that is not handled yet.
+    fn has_unhandled_input(&mut self, cx: &Cx<'_>) -> bool {
         // An end of the stream or an error is reported again by the next read.
         let _ = self.read_input(cx);
         !self.input.is_empty() || self.overflow.as_ref().is_some_and(Overflow::is_pending)
@@ -322,15 +323,15 @@
             .clients
             .evict_single_request(cx.net, cx.now, &cx.world.limits);
         // Clients that send one request and stay connected would in time use up all connections.
-        let idle = if self.requests > 1 {
+        let timeout = if self.requests > 1 {
             cx.world.limits.client_idle
         } else {
             cx.world.limits.single_request_idle
         };
-        cx.set_timer(cx.now + idle);
+        cx.set_timer(cx.now + timeout);
     }
 
-    /// Writes pending output and updates the events that the socket is registered for.
+    /// Writes pending output and updates the events for which the socket is registered.
     fn flush(&mut self, cx: &mut Cx<'_>) {
         self.drop_excess_input(cx);
         // If the client does not read its answers, leave its input in the socket, so that it cannot
@@ -362,8 +363,8 @@
 }
 
 impl HttpConnection {
-    /// Closes an idle connection, or with `evict` also one with a partial request. Requests that
-    /// have already arrived are served first, as closing would lose them.
+    /// Closes an idle connection, or with `evict` also one that has received part of a request.
+    /// Complete requests that have already arrived are served first, as closing would lose them.
     fn close_if_idle(&mut self, cx: &mut Cx<'_>, evict: bool) {
         match self.read_input(cx) {
             Ok(Input::Open) => self.read_requests(cx),
--- a/catalogue/src/operation.rs
+++ b/catalogue/src/operation.rs
@@ -21,7 +21,7 @@
 /// Limits of an operation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// The class's floor: the smallest fraction of slices that may form an answer.
+    /// The class's floor: the smallest fraction of slices whose results make an answer.
     pub floor: f64,
     /// Maximum records that one part requests.
     pub per_part: u32,
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     /// Run another round.
-    Ask(Plan),
+    Query(Plan),
     /// The operation is complete.
     Done(Outcome),
 }
@@ -137,7 +137,7 @@
     },
     /// The round failed, or a slice did not answer.
     Failed(FailureReason),
-    /// The page lies further on than one operation can read.
+    /// The remaining records are beyond the positions that one operation can read.
     Reach,
 }
 
@@ -185,7 +185,7 @@
     }
 
     /// The number of records for a set with `hits` hits.
-    pub fn of(self, hits: u64) -> u64 {
+    pub fn record_count(self, hits: u64) -> u64 {
         match self {
             Want::Count(n) => n,
             Want::Sized { small, .. } if hits <= small => hits,
@@ -230,7 +230,8 @@
     Scanning {
         number: u32,
         position: u32,
-        seed: String,
+        /// The term at which the scan starts.
+        start_term: String,
         slices: Vec<u32>,
     },
 }
@@ -246,7 +247,7 @@
 impl Operation {
     /// Starts a search.
     pub fn search(search: Search, bounds: Bounds) -> (Operation, Step) {
-        let step = Step::Ask(first_plan(&search, &bounds));
+        let step = Step::Query(first_plan(&search, &bounds));
         (
             Operation {
                 bounds,
@@ -261,7 +262,7 @@
     }
 
     /// Starts to fetch records of a set. If the set has changed, the operation repeats the search
-    /// in `repeat_search`, or ends with the diagnostic that the set is gone if there is none.
+    /// in `repeat_search`; without one it ends with the diagnostic that the set is gone.
     pub fn page(
         set: SetId,
         (start, count): (u64, u64),
@@ -272,8 +273,8 @@
         now: Time,
     ) -> (Operation, Step) {
         let hits = sets.get(set, now).map_or(0, |s| s.count().hits);
-        let left = hits.saturating_add(1).saturating_sub(start.max(1));
-        let wanted = count.min(left);
+        let available = hits.saturating_add(1).saturating_sub(start.max(1));
+        let wanted = count.min(available);
         let page_assembly = PageAssembly {
             set,
             start,
@@ -311,11 +312,11 @@
             number,
             position,
         });
-        let step = Step::Ask(Plan {
+        let step = Step::Query(Plan {
             work,
             slices: slices.clone(),
         });
-        let seed = crate::cql::term::parse(&clause.term).plain();
+        let start_term = crate::cql::term::parse(&clause.term).plain();
         (
             Operation {
                 bounds,
@@ -323,7 +324,7 @@
                 state: State::Scanning {
                     number,
                     position,
-                    seed,
+                    start_term,
                     slices,
                 },
             },
@@ -348,13 +349,13 @@
         let values = match round {
             Round::Served(values) => values,
             Round::Refused { hold_off } => return Step::Done(Outcome::Refused { hold_off }),
-            Round::Failed(why) => return Step::Done(Outcome::Failed(why)),
+            Round::Failed(reason) => return Step::Done(Outcome::Failed(reason)),
         };
         let mut found: Vec<(u32, Found)> = Vec::new();
         let mut faults: Vec<(u32, Fault)> = Vec::new();
         for (slice, result) in values {
             match result {
-                WorkResult::Found(one) => found.push((slice, one)),
+                WorkResult::Found(result) => found.push((slice, result)),
                 WorkResult::Refused(fault) => faults.push((slice, fault)),
                 WorkResult::Scanned(_) => {}
             }
@@ -388,26 +389,26 @@
         let hits = set.count().hits;
         let wanted = search
             .want
-            .of(hits)
+            .record_count(hits)
             .min((hits + 1).saturating_sub(search.start));
         let mut rows: Vec<Option<Record>> = vec![None; wanted.min(self.bounds.page) as usize];
         // A search response already contains the first records of each slice.
-        for (slice, one) in found {
-            let Some(at) = set.slices.iter().position(|s| s.slice == slice) else {
+        for (slice, result) in found {
+            let Some(slice_index) = set.slices.iter().position(|s| s.slice == slice) else {
                 continue;
             };
             if let Some(merged) = &mut set.merged {
-                for record in one.records {
+                for record in result.records {
                     match Row::new(record, &search.sort) {
-                        Some(row) => merged.sources[at].buffered.push_back(row),
+                        Some(row) => merged.sources[slice_index].buffered.push_back(row),
                         None => return Step::Done(Outcome::Fault(Kind::SORT_MISSING.of(""))),
                     }
                 }
             } else {
-                let before: u64 = set.slices[..at].iter().map(|s| s.hits).sum();
+                let hits_before: u64 = set.slices[..slice_index].iter().map(|s| s.hits).sum();
                 let mut last = None;
-                for (offset, record) in (0u64..).zip(one.records) {
-                    let slot = (before + offset + 1)
+                for (offset, record) in (0u64..).zip(result.records) {
+                    let slot = (hits_before + offset + 1)
                         .checked_sub(search.start)
                         .map(|s| s as usize);
                     if let Some(row) = slot.and_then(|s| rows.get_mut(s)) {
@@ -419,9 +420,9 @@
                 // for its fingerprint.
                 if let Some(offset) = last
                     && let Some(Some(record)) =
-                        rows.get((before + offset + 1 - search.start) as usize)
+                        rows.get((hits_before + offset + 1 - search.start) as usize)
                 {
-                    set.record_delivered(at, offset, record);
+                    set.record_delivered(slice_index, offset, record);
                 }
             }
         }
@@ -480,7 +481,7 @@
                     ranges,
                     facets,
                 };
-                return Step::Ask(Plan {
+                return Step::Query(Plan {
                     work: Work::Page(work),
                     slices,
                 });
@@ -527,8 +528,8 @@
                 page.short = Some(ShortReason::Refused { hold_off });
                 return self.continue_page(sets, now);
             }
-            Round::Failed(why) => {
-                page.short = Some(ShortReason::Failed(why));
+            Round::Failed(reason) => {
+                page.short = Some(ShortReason::Failed(reason));
                 return self.continue_page(sets, now);
             }
         };
@@ -539,8 +540,8 @@
         };
         let mut results: Vec<(u32, WorkResult)> = values;
         for range in std::mem::take(&mut page.requested) {
-            let at = results.iter().position(|(slice, _)| *slice == range.slice);
-            let added = match at.map(|at| results.swap_remove(at).1) {
+            let index = results.iter().position(|(slice, _)| *slice == range.slice);
+            let added = match index.map(|index| results.swap_remove(index).1) {
                 Some(WorkResult::Found(found)) => add_result(page, set, &range, found),
                 Some(WorkResult::Refused(fault)) => {
                     page.diagnostics.push(
@@ -580,7 +581,7 @@
         match page.repeat_search.take() {
             Some(search) if self.rounds < self.bounds.rounds => {
                 self.rounds += 1;
-                let step = Step::Ask(first_plan(&search, &self.bounds));
+                let step = Step::Query(first_plan(&search, &self.bounds));
                 self.state = State::Searching {
                     search,
                     replaced: true,
@@ -597,7 +598,7 @@
         let State::Scanning {
             number,
             position,
-            seed,
+            start_term,
             slices,
         } = &self.state
         else {
@@ -606,7 +607,7 @@
         let values = match round {
             Round::Served(values) => values,
             Round::Refused { hold_off } => return Step::Done(Outcome::Refused { hold_off }),
-            Round::Failed(why) => return Step::Done(Outcome::Failed(why)),
+            Round::Failed(reason) => return Step::Done(Outcome::Failed(reason)),
         };
         let (mut lists, mut faults, mut missing) = (Vec::new(), Vec::new(), slices.clone());
         for (slice, result) in values {
@@ -622,7 +623,8 @@
         if let Some(step) = below_floor(lists.len(), slices.len(), &faults, self.bounds.floor) {
             return step;
         }
-        let (terms, position) = merge::scan(&lists, seed, *number as usize, *position as usize);
+        let (terms, position) =
+            merge::scan(&lists, start_term, *number as usize, *position as usize);
         let diagnostics = diagnostics_of(&missing, faults);
         Step::Done(Outcome::Scan(Scanned {
             terms,
@@ -633,12 +635,13 @@
     }
 }
 
+/// The step for a state that does not match the round, which does not occur.
 fn failed() -> Step {
     Step::Done(Outcome::Failed(FailureReason::GivenUp))
 }
 
-/// Rejects an answer from fewer slices than the class's floor. The dispatch core may have counted a
-/// refusal as an answer, so its own check is not sufficient.
+/// Returns the final step of an operation that too few slices have answered for the class's floor.
+/// The dispatch core may have counted a refusal as an answer, so its own check is not sufficient.
 fn below_floor(
     answered: usize,
     requested: usize,
@@ -686,7 +689,7 @@
         };
         let per_slice: Vec<Option<&merge::Facet>> = lists
             .iter()
-            .map(|l| position(l).and_then(|at| l.as_ref().map(|facets| &facets[at])))
+            .map(|l| position(l).and_then(|index| l.as_ref().map(|facets| &facets[index])))
             .collect();
         let mut merged = merge::facets(request, &per_slice);
         merged.exact &= !missing;
--- a/catalogue/src/session.rs
+++ b/catalogue/src/session.rs
@@ -440,7 +440,7 @@
 
     fn apply_step(&mut self, number: u32, step: Step, context: &mut SessionContext<'_>) {
         match step {
-            Step::Ask(plan) => context.actions.push(Action::Ask {
+            Step::Query(plan) => context.actions.push(Action::Ask {
                 operation: number,
                 plan,
             }),
--- a/catalogue/tests/operation.rs
+++ b/catalogue/tests/operation.rs
@@ -100,7 +100,7 @@
         loop {
             match step {
                 Step::Done(outcome) => return outcome,
-                Step::Ask(plan) => {
+                Step::Query(plan) => {
                     rounds += 1;
                     assert!(rounds <= BOUNDS.rounds, "too many rounds");
                     assert!(!plan.slices.is_empty(), "no slices in the plan");
