--- a/router/src/proxy/ingress.rs
+++ b/router/src/proxy/ingress.rs
@@ -38,7 +38,7 @@
     connections: ClientConnections,
 }
 
-/// Status and Retry-After of a request that gets no response from a backend.
+/// Status and Retry-After of the response to a request that no backend has answered.
 struct Rejection {
     status: StatusCode,
     retry_after: Option<String>,
@@ -73,8 +73,8 @@
         self.forwarder.count(Event::RequestReceived);
         let connection = self.connections.get(request.remote_addr().as_socket_addr());
         let in_flight = connection.begin_request();
-        // The HTTP server continues the request of a disconnected client. Dropping the future here
-        // cancels the request and all its attempts.
+        // The HTTP server does not cancel the request of a client that disconnects. Dropping the
+        // future here cancels the request and all its attempts.
         let outcome = tokio::select! {
             biased;
             () = connection.closed() => {
@@ -148,7 +148,7 @@
         let weights: Vec<u64> = route.split.iter().map(|(_, weight)| *weight).collect();
         let chosen = choose_weighted(&weights, &mut fastrand::Rng::new());
         let (service, _) = chosen
-            .and_then(|at| route.split.get(at))
+            .and_then(|index| route.split.get(index))
             .ok_or_else(|| Rejection::from_status(StatusCode::INTERNAL_SERVER_ERROR))?;
         let timeout = headers::number(request.headers(), &headers::DEADLINE_MS)
             .unwrap_or(DEFAULT_DEADLINE_MS);
@@ -255,7 +255,7 @@
     let host = header.or(request.uri().host()).unwrap_or_default();
     host.rsplit_once(':')
         .filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()))
-        .map_or(host, |(h, _)| h)
+        .map_or(host, |(name, _)| name)
         .into()
 }
 
--- a/router/src/upstreams.rs
+++ b/router/src/upstreams.rs
@@ -51,18 +51,21 @@
             selector.observe(*address, *lock(&upstream.health), now);
         }
         let is_starting = started_at.elapsed() < SEED_FOLLOW_TIME;
-        let wanted = select(&fleet, &selector, is_starting, now);
+        let selected = select(&fleet, &selector, is_starting, now);
         upstreams.retain(|address, upstream| {
-            let is_wanted = wanted.get(address) == Some(&upstream.mode);
-            if !is_wanted {
+            let is_selected = selected.get(address) == Some(&upstream.mode);
+            if !is_selected {
                 upstream.task.abort();
             }
-            is_wanted
+            is_selected
         });
         let has_state = fleet.replica.is_some() || lock(&fleet.published).version().is_some();
-        let pull_order =
-            InitialPullOrder::new(&fleet.settings.node_name, wanted.keys().copied(), has_state);
-        for (address, mode) in wanted {
+        let pull_order = InitialPullOrder::new(
+            &fleet.settings.node_name,
+            selected.keys().copied(),
+            has_state,
+        );
+        for (address, mode) in selected {
             upstreams.entry(address).or_insert_with(|| {
                 let health = Arc::new(Mutex::new(Health::Unknown));
                 let pull_loop = pull_from(
