--- a/router/src/upstreams.rs
+++ b/router/src/upstreams.rs
@@ -1,8 +1,8 @@
 //! Selects the nodes that this router pulls state from, and runs a pull loop for each. A router
 //! without a replica follows one replica node, and polls another in case the first falls behind.
 
+pub mod initial_pull_order;
 pub mod selector;
-pub mod start_turns;
 
 use crate::clock;
 use crate::fleet::{Fleet, PULL_WAIT, Pull};
@@ -11,8 +11,8 @@
 use control::Millis;
 use control::directory::{Member, MemberStatus};
 use control::ring;
+use initial_pull_order::InitialPullOrder;
 use selector::{Candidate, Health, Mode, UpstreamSelector};
-use start_turns::StartTurns;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::sync::{Arc, Mutex};
@@ -51,17 +51,21 @@
             selector.observe(*address, *lock(&upstream.health), now);
         }
         let is_starting = started_at.elapsed() < SEED_FOLLOW_TIME;
-        let wanted = select(&fleet, &selector, is_starting, now);
+        let selected = select(&fleet, &selector, is_starting, now);
         upstreams.retain(|address, upstream| {
-            let is_wanted = wanted.get(address) == Some(&upstream.mode);
-            if !is_wanted {
+            let is_selected = selected.get(address) == Some(&upstream.mode);
+            if !is_selected {
                 upstream.task.abort();
             }
-            is_wanted
+            is_selected
         });
         let has_state = fleet.replica.is_some() || lock(&fleet.published).version().is_some();
-        let turns = StartTurns::new(&fleet.settings.node_name, wanted.keys().copied(), has_state);
-        for (address, mode) in wanted {
+        let pull_order = InitialPullOrder::new(
+            &fleet.settings.node_name,
+            selected.keys().copied(),
+            has_state,
+        );
+        for (address, mode) in selected {
             upstreams.entry(address).or_insert_with(|| {
                 let health = Arc::new(Mutex::new(Health::Unknown));
                 let pull_loop = pull_from(
@@ -71,7 +75,7 @@
                     health.clone(),
                     failures.clone(),
                 );
-                let turn = turns.wait(address, failures.subscribe());
+                let turn = pull_order.wait_for_turn(address, failures.subscribe());
                 let task = tokio::spawn(async move {
                     turn.await;
                     pull_loop.await;
