--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -259,7 +259,7 @@
         let known = self.hosts.to_json().to_string();
         self.record("members", &known, net);
         if let Some(keeper) = &mut self.keeper {
-            keeper.listed(&self.hosts);
+            keeper.forget_unlisted(&self.hosts);
             keeper.apply_loaded(&mut self.core, &self.hosts, net.now());
         }
     }
@@ -354,7 +354,7 @@
         if let Some(sweep) = self.orders.drain.sweep(now) {
             self.clients.sweep(net, sweep);
         }
-        self.record_ends(net, now);
+        self.record_finished_queries(net, now);
         self.advance_recovery(net, now);
         self.advance(net, now);
         self.log_wait(now);
--- a/bitternsill/src/learned.rs
+++ b/bitternsill/src/learned.rs
@@ -227,7 +227,7 @@
     }
 
     /// Forgets hosts that are no longer on the list.
-    pub fn listed(&mut self, hosts: &HostTable) {
+    pub fn forget_unlisted(&mut self, hosts: &HostTable) {
         let gone: Vec<Arc<str>> = self
             .snapshot
             .hosts
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -504,7 +504,7 @@
     if let Some(keeper) = gatherer.keeper.take() {
         keeper.finish(&mut gatherer.core, &gatherer.hosts, net.now(), timeout);
     }
-    gatherer.record_ends(net, net.now());
+    gatherer.record_finished_queries(net, net.now());
     if let Some(versions) = gatherer.versions.take() {
         versions.finish(net.now(), timeout);
     }
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -247,7 +247,7 @@
 
 impl Gatherer {
     /// Passes the outcome of queries on to the recovery and to the audit log.
-    pub fn record_ends(&mut self, net: &mut Net<Self>, now: Time) {
+    pub fn record_finished_queries(&mut self, net: &mut Net<Self>, now: Time) {
         let returning = self
             .returning
             .as_mut()
--- a/bitternsill/src/versions/agent.rs
+++ b/bitternsill/src/versions/agent.rs
@@ -171,7 +171,7 @@
             .as_array()
             .is_some_and(|names| names.iter().any(|one| *one == *name));
         // What was served up to here was served under the former version.
-        self.record_ends(net, now);
+        self.record_finished_queries(net, now);
         let Some(versions) = &mut self.versions else {
             return;
         };
