--- a/bitternsill/src/store/cli.rs
+++ b/bitternsill/src/store/cli.rs
@@ -1,4 +1,4 @@
-//! `bitternsill store`: inspects the file of a member, and recovers a store from it.
+//! `bitternsill store`: inspects a member's file and recovers a store from it.
 
 use super::disk::{self, OpenError};
 use clap::Subcommand;
@@ -7,40 +7,41 @@
 use std::path::{Path, PathBuf};
 use store::persisted::PersistedState;
 
-/// Look at the file of a store's member.
+/// Inspect the file of a store member, or recover a store from it.
 #[derive(Debug, Subcommand)]
 pub enum StoreCommand {
-    /// Tell whether the file is sound, and if not where it is damaged.
+    /// Check the file for damage, and report where it is damaged.
     Verify {
         /// The file.
         file: PathBuf,
     },
-    /// Tell what the file keeps: store, starts, term, vote, log and keys.
+    /// Print the contents of the file: store, starts, term, vote, log and keys.
     Show {
         /// The file.
         file: PathBuf,
     },
-    /// Begin a new store from this file, where more than half of the members have lost theirs. Says
-    /// what that loses, and does it only when told to.
+    /// Start a new store from this file after more than half of the members have lost theirs.
+    /// Prints what is lost, and changes nothing without --accept-loss.
     Recover {
-        /// The best file that is left: the one with the highest last entry.
+        /// The most recent file left: the one whose last entry has the highest term, then the
+        /// highest number.
         file: PathBuf,
-        /// Do it, with the loss that was told.
+        /// Start the new store and accept the loss.
         #[arg(long)]
         accept_loss: bool,
     },
 }
 
-/// A command that was not carried out.
+/// Why a command failed.
 #[derive(Debug)]
 pub enum StoreFileError {
-    /// There is no such file.
+    /// The file does not exist.
     NotFound(PathBuf),
     /// The file cannot be used.
     Unusable(OpenError),
-    /// The file names no members: it never belonged to a store.
+    /// The file lists no members: it never belonged to a store.
     NoMembers(PathBuf),
-    /// The loss has to be accepted; with what would be lost.
+    /// The loss has not been accepted; holds the description of the loss.
     LossNotAccepted(String),
 }
 
@@ -48,17 +49,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StoreFileError::NotFound(file) => {
-                write!(f, "{}: there is no such file", file.display())
+                write!(f, "{}: no such file", file.display())
             }
             StoreFileError::Unusable(error) => error.fmt(f),
             StoreFileError::NoMembers(file) => write!(
                 f,
-                "{}: this file names no members: it has never held a store",
+                "{}: the file lists no members: it never belonged to a store",
                 file.display()
             ),
             StoreFileError::LossNotAccepted(warning) => write!(
                 f,
-                "{warning}. Nothing is changed. To do it, stop every member and add --accept-loss"
+                "{warning}. Nothing was changed. To start the new store, stop every member and add --accept-loss"
             ),
         }
     }
@@ -86,48 +87,50 @@
     let contents = read(file)?;
     let torn = match contents.torn_bytes {
         0 => String::new(),
-        torn => format!("; {torn} bytes behind them are of a record that was never finished"),
+        torn => format!("; the {torn} bytes after them are of a record that was never finished"),
     };
-    let sound = format!(
-        "{}: {} sound records, {} bytes{torn}",
+    let description = format!(
+        "{}: {} valid records, {} bytes{torn}",
         file.display(),
         contents.records.len(),
         contents.valid_bytes
     );
     if !show {
-        return Ok(sound);
+        return Ok(description);
     }
     let persisted = PersistedState::from_records(contents.records).summary();
-    Ok(persisted.into_iter().fold(sound, |text, (what, value)| {
-        format!("{text}\n{what}: {value}")
-    }))
+    Ok(persisted
+        .into_iter()
+        .fold(description, |text, (label, value)| {
+            format!("{text}\n{label}: {value}")
+        }))
 }
 
 fn read(file: &Path) -> Result<store::record::FileContents, StoreFileError> {
-    // A member starts from a missing file as from an empty one; here it is a mistake.
+    // A member treats a missing file as an empty one; for these commands it is an error.
     if !file.exists() {
         return Err(StoreFileError::NotFound(file.to_owned()));
     }
     Ok(disk::read(file)?)
 }
 
-/// Replaces a member's file by that of a new store which starts with the file's state.
+/// Replaces a member's file by the file of a new store that starts with its state.
 fn recover(file: &Path, accept_loss: bool) -> Result<String, StoreFileError> {
     let persisted = PersistedState::from_records(read(file)?.records);
     let members = persisted.members();
     if members.is_empty() {
         return Err(StoreFileError::NoMembers(file.to_owned()));
     }
-    let own: String = persisted
+    let summary: String = persisted
         .summary()
         .into_iter()
-        .map(|(what, value)| format!("  {what}: {value}\n"))
+        .map(|(label, value)| format!("  {label}: {value}\n"))
         .collect();
     let warning = format!(
-        "{}: a new store of the members {members:?} begins with all that this file holds:\n{own}Lost is whatever other members \
-         had acknowledged and this file does not hold; nobody can tell how much. Compare `store show` of every file that is \
-         left, and take the one whose last entry has the highest term, then the highest number. The former store ends: a \
-         member that still has a file of it is refused",
+        "{}: a new store of the members {members:?} starts with the contents of this file:\n{summary}Lost is whatever the other members had acknowledged and this file does not contain; \
+         how much that is cannot be determined. Compare `store show` of every file that is left, and choose the one whose \
+         last entry has the highest term, then the highest number. The old store ends: members that still have a file of \
+         it are refused",
         file.display()
     );
     if !accept_loss {
@@ -137,12 +140,12 @@
     let clock = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let new_records =
         persisted.into_new_store(store, &members, clock.map_or(0, |since| since.as_secs()));
-    let former = disk::replace(file, &new_records)?;
+    let previous = disk::replace(file, &new_records)?;
     let others: Vec<String> = members.iter().map(u64::to_string).collect();
     Ok(format!(
-        "{warning}.\nDone: store {store:016x}; the former file is {}. Now move away, on every other member of {}, its file and the \
-         one beside it that ends in `.id`, and start all: the store begins once every one of them is there",
-        former.display(),
+        "{warning}.\nDone: the new store is {store:016x}; the old file is saved as {}. Now, on every other member of {}, move away \
+         its file and the `.id` file next to it, then start all members: the store becomes active once all of them are up",
+        previous.display(),
         others.join(", ")
     ))
 }
--- a/bitternsill/src/store/client.rs
+++ b/bitternsill/src/store/client.rs
@@ -1,5 +1,5 @@
-//! A blocking client of the store, for operators' commands: it speaks JSON lines to the members'
-//! addresses.
+//! A blocking client of the store, for operators' commands: it exchanges JSON lines with the
+//! members.
 
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 
 /// Pause between two rounds over the members' addresses.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A member may take this fraction of a request's timeout.
+/// The timeout of one attempt is that of the request divided by this.
 const ATTEMPTS_PER_TIMEOUT: u32 = 3;
 
 /// A request that got no usable response.
@@ -32,25 +32,25 @@
     NoMajority(SocketAddr),
     /// The exchange with this member failed.
     Member(SocketAddr, Box<ClientError>),
-    /// The response to a request of this kind has another form.
+    /// The response does not have the form that is named first.
     UnexpectedResponse(&'static str, Json),
 }
 
 impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ClientError::TimedOut => f.write_str("no answer in time"),
+            ClientError::TimedOut => f.write_str("timed out waiting for a response"),
             ClientError::Io(error) => error.fmt(f),
             ClientError::NotJson => {
-                f.write_str("the answer cannot be read; is it a gatherer's store?")
+                f.write_str("the response is not JSON; is this the address of a gatherer's store?")
             }
-            ClientError::NoAddress => f.write_str("no address is told"),
+            ClientError::NoAddress => f.write_str("no address given"),
             ClientError::NoMajority(member) => {
-                write!(f, "{member}: the store has no majority that answers")
+                write!(f, "{member}: no majority of the store's members responds")
             }
             ClientError::Member(member, error) => write!(f, "{member}: {error}"),
             ClientError::UnexpectedResponse(expected, response) => {
-                write!(f, "no {expected}: {response}")
+                write!(f, "expected {expected}, got {response}")
             }
         }
     }
@@ -137,11 +137,11 @@
     pub timeout: Duration,
 }
 
-/// Sends a line to an address and reads the line that answers it.
+/// Sends a line to an address and reads the response line.
 ///
 /// # Errors
 ///
-/// [`ClientError`] if the connection fails, times out or brings anything but JSON.
+/// [`ClientError`] if the connection fails or times out, or the response is not JSON.
 pub fn exchange_line(
     address: SocketAddr,
     request: &str,
@@ -156,7 +156,7 @@
 }
 
 impl Client {
-    /// Sends a request to one member after the other until one has a response.
+    /// Sends a request to one member after the other until one returns a result.
     fn request(&self, request: &Json) -> Result<Json, ClientError> {
         let started = Instant::now();
         let request = request.to_string();
@@ -189,7 +189,7 @@
     pub fn read(&self, prefix: &str) -> Result<ReadResult, ClientError> {
         let response = self.request(&json!({"ask": "read", "prefix": prefix}))?;
         read_result(&response).ok_or(ClientError::UnexpectedResponse(
-            "answer to a read",
+            "a response to a read",
             response,
         ))
     }
@@ -208,7 +208,7 @@
         let opened = self.request(&json!({"ask": "open"}))?;
         let session = opened["opened"]
             .as_u64()
-            .ok_or(ClientError::UnexpectedResponse("session", opened))?;
+            .ok_or(ClientError::UnexpectedResponse("a session", opened))?;
         let txn = Txn {
             session,
             request: 1,
@@ -222,14 +222,14 @@
             Some(Outcome::Applied(revision)) => Ok(ChangeOutcome::Applied(revision)),
             Some(Outcome::Rejected(rejection)) => Ok(ChangeOutcome::Rejected(rejection)),
             None => Err(ClientError::UnexpectedResponse(
-                "answer to a change",
+                "a response to a change",
                 response,
             )),
         }
     }
 }
 
-/// The result in a response to a read; `None` if it has another form.
+/// Parses a response to a read; `None` if it has another form.
 pub fn read_result(response: &Json) -> Option<ReadResult> {
     let key = |key: &Json| {
         let value = (key[1].as_str()?.to_owned(), key[2].as_u64()?);
--- a/bitternsill/src/store/disk.rs
+++ b/bitternsill/src/store/disk.rs
@@ -21,7 +21,7 @@
     Io(PathBuf, io::Error),
     /// Another process holds its lock.
     Locked(PathBuf),
-    /// It does not hold what was written to it.
+    /// Its contents are corrupt.
     Corrupt(PathBuf, Corruption),
 }
 
@@ -32,17 +32,17 @@
             OpenError::Locked(path) => {
                 write!(
                     f,
-                    "{}: another process writes this member's file",
+                    "{}: this member's file is locked by another process",
                     path.display()
                 )
             }
             OpenError::Corrupt(path, corruption) => write!(
                 f,
-                "{}: {corruption}. This member does not start: it may have promised what its file no longer says. Either put \
-                 the file back as this member last wrote it; or move it away, with the one of the same name that ends in \
-                 `.id` left where it is: the member then takes no part until it has caught up with the others, of whom more \
-                 than half must be sound; or, if no majority is left, begin a new store from the best file that is left: \
-                 `bitternsill store recover`",
+                "{}: {corruption}. This member does not start: the file may have lost votes or entries that it had acknowledged. Either \
+                 put the file back as this member last wrote it; or move it away and leave the `.id` file of the same name in \
+                 place: the member then takes no part until it has caught up with the others, more than half of which must be \
+                 undamaged; or, if no majority is left, start a new store from the most recent file left: `bitternsill store \
+                 recover`",
                 path.display()
             ),
         }
@@ -81,29 +81,29 @@
     pub full_retry_delay: Duration,
 }
 
-/// Path of the file with the store's id, beside the member's file: if that one is lost, this one
-/// tells that there was one.
+/// Path of the identity file next to the member's file. It holds the store's id, and shows that the
+/// member belonged to a store if the member's file is lost.
 pub fn identity_path(path: &Path) -> PathBuf {
     path.with_extension("id")
 }
 
 /// Id of the store that a member has voted in, from the identity file.
 fn identity(path: &Path) -> Result<Option<u64>, OpenError> {
-    let temporary = identity_path(path);
-    let text = match std::fs::read_to_string(&temporary) {
+    let identity_file = identity_path(path);
+    let text = match std::fs::read_to_string(&identity_file) {
         Ok(text) => text,
         Err(problem) if problem.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(problem) => return Err(OpenError::Io(temporary, problem)),
+        Err(problem) => return Err(OpenError::Io(identity_file, problem)),
     };
     let id = u64::from_str_radix(text.trim(), 16)
         .ok()
         .filter(|id| *id != 0);
     let found = || Corruption {
         offset: 0,
-        found: "this is no store's id".to_owned(),
+        found: "not a store id".to_owned(),
     };
     id.map(Some)
-        .ok_or_else(|| OpenError::Corrupt(temporary, found()))
+        .ok_or_else(|| OpenError::Corrupt(identity_file, found()))
 }
 
 /// Replaces a file atomically: it is renamed only when it is complete and synced.
@@ -120,7 +120,7 @@
     File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
-/// A file of these records.
+/// Encodes a file with these records.
 fn encode_file(records: &[record::Record]) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     for (at, record) in records.iter().enumerate() {
@@ -138,8 +138,8 @@
     Ok(lock)
 }
 
-/// Replaces the records of a member's file, which no process may use. Returns the path of a copy of
-/// the former file.
+/// Replaces the records of a member's file, which no process may be using. Returns the path of a
+/// copy of the old file.
 ///
 /// # Errors
 ///
@@ -147,15 +147,15 @@
 pub fn replace(path: &Path, records: &[record::Record]) -> Result<PathBuf, OpenError> {
     let failed = |problem| OpenError::Io(path.to_owned(), problem);
     let _lock = lock(path)?;
-    let former = path.with_extension("former");
-    std::fs::copy(path, &former).map_err(failed)?;
-    File::open(&former)
+    let previous = path.with_extension("former");
+    std::fs::copy(path, &previous).map_err(failed)?;
+    File::open(&previous)
         .and_then(|file| file.sync_all())
         .map_err(failed)?;
     write_atomically(path, &encode_file(records)).map_err(failed)?;
     match std::fs::remove_file(identity_path(path)) {
         Err(problem) if problem.kind() != io::ErrorKind::NotFound => Err(failed(problem)),
-        _ => Ok(former),
+        _ => Ok(previous),
     }
 }
 
@@ -167,8 +167,8 @@
 }
 
 impl Disk {
-    /// Opens a member's file, truncates a torn last record, and starts the thread. At most
-    /// `queue_len` writes wait for it.
+    /// Opens a member's file, truncates an incomplete last record, and starts the thread. Its queue
+    /// holds at most `queue_len` writes.
     ///
     /// # Errors
     ///
@@ -182,10 +182,10 @@
         let contents = read(path)?;
         if contents.torn_bytes > 0 {
             let (at, bytes) = (contents.valid_bytes, contents.torn_bytes);
-            tracing::warn!(file = %path.display(), at, bytes, "a record that was never finished is cut off");
+            tracing::warn!(file = %path.display(), at, bytes, "truncated an incomplete record at the end of the file");
         }
         let persisted = PersistedState::from_records(contents.records.clone());
-        // A member's file that has voted is enough: a corrupt identity file is ignored then.
+        // A corrupt identity file is ignored if the member's own file records a vote.
         let stored_identity = identity(path).or_else(|error| {
             if persisted.has_voted() {
                 Ok(None)
@@ -196,7 +196,7 @@
         let persisted = match stored_identity {
             Some(store) if contents.records.is_empty() => {
                 tracing::warn!(file = %path.display(), store = %format_args!("{store:016x}"),
-                    "this member's file is gone, though it was of a store: what it had promised there is lost");
+                    "this member's file is missing although it belonged to a store: what it had promised there is lost");
                 PersistedState::lost_file(store)
             }
             _ => persisted,
@@ -228,7 +228,7 @@
         waker.set_nonblocking(true)?;
         thread::Builder::new()
             .name("store".to_owned())
-            .spawn(move || file.work(&queue, &completions, waker))?;
+            .spawn(move || file.run(&queue, &completions, waker))?;
         Ok(Disk {
             requests,
             completed,
@@ -238,7 +238,7 @@
 
     /// Queues a write; returns it if the queue is full.
     pub fn submit(&self, write: Write) -> Result<(), Write> {
-        // A thread that has ended has sent its error.
+        // A thread that has ended has already sent its error.
         self.requests
             .try_send(write)
             .or_else(|problem| match problem {
@@ -272,20 +272,21 @@
     /// Number of records in it.
     record_count: u64,
     options: DiskOptions,
-    /// Id of the store by the records.
+    /// Id of the store in the records.
     cluster: u64,
-    /// Id of the store by the identity file.
+    /// Id of the store in the identity file.
     stored_identity: Option<u64>,
     _lock: File,
 }
 
 impl RecordFile {
-    /// Opens the file for appending; one of another format is rewritten in the present one first.
+    /// Opens the file for appending; a file of another format is first rewritten in the current
+    /// one.
     fn prepare(&mut self, contents: &record::FileContents) -> io::Result<()> {
         let other_format = std::fs::read(&self.path).is_ok_and(|bytes| !bytes.starts_with(MAGIC))
             && contents.valid_bytes > 0;
         if other_format {
-            tracing::info!(file = %self.path.display(), records = contents.records.len(), "brought to the present format");
+            tracing::info!(file = %self.path.display(), records = contents.records.len(), "converted to the current format");
         }
         if other_format || contents.valid_bytes < MAGIC.len() {
             return self.replace(&contents.records);
@@ -297,7 +298,7 @@
         Ok(())
     }
 
-    fn work(
+    fn run(
         mut self,
         requests: &Receiver<Write>,
         completions: &SyncSender<io::Result<u64>>,
@@ -318,8 +319,8 @@
         }
     }
 
-    /// Writes a batch, and waits while the disk is full. Until then nothing is acknowledged, so the
-    /// member commits no change, and serves what is committed.
+    /// Writes a batch, retrying while the disk is full. Meanwhile nothing is acknowledged, so the
+    /// member commits no change and still serves what is committed.
     fn write_retrying_when_full(&mut self, batch: &[Write]) -> io::Result<()> {
         let (record_count, length) = (
             self.record_count,
@@ -331,7 +332,7 @@
                 Err(problem) if problem.kind() == io::ErrorKind::StorageFull => {
                     if !std::mem::replace(&mut reported, true) {
                         tracing::error!(file = %self.path.display(),
-                            "the disk is full: this member takes no change until there is room, and tells what it has");
+                            "the disk is full: this member acknowledges no change until there is space, and serves what is committed");
                     }
                     // Partly written records are truncated, as they are written again; a
                     // replacement starts with a new file anyway.
@@ -345,7 +346,7 @@
                 }
                 result => {
                     if reported && result.is_ok() {
-                        tracing::warn!(file = %self.path.display(), "there is room on the disk again");
+                        tracing::warn!(file = %self.path.display(), "the disk has space again");
                     }
                     return result;
                 }
@@ -381,7 +382,7 @@
                 _ => {}
             }
         }
-        // Records before the last replacement need not be written.
+        // Records before the last replacement are obsolete.
         let from = batch.iter().rposition(|write| write.replaces);
         if let Some(from) = from {
             self.replace(&batch[from].records)?;
--- a/bitternsill/src/store/file_writer.rs
+++ b/bitternsill/src/store/file_writer.rs
@@ -10,11 +10,11 @@
 
 type Cx<'a> = Context<'a, Gatherer>;
 
-/// Hands writes to the thread of the member's file, in order, and reports completed ones to the
+/// Queues writes for the thread of the member's file, in order, and reports completed ones to the
 /// store.
 pub(super) struct FileWriter {
     disk: Disk,
-    /// Writes for which the thread's queue has no capacity yet.
+    /// Writes that the thread's queue has no room for yet.
     backlog: VecDeque<Write>,
 }
 
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Hands over what the thread's queue takes. A member whose disk does not keep up stops: it
-    /// could acknowledge nothing in time.
+    /// Queues as many writes as the thread's queue accepts. A member whose disk does not keep up
+    /// stops: it could acknowledge nothing in time.
     fn submit(&mut self, cx: &mut Cx<'_>) {
         while let Some(write) = self.backlog.pop_front() {
             if let Err(write) = self.disk.submit(write) {
--- a/bitternsill/src/store/peer.rs
+++ b/bitternsill/src/store/peer.rs
@@ -8,7 +8,8 @@
 
 type Cx<'a> = Context<'a, Gatherer>;
 
-/// Messages to another member. What cannot be sent now is dropped: Raft tolerates lost messages.
+/// Sends messages to another member. A message that cannot be sent at once is dropped: Raft
+/// tolerates lost messages.
 pub(super) struct Peer {
     address: SocketAddr,
     stream: Option<Stream>,
@@ -73,7 +74,8 @@
             }
             cx.clear_timer();
         } else if ready.readable {
-            // Members respond on connections of their own: only the end of this one can be read.
+            // Members respond on their own connections: all that is read here is the end of the
+            // stream.
             let mut unexpected = Vec::new();
             if !matches!(
                 stream.read(&mut unexpected, cx.world.limits.read_burst),
--- a/bitternsill/src/store/requests.rs
+++ b/bitternsill/src/store/requests.rs
@@ -1,5 +1,5 @@
-//! Requests of clients, which are lines of JSON from operators' commands and other gatherers, and
-//! the lines that answer them.
+//! Requests of clients and their responses: lines of JSON, from operators' commands and other
+//! gatherers.
 
 use crate::net::Token;
 use serde_json::{Value as Json, json};
@@ -9,7 +9,7 @@
 
 use store::state::State;
 
-/// Who gets the reply to a call.
+/// The recipient of the reply to a call.
 #[derive(Debug, Clone)]
 pub enum Requester {
     /// A connection that sent a line.
@@ -34,8 +34,8 @@
     StaleRead(Requester),
     /// A watch of changes committed after this revision.
     Watch(u64),
-    /// Bytes of this gatherer's audit log.
-    Trail {
+    /// A read of this gatherer's audit log.
+    AuditLog {
         /// The connection.
         token: Token,
         /// Number of the segment, from 0.
@@ -63,7 +63,7 @@
         Some("txn") => match Txn::read(&json["txn"]) {
             Some(txn) => Ok(Request::Call(Call::Txn(txn), requester)),
             None => Err(MalformedMessage(
-                "`txn` has `session`, `request`, `checks` and `sets`",
+                "`txn` must have `session`, `request`, `checks` and `sets`",
             )),
         },
         Some("read") if json["stale"] == true => Ok(Request::StaleRead(requester)),
@@ -71,18 +71,20 @@
         Some("watch") => match json["from"].as_u64() {
             Some(from) => Ok(Request::Watch(from)),
             None => Err(MalformedMessage(
-                "`from` is the revision after which changes are told",
+                "`from` must be the revision after which changes are sent",
             )),
         },
         Some("trail") => {
             let number = |key: &str| json[key].as_u64().unwrap_or(0);
-            Ok(Request::Trail {
+            Ok(Request::AuditLog {
                 token,
                 segment: number("segment"),
                 from: number("from"),
             })
         }
-        _ => Err(MalformedMessage("`ask` is open, txn, read, watch or trail")),
+        _ => Err(MalformedMessage(
+            "`ask` must be open, txn, read, watch or trail",
+        )),
     })
 }
 
@@ -98,7 +100,7 @@
     json.to_string() + "\n"
 }
 
-/// The response to a stale read, which says so.
+/// The response to a stale read, marked as stale.
 pub fn stale_response(id: &Json, prefix: &str, revision: u64, state: &State) -> String {
     json!({"id": id, "stale": true, "revision": revision, "keys": keys(state, prefix)}).to_string()
         + "\n"
@@ -111,12 +113,12 @@
         .collect()
 }
 
-/// A line of a watch from a revision on.
+/// A change in a watch from a revision on.
 pub fn watch_line(revision: u64, change: &Change) -> String {
     json!({"revision": revision, "key": change.key, "value": change.value}).to_string() + "\n"
 }
 
-/// A line of a watch from the present state on.
+/// A change in a watch from the present state on.
 pub(super) fn plain_watch_line(change: &Change) -> String {
     json!({"key": change.key, "value": change.value}).to_string() + "\n"
 }
--- a/bitternsill/src/store/server.rs
+++ b/bitternsill/src/store/server.rs
@@ -1,4 +1,4 @@
-//! Accepted connections: messages of other members, and lines of clients and watchers.
+//! Accepted connections: messages of other members, and requests of clients and watchers.
 
 use super::requests::{self, Request, Requester};
 use super::service::with_store;
@@ -38,8 +38,8 @@
     ///
     /// # Errors
     ///
-    /// [`MalformedMessage`] if the line cannot be answered; the connection is closed then.
-    fn line(&mut self, cx: &mut Cx<'_>, line: &[u8]) -> Result<(), MalformedMessage> {
+    /// [`MalformedMessage`] if the line is malformed; the connection is then closed.
+    fn handle_line(&mut self, cx: &mut Cx<'_>, line: &[u8]) -> Result<(), MalformedMessage> {
         let trimmed = line.trim_ascii();
         if trimmed == WATCH.as_bytes() {
             self.watch(cx);
@@ -77,23 +77,24 @@
         request: Request,
     ) -> Result<(), MalformedMessage> {
         let timeout = cx.world.limits.store_request_timeout;
-        if let Request::Trail {
+        if let Request::AuditLog {
             token,
             segment,
             from,
         } = request
         {
             let versions = cx.world.versions.as_ref();
-            match versions.and_then(|versions| versions.trail()) {
-                Some(trail) => cx
-                    .net
-                    .post(trail, Message::AuditLogRequested(token, segment, from)),
+            match versions.and_then(|versions| versions.audit_writer()) {
+                Some(audit_writer) => cx.net.post(
+                    audit_writer,
+                    Message::AuditLogRequested(token, segment, from),
+                ),
                 None => self.stream.push(b"{\"trail\":null}\n"),
             }
             return Ok(());
         }
         let Some(service) = &mut cx.world.store_service else {
-            return Err(MalformedMessage("no store"));
+            return Err(MalformedMessage("this gatherer has no store"));
         };
         match request {
             Request::Call(call, requester) => service.submit(call, requester, timeout, cx.net),
@@ -112,8 +113,8 @@
         Ok(())
     }
 
-    /// Sends the changes after a revision, or the present state where the history does not reach
-    /// back so far.
+    /// Sends the changes after a revision, or the present state if the history does not reach back
+    /// that far.
     fn send_changes_since(&mut self, store: &Store, revision: u64) {
         match store.changes_since(revision) {
             Ok(changes) => {
@@ -162,8 +163,8 @@
                 .read(&mut self.input, cx.world.limits.read_burst);
             while let Some(newline) = self.input.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = self.input.drain(..=newline).collect();
-                if let Err(error) = self.line(cx, &line) {
-                    tracing::debug!(%error, "store");
+                if let Err(error) = self.handle_line(cx, &line) {
+                    tracing::debug!(%error, "closing a connection to the store");
                     return cx.close();
                 }
             }
@@ -197,16 +198,17 @@
     }
 }
 
-/// Passes a message of another member on to the store.
+/// Delivers a message of another member to the store.
 fn receive(cx: &mut Cx<'_>, envelope: Envelope) -> Result<(), MalformedMessage> {
     let service = cx.world.store_service.as_ref();
     if !service.is_some_and(|service| service.has_peer(envelope.from)) {
-        return Err(MalformedMessage("from no member"));
+        return Err(MalformedMessage("the sender is not a member"));
     }
     if let Some(Err(other)) = with_store(cx, |store, now| store.receive(envelope, now)) {
-        // The sender repeats its messages: the connection is closed, so this is logged once for it.
-        tracing::warn!(%other, "a member of another store is refused");
-        return Err(MalformedMessage("of another store"));
+        // The sender repeats its messages; closing the connection keeps this from being logged for
+        // each.
+        tracing::warn!(%other, "rejected a message of another store's member");
+        return Err(MalformedMessage("the sender belongs to another store"));
     }
     Ok(())
 }
--- a/bitternsill/src/store/service.rs
+++ b/bitternsill/src/store/service.rs
@@ -1,4 +1,4 @@
-//! The store member on the event loop: passes its output on to the file, the other members, the
+//! The store member on the event loop: sends its output to the file, the other members, the
 //! watchers and the requesters.
 
 use super::disk::Disk;
@@ -14,7 +14,7 @@
 use store::member::{Call, CallId, Reply, Store, TooManyCalls};
 use store::rejoin::Status;
 
-/// An object that gets changes of keys with one of these prefixes.
+/// An object that is notified of changes of keys with one of these prefixes.
 struct Subscription {
     token: Token,
     prefixes: Vec<String>,
@@ -38,7 +38,7 @@
     file_writer: Option<Token>,
     /// The status that was last logged.
     logged_status: Option<Status>,
-    /// When a member that still waits is logged again, and how long after that.
+    /// When the status of a member that is still waiting is logged again, and the interval of that.
     log_status_at: Time,
     status_log_interval: Time,
 }
@@ -90,10 +90,13 @@
     }
 
     /// Proposes a value under this gatherer's name.
-    pub fn record(&mut self, what: &str, value: &str, net: &mut Net<Gatherer>) {
-        let key = format!("{what}/{}", self.name);
+    pub fn record(&mut self, kind: &str, value: &str, net: &mut Net<Gatherer>) {
+        let key = format!("{kind}/{}", self.name);
         if self.store.put(&key, value, net.now()).is_err() {
-            tracing::warn!(key, "the store does not take this much");
+            tracing::warn!(
+                key,
+                "the key or the value is too large for the store, or the store has too many keys"
+            );
         }
         self.dispatch(net);
     }
@@ -104,7 +107,10 @@
             return;
         }
         if self.store.put(key, value, net.now()).is_err() {
-            tracing::warn!(key, "the store does not take this much");
+            tracing::warn!(
+                key,
+                "the key or the value is too large for the store, or the store has too many keys"
+            );
         }
         self.dispatch(net);
     }
@@ -119,8 +125,8 @@
         self.store.cluster()
     }
 
-    /// Logs a new status at once, and one that still waits at intervals. Field names and values are
-    /// those of the operators' pages.
+    /// Logs a new status at once, and one that is still waiting at intervals. Field names and
+    /// values are those of the operators' documentation.
     fn log_status(&mut self, now: Time) {
         let (status, waiting_for) = self.status();
         let changed = self.logged_status != Some(status);
@@ -138,27 +144,27 @@
                     standing = %status.log_label(),
                     store,
                     waits = waiting_for,
-                    "the store's member takes no part yet"
+                    "the store member is not active yet"
                 );
             }
             Some(waiting_for) => tracing::warn!(
                 standing = %status.log_label(),
                 store,
                 waits = waiting_for,
-                "the store's member takes no part yet"
+                "the store member is not active yet"
             ),
             None => tracing::info!(
                 standing = %status.log_label(),
                 store,
                 generation,
-                "the store's member takes part"
+                "the store member is active"
             ),
         }
         self.logged_status = Some(status);
         self.log_status_at = now + self.status_log_interval;
     }
 
-    /// Passes on what the store has put out: writes, messages, committed changes and replies.
+    /// Delivers the store's output: writes, messages, committed changes and replies.
     pub(super) fn dispatch(&mut self, net: &mut Net<Gatherer>) {
         self.log_status(net.now());
         for write in self.store.take_writes() {
@@ -242,7 +248,7 @@
     }
 }
 
-/// Runs an action on the store, and passes on what comes of it.
+/// Runs an action on the store and delivers its output.
 pub(super) fn with_store<T>(
     cx: &mut Context<'_, Gatherer>,
     action: impl FnOnce(&mut Store, Time) -> T,
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -1,6 +1,6 @@
-//! Versions of the configuration in the event loop of a gatherer. The package `versions` decides;
-//! this module connects it with the store, the dispatcher and the audit log. Off unless the
-//! operator's file has a section `versions`.
+//! Versions of the configuration in a gatherer's event loop. The decisions are in the package
+//! `versions`; this module connects it to the store, the dispatcher and the audit log. Off unless
+//! the operator's file has a section `versions`.
 
 pub mod activation;
 mod agent;
@@ -34,15 +34,15 @@
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MS: Time = 1_000_000;
 
-/// The newest format of the document that this program reads. Format 1 has `settings`, as in a
-/// configuration, and `least`, the fraction of gatherers that serves on without a store.
+/// The newest document format that this program reads. Format 1 has `settings`, as in a
+/// configuration, and `least`, the fraction of gatherers that keep serving without a store.
 pub const FORMAT: u64 = 1;
 
 /// Why a document can't be used by this gatherer.
 #[derive(Debug, Error)]
 enum UnusableDocument {
     /// It is of a newer format.
-    #[error("it is of format {0}, and this program reads up to {FORMAT}")]
+    #[error("the document has format {0}, and this program reads formats up to {FORMAT}")]
     Format(u64),
     /// Its settings can't be used.
     #[error(transparent)]
@@ -76,7 +76,7 @@
 }
 
 impl Versions {
-    /// Opens the audit log and starts the agent, which queries the active version at once.
+    /// Opens the audit log and starts the agent, which immediately queries the active version.
     pub fn start(
         setup: VersionsSetup,
         name: String,
@@ -117,23 +117,23 @@
         versions
     }
 
-    /// Whether a query of a client may be accepted at this very moment.
+    /// Whether a client's query may be accepted now.
     pub fn may_accept(&self, now: Time) -> bool {
         self.lease.may_accept(now)
     }
 
-    /// The status towards the active version.
+    /// The status of this gatherer with regard to the active version.
     pub fn status(&self) -> Status {
         self.lease.status()
     }
 
-    /// The version that it runs.
+    /// The version that this gatherer runs.
     pub fn running(&self) -> Version {
         self.lease.running()
     }
 
     /// The connection that writes the audit log.
-    pub fn trail(&self) -> Option<Token> {
+    pub fn audit_writer(&self) -> Option<Token> {
         self.audit_log.as_ref().map(|(token, _)| *token)
     }
 
@@ -142,7 +142,7 @@
         self.audit_log.as_ref().map(|_| self.flush_at)
     }
 
-    /// The part of a status response about versions.
+    /// The `version` section of a status response.
     pub fn to_json(&self, now: Time) -> Json {
         let valid_until = self.lease.valid_until();
         let valid_ms = valid_until.map(|until| until.saturating_sub(now) / NANOS_PER_MS);
@@ -164,8 +164,8 @@
         self.record(vec![(now, record)], net);
     }
 
-    /// Records what was served until now, and that this incarnation stopped gracefully. Waits for
-    /// the disk no longer than `timeout`.
+    /// Records the queries served until now, and that this incarnation stopped gracefully. Waits
+    /// for the disk for at most `timeout`.
     pub fn finish(mut self, now: Time, timeout: Duration) {
         let records = self.drain_served(now);
         if let Some((_, final_entries)) = &self.audit_log {
@@ -175,14 +175,14 @@
     }
 
     fn record(&self, records: Vec<(Time, Record)>, net: &mut Net<Gatherer>) {
-        if let Some(writer) = self.trail().filter(|_| !records.is_empty()) {
+        if let Some(writer) = self.audit_writer().filter(|_| !records.is_empty()) {
             let entries = records.into_iter().map(entry).collect();
             net.post(writer, Message::AuditEntries(entries));
         }
     }
 
-    /// The records of what was served, after the confirmation that it rests on: the audit checks
-    /// them in the order of the log.
+    /// The records of served queries, preceded by the confirmation that allowed them: the audit
+    /// checks records in the order of the log.
     fn drain_served(&mut self, now: Time) -> Vec<(Time, Record)> {
         let confirmation = self.lease.last_response().map(|response| {
             let record = Record::Confirmed {
@@ -196,7 +196,7 @@
         confirmation.into_iter().chain(served).collect()
     }
 
-    /// Records what was served.
+    /// Records the queries served since the last flush.
     fn flush(&mut self, now: Time, net: &mut Net<Gatherer>) {
         self.flush_at = now + self.setup.note_ms.saturating_mul(NANOS_PER_MS);
         let records = self.drain_served(now);
@@ -215,13 +215,14 @@
     fn report_status_changes(&mut self, net: &mut Net<Gatherer>) {
         for change in self.lease.take_changes() {
             let (from, to, version) = (change.from, change.to, self.running());
-            tracing::info!(%from, %to, version, "the version's status has changed");
+            tracing::info!(%from, %to, version, "version status changed");
             self.record(vec![(change.at, Record::StatusChanged { status: to })], net);
         }
     }
 }
 
-/// Opens the audit log, if there is one. A gatherer whose log cannot be opened serves without.
+/// Opens the audit log, if one is configured. If it cannot be opened, the gatherer serves without
+/// it.
 fn open_audit_log(
     setup: &VersionsSetup,
     name: &str,
@@ -234,7 +235,7 @@
             tracing::error!(
                 folder = %folder.display(),
                 %problem,
-                "no audit log is written: its folder cannot be used"
+                "cannot use the audit log's folder; serving without an audit log"
             );
             None
         }
@@ -246,7 +247,7 @@
 }
 
 impl Gatherer {
-    /// Passes the outcome of queries on to the recovery and to the audit log.
+    /// Passes the outcomes of finished queries to the recovery and the audit log.
     pub fn record_finished_queries(&mut self, net: &mut Net<Self>, now: Time) {
         let returning = self
             .returning
