--- a/bitternsill/src/versions/activation.rs
+++ b/bitternsill/src/versions/activation.rs
@@ -1,5 +1,4 @@
-//! The store transaction that makes a proposal active, for an operator's command and for a job
-//! alike.
+//! The store transaction that makes a proposal active, for operators' commands and jobs.
 
 use super::NANOS_PER_MS;
 use super::keys::{ACTIVE, EVER_ACTIVE, EXCLUDED, GATHERERS, HISTORY, PROPOSAL, VOTE};
@@ -13,9 +12,9 @@
 
 /// How far the clocks of two machines may drift apart, in parts of a thousand.
 const DRIFT_PERMILLE: u64 = 50;
-/// The number of former documents that are retained, so that one can be proposed again.
+/// The number of earlier documents that are retained, so that they can be proposed again.
 const RETAINED_DOCUMENTS: usize = 8;
-/// The number of proposals of which it is retained that they were active.
+/// The number of proposals that are remembered as having been active.
 const RETAINED_PROPOSALS: usize = 100;
 /// The fraction of autonomous gatherers for a proposal that does not state one.
 const DEFAULT_AUTONOMOUS_FRACTION: f64 = 0.5;
@@ -26,11 +25,11 @@
     pub proposal: u64,
     /// How many gatherers take part.
     pub participants: usize,
-    /// Which of them serve on without a store.
+    /// The participants that keep serving without a store.
     pub autonomous: Vec<String>,
-    /// What has to be unchanged.
+    /// The keys that must be unchanged at the commit.
     pub checks: Vec<Check>,
-    /// What is written.
+    /// The writes.
     pub changes: Vec<Change>,
 }
 
@@ -40,15 +39,14 @@
     NoProposal(String),
     /// Some gatherers prevent it.
     ByGatherers {
-        /// Which, and why.
+        /// Those gatherers, and why each prevents it.
         blockers: BTreeMap<String, Blocker>,
         /// How long an excluded gatherer may still serve at most.
         exclusion_delay: Time,
     },
 }
 
-/// The fleet as the store has it; `excluded_since` has when each gatherer was first seen to be
-/// excluded.
+/// The fleet as recorded in the store. `excluded_since` holds when each exclusion was first seen.
 pub fn fleet(
     seen: &ReadResult,
     excluded_since: &BTreeMap<String, Time>,
@@ -69,7 +67,7 @@
         .collect()
 }
 
-/// A gatherer's vote. That of an earlier incarnation does not count: the program may have been
+/// A gatherer's vote. A vote of an earlier incarnation does not count: the program may have been
 /// replaced by one that cannot use the proposal.
 fn read_vote(vote: &Json, registration: &Json) -> Option<Vote> {
     if vote["life"] != registration["life"] {
@@ -81,7 +79,7 @@
     })
 }
 
-/// Updates since when each gatherer has been seen to be excluded.
+/// Records when each exclusion was first seen, and removes gatherers that are no longer excluded.
 pub fn observe_exclusions(
     seen: &ReadResult,
     excluded_since: &mut BTreeMap<String, Time>,
@@ -102,13 +100,13 @@
 ) -> Result<Plan, Blocked> {
     let (document, proposal) = seen
         .json(PROPOSAL)
-        .ok_or_else(|| Blocked::NoProposal("nothing is proposed".to_owned()))?;
+        .ok_or_else(|| Blocked::NoProposal("there is no proposal".to_owned()))?;
     let active = seen.json(ACTIVE).map(|(active, _)| active);
     if active
         .as_ref()
         .is_some_and(|active| active["proposal"] == proposal)
     {
-        let reason = format!("proposal {proposal} is active already");
+        let reason = format!("proposal {proposal} is already active");
         return Err(Blocked::NoProposal(reason));
     }
     let fleet = fleet(seen, excluded_since);
@@ -129,7 +127,7 @@
     let mut changes = activation_changes(&document, proposal, &autonomous);
     changes.extend(deletions(seen, HISTORY, RETAINED_DOCUMENTS));
     changes.extend(deletions(seen, EVER_ACTIVE, RETAINED_PROPOSALS));
-    // An excluded gatherer has stopped, so it may query the new version from here on.
+    // An excluded gatherer has stopped serving, so it can be included again in the new version.
     let excluded = fleet
         .iter()
         .filter(|(_, member)| member.excluded_since.is_some());
@@ -159,7 +157,7 @@
     let exclusion_delay = exclusion_delay(longest_validity, DRIFT_PERMILLE);
     let autonomous: BTreeSet<String> = match active {
         Some(active) => autonomous_under(active),
-        // Gatherers that run their own files serve on without a store.
+        // Gatherers that run their own files keep serving without a store.
         None => fleet.keys().cloned().collect(),
     };
     let blockers = blockers(fleet, proposal, &autonomous, exclusion_delay, now);
@@ -175,8 +173,8 @@
     })
 }
 
-/// Everything that the plan rests on has to be unchanged when it is committed. Otherwise a gatherer
-/// that restarts or is taken in meanwhile could run a version that it did not vote for.
+/// Everything that the plan depends on must be unchanged at the commit. Otherwise a gatherer that
+/// restarts or is included again in the meantime could run a version that it did not vote for.
 fn checks(seen: &ReadResult, fleet: &BTreeMap<String, Member>) -> Vec<Check> {
     let mut checks = vec![seen.unchanged(PROPOSAL), seen.unchanged(ACTIVE)];
     for (name, member) in fleet {
@@ -206,8 +204,8 @@
     ]
 }
 
-/// Deletes the oldest entries under a prefix, so that with the new one no more than `retained` are
-/// left: the store is small.
+/// Deletes the oldest entries under a prefix, so that at most `retained` are left with the new one:
+/// the store's capacity is small.
 fn deletions(seen: &ReadResult, prefix: &str, retained: usize) -> Vec<Change> {
     let mut proposals: Vec<u64> = seen
         .names(prefix)
@@ -225,7 +223,7 @@
     Change { key, value }
 }
 
-/// The gatherers that serve on without a store under an active document.
+/// The gatherers that keep serving without a store under an active document.
 pub fn autonomous_under(active: &Json) -> BTreeSet<String> {
     let names = active["keepers"]
         .as_array()
--- a/bitternsill/src/versions/agent.rs
+++ b/bitternsill/src/versions/agent.rs
@@ -1,5 +1,5 @@
-//! The connection of the event loop that queries the store for the active version and acts on what
-//! follows: it votes on proposals and switches versions.
+//! The object of the event loop that queries the store for the active version, votes on proposals
+//! and switches versions.
 
 use super::keys::{ACTIVE, EXCLUDED, GATHERERS, ON_HOLD, PROPOSAL, VOTE};
 use super::{FORMAT, NANOS_PER_MS};
@@ -19,7 +19,7 @@
 /// A query has to be answered within this fraction of the validity.
 const QUERY_TIMEOUTS_PER_VALIDITY: Time = 4;
 
-/// Queries the store for the active version, over and over.
+/// Queries the store for the active version periodically.
 pub(super) struct Agent;
 
 impl Agent {
@@ -42,7 +42,7 @@
     }
 
     fn handle_query_response(cx: &mut Cx<'_>) {
-        // What this member has applied is now at least as new as when the query was sent.
+        // The state that this member has applied is now at least as new as when the query was sent.
         cx.world.apply_store_state(cx.net, cx.now);
         let state = cx
             .world
@@ -98,7 +98,7 @@
 }
 
 impl Gatherer {
-    /// Passes on every committed registration of this gatherer's name, in order.
+    /// Checks every committed registration of this gatherer's name, in order.
     fn observe_registrations(&mut self, changes: &[Change]) {
         let Some(versions) = &mut self.versions else {
             return;
@@ -113,7 +113,7 @@
             if versions.registration.observe_commit(incarnation) {
                 tracing::error!(
                     name = versions.name,
-                    "another process has taken this gatherer's name: this one takes no clients"
+                    "another process has registered this gatherer's name: this process accepts no clients"
                 );
             }
         }
@@ -170,7 +170,7 @@
         let autonomous = document["keepers"]
             .as_array()
             .is_some_and(|names| names.iter().any(|one| *one == *name));
-        // What was served up to here was served under the former version.
+        // Queries served until here were served under the previous version.
         self.record_finished_queries(net, now);
         let Some(versions) = &mut self.versions else {
             return;
@@ -184,7 +184,7 @@
                     return;
                 };
                 versions.lease.switch(version, autonomous, now);
-                tracing::info!(version, autonomous, "switched");
+                tracing::info!(version, autonomous, "switched to the active version");
                 let record = Record::Switched {
                     version,
                     autonomous,
@@ -196,7 +196,7 @@
                 tracing::error!(
                     version,
                     problem,
-                    "the active version cannot be used: this gatherer is left behind"
+                    "this gatherer cannot use the active version and stays on its current one"
                 );
             }
         }
@@ -208,7 +208,7 @@
     fn vote(&mut self, proposal: u64, document: &Json) -> Json {
         self.voted_on = proposal;
         let cannot = self.prepare(document).err().map(|error| error.to_string());
-        tracing::info!(proposal, cannot, "a version is proposed");
+        tracing::info!(proposal, cannot, "voted on a proposal");
         json!({"to": proposal, "life": self.incarnation, "cannot": cannot})
     }
 
@@ -224,9 +224,9 @@
     }
 }
 
-/// Subscribes the agent to the store, and starts with the version that this member's own file has
-/// as active. That version may be outdated: it is served under only after a response of the store,
-/// or, by an autonomous gatherer, after a whole validity has passed without any.
+/// Subscribes the agent to the store, and starts with the active version in this member's own file.
+/// That version may be outdated: the gatherer serves under it only after a response of the store
+/// or, if it is autonomous, after a whole validity period without a response.
 pub fn connect(gatherer: &mut Gatherer, net: &mut Net<Gatherer>) {
     let now = net.now();
     let (Some(store_service), Some(versions)) =
@@ -247,8 +247,8 @@
         known.and_then(|(version, text)| Some((version, serde_json::from_str::<Json>(text).ok()?)));
     match known {
         Some((version, document)) => gatherer.switch(version, &document, net, now),
-        // Where no version was ever active, each gatherer runs its own file and none can be
-        // excluded. A member that has lost its file does not know whether one was.
+        // If no version was ever active, each gatherer runs its own file and none can be excluded.
+        // A member that has lost its file does not know whether a version was active.
         None => {
             let autonomous = store.status() != store::rejoin::Status::Lost;
             versions.lease.switch(0, autonomous, now);
--- a/bitternsill/src/versions/audit.rs
+++ b/bitternsill/src/versions/audit.rs
@@ -1,5 +1,5 @@
-//! `bitternsill fleet audit`: fetches the audit logs of all gatherers, has the package `versions`
-//! audit them, and prints the result.
+//! `bitternsill fleet audit`: fetches the audit logs of all gatherers, audits them with the package
+//! `versions`, and prints the result.
 
 mod page;
 mod report;
@@ -16,31 +16,31 @@
 use versions::Version;
 use versions::audit::{LogDigest, Report, audit_gatherer};
 
-/// What is audited, and how it is told.
+/// Audit the gatherers' logs.
 #[derive(Debug, Args)]
 pub struct Audit {
     #[command(flatten)]
     store: StoreArgs,
-    /// Also write one page of HTML, with a line of time for each gatherer.
+    /// Also write the result as an HTML page, with a timeline for each gatherer.
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
-    /// Keep what is fetched in this folder, and fetch only what it does not have yet: a trail that
-    /// was collected once is known whatever becomes of its gatherer's disk.
+    /// Store fetched logs in this folder, and fetch only what is missing there: a log that was
+    /// fetched once survives the loss of its gatherer's disk.
     #[arg(long, value_name = "FOLDER")]
     keep: Option<PathBuf>,
 }
 
-/// What an audit has to say of the whole fleet.
+/// The result of the audit of a fleet.
 struct FleetReport {
     /// The revision of the store.
     revision: u64,
     /// Every version that was ever active, with its proposal.
     versions: BTreeMap<Version, String>,
-    /// By gatherer.
+    /// The result for each gatherer.
     reports: BTreeMap<String, Report>,
 }
 
-/// What is printed, and whether there is no violation and everything is known.
+/// Returns the text to print, and whether there is no violation and nothing is unknown.
 pub fn run(call: &Audit) -> (String, bool) {
     let seen = match call.store.client().read("") {
         Ok(seen) => seen,
@@ -58,7 +58,7 @@
         report::to_text(&fleet)
     };
     for problem in problems.iter().filter(|_| !call.store.json) {
-        let _ = write!(text, "\nnot asked: {problem}");
+        let _ = write!(text, "\nnot fetched: {problem}");
     }
     if let Some(path) = &call.html {
         let written = page::render(&fleet)
@@ -85,7 +85,8 @@
         .collect()
 }
 
-/// Audits each gatherer that the store knows; also says why one could not be asked.
+/// Audits each gatherer that is registered in the store. Also returns why logs could not be
+/// fetched.
 fn audit(call: &Audit, seen: &ReadResult) -> (FleetReport, Vec<String>) {
     let (logs, problems) = collect(call);
     let versions = versions(seen);
@@ -106,7 +107,7 @@
     (fleet, problems)
 }
 
-/// The logs that are stored and those that can be fetched, and why one could not be.
+/// The stored logs and those that can be fetched, and why others could not be.
 fn collect(call: &Audit) -> (CollectedLogs, Vec<String>) {
     let folder = call.keep.as_deref();
     let timeout = Duration::from_millis(call.store.patience);
@@ -114,11 +115,11 @@
     let mut logs = CollectedLogs::default();
     match folder.map(CollectedLogs::load) {
         Some(Ok(stored)) => logs = stored,
-        Some(Err(problem)) => problems.push(format!("what was kept cannot be read: {problem}")),
+        Some(Err(problem)) => problems.push(format!("cannot read the stored logs: {problem}")),
         None => {}
     }
     for address in &call.store.at {
-        // Of a gatherer that cannot be asked the stored logs are audited.
+        // For a gatherer that cannot be reached, the stored logs are audited.
         if let Err(problem) = logs.fetch(*address, folder, timeout) {
             problems.push(format!("{address}: {problem}"));
         }
--- a/bitternsill/src/versions/audit/page.rs
+++ b/bitternsill/src/versions/audit/page.rs
@@ -1,5 +1,4 @@
-//! The result of an audit as a page of HTML, with a timeline for each gatherer. The page needs no
-//! other file.
+//! The result of an audit as a self-contained HTML page with a timeline for each gatherer.
 
 use super::FleetReport;
 use super::report::{finding_json, time_of_day};
@@ -9,15 +8,15 @@
 
 const TEMPLATE: &str = include_str!("../audit.html");
 const TEMPLATE_NAME: &str = "audit.html";
-/// The width of the timelines, in units of the drawing.
+/// The width of the timelines, in SVG units.
 const WIDTH: f64 = 1000.0;
-/// The width of the narrowest bar that is visible.
+/// The minimum width of a bar, so that it is visible.
 const MIN_BAR_WIDTH: f64 = 2.0;
 /// The height of a timeline.
 const ROW_HEIGHT: usize = 24;
-/// The number of stretches between the marks of the time axis.
+/// The number of intervals between the ticks of the time axis.
 const TICKS: i64 = 5;
-/// The number of shades in the template, without the one for unknown versions.
+/// The number of shades in the template, not counting the one for unknown versions.
 const SHADES: usize = 6;
 
 /// Renders the page.
@@ -71,7 +70,7 @@
         let last = times.iter().max().copied().unwrap_or(0);
         Timeline {
             first,
-            // The width of the axis is a divisor.
+            // The axis must not be empty: its width is a divisor.
             last: last.max(first + 1),
             versions: fleet.versions.keys().copied().collect(),
         }
@@ -81,8 +80,8 @@
         (wall_ms - self.first) as f64 / (self.last - self.first) as f64 * WIDTH
     }
 
-    /// The shade of a version's bars. Versions that follow each other have different ones; as they
-    /// repeat, the bar has the version's number as well.
+    /// The shade of a version's bars. Consecutive versions have different shades; as shades repeat,
+    /// bars also carry the version's number.
     fn shade(&self, version: Version) -> usize {
         self.versions
             .iter()
--- a/bitternsill/src/versions/audit/report.rs
+++ b/bitternsill/src/versions/audit/report.rs
@@ -77,7 +77,7 @@
     for overlap in overlaps(&fleet.reports) {
         let _ = write!(
             text,
-            "\nversions {} and {} were acted on at one time for {} ms",
+            "\nversions {} and {} were in use at the same time for {} ms",
             overlap.earlier, overlap.later, overlap.duration_ms
         );
     }
--- a/bitternsill/src/versions/audit/tests.rs
+++ b/bitternsill/src/versions/audit/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use versions::audit::{Finding, Span};
 
-/// `VERSIONS_PAGE=FILE` writes the page to a file.
+/// With `VERSIONS_PAGE=FILE` the page is also written to that file.
 #[test]
 fn page_has_a_timeline_per_gatherer_and_needs_no_other_file() {
     let mut seen = ReadResult::default();
@@ -56,10 +56,13 @@
             .keys()
             .all(|name| page.contains(name.as_str()))
     );
-    assert!(!page.contains("http"), "one file, and nothing fetched");
+    assert!(
+        !page.contains("http"),
+        "the page must not fetch other files"
+    );
     assert!(
         page.contains("10:00:00.000")
-            && page.contains("Versions 12 and 44 were acted on at one time")
+            && page.contains("Versions 12 and 44 were in use at the same time")
     );
     if let Some(path) = std::env::var_os("VERSIONS_PAGE") {
         std::fs::write(path, page).unwrap();
--- a/bitternsill/src/versions/audit_writer.rs
+++ b/bitternsill/src/versions/audit_writer.rs
@@ -1,5 +1,5 @@
 //! Writes a gatherer's audit log on a thread of its own, so that a slow disk delays no query, and
-//! reads it for those who collect logs.
+//! reads it for collectors.
 
 mod files;
 
@@ -20,14 +20,14 @@
 /// The number of commands that may wait for the thread. Entries beyond that are dropped and
 /// counted.
 const QUEUE_CAPACITY: usize = 64;
-/// The bytes that are read from the wake-up socket at once.
+/// The number of bytes that one read takes from the wake-up socket.
 const WAKE_BUFFER_BYTES: usize = 64;
 
 enum Command {
     /// Writes entries.
     Append {
         entries: Vec<Entry>,
-        /// How many entries were dropped before them.
+        /// The number of entries dropped before them.
         dropped: u64,
     },
     /// Reads a chunk of a segment for a connection.
@@ -60,9 +60,9 @@
     commands: SyncSender<Command>,
     responses: Receiver<Response>,
     wake: UnixStream,
-    /// Entries that the thread's queue had no capacity for yet.
+    /// Entries that the thread's queue has no room for yet.
     backlog: VecDeque<Vec<Entry>>,
-    /// How many entries were dropped from the backlog since the last that were queued.
+    /// The number of entries dropped from the backlog since entries were last queued.
     dropped: u64,
     name: String,
     /// When the next digest may be written to the store: a digest for every write would load the
@@ -79,15 +79,13 @@
         let (done, written) = sync_channel(1);
         let queued = self.0.try_send(Command::Finish { entries, done }).is_ok();
         if !queued || written.recv_timeout(timeout).is_err() {
-            tracing::warn!(
-                "the last entries of the audit log may be lost: the disk does not keep up"
-            );
+            tracing::warn!("the last entries of the audit log may be lost: the disk is too slow");
         }
     }
 }
 
 impl AuditWriter {
-    /// Opens the folder of a gatherer's audit log. Segments that are there stay; a new segment
+    /// Opens the folder of a gatherer's audit log. Existing segments stay, and a new segment
     /// continues them.
     ///
     /// # Errors
@@ -126,7 +124,7 @@
         Ok((writer, final_entries))
     }
 
-    /// Queues the backlog for the thread, as far as its queue has capacity.
+    /// Moves the backlog to the thread's queue as far as that has room.
     fn queue_backlog(&mut self) {
         while let Some(entries) = self.backlog.pop_front() {
             let command = Command::Append {
@@ -142,13 +140,13 @@
             self.dropped = 0;
         }
         while self.backlog.len() > QUEUE_CAPACITY {
-            // The oldest are dropped: a slow disk must cost evidence, and no query. The log will
-            // have their number.
+            // The oldest are dropped: a slow disk may cost log entries, but must not delay queries.
+            // The number dropped is written to the log.
             self.dropped += self
                 .backlog
                 .pop_front()
                 .map_or(0, |entries| entries.len() as u64);
-            tracing::warn!("entries of the audit log are lost: the disk does not keep up");
+            tracing::warn!("entries of the audit log are lost: the disk is too slow");
         }
     }
 
@@ -222,7 +220,7 @@
 }
 
 impl Worker {
-    /// Executes commands until the last entries are written or the event loop is gone.
+    /// Executes commands until the last entries are written or the event loop has ended.
     fn run(mut self, commands: &Receiver<Command>) {
         while let Ok(command) = commands.recv() {
             let response = match command {
@@ -241,8 +239,8 @@
                 }
             };
             let Some(response) = response else { continue };
-            // A response that finds the queue full is dropped: an event loop that does not read
-            // has worse problems than a missing digest.
+            // With a full queue the response is dropped: for an event loop that does not read, a
+            // missing digest is the smaller problem.
             let sent = self.responses.try_send(response);
             if matches!(sent, Err(TrySendError::Disconnected(_))) {
                 return;
--- a/bitternsill/src/versions/audit_writer/files.rs
+++ b/bitternsill/src/versions/audit_writer/files.rs
@@ -1,5 +1,5 @@
-//! The files of an audit log: one for each segment. A new segment begins with each incarnation and
-//! after [`SEGMENT_BYTES`].
+//! The files of an audit log, one for each segment. Each incarnation starts a new segment, and so
+//! does a segment that reaches [`SEGMENT_BYTES`].
 
 use crate::versions::collect::complete_utf8;
 use serde_json::json;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use versions::audit_log::{Entry, HashChain, Record, Segment};
 
-/// The size at which the next segment begins.
+/// The size at which a new segment is started.
 const SEGMENT_BYTES: u64 = 1 << 20;
 /// The number of segments that are retained.
 const RETAINED_SEGMENTS: u64 = 64;
@@ -26,14 +26,14 @@
     chain: HashChain,
     /// The size of the segment up to the last complete entry.
     bytes: u64,
-    /// How many entries could not be written since the last that was.
+    /// The number of entries lost since the last one that was written.
     lost: u64,
-    /// For tests: the disk is full while there is such a file.
+    /// For tests: the disk counts as full while this file exists.
     full_while: Option<PathBuf>,
 }
 
 impl LogFiles {
-    /// Begins a new segment, which continues the last one in the folder.
+    /// Starts a new segment, which continues the last one in the folder.
     pub(super) fn open(
         folder: &Path,
         name: &str,
@@ -54,8 +54,8 @@
             files.begin_segment(0, String::new())?;
             return Ok(files);
         };
-        // Also where the last segment is corrupt or unreadable: the new one states what it
-        // continues, and the audit finds the gap.
+        // A corrupt or unreadable last segment is continued too: the new segment states the hash
+        // that it continues, and the audit finds the gap.
         let text = std::fs::read_to_string(files.path(last)).unwrap_or_default();
         let segment = Segment::read(&text);
         if let Some(Record::SegmentStarted { log, .. }) =
@@ -103,7 +103,7 @@
         Ok(segments)
     }
 
-    /// Begins a segment and deletes those that are no longer retained.
+    /// Starts a segment and deletes those that are no longer retained.
     fn begin_segment(&mut self, segment: u64, previous_hash: String) -> io::Result<()> {
         let file = OpenOptions::new()
             .create_new(true)
@@ -132,7 +132,7 @@
             text + &chain.append(entry) + "\n"
         });
         let Some(file) = &mut self.file else {
-            return Err(io::Error::other("the trail is not open"));
+            return Err(io::Error::other("the audit log is not open"));
         };
         if self.full_while.as_ref().is_some_and(|path| path.exists()) {
             return Err(io::ErrorKind::StorageFull.into());
@@ -141,7 +141,7 @@
             .write_all(text.as_bytes())
             .and_then(|()| file.sync_data());
         if written.is_err() {
-            // A part of an entry would break the hash chain for all that follow.
+            // A partly written entry would break the hash chain for all later entries.
             file.set_len(self.bytes)?;
         }
         written?;
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    /// Writes entries, after one with the number of those that could not be written before them.
+    /// Writes entries. If earlier entries were lost, an entry with their number comes first.
     pub(super) fn append(&mut self, mut entries: Vec<Entry>) -> io::Result<()> {
         if let Some(first) = entries.first().filter(|_| self.lost > 0) {
             let lost = Entry {
@@ -167,19 +167,19 @@
         };
         let lost_before = std::mem::take(&mut self.lost);
         if written.is_err() {
-            // The entry with the number of lost ones is not counted itself.
+            // The entry with the number of lost entries is not itself counted as lost.
             self.lost = entries.len() as u64 + lost_before.saturating_sub(1);
         }
         written
     }
 
-    /// Counts entries that were dropped before they came to the thread.
+    /// Counts entries that were dropped before they reached the thread.
     pub(super) fn add_lost(&mut self, count: u64) {
         self.lost += count;
     }
 
-    /// A line of JSON with a chunk of a segment from an offset in bytes, and with the numbers of
-    /// the first and the last segment. For a segment that was deleted it has the first one.
+    /// A line of JSON with the chunk of a segment at a byte offset, and the numbers of the first
+    /// and the last segment. For a deleted segment it has the first one left.
     pub(super) fn read_chunk(&self, segment: u64, offset: u64) -> io::Result<String> {
         let segments = self.segments()?;
         let first = segments.first().copied().unwrap_or(self.segment);
--- a/bitternsill/src/versions/cli.rs
+++ b/bitternsill/src/versions/cli.rs
@@ -20,30 +20,30 @@
 /// Versions of the configuration.
 #[derive(Debug, Subcommand)]
 pub enum VersionsCall {
-    /// Propose settings to the fleet: each gatherer says whether it can use them. Nothing changes
-    /// yet.
+    /// Propose settings to the fleet. Each gatherer votes on whether it can use them; nothing
+    /// changes yet.
     Configure(Configure),
-    /// Have all gatherers switch to what is proposed, at one revision, or none: whoever is in the
-    /// way is named.
+    /// Switch all gatherers to the proposal at one revision, or none. Names the gatherers that
+    /// prevent it.
     Activate(Activate),
-    /// Tell what is active and proposed, and what each gatherer runs and says.
+    /// Show the active version, the proposal, and the version and vote of each gatherer.
     Versions(StoreArgs),
-    /// Tell what a proposal, or an earlier version, changes against what is active.
+    /// Show what a proposal, or an earlier version, changes in the active settings.
     Diff(Diff),
-    /// Hold a gatherer back: it takes no clients, whatever it runs.
+    /// Put a gatherer on hold: it accepts no clients, whichever version it runs.
     Hold(Named),
-    /// Release one that is held back.
+    /// Release a gatherer that is on hold.
     Release(Named),
-    /// Leave a gatherer out of activations, as it is gone or cannot be reached.
+    /// Exclude a gatherer from activations because it is gone or cannot be reached.
     LeaveOut(Named),
-    /// Wait for it again.
+    /// Include an excluded gatherer in activations again.
     TakeIn(Named),
 }
 
-/// Where the store's members are.
+/// How to reach the store.
 #[derive(Debug, Clone, Args)]
 pub struct StoreArgs {
-    /// Addresses of members of the store; one after the other is asked until one answers.
+    /// Addresses of store members, which are tried in turn until one responds.
     #[arg(long, value_name = "ADDRESS", num_args = 1.., required = true)]
     pub at: Vec<SocketAddr>,
     /// Milliseconds to wait for the store.
@@ -55,7 +55,7 @@
 }
 
 impl StoreArgs {
-    /// The store there.
+    /// A client of the store.
     pub fn client(&self) -> Client {
         Client {
             addresses: self.at.clone(),
@@ -64,53 +64,53 @@
     }
 }
 
-/// A proposal.
+/// Arguments of `fleet configure`.
 #[derive(Debug, Args)]
 pub struct Configure {
     /// Settings in JSON, or a configuration that has them under `settings`.
     #[arg(required_unless_present = "back_to")]
     file: Option<PathBuf>,
-    /// Propose again what was active as this proposal.
+    /// Propose the settings of this earlier proposal again.
     #[arg(long, value_name = "PROPOSAL", conflicts_with = "file")]
     back_to: Option<u64>,
-    /// The share of gatherers that stays in service without a store, whatever it costs in tidiness:
-    /// 0 to 1.
+    /// The fraction of gatherers that keep serving without a store, even if their version is
+    /// outdated: 0 to 1.
     #[arg(long, default_value_t = 0.5)]
     least: f64,
     #[command(flatten)]
     store: StoreArgs,
 }
 
-/// An activation.
+/// Arguments of `fleet activate`.
 #[derive(Debug, Args)]
 pub struct Activate {
-    /// Milliseconds to wait for gatherers that have not had their say yet.
+    /// Milliseconds to wait for gatherers that have not voted yet.
     #[arg(long, default_value_t = 5_000)]
     wait: u64,
     #[command(flatten)]
     store: StoreArgs,
 }
 
-/// A comparison.
+/// Arguments of `fleet diff`.
 #[derive(Debug, Args)]
 pub struct Diff {
-    /// An earlier proposal; the present one where none is named.
+    /// An earlier proposal [default: the current proposal].
     #[arg(long, value_name = "PROPOSAL")]
     with: Option<u64>,
     #[command(flatten)]
     store: StoreArgs,
 }
 
-/// One gatherer.
+/// Arguments of the commands for one gatherer.
 #[derive(Debug, Args)]
 pub struct Named {
-    /// Its name.
+    /// The gatherer's name.
     name: String,
     #[command(flatten)]
     store: StoreArgs,
 }
 
-/// What is printed, and whether the command succeeded.
+/// Runs a command; returns the text to print, and whether the command succeeded.
 pub fn run(call: &VersionsCall) -> (String, bool) {
     let result = match call {
         VersionsCall::Configure(call) => configure::run(call),
--- a/bitternsill/src/versions/cli/activate.rs
+++ b/bitternsill/src/versions/cli/activate.rs
@@ -32,7 +32,7 @@
                 blockers,
                 exclusion_delay,
             }) => {
-                if is_hopeless(&blockers, exclusion_delay, started.elapsed(), wait) {
+                if should_give_up(&blockers, exclusion_delay, started.elapsed(), wait) {
                     return Err(CommandError::Blocked(blockers));
                 }
                 thread::sleep(POLL_INTERVAL);
@@ -41,7 +41,8 @@
         };
         match client.change(plan.checks.clone(), plan.changes.clone())? {
             ChangeOutcome::Applied(version) => return Ok(success(version, &plan, call.store.json)),
-            // A gatherer has voted or restarted since the store was read: it is read again.
+            // A gatherer has voted or restarted since the store was read, so the store is read
+            // again.
             ChangeOutcome::Rejected(_) if started.elapsed() <= wait => {}
             ChangeOutcome::Rejected(why) => {
                 return Err(CommandError::NotActivated(why));
@@ -53,9 +54,9 @@
     }
 }
 
-/// Whether it is of no use to wait longer. Where a gatherer cannot use the proposal, the votes that
-/// are missing are still waited for, so that all such gatherers are named at once.
-fn is_hopeless(
+/// Whether waiting longer is pointless. If a gatherer cannot use the proposal, missing votes are
+/// still waited for, so that all such gatherers are named at once.
+fn should_give_up(
     blockers: &BTreeMap<String, Blocker>,
     exclusion_delay: Time,
     elapsed: Duration,
@@ -84,7 +85,7 @@
             .to_string();
     }
     format!(
-        "version {version} is active for {} gatherers; without a store go on: {}",
+        "version {version} is active for {} gatherers; these keep serving without a store: {}",
         plan.participants,
         autonomous.join(", ")
     )
--- a/bitternsill/src/versions/cli/configure.rs
+++ b/bitternsill/src/versions/cli/configure.rs
@@ -17,26 +17,26 @@
     let seen = client.read("")?;
     let settings = match (&call.file, call.back_to) {
         (Some(file), _) => read_settings(file)?,
-        (None, Some(proposal)) => former_settings(&seen, proposal)?,
+        (None, Some(proposal)) => earlier_settings(&seen, proposal)?,
         (None, None) => return Err(CommandError::NoSettings),
     };
     check_format(&seen)?;
     let document = json!({"format": FORMAT, "settings": settings, "least": call.least});
-    // A proposal that was made since the store was read is not replaced.
+    // Does not replace a proposal that was made since the store was read.
     let checks = vec![seen.unchanged(PROPOSAL), seen.unchanged(ACTIVE)];
     match client.change(checks, vec![put(PROPOSAL, Some(document.to_string()))])? {
         ChangeOutcome::Applied(proposal) if call.store.json => {
             Ok(json!({"proposal": proposal}).to_string())
         }
         ChangeOutcome::Applied(proposal) => Ok(format!(
-            "proposed as {proposal}; `fleet activate` has all switch once each has said that it can"
+            "proposed as {proposal}; `fleet activate` switches all gatherers once each has voted that it can use this"
         )),
         ChangeOutcome::Rejected(why) => Err(CommandError::NotProposed(why)),
         ChangeOutcome::Unknown => Err(CommandError::Unknown("proposed")),
     }
 }
 
-/// The settings in a file, which has only these, or is a configuration.
+/// Reads the settings from a file that is either the settings alone or a configuration.
 fn read_settings(file: &Path) -> Result<Json, CommandError> {
     let text = std::fs::read(file).map_err(|problem| CommandError::in_file(file, problem))?;
     let json: Json =
@@ -50,15 +50,15 @@
     Ok(settings)
 }
 
-fn former_settings(seen: &ReadResult, proposal: u64) -> Result<Json, CommandError> {
+fn earlier_settings(seen: &ReadResult, proposal: u64) -> Result<Json, CommandError> {
     let (document, _) = seen
         .json(&format!("{HISTORY}{proposal}"))
         .ok_or(CommandError::UnknownProposal(proposal))?;
     Ok(document["settings"].clone())
 }
 
-/// A document that some gatherer cannot read is not even proposed. Programs from before the format
-/// was numbered read format 1.
+/// Fails if a gatherer cannot read this format of documents. Programs that predate numbered formats
+/// read format 1.
 fn check_format(seen: &ReadResult) -> Result<(), CommandError> {
     let reads_older = |name: &&str| {
         seen.json(&format!("{GATHERERS}{name}"))
--- a/bitternsill/src/versions/cli/error.rs
+++ b/bitternsill/src/versions/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command on versions did not do what was asked.
+//! Errors of the commands on versions.
 
 use crate::core::settings::SettingsError;
 use crate::store::client::ClientError;
@@ -8,17 +8,17 @@
 use thiserror::Error;
 use versions::rollout::Blocker;
 
-/// Why a command failed; the texts name the remedy where there is one.
+/// Why a command failed. The messages name a remedy where there is one.
 #[derive(Debug, Error)]
 pub(super) enum CommandError {
-    /// The store did not answer, or not with what was asked for.
+    /// The store did not respond, or its response is unexpected.
     #[error(transparent)]
     Store(#[from] ClientError),
     /// `--least` is out of its range.
-    #[error("--least is a share from 0 to 1, not {0}")]
+    #[error("--least must be a fraction from 0 to 1, not {0}")]
     Least(f64),
-    /// Neither a file nor a former proposal is named.
-    #[error("a file, or --back-to")]
+    /// Neither a file nor an earlier proposal is given.
+    #[error("give a settings file, or use --back-to")]
     NoSettings,
     /// The settings file can't be used.
     #[error("{file}: {problem}", file = .file.display())]
@@ -28,17 +28,17 @@
         /// What is wrong with it.
         problem: FileProblem,
     },
-    /// A former proposal is not remembered.
-    #[error("proposal {0} was not active of late")]
+    /// The proposal is not among the retained ones.
+    #[error("proposal {0} is not one of the recently active proposals")]
     UnknownProposal(u64),
-    /// The proposal to compare with is not remembered.
-    #[error("that proposal was not active of late")]
+    /// The proposal to compare with is not among the retained ones.
+    #[error("the proposal to compare with is not one of the recently active proposals")]
     UnknownComparison,
     /// There is no proposal to compare with.
-    #[error("nothing is proposed")]
+    #[error("there is no proposal")]
     NoProposal,
     /// Some gatherers run programs that can't read this format of documents.
-    #[error("not proposed: format {format} is not read by {names}", names = .gatherers.join(", "))]
+    #[error("not proposed: these gatherers do not read document format {format}: {names}", names = .gatherers.join(", "))]
     OldPrograms {
         /// The format.
         format: u64,
@@ -48,17 +48,17 @@
     /// The store rejected the proposal.
     #[error("not proposed: {0}")]
     NotProposed(Rejection),
-    /// The activation is prevented before any gatherer is asked.
+    /// There is no proposal to activate.
     #[error("{0}")]
     NothingToActivate(String),
     /// Gatherers prevent the activation.
-    #[error("not activated; in the way are:{names}", names = lines(.0))]
+    #[error("not activated; prevented by:{names}", names = lines(.0))]
     Blocked(BTreeMap<String, Blocker>),
     /// The store rejected the activation.
-    #[error("not activated, something has changed meanwhile: {0}")]
+    #[error("not activated, the store has changed in the meantime: {0}")]
     NotActivated(Rejection),
     /// No gatherer has this name.
-    #[error("no gatherer is called {name}; known are {names}", names = .known.join(", "))]
+    #[error("no gatherer is named {name}; known gatherers are {names}", names = .known.join(", "))]
     UnknownGatherer {
         /// The name.
         name: String,
@@ -68,8 +68,8 @@
     /// The store rejected the change.
     #[error("not done: {0}")]
     NotDone(Rejection),
-    /// The store did not tell what became of the change.
-    #[error("not known whether it was {0}: look with `fleet versions`")]
+    /// The outcome of the change is unknown.
+    #[error("it is unknown whether this was {0}: check with `fleet versions`")]
     Unknown(&'static str),
 }
 
--- a/bitternsill/src/versions/cli/show.rs
+++ b/bitternsill/src/versions/cli/show.rs
@@ -1,4 +1,5 @@
-//! `fleet versions` and `fleet diff`: what is active and proposed, and how documents differ.
+//! `fleet versions` and `fleet diff`: the active version and the proposal, and how documents
+//! differ.
 
 use super::super::activation::fleet;
 use super::super::keys::{ACTIVE, EXCLUDED, HISTORY, ON_HOLD, PROPOSAL};
@@ -10,7 +11,7 @@
 use std::fmt::Write as _;
 use versions::rollout::{Member, Vote};
 
-/// What the store has on versions.
+/// The state of versions in the store.
 struct FleetVersions {
     revision: u64,
     active: Option<(Json, u64)>,
@@ -65,15 +66,15 @@
                 "version {version} is active (proposal {})",
                 document["proposal"]
             ),
-            None => "no version is active: each gatherer goes by its own file".to_owned(),
+            None => "no version is active: each gatherer uses its own file".to_owned(),
         };
         if let Some(proposal) = self.proposal {
-            let _ = write!(text, "; proposal {proposal} is the last one");
+            let _ = write!(text, "; the last proposal is {proposal}");
         }
         for (name, member) in &self.members {
             let _ = write!(text, "\n{name}: runs {}", member.running);
             match &member.vote {
-                None => text.push_str(", has said nothing"),
+                None => text.push_str(", has not voted"),
                 Some(Vote {
                     proposal,
                     objection: None,
@@ -84,10 +85,10 @@
                 }) => drop(write!(text, ", cannot use {proposal}: {reason}")),
             }
             if self.on_hold.contains(name) {
-                text.push_str(", held back");
+                text.push_str(", on hold");
             }
             if member.excluded_since.is_some() {
-                text.push_str(", left out");
+                text.push_str(", excluded from activations");
             }
         }
         text
--- a/bitternsill/src/versions/collect.rs
+++ b/bitternsill/src/versions/collect.rs
@@ -1,6 +1,6 @@
 //! Collects audit logs: fetches them from the gatherers in chunks and stores them in a folder, if
-//! one is given. So a collection that was interrupted continues, and a log outlives its gatherer's
-//! disk.
+//! one is given. With a folder, an interrupted collection resumes, and a log survives the loss of
+//! its gatherer's disk.
 
 use crate::store::client::{ClientError, exchange_line};
 use serde_json::{Value as Json, json};
@@ -20,13 +20,13 @@
     #[error(transparent)]
     Request(#[from] ClientError),
     /// The gatherer has no audit log.
-    #[error("it has no trail")]
+    #[error("the gatherer has no trail")]
     NoLog,
-    /// A response is not what was asked for.
-    #[error("an answer that cannot be read")]
+    /// A response is malformed.
+    #[error("the response is malformed")]
     BadResponse,
-    /// The gatherer began another log while this one was being fetched.
-    #[error("it has begun another trail meanwhile")]
+    /// The gatherer started another log while this one was being fetched.
+    #[error("the gatherer started another trail during the fetch")]
     LogReplaced,
     /// A chunk could not be stored.
     #[error("{}: {problem}", path.display())]
@@ -59,7 +59,7 @@
     }
 }
 
-/// Where logs are fetched from, and how long a response may take.
+/// A gatherer's address, and the timeout of a request to it.
 struct Source {
     address: SocketAddr,
     timeout: Duration,
@@ -95,12 +95,12 @@
 pub struct CollectedLogs {
     /// By gatherer, and by the number of the log.
     logs: BTreeMap<String, BTreeMap<u64, Segments>>,
-    /// The current log of each gatherer from which one was fetched.
+    /// The current log of each gatherer that was queried.
     current: BTreeMap<String, u64>,
 }
 
 impl CollectedLogs {
-    /// All logs of a gatherer, and the number of the one that was fetched just now.
+    /// All logs of a gatherer, and the number of the one that was fetched last.
     pub fn of(&self, name: &str) -> (Vec<Segments>, Option<u64>) {
         let logs = self.logs.get(name);
         let logs = logs.map(|logs| logs.values().cloned().collect());
@@ -121,7 +121,7 @@
             else {
                 continue;
             };
-            // A character that was stored in part is fetched again.
+            // A partly stored character is fetched again.
             let text = complete_utf8(fs::read(&path)?);
             collected
                 .segments(&segment.gatherer, segment.log)
@@ -138,11 +138,10 @@
             .or_default()
     }
 
-    /// Fetches what is missing of one gatherer's current log, chunk by chunk; each is stored before
-    /// the next is requested. What was fetched before an error stays.
+    /// Fetches the missing rest of a gatherer's current log, chunk by chunk; each chunk is stored
+    /// before the next is requested. Chunks fetched before an error are kept.
     ///
-    /// # Errors
-    /// A request failed, also when it was retried, or a chunk could not be stored.
+    /// # Errors A request and its retry failed, or a chunk could not be stored.
     pub fn fetch(
         &mut self,
         address: SocketAddr,
@@ -162,7 +161,7 @@
                 return Err(FetchError::LogReplaced);
             }
             if chunk.segment != segment {
-                // The segment was deleted there: the response is for the oldest that is left.
+                // The gatherer has deleted the segment: the response is for the oldest one left.
                 (segment, offset) = (chunk.segment, 0);
                 continue;
             }
@@ -193,7 +192,7 @@
         .map_err(|problem| FetchError::Store { path, problem })
 }
 
-/// The bytes up to the last complete character: a chunk may end within one.
+/// The text up to the last complete character: a chunk may end within a character.
 pub fn complete_utf8(bytes: Vec<u8>) -> String {
     String::from_utf8(bytes).unwrap_or_else(|problem| {
         let valid = problem.utf8_error().valid_up_to();
@@ -201,7 +200,7 @@
     })
 }
 
-/// What the name of a stored segment's file says.
+/// The fields of a stored segment's file name.
 #[derive(Debug, PartialEq, Eq)]
 struct SegmentName {
     gatherer: String,
--- a/bitternsill/src/versions/setup.rs
+++ b/bitternsill/src/versions/setup.rs
@@ -11,21 +11,21 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionsSetup {
-    /// Milliseconds after the last query that confirmed the running version, for which this
-    /// gatherer serves under it.
+    /// Milliseconds for which this gatherer serves under its version after the last query that
+    /// confirmed it.
     #[serde(default = "validity_ms")]
     pub validity_ms: u64,
-    /// Milliseconds for which responses have to come again before a suspended gatherer accepts
+    /// Milliseconds for which the store has to respond again before a suspended gatherer accepts
     /// clients.
     #[serde(default = "steady_ms")]
     pub steady_ms: u64,
-    /// The folder of its audit log; without one none is written.
+    /// The folder of the audit log; without it, no audit log is written.
     #[serde(default)]
     pub trail: Option<PathBuf>,
-    /// Milliseconds between two records of served queries.
+    /// Interval between two records of served queries, in milliseconds.
     #[serde(default = "note_ms")]
     pub note_ms: u64,
-    /// For tests: the disk of the audit log is full while there is such a file.
+    /// For tests: the disk of the audit log counts as full while this file exists.
     #[serde(default)]
     pub test_full_while: Option<PathBuf>,
 }
