--- a/bitternsill/src/learned.rs
+++ b/bitternsill/src/learned.rs
@@ -1,5 +1,5 @@
-//! Statistics that are retained across restarts, in a folder of snapshots: off the request path,
-//! and only where an operator's file names a folder.
+//! Statistics on index hosts and classes that are retained across restarts in a folder of
+//! snapshots. Off the request path, and off unless the operator's file names a folder.
 
 pub mod cli;
 pub mod folder;
@@ -18,11 +18,11 @@
 use std::sync::Arc;
 use writer::Writer;
 
-/// The folder of snapshots in an operator's file.
+/// The section `learning` of an operator's file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LearningSetup {
-    /// The folder.
+    /// The folder of snapshots.
     pub folder: PathBuf,
     /// Interval between two snapshots.
     #[serde(default = "default_period")]
@@ -70,13 +70,13 @@
 const COLLECT_INTERVAL: Time = 20 * MS;
 
 impl LearnedState {
-    /// Opens the folder, loads the newest snapshot and starts the writer. A folder that cannot be
-    /// used is logged, and the gatherer serves without it.
+    /// Opens the folder, loads the newest snapshot and starts the writer. If the folder cannot be
+    /// used, this is logged and the gatherer serves without it.
     pub fn open(setup: &LearningSetup, fleet: Fleet, now: Time) -> Option<LearnedState> {
         let folder = match Folder::open(&setup.folder) {
             Ok(folder) => folder,
             Err(problem) => {
-                tracing::error!(folder = %setup.folder.display(), %problem, "what is learned is not kept");
+                tracing::error!(folder = %setup.folder.display(), %problem, "cannot use the snapshot folder; statistics are not retained");
                 return None;
             }
         };
@@ -85,7 +85,7 @@
             tracing::warn!(
                 generation,
                 problem = problem.to_string(),
-                "a generation of what was learned is passed over"
+                "skipped an unreadable snapshot"
             );
         }
         match &found.snapshot {
@@ -94,9 +94,9 @@
                 version,
                 hosts = snapshot.hosts.len(),
                 age_ms = unix_millis(now).saturating_sub(snapshot.taken_at),
-                "what was learned is loaded"
+                "loaded the newest snapshot"
             ),
-            None => tracing::info!("nothing was learned yet"),
+            None => tracing::info!("there is no snapshot yet"),
         }
         let period = setup.period_ms.0 * MS;
         Some(LearnedState {
@@ -115,7 +115,7 @@
         self.next_snapshot
     }
 
-    /// Moves the hosts' statistics to the classes of new settings.
+    /// Rearranges the hosts' statistics for the classes of new settings.
     pub fn on_settings(&mut self, fleet: Fleet) {
         let former = std::mem::replace(&mut self.snapshot.fleet, fleet);
         let same = |name: &String| former.classes.iter().position(|f| f == name);
@@ -160,25 +160,25 @@
                 report(&aged);
                 core.restore(self.learned(&aged, hosts));
             }
-            Err(unfit) => tracing::warn!(problem = %unfit, "what was learned is not taken"),
+            Err(unfit) => tracing::warn!(problem = %unfit, "the loaded snapshot cannot be used"),
         }
     }
 
     fn learned(&self, aged: &Aged, hosts: &HostTable) -> Learned {
-        let server = |(uid, memory): &(String, HostStats)| {
+        let server = |(uid, stats): &(String, HostStats)| {
             let id = hosts.id_of(uid)?;
             Some((
                 id,
                 LearnedServer {
-                    slowness: memory.slowness.iter().map(|s| f64::from(*s)).collect(),
-                    delay: f64::from(memory.delay),
-                    limit: f64::from(memory.limit),
-                    errors: f64::from(memory.errors),
-                    answers: f64::from(memory.weight),
+                    slowness: stats.slowness.iter().map(|s| f64::from(*s)).collect(),
+                    delay: f64::from(stats.delay),
+                    limit: f64::from(stats.limit),
+                    errors: f64::from(stats.errors),
+                    answers: f64::from(stats.weight),
                 },
             ))
         };
-        let pace = |of: fn(&ClassStats) -> (f64, f64)| {
+        let latencies = |of: fn(&ClassStats) -> (f64, f64)| {
             let one = |c: &ClassStats| {
                 let (median, p95) = of(c);
                 LearnedLatency {
@@ -192,28 +192,28 @@
         };
         Learned {
             servers: aged.hosts.iter().filter_map(server).collect(),
-            parts: pace(|c| (c.median, c.p95)),
-            attempts: pace(|c| c.attempts),
+            parts: latencies(|c| (c.median, c.p95)),
+            attempts: latencies(|c| c.attempts),
         }
     }
 
-    /// Collects updated statistics into the snapshot, and submits that to the writer at intervals.
-    /// Neither waits for the disk nor takes longer with more hosts.
+    /// Collects updated statistics into the snapshot, and submits the snapshot to the writer at
+    /// intervals. Neither step waits for the disk or takes longer with more hosts.
     pub fn turn(&mut self, core: &mut Core, hosts: &HostTable, now: Time) {
         if now >= self.next_collect {
             self.next_collect = now + COLLECT_INTERVAL;
             let learned = core.learned(MAX_HOSTS_PER_COLLECTION);
-            for (id, memory) in &learned.servers {
+            for (id, stats) in &learned.servers {
                 let Some((uid, born)) = hosts.name_of(*id) else {
                     continue;
                 };
                 let host = HostStats {
                     started: unix_millis(born),
-                    slowness: memory.slowness.iter().map(|s| *s as f32).collect(),
-                    delay: memory.delay as f32,
-                    limit: memory.limit as f32,
-                    errors: memory.errors as f32,
-                    weight: memory.answers as f32,
+                    slowness: stats.slowness.iter().map(|s| *s as f32).collect(),
+                    delay: stats.delay as f32,
+                    limit: stats.limit as f32,
+                    errors: stats.errors as f32,
+                    weight: stats.answers as f32,
                     judged: unix_millis(now),
                 };
                 self.snapshot.hosts.insert(uid.clone(), host);
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Forgets hosts that are no longer on the list.
+    /// Removes the statistics of hosts that are no longer on the endpoint list.
     pub fn forget_unlisted(&mut self, hosts: &HostTable) {
         let gone: Vec<Arc<str>> = self
             .snapshot
@@ -285,14 +285,14 @@
         age_ms = aged.age,
         hosts = aged.hosts.len(),
         dropped = aged.dropped.len(),
-        "what was learned is taken"
+        "restored statistics from the snapshot"
     );
     let mut reasons: BTreeMap<age::Reason, usize> = BTreeMap::new();
     for (uid, reason) in &aged.dropped {
         *reasons.entry(*reason).or_default() += 1;
-        tracing::debug!(uid, %reason, "dropped");
+        tracing::debug!(uid, %reason, "dropped a host's statistics");
     }
     for (reason, hosts) in reasons {
-        tracing::info!(%reason, hosts, "dropped of what was learned");
+        tracing::info!(%reason, hosts, "statistics of hosts were dropped");
     }
 }
--- a/bitternsill/src/learned/cli.rs
+++ b/bitternsill/src/learned/cli.rs
@@ -13,65 +13,65 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How results are printed.
+/// The output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// Lines for people.
+    /// Human-readable lines.
     Text,
-    /// One object.
+    /// A JSON object.
     Json,
 }
 
-/// What is done with a file.
+/// Inspect, compare or convert snapshot files.
 #[derive(Debug, Subcommand)]
 pub enum Learned {
-    /// Print what it holds.
+    /// Print the contents of a snapshot file.
     Show {
         /// The file.
         file: PathBuf,
-        /// How it is printed.
+        /// The output format.
         #[arg(long, default_value = "text")]
         format: Format,
     },
-    /// Say whether it is sound: exits with 1 if not.
+    /// Check a snapshot file; exits with 1 if it is corrupt.
     Verify {
         /// The file.
         file: PathBuf,
     },
-    /// Write it anew in a version of the format.
+    /// Write a snapshot in another version of the file format.
     Convert {
         /// The file.
         file: PathBuf,
-        /// Where the other one goes; it must not be there.
+        /// The new file, which must not exist yet.
         to: PathBuf,
-        /// The version: 1 or 2.
+        /// The version of the format: 1 or 2.
         #[arg(long, default_value_t = file::VERSION, value_parser = clap::value_parser!(u16).range(1..=2))]
         version: u16,
     },
-    /// Print what would still count of it after a time, and why the rest would not.
+    /// Print which statistics would still be used at a given age, and why the others would not.
     Age {
         /// The file.
         file: PathBuf,
-        /// How long after it was taken, in seconds [default: now].
+        /// The age, in seconds after the snapshot was taken [default: its age now].
         #[arg(long)]
         after: Option<u64>,
-        /// How it is printed.
+        /// The output format.
         #[arg(long, default_value = "text")]
         format: Format,
     },
-    /// Print what differs between two files.
+    /// Print the differences between two files; exits with 1 if there are any.
     Diff {
-        /// The one.
+        /// The first file.
         file: PathBuf,
-        /// The other.
+        /// The second file.
         other: PathBuf,
-        /// How it is printed.
+        /// The output format.
         #[arg(long, default_value = "text")]
         format: Format,
     },
 }
 
-/// A command that failed.
+/// Why a command failed.
 #[derive(Debug)]
 enum LearnedError {
     /// A file cannot be read.
@@ -182,7 +182,7 @@
 }
 
 fn aged(snapshot: &Snapshot, at: UnixMillis, format: Format) -> Result<String, LearnedError> {
-    // Aged against its own hosts: what a gatherer would use if all of them are still listed.
+    // Aged against its own hosts: gives what a gatherer would use if all of them were still listed.
     let listed: BTreeMap<String, UnixMillis> = snapshot
         .hosts
         .iter()
@@ -313,8 +313,8 @@
     ))
 }
 
-/// Runs a command; returns the text and whether the command counts as successful.
-fn answer(call: Learned) -> Result<(bool, String), LearnedError> {
+/// Runs a command; returns whether it counts as successful, and the text to print.
+fn execute(call: Learned) -> Result<(bool, String), LearnedError> {
     match call {
         Learned::Show { file, format } => {
             load(&file).map(|(snapshot, version)| (true, show(&snapshot, version, format)))
@@ -355,9 +355,9 @@
     }
 }
 
-/// Runs a command and prints its text; fails if a file cannot be read, or if two differ.
+/// Runs a command and prints its text. Fails if a file cannot be read, or if two files differ.
 pub fn run(call: Learned, print: impl Fn(&str) -> ExitCode) -> ExitCode {
-    match answer(call) {
+    match execute(call) {
         Ok((true, text)) => print(&text),
         Ok((false, text)) => {
             print(&text);
--- a/bitternsill/src/learned/folder.rs
+++ b/bitternsill/src/learned/folder.rs
@@ -1,4 +1,5 @@
-//! The folder of snapshots: generations that are written atomically, and a lock on the folder.
+//! The folder of snapshots: files with a generation number, which are written atomically, and a
+//! lock on the folder.
 
 use learning::atomic_write::{self, LOCK, Step, TEMPORARY};
 use learning::file::{self, FileError, HEADER_BYTES, MAX_BODY_BYTES};
@@ -10,7 +11,7 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// A folder that cannot be used.
+/// Why a folder cannot be used.
 #[derive(Debug)]
 pub enum FolderError {
     /// It does not exist.
@@ -26,10 +27,10 @@
 impl fmt::Display for FolderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FolderError::Missing => f.write_str("the folder is not there"),
-            FolderError::NotAFolder => f.write_str("that is no folder"),
-            FolderError::Locked => f.write_str("another process keeps what it learns there"),
-            FolderError::Lock(problem) => write!(f, "the lock in it cannot be had: {problem}"),
+            FolderError::Missing => f.write_str("the folder does not exist"),
+            FolderError::NotAFolder => f.write_str("not a folder"),
+            FolderError::Locked => f.write_str("the folder is locked by another process"),
+            FolderError::Lock(problem) => write!(f, "cannot lock the folder: {problem}"),
         }
     }
 }
@@ -53,34 +54,35 @@
 
 impl std::error::Error for WriteError {}
 
-/// Contents of a folder.
+/// The result of loading a folder.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// The newest sound snapshot, the version of its file and its generation.
+pub struct Loaded {
+    /// The newest readable snapshot, the version of its file and its generation.
     pub snapshot: Option<(Snapshot, u16, u64)>,
     /// Newer generations that cannot be read, and why.
     pub unreadable: Vec<(u64, ReadError)>,
 }
 
-/// A folder that is locked for this process until this is dropped.
+/// A folder that this process holds locked until the value is dropped.
 pub struct Folder {
     path: PathBuf,
     _lock: File,
 }
 
-/// Options that do not follow a symbolic link at the end of a path: it would not be this program's.
+/// Options that do not follow a symbolic link at the end of a path: this program does not create
+/// such links.
 fn options() -> OpenOptions {
     let mut options = OpenOptions::new();
     options.custom_flags(OFlags::NOFOLLOW.bits() as i32);
     options
 }
 
-/// A file that cannot be read.
+/// Why a file cannot be read.
 #[derive(Debug)]
 pub enum ReadError {
     /// The file or folder cannot be read.
     Io(io::Error),
-    /// The path is no regular file.
+    /// The path is not a regular file.
     NotAFile,
     /// The contents cannot be decoded.
     File(FileError),
@@ -90,7 +92,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ReadError::Io(error) => error.fmt(f),
-            ReadError::NotAFile => f.write_str("that is no file"),
+            ReadError::NotAFile => f.write_str("not a regular file"),
             ReadError::File(error) => error.fmt(f),
         }
     }
@@ -110,8 +112,8 @@
     }
 }
 
-/// Reads a file; returns the snapshot and the file's version. A file whose length differs from that
-/// in its header is not read further.
+/// Reads a file; returns the snapshot and the file's version. If the file's length differs from
+/// that in its header, the body is not read.
 ///
 /// # Errors
 ///
@@ -138,7 +140,7 @@
     ///
     /// # Errors
     ///
-    /// [`FolderError`] if it cannot be used or another process has it.
+    /// [`FolderError`] if it cannot be used or is locked by another process.
     pub fn open(path: &Path) -> Result<Folder, FolderError> {
         match fs::metadata(path) {
             Err(problem) if problem.kind() == io::ErrorKind::NotFound => {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// The generations in the folder, in no order.
+    /// The generations in the folder, in no particular order.
     pub fn generations(&self) -> io::Result<Vec<u64>> {
         let mut all = Vec::new();
         for entry in fs::read_dir(&self.path)? {
@@ -178,8 +180,8 @@
     }
 
     /// Loads the newest snapshot that can be read.
-    pub fn load(&self) -> Found {
-        let mut found = Found::default();
+    pub fn load(&self) -> Loaded {
+        let mut found = Loaded::default();
         let present = match self.generations() {
             Ok(present) => present,
             Err(problem) => {
@@ -199,8 +201,8 @@
         found
     }
 
-    /// Writes a file as the next generation. `before` is called before each step, and in the middle
-    /// of the write too: tests stop there.
+    /// Writes a file as the next generation. `before` is called before each step and in the middle
+    /// of the write, where tests interrupt it.
     ///
     /// # Errors
     ///
@@ -212,7 +214,7 @@
         };
         let present = self.generations().map_err(|p| fail(&Step::Create, p))?;
         let (generation, steps) = atomic_write::plan(&present);
-        let beside = self.path.join(TEMPORARY);
+        let temporary = self.path.join(TEMPORARY);
         let mut file: Option<File> = None;
         for step in &steps {
             before(step);
@@ -222,7 +224,7 @@
                     .create(true)
                     .truncate(true)
                     .mode(0o600)
-                    .open(&beside)
+                    .open(&temporary)
                     .map(|open| file = Some(open)),
                 Step::Write => {
                     let (first, rest) = bytes.split_at(bytes.len() / 2);
@@ -234,11 +236,12 @@
                     })
                 }
                 Step::SyncFile => file.take().map_or(Ok(()), |f| f.sync_all()),
-                Step::Rename => {
-                    fs::rename(&beside, self.path.join(atomic_write::file_name(generation)))
-                }
+                Step::Rename => fs::rename(
+                    &temporary,
+                    self.path.join(atomic_write::file_name(generation)),
+                ),
                 Step::SyncFolder => File::open(&self.path).and_then(|f| f.sync_all()),
-                // A file that is gone already needs no removal.
+                // The file may be gone already.
                 Step::Remove(old) => {
                     match fs::remove_file(self.path.join(atomic_write::file_name(*old))) {
                         Err(problem) if problem.kind() != io::ErrorKind::NotFound => Err(problem),
--- a/bitternsill/src/learned/writer.rs
+++ b/bitternsill/src/learned/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes snapshots, so that a slow or full disk delays nothing else.
+//! Writes snapshots on a thread of its own, so that a slow or full disk delays nothing else.
 
 use super::folder::Folder;
 use crossbeam_queue::ArrayQueue;
@@ -9,9 +9,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Snapshots that may wait for the disk.
+/// The number of snapshots that may wait for the disk.
 const QUEUE_LEN: usize = 2;
-/// Interval at which [`Writer::finish`] looks whether the thread has ended.
+/// Interval at which [`Writer::finish`] checks whether the thread has ended.
 const FINISH_POLL: Duration = Duration::from_millis(1);
 
 /// Counters shared with the thread, and the signal to end.
@@ -38,9 +38,9 @@
         let (thread_queue, thread_counters) = (queue.clone(), counters.clone());
         let thread = thread::Builder::new()
             .name("learned".to_owned())
-            .spawn(move || work(&folder, &thread_queue, &thread_counters));
+            .spawn(move || run(&folder, &thread_queue, &thread_counters));
         let thread = thread
-            .map_err(|problem| tracing::error!(%problem, "what is learned is not written"))
+            .map_err(|problem| tracing::error!(%problem, "cannot start the snapshot writer; statistics are not retained"))
             .ok();
         Writer {
             queue,
@@ -55,10 +55,7 @@
             let dropped = 1 + self.counters.dropped.fetch_add(1, Ordering::Relaxed);
             // Logged at each doubling only, to keep a slow disk from flooding the log.
             if dropped.is_power_of_two() {
-                tracing::warn!(
-                    dropped,
-                    "the disk is slow: pictures of what is learned are dropped"
-                );
+                tracing::warn!(dropped, "the disk is too slow: snapshots are dropped");
             }
         }
         if let Some(thread) = &self.thread {
@@ -66,7 +63,7 @@
         }
     }
 
-    /// Lets the thread write the queue and end; waits for it up to a time-out.
+    /// Ends the thread once it has written the queue; waits for that up to a time-out.
     pub fn finish(self, timeout: Duration) {
         self.counters.ending.store(true, Ordering::Release);
         let Some(thread) = self.thread else { return };
@@ -82,21 +79,21 @@
             count(&self.counters.dropped),
         );
         if thread.is_finished() {
-            tracing::info!(written, failed, dropped, "what was learned is kept");
+            tracing::info!(written, failed, dropped, "the snapshot writer has finished");
         } else {
             tracing::warn!(
                 written,
                 failed,
                 dropped,
-                "the last picture of what was learned is not written yet"
+                "the last snapshot was not written in time"
             );
         }
     }
 }
 
-fn work(folder: &Folder, queue: &ArrayQueue<Snapshot>, counters: &Counters) {
+fn run(folder: &Folder, queue: &ArrayQueue<Snapshot>, counters: &Counters) {
     loop {
-        // Read before the queue: a snapshot that was queued before the signal is written.
+        // Read before the queue, so that a snapshot queued before the signal is still written.
         let ending = counters.ending.load(Ordering::Acquire);
         let mut newest = None;
         while let Some(snapshot) = queue.pop() {
@@ -125,7 +122,7 @@
         Err(problem) => {
             let failed = 1 + counters.failed.fetch_add(1, Ordering::Relaxed);
             if failed.is_power_of_two() {
-                tracing::error!(problem, failed, "what is learned cannot be written");
+                tracing::error!(problem, failed, "cannot write a snapshot");
             }
         }
     }
--- a/bitternsill/src/recovery.rs
+++ b/bitternsill/src/recovery.rs
@@ -1,6 +1,6 @@
-//! Recovery of the gatherer on the event loop: peers are queried at their stores' addresses, and
-//! their answers go to the package `recovery`, which decides. Only where an operator's file asks
-//! for it.
+//! Recovery of the gatherer on the event loop: queries peers at their stores' addresses and passes
+//! their answers to the package `recovery`, which makes the decisions. Off unless the operator's
+//! file has a section `recovery`.
 
 pub mod cli;
 pub mod peer_query;
@@ -18,14 +18,15 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Recovery in an operator's file.
+/// The section `recovery` of an operator's file.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecoverySetup {
     /// Maximum time to wait for the answers of peers, in milliseconds.
     #[serde(rename = "ask_ms", default = "default_peer_timeout_ms")]
     pub peer_timeout_ms: u64,
-    /// Gatherers that started within this many seconds of each other restarted for one cause.
+    /// Gatherers that started within this many seconds of each other count as restarted by a common
+    /// cause.
     #[serde(rename = "together_s", default = "default_restart_window_s")]
     pub restart_window_s: u64,
 }
@@ -42,13 +43,13 @@
 pub struct RecoveryService {
     recovery: Recovery,
     rng: fastrand::Rng,
-    /// The endpoint list from before the start, until it is used or replaced by discovery's.
+    /// The endpoint list persisted before the start, until it is used or discovery sends a newer
+    /// one.
     persisted_hosts: Vec<Member>,
 }
 
 impl RecoveryService {
-    /// Starts the recovery with the persisted endpoint list, and queries each peer by an object of
-    /// its own.
+    /// Starts the recovery with the persisted endpoint list, and opens a query of each peer.
     pub fn start(
         setup: RecoverySetup,
         settings: &Settings,
@@ -76,8 +77,8 @@
         &self.recovery
     }
 
-    /// The recovery's state, to pass on an event; transitions are carried out in the gatherer's
-    /// next turn.
+    /// The recovery's state, for passing events to it. Resulting transitions take effect in the
+    /// gatherer's next turn.
     pub fn recovery_mut(&mut self) -> &mut Recovery {
         &mut self.recovery
     }
@@ -94,15 +95,15 @@
         for transition in self.recovery.take_transitions() {
             let reasons: Vec<String> = transition.reasons.iter().map(ToString::to_string).collect();
             tracing::info!(from = %transition.from, lasted_ms = transition.lasted / MS, to = %transition.to, why = reasons.join("; "),
-                "the return goes on");
+                "recovery phase changed");
         }
         if self.recovery.phase() < Phase::SlowStart || self.persisted_hosts.is_empty() {
             return None;
         }
         let mut hosts = std::mem::take(&mut self.persisted_hosts);
         if self.recovery.distrusts_hosts() {
-            // The hosts may have lost power too: until discovery tells when each started, each has
-            // a cold host's share.
+            // The hosts may have lost power too: until discovery reports when each started, each
+            // gets the share of a cold host.
             hosts
                 .iter_mut()
                 .for_each(|member| member.entry.started_at = now);
@@ -132,7 +133,7 @@
 }
 
 impl Gatherer {
-    /// Carries the recovery on, if there is one.
+    /// Advances the recovery, if there is one.
     pub fn advance_recovery(&mut self, net: &mut Net<Self>, now: Time) {
         let Some(persisted) = self
             .returning
@@ -164,7 +165,7 @@
         }
     }
 
-    /// The line that answers a query for the phase.
+    /// The response line to a query for the phase.
     pub fn phase_line(&self, now: Time) -> String {
         let state = self.returning.as_ref().map(RecoveryService::recovery);
         let why = |state: &Recovery| {
@@ -188,11 +189,11 @@
     }
 }
 
-/// The line that queries a gatherer's phase.
-pub const ASK: &str = "phase";
+/// The request line for a gatherer's phase.
+pub const PHASE_REQUEST: &str = "phase";
 
-/// Parses a peer's answer; `None` if it has another form.
-pub fn read_line(line: &[u8]) -> Option<Peer> {
+/// Parses a peer's response to [`PHASE_REQUEST`]; `None` if it has another form.
+pub fn parse_phase_line(line: &[u8]) -> Option<Peer> {
     let json: Json = serde_json::from_slice(line).ok()?;
     let uptime = json["running_ms"].as_u64()?.saturating_mul(MS);
     Some(Peer {
--- a/bitternsill/src/recovery/cli.rs
+++ b/bitternsill/src/recovery/cli.rs
@@ -1,4 +1,5 @@
-//! `bitternsill fleet phase`: how far each gatherer has come, asked at the store's addresses.
+//! `bitternsill fleet phase`: shows the recovery phase of each gatherer, queried at the store's
+//! addresses.
 
 use crate::store::client::{self, ClientError};
 use clap::{Args, ValueEnum};
@@ -8,16 +9,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// Whom to ask.
+/// Arguments of `fleet phase`.
 #[derive(Debug, Args)]
 pub struct Phase {
-    /// Addresses at which gatherers speak with the other members of their store.
+    /// Addresses at which gatherers listen for the other members of their store.
     #[arg(long, value_name = "ADDRESS", num_args = 1.., required = true)]
     at: Vec<SocketAddr>,
-    /// Milliseconds to wait for each.
+    /// Milliseconds to wait for each gatherer.
     #[arg(long, default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(1..=60_000))]
     patience: u64,
-    /// How it is printed.
+    /// The output format.
     #[arg(long, default_value = "text")]
     format: Format,
 }
@@ -26,15 +27,15 @@
 enum Format {
     /// A line for each gatherer.
     Text,
-    /// One array.
+    /// A JSON array.
     Json,
 }
 
-/// A gatherer whose phase is not known.
+/// Why a gatherer's phase is unknown.
 #[derive(Debug)]
 enum PhaseError {
     Client(ClientError),
-    /// The thread that queried it has panicked.
+    /// The thread of the query panicked.
     Panicked,
 }
 
@@ -42,7 +43,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PhaseError::Client(error) => error.fmt(f),
-            PhaseError::Panicked => f.write_str("could not be asked"),
+            PhaseError::Panicked => f.write_str("the query failed: its thread panicked"),
         }
     }
 }
@@ -55,11 +56,12 @@
     result: Result<Json, PhaseError>,
 }
 
-/// Queries all gatherers at once.
+/// Queries all gatherers concurrently.
 fn query_all(addresses: &[SocketAddr], timeout: Duration) -> Vec<Answer> {
     let query = |address: &SocketAddr| {
         let address = *address;
-        let thread = thread::spawn(move || client::exchange_line(address, super::ASK, timeout));
+        let thread =
+            thread::spawn(move || client::exchange_line(address, super::PHASE_REQUEST, timeout));
         (address, thread)
     };
     let queries: Vec<_> = addresses.iter().map(query).collect();
@@ -75,7 +77,7 @@
         .collect()
 }
 
-/// Queries the gatherers; returns the text to print, and whether all have answered.
+/// Queries the gatherers; returns the text to print, and whether all have responded.
 pub fn run(call: &Phase) -> (String, bool) {
     let answers = query_all(&call.at, Duration::from_millis(call.patience));
     let all = answers.iter().all(|answer| answer.result.is_ok());
@@ -94,7 +96,7 @@
     (text, all)
 }
 
-/// The line that describes an answer.
+/// Formats an answer as a line of text.
 fn describe(Answer { address, result }: &Answer) -> String {
     let answer = match result {
         Ok(answer) => answer,
@@ -108,12 +110,12 @@
     let why: Vec<&str> = why.iter().filter_map(Json::as_str).collect();
     let mut line = format!(
         "{address}: {}, running for {} s, {}, {} index hosts",
-        text(&answer["phase"]).unwrap_or_else(|| "no recovery set up".to_owned()),
+        text(&answer["phase"]).unwrap_or_else(|| "recovery not configured".to_owned()),
         answer["running_ms"].as_u64().unwrap_or(0) / 1_000,
         if answer["ready"] == true {
-            "takes clients"
+            "accepts clients"
         } else {
-            "takes no clients"
+            "accepts no clients"
         },
         answer["index_hosts"]
     );
--- a/bitternsill/src/recovery/peer_query.rs
+++ b/bitternsill/src/recovery/peer_query.rs
@@ -1,5 +1,4 @@
-//! Queries a peer for its phase, and retries until it answers or its answer is no longer waited
-//! for.
+//! Queries a peer for its phase, and retries until it answers or the answer is no longer needed.
 
 use crate::front::{Gatherer, Message};
 use crate::net::{self, Attempt, Connection, Context, Input, Ready, Stream};
@@ -29,18 +28,19 @@
         }
     }
 
-    fn is_wanted(&self, cx: &Cx<'_>) -> bool {
+    fn is_needed(&self, cx: &Cx<'_>) -> bool {
         let returning = cx.world.returning.as_ref();
         returning.is_some_and(|returning| returning.recovery().unanswered().contains(&self.peer))
     }
 
-    fn begin(&mut self, cx: &mut Cx<'_>) {
-        if !self.is_wanted(cx) {
+    fn start_attempt(&mut self, cx: &mut Cx<'_>) {
+        if !self.is_needed(cx) {
             return cx.close();
         }
         (self.connected, self.stream) = (false, net::connect(self.address).ok());
         self.input.clear();
-        // A peer that is down refuses at once; a partitioned one does not respond.
+        // A peer that is down refuses the connection at once; a partitioned one does not respond,
+        // so the attempt times out.
         cx.set_timer(cx.now + cx.world.limits.recovery_retry);
         if let Some(stream) = &mut self.stream {
             let waits = Ready::WRITE;
@@ -53,7 +53,7 @@
 
 impl Connection<Gatherer> for PeerQuery {
     fn opened(&mut self, cx: &mut Cx<'_>) -> io::Result<()> {
-        self.begin(cx);
+        self.start_attempt(cx);
         Ok(())
     }
 
@@ -70,13 +70,13 @@
                     return;
                 }
             }
-            stream.push(format!("{}\n", super::ASK).as_bytes());
+            stream.push(format!("{}\n", super::PHASE_REQUEST).as_bytes());
         }
         if ready.readable {
             let end = stream.read(&mut self.input, cx.world.limits.read_burst);
             if let Some(at) = self.input.iter().position(|byte| *byte == b'\n') {
                 if let (Some(answer), Some(returning)) = (
-                    super::read_line(&self.input[..at]),
+                    super::parse_phase_line(&self.input[..at]),
                     cx.world.returning.as_mut(),
                 ) {
                     returning
@@ -99,6 +99,6 @@
     fn deliver(&mut self, _cx: &mut Cx<'_>, _message: Message) {}
 
     fn timer(&mut self, cx: &mut Cx<'_>) {
-        self.begin(cx);
+        self.start_attempt(cx);
     }
 }
--- a/bitternsill/src/store/server.rs
+++ b/bitternsill/src/store/server.rs
@@ -45,7 +45,7 @@
             self.watch(cx);
             return Ok(());
         }
-        if trimmed == recovery::ASK.as_bytes() {
+        if trimmed == recovery::PHASE_REQUEST.as_bytes() {
             self.stream.push(cx.world.phase_line(cx.now).as_bytes());
             return Ok(());
         }
