--- a/bitternsill/src/admin.rs
+++ b/bitternsill/src/admin.rs
@@ -1,7 +1,7 @@
 //! Operations: the operators' API, excluded hosts, drains, and the handover between two processes.
 //!
-//! [`calls`], [`hand`] and [`drain`] decide and do no I/O; [`door`] and [`handover`] carry out;
-//! [`Orders`] is where they meet.
+//! [`calls`], [`exclusions`] and [`drain`] do no I/O; [`listener`] and [`handover`] do. [`Orders`]
+//! combines them.
 
 pub mod calls;
 pub mod cli;
@@ -16,19 +16,19 @@
 use exclusions::Exclusions;
 use handover::Handover;
 
-/// What operators have requested, and where it is stored for the successor process.
+/// The state that operators have requested, and its storage for the successor process.
 #[derive(Debug)]
 pub struct Orders {
     /// Hosts that operators have excluded.
     pub exclusions: Exclusions,
     /// Whether clients are being drained.
     pub drain: Drain,
-    /// What is shared with another process of this name; absent where there is no folder for it.
+    /// The state shared with another process of this name; `None` if there is no folder for it.
     shared: Option<Handover>,
 }
 
 impl Orders {
-    /// Begins with what an earlier process of this name has stored in the folder.
+    /// Starts with the state that an earlier process of this name has stored in the folder.
     pub fn open(
         name: &str,
         folder: Option<&std::path::Path>,
@@ -38,10 +38,13 @@
         let mut shared = folder.map(|folder| Handover::new(folder, name, now, limits));
         let found = shared.as_mut().and_then(Handover::read);
         let mut exclusions = found.unwrap_or_else(|| Exclusions::new(limits.hosts));
-        exclusions.forget(now, limits.exclusion_retention);
+        exclusions.drop_old_inclusions(now, limits.exclusion_retention);
         let excluded = exclusions.excluded().count();
         if excluded > 0 {
-            tracing::info!(excluded, "hosts out by hand were taken over");
+            tracing::info!(
+                excluded,
+                "restored the excluded hosts of an earlier process"
+            );
         }
         Orders {
             exclusions,
@@ -50,12 +53,13 @@
         }
     }
 
-    /// Shows other processes that this one takes clients from here on.
+    /// Shows other processes that this one accepts clients from now on.
     pub fn announce(&mut self) {
         self.shared.iter_mut().for_each(Handover::announce);
     }
 
-    /// Shows other processes that this one ends. Returns whether a successor takes its clients.
+    /// Shows other processes that this one is shutting down. Returns whether a successor takes over
+    /// its clients.
     pub fn withdraw(&mut self, now: Time) -> bool {
         let Some(shared) = &mut self.shared else {
             return false;
@@ -64,11 +68,11 @@
         shared.check_peers(now)
     }
 
-    /// Excludes or includes a host, and stores that for the other process.
+    /// Excludes or includes a host, and stores the change for the other process.
     ///
     /// # Errors
     ///
-    /// Where as many hosts are excluded as can be stored.
+    /// The maximum number of hosts is already excluded.
     pub fn set(
         &mut self,
         uid: &str,
@@ -82,8 +86,7 @@
         Ok(())
     }
 
-    /// Polls for changes by the other process. Returns whether that changes which hosts are
-    /// excluded.
+    /// Polls for changes by the other process. Returns whether the set of excluded hosts changed.
     pub fn poll(&mut self, now: Time) -> bool {
         let Some(shared) = &mut self.shared else {
             return false;
@@ -96,7 +99,7 @@
         self.shared.as_ref().is_some_and(Handover::has_successor)
     }
 
-    /// When something here is due.
+    /// The time of the next action.
     pub fn due(&self) -> Option<Time> {
         [self.drain.due(), self.shared.as_ref().map(Handover::due)]
             .into_iter()
--- a/bitternsill/src/admin/calls.rs
+++ b/bitternsill/src/admin/calls.rs
@@ -1,36 +1,36 @@
-//! The operators' calls, as they are read: from a request to what is asked, or to why it cannot be.
+//! Routing and parsing of operators' calls.
 
 use crate::front::http::{Head, Response};
 use serde_json::Value as Json;
 use std::fmt;
 
-/// What an operator may ask for.
+/// The operations of the operators' API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
-    /// Whether this process takes clients.
+    /// Report whether this process accepts clients.
     Ready,
-    /// Nothing more to an index host.
+    /// Send nothing more to an index host.
     Exclude,
-    /// An index host may serve again.
+    /// Use an index host again.
     Include,
-    /// Send clients away.
+    /// Drain clients.
     Evacuate,
-    /// Take clients again.
+    /// Accept clients again.
     Rejoin,
 }
 
-/// One call of the door.
+/// A route of the operators' API.
 #[derive(Debug, Clone, Copy)]
 pub struct Route {
     /// The method.
     pub method: &'static str,
-    /// The path, compared without its query.
+    /// The path, without a query string.
     pub path: &'static str,
-    /// What it asks for.
+    /// The operation.
     pub operation: Operation,
-    /// What it is for, in a line.
+    /// A one-line summary.
     pub summary: &'static str,
-    /// Each status it may answer with, and what that means.
+    /// Each possible status with its description.
     pub answers: &'static [(u16, &'static str)],
 }
 
@@ -46,21 +46,21 @@
     (400, "The body names no index host"),
     (404, "No such index host"),
     (413, "The body is too large"),
-    (507, "As many hosts are out as are kept"),
+    (507, "The maximum number of hosts is already excluded"),
 ];
 
-/// The door: calls are routed by it, and it is what `describe openapi` prints.
+/// The routes of the operators' API. `describe openapi` prints them too.
 pub const ROUTES: &[Route] = &[
     Route {
         method: "GET",
         path: "/api/ready",
         operation: Operation::Ready,
-        summary: "Tells whether this process takes clients",
+        summary: "Reports whether this process accepts clients",
         answers: &[
-            (200, "It does"),
+            (200, "It accepts clients"),
             (
                 503,
-                "Not yet, or it has been told to send them away or to end",
+                "It does not accept clients yet, is draining them, or is shutting down",
             ),
         ],
     },
@@ -68,44 +68,44 @@
         method: "POST",
         path: "/api/exclude",
         operation: Operation::Exclude,
-        summary: "Takes an index host out: nothing new goes there until it is taken back",
+        summary: "Excludes an index host: it gets no new requests until it is included again",
         answers: HOST_ANSWERS,
     },
     Route {
         method: "POST",
         path: "/api/include",
         operation: Operation::Include,
-        summary: "Takes an index host back, however often it was taken out",
+        summary: "Includes an index host again, however often it was excluded",
         answers: HOST_ANSWERS,
     },
     Route {
         method: "POST",
         path: "/api/evacuate",
         operation: Operation::Evacuate,
-        summary: "Sends clients away; the process goes on running",
+        summary: "Drains clients; the process keeps running",
         answers: &[
-            (200, "Begun, or under way already"),
-            (503, "The process is ending"),
+            (200, "The drain has started, or was already under way"),
+            (503, "The process is shutting down"),
         ],
     },
     Route {
         method: "POST",
         path: "/api/rejoin",
         operation: Operation::Rejoin,
-        summary: "Takes clients again",
+        summary: "Accepts clients again",
         answers: &[
-            (200, "Done, or it never sent them away"),
-            (503, "The process is ending"),
+            (200, "Done, or it was not draining"),
+            (503, "The process is shutting down"),
         ],
     },
 ];
 
-/// A call as it was understood.
+/// A parsed call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// What is asked for.
+    /// The operation.
     pub operation: Operation,
-    /// The index host that it names, where it names one.
+    /// The index host, or empty for operations that name none.
     pub member: String,
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// Reads a call; what cannot be one is answered at once.
+/// Parses a call; for an invalid one, returns the response to send.
 pub fn read(head: &Head, body: &[u8], name_bytes: usize) -> Result<Call, Response> {
     let (method, target) = (head.start.0.as_str(), head.start.1.as_str());
     let path = target.split('?').next().unwrap_or_default();
--- a/bitternsill/src/admin/cli.rs
+++ b/bitternsill/src/admin/cli.rs
@@ -1,4 +1,4 @@
-//! `bitternsill admin`: an operator's call from the command line.
+//! `bitternsill admin`: calls the operators' API from the command line.
 
 use super::calls::{Operation, ROUTES};
 use crate::front::http::{Progress, Reader};
@@ -10,81 +10,81 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// What to ask a gatherer's door for.
+/// Call the operators' API of a running gatherer.
 #[derive(Debug, Subcommand)]
 pub enum Admin {
-    /// Say whether the process takes clients.
+    /// Report whether the process accepts clients.
     Ready(At),
-    /// Take an index host out: nothing new goes there until it is taken back.
+    /// Exclude an index host: it gets no new requests until it is included again.
     Exclude(Host),
-    /// Take an index host back.
+    /// Include an index host again.
     Include(Host),
-    /// Send clients away; the process goes on running.
+    /// Drain clients; the process keeps running.
     Evacuate(At),
-    /// Take clients again.
+    /// Accept clients again.
     Rejoin(At),
 }
 
-/// Where the door is.
+/// How to reach the operators' API.
 #[derive(Debug, Args)]
 pub struct At {
-    /// The door's address [default: $ROUTER_ADMIN].
+    /// The address of the operators' API [default: $ROUTER_ADMIN].
     #[arg(long, value_name = "ADDRESS")]
     at: Option<SocketAddr>,
-    /// Milliseconds to wait for the answer.
+    /// Milliseconds to wait for the response.
     #[arg(long, default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(1..=60_000))]
     patience: u64,
 }
 
-/// Which index host, and where the door is.
+/// The arguments of calls that name an index host.
 #[derive(Debug, Args)]
 pub struct Host {
-    /// The host's id, as discovery has it.
+    /// The host's id in discovery.
     member: String,
     #[command(flatten)]
     at: At,
 }
 
-/// Why there is no yes.
+/// Why a call failed.
 #[derive(Debug)]
 pub enum AdminError {
     /// No address was given.
     NoAddress,
-    /// The door could not be asked.
+    /// The request could not be sent, or there was no response.
     Unreachable(SocketAddr, io::Error),
-    /// What came back is no answer.
-    Garbled(SocketAddr),
-    /// It said no.
-    No(String),
+    /// The response is malformed.
+    InvalidResponse(SocketAddr),
+    /// The gatherer refused the call, with this text.
+    Refused(String),
 }
 
 impl fmt::Display for AdminError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AdminError::NoAddress => f.write_str("no address: use --at, or set ROUTER_ADMIN"),
-            AdminError::Unreachable(at, problem) if is_late(problem) => {
-                write!(f, "{at}: no answer in time")
+            AdminError::Unreachable(at, problem) if is_timeout(problem) => {
+                write!(f, "{at}: timed out waiting for a response")
             }
             AdminError::Unreachable(at, problem) => write!(f, "{at}: {problem}"),
-            AdminError::Garbled(at) => write!(
+            AdminError::InvalidResponse(at) => write!(
                 f,
-                "{at}: the answer cannot be read; is it a gatherer's door?"
+                "{at}: the response is malformed; is this the address of a gatherer's operators' API?"
             ),
-            AdminError::No(words) => write!(f, "no: {words}"),
+            AdminError::Refused(text) => write!(f, "no: {text}"),
         }
     }
 }
 
 impl std::error::Error for AdminError {}
 
-fn is_late(problem: &io::Error) -> bool {
+fn is_timeout(problem: &io::Error) -> bool {
     matches!(
         problem.kind(),
         io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
     )
 }
 
-/// Makes the call; the words of a yes, or why there is none.
+/// Makes the call; returns the text of a successful response.
 pub fn run(call: Admin) -> Result<String, AdminError> {
     let (operation, host, at) = match call {
         Admin::Ready(at) => (Operation::Ready, None, at),
@@ -93,25 +93,28 @@
         Admin::Evacuate(at) => (Operation::Evacuate, None, at),
         Admin::Rejoin(at) => (Operation::Rejoin, None, at),
     };
-    let told = || {
+    let from_environment = || {
         std::env::var("ROUTER_ADMIN")
             .ok()
             .and_then(|at| at.parse().ok())
     };
-    let to = at.at.or_else(told).ok_or(AdminError::NoAddress)?;
+    let to = at
+        .at
+        .or_else(from_environment)
+        .ok_or(AdminError::NoAddress)?;
     let body = host
         .map(|member| json!({"member": member}).to_string())
         .unwrap_or_default();
     let until = Instant::now() + Duration::from_millis(at.patience);
-    let (status, words) = ask(to, operation, &body, until)?;
+    let (status, text) = send_request(to, operation, &body, until)?;
     if (200..300).contains(&status) {
-        Ok(words)
+        Ok(text)
     } else {
-        Err(AdminError::No(words))
+        Err(AdminError::Refused(text))
     }
 }
 
-fn ask(
+fn send_request(
     to: SocketAddr,
     operation: Operation,
     body: &str,
@@ -129,7 +132,7 @@
     let route = ROUTES
         .iter()
         .find(|r| r.operation == operation)
-        .ok_or(AdminError::Garbled(to))?;
+        .ok_or(AdminError::InvalidResponse(to))?;
     let request = format!(
         "{} {} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
         route.method,
@@ -152,10 +155,14 @@
         match reader.read(&mut input) {
             Ok(Progress::Whole) => break,
             Ok(Progress::More) if n > 0 => {}
-            _ => return Err(AdminError::Garbled(to)),
+            _ => return Err(AdminError::InvalidResponse(to)),
         }
     }
     let (head, body) = reader.take();
-    let status = head.start.1.parse().map_err(|_| AdminError::Garbled(to))?;
+    let status = head
+        .start
+        .1
+        .parse()
+        .map_err(|_| AdminError::InvalidResponse(to))?;
     Ok((status, String::from_utf8_lossy(&body).trim_end().to_owned()))
 }
--- a/bitternsill/src/admin/drain.rs
+++ b/bitternsill/src/admin/drain.rs
@@ -1,5 +1,5 @@
-//! Draining: clients are asked to go elsewhere, step by step. A schedule without I/O; whoever holds
-//! the connections asks it what to close.
+//! The schedule of a drain, in which clients are moved elsewhere step by step. Does no I/O: the
+//! owner of the connections queries it for what to close.
 
 use crate::limits::Limits;
 use dispatch::interface::Time;
@@ -7,23 +7,23 @@
 /// The steps of a drain, counted from its start.
 #[derive(Debug, Clone, Copy)]
 pub struct Schedule {
-    /// The load balancer in front has noticed, and its last connections have come: answers close
-    /// their connections.
+    /// From here on answers close their connections: the load balancer in front has noticed the
+    /// drain, and its last connections have arrived.
     pub close_after_answer: Time,
     /// Idle connections are closed.
     pub close_idle: Time,
-    /// Requests received in part are aborted.
+    /// Partly received requests are aborted.
     pub abort_partial: Time,
-    /// The interval between two sweeps for idle connections.
+    /// Interval between two sweeps for idle connections.
     pub sweep: Time,
-    /// A connection idle for less is left open: a request may be on its way.
+    /// A connection that is idle for less than this stays open, as a request may be on its way.
     pub idle_grace: Time,
 }
 
 impl Schedule {
-    /// The schedule that the limits give. A load balancer checks health every 0.1 s and sends new
-    /// connections for 0.2 s after the first failure; 2 s after the start nothing may be left that
-    /// could still take a request.
+    /// The schedule set by the limits. The load balancer checks health every 0.1 s and sends new
+    /// connections for 0.2 s after the first failed check; 2 s after the start, no connection may
+    /// be left on which a request could arrive.
     pub fn from_limits(limits: &Limits) -> Schedule {
         let (close_after_answer, close_idle, abort_partial) = limits.drain_times;
         let (sweep, idle_grace) = limits.drain_sweep;
@@ -37,12 +37,12 @@
     }
 }
 
-/// What to do with the clients' connections at one moment.
+/// The clients' connections to close in one sweep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sweep {
-    /// Connections idle since then or before are to be closed.
+    /// Connections idle since this time or longer are to be closed.
     pub idle_since: Time,
-    /// Requests received in part are to be aborted too.
+    /// Whether partly received requests are to be aborted too.
     pub partial: bool,
 }
 
@@ -54,14 +54,14 @@
     schedule: Schedule,
 }
 
-/// Whether clients are being drained, and how far that has come.
+/// Whether clients are being drained, and the progress of that.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Drain {
     progress: Option<Progress>,
 }
 
 impl Drain {
-    /// Starts a drain. Returns false where one is under way already, which goes on unchanged.
+    /// Starts a drain. Returns false if one is already under way, which continues unchanged.
     pub fn begin(&mut self, now: Time, schedule: Schedule) -> bool {
         if self.progress.is_some() {
             return false;
@@ -79,7 +79,7 @@
         self.progress.take().is_some()
     }
 
-    /// Whether clients should go elsewhere.
+    /// Whether clients are being drained.
     pub fn is_under_way(&self) -> bool {
         self.progress.is_some()
     }
@@ -95,7 +95,7 @@
         self.progress.map(|p| p.next_sweep)
     }
 
-    /// What to close now, if a sweep is due.
+    /// The connections to close now, if a sweep is due.
     pub fn sweep(&mut self, now: Time) -> Option<Sweep> {
         let progress = self.progress.as_mut().filter(|p| p.next_sweep <= now)?;
         let schedule = progress.schedule;
--- a/bitternsill/src/admin/exclusions.rs
+++ b/bitternsill/src/admin/exclusions.rs
@@ -1,6 +1,6 @@
-//! Which index hosts operators have excluded: a last-writer-wins map. Entries are stamped, so that
-//! two processes that both change it converge on the later change of each host, in whatever order
-//! they see the changes. No I/O.
+//! The index hosts that operators have excluded, as a last-writer-wins map. Entries carry time
+//! stamps, so that two processes that both change it converge on the later change of each host, in
+//! whatever order they see the changes. No I/O.
 
 use dispatch::interface::Time;
 use serde_json::{Value as Json, json};
@@ -17,29 +17,29 @@
     excluded: bool,
 }
 
-/// As many hosts are excluded as can be stored.
+/// The maximum number of hosts is already excluded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooManyExclusions;
 
-/// A stored map that cannot be used.
+/// Why a stored map cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is truncated or changed: the checksum is missing or does not match.
-    Damaged,
-    /// It is valid and of another version.
+    /// It is truncated or modified: the checksum is missing or does not match.
+    Corrupt,
+    /// It is valid, but of another version.
     Version(u64),
-    /// It is valid and another gatherer's.
-    Foreign(String),
+    /// It is valid, but belongs to another gatherer.
+    OtherGatherer(String),
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DecodeError::Damaged => f.write_str("it is damaged"),
+            DecodeError::Corrupt => f.write_str("it is corrupt"),
             DecodeError::Version(version) => {
-                write!(f, "it is of version {version}, and only {VERSION} is known")
+                write!(f, "it has version {version}; only {VERSION} is supported")
             }
-            DecodeError::Foreign(name) => write!(f, "it is of the gatherer `{name}`"),
+            DecodeError::OtherGatherer(name) => write!(f, "it belongs to the gatherer `{name}`"),
         }
     }
 }
@@ -75,16 +75,18 @@
 
     /// Excludes or includes a host.
     ///
-    /// The stamp is later than any that this host has had, whatever the clock says: with a clock
-    /// that steps back the other process would take the change for an old one and undo it.
+    /// The new stamp is later than the host's previous one, whatever the clock says. Otherwise,
+    /// after a clock stepped back, the other process would take the change for an old one and undo
+    /// it.
     ///
     /// # Errors
     ///
-    /// Where as many hosts are excluded as can be stored.
+    /// The maximum number of hosts is already excluded.
     pub fn set(&mut self, uid: &str, excluded: bool, now: Time) -> Result<(), TooManyExclusions> {
         let known = self.changes.get(uid).map(|change| change.stamp);
         if known.is_none() && self.changes.len() >= self.capacity {
-            // Included hosts are stored only for the other process: the oldest of them is dropped.
+            // Included hosts are stored only for the other process, so the oldest of them is
+            // dropped.
             let oldest = self
                 .changes
                 .iter()
@@ -101,8 +103,8 @@
         Ok(())
     }
 
-    /// Takes over the later change of each host. Returns whether that changes which hosts are
-    /// excluded.
+    /// Merges another map, keeping the later change of each host. Returns whether the set of
+    /// excluded hosts changed.
     pub fn merge(&mut self, other: &Exclusions) -> bool {
         let mut changed = false;
         for (uid, theirs) in &other.changes {
@@ -116,8 +118,9 @@
         changed
     }
 
-    /// Drops hosts that were included so long ago that every process has seen it.
-    pub fn forget(&mut self, now: Time, after: Time) {
+    /// Drops hosts that were included longer than `after` ago, when every process has seen the
+    /// change.
+    pub fn drop_old_inclusions(&mut self, now: Time, after: Time) {
         self.changes
             .retain(|_, change| change.excluded || change.stamp.saturating_add(after) > now);
     }
@@ -137,37 +140,37 @@
     ///
     /// # Errors
     ///
-    /// Where it is damaged, or another version's or gatherer's.
+    /// It is corrupt, or of another version or gatherer.
     pub fn decode(text: &[u8], name: &str, capacity: usize) -> Result<Exclusions, DecodeError> {
-        let text = std::str::from_utf8(text).map_err(|_| DecodeError::Damaged)?;
-        let (sum, body) = text.split_once('\n').ok_or(DecodeError::Damaged)?;
-        let body = body.strip_suffix('\n').ok_or(DecodeError::Damaged)?;
+        let text = std::str::from_utf8(text).map_err(|_| DecodeError::Corrupt)?;
+        let (sum, body) = text.split_once('\n').ok_or(DecodeError::Corrupt)?;
+        let body = body.strip_suffix('\n').ok_or(DecodeError::Corrupt)?;
         if sum.len() != 8 || u32::from_str_radix(sum, 16) != Ok(crc32fast::hash(body.as_bytes())) {
-            return Err(DecodeError::Damaged);
+            return Err(DecodeError::Corrupt);
         }
-        let json: Json = serde_json::from_str(body).map_err(|_| DecodeError::Damaged)?;
+        let json: Json = serde_json::from_str(body).map_err(|_| DecodeError::Corrupt)?;
         match json["version"].as_u64() {
             Some(VERSION) => {}
             Some(other) => return Err(DecodeError::Version(other)),
-            None => return Err(DecodeError::Damaged),
+            None => return Err(DecodeError::Corrupt),
         }
         match json["gatherer"].as_str() {
             Some(gatherer) if gatherer == name => {}
             gatherer => {
-                return Err(DecodeError::Foreign(
+                return Err(DecodeError::OtherGatherer(
                     gatherer.unwrap_or_default().to_owned(),
                 ));
             }
         }
         let mut exclusions = Exclusions::new(capacity);
-        for host in json["hosts"].as_array().ok_or(DecodeError::Damaged)? {
+        for host in json["hosts"].as_array().ok_or(DecodeError::Corrupt)? {
             let (uid, excluded, stamp) = (
                 host["uid"].as_str(),
                 host["out"].as_bool(),
                 host["stamp"].as_u64(),
             );
             let (Some(uid), Some(excluded), Some(stamp)) = (uid, excluded, stamp) else {
-                return Err(DecodeError::Damaged);
+                return Err(DecodeError::Corrupt);
             };
             if exclusions.changes.len() < capacity {
                 exclusions
--- a/bitternsill/src/admin/exclusions/tests.rs
+++ b/bitternsill/src/admin/exclusions/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `admin::hand`.
+//! Tests of `admin::exclusions`.
 
 use super::*;
 
 #[test]
 fn merge_converges_in_any_order() {
-    // Every order in which four changes of two processes can be heard gives the same map.
+    // Four changes of two processes give the same map in every order of arrival.
     let changes = [
         ("a", true, 5),
         ("b", true, 6),
@@ -33,7 +33,7 @@
         seen.push(one);
     }
     assert!(seen.windows(2).all(|w| w[0] == w[1]));
-    assert!(!seen[0].is_excluded("a"), "the later change holds");
+    assert!(!seen[0].is_excluded("a"), "the later change wins");
 }
 
 #[test]
@@ -55,20 +55,20 @@
     for at in 0..text.len() {
         assert_eq!(
             Exclusions::decode(&text[..at], "n1", 8),
-            Err(DecodeError::Damaged),
+            Err(DecodeError::Corrupt),
             "cut at {at}"
         );
         let mut changed = text.clone();
         changed[at] ^= 1;
         assert_eq!(
             Exclusions::decode(&changed, "n1", 8),
-            Err(DecodeError::Damaged),
+            Err(DecodeError::Corrupt),
             "changed at {at}"
         );
     }
     assert_eq!(
         Exclusions::decode(&text, "n2", 8),
-        Err(DecodeError::Foreign("n1".into()))
+        Err(DecodeError::OtherGatherer("n1".into()))
     );
 }
 
@@ -82,11 +82,15 @@
     exclusions.set("c", true, 5).unwrap();
     assert_eq!(exclusions.excluded().collect::<Vec<_>>(), ["b", "c"]);
     exclusions.set("b", false, 6).unwrap();
-    exclusions.forget(100, 50);
-    assert_eq!(exclusions.changes.len(), 1, "back for long enough");
+    exclusions.drop_old_inclusions(100, 50);
+    assert_eq!(
+        exclusions.changes.len(),
+        1,
+        "the included host is old enough to be dropped"
+    );
 }
 
-/// The file as the release before this one wrote it.
+/// A file as written by the previous release.
 const STORED: &str = "d80a412a\n{\"gatherer\":\"g\",\"hosts\":[{\"out\":true,\"stamp\":5,\"uid\":\"a\"},{\"out\":false,\"stamp\":7,\"uid\":\"b\"}],\"version\":1}\n";
 
 #[test]
--- a/bitternsill/src/admin/handover.rs
+++ b/bitternsill/src/admin/handover.rs
@@ -1,8 +1,8 @@
-//! What two processes of one gatherer share while one takes over from the other: a file with the
-//! excluded hosts, and a locked file for each process that shows that it is alive.
+//! The files that two processes of one gatherer share while one takes over from the other: a file
+//! with the excluded hosts, and for each process a locked file that shows that it is alive.
 //!
-//! The folder is `$TMPDIR`, which is memory: a write takes microseconds and is not synced, as
-//! nothing there outlives the machine. So it is done on the loop's thread, before the call is
+//! The folder is `$TMPDIR`, which is in memory: a write takes microseconds and is not synced, as
+//! nothing there survives a reboot. So it is done on the event loop's thread, before the call is
 //! answered.
 
 use super::exclusions::Exclusions;
@@ -14,7 +14,7 @@
 use std::os::unix::fs::{MetadataExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-/// What tells one version of the file from another.
+/// Metadata that distinguishes one version of the file from another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -27,24 +27,24 @@
 #[derive(Debug)]
 pub struct Handover {
     stem: PathBuf,
-    processes: usize,
+    slots: usize,
     name: String,
     capacity: usize,
-    bytes: u64,
+    max_bytes: u64,
     poll_interval: Time,
-    next: Time,
+    next_poll: Time,
     /// Locked for as long as this process serves. The kernel drops the lock when the process dies,
-    /// so no dead process is taken for a living one.
+    /// so a dead process is never taken for a live one.
     alive_lock: Option<File>,
-    number: usize,
+    slot: usize,
     file_version: Option<FileVersion>,
     has_successor: bool,
-    /// The last write failed; a failure is logged once until a write succeeds.
+    /// Whether the last write failed: a failure is logged once until a write succeeds.
     is_failing: bool,
 }
 
 impl Handover {
-    /// What is shared in a folder under a gatherer's name.
+    /// The files shared in a folder under a gatherer's name.
     pub fn new(folder: &Path, name: &str, now: Time, limits: &Limits) -> Handover {
         // The name comes from the configuration and must not lead out of the folder.
         let plain = |c: char| {
@@ -57,14 +57,14 @@
         let file_name: String = name.chars().take(64).map(plain).collect();
         Handover {
             stem: folder.join(format!("bitternsill-{file_name}")),
-            processes: limits.handover_processes,
+            slots: limits.handover_processes,
             name: name.to_owned(),
             capacity: limits.hosts,
-            bytes: limits.body_bytes as u64,
+            max_bytes: limits.body_bytes as u64,
             poll_interval: limits.handover_poll_interval,
-            next: now,
+            next_poll: now,
             alive_lock: None,
-            number: 0,
+            slot: 0,
             file_version: None,
             has_successor: false,
             is_failing: false,
@@ -75,28 +75,28 @@
         self.stem.with_extension(ending)
     }
 
-    /// Shows the other processes that this one takes clients from here on.
+    /// Shows the other processes that this one accepts clients from now on.
     pub fn announce(&mut self) {
-        let slot = (0..self.processes).find_map(|n| {
+        let slot = (0..self.slots).find_map(|n| {
             let file = create(&self.path(&format!("alive{n}"))).ok()?;
             lock(&file).then_some((file, n))
         });
         match slot {
-            Some((file, n)) => (self.alive_lock, self.number) = (Some(file), n),
+            Some((file, n)) => (self.alive_lock, self.slot) = (Some(file), n),
             None => {
-                tracing::warn!(folder = %self.stem.display(), "cannot be written: other processes are not told of this one");
+                tracing::warn!(folder = %self.stem.display(), "cannot lock a file: other processes will not see this one");
             }
         }
     }
 
-    /// Shows the other processes that this one ends.
+    /// Shows the other processes that this one is shutting down.
     pub fn withdraw(&mut self) {
         self.alive_lock = None;
     }
 
     /// When the folder is polled next.
     pub fn due(&self) -> Time {
-        self.next
+        self.next_poll
     }
 
     /// Whether another process of this name was alive at the last poll.
@@ -104,7 +104,7 @@
         self.has_successor
     }
 
-    /// The stored exclusions. None where there is no file or an unusable one, which is logged:
+    /// Reads the stored exclusions. `None` if there is no file or it is unusable, which is logged:
     /// neither may prevent a start.
     pub fn read(&mut self) -> Option<Exclusions> {
         let path = self.path("hand");
@@ -115,16 +115,16 @@
             .read(true)
             .custom_flags(NO_FOLLOW)
             .open(&path);
-        let read = file.and_then(|file| file.take(self.bytes + 1).read_to_end(&mut text));
+        let read = file.and_then(|file| file.take(self.max_bytes + 1).read_to_end(&mut text));
         let problem = match read {
-            Ok(n) if n as u64 > self.bytes => "it is too large".to_owned(),
+            Ok(n) if n as u64 > self.max_bytes => "it is too large".to_owned(),
             Ok(_) => match Exclusions::decode(&text, &self.name, self.capacity) {
                 Ok(exclusions) => return Some(exclusions),
                 Err(problem) => problem.to_string(),
             },
             Err(problem) => problem.to_string(),
         };
-        tracing::warn!(file = %path.display(), problem, "the hosts out by hand that it names are not taken");
+        tracing::warn!(file = %path.display(), problem, "cannot use the file; the excluded hosts in it are ignored");
         None
     }
 
@@ -133,7 +133,7 @@
         let result = self.try_write(exclusions);
         match &result {
             Err(problem) if !self.is_failing => {
-                tracing::warn!(%problem, "the hosts out by hand could not be written for another process");
+                tracing::warn!(%problem, "cannot store the excluded hosts for another process");
             }
             _ => {}
         }
@@ -142,9 +142,10 @@
 
     fn try_write(&mut self, exclusions: &mut Exclusions) -> io::Result<()> {
         let guard = create(&self.path("lock"))?;
-        // The other process holds the lock for some microseconds. One that is stopped while it
-        // holds it must not block this one, so after the last attempt the file is written without
-        // it. A change that this race loses is missed by the next poll, and written again.
+        // The other process holds the lock for some microseconds. If it is stopped while holding
+        // the lock, it must not block this one, so after the last attempt the file is written
+        // without the lock. A change lost in that race is detected by the next poll and written
+        // again.
         let _locked = (0..MAX_LOCK_ATTEMPTS).any(|_| {
             let locked = lock(&guard);
             if !locked {
@@ -155,7 +156,7 @@
         if let Some(theirs) = self.read() {
             exclusions.merge(&theirs);
         }
-        let (fresh, path) = (self.path(&format!("new{}", self.number)), self.path("hand"));
+        let (fresh, path) = (self.path(&format!("new{}", self.slot)), self.path("hand"));
         let mut file = create(&fresh)?;
         file.set_len(0)?;
         file.write_all(exclusions.encode(&self.name).as_bytes())?;
@@ -166,14 +167,13 @@
 
     /// Checks whether another process is alive.
     pub fn check_peers(&mut self, now: Time) -> bool {
-        (self.has_successor, self.next) = (self.is_peer_alive(), now + self.poll_interval);
+        (self.has_successor, self.next_poll) = (self.is_peer_alive(), now + self.poll_interval);
         self.has_successor
     }
 
-    /// Polls the file and the other processes. Returns whether that changes which hosts are
-    /// excluded.
+    /// Polls the file and the other processes. Returns whether the set of excluded hosts changed.
     pub fn poll(&mut self, exclusions: &mut Exclusions, now: Time) -> bool {
-        if now < self.next {
+        if now < self.next_poll {
             return false;
         }
         self.check_peers(now);
@@ -184,7 +184,7 @@
             .read()
             .unwrap_or_else(|| Exclusions::new(self.capacity));
         let changed = exclusions.merge(&theirs);
-        // A change of this process is not in it: the other had not seen it when it wrote.
+        // The file lacks a change of this process that the other had not seen when it wrote.
         if *exclusions != theirs {
             self.write(exclusions);
         }
@@ -192,14 +192,14 @@
     }
 
     fn is_peer_alive(&self) -> bool {
-        let others = (0..self.processes).filter(|n| self.alive_lock.is_none() || *n != self.number);
+        let others = (0..self.slots).filter(|n| self.alive_lock.is_none() || *n != self.slot);
         let mut files = others.map(|n| File::open(self.path(&format!("alive{n}"))));
         files.any(|file| file.is_ok_and(|file| !lock(&file)))
     }
 }
 
 const NO_FOLLOW: i32 = rustix::fs::OFlags::NOFOLLOW.bits() as i32;
-/// Some milliseconds at the most, as each attempt yields the processor to the other process.
+/// Takes some milliseconds at most, as each attempt yields the processor to the other process.
 const MAX_LOCK_ATTEMPTS: usize = 1_000;
 
 fn create(path: &Path) -> io::Result<File> {
--- a/bitternsill/src/admin/handover/tests.rs
+++ b/bitternsill/src/admin/handover/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A folder of its own, removed with the test.
+/// A temporary folder, removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -55,8 +55,8 @@
         let two = scope.spawn(|| change("b", two));
         [one.join().unwrap(), two.join().unwrap()]
     });
-    // Where one wrote without the lock, which the other held while it stood still, the next
-    // look mends it.
+    // If one wrote without the lock, which the other held while it was suspended, the next poll
+    // repairs the file.
     for later in [2, 1] {
         for (handover, exclusions) in &mut both {
             handover.poll(exclusions, u64::MAX - 1_000_000_000 * later);
@@ -96,7 +96,7 @@
     for case in cases {
         let folder = Folder::new();
         std::fs::write(folder.0.join("bitternsill-n1.hand"), &case).unwrap();
-        // What a process left that was killed while it wrote.
+        // The temporary file of a process that was killed during a write.
         std::fs::write(folder.0.join("bitternsill-n1.new0"), &case).unwrap();
         let (mut handover, mut exclusions) = folder.process("n1");
         assert_eq!(exclusions.excluded().count(), 0);
@@ -114,7 +114,7 @@
     exclusions.set("s-3", true, 5).unwrap();
     handover.write(&mut exclusions);
     assert!(folder.0.join("bitternsill-______n1.hand").exists());
-    // Without a folder each process stands alone.
+    // Without a folder, each process is on its own.
     let mut alone = Handover::new(Path::new("/nowhere/at/all"), "n1", 0, &Limits::default());
     alone.announce();
     alone.write(&mut exclusions);
@@ -128,11 +128,11 @@
     assert!(one.check_peers(1) && two.check_peers(1));
     assert!(
         !folder.process("n2").0.check_peers(1),
-        "another gatherer is no process of this one"
+        "a process of another gatherer does not count"
     );
     one.withdraw();
     assert!(!two.check_peers(2) && one.check_peers(2));
-    // One that is killed gives its lock back with its descriptors.
+    // A process that is killed releases its lock with its descriptors.
     drop(two);
     assert!(!one.check_peers(3));
 }
--- a/bitternsill/src/admin/listener.rs
+++ b/bitternsill/src/admin/listener.rs
@@ -1,5 +1,5 @@
-//! The listener of the operators' API: few connections, one call each, served however many clients
-//! are connected.
+//! The listener of the operators' API: few connections with one call each, which are served however
+//! many clients are connected.
 
 use super::calls::{self, Call, Operation};
 use super::drain::Schedule;
@@ -21,7 +21,7 @@
     socket: TcpListener,
     /// Open connections, the oldest first.
     connections: VecDeque<Token>,
-    /// Each is closed to free its descriptor for one connection.
+    /// Each is closed to free its descriptor for a connection.
     reserved: Vec<File>,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Closes the oldest connection, so that idle ones cannot keep out the next.
+    /// Closes the oldest connection, so that idle ones cannot keep out new ones.
     fn evict_oldest(&mut self, cx: &mut Cx<'_>) {
         if let Some(oldest) = self.connections.pop_front() {
             cx.net.post(oldest, Message::Evict);
@@ -80,7 +80,7 @@
                         problem.kind(),
                         io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
                     ) {
-                        tracing::warn!(%problem, "an operator's call cannot be accepted");
+                        tracing::warn!(%problem, "cannot accept an operator's connection");
                         self.evict_oldest(cx);
                         let _ = cx.net.rearm(&self.socket, cx.token, Ready::default());
                         cx.set_timer(cx.now + cx.world.limits.accept_backoff);
@@ -126,7 +126,7 @@
         let response = match calls::read(head, body, cx.world.limits.name_bytes) {
             Ok(call) => {
                 let response = execute(cx, &call);
-                // Whether it is ready is asked several times a second.
+                // Readiness is polled several times a second and is not logged.
                 if call.operation != Operation::Ready {
                     tracing::info!(%call, peer = %self.peer, status = response.status, "operator's call");
                     if let Some(versions) = &cx.world.versions {
@@ -140,7 +140,7 @@
                 response
             }
             Err(response) => {
-                tracing::info!(target = head.start.1, peer = %self.peer, status = response.status, "no call");
+                tracing::info!(target = head.start.1, peer = %self.peer, status = response.status, "rejected an operator's request");
                 response
             }
         };
@@ -169,7 +169,7 @@
 fn execute(cx: &mut Cx<'_>, call: &Call) -> Response {
     let serving = cx.world.phase == Phase::Serving;
     match call.operation {
-        // What is turned away is told too: a gatherer may be ready and yet serve nobody.
+        // The response lists rejected requests too: a gatherer may be ready and still serve nobody.
         Operation::Ready => match cx.world.waiting_for(cx.now) {
             None => Response::text(200, format!("ready{}", cx.world.rejections)),
             Some(wait) => Response::text(
@@ -180,7 +180,7 @@
         Operation::Exclude => set_exclusion(cx, &call.member, true),
         Operation::Include => set_exclusion(cx, &call.member, false),
         Operation::Evacuate | Operation::Rejoin if !serving => {
-            Response::text(503, "this process is ending")
+            Response::text(503, "this process is shutting down")
         }
         Operation::Evacuate => {
             let begins = cx
@@ -213,14 +213,14 @@
 
 fn set_exclusion(cx: &mut Cx<'_>, uid: &str, excluded: bool) -> Response {
     let world = &mut *cx.world;
-    // A host may be gone from the list while it is out, as it is restarted then.
+    // An excluded host may be missing from the list, as hosts are excluded to be restarted.
     if world.hosts.id_of(uid).is_none() && !world.orders.exclusions.is_excluded(uid) {
         return Response::text(404, format!("no index host `{}`", uid.escape_default()));
     }
     if world.orders.set(uid, excluded, cx.now).is_err() {
         return Response::text(
             507,
-            "as many hosts are out as are kept: take one back first",
+            "the maximum number of hosts is already excluded: include one first",
         );
     }
     world.apply_exclusions(cx.net, cx.now);
