--- a/bitternsill/src/store/client.rs
+++ b/bitternsill/src/store/client.rs
@@ -32,7 +32,7 @@
     NoMajority(SocketAddr),
     /// The exchange with this member failed.
     Member(SocketAddr, Box<ClientError>),
-    /// The response does not have the form that is named first.
+    /// The response is not of the expected form, which is named first.
     UnexpectedResponse(&'static str, Json),
 }
 
--- a/bitternsill/src/store/server.rs
+++ b/bitternsill/src/store/server.rs
@@ -205,8 +205,8 @@
         return Err(MalformedMessage("the sender is not a member"));
     }
     if let Some(Err(other)) = with_store(cx, |store, now| store.receive(envelope, now)) {
-        // The sender repeats its messages; closing the connection keeps this from being logged for
-        // each.
+        // The sender repeats its messages; closing the connection limits this to one log line per
+        // connection.
         tracing::warn!(%other, "rejected a message of another store's member");
         return Err(MalformedMessage("the sender belongs to another store"));
     }
--- a/bitternsill/src/store/service.rs
+++ b/bitternsill/src/store/service.rs
@@ -38,7 +38,8 @@
     file_writer: Option<Token>,
     /// The status that was last logged.
     logged_status: Option<Status>,
-    /// When the status of a member that is still waiting is logged again, and the interval of that.
+    /// When the status of a member that is still waiting is logged again, and the interval between
+    /// such log lines.
     log_status_at: Time,
     status_log_interval: Time,
 }
--- a/bitternsill/src/versions.rs
+++ b/bitternsill/src/versions.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Error)]
 enum UnusableDocument {
     /// It is of a newer format.
-    #[error("the document has format {0}, and this program reads formats up to {FORMAT}")]
+    #[error("it is of format {0}, and this program reads up to {FORMAT}")]
     Format(u64),
     /// Its settings can't be used.
     #[error(transparent)]
--- a/bitternsill/src/versions/activation.rs
+++ b/bitternsill/src/versions/activation.rs
@@ -127,7 +127,7 @@
     let mut changes = activation_changes(&document, proposal, &autonomous);
     changes.extend(deletions(seen, HISTORY, RETAINED_DOCUMENTS));
     changes.extend(deletions(seen, EVER_ACTIVE, RETAINED_PROPOSALS));
-    // An excluded gatherer has stopped serving, so it can be included again in the new version.
+    // An excluded gatherer has stopped serving, so its exclusion ends with the new version.
     let excluded = fleet
         .iter()
         .filter(|(_, member)| member.excluded_since.is_some());
--- a/bitternsill/src/versions/audit_writer/files.rs
+++ b/bitternsill/src/versions/audit_writer/files.rs
@@ -1,5 +1,5 @@
-//! The files of an audit log, one for each segment. Each incarnation starts a new segment, and so
-//! does a segment that reaches [`SEGMENT_BYTES`].
+//! The files of an audit log, one for each segment. A new segment is started by each incarnation,
+//! and when a segment reaches [`SEGMENT_BYTES`].
 
 use crate::versions::collect::complete_utf8;
 use serde_json::json;
--- a/bitternsill/src/versions/cli.rs
+++ b/bitternsill/src/versions/cli.rs
@@ -70,7 +70,7 @@
     /// Settings in JSON, or a configuration that has them under `settings`.
     #[arg(required_unless_present = "back_to")]
     file: Option<PathBuf>,
-    /// Propose the settings of this earlier proposal again.
+    /// Propose again the settings of this formerly active proposal.
     #[arg(long, value_name = "PROPOSAL", conflicts_with = "file")]
     back_to: Option<u64>,
     /// The fraction of gatherers that keep serving without a store, even if their version is
--- a/bitternsill/src/versions/collect.rs
+++ b/bitternsill/src/versions/collect.rs
@@ -26,7 +26,7 @@
     #[error("the response is malformed")]
     BadResponse,
     /// The gatherer started another log while this one was being fetched.
-    #[error("the gatherer started another trail during the fetch")]
+    #[error("the gatherer started another audit log during the fetch")]
     LogReplaced,
     /// A chunk could not be stored.
     #[error("{}: {problem}", path.display())]
