--- a/bitternsill/src/cli.rs
+++ b/bitternsill/src/cli.rs
@@ -20,13 +20,14 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Exit status of a call that cannot be understood.
+/// Exit status for an invalid command line.
 const BAD_USAGE: u8 = 2;
 
-/// A gatherer: it takes queries from clients, sends one part per slice to the index hosts that hold
-/// it, and gives each client one answer before its time is over.
+/// A gatherer: accepts queries from clients, sends one part per slice to the index hosts that hold
+/// it, and returns one answer to each client within its time budget.
 ///
-/// The log goes to standard error; BITTERNSILL_LOG is error, warn, info (default), debug or trace.
+/// Logs go to standard error; BITTERNSILL_LOG sets the level: error, warn, info (default), debug or
+/// trace.
 #[derive(Debug, Parser)]
 #[command(
     name = "bitternsill",
@@ -48,55 +49,56 @@
         /// The settings of the process [default: $BITTERNSILL_SETTINGS].
         #[arg(long, value_name = "FILE")]
         settings: Option<PathBuf>,
-        /// Tell the process's own figures as text on this port: GET /metrics.
+        /// Serve the process's metrics as text on this port: GET /metrics.
         #[arg(long, value_name = "PORT")]
         metrics_port: Option<u16>,
-        /// Only say whether the settings can be used.
+        /// Only check whether the settings can be used.
         #[arg(long)]
         check: bool,
     },
-    /// Ask a router of a fleet, or look at the files that it keeps.
+    /// Query a router of a fleet, or inspect the files that it stores.
     #[command(subcommand)]
     System(SystemCommand),
-    /// Say whether an operator's file can be used, and where not.
+    /// Check an operator's file, and print where it is invalid.
     Check {
-        /// A set-up, the platform's configuration, or an OpenAPI or AsyncAPI description in JSON.
+        /// An operator's file, the platform's configuration, or an OpenAPI or AsyncAPI description
+        /// in JSON.
         file: PathBuf,
     },
-    /// Print a description of the program's surfaces.
+    /// Print a description of the program's interfaces.
     Describe {
-        /// Which one.
+        /// The description to print.
         what: Description,
     },
-    /// Play the conformance suite against a server: exits with 0 if no case fails.
+    /// Run the conformance suite against a server; exits with 0 if no case fails.
     Conform {
-        /// What the server speaks.
+        /// The server's protocol.
         protocol: Protocol,
-        /// Where it listens.
+        /// The server's address.
         address: SocketAddr,
-        /// The database that is searched.
+        /// The database to search.
         #[arg(long, default_value = "comics")]
         database: String,
-        /// A term that finds at least six records.
+        /// A search term that matches at least six records.
         #[arg(long, default_value = "moon")]
         term: String,
-        /// Milliseconds that the server may take over one answer.
+        /// Milliseconds to wait for each response.
         #[arg(long, default_value_t = 10_000, value_parser = clap::value_parser!(u64).range(1..=600_000))]
         patience: u64,
-        /// How results are printed.
+        /// The output format.
         #[arg(long, default_value = "text")]
         format: Format,
     },
-    /// Look at a file of what was learned, or change its form.
+    /// Inspect, compare or convert snapshots of the statistics that a gatherer retains.
     #[command(subcommand)]
     Learned(Learned),
-    /// Look at the file of a store's member.
+    /// Inspect the file of a store member, or recover a store from it.
     #[command(subcommand)]
     Store(StoreCommand),
-    /// Ask a fleet: how far it has come after a start, which versions it runs, who acted on which.
+    /// Query and control a fleet: recovery phases, versions of the configuration, and their audit.
     #[command(subcommand)]
     Fleet(FleetCall),
-    /// Call a running gatherer's door, as operators do by hand.
+    /// Call the operators' API of a running gatherer.
     #[command(subcommand)]
     Admin(Admin),
     /// Print the version.
@@ -108,17 +110,18 @@
     /// The platform's configuration, read again on SIGHUP [default: $ROUTER_CONFIG].
     #[arg(long, value_name = "FILE", conflicts_with = "catalogue")]
     config: Option<PathBuf>,
-    /// What this installation has beside the platform's: an operator's file [default: none].
+    /// An operator's file, with the settings of this installation beside the platform's
+    /// configuration [default: none].
     #[arg(long, value_name = "FILE", conflicts_with = "catalogue")]
     operator: Option<PathBuf>,
-    /// Serve SRU and Z39.50 instead, as this operator's file sets it up.
+    /// Serve SRU and Z39.50 instead, as configured in this operator's file.
     #[arg(long, value_name = "FILE")]
     catalogue: Option<PathBuf>,
 }
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
 enum Description {
-    /// The HTTP surfaces.
+    /// The HTTP interfaces.
     #[value(name = "openapi")]
     OpenApi,
     /// The watch and store streams.
@@ -141,7 +144,7 @@
     }
 }
 
-/// Parses the command line; a wrong one, and a request for help, are answered here.
+/// Parses the command line. An invalid one and a request for help are handled here.
 fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Call, ExitCode> {
     match Call::try_parse_from(args) {
         Ok(call) => Ok(call),
@@ -172,7 +175,7 @@
                 address,
                 database,
                 term,
-                patience: Duration::from_millis(patience),
+                timeout: Duration::from_millis(patience),
             };
             conform(protocol, &target, format)
         }
@@ -181,7 +184,7 @@
             ..
         }) => {
             start_log();
-            served(
+            exit_status(
                 setup::load(&file)
                     .map_err(Into::into)
                     .and_then(serve::catalogue),
@@ -191,7 +194,7 @@
             config, operator, ..
         }) => {
             start_log();
-            served(operator_file(operator).and_then(|beside| {
+            exit_status(operator_file(operator).and_then(|beside| {
                 let config = config::load(config)?;
                 serve::platform(config, beside)
             }))
@@ -201,7 +204,7 @@
             check: true,
             ..
         } => match router::cli::check(settings) {
-            Ok(words) => print(format_args!("{words}")),
+            Ok(text) => print(format_args!("{text}")),
             Err(problem) => failed(&problem),
         },
         Command::Router {
@@ -213,20 +216,24 @@
             Err(problem) => failed(&problem),
         },
         Command::System(call) => match router::cli::execute(&call) {
-            Ok(words) => print(format_args!("{words}")),
+            Ok(text) => print(format_args!("{text}")),
             Err(problem) => failed(&problem),
         },
         Command::Store(call) => match store_file::run(&call) {
-            Ok(words) => print(format_args!("{words}")),
+            Ok(text) => print(format_args!("{text}")),
             Err(problem) => failed(&problem),
         },
         Command::Fleet(call) => {
-            let (words, all) = fleet::run(&call);
-            let printed = print(format_args!("{words}"));
-            if all { printed } else { ExitCode::FAILURE }
+            let (text, succeeded) = fleet::run(&call);
+            let printed = print(format_args!("{text}"));
+            if succeeded {
+                printed
+            } else {
+                ExitCode::FAILURE
+            }
         }
         Command::Admin(call) => match admin::run(call) {
-            Ok(words) => print(format_args!("{words}")),
+            Ok(text) => print(format_args!("{text}")),
             Err(problem) => failed(&problem),
         },
         Command::Learned(call) => learned::run(call, |text| print(format_args!("{text}"))),
@@ -241,10 +248,10 @@
     }
 }
 
-/// Plays the conformance cases and prints their report.
+/// Runs the conformance cases and prints their report.
 fn conform(protocol: Protocol, target: &Target, format: Format) -> ExitCode {
-    let judged = conform::play(protocol, target);
-    match conform::report(&judged, format, &mut io::stdout()) {
+    let results = conform::run(protocol, target);
+    match conform::report(&results, format, &mut io::stdout()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(problem) if problem.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
@@ -255,7 +262,7 @@
 fn report_check(file: &Path) -> ExitCode {
     let problems = check(file);
     if problems.is_empty() {
-        return print(format_args!("{}: fits", file.display()));
+        return print(format_args!("{}: valid", file.display()));
     }
     for problem in problems {
         eprintln!("bitternsill: {}: {problem}", file.display());
@@ -263,7 +270,7 @@
     ExitCode::FAILURE
 }
 
-/// Prints a line; a reader that has gone, as `head` does, is no failure of ours.
+/// Prints a line. A closed pipe, as with `head`, does not count as a failure.
 fn print(line: fmt::Arguments<'_>) -> ExitCode {
     match writeln!(io::stdout(), "{line}") {
         Err(problem) if problem.kind() != io::ErrorKind::BrokenPipe => ExitCode::FAILURE,
@@ -278,15 +285,15 @@
     Ok(setup::read_operator(&setup::load_json(&path)?)?)
 }
 
-/// What is wrong with an operator's file.
+/// The problems of an operator's file.
 fn check(file: &Path) -> Vec<String> {
     let json = match setup::load_json(file) {
         Ok(json) => json,
         Err(problem) => return vec![problem.to_string()],
     };
     describe::fit::check(&json, &Limits::default()).unwrap_or_else(|| {
-        // The platform's configuration names one address; a set-up says for each front where to
-        // listen.
+        // In the platform's configuration `listen` is one address; in a set-up it is an object with
+        // an address for each front.
         if json["listen"].is_string() {
             let config = config::load(Some(file.to_owned())).map_err(|problem| problem.to_string());
             let read = |c: config::Config| {
@@ -294,7 +301,7 @@
             };
             return config.and_then(read).err().into_iter().collect();
         }
-        // A set-up says where to listen; what goes beside the platform's configuration does not.
+        // A set-up has `listen`; a file that goes beside the platform's configuration does not.
         let problem = match json.get("listen") {
             None if ["learning", "recovery", "store", "versions"]
                 .iter()
@@ -308,7 +315,7 @@
     })
 }
 
-fn served(result: Result<(), serve::ServeError>) -> ExitCode {
+fn exit_status(result: Result<(), serve::ServeError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
@@ -326,7 +333,7 @@
         .with_max_level(level.unwrap_or(tracing::Level::INFO))
         .with_writer(std::io::stderr)
         .with_ansi(false)
-        // It would say so on standard error too, and panic where that is gone.
+        // Internal errors would go to standard error too, and panic if that is closed.
         .log_internal_errors(false)
         .init();
 }
--- a/bitternsill/src/config.rs
+++ b/bitternsill/src/config.rs
@@ -1,4 +1,5 @@
-//! What the platform tells a gatherer: its configuration file, and the variables beside it.
+//! The platform's configuration of a gatherer: a file, and environment variables for values that
+//! the file lacks.
 
 mod shape;
 
@@ -10,12 +11,12 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// What a value that is an address looks like.
+/// The form of an address.
 const ADDRESS_FORM: &str = "IP:PORT";
-/// What a seed looks like.
+/// The form of a seed.
 const SEED_FORM: &str = "hex digits";
 
-/// A configuration that cannot be used.
+/// Why a configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// No file was named.
@@ -26,7 +27,7 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The cause.
         source: std::io::Error,
     },
     /// The file is not JSON.
@@ -43,7 +44,7 @@
     /// The settings cannot be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A file that is to take the place of another lacks what that has.
+    /// A file that is read again lacks keys that it had before.
     #[error("configuration: {0}")]
     Shape(#[from] ShapeError),
 }
@@ -53,30 +54,31 @@
 pub struct Config {
     /// The file that it was read from.
     pub path: PathBuf,
-    /// Its name.
+    /// The gatherer's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where operators call; nowhere on most platforms.
+    /// The address of the operators' API; most platforms have none.
     pub admin: Option<SocketAddr>,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// File descriptors that it may hold.
+    /// The maximum number of file descriptors.
     pub sockets: usize,
-    /// Memory that it may use, in MB.
+    /// The memory limit, in MB.
     pub memory_mb: usize,
-    /// The list it last had, in discovery's form; null where there is none.
+    /// The last known endpoint list, in the form in which discovery sends it; null if there is
+    /// none.
     pub known: Json,
     /// The settings.
     pub settings: Json,
-    /// Which keys the file has.
+    /// The keys of the file.
     pub shape: Shape,
 }
 
-/// Reads the file named on the command line or in the environment; variables stand in for what it
-/// lacks.
+/// Reads the file given on the command line or in the environment. Environment variables supply
+/// values that it lacks.
 pub fn load(path: Option<PathBuf>) -> Result<Config, ConfigError> {
     let path = path.or_else(|| std::env::var_os("ROUTER_CONFIG").map(PathBuf::from));
     let path = path.ok_or(ConfigError::NoFile)?;
--- a/bitternsill/src/config/shape.rs
+++ b/bitternsill/src/config/shape.rs
@@ -1,11 +1,11 @@
-//! Whether a configuration file that is read again is complete: a file that is still being written
-//! may be sound JSON and leave out what the one before had.
+//! Checks that a configuration file that is read again is complete: a file that is still being
+//! written may be valid JSON and lack keys that it had before.
 
 use serde_json::Value as Json;
 use thiserror::Error;
 
-/// Keys that a file may leave out though the one before had them: hints for a start, and what the
-/// platform's pages call absent at times.
+/// Keys that a file may lack although the previous one had them: hints for the start, and keys that
+/// are optional by the platform's documentation.
 const OPTIONAL: &[&str] = &[
     "known",
     "seed",
@@ -17,11 +17,11 @@
     "fleet",
 ];
 
-/// A file as far as its keys and their kinds go.
+/// The keys of a file and the types of their values.
 #[derive(Debug, Clone)]
 pub struct Shape(Json);
 
-/// How a file that is to take the place of another differs from it.
+/// How a new file falls short of the previous one.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum ShapeError {
     /// A key is missing.
@@ -30,18 +30,18 @@
         /// Its path.
         path: String,
     },
-    /// A value is of another kind.
-    #[error("`{path}` is {found}, where {expected} stood")]
+    /// A value has another type.
+    #[error("`{path}` is {found}, but was {expected} before")]
     Kind {
         /// Its path.
         path: String,
         /// The value.
         found: String,
-        /// The kind of the former value.
+        /// The type of the previous value.
         expected: &'static str,
     },
     /// An array that had one value for each class has another length.
-    #[error("`settings.extra.{key}` does not tell one value for each class")]
+    #[error("`settings.extra.{key}` must have one value for each class")]
     ClassCount {
         /// Its key.
         key: String,
@@ -54,9 +54,8 @@
         Shape(file)
     }
 
-    /// Whether this file has all that `other` has; what it lacks otherwise. A file that is being
-    /// written, or was cut in its making, may well be sound JSON and still leave out a limit or a
-    /// class's price.
+    /// Checks that this file has all keys of `other`. A file that is still being written, or was
+    /// truncated, may be valid JSON and still lack a limit or a class's price.
     pub fn fits(&self, other: &Shape) -> Result<(), ShapeError> {
         fits(&self.0, &other.0, "")?;
         let classes = |json: &Json| {
@@ -98,7 +97,7 @@
             }
             Ok(())
         }
-        // Each entry must have what all entries had.
+        // Each entry must have the keys that all previous entries had.
         (Json::Array(here), Json::Array(other))
             if other.iter().all(Json::is_object) && !other.is_empty() =>
         {
--- a/bitternsill/src/conform.rs
+++ b/bitternsill/src/conform.rs
@@ -1,7 +1,8 @@
-//! The conformance suite: clauses of the standards as cases, played by a client against any server.
+//! The conformance suite: test cases for clauses of the standards, run by a client against any
+//! server.
 //!
-//! Requests are put together from the standards' own words and tags, and not by the codecs that the
-//! front answers with: a mistake that both sides of one codec share would never show.
+//! Requests are built from the element names and tags in the standards, not with the codecs of the
+//! front: a fault that both sides of a codec share would go unnoticed.
 
 mod sru;
 mod z3950;
@@ -12,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is tested.
+/// The protocol under test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum Protocol {
     /// Z39.50
@@ -21,149 +22,154 @@
     Sru,
 }
 
-/// How results are printed.
+/// The output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
     /// A table.
     Text,
-    /// One object.
+    /// A JSON object.
     Json,
 }
 
-/// How a case ended.
+/// The outcome of a case.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// As the clause has it.
+    /// The server conforms to the clause.
     Pass,
-    /// Otherwise; what was seen.
+    /// The server does not conform; holds what was observed.
     Fail(String),
-    /// Not to be judged: the server does not offer it, which the standard leaves to it.
+    /// The server does not offer an optional feature of the standard.
     Skip(String),
 }
 
-/// Why a case stopped.
+/// Why a case ended early.
 #[derive(Debug)]
-pub enum Stop {
-    /// What was seen is not what the clause asks for.
-    Miss(String),
-    /// The server does not offer it.
+pub enum CaseError {
+    /// The response does not conform to the clause; holds what was observed.
+    Mismatch(String),
+    /// The server does not offer the feature.
     NotOffered(String),
 }
 
-impl From<io::Error> for Stop {
+impl From<io::Error> for CaseError {
     fn from(problem: io::Error) -> Self {
-        Stop::Miss(format!("no answer: {problem}"))
+        CaseError::Mismatch(format!("no response: {problem}"))
     }
 }
 
-/// A case's end.
-type Played = Result<(), Stop>;
+/// The result of a case or of a check in it.
+type CaseResult = Result<(), CaseError>;
 
-/// Judges one thing that was seen.
-fn see(holds: bool, seen: impl fmt::Display) -> Played {
+/// Checks a condition; `observed` describes what was seen if it does not hold.
+fn check(holds: bool, observed: impl fmt::Display) -> CaseResult {
     if holds {
         Ok(())
     } else {
-        Err(Stop::Miss(seen.to_string()))
+        Err(CaseError::Mismatch(observed.to_string()))
     }
 }
 
-fn same<T: PartialEq + fmt::Debug>(what: &str, seen: T, wanted: T) -> Played {
-    see(
-        seen == wanted,
-        format_args!("{what}: {seen:?}, wanted {wanted:?}"),
+fn check_eq<T: PartialEq + fmt::Debug>(what: &str, observed: T, expected: T) -> CaseResult {
+    check(
+        observed == expected,
+        format_args!("{what}: {observed:?}, expected {expected:?}"),
     )
 }
 
-fn miss<T>(seen: impl fmt::Display) -> Result<T, Stop> {
-    Err(Stop::Miss(seen.to_string()))
+fn mismatch<T>(observed: impl fmt::Display) -> Result<T, CaseError> {
+    Err(CaseError::Mismatch(observed.to_string()))
 }
 
 /// The server under test.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
-    /// The database that is searched.
+    /// The database to search.
     pub database: String,
-    /// A search that finds several records, in CQL or as a word.
+    /// A search that matches several records, in CQL or as a word.
     pub term: String,
-    /// How long it may take over one answer.
-    pub patience: Duration,
+    /// The timeout of a response.
+    pub timeout: Duration,
 }
 
 /// One case.
 struct Case {
     /// Its name.
     name: &'static str,
-    /// The clause that it is taken from.
+    /// The clause that it tests.
     clause: &'static str,
-    play: fn(&Target) -> Played,
+    run: fn(&Target) -> CaseResult,
 }
 
-/// A case's result.
+/// A case with its verdict.
 #[derive(Debug, Clone)]
-pub struct Judged {
+pub struct CaseReport {
     /// The case.
     pub name: &'static str,
-    /// The clause that it is taken from.
+    /// The clause that it tests.
     pub clause: &'static str,
-    /// How it ended.
+    /// The outcome.
     pub verdict: Verdict,
 }
 
-/// Plays every case.
-pub fn play(protocol: Protocol, target: &Target) -> Vec<Judged> {
+/// Runs every case of a protocol.
+pub fn run(protocol: Protocol, target: &Target) -> Vec<CaseReport> {
     let cases = match protocol {
         Protocol::Sru => sru::CASES,
         Protocol::Z3950 => z3950::CASES,
     };
-    let judge = |case: &Case| Judged {
+    let run_case = |case: &Case| CaseReport {
         name: case.name,
         clause: case.clause,
-        verdict: match (case.play)(target) {
+        verdict: match (case.run)(target) {
             Ok(()) => Verdict::Pass,
-            Err(Stop::Miss(seen)) => Verdict::Fail(seen),
-            Err(Stop::NotOffered(what)) => Verdict::Skip(what),
+            Err(CaseError::Mismatch(observed)) => Verdict::Fail(observed),
+            Err(CaseError::NotOffered(what)) => Verdict::Skip(what),
         },
     };
-    cases.iter().map(judge).collect()
+    cases.iter().map(run_case).collect()
 }
 
-/// Prints what was judged; says whether no case failed.
-pub fn report(judged: &[Judged], format: Format, out: &mut impl Write) -> io::Result<bool> {
-    let count = |wanted: fn(&Verdict) -> bool| judged.iter().filter(|j| wanted(&j.verdict)).count();
+/// Prints the reports; returns whether no case failed.
+pub fn report(reports: &[CaseReport], format: Format, out: &mut impl Write) -> io::Result<bool> {
+    let count = |wanted: fn(&Verdict) -> bool| {
+        reports
+            .iter()
+            .filter(|report| wanted(&report.verdict))
+            .count()
+    };
     let passed = count(|v| matches!(v, Verdict::Pass));
     let failed = count(|v| matches!(v, Verdict::Fail(_)));
     let skipped = count(|v| matches!(v, Verdict::Skip(_)));
     match format {
         Format::Json => {
-            let case = |j: &Judged| -> Json {
-                let (verdict, seen) = match &j.verdict {
+            let case = |report: &CaseReport| -> Json {
+                let (verdict, seen) = match &report.verdict {
                     Verdict::Pass => ("pass", None),
                     Verdict::Fail(seen) => ("fail", Some(seen)),
                     Verdict::Skip(what) => ("skip", Some(what)),
                 };
-                json!({"case": j.name, "clause": j.clause, "verdict": verdict, "seen": seen})
+                json!({"case": report.name, "clause": report.clause, "verdict": verdict, "seen": seen})
             };
-            let cases: Vec<Json> = judged.iter().map(case).collect();
+            let cases: Vec<Json> = reports.iter().map(case).collect();
             let all =
                 json!({"passed": passed, "failed": failed, "skipped": skipped, "cases": cases});
             writeln!(out, "{all:#}")?;
         }
         Format::Text => {
-            let width = judged
+            let width = reports
                 .iter()
-                .map(|j| j.name.chars().count())
+                .map(|report| report.name.chars().count())
                 .max()
                 .unwrap_or(0);
-            for j in judged {
-                let (word, seen) = match &j.verdict {
+            for report in reports {
+                let (word, seen) = match &report.verdict {
                     Verdict::Pass => ("pass", ""),
                     Verdict::Fail(seen) => ("FAIL", seen.as_str()),
                     Verdict::Skip(what) => ("skip", what.as_str()),
                 };
-                let line = format!("{word}  {:width$}  {}  {seen}", j.name, j.clause);
+                let line = format!("{word}  {:width$}  {}  {seen}", report.name, report.clause);
                 writeln!(out, "{}", line.trim_end())?;
             }
             writeln!(out, "{passed} passed, {failed} failed, {skipped} skipped")?;
--- a/bitternsill/src/conform/z3950/peer.rs
+++ b/bitternsill/src/conform/z3950/client.rs
@@ -1,6 +1,6 @@
-//! A client of Z39.50 that puts its data units together from the standard's tags.
+//! A client of Z39.50 that builds its APDUs from the tags in the standard.
 
-use crate::conform::{Played, Stop, Target, miss, same, see};
+use crate::conform::{CaseError, CaseResult, Target, check, check_eq, mismatch};
 use catalogue::ber::{self, Class, Item, Writer, universal};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -11,79 +11,80 @@
 pub(super) const SUTRS: &str = "1.2.840.10003.5.101";
 pub(super) const GRS1: &str = "1.2.840.10003.5.105";
 
-/// Options that are proposed: search, present, delSet, scan, sort, concurrentOperations,
+/// The options that are proposed by default: search, present, delSet, scan, sort, concurrentOperations,
 /// namedResultSets.
-pub(super) const USUAL: &[usize] = &[0, 1, 2, 7, 8, 13, 14];
+pub(super) const DEFAULT_OPTIONS: &[usize] = &[0, 1, 2, 7, 8, 13, 14];
 
-pub(super) struct Peer {
+pub(super) struct Client {
     pub(super) socket: TcpStream,
     pub(super) input: Vec<u8>,
     /// The response to Init.
-    pub(super) welcome: Item,
+    pub(super) init_response: Item,
 }
 
-impl Peer {
-    pub(super) fn connect(target: &Target) -> Result<Peer, Stop> {
+impl Client {
+    pub(super) fn connect(target: &Target) -> Result<Client, CaseError> {
         let socket = TcpStream::connect(target.address)?;
         socket.set_nodelay(true)?;
-        socket.set_read_timeout(Some(target.patience))?;
+        socket.set_read_timeout(Some(target.timeout))?;
         let nothing = Item {
             class: Class::Other,
             tag: 0,
             content: ber::Content::Constructed(Vec::new()),
         };
-        Ok(Peer {
+        Ok(Client {
             socket,
             input: Vec::new(),
-            welcome: nothing,
+            init_response: nothing,
         })
     }
 
-    /// A session with these versions and options; `None` where the server does not take it.
+    /// Opens a session with these versions and options. The server may have rejected it: see
+    /// `init_response`.
     pub(super) fn init(
         target: &Target,
         versions: &[usize],
         options: &[usize],
         size: i64,
-    ) -> Result<Peer, Stop> {
-        let mut peer = Peer::connect(target)?;
+    ) -> Result<Client, CaseError> {
+        let mut client = Client::connect(target)?;
         let request = init_request(versions, options, size);
-        peer.welcome = peer.ask(&request)?;
-        Ok(peer)
+        client.init_response = client.exchange(&request)?;
+        Ok(client)
     }
 
-    pub(super) fn open(target: &Target) -> Result<Peer, Stop> {
-        let peer = Peer::init(target, &[0, 1, 2], USUAL, 1 << 20)?;
-        match peer.welcome.get(12).and_then(Item::boolean) {
-            Some(true) => Ok(peer),
-            _ => miss("the session is not taken"),
+    pub(super) fn open(target: &Target) -> Result<Client, CaseError> {
+        let client = Client::init(target, &[0, 1, 2], DEFAULT_OPTIONS, 1 << 20)?;
+        match client.init_response.get(12).and_then(Item::boolean) {
+            Some(true) => Ok(client),
+            _ => mismatch("the server rejected Init"),
         }
     }
 
     pub(super) fn has(&self, option: usize) -> bool {
-        self.welcome.get(4).is_some_and(|o| o.bit(option))
+        self.init_response.get(4).is_some_and(|o| o.bit(option))
     }
 
-    pub(super) fn needs(&self, option: usize, what: &str) -> Played {
+    pub(super) fn require_option(&self, option: usize, what: &str) -> CaseResult {
         if self.has(option) {
             Ok(())
         } else {
-            Err(Stop::NotOffered(format!("{what} was not agreed on")))
+            Err(CaseError::NotOffered(format!("{what} was not negotiated")))
         }
     }
 
-    pub(super) fn say(&mut self, bytes: &[u8]) -> Played {
+    pub(super) fn send(&mut self, bytes: &[u8]) -> CaseResult {
         Ok(self.socket.write_all(bytes)?)
     }
 
-    /// The next data unit, or `None` at the connection's end.
-    pub(super) fn hear(&mut self) -> Result<Option<Item>, Stop> {
+    /// The next APDU, or `None` at the end of the connection.
+    pub(super) fn receive(&mut self) -> Result<Option<Item>, CaseError> {
         let mut chunk = [0; 8192];
         loop {
             match ber::read(&mut self.input, 1 << 24, 64) {
-                Ok(Some(unit)) => return Ok(Some(unit)),
+                Ok(Some(apdu)) => return Ok(Some(apdu)),
                 Ok(None) => {}
-                Err(problem) => return miss(problem),
+                Err(problem) => return mismatch(problem),
             }
             match self.socket.read(&mut chunk) {
                 Ok(0) => return Ok(None),
@@ -94,43 +95,43 @@
         }
     }
 
-    pub(super) fn ask(&mut self, bytes: &[u8]) -> Result<Item, Stop> {
-        self.say(bytes)?;
-        match self.hear()? {
-            Some(unit) => Ok(unit),
-            None => miss("the connection ended without an answer"),
+    pub(super) fn exchange(&mut self, bytes: &[u8]) -> Result<Item, CaseError> {
+        self.send(bytes)?;
+        match self.receive()? {
+            Some(apdu) => Ok(apdu),
+            None => mismatch("the connection ended without a response"),
         }
     }
 
-    /// The session ends: with a Close of this reason, or by its connection's end.
-    pub(super) fn is_closed(&mut self, reason: i64) -> Played {
-        match self.hear()? {
+    /// Expects the end of the session: a Close with this reason, or the end of the connection.
+    pub(super) fn expect_close(&mut self, reason: i64) -> CaseResult {
+        match self.receive()? {
             None => Ok(()),
-            Some(unit) => {
-                same("the unit", unit.tag, 48)?;
-                same(
+            Some(apdu) => {
+                check_eq("APDU tag", apdu.tag, 48)?;
+                check_eq(
                     "closeReason",
-                    unit.get(211).and_then(Item::integer),
+                    apdu.get(211).and_then(Item::integer),
                     Some(reason),
                 )
             }
         }
     }
 
-    pub(super) fn search(&mut self, target: &Target, set: &str) -> Result<Item, Stop> {
-        let unit = search_request(
+    pub(super) fn search(&mut self, target: &Target, set: &str) -> Result<Item, CaseError> {
+        let apdu = search_request(
             &Search {
                 set,
-                ..Search::usual(target)
+                ..Search::new(target)
             },
             None,
         );
-        self.ask(&unit)
+        self.exchange(&apdu)
     }
 }
 
-/// One data unit with a reference.
-pub(super) fn unit(tag: u32, reference: Option<&[u8]>, fill: impl FnOnce(&mut Writer)) -> Vec<u8> {
+/// Encodes an APDU, with a reference id if there is one.
+pub(super) fn apdu(tag: u32, reference: Option<&[u8]>, fill: impl FnOnce(&mut Writer)) -> Vec<u8> {
     let mut w = Writer::default();
     w.inside(tag, |w| {
         if let Some(reference) = reference {
@@ -142,7 +143,7 @@
 }
 
 pub(super) fn init_request(versions: &[usize], options: &[usize], size: i64) -> Vec<u8> {
-    unit(20, Some(b"hello"), |w| {
+    apdu(20, Some(b"hello"), |w| {
         w.bits(3, versions.iter().copied());
         w.bits(4, options.iter().copied());
         w.integer(5, size);
@@ -151,7 +152,7 @@
     })
 }
 
-/// A search; what is not told is as usual.
+/// The parameters of a search; [`Search::new`] has the defaults.
 pub(super) struct Search<'a> {
     pub(super) set: &'a str,
     pub(super) database: &'a str,
@@ -167,7 +168,7 @@
 }
 
 impl<'a> Search<'a> {
-    pub(super) fn usual(target: &'a Target) -> Search<'a> {
+    pub(super) fn new(target: &'a Target) -> Search<'a> {
         Search {
             set: "default",
             database: &target.database,
@@ -196,7 +197,7 @@
 }
 
 pub(super) fn search_request(search: &Search<'_>, reference: Option<&[u8]>) -> Vec<u8> {
-    unit(22, reference, |w| {
+    apdu(22, reference, |w| {
         w.integer(13, search.sizes[0]);
         w.integer(14, search.sizes[1]);
         w.integer(15, search.sizes[2]);
@@ -232,7 +233,7 @@
     syntax: Option<&str>,
     elements: Option<&str>,
 ) -> Vec<u8> {
-    unit(24, Some(b"page"), |w| {
+    apdu(24, Some(b"page"), |w| {
         w.bytes(31, set.as_bytes());
         w.integer(30, start);
         w.integer(29, count);
@@ -252,7 +253,7 @@
     position: Option<i64>,
     step: i64,
 ) -> Vec<u8> {
-    unit(35, Some(b"scan"), |w| {
+    apdu(35, Some(b"scan"), |w| {
         w.inside(3, |names| names.bytes(105, target.database.as_bytes()));
         w.oid(BIB1);
         w.inside(102, |clause| {
@@ -273,7 +274,7 @@
     relation: i64,
     use_attribute: i64,
 ) -> Vec<u8> {
-    unit(43, Some(b"sort"), |w| {
+    apdu(43, Some(b"sort"), |w| {
         w.inside(3, |sets| {
             sets.universal(universal::GENERAL, input.as_bytes())
         });
@@ -295,7 +296,7 @@
 }
 
 pub(super) fn delete_request(function: i64, names: &[&str]) -> Vec<u8> {
-    unit(26, Some(b"del"), |w| {
+    apdu(26, Some(b"del"), |w| {
         w.integer(32, function);
         if !names.is_empty() {
             w.inside_universal(universal::SEQUENCE, |list| {
@@ -307,69 +308,77 @@
     })
 }
 
-pub(super) fn number(unit: &Item, tag: u32) -> Option<i64> {
-    unit.get(tag).and_then(Item::integer)
+pub(super) fn number(apdu: &Item, tag: u32) -> Option<i64> {
+    apdu.get(tag).and_then(Item::integer)
 }
 
-pub(super) fn hits(unit: &Item) -> Result<i64, Stop> {
-    same("the unit", unit.tag, 23)?;
-    same(
+pub(super) fn hit_count(apdu: &Item) -> Result<i64, CaseError> {
+    check_eq("APDU tag", apdu.tag, 23)?;
+    check_eq(
         "searchStatus",
-        unit.get(22).and_then(Item::boolean),
+        apdu.get(22).and_then(Item::boolean),
         Some(true),
     )?;
-    match number(unit, 23) {
+    match number(apdu, 23) {
         Some(count) if count >= 0 => Ok(count),
-        other => miss(format!("resultCount {other:?}")),
+        other => mismatch(format!("resultCount {other:?}")),
     }
 }
 
-/// A diagnostic's condition, wherever it stands.
-pub(super) fn condition(unit: &Item) -> Option<i64> {
-    match unit.class == Class::Universal && unit.tag == universal::INTEGER {
-        true => unit.integer(),
-        false => unit.items().iter().find_map(condition),
+/// The condition of the first diagnostic, at any depth.
+pub(super) fn condition(apdu: &Item) -> Option<i64> {
+    match apdu.class == Class::Universal && apdu.tag == universal::INTEGER {
+        true => apdu.integer(),
+        false => apdu.items().iter().find_map(condition),
     }
 }
 
-pub(super) fn says(unit: &Item, wanted: &[i64]) -> Played {
-    let said = condition(unit);
-    see(
-        said.is_some_and(|n| wanted.contains(&n)),
-        format_args!("diagnostic {said:?}, wanted one of {wanted:?}"),
+pub(super) fn check_diagnostic(apdu: &Item, expected: &[i64]) -> CaseResult {
+    let condition = condition(apdu);
+    check(
+        condition.is_some_and(|n| expected.contains(&n)),
+        format_args!("diagnostic {condition:?}, expected one of {expected:?}"),
     )
 }
 
-/// A search that fails with one of these.
-pub(super) fn search_says(target: &Target, search: &Search<'_>, wanted: &[i64]) -> Played {
-    let mut peer = Peer::open(target)?;
-    let reply = peer.ask(&search_request(search, Some(b"bad")))?;
-    same("the unit", reply.tag, 23)?;
-    same(
+/// Expects a search to fail with one of these diagnostics.
+pub(super) fn check_search_diagnostic(
+    target: &Target,
+    search: &Search<'_>,
+    expected: &[i64],
+) -> CaseResult {
+    let mut client = Client::open(target)?;
+    let response = client.exchange(&search_request(search, Some(b"bad")))?;
+    check_eq("APDU tag", response.tag, 23)?;
+    check_eq(
         "searchStatus",
-        reply.get(22).and_then(Item::boolean),
+        response.get(22).and_then(Item::boolean),
         Some(false),
     )?;
-    same("resultCount", number(&reply, 23), Some(0))?;
-    says(&reply, wanted)?;
-    // The session is none the worse for it.
-    hits(&peer.search(target, "default")?).map(|_| ())
+    check_eq("resultCount", number(&response, 23), Some(0))?;
+    check_diagnostic(&response, expected)?;
+    // The session is still usable.
+    hit_count(&client.search(target, "default")?).map(|_| ())
 }
 
-pub(super) fn attribute_says(target: &Target, attributes: &[(i64, i64)], wanted: &[i64]) -> Played {
-    search_says(
+pub(super) fn check_attribute_diagnostic(
+    target: &Target,
+    attributes: &[(i64, i64)],
+    expected: &[i64],
+) -> CaseResult {
+    check_search_diagnostic(
         target,
         &Search {
             attributes,
-            ..Search::usual(target)
+            ..Search::new(target)
         },
-        wanted,
+        expected,
     )
 }
 
 /// The records of a response or segment: syntax and bytes.
-pub(super) fn records(unit: &Item, tag: u32) -> Vec<(String, Vec<u8>)> {
-    let list = unit.get(tag).map(Item::items).unwrap_or_default();
+pub(super) fn records(apdu: &Item, tag: u32) -> Vec<(String, Vec<u8>)> {
+    let list = apdu.get(tag).map(Item::items).unwrap_or_default();
     let record = |named: &Item| {
         let external = named.get(1)?.get(1)?.items().first()?;
         let syntax = external.items().first()?.oid()?;
@@ -382,39 +391,39 @@
     list.iter().filter_map(record).collect()
 }
 
-pub(super) fn titles(peer: &mut Peer, set: &str, count: i64) -> Result<Vec<String>, Stop> {
-    let reply = peer.ask(&present_request(set, 1, count, Some(XML), None))?;
-    same("presentStatus", number(&reply, 27), Some(0))?;
+pub(super) fn titles(client: &mut Client, set: &str, count: i64) -> Result<Vec<String>, CaseError> {
+    let response = client.exchange(&present_request(set, 1, count, Some(XML), None))?;
+    check_eq("presentStatus", number(&response, 27), Some(0))?;
     let title = |bytes: Vec<u8>| {
         let root = catalogue::record::tree::read(&String::from_utf8_lossy(&bytes)).ok()?;
         Some(root.find("title")?.full_text().to_lowercase())
     };
-    Ok(records(&reply, 28)
+    Ok(records(&response, 28)
         .into_iter()
         .filter_map(|(_, bytes)| title(bytes))
         .collect())
 }
 
-pub(super) fn syntax(target: &Target, oid: &str, sound: fn(&[u8]) -> bool) -> Played {
-    let mut peer = Peer::open(target)?;
-    peer.search(target, "default")?;
-    let reply = peer.ask(&present_request("default", 1, 1, Some(oid), Some("F")))?;
-    if condition(&reply).is_some_and(|n| matches!(n, 238 | 239)) {
-        return Err(Stop::NotOffered("this syntax".to_owned()));
+pub(super) fn syntax(target: &Target, oid: &str, sound: fn(&[u8]) -> bool) -> CaseResult {
+    let mut client = Client::open(target)?;
+    client.search(target, "default")?;
+    let response = client.exchange(&present_request("default", 1, 1, Some(oid), Some("F")))?;
+    if condition(&response).is_some_and(|n| matches!(n, 238 | 239)) {
+        return Err(CaseError::NotOffered("this syntax".to_owned()));
     }
-    let records = records(&reply, 28);
+    let records = records(&response, 28);
     let Some((given, bytes)) = records.first() else {
-        return miss("no record");
+        return mismatch("no record");
     };
-    same("the syntax", given.as_str(), oid)?;
-    see(
+    check_eq("record syntax", given.as_str(), oid)?;
+    check(
         sound(bytes),
         format_args!("{:?}", String::from_utf8_lossy(bytes)),
     )
 }
 
-pub(super) fn terms(unit: &Item) -> Vec<(String, Option<i64>)> {
-    let entries = unit
+pub(super) fn terms(apdu: &Item) -> Vec<(String, Option<i64>)> {
+    let entries = apdu
         .get(7)
         .and_then(|l| l.get(1))
         .map(Item::items)
@@ -423,25 +432,28 @@
     entries.iter().filter_map(term).collect()
 }
 
-pub(super) fn sorted(target: &Target, relation: i64) -> Result<Vec<String>, Stop> {
-    let mut peer = Peer::open(target)?;
-    peer.needs(8, "sorting")?;
-    let count = hits(&peer.search(target, "default")?)?.min(20);
-    let reply = peer.ask(&sort_request("default", "sorted", relation, 4))?;
-    same("the unit", reply.tag, 44)?;
-    same("sortStatus", number(&reply, 3), Some(0))?;
-    same(
-        "the reference",
-        reply.get(2).map(Item::bytes),
+pub(super) fn sorted(target: &Target, relation: i64) -> Result<Vec<String>, CaseError> {
+    let mut client = Client::open(target)?;
+    client.require_option(8, "sorting")?;
+    let count = hit_count(&client.search(target, "default")?)?.min(20);
+    let response = client.exchange(&sort_request("default", "sorted", relation, 4))?;
+    check_eq("APDU tag", response.tag, 44)?;
+    check_eq("sortStatus", number(&response, 3), Some(0))?;
+    check_eq(
+        "reference id",
+        response.get(2).map(Item::bytes),
         Some(b"sort".to_vec()),
     )?;
-    titles(&mut peer, "sorted", count)
+    titles(&mut client, "sorted", count)
 }
 
-/// A search request with the lengths of everything outermost in another form.
-pub(super) fn in_form(target: &Target, indefinite: bool) -> Result<Vec<u8>, Stop> {
-    let bytes = search_request(&Search::usual(target), None);
-    // Its tag is one byte; then comes its length.
+/// A search request with the outermost length in another form.
+pub(super) fn search_with_length_form(
+    target: &Target,
+    indefinite: bool,
+) -> Result<Vec<u8>, CaseError> {
+    let bytes = search_request(&Search::new(target), None);
+    // The tag is one byte, followed by the length.
     let skip = if bytes[1] < 0x80 {
         2
     } else {
@@ -460,28 +472,28 @@
     })
 }
 
-/// Fetches six records with a small message size; the sizes of messages, records in all, and the
-/// response.
-pub(super) fn fetch_small(
+/// Fetches six records with a small message size. Returns the client, the sizes of the messages, the
+/// total of records, and the response.
+pub(super) fn fetch_in_small_messages(
     target: &Target,
     options: &[usize],
-) -> Result<(Peer, Vec<usize>, usize, Item), Stop> {
-    let mut peer = Peer::init(target, &[0, 1, 2], options, 1024)?;
-    let count = hits(&peer.search(target, "default")?)?.min(6);
-    peer.say(&present_request("default", 1, count, Some(XML), None))?;
+) -> Result<(Client, Vec<usize>, usize, Item), CaseError> {
+    let mut client = Client::init(target, &[0, 1, 2], options, 1024)?;
+    let count = hit_count(&client.search(target, "default")?)?.min(6);
+    client.send(&present_request("default", 1, count, Some(XML), None))?;
     let (mut sizes, mut all) = (Vec::new(), 0);
     loop {
-        let Some(unit) = peer.hear()? else {
-            return miss("the connection ended");
+        let Some(apdu) = client.receive()? else {
+            return mismatch("the connection ended");
         };
-        let last = unit.tag == 25;
+        let last = apdu.tag == 25;
         let mut w = Writer::default();
-        w.item(&unit);
+        w.item(&apdu);
         sizes.push(w.finish().len());
-        all += records(&unit, if last { 28 } else { 0 }).len();
+        all += records(&apdu, if last { 28 } else { 0 }).len();
         if last {
-            return Ok((peer, sizes, all, unit));
+            return Ok((client, sizes, all, apdu));
         }
-        same("the unit", unit.tag, 45)?;
+        check_eq("APDU tag", apdu.tag, 45)?;
     }
 }
--- a/bitternsill/src/lib.rs
+++ b/bitternsill/src/lib.rs
@@ -1,5 +1,5 @@
-//! bitternsill: one gatherer on sockets. `main.rs` starts it; everything else is here, so that
-//! tests reach it.
+//! The gatherer: one process on sockets. `main.rs` starts it; everything else is in this library,
+//! so that tests can use it.
 #![forbid(unsafe_code)]
 
 pub mod admin;
