--- a/bitternsill/benches/catalogue.rs
+++ b/bitternsill/benches/catalogue.rs
@@ -1,9 +1,9 @@
-//! Measurements of the catalogue front on loopback, over the stand-in index hosts that the stories
-//! use.
+//! Benchmarks of the catalogue front on loopback, with the stand-in index hosts of the integration
+//! tests.
 //!
 //! cargo bench -p bitternsill --bench catalogue -- floor|pages|sessions|copies|memory
 //!
-//! Each prints one table. BITTERNSILL_PROGRAM names another build of the program to compare with.
+//! Each prints one table. BITTERNSILL_PROGRAM selects another build of the program, for comparison.
 #![allow(missing_docs)]
 
 #[path = "../tests/common/mod.rs"]
@@ -21,9 +21,9 @@
 use std::time::{Duration, Instant};
 
 const SLICES: usize = 6;
-const TICK: u64 = 5_000_000;
+const TICK_NS: u64 = 5_000_000;
 
-/// Hosts that hold every slice, with so many titles in each.
+/// Hosts that hold every slice, with `titles` titles in each.
 fn hosts(titles: usize) -> Vec<Arc<Script>> {
     let own = |slice: usize| {
         (0..titles)
@@ -40,7 +40,7 @@
         let borrowed: Vec<(usize, &[&str])> =
             titles.iter().map(|(n, t)| (*n, t.as_slice())).collect();
         let script = Script::with(&borrowed);
-        // The version that every build speaks.
+        // The SRU version that every build supports.
         *script.version.lock().unwrap() = "1.1";
         script
     };
@@ -56,7 +56,7 @@
     settings
 }
 
-/// Seconds of processor time that the program has used.
+/// The processor time that the program has used, in seconds.
 fn cpu(catalogue: &Catalogue) -> f64 {
     let stat =
         std::fs::read_to_string(format!("/proc/{}/stat", catalogue.program.child.id())).unwrap();
@@ -66,11 +66,11 @@
         .unwrap()
         .split_whitespace()
         .collect();
-    // utime and stime, in hundredths of a second.
+    // The fields utime and stime, in hundredths of a second.
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
 }
 
-/// The program's memory, in kB.
+/// The program's resident memory, in kB.
 fn memory(catalogue: &Catalogue) -> u64 {
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", catalogue.program.child.id())).unwrap();
@@ -90,7 +90,7 @@
     histogram.value_at_quantile(quantile) as f64 / 1000.0
 }
 
-/// A kept SRU connection.
+/// A persistent SRU connection.
 struct Client(TcpStream);
 
 impl Client {
@@ -100,7 +100,7 @@
         Client(socket)
     }
 
-    fn ask(&mut self, target: &str) -> String {
+    fn get(&mut self, target: &str) -> String {
         self.0
             .write_all(format!("GET {target} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes())
             .unwrap();
@@ -108,18 +108,18 @@
     }
 }
 
-/// How long one search takes when nothing else is asked, and what one costs when much is.
+/// The latency of a search on an idle program, and the processor time of a search under load.
 fn floor() {
     println!("speaks  tick   p50 ms  p99 ms   busy: searches/s  cpu ms/search");
     for speak in ["sru", "z3950"] {
-        for tick in [Some(TICK), None] {
+        for tick in [Some(TICK_NS), None] {
             let catalogue =
                 Catalogue::start_with(speak, hosts(20), settings(tick, 4000), json!({}));
             let mut client = Client::open(&catalogue);
             let mut times = histogram();
             for n in 0..600 {
                 let start = Instant::now();
-                let answer = client.ask("/comics?query=moon");
+                let answer = client.get("/comics?query=moon");
                 assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
                 if n >= 100 {
                     times.record(start.elapsed().as_micros() as u64).unwrap();
@@ -137,7 +137,7 @@
                     let (stop, served) = (stop.clone(), served.clone());
                     thread::spawn(move || {
                         while !stop.load(Ordering::Relaxed) {
-                            if client.ask("/comics?query=moon").starts_with("HTTP/1.1 200") {
+                            if client.get("/comics?query=moon").starts_with("HTTP/1.1 200") {
                                 served.fetch_add(1, Ordering::Relaxed);
                             }
                         }
@@ -161,30 +161,30 @@
     }
 }
 
-/// Records that hosts give for each that is delivered, on pages 1, 5 and 50 of ten records.
+/// Records fetched from hosts for each record delivered, on pages of ten records.
 fn pages() {
     println!("order     page  delivered  fetched  fetched/delivered");
     for (order, keys) in [("slices", ""), ("by title", "&sortKeys=title")] {
         let hosts = hosts(200);
         let catalogue =
-            Catalogue::start_with("z3950", hosts, settings(Some(TICK), 4000), json!({}));
-        let given = || {
+            Catalogue::start_with("z3950", hosts, settings(Some(TICK_NS), 4000), json!({}));
+        let fetched_so_far = || {
             catalogue
                 .scripts
                 .iter()
                 .map(|s| count(&s.given))
                 .sum::<usize>()
         };
-        // Read one after the other, and then by a jump.
+        // The first pages are read in sequence, then page 50 by a jump.
         for page in [1, 2, 3, 4, 5, 50, 51] {
-            let before = given();
+            let before = fetched_so_far();
             let start = 10 * (page - 1) + 1;
             let target = format!(
                 "/comics?version=1.1&operation=searchRetrieve&query=moon&startRecord={start}{keys}"
             );
             let answer = catalogue.sru(&target);
             let delivered = titles(&answer).len();
-            let fetched = given() - before;
+            let fetched = fetched_so_far() - before;
             let why = between(&answer, "<uri>", "</uri>").unwrap_or_default();
             println!(
                 "{order:8}  {page:4}  {delivered:9}  {fetched:7}  {:17.2} {why}",
@@ -194,15 +194,16 @@
     }
 }
 
-/// Many sessions, a tenth of them active: memory, and how long a search with its page takes, calm
-/// and with a third of the hosts standing still half a second every two.
+/// Many sessions, a tenth of them active: memory per session, and the latency of a search with a
+/// page, with healthy hosts and with a third of the hosts frozen for half a second every two
+/// seconds.
 fn sessions() {
     const OPEN: usize = 2000;
     const ACTIVE: usize = 200;
     println!(
         "hosts     sessions  kB/session  p50 ms  p99 ms  max ms  asked  answered  refused  failed"
     );
-    for troubled in [false, true] {
+    for with_freezes in [false, true] {
         let hosts = hosts(50);
         hosts
             .iter()
@@ -220,7 +221,7 @@
         }
         let each = (memory(&catalogue) - before) as f64 / OPEN as f64;
         let stop = Arc::new(AtomicBool::new(false));
-        let trouble = troubled.then(|| {
+        let freezer = with_freezes.then(|| {
             let (catalogue, stop) = (catalogue.clone(), stop.clone());
             thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
@@ -241,8 +242,8 @@
             .map(|(number, mut reader)| {
                 let (times, ends) = (times.clone(), ends.clone());
                 thread::spawn(move || {
-                    // Open loop: each asks once a second at times fixed beforehand, however long
-                    // answers take.
+                    // Open loop: each session sends once a second at predetermined times, however
+                    // long answers take.
                     for turn in 0..12u32 {
                         let due = begin
                             + Duration::from_secs(1) * turn
@@ -271,7 +272,7 @@
                         let took = due.elapsed().as_micros() as u64;
                         times.lock().unwrap().record(took).unwrap();
                     }
-                    // Nothing more may come: each request has had its one answer.
+                    // No further data may arrive: each request has had its one answer.
                     reader
                         .socket
                         .set_read_timeout(Some(Duration::from_millis(50)))
@@ -286,14 +287,14 @@
             .collect();
         threads.into_iter().for_each(|t| t.join().unwrap());
         stop.store(true, Ordering::Relaxed);
-        if let Some(trouble) = trouble {
-            trouble.join().unwrap();
+        if let Some(freezer) = freezer {
+            freezer.join().unwrap();
         }
         let times = times.lock().unwrap();
         let ends: Vec<usize> = ends.iter().map(count).collect();
         println!(
             "{:8}  {OPEN:8}  {each:10.1}  {:6.1}  {:6.1}  {:6.1}  {:5}  {:8}  {:7}  {:6}",
-            if troubled { "2 of 6" } else { "calm" },
+            if with_freezes { "2 of 6" } else { "calm" },
             ms(&times, 0.5),
             ms(&times, 0.99),
             ms(&times, 1.0),
@@ -305,8 +306,8 @@
     }
 }
 
-/// Connections to hosts made for 1,000 searches while one answer in fifty is slow and copies go
-/// out.
+/// Connections opened to hosts during 1,000 searches, while one answer in fifty is slow and copies
+/// of requests are sent.
 fn copies() {
     println!("speaks  searches  answered  connections before  made meanwhile");
     for speak in ["sru", "z3950"] {
@@ -317,7 +318,7 @@
         let catalogue = Arc::new(Catalogue::start_with(
             speak,
             hosts,
-            settings(Some(TICK), 4000),
+            settings(Some(TICK_NS), 4000),
             json!({}),
         ));
         let made = || {
@@ -335,7 +336,7 @@
                     thread::spawn(move || {
                         let mut client = Client::open(&catalogue);
                         for _ in 0..searches / 8 {
-                            if client.ask("/comics?query=moon").starts_with("HTTP/1.1 200") {
+                            if client.get("/comics?query=moon").starts_with("HTTP/1.1 200") {
                                 answered.fetch_add(1, Ordering::Relaxed);
                             }
                         }
@@ -356,7 +357,7 @@
     }
 }
 
-/// The platform's front: what a program of this build takes before anything is asked.
+/// The memory of the program with the platform's front, before any request.
 fn idle() {
     let host = FrameHost::start(|_| Say::Good(1, "x".to_owned()));
     let platform = Platform::start(common::settings(), vec![host]);
@@ -371,7 +372,7 @@
 }
 
 fn main() {
-    // Cargo adds a flag of its own.
+    // Flags are skipped: cargo adds one.
     match std::env::args()
         .skip(1)
         .find(|a| !a.starts_with("--"))
@@ -382,6 +383,6 @@
         Some("sessions") => sessions(),
         Some("copies") => copies(),
         Some("memory") => idle(),
-        _ => eprintln!("which measurement? floor, pages, sessions, copies or memory"),
+        _ => eprintln!("name a benchmark: floor, pages, sessions, copies or memory"),
     }
 }
--- a/bitternsill/benches/learned.rs
+++ b/bitternsill/benches/learned.rs
@@ -1,4 +1,4 @@
-//! Measurements of what is learned and kept.
+//! Benchmarks of the statistics that are retained across restarts.
 //!
 //! cargo bench -p bitternsill --bench learned -- restart|scale
 #![allow(missing_docs)]
@@ -25,10 +25,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const HOSTS: usize = 10;
-const AIM_MS: u64 = 1500;
-const RATE: u64 = 60;
-const WARM: u64 = 8;
-const AFTER: u64 = 10;
+const TARGET_MS: u64 = 1500;
+const QUERIES_PER_S: u64 = 60;
+const WARM_UP_S: u64 = 8;
+const MEASURED_S: u64 = 10;
 
 fn now_ms() -> u64 {
     SystemTime::now()
@@ -37,18 +37,18 @@
         .as_millis() as u64
 }
 
-/// Hosts in a ring. Two of ten are slow; one is cold for five seconds after each start of the
-/// gatherer.
-struct FleetOfHosts {
+/// Hosts in a ring: two of the ten are slow, and one is cold for five seconds after each start of
+/// the gatherer.
+struct HostFleet {
     addresses: Vec<std::net::SocketAddr>,
     parts: Arc<AtomicUsize>,
     cold_until: Arc<AtomicU64>,
     cold: usize,
 }
 
-fn fleet(seed: u64) -> FleetOfHosts {
+fn fleet(seed: u64) -> HostFleet {
     let (parts, cold_until) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicU64::new(0)));
-    // Neighbours are not slow together, so that each slice has a sound holder.
+    // No two neighbours are slow, so that each slice is on at least one fast host.
     let first = (seed * 3) as usize % HOSTS;
     let (slow, cold) = ([first, (first + 5) % HOSTS], (first + 2) % HOSTS);
     let host = |n: usize| {
@@ -65,7 +65,7 @@
         })
         .address
     };
-    FleetOfHosts {
+    HostFleet {
         addresses: (0..HOSTS).map(host).collect(),
         parts,
         cold_until,
@@ -78,18 +78,18 @@
     settings["extra"]["sets"] = json!(HOSTS);
     settings["extra"]["ranges"] = json!(HOSTS);
     for class in settings["request_classes"].as_array_mut().unwrap() {
-        class["target"] = json!(AIM_MS * 1_000_000);
+        class["target"] = json!(TARGET_MS * 1_000_000);
         class["deadline"] = json!(4_000_000_000u64);
     }
     settings["limits"]["max_open"] = json!(600);
     settings
 }
 
-/// What came in the first 2, 5 and 10 seconds: queries later than their aim or not served, and
-/// parts beyond the first.
-type Seen = [(usize, usize); 3];
+/// Counts in the first 2, 5 and 10 seconds: queries that missed their latency target or were not
+/// served, and parts sent beyond the first attempts.
+type Counts = [(usize, usize); 3];
 
-fn play(hosts: &FleetOfHosts, folder: Option<&Path>, seconds: u64, seed: u64) -> Seen {
+fn run_load(hosts: &HostFleet, folder: Option<&Path>, seconds: u64, seed: u64) -> Counts {
     let start = now_ms();
     hosts.cold_until.store(start + 5_000, Ordering::Relaxed);
     let mut targets: Vec<Value> = hosts
@@ -126,9 +126,9 @@
             let (platform, next, late) = (platform.clone(), next.clone(), late.clone());
             thread::spawn(move || {
                 loop {
-                    // Open loop: arrivals are fixed beforehand, however long answers take.
+                    // Open loop: arrival times are predetermined, however long answers take.
                     let n = next.fetch_add(1, Ordering::Relaxed);
-                    let due = Duration::from_micros(n * 1_000_000 / RATE);
+                    let due = Duration::from_micros(n * 1_000_000 / QUERIES_PER_S);
                     if due >= Duration::from_secs(seconds) {
                         return;
                     }
@@ -140,7 +140,9 @@
                     let shards = [shard, (shard + 1) % HOSTS as u32];
                     let answer = platform.ask(&format!("{:016x}", n + 1), "page", &shards);
                     let took = begin.elapsed() - due;
-                    if took > Duration::from_millis(AIM_MS) || !answer.starts_with("HTTP/1.1 200") {
+                    if took > Duration::from_millis(TARGET_MS)
+                        || !answer.starts_with("HTTP/1.1 200")
+                    {
                         late.lock().unwrap().push(due);
                     }
                 }
@@ -151,7 +153,7 @@
         let until = Duration::from_secs(at.min(seconds));
         thread::sleep(until.saturating_sub(begin.elapsed()));
         let parts = hosts.parts.load(Ordering::Relaxed) - asked;
-        let first = 2 * (RATE * at.min(seconds)) as usize;
+        let first = 2 * (QUERIES_PER_S * at.min(seconds)) as usize;
         marks.lock().unwrap().push(parts.saturating_sub(first));
     }
     threads.into_iter().for_each(|t| t.join().unwrap());
@@ -178,10 +180,10 @@
     path
 }
 
-/// A folder with one picture, changed.
-fn changed(from: &Path, name: &str, change: impl FnOnce(&mut Snapshot)) -> PathBuf {
-    // Programs of other seeds that start at this moment hold every descriptor of this process for
-    // an instant.
+/// A new folder with a modified copy of the newest snapshot.
+fn modified_copy(from: &Path, name: &str, change: impl FnOnce(&mut Snapshot)) -> PathBuf {
+    // A program that another seed's thread is just starting holds all descriptors of this process
+    // for an instant, and with them the lock.
     let folder = loop {
         match Folder::open(from) {
             Ok(folder) => break folder,
@@ -189,7 +191,7 @@
             Err(problem) => panic!("{problem}"),
         }
     };
-    let (mut snapshot, ..) = folder.load().snapshot.expect("a picture");
+    let (mut snapshot, ..) = folder.load().snapshot.expect("a snapshot");
     change(&mut snapshot);
     let to = new_folder(name);
     std::fs::write(
@@ -200,11 +202,11 @@
     to
 }
 
-fn one(seed: u64) -> [Seen; 4] {
+fn run_seed(seed: u64) -> [Counts; 4] {
     let hosts = fleet(seed);
     let kept = new_folder(&format!("{seed}-kept"));
-    play(&hosts, Some(&kept), WARM, seed);
-    let old = changed(&kept, &format!("{seed}-old"), |p| {
+    run_load(&hosts, Some(&kept), WARM_UP_S, seed);
+    let old = modified_copy(&kept, &format!("{seed}-old"), |p| {
         let days = 3 * 86_400_000;
         p.taken_at -= days;
         let older = |(uid, host): (&Arc<str>, &HostStats)| {
@@ -218,24 +220,24 @@
         };
         p.hosts = p.hosts.iter().map(older).collect();
     });
-    let wrong = changed(&kept, &format!("{seed}-wrong"), |p| {
-        // Every host is remembered as its next neighbour but two was.
-        let memories: Vec<HostStats> = p.hosts.values().cloned().collect();
-        let count = memories.len();
+    let wrong = modified_copy(&kept, &format!("{seed}-wrong"), |p| {
+        // Every host gets the statistics of the third host after it.
+        let stats: Vec<HostStats> = p.hosts.values().cloned().collect();
+        let count = stats.len();
         let other = |(n, (uid, host)): (usize, (&Arc<str>, &HostStats))| {
             (
                 uid.clone(),
                 HostStats {
                     started: host.started,
-                    ..memories[(n + 3) % count].clone()
+                    ..stats[(n + 3) % count].clone()
                 },
             )
         };
         p.hosts = p.hosts.iter().enumerate().map(other).collect();
     });
-    let copy = changed(&kept, &format!("{seed}-copy"), |_| {});
+    let copy = modified_copy(&kept, &format!("{seed}-copy"), |_| {});
     [None, Some(&copy), Some(&old), Some(&wrong)]
-        .map(|folder| play(&hosts, folder.map(PathBuf::as_path), AFTER, seed))
+        .map(|folder| run_load(&hosts, folder.map(PathBuf::as_path), MEASURED_S, seed))
 }
 
 /// A mean with its 95 % interval (Student's t with nine degrees of freedom for ten seeds).
@@ -246,15 +248,15 @@
     format!("{mean:6.1} ± {:4.1}", 2.262 * (variance / n).sqrt())
 }
 
-/// Late queries and copies after a restart, over ten seeds.
+/// Late queries and additional parts after a restart, over ten seeds.
 fn restart() {
-    let results: Arc<Mutex<Vec<[Seen; 4]>>> = Arc::default();
+    let results: Arc<Mutex<Vec<[Counts; 4]>>> = Arc::default();
     for batch in 0..2 {
         let threads: Vec<_> = (0..5)
             .map(|n| {
                 let results = results.clone();
                 thread::spawn(move || {
-                    let seen = one(5 * batch + n + 1);
+                    let seen = run_seed(5 * batch + n + 1);
                     results.lock().unwrap().push(seen);
                 })
             })
@@ -263,13 +265,13 @@
     }
     let results = results.lock().unwrap();
     println!(
-        "{} seeds, {RATE} queries a second of two parts, {HOSTS} hosts, aim {AIM_MS} ms",
+        "{} seeds, {QUERIES_PER_S} queries a second of two parts, {HOSTS} hosts, target {TARGET_MS} ms",
         results.len()
     );
     println!(
-        "memory          late in 2 s    in 5 s         in 10 s        further parts in 2 s  in 5 s         in 10 s"
+        "snapshot        late in 2 s    in 5 s         in 10 s        further parts in 2 s  in 5 s         in 10 s"
     );
-    for (n, name) in ["none", "of before", "three days old", "shuffled"]
+    for (n, name) in ["none", "previous run", "three days old", "shuffled"]
         .into_iter()
         .enumerate()
     {
@@ -298,13 +300,13 @@
     }
 }
 
-fn micros(times: &mut [Duration]) -> (f64, f64) {
+fn percentiles_us(times: &mut [Duration]) -> (f64, f64) {
     times.sort_unstable();
     let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize].as_secs_f64() * 1e6;
     (at(0.5), at(0.99))
 }
 
-/// 10,000 hosts by 8 classes: the file, and what the turn spends.
+/// 10,000 hosts and 8 classes: the cost of learning in a turn, and of the file.
 fn scale() {
     const MANY: u32 = 10_000;
     const CLASSES: usize = 8;
@@ -330,12 +332,12 @@
     println!(
         "turns with learning  p50 us  p99 us  of which learning p50  p99   handing over p50  p99"
     );
-    for keeps in [false, true, false, true] {
+    for learns in [false, true, false, true] {
         let mut aggregator = Aggregator::new(settings.clone(), 7);
         let mut actions: Vec<Action> = Vec::new();
         let mut now = 1_700_000_000_000_000_000;
         aggregator.turn(now, std::slice::from_ref(&list), &mut actions);
-        if keeps {
+        if learns {
             aggregator.learned(0);
         }
         let fleet = Fleet {
@@ -345,7 +347,8 @@
         };
         let mut snapshot = Snapshot::new(fleet);
         let queue: ArrayQueue<Snapshot> = ArrayQueue::new(2);
-        let (mut turns, mut learns, mut hands) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut turn_times, mut collect_times, mut submit_times) =
+            (Vec::new(), Vec::new(), Vec::new());
         let mut out: Vec<(PartId, u32)> = Vec::new();
         let mut next = 1u64;
         for turn in 0..1200u32 {
@@ -385,32 +388,32 @@
             actions.clear();
             let start = Instant::now();
             aggregator.turn(now, &events, &mut actions);
-            // The program looks every 20 ms, and hands over every period.
-            if keeps && turn % 4 == 0 {
+            // The program collects statistics every 20 ms, and submits a snapshot every period.
+            if learns && turn % 4 == 0 {
                 let begin = Instant::now();
-                for (id, memory) in aggregator.learned(64).servers {
+                for (id, stats) in aggregator.learned(64).servers {
                     let host = HostStats {
                         started: 0,
-                        slowness: memory.slowness.iter().map(|s| *s as f32).collect(),
-                        delay: memory.delay as f32,
-                        limit: memory.limit as f32,
-                        errors: memory.errors as f32,
-                        weight: memory.answers as f32,
+                        slowness: stats.slowness.iter().map(|s| *s as f32).collect(),
+                        delay: stats.delay as f32,
+                        limit: stats.limit as f32,
+                        errors: stats.errors as f32,
+                        weight: stats.answers as f32,
                         judged: now / 1_000_000,
                     };
                     snapshot
                         .hosts
                         .insert(Arc::from(format!("host-{}", id.0)), host);
                 }
-                learns.push(begin.elapsed());
+                collect_times.push(begin.elapsed());
                 if turn % 40 == 0 {
                     let begin = Instant::now();
                     let _ = queue.push(snapshot.clone());
-                    hands.push(begin.elapsed());
+                    submit_times.push(begin.elapsed());
                 }
             }
-            turns.push(start.elapsed());
-            // The writer takes it.
+            turn_times.push(start.elapsed());
+            // Stands in for the writer.
             queue.pop();
             for action in &actions {
                 if let Action::Send { part, .. } = action {
@@ -418,18 +421,18 @@
                 }
             }
         }
-        let (p50, p99) = micros(&mut turns);
-        let (l50, l99) = if learns.is_empty() {
+        let (p50, p99) = percentiles_us(&mut turn_times);
+        let (l50, l99) = if collect_times.is_empty() {
             (0.0, 0.0)
         } else {
-            micros(&mut learns)
+            percentiles_us(&mut collect_times)
         };
-        let (h50, h99) = if hands.is_empty() {
+        let (h50, h99) = if submit_times.is_empty() {
             (0.0, 0.0)
         } else {
-            micros(&mut hands)
+            percentiles_us(&mut submit_times)
         };
-        println!("{keeps:19}  {p50:6.0}  {p99:6.0}  {l50:21.1}  {l99:4.1}  {h50:16.2}  {h99:4.2}");
+        println!("{learns:19}  {p50:6.0}  {p99:6.0}  {l50:21.1}  {l99:4.1}  {h50:16.2}  {h99:4.2}");
     }
     let fleet = Fleet {
         classes: vec!["c".into(); CLASSES],
@@ -482,7 +485,7 @@
 }
 
 fn main() {
-    // Cargo adds a flag of its own.
+    // Flags are skipped: cargo adds one.
     match std::env::args()
         .skip(1)
         .find(|a| !a.starts_with("--"))
@@ -490,6 +493,6 @@
     {
         Some("restart") => restart(),
         Some("scale") => scale(),
-        _ => eprintln!("which measurement? restart or scale"),
+        _ => eprintln!("name a benchmark: restart or scale"),
     }
 }
--- a/bitternsill/src/describe.rs
+++ b/bitternsill/src/describe.rs
@@ -1,4 +1,4 @@
-//! Descriptions of the program's surfaces, made from the tables that the code routes by.
+//! Descriptions of the program's interfaces, generated from the tables that requests are routed by.
 
 pub mod asyncapi;
 pub mod fit;
--- a/bitternsill/src/describe/asyncapi.rs
+++ b/bitternsill/src/describe/asyncapi.rs
@@ -1,4 +1,5 @@
-//! The streams as an AsyncAPI description: discovery's watch, and the store's lines.
+//! The streaming interfaces as an AsyncAPI description: discovery's watch and the store's
+//! connections.
 
 use crate::front::platform::discovery::{MEMBERS, STATES};
 use crate::store::server::WATCH;
@@ -54,12 +55,12 @@
         "channels": {
             "members": {
                 "address": format!("{MEMBERS}?stream=1"),
-                "description": "Discovery's watch: one JSON object a line, an empty line while nothing changes",
-                "messages": {"list": message("The entries changed, or the whole list", list())}
+                "description": "Discovery's watch: one JSON object per line, and an empty line while nothing changes",
+                "messages": {"list": message("The changed entries, or the whole list", list())}
             },
             "store": {
                 "address": "store.members",
-                "description": "Between members of the store: one JSON object a line",
+                "description": "Between members of the store: one JSON object per line",
                 "messages": packets
             },
             "storeWatch": {
--- a/bitternsill/src/describe/fit.rs
+++ b/bitternsill/src/describe/fit.rs
@@ -1,10 +1,11 @@
-//! Whether an operator's description fits what the program does.
+//! Checks an operator's description against the program's own.
 
 use super::{asyncapi, openapi};
 use crate::limits::Limits;
 use serde_json::{Map, Value as Json};
 
-/// Where a description does not fit; empty where it does. `None` where the file is no description.
+/// The points in which a description does not match the program. `None` if the file is not a
+/// description.
 pub fn check(theirs: &Json, limits: &Limits) -> Option<Vec<String>> {
     let mut problems = Vec::new();
     if theirs.get("openapi").is_some() {
@@ -139,12 +140,12 @@
         let Some(messages) = object(&channel["messages"], name, problems) else {
             continue;
         };
-        for (message, said) in messages {
+        for (message, described) in messages {
             let Some(known) = offered["messages"].get(message) else {
                 problems.push(format!("{name}: no message {message}"));
                 continue;
             };
-            let wanted = said["payload"]["required"]
+            let wanted = described["payload"]["required"]
                 .as_array()
                 .cloned()
                 .unwrap_or_default();
--- a/bitternsill/src/describe/openapi.rs
+++ b/bitternsill/src/describe/openapi.rs
@@ -1,4 +1,4 @@
-//! The HTTP surfaces as an OpenAPI description.
+//! The HTTP interfaces as an OpenAPI description.
 
 use crate::admin::calls;
 use crate::front::platform::client::{Operation, ROUTES, Route};
@@ -18,7 +18,7 @@
             CALL_ID,
             true,
             json!({"type": "string"}),
-            "Differs with every request, a retry included"
+            "Differs for every request, including retries"
         ),
         header(
             CALL_CLASS,
@@ -42,7 +42,7 @@
             KEY,
             false,
             json!({"type": "string"}),
-            "Required in a keyed class"
+            "Required in a class with idempotency keys"
         ),
     ])
 }
@@ -53,8 +53,8 @@
         "required": ["range", "portion"],
         "properties": {
             "range": {"type": "integer", "minimum": 0, "description": "The part's shard"},
-            "portion": {"type": "number", "minimum": 0, "description": "Its share of the whole answer"},
-            "price": {"type": "integer", "description": "A guess at its work, in microseconds"},
+            "portion": {"type": "number", "minimum": 0, "description": "The part's share of the whole answer"},
+            "price": {"type": "integer", "description": "The part's estimated work, in microseconds"},
             "hash": {"type": "string", "pattern": "^[0-9a-f]{16}$"}
         }
     });
@@ -63,11 +63,11 @@
         "required": ["ranges", "predicate"],
         "properties": {
             "ranges": {"type": "array", "minItems": 1, "items": range},
-            "predicate": {"type": "string", "description": "What every part carries"}
+            "predicate": {"type": "string", "description": "The text that is sent with every part"}
         }
     });
     let about = format!(
-        "At most {} bytes, with a length or in chunks",
+        "At most {} bytes, with a Content-Length or chunked",
         limits.body_bytes
     );
     json!({"required": true, "description": about, "content": {"application/json": {"schema": schema}}})
@@ -83,13 +83,13 @@
         "type": "object",
         "required": ["total", "answers"],
         "properties": {
-            "total": {"type": "boolean", "description": "Whether the answer is whole"},
+            "total": {"type": "boolean", "description": "Whether the answer is complete"},
             "answers": {"type": "array", "items": answer}
         }
     }}})
 }
 
-/// One call of the operators' door.
+/// A route of the operators' API.
 fn call(route: &calls::Route) -> Json {
     let responses: Map<String, Json> = route
         .answers
@@ -135,7 +135,7 @@
     operation
 }
 
-/// SRU, where an operator's file sets the catalogue front up.
+/// SRU, which is served if an operator's file configures the catalogue front.
 fn catalogue() -> Json {
     let names: Vec<&str> = OPERATIONS.iter().map(|(name, _)| *name).collect();
     let mut parameters = vec![json!({
@@ -157,7 +157,7 @@
         responses.insert(status.to_string(), response);
     }
     json!({
-        "summary": "SRU: a search, or what the server offers",
+        "summary": "SRU: a search, a scan, or the server's explain record",
         "operationId": "sru",
         "parameters": parameters,
         "responses": responses,
@@ -181,7 +181,7 @@
                 .expect("a list, as made above");
             parameters.push(json!({
                 "name": "subject", "in": "path", "required": true, "schema": {"type": "string", "minLength": 1},
-                "description": "What the request concerns, where requests carry such a key"
+                "description": "The subject of the request, if requests carry such a key"
             }));
             path[route.method.to_lowercase()] = operation;
         }
