--- a/bitternsill/src/front.rs
+++ b/bitternsill/src/front.rs
@@ -261,7 +261,7 @@
         let members = self.hosts.to_json().to_string();
         self.record("members", &members, net);
         if let Some(learned_state) = &mut self.learned_state {
-            learned_state.listed(&self.hosts);
+            learned_state.forget_unlisted(&self.hosts);
             learned_state.apply_loaded(&mut self.core, &self.hosts, net.now());
         }
     }
@@ -358,7 +358,7 @@
         if let Some(sweep) = self.orders.drain.sweep(now) {
             self.clients.sweep(net, sweep);
         }
-        self.record_ends(net, now);
+        self.record_finished_queries(net, now);
         self.advance_recovery(net, now);
         self.advance_shutdown(net, now);
         self.log_readiness(now);
--- a/bitternsill/src/serve.rs
+++ b/bitternsill/src/serve.rs
@@ -509,7 +509,7 @@
     if let Some(learned_state) = gatherer.learned_state.take() {
         learned_state.finish(&mut gatherer.core, &gatherer.hosts, net.now(), timeout);
     }
-    gatherer.record_ends(net, net.now());
+    gatherer.record_finished_queries(net, net.now());
     if let Some(versions) = gatherer.versions.take() {
         versions.finish(net.now(), timeout);
     }
